--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -581,7 +581,8 @@
         target.last_read = read;
         let verdict = target.receiver.receive(read, act);
         let ticket = target.receiver.ticket(read);
-        self.hash.update(format!("{now:.6} {to} {} {} {verdict:?}", act.term.0, act.number).as_bytes());
+        let verdict_text = verdict_digest_text(verdict);
+        self.hash.update(format!("{now:.6} {to} {} {} {verdict_text}", act.term.0, act.number).as_bytes());
         if verdict == Verdict::Obeyed {
             self.judge.obeyed(now, to, act);
             self.played.obeyed += 1;
@@ -900,3 +901,14 @@
         }
     }
 }
+
+/// What a digest of a day takes of a verdict: the same text whatever the code calls it.
+fn verdict_digest_text(verdict: Verdict) -> &'static str {
+    match verdict {
+        Verdict::Obeyed => "Obeyed",
+        Verdict::OldTerm => "OldTerm",
+        Verdict::Again => "Again",
+        Verdict::Unknown => "Unknown",
+        Verdict::Late => "Late",
+    }
+}
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -378,7 +378,7 @@
                 hash.update(&[*way as u8]);
                 hash.update(&bytes);
             }
-            What::Note(note) => hash.update(format!("{note:?}").as_bytes()),
+            What::Note(note) => hash.update(note.digest_text().as_bytes()),
         }
     }
     hash.digest()
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -46,6 +46,27 @@
     Killed,
 }
 
+impl Note {
+    /// What a digest of a day takes of a note: the same text whatever the code calls the note and its fields, so that
+    /// digests of different versions can be compared.
+    pub fn digest_text(&self) -> String {
+        match self {
+            Note::Started { capacity, start_share, ramp } => {
+                format!("Started {{ capacity: {capacity:?}, start_share: {start_share:?}, ramp: {ramp:?} }}")
+            }
+            Note::Died => "Died".to_owned(),
+            Note::Asleep => "Asleep".to_owned(),
+            Note::Awake => "Awake".to_owned(),
+            Note::Closed { own } => format!("Closed {{ own: {own} }}"),
+            Note::Ran { key, profile } => format!("Ran {{ key: {key:?}, profile: {profile:?} }}"),
+            Note::Expired { run, task, launch } => {
+                format!("Expired {{ run: {run}, task: {task}, launch: {launch} }}")
+            }
+            Note::Killed => "Killed".to_owned(),
+        }
+    }
+}
+
 #[derive(Clone, Debug, PartialEq)]
 #[allow(clippy::large_enum_variant)]
 pub enum What {
