--- a/benches/step.rs
+++ b/benches/step.rs
@@ -29,7 +29,12 @@
         profiles: vec![profile],
         tenants: vec![],
         over_share_worth: 1.0,
-        kinds: [Role::Reader, Role::Writer].map(|role| KindSettings { role, memory_tokens: 2e5 }).to_vec(),
+        kinds: [Role::Reader, Role::Writer]
+            .map(|role| KindSettings {
+                role,
+                memory_tokens: 2e5,
+            })
+            .to_vec(),
         discovery: Discovery::Pushed,
         release: 500.0,
         writers_read: false,
@@ -78,7 +83,10 @@
             actions: Vec::new(),
         };
         let entries = (0..READERS + WRITERS).map(entry).collect();
-        bench.step(Event::Listed { kind: ListKind::Full, entries });
+        bench.step(Event::Listed {
+            kind: ListKind::Full,
+            entries,
+        });
         for _ in 0..live {
             bench.begin();
         }
@@ -108,13 +116,23 @@
         let task = TaskId(self.next);
         self.next += 1;
         let session = SessionId(u64::from(self.next) * 0x9e37_79b9);
-        let arrival =
-            Arrival { task, session, patience_left: 8000.0, prompt_tokens: 900.0, ..Arrival::default() };
+        let arrival = Arrival {
+            task,
+            session,
+            patience_left: 8000.0,
+            prompt_tokens: 900.0,
+            ..Arrival::default()
+        };
         self.step(Event::Arrived(arrival));
         let host = self.launched();
         self.step(ended(task, 0, host, Outcome::ReadDone));
         let host = self.launched();
-        self.step(Event::FirstToken { task, launch: LaunchNo(1), host: host.clone(), latency: 1.0 });
+        self.step(Event::FirstToken {
+            task,
+            launch: LaunchNo(1),
+            host: host.clone(),
+            latency: 1.0,
+        });
         (task, host)
     }
 
@@ -125,8 +143,21 @@
 }
 
 fn ended(task: TaskId, launch: u32, host: HostId, outcome: Outcome) -> Event {
-    let (launch, last, load) = (LaunchNo(launch), outcome == Outcome::Fulfilled, Load::default());
-    Event::Ended(Ended { task, launch, host, outcome, latency: 1.0, last, detail: 0.0, load })
+    let (launch, last, load) = (
+        LaunchNo(launch),
+        outcome == Outcome::Fulfilled,
+        Load::default(),
+    );
+    Event::Ended(Ended {
+        task,
+        launch,
+        host,
+        outcome,
+        latency: 1.0,
+        last,
+        detail: 0.0,
+        load,
+    })
 }
 
 fn step(c: &mut Criterion) {
--- a/crates/cindercleat-cli/src/bench_day.rs
+++ b/crates/cindercleat-cli/src/bench_day.rs
@@ -54,7 +54,8 @@
 /// # Errors
 /// The file is no such day, or has a trouble that this program does not know.
 pub fn read(file: &str, text: &str) -> Result<Day, String> {
-    let drawn: Drawn = serde_json::from_str(text).map_err(|e| format!("{file}: no day of the bench: {e}"))?;
+    let drawn: Drawn =
+        serde_json::from_str(text).map_err(|e| format!("{file}: no day of the bench: {e}"))?;
     let mut day = small().map_err(|e| e.to_string())?;
     // A part of a trouble outside the length plays no role.
     let pace = LENGTH / (drawn.length / 1000.0).max(1.0);
@@ -63,11 +64,12 @@
     day.habits.length = LENGTH;
     let mut faults = Vec::new();
     for trouble in &drawn.troubles {
-        faults.extend(
-            translate(trouble, &drawn, &day, pace).ok_or_else(|| {
-                format!("{file}: the trouble {:?} is not known to this program", trouble.kind)
-            })?,
-        );
+        faults.extend(translate(trouble, &drawn, &day, pace).ok_or_else(|| {
+            format!(
+                "{file}: the trouble {:?} is not known to this program",
+                trouble.kind
+            )
+        })?);
     }
     faults.sort_by(|a, b| a.at.total_cmp(&b.at));
     day.faults = faults;
@@ -80,14 +82,27 @@
     for (does, role) in [(Does::Reads, "read"), (Does::Writes, "write")] {
         let of_role = |i: &usize| {
             let kind = drawn.servers.get(*i).map(|s| s.kind);
-            kind.and_then(|k| drawn.fam.roles.get(k)).is_some_and(|r| r.starts_with(role))
+            kind.and_then(|k| drawn.fam.roles.get(k))
+                .is_some_and(|r| r.starts_with(role))
         };
-        let all = (0..drawn.servers.len()).filter(|i| of_role(i)).count().max(1);
+        let all = (0..drawn.servers.len())
+            .filter(|i| of_role(i))
+            .count()
+            .max(1);
         let hit = on.iter().filter(|i| of_role(i)).count();
-        let mine: Vec<&str> = day.hosts.iter().filter(|h| h.does == does).map(|h| h.name.as_str()).collect();
+        let mine: Vec<&str> = day
+            .hosts
+            .iter()
+            .filter(|h| h.does == does)
+            .map(|h| h.name.as_str())
+            .collect();
         let part = hit as f64 / all as f64 * mine.len() as f64;
         // The smallest part of a role is one host.
-        let count = if hit == 0 { 0 } else { (part.round() as usize).clamp(1, mine.len()) };
+        let count = if hit == 0 {
+            0
+        } else {
+            (part.round() as usize).clamp(1, mine.len())
+        };
         names.extend(mine[..count].iter().map(|n| (*n).to_owned()));
     }
     names
@@ -99,8 +114,17 @@
     let profile = day.service.profiles[from.which % day.service.profiles.len()].clone();
     let times = from.size.max(1.0);
     let one = |trouble: Trouble| {
-        let whom = if trouble.is_service_wide() { Vec::new() } else { whom.clone() };
-        vec![Fault { at, length, trouble, whom }]
+        let whom = if trouble.is_service_wide() {
+            Vec::new()
+        } else {
+            whom.clone()
+        };
+        vec![Fault {
+            at,
+            length,
+            trouble,
+            whom,
+        }]
     };
     // One after another over the length.
     let row = |trouble: Trouble, whom: &[String], away: Ms| {
@@ -130,7 +154,9 @@
         "handshake_slow" => one(Trouble::GreetLate(100.0 * times)),
         "balancer_roll" => {
             let part = from.on.len() as f64 / drawn.balancers.len().max(1) as f64;
-            let count = (part * f64::from(DISPATCHERS)).ceil().clamp(1.0, f64::from(DISPATCHERS)) as u32;
+            let count = (part * f64::from(DISPATCHERS))
+                .ceil()
+                .clamp(1.0, f64::from(DISPATCHERS)) as u32;
             let names: Vec<String> = (0..count).map(|n| n.to_string()).collect();
             row(Trouble::Kill, &names, 1500.0)
         }
--- a/crates/cindercleat-cli/src/conf.rs
+++ b/crates/cindercleat-cli/src/conf.rs
@@ -60,7 +60,9 @@
             let text = text.split('#').next().unwrap_or("");
             let words: Vec<String> = text.split_whitespace().map(str::to_owned).collect();
             let line = line(at + 1, words);
-            let Some(keyword) = line.words.first() else { continue };
+            let Some(keyword) = line.words.first() else {
+                continue;
+            };
             let depth = open.len();
             if keyword == "end" {
                 let (Some(block), true) = (open.pop(), depth > 1) else {
@@ -78,22 +80,41 @@
         match (open.pop(), open.is_empty()) {
             (Some(whole), true) => Ok(whole),
             (Some(block), false) => {
-                let Line { file, number, words, .. } = block.head;
+                let Line {
+                    file,
+                    number,
+                    words,
+                    ..
+                } = block.head;
                 let expected = format!("'end' of the block '{}'", words.join(" "));
-                Err(Problem { file, line: number, expected, found: "the end of the file".to_owned() })
+                Err(Problem {
+                    file,
+                    line: number,
+                    expected,
+                    found: "the end of the file".to_owned(),
+                })
             }
             (None, _) => Ok(Section::new(line(0, Vec::new()))),
         }
     }
 
     fn new(head: Line) -> Self {
-        Section { head, lines: Vec::new(), blocks: Vec::new(), asked: RefCell::default() }
+        Section {
+            head,
+            lines: Vec::new(),
+            blocks: Vec::new(),
+            asked: RefCell::default(),
+        }
     }
 
     /// All lines of a keyword.
     pub fn all(&self, keyword: &'static str) -> Vec<&Line> {
         self.asked.borrow_mut().insert(keyword);
-        let found: Vec<&Line> = self.lines.iter().filter(|l| l.words[0] == keyword).collect();
+        let found: Vec<&Line> = self
+            .lines
+            .iter()
+            .filter(|l| l.words[0] == keyword)
+            .collect();
         found.iter().for_each(|l| l.used.set(true));
         found
     }
@@ -101,7 +122,11 @@
     /// All blocks of a keyword.
     pub fn blocks(&self, keyword: &'static str) -> Vec<&Section> {
         self.asked.borrow_mut().insert(keyword);
-        let found: Vec<&Section> = self.blocks.iter().filter(|b| b.head.words[0] == keyword).collect();
+        let found: Vec<&Section> = self
+            .blocks
+            .iter()
+            .filter(|b| b.head.words[0] == keyword)
+            .collect();
         found.iter().for_each(|b| b.head.used.set(true));
         found
     }
@@ -114,9 +139,10 @@
         match self.all(keyword)[..] {
             [] => Ok(None),
             [line] => Ok(Some(line)),
-            [first, second, ..] => {
-                Err(second.wrong(&format!("'{keyword}' once (it is in line {})", first.number)))
-            }
+            [first, second, ..] => Err(second.wrong(&format!(
+                "'{keyword}' once (it is in line {})",
+                first.number
+            ))),
         }
     }
 
@@ -149,14 +175,24 @@
     pub fn lacks(&self, keyword: &str) -> Problem {
         let (file, line) = (self.head.file.clone(), self.head.number);
         let found = format!("none in {}", self.head.words.join(" "));
-        Problem { file, line, expected: format!("a line '{keyword} …'"), found }
+        Problem {
+            file,
+            line,
+            expected: format!("a line '{keyword} …'"),
+            found,
+        }
     }
 
     /// # Errors
     /// Something is here that nobody asked for.
     pub fn nothing_else(&self) -> Result<(), Problem> {
         let heads = self.blocks.iter().map(|b| &b.head);
-        let unused = self.lines.iter().chain(heads).filter(|l| !l.used.get()).min_by_key(|l| l.number);
+        let unused = self
+            .lines
+            .iter()
+            .chain(heads)
+            .filter(|l| !l.used.get())
+            .min_by_key(|l| l.number);
         match unused {
             None => Ok(()),
             Some(line) => {
@@ -170,7 +206,12 @@
 impl Line {
     pub fn wrong(&self, expected: &str) -> Problem {
         let found = format!("'{}'", self.words.join(" "));
-        Problem { file: self.file.clone(), line: self.number, expected: expected.to_owned(), found }
+        Problem {
+            file: self.file.clone(),
+            line: self.number,
+            expected: expected.to_owned(),
+            found,
+        }
     }
 
     /// The `at`-th value, from 1; 0 is the keyword.
@@ -178,7 +219,10 @@
     /// # Errors
     /// It is not there, or is none of its kind.
     pub fn value<T: Value>(&self, at: usize) -> Result<T, Problem> {
-        let word = self.words.get(at).ok_or_else(|| self.wrong(&format!("{} as value {at}", T::WHAT)))?;
+        let word = self
+            .words
+            .get(at)
+            .ok_or_else(|| self.wrong(&format!("{} as value {at}", T::WHAT)))?;
         T::read(word).ok_or_else(|| self.wrong(&format!("{} in place of '{word}'", T::WHAT)))
     }
 
@@ -188,7 +232,11 @@
     /// There is another number of values, or it is none of its kind.
     pub fn only<T: Value>(&self) -> Result<T, Problem> {
         if self.words.len() > 2 {
-            return Err(self.wrong(&format!("'{} VALUE', VALUE being {}", self.words[0], T::WHAT)));
+            return Err(self.wrong(&format!(
+                "'{} VALUE', VALUE being {}",
+                self.words[0],
+                T::WHAT
+            )));
         }
         self.value(1)
     }
@@ -205,7 +253,8 @@
     /// # Errors
     /// As `after`, or the word is not there.
     pub fn must_after<T: Value>(&self, word: &str) -> Result<T, Problem> {
-        self.after(word)?.ok_or_else(|| self.wrong(&format!("'{word}' and {}", T::WHAT)))
+        self.after(word)?
+            .ok_or_else(|| self.wrong(&format!("'{word}' and {}", T::WHAT)))
     }
 }
 
@@ -232,7 +281,12 @@
             "m" => 60_000.0,
             _ => return None,
         };
-        number.parse::<f64>().ok().map(|n| n * unit).filter(|ms| ms.is_finite() && *ms >= 0.0).map(Time)
+        number
+            .parse::<f64>()
+            .ok()
+            .map(|n| n * unit)
+            .filter(|ms| ms.is_finite() && *ms >= 0.0)
+            .map(Time)
     }
 }
 
@@ -240,7 +294,9 @@
     const WHAT: &'static str = "a number of at least 0";
 
     fn read(word: &str) -> Option<Self> {
-        word.parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0)
+        word.parse::<f64>()
+            .ok()
+            .filter(|n| n.is_finite() && *n >= 0.0)
     }
 }
 
--- a/crates/cindercleat-cli/src/day.rs
+++ b/crates/cindercleat-cli/src/day.rs
@@ -56,8 +56,9 @@
 
 impl Row {
     fn new(t: &Tally) -> Self {
-        let at =
-            |h: &hdrhistogram::Histogram<u64>| [0.5, 0.99].map(|q| h.value_at_quantile(q) as f64 / 1000.0);
+        let at = |h: &hdrhistogram::Histogram<u64>| {
+            [0.5, 0.99].map(|q| h.value_at_quantile(q) as f64 / 1000.0)
+        };
         Row {
             tasks: t.tasks,
             tries: t.tries,
@@ -86,9 +87,19 @@
             "day {} (seed {}): {:.1} s, {} dispatchers, {} hosts; simulated hosts and clients\n",
             self.day, self.seed, self.seconds, self.dispatchers, self.hosts
         );
-        let faults: Vec<String> = self.faults.iter().map(|(name, n)| format!("{name} {n}")).collect();
-        out +=
-            &format!("faults: {}\n", if faults.is_empty() { "none".to_owned() } else { faults.join(", ") });
+        let faults: Vec<String> = self
+            .faults
+            .iter()
+            .map(|(name, n)| format!("{name} {n}"))
+            .collect();
+        out += &format!(
+            "faults: {}\n",
+            if faults.is_empty() {
+                "none".to_owned()
+            } else {
+                faults.join(", ")
+            }
+        );
         out += &format!(
             "{:<16}{:>7}{:>7}{:>10}{:>9}{:>9}{:>9}{:>6}{:>6}{:>7}  first token p50/p99 ms   gap p50/p99 ms\n",
             "profile",
@@ -122,15 +133,24 @@
             );
         }
         let c = &self.findings.cases;
-        out += &format!("payoff in time: {:.3} of what was asked\n", self.payoff_in_time);
-        out += &format!("processor time of dispatchers: {:.3} ms a try\n", self.cpu_ms_a_try);
+        out += &format!(
+            "payoff in time: {:.3} of what was asked\n",
+            self.payoff_in_time
+        );
+        out += &format!(
+            "processor time of dispatchers: {:.3} ms a try\n",
+            self.cpu_ms_a_try
+        );
         out += &format!(
             "audit: {} tries with {} final answers, {} launches, {} at-most-once runs, {} drains told, {} launches \
              at cold hosts, {} read states\n",
             c.tries, c.finals, c.launches, c.at_most_once_runs, c.drains, c.cold_launches, c.states
         );
         for breach in self.findings.breaches.iter().take(20) {
-            out += &format!("BREACH {:?} at {:.0}: {}\n", breach.rule, breach.at, breach.what);
+            out += &format!(
+                "BREACH {:?} at {:.0}: {}\n",
+                breach.rule, breach.at, breach.what
+            );
         }
         out += &format!("rules: {}\n", if self.kept() { "kept" } else { "BROKEN" });
         out
@@ -180,7 +200,11 @@
             addresses.push(thread.address.clone());
             running.push(Some(thread));
         }
-        let dispatchers = Dispatchers { addresses, running: RefCell::new(running), ..dispatchers };
+        let dispatchers = Dispatchers {
+            addresses,
+            running: RefCell::new(running),
+            ..dispatchers
+        };
         let fleet = &dispatchers.fleet;
         while fleet.feed.followers() < day.dispatchers as usize {
             fleet.clock.sleep_until(fleet.clock.now() + 5.0).await;
@@ -194,13 +218,29 @@
 
     async fn launch(&self, at: u32, listen: &str) -> io::Result<Thread> {
         *self.starts.borrow_mut() += 1;
-        let run = self.day.seed.wrapping_mul(1_000_003).wrapping_add(*self.starts.borrow());
+        let run = self
+            .day
+            .seed
+            .wrapping_mul(1_000_003)
+            .wrapping_add(*self.starts.borrow());
         let zone = at % self.day.service.zones.len() as u32;
         let name = name(at);
-        let settings = self.day.service.dispatcher(&name, zone, (at, self.day.dispatchers), run);
+        let settings = self
+            .day
+            .service
+            .dispatcher(&name, zone, (at, self.day.dispatchers), run);
         let feeds = vec![self.fleet.feed_address.clone()];
-        let peers = self.addresses.iter().enumerate().map(|(i, a)| (i as u32, a.clone())).collect();
-        let places = Places { feeds, keep: Some(self.keep.join(format!("{name}.list"))), peers };
+        let peers = self
+            .addresses
+            .iter()
+            .enumerate()
+            .map(|(i, a)| (i as u32, a.clone()))
+            .collect();
+        let places = Places {
+            feeds,
+            keep: Some(self.keep.join(format!("{name}.list"))),
+            peers,
+        };
         Thread::start(settings, places, listen, self.fleet.clock, run).await
     }
 
@@ -215,11 +255,17 @@
 
 impl Processes for Dispatchers {
     async fn end(&self, at: u32, how: End) {
-        let thread = self.running.borrow_mut().get_mut(at as usize).and_then(Option::take);
+        let thread = self
+            .running
+            .borrow_mut()
+            .get_mut(at as usize)
+            .and_then(Option::take);
         let Some(thread) = thread else { return };
         if how == End::Kill {
             let name: Rc<str> = Rc::from(name(at));
-            self.fleet.transcript.note(self.fleet.clock.now(), &name, Note::Killed);
+            self.fleet
+                .transcript
+                .note(self.fleet.clock.now(), &name, Note::Killed);
         }
         let cpu = thread.end(how).await;
         *self.cpu.borrow_mut() += cpu;
@@ -240,7 +286,11 @@
 /// # Errors
 /// Ports, files or threads cannot be had.
 pub fn play(day: &Day) -> io::Result<(Report, Vec<Record>)> {
-    let keep = std::env::temp_dir().join(format!("cindercleat-day-{}-{}", std::process::id(), fresh()));
+    let keep = std::env::temp_dir().join(format!(
+        "cindercleat-day-{}-{}",
+        std::process::id(),
+        fresh()
+    ));
     std::fs::create_dir_all(&keep)?;
     let played = block_on(play_in(day, keep.clone()));
     let _ = std::fs::remove_dir_all(keep);
@@ -258,15 +308,27 @@
     let fleet = Rc::new(start_fleet(day).await?);
     let dispatchers = Dispatchers::start(day, fleet.clone(), keep).await?;
     let (clock, transcript) = (fleet.clock, fleet.transcript.clone());
-    let clients =
-        Clients::new(day.habits.clone(), dispatchers.addresses(), (Tcp, clock, transcript.clone()), day.seed);
+    let clients = Clients::new(
+        day.habits.clone(),
+        dispatchers.addresses(),
+        (Tcp, clock, transcript.clone()),
+        day.seed,
+    );
     let begin = clock.now();
     let troubles: Vec<_> = day
         .faults
         .iter()
         .map(|fault| {
-            let (fleet, clients, dispatchers) = (fleet.clone(), clients.clone(), dispatchers.clone());
-            spawn_local(befall(fault.clone(), begin, fleet, clients, dispatchers, None))
+            let (fleet, clients, dispatchers) =
+                (fleet.clone(), clients.clone(), dispatchers.clone());
+            spawn_local(befall(
+                fault.clone(),
+                begin,
+                fleet,
+                clients,
+                dispatchers,
+                None,
+            ))
         })
         .collect();
     clients.clone().run().await;
@@ -274,7 +336,11 @@
         trouble.await.map_err(io::Error::other)??;
     }
     // What would stay pinned shows itself.
-    let holds = day.hosts.iter().map(|h| h.hold).fold(day.service.policy.release, f64::max);
+    let holds = day
+        .hosts
+        .iter()
+        .map(|h| h.hold)
+        .fold(day.service.policy.release, f64::max);
     clock.sleep_until(clock.now() + holds + SLACK).await;
     let seconds = (clock.now() - begin) / 1000.0;
     let cpu = dispatchers.stop().await;
@@ -283,7 +349,8 @@
     let tallies = clients.tallies();
     let worth = |of: fn(&Tally) -> u64| {
         let all = day.habits.traffic.iter();
-        all.map(|t| t.payoff * tallies.get(&t.profile).map_or(0, of) as f64).sum::<f64>()
+        all.map(|t| t.payoff * tallies.get(&t.profile).map_or(0, of) as f64)
+            .sum::<f64>()
     };
     let mut faults = BTreeMap::new();
     for fault in &day.faults {
@@ -297,7 +364,10 @@
         dispatchers: day.dispatchers,
         hosts: day.hosts.len(),
         faults,
-        profiles: tallies.iter().map(|(name, t)| (name.clone(), Row::new(t))).collect(),
+        profiles: tallies
+            .iter()
+            .map(|(name, t)| (name.clone(), Row::new(t)))
+            .collect(),
         payoff_in_time: worth(|t| t.in_time) / worth(|t| t.tasks).max(1.0),
         cpu_ms_a_try: cpu / tries.max(1) as f64,
         findings,
--- a/crates/cindercleat-cli/src/drill.rs
+++ b/crates/cindercleat-cli/src/drill.rs
@@ -123,7 +123,12 @@
             _ => return Err(line.wrong("'holder' or 'process N'")),
         };
         let (begin, lasts) = (line.value::<Time>(1)?.0, line.must_after::<Time>("for")?.0);
-        spells.push(Spell { begin, lasts, who, trouble: *trouble });
+        spells.push(Spell {
+            begin,
+            lasts,
+            who,
+            trouble: *trouble,
+        });
     }
     let drill = Drill {
         name: section.value("drill")?,
@@ -142,7 +147,9 @@
         return Err(section.one("voters")?.wrong("3, 5 or 7 voters"));
     }
     if !(drill.voters..=100).contains(&drill.members) {
-        return Err(section.one("members")?.wrong("as many members as voters at least, and at most 100"));
+        return Err(section
+            .one("members")?
+            .wrong("as many members as voters at least, and at most 100"));
     }
     if !(1..=16).contains(&drill.receivers) {
         return Err(section.one("receivers")?.wrong("1 to 16 receivers"));
@@ -150,8 +157,11 @@
     if drill.lease < 100.0 {
         return Err(section.one("lease")?.wrong("a lease of at least 100ms"));
     }
-    if let Some(late) =
-        section.all("at").iter().zip(&drill.spells).find(|(_, s)| s.begin + s.lasts > drill.length)
+    if let Some(late) = section
+        .all("at")
+        .iter()
+        .zip(&drill.spells)
+        .find(|(_, s)| s.begin + s.lasts > drill.length)
     {
         return Err(late.0.wrong("a trouble that is over before the drill is"));
     }
@@ -162,7 +172,11 @@
 fn service_of(members: u32, rate: f64, length: f64) -> String {
     let mut text = SERVED.to_owned();
     for at in 0..12 {
-        let kind = if (at / 3) % 2 == 0 { "reader" } else { "writer" };
+        let kind = if (at / 3) % 2 == 0 {
+            "reader"
+        } else {
+            "writer"
+        };
         text += &format!("host h{at} {kind} z{} c{}\n", at % 3, at / 6);
     }
     // Clients end before the drill does, so that what is open comes to its end.
@@ -171,8 +185,15 @@
 }
 
 /// The release of a drill's script, if there is one.
-fn release(file: &str, text: &str, section: &Section, length: f64) -> Result<Option<Release>, Problem> {
-    let [block] = section.blocks("plan")[..] else { return Ok(None) };
+fn release(
+    file: &str,
+    text: &str,
+    section: &Section,
+    length: f64,
+) -> Result<Option<Release>, Problem> {
+    let [block] = section.blocks("plan")[..] else {
+        return Ok(None);
+    };
     let inside = |name: &str| {
         let lines = text.lines().skip_while(|line| line.trim() != name).skip(1);
         let lines: Vec<&str> = lines.take_while(|line| line.trim() != "end").collect();
@@ -198,9 +219,16 @@
         if line.words.len() < 3 || at >= length {
             return Err(line.wrong("'order TIME WORDS', before the drill's end"));
         }
-        Ok(Order { at, words: line.words[2..].to_vec() })
+        Ok(Order {
+            at,
+            words: line.words[2..].to_vec(),
+        })
     };
-    let orders = section.all("order").iter().map(order).collect::<Result<_, _>>()?;
+    let orders = section
+        .all("order")
+        .iter()
+        .map(order)
+        .collect::<Result<_, _>>()?;
     let bounds = match section.blocks("bounds")[..] {
         [] => Default::default(),
         [block, ..] => {
@@ -212,7 +240,14 @@
     let rate = section.value_or("rate", 60.0)?;
     let served = service_of(section.value("members")?, rate, length);
     let day = crate::script::read("what a drill serves", &served)?;
-    Ok(Some(Release { day, bounds, bounds_text: inside("bounds"), plan, version, orders }))
+    Ok(Some(Release {
+        day,
+        bounds,
+        bounds_text: inside("bounds"),
+        plan,
+        version,
+        orders,
+    }))
 }
 
 /// Plays it; tells whether the rules were kept.
@@ -235,22 +270,35 @@
     for _ in 0..args.count {
         let folder = match &args.keep {
             Some(keep) => keep.join(format!("seed-{}", drill.seed)),
-            None => {
-                std::env::temp_dir().join(format!("cindercleat-drill-{}-{}", std::process::id(), drill.seed))
-            }
+            None => std::env::temp_dir().join(format!(
+                "cindercleat-drill-{}-{}",
+                std::process::id(),
+                drill.seed
+            )),
         };
         std::fs::create_dir_all(&folder)?;
         // What is served is said in the same words in a settings file and in a day's script.
         let served = SERVED.split("stand-in reader").next().unwrap_or_default();
-        let service = if drill.release.is_some() { served } else { SERVICE };
-        let place = Place { program: &program, folder: &folder, service };
+        let service = if drill.release.is_some() {
+            served
+        } else {
+            SERVICE
+        };
+        let place = Place {
+            program: &program,
+            folder: &folder,
+            service,
+        };
         let report = block_on(play(&drill, &place));
         if args.keep.is_none() {
             std::fs::remove_dir_all(&folder)?;
         }
         let report = report?;
         for breach in &report.breaches {
-            println!("seed {}: BREACH {} {}", drill.seed, breach.kind, breach.what);
+            println!(
+                "seed {}: BREACH {} {}",
+                drill.seed, breach.kind, breach.what
+            );
         }
         if !report.breaches.is_empty() {
             report.story.iter().for_each(|line| println!("    {line}"));
@@ -281,7 +329,10 @@
     if let Some(one) = one.released {
         let sum = sum.released.get_or_insert_default();
         (sum.turns, sum.drains) = (sum.turns + one.turns, sum.drains + one.drains);
-        sum.most_out = (sum.most_out.0.max(one.most_out.0), sum.most_out.1.max(one.most_out.1));
+        sum.most_out = (
+            sum.most_out.0.max(one.most_out.0),
+            sum.most_out.1.max(one.most_out.1),
+        );
         (sum.tries, sum.finals) = (sum.tries + one.tries, sum.finals + one.finals);
         sum.halts.extend(one.halts);
         sum.states.extend(one.states);
@@ -301,9 +352,15 @@
     let mut halts = released.halts.clone();
     halts.sort_by(f64::total_cmp);
     let list = |of: &std::collections::BTreeMap<String, u64>| {
-        of.iter().map(|(what, n)| format!(" {what} {n},")).collect::<String>()
+        of.iter()
+            .map(|(what, n)| format!(" {what} {n},"))
+            .collect::<String>()
     };
-    let states: String = released.states.iter().map(|state| format!("told of itself: {state}\n")).collect();
+    let states: String = released
+        .states
+        .iter()
+        .map(|state| format!("told of itself: {state}\n"))
+        .collect();
     let told = format!(
         "turns begun {}, hosts drained {}, most out at once {} and {} (with failures)\norders done:{}\norders \
          refused:{}\nhalts acknowledged after ms (times, p50, worst): {} {:.0} {:.0}\nin at the end, by label:{}\n\
@@ -345,15 +402,29 @@
         let mut times = times.clone();
         times.sort_by(f64::total_cmp);
         let at = |part| quantile(&times, part);
-        out += &format!("  {what:<20}{:>6}{:>8.0}{:>8.0}{:>8.0}\n", times.len(), at(0.5), at(0.99), at(1.0));
+        out += &format!(
+            "  {what:<20}{:>6}{:>8.0}{:>8.0}{:>8.0}\n",
+            times.len(),
+            at(0.5),
+            at(0.99),
+            at(1.0)
+        );
     }
     out += &sum.released.as_ref().map(tell_release).unwrap_or_default();
-    out += if sum.breaches.is_empty() { "rules: kept\n" } else { "rules: BROKEN\n" };
+    out += if sum.breaches.is_empty() {
+        "rules: kept\n"
+    } else {
+        "rules: BROKEN\n"
+    };
     out
 }
 
 fn as_json(sum: &Report) -> serde_json::Value {
-    let breaches: Vec<String> = sum.breaches.iter().map(|b| format!("{} {}", b.kind, b.what)).collect();
+    let breaches: Vec<String> = sum
+        .breaches
+        .iter()
+        .map(|b| format!("{} {}", b.kind, b.what))
+        .collect();
     serde_json::json!({
         "breaches": breaches,
         "obeyed": sum.obeyed,
--- a/crates/cindercleat-cli/src/duties.rs
+++ b/crates/cindercleat-cli/src/duties.rs
@@ -35,22 +35,31 @@
             self.without.entry(what).or_default().push(*ms);
         }
         if let Some(breach) = played.beyond.first() {
-            self.beyond.insert(seed, format!("{} {}", breach.kind, breach.what));
+            self.beyond
+                .insert(seed, format!("{} {}", breach.kind, breach.what));
         }
         if let Some(breach) = played.breaches.first() {
             let story = played.story.join("\n    ");
-            self.broken.insert(seed, format!("{} {}\n    {story}", breach.kind, breach.what));
+            self.broken.insert(
+                seed,
+                format!("{} {}\n    {story}", breach.kind, breach.what),
+            );
         }
         self.length += played.length;
         self.obeyed += played.obeyed;
-        self.digest = self.digest.wrapping_add(played.digest.rotate_left((seed % 64) as u32));
+        self.digest = self
+            .digest
+            .wrapping_add(played.digest.rotate_left((seed % 64) as u32));
     }
 }
 
 /// The value at a part of a sorted row; not a number if it is empty.
 pub fn quantile(sorted: &[f64], part: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
-    sorted.get((part * last as f64) as usize).copied().unwrap_or(f64::NAN)
+    sorted
+        .get((part * last as f64) as usize)
+        .copied()
+        .unwrap_or(f64::NAN)
 }
 
 /// Plays many; tells whether none broke anything.
@@ -58,7 +67,10 @@
 /// # Errors
 /// A thread failed.
 pub fn seeds(args: &SeedsArgs, shape: &'static Shape) -> io::Result<bool> {
-    let (next, end) = (AtomicU64::new(args.from), args.from.saturating_add(args.count));
+    let (next, end) = (
+        AtomicU64::new(args.from),
+        args.from.saturating_add(args.count),
+    );
     let sum = Mutex::new(Sum::default());
     let begin = Instant::now();
     std::thread::scope(|scope| {
@@ -75,7 +87,9 @@
             });
         }
     });
-    let sum = sum.into_inner().map_err(|_| io::Error::other("a thread failed"))?;
+    let sum = sum
+        .into_inner()
+        .map_err(|_| io::Error::other("a thread failed"))?;
     let (count, seconds) = (args.count.max(1) as f64, begin.elapsed().as_secs_f64());
     println!(
         "{count} fleets of profile {} in {seconds:.1} s: {:.1} a second on {} threads, {:.1} virtual seconds each",
@@ -94,7 +108,13 @@
         let mut times = times.clone();
         times.sort_by(f64::total_cmp);
         let at = |part| quantile(&times, part);
-        println!("  {what:<32}{:>7}{:>9.0}{:>9.0}{:>9.0}", times.len(), at(0.5), at(0.99), at(1.0));
+        println!(
+            "  {what:<32}{:>7}{:>9.0}{:>9.0}{:>9.0}",
+            times.len(),
+            at(0.5),
+            at(0.99),
+            at(1.0)
+        );
     }
     println!("{} acts obeyed, digest {:016x}", sum.obeyed, sum.digest);
     for (seed, what) in &sum.beyond {
@@ -103,7 +123,14 @@
     for (seed, story) in &sum.broken {
         println!("seed {seed}: {story}");
     }
-    println!("rules: {}", if sum.broken.is_empty() { "kept" } else { "BROKEN" });
+    println!(
+        "rules: {}",
+        if sum.broken.is_empty() {
+            "kept"
+        } else {
+            "BROKEN"
+        }
+    );
     Ok(sum.broken.is_empty())
 }
 
@@ -123,7 +150,10 @@
     if let Some(released) = &played.released {
         println!("{released:#?}");
     }
-    println!("{} acts obeyed, digest {:016x}", played.obeyed, played.digest);
+    println!(
+        "{} acts obeyed, digest {:016x}",
+        played.obeyed, played.digest
+    );
     for breach in &played.beyond {
         println!("beyond what is promised: {} {}", breach.kind, breach.what);
     }
@@ -133,6 +163,13 @@
     for breach in &played.breaches {
         println!("BREACH {} {}", breach.kind, breach.what);
     }
-    println!("rules: {}", if played.breaches.is_empty() { "kept" } else { "BROKEN" });
+    println!(
+        "rules: {}",
+        if played.breaches.is_empty() {
+            "kept"
+        } else {
+            "BROKEN"
+        }
+    );
     played.breaches.is_empty()
 }
--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -140,7 +140,9 @@
 pub fn run(args: FleetArgs) -> io::Result<Result<bool, String>> {
     // What is wrong with a plan is said before anybody is asked.
     let plan = match &args.what {
-        What::Release { what: ReleaseWhat::Start { plan, .. } } => {
+        What::Release {
+            what: ReleaseWhat::Start { plan, .. },
+        } => {
             let file = plan.display().to_string();
             let text = std::fs::read_to_string(plan).map_err(|e| format!("{file}: {e}"));
             Some(text.and_then(|text| release_plan::read(&file, &text).map_err(|e| e.to_string())))
@@ -155,26 +157,60 @@
     block_on(async {
         let clock = SystemClock::system();
         match args.what {
-            What::Release { what: ReleaseWhat::Start { skip_absent, dry_run, .. } }
-            | What::Drain { skip_absent, dry_run, .. } => {
-                let order = ReleaseOrder::Start { plan: Box::new(plan), skip: skip_absent, dry: dry_run };
-                say(give(&clock, &args.at, &Order::Release(order)).await)
-            }
-            What::Release { what: ReleaseWhat::Status { json, watch } } => {
-                releases::status(&clock, &args.at, json, watch).await
+            What::Release {
+                what:
+                    ReleaseWhat::Start {
+                        skip_absent,
+                        dry_run,
+                        ..
+                    },
             }
-            What::Release { what: ReleaseWhat::End } => {
-                say(give(&clock, &args.at, &Order::Release(ReleaseOrder::End)).await)
+            | What::Drain {
+                skip_absent,
+                dry_run,
+                ..
+            } => {
+                let order = ReleaseOrder::Start {
+                    plan: Box::new(plan),
+                    skip: skip_absent,
+                    dry: dry_run,
+                };
+                say(give(&clock, &args.at, &Order::Release(order)).await)
             }
+            What::Release {
+                what: ReleaseWhat::Status { json, watch },
+            } => releases::status(&clock, &args.at, json, watch).await,
+            What::Release {
+                what: ReleaseWhat::End,
+            } => say(give(&clock, &args.at, &Order::Release(ReleaseOrder::End)).await),
             What::Halt { why } => releases::halt(&clock, &args.at, &why).await,
-            What::Resume => say(give(&clock, &args.at, &Order::Release(ReleaseOrder::Resume)).await),
+            What::Resume => {
+                say(give(&clock, &args.at, &Order::Release(ReleaseOrder::Resume)).await)
+            }
             What::Back => say(give(&clock, &args.at, &Order::Release(ReleaseOrder::Back)).await),
             What::Recount { of } => {
-                let of = if matches!(of, Counted::Hosts) { Of::Hosts } else { Of::Dispatchers };
-                say(give(&clock, &args.at, &Order::Release(ReleaseOrder::Recount { of })).await)
+                let of = if matches!(of, Counted::Hosts) {
+                    Of::Hosts
+                } else {
+                    Of::Dispatchers
+                };
+                say(give(
+                    &clock,
+                    &args.at,
+                    &Order::Release(ReleaseOrder::Recount { of }),
+                )
+                .await)
             }
-            What::Turn { name, without_agreement: Some(why), address, .. } => {
-                let (who, address) = (Name::from(name.as_str()), address.as_deref().map(Address::from));
+            What::Turn {
+                name,
+                without_agreement: Some(why),
+                address,
+                ..
+            } => {
+                let (who, address) = (
+                    Name::from(name.as_str()),
+                    address.as_deref().map(Address::from),
+                );
                 say(give(&clock, &args.at, &Order::ByHand { who, address, why }).await)
             }
             What::Turn { name, label, .. } => releases::turn(&clock, &args.at, &name, &label).await,
@@ -182,23 +218,51 @@
             What::Status { json } => status(&clock, &args.at, json).await,
             What::HandOver { duty, to } => {
                 let to = to.as_deref().map(Name::from);
-                say(give(&clock, &args.at, &Order::HandOver { duty: Duty::from(duty.as_str()), to }).await)
+                say(give(
+                    &clock,
+                    &args.at,
+                    &Order::HandOver {
+                        duty: Duty::from(duty.as_str()),
+                        to,
+                    },
+                )
+                .await)
             }
-            What::Voters { change: Change::Add { name, address } } => {
+            What::Voters {
+                change: Change::Add { name, address },
+            } => {
                 let address = address.as_deref().map(Address::from);
-                say(give(&clock, &args.at, &Order::AddVoter { name: Name::from(name.as_str()), address })
-                    .await)
-            }
-            What::Voters { change: Change::Remove { name } } => {
-                say(give(&clock, &args.at, &Order::RemoveVoter { name: Name::from(name.as_str()) }).await)
+                say(give(
+                    &clock,
+                    &args.at,
+                    &Order::AddVoter {
+                        name: Name::from(name.as_str()),
+                        address,
+                    },
+                )
+                .await)
             }
+            What::Voters {
+                change: Change::Remove { name },
+            } => say(give(
+                &clock,
+                &args.at,
+                &Order::RemoveVoter {
+                    name: Name::from(name.as_str()),
+                },
+            )
+            .await),
         }
     })
     .map(Ok)
 }
 
 /// Gives an order to the first dispatcher that answers.
-pub(crate) async fn give(clock: &SystemClock, at: &[String], what: &Order) -> Result<Reply, String> {
+pub(crate) async fn give(
+    clock: &SystemClock,
+    at: &[String],
+    what: &Order,
+) -> Result<Reply, String> {
     order_any(&Tcp, clock, at, what, WITHIN).await
 }
 
@@ -296,7 +360,11 @@
         "voters (generation {}{}), {}\n",
         status.generation,
         if status.changing { ", changing" } else { "" },
-        if status.majority { "a majority answers" } else { "NO MAJORITY ANSWERS" }
+        if status.majority {
+            "a majority answers"
+        } else {
+            "NO MAJORITY ANSWERS"
+        }
     );
     for v in &status.voters {
         let state = match (v.answers, v.votes) {
@@ -304,12 +372,16 @@
             (true, false) => "does not vote",
             (false, _) => "does not answer",
         };
-        out += &format!("  {:<20} {:<22} {:<16} version {}\n", v.name.0, v.address.0, state, v.version);
+        out += &format!(
+            "  {:<20} {:<22} {:<16} version {}\n",
+            v.name.0, v.address.0, state, v.version
+        );
     }
     out += "duties\n";
     for (duty, term, holder) in &status.duties {
-        let holder =
-            holder.as_ref().map_or("nobody".to_owned(), |h| format!("{} at {}", h.name.0, h.address.0));
+        let holder = holder.as_ref().map_or("nobody".to_owned(), |h| {
+            format!("{} at {}", h.name.0, h.address.0)
+        });
         out += &format!("  {:<20} term {:<6} {holder}\n", duty.0, term.0);
     }
     match status.roll_for {
@@ -339,11 +411,30 @@
 }
 
 /// Holds a duty until a signal, the command's end, or its loss.
-async fn hold(clock: &SystemClock, at: &[String], duty: &str, command: &[String]) -> io::Result<bool> {
+async fn hold(
+    clock: &SystemClock,
+    at: &[String],
+    duty: &str,
+    command: &[String],
+) -> io::Result<bool> {
     let stop = crate::serve::ends()?;
-    let (duty, number) = (Duty::from(duty), RandomState::new().hash_one(std::process::id()));
-    let mut work = HeldCommand { clock, duty: duty.clone(), command, child: None };
-    let job = Job { transport: &Tcp, clock, addresses: at, duty: duty.clone(), number };
+    let (duty, number) = (
+        Duty::from(duty),
+        RandomState::new().hash_one(std::process::id()),
+    );
+    let mut work = HeldCommand {
+        clock,
+        duty: duty.clone(),
+        command,
+        child: None,
+    };
+    let job = Job {
+        transport: &Tcp,
+        clock,
+        addresses: at,
+        duty: duty.clone(),
+        number,
+    };
     match job.run(&mut work, stop).await? {
         Ended::Stopped => Ok(true),
         Ended::ByItself(success) => Ok(success),
@@ -368,7 +459,9 @@
         println!("term {}", term.0);
         if let Some((program, arguments)) = self.command.split_first() {
             let mut command = std::process::Command::new(program);
-            command.args(arguments).env("CINDERCLEAT_TERM", term.0.to_string());
+            command
+                .args(arguments)
+                .env("CINDERCLEAT_TERM", term.0.to_string());
             command.env("CINDERCLEAT_DUTY", &*self.duty.0);
             self.child = Some(command.spawn()?);
         }
@@ -376,13 +469,20 @@
     }
 
     fn ended(&mut self) -> io::Result<Option<bool>> {
-        let status = self.child.as_mut().map(Child::try_wait).transpose()?.flatten();
+        let status = self
+            .child
+            .as_mut()
+            .map(Child::try_wait)
+            .transpose()?
+            .flatten();
         Ok(status.map(|status| status.success()))
     }
 
     /// Tells the command to end, and kills it when the time is up.
     async fn end(&mut self, by: f64) -> io::Result<()> {
-        let Some(child) = self.child.as_mut() else { return Ok(()) };
+        let Some(child) = self.child.as_mut() else {
+            return Ok(());
+        };
         signal(child, Signal::TERM);
         while child.try_wait()?.is_none() {
             if self.clock.now() >= by {
--- a/crates/cindercleat-cli/src/fleet_settings.rs
+++ b/crates/cindercleat-cli/src/fleet_settings.rs
@@ -30,7 +30,9 @@
         let word: String = line.value(at)?;
         match word.parse::<SocketAddr>() {
             Ok(_) => Ok(word),
-            Err(_) => Err(line.wrong(&format!("an address such as 127.0.0.1:7500 in place of '{word}'"))),
+            Err(_) => Err(line.wrong(&format!(
+                "an address such as 127.0.0.1:7500 in place of '{word}'"
+            ))),
         }
     };
     let listen = address(block.one("listen")?, 1)?;
@@ -50,20 +52,26 @@
         if voter == name && at != own {
             return Err(line.wrong(&format!("this dispatcher's own address, {own}")));
         }
-        if voters.insert(Name::from(voter.as_str()), Address::from(at.as_str())).is_some() {
+        if voters
+            .insert(Name::from(voter.as_str()), Address::from(at.as_str()))
+            .is_some()
+        {
             return Err(line.wrong(&format!("each voter once, and '{voter}' is there already")));
         }
     }
     let number = voters.len();
     if number.is_multiple_of(2) || !(LEAST_VOTERS..=MOST_VOTERS).contains(&number) {
         let last = block.all("voter").last().copied().unwrap_or(&block.head);
-        return Err(last.wrong(&format!("3, 5 or 7 lines 'voter NAME ADDRESS' (there are {number})")));
+        return Err(last.wrong(&format!(
+            "3, 5 or 7 lines 'voter NAME ADDRESS' (there are {number})"
+        )));
     }
     let file = block.maybe_value::<String>("file")?.map(PathBuf::from);
     if voters.contains_key(&Name::from(name)) && file.is_none() {
         return Err(block.lacks("file"));
     }
-    let time = |keyword: &'static str, absent: f64| block.value_or(keyword, Time(absent)).map(|t| t.0);
+    let time =
+        |keyword: &'static str, absent: f64| block.value_or(keyword, Time(absent)).map(|t| t.0);
     let lease = time("lease", 3_000.0)?;
     let answer_within = time("answer", lease / 10.0)?;
     let drift = match block.maybe("drift")? {
@@ -77,20 +85,34 @@
         None => 0.01,
     };
     if lease < ROUND_TRIPS * answer_within || answer_within <= 0.0 {
-        let line = block.maybe("lease")?.or(block.maybe("answer")?).unwrap_or(&block.head);
-        let expected = format!("a lease of at least {ROUND_TRIPS} times 'answer' ({answer_within:.0}ms)");
+        let line = block
+            .maybe("lease")?
+            .or(block.maybe("answer")?)
+            .unwrap_or(&block.head);
+        let expected =
+            format!("a lease of at least {ROUND_TRIPS} times 'answer' ({answer_within:.0}ms)");
         return Err(line.wrong(&expected));
     }
     let beat = time("beat", lease / 5.0)?;
     let tell_every = time("tell-every", beat)?;
     if beat < 10.0 || tell_every < 1.0 {
-        return Err(block.head.wrong("'beat' of at least 10ms and 'tell-every' of at least 1ms"));
+        return Err(block
+            .head
+            .wrong("'beat' of at least 10ms and 'tell-every' of at least 1ms"));
     }
-    let tells = block.all("tell").iter().map(|line| address(line, 1)).collect::<Result<Vec<_>, _>>()?;
+    let tells = block
+        .all("tell")
+        .iter()
+        .map(|line| address(line, 1))
+        .collect::<Result<Vec<_>, _>>()?;
     let from = match block.maybe("from")? {
         Some(line) => {
             let word: String = line.only()?;
-            let wrong = || line.wrong(&format!("an address such as 127.0.0.1 in place of '{word}'"));
+            let wrong = || {
+                line.wrong(&format!(
+                    "an address such as 127.0.0.1 in place of '{word}'"
+                ))
+            };
             Some(word.parse::<IpAddr>().map_err(|_| wrong())?)
         }
         None => None,
@@ -118,5 +140,10 @@
         seed: run,
     };
     block.nothing_else()?;
-    Ok(Fleet { listen, from, file, member })
+    Ok(Fleet {
+        listen,
+        from,
+        file,
+        member,
+    })
 }
--- a/crates/cindercleat-cli/src/main.rs
+++ b/crates/cindercleat-cli/src/main.rs
@@ -1,7 +1,8 @@
 //! The program `cindercleat`. Exit codes: 0 as wanted, 1 a rule was broken or the work failed, 2 bad input.
 
 use cindercleat_cli::{
-    bench_day, day, drill, duties, fleet, node, price, script, seeds, send, serve, settings, soak, try_it,
+    bench_day, day, drill, duties, fleet, node, price, script, seeds, send, serve, settings, soak,
+    try_it,
 };
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::hash::{BuildHasher, RandomState};
@@ -108,7 +109,11 @@
             | Command::Seed(_)
             | Command::Try { .. }
     );
-    let filter = if quiet && cli.log == "info" { "error" } else { &cli.log };
+    let filter = if quiet && cli.log == "info" {
+        "error"
+    } else {
+        &cli.log
+    };
     let filter = match tracing_subscriber::EnvFilter::try_new(filter) {
         Ok(filter) => filter,
         Err(problem) => {
@@ -116,7 +121,9 @@
             return ExitCode::from(2);
         }
     };
-    let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_env_filter(filter);
+    let log = tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_env_filter(filter);
     match cli.log_form {
         LogForm::Text => log.init(),
         LogForm::Json => log.json().init(),
@@ -154,15 +161,17 @@
         Command::Check { settings } => {
             let read = read_settings(&settings, 0)?;
             let (profiles, kinds) = (read.program.profiles.len(), read.program.kinds.len());
-            println!("{}: good ({profiles} profiles, {kinds} kinds)", settings.display());
+            println!(
+                "{}: good ({profiles} profiles, {kinds} kinds)",
+                settings.display()
+            );
         }
         Command::Standin { script } => try_it::stand_in(&read_script(&script)?)?,
         Command::Day(args) => {
             let mut day = match (&args.script, &args.from_bench) {
                 (Some(script), _) => read_script(script)?,
-                (None, Some(file)) => {
-                    bench_day::read(&file.display().to_string(), &text_of(file)?).map_err(Failure::Input)?
-                }
+                (None, Some(file)) => bench_day::read(&file.display().to_string(), &text_of(file)?)
+                    .map_err(Failure::Input)?,
                 (None, None) => return Err(Failure::Input("a script is wanted".to_owned())),
             };
             day.seed = args.seed.unwrap_or(day.seed);
@@ -172,7 +181,10 @@
                 return Ok(played.breaches.is_empty());
             }
             if let Some(fault) = day.faults.iter().find(|f| f.trouble.is_virtual()) {
-                let why = format!("'{}' can only be played with --virtual", fault.trouble.name());
+                let why = format!(
+                    "'{}' can only be played with --virtual",
+                    fault.trouble.name()
+                );
                 return Err(Failure::Input(why));
             }
             let (report, records) = day::play(&day)?;
@@ -217,7 +229,8 @@
 
 fn read_settings(path: &Path, run: u64) -> Result<settings::Serve, Failure> {
     let file = path.display().to_string();
-    settings::read(&file, &text_of(path)?, run).map_err(|problem| Failure::Input(problem.to_string()))
+    settings::read(&file, &text_of(path)?, run)
+        .map_err(|problem| Failure::Input(problem.to_string()))
 }
 
 fn read_script(path: &Path) -> Result<cindercleat_faults::plan::Day, Failure> {
--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -59,7 +59,8 @@
 pub fn read(file: &str, text: &str) -> Result<Configuration, Problem> {
     let wrong = |what: String| Problem::Configuration(format!("{file}: {what}"));
     let said: File = serde_json::from_str(text).map_err(|e| wrong(e.to_string()))?;
-    let conf = cindercleat_conf::read_object(&said.settings).map_err(|e| wrong(format!("settings: {e}")))?;
+    let conf = cindercleat_conf::read_object(&said.settings)
+        .map_err(|e| wrong(format!("settings: {e}")))?;
     let known = match &said.known {
         None | Some(serde_json::Value::Null) => None,
         Some(list) => {
@@ -86,7 +87,12 @@
         drain_grace: conf.settings.drain_grace,
         host_idle: conf.link_idle,
         most_held: conf.most_tasks,
-        longest_deadline: conf.settings.profiles.iter().map(|class| class.patience).fold(0.0, f64::max),
+        longest_deadline: conf
+            .settings
+            .profiles
+            .iter()
+            .map(|class| class.patience)
+            .fold(0.0, f64::max),
         clients_resume: conf.clients_resume,
     };
     let too_few = || wrong(format!("limits.sockets: over {OWN_DESCRIPTORS} are wanted"));
@@ -102,7 +108,14 @@
         stall_ms: allowed.stall as u32,
     };
     let program = program(said.name, seed, conf, &allowed);
-    Ok(Configuration { listen: said.listen, discovery: said.discovery, seed, known, program, bounds })
+    Ok(Configuration {
+        listen: said.listen,
+        discovery: said.discovery,
+        seed,
+        known,
+        program,
+        bounds,
+    })
 }
 
 fn program(name: String, seed: u64, conf: Conf, allowed: &Allowed) -> ProgramSettings {
@@ -131,7 +144,10 @@
         most_frame: allowed.most_body,
         most_clients: allowed.most_clients,
         greet_within: conf.settings.connect_timeout,
-        single: Some(Single { clients: allowed.clients, most_links: allowed.most_links }),
+        single: Some(Single {
+            clients: allowed.clients,
+            most_links: allowed.most_links,
+        }),
         feed: allowed.feed,
     };
     ProgramSettings {
@@ -148,7 +164,8 @@
 
 fn load(path: &Path) -> Result<Configuration, Problem> {
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| Problem::Configuration(format!("{file}: {e}")))?;
+    let text = std::fs::read_to_string(path)
+        .map_err(|e| Problem::Configuration(format!("{file}: {e}")))?;
     read(&file, &text)
 }
 
@@ -166,10 +183,24 @@
             Err(problem) => return Ok(Err(problem)),
         };
         let listener = Tcp.listen(&conf.listen).await?;
-        tracing::info!(name = conf.program.name, address = listener.address(), "serving");
-        let places = Places { feeds: vec![conf.discovery], ..Places::default() };
+        tracing::info!(
+            name = conf.program.name,
+            address = listener.address(),
+            "serving"
+        );
+        let places = Places {
+            feeds: vec![conf.discovery],
+            ..Places::default()
+        };
         let wire = Http1::new(conf.bounds);
-        let shell = Shell::speaking(wire, conf.program, places, Tcp, TokioClock::system(), conf.seed);
+        let shell = Shell::speaking(
+            wire,
+            conf.program,
+            places,
+            Tcp,
+            TokioClock::system(),
+            conf.seed,
+        );
         if let Some(list) = conf.known {
             shell.remember_list(list);
         }
--- a/crates/cindercleat-cli/src/price.rs
+++ b/crates/cindercleat-cli/src/price.rs
@@ -57,7 +57,12 @@
 impl Way {
     fn new() -> io::Result<Self> {
         let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other);
-        Ok(Way { first: histogram()?, gap: histogram()?, done: 0, asked: 0 })
+        Ok(Way {
+            first: histogram()?,
+            gap: histogram()?,
+            done: 0,
+            asked: 0,
+        })
     }
 
     fn row(&self, name: &str) -> String {
@@ -126,18 +131,35 @@
 }
 
 /// The same way through a dispatcher that is in a fleet, against the one that was not.
-async fn in_a_fleet(quick: &TcpFleet, args: &PriceArgs, alone: &Way, each: Ms) -> io::Result<String> {
-    let taken: Vec<std::net::TcpListener> =
-        (0..3).map(|_| std::net::TcpListener::bind("127.0.9.1:0")).collect::<io::Result<_>>()?;
-    let at: Vec<String> =
-        taken.iter().map(|l| l.local_addr().map(|a| a.to_string())).collect::<io::Result<_>>()?;
+async fn in_a_fleet(
+    quick: &TcpFleet,
+    args: &PriceArgs,
+    alone: &Way,
+    each: Ms,
+) -> io::Result<String> {
+    let taken: Vec<std::net::TcpListener> = (0..3)
+        .map(|_| std::net::TcpListener::bind("127.0.9.1:0"))
+        .collect::<io::Result<_>>()?;
+    let at: Vec<String> = taken
+        .iter()
+        .map(|l| l.local_addr().map(|a| a.to_string()))
+        .collect::<io::Result<_>>()?;
     drop(taken);
-    let voters: String = at.iter().enumerate().map(|(n, at)| format!("voter v{n} {at}\n")).collect();
-    let folder = std::env::temp_dir().join(format!("cindercleat-price-voters-{}", std::process::id()));
+    let voters: String = at
+        .iter()
+        .enumerate()
+        .map(|(n, at)| format!("voter v{n} {at}\n"))
+        .collect();
+    let folder =
+        std::env::temp_dir().join(format!("cindercleat-price-voters-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let start = |n: usize| {
         let file = folder.join(format!("v{n}"));
-        let block = format!("fleet\nlisten {}\nfile {}\nlease 1s\n{voters}end\n", at[n], file.display());
+        let block = format!(
+            "fleet\nlisten {}\nfile {}\nlease 1s\n{voters}end\n",
+            at[n],
+            file.display()
+        );
         Serve::start(quick, &format!("v{n}"), &block)
     };
     let all = (0..3).map(start).collect::<io::Result<Vec<_>>>()?;
@@ -202,7 +224,8 @@
 impl Serve {
     /// `block`: what its settings say besides.
     fn start(fleet: &TcpFleet, name: &str, block: &str) -> io::Result<Serve> {
-        let folder = std::env::temp_dir().join(format!("cindercleat-price-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("cindercleat-price-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let path = folder.join("serve.conf");
         let text = conf(&fleet.feed_address)?.replacen("name price", &format!("name {name}"), 1);
@@ -210,7 +233,10 @@
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("serve").arg(&path).args(["--log-form", "json"]);
         let mut child = command.stderr(Stdio::piped()).spawn()?;
-        let log = child.stderr.take().ok_or_else(|| io::Error::other("no log"))?;
+        let log = child
+            .stderr
+            .take()
+            .ok_or_else(|| io::Error::other("no log"))?;
         let mut lines = BufReader::new(log).lines();
         let address = lines.by_ref().find_map(|line| {
             let line: serde_json::Value = serde_json::from_str(&line.ok()?).ok()?;
@@ -219,7 +245,11 @@
         // What it says later is read so that it never waits for a reader.
         std::thread::spawn(move || lines.for_each(drop));
         match address {
-            Some(address) => Ok(Serve { child, address, folder }),
+            Some(address) => Ok(Serve {
+                child,
+                address,
+                folder,
+            }),
             None => {
                 let _ = child.wait();
                 Err(io::Error::other("the dispatcher did not start"))
@@ -240,7 +270,9 @@
     fn memory(&self) -> f64 {
         let status = self.file("status");
         let line = status.lines().find(|l| l.starts_with("VmRSS:"));
-        let kib = line.and_then(|l| l.split_whitespace().nth(1)).and_then(|w| w.parse::<f64>().ok());
+        let kib = line
+            .and_then(|l| l.split_whitespace().nth(1))
+            .and_then(|w| w.parse::<f64>().ok());
         1024.0 * kib.unwrap_or(0.0)
     }
 }
@@ -260,7 +292,10 @@
     let opens = ["profile", "tenant", "kind", "limits", "stand-in", "traffic"];
     Section::parse("base.conf", text, &opens).map_err(io::Error::other)?;
     let mut out = Vec::new();
-    writeln!(out, "name price\nnumber 0 of 1\nzone north\nlisten 127.0.0.1:0\nlist-feed {feed}")?;
+    writeln!(
+        out,
+        "name price\nnumber 0 of 1\nzone north\nlisten 127.0.0.1:0\nlist-feed {feed}"
+    )?;
     let (mut depth, mut skip) = (0, false);
     for line in text.lines() {
         let word = line.split_whitespace().next().unwrap_or("");
@@ -314,7 +349,10 @@
 
 async fn straight(fleet: &TcpFleet, args: &PriceArgs) -> io::Result<Way> {
     let ports = |kind: &str| -> Vec<(TcpPort, String, String)> {
-        let hosts = fleet.hosts.iter().filter(|(name, _)| name.starts_with(kind));
+        let hosts = fleet
+            .hosts
+            .iter()
+            .filter(|(name, _)| name.starts_with(kind));
         let port = |(name, host): (&String, &cindercleat_standin::host::Host<Tcp, TokioClock>)| {
             let to = (&*host.address(), v1::Party::Host);
             let port = Port::to("direct", to, Tcp, fleet.clock, fleet.transcript.clone());
@@ -332,7 +370,10 @@
         async move {
             let mut times = Times::new(clock);
             way.borrow_mut().asked += 1;
-            if one_straight(&reader, &writer, number, &mut times).await.is_some() {
+            if one_straight(&reader, &writer, number, &mut times)
+                .await
+                .is_some()
+            {
                 times.tell(&mut way.borrow_mut());
             }
         }
@@ -349,10 +390,21 @@
     number: u64,
     times: &mut Times,
 ) -> Option<()> {
-    let state = Some(v1::StateId { run: 1, task: number as u32, launch: 0 });
-    let read = v1::Read { state, session: number, prompt_tokens: 100, ..v1::Read::default() };
+    let state = Some(v1::StateId {
+        run: 1,
+        task: number as u32,
+        launch: 0,
+    });
+    let read = v1::Read {
+        state,
+        session: number,
+        prompt_tokens: 100,
+        ..v1::Read::default()
+    };
     let mut stream = reader.open(Body::Read(read)).await?;
-    let Body::Ended(_) = stream.next().await? else { return None };
+    let Body::Ended(_) = stream.next().await? else {
+        return None;
+    };
     let write = v1::Write {
         state,
         reader: name.clone(),
@@ -373,7 +425,15 @@
 }
 
 async fn through(fleet: &TcpFleet, address: &str, args: &PriceArgs) -> io::Result<Way> {
-    let port = |i: usize| Port::new(&format!("c{i}"), address, Tcp, fleet.clock, fleet.transcript.clone());
+    let port = |i: usize| {
+        Port::new(
+            &format!("c{i}"),
+            address,
+            Tcp,
+            fleet.clock,
+            fleet.transcript.clone(),
+        )
+    };
     let ports: Vec<TcpPort> = (0..READERS).map(port).collect();
     wait_for_list(&ports[0], fleet.clock).await;
     let way = Rc::new(RefCell::new(Way::new()?));
@@ -384,7 +444,9 @@
         async move {
             let mut times = Times::new(clock);
             way.borrow_mut().asked += 1;
-            let end = port.run(submit(number, TOKENS), None, |_| times.see()).await;
+            let end = port
+                .run(submit(number, TOKENS), None, |_| times.see())
+                .await;
             if end == cindercleat_standin::client::End::Fulfilled {
                 times.tell(&mut way.borrow_mut());
             }
@@ -397,7 +459,8 @@
 
 /// A dispatcher that has just started bounces until it has its list.
 async fn wait_for_list(port: &TcpPort, clock: TokioClock) {
-    while port.run(submit(0, 1), None, |_| {}).await != cindercleat_standin::client::End::Fulfilled {
+    while port.run(submit(0, 1), None, |_| {}).await != cindercleat_standin::client::End::Fulfilled
+    {
         clock.sleep_until(clock.now() + 20.0).await;
     }
 }
@@ -409,15 +472,26 @@
     streams: usize,
 ) -> io::Result<(usize, f64, f64, f64)> {
     let clock = fleet.clock;
-    let port =
-        |i: usize| Port::new(&format!("m{i}"), &dispatcher.address, Tcp, clock, fleet.transcript.clone());
+    let port = |i: usize| {
+        Port::new(
+            &format!("m{i}"),
+            &dispatcher.address,
+            Tcp,
+            clock,
+            fleet.transcript.clone(),
+        )
+    };
     let ports: Vec<TcpPort> = (0..READERS).map(port).collect();
     wait_for_list(&ports[0], clock).await;
     let before = dispatcher.memory();
     let (open, tokens) = (Rc::new(Cell::new(0_usize)), Rc::new(Cell::new(0_u64)));
     let mut tasks = Vec::new();
     for at in 0..streams {
-        let (port, open, tokens) = (ports[at % ports.len()].clone(), open.clone(), tokens.clone());
+        let (port, open, tokens) = (
+            ports[at % ports.len()].clone(),
+            open.clone(),
+            tokens.clone(),
+        );
         tasks.push(spawn_local(async move {
             let mut first = true;
             port.run(submit(1 + at as u64, LONG_TOKENS), None, |_| {
@@ -448,7 +522,11 @@
 
 impl Times {
     fn new(clock: TokioClock) -> Self {
-        Times { clock, begin: clock.now(), seen: Vec::new() }
+        Times {
+            clock,
+            begin: clock.now(),
+            seen: Vec::new(),
+        }
     }
 
     fn see(&mut self) {
@@ -458,9 +536,12 @@
     fn tell(&self, way: &mut Way) {
         way.done += 1;
         let first = self.seen.first().map(|at| at - self.begin);
-        first.into_iter().for_each(|ms| way.first.saturating_record((1000.0 * ms) as u64));
+        first
+            .into_iter()
+            .for_each(|ms| way.first.saturating_record((1000.0 * ms) as u64));
         for pair in self.seen.windows(2) {
-            way.gap.saturating_record((1000.0 * (pair[1] - pair[0])) as u64);
+            way.gap
+                .saturating_record((1000.0 * (pair[1] - pair[0])) as u64);
         }
     }
 }
--- a/crates/cindercleat-cli/src/release_plan.rs
+++ b/crates/cindercleat-cli/src/release_plan.rs
@@ -35,7 +35,9 @@
             "any" => u32::MAX,
             _ => line.value::<u32>(3)?,
         };
-        let per_mille = line.after::<f64>("part")?.map_or(Ok(1000), |part| per_mille(line, part))?;
+        let per_mille = line
+            .after::<f64>("part")?
+            .map_or(Ok(1000), |part| per_mille(line, part))?;
         let most = Most { number, per_mille };
         let bounds = &mut both[at];
         match (place.as_str(), at) {
@@ -86,10 +88,13 @@
 /// The first thing wrong with it.
 pub fn read(file: &str, text: &str) -> Result<Plan, Problem> {
     let section = Section::parse(file, text, &[])?;
-    let time =
-        |keyword: &'static str, absent: f64| section.value_or(keyword, Time(absent)).map(|t| t.0 as u64);
+    let time = |keyword: &'static str, absent: f64| {
+        section.value_or(keyword, Time(absent)).map(|t| t.0 as u64)
+    };
     let list = |keyword: &'static str| -> Result<Vec<String>, Problem> {
-        let Some(line) = section.maybe(keyword)? else { return Ok(Vec::new()) };
+        let Some(line) = section.maybe(keyword)? else {
+            return Ok(Vec::new());
+        };
         let words = &line.words[1..];
         if words.is_empty() || words.len() > MOST_NAMES {
             return Err(line.wrong(&format!("1 to {MOST_NAMES} words after '{keyword}'")));
@@ -99,7 +104,9 @@
             return Err(line.wrong(&format!("each once, and '{twice}' is there twice")));
         }
         if let Some(long) = words.iter().find(|word| word.len() > LONGEST_NAME) {
-            return Err(line.wrong(&format!("words of at most {LONGEST_NAME} bytes ('{long}' is longer)")));
+            return Err(line.wrong(&format!(
+                "words of at most {LONGEST_NAME} bytes ('{long}' is longer)"
+            )));
         }
         Ok(words.to_vec())
     };
@@ -118,7 +125,10 @@
         zones: list("zones")?,
         cells: list("cells")?,
         kinds: list("kinds")?,
-        names: list("names")?.iter().map(|n| Name::from(n.as_str())).collect(),
+        names: list("names")?
+            .iter()
+            .map(|n| Name::from(n.as_str()))
+            .collect(),
         stays: section.value_or("stays", false)?,
         first: section.value_or("first", 1)?,
         grow_per_mille: (grow * 1000.0).round().min(1e9) as u32,
@@ -129,10 +139,14 @@
     };
     section.nothing_else()?;
     if plan.name.len() > LONGEST_NAME {
-        return Err(section.one("release")?.wrong(&format!("a name of at most {LONGEST_NAME} bytes")));
+        return Err(section
+            .one("release")?
+            .wrong(&format!("a name of at most {LONGEST_NAME} bytes")));
     }
     if plan.first == 0 {
-        return Err(section.one("first")?.wrong("at least one in the first wave"));
+        return Err(section
+            .one("first")?
+            .wrong("at least one in the first wave"));
     }
     if grow < 1.0 {
         return Err(section.one("grow")?.wrong("waves that grow by 1 or more"));
@@ -148,7 +162,9 @@
             return Err(section.one("label")?.wrong("another label than 'before'"));
         }
         if plan.stays {
-            return Err(section.one("stays")?.wrong("'of hosts': dispatchers come back"));
+            return Err(section
+                .one("stays")?
+                .wrong("'of hosts': dispatchers come back"));
         }
         if !plan.cells.is_empty() || !plan.kinds.is_empty() {
             let line = section.maybe("cells")?.or(section.maybe("kinds")?);
--- a/crates/cindercleat-cli/src/releases.rs
+++ b/crates/cindercleat-cli/src/releases.rs
@@ -13,7 +13,9 @@
 
 /// Gives the halt, and again until it is certain that nothing begins any more.
 pub async fn halt(clock: &SystemClock, at: &[String], why: &str) -> io::Result<bool> {
-    let order = Order::Release(ReleaseOrder::Halt { why: why.to_owned() });
+    let order = Order::Release(ReleaseOrder::Halt {
+        why: why.to_owned(),
+    });
     let mut told = String::new();
     loop {
         match give(clock, at, &order).await {
@@ -35,7 +37,11 @@
     let stop = crate::serve::ends()?;
     tokio::pin!(stop);
     let order = |refused| {
-        Order::Release(ReleaseOrder::Turn { name: Name::from(name), label: label.to_owned(), refused })
+        Order::Release(ReleaseOrder::Turn {
+            name: Name::from(name),
+            label: label.to_owned(),
+            refused,
+        })
     };
     let mut told = String::new();
     loop {
@@ -58,7 +64,12 @@
     }
 }
 
-pub async fn status(clock: &SystemClock, at: &[String], json: bool, watch: bool) -> io::Result<bool> {
+pub async fn status(
+    clock: &SystemClock,
+    at: &[String],
+    json: bool,
+    watch: bool,
+) -> io::Result<bool> {
     loop {
         let full = match full_status(clock, at).await {
             Ok(full) => full,
@@ -79,7 +90,9 @@
         }
         if !watch || over {
             if !full.majority {
-                eprintln!("cindercleat: no majority of the voters answers: what is shown may be old");
+                eprintln!(
+                    "cindercleat: no majority of the voters answers: what is shown may be old"
+                );
             }
             return Ok(full.majority);
         }
@@ -90,12 +103,17 @@
 fn as_json(full: &Status) -> serde_json::Value {
     use serde_json::json;
     let care = &full.care;
-    let turns = care
-        .turns
+    let turns = care.turns.iter().map(
+        |(number, who, zone, at)| json!({"turn": number.0, "who": *who.0, "zone": zone, "at": at}),
+    );
+    let room = care
+        .room
         .iter()
-        .map(|(number, who, zone, at)| json!({"turn": number.0, "who": *who.0, "zone": zone, "at": at}));
-    let room = care.room.iter().map(|(zone, out, most)| json!({"zone": zone, "out": out, "most": most}));
-    let left = care.left.iter().map(|(who, why)| json!({"who": *who.0, "why": why}));
+        .map(|(zone, out, most)| json!({"zone": zone, "out": out, "most": most}));
+    let left = care
+        .left
+        .iter()
+        .map(|(who, why)| json!({"who": *who.0, "why": why}));
     json!({
         "majority": full.majority,
         "release": care.name,
@@ -116,7 +134,14 @@
 }
 
 fn as_text(full: &Status) -> String {
-    let CareStatus { name, of, state, halted, why, .. } = &full.care;
+    let CareStatus {
+        name,
+        of,
+        state,
+        halted,
+        why,
+        ..
+    } = &full.care;
     let care = &full.care;
     let mut out = match state.as_str() {
         "none" => "no release\n".to_owned(),
@@ -135,8 +160,16 @@
         out += &format!("  turn {:<6} {:<20} {:<10} {at}\n", number.0, who.0, zone);
     }
     for (zone, is_out, most) in &care.room {
-        let place = if zone.is_empty() { "fleet".to_owned() } else { format!("zone {zone}") };
-        let most = if *most == u32::MAX { "any".to_owned() } else { most.to_string() };
+        let place = if zone.is_empty() {
+            "fleet".to_owned()
+        } else {
+            format!("zone {zone}")
+        };
+        let most = if *most == u32::MAX {
+            "any".to_owned()
+        } else {
+            most.to_string()
+        };
         out += &format!("  {place:<20} {is_out} out, {most} may be\n");
     }
     for (who, why) in &care.left {
--- a/crates/cindercleat-cli/src/script.rs
+++ b/crates/cindercleat-cli/src/script.rs
@@ -28,16 +28,26 @@
         if !service.zones.contains(&zone) || hosts.iter().any(|h| h.name == name) {
             return Err(line.wrong("a name of its own and a zone that is listed"));
         }
-        hosts.push(HostSpec { name, zone, cell, ..spec.clone() });
+        hosts.push(HostSpec {
+            name,
+            zone,
+            cell,
+            ..spec.clone()
+        });
     }
-    let [traffic] = section.blocks("traffic")[..] else { return Err(section.lacks("traffic")) };
+    let [traffic] = section.blocks("traffic")[..] else {
+        return Err(section.lacks("traffic"));
+    };
     let length = section.value::<Time>("length")?.0;
     let mut habits = habits(traffic, &service, length)?;
     for line in section.all("task") {
         habits.tasks.push(planned(line, &habits)?);
     }
     let dispatchers = section.value("dispatchers")?;
-    let faults = section.all("at").into_iter().map(|line| fault(line, &hosts, dispatchers));
+    let faults = section
+        .all("at")
+        .into_iter()
+        .map(|line| fault(line, &hosts, dispatchers));
     let faults = faults.collect::<Result<_, _>>()?;
     let day = Day {
         name: section.value("day")?,
@@ -59,7 +69,11 @@
 fn stand_in(block: &Section, service: &Service) -> Result<HostSpec, Problem> {
     let kind: String = block.head.only()?;
     let at = service.kinds.iter().position(|k| *k == kind);
-    let at = at.ok_or_else(|| block.head.wrong(&format!("a kind out of: {}", service.kinds.join(", "))))?;
+    let at = at.ok_or_else(|| {
+        block
+            .head
+            .wrong(&format!("a kind out of: {}", service.kinds.join(", ")))
+    })?;
     let settings = &service.policy.kinds[at];
     let does = match settings.role {
         Role::Reader => Does::Reads,
@@ -80,7 +94,9 @@
         fetch_per_s: block.value_or("fetches-per-s", 300_000.0)?,
         start_share: service.policy.start_capacity,
         ramp: service.policy.ramp,
-        hold: block.value_or("holds", Time(4.0 * service.policy.release))?.0,
+        hold: block
+            .value_or("holds", Time(4.0 * service.policy.release))?
+            .0,
         report_age: block.value_or("report-age", Time(200.0))?.0,
         report_noise: block.value_or("report-noise", 0.1)?,
         answer_share: block.value_or("answer-share", 0.4)?,
@@ -97,8 +113,12 @@
     for line in block.all("profile-share") {
         let profile: String = line.value(1)?;
         let at = service.profiles.iter().position(|p| *p == profile);
-        let at =
-            at.ok_or_else(|| line.wrong(&format!("a profile out of: {}", service.profiles.join(", "))))?;
+        let at = at.ok_or_else(|| {
+            line.wrong(&format!(
+                "a profile out of: {}",
+                service.profiles.join(", ")
+            ))
+        })?;
         let settings = &service.policy.profiles[at];
         let prompt: u32 = line.must_after("prompt")?;
         traffic.push(Traffic {
@@ -147,7 +167,9 @@
         shared_tokens: line.after("shared")?.unwrap_or(0),
         prompt_tokens: line.must_after("prompt")?,
         max_tokens: line.must_after("answer")?,
-        patience: line.after::<Time>("patience")?.map_or(traffic.patience, |t| t.0),
+        patience: line
+            .after::<Time>("patience")?
+            .map_or(traffic.patience, |t| t.0),
         leaves: line.after::<Time>("leaves")?.map(|t| t.0),
         seed: line.after("seed")?.unwrap_or(line.number as u64),
     })
@@ -203,7 +225,12 @@
     let dispatchers = trouble.is_dispatchers();
     if !service_wide {
         for word in line.value::<String>(3)?.split(',') {
-            let role = |does: Does| hosts.iter().filter(move |h| h.does == does).map(|h| h.name.clone());
+            let role = |does: Does| {
+                hosts
+                    .iter()
+                    .filter(move |h| h.does == does)
+                    .map(|h| h.name.clone())
+            };
             match word {
                 "readers" if !dispatchers => whom.extend(role(Does::Reads)),
                 "writers" if !dispatchers => whom.extend(role(Does::Writes)),
@@ -211,22 +238,35 @@
                 name if dispatchers && name.parse::<u32>().is_ok_and(|n| n < count) => {
                     whom.push(name.to_owned())
                 }
-                name if !dispatchers && hosts.iter().any(|h| h.name == name) => whom.push(name.to_owned()),
+                name if !dispatchers && hosts.iter().any(|h| h.name == name) => {
+                    whom.push(name.to_owned())
+                }
                 _ if dispatchers => return Err(line.wrong("dispatchers' numbers, counted from 0")),
                 _ => return Err(line.wrong("hosts' names, readers, writers or all")),
             }
         }
     }
-    Ok(Fault { at, length, trouble, whom })
+    Ok(Fault {
+        at,
+        length,
+        trouble,
+        whom,
+    })
 }
 
 /// A day as a script that [`read`] takes: for days that were drawn, and so hold planned tasks only.
 pub fn write(day: &Day) -> String {
     let (policy, limits) = (&day.service.policy, &day.service.limits);
     let (seed, length) = (day.seed, day.habits.length);
-    let mut out =
-        format!("day {}\nseed {seed}\nlength {length}ms\ndispatchers {}\n", day.name, day.dispatchers);
-    out += &format!("zones {}\nlist-delay {}ms\n\n", day.service.zones.join(" "), day.list_delay);
+    let mut out = format!(
+        "day {}\nseed {seed}\nlength {length}ms\ndispatchers {}\n",
+        day.name, day.dispatchers
+    );
+    out += &format!(
+        "zones {}\nlist-delay {}ms\n\n",
+        day.service.zones.join(" "),
+        day.list_delay
+    );
     for (name, p) in day.service.profiles.iter().zip(&policy.profiles) {
         let effect = match p.effect {
             Effect::Reissuable => "reissuable".to_owned(),
@@ -252,7 +292,10 @@
             Role::Writer => "writes",
             Role::Both => "both",
         };
-        out += &format!("kind {name}\n    does {does}\n    memory {}\nend\n\n", kind.memory_tokens);
+        out += &format!(
+            "kind {name}\n    does {does}\n    memory {}\nend\n\n",
+            kind.memory_tokens
+        );
     }
     out += &format!(
         "limits\n    release {}ms\n    launches {}\n    connect {}ms\n    drain-grace {}ms\n    answer-grace {}ms\n    \
@@ -284,24 +327,40 @@
     );
     for kind in &day.service.kinds {
         // Hosts of a kind are drawn alike but for their speed; a script has one for all.
-        let Some(spec) = day.hosts.iter().find(|h| h.kind == *kind) else { continue };
+        let Some(spec) = day.hosts.iter().find(|h| h.kind == *kind) else {
+            continue;
+        };
         out += &format!(
             "stand-in {kind}\n    slots {}\n    queue {}\n    reads-per-s {}\n    token-pace {}ms\n    answer-share {}\nend\n\n",
             spec.slots, spec.queue, spec.read_per_s, spec.token_ms, spec.answer_share
         );
     }
     for host in &day.hosts {
-        out += &format!("host {} {} {} {}\n", host.name, host.kind, host.zone, host.cell);
+        out += &format!(
+            "host {} {} {} {}\n",
+            host.name, host.kind, host.zone, host.cell
+        );
     }
-    out += &format!("\ntraffic\n    rate 0\n    connections {}\n", day.habits.connections);
-    out += &format!("    retries {}\n    retry-after {}ms\n", day.habits.retries, day.habits.retry_after);
+    out += &format!(
+        "\ntraffic\n    rate 0\n    connections {}\n",
+        day.habits.connections
+    );
+    out += &format!(
+        "    retries {}\n    retry-after {}ms\n",
+        day.habits.retries, day.habits.retry_after
+    );
     for t in &day.habits.traffic {
         let (prompt, answer) = (t.prompt_tokens.0, t.max_tokens);
-        out += &format!("    profile-share {} {} prompt {prompt} answer {answer}\n", t.profile, t.share);
+        out += &format!(
+            "    profile-share {} {} prompt {prompt} answer {answer}\n",
+            t.profile, t.share
+        );
     }
     out += "end\n\n";
     for t in &day.habits.tasks {
-        let leaves = t.leaves.map_or(String::new(), |ms| format!(" leaves {ms}ms"));
+        let leaves = t
+            .leaves
+            .map_or(String::new(), |ms| format!(" leaves {ms}ms"));
         out += &format!(
             "task {}ms {} prompt {} answer {} shared {} text {} session {} patience {}ms seed {}{leaves}\n",
             t.at,
@@ -316,7 +375,9 @@
         );
     }
     out.push('\n');
-    day.faults.iter().for_each(|fault| out += &write_fault(fault));
+    day.faults
+        .iter()
+        .for_each(|fault| out += &write_fault(fault));
     out
 }
 
@@ -334,12 +395,26 @@
         | Trouble::ClockStep(by) => format!(" by {by}ms"),
         Trouble::LongPrompts(by, part) => format!(" by {by} part {part}"),
         Trouble::Partition(zone) => format!(" {zone}"),
-        Trouble::HalfOpen { from: true, to: false } => " way out".to_owned(),
-        Trouble::HalfOpen { from: false, to: true } => " way in".to_owned(),
+        Trouble::HalfOpen {
+            from: true,
+            to: false,
+        } => " way out".to_owned(),
+        Trouble::HalfOpen {
+            from: false,
+            to: true,
+        } => " way in".to_owned(),
         Trouble::Narrow(to) => format!(" to {to}"),
         _ => String::new(),
     };
-    let whom = if fault.whom.is_empty() { String::new() } else { format!(" {}", fault.whom.join(",")) };
-    let length = if fault.length > 0.0 { format!(" for {}ms", fault.length) } else { String::new() };
+    let whom = if fault.whom.is_empty() {
+        String::new()
+    } else {
+        format!(" {}", fault.whom.join(","))
+    };
+    let length = if fault.length > 0.0 {
+        format!(" for {}ms", fault.length)
+    } else {
+        String::new()
+    };
     format!("at {at}ms {name}{whom}{more}{length}\n")
 }
--- a/crates/cindercleat-cli/src/seeds.rs
+++ b/crates/cindercleat-cli/src/seeds.rs
@@ -48,9 +48,14 @@
 /// # Errors
 /// There is no such profile.
 pub fn shape(name: &str) -> Result<&'static Shape, String> {
-    let duties = cindercleat_faults::duties::draw::SHAPES.iter().map(|s| s.name);
+    let duties = cindercleat_faults::duties::draw::SHAPES
+        .iter()
+        .map(|s| s.name);
     let names: Vec<&str> = SHAPES.iter().map(|s| s.name).chain(duties).collect();
-    SHAPES.iter().find(|s| s.name == name).ok_or_else(|| format!("--profile: one of {}", names.join(", ")))
+    SHAPES
+        .iter()
+        .find(|s| s.name == name)
+        .ok_or_else(|| format!("--profile: one of {}", names.join(", ")))
 }
 
 #[derive(Default)]
@@ -72,7 +77,9 @@
         self.virtual_ms += played.length;
         self.recoveries.extend(played.recovery);
         // Whatever the order in which days end.
-        self.digest = self.digest.wrapping_add(played.digest.rotate_left((seed % 64) as u32));
+        self.digest = self
+            .digest
+            .wrapping_add(played.digest.rotate_left((seed % 64) as u32));
         if !played.breaches.is_empty() {
             self.breaches.insert(seed, played.breaches.clone());
         }
@@ -84,7 +91,10 @@
 /// # Errors
 /// Files cannot be written, or the runtime cannot be had.
 pub fn seeds(args: &SeedsArgs, shape: &'static Shape) -> io::Result<bool> {
-    let (next, end) = (AtomicU64::new(args.from), args.from.saturating_add(args.count));
+    let (next, end) = (
+        AtomicU64::new(args.from),
+        args.from.saturating_add(args.count),
+    );
     let sum = Mutex::new(Sum::default());
     let failed: Mutex<Option<io::Error>> = Mutex::new(None);
     let begin = Instant::now();
@@ -114,17 +124,27 @@
             });
         }
     });
-    if let Some(problem) = failed.into_inner().map_err(|_| io::Error::other("a thread failed"))? {
+    if let Some(problem) = failed
+        .into_inner()
+        .map_err(|_| io::Error::other("a thread failed"))?
+    {
         return Err(problem);
     }
-    let sum = sum.into_inner().map_err(|_| io::Error::other("a thread failed"))?;
+    let sum = sum
+        .into_inner()
+        .map_err(|_| io::Error::other("a thread failed"))?;
     let seconds = begin.elapsed().as_secs_f64();
     let kept = sum.breaches.is_empty();
     print!("{}", summary(args, shape, sum, seconds)?);
     Ok(kept)
 }
 
-fn summary(args: &SeedsArgs, shape: &'static Shape, mut sum: Sum, seconds: f64) -> io::Result<String> {
+fn summary(
+    args: &SeedsArgs,
+    shape: &'static Shape,
+    mut sum: Sum,
+    seconds: f64,
+) -> io::Result<String> {
     let count = args.count.max(1);
     let mut out = format!(
         "{} days of profile {} in {seconds:.1} s: {:.1} a second on {} threads, {:.1} virtual seconds each\n",
@@ -142,7 +162,10 @@
     sum.recoveries.sort_by(f64::total_cmp);
     let at = |q: f64| {
         let last = sum.recoveries.len().saturating_sub(1);
-        sum.recoveries.get((q * last as f64) as usize).copied().unwrap_or(f64::NAN)
+        sum.recoveries
+            .get((q * last as f64) as usize)
+            .copied()
+            .unwrap_or(f64::NAN)
     };
     out += &format!(
         "recovery after the last fault: p50 {:.0} ms, p99 {:.0}, most {:.0}\n",
@@ -157,10 +180,14 @@
             out += &format!("seed {seed} kept in {}\n", path.display());
         }
     }
-    let kinds = sum.breaches.values().flatten().fold(BTreeMap::new(), |mut kinds, breach| {
-        *kinds.entry(breach.kind.as_str()).or_insert(0) += 1;
-        kinds
-    });
+    let kinds = sum
+        .breaches
+        .values()
+        .flatten()
+        .fold(BTreeMap::new(), |mut kinds, breach| {
+            *kinds.entry(breach.kind.as_str()).or_insert(0) += 1;
+            kinds
+        });
     out += &match sum.breaches.len() {
         0 => "rules: kept\n".to_owned(),
         n => format!("rules: BROKEN in {n} days: {kinds:?}\n"),
@@ -173,9 +200,16 @@
     std::fs::create_dir_all(dir)?;
     let shrunk = shrink(day, breach, cut)?;
     let path = dir.join(format!("{}.conf", day.name));
-    let head = format!("# {} {}\n", shrunk.breach.kind, shrunk.breach.what.replace('\n', " "));
+    let head = format!(
+        "# {} {}\n",
+        shrunk.breach.kind,
+        shrunk.breach.what.replace('\n', " ")
+    );
     std::fs::write(&path, head + &script::write(&shrunk.day))?;
-    std::fs::write(path.with_extension("story"), story(&play(&shrunk.day)?.records))?;
+    std::fs::write(
+        path.with_extension("story"),
+        story(&play(&shrunk.day)?.records),
+    )?;
     Ok(path)
 }
 
@@ -204,11 +238,17 @@
 
 /// What came of a day, in words.
 pub fn tell(played: &Played, trace: bool) -> String {
-    let mut out = if trace { story(&played.records) } else { String::new() };
+    let mut out = if trace {
+        story(&played.records)
+    } else {
+        String::new()
+    };
     for (what, n) in &played.met {
         out += &format!("{what}: {n}\n");
     }
-    let recovery = played.recovery.map_or("nothing to see".to_owned(), |ms| format!("{ms:.0} ms"));
+    let recovery = played
+        .recovery
+        .map_or("nothing to see".to_owned(), |ms| format!("{ms:.0} ms"));
     out += &format!(
         "{:.1} virtual seconds, recovery {recovery}, digest {:016x}\n",
         played.length / 1000.0,
@@ -217,6 +257,10 @@
     for breach in &played.breaches {
         out += &format!("BREACH {} {}\n", breach.kind, breach.what);
     }
-    out += if played.breaches.is_empty() { "rules: kept\n" } else { "rules: BROKEN\n" };
+    out += if played.breaches.is_empty() {
+        "rules: kept\n"
+    } else {
+        "rules: BROKEN\n"
+    };
     out
 }
--- a/crates/cindercleat-cli/src/send.rs
+++ b/crates/cindercleat-cli/src/send.rs
@@ -79,17 +79,32 @@
 /// # Errors
 /// The dispatcher is not there, or a figure makes no sense.
 pub fn send(args: SendArgs) -> io::Result<bool> {
-    if args.rate.is_some_and(|rate| !rate.is_finite() || rate <= 0.0) {
+    if args
+        .rate
+        .is_some_and(|rate| !rate.is_finite() || rate <= 0.0)
+    {
         return Err(io::Error::other("--rate: tasks a second, over 0"));
     }
     block_on(async {
-        let histogram = || Histogram::new_with_bounds(1, 3_600_000_000, 3).map_err(io::Error::other);
+        let histogram =
+            || Histogram::new_with_bounds(1, 3_600_000_000, 3).map_err(io::Error::other);
         let (first, whole) = (histogram()?, histogram()?);
-        let tally = Tally { ends: BTreeMap::new(), first, whole, tokens: 0, reason: None };
+        let tally = Tally {
+            ends: BTreeMap::new(),
+            first,
+            whole,
+            tokens: 0,
+            reason: None,
+        };
         let tally = Rc::new(RefCell::new(tally));
         let (clock, one) = (TokioClock::system(), args.count == 1);
         let (count, rate) = (args.count, args.rate);
-        let client = Client { args, clock, line: tokio::sync::Mutex::default(), next: Cell::new(1) };
+        let client = Client {
+            args,
+            clock,
+            line: tokio::sync::Mutex::default(),
+            next: Cell::new(1),
+        };
         let client = Rc::new(client);
         // Nobody there is no task's fault: it is said before the first.
         client.line().await.map_err(io::Error::other)?;
@@ -99,7 +114,9 @@
             let at = begin + rate.map_or(0.0, |rate| 1000.0 * n as f64 / rate);
             clock.sleep_until(at).await;
             let (client, tally) = (client.clone(), tally.clone());
-            tasks.push(spawn_local(async move { client.task(at, one, &tally).await }));
+            tasks.push(spawn_local(
+                async move { client.task(at, one, &tally).await },
+            ));
         }
         for task in tasks {
             task.await.map_err(io::Error::other)?;
@@ -119,8 +136,16 @@
 
 impl Tally {
     fn summary(&self, count: u64, seconds: f64) -> String {
-        let ends: Vec<String> = self.ends.iter().map(|(end, n)| format!("{n} {end}")).collect();
-        let mut out = format!("{count} sent: {}; {} tokens in {seconds:.2} s", ends.join(", "), self.tokens);
+        let ends: Vec<String> = self
+            .ends
+            .iter()
+            .map(|(end, n)| format!("{n} {end}"))
+            .collect();
+        let mut out = format!(
+            "{count} sent: {}; {} tokens in {seconds:.2} s",
+            ends.join(", "),
+            self.tokens
+        );
         for (name, h) in [("first token", &self.first), ("whole answer", &self.whole)] {
             if !h.is_empty() {
                 let at = |q: f64| h.value_at_quantile(q) as f64 / 1000.0;
@@ -147,13 +172,29 @@
         if let Some(line) = known.as_ref().filter(|line| line.open.get()) {
             return Ok(line.clone());
         }
-        let stream = Tcp.connect(&self.args.to).await.map_err(|e| format!("{}: {e}", self.args.to))?;
+        let stream = Tcp
+            .connect(&self.args.to)
+            .await
+            .map_err(|e| format!("{}: {e}", self.args.to))?;
         let (name, expects) = ("send".to_owned(), String::new());
         let (most_message, most_calls) = (1 << 20, 1);
-        let setup = Setup { party: v1::Party::Client, name, expects, run: 0, most_message, most_calls };
+        let setup = Setup {
+            party: v1::Party::Client,
+            name,
+            expects,
+            run: 0,
+            most_message,
+            most_calls,
+        };
         let session = connect(stream, v1::Party::Dispatcher, setup).await;
-        let Session { mut events, out, .. } = session.map_err(|e| format!("{}: {e}", self.args.to))?;
-        let line = Rc::new(Line { out, streams: RefCell::default(), open: Cell::new(true) });
+        let Session {
+            mut events, out, ..
+        } = session.map_err(|e| format!("{}: {e}", self.args.to))?;
+        let line = Rc::new(Line {
+            out,
+            streams: RefCell::default(),
+            open: Cell::new(true),
+        });
         let reading = line.clone();
         spawn_local(async move {
             while let Some(event) = events.recv().await {
@@ -184,7 +225,9 @@
         let mut tally = tally.borrow_mut();
         *tally.ends.entry(end).or_default() += 1;
         if end == "fulfilled" {
-            tally.whole.saturating_record((1000.0 * (self.clock.now() - intended)) as u64);
+            tally
+                .whole
+                .saturating_record((1000.0 * (self.clock.now() - intended)) as u64);
         } else if tally.reason.is_none() && !reason.is_empty() {
             tally.reason = Some(format!("{end}: {reason}"));
         }
@@ -199,13 +242,21 @@
         self.next.set(number + 1);
         let (to, mut from) = mpsc::unbounded_channel();
         line.streams.borrow_mut().insert(number, to);
-        if !line.out.send(frame(number, Body::Submit(self.submit(number)))) {
+        if !line
+            .out
+            .send(frame(number, Body::Submit(self.submit(number))))
+        {
             return ("not sent", "the connection is over".to_owned());
         }
         let mut first = true;
         let end = loop {
             match from.recv().await {
-                None => break ("cut off", "the connection ended: it may have run".to_owned()),
+                None => {
+                    break (
+                        "cut off",
+                        "the connection ended: it may have run".to_owned(),
+                    )
+                }
                 Some(Body::Tokens(tokens)) => {
                     let mut tally = tally.borrow_mut();
                     tally.tokens += u64::from(tokens.count);
@@ -222,13 +273,18 @@
                     break match last.answer() {
                         v1::Answer::Fulfilled => ("fulfilled", String::new()),
                         v1::Answer::Bounced => {
-                            let after = format!("{}; again after {:.0} ms", last.reason, last.retry_after_ms);
+                            let after = format!(
+                                "{}; again after {:.0} ms",
+                                last.reason, last.retry_after_ms
+                            );
                             ("bounced", after)
                         }
                         _ => ("written off", last.reason),
                     };
                 }
-                Some(Body::Rejected(m)) => break ("rejected", format!("{}: {}", m.field, m.reason)),
+                Some(Body::Rejected(m)) => {
+                    break ("rejected", format!("{}: {}", m.field, m.reason))
+                }
                 Some(Body::Goodbye(bye)) if bye.never_ran => break ("not sent", bye.reason),
                 Some(Body::Goodbye(bye)) => break ("cut off", bye.reason),
                 Some(_) => {}
@@ -240,7 +296,10 @@
 
     fn submit(&self, number: u64) -> v1::Submit {
         let args = &self.args;
-        let words = args.text.as_deref().map_or(0, |text| text.split_whitespace().count());
+        let words = args
+            .text
+            .as_deref()
+            .map_or(0, |text| text.split_whitespace().count());
         v1::Submit {
             profile: args.profile.clone(),
             tenant: args.tenant.clone(),
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -23,7 +23,11 @@
     block_on(async {
         let stop = ends()?;
         let listener = Tcp.listen(&settings.listen).await?;
-        tracing::info!(name = settings.program.name, address = listener.address(), "serving");
+        tracing::info!(
+            name = settings.program.name,
+            address = listener.address(),
+            "serving"
+        );
         let clock = TokioClock::system();
         let shell = Shell::new(settings.program, settings.places, Tcp, clock, seed);
         // Duties are handed over at once, and what is open runs on meanwhile.
@@ -35,9 +39,13 @@
             let listener = transport.listen(&fleet.listen).await?;
             tracing::info!(address = listener.address(), "in the fleet");
             shell.keep_record();
-            let dispatcher = Rc::new(Beside { shell: shell.clone(), turn: turn.clone() });
+            let dispatcher = Rc::new(Beside {
+                shell: shell.clone(),
+                turn: turn.clone(),
+            });
             let disk = fleet.file.map(Folder::new);
-            let member = cindercleat_fleet::Shell::new(fleet.member, transport, clock, disk, dispatcher);
+            let member =
+                cindercleat_fleet::Shell::new(fleet.member, transport, clock, disk, dispatcher);
             beside = Some(tokio::task::spawn_local(async move {
                 // A channel that is gone is a stop, too.
                 let stop = async { while !*hears.borrow() && hears.changed().await.is_ok() {} };
@@ -70,8 +78,14 @@
 
 impl cindercleat_fleet::Dispatcher for Beside {
     fn fares(&self) -> Fares {
-        let ((ready, load), (tally, reports)) = (self.shell.fares(), self.shell.recorded(MOST_REPORTS));
-        Fares { ready, load, tally, reports }
+        let ((ready, load), (tally, reports)) =
+            (self.shell.fares(), self.shell.recorded(MOST_REPORTS));
+        Fares {
+            ready,
+            load,
+            tally,
+            reports,
+        }
     }
 
     fn hosts(&self) -> Vec<Unit> {
@@ -90,7 +104,9 @@
 /// # Errors
 /// The runtime's or the future's.
 pub fn block_on<R>(job: impl Future<Output = io::Result<R>>) -> io::Result<R> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, job)
 }
 
@@ -100,7 +116,10 @@
 /// The signals cannot be had.
 pub fn ends() -> io::Result<impl Future<Output = ()>> {
     use tokio::signal::unix::{signal, SignalKind};
-    let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
+    let (mut term, mut int) = (
+        signal(SignalKind::terminate())?,
+        signal(SignalKind::interrupt())?,
+    );
     Ok(async move {
         tokio::select! { biased;
             _ = term.recv() => {}
@@ -133,36 +152,45 @@
         let (up, is_up) = oneshot::channel();
         let (over, done) = oneshot::channel();
         let listen = listen.to_owned();
-        let thread = std::thread::Builder::new().name(settings.name.clone()).spawn(move || {
-            let ran = block_on(async move {
-                let listener = match Tcp.listen(&listen).await {
-                    Ok(listener) => listener,
-                    Err(problem) => {
-                        let _ = up.send(Err(problem));
-                        return Ok(());
+        let thread = std::thread::Builder::new()
+            .name(settings.name.clone())
+            .spawn(move || {
+                let ran = block_on(async move {
+                    let listener = match Tcp.listen(&listen).await {
+                        Ok(listener) => listener,
+                        Err(problem) => {
+                            let _ = up.send(Err(problem));
+                            return Ok(());
+                        }
+                    };
+                    let _ = up.send(Ok(listener.address()));
+                    let shell = Shell::new(settings, places, Tcp, clock, seed);
+                    let (stop, stopped) = oneshot::channel::<()>();
+                    let serving = shell.serve(listener, async {
+                        let _ = stopped.await;
+                    });
+                    tokio::pin!(serving);
+                    tokio::select! { biased;
+                        end = ends.recv() => if end == Some(End::Kill) { return Ok(()) },
+                        served = &mut serving => return served,
                     }
-                };
-                let _ = up.send(Ok(listener.address()));
-                let shell = Shell::new(settings, places, Tcp, clock, seed);
-                let (stop, stopped) = oneshot::channel::<()>();
-                let serving = shell.serve(listener, async {
-                    let _ = stopped.await;
+                    let _ = stop.send(());
+                    serving.await
                 });
-                tokio::pin!(serving);
-                tokio::select! { biased;
-                    end = ends.recv() => if end == Some(End::Kill) { return Ok(()) },
-                    served = &mut serving => return served,
+                if let Err(problem) = ran {
+                    tracing::error!(%problem, "dispatcher failed");
                 }
-                let _ = stop.send(());
-                serving.await
-            });
-            if let Err(problem) = ran {
-                tracing::error!(%problem, "dispatcher failed");
-            }
-            let _ = over.send(thread_cpu());
-        })?;
-        let address = is_up.await.map_err(|_| io::Error::other("the dispatcher's thread ended"))??;
-        Ok(Thread { address, end, done, thread })
+                let _ = over.send(thread_cpu());
+            })?;
+        let address = is_up
+            .await
+            .map_err(|_| io::Error::other("the dispatcher's thread ended"))??;
+        Ok(Thread {
+            address,
+            end,
+            done,
+            thread,
+        })
     }
 
     /// Ends it and waits; gives the milliseconds of processor time that it took.
@@ -184,6 +212,11 @@
 pub fn cpu_of(stat: &str) -> f64 {
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let fields: Vec<&str> = after.split_whitespace().collect();
-    let ticks = |at: usize| fields.get(at).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+    let ticks = |at: usize| {
+        fields
+            .get(at)
+            .and_then(|f| f.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     10.0 * (ticks(11) + ticks(12))
 }
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -40,27 +40,45 @@
     }
     for address in listen.words[1..].iter().chain(&feeds) {
         if address.parse::<std::net::SocketAddr>().is_err() {
-            return Err(listen.wrong(&format!("addresses such as 127.0.0.1:7400 ('{address}' is none)")));
+            return Err(listen.wrong(&format!(
+                "addresses such as 127.0.0.1:7400 ('{address}' is none)"
+            )));
         }
     }
     let keep = section.maybe_value::<String>("keep")?.map(PathBuf::from);
     let peer = |line: &&Line| Ok((line.value::<u32>(1)?, line.value::<String>(2)?));
-    let peers = section.all("peer").iter().map(peer).collect::<Result<_, Problem>>()?;
+    let peers = section
+        .all("peer")
+        .iter()
+        .map(peer)
+        .collect::<Result<_, Problem>>()?;
     let fleet = match section.blocks("fleet")[..] {
         [] => None,
-        [block] => Some(fleet_settings::read(block, &name, &service.zones[zone as usize], run)?),
+        [block] => Some(fleet_settings::read(
+            block,
+            &name,
+            &service.zones[zone as usize],
+            run,
+        )?),
         [_, second, ..] => return Err(second.head.wrong("'fleet' once")),
     };
     section.nothing_else()?;
     let listen = listen.only()?;
     let program = service.dispatcher(&name, zone, (me, of), run);
-    Ok(Serve { listen, program, places: Places { feeds, keep, peers }, fleet })
+    Ok(Serve {
+        listen,
+        program,
+        places: Places { feeds, keep, peers },
+        fleet,
+    })
 }
 
 fn place(line: &Line, at: usize, names: &[String], what: &str) -> Result<u32, Problem> {
     let name: String = line.value(at)?;
     let found = names.iter().position(|n| *n == name);
-    found.map(|at| at as u32).ok_or_else(|| line.wrong(&format!("a {what} out of: {}", names.join(", "))))
+    found
+        .map(|at| at as u32)
+        .ok_or_else(|| line.wrong(&format!("a {what} out of: {}", names.join(", "))))
 }
 
 /// Reads what a settings file and a day script have in common.
@@ -85,7 +103,10 @@
     for block in section.blocks("tenant") {
         tenants.push(new_name(block, &tenants)?);
         let allowance_per_s = block.value("allowance")?;
-        tenant_settings.push(TenantSettings { allowance_per_s, share: block.value("share")? });
+        tenant_settings.push(TenantSettings {
+            allowance_per_s,
+            share: block.value("share")?,
+        });
         block.nothing_else()?;
     }
     let (mut kinds, mut kind_settings) = (Vec::new(), Vec::new());
@@ -98,17 +119,24 @@
             "both" => Role::Both,
             _ => return Err(does.wrong("reads, writes or both")),
         };
-        kind_settings.push(KindSettings { role, memory_tokens: block.value("memory")? });
+        kind_settings.push(KindSettings {
+            role,
+            memory_tokens: block.value("memory")?,
+        });
         block.nothing_else()?;
     }
     let can = |reading: bool| {
-        kind_settings.iter().any(|k| k.role == Role::Both || (k.role == Role::Reader) == reading)
+        kind_settings
+            .iter()
+            .any(|k| k.role == Role::Both || (k.role == Role::Reader) == reading)
     };
     if !can(true) || !can(false) {
         return Err(section.lacks("kind"));
     }
     let found = section.blocks("limits");
-    let [limits] = found[..] else { return Err(section.lacks("limits")) };
+    let [limits] = found[..] else {
+        return Err(section.lacks("limits"));
+    };
     let time = |keyword: &'static str| limits.value::<Time>(keyword).map(|t| t.0);
     let cold = limits.one("cold")?;
     let fall = limits.one("fall")?;
@@ -177,10 +205,19 @@
         feed: FeedSettings::unhurried(greet_within),
     };
     if own.window == 0 || own.streams_per_link == 0 || own.links_per_host == 0 {
-        return Err(limits.head.wrong("window, streams-per-link and links-per-host of at least 1"));
+        return Err(limits
+            .head
+            .wrong("window, streams-per-link and links-per-host of at least 1"));
     }
     limits.nothing_else()?;
-    Ok(Service { policy, profiles, tenants, zones, kinds, limits: own })
+    Ok(Service {
+        policy,
+        profiles,
+        tenants,
+        zones,
+        kinds,
+        limits: own,
+    })
 }
 
 fn new_name(block: &Section, names: &[String]) -> Result<String, Problem> {
@@ -203,7 +240,10 @@
                 "cell" => Group::Cell,
                 _ => return Err(effect.wrong("all, zone or cell after 'within'")),
             };
-            Effect::Numbered { group, window: effect.must_after::<Time>("for")?.0 }
+            Effect::Numbered {
+                group,
+                window: effect.must_after::<Time>("for")?.0,
+            }
         }
         _ => {
             let expected = "reissuable, at-most-once or 'numbered within all|zone|cell for TIME'";
--- a/crates/cindercleat-cli/src/soak.rs
+++ b/crates/cindercleat-cli/src/soak.rs
@@ -36,7 +36,11 @@
 /// The soak could not be played.
 pub fn soak(args: &SoakArgs, log: &str) -> io::Result<bool> {
     let program = env::current_exe()?;
-    let shim = if args.no_shim { None } else { Some(find_shim(&program)?) };
+    let shim = if args.no_shim {
+        None
+    } else {
+        Some(find_shim(&program)?)
+    };
     let folder = match &args.logs {
         Some(folder) => folder.clone(),
         None => env::temp_dir().join(format!("cindercleat-soak-{}-{}", process::id(), args.seed)),
@@ -65,37 +69,71 @@
 /// The preloaded library lies where the program does, or where a test's programs do.
 fn find_shim(program: &Path) -> io::Result<PathBuf> {
     let beside = program.parent().unwrap_or(Path::new("."));
-    let places = [beside.join(SHIM), beside.join("deps").join(SHIM), beside.join("..").join(SHIM)];
+    let places = [
+        beside.join(SHIM),
+        beside.join("deps").join(SHIM),
+        beside.join("..").join(SHIM),
+    ];
     let found = places.into_iter().find(|place| place.exists());
     found.ok_or_else(|| {
-        let what = format!("{SHIM} is not beside the program: build the whole workspace, or say --no-shim");
+        let what = format!(
+            "{SHIM} is not beside the program: build the whole workspace, or say --no-shim"
+        );
         io::Error::new(io::ErrorKind::NotFound, what)
     })
 }
 
 fn told(args: &SoakArgs, outcome: &Outcome) -> String {
-    let Outcome { plan, report, own_violations } = outcome;
+    let Outcome {
+        plan,
+        report,
+        own_violations,
+    } = outcome;
     let mut text = String::new();
     for violation in report.violations.iter().take(MOST_PRINTED) {
         // Writing to a string cannot fail.
-        let _ =
-            writeln!(text, "{:9.3} s  {}: {}", violation.at / 1000.0, violation.invariant, violation.what);
+        let _ = writeln!(
+            text,
+            "{:9.3} s  {}: {}",
+            violation.at / 1000.0,
+            violation.invariant,
+            violation.what
+        );
     }
     for line in own_violations.iter().take(MOST_PRINTED) {
         let _ = writeln!(text, "own: {line}");
     }
-    let lists = if plan.lists_are_asked_for { "asked for" } else { "pushed" };
-    let calls = if plan.system_calls_fail && !args.no_shim { "fail at times" } else { "as they are" };
+    let lists = if plan.lists_are_asked_for {
+        "asked for"
+    } else {
+        "pushed"
+    };
+    let calls = if plan.system_calls_fail && !args.no_shim {
+        "fail at times"
+    } else {
+        "as they are"
+    };
     let _ = writeln!(
         text,
         "{} troubles; lists {lists}; system calls {calls}; wall clocks stepped by {} s",
         plan.troubles.len(),
-        if args.no_shim { 0.0 } else { plan.wall_step / 1000.0 }
+        if args.no_shim {
+            0.0
+        } else {
+            plan.wall_step / 1000.0
+        }
     );
-    let waits = if plan.decodes_wait { "serve some attempts at a time" } else { "serve all at once" };
+    let waits = if plan.decodes_wait {
+        "serve some attempts at a time"
+    } else {
+        "serve all at once"
+    };
     let _ = writeln!(text, "readings: {}; decode engines {waits}", plan.readings);
     let cases = Invariant::ALL.map(|invariant| {
-        format!("{invariant} {}", report.cases.get(&invariant).copied().unwrap_or_default())
+        format!(
+            "{invariant} {}",
+            report.cases.get(&invariant).copied().unwrap_or_default()
+        )
     });
     let _ = writeln!(
         text,
--- a/crates/cindercleat-cli/tests/common/mod.rs
+++ b/crates/cindercleat-cli/tests/common/mod.rs
@@ -49,14 +49,26 @@
         let folder = folder(name);
         let host = address_of_this_run(host);
         // Held until all are drawn, so that none is drawn twice.
-        let taken: Vec<TcpListener> = (0..6).map(|_| TcpListener::bind((host, 0)).expect("a port")).collect();
-        let address = |listener: &TcpListener| listener.local_addr().expect("it has one").to_string();
-        let (at, listens): (Vec<String>, Vec<String>) =
-            (taken[..3].iter().map(address).collect(), taken[3..].iter().map(address).collect());
+        let taken: Vec<TcpListener> = (0..6)
+            .map(|_| TcpListener::bind((host, 0)).expect("a port"))
+            .collect();
+        let address =
+            |listener: &TcpListener| listener.local_addr().expect("it has one").to_string();
+        let (at, listens): (Vec<String>, Vec<String>) = (
+            taken[..3].iter().map(address).collect(),
+            taken[3..].iter().map(address).collect(),
+        );
         drop(taken);
-        let voters: Vec<String> =
-            at.iter().enumerate().map(|(n, at)| format!(" voter d{n} {at}\n")).collect();
-        let mut fleet = Fleet { at: at.clone(), children: Vec::new(), settings: Vec::new() };
+        let voters: Vec<String> = at
+            .iter()
+            .enumerate()
+            .map(|(n, at)| format!(" voter d{n} {at}\n"))
+            .collect();
+        let mut fleet = Fleet {
+            at: at.clone(),
+            children: Vec::new(),
+            settings: Vec::new(),
+        };
         for (n, at) in at.iter().enumerate() {
             let file = folder.join(format!("voter-{n}"));
             let text = format!(
@@ -114,9 +126,16 @@
 
 /// Starts a dispatcher; what it logs goes into a file beside its settings.
 pub fn serve(settings: &Path) -> Child {
-    let log = OpenOptions::new().create(true).append(true).open(settings.with_extension("log"));
+    let log = OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(settings.with_extension("log"));
     let mut command = program();
-    command.arg("serve").arg(settings).stdin(Stdio::null()).stdout(Stdio::null());
+    command
+        .arg("serve")
+        .arg(settings)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null());
     command.stderr(log.expect("a file for its log"));
     command.spawn().expect("it starts")
 }
--- a/crates/cindercleat-cli/tests/conf.rs
+++ b/crates/cindercleat-cli/tests/conf.rs
@@ -45,10 +45,16 @@
 #[test]
 fn a_good_file_is_read_whole() {
     let read = settings::read("f", GOOD, 9).expect("it is good");
-    assert_eq!((read.program.name.as_str(), read.listen.as_str()), ("d1", "127.0.0.1:7400"));
+    assert_eq!(
+        (read.program.name.as_str(), read.listen.as_str()),
+        ("d1", "127.0.0.1:7400")
+    );
     assert_eq!(read.places.feeds.len(), 2);
     let policy = &read.program.policy;
-    assert_eq!((policy.zone.0, policy.dispatchers, policy.release), (1, 2, 500.0));
+    assert_eq!(
+        (policy.zone.0, policy.dispatchers, policy.release),
+        (1, 2, 500.0)
+    );
     assert_eq!(policy.profiles[0].quoted_per_1000_tokens, 40.0);
     assert_eq!(read.program.run, 9);
 }
--- a/crates/cindercleat-cli/tests/duties.rs
+++ b/crates/cindercleat-cli/tests/duties.rs
@@ -9,7 +9,10 @@
 use std::time::{Duration, Instant};
 
 fn duty<'a>(status: &'a serde_json::Value, name: &str) -> Option<&'a serde_json::Value> {
-    status["duties"].as_array()?.iter().find(|d| d["duty"] == name)
+    status["duties"]
+        .as_array()?
+        .iter()
+        .find(|d| d["duty"] == name)
 }
 
 #[test]
@@ -17,26 +20,52 @@
     let mut fleet = Fleet::start("operators", "127.0.8.1");
     let status = fleet.until("all three are in", |s| {
         let inn = |l: &serde_json::Value| l["standing"] == "in" || l["standing"] == "back";
-        let roll = s["roll"].as_array().is_some_and(|roll| roll.len() == 3 && roll.iter().all(inn));
+        let roll = s["roll"]
+            .as_array()
+            .is_some_and(|roll| roll.len() == 3 && roll.iter().all(inn));
         roll && s["majority"] == true
     });
     let term = |s: &serde_json::Value| duty(s, "roll-call").and_then(|d| d["term"].as_u64());
-    let holder =
-        |s: &serde_json::Value| duty(s, "roll-call").and_then(|d| d["holder"].as_str().map(str::to_owned));
-    let (first, first_term) = (holder(&status).expect("one holds it"), term(&status).expect("a term"));
-    let to = ["d0", "d1", "d2"].into_iter().find(|n| **n != first).expect("another");
+    let holder = |s: &serde_json::Value| {
+        duty(s, "roll-call").and_then(|d| d["holder"].as_str().map(str::to_owned))
+    };
+    let (first, first_term) = (
+        holder(&status).expect("one holds it"),
+        term(&status).expect("a term"),
+    );
+    let to = ["d0", "d1", "d2"]
+        .into_iter()
+        .find(|n| **n != first)
+        .expect("another");
     let (code, out, err) = fleet.fleet(&["hand-over", "roll-call", to]);
     assert_eq!(code, Some(0), "{out}{err}");
     let status = fleet.until("it is handed over", |s| holder(s).as_deref() == Some(to));
     assert!(term(&status) > Some(first_term));
 
     // A duty of the operators' own: its command finds the term, and the next holder a higher one.
-    let command = ["hold", "backup", "--", "sh", "-c", "echo with $CINDERCLEAT_TERM; exit 0"];
+    let command = [
+        "hold",
+        "backup",
+        "--",
+        "sh",
+        "-c",
+        "echo with $CINDERCLEAT_TERM; exit 0",
+    ];
     let (code, out, err) = fleet.fleet(&command);
     // A try that was agreed on unheard has used a term up: that they grow is what is promised.
-    let term_of = |out: &str| out.strip_prefix("term ")?.lines().next()?.parse::<u64>().ok();
+    let term_of = |out: &str| {
+        out.strip_prefix("term ")?
+            .lines()
+            .next()?
+            .parse::<u64>()
+            .ok()
+    };
     let before = term_of(&out).expect("a term");
-    assert_eq!((code, out), (Some(0), format!("term {before}\nwith {before}\n")), "{err}");
+    assert_eq!(
+        (code, out),
+        (Some(0), format!("term {before}\nwith {before}\n")),
+        "{err}"
+    );
     let (code, out, err) = fleet.fleet(&["hold", "backup", "--", "sh", "-c", "exit 3"]);
     let after = term_of(&out).expect("a term");
     assert_eq!((code, out), (Some(1), format!("term {after}\n")), "{err}");
@@ -45,20 +74,33 @@
     // Two jobs never hold it at once: the second waits at another dispatcher until the first is told to stop.
     let hold = |at: &str| {
         let mut command = program();
-        command.args(["fleet", "--at", at, "hold", "nightly"]).stdout(Stdio::piped()).stderr(Stdio::piped());
+        command
+            .args(["fleet", "--at", at, "hold", "nightly"])
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped());
         command.spawn().expect("it starts")
     };
     let one = hold(&fleet.at[0]);
-    fleet.until("it is held", |s| duty(s, "nightly").is_some_and(|d| d["holder"] == "d0"));
+    fleet.until("it is held", |s| {
+        duty(s, "nightly").is_some_and(|d| d["holder"] == "d0")
+    });
     let mut two = hold(&fleet.at[1]);
     std::thread::sleep(Duration::from_millis(1_500));
     assert!(two.try_wait().expect("it can be asked").is_none());
-    fleet.until("it is still held", |s| duty(s, "nightly").is_some_and(|d| d["holder"] == "d0"));
+    fleet.until("it is still held", |s| {
+        duty(s, "nightly").is_some_and(|d| d["holder"] == "d0")
+    });
     let id = one.id().to_string();
-    assert!(Command::new("kill").args(["-TERM", &id]).status().expect("kill").success());
+    assert!(Command::new("kill")
+        .args(["-TERM", &id])
+        .status()
+        .expect("kill")
+        .success());
     let ended = one.wait_with_output().expect("it ends");
     assert!(ended.status.success(), "{ended:?}");
-    fleet.until("the second holds it", |s| duty(s, "nightly").is_some_and(|d| d["holder"] == "d1"));
+    fleet.until("the second holds it", |s| {
+        duty(s, "nightly").is_some_and(|d| d["holder"] == "d1")
+    });
     // It says its term once it has heard, which may be after the fleet shows it.
     let (says, hears) = std::sync::mpsc::channel();
     let mut out = BufReader::new(two.stdout.take().expect("it is there"));
@@ -67,18 +109,32 @@
         let _ = out.read_line(&mut line);
         let _ = says.send(line);
     });
-    let said = hears.recv_timeout(Duration::from_secs(20)).expect("the second says its term");
+    let said = hears
+        .recv_timeout(Duration::from_secs(20))
+        .expect("the second says its term");
     two.kill().expect("ours");
     two.wait().expect("it ends");
     let first = String::from_utf8_lossy(&ended.stdout).into_owned();
-    assert!(term_of(&said) > term_of(&first) && term_of(&first).is_some(), "{said} after {first}");
+    assert!(
+        term_of(&said) > term_of(&first) && term_of(&first).is_some(),
+        "{said} after {first}"
+    );
 
     // What cannot be done is said.
     for (args, why) in [
         (&["hand-over", "nothing"][..], "there is no duty nothing"),
-        (&["hand-over", "roll-call", "nobody"], "the roll-call knows no nobody"),
-        (&["voters", "remove", "d2"], "fewer than 3 voters would be left"),
-        (&["voters", "remove", "d9"], "votes no more already, or is none"),
+        (
+            &["hand-over", "roll-call", "nobody"],
+            "the roll-call knows no nobody",
+        ),
+        (
+            &["voters", "remove", "d2"],
+            "fewer than 3 voters would be left",
+        ),
+        (
+            &["voters", "remove", "d9"],
+            "votes no more already, or is none",
+        ),
         (&["hold", "roll-call"], "the dispatchers' own"),
     ] {
         let (code, out, err) = fleet.fleet(args);
@@ -95,10 +151,20 @@
     let (code, _, err) = fleet.fleet(&["status"]);
     assert_eq!(code, Some(1));
     assert!(err.contains("no majority of the voters answers"), "{err}");
-    assert!(begin.elapsed() < Duration::from_millis(1_500), "{:?}", begin.elapsed());
+    assert!(
+        begin.elapsed() < Duration::from_millis(1_500),
+        "{:?}",
+        begin.elapsed()
+    );
     let (code, _, err) = fleet.fleet(&["voters", "remove", "d2"]);
     assert_eq!(code, Some(1), "{err}");
-    assert!(fleet.children[0].try_wait().expect("it can be asked").is_none(), "it serves on");
+    assert!(
+        fleet.children[0]
+            .try_wait()
+            .expect("it can be asked")
+            .is_none(),
+        "it serves on"
+    );
     let (code, _, err) = run(&["fleet", "--at", &fleet.at[1], "status"]);
     assert_eq!(code, Some(1), "{err}");
 }
@@ -117,9 +183,15 @@
     fleet.children[2] = serve(&fleet.settings[2]);
     fleet.until("it answers and does not vote", |s| {
         let voters = s["voters"].as_array().cloned().unwrap_or_default();
-        voters.iter().any(|v| v["name"] == "d2" && v["answers"] == true && v["votes"] == false)
+        voters
+            .iter()
+            .any(|v| v["name"] == "d2" && v["answers"] == true && v["votes"] == false)
     });
-    assert_eq!(std::fs::read(&file).expect("it is there"), bytes, "the file is left for whoever looks at it");
+    assert_eq!(
+        std::fs::read(&file).expect("it is there"),
+        bytes,
+        "the file is left for whoever looks at it"
+    );
     // It is let in again without its file: under its name, as another.
     fleet.children[2].kill().expect("ours");
     fleet.children[2].wait().expect("it ends");
@@ -128,7 +200,9 @@
     std::thread::sleep(Duration::from_millis(500));
     fleet.until("it is known for another and does not vote", |s| {
         let voters = s["voters"].as_array().cloned().unwrap_or_default();
-        voters.iter().any(|v| v["name"] == "d2" && v["answers"] == true && v["votes"] == false)
+        voters
+            .iter()
+            .any(|v| v["name"] == "d2" && v["answers"] == true && v["votes"] == false)
     });
 }
 
@@ -144,7 +218,8 @@
     let (code, out, err) = run(&["drill", &script, "--report", &report]);
     assert_eq!(code, Some(0), "{out}{err}");
     let report: serde_json::Value =
-        serde_json::from_str(&std::fs::read_to_string(&report).expect("it is there")).expect("it is JSON");
+        serde_json::from_str(&std::fs::read_to_string(&report).expect("it is there"))
+            .expect("it is JSON");
     // A drill that met nothing proves nothing.
     assert!(report["terms"].as_u64() >= Some(3), "{report}");
     assert!(report["obeyed"].as_u64() >= Some(200), "{report}");
@@ -157,7 +232,8 @@
         " listen 127.0.0.1:1\n file f\n voter d0 127.0.0.1:1\n voter d1 127.0.0.1:2\n voter d2 127.0.0.1:3\n";
     let check = |fleet: &str| {
         let path = folder.join("bad.conf");
-        let head = format!("name d0\nnumber 0 of 3\nlisten 127.0.0.1:0\n{SERVICE}fleet\n{fleet}end\n");
+        let head =
+            format!("name d0\nnumber 0 of 3\nlisten 127.0.0.1:0\n{SERVICE}fleet\n{fleet}end\n");
         std::fs::write(&path, head).expect("written");
         let (code, _, err) = run(&["check", &path.display().to_string()]);
         (code, err)
@@ -170,7 +246,11 @@
         ("127.0.0.1:3", "nowhere", "an address such as"),
         ("d0 127.0.0.1:1", "d0 127.0.0.1:9", "own address"),
         (" file f\n", "", "'file …'"),
-        (" file f\n", " file f\n lease 300ms\n answer 100ms\n", "a lease of at least"),
+        (
+            " file f\n",
+            " file f\n lease 300ms\n answer 100ms\n",
+            "a lease of at least",
+        ),
         (" file f\n", " file f\n drift 2\n", "a part under 0.5"),
         (" file f\n", " file f\n prefer z\n", "one of:"),
     ] {
@@ -196,20 +276,32 @@
 /// Threads, and sockets that listen, of a process.
 fn seen_of(child: &Child) -> (usize, usize) {
     let proc = PathBuf::from(format!("/proc/{}", child.id()));
-    let threads = std::fs::read_dir(proc.join("task")).expect("it runs").count();
+    let threads = std::fs::read_dir(proc.join("task"))
+        .expect("it runs")
+        .count();
     let fds = std::fs::read_dir(proc.join("fd")).expect("it runs");
     let sockets: Vec<String> = fds
         .filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok())
-        .filter_map(|to| to.to_str()?.strip_prefix("socket:[")?.strip_suffix(']').map(str::to_owned))
+        .filter_map(|to| {
+            to.to_str()?
+                .strip_prefix("socket:[")?
+                .strip_suffix(']')
+                .map(str::to_owned)
+        })
         .collect();
     let mut listening = 0;
     for table in ["net/tcp", "net/tcp6", "net/udp", "net/udp6"] {
         let table = std::fs::read_to_string(proc.join(table)).unwrap_or_default();
         for line in table.lines().skip(1) {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let open = words.get(3).is_some_and(|state| *state == "0A" || *state == "07");
-            listening +=
-                usize::from(open && words.get(9).is_some_and(|inode| sockets.iter().any(|s| s == inode)));
+            let open = words
+                .get(3)
+                .is_some_and(|state| *state == "0A" || *state == "07");
+            listening += usize::from(
+                open && words
+                    .get(9)
+                    .is_some_and(|inode| sockets.iter().any(|s| s == inode)),
+            );
         }
     }
     (threads, listening)
@@ -235,8 +327,13 @@
     let fleet = r#""fleet":{"listen":"127.0.0.1:0","voters":["a","b","c"]},"listen""#;
     std::fs::write(&conf, CONFIGURATION.replacen("\"listen\"", fleet, 1)).expect("written");
     let mut node = program();
-    node.arg("node").env("GW_CONFIG", &conf).stderr(Stdio::null());
-    assert_eq!(settle(&mut node.spawn().expect("it starts"), (1, 1)), (1, 1));
+    node.arg("node")
+        .env("GW_CONFIG", &conf)
+        .stderr(Stdio::null());
+    assert_eq!(
+        settle(&mut node.spawn().expect("it starts"), (1, 1)),
+        (1, 1)
+    );
     let text = format!("name d0\nnumber 0 of 1\nlisten 127.0.0.1:0\n{SERVICE}");
     let alone = folder.join("serve.conf");
     std::fs::write(&alone, text).expect("written");
@@ -245,8 +342,11 @@
     let with = folder.join("fleet.conf");
     let block =
         "fleet\n listen 127.0.0.1:0\n voter a 127.0.0.1:1\n voter b 127.0.0.1:2\n voter c 127.0.0.1:3\nend\n";
-    std::fs::write(&with, format!("name d0\nnumber 0 of 1\nlisten 127.0.0.1:0\n{SERVICE}{block}"))
-        .expect("written");
+    std::fs::write(
+        &with,
+        format!("name d0\nnumber 0 of 1\nlisten 127.0.0.1:0\n{SERVICE}{block}"),
+    )
+    .expect("written");
     assert_eq!(settle(&mut serve(&with), (1, 2)).1, 2);
 }
 
--- a/crates/cindercleat-cli/tests/program.rs
+++ b/crates/cindercleat-cli/tests/program.rs
@@ -6,12 +6,18 @@
 
 fn program(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cindercleat"));
-    command.args(args).current_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."));
+    command
+        .args(args)
+        .current_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."));
     command
 }
 
 fn run(args: &[&str]) -> (Option<i32>, String, String) {
-    let Output { status, stdout, stderr } = program(args).output().expect("it starts");
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = program(args).output().expect("it starts");
     let text = |bytes| String::from_utf8_lossy(bytes).into_owned();
     (status.code(), text(&stdout), text(&stderr))
 }
@@ -30,20 +36,32 @@
     assert_eq!(code, Some(0), "{out}{err}");
     assert!(out.contains("rules: kept"), "{out}");
     let report: serde_json::Value =
-        serde_json::from_str(&std::fs::read_to_string(&report).expect("it is there")).expect("it is JSON");
+        serde_json::from_str(&std::fs::read_to_string(&report).expect("it is there"))
+            .expect("it is JSON");
     // A day that met nothing proves nothing.
     let case = |name: &str| report["cases"][name].as_u64().unwrap_or(0);
-    for (name, least) in [("tries", 800), ("at_most_once_runs", 200), ("drains", 4), ("cold_launches", 20)] {
+    for (name, least) in [
+        ("tries", 800),
+        ("at_most_once_runs", 200),
+        ("drains", 4),
+        ("cold_launches", 20),
+    ] {
         assert!(case(name) >= least, "{name}: {} of {least}", case(name));
     }
-    assert!(report["payoff_in_time"].as_f64().is_some_and(|p| p > 0.7), "{report}");
+    assert!(
+        report["payoff_in_time"].as_f64().is_some_and(|p| p > 0.7),
+        "{report}"
+    );
 }
 
 #[test]
 fn a_first_look_streams_a_task() {
     let (code, out, err) = run(&["try"]);
     assert_eq!(code, Some(0), "{out}{err}");
-    assert!(out.contains("the class of this year") && out.contains("Fulfilled"), "{out}");
+    assert!(
+        out.contains("the class of this year") && out.contains("Fulfilled"),
+        "{out}"
+    );
 }
 
 #[test]
@@ -80,7 +98,10 @@
     let read = |text: &str| cindercleat_cli::bench_day::read("day.json", text);
     let read_all = read(&day(&troubles.join(","))).expect("all kinds are known");
     assert!(read_all.faults.len() >= 16);
-    assert!(read_all.faults.iter().all(|f| f.trouble.is_service_wide() || !f.whom.is_empty()));
+    assert!(read_all
+        .faults
+        .iter()
+        .all(|f| f.trouble.is_service_wide() || !f.whom.is_empty()));
     let unknown = read(&day(&trouble("plague"))).expect_err("it is not known");
     assert!(unknown.contains("plague"), "{unknown}");
 }
@@ -96,14 +117,29 @@
          cold 0.3 ramp 4s\n stop-grace 1s\nend\n",
     );
     assert_eq!(run(&["check", &conf]).0, Some(0));
-    let mut child =
-        program(&["serve", &conf, "--log-form", "json"]).stderr(Stdio::piped()).spawn().expect("it starts");
-    let mut lines = BufReader::new(child.stderr.take().expect("it logs")).lines().map_while(Result::ok);
-    let serving = lines.find(|line| line.contains("\"serving\"")).expect("it says that it serves");
+    let mut child = program(&["serve", &conf, "--log-form", "json"])
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("it starts");
+    let mut lines = BufReader::new(child.stderr.take().expect("it logs"))
+        .lines()
+        .map_while(Result::ok);
+    let serving = lines
+        .find(|line| line.contains("\"serving\""))
+        .expect("it says that it serves");
     let line: serde_json::Value = serde_json::from_str(&serving).expect("a log line is JSON");
-    assert!(line["fields"]["address"].as_str().is_some_and(|a| a.starts_with("127.0.0.1:")), "{line}");
+    assert!(
+        line["fields"]["address"]
+            .as_str()
+            .is_some_and(|a| a.starts_with("127.0.0.1:")),
+        "{line}"
+    );
     let id = child.id().to_string();
-    assert!(Command::new("kill").args(["-TERM", &id]).status().expect("kill is there").success());
+    assert!(Command::new("kill")
+        .args(["-TERM", &id])
+        .status()
+        .expect("kill is there")
+        .success());
     assert!(lines.any(|line| line.contains("\"stopped\"")));
     assert_eq!(child.wait().expect("it ends").code(), Some(0));
 }
@@ -111,14 +147,20 @@
 #[test]
 fn dispatchers_killed_with_everything_out_leave_nothing_run_twice() {
     let base = include_str!("../src/base.conf");
-    let script = base.replace("length 40s", "length 6s").replace("dispatchers 1", "dispatchers 2");
+    let script = base
+        .replace("length 40s", "length 6s")
+        .replace("dispatchers 1", "dispatchers 2");
     let faults =
         "at 1s kill 0 for 300ms\nat 2s kill 1 for 300ms\nat 3s kill 0,1 for 500ms\nat 4500ms kill 0 for 1s\n";
-    let (report, script) = (file("kills.json", ""), file("kills.conf", &format!("{script}\n{faults}")));
+    let (report, script) = (
+        file("kills.json", ""),
+        file("kills.conf", &format!("{script}\n{faults}")),
+    );
     let (code, out, err) = run(&["day", &script, "--report", &report]);
     assert_eq!(code, Some(0), "{out}{err}");
     let report: serde_json::Value =
-        serde_json::from_str(&std::fs::read_to_string(&report).expect("it is there")).expect("it is JSON");
+        serde_json::from_str(&std::fs::read_to_string(&report).expect("it is there"))
+            .expect("it is JSON");
     let sum = |name: &str| -> u64 {
         let profiles = report["profiles"].as_object().expect("profiles");
         profiles.values().filter_map(|p| p[name].as_u64()).sum()
@@ -132,7 +174,10 @@
     let digest = |jobs: &str| {
         let (code, out, err) = run(&["seeds", "--from", "1", "--count", "30", "--jobs", jobs]);
         assert_eq!(code, Some(0), "{out}{err}");
-        out.lines().find(|l| l.starts_with("digest ")).expect("a digest").to_owned()
+        out.lines()
+            .find(|l| l.starts_with("digest "))
+            .expect("a digest")
+            .to_owned()
     };
     assert_eq!(digest("1"), digest("3"));
     assert_eq!(run(&["seeds", "--profile", "none"]).0, Some(2));
@@ -179,9 +224,15 @@
     let policy = &conf.program.policy;
     assert_eq!(conf.program.profiles, ["draft", "send"]);
     assert_eq!(conf.program.kinds, ["r", "w"]);
-    assert_eq!((policy.release, policy.connect_timeout, policy.max_launches), (500.0, 250.0, 4));
+    assert_eq!(
+        (policy.release, policy.connect_timeout, policy.max_launches),
+        (500.0, 250.0, 4)
+    );
     assert_eq!(policy.profiles[1].quoted_per_1000_tokens, 50.0005);
-    assert_eq!((policy.profiles[0].quoted, policy.profiles[0].payoff), (1000.0, 2.0));
+    assert_eq!(
+        (policy.profiles[0].quoted, policy.profiles[0].payoff),
+        (1000.0, 2.0)
+    );
     assert!(policy.may_cancel && policy.may_probe && !policy.clients_hear_retry);
     assert_eq!(conf.known.map(|list| list.version), Some(4));
     for (from, to, place) in [
@@ -194,42 +245,85 @@
     ] {
         let text = configuration("127.0.0.1:1").replacen(from, to, 1);
         let problem = read(&text).err().map(|p| p.to_string()).expect(place);
-        assert!(problem.starts_with("c.json: ") && problem.contains(place), "{place}: {problem}");
+        assert!(
+            problem.starts_with("c.json: ") && problem.contains(place),
+            "{place}: {problem}"
+        );
     }
 }
 
 /// Settings of other customers: they serve, or are refused with the reason.
 #[test]
 fn odd_settings_are_read_or_refused_by_name() {
-    let read = |text: &str| cindercleat_cli::node::read("c.json", text).map(|conf| conf.program.policy);
+    let read =
+        |text: &str| cindercleat_cli::node::read("c.json", text).map(|conf| conf.program.policy);
     let with = |from: &str, to: &str| {
         let text = configuration("127.0.0.1:1");
         assert!(text.contains(from), "{from}");
         read(&text.replacen(from, to, 1))
     };
     let policy = with("\"giveUp\":4000000,", "").expect("a class without a deadline");
-    assert_eq!((policy.profiles[0].quoted, policy.profiles[0].patience), (1000.0, f64::INFINITY));
-    let policy = with("\"aim\":1000000,", "").expect("a class without a target goes by its deadline");
+    assert_eq!(
+        (policy.profiles[0].quoted, policy.profiles[0].patience),
+        (1000.0, f64::INFINITY)
+    );
+    let policy =
+        with("\"aim\":1000000,", "").expect("a class without a target goes by its deadline");
     assert_eq!(policy.profiles[0].quoted, 4000.0);
-    let policy = with("\"importance\":2.0", "\"importance\":0").expect("a class that is worth nothing");
+    let policy =
+        with("\"importance\":2.0", "\"importance\":0").expect("a class that is worth nothing");
     assert_eq!(policy.profiles[0].payoff, 0.0);
     let keyed = "\"effect\":\"keyed\",\"keyScope\":\"cell\",\"dedupWindow\":1000";
     let policy = with("\"effect\":\"safe\"", keyed).expect("a window of a millisecond");
-    assert!(matches!(policy.profiles[0].effect, Effect::Numbered { window: 1.0, .. }), "{policy:?}");
-    let policy = with("\"rampTime\":14000000", "\"rampTime\":0").expect("engines that are never cold");
+    assert!(
+        matches!(
+            policy.profiles[0].effect,
+            Effect::Numbered { window: 1.0, .. }
+        ),
+        "{policy:?}"
+    );
+    let policy =
+        with("\"rampTime\":14000000", "\"rampTime\":0").expect("engines that are never cold");
     assert!(policy.ramp > 0.0);
-    let policy = with("\"release\":500000", "\"release\":2000").expect("states that are let go at once");
+    let policy =
+        with("\"release\":500000", "\"release\":2000").expect("states that are let go at once");
     assert_eq!(policy.release, 2.0);
     for (from, to, place) in [
         ("\"release\":500000", "\"release\":0", "familyInfo.release"),
-        ("\"connectTimeout\":250000", "\"connectTimeout\":-1", "limits.connectTimeout"),
-        ("\"overloadFor\":3000000", "\"overloadFor\":0", "rules.overloadFor"),
-        ("[\"read\",\"write\"]", "[\"read\",\"read\"]", "familyInfo.kindRole"),
-        ("\"drainGrace\":2000000", "\"drainGrace\":-5", "rules.drainGrace"),
-        ("\"aim\":1000000,\"giveUp\":4000000", "\"aim\":0,\"giveUp\":0", "services.0.giveUp"),
+        (
+            "\"connectTimeout\":250000",
+            "\"connectTimeout\":-1",
+            "limits.connectTimeout",
+        ),
+        (
+            "\"overloadFor\":3000000",
+            "\"overloadFor\":0",
+            "rules.overloadFor",
+        ),
+        (
+            "[\"read\",\"write\"]",
+            "[\"read\",\"read\"]",
+            "familyInfo.kindRole",
+        ),
+        (
+            "\"drainGrace\":2000000",
+            "\"drainGrace\":-5",
+            "rules.drainGrace",
+        ),
+        (
+            "\"aim\":1000000,\"giveUp\":4000000",
+            "\"aim\":0,\"giveUp\":0",
+            "services.0.giveUp",
+        ),
     ] {
-        let problem = with(from, to).err().map(|problem| problem.to_string()).expect(place);
-        assert!(problem.starts_with("c.json: ") && problem.contains(place), "{place}: {problem}");
+        let problem = with(from, to)
+            .err()
+            .map(|problem| problem.to_string())
+            .expect(place);
+        assert!(
+            problem.starts_with("c.json: ") && problem.contains(place),
+            "{place}: {problem}"
+        );
     }
 }
 
@@ -276,7 +370,11 @@
             };
             let members = [line("s-1", "r"), line("s-2", "w")].join(",");
             let text = format!("{{\"revision\":5,\"complete\":true,\"members\":[{members}]}}");
-            let _ = write!(io, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+            let _ = write!(
+                io,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+                text.len()
+            );
         }
     }
 
@@ -292,22 +390,38 @@
 
     /// Starts a process that has to ask for its list; gives it and where it listens, once it does.
     fn start(conf: &str) -> (Node, String) {
-        let child =
-            program(&["node", "--log-form", "json"]).env("GW_CONFIG", conf).stderr(Stdio::piped()).spawn();
+        let child = program(&["node", "--log-form", "json"])
+            .env("GW_CONFIG", conf)
+            .stderr(Stdio::piped())
+            .spawn();
         let mut child = child.expect("it starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("it logs")).lines().map_while(Result::ok);
-        let line = lines.find(|line| line.contains("\"serving\"")).expect("it says that it serves");
+        let mut lines = BufReader::new(child.stderr.take().expect("it logs"))
+            .lines()
+            .map_while(Result::ok);
+        let line = lines
+            .find(|line| line.contains("\"serving\""))
+            .expect("it says that it serves");
         // What it logs further is taken off its hands.
         std::thread::spawn(move || lines.for_each(drop));
         let line: serde_json::Value = serde_json::from_str(&line).expect("a log line is JSON");
-        (Node(child), line["fields"]["address"].as_str().expect("an address").to_owned())
+        (
+            Node(child),
+            line["fields"]["address"]
+                .as_str()
+                .expect("an address")
+                .to_owned(),
+        )
     }
 
     fn is_ready(address: &str) -> bool {
-        let Ok(mut io) = TcpStream::connect(address) else { return false };
+        let Ok(mut io) = TcpStream::connect(address) else {
+            return false;
+        };
         let asked = io.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         let mut answer = String::new();
-        asked.is_ok() && io.read_to_string(&mut answer).is_ok() && answer.starts_with("HTTP/1.1 200 ")
+        asked.is_ok()
+            && io.read_to_string(&mut answer).is_ok()
+            && answer.starts_with("HTTP/1.1 200 ")
     }
 
     /// Starts all at once; gives them with how long each took to be ready, until a limit.
@@ -325,7 +439,10 @@
                 })
             })
             .collect();
-        starts.into_iter().map(|start| start.join().expect("it starts")).collect()
+        starts
+            .into_iter()
+            .map(|start| start.join().expect("it starts"))
+            .collect()
     }
 
     #[test]
@@ -338,7 +455,10 @@
         let conf = file("restarts.json", &text);
         for round in ["first start", "restart"] {
             let nodes = start_all(&conf);
-            let ready = nodes.iter().filter(|(_, took)| *took < Duration::from_secs(10)).count();
+            let ready = nodes
+                .iter()
+                .filter(|(_, took)| *took < Duration::from_secs(10))
+                .count();
             let took: Vec<_> = nodes.iter().map(|(_, took)| took.as_millis()).collect();
             assert!(ready * 10 >= PROCESSES * 9, "{round}: {took:?}");
             // Dropped here: killed, all of them.
@@ -372,11 +492,20 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("it starts");
-    let mut lines = BufReader::new(child.stderr.take().expect("it logs")).lines().map_while(Result::ok);
-    let mut until =
-        |what: &str| lines.find(|line| line.contains(what)).unwrap_or_else(|| panic!("no {what}"));
-    let line: serde_json::Value = serde_json::from_str(&until("\"serving\"")).expect("a log line is JSON");
-    let address = line["fields"]["address"].as_str().expect("an address").to_owned();
+    let mut lines = BufReader::new(child.stderr.take().expect("it logs"))
+        .lines()
+        .map_while(Result::ok);
+    let mut until = |what: &str| {
+        lines
+            .find(|line| line.contains(what))
+            .unwrap_or_else(|| panic!("no {what}"))
+    };
+    let line: serde_json::Value =
+        serde_json::from_str(&until("\"serving\"")).expect("a log line is JSON");
+    let address = line["fields"]["address"]
+        .as_str()
+        .expect("an address")
+        .to_owned();
     let ask = |request: &str| {
         let mut io = std::net::TcpStream::connect(&address).expect("it listens");
         io.write_all(request.as_bytes()).expect("written");
@@ -388,8 +517,13 @@
     assert!(ask(ready).starts_with("HTTP/1.1 200 "));
     assert!(ask("noise\r\n\r\n").starts_with("HTTP/1.1 400 "));
     let id = child.id().to_string();
-    let signal =
-        |name: &str| assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
+    let signal = |name: &str| {
+        assert!(Command::new("kill")
+            .args([name, &id])
+            .status()
+            .expect("kill")
+            .success())
+    };
     std::fs::write(&conf, "{").expect("written");
     signal("-HUP");
     until("the old configuration is kept");
--- a/crates/cindercleat-cli/tests/soak.rs
+++ b/crates/cindercleat-cli/tests/soak.rs
@@ -3,15 +3,28 @@
 use std::process::{Command, Output};
 
 fn soak(args: &[&str]) -> (Option<i32>, String, String) {
-    let run = Command::new(env!("CARGO_BIN_EXE_cindercleat")).arg("soak").args(args).output();
-    let Output { status, stdout, stderr } = run.expect("it starts");
+    let run = Command::new(env!("CARGO_BIN_EXE_cindercleat"))
+        .arg("soak")
+        .args(args)
+        .output();
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = run.expect("it starts");
     let text = |bytes| String::from_utf8_lossy(bytes).into_owned();
     (status.code(), text(&stdout), text(&stderr))
 }
 
 fn cases(told: &str, invariant: &str) -> u64 {
-    let cases = told.split("cases ").nth(1).and_then(|rest| rest.split(';').next()).unwrap_or_default();
-    let met = cases.split(", ").find_map(|case| case.strip_prefix(invariant)?.trim().parse().ok());
+    let cases = told
+        .split("cases ")
+        .nth(1)
+        .and_then(|rest| rest.split(';').next())
+        .unwrap_or_default();
+    let met = cases
+        .split(", ")
+        .find_map(|case| case.strip_prefix(invariant)?.trim().parse().ok());
     met.unwrap_or_default()
 }
 
@@ -23,9 +36,12 @@
         let (code, told, problem) = soak(&["--seed", seed, "--processes", "8", "--seconds", "8"]);
         assert_eq!(code, Some(0), "{told}{problem}");
         // A soak that met nothing proves nothing.
-        for (invariant, least) in
-            [("answered", 100), ("run-once", 200), ("drain-kept", 200), ("events-in-time", 400)]
-        {
+        for (invariant, least) in [
+            ("answered", 100),
+            ("run-once", 200),
+            ("drain-kept", 200),
+            ("events-in-time", 400),
+        ] {
             assert!(cases(&told, invariant) >= least, "{invariant}: {told}");
         }
     }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -17,7 +17,10 @@
 
 impl Malformed {
     pub fn new(expected: impl Into<String>, came: impl Into<String>) -> Self {
-        Malformed { expected: expected.into(), came: came.into() }
+        Malformed {
+            expected: expected.into(),
+            came: came.into(),
+        }
     }
 }
 
@@ -59,7 +62,8 @@
 
     fn number<T: FromStr>(&self, path: &str) -> Result<T, Malformed> {
         let text = self.text(path)?;
-        text.parse().map_err(|_| Malformed::new(format!("a number in {path}"), text))
+        text.parse()
+            .map_err(|_| Malformed::new(format!("a number in {path}"), text))
     }
 
     fn amount(&self, path: &str) -> Result<f64, Malformed> {
@@ -82,7 +86,10 @@
     fn time(&self, path: &str) -> Result<Ms, Malformed> {
         let time = self.amount(path)? / 1000.0;
         if time < 0.0 {
-            return Err(Malformed::new(format!("a time of 0 or more in {path}"), self.text(path)?));
+            return Err(Malformed::new(
+                format!("a time of 0 or more in {path}"),
+                self.text(path)?,
+            ));
         }
         Ok(time)
     }
@@ -91,7 +98,10 @@
     fn positive_time(&self, path: &str) -> Result<Ms, Malformed> {
         let time = self.time(path)?;
         if time == 0.0 {
-            return Err(Malformed::new(format!("a time above 0 in {path}"), self.text(path)?));
+            return Err(Malformed::new(
+                format!("a time above 0 in {path}"),
+                self.text(path)?,
+            ));
         }
         Ok(time)
     }
@@ -119,8 +129,12 @@
 
     /// The `at`-th of a list of times, one a profile; nothing where the list is absent.
     fn time_in(&self, path: &str, at: usize) -> Result<Ms, Malformed> {
-        let Some(text) = self.list(path).get(at).copied() else { return Ok(0.0) };
-        let value: f64 = text.parse().map_err(|_| Malformed::new(format!("numbers in {path}"), text))?;
+        let Some(text) = self.list(path).get(at).copied() else {
+            return Ok(0.0);
+        };
+        let value: f64 = text
+            .parse()
+            .map_err(|_| Malformed::new(format!("numbers in {path}"), text))?;
         Ok(value / 1000.0)
     }
 }
@@ -132,7 +146,9 @@
 pub fn read(text: &str) -> Result<Conf, Malformed> {
     let mut pairs = BTreeMap::new();
     for pair in text.split('\t').filter(|pair| !pair.is_empty()) {
-        let (path, value) = pair.split_once('=').ok_or_else(|| Malformed::new("path=value", pair))?;
+        let (path, value) = pair
+            .split_once('=')
+            .ok_or_else(|| Malformed::new("path=value", pair))?;
         pairs.insert(path, value);
     }
     read_pairs(Pairs(pairs))
@@ -146,18 +162,33 @@
 pub fn read_object(object: &Value) -> Result<Conf, Malformed> {
     let mut flat = BTreeMap::new();
     flatten(object, String::new(), &mut flat);
-    read_pairs(Pairs(flat.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect()))
+    read_pairs(Pairs(
+        flat.iter()
+            .map(|(path, value)| (path.as_str(), value.as_str()))
+            .collect(),
+    ))
 }
 
 fn flatten(value: &Value, path: String, flat: &mut BTreeMap<String, String>) {
-    let within = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let within = |name: &str| {
+        if path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, value)| flatten(value, within(name), flat)),
+        Value::Object(fields) => fields
+            .iter()
+            .for_each(|(name, value)| flatten(value, within(name), flat)),
         Value::Array(entries) => {
             let objects = entries.iter().any(Value::is_object);
             if objects || entries.is_empty() {
                 flat.insert(within("count"), entries.len().to_string());
-                entries.iter().enumerate().for_each(|(i, e)| flatten(e, within(&i.to_string()), flat));
+                entries
+                    .iter()
+                    .enumerate()
+                    .for_each(|(i, e)| flatten(e, within(&i.to_string()), flat));
             }
             if !objects {
                 let texts: Vec<String> = entries.iter().map(plain).collect();
@@ -185,13 +216,19 @@
 
 fn read_pairs(pairs: Pairs) -> Result<Conf, Malformed> {
     let profiles: usize = pairs.number("services.count")?;
-    let tenants: usize = if pairs.0.contains_key("orgs.count") { pairs.number("orgs.count")? } else { 0 };
+    let tenants: usize = if pairs.0.contains_key("orgs.count") {
+        pairs.number("orgs.count")?
+    } else {
+        0
+    };
     if profiles == 0 {
         return Err(Malformed::new("at least one class in services", "none"));
     }
     let discovery = match pairs.text("discovery")? {
         "automatic" => Discovery::Pushed,
-        "subscribe" => Discovery::Asked { told_within: pairs.time("rules.askWithin")? },
+        "subscribe" => Discovery::Asked {
+            told_within: pairs.time("rules.askWithin")?,
+        },
         other => return Err(Malformed::new("automatic or subscribe in discovery", other)),
     };
     let settings = Settings {
@@ -199,8 +236,12 @@
         dispatchers: pairs.number("replicasOfMe")?,
         zone: ZoneId(pairs.number("zone")?),
         tick: pairs.time("tick")?,
-        profiles: (0..profiles).map(|i| profile(&pairs, i)).collect::<Result<_, _>>()?,
-        tenants: (0..tenants).map(|i| tenant(&pairs, i)).collect::<Result<_, _>>()?,
+        profiles: (0..profiles)
+            .map(|i| profile(&pairs, i))
+            .collect::<Result<_, _>>()?,
+        tenants: (0..tenants)
+            .map(|i| tenant(&pairs, i))
+            .collect::<Result<_, _>>()?,
         over_share_worth: pairs.amount_or("overShareWorth", 1.0)?,
         kinds: kinds(&pairs)?,
         discovery,
@@ -225,13 +266,21 @@
     };
     let texts = |path: &str| pairs.list(path).into_iter().map(str::to_owned).collect();
     let named = |what: &str, count: usize| {
-        let name = |i| pairs.0.get(format!("{what}.{i}.name").as_str()).map(|name| (*name).to_owned());
+        let name = |i| {
+            pairs
+                .0
+                .get(format!("{what}.{i}.name").as_str())
+                .map(|name| (*name).to_owned())
+        };
         (0..count).map_while(name).collect()
     };
     let link_idle = pairs.time_or("limits.connIdle", 0.0)?;
     let clients_resume = pairs.flag("familyInfo.resume")?;
-    let most_tasks =
-        if pairs.0.contains_key("limits.mostHeld") { Some(pairs.number("limits.mostHeld")?) } else { None };
+    let most_tasks = if pairs.0.contains_key("limits.mostHeld") {
+        Some(pairs.number("limits.mostHeld")?)
+    } else {
+        None
+    };
     Ok(Conf {
         settings,
         columns: texts("stats.columns"),
@@ -257,19 +306,33 @@
                 "cell" => Group::Cell,
                 other => return Err(Malformed::new("all, zone or cell in keyScope", other)),
             };
-            Effect::Numbered { group, window: pairs.time(&at("dedupWindow"))? }
+            Effect::Numbered {
+                group,
+                window: pairs.time(&at("dedupWindow"))?,
+            }
         }
         other => return Err(Malformed::new("safe, keyed or unsafe in effect", other)),
     };
     // A class without a deadline of its own goes by what each request says; one without a target by its deadline.
     let deadline = pairs.time_or(&at("giveUp"), 0.0)?;
-    let target = [pairs.time_or(&at("aim"), 0.0)?, deadline].into_iter().find(|time| *time > 0.0);
-    let none = || Malformed::new(format!("a time above 0 in {} or {}", at("aim"), at("giveUp")), "none");
+    let target = [pairs.time_or(&at("aim"), 0.0)?, deadline]
+        .into_iter()
+        .find(|time| *time > 0.0);
+    let none = || {
+        Malformed::new(
+            format!("a time above 0 in {} or {}", at("aim"), at("giveUp")),
+            "none",
+        )
+    };
     Ok(ProfileSettings {
         effect,
         quoted: target.ok_or_else(none)?,
         quoted_per_1000_tokens: pairs.time_in("familyInfo.aimUsPer1000PromptTokens", i)?,
-        patience: if deadline > 0.0 { deadline } else { f64::INFINITY },
+        patience: if deadline > 0.0 {
+            deadline
+        } else {
+            f64::INFINITY
+        },
         payoff: pairs.amount_or(&at("importance"), 1.0)?,
         late_share: pairs.amount_or(&at("lateShare"), 0.0)?,
         token_pace: pairs.time_in("familyInfo.tokenAim", i)?,
@@ -291,20 +354,40 @@
             "read" => Role::Reader,
             "write" => Role::Writer,
             "both" => Role::Both,
-            other => return Err(Malformed::new("read, write or both in familyInfo.kindRole", other)),
+            other => {
+                return Err(Malformed::new(
+                    "read, write or both in familyInfo.kindRole",
+                    other,
+                ))
+            }
         };
         let memory = memory.get(i).copied().unwrap_or("0");
-        let memory_tokens =
-            memory.parse().map_err(|_| Malformed::new("numbers in familyInfo.tokensByKind", memory))?;
-        Ok(KindSettings { role, memory_tokens })
+        let memory_tokens = memory
+            .parse()
+            .map_err(|_| Malformed::new("numbers in familyInfo.tokensByKind", memory))?;
+        Ok(KindSettings {
+            role,
+            memory_tokens,
+        })
     };
     pairs.text("familyInfo.kindRole")?;
-    let kinds: Vec<KindSettings> =
-        pairs.list("familyInfo.kindRole").into_iter().enumerate().map(kind).collect::<Result<_, _>>()?;
-    let serves = |role| kinds.iter().any(|kind| kind.role == role || kind.role == Role::Both);
+    let kinds: Vec<KindSettings> = pairs
+        .list("familyInfo.kindRole")
+        .into_iter()
+        .enumerate()
+        .map(kind)
+        .collect::<Result<_, _>>()?;
+    let serves = |role| {
+        kinds
+            .iter()
+            .any(|kind| kind.role == role || kind.role == Role::Both)
+    };
     if !serves(Role::Reader) || !serves(Role::Writer) {
         let came = pairs.text("familyInfo.kindRole")?;
-        return Err(Malformed::new("a kind that reads and one that writes in familyInfo.kindRole", came));
+        return Err(Malformed::new(
+            "a kind that reads and one that writes in familyInfo.kindRole",
+            came,
+        ));
     }
     Ok(kinds)
 }
--- a/crates/dispatcher/src/keep.rs
+++ b/crates/dispatcher/src/keep.rs
@@ -36,7 +36,9 @@
     if crc32fast::hash(list).to_be_bytes() != *sum {
         return Err(Unusable::Damaged);
     }
-    HostList::decode(list).map(Some).map_err(|_| Unusable::Damaged)
+    HostList::decode(list)
+        .map(Some)
+        .map_err(|_| Unusable::Damaged)
 }
 
 /// # Errors
@@ -50,6 +52,9 @@
     file.sync_all()?;
     std::fs::rename(beside, path)?;
     // Without it a cut may undo the renaming.
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     File::open(folder)?.sync_all()
 }
--- a/crates/dispatcher/src/ledger/clients.rs
+++ b/crates/dispatcher/src/ledger/clients.rs
@@ -29,10 +29,24 @@
     }
 
     /// Sets the timer for what falls due next, unless an earlier one is set: it looks again.
-    fn arm(&mut self, conn: ConnId, settings: &CallerSettings, limits: &Limits, timers: &mut Timers) {
-        let Some(row) = self.all.get_mut(&conn) else { return };
-        let single = row.single.zip(limits.single).and_then(|(row, l)| row.next_at(&l.clients));
-        let at = row.caller.next_at(settings).min(single.unwrap_or(f64::INFINITY));
+    fn arm(
+        &mut self,
+        conn: ConnId,
+        settings: &CallerSettings,
+        limits: &Limits,
+        timers: &mut Timers,
+    ) {
+        let Some(row) = self.all.get_mut(&conn) else {
+            return;
+        };
+        let single = row
+            .single
+            .zip(limits.single)
+            .and_then(|(row, l)| row.next_at(&l.clients));
+        let at = row
+            .caller
+            .next_at(settings)
+            .min(single.unwrap_or(f64::INFINITY));
         if at < row.armed {
             row.armed = at;
             timers.set(at, Due::Client(conn));
@@ -45,7 +59,14 @@
         let settings = self.settings.callers();
         let caller = Caller::new(&settings, self.now);
         let single = self.settings.limits.single.map(|_| Single::new(self.now));
-        self.callers.all.insert(conn, Row { caller, single, armed: f64::INFINITY });
+        self.callers.all.insert(
+            conn,
+            Row {
+                caller,
+                single,
+                armed: f64::INFINITY,
+            },
+        );
         self.arm_client(conn);
         if self.is_closed() {
             out.push(Output::LeaveClient { conn });
@@ -54,7 +75,8 @@
 
     fn arm_client(&mut self, conn: ConnId) {
         let settings = self.settings.callers();
-        self.callers.arm(conn, &settings, &self.settings.limits, &mut self.timers);
+        self.callers
+            .arm(conn, &settings, &self.settings.limits, &mut self.timers);
     }
 
     pub(super) fn heard_client(&mut self, conn: ConnId) {
@@ -70,7 +92,11 @@
 
     /// A request is there; gives how long ago its first part came.
     pub(super) fn client_asks(&mut self, conn: ConnId) -> Ms {
-        let single = self.callers.all.get_mut(&conn).and_then(|row| row.single.as_mut());
+        let single = self
+            .callers
+            .all
+            .get_mut(&conn)
+            .and_then(|row| row.single.as_mut());
         single.map_or(0.0, |single| single.whole(self.now))
     }
 
@@ -80,7 +106,12 @@
     }
 
     fn change_single(&mut self, conn: ConnId, change: impl FnOnce(&mut Single, Ms)) {
-        if let Some(single) = self.callers.all.get_mut(&conn).and_then(|row| row.single.as_mut()) {
+        if let Some(single) = self
+            .callers
+            .all
+            .get_mut(&conn)
+            .and_then(|row| row.single.as_mut())
+        {
             change(single, self.now);
             self.arm_client(conn);
         }
@@ -88,9 +119,19 @@
 
     /// There may be no more connections of clients, and one more wants to come.
     pub(super) fn make_room(&mut self, out: &mut Vec<Output>) {
-        let all = self.callers.all.iter().filter_map(|(conn, row)| Some((*conn, row.single?)));
-        let Some(conn) = single::shed(all) else { return };
-        let row = self.callers.all.get_mut(&conn).and_then(|row| row.single.as_mut());
+        let all = self
+            .callers
+            .all
+            .iter()
+            .filter_map(|(conn, row)| Some((*conn, row.single?)));
+        let Some(conn) = single::shed(all) else {
+            return;
+        };
+        let row = self
+            .callers
+            .all
+            .get_mut(&conn)
+            .and_then(|row| row.single.as_mut());
         if let Some(why) = row.map(Single::give_up) {
             self.end_single(conn, why, out);
         }
@@ -118,13 +159,18 @@
     /// What has fallen due for a client's connection.
     pub(super) fn look_at_client(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let settings = self.settings.callers();
-        let Some(row) = self.callers.all.get_mut(&conn) else { return };
+        let Some(row) = self.callers.all.get_mut(&conn) else {
+            return;
+        };
         row.armed = f64::INFINITY;
         let single = row.single.as_mut().zip(self.settings.limits.single);
         let why = single.and_then(|(single, limits)| single.wanted(&limits.clients, self.now));
         match row.caller.wanted(&settings, self.now) {
             Some(Do::Ping) => {
-                out.push(Output::ToClient { conn, frame: frame(0, Body::Ping(v1::Ping {})) });
+                out.push(Output::ToClient {
+                    conn,
+                    frame: frame(0, Body::Ping(v1::Ping {})),
+                });
             }
             Some(Do::Close(why)) => {
                 let reason = match why {
@@ -132,7 +178,10 @@
                     Why::Flood => "it calls off more than it may",
                 };
                 self.take_client_closed(conn, out);
-                return out.push(Output::CloseClient { conn, reason: reason.to_owned() });
+                return out.push(Output::CloseClient {
+                    conn,
+                    reason: reason.to_owned(),
+                });
             }
             None => {}
         }
--- a/crates/dispatcher/src/ledger/delivery.rs
+++ b/crates/dispatcher/src/ledger/delivery.rs
@@ -13,8 +13,12 @@
 impl Ledger {
     /// The decisions want to know whether an attempt has reached an engine that runs.
     pub(super) fn confirm(&mut self, id: TaskId, no: LaunchNo, out: &mut Vec<Output>) {
-        let Some(task) = self.tasks.get_mut(&id) else { return };
-        let Some(launch) = task.out.as_mut().filter(|launch| launch.no == no) else { return };
+        let Some(task) = self.tasks.get_mut(&id) else {
+            return;
+        };
+        let Some(launch) = task.out.as_mut().filter(|launch| launch.no == no) else {
+            return;
+        };
         // One whose connection is under way has not gone out: the connection has its own time limit.
         let Some(sent) = launch.sent else { return };
         let host = launch.host.clone();
@@ -41,26 +45,41 @@
 
     /// Whether its engine has run since an attempt was sent.
     pub(super) fn has_arrived(&self, launch: &tasks::Launch) -> bool {
-        launch.sent.is_some_and(|sent| self.links.has_run_since(&launch.host, sent))
+        launch
+            .sent
+            .is_some_and(|sent| self.links.has_run_since(&launch.host, sent))
     }
 
     fn delivered(&mut self, task: TaskId) {
         self.unconfirmed.remove(&task);
-        let Some(launch) = self.tasks.get(&task).and_then(|task| task.out.as_ref()) else { return };
-        self.events.push(Event::Delivered { task, launch: launch.no });
+        let Some(launch) = self.tasks.get(&task).and_then(|task| task.out.as_ref()) else {
+            return;
+        };
+        self.events.push(Event::Delivered {
+            task,
+            launch: launch.no,
+        });
     }
 
     /// Asks an engine for something that any engine answers at once and that costs it little: the release of a request
     /// that is over. A process that has had none yet probes, where that is allowed.
     fn ask_for_sign(&mut self, host: &HostId, out: &mut Vec<Output>) {
-        let over = self.last_over.clone().filter(|origin| !self.origins.contains_key(origin));
+        let over = self
+            .last_over
+            .clone()
+            .filter(|origin| !self.origins.contains_key(origin));
         let Some(origin) = over else {
             if self.settings.policy.may_probe {
                 self.probe(host.clone(), out);
             }
             return;
         };
-        let Some(row) = self.fleet.hosts.get(host).filter(|row| row.condition != Condition::Gone) else {
+        let Some(row) = self
+            .fleet
+            .hosts
+            .get(host)
+            .filter(|row| row.condition != Condition::Gone)
+        else {
             return;
         };
         if self.links.is_asked_in_vain(host) {
@@ -69,13 +88,23 @@
         let address = row.line.address.clone();
         let to = (&mut self.timers, &mut *out);
         // Without a connection there is no sign either.
-        let Ok((link, stream)) = self.links.open(host, &address, Use::Sign, self.now, &self.settings, to)
+        let Ok((link, stream)) =
+            self.links
+                .open(host, &address, Use::Sign, self.now, &self.settings, to)
         else {
             return;
         };
         let within = self.settings.policy.release / ANSWER_PART;
         self.timers.set(self.now + within, Due::Past(link, stream));
-        self.links.send(link, stream, Body::Release(v1::Release { state: None, origin }), out);
+        self.links.send(
+            link,
+            stream,
+            Body::Release(v1::Release {
+                state: None,
+                origin,
+            }),
+            out,
+        );
     }
 
     /// What is doubted of an attempt that is out, and how it stands, for the log.
@@ -87,8 +116,13 @@
             false => "its attempt has not arrived",
         };
         let link = self.links.get(launch.link)?;
-        let since =
-            |at: Ms| if at.is_finite() { format!("{:.0} ms ago", self.now - at) } else { "never".to_owned() };
+        let since = |at: Ms| {
+            if at.is_finite() {
+                format!("{:.0} ms ago", self.now - at)
+            } else {
+                "never".to_owned()
+            }
+        };
         let text = format!(
             "id={} launch={} host={} sent {}, on a connection made {} that carried {} calls; its host was last heard {}, \
              and answered a call that was sent {}",
