--- a/crates/dispatcher/src/ledger/hosts.rs
+++ b/crates/dispatcher/src/ledger/hosts.rs
@@ -13,27 +13,56 @@
 const LEAST_WAIT: Ms = 1.0;
 
 impl Ledger {
-    pub(super) fn launch(&mut self, id: TaskId, host: HostId, until: Option<Ms>, out: &mut Vec<Output>) {
-        let Some(task) = self.tasks.get_mut(&id) else { return };
+    pub(super) fn launch(
+        &mut self,
+        id: TaskId,
+        host: HostId,
+        until: Option<Ms>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(task) = self.tasks.get_mut(&id) else {
+            return;
+        };
         let no = LaunchNo(task.launches);
         task.launches += 1;
         let (holds_no_state, answered) = (self.kv_states.on_offer(id).is_none(), task.answered);
-        let reads = self.fleet.hosts.get(&host).is_some_and(|row| row.role == Role::Reader);
+        let reads = self
+            .fleet
+            .hosts
+            .get(&host)
+            .is_some_and(|row| row.role == Role::Reader);
         let reading = holds_no_state && reads;
         // What must not be ends as never sent.
         if !self.guard_attempt(id, &host, reading, out) {
-            return self.events.push(never_sent(id, no, host, Outcome::Void, answered));
+            return self
+                .events
+                .push(never_sent(id, no, host, Outcome::Void, answered));
         }
-        let (Some(task), Some(row)) = (self.tasks.get_mut(&id), self.fleet.hosts.get(&host)) else { return };
+        let (Some(task), Some(row)) = (self.tasks.get_mut(&id), self.fleet.hosts.get(&host)) else {
+            return;
+        };
         let address = row.line.address.clone();
         let until = until.unwrap_or(task.ends).min(task.ends);
         let state = state_of(self.settings.run, id, no);
         let window = self.settings.limits.window;
         let held = self.kv_states.on_offer(id).map(|state| &state.held);
-        let body = body_of(task, held, reading.then_some(state), &self.fleet, window, until - self.now);
+        let body = body_of(
+            task,
+            held,
+            reading.then_some(state),
+            &self.fleet,
+            window,
+            until - self.now,
+        );
         let purpose = Use::Launch(id, no);
-        let opened =
-            self.links.open(&host, &address, purpose, self.now, &self.settings, (&mut self.timers, out));
+        let opened = self.links.open(
+            &host,
+            &address,
+            purpose,
+            self.now,
+            &self.settings,
+            (&mut self.timers, out),
+        );
         let (link, stream) = match opened {
             Ok(place) => place,
             // The next choice is to pass the host by for a moment, or to judge it: it could not be reached.
@@ -42,7 +71,9 @@
                     Refusal::AllTaken => Outcome::Full,
                     Refusal::NotYet => Outcome::Unreachable,
                 };
-                return self.events.push(never_sent(id, no, host, outcome, task.answered));
+                return self
+                    .events
+                    .push(never_sent(id, no, host, outcome, task.answered));
             }
         };
         task.out = Some(Launch {
@@ -76,9 +107,15 @@
     /// A launch that its connection did not carry, as it was over before anything was written, goes out on
     /// another one: the host has said nothing of it. Tells whether it could.
     fn launch_again(&mut self, id: TaskId, out: &mut Vec<Output>) -> bool {
-        let Some(task) = self.tasks.get_mut(&id).filter(|task| !task.answered) else { return false };
-        let Some(launch) = task.out.as_ref().filter(|launch| !launch.first) else { return false };
-        let Some(row) = self.fleet.hosts.get(&launch.host) else { return false };
+        let Some(task) = self.tasks.get_mut(&id).filter(|task| !task.answered) else {
+            return false;
+        };
+        let Some(launch) = task.out.as_ref().filter(|launch| !launch.first) else {
+            return false;
+        };
+        let Some(row) = self.fleet.hosts.get(&launch.host) else {
+            return false;
+        };
         if row.condition != Condition::Ready {
             return false;
         }
@@ -86,13 +123,28 @@
         let state = launch.reading.then(|| state_of(self.settings.run, id, no));
         let window = self.settings.limits.window;
         let held = self.kv_states.on_offer(id).map(|state| &state.held);
-        let body = body_of(task, held, state, &self.fleet, window, launch.until - self.now);
+        let body = body_of(
+            task,
+            held,
+            state,
+            &self.fleet,
+            window,
+            launch.until - self.now,
+        );
         let to = (&mut self.timers, &mut *out);
         let purpose = Use::Launch(id, no);
-        let opened = self.links.open(&host, &address, purpose, self.now, &self.settings, to);
-        let (Ok((link, stream)), Some(launch)) = (opened, task.out.as_mut()) else { return false };
+        let opened = self
+            .links
+            .open(&host, &address, purpose, self.now, &self.settings, to);
+        let (Ok((link, stream)), Some(launch)) = (opened, task.out.as_mut()) else {
+            return false;
+        };
         (launch.link, launch.stream) = (link, stream);
-        launch.sent = self.links.get(link).filter(|link| link.up).map(|_| self.now);
+        launch.sent = self
+            .links
+            .get(link)
+            .filter(|link| link.up)
+            .map(|_| self.now);
         self.links.send(link, stream, body, out);
         true
     }
@@ -100,17 +152,21 @@
     /// The wire's end of the launch that is out: what has not gone out is taken back, else the host is told.
     /// Tells whether it never went out.
     pub(super) fn stop_launch(&mut self, id: TaskId, out: &mut Vec<Output>) -> bool {
-        let Some(launch) = self.tasks.get(&id).and_then(|t| t.out.as_ref()) else { return true };
+        let Some(launch) = self.tasks.get(&id).and_then(|t| t.out.as_ref()) else {
+            return true;
+        };
         let (link, stream) = (launch.link, launch.stream);
         if self.links.unsend(link, stream) {
-            self.links.close_stream(link, stream, self.now, &mut self.timers);
+            self.links
+                .close_stream(link, stream, self.now, &mut self.timers);
             return true;
         }
         // The stream stays taken until the host ends it: what the host still works on takes room there.
         let prefilled = self.prefill_out(id);
         self.make_past(link, stream);
         if !planted::is(Plant::CancelLost) {
-            self.links.send(link, stream, Body::Cancel(v1::Cancel {}), out);
+            self.links
+                .send(link, stream, Body::Cancel(v1::Cancel {}), out);
         }
         // The prefill may have ended at the host before the cancel comes, with nobody left to hear of it.
         if let Some(held) = prefilled {
@@ -124,20 +180,29 @@
         let task = self.tasks.get(&id)?;
         let launch = task.out.as_ref().filter(|launch| launch.reading)?;
         let state = state_of(self.settings.run, id, launch.no);
-        Some(Held { host: launch.host.clone(), id: state, origin: task.origin() })
+        Some(Held {
+            host: launch.host.clone(),
+            id: state,
+            origin: task.origin(),
+        })
     }
 
     fn make_past(&mut self, id: LinkId, stream: StreamNo) {
         if let Some(link) = self.links.get_mut(id) {
             link.streams.insert(stream, Use::Past);
-            self.timers.set(self.now + self.settings.limits.stall_limit, Due::Past(id, stream));
+            self.timers.set(
+                self.now + self.settings.limits.stall_limit,
+                Due::Past(id, stream),
+            );
         }
     }
 
     /// Guards against a host that hears nothing any more on a connection that never breaks: what was called
     /// off there would take its room for ever.
     pub(super) fn look_at_past(&mut self, id: LinkId, stream: StreamNo, out: &mut Vec<Output>) {
-        let Some(link) = self.links.get(id) else { return };
+        let Some(link) = self.links.get(id) else {
+            return;
+        };
         let unanswered = match link.streams.get(&stream) {
             Some(Use::Release(..)) => Some("it does not answer a release"),
             Some(Use::Sign) => Some("it gives no sign that it runs"),
@@ -160,12 +225,20 @@
     /// The ledger's end of the launch that is out; the decisions are told.
     pub(super) fn end_launch(&mut self, id: TaskId, outcome: Outcome, detail: f64, load: Load) {
         self.note_run(id, outcome);
-        let Some(task) = self.tasks.get_mut(&id) else { return };
-        let Some(launch) = task.out.take() else { return };
+        let Some(task) = self.tasks.get_mut(&id) else {
+            return;
+        };
+        let Some(launch) = task.out.take() else {
+            return;
+        };
         self.unconfirmed.remove(&id);
         if outcome == Outcome::ReadDone {
             let state = state_of(self.settings.run, id, launch.no);
-            let held = Held { host: launch.host.clone(), id: state, origin: task.origin() };
+            let held = Held {
+                host: launch.host.clone(),
+                id: state,
+                origin: task.origin(),
+            };
             self.kv_states.hold(id, held, self.now);
         }
         let latency = self.now - launch.since;
@@ -202,7 +275,9 @@
             _ => {}
         }
         // A prefill that broke may have ended at its host, with the word of it lost: its state would lie there.
-        let held = self.prefill_out(id).filter(|_| matches!(outcome, Outcome::Broken | Outcome::Failed));
+        let held = self
+            .prefill_out(id)
+            .filter(|_| matches!(outcome, Outcome::Broken | Outcome::Failed));
         if let Some(held) = held.filter(|_| !planted::is(Plant::BrokenReadKept)) {
             self.release_leftover(id, held, out);
         }
@@ -216,10 +291,22 @@
         }
         if let Some((doubt, text)) = self.doubt(id).filter(|_| !self.is_answered(id)) {
             let text = format!("attempt given up, {doubt}: {text}");
-            out.push(Output::Log { level: Level::Info, text });
+            out.push(Output::Log {
+                level: Level::Info,
+                text,
+            });
         }
         let unsent = self.stop_launch(id, out);
-        self.end_launch(id, if unsent { Outcome::Void } else { Outcome::CalledOff }, 0.0, Load::default());
+        self.end_launch(
+            id,
+            if unsent {
+                Outcome::Void
+            } else {
+                Outcome::CalledOff
+            },
+            0.0,
+            Load::default(),
+        );
     }
 
     pub(super) fn time_out(&mut self, id: TaskId, no: LaunchNo, out: &mut Vec<Output>) {
@@ -228,19 +315,37 @@
             return;
         }
         let unsent = self.stop_launch(id, out);
-        self.end_launch(id, if unsent { Outcome::Void } else { Outcome::TimedOut }, 0.0, Load::default());
+        self.end_launch(
+            id,
+            if unsent {
+                Outcome::Void
+            } else {
+                Outcome::TimedOut
+            },
+            0.0,
+            Load::default(),
+        );
     }
 
     pub(super) fn hold_ahead(&mut self, id: TaskId, host: &HostId, out: &mut Vec<Output>) {
-        let Some(launch) = self.tasks.get(&id).and_then(|t| t.out.as_ref()) else { return };
+        let Some(launch) = self.tasks.get(&id).and_then(|t| t.out.as_ref()) else {
+            return;
+        };
         let state = state_of(self.settings.run, id, launch.no);
         let purpose = Use::Hold(id, launch.no);
-        let Some(row) = self.fleet.hosts.get(host).filter(|r| r.condition == Condition::Ready) else {
+        let Some(row) = self
+            .fleet
+            .hosts
+            .get(host)
+            .filter(|r| r.condition == Condition::Ready)
+        else {
             return;
         };
         let address = row.line.address.clone();
         let to = (&mut self.timers, &mut *out);
-        let opened = self.links.open(host, &address, purpose, self.now, &self.settings, to);
+        let opened = self
+            .links
+            .open(host, &address, purpose, self.now, &self.settings, to);
         if let Ok((link, stream)) = opened {
             let body = Body::Hold(v1::Hold { state: Some(state) });
             self.links.send(link, stream, body, out);
@@ -251,34 +356,66 @@
     pub(super) fn move_away(&mut self, id: TaskId, out: &mut Vec<Output>) {
         if self.tasks.get(&id).is_some_and(Task::streams) {
             self.stop_launch(id, out);
-            self.answer(id, v1::Answer::WrittenOff, 0.0, "moved: come back for the rest", out);
+            self.answer(
+                id,
+                v1::Answer::WrittenOff,
+                0.0,
+                "moved: come back for the rest",
+                out,
+            );
             self.end_launch(id, Outcome::CalledOff, 0.0, Load::default());
         }
     }
 
     pub(super) fn probe(&mut self, host: HostId, out: &mut Vec<Output>) {
-        let address = self.fleet.hosts.get(&host).map(|row| row.line.address.clone());
+        let address = self
+            .fleet
+            .hosts
+            .get(&host)
+            .map(|row| row.line.address.clone());
         let purpose = Use::Probe { sent: self.now };
         let to = (&mut self.timers, &mut *out);
-        let opened =
-            address.and_then(|a| self.links.open(&host, &a, purpose, self.now, &self.settings, to).ok());
+        let opened = address.and_then(|a| {
+            self.links
+                .open(&host, &a, purpose, self.now, &self.settings, to)
+                .ok()
+        });
         let Some((link, stream)) = opened else {
             let (outcome, load) = (Outcome::Unreachable, Load::default());
-            return self.events.push(Event::Probed { host, outcome, latency: 0.0, load });
+            return self.events.push(Event::Probed {
+                host,
+                outcome,
+                latency: 0.0,
+                load,
+            });
         };
-        self.timers.set(self.now + self.settings.limits.probe_timeout, Due::Probe(link, stream));
-        self.links.send(link, stream, Body::Probe(v1::Probe {}), out);
+        self.timers.set(
+            self.now + self.settings.limits.probe_timeout,
+            Due::Probe(link, stream),
+        );
+        self.links
+            .send(link, stream, Body::Probe(v1::Probe {}), out);
     }
 
     pub(super) fn end_probe(&mut self, id: LinkId, stream: StreamNo, outcome: Outcome, load: Load) {
-        let Some(link) = self.links.get_mut(id) else { return };
-        let Some(Use::Probe { sent }) = link.streams.get(&stream).cloned() else { return };
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
+        let Some(Use::Probe { sent }) = link.streams.get(&stream).cloned() else {
+            return;
+        };
         let host = link.host.clone();
-        self.events.push(Event::Probed { host, outcome, latency: self.now - sent, load });
+        self.events.push(Event::Probed {
+            host,
+            outcome,
+            latency: self.now - sent,
+            load,
+        });
         if outcome == Outcome::TimedOut && !self.links.unsend(id, stream) {
             self.make_past(id, stream);
         } else {
-            self.links.close_stream(id, stream, self.now, &mut self.timers);
+            self.links
+                .close_stream(id, stream, self.now, &mut self.timers);
         }
     }
 
@@ -299,10 +436,14 @@
         self.links.come_up(id, limit, self.now, &mut self.timers);
         // Guards against a drain that was learned while the link came up: a launch that has not gone out does
         // not go out any more, and is known not to have run.
-        let ready = self.fleet.condition(&host) == Condition::Ready || planted::is(Plant::DrainReadLate);
+        let ready =
+            self.fleet.condition(&host) == Condition::Ready || planted::is(Plant::DrainReadLate);
         self.flush_releases(&host, out);
         for (stream, mut body) in waiting {
-            let purpose = self.links.get(id).and_then(|l| l.streams.get(&stream).cloned());
+            let purpose = self
+                .links
+                .get(id)
+                .and_then(|l| l.streams.get(&stream).cloned());
             if let Some(Use::Launch(task, _)) = &purpose {
                 self.tell_time_left(*task, &mut body);
             }
@@ -332,19 +473,30 @@
     /// The connection of a release has come up: it goes out now, unless there is nothing to release any more, or its request
     /// needs what is held.
     fn release_goes_out(&mut self, id: LinkId, stream: StreamNo, call: &ReleaseCall) -> bool {
-        let goes_out = self.kv_states.to_release(call.task).is_some_and(|state| !self.is_needed(state));
+        let goes_out = self
+            .kv_states
+            .to_release(call.task)
+            .is_some_and(|state| !self.is_needed(state));
         if !goes_out {
             self.close_stream(id, stream);
             self.release_unsent(call);
         } else if let Some(link) = self.links.get_mut(id) {
-            link.streams.insert(stream, Use::Release(ReleaseCall { begun: self.now, ..call.clone() }));
+            link.streams.insert(
+                stream,
+                Use::Release(ReleaseCall {
+                    begun: self.now,
+                    ..call.clone()
+                }),
+            );
         }
         goes_out
     }
 
     /// A launch that has waited for its connection tells its host what is left now.
     fn tell_time_left(&self, task: TaskId, body: &mut Body) {
-        let Some(launch) = self.tasks.get(&task).and_then(|task| task.out.as_ref()) else { return };
+        let Some(launch) = self.tasks.get(&task).and_then(|task| task.out.as_ref()) else {
+            return;
+        };
         let left = (launch.until - self.now).max(LEAST_WAIT);
         match body {
             Body::Read(read) => read.wait_ms = left,
@@ -358,7 +510,8 @@
     }
 
     fn close_stream(&mut self, id: LinkId, stream: StreamNo) -> Option<Use> {
-        self.links.close_stream(id, stream, self.now, &mut self.timers)
+        self.links
+            .close_stream(id, stream, self.now, &mut self.timers)
     }
 
     /// What has fallen due for the links to a host.
@@ -373,7 +526,8 @@
                     self.links.dial(host, &address, self.now, to);
                 }
                 Do::Ping(id) => {
-                    self.links.send(LinkId(id.0), StreamNo(0), Body::Ping(v1::Ping {}), out);
+                    self.links
+                        .send(LinkId(id.0), StreamNo(0), Body::Ping(v1::Ping {}), out);
                 }
                 Do::Close(id, why) => {
                     let reason = match why {
@@ -392,34 +546,60 @@
     /// Closes a link from this side.
     pub(super) fn drop_link(&mut self, id: LinkId, reason: &str, out: &mut Vec<Output>) {
         if self.links.get(id).is_some() {
-            out.push(Output::CloseLink { link: id, reason: reason.to_owned() });
+            out.push(Output::CloseLink {
+                link: id,
+                reason: reason.to_owned(),
+            });
             self.take_link_closed(id, reason, out);
         }
     }
 
     /// Whatever was out on a link that came up may have run; on one that did not, nothing was sent.
     pub(super) fn take_link_closed(&mut self, id: LinkId, reason: &str, out: &mut Vec<Output>) {
-        let Some(link) = self.links.remove(id, self.now) else { return };
+        let Some(link) = self.links.remove(id, self.now) else {
+            return;
+        };
         let outcome = match link.up {
             true if planted::is(Plant::BrokenAsFull) => Outcome::Full,
             true => Outcome::Broken,
             false => Outcome::Unreachable,
         };
         // A connection that ends with what was called off ends as it should.
-        let streams = link.streams.values().filter(|purpose| **purpose != Use::Past).count();
+        let streams = link
+            .streams
+            .values()
+            .filter(|purpose| **purpose != Use::Past)
+            .count();
         if streams > 0 {
-            let text = format!("link to {} over with {streams} streams: {reason}", link.host.0);
-            out.push(Output::Log { level: Level::Warn, text });
+            let text = format!(
+                "link to {} over with {streams} streams: {reason}",
+                link.host.0
+            );
+            out.push(Output::Log {
+                level: Level::Warn,
+                text,
+            });
         }
         self.retry_releases(&link.host);
         for (_, purpose) in link.streams {
             match purpose {
                 Use::Launch(task, _) => {
-                    self.finish_launch(task, outcome, "the writer's connection broke", Load::default(), out);
+                    self.finish_launch(
+                        task,
+                        outcome,
+                        "the writer's connection broke",
+                        Load::default(),
+                        out,
+                    );
                 }
                 Use::Probe { sent } => {
                     let (host, load) = (link.host.clone(), Load::default());
-                    self.events.push(Event::Probed { host, outcome, latency: self.now - sent, load });
+                    self.events.push(Event::Probed {
+                        host,
+                        outcome,
+                        latency: self.now - sent,
+                        load,
+                    });
                 }
                 Use::Release(call) => self.release_lost(link.host.clone(), &call),
                 Use::HostRelease(release) => self.host_release_lost(link.host.clone(), release),
@@ -433,7 +613,9 @@
         let stream = StreamNo(frame.stream);
         // What comes after a link was given up here is old.
         self.links.heard(id, self.now);
-        let Some(link) = self.links.get(id) else { return };
+        let Some(link) = self.links.get(id) else {
+            return;
+        };
         let host = link.host.clone();
         let purpose = link.streams.get(&stream).cloned();
         // A goodbye is said on this side, of a connection that is over.
@@ -448,7 +630,9 @@
         }
         let name = name_of(frame.body.as_ref());
         let good = match (purpose, frame.body) {
-            (Some(Use::Launch(task, _)), Some(Body::Tokens(tokens))) => self.take_tokens(task, tokens, out),
+            (Some(Use::Launch(task, _)), Some(Body::Tokens(tokens))) => {
+                self.take_tokens(task, tokens, out)
+            }
             (Some(Use::Launch(task, _)), Some(Body::Ended(ended))) => {
                 self.close_stream(id, stream);
                 self.take_ended(task, &ended, out)
@@ -461,9 +645,16 @@
                 self.links.leaving(id, &mut self.timers);
                 let again = bye.never_ran && reused && self.launch_again(task, out);
                 if !again {
-                    let outcome = if bye.never_ran { Outcome::Unreachable } else { Outcome::Broken };
+                    let outcome = if bye.never_ran {
+                        Outcome::Unreachable
+                    } else {
+                        Outcome::Broken
+                    };
                     let text = format!("launch at {} over: {}", host.0, bye.reason);
-                    out.push(Output::Log { level: Level::Info, text });
+                    out.push(Output::Log {
+                        level: Level::Info,
+                        text,
+                    });
                     self.finish_launch(task, outcome, "the connection broke", Load::default(), out);
                 }
                 true
@@ -474,7 +665,12 @@
             }
             (Some(Use::Hold(task, launch)), Some(Body::Place(place))) => {
                 self.close_stream(id, stream);
-                self.events.push(Event::Place { task, launch, host: host.clone(), held: place.held });
+                self.events.push(Event::Place {
+                    task,
+                    launch,
+                    host: host.clone(),
+                    held: place.held,
+                });
                 true
             }
             (Some(Use::Past), Some(Body::Ended(ended))) => {
@@ -516,7 +712,12 @@
             }
             (Some(Use::Hold(task, launch)), Some(Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
-                self.events.push(Event::Place { task, launch, host: host.clone(), held: false });
+                self.events.push(Event::Place {
+                    task,
+                    launch,
+                    host: host.clone(),
+                    held: false,
+                });
                 true
             }
             (Some(Use::Past), Some(Body::Tokens(_))) => true,
@@ -530,8 +731,14 @@
         if !good {
             // Guards against a host that does not keep to the protocol: nothing more that it says on this
             // connection can be believed. What was out there may have run.
-            let text = format!("host {} sent {name} on stream {} where it cannot be", host.0, stream.0);
-            out.push(Output::Log { level: Level::Warn, text });
+            let text = format!(
+                "host {} sent {name} on stream {} where it cannot be",
+                host.0, stream.0
+            );
+            out.push(Output::Log {
+                level: Level::Warn,
+                text,
+            });
             self.drop_link(id, "it does not keep to the protocol", out);
         }
     }
@@ -540,20 +747,31 @@
     /// or it would stay pinned.
     fn take_late_end(&mut self, host: HostId, ended: &v1::Ended, out: &mut Vec<Output>) {
         if let (v1::Status::ReadDone, Some(state)) = (ended.status(), ended.state) {
-            self.release_unless_planted(Held { host, id: state, origin: String::new() }, out);
+            self.release_unless_planted(
+                Held {
+                    host,
+                    id: state,
+                    origin: String::new(),
+                },
+                out,
+            );
         }
     }
 
     /// Tells whether the host may say so.
     fn take_ended(&mut self, id: TaskId, ended: &v1::Ended, out: &mut Vec<Output>) -> bool {
-        let Some(launch) = self.tasks.get(&id).and_then(|t| t.out.as_ref()) else { return true };
+        let Some(launch) = self.tasks.get(&id).and_then(|t| t.out.as_ref()) else {
+            return true;
+        };
         let load = ended.load.as_ref().map(load_of).unwrap_or_default();
         let (reading, first) = (launch.reading, launch.first);
         match ended.status() {
             v1::Status::ReadDone if reading => {
                 self.end_launch(id, Outcome::ReadDone, f64::from(ended.kept_tokens), load);
             }
-            v1::Status::Fulfilled if !reading => self.finish_launch(id, Outcome::Fulfilled, "", load, out),
+            v1::Status::Fulfilled if !reading => {
+                self.finish_launch(id, Outcome::Fulfilled, "", load, out)
+            }
             v1::Status::Full if !first => self.end_launch(id, Outcome::Full, 0.0, load),
             v1::Status::NoState if !reading && !first => {
                 self.end_launch(id, Outcome::Full, 1.0, load);
@@ -568,7 +786,13 @@
             v1::Status::Failed => self.finish_launch(id, Outcome::Failed, &ended.reason, load, out),
             _ => {
                 // The stream is closed already; the launch ends with the link, and may have run.
-                self.finish_launch(id, Outcome::Broken, "the writer broke the protocol", load, out);
+                self.finish_launch(
+                    id,
+                    Outcome::Broken,
+                    "the writer broke the protocol",
+                    load,
+                    out,
+                );
                 return false;
             }
         }
@@ -577,8 +801,12 @@
 
     /// Tells whether the host may say so: a writer, the next tokens, within its credit.
     fn take_tokens(&mut self, id: TaskId, tokens: v1::Tokens, out: &mut Vec<Output>) -> bool {
-        let Some(task) = self.tasks.get_mut(&id) else { return true };
-        let Some(launch) = task.out.as_mut() else { return true };
+        let Some(task) = self.tasks.get_mut(&id) else {
+            return true;
+        };
+        let Some(launch) = task.out.as_mut() else {
+            return true;
+        };
         if launch.reading || tokens.position != launch.position || launch.came >= launch.credited {
             return false;
         }
@@ -599,21 +827,43 @@
             // No launch can need it any more.
             task.submit.prompt = Default::default();
             let (no, host, latency) = (launch.no, launch.host.clone(), self.now - launch.since);
-            self.timers.set(self.now + self.settings.limits.stall_limit, Due::Stall(id, no));
-            self.events.push(Event::FirstToken { task: id, launch: no, host, latency });
+            self.timers.set(
+                self.now + self.settings.limits.stall_limit,
+                Due::Stall(id, no),
+            );
+            self.events.push(Event::FirstToken {
+                task: id,
+                launch: no,
+                host,
+                latency,
+            });
         }
         let (conn, stream) = task.ticket;
         if planted::is(Plant::TokensTwice) {
-            out.push(Output::ToClient { conn, frame: frame(stream.0, Body::Tokens(tokens.clone())) });
-        }
-        out.push(Output::ToClient { conn, frame: frame(stream.0, Body::Tokens(tokens)) });
+            out.push(Output::ToClient {
+                conn,
+                frame: frame(stream.0, Body::Tokens(tokens.clone())),
+            });
+        }
+        out.push(Output::ToClient {
+            conn,
+            frame: frame(stream.0, Body::Tokens(tokens)),
+        });
         true
     }
 
     /// The client has taken some of a stream: the writer may send as much more.
     pub(super) fn take_flushed(&mut self, ticket: Ticket, messages: u32, out: &mut Vec<Output>) {
-        let Some(task) = self.tickets.get(&ticket).and_then(|id| self.tasks.get_mut(id)) else { return };
-        let Some(launch) = task.out.as_mut() else { return };
+        let Some(task) = self
+            .tickets
+            .get(&ticket)
+            .and_then(|id| self.tasks.get_mut(id))
+        else {
+            return;
+        };
+        let Some(launch) = task.out.as_mut() else {
+            return;
+        };
         launch.gone = (launch.gone + messages).min(launch.came);
         launch.last_gone = self.now;
         let room = (launch.gone + self.settings.limits.window).saturating_sub(launch.credited);
@@ -628,23 +878,43 @@
     /// Guards against streams that neither go on nor end: a writer that stalls is given up as broken, and a
     /// client that takes nothing has left. A writer that waits for credit does not stall.
     pub(super) fn look_at_stream(&mut self, id: TaskId, no: LaunchNo, out: &mut Vec<Output>) {
-        let Some(task) = self.tasks.get(&id) else { return };
-        let Some(launch) = task.out.as_ref().filter(|l| l.no == no) else { return };
+        let Some(task) = self.tasks.get(&id) else {
+            return;
+        };
+        let Some(launch) = task.out.as_ref().filter(|l| l.no == no) else {
+            return;
+        };
         let client_waits = launch.gone == launch.came;
-        let since = if client_waits { launch.last_came.max(launch.last_gone) } else { launch.last_gone };
+        let since = if client_waits {
+            launch.last_came.max(launch.last_gone)
+        } else {
+            launch.last_gone
+        };
         let limit = self.settings.limits.stall_limit;
         if self.now < since + limit {
             return self.timers.set(since + limit, Due::Stall(id, no));
         }
         if client_waits {
             let text = format!("stream of task {} stalled at {}", id.0, launch.host.0);
-            out.push(Output::Log { level: Level::Warn, text });
+            out.push(Output::Log {
+                level: Level::Warn,
+                text,
+            });
             self.stop_launch(id, out);
-            self.finish_launch(id, Outcome::Broken, "the writer stalled", Load::default(), out);
+            self.finish_launch(
+                id,
+                Outcome::Broken,
+                "the writer stalled",
+                Load::default(),
+                out,
+            );
         } else {
             let (conn, _) = task.ticket;
             self.leave(id, out);
-            out.push(Output::CloseClient { conn, reason: "it takes nothing".to_owned() });
+            out.push(Output::CloseClient {
+                conn,
+                reason: "it takes nothing".to_owned(),
+            });
         }
     }
 }
@@ -661,12 +931,25 @@
 
 /// The name of the state that a launch makes or takes.
 fn state_of(run: u64, task: TaskId, launch: LaunchNo) -> v1::StateId {
-    v1::StateId { run, task: task.0, launch: launch.0 }
+    v1::StateId {
+        run,
+        task: task.0,
+        launch: launch.0,
+    }
 }
 
 fn never_sent(task: TaskId, launch: LaunchNo, host: HostId, outcome: Outcome, last: bool) -> Event {
     let load = Load::default();
-    Event::Ended(Ended { task, launch, host, outcome, latency: 0.0, last, detail: 0.0, load })
+    Event::Ended(Ended {
+        task,
+        launch,
+        host,
+        outcome,
+        latency: 0.0,
+        last,
+        detail: 0.0,
+        load,
+    })
 }
 
 /// What a launch says to its host; `state`: what a read is to leave, none for a write.
@@ -706,7 +989,9 @@
     Body::Write(v1::Write {
         state: held.map(|held| held.id),
         reader: reader.map(|row| row.line.host.clone()).unwrap_or_default(),
-        reader_address: reader.map(|row| row.line.address.clone()).unwrap_or_default(),
+        reader_address: reader
+            .map(|row| row.line.address.clone())
+            .unwrap_or_default(),
         key: submit.key.clone(),
         session: submit.session,
         shared_text: submit.shared_text,
--- a/crates/dispatcher/src/ledger/invariants.rs
+++ b/crates/dispatcher/src/ledger/invariants.rs
@@ -68,14 +68,20 @@
         reading: bool,
         out: &mut Vec<Output>,
     ) -> bool {
-        let Some(task) = self.tasks.get(&id) else { return false };
+        let Some(task) = self.tasks.get(&id) else {
+            return false;
+        };
         let starts = !task.answered
             && task.out.is_none()
             && task.launches <= self.settings.policy.max_launches
             && self.now <= task.ends;
         let sends = self.fleet.condition(host) == Condition::Ready;
         let repeats = reading || self.may_run_at(task, host);
-        let checks = [(Invariant::Start, starts), (Invariant::Send, sends), (Invariant::Repeat, repeats)];
+        let checks = [
+            (Invariant::Start, starts),
+            (Invariant::Send, sends),
+            (Invariant::Repeat, repeats),
+        ];
         checks.into_iter().fold(true, |good, (invariant, holds)| {
             self.check(invariant, holds, id, host.0.as_ref(), out) && good
         })
@@ -83,11 +89,16 @@
 
     /// Tells whether a request may be refused with the word that trying again is harmless.
     pub(super) fn guard_refusal(&mut self, id: TaskId, out: &mut Vec<Output>) -> bool {
-        let Some(task) = self.tasks.get(&id) else { return true };
+        let Some(task) = self.tasks.get(&id) else {
+            return true;
+        };
         let decodes = task.out.as_ref().is_some_and(|launch| !launch.reading);
         let may_have_run = decodes || task.first_run.is_some();
         let harmless = match task.effect {
-            Effect::Reissuable | Effect::Numbered { group: Group::All, .. } => true,
+            Effect::Reissuable
+            | Effect::Numbered {
+                group: Group::All, ..
+            } => true,
             Effect::Numbered { .. } | Effect::AtMostOnce => !may_have_run,
         };
         self.check(Invariant::Close, harmless, id, "refused", out)
@@ -96,7 +107,8 @@
     /// Has the guard look at what is held for a request once it ought to be taken or released.
     pub(super) fn arm_guard(&mut self, id: TaskId) {
         if self.settings.limits.single.is_some() && self.kv_states.get(id).is_some() {
-            self.timers.set(self.now + self.held_at_most(), Due::Held(id));
+            self.timers
+                .set(self.now + self.held_at_most(), Due::Held(id));
         }
     }
 
@@ -106,7 +118,9 @@
 
     /// Sees to it that a state is released which the decisions have left, or whose release was forgotten.
     pub(super) fn guard_held(&mut self, id: TaskId, out: &mut Vec<Output>) {
-        let Some(state) = self.kv_states.get(id) else { return };
+        let Some(state) = self.kv_states.get(id) else {
+            return;
+        };
         let launch = self.tasks.get(&id).and_then(|task| task.out.as_ref());
         if launch.is_some_and(|launch| state.is_to_release() || self.has_arrived(launch)) {
             return self.arm_guard(id);
@@ -114,7 +128,10 @@
         let is_on_offer = state.is_on_offer();
         let (from, is_on_its_way) = match is_on_offer {
             true => (state.held_since, false),
-            false => (state.release.since, state.release.last_begun >= state.release.since),
+            false => (
+                state.release.since,
+                state.release.last_begun >= state.release.since,
+            ),
         };
         let due = from + self.held_at_most();
         if is_on_its_way {
@@ -133,28 +150,49 @@
 
     /// Notes that the attempt of a task that is out may have run, if its end leaves that open.
     pub(super) fn note_run(&mut self, id: TaskId, outcome: Outcome) {
-        let Some(task) = self.tasks.get_mut(&id) else { return };
-        let Some(launch) = task.out.as_ref().filter(|launch| !launch.reading) else { return };
-        let open = [Outcome::Failed, Outcome::TimedOut, Outcome::Broken, Outcome::CalledOff];
+        let Some(task) = self.tasks.get_mut(&id) else {
+            return;
+        };
+        let Some(launch) = task.out.as_ref().filter(|launch| !launch.reading) else {
+            return;
+        };
+        let open = [
+            Outcome::Failed,
+            Outcome::TimedOut,
+            Outcome::Broken,
+            Outcome::CalledOff,
+        ];
         if task.first_run.is_none() && open.contains(&outcome) {
             let line = self.fleet.hosts.get(&launch.host).map(|row| &row.line);
-            let (zone, cell) = line.map(|line| (line.zone.clone(), line.cell.clone())).unwrap_or_default();
-            task.first_run = Some(FirstRun { zone, cell, at: launch.since });
+            let (zone, cell) = line
+                .map(|line| (line.zone.clone(), line.cell.clone()))
+                .unwrap_or_default();
+            task.first_run = Some(FirstRun {
+                zone,
+                cell,
+                at: launch.since,
+            });
         }
     }
 
     /// Whether a request's effect lets it run at a host, by what may have run before.
     fn may_run_at(&self, task: &Task, host: &HostId) -> bool {
-        let (Some(first), Some(row)) = (&task.first_run, self.fleet.hosts.get(host)) else { return true };
+        let (Some(first), Some(row)) = (&task.first_run, self.fleet.hosts.get(host)) else {
+            return true;
+        };
         match task.effect {
             Effect::Reissuable => true,
             Effect::AtMostOnce => false,
             Effect::Numbered { window, .. } if self.now >= first.at + window => false,
-            Effect::Numbered { group: Group::All, .. } => true,
-            Effect::Numbered { group: Group::Zone, .. } => first.zone == row.line.zone,
-            Effect::Numbered { group: Group::Cell, .. } => {
-                (&first.zone, &first.cell) == (&row.line.zone, &row.line.cell)
-            }
+            Effect::Numbered {
+                group: Group::All, ..
+            } => true,
+            Effect::Numbered {
+                group: Group::Zone, ..
+            } => first.zone == row.line.zone,
+            Effect::Numbered {
+                group: Group::Cell, ..
+            } => (&first.zone, &first.cell) == (&row.line.zone, &row.line.cell),
         }
     }
 
@@ -170,8 +208,14 @@
         if !holds {
             *self.guarded.violated.entry(invariant).or_insert(0) += 1;
             let origin = self.tasks.get(&id).map(Task::origin).unwrap_or_default();
-            let text = format!("invariant violated: {invariant}; task={} id={origin} at {what}", id.0);
-            out.push(Output::Log { level: Level::Warn, text });
+            let text = format!(
+                "invariant violated: {invariant}; task={} id={origin} at {what}",
+                id.0
+            );
+            out.push(Output::Log {
+                level: Level::Warn,
+                text,
+            });
         }
         holds
     }
--- a/crates/dispatcher/src/ledger/kv_states.rs
+++ b/crates/dispatcher/src/ledger/kv_states.rs
@@ -46,7 +46,8 @@
 impl UnansweredEnd {
     /// From when on a release does not overtake it any more, if that is known.
     fn is_past_at(&self, release_time: Ms) -> Option<Ms> {
-        self.known_at.map(|known| known + release_time / CLOSE_ARRIVES_PART)
+        self.known_at
+            .map(|known| known + release_time / CLOSE_ARRIVES_PART)
     }
 }
 
@@ -110,7 +111,14 @@
 impl KvState {
     fn new(held: Held, step: Step, now: Ms) -> Self {
         let release = ReleaseProgress::new(now);
-        KvState { held, step, held_since: now, release, has_leftover: false, unanswered: Vec::new() }
+        KvState {
+            held,
+            step,
+            held_since: now,
+            release,
+            has_leftover: false,
+            unanswered: Vec::new(),
+        }
     }
 
     /// Whether an attempt may take it.
@@ -126,18 +134,28 @@
     /// Whether the confirmation of a call proves that nothing is held any more: it began after every attempt of the request
     /// was over, where its engine knew it. No attempt of the request is out.
     pub fn is_released_by(&self, call: &ReleaseCall, release_time: Ms) -> bool {
-        call.begun >= self.release.since && self.counts_from(release_time).is_some_and(|at| call.begun >= at)
+        call.begun >= self.release.since
+            && self
+                .counts_from(release_time)
+                .is_some_and(|at| call.begun >= at)
     }
 
     /// From when on a call counts, if all engines have shown that they work.
     pub fn counts_from(&self, release_time: Ms) -> Option<Ms> {
-        let past: Option<Vec<Ms>> = self.unanswered.iter().map(|end| end.is_past_at(release_time)).collect();
+        let past: Option<Vec<Ms>> = self
+            .unanswered
+            .iter()
+            .map(|end| end.is_past_at(release_time))
+            .collect();
         past.map(|past| past.into_iter().fold(f64::NEG_INFINITY, f64::max))
     }
 
     /// The engines that have not shown since that they work.
     pub fn unknowing(&self) -> impl Iterator<Item = &HostId> {
-        self.unanswered.iter().filter(|end| end.known_at.is_none()).map(|end| &end.engine)
+        self.unanswered
+            .iter()
+            .filter(|end| end.known_at.is_none())
+            .map(|end| &end.engine)
     }
 
     /// Whether an attempt for it ended without a word of its engine's.
@@ -169,7 +187,8 @@
 
     /// States that are to be released, of which no engine has confirmed it since their last attempt ended.
     pub fn unconfirmed(&self) -> usize {
-        let is_unconfirmed = |state: &&KvState| state.is_to_release() && state.release.confirmed == 0;
+        let is_unconfirmed =
+            |state: &&KvState| state.is_to_release() && state.release.confirmed == 0;
         self.states.values().filter(is_unconfirmed).count()
     }
 
@@ -185,7 +204,10 @@
 
     /// States that are to be released.
     pub fn releasing(&self) -> usize {
-        self.states.values().filter(|state| state.is_to_release()).count()
+        self.states
+            .values()
+            .filter(|state| state.is_to_release())
+            .count()
     }
 
     /// A prefill has ended: its engine holds the state.
@@ -197,14 +219,19 @@
                 state.has_leftover = true;
             }
             None => {
-                self.states.insert(task, KvState::new(held, Step::Held, now));
+                self.states
+                    .insert(task, KvState::new(held, Step::Held, now));
             }
         }
     }
 
     /// A decode attempt goes out that may take it.
     pub fn offer(&mut self, task: TaskId, attempt: LaunchNo) {
-        if let Some(state) = self.states.get_mut(&task).filter(|state| state.is_on_offer()) {
+        if let Some(state) = self
+            .states
+            .get_mut(&task)
+            .filter(|state| state.is_on_offer())
+        {
             state.step = Step::Offered(attempt);
         }
     }
@@ -212,7 +239,11 @@
     /// The decode attempt is over and has not taken it.
     pub fn take_back(&mut self, task: TaskId, attempt: LaunchNo) {
         let steps = [Step::Offered(attempt), Step::OfferedInDoubt(attempt)];
-        if let Some(state) = self.states.get_mut(&task).filter(|state| steps.contains(&state.step)) {
+        if let Some(state) = self
+            .states
+            .get_mut(&task)
+            .filter(|state| steps.contains(&state.step))
+        {
             state.step = Step::Held;
         }
     }
@@ -233,16 +264,23 @@
 
     /// It is to be released, unless the attempt that is out waits for it.
     pub fn doubt(&mut self, task: TaskId, now: Ms) {
-        let Some(state) = self.states.get_mut(&task) else { return };
+        let Some(state) = self.states.get_mut(&task) else {
+            return;
+        };
         if let Step::Offered(attempt) = state.step {
-            (state.step, state.release) = (Step::OfferedInDoubt(attempt), ReleaseProgress::new(now));
+            (state.step, state.release) =
+                (Step::OfferedInDoubt(attempt), ReleaseProgress::new(now));
             self.due.insert(task);
         }
     }
 
     /// It is to be released.
     pub fn want_release(&mut self, task: TaskId, now: Ms) {
-        if let Some(state) = self.states.get_mut(&task).filter(|state| state.is_on_offer()) {
+        if let Some(state) = self
+            .states
+            .get_mut(&task)
+            .filter(|state| state.is_on_offer())
+        {
             state.has_leftover = false;
             (state.step, state.release) = (Step::ReleaseWanted, ReleaseProgress::new(now));
             self.due.insert(task);
@@ -251,7 +289,10 @@
 
     /// A prefill was cut off, which may have ended just then: what it may have left is to be released.
     pub fn want_leftover_released(&mut self, task: TaskId, held: Held, now: Ms) {
-        let state = self.states.entry(task).or_insert_with(|| KvState::new(held, Step::ReleaseWanted, now));
+        let state = self
+            .states
+            .entry(task)
+            .or_insert_with(|| KvState::new(held, Step::ReleaseWanted, now));
         state.has_leftover |= state.is_on_offer();
         self.due.insert(task);
     }
@@ -259,10 +300,16 @@
     /// An attempt of a request is over: what is to be released of it can be now. `unanswered`: the attempt's engine, if that
     /// has not said a word of it.
     pub fn attempt_over(&mut self, task: TaskId, unanswered: Option<HostId>, now: Ms) {
-        let Some(state) = self.states.get_mut(&task) else { return };
+        let Some(state) = self.states.get_mut(&task) else {
+            return;
+        };
         if let Some(engine) = unanswered {
             self.awaited.entry(engine.clone()).or_default().insert(task);
-            state.unanswered.push(UnansweredEnd { engine, at: now, known_at: None });
+            state.unanswered.push(UnansweredEnd {
+                engine,
+                at: now,
+                known_at: None,
+            });
         }
         if !state.is_on_offer() {
             (state.release.since, state.release.confirmed) = (now, 0);
@@ -273,12 +320,18 @@
 
     /// An engine has shown that it worked at an instant; gives the requests for which that matters.
     pub fn engine_worked(&mut self, engine: &HostId, worked: Ms, now: Ms) -> Vec<TaskId> {
-        let Some(waiting) = self.awaited.get_mut(engine) else { return Vec::new() };
+        let Some(waiting) = self.awaited.get_mut(engine) else {
+            return Vec::new();
+        };
         let mut known = Vec::new();
         waiting.retain(|task| {
-            let Some(state) = self.states.get_mut(task) else { return false };
-            let ends =
-                state.unanswered.iter_mut().filter(|end| end.engine == *engine && end.known_at.is_none());
+            let Some(state) = self.states.get_mut(task) else {
+                return false;
+            };
+            let ends = state
+                .unanswered
+                .iter_mut()
+                .filter(|end| end.engine == *engine && end.known_at.is_none());
             let (mut some_known, mut some_left) = (false, false);
             for end in ends {
                 if end.at <= worked {
--- a/crates/dispatcher/src/ledger/links.rs
+++ b/crates/dispatcher/src/ledger/links.rs
@@ -68,7 +68,12 @@
 impl Default for Signs {
     fn default() -> Self {
         let never = f64::NEG_INFINITY;
-        Signs { heard: never, ran: never, worked: never, unanswered: never }
+        Signs {
+            heard: never,
+            ran: never,
+            worked: never,
+            unanswered: never,
+        }
     }
 }
 
@@ -87,7 +92,10 @@
 impl Links {
     /// `seed` starts the chance in when a connect is tried again.
     pub fn new(seed: u64) -> Self {
-        Links { seed, ..Links::default() }
+        Links {
+            seed,
+            ..Links::default()
+        }
     }
 
     pub fn get(&self, id: LinkId) -> Option<&Link> {
@@ -120,8 +128,14 @@
         (timers, out): (&mut Timers, &mut Vec<Output>),
     ) -> Result<(LinkId, StreamNo), Refusal> {
         let chosen = self.place(host, address, now, settings, (timers, out))?;
-        let stream = self.open_on(chosen, purpose, now, timers).ok_or(Refusal::AllTaken)?;
-        if self.decide.get(host).is_some_and(|channels| channels.wants_more(now)) {
+        let stream = self
+            .open_on(chosen, purpose, now, timers)
+            .ok_or(Refusal::AllTaken)?;
+        if self
+            .decide
+            .get(host)
+            .is_some_and(|channels| channels.wants_more(now))
+        {
             self.dial(host, address, now, (timers, out));
         }
         Ok((chosen, stream))
@@ -136,16 +150,24 @@
         to: (&mut Timers, &mut Vec<Output>),
     ) -> Result<LinkId, Refusal> {
         let ids = self.of.get(host).into_iter().flatten();
-        let moved: Vec<LinkId> = ids.copied().filter(|id| self.all[id].address != address).collect();
+        let moved: Vec<LinkId> = ids
+            .copied()
+            .filter(|id| self.all[id].address != address)
+            .collect();
         let seed = self.seed ^ self.decide.len() as u64;
         let new = || Channels::new(settings.channels(), seed);
         let channels = self.decide.entry(host.clone()).or_insert_with(new);
         // The host has another address now: what is out there ends there.
-        moved.iter().for_each(|id| channels.going_away(ChannelId(id.0)));
+        moved
+            .iter()
+            .for_each(|id| channels.going_away(ChannelId(id.0)));
         match channels.place(now) {
             Placement::On(id) => Ok(LinkId(id.0)),
             Placement::Connect => {
-                let most = settings.limits.single.map_or(usize::MAX, |single| single.most_links);
+                let most = settings
+                    .limits
+                    .single
+                    .map_or(usize::MAX, |single| single.most_links);
                 if self.all.len() >= most && !self.make_room(now, to.1) {
                     return Err(Refusal::AllTaken);
                 }
@@ -157,10 +179,18 @@
 
     /// Closes the link that has rested longest, at whatever host; tells whether there was one.
     fn make_room(&mut self, now: Ms, out: &mut Vec<Output>) -> bool {
-        let resting = self.all.iter().filter(|(_, link)| link.up && link.streams.is_empty());
-        let longest = resting.min_by(|a, b| a.1.heard.total_cmp(&b.1.heard)).map(|(id, _)| *id);
+        let resting = self
+            .all
+            .iter()
+            .filter(|(_, link)| link.up && link.streams.is_empty());
+        let longest = resting
+            .min_by(|a, b| a.1.heard.total_cmp(&b.1.heard))
+            .map(|(id, _)| *id);
         if let Some(id) = longest {
-            out.push(Output::CloseLink { link: id, reason: "its place is wanted".to_owned() });
+            out.push(Output::CloseLink {
+                link: id,
+                reason: "its place is wanted".to_owned(),
+            });
             self.remove(id, now);
         }
         longest.is_some()
@@ -168,7 +198,9 @@
 
     /// Sets the timer for what falls due next at a host's links, unless an earlier one is set: it looks again.
     pub fn arm(&mut self, host: &HostId, timers: &mut Timers) {
-        let Some(at) = self.decide.get(host).and_then(Channels::next_at) else { return };
+        let Some(at) = self.decide.get(host).and_then(Channels::next_at) else {
+            return;
+        };
         if self.armed.get(host).is_none_or(|armed| at < *armed) {
             self.armed.insert(host.clone(), at);
             timers.set(at, Due::Links(host.clone()));
@@ -178,12 +210,17 @@
     /// What is to be done by now about a host's links.
     pub fn wanted(&mut self, host: &HostId, now: Ms, ready: bool) -> Vec<Do> {
         self.armed.remove(host);
-        self.decide.get_mut(host).map(|channels| channels.wanted(now, ready)).unwrap_or_default()
+        self.decide
+            .get_mut(host)
+            .map(|channels| channels.wanted(now, ready))
+            .unwrap_or_default()
     }
 
     /// The link is up; `limit`: the streams that the host allows on it.
     pub fn come_up(&mut self, id: LinkId, limit: Option<usize>, now: Ms, timers: &mut Timers) {
-        let Some(link) = self.all.get_mut(&id) else { return };
+        let Some(link) = self.all.get_mut(&id) else {
+            return;
+        };
         link.up = true;
         let host = link.host.clone();
         if let Some(channels) = self.decide.get_mut(&host) {
@@ -194,7 +231,9 @@
 
     /// The host takes nothing new on it.
     pub fn leaving(&mut self, id: LinkId, timers: &mut Timers) {
-        let Some(host) = self.all.get(&id).map(|link| link.host.clone()) else { return };
+        let Some(host) = self.all.get(&id).map(|link| link.host.clone()) else {
+            return;
+        };
         if let Some(channels) = self.decide.get_mut(&host) {
             channels.going_away(ChannelId(id.0));
         }
@@ -203,7 +242,13 @@
 
     /// One more stream on a link that is up, whatever it carries: for what ends something, and so must not
     /// wait for room.
-    pub fn open_on(&mut self, id: LinkId, purpose: Use, now: Ms, timers: &mut Timers) -> Option<StreamNo> {
+    pub fn open_on(
+        &mut self,
+        id: LinkId,
+        purpose: Use,
+        now: Ms,
+        timers: &mut Timers,
+    ) -> Option<StreamNo> {
         let link = self.all.get_mut(&id)?;
         let stream = StreamNo(link.next_stream);
         link.next_stream += 1;
@@ -219,7 +264,9 @@
 
     /// Something came over it.
     pub fn heard(&mut self, id: LinkId, now: Ms) {
-        let Some(link) = self.all.get_mut(&id) else { return };
+        let Some(link) = self.all.get_mut(&id) else {
+            return;
+        };
         link.heard = now;
         if let Some(channels) = self.decide.get_mut(&link.host) {
             channels.heard(ChannelId(id.0), now);
@@ -228,12 +275,16 @@
 
     /// When the host last sent anything; long ago if it never did.
     pub fn heard_at(&self, host: &HostId) -> Ms {
-        self.signs.get(host).map_or(f64::NEG_INFINITY, |signs| signs.heard)
+        self.signs
+            .get(host)
+            .map_or(f64::NEG_INFINITY, |signs| signs.heard)
     }
 
     /// A message has come over it that its host wrote: the host ran after it had the call.
     pub fn answered(&mut self, id: LinkId, now: Ms) {
-        let Some(link) = self.all.get(&id) else { return };
+        let Some(link) = self.all.get(&id) else {
+            return;
+        };
         if !self.signs.contains_key(&link.host) {
             self.signs.insert(link.host.clone(), Signs::default());
         }
@@ -245,7 +296,9 @@
 
     /// What has come over it is part of an attempt's answer, or the whole.
     pub fn worked(&mut self, id: LinkId, now: Ms) {
-        let Some(link) = self.all.get(&id) else { return };
+        let Some(link) = self.all.get(&id) else {
+            return;
+        };
         if let Some(signs) = self.signs.get_mut(&link.host) {
             signs.worked = signs.worked.max(link.last_call).max(now - RECEIVED_LATE);
         }
@@ -253,7 +306,9 @@
 
     /// The latest instant at which a host is known to have worked; long ago if it never was.
     pub fn worked_at(&self, host: &HostId) -> Ms {
-        self.signs.get(host).map_or(f64::NEG_INFINITY, |signs| signs.worked)
+        self.signs
+            .get(host)
+            .map_or(f64::NEG_INFINITY, |signs| signs.worked)
     }
 
     /// Whether a host is known to have run at an instant or later.
@@ -268,21 +323,31 @@
 
     /// Whether it has said nothing since it left a question unanswered.
     pub fn is_suspected(&self, host: &HostId) -> bool {
-        self.signs.get(host).is_some_and(|signs| signs.unanswered > signs.heard)
+        self.signs
+            .get(host)
+            .is_some_and(|signs| signs.unanswered > signs.heard)
     }
 
     /// Whether a host that left a question unanswered has another one open.
     pub fn is_asked_in_vain(&self, host: &HostId) -> bool {
         let asks = |id: &LinkId| {
-            let streams = self.all.get(id).into_iter().flat_map(|link| link.streams.values());
-            streams.into_iter().any(|purpose| matches!(purpose, Use::Release(..) | Use::Sign))
+            let streams = self
+                .all
+                .get(id)
+                .into_iter()
+                .flat_map(|link| link.streams.values());
+            streams
+                .into_iter()
+                .any(|purpose| matches!(purpose, Use::Release(..) | Use::Sign))
         };
         self.is_suspected(host) && self.of.get(host).into_iter().flatten().any(asks)
     }
 
     /// The latest instant at which a host is known to have run; long ago if it never was.
     pub fn ran_at(&self, host: &HostId) -> Ms {
-        self.signs.get(host).map_or(f64::NEG_INFINITY, |signs| signs.ran)
+        self.signs
+            .get(host)
+            .map_or(f64::NEG_INFINITY, |signs| signs.ran)
     }
 
     /// The list tells of a new process there: what failed with the old one says nothing of it.
@@ -303,7 +368,11 @@
         self.made += 1;
         let id = LinkId(self.made);
         let (host, address) = (host.clone(), address.to_owned());
-        out.push(Output::Dial { link: id, host: host.clone(), address: address.clone() });
+        out.push(Output::Dial {
+            link: id,
+            host: host.clone(),
+            address: address.clone(),
+        });
         if let Some(channels) = self.decide.get_mut(&host) {
             channels.connecting(ChannelId(id.0), now);
         }
@@ -327,7 +396,8 @@
     /// Releases that were sent to the hosts of their states, and that those have not answered.
     pub fn releasing(&self) -> usize {
         let all = self.all.values().flat_map(|link| link.streams.values());
-        all.filter(|purpose| matches!(purpose, Use::HostRelease(..))).count()
+        all.filter(|purpose| matches!(purpose, Use::HostRelease(..)))
+            .count()
     }
 
     /// A link to the host that is up and takes streams; `resting`: one that carries nothing.
@@ -335,7 +405,8 @@
         let channels = self.decide.get(host)?;
         let ids = self.of.get(host)?;
         let fits = |l: &Link| l.up && (!resting || l.streams.is_empty());
-        let takes = |id: &LinkId| channels.takes(ChannelId(id.0)) && self.all.get(id).is_some_and(fits);
+        let takes =
+            |id: &LinkId| channels.takes(ChannelId(id.0)) && self.all.get(id).is_some_and(fits);
         ids.iter().copied().find(takes)
     }
 
@@ -350,15 +421,22 @@
     ) -> bool {
         let channels = self.decide.get(host);
         let ids = self.of.get(host).into_iter().flatten();
-        let coming = ids.into_iter().any(|id| channels.is_some_and(|c| c.takes(ChannelId(id.0))));
+        let coming = ids
+            .into_iter()
+            .any(|id| channels.is_some_and(|c| c.takes(ChannelId(id.0))));
         coming || self.place(host, address, now, settings, to).is_ok()
     }
 
     /// Sends now, or once the link is up.
     pub fn send(&mut self, id: LinkId, stream: StreamNo, body: Body, out: &mut Vec<Output>) {
-        let Some(link) = self.all.get_mut(&id) else { return };
+        let Some(link) = self.all.get_mut(&id) else {
+            return;
+        };
         if link.up {
-            out.push(Output::ToHost { link: id, frame: frame(stream.0, body) });
+            out.push(Output::ToHost {
+                link: id,
+                frame: frame(stream.0, body),
+            });
         } else {
             link.waiting.push((stream, body));
         }
@@ -366,7 +444,9 @@
 
     /// Takes back what was to be sent on a stream; tells whether it had not gone out.
     pub fn unsend(&mut self, id: LinkId, stream: StreamNo) -> bool {
-        let Some(link) = self.all.get_mut(&id) else { return true };
+        let Some(link) = self.all.get_mut(&id) else {
+            return true;
+        };
         let before = link.waiting.len();
         link.waiting.retain(|(waiting, _)| *waiting != stream);
         link.waiting.len() < before
@@ -403,7 +483,9 @@
 
     /// Whether the link is up and carries nothing.
     pub fn is_idle(&self, id: LinkId) -> bool {
-        self.all.get(&id).is_some_and(|l| l.up && l.streams.is_empty())
+        self.all
+            .get(&id)
+            .is_some_and(|l| l.up && l.streams.is_empty())
     }
 
     pub fn remove(&mut self, id: LinkId, now: Ms) -> Option<Link> {
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -68,7 +68,11 @@
     /// The client's connection is over.
     ClientClosed { conn: ConnId },
     /// So many token messages of a stream have left for the client.
-    Flushed { conn: ConnId, stream: StreamNo, messages: u32 },
+    Flushed {
+        conn: ConnId,
+        stream: StreamNo,
+        messages: u32,
+    },
     /// A dialled link is up: the host has greeted by its right name. `limit`: the streams that it allows.
     LinkUp { link: LinkId, limit: Option<usize> },
     /// The host takes nothing new on a link; what it took goes on.
@@ -233,7 +237,11 @@
             Input::ClientPartly { conn } => self.take_partly(conn),
             Input::ClientsFull => self.make_room(out),
             Input::ClientClosed { conn } => self.take_client_closed(conn, out),
-            Input::Flushed { conn, stream, messages } => self.take_flushed((conn, stream), messages, out),
+            Input::Flushed {
+                conn,
+                stream,
+                messages,
+            } => self.take_flushed((conn, stream), messages, out),
             Input::LinkUp { link, limit } => self.take_link_up(link, limit, out),
             Input::LinkLeaving { link } => self.links.leaving(link, &mut self.timers),
             Input::LinkClosed { link, reason } => self.take_link_closed(link, &reason, out),
@@ -241,7 +249,10 @@
             Input::Remembered(list) => self.take_list(&list, Some(ListKind::Remembered), out),
             Input::Listed(list) => self.take_list(&list, None, out),
             Input::ListRefused => {
-                self.events.push(Event::Listed { kind: ListKind::Refused, entries: Vec::new() });
+                self.events.push(Event::Listed {
+                    kind: ListKind::Refused,
+                    entries: Vec::new(),
+                });
             }
             Input::Heard { from, bytes } => self.events.push(Event::Heard { from, bytes }),
             Input::Tick => {}
@@ -257,7 +268,10 @@
         // says nothing holds it up for longer than a release may take.
         if let (Some(since), false) = (self.stopping, self.stopped) {
             let latest = since + self.settings.limits.stop_grace + self.settings.policy.release;
-            if self.tasks.is_empty() && self.is_closed() && (!self.releasing() || self.now >= latest) {
+            if self.tasks.is_empty()
+                && self.is_closed()
+                && (!self.releasing() || self.now >= latest)
+            {
                 self.stopped = true;
                 out.push(Output::Stopped);
             }
@@ -298,7 +312,9 @@
 
     /// How its tasks ended, and reports on so many hosts that were heard of since.
     pub fn recorded(&mut self, now: Ms, most: usize) -> (Tally, Vec<HostReport>) {
-        let Some(record) = &mut self.record else { return Default::default() };
+        let Some(record) = &mut self.record else {
+            return Default::default();
+        };
         (record.tally(), record.reports(now, most))
     }
 
@@ -323,7 +339,10 @@
                     Condition::Draining => Stand::Going,
                     Condition::Gone => Stand::Out,
                 },
-                used: self.record.as_ref().and_then(|record| record.used(now, host)),
+                used: self
+                    .record
+                    .as_ref()
+                    .and_then(|record| record.used(now, host)),
                 tally: Tally::default(),
             }
         };
@@ -361,7 +380,9 @@
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
             if let Some(record) = &mut self.record {
-                events.iter().for_each(|event| record.hears(self.now, event));
+                events
+                    .iter()
+                    .for_each(|event| record.hears(self.now, event));
             }
             if self.stories {
                 events.iter().for_each(|event| self.tell_event(event, out));
@@ -381,7 +402,9 @@
             Action::Launch { task, host, until } => self.launch(task, host, until, out),
             Action::Cancel { task, launch } => self.call_off(task, launch, out),
             Action::Bounce { task, retry_after } => {
-                let retry_after_ms = retry_after.unwrap_or(0.0).min(self.settings.policy.max_retry_after);
+                let retry_after_ms = retry_after
+                    .unwrap_or(0.0)
+                    .min(self.settings.policy.max_retry_after);
                 let (answer, reason) = match self.guard_refusal(task, out) {
                     true => (v1::Answer::Bounced, "turned away"),
                     false => (v1::Answer::WrittenOff, "it may have run"),
@@ -390,7 +413,11 @@
             }
             Action::WriteOff { task } => {
                 let bounce = planted::is(Plant::WriteOffAsBounce);
-                let answer = if bounce { v1::Answer::Bounced } else { v1::Answer::WrittenOff };
+                let answer = if bounce {
+                    v1::Answer::Bounced
+                } else {
+                    v1::Answer::WrittenOff
+                };
                 self.answer(task, answer, 0.0, "no answer in time", out)
             }
             Action::Release { task } => self.release(task, out),
@@ -399,15 +426,21 @@
             Action::HoldAhead { task, host } => self.hold_ahead(task, &host, out),
             Action::Move { task } => self.move_away(task, out),
             Action::Arm { delay, timer } if planted::is(Plant::TimersLate) => {
-                self.timers.set(self.now + delay.max(0.0) + 300.0, Due::Module(timer));
+                self.timers
+                    .set(self.now + delay.max(0.0) + 300.0, Due::Module(timer));
             }
-            Action::Arm { delay, timer } => self.timers.set(self.now + delay.max(0.0), Due::Module(timer)),
+            Action::Arm { delay, timer } => self
+                .timers
+                .set(self.now + delay.max(0.0), Due::Module(timer)),
             Action::Probe { host } => self.probe(host, out),
             Action::CloseIdle { host } => self.close_idle(&host, out),
             Action::Tell { to, bytes } => out.push(Output::Tell { to, bytes }),
             Action::FetchList => out.push(Output::Follow { changes: false }),
             Action::FollowList { on } => out.push(Output::Follow { changes: on }),
-            Action::Log { text } => out.push(Output::Log { level: Level::Info, text }),
+            Action::Log { text } => out.push(Output::Log {
+                level: Level::Info,
+                text,
+            }),
         }
     }
 
@@ -419,7 +452,9 @@
             Due::Stall(task, launch) => self.look_at_stream(task, launch, out),
             Due::Client(conn) => self.look_at_client(conn, out),
             Due::Links(host) => self.look_at_links(&host, out),
-            Due::Probe(link, stream) => self.end_probe(link, stream, Outcome::TimedOut, Load::default()),
+            Due::Probe(link, stream) => {
+                self.end_probe(link, stream, Outcome::TimedOut, Load::default())
+            }
             Due::Past(link, stream) => self.look_at_past(link, stream, out),
             Due::Held(task) => self.guard_held(task, out),
             Due::Release(host) => self.flush_releases(&host, out),
@@ -453,9 +488,19 @@
             Some(Body::Ping(_)) if stream.0 > 0 => {
                 self.client_asks(conn);
                 let ready = self.fares().0;
-                let no = || v1::Goodbye { reason: "not ready".to_owned(), never_ran: true };
-                let body = if ready { Body::Pong(v1::Pong {}) } else { Body::Goodbye(no()) };
-                let frame = Frame { stream: stream.0, body: Some(body) };
+                let no = || v1::Goodbye {
+                    reason: "not ready".to_owned(),
+                    never_ran: true,
+                };
+                let body = if ready {
+                    Body::Pong(v1::Pong {})
+                } else {
+                    Body::Goodbye(no())
+                };
+                let frame = Frame {
+                    stream: stream.0,
+                    body: Some(body),
+                };
                 out.push(Output::ToClient { conn, frame });
                 self.client_answered(conn);
             }
@@ -485,7 +530,10 @@
                 if let (Some(record), Body::Final(end)) = (&mut self.record, &*body) {
                     record.answered(end.answer(), false);
                 }
-                out.push(Output::ToClient { conn, frame: frame(stream.0, *body) });
+                out.push(Output::ToClient {
+                    conn,
+                    frame: frame(stream.0, *body),
+                });
                 return self.client_answered(conn);
             }
         };
@@ -500,7 +548,8 @@
         }
         let ends = self.now + arrival.patience_left;
         let profile = &self.settings.policy.profiles[arrival.profile.0 as usize];
-        let quoted = profile.quoted + profile.quoted_per_1000_tokens * arrival.prompt_tokens / 1000.0;
+        let quoted =
+            profile.quoted + profile.quoted_per_1000_tokens * arrival.prompt_tokens / 1000.0;
         let quoted = self.now - took + quoted;
         self.timers.set(ends, Due::Patience(id));
         self.tickets.insert(ticket, id);
@@ -527,36 +576,64 @@
     /// The task as the decisions take it, or what is said in place of taking it.
     fn admit(&self, submit: &v1::Submit) -> Result<Arrival, Box<Body>> {
         let rejected = |(field, reason): (&str, String)| {
-            Box::new(Body::Rejected(v1::Rejected { field: field.to_owned(), reason }))
+            Box::new(Body::Rejected(v1::Rejected {
+                field: field.to_owned(),
+                reason,
+            }))
         };
         let arrival = self.arrival(submit).map_err(rejected)?;
-        if submit.origin.as_ref().is_some_and(|origin| self.origins.contains_key(&origin.id)) {
+        if submit
+            .origin
+            .as_ref()
+            .is_some_and(|origin| self.origins.contains_key(&origin.id))
+        {
             // Guards against a task that goes by another's id: what is held for that one would be mixed up.
             return Err(rejected(("id", "a task of this id is open".to_owned())));
         }
         // Guards against more open tasks than memory and patience bear; nothing has run, so a retry is harmless.
-        let full = self.tasks.len() >= self.settings.limits.most_tasks || self.next_task == u32::MAX;
+        let full =
+            self.tasks.len() >= self.settings.limits.most_tasks || self.next_task == u32::MAX;
         if !full && !self.is_closed() {
             return Ok(arrival);
         }
         let policy = &self.settings.policy;
-        let hears = if policy.clients_hear_retry { policy.release } else { 0.0 };
+        let hears = if policy.clients_hear_retry {
+            policy.release
+        } else {
+            0.0
+        };
         let retry_after_ms = hears.min(policy.max_retry_after);
-        let reason = if full { "too many tasks are open" } else { "stopping" }.to_owned();
+        let reason = if full {
+            "too many tasks are open"
+        } else {
+            "stopping"
+        }
+        .to_owned();
         let answer = v1::Answer::Bounced.into();
-        Err(Box::new(Body::Final(v1::Final { answer, retry_after_ms, reason, full })))
+        Err(Box::new(Body::Final(v1::Final {
+            answer,
+            retry_after_ms,
+            reason,
+            full,
+        })))
     }
 
     /// Whether nothing new is taken.
     fn is_closed(&self) -> bool {
-        self.stopping.is_some_and(|since| self.now >= since + self.settings.limits.stop_notice)
+        self.stopping
+            .is_some_and(|since| self.now >= since + self.settings.limits.stop_notice)
     }
 
     /// The task as the decisions take it; or the field that cannot be right, and why.
     fn arrival(&self, submit: &v1::Submit) -> Result<Arrival, (&'static str, String)> {
-        let place = |names: &[String], name: &str| names.iter().position(|n| n == name).map(|at| at as u32);
-        let profile = place(&self.settings.profiles, &submit.profile)
-            .ok_or_else(|| ("profile", format!("there is no profile {:?}", submit.profile)))?;
+        let place =
+            |names: &[String], name: &str| names.iter().position(|n| n == name).map(|at| at as u32);
+        let profile = place(&self.settings.profiles, &submit.profile).ok_or_else(|| {
+            (
+                "profile",
+                format!("there is no profile {:?}", submit.profile),
+            )
+        })?;
         let tenant = match submit.tenant.as_str() {
             "" => None,
             name => Some(
@@ -565,10 +642,17 @@
             ),
         };
         if !submit.patience_ms.is_finite() || submit.patience_ms <= 0.0 {
-            return Err(("patience_ms", format!("{} is no time to wait", submit.patience_ms)));
+            return Err((
+                "patience_ms",
+                format!("{} is no time to wait", submit.patience_ms),
+            ));
         }
         if submit.prompt_tokens == 0 || submit.max_tokens == 0 {
-            let field = if submit.prompt_tokens == 0 { "prompt_tokens" } else { "max_tokens" };
+            let field = if submit.prompt_tokens == 0 {
+                "prompt_tokens"
+            } else {
+                "max_tokens"
+            };
             return Err((field, "at least one token is wanted".to_owned()));
         }
         if submit.shared_tokens > submit.prompt_tokens {
@@ -581,7 +665,9 @@
             session: SessionId(submit.session),
             patience_left: submit.patience_ms,
             answer_hint: None,
-            shared: Some(submit.shared_text).filter(|t| *t != 0).map(SharedTextId),
+            shared: Some(submit.shared_text)
+                .filter(|t| *t != 0)
+                .map(SharedTextId),
             prompt_tokens: f64::from(submit.prompt_tokens),
             shared_tokens: f64::from(submit.shared_tokens),
             max_tokens: f64::from(submit.max_tokens),
@@ -601,7 +687,9 @@
 
     /// The client wants no more of a task: nothing is owed, and what is out for it ends.
     fn leave(&mut self, id: TaskId, out: &mut Vec<Output>) {
-        let Some(task) = self.tasks.get_mut(&id) else { return };
+        let Some(task) = self.tasks.get_mut(&id) else {
+            return;
+        };
         task.answered = true;
         self.tickets.remove(&task.ticket);
         self.events.push(Event::Left { task: id });
@@ -622,7 +710,9 @@
         reason: &str,
         out: &mut Vec<Output>,
     ) {
-        let Some(task) = self.tasks.get_mut(&id).filter(|t| !t.answered) else { return };
+        let Some(task) = self.tasks.get_mut(&id).filter(|t| !t.answered) else {
+            return;
+        };
         task.answered = true;
         if let Some(record) = &mut self.record {
             let late = task.late || !task.streams() && self.now > task.quoted;
@@ -633,11 +723,19 @@
         let (conn, stream) = task.ticket;
         self.tickets.remove(&task.ticket);
         let (answer, reason) = (answer.into(), reason.to_owned());
-        let body = v1::Final { answer, retry_after_ms, reason, full: false };
+        let body = v1::Final {
+            answer,
+            retry_after_ms,
+            reason,
+            full: false,
+        };
         if planted::is(Plant::FinalLost) && id.0 % 16 == 7 {
             return;
         }
-        out.push(Output::ToClient { conn, frame: frame(stream.0, Body::Final(body)) });
+        out.push(Output::ToClient {
+            conn,
+            frame: frame(stream.0, Body::Final(body)),
+        });
         self.client_answered(conn);
         self.forget_past(id);
     }
@@ -655,21 +753,37 @@
 
     /// Guards against a task that the decisions left without an answer, whatever the reason: no task is lost.
     fn end_patience(&mut self, id: TaskId, out: &mut Vec<Output>) {
-        let Some(task) = self.tasks.get(&id) else { return };
+        let Some(task) = self.tasks.get(&id) else {
+            return;
+        };
         if task.answered || task.streams() {
             return;
         }
-        let text = format!("task {} was not answered before its client's time was up", id.0);
-        out.push(Output::Log { level: Level::Warn, text });
+        let text = format!(
+            "task {} was not answered before its client's time was up",
+            id.0
+        );
+        out.push(Output::Log {
+            level: Level::Warn,
+            text,
+        });
         self.answer(id, v1::Answer::WrittenOff, 0.0, "time is up", out);
         self.events.push(Event::Left { task: id });
     }
 
-    fn take_list(&mut self, list: &v1::HostList, remembered: Option<ListKind>, out: &mut Vec<Output>) {
+    fn take_list(
+        &mut self,
+        list: &v1::HostList,
+        remembered: Option<ListKind>,
+        out: &mut Vec<Output>,
+    ) {
         let planted = planted::list(list);
         let list = planted.as_ref().unwrap_or(list);
         let (kind, entries, wrong) = self.fleet.take(list, &self.settings);
-        out.extend(wrong.into_iter().map(|text| Output::Log { level: Level::Warn, text }));
+        out.extend(wrong.into_iter().map(|text| Output::Log {
+            level: Level::Warn,
+            text,
+        }));
         if self.keeps_lists && remembered.is_none() && !list.hosts.is_empty() {
             out.push(Output::KeepList(self.fleet.whole()));
         }
@@ -679,7 +793,10 @@
         for entry in entries.iter().filter(|e| e.started.is_some()) {
             self.links.renewed(&entry.host);
         }
-        self.events.push(Event::Listed { kind: remembered.unwrap_or(kind), entries });
+        self.events.push(Event::Listed {
+            kind: remembered.unwrap_or(kind),
+            entries,
+        });
         for host in self.fleet.gone() {
             self.forget_gone(&host);
         }
@@ -698,7 +815,8 @@
             self.stopping = Some(self.now);
             let grace = self.now + self.settings.limits.stop_grace;
             self.timers.set(grace, Due::StopGrace);
-            self.timers.set(grace + self.settings.policy.release, Due::StopReleases);
+            self.timers
+                .set(grace + self.settings.policy.release, Due::StopReleases);
             if let Some(after) = self.settings.limits.stop_moves {
                 self.timers.set(self.now + after, Due::StopMoves);
             }
@@ -712,7 +830,10 @@
                 self.end_notice(out);
             }
             let text = format!("stopping with {} tasks open", self.tasks.len());
-            out.push(Output::Log { level: Level::Info, text });
+            out.push(Output::Log {
+                level: Level::Info,
+                text,
+            });
         }
     }
 
@@ -735,8 +856,14 @@
     fn end_grace(&mut self, out: &mut Vec<Output>) {
         let ids: Vec<TaskId> = self.tasks.keys().copied().collect();
         for id in ids {
-            let Some(task) = self.tasks.get(&id) else { continue };
-            let answer = if task.sent { v1::Answer::WrittenOff } else { v1::Answer::Bounced };
+            let Some(task) = self.tasks.get(&id) else {
+                continue;
+            };
+            let answer = if task.sent {
+                v1::Answer::WrittenOff
+            } else {
+                v1::Answer::Bounced
+            };
             self.answer(id, answer, 0.0, "the dispatcher stops", out);
             self.leave(id, out);
         }
--- a/crates/dispatcher/src/ledger/record.rs
+++ b/crates/dispatcher/src/ledger/record.rs
@@ -57,7 +57,9 @@
         match outcome {
             Some(Outcome::Fulfilled | Outcome::ReadDone) => heard.tally.fulfilled += 1,
             Some(Outcome::Full) => heard.tally.bounced += 1,
-            Some(Outcome::Failed | Outcome::Broken | Outcome::TimedOut) => heard.tally.written_off += 1,
+            Some(Outcome::Failed | Outcome::Broken | Outcome::TimedOut) => {
+                heard.tally.written_off += 1
+            }
             _ => return,
         }
         heard.told = false;
@@ -65,7 +67,10 @@
 
     /// What is used of a host, and how old that is.
     pub fn used(&self, now: Ms, host: &HostId) -> Option<(f64, Ms)> {
-        self.hosts.get(host)?.used.map(|(used, at)| (used, now - at))
+        self.hosts
+            .get(host)?
+            .used
+            .map(|(used, at)| (used, now - at))
     }
 
     /// Reports on so many hosts, of which something new was heard, going round.
@@ -73,23 +78,40 @@
         let new = |(_, heard): &(&HostId, &Heard)| !heard.told;
         let after: Vec<HostId> = match &self.last {
             Some(last) => {
-                let after = self.hosts.range((Excluded(last.clone()), Unbounded)).filter(new);
+                let after = self
+                    .hosts
+                    .range((Excluded(last.clone()), Unbounded))
+                    .filter(new);
                 after
                     .chain(self.hosts.range(..=last.clone()).filter(new))
                     .map(|(h, _)| h.clone())
                     .take(most)
                     .collect()
             }
-            None => self.hosts.iter().filter(new).map(|(host, _)| host.clone()).take(most).collect(),
+            None => self
+                .hosts
+                .iter()
+                .filter(new)
+                .map(|(host, _)| host.clone())
+                .take(most)
+                .collect(),
         };
         self.last = after.last().cloned().or(self.last.take());
         let mut reports = Vec::new();
         for host in after {
-            let Some(heard) = self.hosts.get_mut(&host) else { continue };
+            let Some(heard) = self.hosts.get_mut(&host) else {
+                continue;
+            };
             heard.told = true;
-            let (used, tally) =
-                (heard.used.map(|(used, at)| (used, now - at)), std::mem::take(&mut heard.tally));
-            reports.push(HostReport { host: Name(host.0), used, tally });
+            let (used, tally) = (
+                heard.used.map(|(used, at)| (used, now - at)),
+                std::mem::take(&mut heard.tally),
+            );
+            reports.push(HostReport {
+                host: Name(host.0),
+                used,
+                tally,
+            });
         }
         reports
     }
--- a/crates/dispatcher/src/ledger/releases.rs
+++ b/crates/dispatcher/src/ledger/releases.rs
@@ -39,7 +39,10 @@
         }
         if let Some((doubt, text)) = self.doubt(id) {
             let text = format!("state released, {doubt}: {text}");
-            out.push(Output::Log { level: Level::Info, text });
+            out.push(Output::Log {
+                level: Level::Info,
+                text,
+            });
         }
         self.want_release(id, out);
         self.forget_past(id);
@@ -50,7 +53,10 @@
     pub(super) fn release_in_doubt(&mut self, id: TaskId, out: &mut Vec<Output>) {
         if let Some((doubt, text)) = self.doubt(id) {
             let text = format!("release sent, {doubt}: {text}");
-            out.push(Output::Log { level: Level::Info, text });
+            out.push(Output::Log {
+                level: Level::Info,
+                text,
+            });
         }
         self.kv_states.doubt(id, self.now);
     }
@@ -92,14 +98,20 @@
         if planted::is(Plant::ReleaseForgotten) {
             self.kv_states.forget(id);
         }
-        let Some(state) = self.kv_states.to_release(id) else { return };
+        let Some(state) = self.kv_states.to_release(id) else {
+            return;
+        };
         if state.release.open_calls > 0 {
             return;
         }
         if self.is_needed(state) {
             return self.wait_for_attempt(id, out);
         }
-        let lasts = if state.release.confirmed > 0 { GIVE_UP_AFTER } else { GIVE_UP_UNCONFIRMED_AFTER };
+        let lasts = if state.release.confirmed > 0 {
+            GIVE_UP_AFTER
+        } else {
+            GIVE_UP_UNCONFIRMED_AFTER
+        };
         if self.now - state.release.since > lasts * self.settings.policy.release {
             return self.give_up_release(id, out);
         }
@@ -116,26 +128,44 @@
     }
 
     fn give_up_release(&mut self, id: TaskId, out: &mut Vec<Output>) {
-        let Some(state) = self.kv_states.forget(id) else { return };
+        let Some(state) = self.kv_states.forget(id) else {
+            return;
+        };
         let unknowing: Vec<&str> = state.unknowing().map(|host| host.0.as_ref()).collect();
         let text = format!(
             "state not released again: id={} after {} calls, {} confirmed; engines that have not worked since: {unknowing:?}",
             state.held.origin, state.release.calls, state.release.confirmed
         );
-        let level = if state.release.confirmed > 0 { Level::Info } else { Level::Warn };
+        let level = if state.release.confirmed > 0 {
+            Level::Info
+        } else {
+            Level::Warn
+        };
         out.push(Output::Log { level, text });
     }
 
     fn begin_release(&mut self, id: TaskId, engine: HostId, out: &mut Vec<Output>) {
-        let Some(row) = self.fleet.hosts.get(&engine) else { return };
-        let Some(state) = self.kv_states.get_mut(id) else { return };
+        let Some(row) = self.fleet.hosts.get(&engine) else {
+            return;
+        };
+        let Some(state) = self.kv_states.get_mut(id) else {
+            return;
+        };
         let (now, address) = (self.now, row.line.address.clone());
         (state.release.last_begun, state.release.calls) = (now, state.release.calls + 1);
-        let body =
-            Body::Release(v1::Release { state: Some(state.held.id), origin: state.held.origin.clone() });
-        let purpose = Use::Release(ReleaseCall { task: id, begun: now });
+        let body = Body::Release(v1::Release {
+            state: Some(state.held.id),
+            origin: state.held.origin.clone(),
+        });
+        let purpose = Use::Release(ReleaseCall {
+            task: id,
+            begun: now,
+        });
         let to = (&mut self.timers, &mut *out);
-        match self.links.open(&engine, &address, purpose, now, &self.settings, to) {
+        match self
+            .links
+            .open(&engine, &address, purpose, now, &self.settings, to)
+        {
             Ok((link, stream)) => {
                 state.release.open_calls += 1;
                 let until = now + self.settings.policy.release / CONFIRM_PART;
@@ -156,16 +186,25 @@
 
     /// A call to release a state was not confirmed by the engine that was asked.
     pub(super) fn release_lost(&mut self, asked: HostId, call: &ReleaseCall) {
-        let Some(state) = self.kv_states.get_mut(call.task) else { return };
+        let Some(state) = self.kv_states.get_mut(call.task) else {
+            return;
+        };
         state.release.open_calls = state.release.open_calls.saturating_sub(1);
         state.release.unconfirmed.push(asked);
         self.plan_next_round(call.task);
     }
 
     /// An engine has confirmed a release: the state's record is over, if that counts.
-    pub(super) fn release_confirmed(&mut self, asked: &HostId, call: &ReleaseCall, out: &mut Vec<Output>) {
+    pub(super) fn release_confirmed(
+        &mut self,
+        asked: &HostId,
+        call: &ReleaseCall,
+        out: &mut Vec<Output>,
+    ) {
         let release_time = self.settings.policy.release;
-        let Some(state) = self.kv_states.get_mut(call.task) else { return };
+        let Some(state) = self.kv_states.get_mut(call.task) else {
+            return;
+        };
         state.release.open_calls = state.release.open_calls.saturating_sub(1);
         state.release.unconfirmed.clear();
         state.release.round_confirmed = true;
@@ -177,8 +216,14 @@
         if !counts || self.is_attempted(call.task) {
             return self.plan_next_round(call.task);
         }
-        let Some(state) = self.kv_states.forget(call.task) else { return };
-        let level = if state.was_in_doubt() { Level::Info } else { Level::Debug };
+        let Some(state) = self.kv_states.forget(call.task) else {
+            return;
+        };
+        let level = if state.was_in_doubt() {
+            Level::Info
+        } else {
+            Level::Debug
+        };
         let text = format!(
             "state released: id={} by way of {}, call {}, {:.0} ms after its last attempt ended",
             state.held.origin,
@@ -192,7 +237,11 @@
     /// Sets the time of the next round, once no call of this one is under way.
     fn plan_next_round(&mut self, id: TaskId) {
         let release_time = self.settings.policy.release;
-        let Some(state) = self.kv_states.to_release(id).filter(|state| state.release.open_calls == 0) else {
+        let Some(state) = self
+            .kv_states
+            .to_release(id)
+            .filter(|state| state.release.open_calls == 0)
+        else {
             return;
         };
         let release = &state.release;
@@ -201,7 +250,9 @@
             // The end of the attempt brings it up again.
             true if self.is_attempted(id) => return,
             true => {
-                let counts_in = state.counts_from(release_time).map(|at| (at - self.now).max(0.0));
+                let counts_in = state
+                    .counts_from(release_time)
+                    .map(|at| (at - self.now).max(0.0));
                 let usual = repeat_after(release.confirmed) * release_time;
                 counts_in.map_or(usual, |counts_in| counts_in.min(usual))
             }
@@ -222,14 +273,19 @@
 
     /// Has a release looked at at an instant, and not before.
     fn look_again(&mut self, id: TaskId, at: Ms) {
-        let Some(state) = self.kv_states.get_mut(id) else { return };
+        let Some(state) = self.kv_states.get_mut(id) else {
+            return;
+        };
         state.release.next_look = at;
         self.timers.set(at, Due::KvState(id));
     }
 
     /// The time has come at which a release was to be looked at, unless it was put off meanwhile.
     pub(super) fn end_wait(&mut self, id: TaskId, out: &mut Vec<Output>) {
-        let is_due = self.kv_states.to_release(id).is_some_and(|state| state.release.next_look <= self.now);
+        let is_due = self
+            .kv_states
+            .to_release(id)
+            .is_some_and(|state| state.release.next_look <= self.now);
         if is_due {
             self.look_at_release(id, out);
         }
@@ -239,9 +295,14 @@
     pub(super) fn note_engine_worked(&mut self, engine: &HostId) {
         let worked = self.links.worked_at(engine);
         for id in self.kv_states.engine_worked(engine, worked, self.now) {
-            let state = self.kv_states.to_release(id).filter(|state| state.release.confirmed > 1);
+            let state = self
+                .kv_states
+                .to_release(id)
+                .filter(|state| state.release.confirmed > 1);
             let next = state.map_or(f64::INFINITY, |state| state.release.next_look);
-            if let Some(at) = state.and_then(|state| state.counts_from(self.settings.policy.release)) {
+            if let Some(at) =
+                state.and_then(|state| state.counts_from(self.settings.policy.release))
+            {
                 self.look_again(id, at.max(self.now).min(next));
             }
         }
@@ -255,7 +316,10 @@
 
     /// Whether an attempt of a request is out.
     fn is_attempted(&self, id: TaskId) -> bool {
-        let request = self.kv_states.get(id).and_then(|state| self.open_request(state));
+        let request = self
+            .kv_states
+            .get(id)
+            .and_then(|state| self.open_request(state));
         request.is_some_and(|(_, launch)| launch.is_some())
     }
 
@@ -263,12 +327,17 @@
     /// A decode attempt that is out for a state which the decisions have released needs nothing, and a prefill that has not
     /// arrived neither.
     pub(super) fn is_needed(&self, state: &KvState) -> bool {
-        let Some((id, launch)) = self.open_request(state) else { return false };
+        let Some((id, launch)) = self.open_request(state) else {
+            return false;
+        };
         let needs = |launch: &tasks::Launch| {
             let may_arrive = self.now < self.doubted_from(state, launch) + self.doubt_lasts();
             launch.first || launch.reading && (may_arrive || self.has_arrived(launch))
         };
-        let is_on_offer = self.kv_states.on_offer(id).is_some_and(|state| !state.is_to_release());
+        let is_on_offer = self
+            .kv_states
+            .on_offer(id)
+            .is_some_and(|state| !state.is_to_release());
         is_on_offer || launch.is_some_and(needs)
     }
 
@@ -290,15 +359,25 @@
     /// A release waits for an attempt of its request. One that may not have arrived: its engine is asked for a sign, and
     /// without one the release goes out in time.
     fn wait_for_attempt(&mut self, id: TaskId, out: &mut Vec<Output>) {
-        let Some(state) = self.kv_states.get_mut(id) else { return };
+        let Some(state) = self.kv_states.get_mut(id) else {
+            return;
+        };
         state.release.since = self.now;
         let mut again = self.now + self.settings.policy.release / DOUBT_PART;
-        let Some(state) = self.kv_states.get(id) else { return };
-        let Some((of, launch)) = self.open_request(state) else { return };
+        let Some(state) = self.kv_states.get(id) else {
+            return;
+        };
+        let Some((of, launch)) = self.open_request(state) else {
+            return;
+        };
         if let Some(launch) = launch.filter(|launch| !launch.first && !self.has_arrived(launch)) {
             let from = self.doubted_from(state, launch);
             let asks_at = from + self.settings.policy.release / ASK_PART;
-            again = if self.now < asks_at { asks_at } else { from + self.doubt_lasts() };
+            again = if self.now < asks_at {
+                asks_at
+            } else {
+                from + self.doubt_lasts()
+            };
             let (no, is_doubted) = (launch.no, launch.is_doubted);
             if self.now >= asks_at && !is_doubted {
                 self.confirm(of, no, out);
@@ -313,7 +392,9 @@
         let more = unconfirmed.len().min(MOST_AT_ONCE - 1);
         let mut asked: Vec<HostId> = self.holder_to_ask(state, unconfirmed).into_iter().collect();
         while asked.len() < 1 + more {
-            let Some(next) = self.next_engine(unconfirmed, &asked) else { break };
+            let Some(next) = self.next_engine(unconfirmed, &asked) else {
+                break;
+            };
             asked.push(next);
         }
         asked
@@ -324,9 +405,12 @@
     /// the state is there.
     fn holder_to_ask(&self, state: &KvState, unconfirmed: &[HostId]) -> Option<HostId> {
         let host = &state.held.host;
-        let may_ask = self.fleet.condition(host) != Condition::Gone && !self.links.is_asked_in_vain(host);
-        let was_cut = state.release.confirmed == 0 && state.unknowing().any(|engine| engine == host);
-        let fits = may_ask && (was_cut || self.was_heard_lately(host)) && !unconfirmed.contains(host);
+        let may_ask =
+            self.fleet.condition(host) != Condition::Gone && !self.links.is_asked_in_vain(host);
+        let was_cut =
+            state.release.confirmed == 0 && state.unknowing().any(|engine| engine == host);
+        let fits =
+            may_ask && (was_cut || self.was_heard_lately(host)) && !unconfirmed.contains(host);
         fits.then(|| host.clone())
     }
 
@@ -340,7 +424,13 @@
     /// silent at once: its connections at rest stay up, while those of the engines that work are busy.
     fn next_engine(&self, unconfirmed: &mut Vec<HostId>, taken: &[HostId]) -> Option<HostId> {
         let ready = |(_, row): &(&HostId, &fleet::HostRow)| row.condition == Condition::Ready;
-        let hosts: Vec<&HostId> = self.fleet.hosts.iter().filter(ready).map(|(host, _)| host).collect();
+        let hosts: Vec<&HostId> = self
+            .fleet
+            .hosts
+            .iter()
+            .filter(ready)
+            .map(|(host, _)| host)
+            .collect();
         if hosts.iter().all(|host| unconfirmed.contains(host)) {
             // The last one asked is not asked again at once, if there is another.
             let asked = unconfirmed.len();
@@ -349,25 +439,41 @@
         let rank = |host: &HostId| {
             let fresh = self.was_heard_lately(host);
             let rests = fresh && self.links.up(host, true).is_some();
-            (!self.links.is_suspected(host), fresh, rests, self.links.heard_at(host))
+            (
+                !self.links.is_suspected(host),
+                fresh,
+                rests,
+                self.links.heard_at(host),
+            )
         };
         let order = |a: &&HostId, b: &&HostId| {
             let (a, b) = (rank(a), rank(b));
-            (a.0, a.1, a.2).cmp(&(b.0, b.1, b.2)).then(a.3.total_cmp(&b.3))
+            (a.0, a.1, a.2)
+                .cmp(&(b.0, b.1, b.2))
+                .then(a.3.total_cmp(&b.3))
         };
         // Guards against a storm: all requests that a process has open at a silent engine would ask it again and again.
-        let unasked = hosts.into_iter().filter(|host| !unconfirmed.contains(host) && !taken.contains(host));
+        let unasked = hosts
+            .into_iter()
+            .filter(|host| !unconfirmed.contains(host) && !taken.contains(host));
         let unasked = unasked.filter(|host| !self.links.is_asked_in_vain(host));
         unasked.max_by(order).cloned()
     }
 
     /// An attempt of a request is over: what is held for it may be taken back, and what is to be released can be.
     pub(super) fn settle_state(&mut self, id: TaskId, ended: &tasks::Launch, outcome: Outcome) {
-        let is_unanswered = matches!(outcome, Outcome::CalledOff | Outcome::TimedOut | Outcome::Broken);
+        let is_unanswered = matches!(
+            outcome,
+            Outcome::CalledOff | Outcome::TimedOut | Outcome::Broken
+        );
         let was_sent = ended.sent.is_some() && self.settings.limits.single.is_some();
         let unanswered = (is_unanswered && was_sent).then(|| ended.host.clone());
         let holds_anew = outcome == Outcome::ReadDone || self.has_arrived(ended);
-        if let Some(state) = self.kv_states.get_mut(id).filter(|state| state.is_on_offer() && holds_anew) {
+        if let Some(state) = self
+            .kv_states
+            .get_mut(id)
+            .filter(|state| state.is_on_offer() && holds_anew)
+        {
             state.held_since = self.now;
         }
         self.kv_states.take_back(id, ended.no);
--- a/crates/dispatcher/src/ledger/story.rs
+++ b/crates/dispatcher/src/ledger/story.rs
@@ -24,8 +24,18 @@
                 )
             }
             Event::Left { task } => format!("{} left", self.called(*task)),
-            Event::FirstToken { task, launch, host, latency } => {
-                format!("{} launch={} host={} began after={latency:.1}", self.called(*task), launch.0, host.0)
+            Event::FirstToken {
+                task,
+                launch,
+                host,
+                latency,
+            } => {
+                format!(
+                    "{} launch={} host={} began after={latency:.1}",
+                    self.called(*task),
+                    launch.0,
+                    host.0
+                )
             }
             Event::Ended(e) => format!(
                 "{} launch={} host={} ended outcome={:?} after={:.1} detail={}",
@@ -36,10 +46,18 @@
                 e.latency,
                 e.detail
             ),
-            Event::Probed { host, outcome, latency, load } => {
+            Event::Probed {
+                host,
+                outcome,
+                latency,
+                load,
+            } => {
                 let said = |value: Option<f64>| value.map_or("-".to_owned(), |v| format!("{v:.3}"));
-                let (queue, slots, memory) =
-                    (said(load.queue), said(load.slots_used), said(load.memory_held));
+                let (queue, slots, memory) = (
+                    said(load.queue),
+                    said(load.slots_used),
+                    said(load.memory_held),
+                );
                 format!(
                     "probe host={} outcome={outcome:?} after={latency:.1} queue={queue} slots={slots} \
                      memory={memory}",
@@ -68,14 +86,21 @@
             }
             Event::Place { .. } | Event::Timer { .. } | Event::Heard { .. } => return,
         };
-        out.push(Output::Log { level: Level::Debug, text });
+        out.push(Output::Log {
+            level: Level::Debug,
+            text,
+        });
     }
 
     pub(super) fn tell_action(&self, action: &Action, out: &mut Vec<Output>) {
         let text = match action {
             Action::Launch { task, host, .. } => {
                 let no = self.tasks.get(task).map_or(0, |t| t.launches);
-                format!("{} launch={no} host={} goes out", self.called(*task), host.0)
+                format!(
+                    "{} launch={no} host={} goes out",
+                    self.called(*task),
+                    host.0
+                )
             }
             Action::Cancel { task, launch } => {
                 format!("{} launch={} called off", self.called(*task), launch.0)
@@ -89,11 +114,18 @@
             }
             _ => return,
         };
-        out.push(Output::Log { level: Level::Debug, text });
+        out.push(Output::Log {
+            level: Level::Debug,
+            text,
+        });
     }
 
     fn called(&self, id: TaskId) -> String {
         let origin = self.tasks.get(&id).map(Task::origin).unwrap_or_default();
-        format!("task={} id={}", id.0, if origin.is_empty() { "-" } else { &origin })
+        format!(
+            "task={} id={}",
+            id.0,
+            if origin.is_empty() { "-" } else { &origin }
+        )
     }
 }
--- a/crates/dispatcher/src/ledger/tasks.rs
+++ b/crates/dispatcher/src/ledger/tasks.rs
@@ -72,7 +72,11 @@
 
     /// The id that its client gave it, where it did.
     pub fn origin(&self) -> String {
-        self.submit.origin.as_ref().map(|origin| origin.id.clone()).unwrap_or_default()
+        self.submit
+            .origin
+            .as_ref()
+            .map(|origin| origin.id.clone())
+            .unwrap_or_default()
     }
 
     pub fn streams(&self) -> bool {
--- a/crates/dispatcher/src/planted.rs
+++ b/crates/dispatcher/src/planted.rs
@@ -59,7 +59,10 @@
 /// Plants a fault in every ledger of the process, or takes it out.
 #[cfg(feature = "planted")]
 pub fn plant(plant: Option<Plant>) {
-    PLANTED.store(plant.map_or(0, |p| p as u8), std::sync::atomic::Ordering::SeqCst);
+    PLANTED.store(
+        plant.map_or(0, |p| p as u8),
+        std::sync::atomic::Ordering::SeqCst,
+    );
 }
 
 #[cfg(feature = "planted")]
@@ -79,9 +82,12 @@
     }
     let mut list = list.clone();
     if is(Plant::DrainUnread) {
-        list.hosts.retain(|line| line.condition() != HostCondition::Draining);
+        list.hosts
+            .retain(|line| line.condition() != HostCondition::Draining);
     } else {
-        list.hosts.iter_mut().for_each(|line| line.started_ms = None);
+        list.hosts
+            .iter_mut()
+            .for_each(|line| line.started_ms = None);
     }
     Some(list)
 }
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -111,9 +111,19 @@
 
 impl Service {
     /// What one dispatcher of the service is told.
-    pub fn dispatcher(&self, name: &str, zone: u32, (me, of): (u32, u32), run: u64) -> ProgramSettings {
-        let policy =
-            Settings { me: DispatcherId(me), dispatchers: of, zone: ZoneId(zone), ..self.policy.clone() };
+    pub fn dispatcher(
+        &self,
+        name: &str,
+        zone: u32,
+        (me, of): (u32, u32),
+        run: u64,
+    ) -> ProgramSettings {
+        let policy = Settings {
+            me: DispatcherId(me),
+            dispatchers: of,
+            zone: ZoneId(zone),
+            ..self.policy.clone()
+        };
         ProgramSettings {
             name: name.to_owned(),
             run,
--- a/crates/dispatcher/src/shell.rs
+++ b/crates/dispatcher/src/shell.rs
@@ -52,8 +52,14 @@
 /// of the network that were pending on the new connection passed on so, to be treated as if there were none yet.
 fn concerns_one_connection(problem: &io::Error) -> bool {
     use io::ErrorKind::*;
-    let kinds =
-        [ConnectionAborted, ConnectionReset, Interrupted, NetworkDown, NetworkUnreachable, HostUnreachable];
+    let kinds = [
+        ConnectionAborted,
+        ConnectionReset,
+        Interrupted,
+        NetworkDown,
+        NetworkUnreachable,
+        HostUnreachable,
+    ];
     kinds.contains(&problem.kind()) || problem.raw_os_error() == Some(PROTOCOL_ERROR)
 }
 
@@ -67,7 +73,11 @@
 
 impl<O: Outbox> LinkEnd<O> {
     fn new() -> Self {
-        LinkEnd { out: RefCell::new(None), given_up: Cell::new(false), give_up: Notify::new() }
+        LinkEnd {
+            out: RefCell::new(None),
+            given_up: Cell::new(false),
+            give_up: Notify::new(),
+        }
     }
 
     fn close(&self) {
@@ -115,13 +125,21 @@
 
 impl<T, C, W: Wire> Clone for Shell<T, C, W> {
     fn clone(&self) -> Self {
-        Shell { inner: self.inner.clone() }
+        Shell {
+            inner: self.inner.clone(),
+        }
     }
 }
 
 impl<T: Transport, C: Clock> Shell<T, C> {
     /// One that speaks gRPC. `seed` starts the chance that the decisions draw.
-    pub fn new(settings: ProgramSettings, places: Places, transport: T, clock: C, seed: u64) -> Self {
+    pub fn new(
+        settings: ProgramSettings,
+        places: Places,
+        transport: T,
+        clock: C,
+        seed: u64,
+    ) -> Self {
         Shell::speaking(Grpc, settings, places, transport, clock, seed)
     }
 }
@@ -163,14 +181,20 @@
             place_changed: Notify::new(),
             stopped: Notify::new(),
         };
-        Shell { inner: Rc::new(inner) }
+        Shell {
+            inner: Rc::new(inner),
+        }
     }
 
     /// Serves until `stop` is there and what was open has ended, or its grace. Runs within a `LocalSet`.
     ///
     /// # Errors
     /// The listener failed for good.
-    pub async fn serve(&self, listener: T::Listener, stop: impl Future<Output = ()>) -> io::Result<()> {
+    pub async fn serve(
+        &self,
+        listener: T::Listener,
+        stop: impl Future<Output = ()>,
+    ) -> io::Result<()> {
         self.remember();
         spawn_local(self.clone().keep_time());
         spawn_local(self.clone().follow_list());
@@ -212,7 +236,10 @@
 
     /// How its tasks ended, and reports on so many hosts that were heard of since.
     pub fn recorded(&self, most: usize) -> (Tally, Vec<HostReport>) {
-        self.inner.ledger.borrow_mut().recorded(self.inner.clock.now(), most)
+        self.inner
+            .ledger
+            .borrow_mut()
+            .recorded(self.inner.clock.now(), most)
     }
 
     /// The model hosts as the list has them.
@@ -240,10 +267,16 @@
     }
 
     fn remember(&self) {
-        let Some(path) = self.inner.places.borrow().keep.clone() else { return };
+        let Some(path) = self.inner.places.borrow().keep.clone() else {
+            return;
+        };
         match keep::load(&path) {
             Ok(Some(list)) => {
-                tracing::info!(hosts = list.hosts.len(), version = list.version, "list remembered");
+                tracing::info!(
+                    hosts = list.hosts.len(),
+                    version = list.version,
+                    "list remembered"
+                );
                 self.input(Input::Remembered(list));
             }
             Ok(None) => {}
@@ -256,7 +289,10 @@
     fn input(&self, input: Input) {
         let mut outputs = Vec::new();
         let now = self.inner.clock.now();
-        self.inner.ledger.borrow_mut().handle(now, input, &mut outputs);
+        self.inner
+            .ledger
+            .borrow_mut()
+            .handle(now, input, &mut outputs);
         for output in outputs {
             self.perform(output);
         }
@@ -277,15 +313,30 @@
                 match &frame.body {
                     Some(Body::Final(said)) if said.answer() != v1::Answer::Fulfilled => {
                         let (answer, reason) = (said.answer().as_str_name(), &said.reason);
-                        tracing::debug!(conn = conn.0, stream = frame.stream, answer, reason, "answered");
+                        tracing::debug!(
+                            conn = conn.0,
+                            stream = frame.stream,
+                            answer,
+                            reason,
+                            "answered"
+                        );
                     }
                     Some(Body::Rejected(said)) => {
                         let (field, reason) = (&said.field, &said.reason);
-                        tracing::debug!(conn = conn.0, stream = frame.stream, field, reason, "rejected");
+                        tracing::debug!(
+                            conn = conn.0,
+                            stream = frame.stream,
+                            field,
+                            reason,
+                            "rejected"
+                        );
                     }
                     _ => {}
                 }
-                let answers = matches!(frame.body, Some(Body::Final(_) | Body::Pong(_) | Body::Goodbye(_)));
+                let answers = matches!(
+                    frame.body,
+                    Some(Body::Final(_) | Body::Pong(_) | Body::Goodbye(_))
+                );
                 let clients = self.inner.clients.borrow();
                 if let Some(out) = clients.get(&conn) {
                     out.send(frame);
@@ -305,7 +356,11 @@
                     out.close();
                 }
             }
-            Output::Dial { link, host, address } => {
+            Output::Dial {
+                link,
+                host,
+                address,
+            } => {
                 let end = Rc::new(LinkEnd::new());
                 self.inner.links.borrow_mut().insert(link, end.clone());
                 spawn_local(self.clone().link(link, host, address, end));
@@ -324,16 +379,27 @@
                 }
             }
             Output::KeepList(list) => {
-                let Some(path) = self.inner.places.borrow().keep.clone() else { return };
+                let Some(path) = self.inner.places.borrow().keep.clone() else {
+                    return;
+                };
                 if let Err(problem) = keep::save(&path, &list) {
                     tracing::warn!(path = %path.display(), %problem, "list not kept");
                 }
             }
             Output::Follow { .. } => self.inner.follow.notify_one(),
             Output::Tell { to, bytes } => self.tell(to, bytes),
-            Output::Log { level: Level::Debug, text } => tracing::debug!("{text}"),
-            Output::Log { level: Level::Info, text } => tracing::info!("{text}"),
-            Output::Log { level: Level::Warn, text } => tracing::warn!("{text}"),
+            Output::Log {
+                level: Level::Debug,
+                text,
+            } => tracing::debug!("{text}"),
+            Output::Log {
+                level: Level::Info,
+                text,
+            } => tracing::info!("{text}"),
+            Output::Log {
+                level: Level::Warn,
+                text,
+            } => tracing::warn!("{text}"),
             Output::Stopped => self.inner.stopped.notify_one(),
         }
     }
@@ -364,7 +430,11 @@
         }
         clients.iter().for_each(Outbox::close);
         self.wait_until_over(&clients, limits.greet_within).await;
-        self.inner.links.borrow().values().for_each(|end| end.close());
+        self.inner
+            .links
+            .borrow()
+            .values()
+            .for_each(|end| end.close());
         yield_now().await;
     }
 
@@ -449,7 +519,9 @@
             () = self.inner.clock.sleep_until(until) => Err("nothing was asked in time".to_owned()),
         };
         self.inner.greeting.set(self.inner.greeting.get() - 1);
-        let Session { mut events, out, .. } = match greeted {
+        let Session {
+            mut events, out, ..
+        } = match greeted {
             Ok(session) => session,
             Err(reason) => {
                 self.inner.place_changed.notify_waiters();
@@ -464,7 +536,10 @@
         self.inner.place_changed.notify_waiters();
         while let Some(event) = events.recv().await {
             match event {
-                Event::Frame(Frame { body: Some(Body::Peer(said)), .. }) => {
+                Event::Frame(Frame {
+                    body: Some(Body::Peer(said)),
+                    ..
+                }) => {
                     let (from, bytes) = (DispatcherId(said.from), said.bytes.to_vec());
                     self.input(Input::Heard { from, bytes });
                 }
@@ -472,7 +547,11 @@
                 Event::Partly => self.input(Input::ClientPartly { conn }),
                 Event::GoingAway => {}
                 Event::Flushed { stream, messages } => {
-                    self.input(Input::Flushed { conn, stream: StreamNo(stream), messages });
+                    self.input(Input::Flushed {
+                        conn,
+                        stream: StreamNo(stream),
+                        messages,
+                    });
                 }
             }
         }
@@ -488,20 +567,43 @@
         self.input(Input::LinkClosed { link, reason });
     }
 
-    async fn run_link(&self, link: LinkId, host: &HostId, address: &str, end: &LinkEnd<W::Out>) -> String {
+    async fn run_link(
+        &self,
+        link: LinkId,
+        host: &HostId,
+        address: &str,
+        end: &LinkEnd<W::Out>,
+    ) -> String {
         let dialled = async {
-            let stream = self.inner.transport.connect(address).await.map_err(|e| e.to_string())?;
+            let stream = self
+                .inner
+                .transport
+                .connect(address)
+                .await
+                .map_err(|e| e.to_string())?;
             // A host that took another's address refuses: it would run what was not meant for it.
-            let session = self.inner.wire.connect(stream, v1::Party::Host, self.setup(&host.0, 1)).await?;
+            let session = self
+                .inner
+                .wire
+                .connect(stream, v1::Party::Host, self.setup(&host.0, 1))
+                .await?;
             // Guards against one that does not refuse.
             if session.them.name != *host.0 || session.them.party() != v1::Party::Host {
                 session.out.close();
-                return Err(format!("{:?} answers in place of {:?}", session.them.name, host.0));
+                return Err(format!(
+                    "{:?} answers in place of {:?}",
+                    session.them.name, host.0
+                ));
             }
             Ok(session)
         };
         // Closed while it is dialled: by the ledger, whose time for it has passed.
-        let Session { mut events, out, limit, .. } = tokio::select! { biased;
+        let Session {
+            mut events,
+            out,
+            limit,
+            ..
+        } = tokio::select! { biased;
             () = end.closed() => return "given up".to_owned(),
             dialled = dialled => match dialled {
                 Ok(session) => session,
@@ -568,19 +670,35 @@
         };
         let until = self.inner.clock.now() + self.inner.settings.limits.feed.connect;
         let called = async {
-            let stream = self.inner.transport.connect(address).await.map_err(|e| e.to_string())?;
-            self.inner.wire.connect(stream, v1::Party::Feed, self.setup("", 1)).await
+            let stream = self
+                .inner
+                .transport
+                .connect(address)
+                .await
+                .map_err(|e| e.to_string())?;
+            self.inner
+                .wire
+                .connect(stream, v1::Party::Feed, self.setup("", 1))
+                .await
         };
         let called = tokio::select! { biased;
             called = called => called,
             () = self.inner.clock.sleep_until(until) => Err("no greeting in time".to_owned()),
         };
-        let Session { mut events, out, .. } = match called {
+        let Session {
+            mut events, out, ..
+        } = match called {
             Ok(session) => session,
             Err(reason) => return FeedEnd::Lost(reason),
         };
         let follow = |number, known_version| {
-            out.send(frame(number, Body::Follow(v1::Follow { changes: true, known_version })));
+            out.send(frame(
+                number,
+                Body::Follow(v1::Follow {
+                    changes: true,
+                    known_version,
+                }),
+            ));
         };
         let mut number = 1;
         follow(number, known_version);
@@ -610,26 +728,42 @@
                 }
             };
             match next {
-                Some(Event::Frame(Frame { body: Some(Body::List(list)), .. })) => {
+                Some(Event::Frame(Frame {
+                    body: Some(Body::List(list)),
+                    ..
+                })) => {
                     heard = clock.now();
                     let newest = self.inner.ledger.borrow().list_version();
                     let whole = list.kind() == v1::ListKind::Full;
                     if !calls.takes(whole, list.version, newest, heard) {
                         out.close();
-                        return FeedEnd::Lost("its list is older than the one that is known".to_owned());
+                        return FeedEnd::Lost(
+                            "its list is older than the one that is known".to_owned(),
+                        );
                     }
                     calls.answered();
                     let told = |line: &v1::HostLine| {
-                        (line.host.clone(), line.condition().as_str_name(), line.started_ms)
+                        (
+                            line.host.clone(),
+                            line.condition().as_str_name(),
+                            line.started_ms,
+                        )
                     };
                     // Put together only where it is logged.
                     let hosts = || list.hosts.iter().map(told).collect::<Vec<_>>();
                     tracing::debug!(version = list.version, hosts = ?hosts(), "list");
                     self.input(Input::Listed(list));
                 }
-                Some(Event::Frame(Frame { body: Some(Body::Goodbye(bye)), .. })) => {
+                Some(Event::Frame(Frame {
+                    body: Some(Body::Goodbye(bye)),
+                    ..
+                })) => {
                     out.close();
-                    let ended = if bye.never_ran { FeedEnd::Lost } else { FeedEnd::Unusable };
+                    let ended = if bye.never_ran {
+                        FeedEnd::Lost
+                    } else {
+                        FeedEnd::Unusable
+                    };
                     return ended(bye.reason);
                 }
                 // A long list has begun to come.
@@ -643,9 +777,15 @@
     /// To other dispatchers, over connections made as they are wanted. What cannot be said now is lost.
     fn tell(&self, to: Option<DispatcherId>, bytes: Vec<u8>) {
         let from = self.inner.settings.policy.me.0;
-        let body = Body::Peer(v1::PeerMessage { from, bytes: bytes.into() });
+        let body = Body::Peer(v1::PeerMessage {
+            from,
+            bytes: bytes.into(),
+        });
         let peers = self.inner.places.borrow().peers.clone();
-        for (&peer, address) in peers.iter().filter(|(p, _)| to.map_or(**p != from, |to| to.0 == **p)) {
+        for (&peer, address) in peers
+            .iter()
+            .filter(|(p, _)| to.map_or(**p != from, |to| to.0 == **p))
+        {
             let known = self.inner.peers.borrow().get(&peer).cloned();
             match known {
                 Some(out) => {
@@ -659,9 +799,20 @@
     }
 
     async fn peer(self, peer: u32, address: String, first: Body) {
-        let Ok(stream) = self.inner.transport.connect(&address).await else { return };
-        let session = self.inner.wire.connect(stream, v1::Party::Dispatcher, self.setup("", 1)).await;
-        let Ok(Session { mut events, out, .. }) = session else { return };
+        let Ok(stream) = self.inner.transport.connect(&address).await else {
+            return;
+        };
+        let session = self
+            .inner
+            .wire
+            .connect(stream, v1::Party::Dispatcher, self.setup("", 1))
+            .await;
+        let Ok(Session {
+            mut events, out, ..
+        }) = session
+        else {
+            return;
+        };
         out.send(frame(0, first));
         self.inner.peers.borrow_mut().insert(peer, out);
         while events.recv().await.is_some() {}
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -8,20 +8,39 @@
 
 /// A ledger that has four engines of each kind.
 pub fn bench() -> Bench {
-    let mut bench = Bench::with(ProgramSettings { limits: single_limits(), ..settings() });
-    let names: Vec<String> =
-        ["r", "w"].iter().flat_map(|kind| (1..=4).map(move |at| format!("{kind}{at}"))).collect();
-    let ready: Vec<_> = names.iter().map(|name| (name.as_str(), v1::HostCondition::Ready)).collect();
+    let mut bench = Bench::with(ProgramSettings {
+        limits: single_limits(),
+        ..settings()
+    });
+    let names: Vec<String> = ["r", "w"]
+        .iter()
+        .flat_map(|kind| (1..=4).map(move |at| format!("{kind}{at}")))
+        .collect();
+    let ready: Vec<_> = names
+        .iter()
+        .map(|name| (name.as_str(), v1::HostCondition::Ready))
+        .collect();
     bench.put(Input::Listed(list(v1::ListKind::Full, &ready)));
     bench
 }
 
 /// A client asks; it goes by its connection's number.
 pub fn asks(bench: &mut Bench, conn: u64, class: &str) -> Vec<Output> {
-    let origin = Some(v1::Origin { id: conn.to_string(), ..v1::Origin::default() });
+    let origin = Some(v1::Origin {
+        id: conn.to_string(),
+        ..v1::Origin::default()
+    });
     let prompt = bytes::Bytes::from_static(b"{}");
-    let body = Body::Submit(v1::Submit { origin, prompt, session: conn, ..submit(class) });
-    bench.put(Input::Client { conn: ConnId(conn), frame: frame(1, body) })
+    let body = Body::Submit(v1::Submit {
+        origin,
+        prompt,
+        session: conn,
+        ..submit(class)
+    });
+    bench.put(Input::Client {
+        conn: ConnId(conn),
+        frame: frame(1, body),
+    })
 }
 
 /// A request whose state is held, and its decode attempt.
@@ -29,7 +48,10 @@
     let out = asks(bench, conn, class);
     let prefill = bench.launches(&out).pop().expect("a prefill goes out");
     let out = bench.ended(&prefill, v1::Status::ReadDone);
-    bench.launches(&out).pop().expect("a decode attempt goes out")
+    bench
+        .launches(&out)
+        .pop()
+        .expect("a decode attempt goes out")
 }
 
 /// Serves requests until an open connection to every engine rests.
@@ -45,11 +67,14 @@
 /// The links on which releases of a request went out, among outputs.
 pub fn releases_of(conn: u64, out: &[Output]) -> Vec<LinkId> {
     let release = |output: &Output| match output {
-        Output::ToHost { link, frame: Frame { body: Some(Body::Release(release)), .. } }
-            if release.origin == conn.to_string() =>
-        {
-            Some(*link)
-        }
+        Output::ToHost {
+            link,
+            frame:
+                Frame {
+                    body: Some(Body::Release(release)),
+                    ..
+                },
+        } if release.origin == conn.to_string() => Some(*link),
         _ => None,
     };
     out.iter().filter_map(release).collect()
@@ -58,9 +83,14 @@
 /// Whether an attempt was called off, which ends its connection where one carries a call at a time.
 pub fn called_off(out: &[Output], sent: &Sent) -> bool {
     let is_cancel = |output: &Output| match output {
-        Output::ToHost { link, frame: Frame { stream, body: Some(Body::Cancel(_)) } } => {
-            (*link, *stream) == (sent.link, sent.stream)
-        }
+        Output::ToHost {
+            link,
+            frame:
+                Frame {
+                    stream,
+                    body: Some(Body::Cancel(_)),
+                },
+        } => (*link, *stream) == (sent.link, sent.stream),
         _ => false,
     };
     out.iter().any(is_cancel)
@@ -68,5 +98,7 @@
 
 /// Engines that fall silent together, with nothing heard of them beforehand but their last answers.
 pub fn silence(bench: &mut Bench, names: &[&str]) {
-    bench.silent.extend(names.iter().map(|name| (*name).to_owned()));
+    bench
+        .silent
+        .extend(names.iter().map(|name| (*name).to_owned()));
 }
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -97,7 +97,13 @@
 
     /// Waits until a connection to an address is wanted and is held up.
     pub async fn held_up(&self, address: &str) {
-        until(|| self.waiting.borrow().iter().any(|waiting| waiting == address)).await;
+        until(|| {
+            self.waiting
+                .borrow()
+                .iter()
+                .any(|waiting| waiting == address)
+        })
+        .await;
     }
 }
 
@@ -145,7 +151,10 @@
     }
 
     async fn listen(&self, address: &str) -> io::Result<FailingListener> {
-        Ok(FailingListener { inner: Tcp.listen(address).await?, errors: self.accept_errors.clone() })
+        Ok(FailingListener {
+            inner: Tcp.listen(address).await?,
+            errors: self.accept_errors.clone(),
+        })
     }
 }
 
@@ -172,7 +181,9 @@
 
 impl Request {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.head.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
+        self.head
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 
     pub fn id(&self) -> &str {
@@ -183,7 +194,10 @@
 impl Conn {
     pub fn new(io: TcpStream) -> Self {
         io.set_nodelay(true).expect("a socket");
-        Conn { io, came: Vec::new() }
+        Conn {
+            io,
+            came: Vec::new(),
+        }
     }
 
     pub async fn say(&mut self, text: &str) {
@@ -205,7 +219,10 @@
     /// All that came up to and with an end; what there is if the connection ends first.
     pub async fn text_until(&mut self, end: &str) -> String {
         loop {
-            let at = self.came.windows(end.len().max(1)).position(|w| w == end.as_bytes());
+            let at = self
+                .came
+                .windows(end.len().max(1))
+                .position(|w| w == end.as_bytes());
             if let Some(at) = at {
                 let rest = self.came.split_off(at + end.len());
                 return String::from_utf8(std::mem::replace(&mut self.came, rest)).expect("text");
@@ -222,8 +239,13 @@
         if head.is_empty() {
             return None;
         }
-        let mut request = Request { head, body: Vec::new() };
-        let length = request.header("Content-Length").map_or(0, |l| l.parse().expect("a length"));
+        let mut request = Request {
+            head,
+            body: Vec::new(),
+        };
+        let length = request
+            .header("Content-Length")
+            .map_or(0, |l| l.parse().expect("a length"));
         while self.came.len() < length && self.more().await {}
         request.body = self.came.drain(..length.min(self.came.len())).collect();
         Some(request)
@@ -289,7 +311,9 @@
     let socket = TcpSocket::new_v4().expect("a socket");
     // Connections that are accepted have the listener's.
     socket.set_send_buffer_size(SMALL_BUFFER).expect("a buffer");
-    socket.bind(ADDRESS.parse().expect("an address")).expect("a port");
+    socket
+        .bind(ADDRESS.parse().expect("an address"))
+        .expect("a port");
     socket.listen(128).expect("it listens")
 }
 
@@ -302,12 +326,24 @@
         again_most: 1000.0,
         resumes: false,
     };
-    Limits { feed, most_frame: BOUNDS.most_body, stop_notice: 600.0, ..single_limits() }
+    Limits {
+        feed,
+        most_frame: BOUNDS.most_body,
+        stop_notice: 600.0,
+        ..single_limits()
+    }
 }
 
 /// Runs a test beside a dispatcher that knows a prefill engine "r1" and a decode engine "w1".
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Loopback) -> F) {
-    run_with(ProgramSettings { limits: limits(), ..settings() }, &["r1", "w1"], test);
+    run_with(
+        ProgramSettings {
+            limits: limits(),
+            ..settings()
+        },
+        &["r1", "w1"],
+        test,
+    );
 }
 
 pub fn run_with<F: Future<Output = ()>>(
@@ -315,7 +351,10 @@
     hosts: &[&'static str],
     test: impl FnOnce(Loopback) -> F,
 ) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let within = tokio::time::timeout(HANGS_AFTER, async {
             let net = Loopback::start(settings, hosts).await;
@@ -327,7 +366,10 @@
 
 impl Loopback {
     async fn start(settings: ProgramSettings, names: &[&'static str]) -> Loopback {
-        let clock = ManualClock { now: Rc::new(Cell::new(1e6)), moved: Rc::default() };
+        let clock = ManualClock {
+            now: Rc::new(Cell::new(1e6)),
+            moved: Rc::default(),
+        };
         let gate = Gate::default();
         let mut hosts = BTreeMap::new();
         for name in names {
@@ -337,21 +379,44 @@
         }
         let discovery = TcpListener::bind(ADDRESS).await.expect("a port");
         let feeds = vec![discovery.local_addr().expect("an address").to_string()];
-        let places = Places { feeds, ..Places::default() };
+        let places = Places {
+            feeds,
+            ..Places::default()
+        };
         let wire = Http1::new(BOUNDS);
         let shell = Shell::speaking(wire, settings, places, gate.clone(), clock.clone(), 1);
         let inner = listen_narrow();
         let address = inner.local_addr().expect("an address").to_string();
-        let listener = FailingListener { inner, errors: gate.accept_errors.clone() };
+        let listener = FailingListener {
+            inner,
+            errors: gate.accept_errors.clone(),
+        };
         let (stop, serving) = (Rc::new(Notify::new()), shell.clone());
         let told = stop.clone();
         let served = spawn_local(async move {
-            serving.serve(listener, told.notified()).await.expect("it serves");
+            serving
+                .serve(listener, told.notified())
+                .await
+                .expect("it serves");
         });
         let (watch, revision) = (RefCell::new(None), Cell::new(1));
-        let net = Loopback { shell, clock, gate, address, hosts, discovery, watch, revision, stop, served };
+        let net = Loopback {
+            shell,
+            clock,
+            gate,
+            address,
+            hosts,
+            discovery,
+            watch,
+            revision,
+            stop,
+            served,
+        };
         let mut call = net.discovery_call().await;
-        assert!(!call.request().await.head.contains("after="), "the whole list is asked for first");
+        assert!(
+            !call.request().await.head.contains("after="),
+            "the whole list is asked for first"
+        );
         call.say(&net.list(1, true, &net.all("up"))).await;
         net.watched_on(call).await;
         net
@@ -360,7 +425,12 @@
     /// Keeps a connection to discovery once the watch that follows is open on it.
     pub async fn watched_on(&self, mut call: Conn) {
         let watch = call.request().await;
-        assert!(watch.head.contains(&format!("after={}&", self.revision.get())), "{watch:?}");
+        assert!(
+            watch
+                .head
+                .contains(&format!("after={}&", self.revision.get())),
+            "{watch:?}"
+        );
         *self.watch.borrow_mut() = Some(call);
     }
 
@@ -373,7 +443,8 @@
     pub async fn tell(&self, lines: &[String]) {
         self.revision.set(self.revision.get() + 1);
         let mut call = self.take_watch();
-        call.say(&self.list(self.revision.get(), false, lines)).await;
+        call.say(&self.list(self.revision.get(), false, lines))
+            .await;
         self.watched_on(call).await;
     }
 
@@ -392,11 +463,18 @@
 
     /// A line of the list for each host, all in one phase.
     pub fn all(&self, phase: &str) -> Vec<String> {
-        self.hosts.keys().map(|name| self.line(name, phase)).collect()
+        self.hosts
+            .keys()
+            .map(|name| self.line(name, phase))
+            .collect()
     }
 
     pub fn line(&self, name: &str, phase: &str) -> String {
-        let flavor = if name.starts_with('r') { "reader" } else { "writer" };
+        let flavor = if name.starts_with('r') {
+            "reader"
+        } else {
+            "writer"
+        };
         let address = &self.hosts[name].address;
         format!(
             "{{\"id\":\"{name}\",\"host_port\":\"{address}\",\"locality\":\"north\",\"flavor\":\"{flavor}\",\
@@ -407,8 +485,12 @@
     /// An answer of discovery.
     pub fn list(&self, revision: u64, whole: bool, lines: &[String]) -> String {
         let members = lines.join(",");
-        let text = format!("{{\"revision\":{revision},\"complete\":{whole},\"members\":[{members}]}}");
-        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
+        let text =
+            format!("{{\"revision\":{revision},\"complete\":{whole},\"members\":[{members}]}}");
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+            text.len()
+        )
     }
 
     pub fn now(&self) -> Ms {
@@ -473,7 +555,10 @@
                 std::task::Poll::Ready(accepted) => Some(accepted.expect("a connection").0),
                 std::task::Poll::Pending => None,
             };
-            names.iter().find_map(ready).map_or(std::task::Poll::Pending, std::task::Poll::Ready)
+            names
+                .iter()
+                .find_map(ready)
+                .map_or(std::task::Poll::Pending, std::task::Poll::Ready)
         });
         let mut conn = Conn::new(accepted.await);
         let request = conn.request().await;
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -31,11 +31,19 @@
         profiles: vec![
             profile(Effect::Reissuable),
             profile(Effect::AtMostOnce),
-            profile(Effect::Numbered { group: Group::Zone, window: 2000.0 }),
+            profile(Effect::Numbered {
+                group: Group::Zone,
+                window: 2000.0,
+            }),
         ],
         tenants: vec![],
         over_share_worth: 1.0,
-        kinds: [Role::Reader, Role::Writer].map(|role| KindSettings { role, memory_tokens: 2e5 }).to_vec(),
+        kinds: [Role::Reader, Role::Writer]
+            .map(|role| KindSettings {
+                role,
+                memory_tokens: 2e5,
+            })
+            .to_vec(),
         discovery: Discovery::Pushed,
         release: 500.0,
         writers_read: false,
@@ -97,7 +105,12 @@
 
 /// Where a connection carries one call at a time.
 pub fn single_limits() -> Limits {
-    let clients = SingleSettings { first: 2000.0, whole: 2000.0, first_whole: 2750.0, rest: 10_000.0 };
+    let clients = SingleSettings {
+        first: 2000.0,
+        whole: 2000.0,
+        first_whole: 2750.0,
+        rest: 10_000.0,
+    };
     Limits {
         streams_per_link: 1,
         links_per_host: 50,
@@ -107,13 +120,20 @@
         client_quiet: f64::INFINITY,
         again_first: 0.0,
         again_most: 0.0,
-        single: Some(Single { clients, most_links: 50 }),
+        single: Some(Single {
+            clients,
+            most_links: 50,
+        }),
         ..limits()
     }
 }
 
 pub fn line(host: &str, condition: v1::HostCondition) -> v1::HostLine {
-    let kind = if host.starts_with('r') { "reader" } else { "writer" };
+    let kind = if host.starts_with('r') {
+        "reader"
+    } else {
+        "writer"
+    };
     v1::HostLine {
         host: host.to_owned(),
         address: format!("at-{host}"),
@@ -127,8 +147,15 @@
 }
 
 pub fn list(kind: v1::ListKind, hosts: &[(&str, v1::HostCondition)]) -> v1::HostList {
-    let hosts = hosts.iter().map(|(host, condition)| line(host, *condition)).collect();
-    v1::HostList { kind: kind.into(), version: 1, hosts }
+    let hosts = hosts
+        .iter()
+        .map(|(host, condition)| line(host, *condition))
+        .collect();
+    v1::HostList {
+        kind: kind.into(),
+        version: 1,
+        hosts,
+    }
 }
 
 pub fn submit(profile: &str) -> v1::Submit {
@@ -143,7 +170,11 @@
 }
 
 pub fn tokens(position: u32) -> Body {
-    Body::Tokens(v1::Tokens { position, count: 1, text: Default::default() })
+    Body::Tokens(v1::Tokens {
+        position,
+        count: 1,
+        text: Default::default(),
+    })
 }
 
 /// A launch as it left for a host.
@@ -205,20 +236,34 @@
                 match output {
                     Output::Dial { link, host, .. } => {
                         self.hosts.insert(*link, host.0.to_string());
-                        let runs = self.silent_hosts_accept || !self.silent.contains(host.0.as_ref());
+                        let runs =
+                            self.silent_hosts_accept || !self.silent.contains(host.0.as_ref());
                         if self.links_come_up && runs {
-                            next.push(Input::LinkUp { link: *link, limit: None });
+                            next.push(Input::LinkUp {
+                                link: *link,
+                                limit: None,
+                            });
                         }
                     }
-                    Output::ToHost { link, frame: Frame { body: Some(Body::Ping(_)), .. } }
-                        if self.hosts_answer_pings =>
-                    {
+                    Output::ToHost {
+                        link,
+                        frame:
+                            Frame {
+                                body: Some(Body::Ping(_)),
+                                ..
+                            },
+                    } if self.hosts_answer_pings => {
                         let frame = frame(0, Body::Pong(v1::Pong {}));
                         next.push(Input::Host { link: *link, frame });
                     }
-                    Output::ToHost { link, frame: Frame { stream, body: Some(Body::Release(_)) } }
-                        if self.hosts_answer_releases && !self.is_silent(*link) =>
-                    {
+                    Output::ToHost {
+                        link,
+                        frame:
+                            Frame {
+                                stream,
+                                body: Some(Body::Release(_)),
+                            },
+                    } if self.hosts_answer_releases && !self.is_silent(*link) => {
                         let frame = frame(*stream, Body::Done(v1::Done {}));
                         next.push(Input::Host { link: *link, frame });
                     }
@@ -245,25 +290,43 @@
     }
 
     pub fn client(&mut self, stream: u64, body: Body) -> Vec<Output> {
-        self.put(Input::Client { conn: ConnId(1), frame: frame(stream, body) })
+        self.put(Input::Client {
+            conn: ConnId(1),
+            frame: frame(stream, body),
+        })
     }
 
     pub fn host(&mut self, to: &Sent, body: Body) -> Vec<Output> {
-        self.put(Input::Host { link: to.link, frame: frame(to.stream, body) })
+        self.put(Input::Host {
+            link: to.link,
+            frame: frame(to.stream, body),
+        })
     }
 
     pub fn ended(&mut self, to: &Sent, status: v1::Status) -> Vec<Output> {
         let state = to.state.filter(|_| status == v1::Status::ReadDone);
-        self.host(to, Body::Ended(v1::Ended { status: status.into(), state, ..v1::Ended::default() }))
+        self.host(
+            to,
+            Body::Ended(v1::Ended {
+                status: status.into(),
+                state,
+                ..v1::Ended::default()
+            }),
+        )
     }
 
     pub fn told(&mut self, host: &str, condition: v1::HostCondition) -> Vec<Output> {
-        self.put(Input::Listed(list(v1::ListKind::Changes, &[(host, condition)])))
+        self.put(Input::Listed(list(
+            v1::ListKind::Changes,
+            &[(host, condition)],
+        )))
     }
 
     /// Whether the host that a link was dialled to has fallen silent.
     pub fn is_silent(&self, link: LinkId) -> bool {
-        self.hosts.get(&link).is_some_and(|host| self.silent.contains(host))
+        self.hosts
+            .get(&link)
+            .is_some_and(|host| self.silent.contains(host))
     }
 
     /// The host that a link was dialled to.
@@ -274,13 +337,20 @@
     /// The launches among outputs.
     pub fn launches(&self, out: &[Output]) -> Vec<Sent> {
         let launch = |output: &Output| {
-            let Output::ToHost { link, frame } = output else { return None };
+            let Output::ToHost { link, frame } = output else {
+                return None;
+            };
             let state = match &frame.body {
                 Some(Body::Read(read)) => read.state,
                 Some(Body::Write(write)) => write.state,
                 _ => return None,
             };
-            Some(Sent { link: *link, stream: frame.stream, host: self.hosts.get(link)?.clone(), state })
+            Some(Sent {
+                link: *link,
+                stream: frame.stream,
+                host: self.hosts.get(link)?.clone(),
+                state,
+            })
         };
         out.iter().filter_map(launch).collect()
     }
@@ -309,7 +379,13 @@
 /// Messages to the client among outputs, by stream.
 pub fn to_client(out: &[Output]) -> Vec<(u64, Body)> {
     let said = |output: &Output| match output {
-        Output::ToClient { frame: Frame { stream, body: Some(body) }, .. } => Some((*stream, body.clone())),
+        Output::ToClient {
+            frame: Frame {
+                stream,
+                body: Some(body),
+            },
+            ..
+        } => Some((*stream, body.clone())),
         _ => None,
     };
     out.iter().filter_map(said).collect()
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -34,21 +34,41 @@
 }
 
 pub fn run_with<F: Future<Output = ()>>(settings: ProgramSettings, test: impl FnOnce(Net) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     let runtime = runtime.expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let (memory, clock) = (Memory::default(), TokioClock::starting_at(1e6));
         let transcript = Transcript::default();
         let feed = Feed::new("list", clock, transcript.clone(), 0.0);
-        spawn_local(feed.clone().serve::<Memory>(memory.listen("feed").await.expect("a name")));
+        spawn_local(
+            feed.clone()
+                .serve::<Memory>(memory.listen("feed").await.expect("a name")),
+        );
         let mut hosts = Vec::new();
-        for (name, kind, does) in [("r1", "reader", Does::Reads), ("w1", "writer", Does::Writes)] {
-            let host = Host::new(spec(name, kind, does), memory.clone(), clock, transcript.clone(), 1);
-            host.start(&format!("at-{name}"), true).await.expect("a name");
+        for (name, kind, does) in [
+            ("r1", "reader", Does::Reads),
+            ("w1", "writer", Does::Writes),
+        ] {
+            let host = Host::new(
+                spec(name, kind, does),
+                memory.clone(),
+                clock,
+                transcript.clone(),
+                1,
+            );
+            host.start(&format!("at-{name}"), true)
+                .await
+                .expect("a name");
             feed.tell(host.line(HostCondition::Ready));
             hosts.push(host);
         }
-        let places = Places { feeds: vec!["feed".to_owned()], ..Places::default() };
+        let places = Places {
+            feeds: vec!["feed".to_owned()],
+            ..Places::default()
+        };
         let shell = Shell::new(settings, places, memory.clone(), clock, 1);
         let listener = memory.listen("d").await.expect("a name");
         let serving = shell.clone();
@@ -58,7 +78,16 @@
         while feed.followers() == 0 {
             clock.sleep_until(clock.now() + 1.0).await;
         }
-        test(Net { memory, clock, shell, transcript, feed, stop, hosts }).await;
+        test(Net {
+            memory,
+            clock,
+            shell,
+            transcript,
+            feed,
+            stop,
+            hosts,
+        })
+        .await;
     });
 }
 
@@ -86,9 +115,17 @@
 
 impl Net {
     pub async fn task(&self, client: &str) -> (End, u32) {
-        let port = Port::new(client, "d", self.memory.clone(), self.clock, self.transcript.clone());
+        let port = Port::new(
+            client,
+            "d",
+            self.memory.clone(),
+            self.clock,
+            self.transcript.clone(),
+        );
         let mut tokens = 0;
-        let end = port.run(common::submit("draft"), None, |t| tokens += t.count).await;
+        let end = port
+            .run(common::submit("draft"), None, |t| tokens += t.count)
+            .await;
         (end, tokens)
     }
 
@@ -105,7 +142,13 @@
     }
 
     pub fn port(&self, client: &str) -> Rc<Port<Memory, TokioClock>> {
-        Port::new(client, "d", self.memory.clone(), self.clock, self.transcript.clone())
+        Port::new(
+            client,
+            "d",
+            self.memory.clone(),
+            self.clock,
+            self.transcript.clone(),
+        )
     }
 
     pub async fn wait(&self, ms: f64) {
@@ -116,7 +159,10 @@
     pub fn came(&self, host: &str, is: impl Fn(&Body) -> bool) -> Option<f64> {
         let came = |what: &What| matches!(what, What::Frame(Way::In, f) if f.body.as_ref().is_some_and(&is));
         let records = self.transcript.records();
-        records.iter().find(|r| &*r.seer == host && came(&r.what)).map(|r| r.at)
+        records
+            .iter()
+            .find(|r| &*r.seer == host && came(&r.what))
+            .map(|r| r.at)
     }
 
     /// The keys of tasks that had their effect, in order.
--- a/crates/dispatcher/tests/endings.rs
+++ b/crates/dispatcher/tests/endings.rs
@@ -79,7 +79,11 @@
 /// Nothing of the request is left: no attempt begins any more, the one that was out is closed, its state is let go.
 async fn nothing_is_left(net: &Loopback, stage: Stage, engine: Option<Conn>) {
     if let Some(mut engine) = engine {
-        assert_eq!(engine.rest().await, "", "{stage:?}: the attempt is closed, and nothing more said on it");
+        assert_eq!(
+            engine.rest().await,
+            "",
+            "{stage:?}: the attempt is closed, and nothing more said on it"
+        );
     }
     if may_hold_state(stage) {
         // Any host passes a release on. The connection over which the prompt went rests at the prefill engine.
@@ -129,7 +133,10 @@
 async fn release_is_sent(net: &Loopback) {
     let (mut conn, mut request) = net.any_asked().await;
     for _ in 0..MOST_RELEASES {
-        assert!(request.head.starts_with("DELETE /bootstrap/rooms/a "), "{request:?}");
+        assert!(
+            request.head.starts_with("DELETE /bootstrap/rooms/a "),
+            "{request:?}"
+        );
         conn.say(RELEASED).await;
         let on_it = tokio::select! { biased;
             () = until(|| net.shell.held().releases == 0) => return,
@@ -235,7 +242,13 @@
     #[test]
     fn that_passes_is_answered_once_and_leaves_nothing_at_any_stage() {
         for class in CLASSES {
-            for stage in [Stage::Waits, Stage::Connects, Stage::Prefills, Stage::HoldsState, Stage::Decodes] {
+            for stage in [
+                Stage::Waits,
+                Stage::Connects,
+                Stage::Prefills,
+                Stage::HoldsState,
+                Stage::Decodes,
+            ] {
                 run(|net| async move {
                     let text = request_with("a", class, REMAINING, "{}");
                     let Open { mut client, engine } = bring_with(&net, stage, &text).await;
@@ -243,7 +256,8 @@
                     let answer = client.text_until("\n").await;
                     let refused = answer.starts_with("HTTP/1.1 503 ");
                     // A second attempt might do harm once a decode engine was chosen for an at-most-once request.
-                    let harmless = class == "draft" || !matches!(stage, Stage::HoldsState | Stage::Decodes);
+                    let harmless =
+                        class == "draft" || !matches!(stage, Stage::HoldsState | Stage::Decodes);
                     assert_eq!(refused, harmless, "{class}, {stage:?}: {answer}");
                     assert!(refused || answer.starts_with("HTTP/1.1 504 "), "{answer}");
                     drop(client);
@@ -263,7 +277,10 @@
             net.advance(240.0);
             net.gate.open(&net.host("r1").address);
             let (_prefill, request) = net.host("r1").asked().await;
-            let told: f64 = request.header("X-Remaining-Ms").and_then(|t| t.parse().ok()).expect("a time");
+            let told: f64 = request
+                .header("X-Remaining-Ms")
+                .and_then(|t| t.parse().ok())
+                .expect("a time");
             assert!(told <= 3_760.0, "{told} told, 3760 left");
         });
     }
@@ -281,7 +298,10 @@
             net.advance(f64::from(REMAINING));
         } else {
             net.advance(f64::from(REMAINING));
-            engine.io.try_write(text.as_bytes()).expect("room in the socket");
+            engine
+                .io
+                .try_write(text.as_bytes())
+                .expect("room in the socket");
         }
     }
 
@@ -304,7 +324,10 @@
                 Some(release) => release,
                 None => net.any_asked().await.1,
             };
-            assert!(release.head.starts_with("DELETE /bootstrap/rooms/a "), "{release:?}");
+            assert!(
+                release.head.starts_with("DELETE /bootstrap/rooms/a "),
+                "{release:?}"
+            );
             net.no_request_is_open().await;
         });
     }
@@ -321,9 +344,17 @@
                 net.no_request_is_open().await;
                 client.io.shutdown().await.expect("a socket");
                 let answer = client.rest().await;
-                assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{class}, {first:?}: {answer}");
+                assert_eq!(
+                    answer.matches("HTTP/1.1 ").count(),
+                    1,
+                    "{class}, {first:?}: {answer}"
+                );
                 let served = answer.starts_with("HTTP/1.1 200 ");
-                assert_eq!(served, answer.ends_with(END), "a stream that is begun is whole: {answer}");
+                assert_eq!(
+                    served,
+                    answer.ends_with(END),
+                    "a stream that is begun is whole: {answer}"
+                );
                 assert!(served || answer.starts_with("HTTP/1.1 50"), "{answer}");
             });
         }
@@ -376,7 +407,10 @@
                 decode.say(part).await;
                 drop(decode);
                 if class == "proof" {
-                    assert!(client.text_until("\n").await.starts_with("HTTP/1.1 504 "), "not sent again");
+                    assert!(
+                        client.text_until("\n").await.starts_with("HTTP/1.1 504 "),
+                        "not sent again"
+                    );
                     net.no_request_is_open().await;
                     release_is_sent(&net).await;
                     assert!(!net.host("w1").is_asked());
@@ -393,16 +427,21 @@
     /// still the dispatcher's to answer.
     #[test]
     fn within_its_first_event_and_between_two_chunks_has_begun_no_stream() {
-        for part in
-            ["6\r\ndata: \r\n", "6\r\ndata: \r\n2\r\na\n\r\n", "d\r\n: a comment\n\n\r\n5\r\ndata:\r\n"]
-        {
+        for part in [
+            "6\r\ndata: \r\n",
+            "6\r\ndata: \r\n2\r\na\n\r\n",
+            "d\r\n: a comment\n\n\r\n5\r\ndata:\r\n",
+        ] {
             for class in CLASSES {
                 run(|net| async move {
                     let (mut client, mut decode) = net.decoding("a", class).await;
                     decode.say(&format!("{STREAM}{part}")).await;
                     drop(decode);
                     if class == "proof" {
-                        assert!(client.text_until("\n").await.starts_with("HTTP/1.1 504 "), "answered whole");
+                        assert!(
+                            client.text_until("\n").await.starts_with("HTTP/1.1 504 "),
+                            "answered whole"
+                        );
                         net.no_request_is_open().await;
                         release_is_sent(&net).await;
                         assert!(!net.host("w1").is_asked(), "not sent again");
@@ -410,7 +449,10 @@
                         let mut decode = attempt_of(&net, "w1", "a").await;
                         decode.say(&format!("{STREAM}{EVENT}{END}")).await;
                         let answer = client.text_until(END).await;
-                        assert!(answer.ends_with(&format!("\r\n\r\n{EVENT}{END}")), "one answer: {answer}");
+                        assert!(
+                            answer.ends_with(&format!("\r\n\r\n{EVENT}{END}")),
+                            "one answer: {answer}"
+                        );
                     }
                 });
             }
@@ -469,7 +511,10 @@
             for _ in 0..1_000 {
                 tokio::task::yield_now().await;
             }
-            assert!(!net.has_ended(), "it does not end over an answer that is being read");
+            assert!(
+                !net.has_ended(),
+                "it does not end over an answer that is being read"
+            );
             let answer = client.text_until(END).await;
             assert!(answer.ends_with(END), "{} bytes", answer.len());
             assert!(answer.len() > 120_000, "all of it: {} bytes", answer.len());
@@ -506,7 +551,10 @@
             let (mut decode, _) = net.host("w1").asked().await;
             decode.say(&format!("{STREAM}{EVENT}{END}")).await;
             let answer = resting.rest().await;
-            assert!(answer.starts_with("HTTP/1.1 200 ") && answer.ends_with(END), "{answer}");
+            assert!(
+                answer.starts_with("HTTP/1.1 200 ") && answer.ends_with(END),
+                "{answer}"
+            );
             assert!(answer.contains("\r\nConnection: close\r\n"), "{answer}");
         });
     }
@@ -529,7 +577,10 @@
                     resting.io.try_write(text.as_bytes()).expect("room");
                 }
                 let answer = resting.text_until("\n").await;
-                assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 503 "), "{answer}");
+                assert!(
+                    answer.is_empty() || answer.starts_with("HTTP/1.1 503 "),
+                    "{answer}"
+                );
                 drop(resting);
                 net.pass_until(|| net.has_ended()).await;
                 assert!(!net.host("r1").is_asked(), "nothing was sent on");
@@ -543,8 +594,18 @@
 
     /// Two connections of clients at most.
     fn run_with_two_places<F: std::future::Future<Output = ()>>(test: impl FnOnce(Loopback) -> F) {
-        let limits = Limits { most_clients: 2, ..limits() };
-        run_with(ProgramSettings { limits, ..settings() }, &["r1", "w1"], test);
+        let limits = Limits {
+            most_clients: 2,
+            ..limits()
+        };
+        run_with(
+            ProgramSettings {
+                limits,
+                ..settings()
+            },
+            &["r1", "w1"],
+            test,
+        );
     }
 
     #[test]
@@ -587,37 +648,50 @@
 
     #[test]
     fn at_the_engines_is_made_by_a_connection_at_rest_and_never_by_one_in_use() {
-        let single = limits().single.map(|single| Single { most_links: 2, ..single });
-        let limits = Limits { single, ..limits() };
-        run_with(ProgramSettings { limits, ..settings() }, &["r1", "w1"], |net| async move {
-            let mut client = net.ask("a", "proof").await;
-            let (mut prefill, _) = net.host("r1").asked().await;
-            prefill.say(READ).await;
-            // The connection to r1 makes way for the decode's, which is in use then.
-            let (mut decode, _) = net.host("w1").asked().await;
-            let mut second = net.ask("b", "proof").await;
-            let request = tokio::select! {
-                request = prefill.request() => request,
-                asked = net.host("r1").asked() => {
-                    prefill = asked.0;
-                    asked.1
-                }
-            };
-            assert_eq!(request.id(), "b");
-            prefill.say(READ).await;
-            // No place for its decode attempt until the first has ended.
-            decode.say(&format!("{STREAM}{EVENT}{END}")).await;
-            assert!(client.text_until(END).await.ends_with(END), "the first goes on undisturbed");
-            let mut decode = tokio::select! {
-                request = decode.request() => {
-                    assert_eq!(request.id(), "b");
-                    decode
-                }
-                decode = attempt_of(&net, "w1", "b") => decode,
-            };
-            decode.say(&format!("{STREAM}{EVENT}{END}")).await;
-            assert!(second.text_until(END).await.ends_with(END));
+        let single = limits().single.map(|single| Single {
+            most_links: 2,
+            ..single
         });
+        let limits = Limits { single, ..limits() };
+        run_with(
+            ProgramSettings {
+                limits,
+                ..settings()
+            },
+            &["r1", "w1"],
+            |net| async move {
+                let mut client = net.ask("a", "proof").await;
+                let (mut prefill, _) = net.host("r1").asked().await;
+                prefill.say(READ).await;
+                // The connection to r1 makes way for the decode's, which is in use then.
+                let (mut decode, _) = net.host("w1").asked().await;
+                let mut second = net.ask("b", "proof").await;
+                let request = tokio::select! {
+                    request = prefill.request() => request,
+                    asked = net.host("r1").asked() => {
+                        prefill = asked.0;
+                        asked.1
+                    }
+                };
+                assert_eq!(request.id(), "b");
+                prefill.say(READ).await;
+                // No place for its decode attempt until the first has ended.
+                decode.say(&format!("{STREAM}{EVENT}{END}")).await;
+                assert!(
+                    client.text_until(END).await.ends_with(END),
+                    "the first goes on undisturbed"
+                );
+                let mut decode = tokio::select! {
+                    request = decode.request() => {
+                        assert_eq!(request.id(), "b");
+                        decode
+                    }
+                    decode = attempt_of(&net, "w1", "b") => decode,
+                };
+                decode.say(&format!("{STREAM}{EVENT}{END}")).await;
+                assert!(second.text_until(END).await.ends_with(END));
+            },
+        );
     }
 }
 
@@ -644,30 +718,41 @@
     #[test_case(Says::Draining; "draining")]
     #[test_case(Says::Removed; "removed")]
     fn gets_nothing_that_still_waited_for_a_connection_to_it(says: Says) {
-        run_with(ProgramSettings { limits: limits(), ..settings() }, &["r1", "w1", "w2"], |net| async move {
-            for engine in ["w1", "w2"] {
-                net.gate.shut(&net.host(engine).address);
-            }
-            let mut client = net.ask("a", "proof").await;
-            net.prefilled().await;
-            let chosen = tokio::select! {
-                () = net.gate.held_up(&net.host("w1").address) => "w1",
-                () = net.gate.held_up(&net.host("w2").address) => "w2",
-            };
-            let other = if chosen == "w1" { "w2" } else { "w1" };
-            net.tell(&[net.line(chosen, says.phase())]).await;
-            net.gate.open(&net.host(other).address);
-            net.gate.open(&net.host(chosen).address);
-            // The connection that was wanted comes up, and carries nothing.
-            let mut unused = net.host(chosen).accept().await;
-            let mut decode = attempt_of(&net, other, "a").await;
-            decode.say(&format!("{STREAM}{EVENT}{END}")).await;
-            assert!(client.text_until(END).await.ends_with(END));
-            net.no_request_is_open().await;
-            // Until it has rested for as long as a connection may.
-            net.advance(limits().link_idle);
-            assert_eq!(unused.rest().await, "", "nothing went to the engine that leaves");
-        });
+        run_with(
+            ProgramSettings {
+                limits: limits(),
+                ..settings()
+            },
+            &["r1", "w1", "w2"],
+            |net| async move {
+                for engine in ["w1", "w2"] {
+                    net.gate.shut(&net.host(engine).address);
+                }
+                let mut client = net.ask("a", "proof").await;
+                net.prefilled().await;
+                let chosen = tokio::select! {
+                    () = net.gate.held_up(&net.host("w1").address) => "w1",
+                    () = net.gate.held_up(&net.host("w2").address) => "w2",
+                };
+                let other = if chosen == "w1" { "w2" } else { "w1" };
+                net.tell(&[net.line(chosen, says.phase())]).await;
+                net.gate.open(&net.host(other).address);
+                net.gate.open(&net.host(chosen).address);
+                // The connection that was wanted comes up, and carries nothing.
+                let mut unused = net.host(chosen).accept().await;
+                let mut decode = attempt_of(&net, other, "a").await;
+                decode.say(&format!("{STREAM}{EVENT}{END}")).await;
+                assert!(client.text_until(END).await.ends_with(END));
+                net.no_request_is_open().await;
+                // Until it has rested for as long as a connection may.
+                net.advance(limits().link_idle);
+                assert_eq!(
+                    unused.rest().await,
+                    "",
+                    "nothing went to the engine that leaves"
+                );
+            },
+        );
     }
 
     #[test_case(Says::Draining; "draining")]
@@ -682,40 +767,51 @@
             net.no_request_is_open().await;
             is_refused(&net, "b").await;
             net.advance(limits().link_idle);
-            assert_eq!(engine.rest().await, "", "its connection is closed, and nothing more said on it");
+            assert_eq!(
+                engine.rest().await,
+                "",
+                "its connection is closed, and nothing more said on it"
+            );
         });
     }
 
     #[test]
     fn with_a_state_held_has_it_let_go_and_the_prompt_is_read_again() {
-        run_with(ProgramSettings { limits: limits(), ..settings() }, &["r1", "r2", "w1"], |net| async move {
-            let mut client = net.ask("a", "draft").await;
-            let (home, mut prefill) = tokio::select! {
-                asked = net.host("r1").asked() => ("r1", asked.0),
-                asked = net.host("r2").asked() => ("r2", asked.0),
-            };
-            let other = if home == "r1" { "r2" } else { "r1" };
-            prefill.say(READ).await;
-            let (mut decode, _) = net.host("w1").asked().await;
-            net.tell(&[net.line(home, "removed")]).await;
-            decode
+        run_with(
+            ProgramSettings {
+                limits: limits(),
+                ..settings()
+            },
+            &["r1", "r2", "w1"],
+            |net| async move {
+                let mut client = net.ask("a", "draft").await;
+                let (home, mut prefill) = tokio::select! {
+                    asked = net.host("r1").asked() => ("r1", asked.0),
+                    asked = net.host("r2").asked() => ("r2", asked.0),
+                };
+                let other = if home == "r1" { "r2" } else { "r1" };
+                prefill.say(READ).await;
+                let (mut decode, _) = net.host("w1").asked().await;
+                net.tell(&[net.line(home, "removed")]).await;
+                decode
                 .say("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
                 .await;
-            let mut prefill = tokio::select! { biased;
-                conn = attempt_of(&net, other, "a") => conn,
-                () = net.pass_until(|| false) => unreachable!("it goes on"),
-            };
-            prefill.say(READ).await;
-            // The decode engine is asked again once it was passed by for a moment, on the connection that rests.
-            let again = tokio::select! { biased;
-                request = decode.request() => request,
-                () = net.pass_until(|| false) => unreachable!("it goes on"),
-            };
-            assert_eq!(again.id(), "a");
-            decode.say(&format!("{STREAM}{EVENT}{END}")).await;
-            assert!(client.text_until(END).await.ends_with(END));
-            net.no_request_is_open().await;
-        });
+                let mut prefill = tokio::select! { biased;
+                    conn = attempt_of(&net, other, "a") => conn,
+                    () = net.pass_until(|| false) => unreachable!("it goes on"),
+                };
+                prefill.say(READ).await;
+                // The decode engine is asked again once it was passed by for a moment, on the connection that rests.
+                let again = tokio::select! { biased;
+                    request = decode.request() => request,
+                    () = net.pass_until(|| false) => unreachable!("it goes on"),
+                };
+                assert_eq!(again.id(), "a");
+                decode.say(&format!("{STREAM}{EVENT}{END}")).await;
+                assert!(client.text_until(END).await.ends_with(END));
+                net.no_request_is_open().await;
+            },
+        );
     }
 }
 
@@ -772,10 +868,12 @@
                     call.say(&answer[..answer.len() - 3]).await;
                 }
                 Watch::IsRefused => {
-                    call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
+                    call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+                        .await;
                 }
                 Watch::CannotBeRead => {
-                    call.say("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n{\"revi").await;
+                    call.say("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n{\"revi")
+                        .await;
                 }
             }
             drop(call);
@@ -793,14 +891,19 @@
             memory: 64e6,
             descriptors: 256,
             connect_timeout: 250.0,
-            discovery: Discovery::Asked { told_within: 6_000.0 },
+            discovery: Discovery::Asked {
+                told_within: 6_000.0,
+            },
             drain_grace: 2_000.0,
             host_idle: None,
             most_held: None,
             longest_deadline: 4_000.0,
             clients_resume: false,
         };
-        Limits { feed: Allowed::of(&given).expect("room for work").feed, ..limits() }
+        Limits {
+            feed: Allowed::of(&given).expect("room for work").feed,
+            ..limits()
+        }
     }
 
     const CROWDED: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -810,22 +913,30 @@
     /// place in its queue, one right after the other.
     #[test]
     fn that_is_crowded_is_asked_for_changes_by_the_call_that_opens_the_watch() {
-        run_with(ProgramSettings { limits: asked(), ..settings() }, &["r1", "w1"], |net| async move {
-            let mut call = net.take_watch();
-            for _ in 0..3 {
-                call.say(CROWDED).await;
-                call = call_within(&net, 3_000.0).await;
-                let request = call.request().await;
-                assert!(
-                    request.head.contains("?after=1&"),
-                    "what is known is not asked for again: {request:?}"
-                );
-            }
-            call.say(&net.list(2, false, &[net.line("w1", "draining")])).await;
-            let watch = call.request().await;
-            assert!(watch.head.contains("?after=2&"), "{watch:?}");
-            is_refused(&net, "a").await;
-        });
+        run_with(
+            ProgramSettings {
+                limits: asked(),
+                ..settings()
+            },
+            &["r1", "w1"],
+            |net| async move {
+                let mut call = net.take_watch();
+                for _ in 0..3 {
+                    call.say(CROWDED).await;
+                    call = call_within(&net, 3_000.0).await;
+                    let request = call.request().await;
+                    assert!(
+                        request.head.contains("?after=1&"),
+                        "what is known is not asked for again: {request:?}"
+                    );
+                }
+                call.say(&net.list(2, false, &[net.line("w1", "draining")]))
+                    .await;
+                let watch = call.request().await;
+                assert!(watch.head.contains("?after=2&"), "{watch:?}");
+                is_refused(&net, "a").await;
+            },
+        );
     }
 
     /// The next connection to discovery, with time passing until it comes.
@@ -835,24 +946,39 @@
             call = net.discovery_call() => call,
             () = net.pass_until(|| false) => unreachable!("it goes on"),
         };
-        assert!(net.now() - before <= most, "{} after the call before", net.now() - before);
+        assert!(
+            net.now() - before <= most,
+            "{} after the call before",
+            net.now() - before
+        );
         call
     }
 
     #[test]
     fn that_falls_silent_is_asked_anew() {
-        let feed = cindercleat::feed::FeedSettings { quiet: 700.0, ..limits().feed };
+        let feed = cindercleat::feed::FeedSettings {
+            quiet: 700.0,
+            ..limits().feed
+        };
         let limits = Limits { feed, ..limits() };
-        run_with(ProgramSettings { limits, ..settings() }, &["r1", "w1"], |net| async move {
-            let silent = net.take_watch();
-            let before = net.now();
-            let mut call = asked_anew(&net).await;
-            assert!(net.now() - before < 1_000.0, "{}", net.now() - before);
-            drop(silent);
-            call.say(&net.list(1, true, &[net.line("r1", "up"), net.line("w1", "draining")])).await;
-            net.watched_on(call).await;
-            is_refused(&net, "a").await;
-        });
+        run_with(
+            ProgramSettings {
+                limits,
+                ..settings()
+            },
+            &["r1", "w1"],
+            |net| async move {
+                let silent = net.take_watch();
+                let before = net.now();
+                let mut call = asked_anew(&net).await;
+                assert!(net.now() - before < 1_000.0, "{}", net.now() - before);
+                drop(silent);
+                call.say(&net.list(1, true, &[net.line("r1", "up"), net.line("w1", "draining")]))
+                    .await;
+                net.watched_on(call).await;
+                is_refused(&net, "a").await;
+            },
+        );
     }
 
     /// A replica of discovery that lags behind: its list, whole or of changes, would bring back an engine that drains.
@@ -896,13 +1022,23 @@
     fn that_moves_is_followed_and_the_list_kept_meanwhile() {
         run(|net| async move {
             let mut old = net.take_watch();
-            let moved = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            net.shell.move_feeds(vec![moved.local_addr().expect("an address").to_string()]);
-            let mut call = Conn::new(moved.accept().await.expect("it is asked at the new address").0);
+            let moved = tokio::net::TcpListener::bind("127.0.0.1:0")
+                .await
+                .expect("a port");
+            net.shell
+                .move_feeds(vec![moved.local_addr().expect("an address").to_string()]);
+            let mut call = Conn::new(
+                moved
+                    .accept()
+                    .await
+                    .expect("it is asked at the new address")
+                    .0,
+            );
             serves(&net, "a").await;
             assert_eq!(old.rest().await, "", "the old watch is closed");
             assert!(!call.request().await.head.contains("after="));
-            call.say(&net.list(2, true, &[net.line("r1", "up"), net.line("w1", "draining")])).await;
+            call.say(&net.list(2, true, &[net.line("r1", "up"), net.line("w1", "draining")]))
+                .await;
             until(|| net.shell.list_version() == 2).await;
             is_refused(&net, "b").await;
         });
@@ -918,9 +1054,13 @@
         run(|net| async move {
             let Open { mut client, engine } = bring(&net, Stage::Decodes, "proof").await;
             let mut old = engine.expect("it decodes");
-            let new = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+            let new = tokio::net::TcpListener::bind("127.0.0.1:0")
+                .await
+                .expect("a port");
             let address = new.local_addr().expect("an address").to_string();
-            let line = net.line("w1", "up").replace(&net.host("w1").address, &address);
+            let line = net
+                .line("w1", "up")
+                .replace(&net.host("w1").address, &address);
             net.tell(&[line]).await;
             let mut next = net.ask("b", "proof").await;
             net.prefilled().await;
@@ -929,7 +1069,10 @@
             decode.say(&format!("{STREAM}{EVENT}{END}")).await;
             assert!(next.text_until(END).await.ends_with(END));
             old.say(&format!("{STREAM}{EVENT}{END}")).await;
-            assert!(client.text_until(END).await.ends_with(END), "what the old one has it may finish");
+            assert!(
+                client.text_until(END).await.ends_with(END),
+                "what the old one has it may finish"
+            );
             assert_eq!(old.rest().await, "");
         });
     }
@@ -944,7 +1087,9 @@
         run(|net| async move {
             let mut client = net.connect().await;
             let own = "Idempotency-Key: 7c/1 a\r\nx-order: 9\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\n";
-            client.say(&request("a", "caption").replace("X-Lane", &format!("{own}X-Lane"))).await;
+            client
+                .say(&request("a", "caption").replace("X-Lane", &format!("{own}X-Lane")))
+                .await;
             let prefill = net.prefilled().await;
             let (mut engine, decode) = net.host("w1").asked().await;
             for asked in [prefill, decode] {
@@ -954,7 +1099,11 @@
                     assert_eq!(asked.header(name), None, "{asked:?}");
                 }
                 for name in ["X-Txn", "X-Remaining-Ms", "Content-Length", "Host"] {
-                    let times = asked.head.lines().filter(|l| l.starts_with(&format!("{name}: "))).count();
+                    let times = asked
+                        .head
+                        .lines()
+                        .filter(|l| l.starts_with(&format!("{name}: ")))
+                        .count();
                     assert_eq!(times, 1, "{name}: {asked:?}");
                 }
             }
@@ -976,7 +1125,9 @@
                 let mut engine = engine.expect("it is being read");
                 net.gate.exhaust(true);
                 // The connection over which the prompt went is closed with the answer: no other can be had.
-                engine.say(&READ.replace("Content-Length", "Connection: close\r\nContent-Length")).await;
+                engine
+                    .say(&READ.replace("Content-Length", "Connection: close\r\nContent-Length"))
+                    .await;
                 drop(engine);
                 net.pass_until(|| net.shell.held().tasks == 0).await;
                 assert!(
@@ -997,36 +1148,47 @@
     /// discovery is asked again as soon as it can be reached.
     #[test]
     fn for_clients_while_discovery_is_down_keeps_neither_requests_nor_the_list_out() {
-        let limits = Limits { most_clients: 8, ..limits() };
-        run_with(ProgramSettings { limits, ..settings() }, &["r1", "w1"], |net| async move {
-            let discovery = net.discovery_address();
-            net.gate.shut(&discovery);
-            drop(net.take_watch());
-            let mut idle = Vec::new();
-            for _ in 0..8 {
-                idle.push(net.connect().await);
-            }
-            until(|| net.shell.clients() == 8).await;
-            for id in ["a", "b", "c"] {
-                let mut client = net.ask(id, "proof").await;
-                let mut prefill = attempt_of(&net, "r1", id).await;
-                prefill.say(READ).await;
-                let mut decode = attempt_of(&net, "w1", id).await;
-                decode.say(&format!("{STREAM}{EVENT}{END}")).await;
-                assert!(client.text_until(END).await.ends_with(END));
-                idle.push(client);
-                assert!(net.shell.clients() <= 8, "no more places than there are");
-            }
-            tokio::select! { biased;
-                () = net.gate.held_up(&discovery) => {}
-                () = net.pass_until(|| false) => unreachable!("it goes on"),
-            }
-            net.gate.open(&discovery);
-            let mut call = net.discovery_call().await;
-            assert!(!call.request().await.head.contains("after="));
-            call.say(&net.list(2, true, &[net.line("r1", "up"), net.line("w1", "draining")])).await;
-            until(|| net.shell.list_version() == 2).await;
-        });
+        let limits = Limits {
+            most_clients: 8,
+            ..limits()
+        };
+        run_with(
+            ProgramSettings {
+                limits,
+                ..settings()
+            },
+            &["r1", "w1"],
+            |net| async move {
+                let discovery = net.discovery_address();
+                net.gate.shut(&discovery);
+                drop(net.take_watch());
+                let mut idle = Vec::new();
+                for _ in 0..8 {
+                    idle.push(net.connect().await);
+                }
+                until(|| net.shell.clients() == 8).await;
+                for id in ["a", "b", "c"] {
+                    let mut client = net.ask(id, "proof").await;
+                    let mut prefill = attempt_of(&net, "r1", id).await;
+                    prefill.say(READ).await;
+                    let mut decode = attempt_of(&net, "w1", id).await;
+                    decode.say(&format!("{STREAM}{EVENT}{END}")).await;
+                    assert!(client.text_until(END).await.ends_with(END));
+                    idle.push(client);
+                    assert!(net.shell.clients() <= 8, "no more places than there are");
+                }
+                tokio::select! { biased;
+                    () = net.gate.held_up(&discovery) => {}
+                    () = net.pass_until(|| false) => unreachable!("it goes on"),
+                }
+                net.gate.open(&discovery);
+                let mut call = net.discovery_call().await;
+                assert!(!call.request().await.head.contains("after="));
+                call.say(&net.list(2, true, &[net.line("r1", "up"), net.line("w1", "draining")]))
+                    .await;
+                until(|| net.shell.list_version() == 2).await;
+            },
+        );
     }
 }
 
@@ -1041,7 +1203,11 @@
     /// What concerns one connection, or nobody, holds up no other: the clock stands still.
     #[test]
     fn is_taken_at_once_after_one_that_could_not_be() {
-        for errors in [&[ECONNABORTED][..], &[EPROTO, ENETDOWN, ECONNABORTED], &[EINTR]] {
+        for errors in [
+            &[ECONNABORTED][..],
+            &[EPROTO, ENETDOWN, ECONNABORTED],
+            &[EINTR],
+        ] {
             run(|net| async move {
                 net.gate.fail_accepts(errors);
                 // The call that was under way before the errors.
@@ -1082,22 +1248,32 @@
     /// More than there may be: a client whose request has come waits for a place, and is answered.
     #[test]
     fn that_finds_no_place_waits_for_one_and_is_not_dropped_with_its_request() {
-        let limits = Limits { most_clients: 1, ..limits() };
-        run_with(ProgramSettings { limits, ..settings() }, &["r1", "w1"], |net| async move {
-            let (mut first, mut decode) = net.decoding("a", "proof").await;
-            let mut others = [net.ask("b", "proof").await, net.ask("c", "proof").await];
-            net.advance(50.0);
-            decode.say(&format!("{STREAM}{EVENT}{END}")).await;
-            assert!(first.text_until(END).await.ends_with(END));
-            drop(decode);
-            for (id, client) in ["b", "c"].into_iter().zip(&mut others) {
-                let mut prefill = attempt_of(&net, "r1", id).await;
-                prefill.say(READ).await;
-                let mut decode = attempt_of(&net, "w1", id).await;
+        let limits = Limits {
+            most_clients: 1,
+            ..limits()
+        };
+        run_with(
+            ProgramSettings {
+                limits,
+                ..settings()
+            },
+            &["r1", "w1"],
+            |net| async move {
+                let (mut first, mut decode) = net.decoding("a", "proof").await;
+                let mut others = [net.ask("b", "proof").await, net.ask("c", "proof").await];
+                net.advance(50.0);
                 decode.say(&format!("{STREAM}{EVENT}{END}")).await;
-                assert!(client.text_until(END).await.ends_with(END), "{id}");
-                assert!(net.shell.clients() <= 1, "no more places than there are");
-            }
-        });
+                assert!(first.text_until(END).await.ends_with(END));
+                drop(decode);
+                for (id, client) in ["b", "c"].into_iter().zip(&mut others) {
+                    let mut prefill = attempt_of(&net, "r1", id).await;
+                    prefill.say(READ).await;
+                    let mut decode = attempt_of(&net, "w1", id).await;
+                    decode.say(&format!("{STREAM}{EVENT}{END}")).await;
+                    assert!(client.text_until(END).await.ends_with(END), "{id}");
+                    assert!(net.shell.clients() <= 1, "no more places than there are");
+                }
+            },
+        );
     }
 }
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -20,7 +20,10 @@
 fn bench(may_cancel: bool, links_come_up: bool) -> Bench {
     let mut settings = settings();
     settings.policy.may_cancel = may_cancel;
-    let mut bench = Bench::with(ProgramSettings { limits: single_limits(), ..settings });
+    let mut bench = Bench::with(ProgramSettings {
+        limits: single_limits(),
+        ..settings
+    });
     bench.links_come_up = links_come_up;
     bench
 }
@@ -43,11 +46,18 @@
 /// Nothing begins from now on, whatever comes up and however long it takes.
 fn nothing_begins(bench: &mut Bench, mut out: Vec<Output>, links: &[LinkId]) {
     for link in links {
-        out.extend(bench.put(Input::LinkUp { link: *link, limit: None }));
+        out.extend(bench.put(Input::LinkUp {
+            link: *link,
+            limit: None,
+        }));
     }
     bench.links_come_up = true;
     out.extend(bench.pass(6_000.0));
-    assert_eq!(bench.launches(&out).len(), 0, "an attempt for nobody: {out:?}");
+    assert_eq!(
+        bench.launches(&out).len(),
+        0,
+        "an attempt for nobody: {out:?}"
+    );
     assert_eq!(bench.ledger.held().tasks, 0, "nothing is kept");
 }
 
@@ -59,7 +69,11 @@
     let mut bench = bench(may_cancel, false);
     let out = bench.client(1, Body::Submit(submit("draft")));
     let links = dialled(&out);
-    assert_eq!((links.len(), bench.launches(&out).len()), (1, 0), "it waits");
+    assert_eq!(
+        (links.len(), bench.launches(&out).len()),
+        (1, 0),
+        "it waits"
+    );
     let out = goes(&mut bench, gone);
     nothing_begins(&mut bench, out, &links);
 }
@@ -72,7 +86,10 @@
     let mut out = goes(&mut bench, gone);
     out.extend(bench.ended(&read, Status::ReadDone));
     nothing_begins(&mut bench, out, &[]);
-    assert!(to_hosts(&bench.out).contains(&"release"), "its state is let go");
+    assert!(
+        to_hosts(&bench.out).contains(&"release"),
+        "its state is let go"
+    );
 }
 
 #[test_case(Gone::Closes; "closes")]
@@ -84,10 +101,17 @@
         bench.links_come_up = false;
         let out = bench.ended(&read, Status::ReadDone);
         let links = dialled(&out);
-        assert_eq!((links.len(), bench.launches(&out).len()), (1, 0), "the decode waits for its connection");
+        assert_eq!(
+            (links.len(), bench.launches(&out).len()),
+            (1, 0),
+            "the decode waits for its connection"
+        );
         let out = goes(&mut bench, gone);
         nothing_begins(&mut bench, out, &links);
-        assert!(to_hosts(&bench.out).contains(&"release"), "its state is let go");
+        assert!(
+            to_hosts(&bench.out).contains(&"release"),
+            "its state is let go"
+        );
     }
 }
 
