--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -16,7 +16,10 @@
 use tokio::task::spawn_local;
 
 fn submit(profile: &str, key: &str) -> v1::Submit {
-    v1::Submit { key: key.to_owned(), ..common::submit(profile) }
+    v1::Submit {
+        key: key.to_owned(),
+        ..common::submit(profile)
+    }
 }
 
 /// A cancel on its way through a dispatcher takes no longer than this, on connections without delay.
@@ -34,7 +37,10 @@
     for profile in ["draft", "proof"] {
         run(|net| async move {
             let (port, left, seen) = (net.port("c"), Cell::new(0.0), Cell::new(0));
-            let mut stream = port.open(Body::Submit(submit(profile, "k"))).await.expect("a stream");
+            let mut stream = port
+                .open(Body::Submit(submit(profile, "k")))
+                .await
+                .expect("a stream");
             loop {
                 match stream.next().await.expect("it goes on") {
                     Body::Tokens(_) => seen.set(seen.get() + 1),
@@ -48,7 +54,9 @@
                 }
             }
             net.wait(SOON).await;
-            let cancelled = net.came("w1", |b| matches!(b, Body::Cancel(_))).expect("it comes to the writer");
+            let cancelled = net
+                .came("w1", |b| matches!(b, Body::Cancel(_)))
+                .expect("it comes to the writer");
             assert!(cancelled - left.get() <= SOON);
             nothing_is_left(&net).await;
             assert_eq!(net.ran(), ["k"], "{profile} is not run again");
@@ -60,7 +68,10 @@
 fn a_client_that_cancels_in_mid_read_leaves_nothing() {
     run(|net| async move {
         net.hosts[0].trouble(|t| t.slow = 100.0);
-        let end = net.port("c").run(submit("proof", "k"), Some(net.clock.now() + 40.0), |_| {}).await;
+        let end = net
+            .port("c")
+            .run(submit("proof", "k"), Some(net.clock.now() + 40.0), |_| {})
+            .await;
         assert_eq!(end, End::Left);
         net.wait(SOON).await;
         assert!(net.came("r1", |b| matches!(b, Body::Cancel(_))).is_some());
@@ -120,11 +131,21 @@
             net.hosts[1].trouble(|t| t.stall_after = Some(0));
             let begin = net.clock.now();
             let end = net.port("c").run(submit(profile, "k"), None, |_| {}).await;
-            assert!(matches!(end, End::WrittenOff | End::Bounced { .. }), "{end:?}");
-            assert!(profile == "draft" || end == End::WrittenOff, "it may have run");
+            assert!(
+                matches!(end, End::WrittenOff | End::Bounced { .. }),
+                "{end:?}"
+            );
+            assert!(
+                profile == "draft" || end == End::WrittenOff,
+                "it may have run"
+            );
             assert!(net.clock.now() - begin <= 4000.0 + 20.0);
             nothing_is_left(&net).await;
-            assert!(profile == "draft" || net.ran().len() <= 1, "{:?}", net.ran());
+            assert!(
+                profile == "draft" || net.ran().len() <= 1,
+                "{:?}",
+                net.ran()
+            );
         });
     }
 }
@@ -136,7 +157,10 @@
         net.hosts.iter().for_each(|h| h.trouble(|t| t.mute = true));
         let begin = net.clock.now();
         let end = net.port("c").run(submit("proof", "k"), None, |_| {}).await;
-        assert!(matches!(end, End::WrittenOff | End::Bounced { .. }), "{end:?}");
+        assert!(
+            matches!(end, End::WrittenOff | End::Bounced { .. }),
+            "{end:?}"
+        );
         assert!(net.clock.now() - begin <= 4000.0 + 20.0);
     });
 }
@@ -150,7 +174,11 @@
         for step in 0..120 {
             let patience_ms = 5.0 + f64::from(step);
             let key = format!("k{step}");
-            let submit = v1::Submit { patience_ms, max_tokens: 3, ..submit("proof", &key) };
+            let submit = v1::Submit {
+                patience_ms,
+                max_tokens: 3,
+                ..submit("proof", &key)
+            };
             let mut stream = port.open(Body::Submit(submit)).await.expect("a stream");
             let (begin, mut finals, mut first) = (net.clock.now(), 0, None);
             while let Some(body) = stream.next().await {
@@ -174,7 +202,11 @@
         assert!(ends.len() >= 2, "both sides of the race are met: {ends:?}");
         nothing_is_left(&net).await;
         let ran = net.ran();
-        assert_eq!(ran.iter().collect::<BTreeSet<_>>().len(), ran.len(), "none ran twice");
+        assert_eq!(
+            ran.iter().collect::<BTreeSet<_>>().len(),
+            ran.len(),
+            "none ran twice"
+        );
     });
 }
 
@@ -191,7 +223,9 @@
             clients.push(spawn_local(async move {
                 net.wait(2.0 * n as f64).await;
                 let port = net.port(&format!("c{}", n % 5));
-                let end = port.run(submit("proof", &format!("k{n}")), None, |_| {}).await;
+                let end = port
+                    .run(submit("proof", &format!("k{n}")), None, |_| {})
+                    .await;
                 ends.borrow_mut().push((n, end));
             }));
         }
@@ -207,13 +241,19 @@
                 End::Fulfilled => fulfilled += 1,
                 End::Bounced { .. } | End::Unsent => {
                     turned_away += 1;
-                    assert!(!ran.contains(&format!("k{n}")), "k{n} ran, and its client may try again");
+                    assert!(
+                        !ran.contains(&format!("k{n}")),
+                        "k{n} ran, and its client may try again"
+                    );
                 }
                 End::WrittenOff => {}
                 other => panic!("k{n}: {other:?}"),
             }
         }
-        assert!(fulfilled > 0 && turned_away > 0, "{fulfilled} fulfilled, {turned_away} turned away");
+        assert!(
+            fulfilled > 0 && turned_away > 0,
+            "{fulfilled} fulfilled, {turned_away} turned away"
+        );
         assert_eq!(ends.borrow().len(), 60);
     });
 }
@@ -223,7 +263,10 @@
 fn a_stopping_dispatcher_says_go_away_and_finishes_what_streams() {
     run(|net| async move {
         let port = net.port("c");
-        let mut stream = port.open(Body::Submit(submit("draft", "k"))).await.expect("a stream");
+        let mut stream = port
+            .open(Body::Submit(submit("draft", "k")))
+            .await
+            .expect("a stream");
         while !matches!(stream.next().await.expect("it goes on"), Body::Tokens(_)) {}
         net.stop.notify_one();
         net.wait(20.0).await;
@@ -241,44 +284,76 @@
 /// A client that opens and cancels as fast as it can is cut off after what it may; another is served all along.
 #[test]
 fn a_flood_of_cancels_is_cut_off_and_others_are_served() {
-    let limits = Limits { cancels: 50.0, cancels_per_s: 10.0, ..common::limits() };
-    run_with(ProgramSettings { limits, ..common::settings() }, |net| async move {
-        let port = net.port("flood");
-        let mut cut = false;
-        for n in 0..500 {
-            let Some(mut stream) = port.open(Body::Submit(submit("proof", &format!("f{n}")))).await else {
-                break;
-            };
-            // Taken, then called off at once.
-            match stream.next().await {
-                Some(Body::Accepted(_)) => stream.say(Body::Cancel(v1::Cancel {})),
-                _ => {
-                    cut = true;
+    let limits = Limits {
+        cancels: 50.0,
+        cancels_per_s: 10.0,
+        ..common::limits()
+    };
+    run_with(
+        ProgramSettings {
+            limits,
+            ..common::settings()
+        },
+        |net| async move {
+            let port = net.port("flood");
+            let mut cut = false;
+            for n in 0..500 {
+                let Some(mut stream) = port
+                    .open(Body::Submit(submit("proof", &format!("f{n}"))))
+                    .await
+                else {
                     break;
+                };
+                // Taken, then called off at once.
+                match stream.next().await {
+                    Some(Body::Accepted(_)) => stream.say(Body::Cancel(v1::Cancel {})),
+                    _ => {
+                        cut = true;
+                        break;
+                    }
                 }
             }
-        }
-        assert!(cut, "it is cut off");
-        let begun = net.transcript.records().iter().filter(|r| &*r.seer == "flood").count();
-        assert!(begun < 400, "{begun} messages to and fro");
-        assert_eq!(net.task("other").await.0, End::Fulfilled);
-        nothing_is_left(&net).await;
-        assert!(net.ran().len() <= 1, "{:?}", net.ran());
-    });
+            assert!(cut, "it is cut off");
+            let begun = net
+                .transcript
+                .records()
+                .iter()
+                .filter(|r| &*r.seer == "flood")
+                .count();
+            assert!(begun < 400, "{begun} messages to and fro");
+            assert_eq!(net.task("other").await.0, End::Fulfilled);
+            nothing_is_left(&net).await;
+            assert!(net.ran().len() <= 1, "{:?}", net.ran());
+        },
+    );
 }
 
 /// A client that cancels now and then for hours is not.
 #[test]
 fn cancels_at_a_bearable_pace_are_borne() {
-    let limits = Limits { cancels: 5.0, cancels_per_s: 2.0, ..common::limits() };
-    run_with(ProgramSettings { limits, ..common::settings() }, |net| async move {
-        let port = net.port("c");
-        for n in 0..40 {
-            let end = port.run(submit("draft", &format!("k{n}")), Some(net.clock.now() + 100.0), |_| {});
-            assert_eq!(end.await, End::Left, "task {n}");
-            net.wait(500.0).await;
-        }
-    });
+    let limits = Limits {
+        cancels: 5.0,
+        cancels_per_s: 2.0,
+        ..common::limits()
+    };
+    run_with(
+        ProgramSettings {
+            limits,
+            ..common::settings()
+        },
+        |net| async move {
+            let port = net.port("c");
+            for n in 0..40 {
+                let end = port.run(
+                    submit("draft", &format!("k{n}")),
+                    Some(net.clock.now() + 100.0),
+                    |_| {},
+                );
+                assert_eq!(end.await, End::Left, "task {n}");
+                net.wait(500.0).await;
+            }
+        },
+    );
 }
 
 /// A client whose machine is gone without a word is found by its silence, and its stream's writer is ended.
@@ -288,7 +363,10 @@
         use cindercleat_net::Transport;
         use tokio::io::AsyncWriteExt;
         let mut stream = net.memory.connect("d").await.expect("it listens");
-        stream.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0").await.expect("taken");
+        stream
+            .write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0")
+            .await
+            .expect("taken");
         // A greeting by hand: headers without tables, an empty version is refused, which also is an answer.
         let head = [
             (":method", "POST"),
@@ -304,17 +382,25 @@
             block.extend(value.as_bytes());
         }
         let frame = |kind: u8, flags: u8, payload: &[u8]| {
-            [&[0, 0, payload.len() as u8, kind, flags, 0, 0, 0, 1][..], payload].concat()
+            [
+                &[0, 0, payload.len() as u8, kind, flags, 0, 0, 0, 1][..],
+                payload,
+            ]
+            .concat()
         };
         stream.write_all(&frame(1, 4, &block)).await.expect("taken");
         let submit = prost::Message::encode_to_vec(&submit("draft", "k"));
         let message = [&[0, 0, 0, 0, submit.len() as u8][..], &submit].concat();
-        stream.write_all(&frame(0, 1, &message)).await.expect("taken");
+        stream
+            .write_all(&frame(0, 1, &message))
+            .await
+            .expect("taken");
         // From here on nothing is read and nothing said.
         net.wait(300.0).await;
         assert_eq!(net.shell.clients(), 1);
         assert_eq!(net.ran(), ["k"]);
-        net.wait(common::limits().client_quiet + common::limits().ping_timeout + 100.0).await;
+        net.wait(common::limits().client_quiet + common::limits().ping_timeout + 100.0)
+            .await;
         assert_eq!(net.shell.clients(), 0, "its place is free again");
         nothing_is_left(&net).await;
         drop(stream);
@@ -336,8 +422,13 @@
         let (first, second) = tokio::join!(first, rest);
         assert_eq!((first, second), (End::Fulfilled, End::Fulfilled));
         assert_eq!(net.ran(), ["k1", "k2"]);
-        let conns: BTreeSet<u64> =
-            net.transcript.records().iter().filter(|r| &*r.seer == "w1").map(|r| r.conn).collect();
+        let conns: BTreeSet<u64> = net
+            .transcript
+            .records()
+            .iter()
+            .filter(|r| &*r.seer == "w1")
+            .map(|r| r.conn)
+            .collect();
         assert!(conns.len() >= 2, "the second took a new connection");
         nothing_is_left(&net).await;
     });
@@ -352,16 +443,35 @@
         let mut seen = BTreeSet::new();
         for n in 0..80 {
             let profile = if n % 2 == 0 { "proof" } else { "draft" };
-            let submit = v1::Submit { max_tokens: 12, ..submit(profile, &format!("{profile}{n}")) };
+            let submit = v1::Submit {
+                max_tokens: 12,
+                ..submit(profile, &format!("{profile}{n}"))
+            };
             let end = port.run(submit, None, |_| {}).await;
-            seen.insert(format!("{end:?}").split(' ').next().unwrap_or_default().to_owned());
+            seen.insert(
+                format!("{end:?}")
+                    .split(' ')
+                    .next()
+                    .unwrap_or_default()
+                    .to_owned(),
+            );
             if matches!(end, End::Bounced { .. }) {
-                assert!(profile == "draft" || !net.ran().contains(&format!("proof{n}")), "bounced, and ran");
+                assert!(
+                    profile == "draft" || !net.ran().contains(&format!("proof{n}")),
+                    "bounced, and ran"
+                );
             }
         }
-        let proofs: Vec<String> = net.ran().into_iter().filter(|k| k.starts_with("proof")).collect();
+        let proofs: Vec<String> = net
+            .ran()
+            .into_iter()
+            .filter(|k| k.starts_with("proof"))
+            .collect();
         assert_eq!(proofs.iter().collect::<BTreeSet<_>>().len(), proofs.len());
-        assert!(seen.contains("Fulfilled") && seen.contains("WrittenOff"), "{seen:?}");
+        assert!(
+            seen.contains("Fulfilled") && seen.contains("WrittenOff"),
+            "{seen:?}"
+        );
         net.hosts.iter().for_each(|h| h.trouble(|t| t.resets = 0.0));
         nothing_is_left(&net).await;
     });
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -15,7 +15,10 @@
     let write = bench.streaming(5, "draft");
     bench.host(&write, tokens(1));
     bench.ended(&write, Status::Fulfilled);
-    let said: Vec<u64> = to_client(&bench.out).iter().map(|(stream, _)| *stream).collect();
+    let said: Vec<u64> = to_client(&bench.out)
+        .iter()
+        .map(|(stream, _)| *stream)
+        .collect();
     assert_eq!(said, [5, 5, 5, 5], "accepted, two tokens, one final answer");
     assert_eq!(finals(&bench.out), [(5, Answer::Fulfilled)]);
     assert_eq!(bench.ledger.held().tasks, 0);
@@ -36,7 +39,10 @@
     bench.links_come_up = true;
     let out = bench.put(Input::LinkUp { link, limit: None });
     let went: Vec<String> = bench.launches(&out).into_iter().map(|l| l.host).collect();
-    assert!(went.iter().all(|to| *to != host), "sent to {host}, which drains: {went:?}");
+    assert!(
+        went.iter().all(|to| *to != host),
+        "sent to {host}, which drains: {went:?}"
+    );
     assert_eq!(went.len(), 1, "the task goes to the other reader");
 }
 
@@ -46,7 +52,14 @@
     let read = bench.reading(1, "draft");
     bench.told("w1", HostCondition::Draining);
     let out = bench.ended(&read, Status::ReadDone);
-    assert_eq!(bench.launches(&out).iter().map(|l| &*l.host).collect::<Vec<_>>(), ["w2"]);
+    assert_eq!(
+        bench
+            .launches(&out)
+            .iter()
+            .map(|l| &*l.host)
+            .collect::<Vec<_>>(),
+        ["w2"]
+    );
 }
 
 #[test]
@@ -64,9 +77,15 @@
     }
     bench.pass(10_000.0);
     let after = bench.out[seen..].to_vec();
-    assert_eq!(bench.launches(&after).len(), 0, "nothing new goes to readers that drain or are gone");
+    assert_eq!(
+        bench.launches(&after).len(),
+        0,
+        "nothing new goes to readers that drain or are gone"
+    );
     assert_eq!(finals(&bench.out).len(), 100);
-    assert!(finals(&bench.out).iter().all(|(_, answer)| *answer == Answer::Bounced));
+    assert!(finals(&bench.out)
+        .iter()
+        .all(|(_, answer)| *answer == Answer::Bounced));
     assert_eq!(bench.ledger.held().tasks, 0);
 }
 
@@ -76,10 +95,25 @@
         let mut bench = Bench::new();
         let write = bench.writing(1, profile);
         let reason = "reset".to_owned();
-        let out = bench.put(Input::LinkClosed { link: write.link, reason });
-        assert_eq!(!bench.launches(&out).is_empty(), again, "{profile} goes out again");
+        let out = bench.put(Input::LinkClosed {
+            link: write.link,
+            reason,
+        });
+        assert_eq!(
+            !bench.launches(&out).is_empty(),
+            again,
+            "{profile} goes out again"
+        );
         let answers: Vec<Answer> = finals(&out).into_iter().map(|(_, a)| a).collect();
-        assert_eq!(answers, if again { vec![] } else { vec![Answer::WrittenOff] }, "{profile}");
+        assert_eq!(
+            answers,
+            if again {
+                vec![]
+            } else {
+                vec![Answer::WrittenOff]
+            },
+            "{profile}"
+        );
     }
 }
 
@@ -91,7 +125,10 @@
         for position in 1..4 {
             bench.host(&write, tokens(position));
         }
-        let out = bench.put(Input::LinkClosed { link: write.link, reason: "reset".to_owned() });
+        let out = bench.put(Input::LinkClosed {
+            link: write.link,
+            reason: "reset".to_owned(),
+        });
         assert_eq!(finals(&out), [(1, Answer::WrittenOff)], "{profile}");
         let later = bench.pass(10_000.0);
         assert!(bench.launches(&out).is_empty() && bench.launches(&later).is_empty());
@@ -109,12 +146,18 @@
         let answers = finals(&out);
         assert_eq!(answers.len(), 1, "{profile} is answered in time");
         assert!(bench.now <= begin + 4000.0);
-        assert!(profile == "draft" || answers[0].1 == Answer::WrittenOff, "proof may have run");
+        assert!(
+            profile == "draft" || answers[0].1 == Answer::WrittenOff,
+            "proof may have run"
+        );
         assert!(to_hosts(&out).contains(&"cancel"));
         // Its outcome comes after its cancel, and its connection is cut after the client left.
         let late = bench.ended(&write, Status::Fulfilled);
         bench.client(1, Body::Cancel(v1::Cancel {}));
-        let cut = bench.put(Input::LinkClosed { link: write.link, reason: "reset".to_owned() });
+        let cut = bench.put(Input::LinkClosed {
+            link: write.link,
+            reason: "reset".to_owned(),
+        });
         assert_eq!(to_client(&[late, cut].concat()), []);
         assert_eq!(bench.ledger.held().tasks, 0);
     }
@@ -125,9 +168,17 @@
     let mut bench = Bench::new();
     let read = bench.reading(1, "draft");
     let out = bench.client(1, Body::Cancel(v1::Cancel {}));
-    assert_eq!(to_hosts(&out), ["cancel", "release"], "its end may be lost with the cancel");
+    assert_eq!(
+        to_hosts(&out),
+        ["cancel", "release"],
+        "its end may be lost with the cancel"
+    );
     let out = bench.ended(&read, Status::ReadDone);
-    assert_eq!(to_hosts(&out), ["release"], "or its state would stay pinned");
+    assert_eq!(
+        to_hosts(&out),
+        ["release"],
+        "or its state would stay pinned"
+    );
     assert_eq!(to_client(&out), []);
 }
 
@@ -183,7 +234,10 @@
     // Tokens out of turn, tokens beyond the credit, an end that a writer cannot give.
     let gap = |bench: &mut Bench, write: &Sent| bench.host(write, tokens(7));
     let over = |bench: &mut Bench, write: &Sent| {
-        (1..=4).map(|at| bench.host(write, tokens(at))).last().unwrap_or_default()
+        (1..=4)
+            .map(|at| bench.host(write, tokens(at)))
+            .last()
+            .unwrap_or_default()
     };
     let end = |bench: &mut Bench, write: &Sent| bench.ended(write, Status::ReadDone);
     for breach in [gap, over, end] as [fn(&mut Bench, &Sent) -> Vec<Output>; 3] {
@@ -191,10 +245,16 @@
         let write = bench.streaming(1, "draft");
         let other = bench.streaming(2, "draft");
         let out = breach(&mut bench, &write);
-        assert!(out.iter().any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
+        assert!(out
+            .iter()
+            .any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
         let lost = finals(&out);
         assert!(lost.contains(&(1, Answer::WrittenOff)));
-        assert_eq!(lost.len(), if other.link == write.link { 2 } else { 1 }, "the rest is served on");
+        assert_eq!(
+            lost.len(),
+            if other.link == write.link { 2 } else { 1 },
+            "the rest is served on"
+        );
     }
 }
 
@@ -207,20 +267,38 @@
         assert!(!to_hosts(&bench.host(&slow, tokens(position))).contains(&"credit"));
         bench.host(&quick, tokens(position));
     }
-    let flushed = Input::Flushed { conn: ConnId(1), stream: StreamNo(2), messages: 4 };
+    let flushed = Input::Flushed {
+        conn: ConnId(1),
+        stream: StreamNo(2),
+        messages: 4,
+    };
     let out = bench.put(flushed);
     let credited = out.iter().find_map(|o| match o {
         Output::ToHost { link, frame } => Some((*link, frame.stream, frame.body.clone())),
         _ => None,
     });
-    assert_eq!(credited, Some((quick.link, quick.stream, Some(Body::Credit(v1::Credit { messages: 4 })))));
+    assert_eq!(
+        credited,
+        Some((
+            quick.link,
+            quick.stream,
+            Some(Body::Credit(v1::Credit { messages: 4 }))
+        ))
+    );
     // The one that takes nothing at all has left, after the stall limit; the other goes on.
     for position in 4..8 {
         bench.pass(300.0);
         bench.host(&quick, tokens(position));
-        bench.put(Input::Flushed { conn: ConnId(1), stream: StreamNo(2), messages: 1 });
+        bench.put(Input::Flushed {
+            conn: ConnId(1),
+            stream: StreamNo(2),
+            messages: 1,
+        });
     }
-    assert!(bench.out.iter().any(|o| matches!(o, Output::CloseClient { .. })));
+    assert!(bench
+        .out
+        .iter()
+        .any(|o| matches!(o, Output::CloseClient { .. })));
     assert_eq!(bench.ledger.held().tasks, 1);
 }
 
@@ -228,7 +306,11 @@
 fn a_stream_that_stalls_at_its_writer_is_written_off_after_the_stall_limit() {
     let mut bench = Bench::new();
     let write = bench.streaming(1, "draft");
-    bench.put(Input::Flushed { conn: ConnId(1), stream: StreamNo(1), messages: 1 });
+    bench.put(Input::Flushed {
+        conn: ConnId(1),
+        stream: StreamNo(1),
+        messages: 1,
+    });
     assert_eq!(finals(&bench.pass(999.0)), [], "not yet");
     assert_eq!(finals(&bench.pass(2.0)), [(1, Answer::WrittenOff)]);
     assert_eq!(to_client(&bench.host(&write, tokens(1))), []);
@@ -240,13 +322,20 @@
     let write = bench.streaming(1, "draft");
     bench.client(1, Body::Cancel(v1::Cancel {}));
     let out = bench.pass(1001.0);
-    assert!(out.iter().any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
+    assert!(out
+        .iter()
+        .any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
 }
 
 #[test]
 fn beyond_the_most_open_tasks_comes_an_honest_bounce() {
-    let mut bench =
-        Bench::with(ProgramSettings { limits: Limits { most_tasks: 2, ..limits() }, ..settings() });
+    let mut bench = Bench::with(ProgramSettings {
+        limits: Limits {
+            most_tasks: 2,
+            ..limits()
+        },
+        ..settings()
+    });
     for stream in 1..=3 {
         bench.client(stream, Body::Submit(submit("proof")));
     }
@@ -258,24 +347,75 @@
 fn a_submission_that_cannot_be_right_is_rejected_by_field_and_others_go_on() {
     let mut bench = Bench::new();
     let bad = [
-        ("profile", v1::Submit { profile: "none".to_owned(), ..submit("draft") }),
-        ("tenant", v1::Submit { tenant: "none".to_owned(), ..submit("draft") }),
-        ("patience_ms", v1::Submit { patience_ms: f64::NAN, ..submit("draft") }),
-        ("prompt_tokens", v1::Submit { prompt_tokens: 0, ..submit("draft") }),
-        ("max_tokens", v1::Submit { max_tokens: 0, ..submit("draft") }),
-        ("shared_tokens", v1::Submit { shared_tokens: 501, ..submit("draft") }),
+        (
+            "profile",
+            v1::Submit {
+                profile: "none".to_owned(),
+                ..submit("draft")
+            },
+        ),
+        (
+            "tenant",
+            v1::Submit {
+                tenant: "none".to_owned(),
+                ..submit("draft")
+            },
+        ),
+        (
+            "patience_ms",
+            v1::Submit {
+                patience_ms: f64::NAN,
+                ..submit("draft")
+            },
+        ),
+        (
+            "prompt_tokens",
+            v1::Submit {
+                prompt_tokens: 0,
+                ..submit("draft")
+            },
+        ),
+        (
+            "max_tokens",
+            v1::Submit {
+                max_tokens: 0,
+                ..submit("draft")
+            },
+        ),
+        (
+            "shared_tokens",
+            v1::Submit {
+                shared_tokens: 501,
+                ..submit("draft")
+            },
+        ),
     ];
     for (stream, (field, submit)) in bad.into_iter().enumerate() {
         let out = bench.client(stream as u64 + 1, Body::Submit(submit));
         let said = to_client(&out);
-        assert!(matches!(&said[..], [(_, Body::Rejected(r))] if r.field == field), "{field}: {said:?}");
+        assert!(
+            matches!(&said[..], [(_, Body::Rejected(r))] if r.field == field),
+            "{field}: {said:?}"
+        );
     }
     assert_eq!(bench.ledger.held().tasks, 0);
     bench.streaming(9, "draft");
     let out = bench.client(9, Body::Submit(submit("draft")));
-    assert!(out.iter().any(|o| matches!(o, Output::CloseClient { .. })), "a stream twice");
-    let out = bench.put(Input::Client { conn: ConnId(2), frame: frame(1, tokens(0)) });
-    assert!(out.iter().any(|o| matches!(o, Output::CloseClient { conn: ConnId(2), .. })));
+    assert!(
+        out.iter().any(|o| matches!(o, Output::CloseClient { .. })),
+        "a stream twice"
+    );
+    let out = bench.put(Input::Client {
+        conn: ConnId(2),
+        frame: frame(1, tokens(0)),
+    });
+    assert!(out.iter().any(|o| matches!(
+        o,
+        Output::CloseClient {
+            conn: ConnId(2),
+            ..
+        }
+    )));
 }
 
 #[test]
@@ -294,12 +434,19 @@
     for position in 1..4 {
         out.extend(bench.pass(500.0));
         bench.host(&hangs, tokens(position));
-        bench.put(Input::Flushed { conn: ConnId(1), stream: StreamNo(2), messages: 1 });
+        bench.put(Input::Flushed {
+            conn: ConnId(1),
+            stream: StreamNo(2),
+            messages: 1,
+        });
     }
     out.extend(bench.pass(600.0));
     assert!(finals(&bench.out).contains(&(2, Answer::WrittenOff)));
     assert_eq!(finals(&bench.out).len(), 4, "one answer each");
-    assert_eq!(bench.out.iter().filter(|o| **o == Output::Stopped).count(), 1);
+    assert_eq!(
+        bench.out.iter().filter(|o| **o == Output::Stopped).count(),
+        1
+    );
 }
 
 #[test]
@@ -307,31 +454,62 @@
     let ready = HostCondition::Ready;
     let mut ledger = cindercleat_dispatcher::ledger::Ledger::new(settings(), 1);
     let mut out = Vec::new();
-    ledger.handle(1.0, Input::Remembered(list(ListKind::Full, &[("r1", ready), ("w1", ready)])), &mut out);
+    ledger.handle(
+        1.0,
+        Input::Remembered(list(ListKind::Full, &[("r1", ready), ("w1", ready)])),
+        &mut out,
+    );
     ledger.handle(
         2.0,
-        Input::Client { conn: ConnId(1), frame: frame(1, Body::Submit(submit("draft"))) },
+        Input::Client {
+            conn: ConnId(1),
+            frame: frame(1, Body::Submit(submit("draft"))),
+        },
         &mut out,
     );
-    assert!(out.iter().any(|o| matches!(o, Output::Dial { host, .. } if &*host.0 == "r1")));
-    assert!(!out.iter().any(|o| matches!(o, Output::KeepList(_))), "it is kept already");
+    assert!(out
+        .iter()
+        .any(|o| matches!(o, Output::Dial { host, .. } if &*host.0 == "r1")));
+    assert!(
+        !out.iter().any(|o| matches!(o, Output::KeepList(_))),
+        "it is kept already"
+    );
     out.clear();
-    ledger.handle(3.0, Input::Listed(list(ListKind::Full, &[("w1", ready)])), &mut out);
+    ledger.handle(
+        3.0,
+        Input::Listed(list(ListKind::Full, &[("w1", ready)])),
+        &mut out,
+    );
     let kept = out.iter().find_map(|o| match o {
-        Output::KeepList(list) => Some(list.hosts.iter().map(|l| l.host.clone()).collect::<Vec<_>>()),
+        Output::KeepList(list) => Some(
+            list.hosts
+                .iter()
+                .map(|l| l.host.clone())
+                .collect::<Vec<_>>(),
+        ),
         _ => None,
     });
-    assert_eq!(kept, Some(vec!["w1".to_owned()]), "a host that a whole list does not name is gone");
+    assert_eq!(
+        kept,
+        Some(vec!["w1".to_owned()]),
+        "a host that a whole list does not name is gone"
+    );
 }
 
 #[test]
 fn a_line_of_the_list_that_cannot_be_right_is_passed_over_and_the_rest_used() {
     let mut bench = Bench::new();
-    let mut list = list(ListKind::Changes, &[("w3", HostCondition::Ready), ("w4", HostCondition::Ready)]);
+    let mut list = list(
+        ListKind::Changes,
+        &[("w3", HostCondition::Ready), ("w4", HostCondition::Ready)],
+    );
     list.hosts[0].zone = "nowhere".to_owned();
     list.hosts[1].weight = f64::NAN;
     let out = bench.put(Input::Listed(list));
-    let warned = out.iter().filter(|o| matches!(o, Output::Log { text, .. } if text.contains("w3"))).count();
+    let warned = out
+        .iter()
+        .filter(|o| matches!(o, Output::Log { text, .. } if text.contains("w3")))
+        .count();
     assert_eq!(warned, 1);
 }
 
@@ -357,7 +535,10 @@
     assert!(ended >= 10, "{ended} states held");
     assert_eq!(bench.now, begin, "all in one instant");
     out.extend(bench.pass(499.0));
-    let released = to_hosts(&out).iter().filter(|said| **said == "release").count();
+    let released = to_hosts(&out)
+        .iter()
+        .filter(|said| **said == "release")
+        .count();
     assert_eq!(released, ended);
 }
 
@@ -381,14 +562,25 @@
 
 #[test]
 fn links_fill_up_before_another_is_dialled_and_idle_ones_close() {
-    let limits = Limits { streams_per_link: 2, links_per_host: 2, ..limits() };
-    let few = ProgramSettings { limits, ..settings() };
+    let limits = Limits {
+        streams_per_link: 2,
+        links_per_host: 2,
+        ..limits()
+    };
+    let few = ProgramSettings {
+        limits,
+        ..settings()
+    };
     let mut bench = Bench::with(few);
     bench.told("r2", HostCondition::Gone);
     for stream in 1..=4 {
         bench.client(stream, Body::Submit(submit("draft")));
     }
-    let dials = |out: &[Output]| out.iter().filter(|o| matches!(o, Output::Dial { .. })).count();
+    let dials = |out: &[Output]| {
+        out.iter()
+            .filter(|o| matches!(o, Output::Dial { .. }))
+            .count()
+    };
     assert_eq!(dials(&bench.out), 2, "four reads on two links of two");
     // A fifth has no place on any link: as full, which proves that it has not run, and it waits.
     let out = bench.client(5, Body::Submit(submit("proof")));
@@ -417,7 +609,9 @@
         let out = bench.pass(2.0);
         assert!(to_hosts(&out).contains(&"ping"));
         let out = bench.pass(1000.0);
-        assert!(out.iter().any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
+        assert!(out
+            .iter()
+            .any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
         assert_eq!(finals(&out), expected, "{profile}");
     }
 }
@@ -437,7 +631,10 @@
         let out = bench.client(stream, Body::Submit(submit("draft")));
         if let Some(link) = dial(&out) {
             dials += 1;
-            bench.put(Input::LinkClosed { link, reason: "refused".to_owned() });
+            bench.put(Input::LinkClosed {
+                link,
+                reason: "refused".to_owned(),
+            });
         }
         bench.pass(10.0);
     }
@@ -455,12 +652,19 @@
     for profile in ["draft", "proof"] {
         let mut bench = Bench::new();
         let read = bench.reading(1, profile);
-        let out = bench.put(Input::LinkClosed { link: read.link, reason: "reset".to_owned() });
+        let out = bench.put(Input::LinkClosed {
+            link: read.link,
+            reason: "reset".to_owned(),
+        });
         let released: Vec<v1::StateId> = out
             .iter()
             .filter_map(|o| match o {
                 Output::ToHost {
-                    frame: cindercleat_protocol::Frame { body: Some(Body::Release(r)), .. },
+                    frame:
+                        cindercleat_protocol::Frame {
+                            body: Some(Body::Release(r)),
+                            ..
+                        },
                     ..
                 } => r.state,
                 _ => None,
@@ -482,19 +686,39 @@
         if asked {
             bench.ledger.tell_stories();
         }
-        let origin = v1::Origin { id: "9b1f03aa".to_owned(), ..v1::Origin::default() };
-        bench.client(1, Body::Submit(v1::Submit { origin: Some(origin), ..submit("draft") }));
+        let origin = v1::Origin {
+            id: "9b1f03aa".to_owned(),
+            ..v1::Origin::default()
+        };
+        bench.client(
+            1,
+            Body::Submit(v1::Submit {
+                origin: Some(origin),
+                ..submit("draft")
+            }),
+        );
         let read = bench.launches(&bench.out).remove(0);
         bench.ended(&read, Status::ReadDone);
         let told = |o: &Output| match o {
-            Output::Log { level: Level::Debug, text } if text.starts_with("task=") => Some(text.clone()),
+            Output::Log {
+                level: Level::Debug,
+                text,
+            } if text.starts_with("task=") => Some(text.clone()),
             _ => None,
         };
         bench.out.iter().filter_map(told).collect::<Vec<_>>()
     };
     let told = story(true);
-    assert!(told.iter().all(|line| line.starts_with("task=0 id=9b1f03aa ")), "{told:#?}");
+    assert!(
+        told.iter()
+            .all(|line| line.starts_with("task=0 id=9b1f03aa ")),
+        "{told:#?}"
+    );
     let has = |words: &str| told.iter().filter(|line| line.contains(words)).count();
-    assert_eq!([has(" arrived "), has(" goes out"), has("outcome=ReadDone")], [1, 2, 1], "{told:#?}");
+    assert_eq!(
+        [has(" arrived "), has(" goes out"), has("outcome=ReadDone")],
+        [1, 2, 1],
+        "{told:#?}"
+    );
     assert_eq!(story(false), Vec::<String>::new());
 }
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -26,7 +26,10 @@
 }
 
 fn run<F: Future<Output = ()>>(limits: Limits, hosts: &[&str], test: impl FnOnce(Peer) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let (clock, transcript) = (TokioClock::system(), Transcript::default());
         let feed = Feed::new("list", clock, transcript.clone(), 0.0);
@@ -35,14 +38,24 @@
         spawn_local(feed.clone().serve::<Tcp>(listener));
         let mut started = Vec::new();
         for name in hosts {
-            let does = if name.starts_with('r') { Does::Reads } else { Does::Writes };
+            let does = if name.starts_with('r') {
+                Does::Reads
+            } else {
+                Does::Writes
+            };
             let host = Host::new(spec(name, does), Tcp, clock, transcript.clone(), 1);
             host.start("127.0.0.1:0", true).await.expect("a port");
             feed.tell(host.line(HostCondition::Ready));
             started.push(host);
         }
-        let settings = ProgramSettings { limits, ..common::settings() };
-        let places = Places { feeds: vec![feed_address], ..Places::default() };
+        let settings = ProgramSettings {
+            limits,
+            ..common::settings()
+        };
+        let places = Places {
+            feeds: vec![feed_address],
+            ..Places::default()
+        };
         let shell = Shell::new(settings, places, Tcp, clock, 1);
         let listener = Tcp.listen("127.0.0.1:0").await.expect("a port");
         let address = listener.address();
@@ -52,7 +65,12 @@
         }
         let endpoint = Endpoint::from_shared(format!("http://{address}")).expect("an address");
         let channel = endpoint.connect().await.expect("it listens");
-        test(Peer { channel, hosts: started, transcript }).await;
+        test(Peer {
+            channel,
+            hosts: started,
+            transcript,
+        })
+        .await;
     });
 }
 
@@ -61,7 +79,12 @@
         name: name.to_owned(),
         zone: "north".to_owned(),
         cell: "n1".to_owned(),
-        kind: if does == Does::Reads { "reader" } else { "writer" }.to_owned(),
+        kind: if does == Does::Reads {
+            "reader"
+        } else {
+            "writer"
+        }
+        .to_owned(),
         does,
         slots: 8,
         queue: 8,
@@ -79,12 +102,19 @@
 }
 
 /// The parts of an answer, and the status that ended it.
-async fn ask(peer: &Peer, request: Request<v1::Submit>, path: &'static str) -> (Vec<Part>, Option<Status>) {
+async fn ask(
+    peer: &Peer,
+    request: Request<v1::Submit>,
+    path: &'static str,
+) -> (Vec<Part>, Option<Status>) {
     let mut client = tonic::client::Grpc::new(peer.channel.clone());
     client.ready().await.expect("ready");
     let codec: ProstCodec<v1::Submit, v1::RunReply> = ProstCodec::default();
     let mut parts = Vec::new();
-    let mut replies = match client.server_streaming(request, PathAndQuery::from_static(path), codec).await {
+    let mut replies = match client
+        .server_streaming(request, PathAndQuery::from_static(path), codec)
+        .await
+    {
         Ok(response) => response.into_inner(),
         Err(status) => return (parts, Some(status)),
     };
@@ -111,11 +141,17 @@
 
 fn ran(peer: &Peer) -> usize {
     let records = peer.transcript.records();
-    records.iter().filter(|r| matches!(&r.what, What::Note(Note::Ran { .. }))).count()
+    records
+        .iter()
+        .filter(|r| matches!(&r.what, What::Note(Note::Ran { .. })))
+        .count()
 }
 
 fn pushback(status: &Status) -> Option<&str> {
-    status.metadata().get("grpc-retry-pushback-ms").and_then(|v| v.to_str().ok())
+    status
+        .metadata()
+        .get("grpc-retry-pushback-ms")
+        .and_then(|v| v.to_str().ok())
 }
 
 /// `google.rpc.Status`, as its specification has it.
@@ -147,9 +183,14 @@
         let (parts, status) = task(&peer, common::submit("draft")).await;
         assert!(status.is_none(), "{status:?}");
         assert!(matches!(parts[0], Part::Accepted(_)));
-        let tokens = parts.iter().filter(|p| matches!(p, Part::Tokens(_))).count();
+        let tokens = parts
+            .iter()
+            .filter(|p| matches!(p, Part::Tokens(_)))
+            .count();
         assert_eq!(tokens, 50);
-        assert!(matches!(parts.last(), Some(Part::Final(f)) if f.answer() == v1::Answer::Fulfilled));
+        assert!(
+            matches!(parts.last(), Some(Part::Final(f)) if f.answer() == v1::Answer::Fulfilled)
+        );
         assert_eq!(finals(&parts).len(), 1);
     });
 }
@@ -160,11 +201,21 @@
     run(common::limits(), &["r1"], |peer| async move {
         let (parts, status) = task(&peer, common::submit("proof")).await;
         let status = status.expect("a status");
-        assert_eq!((status.code(), finals(&parts)), (Code::Unavailable, vec![v1::Answer::Bounced]));
-        let Some(Part::Final(last)) = parts.last() else { panic!("no final answer") };
+        assert_eq!(
+            (status.code(), finals(&parts)),
+            (Code::Unavailable, vec![v1::Answer::Bounced])
+        );
+        let Some(Part::Final(last)) = parts.last() else {
+            panic!("no final answer")
+        };
         if last.retry_after_ms > 0.0 {
-            assert_eq!(pushback(&status), Some(&*format!("{}", last.retry_after_ms.ceil())));
-            assert!(details(&status).details[0].type_url.ends_with("google.rpc.RetryInfo"));
+            assert_eq!(
+                pushback(&status),
+                Some(&*format!("{}", last.retry_after_ms.ceil()))
+            );
+            assert!(details(&status).details[0]
+                .type_url
+                .ends_with("google.rpc.RetryInfo"));
         }
         assert_eq!(ran(&peer), 0);
     });
@@ -172,15 +223,28 @@
 
 #[test]
 fn no_room_is_resource_exhausted() {
-    run(Limits { most_tasks: 0, ..common::limits() }, &["r1", "w1"], |peer| async move {
-        let (parts, status) = task(&peer, common::submit("proof")).await;
-        let status = status.expect("a status");
-        assert_eq!((status.code(), finals(&parts)), (Code::ResourceExhausted, vec![v1::Answer::Bounced]));
-        let rpc = details(&status);
-        assert_eq!((rpc.code, &*rpc.details[0].type_url), (8, "type.googleapis.com/google.rpc.RetryInfo"));
-        assert_eq!(pushback(&status), Some("500"));
-        assert_eq!(ran(&peer), 0);
-    });
+    run(
+        Limits {
+            most_tasks: 0,
+            ..common::limits()
+        },
+        &["r1", "w1"],
+        |peer| async move {
+            let (parts, status) = task(&peer, common::submit("proof")).await;
+            let status = status.expect("a status");
+            assert_eq!(
+                (status.code(), finals(&parts)),
+                (Code::ResourceExhausted, vec![v1::Answer::Bounced])
+            );
+            let rpc = details(&status);
+            assert_eq!(
+                (rpc.code, &*rpc.details[0].type_url),
+                (8, "type.googleapis.com/google.rpc.RetryInfo")
+            );
+            assert_eq!(pushback(&status), Some("500"));
+            assert_eq!(ran(&peer), 0);
+        },
+    );
 }
 
 #[test]
@@ -189,7 +253,10 @@
         peer.hosts[1].trouble(|t| t.stall_after = Some(2));
         let (parts, status) = task(&peer, common::submit("proof")).await;
         let status = status.expect("a status");
-        assert_eq!((status.code(), finals(&parts)), (Code::Unknown, vec![v1::Answer::WrittenOff]));
+        assert_eq!(
+            (status.code(), finals(&parts)),
+            (Code::Unknown, vec![v1::Answer::WrittenOff])
+        );
         assert_eq!(pushback(&status), Some("-1"));
         assert_eq!(ran(&peer), 1);
     });
@@ -200,19 +267,50 @@
     run(common::limits(), &["r1", "w1"], |peer| async move {
         let cases: [(&str, v1::Submit); 5] = [
             ("profile", common::submit("none")),
-            ("tenant", v1::Submit { tenant: "x".to_owned(), ..common::submit("draft") }),
-            ("patience_ms", v1::Submit { patience_ms: -1.0, ..common::submit("draft") }),
-            ("max_tokens", v1::Submit { max_tokens: 0, ..common::submit("draft") }),
-            ("shared_tokens", v1::Submit { shared_tokens: 9999, ..common::submit("draft") }),
+            (
+                "tenant",
+                v1::Submit {
+                    tenant: "x".to_owned(),
+                    ..common::submit("draft")
+                },
+            ),
+            (
+                "patience_ms",
+                v1::Submit {
+                    patience_ms: -1.0,
+                    ..common::submit("draft")
+                },
+            ),
+            (
+                "max_tokens",
+                v1::Submit {
+                    max_tokens: 0,
+                    ..common::submit("draft")
+                },
+            ),
+            (
+                "shared_tokens",
+                v1::Submit {
+                    shared_tokens: 9999,
+                    ..common::submit("draft")
+                },
+            ),
         ];
         for (field, submit) in cases {
             let (parts, status) = task(&peer, submit).await;
             let status = status.expect("a status");
-            assert_eq!((status.code(), parts.len()), (Code::InvalidArgument, 0), "{field}");
+            assert_eq!(
+                (status.code(), parts.len()),
+                (Code::InvalidArgument, 0),
+                "{field}"
+            );
             let rpc = details(&status);
             assert!(rpc.details[0].type_url.ends_with("google.rpc.BadRequest"));
             let value = String::from_utf8_lossy(&rpc.details[0].value).into_owned();
-            assert!(value.contains(field) && status.message().starts_with(field), "{field}: {status:?}");
+            assert!(
+                value.contains(field) && status.message().starts_with(field),
+                "{field}: {status:?}"
+            );
         }
         assert_eq!(ran(&peer), 0);
     });
@@ -227,17 +325,28 @@
         let (parts, status) = ask(&peer, request, "/cindercleat.v1.Router/Run").await;
         // Whose clock is first is open; a client never hears that it was fulfilled.
         let status = status.expect("a status");
-        let codes = [Code::DeadlineExceeded, Code::Cancelled, Code::Unavailable, Code::Unknown];
+        let codes = [
+            Code::DeadlineExceeded,
+            Code::Cancelled,
+            Code::Unavailable,
+            Code::Unknown,
+        ];
         assert!(codes.contains(&status.code()), "{status:?}");
         assert!(!finals(&parts).contains(&v1::Answer::Fulfilled));
         let cancelled = || {
             let cancel = |what: &What| matches!(what, What::Frame(_, f) if matches!(f.body, Some(cindercleat_protocol::Body::Cancel(_))));
-            peer.transcript.records().iter().any(|r| &*r.seer == "r1" && cancel(&r.what))
+            peer.transcript
+                .records()
+                .iter()
+                .any(|r| &*r.seer == "r1" && cancel(&r.what))
         };
         let clock = TokioClock::system();
         let begin = clock.now();
         while !cancelled() {
-            assert!(clock.now() < begin + 10_000.0, "the read goes on for nobody");
+            assert!(
+                clock.now() < begin + 10_000.0,
+                "the read goes on for nobody"
+            );
             clock.sleep_until(clock.now() + 2.0).await;
         }
         assert_eq!(ran(&peer), 0);
@@ -247,9 +356,16 @@
 #[test]
 fn what_is_not_there_is_unimplemented() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
-        let (_, status) =
-            ask(&peer, Request::new(common::submit("draft")), "/cindercleat.v1.Router/Nothing").await;
+        let (_, status) = ask(
+            &peer,
+            Request::new(common::submit("draft")),
+            "/cindercleat.v1.Router/Nothing",
+        )
+        .await;
         assert_eq!(status.expect("a status").code(), Code::Unimplemented);
-        assert!(task(&peer, common::submit("draft")).await.1.is_none(), "the connection serves on");
+        assert!(
+            task(&peer, common::submit("draft")).await.1.is_none(),
+            "the connection serves on"
+        );
     });
 }
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -72,7 +72,13 @@
 }
 
 fn limits() -> Limits {
-    Limits { link_idle: 5000.0, most_clients: 10, stop_notice: 500.0, feed: FEED, ..single_limits() }
+    Limits {
+        link_idle: 5000.0,
+        most_clients: 10,
+        stop_notice: 500.0,
+        feed: FEED,
+        ..single_limits()
+    }
 }
 
 fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
@@ -80,16 +86,41 @@
 }
 
 fn run_with<F: Future<Output = ()>>(limits: Limits, test: impl FnOnce(Net) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let (memory, clock) = (Memory::default(), TokioClock::starting_at(1e6));
-        let settings = ProgramSettings { limits, ..settings() };
-        let places = Places { feeds: vec!["feed".to_owned()], ..Places::default() };
-        let shell = Shell::speaking(Http1::new(BOUNDS), settings, places, memory.clone(), clock, 1);
+        let settings = ProgramSettings {
+            limits,
+            ..settings()
+        };
+        let places = Places {
+            feeds: vec!["feed".to_owned()],
+            ..Places::default()
+        };
+        let shell = Shell::speaking(
+            Http1::new(BOUNDS),
+            settings,
+            places,
+            memory.clone(),
+            clock,
+            1,
+        );
         let (asked, feeds, stop) = (Rc::default(), Rc::default(), Rc::new(Notify::new()));
         let writer = Rc::new(Cell::new(Writer::Good));
         let feed = Rc::new(Cell::new(Feed::Good));
-        let net = Net { memory, clock, shell, asked, writer, feeds, feed, stop };
+        let net = Net {
+            memory,
+            clock,
+            shell,
+            asked,
+            writer,
+            feeds,
+            feed,
+            stop,
+        };
         for name in ["r1", "w1"] {
             let listener = net.memory.listen(name).await.expect("a name");
             spawn_local(net.clone().host(name, listener));
@@ -103,7 +134,9 @@
         spawn_local(async move { serving.serve(listener, told.notified()).await });
         net.wait(50.0).await;
         let within = std::time::Duration::from_secs(120);
-        tokio::time::timeout(within, test(net)).await.expect("the test ends in time");
+        tokio::time::timeout(within, test(net))
+            .await
+            .expect("the test ends in time");
     });
 }
 
@@ -117,8 +150,10 @@
         }
     }
     let head = String::from_utf8(text).ok()?;
-    let length =
-        head.lines().find_map(|l| l.strip_prefix("Content-Length: ")).map_or(0, |l| l.parse().unwrap());
+    let length = head
+        .lines()
+        .find_map(|l| l.strip_prefix("Content-Length: "))
+        .map_or(0, |l| l.parse().unwrap());
     let mut body = vec![0; length];
     io.read_exact(&mut body).await.ok()?;
     Some(head)
@@ -137,7 +172,10 @@
             let net = self.clone();
             spawn_local(async move {
                 while let Some(head) = request(&mut io).await {
-                    let id = head.lines().find_map(|l| l.strip_prefix("X-Txn: ")).unwrap_or("-");
+                    let id = head
+                        .lines()
+                        .find_map(|l| l.strip_prefix("X-Txn: "))
+                        .unwrap_or("-");
                     let first = head.lines().next().unwrap_or_default();
                     net.asked.borrow_mut().push(format!("{name}: {first} {id}"));
                     net.wait(20.0).await;
@@ -155,16 +193,21 @@
             return "HTTP/1.1 204 No Content\r\n\r\n".to_owned();
         }
         if name == "r1" {
-            return "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}".to_owned();
+            return "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}"
+                .to_owned();
         }
         match self.writer.get() {
             Writer::Good => {
-                let _ = io.write_all(format!("{STREAM}9\r\ndata: a\n\n\r\n").as_bytes()).await;
+                let _ = io
+                    .write_all(format!("{STREAM}9\r\ndata: a\n\n\r\n").as_bytes())
+                    .await;
                 self.wait(50.0).await;
                 "9\r\ndata: b\n\n\r\n0\r\n\r\n".to_owned()
             }
             Writer::Breaks => {
-                let _ = io.write_all(format!("{STREAM}9\r\ndata: a\n\n\r\n").as_bytes()).await;
+                let _ = io
+                    .write_all(format!("{STREAM}9\r\ndata: a\n\n\r\n").as_bytes())
+                    .await;
                 String::new()
             }
             Writer::Silent => {
@@ -195,7 +238,9 @@
                         net.wait(60_000.0).await;
                     }
                     if net.feed.get() == Feed::Noise {
-                        let _ = io.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n{\"revi").await;
+                        let _ = io
+                            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n{\"revi")
+                            .await;
                         continue;
                     }
                     let whole = !head.contains("after=");
@@ -204,7 +249,8 @@
                     if !whole {
                         net.wait(500.0).await;
                     }
-                    let text = format!("{{\"revision\":1,\"complete\":{whole},\"members\":[{members}]}}");
+                    let text =
+                        format!("{{\"revision\":1,\"complete\":{whole},\"members\":[{members}]}}");
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
                     if io.write_all((head + &text).as_bytes()).await.is_err() {
                         return;
@@ -221,7 +267,9 @@
     /// Sends a task on a connection of its own and reads all that comes until the connection rests or ends.
     async fn task(&self, id: &str, profile: &str) -> String {
         let mut io = self.connect().await;
-        io.write_all(task(id, profile).as_bytes()).await.expect("written");
+        io.write_all(task(id, profile).as_bytes())
+            .await
+            .expect("written");
         self.rest_of(&mut io, 6000.0).await
     }
 
@@ -245,7 +293,11 @@
     }
 
     fn asked(&self, what: &str) -> usize {
-        self.asked.borrow().iter().filter(|asked| asked.contains(what)).count()
+        self.asked
+            .borrow()
+            .iter()
+            .filter(|asked| asked.contains(what))
+            .count()
     }
 }
 
@@ -261,14 +313,24 @@
     run(|net| async move {
         let answer = net.task("a1", "draft").await;
         assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
-        assert!(answer.ends_with("\r\n\r\n9\r\ndata: a\n\n\r\n9\r\ndata: b\n\n\r\n0\r\n\r\n"), "{answer}");
+        assert!(
+            answer.ends_with("\r\n\r\n9\r\ndata: a\n\n\r\n9\r\ndata: b\n\n\r\n0\r\n\r\n"),
+            "{answer}"
+        );
         let line = "POST /v1/chat/completions?q=1 HTTP/1.1 a1";
-        assert_eq!(*net.asked.borrow(), [format!("r1: {line}"), format!("w1: {line}")]);
+        assert_eq!(
+            *net.asked.borrow(),
+            [format!("r1: {line}"), format!("w1: {line}")]
+        );
         assert_eq!(net.shell.held().tasks, 0);
         net.task("a2", "draft").await;
         assert_eq!(net.shell.held().links, 2, "connections are used again");
         net.wait(10_000.0).await;
-        assert_eq!(net.shell.held().links, 0, "and closed from this side when they rest");
+        assert_eq!(
+            net.shell.held().links,
+            0,
+            "and closed from this side when they rest"
+        );
     });
 }
 
@@ -277,7 +339,9 @@
     run(|net| async move {
         let ask = || async {
             let mut io = net.connect().await;
-            io.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").await.expect("written");
+            io.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                .await
+                .expect("written");
             net.rest_of(&mut io, 100.0).await
         };
         assert!(ask().await.starts_with("HTTP/1.1 200 "));
@@ -316,7 +380,10 @@
         assert_eq!(net.asked("w1: POST"), 1, "at most once");
         net.asked.borrow_mut().clear();
         net.task("a2", "draft").await;
-        assert!(net.asked("w1: POST") > 1, "a reissuable one goes out again, on other connections");
+        assert!(
+            net.asked("w1: POST") > 1,
+            "a reissuable one goes out again, on other connections"
+        );
     });
 }
 
@@ -329,12 +396,18 @@
     run(|net| async move {
         net.writer.set(Writer::Silent);
         let mut io = net.connect().await;
-        io.write_all(task("a1", "draft").as_bytes()).await.expect("written");
+        io.write_all(task("a1", "draft").as_bytes())
+            .await
+            .expect("written");
         net.wait(100.0).await;
         assert_eq!(net.asked("w1: POST"), 1);
         drop(io);
         net.wait(400.0).await;
-        assert_eq!(net.asked("DELETE /bootstrap/rooms/a1"), 2, "at once, and behind the close");
+        assert_eq!(
+            net.asked("DELETE /bootstrap/rooms/a1"),
+            2,
+            "at once, and behind the close"
+        );
         assert_eq!(net.shell.held().tasks, 0);
         net.wait(20_000.0).await;
         let releases = net.asked("DELETE /bootstrap/rooms/a1");
@@ -354,7 +427,10 @@
         net.wait(20_000.0).await;
         // One while the attempt is in doubt, the others behind its close.
         let releases = net.asked("DELETE /bootstrap/rooms/a1");
-        assert!(RELEASES_BEHIND_A_CLOSE.contains(&(releases - 1)), "{releases}");
+        assert!(
+            RELEASES_BEHIND_A_CLOSE.contains(&(releases - 1)),
+            "{releases}"
+        );
         assert_eq!(net.shell.held().releases, 0);
     });
 }
@@ -374,8 +450,13 @@
         }
         net.wait(2500.0).await;
         let mut io = net.connect().await;
-        io.write_all(&task("a2", "draft").as_bytes()[..50]).await.expect("written");
-        assert!(net.rest_of(&mut io, 2500.0).await.starts_with("HTTP/1.1 408 "));
+        io.write_all(&task("a2", "draft").as_bytes()[..50])
+            .await
+            .expect("written");
+        assert!(net
+            .rest_of(&mut io, 2500.0)
+            .await
+            .starts_with("HTTP/1.1 408 "));
     });
 }
 
@@ -384,14 +465,19 @@
     run(|net| async move {
         net.shell.move_feeds(vec!["other".to_owned()]);
         let mut io = net.connect().await;
-        io.write_all(task("a1", "draft").as_bytes()).await.expect("written");
+        io.write_all(task("a1", "draft").as_bytes())
+            .await
+            .expect("written");
         net.wait(5.0).await;
         assert_eq!(net.feeds.borrow().last().map(String::as_str), Some("other"));
         assert!(net.rest_of(&mut io, 1000.0).await.ends_with("0\r\n\r\n"));
         net.feeds.borrow_mut().clear();
         net.wait(3000.0).await;
         let calls = net.feeds.borrow().clone();
-        assert!(calls.len() >= 5 && calls.iter().all(|feed| feed == "other"), "{calls:?}");
+        assert!(
+            calls.len() >= 5 && calls.iter().all(|feed| feed == "other"),
+            "{calls:?}"
+        );
     });
 }
 
@@ -404,12 +490,21 @@
             net.feeds.borrow_mut().clear();
             net.wait(10_000.0).await;
             let calls = net.feeds.borrow().len();
-            assert!((3..40).contains(&calls), "called again, and not without rest: {calls}");
-            assert!(net.task("a1", "draft").await.ends_with("0\r\n\r\n"), "the list is kept");
+            assert!(
+                (3..40).contains(&calls),
+                "called again, and not without rest: {calls}"
+            );
+            assert!(
+                net.task("a1", "draft").await.ends_with("0\r\n\r\n"),
+                "the list is kept"
+            );
             net.feed.set(Feed::Good);
             net.feeds.borrow_mut().clear();
             net.wait(4000.0).await;
-            assert!(net.feeds.borrow().len() >= 2, "and followed once it speaks again");
+            assert!(
+                net.feeds.borrow().len() >= 2,
+                "and followed once it speaks again"
+            );
         });
     }
 }
@@ -437,11 +532,17 @@
             net.feeds.borrow_mut().clear();
             net.feed.set(Feed::Good);
             net.wait(425.0).await;
-            assert!(!net.feeds.borrow().is_empty(), "phase {phase}: no call since the return");
+            assert!(
+                !net.feeds.borrow().is_empty(),
+                "phase {phase}: no call since the return"
+            );
             net.feeds.borrow_mut().clear();
             net.wait(3_000.0).await;
             let calls = net.feeds.borrow().len();
-            assert!((4..9).contains(&calls), "and then the watch goes on quietly: {calls} calls");
+            assert!(
+                (4..9).contains(&calls),
+                "and then the watch goes on quietly: {calls} calls"
+            );
         });
     }
 }
@@ -450,15 +551,22 @@
 fn a_stop_answers_what_is_open_and_then_ends() {
     run(|net| async move {
         let mut io = net.connect().await;
-        io.write_all(task("a1", "draft").as_bytes()).await.expect("written");
+        io.write_all(task("a1", "draft").as_bytes())
+            .await
+            .expect("written");
         net.wait(5.0).await;
         net.stop.notify_one();
         net.wait(100.0).await;
         let (mut late, rest) = (net.connect().await, net.connect().await);
-        late.write_all(task("a2", "draft").as_bytes()).await.expect("written");
+        late.write_all(task("a2", "draft").as_bytes())
+            .await
+            .expect("written");
         for (io, what) in [(&mut io, "what was open"), (&mut late, "what still comes")] {
             let answer = net.rest_of(io, 1000.0).await;
-            assert!(answer.ends_with("0\r\n\r\n"), "{what} is answered: {answer}");
+            assert!(
+                answer.ends_with("0\r\n\r\n"),
+                "{what} is answered: {answer}"
+            );
             assert!(answer.contains("\r\nConnection: close\r\n"), "{answer}");
         }
         net.wait(2000.0).await;
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -105,12 +105,19 @@
         // A release waits for a connection where there is none; it cannot be said sooner.
         // After some tries in vain it is left to the host's own time limit.
         let now = self.now;
-        self.held.retain(|_, since| since.is_infinite() || now < *since + GIVEN_UP);
+        self.held
+            .retain(|_, since| since.is_infinite() || now < *since + GIVEN_UP);
         let deaf = |host: &String| !self.links.values().any(|h| h == host);
-        let lies =
-            |key: &(u32, u32), since: Ms| self.now > since + RELEASE && !self.at.get(key).is_some_and(deaf);
+        let lies = |key: &(u32, u32), since: Ms| {
+            self.now > since + RELEASE && !self.at.get(key).is_some_and(deaf)
+        };
         let lying = self.held.iter().find(|(key, since)| lies(key, **since));
-        prop_assert!(lying.is_none(), "state {:?} lies there, now {}", lying, self.now);
+        prop_assert!(
+            lying.is_none(),
+            "state {:?} lies there, now {}",
+            lying,
+            self.now
+        );
         Ok(())
     }
 
@@ -126,18 +133,33 @@
                     (task.stream, task.profile) = (stream, stream as usize % PROFILES.len());
                     return Ok(());
                 }
-                let Some(task) = self.by_stream.get(&stream).and_then(|t| self.tasks.get_mut(t)) else {
+                let Some(task) = self
+                    .by_stream
+                    .get(&stream)
+                    .and_then(|t| self.tasks.get_mut(t))
+                else {
                     return Ok(());
                 };
-                prop_assert!(!task.answered, "something after the final answer of stream {}", stream);
-                prop_assert!(!task.left, "something after the client of stream {} left", stream);
+                prop_assert!(
+                    !task.answered,
+                    "something after the final answer of stream {}",
+                    stream
+                );
+                prop_assert!(
+                    !task.left,
+                    "something after the client of stream {} left",
+                    stream
+                );
                 if let Some(Body::Final(last)) = &frame.body {
                     task.answered = true;
                     let answer = last.answer();
                     self.answers[answer as usize - 1] += 1;
                     let once = PROFILES[task.profile] == "proof";
                     let harmful = once && task.may_have_run && answer == Answer::Bounced;
-                    prop_assert!(!harmful, "a bounce of an at-most-once task that may have run");
+                    prop_assert!(
+                        !harmful,
+                        "a bounce of an at-most-once task that may have run"
+                    );
                 }
             }
             Output::ToHost { link, frame } => self.check_host(link, frame)?,
@@ -146,7 +168,11 @@
         Ok(())
     }
 
-    fn check_host(&mut self, link: LinkId, frame: cindercleat_protocol::Frame) -> Result<(), TestCaseError> {
+    fn check_host(
+        &mut self,
+        link: LinkId,
+        frame: cindercleat_protocol::Frame,
+    ) -> Result<(), TestCaseError> {
         let host = self.links.get(&link).cloned().unwrap_or_default();
         let stream = frame.stream;
         let (state, write) = match &frame.body {
@@ -160,12 +186,18 @@
                 let since = self.held.remove(&key);
                 let first = since.map(|since| *self.wanted_since.entry(key).or_insert(since));
                 // After some tries in vain it is left to the host's own time limit.
-                let lost = first.filter(|first| !comes && self.now < first + GIVEN_UP - RELEASE).map(|_| key);
+                let lost = first
+                    .filter(|first| !comes && self.now < first + GIVEN_UP - RELEASE)
+                    .map(|_| key);
                 self.releases.push((link, stream, lost));
                 return Ok(());
             }
             Some(Body::Cancel(_)) => {
-                if let Some(at) = self.launches.iter().position(|l| l.link == link && l.stream == stream) {
+                if let Some(at) = self
+                    .launches
+                    .iter()
+                    .position(|l| l.link == link && l.stream == stream)
+                {
                     let launch = self.launches.remove(at);
                     self.end_held(&launch, true);
                     self.past.push(launch);
@@ -173,7 +205,10 @@
                 return Ok(());
             }
             Some(Body::Credit(credit)) => {
-                let found = self.launches.iter_mut().find(|l| l.link == link && l.stream == stream);
+                let found = self
+                    .launches
+                    .iter_mut()
+                    .find(|l| l.link == link && l.stream == stream);
                 found.into_iter().for_each(|l| l.credit += credit.messages);
                 return Ok(());
             }
@@ -190,12 +225,19 @@
         let state = state.unwrap_or_default();
         let condition = self.conditions.get(host.as_str()).copied();
         prop_assert_eq!(condition, Some(HostCondition::Ready), "sent to {}", host);
-        let out = self.launches.iter().filter(|l| l.task == state.task).count();
+        let out = self
+            .launches
+            .iter()
+            .filter(|l| l.task == state.task)
+            .count();
         prop_assert_eq!(out, 0, "two launches of task {} out", state.task);
         let task = self.tasks.entry(state.task).or_default();
         if write {
             let twice = PROFILES[task.profile] == "proof" && task.may_have_run;
-            prop_assert!(!twice, "an at-most-once task that may have run goes out again");
+            prop_assert!(
+                !twice,
+                "an at-most-once task that may have run goes out again"
+            );
             task.may_have_run = true;
             // Unless its reader was told to be gone, and it with it.
             if let Some(since) = self.held.get_mut(&(state.task, state.launch)) {
@@ -205,7 +247,15 @@
         if !write {
             self.at.insert((state.task, state.launch), host);
         }
-        let launch = Launch { task: state.task, link, stream, write, state, position: 0, credit: 4 };
+        let launch = Launch {
+            task: state.task,
+            link,
+            stream,
+            write,
+            state,
+            position: 0,
+            credit: 4,
+        };
         self.launches.push(launch);
         Ok(())
     }
@@ -227,15 +277,22 @@
         self.dialled.retain(|(l, _)| *l != link);
         self.past.retain(|l| l.link != link);
         self.probes.retain(|(l, _)| *l != link);
-        let (cut, rest) = std::mem::take(&mut self.launches).into_iter().partition(|l| l.link == link);
+        let (cut, rest) = std::mem::take(&mut self.launches)
+            .into_iter()
+            .partition(|l| l.link == link);
         self.launches = rest;
         for launch in &cut as &Vec<Launch> {
             self.end_held(launch, true);
             // Half of the reads had ended, with their last word lost.
-            let host = self.at.get(&(launch.state.task, launch.state.launch)).cloned().unwrap_or_default();
+            let host = self
+                .at
+                .get(&(launch.state.task, launch.state.launch))
+                .cloned()
+                .unwrap_or_default();
             let gone = self.conditions.get(host.as_str()) == Some(&HostCondition::Gone);
             if !launch.write && launch.stream.is_multiple_of(2) && !gone {
-                self.held.insert((launch.state.task, launch.state.launch), self.now);
+                self.held
+                    .insert((launch.state.task, launch.state.launch), self.now);
             }
         }
     }
@@ -247,14 +304,25 @@
         }
         // Half of the writers that found no state just did not reach its reader.
         let unreached = status == Status::NoState && launch.stream.is_multiple_of(2);
-        self.end_held(&launch, unreached || !matches!(status, Status::NoState | Status::Fulfilled));
+        self.end_held(
+            &launch,
+            unreached || !matches!(status, Status::NoState | Status::Fulfilled),
+        );
         let mut state = None;
         if status == Status::ReadDone {
             state = Some(launch.state);
-            self.held.insert((launch.state.task, launch.state.launch), self.now);
+            self.held
+                .insert((launch.state.task, launch.state.launch), self.now);
         }
-        let ended = v1::Ended { status: status.into(), state, ..v1::Ended::default() };
-        self.put(Input::Host { link: launch.link, frame: frame(launch.stream, Body::Ended(ended)) })
+        let ended = v1::Ended {
+            status: status.into(),
+            state,
+            ..v1::Ended::default()
+        };
+        self.put(Input::Host {
+            link: launch.link,
+            frame: frame(launch.stream, Body::Ended(ended)),
+        })
     }
 
     fn draw(&mut self, (what, whom, after): Draw) -> Result<(), TestCaseError> {
@@ -266,7 +334,10 @@
         self.now = until;
         for link in std::mem::take(&mut self.pings) {
             if whom % 4 > 0 && self.links.contains_key(&link) {
-                self.put(Input::Host { link, frame: frame(0, Body::Pong(v1::Pong {})) })?;
+                self.put(Input::Host {
+                    link,
+                    frame: frame(0, Body::Pong(v1::Pong {})),
+                })?;
             }
         }
         for (link, stream, lost) in std::mem::take(&mut self.releases) {
@@ -278,11 +349,17 @@
                     if self.conditions.get(host.as_str()) != Some(&HostCondition::Gone) {
                         self.held.insert(key, self.now);
                     }
-                    Body::Goodbye(v1::Goodbye { reason: "reset".to_owned(), never_ran: false })
+                    Body::Goodbye(v1::Goodbye {
+                        reason: "reset".to_owned(),
+                        never_ran: false,
+                    })
                 }
             };
             if self.links.contains_key(&link) {
-                self.put(Input::Host { link, frame: frame(stream, body) })?;
+                self.put(Input::Host {
+                    link,
+                    frame: frame(stream, body),
+                })?;
             }
         }
         let pick = |n: usize| usize::from(whom) % n.max(1);
@@ -293,15 +370,29 @@
                 let profile = PROFILES[stream as usize % PROFILES.len()];
                 let patience_ms = 200.0 + f64::from(whom % 4000);
                 let session = u64::from(whom % 7);
-                let submit = v1::Submit { patience_ms, session, ..submit(profile) };
-                self.put(Input::Client { conn: ConnId(1), frame: frame(stream, Body::Submit(submit)) })
+                let submit = v1::Submit {
+                    patience_ms,
+                    session,
+                    ..submit(profile)
+                };
+                self.put(Input::Client {
+                    conn: ConnId(1),
+                    frame: frame(stream, Body::Submit(submit)),
+                })
             }
             5 => {
                 let stream = 1 + u64::from(whom) % self.next_stream;
-                if let Some(task) = self.by_stream.get(&stream).and_then(|t| self.tasks.get_mut(t)) {
+                if let Some(task) = self
+                    .by_stream
+                    .get(&stream)
+                    .and_then(|t| self.tasks.get_mut(t))
+                {
                     task.left = !task.answered;
                 }
-                self.put(Input::Client { conn: ConnId(1), frame: frame(stream, Body::Cancel(v1::Cancel {})) })
+                self.put(Input::Client {
+                    conn: ConnId(1),
+                    frame: frame(stream, Body::Cancel(v1::Cancel {})),
+                })
             }
             6 => {
                 let host = HOSTS[pick(HOSTS.len())];
@@ -315,7 +406,8 @@
                 if condition == HostCondition::Gone {
                     // With its process its states are gone.
                     let at = &self.at;
-                    self.held.retain(|key, _| at.get(key).is_none_or(|h| h != host));
+                    self.held
+                        .retain(|key, _| at.get(key).is_none_or(|h| h != host));
                     for (_, _, lost) in &mut self.releases {
                         *lost = lost.filter(|key| at.get(key).is_none_or(|h| h != host));
                     }
@@ -323,14 +415,24 @@
                 self.put(Input::Listed(list(ListKind::Changes, &[(host, condition)])))
             }
             7 if !self.links.is_empty() => {
-                let link = *self.links.keys().nth(pick(self.links.len())).unwrap_or(&LinkId(0));
+                let link = *self
+                    .links
+                    .keys()
+                    .nth(pick(self.links.len()))
+                    .unwrap_or(&LinkId(0));
                 self.cut(link);
-                self.put(Input::LinkClosed { link, reason: "drawn".to_owned() })
+                self.put(Input::LinkClosed {
+                    link,
+                    reason: "drawn".to_owned(),
+                })
             }
             8..=11 if !self.dialled.is_empty() => {
                 let (link, host) = self.dialled.remove(pick(self.dialled.len()));
                 if whom.is_multiple_of(5) {
-                    return self.put(Input::LinkClosed { link, reason: "drawn".to_owned() });
+                    return self.put(Input::LinkClosed {
+                        link,
+                        reason: "drawn".to_owned(),
+                    });
                 }
                 self.links.insert(link, host);
                 self.put(Input::LinkUp { link, limit: None })
@@ -341,15 +443,30 @@
                 // Its write had ended for the ledger with the cancel.
                 let state = late.then_some(launch.state);
                 if late {
-                    self.held.insert((launch.state.task, launch.state.launch), self.now);
+                    self.held
+                        .insert((launch.state.task, launch.state.launch), self.now);
                 }
-                let status = if late { Status::ReadDone } else { Status::Cancelled };
-                let ended = v1::Ended { status: status.into(), state, ..v1::Ended::default() };
-                self.put(Input::Host { link: launch.link, frame: frame(launch.stream, Body::Ended(ended)) })
+                let status = if late {
+                    Status::ReadDone
+                } else {
+                    Status::Cancelled
+                };
+                let ended = v1::Ended {
+                    status: status.into(),
+                    state,
+                    ..v1::Ended::default()
+                };
+                self.put(Input::Host {
+                    link: launch.link,
+                    frame: frame(launch.stream, Body::Ended(ended)),
+                })
             }
             13 if !self.probes.is_empty() => {
                 let (link, stream) = self.probes.remove(pick(self.probes.len()));
-                self.put(Input::Host { link, frame: frame(stream, Body::Load(v1::Load::default())) })
+                self.put(Input::Host {
+                    link,
+                    frame: frame(stream, Body::Load(v1::Load::default())),
+                })
             }
             _ if !self.launches.is_empty() => {
                 let at = pick(self.launches.len());
@@ -361,9 +478,16 @@
                     launch.position += 1;
                     let (link, stream, task) = (launch.link, launch.stream, launch.task);
                     self.held.remove(&(launch.state.task, launch.state.launch));
-                    self.put(Input::Host { link, frame: frame(stream, body) })?;
+                    self.put(Input::Host {
+                        link,
+                        frame: frame(stream, body),
+                    })?;
                     let stream = StreamNo(self.tasks[&task].stream);
-                    return self.put(Input::Flushed { conn: ConnId(1), stream, messages: 1 });
+                    return self.put(Input::Flushed {
+                        conn: ConnId(1),
+                        stream,
+                        messages: 1,
+                    });
                 }
                 let launch = self.launches.remove(at);
                 let status = match (launch.write, kind, launch.position) {
@@ -383,21 +507,37 @@
     fn end_all(&mut self) -> Result<(), TestCaseError> {
         for link in self.links.keys().copied().collect::<Vec<_>>() {
             self.cut(link);
-            self.put(Input::LinkClosed { link, reason: "the end".to_owned() })?;
+            self.put(Input::LinkClosed {
+                link,
+                reason: "the end".to_owned(),
+            })?;
         }
-        self.tasks.values_mut().for_each(|task| task.left = !task.answered);
+        self.tasks
+            .values_mut()
+            .for_each(|task| task.left = !task.answered);
         self.put(Input::ClientClosed { conn: ConnId(1) })?;
         // Whom the ledger still dials, to let states go, cannot be had; then the states are not its to keep.
         self.held.clear();
         for _ in 0..400 {
-            let Some(at) = self.ledger.wants_call_at() else { break };
+            let Some(at) = self.ledger.wants_call_at() else {
+                break;
+            };
             self.now = self.now.max(at);
             self.put(Input::Tick)?;
         }
         let held = self.ledger.held();
-        prop_assert_eq!((held.tasks, held.links, held.timers), (0, 0, 0), "{:?}", held);
+        prop_assert_eq!(
+            (held.tasks, held.links, held.timers),
+            (0, 0, 0),
+            "{:?}",
+            held
+        );
         let guarded = self.ledger.guarded();
-        prop_assert!(guarded.violated.is_empty(), "a guard had to stop something: {:?}", guarded);
+        prop_assert!(
+            guarded.violated.is_empty(),
+            "a guard had to stop something: {:?}",
+            guarded
+        );
         Ok(())
     }
 }
@@ -430,9 +570,17 @@
     let draws: Vec<Draw> = (0..30_000u32)
         .map(|i| {
             let mixed = i.wrapping_mul(0x9e37_79b9) ^ (i >> 3).wrapping_mul(0x85eb_ca6b);
-            ((mixed >> 24) as u8, (mixed >> 7) as u16, (mixed % 61) as u16)
+            (
+                (mixed >> 24) as u8,
+                (mixed >> 7) as u16,
+                (mixed % 61) as u16,
+            )
         })
         .collect();
     let world = play(&draws, 3).unwrap_or_else(|e| panic!("{e}"));
-    assert!(world.answers.iter().all(|n| *n > 100), "{:?}", world.answers);
+    assert!(
+        world.answers.iter().all(|n| *n > 100),
+        "{:?}",
+        world.answers
+    );
 }
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -17,7 +17,9 @@
 
 /// Whether one of the outputs is a release of a request to an engine that runs.
 fn released(bench: &Bench, conn: u64, out: &[Output]) -> bool {
-    releases_of(conn, out).into_iter().any(|link| !bench.is_silent(link))
+    releases_of(conn, out)
+        .into_iter()
+        .any(|link| !bench.is_silent(link))
 }
 
 /// How long after now a release of a request begins that gets to an engine that runs, past the first `after` ms.
@@ -58,8 +60,12 @@
         } else {
             bench.put(Input::ClientClosed { conn: ConnId(1) });
         }
-        let again = until_released(&mut bench, 1, 0.0).expect("a release after the end of the attempt");
-        assert!(again <= most(), "by deadline {ends_by_deadline}: {again} ms after the end of the attempt");
+        let again =
+            until_released(&mut bench, 1, 0.0).expect("a release after the end of the attempt");
+        assert!(
+            again <= most(),
+            "by deadline {ends_by_deadline}: {again} ms after the end of the attempt"
+        );
     }
 }
 
@@ -99,9 +105,17 @@
         assert_eq!(releases_of(1, &out).len(), 1, "{class}: at once");
         serve_one_at(&mut bench, &decode.host);
         let out = bench.pass(most());
-        assert_eq!(releases_of(1, &out).len(), 1, "{class}: once behind the close");
+        assert_eq!(
+            releases_of(1, &out).len(),
+            1,
+            "{class}: once behind the close"
+        );
         let out = bench.pass(20_000.0);
-        assert_eq!((releases_of(1, &out), bench.ledger.held().releases), (vec![], 0), "{class}");
+        assert_eq!(
+            (releases_of(1, &out), bench.ledger.held().releases),
+            (vec![], 0),
+            "{class}"
+        );
     }
 }
 
@@ -137,20 +151,34 @@
 /// When no engine can pass a release on, it gets through once one can.
 #[test]
 fn a_release_gets_through_in_time_once_the_first_engine_is_back() {
-    for (outage, accept) in [(1_000.0, true), (3_000.0, false), (8_000.0, true), (8_000.0, false)] {
+    for (outage, accept) in [
+        (1_000.0, true),
+        (3_000.0, false),
+        (8_000.0, true),
+        (8_000.0, false),
+    ] {
         let mut bench = bench();
         bench.silent_hosts_accept = accept;
         warm_up(&mut bench);
         decoding(&mut bench, 1, "draft");
-        silence(&mut bench, &["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"]);
+        silence(
+            &mut bench,
+            &["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"],
+        );
         bench.pass(13.0);
         bench.put(Input::ClientClosed { conn: ConnId(1) });
         let out = bench.pass(outage);
         let calls = releases_of(1, &out).len();
         let bound = 30.0 + 0.02 * outage;
-        assert!(calls as f64 <= bound, "a bounded rate: {calls} in {outage} ms");
+        assert!(
+            calls as f64 <= bound,
+            "a bounded rate: {calls} in {outage} ms"
+        );
         bench.silent.remove("w2");
         let after = until_released(&mut bench, 1, 0.0).expect("a release");
-        assert!(after <= most(), "{after} ms after the first engine was back, out for {outage}");
+        assert!(
+            after <= most(),
+            "{after} ms after the first engine was back, out for {outage}"
+        );
     }
 }
--- a/crates/dispatcher/tests/shell.rs
+++ b/crates/dispatcher/tests/shell.rs
@@ -31,18 +31,34 @@
             assert!(net.say(bytes).await, "{bytes:?}");
         }
         assert_eq!(net.shell.clients(), 0);
-        assert_eq!(net.task("c").await.0, End::Fulfilled, "the rest is served on");
+        assert_eq!(
+            net.task("c").await.0,
+            End::Fulfilled,
+            "the rest is served on"
+        );
     });
 }
 
 #[test]
 fn a_message_over_the_bound_is_refused_and_its_connection_serves_on() {
     run(|net| async move {
-        let port = Port::new("c", "d", net.memory.clone(), net.clock, net.transcript.clone());
-        let large = v1::Submit { prompt: vec![0; 1 << 17].into(), ..common::submit("draft") };
+        let port = Port::new(
+            "c",
+            "d",
+            net.memory.clone(),
+            net.clock,
+            net.transcript.clone(),
+        );
+        let large = v1::Submit {
+            prompt: vec![0; 1 << 17].into(),
+            ..common::submit("draft")
+        };
         let end = port.run(large, None, |_| {}).await;
         assert!(matches!(end, End::Rejected(_)), "{end:?}");
-        assert_eq!(port.run(common::submit("draft"), None, |_| {}).await, End::Fulfilled);
+        assert_eq!(
+            port.run(common::submit("draft"), None, |_| {}).await,
+            End::Fulfilled
+        );
         assert_eq!(net.shell.held().tasks, 0);
     });
 }
@@ -55,7 +71,10 @@
             let _ = stream.write_all(&[*byte]).await;
             net.clock.sleep_until(net.clock.now() + 100.0).await;
         }
-        assert!(stream.write_all(b"x").await.is_err(), "nothing was asked in time: closed");
+        assert!(
+            stream.write_all(b"x").await.is_err(),
+            "nothing was asked in time: closed"
+        );
         assert_eq!(net.shell.clients(), 0);
         assert_eq!(net.task("c").await.0, End::Fulfilled);
     });
@@ -69,7 +88,11 @@
             silent.push(net.memory.connect("d").await.expect("it listens"));
         }
         net.clock.sleep_until(net.clock.now() + 10.0).await;
-        assert_eq!(net.task("c").await.0, End::Unsent, "all places are taken, for now");
+        assert_eq!(
+            net.task("c").await.0,
+            End::Unsent,
+            "all places are taken, for now"
+        );
         // The greeting's time passes.
         net.clock.sleep_until(net.clock.now() + 1100.0).await;
         assert_eq!(net.task("c").await.0, End::Fulfilled);
@@ -88,12 +111,23 @@
         net.clock.sleep_until(net.clock.now() + 1.0).await;
         let mut other = spec("w2", "writer", Does::Writes);
         other.token_ms = 1.0;
-        let other = Host::new(other, net.memory.clone(), net.clock, net.transcript.clone(), 1);
+        let other = Host::new(
+            other,
+            net.memory.clone(),
+            net.clock,
+            net.transcript.clone(),
+            1,
+        );
         other.start("at-w1", true).await.expect("the name is free");
         let (end, tokens) = net.task("c").await;
         assert!(matches!(end, End::Bounced { .. }), "{end:?}");
         assert_eq!(tokens, 0);
-        let sent = net.transcript.records().iter().filter(|r| &*r.seer == "w2").count();
+        let sent = net
+            .transcript
+            .records()
+            .iter()
+            .filter(|r| &*r.seer == "w2")
+            .count();
         assert_eq!(sent, 0, "nothing goes to a host of another name");
     });
 }
@@ -110,11 +144,17 @@
             }
         });
         let (end, tokens) = net.task("c").await;
-        assert!(matches!(end, End::Bounced { .. } | End::WrittenOff), "{end:?}");
+        assert!(
+            matches!(end, End::Bounced { .. } | End::WrittenOff),
+            "{end:?}"
+        );
         assert_eq!(tokens, 0);
         bad.abort();
         net.clock.sleep_until(net.clock.now() + 1.0).await;
-        net.hosts[1].start("at-w1", true).await.expect("the name is free");
+        net.hosts[1]
+            .start("at-w1", true)
+            .await
+            .expect("the name is free");
         net.clock.sleep_until(net.clock.now() + 3000.0).await;
         assert_eq!(net.task("c").await.0, End::Fulfilled);
     });
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -19,7 +19,10 @@
         if let Some(decode) = bench.launches(&out).into_iter().find(arrived) {
             return (bench.now - since, Some(decode));
         }
-        if releases_of(conn, &out).into_iter().any(|link| !bench.is_silent(link)) {
+        if releases_of(conn, &out)
+            .into_iter()
+            .any(|link| !bench.is_silent(link))
+        {
             return (bench.now - since, None);
         }
     }
@@ -34,11 +37,20 @@
     bench.silent.insert(lost.host.clone());
     let (after, decode) = until_state_is_taken(&mut bench, 1);
     let decode = decode.expect("a second decode attempt");
-    assert!(after <= settings().policy.release + HELD_SLACK, "taken after {after} ms");
+    assert!(
+        after <= settings().policy.release + HELD_SLACK,
+        "taken after {after} ms"
+    );
     // What lies unsent on the first connection must not go out later: the second attempt would then be one of two.
-    assert!(called_off(&bench.out, &lost), "the connection of the first attempt is ended");
+    assert!(
+        called_off(&bench.out, &lost),
+        "the connection of the first attempt is ended"
+    );
     bench.host(&decode, tokens(0));
-    assert_eq!(finals(&bench.ended(&decode, Status::Fulfilled)), [(1, Answer::Fulfilled)]);
+    assert_eq!(
+        finals(&bench.ended(&decode, Status::Fulfilled)),
+        [(1, Answer::Fulfilled)]
+    );
 }
 
 #[test]
@@ -49,8 +61,14 @@
     bench.silent.insert(lost.host.clone());
     let (after, decode) = until_state_is_taken(&mut bench, 1);
     assert!(decode.is_none(), "the first attempt may run yet");
-    assert!(after <= settings().policy.release + HELD_SLACK, "released after {after} ms");
-    assert!(!called_off(&bench.out, &lost), "the first attempt may still be served");
+    assert!(
+        after <= settings().policy.release + HELD_SLACK,
+        "released after {after} ms"
+    );
+    assert!(
+        !called_off(&bench.out, &lost),
+        "the first attempt may still be served"
+    );
 }
 
 /// Lets an engine that runs go on with a stream of another request meanwhile.
@@ -68,7 +86,10 @@
         silence(&mut bench, &["w1", "w2", "w3", "w4"]);
         let (after, decode) = until_state_is_taken(&mut bench, 1);
         assert!(decode.is_none(), "{class}: no decode engine runs");
-        assert!(after <= settings().policy.release + HELD_SLACK, "{class}: released after {after} ms");
+        assert!(
+            after <= settings().policy.release + HELD_SLACK,
+            "{class}: released after {after} ms"
+        );
     }
 }
 
@@ -93,11 +114,17 @@
     let (since, mut position) = (bench.now, 0);
     loop {
         let out = bench.pass(10.0);
-        if releases_of(lost.0, &out).into_iter().any(|link| !bench.is_silent(link)) {
+        if releases_of(lost.0, &out)
+            .into_iter()
+            .any(|link| !bench.is_silent(link))
+        {
             break;
         }
         let after = bench.now - since;
-        assert!(after <= settings().policy.release + HELD_SLACK, "not released after {after} ms");
+        assert!(
+            after <= settings().policy.release + HELD_SLACK,
+            "not released after {after} ms"
+        );
         go_on(&mut bench, &busy, &mut position);
     }
 }
@@ -109,7 +136,8 @@
 /// An engine with a long queue answers whoever asks, and writes nothing on the attempts that wait. A release lets go of what
 /// no attempt waits for, so one that may be needed, late, does no harm.
 #[test]
-fn an_attempt_in_the_queue_of_an_engine_that_runs_is_not_given_up_and_its_state_released_once_and_late() {
+fn an_attempt_in_the_queue_of_an_engine_that_runs_is_not_given_up_and_its_state_released_once_and_late(
+) {
     for class in ["draft", "proof", "caption"] {
         let mut bench = bench();
         warm_up(&mut bench);
@@ -118,7 +146,13 @@
         assert_eq!(releases_of(1, &out), [], "{class}: not early");
         let out = bench.pass(2_000.0 - UNANSWERED_UNTIL);
         assert_eq!(releases_of(1, &out).len(), 1, "{class}");
-        assert!(bench.launches(&bench.out).last().is_some_and(|last| last.link == queued.link), "{class}");
+        assert!(
+            bench
+                .launches(&bench.out)
+                .last()
+                .is_some_and(|last| last.link == queued.link),
+            "{class}"
+        );
         assert!(!called_off(&bench.out, &queued), "{class}");
         bench.host(&queued, tokens(0));
         let out = bench.pass(5_000.0);
@@ -140,7 +174,11 @@
         assert_eq!(finals(&out), [(1, Answer::Bounced)], "{class}");
         let out = bench.pass(1_000.0);
         assert!(bench.launches(&out).is_empty(), "{class}");
-        assert_eq!((bench.ledger.held().tasks, bench.ledger.held().releases), (0, 0), "{class}");
+        assert_eq!(
+            (bench.ledger.held().tasks, bench.ledger.held().releases),
+            (0, 0),
+            "{class}"
+        );
     }
 }
 
@@ -149,22 +187,41 @@
 fn an_engine_that_is_heard_after_the_send_is_not_asked() {
     let mut bench = bench();
     warm_up(&mut bench);
-    let streams: Vec<Sent> = (2..30).map(|conn| decoding(&mut bench, conn, "draft")).collect();
+    let streams: Vec<Sent> = (2..30)
+        .map(|conn| decoding(&mut bench, conn, "draft"))
+        .collect();
     for stream in &streams {
         bench.host(stream, tokens(0));
     }
     let queued = decoding(&mut bench, 1, "draft");
-    let busy = streams.iter().find(|stream| stream.host == queued.host).expect("a stream there").clone();
+    let busy = streams
+        .iter()
+        .find(|stream| stream.host == queued.host)
+        .expect("a stream there")
+        .clone();
     let mut position = 0;
-    let dialled = |out: &[Output]| out.iter().filter(|output| matches!(output, Output::Dial { .. })).count();
-    let released = |out: &[Output]| to_hosts(out).into_iter().filter(|said| *said == "release").count();
+    let dialled = |out: &[Output]| {
+        out.iter()
+            .filter(|output| matches!(output, Output::Dial { .. }))
+            .count()
+    };
+    let released = |out: &[Output]| {
+        to_hosts(out)
+            .into_iter()
+            .filter(|said| *said == "release")
+            .count()
+    };
     for step in 1..=200 {
         let out = bench.pass(10.0);
         go_on(&mut bench, &busy, &mut position);
         assert!(bench.launches(&out).is_empty() && !called_off(&out, &queued));
         let is_due = usize::from(f64::from(step) * 10.0 == UNANSWERED_UNTIL);
         assert!(dialled(&out) <= is_due, "no connection for a question");
-        assert_eq!(released(&out), is_due, "nothing but the one release of its state");
+        assert_eq!(
+            released(&out),
+            is_due,
+            "nothing but the one release of its state"
+        );
         assert_eq!(releases_of(1, &out).len(), is_due);
     }
 }
@@ -184,7 +241,11 @@
     bench.pass(4_000.0);
     let out = bench.out[before..].to_vec();
     assert_eq!(finals(&out).len(), 1, "one answer");
-    let decodes = bench.launches(&out).into_iter().filter(|sent| sent.host.starts_with('w')).count();
+    let decodes = bench
+        .launches(&out)
+        .into_iter()
+        .filter(|sent| sent.host.starts_with('w'))
+        .count();
     assert_eq!(decodes, 0, "none without a new prefill");
 }
 
@@ -199,19 +260,34 @@
             let since = bench.now;
             bench.pass(after);
             let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
-            assert!(called_off(&bench.out, &lost), "{class} after {after}: the attempt is given up");
+            assert!(
+                called_off(&bench.out, &lost),
+                "{class} after {after}: the attempt is given up"
+            );
             assert!(bench.launches(&out).is_empty());
             let out = bench.pass(4_000.0);
-            assert!(bench.launches(&out).is_empty(), "{class} after {after}: nothing begins for nobody");
+            assert!(
+                bench.launches(&out).is_empty(),
+                "{class} after {after}: nothing begins for nobody"
+            );
             let reached = |output: &Output| match output {
-                Output::ToHost { link, frame: Frame { body: Some(Body::Release(release)), .. } } => {
-                    release.origin == "1" && !bench.is_silent(*link)
-                }
+                Output::ToHost {
+                    link,
+                    frame:
+                        Frame {
+                            body: Some(Body::Release(release)),
+                            ..
+                        },
+                } => release.origin == "1" && !bench.is_silent(*link),
                 _ => false,
             };
             // A second attempt may have taken the state; then the client left that one.
             let taken = bench.out.iter().any(reached);
-            assert!(taken, "{class} after {after}: released, {} ms since the send", bench.now - since);
+            assert!(
+                taken,
+                "{class} after {after}: released, {} ms since the send",
+                bench.now - since
+            );
         }
     }
 }
@@ -222,19 +298,26 @@
     warm_up(&mut bench);
     let lost = decoding(&mut bench, 1, "draft");
     silence(&mut bench, &[lost.host.as_str()]);
-    let others: Vec<String> = (1..=4).map(|at| format!("w{at}")).filter(|name| *name != lost.host).collect();
+    let others: Vec<String> = (1..=4)
+        .map(|at| format!("w{at}"))
+        .filter(|name| *name != lost.host)
+        .collect();
     for name in &others {
         bench.told(name, v1::HostCondition::Draining);
     }
     let (after, decode) = until_state_is_taken(&mut bench, 1);
     assert!(decode.is_none(), "{decode:?}");
-    assert!(after <= settings().policy.release + HELD_SLACK, "released after {after} ms");
+    assert!(
+        after <= settings().policy.release + HELD_SLACK,
+        "released after {after} ms"
+    );
 }
 
 /// A prefill engine that is silent may end a prefill that was given up, and hold its state: an engine's word that it is
 /// released does not count for what comes into being after it.
 #[test]
-fn the_release_of_a_prefill_that_was_given_up_is_repeated_until_its_engine_has_shown_that_it_works() {
+fn the_release_of_a_prefill_that_was_given_up_is_repeated_until_its_engine_has_shown_that_it_works()
+{
     let mut bench = bench();
     warm_up(&mut bench);
     let out = asks(&mut bench, 1, "draft");
@@ -243,20 +326,28 @@
     bench.pass(100.0);
     bench.put(Input::ClientClosed { conn: ConnId(1) });
     let out = bench.pass(1_500.0);
-    let passed_on = releases_of(1, &out).into_iter().any(|link| !bench.is_silent(link));
+    let passed_on = releases_of(1, &out)
+        .into_iter()
+        .any(|link| !bench.is_silent(link));
     assert!(passed_on, "another engine was asked meanwhile");
     bench.silent.clear();
     let since = bench.now;
     while releases_of(1, &bench.pass(5.0)).is_empty() {
         let after = bench.now - since;
-        assert!(after <= settings().policy.release, "not released {after} ms after its engine was back");
+        assert!(
+            after <= settings().policy.release,
+            "not released {after} ms after its engine was back"
+        );
     }
     // It works again.
     for conn in 5_000.. {
         let out = asks(&mut bench, conn, "draft");
         let next = bench.launches(&out).pop().expect("a prefill goes out");
         let out = bench.ended(&next, Status::ReadDone);
-        let decode = bench.launches(&out).pop().expect("a decode attempt goes out");
+        let decode = bench
+            .launches(&out)
+            .pop()
+            .expect("a decode attempt goes out");
         bench.host(&decode, tokens(0));
         bench.ended(&decode, Status::Fulfilled);
         if next.host == prefill.host {
@@ -266,14 +357,21 @@
     let out = bench.pass(settings().policy.release + HELD_SLACK);
     assert!((1..=2).contains(&releases_of(1, &out).len()), "once more");
     let out = bench.pass(20_000.0);
-    assert_eq!(releases_of(1, &out), [], "its engine knows of the end by then: it is not said again");
+    assert_eq!(
+        releases_of(1, &out),
+        [],
+        "its engine knows of the end by then: it is not said again"
+    );
 }
 
 /// A process with little to do: nothing was heard of any engine lately, and only one of them runs.
 #[test]
 fn a_release_gets_through_in_time_while_most_engines_are_silent_and_none_was_heard_lately() {
     let all = ["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"];
-    for (runs, accept) in all.into_iter().flat_map(|runs| [(runs, false), (runs, true)]) {
+    for (runs, accept) in all
+        .into_iter()
+        .flat_map(|runs| [(runs, false), (runs, true)])
+    {
         for class in ["draft", "proof"] {
             let mut bench = bench();
             bench.silent_hosts_accept = accept;
@@ -284,13 +382,19 @@
             let silent: Vec<&str> = all.into_iter().filter(|name| *name != runs).collect();
             silence(&mut bench, &silent);
             let out = bench.ended(&prefill, Status::ReadDone);
-            let arrived = bench.launches(&out).iter().any(|sent| !bench.silent.contains(&sent.host));
+            let arrived = bench
+                .launches(&out)
+                .iter()
+                .any(|sent| !bench.silent.contains(&sent.host));
             if arrived {
                 continue;
             }
             let (after, _) = until_state_is_taken(&mut bench, 1);
             let most = settings().policy.release + HELD_SLACK;
-            assert!(after <= most, "{class}, {runs}, {accept}: taken or released after {after} ms");
+            assert!(
+                after <= most,
+                "{class}, {runs}, {accept}: taken or released after {after} ms"
+            );
         }
     }
 }
@@ -303,17 +407,31 @@
     warm_up(&mut bench);
     let out = asks(&mut bench, 1, "draft");
     let broken = bench.launches(&out).pop().expect("a prefill goes out");
-    let others: Vec<String> =
-        (1..=4).map(|at| format!("r{at}")).filter(|name| *name != broken.host).collect();
-    silence(&mut bench, &others.iter().map(String::as_str).collect::<Vec<_>>());
-    let bye = v1::Goodbye { reason: "reset".to_owned(), never_ran: false };
+    let others: Vec<String> = (1..=4)
+        .map(|at| format!("r{at}"))
+        .filter(|name| *name != broken.host)
+        .collect();
+    silence(
+        &mut bench,
+        &others.iter().map(String::as_str).collect::<Vec<_>>(),
+    );
+    let bye = v1::Goodbye {
+        reason: "reset".to_owned(),
+        never_ran: false,
+    };
     let mut out = bench.host(&broken, Body::Goodbye(bye));
     let since = bench.now;
     let second = bench.launches(&out).pop().expect("it is read again");
     assert!(bench.is_silent(second.link), "at an engine that is silent");
-    while releases_of(1, &out).into_iter().all(|link| bench.is_silent(link)) {
+    while releases_of(1, &out)
+        .into_iter()
+        .all(|link| bench.is_silent(link))
+    {
         let after = bench.now - since;
-        assert!(after <= settings().policy.release + HELD_SLACK, "not released after {after} ms");
+        assert!(
+            after <= settings().policy.release + HELD_SLACK,
+            "not released after {after} ms"
+        );
         out = bench.pass(5.0);
     }
 }
@@ -325,5 +443,8 @@
     warm_up(&mut bench);
     decoding(&mut bench, 1, "proof");
     let (after, _) = until_state_is_taken(&mut bench, 1);
-    assert!(after <= settings().policy.release + HELD_SLACK, "released after {after} ms");
+    assert!(
+        after <= settings().policy.release + HELD_SLACK,
+        "released after {after} ms"
+    );
 }
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -14,17 +14,30 @@
 }
 
 fn bench_with(limits: Limits) -> Bench {
-    Bench::with(ProgramSettings { limits, ..settings() })
+    Bench::with(ProgramSettings {
+        limits,
+        ..settings()
+    })
 }
 
 fn task(id: &str, profile: &str) -> Body {
-    let origin = Some(v1::Origin { id: id.to_owned(), ..v1::Origin::default() });
+    let origin = Some(v1::Origin {
+        id: id.to_owned(),
+        ..v1::Origin::default()
+    });
     let prompt = bytes::Bytes::from_static(b"{}");
-    Body::Submit(v1::Submit { origin, prompt, ..submit(profile) })
+    Body::Submit(v1::Submit {
+        origin,
+        prompt,
+        ..submit(profile)
+    })
 }
 
 fn asks(bench: &mut Bench, conn: u64, body: Body) -> Vec<Output> {
-    bench.put(Input::Client { conn: ConnId(conn), frame: frame(1, body) })
+    bench.put(Input::Client {
+        conn: ConnId(conn),
+        frame: frame(1, body),
+    })
 }
 
 fn reading(bench: &mut Bench, conn: u64, id: &str, profile: &str) -> Sent {
@@ -40,16 +53,24 @@
 
 fn releases(out: &[Output]) -> Vec<String> {
     let release = |output: &Output| match output {
-        Output::ToHost { frame: Frame { body: Some(Body::Release(release)), .. }, .. } => {
-            Some(release.origin.clone())
-        }
+        Output::ToHost {
+            frame:
+                Frame {
+                    body: Some(Body::Release(release)),
+                    ..
+                },
+            ..
+        } => Some(release.origin.clone()),
         _ => None,
     };
     out.iter().filter_map(release).collect()
 }
 
 fn goodbye(never_ran: bool) -> Body {
-    Body::Goodbye(v1::Goodbye { reason: "cut".to_owned(), never_ran })
+    Body::Goodbye(v1::Goodbye {
+        reason: "cut".to_owned(),
+        never_ran,
+    })
 }
 
 #[test]
@@ -62,7 +83,11 @@
     let mut used: Vec<_> = links.iter().map(|l| l.link).collect();
     used.dedup();
     assert_eq!(used.len(), 6);
-    let dials = bench.out.iter().filter(|o| matches!(o, Output::Dial { .. })).count();
+    let dials = bench
+        .out
+        .iter()
+        .filter(|o| matches!(o, Output::Dial { .. }))
+        .count();
     assert_eq!(dials, 6, "one for each launch, none ahead");
 }
 
@@ -72,9 +97,20 @@
         let mut bench = bench();
         let write = writing(&mut bench, 1, "a", "proof");
         let out = bench.host(&write, goodbye(never_ran));
-        assert_eq!(!bench.launches(&out).is_empty(), again, "an at-most-once task goes out again");
+        assert_eq!(
+            !bench.launches(&out).is_empty(),
+            again,
+            "an at-most-once task goes out again"
+        );
         let answers: Vec<Answer> = finals(&out).into_iter().map(|(_, answer)| answer).collect();
-        assert_eq!(answers, if again { vec![] } else { vec![Answer::WrittenOff] });
+        assert_eq!(
+            answers,
+            if again {
+                vec![]
+            } else {
+                vec![Answer::WrittenOff]
+            }
+        );
     }
 }
 
@@ -107,7 +143,11 @@
     // The read broke: it may have left a state; the task is read again.
     let out = bench.host(&read, goodbye(false));
     let second = bench.launches(&out).pop().expect("it is read again");
-    assert_eq!(releases(&out), Vec::<String>::new(), "it would end the second read's state");
+    assert_eq!(
+        releases(&out),
+        Vec::<String>::new(),
+        "it would end the second read's state"
+    );
     let out = bench.ended(&second, Status::ReadDone);
     assert_eq!(releases(&out), Vec::<String>::new());
     let write = bench.launches(&out).pop().expect("a write goes out");
@@ -120,7 +160,10 @@
     for n in 2.. {
         let next = reading(&mut bench, n, &n.to_string(), "draft");
         let out = bench.ended(&next, Status::ReadDone);
-        let decode = bench.launches(&out).pop().expect("a decode attempt goes out");
+        let decode = bench
+            .launches(&out)
+            .pop()
+            .expect("a decode attempt goes out");
         bench.host(&decode, tokens(0));
         bench.ended(&decode, Status::Fulfilled);
         if next.host == read.host {
@@ -142,7 +185,14 @@
     let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
     assert_eq!(releases(&out), ["a"]);
     let first = bench.out.iter().rev().find_map(|o| match o {
-        Output::ToHost { link, frame: Frame { body: Some(Body::Release(_)), .. } } => Some(*link),
+        Output::ToHost {
+            link,
+            frame:
+                Frame {
+                    body: Some(Body::Release(_)),
+                    ..
+                },
+        } => Some(*link),
         _ => None,
     });
     let out = bench.pass(400.0);
@@ -153,8 +203,14 @@
             _ => None,
         })
         .collect();
-    assert!(!releases(&out).is_empty(), "said again within the release time");
-    assert!(hosts.iter().any(|host| *host != read.host), "to another host: {hosts:?}");
+    assert!(
+        !releases(&out).is_empty(),
+        "said again within the release time"
+    );
+    assert!(
+        hosts.iter().any(|host| *host != read.host),
+        "to another host: {hosts:?}"
+    );
     assert!(first.is_some());
     bench.pass(2_000.0);
     let slowly = releases(&bench.pass(20_000.0)).len();
@@ -163,7 +219,11 @@
         "at a bounded rate, and often enough for an engine that is back: {slowly}"
     );
     bench.pass(60_000.0);
-    assert_eq!(releases(&bench.pass(20_000.0)), Vec::<String>::new(), "not for ever");
+    assert_eq!(
+        releases(&bench.pass(20_000.0)),
+        Vec::<String>::new(),
+        "not for ever"
+    );
 }
 
 #[test]
@@ -171,13 +231,19 @@
     let mut bench = bench();
     let read = reading(&mut bench, 1, "a", "draft");
     let out = asks(&mut bench, 2, task("a", "draft"));
-    assert!(matches!(to_client(&out)[..], [(1, Body::Rejected(_))]), "{out:?}");
+    assert!(
+        matches!(to_client(&out)[..], [(1, Body::Rejected(_))]),
+        "{out:?}"
+    );
     assert!(bench.launches(&out).is_empty() && releases(&out).is_empty());
     bench.put(Input::ClientClosed { conn: ConnId(2) });
     let out = bench.ended(&read, Status::ReadDone);
     let write = bench.launches(&out).pop().expect("the open one goes on");
     bench.host(&write, tokens(0));
-    assert_eq!(finals(&bench.ended(&write, Status::Fulfilled)), [(1, Answer::Fulfilled)]);
+    assert_eq!(
+        finals(&bench.ended(&write, Status::Fulfilled)),
+        [(1, Answer::Fulfilled)]
+    );
     // Once it is over, its id is nobody's.
     let out = asks(&mut bench, 3, task("a", "draft"));
     assert!(!bench.launches(&out).is_empty());
@@ -193,13 +259,21 @@
     asks(&mut bench, 1, task("a", "proof"));
     bench.links_come_up = false;
     bench.pass(3000.0);
-    assert_eq!(finals(&bench.out).len(), 1, "answered by {} of 2,500 ms left", bench.now - begin);
+    assert_eq!(
+        finals(&bench.out).len(),
+        1,
+        "answered by {} of 2,500 ms left",
+        bench.now - begin
+    );
 }
 
 #[test]
 fn links_are_bounded_over_all_hosts_and_one_that_rests_makes_room() {
     let limits = single_limits();
-    let single = limits.single.map(|single| Single { most_links: 2, ..single });
+    let single = limits.single.map(|single| Single {
+        most_links: 2,
+        ..single
+    });
     let mut bench = bench_with(Limits { single, ..limits });
     let write = writing(&mut bench, 1, "a", "draft");
     bench.host(&write, tokens(0));
@@ -221,11 +295,19 @@
     }
     asks(&mut bench, 1, task("a", "draft"));
     let out = bench.put(Input::ClientsFull);
-    assert_eq!(out, [Output::LeaveClient { conn: ConnId(2) }], "not the one with an open task");
+    assert_eq!(
+        out,
+        [Output::LeaveClient { conn: ConnId(2) }],
+        "not the one with an open task"
+    );
     bench.put(Input::ClientPartly { conn: ConnId(3) });
     let out = bench.pass(2500.0);
     let closed = |o: &&Output| matches!(o, Output::CloseClient { conn, .. } if *conn == ConnId(3));
-    assert_eq!(out.iter().filter(closed).count(), 1, "half a request is closed");
+    assert_eq!(
+        out.iter().filter(closed).count(),
+        1,
+        "half a request is closed"
+    );
     let of_one = |o: &&Output| match o {
         Output::CloseClient { conn, .. } | Output::LeaveClient { conn } => *conn == ConnId(1),
         _ => false,
@@ -235,8 +317,12 @@
 
 #[test]
 fn a_stop_takes_what_still_comes_for_a_moment_and_moves_streams_that_outlast_it() {
-    let limits =
-        Limits { stop_notice: 600.0, stop_moves: Some(2500.0), stop_grace: 60_000.0, ..single_limits() };
+    let limits = Limits {
+        stop_notice: 600.0,
+        stop_moves: Some(2500.0),
+        stop_grace: 60_000.0,
+        ..single_limits()
+    };
     let mut bench = bench_with(limits);
     let write = writing(&mut bench, 1, "a", "draft");
     bench.host(&write, tokens(0));
@@ -244,19 +330,30 @@
     let out = asks(&mut bench, 2, task("b", "draft"));
     assert!(!bench.launches(&out).is_empty(), "still taken");
     bench.pass(700.0);
-    assert_eq!(finals(&asks(&mut bench, 3, task("c", "draft"))), [(1, Answer::Bounced)]);
+    assert_eq!(
+        finals(&asks(&mut bench, 3, task("c", "draft"))),
+        [(1, Answer::Bounced)]
+    );
     let out = bench.pass(1700.0);
     assert_eq!(finals(&out), []);
     let out = bench.pass(200.0);
-    assert_eq!(finals(&out), [(1, Answer::WrittenOff)], "the stream; what has not begun goes on");
+    assert_eq!(
+        finals(&out),
+        [(1, Answer::WrittenOff)],
+        "the stream; what has not begun goes on"
+    );
     assert!(!out.iter().any(|o| matches!(o, Output::Stopped)));
     assert_eq!(bench.ledger.held().tasks, 1);
 }
 
 #[test]
 fn a_stream_that_begins_after_streams_were_moved_is_moved_as_well() {
-    let limits =
-        Limits { stop_notice: 600.0, stop_moves: Some(800.0), stop_grace: 60_000.0, ..single_limits() };
+    let limits = Limits {
+        stop_notice: 600.0,
+        stop_moves: Some(800.0),
+        stop_grace: 60_000.0,
+        ..single_limits()
+    };
     let mut bench = bench_with(limits);
     let over = writing(&mut bench, 2, "over", "draft");
     bench.host(&over, tokens(0));
@@ -266,7 +363,11 @@
     bench.pass(900.0);
     bench.host(&write, tokens(0));
     let out = bench.pass(200.0);
-    assert_eq!(finals(&out), [(1, Answer::WrittenOff)], "its client comes back for the rest before the kill");
+    assert_eq!(
+        finals(&out),
+        [(1, Answer::WrittenOff)],
+        "its client comes back for the rest before the kill"
+    );
 }
 
 #[test]
@@ -274,12 +375,25 @@
     let ping = || Body::Ping(v1::Ping {});
     let mut empty = cindercleat_dispatcher::ledger::Ledger::new(settings(), 1);
     let mut out = Vec::new();
-    empty.handle(1.0, Input::Client { conn: ConnId(1), frame: frame(1, ping()) }, &mut out);
+    empty.handle(
+        1.0,
+        Input::Client {
+            conn: ConnId(1),
+            frame: frame(1, ping()),
+        },
+        &mut out,
+    );
     assert!(matches!(to_client(&out)[..], [(1, Body::Goodbye(_))]));
     let mut bench = bench();
-    assert!(matches!(to_client(&asks(&mut bench, 1, ping()))[..], [(1, Body::Pong(_))]));
+    assert!(matches!(
+        to_client(&asks(&mut bench, 1, ping()))[..],
+        [(1, Body::Pong(_))]
+    ));
     bench.put(Input::Stop);
-    assert!(matches!(to_client(&asks(&mut bench, 2, ping()))[..], [(1, Body::Goodbye(_))]));
+    assert!(matches!(
+        to_client(&asks(&mut bench, 2, ping()))[..],
+        [(1, Body::Goodbye(_))]
+    ));
 }
 
 #[test]
@@ -294,7 +408,11 @@
         bench.host(&write, tokens(0));
         bench.told(&reader, Gone);
         bench.told(&writer, Gone);
-        assert_eq!(finals(&bench.ended(&write, Status::Fulfilled)), [(1, Answer::Fulfilled)], "it went on");
+        assert_eq!(
+            finals(&bench.ended(&write, Status::Fulfilled)),
+            [(1, Answer::Fulfilled)],
+            "it went on"
+        );
         bench.put(Input::ClientClosed { conn: ConnId(n) });
     }
     bench.pass(60_000.0);
@@ -306,7 +424,14 @@
 /// The links over which releases went, among outputs.
 fn release_links(out: &[Output]) -> Vec<LinkId> {
     let release = |output: &Output| match output {
-        Output::ToHost { link, frame: Frame { body: Some(Body::Release(_)), .. } } => Some(*link),
+        Output::ToHost {
+            link,
+            frame:
+                Frame {
+                    body: Some(Body::Release(_)),
+                    ..
+                },
+        } => Some(*link),
         _ => None,
     };
     out.iter().filter_map(release).collect()
@@ -315,9 +440,14 @@
 /// A ledger that knows eight engines of each kind.
 fn many() -> Bench {
     let mut bench = bench();
-    let names: Vec<String> =
-        ["r", "w"].iter().flat_map(|kind| (1..=8).map(move |at| format!("{kind}{at}"))).collect();
-    let ready: Vec<_> = names.iter().map(|name| (name.as_str(), v1::HostCondition::Ready)).collect();
+    let names: Vec<String> = ["r", "w"]
+        .iter()
+        .flat_map(|kind| (1..=8).map(move |at| format!("{kind}{at}")))
+        .collect();
+    let ready: Vec<_> = names
+        .iter()
+        .map(|name| (name.as_str(), v1::HostCondition::Ready))
+        .collect();
     bench.put(Input::Listed(list(v1::ListKind::Full, &ready)));
     bench
 }
@@ -330,8 +460,14 @@
     let mut n = 1;
     while linked.len() < 16 {
         n += 1;
-        let text = v1::Submit { session: n, ..submit("draft") };
-        let origin = Some(v1::Origin { id: n.to_string(), ..v1::Origin::default() });
+        let text = v1::Submit {
+            session: n,
+            ..submit("draft")
+        };
+        let origin = Some(v1::Origin {
+            id: n.to_string(),
+            ..v1::Origin::default()
+        });
         let out = asks(&mut bench, n, Body::Submit(v1::Submit { origin, ..text }));
         let read = bench.launches(&out).pop().expect("a read goes out");
         let out = bench.ended(&read, Status::ReadDone);
@@ -356,7 +492,10 @@
     let mut out = bench.put(Input::ClientClosed { conn: ConnId(2) });
     let mut position = 2;
     let reached = loop {
-        let asked: Vec<String> = release_links(&out).iter().map(|l| bench.host_of(*l).to_owned()).collect();
+        let asked: Vec<String> = release_links(&out)
+            .iter()
+            .map(|l| bench.host_of(*l).to_owned())
+            .collect();
         if asked.contains(&busy.host) {
             break bench.now - since;
         }
@@ -365,7 +504,10 @@
         bench.host(&busy, tokens(position));
         position += 1;
     };
-    assert!(reached <= 300.0, "in good time before it counts as left behind: {reached}");
+    assert!(
+        reached <= 300.0,
+        "in good time before it counts as left behind: {reached}"
+    );
 }
 
 #[test]
@@ -378,7 +520,10 @@
     let since = bench.now;
     let mut dialled = 0;
     while release_links(&out).is_empty() {
-        dialled += out.iter().filter(|output| matches!(output, Output::Dial { .. })).count();
+        dialled += out
+            .iter()
+            .filter(|output| matches!(output, Output::Dial { .. }))
+            .count();
         assert!(bench.now - since < 2_000.0, "it lies there");
         out = bench.pass(10.0);
     }
@@ -397,6 +542,13 @@
     bench.pass(1_000.0);
     bench.host(&busy, tokens(0));
     let out = bench.put(Input::ClientClosed { conn: ConnId(2) });
-    let asked: Vec<&str> = release_links(&out).iter().map(|link| bench.host_of(*link)).collect();
-    assert_eq!(asked, [read.host.as_str()], "or it could come before the state is there");
+    let asked: Vec<&str> = release_links(&out)
+        .iter()
+        .map(|link| bench.host_of(*link))
+        .collect();
+    assert_eq!(
+        asked,
+        [read.host.as_str()],
+        "or it could come before the state is there"
+    );
 }
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -58,10 +58,16 @@
         let event = format!("data: {}\n\n", "x".repeat(60_000));
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         engine.say(&format!("{chunk}{EVENT}")).await;
-        assert_eq!(client.text_until(EVENT).await.len(), chunk.len() + EVENT.len());
+        assert_eq!(
+            client.text_until(EVENT).await.len(),
+            chunk.len() + EVENT.len()
+        );
         engine.say(&format!("{chunk}{EVENT}{END}")).await;
         drop(engine);
-        assert!(client.text_until(END).await.ends_with(&format!("{EVENT}{END}")));
+        assert!(client
+            .text_until(END)
+            .await
+            .ends_with(&format!("{EVENT}{END}")));
         net.no_request_is_open().await;
     });
 }
@@ -88,7 +94,10 @@
         }
         engine.say(END).await;
         assert_eq!(fast.text_until(END).await, END);
-        assert!(!filled.is_finished(), "the slow one held its engine back all the while");
+        assert!(
+            !filled.is_finished(),
+            "the slow one held its engine back all the while"
+        );
         drop(slow);
         net.no_request_is_open().await;
     });
@@ -97,7 +106,10 @@
 #[test]
 fn hundreds_of_streams_on_one_thread_each_get_their_events() {
     const STREAMS: usize = 200;
-    let single = limits().single.map(|single| Single { most_links: 2 * STREAMS, ..single });
+    let single = limits().single.map(|single| Single {
+        most_links: 2 * STREAMS,
+        ..single
+    });
     let limits = Limits {
         single,
         links_per_host: STREAMS,
@@ -107,28 +119,35 @@
     };
     // As many decode engines as a dispatcher that has just begun dares to fill.
     let names = ["r1", "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"];
-    run_with(ProgramSettings { limits, ..settings() }, &names, |net| async move {
-        let mut streams = Vec::new();
-        for at in 0..STREAMS {
-            let mut client = net.ask(&format!("n{at}"), "draft").await;
-            net.prefilled().await;
-            let (mut engine, _) = net.asked_at(&names[1..]).await;
-            engine.say(&format!("{STREAM}{EVENT}")).await;
-            assert!(client.text_until(EVENT).await.starts_with("HTTP/1.1 200 "));
-            streams.push((client, engine));
-        }
-        for _ in 0..5 {
-            for (_, engine) in &mut streams {
-                engine.say(EVENT).await;
+    run_with(
+        ProgramSettings {
+            limits,
+            ..settings()
+        },
+        &names,
+        |net| async move {
+            let mut streams = Vec::new();
+            for at in 0..STREAMS {
+                let mut client = net.ask(&format!("n{at}"), "draft").await;
+                net.prefilled().await;
+                let (mut engine, _) = net.asked_at(&names[1..]).await;
+                engine.say(&format!("{STREAM}{EVENT}")).await;
+                assert!(client.text_until(EVENT).await.starts_with("HTTP/1.1 200 "));
+                streams.push((client, engine));
             }
-            for (client, _) in &mut streams {
-                assert_eq!(client.text_until(EVENT).await, EVENT);
+            for _ in 0..5 {
+                for (_, engine) in &mut streams {
+                    engine.say(EVENT).await;
+                }
+                for (client, _) in &mut streams {
+                    assert_eq!(client.text_until(EVENT).await, EVENT);
+                }
             }
-        }
-        for (client, engine) in &mut streams {
-            engine.say(END).await;
-            assert_eq!(client.text_until(END).await, END);
-        }
-        net.no_request_is_open().await;
-    });
+            for (client, engine) in &mut streams {
+                engine.say(END).await;
+                assert_eq!(client.text_until(END).await, END);
+            }
+            net.no_request_is_open().await;
+        },
+    );
 }
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -80,11 +80,24 @@
         profiles: vec![
             profile(Effect::Reissuable, 1000.0, 3000.0, 2.0),
             profile(Effect::AtMostOnce, 1000.0, 4000.0, 3.0),
-            profile(Effect::Numbered { group: Group::Zone, window: 2000.0 }, 1000.0, 3500.0, 2.0),
+            profile(
+                Effect::Numbered {
+                    group: Group::Zone,
+                    window: 2000.0,
+                },
+                1000.0,
+                3500.0,
+                2.0,
+            ),
         ],
         tenants: vec![],
         over_share_worth: 1.0,
-        kinds: [Role::Reader, Role::Writer].map(|role| KindSettings { role, memory_tokens: 2e5 }).to_vec(),
+        kinds: [Role::Reader, Role::Writer]
+            .map(|role| KindSettings {
+                role,
+                memory_tokens: 2e5,
+            })
+            .to_vec(),
         discovery: Discovery::Pushed,
         release: RELEASE,
         writers_read: false,
@@ -166,7 +179,9 @@
 
 /// The day of a seed.
 pub fn day(seed: u64, shape: &Shape) -> Day {
-    let mut draw = Draw { rng: WyRand::new_seed(seed ^ 0x5eed) };
+    let mut draw = Draw {
+        rng: WyRand::new_seed(seed ^ 0x5eed),
+    };
     let service = service();
     let mut hosts = Vec::new();
     for (does, count) in [(Does::Reads, shape.readers), (Does::Writes, shape.writers)] {
@@ -174,7 +189,9 @@
             hosts.push(host(does, n, &service, &mut draw));
         }
     }
-    let tasks: Vec<Planned> = (0..shape.tasks).map(|_| task(shape, &service, &mut draw)).collect();
+    let tasks: Vec<Planned> = (0..shape.tasks)
+        .map(|_| task(shape, &service, &mut draw))
+        .collect();
     let (least, most) = shape.faults;
     let count = least + (draw.share() * (most - least + 1) as f64) as usize;
     let mut faults: Vec<Fault> = Vec::new();
@@ -253,7 +270,11 @@
     let prompt_tokens = draw.between(100.0, 700.0) as u32;
     let patience = service.policy.profiles[profile].patience;
     // Some clients wait for little, and some leave early.
-    let patience = if draw.chance(0.1) { whole(draw.between(30.0, 600.0)) } else { patience };
+    let patience = if draw.chance(0.1) {
+        whole(draw.between(30.0, 600.0))
+    } else {
+        patience
+    };
     let leaves = draw.chance(0.08).then(|| whole(draw.between(1.0, 400.0)));
     Planned {
         at,
@@ -317,7 +338,10 @@
         18 => Trouble::GoAway,
         19 => Trouble::GreetLate(whole(draw.between(20.0, 400.0))),
         20 => Trouble::Partition((*draw.pick(&ZONES)).to_owned()),
-        21 => Trouble::HalfOpen { from: draw.chance(0.7), to: draw.chance(0.7) },
+        21 => Trouble::HalfOpen {
+            from: draw.chance(0.7),
+            to: draw.chance(0.7),
+        },
         22 => Trouble::Vanish,
         23 => Trouble::Hang,
         24 => Trouble::Lag(whole(draw.between(5.0, 60.0))),
@@ -331,7 +355,9 @@
         let first = draw.pick(hosts).clone();
         whom.push(first.name.clone());
         if draw.chance(0.2) {
-            let mates = hosts.iter().filter(|h| h.cell == first.cell && h.name != first.name);
+            let mates = hosts
+                .iter()
+                .filter(|h| h.cell == first.cell && h.name != first.name);
             whom.extend(mates.map(|h| h.name.clone()));
         } else if draw.chance(0.2) {
             let other = draw.pick(hosts).name.clone();
@@ -341,7 +367,16 @@
     // What does not end by itself has no length.
     let instant = matches!(
         trouble,
-        Trouble::Cut | Trouble::Forget | Trouble::GoAway | Trouble::HalfOpen { .. } | Trouble::ClockStep(_)
+        Trouble::Cut
+            | Trouble::Forget
+            | Trouble::GoAway
+            | Trouble::HalfOpen { .. }
+            | Trouble::ClockStep(_)
     );
-    Fault { at, length: if instant { 0.0 } else { length }, trouble, whom }
+    Fault {
+        at,
+        length: if instant { 0.0 } else { length },
+        trouble,
+        whom,
+    }
 }
--- a/crates/faults/src/drill/mod.rs
+++ b/crates/faults/src/drill/mod.rs
@@ -68,9 +68,27 @@
         ("kill", Trouble::Kill),
         ("stop", Trouble::Stop),
         ("sleep", Trouble::Sleep),
-        ("cut-off", Trouble::Cut { out: true, back: true }),
-        ("cut-out", Trouble::Cut { out: true, back: false }),
-        ("cut-back", Trouble::Cut { out: false, back: true }),
+        (
+            "cut-off",
+            Trouble::Cut {
+                out: true,
+                back: true,
+            },
+        ),
+        (
+            "cut-out",
+            Trouble::Cut {
+                out: true,
+                back: false,
+            },
+        ),
+        (
+            "cut-back",
+            Trouble::Cut {
+                out: false,
+                back: true,
+            },
+        ),
         ("cut-from-voters", Trouble::CutFromVoters),
         ("cut-from-receivers", Trouble::CutFromReceivers),
         ("reset", Trouble::Reset),
@@ -88,7 +106,9 @@
     pub fn name(self) -> &'static str {
         let same = |other: &Trouble| std::mem::discriminant(other) == std::mem::discriminant(&self);
         let exact = Self::NAMES.iter().find(|(_, t)| *t == self);
-        exact.or(Self::NAMES.iter().find(|(_, t)| same(t))).map_or("?", |(name, _)| name)
+        exact
+            .or(Self::NAMES.iter().find(|(_, t)| same(t)))
+            .map_or("?", |(name, _)| name)
     }
 }
 
@@ -167,7 +187,11 @@
             let (_, mut trouble) = Trouble::NAMES[rng.generate_range(0..Trouble::NAMES.len())];
             let voter = Who::Process(rng.generate_range(0..self.voters));
             let any = Who::Process(rng.generate_range(0..self.members));
-            let mut who = if rng.generate::<f64>() < 0.6 { Who::Holder } else { any };
+            let mut who = if rng.generate::<f64>() < 0.6 {
+                Who::Holder
+            } else {
+                any
+            };
             match trouble {
                 Trouble::FileLost | Trouble::FileOld if files == 0 => trouble = Trouble::Kill,
                 Trouble::FileLost | Trouble::FileOld => {
@@ -177,7 +201,12 @@
                 Trouble::DiskFull => who = voter,
                 _ => {}
             }
-            all.push(Spell { begin, lasts, who, trouble });
+            all.push(Spell {
+                begin,
+                lasts,
+                who,
+                trouble,
+            });
         }
         all.sort_by(|a, b| a.begin.total_cmp(&b.begin));
         all
@@ -214,7 +243,10 @@
 
 impl Process {
     fn signal(&self, what: Signal) {
-        let pid = self.child.as_ref().and_then(|c| Pid::from_raw(i32::try_from(c.id()).ok()?));
+        let pid = self
+            .child
+            .as_ref()
+            .and_then(|c| Pid::from_raw(i32::try_from(c.id()).ok()?));
         if let Some(pid) = pid {
             // It may have ended by itself.
             let _ = kill_process(pid, what);
@@ -233,10 +265,20 @@
         if self.child.is_some() {
             return Ok(());
         }
-        let append = |path: &Path| std::fs::OpenOptions::new().create(true).append(true).open(path);
+        let append = |path: &Path| {
+            std::fs::OpenOptions::new()
+                .create(true)
+                .append(true)
+                .open(path)
+        };
         let (log, told) = (append(&self.folder.join("log"))?, append(&self.told)?);
         let mut command = Command::new(program);
-        command.arg("serve").arg(&self.settings).stdin(Stdio::null()).stdout(told).stderr(log);
+        command
+            .arg("serve")
+            .arg(&self.settings)
+            .stdin(Stdio::null())
+            .stdout(told)
+            .stderr(log);
         self.child = Some(command.spawn()?);
         (self.turning, self.asleep, self.by_trouble) = (false, false, false);
         Ok(())
@@ -244,7 +286,9 @@
 
     /// Whether its process is there.
     fn runs(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+        self.child
+            .as_mut()
+            .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
     /// Lines that it told since the last look.
@@ -318,7 +362,10 @@
     for at in 0..drill.members {
         // A port of its own, taken and let go for the process, on an address that no other drill has.
         let from = loopback_of(at);
-        let taken = [TcpListener::bind((from, 0)).await?, TcpListener::bind((from, 0)).await?];
+        let taken = [
+            TcpListener::bind((from, 0)).await?,
+            TcpListener::bind((from, 0)).await?,
+        ];
         let [own, fleet] = taken.map(|l| l.local_addr().map(|a| a.to_string()));
         let (own, fleet) = (own?, fleet?);
         let known = ways.relay(at, fleet.clone()).await?;
@@ -332,9 +379,20 @@
         let file = (at < drill.voters).then(|| folder.join("voter"));
         let settings = folder.join("settings.conf");
         let keeper = keeper.as_deref();
-        let text = settings_of(drill, place.service, at, &ports, from, file.as_deref(), &tells, keeper);
+        let text = settings_of(
+            drill,
+            place.service,
+            at,
+            &ports,
+            from,
+            file.as_deref(),
+            &tells,
+            keeper,
+        );
         let label = "v1".to_owned();
-        let written = around.as_ref().map_or_else(|| plain(&text), |around| around.text(&text, &label));
+        let written = around
+            .as_ref()
+            .map_or_else(|| plain(&text), |around| around.text(&text, &label));
         std::fs::write(&settings, written)?;
         let listens = ports[at].1.clone();
         let (name, told) = (format!("d{at}"), folder.join("told"));
@@ -364,9 +422,18 @@
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     for process in processes.borrow_mut().iter_mut() {
-        if let Some(status) = process.child.as_mut().map(Child::try_wait).transpose()?.flatten() {
+        if let Some(status) = process
+            .child
+            .as_mut()
+            .map(Child::try_wait)
+            .transpose()?
+            .flatten()
+        {
             let log = std::fs::read_to_string(process.folder.join("log")).unwrap_or_default();
-            return Err(io::Error::other(format!("{} ended at once ({status}): {log}", process.name)));
+            return Err(io::Error::other(format!(
+                "{} ended at once ({status}): {log}",
+                process.name
+            )));
         }
     }
     let mut jobs = Vec::new();
@@ -392,7 +459,12 @@
     let mut seen = seen.borrow_mut();
     let mut report = std::mem::take(&mut seen.report);
     let mut judge = std::mem::take(&mut seen.judge);
-    judge.settled(last, drill.length, SETTLES_WITHIN * drill.lease + 1_000.0, true);
+    judge.settled(
+        last,
+        drill.length,
+        SETTLES_WITHIN * drill.lease + 1_000.0,
+        true,
+    );
     (report.terms, report.story, report.breaches) = (judge.terms(), judge.story, judge.breaches);
     report.bytes = (0..drill.members).map(|at| ways.bytes_from(at)).sum();
     report.connections = ways.connections();
@@ -423,11 +495,19 @@
     keeper: Option<&str>,
 ) -> String {
     let (own, fleet, known) = &ports[at];
-    let mut out = format!("name d{at}\nnumber {at} of {}\nzone z{}\nlisten {own}\n", drill.members, at % 3);
+    let mut out = format!(
+        "name d{at}\nnumber {at} of {}\nzone z{}\nlisten {own}\n",
+        drill.members,
+        at % 3
+    );
     out += "list-feed {feed}\n";
     out += service;
     out += &format!("\nfleet\n    listen {fleet}\n    address {known}\n    from {from}\n");
-    out += &format!("    lease {}ms\n    drift 0.01\n    beat {}ms\n", drill.lease, drill.lease / 5.0);
+    out += &format!(
+        "    lease {}ms\n    drift 0.01\n    beat {}ms\n",
+        drill.lease,
+        drill.lease / 5.0
+    );
     if let Some(file) = file {
         out += &format!("    file {}\n", file.display());
     }
@@ -446,14 +526,18 @@
 
 /// Without a release nobody tells a list: what is drilled does not need one.
 fn plain(text: &str) -> String {
-    text.replace("{feed}", "127.0.0.1:9").replace("{label}", "v1")
+    text.replace("{feed}", "127.0.0.1:9")
+        .replace("{label}", "v1")
 }
 
 /// A receiver of acts: listens, obeys or refuses, and tells the judge.
 async fn receiver(at: usize, drill: &Drill, seen: Rc<RefCell<Seen>>) -> io::Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
-    let receiver = Receiver::new(Run(drill.seed.wrapping_mul(31).wrapping_add(at as u64 + 1)), 0.01);
+    let receiver = Receiver::new(
+        Run(drill.seed.wrapping_mul(31).wrapping_add(at as u64 + 1)),
+        0.01,
+    );
     let receiver = Rc::new(RefCell::new(receiver));
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -470,12 +554,23 @@
                 };
                 // A socket that is gone already is found so by what follows.
                 let _ = stream.set_nodelay(true);
-                let Ok(Session { mut events, out, .. }) = serve(stream, setup).await else { return };
+                let Ok(Session {
+                    mut events, out, ..
+                }) = serve(stream, setup).await
+                else {
+                    return;
+                };
                 while let Some(event) = events.recv().await {
-                    let Event::Frame(Frame { stream, body: Some(Body::FleetCall(said)) }) = event else {
+                    let Event::Frame(Frame {
+                        stream,
+                        body: Some(Body::FleetCall(said)),
+                    }) = event
+                    else {
+                        continue;
+                    };
+                    let Some(Question::Act(act)) = question_in(said) else {
                         continue;
                     };
-                    let Some(Question::Act(act)) = question_in(said) else { continue };
                     let mut seen = seen.borrow_mut();
                     let now = seen.now();
                     let mut receiver = receiver.borrow_mut();
@@ -499,7 +594,11 @@
                 self.report.obeyed += 1;
                 if let Some((name, since, term)) = self.open {
                     if act.term.0 > term {
-                        self.report.without.entry(name).or_default().push(now - since);
+                        self.report
+                            .without
+                            .entry(name)
+                            .or_default()
+                            .push(now - since);
                         self.open = None;
                     }
                 }
@@ -570,11 +669,20 @@
     fn holder(&self) -> Option<usize> {
         let seen = self.seen.borrow();
         let name = &seen.judge.holder()?.name.0;
-        self.processes.borrow().iter().position(|p| *p.name == **name)
+        self.processes
+            .borrow()
+            .iter()
+            .position(|p| *p.name == **name)
     }
 
     fn cut(&self, who: usize, ways: (bool, bool), on: bool, others: impl Fn(usize) -> bool) {
-        let hold = |way: &mut Way| way.held = if on { way.held + 1 } else { way.held.saturating_sub(1) };
+        let hold = |way: &mut Way| {
+            way.held = if on {
+                way.held + 1
+            } else {
+                way.held.saturating_sub(1)
+            }
+        };
         let keeper = usize::from(self.drill.release.is_some());
         let ends = self.drill.members + self.drill.receivers + keeper;
         for other in (0..ends).filter(|o| *o != who && others(*o)) {
@@ -598,7 +706,9 @@
     fn many(&self, trouble: Trouble, who: usize) -> Vec<usize> {
         let all = self.drill.members;
         match trouble {
-            Trouble::KillMany => (0..(all * 7).div_ceil(10)).map(|n| (who + n) % all).collect(),
+            Trouble::KillMany => (0..(all * 7).div_ceil(10))
+                .map(|n| (who + n) % all)
+                .collect(),
             Trouble::KillVoters => (0..self.drill.voters).collect(),
             Trouble::KillAll => (0..all).collect(),
             _ => vec![who],
@@ -619,12 +729,20 @@
     async fn begin(&mut self, spell: &Spell) -> usize {
         let holder = self.holder();
         let who = match spell.who {
-            Who::Holder | Who::Process(_) if spell.trouble == Trouble::KillMany => holder.unwrap_or(0),
+            Who::Holder | Who::Process(_) if spell.trouble == Trouble::KillMany => {
+                holder.unwrap_or(0)
+            }
             Who::Holder => holder.unwrap_or(0),
             Who::Process(at) => at % self.drill.members,
         };
         let name = spell.trouble.name();
-        *self.seen.borrow_mut().report.troubles.entry(name).or_default() += 1;
+        *self
+            .seen
+            .borrow_mut()
+            .report
+            .troubles
+            .entry(name)
+            .or_default() += 1;
         let hits_holder = holder.is_some_and(|h| self.many(spell.trouble, who).contains(&h));
         let matters = !matches!(
             spell.trouble,
@@ -696,15 +814,28 @@
         if let Some(file) = &self.processes.borrow()[who].file {
             let beside = file.with_extension("new");
             let _ = std::fs::remove_file(&beside);
-            let _ = if on { std::fs::create_dir(&beside) } else { std::fs::remove_dir(&beside) };
+            let _ = if on {
+                std::fs::create_dir(&beside)
+            } else {
+                std::fs::remove_dir(&beside)
+            };
         }
     }
 
     /// By the operators' command, as they would.
     fn hand_over(&self, who: usize) {
         let mut command = Command::new(self.place.program);
-        command.args(["fleet", "--at", &self.processes.borrow()[who].listens, "hand-over", "roll-call"]);
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
+        command.args([
+            "fleet",
+            "--at",
+            &self.processes.borrow()[who].listens,
+            "hand-over",
+            "roll-call",
+        ]);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::null());
         if let Ok(mut child) = command.spawn() {
             // Waited for on a thread of its own: it ends within a second.
             std::thread::spawn(move || child.wait());
@@ -724,7 +855,8 @@
                 for at in self.many(spell.trouble, who) {
                     let mut processes = self.processes.borrow_mut();
                     let process = &mut processes[at];
-                    if spell.trouble == Trouble::Stop || process.child.is_none() && process.again_at.is_none()
+                    if spell.trouble == Trouble::Stop
+                        || process.child.is_none() && process.again_at.is_none()
                     {
                         // One that was told to stop and has not ended by now is killed.
                         if let Some(around) = self.around.as_ref().filter(|_| process.runs()) {
@@ -732,7 +864,10 @@
                         }
                         process.kill();
                         if let Some(around) = &self.around {
-                            std::fs::write(&process.settings, around.text(&process.text, &process.label))?;
+                            std::fs::write(
+                                &process.settings,
+                                around.text(&process.text, &process.label),
+                            )?;
                         }
                         process.start(self.place.program)?;
                     }
--- a/crates/faults/src/drill/relay.rs
+++ b/crates/faults/src/drill/relay.rs
@@ -62,7 +62,12 @@
 
     /// Bytes that came from an end, and connections made in all.
     pub fn bytes_from(&self, end: End) -> u64 {
-        self.inner.bytes.borrow().get(&end).copied().unwrap_or_default()
+        self.inner
+            .bytes
+            .borrow()
+            .get(&end)
+            .copied()
+            .unwrap_or_default()
     }
 
     pub fn connections(&self) -> u64 {
@@ -70,7 +75,12 @@
     }
 
     fn way(&self, from: End, to: End) -> Way {
-        self.inner.ways.borrow().get(&(from, to)).copied().unwrap_or_default()
+        self.inner
+            .ways
+            .borrow()
+            .get(&(from, to))
+            .copied()
+            .unwrap_or_default()
     }
 
     fn resets_of(&self, ends: (End, End)) -> u64 {
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -108,7 +108,9 @@
 /// Starts the stand-in hosts and their list.
 pub(super) async fn start_fleet(day: &Day) -> io::Result<Rc<TcpFleet>> {
     let place = |_: &str, _: &str| (Tcp, "127.0.0.1:0".to_owned());
-    Ok(Rc::new(Fleet::start(day, place, TokioClock::system(), Transcript::default()).await?))
+    Ok(Rc::new(
+        Fleet::start(day, place, TokioClock::system(), Transcript::default()).await?,
+    ))
 }
 
 impl Around {
@@ -120,7 +122,11 @@
         lease: Ms,
         program: &Path,
     ) -> Rc<Around> {
-        let hosts = fleet.hosts.keys().map(|name| (name.clone(), Standing::default())).collect();
+        let hosts = fleet
+            .hosts
+            .keys()
+            .map(|name| (name.clone(), Standing::default()))
+            .collect();
         Rc::new(Around {
             release,
             fleet,
@@ -155,7 +161,9 @@
             Version::Worse(_) if new => "limits\n    most-tasks 1\n",
             _ => "limits\n",
         };
-        base.replace("{feed}", feed).replace("{label}", label).replace("limits\n", limits)
+        base.replace("{feed}", feed)
+            .replace("{label}", label)
+            .replace("limits\n", limits)
     }
 
     /// Looks after the processes: what they tell, whether they run; starts them again.
@@ -208,7 +216,8 @@
         if process.again_at.is_some_and(|at| now >= at) {
             process.again_at = None;
             let text = self.text(&process.text, &process.label);
-            let started = std::fs::write(&process.settings, text).and_then(|()| process.start(&self.program));
+            let started =
+                std::fs::write(&process.settings, text).and_then(|()| process.start(&self.program));
             if let Err(problem) = started {
                 self.breach("not started", format!("{}: {problem}", process.name));
             }
@@ -218,7 +227,9 @@
     /// Writes down what was done to a process.
     pub fn note(&self, process: &Process, what: Note) {
         let name: Rc<str> = Rc::from(process.name.as_str());
-        self.fleet.transcript.note(self.fleet.clock.now(), &name, what);
+        self.fleet
+            .transcript
+            .note(self.fleet.clock.now(), &name, what);
     }
 
     /// A process told its supervisor that it has its turn.
@@ -262,22 +273,36 @@
                 let hosts = self.hosts.borrow();
                 let each = hosts.iter().map(|(name, standing)| {
                     let zone = self.fleet.hosts.get(name).map_or("", |h| &h.spec().zone);
-                    (zone.to_owned(), name == who || standing.planned || long(standing.out_since))
+                    (
+                        zone.to_owned(),
+                        name == who || standing.planned || long(standing.out_since),
+                    )
                 });
                 (self.release.bounds.1, each.collect())
             }
         };
         let zone = match of {
-            Of::Dispatchers => format!("z{}", who.trim_start_matches('d').parse::<usize>().unwrap_or(0) % 3),
-            Of::Hosts => self.fleet.hosts.get(who).map_or(String::new(), |h| h.spec().zone.clone()),
+            Of::Dispatchers => format!(
+                "z{}",
+                who.trim_start_matches('d').parse::<usize>().unwrap_or(0) % 3
+            ),
+            Of::Hosts => self
+                .fleet
+                .hosts
+                .get(who)
+                .map_or(String::new(), |h| h.spec().zone.clone()),
         };
         let count = |in_zone: bool| {
             let among = outs.iter().filter(|(z, _)| !in_zone || *z == zone);
-            (among.clone().filter(|(_, out)| *out).count() as u32, among.count() as u32)
+            (
+                among.clone().filter(|(_, out)| *out).count() as u32,
+                among.count() as u32,
+            )
         };
-        for (what, most, (out, size)) in
-            [("the fleet", bounds.fleet, count(false)), ("its zone", bounds.zone, count(true))]
-        {
+        for (what, most, (out, size)) in [
+            ("the fleet", bounds.fleet, count(false)),
+            ("its zone", bounds.zone, count(true)),
+        ] {
             if out > most.of(size) {
                 let may = most.of(size);
                 self.breach(
@@ -299,7 +324,12 @@
         let out = hosts.values().filter(|s| s.out_since.is_some()).count() as u32;
         drop(hosts);
         let mut released = self.released.borrow_mut();
-        let gone = self.processes.borrow().iter().filter(|p| p.out_since.is_some()).count() as u32;
+        let gone = self
+            .processes
+            .borrow()
+            .iter()
+            .filter(|p| p.out_since.is_some())
+            .count() as u32;
         if now > super::FROM {
             released.most_out = (released.most_out.0.max(gone), released.most_out.1.max(out));
         }
@@ -324,9 +354,18 @@
                         most_calls: 64,
                     };
                     let _ = stream.set_nodelay(true);
-                    let Ok(Session { mut events, out, .. }) = serve(stream, setup).await else { return };
+                    let Ok(Session {
+                        mut events, out, ..
+                    }) = serve(stream, setup).await
+                    else {
+                        return;
+                    };
                     while let Some(event) = events.recv().await {
-                        let Event::Frame(Frame { stream, body: Some(Body::FleetCall(said)) }) = event else {
+                        let Event::Frame(Frame {
+                            stream,
+                            body: Some(Body::FleetCall(said)),
+                        }) = event
+                        else {
                             continue;
                         };
                         let answer = match question_in(said) {
@@ -334,14 +373,16 @@
                                 let now = around.now();
                                 let verdict = receiver.borrow_mut().receive(now, &act);
                                 let ticket = receiver.borrow().ticket(now);
-                                if let (Verdict::Obeyed, Some(told)) = (verdict, Told::read(&act.body)) {
+                                if let (Verdict::Obeyed, Some(told)) =
+                                    (verdict, Told::read(&act.body))
+                                {
                                     around.drain(told);
                                 }
                                 Answer::Verdict { verdict, ticket }
                             }
-                            Some(Question::AskBack { turn, who, run, .. }) => {
-                                Answer::Begun { begun: around.is_begun(turn, &who, run) }
-                            }
+                            Some(Question::AskBack { turn, who, run, .. }) => Answer::Begun {
+                                begun: around.is_begun(turn, &who, run),
+                            },
                             _ => continue,
                         };
                         out.send(frame(stream, Body::FleetAnswer(answer_out(&answer))));
@@ -355,7 +396,10 @@
     /// The start that a host's line in the list tells.
     fn run_of(&self, who: &Name) -> Option<Run> {
         let host = self.fleet.hosts.get(&*who.0)?;
-        Some(Run(host.line(v1::HostCondition::Ready).started_ms.map_or(0, f64::to_bits)))
+        Some(Run(host
+            .line(v1::HostCondition::Ready)
+            .started_ms
+            .map_or(0, f64::to_bits)))
     }
 
     fn is_begun(&self, turn: TurnNo, who: &Name, run: Run) -> bool {
@@ -369,18 +413,30 @@
 
     /// A host drains, goes, and comes back cold.
     fn drain(self: &Rc<Self>, told: Told) {
-        let out = self.hosts.borrow().get(&*told.who.0).is_none_or(|s| s.planned);
-        if out || self.asked_back.borrow().contains(&told.number) || self.run_of(&told.who) != Some(told.run)
+        let out = self
+            .hosts
+            .borrow()
+            .get(&*told.who.0)
+            .is_none_or(|s| s.planned);
+        if out
+            || self.asked_back.borrow().contains(&told.number)
+            || self.run_of(&told.who) != Some(told.run)
         {
             return;
         }
         let name = told.who.0.to_string();
-        let Some(host) = self.fleet.hosts.get(&name).cloned() else { return };
+        let Some(host) = self.fleet.hosts.get(&name).cloned() else {
+            return;
+        };
         self.released.borrow_mut().drains += 1;
         self.judge(Of::Hosts, &name, &format!("turn {}", told.number.0));
         let now = self.now();
         if let Some(standing) = self.hosts.borrow_mut().get_mut(&name) {
-            *standing = Standing { out_since: Some(now), planned: true, ready_at: f64::INFINITY };
+            *standing = Standing {
+                out_since: Some(now),
+                planned: true,
+                ready_at: f64::INFINITY,
+            };
         }
         let around = self.clone();
         spawn_local(async move {
@@ -413,7 +469,10 @@
         std::fs::write(&plan, &self.release.plan)?;
         let plan = plan.display().to_string();
         let orders = self.release.orders.clone();
-        Ok(orders.into_iter().map(|order| spawn_local(self.clone().order(order, plan.clone()))).collect())
+        Ok(orders
+            .into_iter()
+            .map(|order| spawn_local(self.clone().order(order, plan.clone())))
+            .collect())
     }
 
     async fn order(self: Rc<Self>, order: Order, plan: String) {
@@ -426,7 +485,12 @@
         }
         // An order that nobody can take now is given again, as an operator would.
         for _ in 0..20 {
-            let at: Vec<String> = self.processes.borrow().iter().map(|p| p.listens.clone()).collect();
+            let at: Vec<String> = self
+                .processes
+                .borrow()
+                .iter()
+                .map(|p| p.listens.clone())
+                .collect();
             let mut command = Command::new(&self.program);
             command.arg("fleet");
             // From another dispatcher each time, the others after it.
@@ -434,13 +498,23 @@
             for n in 0..at.len() {
                 command.args(["--at", &at[(first + n) % at.len()]]);
             }
-            command.args(order.words.iter().map(|word| if word == "PLAN" { plan.as_str() } else { word }));
+            command.args(
+                order
+                    .words
+                    .iter()
+                    .map(|word| if word == "PLAN" { plan.as_str() } else { word }),
+            );
             command.stdin(Stdio::null());
-            let Ok(Ok(done)) = spawn_blocking(move || command.output()).await else { return };
+            let Ok(Ok(done)) = spawn_blocking(move || command.output()).await else {
+                return;
+            };
             if done.status.success() {
                 if order.words.iter().any(|word| word == "status") {
                     let told = String::from_utf8_lossy(&done.stdout);
-                    self.released.borrow_mut().states.push(told.trim().to_owned());
+                    self.released
+                        .borrow_mut()
+                        .states
+                        .push(told.trim().to_owned());
                 }
                 if what == "halt" {
                     let now = self.now();
@@ -461,7 +535,12 @@
                 "protocol error",
             ];
             if !again.iter().any(|words| why.contains(words)) {
-                *self.released.borrow_mut().refused.entry(format!("{what}: {why}")).or_default() += 1;
+                *self
+                    .released
+                    .borrow_mut()
+                    .refused
+                    .entry(format!("{what}: {why}"))
+                    .or_default() += 1;
                 return;
             }
             tokio::time::sleep(Duration::from_millis(400)).await;
@@ -477,19 +556,37 @@
 
     /// At the end: the five rules by what went over the stand-ins' sockets, and what was judged meanwhile.
     pub fn end(&self) -> (Released, Vec<Breach>) {
-        let findings = audit(&self.fleet.transcript.records(), &rules(&self.release.day, SLACK));
+        let findings = audit(
+            &self.fleet.transcript.records(),
+            &rules(&self.release.day, SLACK),
+        );
         let mut released = self.released.borrow().clone();
-        (released.tries, released.finals) = (findings.cases.tries as u64, findings.cases.finals as u64);
-        for process in self.processes.borrow().iter().filter(|p| p.in_since.is_some()) {
+        (released.tries, released.finals) =
+            (findings.cases.tries as u64, findings.cases.finals as u64);
+        for process in self
+            .processes
+            .borrow()
+            .iter()
+            .filter(|p| p.in_since.is_some())
+        {
             *released.labels.entry(process.label.clone()).or_default() += 1;
         }
         let mut breaches = std::mem::take(&mut *self.breaches.borrow_mut());
-        let done = released.states.last().is_some_and(|told| told.contains("\"state\":\"done\""));
-        let back = released.orders.keys().any(|words| matches!(words.as_str(), "back" | "end"));
+        let done = released
+            .states
+            .last()
+            .is_some_and(|told| told.contains("\"state\":\"done\""));
+        let back = released
+            .orders
+            .keys()
+            .any(|words| matches!(words.as_str(), "back" | "end"));
         let forward = self.release.plan.contains("of dispatchers") && !back;
         if done && forward && released.labels.contains_key("v1") {
             let what = format!("it is done, and in are {:?}", released.labels);
-            breaches.push(Breach { kind: "done early", what });
+            breaches.push(Breach {
+                kind: "done early",
+                what,
+            });
         }
         let rule = |b: &cindercleat_standin::audit::Breach| Breach {
             kind: "one of the five rules",
--- a/crates/faults/src/duties/draw.rs
+++ b/crates/faults/src/duties/draw.rs
@@ -71,7 +71,10 @@
             Trouble::HandOver { .. } => "hand-over",
             Trouble::Sleep => "sleep",
             Trouble::Stall => "stall",
-            Trouble::CutOff { out: true, back: true } => "cut-off",
+            Trouble::CutOff {
+                out: true,
+                back: true,
+            } => "cut-off",
             Trouble::CutOff { .. } => "cut-one-way",
             Trouble::CutFromVoters => "cut-from-voters",
             Trouble::CutFromTargets => "cut-from-receivers",
@@ -181,8 +184,18 @@
 
 /// The profiles of `cindercleat seeds` that play duties.
 pub const SHAPES: [Shape; 2] = [
-    Shape { name: "duties", large_every: 100, troubles: (4, 12), changes: true },
-    Shape { name: "release", large_every: 200, troubles: (1, 7), changes: false },
+    Shape {
+        name: "duties",
+        large_every: 100,
+        troubles: (4, 12),
+        changes: true,
+    },
+    Shape {
+        name: "release",
+        large_every: 200,
+        troubles: (1, 7),
+        changes: false,
+    },
 ];
 
 /// Troubles come within this.
@@ -215,8 +228,24 @@
             true => 1_500.0 + chance(&mut rng) * BUSY,
             false => {
                 let other = &plan.troubles[rng.generate_range(0..plan.troubles.len())];
-                let from = if chance(&mut rng) < 0.6 { other.begin } else { other.end };
-                let steps = [0.0, 0.003, 0.02, 1.0 / 3.0, 0.66, 0.95, 0.985, 1.0, 1.02, 1.06, 1.3];
+                let from = if chance(&mut rng) < 0.6 {
+                    other.begin
+                } else {
+                    other.end
+                };
+                let steps = [
+                    0.0,
+                    0.003,
+                    0.02,
+                    1.0 / 3.0,
+                    0.66,
+                    0.95,
+                    0.985,
+                    1.0,
+                    1.02,
+                    1.06,
+                    1.3,
+                ];
                 from + lease * steps[rng.generate_range(0..steps.len())] + 4.0 * chance(&mut rng)
             }
         };
@@ -224,7 +253,11 @@
         let span = lease * spans[rng.generate_range(0..spans.len())];
         let node = rng.generate_range(0..members);
         let voter = rng.generate_range(0..voters);
-        let who = if chance(&mut rng) < 0.6 { Who::Holder } else { Who::Node(node) };
+        let who = if chance(&mut rng) < 0.6 {
+            Who::Holder
+        } else {
+            Who::Node(node)
+        };
         let (mut who, mut trouble) = (who, trouble(&mut rng, members));
         match &trouble {
             Trouble::FileLost | Trouble::FileOld | Trouble::FileDamaged if files > 0 => {
@@ -234,7 +267,9 @@
             }
             Trouble::FileLost | Trouble::FileOld | Trouble::FileDamaged => trouble = Trouble::Kill,
             Trouble::DiskFails | Trouble::DiskSlow => who = Who::Node(voter),
-            Trouble::AddVoter(_) | Trouble::RemoveVoter(_) if !shape.changes => trouble = Trouble::Sleep,
+            Trouble::AddVoter(_) | Trouble::RemoveVoter(_) if !shape.changes => {
+                trouble = Trouble::Sleep
+            }
             Trouble::AddVoter(_) if voters + 2 <= members => {
                 // A voter more, or one in place of another.
                 let new = voters + rng.generate_range(0..2usize);
@@ -256,24 +291,47 @@
                 trouble = Trouble::LateTo(0.13 * lease);
                 let begin = at + span - 0.02 * lease;
                 let cut = Trouble::CutFromVoters;
-                plan.troubles.push(Spell { begin, end: begin + 1.6 * lease, who: Who::Holder, trouble: cut });
+                plan.troubles.push(Spell {
+                    begin,
+                    end: begin + 1.6 * lease,
+                    who: Who::Holder,
+                    trouble: cut,
+                });
             }
             // A receiver that starts again matters to a holder that sleeps meanwhile.
             Trouble::Stall if chance(&mut rng) < 0.5 => {
                 for who in 0..2 {
                     let begin = at + span * 0.99 - 20.0 * chance(&mut rng);
                     let (who, trouble) = (Who::Node(who), Trouble::TargetAgain);
-                    plan.troubles.push(Spell { begin, end: begin, who, trouble });
+                    plan.troubles.push(Spell {
+                        begin,
+                        end: begin,
+                        who,
+                        trouble,
+                    });
                 }
             }
             _ => {}
         }
         let (begin, end) = (at, at + span);
-        plan.troubles.push(Spell { begin, end, who, trouble });
+        plan.troubles.push(Spell {
+            begin,
+            end,
+            who,
+            trouble,
+        });
     }
     // With voters removed and others without their files there may be too few: then nothing is said of recovery.
-    let removes = plan.troubles.iter().filter(|t| matches!(t.trouble, Trouble::RemoveVoter(_))).count();
-    let adds = plan.troubles.iter().filter(|t| matches!(t.trouble, Trouble::AddVoter(_))).count();
+    let removes = plan
+        .troubles
+        .iter()
+        .filter(|t| matches!(t.trouble, Trouble::RemoveVoter(_)))
+        .count();
+    let adds = plan
+        .troubles
+        .iter()
+        .filter(|t| matches!(t.trouble, Trouble::AddVoter(_)))
+        .count();
     plan.recovers = removes == 0 && adds == 0;
     let end = plan.quiet_from();
     plan.length = end + (super::SETTLES_WITHIN + 1.0) * lease;
@@ -286,15 +344,28 @@
     match rng.generate_range(0..34usize) {
         0..=2 => Trouble::Kill,
         3 => Trouble::Stop,
-        4 | 5 => Trouble::HandOver { to: rng.generate_range(0..members) },
+        4 | 5 => Trouble::HandOver {
+            to: rng.generate_range(0..members),
+        },
         6..=8 => Trouble::Sleep,
         9..=11 => Trouble::Stall,
-        12 => Trouble::CutOff { out: true, back: true },
-        13 => Trouble::CutOff { out: true, back: false },
-        14 => Trouble::CutOff { out: false, back: true },
+        12 => Trouble::CutOff {
+            out: true,
+            back: true,
+        },
+        13 => Trouble::CutOff {
+            out: true,
+            back: false,
+        },
+        14 => Trouble::CutOff {
+            out: false,
+            back: true,
+        },
         15 => Trouble::CutFromVoters,
         16 => Trouble::CutFromTargets,
-        17 => Trouble::Halves { asleep: chance < 0.5 },
+        17 => Trouble::Halves {
+            asleep: chance < 0.5,
+        },
         18 => Trouble::Lossy(0.05 + 0.3 * chance),
         19 => Trouble::Twice(0.3),
         20 => Trouble::Slow(20.0 + 300.0 * chance),
--- a/crates/faults/src/duties/draw_release.rs
+++ b/crates/faults/src/duties/draw_release.rs
@@ -36,7 +36,11 @@
         hosts,
         bounds: (Bounds::default(), Bounds::default()),
         version: Version::Good,
-        ops: vec![Op { at: START, node: 0, act: Act::Start(Box::new(forward(of))) }],
+        ops: vec![Op {
+            at: START,
+            node: 0,
+            act: Act::Start(Box::new(forward(of))),
+        }],
         after_halt: None,
         drains: 200.0,
         away: 150.0,
@@ -61,7 +65,11 @@
         true => (300, 100),
         false => (voters + rng.generate_range(3..9usize), 12),
     };
-    let of = if rng.generate::<f64>() < 0.65 { Of::Dispatchers } else { Of::Hosts };
+    let of = if rng.generate::<f64>() < 0.65 {
+        Of::Dispatchers
+    } else {
+        Of::Hosts
+    };
     let mut plan = quiet(seed, voters, members, hosts, of);
     plan.lease = [600.0, 1000.0][rng.generate_range(0..2usize)];
     plan.loss = [0.0, 0.0, 0.01, 0.05][rng.generate_range(0..4usize)];
@@ -69,22 +77,36 @@
     plan.long = 0.002;
     let most = |number: u32, per_mille: u32| Most { number, per_mille };
     let mut chance = || rng.generate::<f64>();
-    let zone = if large { most(u32::MAX, 100) } else { most(if chance() < 0.6 { 1 } else { 2 }, 1000) };
+    let zone = if large {
+        most(u32::MAX, 100)
+    } else {
+        most(if chance() < 0.6 { 1 } else { 2 }, 1000)
+    };
     let fleet = match chance() {
         _ if large => most(u32::MAX, 100),
         c if c < 0.3 => most(2, 1000),
         c if c < 0.6 => most(u32::MAX, 340),
         _ => Most::ALL,
     };
-    let mut bounds = Bounds { zone, fleet, ..Bounds::default() };
+    let mut bounds = Bounds {
+        zone,
+        fleet,
+        ..Bounds::default()
+    };
     if bounds.fleet.number < bounds.zone.number {
         bounds.zone.number = bounds.fleet.number;
     }
     let mut of_hosts = bounds;
-    of_hosts.cell = if chance() < 0.5 && !large { most(1, 1000) } else { Most::ALL };
+    of_hosts.cell = if chance() < 0.5 && !large {
+        most(1, 1000)
+    } else {
+        Most::ALL
+    };
     of_hosts.used_per_mille = if chance() < 0.6 { 800 } else { 1000 };
     of_hosts.report_age_ms = 1_000;
-    let Some(play) = plan.release.as_mut() else { return plan };
+    let Some(play) = plan.release.as_mut() else {
+        return plan;
+    };
     play.bounds = (bounds, of_hosts);
     play.used = 0.2 + 0.3 * chance();
     play.version = match chance() {
@@ -123,55 +145,99 @@
     if chance() < 0.45 {
         let at = START + 500.0 + BUSY * chance() * 0.7;
         let (node, other) = (any(chance()), any(chance()));
-        play.ops.push(Op { at, node, act: Act::Halt });
-        let then = if chance() < 0.5 { Act::Resume } else { Act::Back };
+        play.ops.push(Op {
+            at,
+            node,
+            act: Act::Halt,
+        });
+        let then = if chance() < 0.5 {
+            Act::Resume
+        } else {
+            Act::Back
+        };
         if chance() < 0.85 {
-            play.ops.push(Op { at: at + 4_000.0 + 4_000.0 * chance(), node: other, act: then });
+            play.ops.push(Op {
+                at: at + 4_000.0 + 4_000.0 * chance(),
+                node: other,
+                act: then,
+            });
         }
     }
     if chance() < 0.12 {
-        play.ops.push(Op { at: START + BUSY * chance(), node: any(chance()), act: Act::Back });
+        play.ops.push(Op {
+            at: START + BUSY * chance(),
+            node: any(chance()),
+            act: Act::Back,
+        });
     }
     if chance() < 0.15 {
         let second = play.ops[0].act.clone();
-        play.ops.push(Op { at: START + 2.0 * chance(), node: any(chance()), act: second });
+        play.ops.push(Op {
+            at: START + 2.0 * chance(),
+            node: any(chance()),
+            act: second,
+        });
     }
     for _ in 0..(3.0 * chance()) as usize {
         let turn = Act::Turn(any(chance()));
-        play.ops.push(Op { at: START + BUSY * chance(), node: any(chance()), act: turn });
+        play.ops.push(Op {
+            at: START + BUSY * chance(),
+            node: any(chance()),
+            act: turn,
+        });
     }
 }
 
 fn draw_troubles(rng: &mut WyRand, plan: &mut Plan, shape: &Shape, members: usize, voters: usize) {
     let lease = plan.lease;
     let number = rng.generate_range(shape.troubles.0..shape.troubles.1 + 1);
-    let halt =
-        plan.release.as_ref().and_then(|p| p.ops.iter().find(|op| op.act == Act::Halt)).map(|op| op.at);
+    let halt = plan
+        .release
+        .as_ref()
+        .and_then(|p| p.ops.iter().find(|op| op.act == Act::Halt))
+        .map(|op| op.at);
     for _ in 0..number {
         let chance: f64 = rng.generate();
         let at = match plan.troubles.is_empty() || chance < 0.4 {
             true => START + rng.generate::<f64>() * BUSY,
             false => {
                 let other = &plan.troubles[rng.generate_range(0..plan.troubles.len())];
-                let from = if chance < 0.7 { other.begin } else { halt.unwrap_or(other.end) };
+                let from = if chance < 0.7 {
+                    other.begin
+                } else {
+                    halt.unwrap_or(other.end)
+                };
                 let steps = [-0.3, 0.0, 0.003, 0.02, 0.1, 0.33, 0.66, 1.0, 1.06, 2.0];
-                from + lease * steps[rng.generate_range(0..steps.len())] + 4.0 * rng.generate::<f64>()
+                from + lease * steps[rng.generate_range(0..steps.len())]
+                    + 4.0 * rng.generate::<f64>()
             }
         };
         let spans = [0.1, 0.34, 0.9, 1.05, 1.6, 2.5, 5.0];
         let span = lease * spans[rng.generate_range(0..spans.len())];
         let node = rng.generate_range(0..members);
-        let mut who = if rng.generate::<f64>() < 0.6 { Who::Holder } else { Who::Node(node) };
+        let mut who = if rng.generate::<f64>() < 0.6 {
+            Who::Holder
+        } else {
+            Who::Node(node)
+        };
         let chance: f64 = rng.generate();
         let trouble = match rng.generate_range(0..30usize) {
             0..=6 => Trouble::Kill,
             7 => Trouble::Stop,
             8 | 9 => Trouble::HandOver { to: node },
             10..=12 => Trouble::Sleep,
-            13 | 14 => Trouble::CutOff { out: true, back: true },
-            15 => Trouble::CutOff { out: false, back: true },
+            13 | 14 => Trouble::CutOff {
+                out: true,
+                back: true,
+            },
+            15 => Trouble::CutOff {
+                out: false,
+                back: true,
+            },
             16 | 17 => Trouble::CutFromVoters,
-            18 => Trouble::Halves { asleep: chance < 0.5 },
+            18 => Trouble::Halves {
+                asleep: chance < 0.5,
+            },
             19 => Trouble::Lossy(0.05 + 0.3 * chance),
             20 => Trouble::Twice(0.3),
             21 => Trouble::Slow(20.0 + 300.0 * chance),
@@ -189,9 +255,19 @@
         // What is heard of no more matters once it changes.
         if let (Trouble::ReportsStop, Some(play)) = (&trouble, plan.release.as_mut()) {
             play.jump = Some((at + 300.0, 0.85));
-            plan.troubles.push(Spell { begin: at, end: at + 12_000.0, who, trouble });
+            plan.troubles.push(Spell {
+                begin: at,
+                end: at + 12_000.0,
+                who,
+                trouble,
+            });
             continue;
         }
-        plan.troubles.push(Spell { begin: at, end: at + span, who, trouble });
+        plan.troubles.push(Spell {
+            begin: at,
+            end: at + span,
+            who,
+            trouble,
+        });
     }
 }
--- a/crates/faults/src/duties/judge.rs
+++ b/crates/faults/src/duties/judge.rs
@@ -34,8 +34,10 @@
     /// of a newer term was obeyed anywhere.
     pub fn obeyed(&mut self, now: Ms, by: usize, act: &Act) {
         let (term, name) = (act.term.0, &act.holder.name.0);
-        self.last
-            .push(format!("{now:.3} ms: receiver {by} obeyed act {} of term {term} by {name}", act.number));
+        self.last.push(format!(
+            "{now:.3} ms: receiver {by} obeyed act {} of term {term} by {name}",
+            act.number
+        ));
         if self.last.len() > STORY {
             self.last.remove(0);
         }
@@ -48,7 +50,10 @@
         }
         match self.holders.get(&term) {
             Some(holder) if *holder != act.holder => {
-                let what = format!("at {now:.3} ms term {term} is {name}'s, and was {}'s", holder.name.0);
+                let what = format!(
+                    "at {now:.3} ms term {term} is {name}'s, and was {}'s",
+                    holder.name.0
+                );
                 self.breach("a term twice", what);
             }
             Some(_) => {}
@@ -67,7 +72,10 @@
         if !recovers || quiet_from + within > end {
             return;
         }
-        let acted = self.at.iter().any(|at| (quiet_from..quiet_from + within).contains(at));
+        let acted = self
+            .at
+            .iter()
+            .any(|at| (quiet_from..quiet_from + within).contains(at));
         if !acted {
             let what = format!(
                 "nobody acted within {within:.0} ms of {quiet_from:.0} ms, when all troubles were over"
