--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -16,8 +16,8 @@
 use cindercleat::fleet::acts::{Receiver, Verdict};
 use cindercleat::fleet::duties::LeaseSettings;
 use cindercleat::fleet::member::{
-    Answer, AskNo, CallNo, Fares, FleetSettings, Input, Member, Order, Output, Question, Reply, SaveNo,
-    ROLL_CALL,
+    Answer, AskNo, CallNo, Fares, FleetSettings, Input, Member, Order, Output, Question, Reply,
+    SaveNo, ROLL_CALL,
 };
 use cindercleat::fleet::register::Kept;
 use cindercleat::fleet::{Address, Duty, Name, Run};
@@ -85,19 +85,53 @@
 }
 
 enum What {
-    Wake { node: usize, number: u64 },
-    Question { to: usize, from: Caller, question: Box<Question> },
-    Act { to: usize, from: Caller, act: Box<cindercleat::fleet::acts::Act> },
-    Answer { to: usize, run: Run, ask: AskNo, answer: Option<Box<Answer>> },
-    Saved { node: usize, run: Run, number: SaveNo, kept: Box<Kept>, lasts: bool },
+    Wake {
+        node: usize,
+        number: u64,
+    },
+    Question {
+        to: usize,
+        from: Caller,
+        question: Box<Question>,
+    },
+    Act {
+        to: usize,
+        from: Caller,
+        act: Box<cindercleat::fleet::acts::Act>,
+    },
+    Answer {
+        to: usize,
+        run: Run,
+        ask: AskNo,
+        answer: Option<Box<Answer>>,
+    },
+    Saved {
+        node: usize,
+        run: Run,
+        number: SaveNo,
+        kept: Box<Kept>,
+        lasts: bool,
+    },
     Trouble(usize),
     Over(usize),
     Start(usize),
-    AskBack { from: Caller, turn: cindercleat::fleet::release::TurnNo, who: Name, run: Run },
+    AskBack {
+        from: Caller,
+        turn: cindercleat::fleet::release::TurnNo,
+        who: Name,
+        run: Run,
+    },
     Fares(usize),
     Watch,
-    Ended { node: usize, starts: u64 },
-    Host { at: usize, number: u64, back: bool },
+    Ended {
+        node: usize,
+        starts: u64,
+    },
+    Host {
+        at: usize,
+        number: u64,
+        back: bool,
+    },
     Op(usize),
     OpAgain(usize, Ms),
     Shrink,
@@ -125,7 +159,9 @@
 
 impl Ord for Event {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.at.total_cmp(&other.at).then(self.number.cmp(&other.number))
+        self.at
+            .total_cmp(&other.at)
+            .then(self.number.cmp(&other.number))
     }
 }
 
@@ -230,12 +266,21 @@
         let targets = (0..plan.targets + keeper).map(|at| {
             let (rate, offset) = clock(plan.drift);
             let receiver = Receiver::new(Run(1000 * (at as u64 + 1)), plan.drift);
-            Target { receiver, rate, offset, runs: 0, last_read: 0.0 }
+            Target {
+                receiver,
+                rate,
+                offset,
+                runs: 0,
+                last_read: 0.0,
+            }
         });
         let targets = targets.collect();
         let mut world = World {
             judge: Judge::default(),
-            played: Played { length: plan.length, ..Played::default() },
+            played: Played {
+                length: plan.length,
+                ..Played::default()
+            },
             loss: plan.loss,
             twice: plan.twice,
             slow: 0.0,
@@ -251,7 +296,10 @@
             open: None,
             rebuilding: None,
             hit: BTreeMap::new(),
-            service: plan.release.as_ref().map(|play| service::Service::new(&plan, play)),
+            service: plan
+                .release
+                .as_ref()
+                .map(|play| service::Service::new(&plan, play)),
             plan,
         };
         for node in 0..world.nodes.len() {
@@ -269,7 +317,11 @@
 
     fn push(&mut self, at: Ms, what: What) {
         self.numbers += 1;
-        self.queue.push(Reverse(Event { at, number: self.numbers, what }));
+        self.queue.push(Reverse(Event {
+            at,
+            number: self.numbers,
+            what,
+        }));
     }
 
     fn chance(&mut self) -> f64 {
@@ -289,17 +341,29 @@
             run: Run(node as u64 * 1_000_000 + self.nodes[node].starts),
             address: address_of(node),
             zone: self.nodes[node].zone.clone(),
-            label: self.service.as_ref().map_or("v1".to_owned(), |service| service.label(node)),
+            label: self
+                .service
+                .as_ref()
+                .map_or("v1".to_owned(), |service| service.label(node)),
             voters: (0..plan.voters).map(voter).collect(),
             // Some more could be let in.
             may_vote: node < plan.voters + 2,
-            lease: LeaseSettings { lease: plan.lease, drift: plan.drift },
+            lease: LeaseSettings {
+                lease: plan.lease,
+                drift: plan.drift,
+            },
             answer_within: plan.lease * 0.15,
             beat: plan.beat,
             prefers: plan.prefers.clone(),
-            tells: (0..plan.targets).map(|at| Address::from(format!("t{at}").as_str())).collect(),
+            tells: (0..plan.targets)
+                .map(|at| Address::from(format!("t{at}").as_str()))
+                .collect(),
             tell_every: plan.tell_every,
-            bounds: plan.release.as_ref().map(|play| play.bounds).unwrap_or_default(),
+            bounds: plan
+                .release
+                .as_ref()
+                .map(|play| play.bounds)
+                .unwrap_or_default(),
             keeper: plan.release.as_ref().map(|_| service::keeper_of(plan)),
             seed: self.rng.generate(),
         }
@@ -323,7 +387,14 @@
             false => Ok(this.disk.file.clone()),
         };
         let ready = self.service.is_none();
-        self.give(node, Input::Fares(Fares { ready, load: 0.1, ..Fares::default() }));
+        self.give(
+            node,
+            Input::Fares(Fares {
+                ready,
+                load: 0.1,
+                ..Fares::default()
+            }),
+        );
         if votes {
             self.give(node, Input::Loaded(file));
         }
@@ -357,11 +428,21 @@
             return;
         }
         let read = self.reading(node);
-        let Some(member) = &mut self.nodes[node].member else { return };
+        let Some(member) = &mut self.nodes[node].member else {
+            return;
+        };
         let mut out = Vec::new();
         member.handle(read, input, &mut out);
         let wants = member.wants_call_at();
-        let acts = out.iter().any(|o| matches!(o, Output::Ask { question: Question::Act(_), .. }));
+        let acts = out.iter().any(|o| {
+            matches!(
+                o,
+                Output::Ask {
+                    question: Question::Act(_),
+                    ..
+                }
+            )
+        });
         let mut late = 0.0;
         if let (true, Some(stall)) = (acts, self.nodes[node].stall) {
             // Stopped in the middle of an act: it looked at its lease, and then slept before it sent.
@@ -375,7 +456,9 @@
         }
         let this = &mut self.nodes[node];
         this.wake += 1;
-        let at = ((wants - this.offset) / this.rate).max(self.now + 0.01).max(this.asleep_until);
+        let at = ((wants - this.offset) / this.rate)
+            .max(self.now + 0.01)
+            .max(this.asleep_until);
         let number = this.wake;
         if at.is_finite() {
             self.push(at, What::Wake { node, number });
@@ -390,7 +473,11 @@
         }
         let (spread, tail) = (self.chance(), self.chance());
         // Now and then one is under way for long.
-        let long = if tail < self.plan.long { self.plan.lease * 1.5 * self.chance() } else { 0.0 };
+        let long = if tail < self.plan.long {
+            self.plan.lease * 1.5 * self.chance()
+        } else {
+            0.0
+        };
         let late = self.late.get(&to).copied().unwrap_or_default();
         Some(0.2 + spread * self.plan.way + self.slow * spread + long + late)
     }
@@ -400,25 +487,40 @@
             Output::Ask { ask, to, question } => {
                 let run = Run(node as u64 * 1_000_000 + self.nodes[node].starts);
                 let from = Caller::Node { at: node, run, ask };
-                let weight = |plan: &Plan| if plan.weigh { question_out(&question).encoded_len() } else { 0 };
+                let weight = |plan: &Plan| {
+                    if plan.weigh {
+                        question_out(&question).encoded_len()
+                    } else {
+                        0
+                    }
+                };
                 let bytes = weight(&self.plan);
                 self.count_message(node, bytes);
-                let Some(target) = place_of(&to, self.nodes.len()) else { return };
+                let Some(target) = place_of(&to, self.nodes.len()) else {
+                    return;
+                };
                 let copies = 1 + usize::from(self.chance() < self.twice);
                 for _ in 0..copies {
                     if let Some(way) = self.way(node, target) {
                         let at = self.now + late + way;
                         let what = match (&question, target.checked_sub(self.nodes.len())) {
-                            (Question::Act(act), Some(to)) => {
-                                What::Act { to, from, act: Box::new(act.clone()) }
-                            }
-                            (Question::AskBack { turn, who, run, .. }, Some(_)) => {
-                                What::AskBack { from, turn: *turn, who: who.clone(), run: *run }
-                            }
+                            (Question::Act(act), Some(to)) => What::Act {
+                                to,
+                                from,
+                                act: Box::new(act.clone()),
+                            },
+                            (Question::AskBack { turn, who, run, .. }, Some(_)) => What::AskBack {
+                                from,
+                                turn: *turn,
+                                who: who.clone(),
+                                run: *run,
+                            },
                             (_, Some(_)) => return,
-                            (question, None) => {
-                                What::Question { to: target, from, question: Box::new(question.clone()) }
-                            }
+                            (question, None) => What::Question {
+                                to: target,
+                                from,
+                                question: Box::new(question.clone()),
+                            },
                         };
                         self.push(at, what);
                     }
@@ -426,11 +528,23 @@
             }
             Output::Answer { call, answer } => match self.nodes[node].calls.remove(&call) {
                 Some(Caller::Node { at, run, ask }) => {
-                    let bytes = if self.plan.weigh { answer_out(&answer).encoded_len() } else { 0 };
+                    let bytes = if self.plan.weigh {
+                        answer_out(&answer).encoded_len()
+                    } else {
+                        0
+                    };
                     self.count_message(node, bytes);
                     if let Some(way) = self.way(node, at) {
                         let answer = Some(Box::new(answer));
-                        self.push(self.now + late + way, What::Answer { to: at, run, ask, answer });
+                        self.push(
+                            self.now + late + way,
+                            What::Answer {
+                                to: at,
+                                run,
+                                ask,
+                                answer,
+                            },
+                        );
                     }
                 }
                 Some(Caller::Operator(Some(number))) => {
@@ -451,9 +565,19 @@
                 self.played.syncs += 1;
                 let disk = &self.nodes[node].disk;
                 let (fails, slow) = (disk.fails, disk.slow);
-                let took = 0.2 + 2.0 * self.chance() + if slow { 80.0 * self.chance() } else { 0.0 };
+                let took =
+                    0.2 + 2.0 * self.chance() + if slow { 80.0 * self.chance() } else { 0.0 };
                 let run = Run(self.nodes[node].starts);
-                self.push(self.now + late + took, What::Saved { node, run, number, kept, lasts: !fails });
+                self.push(
+                    self.now + late + took,
+                    What::Saved {
+                        node,
+                        run,
+                        number,
+                        kept,
+                        lasts: !fails,
+                    },
+                );
             }
             Output::Holds { .. } | Output::Warn(_) | Output::Info(_) => {}
             Output::Turn { turn, label } => self.turn_begins(node, turn, &label),
@@ -467,7 +591,10 @@
     }
 
     fn count_message(&mut self, node: usize, bytes: usize) {
-        let holder = self.judge.holder().is_some_and(|h| h.name == self.nodes[node].name);
+        let holder = self
+            .judge
+            .holder()
+            .is_some_and(|h| h.name == self.nodes[node].name);
         let kind = match (holder, node < self.plan.voters) {
             (true, _) => "holder",
             (_, true) => "voters",
@@ -485,8 +612,12 @@
         }
         let body = String::from_utf8_lossy(&act.body);
         let words: Vec<&str> = body.split(' ').collect();
-        let after =
-            |word| words.iter().position(|w| *w == word).and_then(|at| words.get(at + 1)?.parse().ok());
+        let after = |word| {
+            words
+                .iter()
+                .position(|w| *w == word)
+                .and_then(|at| words.get(at + 1)?.parse().ok())
+        };
         let there: usize = after("in").unwrap_or(0) + after("back").unwrap_or(0);
         if let Some((_, since)) = self.rebuilding.filter(|(_, since)| since.is_finite()) {
             if there + 1 >= self.nodes.len() {
@@ -513,33 +644,77 @@
                 if let (false, Caller::Node { at, run, ask }) = (alive, from) {
                     // Nobody listens there: that is told, if the way back is free.
                     if let Some(way) = self.way(to, at) {
-                        self.push(self.now + way, What::Answer { to: at, run, ask, answer: None });
+                        self.push(
+                            self.now + way,
+                            What::Answer {
+                                to: at,
+                                run,
+                                ask,
+                                answer: None,
+                            },
+                        );
                     }
                     return;
                 }
                 self.numbers += 1;
                 let call = CallNo(self.numbers);
                 self.nodes[to].calls.insert(call, from);
-                self.give(to, Input::Asked { call, question: *question });
+                self.give(
+                    to,
+                    Input::Asked {
+                        call,
+                        question: *question,
+                    },
+                );
             }
-            What::Answer { to, run, ask, answer } => {
+            What::Answer {
+                to,
+                run,
+                ask,
+                answer,
+            } => {
                 let now_run = Run(to as u64 * 1_000_000 + self.nodes[to].starts);
                 if run == now_run {
-                    self.give(to, Input::Answered { ask, answer: answer.map(|a| *a) });
+                    self.give(
+                        to,
+                        Input::Answered {
+                            ask,
+                            answer: answer.map(|a| *a),
+                        },
+                    );
                 }
             }
-            What::Saved { node, run, number, kept, lasts } => self.saved(node, run, number, *kept, lasts),
+            What::Saved {
+                node,
+                run,
+                number,
+                kept,
+                lasts,
+            } => self.saved(node, run, number, *kept, lasts),
             What::Act { to, from, act } => self.act(to, from, &act),
             What::Start(node) => self.start(node),
             What::Trouble(at) => self.trouble(at),
             What::Over(at) => self.over(at),
-            What::AskBack { from, turn, who, run } => {
+            What::AskBack {
+                from,
+                turn,
+                who,
+                run,
+            } => {
                 let begun = self.keeper_asked_back(turn, &who, run);
                 let me = self.nodes.len() + self.plan.targets;
                 if let Caller::Node { at, run, ask } = from {
                     if let Some(way) = self.way(me, at) {
                         let answer = Some(Box::new(Answer::Begun { begun }));
-                        self.push(self.now + way, What::Answer { to: at, run, ask, answer });
+                        self.push(
+                            self.now + way,
+                            What::Answer {
+                                to: at,
+                                run,
+                                ask,
+                                answer,
+                            },
+                        );
                     }
                 }
             }
@@ -556,7 +731,8 @@
     fn saved(&mut self, node: usize, run: Run, number: SaveNo, kept: Kept, lasts: bool) {
         let alive = self.nodes[node].member.is_some() && Run(self.nodes[node].starts) == run;
         // A process that died while it wrote left the old file or the new one.
-        let written = lasts && (alive || self.chance() < 0.5) && Run(self.nodes[node].starts) == run;
+        let written =
+            lasts && (alive || self.chance() < 0.5) && Run(self.nodes[node].starts) == run;
         if written {
             let now = self.now;
             let disk = &mut self.nodes[node].disk;
@@ -582,7 +758,9 @@
         let verdict = target.receiver.receive(read, act);
         let ticket = target.receiver.ticket(read);
         let verdict_text = verdict_digest_text(verdict);
-        self.hash.update(format!("{now:.6} {to} {} {} {verdict_text}", act.term.0, act.number).as_bytes());
+        self.hash.update(
+            format!("{now:.6} {to} {} {} {verdict_text}", act.term.0, act.number).as_bytes(),
+        );
         if verdict == Verdict::Obeyed {
             self.judge.obeyed(now, to, act);
             self.played.obeyed += 1;
@@ -611,7 +789,15 @@
             let me = self.nodes.len() + to;
             if let Some(way) = self.way(me, at) {
                 let answer = Some(Box::new(Answer::Verdict { verdict, ticket }));
-                self.push(now + way, What::Answer { to: at, run, ask, answer });
+                self.push(
+                    now + way,
+                    What::Answer {
+                        to: at,
+                        run,
+                        ask,
+                        answer,
+                    },
+                );
             }
         }
     }
@@ -623,7 +809,12 @@
         self.played.released = self.judge_end();
         let quiet_from = self.plan.quiet_from();
         let lease = self.plan.lease;
-        self.judge.settled(quiet_from, self.plan.length, SETTLES_WITHIN * lease, self.plan.recovers);
+        self.judge.settled(
+            quiet_from,
+            self.plan.length,
+            SETTLES_WITHIN * lease,
+            self.plan.recovers,
+        );
         let terms = self.judge.terms();
         self.played.met.insert("terms obeyed".to_owned(), terms);
         let met = |what: &str| self.played.met.get(what).copied().unwrap_or_default();
@@ -658,7 +849,12 @@
 fn place_of(address: &Address, nodes: usize) -> Option<usize> {
     match address.0.strip_prefix('n') {
         Some(number) => number.parse().ok(),
-        None => address.0.strip_prefix('t')?.parse::<usize>().ok().map(|at| at + nodes),
+        None => address
+            .0
+            .strip_prefix('t')?
+            .parse::<usize>()
+            .ok()
+            .map(|at| at + nodes),
     }
 }
 
@@ -679,14 +875,24 @@
 
     fn cut(&mut self, from: usize, to: usize, on: bool) {
         let count = self.cuts.entry((from, to)).or_default();
-        *count = if on { *count + 1 } else { count.saturating_sub(1) };
+        *count = if on {
+            *count + 1
+        } else {
+            count.saturating_sub(1)
+        };
         if *count == 0 {
             self.cuts.remove(&(from, to));
         }
     }
 
     /// Cuts a node off from some others, by a rule on them, one way or both.
-    fn cut_off(&mut self, node: usize, ways: (bool, bool), on: bool, others: impl Fn(&World, usize) -> bool) {
+    fn cut_off(
+        &mut self,
+        node: usize,
+        ways: (bool, bool),
+        on: bool,
+        others: impl Fn(&World, usize) -> bool,
+    ) {
         for other in 0..self.nodes.len() + self.targets.len() {
             if other != node && others(self, other) {
                 if ways.0 {
@@ -703,7 +909,13 @@
         self.numbers += 1;
         let call = CallNo(self.numbers);
         self.nodes[node].calls.insert(call, Caller::Operator(None));
-        self.give(node, Input::Asked { call, question: Question::Order(order) });
+        self.give(
+            node,
+            Input::Asked {
+                call,
+                question: Question::Order(order),
+            },
+        );
     }
 
     fn trouble(&mut self, at: usize) {
@@ -726,7 +938,9 @@
                     Trouble::FileLost => disk.file = None,
                     Trouble::FileDamaged => disk.damaged = true,
                     Trouble::FileOld => {
-                        if let Some((_, old)) = disk.before.iter().rfind(|(at, _)| now - at > 4_000.0) {
+                        if let Some((_, old)) =
+                            disk.before.iter().rfind(|(at, _)| now - at > 4_000.0)
+                        {
                             if old.as_ref().is_some_and(|old| old.promised.is_some()) {
                                 disk.file.clone_from(old);
                                 self.met("a file of before was put back");
@@ -745,7 +959,8 @@
             Trouble::HandOver { to } => {
                 if let Some(holder) = holder {
                     self.open_trouble("handed over");
-                    let to = (to % self.nodes.len() != holder).then(|| name_of(to % self.nodes.len()));
+                    let to =
+                        (to % self.nodes.len() != holder).then(|| name_of(to % self.nodes.len()));
                     let duty = Duty::from(ROLL_CALL);
                     self.order(holder, Order::HandOver { duty, to });
                 }
@@ -773,7 +988,9 @@
                 }
                 self.cut_off(who, (true, true), true, |w, o| o < w.plan.voters);
             }
-            Trouble::CutFromTargets => self.cut_off(who, (true, true), true, |w, o| o >= w.nodes.len()),
+            Trouble::CutFromTargets => {
+                self.cut_off(who, (true, true), true, |w, o| o >= w.nodes.len())
+            }
             Trouble::Halves { asleep } => {
                 // Voters half and half, by their numbers; one may sleep.
                 let halves = |o: usize| o % 2;
@@ -810,7 +1027,9 @@
                 self.open_trouble("killed");
                 let number = (self.nodes.len() as f64 * part).round() as usize;
                 let first = holder.unwrap_or(0);
-                hit = (0..number).map(|n| (first + n) % self.nodes.len()).collect();
+                hit = (0..number)
+                    .map(|n| (first + n) % self.nodes.len())
+                    .collect();
                 for node in hit.clone() {
                     self.kill(node);
                 }
@@ -822,12 +1041,14 @@
                 }
             }
             Trouble::ZoneLost(zone) => {
-                hit = (0..self.nodes.len()).filter(|at| at % 3 == zone % 3).collect();
+                hit = (0..self.nodes.len())
+                    .filter(|at| at % 3 == zone % 3)
+                    .collect();
                 for node in hit.clone() {
                     self.kill(node);
                 }
-                for host in
-                    (0..self.plan.release.as_ref().map_or(0, |r| r.hosts)).filter(|at| at % 3 == zone % 3)
+                for host in (0..self.plan.release.as_ref().map_or(0, |r| r.hosts))
+                    .filter(|at| at % 3 == zone % 3)
                 {
                     self.host_dies(host);
                 }
@@ -837,11 +1058,19 @@
             Trouble::Burst(part) => self.set_burst(*part),
             Trouble::AddVoter(node) => {
                 let node = node % self.nodes.len();
-                let order = Order::AddVoter { name: name_of(node), address: Some(address_of(node)) };
+                let order = Order::AddVoter {
+                    name: name_of(node),
+                    address: Some(address_of(node)),
+                };
                 self.order(who, order);
             }
             Trouble::RemoveVoter(node) => {
-                self.order(who, Order::RemoveVoter { name: name_of(node % self.nodes.len()) });
+                self.order(
+                    who,
+                    Order::RemoveVoter {
+                        name: name_of(node % self.nodes.len()),
+                    },
+                );
             }
         }
         self.hit.insert(at, hit);
@@ -868,11 +1097,17 @@
                 }
             }
             Trouble::CutOff { out, back } => self.cut_off(who, (*out, *back), false, |_, _| true),
-            Trouble::CutFromVoters => self.cut_off(who, (true, true), false, |w, o| o < w.plan.voters),
-            Trouble::CutFromTargets => self.cut_off(who, (true, true), false, |w, o| o >= w.nodes.len()),
+            Trouble::CutFromVoters => {
+                self.cut_off(who, (true, true), false, |w, o| o < w.plan.voters)
+            }
+            Trouble::CutFromTargets => {
+                self.cut_off(who, (true, true), false, |w, o| o >= w.nodes.len())
+            }
             Trouble::Halves { .. } => {
                 for node in 0..self.nodes.len() {
-                    self.cut_off(node, (true, false), false, |w, o| o < w.nodes.len() && o % 2 != node % 2);
+                    self.cut_off(node, (true, false), false, |w, o| {
+                        o < w.nodes.len() && o % 2 != node % 2
+                    });
                 }
                 let wake = who % self.plan.voters;
                 self.nodes[wake].wake += 1;
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -131,7 +131,11 @@
 
 impl Host {
     fn at(&self, now: Ms) -> (Ms, Stand, Option<Ms>) {
-        self.told.iter().rfind(|(at, ..)| *at <= now).copied().unwrap_or((0.0, Stand::Out, None))
+        self.told
+            .iter()
+            .rfind(|(at, ..)| *at <= now)
+            .copied()
+            .unwrap_or((0.0, Stand::Out, None))
     }
 
     fn now(&self) -> (Ms, Stand, Option<Ms>) {
@@ -197,14 +201,24 @@
             name: Name::from(format!("h{at}").as_str()),
             zone: format!("z{}", at % 3),
             cell: format!("c{}", at / 6),
-            role: if (at / 3).is_multiple_of(2) { Role::Reader } else { Role::Writer },
+            role: if (at / 3).is_multiple_of(2) {
+                Role::Reader
+            } else {
+                Role::Writer
+            },
             told: vec![(0.0, Stand::In, None)],
             new: false,
             planned: false,
             out_since: None,
             number: 0,
         };
-        let doing = |op: &Op| Doing { op: op.clone(), began: None, asked: 0.0, done: None, tries: 0 };
+        let doing = |op: &Op| Doing {
+            op: op.clone(),
+            began: None,
+            asked: 0.0,
+            done: None,
+            tries: 0,
+        };
         Service {
             nodes: (0..plan.members).map(serving).collect(),
             hosts: (0..play.hosts).map(host).collect(),
@@ -229,13 +243,20 @@
     }
 
     fn used(&self, now: Ms) -> f64 {
-        self.play.jump.filter(|(at, _)| now >= *at).map_or(self.play.used, |(_, used)| used)
+        self.play
+            .jump
+            .filter(|(at, _)| now >= *at)
+            .map_or(self.play.used, |(_, used)| used)
     }
 
     /// What is used of each ready host of a role: the fleet's work over those that are ready.
     fn used_of(&self, now: Ms, role: Role, less: u32) -> f64 {
         let all = self.hosts.iter().filter(|h| h.role == role).count() as f64;
-        let ready = self.hosts.iter().filter(|h| h.role == role && h.now().1 == Stand::In).count() as f64;
+        let ready = self
+            .hosts
+            .iter()
+            .filter(|h| h.role == role && h.now().1 == Stand::In)
+            .count() as f64;
         (self.used(now) * all / (ready - f64::from(less)).max(0.1)).min(1.0)
     }
 }
@@ -267,7 +288,9 @@
     pub(super) fn node_started(&mut self, node: usize) {
         let now = self.now;
         let late = 0.8 + 0.4 * self.chance();
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         let (starts, version) = (service.play.starts, service.play.version);
         let this = &mut service.nodes[node];
         let new = this.label != "v1";
@@ -283,10 +306,15 @@
     }
 
     fn is_in(&self, node: usize) -> bool {
-        let Some(service) = &self.service else { return true };
+        let Some(service) = &self.service else {
+            return true;
+        };
         let (serving, process) = (&service.nodes[node], &self.nodes[node]);
         let awake = self.now >= process.asleep_until;
-        process.member.is_some() && awake && self.now >= serving.ready_at && serving.ending.is_none()
+        process.member.is_some()
+            && awake
+            && self.now >= serving.ready_at
+            && serving.ending.is_none()
     }
 
     /// How a node fares, and what it says of it.
@@ -295,7 +323,9 @@
         self.push(next, What::Fares(node));
         let (now, is_in) = (self.now, self.is_in(node));
         let draws: [f64; 4] = std::array::from_fn(|_| self.chance());
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         if service.nodes[node].removed {
             return;
         }
@@ -320,7 +350,9 @@
                 service.released.harmed_before_halt += harmed;
             }
         }
-        let Some(member) = &self.nodes[node].member else { return };
+        let Some(member) = &self.nodes[node].member else {
+            return;
+        };
         let ready = now >= service.nodes[node].ready_at && service.nodes[node].ending.is_none();
         let mut reports = Vec::new();
         if service.reports && is_in {
@@ -329,16 +361,39 @@
                 let host = &service.hosts[at % service.hosts.len()];
                 if host.now().1 == Stand::In {
                     let used = service.used_of(now, host.role, 0);
-                    let bad = if host.new { bad_of(service.play.version) } else { 0.0 };
+                    let bad = if host.new {
+                        bad_of(service.play.version)
+                    } else {
+                        0.0
+                    };
                     let harmed = ((5.0 * (bad + service.burst) + draws[3]) as u64).min(5);
-                    let tally = Tally { fulfilled: 5 - harmed, bounced: harmed, ..Tally::default() };
-                    reports.push(HostReport { host: host.name.clone(), used: Some((used, 50.0)), tally });
+                    let tally = Tally {
+                        fulfilled: 5 - harmed,
+                        bounced: harmed,
+                        ..Tally::default()
+                    };
+                    reports.push(HostReport {
+                        host: host.name.clone(),
+                        used: Some((used, 50.0)),
+                        tally,
+                    });
                 }
             }
         }
-        let fares = Fares { ready, load: 0.2, tally: service.nodes[node].tally, reports };
+        let fares = Fares {
+            ready,
+            load: 0.2,
+            tally: service.nodes[node].tally,
+            reports,
+        };
         let hosts = member.wants_hosts().then(|| self.units(node));
-        if now >= self.service.as_ref().map_or(f64::INFINITY, |s| s.nodes[node].dies_at) && is_in {
+        if now
+            >= self
+                .service
+                .as_ref()
+                .map_or(f64::INFINITY, |s| s.nodes[node].dies_at)
+            && is_in
+        {
             return self.dies(node);
         }
         self.give(node, Input::Fares(fares));
@@ -349,7 +404,9 @@
 
     /// The model hosts as a node's list has them: late, and without those that were gone before it started.
     fn units(&self, node: usize) -> Vec<Unit> {
-        let Some(service) = &self.service else { return Vec::new() };
+        let Some(service) = &self.service else {
+            return Vec::new();
+        };
         let serving = &service.nodes[node];
         let began = serving.ready_at - service.play.starts;
         let seen = self.now - LIST_LATE;
@@ -359,14 +416,23 @@
                 return None;
             }
             let cold = started.is_some_and(|at| seen < at + service.play.ramp);
-            let stand = if stand == Stand::In && cold { Stand::Coming } else { stand };
+            let stand = if stand == Stand::In && cold {
+                Stand::Coming
+            } else {
+                stand
+            };
             Some(Unit {
                 name: host.name.clone(),
                 run: Run(started.map_or(0, f64::to_bits)),
                 address: Address::from("host"),
                 zone: host.zone.clone(),
                 cell: host.cell.clone(),
-                kind: if host.role == Role::Reader { "reader" } else { "writer" }.to_owned(),
+                kind: if host.role == Role::Reader {
+                    "reader"
+                } else {
+                    "writer"
+                }
+                .to_owned(),
                 role: Some(host.role),
                 label: String::new(),
                 stand,
@@ -389,7 +455,8 @@
     pub(super) fn turn_begins(&mut self, node: usize, turn: TurnNo, label: &str) {
         let was_in = self.is_in(node);
         self.met("turn begun");
-        self.hash.update(format!("{:.6} turn {} {node} {label}", self.now, turn.0).as_bytes());
+        self.hash
+            .update(format!("{:.6} turn {} {node} {label}", self.now, turn.0).as_bytes());
         if was_in {
             self.judge_out(Of::Dispatchers, node);
         }
@@ -397,7 +464,9 @@
         let now = self.now;
         let drains = self.service.as_ref().map_or(0.0, |s| s.play.drains) * (0.5 + self.chance());
         let starts = self.nodes[node].starts;
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         let wrong = service.play.wrong_label == Some(node);
         let this = &mut service.nodes[node];
         if !label.is_empty() {
@@ -416,7 +485,9 @@
     }
 
     pub(super) fn is_ending(&self, node: usize) -> bool {
-        self.service.as_ref().is_some_and(|s| s.nodes[node].ending == Some(self.nodes[node].starts))
+        self.service
+            .as_ref()
+            .is_some_and(|s| s.nodes[node].ending == Some(self.nodes[node].starts))
     }
 
     /// A process that had its turn is over; its supervisor starts the next.
@@ -430,7 +501,10 @@
 
     /// The keeper of the list obeyed: a model host drains.
     pub(super) fn keeper_told(&mut self, told: &Told) {
-        let Some(at) = self.service.as_ref().and_then(|s| s.hosts.iter().position(|h| h.name == told.who))
+        let Some(at) = self
+            .service
+            .as_ref()
+            .and_then(|s| s.hosts.iter().position(|h| h.name == told.who))
         else {
             return;
         };
@@ -449,7 +523,9 @@
     fn host_goes(&mut self, at: usize, planned: bool, stays: bool, label: Option<&str>) {
         let now = self.now;
         let chance = 0.5 + self.chance();
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         let (drains, away) = (service.play.drains * chance, service.play.away * chance);
         let host = &mut service.hosts[at];
         let started = host.now().2;
@@ -463,21 +539,41 @@
             host.told.push((now, Stand::Going, started));
         }
         let gone = if planned { now + drains } else { now };
-        self.push(gone, What::Host { at, number, back: false });
+        self.push(
+            gone,
+            What::Host {
+                at,
+                number,
+                back: false,
+            },
+        );
         if !stays {
-            self.push(gone + away, What::Host { at, number, back: true });
+            self.push(
+                gone + away,
+                What::Host {
+                    at,
+                    number,
+                    back: true,
+                },
+            );
         }
     }
 
     pub(super) fn host_step(&mut self, at: usize, number: u64, back: bool) {
         let now = self.now;
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         let host = &mut service.hosts[at];
         if host.number != number {
             return;
         }
         let started = host.now().2;
-        host.told.push(if back { (now, Stand::In, Some(now)) } else { (now, Stand::Out, started) });
+        host.told.push(if back {
+            (now, Stand::In, Some(now))
+        } else {
+            (now, Stand::Out, started)
+        });
     }
 
     /// A model host that fails by itself, and comes back cold.
@@ -491,7 +587,9 @@
 
     /// Whether a host's turn has begun, as its list's keeper knows.
     pub(super) fn keeper_asked_back(&mut self, turn: TurnNo, who: &Name, run: Run) -> bool {
-        let Some(service) = &mut self.service else { return true };
+        let Some(service) = &mut self.service else {
+            return true;
+        };
         let host = service.hosts.iter().find(|h| h.name == *who);
         let begun = host.is_none_or(|h| {
             let (_, stand, started) = h.now();
@@ -517,7 +615,9 @@
     }
 
     pub(super) fn shrink(&mut self) {
-        let Some((_, gone)) = self.service.as_ref().and_then(|s| s.play.shrinks.clone()) else { return };
+        let Some((_, gone)) = self.service.as_ref().and_then(|s| s.play.shrinks.clone()) else {
+            return;
+        };
         for node in gone {
             self.kill(node);
             if let Some(service) = &mut self.service {
@@ -532,8 +632,12 @@
 
     /// What the voters' files hold, for the judge.
     pub(super) fn filed(&mut self, voter: usize, kept: &Kept) {
-        let Some((_, value)) = &kept.taken else { return };
-        let Some(service) = &mut self.service else { return };
+        let Some((_, value)) = &kept.taken else {
+            return;
+        };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         for number in value.care.turns.keys() {
             service.filed.entry(*number).or_default().insert(voter);
         }
@@ -562,7 +666,9 @@
         self.push(self.now + WATCH, What::Watch);
         let now = self.now;
         let states: Vec<bool> = (0..self.nodes.len()).map(|node| self.is_in(node)).collect();
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         let ramp = service.play.ramp;
         for (serving, is_in) in service.nodes.iter_mut().zip(states) {
             if is_in {
@@ -587,7 +693,10 @@
             }
         }
         let label = |label: &str| {
-            service.nodes.iter().all(|n| n.removed || n.out_since.is_none() && n.label == label)
+            service
+                .nodes
+                .iter()
+                .all(|n| n.removed || n.out_since.is_none() && n.label == label)
         };
         if let (Some(began), None) = (service.released.began, service.released.whole) {
             if now > began + 1.0
@@ -612,22 +721,33 @@
     /// One that was in goes out by plan: whether that is one too many.
     fn judge_out(&mut self, of: Of, who: usize) {
         let (now, window) = (self.now, self.window());
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         service.released.begun += 1;
         let long = |since: Option<Ms>| since.is_some_and(|at| now - at > window);
         let zone_of = |at: usize| format!("z{}", at % 3);
         let (bounds, outs): (Bounds, Vec<(usize, bool)>) = match of {
             Of::Dispatchers => {
                 let recounted = service.recounted;
-                let nodes =
-                    service.nodes.iter().enumerate().filter(|(_, n)| n.was_in && (!n.removed || !recounted));
+                let nodes = service
+                    .nodes
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, n)| n.was_in && (!n.removed || !recounted));
                 let out = |n: &Serving| (n.planned && n.out_since.is_some()) || long(n.out_since);
-                (service.play.bounds.0, nodes.map(|(at, n)| (at, at == who || out(n))).collect())
+                (
+                    service.play.bounds.0,
+                    nodes.map(|(at, n)| (at, at == who || out(n))).collect(),
+                )
             }
             Of::Hosts => {
                 let out = |h: &Host| h.planned || long(h.out_since);
                 let hosts = service.hosts.iter().enumerate();
-                (service.play.bounds.1, hosts.map(|(at, h)| (at, at == who || out(h))).collect())
+                (
+                    service.play.bounds.1,
+                    hosts.map(|(at, h)| (at, at == who || out(h))).collect(),
+                )
             }
         };
         let zone = zone_of(who);
@@ -636,11 +756,16 @@
             let size = outs.iter().filter(|(at, _)| among(*at)).count() as u32;
             let out = outs.iter().filter(|(at, out)| among(*at) && *out).count() as u32;
             if out > most.of(size) {
-                wrong.push(format!("{what}: {out} of {size} are out, and {} may be", most.of(size)));
+                wrong.push(format!(
+                    "{what}: {out} of {size} are out, and {} may be",
+                    most.of(size)
+                ));
             }
         };
         check("the fleet".to_owned(), bounds.fleet, &|_| true);
-        check(format!("zone {zone}"), bounds.zone, &|at| zone_of(at) == zone);
+        check(format!("zone {zone}"), bounds.zone, &|at| {
+            zone_of(at) == zone
+        });
         if of == Of::Hosts {
             let (cell, role) = (service.hosts[who].cell.clone(), service.hosts[who].role);
             let in_cell = |at: usize| service.hosts[at].cell == cell && zone_of(at) == zone;
@@ -653,26 +778,50 @@
                 wrong.push(format!("those left are used to {load:.2}"));
             }
         }
-        let name = if of == Of::Hosts { format!("h{who}") } else { format!("d{who}") };
+        let name = if of == Of::Hosts {
+            format!("h{who}")
+        } else {
+            format!("d{who}")
+        };
         let story = self.story_of(of);
         for what in wrong {
-            self.judge.breach_with("too many out", format!("at {now:.1} ms {name} goes: {what}"), &story);
+            self.judge.breach_with(
+                "too many out",
+                format!("at {now:.1} ms {name} goes: {what}"),
+                &story,
+            );
         }
     }
 
     fn story_of(&self, of: Of) -> Vec<String> {
-        let Some(service) = &self.service else { return Vec::new() };
+        let Some(service) = &self.service else {
+            return Vec::new();
+        };
         match of {
             Of::Dispatchers => {
                 let line = |(at, n): (usize, &Serving)| {
                     let since = n.out_since.map(|at| self.now - at);
-                    format!("d{at} {} {} out for {since:?} planned {}", n.label, n.wanted, n.planned)
+                    format!(
+                        "d{at} {} {} out for {since:?} planned {}",
+                        n.label, n.wanted, n.planned
+                    )
                 };
-                service.nodes.iter().enumerate().filter(|(_, n)| n.out_since.is_some()).map(line).collect()
+                service
+                    .nodes
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, n)| n.out_since.is_some())
+                    .map(line)
+                    .collect()
             }
             Of::Hosts => {
                 let line = |h: &Host| format!("{} {:?} planned {}", h.name.0, h.now(), h.planned);
-                service.hosts.iter().filter(|h| h.out_since.is_some()).map(line).collect()
+                service
+                    .hosts
+                    .iter()
+                    .filter(|h| h.out_since.is_some())
+                    .map(line)
+                    .collect()
             }
         }
     }
@@ -681,24 +830,33 @@
     fn judge_turn(&mut self, turn: TurnNo, label: &str) {
         let (now, voters) = (self.now, self.plan.voters);
         let settle = 2_000.0 + self.window();
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         service.last_seen = now;
         let mut wrong: Vec<(&'static str, String)> = Vec::new();
         let filed = service.filed.get(&turn).map_or(0, BTreeSet::len);
         if 2 * filed <= voters {
             wrong.push((
                 "not agreed",
-                format!("at {now:.1} ms turn {} begins, and {filed} voters have it", turn.0),
+                format!(
+                    "at {now:.1} ms turn {} begins, and {filed} voters have it",
+                    turn.0
+                ),
             ));
         }
         // One operator may have another's halt go on: an order that is under way may have been carried out.
-        let goes_on =
-            |d: &Doing| matches!(d.op.act, Act::Resume | Act::Back) && d.began.is_some() && d.done.is_none();
+        let goes_on = |d: &Doing| {
+            matches!(d.op.act, Act::Resume | Act::Back) && d.began.is_some() && d.done.is_none()
+        };
         let open = service.doing.iter().any(goes_on);
         if let Some(at) = service.halted.filter(|_| !open) {
             wrong.push((
                 "after a halt",
-                format!("at {now:.1} ms turn {} begins, halted since {at:.1}", turn.0),
+                format!(
+                    "at {now:.1} ms turn {} begins, halted since {at:.1}",
+                    turn.0
+                ),
             ));
         }
         if let Some(given) = service.halt_given {
@@ -725,13 +883,21 @@
         let now = self.now;
         let caller = (0..self.nodes.len()).find(|&at| {
             let awake = now >= self.nodes[at].asleep_until;
-            awake && self.nodes[at].member.as_ref().is_some_and(|m| m.roll().is_some())
+            awake
+                && self.nodes[at]
+                    .member
+                    .as_ref()
+                    .is_some_and(|m| m.roll().is_some())
         });
-        let Some(status) = caller.and_then(|at| self.nodes[at].member.as_ref()).map(Member::release_status)
+        let Some(status) = caller
+            .and_then(|at| self.nodes[at].member.as_ref())
+            .map(Member::release_status)
         else {
             return;
         };
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         let first = status.state == "halted" && service.released.state != "halted";
         let ours = service.halted.is_some() || service.halt_given.is_some();
         if first && service.released.turned_before_halt.is_none() {
@@ -739,17 +905,34 @@
         }
         if first && !ours {
             service.released.halts_by_sign += 1;
-            let again = service.play.after_halt.clone().filter(|_| service.released.halts_by_sign <= 4);
+            let again = service
+                .play
+                .after_halt
+                .clone()
+                .filter(|_| service.released.halts_by_sign <= 4);
             if let Some(act) = again {
-                let op = Op { at: now + 1_500.0, node: 0, act };
-                service.doing.push(Doing { op, began: None, asked: 0.0, done: None, tries: 0 });
+                let op = Op {
+                    at: now + 1_500.0,
+                    node: 0,
+                    act,
+                };
+                service.doing.push(Doing {
+                    op,
+                    began: None,
+                    asked: 0.0,
+                    done: None,
+                    tries: 0,
+                });
                 let number = service.doing.len() - 1;
                 self.push(now + 1_500.0, What::Op(number));
             }
             self.met(&format!("halted by a sign: {}", kind_of(&status.halted)));
         }
-        let Some(service) = &mut self.service else { return };
-        let forward = service.resumed.is_none() && status.of == Of::Dispatchers && status.left.is_empty();
+        let Some(service) = &mut self.service else {
+            return;
+        };
+        let forward =
+            service.resumed.is_none() && status.of == Of::Dispatchers && status.left.is_empty();
         let behind = |n: &Serving| !n.removed && n.label == "v1";
         if status.state == "done" && forward && service.released.state != "done" {
             if let Some(at) = service.nodes.iter().position(behind) {
@@ -757,7 +940,9 @@
                 self.judge.breach_with("done early", what, &[]);
             }
         }
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         (service.released.state, service.released.why) = (status.state.clone(), status.why.clone());
         if service.released.why.is_empty() {
             service.released.why = status.halted;
@@ -772,8 +957,14 @@
         // Nothing went out for long, so that it should have said why.
         let quiet = end - self.plan.quiet_from().max(service.last_seen);
         let released = service.released.clone();
-        let told = matches!(released.state.as_str(), "done" | "halted" | "none") || !released.why.is_empty();
-        if recovers && released.began.is_some() && !told && released.whole.is_none() && quiet > 20_000.0 {
+        let told = matches!(released.state.as_str(), "done" | "halted" | "none")
+            || !released.why.is_empty();
+        if recovers
+            && released.began.is_some()
+            && !told
+            && released.whole.is_none()
+            && quiet > 20_000.0
+        {
             let what = format!("it is {} at the end and does not say why", released.state);
             self.judge.breach_with("silent", what, &[]);
         }
@@ -782,9 +973,16 @@
 }
 
 fn kind_of(why: &str) -> &'static str {
-    let kinds =
-        [("do worse", "worse"), ("fell", "fell"), ("came back under", "label"), ("more are out", "bounds")];
-    kinds.iter().find(|(words, _)| why.contains(words)).map_or("late", |(_, kind)| kind)
+    let kinds = [
+        ("do worse", "worse"),
+        ("fell", "fell"),
+        ("came back under", "label"),
+        ("more are out", "bounds"),
+    ];
+    kinds
+        .iter()
+        .find(|(words, _)| why.contains(words))
+        .map_or("late", |(_, kind)| kind)
 }
 
 /// Operators.
@@ -792,9 +990,13 @@
     /// An operator acts, or acts again.
     pub(super) fn operate(&mut self, number: usize) {
         let now = self.now;
-        let Some(service) = &mut self.service else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
         let nodes = service.nodes.len();
-        let Some(doing) = service.doing.get_mut(number).filter(|d| d.done.is_none()) else { return };
+        let Some(doing) = service.doing.get_mut(number).filter(|d| d.done.is_none()) else {
+            return;
+        };
         doing.tries += 1;
         if doing.tries > 400 {
             return;
@@ -828,20 +1030,38 @@
             }
         }
         let order = match act {
-            Act::Start(plan) => ReleaseOrder::Start { plan, skip: false, dry: false },
-            Act::Halt => ReleaseOrder::Halt { why: "an operator says so".to_owned() },
+            Act::Start(plan) => ReleaseOrder::Start {
+                plan,
+                skip: false,
+                dry: false,
+            },
+            Act::Halt => ReleaseOrder::Halt {
+                why: "an operator says so".to_owned(),
+            },
             Act::Resume => ReleaseOrder::Resume,
             Act::Back => ReleaseOrder::Back,
             Act::End => ReleaseOrder::End,
-            Act::Recount => ReleaseOrder::Recount { of: Of::Dispatchers },
-            Act::Turn(at) => {
-                ReleaseOrder::Turn { name: name_of(at % nodes), label: String::new(), refused: false }
-            }
+            Act::Recount => ReleaseOrder::Recount {
+                of: Of::Dispatchers,
+            },
+            Act::Turn(at) => ReleaseOrder::Turn {
+                name: name_of(at % nodes),
+                label: String::new(),
+                refused: false,
+            },
         };
         self.numbers += 1;
         let call = CallNo(self.numbers);
-        self.nodes[node].calls.insert(call, Caller::Operator(Some(number)));
-        self.give(node, Input::Asked { call, question: Question::Order(Order::Release(order)) });
+        self.nodes[node]
+            .calls
+            .insert(call, Caller::Operator(Some(number)));
+        self.give(
+            node,
+            Input::Asked {
+                call,
+                question: Question::Order(Order::Release(order)),
+            },
+        );
         // No answer is asked for again.
         self.push(now + 1_000.0, What::OpAgain(number, now));
     }
@@ -859,8 +1079,12 @@
     pub(super) fn operator_told(&mut self, number: usize, reply: &Reply) {
         let now = self.now;
         let nodes = self.nodes.len();
-        let Some(service) = &mut self.service else { return };
-        let Some(doing) = service.doing.get_mut(number).filter(|d| d.done.is_none()) else { return };
+        let Some(service) = &mut self.service else {
+            return;
+        };
+        let Some(doing) = service.doing.get_mut(number).filter(|d| d.done.is_none()) else {
+            return;
+        };
         let act = doing.op.act.clone();
         match reply {
             Reply::Done(_) => {
@@ -885,7 +1109,11 @@
                     }
                     Act::Resume | Act::Back => {
                         (service.halted, service.halt_given) = (None, None);
-                        self.met(if act == Act::Back { "went back" } else { "resumed" });
+                        self.met(if act == Act::Back {
+                            "went back"
+                        } else {
+                            "resumed"
+                        });
                     }
                     Act::End => self.met("ended"),
                     Act::Recount => {
--- a/crates/faults/src/duties/small.rs
+++ b/crates/faults/src/duties/small.rs
@@ -40,7 +40,10 @@
     pub changes: bool,
 }
 
-const LEASE: LeaseSettings = LeaseSettings { lease: 1000.0, drift: 0.01 };
+const LEASE: LeaseSettings = LeaseSettings {
+    lease: 1000.0,
+    drift: 0.01,
+};
 /// With the last part of a lease the time that is waited for is over, a gap and all.
 const TICK: Ms = 200.0;
 
@@ -95,17 +98,51 @@
 
 impl Hash for Contender {
     fn hash<H: Hasher>(&self, to: &mut H) {
-        let Contender { run, highest, tries, round, knows, newest, watch, hold } = self;
+        let Contender {
+            run,
+            highest,
+            tries,
+            round,
+            knows,
+            newest,
+            watch,
+            hold,
+        } = self;
         (run, highest, tries, knows, newest, format!("{watch:?}")).hash(to);
-        round.as_ref().map(|(round, asked)| (round, asked.to_bits())).hash(to);
-        hold.map(|hold| (hold.term, hold.asked.to_bits(), hold.until.to_bits())).hash(to);
+        round
+            .as_ref()
+            .map(|(round, asked)| (round, asked.to_bits()))
+            .hash(to);
+        hold.map(|hold| (hold.term, hold.asked.to_bits(), hold.until.to_bits()))
+            .hash(to);
     }
 }
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, to: &mut H) {
-        let State { now, voters, disks, contenders, net, agreed, acted, holders, wrong, .. } = self;
-        (now.to_bits(), voters, disks, contenders, agreed, acted, holders, wrong).hash(to);
+        let State {
+            now,
+            voters,
+            disks,
+            contenders,
+            net,
+            agreed,
+            acted,
+            holders,
+            wrong,
+            ..
+        } = self;
+        (
+            now.to_bits(),
+            voters,
+            disks,
+            contenders,
+            agreed,
+            acted,
+            holders,
+            wrong,
+        )
+            .hash(to);
         (self.twice, self.late, self.voter_restarts, self.restarts).hash(to);
         // A message's key stands for what it carries.
         net.keys().for_each(|message| message.hash(to));
@@ -125,7 +162,10 @@
 }
 
 fn seat(at: usize) -> Seat {
-    Seat { life: Life(at as u64 + 1), address: Address::default() }
+    Seat {
+        life: Life(at as u64 + 1),
+        address: Address::default(),
+    }
 }
 
 fn watch(now: Ms) -> Watch {
@@ -137,19 +177,32 @@
 
 impl Small {
     fn founding(&self) -> Voters {
-        let set = (0..self.voters).map(|at| (voter_name(at), seat(at))).collect();
-        Voters { generation: 1, set, before: None }
+        let set = (0..self.voters)
+            .map(|at| (voter_name(at), seat(at)))
+            .collect();
+        Voters {
+            generation: 1,
+            set,
+            before: None,
+        }
     }
 
     fn view(&self, contender: &Contender) -> Voters {
-        contender.newest.as_ref().map_or_else(|| self.founding(), |(_, value)| value.voters.clone())
+        contender
+            .newest
+            .as_ref()
+            .map_or_else(|| self.founding(), |(_, value)| value.voters.clone())
     }
 }
 
 impl State {
     fn holder(&self, at: usize) -> Holder {
         let run = Run(self.contenders[at].run);
-        Holder { name: contender_name(at), run, address: Address::default() }
+        Holder {
+            name: contender_name(at),
+            run,
+            address: Address::default(),
+        }
     }
 
     fn saw(&mut self, at: usize, ballot: Ballot, value: Agreed) {
@@ -159,30 +212,49 @@
             contender.highest = contender.highest.max(ballot.round);
             contender.newest = Some((ballot, value));
         }
-        let row = contender.newest.as_ref().and_then(|(_, value)| value.duties.get(&duty()));
+        let row = contender
+            .newest
+            .as_ref()
+            .and_then(|(_, value)| value.duties.get(&duty()));
         contender.watch.saw(now, row, &mut WyRand::new_seed(1));
     }
 
     fn saw_nothing(&mut self, at: usize) {
         let now = self.now;
-        self.contenders[at].watch.saw(now, None, &mut WyRand::new_seed(1));
+        self.contenders[at]
+            .watch
+            .saw(now, None, &mut WyRand::new_seed(1));
     }
 
     fn ask(&mut self, from: usize, asks: Vec<(Name, Seat, Ask)>) {
         for (name, _, ask) in asks {
-            let Some(to) = (0..self.voters.len()).find(|at| voter_name(*at) == name) else { continue };
-            let message = Message::Ask { from: from as u8, to: to as u8, ask: words(&ask) };
+            let Some(to) = (0..self.voters.len()).find(|at| voter_name(*at) == name) else {
+                continue;
+            };
+            let message = Message::Ask {
+                from: from as u8,
+                to: to as u8,
+                ask: words(&ask),
+            };
             self.net.insert(message, Carried::Ask(Rc::new(ask)));
         }
     }
 
     /// Begins a try, and where that is one step has its first half done by the voters in `some`.
     fn begin(&mut self, at: usize, view: Voters, change: Change, some: Option<u32>) {
-        let run = if is(Plant::BallotAgain) { 0 } else { self.contenders[at].run };
+        let run = if is(Plant::BallotAgain) {
+            0
+        } else {
+            self.contenders[at].run
+        };
         let contender = &mut self.contenders[at];
         contender.highest += 1;
         contender.tries -= 1;
-        let ballot = Ballot { round: contender.highest, by: contender_name(at), run: Run(run) };
+        let ballot = Ballot {
+            round: contender.highest,
+            by: contender_name(at),
+            run: Run(run),
+        };
         let (round, asks) = Round::begin(ballot, view, change, &contender.knows);
         contender.round = Some((round, self.now));
         self.ask(at, asks);
@@ -193,8 +265,14 @@
                 Carried::Ask(ask) => matches!(&**ask, Ask::Prepare { .. }),
                 Carried::Said(..) => false,
             };
-            let next = self.net.iter().find(prepares).map(|(m, c)| (m.clone(), c.clone()));
-            let Some((message, carried)) = next else { return };
+            let next = self
+                .net
+                .iter()
+                .find(prepares)
+                .map(|(m, c)| (m.clone(), c.clone()));
+            let Some((message, carried)) = next else {
+                return;
+            };
             self.net.remove(&message);
             if matches!(message, Message::Ask { to, .. } if some & (1 << to) != 0) {
                 self.deliver(&message, carried, false);
@@ -203,7 +281,9 @@
     }
 
     fn end(&mut self, at: usize, end: End, asked: Ms) {
-        let Some((round, _)) = self.contenders[at].round.take() else { return };
+        let Some((round, _)) = self.contenders[at].round.take() else {
+            return;
+        };
         match end {
             End::Agreed(value) => {
                 if let Some(other) = self.agreed.insert(value.version, value.clone()) {
@@ -245,7 +325,11 @@
                 if save && !is(Plant::SaidBeforeKept) {
                     self.disks[usize::from(*to)] = voter.kept.clone();
                 }
-                let message = Message::Said { from: *to, to: *from, said: words((&ballot, &said)) };
+                let message = Message::Said {
+                    from: *to,
+                    to: *from,
+                    said: words((&ballot, &said)),
+                };
                 let answer = Carried::Said(life, ballot, Rc::new(said));
                 if late {
                     self.net.insert(message, answer);
@@ -256,13 +340,19 @@
             (Message::Said { from, to, .. }, Carried::Said(life, ballot, said)) => {
                 let (from, to) = (usize::from(*from), usize::from(*to));
                 let contender = &mut self.contenders[to];
-                let Some((round, asked)) = contender.round.as_mut().filter(|(r, _)| r.ballot == ballot)
+                let Some((round, asked)) =
+                    contender.round.as_mut().filter(|(r, _)| r.ballot == ballot)
                 else {
                     return;
                 };
                 let asked = *asked;
-                let (asks, end) =
-                    round.heard(&voter_name(from), life, false, Some(&said), &mut contender.knows);
+                let (asks, end) = round.heard(
+                    &voter_name(from),
+                    life,
+                    false,
+                    Some(&said),
+                    &mut contender.knows,
+                );
                 // Old files are not among these cases, and what is heard of them would only tell states apart.
                 contender.knows.heard.clear();
                 self.ask(to, asks);
@@ -313,7 +403,12 @@
         if self.held {
             state.saw_nothing(0);
             let (who, seen) = (state.holder(0), state.contenders[0].watch.mark());
-            let change = Change::Take { duty: duty(), who, lease_ms: 1000, seen };
+            let change = Change::Take {
+                duty: duty(),
+                who,
+                lease_ms: 1000,
+                seen,
+            };
             state.contenders[0].tries += 1;
             state.begin(0, self.founding(), change, None);
             while let Some((message, carried)) = state.net.pop_first() {
@@ -332,10 +427,18 @@
         for (message, carried) in &state.net {
             let of = |what: &str| match message {
                 Message::Ask { from, to, .. } => {
-                    format!("{} asks {}{what}", contender_name((*from).into()).0, voter_name((*to).into()).0)
+                    format!(
+                        "{} asks {}{what}",
+                        contender_name((*from).into()).0,
+                        voter_name((*to).into()).0
+                    )
                 }
                 Message::Said { from, to, .. } => {
-                    format!("{} hears {}", contender_name((*to).into()).0, voter_name((*from).into()).0)
+                    format!(
+                        "{} hears {}",
+                        contender_name((*to).into()).0,
+                        voter_name((*from).into()).0
+                    )
                 }
             };
             step(of(""), &|s| {
@@ -360,7 +463,9 @@
             step("time passes".to_owned(), &|s| {
                 s.now += TICK;
                 let now = s.now;
-                s.contenders.iter_mut().for_each(|c| c.watch.count(now, &LEASE));
+                s.contenders
+                    .iter_mut()
+                    .for_each(|c| c.watch.count(now, &LEASE));
             });
         }
         for at in 0..state.contenders.len() {
@@ -395,41 +500,76 @@
             let first = contender.tries == self.tries;
             let (what, change) = if self.changes && first {
                 let new = self.voters + at;
-                ("lets a voter in", Change::AddVoter { name: voter_name(new), seat: seat(new) })
+                (
+                    "lets a voter in",
+                    Change::AddVoter {
+                        name: voter_name(new),
+                        seat: seat(new),
+                    },
+                )
             } else if let Some(hold) = contender.hold.filter(|hold| hold.left(state.now) > 0.0) {
-                ("renews", Change::Renew { who, duties: vec![(duty(), hold.term)] })
+                (
+                    "renews",
+                    Change::Renew {
+                        who,
+                        duties: vec![(duty(), hold.term)],
+                    },
+                )
             } else if contender.watch.waits(&who, true, &LEASE) <= LEASE.gap() || self.changes {
                 let seen = contender.watch.mark();
-                ("takes", Change::Take { duty: duty(), who, lease_ms: 1000, seen })
+                (
+                    "takes",
+                    Change::Take {
+                        duty: duty(),
+                        who,
+                        lease_ms: 1000,
+                        seen,
+                    },
+                )
             } else {
                 ("waits", Change::Settle)
             };
             if what != "waits" {
                 let all = 0..1u32 << state.voters.len();
                 let some: Vec<Option<u32>> = match self.halves {
-                    true => {
-                        all.filter(|some| some.count_ones() == self.voters as u32 / 2 + 1).map(Some).collect()
-                    }
+                    true => all
+                        .filter(|some| some.count_ones() == self.voters as u32 / 2 + 1)
+                        .map(Some)
+                        .collect(),
                     false => vec![None],
                 };
                 for some in some {
-                    let by = some.map(|some| format!(" with {some:b}")).unwrap_or_default();
-                    step(format!("{name} {what}{by}"), &|s| s.begin(at, view.clone(), change.clone(), some));
+                    let by = some
+                        .map(|some| format!(" with {some:b}"))
+                        .unwrap_or_default();
+                    step(format!("{name} {what}{by}"), &|s| {
+                        s.begin(at, view.clone(), change.clone(), some)
+                    });
                 }
             }
         }
         if (self.changes || self.halves) && contender.round.is_some() && contender.tries > 0 {
-            step(format!("{name} gives its try up"), &|s| s.contenders[at].round = None);
+            step(format!("{name} gives its try up"), &|s| {
+                s.contenders[at].round = None
+            });
         }
         // What a voter shows of what it took.
         let shown: BTreeSet<(Ballot, usize)> = state
             .voters
             .iter()
             .enumerate()
-            .filter_map(|(v, voter)| voter.kept.taken.as_ref().map(|(ballot, _)| (ballot.clone(), v)))
+            .filter_map(|(v, voter)| {
+                voter
+                    .kept
+                    .taken
+                    .as_ref()
+                    .map(|(ballot, _)| (ballot.clone(), v))
+            })
             .collect();
         let old = contender.newest.as_ref().map(|(ballot, _)| ballot.clone());
-        let looks = shown.into_iter().filter(|(ballot, _)| old.as_ref().is_none_or(|old| ballot > old));
+        let looks = shown
+            .into_iter()
+            .filter(|(ballot, _)| old.as_ref().is_none_or(|old| ballot > old));
         let looks: BTreeMap<Ballot, usize> = looks.collect();
         for (ballot, voter) in looks {
             step(format!("{name} looks at {}", voter_name(voter).0), &|s| {
--- a/crates/faults/src/duties/small_release.rs
+++ b/crates/faults/src/duties/small_release.rs
@@ -78,7 +78,13 @@
 }
 
 fn bounds() -> Bounds {
-    Bounds { fleet: Most { number: 1, per_mille: 1000 }, ..Bounds::default() }
+    Bounds {
+        fleet: Most {
+            number: 1,
+            per_mille: 1000,
+        },
+        ..Bounds::default()
+    }
 }
 
 impl SmallRelease {
@@ -92,12 +98,20 @@
             kind: String::new(),
             role: None,
             label: if member.new { "v2" } else { "v1" }.to_owned(),
-            stand: if member.process == Process::Serves { Stand::In } else { Stand::Out },
+            stand: if member.process == Process::Serves {
+                Stand::In
+            } else {
+                Stand::Out
+            },
             used: None,
             tally: Tally::default(),
         };
         let dispatchers = state.members.iter().enumerate().map(unit).collect();
-        View { dispatchers, hosts: Vec::new(), whole: true }
+        View {
+            dispatchers,
+            hosts: Vec::new(),
+            whole: true,
+        }
     }
 
     /// What a caller does next, with what it knows; gives nothing where it does nothing.
@@ -107,19 +121,25 @@
         let mut conduct = Conduct::begin(&caller.knows);
         let (nobody, view) = (BTreeSet::new(), Self::view(state));
         let me = Name::from("nobody");
-        let step =
-            |conduct: &mut Conduct| conduct.next(0.0, &caller.knows, &view, (&me, &nobody), (&[], &bounds()));
+        let step = |conduct: &mut Conduct| {
+            conduct.next(0.0, &caller.knows, &view, (&me, &nobody), (&[], &bounds()))
+        };
         // What it was told of turns asked back it has to know again: it is made anew at each look.
         let mut next = step(&mut conduct);
         if !caller.unbegun.is_empty() {
-            caller.unbegun.iter().for_each(|turn| conduct.revoked(*turn, false));
+            caller
+                .unbegun
+                .iter()
+                .for_each(|turn| conduct.revoked(*turn, false));
             next = step(&mut conduct);
         }
         if is(Plant::ToldBeforeAgreed) {
             if let Some(Step::Grant(turns)) = &next {
                 for turn in turns {
                     let to = (0..state.members.len()).find(|at| name(*at) == turn.who)?;
-                    after.acts.insert((who, TurnNo(caller.knows.given + 1), to, turn.run.0));
+                    after
+                        .acts
+                        .insert((who, TurnNo(caller.knows.given + 1), to, turn.run.0));
                 }
             }
         }
@@ -148,11 +168,18 @@
 
     fn turn_comes(state: &mut State, to: usize, turn: TurnNo, run: u64) {
         let member = &mut state.members[to];
-        if member.process != Process::Serves || run != member.run || member.asked_back.contains(&turn) {
+        if member.process != Process::Serves
+            || run != member.run
+            || member.asked_back.contains(&turn)
+        {
             return;
         }
         member.process = Process::Out(Some(turn));
-        let out = state.members.iter().filter(|m| matches!(m.process, Process::Out(Some(_)))).count();
+        let out = state
+            .members
+            .iter()
+            .filter(|m| matches!(m.process, Process::Out(Some(_))))
+            .count();
         if out > 1 {
             state.wrong = Some(format!("{out} are out by their turns, and 1 may be"));
         }
@@ -164,8 +191,12 @@
 
 /// A member says whether a turn has begun; if not, it will not.
 fn ask_back(state: &mut State, number: TurnNo, care: &Care) -> bool {
-    let Some(turn) = care.turns.get(&number) else { return true };
-    let Some(at) = (0..state.members.len()).find(|at| name(*at) == turn.who) else { return true };
+    let Some(turn) = care.turns.get(&number) else {
+        return true;
+    };
+    let Some(at) = (0..state.members.len()).find(|at| name(*at) == turn.who) else {
+        return true;
+    };
     let member = &mut state.members[at];
     if member.run != turn.run.0 || member.process == Process::Out(Some(number)) {
         return true;
@@ -211,7 +242,12 @@
             process: Process::Serves,
             asked_back: BTreeSet::new(),
         };
-        let caller = |acts| Caller { knows: value.clone(), term: 1, acts, unbegun: BTreeSet::new() };
+        let caller = |acts| Caller {
+            knows: value.clone(),
+            term: 1,
+            acts,
+            unbegun: BTreeSet::new(),
+        };
         State {
             term: 1,
             callers: [caller(true), caller(false)],
@@ -238,7 +274,9 @@
         for who in 0..2 {
             let caller = &state.callers[who];
             if caller.acts && caller.term == state.term && caller.knows != state.value {
-                add(format!("{who} renews"), &|s| s.callers[who].knows = s.value.clone());
+                add(format!("{who} renews"), &|s| {
+                    s.callers[who].knows = s.value.clone()
+                });
             }
             let other = 1 - who;
             if caller.acts && caller.term == state.term && state.successions > 0 {
@@ -249,7 +287,12 @@
                     s.callers[who].acts = false;
                     s.acts.retain(|(by, ..)| *by != who);
                     let (knows, term) = (s.value.clone(), s.term);
-                    s.callers[other] = Caller { knows, term, acts: true, unbegun: BTreeSet::new() };
+                    s.callers[other] = Caller {
+                        knows,
+                        term,
+                        acts: true,
+                        unbegun: BTreeSet::new(),
+                    };
                 });
             }
         }
@@ -275,7 +318,8 @@
                         None => s.members[at].new,
                     };
                     let member = &mut s.members[at];
-                    (member.run, member.new, member.process) = (member.run + 1, new, Process::Serves);
+                    (member.run, member.new, member.process) =
+                        (member.run + 1, new, Process::Serves);
                     member.asked_back.clear();
                 }),
                 Process::Serves if state.failures > 0 => add(format!("{at} fails"), &|s| {
@@ -310,7 +354,10 @@
             add("a lease passes".to_owned(), &|s| {
                 // Nothing that was sent before the halt is obeyed any more, and who has not heard of it has no lease.
                 s.acts.clear();
-                s.callers.iter_mut().filter(|c| c.knows.halted.is_none()).for_each(|c| c.acts = false);
+                s.callers
+                    .iter_mut()
+                    .filter(|c| c.knows.halted.is_none())
+                    .for_each(|c| c.acts = false);
                 s.halt = Halt::Acknowledged;
             });
         }
@@ -338,7 +385,12 @@
     }
 
     fn wrong(&self, state: &State) -> Option<String> {
-        let given = state.value.turns.values().filter(|t| t.of == Of::Dispatchers).count();
+        let given = state
+            .value
+            .turns
+            .values()
+            .filter(|t| t.of == Of::Dispatchers)
+            .count();
         let two = (given > 1).then(|| format!("{given} turns are given, and there is room for 1"));
         state.wrong.clone().or(two)
     }
--- a/crates/faults/src/explore.rs
+++ b/crates/faults/src/explore.rs
@@ -43,7 +43,10 @@
     // How each state was reached: from which, by what.
     let mut ways: Vec<(usize, String)> = vec![(0, String::new())];
     let mut layer = vec![(0, begin)];
-    let mut found = Explored { states: 1, ..Explored::default() };
+    let mut found = Explored {
+        states: 1,
+        ..Explored::default()
+    };
     let mut steps = Vec::new();
     while !layer.is_empty() {
         if found.depth >= most_depth {
--- a/crates/faults/src/fleet.rs
+++ b/crates/faults/src/fleet.rs
@@ -74,12 +74,24 @@
         for (at, spec) in day.hosts.iter().enumerate() {
             let seed = day.seed.wrapping_mul(31).wrapping_add(at as u64);
             let (transport, address) = place(&spec.name, &spec.zone);
-            let host = Host::new(spec.clone(), transport, clock.clone(), transcript.clone(), seed);
+            let host = Host::new(
+                spec.clone(),
+                transport,
+                clock.clone(),
+                transcript.clone(),
+                seed,
+            );
             host.start(&address, true).await?;
             feed.tell(host.line(HostCondition::Ready));
             hosts.insert(spec.name.clone(), host);
         }
-        Ok(Fleet { hosts, feed, feed_address, clock, transcript })
+        Ok(Fleet {
+            hosts,
+            feed,
+            feed_address,
+            clock,
+            transcript,
+        })
     }
 }
 
@@ -99,8 +111,12 @@
     let clock = fleet.clock.clone();
     clock.sleep_until(begin + fault.at).await;
     let over = begin + fault.at + fault.length;
-    let hosts: Vec<Host<T, C>> =
-        fault.whom.iter().filter_map(|name| fleet.hosts.get(name)).cloned().collect();
+    let hosts: Vec<Host<T, C>> = fault
+        .whom
+        .iter()
+        .filter_map(|name| fleet.hosts.get(name))
+        .cloned()
+        .collect();
     let all = |change: &dyn Fn(&mut Troubles)| hosts.iter().for_each(|h| h.trouble(change));
     match &fault.trouble {
         Trouble::Die | Trouble::Drain | Trouble::DieBeforeEnd | Trouble::Vanish => {
@@ -110,13 +126,17 @@
             if fault.trouble == Trouble::Drain {
                 all(&|t| t.draining = true);
                 hosts.iter().for_each(Host::go_away);
-                hosts.iter().for_each(|h| fleet.feed.change(h.line(HostCondition::Draining)));
+                hosts
+                    .iter()
+                    .for_each(|h| fleet.feed.change(h.line(HostCondition::Draining)));
             } else if fault.trouble == Trouble::DieBeforeEnd {
                 all(&|t| t.dies_before_end = true);
                 while clock.now() < over && hosts.iter().any(Host::runs) {
                     clock.sleep_until(clock.now() + 5.0).await;
                 }
-                hosts.iter().for_each(|h| fleet.feed.change(h.line(HostCondition::Gone)));
+                hosts
+                    .iter()
+                    .for_each(|h| fleet.feed.change(h.line(HostCondition::Gone)));
             } else {
                 hosts.iter().for_each(|h| {
                     h.die();
@@ -188,7 +208,11 @@
             fleet.feed.set_silent(false);
         }
         Trouble::Kill | Trouble::Stop => {
-            let how = if fault.trouble == Trouble::Kill { End::Kill } else { End::Stop };
+            let how = if fault.trouble == Trouble::Kill {
+                End::Kill
+            } else {
+                End::Stop
+            };
             let numbers: Vec<u32> = fault.whom.iter().filter_map(|n| n.parse().ok()).collect();
             for &at in &numbers {
                 dispatchers.end(at, how).await;
@@ -242,20 +266,31 @@
         }
         Trouble::Lag(by) => {
             if let Some(sky) = &sky {
-                sky.set_weather(Weather { delay: *by, jitter: *by, ..Weather::default() });
+                sky.set_weather(Weather {
+                    delay: *by,
+                    jitter: *by,
+                    ..Weather::default()
+                });
                 clock.sleep_until(over).await;
                 sky.set_weather(Weather::default());
             }
         }
         Trouble::Narrow(bandwidth) => {
             if let Some(sky) = &sky {
-                sky.set_weather(Weather { bandwidth: *bandwidth, ..Weather::default() });
+                sky.set_weather(Weather {
+                    bandwidth: *bandwidth,
+                    ..Weather::default()
+                });
                 clock.sleep_until(over).await;
                 sky.set_weather(Weather::default());
             }
         }
         Trouble::ClockStep(by) => {
-            fault.whom.iter().filter_map(|n| n.parse().ok()).for_each(|at| dispatchers.step_clock(at, *by));
+            fault
+                .whom
+                .iter()
+                .filter_map(|n| n.parse().ok())
+                .for_each(|at| dispatchers.step_clock(at, *by));
         }
         Trouble::Impatient => {
             clients.set_retry_after(Some(0.0));
--- a/crates/faults/src/model.rs
+++ b/crates/faults/src/model.rs
@@ -94,8 +94,12 @@
                 match (way, frame.body.as_ref()) {
                     (_, None) => None,
                     (Way::Out, Some(Body::Submit(submit))) => self.submitted(stream, submit),
-                    (Way::In, Some(body)) if self.tries.contains_key(&stream) => self.answered(stream, body),
-                    (Way::In, Some(Body::Read(read))) => self.launched(stream, &read.key, read.state, None),
+                    (Way::In, Some(body)) if self.tries.contains_key(&stream) => {
+                        self.answered(stream, body)
+                    }
+                    (Way::In, Some(Body::Read(read))) => {
+                        self.launched(stream, &read.key, read.state, None)
+                    }
                     (Way::In, Some(Body::Write(write))) => {
                         self.launched(stream, &write.key, write.state, Some(&write.profile))
                     }
@@ -105,7 +109,8 @@
             }
         };
         if let Some(wrong) = wrong {
-            self.breaches.push(format!("{:.1} at {}: {wrong}", record.at, record.seer));
+            self.breaches
+                .push(format!("{:.1} at {}: {wrong}", record.at, record.seer));
         }
     }
 
@@ -121,7 +126,13 @@
         self.meet("try");
         let task = self.tasks.entry(submit.key.clone()).or_default();
         task.profile.clone_from(&submit.profile);
-        self.tries.insert(stream, Try { key: submit.key.clone(), ..Try::default() });
+        self.tries.insert(
+            stream,
+            Try {
+                key: submit.key.clone(),
+                ..Try::default()
+            },
+        );
         None
     }
 
@@ -132,13 +143,20 @@
             return Some(format!("{} gets more after it was {over}", this.key));
         }
         match body {
-            Body::Accepted(_) if this.accepted => return Some(format!("{} is accepted twice", this.key)),
+            Body::Accepted(_) if this.accepted => {
+                return Some(format!("{} is accepted twice", this.key))
+            }
             Body::Accepted(_) => this.accepted = true,
-            Body::Tokens(_) if !this.accepted => return Some(format!("{} streams, not accepted", this.key)),
+            Body::Tokens(_) if !this.accepted => {
+                return Some(format!("{} streams, not accepted", this.key))
+            }
             Body::Tokens(tokens) => {
                 if tokens.position != this.position {
                     let (at, next) = (tokens.position, this.position);
-                    return Some(format!("{} gets token {at} where {next} comes next", this.key));
+                    return Some(format!(
+                        "{} gets token {at} where {next} comes next",
+                        this.key
+                    ));
                 }
                 this.position += tokens.count;
             }
@@ -166,7 +184,9 @@
         self.answers.insert((task.profile.clone(), answer));
         let again = self.again(&task.profile);
         match answer {
-            "fulfilled" if task.fulfilled == 0 => Some(format!("{key} is fulfilled, and no host said so")),
+            "fulfilled" if task.fulfilled == 0 => {
+                Some(format!("{key} is fulfilled, and no host said so"))
+            }
             "bounced" if streamed => Some(format!("{key} is bounced after its stream began")),
             "bounced" if again == Again::Never && task.may_have_run > 0 => {
                 Some(format!("{key} is bounced and may have run"))
@@ -191,7 +211,8 @@
         let again = writes.map(|profile| self.again(profile));
         let most = self.most_launches;
         let host = stream.0.clone();
-        self.taken.insert(stream.clone(), (key.to_owned(), writes.is_some()));
+        self.taken
+            .insert(stream.clone(), (key.to_owned(), writes.is_some()));
         let task = self.tasks.get_mut(key)?;
         if let (Some(state), true) = (state, writes.is_none()) {
             // A read names its own launch, counted from 0.
@@ -247,7 +268,12 @@
     /// What was out on a connection that is over may have run.
     fn closed(&mut self, seer: &str, conn: u64) {
         self.lose(|stream| stream.0 == seer && stream.1 == conn);
-        for this in self.tries.iter_mut().filter(|(s, _)| s.0 == seer && s.1 == conn).map(|(_, t)| t) {
+        for this in self
+            .tries
+            .iter_mut()
+            .filter(|(s, _)| s.0 == seer && s.1 == conn)
+            .map(|(_, t)| t)
+        {
             this.over = this.over.or(Some("cut off"));
         }
     }
@@ -259,7 +285,9 @@
     fn lose(&mut self, lost: impl Fn(&Stream) -> bool) {
         let streams: Vec<Stream> = self.taken.keys().filter(|s| lost(s)).cloned().collect();
         for stream in streams {
-            let Some((key, writes)) = self.taken.remove(&stream) else { continue };
+            let Some((key, writes)) = self.taken.remove(&stream) else {
+                continue;
+            };
             if let Some(task) = self.tasks.get_mut(&key).filter(|_| writes) {
                 task.out.remove(&stream);
                 task.may_have_run += 1;
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -110,7 +110,10 @@
     /// Whether it needs the network in memory and its clock.
     pub fn is_virtual(&self) -> bool {
         use Trouble::*;
-        matches!(self, Partition(_) | HalfOpen { .. } | Vanish | Hang | Lag(_) | Narrow(_) | ClockStep(_))
+        matches!(
+            self,
+            Partition(_) | HalfOpen { .. } | Vanish | Hang | Lag(_) | Narrow(_) | ClockStep(_)
+        )
     }
 
     pub fn name(&self) -> &'static str {
@@ -153,7 +156,9 @@
 pub fn rules(day: &Day, slack: Ms) -> Rules {
     let policy = &day.service.policy;
     let profiles = day.service.profiles.iter().zip(&policy.profiles);
-    let once = profiles.filter(|(_, p)| p.effect == Effect::AtMostOnce).map(|(name, _)| name.clone());
+    let once = profiles
+        .filter(|(_, p)| p.effect == Effect::AtMostOnce)
+        .map(|(name, _)| name.clone());
     Rules {
         at_most_once: once.collect::<BTreeSet<_>>(),
         answer_grace: policy.answer_grace,
@@ -166,7 +171,11 @@
         apart: Vec::new(),
         token_ms: day.hosts.iter().map(|h| h.token_ms).fold(0.0, f64::max),
         // Two thirds of their class's share on a quiet day, half on others.
-        largest_part: Some(if day.faults.is_empty() { 2.0 / 3.0 } else { 0.5 }),
+        largest_part: Some(if day.faults.is_empty() {
+            2.0 / 3.0
+        } else {
+            0.5
+        }),
     }
 }
 
@@ -196,10 +205,17 @@
     let unused = day.service.limits.link_idle + noticed(day);
     let silent = |fault: &&Fault| {
         use Trouble::*;
-        matches!(fault.trouble, Partition(_) | HalfOpen { .. } | Vanish | Hang | Lag(_) | Narrow(_))
+        matches!(
+            fault.trouble,
+            Partition(_) | HalfOpen { .. } | Vanish | Hang | Lag(_) | Narrow(_)
+        )
     };
     let span = |fault: &Fault| {
-        (begin + fault.at, begin + fault.at + fault.length + unused, fault.length + noticed(day))
+        (
+            begin + fault.at,
+            begin + fault.at + fault.length + unused,
+            fault.length + noticed(day),
+        )
     };
     day.faults.iter().filter(silent).map(span).collect()
 }
--- a/crates/faults/src/shrink.rs
+++ b/crates/faults/src/shrink.rs
@@ -17,7 +17,11 @@
 /// # Errors
 /// As for [`play`].
 pub fn shrink(day: &Day, breach: &Breach, most_played: usize) -> io::Result<Shrunk> {
-    let mut best = Shrunk { day: day.clone(), breach: breach.clone(), played: 0 };
+    let mut best = Shrunk {
+        day: day.clone(),
+        breach: breach.clone(),
+        played: 0,
+    };
     loop {
         let before = (best.day.faults.len(), best.day.habits.tasks.len());
         best = fewer(
@@ -32,7 +36,9 @@
             |day, tasks: Vec<Planned>| day.habits.tasks = tasks,
             |day| day.habits.tasks.clone(),
         )?;
-        if best.played >= most_played || before == (best.day.faults.len(), best.day.habits.tasks.len()) {
+        if best.played >= most_played
+            || before == (best.day.faults.len(), best.day.habits.tasks.len())
+        {
             return Ok(best);
         }
     }
@@ -54,7 +60,10 @@
             let mut day = best.day.clone();
             set(&mut day, kept);
             best.played += 1;
-            let same = play(&day)?.breaches.into_iter().find(|b| b.kind == best.breach.kind);
+            let same = play(&day)?
+                .breaches
+                .into_iter()
+                .find(|b| b.kind == best.breach.kind);
             match same {
                 Some(breach) => (best.day, best.breach) = (day, breach),
                 None => from += part,
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -42,7 +42,11 @@
 
 impl StepClock {
     fn new(base: TokioClock) -> Self {
-        StepClock { base, ahead: Rc::default(), stepped: Rc::default() }
+        StepClock {
+            base,
+            ahead: Rc::default(),
+            stepped: Rc::default(),
+        }
     }
 
     fn step(&self, by: Ms) {
@@ -111,13 +115,23 @@
 impl Virtual {
     async fn launch(&self, at: u32) -> io::Result<Process> {
         self.starts.set(self.starts.get() + 1);
-        let run = self.day.seed.wrapping_mul(1_000_003).wrapping_add(self.starts.get());
+        let run = self
+            .day
+            .seed
+            .wrapping_mul(1_000_003)
+            .wrapping_add(self.starts.get());
         let zones = &self.day.service.zones;
         let zone = at % zones.len() as u32;
         let name = name(at);
-        let settings = self.day.service.dispatcher(&name, zone, (at, self.day.dispatchers), run);
+        let settings = self
+            .day
+            .service
+            .dispatcher(&name, zone, (at, self.day.dispatchers), run);
         let place = self.sky.place(&name, &zones[zone as usize]);
-        let places = Places { feeds: vec![self.fleet.feed_address.clone()], ..Places::default() };
+        let places = Places {
+            feeds: vec![self.fleet.feed_address.clone()],
+            ..Places::default()
+        };
         let clock = self.clocks[at as usize].clone();
         let listener = place.listen(&address_of(&name)).await?;
         let shell = Shell::new(settings, places, place, clock, run);
@@ -133,17 +147,29 @@
             done.notify_one();
         });
         let task = spawn_local(process).abort_handle();
-        Ok(Process { shell, stop, done, over, task })
+        Ok(Process {
+            shell,
+            stop,
+            done,
+            over,
+            task,
+        })
     }
 }
 
 impl Processes for Virtual {
     async fn end(&self, at: u32, how: End) {
-        let process = self.running.borrow_mut().get_mut(at as usize).and_then(Option::take);
+        let process = self
+            .running
+            .borrow_mut()
+            .get_mut(at as usize)
+            .and_then(Option::take);
         let Some(process) = process else { return };
         if how == End::Kill {
             let name: Rc<str> = Rc::from(name(at));
-            self.fleet.transcript.note(self.fleet.clock.now(), &name, Note::Killed);
+            self.fleet
+                .transcript
+                .note(self.fleet.clock.now(), &name, Note::Killed);
         } else {
             process.stop.notify_one();
             if !process.over.get() {
@@ -175,7 +201,10 @@
 /// # Errors
 /// The runtime cannot be had, or the day starts something twice.
 pub fn play(day: &Day) -> io::Result<Played> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()?;
     LocalSet::new().block_on(&runtime, play_in(day))
 }
 
@@ -183,7 +212,11 @@
     let clock = TokioClock::starting_at(BEGIN);
     let sky = Sky::new(day.seed ^ 0x5c1);
     let transcript = Transcript::default();
-    let profiles = day.service.profiles.iter().zip(&day.service.policy.profiles);
+    let profiles = day
+        .service
+        .profiles
+        .iter()
+        .zip(&day.service.policy.profiles);
     let again = profiles.map(|(name, profile)| {
         let again = match profile.effect {
             Effect::Reissuable => Again::Always,
@@ -192,12 +225,17 @@
         };
         (name.clone(), again)
     });
-    let model = Rc::new(RefCell::new(Model::new(again.collect(), day.service.policy.max_launches)));
+    let model = Rc::new(RefCell::new(Model::new(
+        again.collect(),
+        day.service.policy.max_launches,
+    )));
     let watching = model.clone();
     transcript.watch(move |record| watching.borrow_mut().see(record));
     let at = |name: &str, zone: &str| (sky.place(name, zone), address_of(name));
     let fleet = Rc::new(Fleet::start(day, at, clock, transcript.clone()).await?);
-    let clocks = (0..day.dispatchers).map(|_| StepClock::new(clock)).collect();
+    let clocks = (0..day.dispatchers)
+        .map(|_| StepClock::new(clock))
+        .collect();
     let running = RefCell::new((0..day.dispatchers).map(|_| None).collect());
     let processes = Rc::new(Virtual {
         day: day.clone(),
@@ -214,7 +252,9 @@
     while fleet.feed.followers() < day.dispatchers as usize {
         clock.sleep_until(clock.now() + 1.0).await;
     }
-    let addresses: Vec<String> = (0..day.dispatchers).map(|at| address_of(&name(at))).collect();
+    let addresses: Vec<String> = (0..day.dispatchers)
+        .map(|at| address_of(&name(at)))
+        .collect();
     let clients = Clients::new(
         day.habits.clone(),
         &addresses,
@@ -228,10 +268,21 @@
         .iter()
         .map(|fault| {
             let (fleet, clients, processes) = (fleet.clone(), clients.clone(), processes.clone());
-            spawn_local(befall(fault.clone(), begin, fleet, clients, processes, Some(sky.clone())))
+            spawn_local(befall(
+                fault.clone(),
+                begin,
+                fleet,
+                clients,
+                processes,
+                Some(sky.clone()),
+            ))
         })
         .collect();
-    let last = day.faults.iter().map(|f| f.at + f.length).fold(0.0, f64::max);
+    let last = day
+        .faults
+        .iter()
+        .map(|f| f.at + f.length)
+        .fold(0.0, f64::max);
     let recovering = {
         let (day, processes, addresses) = (day.clone(), processes.clone(), addresses.clone());
         spawn_local(async move { recover(&day, &processes, begin + last, &addresses).await })
@@ -242,15 +293,27 @@
     }
     let recovery = recovering.await.map_err(io::Error::other)?;
     // What would stay pinned shows itself.
-    let holds = day.hosts.iter().map(|h| h.hold).fold(day.service.policy.release, f64::max);
+    let holds = day
+        .hosts
+        .iter()
+        .map(|h| h.hold)
+        .fold(day.service.policy.release, f64::max);
     clock.sleep_until(clock.now() + holds + SLACK).await;
     watching.abort();
     let mut breaches = Vec::new();
-    let mut breach = |kind: &str, what: String| breaches.push(Breach { kind: kind.to_owned(), what });
+    let mut breach = |kind: &str, what: String| {
+        breaches.push(Breach {
+            kind: kind.to_owned(),
+            what,
+        })
+    };
     for (at, process) in processes.running.borrow().iter().enumerate() {
         let held = process.as_ref().map(|p| p.shell.held()).unwrap_or_default();
         if held.tasks > 0 {
-            breach("LeftOver", format!("dispatcher {at} still holds {} tasks", held.tasks));
+            breach(
+                "LeftOver",
+                format!("dispatcher {at} still holds {} tasks", held.tasks),
+            );
         }
     }
     let states: usize = fleet.hosts.values().map(|h| h.states()).sum();
@@ -258,34 +321,68 @@
         breach("LeftOver", format!("{states} states are held at the end"));
     }
     if processes.most.get() > 4 * day.habits.tasks.len() + 200 {
-        breach("Grows", format!("a dispatcher held {} tasks, links and timers", processes.most.get()));
+        breach(
+            "Grows",
+            format!(
+                "a dispatcher held {} tasks, links and timers",
+                processes.most.get()
+            ),
+        );
     }
     if let Some(late) = recovery.filter(|ms| *ms > RECOVERED_WITHIN) {
-        breach("NotRecovered", format!("{late:.0} ms after the last fault not all is served in time"));
+        breach(
+            "NotRecovered",
+            format!("{late:.0} ms after the last fault not all is served in time"),
+        );
     }
     let records = transcript.records();
     let findings = audit(
         &records,
-        &Rules { silences: silences(day, begin), apart: apart(day, begin), ..rules(day, SLACK) },
+        &Rules {
+            silences: silences(day, begin),
+            apart: apart(day, begin),
+            ..rules(day, SLACK)
+        },
     );
     for found in &findings.breaches {
-        breach(rule_name(found.rule), format!("{:.1}: {}", found.at, found.what));
+        breach(
+            rule_name(found.rule),
+            format!("{:.1}: {}", found.at, found.what),
+        );
     }
     let model = model.borrow();
-    model.breaches.iter().for_each(|what| breach("IllegalStep", what.clone()));
-    let mut met: BTreeMap<String, u64> = model.met.iter().map(|(k, n)| ((*k).to_owned(), *n)).collect();
+    model
+        .breaches
+        .iter()
+        .for_each(|what| breach("IllegalStep", what.clone()));
+    let mut met: BTreeMap<String, u64> = model
+        .met
+        .iter()
+        .map(|(k, n)| ((*k).to_owned(), *n))
+        .collect();
     for (profile, answer) in &model.answers {
         met.insert(format!("{profile} {answer}"), 1);
     }
     for fault in &day.faults {
-        *met.entry(format!("fault {}", fault.trouble.name())).or_default() += 1;
+        *met.entry(format!("fault {}", fault.trouble.name()))
+            .or_default() += 1;
     }
     let cases = findings.cases;
-    for (name, n) in [("launch at a cold host", cases.cold_launches), ("drain told", cases.drains)] {
+    for (name, n) in [
+        ("launch at a cold host", cases.cold_launches),
+        ("drain told", cases.drains),
+    ] {
         met.insert(name.to_owned(), n as u64);
     }
     let length = clock.now() - BEGIN;
-    Ok(Played { digest: digest(&records), breaches, length, recovery, met, records })
+    Ok(Played {
+        digest: digest(&records),
+        breaches,
+        length,
+        recovery,
+        met,
+        records,
+    })
 }
 
 pub fn rule_name(rule: Rule) -> &'static str {
@@ -320,7 +417,10 @@
 async fn recover(day: &Day, world: &Virtual, since: Ms, addresses: &[String]) -> Option<Ms> {
     let clock = world.fleet.clock;
     let traffic = day.habits.traffic.iter().find(|t| t.again_always)?.clone();
-    let (transcript, place) = (world.fleet.transcript.clone(), world.sky.place(CLIENTS, CLIENTS));
+    let (transcript, place) = (
+        world.fleet.transcript.clone(),
+        world.sky.place(CLIENTS, CLIENTS),
+    );
     let ports: Vec<_> = addresses
         .iter()
         .map(|address| Port::new(PROBE_KEY, address, place.clone(), clock, transcript.clone()))
@@ -395,8 +495,10 @@
             What::Frame(way, frame) => {
                 let arrow = if *way == Way::In { "<-" } else { "->" };
                 let said = frame.body.as_ref().map(said).unwrap_or_default();
-                out +=
-                    &format!("{at:>9.1}  {seer:<14} {arrow} {peer:<14} #{conn}/{:<4} {said}\n", frame.stream);
+                out += &format!(
+                    "{at:>9.1}  {seer:<14} {arrow} {peer:<14} #{conn}/{:<4} {said}\n",
+                    frame.stream
+                );
             }
         }
     }
@@ -404,8 +506,9 @@
 }
 
 fn said(body: &Body) -> String {
-    let state =
-        |s: &Option<v1::StateId>| s.map_or_else(String::new, |s| format!(" state {}.{}", s.task, s.launch));
+    let state = |s: &Option<v1::StateId>| {
+        s.map_or_else(String::new, |s| format!(" state {}.{}", s.task, s.launch))
+    };
     match body {
         Body::Submit(m) => format!("submit {} (patience {:.0})", m.key, m.patience_ms),
         Body::Accepted(m) => format!("accepted as {}", m.task),
@@ -417,8 +520,11 @@
         Body::Release(m) => format!("release{}", state(&m.state)),
         Body::Fetch(m) => format!("fetch{}", state(&m.state)),
         Body::List(m) => {
-            let hosts: Vec<String> =
-                m.hosts.iter().map(|h| format!("{} {:?}", h.host, h.condition())).collect();
+            let hosts: Vec<String> = m
+                .hosts
+                .iter()
+                .map(|h| format!("{} {:?}", h.host, h.condition()))
+                .collect();
             format!("list {}", hosts.join(", "))
         }
         Body::Goodbye(m) => format!("goodbye {}", m.reason),
--- a/crates/faults/tests/duties.rs
+++ b/crates/faults/tests/duties.rs
@@ -40,7 +40,11 @@
 
 #[test]
 fn a_holder_that_is_stopped_in_the_middle_of_an_act_and_wakes_is_refused() {
-    let played = with(3, 12_000.0, &[(3_000.0, 3_000.0, Who::Holder, Trouble::Stall)]);
+    let played = with(
+        3,
+        12_000.0,
+        &[(3_000.0, 3_000.0, Who::Holder, Trouble::Stall)],
+    );
     assert_eq!(met(&played, "stopped in the middle of an act"), 1);
     assert!(
         met(&played, "act refused: old term") + met(&played, "act refused: late") >= 1,
@@ -52,20 +56,31 @@
 
 #[test]
 fn a_holder_that_reaches_receivers_but_no_voter_stops_by_itself() {
-    let played = with(3, 12_000.0, &[(3_000.0, 4_000.0, Who::Holder, Trouble::CutFromVoters)]);
+    let played = with(
+        3,
+        12_000.0,
+        &[(3_000.0, 4_000.0, Who::Holder, Trouble::CutFromVoters)],
+    );
     assert!(without(&played) < 1.4 * LEASE, "{:?}", played.without);
     assert!(met(&played, "leases over") >= 1);
 }
 
 #[test]
 fn a_holder_that_reaches_voters_but_no_receiver_keeps_its_duty() {
-    let played = with(3, 12_000.0, &[(3_000.0, 4_000.0, Who::Holder, Trouble::CutFromTargets)]);
+    let played = with(
+        3,
+        12_000.0,
+        &[(3_000.0, 4_000.0, Who::Holder, Trouble::CutFromTargets)],
+    );
     assert_eq!(met(&played, "terms obeyed"), 1);
 }
 
 #[test]
 fn a_holder_that_sends_and_does_not_hear_stops_by_itself() {
-    let cut = Trouble::CutOff { out: false, back: true };
+    let cut = Trouble::CutOff {
+        out: false,
+        back: true,
+    };
     let played = with(3, 12_000.0, &[(3_000.0, 4_000.0, Who::Holder, cut)]);
     assert!(without(&played) < 1.4 * LEASE, "{:?}", played.without);
 }
@@ -74,19 +89,31 @@
 fn two_halves_with_a_voter_asleep_have_no_holder_and_then_one() {
     let halves = Trouble::Halves { asleep: true };
     let played = with(5, 16_000.0, &[(3_000.0, 4_000.0, Who::Node(0), halves)]);
-    assert!(met(&played, "leases over") >= 1, "nobody has a majority: {:?}", played.met);
+    assert!(
+        met(&played, "leases over") >= 1,
+        "nobody has a majority: {:?}",
+        played.met
+    );
     assert!(met(&played, "terms obeyed") >= 2, "{:?}", played.met);
 }
 
 #[test]
 fn all_voters_are_killed_at_once_and_come_back() {
-    let played = with(5, 14_000.0, &[(3_000.0, 300.0, Who::Node(0), Trouble::KillVoters)]);
+    let played = with(
+        5,
+        14_000.0,
+        &[(3_000.0, 300.0, Who::Node(0), Trouble::KillVoters)],
+    );
     assert!(met(&played, "terms obeyed") >= 2, "{:?}", played.met);
 }
 
 #[test]
 fn a_voter_with_yesterdays_file_does_not_vote_under_its_old_name() {
-    let played = with(3, 20_000.0, &[(8_000.0, 500.0, Who::Node(1), Trouble::FileOld)]);
+    let played = with(
+        3,
+        20_000.0,
+        &[(8_000.0, 500.0, Who::Node(1), Trouble::FileOld)],
+    );
     assert_eq!(met(&played, "a file of before was put back"), 1);
     assert_eq!(met(&played, "old files"), 1, "{:?}", played.met);
 }
@@ -127,16 +154,33 @@
 
 #[test]
 fn the_disk_of_the_holders_voter_is_full_and_nothing_else_happens() {
-    let played = with(3, 12_000.0, &[(3_000.0, 5_000.0, Who::Holder, Trouble::DiskFails)]);
-    assert_eq!(met(&played, "terms obeyed"), 1, "two others vote: {:?}", played.met);
+    let played = with(
+        3,
+        12_000.0,
+        &[(3_000.0, 5_000.0, Who::Holder, Trouble::DiskFails)],
+    );
+    assert_eq!(
+        met(&played, "terms obeyed"),
+        1,
+        "two others vote: {:?}",
+        played.met
+    );
 }
 
 #[test]
 fn a_clock_jumps_by_an_hour_both_ways() {
     for hour in [3_600_000.0, -3_600_000.0] {
         for who in [Who::Holder, Who::Node(1), Who::Node(5)] {
-            with(3, 12_000.0, &[(3_000.0, 0.0, who, Trouble::ClockJump(hour))]);
-            with(3, 12_000.0, &[(3_000.0, 0.0, who, Trouble::TargetClock(hour))]);
+            with(
+                3,
+                12_000.0,
+                &[(3_000.0, 0.0, who, Trouble::ClockJump(hour))],
+            );
+            with(
+                3,
+                12_000.0,
+                &[(3_000.0, 0.0, who, Trouble::TargetClock(hour))],
+            );
         }
     }
 }
@@ -157,28 +201,50 @@
 #[test]
 fn a_contender_that_loses_for_ever_keeps_nobody_from_winning() {
     // It asks and never hears, so it knows nothing of the holder, and outbids it again and again.
-    let deaf = Trouble::CutOff { out: false, back: true };
+    let deaf = Trouble::CutOff {
+        out: false,
+        back: true,
+    };
     for node in 0..3 {
-        let played = with(3, 40_000.0, &[(3_000.0, 30_000.0, Who::Node(node), deaf.clone())]);
+        let played = with(
+            3,
+            40_000.0,
+            &[(3_000.0, 30_000.0, Who::Node(node), deaf.clone())],
+        );
         let terms = met(&played, "terms obeyed");
-        assert!(terms <= 2, "the deaf one held it at first or nobody lost it: {terms}");
+        assert!(
+            terms <= 2,
+            "the deaf one held it at first or nobody lost it: {terms}"
+        );
         assert!(met(&played, "leases over") <= 1, "{:?}", played.met);
     }
 }
 
 #[test]
 fn seven_in_ten_are_killed_at_once_the_holder_among_them() {
-    let played = with(3, 16_000.0, &[(3_000.0, 3_000.0, Who::Holder, Trouble::KillMany(0.7))]);
+    let played = with(
+        3,
+        16_000.0,
+        &[(3_000.0, 3_000.0, Who::Holder, Trouble::KillMany(0.7))],
+    );
     assert!(met(&played, "terms obeyed") >= 2, "{:?}", played.met);
 }
 
 #[test]
 fn in_order_a_duty_is_handed_over_within_a_tenth_of_a_second() {
     for to in 0..8 {
-        let played = with(3, 8_000.0, &[(4_000.0, 0.0, Who::Holder, Trouble::HandOver { to })]);
+        let played = with(
+            3,
+            8_000.0,
+            &[(4_000.0, 0.0, Who::Holder, Trouble::HandOver { to })],
+        );
         assert!(without(&played) < 100.0, "to {to}: {:?}", played.without);
     }
-    let played = with(3, 8_000.0, &[(4_000.0, 2_000.0, Who::Holder, Trouble::Stop)]);
+    let played = with(
+        3,
+        8_000.0,
+        &[(4_000.0, 2_000.0, Who::Holder, Trouble::Stop)],
+    );
     assert!(without(&played) < 150.0, "{:?}", played.without);
 }
 
@@ -193,7 +259,11 @@
             (5_500.0, 0.0, Who::Node(1), Trouble::TargetAgain),
         ],
     );
-    assert!(met(&played, "act refused: asked first") >= 4, "{:?}", played.met);
+    assert!(
+        met(&played, "act refused: asked first") >= 4,
+        "{:?}",
+        played.met
+    );
 }
 
 #[test]
@@ -202,7 +272,11 @@
         let played = play(&draw(seed, &SHAPES[0]));
         assert_eq!(played.breaches, [], "seed {seed}: {:#?}", played.story);
         if seed % 10 == 1 {
-            assert_eq!(play(&draw(seed, &SHAPES[0])).digest, played.digest, "seed {seed}");
+            assert_eq!(
+                play(&draw(seed, &SHAPES[0])).digest,
+                played.digest,
+                "seed {seed}"
+            );
         }
     }
 }
--- a/crates/faults/tests/duties_figures.rs
+++ b/crates/faults/tests/duties_figures.rs
@@ -7,9 +7,17 @@
 fn quantiles(mut all: Vec<f64>) -> String {
     all.sort_by(f64::total_cmp);
     let at = |part: f64| {
-        all.get((part * all.len().saturating_sub(1) as f64) as usize).copied().unwrap_or(f64::NAN)
+        all.get((part * all.len().saturating_sub(1) as f64) as usize)
+            .copied()
+            .unwrap_or(f64::NAN)
     };
-    format!("{} times, p50 {:.0}, p99 {:.0}, worst {:.0}", all.len(), at(0.5), at(0.99), at(1.0))
+    format!(
+        "{} times, p50 {:.0}, p99 {:.0}, worst {:.0}",
+        all.len(),
+        at(0.5),
+        at(0.99),
+        at(1.0)
+    )
 }
 
 #[test]
@@ -21,7 +29,13 @@
             ("stop", Trouble::Stop),
             ("killed", Trouble::Kill),
             ("stopped", Trouble::Sleep),
-            ("cut off", Trouble::CutOff { out: true, back: true }),
+            (
+                "cut off",
+                Trouble::CutOff {
+                    out: true,
+                    back: true,
+                },
+            ),
         ];
         for (name, trouble) in kinds {
             let mut without = Vec::new();
@@ -30,10 +44,17 @@
                 plan.beat = lease / 5.0;
                 let begin = 3.0 * lease + (seed % 97) as f64 / 97.0 * lease;
                 let trouble = match trouble {
-                    Trouble::HandOver { .. } => Trouble::HandOver { to: seed as usize % 9 },
+                    Trouble::HandOver { .. } => Trouble::HandOver {
+                        to: seed as usize % 9,
+                    },
                     ref other => other.clone(),
                 };
-                plan.troubles.push(Spell { begin, end: begin + 2.0 * lease, who: Who::Holder, trouble });
+                plan.troubles.push(Spell {
+                    begin,
+                    end: begin + 2.0 * lease,
+                    who: Who::Holder,
+                    trouble,
+                });
                 let played = play(&plan);
                 assert_eq!(played.breaches, []);
                 without.extend(played.without.iter().map(|(_, ms)| *ms));
@@ -56,7 +77,10 @@
             terms += played.met["terms obeyed"] - 1;
             hours += plan.length / 3.6e6;
         }
-        println!("loss {loss}: {terms} handovers in {hours:.0} hours, {:.2} an hour", terms as f64 / hours);
+        println!(
+            "loss {loss}: {terms} handovers in {hours:.0} hours, {:.2} an hour",
+            terms as f64 / hours
+        );
     }
 }
 
@@ -69,7 +93,11 @@
         (plan.weigh, plan.tell_every) = (true, 200.0);
         let quiet = play(&plan);
         let seconds = length / 1000.0;
-        for (who, number) in [("voters", 3), ("holder", 1), ("members", members.saturating_sub(4).max(1))] {
+        for (who, number) in [
+            ("voters", 3),
+            ("holder", 1),
+            ("members", members.saturating_sub(4).max(1)),
+        ] {
             let (messages, bytes) = quiet.messages.get(who).copied().unwrap_or_default();
             let each = number as f64 * seconds;
             println!(
@@ -78,7 +106,10 @@
                 bytes as f64 / each
             );
         }
-        println!("{members} members: {:.1} syncs/s at a voter", quiet.syncs as f64 / seconds / 3.0);
+        println!(
+            "{members} members: {:.1} syncs/s at a voter",
+            quiet.syncs as f64 / seconds / 3.0
+        );
         let (mut rebuilt, mut voters) = (Vec::new(), 0u64);
         for seed in 0..10 {
             let mut plan = Plan::quiet(seed, 3, members, 1000.0, length);
@@ -94,7 +125,10 @@
             rebuilt.extend(played.rebuilt.iter().skip(1));
             voters += played.messages.get("voters").map_or(0, |m| m.0);
         }
-        println!("{members} members: roll whole after a kill, ms: {}", quantiles(rebuilt));
+        println!(
+            "{members} members: roll whole after a kill, ms: {}",
+            quantiles(rebuilt)
+        );
         println!(
             "{members} members, with a kill: {:.1} messages/s at a voter",
             voters as f64 / 10.0 / 3.0 / seconds
--- a/crates/faults/tests/duties_planted.rs
+++ b/crates/faults/tests/duties_planted.rs
@@ -10,7 +10,10 @@
     plant(Some(fault));
     let found = (1..=most).find_map(|seed| {
         let played = play(&draw(seed, shape));
-        played.breaches.first().map(|breach| (seed, format!("{} {}", breach.kind, breach.what)))
+        played
+            .breaches
+            .first()
+            .map(|breach| (seed, format!("{} {}", breach.kind, breach.what)))
     });
     plant(None);
     found
@@ -19,8 +22,13 @@
 /// Those that the first seeds find.
 #[test]
 fn some_planted_faults_are_found_soon() {
-    let soon =
-        [Plant::NoWait, Plant::TermKept, Plant::OldTermObeyed, Plant::PromiseBroken, Plant::ValueOverlooked];
+    let soon = [
+        Plant::NoWait,
+        Plant::TermKept,
+        Plant::OldTermObeyed,
+        Plant::PromiseBroken,
+        Plant::ValueOverlooked,
+    ];
     std::thread::scope(|scope| {
         for fault in soon {
             scope.spawn(move || assert!(first(fault, &SHAPES[0], 20).is_some(), "{fault:?}"));
@@ -40,9 +48,13 @@
     let found: Vec<_> = std::thread::scope(|scope| {
         let duties = Plant::ALL.iter().map(|fault| (*fault, &SHAPES[0]));
         let all = duties.chain(Plant::OF_RELEASES.iter().map(|fault| (*fault, &SHAPES[1])));
-        let threads: Vec<_> =
-            all.map(|(fault, shape)| (fault, scope.spawn(move || first(fault, shape, 3000)))).collect();
-        threads.into_iter().map(|(fault, thread)| (fault, thread.join().expect("it plays"))).collect()
+        let threads: Vec<_> = all
+            .map(|(fault, shape)| (fault, scope.spawn(move || first(fault, shape, 3000))))
+            .collect();
+        threads
+            .into_iter()
+            .map(|(fault, thread)| (fault, thread.join().expect("it plays")))
+            .collect()
     });
     for (fault, found) in &found {
         match found {
--- a/crates/faults/tests/explored.rs
+++ b/crates/faults/tests/explored.rs
@@ -20,29 +20,80 @@
     changes: false,
 };
 /// The first half of a try is one step.
-const HALVES: Small =
-    Small { twice: 0, late: 0, voter_restarts: 0, restarts: 0, ticks: 7, halves: true, ..EVERY_ORDER };
-const VOTER_AGAIN: Small = Small { voter_restarts: 1, ticks: 1, ..HALVES };
+const HALVES: Small = Small {
+    twice: 0,
+    late: 0,
+    voter_restarts: 0,
+    restarts: 0,
+    ticks: 7,
+    halves: true,
+    ..EVERY_ORDER
+};
+const VOTER_AGAIN: Small = Small {
+    voter_restarts: 1,
+    ticks: 1,
+    ..HALVES
+};
 /// One holds the duty and renews it; answers come late.
-const HELD: Small = Small { held: true, late: 2, tries: 1, ticks: 12, ..HALVES };
+const HELD: Small = Small {
+    held: true,
+    late: 2,
+    tries: 1,
+    ticks: 12,
+    ..HALVES
+};
 /// Four voters; each contender lets another in.
-const CHANGES: Small = Small { voters: 4, spare: 2, ticks: 1, changes: true, ..HALVES };
+const CHANGES: Small = Small {
+    voters: 4,
+    spare: 2,
+    ticks: 1,
+    changes: true,
+    ..HALVES
+};
 
 /// One try each, whole messages lost or not, nothing else: all of it can be seen.
-const ONE_TRY: Small =
-    Small { tries: 1, ticks: 0, twice: 0, late: 0, voter_restarts: 0, restarts: 0, ..EVERY_ORDER };
+const ONE_TRY: Small = Small {
+    tries: 1,
+    ticks: 0,
+    twice: 0,
+    late: 0,
+    voter_restarts: 0,
+    restarts: 0,
+    ..EVERY_ORDER
+};
 /// The same with a voter that starts again in between.
-const ONE_TRY_AGAIN: Small = Small { voter_restarts: 1, ..ONE_TRY };
+const ONE_TRY_AGAIN: Small = Small {
+    voter_restarts: 1,
+    ..ONE_TRY
+};
 
 /// A release over three with room for one, halted at every point.
-const HALTED: SmallRelease =
-    SmallRelease { failures: 1, losses: 1, successions: 1, halts: 1, resumes: 1, back: false };
+const HALTED: SmallRelease = SmallRelease {
+    failures: 1,
+    losses: 1,
+    successions: 1,
+    halts: 1,
+    resumes: 1,
+    back: false,
+};
 /// The same, and it goes back.
-const BACK: SmallRelease = SmallRelease { failures: 0, resumes: 0, back: true, ..HALTED };
+const BACK: SmallRelease = SmallRelease {
+    failures: 0,
+    resumes: 0,
+    back: true,
+    ..HALTED
+};
 
 fn tell(name: &str, found: &Explored) {
-    let whole = if found.whole { "all there are" } else { "as far as asked" };
-    println!("{name}: {} states, {} steps, {whole}", found.states, found.depth);
+    let whole = if found.whole {
+        "all there are"
+    } else {
+        "as far as asked"
+    };
+    println!(
+        "{name}: {} states, {} steps, {whole}",
+        found.states, found.depth
+    );
 }
 
 #[test]
@@ -74,7 +125,10 @@
 
 #[test]
 fn planted_faults_of_releases_are_found_with_their_steps() {
-    for (fault, says) in [(Plant::ToldBeforeAgreed, "turn"), (Plant::TurnTwice, "turns")] {
+    for (fault, says) in [
+        (Plant::ToldBeforeAgreed, "turn"),
+        (Plant::TurnTwice, "turns"),
+    ] {
         plant(Some(fault));
         let found = wander(&HALTED, 1, 20_000, 60);
         plant(None);
@@ -90,7 +144,10 @@
     let found = wander(&VOTER_AGAIN, 1, 100_000, 30);
     plant(None);
     let (_, what, story) = found.expect("it is found");
-    assert!(what.contains("given twice") || what.contains("two values"), "{what}: {story:?}");
+    assert!(
+        what.contains("given twice") || what.contains("two values"),
+        "{what}: {story:?}"
+    );
 }
 
 /// Farther, and every planted fault:
@@ -125,11 +182,15 @@
             scope.spawn(move || {
                 plant(Some(fault));
                 let found = cases.iter().find_map(|(name, case)| {
-                    wander(case, 1, 4_000, 40).map(|(walks, what, story)| (name, walks, what, story))
+                    wander(case, 1, 4_000, 40)
+                        .map(|(walks, what, story)| (name, walks, what, story))
                 });
                 match found {
                     Some((name, walks, what, story)) => {
-                        println!("{fault:?}: {name}, walk {walks}: {what}: {}", story.join("; "));
+                        println!(
+                            "{fault:?}: {name}, walk {walks}: {what}: {}",
+                            story.join("; ")
+                        );
                     }
                     None => println!("{fault:?}: not found"),
                 }
--- a/crates/faults/tests/named.rs
+++ b/crates/faults/tests/named.rs
@@ -10,7 +10,12 @@
 use std::rc::Rc;
 
 fn at(at: f64, trouble: Trouble, whom: &[&str], length: f64) -> Fault {
-    Fault { at, length, trouble, whom: whom.iter().map(|w| (*w).to_owned()).collect() }
+    Fault {
+        at,
+        length,
+        trouble,
+        whom: whom.iter().map(|w| (*w).to_owned()).collect(),
+    }
 }
 
 /// Plays the tasks of some seeds with these faults and no others.
@@ -30,7 +35,12 @@
 fn a_dispatcher_restarts_at_the_instant_a_host_drains() {
     for beside in [-1.0, 0.0, 1.0] {
         let drain = at(3000.0, Trouble::Drain, &["writer-1"], 2000.0);
-        let again = at(5000.0 + beside, Trouble::Drain, &["reader-1", "writer-2"], 1500.0);
+        let again = at(
+            5000.0 + beside,
+            Trouble::Drain,
+            &["reader-1", "writer-2"],
+            1500.0,
+        );
         let kill = at(2800.0 + beside, Trouble::Kill, &["0"], 200.0);
         let stop = at(5000.0, Trouble::Stop, &["1"], 300.0);
         let played = plan(&[drain, again, kill, stop]);
@@ -42,8 +52,18 @@
 fn all_writers_of_a_cell_are_gone_in_one_step() {
     for trouble in [Trouble::Die, Trouble::Vanish, Trouble::Cut] {
         // Writers 1 and 2 are the first of their zones; 3 shares the second cell with none here.
-        plan(&[at(3000.0, trouble.clone(), &["writer-1", "writer-3"], 2000.0)]);
-        plan(&[at(3000.0, trouble, &["writer-1", "writer-2", "writer-3", "writer-4"], 1000.0)]);
+        plan(&[at(
+            3000.0,
+            trouble.clone(),
+            &["writer-1", "writer-3"],
+            2000.0,
+        )]);
+        plan(&[at(
+            3000.0,
+            trouble,
+            &["writer-1", "writer-2", "writer-3", "writer-4"],
+            1000.0,
+        )]);
     }
 }
 
@@ -65,7 +85,9 @@
         let die = at(3000.0, Trouble::Die, &["writer-1", "reader-2"], length);
         let vanish = at(6000.0, Trouble::Vanish, &["writer-2", "reader-1"], length);
         let played = plan(&[die, vanish]);
-        assert!(played.iter().all(|p| p.met.contains_key("launch at a cold host")));
+        assert!(played
+            .iter()
+            .all(|p| p.met.contains_key("launch at a cold host")));
     }
 }
 
@@ -74,7 +96,14 @@
 #[test]
 fn a_client_comes_back_before_its_first_try_has_an_end() {
     let kills: Vec<Fault> = (1..8)
-        .map(|n| at(1000.0 * f64::from(n), Trouble::Kill, &[["0", "1"][n as usize % 2]], 1.0))
+        .map(|n| {
+            at(
+                1000.0 * f64::from(n),
+                Trouble::Kill,
+                &[["0", "1"][n as usize % 2]],
+                1.0,
+            )
+        })
         .collect();
     let played = plan(&kills);
     assert!(played.iter().any(|p| p.met["try"] > 100), "some come back");
@@ -94,7 +123,11 @@
 #[test]
 fn a_state_let_go_at_499_ms_is_in_time_and_one_at_501_is_not() {
     for (after, breaches) in [(499.0, 0), (501.0, 1)] {
-        let state = Some(v1::StateId { run: 7, task: 1, launch: 0 });
+        let state = Some(v1::StateId {
+            run: 7,
+            task: 1,
+            launch: 0,
+        });
         let record = |at: f64, way: Way, stream: u64, body: Body| Record {
             at,
             seer: Rc::from("reader-1"),
@@ -102,15 +135,30 @@
             conn: 1,
             what: What::Frame(way, frame(stream, body)),
         };
-        let ended = v1::Ended { status: v1::Status::ReadDone.into(), state, ..v1::Ended::default() };
+        let ended = v1::Ended {
+            status: v1::Status::ReadDone.into(),
+            state,
+            ..v1::Ended::default()
+        };
         let records = [
-            record(1000.0, Way::In, 1, Body::Read(v1::Read { state, ..v1::Read::default() })),
+            record(
+                1000.0,
+                Way::In,
+                1,
+                Body::Read(v1::Read {
+                    state,
+                    ..v1::Read::default()
+                }),
+            ),
             record(1100.0, Way::Out, 1, Body::Ended(ended)),
             record(
                 1100.0 + after,
                 Way::In,
                 2,
-                Body::Release(v1::Release { state, ..v1::Release::default() }),
+                Body::Release(v1::Release {
+                    state,
+                    ..v1::Release::default()
+                }),
             ),
             record(9000.0, Way::In, 3, Body::Probe(v1::Probe {})),
         ];
@@ -135,9 +183,18 @@
     // Whoever may take a second to be told of a drain breaks a rule that allows less.
     day.list_delay = 0.0;
     day.service.policy.answer_grace = -5_000.0;
-    let first: Breach = play(&day).expect("it plays").breaches.into_iter().next().expect("a breach");
+    let first: Breach = play(&day)
+        .expect("it plays")
+        .breaches
+        .into_iter()
+        .next()
+        .expect("a breach");
     assert_eq!(first.kind, "TaskLost", "{first:?}");
     let shrunk = shrink(&day, &first, 200).expect("it plays");
-    assert!(shrunk.day.faults.is_empty() && shrunk.day.habits.tasks.len() == 1, "{:?}", shrunk.day.faults);
+    assert!(
+        shrunk.day.faults.is_empty() && shrunk.day.habits.tasks.len() == 1,
+        "{:?}",
+        shrunk.day.faults
+    );
     assert_eq!(shrunk.breach.kind, first.kind);
 }
--- a/crates/faults/tests/planted.rs
+++ b/crates/faults/tests/planted.rs
@@ -28,14 +28,22 @@
     let seed = found.into_inner();
     (seed <= SEEDS).then(|| {
         let played = play(&day(seed, shape)).expect("it plays");
-        (seed, format!("{} {}", played.breaches[0].kind, played.breaches[0].what))
+        (
+            seed,
+            format!("{} {}", played.breaches[0].kind, played.breaches[0].what),
+        )
     })
 }
 
 /// Those that the first seeds find; one test at a time, as a planted fault is in every ledger of the process.
 #[test]
 fn some_planted_faults_are_found_soon() {
-    for fault in [Plant::ReleaseForgotten, Plant::DrainUnread, Plant::FinalLost, Plant::TokensTwice] {
+    for fault in [
+        Plant::ReleaseForgotten,
+        Plant::DrainUnread,
+        Plant::FinalLost,
+        Plant::TokensTwice,
+    ] {
         plant(Some(fault));
         let found = first(&SHAPES[0]).expect("it is found");
         assert!(found.0 <= 20, "{fault:?} by seed {}", found.0);
@@ -59,7 +67,14 @@
     }
     plant(None);
     for seed in 1..=20 {
-        assert_eq!(play(&day(seed, plain)).expect("it plays").breaches, [], "seed {seed} without a fault");
+        assert_eq!(
+            play(&day(seed, plain)).expect("it plays").breaches,
+            [],
+            "seed {seed} without a fault"
+        );
     }
-    assert!(missed.is_empty(), "not found within {SEEDS} seeds: {missed:?}");
+    assert!(
+        missed.is_empty(),
+        "not found within {SEEDS} seeds: {missed:?}"
+    );
 }
--- a/crates/faults/tests/releases.rs
+++ b/crates/faults/tests/releases.rs
@@ -39,7 +39,12 @@
 }
 
 fn spell(begin: f64, lasts: f64, who: Who, trouble: Trouble) -> Spell {
-    Spell { begin, end: begin + lasts, who, trouble }
+    Spell {
+        begin,
+        end: begin + lasts,
+        who,
+        trouble,
+    }
 }
 
 fn op(at: f64, node: usize, act: Act) -> Op {
@@ -55,7 +60,8 @@
     for step in 0..8 {
         let at = FIRST - 25.0 + 6.0 * f64::from(step);
         let (played, released) = with(Of::Dispatchers, 2, |plan| {
-            plan.troubles.push(spell(at, 800.0, Who::Holder, Trouble::Kill));
+            plan.troubles
+                .push(spell(at, 800.0, Who::Holder, Trouble::Kill));
         });
         assert!(met(&played, "terms obeyed") >= 2);
         assert_eq!(released.state, "done", "killed at {at}: {released:?}");
@@ -66,23 +72,31 @@
 fn a_member_that_dies_in_its_turn_is_waited_for() {
     let (_, released) = with(Of::Dispatchers, 3, |plan| {
         for node in 0..9 {
-            plan.troubles.push(spell(4_300.0, 3_000.0, Who::Node(node), Trouble::Kill));
+            plan.troubles
+                .push(spell(4_300.0, 3_000.0, Who::Node(node), Trouble::Kill));
         }
         // All at once would leave no voter: only those that do not vote.
         plan.troubles.retain(|t| !matches!(t.who, Who::Node(0..=2)));
     });
-    assert!(matches!(released.state.as_str(), "done" | "halted"), "{released:?}");
+    assert!(
+        matches!(released.state.as_str(), "done" | "halted"),
+        "{released:?}"
+    );
 }
 
 #[test]
 fn a_zone_that_is_lost_in_the_middle_of_a_wave_holds_or_halts_it() {
     let (_, released) = with(Of::Dispatchers, 4, |plan| {
-        plan.troubles.push(spell(8_000.0, 6_000.0, Who::Node(0), Trouble::ZoneLost(2)));
+        plan.troubles
+            .push(spell(8_000.0, 6_000.0, Who::Node(0), Trouble::ZoneLost(2)));
         plan.length = 90_000.0;
     });
     // Three of a zone were out where one may be.
     assert_eq!(released.state, "halted", "{released:?}");
-    assert!(released.why.contains("more are out than may be"), "{released:?}");
+    assert!(
+        released.why.contains("more are out than may be"),
+        "{released:?}"
+    );
 }
 
 #[test]
@@ -93,13 +107,19 @@
                 7_000.0,
                 lasts,
                 Who::Node(7),
-                Trouble::CutOff { out: true, back: true },
+                Trouble::CutOff {
+                    out: true,
+                    back: true,
+                },
             ));
             release(plan).ops.push(op(7_100.0, 7, Act::Halt));
         });
         assert_eq!(met(&played, "halt acknowledged"), 1);
         assert_eq!(released.state, "halted");
-        assert!(released.halt_acknowledged[0] >= lasts - 150.0 || lasts > 1_000.0, "{released:?}");
+        assert!(
+            released.halt_acknowledged[0] >= lasts - 150.0 || lasts > 1_000.0,
+            "{released:?}"
+        );
     }
 }
 
@@ -122,7 +142,10 @@
         let second = release(plan).ops[0].act.clone();
         release(plan).ops.push(op(4_000.1, 5, second));
     });
-    assert_eq!(met(&played, "order refused: another release is not done"), 1);
+    assert_eq!(
+        met(&played, "order refused: another release is not done"),
+        1
+    );
     assert_eq!((released.state.as_str(), released.begun), ("done", 9));
 }
 
@@ -151,7 +174,10 @@
 fn a_host_that_is_never_listed_again_halts_the_drain() {
     let (_, released) = with(Of::Hosts, 10, |plan| release(plan).away = 1e9);
     assert_eq!((released.state.as_str(), released.begun), ("halted", 1));
-    assert!(released.why.contains("is not back within its time"), "{released:?}");
+    assert!(
+        released.why.contains("is not back within its time"),
+        "{released:?}"
+    );
 }
 
 #[test]
@@ -159,7 +185,8 @@
     let (_, released) = with(Of::Hosts, 11, |plan| {
         release(plan).bounds.1.used_per_mille = 900;
         release(plan).bounds.1.report_age_ms = 1_000;
-        plan.troubles.push(spell(1_000.0, 59_000.0, Who::Node(0), Trouble::ReportsStop));
+        plan.troubles
+            .push(spell(1_000.0, 59_000.0, Who::Node(0), Trouble::ReportsStop));
     });
     assert_eq!(released.begun, 0, "{released:?}");
     assert!(released.why.contains("or nobody knows"), "{released:?}");
@@ -179,7 +206,8 @@
 #[test]
 fn seven_in_ten_killed_during_a_release_halt_it_and_it_goes_on_when_told() {
     let (_, released) = with(Of::Dispatchers, 13, |plan| {
-        plan.troubles.push(spell(8_000.0, 5_000.0, Who::Holder, Trouble::KillMany(0.7)));
+        plan.troubles
+            .push(spell(8_000.0, 5_000.0, Who::Holder, Trouble::KillMany(0.7)));
         release(plan).after_halt = Some(Act::Resume);
         plan.length = 90_000.0;
     });
@@ -193,7 +221,10 @@
         release(plan).shrinks = Some((7_000.0, gone.clone()));
         release(plan).bounds.0.zone.number = 1;
     });
-    assert!(missed.begun < 9 && matches!(missed.state.as_str(), "running" | "held" | "halted"), "{missed:?}");
+    assert!(
+        missed.begun < 9 && matches!(missed.state.as_str(), "running" | "held" | "halted"),
+        "{missed:?}"
+    );
     let (played, released) = with(Of::Dispatchers, 14, |plan| {
         release(plan).shrinks = Some((7_000.0, gone));
         release(plan).ops.push(op(60_000.0, 1, Act::Recount));
@@ -208,11 +239,16 @@
 fn a_third_that_joins_in_the_middle_turns_too() {
     let (_, released) = with(Of::Dispatchers, 14, |plan| {
         for node in 6..9 {
-            plan.troubles.push(spell(210.0, 8_000.0, Who::Node(node), Trouble::Kill));
+            plan.troubles
+                .push(spell(210.0, 8_000.0, Who::Node(node), Trouble::Kill));
         }
         plan.length = 90_000.0;
     });
-    assert_eq!((released.state.as_str(), released.begun), ("done", 9), "{released:?}");
+    assert_eq!(
+        (released.state.as_str(), released.begun),
+        ("done", 9),
+        "{released:?}"
+    );
 }
 
 #[test]
@@ -223,9 +259,15 @@
         plan.length = 90_000.0;
     });
     assert_eq!(met(&played, "halted by a sign: worse"), 1);
-    assert!(released.turned_before_halt.is_some_and(|n| n <= 3), "{released:?}");
+    assert!(
+        released.turned_before_halt.is_some_and(|n| n <= 3),
+        "{released:?}"
+    );
     assert_eq!(released.state, "done", "{released:?}");
-    assert!(released.whole.is_some(), "all are back under the old label: {released:?}");
+    assert!(
+        released.whole.is_some(),
+        "all are back under the old label: {released:?}"
+    );
 }
 
 #[test]
@@ -254,7 +296,8 @@
 fn a_burst_that_harms_everybody_halts_no_good_version() {
     for seed in 0..6 {
         let (_, released) = with(Of::Dispatchers, 100 + seed, |plan| {
-            plan.troubles.push(spell(6_000.0, 4_000.0, Who::Node(0), Trouble::Burst(0.4)));
+            plan.troubles
+                .push(spell(6_000.0, 4_000.0, Who::Node(0), Trouble::Burst(0.4)));
         });
         assert_eq!(released.halts_by_sign, 0, "{released:?}");
         assert_eq!(released.state, "done");
@@ -264,7 +307,9 @@
 #[test]
 fn a_supervisor_that_asks_has_its_turn_within_the_bounds() {
     let (played, _) = with(Of::Dispatchers, 18, |plan| {
-        release(plan).ops = (0..9).map(|node| op(4_000.0, node, Act::Turn(node))).collect();
+        release(plan).ops = (0..9)
+            .map(|node| op(4_000.0, node, Act::Turn(node)))
+            .collect();
     });
     assert_eq!(met(&played, "turn by request"), 9, "{:?}", played.met);
     assert_eq!(met(&played, "turn begun"), 9);
@@ -273,7 +318,10 @@
 #[test]
 fn some_seeds_break_nothing_and_play_the_same_twice() {
     use cindercleat_faults::duties::draw::{draw, SHAPES};
-    let shape = SHAPES.iter().find(|s| s.name == "release").expect("there is one");
+    let shape = SHAPES
+        .iter()
+        .find(|s| s.name == "release")
+        .expect("there is one");
     for seed in 1..12 {
         let played = play(&draw(seed, shape));
         assert_eq!(played.breaches, [], "seed {seed}: {:#?}", played.story);
--- a/crates/faults/tests/seeds.rs
+++ b/crates/faults/tests/seeds.rs
@@ -20,7 +20,11 @@
                 let played = play(&day).expect("it plays");
                 assert_eq!(played.breaches, [], "{} seed {seed}", shape.name);
                 if twice {
-                    assert_eq!(play(&day).expect("it plays").digest, played.digest, "seed {seed} twice");
+                    assert_eq!(
+                        play(&day).expect("it plays").digest,
+                        played.digest,
+                        "seed {seed} twice"
+                    );
                 }
                 let mut met = met.lock().expect("no thread failed");
                 for (what, n) in played.met {
@@ -38,13 +42,25 @@
     // Seeds that reach nothing prove nothing.
     for profile in ["caption-draft", "proof-send", "proof-page"] {
         for answer in ["fulfilled", "bounced", "written off"] {
-            assert!(met.contains_key(&format!("{profile} {answer}")), "{profile} is never {answer}");
+            assert!(
+                met.contains_key(&format!("{profile} {answer}")),
+                "{profile} is never {answer}"
+            );
         }
     }
-    for what in
-        ["said full", "said no state", "said failed", "said cancelled", "drain told", "launch at a cold host"]
-    {
-        assert!(met.get(what).is_some_and(|n| *n > 20), "{what}: {:?}", met.get(what));
+    for what in [
+        "said full",
+        "said no state",
+        "said failed",
+        "said cancelled",
+        "drain told",
+        "launch at a cold host",
+    ] {
+        assert!(
+            met.get(what).is_some_and(|n| *n > 20),
+            "{what}: {:?}",
+            met.get(what)
+        );
     }
     let faults = met.keys().filter(|what| what.starts_with("fault ")).count();
     assert!(faults >= 22, "{faults} kinds of fault");
--- a/crates/fleet/src/ask.rs
+++ b/crates/fleet/src/ask.rs
@@ -24,7 +24,10 @@
 ) -> Result<Answer, String> {
     let until = clock.now() + within;
     let asked = async {
-        let stream = transport.connect(address).await.map_err(|e| e.to_string())?;
+        let stream = transport
+            .connect(address)
+            .await
+            .map_err(|e| e.to_string())?;
         let setup = Setup {
             party: v1::Party::Client,
             name: "operator".to_owned(),
@@ -33,15 +36,24 @@
             most_message: MOST_MESSAGE,
             most_calls: 1,
         };
-        let Session { mut events, out, .. } = connect(stream, v1::Party::Fleet, setup).await?;
+        let Session {
+            mut events, out, ..
+        } = connect(stream, v1::Party::Fleet, setup).await?;
         out.send(frame(1, Body::FleetCall(question_out(question))));
         while let Some(event) = events.recv().await {
             match event {
-                Event::Frame(Frame { body: Some(Body::FleetAnswer(said)), .. }) => {
+                Event::Frame(Frame {
+                    body: Some(Body::FleetAnswer(said)),
+                    ..
+                }) => {
                     out.close();
-                    return answer_in(said).ok_or_else(|| "an answer that cannot be read".to_owned());
+                    return answer_in(said)
+                        .ok_or_else(|| "an answer that cannot be read".to_owned());
                 }
-                Event::Frame(Frame { body: Some(Body::Goodbye(bye)), .. }) => return Err(bye.reason),
+                Event::Frame(Frame {
+                    body: Some(Body::Goodbye(bye)),
+                    ..
+                }) => return Err(bye.reason),
                 _ => {}
             }
         }
@@ -67,7 +79,15 @@
 ) -> Result<Reply, String> {
     let mut address = address.to_owned();
     for _ in 0..=PASSED_ON {
-        match ask(transport, clock, &address, &Question::Order(order.clone()), within).await? {
+        match ask(
+            transport,
+            clock,
+            &address,
+            &Question::Order(order.clone()),
+            within,
+        )
+        .await?
+        {
             Answer::Reply(Reply::Elsewhere(other)) => address = other.0.to_string(),
             Answer::Reply(reply) => return Ok(reply),
             _ => return Err(format!("{address}: another answer than was asked for")),
--- a/crates/fleet/src/care_words.rs
+++ b/crates/fleet/src/care_words.rs
@@ -47,18 +47,39 @@
 }
 
 pub(crate) fn tally_out(tally: &Tally) -> v1::FleetTally {
-    let Tally { fulfilled, bounced, written_off, late } = *tally;
-    v1::FleetTally { fulfilled, bounced, written_off, late }
+    let Tally {
+        fulfilled,
+        bounced,
+        written_off,
+        late,
+    } = *tally;
+    v1::FleetTally {
+        fulfilled,
+        bounced,
+        written_off,
+        late,
+    }
 }
 
 pub(crate) fn tally_in(said: Option<&v1::FleetTally>) -> Tally {
-    let Some(&v1::FleetTally { fulfilled, bounced, written_off, late }) = said else {
+    let Some(&v1::FleetTally {
+        fulfilled,
+        bounced,
+        written_off,
+        late,
+    }) = said
+    else {
         return Tally::default();
     };
     // Sums of them are not to overflow.
     let [fulfilled, bounced, written_off, late] =
         [fulfilled, bounced, written_off, late].map(|n| n.min(1 << 48));
-    Tally { fulfilled, bounced, written_off, late }
+    Tally {
+        fulfilled,
+        bounced,
+        written_off,
+        late,
+    }
 }
 
 pub(crate) fn report_out(report: &HostReport) -> v1::FleetHostReport {
@@ -73,21 +94,33 @@
 pub(crate) fn reports_in(said: &[v1::FleetHostReport]) -> Option<Vec<HostReport>> {
     let report = |r: &v1::FleetHostReport| {
         let used = match r.used {
-            Some(used) => Some((used, r.age_ms)).filter(|(u, a)| u.is_finite() && a.is_finite() && *a >= 0.0),
+            Some(used) => {
+                Some((used, r.age_ms)).filter(|(u, a)| u.is_finite() && a.is_finite() && *a >= 0.0)
+            }
             None => None,
         };
-        Some(HostReport { host: name(&r.host)?, used, tally: tally_in(r.tally.as_ref()) })
+        Some(HostReport {
+            host: name(&r.host)?,
+            used,
+            tally: tally_in(r.tally.as_ref()),
+        })
     };
     few(said, MOST_REPORTS)?.iter().map(report).collect()
 }
 
 fn most_out(most: Most) -> Option<v1::FleetMost> {
-    Some(v1::FleetMost { number: most.number, per_mille: most.per_mille })
+    Some(v1::FleetMost {
+        number: most.number,
+        per_mille: most.per_mille,
+    })
 }
 
 fn most_in(said: Option<&v1::FleetMost>) -> Option<Most> {
     let said = said?;
-    (said.per_mille <= 1000).then_some(Most { number: said.number, per_mille: said.per_mille })
+    (said.per_mille <= 1000).then_some(Most {
+        number: said.number,
+        per_mille: said.per_mille,
+    })
 }
 
 fn bounds_out(bounds: &Bounds) -> v1::FleetBounds {
@@ -172,7 +205,10 @@
 pub(crate) fn plan_in(said: Option<&v1::FleetPlan>) -> Option<Plan> {
     let said = said?;
     let list = |all: &[String]| -> Option<Vec<String>> {
-        few(all, MOST_NAMES)?.iter().map(|one| text(one).map(str::to_owned)).collect()
+        few(all, MOST_NAMES)?
+            .iter()
+            .map(|one| text(one).map(str::to_owned))
+            .collect()
     };
     // A plan that begins with none never begins.
     (said.first > 0 && said.grow_per_mille >= 1000).then_some(())?;
@@ -184,7 +220,10 @@
         zones: list(&said.zones)?,
         cells: list(&said.cells)?,
         kinds: list(&said.kinds)?,
-        names: few(&said.names, MOST_NAMES)?.iter().map(|n| name(n)).collect::<Option<_>>()?,
+        names: few(&said.names, MOST_NAMES)?
+            .iter()
+            .map(|n| name(n))
+            .collect::<Option<_>>()?,
         stays: said.stays,
         first: said.first,
         grow_per_mille: said.grow_per_mille,
@@ -196,15 +235,26 @@
 }
 
 fn left_out(left: &BTreeMap<Name, String>) -> Vec<v1::FleetLeft> {
-    left.iter().map(|(who, why)| v1::FleetLeft { who: who.0.to_string(), why: why.clone() }).collect()
+    left.iter()
+        .map(|(who, why)| v1::FleetLeft {
+            who: who.0.to_string(),
+            why: why.clone(),
+        })
+        .collect()
 }
 
 fn left_in(said: &[v1::FleetLeft]) -> Option<BTreeMap<Name, String>> {
-    few(said, MOST_LEFT)?.iter().map(|l| Some((name(&l.who)?, words(&l.why)?))).collect()
+    few(said, MOST_LEFT)?
+        .iter()
+        .map(|l| Some((name(&l.who)?, words(&l.why)?)))
+        .collect()
 }
 
 fn release_out(release: &Release) -> v1::FleetRelease {
-    let reached = |(zone, at): (&String, &u64)| v1::FleetReached { zone: zone.clone(), at: *at };
+    let reached = |(zone, at): (&String, &u64)| v1::FleetReached {
+        zone: zone.clone(),
+        at: *at,
+    };
     v1::FleetRelease {
         plan: Some(plan_out(&release.plan)),
         bounds: Some(bounds_out(&release.bounds)),
@@ -221,7 +271,9 @@
 }
 
 fn release_in(said: &v1::FleetRelease) -> Option<Release> {
-    let reached = few(&said.reached, MOST_ZONES)?.iter().map(|r| Some((word(&r.zone)?, r.at)));
+    let reached = few(&said.reached, MOST_ZONES)?
+        .iter()
+        .map(|r| Some((word(&r.zone)?, r.at)));
     let again = few(&said.again, MOST_TURNS)?.iter().map(|n| name(n));
     Some(Release {
         plan: plan_in(said.plan.as_ref())?,
@@ -239,11 +291,20 @@
 }
 
 fn sizes_out(sizes: &Sizes) -> Vec<v1::FleetSize> {
-    sizes.iter().map(|(zone, size)| v1::FleetSize { zone: zone.clone(), size: *size }).collect()
+    sizes
+        .iter()
+        .map(|(zone, size)| v1::FleetSize {
+            zone: zone.clone(),
+            size: *size,
+        })
+        .collect()
 }
 
 fn sizes_in(said: &[v1::FleetSize]) -> Option<Sizes> {
-    few(said, MOST_ZONES)?.iter().map(|s| Some((word(&s.zone)?, s.size))).collect()
+    few(said, MOST_ZONES)?
+        .iter()
+        .map(|s| Some((word(&s.zone)?, s.size)))
+        .collect()
 }
 
 /// Nothing, where there is nothing of it.
@@ -261,7 +322,9 @@
 }
 
 pub(crate) fn care_in(said: Option<&v1::FleetCare>) -> Option<Care> {
-    let Some(said) = said else { return Some(Care::default()) };
+    let Some(said) = said else {
+        return Some(Care::default());
+    };
     let release = match &said.release {
         Some(release) => Some(Box::new(release_in(release)?)),
         None => None,
@@ -272,27 +335,41 @@
     };
     Some(Care {
         given: said.given,
-        turns: few(&said.turns, MOST_TURNS)?.iter().map(turn_in).collect::<Option<_>>()?,
+        turns: few(&said.turns, MOST_TURNS)?
+            .iter()
+            .map(turn_in)
+            .collect::<Option<_>>()?,
         release,
         halted,
         resumed: said.resumed,
         dispatchers: sizes_in(&said.dispatchers)?,
         hosts: sizes_in(&said.hosts)?,
-        notes: few(&said.notes, MOST_NOTES)?.iter().map(|n| words(n)).collect::<Option<_>>()?,
+        notes: few(&said.notes, MOST_NOTES)?
+            .iter()
+            .map(|n| words(n))
+            .collect::<Option<_>>()?,
     })
 }
 
 pub(crate) fn order_out(order: &ReleaseOrder) -> Q {
     match order {
-        ReleaseOrder::Start { plan, skip, dry } => {
-            Q::Start(v1::FleetStart { plan: Some(plan_out(plan)), skip: *skip, dry: *dry })
-        }
+        ReleaseOrder::Start { plan, skip, dry } => Q::Start(v1::FleetStart {
+            plan: Some(plan_out(plan)),
+            skip: *skip,
+            dry: *dry,
+        }),
         ReleaseOrder::Halt { why } => Q::Halt(v1::FleetHalt { why: why.clone() }),
         ReleaseOrder::Resume => Q::Resume(v1::FleetResume {}),
         ReleaseOrder::Back => Q::Back(v1::FleetBack {}),
         ReleaseOrder::End => Q::End(v1::FleetEnd {}),
-        ReleaseOrder::Recount { of } => Q::Recount(v1::FleetRecount { hosts: *of == Of::Hosts }),
-        ReleaseOrder::Turn { name, label, refused } => Q::WantTurn(v1::FleetWantTurn {
+        ReleaseOrder::Recount { of } => Q::Recount(v1::FleetRecount {
+            hosts: *of == Of::Hosts,
+        }),
+        ReleaseOrder::Turn {
+            name,
+            label,
+            refused,
+        } => Q::WantTurn(v1::FleetWantTurn {
             name: name.0.to_string(),
             label: label.clone(),
             refused: *refused,
@@ -305,29 +382,46 @@
     Some(Order::Release(match said {
         Q::Start(m) => {
             let plan = Box::new(plan_in(m.plan.as_ref())?);
-            ReleaseOrder::Start { plan, skip: m.skip, dry: m.dry }
+            ReleaseOrder::Start {
+                plan,
+                skip: m.skip,
+                dry: m.dry,
+            }
         }
-        Q::Halt(m) => ReleaseOrder::Halt { why: words(&m.why)? },
+        Q::Halt(m) => ReleaseOrder::Halt {
+            why: words(&m.why)?,
+        },
         Q::Resume(_) => ReleaseOrder::Resume,
         Q::Back(_) => ReleaseOrder::Back,
         Q::End(_) => ReleaseOrder::End,
         Q::Recount(m) => ReleaseOrder::Recount { of: of_in(m.hosts) },
-        Q::WantTurn(m) => {
-            ReleaseOrder::Turn { name: name(&m.name)?, label: word(&m.label)?, refused: m.refused }
-        }
+        Q::WantTurn(m) => ReleaseOrder::Turn {
+            name: name(&m.name)?,
+            label: word(&m.label)?,
+            refused: m.refused,
+        },
         Q::ByHand(m) => {
             let at = match m.address.is_empty() {
                 true => None,
                 false => Some(address(&m.address)?),
             };
-            return Some(Order::ByHand { who: name(&m.who)?, address: at, why: words(&m.why)? });
+            return Some(Order::ByHand {
+                who: name(&m.who)?,
+                address: at,
+                why: words(&m.why)?,
+            });
         }
         _ => return None,
     }))
 }
 
 pub(crate) fn ask_back_out(turn: TurnNo, of: Of, who: &Name, run: Run) -> Q {
-    Q::AskBack(v1::FleetAskBack { turn: turn.0, host: of == Of::Hosts, who: who.0.to_string(), run: run.0 })
+    Q::AskBack(v1::FleetAskBack {
+        turn: turn.0,
+        host: of == Of::Hosts,
+        who: who.0.to_string(),
+        run: run.0,
+    })
 }
 
 pub(crate) fn ask_back_in(m: &v1::FleetAskBack) -> Option<(TurnNo, Of, Name, Run)> {
@@ -341,9 +435,15 @@
         zone: zone.clone(),
         at: at.clone(),
     };
-    let room =
-        |(zone, out, most): &(String, u32, u32)| v1::FleetRoom { zone: zone.clone(), out: *out, most: *most };
-    let left = |(who, why): &(Name, String)| v1::FleetLeft { who: who.0.to_string(), why: why.clone() };
+    let room = |(zone, out, most): &(String, u32, u32)| v1::FleetRoom {
+        zone: zone.clone(),
+        out: *out,
+        most: *most,
+    };
+    let left = |(who, why): &(Name, String)| v1::FleetLeft {
+        who: who.0.to_string(),
+        why: why.clone(),
+    };
     v1::FleetCareStatus {
         name: status.name.clone(),
         hosts: status.of == Of::Hosts,
@@ -363,8 +463,17 @@
 }
 
 pub(crate) fn status_in(said: Option<&v1::FleetCareStatus>) -> Option<CareStatus> {
-    let Some(said) = said else { return Some(CareStatus::default()) };
-    let line = |l: &v1::FleetTurnLine| Some((TurnNo(l.number), name(&l.who)?, word(&l.zone)?, word(&l.at)?));
+    let Some(said) = said else {
+        return Some(CareStatus::default());
+    };
+    let line = |l: &v1::FleetTurnLine| {
+        Some((
+            TurnNo(l.number),
+            name(&l.who)?,
+            word(&l.zone)?,
+            word(&l.at)?,
+        ))
+    };
     let left = |l: &v1::FleetLeft| Some((name(&l.who)?, words(&l.why)?));
     let room = |r: &v1::FleetRoom| Some((word(&r.zone)?, r.out, r.most));
     Some(CareStatus {
@@ -378,9 +487,21 @@
         of_wave: said.of_wave,
         turned: said.turned,
         meant: said.meant,
-        turns: few(&said.turns, MOST_TURNS)?.iter().map(line).collect::<Option<_>>()?,
-        room: few(&said.room, MOST_ZONES + 1)?.iter().map(room).collect::<Option<_>>()?,
-        left: few(&said.left, MOST_LEFT)?.iter().map(left).collect::<Option<_>>()?,
-        notes: few(&said.notes, LONGEST)?.iter().map(|n| words(n)).collect::<Option<_>>()?,
+        turns: few(&said.turns, MOST_TURNS)?
+            .iter()
+            .map(line)
+            .collect::<Option<_>>()?,
+        room: few(&said.room, MOST_ZONES + 1)?
+            .iter()
+            .map(room)
+            .collect::<Option<_>>()?,
+        left: few(&said.left, MOST_LEFT)?
+            .iter()
+            .map(left)
+            .collect::<Option<_>>()?,
+        notes: few(&said.notes, LONGEST)?
+            .iter()
+            .map(|n| words(n))
+            .collect::<Option<_>>()?,
     })
 }
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -62,12 +62,21 @@
     if crc32fast::hash(body).to_be_bytes() != *sum {
         return Err(Unusable::Damaged);
     }
-    v1::VoterFile::decode(body).ok().and_then(file_in).ok_or(Unusable::Damaged)
+    v1::VoterFile::decode(body)
+        .ok()
+        .and_then(file_in)
+        .ok_or(Unusable::Damaged)
 }
 
 pub fn write(kept: &Kept) -> Vec<u8> {
     let body = file_out(kept).encode_to_vec();
-    [&MARK[..], &[VERSION], &crc32fast::hash(&body).to_be_bytes(), &body].concat()
+    [
+        &MARK[..],
+        &[VERSION],
+        &crc32fast::hash(&body).to_be_bytes(),
+        &body,
+    ]
+    .concat()
 }
 
 /// The system's files.
@@ -84,11 +93,18 @@
 
 fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let beside = path.with_extension("new");
-    let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(&beside)?;
+    let mut file = OpenOptions::new()
+        .write(true)
+        .create(true)
+        .truncate(true)
+        .open(&beside)?;
     file.write_all(bytes)?;
     file.sync_all()?;
     std::fs::rename(&beside, path)?;
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     File::open(folder)?.sync_all()
 }
 
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -73,7 +73,11 @@
     ///
     /// # Errors
     /// The work could not be begun or ended.
-    pub async fn run(&self, work: &mut impl Work, stop: impl Future<Output = ()>) -> io::Result<Ended> {
+    pub async fn run(
+        &self,
+        work: &mut impl Work,
+        stop: impl Future<Output = ()>,
+    ) -> io::Result<Ended> {
         tokio::pin!(stop);
         let mut lease: Option<JobLease> = None;
         let mut said = false;
@@ -109,7 +113,10 @@
     /// What is sure does not wait for an answer that may not come.
     async fn ask(&self, asked: Ms, lease: Option<&JobLease>) -> Result<Reply, String> {
         let within = lease.map_or(ANSWER_WITHIN, JobLease::answer_within);
-        let wish = Order::Hold { duty: self.duty.clone(), job: self.number };
+        let wish = Order::Hold {
+            duty: self.duty.clone(),
+            job: self.number,
+        };
         tokio::select! { biased;
             reply = order_any(self.transport, self.clock, self.addresses, &wish, ANSWER_WITHIN) => reply,
             () = self.clock.sleep_until(asked + within) => Err("no answer in time".to_owned()),
@@ -124,7 +131,10 @@
         work: &mut impl Work,
     ) -> io::Result<Next> {
         match reply {
-            Ok(Reply::Holds { term: Some(term), good_for }) => match lease {
+            Ok(Reply::Holds {
+                term: Some(term),
+                good_for,
+            }) => match lease {
                 None => {
                     *lease = Some(JobLease::new(*term, asked, *good_for));
                     work.begin(*term)?;
@@ -143,7 +153,9 @@
             // Not held yet, or any more; or nobody answers.
             Ok(_) | Err(_) => {}
         }
-        let Some(held) = lease else { return Ok(Next::Ask) };
+        let Some(held) = lease else {
+            return Ok(Next::Ask);
+        };
         if held.is_running_out(self.clock.now()) {
             work.end(held.kill_at()).await?;
             let why = match reply {
@@ -162,7 +174,17 @@
 
     /// Gives the duty up. Whoever does not hear of it waits for the lease.
     async fn let_go(&self) {
-        let order = Order::LetGo { duty: self.duty.clone(), job: self.number };
-        let _ = order_any(self.transport, self.clock, self.addresses, &order, ANSWER_WITHIN).await;
+        let order = Order::LetGo {
+            duty: self.duty.clone(),
+            job: self.number,
+        };
+        let _ = order_any(
+            self.transport,
+            self.clock,
+            self.addresses,
+            &order,
+            ANSWER_WITHIN,
+        )
+        .await;
     }
 }
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -87,7 +87,9 @@
 
 impl<T, C, D> Clone for Shell<T, C, D> {
     fn clone(&self) -> Self {
-        Shell { inner: self.inner.clone() }
+        Shell {
+            inner: self.inner.clone(),
+        }
     }
 }
 
@@ -118,7 +120,9 @@
             dropped: Cell::new(0),
             warned: Cell::new(f64::NEG_INFINITY),
         };
-        Shell { inner: Rc::new(inner) }
+        Shell {
+            inner: Rc::new(inner),
+        }
     }
 
     /// Takes part until `stop` is there, and what it holds is handed over or its lease is over. Runs within a
@@ -151,12 +155,21 @@
         inner.clock.sleep_until(moment).await;
         accepting.abort();
         timing.abort();
-        inner.peers.borrow().values().for_each(|peer| peer.out.close());
+        inner
+            .peers
+            .borrow()
+            .values()
+            .for_each(|peer| peer.out.close());
     }
 
     /// The duties held now, with their terms.
     pub fn held(&self) -> Vec<(Duty, Term)> {
-        self.inner.member.borrow().held().map(|(duty, term)| (duty.clone(), term)).collect()
+        self.inner
+            .member
+            .borrow()
+            .held()
+            .map(|(duty, term)| (duty.clone(), term))
+            .collect()
     }
 
     /// How often what happened.
@@ -202,10 +215,18 @@
             Output::Save { number, kept } => {
                 spawn_local(self.clone().save(number, kept));
             }
-            Output::Holds { duty, term, held: true } => {
+            Output::Holds {
+                duty,
+                term,
+                held: true,
+            } => {
                 tracing::info!(duty = %duty.0, term = term.0, "duty held");
             }
-            Output::Holds { duty, term, held: false } => {
+            Output::Holds {
+                duty,
+                term,
+                held: false,
+            } => {
                 tracing::info!(duty = %duty.0, term = term.0, "duty no more held");
             }
             Output::Turn { turn, label } => {
@@ -229,7 +250,10 @@
         if let Err(problem) = &lasts {
             tracing::warn!(%problem, "voter's file not written");
         }
-        self.input(Input::Saved { number, lasts: lasts.is_ok() });
+        self.input(Input::Saved {
+            number,
+            lasts: lasts.is_ok(),
+        });
     }
 
     async fn keep_time(self) {
@@ -307,7 +331,9 @@
         let stream = peer.streams.get() + 1;
         peer.streams.set(stream);
         peer.used.set(self.inner.clock.now());
-        peer.asked.borrow_mut().insert(stream, (ask, self.inner.clock.now()));
+        peer.asked
+            .borrow_mut()
+            .insert(stream, (ask, self.inner.clock.now()));
         peer.out.send(frame(stream, Body::FleetCall(call)));
     }
 
@@ -316,17 +342,35 @@
         // Longer than an answer may take: on a machine that is short of time a connection comes up all the same, once,
         // where one that is given up and dialled anew each time would keep everybody busy and never come up.
         let settings = &self.inner.settings;
-        let until = self.inner.clock.now() + settings.lease.lease.max(10.0 * settings.answer_within);
+        let until =
+            self.inner.clock.now() + settings.lease.lease.max(10.0 * settings.answer_within);
         let dialled = async {
-            let stream = self.inner.transport.connect(&to.0).await.map_err(|e| e.to_string())?;
-            connect(stream, v1::Party::Fleet, self.setup(&self.inner.settings.fleet)).await
+            let stream = self
+                .inner
+                .transport
+                .connect(&to.0)
+                .await
+                .map_err(|e| e.to_string())?;
+            connect(
+                stream,
+                v1::Party::Fleet,
+                self.setup(&self.inner.settings.fleet),
+            )
+            .await
         };
         let dialled = tokio::select! { biased;
             dialled = dialled => dialled,
             () = self.inner.clock.sleep_until(until) => Err("no greeting in time".to_owned()),
         };
-        let waiting = self.inner.dialling.borrow_mut().remove(&to).unwrap_or_default();
-        let Session { mut events, out, .. } = match dialled {
+        let waiting = self
+            .inner
+            .dialling
+            .borrow_mut()
+            .remove(&to)
+            .unwrap_or_default();
+        let Session {
+            mut events, out, ..
+        } = match dialled {
             Ok(session) => session,
             Err(reason) => {
                 tracing::debug!(address = %to.0, reason, "member not reached");
@@ -338,8 +382,16 @@
             }
         };
         let used = Cell::new(self.inner.clock.now());
-        let peer = Rc::new(Peer { out, used, asked: RefCell::default(), streams: Cell::new(0) });
-        self.inner.peers.borrow_mut().insert(to.clone(), peer.clone());
+        let peer = Rc::new(Peer {
+            out,
+            used,
+            asked: RefCell::default(),
+            streams: Cell::new(0),
+        });
+        self.inner
+            .peers
+            .borrow_mut()
+            .insert(to.clone(), peer.clone());
         let oldest = self.inner.clock.now() - self.inner.settings.answer_within;
         for (ask, call, _) in waiting.into_iter().filter(|(_, _, since)| *since >= oldest) {
             self.send(&peer, ask, call);
@@ -347,7 +399,9 @@
         while let Some(event) = events.recv().await {
             match event {
                 Event::Frame(Frame { stream, body }) => {
-                    let Some((ask, _)) = peer.asked.borrow_mut().remove(&stream) else { continue };
+                    let Some((ask, _)) = peer.asked.borrow_mut().remove(&stream) else {
+                        continue;
+                    };
                     let answer = match body {
                         Some(Body::FleetAnswer(said)) => self.understood(answer_in(said)),
                         _ => None,
@@ -377,7 +431,10 @@
             if now - self.inner.warned.get() >= WARN_EVERY {
                 self.inner.warned.set(now);
                 let dropped = self.inner.dropped.get();
-                tracing::warn!(dropped, "messages of the fleet that cannot be right are dropped");
+                tracing::warn!(
+                    dropped,
+                    "messages of the fleet that cannot be right are dropped"
+                );
             }
         }
         message
@@ -409,9 +466,15 @@
             () = self.inner.clock.sleep_until(until) => Err("nothing was asked in time".to_owned()),
         };
         match met {
-            Ok(Session { mut events, out, .. }) => {
+            Ok(Session {
+                mut events, out, ..
+            }) => {
                 while let Some(event) = events.recv().await {
-                    if let Event::Frame(Frame { stream, body: Some(body) }) = event {
+                    if let Event::Frame(Frame {
+                        stream,
+                        body: Some(body),
+                    }) = event
+                    {
                         self.called(&out, stream, body);
                     }
                 }
@@ -428,7 +491,10 @@
                 Some(question) => {
                     let call = CallNo(self.inner.numbers.get() + 1);
                     self.inner.numbers.set(call.0);
-                    self.inner.calls.borrow_mut().insert(call, (out.clone(), stream));
+                    self.inner
+                        .calls
+                        .borrow_mut()
+                        .insert(call, (out.clone(), stream));
                     self.input(Input::Asked { call, question });
                 }
                 None => out.reset(stream, 2),
@@ -436,7 +502,10 @@
             // It waits no more.
             Body::Cancel(_) => {
                 let mine = |(o, s): &(Out, u64)| *s == stream && o.same(out);
-                self.inner.calls.borrow_mut().retain(|_, waits| !mine(waits));
+                self.inner
+                    .calls
+                    .borrow_mut()
+                    .retain(|_, waits| !mine(waits));
             }
             _ => out.reset(stream, 2),
         }
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/words.rs
@@ -3,7 +3,9 @@
 
 use crate::care_words;
 use cindercleat::fleet::acts::{Act, Ticket, Verdict};
-use cindercleat::fleet::agreed::{Agreed, Held, Holder, Life, Seat, Stamp, Voters, MOST_DUTIES, MOST_VOTERS};
+use cindercleat::fleet::agreed::{
+    Agreed, Held, Holder, Life, Seat, Stamp, Voters, MOST_DUTIES, MOST_VOTERS,
+};
 use cindercleat::fleet::member::{
     Answer, BeatHeard, Order, Question, Reply, RollLine, Seen, Status, VoterLine,
 };
@@ -21,7 +23,8 @@
 const MOST_HEARD: usize = 256;
 
 pub(crate) fn text(text: &str) -> Option<&str> {
-    (!text.is_empty() && text.len() <= LONGEST && !text.chars().any(char::is_control)).then_some(text)
+    (!text.is_empty() && text.len() <= LONGEST && !text.chars().any(char::is_control))
+        .then_some(text)
 }
 
 pub(crate) fn name(said: &str) -> Option<Name> {
@@ -41,7 +44,11 @@
 }
 
 fn ballot_out(ballot: &Ballot) -> v1::Ballot {
-    v1::Ballot { round: ballot.round, by: ballot.by.0.to_string(), run: ballot.run.0 }
+    v1::Ballot {
+        round: ballot.round,
+        by: ballot.by.0.to_string(),
+        run: ballot.run.0,
+    }
 }
 
 fn ballot_in(said: Option<v1::Ballot>) -> Option<Ballot> {
@@ -49,7 +56,11 @@
     // A round that nobody can go beyond would end all agreement.
     let possible = said.round > 0 && said.round < u64::MAX / 2;
     possible.then_some(())?;
-    Some(Ballot { round: said.round, by: name(&said.by)?, run: Run(said.run) })
+    Some(Ballot {
+        round: said.round,
+        by: name(&said.by)?,
+        run: Run(said.run),
+    })
 }
 
 fn seats_out(set: &BTreeMap<Name, Seat>) -> Vec<v1::VoterSeat> {
@@ -64,7 +75,13 @@
 fn seats_in(said: &[v1::VoterSeat]) -> Option<BTreeMap<Name, Seat>> {
     (said.len() <= MOST_VOTERS + 1).then_some(())?;
     let seat = |s: &v1::VoterSeat| {
-        Some((name(&s.name)?, Seat { life: Life(s.life), address: address(&s.address)? }))
+        Some((
+            name(&s.name)?,
+            Seat {
+                life: Life(s.life),
+                address: address(&s.address)?,
+            },
+        ))
     };
     said.iter().map(seat).collect()
 }
@@ -84,16 +101,28 @@
         true => Some(seats_in(&said.before).filter(|set| !set.is_empty())?),
         false => None,
     };
-    Some(Voters { generation: said.generation, set, before })
+    Some(Voters {
+        generation: said.generation,
+        set,
+        before,
+    })
 }
 
 fn holder_out(holder: &Holder) -> v1::DutyHolder {
     let (name, address) = (holder.name.0.to_string(), holder.address.0.to_string());
-    v1::DutyHolder { name, run: holder.run.0, address }
+    v1::DutyHolder {
+        name,
+        run: holder.run.0,
+        address,
+    }
 }
 
 fn holder_in(said: &v1::DutyHolder) -> Option<Holder> {
-    Some(Holder { name: name(&said.name)?, run: Run(said.run), address: address(&said.address)? })
+    Some(Holder {
+        name: name(&said.name)?,
+        run: Run(said.run),
+        address: address(&said.address)?,
+    })
 }
 
 fn row_out((duty, held): (&Duty, &Held)) -> v1::DutyRow {
@@ -105,7 +134,11 @@
         lease_ms: held.lease_ms,
         stamp_round: held.stamp.round,
         stamp_run: held.stamp.run.0,
-        next: held.next.as_ref().map(|n| n.0.to_string()).unwrap_or_default(),
+        next: held
+            .next
+            .as_ref()
+            .map(|n| n.0.to_string())
+            .unwrap_or_default(),
     }
 }
 
@@ -118,15 +151,33 @@
         true => None,
         false => Some(name(&said.next)?),
     };
-    let stamp = Stamp { round: said.stamp_round, run: Run(said.stamp_run) };
+    let stamp = Stamp {
+        round: said.stamp_round,
+        run: Run(said.stamp_run),
+    };
     let (term, renewed, lease_ms) = (Term(said.term), said.renewed, said.lease_ms);
-    Some((duty(&said.duty)?, Held { term, holder, renewed, lease_ms, stamp, next }))
+    Some((
+        duty(&said.duty)?,
+        Held {
+            term,
+            holder,
+            renewed,
+            lease_ms,
+            stamp,
+            next,
+        },
+    ))
 }
 
 fn agreed_out(value: &Agreed) -> v1::AgreedValue {
     let (version, voters) = (value.version, Some(voters_out(&value.voters)));
     let care = care_words::care_out(&value.care);
-    v1::AgreedValue { version, voters, duties: value.duties.iter().map(row_out).collect(), care }
+    v1::AgreedValue {
+        version,
+        voters,
+        duties: value.duties.iter().map(row_out).collect(),
+        care,
+    }
 }
 
 fn agreed_in(said: Option<v1::AgreedValue>) -> Option<Agreed> {
@@ -134,12 +185,20 @@
     (said.duties.len() <= MOST_DUTIES).then_some(())?;
     let duties = said.duties.iter().map(row_in).collect::<Option<_>>()?;
     let care = Box::new(care_words::care_in(said.care.as_ref())?);
-    Some(Agreed { version: said.version, voters: voters_in(&said.voters?)?, duties, care })
+    Some(Agreed {
+        version: said.version,
+        voters: voters_in(&said.voters?)?,
+        duties,
+        care,
+    })
 }
 
 fn taken_out(taken: &Option<(Ballot, Agreed)>) -> Option<v1::TakenValue> {
     let taken = taken.as_ref()?;
-    Some(v1::TakenValue { ballot: Some(ballot_out(&taken.0)), value: Some(agreed_out(&taken.1)) })
+    Some(v1::TakenValue {
+        ballot: Some(ballot_out(&taken.0)),
+        value: Some(agreed_out(&taken.1)),
+    })
 }
 
 /// Nothing taken is something that can be said; a taken value that cannot be read is not.
@@ -161,7 +220,9 @@
 
 fn writes_in(said: &[v1::VoterWrites]) -> Option<Writes> {
     (said.len() <= MOST_HEARD).then_some(())?;
-    said.iter().map(|w| Some(((name(&w.name)?, Life(w.life)), w.writes))).collect()
+    said.iter()
+        .map(|w| Some(((name(&w.name)?, Life(w.life)), w.writes)))
+        .collect()
 }
 
 /// What a voter keeps, as bytes of its file.
@@ -198,30 +259,46 @@
 }
 
 fn ticket_out(ticket: Ticket) -> v1::FleetTicket {
-    v1::FleetTicket { run: ticket.run.0, at_ms: ticket.at }
+    v1::FleetTicket {
+        run: ticket.run.0,
+        at_ms: ticket.at,
+    }
 }
 
 fn ticket_in(said: &v1::FleetTicket) -> Option<Ticket> {
-    Some(Ticket { run: Run(said.run), at: finite(said.at_ms)? })
+    Some(Ticket {
+        run: Run(said.run),
+        at: finite(said.at_ms)?,
+    })
 }
 
 pub fn question_out(question: &Question) -> v1::FleetCall {
     let question = match question {
-        Question::Vote(Ask::Prepare { life, ballot, heard }) => Q::Prepare(v1::FleetPrepare {
+        Question::Vote(Ask::Prepare {
+            life,
+            ballot,
+            heard,
+        }) => Q::Prepare(v1::FleetPrepare {
             life: life.0,
             ballot: Some(ballot_out(ballot)),
             heard: writes_out(heard),
         }),
-        Question::Vote(Ask::Take { life, ballot, value, heard }) => Q::Take(v1::FleetTake {
+        Question::Vote(Ask::Take {
+            life,
+            ballot,
+            value,
+            heard,
+        }) => Q::Take(v1::FleetTake {
             life: life.0,
             ballot: Some(ballot_out(ballot)),
             value: Some(agreed_out(value)),
             heard: writes_out(heard),
         }),
         Question::Look => Q::Look(v1::FleetLook {}),
-        Question::Witness { of, life } => {
-            Q::Witness(v1::FleetWitness { name: of.0.to_string(), life: life.0 })
-        }
+        Question::Witness { of, life } => Q::Witness(v1::FleetWitness {
+            name: of.0.to_string(),
+            life: life.0,
+        }),
         Question::Beat(beat) => Q::Beat(v1::FleetBeat {
             who: Some(holder_out(&beat.who)),
             zone: beat.zone.clone(),
@@ -234,7 +311,9 @@
             tally: Some(care_words::tally_out(&beat.tally)),
             reports: beat.reports.iter().map(care_words::report_out).collect(),
         }),
-        Question::Nudge { duty } => Q::Nudge(v1::FleetNudge { duty: duty.0.to_string() }),
+        Question::Nudge { duty } => Q::Nudge(v1::FleetNudge {
+            duty: duty.0.to_string(),
+        }),
         Question::Act(act) => Q::Act(v1::FleetAct {
             duty: act.duty.0.to_string(),
             term: act.term.0,
@@ -247,27 +326,44 @@
         Question::AskBack { turn, of, who, run } => care_words::ask_back_out(*turn, *of, who, *run),
         Question::Order(order) => order_out(order),
     };
-    v1::FleetCall { question: Some(question) }
+    v1::FleetCall {
+        question: Some(question),
+    }
 }
 
 fn order_out(order: &Order) -> Q {
     let word = |name: &Option<Name>| name.as_ref().map(|n| n.0.to_string()).unwrap_or_default();
     match order {
         Order::Status => Q::Status(v1::FleetStatus {}),
-        Order::HandOver { duty, to } => {
-            Q::HandOver(v1::FleetHandOver { duty: duty.0.to_string(), to: word(to) })
-        }
+        Order::HandOver { duty, to } => Q::HandOver(v1::FleetHandOver {
+            duty: duty.0.to_string(),
+            to: word(to),
+        }),
         Order::AddVoter { name, address } => Q::AddVoter(v1::FleetAddVoter {
             name: name.0.to_string(),
-            address: address.as_ref().map(|a| a.0.to_string()).unwrap_or_default(),
+            address: address
+                .as_ref()
+                .map(|a| a.0.to_string())
+                .unwrap_or_default(),
+        }),
+        Order::RemoveVoter { name } => Q::RemoveVoter(v1::FleetRemoveVoter {
+            name: name.0.to_string(),
+        }),
+        Order::Hold { duty, job } => Q::Hold(v1::FleetHold {
+            duty: duty.0.to_string(),
+            job: *job,
+        }),
+        Order::LetGo { duty, job } => Q::LetGo(v1::FleetLetGo {
+            duty: duty.0.to_string(),
+            job: *job,
         }),
-        Order::RemoveVoter { name } => Q::RemoveVoter(v1::FleetRemoveVoter { name: name.0.to_string() }),
-        Order::Hold { duty, job } => Q::Hold(v1::FleetHold { duty: duty.0.to_string(), job: *job }),
-        Order::LetGo { duty, job } => Q::LetGo(v1::FleetLetGo { duty: duty.0.to_string(), job: *job }),
         Order::Release(order) => care_words::order_out(order),
         Order::ByHand { who, address, why } => Q::ByHand(v1::FleetByHand {
             who: who.0.to_string(),
-            address: address.as_ref().map(|a| a.0.to_string()).unwrap_or_default(),
+            address: address
+                .as_ref()
+                .map(|a| a.0.to_string())
+                .unwrap_or_default(),
             why: why.clone(),
         }),
     }
@@ -278,7 +374,11 @@
     Some(match said.question? {
         Q::Prepare(m) => {
             let heard = writes_in(&m.heard)?;
-            Question::Vote(Ask::Prepare { life: Life(m.life), ballot: ballot_in(m.ballot)?, heard })
+            Question::Vote(Ask::Prepare {
+                life: Life(m.life),
+                ballot: ballot_in(m.ballot)?,
+                heard,
+            })
         }
         Q::Take(m) => Question::Vote(Ask::Take {
             life: Life(m.life),
@@ -287,17 +387,35 @@
             heard: writes_in(&m.heard)?,
         }),
         Q::Look(_) => Question::Look,
-        Q::Witness(m) => Question::Witness { of: name(&m.name)?, life: Life(m.life) },
+        Q::Witness(m) => Question::Witness {
+            of: name(&m.name)?,
+            life: Life(m.life),
+        },
         Q::Beat(m) => {
             let (zone, label) = (m.zone, m.label);
             (zone.len() <= LONGEST && label.len() <= LONGEST).then_some(())?;
             let (up, load) = (finite(m.up_ms)?, finite(m.load)?);
             let (who, ready, stopping, holds) = (holder_in(&m.who?)?, m.ready, m.stopping, m.holds);
-            let (tally, reports) =
-                (care_words::tally_in(m.tally.as_ref()), care_words::reports_in(&m.reports)?);
-            Question::Beat(Beat { who, zone, label, up, ready, stopping, load, holds, tally, reports })
+            let (tally, reports) = (
+                care_words::tally_in(m.tally.as_ref()),
+                care_words::reports_in(&m.reports)?,
+            );
+            Question::Beat(Beat {
+                who,
+                zone,
+                label,
+                up,
+                ready,
+                stopping,
+                load,
+                holds,
+                tally,
+                reports,
+            })
         }
-        Q::Nudge(m) => Question::Nudge { duty: duty(&m.duty)? },
+        Q::Nudge(m) => Question::Nudge {
+            duty: duty(&m.duty)?,
+        },
         Q::Act(m) => {
             let ticket = match &m.ticket {
                 Some(ticket) => Some(ticket_in(ticket)?),
@@ -319,18 +437,32 @@
                 true => None,
                 false => Some(name(&m.to)?),
             };
-            Question::Order(Order::HandOver { duty: duty(&m.duty)?, to })
+            Question::Order(Order::HandOver {
+                duty: duty(&m.duty)?,
+                to,
+            })
         }
         Q::AddVoter(m) => {
             let at = match m.address.is_empty() {
                 true => None,
                 false => Some(address(&m.address)?),
             };
-            Question::Order(Order::AddVoter { name: name(&m.name)?, address: at })
+            Question::Order(Order::AddVoter {
+                name: name(&m.name)?,
+                address: at,
+            })
         }
-        Q::RemoveVoter(m) => Question::Order(Order::RemoveVoter { name: name(&m.name)? }),
-        Q::Hold(m) => Question::Order(Order::Hold { duty: duty(&m.duty)?, job: m.job }),
-        Q::LetGo(m) => Question::Order(Order::LetGo { duty: duty(&m.duty)?, job: m.job }),
+        Q::RemoveVoter(m) => Question::Order(Order::RemoveVoter {
+            name: name(&m.name)?,
+        }),
+        Q::Hold(m) => Question::Order(Order::Hold {
+            duty: duty(&m.duty)?,
+            job: m.job,
+        }),
+        Q::LetGo(m) => Question::Order(Order::LetGo {
+            duty: duty(&m.duty)?,
+            job: m.job,
+        }),
         Q::AskBack(m) => {
             let (turn, of, who, run) = care_words::ask_back_in(&m)?;
             Question::AskBack { turn, of, who, run }
@@ -339,27 +471,44 @@
     })
 }
 
-const VERDICTS: [Verdict; 5] =
-    [Verdict::Obeyed, Verdict::OldTerm, Verdict::Again, Verdict::Unknown, Verdict::Late];
-const STANDINGS: [Standing; 4] = [Standing::In, Standing::Suspected, Standing::Out, Standing::Back];
+const VERDICTS: [Verdict; 5] = [
+    Verdict::Obeyed,
+    Verdict::OldTerm,
+    Verdict::Again,
+    Verdict::Unknown,
+    Verdict::Late,
+];
+const STANDINGS: [Standing; 4] = [
+    Standing::In,
+    Standing::Suspected,
+    Standing::Out,
+    Standing::Back,
+];
 
 fn place_in<T: PartialEq>(all: &[T], one: &T) -> u32 {
-    all.iter().position(|other| other == one).unwrap_or_default() as u32
+    all.iter()
+        .position(|other| other == one)
+        .unwrap_or_default() as u32
 }
 
 pub fn answer_out(answer: &Answer) -> v1::FleetAnswer {
     let answer = match answer {
-        Answer::Vote(Said::Promise { ballot, taken, writes }) => A::Promise(v1::FleetPromise {
+        Answer::Vote(Said::Promise {
+            ballot,
+            taken,
+            writes,
+        }) => A::Promise(v1::FleetPromise {
             ballot: Some(ballot_out(ballot)),
             taken: taken_out(taken),
             writes: *writes,
         }),
-        Answer::Vote(Said::Took { ballot, writes }) => {
-            A::Took(v1::FleetTook { ballot: Some(ballot_out(ballot)), writes: *writes })
-        }
-        Answer::Vote(Said::Outbid { promised }) => {
-            A::Outbid(v1::FleetOutbid { promised: Some(ballot_out(promised)) })
-        }
+        Answer::Vote(Said::Took { ballot, writes }) => A::Took(v1::FleetTook {
+            ballot: Some(ballot_out(ballot)),
+            writes: *writes,
+        }),
+        Answer::Vote(Said::Outbid { promised }) => A::Outbid(v1::FleetOutbid {
+            promised: Some(ballot_out(promised)),
+        }),
         Answer::Vote(Said::NoVote) => A::NoVote(v1::FleetNoVote {}),
         Answer::Seen(seen) => A::Seen(v1::FleetSeen {
             life: seen.life.map_or(0, |life| life.0),
@@ -369,8 +518,10 @@
         }),
         Answer::Witnessed { writes } => A::Witnessed(v1::FleetWitnessed { writes: *writes }),
         Answer::Heard(heard) => {
-            let place =
-                |(duty, place): &(Duty, u32)| v1::FleetPlace { duty: duty.0.to_string(), place: *place };
+            let place = |(duty, place): &(Duty, u32)| v1::FleetPlace {
+                duty: duty.0.to_string(),
+                place: *place,
+            };
             A::Heard(v1::FleetHeard {
                 heard: heard.heard,
                 term: heard.holder.as_ref().map_or(0, |(term, _)| term.0),
@@ -389,12 +540,15 @@
         Answer::Reply(Reply::Done(words)) => A::Yes(words.clone()),
         Answer::Reply(Reply::No(words)) => A::No(words.clone()),
         Answer::Reply(Reply::Elsewhere(address)) => A::Elsewhere(address.0.to_string()),
-        Answer::Reply(Reply::Holds { term, good_for }) => {
-            A::Holds(v1::FleetHolds { term: term.map_or(0, |term| term.0), good_for_ms: *good_for })
-        }
+        Answer::Reply(Reply::Holds { term, good_for }) => A::Holds(v1::FleetHolds {
+            term: term.map_or(0, |term| term.0),
+            good_for_ms: *good_for,
+        }),
         Answer::Reply(Reply::Status(status)) => A::Status(status_out(status)),
     };
-    v1::FleetAnswer { answer: Some(answer) }
+    v1::FleetAnswer {
+        answer: Some(answer),
+    }
 }
 
 /// None if it cannot be right.
@@ -402,10 +556,19 @@
     Some(match said.answer? {
         A::Promise(m) => {
             let (ballot, taken) = (ballot_in(m.ballot)?, taken_in(m.taken)?);
-            Answer::Vote(Said::Promise { ballot, taken, writes: m.writes })
+            Answer::Vote(Said::Promise {
+                ballot,
+                taken,
+                writes: m.writes,
+            })
         }
-        A::Took(m) => Answer::Vote(Said::Took { ballot: ballot_in(m.ballot)?, writes: m.writes }),
-        A::Outbid(m) => Answer::Vote(Said::Outbid { promised: ballot_in(m.promised)? }),
+        A::Took(m) => Answer::Vote(Said::Took {
+            ballot: ballot_in(m.ballot)?,
+            writes: m.writes,
+        }),
+        A::Outbid(m) => Answer::Vote(Said::Outbid {
+            promised: ballot_in(m.promised)?,
+        }),
         A::NoVote(_) => Answer::Vote(Said::NoVote),
         A::Seen(m) => {
             let founding = match &m.founding {
@@ -413,7 +576,12 @@
                 None => None,
             };
             let life = (m.life != 0).then_some(Life(m.life));
-            Answer::Seen(Seen { life, votes: m.votes, founding, newest: taken_in(m.newest)? })
+            Answer::Seen(Seen {
+                life,
+                votes: m.votes,
+                founding,
+                newest: taken_in(m.newest)?,
+            })
         }
         A::Witnessed(m) => Answer::Witnessed { writes: m.writes },
         A::Heard(m) => {
@@ -421,15 +589,27 @@
                 Some(holder) => Some((Term(m.term), holder_in(holder)?)),
                 None => None,
             };
-            let places = m.places.iter().map(|p| Some((duty(&p.duty)?, p.place))).collect::<Option<_>>()?;
+            let places = m
+                .places
+                .iter()
+                .map(|p| Some((duty(&p.duty)?, p.place)))
+                .collect::<Option<_>>()?;
             // A beat that is never wanted would end beating.
             let every = finite(m.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
-            Answer::Heard(BeatHeard { heard: m.heard, holder, every, places })
+            Answer::Heard(BeatHeard {
+                heard: m.heard,
+                holder,
+                every,
+                places,
+            })
         }
         A::Done(_) => Answer::Done,
         A::Verdict(m) => {
             let verdict = *VERDICTS.get(m.verdict as usize)?;
-            Answer::Verdict { verdict, ticket: ticket_in(&m.ticket?)? }
+            Answer::Verdict {
+                verdict,
+                ticket: ticket_in(&m.ticket?)?,
+            }
         }
         A::Begun(m) => Answer::Begun { begun: m.begun },
         A::Waits(words) => Answer::Reply(Reply::Waits(words)),
@@ -438,7 +618,10 @@
         A::Elsewhere(at) => Answer::Reply(Reply::Elsewhere(address(&at)?)),
         A::Holds(m) => {
             let term = (m.term > 0).then_some(Term(m.term));
-            Answer::Reply(Reply::Holds { term, good_for: finite(m.good_for_ms)? })
+            Answer::Reply(Reply::Holds {
+                term,
+                good_for: finite(m.good_for_ms)?,
+            })
         }
         A::Status(m) => Answer::Reply(Reply::Status(Box::new(status_in(&m)?))),
     })
@@ -468,7 +651,11 @@
         age_ms: l.age,
     };
     v1::FleetStatusReply {
-        by: status.by.as_ref().map(|n| n.0.to_string()).unwrap_or_default(),
+        by: status
+            .by
+            .as_ref()
+            .map(|n| n.0.to_string())
+            .unwrap_or_default(),
         majority: status.majority,
         generation: status.generation,
         changing: status.changing,
@@ -477,7 +664,11 @@
         duties: status.duties.iter().map(row).collect(),
         roll_for_ms: status.roll_for,
         roll: status.roll.iter().map(line).collect(),
-        caller: status.caller.as_ref().map(|a| a.0.to_string()).unwrap_or_default(),
+        caller: status
+            .caller
+            .as_ref()
+            .map(|a| a.0.to_string())
+            .unwrap_or_default(),
         care: Some(care_words::status_out(&status.care)),
     }
 }
@@ -485,7 +676,13 @@
 fn status_in(said: &v1::FleetStatusReply) -> Option<Status> {
     let voter = |v: &v1::FleetVoterLine| {
         let (answers, votes, version) = (v.answers, v.votes, v.version);
-        Some(VoterLine { name: name(&v.name)?, address: address(&v.address)?, answers, votes, version })
+        Some(VoterLine {
+            name: name(&v.name)?,
+            address: address(&v.address)?,
+            answers,
+            votes,
+            version,
+        })
     };
     let row = |r: &v1::DutyRow| {
         let holder = match &r.holder {
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -32,7 +32,9 @@
     }
 
     async fn replace(&self, bytes: Vec<u8>) -> io::Result<()> {
-        self.clock.sleep_until(self.clock.now() + self.write_takes.get()).await;
+        self.clock
+            .sleep_until(self.clock.now() + self.write_takes.get())
+            .await;
         self.file.replace(bytes).await
     }
 }
@@ -41,7 +43,11 @@
 
 impl Dispatcher for Beside {
     fn fares(&self) -> Fares {
-        Fares { ready: true, load: 0.1, ..Fares::default() }
+        Fares {
+            ready: true,
+            load: 0.1,
+            ..Fares::default()
+        }
     }
 
     fn has_turn(&self, _: u64, _: &str) {}
@@ -81,7 +87,12 @@
 }
 
 fn settings(at: usize) -> FleetSettings {
-    let voter = |n: usize| (Name::from(format!("d{n}").as_str()), Address::from(format!("at-{n}").as_str()));
+    let voter = |n: usize| {
+        (
+            Name::from(format!("d{n}").as_str()),
+            Address::from(format!("at-{n}").as_str()),
+        )
+    };
     FleetSettings {
         fleet: "fleet".to_owned(),
         me: voter(at).0,
@@ -91,7 +102,10 @@
         label: "v1".to_owned(),
         voters: (0..3).map(voter).collect(),
         may_vote: true,
-        lease: LeaseSettings { lease: LEASE, drift: 0.01 },
+        lease: LeaseSettings {
+            lease: LEASE,
+            drift: 0.01,
+        },
         answer_within: ANSWER_WITHIN,
         beat: 200.0,
         prefers: None,
@@ -105,15 +119,35 @@
 
 /// Runs a test beside three members that vote.
 fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let (memory, clock) = (Memory::default(), TokioClock::starting_at(1e6));
-        let net = Net { memory, clock, write_takes: Rc::default() };
+        let net = Net {
+            memory,
+            clock,
+            write_takes: Rc::default(),
+        };
         for at in 0..3 {
-            let disk =
-                SlowDisk { file: File::default(), clock: net.clock, write_takes: net.write_takes.clone() };
-            let member = Shell::new(settings(at), net.memory.clone(), net.clock, Some(disk), Rc::new(Beside));
-            let listener = net.memory.listen(&format!("at-{at}")).await.expect("a name");
+            let disk = SlowDisk {
+                file: File::default(),
+                clock: net.clock,
+                write_takes: net.write_takes.clone(),
+            };
+            let member = Shell::new(
+                settings(at),
+                net.memory.clone(),
+                net.clock,
+                Some(disk),
+                Rc::new(Beside),
+            );
+            let listener = net
+                .memory
+                .listen(&format!("at-{at}"))
+                .await
+                .expect("a name");
             spawn_local(async move { member.run(listener, pending()).await });
         }
         net.wait(2_000.0).await;
@@ -133,9 +167,17 @@
         let job = spawn_local(async move {
             let addresses = ["at-0".to_owned()];
             let duty = Duty::from("nightly");
-            let job = Job { transport: &memory, clock: &clock, addresses: &addresses, duty, number: 7 };
+            let job = Job {
+                transport: &memory,
+                clock: &clock,
+                addresses: &addresses,
+                duty,
+                number: 7,
+            };
             let mut work = work;
-            job.run(&mut work, told.notified()).await.expect("its work begins and ends")
+            job.run(&mut work, told.notified())
+                .await
+                .expect("its work begins and ends")
         });
         begins.notified().await;
         (stop, job)
@@ -174,7 +216,11 @@
             let (stop, job) = net.job(work).await;
             net.write_takes.set(part * ANSWER_WITHIN);
             net.wait(10.0 * LEASE).await;
-            assert_eq!(ended_by.get(), None, "writes that take {part} of an answer's time: the work goes on");
+            assert_eq!(
+                ended_by.get(),
+                None,
+                "writes that take {part} of an answer's time: the work goes on"
+            );
             stop.notify_one();
             assert_eq!(job.await.expect("it ends"), Ended::Stopped);
         });
@@ -192,8 +238,14 @@
         let ended = job.await.expect("it ends");
         assert!(matches!(ended, Ended::Lost(_)), "{ended:?}");
         let lost_after = net.clock.now() - silent_since;
-        assert!(lost_after < 0.99 * LEASE, "told to end while the lease lasts: {lost_after}");
+        assert!(
+            lost_after < 0.99 * LEASE,
+            "told to end while the lease lasts: {lost_after}"
+        );
         let by = ended_by.get().expect("the work was ended") - silent_since;
-        assert!(by > lost_after && by < 0.99 * LEASE, "and killed while it lasts: {by}");
+        assert!(
+            by > lost_after && by < 0.99 * LEASE,
+            "and killed while it lasts: {by}"
+        );
     });
 }
