--- a/crates/soak/src/audit/requests.rs
+++ b/crates/soak/src/audit/requests.rs
@@ -43,7 +43,9 @@
 
     /// Whether anything of a request has come to an engine: its process has read it.
     pub fn was_attempted(&self, id: &str) -> bool {
-        self.requests.get(id).is_some_and(|request| !request.attempts.is_empty())
+        self.requests
+            .get(id)
+            .is_some_and(|request| !request.attempts.is_empty())
     }
 
     /// Whether a process owed an answer to a request that had none by now. 'When a process dies', what it held is its
@@ -51,7 +53,11 @@
     /// more than 0.7 s after SIGTERM', and only then.
     pub(super) fn owes(&self, request: &Request, now: Ms) -> bool {
         let gone = request.gone.is_some_and(|gone| gone <= now);
-        let stopped = self.stopping.get(&request.life).copied().unwrap_or(f64::INFINITY);
+        let stopped = self
+            .stopping
+            .get(&request.life)
+            .copied()
+            .unwrap_or(f64::INFINITY);
         let ends = match self.ended.get(&request.life) {
             Some((_, LifeEnd::Killed)) => false,
             Some((at, LifeEnd::KilledInStop)) if now >= *at => request.sent > stopped + STOP_TAKES,
@@ -62,7 +68,9 @@
 
     /// What a client got for a request.
     pub fn answered(&mut self, id: &str, answer: Answer, now: Ms) {
-        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
         request.answered = true;
         let request = request.clone();
         if request.gone.is_some() {
@@ -75,12 +83,21 @@
             Answer::Nothing if owed => Some("its connection ended with no answer".to_owned()),
             _ => None,
         };
-        let began_late = !matches!(answer, Answer::Whole(_) | Answer::Broken(_) | Answer::Nothing);
+        let began_late = !matches!(
+            answer,
+            Answer::Whole(_) | Answer::Broken(_) | Answer::Nothing
+        );
         let latest = request.due + self.rules.answer_grace + self.rules.deadline_extra();
-        let late = (broken.is_none() && began_late && owed && now > latest)
-            .then(|| format!("its answer came {:.0} ms after its deadline", now - request.deadline));
+        let late = (broken.is_none() && began_late && owed && now > latest).then(|| {
+            format!(
+                "its answer came {:.0} ms after its deadline",
+                now - request.deadline
+            )
+        });
         let story = || self.story(&request);
-        let told = broken.or(late).map(|what| format!("{id} {what}; {}", story()));
+        let told = broken
+            .or(late)
+            .map(|what| format!("{id} {what}; {}", story()));
         self.check(now, Invariant::Answered, told);
         if answer == Answer::Refused {
             self.check_refusal(id, &request, now);
@@ -91,7 +108,13 @@
     pub(super) fn story(&self, request: &Request) -> String {
         let Life { process, start } = request.life;
         let attempt = |id: &AttemptId| {
-            let Attempt { engine, begun, ended, events, .. } = &self.attempts[id.0];
+            let Attempt {
+                engine,
+                begun,
+                ended,
+                events,
+                ..
+            } = &self.attempts[id.0];
             let end = ended.map_or("out".to_owned(), |(at, end)| format!("{end:?} at {at:.0}"));
             format!(" {engine} from {begun:.0}, {} events, {end};", events.len())
         };
@@ -119,10 +142,17 @@
     }
 
     /// A stream may break for its client only if it has broken at its engine, after a whole event.
-    pub(super) fn break_is_wrong(&self, request: &Request, events: usize, now: Ms) -> Option<String> {
+    pub(super) fn break_is_wrong(
+        &self,
+        request: &Request,
+        events: usize,
+        now: Ms,
+    ) -> Option<String> {
         let failed = |attempt: &Attempt| matches!(attempt.ended, Some((_, AttemptEnd::Failed)));
         let broke = self.decodes(request).any(|attempt| {
-            attempt.cut.is_some() || failed(attempt) && !attempt.complete || attempt.has_stalled(now)
+            attempt.cut.is_some()
+                || failed(attempt) && !attempt.complete
+                || attempt.has_stalled(now)
         });
         if events == 0 {
             Some("its stream ended before a whole event".to_owned())
@@ -135,7 +165,8 @@
 
     /// Whether an attempt may have had its effect.
     pub(super) fn may_have_run(attempt: &Attempt) -> bool {
-        attempt.stage == Stage::Decode && !matches!(attempt.ended, Some((_, AttemptEnd::TurnedAway)))
+        attempt.stage == Stage::Decode
+            && !matches!(attempt.ended, Some((_, AttemptEnd::TurnedAway)))
     }
 
     pub(super) fn check_refusal(&mut self, id: &str, request: &Request, now: Ms) {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -87,14 +87,25 @@
         seed: u64,
     ) -> Clients {
         let rng = Rc::new(RefCell::new(WyRand::new_seed(seed)));
-        Clients { life, address, clock, audit, rng, classes, resting: Rc::default() }
+        Clients {
+            life,
+            address,
+            clock,
+            audit,
+            rng,
+            classes,
+            resting: Rc::default(),
+        }
     }
 
     fn draw_manner(&self) -> Manner {
         let mut rng = self.rng.borrow_mut();
         match draw_part(&mut rng, [LEAVE, STOP_WITHIN, SLOW, PIPELINE]) {
             Some(0) => {
-                let (after, resets) = (rng.generate::<f64>() * 150.0, rng.generate_range(0..2u32) == 0);
+                let (after, resets) = (
+                    rng.generate::<f64>() * 150.0,
+                    rng.generate_range(0..2u32) == 0,
+                );
                 Manner::Leaves { after, resets }
             }
             Some(1) => Manner::StopsWithin,
@@ -109,8 +120,11 @@
         let class = self.classes[rng.generate_range(0..self.classes.len())];
         let id = format!("{:016x}", rng.generate::<u64>());
         // Some are told to wait for little.
-        let left =
-            if rng.generate_range(0..20u32) == 0 { rng.generate_range(30..300u32) } else { class.deadline };
+        let left = if rng.generate_range(0..20u32) == 0 {
+            rng.generate_range(30..300u32)
+        } else {
+            class.deadline
+        };
         Asked { id, class, left }
     }
 
@@ -128,7 +142,9 @@
 
     /// One client asks on a connection that is open, if one rests: none comes anew.
     pub async fn ask_on_resting(self) {
-        let Some(line) = self.resting.borrow_mut().pop() else { return };
+        let Some(line) = self.resting.borrow_mut().pop() else {
+            return;
+        };
         let asked = self.draw_request();
         self.try_on(line, &asked, Manner::Plain).await;
     }
@@ -153,20 +169,29 @@
                 return;
             }
         }
-        let Ok(line) = self.connect().await else { return };
+        let Ok(line) = self.connect().await else {
+            return;
+        };
         self.try_on(line, asked, manner).await;
     }
 
     async fn connect(&self) -> io::Result<Line> {
         let io = TcpStream::connect(self.address).await?;
         io.set_nodelay(true)?;
-        Ok(Line { io, bytes: BytesMut::new(), used: false })
+        Ok(Line {
+            io,
+            bytes: BytesMut::new(),
+            used: false,
+        })
     }
 
     /// Tells whether that settled it.
     async fn try_on(&self, mut line: Line, asked: &Asked, manner: Manner) -> bool {
         let text = text_of(asked);
-        if write(&mut line, &text, manner == Manner::Slow).await.is_err() {
+        if write(&mut line, &text, manner == Manner::Slow)
+            .await
+            .is_err()
+        {
             // Not all of it went out, so it was not taken.
             return !line.used;
         }
@@ -188,13 +213,16 @@
             went = self.read(&mut line, &asked.id, stays_on.then_some(&leaves_at)) => went,
             () = self.until(&leaves_at) => return self.leave(line, asked, manner),
         };
-        let crossed =
-            went.answer == Answer::Nothing && line.used && !self.audit.borrow().was_attempted(&asked.id);
+        let crossed = went.answer == Answer::Nothing
+            && line.used
+            && !self.audit.borrow().was_attempted(&asked.id);
         if crossed {
             self.audit.borrow_mut().request_crossed(&asked.id);
             return false;
         }
-        self.audit.borrow_mut().answered(&asked.id, went.answer, self.clock.now());
+        self.audit
+            .borrow_mut()
+            .answered(&asked.id, went.answer, self.clock.now());
         if went.keeps && self.resting.borrow().len() < MOST_RESTING {
             line.used = true;
             self.resting.borrow_mut().push(line);
@@ -212,7 +240,9 @@
     /// A client that has had enough; one that waited past its deadline leaves nothing excused.
     fn leave(&self, line: Line, asked: &Asked, manner: Manner) -> bool {
         if let Manner::Leaves { resets, .. } = manner {
-            self.audit.borrow_mut().client_gone(&asked.id, self.clock.now());
+            self.audit
+                .borrow_mut()
+                .client_gone(&asked.id, self.clock.now());
             if resets {
                 // A connection that is gone already needs none.
                 let _ = line.io.set_zero_linger();
@@ -223,7 +253,9 @@
 
     /// Two requests at once on one connection.
     async fn pipeline(&self) {
-        let Ok(mut line) = self.connect().await else { return };
+        let Ok(mut line) = self.connect().await else {
+            return;
+        };
         let both = [self.draw_request(), self.draw_request()];
         let text = both.iter().map(text_of).collect::<String>();
         if write(&mut line, &text, false).await.is_err() {
@@ -232,15 +264,27 @@
         let now = self.clock.now();
         for asked in &both {
             let effect = asked.class.effect;
-            self.audit.borrow_mut().request_sent(&asked.id, self.life, effect, now, f64::from(asked.left));
+            self.audit.borrow_mut().request_sent(
+                &asked.id,
+                self.life,
+                effect,
+                now,
+                f64::from(asked.left),
+            );
         }
         for asked in &both {
             let went = self.read(&mut line, &asked.id, None).await;
-            self.audit.borrow_mut().answered(&asked.id, went.answer, self.clock.now());
-            self.audit.borrow_mut().waited_behind_another(&both[1].id, self.clock.now());
+            self.audit
+                .borrow_mut()
+                .answered(&asked.id, went.answer, self.clock.now());
+            self.audit
+                .borrow_mut()
+                .waited_behind_another(&both[1].id, self.clock.now());
             if !went.keeps {
                 // The connection ends with that answer, and the client with it.
-                self.audit.borrow_mut().client_gone(&both[1].id, self.clock.now());
+                self.audit
+                    .borrow_mut()
+                    .client_gone(&both[1].id, self.clock.now());
                 return;
             }
         }
@@ -248,7 +292,9 @@
 
     /// Half of a request, and nothing more.
     async fn stop_within_a_request(&self) {
-        let Ok(mut line) = self.connect().await else { return };
+        let Ok(mut line) = self.connect().await else {
+            return;
+        };
         let text = text_of(&self.draw_request());
         let cut = self.rng.borrow_mut().generate_range(1..text.len());
         let waits = self.rng.borrow_mut().generate::<f64>() * 1_500.0;
@@ -262,7 +308,9 @@
             () = sleep(BAD_CLIENT_STAYS) => false,
         };
         let now = self.clock.now();
-        self.audit.borrow_mut().bad_client_ended(ended.then_some(now - began), now);
+        self.audit
+            .borrow_mut()
+            .bad_client_ended(ended.then_some(now - began), now);
     }
 
     /// Reads an answer to its end; each event puts off when its client leaves, if that may be put off.
@@ -285,22 +333,42 @@
                     continue;
                 }
                 Ok(Some(Came::End)) => {
-                    let Some(head) = head else { return Went { answer: Answer::Nothing, keeps: false } };
+                    let Some(head) = head else {
+                        return Went {
+                            answer: Answer::Nothing,
+                            keeps: false,
+                        };
+                    };
                     let answer = match head.first {
                         200 => Answer::Whole(events),
                         429 | 503 => Answer::Refused,
                         _ => Answer::Failed,
                     };
-                    return Went { answer, keeps: head.keeps };
+                    return Went {
+                        answer,
+                        keeps: head.keeps,
+                    };
                 }
                 Ok(None) => {}
-                Err(_) => return Went { answer: Answer::Nothing, keeps: false },
+                Err(_) => {
+                    return Went {
+                        answer: Answer::Nothing,
+                        keeps: false,
+                    }
+                }
             }
             line.bytes.reserve(TURN);
             if !matches!(line.io.read_buf(&mut line.bytes).await, Ok(1..)) {
                 let streams = head.is_some_and(|head| head.first == 200);
-                let answer = if streams { Answer::Broken(events) } else { Answer::Nothing };
-                return Went { answer, keeps: false };
+                let answer = if streams {
+                    Answer::Broken(events)
+                } else {
+                    Answer::Nothing
+                };
+                return Went {
+                    answer,
+                    keeps: false,
+                };
             }
         }
     }
@@ -312,7 +380,9 @@
             let event: Vec<u8> = text.drain(..end + 2).collect();
             let number = std::str::from_utf8(&event).ok().and_then(number_of);
             if let Some(number) = number {
-                self.audit.borrow_mut().event_came(id, number, self.clock.now());
+                self.audit
+                    .borrow_mut()
+                    .event_came(id, number, self.clock.now());
                 taken += 1;
             }
         }
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -56,11 +56,26 @@
 
 /// The file of a process; `known`: the list that it had last.
 pub fn file(place: &Place<'_>, known: &str) -> String {
-    let Place { classes, number, processes, start, discovery, lists_are_asked_for } = place;
+    let Place {
+        classes,
+        number,
+        processes,
+        start,
+        discovery,
+        lists_are_asked_for,
+    } = place;
     let micros = |time: Ms| (time * 1000.0) as u64;
-    let (release, connect, grace) = (micros(RELEASE), micros(CONNECT_TIMEOUT), micros(DRAIN_GRACE));
+    let (release, connect, grace) = (
+        micros(RELEASE),
+        micros(CONNECT_TIMEOUT),
+        micros(DRAIN_GRACE),
+    );
     let (window, ramp) = (micros(FALL_WINDOW), micros(COLD_FOR));
-    let how = if *lists_are_asked_for { "subscribe" } else { "automatic" };
+    let how = if *lists_are_asked_for {
+        "subscribe"
+    } else {
+        "automatic"
+    };
     let zone = number % ZONES.len();
     let service = |class: &Class| {
         let effect = match class.effect {
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -22,7 +22,15 @@
 
 impl Entry {
     fn text(&self) -> String {
-        let Entry { id, address, zone, kind, cell, phase, up_since_ms } = self;
+        let Entry {
+            id,
+            address,
+            zone,
+            kind,
+            cell,
+            phase,
+            up_since_ms,
+        } = self;
         format!(
             "{{\"id\":\"{id}\",\"host_port\":\"{address}\",\"locality\":\"{zone}\",\"flavor\":\"{kind}\",\
              \"cell\":{cell},\"phase\":\"{phase}\",\"size\":1.0,\"up_since_ms\":{up_since_ms}}}"
@@ -110,7 +118,15 @@
 
     /// The list as a process finds it in its configuration.
     pub fn whole(&self) -> String {
-        self.list(true, self.shared.entries.borrow().iter().map(Entry::text).collect())
+        self.list(
+            true,
+            self.shared
+                .entries
+                .borrow()
+                .iter()
+                .map(Entry::text)
+                .collect(),
+        )
     }
 
     fn since(&self, revision: u64) -> String {
@@ -142,7 +158,10 @@
         let asked = connection.request(self.shared.clock).await?;
         let silences = self.shared.silences.get();
         if self.shared.mode.get() == Mode::Refuses {
-            return connection.say(&answer("503 Service Unavailable", "", "")).await.ok();
+            return connection
+                .say(&answer("503 Service Unavailable", "", ""))
+                .await
+                .ok();
         }
         let text = match after(&asked.head.first.target) {
             None => self.whole(),
@@ -180,7 +199,9 @@
 fn after(target: &str) -> Option<(u64, Ms)> {
     let (_, query) = target.split_once('?')?;
     let value = |name: &str| {
-        let pair = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
+        let pair = query
+            .split('&')
+            .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
         pair.and_then(|text| text.parse::<u64>().ok())
     };
     Some((value("after")?, value("wait_ms").unwrap_or(0) as Ms))
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -81,7 +81,13 @@
 
 impl Engine {
     pub fn new(settings: EngineSettings, clock: Clock, audit: Rc<RefCell<Audit>>) -> Engine {
-        let EngineSettings { id, stage, slots, hung_release, seed } = settings;
+        let EngineSettings {
+            id,
+            stage,
+            slots,
+            hung_release,
+            seed,
+        } = settings;
         Engine {
             id,
             stage,
@@ -130,15 +136,25 @@
             self.until_not_hanging().await;
         }
         self.audit.borrow_mut().release_came(request);
-        connection.say("HTTP/1.1 204 No Content\r\n\r\n").await.is_ok()
+        connection
+            .say("HTTP/1.1 204 No Content\r\n\r\n")
+            .await
+            .is_ok()
     }
 
     /// Serves an attempt; tells whether the connection goes on, or nothing if it is to be reset.
     async fn attempt(&self, connection: &mut Connection, received: Received) -> Option<bool> {
         let head = &received.head;
-        let told_left = head.text("X-Remaining-Ms").and_then(|text| text.parse().ok());
+        let told_left = head
+            .text("X-Remaining-Ms")
+            .and_then(|text| text.parse().ok());
         let Some(request) = head.text("X-Txn").map(str::to_owned) else {
-            return Some(connection.say(&answer("404 Not Found", "", "")).await.is_ok());
+            return Some(
+                connection
+                    .say(&answer("404 Not Found", "", ""))
+                    .await
+                    .is_ok(),
+            );
         };
         let passage = connection.peer.and_then(|peer| self.passages.get(peer));
         let sent = passage.as_ref().and_then(|passage| passage.request());
@@ -153,7 +169,9 @@
         };
         let id = self.audit.borrow_mut().attempt_begins(new);
         let (end, goes_on) = self.work(connection, id, &request).await;
-        self.audit.borrow_mut().attempt_ends(id, end, self.clock.now());
+        self.audit
+            .borrow_mut()
+            .attempt_ends(id, end, self.clock.now());
         goes_on
     }
 
@@ -165,20 +183,32 @@
         request: &str,
     ) -> (AttemptEnd, Option<bool>) {
         if self.behaviour.turns_away.get() {
-            let said = connection.say(&answer("503 Service Unavailable", TURNED_AWAY, "")).await;
+            let said = connection
+                .say(&answer("503 Service Unavailable", TURNED_AWAY, ""))
+                .await;
             return (AttemptEnd::TurnedAway, Some(said.is_ok()));
         }
-        let first = if self.stage == Stage::Prefill { PREFILL } else { FIRST_EVENT };
+        let first = if self.stage == Stage::Prefill {
+            PREFILL
+        } else {
+            FIRST_EVENT
+        };
         let spent = self.rng.borrow_mut().generate::<f64>() + 0.5;
         let worked = tokio::select! { biased;
             () = self.notices_close(connection) => None,
             slot = self.begin(first * spent) => Some(slot),
         };
-        let Some(_slot) = worked else { return (AttemptEnd::Abandoned, Some(false)) };
+        let Some(_slot) = worked else {
+            return (AttemptEnd::Abandoned, Some(false));
+        };
         match self.stage {
             Stage::Prefill => {
-                self.audit.borrow_mut().state_held(request, &self.id, self.clock.now());
-                let said = connection.say(&answer("202 Accepted", "", "{\"cached_tokens\":0}")).await;
+                self.audit
+                    .borrow_mut()
+                    .state_held(request, &self.id, self.clock.now());
+                let said = connection
+                    .say(&answer("202 Accepted", "", "{\"cached_tokens\":0}"))
+                    .await;
                 (AttemptEnd::Served, Some(said.is_ok()))
             }
             Stage::Decode => {
@@ -206,7 +236,12 @@
             Stage::Prefill => None,
             Stage::Decode => self.slots.acquire().await.ok(),
         };
-        self.spend(if self.behaviour.is_slow.get() { SLOW } else { span }).await;
+        self.spend(if self.behaviour.is_slow.get() {
+            SLOW
+        } else {
+            span
+        })
+        .await;
         slot
     }
 
@@ -231,11 +266,23 @@
             Some(2) => Course::Spoilt,
             _ => Course::Whole,
         };
-        let events = if draw_part(&mut rng, [LONG]).is_some() { EVENTS_OF_LONG } else { EVENTS };
-        (course, rng.generate_range(events), draw_part(&mut rng, [IN_PIECES]).is_some())
+        let events = if draw_part(&mut rng, [LONG]).is_some() {
+            EVENTS_OF_LONG
+        } else {
+            EVENTS
+        };
+        (
+            course,
+            rng.generate_range(events),
+            draw_part(&mut rng, [IN_PIECES]).is_some(),
+        )
     }
 
-    async fn stream(&self, connection: &mut Connection, id: AttemptId) -> (AttemptEnd, Option<bool>) {
+    async fn stream(
+        &self,
+        connection: &mut Connection,
+        id: AttemptId,
+    ) -> (AttemptEnd, Option<bool>) {
         let (course, events, in_pieces) = self.draw_course();
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         if course == Course::Spoilt {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -176,11 +176,16 @@
     pub fn of(&self, who: Group) -> Vec<usize> {
         match who {
             Group::One { engine } => vec![engine],
-            Group::Several { first, count } => (first..first + count).map(|at| at % self.count).collect(),
-            Group::Zone { zone } => (0..self.count).filter(|engine| self.zone(*engine) == zone).collect(),
-            Group::Kind { kind, but } => {
-                (kind..self.count).step_by(self.kinds).filter(|engine| *engine != but).collect()
+            Group::Several { first, count } => {
+                (first..first + count).map(|at| at % self.count).collect()
             }
+            Group::Zone { zone } => (0..self.count)
+                .filter(|engine| self.zone(*engine) == zone)
+                .collect(),
+            Group::Kind { kind, but } => (kind..self.count)
+                .step_by(self.kinds)
+                .filter(|engine| *engine != but)
+                .collect(),
         }
     }
 }
@@ -218,7 +223,11 @@
         while now < end {
             let lasts = SHORTEST + rng.generate::<f64>() * (LONGEST - SHORTEST);
             let trouble = draw_trouble(&mut rng, processes, engines);
-            troubles.push(Planned { from: now, until: (now + lasts).min(end), trouble });
+            troubles.push(Planned {
+                from: now,
+                until: (now + lasts).min(end),
+                trouble,
+            });
             let mean = (SHORTEST + LONGEST) / 2.0 / OVERLAP;
             now += -(1.0 - rng.generate::<f64>()).ln() * mean;
         }
@@ -241,7 +250,10 @@
 
     /// The longest deadline of a class.
     pub fn longest_deadline(&self) -> Ms {
-        self.classes.iter().map(|class| f64::from(class.deadline)).fold(0.0, f64::max)
+        self.classes
+            .iter()
+            .map(|class| f64::from(class.deadline))
+            .fold(0.0, f64::max)
     }
 }
 
@@ -249,9 +261,21 @@
     let short = rng.generate_range(0..SHORT_ONE_IN) == 0;
     let deadlines = if short { SHORT_DEADLINES } else { DEADLINES };
     let window = rng.generate_range(WINDOWS);
-    let effects = [Effect::Idempotent, Effect::AtMostOnce, Effect::Keyed { window }];
-    let mut class = |name, effect| Class { name, effect, deadline: rng.generate_range(deadlines.clone()) };
-    [class("draft", effects[0]), class("order", effects[1]), class("form", effects[2])]
+    let effects = [
+        Effect::Idempotent,
+        Effect::AtMostOnce,
+        Effect::Keyed { window },
+    ];
+    let mut class = |name, effect| Class {
+        name,
+        effect,
+        deadline: rng.generate_range(deadlines.clone()),
+    };
+    [
+        class("draft", effects[0]),
+        class("order", effects[1]),
+        class("form", effects[2]),
+    ]
 }
 
 /// Nearly all engines of a kind hang or are silent together, evenly spread over the soak.
@@ -260,14 +284,21 @@
     let hangs = rng.generate_range(0..2u32) == 0;
     let between = (end - QUIET_START).max(0.0) / KIND_FAILS as f64;
     let failure = |nth: usize| {
-        let who = Group::Kind { kind, but: kind + engines.kinds * nth % engines.count };
+        let who = Group::Kind {
+            kind,
+            but: kind + engines.kinds * nth % engines.count,
+        };
         let from = QUIET_START + between * nth as f64;
         let lasts = SHORTEST + rng.generate::<f64>() * (between.min(LONGEST) - SHORTEST).max(0.0);
         let trouble = match hangs {
             true => Trouble::Hang(draw_hang(rng, who)),
             false => Trouble::Silence(draw_silence(rng, who, Loss::BothWays)),
         };
-        Planned { from, until: (from + lasts).min(end), trouble }
+        Planned {
+            from,
+            until: (from + lasts).min(end),
+            trouble,
+        }
     };
     (0..KIND_FAILS).map(failure).collect()
 }
@@ -278,7 +309,10 @@
     let engine = rng.generate_range(0..engines.count);
     match rng.generate_range(0..40u32) {
         0..=1 => Trouble::Stop { process },
-        2 => Trouble::StopSeveral { first: process, count: rng.generate_range(2..=MOST_STOPPED) },
+        2 => Trouble::StopSeveral {
+            first: process,
+            count: rng.generate_range(2..=MOST_STOPPED),
+        },
         3 => Trouble::Kill { process },
         4 => Trouble::Pause { process },
         5 => Trouble::Reload,
@@ -300,11 +334,18 @@
             let who = draw_group(rng, engine, engines);
             Trouble::Silence(draw_silence(rng, who, Loss::BothWays))
         }
-        30..=32 => Trouble::SilenceSome { engine, delivers: rng.generate_range(0..2u32) == 0 },
+        30..=32 => Trouble::SilenceSome {
+            engine,
+            delivers: rng.generate_range(0..2u32) == 0,
+        },
         33..=34 => Trouble::Slow { engine },
         _ => {
             let who = draw_group(rng, engine, engines);
-            let loss = if rng.generate_range(0..2u32) == 0 { Loss::ToEngines } else { Loss::ToProcesses };
+            let loss = if rng.generate_range(0..2u32) == 0 {
+                Loss::ToEngines
+            } else {
+                Loss::ToProcesses
+            };
             Trouble::Silence(draw_silence(rng, who, loss))
         }
     }
@@ -313,16 +354,29 @@
 fn draw_group(rng: &mut WyRand, engine: usize, engines: Engines) -> Group {
     match rng.generate_range(0..4u32) {
         0 | 1 => Group::One { engine },
-        2 => Group::Several { first: engine, count: rng.generate_range(2..=MOST_SILENT) },
-        _ => Group::Zone { zone: engines.zone(engine) },
+        2 => Group::Several {
+            first: engine,
+            count: rng.generate_range(2..=MOST_SILENT),
+        },
+        _ => Group::Zone {
+            zone: engines.zone(engine),
+        },
     }
 }
 
 fn draw_hang(rng: &mut WyRand, who: Group) -> Hang {
-    Hang { who, notices_closes: rng.generate_range(0..2u32) == 0 }
+    Hang {
+        who,
+        notices_closes: rng.generate_range(0..2u32) == 0,
+    }
 }
 
 fn draw_silence(rng: &mut WyRand, who: Group, loss: Loss) -> Silence {
     let within_a_message = loss == Loss::BothWays && rng.generate_range(0..4u32) == 0;
-    Silence { who, loss, within_a_message, delivers: rng.generate_range(0..2u32) == 0 }
+    Silence {
+        who,
+        loss,
+        within_a_message,
+        delivers: rng.generate_range(0..2u32) == 0,
+    }
 }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -42,12 +42,22 @@
 impl Process {
     pub fn new(number: usize, folder: &Path, program: Program) -> Process {
         let folder = folder.to_owned();
-        Process { number, folder, program, child: None, starts: 0, address: None }
+        Process {
+            number,
+            folder,
+            program,
+            child: None,
+            starts: 0,
+            address: None,
+        }
     }
 
     /// The present run, or the last one.
     pub fn life(&self) -> Life {
-        Life { process: self.number, start: self.starts }
+        Life {
+            process: self.number,
+            start: self.starts,
+        }
     }
 
     pub fn next_start(&self) -> u32 {
@@ -79,9 +89,14 @@
         command
             .args(["--log-form", "json", "--log", &self.program.log, "node"])
             .env("GW_CONFIG", self.configuration());
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(File::create(self.log(self.starts))?);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(File::create(self.log(self.starts))?);
         if let Some(shim) = &self.program.shim {
-            command.env("LD_PRELOAD", &shim.library).envs(shim.variables.iter().cloned());
+            command
+                .env("LD_PRELOAD", &shim.library)
+                .envs(shim.variables.iter().cloned());
         }
         self.child = Some(command.spawn()?);
         Ok(())
@@ -113,7 +128,10 @@
 
     /// Sends the present run a signal, if there is one.
     pub fn signal(&self, signal: Signal) {
-        let pid = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
+        let pid = self
+            .child
+            .as_ref()
+            .and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(pid) = pid {
             // It may be gone already; its end is seen by itself.
             let _ = kill_process(pid, signal);
@@ -124,7 +142,10 @@
     pub fn own_violations(&self) -> Vec<String> {
         let logs = (1..=self.starts).filter_map(|start| fs::read_to_string(self.log(start)).ok());
         let lines = |log: String| {
-            let found = log.lines().filter(|line| line.contains(VIOLATION)).map(str::to_owned);
+            let found = log
+                .lines()
+                .filter(|line| line.contains(VIOLATION))
+                .map(str::to_owned);
             found.collect::<Vec<_>>()
         };
         logs.flat_map(lines).collect()
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -90,7 +90,10 @@
             changed: Notify::new(),
             cuts: Cell::new(0),
         });
-        let proxy = Proxy { address: listener.local_addr()?, shared: shared.clone() };
+        let proxy = Proxy {
+            address: listener.local_addr()?,
+            shared: shared.clone(),
+        };
         spawn_local(accept(listener, shared));
         Ok(proxy)
     }
@@ -213,7 +216,10 @@
 
 impl Lying {
     fn of(draw: u32) -> Lying {
-        Lying { draw, ..Lying::default() }
+        Lying {
+            draw,
+            ..Lying::default()
+        }
     }
 
     /// Whether nothing goes on this way of its connection.
@@ -222,7 +228,13 @@
     }
 
     /// Takes in what comes next.
-    async fn take(&mut self, from: &mut OwnedReadHalf, way: Way, shared: &Shared, passage: &Passage) {
+    async fn take(
+        &mut self,
+        from: &mut OwnedReadHalf,
+        way: Way,
+        shared: &Shared,
+        passage: &Passage,
+    ) {
         let mut bytes = vec![0; TURN];
         let read = from.read(&mut bytes).await;
         let now = shared.clock.now();
@@ -246,7 +258,13 @@
 }
 
 /// Takes in what comes, for good.
-async fn lie(from: &mut OwnedReadHalf, lying: &mut Lying, way: Way, shared: &Shared, passage: &Passage) {
+async fn lie(
+    from: &mut OwnedReadHalf,
+    lying: &mut Lying,
+    way: Way,
+    shared: &Shared,
+    passage: &Passage,
+) {
     while lying.takes_more() {
         lying.take(from, way, shared, passage).await;
     }
@@ -268,7 +286,11 @@
         let is_stopped = lying.is_stopped(way, shared);
         if !is_stopped && !lying.bytes.is_empty() {
             let ends_within = mode == Mode::SilentWithin && way == Way::ToEngine;
-            let part = if ends_within { lying.bytes.len() / 2 } else { lying.bytes.len() };
+            let part = if ends_within {
+                lying.bytes.len() / 2
+            } else {
+                lying.bytes.len()
+            };
             if ends_within {
                 shared.set_mode(Mode::Silent);
             }
--- a/crates/soak/src/readings.rs
+++ b/crates/soak/src/readings.rs
@@ -50,9 +50,21 @@
     pub fn draw(rng: &mut WyRand) -> Readings {
         let mut heads = || rng.generate_range(0..2u32) == 0;
         Readings {
-            release: if heads() { ReleaseScope::Everything } else { ReleaseScope::WhatNoAttemptWaitsFor },
-            over: if heads() { AttemptOver::AtTheClose } else { AttemptOver::WhenTheEngineNotices },
-            hung_release: if heads() { HungRelease::Confirmed } else { HungRelease::Unanswered },
+            release: if heads() {
+                ReleaseScope::Everything
+            } else {
+                ReleaseScope::WhatNoAttemptWaitsFor
+            },
+            over: if heads() {
+                AttemptOver::AtTheClose
+            } else {
+                AttemptOver::WhenTheEngineNotices
+            },
+            hung_release: if heads() {
+                HungRelease::Confirmed
+            } else {
+                HungRelease::Unanswered
+            },
         }
     }
 }
@@ -71,6 +83,9 @@
             HungRelease::Confirmed => "confirms releases",
             HungRelease::Unanswered => "answers no release",
         };
-        write!(f, "a release {release}; an attempt is over {over}; an engine that hangs {hung_release}")
+        write!(
+            f,
+            "a release {release}; an attempt is over {over}; an engine that hangs {hung_release}"
+        )
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -27,8 +27,11 @@
 
 /// Engines of each of the two kinds.
 const ENGINES_OF_A_KIND: usize = 4;
-const ENGINES: Engines =
-    Engines { count: KINDS.len() * ENGINES_OF_A_KIND, kinds: KINDS.len(), zones: ZONES.len() };
+const ENGINES: Engines = Engines {
+    count: KINDS.len() * ENGINES_OF_A_KIND,
+    kinds: KINDS.len(),
+    zones: ZONES.len(),
+};
 /// Requests a second that each process gets in the mean; some get several times that.
 const RATE: f64 = 4.0;
 /// Where decode attempts wait for one another: slots of an engine by the requests that it gets in a second. A stream takes
@@ -95,7 +98,9 @@
 /// # Errors
 /// A port, a folder or a process cannot be had.
 pub fn run(options: &Options) -> io::Result<Outcome> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, async {
         let soak = Rc::new(Soak::start(options).await?);
         soak.play(options.seconds * 1000.0).await;
@@ -141,9 +146,16 @@
         let clock = Clock::start();
         let plan = Plan::draw(options.seed, options.processes, ENGINES, options.seconds);
         // Engines show that they bear what comes, bursts too.
-        let bursts = if plan.is_crowded { BURST as f64 * 1000.0 / BETWEEN_BURSTS } else { 0.0 };
+        let bursts = if plan.is_crowded {
+            BURST as f64 * 1000.0 / BETWEEN_BURSTS
+        } else {
+            0.0
+        };
         let rate = (RATE + bursts) * options.processes as f64 / ENGINES_OF_A_KIND as f64;
-        let audit = Rc::new(RefCell::new(Audit::new(configuration::rules(rate), plan.readings)));
+        let audit = Rc::new(RefCell::new(Audit::new(
+            configuration::rules(rate),
+            plan.readings,
+        )));
         let discovery = Discovery::new(clock);
         let addresses = [discovery.listen().await?, discovery.listen().await?];
         let platform = Platform::new(options.seed, &plan, rate);
@@ -155,8 +167,13 @@
             engines.push(slot);
         }
         let known = discovery.whole();
-        let process =
-            |number| RefCell::new(Process::new(number, &options.folder, program(options, &plan, number)));
+        let process = |number| {
+            RefCell::new(Process::new(
+                number,
+                &options.folder,
+                program(options, &plan, number),
+            ))
+        };
         let processes = (0..options.processes).map(process).collect();
         Ok(Soak {
             clock,
@@ -215,8 +232,13 @@
     }
 
     fn finish(&self) -> Outcome {
-        let own = self.processes.iter().flat_map(|process| process.borrow().own_violations());
-        let audit = self.audit.replace(Audit::new(configuration::rules(1.0), self.plan.readings));
+        let own = self
+            .processes
+            .iter()
+            .flat_map(|process| process.borrow().own_violations());
+        let audit = self
+            .audit
+            .replace(Audit::new(configuration::rules(1.0), self.plan.readings));
         Outcome {
             plan: self.plan.clone(),
             report: audit.finish(self.clock.now()),
@@ -231,12 +253,19 @@
         if late <= LOOK_LATE {
             self.audit.borrow_mut().look(now);
         }
-        for (number, process) in self.processes.iter().enumerate().filter(|(n, _)| !self.busy[*n].get()) {
+        for (number, process) in self
+            .processes
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| !self.busy[*n].get())
+        {
             let mut process = process.borrow_mut();
             let life = process.life();
             if let Some(status) = process.ended() {
                 let how = format!("by itself, {status}");
-                self.audit.borrow_mut().process_ended(life, false, &how, now);
+                self.audit
+                    .borrow_mut()
+                    .process_ended(life, false, &how, now);
                 self.busy[number].set(true);
             }
         }
@@ -247,7 +276,9 @@
         let mut process = self.processes[number].borrow_mut();
         let started = process.configure(&self.configuration(number, process.next_start()));
         if let Err(problem) = started.and_then(|()| process.start()) {
-            self.audit.borrow_mut().process_is_wrong(format!("{number}: {problem}"), self.clock.now());
+            self.audit
+                .borrow_mut()
+                .process_is_wrong(format!("{number}: {problem}"), self.clock.now());
             return;
         }
         let life = process.life();
@@ -276,7 +307,9 @@
             let address = process.borrow_mut().find_address();
             if let Some(address) = address {
                 if is_ready(address).await {
-                    self.audit.borrow_mut().process_ready(self.clock.now() - began);
+                    self.audit
+                        .borrow_mut()
+                        .process_ready(self.clock.now() - began);
                     self.busy[life.process].set(false);
                     return self.run_clients(life, address).await;
                 }
@@ -284,14 +317,23 @@
             sleep(LOOK).await;
         }
         let what = format!("process {} was never ready", life.process);
-        self.audit.borrow_mut().process_is_wrong(what, self.clock.now());
+        self.audit
+            .borrow_mut()
+            .process_is_wrong(what, self.clock.now());
     }
 
     /// Lets clients come to a run of a process for as long as it takes new ones.
     async fn run_clients(self: Rc<Self>, life: Life, address: SocketAddr) {
         let seed = self.platform.seed ^ (life.process as u64) << 32 ^ u64::from(life.start) << 48;
         let mut rng = WyRand::new_seed(seed);
-        let clients = Clients::new(life, address, self.clock, self.audit.clone(), self.plan.classes, seed);
+        let clients = Clients::new(
+            life,
+            address,
+            self.clock,
+            self.audit.clone(),
+            self.plan.classes,
+            seed,
+        );
         if self.plan.is_crowded {
             self.crowd(life, &clients);
         }
@@ -303,7 +345,11 @@
                 return;
             }
             // After a signal to stop no client comes anew, and those that are there go on until the kill.
-            if self.audit.borrow().stopped_before(life, self.clock.now() - STOP_NOTICED) {
+            if self
+                .audit
+                .borrow()
+                .stopped_before(life, self.clock.now() - STOP_NOTICED)
+            {
                 spawn_local(clients.clone().ask_on_resting());
             } else if !self.over.get() {
                 spawn_local(clients.clone().ask());
@@ -337,7 +383,10 @@
 
     /// Whether clients still come to a run of a process.
     fn takes_new(&self, life: Life) -> bool {
-        let stopped = self.audit.borrow().stopped_before(life, self.clock.now() - STOP_NOTICED);
+        let stopped = self
+            .audit
+            .borrow()
+            .stopped_before(life, self.clock.now() - STOP_NOTICED);
         self.is_up(life) && !stopped && !self.over.get()
     }
 }
@@ -353,9 +402,16 @@
 impl Platform {
     /// `rate`: requests a second that each engine of a kind gets.
     fn new(seed: u64, plan: &Plan, rate: f64) -> Platform {
-        let slots =
-            if plan.decodes_wait { (rate * SLOTS_FOR).ceil() as usize + 1 } else { Semaphore::MAX_PERMITS };
-        Platform { seed, slots, hung_release: plan.readings.hung_release }
+        let slots = if plan.decodes_wait {
+            (rate * SLOTS_FOR).ceil() as usize + 1
+        } else {
+            Semaphore::MAX_PERMITS
+        };
+        Platform {
+            seed,
+            slots,
+            hung_release: plan.readings.hung_release,
+        }
     }
 }
 
@@ -368,7 +424,11 @@
     audit: &Rc<RefCell<Audit>>,
 ) -> io::Result<EngineSlot> {
     let kind = at % KINDS.len();
-    let stage = if kind == 0 { Stage::Prefill } else { Stage::Decode };
+    let stage = if kind == 0 {
+        Stage::Prefill
+    } else {
+        Stage::Decode
+    };
     let id = format!("{}{}-{generation}", KINDS[kind], at / KINDS.len());
     let settings = EngineSettings {
         id: id.clone(),
@@ -389,32 +449,57 @@
         phase: "up",
         up_since_ms: if generation == 0 { 0 } else { wall_ms() },
     };
-    Ok(EngineSlot { engine, proxy, entry, generation, leaving: false })
+    Ok(EngineSlot {
+        engine,
+        proxy,
+        entry,
+        generation,
+        leaving: false,
+    })
 }
 
 /// How a process is started: with the shim, if system calls are to fail, or if its wall clock is to be stepped, as one in
 /// three are.
 fn program(options: &Options, plan: &Plan, number: usize) -> Program {
     let stepped = number.is_multiple_of(STEPPED_ONE_IN);
-    let shim = options.shim.clone().filter(|_| plan.system_calls_fail || stepped).map(|library| {
-        let mut variables =
-            vec![("CINDERCLEAT_SHIM_SEED".to_owned(), (options.seed + number as u64).to_string())];
-        if plan.system_calls_fail {
-            variables.push(("CINDERCLEAT_SHIM_FAIL".to_owned(), "1".to_owned()));
-        }
-        if stepped {
-            variables.push(("CINDERCLEAT_SHIM_STEP_MS".to_owned(), plan.wall_step.to_string()));
-            variables.push(("CINDERCLEAT_SHIM_STEP_AFTER_MS".to_owned(), plan.wall_step_after.to_string()));
-        }
-        Shim { library, variables }
-    });
-    Program { path: options.program.clone(), log: options.log.clone(), shim }
+    let shim = options
+        .shim
+        .clone()
+        .filter(|_| plan.system_calls_fail || stepped)
+        .map(|library| {
+            let mut variables = vec![(
+                "CINDERCLEAT_SHIM_SEED".to_owned(),
+                (options.seed + number as u64).to_string(),
+            )];
+            if plan.system_calls_fail {
+                variables.push(("CINDERCLEAT_SHIM_FAIL".to_owned(), "1".to_owned()));
+            }
+            if stepped {
+                variables.push((
+                    "CINDERCLEAT_SHIM_STEP_MS".to_owned(),
+                    plan.wall_step.to_string(),
+                ));
+                variables.push((
+                    "CINDERCLEAT_SHIM_STEP_AFTER_MS".to_owned(),
+                    plan.wall_step_after.to_string(),
+                ));
+            }
+            Shim { library, variables }
+        });
+    Program {
+        path: options.program.clone(),
+        log: options.log.clone(),
+        shim,
+    }
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
-    let Ok(io) = TcpStream::connect(address).await else { return false };
+    let Ok(io) = TcpStream::connect(address).await else {
+        return false;
+    };
     let mut connection = Connection::new(io);
-    let asked =
-        connection.say("GET /-/ready HTTP/1.1\r\nHost: origin.svc\r\nConnection: close\r\n\r\n").await;
+    let asked = connection
+        .say("GET /-/ready HTTP/1.1\r\nHost: origin.svc\r\nConnection: close\r\n\r\n")
+        .await;
     asked.is_ok() && connection.status().await == Some(200)
 }
--- a/crates/soak/src/run/troubles.rs
+++ b/crates/soak/src/run/troubles.rs
@@ -28,7 +28,9 @@
                 sleep(until - self.clock.now()).await;
                 behaviour.turns_away.set(false);
             }
-            Trouble::SilenceSome { engine, delivers } => self.silence_some(engine, delivers, until).await,
+            Trouble::SilenceSome { engine, delivers } => {
+                self.silence_some(engine, delivers, until).await
+            }
             Trouble::Slow { engine } => {
                 let behaviour = self.engines.borrow()[engine].engine.behaviour.clone();
                 behaviour.is_slow.set(true);
@@ -36,7 +38,11 @@
                 behaviour.is_slow.set(false);
             }
             Trouble::CloseIdle { engine } => {
-                self.engines.borrow()[engine].engine.behaviour.close_idle.notify_waiters();
+                self.engines.borrow()[engine]
+                    .engine
+                    .behaviour
+                    .close_idle
+                    .notify_waiters();
             }
             Trouble::Reset { engine } => self.cut_engine(engine),
             Trouble::Refuse { engine } => self.refuse_connections(engine, until).await,
@@ -67,12 +73,16 @@
             if let Some(status) = ended {
                 let well = killed || status.success();
                 let how = format!("after a signal to stop, {status}");
-                self.audit.borrow_mut().process_ended(life, well, &how, self.clock.now());
+                self.audit
+                    .borrow_mut()
+                    .process_ended(life, well, &how, self.clock.now());
                 break;
             }
             if !killed && self.clock.now() > kills {
                 killed = true;
-                self.audit.borrow_mut().process_killed_in_stop(life, self.clock.now());
+                self.audit
+                    .borrow_mut()
+                    .process_killed_in_stop(life, self.clock.now());
                 self.processes[number].borrow().signal(Signal::KILL);
             }
             sleep(LOOK).await;
@@ -101,7 +111,9 @@
             return;
         }
         let life = self.processes[number].borrow().life();
-        self.audit.borrow_mut().process_killed(life, self.clock.now());
+        self.audit
+            .borrow_mut()
+            .process_killed(life, self.clock.now());
         self.processes[number].borrow().signal(Signal::KILL);
         while self.processes[number].borrow_mut().ended().is_none() {
             sleep(LOOK).await;
@@ -122,7 +134,12 @@
     /// Discovery moves to its other address; all that run are told to read their configurations again.
     pub(super) fn reload(&self) {
         self.at.set(1 - self.at.get());
-        for (number, process) in self.processes.iter().enumerate().filter(|(n, _)| !self.busy[*n].get()) {
+        for (number, process) in self
+            .processes
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| !self.busy[*n].get())
+        {
             let process = process.borrow();
             // A file that cannot be written is the old one, which is as good.
             let _ = process.configure(&self.configuration(number, process.life().start));
@@ -133,7 +150,9 @@
     pub(super) fn cut_engine(&self, at: usize) {
         let engines = self.engines.borrow();
         let now = self.clock.now();
-        self.audit.borrow_mut().engine_cut(&engines[at].entry.id, now);
+        self.audit
+            .borrow_mut()
+            .engine_cut(&engines[at].entry.id, now);
         engines[at].proxy.cut();
     }
 
@@ -157,7 +176,10 @@
     /// Machines vanish, and come back with or without what lay there.
     pub(super) async fn silence_engines(&self, silence: Silence, until: Ms) {
         let since = self.clock.now();
-        let silenced = ENGINES.of(silence.who).into_iter().filter(|at| self.become_unreachable(*at));
+        let silenced = ENGINES
+            .of(silence.who)
+            .into_iter()
+            .filter(|at| self.become_unreachable(*at));
         let silenced: Vec<_> = silenced.map(|at| (at, self.proxy(at))).collect();
         let mode = match silence.loss {
             Loss::BothWays if silence.within_a_message => proxy::Mode::SilentWithin,
@@ -192,8 +214,13 @@
 
     /// Engines take connections and calls, and do nothing.
     pub(super) async fn hang_engines(&self, hang: Hang, until: Ms) {
-        let hung = ENGINES.of(hang.who).into_iter().filter(|at| self.become_unreachable(*at));
-        let hung: Vec<_> = hung.map(|at| (at, self.engines.borrow()[at].engine.behaviour.clone())).collect();
+        let hung = ENGINES
+            .of(hang.who)
+            .into_iter()
+            .filter(|at| self.become_unreachable(*at));
+        let hung: Vec<_> = hung
+            .map(|at| (at, self.engines.borrow()[at].engine.behaviour.clone()))
+            .collect();
         for (_, behaviour) in &hung {
             behaviour.misses_closes.set(!hang.notices_closes);
             behaviour.hangs.set(true);
@@ -226,7 +253,12 @@
             let mut engines = self.engines.borrow_mut();
             // Enough of its kind stays for the others to be served.
             let kind = at % KINDS.len();
-            let leaving = engines.iter().skip(kind).step_by(KINDS.len()).filter(|slot| slot.leaving).count();
+            let leaving = engines
+                .iter()
+                .skip(kind)
+                .step_by(KINDS.len())
+                .filter(|slot| slot.leaving)
+                .count();
             if engines[at].leaving || leaving + 1 >= ENGINES_OF_A_KIND {
                 return;
             }
@@ -236,22 +268,34 @@
         *self.known.borrow_mut() = self.discovery.whole();
         self.audit.borrow_mut().engine_out_of_service(&entry.id);
         self.out.borrow_mut().push(entry.id.clone());
-        self.discovery.change(Entry { phase: "draining", ..entry.clone() });
+        self.discovery.change(Entry {
+            phase: "draining",
+            ..entry.clone()
+        });
         self.tell_all();
         sleep(until.max(self.clock.now() + DRAINS_FOR) - self.clock.now()).await;
-        self.discovery.change(Entry { phase: "removed", ..entry.clone() });
+        self.discovery.change(Entry {
+            phase: "removed",
+            ..entry.clone()
+        });
         self.cut_engine(at);
-        self.engines.borrow()[at].proxy.set_mode(proxy::Mode::Refuse);
+        self.engines.borrow()[at]
+            .proxy
+            .set_mode(proxy::Mode::Refuse);
         self.audit.borrow_mut().engine_gone(&entry.id);
         match start_engine(&self.platform, at, generation + 1, self.clock, &self.audit).await {
             Ok(slot) => {
-                self.audit.borrow_mut().engine_in_service(&slot.entry.id, Some(self.clock.now()));
+                self.audit
+                    .borrow_mut()
+                    .engine_in_service(&slot.entry.id, Some(self.clock.now()));
                 self.discovery.change(slot.entry.clone());
                 self.engines.borrow_mut()[at] = slot;
             }
             Err(problem) => {
                 let what = format!("an engine could not be started: {problem}");
-                self.audit.borrow_mut().process_is_wrong(what, self.clock.now());
+                self.audit
+                    .borrow_mut()
+                    .process_is_wrong(what, self.clock.now());
             }
         }
     }
@@ -272,7 +316,11 @@
         if !self.reachable.get() {
             return;
         }
-        let after = if self.plan.lists_are_asked_for { TOLD_AFTER } else { 0.0 };
+        let after = if self.plan.lists_are_asked_for {
+            TOLD_AFTER
+        } else {
+            0.0
+        };
         let at = self.clock.now() + after;
         for engine in self.out.borrow().iter() {
             for process in 0..self.processes.len() {
--- a/crates/soak/src/service.rs
+++ b/crates/soak/src/service.rs
@@ -25,7 +25,9 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        Clock { began: Instant::now() }
+        Clock {
+            began: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Ms {
@@ -35,7 +37,9 @@
 
 /// Milliseconds since 1970.
 pub fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as u64)
 }
 
 pub async fn sleep(span: Ms) {
@@ -69,7 +73,10 @@
     let address = listener.local_addr()?;
     spawn_local(async move {
         while let Ok((io, peer)) = listener.accept().await {
-            spawn_local(serve(Connection { peer: Some(peer), ..Connection::new(io) }));
+            spawn_local(serve(Connection {
+                peer: Some(peer),
+                ..Connection::new(io)
+            }));
         }
     });
     Ok(address)
@@ -89,7 +96,11 @@
     pub fn new(io: TcpStream) -> Connection {
         // A connection that is gone already shows it with the next read.
         let _ = io.set_nodelay(true);
-        Connection { io, peer: None, bytes: BytesMut::new() }
+        Connection {
+            io,
+            peer: None,
+            bytes: BytesMut::new(),
+        }
     }
 
     /// The next request; none if the connection ends first, or what comes is none.
@@ -111,7 +122,11 @@
             }
         }
         let last_byte = clock.now();
-        Some(Received { head, first_byte: first_byte.unwrap_or(last_byte), last_byte })
+        Some(Received {
+            head,
+            first_byte: first_byte.unwrap_or(last_byte),
+            last_byte,
+        })
     }
 
     async fn more(&mut self) -> io::Result<()> {
@@ -153,5 +168,8 @@
 
 /// An answer that is no stream.
 pub fn answer(status: &str, more: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -143,7 +143,15 @@
                         let dispatcher = record.peer.to_string();
                         let (sent, patience) = (record.at, submit.patience_ms);
                         open.entry(conn).or_default().push(frame.stream);
-                        tries.insert(id, Try { sent, patience, dispatcher, ..Try::default() });
+                        tries.insert(
+                            id,
+                            Try {
+                                sent,
+                                patience,
+                                dispatcher,
+                                ..Try::default()
+                            },
+                        );
                     }
                     (Way::Out, Some(Body::Cancel(_))) => {
                         if let Some(this) = tries.get_mut(&id) {
@@ -151,7 +159,9 @@
                         }
                     }
                     (Way::In, Some(body)) => {
-                        let Some(this) = tries.get_mut(&id) else { continue };
+                        let Some(this) = tries.get_mut(&id) else {
+                            continue;
+                        };
                         this.after += usize::from(!this.finals.is_empty());
                         match body {
                             Body::Final(_) => this.finals.push(record.at),
@@ -181,17 +191,24 @@
     let kills = kills(records);
     findings.cases.tries = tries.len();
     for ((client, conn, stream), this) in tries {
-        let name = format!("{client}, connection {conn}, stream {stream}, sent at {:.0}", this.sent);
+        let name = format!(
+            "{client}, connection {conn}, stream {stream}, sent at {:.0}",
+            this.sent
+        );
         let ends = this.sent + this.patience;
         findings.cases.finals += this.finals.len();
         let killed = kills.get(&*this.dispatcher).is_some_and(|kills| {
             let by = |at: &Ms| {
-                *at + rules.slack >= this.sent && this.closed.is_some_and(|c| c <= at + 2.0 * rules.slack)
+                *at + rules.slack >= this.sent
+                    && this.closed.is_some_and(|c| c <= at + 2.0 * rules.slack)
             };
             kills.iter().any(by)
         });
         // The bounds are those of a network that carries what is said.
-        let apart = rules.apart.iter().any(|(from, to)| *from <= ends + rules.slack && *to >= this.sent);
+        let apart = rules
+            .apart
+            .iter()
+            .any(|(from, to)| *from <= ends + rules.slack && *to >= this.sent);
         // Sent as the dispatcher closed in order: it never took it.
         let not_taken = !this.accepted && this.closed.is_some();
         if this.after > 0 {
@@ -202,8 +219,15 @@
             _ if this.rejected || this.left.is_some() => {}
             None if killed || not_taken || apart => {}
             None => findings.breach(Rule::TaskLost, ends, format!("{name}: no final answer")),
-            Some(&at) if this.first.is_none() && !apart && at > ends + rules.answer_grace + rules.slack => {
-                let what = format!("{name}: answered {:.0} ms after its client's time", at - ends);
+            Some(&at)
+                if this.first.is_none()
+                    && !apart
+                    && at > ends + rules.answer_grace + rules.slack =>
+            {
+                let what = format!(
+                    "{name}: answered {:.0} ms after its client's time",
+                    at - ends
+                );
                 findings.breach(Rule::TaskLost, at, what);
             }
             Some(_) => {}
@@ -222,7 +246,10 @@
             What::Note(Note::Ran { key, profile }) if rules.at_most_once.contains(profile) => {
                 findings.cases.at_most_once_runs += 1;
                 if let Some((at, host)) = ran.insert(key, (record.at, &record.seer)) {
-                    let what = format!("{key} ran at {host} at {at:.0} and again at {}", record.seer);
+                    let what = format!(
+                        "{key} ran at {host} at {at:.0} and again at {}",
+                        record.seer
+                    );
                     findings.breach(Rule::EffectTwice, record.at, what);
                 }
                 if let Some(at) = bounced.get(&**key) {
@@ -239,8 +266,12 @@
                 }
             }
             What::Frame(Way::In, frame) => {
-                let Some(Body::Final(last)) = &frame.body else { continue };
-                let Some(key) = keys.get(&(&*record.seer, record.conn, frame.stream)) else { continue };
+                let Some(Body::Final(last)) = &frame.body else {
+                    continue;
+                };
+                let Some(key) = keys.get(&(&*record.seer, record.conn, frame.stream)) else {
+                    continue;
+                };
                 if last.answer() == v1::Answer::Bounced {
                     bounced.insert(key, record.at);
                     if ran.contains_key(key) {
@@ -290,7 +321,11 @@
             What::Frame(Way::In, frame) => match &frame.body {
                 Some(Body::Read(read)) => begin(frame.stream, None, f64::from(read.prompt_tokens)),
                 Some(Body::Write(write)) => {
-                    begin(frame.stream, write.state.as_ref(), f64::from(write.max_tokens));
+                    begin(
+                        frame.stream,
+                        write.state.as_ref(),
+                        f64::from(write.max_tokens),
+                    );
                 }
                 Some(Body::Cancel(_)) => {
                     if let Some(at) = open.get_mut(&conn).and_then(|c| c.remove(&frame.stream)) {
@@ -323,32 +358,48 @@
     let mut told: BTreeMap<(String, String), Vec<(Ms, bool)>> = BTreeMap::new();
     let mut known: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for record in records {
-        let What::Frame(Way::Out, frame) = &record.what else { continue };
-        let Some(Body::List(list)) = &frame.body else { continue };
+        let What::Frame(Way::Out, frame) = &record.what else {
+            continue;
+        };
+        let Some(Body::List(list)) = &frame.body else {
+            continue;
+        };
         let dispatcher = record.peer.to_string();
         let known = known.entry(dispatcher.clone()).or_default();
         let mut tell = |host: &str, ready: bool| {
-            told.entry((dispatcher.clone(), host.to_owned())).or_default().push((record.at, ready));
+            told.entry((dispatcher.clone(), host.to_owned()))
+                .or_default()
+                .push((record.at, ready));
         };
         for line in &list.hosts {
             known.insert(line.host.clone());
             tell(&line.host, line.condition() == v1::HostCondition::Ready);
         }
         if list.kind() == v1::ListKind::Full {
-            for host in known.iter().filter(|h| !list.hosts.iter().any(|line| line.host == **h)) {
+            for host in known
+                .iter()
+                .filter(|h| !list.hosts.iter().any(|line| line.host == **h))
+            {
                 tell(host, false);
             }
         }
     }
     findings.cases.drains = told.values().flatten().filter(|(_, ready)| !ready).count();
     for launch in launches {
-        let Some(told) = told.get(&(launch.dispatcher.clone(), launch.host.clone())) else { continue };
+        let Some(told) = told.get(&(launch.dispatcher.clone(), launch.host.clone())) else {
+            continue;
+        };
         // The bound holds for the whole of the grace only if nothing said 'ready' within it.
         let since = launch.came - rules.drain_grace - rules.slack;
         let before = told.iter().rev().find(|(at, _)| *at <= since);
-        let lately = told.iter().any(|(at, ready)| *ready && *at > since && *at <= launch.came);
+        let lately = told
+            .iter()
+            .any(|(at, ready)| *ready && *at > since && *at <= launch.came);
         if before.is_some_and(|(_, ready)| !ready) && !lately {
-            let what = format!("{} sent to {}, which drains or is gone", launch.dispatcher, launch.host);
+            let what = format!(
+                "{} sent to {}, which drains or is gone",
+                launch.dispatcher, launch.host
+            );
             findings.breach(Rule::DrainBroken, launch.came, what);
         }
     }
@@ -359,21 +410,42 @@
 /// counts whole when it arrives, also one turned away; one launch more than the bound is slack.
 fn cold(records: &[Record], launches: &[Launch], rules: &Rules, findings: &mut Findings) {
     for record in records {
-        let What::Note(Note::Started { capacity, start_share, ramp }) = &record.what else { continue };
-        let writer = launches.iter().any(|l| l.host == *record.seer && l.state.is_some());
-        let unit = |l: &Launch| if writer { l.work * rules.token_ms / 1000.0 } else { l.work };
+        let What::Note(Note::Started {
+            capacity,
+            start_share,
+            ramp,
+        }) = &record.what
+        else {
+            continue;
+        };
+        let writer = launches
+            .iter()
+            .any(|l| l.host == *record.seer && l.state.is_some());
+        let unit = |l: &Launch| {
+            if writer {
+                l.work * rules.token_ms / 1000.0
+            } else {
+                l.work
+            }
+        };
         let until = record.at + ramp;
-        let here =
-            launches.iter().filter(|l| l.host == *record.seer && l.came >= record.at && l.came < until);
+        let here = launches
+            .iter()
+            .filter(|l| l.host == *record.seer && l.came >= record.at && l.came < until);
         let here: Vec<&Launch> = here.collect();
         findings.cases.cold_launches += here.len();
         for (at, last) in here.iter().enumerate() {
-            let window = here[..=at].iter().filter(|l| l.came > last.came - rules.fall_window);
+            let window = here[..=at]
+                .iter()
+                .filter(|l| l.came > last.came - rules.fall_window);
             let sent: f64 = window.map(|l| unit(l)).sum();
             let share = start_share + (1.0 - start_share) * (last.came - record.at) / ramp;
             let bound = rules.fall_multiple * capacity * share * rules.fall_window / 1000.0;
             if sent > bound + unit(last) {
-                let what = format!("{} was sent {sent:.1} units where {bound:.1} push it over", record.seer);
+                let what = format!(
+                    "{} was sent {sent:.1} units where {bound:.1} push it over",
+                    record.seer
+                );
                 findings.breach(Rule::ColdHostPushed, last.came, what);
                 break;
             }
@@ -392,7 +464,10 @@
     for record in records {
         match &record.what {
             What::Frame(Way::Out, frame) => {
-                if let Some(Body::Ended(v1::Ended { state: Some(state), .. })) = &frame.body {
+                if let Some(Body::Ended(v1::Ended {
+                    state: Some(state), ..
+                })) = &frame.body
+                {
                     held.insert(key(state), (record.at, record));
                 }
             }
@@ -419,15 +494,27 @@
     let mut out: BTreeMap<Key, Vec<(Ms, Ms)>> = BTreeMap::new();
     for launch in launches {
         if let Some(state) = launch.state {
-            out.entry(state).or_default().push((launch.came, launch.ended));
+            out.entry(state)
+                .or_default()
+                .push((launch.came, launch.ended));
         }
     }
     for (state, (since, record)) in held {
-        let first = |times: Option<&Vec<Ms>>| times.into_iter().flatten().copied().find(|at| *at >= since);
+        let first =
+            |times: Option<&Vec<Ms>>| times.into_iter().flatten().copied().find(|at| *at >= since);
         // A read may end at its host just after its dispatcher was killed, and before the connection is cut.
         let since_met = met.get(&state.0).copied().unwrap_or(since);
-        let killed = kills.get(&*record.peer).into_iter().flatten().copied().find(|at| *at >= since_met);
-        let ends = [over.get(&state).copied(), first(died.get(&*record.seer)), killed];
+        let killed = kills
+            .get(&*record.peer)
+            .into_iter()
+            .flatten()
+            .copied()
+            .find(|at| *at >= since_met);
+        let ends = [
+            over.get(&state).copied(),
+            first(died.get(&*record.seer)),
+            killed,
+        ];
         let until = ends.into_iter().flatten().fold(end, f64::min);
         let mut idle_since = since;
         let mut outs = out.remove(&state).unwrap_or_default();
@@ -436,8 +523,9 @@
         for (came, ended) in outs {
             let came = came.min(until);
             let unseen = |(from, to, _): &(Ms, Ms, Ms)| *from <= came && *to >= idle_since;
-            let lost =
-                |(from, to, most): &(Ms, Ms, Ms)| (to.min(came) - from.max(idle_since)).clamp(0.0, *most);
+            let lost = |(from, to, most): &(Ms, Ms, Ms)| {
+                (to.min(came) - from.max(idle_since)).clamp(0.0, *most)
+            };
             let lost: Ms = rules.silences.iter().filter(|s| unseen(s)).map(lost).sum();
             if came - idle_since - lost > rules.release + rules.slack {
                 let (run, task, launch) = state;
--- a/crates/standin/src/audit/service.rs
+++ b/crates/standin/src/audit/service.rs
@@ -52,7 +52,10 @@
             What::Frame(Way::Out, frame) => match &frame.body {
                 Some(Body::Submit(submit)) => {
                     let of = all.entry(submit.key.clone()).or_default();
-                    open.insert((conn.0, conn.1, frame.stream), (submit.key.clone(), of.len()));
+                    open.insert(
+                        (conn.0, conn.1, frame.stream),
+                        (submit.key.clone(), of.len()),
+                    );
                     of.push(Request {
                         profile: submit.profile.clone(),
                         session: submit.session,
@@ -63,14 +66,17 @@
                     });
                 }
                 Some(Body::Cancel(_)) => {
-                    if let Some(request) = take(&mut open, &mut all, (conn.0, conn.1, frame.stream)) {
+                    if let Some(request) = take(&mut open, &mut all, (conn.0, conn.1, frame.stream))
+                    {
                         request.left = Some(record.at);
                     }
                 }
                 _ => {}
             },
             What::Frame(Way::In, frame) => {
-                let Some(Body::Final(last)) = &frame.body else { continue };
+                let Some(Body::Final(last)) = &frame.body else {
+                    continue;
+                };
                 if let Some(request) = take(&mut open, &mut all, (conn.0, conn.1, frame.stream)) {
                     request.answer = Some(last.answer());
                 }
@@ -86,19 +92,28 @@
 pub(super) fn attempts_for_nobody(records: &[Record], rules: &Rules, findings: &mut Findings) {
     let requests = requests(records);
     for record in records {
-        let What::Frame(Way::In, frame) = &record.what else { continue };
+        let What::Frame(Way::In, frame) = &record.what else {
+            continue;
+        };
         let key = match &frame.body {
             Some(Body::Read(read)) => &read.key,
             Some(Body::Write(write)) => &write.key,
             _ => continue,
         };
-        let Some(asked) = requests.get(key) else { continue };
+        let Some(asked) = requests.get(key) else {
+            continue;
+        };
         let before = asked.iter().rev().find(|request| request.sent <= record.at);
-        let Some(left) = before.and_then(|request| request.left) else { continue };
+        let Some(left) = before.and_then(|request| request.left) else {
+            continue;
+        };
         let late = record.at - left - ATTEMPT_AFTER_CLOSE - rules.slack;
         if late > 0.0 && !within_fault(rules, left, record.at) {
-            let what =
-                format!("{key} was sent to {} {:.0} ms after its client left", record.seer, record.at - left);
+            let what = format!(
+                "{key} was sent to {} {:.0} ms after its client left",
+                record.seer,
+                record.at - left
+            );
             findings.breach(Rule::AttemptForNobody, record.at, what);
         }
     }
@@ -107,7 +122,10 @@
 /// Whether faults of the network between two instants may have kept what was said from arriving.
 fn within_fault(rules: &Rules, from: Ms, to: Ms) -> bool {
     let meets = |begin: Ms, end: Ms| begin <= to && end >= from;
-    rules.silences.iter().any(|(begin, end, _)| meets(*begin, *end))
+    rules
+        .silences
+        .iter()
+        .any(|(begin, end, _)| meets(*begin, *end))
         || rules.apart.iter().any(|(begin, end)| meets(*begin, *end))
 }
 
@@ -116,9 +134,10 @@
     let mut sleeps: BTreeMap<&str, Vec<(Ms, Ms)>> = BTreeMap::new();
     for record in records {
         match record.what {
-            What::Note(Note::Asleep) => {
-                sleeps.entry(&record.seer).or_default().push((record.at, Ms::INFINITY))
-            }
+            What::Note(Note::Asleep) => sleeps
+                .entry(&record.seer)
+                .or_default()
+                .push((record.at, Ms::INFINITY)),
             What::Note(Note::Awake) => {
                 if let Some(last) = sleeps.get_mut(&*record.seer).and_then(|all| all.last_mut()) {
                     last.1 = record.at;
@@ -145,7 +164,9 @@
     let mut written: BTreeMap<(&str, u32), Ms> = BTreeMap::new();
     let sleeps = sleeps(records);
     for record in records {
-        let What::Frame(way, frame) = &record.what else { continue };
+        let What::Frame(way, frame) = &record.what else {
+            continue;
+        };
         let id = (&*record.seer, record.conn, frame.stream);
         match (way, &frame.body) {
             (Way::In, Some(Body::Write(write))) => {
@@ -160,8 +181,12 @@
                 }
             }
             (Way::In, Some(Body::Tokens(tokens))) => {
-                let Some(key) = streams.get(&id) else { continue };
-                let Some(since) = written.remove(&(*key, tokens.position)) else { continue };
+                let Some(key) = streams.get(&id) else {
+                    continue;
+                };
+                let Some(since) = written.remove(&(*key, tokens.position)) else {
+                    continue;
+                };
                 findings.cases.events += 1;
                 let took = record.at - since - slept(sleeps.get(&*record.peer), since, record.at);
                 if took > EVENT_WITHIN + rules.slack && !within_fault(rules, since, record.at) {
@@ -176,10 +201,19 @@
 
 /// The largest requests of a class are answered as the class is, and no sessions are refused throughout.
 pub(super) fn starved(records: &[Record], rules: &Rules, findings: &mut Findings) {
-    let Some(part) = rules.largest_part else { return };
+    let Some(part) = rules.largest_part else {
+        return;
+    };
     let mut classes: BTreeMap<String, Vec<Request>> = BTreeMap::new();
-    for request in requests(records).into_values().flatten().filter(|request| request.left.is_none()) {
-        classes.entry(request.profile.clone()).or_default().push(request);
+    for request in requests(records)
+        .into_values()
+        .flatten()
+        .filter(|request| request.left.is_none())
+    {
+        classes
+            .entry(request.profile.clone())
+            .or_default()
+            .push(request);
     }
     let end = records.last().map_or(0.0, |record| record.at);
     for (class, mut asked) in classes {
@@ -189,9 +223,10 @@
         let all = answered(&asked);
         asked.sort_by_key(|request| std::cmp::Reverse(request.prompt_tokens));
         let (tenth, third) = (asked.len() / 10, asked.len() * 3 / 10);
-        for (name, share) in
-            [("longest tenth", answered(&asked[..tenth])), ("next fifth", answered(&asked[tenth..third]))]
-        {
+        for (name, share) in [
+            ("longest tenth", answered(&asked[..tenth])),
+            ("next fifth", answered(&asked[tenth..third])),
+        ] {
             findings.cases.length_floors += 1;
             if share < part * all {
                 let what = format!("{class}: {share:.2} of the {name} answered, {all:.2} of all");
@@ -199,20 +234,32 @@
             }
         }
         let mut sessions: BTreeMap<u64, Vec<&Request>> = BTreeMap::new();
-        asked.iter().for_each(|request| sessions.entry(request.session).or_default().push(request));
+        asked
+            .iter()
+            .for_each(|request| sessions.entry(request.session).or_default().push(request));
         let refused = |request: &&Request| request.answer == Some(v1::Answer::Bounced);
-        let seen = sessions.values().filter(|all| all.iter().all(refused)).count() as f64;
+        let seen = sessions
+            .values()
+            .filter(|all| all.iter().all(refused))
+            .count() as f64;
         let share = asked.iter().filter(refused).count() as f64 / asked.len() as f64;
-        let chance: f64 = sessions.values().map(|all| share.powi(all.len() as i32)).sum();
+        let chance: f64 = sessions
+            .values()
+            .map(|all| share.powi(all.len() as i32))
+            .sum();
         let beyond = (seen - chance) / sessions.len() as f64;
         if beyond > SINGLED_OUT {
-            let what = format!("{class}: {beyond:.2} of the sessions refused throughout, beyond chance");
+            let what =
+                format!("{class}: {beyond:.2} of the sessions refused throughout, beyond chance");
             findings.breach(Rule::SessionsSingledOut, end, what);
         }
     }
 }
 
 fn answered(requests: &[Request]) -> f64 {
-    let good = requests.iter().filter(|request| request.answer == Some(v1::Answer::Fulfilled)).count();
+    let good = requests
+        .iter()
+        .filter(|request| request.answer == Some(v1::Answer::Fulfilled))
+        .count();
     good as f64 / requests.len().max(1) as f64
 }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -97,7 +97,8 @@
 impl Default for Tally {
     fn default() -> Self {
         // Bounds of a minute; two digits.
-        let histogram = || Histogram::new_with_bounds(1, 60_000_000, 2).unwrap_or_else(|_| unreachable!());
+        let histogram =
+            || Histogram::new_with_bounds(1, 60_000_000, 2).unwrap_or_else(|_| unreachable!());
         Tally {
             tasks: 0,
             tries: 0,
@@ -155,7 +156,13 @@
 impl<T: Transport, C: Clock> Port<T, C> {
     /// To a dispatcher.
     pub fn new(name: &str, to: &str, transport: T, clock: C, transcript: Transcript) -> Rc<Self> {
-        Port::to(name, (to, v1::Party::Dispatcher), transport, clock, transcript)
+        Port::to(
+            name,
+            (to, v1::Party::Dispatcher),
+            transport,
+            clock,
+            transcript,
+        )
     }
 
     /// To whoever is at an address.
@@ -182,8 +189,12 @@
             return Some(line.clone());
         }
         let names = (v1::Party::Client, &*self.name, "");
-        let Session { them, mut events, out, .. } =
-            call(&self.transport, (&self.to.0, self.to.1), names).await?;
+        let Session {
+            them,
+            mut events,
+            out,
+            ..
+        } = call(&self.transport, (&self.to.0, self.to.1), names).await?;
         let line = Rc::new(Line {
             conn: self.transcript.new_conn(),
             peer: Rc::from(them.name),
@@ -225,7 +236,13 @@
             reading.over.set(true);
             reading.streams.borrow_mut().clear();
             let what = What::Note(Note::Closed { own: false });
-            port.transcript.add(port.clock.now(), &port.name, &reading.peer, reading.conn, what);
+            port.transcript.add(
+                port.clock.now(),
+                &port.name,
+                &reading.peer,
+                reading.conn,
+                what,
+            );
         });
         Some(line)
     }
@@ -260,7 +277,12 @@
             line.streams.borrow_mut().remove(&number);
             return None;
         }
-        Some(Stream { port: self.clone(), line, number, from })
+        Some(Stream {
+            port: self.clone(),
+            line,
+            number,
+            from,
+        })
     }
 
     /// One try: sends the task, waits for its end, leaves at `leave_at` if that comes first. `see` is told of
@@ -279,7 +301,9 @@
             opened = self.open(Body::Submit(submit)) => opened,
             () = self.clock.sleep_until(until) => None,
         };
-        let Some(mut stream) = opened else { return End::Unsent };
+        let Some(mut stream) = opened else {
+            return End::Unsent;
+        };
         loop {
             let next = tokio::select! { biased;
                 next = stream.next() => next,
@@ -295,13 +319,17 @@
                     until = self.clock.now() + patience;
                     see(&tokens);
                 }
-                Some(Body::Goodbye(v1::Goodbye { never_ran: true, .. })) => break End::Unsent,
+                Some(Body::Goodbye(v1::Goodbye {
+                    never_ran: true, ..
+                })) => break End::Unsent,
                 Some(Body::Goodbye(_)) => break End::Cut,
                 Some(Body::Rejected(rejected)) => break End::Rejected(rejected.field),
                 Some(Body::Final(last)) => {
                     break match last.answer() {
                         v1::Answer::Fulfilled => End::Fulfilled,
-                        v1::Answer::Bounced => End::Bounced { retry_after: last.retry_after_ms },
+                        v1::Answer::Bounced => End::Bounced {
+                            retry_after: last.retry_after_ms,
+                        },
                         _ => End::WrittenOff,
                     }
                 }
@@ -361,11 +389,23 @@
         seed: u64,
     ) -> Rc<Self> {
         let port = |i: usize, address: &str| {
-            Port::new(&format!("client-{i}"), address, transport.clone(), clock.clone(), transcript.clone())
+            Port::new(
+                &format!("client-{i}"),
+                address,
+                transport.clone(),
+                clock.clone(),
+                transcript.clone(),
+            )
         };
-        let ports =
-            dispatchers.iter().map(|a| (0..habits.connections).map(|i| port(i, a)).collect()).collect();
-        let tallies = habits.traffic.iter().map(|t| (t.profile.clone(), Tally::default())).collect();
+        let ports = dispatchers
+            .iter()
+            .map(|a| (0..habits.connections).map(|i| port(i, a)).collect())
+            .collect();
+        let tallies = habits
+            .traffic
+            .iter()
+            .map(|t| (t.profile.clone(), Tally::default()))
+            .collect();
         let clients = Clients {
             habits,
             clock,
@@ -384,7 +424,8 @@
 
     /// How long clients wait before they ask again, unless told.
     pub fn set_retry_after(&self, wait: Option<Ms>) {
-        self.retry_after.set(wait.unwrap_or(self.habits.retry_after));
+        self.retry_after
+            .set(wait.unwrap_or(self.habits.retry_after));
     }
 
     /// From now on this share of the prompts is so many times longer.
@@ -457,7 +498,9 @@
             drawn -= t.share;
             drawn <= 0.0
         });
-        let Some(traffic) = traffic.or(self.habits.traffic.last()) else { return };
+        let Some(traffic) = traffic.or(self.habits.traffic.last()) else {
+            return;
+        };
         let (least, most) = traffic.prompt_tokens;
         let (times, part) = self.long.get();
         let times = if share(&mut rng) < part { times } else { 1.0 };
@@ -469,8 +512,10 @@
             _ => 1 + (traffic.shared_texts as f64 * share(&mut rng).powi(2)) as u64,
         };
         let tenants = &self.habits.tenants;
-        let tenant =
-            tenants.get((share(&mut rng) * tenants.len() as f64) as usize).cloned().unwrap_or_default();
+        let tenant = tenants
+            .get((share(&mut rng) * tenants.len() as f64) as usize)
+            .cloned()
+            .unwrap_or_default();
         let leaves = share(&mut rng) < self.habits.leaves;
         let leaves = leaves.then(|| share(&mut rng) * traffic.patience);
         let planned = Planned {
@@ -491,7 +536,11 @@
 
     /// A task from its first try to its end.
     async fn play(&self, number: u64, planned: Planned) {
-        let traffic = self.habits.traffic.iter().find(|t| t.profile == planned.profile);
+        let traffic = self
+            .habits
+            .traffic
+            .iter()
+            .find(|t| t.profile == planned.profile);
         let Some(traffic) = traffic else { return };
         let mut rng = WyRand::new_seed(planned.seed);
         let submit = v1::Submit {
@@ -521,15 +570,26 @@
             let leave_at = planned.leaves.map(|after| now + after);
             let ports = &self.ports[rng.generate::<u64>() as usize % self.ports.len()];
             let port = &ports[rng.generate::<u64>() as usize % ports.len()];
-            let submit = v1::Submit { retried: attempt > 0, patience_ms: patience, ..submit.clone() };
-            let mut seen = Seen { last: now, first: None, gaps: Vec::new() };
-            let end = port.run(submit, leave_at, |_| seen.see(self.clock.now())).await;
+            let submit = v1::Submit {
+                retried: attempt > 0,
+                patience_ms: patience,
+                ..submit.clone()
+            };
+            let mut seen = Seen {
+                last: now,
+                first: None,
+                gaps: Vec::new(),
+            };
+            let end = port
+                .run(submit, leave_at, |_| seen.see(self.clock.now()))
+                .await;
             let (first, gaps) = (seen.first, seen.gaps);
             self.tally(traffic, |t| {
                 t.tries += 1;
                 t.tokens += gaps.len() as u64 + u64::from(first.is_some());
                 if let Some(first) = first {
-                    t.first_token.saturating_record((1000.0 * (first - now)) as u64);
+                    t.first_token
+                        .saturating_record((1000.0 * (first - now)) as u64);
                 }
                 for gap in &gaps {
                     t.gap.saturating_record((1000.0 * gap) as u64);
@@ -555,13 +615,19 @@
                 // It may have run: to try again could do it twice.
                 End::WrittenOff | End::Cut => return,
             };
-            let wait = wait.max(self.retry_after.get() * (0.5 + share(&mut rng)) * f64::from(attempt + 1));
+            let wait =
+                wait.max(self.retry_after.get() * (0.5 + share(&mut rng)) * f64::from(attempt + 1));
             self.clock.sleep_until(self.clock.now() + wait).await;
         }
     }
 
     fn tally(&self, traffic: &Traffic, change: impl FnOnce(&mut Tally)) {
-        change(self.tallies.borrow_mut().entry(traffic.profile.clone()).or_default());
+        change(
+            self.tallies
+                .borrow_mut()
+                .entry(traffic.profile.clone())
+                .or_default(),
+        );
     }
 }
 
--- a/crates/standin/src/feed.rs
+++ b/crates/standin/src/feed.rs
@@ -29,7 +29,9 @@
 
 impl<C> Clone for Feed<C> {
     fn clone(&self) -> Self {
-        Feed { inner: self.inner.clone() }
+        Feed {
+            inner: self.inner.clone(),
+        }
     }
 }
 
@@ -45,7 +47,9 @@
             delay: Cell::new(delay),
             silent: Cell::new(false),
         };
-        Feed { inner: Rc::new(inner) }
+        Feed {
+            inner: Rc::new(inner),
+        }
     }
 
     /// How late changes are told from now on.
@@ -57,20 +61,30 @@
     pub fn set_silent(&self, silent: bool) {
         self.inner.silent.set(silent);
         if !silent {
-            let list = self.list(v1::ListKind::Full, self.inner.told.borrow().values().cloned().collect());
+            let list = self.list(
+                v1::ListKind::Full,
+                self.inner.told.borrow().values().cloned().collect(),
+            );
             self.push(&list);
         }
     }
 
     /// Followers now.
     pub fn followers(&self) -> usize {
-        self.inner.followers.borrow_mut().retain(|(_, f)| !f.is_closed());
+        self.inner
+            .followers
+            .borrow_mut()
+            .retain(|(_, f)| !f.is_closed());
         self.inner.followers.borrow().len()
     }
 
     /// Whether somebody of this name follows now.
     pub fn is_followed_by(&self, name: &str) -> bool {
-        self.inner.followers.borrow().iter().any(|(who, f)| **who == *name && !f.is_closed())
+        self.inner
+            .followers
+            .borrow()
+            .iter()
+            .any(|(who, f)| **who == *name && !f.is_closed())
     }
 
     /// A change of the fleet, told to all followers after the delay.
@@ -86,21 +100,31 @@
     /// A change that is told at once.
     pub fn tell(&self, line: v1::HostLine) {
         self.inner.version.set(self.inner.version.get() + 1);
-        self.inner.told.borrow_mut().insert(line.host.clone(), line.clone());
+        self.inner
+            .told
+            .borrow_mut()
+            .insert(line.host.clone(), line.clone());
         if !self.inner.silent.get() {
             self.push(&self.list(v1::ListKind::Changes, vec![line]));
         }
     }
 
     fn push(&self, list: &v1::HostList) {
-        self.inner.followers.borrow_mut().retain(|(_, f)| f.send(list.clone()).is_ok());
+        self.inner
+            .followers
+            .borrow_mut()
+            .retain(|(_, f)| f.send(list.clone()).is_ok());
     }
 
     fn list(&self, kind: v1::ListKind, mut hosts: Vec<v1::HostLine>) -> v1::HostList {
         if kind == v1::ListKind::Full {
             hosts.retain(|line| line.condition() != v1::HostCondition::Gone);
         }
-        v1::HostList { kind: kind.into(), version: self.inner.version.get(), hosts }
+        v1::HostList {
+            kind: kind.into(),
+            version: self.inner.version.get(),
+            hosts,
+        }
     }
 
     pub async fn serve<T: Transport>(self, mut listener: T::Listener) {
@@ -110,8 +134,15 @@
     }
 
     async fn follower<T: Transport>(self, stream: T::Stream) {
-        let Some(session) = welcome::<T>(stream, v1::Party::Feed, &self.inner.name).await else { return };
-        let Session { them, mut events, out, .. } = session;
+        let Some(session) = welcome::<T>(stream, v1::Party::Feed, &self.inner.name).await else {
+            return;
+        };
+        let Session {
+            them,
+            mut events,
+            out,
+            ..
+        } = session;
         let mut number = 0;
         let (peer, conn): (Rc<str>, u64) = (Rc::from(them.name), self.inner.transcript.new_conn());
         let (send, mut lists) = unbounded_channel();
@@ -136,7 +167,13 @@
             if let Some(list) = list {
                 let frame = frame(number, Body::List(list));
                 let record = What::Frame(Way::Out, frame.clone());
-                self.inner.transcript.add(self.inner.clock.now(), &self.inner.name, &peer, conn, record);
+                self.inner.transcript.add(
+                    self.inner.clock.now(),
+                    &self.inner.name,
+                    &peer,
+                    conn,
+                    record,
+                );
                 out.send(frame);
             }
         }
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -141,7 +141,9 @@
 
 impl<T, C> Clone for Host<T, C> {
     fn clone(&self) -> Self {
-        Host { inner: self.inner.clone() }
+        Host {
+            inner: self.inner.clone(),
+        }
     }
 }
 
@@ -172,7 +174,9 @@
             changed: Notify::new(),
             place: RefCell::default(),
         };
-        Host { inner: Rc::new(inner) }
+        Host {
+            inner: Rc::new(inner),
+        }
     }
 
     /// Starts its process at an address, warm (as if long since) or cold. Gives the address in words.
@@ -188,12 +192,20 @@
         *self.inner.slots.borrow_mut() = Arc::new(Semaphore::new(self.inner.spec.slots));
         if !warm {
             let spec = &self.inner.spec;
-            let capacity = if spec.does == Does::Reads { spec.read_per_s } else { spec.slots as f64 };
+            let capacity = if spec.does == Does::Reads {
+                spec.read_per_s
+            } else {
+                spec.slots as f64
+            };
             let (start_share, ramp) = (spec.start_share, spec.ramp);
             self.inner.transcript.note(
                 self.now(),
                 &self.inner.me,
-                Note::Started { capacity, start_share, ramp },
+                Note::Started {
+                    capacity,
+                    start_share,
+                    ramp,
+                },
             );
         }
         let host = self.clone();
@@ -202,7 +214,11 @@
                 host.spawn(host.clone().serve(stream));
             }
         });
-        self.inner.live.borrow_mut().jobs.push(accepting.abort_handle());
+        self.inner
+            .live
+            .borrow_mut()
+            .jobs
+            .push(accepting.abort_handle());
         let host = self.clone();
         self.spawn(async move { host.report().await });
         Ok(self.address())
@@ -231,16 +247,25 @@
             cell: spec.cell.clone(),
             condition: condition.into(),
             weight: 1.0,
-            started_ms: self.inner.started.get().filter(|_| !self.inner.long_warm.get()),
+            started_ms: self
+                .inner
+                .started
+                .get()
+                .filter(|_| !self.inner.long_warm.get()),
         }
     }
 
     /// The process is gone at once, with all that it held.
     pub fn die(&self) {
         self.inner.started.set(None);
-        self.inner.transcript.note(self.now(), &self.inner.me, Note::Died);
+        self.inner
+            .transcript
+            .note(self.now(), &self.inner.me, Note::Died);
         let mut live = self.inner.live.borrow_mut();
-        let (jobs, waits) = (std::mem::take(&mut live.jobs), std::mem::take(&mut live.waits));
+        let (jobs, waits) = (
+            std::mem::take(&mut live.jobs),
+            std::mem::take(&mut live.waits),
+        );
         drop(live);
         jobs.iter().chain(&waits).for_each(AbortHandle::abort);
     }
@@ -273,7 +298,14 @@
 
     /// Takes nothing new on any connection that there is; what is open goes on.
     pub fn go_away(&self) {
-        for conn in self.inner.live.borrow_mut().conns.drain(..).filter_map(|conn| conn.upgrade()) {
+        for conn in self
+            .inner
+            .live
+            .borrow_mut()
+            .conns
+            .drain(..)
+            .filter_map(|conn| conn.upgrade())
+        {
             conn.out.go_away();
         }
     }
@@ -291,7 +323,8 @@
         let handle = spawn_local(job).abort_handle();
         let mut live = self.inner.live.borrow_mut();
         if live.jobs.len() > 64 && live.jobs.len().is_multiple_of(64) {
-            let kept: Vec<AbortHandle> = live.jobs.drain(2..).filter(|j| !j.is_finished()).collect();
+            let kept: Vec<AbortHandle> =
+                live.jobs.drain(2..).filter(|j| !j.is_finished()).collect();
             live.jobs.extend(kept);
         }
         live.jobs.push(handle);
@@ -306,7 +339,8 @@
             self.now() - self.inner.started.get().unwrap_or(0.0)
         };
         let part = (age / spec.ramp).clamp(0.0, 1.0);
-        (spec.start_share + (1.0 - spec.start_share) * part) / self.inner.live.borrow().troubles.slow
+        (spec.start_share + (1.0 - spec.start_share) * part)
+            / self.inner.live.borrow().troubles.slow
     }
 
     /// Waits for `work` milliseconds' worth at full capacity, as the capacity changes meanwhile.
@@ -331,14 +365,18 @@
             let now = self.now();
             self.make_report(now);
             let spec = &self.inner.spec;
-            self.inner.clock.sleep_until(now + (spec.report_age / 2.0).max(10.0)).await;
+            self.inner
+                .clock
+                .sleep_until(now + (spec.report_age / 2.0).max(10.0))
+                .await;
         }
     }
 
     fn make_report(&self, now: Ms) {
         let spec = &self.inner.spec;
         let mut live = self.inner.live.borrow_mut();
-        let noise = || 1.0 + spec.report_noise * (2.0 * share(&mut self.inner.rng.borrow_mut()) - 1.0);
+        let noise =
+            || 1.0 + spec.report_noise * (2.0 * share(&mut self.inner.rng.borrow_mut()) - 1.0);
         let load = v1::Load {
             in_flight: Some((live.running + live.waiting) as f64),
             queue: Some(live.waiting as f64),
@@ -354,16 +392,27 @@
     }
 
     fn load(&self) -> Option<v1::Load> {
-        self.inner.live.borrow().reports.front().map(|(_, load)| *load)
+        self.inner
+            .live
+            .borrow()
+            .reports
+            .front()
+            .map(|(_, load)| *load)
     }
 
     async fn serve(self, stream: T::Stream) {
         let late = self.inner.live.borrow().troubles.greets_late;
         self.inner.clock.sleep_until(self.now() + late).await;
-        let Some(session) = welcome::<T>(stream, v1::Party::Host, &self.inner.spec.name).await else {
+        let Some(session) = welcome::<T>(stream, v1::Party::Host, &self.inner.spec.name).await
+        else {
             return;
         };
-        let Session { them, mut events, out, .. } = session;
+        let Session {
+            them,
+            mut events,
+            out,
+            ..
+        } = session;
         let conn = Rc::new(Conn {
             id: self.inner.transcript.new_conn(),
             peer: Rc::from(them.name.as_str()),
@@ -375,7 +424,11 @@
         self.remember(&conn);
         // Jobs of this connection end with it: what nobody can hear is not gone on with.
         let jobs: RefCell<Vec<AbortHandle>> = RefCell::default();
-        let seen = Seen { host: self.clone(), conn: conn.clone(), jobs };
+        let seen = Seen {
+            host: self.clone(),
+            conn: conn.clone(),
+            jobs,
+        };
         let greeted = frame(0, Body::Hello(them));
         self.record(&conn, Way::In, &greeted);
         // What has come in is seen when it comes, also by a host that answers nothing for now.
@@ -405,7 +458,9 @@
             self.unmuted().await;
             let stream = frame.stream;
             match frame.body {
-                Some(Body::Read(read)) => seen.begin(stream, self.clone().read(conn.clone(), stream, read)),
+                Some(Body::Read(read)) => {
+                    seen.begin(stream, self.clone().read(conn.clone(), stream, read))
+                }
                 Some(Body::Write(write)) => {
                     conn.credit.borrow_mut().insert(stream, AHEAD);
                     seen.begin(stream, self.clone().write(conn.clone(), stream, write));
@@ -415,12 +470,21 @@
                         cancelled.notify_one();
                     }
                 }
-                Some(Body::Release(v1::Release { state: Some(state), .. })) => {
+                Some(Body::Release(v1::Release {
+                    state: Some(state), ..
+                })) => {
                     self.let_go(key(&state));
-                    conn.out.send(Frame { stream, body: Some(Body::Done(v1::Done {})) });
+                    conn.out.send(Frame {
+                        stream,
+                        body: Some(Body::Done(v1::Done {})),
+                    });
+                }
+                Some(Body::Probe(_)) => {
+                    self.say(&conn, stream, Body::Load(self.load().unwrap_or_default()))
+                }
+                Some(Body::Hold(_)) => {
+                    self.say(&conn, stream, Body::Place(v1::Place { held: false }))
                 }
-                Some(Body::Probe(_)) => self.say(&conn, stream, Body::Load(self.load().unwrap_or_default())),
-                Some(Body::Hold(_)) => self.say(&conn, stream, Body::Place(v1::Place { held: false })),
                 Some(Body::Fetch(v1::Fetch { state: Some(state) })) => {
                     let tokens = self.inner.live.borrow().states.get(&key(&state)).copied();
                     let (found, tokens) = (tokens.is_some(), tokens.unwrap_or(0.0) as u32);
@@ -441,7 +505,9 @@
 
     fn record(&self, conn: &Conn, way: Way, frame: &Frame) {
         let what = What::Frame(way, frame.clone());
-        self.inner.transcript.add(self.now(), &self.inner.me, &conn.peer, conn.id, what);
+        self.inner
+            .transcript
+            .add(self.now(), &self.inner.me, &conn.peer, conn.id, what);
     }
 
     /// Guards against a process that speaks in the instant in which it is gone, as its tasks are woken once more.
@@ -454,10 +520,22 @@
         conn.out.send(frame);
     }
 
-    fn end(&self, conn: &Conn, stream: u64, status: v1::Status, kept: f64, state: Option<v1::StateId>) {
+    fn end(
+        &self,
+        conn: &Conn,
+        stream: u64,
+        status: v1::Status,
+        kept: f64,
+        state: Option<v1::StateId>,
+    ) {
         let load = self.load();
-        let ended =
-            v1::Ended { status: status.into(), kept_tokens: kept as u32, load, reason: String::new(), state };
+        let ended = v1::Ended {
+            status: status.into(),
+            kept_tokens: kept as u32,
+            load,
+            reason: String::new(),
+            state,
+        };
         self.say(conn, stream, Body::Ended(ended));
     }
 
@@ -466,9 +544,17 @@
         if !self.runs() {
             return;
         }
-        let status = if code == REFUSED { v1::Status::Full } else { v1::Status::Failed };
+        let status = if code == REFUSED {
+            v1::Status::Full
+        } else {
+            v1::Status::Failed
+        };
         let reason = format!("reset {code}");
-        let ended = v1::Ended { status: status.into(), reason, ..v1::Ended::default() };
+        let ended = v1::Ended {
+            status: status.into(),
+            reason,
+            ..v1::Ended::default()
+        };
         self.record(conn, Way::Out, &frame(stream, Body::Ended(ended)));
         conn.out.reset(stream, code);
     }
@@ -480,7 +566,11 @@
         (part > share(&mut rng)).then(|| {
             let code = RESETS[(share(&mut rng) * RESETS.len() as f64) as usize % RESETS.len()];
             // What has begun cannot be refused any more.
-            let after = if code == REFUSED { 0.0 } else { 12.0 * (share(&mut rng) - 0.4).max(0.0) };
+            let after = if code == REFUSED {
+                0.0
+            } else {
+                12.0 * (share(&mut rng) - 0.4).max(0.0)
+            };
             (code, after as u32)
         })
     }
@@ -520,12 +610,19 @@
         if let Some((code, _)) = self.draw_reset() {
             return self.reset(&conn, stream, code);
         }
-        let beginnings = [(read.shared_text, read.shared_tokens), (read.session, read.prompt_tokens)];
+        let beginnings = [
+            (read.shared_text, read.shared_tokens),
+            (read.session, read.prompt_tokens),
+        ];
         let prompt = f64::from(read.prompt_tokens);
         let found = |live: &Live| {
-            let mine =
-                live.kept.iter().filter(|(b, _)| beginnings.iter().any(|(mine, _)| mine == b && *b != 0));
-            mine.map(|(_, tokens)| *tokens).fold(0.0, f64::max).min(prompt - 1.0)
+            let mine = live
+                .kept
+                .iter()
+                .filter(|(b, _)| beginnings.iter().any(|(mine, _)| mine == b && *b != 0));
+            mine.map(|(_, tokens)| *tokens)
+                .fold(0.0, f64::max)
+                .min(prompt - 1.0)
         };
         let kept = {
             let _place = Place::wait(&self, prompt).await;
@@ -542,7 +639,11 @@
             host.inner.clock.sleep_until(until).await;
             if host.inner.live.borrow().states.contains_key(&key(&state)) {
                 let (run, task, launch) = key(&state);
-                host.inner.transcript.note(host.now(), &host.inner.me, Note::Expired { run, task, launch });
+                host.inner.transcript.note(
+                    host.now(),
+                    &host.inner.me,
+                    Note::Expired { run, task, launch },
+                );
                 host.let_go(key(&state));
             }
         });
@@ -564,7 +665,9 @@
             live.kept.retain(|(b, _)| b != beginning);
             live.kept.push_back((*beginning, f64::from(*tokens)));
         }
-        while live.kept.iter().map(|(_, tokens)| tokens).sum::<f64>() > self.inner.spec.memory_tokens {
+        while live.kept.iter().map(|(_, tokens)| tokens).sum::<f64>()
+            > self.inner.spec.memory_tokens
+        {
             live.kept.pop_front();
         }
         live.states.insert(state, prompt);
@@ -589,15 +692,22 @@
         let _place = Place::wait(&self, prompt).await;
         let _memory = Memory::take(&self, prompt).await;
         match write.state {
-            None => self.work(1000.0 * prompt / self.inner.spec.read_per_s).await,
+            None => {
+                self.work(1000.0 * prompt / self.inner.spec.read_per_s)
+                    .await
+            }
             Some(state) => {
                 let Some(tokens) = self.fetch(&write, state).await else {
                     return self.end(&conn, stream, v1::Status::NoState, 0.0, None);
                 };
-                self.work(1000.0 * tokens / self.inner.spec.fetch_per_s).await;
+                self.work(1000.0 * tokens / self.inner.spec.fetch_per_s)
+                    .await;
             }
         }
-        let ran = Note::Ran { key: write.key.clone(), profile: write.profile.clone() };
+        let ran = Note::Ran {
+            key: write.key.clone(),
+            profile: write.profile.clone(),
+        };
         self.inner.transcript.note(self.now(), &self.inner.me, ran);
         let least = self.inner.spec.answer_share;
         let part = least + (1.0 - least) * share(&mut self.inner.rng.borrow_mut());
@@ -608,7 +718,14 @@
                 return self.reset(&conn, stream, code);
             }
             self.work(self.inner.spec.token_ms).await;
-            while self.inner.live.borrow().troubles.stall_after.is_some_and(|after| position >= after) {
+            while self
+                .inner
+                .live
+                .borrow()
+                .troubles
+                .stall_after
+                .is_some_and(|after| position >= after)
+            {
                 self.inner.changed.notified().await;
             }
             self.unmuted().await;
@@ -618,7 +735,11 @@
             if let Some(left) = conn.credit.borrow_mut().get_mut(&stream) {
                 *left -= 1;
             }
-            let tokens = v1::Tokens { position, count: 1, text: text(&word(position)) };
+            let tokens = v1::Tokens {
+                position,
+                count: 1,
+                text: text(&word(position)),
+            };
             self.say(&conn, stream, Body::Tokens(tokens));
         }
         if self.inner.live.borrow().troubles.dies_before_end {
@@ -640,7 +761,9 @@
             session = call(&self.inner.transport, reader, names) => session,
             () = self.inner.clock.sleep_until(until) => None,
         };
-        let Session { mut events, out, .. } = session?;
+        let Session {
+            mut events, out, ..
+        } = session?;
         out.send(frame(1, Body::Fetch(v1::Fetch { state: Some(state) })));
         let came = tokio::select! { biased;
             came = events.recv() => came,
@@ -648,9 +771,14 @@
         };
         out.close();
         match came? {
-            Event::Frame(Frame { body: Some(Body::State(v1::State { found: true, tokens })), .. }) => {
-                Some(f64::from(tokens))
-            }
+            Event::Frame(Frame {
+                body:
+                    Some(Body::State(v1::State {
+                        found: true,
+                        tokens,
+                    })),
+                ..
+            }) => Some(f64::from(tokens)),
             _ => None,
         }
     }
@@ -666,7 +794,10 @@
 impl<T: Transport, C: Clock> Seen<T, C> {
     fn begin(&self, stream: u64, job: impl std::future::Future<Output = ()> + 'static) {
         let cancelled = Rc::new(Notify::new());
-        self.conn.cancelled.borrow_mut().insert(stream, cancelled.clone());
+        self.conn
+            .cancelled
+            .borrow_mut()
+            .insert(stream, cancelled.clone());
         let (host, conn) = (self.host.clone(), self.conn.clone());
         let job = spawn_local(async move {
             let done = tokio::select! { biased;
@@ -695,7 +826,9 @@
         }
         let what = What::Note(Note::Closed { own: false });
         let (host, conn) = (&self.host, &self.conn);
-        host.inner.transcript.add(host.now(), &host.inner.me, &conn.peer, conn.id, what);
+        host.inner
+            .transcript
+            .add(host.now(), &host.inner.me, &conn.peer, conn.id, what);
     }
 }
 
@@ -709,7 +842,11 @@
 impl<T: Transport, C: Clock> Place<T, C> {
     async fn wait(host: &Host<T, C>, tokens: f64) -> Self {
         let slots = host.inner.slots.borrow().clone();
-        let mut place = Place { host: host.clone(), tokens, permit: None };
+        let mut place = Place {
+            host: host.clone(),
+            tokens,
+            permit: None,
+        };
         place.count(1, 0);
         place.permit = slots.acquire_owned().await.ok();
         place.count(-1, 1);
@@ -746,7 +883,10 @@
             host.inner.changed.notified().await;
         }
         host.inner.live.borrow_mut().memory += tokens;
-        Memory { host: host.clone(), tokens }
+        Memory {
+            host: host.clone(),
+            tokens,
+        }
     }
 }
 
@@ -767,8 +907,8 @@
 /// A word of an answer, by its place.
 fn word(position: u32) -> String {
     const WORDS: [&str; 12] = [
-        "the ", "class ", "of ", "this ", "year ", "kept ", "its ", "promise ", "and ", "sang ", "all ",
-        "day ",
+        "the ", "class ", "of ", "this ", "year ", "kept ", "its ", "promise ", "and ", "sang ",
+        "all ", "day ",
     ];
     WORDS[position as usize % WORDS.len()].to_owned()
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -18,7 +18,14 @@
 
 fn setup(party: v1::Party, name: &str, expects: &str) -> Setup {
     let (name, expects) = (name.to_owned(), expects.to_owned());
-    Setup { party, name, expects, run: 0, most_message: MOST_MESSAGE, most_calls: MOST_CALLS }
+    Setup {
+        party,
+        name,
+        expects,
+        run: 0,
+        most_message: MOST_MESSAGE,
+        most_calls: MOST_CALLS,
+    }
 }
 
 /// The callee's side of a connection, once its caller has greeted.
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -51,7 +51,11 @@
     /// digests of different versions can be compared.
     pub fn digest_text(&self) -> String {
         match self {
-            Note::Started { capacity, start_share, ramp } => {
+            Note::Started {
+                capacity,
+                start_share,
+                ramp,
+            } => {
                 format!("Started {{ capacity: {capacity:?}, start_share: {start_share:?}, ramp: {ramp:?} }}")
             }
             Note::Died => "Died".to_owned(),
@@ -101,7 +105,13 @@
     }
 
     pub fn add(&self, at: Ms, seer: &Rc<str>, peer: &Rc<str>, conn: u64, what: What) {
-        let record = Record { at, seer: seer.clone(), peer: peer.clone(), conn, what };
+        let record = Record {
+            at,
+            seer: seer.clone(),
+            peer: peer.clone(),
+            conn,
+            what,
+        };
         if let Some(watcher) = &mut *self.watcher.borrow_mut() {
             watcher(&record);
         }
@@ -151,8 +161,13 @@
             What::Note(note) => (Some(note.clone()), None, None),
             What::Frame(way, frame) => (None, Some(*way), Some(frame)),
         };
-        let hex =
-            |frame: &Frame| frame.encode_to_vec().iter().map(|b| format!("{b:02x}")).collect::<String>();
+        let hex = |frame: &Frame| {
+            frame
+                .encode_to_vec()
+                .iter()
+                .map(|b| format!("{b:02x}"))
+                .collect::<String>()
+        };
         let line = Line {
             at: record.at,
             seer: record.seer.to_string(),
@@ -160,7 +175,9 @@
             conn: record.conn,
             note,
             way,
-            message: frame.map(|f| name_of(f.body.as_ref()).to_owned()).unwrap_or_default(),
+            message: frame
+                .map(|f| name_of(f.body.as_ref()).to_owned())
+                .unwrap_or_default(),
             stream: frame.map_or(0, |f| f.stream),
             frame: frame.map(hex).unwrap_or_default(),
         };
@@ -178,20 +195,33 @@
     };
     let mut records = Vec::new();
     for (number, line) in from.lines().enumerate() {
-        let line: Line = serde_json::from_str(&line?).map_err(|e| bad(number + 1, e.to_string()))?;
+        let line: Line =
+            serde_json::from_str(&line?).map_err(|e| bad(number + 1, e.to_string()))?;
         let what = match (line.note, line.way) {
             (Some(note), _) => What::Note(note),
             (None, Some(way)) => {
-                let byte =
-                    |at: usize| line.frame.get(at..at + 2).and_then(|b| u8::from_str_radix(b, 16).ok());
+                let byte = |at: usize| {
+                    line.frame
+                        .get(at..at + 2)
+                        .and_then(|b| u8::from_str_radix(b, 16).ok())
+                };
                 let bytes: Option<Vec<u8>> = (0..line.frame.len()).step_by(2).map(byte).collect();
                 let frame = bytes.and_then(|b| v1::Frame::decode(&*b).ok());
-                What::Frame(way, frame.ok_or_else(|| bad(number + 1, "no frame".to_owned()))?)
+                What::Frame(
+                    way,
+                    frame.ok_or_else(|| bad(number + 1, "no frame".to_owned()))?,
+                )
             }
             (None, None) => return Err(bad(number + 1, "neither a note nor a frame".to_owned())),
         };
         let (seer, peer) = (Rc::from(line.seer), Rc::from(line.peer));
-        records.push(Record { at: line.at, seer, peer, conn: line.conn, what });
+        records.push(Record {
+            at: line.at,
+            seer,
+            peer,
+            conn: line.conn,
+            what,
+        });
     }
     Ok(records)
 }
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -28,19 +28,42 @@
 }
 
 impl Story {
-    fn frame(&mut self, at: f64, (seer, peer, conn): (&str, &str, u64), way: Way, stream: u64, body: Body) {
+    fn frame(
+        &mut self,
+        at: f64,
+        (seer, peer, conn): (&str, &str, u64),
+        way: Way,
+        stream: u64,
+        body: Body,
+    ) {
         let what = What::Frame(way, frame(stream, body));
-        self.records.push(Record { at, seer: Rc::from(seer), peer: Rc::from(peer), conn, what });
+        self.records.push(Record {
+            at,
+            seer: Rc::from(seer),
+            peer: Rc::from(peer),
+            conn,
+            what,
+        });
     }
 
     fn note(&mut self, at: f64, (seer, conn): (&str, u64), note: Note) {
         let (seer, peer) = (Rc::from(seer), Rc::from(""));
-        self.records.push(Record { at, seer, peer, conn, what: What::Note(note) });
+        self.records.push(Record {
+            at,
+            seer,
+            peer,
+            conn,
+            what: What::Note(note),
+        });
     }
 
     fn found(mut self) -> Vec<Rule> {
         self.records.sort_by(|a, b| a.at.total_cmp(&b.at));
-        audit(&self.records, &rules()).breaches.into_iter().map(|b| b.rule).collect()
+        audit(&self.records, &rules())
+            .breaches
+            .into_iter()
+            .map(|b| b.rule)
+            .collect()
     }
 }
 
@@ -50,16 +73,31 @@
 const FEED: (&str, &str, u64) = ("list", "d", 4);
 
 fn state(task: u32) -> Option<v1::StateId> {
-    Some(v1::StateId { run: 1, task, launch: 0 })
+    Some(v1::StateId {
+        run: 1,
+        task,
+        launch: 0,
+    })
 }
 
 fn last(answer: v1::Answer) -> Body {
-    Body::Final(v1::Final { answer: answer.into(), ..v1::Final::default() })
+    Body::Final(v1::Final {
+        answer: answer.into(),
+        ..v1::Final::default()
+    })
 }
 
 fn listed(condition: v1::HostCondition) -> Body {
-    let line = v1::HostLine { host: "w".to_owned(), condition: condition.into(), ..v1::HostLine::default() };
-    Body::List(v1::HostList { kind: v1::ListKind::Changes.into(), version: 1, hosts: vec![line] })
+    let line = v1::HostLine {
+        host: "w".to_owned(),
+        condition: condition.into(),
+        ..v1::HostLine::default()
+    };
+    Body::List(v1::HostList {
+        kind: v1::ListKind::Changes.into(),
+        version: 1,
+        hosts: vec![line],
+    })
 }
 
 /// One task served as it should be, and a cold writer's start.
@@ -72,31 +110,79 @@
         ..v1::Submit::default()
     };
     story.frame(0.0, FEED, Way::Out, 1, listed(v1::HostCondition::Ready));
-    let started = Note::Started { capacity: 2.0, start_share: 0.25, ramp: 5000.0 };
+    let started = Note::Started {
+        capacity: 2.0,
+        start_share: 0.25,
+        ramp: 5000.0,
+    };
     story.note(0.0, ("w", 0), started);
     story.frame(10.0, CLIENT, Way::Out, 1, Body::Submit(submit));
-    story.frame(11.0, CLIENT, Way::In, 1, Body::Accepted(v1::Accepted { task: 1 }));
-    let read = v1::Read { state: state(1), prompt_tokens: 100, ..v1::Read::default() };
+    story.frame(
+        11.0,
+        CLIENT,
+        Way::In,
+        1,
+        Body::Accepted(v1::Accepted { task: 1 }),
+    );
+    let read = v1::Read {
+        state: state(1),
+        prompt_tokens: 100,
+        ..v1::Read::default()
+    };
     story.frame(12.0, READER, Way::In, 1, Body::Read(read));
-    let ended = v1::Ended { status: v1::Status::ReadDone.into(), state: state(1), ..v1::Ended::default() };
+    let ended = v1::Ended {
+        status: v1::Status::ReadDone.into(),
+        state: state(1),
+        ..v1::Ended::default()
+    };
     story.frame(30.0, READER, Way::Out, 1, Body::Ended(ended));
     story.frame(32.0, WRITER, Way::In, 1, write(1));
-    story.frame(33.0, READER, Way::In, 2, Body::Fetch(v1::Fetch { state: state(1) }));
+    story.frame(
+        33.0,
+        READER,
+        Way::In,
+        2,
+        Body::Fetch(v1::Fetch { state: state(1) }),
+    );
     story.note(35.0, ("w", 3), ran());
-    story.frame(40.0, CLIENT, Way::In, 1, Body::Tokens(v1::Tokens::default()));
-    let ended = v1::Ended { status: v1::Status::Fulfilled.into(), ..v1::Ended::default() };
+    story.frame(
+        40.0,
+        CLIENT,
+        Way::In,
+        1,
+        Body::Tokens(v1::Tokens::default()),
+    );
+    let ended = v1::Ended {
+        status: v1::Status::Fulfilled.into(),
+        ..v1::Ended::default()
+    };
     story.frame(90.0, WRITER, Way::Out, 1, Body::Ended(ended));
     story.frame(91.0, CLIENT, Way::In, 1, last(v1::Answer::Fulfilled));
-    story.note(9000.0, ("list", 0), Note::Expired { run: 9, task: 9, launch: 9 });
+    story.note(
+        9000.0,
+        ("list", 0),
+        Note::Expired {
+            run: 9,
+            task: 9,
+            launch: 9,
+        },
+    );
     story
 }
 
 fn write(task: u32) -> Body {
-    Body::Write(v1::Write { state: state(task), max_tokens: 20, ..v1::Write::default() })
+    Body::Write(v1::Write {
+        state: state(task),
+        max_tokens: 20,
+        ..v1::Write::default()
+    })
 }
 
 fn ran() -> Note {
-    Note::Ran { key: "k1".to_owned(), profile: "proof".to_owned() }
+    Note::Ran {
+        key: "k1".to_owned(),
+        profile: "proof".to_owned(),
+    }
 }
 
 #[test]
@@ -114,7 +200,13 @@
 #[test]
 fn tokens_after_the_final_answer_are_found() {
     let mut story = good();
-    story.frame(95.0, CLIENT, Way::In, 1, Body::Tokens(v1::Tokens::default()));
+    story.frame(
+        95.0,
+        CLIENT,
+        Way::In,
+        1,
+        Body::Tokens(v1::Tokens::default()),
+    );
     assert_eq!(story.found(), [Rule::TaskLost]);
 }
 
@@ -138,7 +230,9 @@
 #[test]
 fn an_answer_after_the_clients_time_is_found() {
     let mut story = good();
-    story.records.retain(|r| !(&*r.seer == "client" && r.at > 11.0));
+    story
+        .records
+        .retain(|r| !(&*r.seer == "client" && r.at > 11.0));
     story.frame(1200.0, CLIENT, Way::In, 1, last(v1::Answer::WrittenOff));
     assert_eq!(story.found(), [Rule::TaskLost]);
 }
@@ -154,7 +248,9 @@
 fn a_bounce_of_what_ran_is_found_before_and_after_the_run() {
     for at in [34.0, 91.0] {
         let mut story = good();
-        story.records.retain(|r| !(&*r.seer == "client" && r.at > 11.0));
+        story
+            .records
+            .retain(|r| !(&*r.seer == "client" && r.at > 11.0));
         story.frame(at, CLIENT, Way::In, 1, last(v1::Answer::Bounced));
         assert_eq!(story.found(), [Rule::EffectTwice], "bounced at {at}");
     }
@@ -164,13 +260,25 @@
 fn a_launch_after_a_drain_is_found_and_one_within_the_grace_is_not() {
     for (at, found) in [(500.0, vec![]), (900.0, vec![Rule::DrainBroken])] {
         let mut story = good();
-        story.frame(100.0, FEED, Way::Out, 1, listed(v1::HostCondition::Draining));
+        story.frame(
+            100.0,
+            FEED,
+            Way::Out,
+            1,
+            listed(v1::HostCondition::Draining),
+        );
         story.frame(at, WRITER, Way::In, 7, write(2));
         assert_eq!(story.found(), found, "sent at {at}");
     }
     // Ready again in between.
     let mut story = good();
-    story.frame(100.0, FEED, Way::Out, 1, listed(v1::HostCondition::Draining));
+    story.frame(
+        100.0,
+        FEED,
+        Way::Out,
+        1,
+        listed(v1::HostCondition::Draining),
+    );
     story.frame(800.0, FEED, Way::Out, 1, listed(v1::HostCondition::Ready));
     story.frame(900.0, WRITER, Way::In, 7, write(2));
     assert_eq!(story.found(), []);
@@ -182,8 +290,18 @@
     for (launches, found) in [(9, vec![]), (14, vec![Rule::ColdHostPushed])] {
         let mut story = good();
         for n in 0..launches {
-            let from = if n % 2 == 0 { ("w", "d", 3) } else { ("w", "e", 6) };
-            story.frame(100.0 + f64::from(n), from, Way::In, 100 + u64::from(n), write(100 + n));
+            let from = if n % 2 == 0 {
+                ("w", "d", 3)
+            } else {
+                ("w", "e", 6)
+            };
+            story.frame(
+                100.0 + f64::from(n),
+                from,
+                Way::In,
+                100 + u64::from(n),
+                write(100 + n),
+            );
         }
         assert_eq!(story.found(), found, "{launches} launches");
     }
@@ -193,23 +311,32 @@
 fn a_state_that_lies_too_long_is_found_and_one_that_is_let_go_is_not() {
     for (released, found) in [(500.0, vec![]), (800.0, vec![Rule::LeftPinned])] {
         let mut story = good();
-        let ended =
-            v1::Ended { status: v1::Status::ReadDone.into(), state: state(2), ..v1::Ended::default() };
+        let ended = v1::Ended {
+            status: v1::Status::ReadDone.into(),
+            state: state(2),
+            ..v1::Ended::default()
+        };
         story.frame(100.0, READER, Way::Out, 9, Body::Ended(ended));
         story.frame(
             100.0 + released,
             READER,
             Way::In,
             0,
-            Body::Release(v1::Release { state: state(2), ..v1::Release::default() }),
+            Body::Release(v1::Release {
+                state: state(2),
+                ..v1::Release::default()
+            }),
         );
         assert_eq!(story.found(), found, "released after {released}");
     }
     // Never let go, by a dispatcher that lives, and by one that is killed at once.
     for (killed, found) in [(false, vec![Rule::LeftPinned]), (true, vec![])] {
         let mut story = good();
-        let ended =
-            v1::Ended { status: v1::Status::ReadDone.into(), state: state(2), ..v1::Ended::default() };
+        let ended = v1::Ended {
+            status: v1::Status::ReadDone.into(),
+            state: state(2),
+            ..v1::Ended::default()
+        };
         story.frame(100.0, READER, Way::Out, 9, Body::Ended(ended));
         if killed {
             story.note(150.0, ("d", 0), Note::Killed);
@@ -223,12 +350,35 @@
     for (run, found) in [(1, vec![]), (2, vec![Rule::LeftPinned])] {
         let mut story = good();
         for (at, run) in [(1.0, 1), (300.0, 2)] {
-            story.frame(at, READER, Way::In, 0, Body::Hello(v1::Hello { run, ..v1::Hello::default() }));
+            story.frame(
+                at,
+                READER,
+                Way::In,
+                0,
+                Body::Hello(v1::Hello {
+                    run,
+                    ..v1::Hello::default()
+                }),
+            );
         }
         story.note(200.0, ("d", 0), Note::Killed);
-        let state = Some(v1::StateId { run, task: 2, launch: 0 });
-        let ended = v1::Ended { status: v1::Status::ReadDone.into(), state, ..v1::Ended::default() };
-        story.frame(if run == 1 { 201.0 } else { 400.0 }, READER, Way::Out, 9, Body::Ended(ended));
+        let state = Some(v1::StateId {
+            run,
+            task: 2,
+            launch: 0,
+        });
+        let ended = v1::Ended {
+            status: v1::Status::ReadDone.into(),
+            state,
+            ..v1::Ended::default()
+        };
+        story.frame(
+            if run == 1 { 201.0 } else { 400.0 },
+            READER,
+            Way::Out,
+            9,
+            Body::Ended(ended),
+        );
         assert_eq!(story.found(), found, "run {run}");
     }
 }
@@ -236,17 +386,27 @@
 #[test]
 fn a_state_is_not_idle_while_a_launch_is_out_for_it() {
     let mut story = good();
-    let ended = v1::Ended { status: v1::Status::ReadDone.into(), state: state(2), ..v1::Ended::default() };
+    let ended = v1::Ended {
+        status: v1::Status::ReadDone.into(),
+        state: state(2),
+        ..v1::Ended::default()
+    };
     story.frame(100.0, READER, Way::Out, 9, Body::Ended(ended));
     story.frame(300.0, WRITER, Way::In, 9, write(2));
-    let full = v1::Ended { status: v1::Status::Full.into(), ..v1::Ended::default() };
+    let full = v1::Ended {
+        status: v1::Status::Full.into(),
+        ..v1::Ended::default()
+    };
     story.frame(3000.0, WRITER, Way::Out, 9, Body::Ended(full));
     story.frame(
         3400.0,
         READER,
         Way::In,
         0,
-        Body::Release(v1::Release { state: state(2), ..v1::Release::default() }),
+        Body::Release(v1::Release {
+            state: state(2),
+            ..v1::Release::default()
+        }),
     );
     assert_eq!(story.found(), []);
 }
@@ -254,23 +414,45 @@
 /// A request under another key whose client goes at 100, and the attempt that comes at a prefill engine at `at`.
 fn gone_before_an_attempt(at: f64) -> Story {
     let mut story = good();
-    let submit = v1::Submit { key: "k2".to_owned(), patience_ms: 5000.0, ..v1::Submit::default() };
+    let submit = v1::Submit {
+        key: "k2".to_owned(),
+        patience_ms: 5000.0,
+        ..v1::Submit::default()
+    };
     story.frame(50.0, CLIENT, Way::Out, 2, Body::Submit(submit));
-    story.frame(51.0, CLIENT, Way::In, 2, Body::Accepted(v1::Accepted { task: 2 }));
+    story.frame(
+        51.0,
+        CLIENT,
+        Way::In,
+        2,
+        Body::Accepted(v1::Accepted { task: 2 }),
+    );
     story.frame(100.0, CLIENT, Way::Out, 2, Body::Cancel(v1::Cancel {}));
-    let read = v1::Read { state: state(2), key: "k2".to_owned(), ..v1::Read::default() };
+    let read = v1::Read {
+        state: state(2),
+        key: "k2".to_owned(),
+        ..v1::Read::default()
+    };
     story.frame(at, READER, Way::In, 5, Body::Read(read));
     story
 }
 
 #[test]
 fn an_attempt_for_a_client_that_has_gone_is_found_beyond_its_tenth_of_a_second() {
-    for (at, found) in [(90.0, vec![]), (290.0, vec![]), (310.0, vec![Rule::AttemptForNobody])] {
+    for (at, found) in [
+        (90.0, vec![]),
+        (290.0, vec![]),
+        (310.0, vec![Rule::AttemptForNobody]),
+    ] {
         assert_eq!(gone_before_an_attempt(at).found(), found, "sent at {at}");
     }
     // The client asked again under the same key: the attempt is for that.
     let mut story = gone_before_an_attempt(500.0);
-    let submit = v1::Submit { key: "k2".to_owned(), patience_ms: 5000.0, ..v1::Submit::default() };
+    let submit = v1::Submit {
+        key: "k2".to_owned(),
+        patience_ms: 5000.0,
+        ..v1::Submit::default()
+    };
     story.frame(400.0, CLIENT, Way::Out, 3, Body::Submit(submit));
     story.frame(600.0, CLIENT, Way::In, 3, last(v1::Answer::Bounced));
     assert_eq!(story.found(), []);
@@ -279,15 +461,26 @@
 /// A request whose decode attempt has come to its engine.
 fn decoded() -> Story {
     let mut story = Story::default();
-    let submit = v1::Submit { key: "k2".to_owned(), patience_ms: 5000.0, ..v1::Submit::default() };
+    let submit = v1::Submit {
+        key: "k2".to_owned(),
+        patience_ms: 5000.0,
+        ..v1::Submit::default()
+    };
     story.frame(10.0, CLIENT, Way::Out, 2, Body::Submit(submit));
-    let attempt = v1::Write { key: "k2".to_owned(), ..v1::Write::default() };
+    let attempt = v1::Write {
+        key: "k2".to_owned(),
+        ..v1::Write::default()
+    };
     story.frame(20.0, WRITER, Way::In, 4, Body::Write(attempt));
     story
 }
 
 fn tokens(position: u32) -> Body {
-    Body::Tokens(v1::Tokens { position, count: 1, ..v1::Tokens::default() })
+    Body::Tokens(v1::Tokens {
+        position,
+        count: 1,
+        ..v1::Tokens::default()
+    })
 }
 
 #[test]
@@ -319,7 +512,11 @@
         story.note(awake, (of, 0), Note::Awake);
         story.frame(came, CLIENT, Way::In, 2, tokens(1));
         story.frame(970.0, CLIENT, Way::In, 2, last(v1::Answer::Fulfilled));
-        assert_eq!(story.found(), found, "awake at {awake}, passed on at {came}, asleep: {of}");
+        assert_eq!(
+            story.found(),
+            found,
+            "awake at {awake}, passed on at {came}, asleep: {of}"
+        );
     }
 }
 
@@ -329,7 +526,13 @@
     for (n, (prompt_tokens, session, answer)) in answers.enumerate() {
         let (at, stream) = (10.0 * n as f64, n as u64 + 1);
         let key = format!("key-{n}");
-        let submit = v1::Submit { key, session, prompt_tokens, patience_ms: 1000.0, ..v1::Submit::default() };
+        let submit = v1::Submit {
+            key,
+            session,
+            prompt_tokens,
+            patience_ms: 1000.0,
+            ..v1::Submit::default()
+        };
         story.frame(at, CLIENT, Way::Out, stream, Body::Submit(submit));
         story.frame(at + 5.0, CLIENT, Way::In, stream, last(answer));
     }
@@ -338,7 +541,13 @@
 
 #[test]
 fn largest_requests_that_are_given_up_for_small_ones_are_found() {
-    let answer = |refused: bool| if refused { v1::Answer::Bounced } else { v1::Answer::Fulfilled };
+    let answer = |refused: bool| {
+        if refused {
+            v1::Answer::Bounced
+        } else {
+            v1::Answer::Fulfilled
+        }
+    };
     // One in ten is refused: by chance, or always of the largest.
     let fair = (0..400_u32).map(|n| (n, u64::from(n), answer(n % 10 == 3)));
     assert_eq!(class(fair).found(), []);
@@ -348,7 +557,13 @@
 
 #[test]
 fn sessions_that_are_refused_throughout_are_found() {
-    let answer = |refused: bool| if refused { v1::Answer::Bounced } else { v1::Answer::Fulfilled };
+    let answer = |refused: bool| {
+        if refused {
+            v1::Answer::Bounced
+        } else {
+            v1::Answer::Fulfilled
+        }
+    };
     let spread = (0..400_u32).map(|n| (n, u64::from(n % 50), answer(n % 4 == n / 50 % 4)));
     assert_eq!(class(spread).found(), []);
     let singled = (0..400_u32).map(|n| (n, u64::from(n % 50), answer(n % 50 < 12)));
--- a/src/bounds.rs
+++ b/src/bounds.rs
@@ -76,8 +76,12 @@
 const REST_PART: f64 = 0.4;
 /// Clients are owed a close within three seconds of connecting, also in the middle of a request, and keep good
 /// connections.
-const CLIENTS: SingleSettings =
-    SingleSettings { first: 2_000.0, whole: 2_000.0, first_whole: 2_750.0, rest: 10_000.0 };
+const CLIENTS: SingleSettings = SingleSettings {
+    first: 2_000.0,
+    whole: 2_000.0,
+    first_whole: 2_750.0,
+    rest: 10_000.0,
+};
 const WINDOW: u32 = 32;
 /// Under the five seconds for which a client may be left waiting.
 const STALL: Ms = 4_000.0;
@@ -116,11 +120,21 @@
         let (feed_wait, answer, whole, connect) = match given.discovery {
             Discovery::Pushed => {
                 let answer = PUSHED_ANSWER * given.drain_grace;
-                (PUSHED_WAIT, answer, answer, answer.min(given.connect_timeout))
+                (
+                    PUSHED_WAIT,
+                    answer,
+                    answer,
+                    answer.min(given.connect_timeout),
+                )
             }
             Discovery::Asked { told_within } => {
                 let told = told_within.min(TOLD_WITHIN);
-                (ASKED_WAIT * told, ASKED_ANSWER * told, ASKED_WHOLE * told, given.connect_timeout)
+                (
+                    ASKED_WAIT * told,
+                    ASKED_ANSWER * told,
+                    ASKED_WHOLE * told,
+                    given.connect_timeout,
+                )
             }
         };
         let feed = FeedSettings {
@@ -136,7 +150,9 @@
             most_clients: share,
             most_links: share,
             most_tasks: given.most_held.unwrap_or(share).min(share),
-            link_idle: given.host_idle.map_or(f64::INFINITY, |idle| REST_PART * idle),
+            link_idle: given
+                .host_idle
+                .map_or(f64::INFINITY, |idle| REST_PART * idle),
             most_body: MOST_BODY,
             most_bodies: (given.memory / BODIES_PART) as usize,
             most_chunk: MOST_BODY,
@@ -148,7 +164,9 @@
             drain: DRAIN,
             most_drained: LIST_BODIES * MOST_BODY,
             stop_notice: STOP_NOTICE,
-            stop_moves: given.clients_resume.then_some(STOP_MOVES_PART * earliest_kill(given)),
+            stop_moves: given
+                .clients_resume
+                .then_some(STOP_MOVES_PART * earliest_kill(given)),
             stop_grace: given.longest_deadline + STOP_STREAMS,
         })
     }
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -44,7 +44,13 @@
 impl Caller {
     pub fn new(settings: &CallerSettings, now: Ms) -> Self {
         let cancels = settings.cancels.max(1.0);
-        Caller { heard: now, pinged: None, cancels, counted: now, flooded: false }
+        Caller {
+            heard: now,
+            pinged: None,
+            cancels,
+            counted: now,
+            flooded: false,
+        }
     }
 
     /// Anything came from it.
--- a/src/channels.rs
+++ b/src/channels.rs
@@ -124,7 +124,8 @@
     /// idle, among equals on the one that rests since lately, if not since just now; else on one that is
     /// connecting; else on a new one, if there may be one.
     pub fn place(&self, now: Ms) -> Placement {
-        let room = |(_, c): &(&ChannelId, &Channel)| c.phase != Phase::Leaving && c.streams < c.limit;
+        let room =
+            |(_, c): &(&ChannelId, &Channel)| c.phase != Phase::Leaving && c.streams < c.limit;
         let settled_at = now - SETTLE * self.settings.connect_timeout;
         let rank = |c: &Channel| (c.phase == Phase::Up, c.streams, c.idle_since <= settled_at);
         let order = |a: &(&ChannelId, &Channel), b: &(&ChannelId, &Channel)| {
@@ -133,7 +134,9 @@
         };
         match self.all.iter().filter(room).max_by(order) {
             Some((id, _)) => Placement::On(*id),
-            None if self.taking() >= self.settings.most.max(1) => Placement::Nowhere(Refusal::AllTaken),
+            None if self.taking() >= self.settings.most.max(1) => {
+                Placement::Nowhere(Refusal::AllTaken)
+            }
             // Guards against a host that is down being dialled by every task that it is chosen for.
             None if now < self.again_at => Placement::Nowhere(Refusal::NotYet),
             None => Placement::Connect,
@@ -155,7 +158,9 @@
 
     /// It is up. `limit`: the streams that the host allows on it, if it says.
     pub fn up(&mut self, id: ChannelId, limit: Option<usize>, now: Ms) {
-        let Some(channel) = self.all.get_mut(&id) else { return };
+        let Some(channel) = self.all.get_mut(&id) else {
+            return;
+        };
         (channel.phase, channel.heard, channel.idle_since) = (Phase::Up, now, now);
         channel.limit = limit.map_or(channel.limit, |limit| limit.min(channel.limit));
         self.renewed();
@@ -164,7 +169,9 @@
     /// It is over, or never came up. After a failed connect the next waits, longer each time and by chance, so
     /// that dispatchers do not come back to a host that restarts all at once.
     pub fn closed(&mut self, id: ChannelId, now: Ms) {
-        let Some(channel) = self.all.remove(&id) else { return };
+        let Some(channel) = self.all.remove(&id) else {
+            return;
+        };
         if let Phase::Connecting { .. } = channel.phase {
             let doubled = self.settings.again_first * f64::from(self.failures.min(30)).exp2();
             let chance: f64 = self.rng.generate();
@@ -213,7 +220,9 @@
     pub fn wanted(&mut self, now: Ms, ready: bool) -> Vec<Do> {
         let mut wanted = Vec::new();
         for (&id, channel) in &mut self.all {
-            let Some((at, what)) = channel.due(id, &self.settings) else { continue };
+            let Some((at, what)) = channel.due(id, &self.settings) else {
+                continue;
+            };
             if now >= at {
                 if let Do::Ping(_) = what {
                     channel.pinged = Some(now);
@@ -235,8 +244,13 @@
     /// When `wanted` wants to be asked next, if nothing happens before. Connecting ahead follows from what
     /// happens, so it is asked for then.
     pub fn next_at(&self) -> Option<Ms> {
-        let due = self.all.iter().filter_map(|(id, channel)| channel.due(*id, &self.settings));
-        due.map(|(at, _)| at).filter(|at| at.is_finite()).min_by(f64::total_cmp)
+        let due = self
+            .all
+            .iter()
+            .filter_map(|(id, channel)| channel.due(*id, &self.settings));
+        due.map(|(at, _)| at)
+            .filter(|at| at.is_finite())
+            .min_by(f64::total_cmp)
     }
 
     /// Whether it takes streams, or will.
@@ -250,7 +264,10 @@
 
     /// Channels that take streams, or will.
     fn taking(&self) -> usize {
-        self.all.values().filter(|c| c.phase != Phase::Leaving).count()
+        self.all
+            .values()
+            .filter(|c| c.phase != Phase::Leaving)
+            .count()
     }
 
     /// Whether channels in use leave too little room for what comes while another connects.
@@ -262,7 +279,11 @@
         let spare = SPARE * self.settings.streams.max(1) as f64;
         // Channels for one stream each are never ahead of need: every task at a peak would cost the host one.
         let shared = self.settings.streams > 1;
-        shared && used && !connecting && self.taking() < self.settings.most.max(1) && (free as f64) < spare
+        shared
+            && used
+            && !connecting
+            && self.taking() < self.settings.most.max(1)
+            && (free as f64) < spare
     }
 }
 
@@ -270,9 +291,10 @@
     /// What falls due for it next, and when.
     fn due(&self, id: ChannelId, settings: &ChannelSettings) -> Option<(Ms, Do)> {
         let due = match (self.phase, self.streams, self.pinged) {
-            (Phase::Connecting { since }, ..) => {
-                (since + settings.connect_timeout, Do::Close(id, Why::ConnectTimeout))
-            }
+            (Phase::Connecting { since }, ..) => (
+                since + settings.connect_timeout,
+                Do::Close(id, Why::ConnectTimeout),
+            ),
             (Phase::Leaving, 0, _) => (self.idle_since, Do::Close(id, Why::Left)),
             (Phase::Up, 0, _) => (self.idle_since + settings.idle, Do::Close(id, Why::Idle)),
             // Guards against a peer that is gone without a word: its connection never breaks by itself.
--- a/src/control.rs
+++ b/src/control.rs
@@ -196,10 +196,16 @@
             quoted_per_token: p.quoted_per_1000_tokens / 1000.0,
         };
         let profiles: Vec<ProfileRow> = settings.profiles.iter().map(row).collect();
-        let quoted_least = profiles.iter().map(|row| row.quoted).fold(f64::INFINITY, f64::min);
+        let quoted_least = profiles
+            .iter()
+            .map(|row| row.quoted)
+            .fold(f64::INFINITY, f64::min);
         Control {
             quoted_least,
-            quoted_per_token: profiles.iter().map(|row| row.quoted_per_token).fold(0.0, f64::max),
+            quoted_per_token: profiles
+                .iter()
+                .map(|row| row.quoted_per_token)
+                .fold(0.0, f64::max),
             profiles,
             rng: WyRand::new_seed(seed),
             now: 0.0,
@@ -232,7 +238,9 @@
         self.wanted_wake = None;
         self.queue.fall_due(self.now);
         for id in self.turns() {
-            let Some(mut task) = self.tasks.remove(&id) else { continue };
+            let Some(mut task) = self.tasks.remove(&id) else {
+                continue;
+            };
             self.queue.coming -= task.coming();
             self.plan(&mut task);
             self.planned += 1;
@@ -243,11 +251,16 @@
                 self.tasks.insert(id, task);
             }
         }
-        debug_assert_eq!(self.queue.coming, self.tasks.values().map(Task::coming).sum::<usize>());
+        debug_assert_eq!(
+            self.queue.coming,
+            self.tasks.values().map(Task::coming).sum::<usize>()
+        );
         if let Some(&(due, _)) = self.queue.due.first() {
             self.wake_at(due.0);
         }
-        let host = |slot: Slot| Action::Probe { host: self.hosts.listed[slot].host.clone() };
+        let host = |slot: Slot| Action::Probe {
+            host: self.hosts.listed[slot].host.clone(),
+        };
         actions.extend(self.wanted_probes.iter().map(|&slot| host(slot)));
         self.wanted_probes.clear();
         self.emit_timer(actions);
@@ -256,7 +269,10 @@
     /// The plain rule, which the lean one is held against: every task but the held is planned at the next
     /// step.
     pub fn wake_all(&mut self) {
-        let free = self.tasks.iter().filter(|(_, task)| task.out.is_some() || task.look_at <= self.now);
+        let free = self
+            .tasks
+            .iter()
+            .filter(|(_, task)| task.out.is_some() || task.look_at <= self.now);
         self.queue.awake.extend(free.map(|(id, _)| *id));
     }
 
@@ -276,23 +292,35 @@
                 }
             }
             Event::FirstToken { task, launch, .. } => {
-                let (id, Some(task)) = (*task, self.tasks.get_mut(task)) else { return };
-                let Some(out) = task.out.as_mut().filter(|o| o.launch == *launch) else { return };
+                let (id, Some(task)) = (*task, self.tasks.get_mut(task)) else {
+                    return;
+                };
+                let Some(out) = task.out.as_mut().filter(|o| o.launch == *launch) else {
+                    return;
+                };
                 out.streaming = true;
                 out.delivery = Delivery::Confirmed;
                 task.state = None;
                 self.queue.awake.insert(id);
                 let slot = out.slot;
                 let allowed = QUEUED * task.allowed;
-                self.hosts.learn_limit(slot, out.sent, self.now - out.sent > allowed, self.now);
+                self.hosts
+                    .learn_limit(slot, out.sent, self.now - out.sent > allowed, self.now);
                 self.hosts.heard[slot] = self.now;
                 self.note_done(slot, false);
             }
             Event::Ended(ended) => self.learn_end(ended),
             Event::Delivered { task, launch } => self.learn_delivery(*task, *launch),
             Event::Timer { timer } if timer.0 == self.timers => self.armed = None,
-            Event::Probed { host, outcome, load, .. } => {
-                let Some(&slot) = self.hosts.index.get(host) else { return };
+            Event::Probed {
+                host,
+                outcome,
+                load,
+                ..
+            } => {
+                let Some(&slot) = self.hosts.index.get(host) else {
+                    return;
+                };
                 self.hosts.silent[slot] = *outcome != Outcome::Fulfilled;
                 self.hosts.answered_at[slot] = self.now;
                 self.hosts.note_load(slot, load, self.now);
@@ -311,7 +339,9 @@
             }
         }
         for entry in entries {
-            let Some(kind) = self.settings.kinds.get(entry.kind.0 as usize) else { continue };
+            let Some(kind) = self.settings.kinds.get(entry.kind.0 as usize) else {
+                continue;
+            };
             let started = entry.started.unwrap_or(f64::NEG_INFINITY);
             let slot = self.hosts.slot(entry, kind);
             if started > self.hosts.started[slot] {
@@ -327,10 +357,13 @@
 
     fn learn_arrival(&mut self, arrival: &Arrival) {
         let over_share = self.over_share(arrival.tenant);
-        let Some(row) = self.profiles.get(arrival.profile.0 as usize) else { return };
+        let Some(row) = self.profiles.get(arrival.profile.0 as usize) else {
+            return;
+        };
         let task = Task {
             over_share,
-            read_by: self.now + HELD_SHARE * (row.quoted + row.quoted_per_token * arrival.prompt_tokens),
+            read_by: self.now
+                + HELD_SHARE * (row.quoted + row.quoted_per_token * arrival.prompt_tokens),
             ends: self.now + arrival.patience_left - END_TICKS * self.settings.tick,
             allowed: self.quoted_least + self.quoted_per_token * arrival.prompt_tokens,
             arrival: arrival.clone(),
@@ -347,23 +380,42 @@
 
     /// Whether a tenant sends more than its share, as far as one dispatcher's part of its tasks tells.
     fn over_share(&mut self, tenant: Option<TenantId>) -> bool {
-        let Some(at) = tenant.map(|t| t.0 as usize) else { return false };
-        let Some(sent) = self.tenants.get_mut(at) else { return false };
+        let Some(at) = tenant.map(|t| t.0 as usize) else {
+            return false;
+        };
+        let Some(sent) = self.tenants.get_mut(at) else {
+            return false;
+        };
         sent.note(1.0, self.now, self.settings.ramp);
         1000.0 * sent.rate * self.hosts.dispatchers > self.settings.tenants[at].allowance_per_s
     }
 
     fn learn_end(&mut self, ended: &Ended) {
-        let Some(&slot) = self.hosts.index.get(&ended.host) else { return };
+        let Some(&slot) = self.hosts.index.get(&ended.host) else {
+            return;
+        };
         self.hosts.note_load(slot, &ended.load, self.now);
-        let Some(task) = self.tasks.get_mut(&ended.task) else { return };
+        let Some(task) = self.tasks.get_mut(&ended.task) else {
+            return;
+        };
         let coming = task.coming();
-        let Some(out) = task.out.take_if(|o| o.launch == ended.launch && o.slot == slot) else { return };
+        let Some(out) = task
+            .out
+            .take_if(|o| o.launch == ended.launch && o.slot == slot)
+        else {
+            return;
+        };
         self.queue.coming -= coming;
         self.queue.awake.insert(ended.task);
         self.hosts.tally(&out, -1.0);
-        let queued = ended.outcome != Outcome::ReadDone || self.now - out.sent > QUEUED * task.allowed;
-        if out.reading && matches!(ended.outcome, Outcome::ReadDone | Outcome::TimedOut | Outcome::Full) {
+        let queued =
+            ended.outcome != Outcome::ReadDone || self.now - out.sent > QUEUED * task.allowed;
+        if out.reading
+            && matches!(
+                ended.outcome,
+                Outcome::ReadDone | Outcome::TimedOut | Outcome::Full
+            )
+        {
             self.hosts.learn_limit(slot, out.sent, queued, self.now);
         }
         // What came late, or was turned away, tells of a queue: a probe is wanted the more.
@@ -375,7 +427,10 @@
             task.idle_since = self.now;
         }
         let never_ran = self.hosts.only_reads(&out)
-            || matches!(ended.outcome, Outcome::Full | Outcome::Unreachable | Outcome::Void);
+            || matches!(
+                ended.outcome,
+                Outcome::Full | Outcome::Unreachable | Outcome::Void
+            );
         if !never_ran && ended.outcome != Outcome::Fulfilled {
             task.may_have_run.get_or_insert((slot, out.sent));
         }
@@ -395,7 +450,8 @@
             Outcome::Full => {
                 task.tried.push(slot);
                 // Guards against a host that turns all away: it always looks as if it had room.
-                let wait = RETRY_SHARE * self.settings.release * 2.0_f64.powi(self.hosts.fulls[slot]);
+                let wait =
+                    RETRY_SHARE * self.settings.release * 2.0_f64.powi(self.hosts.fulls[slot]);
                 self.hosts.full_until[slot] = self.now + wait;
                 self.hosts.fulls[slot] = (self.hosts.fulls[slot] + 1).min(FULLS_MOST);
             }
@@ -410,9 +466,15 @@
     /// Whoever is planned first takes the room: those within their tenant's share, of kept text, the soonest.
     fn turns(&self) -> Vec<TaskId> {
         let cheap = |s: Slot, a: &Arrival| self.hosts.unread(s, a) < SPARE * a.prompt_tokens;
-        let dear = |t: &Task| t.launches == 0 && !self.hosts.ready(true).any(|s| cheap(s, &t.arrival));
-        let turn = |(id, t): (&TaskId, &Task)| (t.over_share, dear(t), (1000.0 * t.read_by) as i64, *id);
-        let awake = self.queue.awake.iter().filter_map(|id| self.tasks.get_key_value(id));
+        let dear =
+            |t: &Task| t.launches == 0 && !self.hosts.ready(true).any(|s| cheap(s, &t.arrival));
+        let turn =
+            |(id, t): (&TaskId, &Task)| (t.over_share, dear(t), (1000.0 * t.read_by) as i64, *id);
+        let awake = self
+            .queue
+            .awake
+            .iter()
+            .filter_map(|id| self.tasks.get_key_value(id));
         let turns: BTreeSet<_> = awake.map(turn).collect();
         turns.into_iter().map(|turn| turn.3).collect()
     }
@@ -434,8 +496,14 @@
         // Guards against a jam that feeds on itself: readers busy with tasks whose time has passed make the
         // next ones late too. What no reader has taken by then is bounced, while a bounce is harmless.
         let held = task.out.is_none() && task.state.is_none();
-        let ends = if held { task.ends.min(task.read_by) } else { task.ends };
-        let barred = task.may_have_run.is_some_and(|(first, _)| !self.may_go_to(task, first));
+        let ends = if held {
+            task.ends.min(task.read_by)
+        } else {
+            task.ends
+        };
+        let barred = task
+            .may_have_run
+            .is_some_and(|(first, _)| !self.may_go_to(task, first));
         if self.now >= ends || task.out.is_none() && barred {
             return self.give_up(task);
         }
@@ -453,7 +521,9 @@
         }
         let left = self.settings.max_launches.saturating_sub(task.launches);
         // A state whose reader is gone is read again, and let go in case the list is wrong.
-        task.want_release = task.state.is_some_and(|s| self.hosts.listed[s].condition == Condition::Gone);
+        task.want_release = task
+            .state
+            .is_some_and(|s| self.hosts.listed[s].condition == Condition::Gone);
         let look_again = (RETRY_SHARE * self.settings.release).max(self.settings.tick);
         let lies = self.now + look_again - task.idle_since > HOLD_SHARE * self.settings.release;
         let target = match task.state.filter(|_| !task.want_release) {
@@ -493,7 +563,11 @@
             Effect::Numbered { group, .. } => !may_have_run || group == Group::All,
             Effect::AtMostOnce => !may_have_run,
         };
-        task.want = if harmless { Want::Bounce } else { Want::WriteOff };
+        task.want = if harmless {
+            Want::Bounce
+        } else {
+            Want::WriteOff
+        };
         task.want_cancel = task.out.is_some();
         task.want_release = task.out.is_none() && task.state.is_some();
     }
@@ -504,13 +578,19 @@
 
     /// Whether a task may be sent there, if it may have run; it may run again at all where it ran first.
     fn may_go_to(&self, task: &Task, slot: Slot) -> bool {
-        let Some((first, at)) = task.may_have_run else { return true };
+        let Some((first, at)) = task.may_have_run else {
+            return true;
+        };
         let [a, b] = [first, slot].map(|s| &self.hosts.listed[s]);
         match self.effect(task) {
             Effect::Reissuable => true,
             Effect::Numbered { window, .. } if self.now >= at + window => false,
-            Effect::Numbered { group: Group::Zone, .. } => a.zone == b.zone,
-            Effect::Numbered { group: Group::Cell, .. } => a.cell == b.cell,
+            Effect::Numbered {
+                group: Group::Zone, ..
+            } => a.zone == b.zone,
+            Effect::Numbered {
+                group: Group::Cell, ..
+            } => a.cell == b.cell,
             Effect::Numbered { .. } => true,
             Effect::AtMostOnce => false,
         }
@@ -521,7 +601,8 @@
     /// over the fleet: whoever sends a session's prompts finds them kept at one of the same few readers.
     fn homes(&self, arrival: &Arrival, pool: &[Slot]) -> Vec<Slot> {
         let beginning = arrival.shared.map_or(arrival.session.0, |shared| shared.0);
-        let rank = |s: Slot, key: u64| xxh3_64_with_seed(self.hosts.listed[s].host.0.as_bytes(), key);
+        let rank =
+            |s: Slot, key: u64| xxh3_64_with_seed(self.hosts.listed[s].host.0.as_bytes(), key);
         let mut homes: Vec<(u64, Slot)> = pool.iter().map(|&s| (rank(s, beginning), s)).collect();
         homes.sort_unstable_by(|a, b| b.cmp(a));
         homes.truncate(HOMES);
@@ -549,10 +630,12 @@
         let mut any_out = false;
         for &slot in hosts.iter().filter(|_| self.settings.may_probe) {
             let asked = self.hosts.asked_at[slot];
-            let known = self.now - asked.max(self.hosts.reported_at[slot]) < FRESH * self.quoted_least
+            let known = self.now - asked.max(self.hosts.reported_at[slot])
+                < FRESH * self.quoted_least
                 || self.now - self.hosts.heard[slot] < HEARD * self.quoted_least
                 || self.hosts.streams[slot] > ABOVE_AVERAGE;
-            let out = asked > self.hosts.answered_at[slot].max(self.now - HEARD * self.quoted_least);
+            let out =
+                asked > self.hosts.answered_at[slot].max(self.now - HEARD * self.quoted_least);
             if !out && !known {
                 self.hosts.asked_at[slot] = self.now;
                 self.wanted_probes.push(slot);
@@ -573,7 +656,11 @@
         let mean = self.hosts.mean(true, &self.hosts.reported_tokens, home);
         let seen = self.hosts.dispatchers.min(self.hosts.reads.iter().sum());
         let wait = |s: Slot| self.hosts.waiting(s, self.now, seen, mean) / self.age_weight(s);
-        let others = pool.iter().filter(|&&s| s != home).map(|&s| wait(s)).sum::<f64>();
+        let others = pool
+            .iter()
+            .filter(|&&s| s != home)
+            .map(|&s| wait(s))
+            .sum::<f64>();
         let mean = (others + arrival.prompt_tokens) / pool.len() as f64;
         let too_much = |s: Slot| wait(s) > HOME_ESCAPE * mean || self.hosts.owes(s, self.now);
         if !too_much(home) && self.hosts.has_room(home) {
@@ -593,18 +680,29 @@
     /// The mechanism: nearness first, within the band the fewest in flight, skipping those above average.
     fn choose_writer(&mut self, task: &Task, reader: Slot) -> Option<Slot> {
         let pool = self.pool(task, false);
-        let best = pool.iter().map(|&s| self.nearness(reader, s)).fold(0.0, f64::max);
-        let mean = pool.iter().map(|&s| self.hosts.streams[s]).sum::<f64>() / pool.len().max(1) as f64;
+        let best = pool
+            .iter()
+            .map(|&s| self.nearness(reader, s))
+            .fold(0.0, f64::max);
+        let mean =
+            pool.iter().map(|&s| self.hosts.streams[s]).sum::<f64>() / pool.len().max(1) as f64;
         let near = |s: Slot| self.nearness(reader, s) >= best - TAU;
         let few = |s: Slot| self.hosts.streams[s] <= mean + ABOVE_AVERAGE;
-        let kept: Vec<Slot> = pool.iter().copied().filter(|&s| near(s) && few(s)).collect();
+        let kept: Vec<Slot> = pool
+            .iter()
+            .copied()
+            .filter(|&s| near(s) && few(s))
+            .collect();
         self.fewest(if kept.is_empty() { pool } else { kept })
     }
 
     /// Fewest in flight wins, a fresh host counting for less by its age. Ties fall by chance, weighted by the
     /// share that is free as last reported: the least of old reports would draw every dispatcher to one host.
     fn fewest(&mut self, among: Vec<Slot>) -> Option<Slot> {
-        let draws: Vec<f64> = among.iter().map(|_| -self.rng.generate::<f64>().ln()).collect();
+        let draws: Vec<f64> = among
+            .iter()
+            .map(|_| -self.rng.generate::<f64>().ln())
+            .collect();
         let load = |s: Slot| (self.hosts.streams[s] + self.hosts.reported[s]) / self.age_weight(s);
         let (taken, now) = (&self.hosts.reported_load, self.now);
         let mean = self.hosts.mean(false, taken, Slot::MAX);
@@ -614,8 +712,9 @@
             .zip(draws)
             .map(|(s, draw)| (load(s), draw / free(s) / self.age_weight(s), s))
             .collect();
-        let order =
-            |a: &(f64, f64, Slot), b: &(f64, f64, Slot)| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1));
+        let order = |a: &(f64, f64, Slot), b: &(f64, f64, Slot)| {
+            a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))
+        };
         drawn.into_iter().min_by(order).map(|drawn| drawn.2)
     }
 
@@ -636,8 +735,14 @@
         let (well, sick): (Vec<Slot>, Vec<Slot>) =
             ready.iter().partition(|&&s| !self.hosts.is_sick(s, peers));
         let harmless = reading || self.effect(task) == Effect::Reissuable;
-        let trials = sick.iter().filter(|&&s| harmless && self.now >= self.hosts.trial_at[s]);
-        let judged = if well.is_empty() { sick.clone() } else { [well, trials.copied().collect()].concat() };
+        let trials = sick
+            .iter()
+            .filter(|&&s| harmless && self.now >= self.hosts.trial_at[s]);
+        let judged = if well.is_empty() {
+            sick.clone()
+        } else {
+            [well, trials.copied().collect()].concat()
+        };
         let open = |s: &Slot| {
             let allowed = self.may_go_to(task, *s) && self.cold_room(*s, share);
             allowed && self.now >= self.hosts.full_until[*s]
@@ -648,8 +753,15 @@
         let loaded = |s: Slot| self.hosts.aged(s, self.now, taken, mean) > (1.0 + mean) / 2.0;
         let fit = |s: &Slot| (reading || self.hosts.has_room(*s)) && !task.tried.contains(s);
         let fit: Vec<Slot> = open.iter().copied().filter(fit).collect();
-        let light: Vec<Slot> = fit.iter().copied().filter(|&s| reading || !loaded(s)).collect();
-        [light, fit, open].into_iter().find(|hosts| !hosts.is_empty()).unwrap_or_default()
+        let light: Vec<Slot> = fit
+            .iter()
+            .copied()
+            .filter(|&s| reading || !loaded(s))
+            .collect();
+        [light, fit, open]
+            .into_iter()
+            .find(|hosts| !hosts.is_empty())
+            .unwrap_or_default()
     }
 
     fn is_cold(&self, slot: Slot) -> bool {
@@ -680,7 +792,12 @@
         // Guards against what ends at hosts that are being replaced: held against the few warm ones that are left, or
         // none, it would pass for what each of those bears.
         if !self.is_cold(slot) && self.hosts.listed[slot].condition == Condition::Ready {
-            let warm = self.hosts.ready(reading).filter(|&s| !self.is_cold(s)).count().max(1) as f64;
+            let warm = self
+                .hosts
+                .ready(reading)
+                .filter(|&s| !self.is_cold(s))
+                .count()
+                .max(1) as f64;
             self.borne[usize::from(reading)].note(1.0 / warm, self.now, self.settings.ramp);
         }
     }
@@ -692,11 +809,18 @@
         let budget = self.cold_budget(reading);
         let share = |wanted: f64| budget / (1.0 - (-wanted.max(f64::EPSILON)).exp());
         let usual = HOT * budget;
-        let (cold, warm): (Vec<Slot>, Vec<Slot>) = self.hosts.ready(reading).partition(|&s| self.is_cold(s));
+        let (cold, warm): (Vec<Slot>, Vec<Slot>) =
+            self.hosts.ready(reading).partition(|&s| self.is_cold(s));
         let open = warm.len() as f64 + cold.len() as f64 * share(usual).min(1.0);
         // Whoever asks has a task itself: that one tells nothing.
         let since = self.now - self.settings.fall_window;
-        let others = self.arrived.iter().rev().take_while(|&&at| at > since).skip(1).count();
+        let others = self
+            .arrived
+            .iter()
+            .rev()
+            .take_while(|&&at| at > since)
+            .skip(1)
+            .count();
         share(usual.max(others as f64 / open.max(1.0)))
     }
 
@@ -705,11 +829,15 @@
     /// is cold and no more arrives; who rounds up goes by the dispatchers' numbers, so that as many do as their
     /// fractions add up to.
     fn cold_room(&self, slot: Slot, share: f64) -> bool {
-        let host =
-            xxh3_64_with_seed(self.hosts.listed[slot].host.0.as_bytes(), self.hosts.started[slot].to_bits());
-        let turn =
-            host.wrapping_add(u64::from(self.settings.me.0).wrapping_mul(SPREAD)) as f64 / u64::MAX as f64;
-        let sent = self.hosts.sends[slot].iter().filter(|&&at| at > self.now - self.settings.fall_window);
+        let host = xxh3_64_with_seed(
+            self.hosts.listed[slot].host.0.as_bytes(),
+            self.hosts.started[slot].to_bits(),
+        );
+        let turn = host.wrapping_add(u64::from(self.settings.me.0).wrapping_mul(SPREAD)) as f64
+            / u64::MAX as f64;
+        let sent = self.hosts.sends[slot]
+            .iter()
+            .filter(|&&at| at > self.now - self.settings.fall_window);
         !self.is_cold(slot) || share > 0.0 && (sent.count() as f64) < (share + turn).floor()
     }
 
@@ -720,7 +848,9 @@
     /// Whether the writers can take what is being read and one more: a read state cannot wait for long.
     fn writers_have_room(&self) -> bool {
         let writers = self.hosts.ready(false);
-        let room: f64 = writers.map(|s| (self.hosts.limit[s] - self.hosts.streams[s]).max(0.0)).sum();
+        let room: f64 = writers
+            .map(|s| (self.hosts.limit[s] - self.hosts.streams[s]).max(0.0))
+            .sum();
         room >= self.queue.coming as f64 + 1.0
     }
 
@@ -728,12 +858,18 @@
     fn emit(&mut self, id: TaskId, task: &mut Task, actions: &mut Vec<Action>) {
         if task.want_cancel && self.settings.may_cancel {
             if let Some(out) = task.out.as_mut().filter(|o| !o.cancelled) {
-                actions.push(Action::Cancel { task: id, launch: out.launch });
+                actions.push(Action::Cancel {
+                    task: id,
+                    launch: out.launch,
+                });
                 out.cancelled = true;
             }
         }
         if let Some(out) = task.out.as_ref().filter(|_| task.want_confirm) {
-            actions.push(Action::Confirm { task: id, launch: out.launch });
+            actions.push(Action::Confirm {
+                task: id,
+                launch: out.launch,
+            });
         }
         if task.want_release_in_doubt {
             actions.push(Action::ReleaseInDoubt { task: id });
@@ -748,11 +884,31 @@
             Want::Launch(slot) => {
                 let reading = task.state.is_none();
                 let host = self.hosts.listed[slot].host.clone();
-                actions.push(Action::Launch { task: id, host, until: Some(task.ends) });
-                let tokens = if reading { self.hosts.unread(slot, &task.arrival) } else { 0.0 };
+                actions.push(Action::Launch {
+                    task: id,
+                    host,
+                    until: Some(task.ends),
+                });
+                let tokens = if reading {
+                    self.hosts.unread(slot, &task.arrival)
+                } else {
+                    0.0
+                };
                 let (launch, sent) = (LaunchNo(task.launches), self.now);
-                let delivery = if reading { Delivery::Confirmed } else { self.delivery_of(task) };
-                let out = Out { launch, slot, reading, tokens, sent, delivery, ..Out::default() };
+                let delivery = if reading {
+                    Delivery::Confirmed
+                } else {
+                    self.delivery_of(task)
+                };
+                let out = Out {
+                    launch,
+                    slot,
+                    reading,
+                    tokens,
+                    sent,
+                    delivery,
+                    ..Out::default()
+                };
                 self.hosts.tally(&out, 1.0);
                 let since = self.now - self.settings.fall_window;
                 self.hosts.sends[slot].retain(|&at| at > since);
@@ -763,8 +919,14 @@
                 task.launches += 1;
             }
             Want::Bounce => {
-                let wait = self.settings.clients_hear_retry.then_some(self.settings.release);
-                actions.push(Action::Bounce { task: id, retry_after: wait });
+                let wait = self
+                    .settings
+                    .clients_hear_retry
+                    .then_some(self.settings.release);
+                actions.push(Action::Bounce {
+                    task: id,
+                    retry_after: wait,
+                });
             }
             Want::WriteOff => actions.push(Action::WriteOff { task: id }),
         }
@@ -777,7 +939,10 @@
             return;
         }
         self.timers += 1;
-        actions.push(Action::Arm { delay: (wake - self.now).max(0.0), timer: TimerId(self.timers) });
+        actions.push(Action::Arm {
+            delay: (wake - self.now).max(0.0),
+            timer: TimerId(self.timers),
+        });
         self.armed = Some(wake);
     }
 }
@@ -836,7 +1001,9 @@
         }
         let waiting = task.out.as_ref().filter(|out| !out.streaming);
         let late_at = waiting.map(|out| out.sent + QUEUED * task.allowed);
-        let confirm_at = waiting.and_then(|out| out.delivery.next_at()).unwrap_or(f64::INFINITY);
+        let confirm_at = waiting
+            .and_then(|out| out.delivery.next_at())
+            .unwrap_or(f64::INFINITY);
         let due = match late_at {
             _ if task.over && confirm_at == f64::INFINITY => return,
             _ if task.over => confirm_at,
@@ -859,7 +1026,11 @@
         self.index.insert(entry.host.clone(), slot);
         self.listed.push(entry.clone());
         self.kind.push(kind.clone());
-        let start = if kind.role == Role::Reader { READS_START } else { STREAMS_START };
+        let start = if kind.role == Role::Reader {
+            READS_START
+        } else {
+            STREAMS_START
+        };
         self.limit.push((start / self.dispatchers).max(1.0));
         self.kept.push(VecDeque::new());
         self.sends.push(VecDeque::new());
@@ -867,12 +1038,26 @@
         self.silent.push(false);
         self.fulls.push(0);
         let counts = [&mut self.streams, &mut self.reading, &mut self.reads];
-        let reports = [&mut self.reported, &mut self.reported_tokens, &mut self.reported_load];
+        let reports = [
+            &mut self.reported,
+            &mut self.reported_tokens,
+            &mut self.reported_load,
+        ];
         for count in counts.into_iter().chain(reports) {
             count.push(0.0);
         }
-        let instants = [&mut self.started, &mut self.cut_at, &mut self.heard, &mut self.reported_at];
-        let others = [&mut self.full_until, &mut self.trial_at, &mut self.asked_at, &mut self.answered_at];
+        let instants = [
+            &mut self.started,
+            &mut self.cut_at,
+            &mut self.heard,
+            &mut self.reported_at,
+        ];
+        let others = [
+            &mut self.full_until,
+            &mut self.trial_at,
+            &mut self.asked_at,
+            &mut self.answered_at,
+        ];
         for instant in instants.into_iter().chain(others) {
             instant.push(f64::NEG_INFINITY);
         }
@@ -881,12 +1066,23 @@
 
     /// What a report says: the tokens that wait to be read, and the share of the host that is taken.
     fn note_load(&mut self, slot: Slot, load: &Load, now: Ms) {
-        let said = [load.in_flight, load.queue, load.slots_used, load.memory_held, load.waiting_kilotokens];
+        let said = [
+            load.in_flight,
+            load.queue,
+            load.slots_used,
+            load.memory_held,
+            load.waiting_kilotokens,
+        ];
         if said.iter().all(Option::is_none) {
             return;
         }
-        let queued = load.waiting_kilotokens.map_or(load.queue.unwrap_or(0.0) * self.typical, |k| k * 1000.0);
-        let taken = load.slots_used.unwrap_or(0.0).max(load.memory_held.unwrap_or(0.0));
+        let queued = load
+            .waiting_kilotokens
+            .map_or(load.queue.unwrap_or(0.0) * self.typical, |k| k * 1000.0);
+        let taken = load
+            .slots_used
+            .unwrap_or(0.0)
+            .max(load.memory_held.unwrap_or(0.0));
         self.reported[slot] = load.in_flight.unwrap_or(0.0);
         self.reported_tokens[slot] = queued;
         self.reported_load[slot] = taken + queued / self.kind[slot].memory_tokens.max(1.0);
@@ -908,7 +1104,9 @@
 
     /// The mean of a role's reports, that of one host left out.
     fn mean(&self, reading: bool, what: &[f64], but: Slot) -> f64 {
-        let known = self.ready(reading).filter(|&s| s != but && self.reported_at[s] > f64::NEG_INFINITY);
+        let known = self
+            .ready(reading)
+            .filter(|&s| s != but && self.reported_at[s] > f64::NEG_INFINITY);
         let (sum, n) = known.fold((0.0, 0.0), |(sum, n), s| (sum + what[s], n + 1.0));
         sum / f64::max(n, 1.0)
     }
@@ -918,7 +1116,9 @@
     }
 
     fn ready(&self, reading: bool) -> impl Iterator<Item = Slot> + '_ {
-        let ready = move |s: &Slot| self.serves(*s, reading) && self.listed[*s].condition == Condition::Ready;
+        let ready = move |s: &Slot| {
+            self.serves(*s, reading) && self.listed[*s].condition == Condition::Ready
+        };
         (0..self.listed.len()).filter(ready)
     }
 
@@ -948,8 +1148,16 @@
         let out = self.reads[slot] + self.streams[slot];
         let limit = &mut self.limit[slot];
         if !queued {
-            let grow = if self.kind[slot].role == Role::Reader { 1.0 } else { STREAMS_GROW };
-            *limit += if out + 2.0 >= *limit { grow / *limit } else { 0.0 };
+            let grow = if self.kind[slot].role == Role::Reader {
+                1.0
+            } else {
+                STREAMS_GROW
+            };
+            *limit += if out + 2.0 >= *limit {
+                grow / *limit
+            } else {
+                0.0
+            };
         } else if sent >= self.cut_at[slot] {
             *limit = (limit.min(out + 1.0) * LIMIT_CUT).max(1.0);
             self.cut_at[slot] = now;
@@ -959,7 +1167,11 @@
     /// Tokens of a prompt that a reader would have to read, by what we saw it read lately.
     fn unread(&self, slot: Slot, task: &Arrival) -> f64 {
         let mine = |b: &u64| *b == task.session.0 || task.shared.is_some_and(|t| *b == t.0);
-        let kept = self.kept[slot].iter().filter(|(b, _)| mine(b)).map(|(_, t)| *t).fold(0.0, f64::max);
+        let kept = self.kept[slot]
+            .iter()
+            .filter(|(b, _)| mine(b))
+            .map(|(_, t)| *t)
+            .fold(0.0, f64::max);
         (task.prompt_tokens - kept).max(0.0)
     }
 
@@ -967,7 +1179,10 @@
     fn note_kept(&mut self, slot: Slot, task: &Arrival) {
         let kept = &mut self.kept[slot];
         let shared = task.shared.map(|t| (t.0, task.shared_tokens));
-        for entry in shared.into_iter().chain([(task.session.0, task.prompt_tokens)]) {
+        for entry in shared
+            .into_iter()
+            .chain([(task.session.0, task.prompt_tokens)])
+        {
             kept.retain(|(b, _)| *b != entry.0);
             kept.push_back(entry);
         }
@@ -983,8 +1198,11 @@
     fn judge(&mut self, slot: Slot, success: bool) {
         self.fulls[slot] = if success { 0 } else { self.fulls[slot] };
         let outcomes = self.outcomes[slot] << 1 | u32::from(success);
-        self.outcomes[slot] =
-            if outcomes >> JUDGED > 1 { outcomes & ((1 << JUDGED) - 1) | 1 << JUDGED } else { outcomes };
+        self.outcomes[slot] = if outcomes >> JUDGED > 1 {
+            outcomes & ((1 << JUDGED) - 1) | 1 << JUDGED
+        } else {
+            outcomes
+        };
     }
 
     fn success(&self, slot: Slot) -> f64 {
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -64,7 +64,10 @@
             // Each is an answer of the engine's.
             Outcome::Fulfilled | Outcome::Failed | Outcome::Full | Outcome::ReadDone => true,
             Outcome::TimedOut | Outcome::Broken | Outcome::CalledOff => {
-                matches!(self.delivery, Delivery::Confirmed | Delivery::EngineRuns { .. })
+                matches!(
+                    self.delivery,
+                    Delivery::Confirmed | Delivery::EngineRuns { .. }
+                )
             }
         }
     }
@@ -84,14 +87,21 @@
         }
         let release = self.settings.release;
         let usual = self.now + ASK_AFTER * release;
-        let ask_at = usual.min(task.idle_since + (GIVE_UP_AT - SECOND_WAIT) * release).max(self.now);
-        let give_up_at = (task.idle_since + GIVE_UP_AT * release).max(ask_at + SECOND_WAIT * release);
+        let ask_at = usual
+            .min(task.idle_since + (GIVE_UP_AT - SECOND_WAIT) * release)
+            .max(self.now);
+        let give_up_at =
+            (task.idle_since + GIVE_UP_AT * release).max(ask_at + SECOND_WAIT * release);
         Delivery::Unconfirmed { ask_at, give_up_at }
     }
 
     pub(super) fn learn_delivery(&mut self, id: TaskId, launch: LaunchNo) {
-        let Some(task) = self.tasks.get_mut(&id) else { return };
-        let Some(out) = task.out.as_mut().filter(|out| out.launch == launch) else { return };
+        let Some(task) = self.tasks.get_mut(&id) else {
+            return;
+        };
+        let Some(out) = task.out.as_mut().filter(|out| out.launch == launch) else {
+            return;
+        };
         if matches!(out.delivery, Delivery::Unconfirmed { .. }) {
             let release_at = (task.idle_since + RELEASE_AT * self.settings.release).max(self.now);
             out.delivery = Delivery::EngineRuns { release_at };
@@ -105,7 +115,9 @@
         if let Delivery::EngineRuns { release_at } = out.delivery {
             return self.plan_unanswered(task, release_at);
         }
-        let Delivery::Unconfirmed { ask_at, give_up_at } = &mut out.delivery else { return };
+        let Delivery::Unconfirmed { ask_at, give_up_at } = &mut out.delivery else {
+            return;
+        };
         if self.now >= *give_up_at {
             return self.plan_undelivered(task);
         }
@@ -149,7 +161,9 @@
     }
 
     fn has_other_engine(&mut self, task: &mut Task, silent: Slot, sent: Ms) -> bool {
-        let Some(prefilled_at) = task.state else { return false };
+        let Some(prefilled_at) = task.state else {
+            return false;
+        };
         let in_time = !task.over
             && self.now - task.idle_since <= LAST_ATTEMPT_AT * self.settings.release
             && self.now < task.ends - RETRY_SHARE * self.settings.release;
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -41,7 +41,14 @@
     pub fn unhurried(connect: Ms) -> Self {
         let never = f64::INFINITY;
         let (again_first, again_most) = (AGAIN_FIRST, AGAIN_MOST);
-        FeedSettings { connect, first_quiet: never, quiet: never, again_first, again_most, resumes: false }
+        FeedSettings {
+            connect,
+            first_quiet: never,
+            quiet: never,
+            again_first,
+            again_most,
+            resumes: false,
+        }
     }
 
     /// How long after discovery can be reached (again) its list is asked for on a connection that is up, whatever
--- a/src/fleet/acts.rs
+++ b/src/fleet/acts.rs
@@ -59,11 +59,18 @@
 impl Receiver {
     /// `drift`: the part by which this clock and a sender's may run apart.
     pub fn new(run: Run, drift: f64) -> Self {
-        Receiver { run, last: BTreeMap::new(), drift }
+        Receiver {
+            run,
+            last: BTreeMap::new(),
+            drift,
+        }
     }
 
     pub fn ticket(&self, now: Ms) -> Ticket {
-        Ticket { run: self.run, at: now }
+        Ticket {
+            run: self.run,
+            at: now,
+        }
     }
 
     /// Whether an act is to be obeyed, now.
@@ -79,7 +86,8 @@
         match act.ticket.filter(|t| t.run == self.run && t.at <= now) {
             None if !forgot && !is(Plant::OldTermObeyed) => return Verdict::Unknown,
             Some(ticket)
-                if now >= ticket.at + act.good_for * (1.0 - self.drift) && !is(Plant::OldTermObeyed) =>
+                if now >= ticket.at + act.good_for * (1.0 - self.drift)
+                    && !is(Plant::OldTermObeyed) =>
             {
                 return Verdict::Late;
             }
--- a/src/fleet/agreed.rs
+++ b/src/fleet/agreed.rs
@@ -84,7 +84,11 @@
 
 impl Held {
     pub fn mark(&self) -> Mark {
-        Mark { term: self.term, renewed: self.renewed, stamp: self.stamp }
+        Mark {
+            term: self.term,
+            renewed: self.renewed,
+            stamp: self.stamp,
+        }
     }
 }
 
@@ -193,7 +197,12 @@
             new.voters.before = None;
         }
         match change {
-            Change::Take { duty, who, lease_ms, seen } => {
+            Change::Take {
+                duty,
+                who,
+                lease_ms,
+                seen,
+            } => {
                 let now = self.duties.get(duty).map(Held::mark).unwrap_or_default();
                 if now != *seen {
                     return Err(Refusal::Moved);
@@ -203,7 +212,14 @@
                 }
                 let term = Term(now.term.0 + u64::from(!is(Plant::TermKept) || now.term.0 == 0));
                 let holder = Some(who.clone());
-                let held = Held { term, holder, renewed: 0, lease_ms: *lease_ms, stamp, next: None };
+                let held = Held {
+                    term,
+                    holder,
+                    renewed: 0,
+                    lease_ms: *lease_ms,
+                    stamp,
+                    next: None,
+                };
                 new.duties.insert(duty.clone(), held);
             }
             Change::Renew { who, duties } => {
@@ -220,7 +236,12 @@
                     return Err(Refusal::Moved);
                 }
             }
-            Change::GiveUp { duty, term, who, next } => {
+            Change::GiveUp {
+                duty,
+                term,
+                who,
+                next,
+            } => {
                 let held = new.duties.get_mut(duty);
                 let theirs = |h: &&mut Held| h.term == *term && h.holder.as_ref() == Some(who);
                 let held = held.filter(theirs).ok_or(Refusal::Moved)?;
@@ -240,9 +261,15 @@
                     Some(_) => Ok(()),
                 })?;
             }
-            Change::Step { duty, term, who, step } => {
+            Change::Step {
+                duty,
+                term,
+                who,
+                step,
+            } => {
                 let held = self.duties.get(duty);
-                let theirs = held.is_some_and(|h| h.term == *term && h.holder.as_ref() == Some(who));
+                let theirs =
+                    held.is_some_and(|h| h.term == *term && h.holder.as_ref() == Some(who));
                 if !theirs {
                     return Err(Refusal::Moved);
                 }
--- a/src/fleet/bounds.rs
+++ b/src/fleet/bounds.rs
@@ -17,7 +17,11 @@
 
 impl fmt::Display for Of {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(if *self == Of::Hosts { "model hosts" } else { "dispatchers" })
+        to.write_str(if *self == Of::Hosts {
+            "model hosts"
+        } else {
+            "dispatchers"
+        })
     }
 }
 
@@ -30,7 +34,10 @@
 
 impl Most {
     /// As many as like.
-    pub const ALL: Most = Most { number: u32::MAX, per_mille: 1000 };
+    pub const ALL: Most = Most {
+        number: u32::MAX,
+        per_mille: 1000,
+    };
 
     pub fn of(self, size: u32) -> u32 {
         let part = u64::from(size) * u64::from(self.per_mille) / 1000;
@@ -61,7 +68,10 @@
     fn default() -> Self {
         Bounds {
             fleet: Most::ALL,
-            zone: Most { number: 1, per_mille: 1000 },
+            zone: Most {
+                number: 1,
+                per_mille: 1000,
+            },
             cell: Most::ALL,
             kind: Most::ALL,
             readers_zone: 0,
@@ -80,7 +90,12 @@
     /// # Errors
     /// The first such thing, in words.
     pub fn check(&self) -> Result<(), String> {
-        let each = [("fleet", self.fleet), ("zone", self.zone), ("cell", self.cell), ("kind", self.kind)];
+        let each = [
+            ("fleet", self.fleet),
+            ("zone", self.zone),
+            ("cell", self.cell),
+            ("kind", self.kind),
+        ];
         for (name, most) in each {
             if most.number == 0 || most.per_mille == 0 {
                 return Err(format!("'{name}' that lets at least one go"));
@@ -89,7 +104,10 @@
                 return Err(format!("'{name}' with a part of at most 1"));
             }
             if most.number != u32::MAX && most.number > self.fleet.number {
-                return Err(format!("'{name}' of at most the fleet's {}", self.fleet.number));
+                return Err(format!(
+                    "'{name}' of at most the fleet's {}",
+                    self.fleet.number
+                ));
             }
         }
         let cells = [
@@ -98,7 +116,9 @@
         ];
         for (name, cell, zone) in cells {
             if zone > 0 && cell > zone {
-                return Err(format!("ready {name} of a cell of at most those of its zone, {zone}"));
+                return Err(format!(
+                    "ready {name} of a cell of at most those of its zone, {zone}"
+                ));
             }
         }
         if !(1..=1000).contains(&self.used_per_mille) {
@@ -219,12 +239,24 @@
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Binds::Fleet(out, most) => write!(to, "{out} of the fleet are out and {most} may be"),
-            Binds::Zone(zone, out, most) => write!(to, "zone {zone}: {out} are out and {most} may be"),
-            Binds::Cell(cell, out, most) => write!(to, "cell {cell}: {out} are out and {most} may be"),
-            Binds::Kind(kind, out, most) => write!(to, "kind {kind}: {out} are out and {most} may be"),
-            Binds::Ready(what, place, least) => write!(to, "{place}: {least} ready {what} have to stay"),
+            Binds::Zone(zone, out, most) => {
+                write!(to, "zone {zone}: {out} are out and {most} may be")
+            }
+            Binds::Cell(cell, out, most) => {
+                write!(to, "cell {cell}: {out} are out and {most} may be")
+            }
+            Binds::Kind(kind, out, most) => {
+                write!(to, "kind {kind}: {out} are out and {most} may be")
+            }
+            Binds::Ready(what, place, least) => {
+                write!(to, "{place}: {least} ready {what} have to stay")
+            }
             Binds::Used(place, used) => {
-                write!(to, "{place}: those left would be used to 0.{:03}, or nobody knows", used.min(&999))
+                write!(
+                    to,
+                    "{place}: those left would be used to 0.{:03}, or nobody knows",
+                    used.min(&999)
+                )
             }
         }
     }
@@ -256,7 +288,10 @@
 
 fn roles(role: Option<Role>) -> impl Iterator<Item = Role2> {
     let [r, w] = [role.is_some_and(reads), role.is_some_and(writes)];
-    [(r, 0), (w, 1)].into_iter().filter(|(is, _)| *is).map(|(_, role)| role)
+    [(r, 0), (w, 1)]
+        .into_iter()
+        .filter(|(is, _)| *is)
+        .map(|(_, role)| role)
 }
 
 fn cell_of(unit: &Unit) -> String {
@@ -299,11 +334,16 @@
             if there == 0 {
                 continue;
             }
-            let fresh = unit.used.filter(|(_, age)| *age <= bounds.report_age_ms as f64);
+            let fresh = unit
+                .used
+                .filter(|(_, age)| *age <= bounds.report_age_ms as f64);
             // A report that is old or missing counts against going.
             let used = fresh.map_or(1.0, |(used, _)| used.clamp(0.0, 1.0));
             for role in roles(unit.role) {
-                *counts.ready.entry((false, role, unit.zone.clone())).or_default() += 1;
+                *counts
+                    .ready
+                    .entry((false, role, unit.zone.clone()))
+                    .or_default() += 1;
                 *counts.ready.entry((true, role, cell_of(unit))).or_default() += 1;
                 for place in [String::new(), unit.zone.clone()] {
                     let sum = counts.used.entry((role, place)).or_default();
@@ -353,11 +393,18 @@
         let cell_least = [bounds.readers_cell, bounds.writers_cell];
         for role in roles(unit.role) {
             let ready = |cell: bool, place: &str| {
-                self.ready.get(&(cell, role, place.to_owned())).copied().unwrap_or(0)
+                self.ready
+                    .get(&(cell, role, place.to_owned()))
+                    .copied()
+                    .unwrap_or(0)
             };
             let (at, name) = (usize::from(role), NAMES[usize::from(role)]);
             if ready(false, &unit.zone) <= zone_least[at] && zone_least[at] > 0 {
-                return Err(Binds::Ready(name, format!("zone {}", unit.zone), zone_least[at]));
+                return Err(Binds::Ready(
+                    name,
+                    format!("zone {}", unit.zone),
+                    zone_least[at],
+                ));
             }
             if ready(true, &cell) <= cell_least[at] && cell_least[at] > 0 {
                 return Err(Binds::Ready(name, format!("cell {cell}"), cell_least[at]));
@@ -366,16 +413,30 @@
                 continue;
             }
             for place in ["", &unit.zone] {
-                let sum = self.used.get(&(role, place.to_owned())).copied().unwrap_or_default();
+                let sum = self
+                    .used
+                    .get(&(role, place.to_owned()))
+                    .copied()
+                    .unwrap_or_default();
                 // The only one of its role in a zone leaves its work to other zones.
                 if sum.1 < 2 && !place.is_empty() {
                     continue;
                 }
-                let after = if sum.1 < 2 { f64::INFINITY } else { sum.0 / f64::from(sum.1 - 1) };
+                let after = if sum.1 < 2 {
+                    f64::INFINITY
+                } else {
+                    sum.0 / f64::from(sum.1 - 1)
+                };
                 if after * 1000.0 > f64::from(bounds.used_per_mille) {
-                    let place =
-                        if place.is_empty() { "the fleet".to_owned() } else { format!("zone {place}") };
-                    return Err(Binds::Used(format!("{place}, {name}"), (after * 1000.0).min(999.0) as u32));
+                    let place = if place.is_empty() {
+                        "the fleet".to_owned()
+                    } else {
+                        format!("zone {place}")
+                    };
+                    return Err(Binds::Used(
+                        format!("{place}, {name}"),
+                        (after * 1000.0).min(999.0) as u32,
+                    ));
                 }
             }
         }
@@ -384,8 +445,9 @@
 
     /// Whether more are out than may be, planned or not: where, how many, and how many may be.
     pub fn broken(&self, bounds: &Bounds) -> Option<Binds> {
-        let over =
-            |count: &Count, most: Most| (count.out() > most.of(count.size)).then(|| most.of(count.size));
+        let over = |count: &Count, most: Most| {
+            (count.out() > most.of(count.size)).then(|| most.of(count.size))
+        };
         if let Some(most) = over(&self.fleet, bounds.fleet) {
             return Some(Binds::Fleet(self.fleet.out(), most));
         }
@@ -409,9 +471,14 @@
     fn moves(&mut self, unit: &Unit, by: impl Fn(&mut u32)) {
         by(&mut self.fleet.there);
         let cell = cell_of(unit);
-        let each =
-            [self.zones.get_mut(&unit.zone), self.cells.get_mut(&cell), self.kinds.get_mut(&unit.kind)];
-        each.into_iter().flatten().for_each(|count| by(&mut count.there));
+        let each = [
+            self.zones.get_mut(&unit.zone),
+            self.cells.get_mut(&cell),
+            self.kinds.get_mut(&unit.kind),
+        ];
+        each.into_iter()
+            .flatten()
+            .for_each(|count| by(&mut count.there));
         for role in roles(unit.role) {
             for key in [(false, role, unit.zone.clone()), (true, role, cell.clone())] {
                 by(self.ready.entry(key).or_default());
@@ -427,37 +494,59 @@
         let seen = sizes_seen(units.iter());
         let lacks = |(zone, count): (&String, &Count)| {
             let there = seen.get(zone).copied().unwrap_or(0);
-            (there < count.size).then(|| format!("{} of zone {zone} are not there", count.size - there))
+            (there < count.size)
+                .then(|| format!("{} of zone {zone} are not there", count.size - there))
         };
         self.zones.iter().find_map(lacks)
     }
 
     /// How many are out and how many may be: of the fleet (no name), and each zone.
     pub fn room(&self, bounds: &Bounds) -> Vec<(String, u32, u32)> {
-        let fleet = (String::new(), self.fleet.out(), bounds.fleet.of(self.fleet.size));
-        let zone = |(zone, count): (&String, &Count)| (zone.clone(), count.out(), bounds.zone.of(count.size));
-        std::iter::once(fleet).chain(self.zones.iter().map(zone)).collect()
+        let fleet = (
+            String::new(),
+            self.fleet.out(),
+            bounds.fleet.of(self.fleet.size),
+        );
+        let zone = |(zone, count): (&String, &Count)| {
+            (zone.clone(), count.out(), bounds.zone.of(count.size))
+        };
+        std::iter::once(fleet)
+            .chain(self.zones.iter().map(zone))
+            .collect()
     }
 
     /// A place of which the bounds never let any go that is meant, whatever is in.
-    pub fn never(&self, units: &[Unit], bounds: &Bounds, meant: impl Fn(&Unit) -> bool) -> Option<String> {
+    pub fn never(
+        &self,
+        units: &[Unit],
+        bounds: &Bounds,
+        meant: impl Fn(&Unit) -> bool,
+    ) -> Option<String> {
         if bounds.fleet.of(self.fleet.size) == 0 {
-            return Some(format!("the bounds let none of a fleet of {} go", self.fleet.size));
+            return Some(format!(
+                "the bounds let none of a fleet of {} go",
+                self.fleet.size
+            ));
         }
         let zones: BTreeSet<&String> = units.iter().filter(|u| meant(u)).map(|u| &u.zone).collect();
         let none = |zone: &&String| {
             let size = self.zones.get(*zone).map_or(0, |count| count.size);
-            (bounds.zone.of(size) == 0).then(|| format!("the bounds let none of zone {zone}'s {size} go"))
+            (bounds.zone.of(size) == 0)
+                .then(|| format!("the bounds let none of zone {zone}'s {size} go"))
         };
         if let Some(why) = zones.iter().find_map(none) {
             return Some(why);
         }
         let places = |unit: &Unit| {
             let (zone, cell) = (unit.zone.clone(), cell_of(unit));
-            roles(unit.role).flat_map(move |role| [(false, role, zone.clone()), (true, role, cell.clone())])
+            roles(unit.role)
+                .flat_map(move |role| [(false, role, zone.clone()), (true, role, cell.clone())])
         };
         let mut all: BTreeMap<(bool, Role2, String), u32> = BTreeMap::new();
-        units.iter().flat_map(places).for_each(|place| *all.entry(place).or_default() += 1);
+        units
+            .iter()
+            .flat_map(places)
+            .for_each(|place| *all.entry(place).or_default() += 1);
         let asked: BTreeSet<_> = units.iter().filter(|u| meant(u)).flat_map(places).collect();
         all.retain(|place, _| asked.contains(place));
         let least = |cell: bool, role: Role2| match (cell, role) {
@@ -470,8 +559,9 @@
             let least = least(cell, role);
             let what = if cell { "cell" } else { "zone" };
             let name = NAMES[usize::from(role)];
-            (least > 0 && n <= least)
-                .then(|| format!("{what} {place} has {n} {name} in all, and {least} have to stay ready"))
+            (least > 0 && n <= least).then(|| {
+                format!("{what} {place} has {n} {name} in all, and {least} have to stay ready")
+            })
         })
     }
 }
