--- a/tests/voter.rs
+++ b/tests/voter.rs
@@ -6,7 +6,12 @@
 use cindercleat::fleet::{Address, Name, Run};
 
 fn settings() -> FleetSettings {
-    let voter = |n: usize| (Name::from(format!("d{n}").as_str()), Address::from(format!("at-{n}").as_str()));
+    let voter = |n: usize| {
+        (
+            Name::from(format!("d{n}").as_str()),
+            Address::from(format!("at-{n}").as_str()),
+        )
+    };
     FleetSettings {
         fleet: "fleet".to_owned(),
         me: voter(0).0,
@@ -16,7 +21,10 @@
         label: "v1".to_owned(),
         voters: (0..3).map(voter).collect(),
         may_vote: true,
-        lease: LeaseSettings { lease: 1000.0, drift: 0.01 },
+        lease: LeaseSettings {
+            lease: 1000.0,
+            drift: 0.01,
+        },
         answer_within: 100.0,
         beat: 200.0,
         prefers: None,
@@ -54,23 +62,60 @@
     };
     let out = handle(&mut member, 0.0, Input::Loaded(Ok(None)));
     let (number, kept) = saves(&out).pop().expect("a new voter's file is written");
-    handle(&mut member, 10.0, Input::Saved { number, lasts: true });
-    let ballot = Ballot { round: 1, by: Name::from("d1"), run: Run(7) };
-    let ask = Ask::Prepare { life: kept.life, ballot, heard: Default::default() };
+    handle(
+        &mut member,
+        10.0,
+        Input::Saved {
+            number,
+            lasts: true,
+        },
+    );
+    let ballot = Ballot {
+        round: 1,
+        by: Name::from("d1"),
+        run: Run(7),
+    };
+    let ask = Ask::Prepare {
+        life: kept.life,
+        ballot,
+        heard: Default::default(),
+    };
     let asks = |member: &mut Member, now: f64, call: u64| {
         let question = Question::Vote(ask.clone());
-        handle(member, now, Input::Asked { call: CallNo(call), question })
+        handle(
+            member,
+            now,
+            Input::Asked {
+                call: CallNo(call),
+                question,
+            },
+        )
     };
     let out = asks(&mut member, 20.0, 1);
     assert_eq!(answered(&out), [], "nothing is said before it lasts");
     let (number, _) = saves(&out).pop().expect("the promise is written");
     for call in [2, 3] {
         let out = asks(&mut member, 20.0 + call as f64, call);
-        assert_eq!((answered(&out), saves(&out).len()), (vec![], 0), "the write under way keeps it");
+        assert_eq!(
+            (answered(&out), saves(&out).len()),
+            (vec![], 0),
+            "the write under way keeps it"
+        );
     }
-    let out = handle(&mut member, 30.0, Input::Saved { number, lasts: true });
+    let out = handle(
+        &mut member,
+        30.0,
+        Input::Saved {
+            number,
+            lasts: true,
+        },
+    );
     assert_eq!(answered(&out), [CallNo(1), CallNo(2), CallNo(3)]);
     assert_eq!(saves(&out).len(), 0, "and no other follows");
     let out = asks(&mut member, 40.0, 4);
-    assert_eq!((answered(&out), saves(&out).len()), (vec![CallNo(4)], 0), "what lasts is said at once");
+    assert_eq!(
+        (answered(&out), saves(&out).len()),
+        (vec![CallNo(4)], 0),
+        "what lasts is said at once"
+    );
 }
