--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -61,7 +61,11 @@
 
 #[test]
 fn a_listed_test_is_left_out_by_its_whole_name_run_apart_and_printed() {
-    let ran = run("listed", Some("a::red | cargo test, seed 7 | a real fault | 32\n"), false);
+    let ran = run(
+        "listed",
+        Some("a::red | cargo test, seed 7 | a real fault | 32\n"),
+        false,
+    );
     assert!(ran.good, "{}", ran.said);
     assert!(
         ran.said
@@ -76,7 +80,12 @@
         .calls
         .contains(&"test --workspace --locked -- --exact a::red".to_owned()));
     assert!(
-        !run("listed-broken", Some("a::red | cargo test, seed 7 | a real fault | 32\n"), true).good,
+        !run(
+            "listed-broken",
+            Some("a::red | cargo test, seed 7 | a real fault | 32\n"),
+            true
+        )
+        .good,
         "the others still count"
     );
 }
