--- a/benches/step.rs
+++ b/benches/step.rs
@@ -1,5 +1,5 @@
-//! The price of one whole task (arrival, read, first token, end: four steps or more) as live streams grow.
-//! The fleet is the same in every row, so that only the live streams differ; `plain` plans every task at
+//! The price of one whole request (arrival, read, first token, end: four steps or more) as live streams grow.
+//! The fleet is the same in every row, so that only the live streams differ; `plain` plans every request at
 //! every step, as the module did before its turns were kept.
 
 use cindercleat::control::Control;
@@ -111,13 +111,13 @@
         self.actions.iter().find_map(host).expect("a launch")
     }
 
-    /// A task up to its first token.
-    fn begin(&mut self) -> (TaskId, HostId) {
-        let task = TaskId(self.next);
+    /// A request up to its first token.
+    fn begin(&mut self) -> (RequestId, HostId) {
+        let request = RequestId(self.next);
         self.next += 1;
         let session = SessionId(u64::from(self.next) * 0x9e37_79b9);
         let arrival = Arrival {
-            task,
+            request,
             session,
             patience_left: 8000.0,
             prompt_tokens: 900.0,
@@ -125,31 +125,31 @@
         };
         self.step(Event::Arrived(arrival));
         let host = self.launched();
-        self.step(ended(task, 0, host, Outcome::ReadDone));
+        self.step(ended(request, 0, host, Outcome::ReadDone));
         let host = self.launched();
         self.step(Event::FirstToken {
-            task,
+            request,
             launch: LaunchNo(1),
             host: host.clone(),
             latency: 1.0,
         });
-        (task, host)
+        (request, host)
     }
 
     fn whole(&mut self) {
-        let (task, host) = self.begin();
-        self.step(ended(task, 1, host, Outcome::Fulfilled));
+        let (request, host) = self.begin();
+        self.step(ended(request, 1, host, Outcome::Fulfilled));
     }
 }
 
-fn ended(task: TaskId, launch: u32, host: HostId, outcome: Outcome) -> Event {
+fn ended(request: RequestId, launch: u32, host: HostId, outcome: Outcome) -> Event {
     let (launch, last, load) = (
         LaunchNo(launch),
         outcome == Outcome::Fulfilled,
         Load::default(),
     );
     Event::Ended(Ended {
-        task,
+        request,
         launch,
         host,
         outcome,
--- a/crates/cindercleat-cli/src/day.rs
+++ b/crates/cindercleat-cli/src/day.rs
@@ -40,7 +40,8 @@
 
 #[derive(Debug, Serialize)]
 pub struct Row {
-    pub tasks: u64,
+    #[serde(rename = "tasks")]
+    pub requests: u64,
     pub tries: u64,
     pub fulfilled: u64,
     pub in_time: u64,
@@ -60,7 +61,7 @@
             [0.5, 0.99].map(|q| h.value_at_quantile(q) as f64 / 1000.0)
         };
         Row {
-            tasks: t.tasks,
+            requests: t.requests,
             tries: t.tries,
             fulfilled: t.fulfilled,
             in_time: t.in_time,
@@ -117,7 +118,7 @@
             out += &format!(
                 "{:<16}{:>7}{:>7}{:>10}{:>9}{:>9}{:>9}{:>6}{:>6}{:>7}  {:>10.1} / {:<10.1} {:>7.1} / {:.1}\n",
                 name,
-                r.tasks,
+                r.requests,
                 r.tries,
                 r.fulfilled,
                 r.in_time,
@@ -368,7 +369,7 @@
             .iter()
             .map(|(name, t)| (name.clone(), Row::new(t)))
             .collect(),
-        payoff_in_time: worth(|t| t.in_time) / worth(|t| t.tasks).max(1.0),
+        payoff_in_time: worth(|t| t.in_time) / worth(|t| t.requests).max(1.0),
         cpu_ms_a_try: cpu / tries.max(1) as f64,
         findings,
     };
--- a/crates/cindercleat-cli/src/main.rs
+++ b/crates/cindercleat-cli/src/main.rs
@@ -40,13 +40,13 @@
     Standin { script: PathBuf },
     /// Plays a day: fleet, dispatchers, clients, faults, audit.
     Day(DayArgs),
-    /// Starts a small fleet and a dispatcher and streams one task to the terminal.
+    /// Starts a small fleet and a dispatcher and streams one request to the terminal.
     Try {
-        /// Stays up after the task, for clients of your own.
+        /// Stays up after the request, for clients of your own.
         #[arg(long)]
         stay: bool,
     },
-    /// Sends tasks to a dispatcher: one prints its tokens, many a summary.
+    /// Sends requests to a dispatcher: one prints its tokens, many a summary.
     Send(send::SendArgs),
     /// Plays days drawn from seeds on a virtual clock, with every rule checked.
     Seeds(seeds::SeedsArgs),
--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -86,7 +86,7 @@
         discovery: conf.settings.discovery,
         drain_grace: conf.settings.drain_grace,
         host_idle: conf.link_idle,
-        most_held: conf.most_tasks,
+        most_held: conf.max_open_requests,
         longest_deadline: conf
             .settings
             .profiles
@@ -121,7 +121,7 @@
 fn program(name: String, seed: u64, conf: Conf, allowed: &Allowed) -> ProgramSettings {
     let never = f64::INFINITY;
     let limits = Limits {
-        most_tasks: allowed.most_tasks,
+        max_open_requests: allowed.max_open_requests,
         streams_per_link: 1,
         links_per_host: allowed.most_links,
         link_idle: allowed.link_idle,
--- a/crates/cindercleat-cli/src/price.rs
+++ b/crates/cindercleat-cli/src/price.rs
@@ -325,11 +325,11 @@
     }
 }
 
-/// Sends tasks by the rate, each on its own; waits until all are over.
+/// Sends requests by the rate, each on its own; waits until all are over.
 async fn arrivals<F: std::future::Future<Output = ()> + 'static>(
     clock: TokioClock,
     args: &PriceArgs,
-    task: impl Fn(u64) -> F,
+    request: impl Fn(u64) -> F,
 ) {
     let mut rng = WyRand::new_seed(1);
     let (begin, mut at, mut number) = (clock.now(), clock.now(), 0);
@@ -338,10 +338,10 @@
         at += exponential(&mut rng, 1000.0 / args.rate.max(0.1));
         clock.sleep_until(at).await;
         number += 1;
-        open.push(spawn_local(task(number)));
+        open.push(spawn_local(request(number)));
     }
-    for task in open {
-        let _ = task.await;
+    for request in open {
+        let _ = request.await;
     }
 }
 
@@ -383,7 +383,7 @@
     Ok(way.into_inner())
 }
 
-/// A task as a client would do it that knew the hosts: a read, then a write.
+/// A request as a client would do it that knew the hosts: a read, then a write.
 async fn one_straight(
     (reader, name, address): &(TcpPort, String, String),
     writer: &TcpPort,
@@ -392,7 +392,7 @@
 ) -> Option<()> {
     let state = Some(v1::StateId {
         run: 1,
-        task: number as u32,
+        request: number as u32,
         launch: 0,
     });
     let read = v1::Read {
@@ -485,14 +485,14 @@
     wait_for_list(&ports[0], clock).await;
     let before = dispatcher.memory();
     let (open, tokens) = (Rc::new(Cell::new(0_usize)), Rc::new(Cell::new(0_u64)));
-    let mut tasks = Vec::new();
+    let mut senders = Vec::new();
     for at in 0..streams {
         let (port, open, tokens) = (
             ports[at % ports.len()].clone(),
             open.clone(),
             tokens.clone(),
         );
-        tasks.push(spawn_local(async move {
+        senders.push(spawn_local(async move {
             let mut first = true;
             port.run(submit(1 + at as u64, LONG_TOKENS), None, |_| {
                 open.set(open.get() + usize::from(std::mem::take(&mut first)));
@@ -509,7 +509,7 @@
     let bytes = dispatcher.memory() - before;
     let rate = 1000.0 * (tokens.get() - told) as f64 / took;
     let busy = (dispatcher.cpu() - cpu) / took;
-    tasks.iter().for_each(tokio::task::JoinHandle::abort);
+    senders.iter().for_each(tokio::task::JoinHandle::abort);
     Ok((open.get(), bytes, rate, busy))
 }
 
--- a/crates/cindercleat-cli/src/script.rs
+++ b/crates/cindercleat-cli/src/script.rs
@@ -41,7 +41,7 @@
     let length = section.value::<Time>("length")?.0;
     let mut habits = habits(traffic, &service, length)?;
     for line in section.all("task") {
-        habits.tasks.push(planned(line, &habits)?);
+        habits.requests.push(planned(line, &habits)?);
     }
     let dispatchers = section.value("dispatchers")?;
     let faults = section
@@ -147,13 +147,13 @@
         connections: block.value_or("connections", 4)?,
         sessions: block.value_or("sessions", 400)?,
         tenants: service.tenants.clone(),
-        tasks: Vec::new(),
+        requests: Vec::new(),
     };
     block.nothing_else()?;
     Ok(habits)
 }
 
-/// 'task TIME PROFILE prompt N answer N [shared N text N] [patience TIME] [leaves TIME] [session N] [seed N]'.
+/// 'request TIME PROFILE prompt N answer N [shared N text N] [patience TIME] [leaves TIME] [session N] [seed N]'.
 fn planned(line: &Line, habits: &Habits) -> Result<Planned, Problem> {
     let profile: String = line.value(2)?;
     let traffic = habits.traffic.iter().find(|t| t.profile == profile);
@@ -254,7 +254,7 @@
     })
 }
 
-/// A day as a script that [`read`] takes: for days that were drawn, and so hold planned tasks only.
+/// A day as a script that [`read`] takes: for days that were drawn, and so hold planned requests only.
 pub fn write(day: &Day) -> String {
     let (policy, limits) = (&day.service.policy, &day.service.limits);
     let (seed, length) = (day.seed, day.habits.length);
@@ -357,7 +357,7 @@
         );
     }
     out += "end\n\n";
-    for t in &day.habits.tasks {
+    for t in &day.habits.requests {
         let leaves = t
             .leaves
             .map_or(String::new(), |ms| format!(" leaves {ms}ms"));
--- a/crates/cindercleat-cli/src/seeds.rs
+++ b/crates/cindercleat-cli/src/seeds.rs
@@ -225,7 +225,7 @@
         println!(
             "# cut down to {} faults and {} tasks by {} days\n{}",
             shrunk.day.faults.len(),
-            shrunk.day.habits.tasks.len(),
+            shrunk.day.habits.requests.len(),
             shrunk.played,
             script::write(&shrunk.day)
         );
--- a/crates/cindercleat-cli/src/send.rs
+++ b/crates/cindercleat-cli/src/send.rs
@@ -1,5 +1,5 @@
-//! `send`: a client on the command line. One task prints its tokens as they come; many are sent in an open loop
-//! (their arrivals never wait for answers), with times taken from each task's intended instant.
+//! `send`: a client on the command line. One request prints its tokens as they come; many are sent in an open loop
+//! (their arrivals never wait for answers), with times taken from each request's intended instant.
 
 use crate::serve::block_on;
 use cindercleat::interface::Ms;
@@ -46,7 +46,7 @@
     rate: Option<f64>,
 }
 
-/// What came of the tasks.
+/// What came of the requests.
 struct Tally {
     ends: BTreeMap<&'static str, u64>,
     /// Microseconds from the intended instant to the first token, and to the end of those fulfilled.
@@ -57,7 +57,7 @@
     reason: Option<String>,
 }
 
-/// A task's end as users call it, and what was said with it.
+/// A request's end as users call it, and what was said with it.
 type End = (&'static str, String);
 
 /// One connection, until it is over or goes away.
@@ -106,25 +106,25 @@
             next: Cell::new(1),
         };
         let client = Rc::new(client);
-        // Nobody there is no task's fault: it is said before the first.
+        // Nobody there is no request's fault: it is said before the first.
         client.line().await.map_err(io::Error::other)?;
         let begin = clock.now();
-        let mut tasks = Vec::new();
+        let mut senders = Vec::new();
         for n in 0..count {
             let at = begin + rate.map_or(0.0, |rate| 1000.0 * n as f64 / rate);
             clock.sleep_until(at).await;
             let (client, tally) = (client.clone(), tally.clone());
-            tasks.push(spawn_local(
-                async move { client.task(at, one, &tally).await },
+            senders.push(spawn_local(
+                async move { client.request(at, one, &tally).await },
             ));
         }
-        for task in tasks {
-            task.await.map_err(io::Error::other)?;
+        for sender in senders {
+            sender.await.map_err(io::Error::other)?;
         }
         let tally = tally.borrow();
         let seconds = (clock.now() - begin) / 1000.0;
         let text = tally.summary(count, seconds);
-        // The tokens of a single task are the output; what is said of it is not.
+        // The tokens of a single request are the output; what is said of it is not.
         if one {
             eprintln!("{text}");
         } else {
@@ -166,7 +166,7 @@
 }
 
 impl Client {
-    /// The connection for the next task.
+    /// The connection for the next request.
     async fn line(&self) -> Result<Rc<Line>, String> {
         let mut known = self.line.lock().await;
         if let Some(line) = known.as_ref().filter(|line| line.open.get()) {
@@ -217,7 +217,7 @@
         Ok(line)
     }
 
-    async fn task(&self, intended: Ms, print: bool, tally: &RefCell<Tally>) {
+    async fn request(&self, intended: Ms, print: bool, tally: &RefCell<Tally>) {
         let (end, reason) = self.run(intended, print, tally).await;
         if print {
             println!();
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -181,7 +181,7 @@
     };
     let greet_within = or("greet-within", 5_000.0)?;
     let own = Limits {
-        most_tasks: limits.value_or("most-tasks", 20_000)?,
+        max_open_requests: limits.value_or("most-tasks", 20_000)?,
         streams_per_link: limits.value_or("streams-per-link", 100)?,
         links_per_host: limits.value_or("links-per-host", 16)?,
         link_idle: or("link-idle", 15_000.0)?,
--- a/crates/cindercleat-cli/src/try_it.rs
+++ b/crates/cindercleat-cli/src/try_it.rs
@@ -17,10 +17,10 @@
     crate::script::read("base.conf", include_str!("base.conf")).map_err(io::Error::other)
 }
 
-/// Streams one task to the terminal as it is written; then stays up, if wanted.
+/// Streams one request to the terminal as it is written; then stays up, if wanted.
 ///
 /// # Errors
-/// Ports cannot be had, or the task came to nothing.
+/// Ports cannot be had, or the request came to nothing.
 pub fn try_it(stay: bool) -> io::Result<()> {
     let day = small()?;
     let keep = std::env::temp_dir().join(format!("cindercleat-try-{}", std::process::id()));
--- a/crates/cindercleat-cli/tests/program.rs
+++ b/crates/cindercleat-cli/tests/program.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_first_look_streams_a_task() {
+fn a_first_look_streams_a_request() {
     let (code, out, err) = run(&["try"]);
     assert_eq!(code, Some(0), "{out}{err}");
     assert!(
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -46,7 +46,7 @@
     /// Whether clients ask for the rest of a stream that ends before its end.
     pub clients_resume: bool,
     /// Tasks open at once.
-    pub most_tasks: Option<usize>,
+    pub max_open_requests: Option<usize>,
 }
 
 /// The shortest cold start that is told from none.
@@ -276,7 +276,7 @@
     };
     let link_idle = pairs.time_or("limits.connIdle", 0.0)?;
     let clients_resume = pairs.flag("familyInfo.resume")?;
-    let most_tasks = if pairs.0.contains_key("limits.mostHeld") {
+    let max_open_requests = if pairs.0.contains_key("limits.mostHeld") {
         Some(pairs.number("limits.mostHeld")?)
     } else {
         None
@@ -290,7 +290,7 @@
         kinds: texts("shapes"),
         link_idle: (link_idle > 0.0).then_some(link_idle),
         clients_resume,
-        most_tasks,
+        max_open_requests,
     })
 }
 
--- a/crates/dispatcher/src/ledger/clients.rs
+++ b/crates/dispatcher/src/ledger/clients.rs
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 struct Row {
     caller: Caller,
-    /// Where a connection carries one task at a time.
+    /// Where a connection carries one request at a time.
     single: Option<Single>,
     armed: Ms,
 }
--- a/crates/dispatcher/src/ledger/delivery.rs
+++ b/crates/dispatcher/src/ledger/delivery.rs
@@ -12,11 +12,11 @@
 
 impl Ledger {
     /// The decisions want to know whether an attempt has reached an engine that runs.
-    pub(super) fn confirm(&mut self, id: TaskId, no: LaunchNo, out: &mut Vec<Output>) {
-        let Some(task) = self.tasks.get_mut(&id) else {
+    pub(super) fn confirm(&mut self, id: RequestId, no: LaunchNo, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(launch) = task.out.as_mut().filter(|launch| launch.no == no) else {
+        let Some(launch) = request.out.as_mut().filter(|launch| launch.no == no) else {
             return;
         };
         // One whose connection is under way has not gone out: the connection has its own time limit.
@@ -33,30 +33,37 @@
 
     /// An engine has shown that it runs: what was sent to it before has arrived.
     pub(super) fn note_sign(&mut self, host: &HostId) {
-        let arrived = |id: &&TaskId| {
-            let launch = self.tasks.get(id).and_then(|task| task.out.as_ref());
+        let arrived = |id: &&RequestId| {
+            let launch = self
+                .requests
+                .get(id)
+                .and_then(|request| request.out.as_ref());
             launch.is_some_and(|launch| launch.host == *host && self.has_arrived(launch))
         };
-        let arrived: Vec<TaskId> = self.unconfirmed.iter().filter(arrived).copied().collect();
+        let arrived: Vec<RequestId> = self.unconfirmed.iter().filter(arrived).copied().collect();
         for id in arrived {
             self.delivered(id);
         }
     }
 
     /// Whether its engine has run since an attempt was sent.
-    pub(super) fn has_arrived(&self, launch: &tasks::Launch) -> bool {
+    pub(super) fn has_arrived(&self, launch: &requests::Launch) -> bool {
         launch
             .sent
             .is_some_and(|sent| self.links.has_run_since(&launch.host, sent))
     }
 
-    fn delivered(&mut self, task: TaskId) {
-        self.unconfirmed.remove(&task);
-        let Some(launch) = self.tasks.get(&task).and_then(|task| task.out.as_ref()) else {
+    fn delivered(&mut self, request: RequestId) {
+        self.unconfirmed.remove(&request);
+        let Some(launch) = self
+            .requests
+            .get(&request)
+            .and_then(|request| request.out.as_ref())
+        else {
             return;
         };
         self.events.push(Event::Delivered {
-            task,
+            request,
             launch: launch.no,
         });
     }
@@ -108,9 +115,9 @@
     }
 
     /// What is doubted of an attempt that is out, and how it stands, for the log.
-    pub(super) fn doubt(&self, id: TaskId) -> Option<(&'static str, String)> {
-        let task = self.tasks.get(&id)?;
-        let launch = task.out.as_ref().filter(|launch| !launch.first)?;
+    pub(super) fn doubt(&self, id: RequestId) -> Option<(&'static str, String)> {
+        let request = self.requests.get(&id)?;
+        let launch = request.out.as_ref().filter(|launch| !launch.first)?;
         let doubt = match self.has_arrived(launch) {
             true => "nothing has come on its attempt's connection",
             false => "its attempt has not arrived",
@@ -126,7 +133,7 @@
         let text = format!(
             "id={} launch={} host={} sent {}, on a connection made {} that carried {} calls; its host was last heard {}, \
              and answered a call that was sent {}",
-            task.origin(),
+            request.origin(),
             launch.no.0,
             launch.host.0,
             launch.sent.map_or("not yet".to_owned(), since),
--- a/crates/dispatcher/src/ledger/hosts.rs
+++ b/crates/dispatcher/src/ledger/hosts.rs
@@ -4,7 +4,7 @@
 use super::kv_states::{Held, ReleaseCall};
 use super::links::Use;
 use super::*;
-use crate::ledger::tasks::Launch;
+use crate::ledger::requests::Launch;
 use cindercleat::channels::{Do, Refusal, Why};
 
 /// The whole of the credit is given back in so many parts.
@@ -15,17 +15,17 @@
 impl Ledger {
     pub(super) fn launch(
         &mut self,
-        id: TaskId,
+        id: RequestId,
         host: HostId,
         until: Option<Ms>,
         out: &mut Vec<Output>,
     ) {
-        let Some(task) = self.tasks.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let no = LaunchNo(task.launches);
-        task.launches += 1;
-        let (holds_no_state, answered) = (self.kv_states.on_offer(id).is_none(), task.answered);
+        let no = LaunchNo(request.launches);
+        request.launches += 1;
+        let (holds_no_state, answered) = (self.kv_states.on_offer(id).is_none(), request.answered);
         let reads = self
             .fleet
             .hosts
@@ -38,16 +38,17 @@
                 .events
                 .push(never_sent(id, no, host, Outcome::Void, answered));
         }
-        let (Some(task), Some(row)) = (self.tasks.get_mut(&id), self.fleet.hosts.get(&host)) else {
+        let (Some(request), Some(row)) = (self.requests.get_mut(&id), self.fleet.hosts.get(&host))
+        else {
             return;
         };
         let address = row.line.address.clone();
-        let until = until.unwrap_or(task.ends).min(task.ends);
+        let until = until.unwrap_or(request.ends).min(request.ends);
         let state = state_of(self.settings.run, id, no);
         let window = self.settings.limits.window;
         let held = self.kv_states.on_offer(id).map(|state| &state.held);
         let body = body_of(
-            task,
+            request,
             held,
             reading.then_some(state),
             &self.fleet,
@@ -73,10 +74,10 @@
                 };
                 return self
                     .events
-                    .push(never_sent(id, no, host, outcome, task.answered));
+                    .push(never_sent(id, no, host, outcome, request.answered));
             }
         };
-        task.out = Some(Launch {
+        request.out = Some(Launch {
             no,
             host,
             link,
@@ -95,7 +96,7 @@
             last_gone: self.now,
         });
         if self.links.get(link).is_some_and(|link| link.up) {
-            task.note_sent(self.now);
+            request.note_sent(self.now);
         }
         if !reading {
             self.kv_states.offer(id, no);
@@ -106,11 +107,15 @@
 
     /// A launch that its connection did not carry, as it was over before anything was written, goes out on
     /// another one: the host has said nothing of it. Tells whether it could.
-    fn launch_again(&mut self, id: TaskId, out: &mut Vec<Output>) -> bool {
-        let Some(task) = self.tasks.get_mut(&id).filter(|task| !task.answered) else {
+    fn launch_again(&mut self, id: RequestId, out: &mut Vec<Output>) -> bool {
+        let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|request| !request.answered)
+        else {
             return false;
         };
-        let Some(launch) = task.out.as_ref().filter(|launch| !launch.first) else {
+        let Some(launch) = request.out.as_ref().filter(|launch| !launch.first) else {
             return false;
         };
         let Some(row) = self.fleet.hosts.get(&launch.host) else {
@@ -124,7 +129,7 @@
         let window = self.settings.limits.window;
         let held = self.kv_states.on_offer(id).map(|state| &state.held);
         let body = body_of(
-            task,
+            request,
             held,
             state,
             &self.fleet,
@@ -136,7 +141,7 @@
         let opened = self
             .links
             .open(&host, &address, purpose, self.now, &self.settings, to);
-        let (Ok((link, stream)), Some(launch)) = (opened, task.out.as_mut()) else {
+        let (Ok((link, stream)), Some(launch)) = (opened, request.out.as_mut()) else {
             return false;
         };
         (launch.link, launch.stream) = (link, stream);
@@ -151,8 +156,8 @@
 
     /// The wire's end of the launch that is out: what has not gone out is taken back, else the host is told.
     /// Tells whether it never went out.
-    pub(super) fn stop_launch(&mut self, id: TaskId, out: &mut Vec<Output>) -> bool {
-        let Some(launch) = self.tasks.get(&id).and_then(|t| t.out.as_ref()) else {
+    pub(super) fn stop_launch(&mut self, id: RequestId, out: &mut Vec<Output>) -> bool {
+        let Some(launch) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
             return true;
         };
         let (link, stream) = (launch.link, launch.stream);
@@ -175,15 +180,15 @@
         false
     }
 
-    /// The state that the prefill which is out for a task leaves, if one is out.
-    fn prefill_out(&self, id: TaskId) -> Option<Held> {
-        let task = self.tasks.get(&id)?;
-        let launch = task.out.as_ref().filter(|launch| launch.reading)?;
+    /// The state that the prefill which is out for a request leaves, if one is out.
+    fn prefill_out(&self, id: RequestId) -> Option<Held> {
+        let request = self.requests.get(&id)?;
+        let launch = request.out.as_ref().filter(|launch| launch.reading)?;
         let state = state_of(self.settings.run, id, launch.no);
         Some(Held {
             host: launch.host.clone(),
             id: state,
-            origin: task.origin(),
+            origin: request.origin(),
         })
     }
 
@@ -223,12 +228,12 @@
     }
 
     /// The ledger's end of the launch that is out; the decisions are told.
-    pub(super) fn end_launch(&mut self, id: TaskId, outcome: Outcome, detail: f64, load: Load) {
+    pub(super) fn end_launch(&mut self, id: RequestId, outcome: Outcome, detail: f64, load: Load) {
         self.note_run(id, outcome);
-        let Some(task) = self.tasks.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(launch) = task.out.take() else {
+        let Some(launch) = request.out.take() else {
             return;
         };
         self.unconfirmed.remove(&id);
@@ -237,16 +242,16 @@
             let held = Held {
                 host: launch.host.clone(),
                 id: state,
-                origin: task.origin(),
+                origin: request.origin(),
             };
             self.kv_states.hold(id, held, self.now);
         }
         let latency = self.now - launch.since;
-        let last = task.answered;
+        let last = request.answered;
         self.settle_state(id, &launch, outcome);
         let (launch, host) = (launch.no, launch.host);
         self.events.push(Event::Ended(Ended {
-            task: id,
+            request: id,
             launch,
             host,
             outcome,
@@ -262,13 +267,13 @@
     /// stream that had begun there is no other way on: what was sent cannot be taken back.
     fn finish_launch(
         &mut self,
-        id: TaskId,
+        id: RequestId,
         outcome: Outcome,
         reason: &str,
         load: Load,
         out: &mut Vec<Output>,
     ) {
-        let streams = self.tasks.get(&id).is_some_and(Task::streams);
+        let streams = self.requests.get(&id).is_some_and(Request::streams);
         match outcome {
             Outcome::Fulfilled => self.answer(id, v1::Answer::Fulfilled, 0.0, "", out),
             _ if streams => self.answer(id, v1::Answer::WrittenOff, 0.0, reason, out),
@@ -284,8 +289,8 @@
         self.end_launch(id, outcome, 0.0, load);
     }
 
-    pub(super) fn call_off(&mut self, id: TaskId, no: LaunchNo, out: &mut Vec<Output>) {
-        let launch = self.tasks.get(&id).and_then(|t| t.out.as_ref());
+    pub(super) fn call_off(&mut self, id: RequestId, no: LaunchNo, out: &mut Vec<Output>) {
+        let launch = self.requests.get(&id).and_then(|t| t.out.as_ref());
         if !launch.is_some_and(|l| l.no == no && !l.first) {
             return;
         }
@@ -309,8 +314,8 @@
         );
     }
 
-    pub(super) fn time_out(&mut self, id: TaskId, no: LaunchNo, out: &mut Vec<Output>) {
-        let launch = self.tasks.get(&id).and_then(|t| t.out.as_ref());
+    pub(super) fn time_out(&mut self, id: RequestId, no: LaunchNo, out: &mut Vec<Output>) {
+        let launch = self.requests.get(&id).and_then(|t| t.out.as_ref());
         if !launch.is_some_and(|l| l.no == no && !l.first) {
             return;
         }
@@ -327,8 +332,8 @@
         );
     }
 
-    pub(super) fn hold_ahead(&mut self, id: TaskId, host: &HostId, out: &mut Vec<Output>) {
-        let Some(launch) = self.tasks.get(&id).and_then(|t| t.out.as_ref()) else {
+    pub(super) fn hold_ahead(&mut self, id: RequestId, host: &HostId, out: &mut Vec<Output>) {
+        let Some(launch) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
             return;
         };
         let state = state_of(self.settings.run, id, launch.no);
@@ -353,8 +358,8 @@
     }
 
     /// Ends a stream in good order; its client comes back for the rest.
-    pub(super) fn move_away(&mut self, id: TaskId, out: &mut Vec<Output>) {
-        if self.tasks.get(&id).is_some_and(Task::streams) {
+    pub(super) fn move_away(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        if self.requests.get(&id).is_some_and(Request::streams) {
             self.stop_launch(id, out);
             self.answer(
                 id,
@@ -444,8 +449,8 @@
                 .links
                 .get(id)
                 .and_then(|l| l.streams.get(&stream).cloned());
-            if let Some(Use::Launch(task, _)) = &purpose {
-                self.tell_time_left(*task, &mut body);
+            if let Some(Use::Launch(request, _)) = &purpose {
+                self.tell_time_left(*request, &mut body);
             }
             let frame = frame(stream.0, body);
             match purpose {
@@ -455,13 +460,13 @@
                     }
                 }
                 // Nor does one whose client has gone meanwhile: nobody waits for it.
-                Some(Use::Launch(task, _)) if !ready || self.is_answered(task) => {
+                Some(Use::Launch(request, _)) if !ready || self.is_answered(request) => {
                     self.close_stream(id, stream);
-                    self.end_launch(task, Outcome::Void, 0.0, Load::default());
+                    self.end_launch(request, Outcome::Void, 0.0, Load::default());
                 }
-                Some(Use::Launch(task, _)) => {
-                    if let Some(task) = self.tasks.get_mut(&task) {
-                        task.note_sent(self.now);
+                Some(Use::Launch(request, _)) => {
+                    if let Some(request) = self.requests.get_mut(&request) {
+                        request.note_sent(self.now);
                     }
                     out.push(Output::ToHost { link: id, frame });
                 }
@@ -475,7 +480,7 @@
     fn release_goes_out(&mut self, id: LinkId, stream: StreamNo, call: &ReleaseCall) -> bool {
         let goes_out = self
             .kv_states
-            .to_release(call.task)
+            .to_release(call.request)
             .is_some_and(|state| !self.is_needed(state));
         if !goes_out {
             self.close_stream(id, stream);
@@ -493,8 +498,12 @@
     }
 
     /// A launch that has waited for its connection tells its host what is left now.
-    fn tell_time_left(&self, task: TaskId, body: &mut Body) {
-        let Some(launch) = self.tasks.get(&task).and_then(|task| task.out.as_ref()) else {
+    fn tell_time_left(&self, request: RequestId, body: &mut Body) {
+        let Some(launch) = self
+            .requests
+            .get(&request)
+            .and_then(|request| request.out.as_ref())
+        else {
             return;
         };
         let left = (launch.until - self.now).max(LEAST_WAIT);
@@ -505,8 +514,10 @@
         }
     }
 
-    fn is_answered(&self, task: TaskId) -> bool {
-        self.tasks.get(&task).is_some_and(|task| task.answered)
+    fn is_answered(&self, request: RequestId) -> bool {
+        self.requests
+            .get(&request)
+            .is_some_and(|request| request.answered)
     }
 
     fn close_stream(&mut self, id: LinkId, stream: StreamNo) -> Option<Use> {
@@ -583,9 +594,9 @@
         self.retry_releases(&link.host);
         for (_, purpose) in link.streams {
             match purpose {
-                Use::Launch(task, _) => {
+                Use::Launch(request, _) => {
                     self.finish_launch(
-                        task,
+                        request,
                         outcome,
                         "the writer's connection broke",
                         Load::default(),
@@ -630,20 +641,20 @@
         }
         let name = name_of(frame.body.as_ref());
         let good = match (purpose, frame.body) {
-            (Some(Use::Launch(task, _)), Some(Body::Tokens(tokens))) => {
-                self.take_tokens(task, tokens, out)
+            (Some(Use::Launch(request, _)), Some(Body::Tokens(tokens))) => {
+                self.take_tokens(request, tokens, out)
             }
-            (Some(Use::Launch(task, _)), Some(Body::Ended(ended))) => {
+            (Some(Use::Launch(request, _)), Some(Body::Ended(ended))) => {
                 self.close_stream(id, stream);
-                self.take_ended(task, &ended, out)
+                self.take_ended(request, &ended, out)
             }
             // The connection is over before or after the whole request was written: only the first proves
             // that nothing ran.
-            (Some(Use::Launch(task, _)), Some(Body::Goodbye(bye))) => {
+            (Some(Use::Launch(request, _)), Some(Body::Goodbye(bye))) => {
                 let reused = self.links.get(id).is_some_and(|link| link.carried() > 1);
                 self.close_stream(id, stream);
                 self.links.leaving(id, &mut self.timers);
-                let again = bye.never_ran && reused && self.launch_again(task, out);
+                let again = bye.never_ran && reused && self.launch_again(request, out);
                 if !again {
                     let outcome = if bye.never_ran {
                         Outcome::Unreachable
@@ -655,7 +666,13 @@
                         level: Level::Info,
                         text,
                     });
-                    self.finish_launch(task, outcome, "the connection broke", Load::default(), out);
+                    self.finish_launch(
+                        request,
+                        outcome,
+                        "the connection broke",
+                        Load::default(),
+                        out,
+                    );
                 }
                 true
             }
@@ -663,10 +680,10 @@
                 self.end_probe(id, stream, Outcome::Fulfilled, load_of(&load));
                 true
             }
-            (Some(Use::Hold(task, launch)), Some(Body::Place(place))) => {
+            (Some(Use::Hold(request, launch)), Some(Body::Place(place))) => {
                 self.close_stream(id, stream);
                 self.events.push(Event::Place {
-                    task,
+                    request,
                     launch,
                     host: host.clone(),
                     held: place.held,
@@ -710,10 +727,10 @@
                 self.end_probe(id, stream, Outcome::Failed, Load::default());
                 true
             }
-            (Some(Use::Hold(task, launch)), Some(Body::Goodbye(_))) => {
+            (Some(Use::Hold(request, launch)), Some(Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
                 self.events.push(Event::Place {
-                    task,
+                    request,
                     launch,
                     host: host.clone(),
                     held: false,
@@ -759,8 +776,8 @@
     }
 
     /// Tells whether the host may say so.
-    fn take_ended(&mut self, id: TaskId, ended: &v1::Ended, out: &mut Vec<Output>) -> bool {
-        let Some(launch) = self.tasks.get(&id).and_then(|t| t.out.as_ref()) else {
+    fn take_ended(&mut self, id: RequestId, ended: &v1::Ended, out: &mut Vec<Output>) -> bool {
+        let Some(launch) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
             return true;
         };
         let load = ended.load.as_ref().map(load_of).unwrap_or_default();
@@ -800,17 +817,17 @@
     }
 
     /// Tells whether the host may say so: a writer, the next tokens, within its credit.
-    fn take_tokens(&mut self, id: TaskId, tokens: v1::Tokens, out: &mut Vec<Output>) -> bool {
-        let Some(task) = self.tasks.get_mut(&id) else {
+    fn take_tokens(&mut self, id: RequestId, tokens: v1::Tokens, out: &mut Vec<Output>) -> bool {
+        let Some(request) = self.requests.get_mut(&id) else {
             return true;
         };
-        let Some(launch) = task.out.as_mut() else {
+        let Some(launch) = request.out.as_mut() else {
             return true;
         };
         if launch.reading || tokens.position != launch.position || launch.came >= launch.credited {
             return false;
         }
-        if task.answered {
+        if request.answered {
             // The answer is out, and the decisions may not call off: nothing more reaches the client.
             self.stop_launch(id, out);
             self.end_launch(id, Outcome::CalledOff, 0.0, Load::default());
@@ -822,23 +839,23 @@
         if !launch.first {
             launch.first = true;
             launch.last_gone = self.now;
-            task.late = self.now > task.quoted;
+            request.late = self.now > request.quoted;
             self.kv_states.taken(id, self.now);
             // No launch can need it any more.
-            task.submit.prompt = Default::default();
+            request.submit.prompt = Default::default();
             let (no, host, latency) = (launch.no, launch.host.clone(), self.now - launch.since);
             self.timers.set(
                 self.now + self.settings.limits.stall_limit,
                 Due::Stall(id, no),
             );
             self.events.push(Event::FirstToken {
-                task: id,
+                request: id,
                 launch: no,
                 host,
                 latency,
             });
         }
-        let (conn, stream) = task.ticket;
+        let (conn, stream) = request.ticket;
         if planted::is(Plant::TokensTwice) {
             out.push(Output::ToClient {
                 conn,
@@ -854,14 +871,14 @@
 
     /// The client has taken some of a stream: the writer may send as much more.
     pub(super) fn take_flushed(&mut self, ticket: Ticket, messages: u32, out: &mut Vec<Output>) {
-        let Some(task) = self
+        let Some(request) = self
             .tickets
             .get(&ticket)
-            .and_then(|id| self.tasks.get_mut(id))
+            .and_then(|id| self.requests.get_mut(id))
         else {
             return;
         };
-        let Some(launch) = task.out.as_mut() else {
+        let Some(launch) = request.out.as_mut() else {
             return;
         };
         launch.gone = (launch.gone + messages).min(launch.came);
@@ -877,11 +894,11 @@
 
     /// Guards against streams that neither go on nor end: a writer that stalls is given up as broken, and a
     /// client that takes nothing has left. A writer that waits for credit does not stall.
-    pub(super) fn look_at_stream(&mut self, id: TaskId, no: LaunchNo, out: &mut Vec<Output>) {
-        let Some(task) = self.tasks.get(&id) else {
+    pub(super) fn look_at_stream(&mut self, id: RequestId, no: LaunchNo, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let Some(launch) = task.out.as_ref().filter(|l| l.no == no) else {
+        let Some(launch) = request.out.as_ref().filter(|l| l.no == no) else {
             return;
         };
         let client_waits = launch.gone == launch.came;
@@ -909,7 +926,7 @@
                 out,
             );
         } else {
-            let (conn, _) = task.ticket;
+            let (conn, _) = request.ticket;
             self.leave(id, out);
             out.push(Output::CloseClient {
                 conn,
@@ -930,18 +947,24 @@
 }
 
 /// The name of the state that a launch makes or takes.
-fn state_of(run: u64, task: TaskId, launch: LaunchNo) -> v1::StateId {
+fn state_of(run: u64, request: RequestId, launch: LaunchNo) -> v1::StateId {
     v1::StateId {
         run,
-        task: task.0,
+        request: request.0,
         launch: launch.0,
     }
 }
 
-fn never_sent(task: TaskId, launch: LaunchNo, host: HostId, outcome: Outcome, last: bool) -> Event {
+fn never_sent(
+    request: RequestId,
+    launch: LaunchNo,
+    host: HostId,
+    outcome: Outcome,
+    last: bool,
+) -> Event {
     let load = Load::default();
     Event::Ended(Ended {
-        task,
+        request,
         launch,
         host,
         outcome,
@@ -954,7 +977,7 @@
 
 /// What a launch says to its host; `state`: what a read is to leave, none for a write.
 fn body_of(
-    task: &Task,
+    request: &Request,
     held: Option<&Held>,
     state: Option<v1::StateId>,
     fleet: &Fleet,
@@ -962,8 +985,8 @@
     wait_ms: Ms,
 ) -> Body {
     match state {
-        Some(state) => read(&task.submit, state, wait_ms),
-        None => write(task, held, fleet, window, wait_ms),
+        Some(state) => read(&request.submit, state, wait_ms),
+        None => write(request, held, fleet, window, wait_ms),
     }
 }
 
@@ -983,8 +1006,8 @@
     })
 }
 
-fn write(task: &Task, held: Option<&Held>, fleet: &Fleet, window: u32, wait_ms: Ms) -> Body {
-    let submit = &task.submit;
+fn write(request: &Request, held: Option<&Held>, fleet: &Fleet, window: u32, wait_ms: Ms) -> Body {
+    let submit = &request.submit;
     let reader = held.and_then(|held| fleet.hosts.get(&held.host));
     Body::Write(v1::Write {
         state: held.map(|held| held.id),
--- a/crates/dispatcher/src/ledger/invariants.rs
+++ b/crates/dispatcher/src/ledger/invariants.rs
@@ -63,20 +63,20 @@
     /// Tells whether an attempt of a request may go to a host now. `reading`: it prefills only, which has no effect.
     pub(super) fn guard_attempt(
         &mut self,
-        id: TaskId,
+        id: RequestId,
         host: &HostId,
         reading: bool,
         out: &mut Vec<Output>,
     ) -> bool {
-        let Some(task) = self.tasks.get(&id) else {
+        let Some(request) = self.requests.get(&id) else {
             return false;
         };
-        let starts = !task.answered
-            && task.out.is_none()
-            && task.launches <= self.settings.policy.max_launches
-            && self.now <= task.ends;
+        let starts = !request.answered
+            && request.out.is_none()
+            && request.launches <= self.settings.policy.max_launches
+            && self.now <= request.ends;
         let sends = self.fleet.condition(host) == Condition::Ready;
-        let repeats = reading || self.may_run_at(task, host);
+        let repeats = reading || self.may_run_at(request, host);
         let checks = [
             (Invariant::Start, starts),
             (Invariant::Send, sends),
@@ -88,13 +88,13 @@
     }
 
     /// Tells whether a request may be refused with the word that trying again is harmless.
-    pub(super) fn guard_refusal(&mut self, id: TaskId, out: &mut Vec<Output>) -> bool {
-        let Some(task) = self.tasks.get(&id) else {
+    pub(super) fn guard_refusal(&mut self, id: RequestId, out: &mut Vec<Output>) -> bool {
+        let Some(request) = self.requests.get(&id) else {
             return true;
         };
-        let decodes = task.out.as_ref().is_some_and(|launch| !launch.reading);
-        let may_have_run = decodes || task.first_run.is_some();
-        let harmless = match task.effect {
+        let decodes = request.out.as_ref().is_some_and(|launch| !launch.reading);
+        let may_have_run = decodes || request.first_run.is_some();
+        let harmless = match request.effect {
             Effect::Reissuable
             | Effect::Numbered {
                 group: Group::All, ..
@@ -105,7 +105,7 @@
     }
 
     /// Has the guard look at what is held for a request once it ought to be taken or released.
-    pub(super) fn arm_guard(&mut self, id: TaskId) {
+    pub(super) fn arm_guard(&mut self, id: RequestId) {
         if self.settings.limits.single.is_some() && self.kv_states.get(id).is_some() {
             self.timers
                 .set(self.now + self.held_at_most(), Due::Held(id));
@@ -117,11 +117,14 @@
     }
 
     /// Sees to it that a state is released which the decisions have left, or whose release was forgotten.
-    pub(super) fn guard_held(&mut self, id: TaskId, out: &mut Vec<Output>) {
+    pub(super) fn guard_held(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(state) = self.kv_states.get(id) else {
             return;
         };
-        let launch = self.tasks.get(&id).and_then(|task| task.out.as_ref());
+        let launch = self
+            .requests
+            .get(&id)
+            .and_then(|request| request.out.as_ref());
         if launch.is_some_and(|launch| state.is_to_release() || self.has_arrived(launch)) {
             return self.arm_guard(id);
         }
@@ -148,12 +151,12 @@
         }
     }
 
-    /// Notes that the attempt of a task that is out may have run, if its end leaves that open.
-    pub(super) fn note_run(&mut self, id: TaskId, outcome: Outcome) {
-        let Some(task) = self.tasks.get_mut(&id) else {
+    /// Notes that the attempt of a request that is out may have run, if its end leaves that open.
+    pub(super) fn note_run(&mut self, id: RequestId, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(launch) = task.out.as_ref().filter(|launch| !launch.reading) else {
+        let Some(launch) = request.out.as_ref().filter(|launch| !launch.reading) else {
             return;
         };
         let open = [
@@ -162,12 +165,12 @@
             Outcome::Broken,
             Outcome::CalledOff,
         ];
-        if task.first_run.is_none() && open.contains(&outcome) {
+        if request.first_run.is_none() && open.contains(&outcome) {
             let line = self.fleet.hosts.get(&launch.host).map(|row| &row.line);
             let (zone, cell) = line
                 .map(|line| (line.zone.clone(), line.cell.clone()))
                 .unwrap_or_default();
-            task.first_run = Some(FirstRun {
+            request.first_run = Some(FirstRun {
                 zone,
                 cell,
                 at: launch.since,
@@ -176,11 +179,11 @@
     }
 
     /// Whether a request's effect lets it run at a host, by what may have run before.
-    fn may_run_at(&self, task: &Task, host: &HostId) -> bool {
-        let (Some(first), Some(row)) = (&task.first_run, self.fleet.hosts.get(host)) else {
+    fn may_run_at(&self, request: &Request, host: &HostId) -> bool {
+        let (Some(first), Some(row)) = (&request.first_run, self.fleet.hosts.get(host)) else {
             return true;
         };
-        match task.effect {
+        match request.effect {
             Effect::Reissuable => true,
             Effect::AtMostOnce => false,
             Effect::Numbered { window, .. } if self.now >= first.at + window => false,
@@ -200,14 +203,18 @@
         &mut self,
         invariant: Invariant,
         holds: bool,
-        id: TaskId,
+        id: RequestId,
         what: &str,
         out: &mut Vec<Output>,
     ) -> bool {
         *self.guarded.checked.entry(invariant).or_insert(0) += 1;
         if !holds {
             *self.guarded.violated.entry(invariant).or_insert(0) += 1;
-            let origin = self.tasks.get(&id).map(Task::origin).unwrap_or_default();
+            let origin = self
+                .requests
+                .get(&id)
+                .map(Request::origin)
+                .unwrap_or_default();
             let text = format!(
                 "invariant violated: {invariant}; task={} id={origin} at {what}",
                 id.0
--- a/crates/dispatcher/src/ledger/kv_states.rs
+++ b/crates/dispatcher/src/ledger/kv_states.rs
@@ -54,7 +54,7 @@
 /// A call that asks an engine to release what is held for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReleaseCall {
-    pub task: TaskId,
+    pub request: RequestId,
     pub begun: Ms,
 }
 
@@ -167,22 +167,22 @@
 /// The KV states of all requests.
 #[derive(Debug, Default)]
 pub(super) struct KvStates {
-    states: BTreeMap<TaskId, KvState>,
+    states: BTreeMap<RequestId, KvState>,
     /// Requests with an unanswered end at an engine that has not shown since that it works.
-    awaited: BTreeMap<HostId, BTreeSet<TaskId>>,
+    awaited: BTreeMap<HostId, BTreeSet<RequestId>>,
     /// Requests of whose last calls to release a state none was confirmed.
-    pub stuck: BTreeSet<TaskId>,
+    pub stuck: BTreeSet<RequestId>,
     /// Releases to look at once the present input is dealt with.
-    pub due: BTreeSet<TaskId>,
+    pub due: BTreeSet<RequestId>,
 }
 
 impl KvStates {
-    pub fn get(&self, task: TaskId) -> Option<&KvState> {
-        self.states.get(&task)
+    pub fn get(&self, request: RequestId) -> Option<&KvState> {
+        self.states.get(&request)
     }
 
-    pub fn get_mut(&mut self, task: TaskId) -> Option<&mut KvState> {
-        self.states.get_mut(&task)
+    pub fn get_mut(&mut self, request: RequestId) -> Option<&mut KvState> {
+        self.states.get_mut(&request)
     }
 
     /// States that are to be released, of which no engine has confirmed it since their last attempt ended.
@@ -193,13 +193,13 @@
     }
 
     /// The state that an attempt of a request may take.
-    pub fn on_offer(&self, task: TaskId) -> Option<&KvState> {
-        self.get(task).filter(|state| state.is_on_offer())
+    pub fn on_offer(&self, request: RequestId) -> Option<&KvState> {
+        self.get(request).filter(|state| state.is_on_offer())
     }
 
     /// The state of a request that is to be released.
-    pub fn to_release(&self, task: TaskId) -> Option<&KvState> {
-        self.get(task).filter(|state| state.is_to_release())
+    pub fn to_release(&self, request: RequestId) -> Option<&KvState> {
+        self.get(request).filter(|state| state.is_to_release())
     }
 
     /// States that are to be released.
@@ -211,8 +211,8 @@
     }
 
     /// A prefill has ended: its engine holds the state.
-    pub fn hold(&mut self, task: TaskId, held: Held, now: Ms) {
-        match self.states.get_mut(&task) {
+    pub fn hold(&mut self, request: RequestId, held: Held, now: Ms) {
+        match self.states.get_mut(&request) {
             // What an earlier prefill may have left is released once this one is taken or released.
             Some(state) => {
                 (state.held, state.step, state.held_since) = (held, Step::Held, now);
@@ -220,16 +220,16 @@
             }
             None => {
                 self.states
-                    .insert(task, KvState::new(held, Step::Held, now));
+                    .insert(request, KvState::new(held, Step::Held, now));
             }
         }
     }
 
     /// A decode attempt goes out that may take it.
-    pub fn offer(&mut self, task: TaskId, attempt: LaunchNo) {
+    pub fn offer(&mut self, request: RequestId, attempt: LaunchNo) {
         if let Some(state) = self
             .states
-            .get_mut(&task)
+            .get_mut(&request)
             .filter(|state| state.is_on_offer())
         {
             state.step = Step::Offered(attempt);
@@ -237,11 +237,11 @@
     }
 
     /// The decode attempt is over and has not taken it.
-    pub fn take_back(&mut self, task: TaskId, attempt: LaunchNo) {
+    pub fn take_back(&mut self, request: RequestId, attempt: LaunchNo) {
         let steps = [Step::Offered(attempt), Step::OfferedInDoubt(attempt)];
         if let Some(state) = self
             .states
-            .get_mut(&task)
+            .get_mut(&request)
             .filter(|state| steps.contains(&state.step))
         {
             state.step = Step::Held;
@@ -249,62 +249,65 @@
     }
 
     /// A decode attempt has taken it.
-    pub fn taken(&mut self, task: TaskId, now: Ms) {
-        match self.states.get_mut(&task) {
+    pub fn taken(&mut self, request: RequestId, now: Ms) {
+        match self.states.get_mut(&request) {
             Some(state) if state.has_leftover => {
                 state.has_leftover = false;
                 (state.step, state.release) = (Step::ReleaseWanted, ReleaseProgress::new(now));
-                self.due.insert(task);
+                self.due.insert(request);
             }
             _ => {
-                self.forget(task);
+                self.forget(request);
             }
         }
     }
 
     /// It is to be released, unless the attempt that is out waits for it.
-    pub fn doubt(&mut self, task: TaskId, now: Ms) {
-        let Some(state) = self.states.get_mut(&task) else {
+    pub fn doubt(&mut self, request: RequestId, now: Ms) {
+        let Some(state) = self.states.get_mut(&request) else {
             return;
         };
         if let Step::Offered(attempt) = state.step {
             (state.step, state.release) =
                 (Step::OfferedInDoubt(attempt), ReleaseProgress::new(now));
-            self.due.insert(task);
+            self.due.insert(request);
         }
     }
 
     /// It is to be released.
-    pub fn want_release(&mut self, task: TaskId, now: Ms) {
+    pub fn want_release(&mut self, request: RequestId, now: Ms) {
         if let Some(state) = self
             .states
-            .get_mut(&task)
+            .get_mut(&request)
             .filter(|state| state.is_on_offer())
         {
             state.has_leftover = false;
             (state.step, state.release) = (Step::ReleaseWanted, ReleaseProgress::new(now));
-            self.due.insert(task);
+            self.due.insert(request);
         }
     }
 
     /// A prefill was cut off, which may have ended just then: what it may have left is to be released.
-    pub fn want_leftover_released(&mut self, task: TaskId, held: Held, now: Ms) {
+    pub fn want_leftover_released(&mut self, request: RequestId, held: Held, now: Ms) {
         let state = self
             .states
-            .entry(task)
+            .entry(request)
             .or_insert_with(|| KvState::new(held, Step::ReleaseWanted, now));
         state.has_leftover |= state.is_on_offer();
-        self.due.insert(task);
+        self.due.insert(request);
     }
 
     /// An attempt of a request is over: what is to be released of it can be now. `unanswered`: the attempt's engine, if that
     /// has not said a word of it.
-    pub fn attempt_over(&mut self, task: TaskId, unanswered: Option<HostId>, now: Ms) {
-        let Some(state) = self.states.get_mut(&task) else {
+    pub fn attempt_over(&mut self, request: RequestId, unanswered: Option<HostId>, now: Ms) {
+        let Some(state) = self.states.get_mut(&request) else {
             return;
         };
         if let Some(engine) = unanswered {
-            self.awaited.entry(engine.clone()).or_default().insert(task);
+            self.awaited
+                .entry(engine.clone())
+                .or_default()
+                .insert(request);
             state.unanswered.push(UnansweredEnd {
                 engine,
                 at: now,
@@ -314,18 +317,18 @@
         if !state.is_on_offer() {
             (state.release.since, state.release.confirmed) = (now, 0);
             state.release.unconfirmed.clear();
-            self.due.insert(task);
+            self.due.insert(request);
         }
     }
 
     /// An engine has shown that it worked at an instant; gives the requests for which that matters.
-    pub fn engine_worked(&mut self, engine: &HostId, worked: Ms, now: Ms) -> Vec<TaskId> {
+    pub fn engine_worked(&mut self, engine: &HostId, worked: Ms, now: Ms) -> Vec<RequestId> {
         let Some(waiting) = self.awaited.get_mut(engine) else {
             return Vec::new();
         };
         let mut known = Vec::new();
-        waiting.retain(|task| {
-            let Some(state) = self.states.get_mut(task) else {
+        waiting.retain(|request| {
+            let Some(state) = self.states.get_mut(request) else {
                 return false;
             };
             let ends = state
@@ -341,7 +344,7 @@
                 }
             }
             if some_known {
-                known.push(*task);
+                known.push(*request);
             }
             some_left
         });
@@ -352,11 +355,11 @@
     }
 
     /// Nothing is held for a request any more, or nothing more can be done about it.
-    pub fn forget(&mut self, task: TaskId) -> Option<KvState> {
-        let state = self.states.remove(&task)?;
+    pub fn forget(&mut self, request: RequestId) -> Option<KvState> {
+        let state = self.states.remove(&request)?;
         for engine in state.unknowing() {
             let waiting = self.awaited.get_mut(engine);
-            if waiting.is_some_and(|waiting| waiting.remove(&task) && waiting.is_empty()) {
+            if waiting.is_some_and(|waiting| waiting.remove(&request) && waiting.is_empty()) {
                 self.awaited.remove(engine);
             }
         }
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -1,10 +1,10 @@
-//! The dispatcher without its I/O: tasks, launches, read states, links and timers. Inputs go in by
+//! The dispatcher without its I/O: requests, launches, read states, links and timers. Inputs go in by
 //! [`Ledger::handle`] with their instant; what is to be done comes out. It tells when it wants to be called
 //! next ([`Ledger::wants_call_at`]). The same inputs give the same outputs.
 //!
-//! Every choice between hosts, every bounce and write-off of a task that was taken is
+//! Every choice between hosts, every bounce and write-off of a request that was taken is
 //! [`Control`](cindercleat::control::Control)'s. The ledger carries them out, tells it each outcome, and sees
-//! to what holds for any decision: one final answer a task, nothing to a host that left the list meanwhile,
+//! to what holds for any decision: one final answer a request, nothing to a host that left the list meanwhile,
 //! nothing held that the decisions do not know of, bounded buffers.
 
 mod clients;
@@ -17,8 +17,8 @@
 mod links;
 mod record;
 mod releases;
+mod requests;
 mod story;
-mod tasks;
 mod timers;
 
 use crate::planted::{self, Plant};
@@ -35,8 +35,8 @@
 pub use invariants::{Guarded, Invariant};
 use kv_states::KvStates;
 use links::Links;
+use requests::{Request, Ticket};
 use std::collections::{BTreeMap, BTreeSet};
-use tasks::{Task, Ticket};
 use timers::{Due, Timers};
 
 /// After streams were moved in a stop: how often those are that have begun since.
@@ -153,7 +153,7 @@
 /// How much a ledger holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Holding {
-    pub tasks: usize,
+    pub requests: usize,
     pub links: usize,
     pub timers: usize,
     /// Hosts of which anything is known.
@@ -166,12 +166,12 @@
     settings: ProgramSettings,
     control: Control,
     now: Ms,
-    tasks: BTreeMap<TaskId, Task>,
-    tickets: BTreeMap<Ticket, TaskId>,
-    /// Open tasks by the id that their clients gave them, where they did.
-    origins: BTreeMap<String, TaskId>,
+    requests: BTreeMap<RequestId, Request>,
+    tickets: BTreeMap<Ticket, RequestId>,
+    /// Open requests by the id that their clients gave them, where they did.
+    origins: BTreeMap<String, RequestId>,
     callers: Callers,
-    next_task: u32,
+    next_request_id: u32,
     fleet: Fleet,
     links: Links,
     timers: Timers,
@@ -179,13 +179,13 @@
     /// Releases to send where a state belongs to its host, by that host.
     unreleased: BTreeMap<HostId, Vec<HostRelease>>,
     /// Requests whose attempt the decisions doubt, and the id of the last request that was over.
-    unconfirmed: BTreeSet<TaskId>,
+    unconfirmed: BTreeSet<RequestId>,
     last_over: Option<String>,
     /// What the decisions have not been told yet.
     events: Vec<Event>,
     stopping: Option<Ms>,
     stopped: bool,
-    /// Whether what happens to tasks is told line by line.
+    /// Whether what happens to requests is told line by line.
     stories: bool,
     /// What those who watch a release want to know, if there are any.
     record: Option<record::Record>,
@@ -205,11 +205,11 @@
             control,
             settings,
             now: f64::NEG_INFINITY,
-            tasks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             tickets: BTreeMap::new(),
             origins: BTreeMap::new(),
             callers: Callers::default(),
-            next_task: 0,
+            next_request_id: 0,
             fleet: Fleet::default(),
             links: Links::new(seed),
             timers: Timers::default(),
@@ -268,7 +268,7 @@
         // says nothing holds it up for longer than a release may take.
         if let (Some(since), false) = (self.stopping, self.stopped) {
             let latest = since + self.settings.limits.stop_grace + self.settings.policy.release;
-            if self.tasks.is_empty()
+            if self.requests.is_empty()
                 && self.is_closed()
                 && (!self.releasing() || self.now >= latest)
             {
@@ -283,11 +283,11 @@
         self.timers.next_at()
     }
 
-    /// Whether a list is there and no stop has begun, and which part of the tasks that it may have open is.
+    /// Whether a list is there and no stop has begun, and which part of the requests that it may have open is.
     pub fn fares(&self) -> (bool, f64) {
         let ready = self.fleet.is_known() && self.stopping.is_none();
-        let most = self.settings.limits.most_tasks.max(1);
-        (ready, self.tasks.len() as f64 / most as f64)
+        let most = self.settings.limits.max_open_requests.max(1);
+        (ready, self.requests.len() as f64 / most as f64)
     }
 
     /// The version of the newest list.
@@ -305,12 +305,12 @@
         self.keeps_lists = false;
     }
 
-    /// Remembers from now on how its tasks end and what hosts say.
+    /// Remembers from now on how its requests end and what hosts say.
     pub fn keep_record(&mut self) {
         self.record = Some(record::Record::default());
     }
 
-    /// How its tasks ended, and reports on so many hosts that were heard of since.
+    /// How its requests ended, and reports on so many hosts that were heard of since.
     pub fn recorded(&mut self, now: Ms, most: usize) -> (Tally, Vec<HostReport>) {
         let Some(record) = &mut self.record else {
             return Default::default();
@@ -352,7 +352,7 @@
     /// How much is held, for logs and for tests of what must not grow.
     pub fn held(&self) -> Holding {
         Holding {
-            tasks: self.tasks.len(),
+            requests: self.requests.len(),
             links: self.links.len(),
             timers: self.timers.len(),
             hosts: self.fleet.hosts.len(),
@@ -374,7 +374,7 @@
     }
 
     /// Tells the decisions what happened and does what they decide, until nothing more follows. What is done
-    /// may be over at once (a launch that no link can take); each such round ends a launch, and a task has few.
+    /// may be over at once (a launch that no link can take); each such round ends a launch, and a request has few.
     fn settle(&mut self, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while !self.events.is_empty() {
@@ -399,32 +399,39 @@
 
     fn carry_out(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Launch { task, host, until } => self.launch(task, host, until, out),
-            Action::Cancel { task, launch } => self.call_off(task, launch, out),
-            Action::Bounce { task, retry_after } => {
+            Action::Launch {
+                request,
+                host,
+                until,
+            } => self.launch(request, host, until, out),
+            Action::Cancel { request, launch } => self.call_off(request, launch, out),
+            Action::Bounce {
+                request,
+                retry_after,
+            } => {
                 let retry_after_ms = retry_after
                     .unwrap_or(0.0)
                     .min(self.settings.policy.max_retry_after);
-                let (answer, reason) = match self.guard_refusal(task, out) {
+                let (answer, reason) = match self.guard_refusal(request, out) {
                     true => (v1::Answer::Bounced, "turned away"),
                     false => (v1::Answer::WrittenOff, "it may have run"),
                 };
-                self.answer(task, answer, retry_after_ms, reason, out);
+                self.answer(request, answer, retry_after_ms, reason, out);
             }
-            Action::WriteOff { task } => {
+            Action::WriteOff { request } => {
                 let bounce = planted::is(Plant::WriteOffAsBounce);
                 let answer = if bounce {
                     v1::Answer::Bounced
                 } else {
                     v1::Answer::WrittenOff
                 };
-                self.answer(task, answer, 0.0, "no answer in time", out)
+                self.answer(request, answer, 0.0, "no answer in time", out)
             }
-            Action::Release { task } => self.release(task, out),
-            Action::ReleaseInDoubt { task } => self.release_in_doubt(task, out),
-            Action::Confirm { task, launch } => self.confirm(task, launch, out),
-            Action::HoldAhead { task, host } => self.hold_ahead(task, &host, out),
-            Action::Move { task } => self.move_away(task, out),
+            Action::Release { request } => self.release(request, out),
+            Action::ReleaseInDoubt { request } => self.release_in_doubt(request, out),
+            Action::Confirm { request, launch } => self.confirm(request, launch, out),
+            Action::HoldAhead { request, host } => self.hold_ahead(request, &host, out),
+            Action::Move { request } => self.move_away(request, out),
             Action::Arm { delay, timer } if planted::is(Plant::TimersLate) => {
                 self.timers
                     .set(self.now + delay.max(0.0) + 300.0, Due::Module(timer));
@@ -447,23 +454,23 @@
     fn take_due(&mut self, due: Due, out: &mut Vec<Output>) {
         match due {
             Due::Module(timer) => self.events.push(Event::Timer { timer }),
-            Due::Launch(task, launch) => self.time_out(task, launch, out),
+            Due::Launch(request, launch) => self.time_out(request, launch, out),
             Due::Patience(id) => self.end_patience(id, out),
-            Due::Stall(task, launch) => self.look_at_stream(task, launch, out),
+            Due::Stall(request, launch) => self.look_at_stream(request, launch, out),
             Due::Client(conn) => self.look_at_client(conn, out),
             Due::Links(host) => self.look_at_links(&host, out),
             Due::Probe(link, stream) => {
                 self.end_probe(link, stream, Outcome::TimedOut, Load::default())
             }
             Due::Past(link, stream) => self.look_at_past(link, stream, out),
-            Due::Held(task) => self.guard_held(task, out),
+            Due::Held(request) => self.guard_held(request, out),
             Due::Release(host) => self.flush_releases(&host, out),
-            Due::KvState(task) => self.end_wait(task, out),
+            Due::KvState(request) => self.end_wait(request, out),
             Due::StopNotice => self.end_notice(out),
             Due::StopMoves => {
                 self.move_all(out);
                 // What begins from now on is moved soon as well.
-                if !self.tasks.is_empty() {
+                if !self.requests.is_empty() {
                     self.timers.set(self.now + STOP_MOVES_AGAIN, Due::StopMoves);
                 }
             }
@@ -484,7 +491,7 @@
                     self.count_cancel(conn, out);
                 }
             }
-            // Whether tasks can be routed: the list is there, and no stop has begun.
+            // Whether requests can be routed: the list is there, and no stop has begun.
             Some(Body::Ping(_)) if stream.0 > 0 => {
                 self.client_asks(conn);
                 let ready = self.fares().0;
@@ -537,11 +544,11 @@
                 return self.client_answered(conn);
             }
         };
-        let id = arrival.task;
-        self.next_task += 1;
+        let id = arrival.request;
+        self.next_request_id += 1;
         out.push(Output::ToClient {
             conn,
-            frame: frame(stream.0, Body::Accepted(v1::Accepted { task: id.0 })),
+            frame: frame(stream.0, Body::Accepted(v1::Accepted { request: id.0 })),
         });
         if self.stopping.is_some() {
             out.push(Output::LeaveClient { conn });
@@ -556,7 +563,7 @@
         if let Some(origin) = &submit.origin {
             self.origins.insert(origin.id.clone(), id);
         }
-        let task = Task {
+        let request = Request {
             ticket,
             submit,
             ends,
@@ -569,11 +576,11 @@
             effect: profile.effect,
             first_run: None,
         };
-        self.tasks.insert(id, task);
+        self.requests.insert(id, request);
         self.events.push(Event::Arrived(arrival));
     }
 
-    /// The task as the decisions take it, or what is said in place of taking it.
+    /// The request as the decisions take it, or what is said in place of taking it.
     fn admit(&self, submit: &v1::Submit) -> Result<Arrival, Box<Body>> {
         let rejected = |(field, reason): (&str, String)| {
             Box::new(Body::Rejected(v1::Rejected {
@@ -587,12 +594,12 @@
             .as_ref()
             .is_some_and(|origin| self.origins.contains_key(&origin.id))
         {
-            // Guards against a task that goes by another's id: what is held for that one would be mixed up.
+            // Guards against a request that goes by another's id: what is held for that one would be mixed up.
             return Err(rejected(("id", "a task of this id is open".to_owned())));
         }
-        // Guards against more open tasks than memory and patience bear; nothing has run, so a retry is harmless.
-        let full =
-            self.tasks.len() >= self.settings.limits.most_tasks || self.next_task == u32::MAX;
+        // Guards against more open requests than memory and patience bear; nothing has run, so a retry is harmless.
+        let full = self.requests.len() >= self.settings.limits.max_open_requests
+            || self.next_request_id == u32::MAX;
         if !full && !self.is_closed() {
             return Ok(arrival);
         }
@@ -624,7 +631,7 @@
             .is_some_and(|since| self.now >= since + self.settings.limits.stop_notice)
     }
 
-    /// The task as the decisions take it; or the field that cannot be right, and why.
+    /// The request as the decisions take it; or the field that cannot be right, and why.
     fn arrival(&self, submit: &v1::Submit) -> Result<Arrival, (&'static str, String)> {
         let place =
             |names: &[String], name: &str| names.iter().position(|n| n == name).map(|at| at as u32);
@@ -659,7 +666,7 @@
             return Err(("shared_tokens", "more than the prompt has".to_owned()));
         }
         Ok(Arrival {
-            task: TaskId(self.next_task),
+            request: RequestId(self.next_request_id),
             profile: ProfileId(profile),
             tenant: tenant.map(TenantId),
             session: SessionId(submit.session),
@@ -679,22 +686,22 @@
     fn take_client_closed(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         self.callers.remove(conn);
         let all = (conn, StreamNo(0))..=(conn, StreamNo(u64::MAX));
-        let ids: Vec<TaskId> = self.tickets.range(all).map(|(_, id)| *id).collect();
+        let ids: Vec<RequestId> = self.tickets.range(all).map(|(_, id)| *id).collect();
         for id in ids {
             self.leave(id, out);
         }
     }
 
-    /// The client wants no more of a task: nothing is owed, and what is out for it ends.
-    fn leave(&mut self, id: TaskId, out: &mut Vec<Output>) {
-        let Some(task) = self.tasks.get_mut(&id) else {
+    /// The client wants no more of a request: nothing is owed, and what is out for it ends.
+    fn leave(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        task.answered = true;
-        self.tickets.remove(&task.ticket);
-        self.events.push(Event::Left { task: id });
+        request.answered = true;
+        self.tickets.remove(&request.ticket);
+        self.events.push(Event::Left { request: id });
         // A stream that nobody reads ends; what has not begun the decisions call off themselves.
-        if task.streams() {
+        if request.streams() {
             self.stop_launch(id, out);
             self.end_launch(id, Outcome::CalledOff, 0.0, Load::default());
         }
@@ -704,24 +711,24 @@
     /// The one place that gives a final answer.
     fn answer(
         &mut self,
-        id: TaskId,
+        id: RequestId,
         answer: v1::Answer,
         retry_after_ms: f64,
         reason: &str,
         out: &mut Vec<Output>,
     ) {
-        let Some(task) = self.tasks.get_mut(&id).filter(|t| !t.answered) else {
+        let Some(request) = self.requests.get_mut(&id).filter(|t| !t.answered) else {
             return;
         };
-        task.answered = true;
+        request.answered = true;
         if let Some(record) = &mut self.record {
-            let late = task.late || !task.streams() && self.now > task.quoted;
+            let late = request.late || !request.streams() && self.now > request.quoted;
             record.answered(answer, late);
         }
         // No launch can need it any more.
-        task.submit.prompt = Default::default();
-        let (conn, stream) = task.ticket;
-        self.tickets.remove(&task.ticket);
+        request.submit.prompt = Default::default();
+        let (conn, stream) = request.ticket;
+        self.tickets.remove(&request.ticket);
         let (answer, reason) = (answer.into(), reason.to_owned());
         let body = v1::Final {
             answer,
@@ -740,23 +747,23 @@
         self.forget_past(id);
     }
 
-    fn forget_past(&mut self, id: TaskId) {
-        let is_past = self.tasks.get(&id).is_some_and(Task::is_past);
+    fn forget_past(&mut self, id: RequestId) {
+        let is_past = self.requests.get(&id).is_some_and(Request::is_past);
         if is_past && self.kv_states.on_offer(id).is_none() {
-            let past = self.tasks.remove(&id);
-            if let Some(origin) = past.and_then(|task| task.submit.origin) {
+            let past = self.requests.remove(&id);
+            if let Some(origin) = past.and_then(|request| request.submit.origin) {
                 self.origins.remove(&origin.id);
                 self.last_over = Some(origin.id);
             }
         }
     }
 
-    /// Guards against a task that the decisions left without an answer, whatever the reason: no task is lost.
-    fn end_patience(&mut self, id: TaskId, out: &mut Vec<Output>) {
-        let Some(task) = self.tasks.get(&id) else {
+    /// Guards against a request that the decisions left without an answer, whatever the reason: no request is lost.
+    fn end_patience(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if task.answered || task.streams() {
+        if request.answered || request.streams() {
             return;
         }
         let text = format!(
@@ -768,7 +775,7 @@
             text,
         });
         self.answer(id, v1::Answer::WrittenOff, 0.0, "time is up", out);
-        self.events.push(Event::Left { task: id });
+        self.events.push(Event::Left { request: id });
     }
 
     fn take_list(
@@ -822,14 +829,14 @@
             }
             let notice = self.settings.limits.stop_notice;
             if notice > 0.0 {
-                // Those with an open task are told with its answer, the others at the end of the notice.
+                // Those with an open request are told with its answer, the others at the end of the notice.
                 let open: BTreeSet<ConnId> = self.tickets.keys().map(|(conn, _)| *conn).collect();
                 out.extend(open.into_iter().map(|conn| Output::LeaveClient { conn }));
                 self.timers.set(self.now + notice, Due::StopNotice);
             } else {
                 self.end_notice(out);
             }
-            let text = format!("stopping with {} tasks open", self.tasks.len());
+            let text = format!("stopping with {} tasks open", self.requests.len());
             out.push(Output::Log {
                 level: Level::Info,
                 text,
@@ -845,7 +852,7 @@
     /// Guards against streams that outlast this process: cut off with it they would all look for another
     /// dispatcher at an instant that nobody chose, perhaps with none there.
     fn move_all(&mut self, out: &mut Vec<Output>) {
-        let ids: Vec<TaskId> = self.tasks.keys().copied().collect();
+        let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
             self.move_away(id, out);
         }
@@ -854,12 +861,12 @@
     /// What is still open at the end of the grace is answered: bounced if nothing of it ever went out, else
     /// written off, which promises nothing; its launches are called off and its states let go.
     fn end_grace(&mut self, out: &mut Vec<Output>) {
-        let ids: Vec<TaskId> = self.tasks.keys().copied().collect();
+        let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
-            let Some(task) = self.tasks.get(&id) else {
+            let Some(request) = self.requests.get(&id) else {
                 continue;
             };
-            let answer = if task.sent {
+            let answer = if request.sent {
                 v1::Answer::WrittenOff
             } else {
                 v1::Answer::Bounced
--- a/crates/dispatcher/src/ledger/record.rs
+++ b/crates/dispatcher/src/ledger/record.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher in a fleet remembers of its own service, for those who watch a release: how its tasks ended, and
+//! What a dispatcher in a fleet remembers of its own service, for those who watch a release: how its requests ended, and
 //! what model hosts said of their load. Kept only where it is asked for.
 
 use cindercleat::fleet::bounds::Tally;
@@ -27,7 +27,7 @@
 }
 
 impl Record {
-    /// A task got its final answer.
+    /// A request got its final answer.
     pub fn answered(&mut self, answer: v1::Answer, late: bool) {
         match answer {
             v1::Answer::Fulfilled => {
--- a/crates/dispatcher/src/ledger/releases.rs
+++ b/crates/dispatcher/src/ledger/releases.rs
@@ -33,7 +33,7 @@
 
 impl Ledger {
     /// The decisions let the state go that is held for a request.
-    pub(super) fn release(&mut self, id: TaskId, out: &mut Vec<Output>) {
+    pub(super) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
         if self.kv_states.on_offer(id).is_none() {
             return;
         }
@@ -50,7 +50,7 @@
 
     /// The decisions doubt that the attempt which is out has arrived, though its engine runs: what is held is let go, unless that
     /// attempt waits for it.
-    pub(super) fn release_in_doubt(&mut self, id: TaskId, out: &mut Vec<Output>) {
+    pub(super) fn release_in_doubt(&mut self, id: RequestId, out: &mut Vec<Output>) {
         if let Some((doubt, text)) = self.doubt(id) {
             let text = format!("release sent, {doubt}: {text}");
             out.push(Output::Log {
@@ -61,7 +61,7 @@
         self.kv_states.doubt(id, self.now);
     }
 
-    pub(super) fn want_release(&mut self, id: TaskId, out: &mut Vec<Output>) {
+    pub(super) fn want_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
         if self.settings.limits.single.is_some() {
             self.kv_states.want_release(id, self.now);
             self.arm_guard(id);
@@ -71,7 +71,7 @@
     }
 
     /// A prefill was cut off: it may have ended at its engine, with nobody left to hear of it.
-    pub(super) fn release_leftover(&mut self, id: TaskId, held: Held, out: &mut Vec<Output>) {
+    pub(super) fn release_leftover(&mut self, id: RequestId, held: Held, out: &mut Vec<Output>) {
         if self.settings.limits.single.is_some() {
             self.kv_states.want_leftover_released(id, held, self.now);
         } else {
@@ -94,7 +94,7 @@
     }
 
     /// Begins the next round of calls to release a state, if it is time.
-    pub(super) fn look_at_release(&mut self, id: TaskId, out: &mut Vec<Output>) {
+    pub(super) fn look_at_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
         if planted::is(Plant::ReleaseForgotten) {
             self.kv_states.forget(id);
         }
@@ -127,7 +127,7 @@
         self.plan_next_round(id);
     }
 
-    fn give_up_release(&mut self, id: TaskId, out: &mut Vec<Output>) {
+    fn give_up_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(state) = self.kv_states.forget(id) else {
             return;
         };
@@ -144,7 +144,7 @@
         out.push(Output::Log { level, text });
     }
 
-    fn begin_release(&mut self, id: TaskId, engine: HostId, out: &mut Vec<Output>) {
+    fn begin_release(&mut self, id: RequestId, engine: HostId, out: &mut Vec<Output>) {
         let Some(row) = self.fleet.hosts.get(&engine) else {
             return;
         };
@@ -158,7 +158,7 @@
             origin: state.held.origin.clone(),
         });
         let purpose = Use::Release(ReleaseCall {
-            task: id,
+            request: id,
             begun: now,
         });
         let to = (&mut self.timers, &mut *out);
@@ -178,20 +178,20 @@
 
     /// A call to release a state has not gone out.
     pub(super) fn release_unsent(&mut self, call: &ReleaseCall) {
-        if let Some(state) = self.kv_states.get_mut(call.task) {
+        if let Some(state) = self.kv_states.get_mut(call.request) {
             state.release.open_calls = state.release.open_calls.saturating_sub(1);
-            self.kv_states.due.insert(call.task);
+            self.kv_states.due.insert(call.request);
         }
     }
 
     /// A call to release a state was not confirmed by the engine that was asked.
     pub(super) fn release_lost(&mut self, asked: HostId, call: &ReleaseCall) {
-        let Some(state) = self.kv_states.get_mut(call.task) else {
+        let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
         };
         state.release.open_calls = state.release.open_calls.saturating_sub(1);
         state.release.unconfirmed.push(asked);
-        self.plan_next_round(call.task);
+        self.plan_next_round(call.request);
     }
 
     /// An engine has confirmed a release: the state's record is over, if that counts.
@@ -202,7 +202,7 @@
         out: &mut Vec<Output>,
     ) {
         let release_time = self.settings.policy.release;
-        let Some(state) = self.kv_states.get_mut(call.task) else {
+        let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
         };
         state.release.open_calls = state.release.open_calls.saturating_sub(1);
@@ -213,10 +213,10 @@
         }
         state.release.confirmed += 1;
         let counts = state.is_released_by(call, release_time);
-        if !counts || self.is_attempted(call.task) {
-            return self.plan_next_round(call.task);
+        if !counts || self.is_attempted(call.request) {
+            return self.plan_next_round(call.request);
         }
-        let Some(state) = self.kv_states.forget(call.task) else {
+        let Some(state) = self.kv_states.forget(call.request) else {
             return;
         };
         let level = if state.was_in_doubt() {
@@ -235,7 +235,7 @@
     }
 
     /// Sets the time of the next round, once no call of this one is under way.
-    fn plan_next_round(&mut self, id: TaskId) {
+    fn plan_next_round(&mut self, id: RequestId) {
         let release_time = self.settings.policy.release;
         let Some(state) = self
             .kv_states
@@ -272,7 +272,7 @@
     }
 
     /// Has a release looked at at an instant, and not before.
-    fn look_again(&mut self, id: TaskId, at: Ms) {
+    fn look_again(&mut self, id: RequestId, at: Ms) {
         let Some(state) = self.kv_states.get_mut(id) else {
             return;
         };
@@ -281,7 +281,7 @@
     }
 
     /// The time has come at which a release was to be looked at, unless it was put off meanwhile.
-    pub(super) fn end_wait(&mut self, id: TaskId, out: &mut Vec<Output>) {
+    pub(super) fn end_wait(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let is_due = self
             .kv_states
             .to_release(id)
@@ -309,13 +309,18 @@
     }
 
     /// The open request that goes by the id for which a state is held, and its attempt that is out.
-    fn open_request(&self, state: &KvState) -> Option<(TaskId, Option<&tasks::Launch>)> {
+    fn open_request(&self, state: &KvState) -> Option<(RequestId, Option<&requests::Launch>)> {
         let id = *self.origins.get(&state.held.origin)?;
-        Some((id, self.tasks.get(&id).and_then(|task| task.out.as_ref())))
+        Some((
+            id,
+            self.requests
+                .get(&id)
+                .and_then(|request| request.out.as_ref()),
+        ))
     }
 
     /// Whether an attempt of a request is out.
-    fn is_attempted(&self, id: TaskId) -> bool {
+    fn is_attempted(&self, id: RequestId) -> bool {
         let request = self
             .kv_states
             .get(id)
@@ -330,7 +335,7 @@
         let Some((id, launch)) = self.open_request(state) else {
             return false;
         };
-        let needs = |launch: &tasks::Launch| {
+        let needs = |launch: &requests::Launch| {
             let may_arrive = self.now < self.doubted_from(state, launch) + self.doubt_lasts();
             launch.first || launch.reading && (may_arrive || self.has_arrived(launch))
         };
@@ -347,7 +352,7 @@
     }
 
     /// Since when. A release that has gone out before waits for each prefill anew.
-    fn doubted_from(&self, state: &KvState, launch: &tasks::Launch) -> Ms {
+    fn doubted_from(&self, state: &KvState, launch: &requests::Launch) -> Ms {
         let wanted = state.release.wanted;
         if state.release.calls > 0 {
             wanted.max(launch.since)
@@ -358,7 +363,7 @@
 
     /// A release waits for an attempt of its request. One that may not have arrived: its engine is asked for a sign, and
     /// without one the release goes out in time.
-    fn wait_for_attempt(&mut self, id: TaskId, out: &mut Vec<Output>) {
+    fn wait_for_attempt(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(state) = self.kv_states.get_mut(id) else {
             return;
         };
@@ -461,7 +466,12 @@
     }
 
     /// An attempt of a request is over: what is held for it may be taken back, and what is to be released can be.
-    pub(super) fn settle_state(&mut self, id: TaskId, ended: &tasks::Launch, outcome: Outcome) {
+    pub(super) fn settle_state(
+        &mut self,
+        id: RequestId,
+        ended: &requests::Launch,
+        outcome: Outcome,
+    ) {
         let is_unanswered = matches!(
             outcome,
             Outcome::CalledOff | Outcome::TimedOut | Outcome::Broken
--- a/crates/dispatcher/src/ledger/tasks.rs
+++ b/crates/dispatcher/src/ledger/requests.rs
@@ -1,15 +1,15 @@
-//! A task as the dispatcher's ledger knows it.
+//! A request as the dispatcher's ledger knows it.
 
 use super::invariants::FirstRun;
 use super::{ConnId, LinkId, StreamNo};
 use cindercleat::interface::{Effect, HostId, LaunchNo, Ms};
 use cindercleat_protocol::v1;
 
-/// A client's stream: its connection and its own number for the task.
+/// A client's stream: its connection and its own number for the request.
 pub(super) type Ticket = (ConnId, StreamNo);
 
 #[derive(Debug)]
-pub(super) struct Task {
+pub(super) struct Request {
     pub ticket: Ticket,
     pub submit: v1::Submit,
     /// When the client gives up, unless a stream has begun.
@@ -29,7 +29,7 @@
     pub first_run: Option<FirstRun>,
 }
 
-/// The launch of a task that is out.
+/// The launch of a request that is out.
 #[derive(Debug)]
 pub(super) struct Launch {
     pub no: LaunchNo,
@@ -56,7 +56,7 @@
     pub last_gone: Ms,
 }
 
-impl Task {
+impl Request {
     /// Its attempt has gone out on a connection that is up.
     pub fn note_sent(&mut self, now: Ms) {
         self.sent = true;
--- a/crates/dispatcher/src/ledger/story.rs
+++ b/crates/dispatcher/src/ledger/story.rs
@@ -1,11 +1,11 @@
-//! The story of each task in lines for the log, so that one task can be followed by the id that its client gave
+//! The story of each request in lines for the log, so that one request can be followed by the id that its client gave
 //! it through every dispatcher that had it. Made only where somebody reads it (`Ledger::tell_stories`).
 
 use super::*;
 use std::fmt::Write;
 
 impl Ledger {
-    /// What happens to tasks is told line by line from now on.
+    /// What happens to requests is told line by line from now on.
     pub fn tell_stories(&mut self) {
         self.stories = true;
     }
@@ -16,30 +16,30 @@
                 let (shared, session) = (a.shared.map_or(0, |s| s.0), a.session.0);
                 let (prompt, beginning) = (a.prompt_tokens, a.shared_tokens);
                 let (profile, waits) = (a.profile.0, a.patience_left);
-                let task = self.called(a.task);
+                let request = self.called(a.request);
                 format!(
-                    "{task} arrived profile={profile} prompt={prompt} shared={beginning} beginning={shared:x} \
+                    "{request} arrived profile={profile} prompt={prompt} shared={beginning} beginning={shared:x} \
                      session={session:x} waits={waits:.0} retried={}",
                     a.retried
                 )
             }
-            Event::Left { task } => format!("{} left", self.called(*task)),
+            Event::Left { request } => format!("{} left", self.called(*request)),
             Event::FirstToken {
-                task,
+                request,
                 launch,
                 host,
                 latency,
             } => {
                 format!(
                     "{} launch={} host={} began after={latency:.1}",
-                    self.called(*task),
+                    self.called(*request),
                     launch.0,
                     host.0
                 )
             }
             Event::Ended(e) => format!(
                 "{} launch={} host={} ended outcome={:?} after={:.1} detail={}",
-                self.called(e.task),
+                self.called(e.request),
                 e.launch.0,
                 e.host.0,
                 e.outcome,
@@ -81,8 +81,8 @@
                 }
                 text
             }
-            Event::Delivered { task, launch } => {
-                format!("{} launch={} delivered", self.called(*task), launch.0)
+            Event::Delivered { request, launch } => {
+                format!("{} launch={} delivered", self.called(*request), launch.0)
             }
             Event::Place { .. } | Event::Timer { .. } | Event::Heard { .. } => return,
         };
@@ -94,23 +94,25 @@
 
     pub(super) fn tell_action(&self, action: &Action, out: &mut Vec<Output>) {
         let text = match action {
-            Action::Launch { task, host, .. } => {
-                let no = self.tasks.get(task).map_or(0, |t| t.launches);
+            Action::Launch { request, host, .. } => {
+                let no = self.requests.get(request).map_or(0, |t| t.launches);
                 format!(
                     "{} launch={no} host={} goes out",
-                    self.called(*task),
+                    self.called(*request),
                     host.0
                 )
             }
-            Action::Cancel { task, launch } => {
-                format!("{} launch={} called off", self.called(*task), launch.0)
+            Action::Cancel { request, launch } => {
+                format!("{} launch={} called off", self.called(*request), launch.0)
             }
-            Action::Bounce { task, .. } => format!("{} bounced", self.called(*task)),
-            Action::WriteOff { task } => format!("{} written off", self.called(*task)),
-            Action::Release { task } => format!("{} released", self.called(*task)),
-            Action::ReleaseInDoubt { task } => format!("{} released in doubt", self.called(*task)),
-            Action::Confirm { task, launch } => {
-                format!("{} launch={} in doubt", self.called(*task), launch.0)
+            Action::Bounce { request, .. } => format!("{} bounced", self.called(*request)),
+            Action::WriteOff { request } => format!("{} written off", self.called(*request)),
+            Action::Release { request } => format!("{} released", self.called(*request)),
+            Action::ReleaseInDoubt { request } => {
+                format!("{} released in doubt", self.called(*request))
+            }
+            Action::Confirm { request, launch } => {
+                format!("{} launch={} in doubt", self.called(*request), launch.0)
             }
             _ => return,
         };
@@ -120,8 +122,12 @@
         });
     }
 
-    fn called(&self, id: TaskId) -> String {
-        let origin = self.tasks.get(&id).map(Task::origin).unwrap_or_default();
+    fn called(&self, id: RequestId) -> String {
+        let origin = self
+            .requests
+            .get(&id)
+            .map(Request::origin)
+            .unwrap_or_default();
         format!(
             "task={} id={}",
             id.0,
--- a/crates/dispatcher/src/ledger/timers.rs
+++ b/crates/dispatcher/src/ledger/timers.rs
@@ -1,7 +1,7 @@
 //! Timers, earliest first; those of one instant in the order in which they were set.
 
 use super::{ConnId, LinkId, StreamNo};
-use cindercleat::interface::{HostId, LaunchNo, Ms, TaskId, TimerId};
+use cindercleat::interface::{HostId, LaunchNo, Ms, RequestId, TimerId};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
 pub(super) enum Due {
     Module(TimerId),
     /// The module's time for a launch has passed.
-    Launch(TaskId, LaunchNo),
-    /// The client's own time for a task has passed.
-    Patience(TaskId),
+    Launch(RequestId, LaunchNo),
+    /// The client's own time for a request has passed.
+    Patience(RequestId),
     /// A stream may have stalled.
-    Stall(TaskId, LaunchNo),
+    Stall(RequestId, LaunchNo),
     /// Something falls due for a client's connection.
     Client(ConnId),
     /// Something falls due for the links to this host.
@@ -22,12 +22,12 @@
     Probe(LinkId, StreamNo),
     /// The host should have ended what was called off.
     Past(LinkId, StreamNo),
-    /// What this task holds may have lain for too long.
-    Held(TaskId),
+    /// What this request holds may have lain for too long.
+    Held(RequestId),
     /// States there whose release was lost are let go again.
     Release(HostId),
     /// The release of this request's state is looked at.
-    KvState(TaskId),
+    KvState(RequestId),
     /// What comes from now on is not taken any more.
     StopNotice,
     /// Streams are to go on elsewhere.
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Tasks open at once; one more is bounced.
-    pub most_tasks: usize,
+    pub max_open_requests: usize,
     /// Launches and probes on one connection to a host, and connections to one host.
     pub streams_per_link: usize,
     pub links_per_host: usize,
--- a/crates/dispatcher/src/shell.rs
+++ b/crates/dispatcher/src/shell.rs
@@ -219,7 +219,7 @@
         self.inner.ledger.borrow().guarded().clone()
     }
 
-    /// Whether it is ready for tasks, and how much of it is used, 0 to 1.
+    /// Whether it is ready for requests, and how much of it is used, 0 to 1.
     pub fn fares(&self) -> (bool, f64) {
         self.inner.ledger.borrow().fares()
     }
@@ -229,12 +229,12 @@
         self.inner.ledger.borrow().list_version()
     }
 
-    /// Remembers from now on how its tasks end and what hosts say: for a fleet that watches releases.
+    /// Remembers from now on how its requests end and what hosts say: for a fleet that watches releases.
     pub fn keep_record(&self) {
         self.inner.ledger.borrow_mut().keep_record();
     }
 
-    /// How its tasks ended, and reports on so many hosts that were heard of since.
+    /// How its requests ended, and reports on so many hosts that were heard of since.
     pub fn recorded(&self, most: usize) -> (Tally, Vec<HostReport>) {
         self.inner
             .ledger
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -585,7 +585,7 @@
     }
 
     pub async fn no_request_is_open(&self) {
-        until(|| self.shell.held().tasks == 0).await;
+        until(|| self.shell.held().requests == 0).await;
     }
 
     /// Waits until the process would end.
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -78,7 +78,7 @@
 
 pub fn limits() -> Limits {
     Limits {
-        most_tasks: 1000,
+        max_open_requests: 1000,
         streams_per_link: 100,
         links_per_host: 4,
         link_idle: 15_000.0,
@@ -355,20 +355,20 @@
         out.iter().filter_map(launch).collect()
     }
 
-    /// A task up to its read, and that read.
+    /// A request up to its read, and that read.
     pub fn reading(&mut self, stream: u64, profile: &str) -> Sent {
         let out = self.client(stream, Body::Submit(submit(profile)));
         self.launches(&out).pop().expect("a read goes out")
     }
 
-    /// A task up to its writer's launch.
+    /// A request up to its writer's launch.
     pub fn writing(&mut self, stream: u64, profile: &str) -> Sent {
         let read = self.reading(stream, profile);
         let out = self.ended(&read, v1::Status::ReadDone);
         self.launches(&out).pop().expect("a write goes out")
     }
 
-    /// A task up to its first token.
+    /// A request up to its first token.
     pub fn streaming(&mut self, stream: u64, profile: &str) -> Sent {
         let write = self.writing(stream, profile);
         self.host(&write, tokens(0));
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -114,7 +114,7 @@
 }
 
 impl Net {
-    pub async fn task(&self, client: &str) -> (End, u32) {
+    pub async fn request(&self, client: &str) -> (End, u32) {
         let port = Port::new(
             client,
             "d",
@@ -165,7 +165,7 @@
             .map(|r| r.at)
     }
 
-    /// The keys of tasks that had their effect, in order.
+    /// The keys of requests that had their effect, in order.
     pub fn ran(&self) -> Vec<String> {
         let records = self.transcript.records();
         let key = |what: &What| match what {
--- a/crates/dispatcher/tests/endings.rs
+++ b/crates/dispatcher/tests/endings.rs
@@ -52,7 +52,7 @@
     client.say(text).await;
     let mut engine = None;
     match stage {
-        Stage::Waits => until(|| net.shell.held().tasks == 1).await,
+        Stage::Waits => until(|| net.shell.held().requests == 1).await,
         Stage::Connects => net.gate.held_up(&net.host("r1").address).await,
         Stage::Prefills => engine = Some(net.host("r1").asked().await.0),
         Stage::HoldsState => {
@@ -161,8 +161,8 @@
 /// A request is refused after a while, and nothing of it is sent to any engine.
 async fn is_refused(net: &Loopback, id: &str) {
     let mut client = net.ask(id, "proof").await;
-    until(|| net.shell.held().tasks == 1).await;
-    net.pass_until(|| net.shell.held().tasks == 0).await;
+    until(|| net.shell.held().requests == 1).await;
+    net.pass_until(|| net.shell.held().requests == 0).await;
     assert!(client.text_until("\n").await.starts_with("HTTP/1.1 503 "));
     for host in ["r1", "w1"] {
         assert!(!net.host(host).is_asked(), "{host} got nothing");
@@ -1129,7 +1129,7 @@
                     .say(&READ.replace("Content-Length", "Connection: close\r\nContent-Length"))
                     .await;
                 drop(engine);
-                net.pass_until(|| net.shell.held().tasks == 0).await;
+                net.pass_until(|| net.shell.held().requests == 0).await;
                 assert!(
                     client.text_until("\n").await.starts_with("HTTP/1.1 503 "),
                     "{class}: nothing was decoded"
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -25,10 +25,10 @@
 /// A cancel on its way through a dispatcher takes no longer than this, on connections without delay.
 const SOON: f64 = 5.0;
 
-/// Everything that was out for a task is let go, and nothing of it is left.
+/// Everything that was out for a request is let go, and nothing of it is left.
 async fn nothing_is_left(net: &Net) {
     net.wait(600.0).await;
-    assert_eq!(net.shell.held().tasks, 0, "a task is left");
+    assert_eq!(net.shell.held().requests, 0, "a task is left");
     assert!(net.hosts.iter().all(|h| h.states() == 0), "a state is left");
 }
 
@@ -270,7 +270,7 @@
         while !matches!(stream.next().await.expect("it goes on"), Body::Tokens(_)) {}
         net.stop.notify_one();
         net.wait(20.0).await;
-        // The next task takes a new connection, if any is to be had.
+        // The next request takes a new connection, if any is to be had.
         let end = port.run(submit("draft", "k2"), None, |_| {}).await;
         assert!(matches!(end, End::Unsent | End::Bounced { .. }), "{end:?}");
         let mut last = None;
@@ -321,7 +321,7 @@
                 .filter(|r| &*r.seer == "flood")
                 .count();
             assert!(begun < 400, "{begun} messages to and fro");
-            assert_eq!(net.task("other").await.0, End::Fulfilled);
+            assert_eq!(net.request("other").await.0, End::Fulfilled);
             nothing_is_left(&net).await;
             assert!(net.ran().len() <= 1, "{:?}", net.ran());
         },
@@ -434,7 +434,7 @@
     });
 }
 
-/// Hosts that reset a share of their launches: each task has one end, and none that may not be repeated is.
+/// Hosts that reset a share of their launches: each request has one end, and none that may not be repeated is.
 #[test]
 fn resets_by_the_hosts_break_no_rule() {
     run(|net| async move {
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -10,7 +10,7 @@
 use common::*;
 
 #[test]
-fn a_task_is_read_written_and_answered_once() {
+fn a_request_is_read_written_and_answered_once() {
     let mut bench = Bench::new();
     let write = bench.streaming(5, "draft");
     bench.host(&write, tokens(1));
@@ -21,7 +21,7 @@
         .collect();
     assert_eq!(said, [5, 5, 5, 5], "accepted, two tokens, one final answer");
     assert_eq!(finals(&bench.out), [(5, Answer::Fulfilled)]);
-    assert_eq!(bench.ledger.held().tasks, 0);
+    assert_eq!(bench.ledger.held().requests, 0);
     assert_eq!(finals(&bench.pass(60_000.0)), []);
 }
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_hundred_queued_tasks_do_not_follow_a_drain() {
+fn a_hundred_queued_requests_do_not_follow_a_drain() {
     let mut bench = Bench::new();
     for stream in 1..=100 {
         bench.client(stream, Body::Submit(submit("draft")));
@@ -86,7 +86,7 @@
     assert!(finals(&bench.out)
         .iter()
         .all(|(_, answer)| *answer == Answer::Bounced));
-    assert_eq!(bench.ledger.held().tasks, 0);
+    assert_eq!(bench.ledger.held().requests, 0);
 }
 
 #[test]
@@ -133,7 +133,7 @@
         let later = bench.pass(10_000.0);
         assert!(bench.launches(&out).is_empty() && bench.launches(&later).is_empty());
         assert_eq!(to_client(&later), []);
-        assert_eq!(bench.ledger.held().tasks, 0);
+        assert_eq!(bench.ledger.held().requests, 0);
     }
 }
 
@@ -159,7 +159,7 @@
             reason: "reset".to_owned(),
         });
         assert_eq!(to_client(&[late, cut].concat()), []);
-        assert_eq!(bench.ledger.held().tasks, 0);
+        assert_eq!(bench.ledger.held().requests, 0);
     }
 }
 
@@ -226,7 +226,7 @@
     let out = bench.host(&write, tokens(1));
     assert_eq!(out, [], "what was under way is passed over");
     bench.ended(&write, Status::Cancelled);
-    assert_eq!(bench.ledger.held().tasks, 0);
+    assert_eq!(bench.ledger.held().requests, 0);
 }
 
 #[test]
@@ -299,7 +299,7 @@
         .out
         .iter()
         .any(|o| matches!(o, Output::CloseClient { .. })));
-    assert_eq!(bench.ledger.held().tasks, 1);
+    assert_eq!(bench.ledger.held().requests, 1);
 }
 
 #[test]
@@ -328,10 +328,10 @@
 }
 
 #[test]
-fn beyond_the_most_open_tasks_comes_an_honest_bounce() {
+fn beyond_the_most_open_requests_comes_an_honest_bounce() {
     let mut bench = Bench::with(ProgramSettings {
         limits: Limits {
-            most_tasks: 2,
+            max_open_requests: 2,
             ..limits()
         },
         ..settings()
@@ -340,7 +340,7 @@
         bench.client(stream, Body::Submit(submit("proof")));
     }
     assert_eq!(finals(&bench.out), [(3, Answer::Bounced)]);
-    assert_eq!(bench.ledger.held().tasks, 2);
+    assert_eq!(bench.ledger.held().requests, 2);
 }
 
 #[test]
@@ -398,7 +398,7 @@
             "{field}: {said:?}"
         );
     }
-    assert_eq!(bench.ledger.held().tasks, 0);
+    assert_eq!(bench.ledger.held().requests, 0);
     bench.streaming(9, "draft");
     let out = bench.client(9, Body::Submit(submit("draft")));
     assert!(
@@ -543,7 +543,7 @@
 }
 
 #[test]
-fn where_nothing_may_be_called_off_an_answered_task_is_answered_once_also_by_a_stop() {
+fn where_nothing_may_be_called_off_an_answered_request_is_answered_once_also_by_a_stop() {
     let mut settings = settings();
     settings.policy.may_cancel = false;
     let mut bench = Bench::with(settings);
@@ -617,7 +617,7 @@
 }
 
 #[test]
-fn a_host_that_cannot_be_reached_is_not_dialled_by_every_task() {
+fn a_host_that_cannot_be_reached_is_not_dialled_by_every_request() {
     let mut bench = Bench::new();
     bench.links_come_up = false;
     let dial = |out: &[Output]| {
@@ -680,7 +680,7 @@
 }
 
 #[test]
-fn the_story_of_a_task_goes_by_its_clients_id_and_is_told_only_where_asked_for() {
+fn the_story_of_a_request_goes_by_its_clients_id_and_is_told_only_where_asked_for() {
     let story = |asked: bool| {
         let mut bench = Bench::new();
         if asked {
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -127,7 +127,7 @@
     }
 }
 
-async fn task(peer: &Peer, submit: v1::Submit) -> (Vec<Part>, Option<Status>) {
+async fn request(peer: &Peer, submit: v1::Submit) -> (Vec<Part>, Option<Status>) {
     ask(peer, Request::new(submit), "/cindercleat.v1.Router/Run").await
 }
 
@@ -180,7 +180,7 @@
 #[test]
 fn fulfilled_is_ok_and_the_final_answer_comes_last() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
-        let (parts, status) = task(&peer, common::submit("draft")).await;
+        let (parts, status) = request(&peer, common::submit("draft")).await;
         assert!(status.is_none(), "{status:?}");
         assert!(matches!(parts[0], Part::Accepted(_)));
         let tokens = parts
@@ -199,7 +199,7 @@
 fn a_bounce_is_unavailable_and_says_when_to_come_back() {
     // There are no writers.
     run(common::limits(), &["r1"], |peer| async move {
-        let (parts, status) = task(&peer, common::submit("proof")).await;
+        let (parts, status) = request(&peer, common::submit("proof")).await;
         let status = status.expect("a status");
         assert_eq!(
             (status.code(), finals(&parts)),
@@ -225,12 +225,12 @@
 fn no_room_is_resource_exhausted() {
     run(
         Limits {
-            most_tasks: 0,
+            max_open_requests: 0,
             ..common::limits()
         },
         &["r1", "w1"],
         |peer| async move {
-            let (parts, status) = task(&peer, common::submit("proof")).await;
+            let (parts, status) = request(&peer, common::submit("proof")).await;
             let status = status.expect("a status");
             assert_eq!(
                 (status.code(), finals(&parts)),
@@ -251,7 +251,7 @@
 fn a_write_off_is_one_that_no_client_retries() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
         peer.hosts[1].trouble(|t| t.stall_after = Some(2));
-        let (parts, status) = task(&peer, common::submit("proof")).await;
+        let (parts, status) = request(&peer, common::submit("proof")).await;
         let status = status.expect("a status");
         assert_eq!(
             (status.code(), finals(&parts)),
@@ -297,7 +297,7 @@
             ),
         ];
         for (field, submit) in cases {
-            let (parts, status) = task(&peer, submit).await;
+            let (parts, status) = request(&peer, submit).await;
             let status = status.expect("a status");
             assert_eq!(
                 (status.code(), parts.len()),
@@ -364,7 +364,7 @@
         .await;
         assert_eq!(status.expect("a status").code(), Code::Unimplemented);
         assert!(
-            task(&peer, common::submit("draft")).await.1.is_none(),
+            request(&peer, common::submit("draft")).await.1.is_none(),
             "the connection serves on"
         );
     });
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Whole tasks over the platform's protocol: the shell with `Http1` on connections in memory and a paused
+//! Whole requests over the platform's protocol: the shell with `Http1` on connections in memory and a paused
 //! clock, between clients, hosts and a list feed that speak plain HTTP/1.1.
 
 mod common;
@@ -264,10 +264,10 @@
         self.memory.connect("d").await.expect("it listens")
     }
 
-    /// Sends a task on a connection of its own and reads all that comes until the connection rests or ends.
-    async fn task(&self, id: &str, profile: &str) -> String {
+    /// Sends a request on a connection of its own and reads all that comes until the connection rests or ends.
+    async fn request(&self, id: &str, profile: &str) -> String {
         let mut io = self.connect().await;
-        io.write_all(task(id, profile).as_bytes())
+        io.write_all(request_text(id, profile).as_bytes())
             .await
             .expect("written");
         self.rest_of(&mut io, 6000.0).await
@@ -301,7 +301,7 @@
     }
 }
 
-fn task(id: &str, profile: &str) -> String {
+fn request_text(id: &str, profile: &str) -> String {
     format!(
         "POST /v1/chat/completions?q=1 HTTP/1.1\r\nHost: x\r\nX-Txn: {id}\r\nX-Lane: {profile}\r\n\
          X-Remaining-Ms: 4000\r\nContent-Length: 2\r\n\r\n{{}}"
@@ -309,9 +309,9 @@
 }
 
 #[test]
-fn a_task_is_read_written_and_its_events_pass_unchanged() {
+fn a_request_is_read_written_and_its_events_pass_unchanged() {
     run(|net| async move {
-        let answer = net.task("a1", "draft").await;
+        let answer = net.request("a1", "draft").await;
         assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
         assert!(
             answer.ends_with("\r\n\r\n9\r\ndata: a\n\n\r\n9\r\ndata: b\n\n\r\n0\r\n\r\n"),
@@ -322,8 +322,8 @@
             *net.asked.borrow(),
             [format!("r1: {line}"), format!("w1: {line}")]
         );
-        assert_eq!(net.shell.held().tasks, 0);
-        net.task("a2", "draft").await;
+        assert_eq!(net.shell.held().requests, 0);
+        net.request("a2", "draft").await;
         assert_eq!(net.shell.held().links, 2, "connections are used again");
         net.wait(10_000.0).await;
         assert_eq!(
@@ -355,7 +355,7 @@
 fn a_state_that_is_gone_is_read_again() {
     run(|net| async move {
         net.writer.set(Writer::NoState);
-        assert!(net.task("a1", "proof").await.ends_with("0\r\n\r\n"));
+        assert!(net.request("a1", "proof").await.ends_with("0\r\n\r\n"));
         assert_eq!((net.asked("r1: POST"), net.asked("w1: POST")), (2, 2));
     });
 }
@@ -364,10 +364,10 @@
 fn a_stream_that_breaks_ends_its_clients_connection_without_the_last_chunk() {
     run(|net| async move {
         net.writer.set(Writer::Breaks);
-        let answer = net.task("a1", "proof").await;
+        let answer = net.request("a1", "proof").await;
         assert!(answer.ends_with("9\r\ndata: a\n\n\r\n"), "{answer}");
         assert_eq!(net.asked("w1: POST"), 1, "nothing more goes out for it");
-        assert_eq!(net.shell.held().tasks, 0);
+        assert_eq!(net.shell.held().requests, 0);
     });
 }
 
@@ -375,11 +375,11 @@
 fn noise_in_place_of_an_answer_may_have_run() {
     run(|net| async move {
         net.writer.set(Writer::Noise);
-        let answer = net.task("a1", "proof").await;
+        let answer = net.request("a1", "proof").await;
         assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
         assert_eq!(net.asked("w1: POST"), 1, "at most once");
         net.asked.borrow_mut().clear();
-        net.task("a2", "draft").await;
+        net.request("a2", "draft").await;
         assert!(
             net.asked("w1: POST") > 1,
             "a reissuable one goes out again, on other connections"
@@ -396,7 +396,7 @@
     run(|net| async move {
         net.writer.set(Writer::Silent);
         let mut io = net.connect().await;
-        io.write_all(task("a1", "draft").as_bytes())
+        io.write_all(request_text("a1", "draft").as_bytes())
             .await
             .expect("written");
         net.wait(100.0).await;
@@ -408,7 +408,7 @@
             2,
             "at once, and behind the close"
         );
-        assert_eq!(net.shell.held().tasks, 0);
+        assert_eq!(net.shell.held().requests, 0);
         net.wait(20_000.0).await;
         let releases = net.asked("DELETE /bootstrap/rooms/a1");
         assert!(RELEASES_BEHIND_A_CLOSE.contains(&releases), "{releases}");
@@ -417,13 +417,13 @@
 }
 
 #[test]
-fn a_task_is_answered_before_its_clients_time_is_up() {
+fn a_request_is_answered_before_its_clients_time_is_up() {
     run(|net| async move {
         net.writer.set(Writer::Silent);
-        let (begin, answer) = (net.clock.now(), net.task("a1", "proof").await);
+        let (begin, answer) = (net.clock.now(), net.request("a1", "proof").await);
         assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
         // The connection rests until it is closed; the answer came before.
-        assert!(net.shell.held().tasks == 0 && begin > 0.0);
+        assert!(net.shell.held().requests == 0 && begin > 0.0);
         net.wait(20_000.0).await;
         // One while the attempt is in doubt, the others behind its close.
         let releases = net.asked("DELETE /bootstrap/rooms/a1");
@@ -444,13 +444,13 @@
         }
         net.wait(10.0).await;
         assert!(net.shell.clients() <= 10);
-        assert!(net.task("a1", "draft").await.ends_with("0\r\n\r\n"));
+        assert!(net.request("a1", "draft").await.ends_with("0\r\n\r\n"));
         for io in &mut silent {
             assert_eq!(net.rest_of(io, 2500.0).await, "", "closed");
         }
         net.wait(2500.0).await;
         let mut io = net.connect().await;
-        io.write_all(&task("a2", "draft").as_bytes()[..50])
+        io.write_all(&request_text("a2", "draft").as_bytes()[..50])
             .await
             .expect("written");
         assert!(net
@@ -461,11 +461,11 @@
 }
 
 #[test]
-fn a_list_feed_that_moved_is_followed_while_tasks_go_on() {
+fn a_list_feed_that_moved_is_followed_while_requests_go_on() {
     run(|net| async move {
         net.shell.move_feeds(vec!["other".to_owned()]);
         let mut io = net.connect().await;
-        io.write_all(task("a1", "draft").as_bytes())
+        io.write_all(request_text("a1", "draft").as_bytes())
             .await
             .expect("written");
         net.wait(5.0).await;
@@ -495,7 +495,7 @@
                 "called again, and not without rest: {calls}"
             );
             assert!(
-                net.task("a1", "draft").await.ends_with("0\r\n\r\n"),
+                net.request("a1", "draft").await.ends_with("0\r\n\r\n"),
                 "the list is kept"
             );
             net.feed.set(Feed::Good);
@@ -551,14 +551,14 @@
 fn a_stop_answers_what_is_open_and_then_ends() {
     run(|net| async move {
         let mut io = net.connect().await;
-        io.write_all(task("a1", "draft").as_bytes())
+        io.write_all(request_text("a1", "draft").as_bytes())
             .await
             .expect("written");
         net.wait(5.0).await;
         net.stop.notify_one();
         net.wait(100.0).await;
         let (mut late, rest) = (net.connect().await, net.connect().await);
-        late.write_all(task("a2", "draft").as_bytes())
+        late.write_all(request_text("a2", "draft").as_bytes())
             .await
             .expect("written");
         for (io, what) in [(&mut io, "what was open"), (&mut late, "what still comes")] {
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -1,6 +1,6 @@
-//! Random rows of inputs to the ledger, and what must hold after each: one final answer a task and nothing
-//! after it, one launch out a task, nothing to hosts that are not ready, no second write of an at-most-once
-//! task that may have run, no state left pinned, and a ledger that empties at the end.
+//! Random rows of inputs to the ledger, and what must hold after each: one final answer a request and nothing
+//! after it, one launch out a request, nothing to hosts that are not ready, no second write of an at-most-once
+//! request that may have run, no state left pinned, and a ledger that empties at the end.
 
 mod common;
 
@@ -21,7 +21,7 @@
 
 const GIVEN_UP: Ms = 5000.0;
 
-/// A state by its task and launch.
+/// A state by its request and launch.
 type StateKey = (u32, u32);
 
 /// What happens, to whom, and how many half milliseconds after the last.
@@ -29,7 +29,7 @@
 
 #[derive(Clone, Debug)]
 struct Launch {
-    task: u32,
+    request: u32,
     link: LinkId,
     stream: u64,
     write: bool,
@@ -39,7 +39,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Task {
+struct Request {
     stream: u64,
     profile: usize,
     answered: bool,
@@ -57,7 +57,7 @@
     launches: Vec<Launch>,
     /// Launches that the ledger has cancelled, which the host has yet to end.
     past: Vec<Launch>,
-    tasks: BTreeMap<u32, Task>,
+    requests: BTreeMap<u32, Request>,
     by_stream: BTreeMap<u64, u32>,
     /// States at readers, and since when nothing is out for them.
     held: BTreeMap<(u32, u32), Ms>,
@@ -83,7 +83,7 @@
             links: BTreeMap::new(),
             launches: Vec::new(),
             past: Vec::new(),
-            tasks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             by_stream: BTreeMap::new(),
             held: BTreeMap::new(),
             at: BTreeMap::new(),
@@ -128,34 +128,34 @@
             Output::ToClient { frame, .. } => {
                 let stream = frame.stream;
                 if let Some(Body::Accepted(accepted)) = &frame.body {
-                    self.by_stream.insert(stream, accepted.task);
-                    let task = self.tasks.entry(accepted.task).or_default();
-                    (task.stream, task.profile) = (stream, stream as usize % PROFILES.len());
+                    self.by_stream.insert(stream, accepted.request);
+                    let request = self.requests.entry(accepted.request).or_default();
+                    (request.stream, request.profile) = (stream, stream as usize % PROFILES.len());
                     return Ok(());
                 }
-                let Some(task) = self
+                let Some(request) = self
                     .by_stream
                     .get(&stream)
-                    .and_then(|t| self.tasks.get_mut(t))
+                    .and_then(|t| self.requests.get_mut(t))
                 else {
                     return Ok(());
                 };
                 prop_assert!(
-                    !task.answered,
+                    !request.answered,
                     "something after the final answer of stream {}",
                     stream
                 );
                 prop_assert!(
-                    !task.left,
+                    !request.left,
                     "something after the client of stream {} left",
                     stream
                 );
                 if let Some(Body::Final(last)) = &frame.body {
-                    task.answered = true;
+                    request.answered = true;
                     let answer = last.answer();
                     self.answers[answer as usize - 1] += 1;
-                    let once = PROFILES[task.profile] == "proof";
-                    let harmful = once && task.may_have_run && answer == Answer::Bounced;
+                    let once = PROFILES[request.profile] == "proof";
+                    let harmful = once && request.may_have_run && answer == Answer::Bounced;
                     prop_assert!(
                         !harmful,
                         "a bounce of an at-most-once task that may have run"
@@ -180,9 +180,9 @@
             Some(Body::Write(write)) => (write.state, true),
             Some(Body::Release(release)) => {
                 let state = release.state.unwrap_or_default();
-                let key = (state.task, state.launch);
+                let key = (state.request, state.launch);
                 // Not all get through.
-                let comes = !(stream + u64::from(state.task)).is_multiple_of(4);
+                let comes = !(stream + u64::from(state.request)).is_multiple_of(4);
                 let since = self.held.remove(&key);
                 let first = since.map(|since| *self.wanted_since.entry(key).or_insert(since));
                 // After some tries in vain it is left to the host's own time limit.
@@ -228,27 +228,27 @@
         let out = self
             .launches
             .iter()
-            .filter(|l| l.task == state.task)
+            .filter(|l| l.request == state.request)
             .count();
-        prop_assert_eq!(out, 0, "two launches of task {} out", state.task);
-        let task = self.tasks.entry(state.task).or_default();
+        prop_assert_eq!(out, 0, "two launches of task {} out", state.request);
+        let request = self.requests.entry(state.request).or_default();
         if write {
-            let twice = PROFILES[task.profile] == "proof" && task.may_have_run;
+            let twice = PROFILES[request.profile] == "proof" && request.may_have_run;
             prop_assert!(
                 !twice,
                 "an at-most-once task that may have run goes out again"
             );
-            task.may_have_run = true;
+            request.may_have_run = true;
             // Unless its reader was told to be gone, and it with it.
-            if let Some(since) = self.held.get_mut(&(state.task, state.launch)) {
+            if let Some(since) = self.held.get_mut(&(state.request, state.launch)) {
                 *since = f64::INFINITY;
             }
         }
         if !write {
-            self.at.insert((state.task, state.launch), host);
+            self.at.insert((state.request, state.launch), host);
         }
         let launch = Launch {
-            task: state.task,
+            request: state.request,
             link,
             stream,
             write,
@@ -262,7 +262,7 @@
 
     /// The state of a write that is over lies there again, if it was not taken.
     fn end_held(&mut self, launch: &Launch, still_there: bool) {
-        let key = (launch.state.task, launch.state.launch);
+        let key = (launch.state.request, launch.state.launch);
         if launch.write {
             if !still_there || launch.position > 0 {
                 self.held.remove(&key);
@@ -286,13 +286,13 @@
             // Half of the reads had ended, with their last word lost.
             let host = self
                 .at
-                .get(&(launch.state.task, launch.state.launch))
+                .get(&(launch.state.request, launch.state.launch))
                 .cloned()
                 .unwrap_or_default();
             let gone = self.conditions.get(host.as_str()) == Some(&HostCondition::Gone);
             if !launch.write && launch.stream.is_multiple_of(2) && !gone {
                 self.held
-                    .insert((launch.state.task, launch.state.launch), self.now);
+                    .insert((launch.state.request, launch.state.launch), self.now);
             }
         }
     }
@@ -300,7 +300,10 @@
     fn end(&mut self, launch: Launch, status: Status) -> Result<(), TestCaseError> {
         let proven = matches!(status, Status::Full | Status::NoState);
         if launch.write && proven {
-            self.tasks.entry(launch.task).or_default().may_have_run = false;
+            self.requests
+                .entry(launch.request)
+                .or_default()
+                .may_have_run = false;
         }
         // Half of the writers that found no state just did not reach its reader.
         let unreached = status == Status::NoState && launch.stream.is_multiple_of(2);
@@ -312,7 +315,7 @@
         if status == Status::ReadDone {
             state = Some(launch.state);
             self.held
-                .insert((launch.state.task, launch.state.launch), self.now);
+                .insert((launch.state.request, launch.state.launch), self.now);
         }
         let ended = v1::Ended {
             status: status.into(),
@@ -382,12 +385,12 @@
             }
             5 => {
                 let stream = 1 + u64::from(whom) % self.next_stream;
-                if let Some(task) = self
+                if let Some(request) = self
                     .by_stream
                     .get(&stream)
-                    .and_then(|t| self.tasks.get_mut(t))
+                    .and_then(|t| self.requests.get_mut(t))
                 {
-                    task.left = !task.answered;
+                    request.left = !request.answered;
                 }
                 self.put(Input::Client {
                     conn: ConnId(1),
@@ -444,7 +447,7 @@
                 let state = late.then_some(launch.state);
                 if late {
                     self.held
-                        .insert((launch.state.task, launch.state.launch), self.now);
+                        .insert((launch.state.request, launch.state.launch), self.now);
                 }
                 let status = if late {
                     Status::ReadDone
@@ -476,13 +479,14 @@
                     launch.credit -= 1;
                     let body = tokens(launch.position);
                     launch.position += 1;
-                    let (link, stream, task) = (launch.link, launch.stream, launch.task);
-                    self.held.remove(&(launch.state.task, launch.state.launch));
+                    let (link, stream, request) = (launch.link, launch.stream, launch.request);
+                    self.held
+                        .remove(&(launch.state.request, launch.state.launch));
                     self.put(Input::Host {
                         link,
                         frame: frame(stream, body),
                     })?;
-                    let stream = StreamNo(self.tasks[&task].stream);
+                    let stream = StreamNo(self.requests[&request].stream);
                     return self.put(Input::Flushed {
                         conn: ConnId(1),
                         stream,
@@ -512,9 +516,9 @@
                 reason: "the end".to_owned(),
             })?;
         }
-        self.tasks
+        self.requests
             .values_mut()
-            .for_each(|task| task.left = !task.answered);
+            .for_each(|request| request.left = !request.answered);
         self.put(Input::ClientClosed { conn: ConnId(1) })?;
         // Whom the ledger still dials, to let states go, cannot be had; then the states are not its to keep.
         self.held.clear();
@@ -527,7 +531,7 @@
         }
         let held = self.ledger.held();
         prop_assert_eq!(
-            (held.tasks, held.links, held.timers),
+            (held.requests, held.links, held.timers),
             (0, 0, 0),
             "{:?}",
             held
--- a/crates/dispatcher/tests/shell.rs
+++ b/crates/dispatcher/tests/shell.rs
@@ -14,10 +14,10 @@
 use tokio::task::spawn_local;
 
 #[test]
-fn a_task_goes_its_whole_way() {
+fn a_request_goes_its_whole_way() {
     run(|net| async move {
-        assert_eq!(net.task("c").await, (End::Fulfilled, 50));
-        assert_eq!(net.shell.held().tasks, 0);
+        assert_eq!(net.request("c").await, (End::Fulfilled, 50));
+        assert_eq!(net.shell.held().requests, 0);
     });
 }
 
@@ -32,7 +32,7 @@
         }
         assert_eq!(net.shell.clients(), 0);
         assert_eq!(
-            net.task("c").await.0,
+            net.request("c").await.0,
             End::Fulfilled,
             "the rest is served on"
         );
@@ -59,7 +59,7 @@
             port.run(common::submit("draft"), None, |_| {}).await,
             End::Fulfilled
         );
-        assert_eq!(net.shell.held().tasks, 0);
+        assert_eq!(net.shell.held().requests, 0);
     });
 }
 
@@ -76,7 +76,7 @@
             "nothing was asked in time: closed"
         );
         assert_eq!(net.shell.clients(), 0);
-        assert_eq!(net.task("c").await.0, End::Fulfilled);
+        assert_eq!(net.request("c").await.0, End::Fulfilled);
     });
 }
 
@@ -89,13 +89,13 @@
         }
         net.clock.sleep_until(net.clock.now() + 10.0).await;
         assert_eq!(
-            net.task("c").await.0,
+            net.request("c").await.0,
             End::Unsent,
             "all places are taken, for now"
         );
         // The greeting's time passes.
         net.clock.sleep_until(net.clock.now() + 1100.0).await;
-        assert_eq!(net.task("c").await.0, End::Fulfilled);
+        assert_eq!(net.request("c").await.0, End::Fulfilled);
         for mut stream in silent {
             let mut rest = Vec::new();
             let _ = stream.read_to_end(&mut rest).await;
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_host_that_claims_anothers_name_gets_no_task() {
+fn a_host_that_claims_anothers_name_gets_no_request() {
     run(|net| async move {
         net.hosts[1].die();
         net.clock.sleep_until(net.clock.now() + 1.0).await;
@@ -119,7 +119,7 @@
             1,
         );
         other.start("at-w1", true).await.expect("the name is free");
-        let (end, tokens) = net.task("c").await;
+        let (end, tokens) = net.request("c").await;
         assert!(matches!(end, End::Bounced { .. }), "{end:?}");
         assert_eq!(tokens, 0);
         let sent = net
@@ -143,7 +143,7 @@
                 let _ = stream.write_all(&[0xff; 100]).await;
             }
         });
-        let (end, tokens) = net.task("c").await;
+        let (end, tokens) = net.request("c").await;
         assert!(
             matches!(end, End::Bounced { .. } | End::WrittenOff),
             "{end:?}"
@@ -156,7 +156,7 @@
             .await
             .expect("the name is free");
         net.clock.sleep_until(net.clock.now() + 3000.0).await;
-        assert_eq!(net.task("c").await.0, End::Fulfilled);
+        assert_eq!(net.request("c").await.0, End::Fulfilled);
     });
 }
 
@@ -167,7 +167,7 @@
         let out = records.clone();
         run(|net| async move {
             for _ in 0..5 {
-                net.task("c").await;
+                net.request("c").await;
             }
             *out.borrow_mut() = net.transcript.records();
         });
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -175,7 +175,7 @@
         let out = bench.pass(1_000.0);
         assert!(bench.launches(&out).is_empty(), "{class}");
         assert_eq!(
-            (bench.ledger.held().tasks, bench.ledger.held().releases),
+            (bench.ledger.held().requests, bench.ledger.held().releases),
             (0, 0),
             "{class}"
         );
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -1,4 +1,4 @@
-//! The ledger where a connection carries one call at a time and states go by their task's id: what differs.
+//! The ledger where a connection carries one call at a time and states go by their request's id: what differs.
 
 mod common;
 
@@ -20,7 +20,7 @@
     })
 }
 
-fn task(id: &str, profile: &str) -> Body {
+fn request(id: &str, profile: &str) -> Body {
     let origin = Some(v1::Origin {
         id: id.to_owned(),
         ..v1::Origin::default()
@@ -41,7 +41,7 @@
 }
 
 fn reading(bench: &mut Bench, conn: u64, id: &str, profile: &str) -> Sent {
-    let out = asks(bench, conn, task(id, profile));
+    let out = asks(bench, conn, request(id, profile));
     bench.launches(&out).pop().expect("a read goes out")
 }
 
@@ -137,10 +137,10 @@
 }
 
 #[test]
-fn a_release_waits_while_its_tasks_next_launch_is_out_and_goes_out_once_it_is_over() {
+fn a_release_waits_while_its_requests_next_launch_is_out_and_goes_out_once_it_is_over() {
     let mut bench = bench();
     let read = reading(&mut bench, 1, "a", "draft");
-    // The read broke: it may have left a state; the task is read again.
+    // The read broke: it may have left a state; the request is read again.
     let out = bench.host(&read, goodbye(false));
     let second = bench.launches(&out).pop().expect("it is read again");
     assert_eq!(
@@ -227,10 +227,10 @@
 }
 
 #[test]
-fn the_id_of_an_open_task_is_refused_and_the_open_one_goes_on() {
+fn the_id_of_an_open_request_is_refused_and_the_open_one_goes_on() {
     let mut bench = bench();
     let read = reading(&mut bench, 1, "a", "draft");
-    let out = asks(&mut bench, 2, task("a", "draft"));
+    let out = asks(&mut bench, 2, request("a", "draft"));
     assert!(
         matches!(to_client(&out)[..], [(1, Body::Rejected(_))]),
         "{out:?}"
@@ -245,7 +245,7 @@
         [(1, Answer::Fulfilled)]
     );
     // Once it is over, its id is nobody's.
-    let out = asks(&mut bench, 3, task("a", "draft"));
+    let out = asks(&mut bench, 3, request("a", "draft"));
     assert!(!bench.launches(&out).is_empty());
 }
 
@@ -256,7 +256,7 @@
     bench.put(Input::ClientPartly { conn: ConnId(1) });
     bench.pass(1500.0);
     let begin = bench.now;
-    asks(&mut bench, 1, task("a", "proof"));
+    asks(&mut bench, 1, request("a", "proof"));
     bench.links_come_up = false;
     bench.pass(3000.0);
     assert_eq!(
@@ -293,7 +293,7 @@
         bench.put(Input::ClientUp { conn: ConnId(conn) });
         bench.pass(1.0);
     }
-    asks(&mut bench, 1, task("a", "draft"));
+    asks(&mut bench, 1, request("a", "draft"));
     let out = bench.put(Input::ClientsFull);
     assert_eq!(
         out,
@@ -327,11 +327,11 @@
     let write = writing(&mut bench, 1, "a", "draft");
     bench.host(&write, tokens(0));
     bench.put(Input::Stop);
-    let out = asks(&mut bench, 2, task("b", "draft"));
+    let out = asks(&mut bench, 2, request("b", "draft"));
     assert!(!bench.launches(&out).is_empty(), "still taken");
     bench.pass(700.0);
     assert_eq!(
-        finals(&asks(&mut bench, 3, task("c", "draft"))),
+        finals(&asks(&mut bench, 3, request("c", "draft"))),
         [(1, Answer::Bounced)]
     );
     let out = bench.pass(1700.0);
@@ -343,7 +343,7 @@
         "the stream; what has not begun goes on"
     );
     assert!(!out.iter().any(|o| matches!(o, Output::Stopped)));
-    assert_eq!(bench.ledger.held().tasks, 1);
+    assert_eq!(bench.ledger.held().requests, 1);
 }
 
 #[test]
@@ -417,7 +417,7 @@
     }
     bench.pass(60_000.0);
     let held = bench.ledger.held();
-    assert_eq!((held.hosts, held.links, held.tasks), (4, 0, 0));
+    assert_eq!((held.hosts, held.links, held.requests), (4, 0, 0));
     assert!(held.timers < 10, "{held:?}");
 }
 
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -114,7 +114,7 @@
         single,
         links_per_host: STREAMS,
         most_clients: 2 * STREAMS,
-        most_tasks: STREAMS,
+        max_open_requests: STREAMS,
         ..limits()
     };
     // As many decode engines as a dispatcher that has just begun dares to fill.
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -1,4 +1,4 @@
-//! Draws a day from a seed: a fleet, some tasks, and faults that overlap and lean towards the instants that matter:
+//! Draws a day from a seed: a fleet, some requests, and faults that overlap and lean towards the instants that matter:
 //! the ticks of other faults' beginnings and ends, and of the bounds that the rules set after them.
 
 use crate::plan::{Day, Fault, Trouble};
@@ -16,7 +16,7 @@
     pub dispatchers: u32,
     pub readers: usize,
     pub writers: usize,
-    pub tasks: usize,
+    pub requests: usize,
     /// Tasks come, and faults begin, within this.
     pub busy: Ms,
     pub faults: (usize, usize),
@@ -29,7 +29,7 @@
         dispatchers: 2,
         readers: 2,
         writers: 4,
-        tasks: 100,
+        requests: 100,
         busy: 17_500.0,
         faults: (5, 9),
     },
@@ -38,7 +38,7 @@
         dispatchers: 1,
         readers: 1,
         writers: 2,
-        tasks: 40,
+        requests: 40,
         busy: 17_500.0,
         faults: (2, 5),
     },
@@ -47,7 +47,7 @@
         dispatchers: 2,
         readers: 3,
         writers: 4,
-        tasks: 140,
+        requests: 140,
         busy: 17_500.0,
         faults: (12, 18),
     },
@@ -118,7 +118,7 @@
         ramp: 3000.0,
     };
     let limits = Limits {
-        most_tasks: 1000,
+        max_open_requests: 1000,
         streams_per_link: 50,
         links_per_host: 4,
         link_idle: 8_000.0,
@@ -189,14 +189,14 @@
             hosts.push(host(does, n, &service, &mut draw));
         }
     }
-    let tasks: Vec<Planned> = (0..shape.tasks)
-        .map(|_| task(shape, &service, &mut draw))
+    let requests: Vec<Planned> = (0..shape.requests)
+        .map(|_| request(shape, &service, &mut draw))
         .collect();
     let (least, most) = shape.faults;
     let count = least + (draw.share() * (most - least + 1) as f64) as usize;
     let mut faults: Vec<Fault> = Vec::new();
     while faults.len() < count {
-        let at = instant(shape, &faults, &tasks, &mut draw);
+        let at = instant(shape, &faults, &requests, &mut draw);
         faults.push(fault(at, shape, &hosts, &mut draw));
     }
     faults.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -205,7 +205,7 @@
         seed,
         dispatchers: shape.dispatchers,
         hosts,
-        habits: habits(&service, shape, tasks),
+        habits: habits(&service, shape, requests),
         service,
         list_delay: whole(draw.between(0.0, 300.0)),
         faults,
@@ -236,7 +236,7 @@
     }
 }
 
-fn habits(service: &Service, shape: &Shape, tasks: Vec<Planned>) -> Habits {
+fn habits(service: &Service, shape: &Shape, requests: Vec<Planned>) -> Habits {
     let all = service.profiles.iter().zip(&service.policy.profiles);
     let traffic = all.map(|(name, profile)| Traffic {
         profile: name.clone(),
@@ -260,11 +260,11 @@
         connections: 1,
         sessions: 20,
         tenants: vec![],
-        tasks,
+        requests,
     }
 }
 
-fn task(shape: &Shape, service: &Service, draw: &mut Draw) -> Planned {
+fn request(shape: &Shape, service: &Service, draw: &mut Draw) -> Planned {
     let at = whole(draw.between(0.0, shape.busy));
     let profile = (draw.share() * service.profiles.len() as f64) as usize % service.profiles.len();
     let prompt_tokens = draw.between(100.0, 700.0) as u32;
@@ -292,13 +292,13 @@
 }
 
 /// When a fault begins: often at, or a tick beside, an instant that something else hangs on.
-fn instant(shape: &Shape, faults: &[Fault], tasks: &[Planned], draw: &mut Draw) -> Ms {
+fn instant(shape: &Shape, faults: &[Fault], requests: &[Planned], draw: &mut Draw) -> Ms {
     let any = whole(draw.between(200.0, shape.busy));
     if faults.is_empty() || draw.chance(0.35) {
         return any;
     }
     let other = draw.pick(faults).clone();
-    let task = draw.pick(tasks).clone();
+    let request = draw.pick(requests).clone();
     let after = |at: Ms, by: Ms| at + by;
     let matters = [
         other.at,
@@ -306,10 +306,10 @@
         after(other.at, RELEASE),
         after(other.at, CONNECT),
         after(other.at, DRAIN_GRACE),
-        task.at,
-        after(task.at, 20.0),
-        after(task.at, task.patience - 2.0 * TICK),
-        after(task.at, task.patience),
+        request.at,
+        after(request.at, 20.0),
+        after(request.at, request.patience - 2.0 * TICK),
+        after(request.at, request.patience),
     ];
     let at = *draw.pick(&matters) + *draw.pick(&[0.0, 0.0, 1.0, -1.0, TICK]);
     whole(at.min(shape.busy))
--- a/crates/faults/src/duties/draw.rs
+++ b/crates/faults/src/duties/draw.rs
@@ -59,7 +59,7 @@
     HostDies(usize),
     /// Nothing more is heard of hosts' loads.
     ReportsStop,
-    /// So much more of all tasks is harmed, whoever answers.
+    /// So much more of all requests is harmed, whoever answers.
     Burst(f64),
 }
 
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Version {
     Good,
-    /// This part of its tasks is harmed.
+    /// This part of its requests is harmed.
     Worse(f64),
     NeverReady,
     /// It dies so long after it is ready, again and again.
@@ -79,7 +79,7 @@
     pub state: String,
     pub why: String,
     pub begun: u64,
-    /// Turns begun and tasks harmed by the new version, before the first halt.
+    /// Turns begun and requests harmed by the new version, before the first halt.
     pub turned_before_halt: Option<u64>,
     pub harmed_before_halt: u64,
     pub halts_by_sign: u64,
@@ -88,7 +88,7 @@
     pub halt_to_last: Vec<Ms>,
     /// Tasks that could not be served as their dispatcher was out, and all.
     pub unserved: u64,
-    pub tasks: u64,
+    pub requests: u64,
     /// The largest agreed value seen in a voter's file, in bytes.
     pub largest: usize,
 }
@@ -337,7 +337,7 @@
             _ => 0.0,
         };
         let part = (service.play.harmed + service.burst + bad).min(1.0);
-        service.released.tasks += count;
+        service.released.requests += count;
         if !is_in {
             service.released.unserved += count;
         } else {
--- a/crates/faults/src/fleet.rs
+++ b/crates/faults/src/fleet.rs
@@ -148,7 +148,7 @@
                 if host.runs() {
                     host.die();
                 }
-                // The old listener's socket closes in the turn after its task is dropped.
+                // The old listener's socket closes in the turn after its request is dropped.
                 tokio::task::yield_now().await;
                 host.start(&host.address(), false).await?;
                 fleet.feed.change(host.line(HostCondition::Ready));
--- a/crates/faults/src/model.rs
+++ b/crates/faults/src/model.rs
@@ -1,15 +1,15 @@
-//! What is allowed, task by task, as a small machine made from the brief's words and from nothing of the deciding
+//! What is allowed, request by request, as a small machine made from the brief's words and from nothing of the deciding
 //! module: each message that a stand-in sees must be a legal step. Bounds of time are the audit's; here it is the
 //! order of things, so a breach is known at the message that makes it.
 //!
-//! A task is known by its key, which its tries, launches and runs carry. What a dispatcher may believe is taken
+//! A request is known by its key, which its tries, launches and runs carry. What a dispatcher may believe is taken
 //! from what was said to it: a launch has not run if its host said so (`full`, `no state`), and may have otherwise.
 
 use cindercleat_protocol::{v1, Body};
 use cindercleat_standin::transcript::{Note, Record, Way, What};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether a task, as its profile says, may run again after it may have run.
+/// Whether a request, as its profile says, may run again after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Again {
     /// Whatever came of it.
@@ -30,9 +30,9 @@
     over: Option<&'static str>,
 }
 
-/// Where a task stands, over all of its tries.
+/// Where a request stands, over all of its tries.
 #[derive(Clone, Debug, Default)]
-struct Task {
+struct Request {
     profile: String,
     /// Writes that a host took in and gave no end to, by host.
     out: BTreeMap<Stream, String>,
@@ -53,7 +53,7 @@
     again: BTreeMap<String, Again>,
     most_launches: u32,
     tries: BTreeMap<Stream, Try>,
-    tasks: BTreeMap<String, Task>,
+    requests: BTreeMap<String, Request>,
     /// Launches that hosts took in: whose they are, and whether they write.
     taken: BTreeMap<Stream, (String, bool)>,
     pub breaches: Vec<String>,
@@ -68,7 +68,7 @@
             again,
             most_launches,
             tries: BTreeMap::new(),
-            tasks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             taken: BTreeMap::new(),
             breaches: Vec::new(),
             met: BTreeMap::new(),
@@ -124,8 +124,8 @@
 
     fn submitted(&mut self, stream: Stream, submit: &v1::Submit) -> Option<String> {
         self.meet("try");
-        let task = self.tasks.entry(submit.key.clone()).or_default();
-        task.profile.clone_from(&submit.profile);
+        let request = self.requests.entry(submit.key.clone()).or_default();
+        request.profile.clone_from(&submit.profile);
         self.tries.insert(
             stream,
             Try {
@@ -180,19 +180,19 @@
 
     fn finished(&mut self, key: &str, answer: &'static str, streamed: bool) -> Option<String> {
         self.meet(answer);
-        let task = self.tasks.get(key)?;
-        self.answers.insert((task.profile.clone(), answer));
-        let again = self.again(&task.profile);
+        let request = self.requests.get(key)?;
+        self.answers.insert((request.profile.clone(), answer));
+        let again = self.again(&request.profile);
         match answer {
-            "fulfilled" if task.fulfilled == 0 => {
+            "fulfilled" if request.fulfilled == 0 => {
                 Some(format!("{key} is fulfilled, and no host said so"))
             }
             "bounced" if streamed => Some(format!("{key} is bounced after its stream began")),
-            "bounced" if again == Again::Never && task.may_have_run > 0 => {
+            "bounced" if again == Again::Never && request.may_have_run > 0 => {
                 Some(format!("{key} is bounced and may have run"))
             }
-            "bounced" if again == Again::Never && !task.out.is_empty() => {
-                let hosts: Vec<&String> = task.out.values().collect();
+            "bounced" if again == Again::Never && !request.out.is_empty() => {
+                let hosts: Vec<&String> = request.out.values().collect();
                 Some(format!("{key} is bounced and is out at {hosts:?}"))
             }
             _ => None,
@@ -213,36 +213,39 @@
         let host = stream.0.clone();
         self.taken
             .insert(stream.clone(), (key.to_owned(), writes.is_some()));
-        let task = self.tasks.get_mut(key)?;
+        let request = self.requests.get_mut(key)?;
         if let (Some(state), true) = (state, writes.is_none()) {
             // A read names its own launch, counted from 0.
-            let launches = task.launches.entry((state.run, state.task)).or_default();
+            let launches = request
+                .launches
+                .entry((state.run, state.request))
+                .or_default();
             *launches = (*launches).max(state.launch + 1);
             if *launches > most {
                 return Some(format!("{key} has {launches} launches"));
             }
         }
         writes?;
-        if again == Some(Again::Never) && (task.may_have_run > 0 || !task.out.is_empty()) {
+        if again == Some(Again::Never) && (request.may_have_run > 0 || !request.out.is_empty()) {
             return Some(format!("{key} goes to {host} and may have run"));
         }
-        task.out.insert(stream, host);
+        request.out.insert(stream, host);
         None
     }
 
     /// A host ends a launch.
     fn ended(&mut self, stream: Stream, ended: &v1::Ended) -> Option<String> {
         let (key, writes) = self.taken.remove(&stream)?;
-        let task = self.tasks.get_mut(&key)?;
+        let request = self.requests.get_mut(&key)?;
         if writes {
-            task.out.remove(&stream);
+            request.out.remove(&stream);
             match ended.status() {
                 v1::Status::Full | v1::Status::NoState => {}
                 v1::Status::Fulfilled => {
-                    task.fulfilled += 1;
-                    task.may_have_run += 1;
+                    request.fulfilled += 1;
+                    request.may_have_run += 1;
                 }
-                _ => task.may_have_run += 1,
+                _ => request.may_have_run += 1,
             }
         }
         let met = match ended.status() {
@@ -260,9 +263,10 @@
     fn runs(&mut self, key: &str, profile: &str) -> Option<String> {
         self.meet("run");
         let again = self.again(profile);
-        let task = self.tasks.get_mut(key)?;
-        task.ran += 1;
-        (again == Again::Never && task.ran > 1).then(|| format!("{key} runs for the second time"))
+        let request = self.requests.get_mut(key)?;
+        request.ran += 1;
+        (again == Again::Never && request.ran > 1)
+            .then(|| format!("{key} runs for the second time"))
     }
 
     /// What was out on a connection that is over may have run.
@@ -288,9 +292,9 @@
             let Some((key, writes)) = self.taken.remove(&stream) else {
                 continue;
             };
-            if let Some(task) = self.tasks.get_mut(&key).filter(|_| writes) {
-                task.out.remove(&stream);
-                task.may_have_run += 1;
+            if let Some(request) = self.requests.get_mut(&key).filter(|_| writes) {
+                request.out.remove(&stream);
+                request.may_have_run += 1;
             }
         }
     }
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a day is: a service, a fleet of stand-ins, clients' tasks, and what goes wrong when.
+//! What a day is: a service, a fleet of stand-ins, clients' requests, and what goes wrong when.
 
 use cindercleat::interface::{Effect, Ms};
 use cindercleat_dispatcher::Service;
--- a/crates/faults/src/shrink.rs
+++ b/crates/faults/src/shrink.rs
@@ -1,4 +1,4 @@
-//! Cuts a day that breaks something down to the fewest faults and tasks that still do.
+//! Cuts a day that breaks something down to the fewest faults and requests that still do.
 
 use crate::plan::{Day, Fault};
 use crate::world::{play, Breach};
@@ -23,7 +23,7 @@
         played: 0,
     };
     loop {
-        let before = (best.day.faults.len(), best.day.habits.tasks.len());
+        let before = (best.day.faults.len(), best.day.habits.requests.len());
         best = fewer(
             best,
             most_played,
@@ -33,11 +33,11 @@
         best = fewer(
             best,
             most_played,
-            |day, tasks: Vec<Planned>| day.habits.tasks = tasks,
-            |day| day.habits.tasks.clone(),
+            |day, requests: Vec<Planned>| day.habits.requests = requests,
+            |day| day.habits.requests.clone(),
         )?;
         if best.played >= most_played
-            || before == (best.day.faults.len(), best.day.habits.tasks.len())
+            || before == (best.day.faults.len(), best.day.habits.requests.len())
         {
             return Ok(best);
         }
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -26,7 +26,7 @@
 const SLACK: Ms = 30.0;
 /// Instants begin here.
 const BEGIN: Ms = 1_000_000.0;
-/// After the last fault: tasks are sent to see when the service is what it was.
+/// After the last fault: requests are sent to see when the service is what it was.
 const PROBE_EVERY: Ms = 100.0;
 /// It must be, by then: connects that wait, cold hosts that warm up, a list that is fetched anew.
 const RECOVERED_WITHIN: Ms = 6_000.0;
@@ -98,7 +98,7 @@
     stop: Rc<Notify>,
     done: Rc<Notify>,
     over: Rc<Cell<bool>>,
-    task: AbortHandle,
+    request: AbortHandle,
 }
 
 struct Virtual {
@@ -146,13 +146,13 @@
             over.set(true);
             done.notify_one();
         });
-        let task = spawn_local(process).abort_handle();
+        let request = spawn_local(process).abort_handle();
         Ok(Process {
             shell,
             stop,
             done,
             over,
-            task,
+            request,
         })
     }
 }
@@ -176,7 +176,7 @@
                 process.done.notified().await;
             }
         }
-        process.task.abort();
+        process.request.abort();
         // Its connections close in the turn after.
         tokio::task::yield_now().await;
     }
@@ -309,10 +309,10 @@
     };
     for (at, process) in processes.running.borrow().iter().enumerate() {
         let held = process.as_ref().map(|p| p.shell.held()).unwrap_or_default();
-        if held.tasks > 0 {
+        if held.requests > 0 {
             breach(
                 "LeftOver",
-                format!("dispatcher {at} still holds {} tasks", held.tasks),
+                format!("dispatcher {at} still holds {} tasks", held.requests),
             );
         }
     }
@@ -320,7 +320,7 @@
     if states > 0 {
         breach("LeftOver", format!("{states} states are held at the end"));
     }
-    if processes.most.get() > 4 * day.habits.tasks.len() + 200 {
+    if processes.most.get() > 4 * day.habits.requests.len() + 200 {
         breach(
             "Grows",
             format!(
@@ -387,7 +387,7 @@
 
 pub fn rule_name(rule: Rule) -> &'static str {
     match rule {
-        Rule::TaskLost => "TaskLost",
+        Rule::RequestLost => "TaskLost",
         Rule::EffectTwice => "EffectTwice",
         Rule::DrainBroken => "DrainBroken",
         Rule::ColdHostPushed => "ColdHostPushed",
@@ -406,13 +406,13 @@
         clock.sleep_until(clock.now() + 50.0).await;
         for process in processes.running.borrow().iter().flatten() {
             let held = process.shell.held();
-            let all = held.tasks + held.links + held.timers;
+            let all = held.requests + held.links + held.timers;
             processes.most.set(processes.most.get().max(all));
         }
     }
 }
 
-/// With all faults over, tasks that all can be served are sent until ten in a row come in their quoted time.
+/// With all faults over, requests that all can be served are sent until ten in a row come in their quoted time.
 /// Gives how long after `since` the first of those was sent.
 async fn recover(day: &Day, world: &Virtual, since: Ms, addresses: &[String]) -> Option<Ms> {
     let clock = world.fleet.clock;
@@ -507,11 +507,13 @@
 
 fn said(body: &Body) -> String {
     let state = |s: &Option<v1::StateId>| {
-        s.map_or_else(String::new, |s| format!(" state {}.{}", s.task, s.launch))
+        s.map_or_else(String::new, |s| {
+            format!(" state {}.{}", s.request, s.launch)
+        })
     };
     match body {
         Body::Submit(m) => format!("submit {} (patience {:.0})", m.key, m.patience_ms),
-        Body::Accepted(m) => format!("accepted as {}", m.task),
+        Body::Accepted(m) => format!("accepted as {}", m.request),
         Body::Tokens(m) => format!("token {}", m.position),
         Body::Final(m) => format!("{:?} {}", m.answer(), m.reason),
         Body::Read(m) => format!("read {}{}", m.key, state(&m.state)),
--- a/crates/faults/tests/named.rs
+++ b/crates/faults/tests/named.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Plays the tasks of some seeds with these faults and no others.
+/// Plays the requests of some seeds with these faults and no others.
 fn plan(faults: &[Fault]) -> Vec<Played> {
     (1..=5)
         .map(|seed| {
@@ -92,7 +92,7 @@
 }
 
 /// The dispatcher of a first try is gone, and with it the try's answer; what it had out runs on for a moment while
-/// its client asks elsewhere. At-most-once tasks are not asked again: a client cannot know.
+/// its client asks elsewhere. At-most-once requests are not asked again: a client cannot know.
 #[test]
 fn a_client_comes_back_before_its_first_try_has_an_end() {
     let kills: Vec<Fault> = (1..8)
@@ -125,7 +125,7 @@
     for (after, breaches) in [(499.0, 0), (501.0, 1)] {
         let state = Some(v1::StateId {
             run: 7,
-            task: 1,
+            request: 1,
             launch: 0,
         });
         let record = |at: f64, way: Way, stream: u64, body: Body| Record {
@@ -192,7 +192,7 @@
     assert_eq!(first.kind, "TaskLost", "{first:?}");
     let shrunk = shrink(&day, &first, 200).expect("it plays");
     assert!(
-        shrunk.day.faults.is_empty() && shrunk.day.habits.tasks.len() == 1,
+        shrunk.day.faults.is_empty() && shrunk.day.habits.requests.len() == 1,
         "{:?}",
         shrunk.day.faults
     );
--- a/crates/faults/tests/releases_figures.rs
+++ b/crates/faults/tests/releases_figures.rs
@@ -105,12 +105,12 @@
             .iter()
             .map(|(_, r)| r.whole.unwrap_or(f64::NAN) - r.began.unwrap_or(f64::NAN));
         let unserved: u64 = all.iter().map(|(_, r)| r.unserved).sum();
-        let tasks: u64 = all.iter().map(|(_, r)| r.tasks).sum();
+        let requests: u64 = all.iter().map(|(_, r)| r.requests).sum();
         let largest = all.iter().map(|(_, r)| r.largest).max().unwrap_or(0);
         println!(
             "{name}: {}; {:.4} of tasks unserved, largest voter's file {largest} bytes, {:?}",
             quantiles(times.collect()),
-            unserved as f64 / tasks as f64,
+            unserved as f64 / requests as f64,
             all[0].1.state,
         );
     }
--- a/crates/fleet/tests/shell.rs
+++ b/crates/fleet/tests/shell.rs
@@ -21,7 +21,7 @@
     clock: TokioClock,
     files: Vec<File>,
     members: Vec<Member>,
-    tasks: Vec<JoinHandle<()>>,
+    requests: Vec<JoinHandle<()>>,
 }
 
 fn settings(fleet: &str, at: usize) -> FleetSettings {
@@ -86,7 +86,7 @@
             .await
             .expect("a name");
         let running = member.clone();
-        self.tasks.push(spawn_local(async move {
+        self.requests.push(spawn_local(async move {
             running.run(listener, pending()).await
         }));
         member
@@ -115,7 +115,7 @@
             clock,
             files,
             members: Vec::new(),
-            tasks: Vec::new(),
+            requests: Vec::new(),
         };
         for at in 0..3 {
             net.files.push(File::default());
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -118,7 +118,7 @@
         ("Fleet/Call", Body::FleetAnswer(m)) => (Some(encode(&m)), ok()),
         ("List/Follow", Body::List(m)) => (Some(encode(&m)), None),
         (_, Body::Hello(m)) => (Some(encode(&m)), ok()),
-        // What was taken may have run, so the end of a task without an answer is never one to try again.
+        // What was taken may have run, so the end of a request without an answer is never one to try again.
         ("Router/Run", Body::Goodbye(m)) => {
             (None, Some(Ending::told(Told::WrittenOff, 0.0, &m.reason)))
         }
--- a/crates/grpc/src/details.rs
+++ b/crates/grpc/src/details.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// A task's final answer.
+    /// A request's final answer.
     pub fn told(told: Told, retry_after_ms: f64, why: &str) -> Self {
         let again = again(told, retry_after_ms);
         let details = match again {
--- a/crates/grpc/src/lib.rs
+++ b/crates/grpc/src/lib.rs
@@ -1,7 +1,7 @@
 //! gRPC (HTTP/2 by the crate h2, messages by prost) on any byte stream, on one thread.
 //!
 //! A connection is a [`Session`]: [`Frame`]s of the schema go out by [`Out::send`] and come in as [`Event`]s. A
-//! frame that begins something (a task, a read, a probe) is a call of one of the schema's services, and frames
+//! frame that begins something (a request, a read, a probe) is a call of one of the schema's services, and frames
 //! of the same stream number are its messages; a [`Body::Cancel`] is a reset. Whoever drives sessions needs to
 //! know nothing of HTTP/2, and peers of any language need to know nothing of frames.
 #![forbid(unsafe_code)]
@@ -89,7 +89,7 @@
     Reset(u32),
 }
 
-/// What the tasks of a connection share.
+/// What the requests of a connection share.
 struct Shared {
     setup: Setup,
     events: RefCell<Option<mpsc::UnboundedSender<Event>>>,
--- a/crates/grpc/tests/session.rs
+++ b/crates/grpc/tests/session.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_task_goes_out_and_its_stream_comes_back_in_order() {
+fn a_request_goes_out_and_its_stream_comes_back_in_order() {
     run(async {
         let (mut client, mut server) = pair().await;
         client.out.send(frame(9, submit()));
@@ -88,7 +88,7 @@
         assert!(matches!(asked.body, Some(Body::Submit(_))));
         server.out.send(frame(
             asked.stream,
-            Body::Accepted(v1::Accepted { task: 1 }),
+            Body::Accepted(v1::Accepted { request: 1 }),
         ));
         for at in 0..300 {
             server.out.send(frame(asked.stream, tokens(at)));
--- a/crates/http1/src/host.rs
+++ b/crates/http1/src/host.rs
@@ -124,7 +124,7 @@
         let host = &self.name;
         match frame.body? {
             Body::Read(read) => {
-                let head = self.task(
+                let head = self.request(
                     read.origin.unwrap_or_default(),
                     read.wait_ms,
                     read.prompt.len(),
@@ -132,7 +132,7 @@
                 Some((Call::Read(read.state), head, read.prompt))
             }
             Body::Write(write) => {
-                let head = self.task(
+                let head = self.request(
                     write.origin.unwrap_or_default(),
                     write.wait_ms,
                     write.prompt.len(),
@@ -162,7 +162,7 @@
     }
 
     /// The head of a request: what its client said, with this hop's own framing, id and time.
-    fn task(&self, origin: v1::Origin, wait_ms: f64, length: usize) -> Vec<u8> {
+    fn request(&self, origin: v1::Origin, wait_ms: f64, length: usize) -> Vec<u8> {
         let mut head = format!(
             "{} {} HTTP/1.1\r\nHost: {}\r\n",
             origin.method, origin.target, self.name
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol, HTTP/1.1 with JSON and event streams, as sessions of the ledger's frames: for
 //! clients ([`server`]), model hosts ([`host`]) and the list feed ([`feed`]).
 //!
-//! [`framing`] is the part without I/O. A connection carries one request at a time, so a session is one task
+//! [`framing`] is the part without I/O. A connection carries one request at a time, so a session is one request
 //! that reads, writes and waits by turns. Names and forms are in [`words`]; nothing is decided here.
 #![forbid(unsafe_code)]
 
@@ -154,7 +154,7 @@
     }
 }
 
-/// A session, and the ends of it that its task keeps.
+/// A session, and the ends of it that its request keeps.
 fn session(
     them: v1::Hello,
     limit: Option<usize>,
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -1,4 +1,4 @@
-//! A client's side: requests in, each a task, and its answer out.
+//! A client's side: requests in, each a request, and its answer out.
 
 use crate::arrivals::Arrivals;
 use crate::framing::{self, Fault, Length, Part, Request};
@@ -81,7 +81,7 @@
     }
 }
 
-/// What a client gets besides the answer to a task.
+/// What a client gets besides the answer to a request.
 struct Refusal {
     status: &'static str,
     why: &'static str,
@@ -93,7 +93,7 @@
 
 /// What a request asks for.
 enum Asks {
-    Task(Box<v1::Submit>),
+    Submit(Box<v1::Submit>),
     Ready,
 }
 
@@ -136,7 +136,7 @@
             };
             self.stream += 1;
             let body = match asks {
-                Asks::Task(submit) => Body::Submit(*submit),
+                Asks::Submit(submit) => Body::Submit(*submit),
                 Asks::Ready => Body::Ping(v1::Ping {}),
             };
             self.shared.say(self.stream, body);
@@ -218,12 +218,12 @@
         }
         let asks = match kind {
             Kind::Ready => Asks::Ready,
-            Kind::Task => {
+            Kind::Submit => {
                 let mut submit = submit(&head, body.freeze()).map_err(Last::Refused)?;
                 if submit.patience_ms > 0.0 {
                     submit.patience_ms = (submit.patience_ms - waited_ms).max(NO_TIME_MS);
                 }
-                Asks::Task(Box::new(submit))
+                Asks::Submit(Box::new(submit))
             }
         };
         Ok((asks, head.keeps))
@@ -259,7 +259,7 @@
     }
 
     /// Writes an answer, as fast as the client takes it; tells whether it took all. Guards against a client that
-    /// takes nothing: nobody else looks after an answer whose task has ended.
+    /// takes nothing: nobody else looks after an answer whose request has ended.
     async fn write(&mut self, mut bytes: &[u8]) -> bool {
         let closing = self.shared.closing.get();
         let stall = Duration::from_millis(u64::from(self.wire.bounds.stall_ms));
@@ -431,7 +431,7 @@
 }
 
 enum Kind {
-    Task,
+    Submit,
     Ready,
 }
 
@@ -440,13 +440,15 @@
     let path = head.first.target.split('?').next().unwrap_or_default();
     match head.first.method.as_str() {
         "GET" if path == words::READY_PATH => Ok(Kind::Ready),
-        "POST" if path.starts_with(words::TASKS) => Ok(Kind::Task),
-        _ if path.starts_with(words::TASKS) => Err(refusal(words::WRONG_METHOD, "only POST")),
+        "POST" if path.starts_with(words::REQUESTS_PATH) => Ok(Kind::Submit),
+        _ if path.starts_with(words::REQUESTS_PATH) => {
+            Err(refusal(words::WRONG_METHOD, "only POST"))
+        }
         _ => Err(refusal(words::NOWHERE, "there is nothing here")),
     }
 }
 
-/// The task that a request describes, or the first thing that cannot be right.
+/// The request that a request describes, or the first thing that cannot be right.
 fn submit(head: &Request, prompt: Bytes) -> Result<v1::Submit, Refusal> {
     let bad = |why| refusal(words::REJECTED, why);
     let id = head
--- a/crates/http1/src/words.rs
+++ b/crates/http1/src/words.rs
@@ -28,9 +28,9 @@
 
 pub const READY_PATH: &str = "/-/ready";
 pub const LOAD_PATH: &str = "/-/load";
-/// Paths of tasks begin so.
-pub const TASKS: &str = "/v1/";
-/// A task's id follows.
+/// Paths of requests begin so.
+pub const REQUESTS_PATH: &str = "/v1/";
+/// A request's id follows.
 pub const STATES: &str = "/bootstrap/rooms/";
 pub const LIST: &str = "/api/targets";
 pub const LIST_AFTER: &str = "after";
@@ -40,12 +40,12 @@
 pub const DRAINING: &str = "draining";
 pub const REMOVED: &str = "removed";
 
-/// What is said of a task's end: the status and its reason phrase.
+/// What is said of a request's end: the status and its reason phrase.
 pub const BOUNCED: &str = "503 Service Unavailable";
 pub const WRITTEN_OFF: &str = "504 Gateway Timeout";
 pub const REJECTED: &str = "400 Bad Request";
 
-/// What is said of requests that are no tasks.
+/// What is said of requests that are no requests.
 pub const READY: &str = "200 OK";
 pub const NOWHERE: &str = "404 Not Found";
 pub const WRONG_METHOD: &str = "405 Method Not Allowed";
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_request_is_a_task_and_its_stream_goes_out_unchanged() {
+fn a_request_is_a_request_and_its_stream_goes_out_unchanged() {
     run(async {
         let wire = Http1::new(BOUNDS);
         let (mut io, mut session) = client(&wire).await;
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn what_cannot_be_a_task_is_refused_and_nothing_of_it_goes_on() {
+fn what_cannot_be_a_request_is_refused_and_nothing_of_it_goes_on() {
     let with = |from: &str, to: &str| ask("{}").replace(from, to);
     let huge = "x".repeat(2000);
     let cases = [
@@ -543,7 +543,7 @@
 fn read() -> Body {
     let state = Some(v1::StateId {
         run: 1,
-        task: 2,
+        request: 2,
         launch: 3,
     });
     let prompt = bytes::Bytes::from_static(b"{}");
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -196,13 +196,15 @@
         let event = match name {
             "announce" => self.announce(instance, parts)?,
             "accept" => accept(parts)?,
-            "withdrawn" => Event::Left { task: task(parts)? },
+            "withdrawn" => Event::Left {
+                request: request(parts)?,
+            },
             "ack_first" => {
-                let task = task(parts)?;
+                let request = request(parts)?;
                 let host = parts.host()?;
                 let launch = launch(parts)?;
                 Event::FirstToken {
-                    task,
+                    request,
                     launch,
                     host,
                     latency: parts.time("a latency")?,
@@ -237,7 +239,7 @@
                 }
             }
             "attempt_end" => {
-                let task = task(parts)?;
+                let request = request(parts)?;
                 let launch = launch(parts)?;
                 let host = parts.host()?;
                 let outcome = outcome(parts.next("an outcome")?)?;
@@ -246,7 +248,7 @@
                 let detail = parts.amount("a detail")?;
                 let load = self.load(instance, parts)?;
                 Event::Ended(Ended {
-                    task,
+                    request,
                     launch,
                     host,
                     outcome,
@@ -257,12 +259,12 @@
                 })
             }
             _ => {
-                let task = task(parts)?;
+                let request = request(parts)?;
                 let launch = launch(parts)?;
                 let host = parts.host()?;
                 let kind: u32 = parts.number("1 or 2")?;
                 Event::Place {
-                    task,
+                    request,
                     launch,
                     host,
                     held: kind == 1,
@@ -343,8 +345,8 @@
     }
 }
 
-fn task(parts: &mut Parts) -> Result<TaskId, Malformed> {
-    parts.number("a request id").map(TaskId)
+fn request(parts: &mut Parts) -> Result<RequestId, Malformed> {
+    parts.number("a request id").map(RequestId)
 }
 
 fn launch(parts: &mut Parts) -> Result<LaunchNo, Malformed> {
@@ -353,7 +355,7 @@
 
 fn accept(parts: &mut Parts) -> Result<Event, Malformed> {
     Ok(Event::Arrived(Arrival {
-        task: task(parts)?,
+        request: request(parts)?,
         profile: ProfileId(parts.number("a class")?),
         tenant: parts.maybe_number("a tenant")?.map(TenantId),
         session: SessionId(parts.maybe_key("a session's key")?.unwrap_or(0)),
@@ -390,25 +392,36 @@
 pub fn write_action(out: &mut String, i: u32, action: &Action) {
     // Writing to a string cannot fail.
     let _ = match action {
-        Action::Launch { task, host, until } => {
+        Action::Launch {
+            request,
+            host,
+            until,
+        } => {
             let until = until.map_or(0, |at| us(at).max(1));
-            writeln!(out, "route\t{i}\t{}\t{}\t{until}", task.0, host.0)
+            writeln!(out, "route\t{i}\t{}\t{}\t{until}", request.0, host.0)
+        }
+        Action::Cancel { request, launch } => {
+            writeln!(out, "cancel\t{i}\t{}\t{}", request.0, launch.0)
         }
-        Action::Cancel { task, launch } => writeln!(out, "cancel\t{i}\t{}\t{}", task.0, launch.0),
-        Action::Bounce { task, retry_after } => {
+        Action::Bounce {
+            request,
+            retry_after,
+        } => {
             writeln!(
                 out,
                 "say_no\t{i}\t{}\t{}",
-                task.0,
+                request.0,
                 retry_after.map_or(0, us)
             )
         }
-        Action::WriteOff { task } => writeln!(out, "finish_error\t{i}\t{}", task.0),
+        Action::WriteOff { request } => writeln!(out, "finish_error\t{i}\t{}", request.0),
         // Asked for only where deliveries are tracked.
         Action::Confirm { .. } | Action::ReleaseInDoubt { .. } => Ok(()),
-        Action::Release { task } => writeln!(out, "let_go\t{i}\t{}", task.0),
-        Action::HoldAhead { task, host } => writeln!(out, "earmark\t{i}\t{}\t{}", task.0, host.0),
-        Action::Move { task } => writeln!(out, "transfer\t{i}\t{}", task.0),
+        Action::Release { request } => writeln!(out, "let_go\t{i}\t{}", request.0),
+        Action::HoldAhead { request, host } => {
+            writeln!(out, "earmark\t{i}\t{}\t{}", request.0, host.0)
+        }
+        Action::Move { request } => writeln!(out, "transfer\t{i}\t{}", request.0),
         Action::Arm { delay, timer } => writeln!(out, "arm\t{i}\t{}\t{}", us(*delay), timer.0),
         Action::Probe { host } => writeln!(out, "poll\t{i}\t{}", host.0),
         Action::CloseIdle { host } => writeln!(out, "close_idle\t{i}\t{}", host.0),
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -199,10 +199,10 @@
         for number in 0..self.processes.len() {
             self.start_process(number);
         }
-        let mut tasks = Vec::new();
+        let mut requests = Vec::new();
         for planned in self.plan.troubles.clone() {
             let soak = self.clone();
-            tasks.push(spawn_local(async move {
+            requests.push(spawn_local(async move {
                 sleep(planned.from - soak.clock.now()).await;
                 soak.trouble(planned).await;
             }));
@@ -212,9 +212,9 @@
             self.look();
         }
         self.over.set(true);
-        for task in tasks {
-            // A task that was cut short shows in what it left undone.
-            let _ = task.await;
+        for request in requests {
+            // A request that was cut short shows in what it left undone.
+            let _ = request.await;
         }
         self.end().await;
     }
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -38,7 +38,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Rule {
-    TaskLost,
+    #[serde(rename = "TaskLost")]
+    RequestLost,
     EffectTwice,
     DrainBroken,
     ColdHostPushed,
@@ -80,12 +81,12 @@
     pub breaches: Vec<Breach>,
 }
 
-/// The state or launch of a task, by the process that made it: run, task, launch.
+/// The state or launch of a request, by the process that made it: run, request, launch.
 type Key = (u64, u32, u32);
 
 pub fn audit(records: &[Record], rules: &Rules) -> Findings {
     let mut findings = Findings::default();
-    tasks(records, rules, &mut findings);
+    requests(records, rules, &mut findings);
     effects(records, rules, &mut findings);
     let launches = launches(records);
     findings.cases.launches = launches.len();
@@ -129,8 +130,8 @@
     rejected: bool,
 }
 
-/// No task is lost: one final answer for each task taken, before its client's time is up, and nothing after it.
-fn tasks(records: &[Record], rules: &Rules, findings: &mut Findings) {
+/// No request is lost: one final answer for each request taken, before its client's time is up, and nothing after it.
+fn requests(records: &[Record], rules: &Rules, findings: &mut Findings) {
     let mut tries: BTreeMap<(&str, u64, u64), Try> = BTreeMap::new();
     let mut open: BTreeMap<(&str, u64), Vec<u64>> = BTreeMap::new();
     for record in records {
@@ -213,12 +214,12 @@
         let not_taken = !this.accepted && this.closed.is_some();
         if this.after > 0 {
             let what = format!("{name}: {} messages after its final answer", this.after);
-            findings.breach(Rule::TaskLost, this.finals[0], what);
+            findings.breach(Rule::RequestLost, this.finals[0], what);
         }
         match this.finals.first() {
             _ if this.rejected || this.left.is_some() => {}
             None if killed || not_taken || apart => {}
-            None => findings.breach(Rule::TaskLost, ends, format!("{name}: no final answer")),
+            None => findings.breach(Rule::RequestLost, ends, format!("{name}: no final answer")),
             Some(&at)
                 if this.first.is_none()
                     && !apart
@@ -228,7 +229,7 @@
                     "{name}: answered {:.0} ms after its client's time",
                     at - ends
                 );
-                findings.breach(Rule::TaskLost, at, what);
+                findings.breach(Rule::RequestLost, at, what);
             }
             Some(_) => {}
         }
@@ -298,7 +299,7 @@
 }
 
 fn key(state: &v1::StateId) -> Key {
-    (state.run, state.task, state.launch)
+    (state.run, state.request, state.launch)
 }
 
 fn launches(records: &[Record]) -> Vec<Launch> {
@@ -453,7 +454,7 @@
     }
 }
 
-/// Nothing is left pinned: while none of a task's launches is out, a state held for it is taken or let go within
+/// Nothing is left pinned: while none of a request's launches is out, a state held for it is taken or let go within
 /// the release time, counted from the last outcome. A dispatcher that was killed owes nothing any more.
 fn pinned(records: &[Record], launches: &[Launch], rules: &Rules, findings: &mut Findings) {
     let mut held: BTreeMap<Key, (Ms, &Record)> = BTreeMap::new();
@@ -528,9 +529,9 @@
             };
             let lost: Ms = rules.silences.iter().filter(|s| unseen(s)).map(lost).sum();
             if came - idle_since - lost > rules.release + rules.slack {
-                let (run, task, launch) = state;
+                let (run, request, launch) = state;
                 let what = format!(
-                    "the state of task {task} (launch {launch}, run {run:x}) lay at {} for {:.0} ms with nothing out",
+                    "the state of task {request} (launch {launch}, run {run:x}) lay at {} for {:.0} ms with nothing out",
                     record.seer,
                     came - idle_since
                 );
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -33,7 +33,7 @@
 
 /// How much longer than it said a client waits for an answer that should have come.
 const GIVES_UP: Ms = 2000.0;
-/// Numbers of planned tasks begin here.
+/// Numbers of planned requests begin here.
 const PLANNED: u64 = 1 << 32;
 
 /// All clients' habits.
@@ -52,10 +52,10 @@
     pub sessions: u64,
     pub tenants: Vec<String>,
     /// Tasks at their own instants, besides those that are drawn.
-    pub tasks: Vec<Planned>,
+    pub requests: Vec<Planned>,
 }
 
-/// One task as it is sent.
+/// One request as it is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
     /// Since the day's begin.
@@ -77,7 +77,7 @@
 /// What clients saw, for one profile.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    pub tasks: u64,
+    pub requests: u64,
     pub tries: u64,
     pub fulfilled: u64,
     /// Fulfilled, and the first token came within the quoted time of the first try's instant.
@@ -100,7 +100,7 @@
         let histogram =
             || Histogram::new_with_bounds(1, 60_000_000, 2).unwrap_or_else(|_| unreachable!());
         Tally {
-            tasks: 0,
+            requests: 0,
             tries: 0,
             fulfilled: 0,
             in_time: 0,
@@ -285,7 +285,7 @@
         })
     }
 
-    /// One try: sends the task, waits for its end, leaves at `leave_at` if that comes first. `see` is told of
+    /// One try: sends the request, waits for its end, leaves at `leave_at` if that comes first. `see` is told of
     /// each token message.
     pub async fn run(
         self: &Rc<Self>,
@@ -450,7 +450,7 @@
     /// Arrivals for the day's length, then the end of all that is open.
     pub async fn run(self: Rc<Self>) {
         let begin = self.clock.now();
-        for (n, planned) in self.habits.tasks.iter().cloned().enumerate() {
+        for (n, planned) in self.habits.requests.iter().cloned().enumerate() {
             let clients = self.clone();
             self.begin(async move {
                 clients.clock.sleep_until(begin + planned.at).await;
@@ -478,21 +478,21 @@
             number += 1;
             let (clients, number) = (self.clone(), number);
             let seed = self.rng.borrow_mut().generate::<u64>();
-            self.begin(async move { clients.task(number, WyRand::new_seed(seed)).await });
+            self.begin(async move { clients.request(number, WyRand::new_seed(seed)).await });
         }
     }
 
     /// One that counts as open until it is over.
-    fn begin(self: &Rc<Self>, task: impl Future<Output = ()> + 'static) {
+    fn begin(self: &Rc<Self>, request: impl Future<Output = ()> + 'static) {
         self.open.set(self.open.get() + 1);
         let clients = self.clone();
         spawn_local(async move {
-            task.await;
+            request.await;
             clients.open.set(clients.open.get() - 1);
         });
     }
 
-    async fn task(&self, number: u64, mut rng: WyRand) {
+    async fn request(&self, number: u64, mut rng: WyRand) {
         let mut drawn = share(&mut rng) * self.habits.traffic.iter().map(|t| t.share).sum::<f64>();
         let traffic = self.habits.traffic.iter().find(|t| {
             drawn -= t.share;
@@ -534,7 +534,7 @@
         self.play(number, planned).await;
     }
 
-    /// A task from its first try to its end.
+    /// A request from its first try to its end.
     async fn play(&self, number: u64, planned: Planned) {
         let traffic = self
             .habits
@@ -559,7 +559,7 @@
             origin: None,
         };
         let asked = self.clock.now();
-        self.tally(traffic, |t| t.tasks += 1);
+        self.tally(traffic, |t| t.requests += 1);
         for attempt in 0..=self.habits.retries {
             let now = self.clock.now();
             // What is left of the client's patience; a first token ends its running.
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -510,7 +510,7 @@
             .add(self.now(), &self.inner.me, &conn.peer, conn.id, what);
     }
 
-    /// Guards against a process that speaks in the instant in which it is gone, as its tasks are woken once more.
+    /// Guards against a process that speaks in the instant in which it is gone, as its requests are woken once more.
     fn say(&self, conn: &Conn, stream: u64, body: Body) {
         if !self.runs() {
             return;
@@ -638,11 +638,15 @@
         let wait = spawn_local(async move {
             host.inner.clock.sleep_until(until).await;
             if host.inner.live.borrow().states.contains_key(&key(&state)) {
-                let (run, task, launch) = key(&state);
+                let (run, request, launch) = key(&state);
                 host.inner.transcript.note(
                     host.now(),
                     &host.inner.me,
-                    Note::Expired { run, task, launch },
+                    Note::Expired {
+                        run,
+                        request,
+                        launch,
+                    },
                 );
                 host.let_go(key(&state));
             }
@@ -901,7 +905,7 @@
 }
 
 fn key(state: &v1::StateId) -> StateKey {
-    (state.run, state.task, state.launch)
+    (state.run, state.request, state.launch)
 }
 
 /// A word of an answer, by its place.
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -31,7 +31,7 @@
     Closed {
         own: bool,
     },
-    /// A host began to answer: from here on the task has had its effect.
+    /// A host began to answer: from here on the request has had its effect.
     Ran {
         key: String,
         profile: String,
@@ -39,7 +39,7 @@
     /// A reader's own time limit let a state go.
     Expired {
         run: u64,
-        task: u32,
+        request: u32,
         launch: u32,
     },
     /// A dispatcher was killed outright.
@@ -63,8 +63,12 @@
             Note::Awake => "Awake".to_owned(),
             Note::Closed { own } => format!("Closed {{ own: {own} }}"),
             Note::Ran { key, profile } => format!("Ran {{ key: {key:?}, profile: {profile:?} }}"),
-            Note::Expired { run, task, launch } => {
-                format!("Expired {{ run: {run}, task: {task}, launch: {launch} }}")
+            Note::Expired {
+                run,
+                request,
+                launch,
+            } => {
+                format!("Expired {{ run: {run}, task: {request}, launch: {launch} }}")
             }
             Note::Killed => "Killed".to_owned(),
         }
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -72,10 +72,10 @@
 const WRITER: (&str, &str, u64) = ("w", "d", 3);
 const FEED: (&str, &str, u64) = ("list", "d", 4);
 
-fn state(task: u32) -> Option<v1::StateId> {
+fn state(request: u32) -> Option<v1::StateId> {
     Some(v1::StateId {
         run: 1,
-        task,
+        request,
         launch: 0,
     })
 }
@@ -100,7 +100,7 @@
     })
 }
 
-/// One task served as it should be, and a cold writer's start.
+/// One request served as it should be, and a cold writer's start.
 fn good() -> Story {
     let mut story = Story::default();
     let submit = v1::Submit {
@@ -122,7 +122,7 @@
         CLIENT,
         Way::In,
         1,
-        Body::Accepted(v1::Accepted { task: 1 }),
+        Body::Accepted(v1::Accepted { request: 1 }),
     );
     let read = v1::Read {
         state: state(1),
@@ -163,16 +163,16 @@
         ("list", 0),
         Note::Expired {
             run: 9,
-            task: 9,
+            request: 9,
             launch: 9,
         },
     );
     story
 }
 
-fn write(task: u32) -> Body {
+fn write(request: u32) -> Body {
     Body::Write(v1::Write {
-        state: state(task),
+        state: state(request),
         max_tokens: 20,
         ..v1::Write::default()
     })
@@ -194,7 +194,7 @@
 fn a_second_final_answer_is_found() {
     let mut story = good();
     story.frame(95.0, CLIENT, Way::In, 1, last(v1::Answer::WrittenOff));
-    assert_eq!(story.found(), [Rule::TaskLost]);
+    assert_eq!(story.found(), [Rule::RequestLost]);
 }
 
 #[test]
@@ -207,11 +207,11 @@
         1,
         Body::Tokens(v1::Tokens::default()),
     );
-    assert_eq!(story.found(), [Rule::TaskLost]);
+    assert_eq!(story.found(), [Rule::RequestLost]);
 }
 
 #[test]
-fn a_task_without_an_answer_is_found_unless_its_dispatcher_was_killed() {
+fn a_request_without_an_answer_is_found_unless_its_dispatcher_was_killed() {
     let lose = |story: &mut Story| {
         story.records.retain(
             |r| !matches!(&r.what, What::Frame(Way::In, f) if matches!(f.body, Some(Body::Final(_)))),
@@ -219,7 +219,7 @@
     };
     let mut story = good();
     lose(&mut story);
-    assert_eq!(story.found(), [Rule::TaskLost]);
+    assert_eq!(story.found(), [Rule::RequestLost]);
     let mut story = good();
     lose(&mut story);
     story.note(90.5, ("d", 0), Note::Killed);
@@ -234,11 +234,11 @@
         .records
         .retain(|r| !(&*r.seer == "client" && r.at > 11.0));
     story.frame(1200.0, CLIENT, Way::In, 1, last(v1::Answer::WrittenOff));
-    assert_eq!(story.found(), [Rule::TaskLost]);
+    assert_eq!(story.found(), [Rule::RequestLost]);
 }
 
 #[test]
-fn a_second_run_of_an_at_most_once_task_is_found() {
+fn a_second_run_of_an_at_most_once_request_is_found() {
     let mut story = good();
     story.note(300.0, ("w2", 5), ran());
     assert_eq!(story.found(), [Rule::EffectTwice]);
@@ -364,7 +364,7 @@
         story.note(200.0, ("d", 0), Note::Killed);
         let state = Some(v1::StateId {
             run,
-            task: 2,
+            request: 2,
             launch: 0,
         });
         let ended = v1::Ended {
@@ -425,7 +425,7 @@
         CLIENT,
         Way::In,
         2,
-        Body::Accepted(v1::Accepted { task: 2 }),
+        Body::Accepted(v1::Accepted { request: 2 }),
     );
     story.frame(100.0, CLIENT, Way::Out, 2, Body::Cancel(v1::Cancel {}));
     let read = v1::Read {
--- a/src/bounds.rs
+++ b/src/bounds.rs
@@ -33,7 +33,7 @@
     pub clients: SingleSettings,
     pub most_clients: usize,
     pub most_links: usize,
-    pub most_tasks: usize,
+    pub max_open_requests: usize,
     /// A connection to a host that rests is closed after this long.
     pub link_idle: Ms,
     /// One client's body, and all of them together.
@@ -149,7 +149,7 @@
             clients: CLIENTS,
             most_clients: share,
             most_links: share,
-            most_tasks: given.most_held.unwrap_or(share).min(share),
+            max_open_requests: given.most_held.unwrap_or(share).min(share),
             link_idle: given
                 .host_idle
                 .map_or(f64::INFINITY, |idle| REST_PART * idle),
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -1,5 +1,5 @@
 //! What a dispatcher decides about the connection of one client: when it is asked whether it is still there, and
-//! when it is given up, for want of an answer or for calling tasks off faster than they can be borne.
+//! when it is given up, for want of an answer or for calling requests off faster than they can be borne.
 //!
 //! Like [`channels`](crate::channels) it does no I/O and reads no clock; instants do not go back.
 
@@ -58,7 +58,7 @@
         (self.heard, self.pinged) = (now, None);
     }
 
-    /// It called a task off before that was answered. Guards against a client that opens and resets streams as
+    /// It called a request off before that was answered. Guards against a client that opens and resets streams as
     /// fast as it can: each costs a decision and perhaps a launch, and nothing but this bounds how many.
     pub fn cancelled(&mut self, settings: &CallerSettings, now: Ms) {
         let more = (now - self.counted).max(0.0) / 1000.0 * settings.cancels_per_s;
--- a/src/channels.rs
+++ b/src/channels.rs
@@ -137,7 +137,7 @@
             None if self.taking() >= self.settings.most.max(1) => {
                 Placement::Nowhere(Refusal::AllTaken)
             }
-            // Guards against a host that is down being dialled by every task that it is chosen for.
+            // Guards against a host that is down being dialled by every request that it is chosen for.
             None if now < self.again_at => Placement::Nowhere(Refusal::NotYet),
             None => Placement::Connect,
         }
@@ -277,7 +277,7 @@
         let connecting = taking().any(|c| c.phase != Phase::Up);
         let used = self.all.values().any(|c| c.streams > 0);
         let spare = SPARE * self.settings.streams.max(1) as f64;
-        // Channels for one stream each are never ahead of need: every task at a peak would cost the host one.
+        // Channels for one stream each are never ahead of need: every request at a peak would cost the host one.
         let shared = self.settings.streams > 1;
         shared
             && used
