--- a/src/control.rs
+++ b/src/control.rs
@@ -1,10 +1,10 @@
-//! Every decision of a dispatcher: which reader reads a task, which writer answers it, what follows a
-//! failure, and when a task is bounced or written off.
+//! Every decision of a dispatcher: which reader reads a request, which writer answers it, what follows a
+//! failure, and when a request is bounced or written off.
 //!
 //! Callers make one [`Control`] a dispatcher, hand each batch of events to [`Control::step`] with its instant
 //! and carry out the actions in order; timers come back as `Event::Timer`. The types of both sides are in
 //! [`crate::interface`]. The same settings, seed and events give the same actions.
-//! A step runs in three parts: `learn` takes the events in, `plan` sets what is wanted of each task that can
+//! A step runs in three parts: `learn` takes the events in, `plan` sets what is wanted of each request that can
 //! have changed (`Turns`), and `emit` alone turns the difference between wanted and present into actions.
 
 mod delivery;
@@ -23,7 +23,7 @@
 const ABOVE_AVERAGE: f64 = 1.0;
 /// A home reader whose waiting tokens exceed this many times the mean passes the read on (the design).
 const HOME_ESCAPE: f64 = 2.0;
-/// Shares of the release time: a state that found no writer is let go; held tasks are looked at, and 'full'
+/// Shares of the release time: a state that found no writer is let go; held requests are looked at, and 'full'
 /// hosts asked, again.
 const HOLD_SHARE: f64 = 0.7;
 const RETRY_SHARE: f64 = 0.1;
@@ -31,7 +31,7 @@
 const FULLS_MOST: i32 = 5;
 /// Own final answers come this many ticks before patience ends.
 const END_TICKS: f64 = 2.0;
-/// A task that no reader has taken by this share of its quoted time is bounced: the answer would come late.
+/// A request that no reader has taken by this share of its quoted time is bounced: the answer would come late.
 const HELD_SHARE: f64 = 0.4;
 /// A read, or a first token, that takes more than this share of the shortest quoted time waited in a queue.
 const QUEUED: f64 = 0.3;
@@ -84,7 +84,7 @@
     cut_at: Vec<Ms>,
     /// The beginnings and sessions read there lately, each with the tokens that it keeps of them.
     kept: Vec<VecDeque<(u64, f64)>>,
-    /// What it last reported: tasks in flight, and tokens waiting to be read or fetched.
+    /// What it last reported: requests in flight, and tokens waiting to be read or fetched.
     reported: Vec<f64>,
     reported_tokens: Vec<f64>,
     reported_load: Vec<f64>,
@@ -136,7 +136,7 @@
 }
 
 #[derive(Default)]
-struct Task {
+struct Request {
     arrival: Arrival,
     /// When a read must be out for the answer to come within the quoted time.
     read_by: Ms,
@@ -150,7 +150,7 @@
     idle_since: Ms,
     /// Held: when it is looked at again.
     look_at: Ms,
-    /// Writers and readers that turned this task away or failed it since its last read.
+    /// Writers and readers that turned this request away or failed it since its last read.
     tried: Vec<Slot>,
     /// The first launch that may have run: where and when.
     may_have_run: Option<(Slot, Ms)>,
@@ -173,12 +173,12 @@
     rng: WyRand,
     now: Ms,
     hosts: Hosts,
-    tasks: BTreeMap<TaskId, Task>,
+    requests: BTreeMap<RequestId, Request>,
     queue: Turns,
-    /// Launches a millisecond that a warm writer, and a warm reader, bear of ours, and tasks that arrive.
+    /// Launches a millisecond that a warm writer, and a warm reader, bear of ours, and requests that arrive.
     borne: [Rate; 2],
     arriving: Rate,
-    /// When the tasks of the last fall window arrived.
+    /// When the requests of the last fall window arrived.
     arrived: VecDeque<Ms>,
     tenants: Vec<Rate>,
     wanted_probes: Vec<Slot>,
@@ -214,7 +214,7 @@
                 stale: STALE * quoted_least,
                 ..Hosts::default()
             },
-            tasks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             queue: Turns::default(),
             borne: Default::default(),
             arriving: Rate::default(),
@@ -238,22 +238,22 @@
         self.wanted_wake = None;
         self.queue.fall_due(self.now);
         for id in self.turns() {
-            let Some(mut task) = self.tasks.remove(&id) else {
+            let Some(mut request) = self.requests.remove(&id) else {
                 continue;
             };
-            self.queue.coming -= task.coming();
-            self.plan(&mut task);
+            self.queue.coming -= request.coming();
+            self.plan(&mut request);
             self.planned += 1;
-            self.emit(id, &mut task, actions);
-            self.queue.settle(id, &task, self.now);
-            self.queue.coming += task.coming();
-            if !(task.over && task.out.is_none()) {
-                self.tasks.insert(id, task);
+            self.emit(id, &mut request, actions);
+            self.queue.settle(id, &request, self.now);
+            self.queue.coming += request.coming();
+            if !(request.over && request.out.is_none()) {
+                self.requests.insert(id, request);
             }
         }
         debug_assert_eq!(
             self.queue.coming,
-            self.tasks.values().map(Task::coming).sum::<usize>()
+            self.requests.values().map(Request::coming).sum::<usize>()
         );
         if let Some(&(due, _)) = self.queue.due.first() {
             self.wake_at(due.0);
@@ -266,17 +266,17 @@
         self.emit_timer(actions);
     }
 
-    /// The plain rule, which the lean one is held against: every task but the held is planned at the next
+    /// The plain rule, which the lean one is held against: every request but the held is planned at the next
     /// step.
     pub fn wake_all(&mut self) {
         let free = self
-            .tasks
+            .requests
             .iter()
-            .filter(|(_, task)| task.out.is_some() || task.look_at <= self.now);
+            .filter(|(_, request)| request.out.is_some() || request.look_at <= self.now);
         self.queue.awake.extend(free.map(|(id, _)| *id));
     }
 
-    /// How many tasks were planned so far.
+    /// How many requests were planned so far.
     pub fn planned(&self) -> u64 {
         self.planned
     }
@@ -285,32 +285,34 @@
         match event {
             Event::Listed { kind, entries } => self.learn_list(*kind, entries),
             Event::Arrived(arrival) => self.learn_arrival(arrival),
-            Event::Left { task } => {
-                if let Some(held) = self.tasks.get_mut(task) {
+            Event::Left { request } => {
+                if let Some(held) = self.requests.get_mut(request) {
                     held.over = true;
-                    self.queue.awake.insert(*task);
+                    self.queue.awake.insert(*request);
                 }
             }
-            Event::FirstToken { task, launch, .. } => {
-                let (id, Some(task)) = (*task, self.tasks.get_mut(task)) else {
+            Event::FirstToken {
+                request, launch, ..
+            } => {
+                let (id, Some(request)) = (*request, self.requests.get_mut(request)) else {
                     return;
                 };
-                let Some(out) = task.out.as_mut().filter(|o| o.launch == *launch) else {
+                let Some(out) = request.out.as_mut().filter(|o| o.launch == *launch) else {
                     return;
                 };
                 out.streaming = true;
                 out.delivery = Delivery::Confirmed;
-                task.state = None;
+                request.state = None;
                 self.queue.awake.insert(id);
                 let slot = out.slot;
-                let allowed = QUEUED * task.allowed;
+                let allowed = QUEUED * request.allowed;
                 self.hosts
                     .learn_limit(slot, out.sent, self.now - out.sent > allowed, self.now);
                 self.hosts.heard[slot] = self.now;
                 self.note_done(slot, false);
             }
             Event::Ended(ended) => self.learn_end(ended),
-            Event::Delivered { task, launch } => self.learn_delivery(*task, *launch),
+            Event::Delivered { request, launch } => self.learn_delivery(*request, *launch),
             Event::Timer { timer } if timer.0 == self.timers => self.armed = None,
             Event::Probed {
                 host,
@@ -360,7 +362,7 @@
         let Some(row) = self.profiles.get(arrival.profile.0 as usize) else {
             return;
         };
-        let task = Task {
+        let request = Request {
             over_share,
             read_by: self.now
                 + HELD_SHARE * (row.quoted + row.quoted_per_token * arrival.prompt_tokens),
@@ -368,17 +370,17 @@
             allowed: self.quoted_least + self.quoted_per_token * arrival.prompt_tokens,
             arrival: arrival.clone(),
             idle_since: self.now,
-            ..Task::default()
+            ..Request::default()
         };
-        self.tasks.insert(arrival.task, task);
-        self.queue.awake.insert(arrival.task);
+        self.requests.insert(arrival.request, request);
+        self.queue.awake.insert(arrival.request);
         self.arriving.note(1.0, self.now, self.settings.ramp);
         let oldest = self.now - self.settings.fall_window;
         self.arrived.push_back(self.now);
         while self.arrived.pop_front_if(|at| *at <= oldest).is_some() {}
     }
 
-    /// Whether a tenant sends more than its share, as far as one dispatcher's part of its tasks tells.
+    /// Whether a tenant sends more than its share, as far as one dispatcher's part of its requests tells.
     fn over_share(&mut self, tenant: Option<TenantId>) -> bool {
         let Some(at) = tenant.map(|t| t.0 as usize) else {
             return false;
@@ -395,21 +397,21 @@
             return;
         };
         self.hosts.note_load(slot, &ended.load, self.now);
-        let Some(task) = self.tasks.get_mut(&ended.task) else {
+        let Some(request) = self.requests.get_mut(&ended.request) else {
             return;
         };
-        let coming = task.coming();
-        let Some(out) = task
+        let coming = request.coming();
+        let Some(out) = request
             .out
             .take_if(|o| o.launch == ended.launch && o.slot == slot)
         else {
             return;
         };
         self.queue.coming -= coming;
-        self.queue.awake.insert(ended.task);
+        self.queue.awake.insert(ended.request);
         self.hosts.tally(&out, -1.0);
         let queued =
-            ended.outcome != Outcome::ReadDone || self.now - out.sent > QUEUED * task.allowed;
+            ended.outcome != Outcome::ReadDone || self.now - out.sent > QUEUED * request.allowed;
         if out.reading
             && matches!(
                 ended.outcome,
@@ -422,9 +424,9 @@
         if !out.reading && ended.outcome == Outcome::Fulfilled || out.reading && !queued {
             self.hosts.heard[slot] = self.now;
         }
-        task.over |= ended.last;
+        request.over |= ended.last;
         if out.has_arrived(ended.outcome) {
-            task.idle_since = self.now;
+            request.idle_since = self.now;
         }
         let never_ran = self.hosts.only_reads(&out)
             || matches!(
@@ -432,23 +434,23 @@
                 Outcome::Full | Outcome::Unreachable | Outcome::Void
             );
         if !never_ran && ended.outcome != Outcome::Fulfilled {
-            task.may_have_run.get_or_insert((slot, out.sent));
+            request.may_have_run.get_or_insert((slot, out.sent));
         }
         match ended.outcome {
             Outcome::Fulfilled => self.hosts.judge(slot, true),
             Outcome::ReadDone => {
-                task.state = Some(slot);
-                task.tried.clear();
-                self.hosts.note_kept(slot, &task.arrival);
-                let read = task.arrival.prompt_tokens - ended.detail;
+                request.state = Some(slot);
+                request.tried.clear();
+                self.hosts.note_kept(slot, &request.arrival);
+                let read = request.arrival.prompt_tokens - ended.detail;
                 self.hosts.typical_of = (self.hosts.typical_of + 1.0).min(f64::from(JUDGED));
                 self.hosts.typical += (read - self.hosts.typical) / self.hosts.typical_of;
                 self.note_done(slot, true);
             }
             // The state is gone (its reader died or let it go): read again.
-            Outcome::Full if ended.detail == 1.0 => task.state = None,
+            Outcome::Full if ended.detail == 1.0 => request.state = None,
             Outcome::Full => {
-                task.tried.push(slot);
+                request.tried.push(slot);
                 // Guards against a host that turns all away: it always looks as if it had room.
                 let wait =
                     RETRY_SHARE * self.settings.release * 2.0_f64.powi(self.hosts.fulls[slot]);
@@ -456,7 +458,7 @@
                 self.hosts.fulls[slot] = (self.hosts.fulls[slot] + 1).min(FULLS_MOST);
             }
             Outcome::Failed | Outcome::TimedOut | Outcome::Broken | Outcome::Unreachable => {
-                task.tried.push(slot);
+                request.tried.push(slot);
                 self.hosts.judge(slot, false);
             }
             Outcome::CalledOff | Outcome::Void => {}
@@ -464,125 +466,129 @@
     }
 
     /// Whoever is planned first takes the room: those within their tenant's share, of kept text, the soonest.
-    fn turns(&self) -> Vec<TaskId> {
+    fn turns(&self) -> Vec<RequestId> {
         let cheap = |s: Slot, a: &Arrival| self.hosts.unread(s, a) < SPARE * a.prompt_tokens;
         let dear =
-            |t: &Task| t.launches == 0 && !self.hosts.ready(true).any(|s| cheap(s, &t.arrival));
-        let turn =
-            |(id, t): (&TaskId, &Task)| (t.over_share, dear(t), (1000.0 * t.read_by) as i64, *id);
+            |t: &Request| t.launches == 0 && !self.hosts.ready(true).any(|s| cheap(s, &t.arrival));
+        let turn = |(id, t): (&RequestId, &Request)| {
+            (t.over_share, dear(t), (1000.0 * t.read_by) as i64, *id)
+        };
         let awake = self
             .queue
             .awake
             .iter()
-            .filter_map(|id| self.tasks.get_key_value(id));
+            .filter_map(|id| self.requests.get_key_value(id));
         let turns: BTreeSet<_> = awake.map(turn).collect();
         turns.into_iter().map(|turn| turn.3).collect()
     }
 
-    fn plan(&mut self, task: &mut Task) {
-        (task.want, task.want_cancel, task.look_at) = (Want::Rest, false, self.now);
-        (task.want_confirm, task.want_release_in_doubt) = (false, false);
-        if task.over {
-            task.want_cancel = task.out.as_ref().is_some_and(|o| !o.streaming);
-            task.want_release = task.out.is_none() && task.state.is_some();
+    fn plan(&mut self, request: &mut Request) {
+        (request.want, request.want_cancel, request.look_at) = (Want::Rest, false, self.now);
+        (request.want_confirm, request.want_release_in_doubt) = (false, false);
+        if request.over {
+            request.want_cancel = request.out.as_ref().is_some_and(|o| !o.streaming);
+            request.want_release = request.out.is_none() && request.state.is_some();
             if !self.settings.may_cancel {
-                self.plan_delivery(task);
+                self.plan_delivery(request);
             }
             return;
         }
-        if task.out.as_ref().is_some_and(|o| o.streaming) {
+        if request.out.as_ref().is_some_and(|o| o.streaming) {
             return;
         }
-        // Guards against a jam that feeds on itself: readers busy with tasks whose time has passed make the
+        // Guards against a jam that feeds on itself: readers busy with requests whose time has passed make the
         // next ones late too. What no reader has taken by then is bounced, while a bounce is harmless.
-        let held = task.out.is_none() && task.state.is_none();
+        let held = request.out.is_none() && request.state.is_none();
         let ends = if held {
-            task.ends.min(task.read_by)
+            request.ends.min(request.read_by)
         } else {
-            task.ends
+            request.ends
         };
-        let barred = task
+        let barred = request
             .may_have_run
-            .is_some_and(|(first, _)| !self.may_go_to(task, first));
-        if self.now >= ends || task.out.is_none() && barred {
-            return self.give_up(task);
+            .is_some_and(|(first, _)| !self.may_go_to(request, first));
+        if self.now >= ends || request.out.is_none() && barred {
+            return self.give_up(request);
         }
         self.wake_at(ends);
-        if let Some(out) = task.out.as_mut() {
+        if let Some(out) = request.out.as_mut() {
             // Evidence before the outcome: what is late has queued; the host may never answer.
-            let late_at = out.sent + QUEUED * task.allowed;
+            let late_at = out.sent + QUEUED * request.allowed;
             if self.now < late_at {
                 self.wake_at(late_at);
             } else if !out.late {
                 out.late = true;
                 self.hosts.learn_limit(out.slot, out.sent, true, self.now);
             }
-            return self.plan_delivery(task);
+            return self.plan_delivery(request);
         }
-        let left = self.settings.max_launches.saturating_sub(task.launches);
+        let left = self.settings.max_launches.saturating_sub(request.launches);
         // A state whose reader is gone is read again, and let go in case the list is wrong.
-        task.want_release = task
+        request.want_release = request
             .state
             .is_some_and(|s| self.hosts.listed[s].condition == Condition::Gone);
         let look_again = (RETRY_SHARE * self.settings.release).max(self.settings.tick);
-        let lies = self.now + look_again - task.idle_since > HOLD_SHARE * self.settings.release;
-        let target = match task.state.filter(|_| !task.want_release) {
-            _ if left == 0 => return self.give_up(task),
-            Some(_) if lies => return self.give_up(task),
-            Some(reader) => self.choose_writer(task, reader),
-            None if left < 2 => return self.give_up(task),
+        let lies = self.now + look_again - request.idle_since > HOLD_SHARE * self.settings.release;
+        let target = match request.state.filter(|_| !request.want_release) {
+            _ if left == 0 => return self.give_up(request),
+            Some(_) if lies => return self.give_up(request),
+            Some(reader) => self.choose_writer(request, reader),
+            None if left < 2 => return self.give_up(request),
             None if !self.writers_have_room() => None,
-            None if self.look(task) => None,
-            None => self.choose_reader(task),
+            None if self.look(request) => None,
+            None => self.choose_reader(request),
         };
         if let Some(slot) = target {
-            task.want = Want::Launch(slot);
-            if task.state.is_none() {
+            request.want = Want::Launch(slot);
+            if request.state.is_none() {
                 // The writers of its cell are asked during the read, for the choice at its end.
                 let near = |w: &Slot| self.nearness(slot, *w) >= 1.0 - TAU;
-                let near: Vec<Slot> = self.pool(task, false).into_iter().filter(near).collect();
+                let near: Vec<Slot> = self.pool(request, false).into_iter().filter(near).collect();
                 self.ask(&near);
             }
             return;
         }
-        // Guards against a jam of held tasks that takes all the processor's time: they are not planned at
+        // Guards against a jam of held requests that takes all the processor's time: they are not planned at
         // every step.
-        if task.state.is_none() && self.now >= task.idle_since + LOOK * self.quoted_least {
-            task.look_at = self.now + look_again;
+        if request.state.is_none() && self.now >= request.idle_since + LOOK * self.quoted_least {
+            request.look_at = self.now + look_again;
         }
         self.wake_at(self.now + look_again);
     }
 
-    /// The task ends here, its state let go at once or, as a launch still waits for it, with that launch's
+    /// The request ends here, its state let go at once or, as a launch still waits for it, with that launch's
     /// outcome: a bounce where a retry is sure to do no harm, else a write-off.
-    fn give_up(&self, task: &mut Task) {
-        let out_at_writer = task.out.as_ref().is_some_and(|o| !self.hosts.only_reads(o));
-        let may_have_run = task.may_have_run.is_some() || out_at_writer;
-        let harmless = match self.effect(task) {
+    fn give_up(&self, request: &mut Request) {
+        let out_at_writer = request
+            .out
+            .as_ref()
+            .is_some_and(|o| !self.hosts.only_reads(o));
+        let may_have_run = request.may_have_run.is_some() || out_at_writer;
+        let harmless = match self.effect(request) {
             Effect::Reissuable => true,
             Effect::Numbered { group, .. } => !may_have_run || group == Group::All,
             Effect::AtMostOnce => !may_have_run,
         };
-        task.want = if harmless {
+        request.want = if harmless {
             Want::Bounce
         } else {
             Want::WriteOff
         };
-        task.want_cancel = task.out.is_some();
-        task.want_release = task.out.is_none() && task.state.is_some();
+        request.want_cancel = request.out.is_some();
+        request.want_release = request.out.is_none() && request.state.is_some();
     }
 
-    fn effect(&self, task: &Task) -> Effect {
-        self.profiles[task.arrival.profile.0 as usize].effect
+    fn effect(&self, request: &Request) -> Effect {
+        self.profiles[request.arrival.profile.0 as usize].effect
     }
 
-    /// Whether a task may be sent there, if it may have run; it may run again at all where it ran first.
-    fn may_go_to(&self, task: &Task, slot: Slot) -> bool {
-        let Some((first, at)) = task.may_have_run else {
+    /// Whether a request may be sent there, if it may have run; it may run again at all where it ran first.
+    fn may_go_to(&self, request: &Request, slot: Slot) -> bool {
+        let Some((first, at)) = request.may_have_run else {
             return true;
         };
         let [a, b] = [first, slot].map(|s| &self.hosts.listed[s]);
-        match self.effect(task) {
+        match self.effect(request) {
             Effect::Reissuable => true,
             Effect::Numbered { window, .. } if self.now >= at + window => false,
             Effect::Numbered {
@@ -614,9 +620,9 @@
     }
 
     /// Whether to wait for probes before a read: the home and the session's next are asked.
-    fn look(&mut self, task: &Task) -> bool {
-        let until = task.idle_since + LOOK * self.quoted_least;
-        let mut homes = self.homes(&task.arrival, &self.pool(task, true));
+    fn look(&mut self, request: &Request) -> bool {
+        let until = request.idle_since + LOOK * self.quoted_least;
+        let mut homes = self.homes(&request.arrival, &self.pool(request, true));
         homes.truncate(2);
         let out = self.now < until && self.ask(&homes);
         if out {
@@ -647,9 +653,9 @@
 
     /// The reads' rule: the home that the hash names, unless too much waits there; then the next of its few
     /// where less does.
-    fn choose_reader(&self, task: &Task) -> Option<Slot> {
-        let pool = self.pool(task, true);
-        let arrival = &task.arrival;
+    fn choose_reader(&self, request: &Request) -> Option<Slot> {
+        let pool = self.pool(request, true);
+        let arrival = &request.arrival;
         let homes = self.homes(arrival, &pool);
         let home = *homes.first()?;
         // What is known of few must not hide the home's queue: it is held against the others.
@@ -668,7 +674,7 @@
         }
         // Guards against a jam by scattered reads: elsewhere they cost more and push out what is kept there.
         // Reads leave their home (too much waits, or no room) only while the readers together have room to
-        // spare, or for one that has kept most of the text; else the task is held for its home.
+        // spare, or for one that has kept most of the text; else the request is held for its home.
         let reads = pool.iter().map(|&s| self.hosts.reads[s]).sum::<f64>();
         let spare = reads < SPARE * pool.iter().map(|&s| self.hosts.limit[s]).sum::<f64>();
         let kept = |s: Slot| self.hosts.unread(s, arrival) < SPARE * arrival.prompt_tokens;
@@ -678,8 +684,8 @@
     }
 
     /// The mechanism: nearness first, within the band the fewest in flight, skipping those above average.
-    fn choose_writer(&mut self, task: &Task, reader: Slot) -> Option<Slot> {
-        let pool = self.pool(task, false);
+    fn choose_writer(&mut self, request: &Request, reader: Slot) -> Option<Slot> {
+        let pool = self.pool(request, false);
         let best = pool
             .iter()
             .map(|&s| self.nearness(reader, s))
@@ -724,17 +730,17 @@
         (f64::from(u8::from(a.cell == b.cell)) + f64::from(u8::from(a.zone == b.zone))) / 2.0
     }
 
-    /// Hosts of a role that may take this task now; none means that it is held. Drains and cold budgets are
+    /// Hosts of a role that may take this request now; none means that it is held. Drains and cold budgets are
     /// never set aside. Judged hosts come in only when every host of the role is judged, not when the others
     /// are merely busy: a host that fails fast always looks as if it had room.
-    fn pool(&self, task: &Task, reading: bool) -> Vec<Slot> {
+    fn pool(&self, request: &Request, reading: bool) -> Vec<Slot> {
         let ready: Vec<Slot> = self.hosts.ready(reading).collect();
         let sum: f64 = ready.iter().map(|&s| self.hosts.success(s)).sum();
         let peers = sum / ready.len().max(1) as f64;
         let share = self.cold_share(reading);
         let (well, sick): (Vec<Slot>, Vec<Slot>) =
             ready.iter().partition(|&&s| !self.hosts.is_sick(s, peers));
-        let harmless = reading || self.effect(task) == Effect::Reissuable;
+        let harmless = reading || self.effect(request) == Effect::Reissuable;
         let trials = sick
             .iter()
             .filter(|&&s| harmless && self.now >= self.hosts.trial_at[s]);
@@ -744,14 +750,14 @@
             [well, trials.copied().collect()].concat()
         };
         let open = |s: &Slot| {
-            let allowed = self.may_go_to(task, *s) && self.cold_room(*s, share);
+            let allowed = self.may_go_to(request, *s) && self.cold_room(*s, share);
             allowed && self.now >= self.hosts.full_until[*s]
         };
         let open: Vec<Slot> = judged.into_iter().filter(open).collect();
         let taken = &self.hosts.reported_load;
         let mean = self.hosts.mean(false, taken, Slot::MAX);
         let loaded = |s: Slot| self.hosts.aged(s, self.now, taken, mean) > (1.0 + mean) / 2.0;
-        let fit = |s: &Slot| (reading || self.hosts.has_room(*s)) && !task.tried.contains(s);
+        let fit = |s: &Slot| (reading || self.hosts.has_room(*s)) && !request.tried.contains(s);
         let fit: Vec<Slot> = open.iter().copied().filter(fit).collect();
         let light: Vec<Slot> = fit
             .iter()
@@ -812,7 +818,7 @@
         let (cold, warm): (Vec<Slot>, Vec<Slot>) =
             self.hosts.ready(reading).partition(|&s| self.is_cold(s));
         let open = warm.len() as f64 + cold.len() as f64 * share(usual).min(1.0);
-        // Whoever asks has a task itself: that one tells nothing.
+        // Whoever asks has a request itself: that one tells nothing.
         let since = self.now - self.settings.fall_window;
         let others = self
             .arrived
@@ -854,51 +860,51 @@
         room >= self.queue.coming as f64 + 1.0
     }
 
-    /// The only place that acts on a task: brings the present state to the wanted one.
-    fn emit(&mut self, id: TaskId, task: &mut Task, actions: &mut Vec<Action>) {
-        if task.want_cancel && self.settings.may_cancel {
-            if let Some(out) = task.out.as_mut().filter(|o| !o.cancelled) {
+    /// The only place that acts on a request: brings the present state to the wanted one.
+    fn emit(&mut self, id: RequestId, request: &mut Request, actions: &mut Vec<Action>) {
+        if request.want_cancel && self.settings.may_cancel {
+            if let Some(out) = request.out.as_mut().filter(|o| !o.cancelled) {
                 actions.push(Action::Cancel {
-                    task: id,
+                    request: id,
                     launch: out.launch,
                 });
                 out.cancelled = true;
             }
         }
-        if let Some(out) = task.out.as_ref().filter(|_| task.want_confirm) {
+        if let Some(out) = request.out.as_ref().filter(|_| request.want_confirm) {
             actions.push(Action::Confirm {
-                task: id,
+                request: id,
                 launch: out.launch,
             });
         }
-        if task.want_release_in_doubt {
-            actions.push(Action::ReleaseInDoubt { task: id });
+        if request.want_release_in_doubt {
+            actions.push(Action::ReleaseInDoubt { request: id });
         }
-        if task.want_release {
-            actions.push(Action::Release { task: id });
-            task.state = None;
-            task.want_release = false;
+        if request.want_release {
+            actions.push(Action::Release { request: id });
+            request.state = None;
+            request.want_release = false;
         }
-        match task.want {
+        match request.want {
             Want::Rest => {}
             Want::Launch(slot) => {
-                let reading = task.state.is_none();
+                let reading = request.state.is_none();
                 let host = self.hosts.listed[slot].host.clone();
                 actions.push(Action::Launch {
-                    task: id,
+                    request: id,
                     host,
-                    until: Some(task.ends),
+                    until: Some(request.ends),
                 });
                 let tokens = if reading {
-                    self.hosts.unread(slot, &task.arrival)
+                    self.hosts.unread(slot, &request.arrival)
                 } else {
                     0.0
                 };
-                let (launch, sent) = (LaunchNo(task.launches), self.now);
+                let (launch, sent) = (LaunchNo(request.launches), self.now);
                 let delivery = if reading {
                     Delivery::Confirmed
                 } else {
-                    self.delivery_of(task)
+                    self.delivery_of(request)
                 };
                 let out = Out {
                     launch,
@@ -914,9 +920,9 @@
                 self.hosts.sends[slot].retain(|&at| at > since);
                 self.hosts.sends[slot].push_back(self.now);
                 self.hosts.trial_at[slot] = self.now + self.settings.fall_window;
-                task.out = Some(out);
-                self.wake_at(self.now + QUEUED * task.allowed);
-                task.launches += 1;
+                request.out = Some(out);
+                self.wake_at(self.now + QUEUED * request.allowed);
+                request.launches += 1;
             }
             Want::Bounce => {
                 let wait = self
@@ -924,13 +930,13 @@
                     .clients_hear_retry
                     .then_some(self.settings.release);
                 actions.push(Action::Bounce {
-                    task: id,
+                    request: id,
                     retry_after: wait,
                 });
             }
-            Want::WriteOff => actions.push(Action::WriteOff { task: id }),
+            Want::WriteOff => actions.push(Action::WriteOff { request: id }),
         }
-        task.over |= matches!(task.want, Want::Bounce | Want::WriteOff);
+        request.over |= matches!(request.want, Want::Bounce | Want::WriteOff);
     }
 
     fn emit_timer(&mut self, actions: &mut Vec<Action>) {
@@ -947,7 +953,7 @@
     }
 }
 
-impl Task {
+impl Request {
     /// One if it is being read, in good time so far: the writers will be wanted for it.
     fn coming(&self) -> usize {
         usize::from(self.out.as_ref().is_some_and(|o| o.reading && !o.late))
@@ -972,15 +978,15 @@
     }
 }
 
-/// Which tasks a step has to look at. A new task, one that waits for probes and one whose state waits are
+/// Which requests a step has to look at. A new request, one that waits for probes and one whose state waits are
 /// awake at every step. One that is held, or whose launch is out, changes with an event of its own or when
 /// its time comes; one that streams, or is over, only with an event. So a step costs by what comes, not by
 /// what waits or lives.
 #[derive(Default)]
 struct Turns {
-    awake: BTreeSet<TaskId>,
-    due: BTreeSet<(Due, TaskId)>,
-    due_of: BTreeMap<TaskId, Due>,
+    awake: BTreeSet<RequestId>,
+    due: BTreeSet<(Due, RequestId)>,
+    due_of: BTreeMap<RequestId, Due>,
     /// Tasks being read, in good time so far.
     coming: usize,
 }
@@ -991,25 +997,25 @@
         self.awake.extend(due.map(|(_, id)| *id));
     }
 
-    fn settle(&mut self, id: TaskId, task: &Task, now: Ms) {
+    fn settle(&mut self, id: RequestId, request: &Request, now: Ms) {
         if let Some(due) = self.due_of.remove(&id) {
             self.due.remove(&(due, id));
         }
-        let held = task.out.is_none() && task.look_at > now;
-        if task.over || task.out.is_some() || held {
+        let held = request.out.is_none() && request.look_at > now;
+        if request.over || request.out.is_some() || held {
             self.awake.remove(&id);
         }
-        let waiting = task.out.as_ref().filter(|out| !out.streaming);
-        let late_at = waiting.map(|out| out.sent + QUEUED * task.allowed);
+        let waiting = request.out.as_ref().filter(|out| !out.streaming);
+        let late_at = waiting.map(|out| out.sent + QUEUED * request.allowed);
         let confirm_at = waiting
             .and_then(|out| out.delivery.next_at())
             .unwrap_or(f64::INFINITY);
         let due = match late_at {
-            _ if task.over && confirm_at == f64::INFINITY => return,
-            _ if task.over => confirm_at,
-            Some(late_at) if now < late_at => late_at.min(task.ends).min(confirm_at),
-            Some(_) => task.ends.min(confirm_at),
-            None if held => task.look_at.min(task.read_by).min(task.ends),
+            _ if request.over && confirm_at == f64::INFINITY => return,
+            _ if request.over => confirm_at,
+            Some(late_at) if now < late_at => late_at.min(request.ends).min(confirm_at),
+            Some(_) => request.ends.min(confirm_at),
+            None if held => request.look_at.min(request.read_by).min(request.ends),
             None => return,
         };
         self.due.insert((Due(due), id));
@@ -1142,7 +1148,7 @@
         (seen * self.reading[slot]).max(self.aged(slot, now, &self.reported_tokens, mean))
     }
 
-    /// Guards against queues at hosts, where tasks grow late and push out kept texts: a limit of what is out,
+    /// Guards against queues at hosts, where requests grow late and push out kept texts: a limit of what is out,
     /// one more for each limit's worth done in time, a cut for one that queued, once for all that were out.
     fn learn_limit(&mut self, slot: Slot, sent: Ms, queued: bool, now: Ms) {
         let out = self.reads[slot] + self.streams[slot];
@@ -1165,23 +1171,23 @@
     }
 
     /// Tokens of a prompt that a reader would have to read, by what we saw it read lately.
-    fn unread(&self, slot: Slot, task: &Arrival) -> f64 {
-        let mine = |b: &u64| *b == task.session.0 || task.shared.is_some_and(|t| *b == t.0);
+    fn unread(&self, slot: Slot, request: &Arrival) -> f64 {
+        let mine = |b: &u64| *b == request.session.0 || request.shared.is_some_and(|t| *b == t.0);
         let kept = self.kept[slot]
             .iter()
             .filter(|(b, _)| mine(b))
             .map(|(_, t)| *t)
             .fold(0.0, f64::max);
-        (task.prompt_tokens - kept).max(0.0)
+        (request.prompt_tokens - kept).max(0.0)
     }
 
     /// After a read its whole prompt is kept.
-    fn note_kept(&mut self, slot: Slot, task: &Arrival) {
+    fn note_kept(&mut self, slot: Slot, request: &Arrival) {
         let kept = &mut self.kept[slot];
-        let shared = task.shared.map(|t| (t.0, task.shared_tokens));
+        let shared = request.shared.map(|t| (t.0, request.shared_tokens));
         for entry in shared
             .into_iter()
-            .chain([(task.session.0, task.prompt_tokens)])
+            .chain([(request.session.0, request.prompt_tokens)])
         {
             kept.retain(|(b, _)| *b != entry.0);
             kept.push_back(entry);
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -9,8 +9,8 @@
 //!
 //! Only where the caller can tell of deliveries ([`Control::track_deliveries`]); elsewhere what is sent counts as out.
 
-use super::{Control, Out, Slot, Task, RETRY_SHARE};
-use crate::interface::{LaunchNo, Ms, Outcome, TaskId};
+use super::{Control, Out, Request, Slot, RETRY_SHARE};
+use crate::interface::{LaunchNo, Ms, Outcome, RequestId};
 
 /// Shares of the release time. After the first of them without an answer the engine is asked for a sign, and again after
 /// each second one: on an open connection the answer takes a round trip, on a new one three.
@@ -81,48 +81,51 @@
     }
 
     /// What is known of the delivery of a decode attempt that is sent now.
-    pub(super) fn delivery_of(&self, task: &Task) -> Delivery {
+    pub(super) fn delivery_of(&self, request: &Request) -> Delivery {
         if !self.tracks_deliveries {
             return Delivery::Confirmed;
         }
         let release = self.settings.release;
         let usual = self.now + ASK_AFTER * release;
         let ask_at = usual
-            .min(task.idle_since + (GIVE_UP_AT - SECOND_WAIT) * release)
+            .min(request.idle_since + (GIVE_UP_AT - SECOND_WAIT) * release)
             .max(self.now);
         let give_up_at =
-            (task.idle_since + GIVE_UP_AT * release).max(ask_at + SECOND_WAIT * release);
+            (request.idle_since + GIVE_UP_AT * release).max(ask_at + SECOND_WAIT * release);
         Delivery::Unconfirmed { ask_at, give_up_at }
     }
 
-    pub(super) fn learn_delivery(&mut self, id: TaskId, launch: LaunchNo) {
-        let Some(task) = self.tasks.get_mut(&id) else {
+    pub(super) fn learn_delivery(&mut self, id: RequestId, launch: LaunchNo) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(out) = task.out.as_mut().filter(|out| out.launch == launch) else {
+        let Some(out) = request.out.as_mut().filter(|out| out.launch == launch) else {
             return;
         };
         if matches!(out.delivery, Delivery::Unconfirmed { .. }) {
-            let release_at = (task.idle_since + RELEASE_AT * self.settings.release).max(self.now);
+            let release_at =
+                (request.idle_since + RELEASE_AT * self.settings.release).max(self.now);
             out.delivery = Delivery::EngineRuns { release_at };
             self.queue.awake.insert(id);
         }
     }
 
     /// Plans for an attempt that is out: asks its engine for a sign, or gives it up where none came in time.
-    pub(super) fn plan_delivery(&mut self, task: &mut Task) {
-        let Some(out) = task.out.as_mut() else { return };
+    pub(super) fn plan_delivery(&mut self, request: &mut Request) {
+        let Some(out) = request.out.as_mut() else {
+            return;
+        };
         if let Delivery::EngineRuns { release_at } = out.delivery {
-            return self.plan_unanswered(task, release_at);
+            return self.plan_unanswered(request, release_at);
         }
         let Delivery::Unconfirmed { ask_at, give_up_at } = &mut out.delivery else {
             return;
         };
         if self.now >= *give_up_at {
-            return self.plan_undelivered(task);
+            return self.plan_undelivered(request);
         }
         if self.now >= *ask_at {
-            task.want_confirm = true;
+            request.want_confirm = true;
             *ask_at = self.now + ASK_AGAIN * self.settings.release;
         }
         let next = ask_at.min(*give_up_at);
@@ -132,49 +135,51 @@
     /// An attempt of which nothing has come, at an engine that runs. By the platform's wire page a release lets go of what no
     /// attempt waits for, so it takes nothing from one that is in the queue; by the other page it does, and that one finds
     /// no state and is turned away, which proves that it has not run.
-    fn plan_unanswered(&mut self, task: &mut Task, release_at: Ms) {
+    fn plan_unanswered(&mut self, request: &mut Request, release_at: Ms) {
         if self.now < release_at {
             return self.wake_at(release_at);
         }
-        if let Some(out) = task.out.as_mut() {
+        if let Some(out) = request.out.as_mut() {
             out.delivery = Delivery::Confirmed;
         }
-        task.want_release_in_doubt = task.state.is_some();
+        request.want_release_in_doubt = request.state.is_some();
     }
 
     /// An attempt that has not arrived: another engine takes its state, if the request may run there and one is to be
     /// had in time; else the state is released, and the attempt, should it arrive after all, finds none.
-    fn plan_undelivered(&mut self, task: &mut Task) {
-        let Some(out) = task.out.as_mut() else { return };
+    fn plan_undelivered(&mut self, request: &mut Request) {
+        let Some(out) = request.out.as_mut() else {
+            return;
+        };
         out.delivery = Delivery::GivenUp;
         let (slot, sent) = (out.slot, out.sent);
         self.hosts.judge(slot, false);
         // Guards against a run of requests that all wait for the same silent engine.
         self.hosts.full_until[slot] = self.now + self.settings.release;
-        task.tried.push(slot);
+        request.tried.push(slot);
         let may_cancel = self.settings.may_cancel;
-        let goes_elsewhere = may_cancel && self.has_other_engine(task, slot, sent);
+        let goes_elsewhere = may_cancel && self.has_other_engine(request, slot, sent);
         // A repeat that arrived long after would be one that engines do not recognise any more.
-        let is_repeat = task.may_have_run.is_some();
-        task.want_cancel = goes_elsewhere || may_cancel && is_repeat;
-        task.want_release = task.state.is_some() && !goes_elsewhere;
+        let is_repeat = request.may_have_run.is_some();
+        request.want_cancel = goes_elsewhere || may_cancel && is_repeat;
+        request.want_release = request.state.is_some() && !goes_elsewhere;
     }
 
-    fn has_other_engine(&mut self, task: &mut Task, silent: Slot, sent: Ms) -> bool {
-        let Some(prefilled_at) = task.state else {
+    fn has_other_engine(&mut self, request: &mut Request, silent: Slot, sent: Ms) -> bool {
+        let Some(prefilled_at) = request.state else {
             return false;
         };
-        let in_time = !task.over
-            && self.now - task.idle_since <= LAST_ATTEMPT_AT * self.settings.release
-            && self.now < task.ends - RETRY_SHARE * self.settings.release;
-        if !in_time || task.launches >= self.settings.max_launches {
+        let in_time = !request.over
+            && self.now - request.idle_since <= LAST_ATTEMPT_AT * self.settings.release
+            && self.now < request.ends - RETRY_SHARE * self.settings.release;
+        if !in_time || request.launches >= self.settings.max_launches {
             return false;
         }
         // The one that is given up may run yet.
-        let known = task.may_have_run;
-        task.may_have_run.get_or_insert((silent, sent));
-        let other = self.choose_writer(task, prefilled_at);
-        task.may_have_run = known;
+        let known = request.may_have_run;
+        request.may_have_run.get_or_insert((silent, sent));
+        let other = self.choose_writer(request, prefilled_at);
+        request.may_have_run = known;
         other.is_some_and(|slot| slot != silent)
     }
 }
--- a/src/fleet/rollcall.rs
+++ b/src/fleet/rollcall.rs
@@ -32,7 +32,7 @@
     pub host: Name,
     /// What is used of it, 0 to 1, and how old that is.
     pub used: Option<(f64, Ms)>,
-    /// What became of tasks there since the last report by this dispatcher.
+    /// What became of requests there since the last report by this dispatcher.
     pub tally: Tally,
 }
 
--- a/src/fleet/signs.rs
+++ b/src/fleet/signs.rs
@@ -1,4 +1,4 @@
-//! Whether those that turned do worse than those that did not: what became of the tasks that each answered, and how
+//! Whether those that turned do worse than those that did not: what became of the requests that each answered, and how
 //! often each fell by itself. Compared within short slices of time, so that a burst, which meets both, is no sign (in the
 //! manner of Mantel and Haenszel, 1959); with enough cases, over enough members, and more than once in a row.
 
@@ -10,7 +10,7 @@
 /// Tasks of those that turned before anything is said of them, and harmed ones among them.
 const LEAST_CASES: u64 = 40;
 const LEAST_HARMED: u64 = 8;
-/// The part of tasks harmed has to be higher by this at least, and so many standard errors.
+/// The part of requests harmed has to be higher by this at least, and so many standard errors.
 const MARGIN: f64 = 0.03;
 const ERRORS: f64 = 4.0;
 /// It has to be higher than at this part of the others, each with so many cases.
@@ -25,7 +25,7 @@
 /// A slice is at least so long: what is heard of members is up to a beat old, more of a large fleet.
 const SLICE: Ms = 1_000.0;
 
-/// A group's tasks.
+/// A group's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Group {
     cases: u64,
@@ -63,7 +63,7 @@
 
 impl Sum {
     fn add(&mut self, with: Group, without: Group) {
-        // Nothing can be said of a time in which one side had no tasks.
+        // Nothing can be said of a time in which one side had no requests.
         if with.cases == 0 || without.cases == 0 {
             return;
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -6,19 +6,19 @@
 /// Milliseconds with fractions; instants are on the caller's clock, whose zero means nothing.
 pub type Ms = f64;
 
-/// A task, as its dispatcher numbers it; never used twice.
+/// A request, as its dispatcher numbers it; never used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TaskId(pub u32);
+pub struct RequestId(pub u32);
 /// A model host's lasting name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostId(pub Arc<str>);
-/// A session: one client's row of tasks.
+/// A session: one client's row of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 /// A beginning that prompts of several sessions share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SharedTextId(pub u64);
-/// The launches of one task count from 0.
+/// The launches of one request count from 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LaunchNo(pub u32);
 /// A zone, by its place in the settings.
@@ -51,7 +51,7 @@
     Both,
 }
 
-/// The model hosts that recognise a numbered task's repeat.
+/// The model hosts that recognise a numbered request's repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -59,7 +59,7 @@
     Cell,
 }
 
-/// Whether a task that may have run may run again.
+/// Whether a request that may have run may run again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     Reissuable,
@@ -80,7 +80,7 @@
     pub streams: bool,
 }
 
-/// One tenant's settings: tasks a second within its share, over all dispatchers.
+/// One tenant's settings: requests a second within its share, over all dispatchers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
     pub allowance_per_s: f64,
@@ -184,10 +184,10 @@
     ReadDone,
 }
 
-/// A task as it arrives.
+/// A request as it arrives.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arrival {
-    pub task: TaskId,
+    pub request: RequestId,
     pub profile: ProfileId,
     pub tenant: Option<TenantId>,
     pub session: SessionId,
@@ -210,10 +210,10 @@
     Arrived(Arrival),
     /// The client left; nothing more is owed.
     Left {
-        task: TaskId,
+        request: RequestId,
     },
     FirstToken {
-        task: TaskId,
+        request: RequestId,
         launch: LaunchNo,
         host: HostId,
         latency: Ms,
@@ -221,11 +221,11 @@
     Ended(Ended),
     /// Where deliveries are tracked: the attempt has reached a host that runs, which has shown so since.
     Delivered {
-        task: TaskId,
+        request: RequestId,
         launch: LaunchNo,
     },
     Place {
-        task: TaskId,
+        request: RequestId,
         launch: LaunchNo,
         host: HostId,
         held: bool,
@@ -248,12 +248,12 @@
 /// The end of a launch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
-    pub task: TaskId,
+    pub request: RequestId,
     pub launch: LaunchNo,
     pub host: HostId,
     pub outcome: Outcome,
     pub latency: Ms,
-    /// The task is finished, by this outcome or before it.
+    /// The request is finished, by this outcome or before it.
     pub last: bool,
     /// After a read: prompt tokens found kept. After 'full': 1 if there was no state to fetch.
     pub detail: f64,
@@ -263,40 +263,40 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Launch {
-        task: TaskId,
+        request: RequestId,
         host: HostId,
         until: Option<Ms>,
     },
     Cancel {
-        task: TaskId,
+        request: RequestId,
         launch: LaunchNo,
     },
     Bounce {
-        task: TaskId,
+        request: RequestId,
         retry_after: Option<Ms>,
     },
     WriteOff {
-        task: TaskId,
+        request: RequestId,
     },
-    /// Lets go of what is held for a task, also while a launch is out that is taken for one that has not arrived.
+    /// Lets go of what is held for a request, also while a launch is out that is taken for one that has not arrived.
     Release {
-        task: TaskId,
+        request: RequestId,
     },
     /// Asks for a sign that the launch's host runs; `Event::Delivered` tells of one.
     Confirm {
-        task: TaskId,
+        request: RequestId,
         launch: LaunchNo,
     },
-    /// Lets go of what is held for a task, unless its attempt that is out waits for it.
+    /// Lets go of what is held for a request, unless its attempt that is out waits for it.
     ReleaseInDoubt {
-        task: TaskId,
+        request: RequestId,
     },
     HoldAhead {
-        task: TaskId,
+        request: RequestId,
         host: HostId,
     },
     Move {
-        task: TaskId,
+        request: RequestId,
     },
     Arm {
         delay: Ms,
--- a/src/single.rs
+++ b/src/single.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher decides about a client's connection that carries one task at a time: when it is closed
+//! What a dispatcher decides about a client's connection that carries one request at a time: when it is closed
 //! for saying nothing, for being slow with a request, or for resting too long, and which one makes room when
 //! there may be no more.
 //!
@@ -40,7 +40,7 @@
 /// One client's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Single {
-    /// None while its task is open.
+    /// None while its request is open.
     phase: Option<Phase>,
     since: Ms,
     /// When the connection came, until its first request is whole.
@@ -117,7 +117,7 @@
 }
 
 /// Which connection makes room when there may be no more: one that has asked for nothing yet, else one that
-/// rests, else one whose request does not come; the longest so first. Never one with an open task. Guards
+/// rests, else one whose request does not come; the longest so first. Never one with an open request. Guards
 /// against clients that connect by hundreds and say nothing: those who ask still find a place.
 pub fn shed<I>(all: impl Iterator<Item = (I, Single)>) -> Option<I> {
     let may = all
--- a/src/status.rs
+++ b/src/status.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Whether a client may try the same task again without harm, by the status alone.
+/// Whether a client may try the same request again without harm, by the status alone.
 pub fn again_is_harmless(code: Code) -> bool {
     matches!(
         code,
--- a/tests/bounds.rs
+++ b/tests/bounds.rs
@@ -25,7 +25,7 @@
         allowed.most_clients * 3 >= 256,
         "a third of the descriptors is the clients'"
     );
-    assert!(allowed.most_tasks <= allowed.most_clients);
+    assert!(allowed.max_open_requests <= allowed.most_clients);
     assert!(allowed.most_bodies < 8_000_000 && allowed.link_idle < 15_000.0 / 2.0);
     assert_eq!(
         allowed.stop_moves, None,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -122,7 +122,7 @@
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     nexts: BTreeMap<u64, (usize, u32, Next)>,
     made: u64,
-    launches: BTreeMap<(usize, u32, TaskId), u32>,
+    launches: BTreeMap<(usize, u32, RequestId), u32>,
     /// Launches at new readers while they are cold.
     cold: BTreeMap<HostId, Vec<Ms>>,
     /// How long a reader takes for a read, and until when each is busy: what comes waits its turn.
@@ -165,10 +165,10 @@
     fn does(&mut self, now: Ms, who: usize, action: Action) {
         let load = Load::default();
         match action {
-            Action::Launch { task, host, .. } => {
+            Action::Launch { request, host, .. } => {
                 let count = self
                     .launches
-                    .entry((who, self.lives[who], task))
+                    .entry((who, self.lives[who], request))
                     .or_insert(0);
                 let launch = LaunchNo(*count);
                 *count += 1;
@@ -189,7 +189,7 @@
                 } else {
                     self.served += 1;
                     let first = Event::FirstToken {
-                        task,
+                        request,
                         launch,
                         host: host.clone(),
                         latency: 20.0,
@@ -199,7 +199,7 @@
                 };
                 let (latency, last, detail) = (took, !reading, 0.0);
                 let ended = Ended {
-                    task,
+                    request,
                     launch,
                     host,
                     outcome,
@@ -232,7 +232,7 @@
         let at: f64 = self.rng.generate();
         let beginning = (60.0_f64.powf(at)) as u64;
         Event::Arrived(Arrival {
-            task: TaskId(self.asked),
+            request: RequestId(self.asked),
             session: SessionId(self.rng.generate()),
             patience_left: 4000.0,
             shared: Some(SharedTextId(beginning)),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -87,9 +87,9 @@
     control
 }
 
-fn arrives(task: u32, session: u64) -> Event {
+fn arrives(request: u32, session: u64) -> Event {
     Event::Arrived(Arrival {
-        task: TaskId(task),
+        request: RequestId(request),
         session: SessionId(session),
         patience_left: 4000.0,
         shared: Some(SharedTextId(BEGINNING)),
@@ -115,7 +115,7 @@
     })
 }
 
-/// Where a task that comes at `now` is read, if a probe of a host ends as `says` has it; none: its answer is out.
+/// Where a request that comes at `now` is read, if a probe of a host ends as `says` has it; none: its answer is out.
 fn read_at(
     control: &mut Control,
     now: Ms,
@@ -151,7 +151,7 @@
     launched(&actions).expect("a task with room everywhere is read")
 }
 
-fn read_done(task: TaskId, host: HostId, last: bool) -> Event {
+fn read_done(request: RequestId, host: HostId, last: bool) -> Event {
     let (launch, load, outcome, latency, detail) = (
         LaunchNo(0),
         Load::default(),
@@ -160,7 +160,7 @@
         4000.0,
     );
     Event::Ended(Ended {
-        task,
+        request,
         launch,
         host,
         outcome,
@@ -179,10 +179,10 @@
 fn seasoned(me: u32) -> Control {
     let mut control = dispatcher(me);
     let host = read_at(&mut control, 1.0, 1, idle);
-    let task = TaskId(1);
+    let request = RequestId(1);
     control.step(
         210.0,
-        &[Event::Left { task }, read_done(task, host, true)],
+        &[Event::Left { request }, read_done(request, host, true)],
         &mut Vec::new(),
     );
     control
@@ -252,7 +252,7 @@
         actions.clear();
         control.step(
             2210.0,
-            &[read_done(TaskId(2000), host, false)],
+            &[read_done(RequestId(2000), host, false)],
             &mut actions,
         );
         launched(&actions).is_some_and(|to| &*to.0 == "cold")
@@ -260,8 +260,8 @@
     (0..DISPATCHERS).filter(|&me| taken(me)).count()
 }
 
-/// Each has a small part of a launch to give to a cold host, and seldom a task for it: what is drawn of that by the
-/// clock is mostly not there when a task is, and a host counted for less by its age loses each tie.
+/// Each has a small part of a launch to give to a cold host, and seldom a request for it: what is drawn of that by the
+/// clock is mostly not there when a request is, and a host counted for less by its age loses each tie.
 #[test]
 fn a_cold_writer_gets_its_part_of_the_streams_of_all_and_no_more() {
     let part = |warm: &[&str]| begun_cold(warm) as f64 / f64::from(DISPATCHERS);
@@ -279,16 +279,16 @@
 
 /// The busiest of hundreds, in a jam: what it holds may not take its part of a processor, or all that it took is lost.
 #[test]
-fn held_tasks_are_not_planned_at_every_step() {
+fn held_requests_are_not_planned_at_every_step() {
     let mut control = Control::new(settings(0), 7);
     let entries = vec![entry("r", 0, 0), entry("w", 1, 0)];
-    let tasks = (1..=300).map(|task| arrives(task, u64::from(task)));
+    let requests = (1..=300).map(|request| arrives(request, u64::from(request)));
     let first = [Event::Listed {
         kind: ListKind::Full,
         entries,
     }]
     .into_iter()
-    .chain(tasks)
+    .chain(requests)
     .collect::<Vec<_>>();
     control.step(0.0, &first, &mut Vec::new());
     control.step(50.0, &[], &mut Vec::new());
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -184,7 +184,7 @@
     nexts: BTreeMap<u64, Next>,
     made: u64,
     asked: Vec<Asked>,
-    attempts: BTreeMap<TaskId, u32>,
+    attempts: BTreeMap<RequestId, u32>,
     trouble: Trouble,
 }
 
@@ -347,7 +347,7 @@
         tokens: f64,
         (class, tenant): (usize, usize),
     ) {
-        let task = TaskId(self.asked.len() as u32);
+        let request = RequestId(self.asked.len() as u32);
         let end = Answer::Open;
         self.asked.push(Asked {
             class,
@@ -373,7 +373,7 @@
         }
         let dispatcher = (self.chance() * f64::from(DISPATCHERS)) as usize % DISPATCHERS as usize;
         let arrival = Arrival {
-            task,
+            request,
             profile: ProfileId(class as u32),
             tenant: Some(TenantId(tenant as u32)),
             session,
@@ -390,9 +390,11 @@
         self.dispatchers[dispatcher].step(now, &[event], &mut actions);
         for action in actions {
             match action {
-                Action::Launch { task, host, .. } => self.attempt(now, dispatcher, task, host),
-                Action::Bounce { task, .. } | Action::WriteOff { task } => {
-                    self.ends(task, Answer::Refused)
+                Action::Launch { request, host, .. } => {
+                    self.attempt(now, dispatcher, request, host)
+                }
+                Action::Bounce { request, .. } | Action::WriteOff { request } => {
+                    self.ends(request, Answer::Refused)
                 }
                 Action::Probe { host } => self.probe(now, dispatcher, host),
                 Action::Arm { delay, timer } => {
@@ -410,8 +412,8 @@
         }
     }
 
-    fn ends(&mut self, task: TaskId, end: Answer) {
-        let request = &mut self.asked[task.0 as usize];
+    fn ends(&mut self, request: RequestId, end: Answer) {
+        let request = &mut self.asked[request.0 as usize];
         if request.end == Answer::Open {
             request.end = end;
         }
@@ -428,11 +430,11 @@
         self.at(now + 2.0, Next::Hears { dispatcher, event });
     }
 
-    fn attempt(&mut self, now: Ms, dispatcher: usize, task: TaskId, host: HostId) {
-        let count = self.attempts.entry(task).or_insert(0);
+    fn attempt(&mut self, now: Ms, dispatcher: usize, request: RequestId, host: HostId) {
+        let count = self.attempts.entry(request).or_insert(0);
         let launch = LaunchNo(*count);
         *count += 1;
-        let (at, request) = (self.index[&host], self.asked[task.0 as usize].clone());
+        let (at, asked) = (self.index[&host], self.asked[request.0 as usize].clone());
         let engine = &mut self.engines[at];
         let cold = engine.is_cold(now);
         let full = if engine.reads {
@@ -447,11 +449,11 @@
             Does::Works if engine.reads => {
                 let kept = engine
                     .kept
-                    .insert(request.session, request.tokens)
+                    .insert(asked.session, asked.tokens)
                     .unwrap_or(0.0);
                 let speed = if cold { START_CAPACITY } else { 1.0 } * READ_PER_S / 1000.0;
                 engine.busy_until =
-                    engine.busy_until.max(now) + (request.tokens - kept).max(1.0) / speed;
+                    engine.busy_until.max(now) + (asked.tokens - kept).max(1.0) / speed;
                 engine.waiting += 1;
                 (Outcome::ReadDone, engine.busy_until - now, kept)
             }
@@ -465,7 +467,7 @@
             Outcome::ReadDone => self.at(now + took, Next::Leaves { engine: at }),
             Outcome::Fulfilled => {
                 let first = Event::FirstToken {
-                    task,
+                    request,
                     launch,
                     host: host.clone(),
                     latency: 20.0,
@@ -477,8 +479,8 @@
                         event: first,
                     },
                 );
-                if now + 20.0 < request.at + PATIENCE[request.class] {
-                    self.ends(task, Answer::Answered);
+                if now + 20.0 < asked.at + PATIENCE[asked.class] {
+                    self.ends(request, Answer::Answered);
                 }
                 self.at(now + took, Next::Leaves { engine: at });
             }
@@ -486,7 +488,7 @@
         }
         let last = outcome == Outcome::Fulfilled && !reads;
         let ended = Ended {
-            task,
+            request,
             launch,
             host,
             outcome,
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -1,5 +1,5 @@
 //! The lean step against the plain one: random events go to two modules, one of which is told before each
-//! step to plan every task. Their actions must be the same, in number, order and content.
+//! step to plan every request. Their actions must be the same, in number, order and content.
 
 use cindercleat::control::Control;
 use cindercleat::interface::*;
@@ -96,7 +96,7 @@
 /// A launch that is out.
 #[derive(Clone)]
 struct Out {
-    task: TaskId,
+    request: RequestId,
     launch: LaunchNo,
     host: HostId,
     first: bool,
@@ -106,7 +106,7 @@
 #[derive(Default)]
 struct World {
     now: Ms,
-    tasks: u32,
+    requests: u32,
     launches: Vec<u32>,
     out: Vec<Out>,
     timers: Vec<(Ms, TimerId)>,
@@ -127,10 +127,10 @@
         let pick = |n: usize| usize::from(whom) % n.max(1);
         match what % 16 {
             0..=5 => {
-                self.tasks += 1;
+                self.requests += 1;
                 self.launches.push(0);
                 events.push(Event::Arrived(Arrival {
-                    task: TaskId(self.tasks - 1),
+                    request: RequestId(self.requests - 1),
                     profile: ProfileId(u32::from(whom) % 3),
                     tenant: (whom % 5 < 2).then_some(TenantId(u32::from(whom) % 2)),
                     session: SessionId(u64::from(whom % 11)),
@@ -143,7 +143,7 @@
                 }));
             }
             6 => events.push(Event::Left {
-                task: TaskId(pick(self.tasks as usize) as u32),
+                request: RequestId(pick(self.requests as usize) as u32),
             }),
             7 => {
                 let condition = [Condition::Ready, Condition::Draining, Condition::Gone]
@@ -176,7 +176,7 @@
                 }
             }
             9 => events.push(Event::FirstToken {
-                task: TaskId(u32::from(whom)),
+                request: RequestId(u32::from(whom)),
                 launch: LaunchNo(0),
                 host: host(0),
                 latency: 1.0,
@@ -185,7 +185,7 @@
             kind => {
                 let at = pick(self.out.len());
                 let Out {
-                    task,
+                    request,
                     launch,
                     host,
                     first,
@@ -196,7 +196,7 @@
                 if !reader && !first && kind < 13 {
                     self.out[at].first = true;
                     events.push(Event::FirstToken {
-                        task,
+                        request,
                         launch,
                         host,
                         latency,
@@ -217,7 +217,7 @@
                     let detail = f64::from(u8::from(outcome == Outcome::Full && whom % 3 == 0));
                     let load = Load::default();
                     let end = Ended {
-                        task,
+                        request,
                         launch,
                         host,
                         outcome,
@@ -236,11 +236,11 @@
     fn carry_out(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Launch { task, host, .. } => {
-                    let launch = LaunchNo(self.launches[task.0 as usize]);
-                    self.launches[task.0 as usize] += 1;
+                Action::Launch { request, host, .. } => {
+                    let launch = LaunchNo(self.launches[request.0 as usize]);
+                    self.launches[request.0 as usize] += 1;
                     let out = Out {
-                        task: *task,
+                        request: *request,
                         launch,
                         host: host.clone(),
                         first: false,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -4,7 +4,7 @@
 //! `list KIND NAME:ROLE:ZONE:CELL[:CONDITION[:STARTED]] ...` tells of model hosts, ROLE being `r`, `w` or `b`.
 //! `probed HOST SLOTS_USED QUEUE MEMORY` is the answer to a probe of that host.
 //! `at T` goes to the instant T, firing due timers on the way, and opens a batch of events:
-//! `task ID PROFILE PATIENCE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID HOST`,
+//! `request ID PROFILE PATIENCE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID HOST`,
 //! `end ID HOST OUTCOME [last] [none] [x1=K]`, `left ID`, `burst ID COUNT PROFILE PATIENCE PROMPT`.
 //! The launch's number is the runner's: it counts launches as they come; HOST `*` is the newest one's.
 //! `each A B VERB WORDS` repeats a line for the ids from A to B.
@@ -84,22 +84,26 @@
         control.step(now, events, &mut actions);
         for action in actions {
             match action {
-                Action::Launch { task, host, until } => {
-                    *self.launches.entry(task.0).or_default() += 1;
-                    self.newest.insert(task.0, host.clone());
+                Action::Launch {
+                    request,
+                    host,
+                    until,
+                } => {
+                    *self.launches.entry(request.0).or_default() += 1;
+                    self.newest.insert(request.0, host.clone());
                     self.seen.push(format!(
                         "launch {} {} by {}",
-                        task.0,
+                        request.0,
                         host.0,
                         until.unwrap_or(0.0)
                     ));
                 }
                 Action::Arm { delay, timer } => self.timers.push((now + delay, timer)),
-                Action::Cancel { task, .. } => self.seen.push(format!("cancel {}", task.0)),
-                Action::Bounce { task, .. } => self.seen.push(format!("bounce {}", task.0)),
-                Action::WriteOff { task } => self.seen.push(format!("write-off {}", task.0)),
+                Action::Cancel { request, .. } => self.seen.push(format!("cancel {}", request.0)),
+                Action::Bounce { request, .. } => self.seen.push(format!("bounce {}", request.0)),
+                Action::WriteOff { request } => self.seen.push(format!("write-off {}", request.0)),
                 Action::Probe { host } => self.seen.push(format!("probe {}", host.0)),
-                Action::Release { task } => self.seen.push(format!("release {}", task.0)),
+                Action::Release { request } => self.seen.push(format!("release {}", request.0)),
                 other => self.seen.push(format!("{other:?}").to_lowercase()),
             }
         }
@@ -160,7 +164,7 @@
     let option = |key: &str| words.iter().find_map(|w| w.strip_prefix(key));
     let shared = option("p=").and_then(|p| p.split_once('/'));
     Event::Arrived(Arrival {
-        task: TaskId(id),
+        request: RequestId(id),
         profile: ProfileId(number(words[0]) as u32),
         tenant: option("t=").map(|t| TenantId(number(t) as u32)),
         session: SessionId(option("s=").map_or(u64::from(id), |s| number(s) as u64)),
@@ -262,7 +266,7 @@
         let Some((&verb, rest)) = words.split_first() else {
             continue;
         };
-        let id = || TaskId(number(rest[0]) as u32);
+        let id = || RequestId(number(rest[0]) as u32);
         let host = |play: &Play| match rest[1] {
             "*" => play.newest[&id().0].clone(),
             name => HostId(name.into()),
@@ -315,11 +319,11 @@
                     },
                 });
             }
-            "left" => play.events.push(Event::Left { task: id() }),
+            "left" => play.events.push(Event::Left { request: id() }),
             "first" => {
                 let launch = newest(&play);
                 play.events.push(Event::FirstToken {
-                    task: id(),
+                    request: id(),
                     launch,
                     host: host(&play),
                     latency: 50.0,
@@ -328,7 +332,7 @@
             "end" => {
                 let x1 = rest.iter().find_map(|w| w.strip_prefix("x1=")).map(number);
                 play.events.push(Event::Ended(Ended {
-                    task: id(),
+                    request: id(),
                     launch: newest(&play),
                     host: host(&play),
                     outcome: outcome(rest[2]),
--- a/tests/single.rs
+++ b/tests/single.rs
@@ -1,4 +1,4 @@
-//! Connections that carry one task at a time: when they are closed, and which makes room.
+//! Connections that carry one request at a time: when they are closed, and which makes room.
 
 use cindercleat::bounds::{Allowed, Given};
 use cindercleat::interface::Discovery;
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn each_phase_has_its_time_and_an_open_task_has_none() {
+fn each_phase_has_its_time_and_an_open_request_has_none() {
     let mut single = Single::new(0.0);
     assert_eq!(single.next_at(&SETTINGS), Some(100.0));
     assert_eq!(single.wanted(&SETTINGS, 99.0), None);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_longest_silent_makes_room_first_and_one_with_an_open_task_never() {
+fn the_longest_silent_makes_room_first_and_one_with_an_open_request_never() {
     let new = Single::new;
     let open = |at| {
         let mut single = new(at);
