--- a/benches/step.rs
+++ b/benches/step.rs
@@ -45,7 +45,7 @@
         may_tell: false,
         clients_hear_retry: true,
         max_retry_after: 2000.0,
-        max_launches: 4,
+        max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 500.0,
         answer_grace: 16.0,
@@ -103,9 +103,9 @@
         self.control.step(self.now, &[event], &mut self.actions);
     }
 
-    fn launched(&self) -> HostId {
+    fn attempted(&self) -> HostId {
         let host = |a: &Action| match a {
-            Action::Launch { host, .. } => Some(host.clone()),
+            Action::StartAttempt { host, .. } => Some(host.clone()),
             _ => None,
         };
         self.actions.iter().find_map(host).expect("a launch")
@@ -124,12 +124,12 @@
             ..Arrival::default()
         };
         self.step(Event::Arrived(arrival));
-        let host = self.launched();
+        let host = self.attempted();
         self.step(ended(request, 0, host, Outcome::ReadDone));
-        let host = self.launched();
+        let host = self.attempted();
         self.step(Event::FirstToken {
             request,
-            launch: LaunchNo(1),
+            attempt: AttemptId(1),
             host: host.clone(),
             latency: 1.0,
         });
@@ -142,15 +142,15 @@
     }
 }
 
-fn ended(request: RequestId, launch: u32, host: HostId, outcome: Outcome) -> Event {
-    let (launch, last, load) = (
-        LaunchNo(launch),
+fn ended(request: RequestId, attempt: u32, host: HostId, outcome: Outcome) -> Event {
+    let (attempt, last, load) = (
+        AttemptId(attempt),
         outcome == Outcome::Fulfilled,
         Load::default(),
     );
     Event::Ended(Ended {
         request,
-        launch,
+        attempt,
         host,
         outcome,
         latency: 1.0,
--- a/crates/cindercleat-cli/src/day.rs
+++ b/crates/cindercleat-cli/src/day.rs
@@ -145,7 +145,7 @@
         out += &format!(
             "audit: {} tries with {} final answers, {} launches, {} at-most-once runs, {} drains told, {} launches \
              at cold hosts, {} read states\n",
-            c.tries, c.finals, c.launches, c.at_most_once_runs, c.drains, c.cold_launches, c.states
+            c.tries, c.finals, c.attempts, c.at_most_once_runs, c.drains, c.cold_attempts, c.states
         );
         for breach in self.findings.breaches.iter().take(20) {
             out += &format!(
@@ -197,7 +197,7 @@
         };
         let (mut addresses, mut running) = (Vec::new(), Vec::new());
         for at in 0..day.dispatchers {
-            let thread = dispatchers.launch(at, "127.0.0.1:0").await?;
+            let thread = dispatchers.start_dispatcher(at, "127.0.0.1:0").await?;
             addresses.push(thread.address.clone());
             running.push(Some(thread));
         }
@@ -217,7 +217,7 @@
         &self.addresses
     }
 
-    async fn launch(&self, at: u32, listen: &str) -> io::Result<Thread> {
+    async fn start_dispatcher(&self, at: u32, listen: &str) -> io::Result<Thread> {
         *self.starts.borrow_mut() += 1;
         let run = self
             .day
@@ -274,7 +274,7 @@
 
     async fn again(&self, at: u32) -> io::Result<()> {
         let address = self.addresses[at as usize].clone();
-        let thread = self.launch(at, &address).await?;
+        let thread = self.start_dispatcher(at, &address).await?;
         self.running.borrow_mut()[at as usize] = Some(thread);
         Ok(())
     }
--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -132,7 +132,7 @@
         quiet: never,
         ping_timeout: never,
         client_quiet: never,
-        // Each launch that is chosen for a host dials it: what comes of that is the decisions' to judge.
+        // Each attempt that is chosen for a host dials it: what comes of that is the decisions' to judge.
         again_first: 0.0,
         again_most: 0.0,
         // A client calls off by closing its connection, which costs it another one.
--- a/crates/cindercleat-cli/src/price.rs
+++ b/crates/cindercleat-cli/src/price.rs
@@ -393,7 +393,7 @@
     let state = Some(v1::StateId {
         run: 1,
         request: number as u32,
-        launch: 0,
+        attempt: 0,
     });
     let read = v1::Read {
         state,
--- a/crates/cindercleat-cli/src/script.rs
+++ b/crates/cindercleat-cli/src/script.rs
@@ -303,7 +303,7 @@
          link-idle {}ms\n    window {}\n    stall {}ms\n    quiet {}ms\n    ping-timeout {}ms\n    connect-again {}ms\n    \
          connect-again-most {}ms\n    client-quiet {}ms\n    stop-grace {}ms\n    greet-within {}ms\nend\n\n",
         policy.release,
-        policy.max_launches,
+        policy.max_attempts,
         policy.connect_timeout,
         policy.drain_grace,
         policy.answer_grace,
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -159,7 +159,7 @@
         may_tell: limits.value_or("tell", false)?,
         clients_hear_retry: true,
         max_retry_after: limits.value_or("most-retry-after", Time(2000.0))?.0,
-        max_launches: limits.value("launches")?,
+        max_attempts: limits.value("launches")?,
         connect_timeout: time("connect")?,
         drain_grace: time("drain-grace")?,
         answer_grace: limits.value_or("answer-grace", Time(0.0))?.0,
--- a/crates/cindercleat-cli/tests/program.rs
+++ b/crates/cindercleat-cli/tests/program.rs
@@ -225,7 +225,7 @@
     assert_eq!(conf.program.profiles, ["draft", "send"]);
     assert_eq!(conf.program.kinds, ["r", "w"]);
     assert_eq!(
-        (policy.release, policy.connect_timeout, policy.max_launches),
+        (policy.release, policy.connect_timeout, policy.max_attempts),
         (500.0, 250.0, 4)
     );
     assert_eq!(policy.profiles[1].quoted_per_1000_tokens, 50.0005);
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -254,7 +254,7 @@
         may_tell: pairs.flag("limits.peers")?,
         clients_hear_retry: pairs.flag("limits.retryAfter")?,
         max_retry_after: pairs.time_or("limits.maxRetryAfter", 0.0)?,
-        max_launches: pairs.number("limits.maxAttempts")?,
+        max_attempts: pairs.number("limits.maxAttempts")?,
         connect_timeout: pairs.positive_time("limits.connectTimeout")?,
         drain_grace: pairs.time("rules.drainGrace")?,
         answer_grace: pairs.time("rules.graceToAnswer")?,
--- a/crates/dispatcher/src/ledger/delivery.rs
+++ b/crates/dispatcher/src/ledger/delivery.rs
@@ -12,17 +12,17 @@
 
 impl Ledger {
     /// The decisions want to know whether an attempt has reached an engine that runs.
-    pub(super) fn confirm(&mut self, id: RequestId, no: LaunchNo, out: &mut Vec<Output>) {
+    pub(super) fn confirm(&mut self, id: RequestId, no: AttemptId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(launch) = request.out.as_mut().filter(|launch| launch.no == no) else {
+        let Some(attempt) = request.out.as_mut().filter(|attempt| attempt.no == no) else {
             return;
         };
         // One whose connection is under way has not gone out: the connection has its own time limit.
-        let Some(sent) = launch.sent else { return };
-        let host = launch.host.clone();
-        launch.is_doubted = true;
+        let Some(sent) = attempt.sent else { return };
+        let host = attempt.host.clone();
+        attempt.is_doubted = true;
         if self.links.has_run_since(&host, sent) {
             self.delivered(id);
         } else {
@@ -34,11 +34,11 @@
     /// An engine has shown that it runs: what was sent to it before has arrived.
     pub(super) fn note_sign(&mut self, host: &HostId) {
         let arrived = |id: &&RequestId| {
-            let launch = self
+            let attempt = self
                 .requests
                 .get(id)
                 .and_then(|request| request.out.as_ref());
-            launch.is_some_and(|launch| launch.host == *host && self.has_arrived(launch))
+            attempt.is_some_and(|attempt| attempt.host == *host && self.has_arrived(attempt))
         };
         let arrived: Vec<RequestId> = self.unconfirmed.iter().filter(arrived).copied().collect();
         for id in arrived {
@@ -47,15 +47,15 @@
     }
 
     /// Whether its engine has run since an attempt was sent.
-    pub(super) fn has_arrived(&self, launch: &requests::Launch) -> bool {
-        launch
+    pub(super) fn has_arrived(&self, attempt: &requests::Attempt) -> bool {
+        attempt
             .sent
-            .is_some_and(|sent| self.links.has_run_since(&launch.host, sent))
+            .is_some_and(|sent| self.links.has_run_since(&attempt.host, sent))
     }
 
     fn delivered(&mut self, request: RequestId) {
         self.unconfirmed.remove(&request);
-        let Some(launch) = self
+        let Some(attempt) = self
             .requests
             .get(&request)
             .and_then(|request| request.out.as_ref())
@@ -64,7 +64,7 @@
         };
         self.events.push(Event::Delivered {
             request,
-            launch: launch.no,
+            attempt: attempt.no,
         });
     }
 
@@ -117,12 +117,12 @@
     /// What is doubted of an attempt that is out, and how it stands, for the log.
     pub(super) fn doubt(&self, id: RequestId) -> Option<(&'static str, String)> {
         let request = self.requests.get(&id)?;
-        let launch = request.out.as_ref().filter(|launch| !launch.first)?;
-        let doubt = match self.has_arrived(launch) {
+        let attempt = request.out.as_ref().filter(|attempt| !attempt.first)?;
+        let doubt = match self.has_arrived(attempt) {
             true => "nothing has come on its attempt's connection",
             false => "its attempt has not arrived",
         };
-        let link = self.links.get(launch.link)?;
+        let link = self.links.get(attempt.link)?;
         let since = |at: Ms| {
             if at.is_finite() {
                 format!("{:.0} ms ago", self.now - at)
@@ -134,13 +134,13 @@
             "id={} launch={} host={} sent {}, on a connection made {} that carried {} calls; its host was last heard {}, \
              and answered a call that was sent {}",
             request.origin(),
-            launch.no.0,
-            launch.host.0,
-            launch.sent.map_or("not yet".to_owned(), since),
+            attempt.no.0,
+            attempt.host.0,
+            attempt.sent.map_or("not yet".to_owned(), since),
             since(link.dialled),
             link.carried(),
-            since(self.links.heard_at(&launch.host)),
-            since(self.links.ran_at(&launch.host)),
+            since(self.links.heard_at(&attempt.host)),
+            since(self.links.ran_at(&attempt.host)),
         );
         Some((doubt, text))
     }
--- a/crates/dispatcher/src/ledger/hosts.rs
+++ b/crates/dispatcher/src/ledger/hosts.rs
@@ -1,10 +1,10 @@
-//! The side of the ledger that faces the model hosts: launches out, read states held, probes, and what hosts
+//! The side of the ledger that faces the model hosts: attempts out, read states held, probes, and what hosts
 //! and links have to say of them.
 
 use super::kv_states::{Held, ReleaseCall};
 use super::links::Use;
 use super::*;
-use crate::ledger::requests::Launch;
+use crate::ledger::requests::Attempt;
 use cindercleat::channels::{Do, Refusal, Why};
 
 /// The whole of the credit is given back in so many parts.
@@ -13,7 +13,7 @@
 const LEAST_WAIT: Ms = 1.0;
 
 impl Ledger {
-    pub(super) fn launch(
+    pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
         host: HostId,
@@ -23,8 +23,8 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let no = LaunchNo(request.launches);
-        request.launches += 1;
+        let no = AttemptId(request.attempts);
+        request.attempts += 1;
         let (holds_no_state, answered) = (self.kv_states.on_offer(id).is_none(), request.answered);
         let reads = self
             .fleet
@@ -55,7 +55,7 @@
             window,
             until - self.now,
         );
-        let purpose = Use::Launch(id, no);
+        let purpose = Use::Attempt(id, no);
         let opened = self.links.open(
             &host,
             &address,
@@ -77,7 +77,7 @@
                     .push(never_sent(id, no, host, outcome, request.answered));
             }
         };
-        request.out = Some(Launch {
+        request.out = Some(Attempt {
             no,
             host,
             link,
@@ -101,13 +101,13 @@
         if !reading {
             self.kv_states.offer(id, no);
         }
-        self.timers.set(until, Due::Launch(id, no));
+        self.timers.set(until, Due::Attempt(id, no));
         self.links.send(link, stream, body, out);
     }
 
-    /// A launch that its connection did not carry, as it was over before anything was written, goes out on
+    /// An attempt that its connection did not carry, as it was over before anything was written, goes out on
     /// another one: the host has said nothing of it. Tells whether it could.
-    fn launch_again(&mut self, id: RequestId, out: &mut Vec<Output>) -> bool {
+    fn resend_attempt(&mut self, id: RequestId, out: &mut Vec<Output>) -> bool {
         let Some(request) = self
             .requests
             .get_mut(&id)
@@ -115,17 +115,17 @@
         else {
             return false;
         };
-        let Some(launch) = request.out.as_ref().filter(|launch| !launch.first) else {
+        let Some(attempt) = request.out.as_ref().filter(|attempt| !attempt.first) else {
             return false;
         };
-        let Some(row) = self.fleet.hosts.get(&launch.host) else {
+        let Some(row) = self.fleet.hosts.get(&attempt.host) else {
             return false;
         };
         if row.condition != Condition::Ready {
             return false;
         }
-        let (no, host, address) = (launch.no, launch.host.clone(), row.line.address.clone());
-        let state = launch.reading.then(|| state_of(self.settings.run, id, no));
+        let (no, host, address) = (attempt.no, attempt.host.clone(), row.line.address.clone());
+        let state = attempt.reading.then(|| state_of(self.settings.run, id, no));
         let window = self.settings.limits.window;
         let held = self.kv_states.on_offer(id).map(|state| &state.held);
         let body = body_of(
@@ -134,18 +134,18 @@
             state,
             &self.fleet,
             window,
-            launch.until - self.now,
+            attempt.until - self.now,
         );
         let to = (&mut self.timers, &mut *out);
-        let purpose = Use::Launch(id, no);
+        let purpose = Use::Attempt(id, no);
         let opened = self
             .links
             .open(&host, &address, purpose, self.now, &self.settings, to);
-        let (Ok((link, stream)), Some(launch)) = (opened, request.out.as_mut()) else {
+        let (Ok((link, stream)), Some(attempt)) = (opened, request.out.as_mut()) else {
             return false;
         };
-        (launch.link, launch.stream) = (link, stream);
-        launch.sent = self
+        (attempt.link, attempt.stream) = (link, stream);
+        attempt.sent = self
             .links
             .get(link)
             .filter(|link| link.up)
@@ -154,13 +154,13 @@
         true
     }
 
-    /// The wire's end of the launch that is out: what has not gone out is taken back, else the host is told.
+    /// The wire's end of the attempt that is out: what has not gone out is taken back, else the host is told.
     /// Tells whether it never went out.
-    pub(super) fn stop_launch(&mut self, id: RequestId, out: &mut Vec<Output>) -> bool {
-        let Some(launch) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
+    pub(super) fn stop_attempt(&mut self, id: RequestId, out: &mut Vec<Output>) -> bool {
+        let Some(attempt) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
             return true;
         };
-        let (link, stream) = (launch.link, launch.stream);
+        let (link, stream) = (attempt.link, attempt.stream);
         if self.links.unsend(link, stream) {
             self.links
                 .close_stream(link, stream, self.now, &mut self.timers);
@@ -183,10 +183,10 @@
     /// The state that the prefill which is out for a request leaves, if one is out.
     fn prefill_out(&self, id: RequestId) -> Option<Held> {
         let request = self.requests.get(&id)?;
-        let launch = request.out.as_ref().filter(|launch| launch.reading)?;
-        let state = state_of(self.settings.run, id, launch.no);
+        let attempt = request.out.as_ref().filter(|attempt| attempt.reading)?;
+        let state = state_of(self.settings.run, id, attempt.no);
         Some(Held {
-            host: launch.host.clone(),
+            host: attempt.host.clone(),
             id: state,
             origin: request.origin(),
         })
@@ -227,32 +227,32 @@
         }
     }
 
-    /// The ledger's end of the launch that is out; the decisions are told.
-    pub(super) fn end_launch(&mut self, id: RequestId, outcome: Outcome, detail: f64, load: Load) {
+    /// The ledger's end of the attempt that is out; the decisions are told.
+    pub(super) fn end_attempt(&mut self, id: RequestId, outcome: Outcome, detail: f64, load: Load) {
         self.note_run(id, outcome);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(launch) = request.out.take() else {
+        let Some(attempt) = request.out.take() else {
             return;
         };
         self.unconfirmed.remove(&id);
         if outcome == Outcome::ReadDone {
-            let state = state_of(self.settings.run, id, launch.no);
+            let state = state_of(self.settings.run, id, attempt.no);
             let held = Held {
-                host: launch.host.clone(),
+                host: attempt.host.clone(),
                 id: state,
                 origin: request.origin(),
             };
             self.kv_states.hold(id, held, self.now);
         }
-        let latency = self.now - launch.since;
+        let latency = self.now - attempt.since;
         let last = request.answered;
-        self.settle_state(id, &launch, outcome);
-        let (launch, host) = (launch.no, launch.host);
+        self.settle_state(id, &attempt, outcome);
+        let (attempt, host) = (attempt.no, attempt.host);
         self.events.push(Event::Ended(Ended {
             request: id,
-            launch,
+            attempt,
             host,
             outcome,
             latency,
@@ -263,9 +263,9 @@
         self.forget_past(id);
     }
 
-    /// A launch whose outcome the client is told at once: its whole answer, or the break of its stream. For a
+    /// An attempt whose outcome the client is told at once: its whole answer, or the break of its stream. For a
     /// stream that had begun there is no other way on: what was sent cannot be taken back.
-    fn finish_launch(
+    fn finish_attempt(
         &mut self,
         id: RequestId,
         outcome: Outcome,
@@ -286,12 +286,12 @@
         if let Some(held) = held.filter(|_| !planted::is(Plant::BrokenReadKept)) {
             self.release_leftover(id, held, out);
         }
-        self.end_launch(id, outcome, 0.0, load);
+        self.end_attempt(id, outcome, 0.0, load);
     }
 
-    pub(super) fn call_off(&mut self, id: RequestId, no: LaunchNo, out: &mut Vec<Output>) {
-        let launch = self.requests.get(&id).and_then(|t| t.out.as_ref());
-        if !launch.is_some_and(|l| l.no == no && !l.first) {
+    pub(super) fn call_off(&mut self, id: RequestId, no: AttemptId, out: &mut Vec<Output>) {
+        let attempt = self.requests.get(&id).and_then(|t| t.out.as_ref());
+        if !attempt.is_some_and(|l| l.no == no && !l.first) {
             return;
         }
         if let Some((doubt, text)) = self.doubt(id).filter(|_| !self.is_answered(id)) {
@@ -301,8 +301,8 @@
                 text,
             });
         }
-        let unsent = self.stop_launch(id, out);
-        self.end_launch(
+        let unsent = self.stop_attempt(id, out);
+        self.end_attempt(
             id,
             if unsent {
                 Outcome::Void
@@ -314,13 +314,13 @@
         );
     }
 
-    pub(super) fn time_out(&mut self, id: RequestId, no: LaunchNo, out: &mut Vec<Output>) {
-        let launch = self.requests.get(&id).and_then(|t| t.out.as_ref());
-        if !launch.is_some_and(|l| l.no == no && !l.first) {
+    pub(super) fn time_out(&mut self, id: RequestId, no: AttemptId, out: &mut Vec<Output>) {
+        let attempt = self.requests.get(&id).and_then(|t| t.out.as_ref());
+        if !attempt.is_some_and(|l| l.no == no && !l.first) {
             return;
         }
-        let unsent = self.stop_launch(id, out);
-        self.end_launch(
+        let unsent = self.stop_attempt(id, out);
+        self.end_attempt(
             id,
             if unsent {
                 Outcome::Void
@@ -333,11 +333,11 @@
     }
 
     pub(super) fn hold_ahead(&mut self, id: RequestId, host: &HostId, out: &mut Vec<Output>) {
-        let Some(launch) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
+        let Some(attempt) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
             return;
         };
-        let state = state_of(self.settings.run, id, launch.no);
-        let purpose = Use::Hold(id, launch.no);
+        let state = state_of(self.settings.run, id, attempt.no);
+        let purpose = Use::Hold(id, attempt.no);
         let Some(row) = self
             .fleet
             .hosts
@@ -360,7 +360,7 @@
     /// Ends a stream in good order; its client comes back for the rest.
     pub(super) fn move_away(&mut self, id: RequestId, out: &mut Vec<Output>) {
         if self.requests.get(&id).is_some_and(Request::streams) {
-            self.stop_launch(id, out);
+            self.stop_attempt(id, out);
             self.answer(
                 id,
                 v1::Answer::WrittenOff,
@@ -368,7 +368,7 @@
                 "moved: come back for the rest",
                 out,
             );
-            self.end_launch(id, Outcome::CalledOff, 0.0, Load::default());
+            self.end_attempt(id, Outcome::CalledOff, 0.0, Load::default());
         }
     }
 
@@ -439,7 +439,7 @@
         };
         let (host, waiting) = (link.host.clone(), std::mem::take(&mut link.waiting));
         self.links.come_up(id, limit, self.now, &mut self.timers);
-        // Guards against a drain that was learned while the link came up: a launch that has not gone out does
+        // Guards against a drain that was learned while the link came up: an attempt that has not gone out does
         // not go out any more, and is known not to have run.
         let ready =
             self.fleet.condition(&host) == Condition::Ready || planted::is(Plant::DrainReadLate);
@@ -449,7 +449,7 @@
                 .links
                 .get(id)
                 .and_then(|l| l.streams.get(&stream).cloned());
-            if let Some(Use::Launch(request, _)) = &purpose {
+            if let Some(Use::Attempt(request, _)) = &purpose {
                 self.tell_time_left(*request, &mut body);
             }
             let frame = frame(stream.0, body);
@@ -460,11 +460,11 @@
                     }
                 }
                 // Nor does one whose client has gone meanwhile: nobody waits for it.
-                Some(Use::Launch(request, _)) if !ready || self.is_answered(request) => {
+                Some(Use::Attempt(request, _)) if !ready || self.is_answered(request) => {
                     self.close_stream(id, stream);
-                    self.end_launch(request, Outcome::Void, 0.0, Load::default());
+                    self.end_attempt(request, Outcome::Void, 0.0, Load::default());
                 }
-                Some(Use::Launch(request, _)) => {
+                Some(Use::Attempt(request, _)) => {
                     if let Some(request) = self.requests.get_mut(&request) {
                         request.note_sent(self.now);
                     }
@@ -497,16 +497,16 @@
         goes_out
     }
 
-    /// A launch that has waited for its connection tells its host what is left now.
+    /// An attempt that has waited for its connection tells its host what is left now.
     fn tell_time_left(&self, request: RequestId, body: &mut Body) {
-        let Some(launch) = self
+        let Some(attempt) = self
             .requests
             .get(&request)
             .and_then(|request| request.out.as_ref())
         else {
             return;
         };
-        let left = (launch.until - self.now).max(LEAST_WAIT);
+        let left = (attempt.until - self.now).max(LEAST_WAIT);
         match body {
             Body::Read(read) => read.wait_ms = left,
             Body::Write(write) => write.wait_ms = left,
@@ -594,8 +594,8 @@
         self.retry_releases(&link.host);
         for (_, purpose) in link.streams {
             match purpose {
-                Use::Launch(request, _) => {
-                    self.finish_launch(
+                Use::Attempt(request, _) => {
+                    self.finish_attempt(
                         request,
                         outcome,
                         "the writer's connection broke",
@@ -641,20 +641,20 @@
         }
         let name = name_of(frame.body.as_ref());
         let good = match (purpose, frame.body) {
-            (Some(Use::Launch(request, _)), Some(Body::Tokens(tokens))) => {
+            (Some(Use::Attempt(request, _)), Some(Body::Tokens(tokens))) => {
                 self.take_tokens(request, tokens, out)
             }
-            (Some(Use::Launch(request, _)), Some(Body::Ended(ended))) => {
+            (Some(Use::Attempt(request, _)), Some(Body::Ended(ended))) => {
                 self.close_stream(id, stream);
                 self.take_ended(request, &ended, out)
             }
             // The connection is over before or after the whole request was written: only the first proves
             // that nothing ran.
-            (Some(Use::Launch(request, _)), Some(Body::Goodbye(bye))) => {
+            (Some(Use::Attempt(request, _)), Some(Body::Goodbye(bye))) => {
                 let reused = self.links.get(id).is_some_and(|link| link.carried() > 1);
                 self.close_stream(id, stream);
                 self.links.leaving(id, &mut self.timers);
-                let again = bye.never_ran && reused && self.launch_again(request, out);
+                let again = bye.never_ran && reused && self.resend_attempt(request, out);
                 if !again {
                     let outcome = if bye.never_ran {
                         Outcome::Unreachable
@@ -666,7 +666,7 @@
                         level: Level::Info,
                         text,
                     });
-                    self.finish_launch(
+                    self.finish_attempt(
                         request,
                         outcome,
                         "the connection broke",
@@ -680,11 +680,11 @@
                 self.end_probe(id, stream, Outcome::Fulfilled, load_of(&load));
                 true
             }
-            (Some(Use::Hold(request, launch)), Some(Body::Place(place))) => {
+            (Some(Use::Hold(request, attempt)), Some(Body::Place(place))) => {
                 self.close_stream(id, stream);
                 self.events.push(Event::Place {
                     request,
-                    launch,
+                    attempt,
                     host: host.clone(),
                     held: place.held,
                 });
@@ -727,11 +727,11 @@
                 self.end_probe(id, stream, Outcome::Failed, Load::default());
                 true
             }
-            (Some(Use::Hold(request, launch)), Some(Body::Goodbye(_))) => {
+            (Some(Use::Hold(request, attempt)), Some(Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
                 self.events.push(Event::Place {
                     request,
-                    launch,
+                    attempt,
                     host: host.clone(),
                     held: false,
                 });
@@ -777,21 +777,21 @@
 
     /// Tells whether the host may say so.
     fn take_ended(&mut self, id: RequestId, ended: &v1::Ended, out: &mut Vec<Output>) -> bool {
-        let Some(launch) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
+        let Some(attempt) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
             return true;
         };
         let load = ended.load.as_ref().map(load_of).unwrap_or_default();
-        let (reading, first) = (launch.reading, launch.first);
+        let (reading, first) = (attempt.reading, attempt.first);
         match ended.status() {
             v1::Status::ReadDone if reading => {
-                self.end_launch(id, Outcome::ReadDone, f64::from(ended.kept_tokens), load);
+                self.end_attempt(id, Outcome::ReadDone, f64::from(ended.kept_tokens), load);
             }
             v1::Status::Fulfilled if !reading => {
-                self.finish_launch(id, Outcome::Fulfilled, "", load, out)
+                self.finish_attempt(id, Outcome::Fulfilled, "", load, out)
             }
-            v1::Status::Full if !first => self.end_launch(id, Outcome::Full, 0.0, load),
+            v1::Status::Full if !first => self.end_attempt(id, Outcome::Full, 0.0, load),
             v1::Status::NoState if !reading && !first => {
-                self.end_launch(id, Outcome::Full, 1.0, load);
+                self.end_attempt(id, Outcome::Full, 1.0, load);
                 // Guards against a writer that could not reach the reader: the state would lie there for nobody.
                 if planted::is(Plant::NoStateKept) {
                     self.kv_states.forget(id);
@@ -800,10 +800,12 @@
                 }
                 self.forget_past(id);
             }
-            v1::Status::Failed => self.finish_launch(id, Outcome::Failed, &ended.reason, load, out),
+            v1::Status::Failed => {
+                self.finish_attempt(id, Outcome::Failed, &ended.reason, load, out)
+            }
             _ => {
-                // The stream is closed already; the launch ends with the link, and may have run.
-                self.finish_launch(
+                // The stream is closed already; the attempt ends with the link, and may have run.
+                self.finish_attempt(
                     id,
                     Outcome::Broken,
                     "the writer broke the protocol",
@@ -821,36 +823,39 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return true;
         };
-        let Some(launch) = request.out.as_mut() else {
+        let Some(attempt) = request.out.as_mut() else {
             return true;
         };
-        if launch.reading || tokens.position != launch.position || launch.came >= launch.credited {
+        if attempt.reading
+            || tokens.position != attempt.position
+            || attempt.came >= attempt.credited
+        {
             return false;
         }
         if request.answered {
             // The answer is out, and the decisions may not call off: nothing more reaches the client.
-            self.stop_launch(id, out);
-            self.end_launch(id, Outcome::CalledOff, 0.0, Load::default());
+            self.stop_attempt(id, out);
+            self.end_attempt(id, Outcome::CalledOff, 0.0, Load::default());
             return true;
         }
-        launch.came += 1;
-        launch.position = launch.position.saturating_add(tokens.count);
-        launch.last_came = self.now;
-        if !launch.first {
-            launch.first = true;
-            launch.last_gone = self.now;
+        attempt.came += 1;
+        attempt.position = attempt.position.saturating_add(tokens.count);
+        attempt.last_came = self.now;
+        if !attempt.first {
+            attempt.first = true;
+            attempt.last_gone = self.now;
             request.late = self.now > request.quoted;
             self.kv_states.taken(id, self.now);
-            // No launch can need it any more.
+            // No attempt can need it any more.
             request.submit.prompt = Default::default();
-            let (no, host, latency) = (launch.no, launch.host.clone(), self.now - launch.since);
+            let (no, host, latency) = (attempt.no, attempt.host.clone(), self.now - attempt.since);
             self.timers.set(
                 self.now + self.settings.limits.stall_limit,
                 Due::Stall(id, no),
             );
             self.events.push(Event::FirstToken {
                 request: id,
-                launch: no,
+                attempt: no,
                 host,
                 latency,
             });
@@ -878,15 +883,15 @@
         else {
             return;
         };
-        let Some(launch) = request.out.as_mut() else {
+        let Some(attempt) = request.out.as_mut() else {
             return;
         };
-        launch.gone = (launch.gone + messages).min(launch.came);
-        launch.last_gone = self.now;
-        let room = (launch.gone + self.settings.limits.window).saturating_sub(launch.credited);
+        attempt.gone = (attempt.gone + messages).min(attempt.came);
+        attempt.last_gone = self.now;
+        let room = (attempt.gone + self.settings.limits.window).saturating_sub(attempt.credited);
         if room >= (self.settings.limits.window / CREDIT_PARTS).max(1) {
-            launch.credited += room;
-            let (link, stream) = (launch.link, launch.stream);
+            attempt.credited += room;
+            let (link, stream) = (attempt.link, attempt.stream);
             let body = Body::Credit(v1::Credit { messages: room });
             self.links.send(link, stream, body, out);
         }
@@ -894,31 +899,31 @@
 
     /// Guards against streams that neither go on nor end: a writer that stalls is given up as broken, and a
     /// client that takes nothing has left. A writer that waits for credit does not stall.
-    pub(super) fn look_at_stream(&mut self, id: RequestId, no: LaunchNo, out: &mut Vec<Output>) {
+    pub(super) fn look_at_stream(&mut self, id: RequestId, no: AttemptId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let Some(launch) = request.out.as_ref().filter(|l| l.no == no) else {
+        let Some(attempt) = request.out.as_ref().filter(|l| l.no == no) else {
             return;
         };
-        let client_waits = launch.gone == launch.came;
+        let client_waits = attempt.gone == attempt.came;
         let since = if client_waits {
-            launch.last_came.max(launch.last_gone)
+            attempt.last_came.max(attempt.last_gone)
         } else {
-            launch.last_gone
+            attempt.last_gone
         };
         let limit = self.settings.limits.stall_limit;
         if self.now < since + limit {
             return self.timers.set(since + limit, Due::Stall(id, no));
         }
         if client_waits {
-            let text = format!("stream of task {} stalled at {}", id.0, launch.host.0);
+            let text = format!("stream of task {} stalled at {}", id.0, attempt.host.0);
             out.push(Output::Log {
                 level: Level::Warn,
                 text,
             });
-            self.stop_launch(id, out);
-            self.finish_launch(
+            self.stop_attempt(id, out);
+            self.finish_attempt(
                 id,
                 Outcome::Broken,
                 "the writer stalled",
@@ -940,24 +945,24 @@
 fn is_work(purpose: Option<&Use>, body: Option<&Body>) -> bool {
     let done = |status: v1::Status| matches!(status, v1::Status::ReadDone | v1::Status::Fulfilled);
     match (purpose, body) {
-        (Some(Use::Launch(..)), Some(Body::Tokens(_))) => true,
-        (Some(Use::Launch(..)), Some(Body::Ended(ended))) => done(ended.status()),
+        (Some(Use::Attempt(..)), Some(Body::Tokens(_))) => true,
+        (Some(Use::Attempt(..)), Some(Body::Ended(ended))) => done(ended.status()),
         _ => false,
     }
 }
 
-/// The name of the state that a launch makes or takes.
-fn state_of(run: u64, request: RequestId, launch: LaunchNo) -> v1::StateId {
+/// The name of the state that an attempt makes or takes.
+fn state_of(run: u64, request: RequestId, attempt: AttemptId) -> v1::StateId {
     v1::StateId {
         run,
         request: request.0,
-        launch: launch.0,
+        attempt: attempt.0,
     }
 }
 
 fn never_sent(
     request: RequestId,
-    launch: LaunchNo,
+    attempt: AttemptId,
     host: HostId,
     outcome: Outcome,
     last: bool,
@@ -965,7 +970,7 @@
     let load = Load::default();
     Event::Ended(Ended {
         request,
-        launch,
+        attempt,
         host,
         outcome,
         latency: 0.0,
@@ -975,7 +980,7 @@
     })
 }
 
-/// What a launch says to its host; `state`: what a read is to leave, none for a write.
+/// What an attempt says to its host; `state`: what a read is to leave, none for a write.
 fn body_of(
     request: &Request,
     held: Option<&Held>,
--- a/crates/dispatcher/src/ledger/invariants.rs
+++ b/crates/dispatcher/src/ledger/invariants.rs
@@ -73,7 +73,7 @@
         };
         let starts = !request.answered
             && request.out.is_none()
-            && request.launches <= self.settings.policy.max_launches
+            && request.attempts <= self.settings.policy.max_attempts
             && self.now <= request.ends;
         let sends = self.fleet.condition(host) == Condition::Ready;
         let repeats = reading || self.may_run_at(request, host);
@@ -92,7 +92,7 @@
         let Some(request) = self.requests.get(&id) else {
             return true;
         };
-        let decodes = request.out.as_ref().is_some_and(|launch| !launch.reading);
+        let decodes = request.out.as_ref().is_some_and(|attempt| !attempt.reading);
         let may_have_run = decodes || request.first_run.is_some();
         let harmless = match request.effect {
             Effect::Reissuable
@@ -121,11 +121,11 @@
         let Some(state) = self.kv_states.get(id) else {
             return;
         };
-        let launch = self
+        let attempt = self
             .requests
             .get(&id)
             .and_then(|request| request.out.as_ref());
-        if launch.is_some_and(|launch| state.is_to_release() || self.has_arrived(launch)) {
+        if attempt.is_some_and(|attempt| state.is_to_release() || self.has_arrived(attempt)) {
             return self.arm_guard(id);
         }
         let is_on_offer = state.is_on_offer();
@@ -156,7 +156,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(launch) = request.out.as_ref().filter(|launch| !launch.reading) else {
+        let Some(attempt) = request.out.as_ref().filter(|attempt| !attempt.reading) else {
             return;
         };
         let open = [
@@ -166,14 +166,14 @@
             Outcome::CalledOff,
         ];
         if request.first_run.is_none() && open.contains(&outcome) {
-            let line = self.fleet.hosts.get(&launch.host).map(|row| &row.line);
+            let line = self.fleet.hosts.get(&attempt.host).map(|row| &row.line);
             let (zone, cell) = line
                 .map(|line| (line.zone.clone(), line.cell.clone()))
                 .unwrap_or_default();
             request.first_run = Some(FirstRun {
                 zone,
                 cell,
-                at: launch.since,
+                at: attempt.since,
             });
         }
     }
--- a/crates/dispatcher/src/ledger/kv_states.rs
+++ b/crates/dispatcher/src/ledger/kv_states.rs
@@ -26,10 +26,10 @@
     /// Its engine holds it, and no attempt is out that may take it.
     Held,
     /// A decode attempt is out that may take it.
-    Offered(LaunchNo),
+    Offered(AttemptId),
     /// The same, and nothing has come of the attempt: its connection alone may be silent. It is to be released, which does
     /// nothing if the attempt waits for it.
-    OfferedInDoubt(LaunchNo),
+    OfferedInDoubt(AttemptId),
     /// It is to be released. An attempt may still be out that had not arrived, as far as anybody knew.
     ReleaseWanted,
 }
@@ -226,7 +226,7 @@
     }
 
     /// A decode attempt goes out that may take it.
-    pub fn offer(&mut self, request: RequestId, attempt: LaunchNo) {
+    pub fn offer(&mut self, request: RequestId, attempt: AttemptId) {
         if let Some(state) = self
             .states
             .get_mut(&request)
@@ -237,7 +237,7 @@
     }
 
     /// The decode attempt is over and has not taken it.
-    pub fn take_back(&mut self, request: RequestId, attempt: LaunchNo) {
+    pub fn take_back(&mut self, request: RequestId, attempt: AttemptId) {
         let steps = [Step::Offered(attempt), Step::OfferedInDoubt(attempt)];
         if let Some(state) = self
             .states
--- a/crates/dispatcher/src/ledger/links.rs
+++ b/crates/dispatcher/src/ledger/links.rs
@@ -8,18 +8,18 @@
 use crate::settings::ProgramSettings;
 use cindercleat::channels::{ChannelId, Channels, Do, Placement, Refusal};
 use cindercleat::control::RECEIVED_LATE;
-use cindercleat::interface::{HostId, LaunchNo, Ms, RequestId};
+use cindercleat::interface::{AttemptId, HostId, Ms, RequestId};
 use cindercleat_protocol::{frame, Body};
 use std::collections::BTreeMap;
 
 /// What a stream of a link is for.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Use {
-    Launch(RequestId, LaunchNo),
+    Attempt(RequestId, AttemptId),
     Probe {
         sent: Ms,
     },
-    Hold(RequestId, LaunchNo),
+    Hold(RequestId, AttemptId),
     /// Asked to release what is held for a request, at whatever host.
     Release(ReleaseCall),
     HostRelease(HostRelease),
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The dispatcher without its I/O: requests, launches, read states, links and timers. Inputs go in by
+//! The dispatcher without its I/O: requests, attempts, read states, links and timers. Inputs go in by
 //! [`Ledger::handle`] with their instant; what is to be done comes out. It tells when it wants to be called
 //! next ([`Ledger::wants_call_at`]). The same inputs give the same outputs.
 //!
@@ -374,7 +374,7 @@
     }
 
     /// Tells the decisions what happened and does what they decide, until nothing more follows. What is done
-    /// may be over at once (a launch that no link can take); each such round ends a launch, and a request has few.
+    /// may be over at once (an attempt that no link can take); each such round ends an attempt, and a request has few.
     fn settle(&mut self, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while !self.events.is_empty() {
@@ -399,12 +399,12 @@
 
     fn carry_out(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Launch {
+            Action::StartAttempt {
                 request,
                 host,
                 until,
-            } => self.launch(request, host, until, out),
-            Action::Cancel { request, launch } => self.call_off(request, launch, out),
+            } => self.start_attempt(request, host, until, out),
+            Action::Cancel { request, attempt } => self.call_off(request, attempt, out),
             Action::Bounce {
                 request,
                 retry_after,
@@ -429,7 +429,7 @@
             }
             Action::Release { request } => self.release(request, out),
             Action::ReleaseInDoubt { request } => self.release_in_doubt(request, out),
-            Action::Confirm { request, launch } => self.confirm(request, launch, out),
+            Action::Confirm { request, attempt } => self.confirm(request, attempt, out),
             Action::HoldAhead { request, host } => self.hold_ahead(request, &host, out),
             Action::Move { request } => self.move_away(request, out),
             Action::Arm { delay, timer } if planted::is(Plant::TimersLate) => {
@@ -454,9 +454,9 @@
     fn take_due(&mut self, due: Due, out: &mut Vec<Output>) {
         match due {
             Due::Module(timer) => self.events.push(Event::Timer { timer }),
-            Due::Launch(request, launch) => self.time_out(request, launch, out),
+            Due::Attempt(request, attempt) => self.time_out(request, attempt, out),
             Due::Patience(id) => self.end_patience(id, out),
-            Due::Stall(request, launch) => self.look_at_stream(request, launch, out),
+            Due::Stall(request, attempt) => self.look_at_stream(request, attempt, out),
             Due::Client(conn) => self.look_at_client(conn, out),
             Due::Links(host) => self.look_at_links(&host, out),
             Due::Probe(link, stream) => {
@@ -570,7 +570,7 @@
             quoted,
             late: false,
             answered: false,
-            launches: 0,
+            attempts: 0,
             out: None,
             sent: false,
             effect: profile.effect,
@@ -702,8 +702,8 @@
         self.events.push(Event::Left { request: id });
         // A stream that nobody reads ends; what has not begun the decisions call off themselves.
         if request.streams() {
-            self.stop_launch(id, out);
-            self.end_launch(id, Outcome::CalledOff, 0.0, Load::default());
+            self.stop_attempt(id, out);
+            self.end_attempt(id, Outcome::CalledOff, 0.0, Load::default());
         }
         self.forget_past(id);
     }
@@ -725,7 +725,7 @@
             let late = request.late || !request.streams() && self.now > request.quoted;
             record.answered(answer, late);
         }
-        // No launch can need it any more.
+        // No attempt can need it any more.
         request.submit.prompt = Default::default();
         let (conn, stream) = request.ticket;
         self.tickets.remove(&request.ticket);
@@ -859,7 +859,7 @@
     }
 
     /// What is still open at the end of the grace is answered: bounced if nothing of it ever went out, else
-    /// written off, which promises nothing; its launches are called off and its states let go.
+    /// written off, which promises nothing; its attempts are called off and its states let go.
     fn end_grace(&mut self, out: &mut Vec<Output>) {
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
--- a/crates/dispatcher/src/ledger/releases.rs
+++ b/crates/dispatcher/src/ledger/releases.rs
@@ -309,7 +309,7 @@
     }
 
     /// The open request that goes by the id for which a state is held, and its attempt that is out.
-    fn open_request(&self, state: &KvState) -> Option<(RequestId, Option<&requests::Launch>)> {
+    fn open_request(&self, state: &KvState) -> Option<(RequestId, Option<&requests::Attempt>)> {
         let id = *self.origins.get(&state.held.origin)?;
         Some((
             id,
@@ -325,25 +325,25 @@
             .kv_states
             .get(id)
             .and_then(|state| self.open_request(state));
-        request.is_some_and(|(_, launch)| launch.is_some())
+        request.is_some_and(|(_, attempt)| attempt.is_some())
     }
 
     /// Whether a release would end what its request still needs, as it does not tell a prefill's state from the next one's.
     /// A decode attempt that is out for a state which the decisions have released needs nothing, and a prefill that has not
     /// arrived neither.
     pub(super) fn is_needed(&self, state: &KvState) -> bool {
-        let Some((id, launch)) = self.open_request(state) else {
+        let Some((id, attempt)) = self.open_request(state) else {
             return false;
         };
-        let needs = |launch: &requests::Launch| {
-            let may_arrive = self.now < self.doubted_from(state, launch) + self.doubt_lasts();
-            launch.first || launch.reading && (may_arrive || self.has_arrived(launch))
+        let needs = |attempt: &requests::Attempt| {
+            let may_arrive = self.now < self.doubted_from(state, attempt) + self.doubt_lasts();
+            attempt.first || attempt.reading && (may_arrive || self.has_arrived(attempt))
         };
         let is_on_offer = self
             .kv_states
             .on_offer(id)
             .is_some_and(|state| !state.is_to_release());
-        is_on_offer || launch.is_some_and(needs)
+        is_on_offer || attempt.is_some_and(needs)
     }
 
     /// How long a release waits for a prefill that may not have arrived.
@@ -352,10 +352,10 @@
     }
 
     /// Since when. A release that has gone out before waits for each prefill anew.
-    fn doubted_from(&self, state: &KvState, launch: &requests::Launch) -> Ms {
+    fn doubted_from(&self, state: &KvState, attempt: &requests::Attempt) -> Ms {
         let wanted = state.release.wanted;
         if state.release.calls > 0 {
-            wanted.max(launch.since)
+            wanted.max(attempt.since)
         } else {
             wanted
         }
@@ -372,18 +372,20 @@
         let Some(state) = self.kv_states.get(id) else {
             return;
         };
-        let Some((of, launch)) = self.open_request(state) else {
+        let Some((of, attempt)) = self.open_request(state) else {
             return;
         };
-        if let Some(launch) = launch.filter(|launch| !launch.first && !self.has_arrived(launch)) {
-            let from = self.doubted_from(state, launch);
+        if let Some(attempt) =
+            attempt.filter(|attempt| !attempt.first && !self.has_arrived(attempt))
+        {
+            let from = self.doubted_from(state, attempt);
             let asks_at = from + self.settings.policy.release / ASK_PART;
             again = if self.now < asks_at {
                 asks_at
             } else {
                 from + self.doubt_lasts()
             };
-            let (no, is_doubted) = (launch.no, launch.is_doubted);
+            let (no, is_doubted) = (attempt.no, attempt.is_doubted);
             if self.now >= asks_at && !is_doubted {
                 self.confirm(of, no, out);
             }
@@ -469,7 +471,7 @@
     pub(super) fn settle_state(
         &mut self,
         id: RequestId,
-        ended: &requests::Launch,
+        ended: &requests::Attempt,
         outcome: Outcome,
     ) {
         let is_unanswered = matches!(
--- a/crates/dispatcher/src/ledger/requests.rs
+++ b/crates/dispatcher/src/ledger/requests.rs
@@ -2,7 +2,7 @@
 
 use super::invariants::FirstRun;
 use super::{ConnId, LinkId, StreamNo};
-use cindercleat::interface::{Effect, HostId, LaunchNo, Ms};
+use cindercleat::interface::{AttemptId, Effect, HostId, Ms};
 use cindercleat_protocol::v1;
 
 /// A client's stream: its connection and its own number for the request.
@@ -19,20 +19,20 @@
     pub late: bool,
     /// The one final answer is out, or the client left and none is owed.
     pub answered: bool,
-    /// How many launches there were; the next one's number.
-    pub launches: u32,
-    pub out: Option<Launch>,
-    /// Whether any launch of it went to a host's socket.
+    /// How many attempts there were; the next one's number.
+    pub attempts: u32,
+    pub out: Option<Attempt>,
+    /// Whether any attempt of it went to a host's socket.
     pub sent: bool,
     pub effect: Effect,
-    /// The first launch of it that may have run.
+    /// The first attempt of it that may have run.
     pub first_run: Option<FirstRun>,
 }
 
-/// The launch of a request that is out.
+/// The attempt of a request that is out.
 #[derive(Debug)]
-pub(super) struct Launch {
-    pub no: LaunchNo,
+pub(super) struct Attempt {
+    pub no: AttemptId,
     pub host: HostId,
     pub link: LinkId,
     pub stream: StreamNo,
@@ -60,8 +60,8 @@
     /// Its attempt has gone out on a connection that is up.
     pub fn note_sent(&mut self, now: Ms) {
         self.sent = true;
-        if let Some(launch) = &mut self.out {
-            launch.sent = Some(now);
+        if let Some(attempt) = &mut self.out {
+            attempt.sent = Some(now);
         }
     }
 
--- a/crates/dispatcher/src/ledger/story.rs
+++ b/crates/dispatcher/src/ledger/story.rs
@@ -26,21 +26,21 @@
             Event::Left { request } => format!("{} left", self.called(*request)),
             Event::FirstToken {
                 request,
-                launch,
+                attempt,
                 host,
                 latency,
             } => {
                 format!(
                     "{} launch={} host={} began after={latency:.1}",
                     self.called(*request),
-                    launch.0,
+                    attempt.0,
                     host.0
                 )
             }
             Event::Ended(e) => format!(
                 "{} launch={} host={} ended outcome={:?} after={:.1} detail={}",
                 self.called(e.request),
-                e.launch.0,
+                e.attempt.0,
                 e.host.0,
                 e.outcome,
                 e.latency,
@@ -81,8 +81,8 @@
                 }
                 text
             }
-            Event::Delivered { request, launch } => {
-                format!("{} launch={} delivered", self.called(*request), launch.0)
+            Event::Delivered { request, attempt } => {
+                format!("{} launch={} delivered", self.called(*request), attempt.0)
             }
             Event::Place { .. } | Event::Timer { .. } | Event::Heard { .. } => return,
         };
@@ -94,16 +94,16 @@
 
     pub(super) fn tell_action(&self, action: &Action, out: &mut Vec<Output>) {
         let text = match action {
-            Action::Launch { request, host, .. } => {
-                let no = self.requests.get(request).map_or(0, |t| t.launches);
+            Action::StartAttempt { request, host, .. } => {
+                let no = self.requests.get(request).map_or(0, |t| t.attempts);
                 format!(
                     "{} launch={no} host={} goes out",
                     self.called(*request),
                     host.0
                 )
             }
-            Action::Cancel { request, launch } => {
-                format!("{} launch={} called off", self.called(*request), launch.0)
+            Action::Cancel { request, attempt } => {
+                format!("{} launch={} called off", self.called(*request), attempt.0)
             }
             Action::Bounce { request, .. } => format!("{} bounced", self.called(*request)),
             Action::WriteOff { request } => format!("{} written off", self.called(*request)),
@@ -111,8 +111,8 @@
             Action::ReleaseInDoubt { request } => {
                 format!("{} released in doubt", self.called(*request))
             }
-            Action::Confirm { request, launch } => {
-                format!("{} launch={} in doubt", self.called(*request), launch.0)
+            Action::Confirm { request, attempt } => {
+                format!("{} launch={} in doubt", self.called(*request), attempt.0)
             }
             _ => return,
         };
--- a/crates/dispatcher/src/ledger/timers.rs
+++ b/crates/dispatcher/src/ledger/timers.rs
@@ -1,7 +1,7 @@
 //! Timers, earliest first; those of one instant in the order in which they were set.
 
 use super::{ConnId, LinkId, StreamNo};
-use cindercleat::interface::{HostId, LaunchNo, Ms, RequestId, TimerId};
+use cindercleat::interface::{AttemptId, HostId, Ms, RequestId, TimerId};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Due {
     Module(TimerId),
-    /// The module's time for a launch has passed.
-    Launch(RequestId, LaunchNo),
+    /// The module's time for an attempt has passed.
+    Attempt(RequestId, AttemptId),
     /// The client's own time for a request has passed.
     Patience(RequestId),
     /// A stream may have stalled.
-    Stall(RequestId, LaunchNo),
+    Stall(RequestId, AttemptId),
     /// Something falls due for a client's connection.
     Client(ConnId),
     /// Something falls due for the links to this host.
--- a/crates/dispatcher/src/planted.rs
+++ b/crates/dispatcher/src/planted.rs
@@ -9,7 +9,7 @@
 pub enum Plant {
     /// No state is ever let go.
     ReleaseForgotten = 1,
-    /// Hosts do not hear that a launch is called off.
+    /// Hosts do not hear that an attempt is called off.
     CancelLost,
     /// A broken connection counts as proof that nothing ran.
     BrokenAsFull,
@@ -25,7 +25,7 @@
     BrokenReadKept,
     /// The state that a writer did not find is kept.
     NoStateKept,
-    /// A launch that waits for its connection goes out whatever was learned meanwhile.
+    /// An attempt that waits for its connection goes out whatever was learned meanwhile.
     DrainReadLate,
     /// Cold hosts are taken for warm.
     StartsUntold,
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -46,10 +46,10 @@
 /// A request whose state is held, and its decode attempt.
 pub fn decoding(bench: &mut Bench, conn: u64, class: &str) -> Sent {
     let out = asks(bench, conn, class);
-    let prefill = bench.launches(&out).pop().expect("a prefill goes out");
+    let prefill = bench.attempts(&out).pop().expect("a prefill goes out");
     let out = bench.ended(&prefill, v1::Status::ReadDone);
     bench
-        .launches(&out)
+        .attempts(&out)
         .pop()
         .expect("a decode attempt goes out")
 }
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -54,7 +54,7 @@
         may_tell: false,
         clients_hear_retry: true,
         max_retry_after: 2000.0,
-        max_launches: 4,
+        max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 500.0,
         answer_grace: 16.0,
@@ -177,7 +177,7 @@
     })
 }
 
-/// A launch as it left for a host.
+/// An attempt as it left for a host.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub link: LinkId,
@@ -334,9 +334,9 @@
         &self.hosts[&link]
     }
 
-    /// The launches among outputs.
-    pub fn launches(&self, out: &[Output]) -> Vec<Sent> {
-        let launch = |output: &Output| {
+    /// The attempts among outputs.
+    pub fn attempts(&self, out: &[Output]) -> Vec<Sent> {
+        let attempt = |output: &Output| {
             let Output::ToHost { link, frame } = output else {
                 return None;
             };
@@ -352,20 +352,20 @@
                 state,
             })
         };
-        out.iter().filter_map(launch).collect()
+        out.iter().filter_map(attempt).collect()
     }
 
     /// A request up to its read, and that read.
     pub fn reading(&mut self, stream: u64, profile: &str) -> Sent {
         let out = self.client(stream, Body::Submit(submit(profile)));
-        self.launches(&out).pop().expect("a read goes out")
+        self.attempts(&out).pop().expect("a read goes out")
     }
 
-    /// A request up to its writer's launch.
+    /// A request up to its writer's attempt.
     pub fn writing(&mut self, stream: u64, profile: &str) -> Sent {
         let read = self.reading(stream, profile);
         let out = self.ended(&read, v1::Status::ReadDone);
-        self.launches(&out).pop().expect("a write goes out")
+        self.attempts(&out).pop().expect("a write goes out")
     }
 
     /// A request up to its first token.
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -54,7 +54,7 @@
     bench.links_come_up = true;
     out.extend(bench.pass(6_000.0));
     assert_eq!(
-        bench.launches(&out).len(),
+        bench.attempts(&out).len(),
         0,
         "an attempt for nobody: {out:?}"
     );
@@ -70,7 +70,7 @@
     let out = bench.client(1, Body::Submit(submit("draft")));
     let links = dialled(&out);
     assert_eq!(
-        (links.len(), bench.launches(&out).len()),
+        (links.len(), bench.attempts(&out).len()),
         (1, 0),
         "it waits"
     );
@@ -102,7 +102,7 @@
         let out = bench.ended(&read, Status::ReadDone);
         let links = dialled(&out);
         assert_eq!(
-            (links.len(), bench.launches(&out).len()),
+            (links.len(), bench.attempts(&out).len()),
             (1, 0),
             "the decode waits for its connection"
         );
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -80,7 +80,7 @@
     });
 }
 
-/// The read is done, and the launch at the writer is still being connected: it never goes out, and the state
+/// The read is done, and the attempt at the writer is still being connected: it never goes out, and the state
 /// is let go within the release time.
 #[test]
 fn a_client_that_cancels_between_read_and_write_runs_nothing() {
@@ -407,7 +407,7 @@
     });
 }
 
-/// A host that goes away keeps what it took; the next launch takes a new connection.
+/// A host that goes away keeps what it took; the next attempt takes a new connection.
 #[test]
 fn a_host_that_goes_away_breaks_no_stream() {
     run(|net| async move {
@@ -434,7 +434,7 @@
     });
 }
 
-/// Hosts that reset a share of their launches: each request has one end, and none that may not be repeated is.
+/// Hosts that reset a share of their attempts: each request has one end, and none that may not be repeated is.
 #[test]
 fn resets_by_the_hosts_break_no_rule() {
     run(|net| async move {
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_drain_learned_while_a_launch_is_connected_keeps_it_from_going_out() {
+fn a_drain_learned_while_an_attempt_is_connected_keeps_it_from_going_out() {
     let mut bench = Bench::new();
     bench.links_come_up = false;
     let out = bench.client(1, Body::Submit(submit("proof")));
@@ -38,7 +38,7 @@
     bench.told(&host, HostCondition::Draining);
     bench.links_come_up = true;
     let out = bench.put(Input::LinkUp { link, limit: None });
-    let went: Vec<String> = bench.launches(&out).into_iter().map(|l| l.host).collect();
+    let went: Vec<String> = bench.attempts(&out).into_iter().map(|l| l.host).collect();
     assert!(
         went.iter().all(|to| *to != host),
         "sent to {host}, which drains: {went:?}"
@@ -54,7 +54,7 @@
     let out = bench.ended(&read, Status::ReadDone);
     assert_eq!(
         bench
-            .launches(&out)
+            .attempts(&out)
             .iter()
             .map(|l| &*l.host)
             .collect::<Vec<_>>(),
@@ -72,13 +72,13 @@
     bench.told("r2", HostCondition::Gone);
     let seen = bench.out.len();
     // Reads that are out end, which would make room for those that wait.
-    for read in bench.launches(&bench.out.clone()) {
+    for read in bench.attempts(&bench.out.clone()) {
         bench.ended(&read, Status::Full);
     }
     bench.pass(10_000.0);
     let after = bench.out[seen..].to_vec();
     assert_eq!(
-        bench.launches(&after).len(),
+        bench.attempts(&after).len(),
         0,
         "nothing new goes to readers that drain or are gone"
     );
@@ -100,7 +100,7 @@
             reason,
         });
         assert_eq!(
-            !bench.launches(&out).is_empty(),
+            !bench.attempts(&out).is_empty(),
             again,
             "{profile} goes out again"
         );
@@ -131,7 +131,7 @@
         });
         assert_eq!(finals(&out), [(1, Answer::WrittenOff)], "{profile}");
         let later = bench.pass(10_000.0);
-        assert!(bench.launches(&out).is_empty() && bench.launches(&later).is_empty());
+        assert!(bench.attempts(&out).is_empty() && bench.attempts(&later).is_empty());
         assert_eq!(to_client(&later), []);
         assert_eq!(bench.ledger.held().requests, 0);
     }
@@ -519,7 +519,7 @@
     let mut held = Vec::new();
     for stream in 1..=400 {
         let out = bench.client(stream, Body::Submit(submit("draft")));
-        held.extend(bench.launches(&out));
+        held.extend(bench.attempts(&out));
     }
     bench.told("w1", HostCondition::Gone);
     bench.told("w2", HostCondition::Gone);
@@ -529,7 +529,7 @@
     while let Some(read) = held.pop() {
         ended += 1;
         let now = bench.ended(&read, Status::ReadDone);
-        held.extend(bench.launches(&now));
+        held.extend(bench.attempts(&now));
         out.extend(now);
     }
     assert!(ended >= 10, "{ended} states held");
@@ -551,7 +551,7 @@
     bench.pass(3000.0);
     bench.put(Input::Stop);
     assert_eq!(finals(&bench.out), []);
-    // The client's time is up first, with the launch still out; then the grace is.
+    // The client's time is up first, with the attempt still out; then the grace is.
     bench.pass(1500.0);
     assert_eq!(finals(&bench.out), [(1, Answer::WrittenOff)]);
     bench.pass(1500.0);
@@ -585,12 +585,12 @@
     // A fifth has no place on any link: as full, which proves that it has not run, and it waits.
     let out = bench.client(5, Body::Submit(submit("proof")));
     assert_eq!((dials(&out), finals(&out)), (0, vec![]));
-    let reads = bench.launches(&bench.out.clone());
+    let reads = bench.attempts(&bench.out.clone());
     assert_eq!(reads.len(), 4);
     let out = bench.pass(1000.0);
     assert_eq!((dials(&out), finals(&out)), (0, vec![(5, Answer::Bounced)]));
     bench.put(Input::ClientClosed { conn: ConnId(1) });
-    for read in bench.launches(&bench.out.clone()) {
+    for read in bench.attempts(&bench.out.clone()) {
         bench.ended(&read, Status::Cancelled);
     }
     assert!(bench.ledger.held().links > 0);
@@ -697,7 +697,7 @@
                 ..submit("draft")
             }),
         );
-        let read = bench.launches(&bench.out).remove(0);
+        let read = bench.attempts(&bench.out).remove(0);
         bench.ended(&read, Status::ReadDone);
         let told = |o: &Output| match o {
             Output::Log {
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -392,7 +392,7 @@
 const RELEASES_BEHIND_A_CLOSE: std::ops::RangeInclusive<usize> = 2..=16;
 
 #[test]
-fn a_client_that_closes_has_its_launch_closed_and_what_is_held_let_go() {
+fn a_client_that_closes_has_its_attempt_closed_and_what_is_held_let_go() {
     run(|net| async move {
         net.writer.set(Writer::Silent);
         let mut io = net.connect().await;
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -1,5 +1,5 @@
 //! Random rows of inputs to the ledger, and what must hold after each: one final answer a request and nothing
-//! after it, one launch out a request, nothing to hosts that are not ready, no second write of an at-most-once
+//! after it, one attempt out a request, nothing to hosts that are not ready, no second write of an at-most-once
 //! request that may have run, no state left pinned, and a ledger that empties at the end.
 
 mod common;
@@ -15,20 +15,20 @@
 
 const HOSTS: [&str; 5] = ["r1", "r2", "w1", "w2", "w3"];
 const PROFILES: [&str; 3] = ["draft", "proof", "caption"];
-/// The release time after the read and after each launch that may follow, and those launches' connect
+/// The release time after the read and after each attempt that may follow, and those attempts' connect
 /// timeouts: one that is being connected is out, but does not show here.
 const RELEASE: Ms = 4.0 * 500.0 + 3.0 * 250.0;
 
 const GIVEN_UP: Ms = 5000.0;
 
-/// A state by its request and launch.
+/// A state by its request and attempt.
 type StateKey = (u32, u32);
 
 /// What happens, to whom, and how many half milliseconds after the last.
 type Draw = (u8, u16, u16);
 
 #[derive(Clone, Debug)]
-struct Launch {
+struct Attempt {
     request: u32,
     link: LinkId,
     stream: u64,
@@ -54,9 +54,9 @@
     conditions: BTreeMap<&'static str, HostCondition>,
     dialled: Vec<(LinkId, String)>,
     links: BTreeMap<LinkId, String>,
-    launches: Vec<Launch>,
+    attempts: Vec<Attempt>,
     /// Launches that the ledger has cancelled, which the host has yet to end.
-    past: Vec<Launch>,
+    past: Vec<Attempt>,
     requests: BTreeMap<u32, Request>,
     by_stream: BTreeMap<u64, u32>,
     /// States at readers, and since when nothing is out for them.
@@ -81,7 +81,7 @@
             conditions: HOSTS.map(|h| (h, HostCondition::Ready)).into(),
             dialled: Vec::new(),
             links: BTreeMap::new(),
-            launches: Vec::new(),
+            attempts: Vec::new(),
             past: Vec::new(),
             requests: BTreeMap::new(),
             by_stream: BTreeMap::new(),
@@ -180,7 +180,7 @@
             Some(Body::Write(write)) => (write.state, true),
             Some(Body::Release(release)) => {
                 let state = release.state.unwrap_or_default();
-                let key = (state.request, state.launch);
+                let key = (state.request, state.attempt);
                 // Not all get through.
                 let comes = !(stream + u64::from(state.request)).is_multiple_of(4);
                 let since = self.held.remove(&key);
@@ -194,19 +194,19 @@
             }
             Some(Body::Cancel(_)) => {
                 if let Some(at) = self
-                    .launches
+                    .attempts
                     .iter()
                     .position(|l| l.link == link && l.stream == stream)
                 {
-                    let launch = self.launches.remove(at);
-                    self.end_held(&launch, true);
-                    self.past.push(launch);
+                    let attempt = self.attempts.remove(at);
+                    self.end_held(&attempt, true);
+                    self.past.push(attempt);
                 }
                 return Ok(());
             }
             Some(Body::Credit(credit)) => {
                 let found = self
-                    .launches
+                    .attempts
                     .iter_mut()
                     .find(|l| l.link == link && l.stream == stream);
                 found.into_iter().for_each(|l| l.credit += credit.messages);
@@ -226,7 +226,7 @@
         let condition = self.conditions.get(host.as_str()).copied();
         prop_assert_eq!(condition, Some(HostCondition::Ready), "sent to {}", host);
         let out = self
-            .launches
+            .attempts
             .iter()
             .filter(|l| l.request == state.request)
             .count();
@@ -240,14 +240,14 @@
             );
             request.may_have_run = true;
             // Unless its reader was told to be gone, and it with it.
-            if let Some(since) = self.held.get_mut(&(state.request, state.launch)) {
+            if let Some(since) = self.held.get_mut(&(state.request, state.attempt)) {
                 *since = f64::INFINITY;
             }
         }
         if !write {
-            self.at.insert((state.request, state.launch), host);
+            self.at.insert((state.request, state.attempt), host);
         }
-        let launch = Launch {
+        let attempt = Attempt {
             request: state.request,
             link,
             stream,
@@ -256,15 +256,15 @@
             position: 0,
             credit: 4,
         };
-        self.launches.push(launch);
+        self.attempts.push(attempt);
         Ok(())
     }
 
     /// The state of a write that is over lies there again, if it was not taken.
-    fn end_held(&mut self, launch: &Launch, still_there: bool) {
-        let key = (launch.state.request, launch.state.launch);
-        if launch.write {
-            if !still_there || launch.position > 0 {
+    fn end_held(&mut self, attempt: &Attempt, still_there: bool) {
+        let key = (attempt.state.request, attempt.state.attempt);
+        if attempt.write {
+            if !still_there || attempt.position > 0 {
                 self.held.remove(&key);
             } else if let Some(since) = self.held.get_mut(&key) {
                 *since = self.now;
@@ -277,45 +277,45 @@
         self.dialled.retain(|(l, _)| *l != link);
         self.past.retain(|l| l.link != link);
         self.probes.retain(|(l, _)| *l != link);
-        let (cut, rest) = std::mem::take(&mut self.launches)
+        let (cut, rest) = std::mem::take(&mut self.attempts)
             .into_iter()
             .partition(|l| l.link == link);
-        self.launches = rest;
-        for launch in &cut as &Vec<Launch> {
-            self.end_held(launch, true);
+        self.attempts = rest;
+        for attempt in &cut as &Vec<Attempt> {
+            self.end_held(attempt, true);
             // Half of the reads had ended, with their last word lost.
             let host = self
                 .at
-                .get(&(launch.state.request, launch.state.launch))
+                .get(&(attempt.state.request, attempt.state.attempt))
                 .cloned()
                 .unwrap_or_default();
             let gone = self.conditions.get(host.as_str()) == Some(&HostCondition::Gone);
-            if !launch.write && launch.stream.is_multiple_of(2) && !gone {
+            if !attempt.write && attempt.stream.is_multiple_of(2) && !gone {
                 self.held
-                    .insert((launch.state.request, launch.state.launch), self.now);
+                    .insert((attempt.state.request, attempt.state.attempt), self.now);
             }
         }
     }
 
-    fn end(&mut self, launch: Launch, status: Status) -> Result<(), TestCaseError> {
+    fn end(&mut self, attempt: Attempt, status: Status) -> Result<(), TestCaseError> {
         let proven = matches!(status, Status::Full | Status::NoState);
-        if launch.write && proven {
+        if attempt.write && proven {
             self.requests
-                .entry(launch.request)
+                .entry(attempt.request)
                 .or_default()
                 .may_have_run = false;
         }
         // Half of the writers that found no state just did not reach its reader.
-        let unreached = status == Status::NoState && launch.stream.is_multiple_of(2);
+        let unreached = status == Status::NoState && attempt.stream.is_multiple_of(2);
         self.end_held(
-            &launch,
+            &attempt,
             unreached || !matches!(status, Status::NoState | Status::Fulfilled),
         );
         let mut state = None;
         if status == Status::ReadDone {
-            state = Some(launch.state);
+            state = Some(attempt.state);
             self.held
-                .insert((launch.state.request, launch.state.launch), self.now);
+                .insert((attempt.state.request, attempt.state.attempt), self.now);
         }
         let ended = v1::Ended {
             status: status.into(),
@@ -323,8 +323,8 @@
             ..v1::Ended::default()
         };
         self.put(Input::Host {
-            link: launch.link,
-            frame: frame(launch.stream, Body::Ended(ended)),
+            link: attempt.link,
+            frame: frame(attempt.stream, Body::Ended(ended)),
         })
     }
 
@@ -441,13 +441,13 @@
                 self.put(Input::LinkUp { link, limit: None })
             }
             12 if !self.past.is_empty() => {
-                let launch = self.past.remove(pick(self.past.len()));
-                let late = !launch.write && whom.is_multiple_of(2);
+                let attempt = self.past.remove(pick(self.past.len()));
+                let late = !attempt.write && whom.is_multiple_of(2);
                 // Its write had ended for the ledger with the cancel.
-                let state = late.then_some(launch.state);
+                let state = late.then_some(attempt.state);
                 if late {
                     self.held
-                        .insert((launch.state.request, launch.state.launch), self.now);
+                        .insert((attempt.state.request, attempt.state.attempt), self.now);
                 }
                 let status = if late {
                     Status::ReadDone
@@ -460,8 +460,8 @@
                     ..v1::Ended::default()
                 };
                 self.put(Input::Host {
-                    link: launch.link,
-                    frame: frame(launch.stream, Body::Ended(ended)),
+                    link: attempt.link,
+                    frame: frame(attempt.stream, Body::Ended(ended)),
                 })
             }
             13 if !self.probes.is_empty() => {
@@ -471,17 +471,17 @@
                     frame: frame(stream, Body::Load(v1::Load::default())),
                 })
             }
-            _ if !self.launches.is_empty() => {
-                let at = pick(self.launches.len());
-                let launch = &mut self.launches[at];
+            _ if !self.attempts.is_empty() => {
+                let at = pick(self.attempts.len());
+                let attempt = &mut self.attempts[at];
                 let kind = (whom >> 6) % 8;
-                if launch.write && kind < 5 && launch.credit > 0 {
-                    launch.credit -= 1;
-                    let body = tokens(launch.position);
-                    launch.position += 1;
-                    let (link, stream, request) = (launch.link, launch.stream, launch.request);
+                if attempt.write && kind < 5 && attempt.credit > 0 {
+                    attempt.credit -= 1;
+                    let body = tokens(attempt.position);
+                    attempt.position += 1;
+                    let (link, stream, request) = (attempt.link, attempt.stream, attempt.request);
                     self.held
-                        .remove(&(launch.state.request, launch.state.launch));
+                        .remove(&(attempt.state.request, attempt.state.attempt));
                     self.put(Input::Host {
                         link,
                         frame: frame(stream, body),
@@ -493,15 +493,15 @@
                         messages: 1,
                     });
                 }
-                let launch = self.launches.remove(at);
-                let status = match (launch.write, kind, launch.position) {
+                let attempt = self.attempts.remove(at);
+                let status = match (attempt.write, kind, attempt.position) {
                     (_, 5, 0) => Status::Full,
                     (true, 6, 0) => Status::NoState,
                     (_, 7, _) => Status::Failed,
                     (true, ..) => Status::Fulfilled,
                     (false, ..) => Status::ReadDone,
                 };
-                self.end(launch, status)
+                self.end(attempt, status)
             }
             _ => Ok(()),
         }
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -16,7 +16,7 @@
     while bench.now - since < 4_000.0 {
         let out = bench.pass(5.0);
         let arrived = |sent: &Sent| !bench.silent.contains(&sent.host);
-        if let Some(decode) = bench.launches(&out).into_iter().find(arrived) {
+        if let Some(decode) = bench.attempts(&out).into_iter().find(arrived) {
             return (bench.now - since, Some(decode));
         }
         if releases_of(conn, &out)
@@ -148,7 +148,7 @@
         assert_eq!(releases_of(1, &out).len(), 1, "{class}");
         assert!(
             bench
-                .launches(&bench.out)
+                .attempts(&bench.out)
                 .last()
                 .is_some_and(|last| last.link == queued.link),
             "{class}"
@@ -173,7 +173,7 @@
         let out = bench.ended(&queued, Status::NoState);
         assert_eq!(finals(&out), [(1, Answer::Bounced)], "{class}");
         let out = bench.pass(1_000.0);
-        assert!(bench.launches(&out).is_empty(), "{class}");
+        assert!(bench.attempts(&out).is_empty(), "{class}");
         assert_eq!(
             (bench.ledger.held().requests, bench.ledger.held().releases),
             (0, 0),
@@ -214,7 +214,7 @@
     for step in 1..=200 {
         let out = bench.pass(10.0);
         go_on(&mut bench, &busy, &mut position);
-        assert!(bench.launches(&out).is_empty() && !called_off(&out, &queued));
+        assert!(bench.attempts(&out).is_empty() && !called_off(&out, &queued));
         let is_due = usize::from(f64::from(step) * 10.0 == UNANSWERED_UNTIL);
         assert!(dialled(&out) <= is_due, "no connection for a question");
         assert_eq!(
@@ -242,7 +242,7 @@
     let out = bench.out[before..].to_vec();
     assert_eq!(finals(&out).len(), 1, "one answer");
     let decodes = bench
-        .launches(&out)
+        .attempts(&out)
         .into_iter()
         .filter(|sent| sent.host.starts_with('w'))
         .count();
@@ -264,10 +264,10 @@
                 called_off(&bench.out, &lost),
                 "{class} after {after}: the attempt is given up"
             );
-            assert!(bench.launches(&out).is_empty());
+            assert!(bench.attempts(&out).is_empty());
             let out = bench.pass(4_000.0);
             assert!(
-                bench.launches(&out).is_empty(),
+                bench.attempts(&out).is_empty(),
                 "{class} after {after}: nothing begins for nobody"
             );
             let reached = |output: &Output| match output {
@@ -321,7 +321,7 @@
     let mut bench = bench();
     warm_up(&mut bench);
     let out = asks(&mut bench, 1, "draft");
-    let prefill = bench.launches(&out).pop().expect("a prefill goes out");
+    let prefill = bench.attempts(&out).pop().expect("a prefill goes out");
     silence(&mut bench, &[prefill.host.as_str()]);
     bench.pass(100.0);
     bench.put(Input::ClientClosed { conn: ConnId(1) });
@@ -342,10 +342,10 @@
     // It works again.
     for conn in 5_000.. {
         let out = asks(&mut bench, conn, "draft");
-        let next = bench.launches(&out).pop().expect("a prefill goes out");
+        let next = bench.attempts(&out).pop().expect("a prefill goes out");
         let out = bench.ended(&next, Status::ReadDone);
         let decode = bench
-            .launches(&out)
+            .attempts(&out)
             .pop()
             .expect("a decode attempt goes out");
         bench.host(&decode, tokens(0));
@@ -378,12 +378,12 @@
             warm_up(&mut bench);
             bench.pass(3_000.0);
             let out = asks(&mut bench, 1, class);
-            let prefill = bench.launches(&out).pop().expect("a prefill goes out");
+            let prefill = bench.attempts(&out).pop().expect("a prefill goes out");
             let silent: Vec<&str> = all.into_iter().filter(|name| *name != runs).collect();
             silence(&mut bench, &silent);
             let out = bench.ended(&prefill, Status::ReadDone);
             let arrived = bench
-                .launches(&out)
+                .attempts(&out)
                 .iter()
                 .any(|sent| !bench.silent.contains(&sent.host));
             if arrived {
@@ -406,7 +406,7 @@
     let mut bench = bench();
     warm_up(&mut bench);
     let out = asks(&mut bench, 1, "draft");
-    let broken = bench.launches(&out).pop().expect("a prefill goes out");
+    let broken = bench.attempts(&out).pop().expect("a prefill goes out");
     let others: Vec<String> = (1..=4)
         .map(|at| format!("r{at}"))
         .filter(|name| *name != broken.host)
@@ -421,7 +421,7 @@
     };
     let mut out = bench.host(&broken, Body::Goodbye(bye));
     let since = bench.now;
-    let second = bench.launches(&out).pop().expect("it is read again");
+    let second = bench.attempts(&out).pop().expect("it is read again");
     assert!(bench.is_silent(second.link), "at an engine that is silent");
     while releases_of(1, &out)
         .into_iter()
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -42,13 +42,13 @@
 
 fn reading(bench: &mut Bench, conn: u64, id: &str, profile: &str) -> Sent {
     let out = asks(bench, conn, request(id, profile));
-    bench.launches(&out).pop().expect("a read goes out")
+    bench.attempts(&out).pop().expect("a read goes out")
 }
 
 fn writing(bench: &mut Bench, conn: u64, id: &str, profile: &str) -> Sent {
     let read = reading(bench, conn, id, profile);
     let out = bench.ended(&read, Status::ReadDone);
-    bench.launches(&out).pop().expect("a write goes out")
+    bench.attempts(&out).pop().expect("a write goes out")
 }
 
 fn releases(out: &[Output]) -> Vec<String> {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn each_launch_has_a_connection_of_its_own_and_nothing_is_dialled_ahead() {
+fn each_attempt_has_a_connection_of_its_own_and_nothing_is_dialled_ahead() {
     let mut bench = bench();
     let mut links = Vec::new();
     for n in 1..=6 {
@@ -98,7 +98,7 @@
         let write = writing(&mut bench, 1, "a", "proof");
         let out = bench.host(&write, goodbye(never_ran));
         assert_eq!(
-            !bench.launches(&out).is_empty(),
+            !bench.attempts(&out).is_empty(),
             again,
             "an at-most-once task goes out again"
         );
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_launch_on_a_connection_that_was_over_goes_out_on_another_to_the_same_host() {
+fn an_attempt_on_a_connection_that_was_over_goes_out_on_another_to_the_same_host() {
     let mut bench = bench();
     let write = writing(&mut bench, 1, "a", "proof");
     bench.host(&write, tokens(0));
@@ -129,7 +129,7 @@
         }
     };
     let out = bench.host(&next, goodbye(true));
-    let again = bench.launches(&out).pop().expect("it goes out again");
+    let again = bench.attempts(&out).pop().expect("it goes out again");
     assert_eq!(again.host, next.host);
     assert_ne!(again.link, next.link);
     assert_eq!(again.state, next.state, "as the same launch");
@@ -137,12 +137,12 @@
 }
 
 #[test]
-fn a_release_waits_while_its_requests_next_launch_is_out_and_goes_out_once_it_is_over() {
+fn a_release_waits_while_its_requests_next_attempt_is_out_and_goes_out_once_it_is_over() {
     let mut bench = bench();
     let read = reading(&mut bench, 1, "a", "draft");
     // The read broke: it may have left a state; the request is read again.
     let out = bench.host(&read, goodbye(false));
-    let second = bench.launches(&out).pop().expect("it is read again");
+    let second = bench.attempts(&out).pop().expect("it is read again");
     assert_eq!(
         releases(&out),
         Vec::<String>::new(),
@@ -150,7 +150,7 @@
     );
     let out = bench.ended(&second, Status::ReadDone);
     assert_eq!(releases(&out), Vec::<String>::new());
-    let write = bench.launches(&out).pop().expect("a write goes out");
+    let write = bench.attempts(&out).pop().expect("a write goes out");
     bench.host(&write, tokens(0));
     let out = bench.ended(&write, Status::Fulfilled);
     assert_eq!(releases(&out), ["a"]);
@@ -161,7 +161,7 @@
         let next = reading(&mut bench, n, &n.to_string(), "draft");
         let out = bench.ended(&next, Status::ReadDone);
         let decode = bench
-            .launches(&out)
+            .attempts(&out)
             .pop()
             .expect("a decode attempt goes out");
         bench.host(&decode, tokens(0));
@@ -235,10 +235,10 @@
         matches!(to_client(&out)[..], [(1, Body::Rejected(_))]),
         "{out:?}"
     );
-    assert!(bench.launches(&out).is_empty() && releases(&out).is_empty());
+    assert!(bench.attempts(&out).is_empty() && releases(&out).is_empty());
     bench.put(Input::ClientClosed { conn: ConnId(2) });
     let out = bench.ended(&read, Status::ReadDone);
-    let write = bench.launches(&out).pop().expect("the open one goes on");
+    let write = bench.attempts(&out).pop().expect("the open one goes on");
     bench.host(&write, tokens(0));
     assert_eq!(
         finals(&bench.ended(&write, Status::Fulfilled)),
@@ -246,7 +246,7 @@
     );
     // Once it is over, its id is nobody's.
     let out = asks(&mut bench, 3, request("a", "draft"));
-    assert!(!bench.launches(&out).is_empty());
+    assert!(!bench.attempts(&out).is_empty());
 }
 
 #[test]
@@ -328,7 +328,7 @@
     bench.host(&write, tokens(0));
     bench.put(Input::Stop);
     let out = asks(&mut bench, 2, request("b", "draft"));
-    assert!(!bench.launches(&out).is_empty(), "still taken");
+    assert!(!bench.attempts(&out).is_empty(), "still taken");
     bench.pass(700.0);
     assert_eq!(
         finals(&asks(&mut bench, 3, request("c", "draft"))),
@@ -469,9 +469,9 @@
             ..v1::Origin::default()
         });
         let out = asks(&mut bench, n, Body::Submit(v1::Submit { origin, ..text }));
-        let read = bench.launches(&out).pop().expect("a read goes out");
+        let read = bench.attempts(&out).pop().expect("a read goes out");
         let out = bench.ended(&read, Status::ReadDone);
-        let write = bench.launches(&out).pop().expect("a write goes out");
+        let write = bench.attempts(&out).pop().expect("a write goes out");
         bench.host(&write, tokens(0));
         bench.ended(&write, Status::Fulfilled);
         linked.extend([read.host, write.host]);
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -108,7 +108,7 @@
         may_tell: false,
         clients_hear_retry: true,
         max_retry_after: 2000.0,
-        max_launches: 4,
+        max_attempts: 4,
         connect_timeout: CONNECT,
         drain_grace: DRAIN_GRACE,
         answer_grace: 50.0,
--- a/crates/faults/src/model.rs
+++ b/crates/faults/src/model.rs
@@ -2,8 +2,8 @@
 //! module: each message that a stand-in sees must be a legal step. Bounds of time are the audit's; here it is the
 //! order of things, so a breach is known at the message that makes it.
 //!
-//! A request is known by its key, which its tries, launches and runs carry. What a dispatcher may believe is taken
-//! from what was said to it: a launch has not run if its host said so (`full`, `no state`), and may have otherwise.
+//! A request is known by its key, which its tries, attempts and runs carry. What a dispatcher may believe is taken
+//! from what was said to it: an attempt has not run if its host said so (`full`, `no state`), and may have otherwise.
 
 use cindercleat_protocol::{v1, Body};
 use cindercleat_standin::transcript::{Note, Record, Way, What};
@@ -41,7 +41,7 @@
     fulfilled: usize,
     ran: usize,
     /// Launches of the try of a dispatcher's process: reads and writes.
-    launches: BTreeMap<(u64, u32), u32>,
+    attempts: BTreeMap<(u64, u32), u32>,
 }
 
 /// A stream as its seer numbers it.
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub struct Model {
     again: BTreeMap<String, Again>,
-    most_launches: u32,
+    most_attempts: u32,
     tries: BTreeMap<Stream, Try>,
     requests: BTreeMap<String, Request>,
     /// Launches that hosts took in: whose they are, and whether they write.
@@ -63,10 +63,10 @@
 }
 
 impl Model {
-    pub fn new(again: BTreeMap<String, Again>, most_launches: u32) -> Self {
+    pub fn new(again: BTreeMap<String, Again>, most_attempts: u32) -> Self {
         Model {
             again,
-            most_launches,
+            most_attempts,
             tries: BTreeMap::new(),
             requests: BTreeMap::new(),
             taken: BTreeMap::new(),
@@ -98,10 +98,10 @@
                         self.answered(stream, body)
                     }
                     (Way::In, Some(Body::Read(read))) => {
-                        self.launched(stream, &read.key, read.state, None)
+                        self.attempted(stream, &read.key, read.state, None)
                     }
                     (Way::In, Some(Body::Write(write))) => {
-                        self.launched(stream, &write.key, write.state, Some(&write.profile))
+                        self.attempted(stream, &write.key, write.state, Some(&write.profile))
                     }
                     (Way::Out, Some(Body::Ended(ended))) => self.ended(stream, ended),
                     _ => None,
@@ -199,8 +199,8 @@
         }
     }
 
-    /// A host takes a launch in.
-    fn launched(
+    /// A host takes an attempt in.
+    fn attempted(
         &mut self,
         stream: Stream,
         key: &str,
@@ -209,20 +209,20 @@
     ) -> Option<String> {
         self.meet(if writes.is_some() { "write" } else { "read" });
         let again = writes.map(|profile| self.again(profile));
-        let most = self.most_launches;
+        let most = self.most_attempts;
         let host = stream.0.clone();
         self.taken
             .insert(stream.clone(), (key.to_owned(), writes.is_some()));
         let request = self.requests.get_mut(key)?;
         if let (Some(state), true) = (state, writes.is_none()) {
-            // A read names its own launch, counted from 0.
-            let launches = request
-                .launches
+            // A read names its own attempt, counted from 0.
+            let attempts = request
+                .attempts
                 .entry((state.run, state.request))
                 .or_default();
-            *launches = (*launches).max(state.launch + 1);
-            if *launches > most {
-                return Some(format!("{key} has {launches} launches"));
+            *attempts = (*attempts).max(state.attempt + 1);
+            if *attempts > most {
+                return Some(format!("{key} has {attempts} launches"));
             }
         }
         writes?;
@@ -233,7 +233,7 @@
         None
     }
 
-    /// A host ends a launch.
+    /// A host ends an attempt.
     fn ended(&mut self, stream: Stream, ended: &v1::Ended) -> Option<String> {
         let (key, writes) = self.taken.remove(&stream)?;
         let request = self.requests.get_mut(&key)?;
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -43,7 +43,7 @@
     Cut,
     Full(String),
     Fails(f64),
-    /// A share of launches is reset, with one code or another.
+    /// A share of attempts is reset, with one code or another.
     Resets(f64),
     /// Its connections take nothing new from now on.
     GoAway,
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -113,7 +113,7 @@
 }
 
 impl Virtual {
-    async fn launch(&self, at: u32) -> io::Result<Process> {
+    async fn start_dispatcher(&self, at: u32) -> io::Result<Process> {
         self.starts.set(self.starts.get() + 1);
         let run = self
             .day
@@ -183,7 +183,7 @@
 
     async fn again(&self, at: u32) -> io::Result<()> {
         if self.running.borrow()[at as usize].is_none() {
-            let process = self.launch(at).await?;
+            let process = self.start_dispatcher(at).await?;
             self.running.borrow_mut()[at as usize] = Some(process);
         }
         Ok(())
@@ -227,7 +227,7 @@
     });
     let model = Rc::new(RefCell::new(Model::new(
         again.collect(),
-        day.service.policy.max_launches,
+        day.service.policy.max_attempts,
     )));
     let watching = model.clone();
     transcript.watch(move |record| watching.borrow_mut().see(record));
@@ -369,7 +369,7 @@
     }
     let cases = findings.cases;
     for (name, n) in [
-        ("launch at a cold host", cases.cold_launches),
+        ("launch at a cold host", cases.cold_attempts),
         ("drain told", cases.drains),
     ] {
         met.insert(name.to_owned(), n as u64);
@@ -508,7 +508,7 @@
 fn said(body: &Body) -> String {
     let state = |s: &Option<v1::StateId>| {
         s.map_or_else(String::new, |s| {
-            format!(" state {}.{}", s.request, s.launch)
+            format!(" state {}.{}", s.request, s.attempt)
         })
     };
     match body {
--- a/crates/faults/tests/named.rs
+++ b/crates/faults/tests/named.rs
@@ -126,7 +126,7 @@
         let state = Some(v1::StateId {
             run: 7,
             request: 1,
-            launch: 0,
+            attempt: 0,
         });
         let record = |at: f64, way: Way, stream: u64, body: Body| Record {
             at,
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -544,7 +544,7 @@
     let state = Some(v1::StateId {
         run: 1,
         request: 2,
-        launch: 3,
+        attempt: 3,
     });
     let prompt = bytes::Bytes::from_static(b"{}");
     Body::Read(v1::Read {
@@ -683,7 +683,7 @@
 }
 
 #[test]
-fn what_a_launch_may_be_taken_for_follows_from_the_answer_alone() {
+fn what_an_attempt_may_be_taken_for_follows_from_the_answer_alone() {
     use v1::Status::*;
     let plain =
         |status: &str, more: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{more}\r\n");
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -202,10 +202,10 @@
             "ack_first" => {
                 let request = request(parts)?;
                 let host = parts.host()?;
-                let launch = launch(parts)?;
+                let attempt = attempt(parts)?;
                 Event::FirstToken {
                     request,
-                    launch,
+                    attempt,
                     host,
                     latency: parts.time("a latency")?,
                 }
@@ -240,7 +240,7 @@
             }
             "attempt_end" => {
                 let request = request(parts)?;
-                let launch = launch(parts)?;
+                let attempt = attempt(parts)?;
                 let host = parts.host()?;
                 let outcome = outcome(parts.next("an outcome")?)?;
                 let latency = parts.time("a latency")?;
@@ -249,7 +249,7 @@
                 let load = self.load(instance, parts)?;
                 Event::Ended(Ended {
                     request,
-                    launch,
+                    attempt,
                     host,
                     outcome,
                     latency,
@@ -260,12 +260,12 @@
             }
             _ => {
                 let request = request(parts)?;
-                let launch = launch(parts)?;
+                let attempt = attempt(parts)?;
                 let host = parts.host()?;
                 let kind: u32 = parts.number("1 or 2")?;
                 Event::Place {
                     request,
-                    launch,
+                    attempt,
                     host,
                     held: kind == 1,
                 }
@@ -349,8 +349,8 @@
     parts.number("a request id").map(RequestId)
 }
 
-fn launch(parts: &mut Parts) -> Result<LaunchNo, Malformed> {
-    parts.number("an attempt's number").map(LaunchNo)
+fn attempt(parts: &mut Parts) -> Result<AttemptId, Malformed> {
+    parts.number("an attempt's number").map(AttemptId)
 }
 
 fn accept(parts: &mut Parts) -> Result<Event, Malformed> {
@@ -392,7 +392,7 @@
 pub fn write_action(out: &mut String, i: u32, action: &Action) {
     // Writing to a string cannot fail.
     let _ = match action {
-        Action::Launch {
+        Action::StartAttempt {
             request,
             host,
             until,
@@ -400,8 +400,8 @@
             let until = until.map_or(0, |at| us(at).max(1));
             writeln!(out, "route\t{i}\t{}\t{}\t{until}", request.0, host.0)
         }
-        Action::Cancel { request, launch } => {
-            writeln!(out, "cancel\t{i}\t{}\t{}", request.0, launch.0)
+        Action::Cancel { request, attempt } => {
+            writeln!(out, "cancel\t{i}\t{}\t{}", request.0, attempt.0)
         }
         Action::Bounce {
             request,
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -25,12 +25,12 @@
     /// For the way between a dispatcher and who saw it, and for a busy machine.
     pub slack: Ms,
     /// Spans in which connections may be dead without a word, and the time in which a dispatcher notices when it
-    /// uses one; a launch that is lost so is out for its dispatcher, and no stand-in sees it.
+    /// uses one; an attempt that is lost so is out for its dispatcher, and no stand-in sees it.
     /// From when, until when, and for how long at most.
     pub silences: Vec<(Ms, Ms, Ms)>,
     /// Spans in which what clients and dispatchers say to each other came late or not at all.
     pub apart: Vec<(Ms, Ms)>,
-    /// A token's time in a writer's slot, for the work that a launch there brings.
+    /// A token's time in a writer's slot, for the work that an attempt there brings.
     pub token_ms: Ms,
     /// The part of its class's answered share that the largest requests get; nothing is held where there is none.
     pub largest_part: Option<f64>,
@@ -66,10 +66,12 @@
 pub struct Cases {
     pub tries: usize,
     pub finals: usize,
-    pub launches: usize,
+    #[serde(rename = "launches")]
+    pub attempts: usize,
     pub at_most_once_runs: usize,
     pub drains: usize,
-    pub cold_launches: usize,
+    #[serde(rename = "cold_launches")]
+    pub cold_attempts: usize,
     pub states: usize,
     pub events: usize,
     pub length_floors: usize,
@@ -81,18 +83,18 @@
     pub breaches: Vec<Breach>,
 }
 
-/// The state or launch of a request, by the process that made it: run, request, launch.
+/// The state or attempt of a request, by the process that made it: run, request, attempt.
 type Key = (u64, u32, u32);
 
 pub fn audit(records: &[Record], rules: &Rules) -> Findings {
     let mut findings = Findings::default();
     requests(records, rules, &mut findings);
     effects(records, rules, &mut findings);
-    let launches = launches(records);
-    findings.cases.launches = launches.len();
-    drains(records, &launches, rules, &mut findings);
-    cold(records, &launches, rules, &mut findings);
-    pinned(records, &launches, rules, &mut findings);
+    let attempts = attempts(records);
+    findings.cases.attempts = attempts.len();
+    drains(records, &attempts, rules, &mut findings);
+    cold(records, &attempts, rules, &mut findings);
+    pinned(records, &attempts, rules, &mut findings);
     service::attempts_for_nobody(records, rules, &mut findings);
     service::late_events(records, rules, &mut findings);
     service::starved(records, rules, &mut findings);
@@ -286,9 +288,9 @@
     }
 }
 
-/// A launch as a host saw it.
+/// An attempt as a host saw it.
 #[derive(Clone, Debug)]
-struct Launch {
+struct Attempt {
     host: String,
     dispatcher: String,
     came: Ms,
@@ -299,17 +301,17 @@
 }
 
 fn key(state: &v1::StateId) -> Key {
-    (state.run, state.request, state.launch)
+    (state.run, state.request, state.attempt)
 }
 
-fn launches(records: &[Record]) -> Vec<Launch> {
-    let mut launches: Vec<Launch> = Vec::new();
+fn attempts(records: &[Record]) -> Vec<Attempt> {
+    let mut attempts: Vec<Attempt> = Vec::new();
     let mut open: BTreeMap<(&str, u64), BTreeMap<u64, usize>> = BTreeMap::new();
     for record in records {
         let conn = (&*record.seer, record.conn);
         let mut begin = |stream: u64, state: Option<&v1::StateId>, work: f64| {
-            open.entry(conn).or_default().insert(stream, launches.len());
-            launches.push(Launch {
+            open.entry(conn).or_default().insert(stream, attempts.len());
+            attempts.push(Attempt {
                 host: record.seer.to_string(),
                 dispatcher: record.peer.to_string(),
                 came: record.at,
@@ -330,7 +332,7 @@
                 }
                 Some(Body::Cancel(_)) => {
                     if let Some(at) = open.get_mut(&conn).and_then(|c| c.remove(&frame.stream)) {
-                        launches[at].ended = record.at;
+                        attempts[at].ended = record.at;
                     }
                 }
                 _ => {}
@@ -339,23 +341,23 @@
                 // A stream that has begun has taken its state.
                 if matches!(frame.body, Some(Body::Ended(_))) {
                     if let Some(at) = open.get_mut(&conn).and_then(|c| c.remove(&frame.stream)) {
-                        launches[at].ended = record.at;
+                        attempts[at].ended = record.at;
                     }
                 }
             }
             What::Note(Note::Closed { .. }) => {
                 for at in open.remove(&conn).unwrap_or_default().into_values() {
-                    launches[at].ended = record.at;
+                    attempts[at].ended = record.at;
                 }
             }
             What::Note(_) => {}
         }
     }
-    launches
+    attempts
 }
 
 /// Drains are kept: nothing new to a host later than the grace after its dispatcher was told.
-fn drains(records: &[Record], launches: &[Launch], rules: &Rules, findings: &mut Findings) {
+fn drains(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
     let mut told: BTreeMap<(String, String), Vec<(Ms, bool)>> = BTreeMap::new();
     let mut known: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for record in records {
@@ -386,30 +388,30 @@
         }
     }
     findings.cases.drains = told.values().flatten().filter(|(_, ready)| !ready).count();
-    for launch in launches {
-        let Some(told) = told.get(&(launch.dispatcher.clone(), launch.host.clone())) else {
+    for attempt in attempts {
+        let Some(told) = told.get(&(attempt.dispatcher.clone(), attempt.host.clone())) else {
             continue;
         };
         // The bound holds for the whole of the grace only if nothing said 'ready' within it.
-        let since = launch.came - rules.drain_grace - rules.slack;
+        let since = attempt.came - rules.drain_grace - rules.slack;
         let before = told.iter().rev().find(|(at, _)| *at <= since);
         let lately = told
             .iter()
-            .any(|(at, ready)| *ready && *at > since && *at <= launch.came);
+            .any(|(at, ready)| *ready && *at > since && *at <= attempt.came);
         if before.is_some_and(|(_, ready)| !ready) && !lately {
             let what = format!(
                 "{} sent to {}, which drains or is gone",
-                launch.dispatcher, launch.host
+                attempt.dispatcher, attempt.host
             );
-            findings.breach(Rule::DrainBroken, launch.came, what);
+            findings.breach(Rule::DrainBroken, attempt.came, what);
         }
     }
 }
 
 /// No cold host is pushed over. Work is counted in units of capacity: at a reader prompt tokens, of which it
-/// reads so many a second; at a writer the slot time of the most tokens that the answer may have. A launch
-/// counts whole when it arrives, also one turned away; one launch more than the bound is slack.
-fn cold(records: &[Record], launches: &[Launch], rules: &Rules, findings: &mut Findings) {
+/// reads so many a second; at a writer the slot time of the most tokens that the answer may have. An attempt
+/// counts whole when it arrives, also one turned away; one attempt more than the bound is slack.
+fn cold(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
     for record in records {
         let What::Note(Note::Started {
             capacity,
@@ -419,10 +421,10 @@
         else {
             continue;
         };
-        let writer = launches
+        let writer = attempts
             .iter()
             .any(|l| l.host == *record.seer && l.state.is_some());
-        let unit = |l: &Launch| {
+        let unit = |l: &Attempt| {
             if writer {
                 l.work * rules.token_ms / 1000.0
             } else {
@@ -430,11 +432,11 @@
             }
         };
         let until = record.at + ramp;
-        let here = launches
+        let here = attempts
             .iter()
             .filter(|l| l.host == *record.seer && l.came >= record.at && l.came < until);
-        let here: Vec<&Launch> = here.collect();
-        findings.cases.cold_launches += here.len();
+        let here: Vec<&Attempt> = here.collect();
+        findings.cases.cold_attempts += here.len();
         for (at, last) in here.iter().enumerate() {
             let window = here[..=at]
                 .iter()
@@ -454,9 +456,9 @@
     }
 }
 
-/// Nothing is left pinned: while none of a request's launches is out, a state held for it is taken or let go within
+/// Nothing is left pinned: while none of a request's attempts is out, a state held for it is taken or let go within
 /// the release time, counted from the last outcome. A dispatcher that was killed owes nothing any more.
-fn pinned(records: &[Record], launches: &[Launch], rules: &Rules, findings: &mut Findings) {
+fn pinned(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
     let mut held: BTreeMap<Key, (Ms, &Record)> = BTreeMap::new();
     let mut over: BTreeMap<Key, Ms> = BTreeMap::new();
     let mut died: BTreeMap<&str, Vec<Ms>> = BTreeMap::new();
@@ -493,11 +495,11 @@
     let end = records.last().map_or(0.0, |r| r.at);
     findings.cases.states = held.len();
     let mut out: BTreeMap<Key, Vec<(Ms, Ms)>> = BTreeMap::new();
-    for launch in launches {
-        if let Some(state) = launch.state {
+    for attempt in attempts {
+        if let Some(state) = attempt.state {
             out.entry(state)
                 .or_default()
-                .push((launch.came, launch.ended));
+                .push((attempt.came, attempt.ended));
         }
     }
     for (state, (since, record)) in held {
@@ -529,9 +531,9 @@
             };
             let lost: Ms = rules.silences.iter().filter(|s| unseen(s)).map(lost).sum();
             if came - idle_since - lost > rules.release + rules.slack {
-                let (run, request, launch) = state;
+                let (run, request, attempt) = state;
                 let what = format!(
-                    "the state of task {request} (launch {launch}, run {run:x}) lay at {} for {:.0} ms with nothing out",
+                    "the state of task {request} (launch {attempt}, run {run:x}) lay at {} for {:.0} ms with nothing out",
                     record.seer,
                     came - idle_since
                 );
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -57,9 +57,9 @@
     pub mute: bool,
     /// Stalls each stream after this many tokens.
     pub stall_after: Option<u32>,
-    /// The share of launches that fail at once.
+    /// The share of attempts that fail at once.
     pub fails: f64,
-    /// The share of launches that are reset: at once, or in mid-stream.
+    /// The share of attempts that are reset: at once, or in mid-stream.
     pub resets: f64,
     /// Turns this profile away.
     pub full_for: Option<String>,
@@ -539,7 +539,7 @@
         self.say(conn, stream, Body::Ended(ended));
     }
 
-    /// Ends a launch by a reset; what that says stands in the transcript as an end.
+    /// Ends an attempt by a reset; what that says stands in the transcript as an end.
     fn reset(&self, conn: &Conn, stream: u64, code: u32) {
         if !self.runs() {
             return;
@@ -559,7 +559,7 @@
         conn.out.reset(stream, code);
     }
 
-    /// How a launch that is to be reset is, if it is: by which code, after how many tokens.
+    /// How an attempt that is to be reset is, if it is: by which code, after how many tokens.
     fn draw_reset(&self) -> Option<(u32, u32)> {
         let part = self.inner.live.borrow().troubles.resets;
         let mut rng = self.inner.rng.borrow_mut();
@@ -584,7 +584,7 @@
         self.inner.changed.notify_waiters();
     }
 
-    /// Whether a launch gets in: not turned away, not failed at once.
+    /// Whether an attempt gets in: not turned away, not failed at once.
     fn admit(&self, profile: &str) -> Result<(), v1::Status> {
         let live = self.inner.live.borrow();
         let full = live.troubles.draining
@@ -638,14 +638,14 @@
         let wait = spawn_local(async move {
             host.inner.clock.sleep_until(until).await;
             if host.inner.live.borrow().states.contains_key(&key(&state)) {
-                let (run, request, launch) = key(&state);
+                let (run, request, attempt) = key(&state);
                 host.inner.transcript.note(
                     host.now(),
                     &host.inner.me,
                     Note::Expired {
                         run,
                         request,
-                        launch,
+                        attempt,
                     },
                 );
                 host.let_go(key(&state));
@@ -905,7 +905,7 @@
 }
 
 fn key(state: &v1::StateId) -> StateKey {
-    (state.run, state.request, state.launch)
+    (state.run, state.request, state.attempt)
 }
 
 /// A word of an answer, by its place.
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -40,7 +40,7 @@
     Expired {
         run: u64,
         request: u32,
-        launch: u32,
+        attempt: u32,
     },
     /// A dispatcher was killed outright.
     Killed,
@@ -66,9 +66,9 @@
             Note::Expired {
                 run,
                 request,
-                launch,
+                attempt,
             } => {
-                format!("Expired {{ run: {run}, task: {request}, launch: {launch} }}")
+                format!("Expired {{ run: {run}, task: {request}, launch: {attempt} }}")
             }
             Note::Killed => "Killed".to_owned(),
         }
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -76,7 +76,7 @@
     Some(v1::StateId {
         run: 1,
         request,
-        launch: 0,
+        attempt: 0,
     })
 }
 
@@ -164,7 +164,7 @@
         Note::Expired {
             run: 9,
             request: 9,
-            launch: 9,
+            attempt: 9,
         },
     );
     story
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_launch_after_a_drain_is_found_and_one_within_the_grace_is_not() {
+fn an_attempt_after_a_drain_is_found_and_one_within_the_grace_is_not() {
     for (at, found) in [(500.0, vec![]), (900.0, vec![Rule::DrainBroken])] {
         let mut story = good();
         story.frame(
@@ -286,10 +286,10 @@
 
 #[test]
 fn a_cold_host_that_is_sent_too_much_by_all_together_is_found() {
-    // Bears 2 x 0.25 x 4 slot seconds in a second at its start: ten launches of 0.2; one more is slack.
-    for (launches, found) in [(9, vec![]), (14, vec![Rule::ColdHostPushed])] {
+    // Bears 2 x 0.25 x 4 slot seconds in a second at its start: ten attempts of 0.2; one more is slack.
+    for (attempts, found) in [(9, vec![]), (14, vec![Rule::ColdHostPushed])] {
         let mut story = good();
-        for n in 0..launches {
+        for n in 0..attempts {
             let from = if n % 2 == 0 {
                 ("w", "d", 3)
             } else {
@@ -303,7 +303,7 @@
                 write(100 + n),
             );
         }
-        assert_eq!(story.found(), found, "{launches} launches");
+        assert_eq!(story.found(), found, "{attempts} launches");
     }
 }
 
@@ -365,7 +365,7 @@
         let state = Some(v1::StateId {
             run,
             request: 2,
-            launch: 0,
+            attempt: 0,
         });
         let ended = v1::Ended {
             status: v1::Status::ReadDone.into(),
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn a_state_is_not_idle_while_a_launch_is_out_for_it() {
+fn a_state_is_not_idle_while_an_attempt_is_out_for_it() {
     let mut story = good();
     let ended = v1::Ended {
         status: v1::Status::ReadDone.into(),
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -59,7 +59,7 @@
     }
 
     /// It called a request off before that was answered. Guards against a client that opens and resets streams as
-    /// fast as it can: each costs a decision and perhaps a launch, and nothing but this bounds how many.
+    /// fast as it can: each costs a decision and perhaps an attempt, and nothing but this bounds how many.
     pub fn cancelled(&mut self, settings: &CallerSettings, now: Ms) {
         let more = (now - self.counted).max(0.0) / 1000.0 * settings.cancels_per_s;
         self.cancels = (self.cancels + more).min(settings.cancels.max(1.0)) - 1.0;
--- a/src/control.rs
+++ b/src/control.rs
@@ -45,7 +45,7 @@
 const STREAMS_GROW: f64 = 3.0;
 /// Part of the cold budget that is used, the rest being for what one dispatcher cannot see.
 const COLD_MARGIN: f64 = 0.8;
-/// In shortest quoted times: how long a read waits for probes; for how long a launch's answer, or a report,
+/// In shortest quoted times: how long a read waits for probes; for how long an attempt's answer, or a report,
 /// stands in for a probe; how fast a report grows stale.
 const LOOK: f64 = 0.03;
 const HEARD: f64 = 2.0;
@@ -98,7 +98,7 @@
     stale: Ms,
     /// Last outcomes, newest in the lowest bit, above them a one.
     outcomes: Vec<u32>,
-    /// When it last answered a launch; until when a 'full' or a judgement keeps it out of the choice.
+    /// When it last answered an attempt; until when a 'full' or a judgement keeps it out of the choice.
     heard: Vec<Ms>,
     full_until: Vec<Ms>,
     /// How often it was full in a row.
@@ -115,7 +115,7 @@
 
 #[derive(Default)]
 struct Out {
-    launch: LaunchNo,
+    attempt: AttemptId,
     slot: Slot,
     reading: bool,
     streaming: bool,
@@ -130,7 +130,7 @@
 enum Want {
     #[default]
     Rest,
-    Launch(Slot),
+    Start(Slot),
     Bounce,
     WriteOff,
 }
@@ -143,7 +143,7 @@
     ends: Ms,
     /// The shortest quoted time of all profiles, for a prompt of this length: the measure of queues.
     allowed: Ms,
-    launches: u32,
+    attempts: u32,
     out: Option<Out>,
     /// Where its read state waits, and since when the release time counts.
     state: Option<Slot>,
@@ -152,7 +152,7 @@
     look_at: Ms,
     /// Writers and readers that turned this request away or failed it since its last read.
     tried: Vec<Slot>,
-    /// The first launch that may have run: where and when.
+    /// The first attempt that may have run: where and when.
     may_have_run: Option<(Slot, Ms)>,
     over: bool,
     over_share: bool,
@@ -292,12 +292,12 @@
                 }
             }
             Event::FirstToken {
-                request, launch, ..
+                request, attempt, ..
             } => {
                 let (id, Some(request)) = (*request, self.requests.get_mut(request)) else {
                     return;
                 };
-                let Some(out) = request.out.as_mut().filter(|o| o.launch == *launch) else {
+                let Some(out) = request.out.as_mut().filter(|o| o.attempt == *attempt) else {
                     return;
                 };
                 out.streaming = true;
@@ -312,7 +312,7 @@
                 self.note_done(slot, false);
             }
             Event::Ended(ended) => self.learn_end(ended),
-            Event::Delivered { request, launch } => self.learn_delivery(*request, *launch),
+            Event::Delivered { request, attempt } => self.learn_delivery(*request, *attempt),
             Event::Timer { timer } if timer.0 == self.timers => self.armed = None,
             Event::Probed {
                 host,
@@ -403,7 +403,7 @@
         let coming = request.coming();
         let Some(out) = request
             .out
-            .take_if(|o| o.launch == ended.launch && o.slot == slot)
+            .take_if(|o| o.attempt == ended.attempt && o.slot == slot)
         else {
             return;
         };
@@ -469,7 +469,7 @@
     fn turns(&self) -> Vec<RequestId> {
         let cheap = |s: Slot, a: &Arrival| self.hosts.unread(s, a) < SPARE * a.prompt_tokens;
         let dear =
-            |t: &Request| t.launches == 0 && !self.hosts.ready(true).any(|s| cheap(s, &t.arrival));
+            |t: &Request| t.attempts == 0 && !self.hosts.ready(true).any(|s| cheap(s, &t.arrival));
         let turn = |(id, t): (&RequestId, &Request)| {
             (t.over_share, dear(t), (1000.0 * t.read_by) as i64, *id)
         };
@@ -522,7 +522,7 @@
             }
             return self.plan_delivery(request);
         }
-        let left = self.settings.max_launches.saturating_sub(request.launches);
+        let left = self.settings.max_attempts.saturating_sub(request.attempts);
         // A state whose reader is gone is read again, and let go in case the list is wrong.
         request.want_release = request
             .state
@@ -539,7 +539,7 @@
             None => self.choose_reader(request),
         };
         if let Some(slot) = target {
-            request.want = Want::Launch(slot);
+            request.want = Want::Start(slot);
             if request.state.is_none() {
                 // The writers of its cell are asked during the read, for the choice at its end.
                 let near = |w: &Slot| self.nearness(slot, *w) >= 1.0 - TAU;
@@ -556,7 +556,7 @@
         self.wake_at(self.now + look_again);
     }
 
-    /// The request ends here, its state let go at once or, as a launch still waits for it, with that launch's
+    /// The request ends here, its state let go at once or, as an attempt still waits for it, with that attempt's
     /// outcome: a bounce where a retry is sure to do no harm, else a write-off.
     fn give_up(&self, request: &mut Request) {
         let out_at_writer = request
@@ -780,7 +780,7 @@
         self.settings.start_capacity + (1.0 - self.settings.start_capacity) * age
     }
 
-    /// Guards against pushing a cold host over: the launches it may get in any fall window. Warm hosts show
+    /// Guards against pushing a cold host over: the attempts it may get in any fall window. Warm hosts show
     /// what a host bears (our reads done and streams begun there, also before all restarted); a cold one gets
     /// that, scaled by start capacity and fall multiple, less a margin. Each dispatcher scales by its own
     /// traffic, however it is spread, so together they stay under. Who saw no warm host goes by arrivals.
@@ -808,7 +808,7 @@
         }
     }
 
-    /// The launches that a cold host may get from here in any fall window. Who has little to give mostly has none to
+    /// The attempts that a cold host may get from here in any fall window. Who has little to give mostly has none to
     /// send: more may, as few are wanted `HOT` times the mean. Guards against a surge while most hosts are cold: whatever
     /// comes then goes to the few that are open here, so what came lately tells how many each of them would get.
     fn cold_share(&self, reading: bool) -> f64 {
@@ -830,8 +830,8 @@
         share(usual.max(others as f64 / open.max(1.0)))
     }
 
-    /// Every launch counts, also one turned away. Guards against shares that are each small and together too
-    /// much: a dispatcher gives a cold host a whole number of launches in any fall window, the same while it
+    /// Every attempt counts, also one turned away. Guards against shares that are each small and together too
+    /// much: a dispatcher gives a cold host a whole number of attempts in any fall window, the same while it
     /// is cold and no more arrives; who rounds up goes by the dispatchers' numbers, so that as many do as their
     /// fractions add up to.
     fn cold_room(&self, slot: Slot, share: f64) -> bool {
@@ -866,7 +866,7 @@
             if let Some(out) = request.out.as_mut().filter(|o| !o.cancelled) {
                 actions.push(Action::Cancel {
                     request: id,
-                    launch: out.launch,
+                    attempt: out.attempt,
                 });
                 out.cancelled = true;
             }
@@ -874,7 +874,7 @@
         if let Some(out) = request.out.as_ref().filter(|_| request.want_confirm) {
             actions.push(Action::Confirm {
                 request: id,
-                launch: out.launch,
+                attempt: out.attempt,
             });
         }
         if request.want_release_in_doubt {
@@ -887,10 +887,10 @@
         }
         match request.want {
             Want::Rest => {}
-            Want::Launch(slot) => {
+            Want::Start(slot) => {
                 let reading = request.state.is_none();
                 let host = self.hosts.listed[slot].host.clone();
-                actions.push(Action::Launch {
+                actions.push(Action::StartAttempt {
                     request: id,
                     host,
                     until: Some(request.ends),
@@ -900,14 +900,14 @@
                 } else {
                     0.0
                 };
-                let (launch, sent) = (LaunchNo(request.launches), self.now);
+                let (attempt, sent) = (AttemptId(request.attempts), self.now);
                 let delivery = if reading {
                     Delivery::Confirmed
                 } else {
                     self.delivery_of(request)
                 };
                 let out = Out {
-                    launch,
+                    attempt,
                     slot,
                     reading,
                     tokens,
@@ -922,7 +922,7 @@
                 self.hosts.trial_at[slot] = self.now + self.settings.fall_window;
                 request.out = Some(out);
                 self.wake_at(self.now + QUEUED * request.allowed);
-                request.launches += 1;
+                request.attempts += 1;
             }
             Want::Bounce => {
                 let wait = self
@@ -979,7 +979,7 @@
 }
 
 /// Which requests a step has to look at. A new request, one that waits for probes and one whose state waits are
-/// awake at every step. One that is held, or whose launch is out, changes with an event of its own or when
+/// awake at every step. One that is held, or whose attempt is out, changes with an event of its own or when
 /// its time comes; one that streams, or is over, only with an event. So a step costs by what comes, not by
 /// what waits or lives.
 #[derive(Default)]
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -10,7 +10,7 @@
 //! Only where the caller can tell of deliveries ([`Control::track_deliveries`]); elsewhere what is sent counts as out.
 
 use super::{Control, Out, Request, Slot, RETRY_SHARE};
-use crate::interface::{LaunchNo, Ms, Outcome, RequestId};
+use crate::interface::{AttemptId, Ms, Outcome, RequestId};
 
 /// Shares of the release time. After the first of them without an answer the engine is asked for a sign, and again after
 /// each second one: on an open connection the answer takes a round trip, on a new one three.
@@ -95,11 +95,11 @@
         Delivery::Unconfirmed { ask_at, give_up_at }
     }
 
-    pub(super) fn learn_delivery(&mut self, id: RequestId, launch: LaunchNo) {
+    pub(super) fn learn_delivery(&mut self, id: RequestId, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(out) = request.out.as_mut().filter(|out| out.launch == launch) else {
+        let Some(out) = request.out.as_mut().filter(|out| out.attempt == attempt) else {
             return;
         };
         if matches!(out.delivery, Delivery::Unconfirmed { .. }) {
@@ -172,7 +172,7 @@
         let in_time = !request.over
             && self.now - request.idle_since <= LAST_ATTEMPT_AT * self.settings.release
             && self.now < request.ends - RETRY_SHARE * self.settings.release;
-        if !in_time || request.launches >= self.settings.max_launches {
+        if !in_time || request.attempts >= self.settings.max_attempts {
             return false;
         }
         // The one that is given up may run yet.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -18,9 +18,9 @@
 /// A beginning that prompts of several sessions share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SharedTextId(pub u64);
-/// The launches of one request count from 0.
+/// The attempts of one request count from 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LaunchNo(pub u32);
+pub struct AttemptId(pub u32);
 /// A zone, by its place in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
@@ -122,7 +122,7 @@
     pub may_tell: bool,
     pub clients_hear_retry: bool,
     pub max_retry_after: Ms,
-    pub max_launches: u32,
+    pub max_attempts: u32,
     pub connect_timeout: Ms,
     pub drain_grace: Ms,
     pub answer_grace: Ms,
@@ -170,7 +170,7 @@
     Refused,
 }
 
-/// How a launch, or a probe, ended.
+/// How an attempt, or a probe, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Fulfilled,
@@ -214,7 +214,7 @@
     },
     FirstToken {
         request: RequestId,
-        launch: LaunchNo,
+        attempt: AttemptId,
         host: HostId,
         latency: Ms,
     },
@@ -222,11 +222,11 @@
     /// Where deliveries are tracked: the attempt has reached a host that runs, which has shown so since.
     Delivered {
         request: RequestId,
-        launch: LaunchNo,
+        attempt: AttemptId,
     },
     Place {
         request: RequestId,
-        launch: LaunchNo,
+        attempt: AttemptId,
         host: HostId,
         held: bool,
     },
@@ -245,11 +245,11 @@
     },
 }
 
-/// The end of a launch.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
     pub request: RequestId,
-    pub launch: LaunchNo,
+    pub attempt: AttemptId,
     pub host: HostId,
     pub outcome: Outcome,
     pub latency: Ms,
@@ -262,14 +262,14 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Launch {
+    StartAttempt {
         request: RequestId,
         host: HostId,
         until: Option<Ms>,
     },
     Cancel {
         request: RequestId,
-        launch: LaunchNo,
+        attempt: AttemptId,
     },
     Bounce {
         request: RequestId,
@@ -278,14 +278,14 @@
     WriteOff {
         request: RequestId,
     },
-    /// Lets go of what is held for a request, also while a launch is out that is taken for one that has not arrived.
+    /// Lets go of what is held for a request, also while an attempt is out that is taken for one that has not arrived.
     Release {
         request: RequestId,
     },
-    /// Asks for a sign that the launch's host runs; `Event::Delivered` tells of one.
+    /// Asks for a sign that the attempt's host runs; `Event::Delivered` tells of one.
     Confirm {
         request: RequestId,
-        launch: LaunchNo,
+        attempt: AttemptId,
     },
     /// Lets go of what is held for a request, unless its attempt that is out waits for it.
     ReleaseInDoubt {
--- a/src/status.rs
+++ b/src/status.rs
@@ -126,7 +126,7 @@
 /// HTTP/2's error code by which a peer says that it did not process a stream at all.
 const REFUSED_STREAM: u32 = 7;
 
-/// What such an end means for the launch. Only what is proven counts as not run: a status says nothing of that
+/// What such an end means for the attempt. Only what is proven counts as not run: a status says nothing of that
 /// by itself, as something between here and the host may have made it up.
 pub fn of_host(end: CallEnd) -> Outcome {
     match end {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -56,7 +56,7 @@
         may_tell: false,
         clients_hear_retry: false,
         max_retry_after: 1000.0,
-        max_launches: 4,
+        max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 2000.0,
         answer_grace: 16.0,
@@ -122,7 +122,7 @@
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     nexts: BTreeMap<u64, (usize, u32, Next)>,
     made: u64,
-    launches: BTreeMap<(usize, u32, RequestId), u32>,
+    attempts: BTreeMap<(usize, u32, RequestId), u32>,
     /// Launches at new readers while they are cold.
     cold: BTreeMap<HostId, Vec<Ms>>,
     /// How long a reader takes for a read, and until when each is busy: what comes waits its turn.
@@ -165,12 +165,12 @@
     fn does(&mut self, now: Ms, who: usize, action: Action) {
         let load = Load::default();
         match action {
-            Action::Launch { request, host, .. } => {
+            Action::StartAttempt { request, host, .. } => {
                 let count = self
-                    .launches
+                    .attempts
                     .entry((who, self.lives[who], request))
                     .or_insert(0);
-                let launch = LaunchNo(*count);
+                let attempt = AttemptId(*count);
                 *count += 1;
                 if host.0.starts_with("new-") && now < REPLACED + RAMP {
                     self.cold.entry(host.clone()).or_default().push(now);
@@ -190,7 +190,7 @@
                     self.served += 1;
                     let first = Event::FirstToken {
                         request,
-                        launch,
+                        attempt,
                         host: host.clone(),
                         latency: 20.0,
                     };
@@ -200,7 +200,7 @@
                 let (latency, last, detail) = (took, !reading, 0.0);
                 let ended = Ended {
                     request,
-                    launch,
+                    attempt,
                     host,
                     outcome,
                     latency,
@@ -244,7 +244,7 @@
     }
 }
 
-/// Plays a day; gives the launches at each new reader while it was cold, and which part of what was asked found a
+/// Plays a day; gives the attempts at each new reader while it was cold, and which part of what was asked found a
 /// writer. `rate`: requests a second that each reader gets while all are there.
 fn play(
     count: u32,
@@ -261,7 +261,7 @@
         queue: BinaryHeap::new(),
         nexts: BTreeMap::new(),
         made: 0,
-        launches: BTreeMap::new(),
+        attempts: BTreeMap::new(),
         cold: BTreeMap::new(),
         reads_for: USED * 1000.0 / rate,
         busy: BTreeMap::new(),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -42,7 +42,7 @@
         may_tell: true,
         clients_hear_retry: false,
         max_retry_after: 1000.0,
-        max_launches: 4,
+        max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 250.0,
         answer_grace: 16.0,
@@ -108,9 +108,9 @@
     actions.iter().filter_map(probe).collect()
 }
 
-fn launched(actions: &[Action]) -> Option<HostId> {
+fn attempted(actions: &[Action]) -> Option<HostId> {
     actions.iter().find_map(|a| match a {
-        Action::Launch { host, .. } => Some(host.clone()),
+        Action::StartAttempt { host, .. } => Some(host.clone()),
         _ => None,
     })
 }
@@ -148,12 +148,12 @@
         control.wake_all();
         control.step(now + after, &[], &mut actions);
     }
-    launched(&actions).expect("a task with room everywhere is read")
+    attempted(&actions).expect("a task with room everywhere is read")
 }
 
 fn read_done(request: RequestId, host: HostId, last: bool) -> Event {
-    let (launch, load, outcome, latency, detail) = (
-        LaunchNo(0),
+    let (attempt, load, outcome, latency, detail) = (
+        AttemptId(0),
         Load::default(),
         Outcome::ReadDone,
         60.0,
@@ -161,7 +161,7 @@
     );
     Event::Ended(Ended {
         request,
-        launch,
+        attempt,
         host,
         outcome,
         latency,
@@ -255,12 +255,12 @@
             &[read_done(RequestId(2000), host, false)],
             &mut actions,
         );
-        launched(&actions).is_some_and(|to| &*to.0 == "cold")
+        attempted(&actions).is_some_and(|to| &*to.0 == "cold")
     };
     (0..DISPATCHERS).filter(|&me| taken(me)).count()
 }
 
-/// Each has a small part of a launch to give to a cold host, and seldom a request for it: what is drawn of that by the
+/// Each has a small part of an attempt to give to a cold host, and seldom a request for it: what is drawn of that by the
 /// clock is mostly not there when a request is, and a host counted for less by its age loses each tie.
 #[test]
 fn a_cold_writer_gets_its_part_of_the_streams_of_all_and_no_more() {
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -89,7 +89,7 @@
         may_tell: false,
         clients_hear_retry: false,
         max_retry_after: 1000.0,
-        max_launches: 4,
+        max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 2000.0,
         answer_grace: 16.0,
@@ -390,7 +390,7 @@
         self.dispatchers[dispatcher].step(now, &[event], &mut actions);
         for action in actions {
             match action {
-                Action::Launch { request, host, .. } => {
+                Action::StartAttempt { request, host, .. } => {
                     self.attempt(now, dispatcher, request, host)
                 }
                 Action::Bounce { request, .. } | Action::WriteOff { request } => {
@@ -432,7 +432,7 @@
 
     fn attempt(&mut self, now: Ms, dispatcher: usize, request: RequestId, host: HostId) {
         let count = self.attempts.entry(request).or_insert(0);
-        let launch = LaunchNo(*count);
+        let attempt = AttemptId(*count);
         *count += 1;
         let (at, asked) = (self.index[&host], self.asked[request.0 as usize].clone());
         let engine = &mut self.engines[at];
@@ -468,7 +468,7 @@
             Outcome::Fulfilled => {
                 let first = Event::FirstToken {
                     request,
-                    launch,
+                    attempt,
                     host: host.clone(),
                     latency: 20.0,
                 };
@@ -489,7 +489,7 @@
         let last = outcome == Outcome::Fulfilled && !reads;
         let ended = Ended {
             request,
-            launch,
+            attempt,
             host,
             outcome,
             latency: took,
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -58,7 +58,7 @@
         may_tell: false,
         clients_hear_retry: true,
         max_retry_after: 2000.0,
-        max_launches: 4,
+        max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 500.0,
         answer_grace: 16.0,
@@ -93,11 +93,11 @@
 /// One thing that happens: what, to whom, and how long after the last.
 type Draw = (u8, u16, u16);
 
-/// A launch that is out.
+/// An attempt that is out.
 #[derive(Clone)]
 struct Out {
     request: RequestId,
-    launch: LaunchNo,
+    attempt: AttemptId,
     host: HostId,
     first: bool,
     sent: Ms,
@@ -107,7 +107,7 @@
 struct World {
     now: Ms,
     requests: u32,
-    launches: Vec<u32>,
+    attempts: Vec<u32>,
     out: Vec<Out>,
     timers: Vec<(Ms, TimerId)>,
     probes: Vec<HostId>,
@@ -128,7 +128,7 @@
         match what % 16 {
             0..=5 => {
                 self.requests += 1;
-                self.launches.push(0);
+                self.attempts.push(0);
                 events.push(Event::Arrived(Arrival {
                     request: RequestId(self.requests - 1),
                     profile: ProfileId(u32::from(whom) % 3),
@@ -177,7 +177,7 @@
             }
             9 => events.push(Event::FirstToken {
                 request: RequestId(u32::from(whom)),
-                launch: LaunchNo(0),
+                attempt: AttemptId(0),
                 host: host(0),
                 latency: 1.0,
             }),
@@ -186,7 +186,7 @@
                 let at = pick(self.out.len());
                 let Out {
                     request,
-                    launch,
+                    attempt,
                     host,
                     first,
                     sent,
@@ -197,7 +197,7 @@
                     self.out[at].first = true;
                     events.push(Event::FirstToken {
                         request,
-                        launch,
+                        attempt,
                         host,
                         latency,
                     });
@@ -218,7 +218,7 @@
                     let load = Load::default();
                     let end = Ended {
                         request,
-                        launch,
+                        attempt,
                         host,
                         outcome,
                         latency,
@@ -236,12 +236,12 @@
     fn carry_out(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Launch { request, host, .. } => {
-                    let launch = LaunchNo(self.launches[request.0 as usize]);
-                    self.launches[request.0 as usize] += 1;
+                Action::StartAttempt { request, host, .. } => {
+                    let attempt = AttemptId(self.attempts[request.0 as usize]);
+                    self.attempts[request.0 as usize] += 1;
                     let out = Out {
                         request: *request,
-                        launch,
+                        attempt,
                         host: host.clone(),
                         first: false,
                         sent: self.now,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -6,11 +6,11 @@
 //! `at T` goes to the instant T, firing due timers on the way, and opens a batch of events:
 //! `request ID PROFILE PATIENCE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID HOST`,
 //! `end ID HOST OUTCOME [last] [none] [x1=K]`, `left ID`, `burst ID COUNT PROFILE PATIENCE PROMPT`.
-//! The launch's number is the runner's: it counts launches as they come; HOST `*` is the newest one's.
+//! The attempt's number is the runner's: it counts attempts as they come; HOST `*` is the newest one's.
 //! `each A B VERB WORDS` repeats a line for the ids from A to B.
 //! `> WORDS` must be among the actions since the last `at` that stands before an expectation, in any order,
 //! and is used up; `! WORDS` must not be there; `*` in WORDS stands for any one word. `most N WORDS` and
-//! `least N WORDS` count. `> launch 1 r2 by 3990` also checks the time-out.
+//! `least N WORDS` count. `> attempt 1 r2 by 3990` also checks the time-out.
 
 use cindercleat::control::Control;
 use cindercleat::interface::*;
@@ -51,7 +51,7 @@
         may_tell: true,
         clients_hear_retry: true,
         max_retry_after: 1000.0,
-        max_launches: 4,
+        max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 250.0,
         answer_grace: 16.0,
@@ -69,7 +69,7 @@
     events: Vec<Event>,
     seen: Vec<String>,
     timers: Vec<(Ms, TimerId)>,
-    launches: BTreeMap<u32, u32>,
+    attempts: BTreeMap<u32, u32>,
     newest: BTreeMap<u32, HostId>,
     checked: bool,
 }
@@ -84,12 +84,12 @@
         control.step(now, events, &mut actions);
         for action in actions {
             match action {
-                Action::Launch {
+                Action::StartAttempt {
                     request,
                     host,
                     until,
                 } => {
-                    *self.launches.entry(request.0).or_default() += 1;
+                    *self.attempts.entry(request.0).or_default() += 1;
                     self.newest.insert(request.0, host.clone());
                     self.seen.push(format!(
                         "launch {} {} by {}",
@@ -199,7 +199,7 @@
     match key {
         "release" => settings.release = number(value),
         "patient" => settings.profiles[0].quoted = number(value),
-        "launches" => settings.max_launches = number(value) as u32,
+        "launches" => settings.max_attempts = number(value) as u32,
         "ramp" => settings.ramp = number(value),
         "fall_window" => settings.fall_window = number(value),
         "dispatchers" => settings.dispatchers = number(value) as u32,
@@ -248,7 +248,7 @@
         events: Vec::new(),
         seen: Vec::new(),
         timers: Vec::new(),
-        launches: BTreeMap::new(),
+        attempts: BTreeMap::new(),
         newest: BTreeMap::new(),
         checked: false,
     };
@@ -272,8 +272,8 @@
             name => HostId(name.into()),
         };
         let newest = |play: &Play| {
-            LaunchNo(
-                play.launches
+            AttemptId(
+                play.attempts
                     .get(&id().0)
                     .map_or(0, |n| n.saturating_sub(1)),
             )
@@ -321,10 +321,10 @@
             }
             "left" => play.events.push(Event::Left { request: id() }),
             "first" => {
-                let launch = newest(&play);
+                let attempt = newest(&play);
                 play.events.push(Event::FirstToken {
                     request: id(),
-                    launch,
+                    attempt,
                     host: host(&play),
                     latency: 50.0,
                 });
@@ -333,7 +333,7 @@
                 let x1 = rest.iter().find_map(|w| w.strip_prefix("x1=")).map(number);
                 play.events.push(Event::Ended(Ended {
                     request: id(),
-                    launch: newest(&play),
+                    attempt: newest(&play),
                     host: host(&play),
                     outcome: outcome(rest[2]),
                     latency: 50.0,
