--- a/benches/step.rs
+++ b/benches/step.rs
@@ -67,7 +67,7 @@
 impl Bench {
     fn new(live: u32, plain: bool) -> Self {
         let entry = |i: u32| Entry {
-            host: HostId(Arc::from(format!("host-{i}"))),
+            engine: EngineId(Arc::from(format!("host-{i}"))),
             zone: ZoneId(0),
             kind: KindId(u32::from(i >= READERS)),
             cell: CellId(i % 4),
@@ -103,16 +103,16 @@
         self.control.step(self.now, &[event], &mut self.actions);
     }
 
-    fn attempted(&self) -> HostId {
-        let host = |a: &Action| match a {
-            Action::StartAttempt { host, .. } => Some(host.clone()),
+    fn attempted(&self) -> EngineId {
+        let engine = |a: &Action| match a {
+            Action::StartAttempt { engine, .. } => Some(engine.clone()),
             _ => None,
         };
-        self.actions.iter().find_map(host).expect("a launch")
+        self.actions.iter().find_map(engine).expect("a launch")
     }
 
     /// A request up to its first token.
-    fn begin(&mut self) -> (RequestId, HostId) {
+    fn begin(&mut self) -> (RequestId, EngineId) {
         let request = RequestId(self.next);
         self.next += 1;
         let session = SessionId(u64::from(self.next) * 0x9e37_79b9);
@@ -124,25 +124,25 @@
             ..Arrival::default()
         };
         self.step(Event::Arrived(arrival));
-        let host = self.attempted();
-        self.step(ended(request, 0, host, Outcome::ReadDone));
-        let host = self.attempted();
+        let engine = self.attempted();
+        self.step(ended(request, 0, engine, Outcome::ReadDone));
+        let engine = self.attempted();
         self.step(Event::FirstToken {
             request,
             attempt: AttemptId(1),
-            host: host.clone(),
+            engine: engine.clone(),
             latency: 1.0,
         });
-        (request, host)
+        (request, engine)
     }
 
     fn whole(&mut self) {
-        let (request, host) = self.begin();
-        self.step(ended(request, 1, host, Outcome::Fulfilled));
+        let (request, engine) = self.begin();
+        self.step(ended(request, 1, engine, Outcome::Fulfilled));
     }
 }
 
-fn ended(request: RequestId, attempt: u32, host: HostId, outcome: Outcome) -> Event {
+fn ended(request: RequestId, attempt: u32, engine: EngineId, outcome: Outcome) -> Event {
     let (attempt, last, load) = (
         AttemptId(attempt),
         outcome == Outcome::Fulfilled,
@@ -151,7 +151,7 @@
     Event::Ended(Ended {
         request,
         attempt,
-        host,
+        engine,
         outcome,
         latency: 1.0,
         last,
--- a/crates/cindercleat-cli/src/bench_day.rs
+++ b/crates/cindercleat-cli/src/bench_day.rs
@@ -4,7 +4,7 @@
 use crate::try_it::small;
 use cindercleat::interface::Ms;
 use cindercleat_faults::plan::{Day, Fault, Trouble};
-use cindercleat_standin::host::Does;
+use cindercleat_standin::engine::Does;
 use serde::Deserialize;
 
 /// A day is pressed into this much time, its troubles with it.
@@ -32,7 +32,7 @@
 
 #[derive(Deserialize)]
 struct Family {
-    /// What each kind of host does.
+    /// What each kind of engine does.
     roles: Vec<String>,
 }
 
@@ -76,7 +76,7 @@
     Ok(day)
 }
 
-/// The hosts of the small fleet that stand for some of the drawn one: as great a part of each role.
+/// The engines of the small fleet that stand for some of the drawn one: as great a part of each role.
 fn stand_for(on: &[usize], drawn: &Drawn, day: &Day) -> Vec<String> {
     let mut names = Vec::new();
     for (does, role) in [(Does::Reads, "read"), (Does::Writes, "write")] {
@@ -91,13 +91,13 @@
             .max(1);
         let hit = on.iter().filter(|i| of_role(i)).count();
         let mine: Vec<&str> = day
-            .hosts
+            .engines
             .iter()
             .filter(|h| h.does == does)
             .map(|h| h.name.as_str())
             .collect();
         let part = hit as f64 / all as f64 * mine.len() as f64;
-        // The smallest part of a role is one host.
+        // The smallest part of a role is one engine.
         let count = if hit == 0 {
             0
         } else {
--- a/crates/cindercleat-cli/src/day.rs
+++ b/crates/cindercleat-cli/src/day.rs
@@ -28,7 +28,8 @@
     pub seed: u64,
     pub seconds: f64,
     pub dispatchers: u32,
-    pub hosts: usize,
+    #[serde(rename = "hosts")]
+    pub engines: usize,
     pub faults: BTreeMap<&'static str, usize>,
     pub profiles: BTreeMap<String, Row>,
     pub payoff_in_time: f64,
@@ -86,7 +87,7 @@
     pub fn table(&self) -> String {
         let mut out = format!(
             "day {} (seed {}): {:.1} s, {} dispatchers, {} hosts; simulated hosts and clients\n",
-            self.day, self.seed, self.seconds, self.dispatchers, self.hosts
+            self.day, self.seed, self.seconds, self.dispatchers, self.engines
         );
         let faults: Vec<String> = self
             .faults
@@ -338,7 +339,7 @@
     }
     // What would stay pinned shows itself.
     let holds = day
-        .hosts
+        .engines
         .iter()
         .map(|h| h.hold)
         .fold(day.service.policy.release, f64::max);
@@ -363,7 +364,7 @@
         seed: day.seed,
         seconds,
         dispatchers: day.dispatchers,
-        hosts: day.hosts.len(),
+        engines: day.engines.len(),
         faults,
         profiles: tallies
             .iter()
--- a/crates/cindercleat-cli/src/drill.rs
+++ b/crates/cindercleat-cli/src/drill.rs
@@ -53,7 +53,7 @@
 end
 ";
 
-/// The same with a release: with hosts that are worked.
+/// The same with a release: with engines that are worked.
 const SERVED: &str = "zones z0 z1 z2
 profile any
     effect reissuable
@@ -168,7 +168,7 @@
     Ok(drill)
 }
 
-/// What a drill with a release serves; its hosts are stand-ins.
+/// What a drill with a release serves; its engines are stand-ins.
 fn service_of(members: u32, rate: f64, length: f64) -> String {
     let mut text = SERVED.to_owned();
     for at in 0..12 {
--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -45,7 +45,7 @@
         #[arg(last = true)]
         command: Vec<String>,
     },
-    /// Takes dispatchers or model hosts out of service and back, in waves.
+    /// Takes dispatchers or engines out of service and back, in waves.
     Release {
         #[command(subcommand)]
         what: ReleaseWhat,
@@ -58,14 +58,14 @@
     Back,
     /// There are as many as are seen now: whoever is missing is missed no more.
     Recount { of: Counted },
-    /// Drains model hosts by name, as the bounds let them.
+    /// Drains engines by name, as the bounds let them.
     Drain {
         #[arg(required = true)]
-        hosts: Vec<String>,
+        engines: Vec<String>,
         /// They do not come back.
         #[arg(long)]
         stays: bool,
-        /// Hosts that are not listed are passed over.
+        /// Engines that are not listed are passed over.
         #[arg(long)]
         skip_absent: bool,
         /// Only shows what would be done.
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 enum Counted {
     Dispatchers,
-    Hosts,
+    Engines,
 }
 
 #[derive(Subcommand, Debug)]
@@ -147,7 +147,7 @@
             let text = std::fs::read_to_string(plan).map_err(|e| format!("{file}: {e}"));
             Some(text.and_then(|text| release_plan::read(&file, &text).map_err(|e| e.to_string())))
         }
-        What::Drain { hosts, stays, .. } => Some(release_plan::drain(hosts, *stays)),
+        What::Drain { engines, stays, .. } => Some(release_plan::drain(engines, *stays)),
         _ => None,
     };
     let plan = match plan.transpose() {
@@ -189,8 +189,8 @@
             }
             What::Back => say(give(&clock, &args.at, &Order::Release(ReleaseOrder::Back)).await),
             What::Recount { of } => {
-                let of = if matches!(of, Counted::Hosts) {
-                    Of::Hosts
+                let of = if matches!(of, Counted::Engines) {
+                    Of::Engines
                 } else {
                     Of::Dispatchers
                 };
--- a/crates/cindercleat-cli/src/main.rs
+++ b/crates/cindercleat-cli/src/main.rs
@@ -36,7 +36,7 @@
     Node,
     /// Reads a settings file and says what is wrong with it, if anything is.
     Check { settings: PathBuf },
-    /// Runs the stand-ins of a day's script: its hosts and their list, without faults.
+    /// Runs the stand-ins of a day's script: its engines and their list, without faults.
     Standin { script: PathBuf },
     /// Plays a day: fleet, dispatchers, clients, faults, audit.
     Day(DayArgs),
--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -49,7 +49,7 @@
     pub listen: String,
     pub discovery: String,
     pub seed: u64,
-    pub known: Option<v1::HostList>,
+    pub known: Option<v1::EndpointList>,
     pub program: ProgramSettings,
     pub bounds: Bounds,
 }
@@ -85,7 +85,7 @@
         connect_timeout: conf.settings.connect_timeout,
         discovery: conf.settings.discovery,
         drain_grace: conf.settings.drain_grace,
-        host_idle: conf.link_idle,
+        engine_idle: conf.link_idle,
         most_held: conf.max_open_requests,
         longest_deadline: conf
             .settings
@@ -123,7 +123,7 @@
     let limits = Limits {
         max_open_requests: allowed.max_open_requests,
         streams_per_link: 1,
-        links_per_host: allowed.most_links,
+        links_per_engine: allowed.most_links,
         link_idle: allowed.link_idle,
         window: allowed.window,
         stall_limit: allowed.stall,
@@ -132,7 +132,7 @@
         quiet: never,
         ping_timeout: never,
         client_quiet: never,
-        // Each attempt that is chosen for a host dials it: what comes of that is the decisions' to judge.
+        // Each attempt that is chosen for an engine dials it: what comes of that is the decisions' to judge.
         again_first: 0.0,
         again_most: 0.0,
         // A client calls off by closing its connection, which costs it another one.
--- a/crates/cindercleat-cli/src/price.rs
+++ b/crates/cindercleat-cli/src/price.rs
@@ -190,14 +190,14 @@
     include_str!("base.conf")
 }
 
-/// The small service with more hosts, at a token's pace.
+/// The small service with more engines, at a token's pace.
 fn fleet(token_ms: Ms) -> io::Result<Day> {
     let mut day = script::read("base.conf", settings()).map_err(io::Error::other)?;
-    let spec = |kind: &str| day.hosts.iter().find(|h| h.kind == kind).cloned();
+    let spec = |kind: &str| day.engines.iter().find(|h| h.kind == kind).cloned();
     let (Some(reader), Some(writer)) = (spec("reader-box"), spec("writer-box")) else {
         return Err(io::Error::other("the small service lacks a kind"));
     };
-    let mut hosts = Vec::new();
+    let mut engines = Vec::new();
     for (kind, count, spec) in [("reader", READERS, reader), ("writer", WRITERS, writer)] {
         for at in 0..count {
             let mut spec = spec.clone();
@@ -207,10 +207,10 @@
             (spec.slots, spec.queue) = (200, 200);
             (spec.read_per_s, spec.memory_tokens) = (20_000_000.0, 1e9);
             (spec.token_ms, spec.answer_share) = (token_ms, 1.0);
-            hosts.push(spec);
+            engines.push(spec);
         }
     }
-    day.hosts = hosts;
+    day.engines = engines;
     Ok(day)
 }
 
@@ -349,16 +349,19 @@
 
 async fn straight(fleet: &TcpFleet, args: &PriceArgs) -> io::Result<Way> {
     let ports = |kind: &str| -> Vec<(TcpPort, String, String)> {
-        let hosts = fleet
-            .hosts
+        let engines = fleet
+            .engines
             .iter()
             .filter(|(name, _)| name.starts_with(kind));
-        let port = |(name, host): (&String, &cindercleat_standin::host::Host<Tcp, TokioClock>)| {
-            let to = (&*host.address(), v1::Party::Host);
+        let port = |(name, engine): (
+            &String,
+            &cindercleat_standin::engine::Engine<Tcp, TokioClock>,
+        )| {
+            let to = (&*engine.address(), v1::Party::Engine);
             let port = Port::to("direct", to, Tcp, fleet.clock, fleet.transcript.clone());
-            (port, name.clone(), host.address())
+            (port, name.clone(), engine.address())
         };
-        hosts.map(port).collect()
+        engines.map(port).collect()
     };
     let (readers, writers) = (ports("reader"), ports("writer"));
     let way = Rc::new(RefCell::new(Way::new()?));
@@ -383,7 +386,7 @@
     Ok(way.into_inner())
 }
 
-/// A request as a client would do it that knew the hosts: a read, then a write.
+/// A request as a client would do it that knew the engines: a read, then a write.
 async fn one_straight(
     (reader, name, address): &(TcpPort, String, String),
     writer: &TcpPort,
--- a/crates/cindercleat-cli/src/release_plan.rs
+++ b/crates/cindercleat-cli/src/release_plan.rs
@@ -16,7 +16,7 @@
     Ok(thousandths as u32)
 }
 
-/// The bounds of a `fleet` block: for dispatchers and for model hosts.
+/// The bounds of a `fleet` block: for dispatchers and for engines.
 ///
 /// # Errors
 /// The first line that is wrong, or that contradicts another.
@@ -57,12 +57,12 @@
     }
     for line in block.all("stay") {
         let (what, place): (String, String) = (line.value(1)?, line.value(2)?);
-        let hosts = &mut both[1];
+        let engines = &mut both[1];
         let least = match (what.as_str(), place.as_str()) {
-            ("readers", "zone") => &mut hosts.readers_zone,
-            ("writers", "zone") => &mut hosts.writers_zone,
-            ("readers", "cell") => &mut hosts.readers_cell,
-            ("writers", "cell") => &mut hosts.writers_cell,
+            ("readers", "zone") => &mut engines.readers_zone,
+            ("writers", "zone") => &mut engines.writers_zone,
+            ("readers", "cell") => &mut engines.readers_cell,
+            ("writers", "cell") => &mut engines.writers_cell,
             _ => return Err(line.wrong("'stay readers|writers zone|cell NUMBER'")),
         };
         *least = line.value(3)?;
@@ -78,8 +78,8 @@
             return Err(line.wrong(&why));
         }
     }
-    let [dispatchers, hosts] = both;
-    Ok((dispatchers, hosts))
+    let [dispatchers, engines] = both;
+    Ok((dispatchers, engines))
 }
 
 /// What a plan's file says.
@@ -113,7 +113,7 @@
     let of = section.one("of")?;
     let of = match of.only::<String>()?.as_str() {
         "dispatchers" => Of::Dispatchers,
-        "hosts" => Of::Hosts,
+        "hosts" => Of::Engines,
         _ => return Err(of.wrong("'of dispatchers' or 'of hosts'")),
     };
     let grow = section.value_or("grow", 2.0_f64)?;
@@ -179,21 +179,21 @@
     Ok(plan)
 }
 
-/// A drain of hosts by name, all in one wave, as the bounds let them.
-pub fn drain(hosts: &[String], stays: bool) -> Result<Plan, String> {
-    if hosts.is_empty() || hosts.len() > MOST_NAMES {
+/// A drain of engines by name, all in one wave, as the bounds let them.
+pub fn drain(engines: &[String], stays: bool) -> Result<Plan, String> {
+    if engines.is_empty() || engines.len() > MOST_NAMES {
         return Err(format!("1 to {MOST_NAMES} hosts"));
     }
     let mut once = BTreeSet::new();
-    if let Some(twice) = hosts.iter().find(|host| !once.insert(*host)) {
+    if let Some(twice) = engines.iter().find(|engine| !once.insert(*engine)) {
         return Err(format!("each host once, and '{twice}' is there twice"));
     }
     Ok(Plan {
         name: "drain".to_owned(),
-        of: Of::Hosts,
-        names: hosts.iter().map(|h| Name::from(h.as_str())).collect(),
+        of: Of::Engines,
+        names: engines.iter().map(|h| Name::from(h.as_str())).collect(),
         stays,
-        first: hosts.len() as u32,
+        first: engines.len() as u32,
         grow_per_mille: 1000,
         watch_ms: 0,
         settle_ms: 2_000,
--- a/crates/cindercleat-cli/src/script.rs
+++ b/crates/cindercleat-cli/src/script.rs
@@ -6,7 +6,7 @@
 use cindercleat_dispatcher::Service;
 use cindercleat_faults::plan::{Day, Fault, Trouble};
 use cindercleat_standin::client::{Habits, Planned, Traffic};
-use cindercleat_standin::host::{Does, HostSpec};
+use cindercleat_standin::engine::{Does, EngineSpec};
 
 /// # Errors
 /// The first thing wrong with the script.
@@ -18,17 +18,17 @@
     for block in section.blocks("stand-in") {
         kinds.push((block.head.only::<String>()?, stand_in(block, &service)?));
     }
-    let mut hosts: Vec<HostSpec> = Vec::new();
+    let mut engines: Vec<EngineSpec> = Vec::new();
     for line in section.all("host") {
         let (name, kind): (String, String) = (line.value(1)?, line.value(2)?);
         let (zone, cell): (String, String) = (line.value(3)?, line.value(4)?);
         let spec = kinds.iter().find(|(k, _)| *k == kind);
         let (_, spec) =
             spec.ok_or_else(|| line.wrong("'host NAME KIND ZONE CELL', KIND having a stand-in"))?;
-        if !service.zones.contains(&zone) || hosts.iter().any(|h| h.name == name) {
+        if !service.zones.contains(&zone) || engines.iter().any(|h| h.name == name) {
             return Err(line.wrong("a name of its own and a zone that is listed"));
         }
-        hosts.push(HostSpec {
+        engines.push(EngineSpec {
             name,
             zone,
             cell,
@@ -47,14 +47,14 @@
     let faults = section
         .all("at")
         .into_iter()
-        .map(|line| fault(line, &hosts, dispatchers));
+        .map(|line| fault(line, &engines, dispatchers));
     let faults = faults.collect::<Result<_, _>>()?;
     let day = Day {
         name: section.value("day")?,
         seed: section.value("seed")?,
         service,
         dispatchers,
-        hosts,
+        engines,
         habits,
         list_delay: section.value_or("list-delay", Time(0.0))?.0,
         faults,
@@ -66,7 +66,7 @@
     Ok(day)
 }
 
-fn stand_in(block: &Section, service: &Service) -> Result<HostSpec, Problem> {
+fn stand_in(block: &Section, service: &Service) -> Result<EngineSpec, Problem> {
     let kind: String = block.head.only()?;
     let at = service.kinds.iter().position(|k| *k == kind);
     let at = at.ok_or_else(|| {
@@ -80,7 +80,7 @@
         Role::Writer => Does::Writes,
         Role::Both => Does::Both,
     };
-    let spec = HostSpec {
+    let spec = EngineSpec {
         name: String::new(),
         zone: String::new(),
         cell: String::new(),
@@ -175,7 +175,7 @@
     })
 }
 
-fn fault(line: &Line, hosts: &[HostSpec], count: u32) -> Result<Fault, Problem> {
+fn fault(line: &Line, engines: &[EngineSpec], count: u32) -> Result<Fault, Problem> {
     let at = line.value::<Time>(1)?.0;
     let word: String = line.value(2)?;
     let length = line.after::<Time>("for")?.map_or(0.0, |t| t.0);
@@ -226,7 +226,7 @@
     if !service_wide {
         for word in line.value::<String>(3)?.split(',') {
             let role = |does: Does| {
-                hosts
+                engines
                     .iter()
                     .filter(move |h| h.does == does)
                     .map(|h| h.name.clone())
@@ -234,11 +234,11 @@
             match word {
                 "readers" if !dispatchers => whom.extend(role(Does::Reads)),
                 "writers" if !dispatchers => whom.extend(role(Does::Writes)),
-                "all" if !dispatchers => whom.extend(hosts.iter().map(|h| h.name.clone())),
+                "all" if !dispatchers => whom.extend(engines.iter().map(|h| h.name.clone())),
                 name if dispatchers && name.parse::<u32>().is_ok_and(|n| n < count) => {
                     whom.push(name.to_owned())
                 }
-                name if !dispatchers && hosts.iter().any(|h| h.name == name) => {
+                name if !dispatchers && engines.iter().any(|h| h.name == name) => {
                     whom.push(name.to_owned())
                 }
                 _ if dispatchers => return Err(line.wrong("dispatchers' numbers, counted from 0")),
@@ -313,7 +313,7 @@
         policy.ramp,
         policy.tick,
         limits.streams_per_link,
-        limits.links_per_host,
+        limits.links_per_engine,
         limits.link_idle,
         limits.window,
         limits.stall_limit,
@@ -326,8 +326,8 @@
         limits.greet_within,
     );
     for kind in &day.service.kinds {
-        // Hosts of a kind are drawn alike but for their speed; a script has one for all.
-        let Some(spec) = day.hosts.iter().find(|h| h.kind == *kind) else {
+        // Engines of a kind are drawn alike but for their speed; a script has one for all.
+        let Some(spec) = day.engines.iter().find(|h| h.kind == *kind) else {
             continue;
         };
         out += &format!(
@@ -335,10 +335,10 @@
             spec.slots, spec.queue, spec.read_per_s, spec.token_ms, spec.answer_share
         );
     }
-    for host in &day.hosts {
+    for engine in &day.engines {
         out += &format!(
             "host {} {} {} {}\n",
-            host.name, host.kind, host.zone, host.cell
+            engine.name, engine.kind, engine.zone, engine.cell
         );
     }
     out += &format!(
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    fn hosts(&self) -> Vec<Unit> {
+    fn engines(&self) -> Vec<Unit> {
         self.shell.units()
     }
 
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -183,7 +183,7 @@
     let own = Limits {
         max_open_requests: limits.value_or("most-tasks", 20_000)?,
         streams_per_link: limits.value_or("streams-per-link", 100)?,
-        links_per_host: limits.value_or("links-per-host", 16)?,
+        links_per_engine: limits.value_or("links-per-host", 16)?,
         link_idle: or("link-idle", 15_000.0)?,
         window: limits.value_or("window", 32)?,
         stall_limit: or("stall", 3_000.0)?,
@@ -204,7 +204,7 @@
         single: None,
         feed: FeedSettings::unhurried(greet_within),
     };
-    if own.window == 0 || own.streams_per_link == 0 || own.links_per_host == 0 {
+    if own.window == 0 || own.streams_per_link == 0 || own.links_per_engine == 0 {
         return Err(limits
             .head
             .wrong("window, streams-per-link and links-per-host of at least 1"));
--- a/crates/cindercleat-cli/src/try_it.rs
+++ b/crates/cindercleat-cli/src/try_it.rs
@@ -31,7 +31,7 @@
         let address = dispatchers.addresses()[0].clone();
         println!(
             "{} hosts and a dispatcher on {address} (stand-ins: the answer is made up)",
-            fleet.hosts.len()
+            fleet.engines.len()
         );
         let port = Port::new("try", &address, Tcp, fleet.clock, fleet.transcript.clone());
         let submit = v1::Submit {
@@ -70,7 +70,7 @@
     tried
 }
 
-/// Runs a script's hosts and their list until a signal to end, and says where they are.
+/// Runs a script's engines and their list until a signal to end, and says where they are.
 ///
 /// # Errors
 /// Ports cannot be had.
@@ -78,8 +78,8 @@
     block_on(async {
         let fleet = start_fleet(day).await?;
         println!("list-feed {}", fleet.feed_address);
-        for (name, host) in &fleet.hosts {
-            println!("# {name} {}", host.address());
+        for (name, engine) in &fleet.engines {
+            println!("# {name} {}", engine.address());
         }
         ends()?.await;
         Ok(())
--- a/crates/cindercleat-cli/tests/common/mod.rs
+++ b/crates/cindercleat-cli/tests/common/mod.rs
@@ -37,20 +37,20 @@
 }
 
 /// A loopback address for one test of one run of the tests: another run beside it must not take its ports between
-/// their being drawn and their being used. `host` tells the tests of a run apart.
-fn address_of_this_run(host: &str) -> Ipv4Addr {
-    let [_, _, third, fourth] = host.parse::<Ipv4Addr>().expect("an address").octets();
+/// their being drawn and their being used. `engine` tells the tests of a run apart.
+fn address_of_this_run(engine: &str) -> Ipv4Addr {
+    let [_, _, third, fourth] = engine.parse::<Ipv4Addr>().expect("an address").octets();
     let [low, high, ..] = std::process::id().to_le_bytes();
     Ipv4Addr::new(127, 1 + high % 250, low, third.wrapping_add(fourth))
 }
 
 impl Fleet {
-    pub fn start(name: &str, host: &str) -> Fleet {
+    pub fn start(name: &str, engine: &str) -> Fleet {
         let folder = folder(name);
-        let host = address_of_this_run(host);
+        let engine = address_of_this_run(engine);
         // Held until all are drawn, so that none is drawn twice.
         let taken: Vec<TcpListener> = (0..6)
-            .map(|_| TcpListener::bind((host, 0)).expect("a port"))
+            .map(|_| TcpListener::bind((engine, 0)).expect("a port"))
             .collect();
         let address =
             |listener: &TcpListener| listener.local_addr().expect("it has one").to_string();
--- a/crates/cindercleat-cli/tests/program.rs
+++ b/crates/cindercleat-cli/tests/program.rs
@@ -194,7 +194,7 @@
     assert_eq!(code, Some(0), "{out}{err}");
 }
 
-/// A configuration of the platform; hosts and discovery are where nobody listens.
+/// A configuration of the platform; engines and discovery are where nobody listens.
 fn configuration(discovery: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f","peers":[],
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -41,7 +41,7 @@
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    /// A host closes a connection that rests for this long.
+    /// An engine closes a connection that rests for this long.
     pub link_idle: Option<Ms>,
     /// Whether clients ask for the rest of a stream that ends before its end.
     pub clients_resume: bool,
--- a/crates/dispatcher/src/keep.rs
+++ b/crates/dispatcher/src/keep.rs
@@ -1,9 +1,9 @@
-//! The list of model hosts as last heard, kept in a file for the next start.
+//! The list of engines as last heard, kept in a file for the next start.
 //!
 //! The file is four bytes of mark, four of checksum, then the list as on the wire. It is written beside its
 //! place, synced and renamed, and the folder synced, so that a cut leaves the old one or the new one.
 
-use cindercleat_protocol::v1::HostList;
+use cindercleat_protocol::v1::EndpointList;
 use prost::Message;
 use std::fs::File;
 use std::io::{self, Write};
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// The file cannot be read, or is not what was written.
-pub fn load(path: &Path) -> Result<Option<HostList>, Unusable> {
+pub fn load(path: &Path) -> Result<Option<EndpointList>, Unusable> {
     let bytes = match std::fs::read(path) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
         other => other?,
@@ -36,14 +36,14 @@
     if crc32fast::hash(list).to_be_bytes() != *sum {
         return Err(Unusable::Damaged);
     }
-    HostList::decode(list)
+    EndpointList::decode(list)
         .map(Some)
         .map_err(|_| Unusable::Damaged)
 }
 
 /// # Errors
 /// The file cannot be written; the one that was there stays.
-pub fn save(path: &Path, list: &HostList) -> io::Result<()> {
+pub fn save(path: &Path, list: &EndpointList) -> io::Result<()> {
     let list = list.encode_to_vec();
     let bytes = [&MARK[..], &crc32fast::hash(&list).to_be_bytes(), &list].concat();
     let beside = path.with_extension("new");
--- a/crates/dispatcher/src/ledger/delivery.rs
+++ b/crates/dispatcher/src/ledger/delivery.rs
@@ -21,24 +21,24 @@
         };
         // One whose connection is under way has not gone out: the connection has its own time limit.
         let Some(sent) = attempt.sent else { return };
-        let host = attempt.host.clone();
+        let engine = attempt.engine.clone();
         attempt.is_doubted = true;
-        if self.links.has_run_since(&host, sent) {
+        if self.links.has_run_since(&engine, sent) {
             self.delivered(id);
         } else {
             self.unconfirmed.insert(id);
-            self.ask_for_sign(&host, out);
+            self.ask_for_sign(&engine, out);
         }
     }
 
     /// An engine has shown that it runs: what was sent to it before has arrived.
-    pub(super) fn note_sign(&mut self, host: &HostId) {
+    pub(super) fn note_sign(&mut self, engine: &EngineId) {
         let arrived = |id: &&RequestId| {
             let attempt = self
                 .requests
                 .get(id)
                 .and_then(|request| request.out.as_ref());
-            attempt.is_some_and(|attempt| attempt.host == *host && self.has_arrived(attempt))
+            attempt.is_some_and(|attempt| attempt.engine == *engine && self.has_arrived(attempt))
         };
         let arrived: Vec<RequestId> = self.unconfirmed.iter().filter(arrived).copied().collect();
         for id in arrived {
@@ -50,7 +50,7 @@
     pub(super) fn has_arrived(&self, attempt: &requests::Attempt) -> bool {
         attempt
             .sent
-            .is_some_and(|sent| self.links.has_run_since(&attempt.host, sent))
+            .is_some_and(|sent| self.links.has_run_since(&attempt.engine, sent))
     }
 
     fn delivered(&mut self, request: RequestId) {
@@ -70,26 +70,26 @@
 
     /// Asks an engine for something that any engine answers at once and that costs it little: the release of a request
     /// that is over. A process that has had none yet probes, where that is allowed.
-    fn ask_for_sign(&mut self, host: &HostId, out: &mut Vec<Output>) {
+    fn ask_for_sign(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
         let over = self
             .last_over
             .clone()
             .filter(|origin| !self.origins.contains_key(origin));
         let Some(origin) = over else {
             if self.settings.policy.may_probe {
-                self.probe(host.clone(), out);
+                self.probe(engine.clone(), out);
             }
             return;
         };
         let Some(row) = self
             .fleet
-            .hosts
-            .get(host)
+            .engines
+            .get(engine)
             .filter(|row| row.condition != Condition::Gone)
         else {
             return;
         };
-        if self.links.is_asked_in_vain(host) {
+        if self.links.is_asked_in_vain(engine) {
             return;
         }
         let address = row.line.address.clone();
@@ -97,7 +97,7 @@
         // Without a connection there is no sign either.
         let Ok((link, stream)) =
             self.links
-                .open(host, &address, Use::Sign, self.now, &self.settings, to)
+                .open(engine, &address, Use::Sign, self.now, &self.settings, to)
         else {
             return;
         };
@@ -135,12 +135,12 @@
              and answered a call that was sent {}",
             request.origin(),
             attempt.no.0,
-            attempt.host.0,
+            attempt.engine.0,
             attempt.sent.map_or("not yet".to_owned(), since),
             since(link.dialled),
             link.carried(),
-            since(self.links.heard_at(&attempt.host)),
-            since(self.links.ran_at(&attempt.host)),
+            since(self.links.heard_at(&attempt.engine)),
+            since(self.links.ran_at(&attempt.engine)),
         );
         Some((doubt, text))
     }
--- a/crates/dispatcher/src/ledger/host_releases.rs
+++ b/crates/dispatcher/src/ledger/engine_releases.rs
@@ -12,54 +12,54 @@
 
 /// A release that its engine has not confirmed yet.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct HostRelease {
+pub(super) struct EngineRelease {
     held: Held,
     since: Ms,
 }
 
 impl Ledger {
-    pub(super) fn release_at_host(&mut self, held: Held, out: &mut Vec<Output>) {
-        let host = held.host.clone();
+    pub(super) fn release_at_engine(&mut self, held: Held, out: &mut Vec<Output>) {
+        let engine = held.engine.clone();
         self.unreleased
-            .entry(host.clone())
+            .entry(engine.clone())
             .or_default()
-            .push(HostRelease {
+            .push(EngineRelease {
                 held,
                 since: self.now,
             });
-        self.flush_releases(&host, out);
+        self.flush_releases(&engine, out);
     }
 
     /// A release was not confirmed: it is sent again.
-    pub(super) fn host_release_lost(&mut self, host: HostId, release: HostRelease) {
+    pub(super) fn engine_release_lost(&mut self, engine: EngineId, release: EngineRelease) {
         self.unreleased
-            .entry(host.clone())
+            .entry(engine.clone())
             .or_default()
             .push(release);
         self.timers.set(
             self.now + self.settings.policy.release / RETRY_PART,
-            Due::Release(host),
+            Due::Release(engine),
         );
     }
 
-    /// Lets go what is to be let go at a host, over any link that is up; else one is had. A process that is gone holds
-    /// nothing, and a host that cannot be reached for long has its own time limit.
-    pub(super) fn flush_releases(&mut self, host: &HostId, out: &mut Vec<Output>) {
-        let Some(states) = self.unreleased.get_mut(host) else {
+    /// Lets go what is to be let go at an engine, over any link that is up; else one is had. A process that is gone holds
+    /// nothing, and an engine that cannot be reached for long has its own time limit.
+    pub(super) fn flush_releases(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
+        let Some(states) = self.unreleased.get_mut(engine) else {
             return;
         };
         let oldest = self.now - GIVE_UP_AFTER * self.settings.policy.release;
         states.retain(|release| release.since >= oldest);
         let row = self
             .fleet
-            .hosts
-            .get(host)
+            .engines
+            .get(engine)
             .filter(|row| row.condition != Condition::Gone);
-        match (self.links.up(host, false), row) {
+        match (self.links.up(engine, false), row) {
             (Some(link), _) => {
-                for release in self.unreleased.remove(host).unwrap_or_default() {
+                for release in self.unreleased.remove(engine).unwrap_or_default() {
                     let (state, origin) = (Some(release.held.id), release.held.origin.clone());
-                    let purpose = Use::HostRelease(release);
+                    let purpose = Use::EngineRelease(release);
                     let stream = self
                         .links
                         .open_on(link, purpose, self.now, &mut self.timers);
@@ -81,24 +81,24 @@
                 let to = (&mut self.timers, out);
                 if !self
                     .links
-                    .want(host, &address, self.now, &self.settings, to)
+                    .want(engine, &address, self.now, &self.settings, to)
                 {
-                    let again = Due::Release(host.clone());
+                    let again = Due::Release(engine.clone());
                     self.timers
                         .set(self.now + self.settings.policy.release / RETRY_PART, again);
                 }
             }
             (None, _) => {
-                self.unreleased.remove(host);
+                self.unreleased.remove(engine);
             }
         }
     }
 
     /// The connection over which releases were to go is over: they go over another one.
-    pub(super) fn retry_releases(&mut self, host: &HostId) {
-        if self.unreleased.contains_key(host) {
+    pub(super) fn retry_releases(&mut self, engine: &EngineId) {
+        if self.unreleased.contains_key(engine) {
             let again = self.now + self.settings.policy.release / RETRY_PART;
-            self.timers.set(again, Due::Release(host.clone()));
+            self.timers.set(again, Due::Release(engine.clone()));
         }
     }
 }
--- a/crates/dispatcher/src/ledger/hosts.rs
+++ b/crates/dispatcher/src/ledger/engines.rs
@@ -1,4 +1,4 @@
-//! The side of the ledger that faces the model hosts: attempts out, read states held, probes, and what hosts
+//! The side of the ledger that faces the engines: attempts out, read states held, probes, and what engines
 //! and links have to say of them.
 
 use super::kv_states::{Held, ReleaseCall};
@@ -9,14 +9,14 @@
 
 /// The whole of the credit is given back in so many parts.
 const CREDIT_PARTS: u32 = 2;
-/// A host is told to wait for a millisecond at least: 0 would say nothing.
+/// An engine is told to wait for a millisecond at least: 0 would say nothing.
 const LEAST_WAIT: Ms = 1.0;
 
 impl Ledger {
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
-        host: HostId,
+        engine: EngineId,
         until: Option<Ms>,
         out: &mut Vec<Output>,
     ) {
@@ -28,17 +28,18 @@
         let (holds_no_state, answered) = (self.kv_states.on_offer(id).is_none(), request.answered);
         let reads = self
             .fleet
-            .hosts
-            .get(&host)
+            .engines
+            .get(&engine)
             .is_some_and(|row| row.role == Role::Reader);
         let reading = holds_no_state && reads;
         // What must not be ends as never sent.
-        if !self.guard_attempt(id, &host, reading, out) {
+        if !self.guard_attempt(id, &engine, reading, out) {
             return self
                 .events
-                .push(never_sent(id, no, host, Outcome::Void, answered));
+                .push(never_sent(id, no, engine, Outcome::Void, answered));
         }
-        let (Some(request), Some(row)) = (self.requests.get_mut(&id), self.fleet.hosts.get(&host))
+        let (Some(request), Some(row)) =
+            (self.requests.get_mut(&id), self.fleet.engines.get(&engine))
         else {
             return;
         };
@@ -57,7 +58,7 @@
         );
         let purpose = Use::Attempt(id, no);
         let opened = self.links.open(
-            &host,
+            &engine,
             &address,
             purpose,
             self.now,
@@ -66,7 +67,7 @@
         );
         let (link, stream) = match opened {
             Ok(place) => place,
-            // The next choice is to pass the host by for a moment, or to judge it: it could not be reached.
+            // The next choice is to pass the engine by for a moment, or to judge it: it could not be reached.
             Err(refusal) => {
                 let outcome = match refusal {
                     Refusal::AllTaken => Outcome::Full,
@@ -74,12 +75,12 @@
                 };
                 return self
                     .events
-                    .push(never_sent(id, no, host, outcome, request.answered));
+                    .push(never_sent(id, no, engine, outcome, request.answered));
             }
         };
         request.out = Some(Attempt {
             no,
-            host,
+            engine,
             link,
             stream,
             reading,
@@ -106,7 +107,7 @@
     }
 
     /// An attempt that its connection did not carry, as it was over before anything was written, goes out on
-    /// another one: the host has said nothing of it. Tells whether it could.
+    /// another one: the engine has said nothing of it. Tells whether it could.
     fn resend_attempt(&mut self, id: RequestId, out: &mut Vec<Output>) -> bool {
         let Some(request) = self
             .requests
@@ -118,13 +119,13 @@
         let Some(attempt) = request.out.as_ref().filter(|attempt| !attempt.first) else {
             return false;
         };
-        let Some(row) = self.fleet.hosts.get(&attempt.host) else {
+        let Some(row) = self.fleet.engines.get(&attempt.engine) else {
             return false;
         };
         if row.condition != Condition::Ready {
             return false;
         }
-        let (no, host, address) = (attempt.no, attempt.host.clone(), row.line.address.clone());
+        let (no, engine, address) = (attempt.no, attempt.engine.clone(), row.line.address.clone());
         let state = attempt.reading.then(|| state_of(self.settings.run, id, no));
         let window = self.settings.limits.window;
         let held = self.kv_states.on_offer(id).map(|state| &state.held);
@@ -140,7 +141,7 @@
         let purpose = Use::Attempt(id, no);
         let opened = self
             .links
-            .open(&host, &address, purpose, self.now, &self.settings, to);
+            .open(&engine, &address, purpose, self.now, &self.settings, to);
         let (Ok((link, stream)), Some(attempt)) = (opened, request.out.as_mut()) else {
             return false;
         };
@@ -154,7 +155,7 @@
         true
     }
 
-    /// The wire's end of the attempt that is out: what has not gone out is taken back, else the host is told.
+    /// The wire's end of the attempt that is out: what has not gone out is taken back, else the engine is told.
     /// Tells whether it never went out.
     pub(super) fn stop_attempt(&mut self, id: RequestId, out: &mut Vec<Output>) -> bool {
         let Some(attempt) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
@@ -166,14 +167,14 @@
                 .close_stream(link, stream, self.now, &mut self.timers);
             return true;
         }
-        // The stream stays taken until the host ends it: what the host still works on takes room there.
+        // The stream stays taken until the engine ends it: what the engine still works on takes room there.
         let prefilled = self.prefill_out(id);
         self.make_past(link, stream);
         if !planted::is(Plant::CancelLost) {
             self.links
                 .send(link, stream, Body::Cancel(v1::Cancel {}), out);
         }
-        // The prefill may have ended at the host before the cancel comes, with nobody left to hear of it.
+        // The prefill may have ended at the engine before the cancel comes, with nobody left to hear of it.
         if let Some(held) = prefilled {
             self.release_leftover(id, held, out);
         }
@@ -186,7 +187,7 @@
         let attempt = request.out.as_ref().filter(|attempt| attempt.reading)?;
         let state = state_of(self.settings.run, id, attempt.no);
         Some(Held {
-            host: attempt.host.clone(),
+            engine: attempt.engine.clone(),
             id: state,
             origin: request.origin(),
         })
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Guards against a host that hears nothing any more on a connection that never breaks: what was called
+    /// Guards against an engine that hears nothing any more on a connection that never breaks: what was called
     /// off there would take its room for ever.
     pub(super) fn look_at_past(&mut self, id: LinkId, stream: StreamNo, out: &mut Vec<Output>) {
         let Some(link) = self.links.get(id) else {
@@ -211,12 +212,12 @@
         let unanswered = match link.streams.get(&stream) {
             Some(Use::Release(..)) => Some("it does not answer a release"),
             Some(Use::Sign) => Some("it gives no sign that it runs"),
-            Some(Use::Past | Use::HostRelease(..)) => None,
+            Some(Use::Past | Use::EngineRelease(..)) => None,
             _ => return,
         };
         if let Some(reason) = unanswered {
-            let host = link.host.clone();
-            self.links.left_unanswered(&host, self.now);
+            let engine = link.engine.clone();
+            self.links.left_unanswered(&engine, self.now);
             return self.drop_link(id, reason, out);
         }
         let until = link.heard + self.settings.limits.stall_limit;
@@ -240,7 +241,7 @@
         if outcome == Outcome::ReadDone {
             let state = state_of(self.settings.run, id, attempt.no);
             let held = Held {
-                host: attempt.host.clone(),
+                engine: attempt.engine.clone(),
                 id: state,
                 origin: request.origin(),
             };
@@ -249,11 +250,11 @@
         let latency = self.now - attempt.since;
         let last = request.answered;
         self.settle_state(id, &attempt, outcome);
-        let (attempt, host) = (attempt.no, attempt.host);
+        let (attempt, engine) = (attempt.no, attempt.engine);
         self.events.push(Event::Ended(Ended {
             request: id,
             attempt,
-            host,
+            engine,
             outcome,
             latency,
             last,
@@ -279,7 +280,7 @@
             _ if streams => self.answer(id, v1::Answer::WrittenOff, 0.0, reason, out),
             _ => {}
         }
-        // A prefill that broke may have ended at its host, with the word of it lost: its state would lie there.
+        // A prefill that broke may have ended at its engine, with the word of it lost: its state would lie there.
         let held = self
             .prefill_out(id)
             .filter(|_| matches!(outcome, Outcome::Broken | Outcome::Failed));
@@ -332,7 +333,7 @@
         );
     }
 
-    pub(super) fn hold_ahead(&mut self, id: RequestId, host: &HostId, out: &mut Vec<Output>) {
+    pub(super) fn hold_ahead(&mut self, id: RequestId, engine: &EngineId, out: &mut Vec<Output>) {
         let Some(attempt) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
             return;
         };
@@ -340,8 +341,8 @@
         let purpose = Use::Hold(id, attempt.no);
         let Some(row) = self
             .fleet
-            .hosts
-            .get(host)
+            .engines
+            .get(engine)
             .filter(|r| r.condition == Condition::Ready)
         else {
             return;
@@ -350,7 +351,7 @@
         let to = (&mut self.timers, &mut *out);
         let opened = self
             .links
-            .open(host, &address, purpose, self.now, &self.settings, to);
+            .open(engine, &address, purpose, self.now, &self.settings, to);
         if let Ok((link, stream)) = opened {
             let body = Body::Hold(v1::Hold { state: Some(state) });
             self.links.send(link, stream, body, out);
@@ -372,23 +373,23 @@
         }
     }
 
-    pub(super) fn probe(&mut self, host: HostId, out: &mut Vec<Output>) {
+    pub(super) fn probe(&mut self, engine: EngineId, out: &mut Vec<Output>) {
         let address = self
             .fleet
-            .hosts
-            .get(&host)
+            .engines
+            .get(&engine)
             .map(|row| row.line.address.clone());
         let purpose = Use::Probe { sent: self.now };
         let to = (&mut self.timers, &mut *out);
         let opened = address.and_then(|a| {
             self.links
-                .open(&host, &a, purpose, self.now, &self.settings, to)
+                .open(&engine, &a, purpose, self.now, &self.settings, to)
                 .ok()
         });
         let Some((link, stream)) = opened else {
             let (outcome, load) = (Outcome::Unreachable, Load::default());
             return self.events.push(Event::Probed {
-                host,
+                engine,
                 outcome,
                 latency: 0.0,
                 load,
@@ -409,9 +410,9 @@
         let Some(Use::Probe { sent }) = link.streams.get(&stream).cloned() else {
             return;
         };
-        let host = link.host.clone();
+        let engine = link.engine.clone();
         self.events.push(Event::Probed {
-            host,
+            engine,
             outcome,
             latency: self.now - sent,
             load,
@@ -424,8 +425,8 @@
         }
     }
 
-    pub(super) fn close_idle(&mut self, host: &HostId, out: &mut Vec<Output>) {
-        for id in self.links.ids_of(host) {
+    pub(super) fn close_idle(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
+        for id in self.links.ids_of(engine) {
             if self.links.is_idle(id) {
                 self.drop_link(id, "idle", out);
             }
@@ -437,13 +438,13 @@
             let reason = "not wanted any more".to_owned();
             return out.push(Output::CloseLink { link: id, reason });
         };
-        let (host, waiting) = (link.host.clone(), std::mem::take(&mut link.waiting));
+        let (engine, waiting) = (link.engine.clone(), std::mem::take(&mut link.waiting));
         self.links.come_up(id, limit, self.now, &mut self.timers);
         // Guards against a drain that was learned while the link came up: an attempt that has not gone out does
         // not go out any more, and is known not to have run.
         let ready =
-            self.fleet.condition(&host) == Condition::Ready || planted::is(Plant::DrainReadLate);
-        self.flush_releases(&host, out);
+            self.fleet.condition(&engine) == Condition::Ready || planted::is(Plant::DrainReadLate);
+        self.flush_releases(&engine, out);
         for (stream, mut body) in waiting {
             let purpose = self
                 .links
@@ -456,7 +457,7 @@
             match purpose {
                 Some(Use::Release(call)) => {
                     if self.release_goes_out(id, stream, &call) {
-                        out.push(Output::ToHost { link: id, frame });
+                        out.push(Output::ToEngine { link: id, frame });
                     }
                 }
                 // Nor does one whose client has gone meanwhile: nobody waits for it.
@@ -468,9 +469,9 @@
                     if let Some(request) = self.requests.get_mut(&request) {
                         request.note_sent(self.now);
                     }
-                    out.push(Output::ToHost { link: id, frame });
+                    out.push(Output::ToEngine { link: id, frame });
                 }
-                _ => out.push(Output::ToHost { link: id, frame }),
+                _ => out.push(Output::ToEngine { link: id, frame }),
             }
         }
     }
@@ -497,7 +498,7 @@
         goes_out
     }
 
-    /// An attempt that has waited for its connection tells its host what is left now.
+    /// An attempt that has waited for its connection tells its engine what is left now.
     fn tell_time_left(&self, request: RequestId, body: &mut Body) {
         let Some(attempt) = self
             .requests
@@ -525,16 +526,16 @@
             .close_stream(id, stream, self.now, &mut self.timers)
     }
 
-    /// What has fallen due for the links to a host.
-    pub(super) fn look_at_links(&mut self, host: &HostId, out: &mut Vec<Output>) {
-        let row = self.fleet.hosts.get(host);
+    /// What has fallen due for the links to an engine.
+    pub(super) fn look_at_links(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
+        let row = self.fleet.engines.get(engine);
         let ready = row.is_some_and(|r| r.condition == Condition::Ready);
         let address = row.map(|r| r.line.address.clone()).unwrap_or_default();
-        for act in self.links.wanted(host, self.now, ready) {
+        for act in self.links.wanted(engine, self.now, ready) {
             match act {
                 Do::Connect => {
                     let to = (&mut self.timers, &mut *out);
-                    self.links.dial(host, &address, self.now, to);
+                    self.links.dial(engine, &address, self.now, to);
                 }
                 Do::Ping(id) => {
                     self.links
@@ -551,7 +552,7 @@
                 }
             }
         }
-        self.links.arm(host, &mut self.timers);
+        self.links.arm(engine, &mut self.timers);
     }
 
     /// Closes a link from this side.
@@ -584,14 +585,14 @@
         if streams > 0 {
             let text = format!(
                 "link to {} over with {streams} streams: {reason}",
-                link.host.0
+                link.engine.0
             );
             out.push(Output::Log {
                 level: Level::Warn,
                 text,
             });
         }
-        self.retry_releases(&link.host);
+        self.retry_releases(&link.engine);
         for (_, purpose) in link.streams {
             match purpose {
                 Use::Attempt(request, _) => {
@@ -604,39 +605,41 @@
                     );
                 }
                 Use::Probe { sent } => {
-                    let (host, load) = (link.host.clone(), Load::default());
+                    let (engine, load) = (link.engine.clone(), Load::default());
                     self.events.push(Event::Probed {
-                        host,
+                        engine,
                         outcome,
                         latency: self.now - sent,
                         load,
                     });
                 }
-                Use::Release(call) => self.release_lost(link.host.clone(), &call),
-                Use::HostRelease(release) => self.host_release_lost(link.host.clone(), release),
+                Use::Release(call) => self.release_lost(link.engine.clone(), &call),
+                Use::EngineRelease(release) => {
+                    self.engine_release_lost(link.engine.clone(), release)
+                }
                 Use::Hold(..) | Use::Sign | Use::Past => {}
             }
         }
-        self.forget_gone(&link.host);
+        self.forget_gone(&link.engine);
     }
 
-    pub(super) fn take_host(&mut self, id: LinkId, frame: Frame, out: &mut Vec<Output>) {
+    pub(super) fn take_engine(&mut self, id: LinkId, frame: Frame, out: &mut Vec<Output>) {
         let stream = StreamNo(frame.stream);
         // What comes after a link was given up here is old.
         self.links.heard(id, self.now);
         let Some(link) = self.links.get(id) else {
             return;
         };
-        let host = link.host.clone();
+        let engine = link.engine.clone();
         let purpose = link.streams.get(&stream).cloned();
         // A goodbye is said on this side, of a connection that is over.
         if !matches!(frame.body, Some(Body::Goodbye(_))) {
             self.links.answered(id, self.now);
-            self.note_sign(&host);
+            self.note_sign(&engine);
             self.note_engine_ran();
             if is_work(purpose.as_ref(), frame.body.as_ref()) {
                 self.links.worked(id, self.now);
-                self.note_engine_worked(&host);
+                self.note_engine_worked(&engine);
             }
         }
         let name = name_of(frame.body.as_ref());
@@ -661,7 +664,7 @@
                     } else {
                         Outcome::Broken
                     };
-                    let text = format!("launch at {} over: {}", host.0, bye.reason);
+                    let text = format!("launch at {} over: {}", engine.0, bye.reason);
                     out.push(Output::Log {
                         level: Level::Info,
                         text,
@@ -685,14 +688,14 @@
                 self.events.push(Event::Place {
                     request,
                     attempt,
-                    host: host.clone(),
+                    engine: engine.clone(),
                     held: place.held,
                 });
                 true
             }
             (Some(Use::Past), Some(Body::Ended(ended))) => {
                 self.close_stream(id, stream);
-                self.take_late_end(host.clone(), &ended, out);
+                self.take_late_end(engine.clone(), &ended, out);
                 true
             }
             (Some(Use::Past), Some(Body::Load(_) | Body::Goodbye(_))) => {
@@ -701,10 +704,10 @@
             }
             (Some(Use::Release(call)), Some(Body::Done(_))) => {
                 self.close_stream(id, stream);
-                self.release_confirmed(&host, &call, out);
+                self.release_confirmed(&engine, &call, out);
                 true
             }
-            (Some(Use::HostRelease(_)), Some(Body::Done(_))) => {
+            (Some(Use::EngineRelease(_)), Some(Body::Done(_))) => {
                 self.close_stream(id, stream);
                 true
             }
@@ -715,12 +718,12 @@
             // A call that was reset or refused ends alone: what else is on the link goes on.
             (Some(Use::Release(call)), Some(Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
-                self.release_lost(host.clone(), &call);
+                self.release_lost(engine.clone(), &call);
                 true
             }
-            (Some(Use::HostRelease(release)), Some(Body::Goodbye(_))) => {
+            (Some(Use::EngineRelease(release)), Some(Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
-                self.host_release_lost(host.clone(), release);
+                self.engine_release_lost(engine.clone(), release);
                 true
             }
             (Some(Use::Probe { .. }), Some(Body::Goodbye(_))) => {
@@ -732,7 +735,7 @@
                 self.events.push(Event::Place {
                     request,
                     attempt,
-                    host: host.clone(),
+                    engine: engine.clone(),
                     held: false,
                 });
                 true
@@ -746,11 +749,11 @@
             _ => false,
         };
         if !good {
-            // Guards against a host that does not keep to the protocol: nothing more that it says on this
+            // Guards against an engine that does not keep to the protocol: nothing more that it says on this
             // connection can be believed. What was out there may have run.
             let text = format!(
                 "host {} sent {name} on stream {} where it cannot be",
-                host.0, stream.0
+                engine.0, stream.0
             );
             out.push(Output::Log {
                 level: Level::Warn,
@@ -762,11 +765,11 @@
 
     /// A read that ended after it was given up: the decisions do not know of its state, so it is let go here,
     /// or it would stay pinned.
-    fn take_late_end(&mut self, host: HostId, ended: &v1::Ended, out: &mut Vec<Output>) {
+    fn take_late_end(&mut self, engine: EngineId, ended: &v1::Ended, out: &mut Vec<Output>) {
         if let (v1::Status::ReadDone, Some(state)) = (ended.status(), ended.state) {
             self.release_unless_planted(
                 Held {
-                    host,
+                    engine,
                     id: state,
                     origin: String::new(),
                 },
@@ -775,7 +778,7 @@
         }
     }
 
-    /// Tells whether the host may say so.
+    /// Tells whether the engine may say so.
     fn take_ended(&mut self, id: RequestId, ended: &v1::Ended, out: &mut Vec<Output>) -> bool {
         let Some(attempt) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
             return true;
@@ -818,7 +821,7 @@
         true
     }
 
-    /// Tells whether the host may say so: a writer, the next tokens, within its credit.
+    /// Tells whether the engine may say so: a writer, the next tokens, within its credit.
     fn take_tokens(&mut self, id: RequestId, tokens: v1::Tokens, out: &mut Vec<Output>) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return true;
@@ -848,7 +851,8 @@
             self.kv_states.taken(id, self.now);
             // No attempt can need it any more.
             request.submit.prompt = Default::default();
-            let (no, host, latency) = (attempt.no, attempt.host.clone(), self.now - attempt.since);
+            let (no, engine, latency) =
+                (attempt.no, attempt.engine.clone(), self.now - attempt.since);
             self.timers.set(
                 self.now + self.settings.limits.stall_limit,
                 Due::Stall(id, no),
@@ -856,7 +860,7 @@
             self.events.push(Event::FirstToken {
                 request: id,
                 attempt: no,
-                host,
+                engine,
                 latency,
             });
         }
@@ -917,7 +921,7 @@
             return self.timers.set(since + limit, Due::Stall(id, no));
         }
         if client_waits {
-            let text = format!("stream of task {} stalled at {}", id.0, attempt.host.0);
+            let text = format!("stream of task {} stalled at {}", id.0, attempt.engine.0);
             out.push(Output::Log {
                 level: Level::Warn,
                 text,
@@ -941,7 +945,7 @@
     }
 }
 
-/// Whether a message shows that its host works on attempts. A part of it may still answer other calls while the rest hangs.
+/// Whether a message shows that its engine works on attempts. A part of it may still answer other calls while the rest hangs.
 fn is_work(purpose: Option<&Use>, body: Option<&Body>) -> bool {
     let done = |status: v1::Status| matches!(status, v1::Status::ReadDone | v1::Status::Fulfilled);
     match (purpose, body) {
@@ -963,7 +967,7 @@
 fn never_sent(
     request: RequestId,
     attempt: AttemptId,
-    host: HostId,
+    engine: EngineId,
     outcome: Outcome,
     last: bool,
 ) -> Event {
@@ -971,7 +975,7 @@
     Event::Ended(Ended {
         request,
         attempt,
-        host,
+        engine,
         outcome,
         latency: 0.0,
         last,
@@ -980,7 +984,7 @@
     })
 }
 
-/// What an attempt says to its host; `state`: what a read is to leave, none for a write.
+/// What an attempt says to its engine; `state`: what a read is to leave, none for a write.
 fn body_of(
     request: &Request,
     held: Option<&Held>,
@@ -1013,10 +1017,12 @@
 
 fn write(request: &Request, held: Option<&Held>, fleet: &Fleet, window: u32, wait_ms: Ms) -> Body {
     let submit = &request.submit;
-    let reader = held.and_then(|held| fleet.hosts.get(&held.host));
+    let reader = held.and_then(|held| fleet.engines.get(&held.engine));
     Body::Write(v1::Write {
         state: held.map(|held| held.id),
-        reader: reader.map(|row| row.line.host.clone()).unwrap_or_default(),
+        reader: reader
+            .map(|row| row.line.engine.clone())
+            .unwrap_or_default(),
         reader_address: reader
             .map(|row| row.line.address.clone())
             .unwrap_or_default(),
--- a/crates/dispatcher/src/ledger/fleet.rs
+++ b/crates/dispatcher/src/ledger/fleet.rs
@@ -1,4 +1,4 @@
-//! The model hosts as the list names them: each one's line, address and condition, and the ids that the
+//! The engines as the list names them: each one's line, address and condition, and the ids that the
 //! decisions know zones, kinds and cells by.
 
 use crate::settings::ProgramSettings;
@@ -8,15 +8,15 @@
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
-pub(super) struct HostRow {
-    pub line: v1::HostLine,
+pub(super) struct EngineRow {
+    pub line: v1::Endpoint,
     pub condition: Condition,
     pub role: Role,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
-    pub hosts: BTreeMap<HostId, HostRow>,
+    pub engines: BTreeMap<EngineId, EngineRow>,
     cells: BTreeMap<String, CellId>,
     pub version: u64,
 }
@@ -25,24 +25,30 @@
     /// Takes a list in. Gives the entries for the decisions, and says what was wrong with lines passed over.
     pub fn take(
         &mut self,
-        list: &v1::HostList,
+        list: &v1::EndpointList,
         settings: &ProgramSettings,
     ) -> (ListKind, Vec<Entry>, Vec<String>) {
         let full = list.kind() == v1::ListKind::Full;
         self.version = list.version;
         if full {
-            let listed: BTreeSet<&str> = list.hosts.iter().map(|line| line.host.as_str()).collect();
-            for (host, row) in &mut self.hosts {
-                if !listed.contains(host.0.as_ref()) {
+            let listed: BTreeSet<&str> = list
+                .engines
+                .iter()
+                .map(|line| line.engine.as_str())
+                .collect();
+            for (engine, row) in &mut self.engines {
+                if !listed.contains(engine.0.as_ref()) {
                     row.condition = Condition::Gone;
                 }
             }
         }
         let (mut entries, mut wrong) = (Vec::new(), Vec::new());
-        for line in &list.hosts {
+        for line in &list.engines {
             match self.entry(line, settings) {
                 Ok(entry) => entries.push(entry),
-                Err(problem) => wrong.push(format!("host {:?} of the list: {problem}", line.host)),
+                Err(problem) => {
+                    wrong.push(format!("host {:?} of the list: {problem}", line.engine))
+                }
             }
         }
         (
@@ -56,13 +62,13 @@
         )
     }
 
-    fn entry(&mut self, line: &v1::HostLine, settings: &ProgramSettings) -> Result<Entry, String> {
+    fn entry(&mut self, line: &v1::Endpoint, settings: &ProgramSettings) -> Result<Entry, String> {
         let place = |names: &[String], name: &str, what: &str| {
             let at = names.iter().position(|n| n == name);
             at.map(|at| at as u32)
                 .ok_or_else(|| format!("{what} {name:?} is not in the settings"))
         };
-        if line.host.is_empty() || line.address.is_empty() {
+        if line.engine.is_empty() || line.address.is_empty() {
             return Err("no name or no address".to_owned());
         }
         let zone = ZoneId(place(&settings.zones, &line.zone, "zone")?);
@@ -72,10 +78,10 @@
             .ok_or_else(|| format!("kind {:?} has no settings", line.kind))?
             .role;
         let condition = match line.condition() {
-            v1::HostCondition::Ready => Condition::Ready,
-            v1::HostCondition::Draining => Condition::Draining,
-            v1::HostCondition::Gone => Condition::Gone,
-            v1::HostCondition::Unspecified => return Err("no condition".to_owned()),
+            v1::EndpointStatus::Ready => Condition::Ready,
+            v1::EndpointStatus::Draining => Condition::Draining,
+            v1::EndpointStatus::Gone => Condition::Gone,
+            v1::EndpointStatus::Unspecified => return Err("no condition".to_owned()),
         };
         // Guards against a list that would poison every comparison of instants or weights.
         let started = line.started_ms.filter(|at| at.is_finite());
@@ -89,17 +95,17 @@
             .cells
             .entry(format!("{}/{}", line.zone, line.cell))
             .or_insert(next);
-        let host = HostId(Arc::from(line.host.as_str()));
-        self.hosts.insert(
-            host.clone(),
-            HostRow {
+        let engine = EngineId(Arc::from(line.engine.as_str()));
+        self.engines.insert(
+            engine.clone(),
+            EngineRow {
                 line: line.clone(),
                 condition,
                 role,
             },
         );
         Ok(Entry {
-            host,
+            engine,
             zone,
             kind,
             cell,
@@ -109,36 +115,36 @@
         })
     }
 
-    /// Whether any host is known.
+    /// Whether any engine is known.
     pub fn is_known(&self) -> bool {
-        !self.hosts.is_empty()
+        !self.engines.is_empty()
     }
 
-    pub fn gone(&self) -> Vec<HostId> {
+    pub fn gone(&self) -> Vec<EngineId> {
         let gone = self
-            .hosts
+            .engines
             .iter()
             .filter(|(_, row)| row.condition == Condition::Gone);
-        gone.map(|(host, _)| host.clone()).collect()
+        gone.map(|(engine, _)| engine.clone()).collect()
     }
 
     /// All that is known and not gone, as a list to remember.
-    pub fn whole(&self) -> v1::HostList {
+    pub fn whole(&self) -> v1::EndpointList {
         let here = self
-            .hosts
+            .engines
             .values()
             .filter(|row| row.condition != Condition::Gone);
-        let hosts = here.map(|row| row.line.clone()).collect();
-        v1::HostList {
+        let engines = here.map(|row| row.line.clone()).collect();
+        v1::EndpointList {
             kind: v1::ListKind::Full.into(),
             version: self.version,
-            hosts,
+            engines,
         }
     }
 
-    pub fn condition(&self, host: &HostId) -> Condition {
-        self.hosts
-            .get(host)
+    pub fn condition(&self, engine: &EngineId) -> Condition {
+        self.engines
+            .get(engine)
             .map_or(Condition::Gone, |row| row.condition)
     }
 }
--- a/crates/dispatcher/src/ledger/invariants.rs
+++ b/crates/dispatcher/src/ledger/invariants.rs
@@ -60,11 +60,11 @@
         &self.guarded
     }
 
-    /// Tells whether an attempt of a request may go to a host now. `reading`: it prefills only, which has no effect.
+    /// Tells whether an attempt of a request may go to an engine now. `reading`: it prefills only, which has no effect.
     pub(super) fn guard_attempt(
         &mut self,
         id: RequestId,
-        host: &HostId,
+        engine: &EngineId,
         reading: bool,
         out: &mut Vec<Output>,
     ) -> bool {
@@ -75,15 +75,15 @@
             && request.out.is_none()
             && request.attempts <= self.settings.policy.max_attempts
             && self.now <= request.ends;
-        let sends = self.fleet.condition(host) == Condition::Ready;
-        let repeats = reading || self.may_run_at(request, host);
+        let sends = self.fleet.condition(engine) == Condition::Ready;
+        let repeats = reading || self.may_run_at(request, engine);
         let checks = [
             (Invariant::Start, starts),
             (Invariant::Send, sends),
             (Invariant::Repeat, repeats),
         ];
         checks.into_iter().fold(true, |good, (invariant, holds)| {
-            self.check(invariant, holds, id, host.0.as_ref(), out) && good
+            self.check(invariant, holds, id, engine.0.as_ref(), out) && good
         })
     }
 
@@ -143,7 +143,7 @@
         if self.now < due {
             return self.timers.set(due, Due::Held(id));
         }
-        let engine = state.held.host.0.to_string();
+        let engine = state.held.engine.0.to_string();
         self.check(Invariant::Hold, false, id, &engine, out);
         match is_on_offer {
             true => self.release(id, out),
@@ -166,7 +166,7 @@
             Outcome::CalledOff,
         ];
         if request.first_run.is_none() && open.contains(&outcome) {
-            let line = self.fleet.hosts.get(&attempt.host).map(|row| &row.line);
+            let line = self.fleet.engines.get(&attempt.engine).map(|row| &row.line);
             let (zone, cell) = line
                 .map(|line| (line.zone.clone(), line.cell.clone()))
                 .unwrap_or_default();
@@ -178,9 +178,9 @@
         }
     }
 
-    /// Whether a request's effect lets it run at a host, by what may have run before.
-    fn may_run_at(&self, request: &Request, host: &HostId) -> bool {
-        let (Some(first), Some(row)) = (&request.first_run, self.fleet.hosts.get(host)) else {
+    /// Whether a request's effect lets it run at an engine, by what may have run before.
+    fn may_run_at(&self, request: &Request, engine: &EngineId) -> bool {
+        let (Some(first), Some(row)) = (&request.first_run, self.fleet.engines.get(engine)) else {
             return true;
         };
         match request.effect {
--- a/crates/dispatcher/src/ledger/kv_states.rs
+++ b/crates/dispatcher/src/ledger/kv_states.rs
@@ -14,7 +14,7 @@
 /// A KV state and the engine that holds it.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Held {
-    pub host: HostId,
+    pub engine: EngineId,
     pub id: v1::StateId,
     /// The request's id as its client gave it, where states are known by it; else empty.
     pub origin: String,
@@ -37,7 +37,7 @@
 /// An attempt that ended here without a word of its engine's: it was closed, or its connection broke.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct UnansweredEnd {
-    pub engine: HostId,
+    pub engine: EngineId,
     pub at: Ms,
     /// When its engine had shown that it has worked since.
     known_at: Option<Ms>,
@@ -72,7 +72,7 @@
     /// When it is looked at next, if nothing happens before.
     pub next_look: Ms,
     /// Engines that were asked and have not confirmed it.
-    pub unconfirmed: Vec<HostId>,
+    pub unconfirmed: Vec<EngineId>,
     /// How often it was confirmed, since nothing holds it up, by calls that do not count.
     pub confirmed: u32,
     /// Whether one of the calls of this round was confirmed.
@@ -151,7 +151,7 @@
     }
 
     /// The engines that have not shown since that they work.
-    pub fn unknowing(&self) -> impl Iterator<Item = &HostId> {
+    pub fn unknowing(&self) -> impl Iterator<Item = &EngineId> {
         self.unanswered
             .iter()
             .filter(|end| end.known_at.is_none())
@@ -169,7 +169,7 @@
 pub(super) struct KvStates {
     states: BTreeMap<RequestId, KvState>,
     /// Requests with an unanswered end at an engine that has not shown since that it works.
-    awaited: BTreeMap<HostId, BTreeSet<RequestId>>,
+    awaited: BTreeMap<EngineId, BTreeSet<RequestId>>,
     /// Requests of whose last calls to release a state none was confirmed.
     pub stuck: BTreeSet<RequestId>,
     /// Releases to look at once the present input is dealt with.
@@ -299,7 +299,7 @@
 
     /// An attempt of a request is over: what is to be released of it can be now. `unanswered`: the attempt's engine, if that
     /// has not said a word of it.
-    pub fn attempt_over(&mut self, request: RequestId, unanswered: Option<HostId>, now: Ms) {
+    pub fn attempt_over(&mut self, request: RequestId, unanswered: Option<EngineId>, now: Ms) {
         let Some(state) = self.states.get_mut(&request) else {
             return;
         };
@@ -322,7 +322,7 @@
     }
 
     /// An engine has shown that it worked at an instant; gives the requests for which that matters.
-    pub fn engine_worked(&mut self, engine: &HostId, worked: Ms, now: Ms) -> Vec<RequestId> {
+    pub fn engine_worked(&mut self, engine: &EngineId, worked: Ms, now: Ms) -> Vec<RequestId> {
         let Some(waiting) = self.awaited.get_mut(engine) else {
             return Vec::new();
         };
--- a/crates/dispatcher/src/ledger/links.rs
+++ b/crates/dispatcher/src/ledger/links.rs
@@ -1,14 +1,14 @@
-//! Links: connections to model hosts, and what is out on each. Which one a stream takes, when one more is
+//! Links: connections to engines, and what is out on each. Which one a stream takes, when one more is
 //! dialled, asked whether it lives or closed, [`Channels`] decides.
 
-use super::host_releases::HostRelease;
+use super::engine_releases::EngineRelease;
 use super::kv_states::ReleaseCall;
 use super::timers::{Due, Timers};
 use super::{LinkId, Output, StreamNo};
 use crate::settings::ProgramSettings;
 use cindercleat::channels::{ChannelId, Channels, Do, Placement, Refusal};
 use cindercleat::control::RECEIVED_LATE;
-use cindercleat::interface::{AttemptId, HostId, Ms, RequestId};
+use cindercleat::interface::{AttemptId, EngineId, Ms, RequestId};
 use cindercleat_protocol::{frame, Body};
 use std::collections::BTreeMap;
 
@@ -20,10 +20,10 @@
         sent: Ms,
     },
     Hold(RequestId, AttemptId),
-    /// Asked to release what is held for a request, at whatever host.
+    /// Asked to release what is held for a request, at whatever engine.
     Release(ReleaseCall),
-    HostRelease(HostRelease),
-    /// Asked for nothing but a sign that its host runs.
+    EngineRelease(EngineRelease),
+    /// Asked for nothing but a sign that its engine runs.
     Sign,
     /// Given up here; whatever still comes is old.
     Past,
@@ -31,7 +31,7 @@
 
 #[derive(Debug)]
 pub(super) struct Link {
-    pub host: HostId,
+    pub engine: EngineId,
     pub address: String,
     pub up: bool,
     pub streams: BTreeMap<StreamNo, Use>,
@@ -52,7 +52,7 @@
     }
 }
 
-/// What tells whether a host runs, by whatever link. Instants long ago stand for never.
+/// What tells whether an engine runs, by whatever link. Instants long ago stand for never.
 #[derive(Clone, Copy, Debug)]
 struct Signs {
     /// When it last sent anything.
@@ -80,12 +80,12 @@
 #[derive(Debug, Default)]
 pub(super) struct Links {
     all: BTreeMap<LinkId, Link>,
-    of: BTreeMap<HostId, Vec<LinkId>>,
+    of: BTreeMap<EngineId, Vec<LinkId>>,
     made: u64,
-    decide: BTreeMap<HostId, Channels>,
-    signs: BTreeMap<HostId, Signs>,
-    /// When the timer of a host's links is due.
-    armed: BTreeMap<HostId, Ms>,
+    decide: BTreeMap<EngineId, Channels>,
+    signs: BTreeMap<EngineId, Signs>,
+    /// When the timer of an engine's links is due.
+    armed: BTreeMap<EngineId, Ms>,
     seed: u64,
 }
 
@@ -110,54 +110,54 @@
         self.all.len()
     }
 
-    pub fn ids_of(&self, host: &HostId) -> Vec<LinkId> {
-        self.of.get(host).cloned().unwrap_or_default()
+    pub fn ids_of(&self, engine: &EngineId) -> Vec<LinkId> {
+        self.of.get(engine).cloned().unwrap_or_default()
     }
 
-    /// A stream at `host`, on a link that is dialled if need be.
+    /// A stream at `engine`, on a link that is dialled if need be.
     ///
     /// # Errors
     /// No link may carry it now; it has not run.
     pub fn open(
         &mut self,
-        host: &HostId,
+        engine: &EngineId,
         address: &str,
         purpose: Use,
         now: Ms,
         settings: &ProgramSettings,
         (timers, out): (&mut Timers, &mut Vec<Output>),
     ) -> Result<(LinkId, StreamNo), Refusal> {
-        let chosen = self.place(host, address, now, settings, (timers, out))?;
+        let chosen = self.place(engine, address, now, settings, (timers, out))?;
         let stream = self
             .open_on(chosen, purpose, now, timers)
             .ok_or(Refusal::AllTaken)?;
         if self
             .decide
-            .get(host)
+            .get(engine)
             .is_some_and(|channels| channels.wants_more(now))
         {
-            self.dial(host, address, now, (timers, out));
+            self.dial(engine, address, now, (timers, out));
         }
         Ok((chosen, stream))
     }
 
     fn place(
         &mut self,
-        host: &HostId,
+        engine: &EngineId,
         address: &str,
         now: Ms,
         settings: &ProgramSettings,
         to: (&mut Timers, &mut Vec<Output>),
     ) -> Result<LinkId, Refusal> {
-        let ids = self.of.get(host).into_iter().flatten();
+        let ids = self.of.get(engine).into_iter().flatten();
         let moved: Vec<LinkId> = ids
             .copied()
             .filter(|id| self.all[id].address != address)
             .collect();
         let seed = self.seed ^ self.decide.len() as u64;
         let new = || Channels::new(settings.channels(), seed);
-        let channels = self.decide.entry(host.clone()).or_insert_with(new);
-        // The host has another address now: what is out there ends there.
+        let channels = self.decide.entry(engine.clone()).or_insert_with(new);
+        // The engine has another address now: what is out there ends there.
         moved
             .iter()
             .for_each(|id| channels.going_away(ChannelId(id.0)));
@@ -171,13 +171,13 @@
                 if self.all.len() >= most && !self.make_room(now, to.1) {
                     return Err(Refusal::AllTaken);
                 }
-                Ok(self.dial(host, address, now, to))
+                Ok(self.dial(engine, address, now, to))
             }
             Placement::Nowhere(refusal) => Err(refusal),
         }
     }
 
-    /// Closes the link that has rested longest, at whatever host; tells whether there was one.
+    /// Closes the link that has rested longest, at whatever engine; tells whether there was one.
     fn make_room(&mut self, now: Ms, out: &mut Vec<Output>) -> bool {
         let resting = self
             .all
@@ -196,48 +196,48 @@
         longest.is_some()
     }
 
-    /// Sets the timer for what falls due next at a host's links, unless an earlier one is set: it looks again.
-    pub fn arm(&mut self, host: &HostId, timers: &mut Timers) {
-        let Some(at) = self.decide.get(host).and_then(Channels::next_at) else {
+    /// Sets the timer for what falls due next at an engine's links, unless an earlier one is set: it looks again.
+    pub fn arm(&mut self, engine: &EngineId, timers: &mut Timers) {
+        let Some(at) = self.decide.get(engine).and_then(Channels::next_at) else {
             return;
         };
-        if self.armed.get(host).is_none_or(|armed| at < *armed) {
-            self.armed.insert(host.clone(), at);
-            timers.set(at, Due::Links(host.clone()));
+        if self.armed.get(engine).is_none_or(|armed| at < *armed) {
+            self.armed.insert(engine.clone(), at);
+            timers.set(at, Due::Links(engine.clone()));
         }
     }
 
-    /// What is to be done by now about a host's links.
-    pub fn wanted(&mut self, host: &HostId, now: Ms, ready: bool) -> Vec<Do> {
-        self.armed.remove(host);
+    /// What is to be done by now about an engine's links.
+    pub fn wanted(&mut self, engine: &EngineId, now: Ms, ready: bool) -> Vec<Do> {
+        self.armed.remove(engine);
         self.decide
-            .get_mut(host)
+            .get_mut(engine)
             .map(|channels| channels.wanted(now, ready))
             .unwrap_or_default()
     }
 
-    /// The link is up; `limit`: the streams that the host allows on it.
+    /// The link is up; `limit`: the streams that the engine allows on it.
     pub fn come_up(&mut self, id: LinkId, limit: Option<usize>, now: Ms, timers: &mut Timers) {
         let Some(link) = self.all.get_mut(&id) else {
             return;
         };
         link.up = true;
-        let host = link.host.clone();
-        if let Some(channels) = self.decide.get_mut(&host) {
+        let engine = link.engine.clone();
+        if let Some(channels) = self.decide.get_mut(&engine) {
             channels.up(ChannelId(id.0), limit, now);
         }
-        self.arm(&host, timers);
+        self.arm(&engine, timers);
     }
 
-    /// The host takes nothing new on it.
+    /// The engine takes nothing new on it.
     pub fn leaving(&mut self, id: LinkId, timers: &mut Timers) {
-        let Some(host) = self.all.get(&id).map(|link| link.host.clone()) else {
+        let Some(engine) = self.all.get(&id).map(|link| link.engine.clone()) else {
             return;
         };
-        if let Some(channels) = self.decide.get_mut(&host) {
+        if let Some(channels) = self.decide.get_mut(&engine) {
             channels.going_away(ChannelId(id.0));
         }
-        self.arm(&host, timers);
+        self.arm(&engine, timers);
     }
 
     /// One more stream on a link that is up, whatever it carries: for what ends something, and so must not
@@ -254,11 +254,11 @@
         link.next_stream += 1;
         link.last_call = now;
         link.streams.insert(stream, purpose);
-        let host = link.host.clone();
-        if let Some(channels) = self.decide.get_mut(&host) {
+        let engine = link.engine.clone();
+        if let Some(channels) = self.decide.get_mut(&engine) {
             channels.opened(ChannelId(id.0), now);
         }
-        self.arm(&host, timers);
+        self.arm(&engine, timers);
         Some(stream)
     }
 
@@ -268,27 +268,27 @@
             return;
         };
         link.heard = now;
-        if let Some(channels) = self.decide.get_mut(&link.host) {
+        if let Some(channels) = self.decide.get_mut(&link.engine) {
             channels.heard(ChannelId(id.0), now);
         }
     }
 
-    /// When the host last sent anything; long ago if it never did.
-    pub fn heard_at(&self, host: &HostId) -> Ms {
+    /// When the engine last sent anything; long ago if it never did.
+    pub fn heard_at(&self, engine: &EngineId) -> Ms {
         self.signs
-            .get(host)
+            .get(engine)
             .map_or(f64::NEG_INFINITY, |signs| signs.heard)
     }
 
-    /// A message has come over it that its host wrote: the host ran after it had the call.
+    /// A message has come over it that its engine wrote: the engine ran after it had the call.
     pub fn answered(&mut self, id: LinkId, now: Ms) {
         let Some(link) = self.all.get(&id) else {
             return;
         };
-        if !self.signs.contains_key(&link.host) {
-            self.signs.insert(link.host.clone(), Signs::default());
+        if !self.signs.contains_key(&link.engine) {
+            self.signs.insert(link.engine.clone(), Signs::default());
         }
-        if let Some(signs) = self.signs.get_mut(&link.host) {
+        if let Some(signs) = self.signs.get_mut(&link.engine) {
             signs.heard = now;
             signs.ran = signs.ran.max(link.last_call).max(now - RECEIVED_LATE);
         }
@@ -299,37 +299,37 @@
         let Some(link) = self.all.get(&id) else {
             return;
         };
-        if let Some(signs) = self.signs.get_mut(&link.host) {
+        if let Some(signs) = self.signs.get_mut(&link.engine) {
             signs.worked = signs.worked.max(link.last_call).max(now - RECEIVED_LATE);
         }
     }
 
-    /// The latest instant at which a host is known to have worked; long ago if it never was.
-    pub fn worked_at(&self, host: &HostId) -> Ms {
+    /// The latest instant at which an engine is known to have worked; long ago if it never was.
+    pub fn worked_at(&self, engine: &EngineId) -> Ms {
         self.signs
-            .get(host)
+            .get(engine)
             .map_or(f64::NEG_INFINITY, |signs| signs.worked)
     }
 
-    /// Whether a host is known to have run at an instant or later.
-    pub fn has_run_since(&self, host: &HostId, instant: Ms) -> bool {
-        self.ran_at(host) >= instant
+    /// Whether an engine is known to have run at an instant or later.
+    pub fn has_run_since(&self, engine: &EngineId, instant: Ms) -> bool {
+        self.ran_at(engine) >= instant
     }
 
-    /// A question to a host was given up without an answer.
-    pub fn left_unanswered(&mut self, host: &HostId, now: Ms) {
-        self.signs.entry(host.clone()).or_default().unanswered = now;
+    /// A question to an engine was given up without an answer.
+    pub fn left_unanswered(&mut self, engine: &EngineId, now: Ms) {
+        self.signs.entry(engine.clone()).or_default().unanswered = now;
     }
 
     /// Whether it has said nothing since it left a question unanswered.
-    pub fn is_suspected(&self, host: &HostId) -> bool {
+    pub fn is_suspected(&self, engine: &EngineId) -> bool {
         self.signs
-            .get(host)
+            .get(engine)
             .is_some_and(|signs| signs.unanswered > signs.heard)
     }
 
-    /// Whether a host that left a question unanswered has another one open.
-    pub fn is_asked_in_vain(&self, host: &HostId) -> bool {
+    /// Whether an engine that left a question unanswered has another one open.
+    pub fn is_asked_in_vain(&self, engine: &EngineId) -> bool {
         let asks = |id: &LinkId| {
             let streams = self
                 .all
@@ -340,45 +340,45 @@
                 .into_iter()
                 .any(|purpose| matches!(purpose, Use::Release(..) | Use::Sign))
         };
-        self.is_suspected(host) && self.of.get(host).into_iter().flatten().any(asks)
+        self.is_suspected(engine) && self.of.get(engine).into_iter().flatten().any(asks)
     }
 
-    /// The latest instant at which a host is known to have run; long ago if it never was.
-    pub fn ran_at(&self, host: &HostId) -> Ms {
+    /// The latest instant at which an engine is known to have run; long ago if it never was.
+    pub fn ran_at(&self, engine: &EngineId) -> Ms {
         self.signs
-            .get(host)
+            .get(engine)
             .map_or(f64::NEG_INFINITY, |signs| signs.ran)
     }
 
     /// The list tells of a new process there: what failed with the old one says nothing of it.
-    pub fn renewed(&mut self, host: &HostId) {
-        if let Some(channels) = self.decide.get_mut(host) {
+    pub fn renewed(&mut self, engine: &EngineId) {
+        if let Some(channels) = self.decide.get_mut(engine) {
             channels.renewed();
         }
     }
 
-    /// Dials a host whose channels have asked for it.
+    /// Dials an engine whose channels have asked for it.
     pub fn dial(
         &mut self,
-        host: &HostId,
+        engine: &EngineId,
         address: &str,
         now: Ms,
         (timers, out): (&mut Timers, &mut Vec<Output>),
     ) -> LinkId {
         self.made += 1;
         let id = LinkId(self.made);
-        let (host, address) = (host.clone(), address.to_owned());
+        let (engine, address) = (engine.clone(), address.to_owned());
         out.push(Output::Dial {
             link: id,
-            host: host.clone(),
+            engine: engine.clone(),
             address: address.clone(),
         });
-        if let Some(channels) = self.decide.get_mut(&host) {
+        if let Some(channels) = self.decide.get_mut(&engine) {
             channels.connecting(ChannelId(id.0), now);
         }
-        self.of.entry(host.clone()).or_default().push(id);
+        self.of.entry(engine.clone()).or_default().push(id);
         let link = Link {
-            host: host.clone(),
+            engine: engine.clone(),
             address,
             up: false,
             streams: BTreeMap::new(),
@@ -389,42 +389,42 @@
             next_stream: 1,
         };
         self.all.insert(id, link);
-        self.arm(&host, timers);
+        self.arm(&engine, timers);
         id
     }
 
-    /// Releases that were sent to the hosts of their states, and that those have not answered.
+    /// Releases that were sent to the engines of their states, and that those have not answered.
     pub fn releasing(&self) -> usize {
         let all = self.all.values().flat_map(|link| link.streams.values());
-        all.filter(|purpose| matches!(purpose, Use::HostRelease(..)))
+        all.filter(|purpose| matches!(purpose, Use::EngineRelease(..)))
             .count()
     }
 
-    /// A link to the host that is up and takes streams; `resting`: one that carries nothing.
-    pub fn up(&self, host: &HostId, resting: bool) -> Option<LinkId> {
-        let channels = self.decide.get(host)?;
-        let ids = self.of.get(host)?;
+    /// A link to the engine that is up and takes streams; `resting`: one that carries nothing.
+    pub fn up(&self, engine: &EngineId, resting: bool) -> Option<LinkId> {
+        let channels = self.decide.get(engine)?;
+        let ids = self.of.get(engine)?;
         let fits = |l: &Link| l.up && (!resting || l.streams.is_empty());
         let takes =
             |id: &LinkId| channels.takes(ChannelId(id.0)) && self.all.get(id).is_some_and(fits);
         ids.iter().copied().find(takes)
     }
 
-    /// Sees to it that a link to the host is up or coming up; tells whether it could.
+    /// Sees to it that a link to the engine is up or coming up; tells whether it could.
     pub fn want(
         &mut self,
-        host: &HostId,
+        engine: &EngineId,
         address: &str,
         now: Ms,
         settings: &ProgramSettings,
         to: (&mut Timers, &mut Vec<Output>),
     ) -> bool {
-        let channels = self.decide.get(host);
-        let ids = self.of.get(host).into_iter().flatten();
+        let channels = self.decide.get(engine);
+        let ids = self.of.get(engine).into_iter().flatten();
         let coming = ids
             .into_iter()
             .any(|id| channels.is_some_and(|c| c.takes(ChannelId(id.0))));
-        coming || self.place(host, address, now, settings, to).is_ok()
+        coming || self.place(engine, address, now, settings, to).is_ok()
     }
 
     /// Sends now, or once the link is up.
@@ -433,7 +433,7 @@
             return;
         };
         if link.up {
-            out.push(Output::ToHost {
+            out.push(Output::ToEngine {
                 link: id,
                 frame: frame(stream.0, body),
             });
@@ -462,21 +462,21 @@
     ) -> Option<Use> {
         let link = self.all.get_mut(&id)?;
         let purpose = link.streams.remove(&stream)?;
-        let host = link.host.clone();
-        if let Some(channels) = self.decide.get_mut(&host) {
+        let engine = link.engine.clone();
+        if let Some(channels) = self.decide.get_mut(&engine) {
             channels.ended(ChannelId(id.0), now);
         }
-        self.arm(&host, timers);
+        self.arm(&engine, timers);
         Some(purpose)
     }
 
-    /// Forgets what was decided about a host's links, if none is left; tells whether it did.
-    pub fn forget(&mut self, host: &HostId) -> bool {
-        let none = !self.of.contains_key(host);
+    /// Forgets what was decided about an engine's links, if none is left; tells whether it did.
+    pub fn forget(&mut self, engine: &EngineId) -> bool {
+        let none = !self.of.contains_key(engine);
         if none {
-            self.decide.remove(host);
-            self.signs.remove(host);
-            self.armed.remove(host);
+            self.decide.remove(engine);
+            self.signs.remove(engine);
+            self.armed.remove(engine);
         }
         none
     }
@@ -490,13 +490,13 @@
 
     pub fn remove(&mut self, id: LinkId, now: Ms) -> Option<Link> {
         let link = self.all.remove(&id)?;
-        if let Some(channels) = self.decide.get_mut(&link.host) {
+        if let Some(channels) = self.decide.get_mut(&link.engine) {
             channels.closed(ChannelId(id.0), now);
         }
-        if let Some(ids) = self.of.get_mut(&link.host) {
+        if let Some(ids) = self.of.get_mut(&link.engine) {
             ids.retain(|other| *other != id);
             if ids.is_empty() {
-                self.of.remove(&link.host);
+                self.of.remove(&link.engine);
             }
         }
         Some(link)
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -2,16 +2,16 @@
 //! [`Ledger::handle`] with their instant; what is to be done comes out. It tells when it wants to be called
 //! next ([`Ledger::wants_call_at`]). The same inputs give the same outputs.
 //!
-//! Every choice between hosts, every bounce and write-off of a request that was taken is
+//! Every choice between engines, every bounce and write-off of a request that was taken is
 //! [`Control`](cindercleat::control::Control)'s. The ledger carries them out, tells it each outcome, and sees
-//! to what holds for any decision: one final answer a request, nothing to a host that left the list meanwhile,
+//! to what holds for any decision: one final answer a request, nothing to an engine that left the list meanwhile,
 //! nothing held that the decisions do not know of, bounded buffers.
 
 mod clients;
 mod delivery;
+mod engine_releases;
+mod engines;
 mod fleet;
-mod host_releases;
-mod hosts;
 mod invariants;
 mod kv_states;
 mod links;
@@ -25,13 +25,13 @@
 use crate::settings::ProgramSettings;
 use cindercleat::control::Control;
 use cindercleat::fleet::bounds::{Stand, Tally, Unit};
-use cindercleat::fleet::rollcall::HostReport;
+use cindercleat::fleet::rollcall::EngineReport;
 use cindercleat::fleet::{Address, Name, Run};
 use cindercleat::interface::*;
 use cindercleat_protocol::{frame, name_of, v1, Body, Frame};
 use clients::Callers;
+use engine_releases::EngineRelease;
 use fleet::Fleet;
-use host_releases::HostRelease;
 pub use invariants::{Guarded, Invariant};
 use kv_states::KvStates;
 use links::Links;
@@ -47,7 +47,7 @@
 /// A client's connection, as the shell numbers it; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
-/// A connection to a model host, as the ledger numbers it; never used twice.
+/// A connection to an engine, as the ledger numbers it; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 /// What belongs together on one connection.
@@ -73,18 +73,18 @@
         stream: StreamNo,
         messages: u32,
     },
-    /// A dialled link is up: the host has greeted by its right name. `limit`: the streams that it allows.
+    /// A dialled link is up: the engine has greeted by its right name. `limit`: the streams that it allows.
     LinkUp { link: LinkId, limit: Option<usize> },
-    /// The host takes nothing new on a link; what it took goes on.
+    /// The engine takes nothing new on a link; what it took goes on.
     LinkLeaving { link: LinkId },
     /// A link could not be had, or is over.
     LinkClosed { link: LinkId, reason: String },
-    /// A host's message.
-    Host { link: LinkId, frame: Frame },
+    /// An engine's message.
+    Engine { link: LinkId, frame: Frame },
     /// The list that was kept by the process before; the first input, if there is one.
-    Remembered(v1::HostList),
+    Remembered(v1::EndpointList),
     /// From the list feed.
-    Listed(v1::HostList),
+    Listed(v1::EndpointList),
     /// The list feed refused a call or is lost.
     ListRefused,
     /// From another dispatcher.
@@ -113,10 +113,10 @@
     },
     Dial {
         link: LinkId,
-        host: HostId,
+        engine: EngineId,
         address: String,
     },
-    ToHost {
+    ToEngine {
         link: LinkId,
         frame: Frame,
     },
@@ -126,7 +126,7 @@
         reason: String,
     },
     /// The list to start from next time.
-    KeepList(v1::HostList),
+    KeepList(v1::EndpointList),
     /// Asks the list feed for the list.
     Follow {
         changes: bool,
@@ -156,9 +156,9 @@
     pub requests: usize,
     pub links: usize,
     pub timers: usize,
-    /// Hosts of which anything is known.
-    pub hosts: usize,
-    /// Releases that no host has confirmed.
+    /// Engines of which anything is known.
+    pub engines: usize,
+    /// Releases that no engine has confirmed.
     pub releases: usize,
 }
 
@@ -176,8 +176,8 @@
     links: Links,
     timers: Timers,
     kv_states: KvStates,
-    /// Releases to send where a state belongs to its host, by that host.
-    unreleased: BTreeMap<HostId, Vec<HostRelease>>,
+    /// Releases to send where a state belongs to its engine, by that engine.
+    unreleased: BTreeMap<EngineId, Vec<EngineRelease>>,
     /// Requests whose attempt the decisions doubt, and the id of the last request that was over.
     unconfirmed: BTreeSet<RequestId>,
     last_over: Option<String>,
@@ -245,7 +245,7 @@
             Input::LinkUp { link, limit } => self.take_link_up(link, limit, out),
             Input::LinkLeaving { link } => self.links.leaving(link, &mut self.timers),
             Input::LinkClosed { link, reason } => self.take_link_closed(link, &reason, out),
-            Input::Host { link, frame } => self.take_host(link, frame, out),
+            Input::Engine { link, frame } => self.take_engine(link, frame, out),
             Input::Remembered(list) => self.take_list(&list, Some(ListKind::Remembered), out),
             Input::Listed(list) => self.take_list(&list, None, out),
             Input::ListRefused => {
@@ -264,7 +264,7 @@
             self.settle(out);
         }
         self.look_at_due_releases(out);
-        // States that are let go are gone when their hosts say so: a stop does not cut that off, but no host that
+        // States that are let go are gone when their engines say so: a stop does not cut that off, but no engine that
         // says nothing holds it up for longer than a release may take.
         if let (Some(since), false) = (self.stopping, self.stopped) {
             let latest = since + self.settings.limits.stop_grace + self.settings.policy.release;
@@ -305,27 +305,27 @@
         self.keeps_lists = false;
     }
 
-    /// Remembers from now on how its requests end and what hosts say.
+    /// Remembers from now on how its requests end and what engines say.
     pub fn keep_record(&mut self) {
         self.record = Some(record::Record::default());
     }
 
-    /// How its requests ended, and reports on so many hosts that were heard of since.
-    pub fn recorded(&mut self, now: Ms, most: usize) -> (Tally, Vec<HostReport>) {
+    /// How its requests ended, and reports on so many engines that were heard of since.
+    pub fn recorded(&mut self, now: Ms, most: usize) -> (Tally, Vec<EngineReport>) {
         let Some(record) = &mut self.record else {
             return Default::default();
         };
         (record.tally(), record.reports(now, most))
     }
 
-    /// The model hosts as the list has them. `now` is on the list's clock as well.
+    /// The engines as the list has them. `now` is on the list's clock as well.
     pub fn units(&self, now: Ms) -> Vec<Unit> {
         let ramp = self.settings.policy.ramp;
-        let unit = |(host, row): (&HostId, &fleet::HostRow)| {
+        let unit = |(engine, row): (&EngineId, &fleet::EngineRow)| {
             let started = row.line.started_ms.filter(|at| at.is_finite());
             let cold = started.is_some_and(|at| now < at + ramp);
             Unit {
-                name: Name(host.0.clone()),
+                name: Name(engine.0.clone()),
                 run: Run(started.map_or(0, f64::to_bits)),
                 address: Address::from(row.line.address.as_str()),
                 zone: row.line.zone.clone(),
@@ -342,11 +342,11 @@
                 used: self
                     .record
                     .as_ref()
-                    .and_then(|record| record.used(now, host)),
+                    .and_then(|record| record.used(now, engine)),
                 tally: Tally::default(),
             }
         };
-        self.fleet.hosts.iter().map(unit).collect()
+        self.fleet.engines.iter().map(unit).collect()
     }
 
     /// How much is held, for logs and for tests of what must not grow.
@@ -355,21 +355,21 @@
             requests: self.requests.len(),
             links: self.links.len(),
             timers: self.timers.len(),
-            hosts: self.fleet.hosts.len(),
-            releases: self.host_releases() + self.kv_states.releasing(),
+            engines: self.fleet.engines.len(),
+            releases: self.engine_releases() + self.kv_states.releasing(),
         }
     }
 
-    /// Releases where a state belongs to its host, which that has not confirmed.
-    fn host_releases(&self) -> usize {
+    /// Releases where a state belongs to its engine, which that has not confirmed.
+    fn engine_releases(&self) -> usize {
         let queued: usize = self.unreleased.values().map(Vec::len).sum();
         queued + self.links.releasing()
     }
 
-    /// Whether a state is to be let go of which no host has said yet that it is. A stop does not wait for releases to be
+    /// Whether a state is to be let go of which no engine has said yet that it is. A stop does not wait for releases to be
     /// repeated: what a process leaves that has ended is freed by the platform.
     fn releasing(&self) -> bool {
-        let open = self.host_releases() + self.kv_states.unconfirmed();
+        let open = self.engine_releases() + self.kv_states.unconfirmed();
         !planted::is(Plant::StopDropsReleases) && open > 0
     }
 
@@ -401,9 +401,9 @@
         match action {
             Action::StartAttempt {
                 request,
-                host,
+                engine,
                 until,
-            } => self.start_attempt(request, host, until, out),
+            } => self.start_attempt(request, engine, until, out),
             Action::Cancel { request, attempt } => self.call_off(request, attempt, out),
             Action::Bounce {
                 request,
@@ -430,7 +430,7 @@
             Action::Release { request } => self.release(request, out),
             Action::ReleaseInDoubt { request } => self.release_in_doubt(request, out),
             Action::Confirm { request, attempt } => self.confirm(request, attempt, out),
-            Action::HoldAhead { request, host } => self.hold_ahead(request, &host, out),
+            Action::HoldAhead { request, engine } => self.hold_ahead(request, &engine, out),
             Action::Move { request } => self.move_away(request, out),
             Action::Arm { delay, timer } if planted::is(Plant::TimersLate) => {
                 self.timers
@@ -439,8 +439,8 @@
             Action::Arm { delay, timer } => self
                 .timers
                 .set(self.now + delay.max(0.0), Due::Module(timer)),
-            Action::Probe { host } => self.probe(host, out),
-            Action::CloseIdle { host } => self.close_idle(&host, out),
+            Action::Probe { engine } => self.probe(engine, out),
+            Action::CloseIdle { engine } => self.close_idle(&engine, out),
             Action::Tell { to, bytes } => out.push(Output::Tell { to, bytes }),
             Action::FetchList => out.push(Output::Follow { changes: false }),
             Action::FollowList { on } => out.push(Output::Follow { changes: on }),
@@ -458,13 +458,13 @@
             Due::Patience(id) => self.end_patience(id, out),
             Due::Stall(request, attempt) => self.look_at_stream(request, attempt, out),
             Due::Client(conn) => self.look_at_client(conn, out),
-            Due::Links(host) => self.look_at_links(&host, out),
+            Due::Links(engine) => self.look_at_links(&engine, out),
             Due::Probe(link, stream) => {
                 self.end_probe(link, stream, Outcome::TimedOut, Load::default())
             }
             Due::Past(link, stream) => self.look_at_past(link, stream, out),
             Due::Held(request) => self.guard_held(request, out),
-            Due::Release(host) => self.flush_releases(&host, out),
+            Due::Release(engine) => self.flush_releases(&engine, out),
             Due::KvState(request) => self.end_wait(request, out),
             Due::StopNotice => self.end_notice(out),
             Due::StopMoves => {
@@ -780,7 +780,7 @@
 
     fn take_list(
         &mut self,
-        list: &v1::HostList,
+        list: &v1::EndpointList,
         remembered: Option<ListKind>,
         out: &mut Vec<Output>,
     ) {
@@ -791,29 +791,29 @@
             level: Level::Warn,
             text,
         }));
-        if self.keeps_lists && remembered.is_none() && !list.hosts.is_empty() {
+        if self.keeps_lists && remembered.is_none() && !list.engines.is_empty() {
             out.push(Output::KeepList(self.fleet.whole()));
         }
         for entry in entries.iter().filter(|e| e.condition != Condition::Ready) {
-            self.close_idle(&entry.host, out);
+            self.close_idle(&entry.engine, out);
         }
         for entry in entries.iter().filter(|e| e.started.is_some()) {
-            self.links.renewed(&entry.host);
+            self.links.renewed(&entry.engine);
         }
         self.events.push(Event::Listed {
             kind: remembered.unwrap_or(kind),
             entries,
         });
-        for host in self.fleet.gone() {
-            self.forget_gone(&host);
+        for engine in self.fleet.gone() {
+            self.forget_gone(&engine);
         }
     }
 
-    /// Guards against a fleet that is replaced all day: nothing is kept of a host that is gone, once no
-    /// connection to it is left. An unknown host counts as gone.
-    fn forget_gone(&mut self, host: &HostId) {
-        if self.fleet.condition(host) == Condition::Gone && self.links.forget(host) {
-            self.fleet.hosts.remove(host);
+    /// Guards against a fleet that is replaced all day: nothing is kept of an engine that is gone, once no
+    /// connection to it is left. An unknown engine counts as gone.
+    fn forget_gone(&mut self, engine: &EngineId) {
+        if self.fleet.condition(engine) == Condition::Gone && self.links.forget(engine) {
+            self.fleet.engines.remove(engine);
         }
     }
 
--- a/crates/dispatcher/src/ledger/record.rs
+++ b/crates/dispatcher/src/ledger/record.rs
@@ -1,15 +1,15 @@
 //! What a dispatcher in a fleet remembers of its own service, for those who watch a release: how its requests ended, and
-//! what model hosts said of their load. Kept only where it is asked for.
+//! what engines said of their load. Kept only where it is asked for.
 
 use cindercleat::fleet::bounds::Tally;
-use cindercleat::fleet::rollcall::HostReport;
+use cindercleat::fleet::rollcall::EngineReport;
 use cindercleat::fleet::Name;
-use cindercleat::interface::{Event, HostId, Load, Ms, Outcome};
+use cindercleat::interface::{EngineId, Event, Load, Ms, Outcome};
 use cindercleat_protocol::v1;
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// What was heard of one host.
+/// What was heard of one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Heard {
     used: Option<(f64, Ms)>,
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Record {
     tally: Tally,
-    hosts: BTreeMap<HostId, Heard>,
-    /// The last host that was told of: the next ones come first, so that each has its time.
-    last: Option<HostId>,
+    engines: BTreeMap<EngineId, Heard>,
+    /// The last engine that was told of: the next ones come first, so that each has its time.
+    last: Option<EngineId>,
 }
 
 impl Record {
@@ -43,14 +43,14 @@
         self.tally
     }
 
-    /// What the decisions are told of hosts is all that is known of them here.
+    /// What the decisions are told of engines is all that is known of them here.
     pub fn hears(&mut self, now: Ms, event: &Event) {
-        let (host, load, outcome) = match event {
-            Event::Ended(ended) => (&ended.host, ended.load, Some(ended.outcome)),
-            Event::Probed { host, load, .. } => (host, *load, None),
+        let (engine, load, outcome) = match event {
+            Event::Ended(ended) => (&ended.engine, ended.load, Some(ended.outcome)),
+            Event::Probed { engine, load, .. } => (engine, *load, None),
             _ => return,
         };
-        let heard = self.hosts.entry(host.clone()).or_default();
+        let heard = self.engines.entry(engine.clone()).or_default();
         if let Some(used) = used(&load) {
             (heard.used, heard.told) = (Some((used, now)), false);
         }
@@ -65,41 +65,41 @@
         heard.told = false;
     }
 
-    /// What is used of a host, and how old that is.
-    pub fn used(&self, now: Ms, host: &HostId) -> Option<(f64, Ms)> {
-        self.hosts
-            .get(host)?
+    /// What is used of an engine, and how old that is.
+    pub fn used(&self, now: Ms, engine: &EngineId) -> Option<(f64, Ms)> {
+        self.engines
+            .get(engine)?
             .used
             .map(|(used, at)| (used, now - at))
     }
 
-    /// Reports on so many hosts, of which something new was heard, going round.
-    pub fn reports(&mut self, now: Ms, most: usize) -> Vec<HostReport> {
-        let new = |(_, heard): &(&HostId, &Heard)| !heard.told;
-        let after: Vec<HostId> = match &self.last {
+    /// Reports on so many engines, of which something new was heard, going round.
+    pub fn reports(&mut self, now: Ms, most: usize) -> Vec<EngineReport> {
+        let new = |(_, heard): &(&EngineId, &Heard)| !heard.told;
+        let after: Vec<EngineId> = match &self.last {
             Some(last) => {
                 let after = self
-                    .hosts
+                    .engines
                     .range((Excluded(last.clone()), Unbounded))
                     .filter(new);
                 after
-                    .chain(self.hosts.range(..=last.clone()).filter(new))
+                    .chain(self.engines.range(..=last.clone()).filter(new))
                     .map(|(h, _)| h.clone())
                     .take(most)
                     .collect()
             }
             None => self
-                .hosts
+                .engines
                 .iter()
                 .filter(new)
-                .map(|(host, _)| host.clone())
+                .map(|(engine, _)| engine.clone())
                 .take(most)
                 .collect(),
         };
         self.last = after.last().cloned().or(self.last.take());
         let mut reports = Vec::new();
-        for host in after {
-            let Some(heard) = self.hosts.get_mut(&host) else {
+        for engine in after {
+            let Some(heard) = self.engines.get_mut(&engine) else {
                 continue;
             };
             heard.told = true;
@@ -107,8 +107,8 @@
                 heard.used.map(|(used, at)| (used, now - at)),
                 std::mem::take(&mut heard.tally),
             );
-            reports.push(HostReport {
-                host: Name(host.0),
+            reports.push(EngineReport {
+                engine: Name(engine.0),
                 used,
                 tally,
             });
@@ -117,7 +117,7 @@
     }
 }
 
-/// What is used of a host, by the fuller of its slots and its memory; none if it says neither.
+/// What is used of an engine, by the fuller of its slots and its memory; none if it says neither.
 fn used(load: &Load) -> Option<f64> {
     match (load.slots_used, load.memory_held) {
         (None, None) => None,
--- a/crates/dispatcher/src/ledger/releases.rs
+++ b/crates/dispatcher/src/ledger/releases.rs
@@ -81,7 +81,7 @@
 
     pub(super) fn release_unless_planted(&mut self, held: Held, out: &mut Vec<Output>) {
         if !planted::is(Plant::ReleaseForgotten) {
-            self.release_at_host(held, out);
+            self.release_at_engine(held, out);
         }
     }
 
@@ -131,7 +131,7 @@
         let Some(state) = self.kv_states.forget(id) else {
             return;
         };
-        let unknowing: Vec<&str> = state.unknowing().map(|host| host.0.as_ref()).collect();
+        let unknowing: Vec<&str> = state.unknowing().map(|engine| engine.0.as_ref()).collect();
         let text = format!(
             "state not released again: id={} after {} calls, {} confirmed; engines that have not worked since: {unknowing:?}",
             state.held.origin, state.release.calls, state.release.confirmed
@@ -144,8 +144,8 @@
         out.push(Output::Log { level, text });
     }
 
-    fn begin_release(&mut self, id: RequestId, engine: HostId, out: &mut Vec<Output>) {
-        let Some(row) = self.fleet.hosts.get(&engine) else {
+    fn begin_release(&mut self, id: RequestId, engine: EngineId, out: &mut Vec<Output>) {
+        let Some(row) = self.fleet.engines.get(&engine) else {
             return;
         };
         let Some(state) = self.kv_states.get_mut(id) else {
@@ -185,7 +185,7 @@
     }
 
     /// A call to release a state was not confirmed by the engine that was asked.
-    pub(super) fn release_lost(&mut self, asked: HostId, call: &ReleaseCall) {
+    pub(super) fn release_lost(&mut self, asked: EngineId, call: &ReleaseCall) {
         let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
         };
@@ -197,7 +197,7 @@
     /// An engine has confirmed a release: the state's record is over, if that counts.
     pub(super) fn release_confirmed(
         &mut self,
-        asked: &HostId,
+        asked: &EngineId,
         call: &ReleaseCall,
         out: &mut Vec<Output>,
     ) {
@@ -292,7 +292,7 @@
     }
 
     /// An engine has worked since attempts there ended without its word: it knows of their ends now, or will in a moment.
-    pub(super) fn note_engine_worked(&mut self, engine: &HostId) {
+    pub(super) fn note_engine_worked(&mut self, engine: &EngineId) {
         let worked = self.links.worked_at(engine);
         for id in self.kv_states.engine_worked(engine, worked, self.now) {
             let state = self
@@ -395,9 +395,9 @@
 
     /// The engines that the next round asks: the one that holds the state, or that most likely runs; one more for each that has
     /// not answered.
-    fn engines_to_ask(&self, state: &KvState, unconfirmed: &mut Vec<HostId>) -> Vec<HostId> {
+    fn engines_to_ask(&self, state: &KvState, unconfirmed: &mut Vec<EngineId>) -> Vec<EngineId> {
         let more = unconfirmed.len().min(MOST_AT_ONCE - 1);
-        let mut asked: Vec<HostId> = self.holder_to_ask(state, unconfirmed).into_iter().collect();
+        let mut asked: Vec<EngineId> = self.holder_to_ask(state, unconfirmed).into_iter().collect();
         while asked.len() < 1 + more {
             let Some(next) = self.next_engine(unconfirmed, &asked) else {
                 break;
@@ -410,60 +410,60 @@
     /// The engine that holds the state, if it has not been asked, and was heard lately or was to prefill it just now. Guards
     /// against a release that overtakes the end of a prefill that was cut off: by way of a nearer engine it could come before
     /// the state is there.
-    fn holder_to_ask(&self, state: &KvState, unconfirmed: &[HostId]) -> Option<HostId> {
-        let host = &state.held.host;
+    fn holder_to_ask(&self, state: &KvState, unconfirmed: &[EngineId]) -> Option<EngineId> {
+        let engine = &state.held.engine;
         let may_ask =
-            self.fleet.condition(host) != Condition::Gone && !self.links.is_asked_in_vain(host);
+            self.fleet.condition(engine) != Condition::Gone && !self.links.is_asked_in_vain(engine);
         let was_cut =
-            state.release.confirmed == 0 && state.unknowing().any(|engine| engine == host);
+            state.release.confirmed == 0 && state.unknowing().any(|engine| engine == engine);
         let fits =
-            may_ask && (was_cut || self.was_heard_lately(host)) && !unconfirmed.contains(host);
-        fits.then(|| host.clone())
+            may_ask && (was_cut || self.was_heard_lately(engine)) && !unconfirmed.contains(engine);
+        fits.then(|| engine.clone())
     }
 
-    fn was_heard_lately(&self, host: &HostId) -> bool {
-        self.links.heard_at(host) >= self.now - self.settings.policy.release / CONFIRM_PART
+    fn was_heard_lately(&self, engine: &EngineId) -> bool {
+        self.links.heard_at(engine) >= self.now - self.settings.policy.release / CONFIRM_PART
     }
 
     /// The engine that most likely runs, of those that have not been asked: none that has left a question unanswered since it
     /// was heard, if there is another; one that was heard lately and has a connection at rest, one that was heard lately,
     /// or the one that was heard last. Once all were asked it begins anew. Guards against a part of the fleet that falls
     /// silent at once: its connections at rest stay up, while those of the engines that work are busy.
-    fn next_engine(&self, unconfirmed: &mut Vec<HostId>, taken: &[HostId]) -> Option<HostId> {
-        let ready = |(_, row): &(&HostId, &fleet::HostRow)| row.condition == Condition::Ready;
-        let hosts: Vec<&HostId> = self
+    fn next_engine(&self, unconfirmed: &mut Vec<EngineId>, taken: &[EngineId]) -> Option<EngineId> {
+        let ready = |(_, row): &(&EngineId, &fleet::EngineRow)| row.condition == Condition::Ready;
+        let engines: Vec<&EngineId> = self
             .fleet
-            .hosts
+            .engines
             .iter()
             .filter(ready)
-            .map(|(host, _)| host)
+            .map(|(engine, _)| engine)
             .collect();
-        if hosts.iter().all(|host| unconfirmed.contains(host)) {
+        if engines.iter().all(|engine| unconfirmed.contains(engine)) {
             // The last one asked is not asked again at once, if there is another.
             let asked = unconfirmed.len();
             unconfirmed.drain(..asked.saturating_sub(1));
         }
-        let rank = |host: &HostId| {
-            let fresh = self.was_heard_lately(host);
-            let rests = fresh && self.links.up(host, true).is_some();
+        let rank = |engine: &EngineId| {
+            let fresh = self.was_heard_lately(engine);
+            let rests = fresh && self.links.up(engine, true).is_some();
             (
-                !self.links.is_suspected(host),
+                !self.links.is_suspected(engine),
                 fresh,
                 rests,
-                self.links.heard_at(host),
+                self.links.heard_at(engine),
             )
         };
-        let order = |a: &&HostId, b: &&HostId| {
+        let order = |a: &&EngineId, b: &&EngineId| {
             let (a, b) = (rank(a), rank(b));
             (a.0, a.1, a.2)
                 .cmp(&(b.0, b.1, b.2))
                 .then(a.3.total_cmp(&b.3))
         };
         // Guards against a storm: all requests that a process has open at a silent engine would ask it again and again.
-        let unasked = hosts
+        let unasked = engines
             .into_iter()
-            .filter(|host| !unconfirmed.contains(host) && !taken.contains(host));
-        let unasked = unasked.filter(|host| !self.links.is_asked_in_vain(host));
+            .filter(|engine| !unconfirmed.contains(engine) && !taken.contains(engine));
+        let unasked = unasked.filter(|engine| !self.links.is_asked_in_vain(engine));
         unasked.max_by(order).cloned()
     }
 
@@ -479,7 +479,7 @@
             Outcome::CalledOff | Outcome::TimedOut | Outcome::Broken
         );
         let was_sent = ended.sent.is_some() && self.settings.limits.single.is_some();
-        let unanswered = (is_unanswered && was_sent).then(|| ended.host.clone());
+        let unanswered = (is_unanswered && was_sent).then(|| ended.engine.clone());
         let holds_anew = outcome == Outcome::ReadDone || self.has_arrived(ended);
         if let Some(state) = self
             .kv_states
--- a/crates/dispatcher/src/ledger/requests.rs
+++ b/crates/dispatcher/src/ledger/requests.rs
@@ -2,7 +2,7 @@
 
 use super::invariants::FirstRun;
 use super::{ConnId, LinkId, StreamNo};
-use cindercleat::interface::{AttemptId, Effect, HostId, Ms};
+use cindercleat::interface::{AttemptId, Effect, EngineId, Ms};
 use cindercleat_protocol::v1;
 
 /// A client's stream: its connection and its own number for the request.
@@ -22,7 +22,7 @@
     /// How many attempts there were; the next one's number.
     pub attempts: u32,
     pub out: Option<Attempt>,
-    /// Whether any attempt of it went to a host's socket.
+    /// Whether any attempt of it went to an engine's socket.
     pub sent: bool,
     pub effect: Effect,
     /// The first attempt of it that may have run.
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub no: AttemptId,
-    pub host: HostId,
+    pub engine: EngineId,
     pub link: LinkId,
     pub stream: StreamNo,
     pub reading: bool,
--- a/crates/dispatcher/src/ledger/story.rs
+++ b/crates/dispatcher/src/ledger/story.rs
@@ -27,27 +27,27 @@
             Event::FirstToken {
                 request,
                 attempt,
-                host,
+                engine,
                 latency,
             } => {
                 format!(
                     "{} launch={} host={} began after={latency:.1}",
                     self.called(*request),
                     attempt.0,
-                    host.0
+                    engine.0
                 )
             }
             Event::Ended(e) => format!(
                 "{} launch={} host={} ended outcome={:?} after={:.1} detail={}",
                 self.called(e.request),
                 e.attempt.0,
-                e.host.0,
+                e.engine.0,
                 e.outcome,
                 e.latency,
                 e.detail
             ),
             Event::Probed {
-                host,
+                engine,
                 outcome,
                 latency,
                 load,
@@ -61,7 +61,7 @@
                 format!(
                     "probe host={} outcome={outcome:?} after={latency:.1} queue={queue} slots={slots} \
                      memory={memory}",
-                    host.0
+                    engine.0
                 )
             }
             Event::Listed { kind, entries } => {
@@ -71,7 +71,7 @@
                     let _ = write!(
                         text,
                         " {}:{}:{}:{}:{:?}:{:.0}",
-                        e.host.0,
+                        e.engine.0,
                         e.kind.0,
                         e.zone.0,
                         e.cell.0,
@@ -94,12 +94,14 @@
 
     pub(super) fn tell_action(&self, action: &Action, out: &mut Vec<Output>) {
         let text = match action {
-            Action::StartAttempt { request, host, .. } => {
+            Action::StartAttempt {
+                request, engine, ..
+            } => {
                 let no = self.requests.get(request).map_or(0, |t| t.attempts);
                 format!(
                     "{} launch={no} host={} goes out",
                     self.called(*request),
-                    host.0
+                    engine.0
                 )
             }
             Action::Cancel { request, attempt } => {
--- a/crates/dispatcher/src/ledger/timers.rs
+++ b/crates/dispatcher/src/ledger/timers.rs
@@ -1,7 +1,7 @@
 //! Timers, earliest first; those of one instant in the order in which they were set.
 
 use super::{ConnId, LinkId, StreamNo};
-use cindercleat::interface::{AttemptId, HostId, Ms, RequestId, TimerId};
+use cindercleat::interface::{AttemptId, EngineId, Ms, RequestId, TimerId};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
@@ -17,15 +17,15 @@
     Stall(RequestId, AttemptId),
     /// Something falls due for a client's connection.
     Client(ConnId),
-    /// Something falls due for the links to this host.
-    Links(HostId),
+    /// Something falls due for the links to this engine.
+    Links(EngineId),
     Probe(LinkId, StreamNo),
-    /// The host should have ended what was called off.
+    /// The engine should have ended what was called off.
     Past(LinkId, StreamNo),
     /// What this request holds may have lain for too long.
     Held(RequestId),
     /// States there whose release was lost are let go again.
-    Release(HostId),
+    Release(EngineId),
     /// The release of this request's state is looked at.
     KvState(RequestId),
     /// What comes from now on is not taken any more.
--- a/crates/dispatcher/src/planted.rs
+++ b/crates/dispatcher/src/planted.rs
@@ -1,7 +1,7 @@
 //! Faults that tests plant into the ledger, one at a time, to see that they are found. Without the feature
 //! `planted` there are none, and nothing is looked up.
 
-use cindercleat_protocol::v1::{HostCondition, HostList};
+use cindercleat_protocol::v1::{EndpointList, EndpointStatus};
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -9,7 +9,7 @@
 pub enum Plant {
     /// No state is ever let go.
     ReleaseForgotten = 1,
-    /// Hosts do not hear that an attempt is called off.
+    /// Engines do not hear that an attempt is called off.
     CancelLost,
     /// A broken connection counts as proof that nothing ran.
     BrokenAsFull,
@@ -27,7 +27,7 @@
     NoStateKept,
     /// An attempt that waits for its connection goes out whatever was learned meanwhile.
     DrainReadLate,
-    /// Cold hosts are taken for warm.
+    /// Cold engines are taken for warm.
     StartsUntold,
     /// The decisions' timers are late.
     TimersLate,
@@ -76,16 +76,16 @@
 }
 
 /// The list as a planted fault has it read; none if it is read as it is.
-pub(crate) fn list(list: &HostList) -> Option<HostList> {
+pub(crate) fn list(list: &EndpointList) -> Option<EndpointList> {
     if !is(Plant::DrainUnread) && !is(Plant::StartsUntold) {
         return None;
     }
     let mut list = list.clone();
     if is(Plant::DrainUnread) {
-        list.hosts
-            .retain(|line| line.condition() != HostCondition::Draining);
+        list.engines
+            .retain(|line| line.condition() != EndpointStatus::Draining);
     } else {
-        list.hosts
+        list.engines
             .iter_mut()
             .for_each(|line| line.started_ms = None);
     }
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -26,9 +26,9 @@
 pub struct Limits {
     /// Tasks open at once; one more is bounced.
     pub max_open_requests: usize,
-    /// Launches and probes on one connection to a host, and connections to one host.
+    /// Launches and probes on one connection to an engine, and connections to one engine.
     pub streams_per_link: usize,
-    pub links_per_host: usize,
+    pub links_per_engine: usize,
     /// A connection without streams is closed after this long.
     pub link_idle: Ms,
     /// Token messages of one stream that may be between a writer and its client.
@@ -59,7 +59,7 @@
     pub most_clients: usize,
     pub greet_within: Ms,
     /// Where a connection carries one call at a time, and ends with a call that is called off: what is decided
-    /// about clients' connections, and how many there may be to all hosts.
+    /// about clients' connections, and how many there may be to all engines.
     pub single: Option<Single>,
     /// Of the calls to the list feed.
     pub feed: FeedSettings,
@@ -77,7 +77,7 @@
         let limits = &self.limits;
         ChannelSettings {
             streams: limits.streams_per_link,
-            most: limits.links_per_host,
+            most: limits.links_per_engine,
             connect_timeout: self.policy.connect_timeout,
             idle: limits.link_idle,
             quiet: limits.quiet,
--- a/crates/dispatcher/src/shell.rs
+++ b/crates/dispatcher/src/shell.rs
@@ -8,8 +8,8 @@
 use crate::{keep, ProgramSettings};
 use cindercleat::feed::{FeedCalls, FirstCall};
 use cindercleat::fleet::bounds::{Tally, Unit};
-use cindercleat::fleet::rollcall::HostReport;
-use cindercleat::interface::{DispatcherId, HostId, Ms};
+use cindercleat::fleet::rollcall::EngineReport;
+use cindercleat::interface::{DispatcherId, EngineId, Ms};
 use cindercleat_grpc::Grpc;
 use cindercleat_net::{Clock, Listener, Transport};
 use cindercleat_protocol::session::{Event, Outbox, Session, Setup, Wire};
@@ -63,7 +63,7 @@
     kinds.contains(&problem.kind()) || problem.raw_os_error() == Some(PROTOCOL_ERROR)
 }
 
-/// A connection to a model host, from its dialling on.
+/// A connection to an engine, from its dialling on.
 struct LinkEnd<O> {
     /// Once it is up.
     out: RefCell<Option<O>>,
@@ -224,25 +224,25 @@
         self.inner.ledger.borrow().fares()
     }
 
-    /// The version of the newest list of model hosts.
+    /// The version of the newest list of engines.
     pub fn list_version(&self) -> u64 {
         self.inner.ledger.borrow().list_version()
     }
 
-    /// Remembers from now on how its requests end and what hosts say: for a fleet that watches releases.
+    /// Remembers from now on how its requests end and what engines say: for a fleet that watches releases.
     pub fn keep_record(&self) {
         self.inner.ledger.borrow_mut().keep_record();
     }
 
-    /// How its requests ended, and reports on so many hosts that were heard of since.
-    pub fn recorded(&self, most: usize) -> (Tally, Vec<HostReport>) {
+    /// How its requests ended, and reports on so many engines that were heard of since.
+    pub fn recorded(&self, most: usize) -> (Tally, Vec<EngineReport>) {
         self.inner
             .ledger
             .borrow_mut()
             .recorded(self.inner.clock.now(), most)
     }
 
-    /// The model hosts as the list has them.
+    /// The engines as the list has them.
     pub fn units(&self) -> Vec<Unit> {
         self.inner.ledger.borrow().units(self.inner.clock.now())
     }
@@ -262,7 +262,7 @@
     }
 
     /// Takes in a list as it was known before. Before serving: the feed's own list is newer.
-    pub fn remember_list(&self, list: v1::HostList) {
+    pub fn remember_list(&self, list: v1::EndpointList) {
         self.input(Input::Remembered(list));
     }
 
@@ -273,7 +273,7 @@
         match keep::load(&path) {
             Ok(Some(list)) => {
                 tracing::info!(
-                    hosts = list.hosts.len(),
+                    engines = list.engines.len(),
                     version = list.version,
                     "list remembered"
                 );
@@ -358,14 +358,14 @@
             }
             Output::Dial {
                 link,
-                host,
+                engine,
                 address,
             } => {
                 let end = Rc::new(LinkEnd::new());
                 self.inner.links.borrow_mut().insert(link, end.clone());
-                spawn_local(self.clone().link(link, host, address, end));
+                spawn_local(self.clone().link(link, engine, address, end));
             }
-            Output::ToHost { link, frame } => {
+            Output::ToEngine { link, frame } => {
                 let links = self.inner.links.borrow();
                 let end = links.get(&link).map(|end| end.out.borrow());
                 if let Some(out) = end.as_deref().and_then(Option::as_ref) {
@@ -560,9 +560,9 @@
         self.inner.place_changed.notify_waiters();
     }
 
-    /// One connection to a model host, from the dialling to its end.
-    async fn link(self, link: LinkId, host: HostId, address: String, end: Rc<LinkEnd<W::Out>>) {
-        let reason = self.run_link(link, &host, &address, &end).await;
+    /// One connection to an engine, from the dialling to its end.
+    async fn link(self, link: LinkId, engine: EngineId, address: String, end: Rc<LinkEnd<W::Out>>) {
+        let reason = self.run_link(link, &engine, &address, &end).await;
         self.inner.links.borrow_mut().remove(&link);
         self.input(Input::LinkClosed { link, reason });
     }
@@ -570,7 +570,7 @@
     async fn run_link(
         &self,
         link: LinkId,
-        host: &HostId,
+        engine: &EngineId,
         address: &str,
         end: &LinkEnd<W::Out>,
     ) -> String {
@@ -581,18 +581,18 @@
                 .connect(address)
                 .await
                 .map_err(|e| e.to_string())?;
-            // A host that took another's address refuses: it would run what was not meant for it.
+            // An engine that took another's address refuses: it would run what was not meant for it.
             let session = self
                 .inner
                 .wire
-                .connect(stream, v1::Party::Host, self.setup(&host.0, 1))
+                .connect(stream, v1::Party::Engine, self.setup(&engine.0, 1))
                 .await?;
             // Guards against one that does not refuse.
-            if session.them.name != *host.0 || session.them.party() != v1::Party::Host {
+            if session.them.name != *engine.0 || session.them.party() != v1::Party::Engine {
                 session.out.close();
                 return Err(format!(
                     "{:?} answers in place of {:?}",
-                    session.them.name, host.0
+                    session.them.name, engine.0
                 ));
             }
             Ok(session)
@@ -608,7 +608,7 @@
             dialled = dialled => match dialled {
                 Ok(session) => session,
                 Err(reason) => {
-                    tracing::warn!(host = %host.0, address, reason, "host not reached");
+                    tracing::warn!(engine = %engine.0, address, reason, "host not reached");
                     return reason;
                 }
             },
@@ -617,7 +617,7 @@
         self.input(Input::LinkUp { link, limit });
         while let Some(event) = events.recv().await {
             match event {
-                Event::Frame(frame) => self.input(Input::Host { link, frame }),
+                Event::Frame(frame) => self.input(Input::Engine { link, frame }),
                 Event::GoingAway => self.input(Input::LinkLeaving { link }),
                 Event::Flushed { .. } | Event::Partly => {}
             }
@@ -742,16 +742,16 @@
                         );
                     }
                     calls.answered();
-                    let told = |line: &v1::HostLine| {
+                    let told = |line: &v1::Endpoint| {
                         (
-                            line.host.clone(),
+                            line.engine.clone(),
                             line.condition().as_str_name(),
                             line.started_ms,
                         )
                     };
                     // Put together only where it is logged.
-                    let hosts = || list.hosts.iter().map(told).collect::<Vec<_>>();
-                    tracing::debug!(version = list.version, hosts = ?hosts(), "list");
+                    let engines = || list.engines.iter().map(told).collect::<Vec<_>>();
+                    tracing::debug!(version = list.version, engines = ?engines(), "list");
                     self.input(Input::Listed(list));
                 }
                 Some(Event::Frame(Frame {
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -18,7 +18,7 @@
         .collect();
     let ready: Vec<_> = names
         .iter()
-        .map(|name| (name.as_str(), v1::HostCondition::Ready))
+        .map(|name| (name.as_str(), v1::EndpointStatus::Ready))
         .collect();
     bench.put(Input::Listed(list(v1::ListKind::Full, &ready)));
     bench
@@ -58,7 +58,7 @@
 pub fn warm_up(bench: &mut Bench) {
     for conn in 1_000..1_200 {
         let decode = decoding(bench, conn, "draft");
-        bench.host(&decode, tokens(0));
+        bench.engine(&decode, tokens(0));
         bench.ended(&decode, v1::Status::Fulfilled);
         bench.pass(50.0);
     }
@@ -67,7 +67,7 @@
 /// The links on which releases of a request went out, among outputs.
 pub fn releases_of(conn: u64, out: &[Output]) -> Vec<LinkId> {
     let release = |output: &Output| match output {
-        Output::ToHost {
+        Output::ToEngine {
             link,
             frame:
                 Frame {
@@ -83,7 +83,7 @@
 /// Whether an attempt was called off, which ends its connection where one carries a call at a time.
 pub fn called_off(out: &[Output], sent: &Sent) -> bool {
     let is_cancel = |output: &Output| match output {
-        Output::ToHost {
+        Output::ToEngine {
             link,
             frame:
                 Frame {
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -1,4 +1,4 @@
-//! A dispatcher on TCP sockets of this machine, between clients, model hosts and discovery that do nothing but what the
+//! A dispatcher on TCP sockets of this machine, between clients, engines and discovery that do nothing but what the
 //! test says, in the order in which it says it.
 //!
 //! No order depends on a wait. The dispatcher's clock stands still until [`Loopback::advance`] moves it, a connection
@@ -262,13 +262,13 @@
     }
 }
 
-/// A model host that does what the test says.
-pub struct Host {
+/// An engine that does what the test says.
+pub struct Engine {
     pub address: String,
     listener: TcpListener,
 }
 
-impl Host {
+impl Engine {
     pub async fn accept(&self) -> Conn {
         Conn::new(self.listener.accept().await.expect("a connection").0)
     }
@@ -295,7 +295,7 @@
     pub clock: ManualClock,
     pub gate: Gate,
     pub address: String,
-    hosts: BTreeMap<&'static str, Host>,
+    engines: BTreeMap<&'static str, Engine>,
     discovery: TcpListener,
     /// The watch that is open, and the newest revision.
     watch: RefCell<Option<Conn>>,
@@ -348,7 +348,7 @@
 
 pub fn run_with<F: Future<Output = ()>>(
     settings: ProgramSettings,
-    hosts: &[&'static str],
+    engines: &[&'static str],
     test: impl FnOnce(Loopback) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -357,7 +357,7 @@
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let within = tokio::time::timeout(HANGS_AFTER, async {
-            let net = Loopback::start(settings, hosts).await;
+            let net = Loopback::start(settings, engines).await;
             test(net).await;
         });
         within.await.expect("the test does not hang");
@@ -371,11 +371,11 @@
             moved: Rc::default(),
         };
         let gate = Gate::default();
-        let mut hosts = BTreeMap::new();
+        let mut engines = BTreeMap::new();
         for name in names {
             let listener = TcpListener::bind(ADDRESS).await.expect("a port");
             let address = listener.local_addr().expect("an address").to_string();
-            hosts.insert(*name, Host { address, listener });
+            engines.insert(*name, Engine { address, listener });
         }
         let discovery = TcpListener::bind(ADDRESS).await.expect("a port");
         let feeds = vec![discovery.local_addr().expect("an address").to_string()];
@@ -405,7 +405,7 @@
             clock,
             gate,
             address,
-            hosts,
+            engines,
             discovery,
             watch,
             revision,
@@ -457,13 +457,13 @@
         Conn::new(self.discovery.accept().await.expect("a connection").0)
     }
 
-    pub fn host(&self, name: &str) -> &Host {
-        &self.hosts[name]
+    pub fn engine(&self, name: &str) -> &Engine {
+        &self.engines[name]
     }
 
-    /// A line of the list for each host, all in one phase.
+    /// A line of the list for each engine, all in one phase.
     pub fn all(&self, phase: &str) -> Vec<String> {
-        self.hosts
+        self.engines
             .keys()
             .map(|name| self.line(name, phase))
             .collect()
@@ -475,7 +475,7 @@
         } else {
             "writer"
         };
-        let address = &self.hosts[name].address;
+        let address = &self.engines[name].address;
         format!(
             "{{\"id\":\"{name}\",\"host_port\":\"{address}\",\"locality\":\"north\",\"flavor\":\"{flavor}\",\
              \"cell\":0,\"phase\":\"{phase}\",\"size\":1.0,\"up_since_ms\":0}}"
@@ -534,7 +534,7 @@
 
     /// The first attempt of a request at the prefill engine, which answers that it has read the prompt.
     pub async fn prefilled(&self) -> Request {
-        let (mut conn, request) = self.host("r1").asked().await;
+        let (mut conn, request) = self.engine("r1").asked().await;
         conn.say(READ).await;
         request
     }
@@ -543,15 +543,15 @@
     pub async fn decoding(&self, id: &str, class: &str) -> (Conn, Conn) {
         let client = self.ask(id, class).await;
         self.prefilled().await;
-        let (engine, request) = self.host("w1").asked().await;
+        let (engine, request) = self.engine("w1").asked().await;
         assert_eq!(request.id(), id);
         (client, engine)
     }
 
-    /// The next connection's first request at any of several hosts.
+    /// The next connection's first request at any of several engines.
     pub async fn asked_at(&self, names: &[&str]) -> (Conn, Request) {
         let accepted = std::future::poll_fn(|context| {
-            let ready = |name: &&str| match self.hosts[*name].listener.poll_accept(context) {
+            let ready = |name: &&str| match self.engines[*name].listener.poll_accept(context) {
                 std::task::Poll::Ready(accepted) => Some(accepted.expect("a connection").0),
                 std::task::Poll::Pending => None,
             };
@@ -565,13 +565,13 @@
         (conn, request)
     }
 
-    /// The next request at either of two hosts on a new connection, with time passing until it comes.
+    /// The next request at either of two engines on a new connection, with time passing until it comes.
     pub async fn any_asked(&self) -> (Conn, Request) {
         let asked = async {
             loop {
                 let mut conn = tokio::select! {
-                    conn = self.host("r1").accept() => conn,
-                    conn = self.host("w1").accept() => conn,
+                    conn = self.engine("r1").accept() => conn,
+                    conn = self.engine("w1").accept() => conn,
                 };
                 if let Some(request) = conn.next_request().await {
                     return (conn, request);
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Drives a ledger without I/O: a small fleet, clients' and hosts' messages, and what comes out.
+//! Drives a ledger without I/O: a small fleet, clients' and engines' messages, and what comes out.
 #![allow(dead_code)]
 
 pub mod engines;
@@ -80,7 +80,7 @@
     Limits {
         max_open_requests: 1000,
         streams_per_link: 100,
-        links_per_host: 4,
+        links_per_engine: 4,
         link_idle: 15_000.0,
         window: 4,
         stall_limit: 1000.0,
@@ -113,7 +113,7 @@
     };
     Limits {
         streams_per_link: 1,
-        links_per_host: 50,
+        links_per_engine: 50,
         stall_limit: 4000.0,
         quiet: f64::INFINITY,
         ping_timeout: f64::INFINITY,
@@ -128,15 +128,15 @@
     }
 }
 
-pub fn line(host: &str, condition: v1::HostCondition) -> v1::HostLine {
-    let kind = if host.starts_with('r') {
+pub fn line(engine: &str, condition: v1::EndpointStatus) -> v1::Endpoint {
+    let kind = if engine.starts_with('r') {
         "reader"
     } else {
         "writer"
     };
-    v1::HostLine {
-        host: host.to_owned(),
-        address: format!("at-{host}"),
+    v1::Endpoint {
+        engine: engine.to_owned(),
+        address: format!("at-{engine}"),
         zone: "north".to_owned(),
         kind: kind.to_owned(),
         cell: "n1".to_owned(),
@@ -146,15 +146,15 @@
     }
 }
 
-pub fn list(kind: v1::ListKind, hosts: &[(&str, v1::HostCondition)]) -> v1::HostList {
-    let hosts = hosts
+pub fn list(kind: v1::ListKind, engines: &[(&str, v1::EndpointStatus)]) -> v1::EndpointList {
+    let engines = engines
         .iter()
-        .map(|(host, condition)| line(host, *condition))
+        .map(|(engine, condition)| line(engine, *condition))
         .collect();
-    v1::HostList {
+    v1::EndpointList {
         kind: kind.into(),
         version: 1,
-        hosts,
+        engines,
     }
 }
 
@@ -177,12 +177,12 @@
     })
 }
 
-/// An attempt as it left for a host.
+/// An attempt as it left for an engine.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub link: LinkId,
     pub stream: u64,
-    pub host: String,
+    pub engine: String,
     pub state: Option<v1::StateId>,
 }
 
@@ -191,14 +191,14 @@
     pub ledger: Ledger,
     pub now: Ms,
     pub out: Vec<Output>,
-    hosts: BTreeMap<LinkId, String>,
+    engines: BTreeMap<LinkId, String>,
     pub links_come_up: bool,
-    pub hosts_answer_pings: bool,
-    pub hosts_answer_releases: bool,
-    /// Hosts that have fallen silent: what is sent to them gets no answer, and connections to them do not come up.
+    pub engines_answer_pings: bool,
+    pub engines_answer_releases: bool,
+    /// Engines that have fallen silent: what is sent to them gets no answer, and connections to them do not come up.
     pub silent: BTreeSet<String>,
-    /// Connections to silent hosts come up all the same, as where a process hangs on a machine that runs.
-    pub silent_hosts_accept: bool,
+    /// Connections to silent engines come up all the same, as where a process hangs on a machine that runs.
+    pub silent_engines_accept: bool,
 }
 
 impl Bench {
@@ -212,14 +212,14 @@
             ledger,
             now: 1000.0,
             out: Vec::new(),
-            hosts: BTreeMap::new(),
+            engines: BTreeMap::new(),
             links_come_up: true,
-            hosts_answer_pings: true,
-            hosts_answer_releases: true,
+            engines_answer_pings: true,
+            engines_answer_releases: true,
             silent: BTreeSet::new(),
-            silent_hosts_accept: false,
+            silent_engines_accept: false,
         };
-        let ready = v1::HostCondition::Ready;
+        let ready = v1::EndpointStatus::Ready;
         let all = [("r1", ready), ("r2", ready), ("w1", ready), ("w2", ready)];
         bench.put(Input::Listed(list(v1::ListKind::Full, &all)));
         bench
@@ -234,10 +234,10 @@
             self.ledger.handle(self.now, input, &mut out);
             for output in &out {
                 match output {
-                    Output::Dial { link, host, .. } => {
-                        self.hosts.insert(*link, host.0.to_string());
+                    Output::Dial { link, engine, .. } => {
+                        self.engines.insert(*link, engine.0.to_string());
                         let runs =
-                            self.silent_hosts_accept || !self.silent.contains(host.0.as_ref());
+                            self.silent_engines_accept || !self.silent.contains(engine.0.as_ref());
                         if self.links_come_up && runs {
                             next.push(Input::LinkUp {
                                 link: *link,
@@ -245,27 +245,27 @@
                             });
                         }
                     }
-                    Output::ToHost {
+                    Output::ToEngine {
                         link,
                         frame:
                             Frame {
                                 body: Some(Body::Ping(_)),
                                 ..
                             },
-                    } if self.hosts_answer_pings => {
+                    } if self.engines_answer_pings => {
                         let frame = frame(0, Body::Pong(v1::Pong {}));
-                        next.push(Input::Host { link: *link, frame });
+                        next.push(Input::Engine { link: *link, frame });
                     }
-                    Output::ToHost {
+                    Output::ToEngine {
                         link,
                         frame:
                             Frame {
                                 stream,
                                 body: Some(Body::Release(_)),
                             },
-                    } if self.hosts_answer_releases && !self.is_silent(*link) => {
+                    } if self.engines_answer_releases && !self.is_silent(*link) => {
                         let frame = frame(*stream, Body::Done(v1::Done {}));
-                        next.push(Input::Host { link: *link, frame });
+                        next.push(Input::Engine { link: *link, frame });
                     }
                     _ => {}
                 }
@@ -296,8 +296,8 @@
         })
     }
 
-    pub fn host(&mut self, to: &Sent, body: Body) -> Vec<Output> {
-        self.put(Input::Host {
+    pub fn engine(&mut self, to: &Sent, body: Body) -> Vec<Output> {
+        self.put(Input::Engine {
             link: to.link,
             frame: frame(to.stream, body),
         })
@@ -305,7 +305,7 @@
 
     pub fn ended(&mut self, to: &Sent, status: v1::Status) -> Vec<Output> {
         let state = to.state.filter(|_| status == v1::Status::ReadDone);
-        self.host(
+        self.engine(
             to,
             Body::Ended(v1::Ended {
                 status: status.into(),
@@ -315,29 +315,29 @@
         )
     }
 
-    pub fn told(&mut self, host: &str, condition: v1::HostCondition) -> Vec<Output> {
+    pub fn told(&mut self, engine: &str, condition: v1::EndpointStatus) -> Vec<Output> {
         self.put(Input::Listed(list(
             v1::ListKind::Changes,
-            &[(host, condition)],
+            &[(engine, condition)],
         )))
     }
 
-    /// Whether the host that a link was dialled to has fallen silent.
+    /// Whether the engine that a link was dialled to has fallen silent.
     pub fn is_silent(&self, link: LinkId) -> bool {
-        self.hosts
+        self.engines
             .get(&link)
-            .is_some_and(|host| self.silent.contains(host))
+            .is_some_and(|engine| self.silent.contains(engine))
     }
 
-    /// The host that a link was dialled to.
-    pub fn host_of(&self, link: LinkId) -> &str {
-        &self.hosts[&link]
+    /// The engine that a link was dialled to.
+    pub fn engine_of(&self, link: LinkId) -> &str {
+        &self.engines[&link]
     }
 
     /// The attempts among outputs.
     pub fn attempts(&self, out: &[Output]) -> Vec<Sent> {
         let attempt = |output: &Output| {
-            let Output::ToHost { link, frame } = output else {
+            let Output::ToEngine { link, frame } = output else {
                 return None;
             };
             let state = match &frame.body {
@@ -348,7 +348,7 @@
             Some(Sent {
                 link: *link,
                 stream: frame.stream,
-                host: self.hosts.get(link)?.clone(),
+                engine: self.engines.get(link)?.clone(),
                 state,
             })
         };
@@ -371,7 +371,7 @@
     /// A request up to its first token.
     pub fn streaming(&mut self, stream: u64, profile: &str) -> Sent {
         let write = self.writing(stream, profile);
-        self.host(&write, tokens(0));
+        self.engine(&write, tokens(0));
         write
     }
 }
@@ -399,10 +399,10 @@
     to_client(out).into_iter().filter_map(last).collect()
 }
 
-/// What was said to hosts, by name.
-pub fn to_hosts(out: &[Output]) -> Vec<&'static str> {
+/// What was said to engines, by name.
+pub fn to_engines(out: &[Output]) -> Vec<&'static str> {
     let said = |output: &Output| match output {
-        Output::ToHost { frame, .. } => Some(cindercleat_protocol::name_of(frame.body.as_ref())),
+        Output::ToEngine { frame, .. } => Some(cindercleat_protocol::name_of(frame.body.as_ref())),
         _ => None,
     };
     out.iter().filter_map(said).collect()
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -5,11 +5,11 @@
 use cindercleat_dispatcher::shell::{Places, Shell};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_net::{Clock, Memory, TokioClock, Transport};
-use cindercleat_protocol::v1::HostCondition;
+use cindercleat_protocol::v1::EndpointStatus;
 use cindercleat_protocol::Body;
 use cindercleat_standin::client::{End, Port};
+use cindercleat_standin::engine::{Does, Engine, EngineSpec};
 use cindercleat_standin::feed::Feed;
-use cindercleat_standin::host::{Does, Host, HostSpec};
 use cindercleat_standin::transcript::{Note, Transcript, Way, What};
 use std::future::Future;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
     pub feed: Feed<TokioClock>,
     /// Tells the dispatcher to stop.
     pub stop: Rc<Notify>,
-    pub hosts: Vec<Host<Memory, TokioClock>>,
+    pub engines: Vec<Engine<Memory, TokioClock>>,
 }
 
 /// Runs a test against a dispatcher "d" with a reader and a writer.
@@ -47,23 +47,24 @@
             feed.clone()
                 .serve::<Memory>(memory.listen("feed").await.expect("a name")),
         );
-        let mut hosts = Vec::new();
+        let mut engines = Vec::new();
         for (name, kind, does) in [
             ("r1", "reader", Does::Reads),
             ("w1", "writer", Does::Writes),
         ] {
-            let host = Host::new(
+            let engine = Engine::new(
                 spec(name, kind, does),
                 memory.clone(),
                 clock,
                 transcript.clone(),
                 1,
             );
-            host.start(&format!("at-{name}"), true)
+            engine
+                .start(&format!("at-{name}"), true)
                 .await
                 .expect("a name");
-            feed.tell(host.line(HostCondition::Ready));
-            hosts.push(host);
+            feed.tell(engine.line(EndpointStatus::Ready));
+            engines.push(engine);
         }
         let places = Places {
             feeds: vec!["feed".to_owned()],
@@ -85,14 +86,14 @@
             transcript,
             feed,
             stop,
-            hosts,
+            engines,
         })
         .await;
     });
 }
 
-pub fn spec(name: &str, kind: &str, does: Does) -> HostSpec {
-    HostSpec {
+pub fn spec(name: &str, kind: &str, does: Does) -> EngineSpec {
+    EngineSpec {
         name: name.to_owned(),
         zone: "north".to_owned(),
         cell: "n1".to_owned(),
@@ -155,13 +156,13 @@
         self.clock.sleep_until(self.clock.now() + ms).await;
     }
 
-    /// When a host first saw such a message come in.
-    pub fn came(&self, host: &str, is: impl Fn(&Body) -> bool) -> Option<f64> {
+    /// When an engine first saw such a message come in.
+    pub fn came(&self, engine: &str, is: impl Fn(&Body) -> bool) -> Option<f64> {
         let came = |what: &What| matches!(what, What::Frame(Way::In, f) if f.body.as_ref().is_some_and(&is));
         let records = self.transcript.records();
         records
             .iter()
-            .find(|r| &*r.seer == host && came(&r.what))
+            .find(|r| &*r.seer == engine && came(&r.what))
             .map(|r| r.at)
     }
 
--- a/crates/dispatcher/tests/endings.rs
+++ b/crates/dispatcher/tests/endings.rs
@@ -1,5 +1,5 @@
 //! Paths that end something, each with the order of events that would lose what is still owed, made to happen every
-//! time: on TCP sockets, with clients, model hosts and discovery that go on when the test says so.
+//! time: on TCP sockets, with clients, engines and discovery that go on when the test says so.
 //!
 //! docs/acceptance.md lists what each path may owe and names its tests.
 
@@ -44,8 +44,8 @@
 async fn bring_with(net: &Loopback, stage: Stage, text: &str) -> Open {
     match stage {
         Stage::Waits => net.tell(&net.all("draining")).await,
-        Stage::Connects => net.gate.shut(&net.host("r1").address),
-        Stage::HoldsState => net.gate.shut(&net.host("w1").address),
+        Stage::Connects => net.gate.shut(&net.engine("r1").address),
+        Stage::HoldsState => net.gate.shut(&net.engine("w1").address),
         _ => {}
     }
     let mut client = net.connect().await;
@@ -53,15 +53,15 @@
     let mut engine = None;
     match stage {
         Stage::Waits => until(|| net.shell.held().requests == 1).await,
-        Stage::Connects => net.gate.held_up(&net.host("r1").address).await,
-        Stage::Prefills => engine = Some(net.host("r1").asked().await.0),
+        Stage::Connects => net.gate.held_up(&net.engine("r1").address).await,
+        Stage::Prefills => engine = Some(net.engine("r1").asked().await.0),
         Stage::HoldsState => {
             net.prefilled().await;
-            net.gate.held_up(&net.host("w1").address).await;
+            net.gate.held_up(&net.engine("w1").address).await;
         }
         Stage::Decodes | Stage::Streams => {
             net.prefilled().await;
-            engine = Some(net.host("w1").asked().await.0);
+            engine = Some(net.engine("w1").asked().await.0);
         }
     }
     if let (Stage::Streams, Some(engine)) = (stage, &mut engine) {
@@ -86,12 +86,12 @@
         );
     }
     if may_hold_state(stage) {
-        // Any host passes a release on. The connection over which the prompt went rests at the prefill engine.
+        // Any engine passes a release on. The connection over which the prompt went rests at the prefill engine.
         release_is_sent(net).await;
     }
     net.no_request_is_open().await;
-    for host in ["r1", "w1"] {
-        net.gate.open(&net.host(host).address);
+    for engine in ["r1", "w1"] {
+        net.gate.open(&net.engine(engine).address);
     }
     // What would still go out goes out before the next request, which alone is served.
     if stage == Stage::Waits {
@@ -99,10 +99,10 @@
     }
     net.advance(1_000.0);
     let mut next = net.ask("next", "draft").await;
-    for host in ["r1", "w1"] {
-        let mut conn = attempt_of(net, host, "next").await;
-        conn.say(if host == "r1" { READ } else { STREAM }).await;
-        if host == "w1" {
+    for engine in ["r1", "w1"] {
+        let mut conn = attempt_of(net, engine, "next").await;
+        conn.say(if engine == "r1" { READ } else { STREAM }).await;
+        if engine == "w1" {
             conn.say(&format!("{EVENT}{END}")).await;
         }
     }
@@ -110,10 +110,10 @@
     net.no_request_is_open().await;
 }
 
-/// Accepts connections at a host until one carries the request `id`; none may carry another request but a release.
-async fn attempt_of(net: &Loopback, host: &str, id: &str) -> Conn {
+/// Accepts connections at an engine until one carries the request `id`; none may carry another request but a release.
+async fn attempt_of(net: &Loopback, engine: &str, id: &str) -> Conn {
     loop {
-        let mut conn = net.host(host).accept().await;
+        let mut conn = net.engine(engine).accept().await;
         match conn.next_request().await {
             None => {}
             Some(request) if request.head.starts_with("DELETE") => conn.say(RELEASED).await,
@@ -129,7 +129,7 @@
 /// that it works.
 const MOST_RELEASES: usize = 16;
 
-/// The release of `a` comes to the hosts, over whatever connections, and is confirmed, until the state is known to be gone.
+/// The release of `a` comes to the engines, over whatever connections, and is confirmed, until the state is known to be gone.
 async fn release_is_sent(net: &Loopback) {
     let (mut conn, mut request) = net.any_asked().await;
     for _ in 0..MOST_RELEASES {
@@ -164,8 +164,8 @@
     until(|| net.shell.held().requests == 1).await;
     net.pass_until(|| net.shell.held().requests == 0).await;
     assert!(client.text_until("\n").await.starts_with("HTTP/1.1 503 "));
-    for host in ["r1", "w1"] {
-        assert!(!net.host(host).is_asked(), "{host} got nothing");
+    for engine in ["r1", "w1"] {
+        assert!(!net.engine(engine).is_asked(), "{engine} got nothing");
     }
 }
 
@@ -271,12 +271,12 @@
     #[test]
     fn that_is_told_to_an_engine_heeds_the_time_that_its_connection_took() {
         run(|net| async move {
-            net.gate.shut(&net.host("r1").address);
+            net.gate.shut(&net.engine("r1").address);
             let _client = net.ask("a", "draft").await;
-            net.gate.held_up(&net.host("r1").address).await;
+            net.gate.held_up(&net.engine("r1").address).await;
             net.advance(240.0);
-            net.gate.open(&net.host("r1").address);
-            let (_prefill, request) = net.host("r1").asked().await;
+            net.gate.open(&net.engine("r1").address);
+            let (_prefill, request) = net.engine("r1").asked().await;
             let told: f64 = request
                 .header("X-Remaining-Ms")
                 .and_then(|t| t.parse().ok())
@@ -368,9 +368,9 @@
     /// A request that is served, so that a connection to each engine rests; gives them.
     async fn resting(net: &Loopback) -> (Conn, Conn) {
         let mut client = net.ask("first", "draft").await;
-        let (mut prefill, _) = net.host("r1").asked().await;
+        let (mut prefill, _) = net.engine("r1").asked().await;
         prefill.say(READ).await;
-        let (mut decode, _) = net.host("w1").asked().await;
+        let (mut decode, _) = net.engine("w1").asked().await;
         decode.say(&format!("{STREAM}{EVENT}{END}")).await;
         assert!(client.text_until(END).await.ends_with(END));
         net.no_request_is_open().await;
@@ -386,11 +386,11 @@
                 drop((prefill, decode));
                 let mut client = net.ask("a", class).await;
                 net.prefilled().await;
-                let (mut decode, request) = net.host("w1").asked().await;
+                let (mut decode, request) = net.engine("w1").asked().await;
                 assert_eq!(request.id(), "a");
                 decode.say(&format!("{STREAM}{EVENT}{END}")).await;
                 assert!(client.text_until(END).await.ends_with(END), "{class}");
-                assert!(!net.host("w1").is_asked(), "once");
+                assert!(!net.engine("w1").is_asked(), "once");
             });
         }
     }
@@ -413,7 +413,7 @@
                     );
                     net.no_request_is_open().await;
                     release_is_sent(&net).await;
-                    assert!(!net.host("w1").is_asked());
+                    assert!(!net.engine("w1").is_asked());
                 } else {
                     let mut decode = attempt_of(&net, "w1", "a").await;
                     decode.say(&format!("{STREAM}{EVENT}{END}")).await;
@@ -444,7 +444,7 @@
                         );
                         net.no_request_is_open().await;
                         release_is_sent(&net).await;
-                        assert!(!net.host("w1").is_asked(), "not sent again");
+                        assert!(!net.engine("w1").is_asked(), "not sent again");
                     } else {
                         let mut decode = attempt_of(&net, "w1", "a").await;
                         decode.say(&format!("{STREAM}{EVENT}{END}")).await;
@@ -469,7 +469,7 @@
             let rest = client.rest().await;
             assert_eq!(rest, EVENT, "all that came, and no last chunk");
             net.no_request_is_open().await;
-            assert!(!net.host("w1").is_asked(), "nothing more goes out for it");
+            assert!(!net.engine("w1").is_asked(), "nothing more goes out for it");
         });
     }
 
@@ -497,7 +497,7 @@
             let mut client = net.connect_narrow().await;
             client.say(&request("a", "draft")).await;
             net.prefilled().await;
-            let (mut decode, _) = net.host("w1").asked().await;
+            let (mut decode, _) = net.engine("w1").asked().await;
             // More than the sockets hold, in as many parts as the dispatcher takes ahead of its client.
             let event = format!("data: {}\n\n", "x".repeat(60_000));
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
@@ -529,7 +529,7 @@
             let mut client = net.connect_narrow().await;
             client.say(&request("a", "draft")).await;
             net.prefilled().await;
-            let (mut decode, _) = net.host("w1").asked().await;
+            let (mut decode, _) = net.engine("w1").asked().await;
             let event = format!("data: {}\n\n", "x".repeat(60_000));
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             decode.say(&format!("{STREAM}{chunk}{chunk}{END}")).await;
@@ -548,7 +548,7 @@
             until(|| !net.shell.fares().0).await;
             resting.say(&request("a", "proof")).await;
             net.prefilled().await;
-            let (mut decode, _) = net.host("w1").asked().await;
+            let (mut decode, _) = net.engine("w1").asked().await;
             decode.say(&format!("{STREAM}{EVENT}{END}")).await;
             let answer = resting.rest().await;
             assert!(
@@ -583,7 +583,7 @@
                 );
                 drop(resting);
                 net.pass_until(|| net.has_ended()).await;
-                assert!(!net.host("r1").is_asked(), "nothing was sent on");
+                assert!(!net.engine("r1").is_asked(), "nothing was sent on");
             });
         }
     }
@@ -626,19 +626,19 @@
                 // Either it was read and is served whole, or its connection ends with nothing sent on.
                 let served = tokio::select! {
                     _ = resting.io.readable() => false,
-                    (mut prefill, request) = net.host("r1").asked() => {
+                    (mut prefill, request) = net.engine("r1").asked() => {
                         assert_eq!(request.id(), "a");
                         prefill.say(READ).await;
                         true
                     }
                 };
                 if served {
-                    let (mut decode, _) = net.host("w1").asked().await;
+                    let (mut decode, _) = net.engine("w1").asked().await;
                     decode.say(&format!("{STREAM}{EVENT}{END}")).await;
                     assert!(resting.text_until(END).await.ends_with(END));
                 } else {
                     assert_eq!(resting.rest().await, "");
-                    assert!(!net.host("r1").is_asked(), "nothing was sent on");
+                    assert!(!net.engine("r1").is_asked(), "nothing was sent on");
                 }
                 net.no_request_is_open().await;
                 drop((new, other));
@@ -661,14 +661,14 @@
             &["r1", "w1"],
             |net| async move {
                 let mut client = net.ask("a", "proof").await;
-                let (mut prefill, _) = net.host("r1").asked().await;
+                let (mut prefill, _) = net.engine("r1").asked().await;
                 prefill.say(READ).await;
                 // The connection to r1 makes way for the decode's, which is in use then.
-                let (mut decode, _) = net.host("w1").asked().await;
+                let (mut decode, _) = net.engine("w1").asked().await;
                 let mut second = net.ask("b", "proof").await;
                 let request = tokio::select! {
                     request = prefill.request() => request,
-                    asked = net.host("r1").asked() => {
+                    asked = net.engine("r1").asked() => {
                         prefill = asked.0;
                         asked.1
                     }
@@ -726,20 +726,20 @@
             &["r1", "w1", "w2"],
             |net| async move {
                 for engine in ["w1", "w2"] {
-                    net.gate.shut(&net.host(engine).address);
+                    net.gate.shut(&net.engine(engine).address);
                 }
                 let mut client = net.ask("a", "proof").await;
                 net.prefilled().await;
                 let chosen = tokio::select! {
-                    () = net.gate.held_up(&net.host("w1").address) => "w1",
-                    () = net.gate.held_up(&net.host("w2").address) => "w2",
+                    () = net.gate.held_up(&net.engine("w1").address) => "w1",
+                    () = net.gate.held_up(&net.engine("w2").address) => "w2",
                 };
                 let other = if chosen == "w1" { "w2" } else { "w1" };
                 net.tell(&[net.line(chosen, says.phase())]).await;
-                net.gate.open(&net.host(other).address);
-                net.gate.open(&net.host(chosen).address);
+                net.gate.open(&net.engine(other).address);
+                net.gate.open(&net.engine(chosen).address);
                 // The connection that was wanted comes up, and carries nothing.
-                let mut unused = net.host(chosen).accept().await;
+                let mut unused = net.engine(chosen).accept().await;
                 let mut decode = attempt_of(&net, other, "a").await;
                 decode.say(&format!("{STREAM}{EVENT}{END}")).await;
                 assert!(client.text_until(END).await.ends_with(END));
@@ -786,12 +786,12 @@
             |net| async move {
                 let mut client = net.ask("a", "draft").await;
                 let (home, mut prefill) = tokio::select! {
-                    asked = net.host("r1").asked() => ("r1", asked.0),
-                    asked = net.host("r2").asked() => ("r2", asked.0),
+                    asked = net.engine("r1").asked() => ("r1", asked.0),
+                    asked = net.engine("r2").asked() => ("r2", asked.0),
                 };
                 let other = if home == "r1" { "r2" } else { "r1" };
                 prefill.say(READ).await;
-                let (mut decode, _) = net.host("w1").asked().await;
+                let (mut decode, _) = net.engine("w1").asked().await;
                 net.tell(&[net.line(home, "removed")]).await;
                 decode
                 .say("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
@@ -895,7 +895,7 @@
                 told_within: 6_000.0,
             },
             drain_grace: 2_000.0,
-            host_idle: None,
+            engine_idle: None,
             most_held: None,
             longest_deadline: 4_000.0,
             clients_resume: false,
@@ -1060,7 +1060,7 @@
             let address = new.local_addr().expect("an address").to_string();
             let line = net
                 .line("w1", "up")
-                .replace(&net.host("w1").address, &address);
+                .replace(&net.engine("w1").address, &address);
             net.tell(&[line]).await;
             let mut next = net.ask("b", "proof").await;
             net.prefilled().await;
@@ -1091,7 +1091,7 @@
                 .say(&request("a", "caption").replace("X-Lane", &format!("{own}X-Lane")))
                 .await;
             let prefill = net.prefilled().await;
-            let (mut engine, decode) = net.host("w1").asked().await;
+            let (mut engine, decode) = net.engine("w1").asked().await;
             for asked in [prefill, decode] {
                 assert_eq!(asked.header("Idempotency-Key"), Some("7c/1 a"), "{asked:?}");
                 assert_eq!(asked.header("x-order"), Some("9"), "{asked:?}");
@@ -1137,8 +1137,11 @@
                 assert!(net.shell.held().releases > 0, "its state is not forgotten");
                 net.gate.exhaust(false);
                 release_is_sent(&net).await;
-                for host in ["r1", "w1"] {
-                    assert!(!net.host(host).is_asked(), "{host}: no attempt follows");
+                for engine in ["r1", "w1"] {
+                    assert!(
+                        !net.engine(engine).is_asked(),
+                        "{engine}: no attempt follows"
+                    );
                 }
             });
         }
@@ -1215,7 +1218,7 @@
                 until(|| net.shell.clients() == 1).await;
                 let mut client = net.ask("a", "proof").await;
                 net.prefilled().await;
-                let (mut decode, _) = net.host("w1").asked().await;
+                let (mut decode, _) = net.engine("w1").asked().await;
                 decode.say(&format!("{STREAM}{EVENT}{END}")).await;
                 assert!(client.text_until(END).await.ends_with(END));
                 drop(first);
@@ -1238,7 +1241,7 @@
             net.pass_until(|| net.shell.clients() == 3).await;
             first.say(&request("a", "proof")).await;
             net.prefilled().await;
-            let (mut decode, _) = net.host("w1").asked().await;
+            let (mut decode, _) = net.engine("w1").asked().await;
             decode.say(&format!("{STREAM}{EVENT}{END}")).await;
             assert!(first.text_until(END).await.ends_with(END));
             drop((second, third));
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -87,7 +87,7 @@
     out.extend(bench.ended(&read, Status::ReadDone));
     nothing_begins(&mut bench, out, &[]);
     assert!(
-        to_hosts(&bench.out).contains(&"release"),
+        to_engines(&bench.out).contains(&"release"),
         "its state is let go"
     );
 }
@@ -109,7 +109,7 @@
         let out = goes(&mut bench, gone);
         nothing_begins(&mut bench, out, &links);
         assert!(
-            to_hosts(&bench.out).contains(&"release"),
+            to_engines(&bench.out).contains(&"release"),
             "its state is let go"
         );
     }
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -29,7 +29,10 @@
 async fn nothing_is_left(net: &Net) {
     net.wait(600.0).await;
     assert_eq!(net.shell.held().requests, 0, "a task is left");
-    assert!(net.hosts.iter().all(|h| h.states() == 0), "a state is left");
+    assert!(
+        net.engines.iter().all(|h| h.states() == 0),
+        "a state is left"
+    );
 }
 
 #[test]
@@ -67,7 +70,7 @@
 #[test]
 fn a_client_that_cancels_in_mid_read_leaves_nothing() {
     run(|net| async move {
-        net.hosts[0].trouble(|t| t.slow = 100.0);
+        net.engines[0].trouble(|t| t.slow = 100.0);
         let end = net
             .port("c")
             .run(submit("proof", "k"), Some(net.clock.now() + 40.0), |_| {})
@@ -85,12 +88,12 @@
 #[test]
 fn a_client_that_cancels_between_read_and_write_runs_nothing() {
     run(|net| async move {
-        net.hosts[1].trouble(|t| t.greets_late = 200.0);
+        net.engines[1].trouble(|t| t.greets_late = 200.0);
         let port = net.port("c");
         let leave = net.clock.now() + 200.0;
         let running = port.run(submit("proof", "k"), Some(leave), |_| {});
         let watching = async {
-            while net.hosts[0].states() == 0 {
+            while net.engines[0].states() == 0 {
                 net.wait(1.0).await;
             }
             net.clock.now()
@@ -99,7 +102,7 @@
         assert!(read < leave, "the read ends before the client leaves");
         assert_eq!(end, End::Left);
         net.wait(500.0).await;
-        assert_eq!(net.hosts[0].states(), 0);
+        assert_eq!(net.engines[0].states(), 0);
         nothing_is_left(&net).await;
         assert_eq!(net.came("w1", |b| matches!(b, Body::Write(_))), None);
         assert_eq!(net.ran(), Vec::<String>::new());
@@ -110,7 +113,7 @@
 fn a_writer_that_stalls_after_its_first_token_is_written_off_by_the_stall_limit() {
     for profile in ["draft", "proof"] {
         run(|net| async move {
-            net.hosts[1].trouble(|t| t.stall_after = Some(1));
+            net.engines[1].trouble(|t| t.stall_after = Some(1));
             let begin = net.clock.now();
             let end = net.port("c").run(submit(profile, "k"), None, |_| {}).await;
             assert_eq!(end, End::WrittenOff);
@@ -128,7 +131,7 @@
 fn a_writer_that_stalls_before_its_first_token_is_answered_for_in_time() {
     for profile in ["draft", "proof"] {
         run(|net| async move {
-            net.hosts[1].trouble(|t| t.stall_after = Some(0));
+            net.engines[1].trouble(|t| t.stall_after = Some(0));
             let begin = net.clock.now();
             let end = net.port("c").run(submit(profile, "k"), None, |_| {}).await;
             assert!(
@@ -150,11 +153,13 @@
     }
 }
 
-/// Headers and then nothing, for ever: what the dispatcher and a mute host have in common.
+/// Headers and then nothing, for ever: what the dispatcher and a mute engine have in common.
 #[test]
-fn a_host_that_says_nothing_at_all_is_answered_for_in_time() {
+fn an_engine_that_says_nothing_at_all_is_answered_for_in_time() {
     run(|net| async move {
-        net.hosts.iter().for_each(|h| h.trouble(|t| t.mute = true));
+        net.engines
+            .iter()
+            .for_each(|h| h.trouble(|t| t.mute = true));
         let begin = net.clock.now();
         let end = net.port("c").run(submit("proof", "k"), None, |_| {}).await;
         assert!(
@@ -407,15 +412,15 @@
     });
 }
 
-/// A host that goes away keeps what it took; the next attempt takes a new connection.
+/// An engine that goes away keeps what it took; the next attempt takes a new connection.
 #[test]
-fn a_host_that_goes_away_breaks_no_stream() {
+fn an_engine_that_goes_away_breaks_no_stream() {
     run(|net| async move {
         let port = net.port("c");
         let first = port.run(submit("proof", "k1"), None, |_| {});
         let rest = async {
             net.wait(60.0).await;
-            net.hosts.iter().for_each(|h| h.go_away());
+            net.engines.iter().for_each(|h| h.go_away());
             net.wait(1.0).await;
             port.run(submit("proof", "k2"), None, |_| {}).await
         };
@@ -434,11 +439,13 @@
     });
 }
 
-/// Hosts that reset a share of their attempts: each request has one end, and none that may not be repeated is.
+/// Engines that reset a share of their attempts: each request has one end, and none that may not be repeated is.
 #[test]
-fn resets_by_the_hosts_break_no_rule() {
+fn resets_by_the_engines_break_no_rule() {
     run(|net| async move {
-        net.hosts.iter().for_each(|h| h.trouble(|t| t.resets = 0.4));
+        net.engines
+            .iter()
+            .for_each(|h| h.trouble(|t| t.resets = 0.4));
         let port = net.port("c");
         let mut seen = BTreeSet::new();
         for n in 0..80 {
@@ -472,7 +479,9 @@
             seen.contains("Fulfilled") && seen.contains("WrittenOff"),
             "{seen:?}"
         );
-        net.hosts.iter().for_each(|h| h.trouble(|t| t.resets = 0.0));
+        net.engines
+            .iter()
+            .for_each(|h| h.trouble(|t| t.resets = 0.0));
         nothing_is_left(&net).await;
     });
 }
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -5,7 +5,7 @@
 
 use cindercleat_dispatcher::ledger::{ConnId, Input, Level, Output, StreamNo};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
-use cindercleat_protocol::v1::{Answer, HostCondition, ListKind, Status};
+use cindercleat_protocol::v1::{Answer, EndpointStatus, ListKind, Status};
 use cindercleat_protocol::{frame, v1, Body};
 use common::*;
 
@@ -13,7 +13,7 @@
 fn a_request_is_read_written_and_answered_once() {
     let mut bench = Bench::new();
     let write = bench.streaming(5, "draft");
-    bench.host(&write, tokens(1));
+    bench.engine(&write, tokens(1));
     bench.ended(&write, Status::Fulfilled);
     let said: Vec<u64> = to_client(&bench.out)
         .iter()
@@ -31,17 +31,17 @@
     bench.links_come_up = false;
     let out = bench.client(1, Body::Submit(submit("proof")));
     let dialled = out.iter().find_map(|o| match o {
-        Output::Dial { link, host, .. } => Some((*link, host.0.to_string())),
+        Output::Dial { link, engine, .. } => Some((*link, engine.0.to_string())),
         _ => None,
     });
-    let (link, host) = dialled.expect("a reader is dialled");
-    bench.told(&host, HostCondition::Draining);
+    let (link, engine) = dialled.expect("a reader is dialled");
+    bench.told(&engine, EndpointStatus::Draining);
     bench.links_come_up = true;
     let out = bench.put(Input::LinkUp { link, limit: None });
-    let went: Vec<String> = bench.attempts(&out).into_iter().map(|l| l.host).collect();
+    let went: Vec<String> = bench.attempts(&out).into_iter().map(|l| l.engine).collect();
     assert!(
-        went.iter().all(|to| *to != host),
-        "sent to {host}, which drains: {went:?}"
+        went.iter().all(|to| *to != engine),
+        "sent to {engine}, which drains: {went:?}"
     );
     assert_eq!(went.len(), 1, "the task goes to the other reader");
 }
@@ -50,13 +50,13 @@
 fn a_writer_that_drains_while_a_state_is_held_gets_nothing() {
     let mut bench = Bench::new();
     let read = bench.reading(1, "draft");
-    bench.told("w1", HostCondition::Draining);
+    bench.told("w1", EndpointStatus::Draining);
     let out = bench.ended(&read, Status::ReadDone);
     assert_eq!(
         bench
             .attempts(&out)
             .iter()
-            .map(|l| &*l.host)
+            .map(|l| &*l.engine)
             .collect::<Vec<_>>(),
         ["w2"]
     );
@@ -68,8 +68,8 @@
     for stream in 1..=100 {
         bench.client(stream, Body::Submit(submit("draft")));
     }
-    bench.told("r1", HostCondition::Draining);
-    bench.told("r2", HostCondition::Gone);
+    bench.told("r1", EndpointStatus::Draining);
+    bench.told("r2", EndpointStatus::Gone);
     let seen = bench.out.len();
     // Reads that are out end, which would make room for those that wait.
     for read in bench.attempts(&bench.out.clone()) {
@@ -123,7 +123,7 @@
         let mut bench = Bench::new();
         let write = bench.streaming(1, profile);
         for position in 1..4 {
-            bench.host(&write, tokens(position));
+            bench.engine(&write, tokens(position));
         }
         let out = bench.put(Input::LinkClosed {
             link: write.link,
@@ -150,7 +150,7 @@
             profile == "draft" || answers[0].1 == Answer::WrittenOff,
             "proof may have run"
         );
-        assert!(to_hosts(&out).contains(&"cancel"));
+        assert!(to_engines(&out).contains(&"cancel"));
         // Its outcome comes after its cancel, and its connection is cut after the client left.
         let late = bench.ended(&write, Status::Fulfilled);
         bench.client(1, Body::Cancel(v1::Cancel {}));
@@ -169,13 +169,13 @@
     let read = bench.reading(1, "draft");
     let out = bench.client(1, Body::Cancel(v1::Cancel {}));
     assert_eq!(
-        to_hosts(&out),
+        to_engines(&out),
         ["cancel", "release"],
         "its end may be lost with the cancel"
     );
     let out = bench.ended(&read, Status::ReadDone);
     assert_eq!(
-        to_hosts(&out),
+        to_engines(&out),
         ["release"],
         "or its state would stay pinned"
     );
@@ -186,12 +186,12 @@
 fn a_state_that_no_writer_takes_is_let_go_within_the_release_time() {
     let mut bench = Bench::new();
     let read = bench.reading(1, "draft");
-    bench.told("w1", HostCondition::Gone);
-    bench.told("w2", HostCondition::Draining);
+    bench.told("w1", EndpointStatus::Gone);
+    bench.told("w2", EndpointStatus::Draining);
     let out = bench.ended(&read, Status::ReadDone);
-    assert_eq!(to_hosts(&out), Vec::<&str>::new());
+    assert_eq!(to_engines(&out), Vec::<&str>::new());
     let out = bench.pass(499.0);
-    assert!(to_hosts(&out).contains(&"release"));
+    assert!(to_engines(&out).contains(&"release"));
     assert_eq!(finals(&out), [(1, Answer::Bounced)]);
 }
 
@@ -222,20 +222,20 @@
     let mut bench = Bench::new();
     let write = bench.streaming(1, "proof");
     let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
-    assert_eq!(to_hosts(&out), ["cancel"]);
-    let out = bench.host(&write, tokens(1));
+    assert_eq!(to_engines(&out), ["cancel"]);
+    let out = bench.engine(&write, tokens(1));
     assert_eq!(out, [], "what was under way is passed over");
     bench.ended(&write, Status::Cancelled);
     assert_eq!(bench.ledger.held().requests, 0);
 }
 
 #[test]
-fn a_host_that_breaks_the_protocol_loses_its_link_and_what_is_there() {
+fn an_engine_that_breaks_the_protocol_loses_its_link_and_what_is_there() {
     // Tokens out of turn, tokens beyond the credit, an end that a writer cannot give.
-    let gap = |bench: &mut Bench, write: &Sent| bench.host(write, tokens(7));
+    let gap = |bench: &mut Bench, write: &Sent| bench.engine(write, tokens(7));
     let over = |bench: &mut Bench, write: &Sent| {
         (1..=4)
-            .map(|at| bench.host(write, tokens(at)))
+            .map(|at| bench.engine(write, tokens(at)))
             .last()
             .unwrap_or_default()
     };
@@ -264,8 +264,8 @@
     let slow = bench.streaming(1, "draft");
     let quick = bench.streaming(2, "draft");
     for position in 1..4 {
-        assert!(!to_hosts(&bench.host(&slow, tokens(position))).contains(&"credit"));
-        bench.host(&quick, tokens(position));
+        assert!(!to_engines(&bench.engine(&slow, tokens(position))).contains(&"credit"));
+        bench.engine(&quick, tokens(position));
     }
     let flushed = Input::Flushed {
         conn: ConnId(1),
@@ -274,7 +274,7 @@
     };
     let out = bench.put(flushed);
     let credited = out.iter().find_map(|o| match o {
-        Output::ToHost { link, frame } => Some((*link, frame.stream, frame.body.clone())),
+        Output::ToEngine { link, frame } => Some((*link, frame.stream, frame.body.clone())),
         _ => None,
     });
     assert_eq!(
@@ -288,7 +288,7 @@
     // The one that takes nothing at all has left, after the stall limit; the other goes on.
     for position in 4..8 {
         bench.pass(300.0);
-        bench.host(&quick, tokens(position));
+        bench.engine(&quick, tokens(position));
         bench.put(Input::Flushed {
             conn: ConnId(1),
             stream: StreamNo(2),
@@ -313,11 +313,11 @@
     });
     assert_eq!(finals(&bench.pass(999.0)), [], "not yet");
     assert_eq!(finals(&bench.pass(2.0)), [(1, Answer::WrittenOff)]);
-    assert_eq!(to_client(&bench.host(&write, tokens(1))), []);
+    assert_eq!(to_client(&bench.engine(&write, tokens(1))), []);
 }
 
 #[test]
-fn a_host_that_ends_nothing_and_says_nothing_loses_its_link() {
+fn an_engine_that_ends_nothing_and_says_nothing_loses_its_link() {
     let mut bench = Bench::new();
     let write = bench.streaming(1, "draft");
     bench.client(1, Body::Cancel(v1::Cancel {}));
@@ -433,7 +433,7 @@
     assert_eq!(finals(&out), [(1, Answer::Fulfilled)]);
     for position in 1..4 {
         out.extend(bench.pass(500.0));
-        bench.host(&hangs, tokens(position));
+        bench.engine(&hangs, tokens(position));
         bench.put(Input::Flushed {
             conn: ConnId(1),
             stream: StreamNo(2),
@@ -451,7 +451,7 @@
 
 #[test]
 fn a_remembered_list_serves_until_the_feed_speaks() {
-    let ready = HostCondition::Ready;
+    let ready = EndpointStatus::Ready;
     let mut ledger = cindercleat_dispatcher::ledger::Ledger::new(settings(), 1);
     let mut out = Vec::new();
     ledger.handle(
@@ -469,7 +469,7 @@
     );
     assert!(out
         .iter()
-        .any(|o| matches!(o, Output::Dial { host, .. } if &*host.0 == "r1")));
+        .any(|o| matches!(o, Output::Dial { engine, .. } if &*engine.0 == "r1")));
     assert!(
         !out.iter().any(|o| matches!(o, Output::KeepList(_))),
         "it is kept already"
@@ -482,9 +482,9 @@
     );
     let kept = out.iter().find_map(|o| match o {
         Output::KeepList(list) => Some(
-            list.hosts
+            list.engines
                 .iter()
-                .map(|l| l.host.clone())
+                .map(|l| l.engine.clone())
                 .collect::<Vec<_>>(),
         ),
         _ => None,
@@ -501,10 +501,10 @@
     let mut bench = Bench::new();
     let mut list = list(
         ListKind::Changes,
-        &[("w3", HostCondition::Ready), ("w4", HostCondition::Ready)],
+        &[("w3", EndpointStatus::Ready), ("w4", EndpointStatus::Ready)],
     );
-    list.hosts[0].zone = "nowhere".to_owned();
-    list.hosts[1].weight = f64::NAN;
+    list.engines[0].zone = "nowhere".to_owned();
+    list.engines[1].weight = f64::NAN;
     let out = bench.put(Input::Listed(list));
     let warned = out
         .iter()
@@ -521,8 +521,8 @@
         let out = bench.client(stream, Body::Submit(submit("draft")));
         held.extend(bench.attempts(&out));
     }
-    bench.told("w1", HostCondition::Gone);
-    bench.told("w2", HostCondition::Gone);
+    bench.told("w1", EndpointStatus::Gone);
+    bench.told("w2", EndpointStatus::Gone);
     let mut ended = 0;
     let mut out = Vec::new();
     let begin = bench.now;
@@ -535,7 +535,7 @@
     assert!(ended >= 10, "{ended} states held");
     assert_eq!(bench.now, begin, "all in one instant");
     out.extend(bench.pass(499.0));
-    let released = to_hosts(&out)
+    let released = to_engines(&out)
         .iter()
         .filter(|said| **said == "release")
         .count();
@@ -555,7 +555,7 @@
     bench.pass(1500.0);
     assert_eq!(finals(&bench.out), [(1, Answer::WrittenOff)]);
     bench.pass(1500.0);
-    let late = bench.host(&write, tokens(0));
+    let late = bench.engine(&write, tokens(0));
     assert_eq!(to_client(&late), []);
     assert_eq!(finals(&bench.out), [(1, Answer::WrittenOff)]);
 }
@@ -564,7 +564,7 @@
 fn links_fill_up_before_another_is_dialled_and_idle_ones_close() {
     let limits = Limits {
         streams_per_link: 2,
-        links_per_host: 2,
+        links_per_engine: 2,
         ..limits()
     };
     let few = ProgramSettings {
@@ -572,7 +572,7 @@
         ..settings()
     };
     let mut bench = Bench::with(few);
-    bench.told("r2", HostCondition::Gone);
+    bench.told("r2", EndpointStatus::Gone);
     for stream in 1..=4 {
         bench.client(stream, Body::Submit(submit("draft")));
     }
@@ -599,15 +599,15 @@
 }
 
 #[test]
-fn a_host_that_is_gone_without_a_word_is_found_by_its_silence() {
+fn an_engine_that_is_gone_without_a_word_is_found_by_its_silence() {
     for (profile, expected) in [("draft", vec![]), ("proof", vec![(1, Answer::WrittenOff)])] {
         let mut bench = Bench::new();
-        bench.hosts_answer_pings = false;
+        bench.engines_answer_pings = false;
         let write = bench.writing(1, profile);
         let out = bench.pass(1999.0);
-        assert!(!to_hosts(&out).contains(&"ping"), "it is not asked yet");
+        assert!(!to_engines(&out).contains(&"ping"), "it is not asked yet");
         let out = bench.pass(2.0);
-        assert!(to_hosts(&out).contains(&"ping"));
+        assert!(to_engines(&out).contains(&"ping"));
         let out = bench.pass(1000.0);
         assert!(out
             .iter()
@@ -617,7 +617,7 @@
 }
 
 #[test]
-fn a_host_that_cannot_be_reached_is_not_dialled_by_every_request() {
+fn an_engine_that_cannot_be_reached_is_not_dialled_by_every_request() {
     let mut bench = Bench::new();
     bench.links_come_up = false;
     let dial = |out: &[Output]| {
@@ -646,9 +646,9 @@
 }
 
 /// A read whose connection breaks may have ended with its last word lost: its state is let go over the next
-/// connection, and not before the host can hear of it.
+/// connection, and not before the engine can hear of it.
 #[test]
-fn a_read_that_broke_is_let_go_at_its_host() {
+fn a_read_that_broke_is_let_go_at_its_engine() {
     for profile in ["draft", "proof"] {
         let mut bench = Bench::new();
         let read = bench.reading(1, profile);
@@ -659,7 +659,7 @@
         let released: Vec<v1::StateId> = out
             .iter()
             .filter_map(|o| match o {
-                Output::ToHost {
+                Output::ToEngine {
                     frame:
                         cindercleat_protocol::Frame {
                             body: Some(Body::Release(r)),
@@ -675,7 +675,7 @@
         let mut bench = Bench::new();
         let read = bench.reading(1, profile);
         let out = bench.ended(&read, Status::Full);
-        assert!(!to_hosts(&out).contains(&"release"));
+        assert!(!to_engines(&out).contains(&"release"));
     }
 }
 
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -6,9 +6,9 @@
 use cindercleat_dispatcher::shell::{Places, Shell};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_net::{Clock, Listener, Tcp, TokioClock, Transport};
-use cindercleat_protocol::v1::{self, run_reply::Part, HostCondition};
+use cindercleat_protocol::v1::{self, run_reply::Part, EndpointStatus};
+use cindercleat_standin::engine::{Does, Engine, EngineSpec};
 use cindercleat_standin::feed::Feed;
-use cindercleat_standin::host::{Does, Host, HostSpec};
 use cindercleat_standin::transcript::{Note, Transcript, What};
 use http::uri::PathAndQuery;
 use prost::Message;
@@ -21,11 +21,11 @@
 
 struct Peer {
     channel: Channel,
-    hosts: Vec<Host<Tcp, TokioClock>>,
+    engines: Vec<Engine<Tcp, TokioClock>>,
     transcript: Transcript,
 }
 
-fn run<F: Future<Output = ()>>(limits: Limits, hosts: &[&str], test: impl FnOnce(Peer) -> F) {
+fn run<F: Future<Output = ()>>(limits: Limits, engines: &[&str], test: impl FnOnce(Peer) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -37,16 +37,16 @@
         let feed_address = listener.address();
         spawn_local(feed.clone().serve::<Tcp>(listener));
         let mut started = Vec::new();
-        for name in hosts {
+        for name in engines {
             let does = if name.starts_with('r') {
                 Does::Reads
             } else {
                 Does::Writes
             };
-            let host = Host::new(spec(name, does), Tcp, clock, transcript.clone(), 1);
-            host.start("127.0.0.1:0", true).await.expect("a port");
-            feed.tell(host.line(HostCondition::Ready));
-            started.push(host);
+            let engine = Engine::new(spec(name, does), Tcp, clock, transcript.clone(), 1);
+            engine.start("127.0.0.1:0", true).await.expect("a port");
+            feed.tell(engine.line(EndpointStatus::Ready));
+            started.push(engine);
         }
         let settings = ProgramSettings {
             limits,
@@ -67,15 +67,15 @@
         let channel = endpoint.connect().await.expect("it listens");
         test(Peer {
             channel,
-            hosts: started,
+            engines: started,
             transcript,
         })
         .await;
     });
 }
 
-fn spec(name: &str, does: Does) -> HostSpec {
-    HostSpec {
+fn spec(name: &str, does: Does) -> EngineSpec {
+    EngineSpec {
         name: name.to_owned(),
         zone: "north".to_owned(),
         cell: "n1".to_owned(),
@@ -250,7 +250,7 @@
 #[test]
 fn a_write_off_is_one_that_no_client_retries() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
-        peer.hosts[1].trouble(|t| t.stall_after = Some(2));
+        peer.engines[1].trouble(|t| t.stall_after = Some(2));
         let (parts, status) = request(&peer, common::submit("proof")).await;
         let status = status.expect("a status");
         assert_eq!(
@@ -319,7 +319,7 @@
 #[test]
 fn the_calls_deadline_is_the_patience_and_ends_what_is_out() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
-        peer.hosts[0].trouble(|t| t.slow = 1000.0);
+        peer.engines[0].trouble(|t| t.slow = 1000.0);
         let mut request = Request::new(common::submit("proof"));
         request.set_timeout(Duration::from_millis(150));
         let (parts, status) = ask(&peer, request, "/cindercleat.v1.Router/Run").await;
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -1,5 +1,5 @@
 //! Whole requests over the platform's protocol: the shell with `Http1` on connections in memory and a paused
-//! clock, between clients, hosts and a list feed that speak plain HTTP/1.1.
+//! clock, between clients, engines and a list feed that speak plain HTTP/1.1.
 
 mod common;
 
@@ -43,7 +43,7 @@
     memory: Memory,
     clock: TokioClock,
     shell: Shell<Memory, TokioClock, Http1>,
-    /// What hosts were asked, `host: first line id`.
+    /// What engines were asked, `engine: first line id`.
     asked: Rc<RefCell<Vec<String>>>,
     /// How the writer answers.
     writer: Rc<Cell<Writer>>,
@@ -123,7 +123,7 @@
         };
         for name in ["r1", "w1"] {
             let listener = net.memory.listen(name).await.expect("a name");
-            spawn_local(net.clone().host(name, listener));
+            spawn_local(net.clone().engine(name, listener));
         }
         for name in ["feed", "other"] {
             let listener = net.memory.listen(name).await.expect("a name");
@@ -167,7 +167,7 @@
         self.clock.sleep_until(self.clock.now() + ms).await;
     }
 
-    async fn host(self, name: &'static str, mut listener: <Memory as Transport>::Listener) {
+    async fn engine(self, name: &'static str, mut listener: <Memory as Transport>::Listener) {
         while let Ok(mut io) = listener.accept().await {
             let net = self.clone();
             spawn_local(async move {
@@ -519,7 +519,7 @@
         connect_timeout: 250.0,
         discovery: Discovery::Pushed,
         drain_grace: 500.0,
-        host_idle: None,
+        engine_idle: None,
         most_held: None,
         longest_deadline: 4_000.0,
         clients_resume: false,
