--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -1,19 +1,19 @@
 //! Random rows of inputs to the ledger, and what must hold after each: one final answer a request and nothing
-//! after it, one attempt out a request, nothing to hosts that are not ready, no second write of an at-most-once
+//! after it, one attempt out a request, nothing to engines that are not ready, no second write of an at-most-once
 //! request that may have run, no state left pinned, and a ledger that empties at the end.
 
 mod common;
 
 use cindercleat::interface::Ms;
 use cindercleat_dispatcher::ledger::{ConnId, Input, Ledger, LinkId, Output, StreamNo};
-use cindercleat_protocol::v1::{Answer, HostCondition, ListKind, Status};
+use cindercleat_protocol::v1::{Answer, EndpointStatus, ListKind, Status};
 use cindercleat_protocol::{frame, v1, Body};
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-const HOSTS: [&str; 5] = ["r1", "r2", "w1", "w2", "w3"];
+const ENGINES: [&str; 5] = ["r1", "r2", "w1", "w2", "w3"];
 const PROFILES: [&str; 3] = ["draft", "proof", "caption"];
 /// The release time after the read and after each attempt that may follow, and those attempts' connect
 /// timeouts: one that is being connected is out, but does not show here.
@@ -51,11 +51,11 @@
 struct World {
     ledger: Ledger,
     now: Ms,
-    conditions: BTreeMap<&'static str, HostCondition>,
+    conditions: BTreeMap<&'static str, EndpointStatus>,
     dialled: Vec<(LinkId, String)>,
     links: BTreeMap<LinkId, String>,
     attempts: Vec<Attempt>,
-    /// Launches that the ledger has cancelled, which the host has yet to end.
+    /// Launches that the ledger has cancelled, which the engine has yet to end.
     past: Vec<Attempt>,
     requests: BTreeMap<u32, Request>,
     by_stream: BTreeMap<u64, u32>,
@@ -78,7 +78,7 @@
         World {
             ledger: Ledger::new(settings, seed),
             now: 1000.0,
-            conditions: HOSTS.map(|h| (h, HostCondition::Ready)).into(),
+            conditions: ENGINES.map(|h| (h, EndpointStatus::Ready)).into(),
             dialled: Vec::new(),
             links: BTreeMap::new(),
             attempts: Vec::new(),
@@ -103,11 +103,11 @@
             self.check(output)?;
         }
         // A release waits for a connection where there is none; it cannot be said sooner.
-        // After some tries in vain it is left to the host's own time limit.
+        // After some tries in vain it is left to the engine's own time limit.
         let now = self.now;
         self.held
             .retain(|_, since| since.is_infinite() || now < *since + GIVEN_UP);
-        let deaf = |host: &String| !self.links.values().any(|h| h == host);
+        let deaf = |engine: &String| !self.links.values().any(|h| h == engine);
         let lies = |key: &(u32, u32), since: Ms| {
             self.now > since + RELEASE && !self.at.get(key).is_some_and(deaf)
         };
@@ -123,7 +123,7 @@
 
     fn check(&mut self, output: Output) -> Result<(), TestCaseError> {
         match output {
-            Output::Dial { link, host, .. } => self.dialled.push((link, host.0.to_string())),
+            Output::Dial { link, engine, .. } => self.dialled.push((link, engine.0.to_string())),
             Output::CloseLink { link, .. } => self.cut(link),
             Output::ToClient { frame, .. } => {
                 let stream = frame.stream;
@@ -162,18 +162,18 @@
                     );
                 }
             }
-            Output::ToHost { link, frame } => self.check_host(link, frame)?,
+            Output::ToEngine { link, frame } => self.check_engine(link, frame)?,
             _ => {}
         }
         Ok(())
     }
 
-    fn check_host(
+    fn check_engine(
         &mut self,
         link: LinkId,
         frame: cindercleat_protocol::Frame,
     ) -> Result<(), TestCaseError> {
-        let host = self.links.get(&link).cloned().unwrap_or_default();
+        let engine = self.links.get(&link).cloned().unwrap_or_default();
         let stream = frame.stream;
         let (state, write) = match &frame.body {
             Some(Body::Read(read)) => (read.state, false),
@@ -185,7 +185,7 @@
                 let comes = !(stream + u64::from(state.request)).is_multiple_of(4);
                 let since = self.held.remove(&key);
                 let first = since.map(|since| *self.wanted_since.entry(key).or_insert(since));
-                // After some tries in vain it is left to the host's own time limit.
+                // After some tries in vain it is left to the engine's own time limit.
                 let lost = first
                     .filter(|first| !comes && self.now < first + GIVEN_UP - RELEASE)
                     .map(|_| key);
@@ -223,8 +223,8 @@
             _ => return Ok(()),
         };
         let state = state.unwrap_or_default();
-        let condition = self.conditions.get(host.as_str()).copied();
-        prop_assert_eq!(condition, Some(HostCondition::Ready), "sent to {}", host);
+        let condition = self.conditions.get(engine.as_str()).copied();
+        prop_assert_eq!(condition, Some(EndpointStatus::Ready), "sent to {}", engine);
         let out = self
             .attempts
             .iter()
@@ -245,7 +245,7 @@
             }
         }
         if !write {
-            self.at.insert((state.request, state.attempt), host);
+            self.at.insert((state.request, state.attempt), engine);
         }
         let attempt = Attempt {
             request: state.request,
@@ -284,12 +284,12 @@
         for attempt in &cut as &Vec<Attempt> {
             self.end_held(attempt, true);
             // Half of the reads had ended, with their last word lost.
-            let host = self
+            let engine = self
                 .at
                 .get(&(attempt.state.request, attempt.state.attempt))
                 .cloned()
                 .unwrap_or_default();
-            let gone = self.conditions.get(host.as_str()) == Some(&HostCondition::Gone);
+            let gone = self.conditions.get(engine.as_str()) == Some(&EndpointStatus::Gone);
             if !attempt.write && attempt.stream.is_multiple_of(2) && !gone {
                 self.held
                     .insert((attempt.state.request, attempt.state.attempt), self.now);
@@ -322,7 +322,7 @@
             state,
             ..v1::Ended::default()
         };
-        self.put(Input::Host {
+        self.put(Input::Engine {
             link: attempt.link,
             frame: frame(attempt.stream, Body::Ended(ended)),
         })
@@ -337,7 +337,7 @@
         self.now = until;
         for link in std::mem::take(&mut self.pings) {
             if whom % 4 > 0 && self.links.contains_key(&link) {
-                self.put(Input::Host {
+                self.put(Input::Engine {
                     link,
                     frame: frame(0, Body::Pong(v1::Pong {})),
                 })?;
@@ -348,8 +348,8 @@
                 None => Body::Done(v1::Done {}),
                 Some(key) => {
                     // One that is listed as gone holds nothing that could be let go.
-                    let host = self.at.get(&key).cloned().unwrap_or_default();
-                    if self.conditions.get(host.as_str()) != Some(&HostCondition::Gone) {
+                    let engine = self.at.get(&key).cloned().unwrap_or_default();
+                    if self.conditions.get(engine.as_str()) != Some(&EndpointStatus::Gone) {
                         self.held.insert(key, self.now);
                     }
                     Body::Goodbye(v1::Goodbye {
@@ -359,7 +359,7 @@
                 }
             };
             if self.links.contains_key(&link) {
-                self.put(Input::Host {
+                self.put(Input::Engine {
                     link,
                     frame: frame(stream, body),
                 })?;
@@ -398,24 +398,27 @@
                 })
             }
             6 => {
-                let host = HOSTS[pick(HOSTS.len())];
+                let engine = ENGINES[pick(ENGINES.len())];
                 let condition = [
-                    HostCondition::Ready,
-                    HostCondition::Ready,
-                    HostCondition::Draining,
-                    HostCondition::Gone,
+                    EndpointStatus::Ready,
+                    EndpointStatus::Ready,
+                    EndpointStatus::Draining,
+                    EndpointStatus::Gone,
                 ][usize::from(whom >> 5) % 4];
-                self.conditions.insert(host, condition);
-                if condition == HostCondition::Gone {
+                self.conditions.insert(engine, condition);
+                if condition == EndpointStatus::Gone {
                     // With its process its states are gone.
                     let at = &self.at;
                     self.held
-                        .retain(|key, _| at.get(key).is_none_or(|h| h != host));
+                        .retain(|key, _| at.get(key).is_none_or(|h| h != engine));
                     for (_, _, lost) in &mut self.releases {
-                        *lost = lost.filter(|key| at.get(key).is_none_or(|h| h != host));
+                        *lost = lost.filter(|key| at.get(key).is_none_or(|h| h != engine));
                     }
                 }
-                self.put(Input::Listed(list(ListKind::Changes, &[(host, condition)])))
+                self.put(Input::Listed(list(
+                    ListKind::Changes,
+                    &[(engine, condition)],
+                )))
             }
             7 if !self.links.is_empty() => {
                 let link = *self
@@ -430,14 +433,14 @@
                 })
             }
             8..=11 if !self.dialled.is_empty() => {
-                let (link, host) = self.dialled.remove(pick(self.dialled.len()));
+                let (link, engine) = self.dialled.remove(pick(self.dialled.len()));
                 if whom.is_multiple_of(5) {
                     return self.put(Input::LinkClosed {
                         link,
                         reason: "drawn".to_owned(),
                     });
                 }
-                self.links.insert(link, host);
+                self.links.insert(link, engine);
                 self.put(Input::LinkUp { link, limit: None })
             }
             12 if !self.past.is_empty() => {
@@ -459,14 +462,14 @@
                     state,
                     ..v1::Ended::default()
                 };
-                self.put(Input::Host {
+                self.put(Input::Engine {
                     link: attempt.link,
                     frame: frame(attempt.stream, Body::Ended(ended)),
                 })
             }
             13 if !self.probes.is_empty() => {
                 let (link, stream) = self.probes.remove(pick(self.probes.len()));
-                self.put(Input::Host {
+                self.put(Input::Engine {
                     link,
                     frame: frame(stream, Body::Load(v1::Load::default())),
                 })
@@ -482,7 +485,7 @@
                     let (link, stream, request) = (attempt.link, attempt.stream, attempt.request);
                     self.held
                         .remove(&(attempt.state.request, attempt.state.attempt));
-                    self.put(Input::Host {
+                    self.put(Input::Engine {
                         link,
                         frame: frame(stream, body),
                     })?;
@@ -548,7 +551,7 @@
 
 fn play(draws: &[Draw], seed: u64) -> Result<World, TestCaseError> {
     let mut world = World::new(seed);
-    let ready = HOSTS.map(|h| (h, HostCondition::Ready));
+    let ready = ENGINES.map(|h| (h, EndpointStatus::Ready));
     world.put(Input::Listed(list(ListKind::Full, &ready)))?;
     for draw in draws {
         world.draw(*draw)?;
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -37,10 +37,10 @@
 
 /// A request whose decode attempt is at an engine that hangs: its machine takes connections and calls, and answers none.
 fn decoding_at_one_that_hangs(bench: &mut Bench, conn: u64, class: &str) -> Sent {
-    bench.silent_hosts_accept = true;
+    bench.silent_engines_accept = true;
     warm_up(bench);
     let decode = decoding(bench, conn, class);
-    silence(bench, &[decode.host.as_str()]);
+    silence(bench, &[decode.engine.as_str()]);
     decode
 }
 
@@ -82,12 +82,12 @@
 }
 
 /// Serves another request at a decode engine: that one works.
-fn serve_one_at(bench: &mut Bench, host: &str) {
+fn serve_one_at(bench: &mut Bench, engine: &str) {
     for conn in 5_000.. {
         let decode = decoding(bench, conn, "draft");
-        bench.host(&decode, tokens(0));
+        bench.engine(&decode, tokens(0));
         bench.ended(&decode, Status::Fulfilled);
-        if decode.host == host {
+        if decode.engine == engine {
             return;
         }
     }
@@ -103,7 +103,7 @@
         bench.pass(13.0);
         let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
         assert_eq!(releases_of(1, &out).len(), 1, "{class}: at once");
-        serve_one_at(&mut bench, &decode.host);
+        serve_one_at(&mut bench, &decode.engine);
         let out = bench.pass(most());
         assert_eq!(
             releases_of(1, &out).len(),
@@ -158,7 +158,7 @@
         (8_000.0, false),
     ] {
         let mut bench = bench();
-        bench.silent_hosts_accept = accept;
+        bench.silent_engines_accept = accept;
         warm_up(&mut bench);
         decoding(&mut bench, 1, "draft");
         silence(
--- a/crates/dispatcher/tests/shell.rs
+++ b/crates/dispatcher/tests/shell.rs
@@ -8,7 +8,7 @@
 use cindercleat_net::{Clock, Listener, Transport};
 use cindercleat_protocol::v1;
 use cindercleat_standin::client::{End, Port};
-use cindercleat_standin::host::{Does, Host};
+use cindercleat_standin::engine::{Does, Engine};
 use net::{run, spec};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
@@ -105,13 +105,13 @@
 }
 
 #[test]
-fn a_host_that_claims_anothers_name_gets_no_request() {
+fn an_engine_that_claims_anothers_name_gets_no_request() {
     run(|net| async move {
-        net.hosts[1].die();
+        net.engines[1].die();
         net.clock.sleep_until(net.clock.now() + 1.0).await;
         let mut other = spec("w2", "writer", Does::Writes);
         other.token_ms = 1.0;
-        let other = Host::new(
+        let other = Engine::new(
             other,
             net.memory.clone(),
             net.clock,
@@ -133,9 +133,9 @@
 }
 
 #[test]
-fn a_host_that_sends_garbage_loses_its_link_and_the_dispatcher_serves_on() {
+fn an_engine_that_sends_garbage_loses_its_link_and_the_dispatcher_serves_on() {
     run(|net| async move {
-        net.hosts[1].die();
+        net.engines[1].die();
         net.clock.sleep_until(net.clock.now() + 1.0).await;
         let mut listener = net.memory.listen("at-w1").await.expect("the name is free");
         let bad = spawn_local(async move {
@@ -151,7 +151,7 @@
         assert_eq!(tokens, 0);
         bad.abort();
         net.clock.sleep_until(net.clock.now() + 1.0).await;
-        net.hosts[1]
+        net.engines[1]
             .start("at-w1", true)
             .await
             .expect("the name is free");
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -15,7 +15,7 @@
     let since = bench.now;
     while bench.now - since < 4_000.0 {
         let out = bench.pass(5.0);
-        let arrived = |sent: &Sent| !bench.silent.contains(&sent.host);
+        let arrived = |sent: &Sent| !bench.silent.contains(&sent.engine);
         if let Some(decode) = bench.attempts(&out).into_iter().find(arrived) {
             return (bench.now - since, Some(decode));
         }
@@ -34,7 +34,7 @@
     let mut bench = bench();
     warm_up(&mut bench);
     let lost = decoding(&mut bench, 1, "draft");
-    bench.silent.insert(lost.host.clone());
+    bench.silent.insert(lost.engine.clone());
     let (after, decode) = until_state_is_taken(&mut bench, 1);
     let decode = decode.expect("a second decode attempt");
     assert!(
@@ -46,7 +46,7 @@
         called_off(&bench.out, &lost),
         "the connection of the first attempt is ended"
     );
-    bench.host(&decode, tokens(0));
+    bench.engine(&decode, tokens(0));
     assert_eq!(
         finals(&bench.ended(&decode, Status::Fulfilled)),
         [(1, Answer::Fulfilled)]
@@ -58,7 +58,7 @@
     let mut bench = bench();
     warm_up(&mut bench);
     let lost = decoding(&mut bench, 1, "proof");
-    bench.silent.insert(lost.host.clone());
+    bench.silent.insert(lost.engine.clone());
     let (after, decode) = until_state_is_taken(&mut bench, 1);
     assert!(decode.is_none(), "the first attempt may run yet");
     assert!(
@@ -74,7 +74,7 @@
 /// Lets an engine that runs go on with a stream of another request meanwhile.
 fn go_on(bench: &mut Bench, busy: &Sent, position: &mut u32) {
     *position += 1;
-    bench.host(busy, tokens(*position));
+    bench.engine(busy, tokens(*position));
 }
 
 #[test]
@@ -98,18 +98,21 @@
     let mut bench = bench();
     warm_up(&mut bench);
     let busy = decoding(&mut bench, 2, "draft");
-    bench.host(&busy, tokens(0));
+    bench.engine(&busy, tokens(0));
     let lost = loop {
         let conn = bench.out.len() as u64;
         let lost = decoding(&mut bench, conn, "proof");
-        if lost.host != busy.host {
+        if lost.engine != busy.engine {
             break (conn, lost);
         }
-        bench.host(&lost, tokens(0));
+        bench.engine(&lost, tokens(0));
     };
     // All but one engine; the prefill engine that holds the state is among them.
     let all = ["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"];
-    let silent: Vec<&str> = all.into_iter().filter(|name| *name != busy.host).collect();
+    let silent: Vec<&str> = all
+        .into_iter()
+        .filter(|name| *name != busy.engine)
+        .collect();
     silence(&mut bench, &silent);
     let (since, mut position) = (bench.now, 0);
     loop {
@@ -154,7 +157,7 @@
             "{class}"
         );
         assert!(!called_off(&bench.out, &queued), "{class}");
-        bench.host(&queued, tokens(0));
+        bench.engine(&queued, tokens(0));
         let out = bench.pass(5_000.0);
         assert_eq!(releases_of(1, &out), [], "{class}: it has taken the state");
         assert_eq!(bench.ledger.held().releases, 0, "{class}");
@@ -191,12 +194,12 @@
         .map(|conn| decoding(&mut bench, conn, "draft"))
         .collect();
     for stream in &streams {
-        bench.host(stream, tokens(0));
+        bench.engine(stream, tokens(0));
     }
     let queued = decoding(&mut bench, 1, "draft");
     let busy = streams
         .iter()
-        .find(|stream| stream.host == queued.host)
+        .find(|stream| stream.engine == queued.engine)
         .expect("a stream there")
         .clone();
     let mut position = 0;
@@ -206,7 +209,7 @@
             .count()
     };
     let released = |out: &[Output]| {
-        to_hosts(out)
+        to_engines(out)
             .into_iter()
             .filter(|said| *said == "release")
             .count()
@@ -232,7 +235,7 @@
     let mut bench = bench();
     warm_up(&mut bench);
     let late = decoding(&mut bench, 1, "proof");
-    silence(&mut bench, &[late.host.as_str()]);
+    silence(&mut bench, &[late.engine.as_str()]);
     until_state_is_taken(&mut bench, 1);
     bench.pass(300.0);
     bench.silent.clear();
@@ -244,7 +247,7 @@
     let decodes = bench
         .attempts(&out)
         .into_iter()
-        .filter(|sent| sent.host.starts_with('w'))
+        .filter(|sent| sent.engine.starts_with('w'))
         .count();
     assert_eq!(decodes, 0, "none without a new prefill");
 }
@@ -256,7 +259,7 @@
             let mut bench = bench();
             warm_up(&mut bench);
             let lost = decoding(&mut bench, 1, class);
-            silence(&mut bench, &[lost.host.as_str()]);
+            silence(&mut bench, &[lost.engine.as_str()]);
             let since = bench.now;
             bench.pass(after);
             let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
@@ -271,7 +274,7 @@
                 "{class} after {after}: nothing begins for nobody"
             );
             let reached = |output: &Output| match output {
-                Output::ToHost {
+                Output::ToEngine {
                     link,
                     frame:
                         Frame {
@@ -297,13 +300,13 @@
     let mut bench = bench();
     warm_up(&mut bench);
     let lost = decoding(&mut bench, 1, "draft");
-    silence(&mut bench, &[lost.host.as_str()]);
+    silence(&mut bench, &[lost.engine.as_str()]);
     let others: Vec<String> = (1..=4)
         .map(|at| format!("w{at}"))
-        .filter(|name| *name != lost.host)
+        .filter(|name| *name != lost.engine)
         .collect();
     for name in &others {
-        bench.told(name, v1::HostCondition::Draining);
+        bench.told(name, v1::EndpointStatus::Draining);
     }
     let (after, decode) = until_state_is_taken(&mut bench, 1);
     assert!(decode.is_none(), "{decode:?}");
@@ -322,7 +325,7 @@
     warm_up(&mut bench);
     let out = asks(&mut bench, 1, "draft");
     let prefill = bench.attempts(&out).pop().expect("a prefill goes out");
-    silence(&mut bench, &[prefill.host.as_str()]);
+    silence(&mut bench, &[prefill.engine.as_str()]);
     bench.pass(100.0);
     bench.put(Input::ClientClosed { conn: ConnId(1) });
     let out = bench.pass(1_500.0);
@@ -348,9 +351,9 @@
             .attempts(&out)
             .pop()
             .expect("a decode attempt goes out");
-        bench.host(&decode, tokens(0));
+        bench.engine(&decode, tokens(0));
         bench.ended(&decode, Status::Fulfilled);
-        if next.host == prefill.host {
+        if next.engine == prefill.engine {
             break;
         }
     }
@@ -374,7 +377,7 @@
     {
         for class in ["draft", "proof"] {
             let mut bench = bench();
-            bench.silent_hosts_accept = accept;
+            bench.silent_engines_accept = accept;
             warm_up(&mut bench);
             bench.pass(3_000.0);
             let out = asks(&mut bench, 1, class);
@@ -385,7 +388,7 @@
             let arrived = bench
                 .attempts(&out)
                 .iter()
-                .any(|sent| !bench.silent.contains(&sent.host));
+                .any(|sent| !bench.silent.contains(&sent.engine));
             if arrived {
                 continue;
             }
@@ -409,7 +412,7 @@
     let broken = bench.attempts(&out).pop().expect("a prefill goes out");
     let others: Vec<String> = (1..=4)
         .map(|at| format!("r{at}"))
-        .filter(|name| *name != broken.host)
+        .filter(|name| *name != broken.engine)
         .collect();
     silence(
         &mut bench,
@@ -419,7 +422,7 @@
         reason: "reset".to_owned(),
         never_ran: false,
     };
-    let mut out = bench.host(&broken, Body::Goodbye(bye));
+    let mut out = bench.engine(&broken, Body::Goodbye(bye));
     let since = bench.now;
     let second = bench.attempts(&out).pop().expect("it is read again");
     assert!(bench.is_silent(second.link), "at an engine that is silent");
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -53,7 +53,7 @@
 
 fn releases(out: &[Output]) -> Vec<String> {
     let release = |output: &Output| match output {
-        Output::ToHost {
+        Output::ToEngine {
             frame:
                 Frame {
                     body: Some(Body::Release(release)),
@@ -96,7 +96,7 @@
     for (never_ran, again) in [(true, true), (false, false)] {
         let mut bench = bench();
         let write = writing(&mut bench, 1, "a", "proof");
-        let out = bench.host(&write, goodbye(never_ran));
+        let out = bench.engine(&write, goodbye(never_ran));
         assert_eq!(
             !bench.attempts(&out).is_empty(),
             again,
@@ -115,12 +115,12 @@
 }
 
 #[test]
-fn an_attempt_on_a_connection_that_was_over_goes_out_on_another_to_the_same_host() {
+fn an_attempt_on_a_connection_that_was_over_goes_out_on_another_to_the_same_engine() {
     let mut bench = bench();
     let write = writing(&mut bench, 1, "a", "proof");
-    bench.host(&write, tokens(0));
+    bench.engine(&write, tokens(0));
     bench.ended(&write, Status::Fulfilled);
-    // The next write there takes the connection that rests, which its host has closed meanwhile.
+    // The next write there takes the connection that rests, which its engine has closed meanwhile.
     let next = loop {
         let n = bench.out.len() as u64;
         let next = writing(&mut bench, n, &n.to_string(), "proof");
@@ -128,9 +128,9 @@
             break next;
         }
     };
-    let out = bench.host(&next, goodbye(true));
+    let out = bench.engine(&next, goodbye(true));
     let again = bench.attempts(&out).pop().expect("it goes out again");
-    assert_eq!(again.host, next.host);
+    assert_eq!(again.engine, next.engine);
     assert_ne!(again.link, next.link);
     assert_eq!(again.state, next.state, "as the same launch");
     assert_eq!(finals(&out), []);
@@ -141,7 +141,7 @@
     let mut bench = bench();
     let read = reading(&mut bench, 1, "a", "draft");
     // The read broke: it may have left a state; the request is read again.
-    let out = bench.host(&read, goodbye(false));
+    let out = bench.engine(&read, goodbye(false));
     let second = bench.attempts(&out).pop().expect("it is read again");
     assert_eq!(
         releases(&out),
@@ -151,7 +151,7 @@
     let out = bench.ended(&second, Status::ReadDone);
     assert_eq!(releases(&out), Vec::<String>::new());
     let write = bench.attempts(&out).pop().expect("a write goes out");
-    bench.host(&write, tokens(0));
+    bench.engine(&write, tokens(0));
     let out = bench.ended(&write, Status::Fulfilled);
     assert_eq!(releases(&out), ["a"]);
     assert_eq!(finals(&out), [(1, Answer::Fulfilled)]);
@@ -164,9 +164,9 @@
             .attempts(&out)
             .pop()
             .expect("a decode attempt goes out");
-        bench.host(&decode, tokens(0));
+        bench.engine(&decode, tokens(0));
         bench.ended(&decode, Status::Fulfilled);
-        if next.host == read.host {
+        if next.engine == read.engine {
             break;
         }
     }
@@ -178,14 +178,14 @@
 }
 
 #[test]
-fn a_release_that_gets_no_answer_is_said_to_another_host_in_good_time() {
+fn a_release_that_gets_no_answer_is_said_to_another_engine_in_good_time() {
     let mut bench = bench();
-    bench.hosts_answer_releases = false;
+    bench.engines_answer_releases = false;
     let read = reading(&mut bench, 1, "a", "draft");
     let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
     assert_eq!(releases(&out), ["a"]);
     let first = bench.out.iter().rev().find_map(|o| match o {
-        Output::ToHost {
+        Output::ToEngine {
             link,
             frame:
                 Frame {
@@ -196,10 +196,10 @@
         _ => None,
     });
     let out = bench.pass(400.0);
-    let hosts: Vec<String> = out
+    let engines: Vec<String> = out
         .iter()
         .filter_map(|o| match o {
-            Output::Dial { host, .. } => Some(host.0.to_string()),
+            Output::Dial { engine, .. } => Some(engine.0.to_string()),
             _ => None,
         })
         .collect();
@@ -208,8 +208,8 @@
         "said again within the release time"
     );
     assert!(
-        hosts.iter().any(|host| *host != read.host),
-        "to another host: {hosts:?}"
+        engines.iter().any(|engine| *engine != read.engine),
+        "to another host: {engines:?}"
     );
     assert!(first.is_some());
     bench.pass(2_000.0);
@@ -239,7 +239,7 @@
     bench.put(Input::ClientClosed { conn: ConnId(2) });
     let out = bench.ended(&read, Status::ReadDone);
     let write = bench.attempts(&out).pop().expect("the open one goes on");
-    bench.host(&write, tokens(0));
+    bench.engine(&write, tokens(0));
     assert_eq!(
         finals(&bench.ended(&write, Status::Fulfilled)),
         [(1, Answer::Fulfilled)]
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn links_are_bounded_over_all_hosts_and_one_that_rests_makes_room() {
+fn links_are_bounded_over_all_engines_and_one_that_rests_makes_room() {
     let limits = single_limits();
     let single = limits.single.map(|single| Single {
         most_links: 2,
@@ -276,11 +276,11 @@
     });
     let mut bench = bench_with(Limits { single, ..limits });
     let write = writing(&mut bench, 1, "a", "draft");
-    bench.host(&write, tokens(0));
+    bench.engine(&write, tokens(0));
     bench.ended(&write, Status::Fulfilled);
     for n in 2..30 {
         let write = writing(&mut bench, n, &n.to_string(), "draft");
-        bench.host(&write, tokens(0));
+        bench.engine(&write, tokens(0));
         bench.ended(&write, Status::Fulfilled);
         assert!(bench.ledger.held().links <= 2);
     }
@@ -325,7 +325,7 @@
     };
     let mut bench = bench_with(limits);
     let write = writing(&mut bench, 1, "a", "draft");
-    bench.host(&write, tokens(0));
+    bench.engine(&write, tokens(0));
     bench.put(Input::Stop);
     let out = asks(&mut bench, 2, request("b", "draft"));
     assert!(!bench.attempts(&out).is_empty(), "still taken");
@@ -356,12 +356,12 @@
     };
     let mut bench = bench_with(limits);
     let over = writing(&mut bench, 2, "over", "draft");
-    bench.host(&over, tokens(0));
+    bench.engine(&over, tokens(0));
     bench.ended(&over, Status::Fulfilled);
     let write = writing(&mut bench, 1, "a", "draft");
     bench.put(Input::Stop);
     bench.pass(900.0);
-    bench.host(&write, tokens(0));
+    bench.engine(&write, tokens(0));
     let out = bench.pass(200.0);
     assert_eq!(
         finals(&out),
@@ -397,15 +397,15 @@
 }
 
 #[test]
-fn nothing_is_kept_of_hosts_that_are_gone_however_many_come() {
-    use v1::HostCondition::{Gone, Ready};
+fn nothing_is_kept_of_engines_that_are_gone_however_many_come() {
+    use v1::EndpointStatus::{Gone, Ready};
     let mut bench = bench();
     for n in 0..200 {
         let (reader, writer) = (format!("r-{n}"), format!("w-{n}"));
         bench.told(&reader, Ready);
         bench.told(&writer, Ready);
         let write = writing(&mut bench, n, &n.to_string(), "draft");
-        bench.host(&write, tokens(0));
+        bench.engine(&write, tokens(0));
         bench.told(&reader, Gone);
         bench.told(&writer, Gone);
         assert_eq!(
@@ -417,14 +417,14 @@
     }
     bench.pass(60_000.0);
     let held = bench.ledger.held();
-    assert_eq!((held.hosts, held.links, held.requests), (4, 0, 0));
+    assert_eq!((held.engines, held.links, held.requests), (4, 0, 0));
     assert!(held.timers < 10, "{held:?}");
 }
 
 /// The links over which releases went, among outputs.
 fn release_links(out: &[Output]) -> Vec<LinkId> {
     let release = |output: &Output| match output {
-        Output::ToHost {
+        Output::ToEngine {
             link,
             frame:
                 Frame {
@@ -446,7 +446,7 @@
         .collect();
     let ready: Vec<_> = names
         .iter()
-        .map(|name| (name.as_str(), v1::HostCondition::Ready))
+        .map(|name| (name.as_str(), v1::EndpointStatus::Ready))
         .collect();
     bench.put(Input::Listed(list(v1::ListKind::Full, &ready)));
     bench
@@ -472,36 +472,36 @@
         let read = bench.attempts(&out).pop().expect("a read goes out");
         let out = bench.ended(&read, Status::ReadDone);
         let write = bench.attempts(&out).pop().expect("a write goes out");
-        bench.host(&write, tokens(0));
+        bench.engine(&write, tokens(0));
         bench.ended(&write, Status::Fulfilled);
-        linked.extend([read.host, write.host]);
+        linked.extend([read.engine, write.engine]);
         bench.pass(10.0);
         assert!(n < 2_000, "every engine is used: {linked:?}");
     }
     // A state that is read, and from then on all but one engine are silent: their connections stay up. The one that
     // works goes on with streams of other requests.
-    bench.hosts_answer_releases = false;
+    bench.engines_answer_releases = false;
     let busy = writing(&mut bench, 1, "busy", "draft");
-    bench.host(&busy, tokens(0));
+    bench.engine(&busy, tokens(0));
     let read = reading(&mut bench, 2, "last", "draft");
     bench.ended(&read, Status::ReadDone);
     // Nothing was heard of any for long enough, and the decode attempt is not given up yet.
     bench.pass(200.0);
-    bench.host(&busy, tokens(1));
+    bench.engine(&busy, tokens(1));
     let since = bench.now;
     let mut out = bench.put(Input::ClientClosed { conn: ConnId(2) });
     let mut position = 2;
     let reached = loop {
         let asked: Vec<String> = release_links(&out)
             .iter()
-            .map(|l| bench.host_of(*l).to_owned())
+            .map(|l| bench.engine_of(*l).to_owned())
             .collect();
-        if asked.contains(&busy.host) {
+        if asked.contains(&busy.engine) {
             break bench.now - since;
         }
         assert!(bench.now - since < 500.0, "asked until then: {asked:?}");
         out = bench.pass(10.0);
-        bench.host(&busy, tokens(position));
+        bench.engine(&busy, tokens(position));
         position += 1;
     };
     assert!(
@@ -540,15 +540,15 @@
     let busy = writing(&mut bench, 1, "busy", "draft");
     let read = reading(&mut bench, 2, "cut", "draft");
     bench.pass(1_000.0);
-    bench.host(&busy, tokens(0));
+    bench.engine(&busy, tokens(0));
     let out = bench.put(Input::ClientClosed { conn: ConnId(2) });
     let asked: Vec<&str> = release_links(&out)
         .iter()
-        .map(|link| bench.host_of(*link))
+        .map(|link| bench.engine_of(*link))
         .collect();
     assert_eq!(
         asked,
-        [read.host.as_str()],
+        [read.engine.as_str()],
         "or it could come before the state is there"
     );
 }
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -78,7 +78,7 @@
         let mut slow = net.connect_narrow().await;
         slow.say(&request("slow", "draft")).await;
         net.prefilled().await;
-        let (mut slow_engine, _) = net.host("w1").asked().await;
+        let (mut slow_engine, _) = net.engine("w1").asked().await;
         slow_engine.say(STREAM).await;
         // Until neither the client's socket, nor the dispatcher, nor the engine's socket takes any more.
         let event = format!("data: {}\n\n", "x".repeat(8_000));
@@ -112,7 +112,7 @@
     });
     let limits = Limits {
         single,
-        links_per_host: STREAMS,
+        links_per_engine: STREAMS,
         most_clients: 2 * STREAMS,
         max_open_requests: STREAMS,
         ..limits()
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -6,7 +6,7 @@
 use cindercleat::interface::*;
 use cindercleat_dispatcher::{Limits, Service};
 use cindercleat_standin::client::{Habits, Planned, Traffic};
-use cindercleat_standin::host::{Does, HostSpec};
+use cindercleat_standin::engine::{Does, EngineSpec};
 use nanorand::{Rng, WyRand};
 
 /// How large the days of a profile are.
@@ -120,7 +120,7 @@
     let limits = Limits {
         max_open_requests: 1000,
         streams_per_link: 50,
-        links_per_host: 4,
+        links_per_engine: 4,
         link_idle: 8_000.0,
         window: 8,
         stall_limit: 1500.0,
@@ -183,10 +183,10 @@
         rng: WyRand::new_seed(seed ^ 0x5eed),
     };
     let service = service();
-    let mut hosts = Vec::new();
+    let mut engines = Vec::new();
     for (does, count) in [(Does::Reads, shape.readers), (Does::Writes, shape.writers)] {
         for n in 0..count {
-            hosts.push(host(does, n, &service, &mut draw));
+            engines.push(engine(does, n, &service, &mut draw));
         }
     }
     let requests: Vec<Planned> = (0..shape.requests)
@@ -197,14 +197,14 @@
     let mut faults: Vec<Fault> = Vec::new();
     while faults.len() < count {
         let at = instant(shape, &faults, &requests, &mut draw);
-        faults.push(fault(at, shape, &hosts, &mut draw));
+        faults.push(fault(at, shape, &engines, &mut draw));
     }
     faults.sort_by(|a, b| a.at.total_cmp(&b.at));
     Day {
         name: format!("{}-{seed}", shape.name),
         seed,
         dispatchers: shape.dispatchers,
-        hosts,
+        engines,
         habits: habits(&service, shape, requests),
         service,
         list_delay: whole(draw.between(0.0, 300.0)),
@@ -212,10 +212,10 @@
     }
 }
 
-fn host(does: Does, n: usize, service: &Service, draw: &mut Draw) -> HostSpec {
+fn engine(does: Does, n: usize, service: &Service, draw: &mut Draw) -> EngineSpec {
     let reads = does == Does::Reads;
     let zone = ZONES[n % 2];
-    HostSpec {
+    EngineSpec {
         name: format!("{}-{}", if reads { "reader" } else { "writer" }, n + 1),
         zone: zone.to_owned(),
         cell: format!("{zone}-{}", n / 2),
@@ -315,7 +315,7 @@
     whole(at.min(shape.busy))
 }
 
-fn fault(at: Ms, shape: &Shape, hosts: &[HostSpec], draw: &mut Draw) -> Fault {
+fn fault(at: Ms, shape: &Shape, engines: &[EngineSpec], draw: &mut Draw) -> Fault {
     let length = whole(draw.between(50.0, 2_500.0));
     let profiles = ["caption-draft", "proof-send", "proof-page"];
     let trouble = match (draw.share() * 26.0) as usize {
@@ -352,15 +352,15 @@
         whom.push(((draw.share() * f64::from(shape.dispatchers)) as u32).to_string());
     } else if !trouble.is_service_wide() {
         // One, some, or all of a cell.
-        let first = draw.pick(hosts).clone();
+        let first = draw.pick(engines).clone();
         whom.push(first.name.clone());
         if draw.chance(0.2) {
-            let mates = hosts
+            let mates = engines
                 .iter()
                 .filter(|h| h.cell == first.cell && h.name != first.name);
             whom.extend(mates.map(|h| h.name.clone()));
         } else if draw.chance(0.2) {
-            let other = draw.pick(hosts).name.clone();
+            let other = draw.pick(engines).name.clone();
             whom.extend((other != first.name).then_some(other));
         }
     }
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -1,4 +1,4 @@
-//! The parts of a drill with a release: stand-in hosts under load, their list and its keeper, supervisors that start
+//! The parts of a drill with a release: stand-in engines under load, their list and its keeper, supervisors that start
 //! processes again under the label they are told, operators' commands, and a judge of who was out when. It sees
 //! processes that run or not, who follows the list, what a process tells its supervisor, and what the keeper did.
 
@@ -41,7 +41,7 @@
 /// A release in a drill.
 #[derive(Clone, Debug)]
 pub struct Release {
-    /// Hosts, what is served, and the clients' traffic.
+    /// Engines, what is served, and the clients' traffic.
     pub day: Day,
     pub bounds: (Bounds, Bounds),
     /// The same, as lines of a settings file.
@@ -57,7 +57,7 @@
 pub struct Released {
     pub turns: u64,
     pub drains: u64,
-    /// The most that were out at once: dispatchers and hosts, planned or not.
+    /// The most that were out at once: dispatchers and engines, planned or not.
     pub most_out: (u32, u32),
     pub orders: BTreeMap<String, u64>,
     pub refused: BTreeMap<String, u64>,
@@ -74,7 +74,7 @@
 const LOOK: Duration = Duration::from_millis(10);
 /// A supervisor starts the next process after this.
 const AWAY: Ms = 150.0;
-/// A model host's drain, its absence.
+/// An engine's drain, its absence.
 const DRAINS: Ms = 600.0;
 const GONE: Ms = 300.0;
 /// For the way between two ends on a busy machine, in the audit's bounds.
@@ -82,7 +82,7 @@
 
 type TcpFleet = Fleet<Tcp, TokioClock>;
 
-/// One model host's standing with the keeper.
+/// One engine's standing with the keeper.
 #[derive(Clone, Debug, Default)]
 struct Standing {
     out_since: Option<Ms>,
@@ -96,7 +96,7 @@
     pub fleet: Rc<TcpFleet>,
     pub seen: Rc<RefCell<Seen>>,
     processes: Rc<RefCell<Vec<Process>>>,
-    hosts: RefCell<BTreeMap<String, Standing>>,
+    engines: RefCell<BTreeMap<String, Standing>>,
     halted: RefCell<Option<Ms>>,
     asked_back: RefCell<BTreeSet<TurnNo>>,
     pub released: RefCell<Released>,
@@ -105,7 +105,7 @@
     program: PathBuf,
 }
 
-/// Starts the stand-in hosts and their list.
+/// Starts the stand-in engines and their list.
 pub(super) async fn start_fleet(day: &Day) -> io::Result<Rc<TcpFleet>> {
     let place = |_: &str, _: &str| (Tcp, "127.0.0.1:0".to_owned());
     Ok(Rc::new(
@@ -122,8 +122,8 @@
         lease: Ms,
         program: &Path,
     ) -> Rc<Around> {
-        let hosts = fleet
-            .hosts
+        let engines = fleet
+            .engines
             .keys()
             .map(|name| (name.clone(), Standing::default()))
             .collect();
@@ -132,7 +132,7 @@
             fleet,
             seen,
             processes,
-            hosts: RefCell::new(hosts),
+            engines: RefCell::new(engines),
             halted: RefCell::default(),
             asked_back: RefCell::default(),
             released: RefCell::default(),
@@ -269,10 +269,10 @@
                 });
                 (self.release.bounds.0, each.collect())
             }
-            Of::Hosts => {
-                let hosts = self.hosts.borrow();
-                let each = hosts.iter().map(|(name, standing)| {
-                    let zone = self.fleet.hosts.get(name).map_or("", |h| &h.spec().zone);
+            Of::Engines => {
+                let engines = self.engines.borrow();
+                let each = engines.iter().map(|(name, standing)| {
+                    let zone = self.fleet.engines.get(name).map_or("", |h| &h.spec().zone);
                     (
                         zone.to_owned(),
                         name == who || standing.planned || long(standing.out_since),
@@ -286,9 +286,9 @@
                 "z{}",
                 who.trim_start_matches('d').parse::<usize>().unwrap_or(0) % 3
             ),
-            Of::Hosts => self
+            Of::Engines => self
                 .fleet
-                .hosts
+                .engines
                 .get(who)
                 .map_or(String::new(), |h| h.spec().zone.clone()),
         };
@@ -313,16 +313,16 @@
         }
     }
 
-    /// Hosts that are ready again, and the most that were out.
+    /// Engines that are ready again, and the most that were out.
     fn count_out(&self, now: Ms) {
-        let mut hosts = self.hosts.borrow_mut();
-        for standing in hosts.values_mut() {
+        let mut engines = self.engines.borrow_mut();
+        for standing in engines.values_mut() {
             if standing.out_since.is_some() && now >= standing.ready_at {
                 *standing = Standing::default();
             }
         }
-        let out = hosts.values().filter(|s| s.out_since.is_some()).count() as u32;
-        drop(hosts);
+        let out = engines.values().filter(|s| s.out_since.is_some()).count() as u32;
+        drop(engines);
         let mut released = self.released.borrow_mut();
         let gone = self
             .processes
@@ -335,7 +335,7 @@
         }
     }
 
-    /// The keeper of the list: lists hosts as draining by the roll-call's acts, and remembers what it was asked back.
+    /// The keeper of the list: lists engines as draining by the roll-call's acts, and remembers what it was asked back.
     pub async fn keep(self: &Rc<Self>) -> io::Result<String> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?.to_string();
@@ -393,17 +393,17 @@
         Ok(address)
     }
 
-    /// The start that a host's line in the list tells.
+    /// The start that an engine's line in the list tells.
     fn run_of(&self, who: &Name) -> Option<Run> {
-        let host = self.fleet.hosts.get(&*who.0)?;
-        Some(Run(host
-            .line(v1::HostCondition::Ready)
+        let engine = self.fleet.engines.get(&*who.0)?;
+        Some(Run(engine
+            .line(v1::EndpointStatus::Ready)
             .started_ms
             .map_or(0, f64::to_bits)))
     }
 
     fn is_begun(&self, turn: TurnNo, who: &Name, run: Run) -> bool {
-        let out = self.hosts.borrow().get(&*who.0).is_none_or(|s| s.planned);
+        let out = self.engines.borrow().get(&*who.0).is_none_or(|s| s.planned);
         let begun = out || self.run_of(who) != Some(run);
         if !begun {
             self.asked_back.borrow_mut().insert(turn);
@@ -411,10 +411,10 @@
         begun
     }
 
-    /// A host drains, goes, and comes back cold.
+    /// An engine drains, goes, and comes back cold.
     fn drain(self: &Rc<Self>, told: Told) {
         let out = self
-            .hosts
+            .engines
             .borrow()
             .get(&*told.who.0)
             .is_none_or(|s| s.planned);
@@ -425,13 +425,13 @@
             return;
         }
         let name = told.who.0.to_string();
-        let Some(host) = self.fleet.hosts.get(&name).cloned() else {
+        let Some(engine) = self.fleet.engines.get(&name).cloned() else {
             return;
         };
         self.released.borrow_mut().drains += 1;
-        self.judge(Of::Hosts, &name, &format!("turn {}", told.number.0));
+        self.judge(Of::Engines, &name, &format!("turn {}", told.number.0));
         let now = self.now();
-        if let Some(standing) = self.hosts.borrow_mut().get_mut(&name) {
+        if let Some(standing) = self.engines.borrow_mut().get_mut(&name) {
             *standing = Standing {
                 out_since: Some(now),
                 planned: true,
@@ -441,23 +441,26 @@
         let around = self.clone();
         spawn_local(async move {
             let feed = &around.fleet.feed;
-            host.trouble(|t| t.draining = true);
-            feed.change(host.line(v1::HostCondition::Draining));
+            engine.trouble(|t| t.draining = true);
+            feed.change(engine.line(v1::EndpointStatus::Draining));
             // What it has begun runs to its end, for as long as it is given.
             tokio::time::sleep(Duration::from_secs_f64((DRAINS + 2_000.0) / 1000.0)).await;
-            host.die();
-            feed.change(host.line(v1::HostCondition::Gone));
+            engine.die();
+            feed.change(engine.line(v1::EndpointStatus::Gone));
             if told.stays {
                 return;
             }
             tokio::time::sleep(Duration::from_secs_f64(GONE / 1000.0)).await;
-            if host.start(&host.address(), false).await.is_err() {
-                return around.breach("not started", format!("{}'s address is taken", host.name()));
+            if engine.start(&engine.address(), false).await.is_err() {
+                return around.breach(
+                    "not started",
+                    format!("{}'s address is taken", engine.name()),
+                );
             }
-            host.trouble(|t| t.draining = false);
-            feed.change(host.line(v1::HostCondition::Ready));
+            engine.trouble(|t| t.draining = false);
+            feed.change(engine.line(v1::EndpointStatus::Ready));
             let ramp = around.release.day.service.policy.ramp;
-            if let Some(standing) = around.hosts.borrow_mut().get_mut(host.name()) {
+            if let Some(standing) = around.engines.borrow_mut().get_mut(engine.name()) {
                 standing.ready_at = around.seen.borrow().now() + ramp;
             }
         });
--- a/crates/faults/src/duties/draw.rs
+++ b/crates/faults/src/duties/draw.rs
@@ -54,10 +54,10 @@
     KillVoters,
     AddVoter(usize),
     RemoveVoter(usize),
-    /// All processes and model hosts of a zone at once.
+    /// All processes and engines of a zone at once.
     ZoneLost(usize),
-    HostDies(usize),
-    /// Nothing more is heard of hosts' loads.
+    EngineDies(usize),
+    /// Nothing more is heard of engines' loads.
     ReportsStop,
     /// So much more of all requests is harmed, whoever answers.
     Burst(f64),
@@ -96,7 +96,7 @@
             Trouble::AddVoter(_) => "add-voter",
             Trouble::RemoveVoter(_) => "remove-voter",
             Trouble::ZoneLost(_) => "zone-lost",
-            Trouble::HostDies(_) => "host-dies",
+            Trouble::EngineDies(_) => "host-dies",
             Trouble::ReportsStop => "reports-stop",
             Trouble::Burst(_) => "burst",
         }
--- a/crates/faults/src/duties/draw_release.rs
+++ b/crates/faults/src/duties/draw_release.rs
@@ -29,11 +29,11 @@
 }
 
 /// A fleet with a release and no troubles.
-pub fn quiet(seed: u64, voters: usize, members: usize, hosts: usize, of: Of) -> Plan {
+pub fn quiet(seed: u64, voters: usize, members: usize, engines: usize, of: Of) -> Plan {
     let mut plan = Plan::quiet(seed, voters, members, 1000.0, 60_000.0);
     (plan.targets, plan.tell_every, plan.beat) = (1, 200.0, 100.0);
     plan.release = Some(Play {
-        hosts,
+        engines,
         bounds: (Bounds::default(), Bounds::default()),
         version: Version::Good,
         ops: vec![Op {
@@ -61,16 +61,16 @@
     let mut rng = WyRand::new_seed(seed ^ 0x0e1e_a5e0);
     let large = seed.is_multiple_of(shape.large_every);
     let voters = [3, 3, 5][rng.generate_range(0..3usize)];
-    let (members, hosts) = match large {
+    let (members, engines) = match large {
         true => (300, 100),
         false => (voters + rng.generate_range(3..9usize), 12),
     };
     let of = if rng.generate::<f64>() < 0.65 {
         Of::Dispatchers
     } else {
-        Of::Hosts
+        Of::Engines
     };
-    let mut plan = quiet(seed, voters, members, hosts, of);
+    let mut plan = quiet(seed, voters, members, engines, of);
     plan.lease = [600.0, 1000.0][rng.generate_range(0..2usize)];
     plan.loss = [0.0, 0.0, 0.01, 0.05][rng.generate_range(0..4usize)];
     plan.twice = [0.0, 0.02, 0.1][rng.generate_range(0..3usize)];
@@ -96,18 +96,18 @@
     if bounds.fleet.number < bounds.zone.number {
         bounds.zone.number = bounds.fleet.number;
     }
-    let mut of_hosts = bounds;
-    of_hosts.cell = if chance() < 0.5 && !large {
+    let mut of_engines = bounds;
+    of_engines.cell = if chance() < 0.5 && !large {
         most(1, 1000)
     } else {
         Most::ALL
     };
-    of_hosts.used_per_mille = if chance() < 0.6 { 800 } else { 1000 };
-    of_hosts.report_age_ms = 1_000;
+    of_engines.used_per_mille = if chance() < 0.6 { 800 } else { 1000 };
+    of_engines.report_age_ms = 1_000;
     let Some(play) = plan.release.as_mut() else {
         return plan;
     };
-    play.bounds = (bounds, of_hosts);
+    play.bounds = (bounds, of_engines);
     play.used = 0.2 + 0.3 * chance();
     play.version = match chance() {
         c if c < 0.6 => Version::Good,
@@ -244,7 +244,7 @@
             22 => Trouble::KillMany(0.7),
             23 => Trouble::KillVoters,
             24 => Trouble::ZoneLost(node),
-            25 | 26 => Trouble::HostDies(node),
+            25 | 26 => Trouble::EngineDies(node),
             27 => Trouble::ReportsStop,
             28 => Trouble::Burst(0.2 + 0.4 * chance),
             _ => Trouble::DiskFails,
--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -127,7 +127,7 @@
         node: usize,
         starts: u64,
     },
-    Host {
+    Engine {
         at: usize,
         number: u64,
         back: bool,
@@ -215,7 +215,7 @@
     rebuilding: Option<(u64, Ms)>,
     /// Who is hit by each trouble that is not over.
     hit: BTreeMap<usize, Vec<usize>>,
-    /// Versions, supervisors, hosts and operators, where a release is played.
+    /// Versions, supervisors, engines and operators, where a release is played.
     service: Option<service::Service>,
 }
 
@@ -261,7 +261,7 @@
             }
         });
         let nodes: Vec<Node> = nodes.collect();
-        // The last one keeps the list of model hosts.
+        // The last one keeps the list of engines.
         let keeper = usize::from(plan.release.is_some());
         let targets = (0..plan.targets + keeper).map(|at| {
             let (rate, offset) = clock(plan.drift);
@@ -721,7 +721,7 @@
             What::Fares(node) => self.fares(node),
             What::Watch => self.watch(),
             What::Ended { node, starts } => self.turn_ended(node, starts),
-            What::Host { at, number, back } => self.host_step(at, number, back),
+            What::Engine { at, number, back } => self.engine_step(at, number, back),
             What::Op(number) => self.operate(number),
             What::OpAgain(number, asked) => self.operate_again(number, asked),
             What::Shrink => self.shrink(),
@@ -1047,13 +1047,13 @@
                 for node in hit.clone() {
                     self.kill(node);
                 }
-                for host in (0..self.plan.release.as_ref().map_or(0, |r| r.hosts))
+                for engine in (0..self.plan.release.as_ref().map_or(0, |r| r.engines))
                     .filter(|at| at % 3 == zone % 3)
                 {
-                    self.host_dies(host);
+                    self.engine_dies(engine);
                 }
             }
-            Trouble::HostDies(host) => self.host_dies(*host),
+            Trouble::EngineDies(engine) => self.engine_dies(*engine),
             Trouble::ReportsStop => self.set_reports(false),
             Trouble::Burst(part) => self.set_burst(*part),
             Trouble::AddVoter(node) => {
@@ -1125,7 +1125,7 @@
             Trouble::DiskFails => self.nodes[who].disk.fails = false,
             Trouble::DiskSlow => self.nodes[who].disk.slow = false,
             Trouble::HandOver { .. }
-            | Trouble::HostDies(_)
+            | Trouble::EngineDies(_)
             | Trouble::Sleep
             | Trouble::Stall
             | Trouble::ClockJump(_)
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -1,5 +1,5 @@
-//! A release on the virtual clock: dispatchers with their versions and supervisors, model hosts and the keeper of their
-//! list, operators, and a judge of who was out when. The judge knows the truth: which processes serve, which hosts take
+//! A release on the virtual clock: dispatchers with their versions and supervisors, engines and the keeper of their
+//! list, operators, and a judge of who was out when. The judge knows the truth: which processes serve, which engines take
 //! work, what the voters' files hold; never what a member thinks.
 
 use super::*;
@@ -7,7 +7,7 @@
 use cindercleat::fleet::conduct::Told;
 use cindercleat::fleet::member::{Fares, ReleaseOrder};
 use cindercleat::fleet::release::{Plan as ReleasePlan, TurnNo};
-use cindercleat::fleet::rollcall::HostReport;
+use cindercleat::fleet::rollcall::EngineReport;
 use cindercleat::interface::Role;
 use std::collections::BTreeSet;
 
@@ -46,7 +46,7 @@
 /// A release to be played.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Play {
-    pub hosts: usize,
+    pub engines: usize,
     pub bounds: (Bounds, Bounds),
     pub version: Version,
     pub ops: Vec<Op>,
@@ -61,10 +61,10 @@
     pub harmed: f64,
     /// The supervisor of this node starts the old version, once.
     pub wrong_label: Option<usize>,
-    /// What is used of hosts, and what it jumps to at a time.
+    /// What is used of engines, and what it jumps to at a time.
     pub used: f64,
     pub jump: Option<(Ms, f64)>,
-    /// Hosts cold for so long after their start.
+    /// Engines cold for so long after their start.
     pub ramp: Ms,
     /// These leave for good at a time.
     pub shrinks: Option<(Ms, Vec<usize>)>,
@@ -116,7 +116,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Host {
+struct Engine {
     name: Name,
     zone: String,
     cell: String,
@@ -129,7 +129,7 @@
     number: u64,
 }
 
-impl Host {
+impl Engine {
     fn at(&self, now: Ms) -> (Ms, Stand, Option<Ms>) {
         self.told
             .iter()
@@ -156,7 +156,7 @@
 pub(super) struct Service {
     play: Play,
     pub(super) nodes: Vec<Serving>,
-    hosts: Vec<Host>,
+    engines: Vec<Engine>,
     doing: Vec<Doing>,
     /// Voters whose files have had each turn.
     filed: BTreeMap<TurnNo, BTreeSet<usize>>,
@@ -197,7 +197,7 @@
             removed: false,
             was_in: false,
         };
-        let host = |at: usize| Host {
+        let engine = |at: usize| Engine {
             name: Name::from(format!("h{at}").as_str()),
             zone: format!("z{}", at % 3),
             cell: format!("c{}", at / 6),
@@ -221,7 +221,7 @@
         };
         Service {
             nodes: (0..plan.members).map(serving).collect(),
-            hosts: (0..play.hosts).map(host).collect(),
+            engines: (0..play.engines).map(engine).collect(),
             doing: play.ops.iter().map(doing).collect(),
             filed: BTreeMap::new(),
             asked_back: BTreeSet::new(),
@@ -249,11 +249,11 @@
             .map_or(self.play.used, |(_, used)| used)
     }
 
-    /// What is used of each ready host of a role: the fleet's work over those that are ready.
+    /// What is used of each ready engine of a role: the fleet's work over those that are ready.
     fn used_of(&self, now: Ms, role: Role, less: u32) -> f64 {
-        let all = self.hosts.iter().filter(|h| h.role == role).count() as f64;
+        let all = self.engines.iter().filter(|h| h.role == role).count() as f64;
         let ready = self
-            .hosts
+            .engines
             .iter()
             .filter(|h| h.role == role && h.now().1 == Stand::In)
             .count() as f64;
@@ -356,12 +356,12 @@
         let ready = now >= service.nodes[node].ready_at && service.nodes[node].ending.is_none();
         let mut reports = Vec::new();
         if service.reports && is_in {
-            for n in 0..service.hosts.len().min(4) {
-                let at = (draws[2] * service.hosts.len() as f64) as usize + n;
-                let host = &service.hosts[at % service.hosts.len()];
-                if host.now().1 == Stand::In {
-                    let used = service.used_of(now, host.role, 0);
-                    let bad = if host.new {
+            for n in 0..service.engines.len().min(4) {
+                let at = (draws[2] * service.engines.len() as f64) as usize + n;
+                let engine = &service.engines[at % service.engines.len()];
+                if engine.now().1 == Stand::In {
+                    let used = service.used_of(now, engine.role, 0);
+                    let bad = if engine.new {
                         bad_of(service.play.version)
                     } else {
                         0.0
@@ -372,8 +372,8 @@
                         bounced: harmed,
                         ..Tally::default()
                     };
-                    reports.push(HostReport {
-                        host: host.name.clone(),
+                    reports.push(EngineReport {
+                        engine: engine.name.clone(),
                         used: Some((used, 50.0)),
                         tally,
                     });
@@ -386,7 +386,7 @@
             tally: service.nodes[node].tally,
             reports,
         };
-        let hosts = member.wants_hosts().then(|| self.units(node));
+        let engines = member.wants_engines().then(|| self.units(node));
         if now
             >= self
                 .service
@@ -397,12 +397,12 @@
             return self.dies(node);
         }
         self.give(node, Input::Fares(fares));
-        if let Some(hosts) = hosts {
-            self.give(node, Input::Hosts(hosts));
+        if let Some(engines) = engines {
+            self.give(node, Input::Engines(engines));
         }
     }
 
-    /// The model hosts as a node's list has them: late, and without those that were gone before it started.
+    /// The engines as a node's list has them: late, and without those that were gone before it started.
     fn units(&self, node: usize) -> Vec<Unit> {
         let Some(service) = &self.service else {
             return Vec::new();
@@ -410,8 +410,8 @@
         let serving = &service.nodes[node];
         let began = serving.ready_at - service.play.starts;
         let seen = self.now - LIST_LATE;
-        let unit = |host: &Host| {
-            let (at, stand, started) = host.at(seen);
+        let unit = |engine: &Engine| {
+            let (at, stand, started) = engine.at(seen);
             if stand == Stand::Out && at < began {
                 return None;
             }
@@ -422,25 +422,25 @@
                 stand
             };
             Some(Unit {
-                name: host.name.clone(),
+                name: engine.name.clone(),
                 run: Run(started.map_or(0, f64::to_bits)),
                 address: Address::from("host"),
-                zone: host.zone.clone(),
-                cell: host.cell.clone(),
-                kind: if host.role == Role::Reader {
+                zone: engine.zone.clone(),
+                cell: engine.cell.clone(),
+                kind: if engine.role == Role::Reader {
                     "reader"
                 } else {
                     "writer"
                 }
                 .to_owned(),
-                role: Some(host.role),
+                role: Some(engine.role),
                 label: String::new(),
                 stand,
                 used: None,
                 tally: Tally::default(),
             })
         };
-        service.hosts.iter().filter_map(unit).collect()
+        service.engines.iter().filter_map(unit).collect()
     }
 
     /// A process of a bad version dies by itself; its supervisor starts it again as it was.
@@ -499,49 +499,49 @@
         }
     }
 
-    /// The keeper of the list obeyed: a model host drains.
+    /// The keeper of the list obeyed: an engine drains.
     pub(super) fn keeper_told(&mut self, told: &Told) {
         let Some(at) = self
             .service
             .as_ref()
-            .and_then(|s| s.hosts.iter().position(|h| h.name == told.who))
+            .and_then(|s| s.engines.iter().position(|h| h.name == told.who))
         else {
             return;
         };
         let Some(service) = &self.service else { return };
-        let (_, stand, started) = service.hosts[at].now();
+        let (_, stand, started) = service.engines[at].now();
         let asked_back = service.asked_back.contains(&told.number);
         if asked_back || stand != Stand::In || started.map_or(0, f64::to_bits) != told.run.0 {
             return self.met("host's turn that was had");
         }
         self.met("host drained");
-        self.judge_out(Of::Hosts, at);
+        self.judge_out(Of::Engines, at);
         self.judge_turn(told.number, "");
-        self.host_goes(at, true, told.stays, Some(told.label.as_str()));
+        self.engine_goes(at, true, told.stays, Some(told.label.as_str()));
     }
 
-    fn host_goes(&mut self, at: usize, planned: bool, stays: bool, label: Option<&str>) {
+    fn engine_goes(&mut self, at: usize, planned: bool, stays: bool, label: Option<&str>) {
         let now = self.now;
         let chance = 0.5 + self.chance();
         let Some(service) = &mut self.service else {
             return;
         };
         let (drains, away) = (service.play.drains * chance, service.play.away * chance);
-        let host = &mut service.hosts[at];
-        let started = host.now().2;
-        host.planned |= planned;
+        let engine = &mut service.engines[at];
+        let started = engine.now().2;
+        engine.planned |= planned;
         if let Some(label) = label {
-            host.new = label != "v1" && !label.is_empty();
+            engine.new = label != "v1" && !label.is_empty();
         }
-        host.number += 1;
-        let number = host.number;
+        engine.number += 1;
+        let number = engine.number;
         if planned {
-            host.told.push((now, Stand::Going, started));
+            engine.told.push((now, Stand::Going, started));
         }
         let gone = if planned { now + drains } else { now };
         self.push(
             gone,
-            What::Host {
+            What::Engine {
                 at,
                 number,
                 back: false,
@@ -550,7 +550,7 @@
         if !stays {
             self.push(
                 gone + away,
-                What::Host {
+                What::Engine {
                     at,
                     number,
                     back: true,
@@ -559,39 +559,39 @@
         }
     }
 
-    pub(super) fn host_step(&mut self, at: usize, number: u64, back: bool) {
+    pub(super) fn engine_step(&mut self, at: usize, number: u64, back: bool) {
         let now = self.now;
         let Some(service) = &mut self.service else {
             return;
         };
-        let host = &mut service.hosts[at];
-        if host.number != number {
+        let engine = &mut service.engines[at];
+        if engine.number != number {
             return;
         }
-        let started = host.now().2;
-        host.told.push(if back {
+        let started = engine.now().2;
+        engine.told.push(if back {
             (now, Stand::In, Some(now))
         } else {
             (now, Stand::Out, started)
         });
     }
 
-    /// A model host that fails by itself, and comes back cold.
-    pub(super) fn host_dies(&mut self, at: usize) {
-        if self.service.as_ref().is_some_and(|s| !s.hosts.is_empty()) {
-            let at = at % self.service.as_ref().map_or(1, |s| s.hosts.len());
+    /// An engine that fails by itself, and comes back cold.
+    pub(super) fn engine_dies(&mut self, at: usize) {
+        if self.service.as_ref().is_some_and(|s| !s.engines.is_empty()) {
+            let at = at % self.service.as_ref().map_or(1, |s| s.engines.len());
             self.met("host died");
-            self.host_goes(at, false, false, None);
+            self.engine_goes(at, false, false, None);
         }
     }
 
-    /// Whether a host's turn has begun, as its list's keeper knows.
+    /// Whether an engine's turn has begun, as its list's keeper knows.
     pub(super) fn keeper_asked_back(&mut self, turn: TurnNo, who: &Name, run: Run) -> bool {
         let Some(service) = &mut self.service else {
             return true;
         };
-        let host = service.hosts.iter().find(|h| h.name == *who);
-        let begun = host.is_none_or(|h| {
+        let engine = service.engines.iter().find(|h| h.name == *who);
+        let begun = engine.is_none_or(|h| {
             let (_, stand, started) = h.now();
             stand != Stand::In || started.map_or(0, f64::to_bits) != run.0
         });
@@ -683,13 +683,13 @@
                 serving.out_since.get_or_insert(now);
             }
         }
-        for host in &mut service.hosts {
-            let (_, stand, started) = host.now();
+        for engine in &mut service.engines {
+            let (_, stand, started) = engine.now();
             let cold = started.is_some_and(|at| now < at + ramp);
             if stand == Stand::In && !cold {
-                (host.out_since, host.planned) = (None, false);
+                (engine.out_since, engine.planned) = (None, false);
             } else {
-                host.out_since.get_or_insert(now);
+                engine.out_since.get_or_insert(now);
             }
         }
         let label = |label: &str| {
@@ -741,12 +741,12 @@
                     nodes.map(|(at, n)| (at, at == who || out(n))).collect(),
                 )
             }
-            Of::Hosts => {
-                let out = |h: &Host| h.planned || long(h.out_since);
-                let hosts = service.hosts.iter().enumerate();
+            Of::Engines => {
+                let out = |h: &Engine| h.planned || long(h.out_since);
+                let engines = service.engines.iter().enumerate();
                 (
                     service.play.bounds.1,
-                    hosts.map(|(at, h)| (at, at == who || out(h))).collect(),
+                    engines.map(|(at, h)| (at, at == who || out(h))).collect(),
                 )
             }
         };
@@ -766,9 +766,9 @@
         check(format!("zone {zone}"), bounds.zone, &|at| {
             zone_of(at) == zone
         });
-        if of == Of::Hosts {
-            let (cell, role) = (service.hosts[who].cell.clone(), service.hosts[who].role);
-            let in_cell = |at: usize| service.hosts[at].cell == cell && zone_of(at) == zone;
+        if of == Of::Engines {
+            let (cell, role) = (service.engines[who].cell.clone(), service.engines[who].role);
+            let in_cell = |at: usize| service.engines[at].cell == cell && zone_of(at) == zone;
             check(format!("cell {cell}"), bounds.cell, &in_cell);
             // What those left have to bear, with what is known of late: a load that has been so for long.
             let before = now - window - bounds.report_age_ms as f64;
@@ -778,7 +778,7 @@
                 wrong.push(format!("those left are used to {load:.2}"));
             }
         }
-        let name = if of == Of::Hosts {
+        let name = if of == Of::Engines {
             format!("h{who}")
         } else {
             format!("d{who}")
@@ -814,10 +814,10 @@
                     .map(line)
                     .collect()
             }
-            Of::Hosts => {
-                let line = |h: &Host| format!("{} {:?} planned {}", h.name.0, h.now(), h.planned);
+            Of::Engines => {
+                let line = |h: &Engine| format!("{} {:?} planned {}", h.name.0, h.now(), h.planned);
                 service
-                    .hosts
+                    .engines
                     .iter()
                     .filter(|h| h.out_since.is_some())
                     .map(line)
--- a/crates/faults/src/duties/small_release.rs
+++ b/crates/faults/src/duties/small_release.rs
@@ -109,7 +109,7 @@
         let dispatchers = state.members.iter().enumerate().map(unit).collect();
         View {
             dispatchers,
-            hosts: Vec::new(),
+            engines: Vec::new(),
             whole: true,
         }
     }
--- a/crates/faults/src/fleet.rs
+++ b/crates/faults/src/fleet.rs
@@ -3,10 +3,10 @@
 use crate::plan::{Day, Fault, Trouble};
 use cindercleat_net::sky::{Sky, Weather};
 use cindercleat_net::{Clock, Listener, Ms, Transport};
-use cindercleat_protocol::v1::HostCondition;
+use cindercleat_protocol::v1::EndpointStatus;
 use cindercleat_standin::client::Clients;
+use cindercleat_standin::engine::{Engine, Troubles};
 use cindercleat_standin::feed::Feed;
-use cindercleat_standin::host::{Host, Troubles};
 use cindercleat_standin::transcript::Transcript;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -47,7 +47,7 @@
 
 /// Stand-ins of a fleet.
 pub struct Fleet<T, C> {
-    pub hosts: BTreeMap<String, Host<T, C>>,
+    pub engines: BTreeMap<String, Engine<T, C>>,
     pub feed: Feed<C>,
     pub feed_address: String,
     pub clock: C,
@@ -70,23 +70,23 @@
         let listener = transport.listen(&address).await?;
         let feed_address = listener.address();
         spawn_local(feed.clone().serve::<T>(listener));
-        let mut hosts = BTreeMap::new();
-        for (at, spec) in day.hosts.iter().enumerate() {
+        let mut engines = BTreeMap::new();
+        for (at, spec) in day.engines.iter().enumerate() {
             let seed = day.seed.wrapping_mul(31).wrapping_add(at as u64);
             let (transport, address) = place(&spec.name, &spec.zone);
-            let host = Host::new(
+            let engine = Engine::new(
                 spec.clone(),
                 transport,
                 clock.clone(),
                 transcript.clone(),
                 seed,
             );
-            host.start(&address, true).await?;
-            feed.tell(host.line(HostCondition::Ready));
-            hosts.insert(spec.name.clone(), host);
+            engine.start(&address, true).await?;
+            feed.tell(engine.line(EndpointStatus::Ready));
+            engines.insert(spec.name.clone(), engine);
         }
         Ok(Fleet {
-            hosts,
+            engines,
             feed,
             feed_address,
             clock,
@@ -111,47 +111,49 @@
     let clock = fleet.clock.clone();
     clock.sleep_until(begin + fault.at).await;
     let over = begin + fault.at + fault.length;
-    let hosts: Vec<Host<T, C>> = fault
+    let engines: Vec<Engine<T, C>> = fault
         .whom
         .iter()
-        .filter_map(|name| fleet.hosts.get(name))
+        .filter_map(|name| fleet.engines.get(name))
         .cloned()
         .collect();
-    let all = |change: &dyn Fn(&mut Troubles)| hosts.iter().for_each(|h| h.trouble(change));
+    let all = |change: &dyn Fn(&mut Troubles)| engines.iter().for_each(|h| h.trouble(change));
     match &fault.trouble {
         Trouble::Die | Trouble::Drain | Trouble::DieBeforeEnd | Trouble::Vanish => {
             if let (Trouble::Vanish, Some(sky)) = (&fault.trouble, &sky) {
-                hosts.iter().for_each(|h| sky.silence(h.name(), true, true));
+                engines
+                    .iter()
+                    .for_each(|h| sky.silence(h.name(), true, true));
             }
             if fault.trouble == Trouble::Drain {
                 all(&|t| t.draining = true);
-                hosts.iter().for_each(Host::go_away);
-                hosts
+                engines.iter().for_each(Engine::go_away);
+                engines
                     .iter()
-                    .for_each(|h| fleet.feed.change(h.line(HostCondition::Draining)));
+                    .for_each(|h| fleet.feed.change(h.line(EndpointStatus::Draining)));
             } else if fault.trouble == Trouble::DieBeforeEnd {
                 all(&|t| t.dies_before_end = true);
-                while clock.now() < over && hosts.iter().any(Host::runs) {
+                while clock.now() < over && engines.iter().any(Engine::runs) {
                     clock.sleep_until(clock.now() + 5.0).await;
                 }
-                hosts
+                engines
                     .iter()
-                    .for_each(|h| fleet.feed.change(h.line(HostCondition::Gone)));
+                    .for_each(|h| fleet.feed.change(h.line(EndpointStatus::Gone)));
             } else {
-                hosts.iter().for_each(|h| {
+                engines.iter().for_each(|h| {
                     h.die();
-                    fleet.feed.change(h.line(HostCondition::Gone));
+                    fleet.feed.change(h.line(EndpointStatus::Gone));
                 });
             }
             clock.sleep_until(over).await;
-            for host in &hosts {
-                if host.runs() {
-                    host.die();
+            for engine in &engines {
+                if engine.runs() {
+                    engine.die();
                 }
                 // The old listener's socket closes in the turn after its request is dropped.
                 tokio::task::yield_now().await;
-                host.start(&host.address(), false).await?;
-                fleet.feed.change(host.line(HostCondition::Ready));
+                engine.start(&engine.address(), false).await?;
+                fleet.feed.change(engine.line(EndpointStatus::Ready));
             }
         }
         Trouble::Slow(by) => {
@@ -169,7 +171,7 @@
             clock.sleep_until(over).await;
             all(&|t| t.stall_after = None);
         }
-        Trouble::Cut => hosts.iter().for_each(Host::cut),
+        Trouble::Cut => engines.iter().for_each(Engine::cut),
         Trouble::Full(profile) => {
             all(&|t| t.full_for = Some(profile.clone()));
             clock.sleep_until(over).await;
@@ -185,7 +187,7 @@
             clock.sleep_until(over).await;
             all(&|t| t.resets = 0.0);
         }
-        Trouble::GoAway => hosts.iter().for_each(Host::go_away),
+        Trouble::GoAway => engines.iter().for_each(Engine::go_away),
         Trouble::ReportsLate(by) => {
             all(&|t| t.reports_late = *by);
             clock.sleep_until(over).await;
@@ -196,7 +198,7 @@
             clock.sleep_until(over).await;
             all(&|t| t.greets_late = 0.0);
         }
-        Trouble::Forget => hosts.iter().for_each(Host::forget_texts),
+        Trouble::Forget => engines.iter().for_each(Engine::forget_texts),
         Trouble::ListLate(by) => {
             fleet.feed.set_delay(*by);
             clock.sleep_until(over).await;
@@ -239,7 +241,8 @@
         }
         Trouble::Partition(zone) => {
             if let Some(sky) = &sky {
-                let mut zones: Vec<&str> = fleet.hosts.values().map(|h| &*h.spec().zone).collect();
+                let mut zones: Vec<&str> =
+                    fleet.engines.values().map(|h| &*h.spec().zone).collect();
                 zones.push(CLIENTS);
                 let set = |on| {
                     for other in zones.iter().filter(|other| *other != zone) {
@@ -254,14 +257,16 @@
         }
         Trouble::HalfOpen { from, to } => {
             if let Some(sky) = &sky {
-                hosts.iter().for_each(|h| sky.silence(h.name(), *from, *to));
+                engines
+                    .iter()
+                    .for_each(|h| sky.silence(h.name(), *from, *to));
             }
         }
         Trouble::Hang => {
             if let Some(sky) = &sky {
-                hosts.iter().for_each(|h| sky.hang(&h.address(), true));
+                engines.iter().for_each(|h| sky.hang(&h.address(), true));
                 clock.sleep_until(over).await;
-                hosts.iter().for_each(|h| sky.hang(&h.address(), false));
+                engines.iter().for_each(|h| sky.hang(&h.address(), false));
             }
         }
         Trouble::Lag(by) => {
--- a/crates/faults/src/model.rs
+++ b/crates/faults/src/model.rs
@@ -3,7 +3,7 @@
 //! order of things, so a breach is known at the message that makes it.
 //!
 //! A request is known by its key, which its tries, attempts and runs carry. What a dispatcher may believe is taken
-//! from what was said to it: an attempt has not run if its host said so (`full`, `no state`), and may have otherwise.
+//! from what was said to it: an attempt has not run if its engine said so (`full`, `no state`), and may have otherwise.
 
 use cindercleat_protocol::{v1, Body};
 use cindercleat_standin::transcript::{Note, Record, Way, What};
@@ -16,7 +16,7 @@
     Always,
     /// Never.
     Never,
-    /// The hosts themselves see to it.
+    /// The engines themselves see to it.
     Numbered,
 }
 
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 struct Request {
     profile: String,
-    /// Writes that a host took in and gave no end to, by host.
+    /// Writes that an engine took in and gave no end to, by engine.
     out: BTreeMap<Stream, String>,
     /// Writes that ended other than by proof that nothing ran.
     may_have_run: usize,
@@ -54,7 +54,7 @@
     most_attempts: u32,
     tries: BTreeMap<Stream, Try>,
     requests: BTreeMap<String, Request>,
-    /// Launches that hosts took in: whose they are, and whether they write.
+    /// Launches that engines took in: whose they are, and whether they write.
     taken: BTreeMap<Stream, (String, bool)>,
     pub breaches: Vec<String>,
     /// Kinds of steps that were met, so that a run which met little is seen to prove little.
@@ -192,14 +192,14 @@
                 Some(format!("{key} is bounced and may have run"))
             }
             "bounced" if again == Again::Never && !request.out.is_empty() => {
-                let hosts: Vec<&String> = request.out.values().collect();
-                Some(format!("{key} is bounced and is out at {hosts:?}"))
+                let engines: Vec<&String> = request.out.values().collect();
+                Some(format!("{key} is bounced and is out at {engines:?}"))
             }
             _ => None,
         }
     }
 
-    /// A host takes an attempt in.
+    /// An engine takes an attempt in.
     fn attempted(
         &mut self,
         stream: Stream,
@@ -210,7 +210,7 @@
         self.meet(if writes.is_some() { "write" } else { "read" });
         let again = writes.map(|profile| self.again(profile));
         let most = self.most_attempts;
-        let host = stream.0.clone();
+        let engine = stream.0.clone();
         self.taken
             .insert(stream.clone(), (key.to_owned(), writes.is_some()));
         let request = self.requests.get_mut(key)?;
@@ -227,13 +227,13 @@
         }
         writes?;
         if again == Some(Again::Never) && (request.may_have_run > 0 || !request.out.is_empty()) {
-            return Some(format!("{key} goes to {host} and may have run"));
+            return Some(format!("{key} goes to {engine} and may have run"));
         }
-        request.out.insert(stream, host);
+        request.out.insert(stream, engine);
         None
     }
 
-    /// A host ends an attempt.
+    /// An engine ends an attempt.
     fn ended(&mut self, stream: Stream, ended: &v1::Ended) -> Option<String> {
         let (key, writes) = self.taken.remove(&stream)?;
         let request = self.requests.get_mut(&key)?;
@@ -282,8 +282,8 @@
         }
     }
 
-    fn died(&mut self, host: &str) {
-        self.lose(|stream| stream.0 == host);
+    fn died(&mut self, engine: &str) {
+        self.lose(|stream| stream.0 == engine);
     }
 
     fn lose(&mut self, lost: impl Fn(&Stream) -> bool) {
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -4,7 +4,7 @@
 use cindercleat_dispatcher::Service;
 use cindercleat_standin::audit::Rules;
 use cindercleat_standin::client::Habits;
-use cindercleat_standin::host::HostSpec;
+use cindercleat_standin::engine::EngineSpec;
 use std::collections::BTreeSet;
 
 /// A day.
@@ -14,7 +14,7 @@
     pub seed: u64,
     pub service: Service,
     pub dispatchers: u32,
-    pub hosts: Vec<HostSpec>,
+    pub engines: Vec<EngineSpec>,
     pub habits: Habits,
     /// How late the list feed tells changes.
     pub list_delay: Ms,
@@ -27,7 +27,7 @@
     pub at: Ms,
     pub length: Ms,
     pub trouble: Trouble,
-    /// Hosts' names, or dispatchers' numbers in words.
+    /// Engines' names, or dispatchers' numbers in words.
     pub whom: Vec<String>,
 }
 
@@ -63,18 +63,18 @@
     LongPrompts(f64, f64),
     /// Clients ask again at once.
     Impatient,
-    /// New connections to a host are greeted late.
+    /// New connections to an engine are greeted late.
     GreetLate(Ms),
     /// Nothing passes between a zone and the others. This and the next six only on the virtual clock.
     Partition(String),
-    /// What a host says on its connections does not arrive, or what is said to it, or neither; nobody is told.
+    /// What an engine says on its connections does not arrive, or what is said to it, or neither; nobody is told.
     HalfOpen {
         from: bool,
         to: bool,
     },
-    /// A host is gone without a word, as with its machine; then as `Die`.
+    /// An engine is gone without a word, as with its machine; then as `Die`.
     Vanish,
-    /// Connects to a host get no answer.
+    /// Connects to an engine get no answer.
     Hang,
     /// Everything takes so much longer, with as much chance again.
     Lag(Ms),
@@ -85,7 +85,7 @@
 }
 
 impl Trouble {
-    /// Whether it befalls the service and not some hosts or dispatchers.
+    /// Whether it befalls the service and not some engines or dispatchers.
     pub fn is_service_wide(&self) -> bool {
         use Trouble::*;
         matches!(
@@ -102,7 +102,7 @@
         )
     }
 
-    /// Whether it befalls dispatchers and not hosts.
+    /// Whether it befalls dispatchers and not engines.
     pub fn is_dispatchers(&self) -> bool {
         matches!(self, Trouble::Kill | Trouble::Stop | Trouble::ClockStep(_))
     }
@@ -169,7 +169,7 @@
         slack,
         silences: Vec::new(),
         apart: Vec::new(),
-        token_ms: day.hosts.iter().map(|h| h.token_ms).fold(0.0, f64::max),
+        token_ms: day.engines.iter().map(|h| h.token_ms).fold(0.0, f64::max),
         // Two thirds of their class's share on a quiet day, half on others.
         largest_part: Some(if day.faults.is_empty() {
             2.0 / 3.0
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -28,7 +28,7 @@
 const BEGIN: Ms = 1_000_000.0;
 /// After the last fault: requests are sent to see when the service is what it was.
 const PROBE_EVERY: Ms = 100.0;
-/// It must be, by then: connects that wait, cold hosts that warm up, a list that is fetched anew.
+/// It must be, by then: connects that wait, cold engines that warm up, a list that is fetched anew.
 const RECOVERED_WITHIN: Ms = 6_000.0;
 const PROBE_KEY: &str = "recovery";
 
@@ -294,7 +294,7 @@
     let recovery = recovering.await.map_err(io::Error::other)?;
     // What would stay pinned shows itself.
     let holds = day
-        .hosts
+        .engines
         .iter()
         .map(|h| h.hold)
         .fold(day.service.policy.release, f64::max);
@@ -316,7 +316,7 @@
             );
         }
     }
-    let states: usize = fleet.hosts.values().map(|h| h.states()).sum();
+    let states: usize = fleet.engines.values().map(|h| h.states()).sum();
     if states > 0 {
         breach("LeftOver", format!("{states} states are held at the end"));
     }
@@ -390,7 +390,7 @@
         Rule::RequestLost => "TaskLost",
         Rule::EffectTwice => "EffectTwice",
         Rule::DrainBroken => "DrainBroken",
-        Rule::ColdHostPushed => "ColdHostPushed",
+        Rule::ColdEnginePushed => "ColdHostPushed",
         Rule::LeftPinned => "LeftPinned",
         Rule::AttemptForNobody => "AttemptForNobody",
         Rule::EventLate => "EventLate",
@@ -522,12 +522,12 @@
         Body::Release(m) => format!("release{}", state(&m.state)),
         Body::Fetch(m) => format!("fetch{}", state(&m.state)),
         Body::List(m) => {
-            let hosts: Vec<String> = m
-                .hosts
+            let engines: Vec<String> = m
+                .engines
                 .iter()
-                .map(|h| format!("{} {:?}", h.host, h.condition()))
+                .map(|h| format!("{} {:?}", h.engine, h.condition()))
                 .collect();
-            format!("list {}", hosts.join(", "))
+            format!("list {}", engines.join(", "))
         }
         Body::Goodbye(m) => format!("goodbye {}", m.reason),
         other => cindercleat_protocol::name_of(Some(other)).to_owned(),
--- a/crates/faults/tests/named.rs
+++ b/crates/faults/tests/named.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_dispatcher_restarts_at_the_instant_a_host_drains() {
+fn a_dispatcher_restarts_at_the_instant_an_engine_drains() {
     for beside in [-1.0, 0.0, 1.0] {
         let drain = at(3000.0, Trouble::Drain, &["writer-1"], 2000.0);
         let again = at(
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_host_is_back_under_its_name_within_the_connect_timeout() {
+fn an_engine_is_back_under_its_name_within_the_connect_timeout() {
     for length in [1.0, 100.0, 249.0, 251.0] {
         let die = at(3000.0, Trouble::Die, &["writer-1", "reader-2"], length);
         let vanish = at(6000.0, Trouble::Vanish, &["writer-2", "reader-1"], length);
--- a/crates/faults/tests/releases.rs
+++ b/crates/faults/tests/releases.rs
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn twelve_hosts_turn_and_all_come_back() {
-    let (played, released) = with(Of::Hosts, 1, |_| {});
+fn twelve_engines_turn_and_all_come_back() {
+    let (played, released) = with(Of::Engines, 1, |_| {});
     println!("{:?} {released:?}", played.met);
     assert_eq!((released.state.as_str(), released.begun), ("done", 12));
 }
@@ -171,8 +171,8 @@
 }
 
 #[test]
-fn a_host_that_is_never_listed_again_halts_the_drain() {
-    let (_, released) = with(Of::Hosts, 10, |plan| release(plan).away = 1e9);
+fn an_engine_that_is_never_listed_again_halts_the_drain() {
+    let (_, released) = with(Of::Engines, 10, |plan| release(plan).away = 1e9);
     assert_eq!((released.state.as_str(), released.begun), ("halted", 1));
     assert!(
         released.why.contains("is not back within its time"),
@@ -181,8 +181,8 @@
 }
 
 #[test]
-fn with_all_reports_old_no_host_goes() {
-    let (_, released) = with(Of::Hosts, 11, |plan| {
+fn with_all_reports_old_no_engine_goes() {
+    let (_, released) = with(Of::Engines, 11, |plan| {
         release(plan).bounds.1.used_per_mille = 900;
         release(plan).bounds.1.report_age_ms = 1_000;
         plan.troubles
@@ -194,7 +194,7 @@
 
 #[test]
 fn a_plan_that_names_what_is_not_there_changes_nothing() {
-    let (played, released) = with(Of::Hosts, 12, |plan| {
+    let (played, released) = with(Of::Engines, 12, |plan| {
         if let Act::Start(of) = &mut release(plan).ops[0].act {
             of.names = vec!["h1".into(), "nobody".into()];
         }
--- a/crates/faults/tests/releases_figures.rs
+++ b/crates/faults/tests/releases_figures.rs
@@ -95,7 +95,7 @@
         ("300 dispatchers, all at once", Of::Dispatchers, 1000, 300),
         (
             "100 hosts, a tenth at most, waves from 1",
-            Of::Hosts,
+            Of::Engines,
             100,
             1,
         ),
--- a/crates/fleet/src/care_words.rs
+++ b/crates/fleet/src/care_words.rs
@@ -6,7 +6,7 @@
 use cindercleat::fleet::release::{
     Care, Plan, Release, Turn, TurnNo, MOST_LEFT, MOST_NAMES, MOST_NOTES, MOST_TURNS,
 };
-use cindercleat::fleet::rollcall::HostReport;
+use cindercleat::fleet::rollcall::EngineReport;
 use cindercleat::fleet::{Address, Name, Run};
 use cindercleat_protocol::v1;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,9 +17,9 @@
 /// Longest reason.
 const MOST_WORDS: usize = 1024;
 
-fn of_in(hosts: bool) -> Of {
-    if hosts {
-        Of::Hosts
+fn of_in(engines: bool) -> Of {
+    if engines {
+        Of::Engines
     } else {
         Of::Dispatchers
     }
@@ -82,25 +82,25 @@
     }
 }
 
-pub(crate) fn report_out(report: &HostReport) -> v1::FleetHostReport {
-    v1::FleetHostReport {
-        host: report.host.0.to_string(),
+pub(crate) fn report_out(report: &EngineReport) -> v1::FleetEngineReport {
+    v1::FleetEngineReport {
+        engine: report.engine.0.to_string(),
         used: report.used.map(|(used, _)| used),
         age_ms: report.used.map_or(0.0, |(_, age)| age),
         tally: Some(tally_out(&report.tally)),
     }
 }
 
-pub(crate) fn reports_in(said: &[v1::FleetHostReport]) -> Option<Vec<HostReport>> {
-    let report = |r: &v1::FleetHostReport| {
+pub(crate) fn reports_in(said: &[v1::FleetEngineReport]) -> Option<Vec<EngineReport>> {
+    let report = |r: &v1::FleetEngineReport| {
         let used = match r.used {
             Some(used) => {
                 Some((used, r.age_ms)).filter(|(u, a)| u.is_finite() && a.is_finite() && *a >= 0.0)
             }
             None => None,
         };
-        Some(HostReport {
-            host: name(&r.host)?,
+        Some(EngineReport {
+            engine: name(&r.engine)?,
             used,
             tally: tally_in(r.tally.as_ref()),
         })
@@ -157,7 +157,7 @@
 fn turn_out((number, turn): (&TurnNo, &Turn)) -> v1::FleetTurn {
     v1::FleetTurn {
         number: number.0,
-        host: turn.of == Of::Hosts,
+        engine: turn.of == Of::Engines,
         who: turn.who.0.to_string(),
         run: turn.run.0,
         address: turn.address.0.to_string(),
@@ -170,7 +170,7 @@
 
 fn turn_in(said: &v1::FleetTurn) -> Option<(TurnNo, Turn)> {
     let turn = Turn {
-        of: of_in(said.host),
+        of: of_in(said.engine),
         who: name(&said.who)?,
         run: Run(said.run),
         address: Address::from(word(&said.address)?.as_str()),
@@ -185,7 +185,7 @@
 pub(crate) fn plan_out(plan: &Plan) -> v1::FleetPlan {
     v1::FleetPlan {
         name: plan.name.clone(),
-        hosts: plan.of == Of::Hosts,
+        engines: plan.of == Of::Engines,
         label: plan.label.clone(),
         before: plan.before.clone(),
         zones: plan.zones.clone(),
@@ -214,7 +214,7 @@
     (said.first > 0 && said.grow_per_mille >= 1000).then_some(())?;
     Some(Plan {
         name: text(&said.name)?.to_owned(),
-        of: of_in(said.hosts),
+        of: of_in(said.engines),
         label: word(&said.label)?,
         before: word(&said.before)?,
         zones: list(&said.zones)?,
@@ -316,7 +316,7 @@
         halted: care.halted.clone(),
         resumed: care.resumed,
         dispatchers: sizes_out(&care.dispatchers),
-        hosts: sizes_out(&care.hosts),
+        engines: sizes_out(&care.engines),
         notes: care.notes.clone(),
     })
 }
@@ -343,7 +343,7 @@
         halted,
         resumed: said.resumed,
         dispatchers: sizes_in(&said.dispatchers)?,
-        hosts: sizes_in(&said.hosts)?,
+        engines: sizes_in(&said.engines)?,
         notes: few(&said.notes, MOST_NOTES)?
             .iter()
             .map(|n| words(n))
@@ -363,7 +363,7 @@
         ReleaseOrder::Back => Q::Back(v1::FleetBack {}),
         ReleaseOrder::End => Q::End(v1::FleetEnd {}),
         ReleaseOrder::Recount { of } => Q::Recount(v1::FleetRecount {
-            hosts: *of == Of::Hosts,
+            engines: *of == Of::Engines,
         }),
         ReleaseOrder::Turn {
             name,
@@ -394,7 +394,9 @@
         Q::Resume(_) => ReleaseOrder::Resume,
         Q::Back(_) => ReleaseOrder::Back,
         Q::End(_) => ReleaseOrder::End,
-        Q::Recount(m) => ReleaseOrder::Recount { of: of_in(m.hosts) },
+        Q::Recount(m) => ReleaseOrder::Recount {
+            of: of_in(m.engines),
+        },
         Q::WantTurn(m) => ReleaseOrder::Turn {
             name: name(&m.name)?,
             label: word(&m.label)?,
@@ -418,14 +420,14 @@
 pub(crate) fn ask_back_out(turn: TurnNo, of: Of, who: &Name, run: Run) -> Q {
     Q::AskBack(v1::FleetAskBack {
         turn: turn.0,
-        host: of == Of::Hosts,
+        engine: of == Of::Engines,
         who: who.0.to_string(),
         run: run.0,
     })
 }
 
 pub(crate) fn ask_back_in(m: &v1::FleetAskBack) -> Option<(TurnNo, Of, Name, Run)> {
-    Some((TurnNo(m.turn), of_in(m.host), name(&m.who)?, Run(m.run)))
+    Some((TurnNo(m.turn), of_in(m.engine), name(&m.who)?, Run(m.run)))
 }
 
 pub(crate) fn status_out(status: &CareStatus) -> v1::FleetCareStatus {
@@ -446,7 +448,7 @@
     };
     v1::FleetCareStatus {
         name: status.name.clone(),
-        hosts: status.of == Of::Hosts,
+        engines: status.of == Of::Engines,
         state: status.state.clone(),
         halted: status.halted.clone(),
         why: status.why.clone(),
@@ -478,7 +480,7 @@
     let room = |r: &v1::FleetRoom| Some((word(&r.zone)?, r.out, r.most));
     Some(CareStatus {
         name: word(&said.name)?,
-        of: of_in(said.hosts),
+        of: of_in(said.engines),
         state: word(&said.state)?,
         halted: words(&said.halted)?,
         why: words(&said.why)?,
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -38,8 +38,8 @@
     /// How it fares.
     fn fares(&self) -> Fares;
 
-    /// The model hosts as its list has them.
-    fn hosts(&self) -> Vec<Unit> {
+    /// The engines as its list has them.
+    fn engines(&self) -> Vec<Unit> {
         Vec::new()
     }
 
@@ -184,8 +184,8 @@
 
     fn look_at_fares(&self) {
         self.input(Input::Fares(self.inner.beside.fares()));
-        if self.inner.member.borrow().wants_hosts() {
-            self.input(Input::Hosts(self.inner.beside.hosts()));
+        if self.inner.member.borrow().wants_engines() {
+            self.input(Input::Engines(self.inner.beside.engines()));
         }
     }
 
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -8,7 +8,7 @@
 };
 use cindercleat::fleet::register::{Ask, Ballot, Kept, Said, Writes};
 use cindercleat::fleet::release::{Care, Plan, Release, Turn, TurnNo};
-use cindercleat::fleet::rollcall::{Beat, HostReport};
+use cindercleat::fleet::rollcall::{Beat, EngineReport};
 use cindercleat::fleet::{Address, Duty, Name, Run, Term};
 use cindercleat_fleet::file::{read, write, Unusable};
 use cindercleat_fleet::words::{answer_in, answer_out, question_in, question_out};
@@ -74,7 +74,7 @@
 fn plan() -> Plan {
     Plan {
         name: "v2".to_owned(),
-        of: Of::Hosts,
+        of: Of::Engines,
         label: "v2".to_owned(),
         before: "v1".to_owned(),
         zones: vec!["z".to_owned()],
@@ -93,7 +93,7 @@
 
 fn care() -> Care {
     let turn = Turn {
-        of: Of::Hosts,
+        of: Of::Engines,
         who: Name::from("h1"),
         run: Run(9),
         address: Address::default(),
@@ -132,7 +132,7 @@
         halted: Some("why".to_owned()),
         resumed: 2,
         dispatchers: BTreeMap::from([("z".to_owned(), 300)]),
-        hosts: BTreeMap::from([("z".to_owned(), 100)]),
+        engines: BTreeMap::from([("z".to_owned(), 100)]),
         notes: vec!["by hand".to_owned()],
     }
 }
@@ -171,13 +171,13 @@
             late: 1,
         },
         reports: vec![
-            HostReport {
-                host: Name::from("h1"),
+            EngineReport {
+                engine: Name::from("h1"),
                 used: Some((0.5, 20.0)),
                 tally: Tally::default(),
             },
-            HostReport {
-                host: Name::from("h2"),
+            EngineReport {
+                engine: Name::from("h2"),
                 used: None,
                 tally: Tally::default(),
             },
@@ -241,7 +241,7 @@
         }),
         Question::AskBack {
             turn: TurnNo(3),
-            of: Of::Hosts,
+            of: Of::Engines,
             who: Name::from("h1"),
             run: Run(2),
         },
@@ -256,7 +256,7 @@
         release(ReleaseOrder::Resume),
         release(ReleaseOrder::Back),
         release(ReleaseOrder::End),
-        release(ReleaseOrder::Recount { of: Of::Hosts }),
+        release(ReleaseOrder::Recount { of: Of::Engines }),
         release(ReleaseOrder::Turn {
             name: Name::from("n"),
             label: String::new(),
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -26,7 +26,7 @@
 /// The service that a caller greets.
 pub fn greet_path(party: v1::Party) -> &'static str {
     match party {
-        v1::Party::Host => "/cindercleat.v1.Host/Greet",
+        v1::Party::Engine => "/cindercleat.v1.Host/Greet",
         v1::Party::Feed => "/cindercleat.v1.List/Greet",
         v1::Party::Fleet => "/cindercleat.v1.Fleet/Greet",
         _ => "/cindercleat.v1.Router/Greet",
@@ -72,7 +72,7 @@
         "Host/Hold" => Some(Body::Place(v1::Place::decode(bytes)?)),
         "Host/Release" => Some(Body::Done(v1::Done::decode(bytes)?)),
         "Host/Fetch" => Some(Body::State(v1::State::decode(bytes)?)),
-        "List/Follow" => Some(Body::List(v1::HostList::decode(bytes)?)),
+        "List/Follow" => Some(Body::List(v1::EndpointList::decode(bytes)?)),
         "Fleet/Call" => Some(Body::FleetAnswer(v1::FleetAnswer::decode(bytes)?)),
         "Router/Greet" | "Host/Greet" | "List/Greet" | "Fleet/Greet" => {
             Some(Body::Hello(v1::Hello::decode(bytes)?))
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -7,7 +7,7 @@
 use crate::{connection_window, Event, Out, Said, Session, Setup, Shared, Unmet, STREAM_WINDOW};
 use bytes::Bytes;
 use cindercleat::interface::Outcome;
-use cindercleat::status::{of_host, CallEnd, Code};
+use cindercleat::status::{of_engine, CallEnd, Code};
 use cindercleat_protocol::{frame, v1, Body, VERSION};
 use h2::client::SendRequest;
 use http::{HeaderMap, Request};
@@ -207,7 +207,7 @@
     // What the other side says that it did not take has not run, in whatever words the call ends.
     let ended = |end: CallEnd| match end {
         _ if seen.beyond(id) => CallEnd::BeyondLast,
-        // The connection was on its way out, and says nothing of the host: the call ends alone.
+        // The connection was on its way out, and says nothing of the engine: the call ends alone.
         CallEnd::ConnectionLost if seen.leaving() => CallEnd::Status {
             code: Code::Unavailable,
             never_ran: false,
@@ -417,7 +417,7 @@
                 ..
             },
         ) => ended(v1::Status::Cancelled),
-        ("Host/Read" | "Host/Write", end) => match of_host(end) {
+        ("Host/Read" | "Host/Write", end) => match of_engine(end) {
             Outcome::Full | Outcome::Unreachable | Outcome::Void => ended(v1::Status::Full),
             // With the connection lost its end says it all.
             _ if end == CallEnd::ConnectionLost => None,
@@ -434,7 +434,7 @@
             Some(Body::Rejected(v1::Rejected { field, reason }))
         }
         _ => {
-            let never_ran = matches!(of_host(end), Outcome::Full | Outcome::Unreachable);
+            let never_ran = matches!(of_engine(end), Outcome::Full | Outcome::Unreachable);
             Some(Body::Goodbye(v1::Goodbye { reason, never_ran }))
         }
     }
--- a/crates/grpc/tests/hard.rs
+++ b/crates/grpc/tests/hard.rs
@@ -1,4 +1,4 @@
-//! A model host that speaks HTTP/2 by hand, so that every frame can be wrong in its own way: resets, GOAWAYs,
+//! An engine that speaks HTTP/2 by hand, so that every frame can be wrong in its own way: resets, GOAWAYs,
 //! trailers only, headers and no body, cut and oversized messages, windows and limits that hold calls back.
 
 use cindercleat_grpc::{connect, serve, Event, Session, Setup};
@@ -141,10 +141,14 @@
     }
 }
 
-/// A session with a host that says these settings.
-async fn host(settings: &[(u16, u32)]) -> (Session, Raw) {
+/// A session with an engine that says these settings.
+async fn engine(settings: &[(u16, u32)]) -> (Session, Raw) {
     let (near, far) = tokio::io::duplex(1 << 16);
-    let connecting = spawn_local(connect(near, v1::Party::Host, setup(v1::Party::Dispatcher)));
+    let connecting = spawn_local(connect(
+        near,
+        v1::Party::Engine,
+        setup(v1::Party::Dispatcher),
+    ));
     let mut raw = Raw { io: far };
     let mut preface = [0; 24];
     raw.io.read_exact(&mut preface).await.expect("a preface");
@@ -200,7 +204,7 @@
 fn a_reset_with_each_code() {
     for code in (0..=13u32).chain([0xffff]) {
         run(async {
-            let (mut session, mut raw) = host(&[]).await;
+            let (mut session, mut raw) = engine(&[]).await;
             session.out.send(frame(1, write()));
             let call = raw.call().await;
             raw.send(RST, 0, call, &code.to_be_bytes()).await;
@@ -234,7 +238,7 @@
 #[test_case(false; "and the connection goes on")]
 fn a_goaway_proves_only_what_came_after_its_last_id(cut: bool) {
     run(async {
-        let (mut session, mut raw) = host(&[]).await;
+        let (mut session, mut raw) = engine(&[]).await;
         let mut calls = Vec::new();
         for stream in 1..=3 {
             session.out.send(frame(stream, write()));
@@ -275,7 +279,7 @@
 #[test]
 fn what_waits_for_credit_is_not_lost_with_a_connection_that_ends_in_order() {
     run(async {
-        let (mut session, mut raw) = host(&[]).await;
+        let (mut session, mut raw) = engine(&[]).await;
         session.out.send(frame(
             1,
             Body::Write(v1::Write {
@@ -317,7 +321,7 @@
 #[test]
 fn a_goaway_is_told_at_once_and_once() {
     run(async {
-        let (mut session, mut raw) = host(&[]).await;
+        let (mut session, mut raw) = engine(&[]).await;
         session.out.send(frame(1, write()));
         let call = raw.call().await;
         raw.send(GOAWAY, 0, 0, &[[0x7f, 255, 255, 255], [0; 4]].concat())
@@ -348,7 +352,7 @@
 #[test_case(&[], v1::Status::Failed; "headers and no body")]
 fn trailers_only(said: &[(&str, &str)], expected: v1::Status) {
     run(async {
-        let (mut session, mut raw) = host(&[]).await;
+        let (mut session, mut raw) = engine(&[]).await;
         session.out.send(frame(1, write()));
         let call = raw.call().await;
         let head = [(":status", "200"), ("content-type", "application/grpc")];
@@ -370,7 +374,7 @@
     ];
     for (bytes, ends) in parts {
         run(async {
-            let (mut session, mut raw) = host(&[]).await;
+            let (mut session, mut raw) = engine(&[]).await;
             session.out.send(frame(1, write()));
             let call = raw.call().await;
             raw.head(call).await;
@@ -399,7 +403,7 @@
 fn a_call_that_is_called_off_before_it_went_out_never_goes_out() {
     run(async {
         // One call at a time.
-        let (mut session, mut raw) = host(&[(3, 1)]).await;
+        let (mut session, mut raw) = engine(&[(3, 1)]).await;
         assert_eq!(session.limit, Some(1));
         session.out.send(frame(1, write()));
         let first = raw.call().await;
@@ -424,9 +428,9 @@
 }
 
 #[test]
-fn a_cancel_gets_out_though_the_hosts_window_is_shut() {
+fn a_cancel_gets_out_though_the_engines_window_is_shut() {
     run(async {
-        let (mut session, mut raw) = host(&[(4, 0)]).await;
+        let (mut session, mut raw) = engine(&[(4, 0)]).await;
         session.out.send(frame(1, write()));
         let (kind, _, call, _) = raw.told().await.expect("headers");
         assert_eq!(kind, HEADERS);
--- a/crates/grpc/tests/session.rs
+++ b/crates/grpc/tests/session.rs
@@ -208,10 +208,10 @@
 fn whoever_is_not_meant_is_told_so() {
     run(async {
         let (near, far) = tokio::io::duplex(1 << 16);
-        spawn_local(serve(far, setup(v1::Party::Host, "w1", "")));
+        spawn_local(serve(far, setup(v1::Party::Engine, "w1", "")));
         let refused = connect(
             near,
-            v1::Party::Host,
+            v1::Party::Engine,
             setup(v1::Party::Dispatcher, "d", "w2"),
         )
         .await;
--- a/crates/http1/src/host.rs
+++ b/crates/http1/src/engine_client.rs
@@ -1,4 +1,4 @@
-//! A model host's side: one call at a time on a connection, each a request and its answer.
+//! A model authority's side: one call at a time on a connection, each a request and its answer.
 //!
 //! Whether a request's last byte was written is known here and nowhere else: a connection that ends before
 //! ends its call as a goodbye that says that nothing ran, one that ends after it as one that does not.
@@ -23,12 +23,12 @@
 pub(crate) fn start<S: Io>(io: S, bounds: Bounds, setup: Setup) -> Session {
     let name = setup.expects.clone();
     let them = v1::Hello {
-        party: v1::Party::Host.into(),
+        party: v1::Party::Engine.into(),
         name,
         ..v1::Hello::default()
     };
     let (session, shared, said) = session(them, Some(1));
-    let host = Host {
+    let authority = EngineConnection {
         io,
         bounds,
         shared,
@@ -37,11 +37,11 @@
         answered: false,
         name: setup.expects,
     };
-    spawn_local(host.run());
+    spawn_local(authority.run());
     session
 }
 
-struct Host<S> {
+struct EngineConnection<S> {
     io: S,
     bounds: Bounds,
     shared: Rc<Shared>,
@@ -76,7 +76,7 @@
     Spoilt(Fault),
 }
 
-impl<S: Io> Host<S> {
+impl<S: Io> EngineConnection<S> {
     async fn run(mut self) {
         while let Some(frame) = self.idle().await {
             let stream = frame.stream;
@@ -121,7 +121,7 @@
     }
 
     fn begin(&self, frame: Frame) -> Option<(Call, Vec<u8>, Bytes)> {
-        let host = &self.name;
+        let authority = &self.name;
         match frame.body? {
             Body::Read(read) => {
                 let head = self.request(
@@ -147,13 +147,17 @@
                 ))
             }
             Body::Probe(_) => {
-                let head = format!("GET {} HTTP/1.1\r\nHost: {host}\r\n\r\n", words::LOAD_PATH);
+                let head = format!(
+                    "GET {} HTTP/1.1\r\nHost: {authority}\r\n\r\n",
+                    words::LOAD_PATH
+                );
                 Some((Call::Probe, head.into_bytes(), Bytes::new()))
             }
             Body::Release(release) => {
                 let path = format!("{}{}", words::STATES, release.origin);
-                let head =
-                    format!("DELETE {path} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n");
+                let head = format!(
+                    "DELETE {path} HTTP/1.1\r\nHost: {authority}\r\nContent-Length: 0\r\n\r\n"
+                );
                 Some((Call::Release, head.into_bytes(), Bytes::new()))
             }
             // What belongs to a call that is over.
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,15 +1,15 @@
 //! The platform's protocol, HTTP/1.1 with JSON and event streams, as sessions of the ledger's frames: for
-//! clients ([`server`]), model hosts ([`host`]) and the list feed ([`feed`]).
+//! clients ([`server`]), engines ([`engine_client`]) and the list feed ([`feed`]).
 //!
 //! [`framing`] is the part without I/O. A connection carries one request at a time, so a session is one request
 //! that reads, writes and waits by turns. Names and forms are in [`words`]; nothing is decided here.
 #![forbid(unsafe_code)]
 
 mod arrivals;
+mod engine_client;
 pub mod event_stream;
 mod feed;
 pub mod framing;
-mod host;
 mod list;
 mod server;
 pub mod words;
@@ -30,7 +30,7 @@
 pub struct Bounds {
     /// The largest body of a client, in bytes.
     pub most_body: usize,
-    /// The largest chunk of a host's answer, and the largest answer that is no stream, in bytes.
+    /// The largest chunk of an engine's answer, and the largest answer that is no stream, in bytes.
     pub most_chunk: usize,
     /// The largest list, in bytes.
     pub most_list: usize,
@@ -77,7 +77,7 @@
 
     async fn connect<S: Io>(&self, io: S, to: v1::Party, setup: Setup) -> Result<Session, String> {
         match to {
-            v1::Party::Host => Ok(host::start(io, self.bounds, setup)),
+            v1::Party::Engine => Ok(engine_client::start(io, self.bounds, setup)),
             v1::Party::Feed => Ok(feed::start(io, self.bounds, setup)),
             _ => Err("not spoken on this wire".to_owned()),
         }
--- a/crates/http1/src/list.rs
+++ b/crates/http1/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of model hosts in the platform's form.
+//! The list of engines in the platform's form.
 
 use crate::words;
 use cindercleat_protocol::v1;
@@ -30,30 +30,30 @@
 
 /// # Errors
 /// They are no list.
-pub fn parse(bytes: &[u8]) -> Result<v1::HostList, Malformed> {
+pub fn parse(bytes: &[u8]) -> Result<v1::EndpointList, Malformed> {
     let list: List = serde_json::from_slice(bytes)?;
     let kind = if list.complete {
         v1::ListKind::Full
     } else {
         v1::ListKind::Changes
     };
-    let hosts = list.members.into_iter().map(line).collect();
-    Ok(v1::HostList {
+    let engines = list.members.into_iter().map(line).collect();
+    Ok(v1::EndpointList {
         kind: kind.into(),
         version: list.revision,
-        hosts,
+        engines,
     })
 }
 
-fn line(member: Member) -> v1::HostLine {
+fn line(member: Member) -> v1::Endpoint {
     let condition = match member.phase.as_str() {
-        words::UP => v1::HostCondition::Ready,
-        words::DRAINING => v1::HostCondition::Draining,
-        words::REMOVED => v1::HostCondition::Gone,
-        _ => v1::HostCondition::Unspecified,
+        words::UP => v1::EndpointStatus::Ready,
+        words::DRAINING => v1::EndpointStatus::Draining,
+        words::REMOVED => v1::EndpointStatus::Gone,
+        _ => v1::EndpointStatus::Unspecified,
     };
-    v1::HostLine {
-        host: member.id,
+    v1::Endpoint {
+        engine: member.id,
         address: member.host_port,
         zone: member.locality,
         kind: member.flavor,
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -1,4 +1,4 @@
-//! Sessions over byte streams in memory: a client's, a host's and the list feed's.
+//! Sessions over byte streams in memory: a client's, an engine's and the list feed's.
 
 use cindercleat_http1::{Bounds, Http1, Session};
 use cindercleat_protocol::session::{Event, Outbox, Setup, Wire};
@@ -54,12 +54,12 @@
     (near, wire.serve(far, setup()).await.expect("a session"))
 }
 
-async fn host() -> (DuplexStream, Session) {
+async fn engine() -> (DuplexStream, Session) {
     let (near, far) = duplex(1 << 20);
     (
         near,
         Http1::new(BOUNDS)
-            .connect(far, v1::Party::Host, setup())
+            .connect(far, v1::Party::Engine, setup())
             .await
             .expect("a session"),
     )
@@ -576,7 +576,7 @@
 #[test]
 fn a_read_and_a_write_go_out_as_the_client_wrote_them_on_one_connection() {
     run(async {
-        let (mut io, mut session) = host().await;
+        let (mut io, mut session) = engine().await;
         session.out.send(frame(1, read()));
         let asked = until(&mut io, "\r\n\r\n{}").await;
         assert!(asked.contains("\r\nIdempotency-Key: k-7\r\n"), "{asked}");
@@ -641,7 +641,7 @@
 #[test]
 fn a_report_is_read_under_the_names_of_the_settings_and_of_the_protocol() {
     run(async {
-        let (mut io, mut session) = host().await;
+        let (mut io, mut session) = engine().await;
         let reports = [
             (
                 "{\"cpu\":0.5,\"waiting\":2,\"x0\":0.25}",
@@ -718,7 +718,7 @@
         ),
     ] {
         run(async move {
-            let (mut io, mut session) = host().await;
+            let (mut io, mut session) = engine().await;
             session.out.send(frame(1, call));
             until(&mut io, "\r\n\r\n{}").await;
             io.write_all(answer.as_bytes()).await.expect("written");
@@ -732,7 +732,7 @@
 fn a_connection_that_ends_tells_whether_the_request_had_gone_out_whole() {
     run(async {
         // Nothing was written: it had ended before.
-        let (io, mut session) = host().await;
+        let (io, mut session) = engine().await;
         session.out.send(frame(1, write(8)));
         drop(io);
         let Some((1, Body::Goodbye(bye))) = body(&mut session).await else {
@@ -742,7 +742,7 @@
         // Part of it: the other side's buffer takes no more.
         let (io, far) = duplex(64);
         let mut session = Http1::new(BOUNDS)
-            .connect(far, v1::Party::Host, setup())
+            .connect(far, v1::Party::Engine, setup())
             .await
             .expect("a session");
         session.out.send(frame(1, write(8)));
@@ -753,7 +753,7 @@
         };
         assert!(bye.never_ran);
         // All of it.
-        let (mut io, mut session) = host().await;
+        let (mut io, mut session) = engine().await;
         session.out.send(frame(1, write(8)));
         until(&mut io, "\r\n\r\n{}").await;
         drop(io);
@@ -770,7 +770,7 @@
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n";
     for rest in ["zz\r\n", "C0000000\r\nxxxxxxxx", "3\r\nabcdef"] {
         run(async move {
-            let (mut io, mut session) = host().await;
+            let (mut io, mut session) = engine().await;
             session.out.send(frame(1, write(8)));
             until(&mut io, "\r\n\r\n{}").await;
             io.write_all(format!("{head}{rest}").as_bytes())
@@ -794,7 +794,7 @@
         });
     }
     run(async move {
-        let (mut io, mut session) = host().await;
+        let (mut io, mut session) = engine().await;
         session.out.send(frame(1, write(8)));
         until(&mut io, "\r\n\r\n{}").await;
         io.write_all(head.as_bytes()).await.expect("written");
@@ -810,7 +810,7 @@
 #[test]
 fn what_comes_behind_a_good_answer_ends_the_connection_before_it_is_used_again() {
     run(async {
-        let (mut io, mut session) = host().await;
+        let (mut io, mut session) = engine().await;
         session.out.send(frame(1, write(8)));
         until(&mut io, "\r\n\r\n{}").await;
         let good =
@@ -830,7 +830,7 @@
         assert_eq!(status(body(&mut session).await).0, v1::Status::Fulfilled);
         assert_eq!(session.events.recv().await, None);
         // Behind it, later: while it rests.
-        let (mut io, mut session) = host().await;
+        let (mut io, mut session) = engine().await;
         session.out.send(frame(1, write(8)));
         until(&mut io, "\r\n\r\n{}").await;
         io.write_all(good.as_bytes()).await.expect("written");
@@ -844,7 +844,7 @@
 #[test]
 fn a_cancel_closes_the_connection_without_a_word() {
     run(async {
-        let (mut io, mut session) = host().await;
+        let (mut io, mut session) = engine().await;
         session.out.send(frame(1, write(8)));
         until(&mut io, "\r\n\r\n{}").await;
         session.out.send(frame(1, Body::Cancel(v1::Cancel {})));
@@ -872,7 +872,7 @@
             let (mut engine, _) = listener.accept().await.expect("accepted");
             let http1 = Http1::new(BOUNDS);
             let mut session = http1
-                .connect(near, v1::Party::Host, setup())
+                .connect(near, v1::Party::Engine, setup())
                 .await
                 .expect("a session");
             session.out.send(frame(1, write(8)));
@@ -904,7 +904,7 @@
 #[test]
 fn a_stream_without_credit_waits_in_its_connection() {
     run(async {
-        let (mut io, mut session) = host().await;
+        let (mut io, mut session) = engine().await;
         session.out.send(frame(1, write(1)));
         until(&mut io, "\r\n\r\n{}").await;
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n";
@@ -958,18 +958,22 @@
             panic!("a list")
         };
         assert_eq!((got.kind(), got.version), (v1::ListKind::Full, 41));
-        let host = &got.hosts[0];
+        let engine = &got.engines[0];
         assert_eq!(
-            (host.host.as_str(), host.address.as_str()),
+            (engine.engine.as_str(), engine.address.as_str()),
             ("s-1", "10.1.0.18:8443")
         );
         assert_eq!(
-            (host.zone.as_str(), host.kind.as_str(), host.cell.as_str()),
+            (
+                engine.zone.as_str(),
+                engine.kind.as_str(),
+                engine.cell.as_str()
+            ),
             ("a", "m2", "3")
         );
         assert_eq!(
-            (host.condition(), host.started_ms),
-            (v1::HostCondition::Draining, None)
+            (engine.condition(), engine.started_ms),
+            (v1::EndpointStatus::Draining, None)
         );
         let asked = until(&mut io, "\r\n\r\n").await;
         assert!(
@@ -1070,7 +1074,9 @@
                 "it has begun to come"
             );
             match body(&mut session).await {
-                Some((1, Body::List(got))) => assert_eq!((got.hosts.len(), got.version), (2000, 7)),
+                Some((1, Body::List(got))) => {
+                    assert_eq!((got.engines.len(), got.version), (2000, 7))
+                }
                 other => panic!("no list: {other:?}"),
             }
         };
@@ -1145,7 +1151,7 @@
             .expect("a session");
         let (mut engine_io, far) = duplex(1 << 20);
         let engine = wire
-            .connect(noted(far, "engine"), v1::Party::Host, setup())
+            .connect(noted(far, "engine"), v1::Party::Engine, setup())
             .await
             .expect("a session");
         client_io
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! The messages between clients, dispatchers, model hosts and the list feed (`proto/`). A [`Frame`] is one of
+//! The messages between clients, dispatchers, engines and the list feed (`proto/`). A [`Frame`] is one of
 //! them with the stream that it belongs to: the program's own form, also in transcripts. On the wire they are
 //! calls of the schema's services.
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts the instances of [`cindercleat::control::Control`] that the simulator plays, one a dispatcher, and
+//! Engines the instances of [`cindercleat::control::Control`] that the simulator plays, one a dispatcher, and
 //! carries its wire to the module's interface and back. Nothing is decided here, and instances share nothing.
 
 mod wire;
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -105,8 +105,8 @@
             .transpose()
     }
 
-    fn host(&mut self) -> Result<HostId, Malformed> {
-        self.next("a model host").map(|p| HostId(Arc::from(p)))
+    fn engine(&mut self) -> Result<EngineId, Malformed> {
+        self.next("a model host").map(|p| EngineId(Arc::from(p)))
     }
 }
 
@@ -201,12 +201,12 @@
             },
             "ack_first" => {
                 let request = request(parts)?;
-                let host = parts.host()?;
+                let engine = parts.engine()?;
                 let attempt = attempt(parts)?;
                 Event::FirstToken {
                     request,
                     attempt,
-                    host,
+                    engine,
                     latency: parts.time("a latency")?,
                 }
             }
@@ -230,9 +230,9 @@
             "probe_result" => {
                 let outcome = outcome(parts.next("an outcome")?)?;
                 let latency = parts.time("a latency")?;
-                let host = parts.host()?;
+                let engine = parts.engine()?;
                 Event::Probed {
-                    host,
+                    engine,
                     outcome,
                     latency,
                     load: self.load(instance, parts)?,
@@ -241,7 +241,7 @@
             "attempt_end" => {
                 let request = request(parts)?;
                 let attempt = attempt(parts)?;
-                let host = parts.host()?;
+                let engine = parts.engine()?;
                 let outcome = outcome(parts.next("an outcome")?)?;
                 let latency = parts.time("a latency")?;
                 let last = parts.flag("1 or 0")?;
@@ -250,7 +250,7 @@
                 Event::Ended(Ended {
                     request,
                     attempt,
-                    host,
+                    engine,
                     outcome,
                     latency,
                     last,
@@ -261,12 +261,12 @@
             _ => {
                 let request = request(parts)?;
                 let attempt = attempt(parts)?;
-                let host = parts.host()?;
+                let engine = parts.engine()?;
                 let kind: u32 = parts.number("1 or 2")?;
                 Event::Place {
                     request,
                     attempt,
-                    host,
+                    engine,
                     held: kind == 1,
                 }
             }
@@ -292,7 +292,7 @@
     }
 
     fn row(&self, parts: &mut Parts) -> Result<Entry, Malformed> {
-        let host = parts.host()?;
+        let engine = parts.engine()?;
         let zone = ZoneId(parts.maybe_number("a zone")?.unwrap_or(0));
         let kind = KindId(parts.maybe_number("a kind")?.unwrap_or(0));
         let cell = CellId(parts.maybe_number("a cell")?.unwrap_or(0));
@@ -308,7 +308,7 @@
             .filter(|t| *t > 0)
             .map(ms);
         Ok(Entry {
-            host,
+            engine,
             zone,
             kind,
             cell,
@@ -394,11 +394,11 @@
     let _ = match action {
         Action::StartAttempt {
             request,
-            host,
+            engine,
             until,
         } => {
             let until = until.map_or(0, |at| us(at).max(1));
-            writeln!(out, "route\t{i}\t{}\t{}\t{until}", request.0, host.0)
+            writeln!(out, "route\t{i}\t{}\t{}\t{until}", request.0, engine.0)
         }
         Action::Cancel { request, attempt } => {
             writeln!(out, "cancel\t{i}\t{}\t{}", request.0, attempt.0)
@@ -418,13 +418,13 @@
         // Asked for only where deliveries are tracked.
         Action::Confirm { .. } | Action::ReleaseInDoubt { .. } => Ok(()),
         Action::Release { request } => writeln!(out, "let_go\t{i}\t{}", request.0),
-        Action::HoldAhead { request, host } => {
-            writeln!(out, "earmark\t{i}\t{}\t{}", request.0, host.0)
+        Action::HoldAhead { request, engine } => {
+            writeln!(out, "earmark\t{i}\t{}\t{}", request.0, engine.0)
         }
         Action::Move { request } => writeln!(out, "transfer\t{i}\t{}", request.0),
         Action::Arm { delay, timer } => writeln!(out, "arm\t{i}\t{}\t{}", us(*delay), timer.0),
-        Action::Probe { host } => writeln!(out, "poll\t{i}\t{}", host.0),
-        Action::CloseIdle { host } => writeln!(out, "close_idle\t{i}\t{}", host.0),
+        Action::Probe { engine } => writeln!(out, "poll\t{i}\t{}", engine.0),
+        Action::CloseIdle { engine } => writeln!(out, "close_idle\t{i}\t{}", engine.0),
         Action::Tell { to, bytes } => {
             let to = to.map_or(-1, |d| i64::from(d.0));
             let raw = if bytes.is_empty() {
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -1,4 +1,4 @@
-//! Holds the five rules, and the terms of service ([`service`]), against a transcript: what crossed the sockets of clients, hosts and the list feed.
+//! Holds the five rules, and the terms of service ([`service`]), against a transcript: what crossed the sockets of clients, engines and the list feed.
 //! It knows nothing of a dispatcher's state, and takes the words of the brief as they stand.
 //!
 //! Instants are the stand-ins'. What a dispatcher did is seen when it arrives, so each bound has a stated
@@ -42,7 +42,8 @@
     RequestLost,
     EffectTwice,
     DrainBroken,
-    ColdHostPushed,
+    #[serde(rename = "ColdHostPushed")]
+    ColdEnginePushed,
     LeftPinned,
     /// An attempt began after its client had gone.
     AttemptForNobody,
@@ -248,9 +249,9 @@
         match &record.what {
             What::Note(Note::Ran { key, profile }) if rules.at_most_once.contains(profile) => {
                 findings.cases.at_most_once_runs += 1;
-                if let Some((at, host)) = ran.insert(key, (record.at, &record.seer)) {
+                if let Some((at, engine)) = ran.insert(key, (record.at, &record.seer)) {
                     let what = format!(
-                        "{key} ran at {host} at {at:.0} and again at {}",
+                        "{key} ran at {engine} at {at:.0} and again at {}",
                         record.seer
                     );
                     findings.breach(Rule::EffectTwice, record.at, what);
@@ -288,15 +289,15 @@
     }
 }
 
-/// An attempt as a host saw it.
+/// An attempt as an engine saw it.
 #[derive(Clone, Debug)]
 struct Attempt {
-    host: String,
+    engine: String,
     dispatcher: String,
     came: Ms,
     ended: Ms,
     state: Option<Key>,
-    /// Units of the host's capacity, see [`cold`].
+    /// Units of the engine's capacity, see [`cold`].
     work: f64,
 }
 
@@ -312,7 +313,7 @@
         let mut begin = |stream: u64, state: Option<&v1::StateId>, work: f64| {
             open.entry(conn).or_default().insert(stream, attempts.len());
             attempts.push(Attempt {
-                host: record.seer.to_string(),
+                engine: record.seer.to_string(),
                 dispatcher: record.peer.to_string(),
                 came: record.at,
                 ended: f64::INFINITY,
@@ -356,7 +357,7 @@
     attempts
 }
 
-/// Drains are kept: nothing new to a host later than the grace after its dispatcher was told.
+/// Drains are kept: nothing new to an engine later than the grace after its dispatcher was told.
 fn drains(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
     let mut told: BTreeMap<(String, String), Vec<(Ms, bool)>> = BTreeMap::new();
     let mut known: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
@@ -369,27 +370,27 @@
         };
         let dispatcher = record.peer.to_string();
         let known = known.entry(dispatcher.clone()).or_default();
-        let mut tell = |host: &str, ready: bool| {
-            told.entry((dispatcher.clone(), host.to_owned()))
+        let mut tell = |engine: &str, ready: bool| {
+            told.entry((dispatcher.clone(), engine.to_owned()))
                 .or_default()
                 .push((record.at, ready));
         };
-        for line in &list.hosts {
-            known.insert(line.host.clone());
-            tell(&line.host, line.condition() == v1::HostCondition::Ready);
+        for line in &list.engines {
+            known.insert(line.engine.clone());
+            tell(&line.engine, line.condition() == v1::EndpointStatus::Ready);
         }
         if list.kind() == v1::ListKind::Full {
-            for host in known
+            for engine in known
                 .iter()
-                .filter(|h| !list.hosts.iter().any(|line| line.host == **h))
+                .filter(|h| !list.engines.iter().any(|line| line.engine == **h))
             {
-                tell(host, false);
+                tell(engine, false);
             }
         }
     }
     findings.cases.drains = told.values().flatten().filter(|(_, ready)| !ready).count();
     for attempt in attempts {
-        let Some(told) = told.get(&(attempt.dispatcher.clone(), attempt.host.clone())) else {
+        let Some(told) = told.get(&(attempt.dispatcher.clone(), attempt.engine.clone())) else {
             continue;
         };
         // The bound holds for the whole of the grace only if nothing said 'ready' within it.
@@ -401,14 +402,14 @@
         if before.is_some_and(|(_, ready)| !ready) && !lately {
             let what = format!(
                 "{} sent to {}, which drains or is gone",
-                attempt.dispatcher, attempt.host
+                attempt.dispatcher, attempt.engine
             );
             findings.breach(Rule::DrainBroken, attempt.came, what);
         }
     }
 }
 
-/// No cold host is pushed over. Work is counted in units of capacity: at a reader prompt tokens, of which it
+/// No cold engine is pushed over. Work is counted in units of capacity: at a reader prompt tokens, of which it
 /// reads so many a second; at a writer the slot time of the most tokens that the answer may have. An attempt
 /// counts whole when it arrives, also one turned away; one attempt more than the bound is slack.
 fn cold(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
@@ -423,7 +424,7 @@
         };
         let writer = attempts
             .iter()
-            .any(|l| l.host == *record.seer && l.state.is_some());
+            .any(|l| l.engine == *record.seer && l.state.is_some());
         let unit = |l: &Attempt| {
             if writer {
                 l.work * rules.token_ms / 1000.0
@@ -434,7 +435,7 @@
         let until = record.at + ramp;
         let here = attempts
             .iter()
-            .filter(|l| l.host == *record.seer && l.came >= record.at && l.came < until);
+            .filter(|l| l.engine == *record.seer && l.came >= record.at && l.came < until);
         let here: Vec<&Attempt> = here.collect();
         findings.cases.cold_attempts += here.len();
         for (at, last) in here.iter().enumerate() {
@@ -449,7 +450,7 @@
                     "{} was sent {sent:.1} units where {bound:.1} push it over",
                     record.seer
                 );
-                findings.breach(Rule::ColdHostPushed, last.came, what);
+                findings.breach(Rule::ColdEnginePushed, last.came, what);
                 break;
             }
         }
@@ -505,7 +506,7 @@
     for (state, (since, record)) in held {
         let first =
             |times: Option<&Vec<Ms>>| times.into_iter().flatten().copied().find(|at| *at >= since);
-        // A read may end at its host just after its dispatcher was killed, and before the connection is cut.
+        // A read may end at its engine just after its dispatcher was killed, and before the connection is cut.
         let since_met = met.get(&state.0).copied().unwrap_or(since);
         let killed = kills
             .get(&*record.peer)
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/engine.rs
@@ -1,8 +1,8 @@
-//! A model host: reads prompts and holds read states, or fetches states and streams answers, with slots, a
+//! An engine: reads prompts and holds read states, or fetches states and streams answers, with slots, a
 //! queue, memory, a cold start, load reports that lag, and faults that a script turns on and off.
 //!
 //! Its laws are plain and are assumptions of ours: a reader's slots share its reading speed evenly, a writer
-//! answers a token a pace in each slot, and a cold host does both slower by its share of capacity.
+//! answers a token a pace in each slot, and a cold engine does both slower by its share of capacity.
 
 use crate::transcript::{Note, Transcript, Way, What};
 use crate::{call, share, welcome};
@@ -24,9 +24,9 @@
     Both,
 }
 
-/// What a host is.
+/// What an engine is.
 #[derive(Clone, Debug)]
-pub struct HostSpec {
+pub struct EngineSpec {
     pub name: String,
     pub zone: String,
     pub cell: String,
@@ -49,7 +49,7 @@
     pub answer_share: f64,
 }
 
-/// What is wrong with a host at the moment.
+/// What is wrong with an engine at the moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Troubles {
     pub slow: f64,
@@ -89,7 +89,7 @@
     }
 }
 
-/// HTTP/2's code by which a host says that it did not process a call, and others that say nothing of it.
+/// HTTP/2's code by which an engine says that it did not process a call, and others that say nothing of it.
 const REFUSED: u32 = 7;
 const RESETS: [u32; 6] = [REFUSED, 1, 2, 5, 8, 11];
 
@@ -119,7 +119,7 @@
 }
 
 struct Inner<T, C> {
-    spec: HostSpec,
+    spec: EngineSpec,
     me: Rc<str>,
     transport: T,
     clock: C,
@@ -134,20 +134,20 @@
     place: RefCell<String>,
 }
 
-/// A host; clones are the same one.
-pub struct Host<T, C> {
+/// An engine; clones are the same one.
+pub struct Engine<T, C> {
     inner: Rc<Inner<T, C>>,
 }
 
-impl<T, C> Clone for Host<T, C> {
+impl<T, C> Clone for Engine<T, C> {
     fn clone(&self) -> Self {
-        Host {
+        Engine {
             inner: self.inner.clone(),
         }
     }
 }
 
-/// One connection of a host.
+/// One connection of an engine.
 struct Conn {
     id: u64,
     peer: Rc<str>,
@@ -158,8 +158,14 @@
     cancelled: RefCell<BTreeMap<u64, Rc<Notify>>>,
 }
 
-impl<T: Transport, C: Clock> Host<T, C> {
-    pub fn new(spec: HostSpec, transport: T, clock: C, transcript: Transcript, seed: u64) -> Self {
+impl<T: Transport, C: Clock> Engine<T, C> {
+    pub fn new(
+        spec: EngineSpec,
+        transport: T,
+        clock: C,
+        transcript: Transcript,
+        seed: u64,
+    ) -> Self {
         let inner = Inner {
             me: Rc::from(spec.name.as_str()),
             slots: RefCell::new(Arc::new(Semaphore::new(spec.slots))),
@@ -174,7 +180,7 @@
             changed: Notify::new(),
             place: RefCell::default(),
         };
-        Host {
+        Engine {
             inner: Rc::new(inner),
         }
     }
@@ -208,10 +214,10 @@
                 },
             );
         }
-        let host = self.clone();
+        let engine = self.clone();
         let accepting = spawn_local(async move {
             while let Ok(stream) = listener.accept().await {
-                host.spawn(host.clone().serve(stream));
+                engine.spawn(engine.clone().serve(stream));
             }
         });
         self.inner
@@ -219,8 +225,8 @@
             .borrow_mut()
             .jobs
             .push(accepting.abort_handle());
-        let host = self.clone();
-        self.spawn(async move { host.report().await });
+        let engine = self.clone();
+        self.spawn(async move { engine.report().await });
         Ok(self.address())
     }
 
@@ -232,15 +238,15 @@
         &self.inner.spec.name
     }
 
-    pub fn spec(&self) -> &HostSpec {
+    pub fn spec(&self) -> &EngineSpec {
         &self.inner.spec
     }
 
     /// Its line of the list.
-    pub fn line(&self, condition: v1::HostCondition) -> v1::HostLine {
+    pub fn line(&self, condition: v1::EndpointStatus) -> v1::Endpoint {
         let spec = &self.inner.spec;
-        v1::HostLine {
-            host: spec.name.clone(),
+        v1::Endpoint {
+            engine: spec.name.clone(),
             address: self.address(),
             zone: spec.zone.clone(),
             kind: spec.kind.clone(),
@@ -403,7 +409,7 @@
     async fn serve(self, stream: T::Stream) {
         let late = self.inner.live.borrow().troubles.greets_late;
         self.inner.clock.sleep_until(self.now() + late).await;
-        let Some(session) = welcome::<T>(stream, v1::Party::Host, &self.inner.spec.name).await
+        let Some(session) = welcome::<T>(stream, v1::Party::Engine, &self.inner.spec.name).await
         else {
             return;
         };
@@ -425,15 +431,15 @@
         // Jobs of this connection end with it: what nobody can hear is not gone on with.
         let jobs: RefCell<Vec<AbortHandle>> = RefCell::default();
         let seen = Seen {
-            host: self.clone(),
+            engine: self.clone(),
             conn: conn.clone(),
             jobs,
         };
         let greeted = frame(0, Body::Hello(them));
         self.record(&conn, Way::In, &greeted);
-        // What has come in is seen when it comes, also by a host that answers nothing for now.
+        // What has come in is seen when it comes, also by an engine that answers nothing for now.
         let (to, mut frames) = tokio::sync::mpsc::unbounded_channel();
-        let (host, reading) = (self.clone(), conn.clone());
+        let (engine, reading) = (self.clone(), conn.clone());
         let reading = spawn_local(async move {
             while let Some(event) = events.recv().await {
                 let frame = match event {
@@ -447,7 +453,7 @@
                         continue;
                     }
                 };
-                host.record(&reading, Way::In, &frame);
+                engine.record(&reading, Way::In, &frame);
                 if to.send(frame).is_err() {
                     break;
                 }
@@ -633,22 +639,22 @@
         };
         let Some(state) = read.state else { return };
         self.keep(&beginnings, key(&state), prompt);
-        let host = self.clone();
+        let engine = self.clone();
         let until = self.now() + self.inner.spec.hold;
         let wait = spawn_local(async move {
-            host.inner.clock.sleep_until(until).await;
-            if host.inner.live.borrow().states.contains_key(&key(&state)) {
+            engine.inner.clock.sleep_until(until).await;
+            if engine.inner.live.borrow().states.contains_key(&key(&state)) {
                 let (run, request, attempt) = key(&state);
-                host.inner.transcript.note(
-                    host.now(),
-                    &host.inner.me,
+                engine.inner.transcript.note(
+                    engine.now(),
+                    &engine.inner.me,
                     Note::Expired {
                         run,
                         request,
                         attempt,
                     },
                 );
-                host.let_go(key(&state));
+                engine.let_go(key(&state));
             }
         });
         self.keep_wait(wait.abort_handle());
@@ -757,8 +763,8 @@
 
     /// The state's tokens, once its reader has handed it over; none if it cannot be had.
     async fn fetch(&self, write: &v1::Write, state: v1::StateId) -> Option<f64> {
-        let names = (v1::Party::Host, self.name(), write.reader.as_str());
-        let reader = (write.reader_address.as_str(), v1::Party::Host);
+        let names = (v1::Party::Engine, self.name(), write.reader.as_str());
+        let reader = (write.reader_address.as_str(), v1::Party::Engine);
         // A reader that cannot be had in time is one that has no state.
         let until = self.now() + FETCH_WITHIN;
         let session = tokio::select! { biased;
@@ -790,7 +796,7 @@
 
 /// A connection that is served: when it ends, for whatever reason, its jobs end and the end is noted.
 struct Seen<T: Transport, C: Clock> {
-    host: Host<T, C>,
+    engine: Engine<T, C>,
     conn: Rc<Conn>,
     jobs: RefCell<Vec<AbortHandle>>,
 }
@@ -802,7 +808,7 @@
             .cancelled
             .borrow_mut()
             .insert(stream, cancelled.clone());
-        let (host, conn) = (self.host.clone(), self.conn.clone());
+        let (engine, conn) = (self.engine.clone(), self.conn.clone());
         let job = spawn_local(async move {
             let done = tokio::select! { biased;
                 () = cancelled.notified() => false,
@@ -811,7 +817,7 @@
             conn.cancelled.borrow_mut().remove(&stream);
             if !done {
                 conn.credit.borrow_mut().remove(&stream);
-                host.end(&conn, stream, v1::Status::Cancelled, 0.0, None);
+                engine.end(&conn, stream, v1::Status::Cancelled, 0.0, None);
             }
         });
         let mut jobs = self.jobs.borrow_mut();
@@ -829,25 +835,26 @@
             job.abort();
         }
         let what = What::Note(Note::Closed { own: false });
-        let (host, conn) = (&self.host, &self.conn);
-        host.inner
+        let (engine, conn) = (&self.engine, &self.conn);
+        engine
+            .inner
             .transcript
-            .add(host.now(), &host.inner.me, &conn.peer, conn.id, what);
+            .add(engine.now(), &engine.inner.me, &conn.peer, conn.id, what);
     }
 }
 
 /// A slot, waited for in turn.
 struct Place<T: Transport, C: Clock> {
-    host: Host<T, C>,
+    engine: Engine<T, C>,
     tokens: f64,
     permit: Option<tokio::sync::OwnedSemaphorePermit>,
 }
 
 impl<T: Transport, C: Clock> Place<T, C> {
-    async fn wait(host: &Host<T, C>, tokens: f64) -> Self {
-        let slots = host.inner.slots.borrow().clone();
+    async fn wait(engine: &Engine<T, C>, tokens: f64) -> Self {
+        let slots = engine.inner.slots.borrow().clone();
         let mut place = Place {
-            host: host.clone(),
+            engine: engine.clone(),
             tokens,
             permit: None,
         };
@@ -858,7 +865,7 @@
     }
 
     fn count(&self, waiting: isize, running: isize) {
-        let mut live = self.host.inner.live.borrow_mut();
+        let mut live = self.engine.inner.live.borrow_mut();
         live.waiting = live.waiting.saturating_add_signed(waiting);
         live.running = live.running.saturating_add_signed(running);
         live.waiting_tokens = (live.waiting_tokens + waiting as f64 * self.tokens).max(0.0);
@@ -877,18 +884,18 @@
 
 /// Memory for a prompt, waited for.
 struct Memory<T: Transport, C: Clock> {
-    host: Host<T, C>,
+    engine: Engine<T, C>,
     tokens: f64,
 }
 
 impl<T: Transport, C: Clock> Memory<T, C> {
-    async fn take(host: &Host<T, C>, tokens: f64) -> Self {
-        while host.inner.live.borrow().memory + tokens > host.inner.spec.memory_tokens {
-            host.inner.changed.notified().await;
+    async fn take(engine: &Engine<T, C>, tokens: f64) -> Self {
+        while engine.inner.live.borrow().memory + tokens > engine.inner.spec.memory_tokens {
+            engine.inner.changed.notified().await;
         }
-        host.inner.live.borrow_mut().memory += tokens;
+        engine.inner.live.borrow_mut().memory += tokens;
         Memory {
-            host: host.clone(),
+            engine: engine.clone(),
             tokens,
         }
     }
@@ -897,10 +904,10 @@
 impl<T: Transport, C: Clock> Drop for Memory<T, C> {
     fn drop(&mut self) {
         // The process may have started anew meanwhile.
-        let mut live = self.host.inner.live.borrow_mut();
+        let mut live = self.engine.inner.live.borrow_mut();
         live.memory = (live.memory - self.tokens).max(0.0);
         drop(live);
-        self.host.inner.changed.notify_waiters();
+        self.engine.inner.changed.notify_waiters();
     }
 }
 
--- a/crates/standin/src/feed.rs
+++ b/crates/standin/src/feed.rs
@@ -1,4 +1,4 @@
-//! The list feed: knows which hosts' processes run, and tells its followers late.
+//! The list feed: knows which engines' processes run, and tells its followers late.
 
 use crate::transcript::{Transcript, Way, What};
 use crate::welcome;
@@ -15,9 +15,9 @@
     clock: C,
     transcript: Transcript,
     name: Rc<str>,
-    told: RefCell<BTreeMap<String, v1::HostLine>>,
+    told: RefCell<BTreeMap<String, v1::Endpoint>>,
     version: Cell<u64>,
-    followers: RefCell<Vec<(Rc<str>, UnboundedSender<v1::HostList>)>>,
+    followers: RefCell<Vec<(Rc<str>, UnboundedSender<v1::EndpointList>)>>,
     delay: Cell<Ms>,
     silent: Cell<bool>,
 }
@@ -88,7 +88,7 @@
     }
 
     /// A change of the fleet, told to all followers after the delay.
-    pub fn change(&self, line: v1::HostLine) {
+    pub fn change(&self, line: v1::Endpoint) {
         let feed = self.clone();
         let at = self.inner.clock.now() + self.inner.delay.get();
         spawn_local(async move {
@@ -98,32 +98,32 @@
     }
 
     /// A change that is told at once.
-    pub fn tell(&self, line: v1::HostLine) {
+    pub fn tell(&self, line: v1::Endpoint) {
         self.inner.version.set(self.inner.version.get() + 1);
         self.inner
             .told
             .borrow_mut()
-            .insert(line.host.clone(), line.clone());
+            .insert(line.engine.clone(), line.clone());
         if !self.inner.silent.get() {
             self.push(&self.list(v1::ListKind::Changes, vec![line]));
         }
     }
 
-    fn push(&self, list: &v1::HostList) {
+    fn push(&self, list: &v1::EndpointList) {
         self.inner
             .followers
             .borrow_mut()
             .retain(|(_, f)| f.send(list.clone()).is_ok());
     }
 
-    fn list(&self, kind: v1::ListKind, mut hosts: Vec<v1::HostLine>) -> v1::HostList {
+    fn list(&self, kind: v1::ListKind, mut engines: Vec<v1::Endpoint>) -> v1::EndpointList {
         if kind == v1::ListKind::Full {
-            hosts.retain(|line| line.condition() != v1::HostCondition::Gone);
+            engines.retain(|line| line.condition() != v1::EndpointStatus::Gone);
         }
-        v1::HostList {
+        v1::EndpointList {
             kind: kind.into(),
             version: self.inner.version.get(),
-            hosts,
+            engines,
         }
     }
 
@@ -157,8 +157,8 @@
                             followers.push((peer.clone(), send.clone()));
                         }
                         drop(followers);
-                        let hosts = self.inner.told.borrow().values().cloned().collect();
-                        Some(self.list(v1::ListKind::Full, hosts)).filter(|_| !self.inner.silent.get())
+                        let engines = self.inner.told.borrow().values().cloned().collect();
+                        Some(self.list(v1::ListKind::Full, engines)).filter(|_| !self.inner.silent.get())
                     }
                     Some(_) => None,
                     None => return,
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -1,5 +1,5 @@
 //! What stand-ins saw: each frame that crossed a socket of theirs, with its instant and both ends, and notes of
-//! what no frame shows (a host that started, a dispatcher that was killed).
+//! what no frame shows (an engine that started, a dispatcher that was killed).
 
 use cindercleat_net::Ms;
 use cindercleat_protocol::{name_of, v1, Frame};
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Note {
-    /// A host's process starts with this much capacity once warm, in units a second (see `audit`).
+    /// An engine's process starts with this much capacity once warm, in units a second (see `audit`).
     Started {
         capacity: f64,
         start_share: f64,
@@ -31,7 +31,7 @@
     Closed {
         own: bool,
     },
-    /// A host began to answer: from here on the request has had its effect.
+    /// An engine began to answer: from here on the request has had its effect.
     Ran {
         key: String,
         profile: String,
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -87,16 +87,16 @@
     })
 }
 
-fn listed(condition: v1::HostCondition) -> Body {
-    let line = v1::HostLine {
-        host: "w".to_owned(),
+fn listed(condition: v1::EndpointStatus) -> Body {
+    let line = v1::Endpoint {
+        engine: "w".to_owned(),
         condition: condition.into(),
-        ..v1::HostLine::default()
+        ..v1::Endpoint::default()
     };
-    Body::List(v1::HostList {
+    Body::List(v1::EndpointList {
         kind: v1::ListKind::Changes.into(),
         version: 1,
-        hosts: vec![line],
+        engines: vec![line],
     })
 }
 
@@ -109,7 +109,7 @@
         patience_ms: 1000.0,
         ..v1::Submit::default()
     };
-    story.frame(0.0, FEED, Way::Out, 1, listed(v1::HostCondition::Ready));
+    story.frame(0.0, FEED, Way::Out, 1, listed(v1::EndpointStatus::Ready));
     let started = Note::Started {
         capacity: 2.0,
         start_share: 0.25,
@@ -265,7 +265,7 @@
             FEED,
             Way::Out,
             1,
-            listed(v1::HostCondition::Draining),
+            listed(v1::EndpointStatus::Draining),
         );
         story.frame(at, WRITER, Way::In, 7, write(2));
         assert_eq!(story.found(), found, "sent at {at}");
@@ -277,17 +277,17 @@
         FEED,
         Way::Out,
         1,
-        listed(v1::HostCondition::Draining),
+        listed(v1::EndpointStatus::Draining),
     );
-    story.frame(800.0, FEED, Way::Out, 1, listed(v1::HostCondition::Ready));
+    story.frame(800.0, FEED, Way::Out, 1, listed(v1::EndpointStatus::Ready));
     story.frame(900.0, WRITER, Way::In, 7, write(2));
     assert_eq!(story.found(), []);
 }
 
 #[test]
-fn a_cold_host_that_is_sent_too_much_by_all_together_is_found() {
+fn a_cold_engine_that_is_sent_too_much_by_all_together_is_found() {
     // Bears 2 x 0.25 x 4 slot seconds in a second at its start: ten attempts of 0.2; one more is slack.
-    for (attempts, found) in [(9, vec![]), (14, vec![Rule::ColdHostPushed])] {
+    for (attempts, found) in [(9, vec![]), (14, vec![Rule::ColdEnginePushed])] {
         let mut story = good();
         for n in 0..attempts {
             let from = if n % 2 == 0 {
--- a/src/bounds.rs
+++ b/src/bounds.rs
@@ -14,11 +14,11 @@
     pub descriptors: usize,
     /// How long a connection may take to come up.
     pub connect_timeout: Ms,
-    /// How the list reaches it, and how soon it must heed that a host drains.
+    /// How the list reaches it, and how soon it must heed that an engine drains.
     pub discovery: Discovery,
     pub drain_grace: Ms,
-    /// A host closes a connection that rests for this long.
-    pub host_idle: Option<Ms>,
+    /// An engine closes a connection that rests for this long.
+    pub engine_idle: Option<Ms>,
     /// Tasks that may be open at once.
     pub most_held: Option<usize>,
     /// The longest deadline of a class.
@@ -34,12 +34,12 @@
     pub most_clients: usize,
     pub most_links: usize,
     pub max_open_requests: usize,
-    /// A connection to a host that rests is closed after this long.
+    /// A connection to an engine that rests is closed after this long.
     pub link_idle: Ms,
     /// One client's body, and all of them together.
     pub most_body: usize,
     pub most_bodies: usize,
-    /// A chunk of a host's answer, and an answer that is no stream.
+    /// A chunk of an engine's answer, and an answer that is no stream.
     pub most_chunk: usize,
     pub most_list: usize,
     /// Token messages of a stream between its writer and its client.
@@ -60,18 +60,18 @@
     pub stop_grace: Ms,
 }
 
-/// Descriptors for what is neither a client's nor a host's: logs, signals, the listener, the list feed, and
+/// Descriptors for what is neither a client's nor an engine's: logs, signals, the listener, the list feed, and
 /// connections on their way out.
 pub const OWN_DESCRIPTORS: usize = 32;
 /// The part of the memory that clients' bodies may take.
 const BODIES_PART: f64 = 8.0;
 /// The largest body of the platform's protocol.
 const MOST_BODY: usize = 256 << 10;
-/// The part of the memory that a list may take, which holds every host: some thousands of them. It is no less than this
+/// The part of the memory that a list may take, which holds every engine: some thousands of them. It is no less than this
 /// many bodies.
 const LIST_PART: f64 = 8.0;
 const LIST_BODIES: usize = 4;
-/// The part of the hosts' idle time for which a connection rests here: well before they close it, so that no
+/// The part of the engines' idle time for which a connection rests here: well before they close it, so that no
 /// request is written to one that dies.
 const REST_PART: f64 = 0.4;
 /// Clients are owed a close within three seconds of connecting, also in the middle of a request, and keep good
@@ -151,7 +151,7 @@
             most_links: share,
             max_open_requests: given.most_held.unwrap_or(share).min(share),
             link_idle: given
-                .host_idle
+                .engine_idle
                 .map_or(f64::INFINITY, |idle| REST_PART * idle),
             most_body: MOST_BODY,
             most_bodies: (given.memory / BODIES_PART) as usize,
--- a/src/channels.rs
+++ b/src/channels.rs
@@ -1,7 +1,7 @@
-//! What a dispatcher decides about its long-lived channels to one model host: which of them a new stream takes,
+//! What a dispatcher decides about its long-lived channels to one engine: which of them a new stream takes,
 //! how many there are, when one is connected (also ahead of need), looked after, or given up.
 //!
-//! Callers make one [`Channels`] a host, tell it what happens with instants that do not go back, ask
+//! Callers make one [`Channels`] an engine, tell it what happens with instants that do not go back, ask
 //! [`Channels::place`] for each stream, and do what [`Channels::wanted`] says whenever [`Channels::next_at`] has
 //! come. It does no I/O and reads no clock; chance comes from the seed.
 
@@ -16,7 +16,7 @@
 /// Limits and times; a number of streams or channels of 0 counts as 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChannelSettings {
-    /// Streams on one channel, unless the host allows fewer.
+    /// Streams on one channel, unless the engine allows fewer.
     pub streams: usize,
     /// Channels that take streams at once.
     pub most: usize,
@@ -34,9 +34,9 @@
 /// One more channel is connected ahead when less than this share of a channel's streams is free in all.
 const SPARE: f64 = 0.2;
 
-/// A host that closes right after an answer has done so by this share of the connect timeout, as far as one
+/// An engine that closes right after an answer has done so by this share of the connect timeout, as far as one
 /// can wait to see: channels that rest for less are taken last. Those that rest long may be closed by their
-/// host as idle.
+/// engine as idle.
 const SETTLE: f64 = 0.02;
 
 /// Where a stream goes.
@@ -74,7 +74,7 @@
     Idle,
     /// It does not answer: its streams are broken, and what they carried may have run.
     Dead,
-    /// The host goes away, and the last stream has ended.
+    /// The engine goes away, and the last stream has ended.
     Left,
 }
 
@@ -84,7 +84,7 @@
         since: Ms,
     },
     Up,
-    /// The host goes away: it carries what it has and takes nothing new.
+    /// The engine goes away: it carries what it has and takes nothing new.
     Leaving,
 }
 
@@ -98,7 +98,7 @@
     pinged: Option<Ms>,
 }
 
-/// The channels to one host.
+/// The channels to one engine.
 #[derive(Clone, Debug)]
 pub struct Channels {
     settings: ChannelSettings,
@@ -137,7 +137,7 @@
             None if self.taking() >= self.settings.most.max(1) => {
                 Placement::Nowhere(Refusal::AllTaken)
             }
-            // Guards against a host that is down being dialled by every request that it is chosen for.
+            // Guards against an engine that is down being dialled by every request that it is chosen for.
             None if now < self.again_at => Placement::Nowhere(Refusal::NotYet),
             None => Placement::Connect,
         }
@@ -156,7 +156,7 @@
         self.all.insert(id, channel);
     }
 
-    /// It is up. `limit`: the streams that the host allows on it, if it says.
+    /// It is up. `limit`: the streams that the engine allows on it, if it says.
     pub fn up(&mut self, id: ChannelId, limit: Option<usize>, now: Ms) {
         let Some(channel) = self.all.get_mut(&id) else {
             return;
@@ -167,7 +167,7 @@
     }
 
     /// It is over, or never came up. After a failed connect the next waits, longer each time and by chance, so
-    /// that dispatchers do not come back to a host that restarts all at once.
+    /// that dispatchers do not come back to an engine that restarts all at once.
     pub fn closed(&mut self, id: ChannelId, now: Ms) {
         let Some(channel) = self.all.remove(&id) else {
             return;
@@ -185,7 +185,7 @@
         (self.failures, self.again_at) = (0, f64::NEG_INFINITY);
     }
 
-    /// The host said that it takes no more on this channel.
+    /// The engine said that it takes no more on this channel.
     pub fn going_away(&mut self, id: ChannelId) {
         if let Some(channel) = self.all.get_mut(&id) {
             channel.phase = Phase::Leaving;
@@ -215,7 +215,7 @@
         }
     }
 
-    /// What is to be done by now; `ready`: whether the host may get anything new. The caller tells of each
+    /// What is to be done by now; `ready`: whether the engine may get anything new. The caller tells of each
     /// close by [`closed`](Channels::closed) and of each connect by [`connecting`](Channels::connecting).
     pub fn wanted(&mut self, now: Ms, ready: bool) -> Vec<Do> {
         let mut wanted = Vec::new();
@@ -277,7 +277,7 @@
         let connecting = taking().any(|c| c.phase != Phase::Up);
         let used = self.all.values().any(|c| c.streams > 0);
         let spare = SPARE * self.settings.streams.max(1) as f64;
-        // Channels for one stream each are never ahead of need: every request at a peak would cost the host one.
+        // Channels for one stream each are never ahead of need: every request at a peak would cost the engine one.
         let shared = self.settings.streams > 1;
         shared
             && used
--- a/src/control.rs
+++ b/src/control.rs
@@ -24,7 +24,7 @@
 /// A home reader whose waiting tokens exceed this many times the mean passes the read on (the design).
 const HOME_ESCAPE: f64 = 2.0;
 /// Shares of the release time: a state that found no writer is let go; held requests are looked at, and 'full'
-/// hosts asked, again.
+/// engines asked, again.
 const HOLD_SHARE: f64 = 0.7;
 const RETRY_SHARE: f64 = 0.1;
 /// How often the wait after a 'full' is doubled, at the most.
@@ -51,26 +51,26 @@
 const HEARD: f64 = 2.0;
 const FRESH: f64 = 0.25;
 const STALE: f64 = 3.0;
-/// Last outcomes that judge a host, how few are too few, and the share of its peers' success that it needs.
+/// Last outcomes that judge an engine, how few are too few, and the share of its peers' success that it needs.
 const JUDGED: u32 = 8;
 const JUDGED_LEAST: u32 = 3;
 const SICK_BELOW: f64 = 0.5;
 /// Beginnings and sessions remembered as kept at a reader.
 const KEPT_MOST: usize = 64;
-/// How many times the mean a host near a busy reader may be wanted.
+/// How many times the mean an engine near a busy reader may be wanted.
 const HOT: f64 = 4.0;
 /// The golden ratio of a turn: multiples of it lie evenly however many there are (Weyl's sequence).
 const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Readers among which the reads of one beginning are spread.
 const HOMES: usize = 4;
 
-/// A model host's place in the parallel arrays that hold what is known of model hosts.
+/// An engine's place in the parallel arrays that hold what is known of engines.
 type Slot = usize;
 
 #[derive(Default)]
-struct Hosts {
+struct Engines {
     dispatchers: f64,
-    index: BTreeMap<HostId, Slot>,
+    index: BTreeMap<EngineId, Slot>,
     /// Its line of the list, its kind, and when it last started.
     listed: Vec<Entry>,
     kind: Vec<KindSettings>,
@@ -172,7 +172,7 @@
     quoted_per_token: Ms,
     rng: WyRand,
     now: Ms,
-    hosts: Hosts,
+    engines: Engines,
     requests: BTreeMap<RequestId, Request>,
     queue: Turns,
     /// Launches a millisecond that a warm writer, and a warm reader, bear of ours, and requests that arrive.
@@ -209,10 +209,10 @@
             profiles,
             rng: WyRand::new_seed(seed),
             now: 0.0,
-            hosts: Hosts {
+            engines: Engines {
                 dispatchers: f64::from(settings.dispatchers.max(1)),
                 stale: STALE * quoted_least,
-                ..Hosts::default()
+                ..Engines::default()
             },
             requests: BTreeMap::new(),
             queue: Turns::default(),
@@ -258,10 +258,10 @@
         if let Some(&(due, _)) = self.queue.due.first() {
             self.wake_at(due.0);
         }
-        let host = |slot: Slot| Action::Probe {
-            host: self.hosts.listed[slot].host.clone(),
+        let engine = |slot: Slot| Action::Probe {
+            engine: self.engines.listed[slot].engine.clone(),
         };
-        actions.extend(self.wanted_probes.iter().map(|&slot| host(slot)));
+        actions.extend(self.wanted_probes.iter().map(|&slot| engine(slot)));
         self.wanted_probes.clear();
         self.emit_timer(actions);
     }
@@ -306,26 +306,26 @@
                 self.queue.awake.insert(id);
                 let slot = out.slot;
                 let allowed = QUEUED * request.allowed;
-                self.hosts
+                self.engines
                     .learn_limit(slot, out.sent, self.now - out.sent > allowed, self.now);
-                self.hosts.heard[slot] = self.now;
+                self.engines.heard[slot] = self.now;
                 self.note_done(slot, false);
             }
             Event::Ended(ended) => self.learn_end(ended),
             Event::Delivered { request, attempt } => self.learn_delivery(*request, *attempt),
             Event::Timer { timer } if timer.0 == self.timers => self.armed = None,
             Event::Probed {
-                host,
+                engine,
                 outcome,
                 load,
                 ..
             } => {
-                let Some(&slot) = self.hosts.index.get(host) else {
+                let Some(&slot) = self.engines.index.get(engine) else {
                     return;
                 };
-                self.hosts.silent[slot] = *outcome != Outcome::Fulfilled;
-                self.hosts.answered_at[slot] = self.now;
-                self.hosts.note_load(slot, load, self.now);
+                self.engines.silent[slot] = *outcome != Outcome::Fulfilled;
+                self.engines.answered_at[slot] = self.now;
+                self.engines.note_load(slot, load, self.now);
             }
             Event::Timer { .. } | Event::Place { .. } | Event::Heard { .. } => {}
         }
@@ -333,9 +333,9 @@
 
     fn learn_list(&mut self, kind: ListKind, entries: &[Entry]) {
         if matches!(kind, ListKind::Full | ListKind::Remembered) {
-            let here: BTreeSet<&HostId> = entries.iter().map(|entry| &entry.host).collect();
-            for listed in &mut self.hosts.listed {
-                if !here.contains(&listed.host) {
+            let here: BTreeSet<&EngineId> = entries.iter().map(|entry| &entry.engine).collect();
+            for listed in &mut self.engines.listed {
+                if !here.contains(&listed.engine) {
                     listed.condition = Condition::Gone;
                 }
             }
@@ -345,15 +345,15 @@
                 continue;
             };
             let started = entry.started.unwrap_or(f64::NEG_INFINITY);
-            let slot = self.hosts.slot(entry, kind);
-            if started > self.hosts.started[slot] {
+            let slot = self.engines.slot(entry, kind);
+            if started > self.engines.started[slot] {
                 // A new process under the same id: what was learned of the old one is void.
-                self.hosts.outcomes[slot] = 1;
-                self.hosts.reported_at[slot] = f64::NEG_INFINITY;
-                self.hosts.kept[slot].clear();
+                self.engines.outcomes[slot] = 1;
+                self.engines.reported_at[slot] = f64::NEG_INFINITY;
+                self.engines.kept[slot].clear();
             }
-            self.hosts.started[slot] = started;
-            self.hosts.listed[slot] = entry.clone();
+            self.engines.started[slot] = started;
+            self.engines.listed[slot] = entry.clone();
         }
     }
 
@@ -389,14 +389,14 @@
             return false;
         };
         sent.note(1.0, self.now, self.settings.ramp);
-        1000.0 * sent.rate * self.hosts.dispatchers > self.settings.tenants[at].allowance_per_s
+        1000.0 * sent.rate * self.engines.dispatchers > self.settings.tenants[at].allowance_per_s
     }
 
     fn learn_end(&mut self, ended: &Ended) {
-        let Some(&slot) = self.hosts.index.get(&ended.host) else {
+        let Some(&slot) = self.engines.index.get(&ended.engine) else {
             return;
         };
-        self.hosts.note_load(slot, &ended.load, self.now);
+        self.engines.note_load(slot, &ended.load, self.now);
         let Some(request) = self.requests.get_mut(&ended.request) else {
             return;
         };
@@ -409,7 +409,7 @@
         };
         self.queue.coming -= coming;
         self.queue.awake.insert(ended.request);
-        self.hosts.tally(&out, -1.0);
+        self.engines.tally(&out, -1.0);
         let queued =
             ended.outcome != Outcome::ReadDone || self.now - out.sent > QUEUED * request.allowed;
         if out.reading
@@ -418,17 +418,17 @@
                 Outcome::ReadDone | Outcome::TimedOut | Outcome::Full
             )
         {
-            self.hosts.learn_limit(slot, out.sent, queued, self.now);
+            self.engines.learn_limit(slot, out.sent, queued, self.now);
         }
         // What came late, or was turned away, tells of a queue: a probe is wanted the more.
         if !out.reading && ended.outcome == Outcome::Fulfilled || out.reading && !queued {
-            self.hosts.heard[slot] = self.now;
+            self.engines.heard[slot] = self.now;
         }
         request.over |= ended.last;
         if out.has_arrived(ended.outcome) {
             request.idle_since = self.now;
         }
-        let never_ran = self.hosts.only_reads(&out)
+        let never_ran = self.engines.only_reads(&out)
             || matches!(
                 ended.outcome,
                 Outcome::Full | Outcome::Unreachable | Outcome::Void
@@ -437,29 +437,29 @@
             request.may_have_run.get_or_insert((slot, out.sent));
         }
         match ended.outcome {
-            Outcome::Fulfilled => self.hosts.judge(slot, true),
+            Outcome::Fulfilled => self.engines.judge(slot, true),
             Outcome::ReadDone => {
                 request.state = Some(slot);
                 request.tried.clear();
-                self.hosts.note_kept(slot, &request.arrival);
+                self.engines.note_kept(slot, &request.arrival);
                 let read = request.arrival.prompt_tokens - ended.detail;
-                self.hosts.typical_of = (self.hosts.typical_of + 1.0).min(f64::from(JUDGED));
-                self.hosts.typical += (read - self.hosts.typical) / self.hosts.typical_of;
+                self.engines.typical_of = (self.engines.typical_of + 1.0).min(f64::from(JUDGED));
+                self.engines.typical += (read - self.engines.typical) / self.engines.typical_of;
                 self.note_done(slot, true);
             }
             // The state is gone (its reader died or let it go): read again.
             Outcome::Full if ended.detail == 1.0 => request.state = None,
             Outcome::Full => {
                 request.tried.push(slot);
-                // Guards against a host that turns all away: it always looks as if it had room.
+                // Guards against an engine that turns all away: it always looks as if it had room.
                 let wait =
-                    RETRY_SHARE * self.settings.release * 2.0_f64.powi(self.hosts.fulls[slot]);
-                self.hosts.full_until[slot] = self.now + wait;
-                self.hosts.fulls[slot] = (self.hosts.fulls[slot] + 1).min(FULLS_MOST);
+                    RETRY_SHARE * self.settings.release * 2.0_f64.powi(self.engines.fulls[slot]);
+                self.engines.full_until[slot] = self.now + wait;
+                self.engines.fulls[slot] = (self.engines.fulls[slot] + 1).min(FULLS_MOST);
             }
             Outcome::Failed | Outcome::TimedOut | Outcome::Broken | Outcome::Unreachable => {
                 request.tried.push(slot);
-                self.hosts.judge(slot, false);
+                self.engines.judge(slot, false);
             }
             Outcome::CalledOff | Outcome::Void => {}
         }
@@ -467,9 +467,10 @@
 
     /// Whoever is planned first takes the room: those within their tenant's share, of kept text, the soonest.
     fn turns(&self) -> Vec<RequestId> {
-        let cheap = |s: Slot, a: &Arrival| self.hosts.unread(s, a) < SPARE * a.prompt_tokens;
-        let dear =
-            |t: &Request| t.attempts == 0 && !self.hosts.ready(true).any(|s| cheap(s, &t.arrival));
+        let cheap = |s: Slot, a: &Arrival| self.engines.unread(s, a) < SPARE * a.prompt_tokens;
+        let dear = |t: &Request| {
+            t.attempts == 0 && !self.engines.ready(true).any(|s| cheap(s, &t.arrival))
+        };
         let turn = |(id, t): (&RequestId, &Request)| {
             (t.over_share, dear(t), (1000.0 * t.read_by) as i64, *id)
         };
@@ -512,13 +513,13 @@
         }
         self.wake_at(ends);
         if let Some(out) = request.out.as_mut() {
-            // Evidence before the outcome: what is late has queued; the host may never answer.
+            // Evidence before the outcome: what is late has queued; the engine may never answer.
             let late_at = out.sent + QUEUED * request.allowed;
             if self.now < late_at {
                 self.wake_at(late_at);
             } else if !out.late {
                 out.late = true;
-                self.hosts.learn_limit(out.slot, out.sent, true, self.now);
+                self.engines.learn_limit(out.slot, out.sent, true, self.now);
             }
             return self.plan_delivery(request);
         }
@@ -526,7 +527,7 @@
         // A state whose reader is gone is read again, and let go in case the list is wrong.
         request.want_release = request
             .state
-            .is_some_and(|s| self.hosts.listed[s].condition == Condition::Gone);
+            .is_some_and(|s| self.engines.listed[s].condition == Condition::Gone);
         let look_again = (RETRY_SHARE * self.settings.release).max(self.settings.tick);
         let lies = self.now + look_again - request.idle_since > HOLD_SHARE * self.settings.release;
         let target = match request.state.filter(|_| !request.want_release) {
@@ -562,7 +563,7 @@
         let out_at_writer = request
             .out
             .as_ref()
-            .is_some_and(|o| !self.hosts.only_reads(o));
+            .is_some_and(|o| !self.engines.only_reads(o));
         let may_have_run = request.may_have_run.is_some() || out_at_writer;
         let harmless = match self.effect(request) {
             Effect::Reissuable => true,
@@ -587,7 +588,7 @@
         let Some((first, at)) = request.may_have_run else {
             return true;
         };
-        let [a, b] = [first, slot].map(|s| &self.hosts.listed[s]);
+        let [a, b] = [first, slot].map(|s| &self.engines.listed[s]);
         match self.effect(request) {
             Effect::Reissuable => true,
             Effect::Numbered { window, .. } if self.now >= at + window => false,
@@ -608,7 +609,7 @@
     fn homes(&self, arrival: &Arrival, pool: &[Slot]) -> Vec<Slot> {
         let beginning = arrival.shared.map_or(arrival.session.0, |shared| shared.0);
         let rank =
-            |s: Slot, key: u64| xxh3_64_with_seed(self.hosts.listed[s].host.0.as_bytes(), key);
+            |s: Slot, key: u64| xxh3_64_with_seed(self.engines.listed[s].engine.0.as_bytes(), key);
         let mut homes: Vec<(u64, Slot)> = pool.iter().map(|&s| (rank(s, beginning), s)).collect();
         homes.sort_unstable_by(|a, b| b.cmp(a));
         homes.truncate(HOMES);
@@ -631,19 +632,19 @@
         out
     }
 
-    /// Wants probes of hosts of which nothing was heard lately; tells whether one is out.
-    fn ask(&mut self, hosts: &[Slot]) -> bool {
+    /// Wants probes of engines of which nothing was heard lately; tells whether one is out.
+    fn ask(&mut self, engines: &[Slot]) -> bool {
         let mut any_out = false;
-        for &slot in hosts.iter().filter(|_| self.settings.may_probe) {
-            let asked = self.hosts.asked_at[slot];
-            let known = self.now - asked.max(self.hosts.reported_at[slot])
+        for &slot in engines.iter().filter(|_| self.settings.may_probe) {
+            let asked = self.engines.asked_at[slot];
+            let known = self.now - asked.max(self.engines.reported_at[slot])
                 < FRESH * self.quoted_least
-                || self.now - self.hosts.heard[slot] < HEARD * self.quoted_least
-                || self.hosts.streams[slot] > ABOVE_AVERAGE;
+                || self.now - self.engines.heard[slot] < HEARD * self.quoted_least
+                || self.engines.streams[slot] > ABOVE_AVERAGE;
             let out =
-                asked > self.hosts.answered_at[slot].max(self.now - HEARD * self.quoted_least);
+                asked > self.engines.answered_at[slot].max(self.now - HEARD * self.quoted_least);
             if !out && !known {
-                self.hosts.asked_at[slot] = self.now;
+                self.engines.asked_at[slot] = self.now;
                 self.wanted_probes.push(slot);
             }
             any_out |= out || !known;
@@ -659,28 +660,31 @@
         let homes = self.homes(arrival, &pool);
         let home = *homes.first()?;
         // What is known of few must not hide the home's queue: it is held against the others.
-        let mean = self.hosts.mean(true, &self.hosts.reported_tokens, home);
-        let seen = self.hosts.dispatchers.min(self.hosts.reads.iter().sum());
-        let wait = |s: Slot| self.hosts.waiting(s, self.now, seen, mean) / self.age_weight(s);
+        let mean = self.engines.mean(true, &self.engines.reported_tokens, home);
+        let seen = self
+            .engines
+            .dispatchers
+            .min(self.engines.reads.iter().sum());
+        let wait = |s: Slot| self.engines.waiting(s, self.now, seen, mean) / self.age_weight(s);
         let others = pool
             .iter()
             .filter(|&&s| s != home)
             .map(|&s| wait(s))
             .sum::<f64>();
         let mean = (others + arrival.prompt_tokens) / pool.len() as f64;
-        let too_much = |s: Slot| wait(s) > HOME_ESCAPE * mean || self.hosts.owes(s, self.now);
-        if !too_much(home) && self.hosts.has_room(home) {
+        let too_much = |s: Slot| wait(s) > HOME_ESCAPE * mean || self.engines.owes(s, self.now);
+        if !too_much(home) && self.engines.has_room(home) {
             return Some(home);
         }
         // Guards against a jam by scattered reads: elsewhere they cost more and push out what is kept there.
         // Reads leave their home (too much waits, or no room) only while the readers together have room to
         // spare, or for one that has kept most of the text; else the request is held for its home.
-        let reads = pool.iter().map(|&s| self.hosts.reads[s]).sum::<f64>();
-        let spare = reads < SPARE * pool.iter().map(|&s| self.hosts.limit[s]).sum::<f64>();
-        let kept = |s: Slot| self.hosts.unread(s, arrival) < SPARE * arrival.prompt_tokens;
-        let next = |s: &Slot| (spare || kept(*s)) && !too_much(*s) && self.hosts.has_room(*s);
+        let reads = pool.iter().map(|&s| self.engines.reads[s]).sum::<f64>();
+        let spare = reads < SPARE * pool.iter().map(|&s| self.engines.limit[s]).sum::<f64>();
+        let kept = |s: Slot| self.engines.unread(s, arrival) < SPARE * arrival.prompt_tokens;
+        let next = |s: &Slot| (spare || kept(*s)) && !too_much(*s) && self.engines.has_room(*s);
         let next = homes[1..].iter().copied().find(next);
-        next.or(Some(home)).filter(|&s| self.hosts.has_room(s))
+        next.or(Some(home)).filter(|&s| self.engines.has_room(s))
     }
 
     /// The mechanism: nearness first, within the band the fewest in flight, skipping those above average.
@@ -691,9 +695,9 @@
             .map(|&s| self.nearness(reader, s))
             .fold(0.0, f64::max);
         let mean =
-            pool.iter().map(|&s| self.hosts.streams[s]).sum::<f64>() / pool.len().max(1) as f64;
+            pool.iter().map(|&s| self.engines.streams[s]).sum::<f64>() / pool.len().max(1) as f64;
         let near = |s: Slot| self.nearness(reader, s) >= best - TAU;
-        let few = |s: Slot| self.hosts.streams[s] <= mean + ABOVE_AVERAGE;
+        let few = |s: Slot| self.engines.streams[s] <= mean + ABOVE_AVERAGE;
         let kept: Vec<Slot> = pool
             .iter()
             .copied()
@@ -702,17 +706,18 @@
         self.fewest(if kept.is_empty() { pool } else { kept })
     }
 
-    /// Fewest in flight wins, a fresh host counting for less by its age. Ties fall by chance, weighted by the
-    /// share that is free as last reported: the least of old reports would draw every dispatcher to one host.
+    /// Fewest in flight wins, a fresh engine counting for less by its age. Ties fall by chance, weighted by the
+    /// share that is free as last reported: the least of old reports would draw every dispatcher to one engine.
     fn fewest(&mut self, among: Vec<Slot>) -> Option<Slot> {
         let draws: Vec<f64> = among
             .iter()
             .map(|_| -self.rng.generate::<f64>().ln())
             .collect();
-        let load = |s: Slot| (self.hosts.streams[s] + self.hosts.reported[s]) / self.age_weight(s);
-        let (taken, now) = (&self.hosts.reported_load, self.now);
-        let mean = self.hosts.mean(false, taken, Slot::MAX);
-        let free = |s: Slot| (1.0 - self.hosts.aged(s, now, taken, mean)).max(f64::EPSILON);
+        let load =
+            |s: Slot| (self.engines.streams[s] + self.engines.reported[s]) / self.age_weight(s);
+        let (taken, now) = (&self.engines.reported_load, self.now);
+        let mean = self.engines.mean(false, taken, Slot::MAX);
+        let free = |s: Slot| (1.0 - self.engines.aged(s, now, taken, mean)).max(f64::EPSILON);
         let drawn: Vec<_> = among
             .into_iter()
             .zip(draws)
@@ -725,25 +730,26 @@
     }
 
     fn nearness(&self, reader: Slot, writer: Slot) -> f64 {
-        let [a, b] = [reader, writer].map(|s| &self.hosts.listed[s]);
+        let [a, b] = [reader, writer].map(|s| &self.engines.listed[s]);
         // A cell lies within a zone.
         (f64::from(u8::from(a.cell == b.cell)) + f64::from(u8::from(a.zone == b.zone))) / 2.0
     }
 
-    /// Hosts of a role that may take this request now; none means that it is held. Drains and cold budgets are
-    /// never set aside. Judged hosts come in only when every host of the role is judged, not when the others
-    /// are merely busy: a host that fails fast always looks as if it had room.
+    /// Engines of a role that may take this request now; none means that it is held. Drains and cold budgets are
+    /// never set aside. Judged engines come in only when every engine of the role is judged, not when the others
+    /// are merely busy: an engine that fails fast always looks as if it had room.
     fn pool(&self, request: &Request, reading: bool) -> Vec<Slot> {
-        let ready: Vec<Slot> = self.hosts.ready(reading).collect();
-        let sum: f64 = ready.iter().map(|&s| self.hosts.success(s)).sum();
+        let ready: Vec<Slot> = self.engines.ready(reading).collect();
+        let sum: f64 = ready.iter().map(|&s| self.engines.success(s)).sum();
         let peers = sum / ready.len().max(1) as f64;
         let share = self.cold_share(reading);
-        let (well, sick): (Vec<Slot>, Vec<Slot>) =
-            ready.iter().partition(|&&s| !self.hosts.is_sick(s, peers));
+        let (well, sick): (Vec<Slot>, Vec<Slot>) = ready
+            .iter()
+            .partition(|&&s| !self.engines.is_sick(s, peers));
         let harmless = reading || self.effect(request) == Effect::Reissuable;
         let trials = sick
             .iter()
-            .filter(|&&s| harmless && self.now >= self.hosts.trial_at[s]);
+            .filter(|&&s| harmless && self.now >= self.engines.trial_at[s]);
         let judged = if well.is_empty() {
             sick.clone()
         } else {
@@ -751,13 +757,13 @@
         };
         let open = |s: &Slot| {
             let allowed = self.may_go_to(request, *s) && self.cold_room(*s, share);
-            allowed && self.now >= self.hosts.full_until[*s]
+            allowed && self.now >= self.engines.full_until[*s]
         };
         let open: Vec<Slot> = judged.into_iter().filter(open).collect();
-        let taken = &self.hosts.reported_load;
-        let mean = self.hosts.mean(false, taken, Slot::MAX);
-        let loaded = |s: Slot| self.hosts.aged(s, self.now, taken, mean) > (1.0 + mean) / 2.0;
-        let fit = |s: &Slot| (reading || self.hosts.has_room(*s)) && !request.tried.contains(s);
+        let taken = &self.engines.reported_load;
+        let mean = self.engines.mean(false, taken, Slot::MAX);
+        let loaded = |s: Slot| self.engines.aged(s, self.now, taken, mean) > (1.0 + mean) / 2.0;
+        let fit = |s: &Slot| (reading || self.engines.has_room(*s)) && !request.tried.contains(s);
         let fit: Vec<Slot> = open.iter().copied().filter(fit).collect();
         let light: Vec<Slot> = fit
             .iter()
@@ -766,40 +772,40 @@
             .collect();
         [light, fit, open]
             .into_iter()
-            .find(|hosts| !hosts.is_empty())
+            .find(|engines| !engines.is_empty())
             .unwrap_or_default()
     }
 
     fn is_cold(&self, slot: Slot) -> bool {
-        self.now < self.hosts.started[slot] + self.settings.ramp
+        self.now < self.engines.started[slot] + self.settings.ramp
     }
 
-    /// A fresh host counts for less, by its age.
+    /// A fresh engine counts for less, by its age.
     fn age_weight(&self, slot: Slot) -> f64 {
-        let age = ((self.now - self.hosts.started[slot]) / self.settings.ramp).clamp(0.0, 1.0);
+        let age = ((self.now - self.engines.started[slot]) / self.settings.ramp).clamp(0.0, 1.0);
         self.settings.start_capacity + (1.0 - self.settings.start_capacity) * age
     }
 
-    /// Guards against pushing a cold host over: the attempts it may get in any fall window. Warm hosts show
-    /// what a host bears (our reads done and streams begun there, also before all restarted); a cold one gets
+    /// Guards against pushing a cold engine over: the attempts it may get in any fall window. Warm engines show
+    /// what an engine bears (our reads done and streams begun there, also before all restarted); a cold one gets
     /// that, scaled by start capacity and fall multiple, less a margin. Each dispatcher scales by its own
-    /// traffic, however it is spread, so together they stay under. Who saw no warm host goes by arrivals.
+    /// traffic, however it is spread, so together they stay under. Who saw no warm engine goes by arrivals.
     fn cold_budget(&self, reading: bool) -> f64 {
         let window = self.settings.fall_window;
         let borne = match self.borne[usize::from(reading)].rate {
-            0.0 => self.arriving.rate / self.hosts.ready(reading).count().max(1) as f64,
+            0.0 => self.arriving.rate / self.engines.ready(reading).count().max(1) as f64,
             borne => borne,
         };
         COLD_MARGIN * self.settings.fall_multiple * self.settings.start_capacity * borne * window
     }
 
     fn note_done(&mut self, slot: Slot, reading: bool) {
-        self.hosts.judge(slot, true);
-        // Guards against what ends at hosts that are being replaced: held against the few warm ones that are left, or
+        self.engines.judge(slot, true);
+        // Guards against what ends at engines that are being replaced: held against the few warm ones that are left, or
         // none, it would pass for what each of those bears.
-        if !self.is_cold(slot) && self.hosts.listed[slot].condition == Condition::Ready {
+        if !self.is_cold(slot) && self.engines.listed[slot].condition == Condition::Ready {
             let warm = self
-                .hosts
+                .engines
                 .ready(reading)
                 .filter(|&s| !self.is_cold(s))
                 .count()
@@ -808,15 +814,15 @@
         }
     }
 
-    /// The attempts that a cold host may get from here in any fall window. Who has little to give mostly has none to
-    /// send: more may, as few are wanted `HOT` times the mean. Guards against a surge while most hosts are cold: whatever
+    /// The attempts that a cold engine may get from here in any fall window. Who has little to give mostly has none to
+    /// send: more may, as few are wanted `HOT` times the mean. Guards against a surge while most engines are cold: whatever
     /// comes then goes to the few that are open here, so what came lately tells how many each of them would get.
     fn cold_share(&self, reading: bool) -> f64 {
         let budget = self.cold_budget(reading);
         let share = |wanted: f64| budget / (1.0 - (-wanted.max(f64::EPSILON)).exp());
         let usual = HOT * budget;
         let (cold, warm): (Vec<Slot>, Vec<Slot>) =
-            self.hosts.ready(reading).partition(|&s| self.is_cold(s));
+            self.engines.ready(reading).partition(|&s| self.is_cold(s));
         let open = warm.len() as f64 + cold.len() as f64 * share(usual).min(1.0);
         // Whoever asks has a request itself: that one tells nothing.
         let since = self.now - self.settings.fall_window;
@@ -831,17 +837,17 @@
     }
 
     /// Every attempt counts, also one turned away. Guards against shares that are each small and together too
-    /// much: a dispatcher gives a cold host a whole number of attempts in any fall window, the same while it
+    /// much: a dispatcher gives a cold engine a whole number of attempts in any fall window, the same while it
     /// is cold and no more arrives; who rounds up goes by the dispatchers' numbers, so that as many do as their
     /// fractions add up to.
     fn cold_room(&self, slot: Slot, share: f64) -> bool {
-        let host = xxh3_64_with_seed(
-            self.hosts.listed[slot].host.0.as_bytes(),
-            self.hosts.started[slot].to_bits(),
+        let engine = xxh3_64_with_seed(
+            self.engines.listed[slot].engine.0.as_bytes(),
+            self.engines.started[slot].to_bits(),
         );
-        let turn = host.wrapping_add(u64::from(self.settings.me.0).wrapping_mul(SPREAD)) as f64
+        let turn = engine.wrapping_add(u64::from(self.settings.me.0).wrapping_mul(SPREAD)) as f64
             / u64::MAX as f64;
-        let sent = self.hosts.sends[slot]
+        let sent = self.engines.sends[slot]
             .iter()
             .filter(|&&at| at > self.now - self.settings.fall_window);
         !self.is_cold(slot) || share > 0.0 && (sent.count() as f64) < (share + turn).floor()
@@ -853,9 +859,9 @@
 
     /// Whether the writers can take what is being read and one more: a read state cannot wait for long.
     fn writers_have_room(&self) -> bool {
-        let writers = self.hosts.ready(false);
+        let writers = self.engines.ready(false);
         let room: f64 = writers
-            .map(|s| (self.hosts.limit[s] - self.hosts.streams[s]).max(0.0))
+            .map(|s| (self.engines.limit[s] - self.engines.streams[s]).max(0.0))
             .sum();
         room >= self.queue.coming as f64 + 1.0
     }
@@ -889,14 +895,14 @@
             Want::Rest => {}
             Want::Start(slot) => {
                 let reading = request.state.is_none();
-                let host = self.hosts.listed[slot].host.clone();
+                let engine = self.engines.listed[slot].engine.clone();
                 actions.push(Action::StartAttempt {
                     request: id,
-                    host,
+                    engine,
                     until: Some(request.ends),
                 });
                 let tokens = if reading {
-                    self.hosts.unread(slot, &request.arrival)
+                    self.engines.unread(slot, &request.arrival)
                 } else {
                     0.0
                 };
@@ -915,11 +921,11 @@
                     delivery,
                     ..Out::default()
                 };
-                self.hosts.tally(&out, 1.0);
+                self.engines.tally(&out, 1.0);
                 let since = self.now - self.settings.fall_window;
-                self.hosts.sends[slot].retain(|&at| at > since);
-                self.hosts.sends[slot].push_back(self.now);
-                self.hosts.trial_at[slot] = self.now + self.settings.fall_window;
+                self.engines.sends[slot].retain(|&at| at > since);
+                self.engines.sends[slot].push_back(self.now);
+                self.engines.trial_at[slot] = self.now + self.settings.fall_window;
                 request.out = Some(out);
                 self.wake_at(self.now + QUEUED * request.allowed);
                 request.attempts += 1;
@@ -1023,13 +1029,13 @@
     }
 }
 
-impl Hosts {
+impl Engines {
     fn slot(&mut self, entry: &Entry, kind: &KindSettings) -> Slot {
-        if let Some(&slot) = self.index.get(&entry.host) {
+        if let Some(&slot) = self.index.get(&entry.engine) {
             return slot;
         }
         let slot = self.listed.len();
-        self.index.insert(entry.host.clone(), slot);
+        self.index.insert(entry.engine.clone(), slot);
         self.listed.push(entry.clone());
         self.kind.push(kind.clone());
         let start = if kind.role == Role::Reader {
@@ -1070,7 +1076,7 @@
         slot
     }
 
-    /// What a report says: the tokens that wait to be read, and the share of the host that is taken.
+    /// What a report says: the tokens that wait to be read, and the share of the engine that is taken.
     fn note_load(&mut self, slot: Slot, load: &Load, now: Ms) {
         let said = [
             load.in_flight,
@@ -1101,14 +1107,14 @@
     }
 
     /// Whether a probe is owed: one is out for longer than a read waits for it, or came back without an
-    /// answer. Guards against a host too busy to say how busy it is, which would pass for one with nothing
+    /// answer. Guards against an engine too busy to say how busy it is, which would pass for one with nothing
     /// waiting.
     fn owes(&self, slot: Slot, now: Ms) -> bool {
         let asked = self.asked_at[slot];
         now - asked < self.stale && (self.silent[slot] || asked > self.answered_at[slot])
     }
 
-    /// The mean of a role's reports, that of one host left out.
+    /// The mean of a role's reports, that of one engine left out.
     fn mean(&self, reading: bool, what: &[f64], but: Slot) -> f64 {
         let known = self
             .ready(reading)
@@ -1128,7 +1134,7 @@
         (0..self.listed.len()).filter(ready)
     }
 
-    /// A read has no effect, however it ends; a mixed host answers what it has read.
+    /// A read has no effect, however it ends; a mixed engine answers what it has read.
     fn only_reads(&self, out: &Out) -> bool {
         out.reading && self.kind[out.slot].role == Role::Reader
     }
@@ -1148,7 +1154,7 @@
         (seen * self.reading[slot]).max(self.aged(slot, now, &self.reported_tokens, mean))
     }
 
-    /// Guards against queues at hosts, where requests grow late and push out kept texts: a limit of what is out,
+    /// Guards against queues at engines, where requests grow late and push out kept texts: a limit of what is out,
     /// one more for each limit's worth done in time, a cut for one that queued, once for all that were out.
     fn learn_limit(&mut self, slot: Slot, sent: Ms, queued: bool, now: Ms) {
         let out = self.reads[slot] + self.streams[slot];
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -153,9 +153,9 @@
         };
         out.delivery = Delivery::GivenUp;
         let (slot, sent) = (out.slot, out.sent);
-        self.hosts.judge(slot, false);
+        self.engines.judge(slot, false);
         // Guards against a run of requests that all wait for the same silent engine.
-        self.hosts.full_until[slot] = self.now + self.settings.release;
+        self.engines.full_until[slot] = self.now + self.settings.release;
         request.tried.push(slot);
         let may_cancel = self.settings.may_cancel;
         let goes_elsewhere = may_cancel && self.has_other_engine(request, slot, sent);
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -118,7 +118,7 @@
     }
 
     /// Whether a list of this version replaces, or a change of it adds to, the newest one that is known. Guards against
-    /// a replica of discovery that lags behind: its list would bring hosts back that drain or are gone.
+    /// a replica of discovery that lags behind: its list would bring engines back that drain or are gone.
     pub fn takes(&mut self, whole: bool, version: u64, newest: u64, now: Ms) -> bool {
         if version >= newest {
             self.older_since = None;
--- a/src/fleet/bounds.rs
+++ b/src/fleet/bounds.rs
@@ -1,4 +1,4 @@
-//! How many may be out at once, and what binds: the dispatchers or the model hosts of a fleet as one of its members
+//! How many may be out at once, and what binds: the dispatchers or the engines of a fleet as one of its members
 //! sees them, counted against bounds over the fleet, a zone, a cell and a kind. Whoever is not seen to be in is out,
 //! planned or not: failures use up the same room.
 
@@ -12,12 +12,12 @@
 pub enum Of {
     #[default]
     Dispatchers,
-    Hosts,
+    Engines,
 }
 
 impl fmt::Display for Of {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(if *self == Of::Hosts {
+        to.write_str(if *self == Of::Engines {
             "model hosts"
         } else {
             "dispatchers"
@@ -52,7 +52,7 @@
     pub zone: Most,
     pub cell: Most,
     pub kind: Most,
-    /// Ready model hosts that stay, at least.
+    /// Ready engines that stay, at least.
     pub readers_zone: u32,
     pub writers_zone: u32,
     pub readers_cell: u32,
@@ -128,11 +128,11 @@
     }
 }
 
-/// A dispatcher or a model host, as seen.
+/// A dispatcher or an engine, as seen.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unit {
     pub name: Name,
-    /// Which process of it; a model host's start stands for it.
+    /// Which process of it; an engine's start stands for it.
     pub run: Run,
     pub address: Address,
     pub zone: String,
@@ -271,7 +271,7 @@
     kinds: BTreeMap<String, Count>,
     /// Ready readers and writers by zone and by cell.
     ready: BTreeMap<(bool, Role2, String), u32>,
-    /// Use summed over ready hosts of a role: over the fleet (no name) and by zone.
+    /// Use summed over ready engines of a role: over the fleet (no name) and by zone.
     used: BTreeMap<(Role2, String), (f64, u32)>,
 }
 
