--- a/src/fleet/conduct.rs
+++ b/src/fleet/conduct.rs
@@ -24,15 +24,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     pub dispatchers: Vec<Unit>,
-    pub hosts: Vec<Unit>,
+    pub engines: Vec<Unit>,
     /// The roll has been called for long enough that all who are there were heard.
     pub whole: bool,
 }
 
 impl View {
     pub fn units(&self, of: Of) -> &[Unit] {
-        if of == Of::Hosts {
-            &self.hosts
+        if of == Of::Engines {
+            &self.engines
         } else {
             &self.dispatchers
         }
@@ -105,8 +105,8 @@
         };
     };
     let other = unit.run != turn.run;
-    // A model host carries no label: its keeper is told what it is to be.
-    let any = turn.label.is_empty() || turn.of == Of::Hosts || is(Plant::LabelUnchecked);
+    // An engine carries no label: its keeper is told what it is to be.
+    let any = turn.label.is_empty() || turn.of == Of::Engines || is(Plant::LabelUnchecked);
     let fits = any || turn.label == unit.label;
     match unit.stand {
         Stand::In if other && !turn.stays && fits => Stage::Back,
@@ -174,7 +174,7 @@
         if let Some(step) = self.turns(now, care, view) {
             return Some(step);
         }
-        if let Some(step) = [Of::Dispatchers, Of::Hosts]
+        if let Some(step) = [Of::Dispatchers, Of::Engines]
             .into_iter()
             .find_map(|of| grown(care, view, of))
         {
@@ -340,13 +340,13 @@
             false => plan.wave(release.wave).saturating_sub(release.given),
         };
         if order.is_empty() && waits.is_none() && planned == 0 {
-            // Nobody is left that is seen; one that is not seen may be one of them. A model host that is gone comes back
+            // Nobody is left that is seen; one that is not seen may be one of them. An engine that is gone comes back
             // as another.
             let beside = care.turns.values().any(|turn| turn.of == plan.of);
             self.why = match view.whole {
                 false => Some("the roll is not whole yet".to_owned()),
                 true if beside => Some("turns beside the release are not over".to_owned()),
-                true if plan.of == Of::Hosts => None,
+                true if plan.of == Of::Engines => None,
                 true => counts.missing(units),
             };
             return self.why.is_none().then_some(Step::Finish);
@@ -487,18 +487,18 @@
             {
                 continue;
             }
-            // Back, a dispatcher that is there and not ready may be told at once: it takes no room. A model host that is
+            // Back, a dispatcher that is there and not ready may be told at once: it takes no room. An engine that is
             // cold will be ready by itself.
-            let hosts = plan.of == Of::Hosts;
+            let engines = plan.of == Of::Engines;
             let there =
-                unit.stand == Stand::In || release.back && !hosts && unit.stand == Stand::Coming;
+                unit.stand == Stand::In || release.back && !engines && unit.stand == Stand::Coming;
             match there {
-                true if hosts && blocked.contains_key(unit.zone.as_str()) => {}
+                true if engines && blocked.contains_key(unit.zone.as_str()) => {}
                 true => order.push(unit),
-                // A model host that is not listed any more comes back as another.
-                false if hosts && unit.stand == Stand::Out => {}
+                // An engine that is not listed any more comes back as another.
+                false if engines && unit.stand == Stand::Out => {}
                 false => {
-                    if hosts {
+                    if engines {
                         // A zone is gone through in order, or this one would be passed over.
                         blocked.entry(&unit.zone).or_insert(key(&unit.name));
                     }
@@ -592,7 +592,7 @@
     let plan = &release.plan;
     let has = |u: &&Unit| match plan.of {
         Of::Dispatchers => u.label == plan.label,
-        Of::Hosts => !wanted(release, u) && !turning(&u.name),
+        Of::Engines => !wanted(release, u) && !turning(&u.name),
     };
     units
         .iter()
@@ -668,7 +668,7 @@
     }
 }
 
-/// What a member is told of its turn, as an act's body, and the list's keeper of a model host's.
+/// What a member is told of its turn, as an act's body, and the list's keeper of an engine's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Told {
     pub number: TurnNo,
@@ -701,7 +701,7 @@
 
     /// One word a line; a label is the last, as it may be empty.
     pub fn write(&self) -> Vec<u8> {
-        let of = if self.of == Of::Hosts {
+        let of = if self.of == Of::Engines {
             "host"
         } else {
             "dispatcher"
@@ -723,7 +723,7 @@
             return None;
         };
         let of = match of {
-            "host" => Of::Hosts,
+            "host" => Of::Engines,
             "dispatcher" => Of::Dispatchers,
             _ => return None,
         };
@@ -784,7 +784,7 @@
 
 /// The address that a unit's turn is told at: its own, or the list's keeper's.
 pub fn told_at<'a>(turn: &'a Turn, keeper: Option<&'a Address>) -> Option<&'a Address> {
-    if turn.of == Of::Hosts {
+    if turn.of == Of::Engines {
         keeper
     } else {
         Some(&turn.address)
--- a/src/fleet/member/mod.rs
+++ b/src/fleet/member/mod.rs
@@ -19,7 +19,7 @@
 use super::duties::{Hold, LeaseSettings, Watch};
 use super::register::{self, Ballot, Kept, Knows, Round, Said, Voter};
 use super::release::TurnNo;
-use super::rollcall::{Beat, HostReport, RollCall};
+use super::rollcall::{Beat, EngineReport, RollCall};
 use super::{Address, Duty, Name, Run, Steady, Term};
 use crate::interface::Ms;
 use nanorand::WyRand;
@@ -53,7 +53,7 @@
     /// Who is told the roll-call, and how often.
     pub tells: Vec<Address>,
     pub tell_every: Ms,
-    /// How many dispatchers and how many model hosts may be out at once, and who lists hosts as draining.
+    /// How many dispatchers and how many engines may be out at once, and who lists engines as draining.
     pub bounds: (Bounds, Bounds),
     pub keeper: Option<Address>,
     pub seed: u64,
@@ -138,8 +138,8 @@
     pub load: f64,
     /// Tasks answered by this process so far.
     pub tally: Tally,
-    /// What it heard of some model hosts since it was last asked.
-    pub reports: Vec<HostReport>,
+    /// What it heard of some engines since it was last asked.
+    pub reports: Vec<EngineReport>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -161,8 +161,8 @@
         answer: Option<Answer>,
     },
     Fares(Fares),
-    /// The model hosts as this dispatcher's list has them.
-    Hosts(Vec<Unit>),
+    /// The engines as this dispatcher's list has them.
+    Engines(Vec<Unit>),
     Tick,
     /// Hands over what it holds and contends no more.
     Stop,
@@ -472,7 +472,7 @@
                 }
             }
             Input::Fares(fares) => self.fares(fares),
-            Input::Hosts(hosts) => self.hosts(hosts),
+            Input::Engines(engines) => self.engines(engines),
             Input::Tick => {}
             Input::Stop => self.stopping = true,
         }
--- a/src/fleet/member/releasing.rs
+++ b/src/fleet/member/releasing.rs
@@ -25,7 +25,7 @@
 /// Those that may wait for a turn at once, and turns remembered as taken back.
 const MOST_WANTS: usize = 1024;
 const MOST_REVOKED: usize = 1024;
-/// Reports of hosts in one beat.
+/// Reports of engines in one beat.
 pub const MOST_REPORTS: usize = 8;
 
 /// What the holder knows of turns' acts at one receiver.
@@ -50,9 +50,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Releasing {
     pub(super) tally: Tally,
-    reports: Vec<HostReport>,
-    /// Model hosts as its own list has them.
-    hosts: Vec<Unit>,
+    reports: Vec<EngineReport>,
+    /// Engines as its own list has them.
+    engines: Vec<Unit>,
     conduct: Option<Conduct>,
     next_look: Ms,
     step: Option<Step>,
@@ -92,18 +92,18 @@
         self.care.reports.drain(..many);
     }
 
-    pub(super) fn hosts(&mut self, hosts: Vec<Unit>) {
-        self.care.hosts = hosts;
+    pub(super) fn engines(&mut self, engines: Vec<Unit>) {
+        self.care.engines = engines;
     }
 
     /// The next few reports, for a beat.
-    pub(super) fn next_reports(&mut self) -> Vec<HostReport> {
+    pub(super) fn next_reports(&mut self) -> Vec<EngineReport> {
         let n = self.care.reports.len().min(MOST_REPORTS);
         self.care.reports.drain(..n).collect()
     }
 
-    /// Whether the list of model hosts is of use here: it is not handed in for nothing.
-    pub fn wants_hosts(&self) -> bool {
+    /// Whether the list of engines is of use here: it is not handed in for nothing.
+    pub fn wants_engines(&self) -> bool {
         self.holds.contains_key(&Self::roll_call())
     }
 
@@ -143,8 +143,8 @@
             used: None,
             tally: member.beat.tally,
         };
-        let host = |unit: &Unit| {
-            let heard = roll.host(&unit.name);
+        let engine = |unit: &Unit| {
+            let heard = roll.engine(&unit.name);
             let used = heard
                 .and_then(|h| h.used)
                 .map(|(used, at)| (used, now - at));
@@ -160,7 +160,7 @@
         };
         View {
             dispatchers: roll.members().map(dispatcher).collect(),
-            hosts: self.care.hosts.iter().map(host).collect(),
+            engines: self.care.engines.iter().map(engine).collect(),
             whole: now - roll.since >= WHOLE_AFTER * roll.beat_every(least),
         }
     }
@@ -610,7 +610,7 @@
                 return Some(Reply::No(why.to_owned()));
             }
             ReleaseOrder::Start { plan, skip, dry } => {
-                let bounds = if plan.of == Of::Hosts {
+                let bounds = if plan.of == Of::Engines {
                     self.settings.bounds.1
                 } else {
                     self.settings.bounds.0
@@ -728,7 +728,7 @@
             .map(|n| &*n.0)
             .collect();
         if !missing.is_empty() && !skip {
-            let what = if plan.of == Of::Hosts {
+            let what = if plan.of == Of::Engines {
                 "the list"
             } else {
                 "the roll-call"
@@ -741,7 +741,7 @@
         if !units.iter().any(|u| plan.takes(u)) {
             return Err("the plan means nobody who is there".to_owned());
         }
-        if plan.of == Of::Hosts && self.settings.keeper.is_none() {
+        if plan.of == Of::Engines && self.settings.keeper.is_none() {
             return Err(
                 "the settings of the fleet have no 'keeper' to list hosts as draining".to_owned(),
             );
--- a/src/fleet/release.rs
+++ b/src/fleet/release.rs
@@ -92,7 +92,7 @@
     /// The wave, counted from 0, and how many turns it has given.
     pub wave: u32,
     pub given: u32,
-    /// Of model hosts, which carry no label: how far each zone has come, by [`key`]; and those before that which are
+    /// Of engines, which carry no label: how far each zone has come, by [`key`]; and those before that which are
     /// to go again.
     pub reached: BTreeMap<String, u64>,
     pub again: BTreeSet<Name>,
@@ -113,10 +113,10 @@
     pub halted: Option<String>,
     /// How often an operator had it go on: who waits for turns begins to wait anew.
     pub resumed: u64,
-    /// How many dispatchers and model hosts each zone has: counted up as they are seen, and down by an operator's word
+    /// How many dispatchers and engines each zone has: counted up as they are seen, and down by an operator's word
     /// alone, as one that is missing may have failed.
     pub dispatchers: Sizes,
-    pub hosts: Sizes,
+    pub engines: Sizes,
     /// What operators did by hand without agreement; the last few.
     pub notes: Vec<String>,
 }
@@ -179,16 +179,16 @@
     }
 
     pub fn sizes(&self, of: Of) -> &Sizes {
-        if of == Of::Hosts {
-            &self.hosts
+        if of == Of::Engines {
+            &self.engines
         } else {
             &self.dispatchers
         }
     }
 
     fn sizes_mut(&mut self, of: Of) -> &mut Sizes {
-        if of == Of::Hosts {
-            &mut self.hosts
+        if of == Of::Engines {
+            &mut self.engines
         } else {
             &mut self.dispatchers
         }
@@ -237,7 +237,7 @@
                     .filter(|r| turn.planned && !r.done)
                 {
                     release.given = release.given.saturating_sub(1);
-                    if turn.of == Of::Hosts {
+                    if turn.of == Of::Engines {
                         release.again.insert(turn.who);
                     }
                 }
@@ -350,7 +350,7 @@
         };
         release.given += 1;
         release.again.remove(&turn.who);
-        if turn.of == Of::Hosts {
+        if turn.of == Of::Engines {
             let at = key(&turn.who);
             // Forward a zone has come to this one; back it has come to just before it.
             let to = if release.back {
--- a/src/fleet/rollcall.rs
+++ b/src/fleet/rollcall.rs
@@ -22,23 +22,23 @@
     pub holds: u32,
     /// Tasks answered by this process.
     pub tally: Tally,
-    /// What it heard of a few model hosts.
-    pub reports: Vec<HostReport>,
+    /// What it heard of a few engines.
+    pub reports: Vec<EngineReport>,
 }
 
-/// What a dispatcher heard of a model host.
+/// What a dispatcher heard of an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HostReport {
-    pub host: Name,
+pub struct EngineReport {
+    pub engine: Name,
     /// What is used of it, 0 to 1, and how old that is.
     pub used: Option<(f64, Ms)>,
     /// What became of requests there since the last report by this dispatcher.
     pub tally: Tally,
 }
 
-/// A model host, as dispatchers told of it.
+/// An engine, as dispatchers told of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct HostHeard {
+pub struct EngineHeard {
     /// What is used of it, and when that was so.
     pub used: Option<(f64, Ms)>,
     /// Summed since this dispatcher calls the roll.
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RollCall {
     members: BTreeMap<Name, Member>,
-    hosts: BTreeMap<Name, HostHeard>,
+    engines: BTreeMap<Name, EngineHeard>,
     /// Since when this dispatcher calls the roll.
     pub since: Ms,
     duties: BTreeMap<Duty, BTreeMap<Name, u32>>,
@@ -133,11 +133,11 @@
         }
     }
 
-    fn heard_of(&mut self, now: Ms, report: HostReport) {
-        if !self.hosts.contains_key(&report.host) && self.hosts.len() >= MOST_MEMBERS {
+    fn heard_of(&mut self, now: Ms, report: EngineReport) {
+        if !self.engines.contains_key(&report.engine) && self.engines.len() >= MOST_MEMBERS {
             return;
         }
-        let heard = self.hosts.entry(report.host).or_default();
+        let heard = self.engines.entry(report.engine).or_default();
         heard.tally.add(&report.tally);
         if let Some((used, age)) = report.used {
             let at = now - age.max(0.0);
@@ -147,8 +147,8 @@
         }
     }
 
-    pub fn host(&self, name: &Name) -> Option<&HostHeard> {
-        self.hosts.get(name)
+    pub fn engine(&self, name: &Name) -> Option<&EngineHeard> {
+        self.engines.get(name)
     }
 
     pub fn standing(&self, now: Ms, member: &Member, least: Ms) -> Standing {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -9,9 +9,9 @@
 /// A request, as its dispatcher numbers it; never used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
-/// A model host's lasting name.
+/// An engine's lasting name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct HostId(pub Arc<str>);
+pub struct EngineId(pub Arc<str>);
 /// A session: one client's row of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
@@ -24,10 +24,10 @@
 /// A zone, by its place in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
-/// A cell: a few model hosts with a short way between them.
+/// A cell: a few engines with a short way between them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
-/// A kind of model host, by its place in the settings.
+/// A kind of engine, by its place in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u32);
 /// A profile, by its place in the settings.
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
-/// What a kind of model host does.
+/// What a kind of engine does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Reader,
@@ -51,7 +51,7 @@
     Both,
 }
 
-/// The model hosts that recognise a numbered request's repeat.
+/// The engines that recognise a numbered request's repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -87,14 +87,14 @@
     pub share: f64,
 }
 
-/// One kind of model host.
+/// One kind of engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindSettings {
     pub role: Role,
     pub memory_tokens: f64,
 }
 
-/// How the list of model hosts reaches a dispatcher.
+/// How the list of engines reaches a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Discovery {
     Pushed,
@@ -132,7 +132,7 @@
     pub ramp: Ms,
 }
 
-/// What a model host last said of its load; absent where it does not say.
+/// What an engine last said of its load; absent where it does not say.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     pub in_flight: Option<f64>,
@@ -149,10 +149,10 @@
     Gone,
 }
 
-/// One line of the list of model hosts.
+/// One line of the list of engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    pub host: HostId,
+    pub engine: EngineId,
     pub zone: ZoneId,
     pub kind: KindId,
     pub cell: CellId,
@@ -215,11 +215,11 @@
     FirstToken {
         request: RequestId,
         attempt: AttemptId,
-        host: HostId,
+        engine: EngineId,
         latency: Ms,
     },
     Ended(Ended),
-    /// Where deliveries are tracked: the attempt has reached a host that runs, which has shown so since.
+    /// Where deliveries are tracked: the attempt has reached an engine that runs, which has shown so since.
     Delivered {
         request: RequestId,
         attempt: AttemptId,
@@ -227,14 +227,14 @@
     Place {
         request: RequestId,
         attempt: AttemptId,
-        host: HostId,
+        engine: EngineId,
         held: bool,
     },
     Timer {
         timer: TimerId,
     },
     Probed {
-        host: HostId,
+        engine: EngineId,
         outcome: Outcome,
         latency: Ms,
         load: Load,
@@ -250,7 +250,7 @@
 pub struct Ended {
     pub request: RequestId,
     pub attempt: AttemptId,
-    pub host: HostId,
+    pub engine: EngineId,
     pub outcome: Outcome,
     pub latency: Ms,
     /// The request is finished, by this outcome or before it.
@@ -264,7 +264,7 @@
 pub enum Action {
     StartAttempt {
         request: RequestId,
-        host: HostId,
+        engine: EngineId,
         until: Option<Ms>,
     },
     Cancel {
@@ -282,7 +282,7 @@
     Release {
         request: RequestId,
     },
-    /// Asks for a sign that the attempt's host runs; `Event::Delivered` tells of one.
+    /// Asks for a sign that the attempt's engine runs; `Event::Delivered` tells of one.
     Confirm {
         request: RequestId,
         attempt: AttemptId,
@@ -293,7 +293,7 @@
     },
     HoldAhead {
         request: RequestId,
-        host: HostId,
+        engine: EngineId,
     },
     Move {
         request: RequestId,
@@ -303,10 +303,10 @@
         timer: TimerId,
     },
     Probe {
-        host: HostId,
+        engine: EngineId,
     },
     CloseIdle {
-        host: HostId,
+        engine: EngineId,
     },
     /// To one dispatcher, or to all others.
     Tell {
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,5 +1,5 @@
 //! How ends of calls are told in gRPC's words, and what an end proves: to a client, which answer its status
-//! stands for and whether trying again does no harm; from a host, whether a call that ended without its own
+//! stands for and whether trying again does no harm; from an engine, whether a call that ended without its own
 //! word may have run.
 //!
 //! A table of plain decisions without I/O; `docs/grpc.md` repeats it for users.
@@ -106,18 +106,18 @@
     )
 }
 
-/// How a call to a host ended that did not end with the host's own last word.
+/// How a call to an engine ended that did not end with the engine's own last word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// No request went out: no connection, or the host takes no more on it.
+    /// No request went out: no connection, or the engine takes no more on it.
     NotSent,
-    /// The host reset the stream, with this HTTP/2 error code.
+    /// The engine reset the stream, with this HTTP/2 error code.
     Reset(u32),
-    /// The host went away, and the call came after the last one that it took.
+    /// The engine went away, and the call came after the last one that it took.
     BeyondLast,
     /// The connection is gone with the call on it.
     ConnectionLost,
-    /// A status; `never_ran`: the host's own mark that nothing of it ran.
+    /// A status; `never_ran`: the engine's own mark that nothing of it ran.
     Status { code: Code, never_ran: bool },
     /// The stream ended in order but without a status or a last message.
     Nothing,
@@ -127,8 +127,8 @@
 const REFUSED_STREAM: u32 = 7;
 
 /// What such an end means for the attempt. Only what is proven counts as not run: a status says nothing of that
-/// by itself, as something between here and the host may have made it up.
-pub fn of_host(end: CallEnd) -> Outcome {
+/// by itself, as something between here and the engine may have made it up.
+pub fn of_engine(end: CallEnd) -> Outcome {
     match end {
         CallEnd::NotSent => Outcome::Unreachable,
         CallEnd::Reset(REFUSED_STREAM) | CallEnd::BeyondLast => Outcome::Full,
--- a/tests/bounds.rs
+++ b/tests/bounds.rs
@@ -10,7 +10,7 @@
         connect_timeout: 250.0,
         discovery: Discovery::Pushed,
         drain_grace: 2_000.0,
-        host_idle: Some(15_000.0),
+        engine_idle: Some(15_000.0),
         most_held: Some(20_000),
         longest_deadline: 4_000.0,
         clients_resume: false,
--- a/tests/channels.rs
+++ b/tests/channels.rs
@@ -1,4 +1,4 @@
-//! Channels to a host: tables of what is decided, and random sequences held against what must always be so.
+//! Channels to an engine: tables of what is decided, and random sequences held against what must always be so.
 
 use cindercleat::channels::*;
 use cindercleat::interface::Ms;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_hosts_own_limit_counts_if_it_is_lower() {
+fn the_engines_own_limit_counts_if_it_is_lower() {
     let mut channels = Channels::new(settings(), 1);
     channels.connecting(A, 0.0);
     channels.up(A, Some(2), 1.0);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn one_is_connected_ahead_when_little_room_is_left_and_not_to_a_host_that_drains() {
+fn one_is_connected_ahead_when_little_room_is_left_and_not_to_an_engine_that_drains() {
     let mut channels = carrying(8);
     assert_eq!(
         channels.wanted(11.0, true),
@@ -291,7 +291,7 @@
         channels.opened(ChannelId(id), 0.0);
         channels.ended(ChannelId(id), rests_since);
     }
-    // Its host may be about to close the third; the first, for want of use.
+    // Its engine may be about to close the third; the first, for want of use.
     for id in [2, 1, 3] {
         assert_eq!(channels.place(100.0), Placement::On(ChannelId(id)));
         channels.opened(ChannelId(id), 100.0);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Cold hosts under the sum of all dispatchers: 3 to 300 of them side by side, with uneven traffic and popular
+//! Cold engines under the sum of all dispatchers: 3 to 300 of them side by side, with uneven traffic and popular
 //! beginnings, while half of the readers are replaced; lists come to each at another time, some dispatchers restart
 //! and forget what they sent. Each decides alone; what all send a cold reader in any fall window is held against
 //! what the settings allow it.
@@ -70,7 +70,7 @@
 fn entry(name: String, kind: u32, at: u32, condition: Condition, started: Option<Ms>) -> Entry {
     let (zone, cell) = (ZoneId(at % 3), CellId(at % 3));
     Entry {
-        host: HostId(name.into()),
+        engine: EngineId(name.into()),
         zone,
         kind: KindId(kind),
         cell,
@@ -124,10 +124,10 @@
     made: u64,
     attempts: BTreeMap<(usize, u32, RequestId), u32>,
     /// Launches at new readers while they are cold.
-    cold: BTreeMap<HostId, Vec<Ms>>,
+    cold: BTreeMap<EngineId, Vec<Ms>>,
     /// How long a reader takes for a read, and until when each is busy: what comes waits its turn.
     reads_for: Ms,
-    busy: BTreeMap<HostId, Ms>,
+    busy: BTreeMap<EngineId, Ms>,
     served: u32,
     asked: u32,
 }
@@ -165,25 +165,27 @@
     fn does(&mut self, now: Ms, who: usize, action: Action) {
         let load = Load::default();
         match action {
-            Action::StartAttempt { request, host, .. } => {
+            Action::StartAttempt {
+                request, engine, ..
+            } => {
                 let count = self
                     .attempts
                     .entry((who, self.lives[who], request))
                     .or_insert(0);
                 let attempt = AttemptId(*count);
                 *count += 1;
-                if host.0.starts_with("new-") && now < REPLACED + RAMP {
-                    self.cold.entry(host.clone()).or_default().push(now);
+                if engine.0.starts_with("new-") && now < REPLACED + RAMP {
+                    self.cold.entry(engine.clone()).or_default().push(now);
                 }
-                let reading = !host.0.starts_with('w');
+                let reading = !engine.0.starts_with('w');
                 let (outcome, took) = if reading {
-                    let cold = host.0.starts_with("new-") && now < REPLACED + RAMP;
+                    let cold = engine.0.starts_with("new-") && now < REPLACED + RAMP;
                     let reads_for = if cold {
                         self.reads_for / START_CAPACITY
                     } else {
                         self.reads_for
                     };
-                    let free = self.busy.entry(host.clone()).or_insert(now);
+                    let free = self.busy.entry(engine.clone()).or_insert(now);
                     *free = free.max(now) + reads_for;
                     (Outcome::ReadDone, *free - now)
                 } else {
@@ -191,7 +193,7 @@
                     let first = Event::FirstToken {
                         request,
                         attempt,
-                        host: host.clone(),
+                        engine: engine.clone(),
                         latency: 20.0,
                     };
                     self.at(now + 20.0, who, Next::Hears(first));
@@ -201,7 +203,7 @@
                 let ended = Ended {
                     request,
                     attempt,
-                    host,
+                    engine,
                     outcome,
                     latency,
                     last,
@@ -210,9 +212,9 @@
                 };
                 self.at(now + took, who, Next::Hears(Event::Ended(ended)));
             }
-            Action::Probe { host } => {
+            Action::Probe { engine } => {
                 let probed = Event::Probed {
-                    host,
+                    engine,
                     outcome: Outcome::Fulfilled,
                     latency: 1.0,
                     load,
@@ -252,7 +254,7 @@
     replaced: u32,
     surge: f64,
     seed: u64,
-) -> (BTreeMap<HostId, Vec<Ms>>, f64) {
+) -> (BTreeMap<EngineId, Vec<Ms>>, f64) {
     let mut day = Day {
         rng: WyRand::new_seed(seed),
         count,
@@ -333,8 +335,8 @@
     (day.cold, served)
 }
 
-/// The most that any of the hosts got in any fall window.
-fn worst(cold: &BTreeMap<HostId, Vec<Ms>>) -> usize {
+/// The most that any of the engines got in any fall window.
+fn worst(cold: &BTreeMap<EngineId, Vec<Ms>>) -> usize {
     let within = |sent: &Vec<Ms>, from: Ms| {
         sent.iter()
             .filter(|&&at| at >= from && at < from + WINDOW)
@@ -359,7 +361,7 @@
 #[test_case(30, 0.8; "thirty with little")]
 #[test_case(30, 8.0; "thirty")]
 #[test_case(300, 6.0; "three hundred")]
-fn no_cold_host_gets_more_than_its_budget_from_all(count: u32, rate: f64) {
+fn no_cold_engine_gets_more_than_its_budget_from_all(count: u32, rate: f64) {
     for (replaced, surge, seed) in [
         (6, 1.0, 1),
         (6, 4.0, 2),
@@ -377,7 +379,7 @@
 #[test_case(3, 3.0; "three with little")]
 #[test_case(20, 0.8; "twenty with little")]
 #[test_case(30, 8.0; "thirty")]
-fn no_cold_host_gets_more_than_its_budget_at_eight_times_the_traffic(count: u32, rate: f64) {
+fn no_cold_engine_gets_more_than_its_budget_at_eight_times_the_traffic(count: u32, rate: f64) {
     for seed in [8, 9] {
         hold_budget(count, rate, READERS, 8.0, seed);
     }
@@ -391,7 +393,7 @@
     }
 }
 
-/// Plays a day and holds what each cold host got against its budget.
+/// Plays a day and holds what each cold engine got against its budget.
 fn hold_budget(count: u32, rate: f64, replaced: u32, surge: f64, seed: u64) {
     let allowed = budget(rate);
     let (cold, served) = play(count, rate, replaced, surge, seed);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -53,13 +53,13 @@
     }
 }
 
-fn host(name: &str) -> HostId {
-    HostId(name.into())
+fn engine(name: &str) -> EngineId {
+    EngineId(name.into())
 }
 
 fn entry(name: &str, kind: u32, at: u32) -> Entry {
     Entry {
-        host: host(name),
+        engine: engine(name),
         zone: ZoneId(at % 3),
         kind: KindId(kind),
         cell: CellId(at % 9),
@@ -69,7 +69,7 @@
     }
 }
 
-fn hosts() -> Vec<Entry> {
+fn engines() -> Vec<Entry> {
     let readers = (0..READERS).map(|at| entry(&format!("r{at}"), 0, at));
     readers
         .chain((0..20).map(|at| entry(&format!("w{at}"), 1, at)))
@@ -81,7 +81,7 @@
     let mut control = Control::new(settings(me), u64::from(me) * 7919);
     let listed = Event::Listed {
         kind: ListKind::Full,
-        entries: hosts(),
+        entries: engines(),
     };
     control.step(0.0, &[listed], &mut Vec::new());
     control
@@ -100,33 +100,33 @@
     })
 }
 
-fn probes(actions: &[Action]) -> Vec<HostId> {
+fn probes(actions: &[Action]) -> Vec<EngineId> {
     let probe = |a: &Action| match a {
-        Action::Probe { host } => Some(host.clone()),
+        Action::Probe { engine } => Some(engine.clone()),
         _ => None,
     };
     actions.iter().filter_map(probe).collect()
 }
 
-fn attempted(actions: &[Action]) -> Option<HostId> {
+fn attempted(actions: &[Action]) -> Option<EngineId> {
     actions.iter().find_map(|a| match a {
-        Action::StartAttempt { host, .. } => Some(host.clone()),
+        Action::StartAttempt { engine, .. } => Some(engine.clone()),
         _ => None,
     })
 }
 
-/// Where a request that comes at `now` is read, if a probe of a host ends as `says` has it; none: its answer is out.
+/// Where a request that comes at `now` is read, if a probe of an engine ends as `says` has it; none: its answer is out.
 fn read_at(
     control: &mut Control,
     now: Ms,
     session: u64,
-    says: impl Fn(&HostId) -> Option<(Outcome, f64)>,
-) -> HostId {
+    says: impl Fn(&EngineId) -> Option<(Outcome, f64)>,
+) -> EngineId {
     let mut actions = Vec::new();
     control.step(now, &[arrives(now as u32, session)], &mut actions);
     let mut answers = Vec::new();
-    for host in probes(&actions) {
-        let Some((outcome, queue)) = says(&host) else {
+    for engine in probes(&actions) {
+        let Some((outcome, queue)) = says(&engine) else {
             continue;
         };
         let queue = Some(queue).filter(|_| outcome == Outcome::Fulfilled);
@@ -136,7 +136,7 @@
             ..Load::default()
         };
         answers.push(Event::Probed {
-            host,
+            engine,
             outcome,
             latency: 5.0,
             load,
@@ -151,7 +151,7 @@
     attempted(&actions).expect("a task with room everywhere is read")
 }
 
-fn read_done(request: RequestId, host: HostId, last: bool) -> Event {
+fn read_done(request: RequestId, engine: EngineId, last: bool) -> Event {
     let (attempt, load, outcome, latency, detail) = (
         AttemptId(0),
         Load::default(),
@@ -162,7 +162,7 @@
     Event::Ended(Ended {
         request,
         attempt,
-        host,
+        engine,
         outcome,
         latency,
         last,
@@ -171,18 +171,18 @@
     })
 }
 
-fn idle(_: &HostId) -> Option<(Outcome, f64)> {
+fn idle(_: &EngineId) -> Option<(Outcome, f64)> {
     Some((Outcome::Fulfilled, 0.0))
 }
 
 /// A dispatcher that has seen a reader at work long ago, so that the length of a queue means something to it.
 fn seasoned(me: u32) -> Control {
     let mut control = dispatcher(me);
-    let host = read_at(&mut control, 1.0, 1, idle);
+    let engine = read_at(&mut control, 1.0, 1, idle);
     let request = RequestId(1);
     control.step(
         210.0,
-        &[Event::Left { request }, read_done(request, host, true)],
+        &[Event::Left { request }, read_done(request, engine, true)],
         &mut Vec::new(),
     );
     control
@@ -190,7 +190,7 @@
 
 #[test]
 fn all_read_a_beginning_at_one_home_while_it_is_idle() {
-    let homes: BTreeSet<HostId> = (0..DISPATCHERS)
+    let homes: BTreeSet<EngineId> = (0..DISPATCHERS)
         .map(|me| read_at(&mut dispatcher(me), 1.0, u64::from(me), idle))
         .collect();
     assert_eq!(homes.len(), 1, "{homes:?}");
@@ -200,11 +200,11 @@
 /// to wherever each dispatcher happens to see least waiting. `says`: what the home makes of a probe.
 fn reads_leave_the_home(says: Option<(Outcome, f64)>) {
     let home = read_at(&mut dispatcher(0), 1.0, 0, idle);
-    let jammed = |h: &HostId| if *h == home { says } else { idle(h) };
+    let jammed = |h: &EngineId| if *h == home { says } else { idle(h) };
     let mut used = BTreeSet::new();
     for session in 0..u64::from(DISPATCHERS / 3) {
         let at = |me: u32| read_at(&mut seasoned(me), 5000.0, session, jammed);
-        let places: BTreeSet<HostId> = [3, 40, 200].map(at).into();
+        let places: BTreeSet<EngineId> = [3, 40, 200].map(at).into();
         assert_eq!(places.len(), 1, "session {session}: {places:?}");
         used.extend(places);
     }
@@ -248,11 +248,11 @@
             }],
             &mut actions,
         );
-        let host = read_at(&mut control, 2000.0, u64::from(me), idle);
+        let engine = read_at(&mut control, 2000.0, u64::from(me), idle);
         actions.clear();
         control.step(
             2210.0,
-            &[read_done(RequestId(2000), host, false)],
+            &[read_done(RequestId(2000), engine, false)],
             &mut actions,
         );
         attempted(&actions).is_some_and(|to| &*to.0 == "cold")
@@ -260,8 +260,8 @@
     (0..DISPATCHERS).filter(|&me| taken(me)).count()
 }
 
-/// Each has a small part of an attempt to give to a cold host, and seldom a request for it: what is drawn of that by the
-/// clock is mostly not there when a request is, and a host counted for less by its age loses each tie.
+/// Each has a small part of an attempt to give to a cold engine, and seldom a request for it: what is drawn of that by the
+/// clock is mostly not there when a request is, and an engine counted for less by its age loses each tie.
 #[test]
 fn a_cold_writer_gets_its_part_of_the_streams_of_all_and_no_more() {
     let part = |warm: &[&str]| begun_cold(warm) as f64 / f64::from(DISPATCHERS);
@@ -296,7 +296,7 @@
     for at in 51..350 {
         let load = Load::default();
         let heard = Event::Probed {
-            host: host("w"),
+            engine: engine("w"),
             outcome: Outcome::Fulfilled,
             latency: 5.0,
             load,
@@ -314,8 +314,8 @@
     let home = read_at(&mut dispatcher(0), 1.0, 0, idle);
     let taken = |me: u32| {
         let mut control = Control::new(settings(me), u64::from(me) * 7919);
-        let mut entries = hosts();
-        for entry in entries.iter_mut().filter(|entry| entry.host == home) {
+        let mut entries = engines();
+        for entry in entries.iter_mut().filter(|entry| entry.engine == home) {
             entry.started = Some(1000.0);
         }
         control.step(
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -179,7 +179,7 @@
     rng: WyRand,
     dispatchers: Vec<Control>,
     engines: Vec<Engine>,
-    index: BTreeMap<HostId, usize>,
+    index: BTreeMap<EngineId, usize>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     nexts: BTreeMap<u64, Next>,
     made: u64,
@@ -213,7 +213,7 @@
             index: engines
                 .iter()
                 .enumerate()
-                .map(|(at, e)| (e.entry.host.clone(), at))
+                .map(|(at, e)| (e.entry.engine.clone(), at))
                 .collect(),
             engines,
             queue: BinaryHeap::new(),
@@ -325,10 +325,10 @@
                 Trouble::Gone => engine.entry.condition = Condition::Gone,
                 Trouble::Cold => {
                     engine.entry.condition = Condition::Gone;
-                    let name = format!("new-{}", engine.entry.host.0);
+                    let name = format!("new-{}", engine.entry.engine.0);
                     let new = self::engine(engine.reads, name, at as u32, Some(now));
                     self.index
-                        .insert(new.entry.host.clone(), self.engines.len());
+                        .insert(new.entry.engine.clone(), self.engines.len());
                     self.engines.push(new);
                 }
             }
@@ -390,13 +390,13 @@
         self.dispatchers[dispatcher].step(now, &[event], &mut actions);
         for action in actions {
             match action {
-                Action::StartAttempt { request, host, .. } => {
-                    self.attempt(now, dispatcher, request, host)
-                }
+                Action::StartAttempt {
+                    request, engine, ..
+                } => self.attempt(now, dispatcher, request, engine),
                 Action::Bounce { request, .. } | Action::WriteOff { request } => {
                     self.ends(request, Answer::Refused)
                 }
-                Action::Probe { host } => self.probe(now, dispatcher, host),
+                Action::Probe { engine } => self.probe(now, dispatcher, engine),
                 Action::Arm { delay, timer } => {
                     self.at(
                         now + delay,
@@ -419,10 +419,10 @@
         }
     }
 
-    fn probe(&mut self, now: Ms, dispatcher: usize, host: HostId) {
-        let load = self.engines[self.index[&host]].load();
+    fn probe(&mut self, now: Ms, dispatcher: usize, engine: EngineId) {
+        let load = self.engines[self.index[&engine]].load();
         let event = Event::Probed {
-            host,
+            engine,
             outcome: Outcome::Fulfilled,
             latency: 2.0,
             load,
@@ -430,11 +430,11 @@
         self.at(now + 2.0, Next::Hears { dispatcher, event });
     }
 
-    fn attempt(&mut self, now: Ms, dispatcher: usize, request: RequestId, host: HostId) {
+    fn attempt(&mut self, now: Ms, dispatcher: usize, request: RequestId, engine_id: EngineId) {
         let count = self.attempts.entry(request).or_insert(0);
         let attempt = AttemptId(*count);
         *count += 1;
-        let (at, asked) = (self.index[&host], self.asked[request.0 as usize].clone());
+        let (at, asked) = (self.index[&engine_id], self.asked[request.0 as usize].clone());
         let engine = &mut self.engines[at];
         let cold = engine.is_cold(now);
         let full = if engine.reads {
@@ -469,7 +469,7 @@
                 let first = Event::FirstToken {
                     request,
                     attempt,
-                    host: host.clone(),
+                    engine: engine_id.clone(),
                     latency: 20.0,
                 };
                 self.at(
@@ -490,7 +490,7 @@
         let ended = Ended {
             request,
             attempt,
-            host,
+            engine: engine_id,
             outcome,
             latency: took,
             last,
@@ -509,7 +509,7 @@
 
 fn engine(reads: bool, name: String, at: u32, started: Option<Ms>) -> Engine {
     let entry = Entry {
-        host: HostId(name.into()),
+        engine: EngineId(name.into()),
         zone: ZoneId(0),
         kind: KindId(u32::from(!reads)),
         cell: CellId(at % 2),
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -69,18 +69,18 @@
     }
 }
 
-fn host(i: u32) -> HostId {
-    HostId(Arc::from(format!("host-{i}")))
+fn engine(i: u32) -> EngineId {
+    EngineId(Arc::from(format!("host-{i}")))
 }
 
-const HOSTS: u32 = 7;
+const ENGINES: u32 = 7;
 
 fn entry(i: u32, condition: Condition, started: Option<Ms>) -> Entry {
     // Three readers, three writers and one that does both, in two zones of two cells.
     let kind = KindId(if i == 6 { 2 } else { i % 2 });
     let (zone, cell) = (ZoneId(i / 2 % 2), CellId(i / 2 % 4));
     Entry {
-        host: host(i),
+        engine: engine(i),
         zone,
         kind,
         cell,
@@ -98,7 +98,7 @@
 struct Out {
     request: RequestId,
     attempt: AttemptId,
-    host: HostId,
+    engine: EngineId,
     first: bool,
     sent: Ms,
 }
@@ -110,7 +110,7 @@
     attempts: Vec<u32>,
     out: Vec<Out>,
     timers: Vec<(Ms, TimerId)>,
-    probes: Vec<HostId>,
+    probes: Vec<EngineId>,
 }
 
 impl World {
@@ -150,7 +150,7 @@
                     [usize::from(whom >> 4) % 3];
                 let started = (whom >> 7) % 4 == 0;
                 let line = entry(
-                    u32::from(whom) % HOSTS,
+                    u32::from(whom) % ENGINES,
                     condition,
                     started.then_some(self.now),
                 );
@@ -161,14 +161,14 @@
             }
             8 => {
                 if !self.probes.is_empty() {
-                    let host = self.probes.remove(pick(self.probes.len()));
+                    let engine = self.probes.remove(pick(self.probes.len()));
                     let load = Load {
                         memory_held: Some(f64::from(whom % 100) / 100.0),
                         waiting_kilotokens: Some(f64::from(whom % 37)),
                         ..Load::default()
                     };
                     events.push(Event::Probed {
-                        host,
+                        engine,
                         outcome: Outcome::Fulfilled,
                         latency: 1.0,
                         load,
@@ -178,7 +178,7 @@
             9 => events.push(Event::FirstToken {
                 request: RequestId(u32::from(whom)),
                 attempt: AttemptId(0),
-                host: host(0),
+                engine: engine(0),
                 latency: 1.0,
             }),
             _ if self.out.is_empty() => {}
@@ -187,18 +187,18 @@
                 let Out {
                     request,
                     attempt,
-                    host,
+                    engine,
                     first,
                     sent,
                 } = self.out[at].clone();
                 let latency = self.now - sent;
-                let reader = ["host-0", "host-2", "host-4"].contains(&&*host.0);
+                let reader = ["host-0", "host-2", "host-4"].contains(&&*engine.0);
                 if !reader && !first && kind < 13 {
                     self.out[at].first = true;
                     events.push(Event::FirstToken {
                         request,
                         attempt,
-                        host,
+                        engine,
                         latency,
                     });
                 } else {
@@ -219,7 +219,7 @@
                     let end = Ended {
                         request,
                         attempt,
-                        host,
+                        engine,
                         outcome,
                         latency,
                         last,
@@ -236,20 +236,22 @@
     fn carry_out(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::StartAttempt { request, host, .. } => {
+                Action::StartAttempt {
+                    request, engine, ..
+                } => {
                     let attempt = AttemptId(self.attempts[request.0 as usize]);
                     self.attempts[request.0 as usize] += 1;
                     let out = Out {
                         request: *request,
                         attempt,
-                        host: host.clone(),
+                        engine: engine.clone(),
                         first: false,
                         sent: self.now,
                     };
                     self.out.push(out);
                 }
                 Action::Arm { delay, timer } => self.timers.push((self.now + delay, *timer)),
-                Action::Probe { host } => self.probes.push(host.clone()),
+                Action::Probe { engine } => self.probes.push(engine.clone()),
                 _ => {}
             }
         }
@@ -259,7 +261,7 @@
 fn play(draws: &[Draw], seed: u64) -> Result<usize, TestCaseError> {
     let [mut lean, mut plain] = [(); 2].map(|()| Control::new(settings(), seed));
     let mut world = World::default();
-    let entries = (0..HOSTS)
+    let entries = (0..ENGINES)
         .map(|i| entry(i, Condition::Ready, None))
         .collect();
     let mut events = vec![Event::Listed {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,8 +1,8 @@
 //! Plays the scenario files of `tests/scenarios/`. Their notation, a line each, `#` starts a comment:
 //!
 //! `set KEY VALUE` changes a default setting; `effect P WORDS` a profile's effect.
-//! `list KIND NAME:ROLE:ZONE:CELL[:CONDITION[:STARTED]] ...` tells of model hosts, ROLE being `r`, `w` or `b`.
-//! `probed HOST SLOTS_USED QUEUE MEMORY` is the answer to a probe of that host.
+//! `list KIND NAME:ROLE:ZONE:CELL[:CONDITION[:STARTED]] ...` tells of engines, ROLE being `r`, `w` or `b`.
+//! `probed HOST SLOTS_USED QUEUE MEMORY` is the answer to a probe of that engine.
 //! `at T` goes to the instant T, firing due timers on the way, and opens a batch of events:
 //! `request ID PROFILE PATIENCE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID HOST`,
 //! `end ID HOST OUTCOME [last] [none] [x1=K]`, `left ID`, `burst ID COUNT PROFILE PATIENCE PROMPT`.
@@ -70,7 +70,7 @@
     seen: Vec<String>,
     timers: Vec<(Ms, TimerId)>,
     attempts: BTreeMap<u32, u32>,
-    newest: BTreeMap<u32, HostId>,
+    newest: BTreeMap<u32, EngineId>,
     checked: bool,
 }
 
@@ -86,15 +86,15 @@
             match action {
                 Action::StartAttempt {
                     request,
-                    host,
+                    engine,
                     until,
                 } => {
                     *self.attempts.entry(request.0).or_default() += 1;
-                    self.newest.insert(request.0, host.clone());
+                    self.newest.insert(request.0, engine.clone());
                     self.seen.push(format!(
                         "launch {} {} by {}",
                         request.0,
-                        host.0,
+                        engine.0,
                         until.unwrap_or(0.0)
                     ));
                 }
@@ -102,7 +102,7 @@
                 Action::Cancel { request, .. } => self.seen.push(format!("cancel {}", request.0)),
                 Action::Bounce { request, .. } => self.seen.push(format!("bounce {}", request.0)),
                 Action::WriteOff { request } => self.seen.push(format!("write-off {}", request.0)),
-                Action::Probe { host } => self.seen.push(format!("probe {}", host.0)),
+                Action::Probe { engine } => self.seen.push(format!("probe {}", engine.0)),
                 Action::Release { request } => self.seen.push(format!("release {}", request.0)),
                 other => self.seen.push(format!("{other:?}").to_lowercase()),
             }
@@ -150,7 +150,7 @@
         _ => Condition::Gone,
     };
     Entry {
-        host: HostId(parts[0].into()),
+        engine: EngineId(parts[0].into()),
         zone: ZoneId(number(parts[2]) as u32),
         kind: KindId(["r", "w", "b"].iter().position(|k| *k == parts[1]).unwrap() as u32),
         cell: CellId(number(parts[3]) as u32),
@@ -267,9 +267,9 @@
             continue;
         };
         let id = || RequestId(number(rest[0]) as u32);
-        let host = |play: &Play| match rest[1] {
+        let engine = |play: &Play| match rest[1] {
             "*" => play.newest[&id().0].clone(),
-            name => HostId(name.into()),
+            name => EngineId(name.into()),
         };
         let newest = |play: &Play| {
             AttemptId(
@@ -308,7 +308,7 @@
             "probed" => {
                 let [slots_used, queue, memory_held] = [1, 2, 3].map(|at| Some(number(rest[at])));
                 play.events.push(Event::Probed {
-                    host: HostId(rest[0].into()),
+                    engine: EngineId(rest[0].into()),
                     outcome: Outcome::Fulfilled,
                     latency: 5.0,
                     load: Load {
@@ -325,7 +325,7 @@
                 play.events.push(Event::FirstToken {
                     request: id(),
                     attempt,
-                    host: host(&play),
+                    engine: engine(&play),
                     latency: 50.0,
                 });
             }
@@ -334,7 +334,7 @@
                 play.events.push(Event::Ended(Ended {
                     request: id(),
                     attempt: newest(&play),
-                    host: host(&play),
+                    engine: engine(&play),
                     outcome: outcome(rest[2]),
                     latency: 50.0,
                     last: rest.contains(&"last"),
--- a/tests/single.rs
+++ b/tests/single.rs
@@ -91,7 +91,7 @@
         connect_timeout: 250.0,
         discovery: Discovery::Pushed,
         drain_grace: 1_000.0,
-        host_idle: None,
+        engine_idle: None,
         most_held: None,
         longest_deadline: 4_000.0,
         clients_resume: false,
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -27,16 +27,16 @@
         } else {
             Outcome::Broken
         };
-        assert_eq!(of_host(CallEnd::Reset(code)), expected, "code {code}");
+        assert_eq!(of_engine(CallEnd::Reset(code)), expected, "code {code}");
     }
-    assert_eq!(of_host(CallEnd::Reset(0xffff)), Outcome::Broken);
+    assert_eq!(of_engine(CallEnd::Reset(0xffff)), Outcome::Broken);
 }
 
 #[test]
-fn a_status_proves_nothing_without_the_hosts_own_mark() {
+fn a_status_proves_nothing_without_the_engines_own_mark() {
     for number in 0..=20 {
         let code = Code::from_number(number);
-        let unmarked = of_host(CallEnd::Status {
+        let unmarked = of_engine(CallEnd::Status {
             code,
             never_ran: false,
         });
@@ -45,7 +45,7 @@
             "{code:?}: {unmarked:?}"
         );
         assert_eq!(
-            of_host(CallEnd::Status {
+            of_engine(CallEnd::Status {
                 code,
                 never_ran: true
             }),
@@ -57,8 +57,8 @@
 
 #[test]
 fn what_was_not_sent_or_came_after_the_last_taken_has_not_run() {
-    assert_eq!(of_host(CallEnd::NotSent), Outcome::Unreachable);
-    assert_eq!(of_host(CallEnd::BeyondLast), Outcome::Full);
-    assert_eq!(of_host(CallEnd::ConnectionLost), Outcome::Broken);
-    assert_eq!(of_host(CallEnd::Nothing), Outcome::Broken);
+    assert_eq!(of_engine(CallEnd::NotSent), Outcome::Unreachable);
+    assert_eq!(of_engine(CallEnd::BeyondLast), Outcome::Full);
+    assert_eq!(of_engine(CallEnd::ConnectionLost), Outcome::Broken);
+    assert_eq!(of_engine(CallEnd::Nothing), Outcome::Broken);
 }
