--- a/benches/step.rs
+++ b/benches/step.rs
@@ -7,8 +7,8 @@
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use std::sync::Arc;
 
-const READERS: u32 = 16;
-const WRITERS: u32 = 240;
+const PREFILL_ENGINES: u32 = 16;
+const DECODE_ENGINES: u32 = 240;
 
 fn settings() -> Settings {
     let profile = ProfileSettings {
@@ -29,7 +29,7 @@
         profiles: vec![profile],
         tenants: vec![],
         over_share_worth: 1.0,
-        kinds: [Role::Reader, Role::Writer]
+        kinds: [Role::Prefill, Role::Decode]
             .map(|role| KindSettings {
                 role,
                 memory_tokens: 2e5,
@@ -37,7 +37,7 @@
             .to_vec(),
         discovery: Discovery::Pushed,
         release: 500.0,
-        writers_read: false,
+        decode_engines_prefill: false,
         may_hold_ahead: false,
         may_cancel: true,
         may_copy: false,
@@ -69,7 +69,7 @@
         let entry = |i: u32| Entry {
             engine: EngineId(Arc::from(format!("host-{i}"))),
             zone: ZoneId(0),
-            kind: KindId(u32::from(i >= READERS)),
+            kind: KindId(u32::from(i >= PREFILL_ENGINES)),
             cell: CellId(i % 4),
             condition: Condition::Ready,
             weight: 1.0,
@@ -82,7 +82,7 @@
             next: 0,
             actions: Vec::new(),
         };
-        let entries = (0..READERS + WRITERS).map(entry).collect();
+        let entries = (0..PREFILL_ENGINES + DECODE_ENGINES).map(entry).collect();
         bench.step(Event::Listed {
             kind: ListKind::Full,
             entries,
@@ -125,7 +125,7 @@
         };
         self.step(Event::Arrived(arrival));
         let engine = self.attempted();
-        self.step(ended(request, 0, engine, Outcome::ReadDone));
+        self.step(ended(request, 0, engine, Outcome::PrefillDone));
         let engine = self.attempted();
         self.step(Event::FirstToken {
             request,
--- a/crates/cindercleat-cli/src/price.rs
+++ b/crates/cindercleat-cli/src/price.rs
@@ -38,8 +38,8 @@
     fleet: bool,
 }
 
-const READERS: usize = 8;
-const WRITERS: usize = 24;
+const PREFILL_ENGINES: usize = 8;
+const DECODE_ENGINES: usize = 24;
 const TOKENS: u32 = 20;
 const TOKEN_MS: Ms = 10.0;
 /// Tokens of a stream that is held open, and their pace.
@@ -86,7 +86,7 @@
     block_on(async {
         let quick = start_fleet(&fleet(TOKEN_MS)?).await?;
         let mut out = format!(
-            "{} tasks/s of {TOKENS} tokens, one each {TOKEN_MS} ms; {READERS} readers, {WRITERS} writers \
+            "{} tasks/s of {TOKENS} tokens, one each {TOKEN_MS} ms; {PREFILL_ENGINES} readers, {DECODE_ENGINES} writers \
              (simulated); times in ms\n{:<22}{:>6}/{:<6}{:>10}{:>10}{:>12}{:>10}\n",
             args.rate, "way", "done", "asked", "first p50", "p99", "token p50", "p99"
         );
@@ -194,11 +194,15 @@
 fn fleet(token_ms: Ms) -> io::Result<Day> {
     let mut day = script::read("base.conf", settings()).map_err(io::Error::other)?;
     let spec = |kind: &str| day.engines.iter().find(|h| h.kind == kind).cloned();
-    let (Some(reader), Some(writer)) = (spec("reader-box"), spec("writer-box")) else {
+    let (Some(prefill_engine), Some(decode_engine)) = (spec("reader-box"), spec("writer-box"))
+    else {
         return Err(io::Error::other("the small service lacks a kind"));
     };
     let mut engines = Vec::new();
-    for (kind, count, spec) in [("reader", READERS, reader), ("writer", WRITERS, writer)] {
+    for (kind, count, spec) in [
+        ("reader", PREFILL_ENGINES, prefill_engine),
+        ("writer", DECODE_ENGINES, decode_engine),
+    ] {
         for at in 0..count {
             let mut spec = spec.clone();
             spec.name = format!("{kind}-{at}");
@@ -242,7 +246,7 @@
             let line: serde_json::Value = serde_json::from_str(&line.ok()?).ok()?;
             Some(line.get("fields")?.get("address")?.as_str()?.to_owned())
         });
-        // What it says later is read so that it never waits for a reader.
+        // What it says later is read so that it never waits for a prefill engine.
         std::thread::spawn(move || lines.for_each(drop));
         match address {
             Some(address) => Ok(Serve {
@@ -363,17 +367,19 @@
         };
         engines.map(port).collect()
     };
-    let (readers, writers) = (ports("reader"), ports("writer"));
+    let (prefill_engines, decode_engines) = (ports("reader"), ports("writer"));
     let way = Rc::new(RefCell::new(Way::new()?));
     let clock = fleet.clock;
     arrivals(clock, args, |number| {
-        let reader = readers[number as usize % readers.len()].clone();
-        let writer = writers[number as usize % writers.len()].0.clone();
+        let prefill_engine = prefill_engines[number as usize % prefill_engines.len()].clone();
+        let decode_engine = decode_engines[number as usize % decode_engines.len()]
+            .0
+            .clone();
         let way = way.clone();
         async move {
             let mut times = Times::new(clock);
             way.borrow_mut().asked += 1;
-            if one_straight(&reader, &writer, number, &mut times)
+            if one_straight(&prefill_engine, &decode_engine, number, &mut times)
                 .await
                 .is_some()
             {
@@ -388,36 +394,36 @@
 
 /// A request as a client would do it that knew the engines: a read, then a write.
 async fn one_straight(
-    (reader, name, address): &(TcpPort, String, String),
-    writer: &TcpPort,
+    (prefill_engine, name, address): &(TcpPort, String, String),
+    decode_engine: &TcpPort,
     number: u64,
     times: &mut Times,
 ) -> Option<()> {
-    let state = Some(v1::StateId {
+    let state = Some(v1::KvStateId {
         run: 1,
         request: number as u32,
         attempt: 0,
     });
-    let read = v1::Read {
+    let read = v1::Prefill {
         state,
         session: number,
         prompt_tokens: 100,
-        ..v1::Read::default()
+        ..v1::Prefill::default()
     };
-    let mut stream = reader.open(Body::Read(read)).await?;
+    let mut stream = prefill_engine.open(Body::Prefill(read)).await?;
     let Body::Ended(_) = stream.next().await? else {
         return None;
     };
-    let write = v1::Write {
+    let write = v1::Decode {
         state,
-        reader: name.clone(),
-        reader_address: address.clone(),
+        prefill_engine: name.clone(),
+        prefill_engine_address: address.clone(),
         prompt_tokens: 100,
         max_tokens: TOKENS,
         window: u32::MAX,
-        ..v1::Write::default()
+        ..v1::Decode::default()
     };
-    let mut stream = writer.open(Body::Write(write)).await?;
+    let mut stream = decode_engine.open(Body::Decode(write)).await?;
     loop {
         match stream.next().await? {
             Body::Tokens(_) => times.see(),
@@ -437,7 +443,7 @@
             fleet.transcript.clone(),
         )
     };
-    let ports: Vec<TcpPort> = (0..READERS).map(port).collect();
+    let ports: Vec<TcpPort> = (0..PREFILL_ENGINES).map(port).collect();
     wait_for_list(&ports[0], fleet.clock).await;
     let way = Rc::new(RefCell::new(Way::new()?));
     let clock = fleet.clock;
@@ -484,7 +490,7 @@
             fleet.transcript.clone(),
         )
     };
-    let ports: Vec<TcpPort> = (0..READERS).map(port).collect();
+    let ports: Vec<TcpPort> = (0..PREFILL_ENGINES).map(port).collect();
     wait_for_list(&ports[0], clock).await;
     let before = dispatcher.memory();
     let (open, tokens) = (Rc::new(Cell::new(0_usize)), Rc::new(Cell::new(0_u64)));
--- a/crates/cindercleat-cli/src/release_plan.rs
+++ b/crates/cindercleat-cli/src/release_plan.rs
@@ -59,10 +59,10 @@
         let (what, place): (String, String) = (line.value(1)?, line.value(2)?);
         let engines = &mut both[1];
         let least = match (what.as_str(), place.as_str()) {
-            ("readers", "zone") => &mut engines.readers_zone,
-            ("writers", "zone") => &mut engines.writers_zone,
-            ("readers", "cell") => &mut engines.readers_cell,
-            ("writers", "cell") => &mut engines.writers_cell,
+            ("readers", "zone") => &mut engines.prefill_engines_per_zone,
+            ("writers", "zone") => &mut engines.decode_engines_per_zone,
+            ("readers", "cell") => &mut engines.prefill_engines_per_cell,
+            ("writers", "cell") => &mut engines.decode_engines_per_cell,
             _ => return Err(line.wrong("'stay readers|writers zone|cell NUMBER'")),
         };
         *least = line.value(3)?;
--- a/crates/cindercleat-cli/src/script.rs
+++ b/crates/cindercleat-cli/src/script.rs
@@ -76,8 +76,8 @@
     })?;
     let settings = &service.policy.kinds[at];
     let does = match settings.role {
-        Role::Reader => Does::Reads,
-        Role::Writer => Does::Writes,
+        Role::Prefill => Does::Reads,
+        Role::Decode => Does::Writes,
         Role::Both => Does::Both,
     };
     let spec = EngineSpec {
@@ -288,8 +288,8 @@
     }
     for (name, kind) in day.service.kinds.iter().zip(&policy.kinds) {
         let does = match kind.role {
-            Role::Reader => "reads",
-            Role::Writer => "writes",
+            Role::Prefill => "reads",
+            Role::Decode => "writes",
             Role::Both => "both",
         };
         out += &format!(
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -114,8 +114,8 @@
         kinds.push(new_name(block, &kinds)?);
         let does = block.one("does")?;
         let role = match does.only::<String>()?.as_str() {
-            "reads" => Role::Reader,
-            "writes" => Role::Writer,
+            "reads" => Role::Prefill,
+            "writes" => Role::Decode,
             "both" => Role::Both,
             _ => return Err(does.wrong("reads, writes or both")),
         };
@@ -128,7 +128,7 @@
     let can = |reading: bool| {
         kind_settings
             .iter()
-            .any(|k| k.role == Role::Both || (k.role == Role::Reader) == reading)
+            .any(|k| k.role == Role::Both || (k.role == Role::Prefill) == reading)
     };
     if !can(true) || !can(false) {
         return Err(section.lacks("kind"));
@@ -151,7 +151,7 @@
         kinds: kind_settings,
         discovery: Discovery::Pushed,
         release: time("release")?,
-        writers_read: false,
+        decode_engines_prefill: false,
         may_hold_ahead: limits.value_or("hold-ahead", false)?,
         may_cancel: true,
         may_copy: false,
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -246,7 +246,7 @@
         kinds: kinds(&pairs)?,
         discovery,
         release: pairs.positive_time("familyInfo.release")?,
-        writers_read: pairs.flag("familyInfo.localRead")?,
+        decode_engines_prefill: pairs.flag("familyInfo.localRead")?,
         may_hold_ahead: pairs.flag("familyInfo.mayReserve")?,
         may_cancel: pairs.flag("limits.cancel")?,
         may_copy: pairs.flag("limits.mayDuplicate")?,
@@ -351,8 +351,8 @@
     let memory = pairs.list("familyInfo.tokensByKind");
     let kind = |(i, role): (usize, &str)| {
         let role = match role {
-            "read" => Role::Reader,
-            "write" => Role::Writer,
+            "read" => Role::Prefill,
+            "write" => Role::Decode,
             "both" => Role::Both,
             other => {
                 return Err(Malformed::new(
@@ -382,7 +382,7 @@
             .iter()
             .any(|kind| kind.role == role || kind.role == Role::Both)
     };
-    if !serves(Role::Reader) || !serves(Role::Writer) {
+    if !serves(Role::Prefill) || !serves(Role::Decode) {
         let came = pairs.text("familyInfo.kindRole")?;
         return Err(Malformed::new(
             "a kind that reads and one that writes in familyInfo.kindRole",
--- a/crates/dispatcher/src/ledger/engines.rs
+++ b/crates/dispatcher/src/ledger/engines.rs
@@ -1,4 +1,4 @@
-//! The side of the ledger that faces the engines: attempts out, read states held, probes, and what engines
+//! The side of the ledger that faces the engines: attempts out, KV states held, probes, and what engines
 //! and links have to say of them.
 
 use super::kv_states::{Held, ReleaseCall};
@@ -30,7 +30,7 @@
             .fleet
             .engines
             .get(&engine)
-            .is_some_and(|row| row.role == Role::Reader);
+            .is_some_and(|row| row.role == Role::Prefill);
         let reading = holds_no_state && reads;
         // What must not be ends as never sent.
         if !self.guard_attempt(id, &engine, reading, out) {
@@ -238,7 +238,7 @@
             return;
         };
         self.unconfirmed.remove(&id);
-        if outcome == Outcome::ReadDone {
+        if outcome == Outcome::PrefillDone {
             let state = state_of(self.settings.run, id, attempt.no);
             let held = Held {
                 engine: attempt.engine.clone(),
@@ -509,8 +509,8 @@
         };
         let left = (attempt.until - self.now).max(LEAST_WAIT);
         match body {
-            Body::Read(read) => read.wait_ms = left,
-            Body::Write(write) => write.wait_ms = left,
+            Body::Prefill(read) => read.wait_ms = left,
+            Body::Decode(write) => write.wait_ms = left,
             _ => {}
         }
     }
@@ -766,7 +766,7 @@
     /// A read that ended after it was given up: the decisions do not know of its state, so it is let go here,
     /// or it would stay pinned.
     fn take_late_end(&mut self, engine: EngineId, ended: &v1::Ended, out: &mut Vec<Output>) {
-        if let (v1::Status::ReadDone, Some(state)) = (ended.status(), ended.state) {
+        if let (v1::Status::PrefillDone, Some(state)) = (ended.status(), ended.state) {
             self.release_unless_planted(
                 Held {
                     engine,
@@ -786,8 +786,8 @@
         let load = ended.load.as_ref().map(load_of).unwrap_or_default();
         let (reading, first) = (attempt.reading, attempt.first);
         match ended.status() {
-            v1::Status::ReadDone if reading => {
-                self.end_attempt(id, Outcome::ReadDone, f64::from(ended.kept_tokens), load);
+            v1::Status::PrefillDone if reading => {
+                self.end_attempt(id, Outcome::PrefillDone, f64::from(ended.kept_tokens), load);
             }
             v1::Status::Fulfilled if !reading => {
                 self.finish_attempt(id, Outcome::Fulfilled, "", load, out)
@@ -795,7 +795,7 @@
             v1::Status::Full if !first => self.end_attempt(id, Outcome::Full, 0.0, load),
             v1::Status::NoState if !reading && !first => {
                 self.end_attempt(id, Outcome::Full, 1.0, load);
-                // Guards against a writer that could not reach the reader: the state would lie there for nobody.
+                // Guards against a decode engine that could not reach the prefill_engine: the state would lie there for nobody.
                 if planted::is(Plant::NoStateKept) {
                     self.kv_states.forget(id);
                 } else {
@@ -821,7 +821,7 @@
         true
     }
 
-    /// Tells whether the engine may say so: a writer, the next tokens, within its credit.
+    /// Tells whether the engine may say so: a decode engine, the next tokens, within its credit.
     fn take_tokens(&mut self, id: RequestId, tokens: v1::Tokens, out: &mut Vec<Output>) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return true;
@@ -878,7 +878,7 @@
         true
     }
 
-    /// The client has taken some of a stream: the writer may send as much more.
+    /// The client has taken some of a stream: the decode engine may send as much more.
     pub(super) fn take_flushed(&mut self, ticket: Ticket, messages: u32, out: &mut Vec<Output>) {
         let Some(request) = self
             .tickets
@@ -901,8 +901,8 @@
         }
     }
 
-    /// Guards against streams that neither go on nor end: a writer that stalls is given up as broken, and a
-    /// client that takes nothing has left. A writer that waits for credit does not stall.
+    /// Guards against streams that neither go on nor end: a decode engine that stalls is given up as broken, and a
+    /// client that takes nothing has left. A decode engine that waits for credit does not stall.
     pub(super) fn look_at_stream(&mut self, id: RequestId, no: AttemptId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -947,7 +947,8 @@
 
 /// Whether a message shows that its engine works on attempts. A part of it may still answer other calls while the rest hangs.
 fn is_work(purpose: Option<&Use>, body: Option<&Body>) -> bool {
-    let done = |status: v1::Status| matches!(status, v1::Status::ReadDone | v1::Status::Fulfilled);
+    let done =
+        |status: v1::Status| matches!(status, v1::Status::PrefillDone | v1::Status::Fulfilled);
     match (purpose, body) {
         (Some(Use::Attempt(..)), Some(Body::Tokens(_))) => true,
         (Some(Use::Attempt(..)), Some(Body::Ended(ended))) => done(ended.status()),
@@ -956,8 +957,8 @@
 }
 
 /// The name of the state that an attempt makes or takes.
-fn state_of(run: u64, request: RequestId, attempt: AttemptId) -> v1::StateId {
-    v1::StateId {
+fn state_of(run: u64, request: RequestId, attempt: AttemptId) -> v1::KvStateId {
+    v1::KvStateId {
         run,
         request: request.0,
         attempt: attempt.0,
@@ -988,7 +989,7 @@
 fn body_of(
     request: &Request,
     held: Option<&Held>,
-    state: Option<v1::StateId>,
+    state: Option<v1::KvStateId>,
     fleet: &Fleet,
     window: u32,
     wait_ms: Ms,
@@ -999,8 +1000,8 @@
     }
 }
 
-fn read(submit: &v1::Submit, state: v1::StateId, wait_ms: Ms) -> Body {
-    Body::Read(v1::Read {
+fn read(submit: &v1::Submit, state: v1::KvStateId, wait_ms: Ms) -> Body {
+    Body::Prefill(v1::Prefill {
         state: Some(state),
         key: submit.key.clone(),
         session: submit.session,
@@ -1017,13 +1018,13 @@
 
 fn write(request: &Request, held: Option<&Held>, fleet: &Fleet, window: u32, wait_ms: Ms) -> Body {
     let submit = &request.submit;
-    let reader = held.and_then(|held| fleet.engines.get(&held.engine));
-    Body::Write(v1::Write {
+    let prefill_engine = held.and_then(|held| fleet.engines.get(&held.engine));
+    Body::Decode(v1::Decode {
         state: held.map(|held| held.id),
-        reader: reader
+        prefill_engine: prefill_engine
             .map(|row| row.line.engine.clone())
             .unwrap_or_default(),
-        reader_address: reader
+        prefill_engine_address: prefill_engine
             .map(|row| row.line.address.clone())
             .unwrap_or_default(),
         key: submit.key.clone(),
--- a/crates/dispatcher/src/ledger/kv_states.rs
+++ b/crates/dispatcher/src/ledger/kv_states.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Held {
     pub engine: EngineId,
-    pub id: v1::StateId,
+    pub id: v1::KvStateId,
     /// The request's id as its client gave it, where states are known by it; else empty.
     pub origin: String,
 }
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The dispatcher without its I/O: requests, attempts, read states, links and timers. Inputs go in by
+//! The dispatcher without its I/O: requests, attempts, KV states, links and timers. Inputs go in by
 //! [`Ledger::handle`] with their instant; what is to be done comes out. It tells when it wants to be called
 //! next ([`Ledger::wants_call_at`]). The same inputs give the same outputs.
 //!
--- a/crates/dispatcher/src/ledger/record.rs
+++ b/crates/dispatcher/src/ledger/record.rs
@@ -55,7 +55,7 @@
             (heard.used, heard.told) = (Some((used, now)), false);
         }
         match outcome {
-            Some(Outcome::Fulfilled | Outcome::ReadDone) => heard.tally.fulfilled += 1,
+            Some(Outcome::Fulfilled | Outcome::PrefillDone) => heard.tally.fulfilled += 1,
             Some(Outcome::Full) => heard.tally.bounced += 1,
             Some(Outcome::Failed | Outcome::Broken | Outcome::TimedOut) => {
                 heard.tally.written_off += 1
--- a/crates/dispatcher/src/ledger/releases.rs
+++ b/crates/dispatcher/src/ledger/releases.rs
@@ -480,7 +480,7 @@
         );
         let was_sent = ended.sent.is_some() && self.settings.limits.single.is_some();
         let unanswered = (is_unanswered && was_sent).then(|| ended.engine.clone());
-        let holds_anew = outcome == Outcome::ReadDone || self.has_arrived(ended);
+        let holds_anew = outcome == Outcome::PrefillDone || self.has_arrived(ended);
         if let Some(state) = self
             .kv_states
             .get_mut(id)
--- a/crates/dispatcher/src/ledger/requests.rs
+++ b/crates/dispatcher/src/ledger/requests.rs
@@ -47,11 +47,11 @@
     pub first: bool,
     /// Where the next token message must begin.
     pub position: u32,
-    /// Token messages come from the writer, gone to the client, and credited to the writer.
+    /// Token messages come from the decode engine, gone to the client, and credited to the decode engine.
     pub came: u32,
     pub gone: u32,
     pub credited: u32,
-    /// When the writer last sent, and the client last took, something.
+    /// When the decode engine last sent, and the client last took, something.
     pub last_came: Ms,
     pub last_gone: Ms,
 }
--- a/crates/dispatcher/src/planted.rs
+++ b/crates/dispatcher/src/planted.rs
@@ -23,7 +23,7 @@
     TokensTwice,
     /// The state of a read that broke is kept.
     BrokenReadKept,
-    /// The state that a writer did not find is kept.
+    /// The state that a decode engine did not find is kept.
     NoStateKept,
     /// An attempt that waits for its connection goes out whatever was learned meanwhile.
     DrainReadLate,
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -31,9 +31,9 @@
     pub links_per_engine: usize,
     /// A connection without streams is closed after this long.
     pub link_idle: Ms,
-    /// Token messages of one stream that may be between a writer and its client.
+    /// Token messages of one stream that may be between a decode engine and its client.
     pub window: u32,
-    /// A stream whose writer sends nothing, or whose client takes nothing, for this long is over.
+    /// A stream whose decode engine sends nothing, or whose client takes nothing, for this long is over.
     pub stall_limit: Ms,
     pub probe_timeout: Ms,
     /// A link with streams that says nothing for this long is asked, and given up if it does not answer.
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -47,7 +47,7 @@
 pub fn decoding(bench: &mut Bench, conn: u64, class: &str) -> Sent {
     let out = asks(bench, conn, class);
     let prefill = bench.attempts(&out).pop().expect("a prefill goes out");
-    let out = bench.ended(&prefill, v1::Status::ReadDone);
+    let out = bench.ended(&prefill, v1::Status::PrefillDone);
     bench
         .attempts(&out)
         .pop()
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -38,7 +38,7 @@
         ],
         tenants: vec![],
         over_share_worth: 1.0,
-        kinds: [Role::Reader, Role::Writer]
+        kinds: [Role::Prefill, Role::Decode]
             .map(|role| KindSettings {
                 role,
                 memory_tokens: 2e5,
@@ -46,7 +46,7 @@
             .to_vec(),
         discovery: Discovery::Pushed,
         release: 500.0,
-        writers_read: false,
+        decode_engines_prefill: false,
         may_hold_ahead: false,
         may_cancel: true,
         may_copy: false,
@@ -183,7 +183,7 @@
     pub link: LinkId,
     pub stream: u64,
     pub engine: String,
-    pub state: Option<v1::StateId>,
+    pub state: Option<v1::KvStateId>,
 }
 
 /// A ledger with readers `r1`, `r2` and writers `w1`, `w2`, and all that came out of it.
@@ -304,7 +304,7 @@
     }
 
     pub fn ended(&mut self, to: &Sent, status: v1::Status) -> Vec<Output> {
-        let state = to.state.filter(|_| status == v1::Status::ReadDone);
+        let state = to.state.filter(|_| status == v1::Status::PrefillDone);
         self.engine(
             to,
             Body::Ended(v1::Ended {
@@ -341,8 +341,8 @@
                 return None;
             };
             let state = match &frame.body {
-                Some(Body::Read(read)) => read.state,
-                Some(Body::Write(write)) => write.state,
+                Some(Body::Prefill(read)) => read.state,
+                Some(Body::Decode(write)) => write.state,
                 _ => return None,
             };
             Some(Sent {
@@ -364,7 +364,7 @@
     /// A request up to its writer's attempt.
     pub fn writing(&mut self, stream: u64, profile: &str) -> Sent {
         let read = self.reading(stream, profile);
-        let out = self.ended(&read, v1::Status::ReadDone);
+        let out = self.ended(&read, v1::Status::PrefillDone);
         self.attempts(&out).pop().expect("a write goes out")
     }
 
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -84,7 +84,7 @@
     let mut bench = bench(may_cancel, true);
     let read = bench.reading(1, "draft");
     let mut out = goes(&mut bench, gone);
-    out.extend(bench.ended(&read, Status::ReadDone));
+    out.extend(bench.ended(&read, Status::PrefillDone));
     nothing_begins(&mut bench, out, &[]);
     assert!(
         to_engines(&bench.out).contains(&"release"),
@@ -99,7 +99,7 @@
         let mut bench = bench(may_cancel, true);
         let read = bench.reading(1, "draft");
         bench.links_come_up = false;
-        let out = bench.ended(&read, Status::ReadDone);
+        let out = bench.ended(&read, Status::PrefillDone);
         let links = dialled(&out);
         assert_eq!(
             (links.len(), bench.attempts(&out).len()),
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -104,7 +104,7 @@
         net.wait(500.0).await;
         assert_eq!(net.engines[0].states(), 0);
         nothing_is_left(&net).await;
-        assert_eq!(net.came("w1", |b| matches!(b, Body::Write(_))), None);
+        assert_eq!(net.came("w1", |b| matches!(b, Body::Decode(_))), None);
         assert_eq!(net.ran(), Vec::<String>::new());
     });
 }
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -51,7 +51,7 @@
     let mut bench = Bench::new();
     let read = bench.reading(1, "draft");
     bench.told("w1", EndpointStatus::Draining);
-    let out = bench.ended(&read, Status::ReadDone);
+    let out = bench.ended(&read, Status::PrefillDone);
     assert_eq!(
         bench
             .attempts(&out)
@@ -173,7 +173,7 @@
         ["cancel", "release"],
         "its end may be lost with the cancel"
     );
-    let out = bench.ended(&read, Status::ReadDone);
+    let out = bench.ended(&read, Status::PrefillDone);
     assert_eq!(
         to_engines(&out),
         ["release"],
@@ -188,7 +188,7 @@
     let read = bench.reading(1, "draft");
     bench.told("w1", EndpointStatus::Gone);
     bench.told("w2", EndpointStatus::Draining);
-    let out = bench.ended(&read, Status::ReadDone);
+    let out = bench.ended(&read, Status::PrefillDone);
     assert_eq!(to_engines(&out), Vec::<&str>::new());
     let out = bench.pass(499.0);
     assert!(to_engines(&out).contains(&"release"));
@@ -239,7 +239,7 @@
             .last()
             .unwrap_or_default()
     };
-    let end = |bench: &mut Bench, write: &Sent| bench.ended(write, Status::ReadDone);
+    let end = |bench: &mut Bench, write: &Sent| bench.ended(write, Status::PrefillDone);
     for breach in [gap, over, end] as [fn(&mut Bench, &Sent) -> Vec<Output>; 3] {
         let mut bench = Bench::new();
         let write = bench.streaming(1, "draft");
@@ -528,7 +528,7 @@
     let begin = bench.now;
     while let Some(read) = held.pop() {
         ended += 1;
-        let now = bench.ended(&read, Status::ReadDone);
+        let now = bench.ended(&read, Status::PrefillDone);
         held.extend(bench.attempts(&now));
         out.extend(now);
     }
@@ -656,7 +656,7 @@
             link: read.link,
             reason: "reset".to_owned(),
         });
-        let released: Vec<v1::StateId> = out
+        let released: Vec<v1::KvStateId> = out
             .iter()
             .filter_map(|o| match o {
                 Output::ToEngine {
@@ -698,7 +698,7 @@
             }),
         );
         let read = bench.attempts(&bench.out).remove(0);
-        bench.ended(&read, Status::ReadDone);
+        bench.ended(&read, Status::PrefillDone);
         let told = |o: &Output| match o {
             Output::Log {
                 level: Level::Debug,
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -33,7 +33,7 @@
     link: LinkId,
     stream: u64,
     write: bool,
-    state: v1::StateId,
+    state: v1::KvStateId,
     position: u32,
     credit: u32,
 }
@@ -176,8 +176,8 @@
         let engine = self.links.get(&link).cloned().unwrap_or_default();
         let stream = frame.stream;
         let (state, write) = match &frame.body {
-            Some(Body::Read(read)) => (read.state, false),
-            Some(Body::Write(write)) => (write.state, true),
+            Some(Body::Prefill(read)) => (read.state, false),
+            Some(Body::Decode(write)) => (write.state, true),
             Some(Body::Release(release)) => {
                 let state = release.state.unwrap_or_default();
                 let key = (state.request, state.attempt);
@@ -312,7 +312,7 @@
             unreached || !matches!(status, Status::NoState | Status::Fulfilled),
         );
         let mut state = None;
-        if status == Status::ReadDone {
+        if status == Status::PrefillDone {
             state = Some(attempt.state);
             self.held
                 .insert((attempt.state.request, attempt.state.attempt), self.now);
@@ -453,7 +453,7 @@
                         .insert((attempt.state.request, attempt.state.attempt), self.now);
                 }
                 let status = if late {
-                    Status::ReadDone
+                    Status::PrefillDone
                 } else {
                     Status::Cancelled
                 };
@@ -502,7 +502,7 @@
                     (true, 6, 0) => Status::NoState,
                     (_, 7, _) => Status::Failed,
                     (true, ..) => Status::Fulfilled,
-                    (false, ..) => Status::ReadDone,
+                    (false, ..) => Status::PrefillDone,
                 };
                 self.end(attempt, status)
             }
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -346,7 +346,7 @@
     for conn in 5_000.. {
         let out = asks(&mut bench, conn, "draft");
         let next = bench.attempts(&out).pop().expect("a prefill goes out");
-        let out = bench.ended(&next, Status::ReadDone);
+        let out = bench.ended(&next, Status::PrefillDone);
         let decode = bench
             .attempts(&out)
             .pop()
@@ -384,7 +384,7 @@
             let prefill = bench.attempts(&out).pop().expect("a prefill goes out");
             let silent: Vec<&str> = all.into_iter().filter(|name| *name != runs).collect();
             silence(&mut bench, &silent);
-            let out = bench.ended(&prefill, Status::ReadDone);
+            let out = bench.ended(&prefill, Status::PrefillDone);
             let arrived = bench
                 .attempts(&out)
                 .iter()
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -47,7 +47,7 @@
 
 fn writing(bench: &mut Bench, conn: u64, id: &str, profile: &str) -> Sent {
     let read = reading(bench, conn, id, profile);
-    let out = bench.ended(&read, Status::ReadDone);
+    let out = bench.ended(&read, Status::PrefillDone);
     bench.attempts(&out).pop().expect("a write goes out")
 }
 
@@ -148,7 +148,7 @@
         Vec::<String>::new(),
         "it would end the second read's state"
     );
-    let out = bench.ended(&second, Status::ReadDone);
+    let out = bench.ended(&second, Status::PrefillDone);
     assert_eq!(releases(&out), Vec::<String>::new());
     let write = bench.attempts(&out).pop().expect("a write goes out");
     bench.engine(&write, tokens(0));
@@ -159,7 +159,7 @@
     assert_eq!(releases(&bench.pass(500.0)), ["a"]);
     for n in 2.. {
         let next = reading(&mut bench, n, &n.to_string(), "draft");
-        let out = bench.ended(&next, Status::ReadDone);
+        let out = bench.ended(&next, Status::PrefillDone);
         let decode = bench
             .attempts(&out)
             .pop()
@@ -237,7 +237,7 @@
     );
     assert!(bench.attempts(&out).is_empty() && releases(&out).is_empty());
     bench.put(Input::ClientClosed { conn: ConnId(2) });
-    let out = bench.ended(&read, Status::ReadDone);
+    let out = bench.ended(&read, Status::PrefillDone);
     let write = bench.attempts(&out).pop().expect("the open one goes on");
     bench.engine(&write, tokens(0));
     assert_eq!(
@@ -470,7 +470,7 @@
         });
         let out = asks(&mut bench, n, Body::Submit(v1::Submit { origin, ..text }));
         let read = bench.attempts(&out).pop().expect("a read goes out");
-        let out = bench.ended(&read, Status::ReadDone);
+        let out = bench.ended(&read, Status::PrefillDone);
         let write = bench.attempts(&out).pop().expect("a write goes out");
         bench.engine(&write, tokens(0));
         bench.ended(&write, Status::Fulfilled);
@@ -484,7 +484,7 @@
     let busy = writing(&mut bench, 1, "busy", "draft");
     bench.engine(&busy, tokens(0));
     let read = reading(&mut bench, 2, "last", "draft");
-    bench.ended(&read, Status::ReadDone);
+    bench.ended(&read, Status::PrefillDone);
     // Nothing was heard of any for long enough, and the decode attempt is not given up yet.
     bench.pass(200.0);
     bench.engine(&busy, tokens(1));
@@ -516,7 +516,7 @@
     let read = reading(&mut bench, 1, "a", "draft");
     // Connections to decode engines stay under way until their time is up; the one to the prefill engine rests.
     bench.links_come_up = false;
-    let mut out = bench.ended(&read, Status::ReadDone);
+    let mut out = bench.ended(&read, Status::PrefillDone);
     let since = bench.now;
     let mut dialled = 0;
     while release_links(&out).is_empty() {
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -14,8 +14,8 @@
 pub struct Shape {
     pub name: &'static str,
     pub dispatchers: u32,
-    pub readers: usize,
-    pub writers: usize,
+    pub prefill_engines: usize,
+    pub decode_engines: usize,
     pub requests: usize,
     /// Tasks come, and faults begin, within this.
     pub busy: Ms,
@@ -27,8 +27,8 @@
     Shape {
         name: "plain",
         dispatchers: 2,
-        readers: 2,
-        writers: 4,
+        prefill_engines: 2,
+        decode_engines: 4,
         requests: 100,
         busy: 17_500.0,
         faults: (5, 9),
@@ -36,8 +36,8 @@
     Shape {
         name: "small",
         dispatchers: 1,
-        readers: 1,
-        writers: 2,
+        prefill_engines: 1,
+        decode_engines: 2,
         requests: 40,
         busy: 17_500.0,
         faults: (2, 5),
@@ -45,8 +45,8 @@
     Shape {
         name: "storm",
         dispatchers: 2,
-        readers: 3,
-        writers: 4,
+        prefill_engines: 3,
+        decode_engines: 4,
         requests: 140,
         busy: 17_500.0,
         faults: (12, 18),
@@ -92,7 +92,7 @@
         ],
         tenants: vec![],
         over_share_worth: 1.0,
-        kinds: [Role::Reader, Role::Writer]
+        kinds: [Role::Prefill, Role::Decode]
             .map(|role| KindSettings {
                 role,
                 memory_tokens: 2e5,
@@ -100,7 +100,7 @@
             .to_vec(),
         discovery: Discovery::Pushed,
         release: RELEASE,
-        writers_read: false,
+        decode_engines_prefill: false,
         may_hold_ahead: false,
         may_cancel: true,
         may_copy: false,
@@ -184,7 +184,10 @@
     };
     let service = service();
     let mut engines = Vec::new();
-    for (does, count) in [(Does::Reads, shape.readers), (Does::Writes, shape.writers)] {
+    for (does, count) in [
+        (Does::Reads, shape.prefill_engines),
+        (Does::Writes, shape.decode_engines),
+    ] {
         for n in 0..count {
             engines.push(engine(does, n, &service, &mut draw));
         }
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -202,9 +202,9 @@
             zone: format!("z{}", at % 3),
             cell: format!("c{}", at / 6),
             role: if (at / 3).is_multiple_of(2) {
-                Role::Reader
+                Role::Prefill
             } else {
-                Role::Writer
+                Role::Decode
             },
             told: vec![(0.0, Stand::In, None)],
             new: false,
@@ -427,7 +427,7 @@
                 address: Address::from("host"),
                 zone: engine.zone.clone(),
                 cell: engine.cell.clone(),
-                kind: if engine.role == Role::Reader {
+                kind: if engine.role == Role::Prefill {
                     "reader"
                 } else {
                     "writer"
--- a/crates/faults/src/model.rs
+++ b/crates/faults/src/model.rs
@@ -97,10 +97,10 @@
                     (Way::In, Some(body)) if self.tries.contains_key(&stream) => {
                         self.answered(stream, body)
                     }
-                    (Way::In, Some(Body::Read(read))) => {
+                    (Way::In, Some(Body::Prefill(read))) => {
                         self.attempted(stream, &read.key, read.state, None)
                     }
-                    (Way::In, Some(Body::Write(write))) => {
+                    (Way::In, Some(Body::Decode(write))) => {
                         self.attempted(stream, &write.key, write.state, Some(&write.profile))
                     }
                     (Way::Out, Some(Body::Ended(ended))) => self.ended(stream, ended),
@@ -204,7 +204,7 @@
         &mut self,
         stream: Stream,
         key: &str,
-        state: Option<v1::StateId>,
+        state: Option<v1::KvStateId>,
         writes: Option<&str>,
     ) -> Option<String> {
         self.meet(if writes.is_some() { "write" } else { "read" });
@@ -252,7 +252,7 @@
             v1::Status::Full => "said full",
             v1::Status::NoState => "said no state",
             v1::Status::Fulfilled => "said fulfilled",
-            v1::Status::ReadDone => "said read",
+            v1::Status::PrefillDone => "said read",
             v1::Status::Cancelled => "said cancelled",
             _ => "said failed",
         };
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -506,7 +506,7 @@
 }
 
 fn said(body: &Body) -> String {
-    let state = |s: &Option<v1::StateId>| {
+    let state = |s: &Option<v1::KvStateId>| {
         s.map_or_else(String::new, |s| {
             format!(" state {}.{}", s.request, s.attempt)
         })
@@ -516,8 +516,13 @@
         Body::Accepted(m) => format!("accepted as {}", m.request),
         Body::Tokens(m) => format!("token {}", m.position),
         Body::Final(m) => format!("{:?} {}", m.answer(), m.reason),
-        Body::Read(m) => format!("read {}{}", m.key, state(&m.state)),
-        Body::Write(m) => format!("write {}{} from {}", m.key, state(&m.state), m.reader),
+        Body::Prefill(m) => format!("read {}{}", m.key, state(&m.state)),
+        Body::Decode(m) => format!(
+            "write {}{} from {}",
+            m.key,
+            state(&m.state),
+            m.prefill_engine
+        ),
         Body::Ended(m) => format!("ended {:?}{} {}", m.status(), state(&m.state), m.reason),
         Body::Release(m) => format!("release{}", state(&m.state)),
         Body::Fetch(m) => format!("fetch{}", state(&m.state)),
--- a/crates/faults/tests/named.rs
+++ b/crates/faults/tests/named.rs
@@ -123,7 +123,7 @@
 #[test]
 fn a_state_let_go_at_499_ms_is_in_time_and_one_at_501_is_not() {
     for (after, breaches) in [(499.0, 0), (501.0, 1)] {
-        let state = Some(v1::StateId {
+        let state = Some(v1::KvStateId {
             run: 7,
             request: 1,
             attempt: 0,
@@ -136,7 +136,7 @@
             what: What::Frame(way, frame(stream, body)),
         };
         let ended = v1::Ended {
-            status: v1::Status::ReadDone.into(),
+            status: v1::Status::PrefillDone.into(),
             state,
             ..v1::Ended::default()
         };
@@ -145,9 +145,9 @@
                 1000.0,
                 Way::In,
                 1,
-                Body::Read(v1::Read {
+                Body::Prefill(v1::Prefill {
                     state,
-                    ..v1::Read::default()
+                    ..v1::Prefill::default()
                 }),
             ),
             record(1100.0, Way::Out, 1, Body::Ended(ended)),
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -109,7 +109,7 @@
     let bounds = Bounds {
         fleet: most,
         used_per_mille: 800,
-        readers_cell: 2,
+        prefill_engines_per_cell: 2,
         ..Bounds::default()
     };
     let release = Release {
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -10,8 +10,8 @@
 pub fn path(body: &Body) -> Option<&'static str> {
     Some(match body {
         Body::Submit(_) => "/cindercleat.v1.Router/Run",
-        Body::Read(_) => "/cindercleat.v1.Host/Read",
-        Body::Write(_) => "/cindercleat.v1.Host/Write",
+        Body::Prefill(_) => "/cindercleat.v1.Host/Read",
+        Body::Decode(_) => "/cindercleat.v1.Host/Write",
         Body::Release(_) => "/cindercleat.v1.Host/Release",
         Body::Probe(_) => "/cindercleat.v1.Host/Probe",
         Body::Hold(_) => "/cindercleat.v1.Host/Hold",
@@ -38,8 +38,8 @@
     let method = path.strip_prefix("/cindercleat.v1.")?;
     Some(match method {
         "Router/Run" => v1::Submit::decode(bytes).map(Body::Submit),
-        "Host/Read" => v1::Read::decode(bytes).map(Body::Read),
-        "Host/Write" => v1::Write::decode(bytes).map(Body::Write),
+        "Host/Read" => v1::Prefill::decode(bytes).map(Body::Prefill),
+        "Host/Write" => v1::Decode::decode(bytes).map(Body::Decode),
         "Host/Release" => v1::Release::decode(bytes).map(Body::Release),
         "Host/Probe" => v1::Probe::decode(bytes).map(Body::Probe),
         "Host/Hold" => v1::Hold::decode(bytes).map(Body::Hold),
@@ -56,7 +56,7 @@
 
 /// A reply's message as a body, by the call's path.
 pub fn reply(path: &str, bytes: Bytes) -> Result<Option<Body>, prost::DecodeError> {
-    use v1::{run_reply, write_reply};
+    use v1::{decode_reply, run_reply};
     Ok(match path.strip_prefix("/cindercleat.v1.").unwrap_or("") {
         "Router/Run" => v1::RunReply::decode(bytes)?.part.map(|part| match part {
             run_reply::Part::Accepted(m) => Body::Accepted(m),
@@ -64,9 +64,9 @@
             run_reply::Part::Final(m) => Body::Final(m),
         }),
         "Host/Read" => Some(Body::Ended(v1::Ended::decode(bytes)?)),
-        "Host/Write" => v1::WriteReply::decode(bytes)?.part.map(|part| match part {
-            write_reply::Part::Tokens(m) => Body::Tokens(m),
-            write_reply::Part::Ended(m) => Body::Ended(m),
+        "Host/Write" => v1::DecodeReply::decode(bytes)?.part.map(|part| match part {
+            decode_reply::Part::Tokens(m) => Body::Tokens(m),
+            decode_reply::Part::Ended(m) => Body::Ended(m),
         }),
         "Host/Probe" => Some(Body::Load(v1::Load::decode(bytes)?)),
         "Host/Hold" => Some(Body::Place(v1::Place::decode(bytes)?)),
@@ -90,9 +90,9 @@
 /// A body as an answer to the call of a path; nothing if it does not belong there.
 pub fn back(path: &str, body: Body) -> Option<Back> {
     use crate::message::encode;
-    use v1::{run_reply, write_reply};
+    use v1::{decode_reply, run_reply};
     let run = |part| Some(encode(&v1::RunReply { part: Some(part) }));
-    let write = |part| Some(encode(&v1::WriteReply { part: Some(part) }));
+    let write = |part| Some(encode(&v1::DecodeReply { part: Some(part) }));
     let ok = || Some(Ending::plain(Code::Ok, ""));
     let (message, end) = match (path.strip_prefix("/cindercleat.v1.")?, body) {
         ("Router/Run", Body::Accepted(m)) => (run(run_reply::Part::Accepted(m)), None),
@@ -107,8 +107,8 @@
             (run(run_reply::Part::Final(m)), end)
         }
         ("Router/Run", Body::Rejected(m)) => (None, Some(Ending::rejected(&m.field, &m.reason))),
-        ("Host/Write", Body::Tokens(m)) => (write(write_reply::Part::Tokens(m)), None),
-        ("Host/Write", Body::Ended(m)) => (write(write_reply::Part::Ended(m)), ok()),
+        ("Host/Write", Body::Tokens(m)) => (write(decode_reply::Part::Tokens(m)), None),
+        ("Host/Write", Body::Ended(m)) => (write(decode_reply::Part::Ended(m)), ok()),
         ("Host/Read", Body::Ended(m)) => (Some(encode(&m)), ok()),
         ("Host/Probe", Body::Load(m)) => (Some(encode(&m)), ok()),
         ("Host/Hold", Body::Place(m)) => (Some(encode(&m)), ok()),
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -188,7 +188,7 @@
     mut queue: mpsc::UnboundedReceiver<Said>,
 ) -> Option<Last> {
     let mut credit = match &body {
-        Body::Write(write) => write.window,
+        Body::Decode(write) => write.window,
         _ => UNBOUNDED,
     };
     let not_sent = || Some(Last::from(CallEnd::NotSent));
@@ -216,8 +216,8 @@
     };
     let bytes = match &body {
         Body::Submit(m) => encode(m),
-        Body::Read(m) => encode(m),
-        Body::Write(m) => encode(m),
+        Body::Prefill(m) => encode(m),
+        Body::Decode(m) => encode(m),
         Body::Release(m) => encode(m),
         Body::Probe(m) => encode(m),
         Body::Hold(m) => encode(m),
--- a/crates/grpc/tests/hard.rs
+++ b/crates/grpc/tests/hard.rs
@@ -122,8 +122,8 @@
             count: 1,
             text: Default::default(),
         };
-        let reply = v1::WriteReply {
-            part: Some(v1::write_reply::Part::Tokens(tokens)),
+        let reply = v1::DecodeReply {
+            part: Some(v1::decode_reply::Part::Tokens(tokens)),
         };
         self.send(DATA, 0, stream, &message(&reply)).await;
     }
@@ -133,8 +133,8 @@
             status: v1::Status::Fulfilled.into(),
             ..v1::Ended::default()
         };
-        let reply = v1::WriteReply {
-            part: Some(v1::write_reply::Part::Ended(ended)),
+        let reply = v1::DecodeReply {
+            part: Some(v1::decode_reply::Part::Ended(ended)),
         };
         self.send(DATA, 0, stream, &message(&reply)).await;
         self.status(stream, &[("grpc-status", "0")]).await;
@@ -173,10 +173,10 @@
 }
 
 fn write() -> Body {
-    Body::Write(v1::Write {
+    Body::Decode(v1::Decode {
         window: 100,
         max_tokens: 5,
-        ..v1::Write::default()
+        ..v1::Decode::default()
     })
 }
 
@@ -282,9 +282,9 @@
         let (mut session, mut raw) = engine(&[]).await;
         session.out.send(frame(
             1,
-            Body::Write(v1::Write {
+            Body::Decode(v1::Decode {
                 window: 1,
-                ..v1::Write::default()
+                ..v1::Decode::default()
             }),
         ));
         let call = raw.call().await;
--- a/crates/grpc/tests/session.rs
+++ b/crates/grpc/tests/session.rs
@@ -124,9 +124,9 @@
         let (mut client, mut server) = pair().await;
         client.out.send(frame(
             3,
-            Body::Write(v1::Write {
+            Body::Decode(v1::Decode {
                 window: 4,
-                ..v1::Write::default()
+                ..v1::Decode::default()
             }),
         ));
         let asked = next(&mut server).await.expect("a write");
@@ -148,17 +148,17 @@
         let (mut client, mut server) = pair().await;
         client.out.send(frame(
             1,
-            Body::Write(v1::Write {
+            Body::Decode(v1::Decode {
                 window: 2,
-                ..v1::Write::default()
+                ..v1::Decode::default()
             }),
         ));
         let slow = next(&mut server).await.expect("a write").stream;
         client.out.send(frame(
             2,
-            Body::Write(v1::Write {
+            Body::Decode(v1::Decode {
                 window: 2000,
-                ..v1::Write::default()
+                ..v1::Decode::default()
             }),
         ));
         let quick = next(&mut server).await.expect("a write").stream;
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -1,4 +1,4 @@
-//! A model authority's side: one call at a time on a connection, each a request and its answer.
+//! An engine's side: one call at a time on a connection, each a request and its answer.
 //!
 //! Whether a request's last byte was written is known here and nowhere else: a connection that ends before
 //! ends its call as a goodbye that says that nothing ran, one that ends after it as one that does not.
@@ -28,7 +28,7 @@
         ..v1::Hello::default()
     };
     let (session, shared, said) = session(them, Some(1));
-    let authority = EngineConnection {
+    let connection = EngineConnection {
         io,
         bounds,
         shared,
@@ -37,7 +37,7 @@
         answered: false,
         name: setup.expects,
     };
-    spawn_local(authority.run());
+    spawn_local(connection.run());
     session
 }
 
@@ -55,7 +55,7 @@
 /// What a call is for, and what its answer is made into.
 #[derive(Clone, Debug, PartialEq)]
 enum Call {
-    Read(Option<v1::StateId>),
+    Read(Option<v1::KvStateId>),
     /// Token messages that may still be taken, and how many were.
     Write {
         credit: u32,
@@ -92,7 +92,7 @@
         while let Ok(frame) = self.said.try_recv() {
             let begins = matches!(
                 frame.body,
-                Some(Body::Read(_) | Body::Write(_) | Body::Probe(_) | Body::Release(_))
+                Some(Body::Prefill(_) | Body::Decode(_) | Body::Probe(_) | Body::Release(_))
             );
             if begins && !self.shared.closing.get() {
                 let bye = v1::Goodbye {
@@ -123,7 +123,7 @@
     fn begin(&self, frame: Frame) -> Option<(Call, Vec<u8>, Bytes)> {
         let authority = &self.name;
         match frame.body? {
-            Body::Read(read) => {
+            Body::Prefill(read) => {
                 let head = self.request(
                     read.origin.unwrap_or_default(),
                     read.wait_ms,
@@ -131,7 +131,7 @@
                 );
                 Some((Call::Read(read.state), head, read.prompt))
             }
-            Body::Write(write) => {
+            Body::Decode(write) => {
                 let head = self.request(
                     write.origin.unwrap_or_default(),
                     write.wait_ms,
@@ -503,7 +503,7 @@
             Body::Ended(v1::Ended {
                 kept_tokens,
                 state: *state,
-                ..ended(v1::Status::ReadDone)
+                ..ended(v1::Status::PrefillDone)
             })
         }
         (Call::Write { .. }, 200) if is_stream(head, call) => {
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -541,28 +541,28 @@
 }
 
 fn read() -> Body {
-    let state = Some(v1::StateId {
+    let state = Some(v1::KvStateId {
         run: 1,
         request: 2,
         attempt: 3,
     });
     let prompt = bytes::Bytes::from_static(b"{}");
-    Body::Read(v1::Read {
+    Body::Prefill(v1::Prefill {
         state,
         prompt,
         origin: origin(),
         wait_ms: 1234.5,
-        ..v1::Read::default()
+        ..v1::Prefill::default()
     })
 }
 
 fn write(window: u32) -> Body {
     let prompt = bytes::Bytes::from_static(b"{}");
-    Body::Write(v1::Write {
+    Body::Decode(v1::Decode {
         prompt,
         window,
         origin: origin(),
-        ..v1::Write::default()
+        ..v1::Decode::default()
     })
 }
 
@@ -591,7 +591,7 @@
         io.write_all(answer.as_bytes()).await.expect("written");
         assert_eq!(
             status(body(&mut session).await),
-            (v1::Status::ReadDone, 4096)
+            (v1::Status::PrefillDone, 4096)
         );
         session.out.send(frame(2, write(8)));
         until(&mut io, "\r\n\r\n{}").await;
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -383,7 +383,7 @@
         "broken" => Outcome::Broken,
         "withdrawn" => Outcome::CalledOff,
         "void" => Outcome::Void,
-        "ready_to_answer" => Outcome::ReadDone,
+        "ready_to_answer" => Outcome::PrefillDone,
         other => return Err(Malformed::new("an outcome of the wire", other)),
     })
 }
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -30,7 +30,7 @@
     pub silences: Vec<(Ms, Ms, Ms)>,
     /// Spans in which what clients and dispatchers say to each other came late or not at all.
     pub apart: Vec<(Ms, Ms)>,
-    /// A token's time in a writer's slot, for the work that an attempt there brings.
+    /// A token's time in a decode engine's slot, for the work that an attempt there brings.
     pub token_ms: Ms,
     /// The part of its class's answered share that the largest requests get; nothing is held where there is none.
     pub largest_part: Option<f64>,
@@ -301,7 +301,7 @@
     work: f64,
 }
 
-fn key(state: &v1::StateId) -> Key {
+fn key(state: &v1::KvStateId) -> Key {
     (state.run, state.request, state.attempt)
 }
 
@@ -310,7 +310,7 @@
     let mut open: BTreeMap<(&str, u64), BTreeMap<u64, usize>> = BTreeMap::new();
     for record in records {
         let conn = (&*record.seer, record.conn);
-        let mut begin = |stream: u64, state: Option<&v1::StateId>, work: f64| {
+        let mut begin = |stream: u64, state: Option<&v1::KvStateId>, work: f64| {
             open.entry(conn).or_default().insert(stream, attempts.len());
             attempts.push(Attempt {
                 engine: record.seer.to_string(),
@@ -323,8 +323,10 @@
         };
         match &record.what {
             What::Frame(Way::In, frame) => match &frame.body {
-                Some(Body::Read(read)) => begin(frame.stream, None, f64::from(read.prompt_tokens)),
-                Some(Body::Write(write)) => {
+                Some(Body::Prefill(read)) => {
+                    begin(frame.stream, None, f64::from(read.prompt_tokens))
+                }
+                Some(Body::Decode(write)) => {
                     begin(
                         frame.stream,
                         write.state.as_ref(),
@@ -409,8 +411,8 @@
     }
 }
 
-/// No cold engine is pushed over. Work is counted in units of capacity: at a reader prompt tokens, of which it
-/// reads so many a second; at a writer the slot time of the most tokens that the answer may have. An attempt
+/// No cold engine is pushed over. Work is counted in units of capacity: at a prefill engine prompt tokens, of which it
+/// reads so many a second; at a decode engine the slot time of the most tokens that the answer may have. An attempt
 /// counts whole when it arrives, also one turned away; one attempt more than the bound is slack.
 fn cold(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
     for record in records {
@@ -422,11 +424,11 @@
         else {
             continue;
         };
-        let writer = attempts
+        let decode_engine = attempts
             .iter()
             .any(|l| l.engine == *record.seer && l.state.is_some());
         let unit = |l: &Attempt| {
-            if writer {
+            if decode_engine {
                 l.work * rules.token_ms / 1000.0
             } else {
                 l.work
--- a/crates/standin/src/audit/service.rs
+++ b/crates/standin/src/audit/service.rs
@@ -96,8 +96,8 @@
             continue;
         };
         let key = match &frame.body {
-            Some(Body::Read(read)) => &read.key,
-            Some(Body::Write(write)) => &write.key,
+            Some(Body::Prefill(read)) => &read.key,
+            Some(Body::Decode(write)) => &write.key,
             _ => continue,
         };
         let Some(asked) = requests.get(key) else {
@@ -169,7 +169,7 @@
         };
         let id = (&*record.seer, record.conn, frame.stream);
         match (way, &frame.body) {
-            (Way::In, Some(Body::Write(write))) => {
+            (Way::In, Some(Body::Decode(write))) => {
                 attempts.insert(id, &write.key);
             }
             (Way::Out, Some(Body::Submit(submit))) => {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,7 +1,7 @@
-//! An engine: reads prompts and holds read states, or fetches states and streams answers, with slots, a
+//! An engine: reads prompts and holds KV states, or fetches states and streams answers, with slots, a
 //! queue, memory, a cold start, load reports that lag, and faults that a script turns on and off.
 //!
-//! Its laws are plain and are assumptions of ours: a reader's slots share its reading speed evenly, a writer
+//! Its laws are plain and are assumptions of ours: a prefill engine's slots share its reading speed evenly, a decode engine
 //! answers a token a pace in each slot, and a cold engine does both slower by its share of capacity.
 
 use crate::transcript::{Note, Transcript, Way, What};
@@ -40,7 +40,7 @@
     pub fetch_per_s: f64,
     pub start_share: f64,
     pub ramp: Ms,
-    /// How long a reader holds a state that nobody asks for.
+    /// How long a prefill engine holds a state that nobody asks for.
     pub hold: Ms,
     /// How old a load report is, and by what share it errs.
     pub report_age: Ms,
@@ -93,9 +93,9 @@
 const REFUSED: u32 = 7;
 const RESETS: [u32; 6] = [REFUSED, 1, 2, 5, 8, 11];
 
-/// How long a writer waits for a state.
+/// How long a decode engine waits for a state.
 const FETCH_WITHIN: Ms = 1000.0;
-/// Token messages of a stream that a writer makes ahead of what leaves.
+/// Token messages of a stream that a decode engine makes ahead of what leaves.
 const AHEAD: u32 = 4;
 
 type StateKey = (u64, u32, u32);
@@ -464,10 +464,10 @@
             self.unmuted().await;
             let stream = frame.stream;
             match frame.body {
-                Some(Body::Read(read)) => {
+                Some(Body::Prefill(read)) => {
                     seen.begin(stream, self.clone().read(conn.clone(), stream, read))
                 }
-                Some(Body::Write(write)) => {
+                Some(Body::Decode(write)) => {
                     conn.credit.borrow_mut().insert(stream, AHEAD);
                     seen.begin(stream, self.clone().write(conn.clone(), stream, write));
                 }
@@ -532,7 +532,7 @@
         stream: u64,
         status: v1::Status,
         kept: f64,
-        state: Option<v1::StateId>,
+        state: Option<v1::KvStateId>,
     ) {
         let load = self.load();
         let ended = v1::Ended {
@@ -604,7 +604,7 @@
         }
     }
 
-    async fn read(self, conn: Rc<Conn>, stream: u64, read: v1::Read) {
+    async fn read(self, conn: Rc<Conn>, stream: u64, read: v1::Prefill) {
         let refused = if self.inner.spec.does == Does::Writes {
             Err(v1::Status::Failed)
         } else {
@@ -659,7 +659,7 @@
         });
         self.keep_wait(wait.abort_handle());
         self.unmuted().await;
-        self.end(&conn, stream, v1::Status::ReadDone, kept, Some(state));
+        self.end(&conn, stream, v1::Status::PrefillDone, kept, Some(state));
     }
 
     fn keep_wait(&self, wait: AbortHandle) {
@@ -684,7 +684,7 @@
         live.memory += prompt;
     }
 
-    async fn write(self, conn: Rc<Conn>, stream: u64, write: v1::Write) {
+    async fn write(self, conn: Rc<Conn>, stream: u64, write: v1::Decode) {
         let can = match (self.inner.spec.does, write.state) {
             (Does::Reads, _) => Err(v1::Status::Failed),
             (Does::Writes, None) => Err(v1::Status::NoState),
@@ -761,14 +761,18 @@
         self.end(&conn, stream, v1::Status::Fulfilled, 0.0, None);
     }
 
-    /// The state's tokens, once its reader has handed it over; none if it cannot be had.
-    async fn fetch(&self, write: &v1::Write, state: v1::StateId) -> Option<f64> {
-        let names = (v1::Party::Engine, self.name(), write.reader.as_str());
-        let reader = (write.reader_address.as_str(), v1::Party::Engine);
-        // A reader that cannot be had in time is one that has no state.
+    /// The state's tokens, once its prefill engine has handed it over; none if it cannot be had.
+    async fn fetch(&self, write: &v1::Decode, state: v1::KvStateId) -> Option<f64> {
+        let names = (
+            v1::Party::Engine,
+            self.name(),
+            write.prefill_engine.as_str(),
+        );
+        let prefill_engine = (write.prefill_engine_address.as_str(), v1::Party::Engine);
+        // A prefill engine that cannot be had in time is one that has no state.
         let until = self.now() + FETCH_WITHIN;
         let session = tokio::select! { biased;
-            session = call(&self.inner.transport, reader, names) => session,
+            session = call(&self.inner.transport, prefill_engine, names) => session,
             () = self.inner.clock.sleep_until(until) => None,
         };
         let Session {
@@ -911,7 +915,7 @@
     }
 }
 
-fn key(state: &v1::StateId) -> StateKey {
+fn key(state: &v1::KvStateId) -> StateKey {
     (state.run, state.request, state.attempt)
 }
 
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -36,7 +36,7 @@
         key: String,
         profile: String,
     },
-    /// A reader's own time limit let a state go.
+    /// A prefill engine's own time limit let a state go.
     Expired {
         run: u64,
         request: u32,
@@ -158,7 +158,7 @@
 /// One JSON object a line, a record each.
 ///
 /// # Errors
-/// The writer's.
+/// The decode engine's.
 pub fn write(records: &[Record], mut to: impl Write) -> io::Result<()> {
     for record in records {
         let (note, way, frame) = match &record.what {
@@ -192,7 +192,7 @@
 }
 
 /// # Errors
-/// The reader's, or a line that is no record, by its number.
+/// The prefill engine's, or a line that is no record, by its number.
 pub fn read(from: impl BufRead) -> io::Result<Vec<Record>> {
     let bad = |number: usize, what: String| {
         io::Error::new(io::ErrorKind::InvalidData, format!("line {number}: {what}"))
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -72,8 +72,8 @@
 const WRITER: (&str, &str, u64) = ("w", "d", 3);
 const FEED: (&str, &str, u64) = ("list", "d", 4);
 
-fn state(request: u32) -> Option<v1::StateId> {
-    Some(v1::StateId {
+fn state(request: u32) -> Option<v1::KvStateId> {
+    Some(v1::KvStateId {
         run: 1,
         request,
         attempt: 0,
@@ -100,7 +100,7 @@
     })
 }
 
-/// One request served as it should be, and a cold writer's start.
+/// One request served as it should be, and a cold decode engine's start.
 fn good() -> Story {
     let mut story = Story::default();
     let submit = v1::Submit {
@@ -124,14 +124,14 @@
         1,
         Body::Accepted(v1::Accepted { request: 1 }),
     );
-    let read = v1::Read {
+    let read = v1::Prefill {
         state: state(1),
         prompt_tokens: 100,
-        ..v1::Read::default()
+        ..v1::Prefill::default()
     };
-    story.frame(12.0, READER, Way::In, 1, Body::Read(read));
+    story.frame(12.0, READER, Way::In, 1, Body::Prefill(read));
     let ended = v1::Ended {
-        status: v1::Status::ReadDone.into(),
+        status: v1::Status::PrefillDone.into(),
         state: state(1),
         ..v1::Ended::default()
     };
@@ -171,10 +171,10 @@
 }
 
 fn write(request: u32) -> Body {
-    Body::Write(v1::Write {
+    Body::Decode(v1::Decode {
         state: state(request),
         max_tokens: 20,
-        ..v1::Write::default()
+        ..v1::Decode::default()
     })
 }
 
@@ -312,7 +312,7 @@
     for (released, found) in [(500.0, vec![]), (800.0, vec![Rule::LeftPinned])] {
         let mut story = good();
         let ended = v1::Ended {
-            status: v1::Status::ReadDone.into(),
+            status: v1::Status::PrefillDone.into(),
             state: state(2),
             ..v1::Ended::default()
         };
@@ -333,7 +333,7 @@
     for (killed, found) in [(false, vec![Rule::LeftPinned]), (true, vec![])] {
         let mut story = good();
         let ended = v1::Ended {
-            status: v1::Status::ReadDone.into(),
+            status: v1::Status::PrefillDone.into(),
             state: state(2),
             ..v1::Ended::default()
         };
@@ -362,13 +362,13 @@
             );
         }
         story.note(200.0, ("d", 0), Note::Killed);
-        let state = Some(v1::StateId {
+        let state = Some(v1::KvStateId {
             run,
             request: 2,
             attempt: 0,
         });
         let ended = v1::Ended {
-            status: v1::Status::ReadDone.into(),
+            status: v1::Status::PrefillDone.into(),
             state,
             ..v1::Ended::default()
         };
@@ -387,7 +387,7 @@
 fn a_state_is_not_idle_while_an_attempt_is_out_for_it() {
     let mut story = good();
     let ended = v1::Ended {
-        status: v1::Status::ReadDone.into(),
+        status: v1::Status::PrefillDone.into(),
         state: state(2),
         ..v1::Ended::default()
     };
@@ -428,12 +428,12 @@
         Body::Accepted(v1::Accepted { request: 2 }),
     );
     story.frame(100.0, CLIENT, Way::Out, 2, Body::Cancel(v1::Cancel {}));
-    let read = v1::Read {
+    let read = v1::Prefill {
         state: state(2),
         key: "k2".to_owned(),
-        ..v1::Read::default()
+        ..v1::Prefill::default()
     };
-    story.frame(at, READER, Way::In, 5, Body::Read(read));
+    story.frame(at, READER, Way::In, 5, Body::Prefill(read));
     story
 }
 
@@ -467,11 +467,11 @@
         ..v1::Submit::default()
     };
     story.frame(10.0, CLIENT, Way::Out, 2, Body::Submit(submit));
-    let attempt = v1::Write {
+    let attempt = v1::Decode {
         key: "k2".to_owned(),
-        ..v1::Write::default()
+        ..v1::Decode::default()
     };
-    story.frame(20.0, WRITER, Way::In, 4, Body::Write(attempt));
+    story.frame(20.0, WRITER, Way::In, 4, Body::Decode(attempt));
     story
 }
 
--- a/src/bounds.rs
+++ b/src/bounds.rs
@@ -42,7 +42,7 @@
     /// A chunk of an engine's answer, and an answer that is no stream.
     pub most_chunk: usize,
     pub most_list: usize,
-    /// Token messages of a stream between its writer and its client.
+    /// Token messages of a stream between its decode engine and its client.
     pub window: u32,
     /// A stream that does not go on for this long is ended.
     pub stall: Ms,
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,4 +1,4 @@
-//! Every decision of a dispatcher: which reader reads a request, which writer answers it, what follows a
+//! Every decision of a dispatcher: which prefill engine reads a request, which decode engine answers it, what follows a
 //! failure, and when a request is bounced or written off.
 //!
 //! Callers make one [`Control`] a dispatcher, hand each batch of events to [`Control::step`] with its instant
@@ -19,11 +19,11 @@
 
 /// The band under the best nearness within which load decides (the design's tau).
 const TAU: f64 = 0.1;
-/// A writer holding more of our streams than the average and this many is skipped (the design).
+/// A decode engine holding more of our streams than the average and this many is skipped (the design).
 const ABOVE_AVERAGE: f64 = 1.0;
-/// A home reader whose waiting tokens exceed this many times the mean passes the read on (the design).
+/// A home prefill engine whose waiting tokens exceed this many times the mean passes the read on (the design).
 const HOME_ESCAPE: f64 = 2.0;
-/// Shares of the release time: a state that found no writer is let go; held requests are looked at, and 'full'
+/// Shares of the release time: a state that found no decode engine is let go; held requests are looked at, and 'full'
 /// engines asked, again.
 const HOLD_SHARE: f64 = 0.7;
 const RETRY_SHARE: f64 = 0.1;
@@ -31,17 +31,17 @@
 const FULLS_MOST: i32 = 5;
 /// Own final answers come this many ticks before patience ends.
 const END_TICKS: f64 = 2.0;
-/// A request that no reader has taken by this share of its quoted time is bounced: the answer would come late.
+/// A request that no prefill engine has taken by this share of its quoted time is bounced: the answer would come late.
 const HELD_SHARE: f64 = 0.4;
 /// A read, or a first token, that takes more than this share of the shortest quoted time waited in a queue.
 const QUEUED: f64 = 0.3;
-/// Launches out at a reader and at a writer to start with, for all dispatchers; a limit's cut on a queue.
+/// Launches out at a prefill engine and at a decode engine to start with, for all dispatchers; a limit's cut on a queue.
 const READS_START: f64 = 12.0;
 const STREAMS_START: f64 = 48.0;
 const LIMIT_CUT: f64 = 0.7;
 /// Readers have room to spare below this share of their limits; a text is kept with less than this unread.
 const SPARE: f64 = 0.5;
-/// Streams last long, so a writer's limit grows so much faster than a reader's.
+/// Streams last long, so a decode engine's limit grows so much faster than a prefill engine's.
 const STREAMS_GROW: f64 = 3.0;
 /// Part of the cold budget that is used, the rest being for what one dispatcher cannot see.
 const COLD_MARGIN: f64 = 0.8;
@@ -55,9 +55,9 @@
 const JUDGED: u32 = 8;
 const JUDGED_LEAST: u32 = 3;
 const SICK_BELOW: f64 = 0.5;
-/// Beginnings and sessions remembered as kept at a reader.
+/// Beginnings and sessions remembered as kept at a prefill engine.
 const KEPT_MOST: usize = 64;
-/// How many times the mean an engine near a busy reader may be wanted.
+/// How many times the mean an engine near a busy prefill engine may be wanted.
 const HOT: f64 = 4.0;
 /// The golden ratio of a turn: multiples of it lie evenly however many there are (Weyl's sequence).
 const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -145,12 +145,12 @@
     allowed: Ms,
     attempts: u32,
     out: Option<Out>,
-    /// Where its read state waits, and since when the release time counts.
+    /// Where its KV state waits, and since when the release time counts.
     state: Option<Slot>,
     idle_since: Ms,
     /// Held: when it is looked at again.
     look_at: Ms,
-    /// Writers and readers that turned this request away or failed it since its last read.
+    /// Writers and prefill engines that turned this request away or failed it since its last read.
     tried: Vec<Slot>,
     /// The first attempt that may have run: where and when.
     may_have_run: Option<(Slot, Ms)>,
@@ -175,7 +175,7 @@
     engines: Engines,
     requests: BTreeMap<RequestId, Request>,
     queue: Turns,
-    /// Launches a millisecond that a warm writer, and a warm reader, bear of ours, and requests that arrive.
+    /// Launches a millisecond that a warm decode engine, and a warm prefill engine, bear of ours, and requests that arrive.
     borne: [Rate; 2],
     arriving: Rate,
     /// When the requests of the last fall window arrived.
@@ -411,11 +411,11 @@
         self.queue.awake.insert(ended.request);
         self.engines.tally(&out, -1.0);
         let queued =
-            ended.outcome != Outcome::ReadDone || self.now - out.sent > QUEUED * request.allowed;
+            ended.outcome != Outcome::PrefillDone || self.now - out.sent > QUEUED * request.allowed;
         if out.reading
             && matches!(
                 ended.outcome,
-                Outcome::ReadDone | Outcome::TimedOut | Outcome::Full
+                Outcome::PrefillDone | Outcome::TimedOut | Outcome::Full
             )
         {
             self.engines.learn_limit(slot, out.sent, queued, self.now);
@@ -438,7 +438,7 @@
         }
         match ended.outcome {
             Outcome::Fulfilled => self.engines.judge(slot, true),
-            Outcome::ReadDone => {
+            Outcome::PrefillDone => {
                 request.state = Some(slot);
                 request.tried.clear();
                 self.engines.note_kept(slot, &request.arrival);
@@ -447,7 +447,7 @@
                 self.engines.typical += (read - self.engines.typical) / self.engines.typical_of;
                 self.note_done(slot, true);
             }
-            // The state is gone (its reader died or let it go): read again.
+            // The state is gone (its prefill engine died or let it go): read again.
             Outcome::Full if ended.detail == 1.0 => request.state = None,
             Outcome::Full => {
                 request.tried.push(slot);
@@ -497,8 +497,8 @@
         if request.out.as_ref().is_some_and(|o| o.streaming) {
             return;
         }
-        // Guards against a jam that feeds on itself: readers busy with requests whose time has passed make the
-        // next ones late too. What no reader has taken by then is bounced, while a bounce is harmless.
+        // Guards against a jam that feeds on itself: prefill engines busy with requests whose time has passed make the
+        // next ones late too. What no prefill engine has taken by then is bounced, while a bounce is harmless.
         let held = request.out.is_none() && request.state.is_none();
         let ends = if held {
             request.ends.min(request.read_by)
@@ -524,7 +524,7 @@
             return self.plan_delivery(request);
         }
         let left = self.settings.max_attempts.saturating_sub(request.attempts);
-        // A state whose reader is gone is read again, and let go in case the list is wrong.
+        // A state whose prefill engine is gone is read again, and let go in case the list is wrong.
         request.want_release = request
             .state
             .is_some_and(|s| self.engines.listed[s].condition == Condition::Gone);
@@ -533,16 +533,16 @@
         let target = match request.state.filter(|_| !request.want_release) {
             _ if left == 0 => return self.give_up(request),
             Some(_) if lies => return self.give_up(request),
-            Some(reader) => self.choose_writer(request, reader),
+            Some(prefill_engine) => self.choose_decode_engine(request, prefill_engine),
             None if left < 2 => return self.give_up(request),
-            None if !self.writers_have_room() => None,
+            None if !self.decode_engines_have_room() => None,
             None if self.look(request) => None,
-            None => self.choose_reader(request),
+            None => self.choose_prefill_engine(request),
         };
         if let Some(slot) = target {
             request.want = Want::Start(slot);
             if request.state.is_none() {
-                // The writers of its cell are asked during the read, for the choice at its end.
+                // The decode engines of its cell are asked during the read, for the choice at its end.
                 let near = |w: &Slot| self.nearness(slot, *w) >= 1.0 - TAU;
                 let near: Vec<Slot> = self.pool(request, false).into_iter().filter(near).collect();
                 self.ask(&near);
@@ -603,9 +603,9 @@
         }
     }
 
-    /// The readers that the hash of a beginning names, in the order in which a session tries them: the home
+    /// The prefill engines that the hash of a beginning names, in the order in which a session tries them: the home
     /// of all that begin so, then a few next to it, by the session's own hash. Guards against text scattered
-    /// over the fleet: whoever sends a session's prompts finds them kept at one of the same few readers.
+    /// over the fleet: whoever sends a session's prompts finds them kept at one of the same few prefill engines.
     fn homes(&self, arrival: &Arrival, pool: &[Slot]) -> Vec<Slot> {
         let beginning = arrival.shared.map_or(arrival.session.0, |shared| shared.0);
         let rank =
@@ -654,7 +654,7 @@
 
     /// The reads' rule: the home that the hash names, unless too much waits there; then the next of its few
     /// where less does.
-    fn choose_reader(&self, request: &Request) -> Option<Slot> {
+    fn choose_prefill_engine(&self, request: &Request) -> Option<Slot> {
         let pool = self.pool(request, true);
         let arrival = &request.arrival;
         let homes = self.homes(arrival, &pool);
@@ -677,7 +677,7 @@
             return Some(home);
         }
         // Guards against a jam by scattered reads: elsewhere they cost more and push out what is kept there.
-        // Reads leave their home (too much waits, or no room) only while the readers together have room to
+        // Reads leave their home (too much waits, or no room) only while the prefill engines together have room to
         // spare, or for one that has kept most of the text; else the request is held for its home.
         let reads = pool.iter().map(|&s| self.engines.reads[s]).sum::<f64>();
         let spare = reads < SPARE * pool.iter().map(|&s| self.engines.limit[s]).sum::<f64>();
@@ -688,15 +688,15 @@
     }
 
     /// The mechanism: nearness first, within the band the fewest in flight, skipping those above average.
-    fn choose_writer(&mut self, request: &Request, reader: Slot) -> Option<Slot> {
+    fn choose_decode_engine(&mut self, request: &Request, prefill_engine: Slot) -> Option<Slot> {
         let pool = self.pool(request, false);
         let best = pool
             .iter()
-            .map(|&s| self.nearness(reader, s))
+            .map(|&s| self.nearness(prefill_engine, s))
             .fold(0.0, f64::max);
         let mean =
             pool.iter().map(|&s| self.engines.streams[s]).sum::<f64>() / pool.len().max(1) as f64;
-        let near = |s: Slot| self.nearness(reader, s) >= best - TAU;
+        let near = |s: Slot| self.nearness(prefill_engine, s) >= best - TAU;
         let few = |s: Slot| self.engines.streams[s] <= mean + ABOVE_AVERAGE;
         let kept: Vec<Slot> = pool
             .iter()
@@ -729,8 +729,8 @@
         drawn.into_iter().min_by(order).map(|drawn| drawn.2)
     }
 
-    fn nearness(&self, reader: Slot, writer: Slot) -> f64 {
-        let [a, b] = [reader, writer].map(|s| &self.engines.listed[s]);
+    fn nearness(&self, prefill_engine: Slot, decode_engine: Slot) -> f64 {
+        let [a, b] = [prefill_engine, decode_engine].map(|s| &self.engines.listed[s]);
         // A cell lies within a zone.
         (f64::from(u8::from(a.cell == b.cell)) + f64::from(u8::from(a.zone == b.zone))) / 2.0
     }
@@ -857,10 +857,10 @@
         self.wanted_wake = Some(self.wanted_wake.map_or(at, |w| w.min(at)));
     }
 
-    /// Whether the writers can take what is being read and one more: a read state cannot wait for long.
-    fn writers_have_room(&self) -> bool {
-        let writers = self.engines.ready(false);
-        let room: f64 = writers
+    /// Whether the decode engines can take what is being read and one more: a KV state cannot wait for long.
+    fn decode_engines_have_room(&self) -> bool {
+        let decode_engines = self.engines.ready(false);
+        let room: f64 = decode_engines
             .map(|s| (self.engines.limit[s] - self.engines.streams[s]).max(0.0))
             .sum();
         room >= self.queue.coming as f64 + 1.0
@@ -960,7 +960,7 @@
 }
 
 impl Request {
-    /// One if it is being read, in good time so far: the writers will be wanted for it.
+    /// One if it is being read, in good time so far: the decode engines will be wanted for it.
     fn coming(&self) -> usize {
         usize::from(self.out.as_ref().is_some_and(|o| o.reading && !o.late))
     }
@@ -1038,7 +1038,7 @@
         self.index.insert(entry.engine.clone(), slot);
         self.listed.push(entry.clone());
         self.kind.push(kind.clone());
-        let start = if kind.role == Role::Reader {
+        let start = if kind.role == Role::Prefill {
             READS_START
         } else {
             STREAMS_START
@@ -1124,7 +1124,7 @@
     }
 
     fn serves(&self, slot: Slot, reading: bool) -> bool {
-        self.kind[slot].role == Role::Both || (self.kind[slot].role == Role::Reader) == reading
+        self.kind[slot].role == Role::Both || (self.kind[slot].role == Role::Prefill) == reading
     }
 
     fn ready(&self, reading: bool) -> impl Iterator<Item = Slot> + '_ {
@@ -1136,7 +1136,7 @@
 
     /// A read has no effect, however it ends; a mixed engine answers what it has read.
     fn only_reads(&self, out: &Out) -> bool {
-        out.reading && self.kind[out.slot].role == Role::Reader
+        out.reading && self.kind[out.slot].role == Role::Prefill
     }
 
     fn tally(&mut self, out: &Out, sign: f64) {
@@ -1148,7 +1148,7 @@
         }
     }
 
-    /// Tokens waiting at a reader: as our own part suggests, or what it reports, whichever is more.
+    /// Tokens waiting at a prefill_engine: as our own part suggests, or what it reports, whichever is more.
     /// `seen`: as many times our part as we have reads out at all, at most the dispatchers.
     fn waiting(&self, slot: Slot, now: Ms, seen: f64, mean: f64) -> f64 {
         (seen * self.reading[slot]).max(self.aged(slot, now, &self.reported_tokens, mean))
@@ -1160,7 +1160,7 @@
         let out = self.reads[slot] + self.streams[slot];
         let limit = &mut self.limit[slot];
         if !queued {
-            let grow = if self.kind[slot].role == Role::Reader {
+            let grow = if self.kind[slot].role == Role::Prefill {
                 1.0
             } else {
                 STREAMS_GROW
@@ -1176,7 +1176,7 @@
         }
     }
 
-    /// Tokens of a prompt that a reader would have to read, by what we saw it read lately.
+    /// Tokens of a prompt that a prefill engine would have to read, by what we saw it read lately.
     fn unread(&self, slot: Slot, request: &Arrival) -> f64 {
         let mine = |b: &u64| *b == request.session.0 || request.shared.is_some_and(|t| *b == t.0);
         let kept = self.kept[slot]
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -62,7 +62,7 @@
         match outcome {
             Outcome::Unreachable | Outcome::Void => false,
             // Each is an answer of the engine's.
-            Outcome::Fulfilled | Outcome::Failed | Outcome::Full | Outcome::ReadDone => true,
+            Outcome::Fulfilled | Outcome::Failed | Outcome::Full | Outcome::PrefillDone => true,
             Outcome::TimedOut | Outcome::Broken | Outcome::CalledOff => {
                 matches!(
                     self.delivery,
@@ -178,7 +178,7 @@
         // The one that is given up may run yet.
         let known = request.may_have_run;
         request.may_have_run.get_or_insert((silent, sent));
-        let other = self.choose_writer(request, prefilled_at);
+        let other = self.choose_decode_engine(request, prefilled_at);
         request.may_have_run = known;
         other.is_some_and(|slot| slot != silent)
     }
--- a/src/fleet/bounds.rs
+++ b/src/fleet/bounds.rs
@@ -53,10 +53,10 @@
     pub cell: Most,
     pub kind: Most,
     /// Ready engines that stay, at least.
-    pub readers_zone: u32,
-    pub writers_zone: u32,
-    pub readers_cell: u32,
-    pub writers_cell: u32,
+    pub prefill_engines_per_zone: u32,
+    pub decode_engines_per_zone: u32,
+    pub prefill_engines_per_cell: u32,
+    pub decode_engines_per_cell: u32,
     /// None goes when those left would be used above this, in thousandths; 1000 is no bound.
     pub used_per_mille: u32,
     /// A report of load that is older counts as full, in milliseconds.
@@ -74,10 +74,10 @@
             },
             cell: Most::ALL,
             kind: Most::ALL,
-            readers_zone: 0,
-            writers_zone: 0,
-            readers_cell: 0,
-            writers_cell: 0,
+            prefill_engines_per_zone: 0,
+            decode_engines_per_zone: 0,
+            prefill_engines_per_cell: 0,
+            decode_engines_per_cell: 0,
             used_per_mille: 1000,
             report_age_ms: 5_000,
         }
@@ -111,8 +111,16 @@
             }
         }
         let cells = [
-            ("readers", self.readers_cell, self.readers_zone),
-            ("writers", self.writers_cell, self.writers_zone),
+            (
+                "readers",
+                self.prefill_engines_per_cell,
+                self.prefill_engines_per_zone,
+            ),
+            (
+                "writers",
+                self.decode_engines_per_cell,
+                self.decode_engines_per_zone,
+            ),
         ];
         for (name, cell, zone) in cells {
             if zone > 0 && cell > zone {
@@ -269,21 +277,21 @@
     zones: BTreeMap<String, Count>,
     cells: BTreeMap<String, Count>,
     kinds: BTreeMap<String, Count>,
-    /// Ready readers and writers by zone and by cell.
+    /// Ready prefill engines and decode engines by zone and by cell.
     ready: BTreeMap<(bool, Role2, String), u32>,
     /// Use summed over ready engines of a role: over the fleet (no name) and by zone.
     used: BTreeMap<(Role2, String), (f64, u32)>,
 }
 
-/// Reader, writer or both, in an order.
+/// Reader, decode engine or both, in an order.
 type Role2 = u8;
 
 fn reads(role: Role) -> bool {
-    role != Role::Writer
+    role != Role::Decode
 }
 
 fn writes(role: Role) -> bool {
-    role != Role::Reader
+    role != Role::Prefill
 }
 
 fn roles(role: Option<Role>) -> impl Iterator<Item = Role2> {
@@ -389,8 +397,14 @@
         if let Some((out, most)) = full(self.kinds.get(&unit.kind), bounds.kind) {
             return Err(Binds::Kind(unit.kind.clone(), out, most));
         }
-        let zone_least = [bounds.readers_zone, bounds.writers_zone];
-        let cell_least = [bounds.readers_cell, bounds.writers_cell];
+        let zone_least = [
+            bounds.prefill_engines_per_zone,
+            bounds.decode_engines_per_zone,
+        ];
+        let cell_least = [
+            bounds.prefill_engines_per_cell,
+            bounds.decode_engines_per_cell,
+        ];
         for role in roles(unit.role) {
             let ready = |cell: bool, place: &str| {
                 self.ready
@@ -550,10 +564,10 @@
         let asked: BTreeSet<_> = units.iter().filter(|u| meant(u)).flat_map(places).collect();
         all.retain(|place, _| asked.contains(place));
         let least = |cell: bool, role: Role2| match (cell, role) {
-            (false, 0) => bounds.readers_zone,
-            (false, _) => bounds.writers_zone,
-            (true, 0) => bounds.readers_cell,
-            (true, _) => bounds.writers_cell,
+            (false, 0) => bounds.prefill_engines_per_zone,
+            (false, _) => bounds.decode_engines_per_zone,
+            (true, 0) => bounds.prefill_engines_per_cell,
+            (true, _) => bounds.decode_engines_per_cell,
         };
         all.into_iter().find_map(|((cell, role, place), n)| {
             let least = least(cell, role);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -46,8 +46,8 @@
 /// What a kind of engine does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    Reader,
-    Writer,
+    Prefill,
+    Decode,
     Both,
 }
 
@@ -114,7 +114,7 @@
     pub kinds: Vec<KindSettings>,
     pub discovery: Discovery,
     pub release: Ms,
-    pub writers_read: bool,
+    pub decode_engines_prefill: bool,
     pub may_hold_ahead: bool,
     pub may_cancel: bool,
     pub may_copy: bool,
@@ -181,7 +181,7 @@
     Broken,
     CalledOff,
     Void,
-    ReadDone,
+    PrefillDone,
 }
 
 /// A request as it arrives.
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,6 @@
 //! Cold engines under the sum of all dispatchers: 3 to 300 of them side by side, with uneven traffic and popular
-//! beginnings, while half of the readers are replaced; lists come to each at another time, some dispatchers restart
-//! and forget what they sent. Each decides alone; what all send a cold reader in any fall window is held against
+//! beginnings, while half of the prefill engines are replaced; lists come to each at another time, some dispatchers restart
+//! and forget what they sent. Each decides alone; what all send a cold prefill engine in any fall window is held against
 //! what the settings allow it.
 
 use cindercleat::control::Control;
@@ -10,15 +10,15 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use test_case::test_case;
 
-const READERS: u32 = 12;
-const WRITERS: u32 = 8;
+const PREFILL_ENGINES: u32 = 12;
+const DECODE_ENGINES: u32 = 8;
 const MULTIPLE: f64 = 4.0;
 const WINDOW: Ms = 3000.0;
 const START_CAPACITY: f64 = 0.32;
-/// The part of what warm readers can do that they are asked for.
+/// The part of what warm prefill engines can do that they are asked for.
 const USED: f64 = 0.7;
 const RAMP: Ms = 14_000.0;
-/// When the new readers start, and the day's end.
+/// When the new prefill engines start, and the day's end.
 const REPLACED: Ms = 20_000.0;
 const END: Ms = 34_000.0;
 
@@ -45,10 +45,10 @@
         profiles: vec![profile],
         tenants: Vec::new(),
         over_share_worth: 0.1,
-        kinds: vec![kind(Role::Reader), kind(Role::Writer)],
+        kinds: vec![kind(Role::Prefill), kind(Role::Decode)],
         discovery: Discovery::Pushed,
         release: 500.0,
-        writers_read: false,
+        decode_engines_prefill: false,
         may_hold_ahead: false,
         may_cancel: true,
         may_copy: false,
@@ -80,10 +80,10 @@
     }
 }
 
-/// The readers, so many of them replaced, and the writers.
+/// The prefill engines, so many of them replaced, and the decode engines.
 fn list(replaced: u32) -> Vec<Entry> {
     let ready = Condition::Ready;
-    let old = (0..READERS).map(|at| {
+    let old = (0..PREFILL_ENGINES).map(|at| {
         let gone = at < replaced;
         entry(
             format!("r{at}"),
@@ -102,8 +102,8 @@
             Some(REPLACED + f64::from(at)),
         )
     });
-    let writers = (0..WRITERS).map(|at| entry(format!("w{at}"), 1, at, ready, None));
-    old.chain(new).chain(writers).collect()
+    let decode_engines = (0..DECODE_ENGINES).map(|at| entry(format!("w{at}"), 1, at, ready, None));
+    old.chain(new).chain(decode_engines).collect()
 }
 
 /// What happens to one dispatcher.
@@ -123,9 +123,9 @@
     nexts: BTreeMap<u64, (usize, u32, Next)>,
     made: u64,
     attempts: BTreeMap<(usize, u32, RequestId), u32>,
-    /// Launches at new readers while they are cold.
+    /// Launches at new prefill engines while they are cold.
     cold: BTreeMap<EngineId, Vec<Ms>>,
-    /// How long a reader takes for a read, and until when each is busy: what comes waits its turn.
+    /// How long a prefill engine takes for a read, and until when each is busy: what comes waits its turn.
     reads_for: Ms,
     busy: BTreeMap<EngineId, Ms>,
     served: u32,
@@ -187,7 +187,7 @@
                     };
                     let free = self.busy.entry(engine.clone()).or_insert(now);
                     *free = free.max(now) + reads_for;
-                    (Outcome::ReadDone, *free - now)
+                    (Outcome::PrefillDone, *free - now)
                 } else {
                     self.served += 1;
                     let first = Event::FirstToken {
@@ -246,8 +246,8 @@
     }
 }
 
-/// Plays a day; gives the attempts at each new reader while it was cold, and which part of what was asked found a
-/// writer. `rate`: requests a second that each reader gets while all are there.
+/// Plays a day; gives the attempts at each new prefill engine while it was cold, and which part of what was asked found a
+/// decode engine. `rate`: requests a second that each prefill engine gets while all are there.
 fn play(
     count: u32,
     rate: f64,
@@ -298,8 +298,8 @@
             } else {
                 1.0
             };
-            now +=
-                -gap.max(1e-9).ln() * 1000.0 / (surge * rate * f64::from(READERS) * weight / sum);
+            now += -gap.max(1e-9).ln() * 1000.0
+                / (surge * rate * f64::from(PREFILL_ENGINES) * weight / sum);
             if now > END {
                 break;
             }
@@ -348,7 +348,7 @@
         .unwrap_or(0)
 }
 
-/// What a warm reader can do, made small by the start capacity and large by the fall multiple: the budget of a
+/// What a warm prefill engine can do, made small by the start capacity and large by the fall multiple: the budget of a
 /// window.
 fn budget(rate: f64) -> f64 {
     MULTIPLE * START_CAPACITY * rate / USED * WINDOW / 1000.0
@@ -381,7 +381,7 @@
 #[test_case(30, 8.0; "thirty")]
 fn no_cold_engine_gets_more_than_its_budget_at_eight_times_the_traffic(count: u32, rate: f64) {
     for seed in [8, 9] {
-        hold_budget(count, rate, READERS, 8.0, seed);
+        hold_budget(count, rate, PREFILL_ENGINES, 8.0, seed);
     }
 }
 
@@ -389,7 +389,7 @@
 #[test]
 fn three_hundred_dispatchers_keep_a_cold_budget_at_eight_times_the_traffic() {
     for seed in [8, 9, 1008, 2008, 3008] {
-        hold_budget(300, 6.0, READERS, 8.0, seed);
+        hold_budget(300, 6.0, PREFILL_ENGINES, 8.0, seed);
     }
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 const DISPATCHERS: u32 = 300;
-const READERS: u32 = 40;
+const PREFILL_ENGINES: u32 = 40;
 const BEGINNING: u64 = 9;
 
 fn settings(me: u32) -> Settings {
@@ -31,10 +31,10 @@
         profiles: vec![profile],
         tenants: Vec::new(),
         over_share_worth: 0.1,
-        kinds: vec![kind(Role::Reader), kind(Role::Writer)],
+        kinds: vec![kind(Role::Prefill), kind(Role::Decode)],
         discovery: Discovery::Pushed,
         release: 500.0,
-        writers_read: false,
+        decode_engines_prefill: false,
         may_hold_ahead: false,
         may_cancel: true,
         may_copy: false,
@@ -70,8 +70,8 @@
 }
 
 fn engines() -> Vec<Entry> {
-    let readers = (0..READERS).map(|at| entry(&format!("r{at}"), 0, at));
-    readers
+    let prefill_engines = (0..PREFILL_ENGINES).map(|at| entry(&format!("r{at}"), 0, at));
+    prefill_engines
         .chain((0..20).map(|at| entry(&format!("w{at}"), 1, at)))
         .collect()
 }
@@ -155,7 +155,7 @@
     let (attempt, load, outcome, latency, detail) = (
         AttemptId(0),
         Load::default(),
-        Outcome::ReadDone,
+        Outcome::PrefillDone,
         60.0,
         4000.0,
     );
@@ -175,7 +175,7 @@
     Some((Outcome::Fulfilled, 0.0))
 }
 
-/// A dispatcher that has seen a reader at work long ago, so that the length of a queue means something to it.
+/// A dispatcher that has seen a prefill engine at work long ago, so that the length of a queue means something to it.
 fn seasoned(me: u32) -> Control {
     let mut control = dispatcher(me);
     let engine = read_at(&mut control, 1.0, 1, idle);
@@ -224,7 +224,7 @@
     reads_leave_the_home(None);
 }
 
-/// Of all dispatchers' next streams, how many begin at the cold one of these writers of the reader's cell.
+/// Of all dispatchers' next streams, how many begin at the cold one of these decode engines of the prefill engine's cell.
 fn begun_cold(warm: &[&str]) -> usize {
     let taken = |me: u32| {
         let mut control = Control::new(settings(me), u64::from(me) * 7919);
@@ -308,7 +308,7 @@
     assert!((300..300 * 8).contains(&planned), "{planned}");
 }
 
-/// The same for a cold reader that is the home of a beginning which all read.
+/// The same for a cold prefill engine that is the home of a beginning which all read.
 #[test]
 fn a_cold_home_gets_its_part_of_the_reads_of_all_and_no_more() {
     let home = read_at(&mut dispatcher(0), 1.0, 0, idle);
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -73,7 +73,7 @@
             })
             .collect(),
         over_share_worth: 0.1,
-        kinds: [Role::Reader, Role::Writer]
+        kinds: [Role::Prefill, Role::Decode]
             .map(|role| KindSettings {
                 role,
                 memory_tokens: 5e5,
@@ -81,7 +81,7 @@
             .to_vec(),
         discovery: Discovery::Pushed,
         release: 500.0,
-        writers_read: false,
+        decode_engines_prefill: false,
         may_hold_ahead: false,
         may_cancel: true,
         may_copy: false,
@@ -434,7 +434,10 @@
         let count = self.attempts.entry(request).or_insert(0);
         let attempt = AttemptId(*count);
         *count += 1;
-        let (at, asked) = (self.index[&engine_id], self.asked[request.0 as usize].clone());
+        let (at, asked) = (
+            self.index[&engine_id],
+            self.asked[request.0 as usize].clone(),
+        );
         let engine = &mut self.engines[at];
         let cold = engine.is_cold(now);
         let full = if engine.reads {
@@ -455,7 +458,7 @@
                 engine.busy_until =
                     engine.busy_until.max(now) + (asked.tokens - kept).max(1.0) / speed;
                 engine.waiting += 1;
-                (Outcome::ReadDone, engine.busy_until - now, kept)
+                (Outcome::PrefillDone, engine.busy_until - now, kept)
             }
             Does::Works => {
                 engine.streams += 1;
@@ -464,7 +467,7 @@
         };
         let (load, reads) = (engine.load(), engine.reads);
         match outcome {
-            Outcome::ReadDone => self.at(now + took, Next::Leaves { engine: at }),
+            Outcome::PrefillDone => self.at(now + took, Next::Leaves { engine: at }),
             Outcome::Fulfilled => {
                 let first = Event::FirstToken {
                     request,
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -42,7 +42,7 @@
             2
         ],
         over_share_worth: 0.1,
-        kinds: [Role::Reader, Role::Writer, Role::Both]
+        kinds: [Role::Prefill, Role::Decode, Role::Both]
             .map(|role| KindSettings {
                 role,
                 memory_tokens: 2e5,
@@ -50,7 +50,7 @@
             .to_vec(),
         discovery: Discovery::Pushed,
         release: 500.0,
-        writers_read: false,
+        decode_engines_prefill: false,
         may_hold_ahead: false,
         may_cancel: true,
         may_copy: false,
@@ -76,7 +76,7 @@
 const ENGINES: u32 = 7;
 
 fn entry(i: u32, condition: Condition, started: Option<Ms>) -> Entry {
-    // Three readers, three writers and one that does both, in two zones of two cells.
+    // Three prefill engines, three decode engines and one that does both, in two zones of two cells.
     let kind = KindId(if i == 6 { 2 } else { i % 2 });
     let (zone, cell) = (ZoneId(i / 2 % 2), CellId(i / 2 % 4));
     Entry {
@@ -192,8 +192,8 @@
                     sent,
                 } = self.out[at].clone();
                 let latency = self.now - sent;
-                let reader = ["host-0", "host-2", "host-4"].contains(&&*engine.0);
-                if !reader && !first && kind < 13 {
+                let prefill_engine = ["host-0", "host-2", "host-4"].contains(&&*engine.0);
+                if !prefill_engine && !first && kind < 13 {
                     self.out[at].first = true;
                     events.push(Event::FirstToken {
                         request,
@@ -210,7 +210,7 @@
                         3 => Outcome::Unreachable,
                         4 => Outcome::TimedOut,
                         5 => Outcome::CalledOff,
-                        _ if reader => Outcome::ReadDone,
+                        _ if prefill_engine => Outcome::PrefillDone,
                         _ => Outcome::Fulfilled,
                     };
                     let last = outcome == Outcome::Fulfilled || first && outcome == Outcome::Broken;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -40,10 +40,10 @@
         profiles: vec![profile(Effect::Reissuable), profile(Effect::AtMostOnce)],
         tenants: Vec::new(),
         over_share_worth: 0.1,
-        kinds: vec![kind(Role::Reader), kind(Role::Writer), kind(Role::Both)],
+        kinds: vec![kind(Role::Prefill), kind(Role::Decode), kind(Role::Both)],
         discovery: Discovery::Pushed,
         release: 500.0,
-        writers_read: false,
+        decode_engines_prefill: false,
         may_hold_ahead: false,
         may_cancel: true,
         may_copy: false,
@@ -223,7 +223,7 @@
         "broken" => Outcome::Broken,
         "called-off" => Outcome::CalledOff,
         "void" => Outcome::Void,
-        "read" => Outcome::ReadDone,
+        "read" => Outcome::PrefillDone,
         _ => panic!("no outcome {word}"),
     }
 }
