--- a/benches/step.rs
+++ b/benches/step.rs
@@ -11,7 +11,7 @@
 const DECODE_ENGINES: u32 = 240;
 
 fn settings() -> Settings {
-    let profile = ProfileSettings {
+    let request_class = RequestClassSettings {
         effect: Effect::Reissuable,
         quoted: 1000.0,
         quoted_per_1000_tokens: 40.0,
@@ -26,7 +26,7 @@
         dispatchers: 1,
         zone: ZoneId(0),
         tick: 4.0,
-        profiles: vec![profile],
+        request_classes: vec![request_class],
         tenants: vec![],
         over_share_worth: 1.0,
         kinds: [Role::Prefill, Role::Decode]
--- a/crates/cindercleat-cli/src/bench_day.rs
+++ b/crates/cindercleat-cli/src/bench_day.rs
@@ -111,7 +111,8 @@
 fn translate(from: &Drawing, drawn: &Drawn, day: &Day, pace: f64) -> Option<Vec<Fault>> {
     let (at, length) = (from.at / 1000.0 * pace, from.len / 1000.0 * pace);
     let whom = stand_for(&from.on, drawn, day);
-    let profile = day.service.profiles[from.which % day.service.profiles.len()].clone();
+    let request_class =
+        day.service.request_classes[from.which % day.service.request_classes.len()].clone();
     let times = from.size.max(1.0);
     let one = |trouble: Trouble| {
         let whom = if trouble.is_service_wide() {
@@ -146,7 +147,7 @@
         "fast_errors" => one(Trouble::Fails(from.size.clamp(0.0, 1.0))),
         "flush" => one(Trouble::Forget),
         "report_late" => one(Trouble::ReportsLate(1000.0 * times)),
-        "throttle" => one(Trouble::Full(profile)),
+        "throttle" => one(Trouble::Full(request_class)),
         "burst" => one(Trouble::Burst(times)),
         "hot_key" => one(Trouble::HotText),
         "heavy_tail" => one(Trouble::LongPrompts(times, from.extra.clamp(0.01, 0.5))),
--- a/crates/cindercleat-cli/src/conf.rs
+++ b/crates/cindercleat-cli/src/conf.rs
@@ -3,7 +3,7 @@
 //!
 //! ```text
 //! listen 127.0.0.1:7400
-//! profile caption-draft
+//! request class caption-draft
 //!     quoted 1s plus 40ms
 //! end
 //! ```
--- a/crates/cindercleat-cli/src/day.rs
+++ b/crates/cindercleat-cli/src/day.rs
@@ -31,7 +31,8 @@
     #[serde(rename = "hosts")]
     pub engines: usize,
     pub faults: BTreeMap<&'static str, usize>,
-    pub profiles: BTreeMap<String, Row>,
+    #[serde(rename = "profiles")]
+    pub request_classes: BTreeMap<String, Row>,
     pub payoff_in_time: f64,
     /// Processor time of all dispatchers together for each try, in milliseconds.
     pub cpu_ms_a_try: f64,
@@ -115,7 +116,7 @@
             "cut",
             "unsent"
         );
-        for (name, r) in &self.profiles {
+        for (name, r) in &self.request_classes {
             out += &format!(
                 "{:<16}{:>7}{:>7}{:>10}{:>9}{:>9}{:>9}{:>6}{:>6}{:>7}  {:>10.1} / {:<10.1} {:>7.1} / {:.1}\n",
                 name,
@@ -351,7 +352,7 @@
     let tallies = clients.tallies();
     let worth = |of: fn(&Tally) -> u64| {
         let all = day.habits.traffic.iter();
-        all.map(|t| t.payoff * tallies.get(&t.profile).map_or(0, of) as f64)
+        all.map(|t| t.payoff * tallies.get(&t.request_class).map_or(0, of) as f64)
             .sum::<f64>()
     };
     let mut faults = BTreeMap::new();
@@ -366,7 +367,7 @@
         dispatchers: day.dispatchers,
         engines: day.engines.len(),
         faults,
-        profiles: tallies
+        request_classes: tallies
             .iter()
             .map(|(name, t)| (name.clone(), Row::new(t)))
             .collect(),
--- a/crates/cindercleat-cli/src/duties.rs
+++ b/crates/cindercleat-cli/src/duties.rs
@@ -1,4 +1,4 @@
-//! `seeds --profile duties` and `seed N --profile duties`: fleets with their troubles on a virtual clock.
+//! `seeds --request_class duties` and `seed N --request_class duties`: fleets with their troubles on a virtual clock.
 
 use crate::seeds::{SeedArgs, SeedsArgs};
 use cindercleat_faults::duties::draw::SHAPES;
@@ -9,7 +9,7 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// The shape of a profile that plays duties.
+/// The shape of a request class that plays duties.
 pub fn shape(name: &str) -> Option<&'static Shape> {
     SHAPES.iter().find(|s| s.name == name)
 }
--- a/crates/cindercleat-cli/src/main.rs
+++ b/crates/cindercleat-cli/src/main.rs
@@ -160,9 +160,10 @@
         }
         Command::Check { settings } => {
             let read = read_settings(&settings, 0)?;
-            let (profiles, kinds) = (read.program.profiles.len(), read.program.kinds.len());
+            let (request_classes, kinds) =
+                (read.program.request_classes.len(), read.program.kinds.len());
             println!(
-                "{}: good ({profiles} profiles, {kinds} kinds)",
+                "{}: good ({request_classes} profiles, {kinds} kinds)",
                 settings.display()
             );
         }
@@ -202,17 +203,17 @@
         Command::Try { stay } => try_it::try_it(stay)?,
         Command::Send(args) => return Ok(send::send(args)?),
         Command::Seeds(args) => {
-            if let Some(shape) = duties::shape(&args.profile) {
+            if let Some(shape) = duties::shape(&args.shape) {
                 return Ok(duties::seeds(&args, shape)?);
             }
-            let shape = seeds::shape(&args.profile).map_err(Failure::Input)?;
+            let shape = seeds::shape(&args.shape).map_err(Failure::Input)?;
             return Ok(seeds::seeds(&args, shape)?);
         }
         Command::Seed(args) => {
-            if let Some(shape) = duties::shape(&args.profile) {
+            if let Some(shape) = duties::shape(&args.shape) {
                 return Ok(duties::seed(&args, shape));
             }
-            let shape = seeds::shape(&args.profile).map_err(Failure::Input)?;
+            let shape = seeds::shape(&args.shape).map_err(Failure::Input)?;
             return Ok(seeds::seed(&args, shape)?);
         }
         Command::Drill(args) => return drill::run(&args)?.map_err(Failure::Input),
--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -75,7 +75,7 @@
             )));
         }
     }
-    if conf.profiles.len() != conf.settings.profiles.len() {
+    if conf.request_classes.len() != conf.settings.request_classes.len() {
         return Err(wrong("settings: each profile is to have a name".to_owned()));
     }
     let seed = u64::from_str_radix(&said.seed, 16).map_err(|e| wrong(format!("seed: {e}")))?;
@@ -89,7 +89,7 @@
         most_held: conf.max_open_requests,
         longest_deadline: conf
             .settings
-            .profiles
+            .request_classes
             .iter()
             .map(|class| class.patience)
             .fold(0.0, f64::max),
@@ -154,7 +154,7 @@
         name,
         run: seed,
         policy: conf.settings,
-        profiles: conf.profiles,
+        request_classes: conf.request_classes,
         tenants: conf.tenants,
         zones: conf.zones,
         kinds: conf.kinds,
--- a/crates/cindercleat-cli/src/price.rs
+++ b/crates/cindercleat-cli/src/price.rs
@@ -319,7 +319,7 @@
 
 fn submit(number: u64, tokens: u32) -> v1::Submit {
     v1::Submit {
-        profile: "caption-draft".to_owned(),
+        request_class: "caption-draft".to_owned(),
         session: number,
         prompt_tokens: 100,
         max_tokens: tokens,
--- a/crates/cindercleat-cli/src/script.rs
+++ b/crates/cindercleat-cli/src/script.rs
@@ -111,18 +111,21 @@
 fn habits(block: &Section, service: &Service, length: Ms) -> Result<Habits, Problem> {
     let mut traffic = Vec::new();
     for line in block.all("profile-share") {
-        let profile: String = line.value(1)?;
-        let at = service.profiles.iter().position(|p| *p == profile);
+        let request_class: String = line.value(1)?;
+        let at = service
+            .request_classes
+            .iter()
+            .position(|p| *p == request_class);
         let at = at.ok_or_else(|| {
             line.wrong(&format!(
                 "a profile out of: {}",
-                service.profiles.join(", ")
+                service.request_classes.join(", ")
             ))
         })?;
-        let settings = &service.policy.profiles[at];
+        let settings = &service.policy.request_classes[at];
         let prompt: u32 = line.must_after("prompt")?;
         traffic.push(Traffic {
-            profile,
+            request_class,
             share: line.value(2)?,
             again_always: settings.effect == Effect::Reissuable,
             quoted: settings.quoted + settings.quoted_per_1000_tokens * f64::from(prompt) / 1000.0,
@@ -153,14 +156,17 @@
     Ok(habits)
 }
 
-/// 'request TIME PROFILE prompt N answer N [shared N text N] [patience TIME] [leaves TIME] [session N] [seed N]'.
+/// 'request TIME REQUEST_CLASS prompt N answer N [shared N text N] [patience TIME] [leaves TIME] [session N] [seed N]'.
 fn planned(line: &Line, habits: &Habits) -> Result<Planned, Problem> {
-    let profile: String = line.value(2)?;
-    let traffic = habits.traffic.iter().find(|t| t.profile == profile);
+    let request_class: String = line.value(2)?;
+    let traffic = habits
+        .traffic
+        .iter()
+        .find(|t| t.request_class == request_class);
     let traffic = traffic.ok_or_else(|| line.wrong("a profile that has a share of the traffic"))?;
     Ok(Planned {
         at: line.value::<Time>(1)?.0,
-        profile,
+        request_class,
         tenant: line.after("tenant")?.unwrap_or_default(),
         session: line.after("session")?.unwrap_or(1),
         shared_text: line.after("text")?.unwrap_or(0),
@@ -267,7 +273,12 @@
         day.service.zones.join(" "),
         day.list_delay
     );
-    for (name, p) in day.service.profiles.iter().zip(&policy.profiles) {
+    for (name, p) in day
+        .service
+        .request_classes
+        .iter()
+        .zip(&policy.request_classes)
+    {
         let effect = match p.effect {
             Effect::Reissuable => "reissuable".to_owned(),
             Effect::AtMostOnce => "at-most-once".to_owned(),
@@ -353,7 +364,7 @@
         let (prompt, answer) = (t.prompt_tokens.0, t.max_tokens);
         out += &format!(
             "    profile-share {} {} prompt {prompt} answer {answer}\n",
-            t.profile, t.share
+            t.request_class, t.share
         );
     }
     out += "end\n\n";
@@ -364,7 +375,7 @@
         out += &format!(
             "task {}ms {} prompt {} answer {} shared {} text {} session {} patience {}ms seed {}{leaves}\n",
             t.at,
-            t.profile,
+            t.request_class,
             t.prompt_tokens,
             t.max_tokens,
             t.shared_tokens,
@@ -386,7 +397,7 @@
     let more = match &fault.trouble {
         Trouble::Slow(by) | Trouble::Burst(by) => format!(" by {by}"),
         Trouble::Stall(after) => format!(" after {after}"),
-        Trouble::Full(profile) => format!(" profile {profile}"),
+        Trouble::Full(request_class) => format!(" profile {request_class}"),
         Trouble::Fails(part) | Trouble::Resets(part) => format!(" part {part}"),
         Trouble::ListLate(by)
         | Trouble::ReportsLate(by)
--- a/crates/cindercleat-cli/src/seeds.rs
+++ b/crates/cindercleat-cli/src/seeds.rs
@@ -22,8 +22,8 @@
     /// Threads; each plays its own days.
     #[arg(long, default_value_t = 4)]
     pub jobs: usize,
-    #[arg(long, default_value = "plain")]
-    pub profile: String,
+    #[arg(long = "profile", value_name = "PROFILE", default_value = "plain")]
+    pub shape: String,
     /// A folder for days that break something: cut down, as a script, with their story.
     #[arg(long)]
     save: Option<PathBuf>,
@@ -35,8 +35,8 @@
 #[derive(Args, Clone, Debug)]
 pub struct SeedArgs {
     pub seed: u64,
-    #[arg(long, default_value = "plain")]
-    pub profile: String,
+    #[arg(long = "profile", value_name = "PROFILE", default_value = "plain")]
+    pub shape: String,
     /// Prints all that was seen.
     #[arg(long)]
     pub trace: bool,
@@ -46,7 +46,7 @@
 }
 
 /// # Errors
-/// There is no such profile.
+/// There is no such request class.
 pub fn shape(name: &str) -> Result<&'static Shape, String> {
     let duties = cindercleat_faults::duties::draw::SHAPES
         .iter()
--- a/crates/cindercleat-cli/src/send.rs
+++ b/crates/cindercleat-cli/src/send.rs
@@ -19,8 +19,8 @@
 pub struct SendArgs {
     /// A dispatcher, as HOST:PORT.
     to: String,
-    #[arg(long)]
-    profile: String,
+    #[arg(long = "profile", value_name = "PROFILE")]
+    request_class: String,
     /// Tokens of the prompt; with a text, its words count unless this says otherwise.
     #[arg(long, required_unless_present = "text")]
     prompt_tokens: Option<u32>,
@@ -301,7 +301,7 @@
             .as_deref()
             .map_or(0, |text| text.split_whitespace().count());
         v1::Submit {
-            profile: args.profile.clone(),
+            request_class: args.request_class.clone(),
             tenant: args.tenant.clone(),
             session: number,
             shared_text: args.shared_text,
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -91,12 +91,12 @@
         return Err(zones.wrong("a zone or more"));
     }
     let zones = zones.words[1..].to_vec();
-    let (mut profiles, mut profile_settings) = (Vec::new(), Vec::new());
+    let (mut request_classes, mut request_class_settings) = (Vec::new(), Vec::new());
     for block in section.blocks("profile") {
-        profiles.push(new_name(block, &profiles)?);
-        profile_settings.push(profile(block)?);
+        request_classes.push(new_name(block, &request_classes)?);
+        request_class_settings.push(request_class(block)?);
     }
-    if profiles.is_empty() {
+    if request_classes.is_empty() {
         return Err(section.lacks("profile"));
     }
     let (mut tenants, mut tenant_settings) = (Vec::new(), Vec::new());
@@ -145,7 +145,7 @@
         dispatchers: 1,
         zone: ZoneId(0),
         tick: limits.value_or("tick", Time(4.0))?.0,
-        profiles: profile_settings,
+        request_classes: request_class_settings,
         tenants: tenant_settings,
         over_share_worth: limits.value_or("over-share-worth", 1.0)?,
         kinds: kind_settings,
@@ -212,7 +212,7 @@
     limits.nothing_else()?;
     Ok(Service {
         policy,
-        profiles,
+        request_classes,
         tenants,
         zones,
         kinds,
@@ -228,7 +228,7 @@
     Ok(name)
 }
 
-fn profile(block: &Section) -> Result<ProfileSettings, Problem> {
+fn request_class(block: &Section) -> Result<RequestClassSettings, Problem> {
     let effect = block.one("effect")?;
     let kind = match effect.value::<String>(1)?.as_str() {
         "reissuable" => Effect::Reissuable,
@@ -251,7 +251,7 @@
         }
     };
     let quoted = block.one("quoted")?;
-    let settings = ProfileSettings {
+    let settings = RequestClassSettings {
         effect: kind,
         quoted: quoted.value::<Time>(1)?.0,
         quoted_per_1000_tokens: quoted.after::<Time>("plus")?.map_or(0.0, |t| t.0),
--- a/crates/cindercleat-cli/src/try_it.rs
+++ b/crates/cindercleat-cli/src/try_it.rs
@@ -35,7 +35,7 @@
         );
         let port = Port::new("try", &address, Tcp, fleet.clock, fleet.transcript.clone());
         let submit = v1::Submit {
-            profile: "caption-draft".to_owned(),
+            request_class: "caption-draft".to_owned(),
             session: 1,
             shared_text: 1,
             prompt_tokens: 800,
--- a/crates/cindercleat-cli/tests/conf.rs
+++ b/crates/cindercleat-cli/tests/conf.rs
@@ -55,7 +55,7 @@
         (policy.zone.0, policy.dispatchers, policy.release),
         (1, 2, 500.0)
     );
-    assert_eq!(policy.profiles[0].quoted_per_1000_tokens, 40.0);
+    assert_eq!(policy.request_classes[0].quoted_per_1000_tokens, 40.0);
     assert_eq!(read.program.run, 9);
 }
 
--- a/crates/cindercleat-cli/tests/program.rs
+++ b/crates/cindercleat-cli/tests/program.rs
@@ -162,8 +162,11 @@
         serde_json::from_str(&std::fs::read_to_string(&report).expect("it is there"))
             .expect("it is JSON");
     let sum = |name: &str| -> u64 {
-        let profiles = report["profiles"].as_object().expect("profiles");
-        profiles.values().filter_map(|p| p[name].as_u64()).sum()
+        let request_classes = report["profiles"].as_object().expect("profiles");
+        request_classes
+            .values()
+            .filter_map(|p| p[name].as_u64())
+            .sum()
     };
     assert!(sum("cut") >= 10, "streams and reads were out: {out}");
     assert!(sum("tries") > sum("tasks"), "clients came again: {out}");
@@ -222,15 +225,18 @@
     let read = |text: &str| cindercleat_cli::node::read("c.json", text);
     let conf = read(&configuration("127.0.0.1:1")).unwrap_or_else(|problem| panic!("{problem}"));
     let policy = &conf.program.policy;
-    assert_eq!(conf.program.profiles, ["draft", "send"]);
+    assert_eq!(conf.program.request_classes, ["draft", "send"]);
     assert_eq!(conf.program.kinds, ["r", "w"]);
     assert_eq!(
         (policy.release, policy.connect_timeout, policy.max_attempts),
         (500.0, 250.0, 4)
     );
-    assert_eq!(policy.profiles[1].quoted_per_1000_tokens, 50.0005);
+    assert_eq!(policy.request_classes[1].quoted_per_1000_tokens, 50.0005);
     assert_eq!(
-        (policy.profiles[0].quoted, policy.profiles[0].payoff),
+        (
+            policy.request_classes[0].quoted,
+            policy.request_classes[0].payoff
+        ),
         (1000.0, 2.0)
     );
     assert!(policy.may_cancel && policy.may_probe && !policy.clients_hear_retry);
@@ -264,20 +270,23 @@
     };
     let policy = with("\"giveUp\":4000000,", "").expect("a class without a deadline");
     assert_eq!(
-        (policy.profiles[0].quoted, policy.profiles[0].patience),
+        (
+            policy.request_classes[0].quoted,
+            policy.request_classes[0].patience
+        ),
         (1000.0, f64::INFINITY)
     );
     let policy =
         with("\"aim\":1000000,", "").expect("a class without a target goes by its deadline");
-    assert_eq!(policy.profiles[0].quoted, 4000.0);
+    assert_eq!(policy.request_classes[0].quoted, 4000.0);
     let policy =
         with("\"importance\":2.0", "\"importance\":0").expect("a class that is worth nothing");
-    assert_eq!(policy.profiles[0].payoff, 0.0);
+    assert_eq!(policy.request_classes[0].payoff, 0.0);
     let keyed = "\"effect\":\"keyed\",\"keyScope\":\"cell\",\"dedupWindow\":1000";
     let policy = with("\"effect\":\"safe\"", keyed).expect("a window of a millisecond");
     assert!(
         matches!(
-            policy.profiles[0].effect,
+            policy.request_classes[0].effect,
             Effect::Numbered { window: 1.0, .. }
         ),
         "{policy:?}"
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -37,7 +37,7 @@
     /// The load report's columns, in the wire's words.
     pub columns: Vec<String>,
     /// The names behind the ids in `settings`, in the same order, where they are said.
-    pub profiles: Vec<String>,
+    pub request_classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -127,7 +127,7 @@
         text.split(',').filter(|part| !part.is_empty()).collect()
     }
 
-    /// The `at`-th of a list of times, one a profile; nothing where the list is absent.
+    /// The `at`-th of a list of times, one a request class; nothing where the list is absent.
     fn time_in(&self, path: &str, at: usize) -> Result<Ms, Malformed> {
         let Some(text) = self.list(path).get(at).copied() else {
             return Ok(0.0);
@@ -215,13 +215,13 @@
 }
 
 fn read_pairs(pairs: Pairs) -> Result<Conf, Malformed> {
-    let profiles: usize = pairs.number("services.count")?;
+    let request_classes: usize = pairs.number("services.count")?;
     let tenants: usize = if pairs.0.contains_key("orgs.count") {
         pairs.number("orgs.count")?
     } else {
         0
     };
-    if profiles == 0 {
+    if request_classes == 0 {
         return Err(Malformed::new("at least one class in services", "none"));
     }
     let discovery = match pairs.text("discovery")? {
@@ -236,8 +236,8 @@
         dispatchers: pairs.number("replicasOfMe")?,
         zone: ZoneId(pairs.number("zone")?),
         tick: pairs.time("tick")?,
-        profiles: (0..profiles)
-            .map(|i| profile(&pairs, i))
+        request_classes: (0..request_classes)
+            .map(|i| request_class(&pairs, i))
             .collect::<Result<_, _>>()?,
         tenants: (0..tenants)
             .map(|i| tenant(&pairs, i))
@@ -284,7 +284,7 @@
     Ok(Conf {
         settings,
         columns: texts("stats.columns"),
-        profiles: named("services", profiles),
+        request_classes: named("services", request_classes),
         tenants: named("orgs", tenants),
         zones: texts("zones"),
         kinds: texts("shapes"),
@@ -294,7 +294,7 @@
     })
 }
 
-fn profile(pairs: &Pairs, i: usize) -> Result<ProfileSettings, Malformed> {
+fn request_class(pairs: &Pairs, i: usize) -> Result<RequestClassSettings, Malformed> {
     let at = |key: &str| format!("services.{i}.{key}");
     let effect = match pairs.text(&at("effect"))? {
         "safe" => Effect::Reissuable,
@@ -324,7 +324,7 @@
             "none",
         )
     };
-    Ok(ProfileSettings {
+    Ok(RequestClassSettings {
         effect,
         quoted: target.ok_or_else(none)?,
         quoted_per_1000_tokens: pairs.time_in("familyInfo.aimUsPer1000PromptTokens", i)?,
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -554,9 +554,9 @@
             out.push(Output::LeaveClient { conn });
         }
         let ends = self.now + arrival.patience_left;
-        let profile = &self.settings.policy.profiles[arrival.profile.0 as usize];
-        let quoted =
-            profile.quoted + profile.quoted_per_1000_tokens * arrival.prompt_tokens / 1000.0;
+        let request_class = &self.settings.policy.request_classes[arrival.request_class.0 as usize];
+        let quoted = request_class.quoted
+            + request_class.quoted_per_1000_tokens * arrival.prompt_tokens / 1000.0;
         let quoted = self.now - took + quoted;
         self.timers.set(ends, Due::Patience(id));
         self.tickets.insert(ticket, id);
@@ -573,7 +573,7 @@
             attempts: 0,
             out: None,
             sent: false,
-            effect: profile.effect,
+            effect: request_class.effect,
             first_run: None,
         };
         self.requests.insert(id, request);
@@ -635,12 +635,13 @@
     fn arrival(&self, submit: &v1::Submit) -> Result<Arrival, (&'static str, String)> {
         let place =
             |names: &[String], name: &str| names.iter().position(|n| n == name).map(|at| at as u32);
-        let profile = place(&self.settings.profiles, &submit.profile).ok_or_else(|| {
-            (
-                "profile",
-                format!("there is no profile {:?}", submit.profile),
-            )
-        })?;
+        let request_class = place(&self.settings.request_classes, &submit.request_class)
+            .ok_or_else(|| {
+                (
+                    "profile",
+                    format!("there is no profile {:?}", submit.request_class),
+                )
+            })?;
         let tenant = match submit.tenant.as_str() {
             "" => None,
             name => Some(
@@ -667,7 +668,7 @@
         }
         Ok(Arrival {
             request: RequestId(self.next_request_id),
-            profile: ProfileId(profile),
+            request_class: RequestClassId(request_class),
             tenant: tenant.map(TenantId),
             session: SessionId(submit.session),
             patience_left: submit.patience_ms,
--- a/crates/dispatcher/src/ledger/story.rs
+++ b/crates/dispatcher/src/ledger/story.rs
@@ -15,10 +15,10 @@
             Event::Arrived(a) => {
                 let (shared, session) = (a.shared.map_or(0, |s| s.0), a.session.0);
                 let (prompt, beginning) = (a.prompt_tokens, a.shared_tokens);
-                let (profile, waits) = (a.profile.0, a.patience_left);
+                let (request_class, waits) = (a.request_class.0, a.patience_left);
                 let request = self.called(a.request);
                 format!(
-                    "{request} arrived profile={profile} prompt={prompt} shared={beginning} beginning={shared:x} \
+                    "{request} arrived profile={request_class} prompt={prompt} shared={beginning} beginning={shared:x} \
                      session={session:x} waits={waits:.0} retried={}",
                     a.retried
                 )
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -14,7 +14,7 @@
     pub run: u64,
     pub policy: Settings,
     /// The names behind the ids in `policy`, in the same order.
-    pub profiles: Vec<String>,
+    pub request_classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -102,7 +102,7 @@
 #[derive(Clone, Debug)]
 pub struct Service {
     pub policy: Settings,
-    pub profiles: Vec<String>,
+    pub request_classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -128,7 +128,7 @@
             name: name.to_owned(),
             run,
             policy,
-            profiles: self.profiles.clone(),
+            request_classes: self.request_classes.clone(),
             tenants: self.tenants.clone(),
             zones: self.zones.clone(),
             kinds: self.kinds.clone(),
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 pub fn settings() -> ProgramSettings {
-    let profile = |effect| ProfileSettings {
+    let request_class = |effect| RequestClassSettings {
         effect,
         quoted: 1000.0,
         quoted_per_1000_tokens: 0.0,
@@ -28,10 +28,10 @@
         dispatchers: 1,
         zone: ZoneId(0),
         tick: 4.0,
-        profiles: vec![
-            profile(Effect::Reissuable),
-            profile(Effect::AtMostOnce),
-            profile(Effect::Numbered {
+        request_classes: vec![
+            request_class(Effect::Reissuable),
+            request_class(Effect::AtMostOnce),
+            request_class(Effect::Numbered {
                 group: Group::Zone,
                 window: 2000.0,
             }),
@@ -68,7 +68,7 @@
         name: "d".to_owned(),
         run: 7,
         policy,
-        profiles: names(&["draft", "proof", "caption"]),
+        request_classes: names(&["draft", "proof", "caption"]),
         tenants: vec![],
         zones: names(&["north", "south"]),
         kinds: names(&["reader", "writer"]),
@@ -158,9 +158,9 @@
     }
 }
 
-pub fn submit(profile: &str) -> v1::Submit {
+pub fn submit(request_class: &str) -> v1::Submit {
     v1::Submit {
-        profile: profile.to_owned(),
+        request_class: request_class.to_owned(),
         session: 1,
         prompt_tokens: 500,
         max_tokens: 50,
@@ -356,21 +356,21 @@
     }
 
     /// A request up to its read, and that read.
-    pub fn reading(&mut self, stream: u64, profile: &str) -> Sent {
-        let out = self.client(stream, Body::Submit(submit(profile)));
+    pub fn reading(&mut self, stream: u64, request_class: &str) -> Sent {
+        let out = self.client(stream, Body::Submit(submit(request_class)));
         self.attempts(&out).pop().expect("a read goes out")
     }
 
     /// A request up to its writer's attempt.
-    pub fn writing(&mut self, stream: u64, profile: &str) -> Sent {
-        let read = self.reading(stream, profile);
+    pub fn writing(&mut self, stream: u64, request_class: &str) -> Sent {
+        let read = self.reading(stream, request_class);
         let out = self.ended(&read, v1::Status::PrefillDone);
         self.attempts(&out).pop().expect("a write goes out")
     }
 
     /// A request up to its first token.
-    pub fn streaming(&mut self, stream: u64, profile: &str) -> Sent {
-        let write = self.writing(stream, profile);
+    pub fn streaming(&mut self, stream: u64, request_class: &str) -> Sent {
+        let write = self.writing(stream, request_class);
         self.engine(&write, tokens(0));
         write
     }
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -15,10 +15,10 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-fn submit(profile: &str, key: &str) -> v1::Submit {
+fn submit(request_class: &str, key: &str) -> v1::Submit {
     v1::Submit {
         key: key.to_owned(),
-        ..common::submit(profile)
+        ..common::submit(request_class)
     }
 }
 
@@ -37,11 +37,11 @@
 
 #[test]
 fn a_client_that_cancels_in_mid_stream_ends_its_writer_soon() {
-    for profile in ["draft", "proof"] {
+    for request_class in ["draft", "proof"] {
         run(|net| async move {
             let (port, left, seen) = (net.port("c"), Cell::new(0.0), Cell::new(0));
             let mut stream = port
-                .open(Body::Submit(submit(profile, "k")))
+                .open(Body::Submit(submit(request_class, "k")))
                 .await
                 .expect("a stream");
             loop {
@@ -62,7 +62,7 @@
                 .expect("it comes to the writer");
             assert!(cancelled - left.get() <= SOON);
             nothing_is_left(&net).await;
-            assert_eq!(net.ran(), ["k"], "{profile} is not run again");
+            assert_eq!(net.ran(), ["k"], "{request_class} is not run again");
         });
     }
 }
@@ -111,11 +111,14 @@
 
 #[test]
 fn a_writer_that_stalls_after_its_first_token_is_written_off_by_the_stall_limit() {
-    for profile in ["draft", "proof"] {
+    for request_class in ["draft", "proof"] {
         run(|net| async move {
             net.engines[1].trouble(|t| t.stall_after = Some(1));
             let begin = net.clock.now();
-            let end = net.port("c").run(submit(profile, "k"), None, |_| {}).await;
+            let end = net
+                .port("c")
+                .run(submit(request_class, "k"), None, |_| {})
+                .await;
             assert_eq!(end, End::WrittenOff);
             let took = net.clock.now() - begin;
             assert!(took < 1000.0 + 300.0, "the limit is a second: {took}");
@@ -129,23 +132,26 @@
 
 #[test]
 fn a_writer_that_stalls_before_its_first_token_is_answered_for_in_time() {
-    for profile in ["draft", "proof"] {
+    for request_class in ["draft", "proof"] {
         run(|net| async move {
             net.engines[1].trouble(|t| t.stall_after = Some(0));
             let begin = net.clock.now();
-            let end = net.port("c").run(submit(profile, "k"), None, |_| {}).await;
+            let end = net
+                .port("c")
+                .run(submit(request_class, "k"), None, |_| {})
+                .await;
             assert!(
                 matches!(end, End::WrittenOff | End::Bounced { .. }),
                 "{end:?}"
             );
             assert!(
-                profile == "draft" || end == End::WrittenOff,
+                request_class == "draft" || end == End::WrittenOff,
                 "it may have run"
             );
             assert!(net.clock.now() - begin <= 4000.0 + 20.0);
             nothing_is_left(&net).await;
             assert!(
-                profile == "draft" || net.ran().len() <= 1,
+                request_class == "draft" || net.ran().len() <= 1,
                 "{:?}",
                 net.ran()
             );
@@ -449,10 +455,10 @@
         let port = net.port("c");
         let mut seen = BTreeSet::new();
         for n in 0..80 {
-            let profile = if n % 2 == 0 { "proof" } else { "draft" };
+            let request_class = if n % 2 == 0 { "proof" } else { "draft" };
             let submit = v1::Submit {
                 max_tokens: 12,
-                ..submit(profile, &format!("{profile}{n}"))
+                ..submit(request_class, &format!("{request_class}{n}"))
             };
             let end = port.run(submit, None, |_| {}).await;
             seen.insert(
@@ -464,7 +470,7 @@
             );
             if matches!(end, End::Bounced { .. }) {
                 assert!(
-                    profile == "draft" || !net.ran().contains(&format!("proof{n}")),
+                    request_class == "draft" || !net.ran().contains(&format!("proof{n}")),
                     "bounced, and ran"
                 );
             }
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -91,9 +91,9 @@
 
 #[test]
 fn a_writer_that_dies_before_the_first_token_ends_what_may_have_run() {
-    for (profile, again) in [("draft", true), ("caption", true), ("proof", false)] {
+    for (request_class, again) in [("draft", true), ("caption", true), ("proof", false)] {
         let mut bench = Bench::new();
-        let write = bench.writing(1, profile);
+        let write = bench.writing(1, request_class);
         let reason = "reset".to_owned();
         let out = bench.put(Input::LinkClosed {
             link: write.link,
@@ -102,7 +102,7 @@
         assert_eq!(
             !bench.attempts(&out).is_empty(),
             again,
-            "{profile} goes out again"
+            "{request_class} goes out again"
         );
         let answers: Vec<Answer> = finals(&out).into_iter().map(|(_, a)| a).collect();
         assert_eq!(
@@ -112,16 +112,16 @@
             } else {
                 vec![Answer::WrittenOff]
             },
-            "{profile}"
+            "{request_class}"
         );
     }
 }
 
 #[test]
 fn a_writer_that_dies_in_mid_stream_or_before_its_end_mark_is_written_off_and_not_repeated() {
-    for profile in ["draft", "proof"] {
+    for request_class in ["draft", "proof"] {
         let mut bench = Bench::new();
-        let write = bench.streaming(1, profile);
+        let write = bench.streaming(1, request_class);
         for position in 1..4 {
             bench.engine(&write, tokens(position));
         }
@@ -129,7 +129,7 @@
             link: write.link,
             reason: "reset".to_owned(),
         });
-        assert_eq!(finals(&out), [(1, Answer::WrittenOff)], "{profile}");
+        assert_eq!(finals(&out), [(1, Answer::WrittenOff)], "{request_class}");
         let later = bench.pass(10_000.0);
         assert!(bench.attempts(&out).is_empty() && bench.attempts(&later).is_empty());
         assert_eq!(to_client(&later), []);
@@ -139,15 +139,15 @@
 
 #[test]
 fn a_writer_that_never_answers_is_given_up_before_the_clients_time_is_up() {
-    for profile in ["draft", "proof"] {
+    for request_class in ["draft", "proof"] {
         let mut bench = Bench::new();
-        let (begin, write) = (bench.now, bench.writing(1, profile));
+        let (begin, write) = (bench.now, bench.writing(1, request_class));
         let out = bench.pass(3999.0);
         let answers = finals(&out);
-        assert_eq!(answers.len(), 1, "{profile} is answered in time");
+        assert_eq!(answers.len(), 1, "{request_class} is answered in time");
         assert!(bench.now <= begin + 4000.0);
         assert!(
-            profile == "draft" || answers[0].1 == Answer::WrittenOff,
+            request_class == "draft" || answers[0].1 == Answer::WrittenOff,
             "proof may have run"
         );
         assert!(to_engines(&out).contains(&"cancel"));
@@ -350,7 +350,7 @@
         (
             "profile",
             v1::Submit {
-                profile: "none".to_owned(),
+                request_class: "none".to_owned(),
                 ..submit("draft")
             },
         ),
@@ -600,10 +600,10 @@
 
 #[test]
 fn an_engine_that_is_gone_without_a_word_is_found_by_its_silence() {
-    for (profile, expected) in [("draft", vec![]), ("proof", vec![(1, Answer::WrittenOff)])] {
+    for (request_class, expected) in [("draft", vec![]), ("proof", vec![(1, Answer::WrittenOff)])] {
         let mut bench = Bench::new();
         bench.engines_answer_pings = false;
-        let write = bench.writing(1, profile);
+        let write = bench.writing(1, request_class);
         let out = bench.pass(1999.0);
         assert!(!to_engines(&out).contains(&"ping"), "it is not asked yet");
         let out = bench.pass(2.0);
@@ -612,7 +612,7 @@
         assert!(out
             .iter()
             .any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
-        assert_eq!(finals(&out), expected, "{profile}");
+        assert_eq!(finals(&out), expected, "{request_class}");
     }
 }
 
@@ -649,9 +649,9 @@
 /// connection, and not before the engine can hear of it.
 #[test]
 fn a_read_that_broke_is_let_go_at_its_engine() {
-    for profile in ["draft", "proof"] {
+    for request_class in ["draft", "proof"] {
         let mut bench = Bench::new();
-        let read = bench.reading(1, profile);
+        let read = bench.reading(1, request_class);
         let out = bench.put(Input::LinkClosed {
             link: read.link,
             reason: "reset".to_owned(),
@@ -670,10 +670,10 @@
                 _ => None,
             })
             .collect();
-        assert_eq!(released, [read.state.expect("a state")], "{profile}");
+        assert_eq!(released, [read.state.expect("a state")], "{request_class}");
         // What has its word is not.
         let mut bench = Bench::new();
-        let read = bench.reading(1, profile);
+        let read = bench.reading(1, request_class);
         let out = bench.ended(&read, Status::Full);
         assert!(!to_engines(&out).contains(&"release"));
     }
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -265,9 +265,9 @@
     }
 
     /// Sends a request on a connection of its own and reads all that comes until the connection rests or ends.
-    async fn request(&self, id: &str, profile: &str) -> String {
+    async fn request(&self, id: &str, request_class: &str) -> String {
         let mut io = self.connect().await;
-        io.write_all(request_text(id, profile).as_bytes())
+        io.write_all(request_text(id, request_class).as_bytes())
             .await
             .expect("written");
         self.rest_of(&mut io, 6000.0).await
@@ -301,9 +301,9 @@
     }
 }
 
-fn request_text(id: &str, profile: &str) -> String {
+fn request_text(id: &str, request_class: &str) -> String {
     format!(
-        "POST /v1/chat/completions?q=1 HTTP/1.1\r\nHost: x\r\nX-Txn: {id}\r\nX-Lane: {profile}\r\n\
+        "POST /v1/chat/completions?q=1 HTTP/1.1\r\nHost: x\r\nX-Txn: {id}\r\nX-Lane: {request_class}\r\n\
          X-Remaining-Ms: 4000\r\nContent-Length: 2\r\n\r\n{{}}"
     )
 }
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 const ENGINES: [&str; 5] = ["r1", "r2", "w1", "w2", "w3"];
-const PROFILES: [&str; 3] = ["draft", "proof", "caption"];
+const REQUEST_CLASSES: [&str; 3] = ["draft", "proof", "caption"];
 /// The release time after the read and after each attempt that may follow, and those attempts' connect
 /// timeouts: one that is being connected is out, but does not show here.
 const RELEASE: Ms = 4.0 * 500.0 + 3.0 * 250.0;
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default)]
 struct Request {
     stream: u64,
-    profile: usize,
+    request_class: usize,
     answered: bool,
     left: bool,
     /// A write of it went out and was not proven not to have run.
@@ -130,7 +130,8 @@
                 if let Some(Body::Accepted(accepted)) = &frame.body {
                     self.by_stream.insert(stream, accepted.request);
                     let request = self.requests.entry(accepted.request).or_default();
-                    (request.stream, request.profile) = (stream, stream as usize % PROFILES.len());
+                    (request.stream, request.request_class) =
+                        (stream, stream as usize % REQUEST_CLASSES.len());
                     return Ok(());
                 }
                 let Some(request) = self
@@ -154,7 +155,7 @@
                     request.answered = true;
                     let answer = last.answer();
                     self.answers[answer as usize - 1] += 1;
-                    let once = PROFILES[request.profile] == "proof";
+                    let once = REQUEST_CLASSES[request.request_class] == "proof";
                     let harmful = once && request.may_have_run && answer == Answer::Bounced;
                     prop_assert!(
                         !harmful,
@@ -233,7 +234,7 @@
         prop_assert_eq!(out, 0, "two launches of task {} out", state.request);
         let request = self.requests.entry(state.request).or_default();
         if write {
-            let twice = PROFILES[request.profile] == "proof" && request.may_have_run;
+            let twice = REQUEST_CLASSES[request.request_class] == "proof" && request.may_have_run;
             prop_assert!(
                 !twice,
                 "an at-most-once task that may have run goes out again"
@@ -370,13 +371,13 @@
             0..=4 => {
                 let stream = self.next_stream;
                 self.next_stream += 1;
-                let profile = PROFILES[stream as usize % PROFILES.len()];
+                let request_class = REQUEST_CLASSES[stream as usize % REQUEST_CLASSES.len()];
                 let patience_ms = 200.0 + f64::from(whom % 4000);
                 let session = u64::from(whom % 7);
                 let submit = v1::Submit {
                     patience_ms,
                     session,
-                    ..submit(profile)
+                    ..submit(request_class)
                 };
                 self.put(Input::Client {
                     conn: ConnId(1),
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -20,7 +20,7 @@
     })
 }
 
-fn request(id: &str, profile: &str) -> Body {
+fn request(id: &str, request_class: &str) -> Body {
     let origin = Some(v1::Origin {
         id: id.to_owned(),
         ..v1::Origin::default()
@@ -29,7 +29,7 @@
     Body::Submit(v1::Submit {
         origin,
         prompt,
-        ..submit(profile)
+        ..submit(request_class)
     })
 }
 
@@ -40,13 +40,13 @@
     })
 }
 
-fn reading(bench: &mut Bench, conn: u64, id: &str, profile: &str) -> Sent {
-    let out = asks(bench, conn, request(id, profile));
+fn reading(bench: &mut Bench, conn: u64, id: &str, request_class: &str) -> Sent {
+    let out = asks(bench, conn, request(id, request_class));
     bench.attempts(&out).pop().expect("a read goes out")
 }
 
-fn writing(bench: &mut Bench, conn: u64, id: &str, profile: &str) -> Sent {
-    let read = reading(bench, conn, id, profile);
+fn writing(bench: &mut Bench, conn: u64, id: &str, request_class: &str) -> Sent {
+    let read = reading(bench, conn, id, request_class);
     let out = bench.ended(&read, Status::PrefillDone);
     bench.attempts(&out).pop().expect("a write goes out")
 }
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -9,7 +9,7 @@
 use cindercleat_standin::engine::{Does, EngineSpec};
 use nanorand::{Rng, WyRand};
 
-/// How large the days of a profile are.
+/// How large the days of a request class are.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shape {
     pub name: &'static str,
@@ -22,7 +22,7 @@
     pub faults: (usize, usize),
 }
 
-/// The profiles of `cindercleat seeds`.
+/// The request classes of `cindercleat seeds`.
 pub const SHAPES: [Shape; 3] = [
     Shape {
         name: "plain",
@@ -61,7 +61,7 @@
 
 /// The service that all drawn days share.
 pub fn service() -> Service {
-    let profile = |effect, quoted, patience, payoff| ProfileSettings {
+    let request_class = |effect, quoted, patience, payoff| RequestClassSettings {
         effect,
         quoted,
         quoted_per_1000_tokens: 60.0,
@@ -77,10 +77,10 @@
         dispatchers: 1,
         zone: ZoneId(0),
         tick: TICK,
-        profiles: vec![
-            profile(Effect::Reissuable, 1000.0, 3000.0, 2.0),
-            profile(Effect::AtMostOnce, 1000.0, 4000.0, 3.0),
-            profile(
+        request_classes: vec![
+            request_class(Effect::Reissuable, 1000.0, 3000.0, 2.0),
+            request_class(Effect::AtMostOnce, 1000.0, 4000.0, 3.0),
+            request_class(
                 Effect::Numbered {
                     group: Group::Zone,
                     window: 2000.0,
@@ -143,7 +143,7 @@
     };
     Service {
         policy,
-        profiles: names(&["caption-draft", "proof-send", "proof-page"]),
+        request_classes: names(&["caption-draft", "proof-send", "proof-page"]),
         tenants: vec![],
         zones: names(&ZONES),
         kinds: names(&["reader-box", "writer-box"]),
@@ -240,18 +240,21 @@
 }
 
 fn habits(service: &Service, shape: &Shape, requests: Vec<Planned>) -> Habits {
-    let all = service.profiles.iter().zip(&service.policy.profiles);
-    let traffic = all.map(|(name, profile)| Traffic {
-        profile: name.clone(),
+    let all = service
+        .request_classes
+        .iter()
+        .zip(&service.policy.request_classes);
+    let traffic = all.map(|(name, request_class)| Traffic {
+        request_class: name.clone(),
         share: 1.0,
-        again_always: profile.effect == Effect::Reissuable,
-        quoted: profile.quoted + profile.quoted_per_1000_tokens * 0.4,
-        patience: profile.patience,
+        again_always: request_class.effect == Effect::Reissuable,
+        quoted: request_class.quoted + request_class.quoted_per_1000_tokens * 0.4,
+        patience: request_class.patience,
         prompt_tokens: (400, 400),
         shared_tokens: 200,
         shared_texts: 4,
         max_tokens: 10,
-        payoff: profile.payoff,
+        payoff: request_class.payoff,
     });
     Habits {
         traffic: traffic.collect(),
@@ -269,9 +272,10 @@
 
 fn request(shape: &Shape, service: &Service, draw: &mut Draw) -> Planned {
     let at = whole(draw.between(0.0, shape.busy));
-    let profile = (draw.share() * service.profiles.len() as f64) as usize % service.profiles.len();
+    let request_class = (draw.share() * service.request_classes.len() as f64) as usize
+        % service.request_classes.len();
     let prompt_tokens = draw.between(100.0, 700.0) as u32;
-    let patience = service.policy.profiles[profile].patience;
+    let patience = service.policy.request_classes[request_class].patience;
     // Some clients wait for little, and some leave early.
     let patience = if draw.chance(0.1) {
         whole(draw.between(30.0, 600.0))
@@ -281,7 +285,7 @@
     let leaves = draw.chance(0.08).then(|| whole(draw.between(1.0, 400.0)));
     Planned {
         at,
-        profile: service.profiles[profile].clone(),
+        request_class: service.request_classes[request_class].clone(),
         tenant: String::new(),
         session: draw.between(1.0, 20.0) as u64,
         shared_text: draw.between(1.0, 5.0) as u64,
@@ -320,7 +324,7 @@
 
 fn fault(at: Ms, shape: &Shape, engines: &[EngineSpec], draw: &mut Draw) -> Fault {
     let length = whole(draw.between(50.0, 2_500.0));
-    let profiles = ["caption-draft", "proof-send", "proof-page"];
+    let request_classes = ["caption-draft", "proof-send", "proof-page"];
     let trouble = match (draw.share() * 26.0) as usize {
         0 => Trouble::Die,
         1 => Trouble::DieBeforeEnd,
@@ -328,7 +332,7 @@
         3 => Trouble::Mute,
         4 => Trouble::Stall(draw.between(0.0, 4.0) as u32),
         5 => Trouble::Cut,
-        6 => Trouble::Full((*draw.pick(&profiles)).to_owned()),
+        6 => Trouble::Full((*draw.pick(&request_classes)).to_owned()),
         7 => Trouble::Fails((10.0 * draw.between(0.3, 1.0)).round() / 10.0),
         8 | 9 => Trouble::Drain,
         10 => Trouble::ListLate(whole(draw.between(100.0, 2000.0))),
--- a/crates/faults/src/drill/mod.rs
+++ b/crates/faults/src/drill/mod.rs
@@ -327,7 +327,7 @@
     pub program: &'a Path,
     /// An empty folder, for settings, files and logs.
     pub folder: &'a Path,
-    /// The part of a settings file that is the same for all: zones, profiles, kinds, limits.
+    /// The part of a settings file that is the same for all: zones, request classes, kinds, limits.
     pub service: &'a str,
 }
 
--- a/crates/faults/src/duties/draw.rs
+++ b/crates/faults/src/duties/draw.rs
@@ -182,7 +182,7 @@
     pub changes: bool,
 }
 
-/// The profiles of `cindercleat seeds` that play duties.
+/// The request classes of `cindercleat seeds` that play duties.
 pub const SHAPES: [Shape; 2] = [
     Shape {
         name: "duties",
--- a/crates/faults/src/fleet.rs
+++ b/crates/faults/src/fleet.rs
@@ -172,8 +172,8 @@
             all(&|t| t.stall_after = None);
         }
         Trouble::Cut => engines.iter().for_each(Engine::cut),
-        Trouble::Full(profile) => {
-            all(&|t| t.full_for = Some(profile.clone()));
+        Trouble::Full(request_class) => {
+            all(&|t| t.full_for = Some(request_class.clone()));
             clock.sleep_until(over).await;
             all(&|t| t.full_for = None);
         }
--- a/crates/faults/src/model.rs
+++ b/crates/faults/src/model.rs
@@ -9,7 +9,7 @@
 use cindercleat_standin::transcript::{Note, Record, Way, What};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether a request, as its profile says, may run again after it may have run.
+/// Whether a request, as its request class says, may run again after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Again {
     /// Whatever came of it.
@@ -33,7 +33,7 @@
 /// Where a request stands, over all of its tries.
 #[derive(Clone, Debug, Default)]
 struct Request {
-    profile: String,
+    request_class: String,
     /// Writes that an engine took in and gave no end to, by engine.
     out: BTreeMap<Stream, String>,
     /// Writes that ended other than by proof that nothing ran.
@@ -79,7 +79,7 @@
     /// Takes one step.
     pub fn see(&mut self, record: &Record) {
         let wrong = match &record.what {
-            What::Note(Note::Ran { key, profile }) => self.runs(key, profile),
+            What::Note(Note::Ran { key, request_class }) => self.runs(key, request_class),
             What::Note(Note::Closed { .. }) => {
                 self.closed(&record.seer, record.conn);
                 None
@@ -101,7 +101,7 @@
                         self.attempted(stream, &read.key, read.state, None)
                     }
                     (Way::In, Some(Body::Decode(write))) => {
-                        self.attempted(stream, &write.key, write.state, Some(&write.profile))
+                        self.attempted(stream, &write.key, write.state, Some(&write.request_class))
                     }
                     (Way::Out, Some(Body::Ended(ended))) => self.ended(stream, ended),
                     _ => None,
@@ -118,14 +118,17 @@
         *self.met.entry(what).or_default() += 1;
     }
 
-    fn again(&self, profile: &str) -> Again {
-        self.again.get(profile).copied().unwrap_or(Again::Always)
+    fn again(&self, request_class: &str) -> Again {
+        self.again
+            .get(request_class)
+            .copied()
+            .unwrap_or(Again::Always)
     }
 
     fn submitted(&mut self, stream: Stream, submit: &v1::Submit) -> Option<String> {
         self.meet("try");
         let request = self.requests.entry(submit.key.clone()).or_default();
-        request.profile.clone_from(&submit.profile);
+        request.request_class.clone_from(&submit.request_class);
         self.tries.insert(
             stream,
             Try {
@@ -181,8 +184,8 @@
     fn finished(&mut self, key: &str, answer: &'static str, streamed: bool) -> Option<String> {
         self.meet(answer);
         let request = self.requests.get(key)?;
-        self.answers.insert((request.profile.clone(), answer));
-        let again = self.again(&request.profile);
+        self.answers.insert((request.request_class.clone(), answer));
+        let again = self.again(&request.request_class);
         match answer {
             "fulfilled" if request.fulfilled == 0 => {
                 Some(format!("{key} is fulfilled, and no host said so"))
@@ -208,7 +211,7 @@
         writes: Option<&str>,
     ) -> Option<String> {
         self.meet(if writes.is_some() { "write" } else { "read" });
-        let again = writes.map(|profile| self.again(profile));
+        let again = writes.map(|request_class| self.again(request_class));
         let most = self.most_attempts;
         let engine = stream.0.clone();
         self.taken
@@ -260,9 +263,9 @@
         None
     }
 
-    fn runs(&mut self, key: &str, profile: &str) -> Option<String> {
+    fn runs(&mut self, key: &str, request_class: &str) -> Option<String> {
         self.meet("run");
-        let again = self.again(profile);
+        let again = self.again(request_class);
         let request = self.requests.get_mut(key)?;
         request.ran += 1;
         (again == Again::Never && request.ran > 1)
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -155,8 +155,12 @@
 /// `slack`: for the way between a dispatcher and who sees it, and for a busy machine.
 pub fn rules(day: &Day, slack: Ms) -> Rules {
     let policy = &day.service.policy;
-    let profiles = day.service.profiles.iter().zip(&policy.profiles);
-    let once = profiles
+    let request_classes = day
+        .service
+        .request_classes
+        .iter()
+        .zip(&policy.request_classes);
+    let once = request_classes
         .filter(|(_, p)| p.effect == Effect::AtMostOnce)
         .map(|(name, _)| name.clone());
     Rules {
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -212,13 +212,13 @@
     let clock = TokioClock::starting_at(BEGIN);
     let sky = Sky::new(day.seed ^ 0x5c1);
     let transcript = Transcript::default();
-    let profiles = day
+    let request_classes = day
         .service
-        .profiles
+        .request_classes
         .iter()
-        .zip(&day.service.policy.profiles);
-    let again = profiles.map(|(name, profile)| {
-        let again = match profile.effect {
+        .zip(&day.service.policy.request_classes);
+    let again = request_classes.map(|(name, request_class)| {
+        let again = match request_class.effect {
             Effect::Reissuable => Again::Always,
             Effect::AtMostOnce => Again::Never,
             Effect::Numbered { .. } => Again::Numbered,
@@ -360,8 +360,8 @@
         .iter()
         .map(|(k, n)| ((*k).to_owned(), *n))
         .collect();
-    for (profile, answer) in &model.answers {
-        met.insert(format!("{profile} {answer}"), 1);
+    for (request_class, answer) in &model.answers {
+        met.insert(format!("{request_class} {answer}"), 1);
     }
     for fault in &day.faults {
         *met.entry(format!("fault {}", fault.trouble.name()))
@@ -436,7 +436,7 @@
             return Some(f64::INFINITY);
         }
         let submit = v1::Submit {
-            profile: traffic.profile.clone(),
+            request_class: traffic.request_class.clone(),
             session: 1000 + n,
             prompt_tokens: 100,
             max_tokens: 3,
--- a/crates/faults/tests/seeds.rs
+++ b/crates/faults/tests/seeds.rs
@@ -40,11 +40,11 @@
 fn two_hundred_seeds_are_the_same_twice_and_break_nothing() {
     let met = each(&SHAPES[0], 200, true);
     // Seeds that reach nothing prove nothing.
-    for profile in ["caption-draft", "proof-send", "proof-page"] {
+    for request_class in ["caption-draft", "proof-send", "proof-page"] {
         for answer in ["fulfilled", "bounced", "written off"] {
             assert!(
-                met.contains_key(&format!("{profile} {answer}")),
-                "{profile} is never {answer}"
+                met.contains_key(&format!("{request_class} {answer}")),
+                "{request_class} is never {answer}"
             );
         }
     }
--- a/crates/grpc/tests/hard.rs
+++ b/crates/grpc/tests/hard.rs
@@ -474,7 +474,7 @@
     run(async {
         let (serving, mut raw) = client().await;
         let submit = message(&v1::Submit {
-            profile: "p".to_owned(),
+            request_class: "p".to_owned(),
             ..v1::Submit::default()
         });
         for n in 0..15u32 {
@@ -508,7 +508,7 @@
     run(async {
         let (serving, mut raw) = client().await;
         let submit = message(&v1::Submit {
-            profile: "p".to_owned(),
+            request_class: "p".to_owned(),
             ..v1::Submit::default()
         });
         let flood = async {
--- a/crates/grpc/tests/session.rs
+++ b/crates/grpc/tests/session.rs
@@ -61,7 +61,7 @@
 
 fn submit() -> Body {
     Body::Submit(v1::Submit {
-        profile: "p".to_owned(),
+        request_class: "p".to_owned(),
         patience_ms: 5.0,
         ..v1::Submit::default()
     })
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -457,7 +457,7 @@
         .ok_or_else(|| bad("no id, or none that can be one"))?;
     let patience = head.get(words::PATIENCE).and_then(words::whole);
     let patience = patience.ok_or_else(|| bad("no time to wait, or none that can be one"))?;
-    let profile = head.text(words::PROFILE).unwrap_or_default();
+    let request_class = head.text(words::REQUEST_CLASS).unwrap_or_default();
     let mut labels = Labels::default();
     if let Some(text) = head.text(words::LABELS) {
         labels = Labels::read(text).ok_or_else(|| bad("the labels cannot be read"))?;
@@ -478,7 +478,7 @@
         value: value.clone(),
     });
     Ok(v1::Submit {
-        profile: profile.to_owned(),
+        request_class: request_class.to_owned(),
         tenant: head.text(words::TENANT).unwrap_or_default().to_owned(),
         session: words::key(session),
         shared_text: labels.shared.unwrap_or(0),
--- a/crates/http1/src/words.rs
+++ b/crates/http1/src/words.rs
@@ -2,7 +2,7 @@
 //! here.
 
 pub const ID: &str = "X-Txn";
-pub const PROFILE: &str = "X-Lane";
+pub const REQUEST_CLASS: &str = "X-Lane";
 pub const TENANT: &str = "X-Org";
 pub const SESSION: &str = "X-Entity";
 /// Whole milliseconds.
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -127,7 +127,7 @@
             };
             assert_eq!(at, stream);
             assert_eq!(
-                (submit.profile.as_str(), submit.patience_ms),
+                (submit.request_class.as_str(), submit.patience_ms),
                 ("chat", 4800.0)
             );
             assert_eq!(
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -356,7 +356,7 @@
 fn accept(parts: &mut Parts) -> Result<Event, Malformed> {
     Ok(Event::Arrived(Arrival {
         request: request(parts)?,
-        profile: ProfileId(parts.number("a class")?),
+        request_class: RequestClassId(parts.number("a class")?),
         tenant: parts.maybe_number("a tenant")?.map(TenantId),
         session: SessionId(parts.maybe_key("a session's key")?.unwrap_or(0)),
         patience_left: parts.time("the time left")?,
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -247,7 +247,9 @@
     let mut bounced: BTreeMap<&str, Ms> = BTreeMap::new();
     for record in records {
         match &record.what {
-            What::Note(Note::Ran { key, profile }) if rules.at_most_once.contains(profile) => {
+            What::Note(Note::Ran { key, request_class })
+                if rules.at_most_once.contains(request_class) =>
+            {
                 findings.cases.at_most_once_runs += 1;
                 if let Some((at, engine)) = ran.insert(key, (record.at, &record.seer)) {
                     let what = format!(
@@ -263,7 +265,7 @@
             }
             What::Frame(Way::Out, frame) => {
                 if let Some(Body::Submit(submit)) = &frame.body {
-                    if rules.at_most_once.contains(&submit.profile) {
+                    if rules.at_most_once.contains(&submit.request_class) {
                         keys.insert((&record.seer, record.conn, frame.stream), &submit.key);
                         bounced.remove(&*submit.key);
                     }
--- a/crates/standin/src/audit/service.rs
+++ b/crates/standin/src/audit/service.rs
@@ -19,7 +19,7 @@
 /// A client's request as its client saw it.
 #[derive(Clone, Debug)]
 struct Request {
-    profile: String,
+    request_class: String,
     session: u64,
     prompt_tokens: u32,
     sent: Ms,
@@ -57,7 +57,7 @@
                         (submit.key.clone(), of.len()),
                     );
                     of.push(Request {
-                        profile: submit.profile.clone(),
+                        request_class: submit.request_class.clone(),
                         session: submit.session,
                         prompt_tokens: submit.prompt_tokens,
                         sent: record.at,
@@ -211,7 +211,7 @@
         .filter(|request| request.left.is_none())
     {
         classes
-            .entry(request.profile.clone())
+            .entry(request.request_class.clone())
             .or_default()
             .push(request);
     }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,5 +1,5 @@
 //! Clients: open-loop arrivals from a seed, sessions with shared texts, patience, leaving early, and retries as
-//! the profile allows.
+//! the request class allows.
 
 use crate::transcript::{Note, Transcript, Way, What};
 use crate::{call, exponential, share};
@@ -15,10 +15,10 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// One profile's traffic.
+/// One request class's traffic.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    pub profile: String,
+    pub request_class: String,
     pub share: f64,
     /// Whether a client may ask again whatever came of a try; else only after a bounce, or if nothing went out.
     pub again_always: bool,
@@ -60,7 +60,7 @@
 pub struct Planned {
     /// Since the day's begin.
     pub at: Ms,
-    pub profile: String,
+    pub request_class: String,
     pub tenant: String,
     pub session: u64,
     pub shared_text: u64,
@@ -74,7 +74,7 @@
     pub seed: u64,
 }
 
-/// What clients saw, for one profile.
+/// What clients saw, for one request class.
 #[derive(Clone, Debug)]
 pub struct Tally {
     pub requests: u64,
@@ -404,7 +404,7 @@
         let tallies = habits
             .traffic
             .iter()
-            .map(|t| (t.profile.clone(), Tally::default()))
+            .map(|t| (t.request_class.clone(), Tally::default()))
             .collect();
         let clients = Clients {
             habits,
@@ -520,7 +520,7 @@
         let leaves = leaves.then(|| share(&mut rng) * traffic.patience);
         let planned = Planned {
             at: 0.0,
-            profile: traffic.profile.clone(),
+            request_class: traffic.request_class.clone(),
             tenant,
             session: 1000 + rng.generate::<u64>() % self.habits.sessions.max(1),
             shared_text,
@@ -540,11 +540,11 @@
             .habits
             .traffic
             .iter()
-            .find(|t| t.profile == planned.profile);
+            .find(|t| t.request_class == planned.request_class);
         let Some(traffic) = traffic else { return };
         let mut rng = WyRand::new_seed(planned.seed);
         let submit = v1::Submit {
-            profile: planned.profile.clone(),
+            request_class: planned.request_class.clone(),
             tenant: planned.tenant.clone(),
             session: planned.session,
             shared_text: planned.shared_text,
@@ -554,7 +554,7 @@
             patience_ms: planned.patience,
             retried: false,
             resumed: false,
-            key: format!("{}-{number}", traffic.profile),
+            key: format!("{}-{number}", traffic.request_class),
             prompt: bytes::Bytes::new(),
             origin: None,
         };
@@ -625,7 +625,7 @@
         change(
             self.tallies
                 .borrow_mut()
-                .entry(traffic.profile.clone())
+                .entry(traffic.request_class.clone())
                 .or_default(),
         );
     }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -61,7 +61,7 @@
     pub fails: f64,
     /// The share of attempts that are reset: at once, or in mid-stream.
     pub resets: f64,
-    /// Turns this profile away.
+    /// Turns this request class away.
     pub full_for: Option<String>,
     /// Load reports are this much older.
     pub reports_late: Ms,
@@ -591,10 +591,10 @@
     }
 
     /// Whether an attempt gets in: not turned away, not failed at once.
-    fn admit(&self, profile: &str) -> Result<(), v1::Status> {
+    fn admit(&self, request_class: &str) -> Result<(), v1::Status> {
         let live = self.inner.live.borrow();
         let full = live.troubles.draining
-            || live.troubles.full_for.as_deref() == Some(profile)
+            || live.troubles.full_for.as_deref() == Some(request_class)
             || live.running + live.waiting >= self.inner.spec.slots + self.inner.spec.queue;
         let fails = live.troubles.fails > share(&mut self.inner.rng.borrow_mut());
         match (full, fails) {
@@ -608,7 +608,7 @@
         let refused = if self.inner.spec.does == Does::Writes {
             Err(v1::Status::Failed)
         } else {
-            self.admit(&read.profile)
+            self.admit(&read.request_class)
         };
         if let Err(status) = refused {
             return self.end(&conn, stream, status, 0.0, None);
@@ -688,7 +688,7 @@
         let can = match (self.inner.spec.does, write.state) {
             (Does::Reads, _) => Err(v1::Status::Failed),
             (Does::Writes, None) => Err(v1::Status::NoState),
-            _ => self.admit(&write.profile),
+            _ => self.admit(&write.request_class),
         };
         if let Err(status) = can {
             return self.end(&conn, stream, status, 0.0, None);
@@ -716,7 +716,7 @@
         }
         let ran = Note::Ran {
             key: write.key.clone(),
-            profile: write.profile.clone(),
+            request_class: write.request_class.clone(),
         };
         self.inner.transcript.note(self.now(), &self.inner.me, ran);
         let least = self.inner.spec.answer_share;
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -34,12 +34,15 @@
     /// An engine began to answer: from here on the request has had its effect.
     Ran {
         key: String,
-        profile: String,
+        #[serde(rename = "profile")]
+        request_class: String,
     },
     /// A prefill engine's own time limit let a state go.
     Expired {
         run: u64,
+        #[serde(rename = "task")]
         request: u32,
+        #[serde(rename = "launch")]
         attempt: u32,
     },
     /// A dispatcher was killed outright.
@@ -62,7 +65,9 @@
             Note::Asleep => "Asleep".to_owned(),
             Note::Awake => "Awake".to_owned(),
             Note::Closed { own } => format!("Closed {{ own: {own} }}"),
-            Note::Ran { key, profile } => format!("Ran {{ key: {key:?}, profile: {profile:?} }}"),
+            Note::Ran { key, request_class } => {
+                format!("Ran {{ key: {key:?}, profile: {request_class:?} }}")
+            }
             Note::Expired {
                 run,
                 request,
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -104,7 +104,7 @@
 fn good() -> Story {
     let mut story = Story::default();
     let submit = v1::Submit {
-        profile: "proof".to_owned(),
+        request_class: "proof".to_owned(),
         key: "k1".to_owned(),
         patience_ms: 1000.0,
         ..v1::Submit::default()
@@ -181,7 +181,7 @@
 fn ran() -> Note {
     Note::Ran {
         key: "k1".to_owned(),
-        profile: "proof".to_owned(),
+        request_class: "proof".to_owned(),
     }
 }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -107,7 +107,7 @@
     sends: Vec<VecDeque<Ms>>,
 }
 
-struct ProfileRow {
+struct RequestClass {
     effect: Effect,
     quoted: Ms,
     quoted_per_token: Ms,
@@ -141,7 +141,7 @@
     /// When a read must be out for the answer to come within the quoted time.
     read_by: Ms,
     ends: Ms,
-    /// The shortest quoted time of all profiles, for a prompt of this length: the measure of queues.
+    /// The shortest quoted time of all request classes, for a prompt of this length: the measure of queues.
     allowed: Ms,
     attempts: u32,
     out: Option<Out>,
@@ -166,7 +166,7 @@
 pub struct Control {
     settings: Settings,
     tracks_deliveries: bool,
-    profiles: Vec<ProfileRow>,
+    request_classes: Vec<RequestClass>,
     /// The shortest quoted time, and what a prompt token adds to it.
     quoted_least: Ms,
     quoted_per_token: Ms,
@@ -190,23 +190,23 @@
 
 impl Control {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let row = |p: &ProfileSettings| ProfileRow {
+        let row = |p: &RequestClassSettings| RequestClass {
             effect: p.effect,
             quoted: p.quoted,
             quoted_per_token: p.quoted_per_1000_tokens / 1000.0,
         };
-        let profiles: Vec<ProfileRow> = settings.profiles.iter().map(row).collect();
-        let quoted_least = profiles
+        let request_classes: Vec<RequestClass> = settings.request_classes.iter().map(row).collect();
+        let quoted_least = request_classes
             .iter()
             .map(|row| row.quoted)
             .fold(f64::INFINITY, f64::min);
         Control {
             quoted_least,
-            quoted_per_token: profiles
+            quoted_per_token: request_classes
                 .iter()
                 .map(|row| row.quoted_per_token)
                 .fold(0.0, f64::max),
-            profiles,
+            request_classes,
             rng: WyRand::new_seed(seed),
             now: 0.0,
             engines: Engines {
@@ -359,7 +359,7 @@
 
     fn learn_arrival(&mut self, arrival: &Arrival) {
         let over_share = self.over_share(arrival.tenant);
-        let Some(row) = self.profiles.get(arrival.profile.0 as usize) else {
+        let Some(row) = self.request_classes.get(arrival.request_class.0 as usize) else {
             return;
         };
         let request = Request {
@@ -580,7 +580,7 @@
     }
 
     fn effect(&self, request: &Request) -> Effect {
-        self.profiles[request.arrival.profile.0 as usize].effect
+        self.request_classes[request.arrival.request_class.0 as usize].effect
     }
 
     /// Whether a request may be sent there, if it may have run; it may run again at all where it ran first.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -30,9 +30,9 @@
 /// A kind of engine, by its place in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u32);
-/// A profile, by its place in the settings.
+/// A request class, by its place in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ProfileId(pub u32);
+pub struct RequestClassId(pub u32);
 /// A tenant, by its place in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u32);
@@ -67,9 +67,9 @@
     AtMostOnce,
 }
 
-/// One profile's settings.
+/// One request class's settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ProfileSettings {
+pub struct RequestClassSettings {
     pub effect: Effect,
     pub quoted: Ms,
     pub quoted_per_1000_tokens: Ms,
@@ -108,7 +108,7 @@
     pub dispatchers: u32,
     pub zone: ZoneId,
     pub tick: Ms,
-    pub profiles: Vec<ProfileSettings>,
+    pub request_classes: Vec<RequestClassSettings>,
     pub tenants: Vec<TenantSettings>,
     pub over_share_worth: f64,
     pub kinds: Vec<KindSettings>,
@@ -188,7 +188,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arrival {
     pub request: RequestId,
-    pub profile: ProfileId,
+    pub request_class: RequestClassId,
     pub tenant: Option<TenantId>,
     pub session: SessionId,
     pub patience_left: Ms,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -23,7 +23,7 @@
 const END: Ms = 34_000.0;
 
 fn settings(me: u32, dispatchers: u32) -> Settings {
-    let profile = ProfileSettings {
+    let request_class = RequestClassSettings {
         effect: Effect::Reissuable,
         quoted: 1000.0,
         quoted_per_1000_tokens: 40.0,
@@ -42,7 +42,7 @@
         dispatchers,
         zone: ZoneId(0),
         tick: 4.0,
-        profiles: vec![profile],
+        request_classes: vec![request_class],
         tenants: Vec::new(),
         over_share_worth: 0.1,
         kinds: vec![kind(Role::Prefill), kind(Role::Decode)],
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,7 +9,7 @@
 const BEGINNING: u64 = 9;
 
 fn settings(me: u32) -> Settings {
-    let profile = ProfileSettings {
+    let request_class = RequestClassSettings {
         effect: Effect::Reissuable,
         quoted: 1000.0,
         quoted_per_1000_tokens: 40.0,
@@ -28,7 +28,7 @@
         dispatchers: DISPATCHERS,
         zone: ZoneId(0),
         tick: 4.0,
-        profiles: vec![profile],
+        request_classes: vec![request_class],
         tenants: Vec::new(),
         over_share_worth: 0.1,
         kinds: vec![kind(Role::Prefill), kind(Role::Decode)],
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -46,7 +46,7 @@
 }
 
 fn settings(me: u32) -> Settings {
-    let class = |at: usize| ProfileSettings {
+    let class = |at: usize| RequestClassSettings {
         effect: if at == 0 {
             Effect::Reissuable
         } else {
@@ -65,7 +65,7 @@
         dispatchers: DISPATCHERS,
         zone: ZoneId(0),
         tick: 4.0,
-        profiles: vec![class(0), class(1)],
+        request_classes: vec![class(0), class(1)],
         tenants: (0..TENANTS)
             .map(|_| TenantSettings {
                 share: 1.0,
@@ -374,7 +374,7 @@
         let dispatcher = (self.chance() * f64::from(DISPATCHERS)) as usize % DISPATCHERS as usize;
         let arrival = Arrival {
             request,
-            profile: ProfileId(class as u32),
+            request_class: RequestClassId(class as u32),
             tenant: Some(TenantId(tenant as u32)),
             session,
             patience_left: PATIENCE[class],
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 fn settings() -> Settings {
-    let profile = |effect, patience| ProfileSettings {
+    let request_class = |effect, patience| RequestClassSettings {
         effect,
         quoted: 800.0,
         quoted_per_1000_tokens: 40.0,
@@ -23,16 +23,16 @@
         dispatchers: 2,
         zone: ZoneId(0),
         tick: 4.0,
-        profiles: vec![
-            profile(Effect::Reissuable, 4000.0),
-            profile(
+        request_classes: vec![
+            request_class(Effect::Reissuable, 4000.0),
+            request_class(
                 Effect::Numbered {
                     group: Group::Zone,
                     window: 900.0,
                 },
                 3000.0,
             ),
-            profile(Effect::AtMostOnce, 2500.0),
+            request_class(Effect::AtMostOnce, 2500.0),
         ],
         tenants: vec![
             TenantSettings {
@@ -131,7 +131,7 @@
                 self.attempts.push(0);
                 events.push(Event::Arrived(Arrival {
                     request: RequestId(self.requests - 1),
-                    profile: ProfileId(u32::from(whom) % 3),
+                    request_class: RequestClassId(u32::from(whom) % 3),
                     tenant: (whom % 5 < 2).then_some(TenantId(u32::from(whom) % 2)),
                     session: SessionId(u64::from(whom % 11)),
                     patience_left: 300.0 + f64::from(whom % 3000),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,11 +1,11 @@
 //! Plays the scenario files of `tests/scenarios/`. Their notation, a line each, `#` starts a comment:
 //!
-//! `set KEY VALUE` changes a default setting; `effect P WORDS` a profile's effect.
+//! `set KEY VALUE` changes a default setting; `effect P WORDS` a request class's effect.
 //! `list KIND NAME:ROLE:ZONE:CELL[:CONDITION[:STARTED]] ...` tells of engines, ROLE being `r`, `w` or `b`.
 //! `probed HOST SLOTS_USED QUEUE MEMORY` is the answer to a probe of that engine.
 //! `at T` goes to the instant T, firing due timers on the way, and opens a batch of events:
-//! `request ID PROFILE PATIENCE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID HOST`,
-//! `end ID HOST OUTCOME [last] [none] [x1=K]`, `left ID`, `burst ID COUNT PROFILE PATIENCE PROMPT`.
+//! `request ID REQUEST_CLASS PATIENCE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID HOST`,
+//! `end ID HOST OUTCOME [last] [none] [x1=K]`, `left ID`, `burst ID COUNT REQUEST_CLASS PATIENCE PROMPT`.
 //! The attempt's number is the runner's: it counts attempts as they come; HOST `*` is the newest one's.
 //! `each A B VERB WORDS` repeats a line for the ids from A to B.
 //! `> WORDS` must be among the actions since the last `at` that stands before an expectation, in any order,
@@ -18,7 +18,7 @@
 use test_case::test_case;
 
 fn settings() -> Settings {
-    let profile = |effect| ProfileSettings {
+    let request_class = |effect| RequestClassSettings {
         effect,
         quoted: 1000.0,
         quoted_per_1000_tokens: 40.0,
@@ -37,7 +37,10 @@
         dispatchers: 3,
         zone: ZoneId(0),
         tick: 4.0,
-        profiles: vec![profile(Effect::Reissuable), profile(Effect::AtMostOnce)],
+        request_classes: vec![
+            request_class(Effect::Reissuable),
+            request_class(Effect::AtMostOnce),
+        ],
         tenants: Vec::new(),
         over_share_worth: 0.1,
         kinds: vec![kind(Role::Prefill), kind(Role::Decode), kind(Role::Both)],
@@ -165,7 +168,7 @@
     let shared = option("p=").and_then(|p| p.split_once('/'));
     Event::Arrived(Arrival {
         request: RequestId(id),
-        profile: ProfileId(number(words[0]) as u32),
+        request_class: RequestClassId(number(words[0]) as u32),
         tenant: option("t=").map(|t| TenantId(number(t) as u32)),
         session: SessionId(option("s=").map_or(u64::from(id), |s| number(s) as u64)),
         patience_left: number(words[1]),
@@ -198,7 +201,7 @@
 fn set(settings: &mut Settings, key: &str, value: &str) {
     match key {
         "release" => settings.release = number(value),
-        "patient" => settings.profiles[0].quoted = number(value),
+        "patient" => settings.request_classes[0].quoted = number(value),
         "launches" => settings.max_attempts = number(value) as u32,
         "ramp" => settings.ramp = number(value),
         "fall_window" => settings.fall_window = number(value),
@@ -281,7 +284,7 @@
         match verb {
             "set" => set(&mut play.settings, rest[0], rest[1]),
             "effect" => {
-                play.settings.profiles[number(rest[0]) as usize].effect = effect(&rest[1..])
+                play.settings.request_classes[number(rest[0]) as usize].effect = effect(&rest[1..])
             }
             "list" => {
                 let kind = match rest[0] {
