--- a/benches/step.rs
+++ b/benches/step.rs
@@ -12,7 +12,7 @@
 
 fn settings() -> Settings {
     let request_class = RequestClassSettings {
-        effect: Effect::Reissuable,
+        retry_safety: RetrySafety::Idempotent,
         quoted: 1000.0,
         quoted_per_1000_tokens: 40.0,
         patience: 8000.0,
--- a/crates/cindercleat-cli/src/script.rs
+++ b/crates/cindercleat-cli/src/script.rs
@@ -2,7 +2,7 @@
 
 use crate::conf::{Line, Problem, Section, Time};
 use crate::settings::{read_service, BLOCKS};
-use cindercleat::interface::{Effect, Group, Ms, Role};
+use cindercleat::interface::{IdempotencyScope, Ms, RetrySafety, Role};
 use cindercleat_dispatcher::Service;
 use cindercleat_faults::plan::{Day, Fault, Trouble};
 use cindercleat_standin::client::{Habits, Planned, Traffic};
@@ -127,7 +127,7 @@
         traffic.push(Traffic {
             request_class,
             share: line.value(2)?,
-            again_always: settings.effect == Effect::Reissuable,
+            again_always: settings.retry_safety == RetrySafety::Idempotent,
             quoted: settings.quoted + settings.quoted_per_1000_tokens * f64::from(prompt) / 1000.0,
             patience: settings.patience,
             prompt_tokens: (prompt / 2, prompt + prompt / 2),
@@ -279,20 +279,20 @@
         .iter()
         .zip(&policy.request_classes)
     {
-        let effect = match p.effect {
-            Effect::Reissuable => "reissuable".to_owned(),
-            Effect::AtMostOnce => "at-most-once".to_owned(),
-            Effect::Numbered { group, window } => {
-                let group = match group {
-                    Group::All => "all",
-                    Group::Zone => "zone",
-                    Group::Cell => "cell",
+        let retry_safety = match p.retry_safety {
+            RetrySafety::Idempotent => "reissuable".to_owned(),
+            RetrySafety::AtMostOnce => "at-most-once".to_owned(),
+            RetrySafety::IdempotencyKey { scope, window } => {
+                let scope = match scope {
+                    IdempotencyScope::All => "all",
+                    IdempotencyScope::Zone => "zone",
+                    IdempotencyScope::Cell => "cell",
                 };
-                format!("numbered within {group} for {window}ms")
+                format!("numbered within {scope} for {window}ms")
             }
         };
         out += &format!(
-            "profile {name}\n    effect {effect}\n    quoted {}ms plus {}ms\n    patience {}ms\n    payoff {}\n    \
+            "profile {name}\n    effect {retry_safety}\n    quoted {}ms plus {}ms\n    patience {}ms\n    payoff {}\n    \
              late-share {}\n    token-pace {}ms\nend\n\n",
             p.quoted, p.quoted_per_1000_tokens, p.patience, p.payoff, p.late_share, p.token_pace
         );
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -229,30 +229,30 @@
 }
 
 fn request_class(block: &Section) -> Result<RequestClassSettings, Problem> {
-    let effect = block.one("effect")?;
-    let kind = match effect.value::<String>(1)?.as_str() {
-        "reissuable" => Effect::Reissuable,
-        "at-most-once" => Effect::AtMostOnce,
+    let retry_safety = block.one("effect")?;
+    let kind = match retry_safety.value::<String>(1)?.as_str() {
+        "reissuable" => RetrySafety::Idempotent,
+        "at-most-once" => RetrySafety::AtMostOnce,
         "numbered" => {
-            let group = match effect.must_after::<String>("within")?.as_str() {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
-                _ => return Err(effect.wrong("all, zone or cell after 'within'")),
+            let scope = match retry_safety.must_after::<String>("within")?.as_str() {
+                "all" => IdempotencyScope::All,
+                "zone" => IdempotencyScope::Zone,
+                "cell" => IdempotencyScope::Cell,
+                _ => return Err(retry_safety.wrong("all, zone or cell after 'within'")),
             };
-            Effect::Numbered {
-                group,
-                window: effect.must_after::<Time>("for")?.0,
+            RetrySafety::IdempotencyKey {
+                scope,
+                window: retry_safety.must_after::<Time>("for")?.0,
             }
         }
         _ => {
             let expected = "reissuable, at-most-once or 'numbered within all|zone|cell for TIME'";
-            return Err(effect.wrong(expected));
+            return Err(retry_safety.wrong(expected));
         }
     };
     let quoted = block.one("quoted")?;
     let settings = RequestClassSettings {
-        effect: kind,
+        retry_safety: kind,
         quoted: quoted.value::<Time>(1)?.0,
         quoted_per_1000_tokens: quoted.after::<Time>("plus")?.map_or(0.0, |t| t.0),
         patience: block.value::<Time>("patience")?.0,
--- a/crates/cindercleat-cli/tests/program.rs
+++ b/crates/cindercleat-cli/tests/program.rs
@@ -1,6 +1,6 @@
 //! The program as its users start it, on loopback ports of the system's choice.
 
-use cindercleat::interface::Effect;
+use cindercleat::interface::RetrySafety;
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Output, Stdio};
 
@@ -286,8 +286,8 @@
     let policy = with("\"effect\":\"safe\"", keyed).expect("a window of a millisecond");
     assert!(
         matches!(
-            policy.request_classes[0].effect,
-            Effect::Numbered { window: 1.0, .. }
+            policy.request_classes[0].retry_safety,
+            RetrySafety::IdempotencyKey { window: 1.0, .. }
         ),
         "{policy:?}"
     );
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -296,18 +296,18 @@
 
 fn request_class(pairs: &Pairs, i: usize) -> Result<RequestClassSettings, Malformed> {
     let at = |key: &str| format!("services.{i}.{key}");
-    let effect = match pairs.text(&at("effect"))? {
-        "safe" => Effect::Reissuable,
-        "unsafe" => Effect::AtMostOnce,
+    let retry_safety = match pairs.text(&at("effect"))? {
+        "safe" => RetrySafety::Idempotent,
+        "unsafe" => RetrySafety::AtMostOnce,
         "keyed" => {
-            let group = match pairs.text(&at("keyScope"))? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+            let scope = match pairs.text(&at("keyScope"))? {
+                "all" => IdempotencyScope::All,
+                "zone" => IdempotencyScope::Zone,
+                "cell" => IdempotencyScope::Cell,
                 other => return Err(Malformed::new("all, zone or cell in keyScope", other)),
             };
-            Effect::Numbered {
-                group,
+            RetrySafety::IdempotencyKey {
+                scope,
                 window: pairs.time(&at("dedupWindow"))?,
             }
         }
@@ -325,7 +325,7 @@
         )
     };
     Ok(RequestClassSettings {
-        effect,
+        retry_safety,
         quoted: target.ok_or_else(none)?,
         quoted_per_1000_tokens: pairs.time_in("familyInfo.aimUsPer1000PromptTokens", i)?,
         patience: if deadline > 0.0 {
--- a/crates/dispatcher/src/ledger/invariants.rs
+++ b/crates/dispatcher/src/ledger/invariants.rs
@@ -94,12 +94,13 @@
         };
         let decodes = request.out.as_ref().is_some_and(|attempt| !attempt.reading);
         let may_have_run = decodes || request.first_run.is_some();
-        let harmless = match request.effect {
-            Effect::Reissuable
-            | Effect::Numbered {
-                group: Group::All, ..
+        let harmless = match request.retry_safety {
+            RetrySafety::Idempotent
+            | RetrySafety::IdempotencyKey {
+                scope: IdempotencyScope::All,
+                ..
             } => true,
-            Effect::Numbered { .. } | Effect::AtMostOnce => !may_have_run,
+            RetrySafety::IdempotencyKey { .. } | RetrySafety::AtMostOnce => !may_have_run,
         };
         self.check(Invariant::Close, harmless, id, "refused", out)
     }
@@ -183,18 +184,21 @@
         let (Some(first), Some(row)) = (&request.first_run, self.fleet.engines.get(engine)) else {
             return true;
         };
-        match request.effect {
-            Effect::Reissuable => true,
-            Effect::AtMostOnce => false,
-            Effect::Numbered { window, .. } if self.now >= first.at + window => false,
-            Effect::Numbered {
-                group: Group::All, ..
+        match request.retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::AtMostOnce => false,
+            RetrySafety::IdempotencyKey { window, .. } if self.now >= first.at + window => false,
+            RetrySafety::IdempotencyKey {
+                scope: IdempotencyScope::All,
+                ..
             } => true,
-            Effect::Numbered {
-                group: Group::Zone, ..
+            RetrySafety::IdempotencyKey {
+                scope: IdempotencyScope::Zone,
+                ..
             } => first.zone == row.line.zone,
-            Effect::Numbered {
-                group: Group::Cell, ..
+            RetrySafety::IdempotencyKey {
+                scope: IdempotencyScope::Cell,
+                ..
             } => (&first.zone, &first.cell) == (&row.line.zone, &row.line.cell),
         }
     }
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -573,7 +573,7 @@
             attempts: 0,
             out: None,
             sent: false,
-            effect: request_class.effect,
+            retry_safety: request_class.retry_safety,
             first_run: None,
         };
         self.requests.insert(id, request);
--- a/crates/dispatcher/src/ledger/requests.rs
+++ b/crates/dispatcher/src/ledger/requests.rs
@@ -2,7 +2,7 @@
 
 use super::invariants::FirstRun;
 use super::{ConnId, LinkId, StreamNo};
-use cindercleat::interface::{AttemptId, Effect, EngineId, Ms};
+use cindercleat::interface::{AttemptId, EngineId, Ms, RetrySafety};
 use cindercleat_protocol::v1;
 
 /// A client's stream: its connection and its own number for the request.
@@ -24,7 +24,7 @@
     pub out: Option<Attempt>,
     /// Whether any attempt of it went to an engine's socket.
     pub sent: bool,
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// The first attempt of it that may have run.
     pub first_run: Option<FirstRun>,
 }
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -13,8 +13,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 pub fn settings() -> ProgramSettings {
-    let request_class = |effect| RequestClassSettings {
-        effect,
+    let request_class = |retry_safety| RequestClassSettings {
+        retry_safety,
         quoted: 1000.0,
         quoted_per_1000_tokens: 0.0,
         patience: 4000.0,
@@ -29,10 +29,10 @@
         zone: ZoneId(0),
         tick: 4.0,
         request_classes: vec![
-            request_class(Effect::Reissuable),
-            request_class(Effect::AtMostOnce),
-            request_class(Effect::Numbered {
-                group: Group::Zone,
+            request_class(RetrySafety::Idempotent),
+            request_class(RetrySafety::AtMostOnce),
+            request_class(RetrySafety::IdempotencyKey {
+                scope: IdempotencyScope::Zone,
                 window: 2000.0,
             }),
         ],
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -61,8 +61,8 @@
 
 /// The service that all drawn days share.
 pub fn service() -> Service {
-    let request_class = |effect, quoted, patience, payoff| RequestClassSettings {
-        effect,
+    let request_class = |retry_safety, quoted, patience, payoff| RequestClassSettings {
+        retry_safety,
         quoted,
         quoted_per_1000_tokens: 60.0,
         patience,
@@ -78,11 +78,11 @@
         zone: ZoneId(0),
         tick: TICK,
         request_classes: vec![
-            request_class(Effect::Reissuable, 1000.0, 3000.0, 2.0),
-            request_class(Effect::AtMostOnce, 1000.0, 4000.0, 3.0),
+            request_class(RetrySafety::Idempotent, 1000.0, 3000.0, 2.0),
+            request_class(RetrySafety::AtMostOnce, 1000.0, 4000.0, 3.0),
             request_class(
-                Effect::Numbered {
-                    group: Group::Zone,
+                RetrySafety::IdempotencyKey {
+                    scope: IdempotencyScope::Zone,
                     window: 2000.0,
                 },
                 1000.0,
@@ -247,7 +247,7 @@
     let traffic = all.map(|(name, request_class)| Traffic {
         request_class: name.clone(),
         share: 1.0,
-        again_always: request_class.effect == Effect::Reissuable,
+        again_always: request_class.retry_safety == RetrySafety::Idempotent,
         quoted: request_class.quoted + request_class.quoted_per_1000_tokens * 0.4,
         patience: request_class.patience,
         prompt_tokens: (400, 400),
--- a/crates/faults/src/model.rs
+++ b/crates/faults/src/model.rs
@@ -17,7 +17,7 @@
     /// Never.
     Never,
     /// The engines themselves see to it.
-    Numbered,
+    IdempotencyKey,
 }
 
 /// Where a try stands: a client's stream.
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -1,6 +1,6 @@
 //! What a day is: a service, a fleet of stand-ins, clients' requests, and what goes wrong when.
 
-use cindercleat::interface::{Effect, Ms};
+use cindercleat::interface::{Ms, RetrySafety};
 use cindercleat_dispatcher::Service;
 use cindercleat_standin::audit::Rules;
 use cindercleat_standin::client::Habits;
@@ -161,7 +161,7 @@
         .iter()
         .zip(&policy.request_classes);
     let once = request_classes
-        .filter(|(_, p)| p.effect == Effect::AtMostOnce)
+        .filter(|(_, p)| p.retry_safety == RetrySafety::AtMostOnce)
         .map(|(name, _)| name.clone());
     Rules {
         at_most_once: once.collect::<BTreeSet<_>>(),
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{befall, name, End, Fleet, Processes, CLIENTS};
 use crate::model::{Again, Model};
 use crate::plan::{apart, rules, silences, Day};
-use cindercleat::interface::{Effect, Ms};
+use cindercleat::interface::{Ms, RetrySafety};
 use cindercleat_dispatcher::shell::{Places, Shell};
 use cindercleat_net::sky::{address_of, Place, Sky};
 use cindercleat_net::{Clock, TokioClock, Transport};
@@ -218,10 +218,10 @@
         .iter()
         .zip(&day.service.policy.request_classes);
     let again = request_classes.map(|(name, request_class)| {
-        let again = match request_class.effect {
-            Effect::Reissuable => Again::Always,
-            Effect::AtMostOnce => Again::Never,
-            Effect::Numbered { .. } => Again::Numbered,
+        let again = match request_class.retry_safety {
+            RetrySafety::Idempotent => Again::Always,
+            RetrySafety::AtMostOnce => Again::Never,
+            RetrySafety::IdempotencyKey { .. } => Again::IdempotencyKey,
         };
         (name.clone(), again)
     });
--- a/src/control.rs
+++ b/src/control.rs
@@ -108,7 +108,7 @@
 }
 
 struct RequestClass {
-    effect: Effect,
+    retry_safety: RetrySafety,
     quoted: Ms,
     quoted_per_token: Ms,
 }
@@ -191,7 +191,7 @@
 impl Control {
     pub fn new(settings: Settings, seed: u64) -> Self {
         let row = |p: &RequestClassSettings| RequestClass {
-            effect: p.effect,
+            retry_safety: p.retry_safety,
             quoted: p.quoted,
             quoted_per_token: p.quoted_per_1000_tokens / 1000.0,
         };
@@ -565,10 +565,12 @@
             .as_ref()
             .is_some_and(|o| !self.engines.only_reads(o));
         let may_have_run = request.may_have_run.is_some() || out_at_writer;
-        let harmless = match self.effect(request) {
-            Effect::Reissuable => true,
-            Effect::Numbered { group, .. } => !may_have_run || group == Group::All,
-            Effect::AtMostOnce => !may_have_run,
+        let harmless = match self.retry_safety(request) {
+            RetrySafety::Idempotent => true,
+            RetrySafety::IdempotencyKey { scope, .. } => {
+                !may_have_run || scope == IdempotencyScope::All
+            }
+            RetrySafety::AtMostOnce => !may_have_run,
         };
         request.want = if harmless {
             Want::Bounce
@@ -579,8 +581,8 @@
         request.want_release = request.out.is_none() && request.state.is_some();
     }
 
-    fn effect(&self, request: &Request) -> Effect {
-        self.request_classes[request.arrival.request_class.0 as usize].effect
+    fn retry_safety(&self, request: &Request) -> RetrySafety {
+        self.request_classes[request.arrival.request_class.0 as usize].retry_safety
     }
 
     /// Whether a request may be sent there, if it may have run; it may run again at all where it ran first.
@@ -589,17 +591,19 @@
             return true;
         };
         let [a, b] = [first, slot].map(|s| &self.engines.listed[s]);
-        match self.effect(request) {
-            Effect::Reissuable => true,
-            Effect::Numbered { window, .. } if self.now >= at + window => false,
-            Effect::Numbered {
-                group: Group::Zone, ..
+        match self.retry_safety(request) {
+            RetrySafety::Idempotent => true,
+            RetrySafety::IdempotencyKey { window, .. } if self.now >= at + window => false,
+            RetrySafety::IdempotencyKey {
+                scope: IdempotencyScope::Zone,
+                ..
             } => a.zone == b.zone,
-            Effect::Numbered {
-                group: Group::Cell, ..
+            RetrySafety::IdempotencyKey {
+                scope: IdempotencyScope::Cell,
+                ..
             } => a.cell == b.cell,
-            Effect::Numbered { .. } => true,
-            Effect::AtMostOnce => false,
+            RetrySafety::IdempotencyKey { .. } => true,
+            RetrySafety::AtMostOnce => false,
         }
     }
 
@@ -746,7 +750,7 @@
         let (well, sick): (Vec<Slot>, Vec<Slot>) = ready
             .iter()
             .partition(|&&s| !self.engines.is_sick(s, peers));
-        let harmless = reading || self.effect(request) == Effect::Reissuable;
+        let harmless = reading || self.retry_safety(request) == RetrySafety::Idempotent;
         let trials = sick
             .iter()
             .filter(|&&s| harmless && self.now >= self.engines.trial_at[s]);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -53,7 +53,7 @@
 
 /// The engines that recognise a numbered request's repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum IdempotencyScope {
     All,
     Zone,
     Cell,
@@ -61,16 +61,16 @@
 
 /// Whether a request that may have run may run again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
-    Reissuable,
-    Numbered { group: Group, window: Ms },
+pub enum RetrySafety {
+    Idempotent,
+    IdempotencyKey { scope: IdempotencyScope, window: Ms },
     AtMostOnce,
 }
 
 /// One request class's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClassSettings {
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     pub quoted: Ms,
     pub quoted_per_1000_tokens: Ms,
     pub patience: Ms,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -24,7 +24,7 @@
 
 fn settings(me: u32, dispatchers: u32) -> Settings {
     let request_class = RequestClassSettings {
-        effect: Effect::Reissuable,
+        retry_safety: RetrySafety::Idempotent,
         quoted: 1000.0,
         quoted_per_1000_tokens: 40.0,
         patience: 4000.0,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,7 +10,7 @@
 
 fn settings(me: u32) -> Settings {
     let request_class = RequestClassSettings {
-        effect: Effect::Reissuable,
+        retry_safety: RetrySafety::Idempotent,
         quoted: 1000.0,
         quoted_per_1000_tokens: 40.0,
         patience: 4000.0,
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -47,10 +47,10 @@
 
 fn settings(me: u32) -> Settings {
     let class = |at: usize| RequestClassSettings {
-        effect: if at == 0 {
-            Effect::Reissuable
+        retry_safety: if at == 0 {
+            RetrySafety::Idempotent
         } else {
-            Effect::AtMostOnce
+            RetrySafety::AtMostOnce
         },
         quoted: PATIENCE[at] / 4.0,
         quoted_per_1000_tokens: 60.0,
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 fn settings() -> Settings {
-    let request_class = |effect, patience| RequestClassSettings {
-        effect,
+    let request_class = |retry_safety, patience| RequestClassSettings {
+        retry_safety,
         quoted: 800.0,
         quoted_per_1000_tokens: 40.0,
         patience,
@@ -24,15 +24,15 @@
         zone: ZoneId(0),
         tick: 4.0,
         request_classes: vec![
-            request_class(Effect::Reissuable, 4000.0),
+            request_class(RetrySafety::Idempotent, 4000.0),
             request_class(
-                Effect::Numbered {
-                    group: Group::Zone,
+                RetrySafety::IdempotencyKey {
+                    scope: IdempotencyScope::Zone,
                     window: 900.0,
                 },
                 3000.0,
             ),
-            request_class(Effect::AtMostOnce, 2500.0),
+            request_class(RetrySafety::AtMostOnce, 2500.0),
         ],
         tenants: vec![
             TenantSettings {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -18,8 +18,8 @@
 use test_case::test_case;
 
 fn settings() -> Settings {
-    let request_class = |effect| RequestClassSettings {
-        effect,
+    let request_class = |retry_safety| RequestClassSettings {
+        retry_safety,
         quoted: 1000.0,
         quoted_per_1000_tokens: 40.0,
         patience: 4000.0,
@@ -38,8 +38,8 @@
         zone: ZoneId(0),
         tick: 4.0,
         request_classes: vec![
-            request_class(Effect::Reissuable),
-            request_class(Effect::AtMostOnce),
+            request_class(RetrySafety::Idempotent),
+            request_class(RetrySafety::AtMostOnce),
         ],
         tenants: Vec::new(),
         over_share_worth: 0.1,
@@ -182,19 +182,19 @@
     })
 }
 
-fn effect(words: &[&str]) -> Effect {
-    let group = |word: &str| match word {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        _ => Group::Cell,
+fn retry_safety(words: &[&str]) -> RetrySafety {
+    let scope_named = |word: &str| match word {
+        "all" => IdempotencyScope::All,
+        "zone" => IdempotencyScope::Zone,
+        _ => IdempotencyScope::Cell,
     };
     match words {
-        ["numbered", scope, window] => Effect::Numbered {
-            group: group(scope),
+        ["numbered", scope, window] => RetrySafety::IdempotencyKey {
+            scope: scope_named(scope),
             window: number(window),
         },
-        ["at-most-once"] => Effect::AtMostOnce,
-        _ => Effect::Reissuable,
+        ["at-most-once"] => RetrySafety::AtMostOnce,
+        _ => RetrySafety::Idempotent,
     }
 }
 
@@ -284,7 +284,8 @@
         match verb {
             "set" => set(&mut play.settings, rest[0], rest[1]),
             "effect" => {
-                play.settings.request_classes[number(rest[0]) as usize].effect = effect(&rest[1..])
+                play.settings.request_classes[number(rest[0]) as usize].retry_safety =
+                    retry_safety(&rest[1..])
             }
             "list" => {
                 let kind = match rest[0] {
