--- a/benches/step.rs
+++ b/benches/step.rs
@@ -13,11 +13,11 @@
 fn settings() -> Settings {
     let request_class = RequestClassSettings {
         retry_safety: RetrySafety::Idempotent,
-        quoted: 1000.0,
-        quoted_per_1000_tokens: 40.0,
-        patience: 8000.0,
-        payoff: 1.0,
-        late_share: 0.2,
+        latency_objective: 1000.0,
+        latency_objective_per_1000_tokens: 40.0,
+        time_to_deadline: 8000.0,
+        priority_weight: 1.0,
+        late_value_share: 0.2,
         token_pace: 60.0,
         streams: true,
     };
@@ -28,7 +28,7 @@
         tick: 4.0,
         request_classes: vec![request_class],
         tenants: vec![],
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         kinds: [Role::Prefill, Role::Decode]
             .map(|role| KindSettings {
                 role,
@@ -36,23 +36,23 @@
             })
             .to_vec(),
         discovery: Discovery::Pushed,
-        release: 500.0,
+        kv_state_timeout: 500.0,
         decode_engines_prefill: false,
-        may_hold_ahead: false,
+        may_reserve: false,
         may_cancel: true,
-        may_copy: false,
-        may_probe: false,
-        may_tell: false,
-        clients_hear_retry: true,
+        may_hedge: false,
+        may_health_check: false,
+        may_gossip: false,
+        clients_honor_retry_after: true,
         max_retry_after: 2000.0,
         max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 500.0,
         answer_grace: 16.0,
-        fall_multiple: 4.0,
-        fall_window: 1000.0,
-        start_capacity: 0.3,
-        ramp: 5000.0,
+        overload_multiple: 4.0,
+        overload_window: 1000.0,
+        cold_capacity: 0.3,
+        slow_start_window: 5000.0,
     }
 }
 
@@ -119,7 +119,7 @@
         let arrival = Arrival {
             request,
             session,
-            patience_left: 8000.0,
+            time_to_deadline: 8000.0,
             prompt_tokens: 900.0,
             ..Arrival::default()
         };
--- a/crates/cindercleat-cli/src/conf.rs
+++ b/crates/cindercleat-cli/src/conf.rs
@@ -4,7 +4,7 @@
 //! ```text
 //! listen 127.0.0.1:7400
 //! request class caption-draft
-//!     quoted 1s plus 40ms
+//!     latency objective 1s plus 40ms
 //! end
 //! ```
 //!
--- a/crates/cindercleat-cli/src/day.rs
+++ b/crates/cindercleat-cli/src/day.rs
@@ -343,7 +343,7 @@
         .engines
         .iter()
         .map(|h| h.hold)
-        .fold(day.service.policy.release, f64::max);
+        .fold(day.service.policy.kv_state_timeout, f64::max);
     clock.sleep_until(clock.now() + holds + SLACK).await;
     let seconds = (clock.now() - begin) / 1000.0;
     let cpu = dispatchers.stop().await;
@@ -352,7 +352,7 @@
     let tallies = clients.tallies();
     let worth = |of: fn(&Tally) -> u64| {
         let all = day.habits.traffic.iter();
-        all.map(|t| t.payoff * tallies.get(&t.request_class).map_or(0, of) as f64)
+        all.map(|t| t.priority_weight * tallies.get(&t.request_class).map_or(0, of) as f64)
             .sum::<f64>()
     };
     let mut faults = BTreeMap::new();
--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -91,7 +91,7 @@
             .settings
             .request_classes
             .iter()
-            .map(|class| class.patience)
+            .map(|class| class.time_to_deadline)
             .fold(0.0, f64::max),
         clients_resume: conf.clients_resume,
     };
--- a/crates/cindercleat-cli/src/price.rs
+++ b/crates/cindercleat-cli/src/price.rs
@@ -323,7 +323,7 @@
         session: number,
         prompt_tokens: 100,
         max_tokens: tokens,
-        patience_ms: 4000.0,
+        time_to_deadline_ms: 4000.0,
         key: number.to_string(),
         ..v1::Submit::default()
     }
--- a/crates/cindercleat-cli/src/script.rs
+++ b/crates/cindercleat-cli/src/script.rs
@@ -92,10 +92,10 @@
         read_per_s: block.value_or("reads-per-s", 20_000.0)?,
         token_ms: block.value_or("token-pace", Time(20.0))?.0,
         fetch_per_s: block.value_or("fetches-per-s", 300_000.0)?,
-        start_share: service.policy.start_capacity,
-        ramp: service.policy.ramp,
+        start_share: service.policy.cold_capacity,
+        slow_start_window: service.policy.slow_start_window,
         hold: block
-            .value_or("holds", Time(4.0 * service.policy.release))?
+            .value_or("holds", Time(4.0 * service.policy.kv_state_timeout))?
             .0,
         report_age: block.value_or("report-age", Time(200.0))?.0,
         report_noise: block.value_or("report-noise", 0.1)?,
@@ -128,13 +128,14 @@
             request_class,
             share: line.value(2)?,
             again_always: settings.retry_safety == RetrySafety::Idempotent,
-            quoted: settings.quoted + settings.quoted_per_1000_tokens * f64::from(prompt) / 1000.0,
-            patience: settings.patience,
+            latency_objective: settings.latency_objective
+                + settings.latency_objective_per_1000_tokens * f64::from(prompt) / 1000.0,
+            time_to_deadline: settings.time_to_deadline,
             prompt_tokens: (prompt / 2, prompt + prompt / 2),
             shared_tokens: line.after("shared")?.unwrap_or(0),
             shared_texts: line.after("texts")?.unwrap_or(1),
             max_tokens: line.must_after("answer")?,
-            payoff: settings.payoff,
+            priority_weight: settings.priority_weight,
         });
     }
     if traffic.is_empty() {
@@ -156,7 +157,7 @@
     Ok(habits)
 }
 
-/// 'request TIME REQUEST_CLASS prompt N answer N [shared N text N] [patience TIME] [leaves TIME] [session N] [seed N]'.
+/// 'request TIME REQUEST_CLASS prompt N answer N [shared N text N] [time to deadline TIME] [leaves TIME] [session N] [seed N]'.
 fn planned(line: &Line, habits: &Habits) -> Result<Planned, Problem> {
     let request_class: String = line.value(2)?;
     let traffic = habits
@@ -173,9 +174,9 @@
         shared_tokens: line.after("shared")?.unwrap_or(0),
         prompt_tokens: line.must_after("prompt")?,
         max_tokens: line.must_after("answer")?,
-        patience: line
+        time_to_deadline: line
             .after::<Time>("patience")?
-            .map_or(traffic.patience, |t| t.0),
+            .map_or(traffic.time_to_deadline, |t| t.0),
         leaves: line.after::<Time>("leaves")?.map(|t| t.0),
         seed: line.after("seed")?.unwrap_or(line.number as u64),
     })
@@ -294,7 +295,7 @@
         out += &format!(
             "profile {name}\n    effect {retry_safety}\n    quoted {}ms plus {}ms\n    patience {}ms\n    payoff {}\n    \
              late-share {}\n    token-pace {}ms\nend\n\n",
-            p.quoted, p.quoted_per_1000_tokens, p.patience, p.payoff, p.late_share, p.token_pace
+            p.latency_objective, p.latency_objective_per_1000_tokens, p.time_to_deadline, p.priority_weight, p.late_value_share, p.token_pace
         );
     }
     for (name, kind) in day.service.kinds.iter().zip(&policy.kinds) {
@@ -313,15 +314,15 @@
          fall {} within {}ms\n    cold {} ramp {}ms\n    tick {}ms\n    streams-per-link {}\n    links-per-host {}\n    \
          link-idle {}ms\n    window {}\n    stall {}ms\n    quiet {}ms\n    ping-timeout {}ms\n    connect-again {}ms\n    \
          connect-again-most {}ms\n    client-quiet {}ms\n    stop-grace {}ms\n    greet-within {}ms\nend\n\n",
-        policy.release,
+        policy.kv_state_timeout,
         policy.max_attempts,
         policy.connect_timeout,
         policy.drain_grace,
         policy.answer_grace,
-        policy.fall_multiple,
-        policy.fall_window,
-        policy.start_capacity,
-        policy.ramp,
+        policy.overload_multiple,
+        policy.overload_window,
+        policy.cold_capacity,
+        policy.slow_start_window,
         policy.tick,
         limits.streams_per_link,
         limits.links_per_engine,
@@ -381,7 +382,7 @@
             t.shared_tokens,
             t.shared_text,
             t.session,
-            t.patience,
+            t.time_to_deadline,
             t.seed
         );
     }
--- a/crates/cindercleat-cli/src/send.rs
+++ b/crates/cindercleat-cli/src/send.rs
@@ -30,8 +30,8 @@
     #[arg(long, default_value_t = 64)]
     max_tokens: u32,
     /// Milliseconds that the client waits for the beginning of an answer.
-    #[arg(long, default_value_t = 10_000.0)]
-    patience: f64,
+    #[arg(long = "patience", value_name = "PATIENCE", default_value_t = 10_000.0)]
+    time_to_deadline: f64,
     #[arg(long, default_value = "")]
     tenant: String,
     /// The number of a beginning that prompts share, and its tokens.
@@ -308,7 +308,7 @@
             prompt_tokens: args.prompt_tokens.unwrap_or(words as u32),
             shared_tokens: args.shared_tokens,
             max_tokens: args.max_tokens,
-            patience_ms: args.patience,
+            time_to_deadline_ms: args.time_to_deadline,
             prompt: args.text.clone().unwrap_or_default().into_bytes().into(),
             ..v1::Submit::default()
         }
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -102,9 +102,9 @@
     let (mut tenants, mut tenant_settings) = (Vec::new(), Vec::new());
     for block in section.blocks("tenant") {
         tenants.push(new_name(block, &tenants)?);
-        let allowance_per_s = block.value("allowance")?;
+        let quota_per_second = block.value("allowance")?;
         tenant_settings.push(TenantSettings {
-            allowance_per_s,
+            quota_per_second,
             share: block.value("share")?,
         });
         block.nothing_else()?;
@@ -147,31 +147,31 @@
         tick: limits.value_or("tick", Time(4.0))?.0,
         request_classes: request_class_settings,
         tenants: tenant_settings,
-        over_share_worth: limits.value_or("over-share-worth", 1.0)?,
+        over_quota_weight: limits.value_or("over-share-worth", 1.0)?,
         kinds: kind_settings,
         discovery: Discovery::Pushed,
-        release: time("release")?,
+        kv_state_timeout: time("release")?,
         decode_engines_prefill: false,
-        may_hold_ahead: limits.value_or("hold-ahead", false)?,
+        may_reserve: limits.value_or("hold-ahead", false)?,
         may_cancel: true,
-        may_copy: false,
-        may_probe: limits.value_or("probes", true)?,
-        may_tell: limits.value_or("tell", false)?,
-        clients_hear_retry: true,
+        may_hedge: false,
+        may_health_check: limits.value_or("probes", true)?,
+        may_gossip: limits.value_or("tell", false)?,
+        clients_honor_retry_after: true,
         max_retry_after: limits.value_or("most-retry-after", Time(2000.0))?.0,
         max_attempts: limits.value("launches")?,
         connect_timeout: time("connect")?,
         drain_grace: time("drain-grace")?,
         answer_grace: limits.value_or("answer-grace", Time(0.0))?.0,
-        fall_multiple: fall.value(1)?,
-        fall_window: fall.must_after::<Time>("within")?.0,
-        start_capacity: cold.value(1)?,
-        ramp: cold.must_after::<Time>("ramp")?.0,
+        overload_multiple: fall.value(1)?,
+        overload_window: fall.must_after::<Time>("within")?.0,
+        cold_capacity: cold.value(1)?,
+        slow_start_window: cold.must_after::<Time>("ramp")?.0,
     };
-    if policy.start_capacity <= 0.0 || policy.start_capacity > 1.0 {
+    if policy.cold_capacity <= 0.0 || policy.cold_capacity > 1.0 {
         return Err(cold.wrong("'cold SHARE ramp TIME', SHARE being over 0 and at most 1"));
     }
-    if policy.fall_window <= 0.0 || policy.ramp <= 0.0 {
+    if policy.overload_window <= 0.0 || policy.slow_start_window <= 0.0 {
         return Err(fall.wrong("times over 0"));
     }
     let or = |keyword, absent| limits.value_or(keyword, Time(absent)).map(|t| t.0);
@@ -250,19 +250,21 @@
             return Err(retry_safety.wrong(expected));
         }
     };
-    let quoted = block.one("quoted")?;
+    let latency_objective = block.one("quoted")?;
     let settings = RequestClassSettings {
         retry_safety: kind,
-        quoted: quoted.value::<Time>(1)?.0,
-        quoted_per_1000_tokens: quoted.after::<Time>("plus")?.map_or(0.0, |t| t.0),
-        patience: block.value::<Time>("patience")?.0,
-        payoff: block.value_or("payoff", 1.0)?,
-        late_share: block.value_or("late-share", 0.0)?,
+        latency_objective: latency_objective.value::<Time>(1)?.0,
+        latency_objective_per_1000_tokens: latency_objective
+            .after::<Time>("plus")?
+            .map_or(0.0, |t| t.0),
+        time_to_deadline: block.value::<Time>("patience")?.0,
+        priority_weight: block.value_or("payoff", 1.0)?,
+        late_value_share: block.value_or("late-share", 0.0)?,
         token_pace: block.value_or("token-pace", Time(0.0))?.0,
         streams: true,
     };
-    if settings.quoted <= 0.0 || settings.patience < settings.quoted {
-        return Err(quoted.wrong("a quoted time over 0 and at most the patience"));
+    if settings.latency_objective <= 0.0 || settings.time_to_deadline < settings.latency_objective {
+        return Err(latency_objective.wrong("a quoted time over 0 and at most the patience"));
     }
     block.nothing_else()?;
     Ok(settings)
--- a/crates/cindercleat-cli/src/try_it.rs
+++ b/crates/cindercleat-cli/src/try_it.rs
@@ -41,7 +41,7 @@
             prompt_tokens: 800,
             shared_tokens: 400,
             max_tokens: 60,
-            patience_ms: 4000.0,
+            time_to_deadline_ms: 4000.0,
             key: "try".to_owned(),
             ..v1::Submit::default()
         };
--- a/crates/cindercleat-cli/tests/conf.rs
+++ b/crates/cindercleat-cli/tests/conf.rs
@@ -52,10 +52,13 @@
     assert_eq!(read.places.feeds.len(), 2);
     let policy = &read.program.policy;
     assert_eq!(
-        (policy.zone.0, policy.dispatchers, policy.release),
+        (policy.zone.0, policy.dispatchers, policy.kv_state_timeout),
         (1, 2, 500.0)
     );
-    assert_eq!(policy.request_classes[0].quoted_per_1000_tokens, 40.0);
+    assert_eq!(
+        policy.request_classes[0].latency_objective_per_1000_tokens,
+        40.0
+    );
     assert_eq!(read.program.run, 9);
 }
 
--- a/crates/cindercleat-cli/tests/program.rs
+++ b/crates/cindercleat-cli/tests/program.rs
@@ -228,18 +228,25 @@
     assert_eq!(conf.program.request_classes, ["draft", "send"]);
     assert_eq!(conf.program.kinds, ["r", "w"]);
     assert_eq!(
-        (policy.release, policy.connect_timeout, policy.max_attempts),
+        (
+            policy.kv_state_timeout,
+            policy.connect_timeout,
+            policy.max_attempts
+        ),
         (500.0, 250.0, 4)
     );
-    assert_eq!(policy.request_classes[1].quoted_per_1000_tokens, 50.0005);
+    assert_eq!(
+        policy.request_classes[1].latency_objective_per_1000_tokens,
+        50.0005
+    );
     assert_eq!(
         (
-            policy.request_classes[0].quoted,
-            policy.request_classes[0].payoff
+            policy.request_classes[0].latency_objective,
+            policy.request_classes[0].priority_weight
         ),
         (1000.0, 2.0)
     );
-    assert!(policy.may_cancel && policy.may_probe && !policy.clients_hear_retry);
+    assert!(policy.may_cancel && policy.may_health_check && !policy.clients_honor_retry_after);
     assert_eq!(conf.known.map(|list| list.version), Some(4));
     for (from, to, place) in [
         ("\"release\":500000,", "", "familyInfo.release"),
@@ -271,17 +278,17 @@
     let policy = with("\"giveUp\":4000000,", "").expect("a class without a deadline");
     assert_eq!(
         (
-            policy.request_classes[0].quoted,
-            policy.request_classes[0].patience
+            policy.request_classes[0].latency_objective,
+            policy.request_classes[0].time_to_deadline
         ),
         (1000.0, f64::INFINITY)
     );
     let policy =
         with("\"aim\":1000000,", "").expect("a class without a target goes by its deadline");
-    assert_eq!(policy.request_classes[0].quoted, 4000.0);
+    assert_eq!(policy.request_classes[0].latency_objective, 4000.0);
     let policy =
         with("\"importance\":2.0", "\"importance\":0").expect("a class that is worth nothing");
-    assert_eq!(policy.request_classes[0].payoff, 0.0);
+    assert_eq!(policy.request_classes[0].priority_weight, 0.0);
     let keyed = "\"effect\":\"keyed\",\"keyScope\":\"cell\",\"dedupWindow\":1000";
     let policy = with("\"effect\":\"safe\"", keyed).expect("a window of a millisecond");
     assert!(
@@ -293,10 +300,10 @@
     );
     let policy =
         with("\"rampTime\":14000000", "\"rampTime\":0").expect("engines that are never cold");
-    assert!(policy.ramp > 0.0);
+    assert!(policy.slow_start_window > 0.0);
     let policy =
         with("\"release\":500000", "\"release\":2000").expect("states that are let go at once");
-    assert_eq!(policy.release, 2.0);
+    assert_eq!(policy.kv_state_timeout, 2.0);
     for (from, to, place) in [
         ("\"release\":500000", "\"release\":0", "familyInfo.release"),
         (
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -50,7 +50,7 @@
 }
 
 /// The shortest cold start that is told from none.
-const LEAST_RAMP: Ms = 1.0;
+const SHORTEST_SLOW_START_WINDOW: Ms = 1.0;
 
 struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
@@ -226,8 +226,8 @@
     }
     let discovery = match pairs.text("discovery")? {
         "automatic" => Discovery::Pushed,
-        "subscribe" => Discovery::Asked {
-            told_within: pairs.time("rules.askWithin")?,
+        "subscribe" => Discovery::Polled {
+            notified_within: pairs.time("rules.askWithin")?,
         },
         other => return Err(Malformed::new("automatic or subscribe in discovery", other)),
     };
@@ -242,27 +242,29 @@
         tenants: (0..tenants)
             .map(|i| tenant(&pairs, i))
             .collect::<Result<_, _>>()?,
-        over_share_worth: pairs.amount_or("overShareWorth", 1.0)?,
+        over_quota_weight: pairs.amount_or("overShareWorth", 1.0)?,
         kinds: kinds(&pairs)?,
         discovery,
-        release: pairs.positive_time("familyInfo.release")?,
+        kv_state_timeout: pairs.positive_time("familyInfo.release")?,
         decode_engines_prefill: pairs.flag("familyInfo.localRead")?,
-        may_hold_ahead: pairs.flag("familyInfo.mayReserve")?,
+        may_reserve: pairs.flag("familyInfo.mayReserve")?,
         may_cancel: pairs.flag("limits.cancel")?,
-        may_copy: pairs.flag("limits.mayDuplicate")?,
-        may_probe: pairs.flag("limits.probes")?,
-        may_tell: pairs.flag("limits.peers")?,
-        clients_hear_retry: pairs.flag("limits.retryAfter")?,
+        may_hedge: pairs.flag("limits.mayDuplicate")?,
+        may_health_check: pairs.flag("limits.probes")?,
+        may_gossip: pairs.flag("limits.peers")?,
+        clients_honor_retry_after: pairs.flag("limits.retryAfter")?,
         max_retry_after: pairs.time_or("limits.maxRetryAfter", 0.0)?,
         max_attempts: pairs.number("limits.maxAttempts")?,
         connect_timeout: pairs.positive_time("limits.connectTimeout")?,
         drain_grace: pairs.time("rules.drainGrace")?,
         answer_grace: pairs.time("rules.graceToAnswer")?,
-        fall_multiple: pairs.amount("rules.fallMultiple")?,
-        fall_window: pairs.positive_time("rules.overloadFor")?,
-        start_capacity: pairs.amount("rules.startCapacity")?,
+        overload_multiple: pairs.amount("rules.fallMultiple")?,
+        overload_window: pairs.positive_time("rules.overloadFor")?,
+        cold_capacity: pairs.amount("rules.startCapacity")?,
         // An engine that is as good as warm at once: a moment stands for none.
-        ramp: pairs.time("rules.rampTime")?.max(LEAST_RAMP),
+        slow_start_window: pairs
+            .time("rules.rampTime")?
+            .max(SHORTEST_SLOW_START_WINDOW),
     };
     let texts = |path: &str| pairs.list(path).into_iter().map(str::to_owned).collect();
     let named = |what: &str, count: usize| {
@@ -326,15 +328,16 @@
     };
     Ok(RequestClassSettings {
         retry_safety,
-        quoted: target.ok_or_else(none)?,
-        quoted_per_1000_tokens: pairs.time_in("familyInfo.aimUsPer1000PromptTokens", i)?,
-        patience: if deadline > 0.0 {
+        latency_objective: target.ok_or_else(none)?,
+        latency_objective_per_1000_tokens: pairs
+            .time_in("familyInfo.aimUsPer1000PromptTokens", i)?,
+        time_to_deadline: if deadline > 0.0 {
             deadline
         } else {
             f64::INFINITY
         },
-        payoff: pairs.amount_or(&at("importance"), 1.0)?,
-        late_share: pairs.amount_or(&at("lateShare"), 0.0)?,
+        priority_weight: pairs.amount_or(&at("importance"), 1.0)?,
+        late_value_share: pairs.amount_or(&at("lateShare"), 0.0)?,
         token_pace: pairs.time_in("familyInfo.tokenAim", i)?,
         streams: pairs.flag(&at("stream"))?,
     })
@@ -342,7 +345,7 @@
 
 fn tenant(pairs: &Pairs, i: usize) -> Result<TenantSettings, Malformed> {
     Ok(TenantSettings {
-        allowance_per_s: pairs.amount_or(&format!("orgs.{i}.allowancePerS"), 0.0)?,
+        quota_per_second: pairs.amount_or(&format!("orgs.{i}.allowancePerS"), 0.0)?,
         share: pairs.amount_or(&format!("orgs.{i}.share"), 0.0)?,
     })
 }
--- a/crates/dispatcher/src/ledger/delivery.rs
+++ b/crates/dispatcher/src/ledger/delivery.rs
@@ -76,7 +76,7 @@
             .clone()
             .filter(|origin| !self.origins.contains_key(origin));
         let Some(origin) = over else {
-            if self.settings.policy.may_probe {
+            if self.settings.policy.may_health_check {
                 self.probe(engine.clone(), out);
             }
             return;
@@ -101,7 +101,7 @@
         else {
             return;
         };
-        let within = self.settings.policy.release / ANSWER_PART;
+        let within = self.settings.policy.kv_state_timeout / ANSWER_PART;
         self.timers.set(self.now + within, Due::Past(link, stream));
         self.links.send(
             link,
--- a/crates/dispatcher/src/ledger/engine_releases.rs
+++ b/crates/dispatcher/src/ledger/engine_releases.rs
@@ -37,7 +37,7 @@
             .or_default()
             .push(release);
         self.timers.set(
-            self.now + self.settings.policy.release / RETRY_PART,
+            self.now + self.settings.policy.kv_state_timeout / RETRY_PART,
             Due::Release(engine),
         );
     }
@@ -48,7 +48,7 @@
         let Some(states) = self.unreleased.get_mut(engine) else {
             return;
         };
-        let oldest = self.now - GIVE_UP_AFTER * self.settings.policy.release;
+        let oldest = self.now - GIVE_UP_AFTER * self.settings.policy.kv_state_timeout;
         states.retain(|release| release.since >= oldest);
         let row = self
             .fleet
@@ -84,8 +84,10 @@
                     .want(engine, &address, self.now, &self.settings, to)
                 {
                     let again = Due::Release(engine.clone());
-                    self.timers
-                        .set(self.now + self.settings.policy.release / RETRY_PART, again);
+                    self.timers.set(
+                        self.now + self.settings.policy.kv_state_timeout / RETRY_PART,
+                        again,
+                    );
                 }
             }
             (None, _) => {
@@ -97,7 +99,7 @@
     /// The connection over which releases were to go is over: they go over another one.
     pub(super) fn retry_releases(&mut self, engine: &EngineId) {
         if self.unreleased.contains_key(engine) {
-            let again = self.now + self.settings.policy.release / RETRY_PART;
+            let again = self.now + self.settings.policy.kv_state_timeout / RETRY_PART;
             self.timers.set(again, Due::Release(engine.clone()));
         }
     }
--- a/crates/dispatcher/src/ledger/engines.rs
+++ b/crates/dispatcher/src/ledger/engines.rs
@@ -847,7 +847,7 @@
         if !attempt.first {
             attempt.first = true;
             attempt.last_gone = self.now;
-            request.late = self.now > request.quoted;
+            request.late = self.now > request.latency_objective;
             self.kv_states.taken(id, self.now);
             // No attempt can need it any more.
             request.submit.prompt = Default::default();
--- a/crates/dispatcher/src/ledger/invariants.rs
+++ b/crates/dispatcher/src/ledger/invariants.rs
@@ -114,7 +114,7 @@
     }
 
     fn held_at_most(&self) -> Ms {
-        self.settings.policy.release + HELD_EXTRA / HELD_PART
+        self.settings.policy.kv_state_timeout + HELD_EXTRA / HELD_PART
     }
 
     /// Sees to it that a state is released which the decisions have left, or whose release was forgotten.
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -267,7 +267,8 @@
         // States that are let go are gone when their engines say so: a stop does not cut that off, but no engine that
         // says nothing holds it up for longer than a release may take.
         if let (Some(since), false) = (self.stopping, self.stopped) {
-            let latest = since + self.settings.limits.stop_grace + self.settings.policy.release;
+            let latest =
+                since + self.settings.limits.stop_grace + self.settings.policy.kv_state_timeout;
             if self.requests.is_empty()
                 && self.is_closed()
                 && (!self.releasing() || self.now >= latest)
@@ -320,10 +321,10 @@
 
     /// The engines as the list has them. `now` is on the list's clock as well.
     pub fn units(&self, now: Ms) -> Vec<Unit> {
-        let ramp = self.settings.policy.ramp;
+        let slow_start_window = self.settings.policy.slow_start_window;
         let unit = |(engine, row): (&EngineId, &fleet::EngineRow)| {
             let started = row.line.started_ms.filter(|at| at.is_finite());
-            let cold = started.is_some_and(|at| now < at + ramp);
+            let cold = started.is_some_and(|at| now < at + slow_start_window);
             Unit {
                 name: Name(engine.0.clone()),
                 run: Run(started.map_or(0, f64::to_bits)),
@@ -455,7 +456,7 @@
         match due {
             Due::Module(timer) => self.events.push(Event::Timer { timer }),
             Due::Attempt(request, attempt) => self.time_out(request, attempt, out),
-            Due::Patience(id) => self.end_patience(id, out),
+            Due::Deadline(id) => self.reach_deadline(id, out),
             Due::Stall(request, attempt) => self.look_at_stream(request, attempt, out),
             Due::Client(conn) => self.look_at_client(conn, out),
             Due::Links(engine) => self.look_at_links(&engine, out),
@@ -528,8 +529,8 @@
         }
         // The client's time runs since it sent the first of its request. One whose time has passed meanwhile is as good
         // as any other, and is answered so.
-        if submit.patience_ms > 0.0 {
-            submit.patience_ms = (submit.patience_ms - took).max(NO_TIME);
+        if submit.time_to_deadline_ms > 0.0 {
+            submit.time_to_deadline_ms = (submit.time_to_deadline_ms - took).max(NO_TIME);
         }
         let arrival = match self.admit(&submit) {
             Ok(arrival) => arrival,
@@ -553,12 +554,12 @@
         if self.stopping.is_some() {
             out.push(Output::LeaveClient { conn });
         }
-        let ends = self.now + arrival.patience_left;
+        let ends = self.now + arrival.time_to_deadline;
         let request_class = &self.settings.policy.request_classes[arrival.request_class.0 as usize];
-        let quoted = request_class.quoted
-            + request_class.quoted_per_1000_tokens * arrival.prompt_tokens / 1000.0;
-        let quoted = self.now - took + quoted;
-        self.timers.set(ends, Due::Patience(id));
+        let latency_objective = request_class.latency_objective
+            + request_class.latency_objective_per_1000_tokens * arrival.prompt_tokens / 1000.0;
+        let latency_objective = self.now - took + latency_objective;
+        self.timers.set(ends, Due::Deadline(id));
         self.tickets.insert(ticket, id);
         if let Some(origin) = &submit.origin {
             self.origins.insert(origin.id.clone(), id);
@@ -567,7 +568,7 @@
             ticket,
             submit,
             ends,
-            quoted,
+            latency_objective,
             late: false,
             answered: false,
             attempts: 0,
@@ -597,15 +598,15 @@
             // Guards against a request that goes by another's id: what is held for that one would be mixed up.
             return Err(rejected(("id", "a task of this id is open".to_owned())));
         }
-        // Guards against more open requests than memory and patience bear; nothing has run, so a retry is harmless.
+        // Guards against more open requests than memory and time to deadline bear; nothing has run, so a retry is harmless.
         let full = self.requests.len() >= self.settings.limits.max_open_requests
             || self.next_request_id == u32::MAX;
         if !full && !self.is_closed() {
             return Ok(arrival);
         }
         let policy = &self.settings.policy;
-        let hears = if policy.clients_hear_retry {
-            policy.release
+        let hears = if policy.clients_honor_retry_after {
+            policy.kv_state_timeout
         } else {
             0.0
         };
@@ -649,10 +650,10 @@
                     .ok_or_else(|| ("tenant", format!("there is no tenant {name:?}")))?,
             ),
         };
-        if !submit.patience_ms.is_finite() || submit.patience_ms <= 0.0 {
+        if !submit.time_to_deadline_ms.is_finite() || submit.time_to_deadline_ms <= 0.0 {
             return Err((
                 "patience_ms",
-                format!("{} is no time to wait", submit.patience_ms),
+                format!("{} is no time to wait", submit.time_to_deadline_ms),
             ));
         }
         if submit.prompt_tokens == 0 || submit.max_tokens == 0 {
@@ -671,7 +672,7 @@
             request_class: RequestClassId(request_class),
             tenant: tenant.map(TenantId),
             session: SessionId(submit.session),
-            patience_left: submit.patience_ms,
+            time_to_deadline: submit.time_to_deadline_ms,
             answer_hint: None,
             shared: Some(submit.shared_text)
                 .filter(|t| *t != 0)
@@ -723,7 +724,7 @@
         };
         request.answered = true;
         if let Some(record) = &mut self.record {
-            let late = request.late || !request.streams() && self.now > request.quoted;
+            let late = request.late || !request.streams() && self.now > request.latency_objective;
             record.answered(answer, late);
         }
         // No attempt can need it any more.
@@ -760,7 +761,7 @@
     }
 
     /// Guards against a request that the decisions left without an answer, whatever the reason: no request is lost.
-    fn end_patience(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    fn reach_deadline(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -823,8 +824,10 @@
             self.stopping = Some(self.now);
             let grace = self.now + self.settings.limits.stop_grace;
             self.timers.set(grace, Due::StopGrace);
-            self.timers
-                .set(grace + self.settings.policy.release, Due::StopReleases);
+            self.timers.set(
+                grace + self.settings.policy.kv_state_timeout,
+                Due::StopReleases,
+            );
             if let Some(after) = self.settings.limits.stop_moves {
                 self.timers.set(self.now + after, Due::StopMoves);
             }
--- a/crates/dispatcher/src/ledger/releases.rs
+++ b/crates/dispatcher/src/ledger/releases.rs
@@ -112,7 +112,7 @@
         } else {
             GIVE_UP_UNCONFIRMED_AFTER
         };
-        if self.now - state.release.since > lasts * self.settings.policy.release {
+        if self.now - state.release.since > lasts * self.settings.policy.kv_state_timeout {
             return self.give_up_release(id, out);
         }
         let mut unconfirmed = state.release.unconfirmed.clone();
@@ -168,7 +168,7 @@
         {
             Ok((link, stream)) => {
                 state.release.open_calls += 1;
-                let until = now + self.settings.policy.release / CONFIRM_PART;
+                let until = now + self.settings.policy.kv_state_timeout / CONFIRM_PART;
                 self.timers.set(until, Due::Past(link, stream));
                 self.links.send(link, stream, body, out);
             }
@@ -201,7 +201,7 @@
         call: &ReleaseCall,
         out: &mut Vec<Output>,
     ) {
-        let release_time = self.settings.policy.release;
+        let release_time = self.settings.policy.kv_state_timeout;
         let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
         };
@@ -236,7 +236,7 @@
 
     /// Sets the time of the next round, once no call of this one is under way.
     fn plan_next_round(&mut self, id: RequestId) {
-        let release_time = self.settings.policy.release;
+        let release_time = self.settings.policy.kv_state_timeout;
         let Some(state) = self
             .kv_states
             .to_release(id)
@@ -301,7 +301,7 @@
                 .filter(|state| state.release.confirmed > 1);
             let next = state.map_or(f64::INFINITY, |state| state.release.next_look);
             if let Some(at) =
-                state.and_then(|state| state.counts_from(self.settings.policy.release))
+                state.and_then(|state| state.counts_from(self.settings.policy.kv_state_timeout))
             {
                 self.look_again(id, at.max(self.now).min(next));
             }
@@ -348,7 +348,7 @@
 
     /// How long a release waits for a prefill that may not have arrived.
     fn doubt_lasts(&self) -> Ms {
-        self.settings.policy.release / DOUBT_PART
+        self.settings.policy.kv_state_timeout / DOUBT_PART
     }
 
     /// Since when. A release that has gone out before waits for each prefill anew.
@@ -368,7 +368,7 @@
             return;
         };
         state.release.since = self.now;
-        let mut again = self.now + self.settings.policy.release / DOUBT_PART;
+        let mut again = self.now + self.settings.policy.kv_state_timeout / DOUBT_PART;
         let Some(state) = self.kv_states.get(id) else {
             return;
         };
@@ -379,7 +379,7 @@
             attempt.filter(|attempt| !attempt.first && !self.has_arrived(attempt))
         {
             let from = self.doubted_from(state, attempt);
-            let asks_at = from + self.settings.policy.release / ASK_PART;
+            let asks_at = from + self.settings.policy.kv_state_timeout / ASK_PART;
             again = if self.now < asks_at {
                 asks_at
             } else {
@@ -422,7 +422,8 @@
     }
 
     fn was_heard_lately(&self, engine: &EngineId) -> bool {
-        self.links.heard_at(engine) >= self.now - self.settings.policy.release / CONFIRM_PART
+        self.links.heard_at(engine)
+            >= self.now - self.settings.policy.kv_state_timeout / CONFIRM_PART
     }
 
     /// The engine that most likely runs, of those that have not been asked: none that has left a question unanswered since it
--- a/crates/dispatcher/src/ledger/requests.rs
+++ b/crates/dispatcher/src/ledger/requests.rs
@@ -15,7 +15,7 @@
     /// When the client gives up, unless a stream has begun.
     pub ends: Ms,
     /// By when its stream was to begin, and that it did not.
-    pub quoted: Ms,
+    pub latency_objective: Ms,
     pub late: bool,
     /// The one final answer is out, or the client left and none is owed.
     pub answered: bool,
--- a/crates/dispatcher/src/ledger/story.rs
+++ b/crates/dispatcher/src/ledger/story.rs
@@ -15,7 +15,7 @@
             Event::Arrived(a) => {
                 let (shared, session) = (a.shared.map_or(0, |s| s.0), a.session.0);
                 let (prompt, beginning) = (a.prompt_tokens, a.shared_tokens);
-                let (request_class, waits) = (a.request_class.0, a.patience_left);
+                let (request_class, waits) = (a.request_class.0, a.time_to_deadline);
                 let request = self.called(a.request);
                 format!(
                     "{request} arrived profile={request_class} prompt={prompt} shared={beginning} beginning={shared:x} \
--- a/crates/dispatcher/src/ledger/timers.rs
+++ b/crates/dispatcher/src/ledger/timers.rs
@@ -12,7 +12,7 @@
     /// The module's time for an attempt has passed.
     Attempt(RequestId, AttemptId),
     /// The client's own time for a request has passed.
-    Patience(RequestId),
+    Deadline(RequestId),
     /// A stream may have stalled.
     Stall(RequestId, AttemptId),
     /// Something falls due for a client's connection.
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -15,11 +15,11 @@
 pub fn settings() -> ProgramSettings {
     let request_class = |retry_safety| RequestClassSettings {
         retry_safety,
-        quoted: 1000.0,
-        quoted_per_1000_tokens: 0.0,
-        patience: 4000.0,
-        payoff: 1.0,
-        late_share: 0.2,
+        latency_objective: 1000.0,
+        latency_objective_per_1000_tokens: 0.0,
+        time_to_deadline: 4000.0,
+        priority_weight: 1.0,
+        late_value_share: 0.2,
         token_pace: 60.0,
         streams: true,
     };
@@ -37,7 +37,7 @@
             }),
         ],
         tenants: vec![],
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         kinds: [Role::Prefill, Role::Decode]
             .map(|role| KindSettings {
                 role,
@@ -45,23 +45,23 @@
             })
             .to_vec(),
         discovery: Discovery::Pushed,
-        release: 500.0,
+        kv_state_timeout: 500.0,
         decode_engines_prefill: false,
-        may_hold_ahead: false,
+        may_reserve: false,
         may_cancel: true,
-        may_copy: false,
-        may_probe: false,
-        may_tell: false,
-        clients_hear_retry: true,
+        may_hedge: false,
+        may_health_check: false,
+        may_gossip: false,
+        clients_honor_retry_after: true,
         max_retry_after: 2000.0,
         max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 500.0,
         answer_grace: 16.0,
-        fall_multiple: 4.0,
-        fall_window: 1000.0,
-        start_capacity: 0.3,
-        ramp: 5000.0,
+        overload_multiple: 4.0,
+        overload_window: 1000.0,
+        cold_capacity: 0.3,
+        slow_start_window: 5000.0,
     };
     let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
     ProgramSettings {
@@ -164,7 +164,7 @@
         session: 1,
         prompt_tokens: 500,
         max_tokens: 50,
-        patience_ms: 4000.0,
+        time_to_deadline_ms: 4000.0,
         ..v1::Submit::default()
     }
 }
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -106,7 +106,7 @@
         token_ms: 5.0,
         fetch_per_s: 3e5,
         start_share: 0.3,
-        ramp: 5000.0,
+        slow_start_window: 5000.0,
         hold: 2000.0,
         report_age: 200.0,
         report_noise: 0.0,
--- a/crates/dispatcher/tests/endings.rs
+++ b/crates/dispatcher/tests/endings.rs
@@ -891,8 +891,8 @@
             memory: 64e6,
             descriptors: 256,
             connect_timeout: 250.0,
-            discovery: Discovery::Asked {
-                told_within: 6_000.0,
+            discovery: Discovery::Polled {
+                notified_within: 6_000.0,
             },
             drain_grace: 2_000.0,
             engine_idle: None,
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -183,10 +183,10 @@
         let port = net.port("c");
         let mut ends = BTreeSet::new();
         for step in 0..120 {
-            let patience_ms = 5.0 + f64::from(step);
+            let time_to_deadline_ms = 5.0 + f64::from(step);
             let key = format!("k{step}");
             let submit = v1::Submit {
-                patience_ms,
+                time_to_deadline_ms,
                 max_tokens: 3,
                 ..submit("proof", &key)
             };
@@ -198,7 +198,7 @@
                     Body::Final(last) => {
                         finals += 1;
                         ends.insert(last.answer() as i32);
-                        let late = net.clock.now() - begin - patience_ms;
+                        let late = net.clock.now() - begin - time_to_deadline_ms;
                         assert!(first.is_some() || late <= 17.0, "{late} ms after its time");
                         // Nothing may follow: give it time to.
                         net.wait(50.0).await;
@@ -208,7 +208,7 @@
                     _ => {}
                 }
             }
-            assert_eq!(finals, 1, "patience {patience_ms}");
+            assert_eq!(finals, 1, "patience {time_to_deadline_ms}");
         }
         assert!(ends.len() >= 2, "both sides of the race are met: {ends:?}");
         nothing_is_left(&net).await;
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -364,7 +364,7 @@
         (
             "patience_ms",
             v1::Submit {
-                patience_ms: f64::NAN,
+                time_to_deadline_ms: f64::NAN,
                 ..submit("draft")
             },
         ),
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -93,7 +93,7 @@
         token_ms: 2.0,
         fetch_per_s: 3e6,
         start_share: 0.3,
-        ramp: 5000.0,
+        slow_start_window: 5000.0,
         hold: 2000.0,
         report_age: 200.0,
         report_noise: 0.0,
@@ -277,7 +277,7 @@
             (
                 "patience_ms",
                 v1::Submit {
-                    patience_ms: -1.0,
+                    time_to_deadline_ms: -1.0,
                     ..common::submit("draft")
                 },
             ),
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -74,7 +74,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut settings = settings();
-        settings.policy.may_probe = seed.is_multiple_of(2);
+        settings.policy.may_health_check = seed.is_multiple_of(2);
         World {
             ledger: Ledger::new(settings, seed),
             now: 1000.0,
@@ -372,10 +372,10 @@
                 let stream = self.next_stream;
                 self.next_stream += 1;
                 let request_class = REQUEST_CLASSES[stream as usize % REQUEST_CLASSES.len()];
-                let patience_ms = 200.0 + f64::from(whom % 4000);
+                let time_to_deadline_ms = 200.0 + f64::from(whom % 4000);
                 let session = u64::from(whom % 7);
                 let submit = v1::Submit {
-                    patience_ms,
+                    time_to_deadline_ms,
                     session,
                     ..submit(request_class)
                 };
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -9,7 +9,7 @@
 
 /// The rule's time for what is held.
 fn most() -> f64 {
-    settings().policy.release + HELD_SLACK
+    settings().policy.kv_state_timeout + HELD_SLACK
 }
 
 /// A close and a call that go out at once on two connections may arrive in either order, some round trips apart.
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -38,7 +38,7 @@
     let (after, decode) = until_state_is_taken(&mut bench, 1);
     let decode = decode.expect("a second decode attempt");
     assert!(
-        after <= settings().policy.release + HELD_SLACK,
+        after <= settings().policy.kv_state_timeout + HELD_SLACK,
         "taken after {after} ms"
     );
     // What lies unsent on the first connection must not go out later: the second attempt would then be one of two.
@@ -62,7 +62,7 @@
     let (after, decode) = until_state_is_taken(&mut bench, 1);
     assert!(decode.is_none(), "the first attempt may run yet");
     assert!(
-        after <= settings().policy.release + HELD_SLACK,
+        after <= settings().policy.kv_state_timeout + HELD_SLACK,
         "released after {after} ms"
     );
     assert!(
@@ -87,7 +87,7 @@
         let (after, decode) = until_state_is_taken(&mut bench, 1);
         assert!(decode.is_none(), "{class}: no decode engine runs");
         assert!(
-            after <= settings().policy.release + HELD_SLACK,
+            after <= settings().policy.kv_state_timeout + HELD_SLACK,
             "{class}: released after {after} ms"
         );
     }
@@ -125,7 +125,7 @@
         }
         let after = bench.now - since;
         assert!(
-            after <= settings().policy.release + HELD_SLACK,
+            after <= settings().policy.kv_state_timeout + HELD_SLACK,
             "not released after {after} ms"
         );
         go_on(&mut bench, &busy, &mut position);
@@ -311,7 +311,7 @@
     let (after, decode) = until_state_is_taken(&mut bench, 1);
     assert!(decode.is_none(), "{decode:?}");
     assert!(
-        after <= settings().policy.release + HELD_SLACK,
+        after <= settings().policy.kv_state_timeout + HELD_SLACK,
         "released after {after} ms"
     );
 }
@@ -338,7 +338,7 @@
     while releases_of(1, &bench.pass(5.0)).is_empty() {
         let after = bench.now - since;
         assert!(
-            after <= settings().policy.release,
+            after <= settings().policy.kv_state_timeout,
             "not released {after} ms after its engine was back"
         );
     }
@@ -357,7 +357,7 @@
             break;
         }
     }
-    let out = bench.pass(settings().policy.release + HELD_SLACK);
+    let out = bench.pass(settings().policy.kv_state_timeout + HELD_SLACK);
     assert!((1..=2).contains(&releases_of(1, &out).len()), "once more");
     let out = bench.pass(20_000.0);
     assert_eq!(
@@ -393,7 +393,7 @@
                 continue;
             }
             let (after, _) = until_state_is_taken(&mut bench, 1);
-            let most = settings().policy.release + HELD_SLACK;
+            let most = settings().policy.kv_state_timeout + HELD_SLACK;
             assert!(
                 after <= most,
                 "{class}, {runs}, {accept}: taken or released after {after} ms"
@@ -432,7 +432,7 @@
     {
         let after = bench.now - since;
         assert!(
-            after <= settings().policy.release + HELD_SLACK,
+            after <= settings().policy.kv_state_timeout + HELD_SLACK,
             "not released after {after} ms"
         );
         out = bench.pass(5.0);
@@ -447,7 +447,7 @@
     decoding(&mut bench, 1, "proof");
     let (after, _) = until_state_is_taken(&mut bench, 1);
     assert!(
-        after <= settings().policy.release + HELD_SLACK,
+        after <= settings().policy.kv_state_timeout + HELD_SLACK,
         "released after {after} ms"
     );
 }
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -61,16 +61,17 @@
 
 /// The service that all drawn days share.
 pub fn service() -> Service {
-    let request_class = |retry_safety, quoted, patience, payoff| RequestClassSettings {
-        retry_safety,
-        quoted,
-        quoted_per_1000_tokens: 60.0,
-        patience,
-        payoff,
-        late_share: 0.2,
-        token_pace: 60.0,
-        streams: true,
-    };
+    let request_class =
+        |retry_safety, latency_objective, time_to_deadline, priority_weight| RequestClassSettings {
+            retry_safety,
+            latency_objective,
+            latency_objective_per_1000_tokens: 60.0,
+            time_to_deadline,
+            priority_weight,
+            late_value_share: 0.2,
+            token_pace: 60.0,
+            streams: true,
+        };
     let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
     let policy = Settings {
         me: DispatcherId(0),
@@ -91,7 +92,7 @@
             ),
         ],
         tenants: vec![],
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         kinds: [Role::Prefill, Role::Decode]
             .map(|role| KindSettings {
                 role,
@@ -99,23 +100,23 @@
             })
             .to_vec(),
         discovery: Discovery::Pushed,
-        release: RELEASE,
+        kv_state_timeout: RELEASE,
         decode_engines_prefill: false,
-        may_hold_ahead: false,
+        may_reserve: false,
         may_cancel: true,
-        may_copy: false,
-        may_probe: true,
-        may_tell: false,
-        clients_hear_retry: true,
+        may_hedge: false,
+        may_health_check: true,
+        may_gossip: false,
+        clients_honor_retry_after: true,
         max_retry_after: 2000.0,
         max_attempts: 4,
         connect_timeout: CONNECT,
         drain_grace: DRAIN_GRACE,
         answer_grace: 50.0,
-        fall_multiple: 4.0,
-        fall_window: 1000.0,
-        start_capacity: 0.3,
-        ramp: 3000.0,
+        overload_multiple: 4.0,
+        overload_window: 1000.0,
+        cold_capacity: 0.3,
+        slow_start_window: 3000.0,
     };
     let limits = Limits {
         max_open_requests: 1000,
@@ -230,8 +231,8 @@
         read_per_s: draw.between(30_000.0, 60_000.0),
         token_ms: whole(draw.between(8.0, 20.0)),
         fetch_per_s: 3e5,
-        start_share: service.policy.start_capacity,
-        ramp: service.policy.ramp,
+        start_share: service.policy.cold_capacity,
+        slow_start_window: service.policy.slow_start_window,
         hold: 4.0 * RELEASE,
         report_age: 200.0,
         report_noise: 0.1,
@@ -248,13 +249,14 @@
         request_class: name.clone(),
         share: 1.0,
         again_always: request_class.retry_safety == RetrySafety::Idempotent,
-        quoted: request_class.quoted + request_class.quoted_per_1000_tokens * 0.4,
-        patience: request_class.patience,
+        latency_objective: request_class.latency_objective
+            + request_class.latency_objective_per_1000_tokens * 0.4,
+        time_to_deadline: request_class.time_to_deadline,
         prompt_tokens: (400, 400),
         shared_tokens: 200,
         shared_texts: 4,
         max_tokens: 10,
-        payoff: request_class.payoff,
+        priority_weight: request_class.priority_weight,
     });
     Habits {
         traffic: traffic.collect(),
@@ -275,12 +277,12 @@
     let request_class = (draw.share() * service.request_classes.len() as f64) as usize
         % service.request_classes.len();
     let prompt_tokens = draw.between(100.0, 700.0) as u32;
-    let patience = service.policy.request_classes[request_class].patience;
+    let time_to_deadline = service.policy.request_classes[request_class].time_to_deadline;
     // Some clients wait for little, and some leave early.
-    let patience = if draw.chance(0.1) {
+    let time_to_deadline = if draw.chance(0.1) {
         whole(draw.between(30.0, 600.0))
     } else {
-        patience
+        time_to_deadline
     };
     let leaves = draw.chance(0.08).then(|| whole(draw.between(1.0, 400.0)));
     Planned {
@@ -292,7 +294,7 @@
         shared_tokens: prompt_tokens.min(80),
         prompt_tokens,
         max_tokens: draw.between(2.0, 16.0) as u32,
-        patience,
+        time_to_deadline,
         leaves,
         seed: draw.rng.generate(),
     }
@@ -315,8 +317,8 @@
         after(other.at, DRAIN_GRACE),
         request.at,
         after(request.at, 20.0),
-        after(request.at, request.patience - 2.0 * TICK),
-        after(request.at, request.patience),
+        after(request.at, request.time_to_deadline - 2.0 * TICK),
+        after(request.at, request.time_to_deadline),
     ];
     let at = *draw.pick(&matters) + *draw.pick(&[0.0, 0.0, 1.0, -1.0, TICK]);
     whole(at.min(shape.busy))
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -459,9 +459,9 @@
             }
             engine.trouble(|t| t.draining = false);
             feed.change(engine.line(v1::EndpointStatus::Ready));
-            let ramp = around.release.day.service.policy.ramp;
+            let slow_start_window = around.release.day.service.policy.slow_start_window;
             if let Some(standing) = around.engines.borrow_mut().get_mut(engine.name()) {
-                standing.ready_at = around.seen.borrow().now() + ramp;
+                standing.ready_at = around.seen.borrow().now() + slow_start_window;
             }
         });
     }
--- a/crates/faults/src/duties/draw_release.rs
+++ b/crates/faults/src/duties/draw_release.rs
@@ -50,7 +50,7 @@
         wrong_label: None,
         used: 0.4,
         jump: None,
-        ramp: 500.0,
+        slow_start_window: 500.0,
         shrinks: None,
     });
     plan
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -65,7 +65,7 @@
     pub used: f64,
     pub jump: Option<(Ms, f64)>,
     /// Engines cold for so long after their start.
-    pub ramp: Ms,
+    pub slow_start_window: Ms,
     /// These leave for good at a time.
     pub shrinks: Option<(Ms, Vec<usize>)>,
 }
@@ -415,7 +415,7 @@
             if stand == Stand::Out && at < began {
                 return None;
             }
-            let cold = started.is_some_and(|at| seen < at + service.play.ramp);
+            let cold = started.is_some_and(|at| seen < at + service.play.slow_start_window);
             let stand = if stand == Stand::In && cold {
                 Stand::Coming
             } else {
@@ -669,7 +669,7 @@
         let Some(service) = &mut self.service else {
             return;
         };
-        let ramp = service.play.ramp;
+        let slow_start_window = service.play.slow_start_window;
         for (serving, is_in) in service.nodes.iter_mut().zip(states) {
             if is_in {
                 let wrong = serving.planned && serving.label != serving.wanted;
@@ -685,7 +685,7 @@
         }
         for engine in &mut service.engines {
             let (_, stand, started) = engine.now();
-            let cold = started.is_some_and(|at| now < at + ramp);
+            let cold = started.is_some_and(|at| now < at + slow_start_window);
             if stand == Stand::In && !cold {
                 (engine.out_since, engine.planned) = (None, false);
             } else {
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -85,7 +85,7 @@
     pub breaches: Vec<Breach>,
     /// Virtual milliseconds.
     pub length: Ms,
-    /// From the end of the last fault until all is served in its quoted time; none if there was nothing to see.
+    /// From the end of the last fault until all is served in its latency objective time; none if there was nothing to see.
     pub recovery: Option<Ms>,
     /// Kinds of steps met, and how often.
     pub met: BTreeMap<String, u64>,
@@ -297,7 +297,7 @@
         .engines
         .iter()
         .map(|h| h.hold)
-        .fold(day.service.policy.release, f64::max);
+        .fold(day.service.policy.kv_state_timeout, f64::max);
     clock.sleep_until(clock.now() + holds + SLACK).await;
     watching.abort();
     let mut breaches = Vec::new();
@@ -412,7 +412,7 @@
     }
 }
 
-/// With all faults over, requests that all can be served are sent until ten in a row come in their quoted time.
+/// With all faults over, requests that all can be served are sent until ten in a row come in their latency objective time.
 /// Gives how long after `since` the first of those was sent.
 async fn recover(day: &Day, world: &Virtual, since: Ms, addresses: &[String]) -> Option<Ms> {
     let clock = world.fleet.clock;
@@ -440,14 +440,16 @@
             session: 1000 + n,
             prompt_tokens: 100,
             max_tokens: 3,
-            patience_ms: traffic.patience,
+            time_to_deadline_ms: traffic.time_to_deadline,
             key: format!("{PROBE_KEY}-{n}"),
             ..v1::Submit::default()
         };
         let first = Cell::new(None);
         let see = |_: &v1::Tokens| first.set(first.get().or(Some(clock.now())));
         let end = ports[n as usize % ports.len()].run(submit, None, see).await;
-        let in_time = first.get().is_some_and(|at| at - now <= traffic.quoted);
+        let in_time = first
+            .get()
+            .is_some_and(|at| at - now <= traffic.latency_objective);
         if end == Ended::Fulfilled && in_time {
             good += 1;
         } else {
@@ -512,7 +514,7 @@
         })
     };
     match body {
-        Body::Submit(m) => format!("submit {} (patience {:.0})", m.key, m.patience_ms),
+        Body::Submit(m) => format!("submit {} (patience {:.0})", m.key, m.time_to_deadline_ms),
         Body::Accepted(m) => format!("accepted as {}", m.request),
         Body::Tokens(m) => format!("token {}", m.position),
         Body::Final(m) => format!("{:?} {}", m.answer(), m.reason),
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -162,13 +162,13 @@
         return greet(&shared, &greeted, hello, respond).await;
     }
     if let (Body::Submit(submit), Some(timeout)) = (&mut body, timeout) {
-        // The call's deadline is the client's patience.
-        let asked = if submit.patience_ms > 0.0 {
-            submit.patience_ms
+        // The call's deadline is the client's time to deadline.
+        let asked = if submit.time_to_deadline_ms > 0.0 {
+            submit.time_to_deadline_ms
         } else {
             f64::INFINITY
         };
-        submit.patience_ms = asked.min(timeout);
+        submit.time_to_deadline_ms = asked.min(timeout);
     }
     meet(
         &greeted,
--- a/crates/grpc/tests/session.rs
+++ b/crates/grpc/tests/session.rs
@@ -62,7 +62,7 @@
 fn submit() -> Body {
     Body::Submit(v1::Submit {
         request_class: "p".to_owned(),
-        patience_ms: 5.0,
+        time_to_deadline_ms: 5.0,
         ..v1::Submit::default()
     })
 }
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -177,7 +177,7 @@
             origin.id
         );
         if wait_ms > 0.0 {
-            head += &format!("{}: {}\r\n", words::PATIENCE, wait_ms.floor());
+            head += &format!("{}: {}\r\n", words::TIME_TO_DEADLINE, wait_ms.floor());
         }
         let mut head = head.into_bytes();
         for header in origin.headers {
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -220,8 +220,9 @@
             Kind::Ready => Asks::Ready,
             Kind::Submit => {
                 let mut submit = submit(&head, body.freeze()).map_err(Last::Refused)?;
-                if submit.patience_ms > 0.0 {
-                    submit.patience_ms = (submit.patience_ms - waited_ms).max(NO_TIME_MS);
+                if submit.time_to_deadline_ms > 0.0 {
+                    submit.time_to_deadline_ms =
+                        (submit.time_to_deadline_ms - waited_ms).max(NO_TIME_MS);
                 }
                 Asks::Submit(Box::new(submit))
             }
@@ -455,8 +456,9 @@
         .text(words::ID)
         .filter(|id| words::is_id(id))
         .ok_or_else(|| bad("no id, or none that can be one"))?;
-    let patience = head.get(words::PATIENCE).and_then(words::whole);
-    let patience = patience.ok_or_else(|| bad("no time to wait, or none that can be one"))?;
+    let time_to_deadline = head.get(words::TIME_TO_DEADLINE).and_then(words::whole);
+    let time_to_deadline =
+        time_to_deadline.ok_or_else(|| bad("no time to wait, or none that can be one"))?;
     let request_class = head.text(words::REQUEST_CLASS).unwrap_or_default();
     let mut labels = Labels::default();
     if let Some(text) = head.text(words::LABELS) {
@@ -468,7 +470,7 @@
     let resent = head.text(words::RETRIED);
     // These two are the dispatcher's own to say.
     let ours = |name: &str| {
-        [words::ID, words::PATIENCE]
+        [words::ID, words::TIME_TO_DEADLINE]
             .iter()
             .any(|ours| ours.eq_ignore_ascii_case(name))
     };
@@ -485,7 +487,7 @@
         prompt_tokens,
         shared_tokens: labels.shared_tokens.unwrap_or(0).min(prompt_tokens),
         max_tokens: labels.max_tokens.unwrap_or(guessed).max(1),
-        patience_ms: f64::from(patience),
+        time_to_deadline_ms: f64::from(time_to_deadline),
         retried: resent == Some(words::TRIED_BEFORE),
         resumed: resent == Some(words::FOR_THE_REST),
         key: String::new(),
--- a/crates/http1/src/words.rs
+++ b/crates/http1/src/words.rs
@@ -6,7 +6,7 @@
 pub const TENANT: &str = "X-Org";
 pub const SESSION: &str = "X-Entity";
 /// Whole milliseconds.
-pub const PATIENCE: &str = "X-Remaining-Ms";
+pub const TIME_TO_DEADLINE: &str = "X-Remaining-Ms";
 pub const RETRIED: &str = "X-Resent";
 /// `name=value`, separated by commas: `SHARED` in hex, the others in tokens.
 pub const LABELS: &str = "X-Labels";
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -127,7 +127,7 @@
             };
             assert_eq!(at, stream);
             assert_eq!(
-                (submit.request_class.as_str(), submit.patience_ms),
+                (submit.request_class.as_str(), submit.time_to_deadline_ms),
                 ("chat", 4800.0)
             );
             assert_eq!(
@@ -483,12 +483,12 @@
 fn the_time_for_which_a_request_waited_behind_an_open_one_is_taken_off_its_deadline() {
     run(async {
         let (mut io, mut session) = client(&Http1::new(BOUNDS)).await;
-        let patience = |body: Option<(u64, Body)>| match body {
-            Some((_, Body::Submit(submit))) => submit.patience_ms,
+        let time_to_deadline = |body: Option<(u64, Body)>| match body {
+            Some((_, Body::Submit(submit))) => submit.time_to_deadline_ms,
             other => panic!("{other:?}"),
         };
         io.write_all(ask("{}").as_bytes()).await.expect("written");
-        assert_eq!(patience(body(&mut session).await), 4800.0);
+        assert_eq!(time_to_deadline(body(&mut session).await), 4800.0);
         tokio::time::sleep(Duration::from_millis(300)).await;
         // The second one comes in two parts, the third with the end of the second.
         let second = ask("{}").replace("9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42");
@@ -501,21 +501,21 @@
             .expect("written");
         tokio::time::sleep(Duration::from_millis(500)).await;
         session.out.send(frame(1, last(v1::Answer::Bounced, 0.0)));
-        let waited = 4800.0 - patience(body(&mut session).await);
+        let waited = 4800.0 - time_to_deadline(body(&mut session).await);
         assert!(
             (699.0..705.0).contains(&waited),
             "since its first byte: {waited}"
         );
         tokio::time::sleep(Duration::from_millis(100)).await;
         session.out.send(frame(2, last(v1::Answer::Bounced, 0.0)));
-        let waited = 4800.0 - patience(body(&mut session).await);
+        let waited = 4800.0 - time_to_deadline(body(&mut session).await);
         assert!((599.0..605.0).contains(&waited), "since it came: {waited}");
         session.out.send(frame(3, last(v1::Answer::Bounced, 0.0)));
         // One that comes when nothing is open has waited for nothing.
         let (mut io, mut session) = client(&Http1::new(BOUNDS)).await;
         tokio::time::sleep(Duration::from_millis(900)).await;
         io.write_all(ask("{}").as_bytes()).await.expect("written");
-        assert_eq!(patience(body(&mut session).await), 4800.0);
+        assert_eq!(time_to_deadline(body(&mut session).await), 4800.0);
     });
 }
 
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -359,7 +359,7 @@
         request_class: RequestClassId(parts.number("a class")?),
         tenant: parts.maybe_number("a tenant")?.map(TenantId),
         session: SessionId(parts.maybe_key("a session's key")?.unwrap_or(0)),
-        patience_left: parts.time("the time left")?,
+        time_to_deadline: parts.time("the time left")?,
         answer_hint: parts.maybe_number("a hint")?.map(ms),
         shared: parts
             .maybe_key("a shared beginning's key")?
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -12,9 +12,9 @@
 const RELEASE: Ms = 500.0;
 const CONNECT_TIMEOUT: Ms = 250.0;
 const COLD_FOR: Ms = 6_000.0;
-const FALL_MULTIPLE: f64 = 1.5;
-const FALL_WINDOW: Ms = 2_000.0;
-const START_CAPACITY: f64 = 0.32;
+const OVERLOAD_MULTIPLE: f64 = 1.5;
+const OVERLOAD_WINDOW: Ms = 2_000.0;
+const COLD_CAPACITY: f64 = 0.32;
 /// The part of an engine's capacity that the traffic asks for.
 const USED: f64 = 0.6;
 /// The rules' own extras on sockets: any time, what is held, and a process that is held up.
@@ -34,8 +34,9 @@
         gone_grace: 100.0,
         deadline_slack: 150.0,
         event_delay: 300.0,
-        slow_start_window: FALL_WINDOW,
-        slow_start_budget: FALL_MULTIPLE * START_CAPACITY * rate / USED * FALL_WINDOW / 1000.0,
+        slow_start_window: OVERLOAD_WINDOW,
+        slow_start_budget: OVERLOAD_MULTIPLE * COLD_CAPACITY * rate / USED * OVERLOAD_WINDOW
+            / 1000.0,
         cold_for: COLD_FOR,
         bad_client: 3_000.0,
         ready: 10_000.0,
@@ -70,7 +71,7 @@
         micros(CONNECT_TIMEOUT),
         micros(DRAIN_GRACE),
     );
-    let (window, ramp) = (micros(FALL_WINDOW), micros(COLD_FOR));
+    let (window, slow_start_window) = (micros(OVERLOAD_WINDOW), micros(COLD_FOR));
     let how = if *lists_are_asked_for {
         "subscribe"
     } else {
@@ -108,8 +109,8 @@
 "aimUsPer1000PromptTokens":[0.0,0.0,0.0],"tokenAim":[60000.0,60000.0,60000.0]}},
 "limits":{{"cancel":true,"connIdle":15000000,"connectTimeout":{connect},"maxAttempts":4,"mostHeld":20000,
 "probes":false,"retryAfter":false}},
-"rules":{{"askWithin":10000000,"drainGrace":{grace},"graceToAnswer":16000,"fallMultiple":{FALL_MULTIPLE},
-"overloadFor":{window},"startCapacity":{START_CAPACITY},"rampTime":{ramp}}},
+"rules":{{"askWithin":10000000,"drainGrace":{grace},"graceToAnswer":16000,"fallMultiple":{OVERLOAD_MULTIPLE},
+"overloadFor":{window},"startCapacity":{COLD_CAPACITY},"rampTime":{slow_start_window}}},
 "services":[{}]}}}}"#,
         ZONES[0],
         ZONES[1],
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -20,8 +20,8 @@
     pub answer_grace: Ms,
     pub drain_grace: Ms,
     pub release: Ms,
-    pub fall_multiple: f64,
-    pub fall_window: Ms,
+    pub overload_multiple: f64,
+    pub overload_window: Ms,
     /// For the way between a dispatcher and who saw it, and for a busy machine.
     pub slack: Ms,
     /// Spans in which connections may be dead without a word, and the time in which a dispatcher notices when it
@@ -122,7 +122,7 @@
 #[derive(Default)]
 struct Try {
     sent: Ms,
-    patience: Ms,
+    time_to_deadline: Ms,
     dispatcher: String,
     first: Option<Ms>,
     accepted: bool,
@@ -145,13 +145,13 @@
                 match (way, &frame.body) {
                     (Way::Out, Some(Body::Submit(submit))) => {
                         let dispatcher = record.peer.to_string();
-                        let (sent, patience) = (record.at, submit.patience_ms);
+                        let (sent, time_to_deadline) = (record.at, submit.time_to_deadline_ms);
                         open.entry(conn).or_default().push(frame.stream);
                         tries.insert(
                             id,
                             Try {
                                 sent,
-                                patience,
+                                time_to_deadline,
                                 dispatcher,
                                 ..Try::default()
                             },
@@ -199,7 +199,7 @@
             "{client}, connection {conn}, stream {stream}, sent at {:.0}",
             this.sent
         );
-        let ends = this.sent + this.patience;
+        let ends = this.sent + this.time_to_deadline;
         findings.cases.finals += this.finals.len();
         let killed = kills.get(&*this.dispatcher).is_some_and(|kills| {
             let by = |at: &Ms| {
@@ -421,7 +421,7 @@
         let What::Note(Note::Started {
             capacity,
             start_share,
-            ramp,
+            slow_start_window,
         }) = &record.what
         else {
             continue;
@@ -436,7 +436,7 @@
                 l.work
             }
         };
-        let until = record.at + ramp;
+        let until = record.at + slow_start_window;
         let here = attempts
             .iter()
             .filter(|l| l.engine == *record.seer && l.came >= record.at && l.came < until);
@@ -445,10 +445,11 @@
         for (at, last) in here.iter().enumerate() {
             let window = here[..=at]
                 .iter()
-                .filter(|l| l.came > last.came - rules.fall_window);
+                .filter(|l| l.came > last.came - rules.overload_window);
             let sent: f64 = window.map(|l| unit(l)).sum();
-            let share = start_share + (1.0 - start_share) * (last.came - record.at) / ramp;
-            let bound = rules.fall_multiple * capacity * share * rules.fall_window / 1000.0;
+            let share =
+                start_share + (1.0 - start_share) * (last.came - record.at) / slow_start_window;
+            let bound = rules.overload_multiple * capacity * share * rules.overload_window / 1000.0;
             if sent > bound + unit(last) {
                 let what = format!(
                     "{} was sent {sent:.1} units where {bound:.1} push it over",
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: open-loop arrivals from a seed, sessions with shared texts, patience, leaving early, and retries as
+//! Clients: open-loop arrivals from a seed, sessions with shared texts, time to deadline, leaving early, and retries as
 //! the request class allows.
 
 use crate::transcript::{Note, Transcript, Way, What};
@@ -22,13 +22,13 @@
     pub share: f64,
     /// Whether a client may ask again whatever came of a try; else only after a bounce, or if nothing went out.
     pub again_always: bool,
-    pub quoted: Ms,
-    pub patience: Ms,
+    pub latency_objective: Ms,
+    pub time_to_deadline: Ms,
     pub prompt_tokens: (u32, u32),
     pub shared_tokens: u32,
     pub shared_texts: u64,
     pub max_tokens: u32,
-    pub payoff: f64,
+    pub priority_weight: f64,
 }
 
 /// How much longer than it said a client waits for an answer that should have come.
@@ -45,7 +45,7 @@
     /// Tries after the first.
     pub retries: u32,
     pub retry_after: Ms,
-    /// The share that leaves early, at any time before its patience ends.
+    /// The share that leaves early, at any time before its time to deadline ends.
     pub leaves: f64,
     /// Connections to each dispatcher.
     pub connections: usize,
@@ -67,7 +67,7 @@
     pub shared_tokens: u32,
     pub prompt_tokens: u32,
     pub max_tokens: u32,
-    pub patience: Ms,
+    pub time_to_deadline: Ms,
     /// The client leaves so long after a try, if that is not over by then.
     pub leaves: Option<Ms>,
     /// Starts the chance in where it is sent and how long the client waits between tries.
@@ -80,7 +80,7 @@
     pub requests: u64,
     pub tries: u64,
     pub fulfilled: u64,
-    /// Fulfilled, and the first token came within the quoted time of the first try's instant.
+    /// Fulfilled, and the first token came within the latency objective time of the first try's instant.
     pub in_time: u64,
     pub bounced: u64,
     pub written_off: u64,
@@ -295,8 +295,8 @@
     ) -> End {
         // A client does not wait for ever, whatever became of the other side: for a first token as long as it
         // said, for each further one as long again.
-        let patience = submit.patience_ms + GIVES_UP;
-        let mut until = self.clock.now() + patience;
+        let time_to_deadline = submit.time_to_deadline_ms + GIVES_UP;
+        let mut until = self.clock.now() + time_to_deadline;
         let opened = tokio::select! { biased;
             opened = self.open(Body::Submit(submit)) => opened,
             () = self.clock.sleep_until(until) => None,
@@ -316,7 +316,7 @@
             match next {
                 None => break End::Cut,
                 Some(Body::Tokens(tokens)) => {
-                    until = self.clock.now() + patience;
+                    until = self.clock.now() + time_to_deadline;
                     see(&tokens);
                 }
                 Some(Body::Goodbye(v1::Goodbye {
@@ -517,7 +517,7 @@
             .cloned()
             .unwrap_or_default();
         let leaves = share(&mut rng) < self.habits.leaves;
-        let leaves = leaves.then(|| share(&mut rng) * traffic.patience);
+        let leaves = leaves.then(|| share(&mut rng) * traffic.time_to_deadline);
         let planned = Planned {
             at: 0.0,
             request_class: traffic.request_class.clone(),
@@ -527,7 +527,7 @@
             shared_tokens: traffic.shared_tokens.min(prompt_tokens),
             prompt_tokens,
             max_tokens: traffic.max_tokens,
-            patience: traffic.patience,
+            time_to_deadline: traffic.time_to_deadline,
             leaves,
             seed: rng.generate(),
         };
@@ -551,7 +551,7 @@
             prompt_tokens: planned.prompt_tokens,
             shared_tokens: planned.shared_tokens,
             max_tokens: planned.max_tokens,
-            patience_ms: planned.patience,
+            time_to_deadline_ms: planned.time_to_deadline,
             retried: false,
             resumed: false,
             key: format!("{}-{number}", traffic.request_class),
@@ -562,9 +562,9 @@
         self.tally(traffic, |t| t.requests += 1);
         for attempt in 0..=self.habits.retries {
             let now = self.clock.now();
-            // What is left of the client's patience; a first token ends its running.
-            let patience = planned.patience - (now - asked);
-            if patience < 0.1 * planned.patience {
+            // What is left of the client's time to deadline; a first token ends its running.
+            let time_to_deadline = planned.time_to_deadline - (now - asked);
+            if time_to_deadline < 0.1 * planned.time_to_deadline {
                 return;
             }
             let leave_at = planned.leaves.map(|after| now + after);
@@ -572,7 +572,7 @@
             let port = &ports[rng.generate::<u64>() as usize % ports.len()];
             let submit = v1::Submit {
                 retried: attempt > 0,
-                patience_ms: patience,
+                time_to_deadline_ms: time_to_deadline,
                 ..submit.clone()
             };
             let mut seen = Seen {
@@ -597,7 +597,9 @@
                 match &end {
                     End::Fulfilled => {
                         t.fulfilled += 1;
-                        t.in_time += u64::from(first.is_some_and(|f| f - asked <= traffic.quoted));
+                        t.in_time += u64::from(
+                            first.is_some_and(|f| f - asked <= traffic.latency_objective),
+                        );
                     }
                     End::Bounced { .. } => t.bounced += 1,
                     End::WrittenOff => t.written_off += 1,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -39,7 +39,7 @@
     pub token_ms: Ms,
     pub fetch_per_s: f64,
     pub start_share: f64,
-    pub ramp: Ms,
+    pub slow_start_window: Ms,
     /// How long a prefill engine holds a state that nobody asks for.
     pub hold: Ms,
     /// How old a load report is, and by what share it errs.
@@ -203,14 +203,14 @@
             } else {
                 spec.slots as f64
             };
-            let (start_share, ramp) = (spec.start_share, spec.ramp);
+            let (start_share, slow_start_window) = (spec.start_share, spec.slow_start_window);
             self.inner.transcript.note(
                 self.now(),
                 &self.inner.me,
                 Note::Started {
                     capacity,
                     start_share,
-                    ramp,
+                    slow_start_window,
                 },
             );
         }
@@ -344,7 +344,7 @@
         } else {
             self.now() - self.inner.started.get().unwrap_or(0.0)
         };
-        let part = (age / spec.ramp).clamp(0.0, 1.0);
+        let part = (age / spec.slow_start_window).clamp(0.0, 1.0);
         (spec.start_share + (1.0 - spec.start_share) * part)
             / self.inner.live.borrow().troubles.slow
     }
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -21,7 +21,8 @@
     Started {
         capacity: f64,
         start_share: f64,
-        ramp: Ms,
+        #[serde(rename = "ramp")]
+        slow_start_window: Ms,
     },
     Died,
     /// A dispatcher's process is kept from running from now on, and runs again.
@@ -57,9 +58,9 @@
             Note::Started {
                 capacity,
                 start_share,
-                ramp,
+                slow_start_window,
             } => {
-                format!("Started {{ capacity: {capacity:?}, start_share: {start_share:?}, ramp: {ramp:?} }}")
+                format!("Started {{ capacity: {capacity:?}, start_share: {start_share:?}, ramp: {slow_start_window:?} }}")
             }
             Note::Died => "Died".to_owned(),
             Note::Asleep => "Asleep".to_owned(),
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -12,8 +12,8 @@
         answer_grace: 20.0,
         drain_grace: 500.0,
         release: 500.0,
-        fall_multiple: 4.0,
-        fall_window: 1000.0,
+        overload_multiple: 4.0,
+        overload_window: 1000.0,
         slack: 100.0,
         silences: Vec::new(),
         apart: Vec::new(),
@@ -106,14 +106,14 @@
     let submit = v1::Submit {
         request_class: "proof".to_owned(),
         key: "k1".to_owned(),
-        patience_ms: 1000.0,
+        time_to_deadline_ms: 1000.0,
         ..v1::Submit::default()
     };
     story.frame(0.0, FEED, Way::Out, 1, listed(v1::EndpointStatus::Ready));
     let started = Note::Started {
         capacity: 2.0,
         start_share: 0.25,
-        ramp: 5000.0,
+        slow_start_window: 5000.0,
     };
     story.note(0.0, ("w", 0), started);
     story.frame(10.0, CLIENT, Way::Out, 1, Body::Submit(submit));
@@ -416,7 +416,7 @@
     let mut story = good();
     let submit = v1::Submit {
         key: "k2".to_owned(),
-        patience_ms: 5000.0,
+        time_to_deadline_ms: 5000.0,
         ..v1::Submit::default()
     };
     story.frame(50.0, CLIENT, Way::Out, 2, Body::Submit(submit));
@@ -450,7 +450,7 @@
     let mut story = gone_before_an_attempt(500.0);
     let submit = v1::Submit {
         key: "k2".to_owned(),
-        patience_ms: 5000.0,
+        time_to_deadline_ms: 5000.0,
         ..v1::Submit::default()
     };
     story.frame(400.0, CLIENT, Way::Out, 3, Body::Submit(submit));
@@ -463,7 +463,7 @@
     let mut story = Story::default();
     let submit = v1::Submit {
         key: "k2".to_owned(),
-        patience_ms: 5000.0,
+        time_to_deadline_ms: 5000.0,
         ..v1::Submit::default()
     };
     story.frame(10.0, CLIENT, Way::Out, 2, Body::Submit(submit));
@@ -530,7 +530,7 @@
             key,
             session,
             prompt_tokens,
-            patience_ms: 1000.0,
+            time_to_deadline_ms: 1000.0,
             ..v1::Submit::default()
         };
         story.frame(at, CLIENT, Way::Out, stream, Body::Submit(submit));
--- a/src/bounds.rs
+++ b/src/bounds.rs
@@ -127,8 +127,8 @@
                     answer.min(given.connect_timeout),
                 )
             }
-            Discovery::Asked { told_within } => {
-                let told = told_within.min(TOLD_WITHIN);
+            Discovery::Polled { notified_within } => {
+                let told = notified_within.min(TOLD_WITHIN);
                 (
                     ASKED_WAIT * told,
                     ASKED_ANSWER * told,
@@ -143,7 +143,7 @@
             quiet: feed_wait + answer,
             again_first: AGAIN_FIRST * answer,
             again_most: answer,
-            resumes: matches!(given.discovery, Discovery::Asked { .. }),
+            resumes: matches!(given.discovery, Discovery::Polled { .. }),
         };
         (share > 0).then(|| Allowed {
             clients: CLIENTS,
--- a/src/control.rs
+++ b/src/control.rs
@@ -29,11 +29,11 @@
 const RETRY_SHARE: f64 = 0.1;
 /// How often the wait after a 'full' is doubled, at the most.
 const FULLS_MOST: i32 = 5;
-/// Own final answers come this many ticks before patience ends.
+/// Own final answers come this many ticks before time to deadline ends.
 const END_TICKS: f64 = 2.0;
-/// A request that no prefill engine has taken by this share of its quoted time is bounced: the answer would come late.
+/// A request that no prefill engine has taken by this share of its latency objective time is bounced: the answer would come late.
 const HELD_SHARE: f64 = 0.4;
-/// A read, or a first token, that takes more than this share of the shortest quoted time waited in a queue.
+/// A read, or a first token, that takes more than this share of the shortest latency objective time waited in a queue.
 const QUEUED: f64 = 0.3;
 /// Launches out at a prefill engine and at a decode engine to start with, for all dispatchers; a limit's cut on a queue.
 const READS_START: f64 = 12.0;
@@ -45,7 +45,7 @@
 const STREAMS_GROW: f64 = 3.0;
 /// Part of the cold budget that is used, the rest being for what one dispatcher cannot see.
 const COLD_MARGIN: f64 = 0.8;
-/// In shortest quoted times: how long a read waits for probes; for how long an attempt's answer, or a report,
+/// In shortest latency objective times: how long a read waits for probes; for how long an attempt's answer, or a report,
 /// stands in for a probe; how fast a report grows stale.
 const LOOK: f64 = 0.03;
 const HEARD: f64 = 2.0;
@@ -109,8 +109,8 @@
 
 struct RequestClass {
     retry_safety: RetrySafety,
-    quoted: Ms,
-    quoted_per_token: Ms,
+    latency_objective: Ms,
+    latency_objective_per_token: Ms,
 }
 
 #[derive(Default)]
@@ -138,10 +138,10 @@
 #[derive(Default)]
 struct Request {
     arrival: Arrival,
-    /// When a read must be out for the answer to come within the quoted time.
+    /// When a read must be out for the answer to come within the latency objective time.
     read_by: Ms,
     ends: Ms,
-    /// The shortest quoted time of all request classes, for a prompt of this length: the measure of queues.
+    /// The shortest latency objective time of all request classes, for a prompt of this length: the measure of queues.
     allowed: Ms,
     attempts: u32,
     out: Option<Out>,
@@ -155,7 +155,7 @@
     /// The first attempt that may have run: where and when.
     may_have_run: Option<(Slot, Ms)>,
     over: bool,
-    over_share: bool,
+    over_quota: bool,
     want: Want,
     want_cancel: bool,
     want_release: bool,
@@ -167,9 +167,9 @@
     settings: Settings,
     tracks_deliveries: bool,
     request_classes: Vec<RequestClass>,
-    /// The shortest quoted time, and what a prompt token adds to it.
-    quoted_least: Ms,
-    quoted_per_token: Ms,
+    /// The shortest latency objective time, and what a prompt token adds to it.
+    shortest_latency_objective: Ms,
+    latency_objective_per_token: Ms,
     rng: WyRand,
     now: Ms,
     engines: Engines,
@@ -192,26 +192,26 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let row = |p: &RequestClassSettings| RequestClass {
             retry_safety: p.retry_safety,
-            quoted: p.quoted,
-            quoted_per_token: p.quoted_per_1000_tokens / 1000.0,
+            latency_objective: p.latency_objective,
+            latency_objective_per_token: p.latency_objective_per_1000_tokens / 1000.0,
         };
         let request_classes: Vec<RequestClass> = settings.request_classes.iter().map(row).collect();
-        let quoted_least = request_classes
+        let shortest_latency_objective = request_classes
             .iter()
-            .map(|row| row.quoted)
+            .map(|row| row.latency_objective)
             .fold(f64::INFINITY, f64::min);
         Control {
-            quoted_least,
-            quoted_per_token: request_classes
+            shortest_latency_objective,
+            latency_objective_per_token: request_classes
                 .iter()
-                .map(|row| row.quoted_per_token)
+                .map(|row| row.latency_objective_per_token)
                 .fold(0.0, f64::max),
             request_classes,
             rng: WyRand::new_seed(seed),
             now: 0.0,
             engines: Engines {
                 dispatchers: f64::from(settings.dispatchers.max(1)),
-                stale: STALE * quoted_least,
+                stale: STALE * shortest_latency_objective,
                 ..Engines::default()
             },
             requests: BTreeMap::new(),
@@ -358,38 +358,42 @@
     }
 
     fn learn_arrival(&mut self, arrival: &Arrival) {
-        let over_share = self.over_share(arrival.tenant);
+        let over_quota = self.over_quota(arrival.tenant);
         let Some(row) = self.request_classes.get(arrival.request_class.0 as usize) else {
             return;
         };
         let request = Request {
-            over_share,
+            over_quota,
             read_by: self.now
-                + HELD_SHARE * (row.quoted + row.quoted_per_token * arrival.prompt_tokens),
-            ends: self.now + arrival.patience_left - END_TICKS * self.settings.tick,
-            allowed: self.quoted_least + self.quoted_per_token * arrival.prompt_tokens,
+                + HELD_SHARE
+                    * (row.latency_objective
+                        + row.latency_objective_per_token * arrival.prompt_tokens),
+            ends: self.now + arrival.time_to_deadline - END_TICKS * self.settings.tick,
+            allowed: self.shortest_latency_objective
+                + self.latency_objective_per_token * arrival.prompt_tokens,
             arrival: arrival.clone(),
             idle_since: self.now,
             ..Request::default()
         };
         self.requests.insert(arrival.request, request);
         self.queue.awake.insert(arrival.request);
-        self.arriving.note(1.0, self.now, self.settings.ramp);
-        let oldest = self.now - self.settings.fall_window;
+        self.arriving
+            .note(1.0, self.now, self.settings.slow_start_window);
+        let oldest = self.now - self.settings.overload_window;
         self.arrived.push_back(self.now);
         while self.arrived.pop_front_if(|at| *at <= oldest).is_some() {}
     }
 
     /// Whether a tenant sends more than its share, as far as one dispatcher's part of its requests tells.
-    fn over_share(&mut self, tenant: Option<TenantId>) -> bool {
+    fn over_quota(&mut self, tenant: Option<TenantId>) -> bool {
         let Some(at) = tenant.map(|t| t.0 as usize) else {
             return false;
         };
         let Some(sent) = self.tenants.get_mut(at) else {
             return false;
         };
-        sent.note(1.0, self.now, self.settings.ramp);
-        1000.0 * sent.rate * self.engines.dispatchers > self.settings.tenants[at].allowance_per_s
+        sent.note(1.0, self.now, self.settings.slow_start_window);
+        1000.0 * sent.rate * self.engines.dispatchers > self.settings.tenants[at].quota_per_second
     }
 
     fn learn_end(&mut self, ended: &Ended) {
@@ -452,8 +456,9 @@
             Outcome::Full => {
                 request.tried.push(slot);
                 // Guards against an engine that turns all away: it always looks as if it had room.
-                let wait =
-                    RETRY_SHARE * self.settings.release * 2.0_f64.powi(self.engines.fulls[slot]);
+                let wait = RETRY_SHARE
+                    * self.settings.kv_state_timeout
+                    * 2.0_f64.powi(self.engines.fulls[slot]);
                 self.engines.full_until[slot] = self.now + wait;
                 self.engines.fulls[slot] = (self.engines.fulls[slot] + 1).min(FULLS_MOST);
             }
@@ -472,7 +477,7 @@
             t.attempts == 0 && !self.engines.ready(true).any(|s| cheap(s, &t.arrival))
         };
         let turn = |(id, t): (&RequestId, &Request)| {
-            (t.over_share, dear(t), (1000.0 * t.read_by) as i64, *id)
+            (t.over_quota, dear(t), (1000.0 * t.read_by) as i64, *id)
         };
         let awake = self
             .queue
@@ -528,8 +533,9 @@
         request.want_release = request
             .state
             .is_some_and(|s| self.engines.listed[s].condition == Condition::Gone);
-        let look_again = (RETRY_SHARE * self.settings.release).max(self.settings.tick);
-        let lies = self.now + look_again - request.idle_since > HOLD_SHARE * self.settings.release;
+        let look_again = (RETRY_SHARE * self.settings.kv_state_timeout).max(self.settings.tick);
+        let lies = self.now + look_again - request.idle_since
+            > HOLD_SHARE * self.settings.kv_state_timeout;
         let target = match request.state.filter(|_| !request.want_release) {
             _ if left == 0 => return self.give_up(request),
             Some(_) if lies => return self.give_up(request),
@@ -551,7 +557,9 @@
         }
         // Guards against a jam of held requests that takes all the processor's time: they are not planned at
         // every step.
-        if request.state.is_none() && self.now >= request.idle_since + LOOK * self.quoted_least {
+        if request.state.is_none()
+            && self.now >= request.idle_since + LOOK * self.shortest_latency_objective
+        {
             request.look_at = self.now + look_again;
         }
         self.wake_at(self.now + look_again);
@@ -626,7 +634,7 @@
 
     /// Whether to wait for probes before a read: the home and the session's next are asked.
     fn look(&mut self, request: &Request) -> bool {
-        let until = request.idle_since + LOOK * self.quoted_least;
+        let until = request.idle_since + LOOK * self.shortest_latency_objective;
         let mut homes = self.homes(&request.arrival, &self.pool(request, true));
         homes.truncate(2);
         let out = self.now < until && self.ask(&homes);
@@ -639,14 +647,15 @@
     /// Wants probes of engines of which nothing was heard lately; tells whether one is out.
     fn ask(&mut self, engines: &[Slot]) -> bool {
         let mut any_out = false;
-        for &slot in engines.iter().filter(|_| self.settings.may_probe) {
+        for &slot in engines.iter().filter(|_| self.settings.may_health_check) {
             let asked = self.engines.asked_at[slot];
             let known = self.now - asked.max(self.engines.reported_at[slot])
-                < FRESH * self.quoted_least
-                || self.now - self.engines.heard[slot] < HEARD * self.quoted_least
+                < FRESH * self.shortest_latency_objective
+                || self.now - self.engines.heard[slot] < HEARD * self.shortest_latency_objective
                 || self.engines.streams[slot] > ABOVE_AVERAGE;
-            let out =
-                asked > self.engines.answered_at[slot].max(self.now - HEARD * self.quoted_least);
+            let out = asked
+                > self.engines.answered_at[slot]
+                    .max(self.now - HEARD * self.shortest_latency_objective);
             if !out && !known {
                 self.engines.asked_at[slot] = self.now;
                 self.wanted_probes.push(slot);
@@ -781,13 +790,14 @@
     }
 
     fn is_cold(&self, slot: Slot) -> bool {
-        self.now < self.engines.started[slot] + self.settings.ramp
+        self.now < self.engines.started[slot] + self.settings.slow_start_window
     }
 
     /// A fresh engine counts for less, by its age.
     fn age_weight(&self, slot: Slot) -> f64 {
-        let age = ((self.now - self.engines.started[slot]) / self.settings.ramp).clamp(0.0, 1.0);
-        self.settings.start_capacity + (1.0 - self.settings.start_capacity) * age
+        let age = ((self.now - self.engines.started[slot]) / self.settings.slow_start_window)
+            .clamp(0.0, 1.0);
+        self.settings.cold_capacity + (1.0 - self.settings.cold_capacity) * age
     }
 
     /// Guards against pushing a cold engine over: the attempts it may get in any fall window. Warm engines show
@@ -795,12 +805,12 @@
     /// that, scaled by start capacity and fall multiple, less a margin. Each dispatcher scales by its own
     /// traffic, however it is spread, so together they stay under. Who saw no warm engine goes by arrivals.
     fn cold_budget(&self, reading: bool) -> f64 {
-        let window = self.settings.fall_window;
+        let window = self.settings.overload_window;
         let borne = match self.borne[usize::from(reading)].rate {
             0.0 => self.arriving.rate / self.engines.ready(reading).count().max(1) as f64,
             borne => borne,
         };
-        COLD_MARGIN * self.settings.fall_multiple * self.settings.start_capacity * borne * window
+        COLD_MARGIN * self.settings.overload_multiple * self.settings.cold_capacity * borne * window
     }
 
     fn note_done(&mut self, slot: Slot, reading: bool) {
@@ -814,7 +824,11 @@
                 .filter(|&s| !self.is_cold(s))
                 .count()
                 .max(1) as f64;
-            self.borne[usize::from(reading)].note(1.0 / warm, self.now, self.settings.ramp);
+            self.borne[usize::from(reading)].note(
+                1.0 / warm,
+                self.now,
+                self.settings.slow_start_window,
+            );
         }
     }
 
@@ -829,7 +843,7 @@
             self.engines.ready(reading).partition(|&s| self.is_cold(s));
         let open = warm.len() as f64 + cold.len() as f64 * share(usual).min(1.0);
         // Whoever asks has a request itself: that one tells nothing.
-        let since = self.now - self.settings.fall_window;
+        let since = self.now - self.settings.overload_window;
         let others = self
             .arrived
             .iter()
@@ -853,7 +867,7 @@
             / u64::MAX as f64;
         let sent = self.engines.sends[slot]
             .iter()
-            .filter(|&&at| at > self.now - self.settings.fall_window);
+            .filter(|&&at| at > self.now - self.settings.overload_window);
         !self.is_cold(slot) || share > 0.0 && (sent.count() as f64) < (share + turn).floor()
     }
 
@@ -926,10 +940,10 @@
                     ..Out::default()
                 };
                 self.engines.tally(&out, 1.0);
-                let since = self.now - self.settings.fall_window;
+                let since = self.now - self.settings.overload_window;
                 self.engines.sends[slot].retain(|&at| at > since);
                 self.engines.sends[slot].push_back(self.now);
-                self.engines.trial_at[slot] = self.now + self.settings.fall_window;
+                self.engines.trial_at[slot] = self.now + self.settings.overload_window;
                 request.out = Some(out);
                 self.wake_at(self.now + QUEUED * request.allowed);
                 request.attempts += 1;
@@ -937,8 +951,8 @@
             Want::Bounce => {
                 let wait = self
                     .settings
-                    .clients_hear_retry
-                    .then_some(self.settings.release);
+                    .clients_honor_retry_after
+                    .then_some(self.settings.kv_state_timeout);
                 actions.push(Action::Bounce {
                     request: id,
                     retry_after: wait,
@@ -1236,7 +1250,7 @@
     }
 }
 
-/// Events a millisecond, fading over the ramp as new ones come, so that it lasts while none do.
+/// Events a millisecond, fading over the slow start window as new ones come, so that it lasts while none do.
 #[derive(Default)]
 struct Rate {
     rate: f64,
@@ -1244,8 +1258,9 @@
 }
 
 impl Rate {
-    fn note(&mut self, amount: f64, now: Ms, ramp: Ms) {
-        self.rate = self.rate * (-(now - self.at) / ramp).exp() + amount / ramp;
+    fn note(&mut self, amount: f64, now: Ms, slow_start_window: Ms) {
+        self.rate =
+            self.rate * (-(now - self.at) / slow_start_window).exp() + amount / slow_start_window;
         self.at = now;
     }
 }
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -85,7 +85,7 @@
         if !self.tracks_deliveries {
             return Delivery::Confirmed;
         }
-        let release = self.settings.release;
+        let release = self.settings.kv_state_timeout;
         let usual = self.now + ASK_AFTER * release;
         let ask_at = usual
             .min(request.idle_since + (GIVE_UP_AT - SECOND_WAIT) * release)
@@ -104,7 +104,7 @@
         };
         if matches!(out.delivery, Delivery::Unconfirmed { .. }) {
             let release_at =
-                (request.idle_since + RELEASE_AT * self.settings.release).max(self.now);
+                (request.idle_since + RELEASE_AT * self.settings.kv_state_timeout).max(self.now);
             out.delivery = Delivery::EngineRuns { release_at };
             self.queue.awake.insert(id);
         }
@@ -126,7 +126,7 @@
         }
         if self.now >= *ask_at {
             request.want_confirm = true;
-            *ask_at = self.now + ASK_AGAIN * self.settings.release;
+            *ask_at = self.now + ASK_AGAIN * self.settings.kv_state_timeout;
         }
         let next = ask_at.min(*give_up_at);
         self.wake_at(next);
@@ -155,7 +155,7 @@
         let (slot, sent) = (out.slot, out.sent);
         self.engines.judge(slot, false);
         // Guards against a run of requests that all wait for the same silent engine.
-        self.engines.full_until[slot] = self.now + self.settings.release;
+        self.engines.full_until[slot] = self.now + self.settings.kv_state_timeout;
         request.tried.push(slot);
         let may_cancel = self.settings.may_cancel;
         let goes_elsewhere = may_cancel && self.has_other_engine(request, slot, sent);
@@ -170,8 +170,8 @@
             return false;
         };
         let in_time = !request.over
-            && self.now - request.idle_since <= LAST_ATTEMPT_AT * self.settings.release
-            && self.now < request.ends - RETRY_SHARE * self.settings.release;
+            && self.now - request.idle_since <= LAST_ATTEMPT_AT * self.settings.kv_state_timeout
+            && self.now < request.ends - RETRY_SHARE * self.settings.kv_state_timeout;
         if !in_time || request.attempts >= self.settings.max_attempts {
             return false;
         }
--- a/src/fleet/bounds.rs
+++ b/src/fleet/bounds.rs
@@ -159,7 +159,7 @@
 pub enum Stand {
     /// Heard lately and ready.
     In,
-    /// Heard, and not ready: starting, cold within its ramp.
+    /// Heard, and not ready: starting, cold within its slow start window.
     Coming,
     /// Heard, and draining or stopping.
     Going,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -71,11 +71,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClassSettings {
     pub retry_safety: RetrySafety,
-    pub quoted: Ms,
-    pub quoted_per_1000_tokens: Ms,
-    pub patience: Ms,
-    pub payoff: f64,
-    pub late_share: f64,
+    pub latency_objective: Ms,
+    pub latency_objective_per_1000_tokens: Ms,
+    pub time_to_deadline: Ms,
+    pub priority_weight: f64,
+    pub late_value_share: f64,
     pub token_pace: Ms,
     pub streams: bool,
 }
@@ -83,7 +83,7 @@
 /// One tenant's settings: requests a second within its share, over all dispatchers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    pub allowance_per_s: f64,
+    pub quota_per_second: f64,
     pub share: f64,
 }
 
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Discovery {
     Pushed,
-    Asked { told_within: Ms },
+    Polled { notified_within: Ms },
 }
 
 /// All that a dispatcher is told at its start.
@@ -110,26 +110,26 @@
     pub tick: Ms,
     pub request_classes: Vec<RequestClassSettings>,
     pub tenants: Vec<TenantSettings>,
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     pub kinds: Vec<KindSettings>,
     pub discovery: Discovery,
-    pub release: Ms,
+    pub kv_state_timeout: Ms,
     pub decode_engines_prefill: bool,
-    pub may_hold_ahead: bool,
+    pub may_reserve: bool,
     pub may_cancel: bool,
-    pub may_copy: bool,
-    pub may_probe: bool,
-    pub may_tell: bool,
-    pub clients_hear_retry: bool,
+    pub may_hedge: bool,
+    pub may_health_check: bool,
+    pub may_gossip: bool,
+    pub clients_honor_retry_after: bool,
     pub max_retry_after: Ms,
     pub max_attempts: u32,
     pub connect_timeout: Ms,
     pub drain_grace: Ms,
     pub answer_grace: Ms,
-    pub fall_multiple: f64,
-    pub fall_window: Ms,
-    pub start_capacity: f64,
-    pub ramp: Ms,
+    pub overload_multiple: f64,
+    pub overload_window: Ms,
+    pub cold_capacity: f64,
+    pub slow_start_window: Ms,
 }
 
 /// What an engine last said of its load; absent where it does not say.
@@ -191,7 +191,7 @@
     pub request_class: RequestClassId,
     pub tenant: Option<TenantId>,
     pub session: SessionId,
-    pub patience_left: Ms,
+    pub time_to_deadline: Ms,
     pub answer_hint: Option<Ms>,
     pub shared: Option<SharedTextId>,
     pub prompt_tokens: f64,
--- a/tests/bounds.rs
+++ b/tests/bounds.rs
@@ -82,9 +82,9 @@
 /// with room, for any connect time up to 1 s, and so does a watch that falls silent.
 #[test]
 fn a_list_that_is_asked_for_is_asked_for_well_before_it_counts_as_told() {
-    for told_within in [10_000.0, 6_000.0] {
+    for notified_within in [10_000.0, 6_000.0] {
         for connect_timeout in [50.0, 250.0, 500.0, 1_000.0] {
-            let discovery = Discovery::Asked { told_within };
+            let discovery = Discovery::Polled { notified_within };
             let allowed = Allowed::of(&Given {
                 connect_timeout,
                 discovery,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -14,10 +14,10 @@
 const DECODE_ENGINES: u32 = 8;
 const MULTIPLE: f64 = 4.0;
 const WINDOW: Ms = 3000.0;
-const START_CAPACITY: f64 = 0.32;
+const COLD_CAPACITY: f64 = 0.32;
 /// The part of what warm prefill engines can do that they are asked for.
 const USED: f64 = 0.7;
-const RAMP: Ms = 14_000.0;
+const SLOW_START_WINDOW: Ms = 14_000.0;
 /// When the new prefill engines start, and the day's end.
 const REPLACED: Ms = 20_000.0;
 const END: Ms = 34_000.0;
@@ -25,11 +25,11 @@
 fn settings(me: u32, dispatchers: u32) -> Settings {
     let request_class = RequestClassSettings {
         retry_safety: RetrySafety::Idempotent,
-        quoted: 1000.0,
-        quoted_per_1000_tokens: 40.0,
-        patience: 4000.0,
-        payoff: 1.0,
-        late_share: 0.2,
+        latency_objective: 1000.0,
+        latency_objective_per_1000_tokens: 40.0,
+        time_to_deadline: 4000.0,
+        priority_weight: 1.0,
+        late_value_share: 0.2,
         token_pace: 50.0,
         streams: true,
     };
@@ -44,26 +44,26 @@
         tick: 4.0,
         request_classes: vec![request_class],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         kinds: vec![kind(Role::Prefill), kind(Role::Decode)],
         discovery: Discovery::Pushed,
-        release: 500.0,
+        kv_state_timeout: 500.0,
         decode_engines_prefill: false,
-        may_hold_ahead: false,
+        may_reserve: false,
         may_cancel: true,
-        may_copy: false,
-        may_probe: true,
-        may_tell: false,
-        clients_hear_retry: false,
+        may_hedge: false,
+        may_health_check: true,
+        may_gossip: false,
+        clients_honor_retry_after: false,
         max_retry_after: 1000.0,
         max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 2000.0,
         answer_grace: 16.0,
-        fall_multiple: MULTIPLE,
-        fall_window: WINDOW,
-        start_capacity: START_CAPACITY,
-        ramp: RAMP,
+        overload_multiple: MULTIPLE,
+        overload_window: WINDOW,
+        cold_capacity: COLD_CAPACITY,
+        slow_start_window: SLOW_START_WINDOW,
     }
 }
 
@@ -174,14 +174,14 @@
                     .or_insert(0);
                 let attempt = AttemptId(*count);
                 *count += 1;
-                if engine.0.starts_with("new-") && now < REPLACED + RAMP {
+                if engine.0.starts_with("new-") && now < REPLACED + SLOW_START_WINDOW {
                     self.cold.entry(engine.clone()).or_default().push(now);
                 }
                 let reading = !engine.0.starts_with('w');
                 let (outcome, took) = if reading {
-                    let cold = engine.0.starts_with("new-") && now < REPLACED + RAMP;
+                    let cold = engine.0.starts_with("new-") && now < REPLACED + SLOW_START_WINDOW;
                     let reads_for = if cold {
-                        self.reads_for / START_CAPACITY
+                        self.reads_for / COLD_CAPACITY
                     } else {
                         self.reads_for
                     };
@@ -236,7 +236,7 @@
         Event::Arrived(Arrival {
             request: RequestId(self.asked),
             session: SessionId(self.rng.generate()),
-            patience_left: 4000.0,
+            time_to_deadline: 4000.0,
             shared: Some(SharedTextId(beginning)),
             prompt_tokens: 3000.0,
             shared_tokens: 2000.0,
@@ -351,7 +351,7 @@
 /// What a warm prefill engine can do, made small by the start capacity and large by the fall multiple: the budget of a
 /// window.
 fn budget(rate: f64) -> f64 {
-    MULTIPLE * START_CAPACITY * rate / USED * WINDOW / 1000.0
+    MULTIPLE * COLD_CAPACITY * rate / USED * WINDOW / 1000.0
 }
 
 #[test_case(3, 3.0; "three with little")]
@@ -398,7 +398,7 @@
     let allowed = budget(rate);
     let (cold, served) = play(count, rate, replaced, surge, seed);
     let (most, all) = (worst(&cold), cold.values().map(Vec::len).sum::<usize>());
-    let mean = all as f64 / f64::from(replaced) / (RAMP / WINDOW);
+    let mean = all as f64 / f64::from(replaced) / (SLOW_START_WINDOW / WINDOW);
     let case = format!("{count} at {rate}, {replaced} replaced, {surge} times the traffic");
     println!("{case}: most {most}, mean {mean:.1} of {allowed:.1}; served {served:.3}");
     assert!(
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -16,14 +16,14 @@
 const DECODE_ENGINES: u32 = 8;
 const END: Ms = 60_000.0;
 const TROUBLE_FROM: Ms = 20_000.0;
-const RAMP: Ms = 8_000.0;
-const START_CAPACITY: f64 = 0.35;
+const SLOW_START_WINDOW: Ms = 8_000.0;
+const COLD_CAPACITY: f64 = 0.35;
 /// Prompt tokens that a prefill engine reads a second, and requests that may wait there.
 const READ_PER_S: f64 = 20_000.0;
 const READ_QUEUE: usize = 30;
 const SLOTS: usize = 60;
 const TOKEN_MS: f64 = 10.0;
-const PATIENCE: [Ms; 2] = [4_000.0, 8_000.0];
+const TIME_TO_DEADLINE: [Ms; 2] = [4_000.0, 8_000.0];
 const TENANTS: usize = 3;
 /// Prompts of new sessions: their median and the spread of their logarithms, as long as the platform's largest.
 const MEDIAN_TOKENS: f64 = 900.0;
@@ -52,11 +52,11 @@
         } else {
             RetrySafety::AtMostOnce
         },
-        quoted: PATIENCE[at] / 4.0,
-        quoted_per_1000_tokens: 60.0,
-        patience: PATIENCE[at],
-        payoff: 1.0 + at as f64,
-        late_share: 0.2,
+        latency_objective: TIME_TO_DEADLINE[at] / 4.0,
+        latency_objective_per_1000_tokens: 60.0,
+        time_to_deadline: TIME_TO_DEADLINE[at],
+        priority_weight: 1.0 + at as f64,
+        late_value_share: 0.2,
         token_pace: 60.0,
         streams: true,
     };
@@ -69,10 +69,10 @@
         tenants: (0..TENANTS)
             .map(|_| TenantSettings {
                 share: 1.0,
-                allowance_per_s: 1e9,
+                quota_per_second: 1e9,
             })
             .collect(),
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         kinds: [Role::Prefill, Role::Decode]
             .map(|role| KindSettings {
                 role,
@@ -80,23 +80,23 @@
             })
             .to_vec(),
         discovery: Discovery::Pushed,
-        release: 500.0,
+        kv_state_timeout: 500.0,
         decode_engines_prefill: false,
-        may_hold_ahead: false,
+        may_reserve: false,
         may_cancel: true,
-        may_copy: false,
-        may_probe: true,
-        may_tell: false,
-        clients_hear_retry: false,
+        may_hedge: false,
+        may_health_check: true,
+        may_gossip: false,
+        clients_honor_retry_after: false,
         max_retry_after: 1000.0,
         max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 2000.0,
         answer_grace: 16.0,
-        fall_multiple: 4.0,
-        fall_window: 3000.0,
-        start_capacity: START_CAPACITY,
-        ramp: RAMP,
+        overload_multiple: 4.0,
+        overload_window: 3000.0,
+        cold_capacity: COLD_CAPACITY,
+        slow_start_window: SLOW_START_WINDOW,
     }
 }
 
@@ -123,7 +123,9 @@
 
 impl Engine {
     fn is_cold(&self, now: Ms) -> bool {
-        self.entry.started.is_some_and(|at| now < at + RAMP)
+        self.entry
+            .started
+            .is_some_and(|at| now < at + SLOW_START_WINDOW)
     }
 
     fn load(&self) -> Load {
@@ -377,7 +379,7 @@
             request_class: RequestClassId(class as u32),
             tenant: Some(TenantId(tenant as u32)),
             session,
-            patience_left: PATIENCE[class],
+            time_to_deadline: TIME_TO_DEADLINE[class],
             prompt_tokens: tokens,
             max_tokens: 100.0,
             ..Arrival::default()
@@ -454,7 +456,7 @@
                     .kept
                     .insert(asked.session, asked.tokens)
                     .unwrap_or(0.0);
-                let speed = if cold { START_CAPACITY } else { 1.0 } * READ_PER_S / 1000.0;
+                let speed = if cold { COLD_CAPACITY } else { 1.0 } * READ_PER_S / 1000.0;
                 engine.busy_until =
                     engine.busy_until.max(now) + (asked.tokens - kept).max(1.0) / speed;
                 engine.waiting += 1;
@@ -482,7 +484,7 @@
                         event: first,
                     },
                 );
-                if now + 20.0 < asked.at + PATIENCE[asked.class] {
+                if now + 20.0 < asked.at + TIME_TO_DEADLINE[asked.class] {
                     self.ends(request, Answer::Answered);
                 }
                 self.at(now + took, Next::Leaves { engine: at });
@@ -577,7 +579,7 @@
     let all = answered(&asked, |_| true).expect("some");
     println!("{case}: {} asked, answered {all:.3}", asked.len());
     assert!(all >= whole, "{case}: {all:.3} answered");
-    for class in 0..PATIENCE.len() {
+    for class in 0..TIME_TO_DEADLINE.len() {
         let share = answered(&asked, |r| r.class == class).expect("some");
         let (tenth, fifth) = largest(&asked, class);
         let out = singled_out(&asked, class);
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 
 fn settings() -> Settings {
-    let request_class = |retry_safety, patience| RequestClassSettings {
+    let request_class = |retry_safety, time_to_deadline| RequestClassSettings {
         retry_safety,
-        quoted: 800.0,
-        quoted_per_1000_tokens: 40.0,
-        patience,
-        payoff: 1.0,
-        late_share: 0.2,
+        latency_objective: 800.0,
+        latency_objective_per_1000_tokens: 40.0,
+        time_to_deadline,
+        priority_weight: 1.0,
+        late_value_share: 0.2,
         token_pace: 60.0,
         streams: true,
     };
@@ -36,12 +36,12 @@
         ],
         tenants: vec![
             TenantSettings {
-                allowance_per_s: 3.0,
+                quota_per_second: 3.0,
                 share: 0.5
             };
             2
         ],
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         kinds: [Role::Prefill, Role::Decode, Role::Both]
             .map(|role| KindSettings {
                 role,
@@ -49,23 +49,23 @@
             })
             .to_vec(),
         discovery: Discovery::Pushed,
-        release: 500.0,
+        kv_state_timeout: 500.0,
         decode_engines_prefill: false,
-        may_hold_ahead: false,
+        may_reserve: false,
         may_cancel: true,
-        may_copy: false,
-        may_probe: true,
-        may_tell: false,
-        clients_hear_retry: true,
+        may_hedge: false,
+        may_health_check: true,
+        may_gossip: false,
+        clients_honor_retry_after: true,
         max_retry_after: 2000.0,
         max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 500.0,
         answer_grace: 16.0,
-        fall_multiple: 4.0,
-        fall_window: 1000.0,
-        start_capacity: 0.3,
-        ramp: 5000.0,
+        overload_multiple: 4.0,
+        overload_window: 1000.0,
+        cold_capacity: 0.3,
+        slow_start_window: 5000.0,
     }
 }
 
@@ -134,7 +134,7 @@
                     request_class: RequestClassId(u32::from(whom) % 3),
                     tenant: (whom % 5 < 2).then_some(TenantId(u32::from(whom) % 2)),
                     session: SessionId(u64::from(whom % 11)),
-                    patience_left: 300.0 + f64::from(whom % 3000),
+                    time_to_deadline: 300.0 + f64::from(whom % 3000),
                     shared: (whom % 4 > 0).then_some(SharedTextId(u64::from(whom % 4))),
                     prompt_tokens: f64::from(100 + whom % 3000),
                     shared_tokens: 90.0,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -4,8 +4,8 @@
 //! `list KIND NAME:ROLE:ZONE:CELL[:CONDITION[:STARTED]] ...` tells of engines, ROLE being `r`, `w` or `b`.
 //! `probed HOST SLOTS_USED QUEUE MEMORY` is the answer to a probe of that engine.
 //! `at T` goes to the instant T, firing due timers on the way, and opens a batch of events:
-//! `request ID REQUEST_CLASS PATIENCE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID HOST`,
-//! `end ID HOST OUTCOME [last] [none] [x1=K]`, `left ID`, `burst ID COUNT REQUEST_CLASS PATIENCE PROMPT`.
+//! `request ID REQUEST_CLASS TIME_TO_DEADLINE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID HOST`,
+//! `end ID HOST OUTCOME [last] [none] [x1=K]`, `left ID`, `burst ID COUNT REQUEST_CLASS TIME_TO_DEADLINE PROMPT`.
 //! The attempt's number is the runner's: it counts attempts as they come; HOST `*` is the newest one's.
 //! `each A B VERB WORDS` repeats a line for the ids from A to B.
 //! `> WORDS` must be among the actions since the last `at` that stands before an expectation, in any order,
@@ -20,11 +20,11 @@
 fn settings() -> Settings {
     let request_class = |retry_safety| RequestClassSettings {
         retry_safety,
-        quoted: 1000.0,
-        quoted_per_1000_tokens: 40.0,
-        patience: 4000.0,
-        payoff: 1.0,
-        late_share: 0.2,
+        latency_objective: 1000.0,
+        latency_objective_per_1000_tokens: 40.0,
+        time_to_deadline: 4000.0,
+        priority_weight: 1.0,
+        late_value_share: 0.2,
         token_pace: 50.0,
         streams: true,
     };
@@ -42,26 +42,26 @@
             request_class(RetrySafety::AtMostOnce),
         ],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         kinds: vec![kind(Role::Prefill), kind(Role::Decode), kind(Role::Both)],
         discovery: Discovery::Pushed,
-        release: 500.0,
+        kv_state_timeout: 500.0,
         decode_engines_prefill: false,
-        may_hold_ahead: false,
+        may_reserve: false,
         may_cancel: true,
-        may_copy: false,
-        may_probe: false,
-        may_tell: true,
-        clients_hear_retry: true,
+        may_hedge: false,
+        may_health_check: false,
+        may_gossip: true,
+        clients_honor_retry_after: true,
         max_retry_after: 1000.0,
         max_attempts: 4,
         connect_timeout: 250.0,
         drain_grace: 250.0,
         answer_grace: 16.0,
-        fall_multiple: 4.0,
-        fall_window: 2000.0,
-        start_capacity: 0.3,
-        ramp: 10_000.0,
+        overload_multiple: 4.0,
+        overload_window: 2000.0,
+        cold_capacity: 0.3,
+        slow_start_window: 10_000.0,
     }
 }
 
@@ -171,7 +171,7 @@
         request_class: RequestClassId(number(words[0]) as u32),
         tenant: option("t=").map(|t| TenantId(number(t) as u32)),
         session: SessionId(option("s=").map_or(u64::from(id), |s| number(s) as u64)),
-        patience_left: number(words[1]),
+        time_to_deadline: number(words[1]),
         answer_hint: None,
         shared: shared.map(|(key, _)| SharedTextId(number(key) as u64)),
         prompt_tokens: number(words[2]),
@@ -200,16 +200,16 @@
 
 fn set(settings: &mut Settings, key: &str, value: &str) {
     match key {
-        "release" => settings.release = number(value),
-        "patient" => settings.request_classes[0].quoted = number(value),
+        "release" => settings.kv_state_timeout = number(value),
+        "patient" => settings.request_classes[0].latency_objective = number(value),
         "launches" => settings.max_attempts = number(value) as u32,
-        "ramp" => settings.ramp = number(value),
-        "fall_window" => settings.fall_window = number(value),
+        "ramp" => settings.slow_start_window = number(value),
+        "fall_window" => settings.overload_window = number(value),
         "dispatchers" => settings.dispatchers = number(value) as u32,
-        "probes" => settings.may_probe = value == "1",
-        "copies" => settings.may_copy = value == "1",
+        "probes" => settings.may_health_check = value == "1",
+        "copies" => settings.may_hedge = value == "1",
         "tenant" => settings.tenants.push(TenantSettings {
-            allowance_per_s: number(value),
+            quota_per_second: number(value),
             share: 0.5,
         }),
         _ => panic!("no setting {key} here"),
