--- a/benches/step.rs
+++ b/benches/step.rs
@@ -84,7 +84,7 @@
         };
         let entries = (0..PREFILL_ENGINES + DECODE_ENGINES).map(entry).collect();
         bench.step(Event::Listed {
-            kind: ListKind::Full,
+            kind: ListKind::Snapshot,
             entries,
         });
         for _ in 0..live {
@@ -138,14 +138,14 @@
 
     fn whole(&mut self) {
         let (request, engine) = self.begin();
-        self.step(ended(request, 1, engine, Outcome::Fulfilled));
+        self.step(ended(request, 1, engine, Outcome::Succeeded));
     }
 }
 
 fn ended(request: RequestId, attempt: u32, engine: EngineId, outcome: Outcome) -> Event {
     let (attempt, last, load) = (
         AttemptId(attempt),
-        outcome == Outcome::Fulfilled,
+        outcome == Outcome::Succeeded,
         Load::default(),
     );
     Event::Ended(Ended {
--- a/crates/cindercleat-cli/src/price.rs
+++ b/crates/cindercleat-cli/src/price.rs
@@ -427,7 +427,7 @@
     loop {
         match stream.next().await? {
             Body::Tokens(_) => times.see(),
-            Body::Ended(ended) => return (ended.status() == v1::Status::Fulfilled).then_some(()),
+            Body::Ended(ended) => return (ended.status() == v1::Status::Succeeded).then_some(()),
             _ => return None,
         }
     }
@@ -456,7 +456,7 @@
             let end = port
                 .run(submit(number, TOKENS), None, |_| times.see())
                 .await;
-            if end == cindercleat_standin::client::End::Fulfilled {
+            if end == cindercleat_standin::client::End::Succeeded {
                 times.tell(&mut way.borrow_mut());
             }
         }
@@ -466,9 +466,9 @@
     Ok(way.into_inner())
 }
 
-/// A dispatcher that has just started bounces until it has its list.
+/// A dispatcher that has just started rejections until it has its list.
 async fn wait_for_list(port: &TcpPort, clock: TokioClock) {
-    while port.run(submit(0, 1), None, |_| {}).await != cindercleat_standin::client::End::Fulfilled
+    while port.run(submit(0, 1), None, |_| {}).await != cindercleat_standin::client::End::Succeeded
     {
         clock.sleep_until(clock.now() + 20.0).await;
     }
--- a/crates/cindercleat-cli/src/send.rs
+++ b/crates/cindercleat-cli/src/send.rs
@@ -49,7 +49,7 @@
 /// What came of the requests.
 struct Tally {
     ends: BTreeMap<&'static str, u64>,
-    /// Microseconds from the intended instant to the first token, and to the end of those fulfilled.
+    /// Microseconds from the intended instant to the first token, and to the end of those succeeded.
     first: Histogram<u64>,
     whole: Histogram<u64>,
     tokens: u64,
@@ -74,7 +74,7 @@
     next: Cell<u64>,
 }
 
-/// Sends; tells whether all was fulfilled.
+/// Sends; tells whether all was succeeded.
 ///
 /// # Errors
 /// The dispatcher is not there, or a figure makes no sense.
@@ -271,8 +271,8 @@
                 }
                 Some(Body::Final(last)) => {
                     break match last.answer() {
-                        v1::Answer::Fulfilled => ("fulfilled", String::new()),
-                        v1::Answer::Bounced => {
+                        v1::Answer::Succeeded => ("fulfilled", String::new()),
+                        v1::Answer::Rejected => {
                             let after = format!(
                                 "{}; again after {:.0} ms",
                                 last.reason, last.retry_after_ms
@@ -282,7 +282,7 @@
                         _ => ("written off", last.reason),
                     };
                 }
-                Some(Body::Rejected(m)) => {
+                Some(Body::InvalidRequest(m)) => {
                     break ("rejected", format!("{}: {}", m.field, m.reason))
                 }
                 Some(Body::Goodbye(bye)) if bye.never_ran => break ("not sent", bye.reason),
--- a/crates/cindercleat-cli/src/try_it.rs
+++ b/crates/cindercleat-cli/src/try_it.rs
@@ -56,7 +56,7 @@
         println!();
         let first = first.unwrap_or(f64::NAN);
         println!("{end:?}: {tokens} tokens, the first after {first:.0} ms");
-        if end != End::Fulfilled {
+        if end != End::Succeeded {
             return Err(io::Error::other("the task was not fulfilled"));
         }
         if stay {
--- a/crates/cindercleat-cli/tests/program.rs
+++ b/crates/cindercleat-cli/tests/program.rs
@@ -59,7 +59,7 @@
     let (code, out, err) = run(&["try"]);
     assert_eq!(code, Some(0), "{out}{err}");
     assert!(
-        out.contains("the class of this year") && out.contains("Fulfilled"),
+        out.contains("the class of this year") && out.contains("Succeeded"),
         "{out}"
     );
 }
@@ -187,7 +187,7 @@
     // The story of a seed, and what it takes from a script.
     let (code, out, _) = run(&["seed", "3", "--trace"]);
     assert_eq!(code, Some(0));
-    assert!(out.contains("submit") && out.contains("Fulfilled") && out.contains("rules: kept"));
+    assert!(out.contains("submit") && out.contains("Succeeded") && out.contains("rules: kept"));
     let script = cindercleat_cli::script::write(&cindercleat_faults::draw::day(
         3,
         &cindercleat_faults::draw::SHAPES[0],
--- a/crates/dispatcher/src/ledger/engines.rs
+++ b/crates/dispatcher/src/ledger/engines.rs
@@ -36,7 +36,7 @@
         if !self.guard_attempt(id, &engine, reading, out) {
             return self
                 .events
-                .push(never_sent(id, no, engine, Outcome::Void, answered));
+                .push(never_sent(id, no, engine, Outcome::NotSent, answered));
         }
         let (Some(request), Some(row)) =
             (self.requests.get_mut(&id), self.fleet.engines.get(&engine))
@@ -70,7 +70,7 @@
             // The next choice is to pass the engine by for a moment, or to judge it: it could not be reached.
             Err(refusal) => {
                 let outcome = match refusal {
-                    Refusal::AllTaken => Outcome::Full,
+                    Refusal::AllTaken => Outcome::Overloaded,
                     Refusal::NotYet => Outcome::Unreachable,
                 };
                 return self
@@ -276,14 +276,14 @@
     ) {
         let streams = self.requests.get(&id).is_some_and(Request::streams);
         match outcome {
-            Outcome::Fulfilled => self.answer(id, v1::Answer::Fulfilled, 0.0, "", out),
-            _ if streams => self.answer(id, v1::Answer::WrittenOff, 0.0, reason, out),
+            Outcome::Succeeded => self.answer(id, v1::Answer::Succeeded, 0.0, "", out),
+            _ if streams => self.answer(id, v1::Answer::Failed, 0.0, reason, out),
             _ => {}
         }
         // A prefill that broke may have ended at its engine, with the word of it lost: its state would lie there.
         let held = self
             .prefill_out(id)
-            .filter(|_| matches!(outcome, Outcome::Broken | Outcome::Failed));
+            .filter(|_| matches!(outcome, Outcome::ConnectionLost | Outcome::Failed));
         if let Some(held) = held.filter(|_| !planted::is(Plant::BrokenReadKept)) {
             self.release_leftover(id, held, out);
         }
@@ -306,9 +306,9 @@
         self.end_attempt(
             id,
             if unsent {
-                Outcome::Void
+                Outcome::NotSent
             } else {
-                Outcome::CalledOff
+                Outcome::Cancelled
             },
             0.0,
             Load::default(),
@@ -324,7 +324,7 @@
         self.end_attempt(
             id,
             if unsent {
-                Outcome::Void
+                Outcome::NotSent
             } else {
                 Outcome::TimedOut
             },
@@ -364,12 +364,12 @@
             self.stop_attempt(id, out);
             self.answer(
                 id,
-                v1::Answer::WrittenOff,
+                v1::Answer::Failed,
                 0.0,
                 "moved: come back for the rest",
                 out,
             );
-            self.end_attempt(id, Outcome::CalledOff, 0.0, Load::default());
+            self.end_attempt(id, Outcome::Cancelled, 0.0, Load::default());
         }
     }
 
@@ -463,7 +463,7 @@
                 // Nor does one whose client has gone meanwhile: nobody waits for it.
                 Some(Use::Attempt(request, _)) if !ready || self.is_answered(request) => {
                     self.close_stream(id, stream);
-                    self.end_attempt(request, Outcome::Void, 0.0, Load::default());
+                    self.end_attempt(request, Outcome::NotSent, 0.0, Load::default());
                 }
                 Some(Use::Attempt(request, _)) => {
                     if let Some(request) = self.requests.get_mut(&request) {
@@ -572,8 +572,8 @@
             return;
         };
         let outcome = match link.up {
-            true if planted::is(Plant::BrokenAsFull) => Outcome::Full,
-            true => Outcome::Broken,
+            true if planted::is(Plant::BrokenAsFull) => Outcome::Overloaded,
+            true => Outcome::ConnectionLost,
             false => Outcome::Unreachable,
         };
         // A connection that ends with what was called off ends as it should.
@@ -662,7 +662,7 @@
                     let outcome = if bye.never_ran {
                         Outcome::Unreachable
                     } else {
-                        Outcome::Broken
+                        Outcome::ConnectionLost
                     };
                     let text = format!("launch at {} over: {}", engine.0, bye.reason);
                     out.push(Output::Log {
@@ -680,7 +680,7 @@
                 true
             }
             (Some(Use::Probe { .. }), Some(Body::Load(load))) => {
-                self.end_probe(id, stream, Outcome::Fulfilled, load_of(&load));
+                self.end_probe(id, stream, Outcome::Succeeded, load_of(&load));
                 true
             }
             (Some(Use::Hold(request, attempt)), Some(Body::Place(place))) => {
@@ -789,12 +789,14 @@
             v1::Status::PrefillDone if reading => {
                 self.end_attempt(id, Outcome::PrefillDone, f64::from(ended.kept_tokens), load);
             }
-            v1::Status::Fulfilled if !reading => {
-                self.finish_attempt(id, Outcome::Fulfilled, "", load, out)
+            v1::Status::Succeeded if !reading => {
+                self.finish_attempt(id, Outcome::Succeeded, "", load, out)
+            }
+            v1::Status::Overloaded if !first => {
+                self.end_attempt(id, Outcome::Overloaded, 0.0, load)
             }
-            v1::Status::Full if !first => self.end_attempt(id, Outcome::Full, 0.0, load),
             v1::Status::NoState if !reading && !first => {
-                self.end_attempt(id, Outcome::Full, 1.0, load);
+                self.end_attempt(id, Outcome::Overloaded, 1.0, load);
                 // Guards against a decode engine that could not reach the prefill_engine: the state would lie there for nobody.
                 if planted::is(Plant::NoStateKept) {
                     self.kv_states.forget(id);
@@ -810,7 +812,7 @@
                 // The stream is closed already; the attempt ends with the link, and may have run.
                 self.finish_attempt(
                     id,
-                    Outcome::Broken,
+                    Outcome::ConnectionLost,
                     "the writer broke the protocol",
                     load,
                     out,
@@ -838,7 +840,7 @@
         if request.answered {
             // The answer is out, and the decisions may not call off: nothing more reaches the client.
             self.stop_attempt(id, out);
-            self.end_attempt(id, Outcome::CalledOff, 0.0, Load::default());
+            self.end_attempt(id, Outcome::Cancelled, 0.0, Load::default());
             return true;
         }
         attempt.came += 1;
@@ -929,7 +931,7 @@
             self.stop_attempt(id, out);
             self.finish_attempt(
                 id,
-                Outcome::Broken,
+                Outcome::ConnectionLost,
                 "the writer stalled",
                 Load::default(),
                 out,
@@ -948,7 +950,7 @@
 /// Whether a message shows that its engine works on attempts. A part of it may still answer other calls while the rest hangs.
 fn is_work(purpose: Option<&Use>, body: Option<&Body>) -> bool {
     let done =
-        |status: v1::Status| matches!(status, v1::Status::PrefillDone | v1::Status::Fulfilled);
+        |status: v1::Status| matches!(status, v1::Status::PrefillDone | v1::Status::Succeeded);
     match (purpose, body) {
         (Some(Use::Attempt(..)), Some(Body::Tokens(_))) => true,
         (Some(Use::Attempt(..)), Some(Body::Ended(ended))) => done(ended.status()),
--- a/crates/dispatcher/src/ledger/fleet.rs
+++ b/crates/dispatcher/src/ledger/fleet.rs
@@ -28,7 +28,7 @@
         list: &v1::EndpointList,
         settings: &ProgramSettings,
     ) -> (ListKind, Vec<Entry>, Vec<String>) {
-        let full = list.kind() == v1::ListKind::Full;
+        let full = list.kind() == v1::ListKind::Snapshot;
         self.version = list.version;
         if full {
             let listed: BTreeSet<&str> = list
@@ -53,9 +53,9 @@
         }
         (
             if full {
-                ListKind::Full
+                ListKind::Snapshot
             } else {
-                ListKind::Changes
+                ListKind::Delta
             },
             entries,
             wrong,
@@ -136,7 +136,7 @@
             .filter(|row| row.condition != Condition::Gone);
         let engines = here.map(|row| row.line.clone()).collect();
         v1::EndpointList {
-            kind: v1::ListKind::Full.into(),
+            kind: v1::ListKind::Snapshot.into(),
             version: self.version,
             engines,
         }
--- a/crates/dispatcher/src/ledger/invariants.rs
+++ b/crates/dispatcher/src/ledger/invariants.rs
@@ -163,8 +163,8 @@
         let open = [
             Outcome::Failed,
             Outcome::TimedOut,
-            Outcome::Broken,
-            Outcome::CalledOff,
+            Outcome::ConnectionLost,
+            Outcome::Cancelled,
         ];
         if request.first_run.is_none() && open.contains(&outcome) {
             let line = self.fleet.engines.get(&attempt.engine).map(|row| &row.line);
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -2,7 +2,7 @@
 //! [`Ledger::handle`] with their instant; what is to be done comes out. It tells when it wants to be called
 //! next ([`Ledger::wants_call_at`]). The same inputs give the same outputs.
 //!
-//! Every choice between engines, every bounce and write-off of a request that was taken is
+//! Every choice between engines, every reject and failure of a request that was taken is
 //! [`Control`](cindercleat::control::Control)'s. The ledger carries them out, tells it each outcome, and sees
 //! to what holds for any decision: one final answer a request, nothing to an engine that left the list meanwhile,
 //! nothing held that the decisions do not know of, bounded buffers.
@@ -246,11 +246,11 @@
             Input::LinkLeaving { link } => self.links.leaving(link, &mut self.timers),
             Input::LinkClosed { link, reason } => self.take_link_closed(link, &reason, out),
             Input::Engine { link, frame } => self.take_engine(link, frame, out),
-            Input::Remembered(list) => self.take_list(&list, Some(ListKind::Remembered), out),
+            Input::Remembered(list) => self.take_list(&list, Some(ListKind::Cached), out),
             Input::Listed(list) => self.take_list(&list, None, out),
             Input::ListRefused => {
                 self.events.push(Event::Listed {
-                    kind: ListKind::Refused,
+                    kind: ListKind::Rejected,
                     entries: Vec::new(),
                 });
             }
@@ -406,7 +406,7 @@
                 until,
             } => self.start_attempt(request, engine, until, out),
             Action::Cancel { request, attempt } => self.call_off(request, attempt, out),
-            Action::Bounce {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -414,17 +414,17 @@
                     .unwrap_or(0.0)
                     .min(self.settings.policy.max_retry_after);
                 let (answer, reason) = match self.guard_refusal(request, out) {
-                    true => (v1::Answer::Bounced, "turned away"),
-                    false => (v1::Answer::WrittenOff, "it may have run"),
+                    true => (v1::Answer::Rejected, "turned away"),
+                    false => (v1::Answer::Failed, "it may have run"),
                 };
                 self.answer(request, answer, retry_after_ms, reason, out);
             }
-            Action::WriteOff { request } => {
-                let bounce = planted::is(Plant::WriteOffAsBounce);
-                let answer = if bounce {
-                    v1::Answer::Bounced
+            Action::Fail { request } => {
+                let reject = planted::is(Plant::FailureAsRejection);
+                let answer = if reject {
+                    v1::Answer::Rejected
                 } else {
-                    v1::Answer::WrittenOff
+                    v1::Answer::Failed
                 };
                 self.answer(request, answer, 0.0, "no answer in time", out)
             }
@@ -584,7 +584,7 @@
     /// The request as the decisions take it, or what is said in place of taking it.
     fn admit(&self, submit: &v1::Submit) -> Result<Arrival, Box<Body>> {
         let rejected = |(field, reason): (&str, String)| {
-            Box::new(Body::Rejected(v1::Rejected {
+            Box::new(Body::InvalidRequest(v1::InvalidRequest {
                 field: field.to_owned(),
                 reason,
             }))
@@ -617,7 +617,7 @@
             "stopping"
         }
         .to_owned();
-        let answer = v1::Answer::Bounced.into();
+        let answer = v1::Answer::Rejected.into();
         Err(Box::new(Body::Final(v1::Final {
             answer,
             retry_after_ms,
@@ -705,7 +705,7 @@
         // A stream that nobody reads ends; what has not begun the decisions call off themselves.
         if request.streams() {
             self.stop_attempt(id, out);
-            self.end_attempt(id, Outcome::CalledOff, 0.0, Load::default());
+            self.end_attempt(id, Outcome::Cancelled, 0.0, Load::default());
         }
         self.forget_past(id);
     }
@@ -776,7 +776,7 @@
             level: Level::Warn,
             text,
         });
-        self.answer(id, v1::Answer::WrittenOff, 0.0, "time is up", out);
+        self.answer(id, v1::Answer::Failed, 0.0, "time is up", out);
         self.events.push(Event::Left { request: id });
     }
 
@@ -862,8 +862,8 @@
         }
     }
 
-    /// What is still open at the end of the grace is answered: bounced if nothing of it ever went out, else
-    /// written off, which promises nothing; its attempts are called off and its states let go.
+    /// What is still open at the end of the grace is answered: rejected if nothing of it ever went out, else
+    /// failed, which promises nothing; its attempts are called off and its states let go.
     fn end_grace(&mut self, out: &mut Vec<Output>) {
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
@@ -871,9 +871,9 @@
                 continue;
             };
             let answer = if request.sent {
-                v1::Answer::WrittenOff
+                v1::Answer::Failed
             } else {
-                v1::Answer::Bounced
+                v1::Answer::Rejected
             };
             self.answer(id, answer, 0.0, "the dispatcher stops", out);
             self.leave(id, out);
--- a/crates/dispatcher/src/ledger/record.rs
+++ b/crates/dispatcher/src/ledger/record.rs
@@ -30,12 +30,12 @@
     /// A request got its final answer.
     pub fn answered(&mut self, answer: v1::Answer, late: bool) {
         match answer {
-            v1::Answer::Fulfilled => {
-                self.tally.fulfilled += 1;
+            v1::Answer::Succeeded => {
+                self.tally.succeeded += 1;
                 self.tally.late += u64::from(late);
             }
-            v1::Answer::Bounced => self.tally.bounced += 1,
-            _ => self.tally.written_off += 1,
+            v1::Answer::Rejected => self.tally.rejected += 1,
+            _ => self.tally.failed += 1,
         }
     }
 
@@ -55,10 +55,10 @@
             (heard.used, heard.told) = (Some((used, now)), false);
         }
         match outcome {
-            Some(Outcome::Fulfilled | Outcome::PrefillDone) => heard.tally.fulfilled += 1,
-            Some(Outcome::Full) => heard.tally.bounced += 1,
-            Some(Outcome::Failed | Outcome::Broken | Outcome::TimedOut) => {
-                heard.tally.written_off += 1
+            Some(Outcome::Succeeded | Outcome::PrefillDone) => heard.tally.succeeded += 1,
+            Some(Outcome::Overloaded) => heard.tally.rejected += 1,
+            Some(Outcome::Failed | Outcome::ConnectionLost | Outcome::TimedOut) => {
+                heard.tally.failed += 1
             }
             _ => return,
         }
--- a/crates/dispatcher/src/ledger/releases.rs
+++ b/crates/dispatcher/src/ledger/releases.rs
@@ -477,7 +477,7 @@
     ) {
         let is_unanswered = matches!(
             outcome,
-            Outcome::CalledOff | Outcome::TimedOut | Outcome::Broken
+            Outcome::Cancelled | Outcome::TimedOut | Outcome::ConnectionLost
         );
         let was_sent = ended.sent.is_some() && self.settings.limits.single.is_some();
         let unanswered = (is_unanswered && was_sent).then(|| ended.engine.clone());
--- a/crates/dispatcher/src/ledger/story.rs
+++ b/crates/dispatcher/src/ledger/story.rs
@@ -107,8 +107,8 @@
             Action::Cancel { request, attempt } => {
                 format!("{} launch={} called off", self.called(*request), attempt.0)
             }
-            Action::Bounce { request, .. } => format!("{} bounced", self.called(*request)),
-            Action::WriteOff { request } => format!("{} written off", self.called(*request)),
+            Action::Reject { request, .. } => format!("{} bounced", self.called(*request)),
+            Action::Fail { request } => format!("{} written off", self.called(*request)),
             Action::Release { request } => format!("{} released", self.called(*request)),
             Action::ReleaseInDoubt { request } => {
                 format!("{} released in doubt", self.called(*request))
--- a/crates/dispatcher/src/planted.rs
+++ b/crates/dispatcher/src/planted.rs
@@ -15,8 +15,8 @@
     BrokenAsFull,
     /// Lines of the list that say draining are passed over.
     DrainUnread,
-    /// What may have run is bounced.
-    WriteOffAsBounce,
+    /// What may have run is rejected.
+    FailureAsRejection,
     /// One final answer in sixteen is not given.
     FinalLost,
     /// Tokens go out twice.
@@ -41,7 +41,7 @@
         Plant::CancelLost,
         Plant::BrokenAsFull,
         Plant::DrainUnread,
-        Plant::WriteOffAsBounce,
+        Plant::FailureAsRejection,
         Plant::FinalLost,
         Plant::TokensTwice,
         Plant::BrokenReadKept,
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -24,7 +24,7 @@
 /// The program's own limits. Counts are upper limits; times are milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Tasks open at once; one more is bounced.
+    /// Tasks open at once; one more is rejected.
     pub max_open_requests: usize,
     /// Launches and probes on one connection to an engine, and connections to one engine.
     pub streams_per_link: usize,
--- a/crates/dispatcher/src/shell.rs
+++ b/crates/dispatcher/src/shell.rs
@@ -311,7 +311,7 @@
         match output {
             Output::ToClient { conn, frame } => {
                 match &frame.body {
-                    Some(Body::Final(said)) if said.answer() != v1::Answer::Fulfilled => {
+                    Some(Body::Final(said)) if said.answer() != v1::Answer::Succeeded => {
                         let (answer, reason) = (said.answer().as_str_name(), &said.reason);
                         tracing::debug!(
                             conn = conn.0,
@@ -321,7 +321,7 @@
                             "answered"
                         );
                     }
-                    Some(Body::Rejected(said)) => {
+                    Some(Body::InvalidRequest(said)) => {
                         let (field, reason) = (&said.field, &said.reason);
                         tracing::debug!(
                             conn = conn.0,
@@ -734,7 +734,7 @@
                 })) => {
                     heard = clock.now();
                     let newest = self.inner.ledger.borrow().list_version();
-                    let whole = list.kind() == v1::ListKind::Full;
+                    let whole = list.kind() == v1::ListKind::Snapshot;
                     if !calls.takes(whole, list.version, newest, heard) {
                         out.close();
                         return FeedEnd::Lost(
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -20,7 +20,7 @@
         .iter()
         .map(|name| (name.as_str(), v1::EndpointStatus::Ready))
         .collect();
-    bench.put(Input::Listed(list(v1::ListKind::Full, &ready)));
+    bench.put(Input::Listed(list(v1::ListKind::Snapshot, &ready)));
     bench
 }
 
@@ -59,7 +59,7 @@
     for conn in 1_000..1_200 {
         let decode = decoding(bench, conn, "draft");
         bench.engine(&decode, tokens(0));
-        bench.ended(&decode, v1::Status::Fulfilled);
+        bench.ended(&decode, v1::Status::Succeeded);
         bench.pass(50.0);
     }
 }
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -221,7 +221,7 @@
         };
         let ready = v1::EndpointStatus::Ready;
         let all = [("r1", ready), ("r2", ready), ("w1", ready), ("w2", ready)];
-        bench.put(Input::Listed(list(v1::ListKind::Full, &all)));
+        bench.put(Input::Listed(list(v1::ListKind::Snapshot, &all)));
         bench
     }
 
@@ -317,7 +317,7 @@
 
     pub fn told(&mut self, engine: &str, condition: v1::EndpointStatus) -> Vec<Output> {
         self.put(Input::Listed(list(
-            v1::ListKind::Changes,
+            v1::ListKind::Delta,
             &[(engine, condition)],
         )))
     }
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -121,7 +121,7 @@
     let mut bench = bench(true, true);
     let write = bench.writing(1, "draft");
     bench.links_come_up = false;
-    let out = bench.ended(&write, Status::Full);
+    let out = bench.ended(&write, Status::Overloaded);
     let links = dialled(&out);
     let out = goes(&mut bench, gone);
     nothing_begins(&mut bench, out, &links);
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -119,7 +119,7 @@
                 .port("c")
                 .run(submit(request_class, "k"), None, |_| {})
                 .await;
-            assert_eq!(end, End::WrittenOff);
+            assert_eq!(end, End::Failed);
             let took = net.clock.now() - begin;
             assert!(took < 1000.0 + 300.0, "the limit is a second: {took}");
             net.wait(SOON).await;
@@ -140,12 +140,9 @@
                 .port("c")
                 .run(submit(request_class, "k"), None, |_| {})
                 .await;
+            assert!(matches!(end, End::Failed | End::Rejected { .. }), "{end:?}");
             assert!(
-                matches!(end, End::WrittenOff | End::Bounced { .. }),
-                "{end:?}"
-            );
-            assert!(
-                request_class == "draft" || end == End::WrittenOff,
+                request_class == "draft" || end == End::Failed,
                 "it may have run"
             );
             assert!(net.clock.now() - begin <= 4000.0 + 20.0);
@@ -168,10 +165,7 @@
             .for_each(|h| h.trouble(|t| t.mute = true));
         let begin = net.clock.now();
         let end = net.port("c").run(submit("proof", "k"), None, |_| {}).await;
-        assert!(
-            matches!(end, End::WrittenOff | End::Bounced { .. }),
-            "{end:?}"
-        );
+        assert!(matches!(end, End::Failed | End::Rejected { .. }), "{end:?}");
         assert!(net.clock.now() - begin <= 4000.0 + 20.0);
     });
 }
@@ -221,7 +215,7 @@
     });
 }
 
-/// What is open when a dispatcher stops ends in order; what comes after is bounced or not taken, and none of
+/// What is open when a dispatcher stops ends in order; what comes after is rejected or not taken, and none of
 /// that ever ran: a client that tries again elsewhere, by itself or not, does no harm.
 #[test]
 fn a_dispatcher_stops_with_streams_open() {
@@ -246,24 +240,24 @@
             client.await.expect("it ran");
         }
         let ran: BTreeSet<String> = net.ran().into_iter().collect();
-        let (mut fulfilled, mut turned_away) = (0, 0);
+        let (mut succeeded, mut turned_away) = (0, 0);
         for (n, end) in &*ends.borrow() {
             match end {
-                End::Fulfilled => fulfilled += 1,
-                End::Bounced { .. } | End::Unsent => {
+                End::Succeeded => succeeded += 1,
+                End::Rejected { .. } | End::Unsent => {
                     turned_away += 1;
                     assert!(
                         !ran.contains(&format!("k{n}")),
                         "k{n} ran, and its client may try again"
                     );
                 }
-                End::WrittenOff => {}
+                End::Failed => {}
                 other => panic!("k{n}: {other:?}"),
             }
         }
         assert!(
-            fulfilled > 0 && turned_away > 0,
-            "{fulfilled} fulfilled, {turned_away} turned away"
+            succeeded > 0 && turned_away > 0,
+            "{succeeded} fulfilled, {turned_away} turned away"
         );
         assert_eq!(ends.borrow().len(), 60);
     });
@@ -283,12 +277,12 @@
         net.wait(20.0).await;
         // The next request takes a new connection, if any is to be had.
         let end = port.run(submit("draft", "k2"), None, |_| {}).await;
-        assert!(matches!(end, End::Unsent | End::Bounced { .. }), "{end:?}");
+        assert!(matches!(end, End::Unsent | End::Rejected { .. }), "{end:?}");
         let mut last = None;
         while let Some(body) = stream.next().await {
             last = Some(body);
         }
-        assert!(matches!(last, Some(Body::Final(f)) if f.answer() == v1::Answer::Fulfilled));
+        assert!(matches!(last, Some(Body::Final(f)) if f.answer() == v1::Answer::Succeeded));
     });
 }
 
@@ -332,7 +326,7 @@
                 .filter(|r| &*r.seer == "flood")
                 .count();
             assert!(begun < 400, "{begun} messages to and fro");
-            assert_eq!(net.request("other").await.0, End::Fulfilled);
+            assert_eq!(net.request("other").await.0, End::Succeeded);
             nothing_is_left(&net).await;
             assert!(net.ran().len() <= 1, "{:?}", net.ran());
         },
@@ -431,7 +425,7 @@
             port.run(submit("proof", "k2"), None, |_| {}).await
         };
         let (first, second) = tokio::join!(first, rest);
-        assert_eq!((first, second), (End::Fulfilled, End::Fulfilled));
+        assert_eq!((first, second), (End::Succeeded, End::Succeeded));
         assert_eq!(net.ran(), ["k1", "k2"]);
         let conns: BTreeSet<u64> = net
             .transcript
@@ -468,7 +462,7 @@
                     .unwrap_or_default()
                     .to_owned(),
             );
-            if matches!(end, End::Bounced { .. }) {
+            if matches!(end, End::Rejected { .. }) {
                 assert!(
                     request_class == "draft" || !net.ran().contains(&format!("proof{n}")),
                     "bounced, and ran"
@@ -482,7 +476,7 @@
             .collect();
         assert_eq!(proofs.iter().collect::<BTreeSet<_>>().len(), proofs.len());
         assert!(
-            seen.contains("Fulfilled") && seen.contains("WrittenOff"),
+            seen.contains("Succeeded") && seen.contains("Failed"),
             "{seen:?}"
         );
         net.engines
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -14,13 +14,13 @@
     let mut bench = Bench::new();
     let write = bench.streaming(5, "draft");
     bench.engine(&write, tokens(1));
-    bench.ended(&write, Status::Fulfilled);
+    bench.ended(&write, Status::Succeeded);
     let said: Vec<u64> = to_client(&bench.out)
         .iter()
         .map(|(stream, _)| *stream)
         .collect();
     assert_eq!(said, [5, 5, 5, 5], "accepted, two tokens, one final answer");
-    assert_eq!(finals(&bench.out), [(5, Answer::Fulfilled)]);
+    assert_eq!(finals(&bench.out), [(5, Answer::Succeeded)]);
     assert_eq!(bench.ledger.held().requests, 0);
     assert_eq!(finals(&bench.pass(60_000.0)), []);
 }
@@ -73,7 +73,7 @@
     let seen = bench.out.len();
     // Reads that are out end, which would make room for those that wait.
     for read in bench.attempts(&bench.out.clone()) {
-        bench.ended(&read, Status::Full);
+        bench.ended(&read, Status::Overloaded);
     }
     bench.pass(10_000.0);
     let after = bench.out[seen..].to_vec();
@@ -85,7 +85,7 @@
     assert_eq!(finals(&bench.out).len(), 100);
     assert!(finals(&bench.out)
         .iter()
-        .all(|(_, answer)| *answer == Answer::Bounced));
+        .all(|(_, answer)| *answer == Answer::Rejected));
     assert_eq!(bench.ledger.held().requests, 0);
 }
 
@@ -107,11 +107,7 @@
         let answers: Vec<Answer> = finals(&out).into_iter().map(|(_, a)| a).collect();
         assert_eq!(
             answers,
-            if again {
-                vec![]
-            } else {
-                vec![Answer::WrittenOff]
-            },
+            if again { vec![] } else { vec![Answer::Failed] },
             "{request_class}"
         );
     }
@@ -129,7 +125,7 @@
             link: write.link,
             reason: "reset".to_owned(),
         });
-        assert_eq!(finals(&out), [(1, Answer::WrittenOff)], "{request_class}");
+        assert_eq!(finals(&out), [(1, Answer::Failed)], "{request_class}");
         let later = bench.pass(10_000.0);
         assert!(bench.attempts(&out).is_empty() && bench.attempts(&later).is_empty());
         assert_eq!(to_client(&later), []);
@@ -147,12 +143,12 @@
         assert_eq!(answers.len(), 1, "{request_class} is answered in time");
         assert!(bench.now <= begin + 4000.0);
         assert!(
-            request_class == "draft" || answers[0].1 == Answer::WrittenOff,
+            request_class == "draft" || answers[0].1 == Answer::Failed,
             "proof may have run"
         );
         assert!(to_engines(&out).contains(&"cancel"));
         // Its outcome comes after its cancel, and its connection is cut after the client left.
-        let late = bench.ended(&write, Status::Fulfilled);
+        let late = bench.ended(&write, Status::Succeeded);
         bench.client(1, Body::Cancel(v1::Cancel {}));
         let cut = bench.put(Input::LinkClosed {
             link: write.link,
@@ -192,15 +188,15 @@
     assert_eq!(to_engines(&out), Vec::<&str>::new());
     let out = bench.pass(499.0);
     assert!(to_engines(&out).contains(&"release"));
-    assert_eq!(finals(&out), [(1, Answer::Bounced)]);
+    assert_eq!(finals(&out), [(1, Answer::Rejected)]);
 }
 
 #[test]
 fn of_two_outcomes_in_one_read_of_a_socket_the_second_breaks_the_link() {
     let mut bench = Bench::new();
     let write = bench.streaming(1, "proof");
-    let out = bench.ended(&write, Status::Fulfilled);
-    assert_eq!(finals(&out), [(1, Answer::Fulfilled)]);
+    let out = bench.ended(&write, Status::Succeeded);
+    assert_eq!(finals(&out), [(1, Answer::Succeeded)]);
     let out = bench.ended(&write, Status::Failed);
     assert_eq!(to_client(&out), [], "one answer is enough");
     assert!(out.iter().any(|o| matches!(o, Output::CloseLink { .. })));
@@ -210,7 +206,7 @@
 fn a_client_that_leaves_in_the_turn_of_its_answer_changes_nothing() {
     let mut bench = Bench::new();
     let write = bench.streaming(1, "draft");
-    bench.ended(&write, Status::Fulfilled);
+    bench.ended(&write, Status::Succeeded);
     let out = bench.client(1, Body::Cancel(v1::Cancel {}));
     assert_eq!(out, []);
     let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
@@ -249,7 +245,7 @@
             .iter()
             .any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
         let lost = finals(&out);
-        assert!(lost.contains(&(1, Answer::WrittenOff)));
+        assert!(lost.contains(&(1, Answer::Failed)));
         assert_eq!(
             lost.len(),
             if other.link == write.link { 2 } else { 1 },
@@ -312,7 +308,7 @@
         messages: 1,
     });
     assert_eq!(finals(&bench.pass(999.0)), [], "not yet");
-    assert_eq!(finals(&bench.pass(2.0)), [(1, Answer::WrittenOff)]);
+    assert_eq!(finals(&bench.pass(2.0)), [(1, Answer::Failed)]);
     assert_eq!(to_client(&bench.engine(&write, tokens(1))), []);
 }
 
@@ -328,7 +324,7 @@
 }
 
 #[test]
-fn beyond_the_most_open_requests_comes_an_honest_bounce() {
+fn beyond_the_most_open_requests_comes_an_honest_rejection() {
     let mut bench = Bench::with(ProgramSettings {
         limits: Limits {
             max_open_requests: 2,
@@ -339,7 +335,7 @@
     for stream in 1..=3 {
         bench.client(stream, Body::Submit(submit("proof")));
     }
-    assert_eq!(finals(&bench.out), [(3, Answer::Bounced)]);
+    assert_eq!(finals(&bench.out), [(3, Answer::Rejected)]);
     assert_eq!(bench.ledger.held().requests, 2);
 }
 
@@ -394,7 +390,7 @@
         let out = bench.client(stream as u64 + 1, Body::Submit(submit));
         let said = to_client(&out);
         assert!(
-            matches!(&said[..], [(_, Body::Rejected(r))] if r.field == field),
+            matches!(&said[..], [(_, Body::InvalidRequest(r))] if r.field == field),
             "{field}: {said:?}"
         );
     }
@@ -428,9 +424,9 @@
     let out = bench.put(Input::Stop);
     assert!(!out.contains(&Output::Stopped));
     let out = bench.client(4, Body::Submit(submit("draft")));
-    assert_eq!(finals(&out), [(4, Answer::Bounced)]);
-    let mut out = bench.ended(&finishes, Status::Fulfilled);
-    assert_eq!(finals(&out), [(1, Answer::Fulfilled)]);
+    assert_eq!(finals(&out), [(4, Answer::Rejected)]);
+    let mut out = bench.ended(&finishes, Status::Succeeded);
+    assert_eq!(finals(&out), [(1, Answer::Succeeded)]);
     for position in 1..4 {
         out.extend(bench.pass(500.0));
         bench.engine(&hangs, tokens(position));
@@ -441,7 +437,7 @@
         });
     }
     out.extend(bench.pass(600.0));
-    assert!(finals(&bench.out).contains(&(2, Answer::WrittenOff)));
+    assert!(finals(&bench.out).contains(&(2, Answer::Failed)));
     assert_eq!(finals(&bench.out).len(), 4, "one answer each");
     assert_eq!(
         bench.out.iter().filter(|o| **o == Output::Stopped).count(),
@@ -456,7 +452,7 @@
     let mut out = Vec::new();
     ledger.handle(
         1.0,
-        Input::Remembered(list(ListKind::Full, &[("r1", ready), ("w1", ready)])),
+        Input::Remembered(list(ListKind::Snapshot, &[("r1", ready), ("w1", ready)])),
         &mut out,
     );
     ledger.handle(
@@ -477,7 +473,7 @@
     out.clear();
     ledger.handle(
         3.0,
-        Input::Listed(list(ListKind::Full, &[("w1", ready)])),
+        Input::Listed(list(ListKind::Snapshot, &[("w1", ready)])),
         &mut out,
     );
     let kept = out.iter().find_map(|o| match o {
@@ -500,7 +496,7 @@
 fn a_line_of_the_list_that_cannot_be_right_is_passed_over_and_the_rest_used() {
     let mut bench = Bench::new();
     let mut list = list(
-        ListKind::Changes,
+        ListKind::Delta,
         &[("w3", EndpointStatus::Ready), ("w4", EndpointStatus::Ready)],
     );
     list.engines[0].zone = "nowhere".to_owned();
@@ -553,11 +549,11 @@
     assert_eq!(finals(&bench.out), []);
     // The client's time is up first, with the attempt still out; then the grace is.
     bench.pass(1500.0);
-    assert_eq!(finals(&bench.out), [(1, Answer::WrittenOff)]);
+    assert_eq!(finals(&bench.out), [(1, Answer::Failed)]);
     bench.pass(1500.0);
     let late = bench.engine(&write, tokens(0));
     assert_eq!(to_client(&late), []);
-    assert_eq!(finals(&bench.out), [(1, Answer::WrittenOff)]);
+    assert_eq!(finals(&bench.out), [(1, Answer::Failed)]);
 }
 
 #[test]
@@ -588,7 +584,10 @@
     let reads = bench.attempts(&bench.out.clone());
     assert_eq!(reads.len(), 4);
     let out = bench.pass(1000.0);
-    assert_eq!((dials(&out), finals(&out)), (0, vec![(5, Answer::Bounced)]));
+    assert_eq!(
+        (dials(&out), finals(&out)),
+        (0, vec![(5, Answer::Rejected)])
+    );
     bench.put(Input::ClientClosed { conn: ConnId(1) });
     for read in bench.attempts(&bench.out.clone()) {
         bench.ended(&read, Status::Cancelled);
@@ -600,7 +599,7 @@
 
 #[test]
 fn an_engine_that_is_gone_without_a_word_is_found_by_its_silence() {
-    for (request_class, expected) in [("draft", vec![]), ("proof", vec![(1, Answer::WrittenOff)])] {
+    for (request_class, expected) in [("draft", vec![]), ("proof", vec![(1, Answer::Failed)])] {
         let mut bench = Bench::new();
         bench.engines_answer_pings = false;
         let write = bench.writing(1, request_class);
@@ -674,7 +673,7 @@
         // What has its word is not.
         let mut bench = Bench::new();
         let read = bench.reading(1, request_class);
-        let out = bench.ended(&read, Status::Full);
+        let out = bench.ended(&read, Status::Overloaded);
         assert!(!to_engines(&out).contains(&"release"));
     }
 }
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn fulfilled_is_ok_and_the_final_answer_comes_last() {
+fn success_is_ok_and_the_final_answer_comes_last() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
         let (parts, status) = request(&peer, common::submit("draft")).await;
         assert!(status.is_none(), "{status:?}");
@@ -189,21 +189,21 @@
             .count();
         assert_eq!(tokens, 50);
         assert!(
-            matches!(parts.last(), Some(Part::Final(f)) if f.answer() == v1::Answer::Fulfilled)
+            matches!(parts.last(), Some(Part::Final(f)) if f.answer() == v1::Answer::Succeeded)
         );
         assert_eq!(finals(&parts).len(), 1);
     });
 }
 
 #[test]
-fn a_bounce_is_unavailable_and_says_when_to_come_back() {
+fn a_rejection_is_unavailable_and_says_when_to_come_back() {
     // There are no writers.
     run(common::limits(), &["r1"], |peer| async move {
         let (parts, status) = request(&peer, common::submit("proof")).await;
         let status = status.expect("a status");
         assert_eq!(
             (status.code(), finals(&parts)),
-            (Code::Unavailable, vec![v1::Answer::Bounced])
+            (Code::Unavailable, vec![v1::Answer::Rejected])
         );
         let Some(Part::Final(last)) = parts.last() else {
             panic!("no final answer")
@@ -234,7 +234,7 @@
             let status = status.expect("a status");
             assert_eq!(
                 (status.code(), finals(&parts)),
-                (Code::ResourceExhausted, vec![v1::Answer::Bounced])
+                (Code::ResourceExhausted, vec![v1::Answer::Rejected])
             );
             let rpc = details(&status);
             assert_eq!(
@@ -248,14 +248,14 @@
 }
 
 #[test]
-fn a_write_off_is_one_that_no_client_retries() {
+fn a_failure_is_one_that_no_client_retries() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
         peer.engines[1].trouble(|t| t.stall_after = Some(2));
         let (parts, status) = request(&peer, common::submit("proof")).await;
         let status = status.expect("a status");
         assert_eq!(
             (status.code(), finals(&parts)),
-            (Code::Unknown, vec![v1::Answer::WrittenOff])
+            (Code::Unknown, vec![v1::Answer::Failed])
         );
         assert_eq!(pushback(&status), Some("-1"));
         assert_eq!(ran(&peer), 1);
@@ -323,7 +323,7 @@
         let mut request = Request::new(common::submit("proof"));
         request.set_timeout(Duration::from_millis(150));
         let (parts, status) = ask(&peer, request, "/cindercleat.v1.Router/Run").await;
-        // Whose clock is first is open; a client never hears that it was fulfilled.
+        // Whose clock is first is open; a client never hears that it was succeeded.
         let status = status.expect("a status");
         let codes = [
             Code::DeadlineExceeded,
@@ -332,7 +332,7 @@
             Code::Unknown,
         ];
         assert!(codes.contains(&status.code()), "{status:?}");
-        assert!(!finals(&parts).contains(&v1::Answer::Fulfilled));
+        assert!(!finals(&parts).contains(&v1::Answer::Succeeded));
         let cancelled = || {
             let cancel = |what: &What| matches!(what, What::Frame(_, f) if matches!(f.body, Some(cindercleat_protocol::Body::Cancel(_))));
             peer.transcript
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -156,7 +156,7 @@
                     let answer = last.answer();
                     self.answers[answer as usize - 1] += 1;
                     let once = REQUEST_CLASSES[request.request_class] == "proof";
-                    let harmful = once && request.may_have_run && answer == Answer::Bounced;
+                    let harmful = once && request.may_have_run && answer == Answer::Rejected;
                     prop_assert!(
                         !harmful,
                         "a bounce of an at-most-once task that may have run"
@@ -299,7 +299,7 @@
     }
 
     fn end(&mut self, attempt: Attempt, status: Status) -> Result<(), TestCaseError> {
-        let proven = matches!(status, Status::Full | Status::NoState);
+        let proven = matches!(status, Status::Overloaded | Status::NoState);
         if attempt.write && proven {
             self.requests
                 .entry(attempt.request)
@@ -310,7 +310,7 @@
         let unreached = status == Status::NoState && attempt.stream.is_multiple_of(2);
         self.end_held(
             &attempt,
-            unreached || !matches!(status, Status::NoState | Status::Fulfilled),
+            unreached || !matches!(status, Status::NoState | Status::Succeeded),
         );
         let mut state = None;
         if status == Status::PrefillDone {
@@ -416,10 +416,7 @@
                         *lost = lost.filter(|key| at.get(key).is_none_or(|h| h != engine));
                     }
                 }
-                self.put(Input::Listed(list(
-                    ListKind::Changes,
-                    &[(engine, condition)],
-                )))
+                self.put(Input::Listed(list(ListKind::Delta, &[(engine, condition)])))
             }
             7 if !self.links.is_empty() => {
                 let link = *self
@@ -499,10 +496,10 @@
                 }
                 let attempt = self.attempts.remove(at);
                 let status = match (attempt.write, kind, attempt.position) {
-                    (_, 5, 0) => Status::Full,
+                    (_, 5, 0) => Status::Overloaded,
                     (true, 6, 0) => Status::NoState,
                     (_, 7, _) => Status::Failed,
-                    (true, ..) => Status::Fulfilled,
+                    (true, ..) => Status::Succeeded,
                     (false, ..) => Status::PrefillDone,
                 };
                 self.end(attempt, status)
@@ -553,7 +550,7 @@
 fn play(draws: &[Draw], seed: u64) -> Result<World, TestCaseError> {
     let mut world = World::new(seed);
     let ready = ENGINES.map(|h| (h, EndpointStatus::Ready));
-    world.put(Input::Listed(list(ListKind::Full, &ready)))?;
+    world.put(Input::Listed(list(ListKind::Snapshot, &ready)))?;
     for draw in draws {
         world.draw(*draw)?;
     }
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -86,7 +86,7 @@
     for conn in 5_000.. {
         let decode = decoding(bench, conn, "draft");
         bench.engine(&decode, tokens(0));
-        bench.ended(&decode, Status::Fulfilled);
+        bench.ended(&decode, Status::Succeeded);
         if decode.engine == engine {
             return;
         }
--- a/crates/dispatcher/tests/shell.rs
+++ b/crates/dispatcher/tests/shell.rs
@@ -16,7 +16,7 @@
 #[test]
 fn a_request_goes_its_whole_way() {
     run(|net| async move {
-        assert_eq!(net.request("c").await, (End::Fulfilled, 50));
+        assert_eq!(net.request("c").await, (End::Succeeded, 50));
         assert_eq!(net.shell.held().requests, 0);
     });
 }
@@ -33,7 +33,7 @@
         assert_eq!(net.shell.clients(), 0);
         assert_eq!(
             net.request("c").await.0,
-            End::Fulfilled,
+            End::Succeeded,
             "the rest is served on"
         );
     });
@@ -54,10 +54,10 @@
             ..common::submit("draft")
         };
         let end = port.run(large, None, |_| {}).await;
-        assert!(matches!(end, End::Rejected(_)), "{end:?}");
+        assert!(matches!(end, End::InvalidRequest(_)), "{end:?}");
         assert_eq!(
             port.run(common::submit("draft"), None, |_| {}).await,
-            End::Fulfilled
+            End::Succeeded
         );
         assert_eq!(net.shell.held().requests, 0);
     });
@@ -76,7 +76,7 @@
             "nothing was asked in time: closed"
         );
         assert_eq!(net.shell.clients(), 0);
-        assert_eq!(net.request("c").await.0, End::Fulfilled);
+        assert_eq!(net.request("c").await.0, End::Succeeded);
     });
 }
 
@@ -95,7 +95,7 @@
         );
         // The greeting's time passes.
         net.clock.sleep_until(net.clock.now() + 1100.0).await;
-        assert_eq!(net.request("c").await.0, End::Fulfilled);
+        assert_eq!(net.request("c").await.0, End::Succeeded);
         for mut stream in silent {
             let mut rest = Vec::new();
             let _ = stream.read_to_end(&mut rest).await;
@@ -120,7 +120,7 @@
         );
         other.start("at-w1", true).await.expect("the name is free");
         let (end, tokens) = net.request("c").await;
-        assert!(matches!(end, End::Bounced { .. }), "{end:?}");
+        assert!(matches!(end, End::Rejected { .. }), "{end:?}");
         assert_eq!(tokens, 0);
         let sent = net
             .transcript
@@ -144,10 +144,7 @@
             }
         });
         let (end, tokens) = net.request("c").await;
-        assert!(
-            matches!(end, End::Bounced { .. } | End::WrittenOff),
-            "{end:?}"
-        );
+        assert!(matches!(end, End::Rejected { .. } | End::Failed), "{end:?}");
         assert_eq!(tokens, 0);
         bad.abort();
         net.clock.sleep_until(net.clock.now() + 1.0).await;
@@ -156,7 +153,7 @@
             .await
             .expect("the name is free");
         net.clock.sleep_until(net.clock.now() + 3000.0).await;
-        assert_eq!(net.request("c").await.0, End::Fulfilled);
+        assert_eq!(net.request("c").await.0, End::Succeeded);
     });
 }
 
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -48,8 +48,8 @@
     );
     bench.engine(&decode, tokens(0));
     assert_eq!(
-        finals(&bench.ended(&decode, Status::Fulfilled)),
-        [(1, Answer::Fulfilled)]
+        finals(&bench.ended(&decode, Status::Succeeded)),
+        [(1, Answer::Succeeded)]
     );
 }
 
@@ -174,7 +174,7 @@
         let queued = decoding(&mut bench, 1, class);
         bench.pass(600.0);
         let out = bench.ended(&queued, Status::NoState);
-        assert_eq!(finals(&out), [(1, Answer::Bounced)], "{class}");
+        assert_eq!(finals(&out), [(1, Answer::Rejected)], "{class}");
         let out = bench.pass(1_000.0);
         assert!(bench.attempts(&out).is_empty(), "{class}");
         assert_eq!(
@@ -352,7 +352,7 @@
             .pop()
             .expect("a decode attempt goes out");
         bench.engine(&decode, tokens(0));
-        bench.ended(&decode, Status::Fulfilled);
+        bench.ended(&decode, Status::Succeeded);
         if next.engine == prefill.engine {
             break;
         }
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -103,14 +103,7 @@
             "an at-most-once task goes out again"
         );
         let answers: Vec<Answer> = finals(&out).into_iter().map(|(_, answer)| answer).collect();
-        assert_eq!(
-            answers,
-            if again {
-                vec![]
-            } else {
-                vec![Answer::WrittenOff]
-            }
-        );
+        assert_eq!(answers, if again { vec![] } else { vec![Answer::Failed] });
     }
 }
 
@@ -119,7 +112,7 @@
     let mut bench = bench();
     let write = writing(&mut bench, 1, "a", "proof");
     bench.engine(&write, tokens(0));
-    bench.ended(&write, Status::Fulfilled);
+    bench.ended(&write, Status::Succeeded);
     // The next write there takes the connection that rests, which its engine has closed meanwhile.
     let next = loop {
         let n = bench.out.len() as u64;
@@ -152,9 +145,9 @@
     assert_eq!(releases(&out), Vec::<String>::new());
     let write = bench.attempts(&out).pop().expect("a write goes out");
     bench.engine(&write, tokens(0));
-    let out = bench.ended(&write, Status::Fulfilled);
+    let out = bench.ended(&write, Status::Succeeded);
     assert_eq!(releases(&out), ["a"]);
-    assert_eq!(finals(&out), [(1, Answer::Fulfilled)]);
+    assert_eq!(finals(&out), [(1, Answer::Succeeded)]);
     // Nothing orders it behind the end of the prefill that broke, over another connection: again, until its engine works.
     assert_eq!(releases(&bench.pass(500.0)), ["a"]);
     for n in 2.. {
@@ -165,7 +158,7 @@
             .pop()
             .expect("a decode attempt goes out");
         bench.engine(&decode, tokens(0));
-        bench.ended(&decode, Status::Fulfilled);
+        bench.ended(&decode, Status::Succeeded);
         if next.engine == read.engine {
             break;
         }
@@ -232,7 +225,7 @@
     let read = reading(&mut bench, 1, "a", "draft");
     let out = asks(&mut bench, 2, request("a", "draft"));
     assert!(
-        matches!(to_client(&out)[..], [(1, Body::Rejected(_))]),
+        matches!(to_client(&out)[..], [(1, Body::InvalidRequest(_))]),
         "{out:?}"
     );
     assert!(bench.attempts(&out).is_empty() && releases(&out).is_empty());
@@ -241,8 +234,8 @@
     let write = bench.attempts(&out).pop().expect("the open one goes on");
     bench.engine(&write, tokens(0));
     assert_eq!(
-        finals(&bench.ended(&write, Status::Fulfilled)),
-        [(1, Answer::Fulfilled)]
+        finals(&bench.ended(&write, Status::Succeeded)),
+        [(1, Answer::Succeeded)]
     );
     // Once it is over, its id is nobody's.
     let out = asks(&mut bench, 3, request("a", "draft"));
@@ -277,11 +270,11 @@
     let mut bench = bench_with(Limits { single, ..limits });
     let write = writing(&mut bench, 1, "a", "draft");
     bench.engine(&write, tokens(0));
-    bench.ended(&write, Status::Fulfilled);
+    bench.ended(&write, Status::Succeeded);
     for n in 2..30 {
         let write = writing(&mut bench, n, &n.to_string(), "draft");
         bench.engine(&write, tokens(0));
-        bench.ended(&write, Status::Fulfilled);
+        bench.ended(&write, Status::Succeeded);
         assert!(bench.ledger.held().links <= 2);
     }
 }
@@ -332,14 +325,14 @@
     bench.pass(700.0);
     assert_eq!(
         finals(&asks(&mut bench, 3, request("c", "draft"))),
-        [(1, Answer::Bounced)]
+        [(1, Answer::Rejected)]
     );
     let out = bench.pass(1700.0);
     assert_eq!(finals(&out), []);
     let out = bench.pass(200.0);
     assert_eq!(
         finals(&out),
-        [(1, Answer::WrittenOff)],
+        [(1, Answer::Failed)],
         "the stream; what has not begun goes on"
     );
     assert!(!out.iter().any(|o| matches!(o, Output::Stopped)));
@@ -357,7 +350,7 @@
     let mut bench = bench_with(limits);
     let over = writing(&mut bench, 2, "over", "draft");
     bench.engine(&over, tokens(0));
-    bench.ended(&over, Status::Fulfilled);
+    bench.ended(&over, Status::Succeeded);
     let write = writing(&mut bench, 1, "a", "draft");
     bench.put(Input::Stop);
     bench.pass(900.0);
@@ -365,7 +358,7 @@
     let out = bench.pass(200.0);
     assert_eq!(
         finals(&out),
-        [(1, Answer::WrittenOff)],
+        [(1, Answer::Failed)],
         "its client comes back for the rest before the kill"
     );
 }
@@ -409,8 +402,8 @@
         bench.told(&reader, Gone);
         bench.told(&writer, Gone);
         assert_eq!(
-            finals(&bench.ended(&write, Status::Fulfilled)),
-            [(1, Answer::Fulfilled)],
+            finals(&bench.ended(&write, Status::Succeeded)),
+            [(1, Answer::Succeeded)],
             "it went on"
         );
         bench.put(Input::ClientClosed { conn: ConnId(n) });
@@ -448,7 +441,7 @@
         .iter()
         .map(|name| (name.as_str(), v1::EndpointStatus::Ready))
         .collect();
-    bench.put(Input::Listed(list(v1::ListKind::Full, &ready)));
+    bench.put(Input::Listed(list(v1::ListKind::Snapshot, &ready)));
     bench
 }
 
@@ -473,7 +466,7 @@
         let out = bench.ended(&read, Status::PrefillDone);
         let write = bench.attempts(&out).pop().expect("a write goes out");
         bench.engine(&write, tokens(0));
-        bench.ended(&write, Status::Fulfilled);
+        bench.ended(&write, Status::Succeeded);
         linked.extend([read.engine, write.engine]);
         bench.pass(10.0);
         assert!(n < 2_000, "every engine is used: {linked:?}");
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -344,8 +344,8 @@
             let harmed = (count as f64 * part + draws[1]) as u64;
             let harmed = harmed.min(count);
             let tally = &mut service.nodes[node].tally;
-            tally.fulfilled += count - harmed;
-            tally.bounced += harmed;
+            tally.succeeded += count - harmed;
+            tally.rejected += harmed;
             if new && service.released.turned_before_halt.is_none() {
                 service.released.harmed_before_halt += harmed;
             }
@@ -368,8 +368,8 @@
                     };
                     let harmed = ((5.0 * (bad + service.burst) + draws[3]) as u64).min(5);
                     let tally = Tally {
-                        fulfilled: 5 - harmed,
-                        bounced: harmed,
+                        succeeded: 5 - harmed,
+                        rejected: harmed,
                         ..Tally::default()
                     };
                     reports.push(EngineReport {
--- a/crates/faults/src/model.rs
+++ b/crates/faults/src/model.rs
@@ -38,7 +38,7 @@
     out: BTreeMap<Stream, String>,
     /// Writes that ended other than by proof that nothing ran.
     may_have_run: usize,
-    fulfilled: usize,
+    succeeded: usize,
     ran: usize,
     /// Launches of the try of a dispatcher's process: reads and writes.
     attempts: BTreeMap<(u64, u32), u32>,
@@ -167,14 +167,14 @@
                 let streamed = this.position > 0;
                 let (key, answer) = (this.key.clone(), last.answer());
                 let name = match answer {
-                    v1::Answer::Fulfilled => "fulfilled",
-                    v1::Answer::Bounced => "bounced",
+                    v1::Answer::Succeeded => "fulfilled",
+                    v1::Answer::Rejected => "bounced",
                     _ => "written off",
                 };
                 this.over = Some(name);
                 return self.finished(&key, name, streamed);
             }
-            Body::Rejected(_) => this.over = Some("rejected"),
+            Body::InvalidRequest(_) => this.over = Some("rejected"),
             Body::Goodbye(_) => this.over = Some("ended"),
             _ => return Some(format!("{} gets what no client gets", this.key)),
         }
@@ -187,7 +187,7 @@
         self.answers.insert((request.request_class.clone(), answer));
         let again = self.again(&request.request_class);
         match answer {
-            "fulfilled" if request.fulfilled == 0 => {
+            "fulfilled" if request.succeeded == 0 => {
                 Some(format!("{key} is fulfilled, and no host said so"))
             }
             "bounced" if streamed => Some(format!("{key} is bounced after its stream began")),
@@ -243,18 +243,18 @@
         if writes {
             request.out.remove(&stream);
             match ended.status() {
-                v1::Status::Full | v1::Status::NoState => {}
-                v1::Status::Fulfilled => {
-                    request.fulfilled += 1;
+                v1::Status::Overloaded | v1::Status::NoState => {}
+                v1::Status::Succeeded => {
+                    request.succeeded += 1;
                     request.may_have_run += 1;
                 }
                 _ => request.may_have_run += 1,
             }
         }
         let met = match ended.status() {
-            v1::Status::Full => "said full",
+            v1::Status::Overloaded => "said full",
             v1::Status::NoState => "said no state",
-            v1::Status::Fulfilled => "said fulfilled",
+            v1::Status::Succeeded => "said fulfilled",
             v1::Status::PrefillDone => "said read",
             v1::Status::Cancelled => "said cancelled",
             _ => "said failed",
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -450,7 +450,7 @@
         let in_time = first
             .get()
             .is_some_and(|at| at - now <= traffic.latency_objective);
-        if end == Ended::Fulfilled && in_time {
+        if end == Ended::Succeeded && in_time {
             good += 1;
         } else {
             good = 0;
--- a/crates/faults/tests/named.rs
+++ b/crates/faults/tests/named.rs
@@ -170,7 +170,7 @@
     }
 }
 
-/// A failing day is cut down to what breaks it: here a claim that nothing may be written off, by a stand-in of a
+/// A failing day is cut down to what breaks it: here a claim that nothing may be failed, by a stand-in of a
 /// check, on a day with one fault that leads to it among others that do not.
 #[test]
 fn a_day_is_cut_down_to_what_breaks_it() {
--- a/crates/fleet/src/care_words.rs
+++ b/crates/fleet/src/care_words.rs
@@ -48,36 +48,36 @@
 
 pub(crate) fn tally_out(tally: &Tally) -> v1::FleetTally {
     let Tally {
-        fulfilled,
-        bounced,
-        written_off,
+        succeeded,
+        rejected,
+        failed,
         late,
     } = *tally;
     v1::FleetTally {
-        fulfilled,
-        bounced,
-        written_off,
+        succeeded,
+        rejected,
+        failed,
         late,
     }
 }
 
 pub(crate) fn tally_in(said: Option<&v1::FleetTally>) -> Tally {
     let Some(&v1::FleetTally {
-        fulfilled,
-        bounced,
-        written_off,
+        succeeded,
+        rejected,
+        failed,
         late,
     }) = said
     else {
         return Tally::default();
     };
     // Sums of them are not to overflow.
-    let [fulfilled, bounced, written_off, late] =
-        [fulfilled, bounced, written_off, late].map(|n| n.min(1 << 48));
+    let [succeeded, rejected, failed, late] =
+        [succeeded, rejected, failed, late].map(|n| n.min(1 << 48));
     Tally {
-        fulfilled,
-        bounced,
-        written_off,
+        succeeded,
+        rejected,
+        failed,
         late,
     }
 }
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -165,9 +165,9 @@
         load: 0.25,
         holds: 1,
         tally: Tally {
-            fulfilled: 4,
-            bounced: 3,
-            written_off: 2,
+            succeeded: 4,
+            rejected: 3,
+            failed: 2,
             late: 1,
         },
         reports: vec![
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -99,14 +99,16 @@
         ("Router/Run", Body::Tokens(m)) => (run(run_reply::Part::Tokens(m)), None),
         ("Router/Run", Body::Final(m)) => {
             let told = match m.answer() {
-                v1::Answer::Fulfilled => Told::Fulfilled,
-                v1::Answer::Bounced => Told::Bounced { full: m.full },
-                v1::Answer::WrittenOff | v1::Answer::Unspecified => Told::WrittenOff,
+                v1::Answer::Succeeded => Told::Succeeded,
+                v1::Answer::Rejected => Told::Rejected { full: m.full },
+                v1::Answer::Failed | v1::Answer::Unspecified => Told::Failed,
             };
             let end = Some(Ending::told(told, m.retry_after_ms, &m.reason));
             (run(run_reply::Part::Final(m)), end)
         }
-        ("Router/Run", Body::Rejected(m)) => (None, Some(Ending::rejected(&m.field, &m.reason))),
+        ("Router/Run", Body::InvalidRequest(m)) => {
+            (None, Some(Ending::rejected(&m.field, &m.reason)))
+        }
         ("Host/Write", Body::Tokens(m)) => (write(decode_reply::Part::Tokens(m)), None),
         ("Host/Write", Body::Ended(m)) => (write(decode_reply::Part::Ended(m)), ok()),
         ("Host/Read", Body::Ended(m)) => (Some(encode(&m)), ok()),
@@ -120,7 +122,7 @@
         (_, Body::Hello(m)) => (Some(encode(&m)), ok()),
         // What was taken may have run, so the end of a request without an answer is never one to try again.
         ("Router/Run", Body::Goodbye(m)) => {
-            (None, Some(Ending::told(Told::WrittenOff, 0.0, &m.reason)))
+            (None, Some(Ending::told(Told::Failed, 0.0, &m.reason)))
         }
         (_, Body::Goodbye(m)) => (None, Some(Ending::plain(Code::Unavailable, &m.reason))),
         _ => return None,
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -418,7 +418,9 @@
             },
         ) => ended(v1::Status::Cancelled),
         ("Host/Read" | "Host/Write", end) => match of_engine(end) {
-            Outcome::Full | Outcome::Unreachable | Outcome::Void => ended(v1::Status::Full),
+            Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent => {
+                ended(v1::Status::Overloaded)
+            }
             // With the connection lost its end says it all.
             _ if end == CallEnd::ConnectionLost => None,
             _ => ended(v1::Status::Failed),
@@ -431,10 +433,10 @@
             },
         ) => {
             let (field, reason) = field.unwrap_or((String::new(), message));
-            Some(Body::Rejected(v1::Rejected { field, reason }))
+            Some(Body::InvalidRequest(v1::InvalidRequest { field, reason }))
         }
         _ => {
-            let never_ran = matches!(of_engine(end), Outcome::Full | Outcome::Unreachable);
+            let never_ran = matches!(of_engine(end), Outcome::Overloaded | Outcome::Unreachable);
             Some(Body::Goodbye(v1::Goodbye { reason, never_ran }))
         }
     }
--- a/crates/grpc/src/details.rs
+++ b/crates/grpc/src/details.rs
@@ -108,7 +108,7 @@
                 field_violations: vec![violation],
             },
         )];
-        let plain = Ending::refused(to_client(Told::Rejected), &format!("{field}: {why}"));
+        let plain = Ending::refused(to_client(Told::InvalidRequest), &format!("{field}: {why}"));
         Ending { details, ..plain }
     }
 
@@ -224,12 +224,12 @@
     use super::*;
 
     #[test]
-    fn a_bounce_says_how_long_to_stay_away_and_a_write_off_never_to_come_back() {
-        let bounced = Ending::told(Told::Bounced { full: true }, 1250.5, "no room").headers();
-        assert_eq!(bounced["grpc-status"], "8");
-        assert_eq!(bounced["grpc-retry-pushback-ms"], "1251");
+    fn a_rejection_says_how_long_to_stay_away_and_a_failure_never_to_come_back() {
+        let rejected = Ending::told(Told::Rejected { full: true }, 1250.5, "no room").headers();
+        assert_eq!(rejected["grpc-status"], "8");
+        assert_eq!(rejected["grpc-retry-pushback-ms"], "1251");
         let bytes = LENIENT
-            .decode(bounced["grpc-status-details-bin"].as_bytes())
+            .decode(rejected["grpc-status-details-bin"].as_bytes())
             .expect("base64");
         let status = Status::decode(&bytes[..]).expect("a status");
         let info = RetryInfo::decode(&status.details[0].value[..]).expect("retry info");
@@ -241,10 +241,10 @@
                 nanos: 250_500_000
             })
         );
-        let written_off = Ending::told(Told::WrittenOff, 500.0, "").headers();
-        assert_eq!(written_off["grpc-retry-pushback-ms"], "-1");
-        assert!(written_off.get("grpc-status-details-bin").is_none());
-        assert!(written_off.get("cindercleat-ran").is_none());
+        let failed = Ending::told(Told::Failed, 500.0, "").headers();
+        assert_eq!(failed["grpc-retry-pushback-ms"], "-1");
+        assert!(failed.get("grpc-status-details-bin").is_none());
+        assert!(failed.get("cindercleat-ran").is_none());
     }
 
     #[test]
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -223,7 +223,7 @@
             None => {
                 return end(
                     to,
-                    &Ending::told(Told::WrittenOff, 0.0, "the connection closes"),
+                    &Ending::told(Told::Failed, 0.0, "the connection closes"),
                 )
             }
         };
--- a/crates/grpc/tests/hard.rs
+++ b/crates/grpc/tests/hard.rs
@@ -130,7 +130,7 @@
 
     async fn ended(&mut self, stream: u32) {
         let ended = v1::Ended {
-            status: v1::Status::Fulfilled.into(),
+            status: v1::Status::Succeeded.into(),
             ..v1::Ended::default()
         };
         let reply = v1::DecodeReply {
@@ -209,7 +209,7 @@
             let call = raw.call().await;
             raw.send(RST, 0, call, &code.to_be_bytes()).await;
             let expected = if code == REFUSED {
-                v1::Status::Full
+                v1::Status::Overloaded
             } else {
                 v1::Status::Failed
             };
@@ -229,7 +229,7 @@
             let call = raw.call().await;
             raw.head(call).await;
             raw.ended(call).await;
-            assert_eq!(ended(last(&mut session).await), v1::Status::Fulfilled);
+            assert_eq!(ended(last(&mut session).await), v1::Status::Succeeded);
         });
     }
 }
@@ -250,14 +250,17 @@
             .await;
         let (stream, said) = last(&mut session).await.expect("a word");
         assert_eq!(stream, 3, "only the one above the last id ends");
-        assert_eq!(ended(Some((3, said))), v1::Status::Full);
+        assert_eq!(ended(Some((3, said))), v1::Status::Overloaded);
         // What is begun now does not go out; the two that were taken go on.
         session.out.send(frame(4, write()));
         let (stream, said) = last(&mut session).await.expect("a word");
-        assert_eq!((stream, ended(Some((4, said)))), (4, v1::Status::Full));
+        assert_eq!(
+            (stream, ended(Some((4, said)))),
+            (4, v1::Status::Overloaded)
+        );
         raw.ended(calls[0]).await;
         let (stream, said) = last(&mut session).await.expect("a word");
-        assert_eq!((stream, ended(Some((1, said)))), (1, v1::Status::Fulfilled));
+        assert_eq!((stream, ended(Some((1, said)))), (1, v1::Status::Succeeded));
         if cut {
             drop(raw);
             // Below the last id: it may have run, and nothing says otherwise.
@@ -269,7 +272,7 @@
         } else {
             raw.head(calls[1]).await;
             raw.ended(calls[1]).await;
-            assert_eq!(ended(last(&mut session).await), v1::Status::Fulfilled);
+            assert_eq!(ended(last(&mut session).await), v1::Status::Succeeded);
         }
         while last(&mut session).await.is_some() {}
     });
@@ -344,7 +347,7 @@
 }
 
 #[test_case(&[("grpc-status", "14")], v1::Status::Failed; "unavailable, which anybody may say")]
-#[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "no")], v1::Status::Full; "with the host's mark")]
+#[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "no")], v1::Status::Overloaded; "with the host's mark")]
 #[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "yes")], v1::Status::Failed; "with another mark")]
 #[test_case(&[("grpc-status", "0")], v1::Status::Failed; "ok without a last message")]
 #[test_case(&[("grpc-status", "99")], v1::Status::Failed; "a status that is none")]
@@ -416,14 +419,14 @@
         assert_eq!(stream, 2);
         raw.head(first).await;
         raw.ended(first).await;
-        assert_eq!(ended(last(&mut session).await), v1::Status::Fulfilled);
+        assert_eq!(ended(last(&mut session).await), v1::Status::Succeeded);
         session.out.send(frame(3, write()));
         // The next whole call is the third: the second was nothing, or reset before it was made whole.
         let third = raw.call().await;
         raw.head(third).await;
         raw.ended(third).await;
         let (stream, said) = last(&mut session).await.expect("a word");
-        assert_eq!((stream, ended(Some((3, said)))), (3, v1::Status::Fulfilled));
+        assert_eq!((stream, ended(Some((3, said)))), (3, v1::Status::Succeeded));
     });
 }
 
--- a/crates/grpc/tests/session.rs
+++ b/crates/grpc/tests/session.rs
@@ -94,7 +94,7 @@
             server.out.send(frame(asked.stream, tokens(at)));
         }
         let last = v1::Final {
-            answer: v1::Answer::Fulfilled.into(),
+            answer: v1::Answer::Succeeded.into(),
             ..v1::Final::default()
         };
         server
@@ -243,7 +243,7 @@
                 server.out.send(frame(stream, tokens(at)));
             }
             let last = v1::Final {
-                answer: v1::Answer::WrittenOff.into(),
+                answer: v1::Answer::Failed.into(),
                 ..v1::Final::default()
             };
             server.out.send(frame(stream, Body::Final(last.clone())));
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -375,7 +375,7 @@
                 continue;
             }
             if !self.more(stream, call).await? {
-                // The mark in the head says all of an answer that turns away.
+                // The mark in the head says all of an answer that rejects.
                 if !reading.may_end() && !head.as_ref().is_some_and(turns_away) {
                     return Err(Over::Theirs(
                         "it ended the connection within its answer".to_owned(),
@@ -507,11 +507,11 @@
             })
         }
         (Call::Write { .. }, 200) if is_stream(head, call) => {
-            Body::Ended(ended(v1::Status::Fulfilled))
+            Body::Ended(ended(v1::Status::Succeeded))
         }
         (Call::Write { .. }, 410) if turns_away(head) => Body::Ended(ended(v1::Status::NoState)),
         (Call::Read(_) | Call::Write { .. }, 503 | 504) if turns_away(head) => {
-            Body::Ended(ended(v1::Status::Full))
+            Body::Ended(ended(v1::Status::Overloaded))
         }
         (Call::Read(_) | Call::Write { .. }, _) => Body::Ended(ended(v1::Status::Failed)),
         (Call::Probe, 200) => Body::Load(load(body).or(load_said).unwrap_or_default()),
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -34,7 +34,7 @@
     pub most_chunk: usize,
     /// The largest list, in bytes.
     pub most_list: usize,
-    /// Bytes of all clients' bodies together; one that would go over is bounced.
+    /// Bytes of all clients' bodies together; one that would go over is rejected.
     pub most_bodies: usize,
     /// How long the list feed may wait with an answer, in whole milliseconds.
     pub feed_wait_ms: u32,
--- a/crates/http1/src/list.rs
+++ b/crates/http1/src/list.rs
@@ -33,9 +33,9 @@
 pub fn parse(bytes: &[u8]) -> Result<v1::EndpointList, Malformed> {
     let list: List = serde_json::from_slice(bytes)?;
     let kind = if list.complete {
-        v1::ListKind::Full
+        v1::ListKind::Snapshot
     } else {
-        v1::ListKind::Changes
+        v1::ListKind::Delta
     };
     let engines = list.members.into_iter().map(line).collect();
     Ok(v1::EndpointList {
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -380,13 +380,13 @@
         let keeps = self.goes_on(keeps);
         let (status, why, more, keeps) = match body {
             Body::Final(said) => match (said.answer(), begun) {
-                (v1::Answer::Fulfilled, true) => {
+                (v1::Answer::Succeeded, true) => {
                     text.extend_from_slice(b"0\r\n\r\n");
                     return Some(keeps);
                 }
                 // A stream that is not whole ends with its connection, without the last chunk.
                 (_, true) => return Some(false),
-                (v1::Answer::Bounced, false) => {
+                (v1::Answer::Rejected, false) => {
                     let after = said.retry_after_ms;
                     let more = if after > 0.0 {
                         format!("Retry-After: {:.3}\r\n", after / 1000.0)
@@ -402,7 +402,9 @@
                     keeps,
                 ),
             },
-            Body::Rejected(said) => (words::REJECTED, said.reason.as_str(), String::new(), false),
+            Body::InvalidRequest(said) => {
+                (words::REJECTED, said.reason.as_str(), String::new(), false)
+            }
             Body::Pong(_) => (words::READY, "ready", String::new(), keeps),
             Body::Goodbye(said) => (words::BOUNCED, said.reason.as_str(), String::new(), keeps),
             _ => return None,
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -165,7 +165,7 @@
                 .send(frame(stream, text(9, "data: b\n\n: c\n\n")));
             session
                 .out
-                .send(frame(stream, last(v1::Answer::Fulfilled, 0.0)));
+                .send(frame(stream, last(v1::Answer::Succeeded, 0.0)));
             assert_eq!(
                 until(&mut io, "0\r\n\r\n").await,
                 "e\r\ndata: b\n\n: c\n\n\r\n0\r\n\r\n"
@@ -178,11 +178,11 @@
 }
 
 #[test]
-fn bounces_write_offs_and_broken_streams_look_like_what_they_are() {
+fn rejections_failures_and_broken_streams_look_like_what_they_are() {
     for (said, after, expected) in [
-        (v1::Answer::Bounced, 0.0, "HTTP/1.1 503 "),
-        (v1::Answer::Bounced, 250.0, "HTTP/1.1 503 "),
-        (v1::Answer::WrittenOff, 0.0, "HTTP/1.1 504 "),
+        (v1::Answer::Rejected, 0.0, "HTTP/1.1 503 "),
+        (v1::Answer::Rejected, 250.0, "HTTP/1.1 503 "),
+        (v1::Answer::Failed, 0.0, "HTTP/1.1 504 "),
     ] {
         run(async move {
             let (mut io, mut session) = client(&Http1::new(BOUNDS)).await;
@@ -200,9 +200,7 @@
         io.write_all(ask("{}").as_bytes()).await.expect("written");
         body(&mut session).await.expect("a task");
         session.out.send(frame(1, text(0, "data: a\n\n")));
-        session
-            .out
-            .send(frame(1, last(v1::Answer::WrittenOff, 0.0)));
+        session.out.send(frame(1, last(v1::Answer::Failed, 0.0)));
         let all = until(&mut io, "").await;
         assert!(
             all.ends_with("9\r\ndata: a\n\n\r\n"),
@@ -260,7 +258,7 @@
 }
 
 #[test]
-fn many_bodies_at_once_are_bounded_and_the_next_is_bounced() {
+fn many_bodies_at_once_are_bounded_and_the_next_is_rejected() {
     run(async {
         let wire = Http1::new(BOUNDS);
         let mut open = Vec::new();
@@ -336,7 +334,7 @@
             body(&mut session).await,
             Some((1, Body::Submit(_)))
         ));
-        session.out.send(frame(1, last(v1::Answer::Bounced, 0.0)));
+        session.out.send(frame(1, last(v1::Answer::Rejected, 0.0)));
         assert!(
             until(&mut io, "").await.starts_with("HTTP/1.1 503 "),
             "the answer, and its end"
@@ -418,7 +416,7 @@
         body(&mut session).await.expect("a task");
         session.out.go_away();
         session.out.send(frame(1, text(0, "data: a\n\n")));
-        session.out.send(frame(1, last(v1::Answer::Fulfilled, 0.0)));
+        session.out.send(frame(1, last(v1::Answer::Succeeded, 0.0)));
         let answer = until(&mut io, "").await;
         assert!(
             answer.ends_with("0\r\n\r\n") && answer.contains("\r\nConnection: close\r\n"),
@@ -452,9 +450,9 @@
             }
             session.out.go_away();
             let answer = if streams {
-                v1::Answer::Fulfilled
+                v1::Answer::Succeeded
             } else {
-                v1::Answer::Bounced
+                v1::Answer::Rejected
             };
             session.out.send(frame(1, last(answer, 0.0)));
             let next = body(&mut session)
@@ -466,7 +464,7 @@
             assert_eq!(submit.origin.expect("an origin").id, "9b1f03aa5c7e2d42");
             session
                 .out
-                .send(frame(stream, last(v1::Answer::Bounced, 0.0)));
+                .send(frame(stream, last(v1::Answer::Rejected, 0.0)));
             let rest = until(&mut io, "").await;
             assert_eq!(
                 rest.matches("\r\nConnection: close\r\n").count(),
@@ -500,17 +498,17 @@
             .await
             .expect("written");
         tokio::time::sleep(Duration::from_millis(500)).await;
-        session.out.send(frame(1, last(v1::Answer::Bounced, 0.0)));
+        session.out.send(frame(1, last(v1::Answer::Rejected, 0.0)));
         let waited = 4800.0 - time_to_deadline(body(&mut session).await);
         assert!(
             (699.0..705.0).contains(&waited),
             "since its first byte: {waited}"
         );
         tokio::time::sleep(Duration::from_millis(100)).await;
-        session.out.send(frame(2, last(v1::Answer::Bounced, 0.0)));
+        session.out.send(frame(2, last(v1::Answer::Rejected, 0.0)));
         let waited = 4800.0 - time_to_deadline(body(&mut session).await);
         assert!((599.0..605.0).contains(&waited), "since it came: {waited}");
-        session.out.send(frame(3, last(v1::Answer::Bounced, 0.0)));
+        session.out.send(frame(3, last(v1::Answer::Rejected, 0.0)));
         // One that comes when nothing is open has waited for nothing.
         let (mut io, mut session) = client(&Http1::new(BOUNDS)).await;
         tokio::time::sleep(Duration::from_millis(900)).await;
@@ -604,7 +602,7 @@
             .await
             .expect("written");
         assert_eq!(body(&mut session).await, Some((2, text(9, "data: b\n\n"))));
-        assert_eq!(status(body(&mut session).await).0, v1::Status::Fulfilled);
+        assert_eq!(status(body(&mut session).await).0, v1::Status::Succeeded);
         session.out.send(frame(
             3,
             Body::Release(v1::Release {
@@ -689,9 +687,9 @@
         |status: &str, more: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{more}\r\n");
     let mark = "X-Turned-Away: 1\r\n";
     for (call, answer, expected) in [
-        (write(8), plain("503 Busy", mark), Full),
-        (write(8), plain("504 Late", mark), Full),
-        (read(), plain("503 Busy", mark), Full),
+        (write(8), plain("503 Busy", mark), Overloaded),
+        (write(8), plain("504 Late", mark), Overloaded),
+        (read(), plain("503 Busy", mark), Overloaded),
         (write(8), plain("410 Gone", mark), NoState),
         (write(8), plain("503 Busy", ""), Failed),
         (write(8), plain("410 Gone", ""), Failed),
@@ -827,7 +825,7 @@
             Some(Event::GoingAway),
             "said before the end"
         );
-        assert_eq!(status(body(&mut session).await).0, v1::Status::Fulfilled);
+        assert_eq!(status(body(&mut session).await).0, v1::Status::Succeeded);
         assert_eq!(session.events.recv().await, None);
         // Behind it, later: while it rests.
         let (mut io, mut session) = engine().await;
@@ -835,7 +833,7 @@
         until(&mut io, "\r\n\r\n{}").await;
         io.write_all(good.as_bytes()).await.expect("written");
         body(&mut session).await.expect("tokens");
-        assert_eq!(status(body(&mut session).await).0, v1::Status::Fulfilled);
+        assert_eq!(status(body(&mut session).await).0, v1::Status::Succeeded);
         io.write_all(good.as_bytes()).await.expect("written");
         assert_eq!(session.events.recv().await, None);
     });
@@ -919,7 +917,7 @@
             .out
             .send(frame(1, Body::Credit(v1::Credit { messages: 5 })));
         assert_eq!(body(&mut session).await, Some((1, text(9, "data: b\n\n"))));
-        assert_eq!(status(body(&mut session).await).0, v1::Status::Fulfilled);
+        assert_eq!(status(body(&mut session).await).0, v1::Status::Succeeded);
     });
 }
 
@@ -957,7 +955,7 @@
         let Some((1, Body::List(got))) = body(&mut session).await else {
             panic!("a list")
         };
-        assert_eq!((got.kind(), got.version), (v1::ListKind::Full, 41));
+        assert_eq!((got.kind(), got.version), (v1::ListKind::Snapshot, 41));
         let engine = &got.engines[0];
         assert_eq!(
             (engine.engine.as_str(), engine.address.as_str()),
@@ -986,7 +984,7 @@
         let Some((1, Body::List(got))) = body(&mut session).await else {
             panic!("a list")
         };
-        assert_eq!((got.kind(), got.version), (v1::ListKind::Changes, 43));
+        assert_eq!((got.kind(), got.version), (v1::ListKind::Delta, 43));
         until(&mut io, "\r\n\r\n").await;
         io.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{\"rev")
             .await
@@ -1167,7 +1165,7 @@
         notes.borrow_mut().clear();
         client.out.go_away();
         engine.out.send(frame(1, Body::Cancel(v1::Cancel {})));
-        client.out.send(frame(1, last(v1::Answer::Bounced, 0.0)));
+        client.out.send(frame(1, last(v1::Answer::Rejected, 0.0)));
         assert!(until(&mut client_io, "\n")
             .await
             .starts_with("HTTP/1.1 503 "));
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -51,7 +51,7 @@
         Some(Body::Follow(_)) => "follow",
         Some(Body::List(_)) => "list",
         Some(Body::Peer(_)) => "peer",
-        Some(Body::Rejected(_)) => "rejected",
+        Some(Body::InvalidRequest(_)) => "rejected",
         Some(Body::Ping(_)) => "ping",
         Some(Body::Pong(_)) => "pong",
         Some(Body::Done(_)) => "done",
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -276,10 +276,10 @@
 
     fn announce(&mut self, instance: u32, parts: &mut Parts) -> Result<Event, Malformed> {
         let kind = match parts.next("a kind of list")? {
-            "changes" => ListKind::Changes,
-            "all" => ListKind::Full,
-            "remembered" => ListKind::Remembered,
-            "refused" => ListKind::Refused,
+            "changes" => ListKind::Delta,
+            "all" => ListKind::Snapshot,
+            "remembered" => ListKind::Cached,
+            "refused" => ListKind::Rejected,
             other => return Err(Malformed::new("changes, all, remembered or refused", other)),
         };
         let _version: Option<i64> = parts.maybe_number("a version")?;
@@ -375,14 +375,14 @@
 
 fn outcome(word: &str) -> Result<Outcome, Malformed> {
     Ok(match word {
-        "success" => Outcome::Fulfilled,
+        "success" => Outcome::Succeeded,
         "failure" => Outcome::Failed,
-        "overloaded" => Outcome::Full,
+        "overloaded" => Outcome::Overloaded,
         "timed_out" => Outcome::TimedOut,
         "unreachable" => Outcome::Unreachable,
-        "broken" => Outcome::Broken,
-        "withdrawn" => Outcome::CalledOff,
-        "void" => Outcome::Void,
+        "broken" => Outcome::ConnectionLost,
+        "withdrawn" => Outcome::Cancelled,
+        "void" => Outcome::NotSent,
         "ready_to_answer" => Outcome::PrefillDone,
         other => return Err(Malformed::new("an outcome of the wire", other)),
     })
@@ -403,7 +403,7 @@
         Action::Cancel { request, attempt } => {
             writeln!(out, "cancel\t{i}\t{}\t{}", request.0, attempt.0)
         }
-        Action::Bounce {
+        Action::Reject {
             request,
             retry_after,
         } => {
@@ -414,7 +414,7 @@
                 retry_after.map_or(0, us)
             )
         }
-        Action::WriteOff { request } => writeln!(out, "finish_error\t{i}\t{}", request.0),
+        Action::Fail { request } => writeln!(out, "finish_error\t{i}\t{}", request.0),
         // Asked for only where deliveries are tracked.
         Action::Confirm { .. } | Action::ReleaseInDoubt { .. } => Ok(()),
         Action::Release { request } => writeln!(out, "let_go\t{i}\t{}", request.0),
--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -143,7 +143,7 @@
 /// How an attempt ended at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It was turned away, and nothing of it ran.
+    /// It was rejected, and nothing of it ran.
     TurnedAway,
     Served,
     /// An answer that says or shows that it failed, or a connection that broke; it may have run.
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -173,7 +173,7 @@
                                 this.first.get_or_insert(record.at);
                             }
                             Body::Accepted(_) => this.accepted = true,
-                            Body::Rejected(_) => this.rejected = true,
+                            Body::InvalidRequest(_) => this.rejected = true,
                             // The call ended without an answer.
                             Body::Goodbye(_) => this.closed = this.closed.or(Some(record.at)),
                             _ => {}
@@ -239,12 +239,12 @@
     }
 }
 
-/// No effect happens twice, and no bounce is given for what has run or still runs: a run between a bounce and
-/// the client's next try is one that the bounce promised not to be.
+/// No effect happens twice, and no reject is given for what has run or still runs: a run between a reject and
+/// the client's next try is one that the reject promised not to be.
 fn effects(records: &[Record], rules: &Rules, findings: &mut Findings) {
     let mut ran: BTreeMap<&str, (Ms, &str)> = BTreeMap::new();
     let mut keys: BTreeMap<(&str, u64, u64), &str> = BTreeMap::new();
-    let mut bounced: BTreeMap<&str, Ms> = BTreeMap::new();
+    let mut rejected: BTreeMap<&str, Ms> = BTreeMap::new();
     for record in records {
         match &record.what {
             What::Note(Note::Ran { key, request_class })
@@ -258,7 +258,7 @@
                     );
                     findings.breach(Rule::EffectTwice, record.at, what);
                 }
-                if let Some(at) = bounced.get(&**key) {
+                if let Some(at) = rejected.get(&**key) {
                     let what = format!("{key} ran {:.0} ms after it was bounced", record.at - at);
                     findings.breach(Rule::EffectTwice, record.at, what);
                 }
@@ -267,7 +267,7 @@
                 if let Some(Body::Submit(submit)) = &frame.body {
                     if rules.at_most_once.contains(&submit.request_class) {
                         keys.insert((&record.seer, record.conn, frame.stream), &submit.key);
-                        bounced.remove(&*submit.key);
+                        rejected.remove(&*submit.key);
                     }
                 }
             }
@@ -278,8 +278,8 @@
                 let Some(key) = keys.get(&(&*record.seer, record.conn, frame.stream)) else {
                     continue;
                 };
-                if last.answer() == v1::Answer::Bounced {
-                    bounced.insert(key, record.at);
+                if last.answer() == v1::Answer::Rejected {
+                    rejected.insert(key, record.at);
                     if ran.contains_key(key) {
                         let what = format!("{key} was bounced after it ran");
                         findings.breach(Rule::EffectTwice, record.at, what);
@@ -383,7 +383,7 @@
             known.insert(line.engine.clone());
             tell(&line.engine, line.condition() == v1::EndpointStatus::Ready);
         }
-        if list.kind() == v1::ListKind::Full {
+        if list.kind() == v1::ListKind::Snapshot {
             for engine in known
                 .iter()
                 .filter(|h| !list.engines.iter().any(|line| line.engine == **h))
@@ -415,7 +415,7 @@
 
 /// No cold engine is pushed over. Work is counted in units of capacity: at a prefill engine prompt tokens, of which it
 /// reads so many a second; at a decode engine the slot time of the most tokens that the answer may have. An attempt
-/// counts whole when it arrives, also one turned away; one attempt more than the bound is slack.
+/// counts whole when it arrives, also one rejected; one attempt more than the bound is slack.
 fn cold(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
     for record in records {
         let What::Note(Note::Started {
--- a/crates/standin/src/audit/service.rs
+++ b/crates/standin/src/audit/service.rs
@@ -237,7 +237,7 @@
         asked
             .iter()
             .for_each(|request| sessions.entry(request.session).or_default().push(request));
-        let refused = |request: &&Request| request.answer == Some(v1::Answer::Bounced);
+        let refused = |request: &&Request| request.answer == Some(v1::Answer::Rejected);
         let seen = sessions
             .values()
             .filter(|all| all.iter().all(refused))
@@ -259,7 +259,7 @@
 fn answered(requests: &[Request]) -> f64 {
     let good = requests
         .iter()
-        .filter(|request| request.answer == Some(v1::Answer::Fulfilled))
+        .filter(|request| request.answer == Some(v1::Answer::Succeeded))
         .count();
     good as f64 / requests.len().max(1) as f64
 }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -20,7 +20,7 @@
 pub struct Traffic {
     pub request_class: String,
     pub share: f64,
-    /// Whether a client may ask again whatever came of a try; else only after a bounce, or if nothing went out.
+    /// Whether a client may ask again whatever came of a try; else only after a reject, or if nothing went out.
     pub again_always: bool,
     pub latency_objective: Ms,
     pub time_to_deadline: Ms,
@@ -79,11 +79,11 @@
 pub struct Tally {
     pub requests: u64,
     pub tries: u64,
-    pub fulfilled: u64,
-    /// Fulfilled, and the first token came within the latency objective time of the first try's instant.
+    pub succeeded: u64,
+    /// Succeeded, and the first token came within the latency objective time of the first try's instant.
     pub in_time: u64,
-    pub bounced: u64,
-    pub written_off: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub left: u64,
     /// Tries whose connection broke, and tries that could not be sent.
     pub cut: u64,
@@ -102,10 +102,10 @@
         Tally {
             requests: 0,
             tries: 0,
-            fulfilled: 0,
+            succeeded: 0,
             in_time: 0,
-            bounced: 0,
-            written_off: 0,
+            rejected: 0,
+            failed: 0,
             left: 0,
             cut: 0,
             unsent: 0,
@@ -119,13 +119,13 @@
 /// How one try ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
-    Fulfilled,
-    Bounced {
+    Succeeded,
+    Rejected {
         retry_after: Ms,
     },
-    WrittenOff,
+    Failed,
     /// By the field that cannot be right; empty if it is not known.
-    Rejected(String),
+    InvalidRequest(String),
     /// The client left.
     Left,
     /// The connection ended first.
@@ -323,14 +323,14 @@
                     never_ran: true, ..
                 })) => break End::Unsent,
                 Some(Body::Goodbye(_)) => break End::Cut,
-                Some(Body::Rejected(rejected)) => break End::Rejected(rejected.field),
+                Some(Body::InvalidRequest(rejected)) => break End::InvalidRequest(rejected.field),
                 Some(Body::Final(last)) => {
                     break match last.answer() {
-                        v1::Answer::Fulfilled => End::Fulfilled,
-                        v1::Answer::Bounced => End::Bounced {
+                        v1::Answer::Succeeded => End::Succeeded,
+                        v1::Answer::Rejected => End::Rejected {
                             retry_after: last.retry_after_ms,
                         },
-                        _ => End::WrittenOff,
+                        _ => End::Failed,
                     }
                 }
                 Some(_) => {}
@@ -595,27 +595,27 @@
                     t.gap.saturating_record((1000.0 * gap) as u64);
                 }
                 match &end {
-                    End::Fulfilled => {
-                        t.fulfilled += 1;
+                    End::Succeeded => {
+                        t.succeeded += 1;
                         t.in_time += u64::from(
                             first.is_some_and(|f| f - asked <= traffic.latency_objective),
                         );
                     }
-                    End::Bounced { .. } => t.bounced += 1,
-                    End::WrittenOff => t.written_off += 1,
+                    End::Rejected { .. } => t.rejected += 1,
+                    End::Failed => t.failed += 1,
                     End::Left => t.left += 1,
                     End::Cut => t.cut += 1,
                     End::Unsent => t.unsent += 1,
-                    End::Rejected(_) => {}
+                    End::InvalidRequest(_) => {}
                 }
             });
             let wait = match end {
-                End::Fulfilled | End::Left | End::Rejected(_) => return,
-                End::Bounced { retry_after } => retry_after,
+                End::Succeeded | End::Left | End::InvalidRequest(_) => return,
+                End::Rejected { retry_after } => retry_after,
                 End::Unsent => 0.0,
-                End::WrittenOff | End::Cut if traffic.again_always => 0.0,
+                End::Failed | End::Cut if traffic.again_always => 0.0,
                 // It may have run: to try again could do it twice.
-                End::WrittenOff | End::Cut => return,
+                End::Failed | End::Cut => return,
             };
             let wait =
                 wait.max(self.retry_after.get() * (0.5 + share(&mut rng)) * f64::from(attempt + 1));
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -551,7 +551,7 @@
             return;
         }
         let status = if code == REFUSED {
-            v1::Status::Full
+            v1::Status::Overloaded
         } else {
             v1::Status::Failed
         };
@@ -590,7 +590,7 @@
         self.inner.changed.notify_waiters();
     }
 
-    /// Whether an attempt gets in: not turned away, not failed at once.
+    /// Whether an attempt gets in: not rejected, not failed at once.
     fn admit(&self, request_class: &str) -> Result<(), v1::Status> {
         let live = self.inner.live.borrow();
         let full = live.troubles.draining
@@ -598,7 +598,7 @@
             || live.running + live.waiting >= self.inner.spec.slots + self.inner.spec.queue;
         let fails = live.troubles.fails > share(&mut self.inner.rng.borrow_mut());
         match (full, fails) {
-            (true, _) => Err(v1::Status::Full),
+            (true, _) => Err(v1::Status::Overloaded),
             (_, true) => Err(v1::Status::Failed),
             _ => Ok(()),
         }
@@ -758,7 +758,7 @@
             return self.die();
         }
         conn.credit.borrow_mut().remove(&stream);
-        self.end(&conn, stream, v1::Status::Fulfilled, 0.0, None);
+        self.end(&conn, stream, v1::Status::Succeeded, 0.0, None);
     }
 
     /// The state's tokens, once its prefill engine has handed it over; none if it cannot be had.
--- a/crates/standin/src/feed.rs
+++ b/crates/standin/src/feed.rs
@@ -62,7 +62,7 @@
         self.inner.silent.set(silent);
         if !silent {
             let list = self.list(
-                v1::ListKind::Full,
+                v1::ListKind::Snapshot,
                 self.inner.told.borrow().values().cloned().collect(),
             );
             self.push(&list);
@@ -105,7 +105,7 @@
             .borrow_mut()
             .insert(line.engine.clone(), line.clone());
         if !self.inner.silent.get() {
-            self.push(&self.list(v1::ListKind::Changes, vec![line]));
+            self.push(&self.list(v1::ListKind::Delta, vec![line]));
         }
     }
 
@@ -117,7 +117,7 @@
     }
 
     fn list(&self, kind: v1::ListKind, mut engines: Vec<v1::Endpoint>) -> v1::EndpointList {
-        if kind == v1::ListKind::Full {
+        if kind == v1::ListKind::Snapshot {
             engines.retain(|line| line.condition() != v1::EndpointStatus::Gone);
         }
         v1::EndpointList {
@@ -158,7 +158,7 @@
                         }
                         drop(followers);
                         let engines = self.inner.told.borrow().values().cloned().collect();
-                        Some(self.list(v1::ListKind::Full, engines)).filter(|_| !self.inner.silent.get())
+                        Some(self.list(v1::ListKind::Snapshot, engines)).filter(|_| !self.inner.silent.get())
                     }
                     Some(_) => None,
                     None => return,
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -94,7 +94,7 @@
         ..v1::Endpoint::default()
     };
     Body::List(v1::EndpointList {
-        kind: v1::ListKind::Changes.into(),
+        kind: v1::ListKind::Delta.into(),
         version: 1,
         engines: vec![line],
     })
@@ -153,11 +153,11 @@
         Body::Tokens(v1::Tokens::default()),
     );
     let ended = v1::Ended {
-        status: v1::Status::Fulfilled.into(),
+        status: v1::Status::Succeeded.into(),
         ..v1::Ended::default()
     };
     story.frame(90.0, WRITER, Way::Out, 1, Body::Ended(ended));
-    story.frame(91.0, CLIENT, Way::In, 1, last(v1::Answer::Fulfilled));
+    story.frame(91.0, CLIENT, Way::In, 1, last(v1::Answer::Succeeded));
     story.note(
         9000.0,
         ("list", 0),
@@ -193,7 +193,7 @@
 #[test]
 fn a_second_final_answer_is_found() {
     let mut story = good();
-    story.frame(95.0, CLIENT, Way::In, 1, last(v1::Answer::WrittenOff));
+    story.frame(95.0, CLIENT, Way::In, 1, last(v1::Answer::Failed));
     assert_eq!(story.found(), [Rule::RequestLost]);
 }
 
@@ -233,7 +233,7 @@
     story
         .records
         .retain(|r| !(&*r.seer == "client" && r.at > 11.0));
-    story.frame(1200.0, CLIENT, Way::In, 1, last(v1::Answer::WrittenOff));
+    story.frame(1200.0, CLIENT, Way::In, 1, last(v1::Answer::Failed));
     assert_eq!(story.found(), [Rule::RequestLost]);
 }
 
@@ -245,13 +245,13 @@
 }
 
 #[test]
-fn a_bounce_of_what_ran_is_found_before_and_after_the_run() {
+fn a_rejection_of_what_ran_is_found_before_and_after_the_run() {
     for at in [34.0, 91.0] {
         let mut story = good();
         story
             .records
             .retain(|r| !(&*r.seer == "client" && r.at > 11.0));
-        story.frame(at, CLIENT, Way::In, 1, last(v1::Answer::Bounced));
+        story.frame(at, CLIENT, Way::In, 1, last(v1::Answer::Rejected));
         assert_eq!(story.found(), [Rule::EffectTwice], "bounced at {at}");
     }
 }
@@ -394,7 +394,7 @@
     story.frame(100.0, READER, Way::Out, 9, Body::Ended(ended));
     story.frame(300.0, WRITER, Way::In, 9, write(2));
     let full = v1::Ended {
-        status: v1::Status::Full.into(),
+        status: v1::Status::Overloaded.into(),
         ..v1::Ended::default()
     };
     story.frame(3000.0, WRITER, Way::Out, 9, Body::Ended(full));
@@ -454,7 +454,7 @@
         ..v1::Submit::default()
     };
     story.frame(400.0, CLIENT, Way::Out, 3, Body::Submit(submit));
-    story.frame(600.0, CLIENT, Way::In, 3, last(v1::Answer::Bounced));
+    story.frame(600.0, CLIENT, Way::In, 3, last(v1::Answer::Rejected));
     assert_eq!(story.found(), []);
 }
 
@@ -491,7 +491,7 @@
             story.frame(written, WRITER, Way::Out, 4, tokens(position));
             story.frame(came, CLIENT, Way::In, 2, tokens(position));
         }
-        story.frame(900.0, CLIENT, Way::In, 2, last(v1::Answer::Fulfilled));
+        story.frame(900.0, CLIENT, Way::In, 2, last(v1::Answer::Succeeded));
         assert_eq!(story.found(), found, "passed on at {at}");
     }
 }
@@ -511,7 +511,7 @@
         story.frame(60.0, WRITER, Way::Out, 4, tokens(1));
         story.note(awake, (of, 0), Note::Awake);
         story.frame(came, CLIENT, Way::In, 2, tokens(1));
-        story.frame(970.0, CLIENT, Way::In, 2, last(v1::Answer::Fulfilled));
+        story.frame(970.0, CLIENT, Way::In, 2, last(v1::Answer::Succeeded));
         assert_eq!(
             story.found(),
             found,
@@ -543,9 +543,9 @@
 fn largest_requests_that_are_given_up_for_small_ones_are_found() {
     let answer = |refused: bool| {
         if refused {
-            v1::Answer::Bounced
+            v1::Answer::Rejected
         } else {
-            v1::Answer::Fulfilled
+            v1::Answer::Succeeded
         }
     };
     // One in ten is refused: by chance, or always of the largest.
@@ -559,9 +559,9 @@
 fn sessions_that_are_refused_throughout_are_found() {
     let answer = |refused: bool| {
         if refused {
-            v1::Answer::Bounced
+            v1::Answer::Rejected
         } else {
-            v1::Answer::Fulfilled
+            v1::Answer::Succeeded
         }
     };
     let spread = (0..400_u32).map(|n| (n, u64::from(n % 50), answer(n % 4 == n / 50 % 4)));
--- a/examples/python/client.py
+++ b/examples/python/client.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Sends one task to a cindercleat dispatcher and prints its tokens as they come.
+"""Sends one request to a cindercleat dispatcher and prints its tokens as they come.
 
     python3 -m venv env && env/bin/pip install -r requirements.txt
     env/bin/python client.py 127.0.0.1:7400 --profile caption-draft "a caption for this photograph"
@@ -50,20 +50,20 @@
     parser.add_argument("prompt")
     parser.add_argument("--profile", default="caption-draft")
     parser.add_argument("--max-tokens", type=int, default=40)
-    parser.add_argument("--timeout", type=float, default=10.0, help="seconds; the task's patience")
+    parser.add_argument("--timeout", type=float, default=10.0, help="seconds; the time to the deadline")
     asked = parser.parse_args()
     messages, services = compiled()
-    task = messages.Submit(
-        profile=asked.profile,
+    request = messages.Submit(
+        request_class=asked.profile,
         session=os.getpid(),
         prompt_tokens=len(asked.prompt.split()),
         max_tokens=asked.max_tokens,
-        patience_ms=1000 * asked.timeout,
+        time_to_deadline_ms=1000 * asked.timeout,
         prompt=asked.prompt.encode(),
     )
     with grpc.insecure_channel(asked.address) as channel:
         try:
-            for reply in services.RouterStub(channel).Run(task, timeout=asked.timeout):
+            for reply in services.RouterStub(channel).Run(request, timeout=asked.timeout):
                 if reply.HasField("tokens"):
                     print(reply.tokens.text.decode(), end="", flush=True)
             print()
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,5 +1,5 @@
 //! Every decision of a dispatcher: which prefill engine reads a request, which decode engine answers it, what follows a
-//! failure, and when a request is bounced or written off.
+//! failure, and when a request is rejected or failed.
 //!
 //! Callers make one [`Control`] a dispatcher, hand each batch of events to [`Control::step`] with its instant
 //! and carry out the actions in order; timers come back as `Event::Timer`. The types of both sides are in
@@ -31,7 +31,7 @@
 const FULLS_MOST: i32 = 5;
 /// Own final answers come this many ticks before time to deadline ends.
 const END_TICKS: f64 = 2.0;
-/// A request that no prefill engine has taken by this share of its latency objective time is bounced: the answer would come late.
+/// A request that no prefill engine has taken by this share of its latency objective time is rejected: the answer would come late.
 const HELD_SHARE: f64 = 0.4;
 /// A read, or a first token, that takes more than this share of the shortest latency objective time waited in a queue.
 const QUEUED: f64 = 0.3;
@@ -131,8 +131,8 @@
     #[default]
     Rest,
     Start(Slot),
-    Bounce,
-    WriteOff,
+    Reject,
+    Fail,
 }
 
 #[derive(Default)]
@@ -323,7 +323,7 @@
                 let Some(&slot) = self.engines.index.get(engine) else {
                     return;
                 };
-                self.engines.silent[slot] = *outcome != Outcome::Fulfilled;
+                self.engines.silent[slot] = *outcome != Outcome::Succeeded;
                 self.engines.answered_at[slot] = self.now;
                 self.engines.note_load(slot, load, self.now);
             }
@@ -332,7 +332,7 @@
     }
 
     fn learn_list(&mut self, kind: ListKind, entries: &[Entry]) {
-        if matches!(kind, ListKind::Full | ListKind::Remembered) {
+        if matches!(kind, ListKind::Snapshot | ListKind::Cached) {
             let here: BTreeSet<&EngineId> = entries.iter().map(|entry| &entry.engine).collect();
             for listed in &mut self.engines.listed {
                 if !here.contains(&listed.engine) {
@@ -419,13 +419,13 @@
         if out.reading
             && matches!(
                 ended.outcome,
-                Outcome::PrefillDone | Outcome::TimedOut | Outcome::Full
+                Outcome::PrefillDone | Outcome::TimedOut | Outcome::Overloaded
             )
         {
             self.engines.learn_limit(slot, out.sent, queued, self.now);
         }
-        // What came late, or was turned away, tells of a queue: a probe is wanted the more.
-        if !out.reading && ended.outcome == Outcome::Fulfilled || out.reading && !queued {
+        // What came late, or was rejected, tells of a queue: a probe is wanted the more.
+        if !out.reading && ended.outcome == Outcome::Succeeded || out.reading && !queued {
             self.engines.heard[slot] = self.now;
         }
         request.over |= ended.last;
@@ -435,13 +435,13 @@
         let never_ran = self.engines.only_reads(&out)
             || matches!(
                 ended.outcome,
-                Outcome::Full | Outcome::Unreachable | Outcome::Void
+                Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent
             );
-        if !never_ran && ended.outcome != Outcome::Fulfilled {
+        if !never_ran && ended.outcome != Outcome::Succeeded {
             request.may_have_run.get_or_insert((slot, out.sent));
         }
         match ended.outcome {
-            Outcome::Fulfilled => self.engines.judge(slot, true),
+            Outcome::Succeeded => self.engines.judge(slot, true),
             Outcome::PrefillDone => {
                 request.state = Some(slot);
                 request.tried.clear();
@@ -452,8 +452,8 @@
                 self.note_done(slot, true);
             }
             // The state is gone (its prefill engine died or let it go): read again.
-            Outcome::Full if ended.detail == 1.0 => request.state = None,
-            Outcome::Full => {
+            Outcome::Overloaded if ended.detail == 1.0 => request.state = None,
+            Outcome::Overloaded => {
                 request.tried.push(slot);
                 // Guards against an engine that turns all away: it always looks as if it had room.
                 let wait = RETRY_SHARE
@@ -462,11 +462,14 @@
                 self.engines.full_until[slot] = self.now + wait;
                 self.engines.fulls[slot] = (self.engines.fulls[slot] + 1).min(FULLS_MOST);
             }
-            Outcome::Failed | Outcome::TimedOut | Outcome::Broken | Outcome::Unreachable => {
+            Outcome::Failed
+            | Outcome::TimedOut
+            | Outcome::ConnectionLost
+            | Outcome::Unreachable => {
                 request.tried.push(slot);
                 self.engines.judge(slot, false);
             }
-            Outcome::CalledOff | Outcome::Void => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
@@ -503,7 +506,7 @@
             return;
         }
         // Guards against a jam that feeds on itself: prefill engines busy with requests whose time has passed make the
-        // next ones late too. What no prefill engine has taken by then is bounced, while a bounce is harmless.
+        // next ones late too. What no prefill engine has taken by then is rejected, while a reject is harmless.
         let held = request.out.is_none() && request.state.is_none();
         let ends = if held {
             request.ends.min(request.read_by)
@@ -566,7 +569,7 @@
     }
 
     /// The request ends here, its state let go at once or, as an attempt still waits for it, with that attempt's
-    /// outcome: a bounce where a retry is sure to do no harm, else a write-off.
+    /// outcome: a reject where a retry is sure to do no harm, else a failure.
     fn give_up(&self, request: &mut Request) {
         let out_at_writer = request
             .out
@@ -580,11 +583,7 @@
             }
             RetrySafety::AtMostOnce => !may_have_run,
         };
-        request.want = if harmless {
-            Want::Bounce
-        } else {
-            Want::WriteOff
-        };
+        request.want = if harmless { Want::Reject } else { Want::Fail };
         request.want_cancel = request.out.is_some();
         request.want_release = request.out.is_none() && request.state.is_some();
     }
@@ -854,7 +853,7 @@
         share(usual.max(others as f64 / open.max(1.0)))
     }
 
-    /// Every attempt counts, also one turned away. Guards against shares that are each small and together too
+    /// Every attempt counts, also one rejected. Guards against shares that are each small and together too
     /// much: a dispatcher gives a cold engine a whole number of attempts in any fall window, the same while it
     /// is cold and no more arrives; who rounds up goes by the dispatchers' numbers, so that as many do as their
     /// fractions add up to.
@@ -948,19 +947,19 @@
                 self.wake_at(self.now + QUEUED * request.allowed);
                 request.attempts += 1;
             }
-            Want::Bounce => {
+            Want::Reject => {
                 let wait = self
                     .settings
                     .clients_honor_retry_after
                     .then_some(self.settings.kv_state_timeout);
-                actions.push(Action::Bounce {
+                actions.push(Action::Reject {
                     request: id,
                     retry_after: wait,
                 });
             }
-            Want::WriteOff => actions.push(Action::WriteOff { request: id }),
+            Want::Fail => actions.push(Action::Fail { request: id }),
         }
-        request.over |= matches!(request.want, Want::Bounce | Want::WriteOff);
+        request.over |= matches!(request.want, Want::Reject | Want::Fail);
     }
 
     fn emit_timer(&mut self, actions: &mut Vec<Action>) {
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -60,10 +60,12 @@
     /// Whether an attempt that ended so was out: only then the time of what is held counts anew from its end.
     pub(super) fn has_arrived(&self, outcome: Outcome) -> bool {
         match outcome {
-            Outcome::Unreachable | Outcome::Void => false,
+            Outcome::Unreachable | Outcome::NotSent => false,
             // Each is an answer of the engine's.
-            Outcome::Fulfilled | Outcome::Failed | Outcome::Full | Outcome::PrefillDone => true,
-            Outcome::TimedOut | Outcome::Broken | Outcome::CalledOff => {
+            Outcome::Succeeded | Outcome::Failed | Outcome::Overloaded | Outcome::PrefillDone => {
+                true
+            }
+            Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => {
                 matches!(
                     self.delivery,
                     Delivery::Confirmed | Delivery::EngineRuns { .. }
@@ -134,7 +136,7 @@
 
     /// An attempt of which nothing has come, at an engine that runs. By the platform's wire page a release lets go of what no
     /// attempt waits for, so it takes nothing from one that is in the queue; by the other page it does, and that one finds
-    /// no state and is turned away, which proves that it has not run.
+    /// no state and is rejected, which proves that it has not run.
     fn plan_unanswered(&mut self, request: &mut Request, release_at: Ms) {
         if self.now < release_at {
             return self.wake_at(release_at);
--- a/src/fleet/bounds.rs
+++ b/src/fleet/bounds.rs
@@ -170,35 +170,35 @@
 /// Tasks answered, by their ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    pub fulfilled: u64,
-    pub bounced: u64,
-    pub written_off: u64,
-    /// Fulfilled after its time.
+    pub succeeded: u64,
+    pub rejected: u64,
+    pub failed: u64,
+    /// Succeeded after its time.
     pub late: u64,
 }
 
 impl Tally {
     pub fn cases(&self) -> u64 {
-        self.fulfilled + self.bounced + self.written_off
+        self.succeeded + self.rejected + self.failed
     }
 
     pub fn harmed(&self) -> u64 {
-        self.bounced + self.written_off + self.late
+        self.rejected + self.failed + self.late
     }
 
     pub fn since(&self, before: &Tally) -> Tally {
         Tally {
-            fulfilled: self.fulfilled.saturating_sub(before.fulfilled),
-            bounced: self.bounced.saturating_sub(before.bounced),
-            written_off: self.written_off.saturating_sub(before.written_off),
+            succeeded: self.succeeded.saturating_sub(before.succeeded),
+            rejected: self.rejected.saturating_sub(before.rejected),
+            failed: self.failed.saturating_sub(before.failed),
             late: self.late.saturating_sub(before.late),
         }
     }
 
     pub fn add(&mut self, more: &Tally) {
-        self.fulfilled += more.fulfilled;
-        self.bounced += more.bounced;
-        self.written_off += more.written_off;
+        self.succeeded += more.succeeded;
+        self.rejected += more.rejected;
+        self.failed += more.failed;
         self.late += more.late;
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -164,23 +164,23 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    Changes,
-    Full,
-    Remembered,
-    Refused,
+    Delta,
+    Snapshot,
+    Cached,
+    Rejected,
 }
 
 /// How an attempt, or a probe, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Fulfilled,
+    Succeeded,
     Failed,
-    Full,
+    Overloaded,
     TimedOut,
     Unreachable,
-    Broken,
-    CalledOff,
-    Void,
+    ConnectionLost,
+    Cancelled,
+    NotSent,
     PrefillDone,
 }
 
@@ -271,11 +271,11 @@
         request: RequestId,
         attempt: AttemptId,
     },
-    Bounce {
+    Reject {
         request: RequestId,
         retry_after: Option<Ms>,
     },
-    WriteOff {
+    Fail {
         request: RequestId,
     },
     /// Lets go of what is held for a request, also while an attempt is out that is taken for one that has not arrived.
--- a/src/status.rs
+++ b/src/status.rs
@@ -56,25 +56,25 @@
 /// A final answer, or a refusal of the submission itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
-    Fulfilled,
+    Succeeded,
     /// `full`: there was no room, rather than nobody to do it.
-    Bounced {
+    Rejected {
         full: bool,
     },
-    WrittenOff,
+    Failed,
     /// A field cannot be right; it was not taken.
-    Rejected,
+    InvalidRequest,
 }
 
-/// The status that a client gets. Clients that retry by themselves do so on `Unavailable`, which a write-off
+/// The status that a client gets. Clients that retry by themselves do so on `Unavailable`, which a failure
 /// must never be: it may have run.
 pub fn to_client(told: Told) -> Code {
     match told {
-        Told::Fulfilled => Code::Ok,
-        Told::Bounced { full: false } => Code::Unavailable,
-        Told::Bounced { full: true } => Code::ResourceExhausted,
-        Told::WrittenOff => Code::Unknown,
-        Told::Rejected => Code::InvalidArgument,
+        Told::Succeeded => Code::Ok,
+        Told::Rejected { full: false } => Code::Unavailable,
+        Told::Rejected { full: true } => Code::ResourceExhausted,
+        Told::Failed => Code::Unknown,
+        Told::InvalidRequest => Code::InvalidArgument,
     }
 }
 
@@ -89,12 +89,12 @@
     Never,
 }
 
-/// `retry_after`: what a bounce asks for; 0 asks for nothing.
+/// `retry_after`: what a reject asks for; 0 asks for nothing.
 pub fn again(told: Told, retry_after: Ms) -> Again {
     match told {
-        Told::Bounced { .. } if retry_after > 0.0 => Again::After(retry_after),
-        Told::WrittenOff => Again::Never,
-        Told::Fulfilled | Told::Bounced { .. } | Told::Rejected => Again::Unsaid,
+        Told::Rejected { .. } if retry_after > 0.0 => Again::After(retry_after),
+        Told::Failed => Again::Never,
+        Told::Succeeded | Told::Rejected { .. } | Told::InvalidRequest => Again::Unsaid,
     }
 }
 
@@ -131,12 +131,12 @@
 pub fn of_engine(end: CallEnd) -> Outcome {
     match end {
         CallEnd::NotSent => Outcome::Unreachable,
-        CallEnd::Reset(REFUSED_STREAM) | CallEnd::BeyondLast => Outcome::Full,
-        CallEnd::Reset(_) | CallEnd::ConnectionLost | CallEnd::Nothing => Outcome::Broken,
+        CallEnd::Reset(REFUSED_STREAM) | CallEnd::BeyondLast => Outcome::Overloaded,
+        CallEnd::Reset(_) | CallEnd::ConnectionLost | CallEnd::Nothing => Outcome::ConnectionLost,
         CallEnd::Status {
             never_ran: true, ..
-        } => Outcome::Full,
-        CallEnd::Status { code: Code::Ok, .. } => Outcome::Broken,
+        } => Outcome::Overloaded,
+        CallEnd::Status { code: Code::Ok, .. } => Outcome::ConnectionLost,
         CallEnd::Status { .. } => Outcome::Failed,
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -146,7 +146,7 @@
         control.step(
             0.0,
             &[Event::Listed {
-                kind: ListKind::Full,
+                kind: ListKind::Snapshot,
                 entries,
             }],
             &mut Vec::new(),
@@ -197,7 +197,7 @@
                         latency: 20.0,
                     };
                     self.at(now + 20.0, who, Next::Hears(first));
-                    (Outcome::Fulfilled, 300.0)
+                    (Outcome::Succeeded, 300.0)
                 };
                 let (latency, last, detail) = (took, !reading, 0.0);
                 let ended = Ended {
@@ -215,7 +215,7 @@
             Action::Probe { engine } => {
                 let probed = Event::Probed {
                     engine,
-                    outcome: Outcome::Fulfilled,
+                    outcome: Outcome::Succeeded,
                     latency: 1.0,
                     load,
                 };
@@ -279,7 +279,7 @@
         weights.push(-weight.max(1e-9).ln() + 0.2);
         let late: f64 = day.rng.generate();
         let told = Event::Listed {
-            kind: ListKind::Full,
+            kind: ListKind::Snapshot,
             entries: list(replaced),
         };
         day.at(REPLACED + 100.0 + 400.0 * late, who, Next::Hears(told));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -80,7 +80,7 @@
 fn dispatcher(me: u32) -> Control {
     let mut control = Control::new(settings(me), u64::from(me) * 7919);
     let listed = Event::Listed {
-        kind: ListKind::Full,
+        kind: ListKind::Snapshot,
         entries: engines(),
     };
     control.step(0.0, &[listed], &mut Vec::new());
@@ -129,7 +129,7 @@
         let Some((outcome, queue)) = says(&engine) else {
             continue;
         };
-        let queue = Some(queue).filter(|_| outcome == Outcome::Fulfilled);
+        let queue = Some(queue).filter(|_| outcome == Outcome::Succeeded);
         let load = Load {
             queue,
             slots_used: queue.map(|_| 0.5),
@@ -172,7 +172,7 @@
 }
 
 fn idle(_: &EngineId) -> Option<(Outcome, f64)> {
-    Some((Outcome::Fulfilled, 0.0))
+    Some((Outcome::Succeeded, 0.0))
 }
 
 /// A dispatcher that has seen a prefill engine at work long ago, so that the length of a queue means something to it.
@@ -214,7 +214,7 @@
 
 #[test]
 fn reads_leave_a_home_with_a_long_queue_for_a_few_readers() {
-    reads_leave_the_home(Some((Outcome::Fulfilled, 30.0)));
+    reads_leave_the_home(Some((Outcome::Succeeded, 30.0)));
 }
 
 #[test]
@@ -243,7 +243,7 @@
         control.step(
             2000.0,
             &[Event::Listed {
-                kind: ListKind::Full,
+                kind: ListKind::Snapshot,
                 entries,
             }],
             &mut actions,
@@ -284,7 +284,7 @@
     let entries = vec![entry("r", 0, 0), entry("w", 1, 0)];
     let requests = (1..=300).map(|request| arrives(request, u64::from(request)));
     let first = [Event::Listed {
-        kind: ListKind::Full,
+        kind: ListKind::Snapshot,
         entries,
     }]
     .into_iter()
@@ -297,7 +297,7 @@
         let load = Load::default();
         let heard = Event::Probed {
             engine: engine("w"),
-            outcome: Outcome::Fulfilled,
+            outcome: Outcome::Succeeded,
             latency: 5.0,
             load,
         };
@@ -321,7 +321,7 @@
         control.step(
             2000.0,
             &[Event::Listed {
-                kind: ListKind::Full,
+                kind: ListKind::Snapshot,
                 entries,
             }],
             &mut Vec::new(),
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -236,7 +236,7 @@
     fn listed(&self) -> Event {
         let entries = self.engines.iter().map(|e| e.entry.clone()).collect();
         Event::Listed {
-            kind: ListKind::Full,
+            kind: ListKind::Snapshot,
             entries,
         }
     }
@@ -395,7 +395,7 @@
                 Action::StartAttempt {
                     request, engine, ..
                 } => self.attempt(now, dispatcher, request, engine),
-                Action::Bounce { request, .. } | Action::WriteOff { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     self.ends(request, Answer::Refused)
                 }
                 Action::Probe { engine } => self.probe(now, dispatcher, engine),
@@ -425,7 +425,7 @@
         let load = self.engines[self.index[&engine]].load();
         let event = Event::Probed {
             engine,
-            outcome: Outcome::Fulfilled,
+            outcome: Outcome::Succeeded,
             latency: 2.0,
             load,
         };
@@ -449,8 +449,8 @@
         };
         let (outcome, took, detail) = match engine.does {
             Does::Fails => (Outcome::Failed, 5.0, 0.0),
-            Does::TurnsAway => (Outcome::Full, 2.0, 0.0),
-            Does::Works if full => (Outcome::Full, 2.0, 0.0),
+            Does::TurnsAway => (Outcome::Overloaded, 2.0, 0.0),
+            Does::Works if full => (Outcome::Overloaded, 2.0, 0.0),
             Does::Works if engine.reads => {
                 let kept = engine
                     .kept
@@ -464,13 +464,13 @@
             }
             Does::Works => {
                 engine.streams += 1;
-                (Outcome::Fulfilled, 20.0 + 100.0 * TOKEN_MS, 0.0)
+                (Outcome::Succeeded, 20.0 + 100.0 * TOKEN_MS, 0.0)
             }
         };
         let (load, reads) = (engine.load(), engine.reads);
         match outcome {
             Outcome::PrefillDone => self.at(now + took, Next::Leaves { engine: at }),
-            Outcome::Fulfilled => {
+            Outcome::Succeeded => {
                 let first = Event::FirstToken {
                     request,
                     attempt,
@@ -491,7 +491,7 @@
             }
             _ => {}
         }
-        let last = outcome == Outcome::Fulfilled && !reads;
+        let last = outcome == Outcome::Succeeded && !reads;
         let ended = Ended {
             request,
             attempt,
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -155,7 +155,7 @@
                     started.then_some(self.now),
                 );
                 events.push(Event::Listed {
-                    kind: ListKind::Changes,
+                    kind: ListKind::Delta,
                     entries: vec![line],
                 });
             }
@@ -169,7 +169,7 @@
                     };
                     events.push(Event::Probed {
                         engine,
-                        outcome: Outcome::Fulfilled,
+                        outcome: Outcome::Succeeded,
                         latency: 1.0,
                         load,
                     });
@@ -204,17 +204,19 @@
                 } else {
                     self.out.remove(at);
                     let outcome = match (whom >> 5) % 12 {
-                        0 => Outcome::Full,
-                        1 => Outcome::Broken,
+                        0 => Outcome::Overloaded,
+                        1 => Outcome::ConnectionLost,
                         2 => Outcome::Failed,
                         3 => Outcome::Unreachable,
                         4 => Outcome::TimedOut,
-                        5 => Outcome::CalledOff,
+                        5 => Outcome::Cancelled,
                         _ if prefill_engine => Outcome::PrefillDone,
-                        _ => Outcome::Fulfilled,
+                        _ => Outcome::Succeeded,
                     };
-                    let last = outcome == Outcome::Fulfilled || first && outcome == Outcome::Broken;
-                    let detail = f64::from(u8::from(outcome == Outcome::Full && whom % 3 == 0));
+                    let last = outcome == Outcome::Succeeded
+                        || first && outcome == Outcome::ConnectionLost;
+                    let detail =
+                        f64::from(u8::from(outcome == Outcome::Overloaded && whom % 3 == 0));
                     let load = Load::default();
                     let end = Ended {
                         request,
@@ -265,7 +267,7 @@
         .map(|i| entry(i, Condition::Ready, None))
         .collect();
     let mut events = vec![Event::Listed {
-        kind: ListKind::Remembered,
+        kind: ListKind::Cached,
         entries,
     }];
     let mut acted = 0;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -103,8 +103,8 @@
                 }
                 Action::Arm { delay, timer } => self.timers.push((now + delay, timer)),
                 Action::Cancel { request, .. } => self.seen.push(format!("cancel {}", request.0)),
-                Action::Bounce { request, .. } => self.seen.push(format!("bounce {}", request.0)),
-                Action::WriteOff { request } => self.seen.push(format!("write-off {}", request.0)),
+                Action::Reject { request, .. } => self.seen.push(format!("bounce {}", request.0)),
+                Action::Fail { request } => self.seen.push(format!("write-off {}", request.0)),
                 Action::Probe { engine } => self.seen.push(format!("probe {}", engine.0)),
                 Action::Release { request } => self.seen.push(format!("release {}", request.0)),
                 other => self.seen.push(format!("{other:?}").to_lowercase()),
@@ -218,14 +218,14 @@
 
 fn outcome(word: &str) -> Outcome {
     match word {
-        "fulfilled" => Outcome::Fulfilled,
+        "fulfilled" => Outcome::Succeeded,
         "failed" => Outcome::Failed,
-        "full" => Outcome::Full,
+        "full" => Outcome::Overloaded,
         "timed-out" => Outcome::TimedOut,
         "unreachable" => Outcome::Unreachable,
-        "broken" => Outcome::Broken,
-        "called-off" => Outcome::CalledOff,
-        "void" => Outcome::Void,
+        "broken" => Outcome::ConnectionLost,
+        "called-off" => Outcome::Cancelled,
+        "void" => Outcome::NotSent,
         "read" => Outcome::PrefillDone,
         _ => panic!("no outcome {word}"),
     }
@@ -289,9 +289,9 @@
             }
             "list" => {
                 let kind = match rest[0] {
-                    "changes" => ListKind::Changes,
-                    "remembered" => ListKind::Remembered,
-                    _ => ListKind::Full,
+                    "changes" => ListKind::Delta,
+                    "remembered" => ListKind::Cached,
+                    _ => ListKind::Snapshot,
                 };
                 let entries = rest[1..].iter().map(|e| entry(e)).collect();
                 play.events.push(Event::Listed { kind, entries });
@@ -313,7 +313,7 @@
                 let [slots_used, queue, memory_held] = [1, 2, 3].map(|at| Some(number(rest[at])));
                 play.events.push(Event::Probed {
                     engine: EngineId(rest[0].into()),
-                    outcome: Outcome::Fulfilled,
+                    outcome: Outcome::Succeeded,
                     latency: 5.0,
                     load: Load {
                         slots_used,
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -4,14 +4,14 @@
 use cindercleat::status::*;
 use test_case::test_case;
 
-#[test_case(Told::Fulfilled, Code::Ok)]
-#[test_case(Told::Bounced { full: false }, Code::Unavailable)]
-#[test_case(Told::Bounced { full: true }, Code::ResourceExhausted)]
-#[test_case(Told::WrittenOff, Code::Unknown)]
-#[test_case(Told::Rejected, Code::InvalidArgument)]
+#[test_case(Told::Succeeded, Code::Ok)]
+#[test_case(Told::Rejected { full: false }, Code::Unavailable)]
+#[test_case(Told::Rejected { full: true }, Code::ResourceExhausted)]
+#[test_case(Told::Failed, Code::Unknown)]
+#[test_case(Told::InvalidRequest, Code::InvalidArgument)]
 fn a_client_is_told(told: Told, code: Code) {
     assert_eq!(to_client(told), code);
-    let harmless = matches!(told, Told::Bounced { .. } | Told::Rejected);
+    let harmless = matches!(told, Told::Rejected { .. } | Told::InvalidRequest);
     assert_eq!(
         again_is_harmless(code),
         harmless,
@@ -23,13 +23,13 @@
 fn a_reset_proves_nothing_but_the_one_that_says_so() {
     for code in 0..=0xd {
         let expected = if code == 7 {
-            Outcome::Full
+            Outcome::Overloaded
         } else {
-            Outcome::Broken
+            Outcome::ConnectionLost
         };
         assert_eq!(of_engine(CallEnd::Reset(code)), expected, "code {code}");
     }
-    assert_eq!(of_engine(CallEnd::Reset(0xffff)), Outcome::Broken);
+    assert_eq!(of_engine(CallEnd::Reset(0xffff)), Outcome::ConnectionLost);
 }
 
 #[test]
@@ -41,7 +41,7 @@
             never_ran: false,
         });
         assert!(
-            matches!(unmarked, Outcome::Failed | Outcome::Broken),
+            matches!(unmarked, Outcome::Failed | Outcome::ConnectionLost),
             "{code:?}: {unmarked:?}"
         );
         assert_eq!(
@@ -49,7 +49,7 @@
                 code,
                 never_ran: true
             }),
-            Outcome::Full
+            Outcome::Overloaded
         );
     }
     assert_eq!(Code::from_number(11), Code::Unknown);
@@ -58,7 +58,7 @@
 #[test]
 fn what_was_not_sent_or_came_after_the_last_taken_has_not_run() {
     assert_eq!(of_engine(CallEnd::NotSent), Outcome::Unreachable);
-    assert_eq!(of_engine(CallEnd::BeyondLast), Outcome::Full);
-    assert_eq!(of_engine(CallEnd::ConnectionLost), Outcome::Broken);
-    assert_eq!(of_engine(CallEnd::Nothing), Outcome::Broken);
+    assert_eq!(of_engine(CallEnd::BeyondLast), Outcome::Overloaded);
+    assert_eq!(of_engine(CallEnd::ConnectionLost), Outcome::ConnectionLost);
+    assert_eq!(of_engine(CallEnd::Nothing), Outcome::ConnectionLost);
 }
