--- a/benches/step.rs
+++ b/benches/step.rs
@@ -66,12 +66,12 @@
 
 impl Bench {
     fn new(live: u32, plain: bool) -> Self {
-        let entry = |i: u32| Entry {
+        let entry = |i: u32| Endpoint {
             engine: EngineId(Arc::from(format!("host-{i}"))),
             zone: ZoneId(0),
             kind: KindId(u32::from(i >= PREFILL_ENGINES)),
             cell: CellId(i % 4),
-            condition: Condition::Ready,
+            status: EndpointStatus::Ready,
             weight: 1.0,
             started: None,
         };
@@ -82,10 +82,10 @@
             next: 0,
             actions: Vec::new(),
         };
-        let entries = (0..PREFILL_ENGINES + DECODE_ENGINES).map(entry).collect();
-        bench.step(Event::Listed {
-            kind: ListKind::Snapshot,
-            entries,
+        let endpoints = (0..PREFILL_ENGINES + DECODE_ENGINES).map(entry).collect();
+        bench.step(Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::Snapshot,
+            endpoints,
         });
         for _ in 0..live {
             bench.begin();
--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -127,7 +127,7 @@
         link_idle: allowed.link_idle,
         window: allowed.window,
         stall_limit: allowed.stall,
-        probe_timeout: conf.settings.connect_timeout,
+        health_check_timeout: conf.settings.connect_timeout,
         // HTTP/1.1 has no pings.
         quiet: never,
         ping_timeout: never,
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -187,7 +187,7 @@
         link_idle: or("link-idle", 15_000.0)?,
         window: limits.value_or("window", 32)?,
         stall_limit: or("stall", 3_000.0)?,
-        probe_timeout: or("probe-timeout", policy.connect_timeout)?,
+        health_check_timeout: or("probe-timeout", policy.connect_timeout)?,
         quiet: or("quiet", 2_000.0)?,
         ping_timeout: or("ping-timeout", 1_000.0)?,
         again_first: or("connect-again", 100.0)?,
--- a/crates/dispatcher/src/ledger/delivery.rs
+++ b/crates/dispatcher/src/ledger/delivery.rs
@@ -85,7 +85,7 @@
             .fleet
             .engines
             .get(engine)
-            .filter(|row| row.condition != Condition::Gone)
+            .filter(|row| row.status != EndpointStatus::Gone)
         else {
             return;
         };
--- a/crates/dispatcher/src/ledger/engine_releases.rs
+++ b/crates/dispatcher/src/ledger/engine_releases.rs
@@ -54,7 +54,7 @@
             .fleet
             .engines
             .get(engine)
-            .filter(|row| row.condition != Condition::Gone);
+            .filter(|row| row.status != EndpointStatus::Gone);
         match (self.links.up(engine, false), row) {
             (Some(link), _) => {
                 for release in self.unreleased.remove(engine).unwrap_or_default() {
--- a/crates/dispatcher/src/ledger/engines.rs
+++ b/crates/dispatcher/src/ledger/engines.rs
@@ -122,7 +122,7 @@
         let Some(row) = self.fleet.engines.get(&attempt.engine) else {
             return false;
         };
-        if row.condition != Condition::Ready {
+        if row.status != EndpointStatus::Ready {
             return false;
         }
         let (no, engine, address) = (attempt.no, attempt.engine.clone(), row.line.address.clone());
@@ -343,7 +343,7 @@
             .fleet
             .engines
             .get(engine)
-            .filter(|r| r.condition == Condition::Ready)
+            .filter(|r| r.status == EndpointStatus::Ready)
         else {
             return;
         };
@@ -353,7 +353,7 @@
             .links
             .open(engine, &address, purpose, self.now, &self.settings, to);
         if let Ok((link, stream)) = opened {
-            let body = Body::Hold(v1::Hold { state: Some(state) });
+            let body = Body::Reserve(v1::Reserve { state: Some(state) });
             self.links.send(link, stream, body, out);
         }
     }
@@ -388,7 +388,7 @@
         });
         let Some((link, stream)) = opened else {
             let (outcome, load) = (Outcome::Unreachable, Load::default());
-            return self.events.push(Event::Probed {
+            return self.events.push(Event::HealthChecked {
                 engine,
                 outcome,
                 latency: 0.0,
@@ -396,14 +396,20 @@
             });
         };
         self.timers.set(
-            self.now + self.settings.limits.probe_timeout,
+            self.now + self.settings.limits.health_check_timeout,
             Due::Probe(link, stream),
         );
         self.links
-            .send(link, stream, Body::Probe(v1::Probe {}), out);
+            .send(link, stream, Body::HealthCheck(v1::HealthCheck {}), out);
     }
 
-    pub(super) fn end_probe(&mut self, id: LinkId, stream: StreamNo, outcome: Outcome, load: Load) {
+    pub(super) fn end_health_check(
+        &mut self,
+        id: LinkId,
+        stream: StreamNo,
+        outcome: Outcome,
+        load: Load,
+    ) {
         let Some(link) = self.links.get_mut(id) else {
             return;
         };
@@ -411,7 +417,7 @@
             return;
         };
         let engine = link.engine.clone();
-        self.events.push(Event::Probed {
+        self.events.push(Event::HealthChecked {
             engine,
             outcome,
             latency: self.now - sent,
@@ -442,8 +448,8 @@
         self.links.come_up(id, limit, self.now, &mut self.timers);
         // Guards against a drain that was learned while the link came up: an attempt that has not gone out does
         // not go out any more, and is known not to have run.
-        let ready =
-            self.fleet.condition(&engine) == Condition::Ready || planted::is(Plant::DrainReadLate);
+        let ready = self.fleet.status(&engine) == EndpointStatus::Ready
+            || planted::is(Plant::DrainReadLate);
         self.flush_releases(&engine, out);
         for (stream, mut body) in waiting {
             let purpose = self
@@ -529,7 +535,7 @@
     /// What has fallen due for the links to an engine.
     pub(super) fn look_at_links(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
         let row = self.fleet.engines.get(engine);
-        let ready = row.is_some_and(|r| r.condition == Condition::Ready);
+        let ready = row.is_some_and(|r| r.status == EndpointStatus::Ready);
         let address = row.map(|r| r.line.address.clone()).unwrap_or_default();
         for act in self.links.wanted(engine, self.now, ready) {
             match act {
@@ -606,7 +612,7 @@
                 }
                 Use::Probe { sent } => {
                     let (engine, load) = (link.engine.clone(), Load::default());
-                    self.events.push(Event::Probed {
+                    self.events.push(Event::HealthChecked {
                         engine,
                         outcome,
                         latency: self.now - sent,
@@ -680,12 +686,12 @@
                 true
             }
             (Some(Use::Probe { .. }), Some(Body::Load(load))) => {
-                self.end_probe(id, stream, Outcome::Succeeded, load_of(&load));
+                self.end_health_check(id, stream, Outcome::Succeeded, load_of(&load));
                 true
             }
-            (Some(Use::Hold(request, attempt)), Some(Body::Place(place))) => {
+            (Some(Use::Hold(request, attempt)), Some(Body::Reservation(place))) => {
                 self.close_stream(id, stream);
-                self.events.push(Event::Place {
+                self.events.push(Event::ReservationChanged {
                     request,
                     attempt,
                     engine: engine.clone(),
@@ -727,12 +733,12 @@
                 true
             }
             (Some(Use::Probe { .. }), Some(Body::Goodbye(_))) => {
-                self.end_probe(id, stream, Outcome::Failed, Load::default());
+                self.end_health_check(id, stream, Outcome::Failed, Load::default());
                 true
             }
             (Some(Use::Hold(request, attempt)), Some(Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
-                self.events.push(Event::Place {
+                self.events.push(Event::ReservationChanged {
                     request,
                     attempt,
                     engine: engine.clone(),
--- a/crates/dispatcher/src/ledger/fleet.rs
+++ b/crates/dispatcher/src/ledger/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines as the list names them: each one's line, address and condition, and the ids that the
+//! The engines as the list names them: each one's line, address and status, and the ids that the
 //! decisions know zones, kinds and cells by.
 
 use crate::settings::ProgramSettings;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct EngineRow {
     pub line: v1::Endpoint,
-    pub condition: Condition,
+    pub status: EndpointStatus,
     pub role: Role,
 }
 
@@ -22,30 +22,30 @@
 }
 
 impl Fleet {
-    /// Takes a list in. Gives the entries for the decisions, and says what was wrong with lines passed over.
+    /// Takes a list in. Gives the endpoints for the decisions, and says what was wrong with lines passed over.
     pub fn take(
         &mut self,
         list: &v1::EndpointList,
         settings: &ProgramSettings,
-    ) -> (ListKind, Vec<Entry>, Vec<String>) {
-        let full = list.kind() == v1::ListKind::Snapshot;
+    ) -> (EndpointUpdateKind, Vec<Endpoint>, Vec<String>) {
+        let full = list.kind() == v1::EndpointUpdateKind::Snapshot;
         self.version = list.version;
         if full {
             let listed: BTreeSet<&str> = list
-                .engines
+                .endpoints
                 .iter()
                 .map(|line| line.engine.as_str())
                 .collect();
             for (engine, row) in &mut self.engines {
                 if !listed.contains(engine.0.as_ref()) {
-                    row.condition = Condition::Gone;
+                    row.status = EndpointStatus::Gone;
                 }
             }
         }
-        let (mut entries, mut wrong) = (Vec::new(), Vec::new());
-        for line in &list.engines {
+        let (mut endpoints, mut wrong) = (Vec::new(), Vec::new());
+        for line in &list.endpoints {
             match self.entry(line, settings) {
-                Ok(entry) => entries.push(entry),
+                Ok(entry) => endpoints.push(entry),
                 Err(problem) => {
                     wrong.push(format!("host {:?} of the list: {problem}", line.engine))
                 }
@@ -53,16 +53,20 @@
         }
         (
             if full {
-                ListKind::Snapshot
+                EndpointUpdateKind::Snapshot
             } else {
-                ListKind::Delta
+                EndpointUpdateKind::Delta
             },
-            entries,
+            endpoints,
             wrong,
         )
     }
 
-    fn entry(&mut self, line: &v1::Endpoint, settings: &ProgramSettings) -> Result<Entry, String> {
+    fn entry(
+        &mut self,
+        line: &v1::Endpoint,
+        settings: &ProgramSettings,
+    ) -> Result<Endpoint, String> {
         let place = |names: &[String], name: &str, what: &str| {
             let at = names.iter().position(|n| n == name);
             at.map(|at| at as u32)
@@ -77,10 +81,10 @@
         let role = known
             .ok_or_else(|| format!("kind {:?} has no settings", line.kind))?
             .role;
-        let condition = match line.condition() {
-            v1::EndpointStatus::Ready => Condition::Ready,
-            v1::EndpointStatus::Draining => Condition::Draining,
-            v1::EndpointStatus::Gone => Condition::Gone,
+        let status = match line.status() {
+            v1::EndpointStatus::Ready => EndpointStatus::Ready,
+            v1::EndpointStatus::Draining => EndpointStatus::Draining,
+            v1::EndpointStatus::Gone => EndpointStatus::Gone,
             v1::EndpointStatus::Unspecified => return Err("no condition".to_owned()),
         };
         // Guards against a list that would poison every comparison of instants or weights.
@@ -100,16 +104,16 @@
             engine.clone(),
             EngineRow {
                 line: line.clone(),
-                condition,
+                status,
                 role,
             },
         );
-        Ok(Entry {
+        Ok(Endpoint {
             engine,
             zone,
             kind,
             cell,
-            condition,
+            status,
             weight,
             started,
         })
@@ -124,7 +128,7 @@
         let gone = self
             .engines
             .iter()
-            .filter(|(_, row)| row.condition == Condition::Gone);
+            .filter(|(_, row)| row.status == EndpointStatus::Gone);
         gone.map(|(engine, _)| engine.clone()).collect()
     }
 
@@ -133,18 +137,18 @@
         let here = self
             .engines
             .values()
-            .filter(|row| row.condition != Condition::Gone);
-        let engines = here.map(|row| row.line.clone()).collect();
+            .filter(|row| row.status != EndpointStatus::Gone);
+        let endpoints = here.map(|row| row.line.clone()).collect();
         v1::EndpointList {
-            kind: v1::ListKind::Snapshot.into(),
+            kind: v1::EndpointUpdateKind::Snapshot.into(),
             version: self.version,
-            engines,
+            endpoints,
         }
     }
 
-    pub fn condition(&self, engine: &EngineId) -> Condition {
+    pub fn status(&self, engine: &EngineId) -> EndpointStatus {
         self.engines
             .get(engine)
-            .map_or(Condition::Gone, |row| row.condition)
+            .map_or(EndpointStatus::Gone, |row| row.status)
     }
 }
--- a/crates/dispatcher/src/ledger/invariants.rs
+++ b/crates/dispatcher/src/ledger/invariants.rs
@@ -75,7 +75,7 @@
             && request.out.is_none()
             && request.attempts <= self.settings.policy.max_attempts
             && self.now <= request.ends;
-        let sends = self.fleet.condition(engine) == Condition::Ready;
+        let sends = self.fleet.status(engine) == EndpointStatus::Ready;
         let repeats = reading || self.may_run_at(request, engine);
         let checks = [
             (Invariant::Start, starts),
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -86,7 +86,7 @@
     /// From the list feed.
     Listed(v1::EndpointList),
     /// The list feed refused a call or is lost.
-    ListRefused,
+    EndpointsRejected,
     /// From another dispatcher.
     Heard { from: DispatcherId, bytes: Vec<u8> },
     /// Time has passed.
@@ -246,15 +246,15 @@
             Input::LinkLeaving { link } => self.links.leaving(link, &mut self.timers),
             Input::LinkClosed { link, reason } => self.take_link_closed(link, &reason, out),
             Input::Engine { link, frame } => self.take_engine(link, frame, out),
-            Input::Remembered(list) => self.take_list(&list, Some(ListKind::Cached), out),
+            Input::Remembered(list) => self.take_list(&list, Some(EndpointUpdateKind::Cached), out),
             Input::Listed(list) => self.take_list(&list, None, out),
-            Input::ListRefused => {
-                self.events.push(Event::Listed {
-                    kind: ListKind::Rejected,
-                    entries: Vec::new(),
+            Input::EndpointsRejected => {
+                self.events.push(Event::EndpointsUpdated {
+                    kind: EndpointUpdateKind::Rejected,
+                    endpoints: Vec::new(),
                 });
             }
-            Input::Heard { from, bytes } => self.events.push(Event::Heard { from, bytes }),
+            Input::Heard { from, bytes } => self.events.push(Event::GossipReceived { from, bytes }),
             Input::Tick => {}
             Input::Stop => self.take_stop(out),
         }
@@ -334,11 +334,11 @@
                 kind: row.line.kind.clone(),
                 role: Some(row.role),
                 label: String::new(),
-                stand: match row.condition {
-                    Condition::Ready if cold => Stand::Coming,
-                    Condition::Ready => Stand::In,
-                    Condition::Draining => Stand::Going,
-                    Condition::Gone => Stand::Out,
+                stand: match row.status {
+                    EndpointStatus::Ready if cold => Stand::Coming,
+                    EndpointStatus::Ready => Stand::In,
+                    EndpointStatus::Draining => Stand::Going,
+                    EndpointStatus::Gone => Stand::Out,
                 },
                 used: self
                     .record
@@ -431,20 +431,20 @@
             Action::Release { request } => self.release(request, out),
             Action::ReleaseInDoubt { request } => self.release_in_doubt(request, out),
             Action::Confirm { request, attempt } => self.confirm(request, attempt, out),
-            Action::HoldAhead { request, engine } => self.hold_ahead(request, &engine, out),
-            Action::Move { request } => self.move_away(request, out),
-            Action::Arm { delay, timer } if planted::is(Plant::TimersLate) => {
+            Action::Reserve { request, engine } => self.hold_ahead(request, &engine, out),
+            Action::Migrate { request } => self.move_away(request, out),
+            Action::SetTimer { delay, timer } if planted::is(Plant::TimersLate) => {
                 self.timers
                     .set(self.now + delay.max(0.0) + 300.0, Due::Module(timer));
             }
-            Action::Arm { delay, timer } => self
+            Action::SetTimer { delay, timer } => self
                 .timers
                 .set(self.now + delay.max(0.0), Due::Module(timer)),
-            Action::Probe { engine } => self.probe(engine, out),
+            Action::HealthCheck { engine } => self.probe(engine, out),
             Action::CloseIdle { engine } => self.close_idle(&engine, out),
-            Action::Tell { to, bytes } => out.push(Output::Tell { to, bytes }),
-            Action::FetchList => out.push(Output::Follow { changes: false }),
-            Action::FollowList { on } => out.push(Output::Follow { changes: on }),
+            Action::SendGossip { to, bytes } => out.push(Output::Tell { to, bytes }),
+            Action::FetchEndpoints => out.push(Output::Follow { changes: false }),
+            Action::WatchEndpoints { on } => out.push(Output::Follow { changes: on }),
             Action::Log { text } => out.push(Output::Log {
                 level: Level::Info,
                 text,
@@ -461,7 +461,7 @@
             Due::Client(conn) => self.look_at_client(conn, out),
             Due::Links(engine) => self.look_at_links(&engine, out),
             Due::Probe(link, stream) => {
-                self.end_probe(link, stream, Outcome::TimedOut, Load::default())
+                self.end_health_check(link, stream, Outcome::TimedOut, Load::default())
             }
             Due::Past(link, stream) => self.look_at_past(link, stream, out),
             Due::Held(request) => self.guard_held(request, out),
@@ -701,7 +701,7 @@
         };
         request.answered = true;
         self.tickets.remove(&request.ticket);
-        self.events.push(Event::Left { request: id });
+        self.events.push(Event::ClientGone { request: id });
         // A stream that nobody reads ends; what has not begun the decisions call off themselves.
         if request.streams() {
             self.stop_attempt(id, out);
@@ -777,34 +777,37 @@
             text,
         });
         self.answer(id, v1::Answer::Failed, 0.0, "time is up", out);
-        self.events.push(Event::Left { request: id });
+        self.events.push(Event::ClientGone { request: id });
     }
 
     fn take_list(
         &mut self,
         list: &v1::EndpointList,
-        remembered: Option<ListKind>,
+        remembered: Option<EndpointUpdateKind>,
         out: &mut Vec<Output>,
     ) {
         let planted = planted::list(list);
         let list = planted.as_ref().unwrap_or(list);
-        let (kind, entries, wrong) = self.fleet.take(list, &self.settings);
+        let (kind, endpoints, wrong) = self.fleet.take(list, &self.settings);
         out.extend(wrong.into_iter().map(|text| Output::Log {
             level: Level::Warn,
             text,
         }));
-        if self.keeps_lists && remembered.is_none() && !list.engines.is_empty() {
+        if self.keeps_lists && remembered.is_none() && !list.endpoints.is_empty() {
             out.push(Output::KeepList(self.fleet.whole()));
         }
-        for entry in entries.iter().filter(|e| e.condition != Condition::Ready) {
+        for entry in endpoints
+            .iter()
+            .filter(|e| e.status != EndpointStatus::Ready)
+        {
             self.close_idle(&entry.engine, out);
         }
-        for entry in entries.iter().filter(|e| e.started.is_some()) {
+        for entry in endpoints.iter().filter(|e| e.started.is_some()) {
             self.links.renewed(&entry.engine);
         }
-        self.events.push(Event::Listed {
+        self.events.push(Event::EndpointsUpdated {
             kind: remembered.unwrap_or(kind),
-            entries,
+            endpoints,
         });
         for engine in self.fleet.gone() {
             self.forget_gone(&engine);
@@ -814,7 +817,7 @@
     /// Guards against a fleet that is replaced all day: nothing is kept of an engine that is gone, once no
     /// connection to it is left. An unknown engine counts as gone.
     fn forget_gone(&mut self, engine: &EngineId) {
-        if self.fleet.condition(engine) == Condition::Gone && self.links.forget(engine) {
+        if self.fleet.status(engine) == EndpointStatus::Gone && self.links.forget(engine) {
             self.fleet.engines.remove(engine);
         }
     }
--- a/crates/dispatcher/src/ledger/record.rs
+++ b/crates/dispatcher/src/ledger/record.rs
@@ -47,7 +47,7 @@
     pub fn hears(&mut self, now: Ms, event: &Event) {
         let (engine, load, outcome) = match event {
             Event::Ended(ended) => (&ended.engine, ended.load, Some(ended.outcome)),
-            Event::Probed { engine, load, .. } => (engine, *load, None),
+            Event::HealthChecked { engine, load, .. } => (engine, *load, None),
             _ => return,
         };
         let heard = self.engines.entry(engine.clone()).or_default();
--- a/crates/dispatcher/src/ledger/releases.rs
+++ b/crates/dispatcher/src/ledger/releases.rs
@@ -412,8 +412,8 @@
     /// the state is there.
     fn holder_to_ask(&self, state: &KvState, unconfirmed: &[EngineId]) -> Option<EngineId> {
         let engine = &state.held.engine;
-        let may_ask =
-            self.fleet.condition(engine) != Condition::Gone && !self.links.is_asked_in_vain(engine);
+        let may_ask = self.fleet.status(engine) != EndpointStatus::Gone
+            && !self.links.is_asked_in_vain(engine);
         let was_cut =
             state.release.confirmed == 0 && state.unknowing().any(|engine| engine == engine);
         let fits =
@@ -431,7 +431,8 @@
     /// or the one that was heard last. Once all were asked it begins anew. Guards against a part of the fleet that falls
     /// silent at once: its connections at rest stay up, while those of the engines that work are busy.
     fn next_engine(&self, unconfirmed: &mut Vec<EngineId>, taken: &[EngineId]) -> Option<EngineId> {
-        let ready = |(_, row): &(&EngineId, &fleet::EngineRow)| row.condition == Condition::Ready;
+        let ready =
+            |(_, row): &(&EngineId, &fleet::EngineRow)| row.status == EndpointStatus::Ready;
         let engines: Vec<&EngineId> = self
             .fleet
             .engines
--- a/crates/dispatcher/src/ledger/story.rs
+++ b/crates/dispatcher/src/ledger/story.rs
@@ -23,7 +23,7 @@
                     a.retried
                 )
             }
-            Event::Left { request } => format!("{} left", self.called(*request)),
+            Event::ClientGone { request } => format!("{} left", self.called(*request)),
             Event::FirstToken {
                 request,
                 attempt,
@@ -46,7 +46,7 @@
                 e.latency,
                 e.detail
             ),
-            Event::Probed {
+            Event::HealthChecked {
                 engine,
                 outcome,
                 latency,
@@ -64,9 +64,9 @@
                     engine.0
                 )
             }
-            Event::Listed { kind, entries } => {
+            Event::EndpointsUpdated { kind, endpoints } => {
                 let mut text = format!("list {kind:?}");
-                for e in entries {
+                for e in endpoints {
                     // Writing to a string cannot fail.
                     let _ = write!(
                         text,
@@ -75,7 +75,7 @@
                         e.kind.0,
                         e.zone.0,
                         e.cell.0,
-                        e.condition,
+                        e.status,
                         e.started.unwrap_or(0.0)
                     );
                 }
@@ -84,7 +84,9 @@
             Event::Delivered { request, attempt } => {
                 format!("{} launch={} delivered", self.called(*request), attempt.0)
             }
-            Event::Place { .. } | Event::Timer { .. } | Event::Heard { .. } => return,
+            Event::ReservationChanged { .. }
+            | Event::Timer { .. }
+            | Event::GossipReceived { .. } => return,
         };
         out.push(Output::Log {
             level: Level::Debug,
--- a/crates/dispatcher/src/planted.rs
+++ b/crates/dispatcher/src/planted.rs
@@ -82,10 +82,10 @@
     }
     let mut list = list.clone();
     if is(Plant::DrainUnread) {
-        list.engines
-            .retain(|line| line.condition() != EndpointStatus::Draining);
+        list.endpoints
+            .retain(|line| line.status() != EndpointStatus::Draining);
     } else {
-        list.engines
+        list.endpoints
             .iter_mut()
             .for_each(|line| line.started_ms = None);
     }
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -35,7 +35,7 @@
     pub window: u32,
     /// A stream whose decode engine sends nothing, or whose client takes nothing, for this long is over.
     pub stall_limit: Ms,
-    pub probe_timeout: Ms,
+    pub health_check_timeout: Ms,
     /// A link with streams that says nothing for this long is asked, and given up if it does not answer.
     pub quiet: Ms,
     pub ping_timeout: Ms,
--- a/crates/dispatcher/src/shell.rs
+++ b/crates/dispatcher/src/shell.rs
@@ -273,7 +273,7 @@
         match keep::load(&path) {
             Ok(Some(list)) => {
                 tracing::info!(
-                    engines = list.engines.len(),
+                    engines = list.endpoints.len(),
                     version = list.version,
                     "list remembered"
                 );
@@ -537,7 +537,7 @@
         while let Some(event) = events.recv().await {
             match event {
                 Event::Frame(Frame {
-                    body: Some(Body::Peer(said)),
+                    body: Some(Body::Gossip(said)),
                     ..
                 }) => {
                     let (from, bytes) = (DispatcherId(said.from), said.bytes.to_vec());
@@ -652,7 +652,7 @@
                 tracing::warn!(address, reason, "list feed lost");
                 said = Some(reason);
             }
-            self.input(Input::ListRefused);
+            self.input(Input::EndpointsRejected);
             at += 1;
             let again = self.inner.clock.now() + wait;
             tokio::select! { biased;
@@ -694,7 +694,7 @@
         let follow = |number, known_version| {
             out.send(frame(
                 number,
-                Body::Follow(v1::Follow {
+                Body::WatchEndpoints(v1::WatchEndpoints {
                     changes: true,
                     known_version,
                 }),
@@ -729,12 +729,12 @@
             };
             match next {
                 Some(Event::Frame(Frame {
-                    body: Some(Body::List(list)),
+                    body: Some(Body::Endpoints(list)),
                     ..
                 })) => {
                     heard = clock.now();
                     let newest = self.inner.ledger.borrow().list_version();
-                    let whole = list.kind() == v1::ListKind::Snapshot;
+                    let whole = list.kind() == v1::EndpointUpdateKind::Snapshot;
                     if !calls.takes(whole, list.version, newest, heard) {
                         out.close();
                         return FeedEnd::Lost(
@@ -745,12 +745,12 @@
                     let told = |line: &v1::Endpoint| {
                         (
                             line.engine.clone(),
-                            line.condition().as_str_name(),
+                            line.status().as_str_name(),
                             line.started_ms,
                         )
                     };
                     // Put together only where it is logged.
-                    let engines = || list.engines.iter().map(told).collect::<Vec<_>>();
+                    let engines = || list.endpoints.iter().map(told).collect::<Vec<_>>();
                     tracing::debug!(version = list.version, engines = ?engines(), "list");
                     self.input(Input::Listed(list));
                 }
@@ -777,7 +777,7 @@
     /// To other dispatchers, over connections made as they are wanted. What cannot be said now is lost.
     fn tell(&self, to: Option<DispatcherId>, bytes: Vec<u8>) {
         let from = self.inner.settings.policy.me.0;
-        let body = Body::Peer(v1::PeerMessage {
+        let body = Body::Gossip(v1::Gossip {
             from,
             bytes: bytes.into(),
         });
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -20,7 +20,10 @@
         .iter()
         .map(|name| (name.as_str(), v1::EndpointStatus::Ready))
         .collect();
-    bench.put(Input::Listed(list(v1::ListKind::Snapshot, &ready)));
+    bench.put(Input::Listed(list(
+        v1::EndpointUpdateKind::Snapshot,
+        &ready,
+    )));
     bench
 }
 
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -84,7 +84,7 @@
         link_idle: 15_000.0,
         window: 4,
         stall_limit: 1000.0,
-        probe_timeout: 250.0,
+        health_check_timeout: 250.0,
         quiet: 2000.0,
         ping_timeout: 1000.0,
         again_first: 100.0,
@@ -128,7 +128,7 @@
     }
 }
 
-pub fn line(engine: &str, condition: v1::EndpointStatus) -> v1::Endpoint {
+pub fn line(engine: &str, status: v1::EndpointStatus) -> v1::Endpoint {
     let kind = if engine.starts_with('r') {
         "reader"
     } else {
@@ -140,21 +140,24 @@
         zone: "north".to_owned(),
         kind: kind.to_owned(),
         cell: "n1".to_owned(),
-        condition: condition.into(),
+        status: status.into(),
         weight: 1.0,
         started_ms: None,
     }
 }
 
-pub fn list(kind: v1::ListKind, engines: &[(&str, v1::EndpointStatus)]) -> v1::EndpointList {
-    let engines = engines
+pub fn list(
+    kind: v1::EndpointUpdateKind,
+    engines: &[(&str, v1::EndpointStatus)],
+) -> v1::EndpointList {
+    let endpoints = engines
         .iter()
-        .map(|(engine, condition)| line(engine, *condition))
+        .map(|(engine, status)| line(engine, *status))
         .collect();
     v1::EndpointList {
         kind: kind.into(),
         version: 1,
-        engines,
+        endpoints,
     }
 }
 
@@ -221,7 +224,7 @@
         };
         let ready = v1::EndpointStatus::Ready;
         let all = [("r1", ready), ("r2", ready), ("w1", ready), ("w2", ready)];
-        bench.put(Input::Listed(list(v1::ListKind::Snapshot, &all)));
+        bench.put(Input::Listed(list(v1::EndpointUpdateKind::Snapshot, &all)));
         bench
     }
 
@@ -315,10 +318,10 @@
         )
     }
 
-    pub fn told(&mut self, engine: &str, condition: v1::EndpointStatus) -> Vec<Output> {
+    pub fn told(&mut self, engine: &str, status: v1::EndpointStatus) -> Vec<Output> {
         self.put(Input::Listed(list(
-            v1::ListKind::Delta,
-            &[(engine, condition)],
+            v1::EndpointUpdateKind::Delta,
+            &[(engine, status)],
         )))
     }
 
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -5,7 +5,7 @@
 
 use cindercleat_dispatcher::ledger::{ConnId, Input, Level, Output, StreamNo};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
-use cindercleat_protocol::v1::{Answer, EndpointStatus, ListKind, Status};
+use cindercleat_protocol::v1::{Answer, EndpointStatus, EndpointUpdateKind, Status};
 use cindercleat_protocol::{frame, v1, Body};
 use common::*;
 
@@ -452,7 +452,10 @@
     let mut out = Vec::new();
     ledger.handle(
         1.0,
-        Input::Remembered(list(ListKind::Snapshot, &[("r1", ready), ("w1", ready)])),
+        Input::Remembered(list(
+            EndpointUpdateKind::Snapshot,
+            &[("r1", ready), ("w1", ready)],
+        )),
         &mut out,
     );
     ledger.handle(
@@ -473,12 +476,12 @@
     out.clear();
     ledger.handle(
         3.0,
-        Input::Listed(list(ListKind::Snapshot, &[("w1", ready)])),
+        Input::Listed(list(EndpointUpdateKind::Snapshot, &[("w1", ready)])),
         &mut out,
     );
     let kept = out.iter().find_map(|o| match o {
         Output::KeepList(list) => Some(
-            list.engines
+            list.endpoints
                 .iter()
                 .map(|l| l.engine.clone())
                 .collect::<Vec<_>>(),
@@ -496,11 +499,11 @@
 fn a_line_of_the_list_that_cannot_be_right_is_passed_over_and_the_rest_used() {
     let mut bench = Bench::new();
     let mut list = list(
-        ListKind::Delta,
+        EndpointUpdateKind::Delta,
         &[("w3", EndpointStatus::Ready), ("w4", EndpointStatus::Ready)],
     );
-    list.engines[0].zone = "nowhere".to_owned();
-    list.engines[1].weight = f64::NAN;
+    list.endpoints[0].zone = "nowhere".to_owned();
+    list.endpoints[1].weight = f64::NAN;
     let out = bench.put(Input::Listed(list));
     let warned = out
         .iter()
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -6,7 +6,7 @@
 
 use cindercleat::interface::Ms;
 use cindercleat_dispatcher::ledger::{ConnId, Input, Ledger, LinkId, Output, StreamNo};
-use cindercleat_protocol::v1::{Answer, EndpointStatus, ListKind, Status};
+use cindercleat_protocol::v1::{Answer, EndpointStatus, EndpointUpdateKind, Status};
 use cindercleat_protocol::{frame, v1, Body};
 use common::*;
 use proptest::prelude::*;
@@ -51,7 +51,7 @@
 struct World {
     ledger: Ledger,
     now: Ms,
-    conditions: BTreeMap<&'static str, EndpointStatus>,
+    statuses: BTreeMap<&'static str, EndpointStatus>,
     dialled: Vec<(LinkId, String)>,
     links: BTreeMap<LinkId, String>,
     attempts: Vec<Attempt>,
@@ -78,7 +78,7 @@
         World {
             ledger: Ledger::new(settings, seed),
             now: 1000.0,
-            conditions: ENGINES.map(|h| (h, EndpointStatus::Ready)).into(),
+            statuses: ENGINES.map(|h| (h, EndpointStatus::Ready)).into(),
             dialled: Vec::new(),
             links: BTreeMap::new(),
             attempts: Vec::new(),
@@ -217,15 +217,15 @@
                 self.pings.push(link);
                 return Ok(());
             }
-            Some(Body::Probe(_)) => {
+            Some(Body::HealthCheck(_)) => {
                 self.probes.push((link, stream));
                 return Ok(());
             }
             _ => return Ok(()),
         };
         let state = state.unwrap_or_default();
-        let condition = self.conditions.get(engine.as_str()).copied();
-        prop_assert_eq!(condition, Some(EndpointStatus::Ready), "sent to {}", engine);
+        let status = self.statuses.get(engine.as_str()).copied();
+        prop_assert_eq!(status, Some(EndpointStatus::Ready), "sent to {}", engine);
         let out = self
             .attempts
             .iter()
@@ -290,7 +290,7 @@
                 .get(&(attempt.state.request, attempt.state.attempt))
                 .cloned()
                 .unwrap_or_default();
-            let gone = self.conditions.get(engine.as_str()) == Some(&EndpointStatus::Gone);
+            let gone = self.statuses.get(engine.as_str()) == Some(&EndpointStatus::Gone);
             if !attempt.write && attempt.stream.is_multiple_of(2) && !gone {
                 self.held
                     .insert((attempt.state.request, attempt.state.attempt), self.now);
@@ -350,7 +350,7 @@
                 Some(key) => {
                     // One that is listed as gone holds nothing that could be let go.
                     let engine = self.at.get(&key).cloned().unwrap_or_default();
-                    if self.conditions.get(engine.as_str()) != Some(&EndpointStatus::Gone) {
+                    if self.statuses.get(engine.as_str()) != Some(&EndpointStatus::Gone) {
                         self.held.insert(key, self.now);
                     }
                     Body::Goodbye(v1::Goodbye {
@@ -400,14 +400,14 @@
             }
             6 => {
                 let engine = ENGINES[pick(ENGINES.len())];
-                let condition = [
+                let status = [
                     EndpointStatus::Ready,
                     EndpointStatus::Ready,
                     EndpointStatus::Draining,
                     EndpointStatus::Gone,
                 ][usize::from(whom >> 5) % 4];
-                self.conditions.insert(engine, condition);
-                if condition == EndpointStatus::Gone {
+                self.statuses.insert(engine, status);
+                if status == EndpointStatus::Gone {
                     // With its process its states are gone.
                     let at = &self.at;
                     self.held
@@ -416,7 +416,10 @@
                         *lost = lost.filter(|key| at.get(key).is_none_or(|h| h != engine));
                     }
                 }
-                self.put(Input::Listed(list(ListKind::Delta, &[(engine, condition)])))
+                self.put(Input::Listed(list(
+                    EndpointUpdateKind::Delta,
+                    &[(engine, status)],
+                )))
             }
             7 if !self.links.is_empty() => {
                 let link = *self
@@ -550,7 +553,7 @@
 fn play(draws: &[Draw], seed: u64) -> Result<World, TestCaseError> {
     let mut world = World::new(seed);
     let ready = ENGINES.map(|h| (h, EndpointStatus::Ready));
-    world.put(Input::Listed(list(ListKind::Snapshot, &ready)))?;
+    world.put(Input::Listed(list(EndpointUpdateKind::Snapshot, &ready)))?;
     for draw in draws {
         world.draw(*draw)?;
     }
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -441,7 +441,10 @@
         .iter()
         .map(|name| (name.as_str(), v1::EndpointStatus::Ready))
         .collect();
-    bench.put(Input::Listed(list(v1::ListKind::Snapshot, &ready)));
+    bench.put(Input::Listed(list(
+        v1::EndpointUpdateKind::Snapshot,
+        &ready,
+    )));
     bench
 }
 
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -125,7 +125,7 @@
         link_idle: 8_000.0,
         window: 8,
         stall_limit: 1500.0,
-        probe_timeout: CONNECT,
+        health_check_timeout: CONNECT,
         quiet: 400.0,
         ping_timeout: 200.0,
         again_first: 60.0,
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -528,11 +528,11 @@
         Body::Ended(m) => format!("ended {:?}{} {}", m.status(), state(&m.state), m.reason),
         Body::Release(m) => format!("release{}", state(&m.state)),
         Body::Fetch(m) => format!("fetch{}", state(&m.state)),
-        Body::List(m) => {
+        Body::Endpoints(m) => {
             let engines: Vec<String> = m
-                .engines
+                .endpoints
                 .iter()
-                .map(|h| format!("{} {:?}", h.engine, h.condition()))
+                .map(|h| format!("{} {:?}", h.engine, h.status()))
                 .collect();
             format!("list {}", engines.join(", "))
         }
--- a/crates/faults/tests/named.rs
+++ b/crates/faults/tests/named.rs
@@ -160,7 +160,7 @@
                     ..v1::Release::default()
                 }),
             ),
-            record(9000.0, Way::In, 3, Body::Probe(v1::Probe {})),
+            record(9000.0, Way::In, 3, Body::HealthCheck(v1::HealthCheck {})),
         ];
         let mut rules: Rules = cindercleat_faults::plan::rules(&day(1, &SHAPES[0]), 0.0);
         rules.silences.clear();
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -13,11 +13,11 @@
         Body::Prefill(_) => "/cindercleat.v1.Host/Read",
         Body::Decode(_) => "/cindercleat.v1.Host/Write",
         Body::Release(_) => "/cindercleat.v1.Host/Release",
-        Body::Probe(_) => "/cindercleat.v1.Host/Probe",
-        Body::Hold(_) => "/cindercleat.v1.Host/Hold",
+        Body::HealthCheck(_) => "/cindercleat.v1.Host/Probe",
+        Body::Reserve(_) => "/cindercleat.v1.Host/Hold",
         Body::Fetch(_) => "/cindercleat.v1.Host/Fetch",
-        Body::Follow(_) => "/cindercleat.v1.List/Follow",
-        Body::Peer(_) => "/cindercleat.v1.Peers/Tell",
+        Body::WatchEndpoints(_) => "/cindercleat.v1.List/Follow",
+        Body::Gossip(_) => "/cindercleat.v1.Peers/Tell",
         Body::FleetCall(_) => "/cindercleat.v1.Fleet/Call",
         _ => return None,
     })
@@ -41,11 +41,11 @@
         "Host/Read" => v1::Prefill::decode(bytes).map(Body::Prefill),
         "Host/Write" => v1::Decode::decode(bytes).map(Body::Decode),
         "Host/Release" => v1::Release::decode(bytes).map(Body::Release),
-        "Host/Probe" => v1::Probe::decode(bytes).map(Body::Probe),
-        "Host/Hold" => v1::Hold::decode(bytes).map(Body::Hold),
+        "Host/Probe" => v1::HealthCheck::decode(bytes).map(Body::HealthCheck),
+        "Host/Hold" => v1::Reserve::decode(bytes).map(Body::Reserve),
         "Host/Fetch" => v1::Fetch::decode(bytes).map(Body::Fetch),
-        "List/Follow" => v1::Follow::decode(bytes).map(Body::Follow),
-        "Peers/Tell" => v1::PeerMessage::decode(bytes).map(Body::Peer),
+        "List/Follow" => v1::WatchEndpoints::decode(bytes).map(Body::WatchEndpoints),
+        "Peers/Tell" => v1::Gossip::decode(bytes).map(Body::Gossip),
         "Fleet/Call" => v1::FleetCall::decode(bytes).map(Body::FleetCall),
         "Router/Greet" | "Host/Greet" | "List/Greet" | "Fleet/Greet" => {
             v1::Hello::decode(bytes).map(Body::Hello)
@@ -69,10 +69,10 @@
             decode_reply::Part::Ended(m) => Body::Ended(m),
         }),
         "Host/Probe" => Some(Body::Load(v1::Load::decode(bytes)?)),
-        "Host/Hold" => Some(Body::Place(v1::Place::decode(bytes)?)),
+        "Host/Hold" => Some(Body::Reservation(v1::Reservation::decode(bytes)?)),
         "Host/Release" => Some(Body::Done(v1::Done::decode(bytes)?)),
         "Host/Fetch" => Some(Body::State(v1::State::decode(bytes)?)),
-        "List/Follow" => Some(Body::List(v1::EndpointList::decode(bytes)?)),
+        "List/Follow" => Some(Body::Endpoints(v1::EndpointList::decode(bytes)?)),
         "Fleet/Call" => Some(Body::FleetAnswer(v1::FleetAnswer::decode(bytes)?)),
         "Router/Greet" | "Host/Greet" | "List/Greet" | "Fleet/Greet" => {
             Some(Body::Hello(v1::Hello::decode(bytes)?))
@@ -113,12 +113,12 @@
         ("Host/Write", Body::Ended(m)) => (write(decode_reply::Part::Ended(m)), ok()),
         ("Host/Read", Body::Ended(m)) => (Some(encode(&m)), ok()),
         ("Host/Probe", Body::Load(m)) => (Some(encode(&m)), ok()),
-        ("Host/Hold", Body::Place(m)) => (Some(encode(&m)), ok()),
+        ("Host/Hold", Body::Reservation(m)) => (Some(encode(&m)), ok()),
         // Said by whoever let the state go, never in its name: a release that is lost is to be said again.
         ("Host/Release", Body::Done(m)) => (Some(encode(&m)), ok()),
         ("Host/Fetch", Body::State(m)) => (Some(encode(&m)), ok()),
         ("Fleet/Call", Body::FleetAnswer(m)) => (Some(encode(&m)), ok()),
-        ("List/Follow", Body::List(m)) => (Some(encode(&m)), None),
+        ("List/Follow", Body::Endpoints(m)) => (Some(encode(&m)), None),
         (_, Body::Hello(m)) => (Some(encode(&m)), ok()),
         // What was taken may have run, so the end of a request without an answer is never one to try again.
         ("Router/Run", Body::Goodbye(m)) => {
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -158,7 +158,7 @@
         return;
     };
     let (to, queue) = mpsc::unbounded_channel();
-    let quiet = matches!(body, Body::Peer(_));
+    let quiet = matches!(body, Body::Gossip(_));
     // A call that nobody waits for is open until it is over, too: its sender must not be dropped before.
     let held = quiet.then(|| to.clone());
     if !quiet {
@@ -219,11 +219,11 @@
         Body::Prefill(m) => encode(m),
         Body::Decode(m) => encode(m),
         Body::Release(m) => encode(m),
-        Body::Probe(m) => encode(m),
-        Body::Hold(m) => encode(m),
+        Body::HealthCheck(m) => encode(m),
+        Body::Reserve(m) => encode(m),
         Body::Fetch(m) => encode(m),
-        Body::Follow(m) => encode(m),
-        Body::Peer(m) => encode(m),
+        Body::WatchEndpoints(m) => encode(m),
+        Body::Gossip(m) => encode(m),
         Body::FleetCall(m) => encode(m),
         _ => return not_sent(),
     };
@@ -277,7 +277,7 @@
                         Body::Ended(_)
                             | Body::Final(_)
                             | Body::Load(_)
-                            | Body::Place(_)
+                            | Body::Reservation(_)
                             | Body::State(_)
                             | Body::Done(_)
                             | Body::FleetAnswer(_)
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -181,7 +181,7 @@
     let (to, queue) = mpsc::unbounded_channel();
     shared.calls.borrow_mut().insert(number, to);
     // What peers tell needs no word from whoever it is for.
-    let peer = matches!(body, Body::Peer(_));
+    let peer = matches!(body, Body::Gossip(_));
     shared.tell(Event::Frame(frame(number, body)));
     let head = Response::builder()
         .status(200)
--- a/crates/grpc/tests/hard.rs
+++ b/crates/grpc/tests/hard.rs
@@ -44,7 +44,7 @@
     io: DuplexStream,
 }
 
-/// Headers as HPACK writes them without its tables; a name of `:status` is one of its fixed entries.
+/// Headers as HPACK writes them without its tables; a name of `:status` is one of its fixed endpoints.
 fn headers(list: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
     for (name, value) in list {
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -92,7 +92,7 @@
         while let Ok(frame) = self.said.try_recv() {
             let begins = matches!(
                 frame.body,
-                Some(Body::Prefill(_) | Body::Decode(_) | Body::Probe(_) | Body::Release(_))
+                Some(Body::Prefill(_) | Body::Decode(_) | Body::HealthCheck(_) | Body::Release(_))
             );
             if begins && !self.shared.closing.get() {
                 let bye = v1::Goodbye {
@@ -146,7 +146,7 @@
                     write.prompt,
                 ))
             }
-            Body::Probe(_) => {
+            Body::HealthCheck(_) => {
                 let head = format!(
                     "GET {} HTTP/1.1\r\nHost: {authority}\r\n\r\n",
                     words::LOAD_PATH
--- a/crates/http1/src/feed.rs
+++ b/crates/http1/src/feed.rs
@@ -50,7 +50,7 @@
 ) -> Ended {
     let Some(Frame {
         stream,
-        body: Some(Body::Follow(follow)),
+        body: Some(Body::WatchEndpoints(follow)),
     }) = said.recv().await
     else {
         return Ended::Lost("nothing was asked".to_owned());
@@ -80,7 +80,7 @@
             Err(problem) => return Ended::Unusable(format!("no list: {problem}")),
         };
         path = changes_since(list.version, bounds.feed_wait_ms);
-        shared.say(stream, Body::List(list));
+        shared.say(stream, Body::Endpoints(list));
     }
 }
 
--- a/crates/http1/src/list.rs
+++ b/crates/http1/src/list.rs
@@ -33,20 +33,20 @@
 pub fn parse(bytes: &[u8]) -> Result<v1::EndpointList, Malformed> {
     let list: List = serde_json::from_slice(bytes)?;
     let kind = if list.complete {
-        v1::ListKind::Snapshot
+        v1::EndpointUpdateKind::Snapshot
     } else {
-        v1::ListKind::Delta
+        v1::EndpointUpdateKind::Delta
     };
-    let engines = list.members.into_iter().map(line).collect();
+    let endpoints = list.members.into_iter().map(line).collect();
     Ok(v1::EndpointList {
         kind: kind.into(),
         version: list.revision,
-        engines,
+        endpoints,
     })
 }
 
 fn line(member: Member) -> v1::Endpoint {
-    let condition = match member.phase.as_str() {
+    let status = match member.phase.as_str() {
         words::UP => v1::EndpointStatus::Ready,
         words::DRAINING => v1::EndpointStatus::Draining,
         words::REMOVED => v1::EndpointStatus::Gone,
@@ -58,7 +58,7 @@
         zone: member.locality,
         kind: member.flavor,
         cell: member.cell.to_string(),
-        condition: condition.into(),
+        status: status.into(),
         weight: member.size.unwrap_or(1.0),
         // 0: long ago.
         started_ms: member.up_since_ms.filter(|at| *at > 0.0),
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -619,7 +619,9 @@
             .await
             .expect("written");
         assert_eq!(body(&mut session).await, Some((3, Body::Done(v1::Done {}))));
-        session.out.send(frame(4, Body::Probe(v1::Probe {})));
+        session
+            .out
+            .send(frame(4, Body::HealthCheck(v1::HealthCheck {})));
         assert!(until(&mut io, "\r\n\r\n")
             .await
             .starts_with("GET /-/load HTTP/1.1\r\n"));
@@ -655,7 +657,9 @@
             ),
         ];
         for (no, (report, (in_flight, queue, slots_used, memory_held))) in (1..).zip(reports) {
-            session.out.send(frame(no, Body::Probe(v1::Probe {})));
+            session
+                .out
+                .send(frame(no, Body::HealthCheck(v1::HealthCheck {})));
             until(&mut io, "\r\n\r\n").await;
             let head = format!(
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
@@ -931,7 +935,7 @@
             .expect("a session");
         session.out.send(frame(
             1,
-            Body::Follow(v1::Follow {
+            Body::WatchEndpoints(v1::WatchEndpoints {
                 changes: true,
                 known_version: None,
             }),
@@ -952,11 +956,14 @@
         io.write_all(list(41, true).as_bytes())
             .await
             .expect("written");
-        let Some((1, Body::List(got))) = body(&mut session).await else {
+        let Some((1, Body::Endpoints(got))) = body(&mut session).await else {
             panic!("a list")
         };
-        assert_eq!((got.kind(), got.version), (v1::ListKind::Snapshot, 41));
-        let engine = &got.engines[0];
+        assert_eq!(
+            (got.kind(), got.version),
+            (v1::EndpointUpdateKind::Snapshot, 41)
+        );
+        let engine = &got.endpoints[0];
         assert_eq!(
             (engine.engine.as_str(), engine.address.as_str()),
             ("s-1", "10.1.0.18:8443")
@@ -970,7 +977,7 @@
             ("a", "m2", "3")
         );
         assert_eq!(
-            (engine.condition(), engine.started_ms),
+            (engine.status(), engine.started_ms),
             (v1::EndpointStatus::Draining, None)
         );
         let asked = until(&mut io, "\r\n\r\n").await;
@@ -981,10 +988,13 @@
         io.write_all(list(43, false).as_bytes())
             .await
             .expect("written");
-        let Some((1, Body::List(got))) = body(&mut session).await else {
+        let Some((1, Body::Endpoints(got))) = body(&mut session).await else {
             panic!("a list")
         };
-        assert_eq!((got.kind(), got.version), (v1::ListKind::Delta, 43));
+        assert_eq!(
+            (got.kind(), got.version),
+            (v1::EndpointUpdateKind::Delta, 43)
+        );
         until(&mut io, "\r\n\r\n").await;
         io.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{\"rev")
             .await
@@ -1009,7 +1019,7 @@
             .expect("a session");
         session.out.send(frame(
             1,
-            Body::Follow(v1::Follow {
+            Body::WatchEndpoints(v1::WatchEndpoints {
                 changes: true,
                 known_version: None,
             }),
@@ -1042,7 +1052,7 @@
             .expect("a session");
         session.out.send(frame(
             1,
-            Body::Follow(v1::Follow {
+            Body::WatchEndpoints(v1::WatchEndpoints {
                 changes: true,
                 known_version: None,
             }),
@@ -1072,8 +1082,8 @@
                 "it has begun to come"
             );
             match body(&mut session).await {
-                Some((1, Body::List(got))) => {
-                    assert_eq!((got.engines.len(), got.version), (2000, 7))
+                Some((1, Body::Endpoints(got))) => {
+                    assert_eq!((got.endpoints.len(), got.version), (2000, 7))
                 }
                 other => panic!("no list: {other:?}"),
             }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -74,9 +74,10 @@
             }
             Line::Row(entry) => {
                 let held = instances.get_mut(&parser.list_owner());
-                if let Some(Event::Listed { entries, .. }) = held.and_then(|i| i.events.last_mut())
+                if let Some(Event::EndpointsUpdated { endpoints, .. }) =
+                    held.and_then(|i| i.events.last_mut())
                 {
-                    entries.push(entry);
+                    endpoints.push(entry);
                 }
             }
             Line::Flush => {
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -26,7 +26,7 @@
         instance: u32,
         event: Event,
     },
-    Row(Entry),
+    Row(Endpoint),
     Flush,
 }
 
@@ -196,7 +196,7 @@
         let event = match name {
             "announce" => self.announce(instance, parts)?,
             "accept" => accept(parts)?,
-            "withdrawn" => Event::Left {
+            "withdrawn" => Event::ClientGone {
                 request: request(parts)?,
             },
             "ack_first" => {
@@ -216,7 +216,7 @@
                 let bytes = BASE64_STANDARD
                     .decode(raw)
                     .map_err(|_| Malformed::new("base64", raw))?;
-                Event::Heard { from, bytes }
+                Event::GossipReceived { from, bytes }
             }
             "bell" => {
                 let token = parts.next("a timer's token")?;
@@ -231,7 +231,7 @@
                 let outcome = outcome(parts.next("an outcome")?)?;
                 let latency = parts.time("a latency")?;
                 let engine = parts.engine()?;
-                Event::Probed {
+                Event::HealthChecked {
                     engine,
                     outcome,
                     latency,
@@ -263,7 +263,7 @@
                 let attempt = attempt(parts)?;
                 let engine = parts.engine()?;
                 let kind: u32 = parts.number("1 or 2")?;
-                Event::Place {
+                Event::ReservationChanged {
                     request,
                     attempt,
                     engine,
@@ -276,30 +276,30 @@
 
     fn announce(&mut self, instance: u32, parts: &mut Parts) -> Result<Event, Malformed> {
         let kind = match parts.next("a kind of list")? {
-            "changes" => ListKind::Delta,
-            "all" => ListKind::Snapshot,
-            "remembered" => ListKind::Cached,
-            "refused" => ListKind::Rejected,
+            "changes" => EndpointUpdateKind::Delta,
+            "all" => EndpointUpdateKind::Snapshot,
+            "remembered" => EndpointUpdateKind::Cached,
+            "refused" => EndpointUpdateKind::Rejected,
             other => return Err(Malformed::new("changes, all, remembered or refused", other)),
         };
         let _version: Option<i64> = parts.maybe_number("a version")?;
         self.rows_left = parts.maybe_number("a number of rows")?.unwrap_or(0);
         self.list_owner = instance;
-        Ok(Event::Listed {
+        Ok(Event::EndpointsUpdated {
             kind,
-            entries: Vec::new(),
+            endpoints: Vec::new(),
         })
     }
 
-    fn row(&self, parts: &mut Parts) -> Result<Entry, Malformed> {
+    fn row(&self, parts: &mut Parts) -> Result<Endpoint, Malformed> {
         let engine = parts.engine()?;
         let zone = ZoneId(parts.maybe_number("a zone")?.unwrap_or(0));
         let kind = KindId(parts.maybe_number("a kind")?.unwrap_or(0));
         let cell = CellId(parts.maybe_number("a cell")?.unwrap_or(0));
-        let condition = match parts.next("a condition")? {
-            "ready" => Condition::Ready,
-            "draining" => Condition::Draining,
-            "gone" => Condition::Gone,
+        let status = match parts.next("a condition")? {
+            "ready" => EndpointStatus::Ready,
+            "draining" => EndpointStatus::Draining,
+            "gone" => EndpointStatus::Gone,
             other => return Err(Malformed::new("ready, draining or gone", other)),
         };
         let weight = parts.maybe_number("a weight")?.unwrap_or(1.0);
@@ -307,12 +307,12 @@
             .maybe_number::<u64>("a start time")?
             .filter(|t| *t > 0)
             .map(ms);
-        Ok(Entry {
+        Ok(Endpoint {
             engine,
             zone,
             kind,
             cell,
-            condition,
+            status,
             weight,
             started,
         })
@@ -418,14 +418,14 @@
         // Asked for only where deliveries are tracked.
         Action::Confirm { .. } | Action::ReleaseInDoubt { .. } => Ok(()),
         Action::Release { request } => writeln!(out, "let_go\t{i}\t{}", request.0),
-        Action::HoldAhead { request, engine } => {
+        Action::Reserve { request, engine } => {
             writeln!(out, "earmark\t{i}\t{}\t{}", request.0, engine.0)
         }
-        Action::Move { request } => writeln!(out, "transfer\t{i}\t{}", request.0),
-        Action::Arm { delay, timer } => writeln!(out, "arm\t{i}\t{}\t{}", us(*delay), timer.0),
-        Action::Probe { engine } => writeln!(out, "poll\t{i}\t{}", engine.0),
+        Action::Migrate { request } => writeln!(out, "transfer\t{i}\t{}", request.0),
+        Action::SetTimer { delay, timer } => writeln!(out, "arm\t{i}\t{}\t{}", us(*delay), timer.0),
+        Action::HealthCheck { engine } => writeln!(out, "poll\t{i}\t{}", engine.0),
         Action::CloseIdle { engine } => writeln!(out, "close_idle\t{i}\t{}", engine.0),
-        Action::Tell { to, bytes } => {
+        Action::SendGossip { to, bytes } => {
             let to = to.map_or(-1, |d| i64::from(d.0));
             let raw = if bytes.is_empty() {
                 "-".into()
@@ -434,8 +434,8 @@
             };
             writeln!(out, "publish\t{i}\t{to}\t{raw}")
         }
-        Action::FetchList => writeln!(out, "read_list\t{i}"),
-        Action::FollowList { on } => writeln!(out, "track\t{i}\t{}", u8::from(*on)),
+        Action::FetchEndpoints => writeln!(out, "read_list\t{i}"),
+        Action::WatchEndpoints { on } => writeln!(out, "track\t{i}\t{}", u8::from(*on)),
         Action::Log { text } => writeln!(out, "emit\t{i}\t{}", text.replace(['\n', '\r'], " ")),
     };
 }
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -369,7 +369,7 @@
         let What::Frame(Way::Out, frame) = &record.what else {
             continue;
         };
-        let Some(Body::List(list)) = &frame.body else {
+        let Some(Body::Endpoints(list)) = &frame.body else {
             continue;
         };
         let dispatcher = record.peer.to_string();
@@ -379,14 +379,14 @@
                 .or_default()
                 .push((record.at, ready));
         };
-        for line in &list.engines {
+        for line in &list.endpoints {
             known.insert(line.engine.clone());
-            tell(&line.engine, line.condition() == v1::EndpointStatus::Ready);
+            tell(&line.engine, line.status() == v1::EndpointStatus::Ready);
         }
-        if list.kind() == v1::ListKind::Snapshot {
+        if list.kind() == v1::EndpointUpdateKind::Snapshot {
             for engine in known
                 .iter()
-                .filter(|h| !list.engines.iter().any(|line| line.engine == **h))
+                .filter(|h| !list.endpoints.iter().any(|line| line.engine == **h))
             {
                 tell(engine, false);
             }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -243,7 +243,7 @@
     }
 
     /// Its line of the list.
-    pub fn line(&self, condition: v1::EndpointStatus) -> v1::Endpoint {
+    pub fn line(&self, status: v1::EndpointStatus) -> v1::Endpoint {
         let spec = &self.inner.spec;
         v1::Endpoint {
             engine: spec.name.clone(),
@@ -251,7 +251,7 @@
             zone: spec.zone.clone(),
             kind: spec.kind.clone(),
             cell: spec.cell.clone(),
-            condition: condition.into(),
+            status: status.into(),
             weight: 1.0,
             started_ms: self
                 .inner
@@ -485,12 +485,14 @@
                         body: Some(Body::Done(v1::Done {})),
                     });
                 }
-                Some(Body::Probe(_)) => {
+                Some(Body::HealthCheck(_)) => {
                     self.say(&conn, stream, Body::Load(self.load().unwrap_or_default()))
                 }
-                Some(Body::Hold(_)) => {
-                    self.say(&conn, stream, Body::Place(v1::Place { held: false }))
-                }
+                Some(Body::Reserve(_)) => self.say(
+                    &conn,
+                    stream,
+                    Body::Reservation(v1::Reservation { held: false }),
+                ),
                 Some(Body::Fetch(v1::Fetch { state: Some(state) })) => {
                     let tokens = self.inner.live.borrow().states.get(&key(&state)).copied();
                     let (found, tokens) = (tokens.is_some(), tokens.unwrap_or(0.0) as u32);
--- a/crates/standin/src/feed.rs
+++ b/crates/standin/src/feed.rs
@@ -62,7 +62,7 @@
         self.inner.silent.set(silent);
         if !silent {
             let list = self.list(
-                v1::ListKind::Snapshot,
+                v1::EndpointUpdateKind::Snapshot,
                 self.inner.told.borrow().values().cloned().collect(),
             );
             self.push(&list);
@@ -105,7 +105,7 @@
             .borrow_mut()
             .insert(line.engine.clone(), line.clone());
         if !self.inner.silent.get() {
-            self.push(&self.list(v1::ListKind::Delta, vec![line]));
+            self.push(&self.list(v1::EndpointUpdateKind::Delta, vec![line]));
         }
     }
 
@@ -116,14 +116,18 @@
             .retain(|(_, f)| f.send(list.clone()).is_ok());
     }
 
-    fn list(&self, kind: v1::ListKind, mut engines: Vec<v1::Endpoint>) -> v1::EndpointList {
-        if kind == v1::ListKind::Snapshot {
-            engines.retain(|line| line.condition() != v1::EndpointStatus::Gone);
+    fn list(
+        &self,
+        kind: v1::EndpointUpdateKind,
+        mut endpoints: Vec<v1::Endpoint>,
+    ) -> v1::EndpointList {
+        if kind == v1::EndpointUpdateKind::Snapshot {
+            endpoints.retain(|line| line.status() != v1::EndpointStatus::Gone);
         }
         v1::EndpointList {
             kind: kind.into(),
             version: self.inner.version.get(),
-            engines,
+            endpoints,
         }
     }
 
@@ -150,7 +154,7 @@
             let list = tokio::select! { biased;
                 list = lists.recv() => list,
                 event = events.recv() => match event {
-                    Some(Event::Frame(Frame { stream, body: Some(Body::Follow(follow)) })) => {
+                    Some(Event::Frame(Frame { stream, body: Some(Body::WatchEndpoints(follow)) })) => {
                         number = stream;
                         let mut followers = self.inner.followers.borrow_mut();
                         if follow.changes && !followers.iter().any(|(_, f)| f.same_channel(&send)) {
@@ -158,14 +162,14 @@
                         }
                         drop(followers);
                         let engines = self.inner.told.borrow().values().cloned().collect();
-                        Some(self.list(v1::ListKind::Snapshot, engines)).filter(|_| !self.inner.silent.get())
+                        Some(self.list(v1::EndpointUpdateKind::Snapshot, engines)).filter(|_| !self.inner.silent.get())
                     }
                     Some(_) => None,
                     None => return,
                 },
             };
             if let Some(list) = list {
-                let frame = frame(number, Body::List(list));
+                let frame = frame(number, Body::Endpoints(list));
                 let record = What::Frame(Way::Out, frame.clone());
                 self.inner.transcript.add(
                     self.inner.clock.now(),
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -87,16 +87,16 @@
     })
 }
 
-fn listed(condition: v1::EndpointStatus) -> Body {
+fn listed(status: v1::EndpointStatus) -> Body {
     let line = v1::Endpoint {
         engine: "w".to_owned(),
-        condition: condition.into(),
+        status: status.into(),
         ..v1::Endpoint::default()
     };
-    Body::List(v1::EndpointList {
-        kind: v1::ListKind::Delta.into(),
+    Body::Endpoints(v1::EndpointList {
+        kind: v1::EndpointUpdateKind::Delta.into(),
         version: 1,
-        engines: vec![line],
+        endpoints: vec![line],
     })
 }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -72,7 +72,7 @@
     dispatchers: f64,
     index: BTreeMap<EngineId, Slot>,
     /// Its line of the list, its kind, and when it last started.
-    listed: Vec<Entry>,
+    listed: Vec<Endpoint>,
     kind: Vec<KindSettings>,
     started: Vec<Ms>,
     /// Own streams and own reads out, and the unread tokens of those reads.
@@ -258,7 +258,7 @@
         if let Some(&(due, _)) = self.queue.due.first() {
             self.wake_at(due.0);
         }
-        let engine = |slot: Slot| Action::Probe {
+        let engine = |slot: Slot| Action::HealthCheck {
             engine: self.engines.listed[slot].engine.clone(),
         };
         actions.extend(self.wanted_probes.iter().map(|&slot| engine(slot)));
@@ -283,9 +283,9 @@
 
     fn learn(&mut self, event: &Event) {
         match event {
-            Event::Listed { kind, entries } => self.learn_list(*kind, entries),
+            Event::EndpointsUpdated { kind, endpoints } => self.learn_list(*kind, endpoints),
             Event::Arrived(arrival) => self.learn_arrival(arrival),
-            Event::Left { request } => {
+            Event::ClientGone { request } => {
                 if let Some(held) = self.requests.get_mut(request) {
                     held.over = true;
                     self.queue.awake.insert(*request);
@@ -314,7 +314,7 @@
             Event::Ended(ended) => self.learn_end(ended),
             Event::Delivered { request, attempt } => self.learn_delivery(*request, *attempt),
             Event::Timer { timer } if timer.0 == self.timers => self.armed = None,
-            Event::Probed {
+            Event::HealthChecked {
                 engine,
                 outcome,
                 load,
@@ -327,20 +327,25 @@
                 self.engines.answered_at[slot] = self.now;
                 self.engines.note_load(slot, load, self.now);
             }
-            Event::Timer { .. } | Event::Place { .. } | Event::Heard { .. } => {}
+            Event::Timer { .. }
+            | Event::ReservationChanged { .. }
+            | Event::GossipReceived { .. } => {}
         }
     }
 
-    fn learn_list(&mut self, kind: ListKind, entries: &[Entry]) {
-        if matches!(kind, ListKind::Snapshot | ListKind::Cached) {
-            let here: BTreeSet<&EngineId> = entries.iter().map(|entry| &entry.engine).collect();
+    fn learn_list(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
+        if matches!(
+            kind,
+            EndpointUpdateKind::Snapshot | EndpointUpdateKind::Cached
+        ) {
+            let here: BTreeSet<&EngineId> = endpoints.iter().map(|entry| &entry.engine).collect();
             for listed in &mut self.engines.listed {
                 if !here.contains(&listed.engine) {
-                    listed.condition = Condition::Gone;
+                    listed.status = EndpointStatus::Gone;
                 }
             }
         }
-        for entry in entries {
+        for entry in endpoints {
             let Some(kind) = self.settings.kinds.get(entry.kind.0 as usize) else {
                 continue;
             };
@@ -535,7 +540,7 @@
         // A state whose prefill engine is gone is read again, and let go in case the list is wrong.
         request.want_release = request
             .state
-            .is_some_and(|s| self.engines.listed[s].condition == Condition::Gone);
+            .is_some_and(|s| self.engines.listed[s].status == EndpointStatus::Gone);
         let look_again = (RETRY_SHARE * self.settings.kv_state_timeout).max(self.settings.tick);
         let lies = self.now + look_again - request.idle_since
             > HOLD_SHARE * self.settings.kv_state_timeout;
@@ -816,7 +821,7 @@
         self.engines.judge(slot, true);
         // Guards against what ends at engines that are being replaced: held against the few warm ones that are left, or
         // none, it would pass for what each of those bears.
-        if !self.is_cold(slot) && self.engines.listed[slot].condition == Condition::Ready {
+        if !self.is_cold(slot) && self.engines.listed[slot].status == EndpointStatus::Ready {
             let warm = self
                 .engines
                 .ready(reading)
@@ -968,7 +973,7 @@
             return;
         }
         self.timers += 1;
-        actions.push(Action::Arm {
+        actions.push(Action::SetTimer {
             delay: (wake - self.now).max(0.0),
             timer: TimerId(self.timers),
         });
@@ -1047,7 +1052,7 @@
 }
 
 impl Engines {
-    fn slot(&mut self, entry: &Entry, kind: &KindSettings) -> Slot {
+    fn slot(&mut self, entry: &Endpoint, kind: &KindSettings) -> Slot {
         if let Some(&slot) = self.index.get(&entry.engine) {
             return slot;
         }
@@ -1146,7 +1151,7 @@
 
     fn ready(&self, reading: bool) -> impl Iterator<Item = Slot> + '_ {
         let ready = move |s: &Slot| {
-            self.serves(*s, reading) && self.listed[*s].condition == Condition::Ready
+            self.serves(*s, reading) && self.listed[*s].status == EndpointStatus::Ready
         };
         (0..self.listed.len()).filter(ready)
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -143,7 +143,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Condition {
+pub enum EndpointStatus {
     Ready,
     Draining,
     Gone,
@@ -151,19 +151,19 @@
 
 /// One line of the list of engines.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     pub engine: EngineId,
     pub zone: ZoneId,
     pub kind: KindId,
     pub cell: CellId,
-    pub condition: Condition,
+    pub status: EndpointStatus,
     pub weight: f64,
     /// When it last started; none means long ago.
     pub started: Option<Ms>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointUpdateKind {
     Delta,
     Snapshot,
     Cached,
@@ -203,13 +203,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    Listed {
-        kind: ListKind,
-        entries: Vec<Entry>,
+    EndpointsUpdated {
+        kind: EndpointUpdateKind,
+        endpoints: Vec<Endpoint>,
     },
     Arrived(Arrival),
     /// The client left; nothing more is owed.
-    Left {
+    ClientGone {
         request: RequestId,
     },
     FirstToken {
@@ -224,7 +224,7 @@
         request: RequestId,
         attempt: AttemptId,
     },
-    Place {
+    ReservationChanged {
         request: RequestId,
         attempt: AttemptId,
         engine: EngineId,
@@ -233,13 +233,13 @@
     Timer {
         timer: TimerId,
     },
-    Probed {
+    HealthChecked {
         engine: EngineId,
         outcome: Outcome,
         latency: Ms,
         load: Load,
     },
-    Heard {
+    GossipReceived {
         from: DispatcherId,
         bytes: Vec<u8>,
     },
@@ -291,30 +291,30 @@
     ReleaseInDoubt {
         request: RequestId,
     },
-    HoldAhead {
+    Reserve {
         request: RequestId,
         engine: EngineId,
     },
-    Move {
+    Migrate {
         request: RequestId,
     },
-    Arm {
+    SetTimer {
         delay: Ms,
         timer: TimerId,
     },
-    Probe {
+    HealthCheck {
         engine: EngineId,
     },
     CloseIdle {
         engine: EngineId,
     },
     /// To one dispatcher, or to all others.
-    Tell {
+    SendGossip {
         to: Option<DispatcherId>,
         bytes: Vec<u8>,
     },
-    FetchList,
-    FollowList {
+    FetchEndpoints,
+    WatchEndpoints {
         on: bool,
     },
     Log {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -67,29 +67,35 @@
     }
 }
 
-fn entry(name: String, kind: u32, at: u32, condition: Condition, started: Option<Ms>) -> Entry {
+fn entry(
+    name: String,
+    kind: u32,
+    at: u32,
+    status: EndpointStatus,
+    started: Option<Ms>,
+) -> Endpoint {
     let (zone, cell) = (ZoneId(at % 3), CellId(at % 3));
-    Entry {
+    Endpoint {
         engine: EngineId(name.into()),
         zone,
         kind: KindId(kind),
         cell,
-        condition,
+        status,
         weight: 1.0,
         started,
     }
 }
 
 /// The prefill engines, so many of them replaced, and the decode engines.
-fn list(replaced: u32) -> Vec<Entry> {
-    let ready = Condition::Ready;
+fn list(replaced: u32) -> Vec<Endpoint> {
+    let ready = EndpointStatus::Ready;
     let old = (0..PREFILL_ENGINES).map(|at| {
         let gone = at < replaced;
         entry(
             format!("r{at}"),
             0,
             at,
-            if gone { Condition::Gone } else { ready },
+            if gone { EndpointStatus::Gone } else { ready },
             None,
         )
     });
@@ -140,14 +146,14 @@
         self.nexts.insert(self.made, (who, self.lives[who], next));
     }
 
-    fn start(&mut self, who: usize, entries: Vec<Entry>) -> Control {
+    fn start(&mut self, who: usize, endpoints: Vec<Endpoint>) -> Control {
         let seed = self.rng.generate();
         let mut control = Control::new(settings(who as u32, self.count), seed);
         control.step(
             0.0,
-            &[Event::Listed {
-                kind: ListKind::Snapshot,
-                entries,
+            &[Event::EndpointsUpdated {
+                kind: EndpointUpdateKind::Snapshot,
+                endpoints,
             }],
             &mut Vec::new(),
         );
@@ -212,8 +218,8 @@
                 };
                 self.at(now + took, who, Next::Hears(Event::Ended(ended)));
             }
-            Action::Probe { engine } => {
-                let probed = Event::Probed {
+            Action::HealthCheck { engine } => {
+                let probed = Event::HealthChecked {
                     engine,
                     outcome: Outcome::Succeeded,
                     latency: 1.0,
@@ -221,7 +227,7 @@
                 };
                 self.at(now + 1.0, who, Next::Hears(probed));
             }
-            Action::Arm { delay, timer } => {
+            Action::SetTimer { delay, timer } => {
                 self.at(now + delay, who, Next::Hears(Event::Timer { timer }))
             }
             _ => {}
@@ -278,9 +284,9 @@
         let weight: f64 = day.rng.generate();
         weights.push(-weight.max(1e-9).ln() + 0.2);
         let late: f64 = day.rng.generate();
-        let told = Event::Listed {
-            kind: ListKind::Snapshot,
-            entries: list(replaced),
+        let told = Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::Snapshot,
+            endpoints: list(replaced),
         };
         day.at(REPLACED + 100.0 + 400.0 * late, who, Next::Hears(told));
         if who % 3 == 1 {
@@ -320,7 +326,7 @@
                 day.hears(now, who, arrival);
             }
             Next::Hears(event)
-                if life == day.lives[who] || matches!(event, Event::Listed { .. }) =>
+                if life == day.lives[who] || matches!(event, Event::EndpointsUpdated { .. }) =>
             {
                 day.hears(now, who, event);
             }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -57,19 +57,19 @@
     EngineId(name.into())
 }
 
-fn entry(name: &str, kind: u32, at: u32) -> Entry {
-    Entry {
+fn entry(name: &str, kind: u32, at: u32) -> Endpoint {
+    Endpoint {
         engine: engine(name),
         zone: ZoneId(at % 3),
         kind: KindId(kind),
         cell: CellId(at % 9),
-        condition: Condition::Ready,
+        status: EndpointStatus::Ready,
         weight: 1.0,
         started: None,
     }
 }
 
-fn engines() -> Vec<Entry> {
+fn engines() -> Vec<Endpoint> {
     let prefill_engines = (0..PREFILL_ENGINES).map(|at| entry(&format!("r{at}"), 0, at));
     prefill_engines
         .chain((0..20).map(|at| entry(&format!("w{at}"), 1, at)))
@@ -79,9 +79,9 @@
 /// A dispatcher that knows the list.
 fn dispatcher(me: u32) -> Control {
     let mut control = Control::new(settings(me), u64::from(me) * 7919);
-    let listed = Event::Listed {
-        kind: ListKind::Snapshot,
-        entries: engines(),
+    let listed = Event::EndpointsUpdated {
+        kind: EndpointUpdateKind::Snapshot,
+        endpoints: engines(),
     };
     control.step(0.0, &[listed], &mut Vec::new());
     control
@@ -102,7 +102,7 @@
 
 fn probes(actions: &[Action]) -> Vec<EngineId> {
     let probe = |a: &Action| match a {
-        Action::Probe { engine } => Some(engine.clone()),
+        Action::HealthCheck { engine } => Some(engine.clone()),
         _ => None,
     };
     actions.iter().filter_map(probe).collect()
@@ -135,7 +135,7 @@
             slots_used: queue.map(|_| 0.5),
             ..Load::default()
         };
-        answers.push(Event::Probed {
+        answers.push(Event::HealthChecked {
             engine,
             outcome,
             latency: 5.0,
@@ -182,7 +182,10 @@
     let request = RequestId(1);
     control.step(
         210.0,
-        &[Event::Left { request }, read_done(request, engine, true)],
+        &[
+            Event::ClientGone { request },
+            read_done(request, engine, true),
+        ],
         &mut Vec::new(),
     );
     control
@@ -228,13 +231,13 @@
 fn begun_cold(warm: &[&str]) -> usize {
     let taken = |me: u32| {
         let mut control = Control::new(settings(me), u64::from(me) * 7919);
-        let cold = Entry {
+        let cold = Endpoint {
             started: Some(1000.0),
             ..entry("cold", 1, 0)
         };
         let near = warm.iter().map(|name| entry(name, 1, 0));
         let far = ["f1", "f2", "f3"].map(|name| entry(name, 1, 1));
-        let entries = [cold, entry("r", 0, 0)]
+        let endpoints = [cold, entry("r", 0, 0)]
             .into_iter()
             .chain(near)
             .chain(far)
@@ -242,9 +245,9 @@
         let mut actions = Vec::new();
         control.step(
             2000.0,
-            &[Event::Listed {
-                kind: ListKind::Snapshot,
-                entries,
+            &[Event::EndpointsUpdated {
+                kind: EndpointUpdateKind::Snapshot,
+                endpoints,
             }],
             &mut actions,
         );
@@ -281,11 +284,11 @@
 #[test]
 fn held_requests_are_not_planned_at_every_step() {
     let mut control = Control::new(settings(0), 7);
-    let entries = vec![entry("r", 0, 0), entry("w", 1, 0)];
+    let endpoints = vec![entry("r", 0, 0), entry("w", 1, 0)];
     let requests = (1..=300).map(|request| arrives(request, u64::from(request)));
-    let first = [Event::Listed {
-        kind: ListKind::Snapshot,
-        entries,
+    let first = [Event::EndpointsUpdated {
+        kind: EndpointUpdateKind::Snapshot,
+        endpoints,
     }]
     .into_iter()
     .chain(requests)
@@ -295,7 +298,7 @@
     let before = control.planned();
     for at in 51..350 {
         let load = Load::default();
-        let heard = Event::Probed {
+        let heard = Event::HealthChecked {
             engine: engine("w"),
             outcome: Outcome::Succeeded,
             latency: 5.0,
@@ -314,15 +317,15 @@
     let home = read_at(&mut dispatcher(0), 1.0, 0, idle);
     let taken = |me: u32| {
         let mut control = Control::new(settings(me), u64::from(me) * 7919);
-        let mut entries = engines();
-        for entry in entries.iter_mut().filter(|entry| entry.engine == home) {
+        let mut endpoints = engines();
+        for entry in endpoints.iter_mut().filter(|entry| entry.engine == home) {
             entry.started = Some(1000.0);
         }
         control.step(
             2000.0,
-            &[Event::Listed {
-                kind: ListKind::Snapshot,
-                entries,
+            &[Event::EndpointsUpdated {
+                kind: EndpointUpdateKind::Snapshot,
+                endpoints,
             }],
             &mut Vec::new(),
         );
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -110,7 +110,7 @@
 
 struct Engine {
     reads: bool,
-    entry: Entry,
+    entry: Endpoint,
     does: Does,
     /// A prefill engine is busy until then; how many wait there.
     busy_until: Ms,
@@ -234,10 +234,10 @@
     }
 
     fn listed(&self) -> Event {
-        let entries = self.engines.iter().map(|e| e.entry.clone()).collect();
-        Event::Listed {
-            kind: ListKind::Snapshot,
-            entries,
+        let endpoints = self.engines.iter().map(|e| e.entry.clone()).collect();
+        Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::Snapshot,
+            endpoints,
         }
     }
 
@@ -323,10 +323,10 @@
                 Trouble::None => {}
                 Trouble::Sick => engine.does = Does::Fails,
                 Trouble::Full => engine.does = Does::TurnsAway,
-                Trouble::Draining => engine.entry.condition = Condition::Draining,
-                Trouble::Gone => engine.entry.condition = Condition::Gone,
+                Trouble::Draining => engine.entry.status = EndpointStatus::Draining,
+                Trouble::Gone => engine.entry.status = EndpointStatus::Gone,
                 Trouble::Cold => {
-                    engine.entry.condition = Condition::Gone;
+                    engine.entry.status = EndpointStatus::Gone;
                     let name = format!("new-{}", engine.entry.engine.0);
                     let new = self::engine(engine.reads, name, at as u32, Some(now));
                     self.index
@@ -398,8 +398,8 @@
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     self.ends(request, Answer::Refused)
                 }
-                Action::Probe { engine } => self.probe(now, dispatcher, engine),
-                Action::Arm { delay, timer } => {
+                Action::HealthCheck { engine } => self.probe(now, dispatcher, engine),
+                Action::SetTimer { delay, timer } => {
                     self.at(
                         now + delay,
                         Next::Hears {
@@ -423,7 +423,7 @@
 
     fn probe(&mut self, now: Ms, dispatcher: usize, engine: EngineId) {
         let load = self.engines[self.index[&engine]].load();
-        let event = Event::Probed {
+        let event = Event::HealthChecked {
             engine,
             outcome: Outcome::Succeeded,
             latency: 2.0,
@@ -513,12 +513,12 @@
 }
 
 fn engine(reads: bool, name: String, at: u32, started: Option<Ms>) -> Engine {
-    let entry = Entry {
+    let entry = Endpoint {
         engine: EngineId(name.into()),
         zone: ZoneId(0),
         kind: KindId(u32::from(!reads)),
         cell: CellId(at % 2),
-        condition: Condition::Ready,
+        status: EndpointStatus::Ready,
         weight: 1.0,
         started,
     };
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -75,16 +75,16 @@
 
 const ENGINES: u32 = 7;
 
-fn entry(i: u32, condition: Condition, started: Option<Ms>) -> Entry {
+fn entry(i: u32, status: EndpointStatus, started: Option<Ms>) -> Endpoint {
     // Three prefill engines, three decode engines and one that does both, in two zones of two cells.
     let kind = KindId(if i == 6 { 2 } else { i % 2 });
     let (zone, cell) = (ZoneId(i / 2 % 2), CellId(i / 2 % 4));
-    Entry {
+    Endpoint {
         engine: engine(i),
         zone,
         kind,
         cell,
-        condition,
+        status,
         weight: 1.0,
         started,
     }
@@ -142,21 +142,24 @@
                     ..Arrival::default()
                 }));
             }
-            6 => events.push(Event::Left {
+            6 => events.push(Event::ClientGone {
                 request: RequestId(pick(self.requests as usize) as u32),
             }),
             7 => {
-                let condition = [Condition::Ready, Condition::Draining, Condition::Gone]
-                    [usize::from(whom >> 4) % 3];
+                let status = [
+                    EndpointStatus::Ready,
+                    EndpointStatus::Draining,
+                    EndpointStatus::Gone,
+                ][usize::from(whom >> 4) % 3];
                 let started = (whom >> 7) % 4 == 0;
                 let line = entry(
                     u32::from(whom) % ENGINES,
-                    condition,
+                    status,
                     started.then_some(self.now),
                 );
-                events.push(Event::Listed {
-                    kind: ListKind::Delta,
-                    entries: vec![line],
+                events.push(Event::EndpointsUpdated {
+                    kind: EndpointUpdateKind::Delta,
+                    endpoints: vec![line],
                 });
             }
             8 => {
@@ -167,7 +170,7 @@
                         waiting_kilotokens: Some(f64::from(whom % 37)),
                         ..Load::default()
                     };
-                    events.push(Event::Probed {
+                    events.push(Event::HealthChecked {
                         engine,
                         outcome: Outcome::Succeeded,
                         latency: 1.0,
@@ -252,8 +255,8 @@
                     };
                     self.out.push(out);
                 }
-                Action::Arm { delay, timer } => self.timers.push((self.now + delay, *timer)),
-                Action::Probe { engine } => self.probes.push(engine.clone()),
+                Action::SetTimer { delay, timer } => self.timers.push((self.now + delay, *timer)),
+                Action::HealthCheck { engine } => self.probes.push(engine.clone()),
                 _ => {}
             }
         }
@@ -263,12 +266,12 @@
 fn play(draws: &[Draw], seed: u64) -> Result<usize, TestCaseError> {
     let [mut lean, mut plain] = [(); 2].map(|()| Control::new(settings(), seed));
     let mut world = World::default();
-    let entries = (0..ENGINES)
-        .map(|i| entry(i, Condition::Ready, None))
+    let endpoints = (0..ENGINES)
+        .map(|i| entry(i, EndpointStatus::Ready, None))
         .collect();
-    let mut events = vec![Event::Listed {
-        kind: ListKind::Cached,
-        entries,
+    let mut events = vec![Event::EndpointsUpdated {
+        kind: EndpointUpdateKind::Cached,
+        endpoints,
     }];
     let mut acted = 0;
     for (at, draw) in draws.iter().enumerate() {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -101,11 +101,11 @@
                         until.unwrap_or(0.0)
                     ));
                 }
-                Action::Arm { delay, timer } => self.timers.push((now + delay, timer)),
+                Action::SetTimer { delay, timer } => self.timers.push((now + delay, timer)),
                 Action::Cancel { request, .. } => self.seen.push(format!("cancel {}", request.0)),
                 Action::Reject { request, .. } => self.seen.push(format!("bounce {}", request.0)),
                 Action::Fail { request } => self.seen.push(format!("write-off {}", request.0)),
-                Action::Probe { engine } => self.seen.push(format!("probe {}", engine.0)),
+                Action::HealthCheck { engine } => self.seen.push(format!("probe {}", engine.0)),
                 Action::Release { request } => self.seen.push(format!("release {}", request.0)),
                 other => self.seen.push(format!("{other:?}").to_lowercase()),
             }
@@ -145,19 +145,19 @@
         .unwrap_or_else(|_| panic!("a number, not {word}"))
 }
 
-fn entry(text: &str) -> Entry {
+fn entry(text: &str) -> Endpoint {
     let parts: Vec<&str> = text.split(':').collect();
-    let condition = match parts.get(4).copied() {
-        None | Some("ready") => Condition::Ready,
-        Some("draining") => Condition::Draining,
-        _ => Condition::Gone,
+    let status = match parts.get(4).copied() {
+        None | Some("ready") => EndpointStatus::Ready,
+        Some("draining") => EndpointStatus::Draining,
+        _ => EndpointStatus::Gone,
     };
-    Entry {
+    Endpoint {
         engine: EngineId(parts[0].into()),
         zone: ZoneId(number(parts[2]) as u32),
         kind: KindId(["r", "w", "b"].iter().position(|k| *k == parts[1]).unwrap() as u32),
         cell: CellId(number(parts[3]) as u32),
-        condition,
+        status,
         weight: 1.0,
         started: parts.get(5).map(|t| number(t)),
     }
@@ -289,12 +289,12 @@
             }
             "list" => {
                 let kind = match rest[0] {
-                    "changes" => ListKind::Delta,
-                    "remembered" => ListKind::Cached,
-                    _ => ListKind::Snapshot,
+                    "changes" => EndpointUpdateKind::Delta,
+                    "remembered" => EndpointUpdateKind::Cached,
+                    _ => EndpointUpdateKind::Snapshot,
                 };
-                let entries = rest[1..].iter().map(|e| entry(e)).collect();
-                play.events.push(Event::Listed { kind, entries });
+                let endpoints = rest[1..].iter().map(|e| entry(e)).collect();
+                play.events.push(Event::EndpointsUpdated { kind, endpoints });
             }
             "at" => {
                 if play.checked {
@@ -311,7 +311,7 @@
             }
             "probed" => {
                 let [slots_used, queue, memory_held] = [1, 2, 3].map(|at| Some(number(rest[at])));
-                play.events.push(Event::Probed {
+                play.events.push(Event::HealthChecked {
                     engine: EngineId(rest[0].into()),
                     outcome: Outcome::Succeeded,
                     latency: 5.0,
@@ -323,7 +323,7 @@
                     },
                 });
             }
-            "left" => play.events.push(Event::Left { request: id() }),
+            "left" => play.events.push(Event::ClientGone { request: id() }),
             "first" => {
                 let attempt = newest(&play);
                 play.events.push(Event::FirstToken {
