--- a/crates/dispatcher/src/ledger/releases.rs
+++ b/crates/dispatcher/src/ledger/releases.rs
@@ -415,7 +415,7 @@
         let may_ask = self.fleet.status(engine) != EndpointStatus::Gone
             && !self.links.is_asked_in_vain(engine);
         let was_cut =
-            state.release.confirmed == 0 && state.unknowing().any(|engine| engine == engine);
+            state.release.confirmed == 0 && state.unknowing().any(|other| other == engine);
         let fits =
             may_ask && (was_cut || self.was_heard_lately(engine)) && !unconfirmed.contains(engine);
         fits.then(|| engine.clone())
@@ -431,8 +431,7 @@
     /// or the one that was heard last. Once all were asked it begins anew. Guards against a part of the fleet that falls
     /// silent at once: its connections at rest stay up, while those of the engines that work are busy.
     fn next_engine(&self, unconfirmed: &mut Vec<EngineId>, taken: &[EngineId]) -> Option<EngineId> {
-        let ready =
-            |(_, row): &(&EngineId, &fleet::EngineRow)| row.status == EndpointStatus::Ready;
+        let ready = |(_, row): &(&EngineId, &fleet::EngineRow)| row.status == EndpointStatus::Ready;
         let engines: Vec<&EngineId> = self
             .fleet
             .engines
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -294,7 +294,8 @@
                     _ => EndpointUpdateKind::Snapshot,
                 };
                 let endpoints = rest[1..].iter().map(|e| entry(e)).collect();
-                play.events.push(Event::EndpointsUpdated { kind, endpoints });
+                play.events
+                    .push(Event::EndpointsUpdated { kind, endpoints });
             }
             "at" => {
                 if play.checked {
