--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -2,9 +2,9 @@
 //! written to disk, and nothing else listens.
 
 use crate::serve::block_on;
-use cindercleat::bounds::{Allowed, Given, OWN_DESCRIPTORS};
+use cindercleat::resource_limits::{ProcessLimits, ResourceLimits, OWN_DESCRIPTORS};
 use cindercleat_conf::Conf;
-use cindercleat_dispatcher::settings::Single;
+use cindercleat_dispatcher::settings::Http1Limits;
 use cindercleat_dispatcher::shell::{Places, Shell};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_http1::{Bounds, Http1};
@@ -79,7 +79,7 @@
         return Err(wrong("settings: each profile is to have a name".to_owned()));
     }
     let seed = u64::from_str_radix(&said.seed, 16).map_err(|e| wrong(format!("seed: {e}")))?;
-    let given = Given {
+    let given = ProcessLimits {
         memory: said.limits.memory_mb.max(1.0) * f64::from(1 << 20),
         descriptors: said.limits.sockets,
         connect_timeout: conf.settings.connect_timeout,
@@ -96,7 +96,7 @@
         clients_resume: conf.clients_resume,
     };
     let too_few = || wrong(format!("limits.sockets: over {OWN_DESCRIPTORS} are wanted"));
-    let allowed = Allowed::of(&given).ok_or_else(too_few)?;
+    let allowed = ResourceLimits::of(&given).ok_or_else(too_few)?;
     let bounds = Bounds {
         most_body: allowed.most_body,
         most_chunk: allowed.most_chunk,
@@ -118,7 +118,7 @@
     })
 }
 
-fn program(name: String, seed: u64, conf: Conf, allowed: &Allowed) -> ProgramSettings {
+fn program(name: String, seed: u64, conf: Conf, allowed: &ResourceLimits) -> ProgramSettings {
     let never = f64::INFINITY;
     let limits = Limits {
         max_open_requests: allowed.max_open_requests,
@@ -144,7 +144,7 @@
         most_frame: allowed.most_body,
         most_clients: allowed.most_clients,
         greet_within: conf.settings.connect_timeout,
-        single: Some(Single {
+        single: Some(Http1Limits {
             clients: allowed.clients,
             most_links: allowed.most_links,
         }),
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::conf::{Line, Problem, Section, Time};
 use crate::fleet_settings::{self, Fleet};
-use cindercleat::feed::FeedSettings;
+use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::*;
 use cindercleat_dispatcher::shell::Places;
 use cindercleat_dispatcher::{Limits, ProgramSettings, Service};
@@ -202,7 +202,7 @@
         stop_notice: 0.0,
         stop_moves: None,
         single: None,
-        feed: FeedSettings::unhurried(greet_within),
+        feed: DiscoverySettings::unhurried(greet_within),
     };
     if own.window == 0 || own.streams_per_link == 0 || own.links_per_engine == 0 {
         return Err(limits
--- a/crates/dispatcher/src/ledger/clients.rs
+++ b/crates/dispatcher/src/ledger/clients.rs
@@ -1,16 +1,18 @@
-//! Clients' connections: which there are, and what is decided about each ([`Caller`], [`Single`]).
+//! Clients' connections: which there are, and what is decided about each ([`MultiplexedConnection`], [`Http1Connection`]).
 
 use super::timers::{Due, Timers};
 use super::*;
 use crate::settings::Limits;
-use cindercleat::callers::{Caller, CallerSettings, Do, Why};
-use cindercleat::single::{self, Single};
+use cindercleat::client_connection::http1::{self, Http1Connection};
+use cindercleat::client_connection::multiplexed::{
+    ClientCommand, CloseReason, MultiplexedConnection, MultiplexedSettings,
+};
 
 #[derive(Debug)]
 struct Row {
-    caller: Caller,
+    caller: MultiplexedConnection,
     /// Where a connection carries one request at a time.
-    single: Option<Single>,
+    single: Option<Http1Connection>,
     armed: Ms,
 }
 
@@ -32,7 +34,7 @@
     fn arm(
         &mut self,
         conn: ConnId,
-        settings: &CallerSettings,
+        settings: &MultiplexedSettings,
         limits: &Limits,
         timers: &mut Timers,
     ) {
@@ -57,8 +59,12 @@
 impl Ledger {
     pub(super) fn take_client_up(&mut self, conn: ConnId, out: &mut Vec<Output>) {
         let settings = self.settings.callers();
-        let caller = Caller::new(&settings, self.now);
-        let single = self.settings.limits.single.map(|_| Single::new(self.now));
+        let caller = MultiplexedConnection::new(&settings, self.now);
+        let single = self
+            .settings
+            .limits
+            .single
+            .map(|_| Http1Connection::new(self.now));
         self.callers.all.insert(
             conn,
             Row {
@@ -87,7 +93,7 @@
 
     /// Part of a request is there.
     pub(super) fn take_partly(&mut self, conn: ConnId) {
-        self.change_single(conn, Single::partly);
+        self.change_single(conn, Http1Connection::partly);
     }
 
     /// A request is there; gives how long ago its first part came.
@@ -102,10 +108,10 @@
 
     /// The one answer to a request is out.
     pub(super) fn client_answered(&mut self, conn: ConnId) {
-        self.change_single(conn, Single::answered);
+        self.change_single(conn, Http1Connection::answered);
     }
 
-    fn change_single(&mut self, conn: ConnId, change: impl FnOnce(&mut Single, Ms)) {
+    fn change_single(&mut self, conn: ConnId, change: impl FnOnce(&mut Http1Connection, Ms)) {
         if let Some(single) = self
             .callers
             .all
@@ -124,7 +130,7 @@
             .all
             .iter()
             .filter_map(|(conn, row)| Some((*conn, row.single?)));
-        let Some(conn) = single::shed(all) else {
+        let Some(conn) = http1::shed(all) else {
             return;
         };
         let row = self
@@ -132,16 +138,16 @@
             .all
             .get_mut(&conn)
             .and_then(|row| row.single.as_mut());
-        if let Some(why) = row.map(Single::give_up) {
+        if let Some(why) = row.map(Http1Connection::give_up) {
             self.end_single(conn, why, out);
         }
     }
 
-    fn end_single(&mut self, conn: ConnId, why: single::Why, out: &mut Vec<Output>) {
+    fn end_single(&mut self, conn: ConnId, why: http1::CloseReason, out: &mut Vec<Output>) {
         match why {
             // What it asks as this is said is still answered.
-            single::Why::Silent => out.push(Output::LeaveClient { conn }),
-            single::Why::Slow => {
+            http1::CloseReason::Silent => out.push(Output::LeaveClient { conn }),
+            http1::CloseReason::Slow => {
                 let reason = "its request does not come".to_owned();
                 out.push(Output::CloseClient { conn, reason });
             }
@@ -166,16 +172,16 @@
         let single = row.single.as_mut().zip(self.settings.limits.single);
         let why = single.and_then(|(single, limits)| single.wanted(&limits.clients, self.now));
         match row.caller.wanted(&settings, self.now) {
-            Some(Do::Ping) => {
+            Some(ClientCommand::Ping) => {
                 out.push(Output::ToClient {
                     conn,
                     frame: frame(0, Body::Ping(v1::Ping {})),
                 });
             }
-            Some(Do::Close(why)) => {
+            Some(ClientCommand::Close(why)) => {
                 let reason = match why {
-                    Why::Dead => "it does not answer",
-                    Why::Flood => "it calls off more than it may",
+                    CloseReason::Dead => "it does not answer",
+                    CloseReason::Flood => "it calls off more than it may",
                 };
                 self.take_client_closed(conn, out);
                 return out.push(Output::CloseClient {
--- a/crates/dispatcher/src/ledger/engines.rs
+++ b/crates/dispatcher/src/ledger/engines.rs
@@ -5,7 +5,7 @@
 use super::links::Use;
 use super::*;
 use crate::ledger::requests::Attempt;
-use cindercleat::channels::{Do, Refusal, Why};
+use cindercleat::connection_pool::{CloseReason, PlacementError, PoolCommand};
 
 /// The whole of the credit is given back in so many parts.
 const CREDIT_PARTS: u32 = 2;
@@ -70,8 +70,8 @@
             // The next choice is to pass the engine by for a moment, or to judge it: it could not be reached.
             Err(refusal) => {
                 let outcome = match refusal {
-                    Refusal::AllTaken => Outcome::Overloaded,
-                    Refusal::NotYet => Outcome::Unreachable,
+                    PlacementError::AllTaken => Outcome::Overloaded,
+                    PlacementError::NotYet => Outcome::Unreachable,
                 };
                 return self
                     .events
@@ -539,20 +539,20 @@
         let address = row.map(|r| r.line.address.clone()).unwrap_or_default();
         for act in self.links.wanted(engine, self.now, ready) {
             match act {
-                Do::Connect => {
+                PoolCommand::Connect => {
                     let to = (&mut self.timers, &mut *out);
                     self.links.dial(engine, &address, self.now, to);
                 }
-                Do::Ping(id) => {
+                PoolCommand::Ping(id) => {
                     self.links
                         .send(LinkId(id.0), StreamNo(0), Body::Ping(v1::Ping {}), out);
                 }
-                Do::Close(id, why) => {
+                PoolCommand::Close(id, why) => {
                     let reason = match why {
-                        Why::ConnectTimeout => "no connection in time",
-                        Why::Idle => "idle",
-                        Why::Dead => "it does not answer",
-                        Why::Left => "it goes away",
+                        CloseReason::ConnectTimeout => "no connection in time",
+                        CloseReason::Idle => "idle",
+                        CloseReason::Dead => "it does not answer",
+                        CloseReason::Left => "it goes away",
                     };
                     self.drop_link(LinkId(id.0), reason, out);
                 }
--- a/crates/dispatcher/src/ledger/links.rs
+++ b/crates/dispatcher/src/ledger/links.rs
@@ -1,12 +1,14 @@
 //! Links: connections to engines, and what is out on each. Which one a stream takes, when one more is
-//! dialled, asked whether it lives or closed, [`Channels`] decides.
+//! dialled, asked whether it lives or closed, [`ConnectionPool`] decides.
 
 use super::engine_releases::EngineRelease;
 use super::kv_states::ReleaseCall;
 use super::timers::{Due, Timers};
 use super::{LinkId, Output, StreamNo};
 use crate::settings::ProgramSettings;
-use cindercleat::channels::{ChannelId, Channels, Do, Placement, Refusal};
+use cindercleat::connection_pool::{
+    ConnectionId, ConnectionPool, Placement, PlacementError, PoolCommand,
+};
 use cindercleat::control::RECEIVED_LATE;
 use cindercleat::interface::{AttemptId, EngineId, Ms, RequestId};
 use cindercleat_protocol::{frame, Body};
@@ -82,7 +84,7 @@
     all: BTreeMap<LinkId, Link>,
     of: BTreeMap<EngineId, Vec<LinkId>>,
     made: u64,
-    decide: BTreeMap<EngineId, Channels>,
+    decide: BTreeMap<EngineId, ConnectionPool>,
     signs: BTreeMap<EngineId, Signs>,
     /// When the timer of an engine's links is due.
     armed: BTreeMap<EngineId, Ms>,
@@ -126,11 +128,11 @@
         now: Ms,
         settings: &ProgramSettings,
         (timers, out): (&mut Timers, &mut Vec<Output>),
-    ) -> Result<(LinkId, StreamNo), Refusal> {
+    ) -> Result<(LinkId, StreamNo), PlacementError> {
         let chosen = self.place(engine, address, now, settings, (timers, out))?;
         let stream = self
             .open_on(chosen, purpose, now, timers)
-            .ok_or(Refusal::AllTaken)?;
+            .ok_or(PlacementError::AllTaken)?;
         if self
             .decide
             .get(engine)
@@ -148,19 +150,19 @@
         now: Ms,
         settings: &ProgramSettings,
         to: (&mut Timers, &mut Vec<Output>),
-    ) -> Result<LinkId, Refusal> {
+    ) -> Result<LinkId, PlacementError> {
         let ids = self.of.get(engine).into_iter().flatten();
         let moved: Vec<LinkId> = ids
             .copied()
             .filter(|id| self.all[id].address != address)
             .collect();
         let seed = self.seed ^ self.decide.len() as u64;
-        let new = || Channels::new(settings.channels(), seed);
+        let new = || ConnectionPool::new(settings.channels(), seed);
         let channels = self.decide.entry(engine.clone()).or_insert_with(new);
         // The engine has another address now: what is out there ends there.
         moved
             .iter()
-            .for_each(|id| channels.going_away(ChannelId(id.0)));
+            .for_each(|id| channels.going_away(ConnectionId(id.0)));
         match channels.place(now) {
             Placement::On(id) => Ok(LinkId(id.0)),
             Placement::Connect => {
@@ -169,7 +171,7 @@
                     .single
                     .map_or(usize::MAX, |single| single.most_links);
                 if self.all.len() >= most && !self.make_room(now, to.1) {
-                    return Err(Refusal::AllTaken);
+                    return Err(PlacementError::AllTaken);
                 }
                 Ok(self.dial(engine, address, now, to))
             }
@@ -198,7 +200,7 @@
 
     /// Sets the timer for what falls due next at an engine's links, unless an earlier one is set: it looks again.
     pub fn arm(&mut self, engine: &EngineId, timers: &mut Timers) {
-        let Some(at) = self.decide.get(engine).and_then(Channels::next_at) else {
+        let Some(at) = self.decide.get(engine).and_then(ConnectionPool::next_at) else {
             return;
         };
         if self.armed.get(engine).is_none_or(|armed| at < *armed) {
@@ -208,7 +210,7 @@
     }
 
     /// What is to be done by now about an engine's links.
-    pub fn wanted(&mut self, engine: &EngineId, now: Ms, ready: bool) -> Vec<Do> {
+    pub fn wanted(&mut self, engine: &EngineId, now: Ms, ready: bool) -> Vec<PoolCommand> {
         self.armed.remove(engine);
         self.decide
             .get_mut(engine)
@@ -224,7 +226,7 @@
         link.up = true;
         let engine = link.engine.clone();
         if let Some(channels) = self.decide.get_mut(&engine) {
-            channels.up(ChannelId(id.0), limit, now);
+            channels.up(ConnectionId(id.0), limit, now);
         }
         self.arm(&engine, timers);
     }
@@ -235,7 +237,7 @@
             return;
         };
         if let Some(channels) = self.decide.get_mut(&engine) {
-            channels.going_away(ChannelId(id.0));
+            channels.going_away(ConnectionId(id.0));
         }
         self.arm(&engine, timers);
     }
@@ -256,7 +258,7 @@
         link.streams.insert(stream, purpose);
         let engine = link.engine.clone();
         if let Some(channels) = self.decide.get_mut(&engine) {
-            channels.opened(ChannelId(id.0), now);
+            channels.opened(ConnectionId(id.0), now);
         }
         self.arm(&engine, timers);
         Some(stream)
@@ -269,7 +271,7 @@
         };
         link.heard = now;
         if let Some(channels) = self.decide.get_mut(&link.engine) {
-            channels.heard(ChannelId(id.0), now);
+            channels.heard(ConnectionId(id.0), now);
         }
     }
 
@@ -374,7 +376,7 @@
             address: address.clone(),
         });
         if let Some(channels) = self.decide.get_mut(&engine) {
-            channels.connecting(ChannelId(id.0), now);
+            channels.connecting(ConnectionId(id.0), now);
         }
         self.of.entry(engine.clone()).or_default().push(id);
         let link = Link {
@@ -406,7 +408,7 @@
         let ids = self.of.get(engine)?;
         let fits = |l: &Link| l.up && (!resting || l.streams.is_empty());
         let takes =
-            |id: &LinkId| channels.takes(ChannelId(id.0)) && self.all.get(id).is_some_and(fits);
+            |id: &LinkId| channels.takes(ConnectionId(id.0)) && self.all.get(id).is_some_and(fits);
         ids.iter().copied().find(takes)
     }
 
@@ -423,7 +425,7 @@
         let ids = self.of.get(engine).into_iter().flatten();
         let coming = ids
             .into_iter()
-            .any(|id| channels.is_some_and(|c| c.takes(ChannelId(id.0))));
+            .any(|id| channels.is_some_and(|c| c.takes(ConnectionId(id.0))));
         coming || self.place(engine, address, now, settings, to).is_ok()
     }
 
@@ -464,7 +466,7 @@
         let purpose = link.streams.remove(&stream)?;
         let engine = link.engine.clone();
         if let Some(channels) = self.decide.get_mut(&engine) {
-            channels.ended(ChannelId(id.0), now);
+            channels.ended(ConnectionId(id.0), now);
         }
         self.arm(&engine, timers);
         Some(purpose)
@@ -491,7 +493,7 @@
     pub fn remove(&mut self, id: LinkId, now: Ms) -> Option<Link> {
         let link = self.all.remove(&id)?;
         if let Some(channels) = self.decide.get_mut(&link.engine) {
-            channels.closed(ChannelId(id.0), now);
+            channels.closed(ConnectionId(id.0), now);
         }
         if let Some(ids) = self.of.get_mut(&link.engine) {
             ids.retain(|other| *other != id);
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -1,10 +1,10 @@
 //! What a dispatcher's program is told at its start, besides what its decisions are told.
 
-use cindercleat::callers::CallerSettings;
-use cindercleat::channels::ChannelSettings;
-use cindercleat::feed::FeedSettings;
+use cindercleat::client_connection::http1::Http1Settings;
+use cindercleat::client_connection::multiplexed::MultiplexedSettings;
+use cindercleat::connection_pool::PoolSettings;
+use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::{DispatcherId, Ms, Settings, ZoneId};
-use cindercleat::single::SingleSettings;
 
 /// A dispatcher's settings.
 #[derive(Clone, Debug, PartialEq)]
@@ -60,22 +60,22 @@
     pub greet_within: Ms,
     /// Where a connection carries one call at a time, and ends with a call that is called off: what is decided
     /// about clients' connections, and how many there may be to all engines.
-    pub single: Option<Single>,
+    pub single: Option<Http1Limits>,
     /// Of the calls to the list feed.
-    pub feed: FeedSettings,
+    pub feed: DiscoverySettings,
 }
 
 /// What holds where a connection carries one call at a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Single {
-    pub clients: SingleSettings,
+pub struct Http1Limits {
+    pub clients: Http1Settings,
     pub most_links: usize,
 }
 
 impl ProgramSettings {
-    pub fn channels(&self) -> ChannelSettings {
+    pub fn channels(&self) -> PoolSettings {
         let limits = &self.limits;
-        ChannelSettings {
+        PoolSettings {
             streams: limits.streams_per_link,
             most: limits.links_per_engine,
             connect_timeout: self.policy.connect_timeout,
@@ -87,9 +87,9 @@
         }
     }
 
-    pub fn callers(&self) -> CallerSettings {
+    pub fn callers(&self) -> MultiplexedSettings {
         let limits = &self.limits;
-        CallerSettings {
+        MultiplexedSettings {
             quiet: limits.client_quiet,
             ping_timeout: limits.ping_timeout,
             cancels: limits.cancels,
--- a/crates/dispatcher/src/shell.rs
+++ b/crates/dispatcher/src/shell.rs
@@ -6,7 +6,7 @@
 
 use crate::ledger::{ConnId, Guarded, Input, Ledger, Level, LinkId, Output, StreamNo};
 use crate::{keep, ProgramSettings};
-use cindercleat::feed::{FeedCalls, FirstCall};
+use cindercleat::discovery_client::{DiscoveryCalls, FirstCall};
 use cindercleat::fleet::bounds::{Tally, Unit};
 use cindercleat::fleet::rollcall::EngineReport;
 use cindercleat::interface::{DispatcherId, EngineId, Ms};
@@ -627,7 +627,7 @@
 
     /// Follows the list feed, one address after another, for as long as the dispatcher serves.
     async fn follow_list(self) {
-        let mut calls = FeedCalls::new(self.inner.settings.limits.feed, self.inner.seed);
+        let mut calls = DiscoveryCalls::new(self.inner.settings.limits.feed, self.inner.seed);
         let mut at = 0;
         let mut said: Option<String> = None;
         loop {
@@ -662,7 +662,7 @@
         }
     }
 
-    async fn read_feed(&self, address: &str, calls: &mut FeedCalls) -> FeedEnd {
+    async fn read_feed(&self, address: &str, calls: &mut DiscoveryCalls) -> FeedEnd {
         let known = self.inner.ledger.borrow().known_version();
         let known_version = match calls.calling(known) {
             FirstCall::WholeList => None,
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -6,7 +6,7 @@
 #![allow(dead_code)]
 
 use super::common::{settings, single_limits};
-use cindercleat::feed::FeedSettings;
+use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::Ms;
 use cindercleat_dispatcher::shell::{Places, Shell};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
@@ -318,7 +318,7 @@
 }
 
 pub fn limits() -> Limits {
-    let feed = FeedSettings {
+    let feed = DiscoverySettings {
         connect: 250.0,
         first_quiet: 1e9,
         quiet: 1e9,
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -3,11 +3,11 @@
 
 pub mod engines;
 
-use cindercleat::feed::FeedSettings;
+use cindercleat::client_connection::http1::Http1Settings;
+use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::*;
-use cindercleat::single::SingleSettings;
 use cindercleat_dispatcher::ledger::{ConnId, Input, Ledger, LinkId, Output};
-use cindercleat_dispatcher::settings::Single;
+use cindercleat_dispatcher::settings::Http1Limits;
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_protocol::{frame, v1, Body, Frame};
 use std::collections::{BTreeMap, BTreeSet};
@@ -99,13 +99,13 @@
         stop_notice: 0.0,
         stop_moves: None,
         single: None,
-        feed: FeedSettings::unhurried(1000.0),
+        feed: DiscoverySettings::unhurried(1000.0),
     }
 }
 
 /// Where a connection carries one call at a time.
 pub fn single_limits() -> Limits {
-    let clients = SingleSettings {
+    let clients = Http1Settings {
         first: 2000.0,
         whole: 2000.0,
         first_whole: 2750.0,
@@ -120,7 +120,7 @@
         client_quiet: f64::INFINITY,
         again_first: 0.0,
         again_most: 0.0,
-        single: Some(Single {
+        single: Some(Http1Limits {
             clients,
             most_links: 50,
         }),
--- a/crates/dispatcher/tests/endings.rs
+++ b/crates/dispatcher/tests/endings.rs
@@ -7,7 +7,7 @@
 #[path = "common/loopback.rs"]
 mod loopback;
 
-use cindercleat_dispatcher::settings::Single;
+use cindercleat_dispatcher::settings::Http1Limits;
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use common::settings;
 use loopback::*;
@@ -648,7 +648,7 @@
 
     #[test]
     fn at_the_engines_is_made_by_a_connection_at_rest_and_never_by_one_in_use() {
-        let single = limits().single.map(|single| Single {
+        let single = limits().single.map(|single| Http1Limits {
             most_links: 2,
             ..single
         });
@@ -817,8 +817,8 @@
 
 mod discovery {
     use super::*;
-    use cindercleat::bounds::{Allowed, Given};
     use cindercleat::interface::Discovery;
+    use cindercleat::resource_limits::{ProcessLimits, ResourceLimits};
     use test_case::test_case;
 
     /// Discovery asked for anew: the next connection's first request is for the whole list.
@@ -887,7 +887,7 @@
 
     /// The settings of calls where lists are asked for, from a service that all dispatchers share.
     fn asked() -> Limits {
-        let given = Given {
+        let given = ProcessLimits {
             memory: 64e6,
             descriptors: 256,
             connect_timeout: 250.0,
@@ -901,7 +901,7 @@
             clients_resume: false,
         };
         Limits {
-            feed: Allowed::of(&given).expect("room for work").feed,
+            feed: ResourceLimits::of(&given).expect("room for work").feed,
             ..limits()
         }
     }
@@ -956,7 +956,7 @@
 
     #[test]
     fn that_falls_silent_is_asked_anew() {
-        let feed = cindercleat::feed::FeedSettings {
+        let feed = cindercleat::discovery_client::DiscoverySettings {
             quiet: 700.0,
             ..limits().feed
         };
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -3,9 +3,9 @@
 
 mod common;
 
-use cindercleat::bounds::{Allowed, Given};
-use cindercleat::feed::FeedSettings;
+use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::Discovery;
+use cindercleat::resource_limits::{ProcessLimits, ResourceLimits};
 use cindercleat_dispatcher::shell::{Places, Shell};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_http1::{Bounds, Http1};
@@ -29,7 +29,7 @@
     stall_ms: 4000,
 };
 
-const FEED: FeedSettings = FeedSettings {
+const FEED: DiscoverySettings = DiscoverySettings {
     connect: 250.0,
     first_quiet: 1000.0,
     quiet: 1000.0,
@@ -513,7 +513,7 @@
 /// unanswered: at whatever phase of the calls it returns, one that it answers comes within the drain grace.
 #[test]
 fn an_agent_that_was_silent_is_heard_within_the_drain_grace_at_every_phase() {
-    let given = Given {
+    let given = ProcessLimits {
         memory: 64e6,
         descriptors: 256,
         connect_timeout: 250.0,
@@ -524,7 +524,7 @@
         longest_deadline: 4_000.0,
         clients_resume: false,
     };
-    let feed = Allowed::of(&given).expect("room for work").feed;
+    let feed = ResourceLimits::of(&given).expect("room for work").feed;
     for phase in 0..25 {
         run_with(Limits { feed, ..limits() }, |net| async move {
             net.feed.set(Feed::Silent);
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cindercleat_dispatcher::ledger::{ConnId, Input, LinkId, Output};
-use cindercleat_dispatcher::settings::Single;
+use cindercleat_dispatcher::settings::Http1Limits;
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_protocol::v1::{Answer, Status};
 use cindercleat_protocol::{frame, v1, Body, Frame};
@@ -263,7 +263,7 @@
 #[test]
 fn links_are_bounded_over_all_engines_and_one_that_rests_makes_room() {
     let limits = single_limits();
-    let single = limits.single.map(|single| Single {
+    let single = limits.single.map(|single| Http1Limits {
         most_links: 2,
         ..single
     });
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -5,7 +5,7 @@
 #[path = "common/loopback.rs"]
 mod loopback;
 
-use cindercleat_dispatcher::settings::Single;
+use cindercleat_dispatcher::settings::Http1Limits;
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use common::settings;
 use loopback::*;
@@ -106,7 +106,7 @@
 #[test]
 fn hundreds_of_streams_on_one_thread_each_get_their_events() {
     const STREAMS: usize = 200;
-    let single = limits().single.map(|single| Single {
+    let single = limits().single.map(|single| Http1Limits {
         most_links: 2 * STREAMS,
         ..single
     });
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -2,7 +2,7 @@
 //! the ticks of other faults' beginnings and ends, and of the bounds that the rules set after them.
 
 use crate::plan::{Day, Fault, Trouble};
-use cindercleat::feed::FeedSettings;
+use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::*;
 use cindercleat_dispatcher::{Limits, Service};
 use cindercleat_standin::client::{Habits, Planned, Traffic};
@@ -140,7 +140,7 @@
         stop_notice: 0.0,
         stop_moves: None,
         single: None,
-        feed: FeedSettings::unhurried(1_000.0),
+        feed: DiscoverySettings::unhurried(1_000.0),
     };
     Service {
         policy,
--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -49,7 +49,7 @@
     disk: Disk,
     /// The wake that counts: others are out of date.
     wake: u64,
-    calls: BTreeMap<CallNo, Caller>,
+    calls: BTreeMap<CallNo, MultiplexedConnection>,
 }
 
 /// The voter's file.
@@ -65,7 +65,7 @@
 
 /// Who waits for an answer.
 #[derive(Clone, Copy)]
-enum Caller {
+enum MultiplexedConnection {
     Node {
         at: usize,
         run: Run,
@@ -91,12 +91,12 @@
     },
     Question {
         to: usize,
-        from: Caller,
+        from: MultiplexedConnection,
         question: Box<Question>,
     },
     Act {
         to: usize,
-        from: Caller,
+        from: MultiplexedConnection,
         act: Box<cindercleat::fleet::acts::Act>,
     },
     Answer {
@@ -116,7 +116,7 @@
     Over(usize),
     Start(usize),
     AskBack {
-        from: Caller,
+        from: MultiplexedConnection,
         turn: cindercleat::fleet::release::TurnNo,
         who: Name,
         run: Run,
@@ -486,7 +486,7 @@
         match output {
             Output::Ask { ask, to, question } => {
                 let run = Run(node as u64 * 1_000_000 + self.nodes[node].starts);
-                let from = Caller::Node { at: node, run, ask };
+                let from = MultiplexedConnection::Node { at: node, run, ask };
                 let weight = |plan: &Plan| {
                     if plan.weigh {
                         question_out(&question).encoded_len()
@@ -527,7 +527,7 @@
                 }
             }
             Output::Answer { call, answer } => match self.nodes[node].calls.remove(&call) {
-                Some(Caller::Node { at, run, ask }) => {
+                Some(MultiplexedConnection::Node { at, run, ask }) => {
                     let bytes = if self.plan.weigh {
                         answer_out(&answer).encoded_len()
                     } else {
@@ -547,12 +547,12 @@
                         );
                     }
                 }
-                Some(Caller::Operator(Some(number))) => {
+                Some(MultiplexedConnection::Operator(Some(number))) => {
                     if let Answer::Reply(reply) = &answer {
                         self.operator_told(number, reply);
                     }
                 }
-                Some(Caller::Operator(None)) => {
+                Some(MultiplexedConnection::Operator(None)) => {
                     let what = match answer {
                         Answer::Reply(Reply::Done(_)) => "order done",
                         _ => "order not done",
@@ -641,7 +641,7 @@
             }
             What::Question { to, from, question } => {
                 let alive = self.nodes[to].member.is_some();
-                if let (false, Caller::Node { at, run, ask }) = (alive, from) {
+                if let (false, MultiplexedConnection::Node { at, run, ask }) = (alive, from) {
                     // Nobody listens there: that is told, if the way back is free.
                     if let Some(way) = self.way(to, at) {
                         self.push(
@@ -703,7 +703,7 @@
             } => {
                 let begun = self.keeper_asked_back(turn, &who, run);
                 let me = self.nodes.len() + self.plan.targets;
-                if let Caller::Node { at, run, ask } = from {
+                if let MultiplexedConnection::Node { at, run, ask } = from {
                     if let Some(way) = self.way(me, at) {
                         let answer = Some(Box::new(Answer::Begun { begun }));
                         self.push(
@@ -747,7 +747,7 @@
         }
     }
 
-    fn act(&mut self, to: usize, from: Caller, act: &cindercleat::fleet::acts::Act) {
+    fn act(&mut self, to: usize, from: MultiplexedConnection, act: &cindercleat::fleet::acts::Act) {
         let now = self.now;
         let target = &mut self.targets[to];
         let read = target.offset + now * target.rate;
@@ -785,7 +785,7 @@
                 _ => "act refused: late",
             });
         }
-        if let Caller::Node { at, run, ask } = from {
+        if let MultiplexedConnection::Node { at, run, ask } = from {
             let me = self.nodes.len() + to;
             if let Some(way) = self.way(me, at) {
                 let answer = Some(Box::new(Answer::Verdict { verdict, ticket }));
@@ -908,7 +908,9 @@
     fn order(&mut self, node: usize, order: Order) {
         self.numbers += 1;
         let call = CallNo(self.numbers);
-        self.nodes[node].calls.insert(call, Caller::Operator(None));
+        self.nodes[node]
+            .calls
+            .insert(call, MultiplexedConnection::Operator(None));
         self.give(
             node,
             Input::Asked {
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -1054,7 +1054,7 @@
         let call = CallNo(self.numbers);
         self.nodes[node]
             .calls
-            .insert(call, Caller::Operator(Some(number)));
+            .insert(call, MultiplexedConnection::Operator(Some(number)));
         self.give(
             node,
             Input::Asked {
--- a/crates/faults/src/duties/small_release.rs
+++ b/crates/faults/src/duties/small_release.rs
@@ -39,7 +39,7 @@
 
 /// One that calls the roll, or did.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Caller {
+struct MultiplexedConnection {
     knows: Care,
     term: u64,
     /// Its lease goes on.
@@ -59,7 +59,7 @@
 pub struct State {
     value: Care,
     term: u64,
-    callers: [Caller; 2],
+    callers: [MultiplexedConnection; 2],
     /// Under way: by whom, of which turn, to whom, and which process of it is meant.
     acts: BTreeSet<(usize, TurnNo, usize, u64)>,
     members: Vec<Member>,
@@ -242,7 +242,7 @@
             process: Process::Serves,
             asked_back: BTreeSet::new(),
         };
-        let caller = |acts| Caller {
+        let caller = |acts| MultiplexedConnection {
             knows: value.clone(),
             term: 1,
             acts,
@@ -287,7 +287,7 @@
                     s.callers[who].acts = false;
                     s.acts.retain(|(by, ..)| *by != who);
                     let (knows, term) = (s.value.clone(), s.term);
-                    s.callers[other] = Caller {
+                    s.callers[other] = MultiplexedConnection {
                         knows,
                         term,
                         acts: true,
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::details::Ending;
 use bytes::Bytes;
-use cindercleat::status::{Code, Told};
+use cindercleat::status::{ClientAnswer, Code};
 use cindercleat_protocol::{v1, Body};
 use prost::Message;
 
@@ -99,9 +99,9 @@
         ("Router/Run", Body::Tokens(m)) => (run(run_reply::Part::Tokens(m)), None),
         ("Router/Run", Body::Final(m)) => {
             let told = match m.answer() {
-                v1::Answer::Succeeded => Told::Succeeded,
-                v1::Answer::Rejected => Told::Rejected { full: m.full },
-                v1::Answer::Failed | v1::Answer::Unspecified => Told::Failed,
+                v1::Answer::Succeeded => ClientAnswer::Succeeded,
+                v1::Answer::Rejected => ClientAnswer::Rejected { full: m.full },
+                v1::Answer::Failed | v1::Answer::Unspecified => ClientAnswer::Failed,
             };
             let end = Some(Ending::told(told, m.retry_after_ms, &m.reason));
             (run(run_reply::Part::Final(m)), end)
@@ -121,9 +121,10 @@
         ("List/Follow", Body::Endpoints(m)) => (Some(encode(&m)), None),
         (_, Body::Hello(m)) => (Some(encode(&m)), ok()),
         // What was taken may have run, so the end of a request without an answer is never one to try again.
-        ("Router/Run", Body::Goodbye(m)) => {
-            (None, Some(Ending::told(Told::Failed, 0.0, &m.reason)))
-        }
+        ("Router/Run", Body::Goodbye(m)) => (
+            None,
+            Some(Ending::told(ClientAnswer::Failed, 0.0, &m.reason)),
+        ),
         (_, Body::Goodbye(m)) => (None, Some(Ending::plain(Code::Unavailable, &m.reason))),
         _ => return None,
     };
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -7,7 +7,7 @@
 use crate::{connection_window, Event, Out, Said, Session, Setup, Shared, Unmet, STREAM_WINDOW};
 use bytes::Bytes;
 use cindercleat::interface::Outcome;
-use cindercleat::status::{of_engine, CallEnd, Code};
+use cindercleat::status::{attempt_outcome, CallEnd, Code};
 use cindercleat_protocol::{frame, v1, Body, VERSION};
 use h2::client::SendRequest;
 use http::{HeaderMap, Request};
@@ -417,7 +417,7 @@
                 ..
             },
         ) => ended(v1::Status::Cancelled),
-        ("Host/Read" | "Host/Write", end) => match of_engine(end) {
+        ("Host/Read" | "Host/Write", end) => match attempt_outcome(end) {
             Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent => {
                 ended(v1::Status::Overloaded)
             }
@@ -436,7 +436,10 @@
             Some(Body::InvalidRequest(v1::InvalidRequest { field, reason }))
         }
         _ => {
-            let never_ran = matches!(of_engine(end), Outcome::Overloaded | Outcome::Unreachable);
+            let never_ran = matches!(
+                attempt_outcome(end),
+                Outcome::Overloaded | Outcome::Unreachable
+            );
             Some(Body::Goodbye(v1::Goodbye { reason, never_ran }))
         }
     }
--- a/crates/grpc/src/details.rs
+++ b/crates/grpc/src/details.rs
@@ -4,7 +4,7 @@
 use base64::engine::general_purpose::{GeneralPurpose, STANDARD_NO_PAD};
 use base64::engine::{DecodePaddingMode, GeneralPurposeConfig};
 use base64::{alphabet, Engine};
-use cindercleat::status::{again, to_client, Again, Code, Told};
+use cindercleat::status::{again, to_client, ClientAnswer, Code, RetryAdvice};
 use http::{HeaderMap, HeaderValue};
 use prost::Message;
 use prost_types::{Any, Duration};
@@ -52,7 +52,7 @@
 pub(crate) struct Ending {
     code: Code,
     why: String,
-    again: Again,
+    again: RetryAdvice,
     details: Vec<Any>,
     /// Our own mark that nothing of it ran.
     never_ran: bool,
@@ -63,7 +63,7 @@
         Ending {
             code,
             why: why.to_owned(),
-            again: Again::Unsaid,
+            again: RetryAdvice::Unsaid,
             details: Vec::new(),
             never_ran: false,
         }
@@ -78,16 +78,16 @@
     }
 
     /// A request's final answer.
-    pub fn told(told: Told, retry_after_ms: f64, why: &str) -> Self {
+    pub fn told(told: ClientAnswer, retry_after_ms: f64, why: &str) -> Self {
         let again = again(told, retry_after_ms);
         let details = match again {
-            Again::After(ms) => vec![any(
+            RetryAdvice::After(ms) => vec![any(
                 RETRY_INFO,
                 &RetryInfo {
                     retry_delay: Some(duration(ms)),
                 },
             )],
-            Again::Unsaid | Again::Never => Vec::new(),
+            RetryAdvice::Unsaid | RetryAdvice::Never => Vec::new(),
         };
         Ending {
             again,
@@ -108,7 +108,10 @@
                 field_violations: vec![violation],
             },
         )];
-        let plain = Ending::refused(to_client(Told::InvalidRequest), &format!("{field}: {why}"));
+        let plain = Ending::refused(
+            to_client(ClientAnswer::InvalidRequest),
+            &format!("{field}: {why}"),
+        );
         Ending { details, ..plain }
     }
 
@@ -119,14 +122,14 @@
             headers.insert("grpc-message", why);
         }
         match self.again {
-            Again::Unsaid => {}
-            Again::After(ms) => {
+            RetryAdvice::Unsaid => {}
+            RetryAdvice::After(ms) => {
                 headers.insert(
                     "grpc-retry-pushback-ms",
                     HeaderValue::from(ms.ceil() as u64),
                 );
             }
-            Again::Never => {
+            RetryAdvice::Never => {
                 headers.insert("grpc-retry-pushback-ms", HeaderValue::from_static("-1"));
             }
         }
@@ -225,7 +228,8 @@
 
     #[test]
     fn a_rejection_says_how_long_to_stay_away_and_a_failure_never_to_come_back() {
-        let rejected = Ending::told(Told::Rejected { full: true }, 1250.5, "no room").headers();
+        let rejected =
+            Ending::told(ClientAnswer::Rejected { full: true }, 1250.5, "no room").headers();
         assert_eq!(rejected["grpc-status"], "8");
         assert_eq!(rejected["grpc-retry-pushback-ms"], "1251");
         let bytes = LENIENT
@@ -241,7 +245,7 @@
                 nanos: 250_500_000
             })
         );
-        let failed = Ending::told(Told::Failed, 500.0, "").headers();
+        let failed = Ending::told(ClientAnswer::Failed, 500.0, "").headers();
         assert_eq!(failed["grpc-retry-pushback-ms"], "-1");
         assert!(failed.get("grpc-status-details-bin").is_none());
         assert!(failed.get("cindercleat-ran").is_none());
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -5,7 +5,7 @@
 use crate::message::{encode, send, Messages, Stop};
 use crate::{connection_window, Event, Out, Said, Session, Setup, Shared, Unmet, STREAM_WINDOW};
 use bytes::Bytes;
-use cindercleat::status::{Code, Told};
+use cindercleat::status::{ClientAnswer, Code};
 use cindercleat_protocol::{frame, v1, Body, VERSION};
 use h2::server::SendResponse;
 use h2::{RecvStream, SendStream};
@@ -223,7 +223,7 @@
             None => {
                 return end(
                     to,
-                    &Ending::told(Told::Failed, 0.0, "the connection closes"),
+                    &Ending::told(ClientAnswer::Failed, 0.0, "the connection closes"),
                 )
             }
         };
--- a/src/single.rs
+++ b/src/client_connection/http1.rs
@@ -7,7 +7,7 @@
 use crate::interface::Ms;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SingleSettings {
+pub struct Http1Settings {
     /// A connection that has asked for nothing yet is closed after this long.
     pub first: Ms,
     /// A request must be whole this long after its first byte.
@@ -28,9 +28,9 @@
     New,
 }
 
-/// Why a connection is closed.
+/// CloseReason a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum CloseReason {
     /// It asks for nothing. What it asks meanwhile is still answered.
     Silent,
     /// Its request does not come.
@@ -39,7 +39,7 @@
 
 /// One client's connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Single {
+pub struct Http1Connection {
     /// None while its request is open.
     phase: Option<Phase>,
     since: Ms,
@@ -48,9 +48,9 @@
     told: bool,
 }
 
-impl Single {
+impl Http1Connection {
     pub fn new(now: Ms) -> Self {
-        Single {
+        Http1Connection {
             phase: Some(Phase::New),
             since: now,
             came: Some(now),
@@ -79,39 +79,42 @@
     }
 
     /// What is to be done by now, once.
-    pub fn wanted(&mut self, settings: &SingleSettings, now: Ms) -> Option<Why> {
+    pub fn wanted(&mut self, settings: &Http1Settings, now: Ms) -> Option<CloseReason> {
         let (at, why) = self.due(settings)?;
         self.told = now >= at;
         self.told.then_some(why)
     }
 
     /// When `wanted` wants to be asked next, if nothing happens before.
-    pub fn next_at(&self, settings: &SingleSettings) -> Option<Ms> {
+    pub fn next_at(&self, settings: &Http1Settings) -> Option<Ms> {
         self.due(settings).map(|(at, _)| at)
     }
 
-    fn due(&self, settings: &SingleSettings) -> Option<(Ms, Why)> {
+    fn due(&self, settings: &Http1Settings) -> Option<(Ms, CloseReason)> {
         let (at, why) = match self.phase? {
-            Phase::New => (self.since + settings.first, Why::Silent),
-            Phase::Resting => (self.since + settings.rest, Why::Silent),
+            Phase::New => (self.since + settings.first, CloseReason::Silent),
+            Phase::Resting => (self.since + settings.rest, CloseReason::Silent),
             // Guards against half a request, which would keep its place and its bytes for nobody.
             Phase::Partly => {
                 let first_by = self
                     .came
                     .map_or(f64::INFINITY, |came| came + settings.first_whole);
-                ((self.since + settings.whole).min(first_by), Why::Slow)
+                (
+                    (self.since + settings.whole).min(first_by),
+                    CloseReason::Slow,
+                )
             }
         };
         (!self.told).then_some((at, why))
     }
 
     /// Its place is wanted: the reason to close it with.
-    pub fn give_up(&mut self) -> Why {
+    pub fn give_up(&mut self) -> CloseReason {
         self.told = true;
         if self.phase == Some(Phase::Partly) {
-            Why::Slow
+            CloseReason::Slow
         } else {
-            Why::Silent
+            CloseReason::Silent
         }
     }
 }
@@ -119,7 +122,7 @@
 /// Which connection makes room when there may be no more: one that has asked for nothing yet, else one that
 /// rests, else one whose request does not come; the longest so first. Never one with an open request. Guards
 /// against clients that connect by hundreds and say nothing: those who ask still find a place.
-pub fn shed<I>(all: impl Iterator<Item = (I, Single)>) -> Option<I> {
+pub fn shed<I>(all: impl Iterator<Item = (I, Http1Connection)>) -> Option<I> {
     let may = all
         .filter(|(_, single)| !single.told)
         .filter_map(|(id, s)| Some((id, s.phase?, s.since)));
--- a/src/callers.rs
+++ b/src/client_connection/multiplexed.rs
@@ -6,7 +6,7 @@
 use crate::interface::Ms;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CallerSettings {
+pub struct MultiplexedSettings {
     /// A client that said nothing for this long is asked, and given up if it does not answer.
     pub quiet: Ms,
     pub ping_timeout: Ms,
@@ -17,13 +17,13 @@
 
 /// What is to be done about a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum ClientCommand {
     Ping,
-    Close(Why),
+    Close(CloseReason),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum CloseReason {
     /// It does not answer.
     Dead,
     /// It calls off more than it may.
@@ -32,7 +32,7 @@
 
 /// One client's connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Caller {
+pub struct MultiplexedConnection {
     heard: Ms,
     pinged: Option<Ms>,
     /// Cancels that it has left, as of an instant.
@@ -41,10 +41,10 @@
     flooded: bool,
 }
 
-impl Caller {
-    pub fn new(settings: &CallerSettings, now: Ms) -> Self {
+impl MultiplexedConnection {
+    pub fn new(settings: &MultiplexedSettings, now: Ms) -> Self {
         let cancels = settings.cancels.max(1.0);
-        Caller {
+        MultiplexedConnection {
             heard: now,
             pinged: None,
             cancels,
@@ -60,7 +60,7 @@
 
     /// It called a request off before that was answered. Guards against a client that opens and resets streams as
     /// fast as it can: each costs a decision and perhaps an attempt, and nothing but this bounds how many.
-    pub fn cancelled(&mut self, settings: &CallerSettings, now: Ms) {
+    pub fn cancelled(&mut self, settings: &MultiplexedSettings, now: Ms) {
         let more = (now - self.counted).max(0.0) / 1000.0 * settings.cancels_per_s;
         self.cancels = (self.cancels + more).min(settings.cancels.max(1.0)) - 1.0;
         self.counted = now;
@@ -68,29 +68,32 @@
     }
 
     /// What is to be done by now. A ping that is asked for counts as sent.
-    pub fn wanted(&mut self, settings: &CallerSettings, now: Ms) -> Option<Do> {
+    pub fn wanted(&mut self, settings: &MultiplexedSettings, now: Ms) -> Option<ClientCommand> {
         let (at, what) = self.due(settings);
         if now < at {
             return None;
         }
-        if what == Do::Ping {
+        if what == ClientCommand::Ping {
             self.pinged = Some(now);
         }
         Some(what)
     }
 
     /// When `wanted` wants to be asked next, if nothing happens before.
-    pub fn next_at(&self, settings: &CallerSettings) -> Ms {
+    pub fn next_at(&self, settings: &MultiplexedSettings) -> Ms {
         self.due(settings).0
     }
 
-    fn due(&self, settings: &CallerSettings) -> (Ms, Do) {
+    fn due(&self, settings: &MultiplexedSettings) -> (Ms, ClientCommand) {
         match self.pinged {
-            _ if self.flooded => (f64::NEG_INFINITY, Do::Close(Why::Flood)),
+            _ if self.flooded => (f64::NEG_INFINITY, ClientCommand::Close(CloseReason::Flood)),
             // Guards against a client whose machine is gone: its connection never breaks by itself, and its
             // place and its streams would be kept for nobody.
-            Some(at) => (at + settings.ping_timeout, Do::Close(Why::Dead)),
-            None => (self.heard + settings.quiet, Do::Ping),
+            Some(at) => (
+                at + settings.ping_timeout,
+                ClientCommand::Close(CloseReason::Dead),
+            ),
+            None => (self.heard + settings.quiet, ClientCommand::Ping),
         }
     }
 }
--- a/src/channels.rs
+++ b/src/connection_pool.rs
@@ -1,8 +1,8 @@
 //! What a dispatcher decides about its long-lived channels to one engine: which of them a new stream takes,
 //! how many there are, when one is connected (also ahead of need), looked after, or given up.
 //!
-//! Callers make one [`Channels`] an engine, tell it what happens with instants that do not go back, ask
-//! [`Channels::place`] for each stream, and do what [`Channels::wanted`] says whenever [`Channels::next_at`] has
+//! Callers make one [`ConnectionPool`] an engine, tell it what happens with instants that do not go back, ask
+//! [`ConnectionPool::place`] for each stream, and do what [`ConnectionPool::wanted`] says whenever [`ConnectionPool::next_at`] has
 //! come. It does no I/O and reads no clock; chance comes from the seed.
 
 use crate::interface::Ms;
@@ -11,14 +11,14 @@
 
 /// A channel, as the caller numbers it; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ChannelId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// Limits and times; a number of streams or channels of 0 counts as 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ChannelSettings {
+pub struct PoolSettings {
     /// Streams on one channel, unless the engine allows fewer.
     pub streams: usize,
-    /// Channels that take streams at once.
+    /// ConnectionPool that take streams at once.
     pub most: usize,
     pub connect_timeout: Ms,
     /// A channel without streams is closed after this long.
@@ -43,15 +43,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
     /// On this channel, which may still be connecting.
-    On(ChannelId),
-    /// On a new one: connect it, and tell by [`Channels::connecting`].
+    On(ConnectionId),
+    /// On a new one: connect it, and tell by [`ConnectionPool::connecting`].
     Connect,
     /// Nowhere; it has not run.
-    Nowhere(Refusal),
+    Nowhere(PlacementError),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum PlacementError {
     /// Every channel that there may be carries all that it may.
     AllTaken,
     /// Connects failed lately; the next is not tried yet.
@@ -60,15 +60,15 @@
 
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum PoolCommand {
     /// Connect one more, ahead of need.
     Connect,
-    Ping(ChannelId),
-    Close(ChannelId, Why),
+    Ping(ConnectionId),
+    Close(ConnectionId, CloseReason),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum CloseReason {
     /// It did not come up in time; nothing was sent on it.
     ConnectTimeout,
     Idle,
@@ -100,18 +100,18 @@
 
 /// The channels to one engine.
 #[derive(Clone, Debug)]
-pub struct Channels {
-    settings: ChannelSettings,
+pub struct ConnectionPool {
+    settings: PoolSettings,
     rng: WyRand,
-    all: BTreeMap<ChannelId, Channel>,
+    all: BTreeMap<ConnectionId, Channel>,
     /// Connects that failed in a row, and when the next may be tried.
     failures: u32,
     again_at: Ms,
 }
 
-impl Channels {
-    pub fn new(settings: ChannelSettings, seed: u64) -> Self {
-        Channels {
+impl ConnectionPool {
+    pub fn new(settings: PoolSettings, seed: u64) -> Self {
+        ConnectionPool {
             settings,
             rng: WyRand::new_seed(seed),
             all: BTreeMap::new(),
@@ -125,26 +125,26 @@
     /// connecting; else on a new one, if there may be one.
     pub fn place(&self, now: Ms) -> Placement {
         let room =
-            |(_, c): &(&ChannelId, &Channel)| c.phase != Phase::Leaving && c.streams < c.limit;
+            |(_, c): &(&ConnectionId, &Channel)| c.phase != Phase::Leaving && c.streams < c.limit;
         let settled_at = now - SETTLE * self.settings.connect_timeout;
         let rank = |c: &Channel| (c.phase == Phase::Up, c.streams, c.idle_since <= settled_at);
-        let order = |a: &(&ChannelId, &Channel), b: &(&ChannelId, &Channel)| {
+        let order = |a: &(&ConnectionId, &Channel), b: &(&ConnectionId, &Channel)| {
             let rests = a.1.idle_since.total_cmp(&b.1.idle_since);
             rank(a.1).cmp(&rank(b.1)).then(rests).then(b.0.cmp(a.0))
         };
         match self.all.iter().filter(room).max_by(order) {
             Some((id, _)) => Placement::On(*id),
             None if self.taking() >= self.settings.most.max(1) => {
-                Placement::Nowhere(Refusal::AllTaken)
+                Placement::Nowhere(PlacementError::AllTaken)
             }
             // Guards against an engine that is down being dialled by every request that it is chosen for.
-            None if now < self.again_at => Placement::Nowhere(Refusal::NotYet),
+            None if now < self.again_at => Placement::Nowhere(PlacementError::NotYet),
             None => Placement::Connect,
         }
     }
 
     /// A connect has begun.
-    pub fn connecting(&mut self, id: ChannelId, now: Ms) {
+    pub fn connecting(&mut self, id: ConnectionId, now: Ms) {
         let channel = Channel {
             phase: Phase::Connecting { since: now },
             streams: 0,
@@ -157,7 +157,7 @@
     }
 
     /// It is up. `limit`: the streams that the engine allows on it, if it says.
-    pub fn up(&mut self, id: ChannelId, limit: Option<usize>, now: Ms) {
+    pub fn up(&mut self, id: ConnectionId, limit: Option<usize>, now: Ms) {
         let Some(channel) = self.all.get_mut(&id) else {
             return;
         };
@@ -168,7 +168,7 @@
 
     /// It is over, or never came up. After a failed connect the next waits, longer each time and by chance, so
     /// that dispatchers do not come back to an engine that restarts all at once.
-    pub fn closed(&mut self, id: ChannelId, now: Ms) {
+    pub fn closed(&mut self, id: ConnectionId, now: Ms) {
         let Some(channel) = self.all.remove(&id) else {
             return;
         };
@@ -186,20 +186,20 @@
     }
 
     /// The engine said that it takes no more on this channel.
-    pub fn going_away(&mut self, id: ChannelId) {
+    pub fn going_away(&mut self, id: ConnectionId) {
         if let Some(channel) = self.all.get_mut(&id) {
             channel.phase = Phase::Leaving;
         }
     }
 
     /// Anything came over it.
-    pub fn heard(&mut self, id: ChannelId, now: Ms) {
+    pub fn heard(&mut self, id: ConnectionId, now: Ms) {
         if let Some(channel) = self.all.get_mut(&id) {
             (channel.heard, channel.pinged) = (now, None);
         }
     }
 
-    pub fn opened(&mut self, id: ChannelId, now: Ms) {
+    pub fn opened(&mut self, id: ConnectionId, now: Ms) {
         if let Some(channel) = self.all.get_mut(&id) {
             if channel.streams == 0 {
                 channel.heard = channel.heard.max(now);
@@ -208,7 +208,7 @@
         }
     }
 
-    pub fn ended(&mut self, id: ChannelId, now: Ms) {
+    pub fn ended(&mut self, id: ConnectionId, now: Ms) {
         if let Some(channel) = self.all.get_mut(&id) {
             channel.streams = channel.streams.saturating_sub(1);
             channel.idle_since = now;
@@ -216,22 +216,22 @@
     }
 
     /// What is to be done by now; `ready`: whether the engine may get anything new. The caller tells of each
-    /// close by [`closed`](Channels::closed) and of each connect by [`connecting`](Channels::connecting).
-    pub fn wanted(&mut self, now: Ms, ready: bool) -> Vec<Do> {
+    /// close by [`closed`](ConnectionPool::closed) and of each connect by [`connecting`](ConnectionPool::connecting).
+    pub fn wanted(&mut self, now: Ms, ready: bool) -> Vec<PoolCommand> {
         let mut wanted = Vec::new();
         for (&id, channel) in &mut self.all {
             let Some((at, what)) = channel.due(id, &self.settings) else {
                 continue;
             };
             if now >= at {
-                if let Do::Ping(_) = what {
+                if let PoolCommand::Ping(_) = what {
                     channel.pinged = Some(now);
                 }
                 wanted.push(what);
             }
         }
         if ready && self.wants_more(now) {
-            wanted.push(Do::Connect);
+            wanted.push(PoolCommand::Connect);
         }
         wanted
     }
@@ -254,7 +254,7 @@
     }
 
     /// Whether it takes streams, or will.
-    pub fn takes(&self, id: ChannelId) -> bool {
+    pub fn takes(&self, id: ConnectionId) -> bool {
         self.all.get(&id).is_some_and(|c| c.phase != Phase::Leaving)
     }
 
@@ -262,7 +262,7 @@
         self.all.is_empty()
     }
 
-    /// Channels that take streams, or will.
+    /// ConnectionPool that take streams, or will.
     fn taking(&self) -> usize {
         self.all
             .values()
@@ -277,7 +277,7 @@
         let connecting = taking().any(|c| c.phase != Phase::Up);
         let used = self.all.values().any(|c| c.streams > 0);
         let spare = SPARE * self.settings.streams.max(1) as f64;
-        // Channels for one stream each are never ahead of need: every request at a peak would cost the engine one.
+        // ConnectionPool for one stream each are never ahead of need: every request at a peak would cost the engine one.
         let shared = self.settings.streams > 1;
         shared
             && used
@@ -289,17 +289,23 @@
 
 impl Channel {
     /// What falls due for it next, and when.
-    fn due(&self, id: ChannelId, settings: &ChannelSettings) -> Option<(Ms, Do)> {
+    fn due(&self, id: ConnectionId, settings: &PoolSettings) -> Option<(Ms, PoolCommand)> {
         let due = match (self.phase, self.streams, self.pinged) {
             (Phase::Connecting { since }, ..) => (
                 since + settings.connect_timeout,
-                Do::Close(id, Why::ConnectTimeout),
+                PoolCommand::Close(id, CloseReason::ConnectTimeout),
+            ),
+            (Phase::Leaving, 0, _) => (self.idle_since, PoolCommand::Close(id, CloseReason::Left)),
+            (Phase::Up, 0, _) => (
+                self.idle_since + settings.idle,
+                PoolCommand::Close(id, CloseReason::Idle),
             ),
-            (Phase::Leaving, 0, _) => (self.idle_since, Do::Close(id, Why::Left)),
-            (Phase::Up, 0, _) => (self.idle_since + settings.idle, Do::Close(id, Why::Idle)),
             // Guards against a peer that is gone without a word: its connection never breaks by itself.
-            (_, _, Some(at)) => (at + settings.ping_timeout, Do::Close(id, Why::Dead)),
-            (_, _, None) => (self.heard + settings.quiet, Do::Ping(id)),
+            (_, _, Some(at)) => (
+                at + settings.ping_timeout,
+                PoolCommand::Close(id, CloseReason::Dead),
+            ),
+            (_, _, None) => (self.heard + settings.quiet, PoolCommand::Ping(id)),
         };
         Some(due)
     }
--- a/src/feed.rs
+++ b/src/discovery_client.rs
@@ -16,7 +16,7 @@
 
 /// Times of the calls to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FeedSettings {
+pub struct DiscoverySettings {
     /// A connection must be up by then.
     pub connect: Ms,
     /// The first answer on a connection, which waits for nothing, must have begun to come by then, counted from the
@@ -36,12 +36,12 @@
 const AGAIN_FIRST: Ms = 100.0;
 const AGAIN_MOST: Ms = 2_000.0;
 
-impl FeedSettings {
+impl DiscoverySettings {
     /// Of a feed that speaks only when there is something to tell, and whose wire finds a dead peer by itself.
     pub fn unhurried(connect: Ms) -> Self {
         let never = f64::INFINITY;
         let (again_first, again_most) = (AGAIN_FIRST, AGAIN_MOST);
-        FeedSettings {
+        DiscoverySettings {
             connect,
             first_quiet: never,
             quiet: never,
@@ -69,8 +69,8 @@
 
 /// One dispatcher's calls to discovery.
 #[derive(Clone, Debug)]
-pub struct FeedCalls {
-    settings: FeedSettings,
+pub struct DiscoveryCalls {
+    settings: DiscoverySettings,
     rng: WyRand,
     wait: Ms,
     /// Whether anything came on the present connection.
@@ -81,10 +81,10 @@
     older_since: Option<Ms>,
 }
 
-impl FeedCalls {
-    pub fn new(settings: FeedSettings, seed: u64) -> Self {
+impl DiscoveryCalls {
+    pub fn new(settings: DiscoverySettings, seed: u64) -> Self {
         let rng = WyRand::new_seed(seed);
-        FeedCalls {
+        DiscoveryCalls {
             settings,
             rng,
             wait: settings.again_first,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,15 @@
 //! cindercleat: routing decisions for language-model servers that read and write in two stages.
 //!
-//! [`control::Control`] decides about requests, [`channels::Channels`] about the connections to an engine,
-//! [`callers::Caller`] and [`single::Single`] about a client's, [`feed::FeedCalls`] about calls to discovery, [`bounds::Allowed`] about how much of all there
+//! [`control::Control`] decides about requests, [`connection_pool::ConnectionPool`] about the connections to an engine,
+//! [`client_connection::multiplexed::MultiplexedConnection`] and [`client_connection::http1::Http1Connection`] about a client's, [`discovery_client::DiscoveryCalls`] about calls to discovery, [`resource_limits::ResourceLimits`] about how much of all there
 //! may be; [`interface`] holds the plain types that callers exchange with the first.
 #![forbid(unsafe_code)]
 
-pub mod bounds;
-pub mod callers;
-pub mod channels;
+pub mod client_connection;
+pub mod connection_pool;
 pub mod control;
-pub mod feed;
+pub mod discovery_client;
 pub mod fleet;
 pub mod interface;
-pub mod single;
+pub mod resource_limits;
 pub mod status;
--- a/src/bounds.rs
+++ b/src/resource_limits.rs
@@ -2,13 +2,13 @@
 //! bound and time of its connections, from what its machine and its settings give it. Shares and times stand
 //! here and nowhere else.
 
-use crate::feed::FeedSettings;
+use crate::client_connection::http1::Http1Settings;
+use crate::discovery_client::DiscoverySettings;
 use crate::interface::{Discovery, Ms};
-use crate::single::SingleSettings;
 
 /// What it is given.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Given {
+pub struct ProcessLimits {
     /// In bytes.
     pub memory: f64,
     pub descriptors: usize,
@@ -29,8 +29,8 @@
 
 /// What it allows itself. Counts and bytes are upper limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowed {
-    pub clients: SingleSettings,
+pub struct ResourceLimits {
+    pub clients: Http1Settings,
     pub most_clients: usize,
     pub most_links: usize,
     pub max_open_requests: usize,
@@ -48,7 +48,7 @@
     pub stall: Ms,
     /// How long the list feed may wait with an answer, and the times of the calls to it.
     pub feed_wait: Ms,
-    pub feed: FeedSettings,
+    pub feed: DiscoverySettings,
     /// After the last answer on a client's connection: for how long, and how many bytes of, what still comes is
     /// taken before the close.
     pub drain: Ms,
@@ -76,7 +76,7 @@
 const REST_PART: f64 = 0.4;
 /// Clients are owed a close within three seconds of connecting, also in the middle of a request, and keep good
 /// connections.
-const CLIENTS: SingleSettings = SingleSettings {
+const CLIENTS: Http1Settings = Http1Settings {
     first: 2_000.0,
     whole: 2_000.0,
     first_whole: 2_750.0,
@@ -113,9 +113,9 @@
 /// Where a stop is not ended by a kill: for how long streams go on after the last deadline.
 const STOP_STREAMS: Ms = 60_000.0;
 
-impl Allowed {
+impl ResourceLimits {
     /// None if there are too few descriptors for any work.
-    pub fn of(given: &Given) -> Option<Allowed> {
+    pub fn of(given: &ProcessLimits) -> Option<ResourceLimits> {
         let share = given.descriptors.checked_sub(OWN_DESCRIPTORS)? / 2;
         let (feed_wait, answer, whole, connect) = match given.discovery {
             Discovery::Pushed => {
@@ -137,7 +137,7 @@
                 )
             }
         };
-        let feed = FeedSettings {
+        let feed = DiscoverySettings {
             connect,
             first_quiet: whole,
             quiet: feed_wait + answer,
@@ -145,7 +145,7 @@
             again_most: answer,
             resumes: matches!(given.discovery, Discovery::Polled { .. }),
         };
-        (share > 0).then(|| Allowed {
+        (share > 0).then(|| ResourceLimits {
             clients: CLIENTS,
             most_clients: share,
             most_links: share,
@@ -173,6 +173,6 @@
 }
 
 /// How long after the signal to stop the process may be killed.
-fn earliest_kill(given: &Given) -> Ms {
+fn earliest_kill(given: &ProcessLimits) -> Ms {
     given.longest_deadline.min(LONGEST_COUNTED) + KILL_AFTER
 }
--- a/src/status.rs
+++ b/src/status.rs
@@ -55,7 +55,7 @@
 
 /// A final answer, or a refusal of the submission itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ClientAnswer {
     Succeeded,
     /// `full`: there was no room, rather than nobody to do it.
     Rejected {
@@ -68,19 +68,19 @@
 
 /// The status that a client gets. Clients that retry by themselves do so on `Unavailable`, which a failure
 /// must never be: it may have run.
-pub fn to_client(told: Told) -> Code {
+pub fn to_client(told: ClientAnswer) -> Code {
     match told {
-        Told::Succeeded => Code::Ok,
-        Told::Rejected { full: false } => Code::Unavailable,
-        Told::Rejected { full: true } => Code::ResourceExhausted,
-        Told::Failed => Code::Unknown,
-        Told::InvalidRequest => Code::InvalidArgument,
+        ClientAnswer::Succeeded => Code::Ok,
+        ClientAnswer::Rejected { full: false } => Code::Unavailable,
+        ClientAnswer::Rejected { full: true } => Code::ResourceExhausted,
+        ClientAnswer::Failed => Code::Unknown,
+        ClientAnswer::InvalidRequest => Code::InvalidArgument,
     }
 }
 
 /// What clients that retry by themselves are told of another try, beside the status.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Again {
+pub enum RetryAdvice {
     /// Nothing: there is no point in it, or the status says it all.
     Unsaid,
     /// After this long.
@@ -90,11 +90,13 @@
 }
 
 /// `retry_after`: what a reject asks for; 0 asks for nothing.
-pub fn again(told: Told, retry_after: Ms) -> Again {
+pub fn again(told: ClientAnswer, retry_after: Ms) -> RetryAdvice {
     match told {
-        Told::Rejected { .. } if retry_after > 0.0 => Again::After(retry_after),
-        Told::Failed => Again::Never,
-        Told::Succeeded | Told::Rejected { .. } | Told::InvalidRequest => Again::Unsaid,
+        ClientAnswer::Rejected { .. } if retry_after > 0.0 => RetryAdvice::After(retry_after),
+        ClientAnswer::Failed => RetryAdvice::Never,
+        ClientAnswer::Succeeded | ClientAnswer::Rejected { .. } | ClientAnswer::InvalidRequest => {
+            RetryAdvice::Unsaid
+        }
     }
 }
 
@@ -128,7 +130,7 @@
 
 /// What such an end means for the attempt. Only what is proven counts as not run: a status says nothing of that
 /// by itself, as something between here and the engine may have made it up.
-pub fn of_engine(end: CallEnd) -> Outcome {
+pub fn attempt_outcome(end: CallEnd) -> Outcome {
     match end {
         CallEnd::NotSent => Outcome::Unreachable,
         CallEnd::Reset(REFUSED_STREAM) | CallEnd::BeyondLast => Outcome::Overloaded,
--- a/tests/callers.rs
+++ b/tests/client_connection_multiplexed.rs
@@ -1,10 +1,10 @@
 //! A client's connection: asked when quiet, given up when it does not answer or floods.
 
-use cindercleat::callers::*;
+use cindercleat::client_connection::multiplexed::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const SETTINGS: CallerSettings = CallerSettings {
+const SETTINGS: MultiplexedSettings = MultiplexedSettings {
     quiet: 1000.0,
     ping_timeout: 500.0,
     cancels: 10.0,
@@ -13,20 +13,23 @@
 
 #[test]
 fn a_quiet_client_is_asked_and_given_up_only_if_it_does_not_answer() {
-    let mut caller = Caller::new(&SETTINGS, 0.0);
+    let mut caller = MultiplexedConnection::new(&SETTINGS, 0.0);
     assert_eq!(caller.wanted(&SETTINGS, 999.0), None);
-    assert_eq!(caller.wanted(&SETTINGS, 1000.0), Some(Do::Ping));
+    assert_eq!(caller.wanted(&SETTINGS, 1000.0), Some(ClientCommand::Ping));
     assert_eq!(caller.wanted(&SETTINGS, 1499.0), None, "one ping is enough");
     caller.heard(1499.0);
     assert_eq!(caller.wanted(&SETTINGS, 1500.0), None);
     assert_eq!(caller.next_at(&SETTINGS), 2499.0);
-    assert_eq!(caller.wanted(&SETTINGS, 2499.0), Some(Do::Ping));
-    assert_eq!(caller.wanted(&SETTINGS, 2999.0), Some(Do::Close(Why::Dead)));
+    assert_eq!(caller.wanted(&SETTINGS, 2499.0), Some(ClientCommand::Ping));
+    assert_eq!(
+        caller.wanted(&SETTINGS, 2999.0),
+        Some(ClientCommand::Close(CloseReason::Dead))
+    );
 }
 
 #[test]
 fn cancels_are_borne_up_to_a_burst_and_a_pace() {
-    let mut caller = Caller::new(&SETTINGS, 0.0);
+    let mut caller = MultiplexedConnection::new(&SETTINGS, 0.0);
     for n in 0..10 {
         caller.cancelled(&SETTINGS, 0.0);
         assert_eq!(caller.wanted(&SETTINGS, 0.0), None, "cancel {n}");
@@ -41,7 +44,7 @@
     caller.cancelled(&SETTINGS, 199_800.0);
     assert_eq!(
         caller.wanted(&SETTINGS, 199_800.0),
-        Some(Do::Close(Why::Flood))
+        Some(ClientCommand::Close(CloseReason::Flood))
     );
 }
 
@@ -51,21 +54,21 @@
     /// time is not called dead, and one that does not is, by the two times together.
     #[test]
     fn whatever_comes(steps in prop::collection::vec((0u8..4, 0u16..700), 1..200), answers in any::<bool>()) {
-        let mut caller = Caller::new(&SETTINGS, 0.0);
+        let mut caller = MultiplexedConnection::new(&SETTINGS, 0.0);
         let (mut now, mut heard, mut cancels) = (0.0, 0.0, 0.0f64);
         for (what, wait) in steps {
             let until: f64 = now + f64::from(wait);
             while caller.next_at(&SETTINGS) <= until {
                 now = f64::max(now, caller.next_at(&SETTINGS));
                 match caller.wanted(&SETTINGS, now) {
-                    Some(Do::Ping) if answers => { caller.heard(now); heard = now; }
-                    Some(Do::Ping) => prop_assert!(now >= heard + SETTINGS.quiet),
-                    Some(Do::Close(Why::Dead)) => {
+                    Some(ClientCommand::Ping) if answers => { caller.heard(now); heard = now; }
+                    Some(ClientCommand::Ping) => prop_assert!(now >= heard + SETTINGS.quiet),
+                    Some(ClientCommand::Close(CloseReason::Dead)) => {
                         prop_assert!(!answers);
                         prop_assert_eq!(now, heard + SETTINGS.quiet + SETTINGS.ping_timeout);
                         return Ok(());
                     }
-                    Some(Do::Close(Why::Flood)) => {
+                    Some(ClientCommand::Close(CloseReason::Flood)) => {
                         prop_assert!(cancels > SETTINGS.cancels);
                         return Ok(());
                     }
--- a/tests/channels.rs
+++ b/tests/connection_pool.rs
@@ -1,13 +1,13 @@
-//! Channels to an engine: tables of what is decided, and random sequences held against what must always be so.
+//! ConnectionPool to an engine: tables of what is decided, and random sequences held against what must always be so.
 
-use cindercleat::channels::*;
+use cindercleat::connection_pool::*;
 use cindercleat::interface::Ms;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-fn settings() -> ChannelSettings {
-    ChannelSettings {
+fn settings() -> PoolSettings {
+    PoolSettings {
         streams: 10,
         most: 3,
         connect_timeout: 250.0,
@@ -19,12 +19,12 @@
     }
 }
 
-const A: ChannelId = ChannelId(1);
-const B: ChannelId = ChannelId(2);
+const A: ConnectionId = ConnectionId(1);
+const B: ConnectionId = ConnectionId(2);
 
 /// One channel that is up and carries so many streams.
-fn carrying(streams: usize) -> Channels {
-    let mut channels = Channels::new(settings(), 1);
+fn carrying(streams: usize) -> ConnectionPool {
+    let mut channels = ConnectionPool::new(settings(), 1);
     channels.connecting(A, 0.0);
     channels.up(A, None, 10.0);
     (0..streams).for_each(|_| channels.opened(A, 10.0));
@@ -44,7 +44,7 @@
 
 #[test]
 fn the_engines_own_limit_counts_if_it_is_lower() {
-    let mut channels = Channels::new(settings(), 1);
+    let mut channels = ConnectionPool::new(settings(), 1);
     channels.connecting(A, 0.0);
     channels.up(A, Some(2), 1.0);
     (0..2).for_each(|_| channels.opened(A, 1.0));
@@ -53,14 +53,17 @@
 
 #[test]
 fn beyond_the_most_channels_there_is_no_place() {
-    let mut channels = Channels::new(settings(), 1);
+    let mut channels = ConnectionPool::new(settings(), 1);
     for id in 1..=3 {
         assert_eq!(channels.place(1.0), Placement::Connect);
-        channels.connecting(ChannelId(id), 1.0);
-        channels.up(ChannelId(id), None, 1.0);
-        (0..10).for_each(|_| channels.opened(ChannelId(id), 1.0));
+        channels.connecting(ConnectionId(id), 1.0);
+        channels.up(ConnectionId(id), None, 1.0);
+        (0..10).for_each(|_| channels.opened(ConnectionId(id), 1.0));
     }
-    assert_eq!(channels.place(1.0), Placement::Nowhere(Refusal::AllTaken));
+    assert_eq!(
+        channels.place(1.0),
+        Placement::Nowhere(PlacementError::AllTaken)
+    );
     assert_eq!(channels.wanted(1.0, true), [], "nor is one connected ahead");
 }
 
@@ -74,7 +77,7 @@
     );
     channels.opened(A, 11.0);
     assert_eq!(channels.wanted(11.0, false), []);
-    assert_eq!(channels.wanted(11.0, true), [Do::Connect]);
+    assert_eq!(channels.wanted(11.0, true), [PoolCommand::Connect]);
     channels.connecting(B, 11.0);
     assert_eq!(channels.wanted(11.0, true), [], "one is coming");
 }
@@ -86,29 +89,35 @@
     assert_eq!(channels.place(20.0), Placement::Connect);
     assert_eq!(
         channels.wanted(20.0, true),
-        [Do::Connect],
+        [PoolCommand::Connect],
         "what is in use is replaced ahead of need"
     );
     channels.ended(A, 30.0);
-    assert_eq!(channels.wanted(30.0, true), [Do::Close(A, Why::Left)]);
+    assert_eq!(
+        channels.wanted(30.0, true),
+        [PoolCommand::Close(A, CloseReason::Left)]
+    );
 }
 
 #[test]
 fn failed_connects_are_tried_again_later_each_time_and_at_once_when_there_is_reason() {
-    let mut channels = Channels::new(settings(), 7);
+    let mut channels = ConnectionPool::new(settings(), 7);
     let (mut now, mut waits) = (0.0, Vec::new());
     for id in 0..8 {
         assert_eq!(channels.place(now), Placement::Connect);
-        channels.connecting(ChannelId(id), now);
+        channels.connecting(ConnectionId(id), now);
         assert_eq!(channels.wanted(now + 249.0, true), []);
         assert_eq!(
             channels.wanted(now + 250.0, true),
-            [Do::Close(ChannelId(id), Why::ConnectTimeout)]
+            [PoolCommand::Close(
+                ConnectionId(id),
+                CloseReason::ConnectTimeout
+            )]
         );
-        channels.closed(ChannelId(id), now + 250.0);
+        channels.closed(ConnectionId(id), now + 250.0);
         let begin = now + 250.0;
         now = begin;
-        while channels.place(now) == Placement::Nowhere(Refusal::NotYet) {
+        while channels.place(now) == Placement::Nowhere(PlacementError::NotYet) {
             now += 1.0;
         }
         waits.push(now - begin);
@@ -123,7 +132,10 @@
     }
     channels.connecting(A, now);
     channels.closed(A, now);
-    assert_eq!(channels.place(now), Placement::Nowhere(Refusal::NotYet));
+    assert_eq!(
+        channels.place(now),
+        Placement::Nowhere(PlacementError::NotYet)
+    );
     channels.renewed();
     assert_eq!(channels.place(now), Placement::Connect);
 }
@@ -133,13 +145,16 @@
     let mut channels = carrying(1);
     assert_eq!(channels.next_at(), Some(2010.0));
     assert_eq!(channels.wanted(2009.0, true), []);
-    assert_eq!(channels.wanted(2010.0, true), [Do::Ping(A)]);
+    assert_eq!(channels.wanted(2010.0, true), [PoolCommand::Ping(A)]);
     assert_eq!(channels.wanted(2011.0, true), [], "it is asked once");
     channels.heard(A, 2400.0);
     assert_eq!(channels.wanted(2510.0, true), [], "it answered");
-    assert_eq!(channels.wanted(4400.0, true), [Do::Ping(A)]);
+    assert_eq!(channels.wanted(4400.0, true), [PoolCommand::Ping(A)]);
     assert_eq!(channels.wanted(4899.0, true), []);
-    assert_eq!(channels.wanted(4900.0, true), [Do::Close(A, Why::Dead)]);
+    assert_eq!(
+        channels.wanted(4900.0, true),
+        [PoolCommand::Close(A, CloseReason::Dead)]
+    );
 }
 
 #[test]
@@ -147,7 +162,10 @@
     let mut channels = carrying(1);
     channels.ended(A, 100.0);
     assert_eq!(channels.wanted(5099.0, true), []);
-    assert_eq!(channels.wanted(5100.0, true), [Do::Close(A, Why::Idle)]);
+    assert_eq!(
+        channels.wanted(5100.0, true),
+        [PoolCommand::Close(A, CloseReason::Idle)]
+    );
 }
 
 /// What happens, to which channel, and how many milliseconds after the last.
@@ -155,9 +173,9 @@
 
 fn play(draws: &[Draw], seed: u64) -> Result<[usize; 3], TestCaseError> {
     let settings = settings();
-    let mut channels = Channels::new(settings, seed);
+    let mut channels = ConnectionPool::new(settings, seed);
     // What is up or connecting, with its streams; whether it goes away; when it last spoke or began.
-    let mut mine: BTreeMap<ChannelId, (bool, usize, bool)> = BTreeMap::new();
+    let mut mine: BTreeMap<ConnectionId, (bool, usize, bool)> = BTreeMap::new();
     let (mut now, mut next, mut met): (Ms, u64, [usize; 3]) = (0.0, 0, [0; 3]);
     for &(what, whom, after) in draws {
         let until = now + f64::from(after % 1500);
@@ -165,22 +183,22 @@
             now = now.max(at);
             for act in channels.wanted(now, !whom.is_multiple_of(7)) {
                 match act {
-                    Do::Connect => {
+                    PoolCommand::Connect => {
                         next += 1;
-                        channels.connecting(ChannelId(next), now);
-                        mine.insert(ChannelId(next), (false, 0, false));
+                        channels.connecting(ConnectionId(next), now);
+                        mine.insert(ConnectionId(next), (false, 0, false));
                     }
-                    Do::Ping(id) => {
+                    PoolCommand::Ping(id) => {
                         prop_assert!(mine[&id].0 && mine[&id].1 > 0, "asked without need");
                         met[0] += 1;
                     }
-                    Do::Close(id, why) => {
+                    PoolCommand::Close(id, why) => {
                         let (up, streams, leaving) = mine.remove(&id).unwrap_or_default();
                         let fits = match why {
-                            Why::ConnectTimeout => !up,
-                            Why::Idle => up && streams == 0,
-                            Why::Dead => up && streams > 0,
-                            Why::Left => leaving && streams == 0,
+                            CloseReason::ConnectTimeout => !up,
+                            CloseReason::Idle => up && streams == 0,
+                            CloseReason::Dead => up && streams > 0,
+                            CloseReason::Left => leaving && streams == 0,
                         };
                         prop_assert!(fits, "closed for {why:?} while up {up} with {streams}");
                         channels.closed(id, now);
@@ -211,9 +229,9 @@
                 }
                 Placement::Connect => {
                     next += 1;
-                    channels.connecting(ChannelId(next), now);
-                    mine.insert(ChannelId(next), (false, 1, false));
-                    channels.opened(ChannelId(next), now);
+                    channels.connecting(ConnectionId(next), now);
+                    mine.insert(ConnectionId(next), (false, 1, false));
+                    channels.opened(ConnectionId(next), now);
                 }
                 Placement::Nowhere(_) => met[2] += 1,
             },
@@ -277,8 +295,8 @@
 
 #[test]
 fn a_channel_that_rests_since_lately_is_used_again_but_not_one_that_has_just_been_answered() {
-    let mut channels = Channels::new(
-        ChannelSettings {
+    let mut channels = ConnectionPool::new(
+        PoolSettings {
             streams: 1,
             most: 9,
             ..settings()
@@ -286,32 +304,32 @@
         1,
     );
     for (id, rests_since) in [(1, 10.0), (2, 50.0), (3, 99.9)] {
-        channels.connecting(ChannelId(id), 0.0);
-        channels.up(ChannelId(id), None, 0.0);
-        channels.opened(ChannelId(id), 0.0);
-        channels.ended(ChannelId(id), rests_since);
+        channels.connecting(ConnectionId(id), 0.0);
+        channels.up(ConnectionId(id), None, 0.0);
+        channels.opened(ConnectionId(id), 0.0);
+        channels.ended(ConnectionId(id), rests_since);
     }
     // Its engine may be about to close the third; the first, for want of use.
     for id in [2, 1, 3] {
-        assert_eq!(channels.place(100.0), Placement::On(ChannelId(id)));
-        channels.opened(ChannelId(id), 100.0);
+        assert_eq!(channels.place(100.0), Placement::On(ConnectionId(id)));
+        channels.opened(ConnectionId(id), 100.0);
     }
     assert_eq!(channels.place(100.0), Placement::Connect);
 }
 
 #[test]
 fn channels_for_one_stream_are_not_connected_ahead() {
-    let mut channels = Channels::new(
-        ChannelSettings {
+    let mut channels = ConnectionPool::new(
+        PoolSettings {
             streams: 1,
             most: 9,
             ..settings()
         },
         1,
     );
-    channels.connecting(ChannelId(1), 0.0);
-    channels.up(ChannelId(1), None, 0.0);
-    channels.opened(ChannelId(1), 0.0);
+    channels.connecting(ConnectionId(1), 0.0);
+    channels.up(ConnectionId(1), None, 0.0);
+    channels.opened(ConnectionId(1), 0.0);
     assert!(!channels.wants_more(1.0));
-    assert!(!channels.wanted(1.0, true).contains(&Do::Connect));
+    assert!(!channels.wanted(1.0, true).contains(&PoolCommand::Connect));
 }
--- a/tests/feed.rs
+++ b/tests/discovery_client.rs
@@ -1,8 +1,8 @@
 //! When discovery is called again.
 
-use cindercleat::feed::{FeedCalls, FeedSettings, FirstCall, UNUSABLE_MOST};
+use cindercleat::discovery_client::{DiscoveryCalls, DiscoverySettings, FirstCall, UNUSABLE_MOST};
 
-const SETTINGS: FeedSettings = FeedSettings {
+const SETTINGS: DiscoverySettings = DiscoverySettings {
     connect: 250.0,
     first_quiet: 1000.0,
     quiet: 2500.0,
@@ -13,7 +13,7 @@
 
 #[test]
 fn waits_double_up_to_the_most_and_begin_anew_after_an_answer_or_a_move() {
-    let mut calls = FeedCalls::new(SETTINGS, 1);
+    let mut calls = DiscoveryCalls::new(SETTINGS, 1);
     for most in [100.0, 200.0, 400.0, 800.0, 1000.0, 1000.0] {
         let wait = calls.lost();
         assert!((most / 2.0..=most).contains(&wait), "{wait} of {most}");
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_first_answer_is_waited_for_less_than_one_that_waits_for_a_change() {
-    let mut calls = FeedCalls::new(SETTINGS, 1);
+    let mut calls = DiscoveryCalls::new(SETTINGS, 1);
     calls.calling(None);
     assert_eq!(calls.quiet(), 1000.0);
     calls.begins();
@@ -42,8 +42,8 @@
 /// twice its part of them, from the second call on.
 #[test]
 fn hundreds_that_lose_discovery_together_do_not_come_back_together() {
-    let mut all: Vec<FeedCalls> = (0..300)
-        .map(|seed| FeedCalls::new(SETTINGS, seed))
+    let mut all: Vec<DiscoveryCalls> = (0..300)
+        .map(|seed| DiscoveryCalls::new(SETTINGS, seed))
         .collect();
     let mut at = vec![0.0; all.len()];
     for call in 1..8 {
@@ -69,8 +69,8 @@
 fn a_call_goes_on_from_the_known_list_unless_it_is_the_first_at_its_address_or_the_last_list_was_older(
 ) {
     let (whole, since) = (FirstCall::WholeList, FirstCall::ChangesSince);
-    let mut calls = FeedCalls::new(
-        FeedSettings {
+    let mut calls = DiscoveryCalls::new(
+        DiscoverySettings {
             resumes: true,
             ..SETTINGS
         },
@@ -90,7 +90,7 @@
     assert_eq!(calls.calling(Some(5)), whole);
     assert!(calls.takes(true, 6, 5, 100.0));
     assert_eq!(calls.calling(Some(6)), since(6));
-    let mut calls = FeedCalls::new(SETTINGS, 1);
+    let mut calls = DiscoveryCalls::new(SETTINGS, 1);
     calls.calling(Some(4));
     assert_eq!(
         calls.calling(Some(4)),
@@ -103,7 +103,7 @@
 /// after which what it has counts as told.
 #[test]
 fn a_list_that_cannot_be_used_is_asked_for_less_and_less_often() {
-    let mut calls = FeedCalls::new(SETTINGS, 1);
+    let mut calls = DiscoveryCalls::new(SETTINGS, 1);
     for most in [
         100.0,
         200.0,
--- a/tests/bounds.rs
+++ b/tests/resource_limits.rs
@@ -1,10 +1,10 @@
 //! What a dispatcher on a machine of its own allows itself.
 
-use cindercleat::bounds::{Allowed, Given, OWN_DESCRIPTORS, TOLD_WITHIN};
 use cindercleat::interface::Discovery;
+use cindercleat::resource_limits::{ProcessLimits, ResourceLimits, OWN_DESCRIPTORS, TOLD_WITHIN};
 
-fn given() -> Given {
-    Given {
+fn given() -> ProcessLimits {
+    ProcessLimits {
         memory: 32e6,
         descriptors: 256,
         connect_timeout: 250.0,
@@ -19,7 +19,7 @@
 
 #[test]
 fn all_that_is_allowed_fits_into_what_is_given() {
-    let allowed = Allowed::of(&given()).expect("room for work");
+    let allowed = ResourceLimits::of(&given()).expect("room for work");
     assert!(allowed.most_clients + allowed.most_links + OWN_DESCRIPTORS <= 256);
     assert!(
         allowed.most_clients * 3 >= 256,
@@ -31,12 +31,12 @@
         allowed.stop_moves, None,
         "streams are cut only where clients come back"
     );
-    assert!(Allowed::of(&Given {
+    assert!(ResourceLimits::of(&ProcessLimits {
         descriptors: OWN_DESCRIPTORS,
         ..given()
     })
     .is_none());
-    assert!(Allowed::of(&Given {
+    assert!(ResourceLimits::of(&ProcessLimits {
         descriptors: 3,
         ..given()
     })
@@ -55,12 +55,12 @@
         (3_000.0, 3_700.0),
         (60_000.0, 3_700.0),
     ] {
-        let given = Given {
+        let given = ProcessLimits {
             longest_deadline,
             clients_resume: true,
             ..given()
         };
-        let allowed = Allowed::of(&given).expect("room for work");
+        let allowed = ResourceLimits::of(&given).expect("room for work");
         let moves = allowed.stop_moves.expect("clients come back");
         assert!(
             moves + 300.0 <= kill,
@@ -85,7 +85,7 @@
     for notified_within in [10_000.0, 6_000.0] {
         for connect_timeout in [50.0, 250.0, 500.0, 1_000.0] {
             let discovery = Discovery::Polled { notified_within };
-            let allowed = Allowed::of(&Given {
+            let allowed = ResourceLimits::of(&ProcessLimits {
                 connect_timeout,
                 discovery,
                 ..given()
@@ -114,7 +114,7 @@
 fn an_agent_that_was_silent_is_asked_again_within_the_drain_grace() {
     for drain_grace in [250.0, 500.0, 2_000.0] {
         for connect_timeout in [50.0, 250.0, 1_000.0] {
-            let allowed = Allowed::of(&Given {
+            let allowed = ResourceLimits::of(&ProcessLimits {
                 connect_timeout,
                 drain_grace,
                 ..given()
@@ -135,7 +135,8 @@
 #[test]
 fn a_list_of_thousands_of_engines_is_taken_within_a_part_of_the_memory() {
     for memory in [32e6, 64e6, 192e6] {
-        let allowed = Allowed::of(&Given { memory, ..given() }).expect("room for work");
+        let allowed =
+            ResourceLimits::of(&ProcessLimits { memory, ..given() }).expect("room for work");
         assert!(allowed.most_list >= 4_096 * 600, "{}", allowed.most_list);
         assert!(
             allowed.most_list as f64 <= memory / 8.0,
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -4,14 +4,17 @@
 use cindercleat::status::*;
 use test_case::test_case;
 
-#[test_case(Told::Succeeded, Code::Ok)]
-#[test_case(Told::Rejected { full: false }, Code::Unavailable)]
-#[test_case(Told::Rejected { full: true }, Code::ResourceExhausted)]
-#[test_case(Told::Failed, Code::Unknown)]
-#[test_case(Told::InvalidRequest, Code::InvalidArgument)]
-fn a_client_is_told(told: Told, code: Code) {
+#[test_case(ClientAnswer::Succeeded, Code::Ok)]
+#[test_case(ClientAnswer::Rejected { full: false }, Code::Unavailable)]
+#[test_case(ClientAnswer::Rejected { full: true }, Code::ResourceExhausted)]
+#[test_case(ClientAnswer::Failed, Code::Unknown)]
+#[test_case(ClientAnswer::InvalidRequest, Code::InvalidArgument)]
+fn a_client_is_told(told: ClientAnswer, code: Code) {
     assert_eq!(to_client(told), code);
-    let harmless = matches!(told, Told::Rejected { .. } | Told::InvalidRequest);
+    let harmless = matches!(
+        told,
+        ClientAnswer::Rejected { .. } | ClientAnswer::InvalidRequest
+    );
     assert_eq!(
         again_is_harmless(code),
         harmless,
@@ -27,16 +30,23 @@
         } else {
             Outcome::ConnectionLost
         };
-        assert_eq!(of_engine(CallEnd::Reset(code)), expected, "code {code}");
+        assert_eq!(
+            attempt_outcome(CallEnd::Reset(code)),
+            expected,
+            "code {code}"
+        );
     }
-    assert_eq!(of_engine(CallEnd::Reset(0xffff)), Outcome::ConnectionLost);
+    assert_eq!(
+        attempt_outcome(CallEnd::Reset(0xffff)),
+        Outcome::ConnectionLost
+    );
 }
 
 #[test]
 fn a_status_proves_nothing_without_the_engines_own_mark() {
     for number in 0..=20 {
         let code = Code::from_number(number);
-        let unmarked = of_engine(CallEnd::Status {
+        let unmarked = attempt_outcome(CallEnd::Status {
             code,
             never_ran: false,
         });
@@ -45,7 +55,7 @@
             "{code:?}: {unmarked:?}"
         );
         assert_eq!(
-            of_engine(CallEnd::Status {
+            attempt_outcome(CallEnd::Status {
                 code,
                 never_ran: true
             }),
@@ -57,8 +67,11 @@
 
 #[test]
 fn what_was_not_sent_or_came_after_the_last_taken_has_not_run() {
-    assert_eq!(of_engine(CallEnd::NotSent), Outcome::Unreachable);
-    assert_eq!(of_engine(CallEnd::BeyondLast), Outcome::Overloaded);
-    assert_eq!(of_engine(CallEnd::ConnectionLost), Outcome::ConnectionLost);
-    assert_eq!(of_engine(CallEnd::Nothing), Outcome::ConnectionLost);
+    assert_eq!(attempt_outcome(CallEnd::NotSent), Outcome::Unreachable);
+    assert_eq!(attempt_outcome(CallEnd::BeyondLast), Outcome::Overloaded);
+    assert_eq!(
+        attempt_outcome(CallEnd::ConnectionLost),
+        Outcome::ConnectionLost
+    );
+    assert_eq!(attempt_outcome(CallEnd::Nothing), Outcome::ConnectionLost);
 }
