--- a/crates/cindercleat-cli/src/day.rs
+++ b/crates/cindercleat-cli/src/day.rs
@@ -3,7 +3,7 @@
 
 use crate::serve::{block_on, Thread};
 use cindercleat::interface::Ms;
-use cindercleat_dispatcher::shell::Places;
+use cindercleat_dispatcher::driver::Places;
 use cindercleat_faults::fleet::{befall, name, End, Fleet, Processes};
 use cindercleat_faults::plan::{rules, Day};
 use cindercleat_net::{Clock, Tcp, TokioClock};
--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -4,8 +4,8 @@
 use crate::serve::block_on;
 use cindercleat::resource_limits::{ProcessLimits, ResourceLimits, OWN_DESCRIPTORS};
 use cindercleat_conf::Conf;
+use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_dispatcher::settings::Http1Limits;
-use cindercleat_dispatcher::shell::{Places, Shell};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_http1::{Bounds, Http1};
 use cindercleat_net::{Listener, Tcp, TokioClock, Transport};
@@ -85,7 +85,7 @@
         connect_timeout: conf.settings.connect_timeout,
         discovery: conf.settings.discovery,
         drain_grace: conf.settings.drain_grace,
-        engine_idle: conf.link_idle,
+        engine_idle: conf.connection_idle,
         most_held: conf.max_open_requests,
         longest_deadline: conf
             .settings
@@ -122,9 +122,9 @@
     let never = f64::INFINITY;
     let limits = Limits {
         max_open_requests: allowed.max_open_requests,
-        streams_per_link: 1,
-        links_per_engine: allowed.most_links,
-        link_idle: allowed.link_idle,
+        streams_per_connection: 1,
+        connections_per_engine: allowed.max_connections,
+        connection_idle: allowed.connection_idle,
         window: allowed.window,
         stall_limit: allowed.stall,
         health_check_timeout: conf.settings.connect_timeout,
@@ -146,7 +146,7 @@
         greet_within: conf.settings.connect_timeout,
         single: Some(Http1Limits {
             clients: allowed.clients,
-            most_links: allowed.most_links,
+            max_connections: allowed.max_connections,
         }),
         feed: allowed.feed,
     };
@@ -193,7 +193,7 @@
             ..Places::default()
         };
         let wire = Http1::new(conf.bounds);
-        let shell = Shell::speaking(
+        let shell = Driver::speaking(
             wire,
             conf.program,
             places,
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -3,7 +3,7 @@
 use crate::settings::Serve;
 use cindercleat::fleet::bounds::Unit;
 use cindercleat::fleet::member::{Fares, MOST_REPORTS};
-use cindercleat_dispatcher::shell::{Places, Shell};
+use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_faults::fleet::End;
 use cindercleat_fleet::file::Folder;
@@ -29,7 +29,7 @@
             "serving"
         );
         let clock = TokioClock::system();
-        let shell = Shell::new(settings.program, settings.places, Tcp, clock, seed);
+        let shell = Driver::new(settings.program, settings.places, Tcp, clock, seed);
         // Duties are handed over at once, and what is open runs on meanwhile.
         let (told, mut hears) = tokio::sync::watch::channel(false);
         let mut beside = None;
@@ -72,7 +72,7 @@
 
 /// What a member of a fleet asks of the dispatcher that it runs beside.
 struct Beside {
-    shell: Shell<Tcp, TokioClock>,
+    shell: Driver<Tcp, TokioClock>,
     turn: Rc<Notify>,
 }
 
@@ -164,7 +164,7 @@
                         }
                     };
                     let _ = up.send(Ok(listener.address()));
-                    let shell = Shell::new(settings, places, Tcp, clock, seed);
+                    let shell = Driver::new(settings, places, Tcp, clock, seed);
                     let (stop, stopped) = oneshot::channel::<()>();
                     let serving = shell.serve(listener, async {
                         let _ = stopped.await;
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -4,7 +4,7 @@
 use crate::fleet_settings::{self, Fleet};
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::*;
-use cindercleat_dispatcher::shell::Places;
+use cindercleat_dispatcher::driver::Places;
 use cindercleat_dispatcher::{Limits, ProgramSettings, Service};
 use std::path::PathBuf;
 
@@ -182,9 +182,9 @@
     let greet_within = or("greet-within", 5_000.0)?;
     let own = Limits {
         max_open_requests: limits.value_or("most-tasks", 20_000)?,
-        streams_per_link: limits.value_or("streams-per-link", 100)?,
-        links_per_engine: limits.value_or("links-per-host", 16)?,
-        link_idle: or("link-idle", 15_000.0)?,
+        streams_per_connection: limits.value_or("streams-per-link", 100)?,
+        connections_per_engine: limits.value_or("links-per-host", 16)?,
+        connection_idle: or("link-idle", 15_000.0)?,
         window: limits.value_or("window", 32)?,
         stall_limit: or("stall", 3_000.0)?,
         health_check_timeout: or("probe-timeout", policy.connect_timeout)?,
@@ -204,7 +204,7 @@
         single: None,
         feed: DiscoverySettings::unhurried(greet_within),
     };
-    if own.window == 0 || own.streams_per_link == 0 || own.links_per_engine == 0 {
+    if own.window == 0 || own.streams_per_connection == 0 || own.connections_per_engine == 0 {
         return Err(limits
             .head
             .wrong("window, streams-per-link and links-per-host of at least 1"));
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -42,7 +42,7 @@
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// An engine closes a connection that rests for this long.
-    pub link_idle: Option<Ms>,
+    pub connection_idle: Option<Ms>,
     /// Whether clients ask for the rest of a stream that ends before its end.
     pub clients_resume: bool,
     /// Tasks open at once.
@@ -276,7 +276,7 @@
         };
         (0..count).map_while(name).collect()
     };
-    let link_idle = pairs.time_or("limits.connIdle", 0.0)?;
+    let connection_idle = pairs.time_or("limits.connIdle", 0.0)?;
     let clients_resume = pairs.flag("familyInfo.resume")?;
     let max_open_requests = if pairs.0.contains_key("limits.mostHeld") {
         Some(pairs.number("limits.mostHeld")?)
@@ -290,7 +290,7 @@
         tenants: named("orgs", tenants),
         zones: texts("zones"),
         kinds: texts("shapes"),
-        link_idle: (link_idle > 0.0).then_some(link_idle),
+        connection_idle: (connection_idle > 0.0).then_some(connection_idle),
         clients_resume,
         max_open_requests,
     })
--- a/crates/dispatcher/src/shell.rs
+++ b/crates/dispatcher/src/driver.rs
@@ -1,11 +1,13 @@
-//! Moves bytes between a transport and the [`Ledger`], and tells it the time. Nothing is chosen here.
+//! Moves bytes between a transport and the [`Dispatcher`], and tells it the time. Nothing is chosen here.
 //!
 //! All runs on one thread. What is to be written goes to the connection's session, of whatever [`Wire`]. The
 //! ledger is called in turn for each message, and its outputs go to the outboxes at once, so what is said to one
 //! peer keeps its order.
 
-use crate::ledger::{ConnId, Guarded, Input, Ledger, Level, LinkId, Output, StreamNo};
-use crate::{keep, ProgramSettings};
+use crate::state::{
+    ClientConnectionId, Dispatcher, EngineConnectionId, Guarded, Input, Level, Output, StreamId,
+};
+use crate::{endpoint_cache, ProgramSettings};
 use cindercleat::discovery_client::{DiscoveryCalls, FirstCall};
 use cindercleat::fleet::bounds::{Tally, Unit};
 use cindercleat::fleet::rollcall::EngineReport;
@@ -102,11 +104,11 @@
     transport: T,
     clock: C,
     wire: W,
-    ledger: RefCell<Ledger>,
-    clients: RefCell<BTreeMap<ConnId, W::Out>>,
-    links: RefCell<BTreeMap<LinkId, Rc<LinkEnd<W::Out>>>>,
+    ledger: RefCell<Dispatcher>,
+    clients: RefCell<BTreeMap<ClientConnectionId, W::Out>>,
+    connections: RefCell<BTreeMap<EngineConnectionId, Rc<LinkEnd<W::Out>>>>,
     peers: RefCell<BTreeMap<u32, W::Out>>,
-    connections: Cell<u64>,
+    last_client_connection: Cell<u64>,
     greeting: Cell<usize>,
     armed: Cell<Option<Ms>>,
     timer: Notify,
@@ -119,19 +121,19 @@
 }
 
 /// A dispatcher that serves, speaking `W`; clones are the same one.
-pub struct Shell<T, C, W: Wire = Grpc> {
+pub struct Driver<T, C, W: Wire = Grpc> {
     inner: Rc<Inner<T, C, W>>,
 }
 
-impl<T, C, W: Wire> Clone for Shell<T, C, W> {
+impl<T, C, W: Wire> Clone for Driver<T, C, W> {
     fn clone(&self) -> Self {
-        Shell {
+        Driver {
             inner: self.inner.clone(),
         }
     }
 }
 
-impl<T: Transport, C: Clock> Shell<T, C> {
+impl<T: Transport, C: Clock> Driver<T, C> {
     /// One that speaks gRPC. `seed` starts the chance that the decisions draw.
     pub fn new(
         settings: ProgramSettings,
@@ -140,11 +142,11 @@
         clock: C,
         seed: u64,
     ) -> Self {
-        Shell::speaking(Grpc, settings, places, transport, clock, seed)
+        Driver::speaking(Grpc, settings, places, transport, clock, seed)
     }
 }
 
-impl<T: Transport, C: Clock, W: Wire> Shell<T, C, W> {
+impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
     /// `seed` starts the chance that the decisions draw.
     pub fn speaking(
         wire: W,
@@ -154,7 +156,7 @@
         clock: C,
         seed: u64,
     ) -> Self {
-        let mut ledger = Ledger::new(settings.clone(), seed);
+        let mut ledger = Dispatcher::new(settings.clone(), seed);
         if tracing::enabled!(tracing::Level::DEBUG) {
             ledger.tell_stories();
         }
@@ -170,9 +172,9 @@
             clock,
             wire,
             clients: RefCell::default(),
-            links: RefCell::default(),
+            connections: RefCell::default(),
             peers: RefCell::default(),
-            connections: Cell::new(0),
+            last_client_connection: Cell::new(0),
             greeting: Cell::new(0),
             armed: Cell::new(None),
             timer: Notify::new(),
@@ -181,7 +183,7 @@
             place_changed: Notify::new(),
             stopped: Notify::new(),
         };
-        Shell {
+        Driver {
             inner: Rc::new(inner),
         }
     }
@@ -210,7 +212,7 @@
     }
 
     /// How much the ledger holds.
-    pub fn held(&self) -> crate::ledger::Holding {
+    pub fn held(&self) -> crate::state::Holding {
         self.inner.ledger.borrow().held()
     }
 
@@ -263,21 +265,21 @@
 
     /// Takes in a list as it was known before. Before serving: the feed's own list is newer.
     pub fn remember_list(&self, list: v1::EndpointList) {
-        self.input(Input::Remembered(list));
+        self.input(Input::CachedEndpoints(list));
     }
 
     fn remember(&self) {
         let Some(path) = self.inner.places.borrow().keep.clone() else {
             return;
         };
-        match keep::load(&path) {
+        match endpoint_cache::load(&path) {
             Ok(Some(list)) => {
                 tracing::info!(
                     engines = list.endpoints.len(),
                     version = list.version,
                     "list remembered"
                 );
-                self.input(Input::Remembered(list));
+                self.input(Input::CachedEndpoints(list));
             }
             Ok(None) => {}
             // Serving without a list beats not serving: the feed will tell.
@@ -357,24 +359,27 @@
                 }
             }
             Output::Dial {
-                link,
+                connection,
                 engine,
                 address,
             } => {
                 let end = Rc::new(LinkEnd::new());
-                self.inner.links.borrow_mut().insert(link, end.clone());
-                spawn_local(self.clone().link(link, engine, address, end));
+                self.inner
+                    .connections
+                    .borrow_mut()
+                    .insert(connection, end.clone());
+                spawn_local(self.clone().connection(connection, engine, address, end));
             }
-            Output::ToEngine { link, frame } => {
-                let links = self.inner.links.borrow();
-                let end = links.get(&link).map(|end| end.out.borrow());
+            Output::ToEngine { connection, frame } => {
+                let connections = self.inner.connections.borrow();
+                let end = connections.get(&connection).map(|end| end.out.borrow());
                 if let Some(out) = end.as_deref().and_then(Option::as_ref) {
                     out.send(frame);
                 }
             }
-            Output::CloseLink { link, reason } => {
-                tracing::debug!(link = link.0, reason, "link closed");
-                if let Some(end) = self.inner.links.borrow_mut().remove(&link) {
+            Output::CloseConnection { connection, reason } => {
+                tracing::debug!(connection = connection.0, reason, "link closed");
+                if let Some(end) = self.inner.connections.borrow_mut().remove(&connection) {
                     end.close();
                 }
             }
@@ -382,7 +387,7 @@
                 let Some(path) = self.inner.places.borrow().keep.clone() else {
                     return;
                 };
-                if let Err(problem) = keep::save(&path, &list) {
+                if let Err(problem) = endpoint_cache::save(&path, &list) {
                     tracing::warn!(path = %path.display(), %problem, "list not kept");
                 }
             }
@@ -431,7 +436,7 @@
         clients.iter().for_each(Outbox::close);
         self.wait_until_over(&clients, limits.greet_within).await;
         self.inner
-            .links
+            .connections
             .borrow()
             .values()
             .for_each(|end| end.close());
@@ -528,8 +533,8 @@
                 return tracing::debug!(reason, "connection refused");
             }
         };
-        let conn = ConnId(self.inner.connections.get() + 1);
-        self.inner.connections.set(conn.0);
+        let conn = ClientConnectionId(self.inner.last_client_connection.get() + 1);
+        self.inner.last_client_connection.set(conn.0);
         self.inner.clients.borrow_mut().insert(conn, out);
         self.input(Input::ClientUp { conn });
         // It can be asked to make room from now on.
@@ -549,7 +554,7 @@
                 Event::Flushed { stream, messages } => {
                     self.input(Input::Flushed {
                         conn,
-                        stream: StreamNo(stream),
+                        stream: StreamId(stream),
                         messages,
                     });
                 }
@@ -561,15 +566,21 @@
     }
 
     /// One connection to an engine, from the dialling to its end.
-    async fn link(self, link: LinkId, engine: EngineId, address: String, end: Rc<LinkEnd<W::Out>>) {
-        let reason = self.run_link(link, &engine, &address, &end).await;
-        self.inner.links.borrow_mut().remove(&link);
-        self.input(Input::LinkClosed { link, reason });
+    async fn connection(
+        self,
+        connection: EngineConnectionId,
+        engine: EngineId,
+        address: String,
+        end: Rc<LinkEnd<W::Out>>,
+    ) {
+        let reason = self.run_link(connection, &engine, &address, &end).await;
+        self.inner.connections.borrow_mut().remove(&connection);
+        self.input(Input::ConnectionClosed { connection, reason });
     }
 
     async fn run_link(
         &self,
-        link: LinkId,
+        connection: EngineConnectionId,
         engine: &EngineId,
         address: &str,
         end: &LinkEnd<W::Out>,
@@ -614,11 +625,11 @@
             },
         };
         *end.out.borrow_mut() = Some(out);
-        self.input(Input::LinkUp { link, limit });
+        self.input(Input::ConnectionUp { connection, limit });
         while let Some(event) = events.recv().await {
             match event {
-                Event::Frame(frame) => self.input(Input::Engine { link, frame }),
-                Event::GoingAway => self.input(Input::LinkLeaving { link }),
+                Event::Frame(frame) => self.input(Input::Engine { connection, frame }),
+                Event::GoingAway => self.input(Input::ConnectionDraining { connection }),
                 Event::Flushed { .. } | Event::Partly => {}
             }
         }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,13 +1,13 @@
 //! The running dispatcher.
 //!
-//! [`ledger::Ledger`] holds the requests, attempts, KV states, links and timers, and drives
+//! [`state::Dispatcher`] holds the requests, attempts, KV states, connections and timers, and drives
 //! [`Control`](cindercleat::control::Control); it does no I/O and reads no clock: inputs go in with their
-//! instant, outputs come out. [`shell`] moves bytes between it and a transport. One dispatcher is one thread.
+//! instant, outputs come out. [`driver`] moves bytes between it and a transport. One dispatcher is one thread.
 
-pub mod keep;
-pub mod ledger;
-pub mod planted;
+pub mod driver;
+pub mod endpoint_cache;
+pub mod fault_injection;
 pub mod settings;
-pub mod shell;
+pub mod state;
 
 pub use settings::{Limits, ProgramSettings, Service};
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -27,16 +27,16 @@
     /// Tasks open at once; one more is rejected.
     pub max_open_requests: usize,
     /// Launches and probes on one connection to an engine, and connections to one engine.
-    pub streams_per_link: usize,
-    pub links_per_engine: usize,
+    pub streams_per_connection: usize,
+    pub connections_per_engine: usize,
     /// A connection without streams is closed after this long.
-    pub link_idle: Ms,
+    pub connection_idle: Ms,
     /// Token messages of one stream that may be between a decode engine and its client.
     pub window: u32,
     /// A stream whose decode engine sends nothing, or whose client takes nothing, for this long is over.
     pub stall_limit: Ms,
     pub health_check_timeout: Ms,
-    /// A link with streams that says nothing for this long is asked, and given up if it does not answer.
+    /// A connection with streams that says nothing for this long is asked, and given up if it does not answer.
     pub quiet: Ms,
     pub ping_timeout: Ms,
     /// The wait after a failed connect, doubled each time up to the most.
@@ -69,17 +69,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Http1Limits {
     pub clients: Http1Settings,
-    pub most_links: usize,
+    pub max_connections: usize,
 }
 
 impl ProgramSettings {
     pub fn channels(&self) -> PoolSettings {
         let limits = &self.limits;
         PoolSettings {
-            streams: limits.streams_per_link,
-            most: limits.links_per_engine,
+            streams: limits.streams_per_connection,
+            most: limits.connections_per_engine,
             connect_timeout: self.policy.connect_timeout,
-            idle: limits.link_idle,
+            idle: limits.connection_idle,
             quiet: limits.quiet,
             ping_timeout: limits.ping_timeout,
             again_first: limits.again_first,
--- a/crates/dispatcher/src/ledger/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -17,23 +17,23 @@
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Callers {
-    all: BTreeMap<ConnId, Row>,
+pub(super) struct ClientConnections {
+    all: BTreeMap<ClientConnectionId, Row>,
 }
 
-impl Callers {
-    pub fn remove(&mut self, conn: ConnId) {
+impl ClientConnections {
+    pub fn remove(&mut self, conn: ClientConnectionId) {
         self.all.remove(&conn);
     }
 
-    pub fn all(&self) -> impl Iterator<Item = ConnId> + '_ {
+    pub fn all(&self) -> impl Iterator<Item = ClientConnectionId> + '_ {
         self.all.keys().copied()
     }
 
     /// Sets the timer for what falls due next, unless an earlier one is set: it looks again.
     fn arm(
         &mut self,
-        conn: ConnId,
+        conn: ClientConnectionId,
         settings: &MultiplexedSettings,
         limits: &Limits,
         timers: &mut Timers,
@@ -56,8 +56,8 @@
     }
 }
 
-impl Ledger {
-    pub(super) fn take_client_up(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+impl Dispatcher {
+    pub(super) fn take_client_up(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         let settings = self.settings.callers();
         let caller = MultiplexedConnection::new(&settings, self.now);
         let single = self
@@ -79,25 +79,25 @@
         }
     }
 
-    fn arm_client(&mut self, conn: ConnId) {
+    fn arm_client(&mut self, conn: ClientConnectionId) {
         let settings = self.settings.callers();
         self.callers
             .arm(conn, &settings, &self.settings.limits, &mut self.timers);
     }
 
-    pub(super) fn heard_client(&mut self, conn: ConnId) {
+    pub(super) fn heard_client(&mut self, conn: ClientConnectionId) {
         if let Some(row) = self.callers.all.get_mut(&conn) {
             row.caller.heard(self.now);
         }
     }
 
     /// Part of a request is there.
-    pub(super) fn take_partly(&mut self, conn: ConnId) {
+    pub(super) fn take_partly(&mut self, conn: ClientConnectionId) {
         self.change_single(conn, Http1Connection::partly);
     }
 
     /// A request is there; gives how long ago its first part came.
-    pub(super) fn client_asks(&mut self, conn: ConnId) -> Ms {
+    pub(super) fn client_asks(&mut self, conn: ClientConnectionId) -> Ms {
         let single = self
             .callers
             .all
@@ -107,11 +107,15 @@
     }
 
     /// The one answer to a request is out.
-    pub(super) fn client_answered(&mut self, conn: ConnId) {
+    pub(super) fn client_answered(&mut self, conn: ClientConnectionId) {
         self.change_single(conn, Http1Connection::answered);
     }
 
-    fn change_single(&mut self, conn: ConnId, change: impl FnOnce(&mut Http1Connection, Ms)) {
+    fn change_single(
+        &mut self,
+        conn: ClientConnectionId,
+        change: impl FnOnce(&mut Http1Connection, Ms),
+    ) {
         if let Some(single) = self
             .callers
             .all
@@ -143,7 +147,12 @@
         }
     }
 
-    fn end_single(&mut self, conn: ConnId, why: http1::CloseReason, out: &mut Vec<Output>) {
+    fn end_single(
+        &mut self,
+        conn: ClientConnectionId,
+        why: http1::CloseReason,
+        out: &mut Vec<Output>,
+    ) {
         match why {
             // What it asks as this is said is still answered.
             http1::CloseReason::Silent => out.push(Output::LeaveClient { conn }),
@@ -154,7 +163,7 @@
         }
     }
 
-    pub(super) fn count_cancel(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    pub(super) fn count_cancel(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         let settings = self.settings.callers();
         if let Some(row) = self.callers.all.get_mut(&conn) {
             row.caller.cancelled(&settings, self.now);
@@ -163,7 +172,7 @@
     }
 
     /// What has fallen due for a client's connection.
-    pub(super) fn look_at_client(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    pub(super) fn look_at_client(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         let settings = self.settings.callers();
         let Some(row) = self.callers.all.get_mut(&conn) else {
             return;
--- a/crates/dispatcher/src/ledger/links.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -1,10 +1,10 @@
-//! Links: connections to engines, and what is out on each. Which one a stream takes, when one more is
+//! EngineConnections: connections to engines, and what is out on each. Which one a stream takes, when one more is
 //! dialled, asked whether it lives or closed, [`ConnectionPool`] decides.
 
 use super::engine_releases::EngineRelease;
 use super::kv_states::ReleaseCall;
 use super::timers::{Due, Timers};
-use super::{LinkId, Output, StreamNo};
+use super::{EngineConnectionId, Output, StreamId};
 use crate::settings::ProgramSettings;
 use cindercleat::connection_pool::{
     ConnectionId, ConnectionPool, Placement, PlacementError, PoolCommand,
@@ -14,9 +14,9 @@
 use cindercleat_protocol::{frame, Body};
 use std::collections::BTreeMap;
 
-/// What a stream of a link is for.
+/// What a stream of a connection is for.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Use {
+pub(super) enum StreamPurpose {
     Attempt(RequestId, AttemptId),
     Probe {
         sent: Ms,
@@ -32,13 +32,13 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Link {
+pub(super) struct EngineConnection {
     pub engine: EngineId,
     pub address: String,
     pub up: bool,
-    pub streams: BTreeMap<StreamNo, Use>,
+    pub streams: BTreeMap<StreamId, StreamPurpose>,
     /// What goes out once it is up.
-    pub waiting: Vec<(StreamNo, Body)>,
+    pub waiting: Vec<(StreamId, Body)>,
     /// When it last sent anything.
     pub heard: Ms,
     /// When it was dialled, and when its last call began.
@@ -47,14 +47,14 @@
     next_stream: u64,
 }
 
-impl Link {
+impl EngineConnection {
     /// Streams that it has carried.
     pub fn carried(&self) -> u64 {
         self.next_stream - 1
     }
 }
 
-/// What tells whether an engine runs, by whatever link. Instants long ago stand for never.
+/// What tells whether an engine runs, by whatever connection. Instants long ago stand for never.
 #[derive(Clone, Copy, Debug)]
 struct Signs {
     /// When it last sent anything.
@@ -80,31 +80,31 @@
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Links {
-    all: BTreeMap<LinkId, Link>,
-    of: BTreeMap<EngineId, Vec<LinkId>>,
+pub(super) struct EngineConnections {
+    all: BTreeMap<EngineConnectionId, EngineConnection>,
+    of: BTreeMap<EngineId, Vec<EngineConnectionId>>,
     made: u64,
     decide: BTreeMap<EngineId, ConnectionPool>,
     signs: BTreeMap<EngineId, Signs>,
-    /// When the timer of an engine's links is due.
+    /// When the timer of an engine's connections is due.
     armed: BTreeMap<EngineId, Ms>,
     seed: u64,
 }
 
-impl Links {
+impl EngineConnections {
     /// `seed` starts the chance in when a connect is tried again.
     pub fn new(seed: u64) -> Self {
-        Links {
+        EngineConnections {
             seed,
-            ..Links::default()
+            ..EngineConnections::default()
         }
     }
 
-    pub fn get(&self, id: LinkId) -> Option<&Link> {
+    pub fn get(&self, id: EngineConnectionId) -> Option<&EngineConnection> {
         self.all.get(&id)
     }
 
-    pub fn get_mut(&mut self, id: LinkId) -> Option<&mut Link> {
+    pub fn get_mut(&mut self, id: EngineConnectionId) -> Option<&mut EngineConnection> {
         self.all.get_mut(&id)
     }
 
@@ -112,23 +112,23 @@
         self.all.len()
     }
 
-    pub fn ids_of(&self, engine: &EngineId) -> Vec<LinkId> {
+    pub fn ids_of(&self, engine: &EngineId) -> Vec<EngineConnectionId> {
         self.of.get(engine).cloned().unwrap_or_default()
     }
 
-    /// A stream at `engine`, on a link that is dialled if need be.
+    /// A stream at `engine`, on a connection that is dialled if need be.
     ///
     /// # Errors
-    /// No link may carry it now; it has not run.
+    /// No connection may carry it now; it has not run.
     pub fn open(
         &mut self,
         engine: &EngineId,
         address: &str,
-        purpose: Use,
+        purpose: StreamPurpose,
         now: Ms,
         settings: &ProgramSettings,
         (timers, out): (&mut Timers, &mut Vec<Output>),
-    ) -> Result<(LinkId, StreamNo), PlacementError> {
+    ) -> Result<(EngineConnectionId, StreamId), PlacementError> {
         let chosen = self.place(engine, address, now, settings, (timers, out))?;
         let stream = self
             .open_on(chosen, purpose, now, timers)
@@ -150,9 +150,9 @@
         now: Ms,
         settings: &ProgramSettings,
         to: (&mut Timers, &mut Vec<Output>),
-    ) -> Result<LinkId, PlacementError> {
+    ) -> Result<EngineConnectionId, PlacementError> {
         let ids = self.of.get(engine).into_iter().flatten();
-        let moved: Vec<LinkId> = ids
+        let moved: Vec<EngineConnectionId> = ids
             .copied()
             .filter(|id| self.all[id].address != address)
             .collect();
@@ -164,12 +164,12 @@
             .iter()
             .for_each(|id| channels.going_away(ConnectionId(id.0)));
         match channels.place(now) {
-            Placement::On(id) => Ok(LinkId(id.0)),
+            Placement::On(id) => Ok(EngineConnectionId(id.0)),
             Placement::Connect => {
                 let most = settings
                     .limits
                     .single
-                    .map_or(usize::MAX, |single| single.most_links);
+                    .map_or(usize::MAX, |single| single.max_connections);
                 if self.all.len() >= most && !self.make_room(now, to.1) {
                     return Err(PlacementError::AllTaken);
                 }
@@ -179,18 +179,18 @@
         }
     }
 
-    /// Closes the link that has rested longest, at whatever engine; tells whether there was one.
+    /// Closes the connection that has rested longest, at whatever engine; tells whether there was one.
     fn make_room(&mut self, now: Ms, out: &mut Vec<Output>) -> bool {
         let resting = self
             .all
             .iter()
-            .filter(|(_, link)| link.up && link.streams.is_empty());
+            .filter(|(_, connection)| connection.up && connection.streams.is_empty());
         let longest = resting
             .min_by(|a, b| a.1.heard.total_cmp(&b.1.heard))
             .map(|(id, _)| *id);
         if let Some(id) = longest {
-            out.push(Output::CloseLink {
-                link: id,
+            out.push(Output::CloseConnection {
+                connection: id,
                 reason: "its place is wanted".to_owned(),
             });
             self.remove(id, now);
@@ -198,18 +198,18 @@
         longest.is_some()
     }
 
-    /// Sets the timer for what falls due next at an engine's links, unless an earlier one is set: it looks again.
+    /// Sets the timer for what falls due next at an engine's connections, unless an earlier one is set: it looks again.
     pub fn arm(&mut self, engine: &EngineId, timers: &mut Timers) {
         let Some(at) = self.decide.get(engine).and_then(ConnectionPool::next_at) else {
             return;
         };
         if self.armed.get(engine).is_none_or(|armed| at < *armed) {
             self.armed.insert(engine.clone(), at);
-            timers.set(at, Due::Links(engine.clone()));
+            timers.set(at, Due::EngineConnections(engine.clone()));
         }
     }
 
-    /// What is to be done by now about an engine's links.
+    /// What is to be done by now about an engine's connections.
     pub fn wanted(&mut self, engine: &EngineId, now: Ms, ready: bool) -> Vec<PoolCommand> {
         self.armed.remove(engine);
         self.decide
@@ -218,13 +218,19 @@
             .unwrap_or_default()
     }
 
-    /// The link is up; `limit`: the streams that the engine allows on it.
-    pub fn come_up(&mut self, id: LinkId, limit: Option<usize>, now: Ms, timers: &mut Timers) {
-        let Some(link) = self.all.get_mut(&id) else {
+    /// The connection is up; `limit`: the streams that the engine allows on it.
+    pub fn come_up(
+        &mut self,
+        id: EngineConnectionId,
+        limit: Option<usize>,
+        now: Ms,
+        timers: &mut Timers,
+    ) {
+        let Some(connection) = self.all.get_mut(&id) else {
             return;
         };
-        link.up = true;
-        let engine = link.engine.clone();
+        connection.up = true;
+        let engine = connection.engine.clone();
         if let Some(channels) = self.decide.get_mut(&engine) {
             channels.up(ConnectionId(id.0), limit, now);
         }
@@ -232,8 +238,12 @@
     }
 
     /// The engine takes nothing new on it.
-    pub fn leaving(&mut self, id: LinkId, timers: &mut Timers) {
-        let Some(engine) = self.all.get(&id).map(|link| link.engine.clone()) else {
+    pub fn leaving(&mut self, id: EngineConnectionId, timers: &mut Timers) {
+        let Some(engine) = self
+            .all
+            .get(&id)
+            .map(|connection| connection.engine.clone())
+        else {
             return;
         };
         if let Some(channels) = self.decide.get_mut(&engine) {
@@ -242,21 +252,21 @@
         self.arm(&engine, timers);
     }
 
-    /// One more stream on a link that is up, whatever it carries: for what ends something, and so must not
+    /// One more stream on a connection that is up, whatever it carries: for what ends something, and so must not
     /// wait for room.
     pub fn open_on(
         &mut self,
-        id: LinkId,
-        purpose: Use,
+        id: EngineConnectionId,
+        purpose: StreamPurpose,
         now: Ms,
         timers: &mut Timers,
-    ) -> Option<StreamNo> {
-        let link = self.all.get_mut(&id)?;
-        let stream = StreamNo(link.next_stream);
-        link.next_stream += 1;
-        link.last_call = now;
-        link.streams.insert(stream, purpose);
-        let engine = link.engine.clone();
+    ) -> Option<StreamId> {
+        let connection = self.all.get_mut(&id)?;
+        let stream = StreamId(connection.next_stream);
+        connection.next_stream += 1;
+        connection.last_call = now;
+        connection.streams.insert(stream, purpose);
+        let engine = connection.engine.clone();
         if let Some(channels) = self.decide.get_mut(&engine) {
             channels.opened(ConnectionId(id.0), now);
         }
@@ -265,12 +275,12 @@
     }
 
     /// Something came over it.
-    pub fn heard(&mut self, id: LinkId, now: Ms) {
-        let Some(link) = self.all.get_mut(&id) else {
+    pub fn heard(&mut self, id: EngineConnectionId, now: Ms) {
+        let Some(connection) = self.all.get_mut(&id) else {
             return;
         };
-        link.heard = now;
-        if let Some(channels) = self.decide.get_mut(&link.engine) {
+        connection.heard = now;
+        if let Some(channels) = self.decide.get_mut(&connection.engine) {
             channels.heard(ConnectionId(id.0), now);
         }
     }
@@ -283,26 +293,30 @@
     }
 
     /// A message has come over it that its engine wrote: the engine ran after it had the call.
-    pub fn answered(&mut self, id: LinkId, now: Ms) {
-        let Some(link) = self.all.get(&id) else {
+    pub fn answered(&mut self, id: EngineConnectionId, now: Ms) {
+        let Some(connection) = self.all.get(&id) else {
             return;
         };
-        if !self.signs.contains_key(&link.engine) {
-            self.signs.insert(link.engine.clone(), Signs::default());
+        if !self.signs.contains_key(&connection.engine) {
+            self.signs
+                .insert(connection.engine.clone(), Signs::default());
         }
-        if let Some(signs) = self.signs.get_mut(&link.engine) {
+        if let Some(signs) = self.signs.get_mut(&connection.engine) {
             signs.heard = now;
-            signs.ran = signs.ran.max(link.last_call).max(now - RECEIVED_LATE);
+            signs.ran = signs.ran.max(connection.last_call).max(now - RECEIVED_LATE);
         }
     }
 
     /// What has come over it is part of an attempt's answer, or the whole.
-    pub fn worked(&mut self, id: LinkId, now: Ms) {
-        let Some(link) = self.all.get(&id) else {
+    pub fn worked(&mut self, id: EngineConnectionId, now: Ms) {
+        let Some(connection) = self.all.get(&id) else {
             return;
         };
-        if let Some(signs) = self.signs.get_mut(&link.engine) {
-            signs.worked = signs.worked.max(link.last_call).max(now - RECEIVED_LATE);
+        if let Some(signs) = self.signs.get_mut(&connection.engine) {
+            signs.worked = signs
+                .worked
+                .max(connection.last_call)
+                .max(now - RECEIVED_LATE);
         }
     }
 
@@ -332,15 +346,15 @@
 
     /// Whether an engine that left a question unanswered has another one open.
     pub fn is_asked_in_vain(&self, engine: &EngineId) -> bool {
-        let asks = |id: &LinkId| {
+        let asks = |id: &EngineConnectionId| {
             let streams = self
                 .all
                 .get(id)
                 .into_iter()
-                .flat_map(|link| link.streams.values());
+                .flat_map(|connection| connection.streams.values());
             streams
                 .into_iter()
-                .any(|purpose| matches!(purpose, Use::Release(..) | Use::Sign))
+                .any(|purpose| matches!(purpose, StreamPurpose::Release(..) | StreamPurpose::Sign))
         };
         self.is_suspected(engine) && self.of.get(engine).into_iter().flatten().any(asks)
     }
@@ -366,12 +380,12 @@
         address: &str,
         now: Ms,
         (timers, out): (&mut Timers, &mut Vec<Output>),
-    ) -> LinkId {
+    ) -> EngineConnectionId {
         self.made += 1;
-        let id = LinkId(self.made);
+        let id = EngineConnectionId(self.made);
         let (engine, address) = (engine.clone(), address.to_owned());
         out.push(Output::Dial {
-            link: id,
+            connection: id,
             engine: engine.clone(),
             address: address.clone(),
         });
@@ -379,7 +393,7 @@
             channels.connecting(ConnectionId(id.0), now);
         }
         self.of.entry(engine.clone()).or_default().push(id);
-        let link = Link {
+        let connection = EngineConnection {
             engine: engine.clone(),
             address,
             up: false,
@@ -390,29 +404,33 @@
             last_call: now,
             next_stream: 1,
         };
-        self.all.insert(id, link);
+        self.all.insert(id, connection);
         self.arm(&engine, timers);
         id
     }
 
     /// Releases that were sent to the engines of their states, and that those have not answered.
     pub fn releasing(&self) -> usize {
-        let all = self.all.values().flat_map(|link| link.streams.values());
-        all.filter(|purpose| matches!(purpose, Use::EngineRelease(..)))
+        let all = self
+            .all
+            .values()
+            .flat_map(|connection| connection.streams.values());
+        all.filter(|purpose| matches!(purpose, StreamPurpose::EngineRelease(..)))
             .count()
     }
 
-    /// A link to the engine that is up and takes streams; `resting`: one that carries nothing.
-    pub fn up(&self, engine: &EngineId, resting: bool) -> Option<LinkId> {
+    /// A connection to the engine that is up and takes streams; `resting`: one that carries nothing.
+    pub fn up(&self, engine: &EngineId, resting: bool) -> Option<EngineConnectionId> {
         let channels = self.decide.get(engine)?;
         let ids = self.of.get(engine)?;
-        let fits = |l: &Link| l.up && (!resting || l.streams.is_empty());
-        let takes =
-            |id: &LinkId| channels.takes(ConnectionId(id.0)) && self.all.get(id).is_some_and(fits);
+        let fits = |l: &EngineConnection| l.up && (!resting || l.streams.is_empty());
+        let takes = |id: &EngineConnectionId| {
+            channels.takes(ConnectionId(id.0)) && self.all.get(id).is_some_and(fits)
+        };
         ids.iter().copied().find(takes)
     }
 
-    /// Sees to it that a link to the engine is up or coming up; tells whether it could.
+    /// Sees to it that a connection to the engine is up or coming up; tells whether it could.
     pub fn want(
         &mut self,
         engine: &EngineId,
@@ -429,42 +447,48 @@
         coming || self.place(engine, address, now, settings, to).is_ok()
     }
 
-    /// Sends now, or once the link is up.
-    pub fn send(&mut self, id: LinkId, stream: StreamNo, body: Body, out: &mut Vec<Output>) {
-        let Some(link) = self.all.get_mut(&id) else {
+    /// Sends now, or once the connection is up.
+    pub fn send(
+        &mut self,
+        id: EngineConnectionId,
+        stream: StreamId,
+        body: Body,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(connection) = self.all.get_mut(&id) else {
             return;
         };
-        if link.up {
+        if connection.up {
             out.push(Output::ToEngine {
-                link: id,
+                connection: id,
                 frame: frame(stream.0, body),
             });
         } else {
-            link.waiting.push((stream, body));
+            connection.waiting.push((stream, body));
         }
     }
 
     /// Takes back what was to be sent on a stream; tells whether it had not gone out.
-    pub fn unsend(&mut self, id: LinkId, stream: StreamNo) -> bool {
-        let Some(link) = self.all.get_mut(&id) else {
+    pub fn unsend(&mut self, id: EngineConnectionId, stream: StreamId) -> bool {
+        let Some(connection) = self.all.get_mut(&id) else {
             return true;
         };
-        let before = link.waiting.len();
-        link.waiting.retain(|(waiting, _)| *waiting != stream);
-        link.waiting.len() < before
+        let before = connection.waiting.len();
+        connection.waiting.retain(|(waiting, _)| *waiting != stream);
+        connection.waiting.len() < before
     }
 
-    /// The stream is over; the link may be idle from now on.
+    /// The stream is over; the connection may be idle from now on.
     pub fn close_stream(
         &mut self,
-        id: LinkId,
-        stream: StreamNo,
+        id: EngineConnectionId,
+        stream: StreamId,
         now: Ms,
         timers: &mut Timers,
-    ) -> Option<Use> {
-        let link = self.all.get_mut(&id)?;
-        let purpose = link.streams.remove(&stream)?;
-        let engine = link.engine.clone();
+    ) -> Option<StreamPurpose> {
+        let connection = self.all.get_mut(&id)?;
+        let purpose = connection.streams.remove(&stream)?;
+        let engine = connection.engine.clone();
         if let Some(channels) = self.decide.get_mut(&engine) {
             channels.ended(ConnectionId(id.0), now);
         }
@@ -472,7 +496,7 @@
         Some(purpose)
     }
 
-    /// Forgets what was decided about an engine's links, if none is left; tells whether it did.
+    /// Forgets what was decided about an engine's connections, if none is left; tells whether it did.
     pub fn forget(&mut self, engine: &EngineId) -> bool {
         let none = !self.of.contains_key(engine);
         if none {
@@ -483,24 +507,24 @@
         none
     }
 
-    /// Whether the link is up and carries nothing.
-    pub fn is_idle(&self, id: LinkId) -> bool {
+    /// Whether the connection is up and carries nothing.
+    pub fn is_idle(&self, id: EngineConnectionId) -> bool {
         self.all
             .get(&id)
             .is_some_and(|l| l.up && l.streams.is_empty())
     }
 
-    pub fn remove(&mut self, id: LinkId, now: Ms) -> Option<Link> {
-        let link = self.all.remove(&id)?;
-        if let Some(channels) = self.decide.get_mut(&link.engine) {
+    pub fn remove(&mut self, id: EngineConnectionId, now: Ms) -> Option<EngineConnection> {
+        let connection = self.all.remove(&id)?;
+        if let Some(channels) = self.decide.get_mut(&connection.engine) {
             channels.closed(ConnectionId(id.0), now);
         }
-        if let Some(ids) = self.of.get_mut(&link.engine) {
+        if let Some(ids) = self.of.get_mut(&connection.engine) {
             ids.retain(|other| *other != id);
             if ids.is_empty() {
-                self.of.remove(&link.engine);
+                self.of.remove(&connection.engine);
             }
         }
-        Some(link)
+        Some(connection)
     }
 }
--- a/crates/dispatcher/src/ledger/delivery.rs
+++ b/crates/dispatcher/src/state/delivery.rs
@@ -3,14 +3,14 @@
 //! Written bytes are no proof. The answer to a call that was begun after the attempt was sent is one, on whatever
 //! connection it comes; so is anything that comes so long after it that it cannot have been under way before.
 
-use super::links::Use;
+use super::connections::StreamPurpose;
 use super::*;
 
 /// The part of the release time within which an engine has to answer when it is asked for a sign. Then the connection
 /// is given up, and the next question takes another one.
 const ANSWER_PART: f64 = 4.0;
 
-impl Ledger {
+impl Dispatcher {
     /// The decisions want to know whether an attempt has reached an engine that runs.
     pub(super) fn confirm(&mut self, id: RequestId, no: AttemptId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
@@ -23,7 +23,7 @@
         let Some(sent) = attempt.sent else { return };
         let engine = attempt.engine.clone();
         attempt.is_doubted = true;
-        if self.links.has_run_since(&engine, sent) {
+        if self.connections.has_run_since(&engine, sent) {
             self.delivered(id);
         } else {
             self.unconfirmed.insert(id);
@@ -50,7 +50,7 @@
     pub(super) fn has_arrived(&self, attempt: &requests::Attempt) -> bool {
         attempt
             .sent
-            .is_some_and(|sent| self.links.has_run_since(&attempt.engine, sent))
+            .is_some_and(|sent| self.connections.has_run_since(&attempt.engine, sent))
     }
 
     fn delivered(&mut self, request: RequestId) {
@@ -82,29 +82,34 @@
             return;
         };
         let Some(row) = self
-            .fleet
+            .endpoints
             .engines
             .get(engine)
             .filter(|row| row.status != EndpointStatus::Gone)
         else {
             return;
         };
-        if self.links.is_asked_in_vain(engine) {
+        if self.connections.is_asked_in_vain(engine) {
             return;
         }
         let address = row.line.address.clone();
         let to = (&mut self.timers, &mut *out);
         // Without a connection there is no sign either.
-        let Ok((link, stream)) =
-            self.links
-                .open(engine, &address, Use::Sign, self.now, &self.settings, to)
-        else {
+        let Ok((connection, stream)) = self.connections.open(
+            engine,
+            &address,
+            StreamPurpose::Sign,
+            self.now,
+            &self.settings,
+            to,
+        ) else {
             return;
         };
         let within = self.settings.policy.kv_state_timeout / ANSWER_PART;
-        self.timers.set(self.now + within, Due::Past(link, stream));
-        self.links.send(
-            link,
+        self.timers
+            .set(self.now + within, Due::Past(connection, stream));
+        self.connections.send(
+            connection,
             stream,
             Body::Release(v1::Release {
                 state: None,
@@ -122,7 +127,7 @@
             true => "nothing has come on its attempt's connection",
             false => "its attempt has not arrived",
         };
-        let link = self.links.get(attempt.link)?;
+        let connection = self.connections.get(attempt.connection)?;
         let since = |at: Ms| {
             if at.is_finite() {
                 format!("{:.0} ms ago", self.now - at)
@@ -137,10 +142,10 @@
             attempt.no.0,
             attempt.engine.0,
             attempt.sent.map_or("not yet".to_owned(), since),
-            since(link.dialled),
-            link.carried(),
-            since(self.links.heard_at(&attempt.engine)),
-            since(self.links.ran_at(&attempt.engine)),
+            since(connection.dialled),
+            connection.carried(),
+            since(self.connections.heard_at(&attempt.engine)),
+            since(self.connections.ran_at(&attempt.engine)),
         );
         Some((doubt, text))
     }
--- a/crates/dispatcher/src/ledger/fleet.rs
+++ b/crates/dispatcher/src/state/endpoints.rs
@@ -8,20 +8,20 @@
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
-pub(super) struct EngineRow {
+pub(super) struct EngineEntry {
     pub line: v1::Endpoint,
     pub status: EndpointStatus,
     pub role: Role,
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Fleet {
-    pub engines: BTreeMap<EngineId, EngineRow>,
+pub(super) struct Endpoints {
+    pub engines: BTreeMap<EngineId, EngineEntry>,
     cells: BTreeMap<String, CellId>,
     pub version: u64,
 }
 
-impl Fleet {
+impl Endpoints {
     /// Takes a list in. Gives the endpoints for the decisions, and says what was wrong with lines passed over.
     pub fn take(
         &mut self,
@@ -102,7 +102,7 @@
         let engine = EngineId(Arc::from(line.engine.as_str()));
         self.engines.insert(
             engine.clone(),
-            EngineRow {
+            EngineEntry {
                 line: line.clone(),
                 status,
                 role,
--- a/crates/dispatcher/src/ledger/engine_releases.rs
+++ b/crates/dispatcher/src/state/engine_releases.rs
@@ -1,8 +1,8 @@
 //! Releases where a state belongs to one engine and goes by an id of its own, over connections that carry many calls: a
 //! release goes to that engine until it has confirmed it. One that is lost on its way would leave the state pinned.
 
+use super::connections::StreamPurpose;
 use super::kv_states::Held;
-use super::links::Use;
 use super::*;
 
 /// A release is sent again after this part of the release time.
@@ -17,7 +17,7 @@
     since: Ms,
 }
 
-impl Ledger {
+impl Dispatcher {
     pub(super) fn release_at_engine(&mut self, held: Held, out: &mut Vec<Output>) {
         let engine = held.engine.clone();
         self.unreleased
@@ -42,7 +42,7 @@
         );
     }
 
-    /// Lets go what is to be let go at an engine, over any link that is up; else one is had. A process that is gone holds
+    /// Lets go what is to be let go at an engine, over any connection that is up; else one is had. A process that is gone holds
     /// nothing, and an engine that cannot be reached for long has its own time limit.
     pub(super) fn flush_releases(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
         let Some(states) = self.unreleased.get_mut(engine) else {
@@ -51,25 +51,25 @@
         let oldest = self.now - GIVE_UP_AFTER * self.settings.policy.kv_state_timeout;
         states.retain(|release| release.since >= oldest);
         let row = self
-            .fleet
+            .endpoints
             .engines
             .get(engine)
             .filter(|row| row.status != EndpointStatus::Gone);
-        match (self.links.up(engine, false), row) {
-            (Some(link), _) => {
+        match (self.connections.up(engine, false), row) {
+            (Some(connection), _) => {
                 for release in self.unreleased.remove(engine).unwrap_or_default() {
                     let (state, origin) = (Some(release.held.id), release.held.origin.clone());
-                    let purpose = Use::EngineRelease(release);
-                    let stream = self
-                        .links
-                        .open_on(link, purpose, self.now, &mut self.timers);
+                    let purpose = StreamPurpose::EngineRelease(release);
+                    let stream =
+                        self.connections
+                            .open_on(connection, purpose, self.now, &mut self.timers);
                     let Some(stream) = stream else { continue };
                     self.timers.set(
                         self.now + self.settings.limits.stall_limit,
-                        Due::Past(link, stream),
+                        Due::Past(connection, stream),
                     );
-                    self.links.send(
-                        link,
+                    self.connections.send(
+                        connection,
                         stream,
                         Body::Release(v1::Release { state, origin }),
                         out,
@@ -80,7 +80,7 @@
                 let address = row.line.address.clone();
                 let to = (&mut self.timers, out);
                 if !self
-                    .links
+                    .connections
                     .want(engine, &address, self.now, &self.settings, to)
                 {
                     let again = Due::Release(engine.clone());
--- a/crates/dispatcher/src/ledger/engines.rs
+++ b/crates/dispatcher/src/state/engines.rs
@@ -1,10 +1,10 @@
 //! The side of the ledger that faces the engines: attempts out, KV states held, probes, and what engines
-//! and links have to say of them.
+//! and connections have to say of them.
 
+use super::connections::StreamPurpose;
 use super::kv_states::{Held, ReleaseCall};
-use super::links::Use;
 use super::*;
-use crate::ledger::requests::Attempt;
+use crate::state::requests::Attempt;
 use cindercleat::connection_pool::{CloseReason, PlacementError, PoolCommand};
 
 /// The whole of the credit is given back in so many parts.
@@ -12,7 +12,7 @@
 /// An engine is told to wait for a millisecond at least: 0 would say nothing.
 const LEAST_WAIT: Ms = 1.0;
 
-impl Ledger {
+impl Dispatcher {
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -27,7 +27,7 @@
         request.attempts += 1;
         let (holds_no_state, answered) = (self.kv_states.on_offer(id).is_none(), request.answered);
         let reads = self
-            .fleet
+            .endpoints
             .engines
             .get(&engine)
             .is_some_and(|row| row.role == Role::Prefill);
@@ -38,9 +38,10 @@
                 .events
                 .push(never_sent(id, no, engine, Outcome::NotSent, answered));
         }
-        let (Some(request), Some(row)) =
-            (self.requests.get_mut(&id), self.fleet.engines.get(&engine))
-        else {
+        let (Some(request), Some(row)) = (
+            self.requests.get_mut(&id),
+            self.endpoints.engines.get(&engine),
+        ) else {
             return;
         };
         let address = row.line.address.clone();
@@ -52,12 +53,12 @@
             request,
             held,
             reading.then_some(state),
-            &self.fleet,
+            &self.endpoints,
             window,
             until - self.now,
         );
-        let purpose = Use::Attempt(id, no);
-        let opened = self.links.open(
+        let purpose = StreamPurpose::Attempt(id, no);
+        let opened = self.connections.open(
             &engine,
             &address,
             purpose,
@@ -65,7 +66,7 @@
             &self.settings,
             (&mut self.timers, out),
         );
-        let (link, stream) = match opened {
+        let (connection, stream) = match opened {
             Ok(place) => place,
             // The next choice is to pass the engine by for a moment, or to judge it: it could not be reached.
             Err(refusal) => {
@@ -81,7 +82,7 @@
         request.out = Some(Attempt {
             no,
             engine,
-            link,
+            connection,
             stream,
             reading,
             since: self.now,
@@ -96,14 +97,18 @@
             last_came: self.now,
             last_gone: self.now,
         });
-        if self.links.get(link).is_some_and(|link| link.up) {
+        if self
+            .connections
+            .get(connection)
+            .is_some_and(|connection| connection.up)
+        {
             request.note_sent(self.now);
         }
         if !reading {
             self.kv_states.offer(id, no);
         }
         self.timers.set(until, Due::Attempt(id, no));
-        self.links.send(link, stream, body, out);
+        self.connections.send(connection, stream, body, out);
     }
 
     /// An attempt that its connection did not carry, as it was over before anything was written, goes out on
@@ -119,7 +124,7 @@
         let Some(attempt) = request.out.as_ref().filter(|attempt| !attempt.first) else {
             return false;
         };
-        let Some(row) = self.fleet.engines.get(&attempt.engine) else {
+        let Some(row) = self.endpoints.engines.get(&attempt.engine) else {
             return false;
         };
         if row.status != EndpointStatus::Ready {
@@ -133,25 +138,25 @@
             request,
             held,
             state,
-            &self.fleet,
+            &self.endpoints,
             window,
             attempt.until - self.now,
         );
         let to = (&mut self.timers, &mut *out);
-        let purpose = Use::Attempt(id, no);
-        let opened = self
-            .links
-            .open(&engine, &address, purpose, self.now, &self.settings, to);
-        let (Ok((link, stream)), Some(attempt)) = (opened, request.out.as_mut()) else {
+        let purpose = StreamPurpose::Attempt(id, no);
+        let opened =
+            self.connections
+                .open(&engine, &address, purpose, self.now, &self.settings, to);
+        let (Ok((connection, stream)), Some(attempt)) = (opened, request.out.as_mut()) else {
             return false;
         };
-        (attempt.link, attempt.stream) = (link, stream);
+        (attempt.connection, attempt.stream) = (connection, stream);
         attempt.sent = self
-            .links
-            .get(link)
-            .filter(|link| link.up)
+            .connections
+            .get(connection)
+            .filter(|connection| connection.up)
             .map(|_| self.now);
-        self.links.send(link, stream, body, out);
+        self.connections.send(connection, stream, body, out);
         true
     }
 
@@ -161,18 +166,18 @@
         let Some(attempt) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
             return true;
         };
-        let (link, stream) = (attempt.link, attempt.stream);
-        if self.links.unsend(link, stream) {
-            self.links
-                .close_stream(link, stream, self.now, &mut self.timers);
+        let (connection, stream) = (attempt.connection, attempt.stream);
+        if self.connections.unsend(connection, stream) {
+            self.connections
+                .close_stream(connection, stream, self.now, &mut self.timers);
             return true;
         }
         // The stream stays taken until the engine ends it: what the engine still works on takes room there.
         let prefilled = self.prefill_out(id);
-        self.make_past(link, stream);
-        if !planted::is(Plant::CancelLost) {
-            self.links
-                .send(link, stream, Body::Cancel(v1::Cancel {}), out);
+        self.make_past(connection, stream);
+        if !fault_injection::is(Plant::CancelLost) {
+            self.connections
+                .send(connection, stream, Body::Cancel(v1::Cancel {}), out);
         }
         // The prefill may have ended at the engine before the cancel comes, with nobody left to hear of it.
         if let Some(held) = prefilled {
@@ -193,9 +198,9 @@
         })
     }
 
-    fn make_past(&mut self, id: LinkId, stream: StreamNo) {
-        if let Some(link) = self.links.get_mut(id) {
-            link.streams.insert(stream, Use::Past);
+    fn make_past(&mut self, id: EngineConnectionId, stream: StreamId) {
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.streams.insert(stream, StreamPurpose::Past);
             self.timers.set(
                 self.now + self.settings.limits.stall_limit,
                 Due::Past(id, stream),
@@ -205,22 +210,27 @@
 
     /// Guards against an engine that hears nothing any more on a connection that never breaks: what was called
     /// off there would take its room for ever.
-    pub(super) fn look_at_past(&mut self, id: LinkId, stream: StreamNo, out: &mut Vec<Output>) {
-        let Some(link) = self.links.get(id) else {
+    pub(super) fn look_at_past(
+        &mut self,
+        id: EngineConnectionId,
+        stream: StreamId,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(connection) = self.connections.get(id) else {
             return;
         };
-        let unanswered = match link.streams.get(&stream) {
-            Some(Use::Release(..)) => Some("it does not answer a release"),
-            Some(Use::Sign) => Some("it gives no sign that it runs"),
-            Some(Use::Past | Use::EngineRelease(..)) => None,
+        let unanswered = match connection.streams.get(&stream) {
+            Some(StreamPurpose::Release(..)) => Some("it does not answer a release"),
+            Some(StreamPurpose::Sign) => Some("it gives no sign that it runs"),
+            Some(StreamPurpose::Past | StreamPurpose::EngineRelease(..)) => None,
             _ => return,
         };
         if let Some(reason) = unanswered {
-            let engine = link.engine.clone();
-            self.links.left_unanswered(&engine, self.now);
+            let engine = connection.engine.clone();
+            self.connections.left_unanswered(&engine, self.now);
             return self.drop_link(id, reason, out);
         }
-        let until = link.heard + self.settings.limits.stall_limit;
+        let until = connection.heard + self.settings.limits.stall_limit;
         if self.now >= until {
             self.drop_link(id, "it says nothing and ends nothing", out);
         } else {
@@ -284,7 +294,7 @@
         let held = self
             .prefill_out(id)
             .filter(|_| matches!(outcome, Outcome::ConnectionLost | Outcome::Failed));
-        if let Some(held) = held.filter(|_| !planted::is(Plant::BrokenReadKept)) {
+        if let Some(held) = held.filter(|_| !fault_injection::is(Plant::BrokenReadKept)) {
             self.release_leftover(id, held, out);
         }
         self.end_attempt(id, outcome, 0.0, load);
@@ -338,9 +348,9 @@
             return;
         };
         let state = state_of(self.settings.run, id, attempt.no);
-        let purpose = Use::Hold(id, attempt.no);
+        let purpose = StreamPurpose::Hold(id, attempt.no);
         let Some(row) = self
-            .fleet
+            .endpoints
             .engines
             .get(engine)
             .filter(|r| r.status == EndpointStatus::Ready)
@@ -350,11 +360,11 @@
         let address = row.line.address.clone();
         let to = (&mut self.timers, &mut *out);
         let opened = self
-            .links
+            .connections
             .open(engine, &address, purpose, self.now, &self.settings, to);
-        if let Ok((link, stream)) = opened {
+        if let Ok((connection, stream)) = opened {
             let body = Body::Reserve(v1::Reserve { state: Some(state) });
-            self.links.send(link, stream, body, out);
+            self.connections.send(connection, stream, body, out);
         }
     }
 
@@ -375,18 +385,18 @@
 
     pub(super) fn probe(&mut self, engine: EngineId, out: &mut Vec<Output>) {
         let address = self
-            .fleet
+            .endpoints
             .engines
             .get(&engine)
             .map(|row| row.line.address.clone());
-        let purpose = Use::Probe { sent: self.now };
+        let purpose = StreamPurpose::Probe { sent: self.now };
         let to = (&mut self.timers, &mut *out);
         let opened = address.and_then(|a| {
-            self.links
+            self.connections
                 .open(&engine, &a, purpose, self.now, &self.settings, to)
                 .ok()
         });
-        let Some((link, stream)) = opened else {
+        let Some((connection, stream)) = opened else {
             let (outcome, load) = (Outcome::Unreachable, Load::default());
             return self.events.push(Event::HealthChecked {
                 engine,
@@ -397,94 +407,124 @@
         };
         self.timers.set(
             self.now + self.settings.limits.health_check_timeout,
-            Due::Probe(link, stream),
+            Due::Probe(connection, stream),
+        );
+        self.connections.send(
+            connection,
+            stream,
+            Body::HealthCheck(v1::HealthCheck {}),
+            out,
         );
-        self.links
-            .send(link, stream, Body::HealthCheck(v1::HealthCheck {}), out);
     }
 
     pub(super) fn end_health_check(
         &mut self,
-        id: LinkId,
-        stream: StreamNo,
+        id: EngineConnectionId,
+        stream: StreamId,
         outcome: Outcome,
         load: Load,
     ) {
-        let Some(link) = self.links.get_mut(id) else {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        let Some(Use::Probe { sent }) = link.streams.get(&stream).cloned() else {
+        let Some(StreamPurpose::Probe { sent }) = connection.streams.get(&stream).cloned() else {
             return;
         };
-        let engine = link.engine.clone();
+        let engine = connection.engine.clone();
         self.events.push(Event::HealthChecked {
             engine,
             outcome,
             latency: self.now - sent,
             load,
         });
-        if outcome == Outcome::TimedOut && !self.links.unsend(id, stream) {
+        if outcome == Outcome::TimedOut && !self.connections.unsend(id, stream) {
             self.make_past(id, stream);
         } else {
-            self.links
+            self.connections
                 .close_stream(id, stream, self.now, &mut self.timers);
         }
     }
 
     pub(super) fn close_idle(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
-        for id in self.links.ids_of(engine) {
-            if self.links.is_idle(id) {
+        for id in self.connections.ids_of(engine) {
+            if self.connections.is_idle(id) {
                 self.drop_link(id, "idle", out);
             }
         }
     }
 
-    pub(super) fn take_link_up(&mut self, id: LinkId, limit: Option<usize>, out: &mut Vec<Output>) {
-        let Some(link) = self.links.get_mut(id) else {
+    pub(super) fn take_link_up(
+        &mut self,
+        id: EngineConnectionId,
+        limit: Option<usize>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(connection) = self.connections.get_mut(id) else {
             let reason = "not wanted any more".to_owned();
-            return out.push(Output::CloseLink { link: id, reason });
+            return out.push(Output::CloseConnection {
+                connection: id,
+                reason,
+            });
         };
-        let (engine, waiting) = (link.engine.clone(), std::mem::take(&mut link.waiting));
-        self.links.come_up(id, limit, self.now, &mut self.timers);
-        // Guards against a drain that was learned while the link came up: an attempt that has not gone out does
+        let (engine, waiting) = (
+            connection.engine.clone(),
+            std::mem::take(&mut connection.waiting),
+        );
+        self.connections
+            .come_up(id, limit, self.now, &mut self.timers);
+        // Guards against a drain that was learned while the connection came up: an attempt that has not gone out does
         // not go out any more, and is known not to have run.
-        let ready = self.fleet.status(&engine) == EndpointStatus::Ready
-            || planted::is(Plant::DrainReadLate);
+        let ready = self.endpoints.status(&engine) == EndpointStatus::Ready
+            || fault_injection::is(Plant::DrainReadLate);
         self.flush_releases(&engine, out);
         for (stream, mut body) in waiting {
             let purpose = self
-                .links
+                .connections
                 .get(id)
                 .and_then(|l| l.streams.get(&stream).cloned());
-            if let Some(Use::Attempt(request, _)) = &purpose {
+            if let Some(StreamPurpose::Attempt(request, _)) = &purpose {
                 self.tell_time_left(*request, &mut body);
             }
             let frame = frame(stream.0, body);
             match purpose {
-                Some(Use::Release(call)) => {
+                Some(StreamPurpose::Release(call)) => {
                     if self.release_goes_out(id, stream, &call) {
-                        out.push(Output::ToEngine { link: id, frame });
+                        out.push(Output::ToEngine {
+                            connection: id,
+                            frame,
+                        });
                     }
                 }
                 // Nor does one whose client has gone meanwhile: nobody waits for it.
-                Some(Use::Attempt(request, _)) if !ready || self.is_answered(request) => {
+                Some(StreamPurpose::Attempt(request, _)) if !ready || self.is_answered(request) => {
                     self.close_stream(id, stream);
                     self.end_attempt(request, Outcome::NotSent, 0.0, Load::default());
                 }
-                Some(Use::Attempt(request, _)) => {
+                Some(StreamPurpose::Attempt(request, _)) => {
                     if let Some(request) = self.requests.get_mut(&request) {
                         request.note_sent(self.now);
                     }
-                    out.push(Output::ToEngine { link: id, frame });
+                    out.push(Output::ToEngine {
+                        connection: id,
+                        frame,
+                    });
                 }
-                _ => out.push(Output::ToEngine { link: id, frame }),
+                _ => out.push(Output::ToEngine {
+                    connection: id,
+                    frame,
+                }),
             }
         }
     }
 
     /// The connection of a release has come up: it goes out now, unless there is nothing to release any more, or its request
     /// needs what is held.
-    fn release_goes_out(&mut self, id: LinkId, stream: StreamNo, call: &ReleaseCall) -> bool {
+    fn release_goes_out(
+        &mut self,
+        id: EngineConnectionId,
+        stream: StreamId,
+        call: &ReleaseCall,
+    ) -> bool {
         let goes_out = self
             .kv_states
             .to_release(call.request)
@@ -492,10 +532,10 @@
         if !goes_out {
             self.close_stream(id, stream);
             self.release_unsent(call);
-        } else if let Some(link) = self.links.get_mut(id) {
-            link.streams.insert(
+        } else if let Some(connection) = self.connections.get_mut(id) {
+            connection.streams.insert(
                 stream,
-                Use::Release(ReleaseCall {
+                StreamPurpose::Release(ReleaseCall {
                     begun: self.now,
                     ..call.clone()
                 }),
@@ -527,25 +567,29 @@
             .is_some_and(|request| request.answered)
     }
 
-    fn close_stream(&mut self, id: LinkId, stream: StreamNo) -> Option<Use> {
-        self.links
+    fn close_stream(&mut self, id: EngineConnectionId, stream: StreamId) -> Option<StreamPurpose> {
+        self.connections
             .close_stream(id, stream, self.now, &mut self.timers)
     }
 
-    /// What has fallen due for the links to an engine.
+    /// What has fallen due for the connections to an engine.
     pub(super) fn look_at_links(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
-        let row = self.fleet.engines.get(engine);
+        let row = self.endpoints.engines.get(engine);
         let ready = row.is_some_and(|r| r.status == EndpointStatus::Ready);
         let address = row.map(|r| r.line.address.clone()).unwrap_or_default();
-        for act in self.links.wanted(engine, self.now, ready) {
+        for act in self.connections.wanted(engine, self.now, ready) {
             match act {
                 PoolCommand::Connect => {
                     let to = (&mut self.timers, &mut *out);
-                    self.links.dial(engine, &address, self.now, to);
+                    self.connections.dial(engine, &address, self.now, to);
                 }
                 PoolCommand::Ping(id) => {
-                    self.links
-                        .send(LinkId(id.0), StreamNo(0), Body::Ping(v1::Ping {}), out);
+                    self.connections.send(
+                        EngineConnectionId(id.0),
+                        StreamId(0),
+                        Body::Ping(v1::Ping {}),
+                        out,
+                    );
                 }
                 PoolCommand::Close(id, why) => {
                     let reason = match why {
@@ -554,54 +598,64 @@
                         CloseReason::Dead => "it does not answer",
                         CloseReason::Left => "it goes away",
                     };
-                    self.drop_link(LinkId(id.0), reason, out);
+                    self.drop_link(EngineConnectionId(id.0), reason, out);
                 }
             }
         }
-        self.links.arm(engine, &mut self.timers);
+        self.connections.arm(engine, &mut self.timers);
     }
 
-    /// Closes a link from this side.
-    pub(super) fn drop_link(&mut self, id: LinkId, reason: &str, out: &mut Vec<Output>) {
-        if self.links.get(id).is_some() {
-            out.push(Output::CloseLink {
-                link: id,
+    /// Closes a connection from this side.
+    pub(super) fn drop_link(
+        &mut self,
+        id: EngineConnectionId,
+        reason: &str,
+        out: &mut Vec<Output>,
+    ) {
+        if self.connections.get(id).is_some() {
+            out.push(Output::CloseConnection {
+                connection: id,
                 reason: reason.to_owned(),
             });
             self.take_link_closed(id, reason, out);
         }
     }
 
-    /// Whatever was out on a link that came up may have run; on one that did not, nothing was sent.
-    pub(super) fn take_link_closed(&mut self, id: LinkId, reason: &str, out: &mut Vec<Output>) {
-        let Some(link) = self.links.remove(id, self.now) else {
+    /// Whatever was out on a connection that came up may have run; on one that did not, nothing was sent.
+    pub(super) fn take_link_closed(
+        &mut self,
+        id: EngineConnectionId,
+        reason: &str,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(connection) = self.connections.remove(id, self.now) else {
             return;
         };
-        let outcome = match link.up {
-            true if planted::is(Plant::BrokenAsFull) => Outcome::Overloaded,
+        let outcome = match connection.up {
+            true if fault_injection::is(Plant::BrokenAsFull) => Outcome::Overloaded,
             true => Outcome::ConnectionLost,
             false => Outcome::Unreachable,
         };
         // A connection that ends with what was called off ends as it should.
-        let streams = link
+        let streams = connection
             .streams
             .values()
-            .filter(|purpose| **purpose != Use::Past)
+            .filter(|purpose| **purpose != StreamPurpose::Past)
             .count();
         if streams > 0 {
             let text = format!(
                 "link to {} over with {streams} streams: {reason}",
-                link.engine.0
+                connection.engine.0
             );
             out.push(Output::Log {
                 level: Level::Warn,
                 text,
             });
         }
-        self.retry_releases(&link.engine);
-        for (_, purpose) in link.streams {
+        self.retry_releases(&connection.engine);
+        for (_, purpose) in connection.streams {
             match purpose {
-                Use::Attempt(request, _) => {
+                StreamPurpose::Attempt(request, _) => {
                     self.finish_attempt(
                         request,
                         outcome,
@@ -610,8 +664,8 @@
                         out,
                     );
                 }
-                Use::Probe { sent } => {
-                    let (engine, load) = (link.engine.clone(), Load::default());
+                StreamPurpose::Probe { sent } => {
+                    let (engine, load) = (connection.engine.clone(), Load::default());
                     self.events.push(Event::HealthChecked {
                         engine,
                         outcome,
@@ -619,50 +673,58 @@
                         load,
                     });
                 }
-                Use::Release(call) => self.release_lost(link.engine.clone(), &call),
-                Use::EngineRelease(release) => {
-                    self.engine_release_lost(link.engine.clone(), release)
+                StreamPurpose::Release(call) => self.release_lost(connection.engine.clone(), &call),
+                StreamPurpose::EngineRelease(release) => {
+                    self.engine_release_lost(connection.engine.clone(), release)
                 }
-                Use::Hold(..) | Use::Sign | Use::Past => {}
+                StreamPurpose::Hold(..) | StreamPurpose::Sign | StreamPurpose::Past => {}
             }
         }
-        self.forget_gone(&link.engine);
+        self.forget_gone(&connection.engine);
     }
 
-    pub(super) fn take_engine(&mut self, id: LinkId, frame: Frame, out: &mut Vec<Output>) {
-        let stream = StreamNo(frame.stream);
-        // What comes after a link was given up here is old.
-        self.links.heard(id, self.now);
-        let Some(link) = self.links.get(id) else {
+    pub(super) fn take_engine(
+        &mut self,
+        id: EngineConnectionId,
+        frame: Frame,
+        out: &mut Vec<Output>,
+    ) {
+        let stream = StreamId(frame.stream);
+        // What comes after a connection was given up here is old.
+        self.connections.heard(id, self.now);
+        let Some(connection) = self.connections.get(id) else {
             return;
         };
-        let engine = link.engine.clone();
-        let purpose = link.streams.get(&stream).cloned();
+        let engine = connection.engine.clone();
+        let purpose = connection.streams.get(&stream).cloned();
         // A goodbye is said on this side, of a connection that is over.
         if !matches!(frame.body, Some(Body::Goodbye(_))) {
-            self.links.answered(id, self.now);
+            self.connections.answered(id, self.now);
             self.note_sign(&engine);
             self.note_engine_ran();
             if is_work(purpose.as_ref(), frame.body.as_ref()) {
-                self.links.worked(id, self.now);
+                self.connections.worked(id, self.now);
                 self.note_engine_worked(&engine);
             }
         }
         let name = name_of(frame.body.as_ref());
         let good = match (purpose, frame.body) {
-            (Some(Use::Attempt(request, _)), Some(Body::Tokens(tokens))) => {
+            (Some(StreamPurpose::Attempt(request, _)), Some(Body::Tokens(tokens))) => {
                 self.take_tokens(request, tokens, out)
             }
-            (Some(Use::Attempt(request, _)), Some(Body::Ended(ended))) => {
+            (Some(StreamPurpose::Attempt(request, _)), Some(Body::Ended(ended))) => {
                 self.close_stream(id, stream);
                 self.take_ended(request, &ended, out)
             }
             // The connection is over before or after the whole request was written: only the first proves
             // that nothing ran.
-            (Some(Use::Attempt(request, _)), Some(Body::Goodbye(bye))) => {
-                let reused = self.links.get(id).is_some_and(|link| link.carried() > 1);
+            (Some(StreamPurpose::Attempt(request, _)), Some(Body::Goodbye(bye))) => {
+                let reused = self
+                    .connections
+                    .get(id)
+                    .is_some_and(|connection| connection.carried() > 1);
                 self.close_stream(id, stream);
-                self.links.leaving(id, &mut self.timers);
+                self.connections.leaving(id, &mut self.timers);
                 let again = bye.never_ran && reused && self.resend_attempt(request, out);
                 if !again {
                     let outcome = if bye.never_ran {
@@ -685,11 +747,11 @@
                 }
                 true
             }
-            (Some(Use::Probe { .. }), Some(Body::Load(load))) => {
+            (Some(StreamPurpose::Probe { .. }), Some(Body::Load(load))) => {
                 self.end_health_check(id, stream, Outcome::Succeeded, load_of(&load));
                 true
             }
-            (Some(Use::Hold(request, attempt)), Some(Body::Reservation(place))) => {
+            (Some(StreamPurpose::Hold(request, attempt)), Some(Body::Reservation(place))) => {
                 self.close_stream(id, stream);
                 self.events.push(Event::ReservationChanged {
                     request,
@@ -699,44 +761,44 @@
                 });
                 true
             }
-            (Some(Use::Past), Some(Body::Ended(ended))) => {
+            (Some(StreamPurpose::Past), Some(Body::Ended(ended))) => {
                 self.close_stream(id, stream);
                 self.take_late_end(engine.clone(), &ended, out);
                 true
             }
-            (Some(Use::Past), Some(Body::Load(_) | Body::Goodbye(_))) => {
+            (Some(StreamPurpose::Past), Some(Body::Load(_) | Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
                 true
             }
-            (Some(Use::Release(call)), Some(Body::Done(_))) => {
+            (Some(StreamPurpose::Release(call)), Some(Body::Done(_))) => {
                 self.close_stream(id, stream);
                 self.release_confirmed(&engine, &call, out);
                 true
             }
-            (Some(Use::EngineRelease(_)), Some(Body::Done(_))) => {
+            (Some(StreamPurpose::EngineRelease(_)), Some(Body::Done(_))) => {
                 self.close_stream(id, stream);
                 true
             }
-            (Some(Use::Sign), Some(Body::Done(_) | Body::Goodbye(_))) => {
+            (Some(StreamPurpose::Sign), Some(Body::Done(_) | Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
                 true
             }
-            // A call that was reset or refused ends alone: what else is on the link goes on.
-            (Some(Use::Release(call)), Some(Body::Goodbye(_))) => {
+            // A call that was reset or refused ends alone: what else is on the connection goes on.
+            (Some(StreamPurpose::Release(call)), Some(Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
                 self.release_lost(engine.clone(), &call);
                 true
             }
-            (Some(Use::EngineRelease(release)), Some(Body::Goodbye(_))) => {
+            (Some(StreamPurpose::EngineRelease(release)), Some(Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
                 self.engine_release_lost(engine.clone(), release);
                 true
             }
-            (Some(Use::Probe { .. }), Some(Body::Goodbye(_))) => {
+            (Some(StreamPurpose::Probe { .. }), Some(Body::Goodbye(_))) => {
                 self.end_health_check(id, stream, Outcome::Failed, Load::default());
                 true
             }
-            (Some(Use::Hold(request, attempt)), Some(Body::Goodbye(_))) => {
+            (Some(StreamPurpose::Hold(request, attempt)), Some(Body::Goodbye(_))) => {
                 self.close_stream(id, stream);
                 self.events.push(Event::ReservationChanged {
                     request,
@@ -746,7 +808,7 @@
                 });
                 true
             }
-            (Some(Use::Past), Some(Body::Tokens(_))) => true,
+            (Some(StreamPurpose::Past), Some(Body::Tokens(_))) => true,
             (None, Some(Body::Pong(_))) if stream.0 == 0 => true,
             (None, Some(Body::Goodbye(bye))) if stream.0 == 0 => {
                 self.drop_link(id, &format!("it said goodbye: {}", bye.reason), out);
@@ -804,7 +866,7 @@
             v1::Status::NoState if !reading && !first => {
                 self.end_attempt(id, Outcome::Overloaded, 1.0, load);
                 // Guards against a decode engine that could not reach the prefill_engine: the state would lie there for nobody.
-                if planted::is(Plant::NoStateKept) {
+                if fault_injection::is(Plant::NoStateKept) {
                     self.kv_states.forget(id);
                 } else {
                     self.want_release(id, out);
@@ -815,7 +877,7 @@
                 self.finish_attempt(id, Outcome::Failed, &ended.reason, load, out)
             }
             _ => {
-                // The stream is closed already; the attempt ends with the link, and may have run.
+                // The stream is closed already; the attempt ends with the connection, and may have run.
                 self.finish_attempt(
                     id,
                     Outcome::ConnectionLost,
@@ -872,8 +934,8 @@
                 latency,
             });
         }
-        let (conn, stream) = request.ticket;
-        if planted::is(Plant::TokensTwice) {
+        let (conn, stream) = request.client_stream;
+        if fault_injection::is(Plant::TokensTwice) {
             out.push(Output::ToClient {
                 conn,
                 frame: frame(stream.0, Body::Tokens(tokens.clone())),
@@ -887,10 +949,15 @@
     }
 
     /// The client has taken some of a stream: the decode engine may send as much more.
-    pub(super) fn take_flushed(&mut self, ticket: Ticket, messages: u32, out: &mut Vec<Output>) {
+    pub(super) fn take_flushed(
+        &mut self,
+        client_stream: ClientStream,
+        messages: u32,
+        out: &mut Vec<Output>,
+    ) {
         let Some(request) = self
-            .tickets
-            .get(&ticket)
+            .client_streams
+            .get(&client_stream)
             .and_then(|id| self.requests.get_mut(id))
         else {
             return;
@@ -903,9 +970,9 @@
         let room = (attempt.gone + self.settings.limits.window).saturating_sub(attempt.credited);
         if room >= (self.settings.limits.window / CREDIT_PARTS).max(1) {
             attempt.credited += room;
-            let (link, stream) = (attempt.link, attempt.stream);
+            let (connection, stream) = (attempt.connection, attempt.stream);
             let body = Body::Credit(v1::Credit { messages: room });
-            self.links.send(link, stream, body, out);
+            self.connections.send(connection, stream, body, out);
         }
     }
 
@@ -943,7 +1010,7 @@
                 out,
             );
         } else {
-            let (conn, _) = request.ticket;
+            let (conn, _) = request.client_stream;
             self.leave(id, out);
             out.push(Output::CloseClient {
                 conn,
@@ -954,12 +1021,12 @@
 }
 
 /// Whether a message shows that its engine works on attempts. A part of it may still answer other calls while the rest hangs.
-fn is_work(purpose: Option<&Use>, body: Option<&Body>) -> bool {
+fn is_work(purpose: Option<&StreamPurpose>, body: Option<&Body>) -> bool {
     let done =
         |status: v1::Status| matches!(status, v1::Status::PrefillDone | v1::Status::Succeeded);
     match (purpose, body) {
-        (Some(Use::Attempt(..)), Some(Body::Tokens(_))) => true,
-        (Some(Use::Attempt(..)), Some(Body::Ended(ended))) => done(ended.status()),
+        (Some(StreamPurpose::Attempt(..)), Some(Body::Tokens(_))) => true,
+        (Some(StreamPurpose::Attempt(..)), Some(Body::Ended(ended))) => done(ended.status()),
         _ => false,
     }
 }
@@ -998,13 +1065,13 @@
     request: &Request,
     held: Option<&Held>,
     state: Option<v1::KvStateId>,
-    fleet: &Fleet,
+    endpoints: &Endpoints,
     window: u32,
     wait_ms: Ms,
 ) -> Body {
     match state {
         Some(state) => read(&request.submit, state, wait_ms),
-        None => write(request, held, fleet, window, wait_ms),
+        None => write(request, held, endpoints, window, wait_ms),
     }
 }
 
@@ -1024,9 +1091,15 @@
     })
 }
 
-fn write(request: &Request, held: Option<&Held>, fleet: &Fleet, window: u32, wait_ms: Ms) -> Body {
+fn write(
+    request: &Request,
+    held: Option<&Held>,
+    endpoints: &Endpoints,
+    window: u32,
+    wait_ms: Ms,
+) -> Body {
     let submit = &request.submit;
-    let prefill_engine = held.and_then(|held| fleet.engines.get(&held.engine));
+    let prefill_engine = held.and_then(|held| endpoints.engines.get(&held.engine));
     Body::Decode(v1::Decode {
         state: held.map(|held| held.id),
         prefill_engine: prefill_engine
--- a/crates/dispatcher/src/ledger/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -54,7 +54,7 @@
     at: Ms,
 }
 
-impl Ledger {
+impl Dispatcher {
     /// How often the invariants were looked at, and violated.
     pub fn guarded(&self) -> &Guarded {
         &self.guarded
@@ -75,7 +75,7 @@
             && request.out.is_none()
             && request.attempts <= self.settings.policy.max_attempts
             && self.now <= request.ends;
-        let sends = self.fleet.status(engine) == EndpointStatus::Ready;
+        let sends = self.endpoints.status(engine) == EndpointStatus::Ready;
         let repeats = reading || self.may_run_at(request, engine);
         let checks = [
             (Invariant::Start, starts),
@@ -167,7 +167,11 @@
             Outcome::Cancelled,
         ];
         if request.first_run.is_none() && open.contains(&outcome) {
-            let line = self.fleet.engines.get(&attempt.engine).map(|row| &row.line);
+            let line = self
+                .endpoints
+                .engines
+                .get(&attempt.engine)
+                .map(|row| &row.line);
             let (zone, cell) = line
                 .map(|line| (line.zone.clone(), line.cell.clone()))
                 .unwrap_or_default();
@@ -181,7 +185,8 @@
 
     /// Whether a request's effect lets it run at an engine, by what may have run before.
     fn may_run_at(&self, request: &Request, engine: &EngineId) -> bool {
-        let (Some(first), Some(row)) = (&request.first_run, self.fleet.engines.get(engine)) else {
+        let (Some(first), Some(row)) = (&request.first_run, self.endpoints.engines.get(engine))
+        else {
             return true;
         };
         match request.retry_safety {
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! The dispatcher without its I/O: requests, attempts, KV states, links and timers. Inputs go in by
-//! [`Ledger::handle`] with their instant; what is to be done comes out. It tells when it wants to be called
-//! next ([`Ledger::wants_call_at`]). The same inputs give the same outputs.
+//! The dispatcher without its I/O: requests, attempts, KV states, connections and timers. Inputs go in by
+//! [`Dispatcher::handle`] with their instant; what is to be done comes out. It tells when it wants to be called
+//! next ([`Dispatcher::wants_call_at`]). The same inputs give the same outputs.
 //!
 //! Every choice between engines, every reject and failure of a request that was taken is
 //! [`Control`](cindercleat::control::Control)'s. The ledger carries them out, tells it each outcome, and sees
@@ -8,20 +8,20 @@
 //! nothing held that the decisions do not know of, bounded buffers.
 
 mod clients;
+mod connections;
 mod delivery;
+mod endpoints;
 mod engine_releases;
 mod engines;
-mod fleet;
 mod invariants;
 mod kv_states;
-mod links;
-mod record;
 mod releases;
+mod request_log;
 mod requests;
-mod story;
+mod service_stats;
 mod timers;
 
-use crate::planted::{self, Plant};
+use crate::fault_injection::{self, Plant};
 use crate::settings::ProgramSettings;
 use cindercleat::control::Control;
 use cindercleat::fleet::bounds::{Stand, Tally, Unit};
@@ -29,13 +29,13 @@
 use cindercleat::fleet::{Address, Name, Run};
 use cindercleat::interface::*;
 use cindercleat_protocol::{frame, name_of, v1, Body, Frame};
-use clients::Callers;
+use clients::ClientConnections;
+use connections::EngineConnections;
+use endpoints::Endpoints;
 use engine_releases::EngineRelease;
-use fleet::Fleet;
 pub use invariants::{Guarded, Invariant};
 use kv_states::KvStates;
-use links::Links;
-use requests::{Request, Ticket};
+use requests::{ClientStream, Request};
 use std::collections::{BTreeMap, BTreeSet};
 use timers::{Due, Timers};
 
@@ -46,43 +46,55 @@
 
 /// A client's connection, as the shell numbers it; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId(pub u64);
+pub struct ClientConnectionId(pub u64);
 /// A connection to an engine, as the ledger numbers it; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinkId(pub u64);
+pub struct EngineConnectionId(pub u64);
 /// What belongs together on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct StreamNo(pub u64);
+pub struct StreamId(pub u64);
 
 /// What happens to a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A client's message, after its greeting.
-    Client { conn: ConnId, frame: Frame },
+    Client {
+        conn: ClientConnectionId,
+        frame: Frame,
+    },
     /// A client's connection is there.
-    ClientUp { conn: ConnId },
+    ClientUp { conn: ClientConnectionId },
     /// Part of a client's message is there.
-    ClientPartly { conn: ConnId },
+    ClientPartly { conn: ClientConnectionId },
     /// There may be no more connections of clients, and one more wants to come.
     ClientsFull,
     /// The client's connection is over.
-    ClientClosed { conn: ConnId },
+    ClientClosed { conn: ClientConnectionId },
     /// So many token messages of a stream have left for the client.
     Flushed {
-        conn: ConnId,
-        stream: StreamNo,
+        conn: ClientConnectionId,
+        stream: StreamId,
         messages: u32,
     },
-    /// A dialled link is up: the engine has greeted by its right name. `limit`: the streams that it allows.
-    LinkUp { link: LinkId, limit: Option<usize> },
-    /// The engine takes nothing new on a link; what it took goes on.
-    LinkLeaving { link: LinkId },
-    /// A link could not be had, or is over.
-    LinkClosed { link: LinkId, reason: String },
+    /// A dialled connection is up: the engine has greeted by its right name. `limit`: the streams that it allows.
+    ConnectionUp {
+        connection: EngineConnectionId,
+        limit: Option<usize>,
+    },
+    /// The engine takes nothing new on a connection; what it took goes on.
+    ConnectionDraining { connection: EngineConnectionId },
+    /// A connection could not be had, or is over.
+    ConnectionClosed {
+        connection: EngineConnectionId,
+        reason: String,
+    },
     /// An engine's message.
-    Engine { link: LinkId, frame: Frame },
+    Engine {
+        connection: EngineConnectionId,
+        frame: Frame,
+    },
     /// The list that was kept by the process before; the first input, if there is one.
-    Remembered(v1::EndpointList),
+    CachedEndpoints(v1::EndpointList),
     /// From the list feed.
     Listed(v1::EndpointList),
     /// The list feed refused a call or is lost.
@@ -99,30 +111,30 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     ToClient {
-        conn: ConnId,
+        conn: ClientConnectionId,
         frame: Frame,
     },
     /// Asks the client to begin nothing new on this connection; what is open goes on.
     LeaveClient {
-        conn: ConnId,
+        conn: ClientConnectionId,
     },
     /// After what was sent before.
     CloseClient {
-        conn: ConnId,
+        conn: ClientConnectionId,
         reason: String,
     },
     Dial {
-        link: LinkId,
+        connection: EngineConnectionId,
         engine: EngineId,
         address: String,
     },
     ToEngine {
-        link: LinkId,
+        connection: EngineConnectionId,
         frame: Frame,
     },
     /// After what was sent before.
-    CloseLink {
-        link: LinkId,
+    CloseConnection {
+        connection: EngineConnectionId,
         reason: String,
     },
     /// The list to start from next time.
@@ -154,7 +166,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Holding {
     pub requests: usize,
-    pub links: usize,
+    pub connections: usize,
     pub timers: usize,
     /// Engines of which anything is known.
     pub engines: usize,
@@ -162,18 +174,18 @@
     pub releases: usize,
 }
 
-pub struct Ledger {
+pub struct Dispatcher {
     settings: ProgramSettings,
     control: Control,
     now: Ms,
     requests: BTreeMap<RequestId, Request>,
-    tickets: BTreeMap<Ticket, RequestId>,
+    client_streams: BTreeMap<ClientStream, RequestId>,
     /// Open requests by the id that their clients gave them, where they did.
     origins: BTreeMap<String, RequestId>,
-    callers: Callers,
+    callers: ClientConnections,
     next_request_id: u32,
-    fleet: Fleet,
-    links: Links,
+    endpoints: Endpoints,
+    connections: EngineConnections,
     timers: Timers,
     kv_states: KvStates,
     /// Releases to send where a state belongs to its engine, by that engine.
@@ -188,30 +200,30 @@
     /// Whether what happens to requests is told line by line.
     stories: bool,
     /// What those who watch a release want to know, if there are any.
-    record: Option<record::Record>,
+    record: Option<service_stats::ServiceStats>,
     guarded: Guarded,
     /// Whether somebody keeps the list for the next start.
     keeps_lists: bool,
 }
 
-impl Ledger {
+impl Dispatcher {
     /// `seed` starts the chance that the decisions draw.
     pub fn new(settings: ProgramSettings, seed: u64) -> Self {
         let mut control = Control::new(settings.policy.clone(), seed);
         if settings.limits.single.is_some() {
             control.track_deliveries();
         }
-        Ledger {
+        Dispatcher {
             control,
             settings,
             now: f64::NEG_INFINITY,
             requests: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            client_streams: BTreeMap::new(),
             origins: BTreeMap::new(),
-            callers: Callers::default(),
+            callers: ClientConnections::default(),
             next_request_id: 0,
-            fleet: Fleet::default(),
-            links: Links::new(seed),
+            endpoints: Endpoints::default(),
+            connections: EngineConnections::new(seed),
             timers: Timers::default(),
             kv_states: KvStates::default(),
             unreleased: BTreeMap::new(),
@@ -242,11 +254,17 @@
                 stream,
                 messages,
             } => self.take_flushed((conn, stream), messages, out),
-            Input::LinkUp { link, limit } => self.take_link_up(link, limit, out),
-            Input::LinkLeaving { link } => self.links.leaving(link, &mut self.timers),
-            Input::LinkClosed { link, reason } => self.take_link_closed(link, &reason, out),
-            Input::Engine { link, frame } => self.take_engine(link, frame, out),
-            Input::Remembered(list) => self.take_list(&list, Some(EndpointUpdateKind::Cached), out),
+            Input::ConnectionUp { connection, limit } => self.take_link_up(connection, limit, out),
+            Input::ConnectionDraining { connection } => {
+                self.connections.leaving(connection, &mut self.timers)
+            }
+            Input::ConnectionClosed { connection, reason } => {
+                self.take_link_closed(connection, &reason, out)
+            }
+            Input::Engine { connection, frame } => self.take_engine(connection, frame, out),
+            Input::CachedEndpoints(list) => {
+                self.take_list(&list, Some(EndpointUpdateKind::Cached), out)
+            }
             Input::Listed(list) => self.take_list(&list, None, out),
             Input::EndpointsRejected => {
                 self.events.push(Event::EndpointsUpdated {
@@ -286,19 +304,19 @@
 
     /// Whether a list is there and no stop has begun, and which part of the requests that it may have open is.
     pub fn fares(&self) -> (bool, f64) {
-        let ready = self.fleet.is_known() && self.stopping.is_none();
+        let ready = self.endpoints.is_known() && self.stopping.is_none();
         let most = self.settings.limits.max_open_requests.max(1);
         (ready, self.requests.len() as f64 / most as f64)
     }
 
     /// The version of the newest list.
     pub fn list_version(&self) -> u64 {
-        self.fleet.version
+        self.endpoints.version
     }
 
     /// That version, if a list is known at all.
     pub fn known_version(&self) -> Option<u64> {
-        self.fleet.is_known().then_some(self.fleet.version)
+        self.endpoints.is_known().then_some(self.endpoints.version)
     }
 
     /// Nobody keeps the list for the next start: it is not put together with each change.
@@ -308,7 +326,7 @@
 
     /// Remembers from now on how its requests end and what engines say.
     pub fn keep_record(&mut self) {
-        self.record = Some(record::Record::default());
+        self.record = Some(service_stats::ServiceStats::default());
     }
 
     /// How its requests ended, and reports on so many engines that were heard of since.
@@ -322,7 +340,7 @@
     /// The engines as the list has them. `now` is on the list's clock as well.
     pub fn units(&self, now: Ms) -> Vec<Unit> {
         let slow_start_window = self.settings.policy.slow_start_window;
-        let unit = |(engine, row): (&EngineId, &fleet::EngineRow)| {
+        let unit = |(engine, row): (&EngineId, &endpoints::EngineEntry)| {
             let started = row.line.started_ms.filter(|at| at.is_finite());
             let cold = started.is_some_and(|at| now < at + slow_start_window);
             Unit {
@@ -347,16 +365,16 @@
                 tally: Tally::default(),
             }
         };
-        self.fleet.engines.iter().map(unit).collect()
+        self.endpoints.engines.iter().map(unit).collect()
     }
 
     /// How much is held, for logs and for tests of what must not grow.
     pub fn held(&self) -> Holding {
         Holding {
             requests: self.requests.len(),
-            links: self.links.len(),
+            connections: self.connections.len(),
             timers: self.timers.len(),
-            engines: self.fleet.engines.len(),
+            engines: self.endpoints.engines.len(),
             releases: self.engine_releases() + self.kv_states.releasing(),
         }
     }
@@ -364,18 +382,18 @@
     /// Releases where a state belongs to its engine, which that has not confirmed.
     fn engine_releases(&self) -> usize {
         let queued: usize = self.unreleased.values().map(Vec::len).sum();
-        queued + self.links.releasing()
+        queued + self.connections.releasing()
     }
 
     /// Whether a state is to be let go of which no engine has said yet that it is. A stop does not wait for releases to be
     /// repeated: what a process leaves that has ended is freed by the platform.
     fn releasing(&self) -> bool {
         let open = self.engine_releases() + self.kv_states.unconfirmed();
-        !planted::is(Plant::StopDropsReleases) && open > 0
+        !fault_injection::is(Plant::StopDropsReleases) && open > 0
     }
 
     /// Tells the decisions what happened and does what they decide, until nothing more follows. What is done
-    /// may be over at once (an attempt that no link can take); each such round ends an attempt, and a request has few.
+    /// may be over at once (an attempt that no connection can take); each such round ends an attempt, and a request has few.
     fn settle(&mut self, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while !self.events.is_empty() {
@@ -420,7 +438,7 @@
                 self.answer(request, answer, retry_after_ms, reason, out);
             }
             Action::Fail { request } => {
-                let reject = planted::is(Plant::FailureAsRejection);
+                let reject = fault_injection::is(Plant::FailureAsRejection);
                 let answer = if reject {
                     v1::Answer::Rejected
                 } else {
@@ -433,7 +451,7 @@
             Action::Confirm { request, attempt } => self.confirm(request, attempt, out),
             Action::Reserve { request, engine } => self.hold_ahead(request, &engine, out),
             Action::Migrate { request } => self.move_away(request, out),
-            Action::SetTimer { delay, timer } if planted::is(Plant::TimersLate) => {
+            Action::SetTimer { delay, timer } if fault_injection::is(Plant::TimersLate) => {
                 self.timers
                     .set(self.now + delay.max(0.0) + 300.0, Due::Module(timer));
             }
@@ -459,11 +477,11 @@
             Due::Deadline(id) => self.reach_deadline(id, out),
             Due::Stall(request, attempt) => self.look_at_stream(request, attempt, out),
             Due::Client(conn) => self.look_at_client(conn, out),
-            Due::Links(engine) => self.look_at_links(&engine, out),
-            Due::Probe(link, stream) => {
-                self.end_health_check(link, stream, Outcome::TimedOut, Load::default())
+            Due::EngineConnections(engine) => self.look_at_links(&engine, out),
+            Due::Probe(connection, stream) => {
+                self.end_health_check(connection, stream, Outcome::TimedOut, Load::default())
             }
-            Due::Past(link, stream) => self.look_at_past(link, stream, out),
+            Due::Past(connection, stream) => self.look_at_past(connection, stream, out),
             Due::Held(request) => self.guard_held(request, out),
             Due::Release(engine) => self.flush_releases(&engine, out),
             Due::KvState(request) => self.end_wait(request, out),
@@ -480,14 +498,14 @@
         }
     }
 
-    fn take_client(&mut self, conn: ConnId, frame: Frame, out: &mut Vec<Output>) {
-        let stream = StreamNo(frame.stream);
+    fn take_client(&mut self, conn: ClientConnectionId, frame: Frame, out: &mut Vec<Output>) {
+        let stream = StreamId(frame.stream);
         self.heard_client(conn);
         match frame.body {
             Some(Body::Submit(submit)) => self.take_submit((conn, stream), submit, out),
             Some(Body::Cancel(_)) => {
                 // An unknown one has been answered in this very turn; nothing more is owed.
-                if let Some(id) = self.tickets.get(&(conn, stream)).copied() {
+                if let Some(id) = self.client_streams.get(&(conn, stream)).copied() {
                     self.leave(id, out);
                     self.count_cancel(conn, out);
                 }
@@ -520,10 +538,15 @@
         }
     }
 
-    fn take_submit(&mut self, ticket: Ticket, mut submit: v1::Submit, out: &mut Vec<Output>) {
-        let (conn, stream) = ticket;
+    fn take_submit(
+        &mut self,
+        client_stream: ClientStream,
+        mut submit: v1::Submit,
+        out: &mut Vec<Output>,
+    ) {
+        let (conn, stream) = client_stream;
         let took = self.client_asks(conn);
-        if self.tickets.contains_key(&ticket) || stream.0 == 0 {
+        if self.client_streams.contains_key(&client_stream) || stream.0 == 0 {
             let reason = format!("stream {} is in use or reserved", stream.0);
             return out.push(Output::CloseClient { conn, reason });
         }
@@ -560,12 +583,12 @@
             + request_class.latency_objective_per_1000_tokens * arrival.prompt_tokens / 1000.0;
         let latency_objective = self.now - took + latency_objective;
         self.timers.set(ends, Due::Deadline(id));
-        self.tickets.insert(ticket, id);
+        self.client_streams.insert(client_stream, id);
         if let Some(origin) = &submit.origin {
             self.origins.insert(origin.id.clone(), id);
         }
         let request = Request {
-            ticket,
+            client_stream,
             submit,
             ends,
             latency_objective,
@@ -685,10 +708,10 @@
         })
     }
 
-    fn take_client_closed(&mut self, conn: ConnId, out: &mut Vec<Output>) {
+    fn take_client_closed(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         self.callers.remove(conn);
-        let all = (conn, StreamNo(0))..=(conn, StreamNo(u64::MAX));
-        let ids: Vec<RequestId> = self.tickets.range(all).map(|(_, id)| *id).collect();
+        let all = (conn, StreamId(0))..=(conn, StreamId(u64::MAX));
+        let ids: Vec<RequestId> = self.client_streams.range(all).map(|(_, id)| *id).collect();
         for id in ids {
             self.leave(id, out);
         }
@@ -700,7 +723,7 @@
             return;
         };
         request.answered = true;
-        self.tickets.remove(&request.ticket);
+        self.client_streams.remove(&request.client_stream);
         self.events.push(Event::ClientGone { request: id });
         // A stream that nobody reads ends; what has not begun the decisions call off themselves.
         if request.streams() {
@@ -729,8 +752,8 @@
         }
         // No attempt can need it any more.
         request.submit.prompt = Default::default();
-        let (conn, stream) = request.ticket;
-        self.tickets.remove(&request.ticket);
+        let (conn, stream) = request.client_stream;
+        self.client_streams.remove(&request.client_stream);
         let (answer, reason) = (answer.into(), reason.to_owned());
         let body = v1::Final {
             answer,
@@ -738,7 +761,7 @@
             reason,
             full: false,
         };
-        if planted::is(Plant::FinalLost) && id.0 % 16 == 7 {
+        if fault_injection::is(Plant::FinalLost) && id.0 % 16 == 7 {
             return;
         }
         out.push(Output::ToClient {
@@ -786,15 +809,15 @@
         remembered: Option<EndpointUpdateKind>,
         out: &mut Vec<Output>,
     ) {
-        let planted = planted::list(list);
+        let planted = fault_injection::list(list);
         let list = planted.as_ref().unwrap_or(list);
-        let (kind, endpoints, wrong) = self.fleet.take(list, &self.settings);
+        let (kind, endpoints, wrong) = self.endpoints.take(list, &self.settings);
         out.extend(wrong.into_iter().map(|text| Output::Log {
             level: Level::Warn,
             text,
         }));
         if self.keeps_lists && remembered.is_none() && !list.endpoints.is_empty() {
-            out.push(Output::KeepList(self.fleet.whole()));
+            out.push(Output::KeepList(self.endpoints.whole()));
         }
         for entry in endpoints
             .iter()
@@ -803,13 +826,13 @@
             self.close_idle(&entry.engine, out);
         }
         for entry in endpoints.iter().filter(|e| e.started.is_some()) {
-            self.links.renewed(&entry.engine);
+            self.connections.renewed(&entry.engine);
         }
         self.events.push(Event::EndpointsUpdated {
             kind: remembered.unwrap_or(kind),
             endpoints,
         });
-        for engine in self.fleet.gone() {
+        for engine in self.endpoints.gone() {
             self.forget_gone(&engine);
         }
     }
@@ -817,8 +840,9 @@
     /// Guards against a fleet that is replaced all day: nothing is kept of an engine that is gone, once no
     /// connection to it is left. An unknown engine counts as gone.
     fn forget_gone(&mut self, engine: &EngineId) {
-        if self.fleet.status(engine) == EndpointStatus::Gone && self.links.forget(engine) {
-            self.fleet.engines.remove(engine);
+        if self.endpoints.status(engine) == EndpointStatus::Gone && self.connections.forget(engine)
+        {
+            self.endpoints.engines.remove(engine);
         }
     }
 
@@ -837,7 +861,8 @@
             let notice = self.settings.limits.stop_notice;
             if notice > 0.0 {
                 // Those with an open request are told with its answer, the others at the end of the notice.
-                let open: BTreeSet<ConnId> = self.tickets.keys().map(|(conn, _)| *conn).collect();
+                let open: BTreeSet<ClientConnectionId> =
+                    self.client_streams.keys().map(|(conn, _)| *conn).collect();
                 out.extend(open.into_iter().map(|conn| Output::LeaveClient { conn }));
                 self.timers.set(self.now + notice, Due::StopNotice);
             } else {
--- a/crates/dispatcher/src/ledger/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -2,8 +2,8 @@
 //!
 //! Whether a confirmed one counts, the state's record tells (`kv_states.rs`). Until then it is sent again.
 
+use super::connections::StreamPurpose;
 use super::kv_states::{Held, KvState, ReleaseCall};
-use super::links::Use;
 use super::*;
 
 /// The part of the release time within which an engine has to confirm a release, and the part that passes before the next
@@ -31,7 +31,7 @@
 const GIVE_UP_AFTER: f64 = 20.0;
 const GIVE_UP_UNCONFIRMED_AFTER: f64 = 120.0;
 
-impl Ledger {
+impl Dispatcher {
     /// The decisions let the state go that is held for a request.
     pub(super) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
         if self.kv_states.on_offer(id).is_none() {
@@ -80,7 +80,7 @@
     }
 
     pub(super) fn release_unless_planted(&mut self, held: Held, out: &mut Vec<Output>) {
-        if !planted::is(Plant::ReleaseForgotten) {
+        if !fault_injection::is(Plant::ReleaseForgotten) {
             self.release_at_engine(held, out);
         }
     }
@@ -95,7 +95,7 @@
 
     /// Begins the next round of calls to release a state, if it is time.
     pub(super) fn look_at_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if planted::is(Plant::ReleaseForgotten) {
+        if fault_injection::is(Plant::ReleaseForgotten) {
             self.kv_states.forget(id);
         }
         let Some(state) = self.kv_states.to_release(id) else {
@@ -145,7 +145,7 @@
     }
 
     fn begin_release(&mut self, id: RequestId, engine: EngineId, out: &mut Vec<Output>) {
-        let Some(row) = self.fleet.engines.get(&engine) else {
+        let Some(row) = self.endpoints.engines.get(&engine) else {
             return;
         };
         let Some(state) = self.kv_states.get_mut(id) else {
@@ -157,20 +157,20 @@
             state: Some(state.held.id),
             origin: state.held.origin.clone(),
         });
-        let purpose = Use::Release(ReleaseCall {
+        let purpose = StreamPurpose::Release(ReleaseCall {
             request: id,
             begun: now,
         });
         let to = (&mut self.timers, &mut *out);
         match self
-            .links
+            .connections
             .open(&engine, &address, purpose, now, &self.settings, to)
         {
-            Ok((link, stream)) => {
+            Ok((connection, stream)) => {
                 state.release.open_calls += 1;
                 let until = now + self.settings.policy.kv_state_timeout / CONFIRM_PART;
-                self.timers.set(until, Due::Past(link, stream));
-                self.links.send(link, stream, body, out);
+                self.timers.set(until, Due::Past(connection, stream));
+                self.connections.send(connection, stream, body, out);
             }
             Err(_) => state.release.unconfirmed.push(engine),
         }
@@ -293,7 +293,7 @@
 
     /// An engine has worked since attempts there ended without its word: it knows of their ends now, or will in a moment.
     pub(super) fn note_engine_worked(&mut self, engine: &EngineId) {
-        let worked = self.links.worked_at(engine);
+        let worked = self.connections.worked_at(engine);
         for id in self.kv_states.engine_worked(engine, worked, self.now) {
             let state = self
                 .kv_states
@@ -412,8 +412,8 @@
     /// the state is there.
     fn holder_to_ask(&self, state: &KvState, unconfirmed: &[EngineId]) -> Option<EngineId> {
         let engine = &state.held.engine;
-        let may_ask = self.fleet.status(engine) != EndpointStatus::Gone
-            && !self.links.is_asked_in_vain(engine);
+        let may_ask = self.endpoints.status(engine) != EndpointStatus::Gone
+            && !self.connections.is_asked_in_vain(engine);
         let was_cut =
             state.release.confirmed == 0 && state.unknowing().any(|other| other == engine);
         let fits =
@@ -422,7 +422,7 @@
     }
 
     fn was_heard_lately(&self, engine: &EngineId) -> bool {
-        self.links.heard_at(engine)
+        self.connections.heard_at(engine)
             >= self.now - self.settings.policy.kv_state_timeout / CONFIRM_PART
     }
 
@@ -431,9 +431,10 @@
     /// or the one that was heard last. Once all were asked it begins anew. Guards against a part of the fleet that falls
     /// silent at once: its connections at rest stay up, while those of the engines that work are busy.
     fn next_engine(&self, unconfirmed: &mut Vec<EngineId>, taken: &[EngineId]) -> Option<EngineId> {
-        let ready = |(_, row): &(&EngineId, &fleet::EngineRow)| row.status == EndpointStatus::Ready;
+        let ready =
+            |(_, row): &(&EngineId, &endpoints::EngineEntry)| row.status == EndpointStatus::Ready;
         let engines: Vec<&EngineId> = self
-            .fleet
+            .endpoints
             .engines
             .iter()
             .filter(ready)
@@ -446,12 +447,12 @@
         }
         let rank = |engine: &EngineId| {
             let fresh = self.was_heard_lately(engine);
-            let rests = fresh && self.links.up(engine, true).is_some();
+            let rests = fresh && self.connections.up(engine, true).is_some();
             (
-                !self.links.is_suspected(engine),
+                !self.connections.is_suspected(engine),
                 fresh,
                 rests,
-                self.links.heard_at(engine),
+                self.connections.heard_at(engine),
             )
         };
         let order = |a: &&EngineId, b: &&EngineId| {
@@ -464,7 +465,7 @@
         let unasked = engines
             .into_iter()
             .filter(|engine| !unconfirmed.contains(engine) && !taken.contains(engine));
-        let unasked = unasked.filter(|engine| !self.links.is_asked_in_vain(engine));
+        let unasked = unasked.filter(|engine| !self.connections.is_asked_in_vain(engine));
         unasked.max_by(order).cloned()
     }
 
--- a/crates/dispatcher/src/ledger/story.rs
+++ b/crates/dispatcher/src/state/request_log.rs
@@ -1,10 +1,10 @@
 //! The story of each request in lines for the log, so that one request can be followed by the id that its client gave
-//! it through every dispatcher that had it. Made only where somebody reads it (`Ledger::tell_stories`).
+//! it through every dispatcher that had it. Made only where somebody reads it (`Dispatcher::tell_stories`).
 
 use super::*;
 use std::fmt::Write;
 
-impl Ledger {
+impl Dispatcher {
     /// What happens to requests is told line by line from now on.
     pub fn tell_stories(&mut self) {
         self.stories = true;
--- a/crates/dispatcher/src/ledger/requests.rs
+++ b/crates/dispatcher/src/state/requests.rs
@@ -1,16 +1,16 @@
 //! A request as the dispatcher's ledger knows it.
 
 use super::invariants::FirstRun;
-use super::{ConnId, LinkId, StreamNo};
+use super::{ClientConnectionId, EngineConnectionId, StreamId};
 use cindercleat::interface::{AttemptId, EngineId, Ms, RetrySafety};
 use cindercleat_protocol::v1;
 
 /// A client's stream: its connection and its own number for the request.
-pub(super) type Ticket = (ConnId, StreamNo);
+pub(super) type ClientStream = (ClientConnectionId, StreamId);
 
 #[derive(Debug)]
 pub(super) struct Request {
-    pub ticket: Ticket,
+    pub client_stream: ClientStream,
     pub submit: v1::Submit,
     /// When the client gives up, unless a stream has begun.
     pub ends: Ms,
@@ -34,8 +34,8 @@
 pub(super) struct Attempt {
     pub no: AttemptId,
     pub engine: EngineId,
-    pub link: LinkId,
-    pub stream: StreamNo,
+    pub connection: EngineConnectionId,
+    pub stream: StreamId,
     pub reading: bool,
     pub since: Ms,
     /// When it went out on a connection that was up.
--- a/crates/dispatcher/src/ledger/record.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -19,14 +19,14 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(super) struct Record {
+pub(super) struct ServiceStats {
     tally: Tally,
     engines: BTreeMap<EngineId, Heard>,
     /// The last engine that was told of: the next ones come first, so that each has its time.
     last: Option<EngineId>,
 }
 
-impl Record {
+impl ServiceStats {
     /// A request got its final answer.
     pub fn answered(&mut self, answer: v1::Answer, late: bool) {
         match answer {
--- a/crates/dispatcher/src/ledger/timers.rs
+++ b/crates/dispatcher/src/state/timers.rs
@@ -1,6 +1,6 @@
 //! Timers, earliest first; those of one instant in the order in which they were set.
 
-use super::{ConnId, LinkId, StreamNo};
+use super::{ClientConnectionId, EngineConnectionId, StreamId};
 use cindercleat::interface::{AttemptId, EngineId, Ms, RequestId, TimerId};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -16,12 +16,12 @@
     /// A stream may have stalled.
     Stall(RequestId, AttemptId),
     /// Something falls due for a client's connection.
-    Client(ConnId),
-    /// Something falls due for the links to this engine.
-    Links(EngineId),
-    Probe(LinkId, StreamNo),
+    Client(ClientConnectionId),
+    /// Something falls due for the connections to this engine.
+    EngineConnections(EngineId),
+    Probe(EngineConnectionId, StreamId),
     /// The engine should have ended what was called off.
-    Past(LinkId, StreamNo),
+    Past(EngineConnectionId, StreamId),
     /// What this request holds may have lain for too long.
     Held(RequestId),
     /// States there whose release was lost are let go again.
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -41,7 +41,7 @@
         ..submit(class)
     });
     bench.put(Input::Client {
-        conn: ConnId(conn),
+        conn: ClientConnectionId(conn),
         frame: frame(1, body),
     })
 }
@@ -67,17 +67,17 @@
     }
 }
 
-/// The links on which releases of a request went out, among outputs.
-pub fn releases_of(conn: u64, out: &[Output]) -> Vec<LinkId> {
+/// The connections on which releases of a request went out, among outputs.
+pub fn releases_of(conn: u64, out: &[Output]) -> Vec<EngineConnectionId> {
     let release = |output: &Output| match output {
         Output::ToEngine {
-            link,
+            connection,
             frame:
                 Frame {
                     body: Some(Body::Release(release)),
                     ..
                 },
-        } if release.origin == conn.to_string() => Some(*link),
+        } if release.origin == conn.to_string() => Some(*connection),
         _ => None,
     };
     out.iter().filter_map(release).collect()
@@ -87,13 +87,13 @@
 pub fn called_off(out: &[Output], sent: &Sent) -> bool {
     let is_cancel = |output: &Output| match output {
         Output::ToEngine {
-            link,
+            connection,
             frame:
                 Frame {
                     stream,
                     body: Some(Body::Cancel(_)),
                 },
-        } => (*link, *stream) == (sent.link, sent.stream),
+        } => (*connection, *stream) == (sent.connection, sent.stream),
         _ => false,
     };
     out.iter().any(is_cancel)
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -8,7 +8,7 @@
 use super::common::{settings, single_limits};
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::Ms;
-use cindercleat_dispatcher::shell::{Places, Shell};
+use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_http1::{Bounds, Http1};
 use cindercleat_net::{Clock, Listener, Tcp, Transport};
@@ -291,7 +291,7 @@
 }
 
 pub struct Loopback {
-    pub shell: Shell<Gate, ManualClock, Http1>,
+    pub shell: Driver<Gate, ManualClock, Http1>,
     pub clock: ManualClock,
     pub gate: Gate,
     pub address: String,
@@ -384,7 +384,7 @@
             ..Places::default()
         };
         let wire = Http1::new(BOUNDS);
-        let shell = Shell::speaking(wire, settings, places, gate.clone(), clock.clone(), 1);
+        let shell = Driver::speaking(wire, settings, places, gate.clone(), clock.clone(), 1);
         let inner = listen_narrow();
         let address = inner.local_addr().expect("an address").to_string();
         let listener = FailingListener {
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -6,8 +6,10 @@
 use cindercleat::client_connection::http1::Http1Settings;
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::*;
-use cindercleat_dispatcher::ledger::{ConnId, Input, Ledger, LinkId, Output};
 use cindercleat_dispatcher::settings::Http1Limits;
+use cindercleat_dispatcher::state::{
+    ClientConnectionId, Dispatcher, EngineConnectionId, Input, Output,
+};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_protocol::{frame, v1, Body, Frame};
 use std::collections::{BTreeMap, BTreeSet};
@@ -79,9 +81,9 @@
 pub fn limits() -> Limits {
     Limits {
         max_open_requests: 1000,
-        streams_per_link: 100,
-        links_per_engine: 4,
-        link_idle: 15_000.0,
+        streams_per_connection: 100,
+        connections_per_engine: 4,
+        connection_idle: 15_000.0,
         window: 4,
         stall_limit: 1000.0,
         health_check_timeout: 250.0,
@@ -112,8 +114,8 @@
         rest: 10_000.0,
     };
     Limits {
-        streams_per_link: 1,
-        links_per_engine: 50,
+        streams_per_connection: 1,
+        connections_per_engine: 50,
         stall_limit: 4000.0,
         quiet: f64::INFINITY,
         ping_timeout: f64::INFINITY,
@@ -122,7 +124,7 @@
         again_most: 0.0,
         single: Some(Http1Limits {
             clients,
-            most_links: 50,
+            max_connections: 50,
         }),
         ..limits()
     }
@@ -183,7 +185,7 @@
 /// An attempt as it left for an engine.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    pub link: LinkId,
+    pub connection: EngineConnectionId,
     pub stream: u64,
     pub engine: String,
     pub state: Option<v1::KvStateId>,
@@ -191,10 +193,10 @@
 
 /// A ledger with readers `r1`, `r2` and writers `w1`, `w2`, and all that came out of it.
 pub struct Bench {
-    pub ledger: Ledger,
+    pub ledger: Dispatcher,
     pub now: Ms,
     pub out: Vec<Output>,
-    engines: BTreeMap<LinkId, String>,
+    engines: BTreeMap<EngineConnectionId, String>,
     pub links_come_up: bool,
     pub engines_answer_pings: bool,
     pub engines_answer_releases: bool,
@@ -210,7 +212,7 @@
     }
 
     pub fn with(settings: ProgramSettings) -> Self {
-        let ledger = Ledger::new(settings, 1);
+        let ledger = Dispatcher::new(settings, 1);
         let mut bench = Bench {
             ledger,
             now: 1000.0,
@@ -228,7 +230,7 @@
         bench
     }
 
-    /// Puts an input in; links that it dials come up at once, unless told otherwise.
+    /// Puts an input in; connections that it dials come up at once, unless told otherwise.
     pub fn put(&mut self, input: Input) -> Vec<Output> {
         let mut all = Vec::new();
         let mut next = vec![input];
@@ -237,19 +239,21 @@
             self.ledger.handle(self.now, input, &mut out);
             for output in &out {
                 match output {
-                    Output::Dial { link, engine, .. } => {
-                        self.engines.insert(*link, engine.0.to_string());
+                    Output::Dial {
+                        connection, engine, ..
+                    } => {
+                        self.engines.insert(*connection, engine.0.to_string());
                         let runs =
                             self.silent_engines_accept || !self.silent.contains(engine.0.as_ref());
                         if self.links_come_up && runs {
-                            next.push(Input::LinkUp {
-                                link: *link,
+                            next.push(Input::ConnectionUp {
+                                connection: *connection,
                                 limit: None,
                             });
                         }
                     }
                     Output::ToEngine {
-                        link,
+                        connection,
                         frame:
                             Frame {
                                 body: Some(Body::Ping(_)),
@@ -257,18 +261,24 @@
                             },
                     } if self.engines_answer_pings => {
                         let frame = frame(0, Body::Pong(v1::Pong {}));
-                        next.push(Input::Engine { link: *link, frame });
+                        next.push(Input::Engine {
+                            connection: *connection,
+                            frame,
+                        });
                     }
                     Output::ToEngine {
-                        link,
+                        connection,
                         frame:
                             Frame {
                                 stream,
                                 body: Some(Body::Release(_)),
                             },
-                    } if self.engines_answer_releases && !self.is_silent(*link) => {
+                    } if self.engines_answer_releases && !self.is_silent(*connection) => {
                         let frame = frame(*stream, Body::Done(v1::Done {}));
-                        next.push(Input::Engine { link: *link, frame });
+                        next.push(Input::Engine {
+                            connection: *connection,
+                            frame,
+                        });
                     }
                     _ => {}
                 }
@@ -294,14 +304,14 @@
 
     pub fn client(&mut self, stream: u64, body: Body) -> Vec<Output> {
         self.put(Input::Client {
-            conn: ConnId(1),
+            conn: ClientConnectionId(1),
             frame: frame(stream, body),
         })
     }
 
     pub fn engine(&mut self, to: &Sent, body: Body) -> Vec<Output> {
         self.put(Input::Engine {
-            link: to.link,
+            connection: to.connection,
             frame: frame(to.stream, body),
         })
     }
@@ -325,22 +335,22 @@
         )))
     }
 
-    /// Whether the engine that a link was dialled to has fallen silent.
-    pub fn is_silent(&self, link: LinkId) -> bool {
+    /// Whether the engine that a connection was dialled to has fallen silent.
+    pub fn is_silent(&self, connection: EngineConnectionId) -> bool {
         self.engines
-            .get(&link)
+            .get(&connection)
             .is_some_and(|engine| self.silent.contains(engine))
     }
 
-    /// The engine that a link was dialled to.
-    pub fn engine_of(&self, link: LinkId) -> &str {
-        &self.engines[&link]
+    /// The engine that a connection was dialled to.
+    pub fn engine_of(&self, connection: EngineConnectionId) -> &str {
+        &self.engines[&connection]
     }
 
     /// The attempts among outputs.
     pub fn attempts(&self, out: &[Output]) -> Vec<Sent> {
         let attempt = |output: &Output| {
-            let Output::ToEngine { link, frame } = output else {
+            let Output::ToEngine { connection, frame } = output else {
                 return None;
             };
             let state = match &frame.body {
@@ -349,9 +359,9 @@
                 _ => return None,
             };
             Some(Sent {
-                link: *link,
+                connection: *connection,
                 stream: frame.stream,
-                engine: self.engines.get(link)?.clone(),
+                engine: self.engines.get(connection)?.clone(),
                 state,
             })
         };
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use super::common;
-use cindercleat_dispatcher::shell::{Places, Shell};
+use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_net::{Clock, Memory, TokioClock, Transport};
 use cindercleat_protocol::v1::EndpointStatus;
@@ -20,7 +20,7 @@
 pub struct Net {
     pub memory: Memory,
     pub clock: TokioClock,
-    pub shell: Shell<Memory, TokioClock>,
+    pub shell: Driver<Memory, TokioClock>,
     pub transcript: Transcript,
     pub feed: Feed<TokioClock>,
     /// Tells the dispatcher to stop.
@@ -70,7 +70,7 @@
             feeds: vec!["feed".to_owned()],
             ..Places::default()
         };
-        let shell = Shell::new(settings, places, memory.clone(), clock, 1);
+        let shell = Driver::new(settings, places, memory.clone(), clock, 1);
         let listener = memory.listen("d").await.expect("a name");
         let serving = shell.clone();
         let stop = Rc::new(Notify::new());
--- a/crates/dispatcher/tests/endings.rs
+++ b/crates/dispatcher/tests/endings.rs
@@ -649,7 +649,7 @@
     #[test]
     fn at_the_engines_is_made_by_a_connection_at_rest_and_never_by_one_in_use() {
         let single = limits().single.map(|single| Http1Limits {
-            most_links: 2,
+            max_connections: 2,
             ..single
         });
         let limits = Limits { single, ..limits() };
@@ -745,7 +745,7 @@
                 assert!(client.text_until(END).await.ends_with(END));
                 net.no_request_is_open().await;
                 // Until it has rested for as long as a connection may.
-                net.advance(limits().link_idle);
+                net.advance(limits().connection_idle);
                 assert_eq!(
                     unused.rest().await,
                     "",
@@ -766,7 +766,7 @@
             assert_eq!(client.text_until(END).await, format!("{EVENT}{END}"));
             net.no_request_is_open().await;
             is_refused(&net, "b").await;
-            net.advance(limits().link_idle);
+            net.advance(limits().connection_idle);
             assert_eq!(
                 engine.rest().await,
                 "",
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use cindercleat_dispatcher::ledger::{ConnId, Input, LinkId, Output};
+use cindercleat_dispatcher::state::{ClientConnectionId, EngineConnectionId, Input, Output};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_protocol::v1::Status;
 use cindercleat_protocol::{v1, Body};
@@ -30,24 +30,26 @@
 
 fn goes(bench: &mut Bench, gone: Gone) -> Vec<Output> {
     match gone {
-        Gone::Closes => bench.put(Input::ClientClosed { conn: ConnId(1) }),
+        Gone::Closes => bench.put(Input::ClientClosed {
+            conn: ClientConnectionId(1),
+        }),
         Gone::Cancels => bench.client(1, Body::Cancel(v1::Cancel {})),
     }
 }
 
-fn dialled(out: &[Output]) -> Vec<LinkId> {
+fn dialled(out: &[Output]) -> Vec<EngineConnectionId> {
     let dial = |output: &Output| match output {
-        Output::Dial { link, .. } => Some(*link),
+        Output::Dial { connection, .. } => Some(*connection),
         _ => None,
     };
     out.iter().filter_map(dial).collect()
 }
 
 /// Nothing begins from now on, whatever comes up and however long it takes.
-fn nothing_begins(bench: &mut Bench, mut out: Vec<Output>, links: &[LinkId]) {
-    for link in links {
-        out.extend(bench.put(Input::LinkUp {
-            link: *link,
+fn nothing_begins(bench: &mut Bench, mut out: Vec<Output>, connections: &[EngineConnectionId]) {
+    for connection in connections {
+        out.extend(bench.put(Input::ConnectionUp {
+            connection: *connection,
             limit: None,
         }));
     }
@@ -68,14 +70,14 @@
 fn a_client_that_goes_while_its_first_attempt_waits_for_a_connection(gone: Gone, may_cancel: bool) {
     let mut bench = bench(may_cancel, false);
     let out = bench.client(1, Body::Submit(submit("draft")));
-    let links = dialled(&out);
+    let connections = dialled(&out);
     assert_eq!(
-        (links.len(), bench.attempts(&out).len()),
+        (connections.len(), bench.attempts(&out).len()),
         (1, 0),
         "it waits"
     );
     let out = goes(&mut bench, gone);
-    nothing_begins(&mut bench, out, &links);
+    nothing_begins(&mut bench, out, &connections);
 }
 
 #[test_case(Gone::Closes, true; "closes")]
@@ -100,14 +102,14 @@
         let read = bench.reading(1, "draft");
         bench.links_come_up = false;
         let out = bench.ended(&read, Status::PrefillDone);
-        let links = dialled(&out);
+        let connections = dialled(&out);
         assert_eq!(
-            (links.len(), bench.attempts(&out).len()),
+            (connections.len(), bench.attempts(&out).len()),
             (1, 0),
             "the decode waits for its connection"
         );
         let out = goes(&mut bench, gone);
-        nothing_begins(&mut bench, out, &links);
+        nothing_begins(&mut bench, out, &connections);
         assert!(
             to_engines(&bench.out).contains(&"release"),
             "its state is let go"
@@ -122,7 +124,7 @@
     let write = bench.writing(1, "draft");
     bench.links_come_up = false;
     let out = bench.ended(&write, Status::Overloaded);
-    let links = dialled(&out);
+    let connections = dialled(&out);
     let out = goes(&mut bench, gone);
-    nothing_begins(&mut bench, out, &links);
+    nothing_begins(&mut bench, out, &connections);
 }
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use cindercleat_dispatcher::ledger::{ConnId, Input, Level, Output, StreamNo};
+use cindercleat_dispatcher::state::{ClientConnectionId, Input, Level, Output, StreamId};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_protocol::v1::{Answer, EndpointStatus, EndpointUpdateKind, Status};
 use cindercleat_protocol::{frame, v1, Body};
@@ -31,13 +31,18 @@
     bench.links_come_up = false;
     let out = bench.client(1, Body::Submit(submit("proof")));
     let dialled = out.iter().find_map(|o| match o {
-        Output::Dial { link, engine, .. } => Some((*link, engine.0.to_string())),
+        Output::Dial {
+            connection, engine, ..
+        } => Some((*connection, engine.0.to_string())),
         _ => None,
     });
-    let (link, engine) = dialled.expect("a reader is dialled");
+    let (connection, engine) = dialled.expect("a reader is dialled");
     bench.told(&engine, EndpointStatus::Draining);
     bench.links_come_up = true;
-    let out = bench.put(Input::LinkUp { link, limit: None });
+    let out = bench.put(Input::ConnectionUp {
+        connection,
+        limit: None,
+    });
     let went: Vec<String> = bench.attempts(&out).into_iter().map(|l| l.engine).collect();
     assert!(
         went.iter().all(|to| *to != engine),
@@ -95,8 +100,8 @@
         let mut bench = Bench::new();
         let write = bench.writing(1, request_class);
         let reason = "reset".to_owned();
-        let out = bench.put(Input::LinkClosed {
-            link: write.link,
+        let out = bench.put(Input::ConnectionClosed {
+            connection: write.connection,
             reason,
         });
         assert_eq!(
@@ -121,8 +126,8 @@
         for position in 1..4 {
             bench.engine(&write, tokens(position));
         }
-        let out = bench.put(Input::LinkClosed {
-            link: write.link,
+        let out = bench.put(Input::ConnectionClosed {
+            connection: write.connection,
             reason: "reset".to_owned(),
         });
         assert_eq!(finals(&out), [(1, Answer::Failed)], "{request_class}");
@@ -150,8 +155,8 @@
         // Its outcome comes after its cancel, and its connection is cut after the client left.
         let late = bench.ended(&write, Status::Succeeded);
         bench.client(1, Body::Cancel(v1::Cancel {}));
-        let cut = bench.put(Input::LinkClosed {
-            link: write.link,
+        let cut = bench.put(Input::ConnectionClosed {
+            connection: write.connection,
             reason: "reset".to_owned(),
         });
         assert_eq!(to_client(&[late, cut].concat()), []);
@@ -199,7 +204,9 @@
     assert_eq!(finals(&out), [(1, Answer::Succeeded)]);
     let out = bench.ended(&write, Status::Failed);
     assert_eq!(to_client(&out), [], "one answer is enough");
-    assert!(out.iter().any(|o| matches!(o, Output::CloseLink { .. })));
+    assert!(out
+        .iter()
+        .any(|o| matches!(o, Output::CloseConnection { .. })));
 }
 
 #[test]
@@ -209,7 +216,9 @@
     bench.ended(&write, Status::Succeeded);
     let out = bench.client(1, Body::Cancel(v1::Cancel {}));
     assert_eq!(out, []);
-    let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
+    let out = bench.put(Input::ClientClosed {
+        conn: ClientConnectionId(1),
+    });
     assert_eq!(to_client(&out), []);
 }
 
@@ -217,7 +226,9 @@
 fn a_client_that_leaves_ends_its_stream_at_the_writer() {
     let mut bench = Bench::new();
     let write = bench.streaming(1, "proof");
-    let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
+    let out = bench.put(Input::ClientClosed {
+        conn: ClientConnectionId(1),
+    });
     assert_eq!(to_engines(&out), ["cancel"]);
     let out = bench.engine(&write, tokens(1));
     assert_eq!(out, [], "what was under way is passed over");
@@ -243,12 +254,16 @@
         let out = breach(&mut bench, &write);
         assert!(out
             .iter()
-            .any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
+            .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == write.connection)));
         let lost = finals(&out);
         assert!(lost.contains(&(1, Answer::Failed)));
         assert_eq!(
             lost.len(),
-            if other.link == write.link { 2 } else { 1 },
+            if other.connection == write.connection {
+                2
+            } else {
+                1
+            },
             "the rest is served on"
         );
     }
@@ -264,19 +279,21 @@
         bench.engine(&quick, tokens(position));
     }
     let flushed = Input::Flushed {
-        conn: ConnId(1),
-        stream: StreamNo(2),
+        conn: ClientConnectionId(1),
+        stream: StreamId(2),
         messages: 4,
     };
     let out = bench.put(flushed);
     let credited = out.iter().find_map(|o| match o {
-        Output::ToEngine { link, frame } => Some((*link, frame.stream, frame.body.clone())),
+        Output::ToEngine { connection, frame } => {
+            Some((*connection, frame.stream, frame.body.clone()))
+        }
         _ => None,
     });
     assert_eq!(
         credited,
         Some((
-            quick.link,
+            quick.connection,
             quick.stream,
             Some(Body::Credit(v1::Credit { messages: 4 }))
         ))
@@ -286,8 +303,8 @@
         bench.pass(300.0);
         bench.engine(&quick, tokens(position));
         bench.put(Input::Flushed {
-            conn: ConnId(1),
-            stream: StreamNo(2),
+            conn: ClientConnectionId(1),
+            stream: StreamId(2),
             messages: 1,
         });
     }
@@ -303,8 +320,8 @@
     let mut bench = Bench::new();
     let write = bench.streaming(1, "draft");
     bench.put(Input::Flushed {
-        conn: ConnId(1),
-        stream: StreamNo(1),
+        conn: ClientConnectionId(1),
+        stream: StreamId(1),
         messages: 1,
     });
     assert_eq!(finals(&bench.pass(999.0)), [], "not yet");
@@ -320,7 +337,7 @@
     let out = bench.pass(1001.0);
     assert!(out
         .iter()
-        .any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
+        .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == write.connection)));
 }
 
 #[test]
@@ -402,13 +419,13 @@
         "a stream twice"
     );
     let out = bench.put(Input::Client {
-        conn: ConnId(2),
+        conn: ClientConnectionId(2),
         frame: frame(1, tokens(0)),
     });
     assert!(out.iter().any(|o| matches!(
         o,
         Output::CloseClient {
-            conn: ConnId(2),
+            conn: ClientConnectionId(2),
             ..
         }
     )));
@@ -431,8 +448,8 @@
         out.extend(bench.pass(500.0));
         bench.engine(&hangs, tokens(position));
         bench.put(Input::Flushed {
-            conn: ConnId(1),
-            stream: StreamNo(2),
+            conn: ClientConnectionId(1),
+            stream: StreamId(2),
             messages: 1,
         });
     }
@@ -448,11 +465,11 @@
 #[test]
 fn a_remembered_list_serves_until_the_feed_speaks() {
     let ready = EndpointStatus::Ready;
-    let mut ledger = cindercleat_dispatcher::ledger::Ledger::new(settings(), 1);
+    let mut ledger = cindercleat_dispatcher::state::Dispatcher::new(settings(), 1);
     let mut out = Vec::new();
     ledger.handle(
         1.0,
-        Input::Remembered(list(
+        Input::CachedEndpoints(list(
             EndpointUpdateKind::Snapshot,
             &[("r1", ready), ("w1", ready)],
         )),
@@ -461,7 +478,7 @@
     ledger.handle(
         2.0,
         Input::Client {
-            conn: ConnId(1),
+            conn: ClientConnectionId(1),
             frame: frame(1, Body::Submit(submit("draft"))),
         },
         &mut out,
@@ -562,8 +579,8 @@
 #[test]
 fn links_fill_up_before_another_is_dialled_and_idle_ones_close() {
     let limits = Limits {
-        streams_per_link: 2,
-        links_per_engine: 2,
+        streams_per_connection: 2,
+        connections_per_engine: 2,
         ..limits()
     };
     let few = ProgramSettings {
@@ -581,7 +598,7 @@
             .count()
     };
     assert_eq!(dials(&bench.out), 2, "four reads on two links of two");
-    // A fifth has no place on any link: as full, which proves that it has not run, and it waits.
+    // A fifth has no place on any connection: as full, which proves that it has not run, and it waits.
     let out = bench.client(5, Body::Submit(submit("proof")));
     assert_eq!((dials(&out), finals(&out)), (0, vec![]));
     let reads = bench.attempts(&bench.out.clone());
@@ -591,13 +608,15 @@
         (dials(&out), finals(&out)),
         (0, vec![(5, Answer::Rejected)])
     );
-    bench.put(Input::ClientClosed { conn: ConnId(1) });
+    bench.put(Input::ClientClosed {
+        conn: ClientConnectionId(1),
+    });
     for read in bench.attempts(&bench.out.clone()) {
         bench.ended(&read, Status::Cancelled);
     }
-    assert!(bench.ledger.held().links > 0);
+    assert!(bench.ledger.held().connections > 0);
     bench.pass(15_100.0);
-    assert_eq!(bench.ledger.held().links, 0, "idle links close");
+    assert_eq!(bench.ledger.held().connections, 0, "idle links close");
 }
 
 #[test]
@@ -613,7 +632,7 @@
         let out = bench.pass(1000.0);
         assert!(out
             .iter()
-            .any(|o| matches!(o, Output::CloseLink { link, .. } if *link == write.link)));
+            .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == write.connection)));
         assert_eq!(finals(&out), expected, "{request_class}");
     }
 }
@@ -624,17 +643,17 @@
     bench.links_come_up = false;
     let dial = |out: &[Output]| {
         out.iter().find_map(|o| match o {
-            Output::Dial { link, .. } => Some(*link),
+            Output::Dial { connection, .. } => Some(*connection),
             _ => None,
         })
     };
     let mut dials = 0;
     for stream in 1..=50 {
         let out = bench.client(stream, Body::Submit(submit("draft")));
-        if let Some(link) = dial(&out) {
+        if let Some(connection) = dial(&out) {
             dials += 1;
-            bench.put(Input::LinkClosed {
-                link,
+            bench.put(Input::ConnectionClosed {
+                connection,
                 reason: "refused".to_owned(),
             });
         }
@@ -654,8 +673,8 @@
     for request_class in ["draft", "proof"] {
         let mut bench = Bench::new();
         let read = bench.reading(1, request_class);
-        let out = bench.put(Input::LinkClosed {
-            link: read.link,
+        let out = bench.put(Input::ConnectionClosed {
+            connection: read.connection,
             reason: "reset".to_owned(),
         });
         let released: Vec<v1::KvStateId> = out
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use cindercleat_dispatcher::shell::{Places, Shell};
+use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_net::{Clock, Listener, Tcp, TokioClock, Transport};
 use cindercleat_protocol::v1::{self, run_reply::Part, EndpointStatus};
@@ -56,7 +56,7 @@
             feeds: vec![feed_address],
             ..Places::default()
         };
-        let shell = Shell::new(settings, places, Tcp, clock, 1);
+        let shell = Driver::new(settings, places, Tcp, clock, 1);
         let listener = Tcp.listen("127.0.0.1:0").await.expect("a port");
         let address = listener.address();
         spawn_local(async move { shell.serve(listener, std::future::pending()).await });
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -6,7 +6,7 @@
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::Discovery;
 use cindercleat::resource_limits::{ProcessLimits, ResourceLimits};
-use cindercleat_dispatcher::shell::{Places, Shell};
+use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_http1::{Bounds, Http1};
 use cindercleat_net::{Clock, Listener, Memory, TokioClock, Transport};
@@ -42,7 +42,7 @@
 struct Net {
     memory: Memory,
     clock: TokioClock,
-    shell: Shell<Memory, TokioClock, Http1>,
+    shell: Driver<Memory, TokioClock, Http1>,
     /// What engines were asked, `engine: first line id`.
     asked: Rc<RefCell<Vec<String>>>,
     /// How the writer answers.
@@ -73,7 +73,7 @@
 
 fn limits() -> Limits {
     Limits {
-        link_idle: 5000.0,
+        connection_idle: 5000.0,
         most_clients: 10,
         stop_notice: 500.0,
         feed: FEED,
@@ -100,7 +100,7 @@
             feeds: vec!["feed".to_owned()],
             ..Places::default()
         };
-        let shell = Shell::speaking(
+        let shell = Driver::speaking(
             Http1::new(BOUNDS),
             settings,
             places,
@@ -324,10 +324,14 @@
         );
         assert_eq!(net.shell.held().requests, 0);
         net.request("a2", "draft").await;
-        assert_eq!(net.shell.held().links, 2, "connections are used again");
+        assert_eq!(
+            net.shell.held().connections,
+            2,
+            "connections are used again"
+        );
         net.wait(10_000.0).await;
         assert_eq!(
-            net.shell.held().links,
+            net.shell.held().connections,
             0,
             "and closed from this side when they rest"
         );
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -5,7 +5,9 @@
 mod common;
 
 use cindercleat::interface::Ms;
-use cindercleat_dispatcher::ledger::{ConnId, Input, Ledger, LinkId, Output, StreamNo};
+use cindercleat_dispatcher::state::{
+    ClientConnectionId, Dispatcher, EngineConnectionId, Input, Output, StreamId,
+};
 use cindercleat_protocol::v1::{Answer, EndpointStatus, EndpointUpdateKind, Status};
 use cindercleat_protocol::{frame, v1, Body};
 use common::*;
@@ -30,7 +32,7 @@
 #[derive(Clone, Debug)]
 struct Attempt {
     request: u32,
-    link: LinkId,
+    connection: EngineConnectionId,
     stream: u64,
     write: bool,
     state: v1::KvStateId,
@@ -49,11 +51,11 @@
 }
 
 struct World {
-    ledger: Ledger,
+    ledger: Dispatcher,
     now: Ms,
     statuses: BTreeMap<&'static str, EndpointStatus>,
-    dialled: Vec<(LinkId, String)>,
-    links: BTreeMap<LinkId, String>,
+    dialled: Vec<(EngineConnectionId, String)>,
+    connections: BTreeMap<EngineConnectionId, String>,
     attempts: Vec<Attempt>,
     /// Launches that the ledger has cancelled, which the engine has yet to end.
     past: Vec<Attempt>,
@@ -64,10 +66,10 @@
     at: BTreeMap<(u32, u32), String>,
     next_stream: u64,
     answers: [usize; 3],
-    probes: Vec<(LinkId, u64)>,
-    pings: Vec<LinkId>,
+    probes: Vec<(EngineConnectionId, u64)>,
+    pings: Vec<EngineConnectionId>,
     /// Releases that came and are not answered, with the state of one that was lost.
-    releases: Vec<(LinkId, u64, Option<StateKey>)>,
+    releases: Vec<(EngineConnectionId, u64, Option<StateKey>)>,
     wanted_since: BTreeMap<(u32, u32), Ms>,
 }
 
@@ -76,11 +78,11 @@
         let mut settings = settings();
         settings.policy.may_health_check = seed.is_multiple_of(2);
         World {
-            ledger: Ledger::new(settings, seed),
+            ledger: Dispatcher::new(settings, seed),
             now: 1000.0,
             statuses: ENGINES.map(|h| (h, EndpointStatus::Ready)).into(),
             dialled: Vec::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             attempts: Vec::new(),
             past: Vec::new(),
             requests: BTreeMap::new(),
@@ -107,7 +109,7 @@
         let now = self.now;
         self.held
             .retain(|_, since| since.is_infinite() || now < *since + GIVEN_UP);
-        let deaf = |engine: &String| !self.links.values().any(|h| h == engine);
+        let deaf = |engine: &String| !self.connections.values().any(|h| h == engine);
         let lies = |key: &(u32, u32), since: Ms| {
             self.now > since + RELEASE && !self.at.get(key).is_some_and(deaf)
         };
@@ -123,8 +125,10 @@
 
     fn check(&mut self, output: Output) -> Result<(), TestCaseError> {
         match output {
-            Output::Dial { link, engine, .. } => self.dialled.push((link, engine.0.to_string())),
-            Output::CloseLink { link, .. } => self.cut(link),
+            Output::Dial {
+                connection, engine, ..
+            } => self.dialled.push((connection, engine.0.to_string())),
+            Output::CloseConnection { connection, .. } => self.cut(connection),
             Output::ToClient { frame, .. } => {
                 let stream = frame.stream;
                 if let Some(Body::Accepted(accepted)) = &frame.body {
@@ -163,7 +167,7 @@
                     );
                 }
             }
-            Output::ToEngine { link, frame } => self.check_engine(link, frame)?,
+            Output::ToEngine { connection, frame } => self.check_engine(connection, frame)?,
             _ => {}
         }
         Ok(())
@@ -171,10 +175,14 @@
 
     fn check_engine(
         &mut self,
-        link: LinkId,
+        connection: EngineConnectionId,
         frame: cindercleat_protocol::Frame,
     ) -> Result<(), TestCaseError> {
-        let engine = self.links.get(&link).cloned().unwrap_or_default();
+        let engine = self
+            .connections
+            .get(&connection)
+            .cloned()
+            .unwrap_or_default();
         let stream = frame.stream;
         let (state, write) = match &frame.body {
             Some(Body::Prefill(read)) => (read.state, false),
@@ -190,14 +198,14 @@
                 let lost = first
                     .filter(|first| !comes && self.now < first + GIVEN_UP - RELEASE)
                     .map(|_| key);
-                self.releases.push((link, stream, lost));
+                self.releases.push((connection, stream, lost));
                 return Ok(());
             }
             Some(Body::Cancel(_)) => {
                 if let Some(at) = self
                     .attempts
                     .iter()
-                    .position(|l| l.link == link && l.stream == stream)
+                    .position(|l| l.connection == connection && l.stream == stream)
                 {
                     let attempt = self.attempts.remove(at);
                     self.end_held(&attempt, true);
@@ -209,16 +217,16 @@
                 let found = self
                     .attempts
                     .iter_mut()
-                    .find(|l| l.link == link && l.stream == stream);
+                    .find(|l| l.connection == connection && l.stream == stream);
                 found.into_iter().for_each(|l| l.credit += credit.messages);
                 return Ok(());
             }
             Some(Body::Ping(_)) => {
-                self.pings.push(link);
+                self.pings.push(connection);
                 return Ok(());
             }
             Some(Body::HealthCheck(_)) => {
-                self.probes.push((link, stream));
+                self.probes.push((connection, stream));
                 return Ok(());
             }
             _ => return Ok(()),
@@ -250,7 +258,7 @@
         }
         let attempt = Attempt {
             request: state.request,
-            link,
+            connection,
             stream,
             write,
             state,
@@ -273,14 +281,14 @@
         }
     }
 
-    fn cut(&mut self, link: LinkId) {
-        self.links.remove(&link);
-        self.dialled.retain(|(l, _)| *l != link);
-        self.past.retain(|l| l.link != link);
-        self.probes.retain(|(l, _)| *l != link);
+    fn cut(&mut self, connection: EngineConnectionId) {
+        self.connections.remove(&connection);
+        self.dialled.retain(|(l, _)| *l != connection);
+        self.past.retain(|l| l.connection != connection);
+        self.probes.retain(|(l, _)| *l != connection);
         let (cut, rest) = std::mem::take(&mut self.attempts)
             .into_iter()
-            .partition(|l| l.link == link);
+            .partition(|l| l.connection == connection);
         self.attempts = rest;
         for attempt in &cut as &Vec<Attempt> {
             self.end_held(attempt, true);
@@ -324,7 +332,7 @@
             ..v1::Ended::default()
         };
         self.put(Input::Engine {
-            link: attempt.link,
+            connection: attempt.connection,
             frame: frame(attempt.stream, Body::Ended(ended)),
         })
     }
@@ -336,15 +344,15 @@
             self.put(Input::Tick)?;
         }
         self.now = until;
-        for link in std::mem::take(&mut self.pings) {
-            if whom % 4 > 0 && self.links.contains_key(&link) {
+        for connection in std::mem::take(&mut self.pings) {
+            if whom % 4 > 0 && self.connections.contains_key(&connection) {
                 self.put(Input::Engine {
-                    link,
+                    connection,
                     frame: frame(0, Body::Pong(v1::Pong {})),
                 })?;
             }
         }
-        for (link, stream, lost) in std::mem::take(&mut self.releases) {
+        for (connection, stream, lost) in std::mem::take(&mut self.releases) {
             let body = match lost {
                 None => Body::Done(v1::Done {}),
                 Some(key) => {
@@ -359,9 +367,9 @@
                     })
                 }
             };
-            if self.links.contains_key(&link) {
+            if self.connections.contains_key(&connection) {
                 self.put(Input::Engine {
-                    link,
+                    connection,
                     frame: frame(stream, body),
                 })?;
             }
@@ -380,7 +388,7 @@
                     ..submit(request_class)
                 };
                 self.put(Input::Client {
-                    conn: ConnId(1),
+                    conn: ClientConnectionId(1),
                     frame: frame(stream, Body::Submit(submit)),
                 })
             }
@@ -394,7 +402,7 @@
                     request.left = !request.answered;
                 }
                 self.put(Input::Client {
-                    conn: ConnId(1),
+                    conn: ClientConnectionId(1),
                     frame: frame(stream, Body::Cancel(v1::Cancel {})),
                 })
             }
@@ -421,28 +429,31 @@
                     &[(engine, status)],
                 )))
             }
-            7 if !self.links.is_empty() => {
-                let link = *self
-                    .links
+            7 if !self.connections.is_empty() => {
+                let connection = *self
+                    .connections
                     .keys()
-                    .nth(pick(self.links.len()))
-                    .unwrap_or(&LinkId(0));
-                self.cut(link);
-                self.put(Input::LinkClosed {
-                    link,
+                    .nth(pick(self.connections.len()))
+                    .unwrap_or(&EngineConnectionId(0));
+                self.cut(connection);
+                self.put(Input::ConnectionClosed {
+                    connection,
                     reason: "drawn".to_owned(),
                 })
             }
             8..=11 if !self.dialled.is_empty() => {
-                let (link, engine) = self.dialled.remove(pick(self.dialled.len()));
+                let (connection, engine) = self.dialled.remove(pick(self.dialled.len()));
                 if whom.is_multiple_of(5) {
-                    return self.put(Input::LinkClosed {
-                        link,
+                    return self.put(Input::ConnectionClosed {
+                        connection,
                         reason: "drawn".to_owned(),
                     });
                 }
-                self.links.insert(link, engine);
-                self.put(Input::LinkUp { link, limit: None })
+                self.connections.insert(connection, engine);
+                self.put(Input::ConnectionUp {
+                    connection,
+                    limit: None,
+                })
             }
             12 if !self.past.is_empty() => {
                 let attempt = self.past.remove(pick(self.past.len()));
@@ -464,14 +475,14 @@
                     ..v1::Ended::default()
                 };
                 self.put(Input::Engine {
-                    link: attempt.link,
+                    connection: attempt.connection,
                     frame: frame(attempt.stream, Body::Ended(ended)),
                 })
             }
             13 if !self.probes.is_empty() => {
-                let (link, stream) = self.probes.remove(pick(self.probes.len()));
+                let (connection, stream) = self.probes.remove(pick(self.probes.len()));
                 self.put(Input::Engine {
-                    link,
+                    connection,
                     frame: frame(stream, Body::Load(v1::Load::default())),
                 })
             }
@@ -483,16 +494,17 @@
                     attempt.credit -= 1;
                     let body = tokens(attempt.position);
                     attempt.position += 1;
-                    let (link, stream, request) = (attempt.link, attempt.stream, attempt.request);
+                    let (connection, stream, request) =
+                        (attempt.connection, attempt.stream, attempt.request);
                     self.held
                         .remove(&(attempt.state.request, attempt.state.attempt));
                     self.put(Input::Engine {
-                        link,
+                        connection,
                         frame: frame(stream, body),
                     })?;
-                    let stream = StreamNo(self.requests[&request].stream);
+                    let stream = StreamId(self.requests[&request].stream);
                     return self.put(Input::Flushed {
-                        conn: ConnId(1),
+                        conn: ClientConnectionId(1),
                         stream,
                         messages: 1,
                     });
@@ -511,19 +523,21 @@
         }
     }
 
-    /// Everything ends: links, clients, time.
+    /// Everything ends: connections, clients, time.
     fn end_all(&mut self) -> Result<(), TestCaseError> {
-        for link in self.links.keys().copied().collect::<Vec<_>>() {
-            self.cut(link);
-            self.put(Input::LinkClosed {
-                link,
+        for connection in self.connections.keys().copied().collect::<Vec<_>>() {
+            self.cut(connection);
+            self.put(Input::ConnectionClosed {
+                connection,
                 reason: "the end".to_owned(),
             })?;
         }
         self.requests
             .values_mut()
             .for_each(|request| request.left = !request.answered);
-        self.put(Input::ClientClosed { conn: ConnId(1) })?;
+        self.put(Input::ClientClosed {
+            conn: ClientConnectionId(1),
+        })?;
         // Whom the ledger still dials, to let states go, cannot be had; then the states are not its to keep.
         self.held.clear();
         for _ in 0..400 {
@@ -535,7 +549,7 @@
         }
         let held = self.ledger.held();
         prop_assert_eq!(
-            (held.requests, held.links, held.timers),
+            (held.requests, held.connections, held.timers),
             (0, 0, 0),
             "{:?}",
             held
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cindercleat_dispatcher::ledger::{ConnId, Input, Output};
+use cindercleat_dispatcher::state::{ClientConnectionId, Input, Output};
 use cindercleat_protocol::v1::Status;
 use common::engines::*;
 use common::*;
@@ -19,7 +19,7 @@
 fn released(bench: &Bench, conn: u64, out: &[Output]) -> bool {
     releases_of(conn, out)
         .into_iter()
-        .any(|link| !bench.is_silent(link))
+        .any(|connection| !bench.is_silent(connection))
 }
 
 /// How long after now a release of a request begins that gets to an engine that runs, past the first `after` ms.
@@ -58,7 +58,9 @@
                 bench.pass(5.0);
             }
         } else {
-            bench.put(Input::ClientClosed { conn: ConnId(1) });
+            bench.put(Input::ClientClosed {
+                conn: ClientConnectionId(1),
+            });
         }
         let again =
             until_released(&mut bench, 1, 0.0).expect("a release after the end of the attempt");
@@ -75,7 +77,9 @@
         let mut bench = bench();
         decoding_at_one_that_hangs(&mut bench, 1, class);
         bench.pass(13.0);
-        bench.put(Input::ClientClosed { conn: ConnId(1) });
+        bench.put(Input::ClientClosed {
+            conn: ClientConnectionId(1),
+        });
         let again = until_released(&mut bench, 1, ROUND_TRIPS).expect("a release behind the close");
         assert!(again <= most(), "{class}: {again} ms after the close");
     }
@@ -101,7 +105,9 @@
         warm_up(&mut bench);
         let decode = decoding(&mut bench, 1, class);
         bench.pass(13.0);
-        let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
+        let out = bench.put(Input::ClientClosed {
+            conn: ClientConnectionId(1),
+        });
         assert_eq!(releases_of(1, &out).len(), 1, "{class}: at once");
         serve_one_at(&mut bench, &decode.engine);
         let out = bench.pass(most());
@@ -126,7 +132,9 @@
         let mut bench = bench();
         decoding_at_one_that_hangs(&mut bench, 1, class);
         bench.pass(300.0);
-        bench.put(Input::ClientClosed { conn: ConnId(1) });
+        bench.put(Input::ClientClosed {
+            conn: ClientConnectionId(1),
+        });
         let closed = bench.now;
         let mut last = closed;
         while last - closed < 4_000.0 {
@@ -166,7 +174,9 @@
             &["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"],
         );
         bench.pass(13.0);
-        bench.put(Input::ClientClosed { conn: ConnId(1) });
+        bench.put(Input::ClientClosed {
+            conn: ClientConnectionId(1),
+        });
         let out = bench.pass(outage);
         let calls = releases_of(1, &out).len();
         let bound = 30.0 + 0.02 * outage;
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use cindercleat_dispatcher::ledger::{ConnId, Input, Output};
+use cindercleat_dispatcher::state::{ClientConnectionId, Input, Output};
 use cindercleat_protocol::v1::{Answer, Status};
 use cindercleat_protocol::{v1, Body, Frame};
 use common::engines::*;
@@ -21,7 +21,7 @@
         }
         if releases_of(conn, &out)
             .into_iter()
-            .any(|link| !bench.is_silent(link))
+            .any(|connection| !bench.is_silent(connection))
         {
             return (bench.now - since, None);
         }
@@ -119,7 +119,7 @@
         let out = bench.pass(10.0);
         if releases_of(lost.0, &out)
             .into_iter()
-            .any(|link| !bench.is_silent(link))
+            .any(|connection| !bench.is_silent(connection))
         {
             break;
         }
@@ -153,7 +153,7 @@
             bench
                 .attempts(&bench.out)
                 .last()
-                .is_some_and(|last| last.link == queued.link),
+                .is_some_and(|last| last.connection == queued.connection),
             "{class}"
         );
         assert!(!called_off(&bench.out, &queued), "{class}");
@@ -262,7 +262,9 @@
             silence(&mut bench, &[lost.engine.as_str()]);
             let since = bench.now;
             bench.pass(after);
-            let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
+            let out = bench.put(Input::ClientClosed {
+                conn: ClientConnectionId(1),
+            });
             assert!(
                 called_off(&bench.out, &lost),
                 "{class} after {after}: the attempt is given up"
@@ -275,13 +277,13 @@
             );
             let reached = |output: &Output| match output {
                 Output::ToEngine {
-                    link,
+                    connection,
                     frame:
                         Frame {
                             body: Some(Body::Release(release)),
                             ..
                         },
-                } => release.origin == "1" && !bench.is_silent(*link),
+                } => release.origin == "1" && !bench.is_silent(*connection),
                 _ => false,
             };
             // A second attempt may have taken the state; then the client left that one.
@@ -327,11 +329,13 @@
     let prefill = bench.attempts(&out).pop().expect("a prefill goes out");
     silence(&mut bench, &[prefill.engine.as_str()]);
     bench.pass(100.0);
-    bench.put(Input::ClientClosed { conn: ConnId(1) });
+    bench.put(Input::ClientClosed {
+        conn: ClientConnectionId(1),
+    });
     let out = bench.pass(1_500.0);
     let passed_on = releases_of(1, &out)
         .into_iter()
-        .any(|link| !bench.is_silent(link));
+        .any(|connection| !bench.is_silent(connection));
     assert!(passed_on, "another engine was asked meanwhile");
     bench.silent.clear();
     let since = bench.now;
@@ -425,10 +429,13 @@
     let mut out = bench.engine(&broken, Body::Goodbye(bye));
     let since = bench.now;
     let second = bench.attempts(&out).pop().expect("it is read again");
-    assert!(bench.is_silent(second.link), "at an engine that is silent");
+    assert!(
+        bench.is_silent(second.connection),
+        "at an engine that is silent"
+    );
     while releases_of(1, &out)
         .into_iter()
-        .all(|link| bench.is_silent(link))
+        .all(|connection| bench.is_silent(connection))
     {
         let after = bench.now - since;
         assert!(
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cindercleat_dispatcher::ledger::{ConnId, Input, LinkId, Output};
 use cindercleat_dispatcher::settings::Http1Limits;
+use cindercleat_dispatcher::state::{ClientConnectionId, EngineConnectionId, Input, Output};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_protocol::v1::{Answer, Status};
 use cindercleat_protocol::{frame, v1, Body, Frame};
@@ -35,7 +35,7 @@
 
 fn asks(bench: &mut Bench, conn: u64, body: Body) -> Vec<Output> {
     bench.put(Input::Client {
-        conn: ConnId(conn),
+        conn: ClientConnectionId(conn),
         frame: frame(1, body),
     })
 }
@@ -76,11 +76,11 @@
 #[test]
 fn each_attempt_has_a_connection_of_its_own_and_nothing_is_dialled_ahead() {
     let mut bench = bench();
-    let mut links = Vec::new();
+    let mut connections = Vec::new();
     for n in 1..=6 {
-        links.push(reading(&mut bench, n, &n.to_string(), "draft"));
+        connections.push(reading(&mut bench, n, &n.to_string(), "draft"));
     }
-    let mut used: Vec<_> = links.iter().map(|l| l.link).collect();
+    let mut used: Vec<_> = connections.iter().map(|l| l.connection).collect();
     used.dedup();
     assert_eq!(used.len(), 6);
     let dials = bench
@@ -117,14 +117,14 @@
     let next = loop {
         let n = bench.out.len() as u64;
         let next = writing(&mut bench, n, &n.to_string(), "proof");
-        if next.link == write.link {
+        if next.connection == write.connection {
             break next;
         }
     };
     let out = bench.engine(&next, goodbye(true));
     let again = bench.attempts(&out).pop().expect("it goes out again");
     assert_eq!(again.engine, next.engine);
-    assert_ne!(again.link, next.link);
+    assert_ne!(again.connection, next.connection);
     assert_eq!(again.state, next.state, "as the same launch");
     assert_eq!(finals(&out), []);
 }
@@ -175,17 +175,19 @@
     let mut bench = bench();
     bench.engines_answer_releases = false;
     let read = reading(&mut bench, 1, "a", "draft");
-    let out = bench.put(Input::ClientClosed { conn: ConnId(1) });
+    let out = bench.put(Input::ClientClosed {
+        conn: ClientConnectionId(1),
+    });
     assert_eq!(releases(&out), ["a"]);
     let first = bench.out.iter().rev().find_map(|o| match o {
         Output::ToEngine {
-            link,
+            connection,
             frame:
                 Frame {
                     body: Some(Body::Release(_)),
                     ..
                 },
-        } => Some(*link),
+        } => Some(*connection),
         _ => None,
     });
     let out = bench.pass(400.0);
@@ -229,7 +231,9 @@
         "{out:?}"
     );
     assert!(bench.attempts(&out).is_empty() && releases(&out).is_empty());
-    bench.put(Input::ClientClosed { conn: ConnId(2) });
+    bench.put(Input::ClientClosed {
+        conn: ClientConnectionId(2),
+    });
     let out = bench.ended(&read, Status::PrefillDone);
     let write = bench.attempts(&out).pop().expect("the open one goes on");
     bench.engine(&write, tokens(0));
@@ -245,8 +249,12 @@
 #[test]
 fn time_that_a_request_took_to_come_is_part_of_its_patience() {
     let mut bench = bench();
-    bench.put(Input::ClientUp { conn: ConnId(1) });
-    bench.put(Input::ClientPartly { conn: ConnId(1) });
+    bench.put(Input::ClientUp {
+        conn: ClientConnectionId(1),
+    });
+    bench.put(Input::ClientPartly {
+        conn: ClientConnectionId(1),
+    });
     bench.pass(1500.0);
     let begin = bench.now;
     asks(&mut bench, 1, request("a", "proof"));
@@ -264,7 +272,7 @@
 fn links_are_bounded_over_all_engines_and_one_that_rests_makes_room() {
     let limits = single_limits();
     let single = limits.single.map(|single| Http1Limits {
-        most_links: 2,
+        max_connections: 2,
         ..single
     });
     let mut bench = bench_with(Limits { single, ..limits });
@@ -275,7 +283,7 @@
         let write = writing(&mut bench, n, &n.to_string(), "draft");
         bench.engine(&write, tokens(0));
         bench.ended(&write, Status::Succeeded);
-        assert!(bench.ledger.held().links <= 2);
+        assert!(bench.ledger.held().connections <= 2);
     }
 }
 
@@ -283,26 +291,34 @@
 fn silent_clients_are_closed_in_time_and_make_room_when_it_is_short() {
     let mut bench = bench();
     for conn in 1..=3 {
-        bench.put(Input::ClientUp { conn: ConnId(conn) });
+        bench.put(Input::ClientUp {
+            conn: ClientConnectionId(conn),
+        });
         bench.pass(1.0);
     }
     asks(&mut bench, 1, request("a", "draft"));
     let out = bench.put(Input::ClientsFull);
     assert_eq!(
         out,
-        [Output::LeaveClient { conn: ConnId(2) }],
+        [Output::LeaveClient {
+            conn: ClientConnectionId(2)
+        }],
         "not the one with an open task"
     );
-    bench.put(Input::ClientPartly { conn: ConnId(3) });
+    bench.put(Input::ClientPartly {
+        conn: ClientConnectionId(3),
+    });
     let out = bench.pass(2500.0);
-    let closed = |o: &&Output| matches!(o, Output::CloseClient { conn, .. } if *conn == ConnId(3));
+    let closed = |o: &&Output| matches!(o, Output::CloseClient { conn, .. } if *conn == ClientConnectionId(3));
     assert_eq!(
         out.iter().filter(closed).count(),
         1,
         "half a request is closed"
     );
     let of_one = |o: &&Output| match o {
-        Output::CloseClient { conn, .. } | Output::LeaveClient { conn } => *conn == ConnId(1),
+        Output::CloseClient { conn, .. } | Output::LeaveClient { conn } => {
+            *conn == ClientConnectionId(1)
+        }
         _ => false,
     };
     assert_eq!(bench.out.iter().filter(of_one).count(), 0);
@@ -366,12 +382,12 @@
 #[test]
 fn a_dispatcher_is_ready_with_a_list_and_until_it_stops() {
     let ping = || Body::Ping(v1::Ping {});
-    let mut empty = cindercleat_dispatcher::ledger::Ledger::new(settings(), 1);
+    let mut empty = cindercleat_dispatcher::state::Dispatcher::new(settings(), 1);
     let mut out = Vec::new();
     empty.handle(
         1.0,
         Input::Client {
-            conn: ConnId(1),
+            conn: ClientConnectionId(1),
             frame: frame(1, ping()),
         },
         &mut out,
@@ -406,25 +422,27 @@
             [(1, Answer::Succeeded)],
             "it went on"
         );
-        bench.put(Input::ClientClosed { conn: ConnId(n) });
+        bench.put(Input::ClientClosed {
+            conn: ClientConnectionId(n),
+        });
     }
     bench.pass(60_000.0);
     let held = bench.ledger.held();
-    assert_eq!((held.engines, held.links, held.requests), (4, 0, 0));
+    assert_eq!((held.engines, held.connections, held.requests), (4, 0, 0));
     assert!(held.timers < 10, "{held:?}");
 }
 
-/// The links over which releases went, among outputs.
-fn release_links(out: &[Output]) -> Vec<LinkId> {
+/// The connections over which releases went, among outputs.
+fn release_links(out: &[Output]) -> Vec<EngineConnectionId> {
     let release = |output: &Output| match output {
         Output::ToEngine {
-            link,
+            connection,
             frame:
                 Frame {
                     body: Some(Body::Release(_)),
                     ..
                 },
-        } => Some(*link),
+        } => Some(*connection),
         _ => None,
     };
     out.iter().filter_map(release).collect()
@@ -485,7 +503,9 @@
     bench.pass(200.0);
     bench.engine(&busy, tokens(1));
     let since = bench.now;
-    let mut out = bench.put(Input::ClientClosed { conn: ConnId(2) });
+    let mut out = bench.put(Input::ClientClosed {
+        conn: ClientConnectionId(2),
+    });
     let mut position = 2;
     let reached = loop {
         let asked: Vec<String> = release_links(&out)
@@ -537,10 +557,12 @@
     let read = reading(&mut bench, 2, "cut", "draft");
     bench.pass(1_000.0);
     bench.engine(&busy, tokens(0));
-    let out = bench.put(Input::ClientClosed { conn: ConnId(2) });
+    let out = bench.put(Input::ClientClosed {
+        conn: ClientConnectionId(2),
+    });
     let asked: Vec<&str> = release_links(&out)
         .iter()
-        .map(|link| bench.engine_of(*link))
+        .map(|connection| bench.engine_of(*connection))
         .collect();
     assert_eq!(
         asked,
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -107,12 +107,12 @@
 fn hundreds_of_streams_on_one_thread_each_get_their_events() {
     const STREAMS: usize = 200;
     let single = limits().single.map(|single| Http1Limits {
-        most_links: 2 * STREAMS,
+        max_connections: 2 * STREAMS,
         ..single
     });
     let limits = Limits {
         single,
-        links_per_engine: STREAMS,
+        connections_per_engine: STREAMS,
         most_clients: 2 * STREAMS,
         max_open_requests: STREAMS,
         ..limits()
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -120,9 +120,9 @@
     };
     let limits = Limits {
         max_open_requests: 1000,
-        streams_per_link: 50,
-        links_per_engine: 4,
-        link_idle: 8_000.0,
+        streams_per_connection: 50,
+        connections_per_engine: 4,
+        connection_idle: 8_000.0,
         window: 8,
         stall_limit: 1500.0,
         health_check_timeout: CONNECT,
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -206,7 +206,7 @@
 /// The spans of a day, counted from `begin`, in which connections may be dead without a word: until they are used,
 /// or closed for not being used.
 pub fn silences(day: &Day, begin: Ms) -> Vec<(Ms, Ms, Ms)> {
-    let unused = day.service.limits.link_idle + noticed(day);
+    let unused = day.service.limits.connection_idle + noticed(day);
     let silent = |fault: &&Fault| {
         use Trouble::*;
         matches!(
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -5,7 +5,7 @@
 use crate::model::{Again, Model};
 use crate::plan::{apart, rules, silences, Day};
 use cindercleat::interface::{Ms, RetrySafety};
-use cindercleat_dispatcher::shell::{Places, Shell};
+use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_net::sky::{address_of, Place, Sky};
 use cindercleat_net::{Clock, TokioClock, Transport};
 use cindercleat_protocol::{v1, Body};
@@ -94,7 +94,7 @@
 }
 
 struct Process {
-    shell: Shell<Place, StepClock>,
+    shell: Driver<Place, StepClock>,
     stop: Rc<Notify>,
     done: Rc<Notify>,
     over: Rc<Cell<bool>>,
@@ -134,7 +134,7 @@
         };
         let clock = self.clocks[at as usize].clone();
         let listener = place.listen(&address_of(&name)).await?;
-        let shell = Shell::new(settings, places, place, clock, run);
+        let shell = Driver::new(settings, places, place, clock, run);
         let (stop, done, over): (Rc<Notify>, Rc<Notify>, Rc<Cell<bool>>) = Default::default();
         // All that a process runs ends with it.
         let process = LocalSet::new();
@@ -406,7 +406,7 @@
         clock.sleep_until(clock.now() + 50.0).await;
         for process in processes.running.borrow().iter().flatten() {
             let held = process.shell.held();
-            let all = held.requests + held.links + held.timers;
+            let all = held.requests + held.connections + held.timers;
             processes.most.set(processes.most.get().max(all));
         }
     }
--- a/crates/faults/tests/planted.rs
+++ b/crates/faults/tests/planted.rs
@@ -1,7 +1,7 @@
 //! Each planted fault is found by some seed, and without one the same seeds find nothing: a check that cannot
 //! fail proves nothing. Prints how many seeds each took.
 
-use cindercleat_dispatcher::planted::{plant, Plant};
+use cindercleat_dispatcher::fault_injection::{plant, Plant};
 use cindercleat_faults::draw::{day, Shape, SHAPES};
 use cindercleat_faults::world::play;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/src/resource_limits.rs
+++ b/src/resource_limits.rs
@@ -32,10 +32,10 @@
 pub struct ResourceLimits {
     pub clients: Http1Settings,
     pub most_clients: usize,
-    pub most_links: usize,
+    pub max_connections: usize,
     pub max_open_requests: usize,
     /// A connection to an engine that rests is closed after this long.
-    pub link_idle: Ms,
+    pub connection_idle: Ms,
     /// One client's body, and all of them together.
     pub most_body: usize,
     pub most_bodies: usize,
@@ -148,9 +148,9 @@
         (share > 0).then(|| ResourceLimits {
             clients: CLIENTS,
             most_clients: share,
-            most_links: share,
+            max_connections: share,
             max_open_requests: given.most_held.unwrap_or(share).min(share),
-            link_idle: given
+            connection_idle: given
                 .engine_idle
                 .map_or(f64::INFINITY, |idle| REST_PART * idle),
             most_body: MOST_BODY,
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -20,13 +20,13 @@
 #[test]
 fn all_that_is_allowed_fits_into_what_is_given() {
     let allowed = ResourceLimits::of(&given()).expect("room for work");
-    assert!(allowed.most_clients + allowed.most_links + OWN_DESCRIPTORS <= 256);
+    assert!(allowed.most_clients + allowed.max_connections + OWN_DESCRIPTORS <= 256);
     assert!(
         allowed.most_clients * 3 >= 256,
         "a third of the descriptors is the clients'"
     );
     assert!(allowed.max_open_requests <= allowed.most_clients);
-    assert!(allowed.most_bodies < 8_000_000 && allowed.link_idle < 15_000.0 / 2.0);
+    assert!(allowed.most_bodies < 8_000_000 && allowed.connection_idle < 15_000.0 / 2.0);
     assert_eq!(
         allowed.stop_moves, None,
         "streams are cut only where clients come back"
