--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -2,10 +2,10 @@
 
 use crate::serve::block_on;
 use crate::{release_plan, releases};
-use cindercleat::fleet::bounds::Of;
-use cindercleat::fleet::member::{Order, ReleaseOrder, Reply, Status};
-use cindercleat::fleet::rollcall::Standing;
-use cindercleat::fleet::{Address, Duty, Name, Term};
+use cindercleat::fleet::bounds::UnitKind;
+use cindercleat::fleet::member::{OperatorRequest, Reply, RolloutRequest, Status};
+use cindercleat::fleet::rollcall::MemberStatus;
+use cindercleat::fleet::{Address, LeaseName, Name, Term};
 use cindercleat_fleet::ask::order_any;
 use cindercleat_fleet::job::{Ended, Job, Work};
 use cindercleat_net::{Clock, SystemClock, Tcp};
@@ -170,34 +170,47 @@
                 dry_run,
                 ..
             } => {
-                let order = ReleaseOrder::Start {
+                let order = RolloutRequest::Start {
                     plan: Box::new(plan),
                     skip: skip_absent,
                     dry: dry_run,
                 };
-                say(give(&clock, &args.at, &Order::Release(order)).await)
+                say(give(&clock, &args.at, &OperatorRequest::Rollout(order)).await)
             }
             What::Release {
                 what: ReleaseWhat::Status { json, watch },
             } => releases::status(&clock, &args.at, json, watch).await,
             What::Release {
                 what: ReleaseWhat::End,
-            } => say(give(&clock, &args.at, &Order::Release(ReleaseOrder::End)).await),
+            } => say(give(
+                &clock,
+                &args.at,
+                &OperatorRequest::Rollout(RolloutRequest::End),
+            )
+            .await),
             What::Halt { why } => releases::halt(&clock, &args.at, &why).await,
-            What::Resume => {
-                say(give(&clock, &args.at, &Order::Release(ReleaseOrder::Resume)).await)
-            }
-            What::Back => say(give(&clock, &args.at, &Order::Release(ReleaseOrder::Back)).await),
+            What::Resume => say(give(
+                &clock,
+                &args.at,
+                &OperatorRequest::Rollout(RolloutRequest::Resume),
+            )
+            .await),
+            What::Back => say(give(
+                &clock,
+                &args.at,
+                &OperatorRequest::Rollout(RolloutRequest::RollBack),
+            )
+            .await),
             What::Recount { of } => {
                 let of = if matches!(of, Counted::Engines) {
-                    Of::Engines
+                    UnitKind::Engines
                 } else {
-                    Of::Dispatchers
+                    UnitKind::Dispatchers
                 };
                 say(give(
                     &clock,
                     &args.at,
-                    &Order::Release(ReleaseOrder::Recount { of }),
+                    &OperatorRequest::Rollout(RolloutRequest::Recount { of }),
                 )
                 .await)
             }
@@ -211,7 +224,12 @@
                     Name::from(name.as_str()),
                     address.as_deref().map(Address::from),
                 );
-                say(give(&clock, &args.at, &Order::ByHand { who, address, why }).await)
+                say(give(
+                    &clock,
+                    &args.at,
+                    &OperatorRequest::ByHand { who, address, why },
+                )
+                .await)
             }
             What::Turn { name, label, .. } => releases::turn(&clock, &args.at, &name, &label).await,
             What::Hold { duty, command } => hold(&clock, &args.at, &duty, &command).await,
@@ -221,8 +239,8 @@
                 say(give(
                     &clock,
                     &args.at,
-                    &Order::HandOver {
-                        duty: Duty::from(duty.as_str()),
+                    &OperatorRequest::HandOver {
+                        duty: LeaseName::from(duty.as_str()),
                         to,
                     },
                 )
@@ -235,7 +253,7 @@
                 say(give(
                     &clock,
                     &args.at,
-                    &Order::AddVoter {
+                    &OperatorRequest::AddVoter {
                         name: Name::from(name.as_str()),
                         address,
                     },
@@ -247,7 +265,7 @@
             } => say(give(
                 &clock,
                 &args.at,
-                &Order::RemoveVoter {
+                &OperatorRequest::RemoveVoter {
                     name: Name::from(name.as_str()),
                 },
             )
@@ -261,7 +279,7 @@
 pub(crate) async fn give(
     clock: &SystemClock,
     at: &[String],
-    what: &Order,
+    what: &OperatorRequest,
 ) -> Result<Reply, String> {
     order_any(&Tcp, clock, at, what, WITHIN).await
 }
@@ -272,7 +290,7 @@
             println!("{words}");
             Ok(true)
         }
-        Ok(Reply::No(why)) | Err(why) => {
+        Ok(Reply::Refused(why)) | Err(why) => {
             eprintln!("cindercleat: {why}");
             Ok(false)
         }
@@ -285,7 +303,7 @@
 /// # Errors
 /// Nobody answers, in words.
 pub(crate) async fn full_status(clock: &SystemClock, at: &[String]) -> Result<Status, String> {
-    let found = match give(clock, at, &Order::Status).await {
+    let found = match give(clock, at, &OperatorRequest::Status).await {
         Ok(Reply::Status(status)) => *status,
         Ok(_) => return Err("another answer than was asked for".to_owned()),
         Err(why) => return Err(why),
@@ -294,7 +312,7 @@
     let mut full = found.clone();
     if let Some(caller) = &found.caller {
         let there = [caller.0.to_string()];
-        if let Ok(Reply::Status(status)) = give(clock, &there, &Order::Status).await {
+        if let Ok(Reply::Status(status)) = give(clock, &there, &OperatorRequest::Status).await {
             (full.roll, full.roll_for, full.care) = (status.roll, status.roll_for, status.care);
         }
     }
@@ -317,12 +335,12 @@
     Ok(full.majority)
 }
 
-fn standing(standing: Standing) -> &'static str {
+fn standing(standing: MemberStatus) -> &'static str {
     match standing {
-        Standing::In => "in",
-        Standing::Suspected => "suspected",
-        Standing::Out => "out",
-        Standing::Back => "back",
+        MemberStatus::Alive => "in",
+        MemberStatus::Suspected => "suspected",
+        MemberStatus::Dead => "out",
+        MemberStatus::Returned => "back",
     }
 }
 
@@ -419,7 +437,7 @@
 ) -> io::Result<bool> {
     let stop = crate::serve::ends()?;
     let (duty, number) = (
-        Duty::from(duty),
+        LeaseName::from(duty),
         RandomState::new().hash_one(std::process::id()),
     );
     let mut work = HeldCommand {
@@ -438,7 +456,7 @@
     match job.run(&mut work, stop).await? {
         Ended::Stopped => Ok(true),
         Ended::ByItself(success) => Ok(success),
-        Ended::Refused(why) => say(Ok(Reply::No(why))),
+        Ended::Refused(why) => say(Ok(Reply::Refused(why))),
         Ended::Lost(why) => {
             eprintln!("cindercleat: {} is lost: {why}", duty.0);
             Ok(false)
@@ -449,7 +467,7 @@
 /// An operator's command that runs only while its duty is held; without one the term is printed and nothing is run.
 struct HeldCommand<'a> {
     clock: &'a SystemClock,
-    duty: Duty,
+    duty: LeaseName,
     command: &'a [String],
     child: Option<Child>,
 }
--- a/crates/cindercleat-cli/src/fleet_settings.rs
+++ b/crates/cindercleat-cli/src/fleet_settings.rs
@@ -5,7 +5,7 @@
 use cindercleat::fleet::agreed::{LEAST_VOTERS, MOST_VOTERS};
 use cindercleat::fleet::duties::LeaseSettings;
 use cindercleat::fleet::member::{FleetSettings, LONGEST_NAME};
-use cindercleat::fleet::{Address, Name, Run};
+use cindercleat::fleet::{Address, Incarnation, Name};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -120,7 +120,7 @@
     let member = FleetSettings {
         fleet: block.value_or("name", "fleet".to_owned())?,
         me: Name::from(name),
-        run: Run(run),
+        run: Incarnation(run),
         address: Address::from(own.as_str()),
         zone: zone.to_owned(),
         label: block.value_or("label", env!("CARGO_PKG_VERSION").to_owned())?,
--- a/crates/cindercleat-cli/src/release_plan.rs
+++ b/crates/cindercleat-cli/src/release_plan.rs
@@ -1,9 +1,9 @@
 //! Plans of releases and bounds on who may be out, in the line-based form. `docs/releases.md` describes both.
 
 use crate::conf::{Line, Problem, Section, Time};
-use cindercleat::fleet::bounds::{Bounds, Most, Of};
+use cindercleat::fleet::bounds::{DisruptionBudget, MaxUnavailable, UnitKind};
 use cindercleat::fleet::member::LONGEST_NAME;
-use cindercleat::fleet::release::{Plan, MOST_NAMES};
+use cindercleat::fleet::release::{RolloutPlan, MOST_NAMES};
 use cindercleat::fleet::Name;
 use std::collections::BTreeSet;
 
@@ -20,8 +20,8 @@
 ///
 /// # Errors
 /// The first line that is wrong, or that contradicts another.
-pub fn bounds(block: &Section) -> Result<(Bounds, Bounds), Problem> {
-    let mut both = [Bounds::default(), Bounds::default()];
+pub fn bounds(block: &Section) -> Result<(DisruptionBudget, DisruptionBudget), Problem> {
+    let mut both = [DisruptionBudget::default(), DisruptionBudget::default()];
     let mut last: [Option<&Line>; 2] = [None, None];
     let mut seen = BTreeSet::new();
     for line in block.all("out") {
@@ -38,7 +38,7 @@
         let per_mille = line
             .after::<f64>("part")?
             .map_or(Ok(1000), |part| per_mille(line, part))?;
-        let most = Most { number, per_mille };
+        let most = MaxUnavailable { number, per_mille };
         let bounds = &mut both[at];
         match (place.as_str(), at) {
             ("fleet", _) => bounds.fleet = most,
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 /// The first thing wrong with it.
-pub fn read(file: &str, text: &str) -> Result<Plan, Problem> {
+pub fn read(file: &str, text: &str) -> Result<RolloutPlan, Problem> {
     let section = Section::parse(file, text, &[])?;
     let time = |keyword: &'static str, absent: f64| {
         section.value_or(keyword, Time(absent)).map(|t| t.0 as u64)
@@ -112,12 +112,12 @@
     };
     let of = section.one("of")?;
     let of = match of.only::<String>()?.as_str() {
-        "dispatchers" => Of::Dispatchers,
-        "hosts" => Of::Engines,
+        "dispatchers" => UnitKind::Dispatchers,
+        "hosts" => UnitKind::Engines,
         _ => return Err(of.wrong("'of dispatchers' or 'of hosts'")),
     };
     let grow = section.value_or("grow", 2.0_f64)?;
-    let plan = Plan {
+    let plan = RolloutPlan {
         name: section.value("release")?,
         of,
         label: section.value_or("label", String::new())?,
@@ -151,7 +151,7 @@
     if grow < 1.0 {
         return Err(section.one("grow")?.wrong("waves that grow by 1 or more"));
     }
-    if of == Of::Dispatchers {
+    if of == UnitKind::Dispatchers {
         if plan.label.is_empty() {
             return Err(section.lacks("label"));
         }
@@ -180,7 +180,7 @@
 }
 
 /// A drain of engines by name, all in one wave, as the bounds let them.
-pub fn drain(engines: &[String], stays: bool) -> Result<Plan, String> {
+pub fn drain(engines: &[String], stays: bool) -> Result<RolloutPlan, String> {
     if engines.is_empty() || engines.len() > MOST_NAMES {
         return Err(format!("1 to {MOST_NAMES} hosts"));
     }
@@ -188,9 +188,9 @@
     if let Some(twice) = engines.iter().find(|engine| !once.insert(*engine)) {
         return Err(format!("each host once, and '{twice}' is there twice"));
     }
-    Ok(Plan {
+    Ok(RolloutPlan {
         name: "drain".to_owned(),
-        of: Of::Engines,
+        of: UnitKind::Engines,
         names: engines.iter().map(|h| Name::from(h.as_str())).collect(),
         stays,
         first: engines.len() as u32,
@@ -199,6 +199,6 @@
         settle_ms: 2_000,
         begin_ms: 30_000,
         back_ms: 600_000,
-        ..Plan::default()
+        ..RolloutPlan::default()
     })
 }
--- a/crates/cindercleat-cli/src/releases.rs
+++ b/crates/cindercleat-cli/src/releases.rs
@@ -1,7 +1,7 @@
 //! What operators see and do of releases: status, halt, and the turn that a supervisor asks for.
 
 use crate::fleet::{full_status, give, say};
-use cindercleat::fleet::member::{CareStatus, Order, ReleaseOrder, Reply, Status};
+use cindercleat::fleet::member::{OperatorRequest, Reply, RolloutRequest, RolloutStatus, Status};
 use cindercleat::fleet::Name;
 use cindercleat_net::{Clock, SystemClock};
 use std::io::{self, IsTerminal, Write};
@@ -13,13 +13,13 @@
 
 /// Gives the halt, and again until it is certain that nothing begins any more.
 pub async fn halt(clock: &SystemClock, at: &[String], why: &str) -> io::Result<bool> {
-    let order = Order::Release(ReleaseOrder::Halt {
+    let order = OperatorRequest::Rollout(RolloutRequest::Halt {
         why: why.to_owned(),
     });
     let mut told = String::new();
     loop {
         match give(clock, at, &order).await {
-            Ok(Reply::Waits(words)) => {
+            Ok(Reply::Pending(words)) => {
                 // Said once, not with each countdown.
                 if told.is_empty() {
                     eprintln!("cindercleat: {words}");
@@ -37,7 +37,7 @@
     let stop = crate::serve::ends()?;
     tokio::pin!(stop);
     let order = |refused| {
-        Order::Release(ReleaseOrder::Turn {
+        OperatorRequest::Rollout(RolloutRequest::Permit {
             name: Name::from(name),
             label: label.to_owned(),
             refused,
@@ -46,7 +46,7 @@
     let mut told = String::new();
     loop {
         match give(clock, at, &order(false)).await {
-            Ok(Reply::Waits(words)) | Err(words) => {
+            Ok(Reply::Pending(words)) | Err(words) => {
                 if told != words {
                     eprintln!("cindercleat: waiting: {words}");
                     told = words;
@@ -134,7 +134,7 @@
 }
 
 fn as_text(full: &Status) -> String {
-    let CareStatus {
+    let RolloutStatus {
         name,
         of,
         state,
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Serve;
 use cindercleat::fleet::bounds::Unit;
-use cindercleat::fleet::member::{Fares, MOST_REPORTS};
+use cindercleat::fleet::member::{LocalHealth, MOST_REPORTS};
 use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_faults::fleet::End;
@@ -77,10 +77,10 @@
 }
 
 impl cindercleat_fleet::Dispatcher for Beside {
-    fn fares(&self) -> Fares {
+    fn fares(&self) -> LocalHealth {
         let ((ready, load), (tally, reports)) =
             (self.shell.fares(), self.shell.recorded(MOST_REPORTS));
-        Fares {
+        LocalHealth {
             ready,
             load,
             tally,
--- a/crates/dispatcher/src/driver.rs
+++ b/crates/dispatcher/src/driver.rs
@@ -9,7 +9,7 @@
 };
 use crate::{endpoint_cache, ProgramSettings};
 use cindercleat::discovery_client::{DiscoveryCalls, FirstCall};
-use cindercleat::fleet::bounds::{Tally, Unit};
+use cindercleat::fleet::bounds::{OutcomeCounts, Unit};
 use cindercleat::fleet::rollcall::EngineReport;
 use cindercleat::interface::{DispatcherId, EngineId, Ms};
 use cindercleat_grpc::Grpc;
@@ -237,7 +237,7 @@
     }
 
     /// How its requests ended, and reports on so many engines that were heard of since.
-    pub fn recorded(&self, most: usize) -> (Tally, Vec<EngineReport>) {
+    pub fn recorded(&self, most: usize) -> (OutcomeCounts, Vec<EngineReport>) {
         self.inner
             .ledger
             .borrow_mut()
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -24,9 +24,9 @@
 use crate::fault_injection::{self, Plant};
 use crate::settings::ProgramSettings;
 use cindercleat::control::Control;
-use cindercleat::fleet::bounds::{Stand, Tally, Unit};
+use cindercleat::fleet::bounds::{OutcomeCounts, ServiceStatus, Unit};
 use cindercleat::fleet::rollcall::EngineReport;
-use cindercleat::fleet::{Address, Name, Run};
+use cindercleat::fleet::{Address, Incarnation, Name};
 use cindercleat::interface::*;
 use cindercleat_protocol::{frame, name_of, v1, Body, Frame};
 use clients::ClientConnections;
@@ -330,7 +330,7 @@
     }
 
     /// How its requests ended, and reports on so many engines that were heard of since.
-    pub fn recorded(&mut self, now: Ms, most: usize) -> (Tally, Vec<EngineReport>) {
+    pub fn recorded(&mut self, now: Ms, most: usize) -> (OutcomeCounts, Vec<EngineReport>) {
         let Some(record) = &mut self.record else {
             return Default::default();
         };
@@ -345,7 +345,7 @@
             let cold = started.is_some_and(|at| now < at + slow_start_window);
             Unit {
                 name: Name(engine.0.clone()),
-                run: Run(started.map_or(0, f64::to_bits)),
+                run: Incarnation(started.map_or(0, f64::to_bits)),
                 address: Address::from(row.line.address.as_str()),
                 zone: row.line.zone.clone(),
                 cell: row.line.cell.clone(),
@@ -353,16 +353,16 @@
                 role: Some(row.role),
                 label: String::new(),
                 stand: match row.status {
-                    EndpointStatus::Ready if cold => Stand::Coming,
-                    EndpointStatus::Ready => Stand::In,
-                    EndpointStatus::Draining => Stand::Going,
-                    EndpointStatus::Gone => Stand::Out,
+                    EndpointStatus::Ready if cold => ServiceStatus::Starting,
+                    EndpointStatus::Ready => ServiceStatus::InService,
+                    EndpointStatus::Draining => ServiceStatus::Draining,
+                    EndpointStatus::Gone => ServiceStatus::OutOfService,
                 },
                 used: self
                     .record
                     .as_ref()
                     .and_then(|record| record.used(now, engine)),
-                tally: Tally::default(),
+                tally: OutcomeCounts::default(),
             }
         };
         self.endpoints.engines.iter().map(unit).collect()
--- a/crates/dispatcher/src/state/service_stats.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher in a fleet remembers of its own service, for those who watch a release: how its requests ended, and
 //! what engines said of their load. Kept only where it is asked for.
 
-use cindercleat::fleet::bounds::Tally;
+use cindercleat::fleet::bounds::OutcomeCounts;
 use cindercleat::fleet::rollcall::EngineReport;
 use cindercleat::fleet::Name;
 use cindercleat::interface::{EngineId, Event, Load, Ms, Outcome};
@@ -14,13 +14,13 @@
 struct Heard {
     used: Option<(f64, Ms)>,
     /// Since it was told last.
-    tally: Tally,
+    tally: OutcomeCounts,
     told: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct ServiceStats {
-    tally: Tally,
+    tally: OutcomeCounts,
     engines: BTreeMap<EngineId, Heard>,
     /// The last engine that was told of: the next ones come first, so that each has its time.
     last: Option<EngineId>,
@@ -39,7 +39,7 @@
         }
     }
 
-    pub fn tally(&self) -> Tally {
+    pub fn tally(&self) -> OutcomeCounts {
         self.tally
     }
 
--- a/crates/faults/src/drill/mod.rs
+++ b/crates/faults/src/drill/mod.rs
@@ -7,9 +7,9 @@
 pub use relay::{Way, Ways};
 
 use crate::duties::{Breach, Judge};
-use cindercleat::fleet::acts::{Receiver, Verdict};
+use cindercleat::fleet::acts::{FencingDecision, Receiver};
 use cindercleat::fleet::member::{Answer, Question};
-use cindercleat::fleet::Run;
+use cindercleat::fleet::Incarnation;
 use cindercleat::interface::Ms;
 use cindercleat_fleet::words::{answer_out, question_in};
 use cindercleat_grpc::{serve, Event, Session, Setup};
@@ -535,7 +535,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
     let receiver = Receiver::new(
-        Run(drill.seed.wrapping_mul(31).wrapping_add(at as u64 + 1)),
+        Incarnation(drill.seed.wrapping_mul(31).wrapping_add(at as u64 + 1)),
         0.01,
     );
     let receiver = Rc::new(RefCell::new(receiver));
@@ -568,7 +568,7 @@
                     else {
                         continue;
                     };
-                    let Some(Question::Act(act)) = question_in(said) else {
+                    let Some(Question::FencedCommand(act)) = question_in(said) else {
                         continue;
                     };
                     let mut seen = seen.borrow_mut();
@@ -577,7 +577,7 @@
                     let verdict = receiver.receive(now, &act);
                     let ticket = receiver.ticket(now);
                     seen.saw(at, now, &act, verdict);
-                    let answer = answer_out(&Answer::Verdict { verdict, ticket });
+                    let answer = answer_out(&Answer::FencingDecision { verdict, ticket });
                     out.send(frame(stream, Body::FleetAnswer(answer)));
                 }
             });
@@ -587,9 +587,15 @@
 }
 
 impl Seen {
-    fn saw(&mut self, by: usize, now: Ms, act: &cindercleat::fleet::acts::Act, verdict: Verdict) {
+    fn saw(
+        &mut self,
+        by: usize,
+        now: Ms,
+        act: &cindercleat::fleet::acts::FencedCommand,
+        verdict: FencingDecision,
+    ) {
         let refused = match verdict {
-            Verdict::Obeyed => {
+            FencingDecision::Executed => {
                 self.judge.obeyed(now, by, act);
                 self.report.obeyed += 1;
                 if let Some((name, since, term)) = self.open {
@@ -604,10 +610,10 @@
                 }
                 return;
             }
-            Verdict::OldTerm => "old term",
-            Verdict::Again => "again",
-            Verdict::Unknown => "asked first",
-            Verdict::Late => "late",
+            FencingDecision::StaleTerm => "old term",
+            FencingDecision::Duplicate => "again",
+            FencingDecision::TimestampMissing => "asked first",
+            FencingDecision::LeaseExpired => "late",
         };
         *self.report.refused.entry(refused).or_default() += 1;
     }
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -7,12 +7,12 @@
 use crate::duties::Breach;
 use crate::fleet::Fleet;
 use crate::plan::{rules, Day};
-use cindercleat::fleet::acts::{Receiver, Verdict};
-use cindercleat::fleet::bounds::{Bounds, Of};
-use cindercleat::fleet::conduct::Told;
+use cindercleat::fleet::acts::{FencingDecision, Receiver};
+use cindercleat::fleet::bounds::{DisruptionBudget, UnitKind};
+use cindercleat::fleet::conduct::PermitNotice;
 use cindercleat::fleet::member::{Answer, Question};
-use cindercleat::fleet::release::TurnNo;
-use cindercleat::fleet::{Name, Run};
+use cindercleat::fleet::release::PermitId;
+use cindercleat::fleet::{Incarnation, Name};
 use cindercleat::interface::Ms;
 use cindercleat_fleet::words::{answer_out, question_in};
 use cindercleat_grpc::{serve, Event, Session, Setup};
@@ -43,7 +43,7 @@
 pub struct Release {
     /// Engines, what is served, and the clients' traffic.
     pub day: Day,
-    pub bounds: (Bounds, Bounds),
+    pub bounds: (DisruptionBudget, DisruptionBudget),
     /// The same, as lines of a settings file.
     pub bounds_text: String,
     /// The plan's file, as the operator has it.
@@ -98,7 +98,7 @@
     processes: Rc<RefCell<Vec<Process>>>,
     engines: RefCell<BTreeMap<String, Standing>>,
     halted: RefCell<Option<Ms>>,
-    asked_back: RefCell<BTreeSet<TurnNo>>,
+    asked_back: RefCell<BTreeSet<PermitId>>,
     pub released: RefCell<Released>,
     breaches: RefCell<Vec<Breach>>,
     lease: Ms,
@@ -236,7 +236,7 @@
     fn turn_begins(&self, at: usize, line: &str, label: String) {
         let now = self.now();
         self.released.borrow_mut().turns += 1;
-        self.judge(Of::Dispatchers, &format!("d{at}"), line);
+        self.judge(UnitKind::Dispatchers, &format!("d{at}"), line);
         let mut processes = self.processes.borrow_mut();
         let process = &mut processes[at];
         if !label.is_empty() {
@@ -251,7 +251,7 @@
         4.5 * self.lease / 5.0 + 1.3 * self.lease + 500.0
     }
 
-    fn judge(&self, of: Of, who: &str, line: &str) {
+    fn judge(&self, of: UnitKind, who: &str, line: &str) {
         let (now, window) = (self.now(), self.window());
         if let Some(at) = *self.halted.borrow() {
             self.breach(
@@ -260,8 +260,8 @@
             );
         }
         let long = |since: Option<Ms>| since.is_some_and(|at| now - at > window);
-        let (bounds, outs): (Bounds, Vec<(String, bool)>) = match of {
-            Of::Dispatchers => {
+        let (bounds, outs): (DisruptionBudget, Vec<(String, bool)>) = match of {
+            UnitKind::Dispatchers => {
                 let processes = self.processes.borrow();
                 let each = processes.iter().enumerate().map(|(at, p)| {
                     let out = p.name == who || p.planned || long(p.out_since);
@@ -269,7 +269,7 @@
                 });
                 (self.release.bounds.0, each.collect())
             }
-            Of::Engines => {
+            UnitKind::Engines => {
                 let engines = self.engines.borrow();
                 let each = engines.iter().map(|(name, standing)| {
                     let zone = self.fleet.engines.get(name).map_or("", |h| &h.spec().zone);
@@ -282,11 +282,11 @@
             }
         };
         let zone = match of {
-            Of::Dispatchers => format!(
+            UnitKind::Dispatchers => format!(
                 "z{}",
                 who.trim_start_matches('d').parse::<usize>().unwrap_or(0) % 3
             ),
-            Of::Engines => self
+            UnitKind::Engines => self
                 .fleet
                 .engines
                 .get(who)
@@ -339,7 +339,7 @@
     pub async fn keep(self: &Rc<Self>) -> io::Result<String> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?.to_string();
-        let receiver = Rc::new(RefCell::new(Receiver::new(Run(77), 0.01)));
+        let receiver = Rc::new(RefCell::new(Receiver::new(Incarnation(77), 0.01)));
         let around = self.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -369,16 +369,16 @@
                             continue;
                         };
                         let answer = match question_in(said) {
-                            Some(Question::Act(act)) => {
+                            Some(Question::FencedCommand(act)) => {
                                 let now = around.now();
                                 let verdict = receiver.borrow_mut().receive(now, &act);
                                 let ticket = receiver.borrow().ticket(now);
-                                if let (Verdict::Obeyed, Some(told)) =
-                                    (verdict, Told::read(&act.body))
+                                if let (FencingDecision::Executed, Some(told)) =
+                                    (verdict, PermitNotice::read(&act.body))
                                 {
                                     around.drain(told);
                                 }
-                                Answer::Verdict { verdict, ticket }
+                                Answer::FencingDecision { verdict, ticket }
                             }
                             Some(Question::AskBack { turn, who, run, .. }) => Answer::Begun {
                                 begun: around.is_begun(turn, &who, run),
@@ -394,15 +394,17 @@
     }
 
     /// The start that an engine's line in the list tells.
-    fn run_of(&self, who: &Name) -> Option<Run> {
+    fn run_of(&self, who: &Name) -> Option<Incarnation> {
         let engine = self.fleet.engines.get(&*who.0)?;
-        Some(Run(engine
-            .line(v1::EndpointStatus::Ready)
-            .started_ms
-            .map_or(0, f64::to_bits)))
+        Some(Incarnation(
+            engine
+                .line(v1::EndpointStatus::Ready)
+                .started_ms
+                .map_or(0, f64::to_bits),
+        ))
     }
 
-    fn is_begun(&self, turn: TurnNo, who: &Name, run: Run) -> bool {
+    fn is_begun(&self, turn: PermitId, who: &Name, run: Incarnation) -> bool {
         let out = self.engines.borrow().get(&*who.0).is_none_or(|s| s.planned);
         let begun = out || self.run_of(who) != Some(run);
         if !begun {
@@ -412,7 +414,7 @@
     }
 
     /// An engine drains, goes, and comes back cold.
-    fn drain(self: &Rc<Self>, told: Told) {
+    fn drain(self: &Rc<Self>, told: PermitNotice) {
         let out = self
             .engines
             .borrow()
@@ -429,7 +431,7 @@
             return;
         };
         self.released.borrow_mut().drains += 1;
-        self.judge(Of::Engines, &name, &format!("turn {}", told.number.0));
+        self.judge(UnitKind::Engines, &name, &format!("turn {}", told.number.0));
         let now = self.now();
         if let Some(standing) = self.engines.borrow_mut().get_mut(&name) {
             *standing = Standing {
--- a/crates/faults/src/duties/draw_release.rs
+++ b/crates/faults/src/duties/draw_release.rs
@@ -2,8 +2,8 @@
 
 use super::draw::{Plan, Shape, Spell, Trouble, Who};
 use super::service::{Act, Op, Play, Version};
-use cindercleat::fleet::bounds::{Bounds, Most, Of};
-use cindercleat::fleet::release::Plan as ReleasePlan;
+use cindercleat::fleet::bounds::{DisruptionBudget, MaxUnavailable, UnitKind};
+use cindercleat::fleet::release::RolloutPlan;
 use cindercleat::interface::Ms;
 use nanorand::{Rng, WyRand};
 
@@ -12,8 +12,8 @@
 const BUSY: Ms = 18_000.0;
 
 /// A plan for dispatchers from v1 to v2, as fast as the bounds let it.
-pub fn forward(of: Of) -> ReleasePlan {
-    ReleasePlan {
+pub fn forward(of: UnitKind) -> RolloutPlan {
+    RolloutPlan {
         name: "to-v2".to_owned(),
         of,
         label: "v2".to_owned(),
@@ -24,17 +24,17 @@
         settle_ms: 500,
         begin_ms: 4_000,
         back_ms: 15_000,
-        ..ReleasePlan::default()
+        ..RolloutPlan::default()
     }
 }
 
 /// A fleet with a release and no troubles.
-pub fn quiet(seed: u64, voters: usize, members: usize, engines: usize, of: Of) -> Plan {
+pub fn quiet(seed: u64, voters: usize, members: usize, engines: usize, of: UnitKind) -> Plan {
     let mut plan = Plan::quiet(seed, voters, members, 1000.0, 60_000.0);
     (plan.targets, plan.tell_every, plan.beat) = (1, 200.0, 100.0);
     plan.release = Some(Play {
         engines,
-        bounds: (Bounds::default(), Bounds::default()),
+        bounds: (DisruptionBudget::default(), DisruptionBudget::default()),
         version: Version::Good,
         ops: vec![Op {
             at: START,
@@ -66,16 +66,16 @@
         false => (voters + rng.generate_range(3..9usize), 12),
     };
     let of = if rng.generate::<f64>() < 0.65 {
-        Of::Dispatchers
+        UnitKind::Dispatchers
     } else {
-        Of::Engines
+        UnitKind::Engines
     };
     let mut plan = quiet(seed, voters, members, engines, of);
     plan.lease = [600.0, 1000.0][rng.generate_range(0..2usize)];
     plan.loss = [0.0, 0.0, 0.01, 0.05][rng.generate_range(0..4usize)];
     plan.twice = [0.0, 0.02, 0.1][rng.generate_range(0..3usize)];
     plan.long = 0.002;
-    let most = |number: u32, per_mille: u32| Most { number, per_mille };
+    let most = |number: u32, per_mille: u32| MaxUnavailable { number, per_mille };
     let mut chance = || rng.generate::<f64>();
     let zone = if large {
         most(u32::MAX, 100)
@@ -86,12 +86,12 @@
         _ if large => most(u32::MAX, 100),
         c if c < 0.3 => most(2, 1000),
         c if c < 0.6 => most(u32::MAX, 340),
-        _ => Most::ALL,
+        _ => MaxUnavailable::ALL,
     };
-    let mut bounds = Bounds {
+    let mut bounds = DisruptionBudget {
         zone,
         fleet,
-        ..Bounds::default()
+        ..DisruptionBudget::default()
     };
     if bounds.fleet.number < bounds.zone.number {
         bounds.zone.number = bounds.fleet.number;
@@ -100,7 +100,7 @@
     of_engines.cell = if chance() < 0.5 && !large {
         most(1, 1000)
     } else {
-        Most::ALL
+        MaxUnavailable::ALL
     };
     of_engines.used_per_mille = if chance() < 0.6 { 800 } else { 1000 };
     of_engines.report_age_ms = 1_000;
--- a/crates/faults/src/duties/judge.rs
+++ b/crates/faults/src/duties/judge.rs
@@ -1,7 +1,7 @@
 //! Judges from outside: what receivers obeyed, and when.
 
-use cindercleat::fleet::acts::Act;
-use cindercleat::fleet::agreed::Holder;
+use cindercleat::fleet::acts::FencedCommand;
+use cindercleat::fleet::agreed::LeaseHolder;
 use cindercleat::interface::Ms;
 use std::collections::BTreeMap;
 
@@ -20,8 +20,8 @@
     pub story: Vec<String>,
     last: Vec<String>,
     term: Option<u64>,
-    holder: Option<Holder>,
-    holders: BTreeMap<u64, Holder>,
+    holder: Option<LeaseHolder>,
+    holders: BTreeMap<u64, LeaseHolder>,
     /// When any act was obeyed.
     at: Vec<Ms>,
 }
@@ -32,7 +32,7 @@
 impl Judge {
     /// A receiver obeyed an act. Two holders' acts overlap if one of an older term is obeyed anywhere after one
     /// of a newer term was obeyed anywhere.
-    pub fn obeyed(&mut self, now: Ms, by: usize, act: &Act) {
+    pub fn obeyed(&mut self, now: Ms, by: usize, act: &FencedCommand) {
         let (term, name) = (act.term.0, &act.holder.name.0);
         self.last.push(format!(
             "{now:.3} ms: receiver {by} obeyed act {} of term {term} by {name}",
@@ -99,7 +99,7 @@
         self.breach(kind, what);
     }
 
-    pub fn holder(&self) -> Option<&Holder> {
+    pub fn holder(&self) -> Option<&LeaseHolder> {
         self.holder.as_ref()
     }
 
--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -13,14 +13,14 @@
 pub use draw::{draw, Plan, Shape, Trouble};
 pub use judge::{Breach, Judge};
 
-use cindercleat::fleet::acts::{Receiver, Verdict};
+use cindercleat::fleet::acts::{FencingDecision, Receiver};
 use cindercleat::fleet::duties::LeaseSettings;
 use cindercleat::fleet::member::{
-    Answer, AskNo, CallNo, Fares, FleetSettings, Input, Member, Order, Output, Question, Reply,
-    SaveNo, ROLL_CALL,
+    Answer, CallId, FleetSettings, Input, LocalHealth, Member, OperatorRequest, Output, Question,
+    QuestionId, Reply, SaveId, ROLL_CALL,
 };
-use cindercleat::fleet::register::Kept;
-use cindercleat::fleet::{Address, Duty, Name, Run};
+use cindercleat::fleet::register::AcceptorState;
+use cindercleat::fleet::{Address, Incarnation, LeaseName, Name};
 use cindercleat::interface::Ms;
 use cindercleat_fleet::words::{answer_out, question_out};
 use nanorand::{Rng, WyRand};
@@ -49,15 +49,15 @@
     disk: Disk,
     /// The wake that counts: others are out of date.
     wake: u64,
-    calls: BTreeMap<CallNo, MultiplexedConnection>,
+    calls: BTreeMap<CallId, MultiplexedConnection>,
 }
 
 /// The voter's file.
 #[derive(Default)]
 struct Disk {
-    file: Option<Kept>,
+    file: Option<AcceptorState>,
     /// What it held at some moments before.
-    before: Vec<(Ms, Option<Kept>)>,
+    before: Vec<(Ms, Option<AcceptorState>)>,
     fails: bool,
     damaged: bool,
     slow: bool,
@@ -68,8 +68,8 @@
 enum MultiplexedConnection {
     Node {
         at: usize,
-        run: Run,
-        ask: AskNo,
+        run: Incarnation,
+        ask: QuestionId,
     },
     /// One whose act on a release this is, by its number, or none.
     Operator(Option<usize>),
@@ -94,22 +94,22 @@
         from: MultiplexedConnection,
         question: Box<Question>,
     },
-    Act {
+    FencedCommand {
         to: usize,
         from: MultiplexedConnection,
-        act: Box<cindercleat::fleet::acts::Act>,
+        act: Box<cindercleat::fleet::acts::FencedCommand>,
     },
     Answer {
         to: usize,
-        run: Run,
-        ask: AskNo,
+        run: Incarnation,
+        ask: QuestionId,
         answer: Option<Box<Answer>>,
     },
     Saved {
         node: usize,
-        run: Run,
-        number: SaveNo,
-        kept: Box<Kept>,
+        run: Incarnation,
+        number: SaveId,
+        kept: Box<AcceptorState>,
         lasts: bool,
     },
     Trouble(usize),
@@ -117,11 +117,11 @@
     Start(usize),
     AskBack {
         from: MultiplexedConnection,
-        turn: cindercleat::fleet::release::TurnNo,
+        turn: cindercleat::fleet::release::PermitId,
         who: Name,
-        run: Run,
+        run: Incarnation,
     },
-    Fares(usize),
+    LocalHealth(usize),
     Watch,
     Ended {
         node: usize,
@@ -265,7 +265,7 @@
         let keeper = usize::from(plan.release.is_some());
         let targets = (0..plan.targets + keeper).map(|at| {
             let (rate, offset) = clock(plan.drift);
-            let receiver = Receiver::new(Run(1000 * (at as u64 + 1)), plan.drift);
+            let receiver = Receiver::new(Incarnation(1000 * (at as u64 + 1)), plan.drift);
             Target {
                 receiver,
                 rate,
@@ -338,7 +338,7 @@
         FleetSettings {
             fleet: "fleet".to_owned(),
             me: name_of(node),
-            run: Run(node as u64 * 1_000_000 + self.nodes[node].starts),
+            run: Incarnation(node as u64 * 1_000_000 + self.nodes[node].starts),
             address: address_of(node),
             zone: self.nodes[node].zone.clone(),
             label: self
@@ -389,10 +389,10 @@
         let ready = self.service.is_none();
         self.give(
             node,
-            Input::Fares(Fares {
+            Input::LocalHealth(LocalHealth {
                 ready,
                 load: 0.1,
-                ..Fares::default()
+                ..LocalHealth::default()
             }),
         );
         if votes {
@@ -438,7 +438,7 @@
             matches!(
                 o,
                 Output::Ask {
-                    question: Question::Act(_),
+                    question: Question::FencedCommand(_),
                     ..
                 }
             )
@@ -485,7 +485,7 @@
     fn perform(&mut self, node: usize, output: Output, late: Ms) {
         match output {
             Output::Ask { ask, to, question } => {
-                let run = Run(node as u64 * 1_000_000 + self.nodes[node].starts);
+                let run = Incarnation(node as u64 * 1_000_000 + self.nodes[node].starts);
                 let from = MultiplexedConnection::Node { at: node, run, ask };
                 let weight = |plan: &Plan| {
                     if plan.weigh {
@@ -504,7 +504,7 @@
                     if let Some(way) = self.way(node, target) {
                         let at = self.now + late + way;
                         let what = match (&question, target.checked_sub(self.nodes.len())) {
-                            (Question::Act(act), Some(to)) => What::Act {
+                            (Question::FencedCommand(act), Some(to)) => What::FencedCommand {
                                 to,
                                 from,
                                 act: Box::new(act.clone()),
@@ -567,7 +567,7 @@
                 let (fails, slow) = (disk.fails, disk.slow);
                 let took =
                     0.2 + 2.0 * self.chance() + if slow { 80.0 * self.chance() } else { 0.0 };
-                let run = Run(self.nodes[node].starts);
+                let run = Incarnation(self.nodes[node].starts);
                 self.push(
                     self.now + late + took,
                     What::Saved {
@@ -580,7 +580,7 @@
                 );
             }
             Output::Holds { .. } | Output::Warn(_) | Output::Info(_) => {}
-            Output::Turn { turn, label } => self.turn_begins(node, turn, &label),
+            Output::PermitGranted { turn, label } => self.turn_begins(node, turn, &label),
             // One that has its turn drains on and is ended by its time.
             Output::Stopped if self.is_ending(node) => {}
             Output::Stopped => {
@@ -605,7 +605,7 @@
     }
 
     /// Reads off a new holder's acts when its roll is whole again, but for one that may be gone.
-    fn look_at_roll(&mut self, act: &cindercleat::fleet::acts::Act) {
+    fn look_at_roll(&mut self, act: &cindercleat::fleet::acts::FencedCommand) {
         let term = act.term.0;
         if self.rebuilding.is_none_or(|(of, _)| of < term) {
             self.rebuilding = Some((term, self.now));
@@ -657,7 +657,7 @@
                     return;
                 }
                 self.numbers += 1;
-                let call = CallNo(self.numbers);
+                let call = CallId(self.numbers);
                 self.nodes[to].calls.insert(call, from);
                 self.give(
                     to,
@@ -673,7 +673,7 @@
                 ask,
                 answer,
             } => {
-                let now_run = Run(to as u64 * 1_000_000 + self.nodes[to].starts);
+                let now_run = Incarnation(to as u64 * 1_000_000 + self.nodes[to].starts);
                 if run == now_run {
                     self.give(
                         to,
@@ -691,7 +691,7 @@
                 kept,
                 lasts,
             } => self.saved(node, run, number, *kept, lasts),
-            What::Act { to, from, act } => self.act(to, from, &act),
+            What::FencedCommand { to, from, act } => self.act(to, from, &act),
             What::Start(node) => self.start(node),
             What::Trouble(at) => self.trouble(at),
             What::Over(at) => self.over(at),
@@ -718,7 +718,7 @@
                     }
                 }
             }
-            What::Fares(node) => self.fares(node),
+            What::LocalHealth(node) => self.fares(node),
             What::Watch => self.watch(),
             What::Ended { node, starts } => self.turn_ended(node, starts),
             What::Engine { at, number, back } => self.engine_step(at, number, back),
@@ -728,11 +728,19 @@
         }
     }
 
-    fn saved(&mut self, node: usize, run: Run, number: SaveNo, kept: Kept, lasts: bool) {
-        let alive = self.nodes[node].member.is_some() && Run(self.nodes[node].starts) == run;
+    fn saved(
+        &mut self,
+        node: usize,
+        run: Incarnation,
+        number: SaveId,
+        kept: AcceptorState,
+        lasts: bool,
+    ) {
+        let alive =
+            self.nodes[node].member.is_some() && Incarnation(self.nodes[node].starts) == run;
         // A process that died while it wrote left the old file or the new one.
         let written =
-            lasts && (alive || self.chance() < 0.5) && Run(self.nodes[node].starts) == run;
+            lasts && (alive || self.chance() < 0.5) && Incarnation(self.nodes[node].starts) == run;
         if written {
             let now = self.now;
             let disk = &mut self.nodes[node].disk;
@@ -747,7 +755,12 @@
         }
     }
 
-    fn act(&mut self, to: usize, from: MultiplexedConnection, act: &cindercleat::fleet::acts::Act) {
+    fn act(
+        &mut self,
+        to: usize,
+        from: MultiplexedConnection,
+        act: &cindercleat::fleet::acts::FencedCommand,
+    ) {
         let now = self.now;
         let target = &mut self.targets[to];
         let read = target.offset + now * target.rate;
@@ -761,11 +774,11 @@
         self.hash.update(
             format!("{now:.6} {to} {} {} {verdict_text}", act.term.0, act.number).as_bytes(),
         );
-        if verdict == Verdict::Obeyed {
+        if verdict == FencingDecision::Executed {
             self.judge.obeyed(now, to, act);
             self.played.obeyed += 1;
             if to == self.plan.targets {
-                if let Some(told) = cindercleat::fleet::conduct::Told::read(&act.body) {
+                if let Some(told) = cindercleat::fleet::conduct::PermitNotice::read(&act.body) {
                     self.keeper_told(&told);
                 }
             } else {
@@ -779,16 +792,16 @@
             }
         } else {
             self.met(match verdict {
-                Verdict::OldTerm => "act refused: old term",
-                Verdict::Again => "act refused: again",
-                Verdict::Unknown => "act refused: asked first",
+                FencingDecision::StaleTerm => "act refused: old term",
+                FencingDecision::Duplicate => "act refused: again",
+                FencingDecision::TimestampMissing => "act refused: asked first",
                 _ => "act refused: late",
             });
         }
         if let MultiplexedConnection::Node { at, run, ask } = from {
             let me = self.nodes.len() + to;
             if let Some(way) = self.way(me, at) {
-                let answer = Some(Box::new(Answer::Verdict { verdict, ticket }));
+                let answer = Some(Box::new(Answer::FencingDecision { verdict, ticket }));
                 self.push(
                     now + way,
                     What::Answer {
@@ -905,9 +918,9 @@
         }
     }
 
-    fn order(&mut self, node: usize, order: Order) {
+    fn order(&mut self, node: usize, order: OperatorRequest) {
         self.numbers += 1;
-        let call = CallNo(self.numbers);
+        let call = CallId(self.numbers);
         self.nodes[node]
             .calls
             .insert(call, MultiplexedConnection::Operator(None));
@@ -915,7 +928,7 @@
             node,
             Input::Asked {
                 call,
-                question: Question::Order(order),
+                question: Question::Operator(order),
             },
         );
     }
@@ -963,8 +976,8 @@
                     self.open_trouble("handed over");
                     let to =
                         (to % self.nodes.len() != holder).then(|| name_of(to % self.nodes.len()));
-                    let duty = Duty::from(ROLL_CALL);
-                    self.order(holder, Order::HandOver { duty, to });
+                    let duty = LeaseName::from(ROLL_CALL);
+                    self.order(holder, OperatorRequest::HandOver { duty, to });
                 }
             }
             Trouble::Sleep => {
@@ -1018,7 +1031,7 @@
                 let to = who % self.targets.len();
                 let target = &mut self.targets[to];
                 target.runs += 1;
-                let run = Run(1000 * (to as u64 + 1) + target.runs);
+                let run = Incarnation(1000 * (to as u64 + 1) + target.runs);
                 target.receiver = Receiver::new(run, self.plan.drift);
             }
             Trouble::TargetClock(ms) => {
@@ -1060,7 +1073,7 @@
             Trouble::Burst(part) => self.set_burst(*part),
             Trouble::AddVoter(node) => {
                 let node = node % self.nodes.len();
-                let order = Order::AddVoter {
+                let order = OperatorRequest::AddVoter {
                     name: name_of(node),
                     address: Some(address_of(node)),
                 };
@@ -1069,7 +1082,7 @@
             Trouble::RemoveVoter(node) => {
                 self.order(
                     who,
-                    Order::RemoveVoter {
+                    OperatorRequest::RemoveVoter {
                         name: name_of(node % self.nodes.len()),
                     },
                 );
@@ -1140,12 +1153,12 @@
 }
 
 /// What a digest of a day takes of a verdict: the same text whatever the code calls it.
-fn verdict_digest_text(verdict: Verdict) -> &'static str {
+fn verdict_digest_text(verdict: FencingDecision) -> &'static str {
     match verdict {
-        Verdict::Obeyed => "Obeyed",
-        Verdict::OldTerm => "OldTerm",
-        Verdict::Again => "Again",
-        Verdict::Unknown => "Unknown",
-        Verdict::Late => "Late",
+        FencingDecision::Executed => "Obeyed",
+        FencingDecision::StaleTerm => "OldTerm",
+        FencingDecision::Duplicate => "Again",
+        FencingDecision::TimestampMissing => "Unknown",
+        FencingDecision::LeaseExpired => "Late",
     }
 }
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -3,10 +3,12 @@
 //! work, what the voters' files hold; never what a member thinks.
 
 use super::*;
-use cindercleat::fleet::bounds::{Bounds, Most, Of, Stand, Tally, Unit};
-use cindercleat::fleet::conduct::Told;
-use cindercleat::fleet::member::{Fares, ReleaseOrder};
-use cindercleat::fleet::release::{Plan as ReleasePlan, TurnNo};
+use cindercleat::fleet::bounds::{
+    DisruptionBudget, MaxUnavailable, OutcomeCounts, ServiceStatus, Unit, UnitKind,
+};
+use cindercleat::fleet::conduct::PermitNotice;
+use cindercleat::fleet::member::{LocalHealth, RolloutRequest};
+use cindercleat::fleet::release::{PermitId, RolloutPlan};
 use cindercleat::fleet::rollcall::EngineReport;
 use cindercleat::interface::Role;
 use std::collections::BTreeSet;
@@ -25,7 +27,7 @@
 /// What an operator does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
-    Start(Box<ReleasePlan>),
+    Start(Box<RolloutPlan>),
     Halt,
     Resume,
     Back,
@@ -47,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Play {
     pub engines: usize,
-    pub bounds: (Bounds, Bounds),
+    pub bounds: (DisruptionBudget, DisruptionBudget),
     pub version: Version,
     pub ops: Vec<Op>,
     /// What the operator does some time after a halt that nobody gave: goes back or on, or leaves it.
@@ -98,7 +100,7 @@
 pub(super) struct Serving {
     label: String,
     ready_at: Ms,
-    tally: Tally,
+    tally: OutcomeCounts,
     /// Its process ends by its turn: which start of it.
     ending: Option<u64>,
     /// A turn of it began and it has not been in since.
@@ -122,7 +124,7 @@
     cell: String,
     role: Role,
     /// All that its list told of it: when, as what, started when.
-    told: Vec<(Ms, Stand, Option<Ms>)>,
+    told: Vec<(Ms, ServiceStatus, Option<Ms>)>,
     new: bool,
     planned: bool,
     out_since: Option<Ms>,
@@ -130,16 +132,19 @@
 }
 
 impl Engine {
-    fn at(&self, now: Ms) -> (Ms, Stand, Option<Ms>) {
+    fn at(&self, now: Ms) -> (Ms, ServiceStatus, Option<Ms>) {
         self.told
             .iter()
             .rfind(|(at, ..)| *at <= now)
             .copied()
-            .unwrap_or((0.0, Stand::Out, None))
+            .unwrap_or((0.0, ServiceStatus::OutOfService, None))
     }
 
-    fn now(&self) -> (Ms, Stand, Option<Ms>) {
-        self.told.last().copied().unwrap_or((0.0, Stand::Out, None))
+    fn now(&self) -> (Ms, ServiceStatus, Option<Ms>) {
+        self.told
+            .last()
+            .copied()
+            .unwrap_or((0.0, ServiceStatus::OutOfService, None))
     }
 }
 
@@ -159,9 +164,9 @@
     engines: Vec<Engine>,
     doing: Vec<Doing>,
     /// Voters whose files have had each turn.
-    filed: BTreeMap<TurnNo, BTreeSet<usize>>,
+    filed: BTreeMap<PermitId, BTreeSet<usize>>,
     /// Turns that the list's keeper said it has not begun.
-    asked_back: BTreeSet<TurnNo>,
+    asked_back: BTreeSet<PermitId>,
     /// Acknowledged, and nothing was ordered to go on since.
     halted: Option<Ms>,
     resumed: Option<Ms>,
@@ -186,7 +191,7 @@
         let serving = |_| Serving {
             label: "v1".to_owned(),
             ready_at: f64::INFINITY,
-            tally: Tally::default(),
+            tally: OutcomeCounts::default(),
             ending: None,
             planned: false,
             wanted: "v1".to_owned(),
@@ -206,7 +211,7 @@
             } else {
                 Role::Decode
             },
-            told: vec![(0.0, Stand::In, None)],
+            told: vec![(0.0, ServiceStatus::InService, None)],
             new: false,
             planned: false,
             out_since: None,
@@ -255,7 +260,7 @@
         let ready = self
             .engines
             .iter()
-            .filter(|h| h.role == role && h.now().1 == Stand::In)
+            .filter(|h| h.role == role && h.now().1 == ServiceStatus::InService)
             .count() as f64;
         (self.used(now) * all / (ready - f64::from(less)).max(0.1)).min(1.0)
     }
@@ -275,7 +280,7 @@
         let shrinks = service.play.shrinks.as_ref().map(|(at, _)| *at);
         for node in 0..nodes {
             let phase = self.chance() * FARES;
-            self.push(phase, What::Fares(node));
+            self.push(phase, What::LocalHealth(node));
         }
         (0..ops).for_each(|op| self.push(at[op], What::Op(op)));
         self.push(WATCH, What::Watch);
@@ -302,7 +307,7 @@
             Version::Dies(after) if new => this.ready_at + after,
             _ => f64::INFINITY,
         };
-        (this.tally, this.ending) = (Tally::default(), None);
+        (this.tally, this.ending) = (OutcomeCounts::default(), None);
     }
 
     fn is_in(&self, node: usize) -> bool {
@@ -320,7 +325,7 @@
     /// How a node fares, and what it says of it.
     pub(super) fn fares(&mut self, node: usize) {
         let next = self.now + FARES;
-        self.push(next, What::Fares(node));
+        self.push(next, What::LocalHealth(node));
         let (now, is_in) = (self.now, self.is_in(node));
         let draws: [f64; 4] = std::array::from_fn(|_| self.chance());
         let Some(service) = &mut self.service else {
@@ -359,7 +364,7 @@
             for n in 0..service.engines.len().min(4) {
                 let at = (draws[2] * service.engines.len() as f64) as usize + n;
                 let engine = &service.engines[at % service.engines.len()];
-                if engine.now().1 == Stand::In {
+                if engine.now().1 == ServiceStatus::InService {
                     let used = service.used_of(now, engine.role, 0);
                     let bad = if engine.new {
                         bad_of(service.play.version)
@@ -367,10 +372,10 @@
                         0.0
                     };
                     let harmed = ((5.0 * (bad + service.burst) + draws[3]) as u64).min(5);
-                    let tally = Tally {
+                    let tally = OutcomeCounts {
                         succeeded: 5 - harmed,
                         rejected: harmed,
-                        ..Tally::default()
+                        ..OutcomeCounts::default()
                     };
                     reports.push(EngineReport {
                         engine: engine.name.clone(),
@@ -380,7 +385,7 @@
                 }
             }
         }
-        let fares = Fares {
+        let fares = LocalHealth {
             ready,
             load: 0.2,
             tally: service.nodes[node].tally,
@@ -396,7 +401,7 @@
         {
             return self.dies(node);
         }
-        self.give(node, Input::Fares(fares));
+        self.give(node, Input::LocalHealth(fares));
         if let Some(engines) = engines {
             self.give(node, Input::Engines(engines));
         }
@@ -412,18 +417,18 @@
         let seen = self.now - LIST_LATE;
         let unit = |engine: &Engine| {
             let (at, stand, started) = engine.at(seen);
-            if stand == Stand::Out && at < began {
+            if stand == ServiceStatus::OutOfService && at < began {
                 return None;
             }
             let cold = started.is_some_and(|at| seen < at + service.play.slow_start_window);
-            let stand = if stand == Stand::In && cold {
-                Stand::Coming
+            let stand = if stand == ServiceStatus::InService && cold {
+                ServiceStatus::Starting
             } else {
                 stand
             };
             Some(Unit {
                 name: engine.name.clone(),
-                run: Run(started.map_or(0, f64::to_bits)),
+                run: Incarnation(started.map_or(0, f64::to_bits)),
                 address: Address::from("host"),
                 zone: engine.zone.clone(),
                 cell: engine.cell.clone(),
@@ -437,7 +442,7 @@
                 label: String::new(),
                 stand,
                 used: None,
-                tally: Tally::default(),
+                tally: OutcomeCounts::default(),
             })
         };
         service.engines.iter().filter_map(unit).collect()
@@ -452,13 +457,13 @@
     }
 
     /// A process has its turn and drains.
-    pub(super) fn turn_begins(&mut self, node: usize, turn: TurnNo, label: &str) {
+    pub(super) fn turn_begins(&mut self, node: usize, turn: PermitId, label: &str) {
         let was_in = self.is_in(node);
         self.met("turn begun");
         self.hash
             .update(format!("{:.6} turn {} {node} {label}", self.now, turn.0).as_bytes());
         if was_in {
-            self.judge_out(Of::Dispatchers, node);
+            self.judge_out(UnitKind::Dispatchers, node);
         }
         self.judge_turn(turn, label);
         let now = self.now;
@@ -500,7 +505,7 @@
     }
 
     /// The keeper of the list obeyed: an engine drains.
-    pub(super) fn keeper_told(&mut self, told: &Told) {
+    pub(super) fn keeper_told(&mut self, told: &PermitNotice) {
         let Some(at) = self
             .service
             .as_ref()
@@ -511,11 +516,14 @@
         let Some(service) = &self.service else { return };
         let (_, stand, started) = service.engines[at].now();
         let asked_back = service.asked_back.contains(&told.number);
-        if asked_back || stand != Stand::In || started.map_or(0, f64::to_bits) != told.run.0 {
+        if asked_back
+            || stand != ServiceStatus::InService
+            || started.map_or(0, f64::to_bits) != told.run.0
+        {
             return self.met("host's turn that was had");
         }
         self.met("host drained");
-        self.judge_out(Of::Engines, at);
+        self.judge_out(UnitKind::Engines, at);
         self.judge_turn(told.number, "");
         self.engine_goes(at, true, told.stays, Some(told.label.as_str()));
     }
@@ -536,7 +544,7 @@
         engine.number += 1;
         let number = engine.number;
         if planned {
-            engine.told.push((now, Stand::Going, started));
+            engine.told.push((now, ServiceStatus::Draining, started));
         }
         let gone = if planned { now + drains } else { now };
         self.push(
@@ -570,9 +578,9 @@
         }
         let started = engine.now().2;
         engine.told.push(if back {
-            (now, Stand::In, Some(now))
+            (now, ServiceStatus::InService, Some(now))
         } else {
-            (now, Stand::Out, started)
+            (now, ServiceStatus::OutOfService, started)
         });
     }
 
@@ -586,14 +594,19 @@
     }
 
     /// Whether an engine's turn has begun, as its list's keeper knows.
-    pub(super) fn keeper_asked_back(&mut self, turn: TurnNo, who: &Name, run: Run) -> bool {
+    pub(super) fn keeper_asked_back(
+        &mut self,
+        turn: PermitId,
+        who: &Name,
+        run: Incarnation,
+    ) -> bool {
         let Some(service) = &mut self.service else {
             return true;
         };
         let engine = service.engines.iter().find(|h| h.name == *who);
         let begun = engine.is_none_or(|h| {
             let (_, stand, started) = h.now();
-            stand != Stand::In || started.map_or(0, f64::to_bits) != run.0
+            stand != ServiceStatus::InService || started.map_or(0, f64::to_bits) != run.0
         });
         if !begun {
             // What it says that it has not begun it does not begin, whenever it is told.
@@ -631,7 +644,7 @@
     }
 
     /// What the voters' files hold, for the judge.
-    pub(super) fn filed(&mut self, voter: usize, kept: &Kept) {
+    pub(super) fn filed(&mut self, voter: usize, kept: &AcceptorState) {
         let Some((_, value)) = &kept.taken else {
             return;
         };
@@ -686,7 +699,7 @@
         for engine in &mut service.engines {
             let (_, stand, started) = engine.now();
             let cold = started.is_some_and(|at| now < at + slow_start_window);
-            if stand == Stand::In && !cold {
+            if stand == ServiceStatus::InService && !cold {
                 (engine.out_since, engine.planned) = (None, false);
             } else {
                 engine.out_since.get_or_insert(now);
@@ -719,7 +732,7 @@
     }
 
     /// One that was in goes out by plan: whether that is one too many.
-    fn judge_out(&mut self, of: Of, who: usize) {
+    fn judge_out(&mut self, of: UnitKind, who: usize) {
         let (now, window) = (self.now, self.window());
         let Some(service) = &mut self.service else {
             return;
@@ -727,8 +740,8 @@
         service.released.begun += 1;
         let long = |since: Option<Ms>| since.is_some_and(|at| now - at > window);
         let zone_of = |at: usize| format!("z{}", at % 3);
-        let (bounds, outs): (Bounds, Vec<(usize, bool)>) = match of {
-            Of::Dispatchers => {
+        let (bounds, outs): (DisruptionBudget, Vec<(usize, bool)>) = match of {
+            UnitKind::Dispatchers => {
                 let recounted = service.recounted;
                 let nodes = service
                     .nodes
@@ -741,7 +754,7 @@
                     nodes.map(|(at, n)| (at, at == who || out(n))).collect(),
                 )
             }
-            Of::Engines => {
+            UnitKind::Engines => {
                 let out = |h: &Engine| h.planned || long(h.out_since);
                 let engines = service.engines.iter().enumerate();
                 (
@@ -752,7 +765,7 @@
         };
         let zone = zone_of(who);
         let mut wrong = Vec::new();
-        let mut check = |what: String, most: Most, among: &dyn Fn(usize) -> bool| {
+        let mut check = |what: String, most: MaxUnavailable, among: &dyn Fn(usize) -> bool| {
             let size = outs.iter().filter(|(at, _)| among(*at)).count() as u32;
             let out = outs.iter().filter(|(at, out)| among(*at) && *out).count() as u32;
             if out > most.of(size) {
@@ -766,7 +779,7 @@
         check(format!("zone {zone}"), bounds.zone, &|at| {
             zone_of(at) == zone
         });
-        if of == Of::Engines {
+        if of == UnitKind::Engines {
             let (cell, role) = (service.engines[who].cell.clone(), service.engines[who].role);
             let in_cell = |at: usize| service.engines[at].cell == cell && zone_of(at) == zone;
             check(format!("cell {cell}"), bounds.cell, &in_cell);
@@ -778,7 +791,7 @@
                 wrong.push(format!("those left are used to {load:.2}"));
             }
         }
-        let name = if of == Of::Engines {
+        let name = if of == UnitKind::Engines {
             format!("h{who}")
         } else {
             format!("d{who}")
@@ -793,12 +806,12 @@
         }
     }
 
-    fn story_of(&self, of: Of) -> Vec<String> {
+    fn story_of(&self, of: UnitKind) -> Vec<String> {
         let Some(service) = &self.service else {
             return Vec::new();
         };
         match of {
-            Of::Dispatchers => {
+            UnitKind::Dispatchers => {
                 let line = |(at, n): (usize, &Serving)| {
                     let since = n.out_since.map(|at| self.now - at);
                     format!(
@@ -814,7 +827,7 @@
                     .map(line)
                     .collect()
             }
-            Of::Engines => {
+            UnitKind::Engines => {
                 let line = |h: &Engine| format!("{} {:?} planned {}", h.name.0, h.now(), h.planned);
                 service
                     .engines
@@ -827,7 +840,7 @@
     }
 
     /// A turn begins: is it agreed on, is nothing halted, and did those before it come back as they should?
-    fn judge_turn(&mut self, turn: TurnNo, label: &str) {
+    fn judge_turn(&mut self, turn: PermitId, label: &str) {
         let (now, voters) = (self.now, self.plan.voters);
         let settle = 2_000.0 + self.window();
         let Some(service) = &mut self.service else {
@@ -931,8 +944,9 @@
         let Some(service) = &mut self.service else {
             return;
         };
-        let forward =
-            service.resumed.is_none() && status.of == Of::Dispatchers && status.left.is_empty();
+        let forward = service.resumed.is_none()
+            && status.of == UnitKind::Dispatchers
+            && status.left.is_empty();
         let behind = |n: &Serving| !n.removed && n.label == "v1";
         if status.state == "done" && forward && service.released.state != "done" {
             if let Some(at) = service.nodes.iter().position(behind) {
@@ -1030,28 +1044,28 @@
             }
         }
         let order = match act {
-            Act::Start(plan) => ReleaseOrder::Start {
+            Act::Start(plan) => RolloutRequest::Start {
                 plan,
                 skip: false,
                 dry: false,
             },
-            Act::Halt => ReleaseOrder::Halt {
+            Act::Halt => RolloutRequest::Halt {
                 why: "an operator says so".to_owned(),
             },
-            Act::Resume => ReleaseOrder::Resume,
-            Act::Back => ReleaseOrder::Back,
-            Act::End => ReleaseOrder::End,
-            Act::Recount => ReleaseOrder::Recount {
-                of: Of::Dispatchers,
+            Act::Resume => RolloutRequest::Resume,
+            Act::Back => RolloutRequest::RollBack,
+            Act::End => RolloutRequest::End,
+            Act::Recount => RolloutRequest::Recount {
+                of: UnitKind::Dispatchers,
             },
-            Act::Turn(at) => ReleaseOrder::Turn {
+            Act::Turn(at) => RolloutRequest::Permit {
                 name: name_of(at % nodes),
                 label: String::new(),
                 refused: false,
             },
         };
         self.numbers += 1;
-        let call = CallNo(self.numbers);
+        let call = CallId(self.numbers);
         self.nodes[node]
             .calls
             .insert(call, MultiplexedConnection::Operator(Some(number)));
@@ -1059,7 +1073,7 @@
             node,
             Input::Asked {
                 call,
-                question: Question::Order(Order::Release(order)),
+                question: Question::Operator(OperatorRequest::Rollout(order)),
             },
         );
         // No answer is asked for again.
@@ -1129,7 +1143,7 @@
                 }
                 self.push(now + 5.0, What::Op(number));
             }
-            Reply::No(why) => {
+            Reply::Refused(why) => {
                 let wait = why.contains("in a moment")
                     || why.contains("no majority")
                     || why.contains("calls the roll");
--- a/crates/faults/src/duties/small.rs
+++ b/crates/faults/src/duties/small.rs
@@ -3,11 +3,16 @@
 //! time that passes between any two steps.
 
 use crate::explore::Model;
-use cindercleat::fleet::agreed::{Agreed, Change, Holder, Life, Seat, Voters};
-use cindercleat::fleet::duties::{Hold, LeaseSettings, Watch};
-use cindercleat::fleet::planted::{is, Plant};
-use cindercleat::fleet::register::{Ask, Ballot, End, Kept, Knows, Round, Said, Voter};
-use cindercleat::fleet::{Address, Duty, Name, Run};
+use cindercleat::fleet::agreed::{
+    Command, LeaseHolder, ReplicatedState, VoterId, VoterRecord, Voters,
+};
+use cindercleat::fleet::duties::{HeldLease, LeaseObserver, LeaseSettings};
+use cindercleat::fleet::planted::{is, InjectedFault};
+use cindercleat::fleet::register::{
+    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Proposal, ProposalOutcome,
+    ProposerKnowledge,
+};
+use cindercleat::fleet::{Address, Incarnation, LeaseName, Name};
 use cindercleat::interface::Ms;
 use nanorand::WyRand;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,8 +54,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
-    Ask { from: u8, to: u8, ask: u64 },
-    Said { from: u8, to: u8, said: u64 },
+    AcceptorRequest { from: u8, to: u8, ask: u64 },
+    AcceptorReply { from: u8, to: u8, said: u64 },
 }
 
 fn words(of: impl Debug) -> u64 {
@@ -62,8 +67,8 @@
 
 #[derive(Clone, Debug)]
 enum Carried {
-    Ask(Rc<Ask>),
-    Said(Life, Ballot, Rc<Said>),
+    AcceptorRequest(Rc<AcceptorRequest>),
+    AcceptorReply(VoterId, Ballot, Rc<AcceptorReply>),
 }
 
 #[derive(Clone, Debug)]
@@ -71,18 +76,18 @@
     run: u64,
     highest: u64,
     tries: u32,
-    round: Option<(Round, Ms)>,
-    knows: Knows,
-    newest: Option<(Ballot, Agreed)>,
-    watch: Watch,
-    hold: Option<Hold>,
+    round: Option<(Proposal, Ms)>,
+    knows: ProposerKnowledge,
+    newest: Option<(Ballot, ReplicatedState)>,
+    watch: LeaseObserver,
+    hold: Option<HeldLease>,
 }
 
 #[derive(Clone, Debug)]
 pub struct State {
     now: Ms,
-    voters: Vec<Voter>,
-    disks: Vec<Kept>,
+    voters: Vec<Acceptor>,
+    disks: Vec<AcceptorState>,
     contenders: Vec<Contender>,
     net: Net,
     twice: u32,
@@ -90,7 +95,7 @@
     voter_restarts: u32,
     restarts: u32,
     /// What was agreed on, by its version, and who acted last.
-    agreed: BTreeMap<u64, Agreed>,
+    agreed: BTreeMap<u64, ReplicatedState>,
     acted: u64,
     holders: BTreeMap<u64, (usize, u64)>,
     wrong: Option<String>,
@@ -149,8 +154,8 @@
     }
 }
 
-fn duty() -> Duty {
-    Duty::from("duty")
+fn duty() -> LeaseName {
+    LeaseName::from("duty")
 }
 
 fn voter_name(at: usize) -> Name {
@@ -161,16 +166,16 @@
     Name::from(["x", "y"][at])
 }
 
-fn seat(at: usize) -> Seat {
-    Seat {
-        life: Life(at as u64 + 1),
+fn seat(at: usize) -> VoterRecord {
+    VoterRecord {
+        life: VoterId(at as u64 + 1),
         address: Address::default(),
     }
 }
 
-fn watch(now: Ms) -> Watch {
+fn watch(now: Ms) -> LeaseObserver {
     // Places are alike, and who comes first is for the order of steps: up to a gap counts as nothing.
-    let mut watch = Watch::new(now, &mut WyRand::new_seed(1));
+    let mut watch = LeaseObserver::new(now, &mut WyRand::new_seed(1));
     watch.place = Some(0);
     watch
 }
@@ -196,16 +201,16 @@
 }
 
 impl State {
-    fn holder(&self, at: usize) -> Holder {
-        let run = Run(self.contenders[at].run);
-        Holder {
+    fn holder(&self, at: usize) -> LeaseHolder {
+        let run = Incarnation(self.contenders[at].run);
+        LeaseHolder {
             name: contender_name(at),
             run,
             address: Address::default(),
         }
     }
 
-    fn saw(&mut self, at: usize, ballot: Ballot, value: Agreed) {
+    fn saw(&mut self, at: usize, ballot: Ballot, value: ReplicatedState) {
         let now = self.now;
         let contender = &mut self.contenders[at];
         if contender.newest.as_ref().is_none_or(|(b, _)| *b < ballot) {
@@ -226,23 +231,24 @@
             .saw(now, None, &mut WyRand::new_seed(1));
     }
 
-    fn ask(&mut self, from: usize, asks: Vec<(Name, Seat, Ask)>) {
+    fn ask(&mut self, from: usize, asks: Vec<(Name, VoterRecord, AcceptorRequest)>) {
         for (name, _, ask) in asks {
             let Some(to) = (0..self.voters.len()).find(|at| voter_name(*at) == name) else {
                 continue;
             };
-            let message = Message::Ask {
+            let message = Message::AcceptorRequest {
                 from: from as u8,
                 to: to as u8,
                 ask: words(&ask),
             };
-            self.net.insert(message, Carried::Ask(Rc::new(ask)));
+            self.net
+                .insert(message, Carried::AcceptorRequest(Rc::new(ask)));
         }
     }
 
     /// Begins a try, and where that is one step has its first half done by the voters in `some`.
-    fn begin(&mut self, at: usize, view: Voters, change: Change, some: Option<u32>) {
-        let run = if is(Plant::BallotAgain) {
+    fn begin(&mut self, at: usize, view: Voters, change: Command, some: Option<u32>) {
+        let run = if is(InjectedFault::BallotAgain) {
             0
         } else {
             self.contenders[at].run
@@ -253,17 +259,17 @@
         let ballot = Ballot {
             round: contender.highest,
             by: contender_name(at),
-            run: Run(run),
+            run: Incarnation(run),
         };
-        let (round, asks) = Round::begin(ballot, view, change, &contender.knows);
+        let (round, asks) = Proposal::begin(ballot, view, change, &contender.knows);
         contender.round = Some((round, self.now));
         self.ask(at, asks);
         let Some(some) = some else { return };
         // Asks of a view that turns out old are followed by those of the newer one.
         loop {
             let prepares = |(_, c): &(&Message, &Carried)| match c {
-                Carried::Ask(ask) => matches!(&**ask, Ask::Prepare { .. }),
-                Carried::Said(..) => false,
+                Carried::AcceptorRequest(ask) => matches!(&**ask, AcceptorRequest::Prepare { .. }),
+                Carried::AcceptorReply(..) => false,
             };
             let next = self
                 .net
@@ -274,18 +280,18 @@
                 return;
             };
             self.net.remove(&message);
-            if matches!(message, Message::Ask { to, .. } if some & (1 << to) != 0) {
+            if matches!(message, Message::AcceptorRequest { to, .. } if some & (1 << to) != 0) {
                 self.deliver(&message, carried, false);
             }
         }
     }
 
-    fn end(&mut self, at: usize, end: End, asked: Ms) {
+    fn end(&mut self, at: usize, end: ProposalOutcome, asked: Ms) {
         let Some((round, _)) = self.contenders[at].round.take() else {
             return;
         };
         match end {
-            End::Agreed(value) => {
+            ProposalOutcome::Chosen(value) => {
                 if let Some(other) = self.agreed.insert(value.version, value.clone()) {
                     if other != value {
                         let version = value.version;
@@ -296,7 +302,7 @@
                 let row = value.duties.get(&duty());
                 let mine = row.filter(|row| row.holder == Some(self.holder(at)));
                 if let Some(row) = mine {
-                    let hold = Hold::new(row.term, asked, now, &LEASE);
+                    let hold = HeldLease::new(row.term, asked, now, &LEASE);
                     self.contenders[at].hold = Some(hold);
                     let who = *self.holders.entry(row.term.0).or_insert((at, run));
                     if who != (at, run) {
@@ -305,8 +311,8 @@
                 }
                 self.saw(at, round.ballot, value);
             }
-            End::Refused(_, base) => self.saw(at, round.ballot, base),
-            End::Outbid(by) => {
+            ProposalOutcome::Rejected(_, base) => self.saw(at, round.ballot, base),
+            ProposalOutcome::Conflict(by) => {
                 let contender = &mut self.contenders[at];
                 contender.highest = contender.highest.max(by.map_or(0, |b| b.round));
             }
@@ -316,28 +322,32 @@
     /// A message comes. An answer to it comes at once, or is a message of its own.
     fn deliver(&mut self, message: &Message, carried: Carried, late: bool) {
         match (message, carried) {
-            (Message::Ask { from, to, .. }, Carried::Ask(ask)) => {
-                let (Ask::Prepare { ballot, .. } | Ask::Take { ballot, .. }) = &*ask;
+            (Message::AcceptorRequest { from, to, .. }, Carried::AcceptorRequest(ask)) => {
+                let (AcceptorRequest::Prepare { ballot, .. }
+                | AcceptorRequest::Accept { ballot, .. }) = &*ask;
                 let ballot = ballot.clone();
                 let voter = &mut self.voters[usize::from(*to)];
                 let (said, save) = voter.asked(&ask);
                 let life = voter.kept.life;
-                if save && !is(Plant::SaidBeforeKept) {
+                if save && !is(InjectedFault::SaidBeforeKept) {
                     self.disks[usize::from(*to)] = voter.kept.clone();
                 }
-                let message = Message::Said {
+                let message = Message::AcceptorReply {
                     from: *to,
                     to: *from,
                     said: words((&ballot, &said)),
                 };
-                let answer = Carried::Said(life, ballot, Rc::new(said));
+                let answer = Carried::AcceptorReply(life, ballot, Rc::new(said));
                 if late {
                     self.net.insert(message, answer);
                 } else {
                     self.deliver(&message, answer, false);
                 }
             }
-            (Message::Said { from, to, .. }, Carried::Said(life, ballot, said)) => {
+            (
+                Message::AcceptorReply { from, to, .. },
+                Carried::AcceptorReply(life, ballot, said),
+            ) => {
                 let (from, to) = (usize::from(*from), usize::from(*to));
                 let contender = &mut self.contenders[to];
                 let Some((round, asked)) =
@@ -370,17 +380,17 @@
 
     fn begin(&self) -> State {
         let voter = |at: usize| {
-            let mut voter = Voter::new(voter_name(at), seat(at).life);
+            let mut voter = Acceptor::new(voter_name(at), seat(at).life);
             voter.kept.founding = Some(self.founding());
             voter
         };
-        let voters: Vec<Voter> = (0..self.voters + self.spare).map(voter).collect();
+        let voters: Vec<Acceptor> = (0..self.voters + self.spare).map(voter).collect();
         let contender = |at: usize| Contender {
             run: 100 * (at as u64 + 1),
             highest: 0,
             tries: self.tries,
             round: None,
-            knows: Knows::default(),
+            knows: ProposerKnowledge::default(),
             newest: None,
             watch: watch(0.0),
             hold: None,
@@ -403,7 +413,7 @@
         if self.held {
             state.saw_nothing(0);
             let (who, seen) = (state.holder(0), state.contenders[0].watch.mark());
-            let change = Change::Take {
+            let change = Command::Acquire {
                 duty: duty(),
                 who,
                 lease_ms: 1000,
@@ -426,14 +436,14 @@
         };
         for (message, carried) in &state.net {
             let of = |what: &str| match message {
-                Message::Ask { from, to, .. } => {
+                Message::AcceptorRequest { from, to, .. } => {
                     format!(
                         "{} asks {}{what}",
                         contender_name((*from).into()).0,
                         voter_name((*to).into()).0
                     )
                 }
-                Message::Said { from, to, .. } => {
+                Message::AcceptorReply { from, to, .. } => {
                     format!(
                         "{} hears {}",
                         contender_name((*to).into()).0,
@@ -445,7 +455,7 @@
                 s.net.remove(message);
                 s.deliver(message, carried.clone(), false);
             });
-            if state.late > 0 && matches!(carried, Carried::Ask(_)) {
+            if state.late > 0 && matches!(carried, Carried::AcceptorRequest(_)) {
                 step(of(", who answers late"), &|s| {
                     s.late -= 1;
                     s.net.remove(message);
@@ -475,7 +485,7 @@
             if state.voter_restarts > 0 {
                 step(format!("{} starts again", voter_name(at).0), &|s| {
                     s.voter_restarts -= 1;
-                    s.voters[at] = Voter::back(s.disks[at].clone());
+                    s.voters[at] = Acceptor::back(s.disks[at].clone());
                     s.voters[at].votes = true;
                 });
             }
@@ -502,7 +512,7 @@
                 let new = self.voters + at;
                 (
                     "lets a voter in",
-                    Change::AddVoter {
+                    Command::AddVoter {
                         name: voter_name(new),
                         seat: seat(new),
                     },
@@ -510,7 +520,7 @@
             } else if let Some(hold) = contender.hold.filter(|hold| hold.left(state.now) > 0.0) {
                 (
                     "renews",
-                    Change::Renew {
+                    Command::Renew {
                         who,
                         duties: vec![(duty(), hold.term)],
                     },
@@ -519,7 +529,7 @@
                 let seen = contender.watch.mark();
                 (
                     "takes",
-                    Change::Take {
+                    Command::Acquire {
                         duty: duty(),
                         who,
                         lease_ms: 1000,
@@ -527,7 +537,7 @@
                     },
                 )
             } else {
-                ("waits", Change::Settle)
+                ("waits", Command::FinishVoterChange)
             };
             if what != "waits" {
                 let all = 0..1u32 << state.voters.len();
@@ -584,7 +594,7 @@
         }
         // Where changes are looked at nobody waits for leases.
         if let Some(hold) = contender.hold.filter(|_| !self.changes) {
-            let live = hold.left(state.now) > 0.0 || is(Plant::PauseUnnoticed);
+            let live = hold.left(state.now) > 0.0 || is(InjectedFault::PauseUnnoticed);
             if live && hold.term.0 != state.acted {
                 step(format!("{name} acts in term {}", hold.term.0), &|s| {
                     if hold.term.0 < s.acted {
@@ -604,7 +614,7 @@
                     highest: 0,
                     tries: contender.tries,
                     round: None,
-                    knows: Knows::default(),
+                    knows: ProposerKnowledge::default(),
                     newest: None,
                     watch: watch(now),
                     hold: None,
--- a/crates/faults/src/duties/small_release.rs
+++ b/crates/faults/src/duties/small_release.rs
@@ -3,11 +3,15 @@
 //! under way for as long as it likes, but not beyond the lease that it was sent in.
 
 use crate::explore::Model;
-use cindercleat::fleet::bounds::{Bounds, Most, Of, Stand, Tally, Unit};
-use cindercleat::fleet::conduct::{Conduct, View};
-use cindercleat::fleet::planted::{is, Plant};
-use cindercleat::fleet::release::{Care, Plan, Release, Step, TurnNo, Word};
-use cindercleat::fleet::{Address, Name, Run};
+use cindercleat::fleet::bounds::{
+    DisruptionBudget, MaxUnavailable, OutcomeCounts, ServiceStatus, Unit, UnitKind,
+};
+use cindercleat::fleet::conduct::{FleetView, RolloutController};
+use cindercleat::fleet::planted::{is, InjectedFault};
+use cindercleat::fleet::release::{
+    DisruptionState, OperatorCommand, PermitId, Rollout, RolloutPlan, RolloutStep,
+};
+use cindercleat::fleet::{Address, Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What may happen, and how often.
@@ -26,7 +30,7 @@
 enum Process {
     Serves,
     /// It drains or is gone, by this turn or by itself.
-    Out(Option<TurnNo>),
+    Out(Option<PermitId>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -34,34 +38,34 @@
     run: u64,
     new: bool,
     process: Process,
-    asked_back: BTreeSet<TurnNo>,
+    asked_back: BTreeSet<PermitId>,
 }
 
 /// One that calls the roll, or did.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct MultiplexedConnection {
-    knows: Care,
+    knows: DisruptionState,
     term: u64,
     /// Its lease goes on.
     acts: bool,
-    unbegun: BTreeSet<TurnNo>,
+    unbegun: BTreeSet<PermitId>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Halt {
     None,
     /// Agreed on; these may still begin.
-    Agreed(BTreeSet<TurnNo>),
+    Agreed(BTreeSet<PermitId>),
     Acknowledged,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    value: Care,
+    value: DisruptionState,
     term: u64,
     callers: [MultiplexedConnection; 2],
     /// Under way: by whom, of which turn, to whom, and which process of it is meant.
-    acts: BTreeSet<(usize, TurnNo, usize, u64)>,
+    acts: BTreeSet<(usize, PermitId, usize, u64)>,
     members: Vec<Member>,
     halt: Halt,
     failures: u32,
@@ -77,21 +81,21 @@
     Name::from(["a", "b", "c"][at])
 }
 
-fn bounds() -> Bounds {
-    Bounds {
-        fleet: Most {
+fn bounds() -> DisruptionBudget {
+    DisruptionBudget {
+        fleet: MaxUnavailable {
             number: 1,
             per_mille: 1000,
         },
-        ..Bounds::default()
+        ..DisruptionBudget::default()
     }
 }
 
 impl SmallRelease {
-    fn view(state: &State) -> View {
+    fn view(state: &State) -> FleetView {
         let unit = |(at, member): (usize, &Member)| Unit {
             name: name(at),
-            run: Run(member.run),
+            run: Incarnation(member.run),
             address: Address::default(),
             zone: "z".to_owned(),
             cell: String::new(),
@@ -99,15 +103,15 @@
             role: None,
             label: if member.new { "v2" } else { "v1" }.to_owned(),
             stand: if member.process == Process::Serves {
-                Stand::In
+                ServiceStatus::InService
             } else {
-                Stand::Out
+                ServiceStatus::OutOfService
             },
             used: None,
-            tally: Tally::default(),
+            tally: OutcomeCounts::default(),
         };
         let dispatchers = state.members.iter().enumerate().map(unit).collect();
-        View {
+        FleetView {
             dispatchers,
             engines: Vec::new(),
             whole: true,
@@ -118,10 +122,10 @@
     fn look(state: &State, who: usize) -> Option<(String, State)> {
         let mut after = state.clone();
         let caller = &state.callers[who];
-        let mut conduct = Conduct::begin(&caller.knows);
+        let mut conduct = RolloutController::begin(&caller.knows);
         let (nobody, view) = (BTreeSet::new(), Self::view(state));
         let me = Name::from("nobody");
-        let step = |conduct: &mut Conduct| {
+        let step = |conduct: &mut RolloutController| {
             conduct.next(0.0, &caller.knows, &view, (&me, &nobody), (&[], &bounds()))
         };
         // What it was told of turns asked back it has to know again: it is made anew at each look.
@@ -133,13 +137,13 @@
                 .for_each(|turn| conduct.revoked(*turn, false));
             next = step(&mut conduct);
         }
-        if is(Plant::ToldBeforeAgreed) {
-            if let Some(Step::Grant(turns)) = &next {
+        if is(InjectedFault::ToldBeforeAgreed) {
+            if let Some(RolloutStep::Grant(turns)) = &next {
                 for turn in turns {
                     let to = (0..state.members.len()).find(|at| name(*at) == turn.who)?;
                     after
                         .acts
-                        .insert((who, TurnNo(caller.knows.given + 1), to, turn.run.0));
+                        .insert((who, PermitId(caller.knows.given + 1), to, turn.run.0));
                 }
             }
         }
@@ -166,7 +170,7 @@
         (after != *state).then(|| (format!("{who} tells"), after))
     }
 
-    fn turn_comes(state: &mut State, to: usize, turn: TurnNo, run: u64) {
+    fn turn_comes(state: &mut State, to: usize, turn: PermitId, run: u64) {
         let member = &mut state.members[to];
         if member.process != Process::Serves
             || run != member.run
@@ -190,7 +194,7 @@
 }
 
 /// A member says whether a turn has begun; if not, it will not.
-fn ask_back(state: &mut State, number: TurnNo, care: &Care) -> bool {
+fn ask_back(state: &mut State, number: PermitId, care: &DisruptionState) -> bool {
     let Some(turn) = care.turns.get(&number) else {
         return true;
     };
@@ -209,7 +213,7 @@
     type State = State;
 
     fn begin(&self) -> State {
-        let plan = Plan {
+        let plan = RolloutPlan {
             name: "to-v2".to_owned(),
             label: "v2".to_owned(),
             before: "v1".to_owned(),
@@ -218,9 +222,9 @@
             begin_ms: u64::MAX,
             back_ms: u64::MAX,
             watch_ms: u64::MAX,
-            ..Plan::default()
+            ..RolloutPlan::default()
         };
-        let release = Release {
+        let release = Rollout {
             plan,
             bounds: bounds(),
             by: name(0),
@@ -233,9 +237,9 @@
             left: BTreeMap::new(),
             turned: 0,
         };
-        let mut value = Care::default();
+        let mut value = DisruptionState::default();
         value.dispatchers.insert("z".to_owned(), 3);
-        let _ = value.word(&Word::Start(Box::new(release)));
+        let _ = value.word(&OperatorCommand::Start(Box::new(release)));
         let member = |at: u64| Member {
             run: 10 * at,
             new: false,
@@ -332,7 +336,10 @@
         if state.halts > 0 && state.halt == Halt::None && state.value.halted.is_none() {
             add("halt".to_owned(), &|s| {
                 s.halts -= 1;
-                if s.value.word(&Word::Halt("by hand".to_owned())).is_ok() {
+                if s.value
+                    .word(&OperatorCommand::Halt("by hand".to_owned()))
+                    .is_ok()
+                {
                     s.halt = Halt::Agreed(s.value.turns.keys().copied().collect());
                 }
             });
@@ -364,7 +371,7 @@
         if state.halt == Halt::Acknowledged && state.resumes > 0 {
             add("resume".to_owned(), &|s| {
                 s.resumes -= 1;
-                if s.value.word(&Word::Resume).is_ok() {
+                if s.value.word(&OperatorCommand::Resume).is_ok() {
                     s.halt = Halt::None;
                 }
             });
@@ -372,7 +379,7 @@
         if state.back {
             add("back".to_owned(), &|s| {
                 s.back = false;
-                if s.value.word(&Word::Back).is_ok() {
+                if s.value.word(&OperatorCommand::RollBack).is_ok() {
                     s.halt = Halt::None;
                 }
             });
@@ -389,7 +396,7 @@
             .value
             .turns
             .values()
-            .filter(|t| t.of == Of::Dispatchers)
+            .filter(|t| t.of == UnitKind::Dispatchers)
             .count();
         let two = (given > 1).then(|| format!("{given} turns are given, and there is room for 1"));
         state.wrong.clone().or(two)
--- a/crates/faults/tests/changes.rs
+++ b/crates/faults/tests/changes.rs
@@ -1,25 +1,30 @@
 //! Two changes of voters at once, by hand: what would come of them, and that it does not.
 
-use cindercleat::fleet::agreed::{Agreed, Change, Holder, Life, Mark, Seat, Voters};
-use cindercleat::fleet::planted::{plant, Plant};
-use cindercleat::fleet::register::{Ballot, End, Knows, Round, Voter};
-use cindercleat::fleet::{Address, Duty, Name, Run};
+use cindercleat::fleet::agreed::{
+    Command, LeaseHolder, LeaseVersion, ReplicatedState, VoterId, VoterRecord, Voters,
+};
+use cindercleat::fleet::planted::{plant, InjectedFault};
+use cindercleat::fleet::register::{
+    Acceptor, Ballot, Proposal, ProposalOutcome, ProposerKnowledge,
+};
+use cindercleat::fleet::{Address, Incarnation, LeaseName, Name};
 use std::collections::BTreeMap;
 
 struct Table {
-    voters: BTreeMap<Name, Voter>,
+    voters: BTreeMap<Name, Acceptor>,
 }
 
-fn seat(at: u64) -> Seat {
-    Seat {
-        life: Life(at),
+fn seat(at: u64) -> VoterRecord {
+    VoterRecord {
+        life: VoterId(at),
         address: Address::default(),
     }
 }
 
 impl Table {
     fn new() -> Table {
-        let voter = |(n, at): (&str, u64)| (Name::from(n), Voter::new(Name::from(n), Life(at)));
+        let voter =
+            |(n, at): (&str, u64)| (Name::from(n), Acceptor::new(Name::from(n), VoterId(at)));
         Table {
             voters: ["a", "b", "c", "d", "e", "f"]
                 .into_iter()
@@ -48,16 +53,16 @@
         by: &str,
         round: u64,
         view: Voters,
-        change: Change,
+        change: Command,
         halves: [&str; 2],
-    ) -> Option<End> {
-        let mut knows = Knows::default();
+    ) -> Option<ProposalOutcome> {
+        let mut knows = ProposerKnowledge::default();
         let ballot = Ballot {
             round,
             by: Name::from(by),
-            run: Run(round),
+            run: Incarnation(round),
         };
-        let (mut round, mut asks) = Round::begin(ballot, view, change, &knows);
+        let (mut round, mut asks) = Proposal::begin(ballot, view, change, &knows);
         for half in halves {
             let mut next = Vec::new();
             for (name, seat, ask) in std::mem::take(&mut asks) {
@@ -76,7 +81,7 @@
     }
 
     /// What a voter took last.
-    fn at(&self, name: &str) -> Agreed {
+    fn at(&self, name: &str) -> ReplicatedState {
         self.voters[&Name::from(name)]
             .kept
             .taken
@@ -87,21 +92,21 @@
 
     /// Two contenders let another voter in, which alone hears of it, and each goes on with its own half. What is
     /// agreed on in each half.
-    fn apart(&mut self) -> [Option<End>; 2] {
-        let add = |name: &str, at| Change::AddVoter {
+    fn apart(&mut self) -> [Option<ProposalOutcome>; 2] {
+        let add = |name: &str, at| Command::AddVoter {
             name: Name::from(name),
             seat: seat(at),
         };
-        let holder = |name: &str| Holder {
+        let holder = |name: &str| LeaseHolder {
             name: Name::from(name),
-            run: Run(1),
+            run: Incarnation(1),
             address: Address::default(),
         };
-        let take = |name: &str| Change::Take {
-            duty: Duty::from("duty"),
+        let take = |name: &str| Command::Acquire {
+            duty: LeaseName::from("duty"),
             who: holder(name),
             lease_ms: 1000,
-            seen: Mark::default(),
+            seen: LeaseVersion::default(),
         };
         assert_eq!(
             self.try_with("x", 1, Self::founding(), add("e", 5), ["abc", "e"]),
@@ -121,10 +126,10 @@
 
 #[test]
 fn each_half_of_the_voters_would_agree_on_a_holder_of_its_own() {
-    plant(Some(Plant::TwoChanges));
+    plant(Some(InjectedFault::TwoChanges));
     let ends = Table::new().apart();
     plant(None);
-    let [Some(End::Agreed(one)), Some(End::Agreed(other))] = ends else {
+    let [Some(ProposalOutcome::Chosen(one)), Some(ProposalOutcome::Chosen(other))] = ends else {
         panic!("{ends:?}")
     };
     assert_eq!(one.version, other.version);
--- a/crates/faults/tests/duties_planted.rs
+++ b/crates/faults/tests/duties_planted.rs
@@ -1,12 +1,12 @@
 //! Each planted fault of duties and of releases is found by some seed, and without one the same seeds find nothing: a judge that
 //! cannot find fault proves nothing. Prints how many seeds each took. Faults are planted for one thread.
 
-use cindercleat::fleet::planted::{plant, Plant};
+use cindercleat::fleet::planted::{plant, InjectedFault};
 use cindercleat_faults::duties::draw::SHAPES;
 use cindercleat_faults::duties::{draw, play, Shape};
 
 /// The first seed that finds a fault, and what it finds.
-fn first(fault: Plant, shape: &Shape, most: u64) -> Option<(u64, String)> {
+fn first(fault: InjectedFault, shape: &Shape, most: u64) -> Option<(u64, String)> {
     plant(Some(fault));
     let found = (1..=most).find_map(|seed| {
         let played = play(&draw(seed, shape));
@@ -23,17 +23,17 @@
 #[test]
 fn some_planted_faults_are_found_soon() {
     let soon = [
-        Plant::NoWait,
-        Plant::TermKept,
-        Plant::OldTermObeyed,
-        Plant::PromiseBroken,
-        Plant::ValueOverlooked,
+        InjectedFault::NoWait,
+        InjectedFault::TermKept,
+        InjectedFault::OldTermObeyed,
+        InjectedFault::PromiseBroken,
+        InjectedFault::ValueOverlooked,
     ];
     std::thread::scope(|scope| {
         for fault in soon {
             scope.spawn(move || assert!(first(fault, &SHAPES[0], 20).is_some(), "{fault:?}"));
         }
-        let soon = [Plant::TurnTwice, Plant::FailuresUncounted];
+        let soon = [InjectedFault::TurnTwice, InjectedFault::FailuresUncounted];
         for fault in soon {
             scope.spawn(move || assert!(first(fault, &SHAPES[1], 30).is_some(), "{fault:?}"));
         }
@@ -46,8 +46,12 @@
 #[ignore = "a minute without optimization"]
 fn each_planted_fault_is_found_or_named() {
     let found: Vec<_> = std::thread::scope(|scope| {
-        let duties = Plant::ALL.iter().map(|fault| (*fault, &SHAPES[0]));
-        let all = duties.chain(Plant::OF_RELEASES.iter().map(|fault| (*fault, &SHAPES[1])));
+        let duties = InjectedFault::ALL.iter().map(|fault| (*fault, &SHAPES[0]));
+        let all = duties.chain(
+            InjectedFault::OF_RELEASES
+                .iter()
+                .map(|fault| (*fault, &SHAPES[1])),
+        );
         let threads: Vec<_> = all
             .map(|(fault, shape)| (fault, scope.spawn(move || first(fault, shape, 3000))))
             .collect();
--- a/crates/faults/tests/explored.rs
+++ b/crates/faults/tests/explored.rs
@@ -1,6 +1,6 @@
 //! Small cases of duties and of releases, explored through every order of steps, and by walks at random.
 
-use cindercleat::fleet::planted::{plant, Plant};
+use cindercleat::fleet::planted::{plant, InjectedFault};
 use cindercleat_faults::duties::small::Small;
 use cindercleat_faults::duties::small_release::SmallRelease;
 use cindercleat_faults::explore::{explore, wander, Explored};
@@ -126,8 +126,8 @@
 #[test]
 fn planted_faults_of_releases_are_found_with_their_steps() {
     for (fault, says) in [
-        (Plant::ToldBeforeAgreed, "turn"),
-        (Plant::TurnTwice, "turns"),
+        (InjectedFault::ToldBeforeAgreed, "turn"),
+        (InjectedFault::TurnTwice, "turns"),
     ] {
         plant(Some(fault));
         let found = wander(&HALTED, 1, 20_000, 60);
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_planted_fault_is_found_with_its_steps() {
-    plant(Some(Plant::PromiseBroken));
+    plant(Some(InjectedFault::PromiseBroken));
     let found = wander(&VOTER_AGAIN, 1, 100_000, 30);
     plant(None);
     let (_, what, story) = found.expect("it is found");
@@ -178,7 +178,7 @@
         }
     });
     std::thread::scope(|scope| {
-        for fault in Plant::ALL {
+        for fault in InjectedFault::ALL {
             scope.spawn(move || {
                 plant(Some(fault));
                 let found = cases.iter().find_map(|(name, case)| {
--- a/crates/faults/tests/releases.rs
+++ b/crates/faults/tests/releases.rs
@@ -1,6 +1,6 @@
 //! Hard cases of releases and drains, each by its name, on the virtual clock.
 
-use cindercleat::fleet::bounds::Of;
+use cindercleat::fleet::bounds::UnitKind;
 use cindercleat_faults::duties::draw::{Plan, Spell, Trouble, Who};
 use cindercleat_faults::duties::draw_release::quiet;
 use cindercleat_faults::duties::service::{Act, Op, Play, Released, Version};
@@ -10,7 +10,7 @@
     played.met.get(what).copied().unwrap_or_default()
 }
 
-fn with(of: Of, seed: u64, change: impl FnOnce(&mut Plan)) -> (Played, Released) {
+fn with(of: UnitKind, seed: u64, change: impl FnOnce(&mut Plan)) -> (Played, Released) {
     let mut plan = quiet(seed, 3, 9, 12, of);
     change(&mut plan);
     let played = play(&plan);
@@ -25,7 +25,7 @@
 
 #[test]
 fn nine_dispatchers_turn_in_waves_and_all_come_back() {
-    let (played, released) = with(Of::Dispatchers, 1, |_| {});
+    let (played, released) = with(UnitKind::Dispatchers, 1, |_| {});
     println!("{:?} {released:?}", played.met);
     assert_eq!((released.state.as_str(), released.begun), ("done", 9));
     assert!(released.whole.is_some());
@@ -33,7 +33,7 @@
 
 #[test]
 fn twelve_engines_turn_and_all_come_back() {
-    let (played, released) = with(Of::Engines, 1, |_| {});
+    let (played, released) = with(UnitKind::Engines, 1, |_| {});
     println!("{:?} {released:?}", played.met);
     assert_eq!((released.state.as_str(), released.begun), ("done", 12));
 }
@@ -59,7 +59,7 @@
     // In some of these instants it is just so; in each, one after another turns and nothing is lost.
     for step in 0..8 {
         let at = FIRST - 25.0 + 6.0 * f64::from(step);
-        let (played, released) = with(Of::Dispatchers, 2, |plan| {
+        let (played, released) = with(UnitKind::Dispatchers, 2, |plan| {
             plan.troubles
                 .push(spell(at, 800.0, Who::Holder, Trouble::Kill));
         });
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_member_that_dies_in_its_turn_is_waited_for() {
-    let (_, released) = with(Of::Dispatchers, 3, |plan| {
+    let (_, released) = with(UnitKind::Dispatchers, 3, |plan| {
         for node in 0..9 {
             plan.troubles
                 .push(spell(4_300.0, 3_000.0, Who::Node(node), Trouble::Kill));
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_zone_that_is_lost_in_the_middle_of_a_wave_holds_or_halts_it() {
-    let (_, released) = with(Of::Dispatchers, 4, |plan| {
+    let (_, released) = with(UnitKind::Dispatchers, 4, |plan| {
         plan.troubles
             .push(spell(8_000.0, 6_000.0, Who::Node(0), Trouble::ZoneLost(2)));
         plan.length = 90_000.0;
@@ -102,7 +102,7 @@
 #[test]
 fn a_halt_at_the_cut_off_side_is_not_acknowledged_before_it_is_agreed_on() {
     for lasts in [500.0, 1_500.0, 4_000.0] {
-        let (played, released) = with(Of::Dispatchers, 5, |plan| {
+        let (played, released) = with(UnitKind::Dispatchers, 5, |plan| {
             plan.troubles.push(spell(
                 7_000.0,
                 lasts,
@@ -127,7 +127,7 @@
 fn a_halt_and_a_grant_that_cross_leave_nothing_to_begin() {
     for step in 0..20 {
         let at = FIRST - 20.0 + 2.0 * f64::from(step);
-        let (_, released) = with(Of::Dispatchers, 6, |plan| {
+        let (_, released) = with(UnitKind::Dispatchers, 6, |plan| {
             plan.length = 12_000.0;
             release(plan).ops.push(op(at, step as usize % 9, Act::Halt));
         });
@@ -138,7 +138,7 @@
 
 #[test]
 fn of_two_operators_that_start_releases_one_is_told_that_another_is_not_done() {
-    let (played, released) = with(Of::Dispatchers, 7, |plan| {
+    let (played, released) = with(UnitKind::Dispatchers, 7, |plan| {
         let second = release(plan).ops[0].act.clone();
         release(plan).ops.push(op(4_000.1, 5, second));
     });
@@ -151,7 +151,7 @@
 
 #[test]
 fn the_holder_and_the_voters_have_their_turns_too_never_two_voters() {
-    let (played, released) = with(Of::Dispatchers, 8, |plan| {
+    let (played, released) = with(UnitKind::Dispatchers, 8, |plan| {
         release(plan).bounds.0.zone.number = 3;
     });
     assert_eq!((released.state.as_str(), released.begun), ("done", 9));
@@ -162,7 +162,7 @@
 
 #[test]
 fn a_member_back_under_the_old_label_halts_the_release_and_turns_again_once_it_goes_on() {
-    let (played, released) = with(Of::Dispatchers, 9, |plan| {
+    let (played, released) = with(UnitKind::Dispatchers, 9, |plan| {
         release(plan).wrong_label = Some(4);
         release(plan).after_halt = Some(Act::Resume);
     });
@@ -172,7 +172,7 @@
 
 #[test]
 fn an_engine_that_is_never_listed_again_halts_the_drain() {
-    let (_, released) = with(Of::Engines, 10, |plan| release(plan).away = 1e9);
+    let (_, released) = with(UnitKind::Engines, 10, |plan| release(plan).away = 1e9);
     assert_eq!((released.state.as_str(), released.begun), ("halted", 1));
     assert!(
         released.why.contains("is not back within its time"),
@@ -182,7 +182,7 @@
 
 #[test]
 fn with_all_reports_old_no_engine_goes() {
-    let (_, released) = with(Of::Engines, 11, |plan| {
+    let (_, released) = with(UnitKind::Engines, 11, |plan| {
         release(plan).bounds.1.used_per_mille = 900;
         release(plan).bounds.1.report_age_ms = 1_000;
         plan.troubles
@@ -194,7 +194,7 @@
 
 #[test]
 fn a_plan_that_names_what_is_not_there_changes_nothing() {
-    let (played, released) = with(Of::Engines, 12, |plan| {
+    let (played, released) = with(UnitKind::Engines, 12, |plan| {
         if let Act::Start(of) = &mut release(plan).ops[0].act {
             of.names = vec!["h1".into(), "nobody".into()];
         }
@@ -205,7 +205,7 @@
 
 #[test]
 fn seven_in_ten_killed_during_a_release_halt_it_and_it_goes_on_when_told() {
-    let (_, released) = with(Of::Dispatchers, 13, |plan| {
+    let (_, released) = with(UnitKind::Dispatchers, 13, |plan| {
         plan.troubles
             .push(spell(8_000.0, 5_000.0, Who::Holder, Trouble::KillMany(0.7)));
         release(plan).after_halt = Some(Act::Resume);
@@ -217,7 +217,7 @@
 #[test]
 fn a_third_that_leaves_for_good_is_missed_until_an_operator_recounts() {
     let gone = vec![6, 7, 8];
-    let (_, missed) = with(Of::Dispatchers, 14, |plan| {
+    let (_, missed) = with(UnitKind::Dispatchers, 14, |plan| {
         release(plan).shrinks = Some((7_000.0, gone.clone()));
         release(plan).bounds.0.zone.number = 1;
     });
@@ -225,7 +225,7 @@
         missed.begun < 9 && matches!(missed.state.as_str(), "running" | "held" | "halted"),
         "{missed:?}"
     );
-    let (played, released) = with(Of::Dispatchers, 14, |plan| {
+    let (played, released) = with(UnitKind::Dispatchers, 14, |plan| {
         release(plan).shrinks = Some((7_000.0, gone));
         release(plan).ops.push(op(60_000.0, 1, Act::Recount));
         release(plan).ops.push(op(62_000.0, 1, Act::Resume));
@@ -237,7 +237,7 @@
 
 #[test]
 fn a_third_that_joins_in_the_middle_turns_too() {
-    let (_, released) = with(Of::Dispatchers, 14, |plan| {
+    let (_, released) = with(UnitKind::Dispatchers, 14, |plan| {
         for node in 6..9 {
             plan.troubles
                 .push(spell(210.0, 8_000.0, Who::Node(node), Trouble::Kill));
@@ -253,7 +253,7 @@
 
 #[test]
 fn a_worse_version_is_halted_and_goes_back() {
-    let (played, released) = with(Of::Dispatchers, 15, |plan| {
+    let (played, released) = with(UnitKind::Dispatchers, 15, |plan| {
         release(plan).version = Version::Worse(0.3);
         release(plan).after_halt = Some(Act::Back);
         plan.length = 90_000.0;
@@ -272,7 +272,7 @@
 
 #[test]
 fn a_version_that_is_never_ready_is_halted_after_one_and_goes_back() {
-    let (_, released) = with(Of::Dispatchers, 16, |plan| {
+    let (_, released) = with(UnitKind::Dispatchers, 16, |plan| {
         release(plan).version = Version::NeverReady;
         release(plan).after_halt = Some(Act::Back);
         plan.length = 90_000.0;
@@ -284,7 +284,7 @@
 
 #[test]
 fn a_version_that_dies_after_a_while_is_halted() {
-    let (played, released) = with(Of::Dispatchers, 17, |plan| {
+    let (played, released) = with(UnitKind::Dispatchers, 17, |plan| {
         release(plan).version = Version::Dies(900.0);
         plan.length = 90_000.0;
     });
@@ -295,7 +295,7 @@
 #[test]
 fn a_burst_that_harms_everybody_halts_no_good_version() {
     for seed in 0..6 {
-        let (_, released) = with(Of::Dispatchers, 100 + seed, |plan| {
+        let (_, released) = with(UnitKind::Dispatchers, 100 + seed, |plan| {
             plan.troubles
                 .push(spell(6_000.0, 4_000.0, Who::Node(0), Trouble::Burst(0.4)));
         });
@@ -306,7 +306,7 @@
 
 #[test]
 fn a_supervisor_that_asks_has_its_turn_within_the_bounds() {
-    let (played, _) = with(Of::Dispatchers, 18, |plan| {
+    let (played, _) = with(UnitKind::Dispatchers, 18, |plan| {
         release(plan).ops = (0..9)
             .map(|node| op(4_000.0, node, Act::Turn(node)))
             .collect();
--- a/crates/faults/tests/releases_figures.rs
+++ b/crates/faults/tests/releases_figures.rs
@@ -1,7 +1,7 @@
 //! Figures of releases, for `docs/releases.md`:
 //! `cargo test --release -p cindercleat-faults --test releases_figures -- --ignored --nocapture`.
 
-use cindercleat::fleet::bounds::{Most, Of};
+use cindercleat::fleet::bounds::{MaxUnavailable, UnitKind};
 use cindercleat_faults::duties::draw::{Plan, Spell, Trouble, Who};
 use cindercleat_faults::duties::draw_release::quiet;
 use cindercleat_faults::duties::service::{Act, Op, Released, Version};
@@ -45,7 +45,7 @@
     all.into_inner().expect("it is whole")
 }
 
-fn start_of(plan: &mut Plan) -> &mut cindercleat::fleet::release::Plan {
+fn start_of(plan: &mut Plan) -> &mut cindercleat::fleet::release::RolloutPlan {
     let ops = &mut plan.release.as_mut().expect("it has one").ops;
     let Some(Op {
         act: Act::Start(start),
@@ -58,11 +58,11 @@
 }
 
 /// A large fleet; the most out in parts of a thousand.
-fn large(seed: u64, of: Of, per_mille: u32, wave: u32) -> Plan {
+fn large(seed: u64, of: UnitKind, per_mille: u32, wave: u32) -> Plan {
     let mut plan = quiet(seed, 3, 300, 100, of);
     plan.length = 200_000.0;
     plan.weigh = true;
-    let most = Most {
+    let most = MaxUnavailable {
         number: u32::MAX,
         per_mille,
     };
@@ -82,20 +82,25 @@
     for (name, of, per_mille, wave) in [
         (
             "300 dispatchers, a tenth at most, waves from 1",
-            Of::Dispatchers,
+            UnitKind::Dispatchers,
             100,
             1,
         ),
         (
             "300 dispatchers, a tenth at most, one wave",
-            Of::Dispatchers,
+            UnitKind::Dispatchers,
             100,
             300,
         ),
-        ("300 dispatchers, all at once", Of::Dispatchers, 1000, 300),
+        (
+            "300 dispatchers, all at once",
+            UnitKind::Dispatchers,
+            1000,
+            300,
+        ),
         (
             "100 hosts, a tenth at most, waves from 1",
-            Of::Engines,
+            UnitKind::Engines,
             100,
             1,
         ),
@@ -126,7 +131,7 @@
         ("dies after 1.5 s", Version::Dies(1_500.0)),
     ] {
         let all = plays(250, |seed| {
-            let mut plan = quiet(seed, 3, 9, 12, Of::Dispatchers);
+            let mut plan = quiet(seed, 3, 9, 12, UnitKind::Dispatchers);
             plan.release.as_mut().expect("it has one").version = version;
             plan
         });
@@ -147,7 +152,7 @@
         ("bursts", 0.0, 0.4),
     ] {
         let all = plays(500, |seed| {
-            let mut plan = quiet(seed, 3, 9, 12, Of::Dispatchers);
+            let mut plan = quiet(seed, 3, 9, 12, UnitKind::Dispatchers);
             plan.loss = loss;
             if burst > 0.0 {
                 for begin in [5_000.0, 9_000.0 + (seed % 40) as f64 * 100.0] {
@@ -190,10 +195,10 @@
         ),
     ] {
         let all = plays(500, |seed| {
-            let mut plan = quiet(seed, 3, 9, 12, Of::Dispatchers);
+            let mut plan = quiet(seed, 3, 9, 12, UnitKind::Dispatchers);
             let at = 4_020.0 + (seed % 500) as f64 * 8.0;
             let release = plan.release.as_mut().expect("it has one");
-            release.bounds.0.zone = Most::ALL;
+            release.bounds.0.zone = MaxUnavailable::ALL;
             release.ops.push(Op {
                 at,
                 node: (seed % 9) as usize,
--- a/crates/fleet/src/ask.rs
+++ b/crates/fleet/src/ask.rs
@@ -2,7 +2,7 @@
 
 use crate::shell::MOST_MESSAGE;
 use crate::words::{answer_in, question_out};
-use cindercleat::fleet::member::{Answer, Order, Question, Reply};
+use cindercleat::fleet::member::{Answer, OperatorRequest, Question, Reply};
 use cindercleat::interface::Ms;
 use cindercleat_grpc::{connect, Event, Session, Setup};
 use cindercleat_net::{Clock, Transport};
@@ -74,7 +74,7 @@
     transport: &T,
     clock: &C,
     address: &str,
-    order: &Order,
+    order: &OperatorRequest,
     within: Ms,
 ) -> Result<Reply, String> {
     let mut address = address.to_owned();
@@ -83,7 +83,7 @@
             transport,
             clock,
             &address,
-            &Question::Order(order.clone()),
+            &Question::Operator(order.clone()),
             within,
         )
         .await?
@@ -104,7 +104,7 @@
     transport: &T,
     clock: &C,
     addresses: &[String],
-    what: &Order,
+    what: &OperatorRequest,
     within: Ms,
 ) -> Result<Reply, String> {
     let mut problem = "no address was given".to_owned();
--- a/crates/fleet/src/care_words.rs
+++ b/crates/fleet/src/care_words.rs
@@ -1,13 +1,16 @@
 //! Turns, plans and releases as the schema's messages, and back.
 
 use crate::words::{address, name, text, LONGEST};
-use cindercleat::fleet::bounds::{Bounds, Most, Of, Sizes, Tally};
-use cindercleat::fleet::member::{CareStatus, Order, ReleaseOrder, MOST_REPORTS};
+use cindercleat::fleet::bounds::{
+    DisruptionBudget, MaxUnavailable, OutcomeCounts, UnitKind, ZoneSizes,
+};
+use cindercleat::fleet::member::{OperatorRequest, RolloutRequest, RolloutStatus, MOST_REPORTS};
 use cindercleat::fleet::release::{
-    Care, Plan, Release, Turn, TurnNo, MOST_LEFT, MOST_NAMES, MOST_NOTES, MOST_TURNS,
+    DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan, MOST_LEFT, MOST_NAMES,
+    MOST_NOTES, MOST_TURNS,
 };
 use cindercleat::fleet::rollcall::EngineReport;
-use cindercleat::fleet::{Address, Name, Run};
+use cindercleat::fleet::{Address, Incarnation, Name};
 use cindercleat_protocol::v1;
 use std::collections::{BTreeMap, BTreeSet};
 use v1::fleet_call::Question as Q;
@@ -17,11 +20,11 @@
 /// Longest reason.
 const MOST_WORDS: usize = 1024;
 
-fn of_in(engines: bool) -> Of {
+fn of_in(engines: bool) -> UnitKind {
     if engines {
-        Of::Engines
+        UnitKind::Engines
     } else {
-        Of::Dispatchers
+        UnitKind::Dispatchers
     }
 }
 
@@ -46,8 +49,8 @@
     names.into_iter().map(|n| n.0.to_string()).collect()
 }
 
-pub(crate) fn tally_out(tally: &Tally) -> v1::FleetTally {
-    let Tally {
+pub(crate) fn tally_out(tally: &OutcomeCounts) -> v1::FleetTally {
+    let OutcomeCounts {
         succeeded,
         rejected,
         failed,
@@ -61,7 +64,7 @@
     }
 }
 
-pub(crate) fn tally_in(said: Option<&v1::FleetTally>) -> Tally {
+pub(crate) fn tally_in(said: Option<&v1::FleetTally>) -> OutcomeCounts {
     let Some(&v1::FleetTally {
         succeeded,
         rejected,
@@ -69,12 +72,12 @@
         late,
     }) = said
     else {
-        return Tally::default();
+        return OutcomeCounts::default();
     };
     // Sums of them are not to overflow.
     let [succeeded, rejected, failed, late] =
         [succeeded, rejected, failed, late].map(|n| n.min(1 << 48));
-    Tally {
+    OutcomeCounts {
         succeeded,
         rejected,
         failed,
@@ -108,22 +111,22 @@
     few(said, MOST_REPORTS)?.iter().map(report).collect()
 }
 
-fn most_out(most: Most) -> Option<v1::FleetMost> {
+fn most_out(most: MaxUnavailable) -> Option<v1::FleetMost> {
     Some(v1::FleetMost {
         number: most.number,
         per_mille: most.per_mille,
     })
 }
 
-fn most_in(said: Option<&v1::FleetMost>) -> Option<Most> {
+fn most_in(said: Option<&v1::FleetMost>) -> Option<MaxUnavailable> {
     let said = said?;
-    (said.per_mille <= 1000).then_some(Most {
+    (said.per_mille <= 1000).then_some(MaxUnavailable {
         number: said.number,
         per_mille: said.per_mille,
     })
 }
 
-fn bounds_out(bounds: &Bounds) -> v1::FleetBounds {
+fn bounds_out(bounds: &DisruptionBudget) -> v1::FleetBounds {
     v1::FleetBounds {
         fleet: most_out(bounds.fleet),
         zone: most_out(bounds.zone),
@@ -138,9 +141,9 @@
     }
 }
 
-fn bounds_in(said: Option<&v1::FleetBounds>) -> Option<Bounds> {
+fn bounds_in(said: Option<&v1::FleetBounds>) -> Option<DisruptionBudget> {
     let said = said?;
-    Some(Bounds {
+    Some(DisruptionBudget {
         fleet: most_in(said.fleet.as_ref())?,
         zone: most_in(said.zone.as_ref())?,
         cell: most_in(said.cell.as_ref())?,
@@ -154,10 +157,10 @@
     })
 }
 
-fn turn_out((number, turn): (&TurnNo, &Turn)) -> v1::FleetTurn {
+fn turn_out((number, turn): (&PermitId, &DisruptionPermit)) -> v1::FleetTurn {
     v1::FleetTurn {
         number: number.0,
-        engine: turn.of == Of::Engines,
+        engine: turn.of == UnitKind::Engines,
         who: turn.who.0.to_string(),
         run: turn.run.0,
         address: turn.address.0.to_string(),
@@ -168,24 +171,24 @@
     }
 }
 
-fn turn_in(said: &v1::FleetTurn) -> Option<(TurnNo, Turn)> {
-    let turn = Turn {
+fn turn_in(said: &v1::FleetTurn) -> Option<(PermitId, DisruptionPermit)> {
+    let turn = DisruptionPermit {
         of: of_in(said.engine),
         who: name(&said.who)?,
-        run: Run(said.run),
+        run: Incarnation(said.run),
         address: Address::from(word(&said.address)?.as_str()),
         zone: word(&said.zone)?,
         label: word(&said.label)?,
         stays: said.stays,
         planned: said.planned,
     };
-    Some((TurnNo(said.number), turn))
+    Some((PermitId(said.number), turn))
 }
 
-pub(crate) fn plan_out(plan: &Plan) -> v1::FleetPlan {
+pub(crate) fn plan_out(plan: &RolloutPlan) -> v1::FleetPlan {
     v1::FleetPlan {
         name: plan.name.clone(),
-        engines: plan.of == Of::Engines,
+        engines: plan.of == UnitKind::Engines,
         label: plan.label.clone(),
         before: plan.before.clone(),
         zones: plan.zones.clone(),
@@ -202,7 +205,7 @@
     }
 }
 
-pub(crate) fn plan_in(said: Option<&v1::FleetPlan>) -> Option<Plan> {
+pub(crate) fn plan_in(said: Option<&v1::FleetPlan>) -> Option<RolloutPlan> {
     let said = said?;
     let list = |all: &[String]| -> Option<Vec<String>> {
         few(all, MOST_NAMES)?
@@ -212,7 +215,7 @@
     };
     // A plan that begins with none never begins.
     (said.first > 0 && said.grow_per_mille >= 1000).then_some(())?;
-    Some(Plan {
+    Some(RolloutPlan {
         name: text(&said.name)?.to_owned(),
         of: of_in(said.engines),
         label: word(&said.label)?,
@@ -250,7 +253,7 @@
         .collect()
 }
 
-fn release_out(release: &Release) -> v1::FleetRelease {
+fn release_out(release: &Rollout) -> v1::FleetRelease {
     let reached = |(zone, at): (&String, &u64)| v1::FleetReached {
         zone: zone.clone(),
         at: *at,
@@ -270,12 +273,12 @@
     }
 }
 
-fn release_in(said: &v1::FleetRelease) -> Option<Release> {
+fn release_in(said: &v1::FleetRelease) -> Option<Rollout> {
     let reached = few(&said.reached, MOST_ZONES)?
         .iter()
         .map(|r| Some((word(&r.zone)?, r.at)));
     let again = few(&said.again, MOST_TURNS)?.iter().map(|n| name(n));
-    Some(Release {
+    Some(Rollout {
         plan: plan_in(said.plan.as_ref())?,
         bounds: bounds_in(said.bounds.as_ref())?,
         by: name(&said.by)?,
@@ -290,7 +293,7 @@
     })
 }
 
-fn sizes_out(sizes: &Sizes) -> Vec<v1::FleetSize> {
+fn sizes_out(sizes: &ZoneSizes) -> Vec<v1::FleetSize> {
     sizes
         .iter()
         .map(|(zone, size)| v1::FleetSize {
@@ -300,7 +303,7 @@
         .collect()
 }
 
-fn sizes_in(said: &[v1::FleetSize]) -> Option<Sizes> {
+fn sizes_in(said: &[v1::FleetSize]) -> Option<ZoneSizes> {
     few(said, MOST_ZONES)?
         .iter()
         .map(|s| Some((word(&s.zone)?, s.size)))
@@ -308,7 +311,7 @@
 }
 
 /// Nothing, where there is nothing of it.
-pub(crate) fn care_out(care: &Care) -> Option<v1::FleetCare> {
+pub(crate) fn care_out(care: &DisruptionState) -> Option<v1::FleetCare> {
     (!care.is_empty()).then(|| v1::FleetCare {
         given: care.given,
         turns: care.turns.iter().map(turn_out).collect(),
@@ -321,9 +324,9 @@
     })
 }
 
-pub(crate) fn care_in(said: Option<&v1::FleetCare>) -> Option<Care> {
+pub(crate) fn care_in(said: Option<&v1::FleetCare>) -> Option<DisruptionState> {
     let Some(said) = said else {
-        return Some(Care::default());
+        return Some(DisruptionState::default());
     };
     let release = match &said.release {
         Some(release) => Some(Box::new(release_in(release)?)),
@@ -333,7 +336,7 @@
         Some(why) => Some(words(why)?),
         None => None,
     };
-    Some(Care {
+    Some(DisruptionState {
         given: said.given,
         turns: few(&said.turns, MOST_TURNS)?
             .iter()
@@ -351,21 +354,21 @@
     })
 }
 
-pub(crate) fn order_out(order: &ReleaseOrder) -> Q {
+pub(crate) fn order_out(order: &RolloutRequest) -> Q {
     match order {
-        ReleaseOrder::Start { plan, skip, dry } => Q::Start(v1::FleetStart {
+        RolloutRequest::Start { plan, skip, dry } => Q::Start(v1::FleetStart {
             plan: Some(plan_out(plan)),
             skip: *skip,
             dry: *dry,
         }),
-        ReleaseOrder::Halt { why } => Q::Halt(v1::FleetHalt { why: why.clone() }),
-        ReleaseOrder::Resume => Q::Resume(v1::FleetResume {}),
-        ReleaseOrder::Back => Q::Back(v1::FleetBack {}),
-        ReleaseOrder::End => Q::End(v1::FleetEnd {}),
-        ReleaseOrder::Recount { of } => Q::Recount(v1::FleetRecount {
-            engines: *of == Of::Engines,
+        RolloutRequest::Halt { why } => Q::Halt(v1::FleetHalt { why: why.clone() }),
+        RolloutRequest::Resume => Q::Resume(v1::FleetResume {}),
+        RolloutRequest::RollBack => Q::Back(v1::FleetBack {}),
+        RolloutRequest::End => Q::End(v1::FleetEnd {}),
+        RolloutRequest::Recount { of } => Q::Recount(v1::FleetRecount {
+            engines: *of == UnitKind::Engines,
         }),
-        ReleaseOrder::Turn {
+        RolloutRequest::Permit {
             name,
             label,
             refused,
@@ -378,26 +381,26 @@
 }
 
 /// An order on releases; none if it is none, or cannot be right.
-pub(crate) fn order_in(said: &Q) -> Option<Order> {
-    Some(Order::Release(match said {
+pub(crate) fn order_in(said: &Q) -> Option<OperatorRequest> {
+    Some(OperatorRequest::Rollout(match said {
         Q::Start(m) => {
             let plan = Box::new(plan_in(m.plan.as_ref())?);
-            ReleaseOrder::Start {
+            RolloutRequest::Start {
                 plan,
                 skip: m.skip,
                 dry: m.dry,
             }
         }
-        Q::Halt(m) => ReleaseOrder::Halt {
+        Q::Halt(m) => RolloutRequest::Halt {
             why: words(&m.why)?,
         },
-        Q::Resume(_) => ReleaseOrder::Resume,
-        Q::Back(_) => ReleaseOrder::Back,
-        Q::End(_) => ReleaseOrder::End,
-        Q::Recount(m) => ReleaseOrder::Recount {
+        Q::Resume(_) => RolloutRequest::Resume,
+        Q::Back(_) => RolloutRequest::RollBack,
+        Q::End(_) => RolloutRequest::End,
+        Q::Recount(m) => RolloutRequest::Recount {
             of: of_in(m.engines),
         },
-        Q::WantTurn(m) => ReleaseOrder::Turn {
+        Q::WantTurn(m) => RolloutRequest::Permit {
             name: name(&m.name)?,
             label: word(&m.label)?,
             refused: m.refused,
@@ -407,7 +410,7 @@
                 true => None,
                 false => Some(address(&m.address)?),
             };
-            return Some(Order::ByHand {
+            return Some(OperatorRequest::ByHand {
                 who: name(&m.who)?,
                 address: at,
                 why: words(&m.why)?,
@@ -417,21 +420,26 @@
     }))
 }
 
-pub(crate) fn ask_back_out(turn: TurnNo, of: Of, who: &Name, run: Run) -> Q {
+pub(crate) fn ask_back_out(turn: PermitId, of: UnitKind, who: &Name, run: Incarnation) -> Q {
     Q::AskBack(v1::FleetAskBack {
         turn: turn.0,
-        engine: of == Of::Engines,
+        engine: of == UnitKind::Engines,
         who: who.0.to_string(),
         run: run.0,
     })
 }
 
-pub(crate) fn ask_back_in(m: &v1::FleetAskBack) -> Option<(TurnNo, Of, Name, Run)> {
-    Some((TurnNo(m.turn), of_in(m.engine), name(&m.who)?, Run(m.run)))
+pub(crate) fn ask_back_in(m: &v1::FleetAskBack) -> Option<(PermitId, UnitKind, Name, Incarnation)> {
+    Some((
+        PermitId(m.turn),
+        of_in(m.engine),
+        name(&m.who)?,
+        Incarnation(m.run),
+    ))
 }
 
-pub(crate) fn status_out(status: &CareStatus) -> v1::FleetCareStatus {
-    let line = |(number, who, zone, at): &(TurnNo, Name, String, String)| v1::FleetTurnLine {
+pub(crate) fn status_out(status: &RolloutStatus) -> v1::FleetCareStatus {
+    let line = |(number, who, zone, at): &(PermitId, Name, String, String)| v1::FleetTurnLine {
         number: number.0,
         who: who.0.to_string(),
         zone: zone.clone(),
@@ -448,7 +456,7 @@
     };
     v1::FleetCareStatus {
         name: status.name.clone(),
-        engines: status.of == Of::Engines,
+        engines: status.of == UnitKind::Engines,
         state: status.state.clone(),
         halted: status.halted.clone(),
         why: status.why.clone(),
@@ -464,13 +472,13 @@
     }
 }
 
-pub(crate) fn status_in(said: Option<&v1::FleetCareStatus>) -> Option<CareStatus> {
+pub(crate) fn status_in(said: Option<&v1::FleetCareStatus>) -> Option<RolloutStatus> {
     let Some(said) = said else {
-        return Some(CareStatus::default());
+        return Some(RolloutStatus::default());
     };
     let line = |l: &v1::FleetTurnLine| {
         Some((
-            TurnNo(l.number),
+            PermitId(l.number),
             name(&l.who)?,
             word(&l.zone)?,
             word(&l.at)?,
@@ -478,7 +486,7 @@
     };
     let left = |l: &v1::FleetLeft| Some((name(&l.who)?, words(&l.why)?));
     let room = |r: &v1::FleetRoom| Some((word(&r.zone)?, r.out, r.most));
-    Some(CareStatus {
+    Some(RolloutStatus {
         name: word(&said.name)?,
         of: of_in(said.engines),
         state: word(&said.state)?,
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -3,7 +3,7 @@
 //! [`Memory`] one that fails and damages as it is told.
 
 use crate::words::{file_in, file_out};
-use cindercleat::fleet::register::Kept;
+use cindercleat::fleet::register::AcceptorState;
 use cindercleat_protocol::v1;
 use prost::Message;
 use std::cell::RefCell;
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// They are not what a voter wrote.
-pub fn read(bytes: &[u8]) -> Result<Kept, Unusable> {
+pub fn read(bytes: &[u8]) -> Result<AcceptorState, Unusable> {
     if bytes.len() > MOST {
         return Err(Unusable::Foreign);
     }
@@ -68,7 +68,7 @@
         .ok_or(Unusable::Damaged)
 }
 
-pub fn write(kept: &Kept) -> Vec<u8> {
+pub fn write(kept: &AcceptorState) -> Vec<u8> {
     let body = file_out(kept).encode_to_vec();
     [
         &MARK[..],
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -3,8 +3,8 @@
 
 use crate::ask::order_any;
 use cindercleat::fleet::job::JobLease;
-use cindercleat::fleet::member::{Order, Reply};
-use cindercleat::fleet::{Duty, Term};
+use cindercleat::fleet::member::{OperatorRequest, Reply};
+use cindercleat::fleet::{LeaseName, Term};
 use cindercleat::interface::Ms;
 use cindercleat_net::{Clock, Transport};
 use std::future::Future;
@@ -57,7 +57,7 @@
     pub clock: &'a C,
     /// Dispatchers that may be asked, tried in turn.
     pub addresses: &'a [String],
-    pub duty: Duty,
+    pub duty: LeaseName,
     /// Tells this job from others that want the same duty.
     pub number: u64,
 }
@@ -113,7 +113,7 @@
     /// What is sure does not wait for an answer that may not come.
     async fn ask(&self, asked: Ms, lease: Option<&JobLease>) -> Result<Reply, String> {
         let within = lease.map_or(ANSWER_WITHIN, JobLease::answer_within);
-        let wish = Order::Hold {
+        let wish = OperatorRequest::HoldLease {
             duty: self.duty.clone(),
             job: self.number,
         };
@@ -146,7 +146,7 @@
                     }
                 }
             },
-            Ok(Reply::No(why)) => {
+            Ok(Reply::Refused(why)) => {
                 work.end(lease.map_or(0.0, |held| held.until())).await?;
                 return Ok(Next::End(Ended::Refused(why.clone())));
             }
@@ -174,7 +174,7 @@
 
     /// Gives the duty up. Whoever does not hear of it waits for the lease.
     async fn let_go(&self) {
-        let order = Order::LetGo {
+        let order = OperatorRequest::LetGo {
             duty: self.duty.clone(),
             job: self.number,
         };
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -6,10 +6,10 @@
 use crate::words::{answer_in, answer_out, question_in, question_out};
 use cindercleat::fleet::bounds::Unit;
 use cindercleat::fleet::member::{
-    AskNo, CallNo, Fares, FleetSettings, Input, Member, Output, Question, SaveNo,
+    CallId, FleetSettings, Input, LocalHealth, Member, Output, Question, QuestionId, SaveId,
 };
-use cindercleat::fleet::register::Kept;
-use cindercleat::fleet::{Address, Duty, Term};
+use cindercleat::fleet::register::AcceptorState;
+use cindercleat::fleet::{Address, LeaseName, Term};
 use cindercleat::interface::Ms;
 use cindercleat_grpc::{connect, serve, Event, Out, Session, Setup};
 use cindercleat_net::{Clock, Listener, Transport};
@@ -36,7 +36,7 @@
 /// The dispatcher beside which a member runs.
 pub trait Dispatcher {
     /// How it fares.
-    fn fares(&self) -> Fares;
+    fn fares(&self) -> LocalHealth;
 
     /// The engines as its list has them.
     fn engines(&self) -> Vec<Unit> {
@@ -51,12 +51,12 @@
     out: Out,
     used: Cell<Ms>,
     /// Questions that are out on it, by their streams, and since when.
-    asked: RefCell<BTreeMap<u64, (AskNo, Ms)>>,
+    asked: RefCell<BTreeMap<u64, (QuestionId, Ms)>>,
     streams: Cell<u64>,
 }
 
 /// A question for a connection that is not up yet, and since when.
-type Waiting = (AskNo, v1::FleetCall, Ms);
+type Waiting = (QuestionId, v1::FleetCall, Ms);
 
 struct Inner<T, C, D> {
     settings: FleetSettings,
@@ -69,7 +69,7 @@
     /// What is to go out once the connection is up.
     dialling: RefCell<BTreeMap<Address, Vec<Waiting>>>,
     /// Who waits for the answer to a call.
-    calls: RefCell<BTreeMap<CallNo, (Out, u64)>>,
+    calls: RefCell<BTreeMap<CallId, (Out, u64)>>,
     numbers: Cell<u64>,
     connections: Cell<usize>,
     armed: Cell<Ms>,
@@ -163,7 +163,7 @@
     }
 
     /// The duties held now, with their terms.
-    pub fn held(&self) -> Vec<(Duty, Term)> {
+    pub fn held(&self) -> Vec<(LeaseName, Term)> {
         self.inner
             .member
             .borrow()
@@ -183,7 +183,7 @@
     }
 
     fn look_at_fares(&self) {
-        self.input(Input::Fares(self.inner.beside.fares()));
+        self.input(Input::LocalHealth(self.inner.beside.fares()));
         if self.inner.member.borrow().wants_engines() {
             self.input(Input::Engines(self.inner.beside.engines()));
         }
@@ -229,7 +229,7 @@
             } => {
                 tracing::info!(duty = %duty.0, term = term.0, "duty no more held");
             }
-            Output::Turn { turn, label } => {
+            Output::PermitGranted { turn, label } => {
                 tracing::info!(turn = turn.0, label, "has its turn to go");
                 self.inner.beside.has_turn(turn.0, &label);
             }
@@ -242,7 +242,7 @@
         }
     }
 
-    async fn save(self, number: SaveNo, kept: Box<Kept>) {
+    async fn save(self, number: SaveId, kept: Box<AcceptorState>) {
         let lasts = match &self.inner.disk {
             Some(disk) => disk.replace(file::write(&kept)).await,
             None => Err(std::io::ErrorKind::Unsupported.into()),
@@ -306,7 +306,7 @@
         }
     }
 
-    fn ask(&self, ask: AskNo, to: Address, question: &Question) {
+    fn ask(&self, ask: QuestionId, to: Address, question: &Question) {
         let call = question_out(question);
         let peer = self.inner.peers.borrow().get(&to).cloned();
         if let Some(peer) = peer {
@@ -327,7 +327,7 @@
         }
     }
 
-    fn send(&self, peer: &Rc<Peer>, ask: AskNo, call: v1::FleetCall) {
+    fn send(&self, peer: &Rc<Peer>, ask: QuestionId, call: v1::FleetCall) {
         let stream = peer.streams.get() + 1;
         peer.streams.set(stream);
         peer.used.set(self.inner.clock.now());
@@ -489,7 +489,7 @@
         match body {
             Body::FleetCall(said) => match self.understood(question_in(said)) {
                 Some(question) => {
-                    let call = CallNo(self.inner.numbers.get() + 1);
+                    let call = CallId(self.inner.numbers.get() + 1);
                     self.inner.numbers.set(call.0);
                     self.inner
                         .calls
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/words.rs
@@ -2,16 +2,19 @@
 //! a name that is empty or too long, an impossible ballot, a part that is not there.
 
 use crate::care_words;
-use cindercleat::fleet::acts::{Act, Ticket, Verdict};
+use cindercleat::fleet::acts::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::fleet::agreed::{
-    Agreed, Held, Holder, Life, Seat, Stamp, Voters, MOST_DUTIES, MOST_VOTERS,
+    LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
+    MOST_DUTIES, MOST_VOTERS,
 };
 use cindercleat::fleet::member::{
-    Answer, BeatHeard, Order, Question, Reply, RollLine, Seen, Status, VoterLine,
+    Answer, HeartbeatReply, MemberLine, OperatorRequest, Question, Reply, Seen, Status, VoterLine,
 };
-use cindercleat::fleet::register::{Ask, Ballot, Kept, Said, Writes};
-use cindercleat::fleet::rollcall::{Beat, Standing};
-use cindercleat::fleet::{Address, Duty, Name, Run, Term};
+use cindercleat::fleet::register::{
+    AcceptorReply, AcceptorRequest, AcceptorState, Ballot, WriteCounts,
+};
+use cindercleat::fleet::rollcall::{Heartbeat, MemberStatus};
+use cindercleat::fleet::{Address, Incarnation, LeaseName, Name, Term};
 use cindercleat_protocol::v1;
 use std::collections::BTreeMap;
 use v1::fleet_answer::Answer as A;
@@ -31,8 +34,8 @@
     text(said).map(Name::from)
 }
 
-fn duty(said: &str) -> Option<Duty> {
-    text(said).map(Duty::from)
+fn duty(said: &str) -> Option<LeaseName> {
+    text(said).map(LeaseName::from)
 }
 
 pub(crate) fn address(said: &str) -> Option<Address> {
@@ -59,12 +62,12 @@
     Some(Ballot {
         round: said.round,
         by: name(&said.by)?,
-        run: Run(said.run),
+        run: Incarnation(said.run),
     })
 }
 
-fn seats_out(set: &BTreeMap<Name, Seat>) -> Vec<v1::VoterSeat> {
-    let seat = |(name, seat): (&Name, &Seat)| v1::VoterSeat {
+fn seats_out(set: &BTreeMap<Name, VoterRecord>) -> Vec<v1::VoterSeat> {
+    let seat = |(name, seat): (&Name, &VoterRecord)| v1::VoterSeat {
         name: name.0.to_string(),
         life: seat.life.0,
         address: seat.address.0.to_string(),
@@ -72,13 +75,13 @@
     set.iter().map(seat).collect()
 }
 
-fn seats_in(said: &[v1::VoterSeat]) -> Option<BTreeMap<Name, Seat>> {
+fn seats_in(said: &[v1::VoterSeat]) -> Option<BTreeMap<Name, VoterRecord>> {
     (said.len() <= MOST_VOTERS + 1).then_some(())?;
     let seat = |s: &v1::VoterSeat| {
         Some((
             name(&s.name)?,
-            Seat {
-                life: Life(s.life),
+            VoterRecord {
+                life: VoterId(s.life),
                 address: address(&s.address)?,
             },
         ))
@@ -108,7 +111,7 @@
     })
 }
 
-fn holder_out(holder: &Holder) -> v1::DutyHolder {
+fn holder_out(holder: &LeaseHolder) -> v1::DutyHolder {
     let (name, address) = (holder.name.0.to_string(), holder.address.0.to_string());
     v1::DutyHolder {
         name,
@@ -117,15 +120,15 @@
     }
 }
 
-fn holder_in(said: &v1::DutyHolder) -> Option<Holder> {
-    Some(Holder {
+fn holder_in(said: &v1::DutyHolder) -> Option<LeaseHolder> {
+    Some(LeaseHolder {
         name: name(&said.name)?,
-        run: Run(said.run),
+        run: Incarnation(said.run),
         address: address(&said.address)?,
     })
 }
 
-fn row_out((duty, held): (&Duty, &Held)) -> v1::DutyRow {
+fn row_out((duty, held): (&LeaseName, &LeaseRecord)) -> v1::DutyRow {
     v1::DutyRow {
         duty: duty.0.to_string(),
         term: held.term.0,
@@ -142,7 +145,7 @@
     }
 }
 
-fn row_in(said: &v1::DutyRow) -> Option<(Duty, Held)> {
+fn row_in(said: &v1::DutyRow) -> Option<(LeaseName, LeaseRecord)> {
     let holder = match &said.holder {
         Some(holder) => Some(holder_in(holder)?),
         None => None,
@@ -151,14 +154,14 @@
         true => None,
         false => Some(name(&said.next)?),
     };
-    let stamp = Stamp {
+    let stamp = ProposalId {
         round: said.stamp_round,
-        run: Run(said.stamp_run),
+        run: Incarnation(said.stamp_run),
     };
     let (term, renewed, lease_ms) = (Term(said.term), said.renewed, said.lease_ms);
     Some((
         duty(&said.duty)?,
-        Held {
+        LeaseRecord {
             term,
             holder,
             renewed,
@@ -169,7 +172,7 @@
     ))
 }
 
-fn agreed_out(value: &Agreed) -> v1::AgreedValue {
+fn agreed_out(value: &ReplicatedState) -> v1::AgreedValue {
     let (version, voters) = (value.version, Some(voters_out(&value.voters)));
     let care = care_words::care_out(&value.care);
     v1::AgreedValue {
@@ -180,12 +183,12 @@
     }
 }
 
-fn agreed_in(said: Option<v1::AgreedValue>) -> Option<Agreed> {
+fn agreed_in(said: Option<v1::AgreedValue>) -> Option<ReplicatedState> {
     let said = said?;
     (said.duties.len() <= MOST_DUTIES).then_some(())?;
     let duties = said.duties.iter().map(row_in).collect::<Option<_>>()?;
     let care = Box::new(care_words::care_in(said.care.as_ref())?);
-    Some(Agreed {
+    Some(ReplicatedState {
         version: said.version,
         voters: voters_in(&said.voters?)?,
         duties,
@@ -193,7 +196,7 @@
     })
 }
 
-fn taken_out(taken: &Option<(Ballot, Agreed)>) -> Option<v1::TakenValue> {
+fn taken_out(taken: &Option<(Ballot, ReplicatedState)>) -> Option<v1::TakenValue> {
     let taken = taken.as_ref()?;
     Some(v1::TakenValue {
         ballot: Some(ballot_out(&taken.0)),
@@ -202,15 +205,15 @@
 }
 
 /// Nothing taken is something that can be said; a taken value that cannot be read is not.
-fn taken_in(said: Option<v1::TakenValue>) -> Option<Option<(Ballot, Agreed)>> {
+fn taken_in(said: Option<v1::TakenValue>) -> Option<Option<(Ballot, ReplicatedState)>> {
     match said {
         None => Some(None),
         Some(taken) => Some(Some((ballot_in(taken.ballot)?, agreed_in(taken.value)?))),
     }
 }
 
-fn writes_out(heard: &Writes) -> Vec<v1::VoterWrites> {
-    let line = |((name, life), writes): (&(Name, Life), &u64)| v1::VoterWrites {
+fn writes_out(heard: &WriteCounts) -> Vec<v1::VoterWrites> {
+    let line = |((name, life), writes): (&(Name, VoterId), &u64)| v1::VoterWrites {
         name: name.0.to_string(),
         life: life.0,
         writes: *writes,
@@ -218,15 +221,15 @@
     heard.iter().rev().take(MOST_HEARD).map(line).collect()
 }
 
-fn writes_in(said: &[v1::VoterWrites]) -> Option<Writes> {
+fn writes_in(said: &[v1::VoterWrites]) -> Option<WriteCounts> {
     (said.len() <= MOST_HEARD).then_some(())?;
     said.iter()
-        .map(|w| Some(((name(&w.name)?, Life(w.life)), w.writes)))
+        .map(|w| Some(((name(&w.name)?, VoterId(w.life)), w.writes)))
         .collect()
 }
 
 /// What a voter keeps, as bytes of its file.
-pub fn file_out(kept: &Kept) -> v1::VoterFile {
+pub fn file_out(kept: &AcceptorState) -> v1::VoterFile {
     v1::VoterFile {
         name: kept.name.0.to_string(),
         life: kept.life.0,
@@ -238,7 +241,7 @@
     }
 }
 
-pub fn file_in(said: v1::VoterFile) -> Option<Kept> {
+pub fn file_in(said: v1::VoterFile) -> Option<AcceptorState> {
     let founding = match &said.founding {
         Some(voters) => Some(voters_in(voters)?),
         None => None,
@@ -247,9 +250,9 @@
         Some(ballot) => Some(ballot_in(Some(ballot))?),
         None => None,
     };
-    Some(Kept {
+    Some(AcceptorState {
         name: name(&said.name)?,
-        life: Life(said.life),
+        life: VoterId(said.life),
         founding,
         promised,
         taken: taken_in(said.taken)?,
@@ -258,23 +261,23 @@
     })
 }
 
-fn ticket_out(ticket: Ticket) -> v1::FleetTicket {
+fn ticket_out(ticket: ReceiverTimestamp) -> v1::FleetTicket {
     v1::FleetTicket {
         run: ticket.run.0,
         at_ms: ticket.at,
     }
 }
 
-fn ticket_in(said: &v1::FleetTicket) -> Option<Ticket> {
-    Some(Ticket {
-        run: Run(said.run),
+fn ticket_in(said: &v1::FleetTicket) -> Option<ReceiverTimestamp> {
+    Some(ReceiverTimestamp {
+        run: Incarnation(said.run),
         at: finite(said.at_ms)?,
     })
 }
 
 pub fn question_out(question: &Question) -> v1::FleetCall {
     let question = match question {
-        Question::Vote(Ask::Prepare {
+        Question::Vote(AcceptorRequest::Prepare {
             life,
             ballot,
             heard,
@@ -283,7 +286,7 @@
             ballot: Some(ballot_out(ballot)),
             heard: writes_out(heard),
         }),
-        Question::Vote(Ask::Take {
+        Question::Vote(AcceptorRequest::Accept {
             life,
             ballot,
             value,
@@ -299,7 +302,7 @@
             name: of.0.to_string(),
             life: life.0,
         }),
-        Question::Beat(beat) => Q::Beat(v1::FleetBeat {
+        Question::Heartbeat(beat) => Q::Beat(v1::FleetBeat {
             who: Some(holder_out(&beat.who)),
             zone: beat.zone.clone(),
             label: beat.label.clone(),
@@ -314,7 +317,7 @@
         Question::Nudge { duty } => Q::Nudge(v1::FleetNudge {
             duty: duty.0.to_string(),
         }),
-        Question::Act(act) => Q::Act(v1::FleetAct {
+        Question::FencedCommand(act) => Q::Act(v1::FleetAct {
             duty: act.duty.0.to_string(),
             term: act.term.0,
             holder: Some(holder_out(&act.holder)),
@@ -324,41 +327,41 @@
             body: act.body.clone().into(),
         }),
         Question::AskBack { turn, of, who, run } => care_words::ask_back_out(*turn, *of, who, *run),
-        Question::Order(order) => order_out(order),
+        Question::Operator(order) => order_out(order),
     };
     v1::FleetCall {
         question: Some(question),
     }
 }
 
-fn order_out(order: &Order) -> Q {
+fn order_out(order: &OperatorRequest) -> Q {
     let word = |name: &Option<Name>| name.as_ref().map(|n| n.0.to_string()).unwrap_or_default();
     match order {
-        Order::Status => Q::Status(v1::FleetStatus {}),
-        Order::HandOver { duty, to } => Q::HandOver(v1::FleetHandOver {
+        OperatorRequest::Status => Q::Status(v1::FleetStatus {}),
+        OperatorRequest::HandOver { duty, to } => Q::HandOver(v1::FleetHandOver {
             duty: duty.0.to_string(),
             to: word(to),
         }),
-        Order::AddVoter { name, address } => Q::AddVoter(v1::FleetAddVoter {
+        OperatorRequest::AddVoter { name, address } => Q::AddVoter(v1::FleetAddVoter {
             name: name.0.to_string(),
             address: address
                 .as_ref()
                 .map(|a| a.0.to_string())
                 .unwrap_or_default(),
         }),
-        Order::RemoveVoter { name } => Q::RemoveVoter(v1::FleetRemoveVoter {
+        OperatorRequest::RemoveVoter { name } => Q::RemoveVoter(v1::FleetRemoveVoter {
             name: name.0.to_string(),
         }),
-        Order::Hold { duty, job } => Q::Hold(v1::FleetHold {
+        OperatorRequest::HoldLease { duty, job } => Q::Hold(v1::FleetHold {
             duty: duty.0.to_string(),
             job: *job,
         }),
-        Order::LetGo { duty, job } => Q::LetGo(v1::FleetLetGo {
+        OperatorRequest::LetGo { duty, job } => Q::LetGo(v1::FleetLetGo {
             duty: duty.0.to_string(),
             job: *job,
         }),
-        Order::Release(order) => care_words::order_out(order),
-        Order::ByHand { who, address, why } => Q::ByHand(v1::FleetByHand {
+        OperatorRequest::Rollout(order) => care_words::order_out(order),
+        OperatorRequest::ByHand { who, address, why } => Q::ByHand(v1::FleetByHand {
             who: who.0.to_string(),
             address: address
                 .as_ref()
@@ -374,14 +377,14 @@
     Some(match said.question? {
         Q::Prepare(m) => {
             let heard = writes_in(&m.heard)?;
-            Question::Vote(Ask::Prepare {
-                life: Life(m.life),
+            Question::Vote(AcceptorRequest::Prepare {
+                life: VoterId(m.life),
                 ballot: ballot_in(m.ballot)?,
                 heard,
             })
         }
-        Q::Take(m) => Question::Vote(Ask::Take {
-            life: Life(m.life),
+        Q::Take(m) => Question::Vote(AcceptorRequest::Accept {
+            life: VoterId(m.life),
             ballot: ballot_in(m.ballot)?,
             value: agreed_in(m.value)?,
             heard: writes_in(&m.heard)?,
@@ -389,7 +392,7 @@
         Q::Look(_) => Question::Look,
         Q::Witness(m) => Question::Witness {
             of: name(&m.name)?,
-            life: Life(m.life),
+            life: VoterId(m.life),
         },
         Q::Beat(m) => {
             let (zone, label) = (m.zone, m.label);
@@ -400,7 +403,7 @@
                 care_words::tally_in(m.tally.as_ref()),
                 care_words::reports_in(&m.reports)?,
             );
-            Question::Beat(Beat {
+            Question::Heartbeat(Heartbeat {
                 who,
                 zone,
                 label,
@@ -421,7 +424,7 @@
                 Some(ticket) => Some(ticket_in(ticket)?),
                 None => None,
             };
-            Question::Act(Act {
+            Question::FencedCommand(FencedCommand {
                 duty: duty(&m.duty)?,
                 term: Term(m.term),
                 holder: holder_in(&m.holder?)?,
@@ -431,13 +434,13 @@
                 body: m.body.to_vec(),
             })
         }
-        Q::Status(_) => Question::Order(Order::Status),
+        Q::Status(_) => Question::Operator(OperatorRequest::Status),
         Q::HandOver(m) => {
             let to = match m.to.is_empty() {
                 true => None,
                 false => Some(name(&m.to)?),
             };
-            Question::Order(Order::HandOver {
+            Question::Operator(OperatorRequest::HandOver {
                 duty: duty(&m.duty)?,
                 to,
             })
@@ -447,19 +450,19 @@
                 true => None,
                 false => Some(address(&m.address)?),
             };
-            Question::Order(Order::AddVoter {
+            Question::Operator(OperatorRequest::AddVoter {
                 name: name(&m.name)?,
                 address: at,
             })
         }
-        Q::RemoveVoter(m) => Question::Order(Order::RemoveVoter {
+        Q::RemoveVoter(m) => Question::Operator(OperatorRequest::RemoveVoter {
             name: name(&m.name)?,
         }),
-        Q::Hold(m) => Question::Order(Order::Hold {
+        Q::Hold(m) => Question::Operator(OperatorRequest::HoldLease {
             duty: duty(&m.duty)?,
             job: m.job,
         }),
-        Q::LetGo(m) => Question::Order(Order::LetGo {
+        Q::LetGo(m) => Question::Operator(OperatorRequest::LetGo {
             duty: duty(&m.duty)?,
             job: m.job,
         }),
@@ -467,22 +470,22 @@
             let (turn, of, who, run) = care_words::ask_back_in(&m)?;
             Question::AskBack { turn, of, who, run }
         }
-        other => Question::Order(care_words::order_in(&other)?),
+        other => Question::Operator(care_words::order_in(&other)?),
     })
 }
 
-const VERDICTS: [Verdict; 5] = [
-    Verdict::Obeyed,
-    Verdict::OldTerm,
-    Verdict::Again,
-    Verdict::Unknown,
-    Verdict::Late,
+const VERDICTS: [FencingDecision; 5] = [
+    FencingDecision::Executed,
+    FencingDecision::StaleTerm,
+    FencingDecision::Duplicate,
+    FencingDecision::TimestampMissing,
+    FencingDecision::LeaseExpired,
 ];
-const STANDINGS: [Standing; 4] = [
-    Standing::In,
-    Standing::Suspected,
-    Standing::Out,
-    Standing::Back,
+const STANDINGS: [MemberStatus; 4] = [
+    MemberStatus::Alive,
+    MemberStatus::Suspected,
+    MemberStatus::Dead,
+    MemberStatus::Returned,
 ];
 
 fn place_in<T: PartialEq>(all: &[T], one: &T) -> u32 {
@@ -493,7 +496,7 @@
 
 pub fn answer_out(answer: &Answer) -> v1::FleetAnswer {
     let answer = match answer {
-        Answer::Vote(Said::Promise {
+        Answer::Vote(AcceptorReply::Promise {
             ballot,
             taken,
             writes,
@@ -502,14 +505,14 @@
             taken: taken_out(taken),
             writes: *writes,
         }),
-        Answer::Vote(Said::Took { ballot, writes }) => A::Took(v1::FleetTook {
+        Answer::Vote(AcceptorReply::Accepted { ballot, writes }) => A::Took(v1::FleetTook {
             ballot: Some(ballot_out(ballot)),
             writes: *writes,
         }),
-        Answer::Vote(Said::Outbid { promised }) => A::Outbid(v1::FleetOutbid {
+        Answer::Vote(AcceptorReply::Conflict { promised }) => A::Outbid(v1::FleetOutbid {
             promised: Some(ballot_out(promised)),
         }),
-        Answer::Vote(Said::NoVote) => A::NoVote(v1::FleetNoVote {}),
+        Answer::Vote(AcceptorReply::NotVoting) => A::NoVote(v1::FleetNoVote {}),
         Answer::Seen(seen) => A::Seen(v1::FleetSeen {
             life: seen.life.map_or(0, |life| life.0),
             votes: seen.votes,
@@ -518,7 +521,7 @@
         }),
         Answer::Witnessed { writes } => A::Witnessed(v1::FleetWitnessed { writes: *writes }),
         Answer::Heard(heard) => {
-            let place = |(duty, place): &(Duty, u32)| v1::FleetPlace {
+            let place = |(duty, place): &(LeaseName, u32)| v1::FleetPlace {
                 duty: duty.0.to_string(),
                 place: *place,
             };
@@ -531,14 +534,14 @@
             })
         }
         Answer::Done => A::Done(v1::Done {}),
-        Answer::Verdict { verdict, ticket } => A::Verdict(v1::FleetVerdict {
+        Answer::FencingDecision { verdict, ticket } => A::Verdict(v1::FleetVerdict {
             verdict: place_in(&VERDICTS, verdict),
             ticket: Some(ticket_out(*ticket)),
         }),
         Answer::Begun { begun } => A::Begun(v1::FleetBegun { begun: *begun }),
-        Answer::Reply(Reply::Waits(words)) => A::Waits(words.clone()),
+        Answer::Reply(Reply::Pending(words)) => A::Waits(words.clone()),
         Answer::Reply(Reply::Done(words)) => A::Yes(words.clone()),
-        Answer::Reply(Reply::No(words)) => A::No(words.clone()),
+        Answer::Reply(Reply::Refused(words)) => A::No(words.clone()),
         Answer::Reply(Reply::Elsewhere(address)) => A::Elsewhere(address.0.to_string()),
         Answer::Reply(Reply::Holds { term, good_for }) => A::Holds(v1::FleetHolds {
             term: term.map_or(0, |term| term.0),
@@ -556,26 +559,26 @@
     Some(match said.answer? {
         A::Promise(m) => {
             let (ballot, taken) = (ballot_in(m.ballot)?, taken_in(m.taken)?);
-            Answer::Vote(Said::Promise {
+            Answer::Vote(AcceptorReply::Promise {
                 ballot,
                 taken,
                 writes: m.writes,
             })
         }
-        A::Took(m) => Answer::Vote(Said::Took {
+        A::Took(m) => Answer::Vote(AcceptorReply::Accepted {
             ballot: ballot_in(m.ballot)?,
             writes: m.writes,
         }),
-        A::Outbid(m) => Answer::Vote(Said::Outbid {
+        A::Outbid(m) => Answer::Vote(AcceptorReply::Conflict {
             promised: ballot_in(m.promised)?,
         }),
-        A::NoVote(_) => Answer::Vote(Said::NoVote),
+        A::NoVote(_) => Answer::Vote(AcceptorReply::NotVoting),
         A::Seen(m) => {
             let founding = match &m.founding {
                 Some(voters) => Some(voters_in(voters)?),
                 None => None,
             };
-            let life = (m.life != 0).then_some(Life(m.life));
+            let life = (m.life != 0).then_some(VoterId(m.life));
             Answer::Seen(Seen {
                 life,
                 votes: m.votes,
@@ -596,7 +599,7 @@
                 .collect::<Option<_>>()?;
             // A beat that is never wanted would end beating.
             let every = finite(m.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
-            Answer::Heard(BeatHeard {
+            Answer::Heard(HeartbeatReply {
                 heard: m.heard,
                 holder,
                 every,
@@ -606,15 +609,15 @@
         A::Done(_) => Answer::Done,
         A::Verdict(m) => {
             let verdict = *VERDICTS.get(m.verdict as usize)?;
-            Answer::Verdict {
+            Answer::FencingDecision {
                 verdict,
                 ticket: ticket_in(&m.ticket?)?,
             }
         }
         A::Begun(m) => Answer::Begun { begun: m.begun },
-        A::Waits(words) => Answer::Reply(Reply::Waits(words)),
+        A::Waits(words) => Answer::Reply(Reply::Pending(words)),
         A::Yes(words) => Answer::Reply(Reply::Done(words)),
-        A::No(words) => Answer::Reply(Reply::No(words)),
+        A::No(words) => Answer::Reply(Reply::Refused(words)),
         A::Elsewhere(at) => Answer::Reply(Reply::Elsewhere(address(&at)?)),
         A::Holds(m) => {
             let term = (m.term > 0).then_some(Term(m.term));
@@ -635,13 +638,13 @@
         votes: v.votes,
         version: v.version,
     };
-    let row = |(duty, term, holder): &(Duty, Term, Option<Holder>)| v1::DutyRow {
+    let row = |(duty, term, holder): &(LeaseName, Term, Option<LeaseHolder>)| v1::DutyRow {
         duty: duty.0.to_string(),
         term: term.0,
         holder: holder.as_ref().map(holder_out),
         ..v1::DutyRow::default()
     };
-    let line = |l: &RollLine| v1::FleetRollLine {
+    let line = |l: &MemberLine| v1::FleetRollLine {
         name: l.name.0.to_string(),
         zone: l.zone.clone(),
         label: l.label.clone(),
@@ -692,7 +695,7 @@
         Some((duty(&r.duty)?, Term(r.term), holder))
     };
     let line = |l: &v1::FleetRollLine| {
-        Some(RollLine {
+        Some(MemberLine {
             name: name(&l.name)?,
             zone: l.zone.clone(),
             label: l.label.clone(),
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -2,8 +2,8 @@
 //! are slow for a moment or for good.
 
 use cindercleat::fleet::duties::LeaseSettings;
-use cindercleat::fleet::member::{Fares, FleetSettings};
-use cindercleat::fleet::{Address, Duty, Name, Run, Term};
+use cindercleat::fleet::member::{FleetSettings, LocalHealth};
+use cindercleat::fleet::{Address, Incarnation, LeaseName, Name, Term};
 use cindercleat_fleet::file::{Disk, Memory as File};
 use cindercleat_fleet::job::{Ended, Job, Work};
 use cindercleat_fleet::{Dispatcher, Shell};
@@ -42,11 +42,11 @@
 struct Beside;
 
 impl Dispatcher for Beside {
-    fn fares(&self) -> Fares {
-        Fares {
+    fn fares(&self) -> LocalHealth {
+        LocalHealth {
             ready: true,
             load: 0.1,
-            ..Fares::default()
+            ..LocalHealth::default()
         }
     }
 
@@ -96,7 +96,7 @@
     FleetSettings {
         fleet: "fleet".to_owned(),
         me: voter(at).0,
-        run: Run(100 + at as u64),
+        run: Incarnation(100 + at as u64),
         address: voter(at).1,
         zone: "z".to_owned(),
         label: "v1".to_owned(),
@@ -166,7 +166,7 @@
         let (told, memory, clock) = (stop.clone(), self.memory.clone(), self.clock);
         let job = spawn_local(async move {
             let addresses = ["at-0".to_owned()];
-            let duty = Duty::from("nightly");
+            let duty = LeaseName::from("nightly");
             let job = Job {
                 transport: &memory,
                 clock: &clock,
--- a/crates/fleet/tests/shell.rs
+++ b/crates/fleet/tests/shell.rs
@@ -1,8 +1,10 @@
 //! Members on connections and files in memory, on a paused clock.
 
 use cindercleat::fleet::duties::LeaseSettings;
-use cindercleat::fleet::member::{Answer, Fares, FleetSettings, Order, Question, Reply};
-use cindercleat::fleet::{Address, Duty, Name, Run};
+use cindercleat::fleet::member::{
+    Answer, FleetSettings, LocalHealth, OperatorRequest, Question, Reply,
+};
+use cindercleat::fleet::{Address, Incarnation, LeaseName, Name};
 use cindercleat_fleet::ask::{ask, order};
 use cindercleat_fleet::file::Memory as File;
 use cindercleat_fleet::{Dispatcher, Shell};
@@ -34,7 +36,7 @@
     FleetSettings {
         fleet: fleet.to_owned(),
         me: voter(at).0,
-        run: Run(100 + at as u64),
+        run: Incarnation(100 + at as u64),
         address: voter(at).1,
         zone: "z".to_owned(),
         label: "v1".to_owned(),
@@ -59,11 +61,11 @@
 struct Beside;
 
 impl Dispatcher for Beside {
-    fn fares(&self) -> Fares {
-        Fares {
+    fn fares(&self) -> LocalHealth {
+        LocalHealth {
             ready: true,
             load: 0.1,
-            ..Fares::default()
+            ..LocalHealth::default()
         }
     }
 
@@ -132,9 +134,15 @@
 #[test]
 fn three_members_agree_who_calls_the_roll_and_tell_operators() {
     run(|net| async move {
-        let reply = order(&net.memory, &net.clock, "at-1", &Order::Status, 900.0)
-            .await
-            .expect("it answers");
+        let reply = order(
+            &net.memory,
+            &net.clock,
+            "at-1",
+            &OperatorRequest::Status,
+            900.0,
+        )
+        .await
+        .expect("it answers");
         let Reply::Status(status) = reply else {
             panic!("{reply:?}")
         };
@@ -154,8 +162,8 @@
 fn a_full_disk_keeps_a_voter_silent_and_the_others_agree() {
     run(|net| async move {
         net.files[0].fail(true);
-        let hold = Order::Hold {
-            duty: Duty::from("job"),
+        let hold = OperatorRequest::HoldLease {
+            duty: LeaseName::from("job"),
             job: 7,
         };
         let mut held = false;
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -1,15 +1,22 @@
 //! The fleet's words on the wire: there and back, and whatever else may come.
 
-use cindercleat::fleet::acts::{Act, Ticket, Verdict};
-use cindercleat::fleet::agreed::{Agreed, Held, Holder, Life, Seat, Stamp, Voters};
-use cindercleat::fleet::bounds::{Bounds, Most, Of, Tally};
+use cindercleat::fleet::acts::{FencedCommand, FencingDecision, ReceiverTimestamp};
+use cindercleat::fleet::agreed::{
+    LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
+};
+use cindercleat::fleet::bounds::{DisruptionBudget, MaxUnavailable, OutcomeCounts, UnitKind};
 use cindercleat::fleet::member::{
-    Answer, BeatHeard, CareStatus, Order, Question, ReleaseOrder, Reply, Seen, Status,
+    Answer, HeartbeatReply, OperatorRequest, Question, Reply, RolloutRequest, RolloutStatus, Seen,
+    Status,
+};
+use cindercleat::fleet::register::{
+    AcceptorReply, AcceptorRequest, AcceptorState, Ballot, WriteCounts,
 };
-use cindercleat::fleet::register::{Ask, Ballot, Kept, Said, Writes};
-use cindercleat::fleet::release::{Care, Plan, Release, Turn, TurnNo};
-use cindercleat::fleet::rollcall::{Beat, EngineReport};
-use cindercleat::fleet::{Address, Duty, Name, Run, Term};
+use cindercleat::fleet::release::{
+    DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan,
+};
+use cindercleat::fleet::rollcall::{EngineReport, Heartbeat};
+use cindercleat::fleet::{Address, Incarnation, LeaseName, Name, Term};
 use cindercleat_fleet::file::{read, write, Unusable};
 use cindercleat_fleet::words::{answer_in, answer_out, question_in, question_out};
 use cindercleat_protocol::v1;
@@ -21,24 +28,24 @@
     Ballot {
         round,
         by: Name::from("a"),
-        run: Run(7),
+        run: Incarnation(7),
     }
 }
 
-fn holder() -> Holder {
-    Holder {
+fn holder() -> LeaseHolder {
+    LeaseHolder {
         name: Name::from("a"),
-        run: Run(7),
+        run: Incarnation(7),
         address: Address::from("127.0.0.1:1"),
     }
 }
 
 fn voters() -> Voters {
-    let seat = |n: u64| Seat {
-        life: Life(n),
+    let seat = |n: u64| VoterRecord {
+        life: VoterId(n),
         address: Address::from("127.0.0.1:1"),
     };
-    let set: BTreeMap<Name, Seat> = ["a", "b", "c"]
+    let set: BTreeMap<Name, VoterRecord> = ["a", "b", "c"]
         .into_iter()
         .zip(1..)
         .map(|(n, l)| (n.into(), seat(l)))
@@ -50,20 +57,20 @@
     }
 }
 
-fn agreed() -> Agreed {
-    let held = Held {
+fn agreed() -> ReplicatedState {
+    let held = LeaseRecord {
         term: Term(3),
         holder: Some(holder()),
         renewed: 9,
         lease_ms: 1000,
-        stamp: Stamp {
+        stamp: ProposalId {
             round: 12,
-            run: Run(7),
+            run: Incarnation(7),
         },
         next: Some(Name::from("b")),
     };
-    let duties = BTreeMap::from([(Duty::from("roll-call"), held)]);
-    Agreed {
+    let duties = BTreeMap::from([(LeaseName::from("roll-call"), held)]);
+    ReplicatedState {
         version: 5,
         voters: voters(),
         duties,
@@ -71,10 +78,10 @@
     }
 }
 
-fn plan() -> Plan {
-    Plan {
+fn plan() -> RolloutPlan {
+    RolloutPlan {
         name: "v2".to_owned(),
-        of: Of::Engines,
+        of: UnitKind::Engines,
         label: "v2".to_owned(),
         before: "v1".to_owned(),
         zones: vec!["z".to_owned()],
@@ -91,28 +98,28 @@
     }
 }
 
-fn care() -> Care {
-    let turn = Turn {
-        of: Of::Engines,
+fn care() -> DisruptionState {
+    let turn = DisruptionPermit {
+        of: UnitKind::Engines,
         who: Name::from("h1"),
-        run: Run(9),
+        run: Incarnation(9),
         address: Address::default(),
         zone: "z".to_owned(),
         label: "v2".to_owned(),
         stays: true,
         planned: true,
     };
-    let most = Most {
+    let most = MaxUnavailable {
         number: 3,
         per_mille: 100,
     };
-    let bounds = Bounds {
+    let bounds = DisruptionBudget {
         fleet: most,
         used_per_mille: 800,
         prefill_engines_per_cell: 2,
-        ..Bounds::default()
+        ..DisruptionBudget::default()
     };
-    let release = Release {
+    let release = Rollout {
         plan: plan(),
         bounds,
         by: Name::from("a"),
@@ -125,9 +132,9 @@
         left: BTreeMap::from([(Name::from("h3"), "did not come back".to_owned())]),
         turned: 7,
     };
-    Care {
+    DisruptionState {
         given: 12,
-        turns: BTreeMap::from([(TurnNo(12), turn)]),
+        turns: BTreeMap::from([(PermitId(12), turn)]),
         release: Some(Box::new(release)),
         halted: Some("why".to_owned()),
         resumed: 2,
@@ -137,25 +144,25 @@
     }
 }
 
-fn kept() -> Kept {
-    Kept {
+fn kept() -> AcceptorState {
+    AcceptorState {
         name: Name::from("a"),
-        life: Life(1),
+        life: VoterId(1),
         founding: Some(voters()),
         promised: Some(ballot(13)),
         taken: Some((ballot(12), agreed())),
         writes: 44,
-        heard: Writes::from([((Name::from("b"), Life(2)), 40)]),
+        heard: WriteCounts::from([((Name::from("b"), VoterId(2)), 40)]),
     }
 }
 
-fn release(order: ReleaseOrder) -> Question {
-    Question::Order(Order::Release(order))
+fn release(order: RolloutRequest) -> Question {
+    Question::Operator(OperatorRequest::Rollout(order))
 }
 
 #[test]
 fn what_is_said_is_what_is_heard() {
-    let beat = Beat {
+    let beat = Heartbeat {
         who: holder(),
         zone: "z".to_owned(),
         label: "v1".to_owned(),
@@ -164,7 +171,7 @@
         stopping: false,
         load: 0.25,
         holds: 1,
-        tally: Tally {
+        tally: OutcomeCounts {
             succeeded: 4,
             rejected: 3,
             failed: 2,
@@ -174,36 +181,36 @@
             EngineReport {
                 engine: Name::from("h1"),
                 used: Some((0.5, 20.0)),
-                tally: Tally::default(),
+                tally: OutcomeCounts::default(),
             },
             EngineReport {
                 engine: Name::from("h2"),
                 used: None,
-                tally: Tally::default(),
+                tally: OutcomeCounts::default(),
             },
         ],
     };
-    let act = Act {
-        duty: Duty::from("roll-call"),
+    let act = FencedCommand {
+        duty: LeaseName::from("roll-call"),
         term: Term(3),
         holder: holder(),
         number: 8,
-        ticket: Some(Ticket {
-            run: Run(1),
+        ticket: Some(ReceiverTimestamp {
+            run: Incarnation(1),
             at: 12.5,
         }),
         good_for: 300.25,
         body: b"in 3".to_vec(),
     };
     let heard = kept().heard;
-    let (life, duty, name) = (Life(1), Duty::from("x"), Name::from("n"));
+    let (life, duty, name) = (VoterId(1), LeaseName::from("x"), Name::from("n"));
     let questions = [
-        Question::Vote(Ask::Prepare {
+        Question::Vote(AcceptorRequest::Prepare {
             life,
             ballot: ballot(1),
             heard: heard.clone(),
         }),
-        Question::Vote(Ask::Take {
+        Question::Vote(AcceptorRequest::Accept {
             life,
             ballot: ballot(1),
             value: agreed(),
@@ -214,55 +221,57 @@
             of: name.clone(),
             life,
         },
-        Question::Beat(beat),
+        Question::Heartbeat(beat),
         Question::Nudge { duty: duty.clone() },
-        Question::Act(act),
-        Question::Order(Order::Status),
-        Question::Order(Order::HandOver {
+        Question::FencedCommand(act),
+        Question::Operator(OperatorRequest::Status),
+        Question::Operator(OperatorRequest::HandOver {
             duty: duty.clone(),
             to: None,
         }),
-        Question::Order(Order::HandOver {
+        Question::Operator(OperatorRequest::HandOver {
             duty: duty.clone(),
             to: Some(name.clone()),
         }),
-        Question::Order(Order::AddVoter {
+        Question::Operator(OperatorRequest::AddVoter {
             name: name.clone(),
             address: None,
         }),
-        Question::Order(Order::RemoveVoter { name }),
-        Question::Order(Order::Hold {
+        Question::Operator(OperatorRequest::RemoveVoter { name }),
+        Question::Operator(OperatorRequest::HoldLease {
             duty: duty.clone(),
             job: 4,
         }),
-        Question::Order(Order::LetGo {
+        Question::Operator(OperatorRequest::LetGo {
             duty: duty.clone(),
             job: 4,
         }),
         Question::AskBack {
-            turn: TurnNo(3),
-            of: Of::Engines,
+            turn: PermitId(3),
+            of: UnitKind::Engines,
             who: Name::from("h1"),
-            run: Run(2),
+            run: Incarnation(2),
         },
-        release(ReleaseOrder::Start {
+        release(RolloutRequest::Start {
             plan: Box::new(plan()),
             skip: true,
             dry: false,
         }),
-        release(ReleaseOrder::Halt {
+        release(RolloutRequest::Halt {
             why: "a reason".to_owned(),
         }),
-        release(ReleaseOrder::Resume),
-        release(ReleaseOrder::Back),
-        release(ReleaseOrder::End),
-        release(ReleaseOrder::Recount { of: Of::Engines }),
-        release(ReleaseOrder::Turn {
+        release(RolloutRequest::Resume),
+        release(RolloutRequest::RollBack),
+        release(RolloutRequest::End),
+        release(RolloutRequest::Recount {
+            of: UnitKind::Engines,
+        }),
+        release(RolloutRequest::Permit {
             name: Name::from("n"),
             label: String::new(),
             refused: true,
         }),
-        Question::Order(Order::ByHand {
+        Question::Operator(OperatorRequest::ByHand {
             who: Name::from("n"),
             address: None,
             why: "why".to_owned(),
@@ -271,38 +280,43 @@
     for question in questions {
         assert_eq!(question_in(question_out(&question)), Some(question));
     }
-    let ticket = Ticket {
-        run: Run(2),
+    let ticket = ReceiverTimestamp {
+        run: Incarnation(2),
         at: 3.0,
     };
-    let status = CareStatus {
+    let status = RolloutStatus {
         name: "v2".to_owned(),
         state: "running".to_owned(),
-        turns: vec![(TurnNo(1), Name::from("n"), "z".to_owned(), "out".to_owned())],
+        turns: vec![(
+            PermitId(1),
+            Name::from("n"),
+            "z".to_owned(),
+            "out".to_owned(),
+        )],
         room: vec![(String::new(), 1, u32::MAX)],
         left: vec![(Name::from("n"), "why".to_owned())],
         notes: vec!["note".to_owned()],
-        ..CareStatus::default()
+        ..RolloutStatus::default()
     };
     let answers = [
-        Answer::Vote(Said::Promise {
+        Answer::Vote(AcceptorReply::Promise {
             ballot: ballot(2),
             taken: Some((ballot(1), agreed())),
             writes: 3,
         }),
-        Answer::Vote(Said::Promise {
+        Answer::Vote(AcceptorReply::Promise {
             ballot: ballot(2),
             taken: None,
             writes: 3,
         }),
-        Answer::Vote(Said::Took {
+        Answer::Vote(AcceptorReply::Accepted {
             ballot: ballot(2),
             writes: 4,
         }),
-        Answer::Vote(Said::Outbid {
+        Answer::Vote(AcceptorReply::Conflict {
             promised: ballot(9),
         }),
-        Answer::Vote(Said::NoVote),
+        Answer::Vote(AcceptorReply::NotVoting),
         Answer::Seen(Seen {
             life: Some(life),
             votes: true,
@@ -310,19 +324,19 @@
             newest: None,
         }),
         Answer::Witnessed { writes: 6 },
-        Answer::Heard(BeatHeard {
+        Answer::Heard(HeartbeatReply {
             heard: true,
             holder: Some((Term(3), holder())),
             every: 200.0,
             places: vec![(duty, 2)],
         }),
         Answer::Done,
-        Answer::Verdict {
-            verdict: Verdict::Late,
+        Answer::FencingDecision {
+            verdict: FencingDecision::LeaseExpired,
             ticket,
         },
         Answer::Reply(Reply::Done("done".to_owned())),
-        Answer::Reply(Reply::No("no".to_owned())),
+        Answer::Reply(Reply::Refused("no".to_owned())),
         Answer::Reply(Reply::Elsewhere(Address::from("127.0.0.1:2"))),
         Answer::Reply(Reply::Holds {
             term: None,
@@ -333,7 +347,7 @@
             care: status,
             ..Status::default()
         }))),
-        Answer::Reply(Reply::Waits("waits".to_owned())),
+        Answer::Reply(Reply::Pending("waits".to_owned())),
         Answer::Begun { begun: true },
     ];
     for answer in answers {
@@ -373,11 +387,11 @@
     ] {
         assert_eq!(question_in(prepare(ballot.clone())), None, "{ballot:?}");
     }
-    let mut many = question_out(&Question::Vote(Ask::Take {
-        life: Life(1),
+    let mut many = question_out(&Question::Vote(AcceptorRequest::Accept {
+        life: VoterId(1),
         ballot: ballot(1),
         value: agreed(),
-        heard: Writes::new(),
+        heard: WriteCounts::new(),
     }));
     if let Some(v1::fleet_call::Question::Take(take)) = &mut many.question {
         let value = take.value.as_mut().expect("it is there");
--- a/src/fleet/acts.rs
+++ b/src/fleet/acts.rs
@@ -6,59 +6,59 @@
 //! after it was given, so the receiver's count ends before the lease does, however long the act was under way or its
 //! sender slept. A receiver that has just started knows no ticket of an earlier process: it asks before it obeys.
 
-use super::agreed::Holder;
-use super::planted::{is, Plant};
-use super::{Duty, Run, Term};
+use super::agreed::LeaseHolder;
+use super::planted::{is, InjectedFault};
+use super::{Incarnation, LeaseName, Term};
 use crate::interface::Ms;
 use std::collections::BTreeMap;
 
 /// A receiver's word for a moment of its own.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ticket {
+pub struct ReceiverTimestamp {
     /// The process that gave it.
-    pub run: Run,
+    pub run: Incarnation,
     /// Its clock when it did.
     pub at: Ms,
 }
 
 /// One act.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Act {
-    pub duty: Duty,
+pub struct FencedCommand {
+    pub duty: LeaseName,
     pub term: Term,
-    pub holder: Holder,
+    pub holder: LeaseHolder,
     /// Counts the sender's acts.
     pub number: u64,
-    pub ticket: Option<Ticket>,
+    pub ticket: Option<ReceiverTimestamp>,
     /// For how long after the ticket was given the sender's lease goes on.
     pub good_for: Ms,
     pub body: Vec<u8>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Verdict {
-    Obeyed,
+pub enum FencingDecision {
+    Executed,
     /// A newer term was obeyed here.
-    OldTerm,
+    StaleTerm,
     /// It came before, or after one that was sent later.
-    Again,
+    Duplicate,
     /// It has no ticket of this process: send it again with the one that comes with this answer.
-    Unknown,
+    TimestampMissing,
     /// Its sender's lease is over, or may be.
-    Late,
+    LeaseExpired,
 }
 
 /// Whoever acts are done to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Receiver {
-    run: Run,
-    last: BTreeMap<Duty, (Term, u64)>,
+    run: Incarnation,
+    last: BTreeMap<LeaseName, (Term, u64)>,
     drift: f64,
 }
 
 impl Receiver {
     /// `drift`: the part by which this clock and a sender's may run apart.
-    pub fn new(run: Run, drift: f64) -> Self {
+    pub fn new(run: Incarnation, drift: f64) -> Self {
         Receiver {
             run,
             last: BTreeMap::new(),
@@ -66,59 +66,61 @@
         }
     }
 
-    pub fn ticket(&self, now: Ms) -> Ticket {
-        Ticket {
+    pub fn ticket(&self, now: Ms) -> ReceiverTimestamp {
+        ReceiverTimestamp {
             run: self.run,
             at: now,
         }
     }
 
     /// Whether an act is to be obeyed, now.
-    pub fn receive(&mut self, now: Ms, act: &Act) -> Verdict {
+    pub fn receive(&mut self, now: Ms, act: &FencedCommand) -> FencingDecision {
         let last = self.last.get(&act.duty).copied().unwrap_or_default();
-        let forgot = is(Plant::ReceiverForgot) && last == Default::default();
-        if act.term < last.0 && !is(Plant::OldTermObeyed) {
-            return Verdict::OldTerm;
+        let forgot = is(InjectedFault::ReceiverForgot) && last == Default::default();
+        if act.term < last.0 && !is(InjectedFault::OldTermObeyed) {
+            return FencingDecision::StaleTerm;
         }
-        if (act.term, act.number) <= last && !is(Plant::OldTermObeyed) {
-            return Verdict::Again;
+        if (act.term, act.number) <= last && !is(InjectedFault::OldTermObeyed) {
+            return FencingDecision::Duplicate;
         }
         match act.ticket.filter(|t| t.run == self.run && t.at <= now) {
-            None if !forgot && !is(Plant::OldTermObeyed) => return Verdict::Unknown,
+            None if !forgot && !is(InjectedFault::OldTermObeyed) => {
+                return FencingDecision::TimestampMissing
+            }
             Some(ticket)
                 if now >= ticket.at + act.good_for * (1.0 - self.drift)
-                    && !is(Plant::OldTermObeyed) =>
+                    && !is(InjectedFault::OldTermObeyed) =>
             {
-                return Verdict::Late;
+                return FencingDecision::LeaseExpired;
             }
             _ => {}
         }
         self.last.insert(act.duty.clone(), (act.term, act.number));
-        Verdict::Obeyed
+        FencingDecision::Executed
     }
 
     /// The clock went back: tickets that were given are worth nothing any more.
     pub fn clock_went_back(&mut self) {
-        if !is(Plant::ClockBackUnnoticed) {
-            self.run = Run(self.run.0.wrapping_add(1));
+        if !is(InjectedFault::ClockBackUnnoticed) {
+            self.run = Incarnation(self.run.0.wrapping_add(1));
         }
     }
 }
 
 /// What a holder knows of a receiver.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Known {
-    ticket: Option<(Ticket, Ms)>,
+pub struct ReceiverClock {
+    ticket: Option<(ReceiverTimestamp, Ms)>,
 }
 
-impl Known {
+impl ReceiverClock {
     /// An answer came with a ticket.
-    pub fn answered(&mut self, now: Ms, ticket: Ticket) {
+    pub fn answered(&mut self, now: Ms, ticket: ReceiverTimestamp) {
         self.ticket = Some((ticket, now));
     }
 
     /// The ticket to send, and for how long it is good if the sender's lease ends at `until`.
-    pub fn good_for(&self, until: Ms) -> (Option<Ticket>, Ms) {
+    pub fn good_for(&self, until: Ms) -> (Option<ReceiverTimestamp>, Ms) {
         match self.ticket {
             Some((ticket, came)) => (Some(ticket), (until - came).max(0.0)),
             None => (None, 0.0),
--- a/src/fleet/agreed.rs
+++ b/src/fleet/agreed.rs
@@ -1,20 +1,20 @@
 //! The agreed value, and each change that can be made to it. A change is worked out on the value that a majority
 //! gave, so it sees all that came before it.
 
-use super::planted::{is, Plant};
-use super::release::{Care, No, Step, Word};
-use super::{Address, Duty, Name, Run, Term};
+use super::planted::{is, InjectedFault};
+use super::release::{DisruptionState, OperatorCommand, RolloutError, RolloutStep};
+use super::{Address, Incarnation, LeaseName, Name, Term};
 use std::collections::BTreeMap;
 
 /// What tells a voter from an earlier one of its name: drawn when its file is made. One that lost its file comes
 /// back as another, which nobody counts until it is let in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life(pub u64);
+pub struct VoterId(pub u64);
 
 /// A voter, as the voters' list has it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Seat {
-    pub life: Life,
+pub struct VoterRecord {
+    pub life: VoterId,
     pub address: Address,
 }
 
@@ -22,21 +22,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voters {
     pub generation: u64,
-    pub set: BTreeMap<Name, Seat>,
-    pub before: Option<BTreeMap<Name, Seat>>,
+    pub set: BTreeMap<Name, VoterRecord>,
+    pub before: Option<BTreeMap<Name, VoterRecord>>,
 }
 
 impl Voters {
     /// Whether those of whom `has` holds are a majority, of those before a change as well.
-    pub fn majority(&self, has: impl Fn(&Name, &Seat) -> bool) -> bool {
-        let most = |set: &BTreeMap<Name, Seat>| {
+    pub fn majority(&self, has: impl Fn(&Name, &VoterRecord) -> bool) -> bool {
+        let most = |set: &BTreeMap<Name, VoterRecord>| {
             2 * set.iter().filter(|(name, seat)| has(name, seat)).count() > set.len()
         };
         most(&self.set) && self.before.as_ref().is_none_or(most)
     }
 
     /// All that are to be asked, once each.
-    pub fn all(&self) -> BTreeMap<Name, Seat> {
+    pub fn all(&self) -> BTreeMap<Name, VoterRecord> {
         let mut all = self.before.clone().unwrap_or_default();
         all.extend(self.set.clone());
         all
@@ -45,46 +45,46 @@
 
 /// Who holds a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holder {
+pub struct LeaseHolder {
     pub name: Name,
-    pub run: Run,
+    pub run: Incarnation,
     pub address: Address,
 }
 
 /// A duty's row. It stays when nobody holds the duty, as its term must not be given again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct LeaseRecord {
     pub term: Term,
-    pub holder: Option<Holder>,
+    pub holder: Option<LeaseHolder>,
     /// Counts how often the lease was renewed in this term.
     pub renewed: u64,
     /// The holder's lease in whole milliseconds: whoever waits for its end waits no less.
     pub lease_ms: u64,
     /// The try that changed it last. A renewal that was not agreed on and is tried again is another one, or a
     /// contender that saw the first would take its lease for the second's.
-    pub stamp: Stamp,
+    pub stamp: ProposalId,
     /// Who is to hold it next, after a holder that gave it up in order.
     pub next: Option<Name>,
 }
 
 /// A try, told from all others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Stamp {
+pub struct ProposalId {
     pub round: u64,
-    pub run: Run,
+    pub run: Incarnation,
 }
 
 /// A duty's row as a contender saw it: no two leases have the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Mark {
+pub struct LeaseVersion {
     pub term: Term,
     pub renewed: u64,
-    pub stamp: Stamp,
+    pub stamp: ProposalId,
 }
 
-impl Held {
-    pub fn mark(&self) -> Mark {
-        Mark {
+impl LeaseRecord {
+    pub fn mark(&self) -> LeaseVersion {
+        LeaseVersion {
             term: self.term,
             renewed: self.renewed,
             stamp: self.stamp,
@@ -94,64 +94,64 @@
 
 /// The agreed value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Agreed {
+pub struct ReplicatedState {
     /// Counts changes.
     pub version: u64,
     pub voters: Voters,
-    pub duties: BTreeMap<Duty, Held>,
+    pub duties: BTreeMap<LeaseName, LeaseRecord>,
     /// Who may be out.
-    pub care: Box<Care>,
+    pub care: Box<DisruptionState>,
 }
 
 /// A change that somebody asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Change {
+pub enum Command {
     /// Holds a duty that is as it was last seen, and of which the holder's lease is over.
-    Take {
-        duty: Duty,
-        who: Holder,
+    Acquire {
+        duty: LeaseName,
+        who: LeaseHolder,
         lease_ms: u64,
-        seen: Mark,
+        seen: LeaseVersion,
     },
     /// Counts the leases of duties on; those that are no longer the asker's are passed over.
     Renew {
-        who: Holder,
-        duties: Vec<(Duty, Term)>,
+        who: LeaseHolder,
+        duties: Vec<(LeaseName, Term)>,
     },
     /// Gives a duty up, for `next` if it is named.
-    GiveUp {
-        duty: Duty,
+    Resign {
+        duty: LeaseName,
         term: Term,
-        who: Holder,
+        who: LeaseHolder,
         next: Option<Name>,
     },
     AddVoter {
         name: Name,
-        seat: Seat,
+        seat: VoterRecord,
     },
     RemoveVoter {
         name: Name,
     },
     /// Ends a change of voters that is known to be agreed on.
-    Settle,
+    FinishVoterChange,
     /// A step of whoever holds a duty, in its term and no other.
-    Step {
-        duty: Duty,
+    RolloutStep {
+        duty: LeaseName,
         term: Term,
-        who: Holder,
-        step: Step,
+        who: LeaseHolder,
+        step: RolloutStep,
     },
     /// An operator's word on who may be out.
-    Word(Word),
+    OperatorCommand(OperatorCommand),
 }
 
 /// Why a change is not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Refusal {
+pub enum CommandError {
     /// The duty is not as it was seen, or not the asker's.
-    Moved,
+    Outdated,
     /// A change of voters is under way.
-    Changing,
+    VoterChangeInProgress,
     /// Such a voter is there already, or is none.
     AlreadySo,
     /// Fewer than three voters would be left.
@@ -166,14 +166,14 @@
     Busy,
 }
 
-impl From<No> for Refusal {
-    fn from(no: No) -> Self {
+impl From<RolloutError> for CommandError {
+    fn from(no: RolloutError) -> Self {
         match no {
-            No::Stopped => Refusal::Stopped,
-            No::Busy => Refusal::Busy,
-            No::AlreadySo => Refusal::AlreadySo,
-            No::Nothing => Refusal::Nothing,
-            No::Full => Refusal::TooMany,
+            RolloutError::Stopped => CommandError::Stopped,
+            RolloutError::Busy => CommandError::Busy,
+            RolloutError::AlreadySo => CommandError::AlreadySo,
+            RolloutError::Nothing => CommandError::Nothing,
+            RolloutError::NoRoom => CommandError::TooMany,
         }
     }
 }
@@ -184,12 +184,17 @@
 /// Duties of one fleet: the value stays a few kilobytes.
 pub const MOST_DUTIES: usize = 128;
 
-impl Agreed {
+impl ReplicatedState {
     /// The value after a change. `knows`: a value with the voters as they are now here is known to be agreed on.
     ///
     /// # Errors
     /// Why the change is not made.
-    pub fn after(&self, change: &Change, stamp: Stamp, knows: bool) -> Result<Agreed, Refusal> {
+    pub fn after(
+        &self,
+        change: &Command,
+        stamp: ProposalId,
+        knows: bool,
+    ) -> Result<ReplicatedState, CommandError> {
         let mut new = self.clone();
         new.version += 1;
         // Only what is known to be agreed on may end the time in which the voters of before count as well.
@@ -197,22 +202,27 @@
             new.voters.before = None;
         }
         match change {
-            Change::Take {
+            Command::Acquire {
                 duty,
                 who,
                 lease_ms,
                 seen,
             } => {
-                let now = self.duties.get(duty).map(Held::mark).unwrap_or_default();
+                let now = self
+                    .duties
+                    .get(duty)
+                    .map(LeaseRecord::mark)
+                    .unwrap_or_default();
                 if now != *seen {
-                    return Err(Refusal::Moved);
+                    return Err(CommandError::Outdated);
                 }
                 if !new.duties.contains_key(duty) && new.duties.len() >= MOST_DUTIES {
-                    return Err(Refusal::TooMany);
+                    return Err(CommandError::TooMany);
                 }
-                let term = Term(now.term.0 + u64::from(!is(Plant::TermKept) || now.term.0 == 0));
+                let term =
+                    Term(now.term.0 + u64::from(!is(InjectedFault::TermKept) || now.term.0 == 0));
                 let holder = Some(who.clone());
-                let held = Held {
+                let held = LeaseRecord {
                     term,
                     holder,
                     renewed: 0,
@@ -222,46 +232,48 @@
                 };
                 new.duties.insert(duty.clone(), held);
             }
-            Change::Renew { who, duties } => {
+            Command::Renew { who, duties } => {
                 let mut any = false;
                 for (duty, term) in duties {
                     let held = new.duties.get_mut(duty);
-                    let theirs = |h: &&mut Held| h.term == *term && h.holder.as_ref() == Some(who);
+                    let theirs =
+                        |h: &&mut LeaseRecord| h.term == *term && h.holder.as_ref() == Some(who);
                     if let Some(held) = held.filter(theirs) {
                         (held.renewed, held.stamp) = (held.renewed + 1, stamp);
                         any = true;
                     }
                 }
                 if !any {
-                    return Err(Refusal::Moved);
+                    return Err(CommandError::Outdated);
                 }
             }
-            Change::GiveUp {
+            Command::Resign {
                 duty,
                 term,
                 who,
                 next,
             } => {
                 let held = new.duties.get_mut(duty);
-                let theirs = |h: &&mut Held| h.term == *term && h.holder.as_ref() == Some(who);
-                let held = held.filter(theirs).ok_or(Refusal::Moved)?;
+                let theirs =
+                    |h: &&mut LeaseRecord| h.term == *term && h.holder.as_ref() == Some(who);
+                let held = held.filter(theirs).ok_or(CommandError::Outdated)?;
                 (held.holder, held.next, held.stamp) = (None, next.clone(), stamp);
             }
-            Change::AddVoter { name, seat } => {
+            Command::AddVoter { name, seat } => {
                 new.change_voters(|set| match set.insert(name.clone(), seat.clone()) {
-                    Some(_) => Err(Refusal::AlreadySo),
-                    None if set.len() > MOST_VOTERS => Err(Refusal::TooMany),
+                    Some(_) => Err(CommandError::AlreadySo),
+                    None if set.len() > MOST_VOTERS => Err(CommandError::TooMany),
                     None => Ok(()),
                 })?;
             }
-            Change::RemoveVoter { name } => {
+            Command::RemoveVoter { name } => {
                 new.change_voters(|set| match set.remove(name) {
-                    None => Err(Refusal::AlreadySo),
-                    Some(_) if set.len() < LEAST_VOTERS => Err(Refusal::TooFew),
+                    None => Err(CommandError::AlreadySo),
+                    Some(_) if set.len() < LEAST_VOTERS => Err(CommandError::TooFew),
                     Some(_) => Ok(()),
                 })?;
             }
-            Change::Step {
+            Command::RolloutStep {
                 duty,
                 term,
                 who,
@@ -271,24 +283,26 @@
                 let theirs =
                     held.is_some_and(|h| h.term == *term && h.holder.as_ref() == Some(who));
                 if !theirs {
-                    return Err(Refusal::Moved);
+                    return Err(CommandError::Outdated);
                 }
                 new.care.step(step)?;
             }
-            Change::Word(word) => new.care.word(word)?,
-            Change::Settle if self.voters.before.is_none() => return Err(Refusal::Nothing),
-            Change::Settle => {}
+            Command::OperatorCommand(word) => new.care.word(word)?,
+            Command::FinishVoterChange if self.voters.before.is_none() => {
+                return Err(CommandError::Nothing)
+            }
+            Command::FinishVoterChange => {}
         }
         Ok(new)
     }
 
     fn change_voters(
         &mut self,
-        change: impl FnOnce(&mut BTreeMap<Name, Seat>) -> Result<(), Refusal>,
-    ) -> Result<(), Refusal> {
-        let unsafe_way = is(Plant::TwoChanges);
+        change: impl FnOnce(&mut BTreeMap<Name, VoterRecord>) -> Result<(), CommandError>,
+    ) -> Result<(), CommandError> {
+        let unsafe_way = is(InjectedFault::TwoChanges);
         if self.voters.before.is_some() && !unsafe_way {
-            return Err(Refusal::Changing);
+            return Err(CommandError::VoterChangeInProgress);
         }
         let before = self.voters.set.clone();
         change(&mut self.voters.set)?;
