--- a/src/fleet/bounds.rs
+++ b/src/fleet/bounds.rs
@@ -2,22 +2,22 @@
 //! sees them, counted against bounds over the fleet, a zone, a cell and a kind. Whoever is not seen to be in is out,
 //! planned or not: failures use up the same room.
 
-use super::{Address, Name, Run};
+use super::{Address, Incarnation, Name};
 use crate::interface::{Ms, Role};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// What is taken out of service and brought back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Of {
+pub enum UnitKind {
     #[default]
     Dispatchers,
     Engines,
 }
 
-impl fmt::Display for Of {
+impl fmt::Display for UnitKind {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(if *self == Of::Engines {
+        to.write_str(if *self == UnitKind::Engines {
             "model hosts"
         } else {
             "dispatchers"
@@ -27,14 +27,14 @@
 
 /// The most out at once of so many: a number, and a part in thousandths; the smaller counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Most {
+pub struct MaxUnavailable {
     pub number: u32,
     pub per_mille: u32,
 }
 
-impl Most {
+impl MaxUnavailable {
     /// As many as like.
-    pub const ALL: Most = Most {
+    pub const ALL: MaxUnavailable = MaxUnavailable {
         number: u32::MAX,
         per_mille: 1000,
     };
@@ -47,11 +47,11 @@
 
 /// Bounds for one sort of unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Bounds {
-    pub fleet: Most,
-    pub zone: Most,
-    pub cell: Most,
-    pub kind: Most,
+pub struct DisruptionBudget {
+    pub fleet: MaxUnavailable,
+    pub zone: MaxUnavailable,
+    pub cell: MaxUnavailable,
+    pub kind: MaxUnavailable,
     /// Ready engines that stay, at least.
     pub prefill_engines_per_zone: u32,
     pub decode_engines_per_zone: u32,
@@ -63,17 +63,17 @@
     pub report_age_ms: u64,
 }
 
-impl Default for Bounds {
+impl Default for DisruptionBudget {
     /// One of each zone at a time.
     fn default() -> Self {
-        Bounds {
-            fleet: Most::ALL,
-            zone: Most {
+        DisruptionBudget {
+            fleet: MaxUnavailable::ALL,
+            zone: MaxUnavailable {
                 number: 1,
                 per_mille: 1000,
             },
-            cell: Most::ALL,
-            kind: Most::ALL,
+            cell: MaxUnavailable::ALL,
+            kind: MaxUnavailable::ALL,
             prefill_engines_per_zone: 0,
             decode_engines_per_zone: 0,
             prefill_engines_per_cell: 0,
@@ -84,7 +84,7 @@
     }
 }
 
-impl Bounds {
+impl DisruptionBudget {
     /// Bounds that can never let anything go, or of which one says what another forbids.
     ///
     /// # Errors
@@ -141,35 +141,35 @@
 pub struct Unit {
     pub name: Name,
     /// Which process of it; an engine's start stands for it.
-    pub run: Run,
+    pub run: Incarnation,
     pub address: Address,
     pub zone: String,
     pub cell: String,
     pub kind: String,
     pub role: Option<Role>,
     pub label: String,
-    pub stand: Stand,
+    pub stand: ServiceStatus,
     /// What is used of it, 0 to 1, and the age of the report.
     pub used: Option<(f64, Ms)>,
-    pub tally: Tally,
+    pub tally: OutcomeCounts,
 }
 
 /// Whether it serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum ServiceStatus {
     /// Heard lately and ready.
-    In,
+    InService,
     /// Heard, and not ready: starting, cold within its slow start window.
-    Coming,
+    Starting,
     /// Heard, and draining or stopping.
-    Going,
+    Draining,
     /// Not heard of, or not listed.
-    Out,
+    OutOfService,
 }
 
 /// Tasks answered, by their ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct OutcomeCounts {
     pub succeeded: u64,
     pub rejected: u64,
     pub failed: u64,
@@ -177,7 +177,7 @@
     pub late: u64,
 }
 
-impl Tally {
+impl OutcomeCounts {
     pub fn cases(&self) -> u64 {
         self.succeeded + self.rejected + self.failed
     }
@@ -186,8 +186,8 @@
         self.rejected + self.failed + self.late
     }
 
-    pub fn since(&self, before: &Tally) -> Tally {
-        Tally {
+    pub fn since(&self, before: &OutcomeCounts) -> OutcomeCounts {
+        OutcomeCounts {
             succeeded: self.succeeded.saturating_sub(before.succeeded),
             rejected: self.rejected.saturating_sub(before.rejected),
             failed: self.failed.saturating_sub(before.failed),
@@ -195,7 +195,7 @@
         }
     }
 
-    pub fn add(&mut self, more: &Tally) {
+    pub fn add(&mut self, more: &OutcomeCounts) {
         self.succeeded += more.succeeded;
         self.rejected += more.rejected;
         self.failed += more.failed;
@@ -205,12 +205,12 @@
 
 /// How many there are in each zone, as the fleet agreed: whoever is missing is out, also for a holder that never
 /// heard of it.
-pub type Sizes = BTreeMap<String, u32>;
+pub type ZoneSizes = BTreeMap<String, u32>;
 
 /// How many are there in each zone, ready or not.
-pub fn sizes_seen<'a>(units: impl Iterator<Item = &'a Unit>) -> Sizes {
-    let mut sizes = Sizes::new();
-    for unit in units.filter(|u| u.stand != Stand::Out) {
+pub fn sizes_seen<'a>(units: impl Iterator<Item = &'a Unit>) -> ZoneSizes {
+    let mut sizes = ZoneSizes::new();
+    for unit in units.filter(|u| u.stand != ServiceStatus::OutOfService) {
         *sizes.entry(unit.zone.clone()).or_default() += 1;
     }
     sizes
@@ -231,7 +231,7 @@
 
 /// Why one may not go now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Binds {
+pub enum Violation {
     /// So many are out over the fleet, of so many that may be.
     Fleet(u32, u32),
     Zone(String, u32, u32),
@@ -243,23 +243,25 @@
     Used(String, u32),
 }
 
-impl fmt::Display for Binds {
+impl fmt::Display for Violation {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Binds::Fleet(out, most) => write!(to, "{out} of the fleet are out and {most} may be"),
-            Binds::Zone(zone, out, most) => {
+            Violation::Fleet(out, most) => {
+                write!(to, "{out} of the fleet are out and {most} may be")
+            }
+            Violation::Zone(zone, out, most) => {
                 write!(to, "zone {zone}: {out} are out and {most} may be")
             }
-            Binds::Cell(cell, out, most) => {
+            Violation::Cell(cell, out, most) => {
                 write!(to, "cell {cell}: {out} are out and {most} may be")
             }
-            Binds::Kind(kind, out, most) => {
+            Violation::Kind(kind, out, most) => {
                 write!(to, "kind {kind}: {out} are out and {most} may be")
             }
-            Binds::Ready(what, place, least) => {
+            Violation::Ready(what, place, least) => {
                 write!(to, "{place}: {least} ready {what} have to stay")
             }
-            Binds::Used(place, used) => {
+            Violation::Used(place, used) => {
                 write!(
                     to,
                     "{place}: those left would be used to 0.{:03}, or nobody knows",
@@ -312,8 +314,8 @@
     /// `out`: whether one counts as out though it is seen to be in, as its turn is given.
     pub fn new<'a>(
         units: impl Iterator<Item = &'a Unit>,
-        sizes: &Sizes,
-        bounds: &Bounds,
+        sizes: &ZoneSizes,
+        bounds: &DisruptionBudget,
         out: impl Fn(&Unit) -> bool,
     ) -> Counts {
         let mut counts = Counts::default();
@@ -325,10 +327,10 @@
             sizes.get(zone).is_some_and(|size| *size <= there)
         };
         for unit in units {
-            if unit.stand == Stand::Out && whole(&unit.zone) {
+            if unit.stand == ServiceStatus::OutOfService && whole(&unit.zone) {
                 continue;
             }
-            let there = u32::from(unit.stand == Stand::In && !out(unit));
+            let there = u32::from(unit.stand == ServiceStatus::InService && !out(unit));
             let add = |count: &mut Count| {
                 count.size += 1;
                 count.there += there;
@@ -375,27 +377,27 @@
     ///
     /// # Errors
     /// What binds.
-    pub fn may_go(&self, unit: &Unit, bounds: &Bounds) -> Result<(), Binds> {
-        let full = |count: Option<&Count>, most: Most| {
+    pub fn may_go(&self, unit: &Unit, bounds: &DisruptionBudget) -> Result<(), Violation> {
+        let full = |count: Option<&Count>, most: MaxUnavailable| {
             let count = count.copied().unwrap_or_default();
             let most = most.of(count.size);
             (count.out() >= most).then_some((count.out(), most))
         };
         if let Some((out, most)) = full(Some(&self.fleet), bounds.fleet) {
-            return Err(Binds::Fleet(out, most));
+            return Err(Violation::Fleet(out, most));
         }
         if let Some((out, most)) = full(self.zones.get(&unit.zone), bounds.zone) {
-            return Err(Binds::Zone(unit.zone.clone(), out, most));
+            return Err(Violation::Zone(unit.zone.clone(), out, most));
         }
         if unit.role.is_none() {
             return Ok(());
         }
         let cell = cell_of(unit);
         if let Some((out, most)) = full(self.cells.get(&cell), bounds.cell) {
-            return Err(Binds::Cell(cell, out, most));
+            return Err(Violation::Cell(cell, out, most));
         }
         if let Some((out, most)) = full(self.kinds.get(&unit.kind), bounds.kind) {
-            return Err(Binds::Kind(unit.kind.clone(), out, most));
+            return Err(Violation::Kind(unit.kind.clone(), out, most));
         }
         let zone_least = [
             bounds.prefill_engines_per_zone,
@@ -414,14 +416,18 @@
             };
             let (at, name) = (usize::from(role), NAMES[usize::from(role)]);
             if ready(false, &unit.zone) <= zone_least[at] && zone_least[at] > 0 {
-                return Err(Binds::Ready(
+                return Err(Violation::Ready(
                     name,
                     format!("zone {}", unit.zone),
                     zone_least[at],
                 ));
             }
             if ready(true, &cell) <= cell_least[at] && cell_least[at] > 0 {
-                return Err(Binds::Ready(name, format!("cell {cell}"), cell_least[at]));
+                return Err(Violation::Ready(
+                    name,
+                    format!("cell {cell}"),
+                    cell_least[at],
+                ));
             }
             if bounds.used_per_mille >= 1000 {
                 continue;
@@ -447,7 +453,7 @@
                     } else {
                         format!("zone {place}")
                     };
-                    return Err(Binds::Used(
+                    return Err(Violation::Used(
                         format!("{place}, {name}"),
                         (after * 1000.0).min(999.0) as u32,
                     ));
@@ -458,15 +464,15 @@
     }
 
     /// Whether more are out than may be, planned or not: where, how many, and how many may be.
-    pub fn broken(&self, bounds: &Bounds) -> Option<Binds> {
-        let over = |count: &Count, most: Most| {
+    pub fn broken(&self, bounds: &DisruptionBudget) -> Option<Violation> {
+        let over = |count: &Count, most: MaxUnavailable| {
             (count.out() > most.of(count.size)).then(|| most.of(count.size))
         };
         if let Some(most) = over(&self.fleet, bounds.fleet) {
-            return Some(Binds::Fleet(self.fleet.out(), most));
+            return Some(Violation::Fleet(self.fleet.out(), most));
         }
         let zone = |(zone, count): (&String, &Count)| {
-            over(count, bounds.zone).map(|most| Binds::Zone(zone.clone(), count.out(), most))
+            over(count, bounds.zone).map(|most| Violation::Zone(zone.clone(), count.out(), most))
         };
         self.zones.iter().find_map(zone)
     }
@@ -515,7 +521,7 @@
     }
 
     /// How many are out and how many may be: of the fleet (no name), and each zone.
-    pub fn room(&self, bounds: &Bounds) -> Vec<(String, u32, u32)> {
+    pub fn room(&self, bounds: &DisruptionBudget) -> Vec<(String, u32, u32)> {
         let fleet = (
             String::new(),
             self.fleet.out(),
@@ -533,7 +539,7 @@
     pub fn never(
         &self,
         units: &[Unit],
-        bounds: &Bounds,
+        bounds: &DisruptionBudget,
         meant: impl Fn(&Unit) -> bool,
     ) -> Option<String> {
         if bounds.fleet.of(self.fleet.size) == 0 {
--- a/src/fleet/conduct.rs
+++ b/src/fleet/conduct.rs
@@ -2,11 +2,16 @@
 //! at who is there, and names the next step. What it keeps for itself are times of its own, which its successor counts
 //! anew; all that must not be lost is in the agreed value.
 
-use super::bounds::{sizes_seen, Binds, Bounds, Counts, Of, Sizes, Stand, Unit};
-use super::planted::{is, Plant};
-use super::release::{key, Care, Plan, Release, Step, Turn, TurnNo, MOST_LEFT, MOST_TURNS};
-use super::signs::Signs;
-use super::{Address, Name, Run};
+use super::bounds::{
+    sizes_seen, Counts, DisruptionBudget, ServiceStatus, Unit, UnitKind, Violation, ZoneSizes,
+};
+use super::planted::{is, InjectedFault};
+use super::release::{
+    key, DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan, RolloutStep, MOST_LEFT,
+    MOST_TURNS,
+};
+use super::signs::RolloutAnalysis;
+use super::{Address, Incarnation, Name};
 use crate::interface::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,16 +27,16 @@
 
 /// The fleet as the caller of the roll sees it.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct FleetView {
     pub dispatchers: Vec<Unit>,
     pub engines: Vec<Unit>,
     /// The roll has been called for long enough that all who are there were heard.
     pub whole: bool,
 }
 
-impl View {
-    pub fn units(&self, of: Of) -> &[Unit] {
-        if of == Of::Engines {
+impl FleetView {
+    pub fn units(&self, of: UnitKind) -> &[Unit] {
+        if of == UnitKind::Engines {
             &self.engines
         } else {
             &self.dispatchers
@@ -41,7 +46,7 @@
 
 /// One that asked for its turn.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wants {
+pub struct PermitRequest {
     pub name: Name,
     pub label: String,
 }
@@ -51,7 +56,7 @@
 struct Seen {
     first: Ms,
     /// Since when it stands as it is to.
-    since: Option<(Stage, Ms)>,
+    since: Option<(PermitStage, Ms)>,
     /// It said that it has not begun, and will not.
     unbegun: bool,
     /// An operator saw it as it is and had the release go on.
@@ -60,86 +65,87 @@
 
 /// Where a turn is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum PermitStage {
     /// Its member serves as it did.
     Granted,
     /// Its member drains or is gone.
-    Begun,
+    Draining,
     /// Another process of it is there and not ready yet.
     Starting,
     /// It is back and ready, as it is to be; or gone for good, where that was wanted.
-    Back,
+    Returned,
     /// It is back and ready under another label.
-    Wrong,
+    WrongVersion,
 }
 
 /// A holder's own part.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Conduct {
-    seen: BTreeMap<TurnNo, Seen>,
+pub struct RolloutController {
+    seen: BTreeMap<PermitId, Seen>,
     resumed: Option<u64>,
     wave: Option<(u32, bool)>,
     /// Since when the wave has been over.
     over: Option<Ms>,
-    signs: Signs,
+    signs: RolloutAnalysis,
     /// Since when more are out than may be.
     broken: Option<Ms>,
     /// How often one came back under the new label on the way back.
     tried: BTreeMap<Name, u32>,
     /// Turns that are agreed on and are to be told; that are to be taken back if that can be.
-    pub tell: Vec<TurnNo>,
-    pub revoke: Vec<TurnNo>,
+    pub tell: Vec<PermitId>,
+    pub revoke: Vec<PermitId>,
     /// Why nothing goes out now.
     pub why: Option<String>,
     /// Turns that were given before this holder's time, for a planted fault.
-    before: BTreeSet<TurnNo>,
+    before: BTreeSet<PermitId>,
 }
 
 /// Where a turn is, by what is seen of its member.
-pub fn stage(turn: &Turn, unit: Option<&Unit>) -> Stage {
-    let Some(unit) = unit.filter(|u| u.stand != Stand::Out) else {
+pub fn stage(turn: &DisruptionPermit, unit: Option<&Unit>) -> PermitStage {
+    let Some(unit) = unit.filter(|u| u.stand != ServiceStatus::OutOfService) else {
         return if turn.stays {
-            Stage::Back
+            PermitStage::Returned
         } else {
-            Stage::Begun
+            PermitStage::Draining
         };
     };
     let other = unit.run != turn.run;
     // An engine carries no label: its keeper is told what it is to be.
-    let any = turn.label.is_empty() || turn.of == Of::Engines || is(Plant::LabelUnchecked);
+    let any =
+        turn.label.is_empty() || turn.of == UnitKind::Engines || is(InjectedFault::LabelUnchecked);
     let fits = any || turn.label == unit.label;
     match unit.stand {
-        Stand::In if other && !turn.stays && fits => Stage::Back,
-        Stand::In if other && !turn.stays => Stage::Wrong,
-        Stand::Going if !other => Stage::Begun,
-        _ if !other => Stage::Granted,
-        _ => Stage::Starting,
+        ServiceStatus::InService if other && !turn.stays && fits => PermitStage::Returned,
+        ServiceStatus::InService if other && !turn.stays => PermitStage::WrongVersion,
+        ServiceStatus::Draining if !other => PermitStage::Draining,
+        _ if !other => PermitStage::Granted,
+        _ => PermitStage::Starting,
     }
 }
 
-impl Conduct {
+impl RolloutController {
     /// With what was agreed on when it began.
-    pub fn begin(care: &Care) -> Self {
-        let before = if is(Plant::BeginsAnew) {
+    pub fn begin(care: &DisruptionState) -> Self {
+        let before = if is(InjectedFault::BeginsAnew) {
             care.turns.keys().copied().collect()
         } else {
             BTreeSet::new()
         };
-        Conduct {
+        RolloutController {
             before,
-            ..Conduct::default()
+            ..RolloutController::default()
         }
     }
 
     /// A member said of a turn whether it has begun; if not, it will not.
-    pub fn revoked(&mut self, turn: TurnNo, begun: bool) {
+    pub fn revoked(&mut self, turn: PermitId, begun: bool) {
         if let Some(seen) = self.seen.get_mut(&turn).filter(|_| !begun) {
             seen.unbegun = true;
         }
     }
 
     /// Whether nothing may be told of a turn any more, as it is being taken back.
-    pub fn is_unbegun(&self, turn: TurnNo) -> bool {
+    pub fn is_unbegun(&self, turn: PermitId) -> bool {
         self.seen.get(&turn).is_some_and(|seen| seen.unbegun)
     }
 
@@ -147,11 +153,11 @@
     pub fn next(
         &mut self,
         now: Ms,
-        care: &Care,
-        view: &View,
+        care: &DisruptionState,
+        view: &FleetView,
         (me, voters): (&Name, &BTreeSet<Name>),
-        (wants, own): (&[Wants], &Bounds),
-    ) -> Option<Step> {
+        (wants, own): (&[PermitRequest], &DisruptionBudget),
+    ) -> Option<RolloutStep> {
         (self.tell, self.revoke, self.why) = (Vec::new(), Vec::new(), None);
         let resumed = self
             .resumed
@@ -169,12 +175,12 @@
                 };
             }
             self.broken = None;
-            self.signs = Signs::default();
+            self.signs = RolloutAnalysis::default();
         }
         if let Some(step) = self.turns(now, care, view) {
             return Some(step);
         }
-        if let Some(step) = [Of::Dispatchers, Of::Engines]
+        if let Some(step) = [UnitKind::Dispatchers, UnitKind::Engines]
             .into_iter()
             .find_map(|of| grown(care, view, of))
         {
@@ -193,7 +199,7 @@
     }
 
     /// What becomes of the turns that are given.
-    fn turns(&mut self, now: Ms, care: &Care, view: &View) -> Option<Step> {
+    fn turns(&mut self, now: Ms, care: &DisruptionState, view: &FleetView) -> Option<RolloutStep> {
         let release = care.release.as_deref().filter(|r| !r.done);
         let (mut over, mut back) = (Vec::new(), Vec::new());
         let mut counts = release.map(|r| {
@@ -224,15 +230,15 @@
             let late = now - seen.first > within;
             match stage {
                 // One that is gone has to be gone for as long as the roll takes to be whole.
-                Stage::Back if turn.stays && (!view.whole || lasted < settle) => {}
-                Stage::Back if lasted >= settle => over.push(*number),
-                Stage::Back => {}
-                Stage::Granted if seen.unbegun => back.push(*number),
-                Stage::Granted => {
+                PermitStage::Returned if turn.stays && (!view.whole || lasted < settle) => {}
+                PermitStage::Returned if lasted >= settle => over.push(*number),
+                PermitStage::Returned => {}
+                PermitStage::Granted if seen.unbegun => back.push(*number),
+                PermitStage::Granted => {
                     // What failed since it was given, or is used more now, may have taken its room: then it is not
                     // told, or not again.
                     let full = counts.as_mut().is_some_and(|(release, counts)| {
-                        let unbound = release.back && is(Plant::BackUnbound);
+                        let unbound = release.back && is(InjectedFault::BackUnbound);
                         turn.planned && !unbound && !still_fits(counts, unit, &release.bounds)
                     });
                     if care.halted.is_some() || forward || full || now - seen.first > begin {
@@ -243,7 +249,9 @@
                 }
                 // In under another label than wanted, on the way back: its turn is over, and if it is to go it waits for
                 // room like any other.
-                Stage::Wrong if goes_back && care.halted.is_none() && lasted >= settle => {
+                PermitStage::WrongVersion
+                    if goes_back && care.halted.is_none() && lasted >= settle =>
+                {
                     let tried = self.tried.entry(turn.who.clone()).or_default();
                     *tried += u32::from(!forward);
                     if *tried > TOLD_BACK {
@@ -253,58 +261,61 @@
                     back.push(*number);
                 }
                 // There and not ready under the new version: it is told at once, as what it is now. It is out already.
-                Stage::Starting if goes_back && care.halted.is_none() => {
+                PermitStage::Starting if goes_back && care.halted.is_none() => {
                     if let (Some(unit), Some(r), true) = (unit, release, forward) {
-                        let turn = Turn {
+                        let turn = DisruptionPermit {
                             run: unit.run,
                             address: unit.address.clone(),
                             label: r.plan.before.clone(),
                             ..turn.clone()
                         };
-                        return Some(Step::Again(*number, turn));
+                        return Some(RolloutStep::Reissue(*number, turn));
                     }
                     if late {
                         return leave(care, *number, "is not ready again".to_owned());
                     }
                 }
-                Stage::Wrong if seen.forgiven || !turn.planned => back.push(*number),
-                Stage::Wrong if lasted >= settle && care.halted.is_none() => {
+                PermitStage::WrongVersion if seen.forgiven || !turn.planned => back.push(*number),
+                PermitStage::WrongVersion if lasted >= settle && care.halted.is_none() => {
                     let label = unit.map_or("", |u| &u.label);
                     let why = format!(
                         "{} came back under {label} in place of {}",
                         turn.who.0, turn.label
                     );
-                    return Some(Step::Halt(why));
+                    return Some(RolloutStep::Halt(why));
                 }
                 _ if late && care.halted.is_none() && turn.planned => {
                     if goes_back {
                         return leave(care, *number, "did not come back".to_owned());
                     }
-                    let what = if stage == Stage::Starting {
+                    let what = if stage == PermitStage::Starting {
                         "is not ready"
                     } else {
                         "is not back"
                     };
-                    return Some(Step::Halt(format!("{} {what} within its time", turn.who.0)));
+                    return Some(RolloutStep::Halt(format!(
+                        "{} {what} within its time",
+                        turn.who.0
+                    )));
                 }
                 _ => {}
             }
         }
         if !back.is_empty() {
-            return Some(Step::TakeBack(back));
+            return Some(RolloutStep::Revoke(back));
         }
-        (!over.is_empty()).then_some(Step::Over(over))
+        (!over.is_empty()).then_some(RolloutStep::Complete(over))
     }
 
     /// The release's next step.
     fn release(
         &mut self,
         now: Ms,
-        care: &Care,
-        release: &Release,
-        view: &View,
+        care: &DisruptionState,
+        release: &Rollout,
+        view: &FleetView,
         (me, voters): (&Name, &BTreeSet<Name>),
-    ) -> Option<Step> {
+    ) -> Option<RolloutStep> {
         let (plan, bounds) = (&release.plan, &release.bounds);
         let units = view.units(plan.of);
         let mut counts = self.counts(care, units, plan.of, bounds);
@@ -321,7 +332,7 @@
                 &turned,
                 turning,
             ) {
-                return Some(Step::Halt(why));
+                return Some(RolloutStep::Halt(why));
             }
         }
         match counts.broken(bounds).filter(|_| view.whole) {
@@ -329,7 +340,9 @@
                 if now - *self.broken.get_or_insert(now) > plan.watch_ms as f64
                     && !release.back =>
             {
-                return Some(Step::Halt(format!("more are out than may be: {binds}")));
+                return Some(RolloutStep::Halt(format!(
+                    "more are out than may be: {binds}"
+                )));
             }
             Some(_) => {}
             None => self.broken = None,
@@ -346,10 +359,10 @@
             self.why = match view.whole {
                 false => Some("the roll is not whole yet".to_owned()),
                 true if beside => Some("turns beside the release are not over".to_owned()),
-                true if plan.of == Of::Engines => None,
+                true if plan.of == UnitKind::Engines => None,
                 true => counts.missing(units),
             };
-            return self.why.is_none().then_some(Step::Finish);
+            return self.why.is_none().then_some(RolloutStep::Finish);
         }
         if room == 0 && !order.is_empty() {
             if planned > 0 {
@@ -358,7 +371,7 @@
             }
             let since = *self.over.get_or_insert(now);
             if now - since >= plan.watch_ms as f64 {
-                return Some(Step::NextWave);
+                return Some(RolloutStep::NextWave);
             }
             self.why = Some(format!("wave {} is watched", release.wave + 1));
             return None;
@@ -368,7 +381,7 @@
             .min(MOST_TURNS.saturating_sub(care.turns.len()));
         let (turns, binds) = self.pick(&order, most, &mut counts, release, care, view, voters);
         if !turns.is_empty() {
-            return Some(Step::Grant(turns));
+            return Some(RolloutStep::Grant(turns));
         }
         let out = (planned > 0).then(|| format!("{planned} turns are not over"));
         self.why = binds.map(|binds| binds.to_string()).or(waits).or(out);
@@ -382,21 +395,21 @@
         order: &[&Unit],
         most: usize,
         counts: &mut Counts,
-        release: &Release,
-        care: &Care,
-        view: &View,
+        release: &Rollout,
+        care: &DisruptionState,
+        view: &FleetView,
         voters: &BTreeSet<Name>,
-    ) -> (Vec<Turn>, Option<Binds>) {
+    ) -> (Vec<DisruptionPermit>, Option<Violation>) {
         let (plan, bounds) = (&release.plan, &release.bounds);
-        let mut turns: Vec<Turn> = Vec::new();
+        let mut turns: Vec<DisruptionPermit> = Vec::new();
         let mut first = None;
         for unit in order {
             if turns.len() >= most {
                 break;
             }
-            let unbound = release.back && is(Plant::BackUnbound);
+            let unbound = release.back && is(InjectedFault::BackUnbound);
             // One that is out already takes no room more.
-            if unit.stand == Stand::In && !unbound {
+            if unit.stand == ServiceStatus::InService && !unbound {
                 let voter = || voter_binds(unit, care, view, voters, &turns);
                 let may = counts.may_go(unit, bounds).and_then(|()| voter());
                 if let Err(binds) = may {
@@ -405,7 +418,7 @@
                 }
             }
             counts.goes(unit);
-            turns.push(Turn {
+            turns.push(DisruptionPermit {
                 of: plan.of,
                 who: unit.name.clone(),
                 run: unit.run,
@@ -423,26 +436,34 @@
         (turns, first)
     }
 
-    fn counts(&self, care: &Care, units: &[Unit], of: Of, bounds: &Bounds) -> Counts {
-        let forgotten = |number: &TurnNo| self.before.contains(number);
+    fn counts(
+        &self,
+        care: &DisruptionState,
+        units: &[Unit],
+        of: UnitKind,
+        bounds: &DisruptionBudget,
+    ) -> Counts {
+        let forgotten = |number: &PermitId| self.before.contains(number);
         let turning: BTreeSet<&Name> = care
             .turns
             .iter()
-            .filter(|(number, turn)| turn.of == of && !forgotten(number) && !is(Plant::TurnTwice))
+            .filter(|(number, turn)| {
+                turn.of == of && !forgotten(number) && !is(InjectedFault::TurnTwice)
+            })
             .map(|(_, turn)| &turn.who)
             .collect();
-        if is(Plant::FailuresUncounted) {
+        if is(InjectedFault::FailuresUncounted) {
             let sound = |unit: &Unit| Unit {
-                stand: Stand::In,
+                stand: ServiceStatus::InService,
                 ..unit.clone()
             };
             let sound: Vec<Unit> = units.iter().map(sound).collect();
-            return Counts::new(sound.iter(), &Sizes::new(), bounds, |u| {
+            return Counts::new(sound.iter(), &ZoneSizes::new(), bounds, |u| {
                 turning.contains(&u.name)
             });
         }
-        if is(Plant::OldReportTaken) {
-            let bounds = Bounds {
+        if is(InjectedFault::OldReportTaken) {
+            let bounds = DisruptionBudget {
                 report_age_ms: u64::MAX,
                 ..*bounds
             };
@@ -458,8 +479,8 @@
     /// Those that are still to go, in their order, and what is waited for beside them.
     fn order<'a>(
         &self,
-        care: &Care,
-        release: &Release,
+        care: &DisruptionState,
+        release: &Rollout,
         units: &'a [Unit],
         me: &Name,
     ) -> (Vec<&'a Unit>, Option<String>) {
@@ -474,7 +495,7 @@
         all.sort_by_key(|unit| {
             let at = key(&unit.name);
             (
-                unit.name == *me && plan.of == Of::Dispatchers,
+                unit.name == *me && plan.of == UnitKind::Dispatchers,
                 if release.back { u64::MAX - at } else { at },
             )
         });
@@ -489,14 +510,14 @@
             }
             // Back, a dispatcher that is there and not ready may be told at once: it takes no room. An engine that is
             // cold will be ready by itself.
-            let engines = plan.of == Of::Engines;
-            let there =
-                unit.stand == Stand::In || release.back && !engines && unit.stand == Stand::Coming;
+            let engines = plan.of == UnitKind::Engines;
+            let there = unit.stand == ServiceStatus::InService
+                || release.back && !engines && unit.stand == ServiceStatus::Starting;
             match there {
                 true if engines && blocked.contains_key(unit.zone.as_str()) => {}
                 true => order.push(unit),
                 // An engine that is not listed any more comes back as another.
-                false if engines && unit.stand == Stand::Out => {}
+                false if engines && unit.stand == ServiceStatus::OutOfService => {}
                 false => {
                     if engines {
                         // A zone is gone through in order, or this one would be passed over.
@@ -512,28 +533,29 @@
     /// Turns that dispatchers asked for.
     fn asked(
         &mut self,
-        care: &Care,
-        view: &View,
+        care: &DisruptionState,
+        view: &FleetView,
         voters: &BTreeSet<Name>,
-        wants: &[Wants],
-        own: &Bounds,
-    ) -> Option<Step> {
+        wants: &[PermitRequest],
+        own: &DisruptionBudget,
+    ) -> Option<RolloutStep> {
         if wants.is_empty() || !view.whole || care.turns.len() >= MOST_TURNS {
             return None;
         }
         let running = care
             .release
             .as_deref()
-            .filter(|r| !r.done && r.plan.of == Of::Dispatchers);
+            .filter(|r| !r.done && r.plan.of == UnitKind::Dispatchers);
         let bounds = running.map_or(own, |r| &r.bounds);
-        let mut counts = self.counts(care, &view.dispatchers, Of::Dispatchers, bounds);
-        let mut turns: Vec<Turn> = Vec::new();
+        let mut counts = self.counts(care, &view.dispatchers, UnitKind::Dispatchers, bounds);
+        let mut turns: Vec<DisruptionPermit> = Vec::new();
         for want in wants {
             let unit = view
                 .dispatchers
                 .iter()
-                .find(|u| u.name == want.name && u.stand == Stand::In);
-            let Some(unit) = unit.filter(|u| care.turn_of(Of::Dispatchers, &u.name).is_none())
+                .find(|u| u.name == want.name && u.stand == ServiceStatus::InService);
+            let Some(unit) =
+                unit.filter(|u| care.turn_of(UnitKind::Dispatchers, &u.name).is_none())
             else {
                 continue;
             };
@@ -543,8 +565,8 @@
                 continue;
             }
             counts.goes(unit);
-            turns.push(Turn {
-                of: Of::Dispatchers,
+            turns.push(DisruptionPermit {
+                of: UnitKind::Dispatchers,
                 who: unit.name.clone(),
                 run: unit.run,
                 address: unit.address.clone(),
@@ -554,25 +576,25 @@
                 planned: false,
             });
         }
-        (!turns.is_empty()).then_some(Step::Grant(turns))
+        (!turns.is_empty()).then_some(RolloutStep::Grant(turns))
     }
 
     /// Counts for those that look: how many are out and how many may be, by zone.
     pub fn room(
         &self,
-        care: &Care,
-        view: &View,
-        of: Of,
-        bounds: &Bounds,
+        care: &DisruptionState,
+        view: &FleetView,
+        of: UnitKind,
+        bounds: &DisruptionBudget,
     ) -> Vec<(String, u32, u32)> {
         self.counts(care, view.units(of), of, bounds).room(bounds)
     }
 }
 
 /// Whether a unit is one that the release has still to turn, as it stands.
-fn wanted(release: &Release, unit: &Unit) -> bool {
+fn wanted(release: &Rollout, unit: &Unit) -> bool {
     let plan = &release.plan;
-    if plan.of == Of::Dispatchers {
+    if plan.of == UnitKind::Dispatchers {
         return if release.back {
             unit.label == plan.label
         } else {
@@ -588,11 +610,11 @@
 }
 
 /// Those that have turned, by what is seen of them.
-fn turned(release: &Release, units: &[Unit], turning: impl Fn(&Name) -> bool) -> BTreeSet<Name> {
+fn turned(release: &Rollout, units: &[Unit], turning: impl Fn(&Name) -> bool) -> BTreeSet<Name> {
     let plan = &release.plan;
     let has = |u: &&Unit| match plan.of {
-        Of::Dispatchers => u.label == plan.label,
-        Of::Engines => !wanted(release, u) && !turning(&u.name),
+        UnitKind::Dispatchers => u.label == plan.label,
+        UnitKind::Engines => !wanted(release, u) && !turning(&u.name),
     };
     units
         .iter()
@@ -603,19 +625,19 @@
 }
 
 /// The fleet is larger than was agreed.
-fn grown(care: &Care, view: &View, of: Of) -> Option<Step> {
+fn grown(care: &DisruptionState, view: &FleetView, of: UnitKind) -> Option<RolloutStep> {
     let seen = sizes_seen(view.units(of).iter());
     let known = care.sizes(of);
-    let more: Sizes = seen
+    let more: ZoneSizes = seen
         .into_iter()
         .filter(|(zone, n)| *n > known.get(zone).copied().unwrap_or(0))
         .collect();
-    (!more.is_empty()).then_some(Step::Count(of, more))
+    (!more.is_empty()).then_some(RolloutStep::RecordSizes(of, more))
 }
 
 /// Whether one whose turn is given could still be given it.
-fn still_fits(counts: &mut Counts, unit: Option<&Unit>, bounds: &Bounds) -> bool {
-    let Some(unit) = unit.filter(|u| u.stand == Stand::In) else {
+fn still_fits(counts: &mut Counts, unit: Option<&Unit>, bounds: &DisruptionBudget) -> bool {
+    let Some(unit) = unit.filter(|u| u.stand == ServiceStatus::InService) else {
         return true;
     };
     counts.returns(unit);
@@ -627,11 +649,11 @@
 /// Voters go one after another, never two: with one more gone nothing more might be agreed on.
 fn voter_binds(
     unit: &Unit,
-    care: &Care,
-    view: &View,
+    care: &DisruptionState,
+    view: &FleetView,
     voters: &BTreeSet<Name>,
-    turns: &[Turn],
-) -> Result<(), Binds> {
+    turns: &[DisruptionPermit],
+) -> Result<(), Violation> {
     if unit.role.is_some() || !voters.contains(&unit.name) {
         return Ok(());
     }
@@ -639,15 +661,15 @@
         let seen = view
             .dispatchers
             .iter()
-            .any(|u| u.name == **name && u.stand == Stand::In);
-        let turn = care.turn_of(Of::Dispatchers, name).is_some();
+            .any(|u| u.name == **name && u.stand == ServiceStatus::InService);
+        let turn = care.turn_of(UnitKind::Dispatchers, name).is_some();
         let going = turns.iter().any(|t| t.who == **name);
         seen && !turn && !going
     };
     let out = voters.iter().filter(|name| !there(name)).count() as u32;
     match out {
         0 => Ok(()),
-        out => Err(Binds::Ready(
+        out => Err(Violation::Ready(
             "voters",
             format!("{out} of the voters are out"),
             voters.len() as u32,
@@ -655,33 +677,33 @@
     }
 }
 
-fn leave(care: &Care, number: TurnNo, why: String) -> Option<Step> {
+fn leave(care: &DisruptionState, number: PermitId, why: String) -> Option<RolloutStep> {
     let full = care
         .release
         .as_deref()
         .is_none_or(|r| r.left.len() >= MOST_LEFT);
     match full {
-        true => Some(Step::Halt(
+        true => Some(RolloutStep::Halt(
             "more than can be named did not come back".to_owned(),
         )),
-        false => Some(Step::Leave(number, why)),
+        false => Some(RolloutStep::Abandon(number, why)),
     }
 }
 
 /// What a member is told of its turn, as an act's body, and the list's keeper of an engine's.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
-    pub number: TurnNo,
-    pub of: Of,
+pub struct PermitNotice {
+    pub number: PermitId,
+    pub of: UnitKind,
     pub who: Name,
-    pub run: Run,
+    pub run: Incarnation,
     pub label: String,
     pub stays: bool,
 }
 
-impl Told {
-    pub fn new(number: TurnNo, turn: &Turn) -> Self {
-        let Turn {
+impl PermitNotice {
+    pub fn new(number: PermitId, turn: &DisruptionPermit) -> Self {
+        let DisruptionPermit {
             of,
             who,
             run,
@@ -689,7 +711,7 @@
             stays,
             ..
         } = turn.clone();
-        Told {
+        PermitNotice {
             number,
             of,
             who,
@@ -701,7 +723,7 @@
 
     /// One word a line; a label is the last, as it may be empty.
     pub fn write(&self) -> Vec<u8> {
-        let of = if self.of == Of::Engines {
+        let of = if self.of == UnitKind::Engines {
             "host"
         } else {
             "dispatcher"
@@ -716,15 +738,15 @@
     }
 
     /// None if it is not one.
-    pub fn read(bytes: &[u8]) -> Option<Told> {
+    pub fn read(bytes: &[u8]) -> Option<PermitNotice> {
         let text = std::str::from_utf8(bytes).ok()?;
         let words: Vec<&str> = text.split('\n').collect();
         let ["turn", number, of, who, run, stays, label] = words[..] else {
             return None;
         };
         let of = match of {
-            "host" => Of::Engines,
-            "dispatcher" => Of::Dispatchers,
+            "host" => UnitKind::Engines,
+            "dispatcher" => UnitKind::Dispatchers,
             _ => return None,
         };
         let stays = match stays {
@@ -733,11 +755,11 @@
             _ => return None,
         };
         (!who.is_empty()).then_some(())?;
-        Some(Told {
-            number: TurnNo(number.parse().ok()?),
+        Some(PermitNotice {
+            number: PermitId(number.parse().ok()?),
             of,
             who: Name::from(who),
-            run: Run(run.parse().ok()?),
+            run: Incarnation(run.parse().ok()?),
             label: label.to_owned(),
             stays,
         })
@@ -745,12 +767,17 @@
 }
 
 /// What would go when, if all went as planned: for `--dry-run`.
-pub fn waves(plan: &Plan, bounds: &Bounds, units: &[Unit], sizes: &Sizes) -> Vec<Vec<Name>> {
+pub fn waves(
+    plan: &RolloutPlan,
+    bounds: &DisruptionBudget,
+    units: &[Unit],
+    sizes: &ZoneSizes,
+) -> Vec<Vec<Name>> {
     let mut left: Vec<&Unit> = units
         .iter()
-        .filter(|u| plan.takes(u) && u.stand == Stand::In)
+        .filter(|u| plan.takes(u) && u.stand == ServiceStatus::InService)
         .collect();
-    if plan.of == Of::Dispatchers {
+    if plan.of == UnitKind::Dispatchers {
         left.retain(|u| u.label != plan.label);
     }
     left.sort_by_key(|u| key(&u.name));
@@ -783,8 +810,8 @@
 }
 
 /// The address that a unit's turn is told at: its own, or the list's keeper's.
-pub fn told_at<'a>(turn: &'a Turn, keeper: Option<&'a Address>) -> Option<&'a Address> {
-    if turn.of == Of::Engines {
+pub fn told_at<'a>(turn: &'a DisruptionPermit, keeper: Option<&'a Address>) -> Option<&'a Address> {
+    if turn.of == UnitKind::Engines {
         keeper
     } else {
         Some(&turn.address)
--- a/src/fleet/duties.rs
+++ b/src/fleet/duties.rs
@@ -2,9 +2,9 @@
 //! its lease from before it asked for it, a contender waits for a whole lease of its own since it last saw the
 //! duty's row change, and both allow for clocks that run apart by a stated part.
 
-use super::agreed::{Agreed, Held, Holder, Mark};
-use super::planted::{is, Plant};
-use super::{Duty, Name, Run, Term};
+use super::agreed::{LeaseHolder, LeaseRecord, LeaseVersion, ReplicatedState};
+use super::planted::{is, InjectedFault};
+use super::{Incarnation, LeaseName, Name, Term};
 use crate::interface::Ms;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
@@ -58,21 +58,21 @@
 
 /// A duty that this dispatcher holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Hold {
+pub struct HeldLease {
     pub term: Term,
     /// When it was asked for last, of the times that were granted, and until when that counts.
     pub asked: Ms,
     pub until: Ms,
 }
 
-impl Hold {
+impl HeldLease {
     pub fn new(term: Term, asked: Ms, heard: Ms, settings: &LeaseSettings) -> Self {
-        let from = if is(Plant::LeaseFromAnswer) {
+        let from = if is(InjectedFault::LeaseFromAnswer) {
             heard
         } else {
             asked
         };
-        Hold {
+        HeldLease {
             term,
             asked,
             until: from + settings.held_for(),
@@ -87,10 +87,10 @@
 
 /// A duty that this dispatcher is ready to hold, and what it saw of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Watch {
-    mark: Mark,
+pub struct LeaseObserver {
+    mark: LeaseVersion,
     /// The row as seen; none while there is none.
-    row: Option<Held>,
+    row: Option<LeaseRecord>,
     /// A row was looked at, if there is one.
     pub looked: bool,
     /// What counts as waited since the mark was new, and when that was last counted.
@@ -102,10 +102,10 @@
     pub place: Option<u32>,
 }
 
-impl Watch {
+impl LeaseObserver {
     pub fn new(now: Ms, rng: &mut WyRand) -> Self {
-        Watch {
-            mark: Mark::default(),
+        LeaseObserver {
+            mark: LeaseVersion::default(),
             row: None,
             looked: false,
             waited: 0.0,
@@ -116,8 +116,8 @@
     }
 
     /// The row as the newest value has it that was seen. Any change of it begins the waiting anew.
-    pub fn saw(&mut self, now: Ms, row: Option<&Held>, rng: &mut WyRand) {
-        let mark = row.map(Held::mark).unwrap_or_default();
+    pub fn saw(&mut self, now: Ms, row: Option<&LeaseRecord>, rng: &mut WyRand) {
+        let mark = row.map(LeaseRecord::mark).unwrap_or_default();
         if !self.looked || mark != self.mark {
             (self.mark, self.row) = (mark, row.cloned());
             (self.waited, self.counted, self.jitter) = (0.0, now, rng.generate());
@@ -130,12 +130,12 @@
         let passed = now - self.counted;
         self.counted = now;
         let awake = (0.0..=2.0 * settings.look_every()).contains(&passed);
-        if awake || is(Plant::SleptWaiting) {
+        if awake || is(InjectedFault::SleptWaiting) {
             self.waited += passed;
         }
     }
 
-    pub fn mark(&self) -> Mark {
+    pub fn mark(&self) -> LeaseVersion {
         self.mark
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// How much longer this dispatcher waits before it takes the duty; 0 is now.
-    pub fn waits(&self, me: &Holder, voter: bool, settings: &LeaseSettings) -> Ms {
+    pub fn waits(&self, me: &LeaseHolder, voter: bool, settings: &LeaseSettings) -> Ms {
         if !self.looked {
             return f64::INFINITY;
         }
@@ -166,7 +166,7 @@
         let held = match &self.row {
             // A try of this process was agreed on without its hearing of it: nobody else acts by it.
             Some(row) if row.holder.as_ref() == Some(me) => return 0.0,
-            Some(row) if row.holder.is_some() && !is(Plant::NoWait) => all,
+            Some(row) if row.holder.is_some() && !is(InjectedFault::NoWait) => all,
             _ => 0.0,
         };
         let wanted = match named {
@@ -181,7 +181,7 @@
 
 /// How a dispatcher stands as a holder of duties.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fit {
+pub struct Candidate {
     pub ready: bool,
     pub zone: String,
     /// What is used of it, 0 to 1.
@@ -196,12 +196,12 @@
 /// The places of those that may hold a duty next: ready ones first, those of the preferred zone, not busy ones,
 /// those that hold least, and else spread by duty and name. Its holder has none.
 pub fn places<'a>(
-    duty: &Duty,
+    duty: &LeaseName,
     prefers: Option<&str>,
     holder: Option<&Name>,
-    fits: impl Iterator<Item = (&'a Name, Fit)>,
+    fits: impl Iterator<Item = (&'a Name, Candidate)>,
 ) -> BTreeMap<Name, u32> {
-    let rank = |name: &Name, fit: &Fit| {
+    let rank = |name: &Name, fit: &Candidate| {
         let near = prefers.is_none_or(|zone| zone == fit.zone);
         let spread = xxh3_64(format!("{} {}", duty.0, name.0).as_bytes());
         (!fit.ready, !near, fit.load >= BUSY, fit.holds, spread)
@@ -218,13 +218,16 @@
 }
 
 /// Whose process holds a duty by a value, and its term.
-pub fn holder_of<'a>(agreed: &'a Agreed, duty: &Duty) -> Option<(Term, &'a Holder)> {
+pub fn holder_of<'a>(
+    agreed: &'a ReplicatedState,
+    duty: &LeaseName,
+) -> Option<(Term, &'a LeaseHolder)> {
     let row = agreed.duties.get(duty)?;
     row.holder.as_ref().map(|holder| (row.term, holder))
 }
 
 /// Whether a row is this process's.
-pub fn is_mine(row: &Held, name: &Name, run: Run) -> bool {
+pub fn is_mine(row: &LeaseRecord, name: &Name, run: Incarnation) -> bool {
     row.holder
         .as_ref()
         .is_some_and(|h| h.name == *name && h.run == run)
--- a/src/fleet/member/beating.rs
+++ b/src/fleet/member/beating.rs
@@ -1,12 +1,12 @@
 //! Beats to whoever calls the roll, the roll itself, and its telling.
 
 use super::*;
-use crate::fleet::acts::Verdict;
-use crate::fleet::planted::{is, Plant};
+use crate::fleet::acts::FencingDecision;
+use crate::fleet::planted::{is, InjectedFault};
 use nanorand::Rng;
 
 impl Member {
-    pub(super) fn learn_caller(&mut self, caller: (Term, Holder)) {
+    pub(super) fn learn_caller(&mut self, caller: (Term, LeaseHolder)) {
         // Nothing that an old holder still says counts.
         if self.caller.as_ref().is_some_and(|known| known.0 > caller.0) {
             return;
@@ -20,8 +20,8 @@
     }
 
     /// A beat came.
-    pub(super) fn hear(&mut self, beat: Beat) -> BeatHeard {
-        let roll_call = Duty::from(ROLL_CALL);
+    pub(super) fn hear(&mut self, beat: Heartbeat) -> HeartbeatReply {
+        let roll_call = LeaseName::from(ROLL_CALL);
         let (now, least) = (self.now, self.settings.beat);
         let holds = self
             .holds
@@ -43,7 +43,7 @@
             .roll
             .as_ref()
             .map_or(least, |roll| roll.beat_every(least));
-        BeatHeard {
+        HeartbeatReply {
             heard: holds,
             holder,
             every,
@@ -51,9 +51,9 @@
         }
     }
 
-    fn my_beat(&mut self) -> Beat {
+    fn my_beat(&mut self) -> Heartbeat {
         let reports = self.next_reports();
-        Beat {
+        Heartbeat {
             who: self.me(),
             zone: self.settings.zone.clone(),
             label: self.settings.label.clone(),
@@ -69,7 +69,7 @@
 
     /// Beats when it is time, or asks who calls the roll; calls it if that is this dispatcher.
     pub(super) fn beat(&mut self, out: &mut Vec<Output>) {
-        let roll_call = Duty::from(ROLL_CALL);
+        let roll_call = LeaseName::from(ROLL_CALL);
         if self.now < self.next_beat {
             return;
         }
@@ -94,7 +94,12 @@
             Some((_, holder)) => {
                 let (to, run) = (holder.address.clone(), holder.run);
                 self.count("beats");
-                self.ask(to, Question::Beat(beat), Errand::Beat { to: run }, out);
+                self.ask(
+                    to,
+                    Question::Heartbeat(beat),
+                    Errand::Heartbeat { to: run },
+                    out,
+                );
             }
             None => self.look_somewhere(out),
         }
@@ -102,11 +107,11 @@
 
     pub(super) fn beat_answered(
         &mut self,
-        to: Run,
-        heard: Option<BeatHeard>,
+        to: Incarnation,
+        heard: Option<HeartbeatReply>,
         out: &mut Vec<Output>,
     ) {
-        let roll_call = Duty::from(ROLL_CALL);
+        let roll_call = LeaseName::from(ROLL_CALL);
         let current = self
             .caller
             .as_ref()
@@ -129,7 +134,7 @@
                     .find(|(duty, _)| *duty == roll_call)
                     .map(|(_, place)| *place)
             }
-            Some(BeatHeard {
+            Some(HeartbeatReply {
                 heard: false,
                 holder: Some(holder),
                 ..
@@ -165,7 +170,7 @@
     }
 
     pub(super) fn tell_at(&self) -> Option<Ms> {
-        let holds = self.holds.contains_key(&Duty::from(ROLL_CALL));
+        let holds = self.holds.contains_key(&LeaseName::from(ROLL_CALL));
         let next = || {
             self.told
                 .iter()
@@ -178,11 +183,11 @@
 
     /// Tells the roll to those that the settings name: acts of the duty, each with its term.
     pub(super) fn tell(&mut self, out: &mut Vec<Output>) {
-        let duty = Duty::from(ROLL_CALL);
+        let duty = LeaseName::from(ROLL_CALL);
         let Some(hold) = self.holds.get(&duty).copied() else {
             return;
         };
-        let unnoticed = is(Plant::PauseUnnoticed);
+        let unnoticed = is(InjectedFault::PauseUnnoticed);
         if hold.left(self.now) <= 0.0 && !unnoticed {
             return;
         }
@@ -199,7 +204,7 @@
             let (ticket, good_for) = told.known.good_for(until);
             self.acts += 1;
             let (term, holder, number) = (hold.term, self.me(), self.acts);
-            let act = Act {
+            let act = FencedCommand {
                 duty: duty.clone(),
                 term,
                 holder,
@@ -214,14 +219,14 @@
             self.count("acts");
             self.ask(
                 self.settings.tells[at].clone(),
-                Question::Act(act),
-                Errand::Act { to: at },
+                Question::FencedCommand(act),
+                Errand::FencedCommand { to: at },
                 out,
             );
         }
     }
 
-    pub(super) fn told(&mut self, to: usize, answer: Option<(Verdict, Ticket)>) {
+    pub(super) fn told(&mut self, to: usize, answer: Option<(FencingDecision, ReceiverTimestamp)>) {
         let Some(told) = self.told.get_mut(to) else {
             return;
         };
@@ -230,10 +235,10 @@
             Some((verdict, ticket)) => {
                 told.known.answered(self.now, ticket);
                 told.unsure_until = f64::NEG_INFINITY;
-                if verdict == Verdict::Unknown {
+                if verdict == FencingDecision::TimestampMissing {
                     // It asks before it obeys; now there is a ticket to send with it.
                     told.next = self.now;
-                } else if verdict != Verdict::Obeyed {
+                } else if verdict != FencingDecision::Executed {
                     self.count("acts refused");
                 }
             }
@@ -243,14 +248,14 @@
 
     /// The roll in a line: how many stand how, of how many, and for how long it has been called.
     fn summary(&self) -> Vec<u8> {
-        use crate::fleet::rollcall::Standing;
+        use crate::fleet::rollcall::MemberStatus;
         let Some(roll) = &self.roll else {
             return Vec::new();
         };
         let counts = roll.counts(self.now, self.settings.beat);
         let of = |standing| counts.get(&standing).copied().unwrap_or(0);
-        let (inn, back) = (of(Standing::In), of(Standing::Back));
-        let (suspected, gone) = (of(Standing::Suspected), of(Standing::Out));
+        let (inn, back) = (of(MemberStatus::Alive), of(MemberStatus::Returned));
+        let (suspected, gone) = (of(MemberStatus::Suspected), of(MemberStatus::Dead));
         let since = self.now - roll.since;
         format!("in {inn} back {back} suspected {suspected} out {gone} called-for-ms {since:.0}")
             .into_bytes()
--- a/src/fleet/member/holding.rs
+++ b/src/fleet/member/holding.rs
@@ -1,10 +1,10 @@
 //! The proposer's side: which change is wanted next, tries of it, and what is held by them.
 
 use super::*;
-use crate::fleet::agreed::{Held, Refusal, MOST_VOTERS};
+use crate::fleet::agreed::{CommandError, LeaseRecord, MOST_VOTERS};
 use crate::fleet::duties::{holder_of, is_mine};
-use crate::fleet::planted::{is, Plant};
-use crate::fleet::register::End;
+use crate::fleet::planted::{is, InjectedFault};
+use crate::fleet::register::ProposalOutcome;
 use nanorand::Rng;
 
 /// After a try that others were ahead of: the wait before the next in parts of a lease, doubled up to the most.
@@ -16,12 +16,12 @@
 
 impl Member {
     /// A value was seen at a voter, or agreed on.
-    pub(super) fn saw(&mut self, ballot: Option<Ballot>, value: Agreed) {
+    pub(super) fn saw(&mut self, ballot: Option<Ballot>, value: ReplicatedState) {
         if let Some(ballot) = &ballot {
             self.highest = self.highest.max(ballot.round);
         }
         if self.newest.as_ref().is_none_or(|(at, _)| *at < ballot) {
-            let caller = holder_of(&value, &Duty::from(ROLL_CALL));
+            let caller = holder_of(&value, &LeaseName::from(ROLL_CALL));
             let caller = caller.map(|(term, holder)| (term, holder.clone()));
             self.newest = Some((ballot, value));
             if let Some(caller) = caller {
@@ -35,13 +35,13 @@
     pub(super) fn show_watches(&mut self) {
         let value = self.newest.as_ref().map(|(_, value)| value);
         for (duty, watch) in &mut self.watches {
-            let row: Option<&Held> = value.and_then(|v| v.duties.get(duty));
+            let row: Option<&LeaseRecord> = value.and_then(|v| v.duties.get(duty));
             watch.saw(self.now, row, &mut self.rng);
         }
     }
 
     /// Whether this dispatcher is to take a duty if it falls free.
-    fn contends(&self, duty: &Duty) -> bool {
+    fn contends(&self, duty: &LeaseName) -> bool {
         if self.stopping || self.holds.contains_key(duty) || self.giving.contains_key(duty) {
             return false;
         }
@@ -72,9 +72,9 @@
     /// What is over by itself: leases, jobs.
     pub(super) fn drop_ended(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        if !is(Plant::PauseUnnoticed) {
-            let over = |hold: &Hold| hold.left(now) <= 0.0;
-            let ended: Vec<Duty> = self
+        if !is(InjectedFault::PauseUnnoticed) {
+            let over = |hold: &HeldLease| hold.left(now) <= 0.0;
+            let ended: Vec<LeaseName> = self
                 .holds
                 .iter()
                 .filter(|(_, h)| over(h))
@@ -88,7 +88,7 @@
         }
         let longest = JOB_FOR * self.settings.lease.lease;
         let gone = |job: &Job| now - job.asked >= longest;
-        let idle: Vec<Duty> = self
+        let idle: Vec<LeaseName> = self
             .jobs
             .iter()
             .filter(|(_, j)| gone(j))
@@ -100,14 +100,19 @@
     }
 
     /// The job is over: the duty is given up, for whoever contends for it.
-    pub(super) fn let_go(&mut self, duty: &Duty, out: &mut Vec<Output>) {
+    pub(super) fn let_go(&mut self, duty: &LeaseName, out: &mut Vec<Output>) {
         self.jobs.remove(duty);
         self.watches.remove(duty);
         self.hand_over(duty, None, out);
     }
 
     /// Stops acting at once, and then gives the duty up.
-    pub(super) fn hand_over(&mut self, duty: &Duty, next: Option<Name>, out: &mut Vec<Output>) {
+    pub(super) fn hand_over(
+        &mut self,
+        duty: &LeaseName,
+        next: Option<Name>,
+        out: &mut Vec<Output>,
+    ) {
         if let Some(hold) = self.holds.get(duty).copied() {
             let roll = self.roll.as_ref();
             let address = |name: &Name| {
@@ -120,7 +125,7 @@
         }
     }
 
-    fn lose(&mut self, duty: &Duty, out: &mut Vec<Output>) {
+    fn lose(&mut self, duty: &LeaseName, out: &mut Vec<Output>) {
         if let Some(hold) = self.holds.remove(duty) {
             out.push(Output::Holds {
                 duty: duty.clone(),
@@ -137,7 +142,7 @@
         }
     }
 
-    fn hold(&mut self, duty: &Duty, hold: Hold, out: &mut Vec<Output>) {
+    fn hold(&mut self, duty: &LeaseName, hold: HeldLease, out: &mut Vec<Output>) {
         if self.holds.insert(duty.clone(), hold).is_none() {
             out.push(Output::Holds {
                 duty: duty.clone(),
@@ -145,7 +150,7 @@
                 held: true,
             });
             if duty.0.as_ref() == ROLL_CALL {
-                self.roll = Some(RollCall::begin(self.now));
+                self.roll = Some(Membership::begin(self.now));
                 self.caller = Some((hold.term, self.me()));
                 self.next_beat = self.now;
             }
@@ -203,14 +208,15 @@
     }
 
     /// The change that is wanted most, if there is one.
-    fn wanted(&self) -> Option<(Purpose, Change)> {
+    fn wanted(&self) -> Option<(Purpose, Command)> {
         let settings = &self.settings.lease;
         let who = self.me();
-        let given =
-            |(duty, _): &(&Duty, &Giving)| duty.0.as_ref() != ROLL_CALL || self.acts_are_done();
+        let given = |(duty, _): &(&LeaseName, &Giving)| {
+            duty.0.as_ref() != ROLL_CALL || self.acts_are_done()
+        };
         if let Some((duty, giving)) = self.giving.iter().find(given) {
             let (term, next) = (giving.hold.term, giving.next.clone());
-            let change = Change::GiveUp {
+            let change = Command::Resign {
                 duty: duty.clone(),
                 term,
                 who,
@@ -218,23 +224,23 @@
             };
             return Some((Purpose::GiveUp(duty.clone()), change));
         }
-        let due = |hold: &Hold| hold.asked + settings.renew_after() <= self.now;
+        let due = |hold: &HeldLease| hold.asked + settings.renew_after() <= self.now;
         if self.holds.values().any(due) {
             let duties = self
                 .holds
                 .iter()
                 .map(|(duty, hold)| (duty.clone(), hold.term))
                 .collect();
-            return Some((Purpose::Renew, Change::Renew { who, duties }));
+            return Some((Purpose::Renew, Command::Renew { who, duties }));
         }
         let voter = self.is_voter();
         // Acts of an earlier term of our own must not be obeyed after one of the next.
-        let free = |(duty, watch): &(&Duty, &Watch)| {
+        let free = |(duty, watch): &(&LeaseName, &LeaseObserver)| {
             self.contends(duty) && self.acts_are_done() && watch.waits(&who, voter, settings) <= 0.0
         };
         if let Some((duty, watch)) = self.watches.iter().find(free) {
             let (lease_ms, seen) = (settings.lease_ms(), watch.mark());
-            let change = Change::Take {
+            let change = Command::Acquire {
                 duty: duty.clone(),
                 who,
                 lease_ms,
@@ -248,7 +254,8 @@
         if let Some(step) = self.wanted_step() {
             return Some(step);
         }
-        self.settles().then_some((Purpose::Settle, Change::Settle))
+        self.settles()
+            .then_some((Purpose::Settle, Command::FinishVoterChange))
     }
 
     /// Looks where it has to, and begins the try that is wanted.
@@ -257,14 +264,14 @@
             let next = self
                 .roll
                 .as_ref()
-                .and_then(|r| r.first_for(&Duty::from(ROLL_CALL)))
+                .and_then(|r| r.first_for(&LeaseName::from(ROLL_CALL)))
                 .cloned();
             for duty in self.holds.keys().cloned().collect::<Vec<_>>() {
                 let next = next.clone().filter(|_| duty.0.as_ref() == ROLL_CALL);
                 self.hand_over(&duty, next, out);
             }
         }
-        let contending: Vec<Duty> = self
+        let contending: Vec<LeaseName> = self
             .watches
             .keys()
             .filter(|duty| self.contends(duty))
@@ -296,8 +303,8 @@
             return;
         };
         self.highest += 1;
-        let run = if is(Plant::BallotAgain) {
-            Run(0)
+        let run = if is(InjectedFault::BallotAgain) {
+            Incarnation(0)
         } else {
             self.settings.run
         };
@@ -306,7 +313,7 @@
             by: self.settings.me.clone(),
             run,
         };
-        let (round, asks) = Round::begin(ballot.clone(), view, change, &self.knows);
+        let (round, asks) = Proposal::begin(ballot.clone(), view, change, &self.knows);
         self.count("tries");
         self.trying = Some(Try {
             round,
@@ -336,11 +343,15 @@
     fn ask_voters(
         &mut self,
         ballot: &Ballot,
-        asks: Vec<(Name, crate::fleet::agreed::Seat, register::Ask)>,
+        asks: Vec<(
+            Name,
+            crate::fleet::agreed::VoterRecord,
+            register::AcceptorRequest,
+        )>,
         out: &mut Vec<Output>,
     ) {
         for (from, seat, ask) in asks {
-            let taking = matches!(ask, register::Ask::Take { .. });
+            let taking = matches!(ask, register::AcceptorRequest::Accept { .. });
             let errand = Errand::Vote {
                 from,
                 life: seat.life,
@@ -354,10 +365,10 @@
     /// A voter answered a try, or did not.
     pub(super) fn voted(
         &mut self,
-        (from, life): (&Name, Life),
+        (from, life): (&Name, VoterId),
         ballot: &Ballot,
         taking: bool,
-        said: Option<&Said>,
+        said: Option<&AcceptorReply>,
         out: &mut Vec<Output>,
     ) {
         let Some(trying) = self.trying.as_mut().filter(|t| t.round.ballot == *ballot) else {
@@ -374,14 +385,14 @@
         }
     }
 
-    fn tried(&mut self, trying: Try, end: End, out: &mut Vec<Output>) {
+    fn tried(&mut self, trying: Try, end: ProposalOutcome, out: &mut Vec<Output>) {
         let Try {
             round,
             purpose,
             asked,
         } = trying;
         match end {
-            End::Agreed(value) => {
+            ProposalOutcome::Chosen(value) => {
                 self.failures = 0;
                 self.count("agreed");
                 if self
@@ -394,14 +405,14 @@
                 self.agreed(purpose, &value, asked, out);
                 self.saw(Some(round.ballot), value);
             }
-            End::Refused(why, base) => {
+            ProposalOutcome::Rejected(why, base) => {
                 self.failures = 0;
                 self.count("refused");
                 self.refused(purpose, why, out);
                 // What a majority showed at this ballot is newer than anything seen before.
                 self.saw(Some(round.ballot), base);
             }
-            End::Outbid(by) => {
+            ProposalOutcome::Conflict(by) => {
                 self.count("outbid");
                 self.highest = self.highest.max(by.map_or(0, |b| b.round));
                 let (doubled, chance) =
@@ -411,14 +422,20 @@
                 let wait = took.max(AGAIN * self.settings.lease.lease * f64::from(doubled).exp2());
                 self.again_at = self.now + wait * (0.5 + chance);
                 self.failures += 1;
-                if purpose == Purpose::Step {
+                if purpose == Purpose::RolloutStep {
                     self.step_tried(false);
                 }
             }
         }
     }
 
-    fn agreed(&mut self, purpose: Purpose, value: &Agreed, asked: Ms, out: &mut Vec<Output>) {
+    fn agreed(
+        &mut self,
+        purpose: Purpose,
+        value: &ReplicatedState,
+        asked: Ms,
+        out: &mut Vec<Output>,
+    ) {
         let (me, run) = (self.settings.me.clone(), self.settings.run);
         let settings = self.settings.lease;
         match purpose {
@@ -427,14 +444,14 @@
                 if let Some(term) = row.map(|row| row.term) {
                     self.count("terms");
                     out.push(Output::Info(format!("holds {} in term {}", duty.0, term.0)));
-                    self.hold(&duty, Hold::new(term, asked, self.now, &settings), out);
+                    self.hold(&duty, HeldLease::new(term, asked, self.now, &settings), out);
                 }
             }
             Purpose::Renew => {
                 for (duty, hold) in &mut self.holds {
-                    let mine = |row: &&Held| is_mine(row, &me, run) && row.term == hold.term;
+                    let mine = |row: &&LeaseRecord| is_mine(row, &me, run) && row.term == hold.term;
                     if value.duties.get(duty).filter(mine).is_some() {
-                        *hold = Hold::new(hold.term, asked, self.now, &settings);
+                        *hold = HeldLease::new(hold.term, asked, self.now, &settings);
                     }
                 }
             }
@@ -446,7 +463,7 @@
                 }
             }
             Purpose::Wish(call) => self.wish_done(call, Ok(()), Some(value), out),
-            Purpose::Step => {
+            Purpose::RolloutStep => {
                 self.count("steps");
                 self.step_tried(true);
             }
@@ -454,7 +471,7 @@
         }
     }
 
-    fn refused(&mut self, purpose: Purpose, why: Refusal, out: &mut Vec<Output>) {
+    fn refused(&mut self, purpose: Purpose, why: CommandError, out: &mut Vec<Output>) {
         match purpose {
             Purpose::Take(_) => {
                 // Guards against trying the same at once, where what was seen is newer than what is agreed on.
@@ -469,13 +486,13 @@
                 self.giving.remove(&duty);
             }
             Purpose::Wish(call) => self.wish_done(call, Err(why), None, out),
-            Purpose::Step => self.step_tried(false),
+            Purpose::RolloutStep => self.step_tried(false),
             Purpose::Settle => self.again_at = self.now + self.settings.lease.gap(),
         }
     }
 
     /// A holder says that it gave a duty up for us: the voters are looked at, at once.
-    pub(super) fn nudged(&mut self, duty: &Duty, out: &mut Vec<Output>) {
+    pub(super) fn nudged(&mut self, duty: &LeaseName, out: &mut Vec<Output>) {
         self.count("nudged");
         if self.watches.contains_key(duty) {
             self.again_at = self.now;
--- a/src/fleet/member/mod.rs
+++ b/src/fleet/member/mod.rs
@@ -9,18 +9,21 @@
 mod voting;
 
 pub use orders::{
-    CareStatus, Order, ReleaseOrder, Reply, RollLine, Status, VoterLine, LONGEST_NAME,
+    MemberLine, OperatorRequest, Reply, RolloutRequest, RolloutStatus, Status, VoterLine,
+    LONGEST_NAME,
 };
 pub use releasing::MOST_REPORTS;
 
-use super::acts::{Act, Known, Receiver, Ticket, Verdict};
-use super::agreed::{Agreed, Change, Holder, Life, Voters};
-use super::bounds::{Bounds, Of, Tally, Unit};
-use super::duties::{Hold, LeaseSettings, Watch};
-use super::register::{self, Ballot, Kept, Knows, Round, Said, Voter};
-use super::release::TurnNo;
-use super::rollcall::{Beat, EngineReport, RollCall};
-use super::{Address, Duty, Name, Run, Steady, Term};
+use super::acts::{FencedCommand, FencingDecision, Receiver, ReceiverClock, ReceiverTimestamp};
+use super::agreed::{Command, LeaseHolder, ReplicatedState, VoterId, Voters};
+use super::bounds::{DisruptionBudget, OutcomeCounts, Unit, UnitKind};
+use super::duties::{HeldLease, LeaseObserver, LeaseSettings};
+use super::register::{
+    self, Acceptor, AcceptorReply, AcceptorState, Ballot, Proposal, ProposerKnowledge,
+};
+use super::release::PermitId;
+use super::rollcall::{EngineReport, Heartbeat, Membership};
+use super::{Address, Incarnation, LeaseName, MonotonicClock, Name, Term};
 use crate::interface::Ms;
 use nanorand::WyRand;
 use std::collections::BTreeMap;
@@ -34,7 +37,7 @@
     /// The fleet's name: members of another are no members.
     pub fleet: String,
     pub me: Name,
-    pub run: Run,
+    pub run: Incarnation,
     /// Where the others reach this dispatcher's fleet service.
     pub address: Address,
     pub zone: String,
@@ -54,58 +57,65 @@
     pub tells: Vec<Address>,
     pub tell_every: Ms,
     /// How many dispatchers and how many engines may be out at once, and who lists engines as draining.
-    pub bounds: (Bounds, Bounds),
+    pub bounds: (DisruptionBudget, DisruptionBudget),
     pub keeper: Option<Address>,
     pub seed: u64,
 }
 
 /// A call that came from outside, as the caller numbers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallNo(pub u64);
+pub struct CallId(pub u64);
 /// A question that went out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AskNo(pub u64);
+pub struct QuestionId(pub u64);
 /// A write of the voter's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SaveNo(pub u64);
+pub struct SaveId(pub u64);
 
 /// What members ask each other.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Question {
-    Vote(register::Ask),
+    Vote(register::AcceptorRequest),
     /// What did you, a voter, take last?
     Look,
     /// How many writes of this voter have you heard of?
     Witness {
         of: Name,
-        life: Life,
+        life: VoterId,
     },
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// A duty was given up for you.
     Nudge {
-        duty: Duty,
+        duty: LeaseName,
     },
-    Act(Act),
+    FencedCommand(FencedCommand),
     /// Has this turn begun? If not, it is not to.
     AskBack {
-        turn: TurnNo,
-        of: Of,
+        turn: PermitId,
+        of: UnitKind,
         who: Name,
-        run: Run,
+        run: Incarnation,
     },
-    Order(Order),
+    Operator(OperatorRequest),
 }
 
 /// What is answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    Vote(Said),
+    Vote(AcceptorReply),
     Seen(Seen),
-    Witnessed { writes: u64 },
-    Heard(BeatHeard),
+    Witnessed {
+        writes: u64,
+    },
+    Heard(HeartbeatReply),
     Done,
-    Verdict { verdict: Verdict, ticket: Ticket },
-    Begun { begun: bool },
+    FencingDecision {
+        verdict: FencingDecision,
+        ticket: ReceiverTimestamp,
+    },
+    Begun {
+        begun: bool,
+    },
     Reply(Reply),
 }
 
@@ -113,31 +123,31 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
     /// None if it is no voter, or has no file that it trusts.
-    pub life: Option<Life>,
+    pub life: Option<VoterId>,
     pub votes: bool,
     pub founding: Option<Voters>,
-    pub newest: Option<(Ballot, Agreed)>,
+    pub newest: Option<(Ballot, ReplicatedState)>,
 }
 
 /// What a beat is answered with.
 #[derive(Clone, Debug, PartialEq)]
-pub struct BeatHeard {
+pub struct HeartbeatReply {
     /// It was heard by the holder of the roll-call, of this term; else who that may be.
     pub heard: bool,
-    pub holder: Option<(Term, Holder)>,
+    pub holder: Option<(Term, LeaseHolder)>,
     /// When the next beat is wanted.
     pub every: Ms,
     /// The duties for which the member has a place, and which.
-    pub places: Vec<(Duty, u32)>,
+    pub places: Vec<(LeaseName, u32)>,
 }
 
 /// How the dispatcher fares.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Fares {
+pub struct LocalHealth {
     pub ready: bool,
     pub load: f64,
     /// Tasks answered by this process so far.
-    pub tally: Tally,
+    pub tally: OutcomeCounts,
     /// What it heard of some engines since it was last asked.
     pub reports: Vec<EngineReport>,
 }
@@ -145,22 +155,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// What is in the voter's file; an error is a file that cannot be trusted.
-    Loaded(Result<Option<Kept>, String>),
+    Loaded(Result<Option<AcceptorState>, String>),
     /// A write of the file is over; `lasts`: it lasts for certain.
     Saved {
-        number: SaveNo,
+        number: SaveId,
         lasts: bool,
     },
     Asked {
-        call: CallNo,
+        call: CallId,
         question: Question,
     },
     /// An answer, or none as the one asked was not reached.
     Answered {
-        ask: AskNo,
+        ask: QuestionId,
         answer: Option<Answer>,
     },
-    Fares(Fares),
+    LocalHealth(LocalHealth),
     /// The engines as this dispatcher's list has them.
     Engines(Vec<Unit>),
     Tick,
@@ -171,28 +181,28 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Ask {
-        ask: AskNo,
+        ask: QuestionId,
         to: Address,
         question: Question,
     },
     Answer {
-        call: CallNo,
+        call: CallId,
         answer: Answer,
     },
     Save {
-        number: SaveNo,
-        kept: Box<Kept>,
+        number: SaveId,
+        kept: Box<AcceptorState>,
     },
     /// A duty is held from now on, or no more.
     Holds {
-        duty: Duty,
+        duty: LeaseName,
         term: Term,
         held: bool,
     },
     /// This process has its turn: it drains and ends in order, and its supervisor starts it again, under the label
     /// if one is named.
-    Turn {
-        turn: TurnNo,
+    PermitGranted {
+        turn: PermitId,
         label: String,
     },
     Warn(String),
@@ -206,7 +216,7 @@
 enum Errand {
     Vote {
         from: Name,
-        life: Life,
+        life: VoterId,
         ballot: Ballot,
         taking: bool,
     },
@@ -218,30 +228,30 @@
     /// A look whose answer an order waits for.
     Inspect {
         of: Name,
-        call: CallNo,
+        call: CallId,
     },
     Witness {
         of: Name,
     },
-    Beat {
-        to: Run,
+    Heartbeat {
+        to: Incarnation,
     },
     Nudge,
-    Act {
+    FencedCommand {
         to: usize,
     },
     TurnAct {
         to: Address,
-        turn: TurnNo,
+        turn: PermitId,
     },
     Revoke {
-        turn: TurnNo,
+        turn: PermitId,
     },
     HaltAsk {
-        turn: TurnNo,
+        turn: PermitId,
     },
     ByHand {
-        call: CallNo,
+        call: CallId,
         note: String,
     },
 }
@@ -262,17 +272,17 @@
 /// What a try is for.
 #[derive(Clone, Debug, PartialEq)]
 enum Purpose {
-    Take(Duty),
+    Take(LeaseName),
     Renew,
-    GiveUp(Duty),
-    Wish(CallNo),
-    Step,
+    GiveUp(LeaseName),
+    Wish(CallId),
+    RolloutStep,
     Settle,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Try {
-    round: Round,
+    round: Proposal,
     purpose: Purpose,
     asked: Ms,
 }
@@ -280,7 +290,7 @@
 /// A duty that is being given up: nothing is done in its name any more.
 #[derive(Clone, Debug, PartialEq)]
 struct Giving {
-    hold: Hold,
+    hold: HeldLease,
     next: Option<Name>,
     /// Where whoever is named is told.
     to: Option<Address>,
@@ -296,15 +306,15 @@
 /// A change that an operator asked for.
 #[derive(Clone, Debug, PartialEq)]
 struct Wish {
-    call: CallNo,
-    change: Change,
+    call: CallId,
+    change: Command,
     until: Ms,
 }
 
 /// A receiver of the roll-call's acts.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Told {
-    known: Known,
+struct PermitNotice {
+    known: ReceiverClock,
     next: Ms,
     out: bool,
     /// Acts that were not answered may still come there before this.
@@ -327,7 +337,7 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     settings: FleetSettings,
-    steady: Steady,
+    steady: MonotonicClock,
     now: Ms,
     rng: WyRand,
     began: Ms,
@@ -337,26 +347,26 @@
     stopped: bool,
     // The voter.
     file: File,
-    voter: Option<Voter>,
+    voter: Option<Acceptor>,
     /// Its file was written at least once, so its life lasts.
     lasts: bool,
-    saving: Option<SaveNo>,
+    saving: Option<SaveId>,
     /// What the write under way keeps, and what the last one kept that lasts.
-    under_way: Option<Box<Kept>>,
-    durable: Option<Box<Kept>>,
+    under_way: Option<Box<AcceptorState>>,
+    durable: Option<Box<AcceptorState>>,
     saves: u64,
     /// Answers for when the write under way, and the one after it, lasts.
-    after_save: Vec<(CallNo, Answer)>,
-    after_next: Vec<(CallNo, Answer)>,
+    after_save: Vec<(CallId, Answer)>,
+    after_next: Vec<(CallId, Answer)>,
     next_care: Ms,
     /// Blank voters of the first start that were heard, and those that confirmed our file.
-    lives: BTreeMap<Name, Life>,
+    lives: BTreeMap<Name, VoterId>,
     confirmed: Vec<Name>,
     // The proposer.
-    knows: Knows,
-    newest: Option<(Option<Ballot>, Agreed)>,
+    knows: ProposerKnowledge,
+    newest: Option<(Option<Ballot>, ReplicatedState)>,
     /// The newest value that is known to be agreed on.
-    agreed: Option<Agreed>,
+    agreed: Option<ReplicatedState>,
     founding: Option<Voters>,
     highest: u64,
     trying: Option<Try>,
@@ -364,27 +374,27 @@
     failures: u32,
     wishes: Vec<Wish>,
     // Duties.
-    watches: BTreeMap<Duty, Watch>,
-    holds: BTreeMap<Duty, Hold>,
-    giving: BTreeMap<Duty, Giving>,
-    jobs: BTreeMap<Duty, Job>,
+    watches: BTreeMap<LeaseName, LeaseObserver>,
+    holds: BTreeMap<LeaseName, HeldLease>,
+    giving: BTreeMap<LeaseName, Giving>,
+    jobs: BTreeMap<LeaseName, Job>,
     next_look: Ms,
     // The roll-call.
-    roll: Option<RollCall>,
-    caller: Option<(Term, Holder)>,
+    roll: Option<Membership>,
+    caller: Option<(Term, LeaseHolder)>,
     /// When the caller last heard us.
     heard: Option<Ms>,
     next_beat: Ms,
     every: Ms,
-    told: Vec<Told>,
+    told: Vec<PermitNotice>,
     acts: u64,
     receiver: Receiver,
     // Turns and releases.
     care: releasing::Releasing,
     // Questions.
     asks: u64,
-    out: BTreeMap<AskNo, Out>,
-    inspecting: BTreeMap<CallNo, orders::Inspection>,
+    out: BTreeMap<QuestionId, Out>,
+    inspecting: BTreeMap<CallId, orders::Inspection>,
     counts: BTreeMap<&'static str, u64>,
 }
 
@@ -392,9 +402,12 @@
     pub fn new(settings: FleetSettings) -> Self {
         let rng = WyRand::new_seed(settings.seed);
         let receiver = Receiver::new(settings.run, settings.lease.drift);
-        let (told, every) = (vec![Told::default(); settings.tells.len()], settings.beat);
+        let (told, every) = (
+            vec![PermitNotice::default(); settings.tells.len()],
+            settings.beat,
+        );
         Member {
-            steady: Steady::default(),
+            steady: MonotonicClock::default(),
             now: 0.0,
             rng,
             began: 0.0,
@@ -418,7 +431,7 @@
             next_care: 0.0,
             lives: BTreeMap::new(),
             confirmed: Vec::new(),
-            knows: Knows::default(),
+            knows: ProposerKnowledge::default(),
             newest: None,
             agreed: None,
             founding: None,
@@ -471,7 +484,7 @@
                     self.answered(asked.errand, answer, out);
                 }
             }
-            Input::Fares(fares) => self.fares(fares),
+            Input::LocalHealth(fares) => self.fares(fares),
             Input::Engines(engines) => self.engines(engines),
             Input::Tick => {}
             Input::Stop => self.stopping = true,
@@ -509,7 +522,7 @@
     }
 
     /// The duties held now, with their terms.
-    pub fn held(&self) -> impl Iterator<Item = (&Duty, Term)> {
+    pub fn held(&self) -> impl Iterator<Item = (&LeaseName, Term)> {
         self.holds
             .iter()
             .filter(|(_, hold)| hold.left(self.now) > 0.0)
@@ -522,17 +535,17 @@
     }
 
     /// The roll-call, where this dispatcher calls it.
-    pub fn roll(&self) -> Option<&RollCall> {
+    pub fn roll(&self) -> Option<&Membership> {
         self.roll.as_ref()
     }
 
     /// The release as this dispatcher sees it.
-    pub fn release_status(&self) -> CareStatus {
+    pub fn release_status(&self) -> RolloutStatus {
         self.care_status()
     }
 
     /// The newest value seen, agreed on or not.
-    pub fn newest(&self) -> Option<&Agreed> {
+    pub fn newest(&self) -> Option<&ReplicatedState> {
         self.newest.as_ref().map(|(_, value)| value)
     }
 
@@ -543,8 +556,10 @@
         // Hundreds that start at once do not beat at once.
         let phase: f64 = self.rng.generate();
         self.next_beat = self.now + phase * self.settings.beat;
-        self.watches
-            .insert(Duty::from(ROLL_CALL), Watch::new(self.now, &mut self.rng));
+        self.watches.insert(
+            LeaseName::from(ROLL_CALL),
+            LeaseObserver::new(self.now, &mut self.rng),
+        );
     }
 
     fn count(&mut self, what: &'static str) {
@@ -555,7 +570,7 @@
     fn clock_went_back(&mut self, out: &mut Vec<Output>) {
         self.count("clock went back");
         self.receiver.clock_went_back();
-        if super::planted::is(super::planted::Plant::ClockBackUnnoticed) {
+        if super::planted::is(super::planted::InjectedFault::ClockBackUnnoticed) {
             return;
         }
         out.push(Output::Warn(
@@ -586,7 +601,7 @@
         out: &mut Vec<Output>,
     ) {
         self.asks += 1;
-        let ask = AskNo(self.asks);
+        let ask = QuestionId(self.asks);
         let kept = again.map(|_| Box::new(question.clone()));
         self.out.insert(
             ask,
@@ -605,7 +620,7 @@
     fn ask_again(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let due = |o: &Out| o.again.is_some_and(|(at, _)| at <= now);
-        let due: Vec<AskNo> = self
+        let due: Vec<QuestionId> = self
             .out
             .iter()
             .filter(|(_, o)| due(o))
@@ -630,7 +645,7 @@
         }
     }
 
-    fn asked(&mut self, call: CallNo, question: Question, out: &mut Vec<Output>) {
+    fn asked(&mut self, call: CallId, question: Question, out: &mut Vec<Output>) {
         let answer = match question {
             Question::Vote(ask) => return self.vote(call, &ask, out),
             Question::Look => Answer::Seen(self.seen()),
@@ -646,28 +661,28 @@
                     .max(self.knows.heard.get(&who).copied().unwrap_or(0));
                 Answer::Witnessed { writes }
             }
-            Question::Beat(beat) => Answer::Heard(self.hear(beat)),
+            Question::Heartbeat(beat) => Answer::Heard(self.hear(beat)),
             Question::Nudge { duty } => {
                 self.nudged(&duty, out);
                 Answer::Done
             }
-            Question::Act(act) => {
+            Question::FencedCommand(act) => {
                 let verdict = self.receiver.receive(self.now, &act);
-                if verdict == Verdict::Obeyed {
+                if verdict == FencingDecision::Executed {
                     self.obeyed(&act, out);
                 }
-                Answer::Verdict {
+                Answer::FencingDecision {
                     verdict,
                     ticket: self.receiver.ticket(self.now),
                 }
             }
             Question::AskBack { turn, of, who, run } => {
-                let mine = of == Of::Dispatchers && who == self.settings.me;
+                let mine = of == UnitKind::Dispatchers && who == self.settings.me;
                 Answer::Begun {
                     begun: !mine || self.asked_back(turn, run),
                 }
             }
-            Question::Order(order) => return self.order(call, order, out),
+            Question::Operator(order) => return self.order(call, order, out),
         };
         out.push(Output::Answer { call, answer });
     }
@@ -710,23 +725,23 @@
             (Errand::Witness { of }, Some(Answer::Witnessed { writes })) => {
                 self.witnessed(of, writes, out)
             }
-            (Errand::Beat { to }, answer) => {
+            (Errand::Heartbeat { to }, answer) => {
                 let heard = match answer {
                     Some(Answer::Heard(heard)) => Some(heard),
                     _ => None,
                 };
                 self.beat_answered(to, heard, out);
             }
-            (Errand::Act { to }, answer) => {
+            (Errand::FencedCommand { to }, answer) => {
                 let verdict = match answer {
-                    Some(Answer::Verdict { verdict, ticket }) => Some((verdict, ticket)),
+                    Some(Answer::FencingDecision { verdict, ticket }) => Some((verdict, ticket)),
                     _ => None,
                 };
                 self.told(to, verdict);
             }
             (Errand::TurnAct { to, turn }, answer) => {
                 let verdict = match answer {
-                    Some(Answer::Verdict { verdict, ticket }) => Some((verdict, ticket)),
+                    Some(Answer::FencingDecision { verdict, ticket }) => Some((verdict, ticket)),
                     _ => None,
                 };
                 self.turn_told(&to, turn, verdict, out);
@@ -752,7 +767,7 @@
     /// What was not answered in time is lost.
     fn give_up_waiting(&mut self, out: &mut Vec<Output>) {
         let late = |o: &Out| o.until <= self.now;
-        let lost: Vec<AskNo> = self
+        let lost: Vec<QuestionId> = self
             .out
             .iter()
             .filter(|(_, o)| late(o))
@@ -793,11 +808,11 @@
         all
     }
 
-    fn me(&self) -> Holder {
+    fn me(&self) -> LeaseHolder {
         let FleetSettings {
             me, run, address, ..
         } = &self.settings;
-        Holder {
+        LeaseHolder {
             name: me.clone(),
             run: *run,
             address: address.clone(),
--- a/src/fleet/member/orders.rs
+++ b/src/fleet/member/orders.rs
@@ -1,18 +1,18 @@
 //! What operators ask: who is there, who holds what, changes of voters, duties for their own jobs.
 
 use super::*;
-use crate::fleet::agreed::{Refusal, Seat};
+use crate::fleet::agreed::{CommandError, VoterRecord};
 use crate::fleet::duties::holder_of;
-use crate::fleet::release::Plan;
-use crate::fleet::rollcall::Standing;
+use crate::fleet::release::RolloutPlan;
+use crate::fleet::rollcall::MemberStatus;
 
 /// An operator's wish, at any dispatcher.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum OperatorRequest {
     Status,
     /// Gives the duty to another: to `to`, or to whoever comes next.
     HandOver {
-        duty: Duty,
+        duty: LeaseName,
         to: Option<Name>,
     },
     /// The address may be left out for a member that the roll-call knows.
@@ -24,16 +24,16 @@
         name: Name,
     },
     /// Wants the duty held for a job, or goes on to.
-    Hold {
-        duty: Duty,
+    HoldLease {
+        duty: LeaseName,
         job: u64,
     },
     /// The job is over.
     LetGo {
-        duty: Duty,
+        duty: LeaseName,
         job: u64,
     },
-    Release(ReleaseOrder),
+    Rollout(RolloutRequest),
     /// Stops this one member though nothing is agreed on.
     ByHand {
         who: Name,
@@ -44,10 +44,10 @@
 
 /// What is ordered of turns and releases.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ReleaseOrder {
+pub enum RolloutRequest {
     /// `skip`: those that the plan names and that are not there are passed over. `dry`: it is only shown.
     Start {
-        plan: Box<Plan>,
+        plan: Box<RolloutPlan>,
         skip: bool,
         dry: bool,
     },
@@ -56,14 +56,14 @@
         why: String,
     },
     Resume,
-    Back,
+    RollBack,
     End,
     /// Whoever is missing now is missed no more.
     Recount {
-        of: Of,
+        of: UnitKind,
     },
     /// Wants a turn for a dispatcher, or goes on to; `refused`: wants it no more.
-    Turn {
+    Permit {
         name: Name,
         label: String,
         refused: bool,
@@ -72,9 +72,9 @@
 
 /// A release and its turns, as whoever was asked sees them; whole at the caller of the roll.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CareStatus {
+pub struct RolloutStatus {
     pub name: String,
-    pub of: Of,
+    pub of: UnitKind,
     /// none, waiting, running, held, halted, going back, done.
     pub state: String,
     pub halted: String,
@@ -87,7 +87,7 @@
     pub turned: u32,
     pub meant: u32,
     /// Number, member, zone, and where it is.
-    pub turns: Vec<(TurnNo, Name, String, String)>,
+    pub turns: Vec<(PermitId, Name, String, String)>,
     /// How many are out and how many may be, over the fleet (no name) and by zone.
     pub room: Vec<(String, u32, u32)>,
     pub left: Vec<(Name, String)>,
@@ -100,9 +100,9 @@
     /// Done, in words.
     Done(String),
     /// Not done, and why.
-    No(String),
+    Refused(String),
     /// It is being done: ask again.
-    Waits(String),
+    Pending(String),
     /// Ask there: whoever is there can do it.
     Elsewhere(Address),
     /// The duty is held in this term for so long, counted from before it was asked for; none yet.
@@ -125,11 +125,11 @@
 
 /// A member, as the roll-call has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RollLine {
+pub struct MemberLine {
     pub name: Name,
     pub zone: String,
     pub label: String,
-    pub standing: Standing,
+    pub standing: MemberStatus,
     pub ready: bool,
     pub up: Ms,
     pub age: Ms,
@@ -144,13 +144,13 @@
     pub changing: bool,
     pub version: u64,
     pub voters: Vec<VoterLine>,
-    pub duties: Vec<(Duty, Term, Option<Holder>)>,
+    pub duties: Vec<(LeaseName, Term, Option<LeaseHolder>)>,
     /// Whether this dispatcher calls the roll, and for how long it has.
     pub roll_for: Option<Ms>,
-    pub roll: Vec<RollLine>,
+    pub roll: Vec<MemberLine>,
     /// Where the roll is called, if elsewhere.
     pub caller: Option<Address>,
-    pub care: CareStatus,
+    pub care: RolloutStatus,
 }
 
 /// Voters that are being looked at for an order.
@@ -176,14 +176,14 @@
 pub const LONGEST_NAME: usize = 64;
 
 impl Member {
-    pub(super) fn order(&mut self, call: CallNo, order: Order, out: &mut Vec<Output>) {
+    pub(super) fn order(&mut self, call: CallId, order: OperatorRequest, out: &mut Vec<Output>) {
         let reply = match order {
-            Order::Status => {
+            OperatorRequest::Status => {
                 let all = self.whom_to_look_at();
                 return self.begin_inspection(call, all, None, out);
             }
-            Order::HandOver { duty, to } => self.order_hand_over(&duty, to, out),
-            Order::AddVoter { name, address } => {
+            OperatorRequest::HandOver { duty, to } => self.order_hand_over(&duty, to, out),
+            OperatorRequest::AddVoter { name, address } => {
                 let known = self
                     .roll
                     .as_ref()
@@ -205,26 +205,28 @@
                         .filter(|(_, h)| h.name != self.settings.me)
                     {
                         Some((_, holder)) => Reply::Elsewhere(holder.address.clone()),
-                        None => Reply::No(format!(
+                        None => Reply::Refused(format!(
                             "nobody knows where {} is: name its address",
                             name.0
                         )),
                     },
                 }
             }
-            Order::RemoveVoter { name } => return self.wish(call, Change::RemoveVoter { name }),
-            Order::Hold { duty, job } => self.order_hold(duty, job),
-            Order::LetGo { duty, job } => {
+            OperatorRequest::RemoveVoter { name } => {
+                return self.wish(call, Command::RemoveVoter { name })
+            }
+            OperatorRequest::HoldLease { duty, job } => self.order_hold(duty, job),
+            OperatorRequest::LetGo { duty, job } => {
                 if self.jobs.get(&duty).is_some_and(|j| j.number == job) {
                     self.let_go(&duty, out);
                 }
                 Reply::Done(format!("{} let go", duty.0))
             }
-            Order::Release(order) => match self.order_release(call, order) {
+            OperatorRequest::Rollout(order) => match self.order_release(call, order) {
                 Some(reply) => reply,
                 None => return,
             },
-            Order::ByHand { who, address, why } => {
+            OperatorRequest::ByHand { who, address, why } => {
                 match self.order_by_hand(call, who, address, why, out) {
                     Some(reply) => reply,
                     None => return,
@@ -237,18 +239,23 @@
         });
     }
 
-    fn order_hand_over(&mut self, duty: &Duty, to: Option<Name>, out: &mut Vec<Output>) -> Reply {
+    fn order_hand_over(
+        &mut self,
+        duty: &LeaseName,
+        to: Option<Name>,
+        out: &mut Vec<Output>,
+    ) -> Reply {
         if self.holds.contains_key(duty) {
             let roll = self.roll.as_ref();
             let first = || roll.and_then(|roll| roll.first_for(duty)).cloned();
             let Some(next) = to.or_else(first) else {
-                return Reply::No(format!("nobody is known that could hold {}", duty.0));
+                return Reply::Refused(format!("nobody is known that could hold {}", duty.0));
             };
             if next == self.settings.me {
-                return Reply::No(format!("{} holds {} already", next.0, duty.0));
+                return Reply::Refused(format!("{} holds {} already", next.0, duty.0));
             }
             if roll.is_some_and(|roll| roll.address(&next).is_none()) {
-                return Reply::No(format!("the roll-call knows no {}", next.0));
+                return Reply::Refused(format!("the roll-call knows no {}", next.0));
             }
             self.hand_over(duty, Some(next.clone()), out);
             return Reply::Done(format!("{} is given up for {}", duty.0, next.0));
@@ -259,29 +266,29 @@
             (Some((_, holder)), _) if holder.run != self.settings.run => {
                 Reply::Elsewhere(holder.address.clone())
             }
-            (_, Some(_)) => Reply::No(format!("nobody holds {} now", duty.0)),
-            (_, None) => Reply::No(format!("there is no duty {}", duty.0)),
+            (_, Some(_)) => Reply::Refused(format!("nobody holds {} now", duty.0)),
+            (_, None) => Reply::Refused(format!("there is no duty {}", duty.0)),
         }
     }
 
-    fn order_hold(&mut self, duty: Duty, job: u64) -> Reply {
+    fn order_hold(&mut self, duty: LeaseName, job: u64) -> Reply {
         if duty.0.as_ref() == ROLL_CALL {
-            return Reply::No(format!("{ROLL_CALL} is the dispatchers' own"));
+            return Reply::Refused(format!("{ROLL_CALL} is the dispatchers' own"));
         }
         if duty.0.is_empty() || duty.0.len() > LONGEST_NAME {
-            return Reply::No(format!("a duty's name has 1 to {LONGEST_NAME} bytes"));
+            return Reply::Refused(format!("a duty's name has 1 to {LONGEST_NAME} bytes"));
         }
         if self.stopping {
-            return Reply::No("this dispatcher stops".to_owned());
+            return Reply::Refused("this dispatcher stops".to_owned());
         }
         let (now, full) = (self.now, self.jobs.len() >= MOST_JOBS);
         match self.jobs.get_mut(&duty) {
             Some(other) if other.number != job => {
-                return Reply::No(format!("{} is wanted here by another job", duty.0));
+                return Reply::Refused(format!("{} is wanted here by another job", duty.0));
             }
             Some(same) => same.asked = now,
             None if full => {
-                return Reply::No(format!("{MOST_JOBS} jobs are held for here already"))
+                return Reply::Refused(format!("{MOST_JOBS} jobs are held for here already"))
             }
             None => {
                 self.jobs.insert(
@@ -292,7 +299,7 @@
                     },
                 );
                 self.watches
-                    .insert(duty.clone(), Watch::new(now, &mut self.rng));
+                    .insert(duty.clone(), LeaseObserver::new(now, &mut self.rng));
                 // Whoever asks first for a new duty comes first.
                 if let Some(watch) = self.watches.get_mut(&duty) {
                     watch.place = Some(0);
@@ -314,7 +321,7 @@
 
     fn begin_inspection(
         &mut self,
-        call: CallNo,
+        call: CallId,
         asked: BTreeMap<Name, Address>,
         wish: Option<(Name, Address)>,
         out: &mut Vec<Output>,
@@ -339,7 +346,7 @@
 
     pub(super) fn inspected(
         &mut self,
-        call: CallNo,
+        call: CallId,
         of: &Name,
         seen: Option<Seen>,
         _: &mut [Output],
@@ -353,7 +360,7 @@
     pub(super) fn inspect(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let over = |i: &Inspection| i.found.len() >= i.asked.len() || now >= i.until;
-        let ended: Vec<CallNo> = self
+        let ended: Vec<CallId> = self
             .inspecting
             .iter()
             .filter(|(_, i)| over(i))
@@ -374,17 +381,17 @@
                         let why = format!("{} does not answer as a voter at {}", name.0, address.0);
                         out.push(Output::Answer {
                             call,
-                            answer: Answer::Reply(Reply::No(why)),
+                            answer: Answer::Reply(Reply::Refused(why)),
                         });
                         continue;
                     };
-                    let seat = Seat {
+                    let seat = VoterRecord {
                         life,
                         address: address.clone(),
                     };
                     self.wish(
                         call,
-                        Change::AddVoter {
+                        Command::AddVoter {
                             name: name.clone(),
                             seat,
                         },
@@ -434,17 +441,20 @@
                 .collect(),
             true => self.settings.voters.iter().map(line).collect(),
         };
-        let answered = |name: &Name, _: &Seat| voters.iter().any(|v| v.name == *name && v.votes);
-        let duty = |(duty, row): (&Duty, &super::super::agreed::Held)| {
+        let answered =
+            |name: &Name, _: &VoterRecord| voters.iter().any(|v| v.name == *name && v.votes);
+        let duty = |(duty, row): (&LeaseName, &super::super::agreed::LeaseRecord)| {
             (duty.clone(), row.term, row.holder.clone())
         };
         let least = self.settings.beat;
         let roll = self.roll.as_ref();
-        let member = |(name, member): (&Name, &crate::fleet::rollcall::Member)| RollLine {
+        let member = |(name, member): (&Name, &crate::fleet::rollcall::Member)| MemberLine {
             name: name.clone(),
             zone: member.beat.zone.clone(),
             label: member.beat.label.clone(),
-            standing: roll.map_or(Standing::Out, |roll| roll.standing(self.now, member, least)),
+            standing: roll.map_or(MemberStatus::Dead, |roll| {
+                roll.standing(self.now, member, least)
+            }),
             ready: member.beat.ready,
             up: member.beat.up + self.now - member.heard,
             age: self.now - member.heard,
@@ -476,7 +486,7 @@
         }
     }
 
-    pub(super) fn wish(&mut self, call: CallNo, change: Change) {
+    pub(super) fn wish(&mut self, call: CallId, change: Command) {
         let until = self.now + WITHIN;
         self.wishes.push(Wish {
             call,
@@ -487,9 +497,9 @@
 
     pub(super) fn wish_done(
         &mut self,
-        call: CallNo,
-        done: Result<(), Refusal>,
-        value: Option<&Agreed>,
+        call: CallId,
+        done: Result<(), CommandError>,
+        value: Option<&ReplicatedState>,
         out: &mut Vec<Output>,
     ) {
         let Some(at) = self.wishes.iter().position(|w| w.call == call) else {
@@ -497,9 +507,9 @@
         };
         let wish = self.wishes.remove(at);
         let (name, what) = match &wish.change {
-            Change::AddVoter { name, .. } => (name.0.clone(), "votes from now on"),
-            Change::RemoveVoter { name } => (name.0.clone(), "votes no more"),
-            Change::Word(word) => {
+            Command::AddVoter { name, .. } => (name.0.clone(), "votes from now on"),
+            Command::RemoveVoter { name } => (name.0.clone(), "votes no more"),
+            Command::OperatorCommand(word) => {
                 let answer = Answer::Reply(self.word_said(word, done, value));
                 out.push(Output::Answer { call, answer });
                 return;
@@ -508,15 +518,19 @@
         };
         let reply = match done {
             Ok(()) => Reply::Done(format!("{name} {what}")),
-            Err(Refusal::Changing) => Reply::No("another change of voters is under way".to_owned()),
-            Err(Refusal::AlreadySo) => Reply::No(format!("{name} {what} already, or is none")),
-            Err(Refusal::TooFew) => {
-                Reply::No("fewer than 3 voters would be left: add one first".to_owned())
+            Err(CommandError::VoterChangeInProgress) => {
+                Reply::Refused("another change of voters is under way".to_owned())
+            }
+            Err(CommandError::AlreadySo) => {
+                Reply::Refused(format!("{name} {what} already, or is none"))
+            }
+            Err(CommandError::TooFew) => {
+                Reply::Refused("fewer than 3 voters would be left: add one first".to_owned())
             }
-            Err(Refusal::TooMany) => {
-                Reply::No("7 voters are the most: remove one first".to_owned())
+            Err(CommandError::TooMany) => {
+                Reply::Refused("7 voters are the most: remove one first".to_owned())
             }
-            Err(_) => Reply::No("nothing was changed".to_owned()),
+            Err(_) => Reply::Refused("nothing was changed".to_owned()),
         };
         out.push(Output::Answer {
             call,
@@ -526,7 +540,7 @@
 
     pub(super) fn wishes_too_late(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let late: Vec<CallNo> = self
+        let late: Vec<CallId> = self
             .wishes
             .iter()
             .filter(|w| w.until <= now)
@@ -538,7 +552,7 @@
                 .to_owned();
             out.push(Output::Answer {
                 call,
-                answer: Answer::Reply(Reply::No(why)),
+                answer: Answer::Reply(Reply::Refused(why)),
             });
         }
     }
--- a/src/fleet/member/releasing.rs
+++ b/src/fleet/member/releasing.rs
@@ -2,13 +2,20 @@
 //! the halt, which any dispatcher may give.
 
 use super::*;
-use crate::fleet::acts::Verdict;
-use crate::fleet::agreed::Refusal;
-use crate::fleet::bounds::{sizes_seen, Bounds, Counts, Of, Sizes, Stand, Tally, Unit};
-use crate::fleet::conduct::{stage, told_at, waves, Conduct, Stage, Told as TurnTold, View, Wants};
-use crate::fleet::planted::{is, Plant};
-use crate::fleet::release::{Care, Plan, Release, Step, Turn, TurnNo, Word};
-use crate::fleet::rollcall::Standing;
+use crate::fleet::acts::FencingDecision;
+use crate::fleet::agreed::CommandError;
+use crate::fleet::bounds::{
+    sizes_seen, Counts, DisruptionBudget, OutcomeCounts, ServiceStatus, Unit, UnitKind, ZoneSizes,
+};
+use crate::fleet::conduct::{
+    stage, told_at, waves, FleetView, PermitNotice as TurnTold, PermitRequest, PermitStage,
+    RolloutController,
+};
+use crate::fleet::planted::{is, InjectedFault};
+use crate::fleet::release::{
+    DisruptionPermit, DisruptionState, OperatorCommand, PermitId, Rollout, RolloutPlan, RolloutStep,
+};
+use crate::fleet::rollcall::MemberStatus;
 use std::collections::BTreeSet;
 
 /// The fleet is looked at so often in a beat, while there is something to look after.
@@ -31,7 +38,7 @@
 /// What the holder knows of turns' acts at one receiver.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct TurnActs {
-    known: Known,
+    known: ReceiverClock,
     out: bool,
     /// An act that was not answered may still come there before this.
     pub(super) unsure_until: Ms,
@@ -42,44 +49,44 @@
 pub(super) struct Halting {
     since: Ms,
     /// Turns as given at the halt: what their members said, whether they have begun.
-    said: BTreeMap<TurnNo, (Name, Option<bool>)>,
+    said: BTreeMap<PermitId, (Name, Option<bool>)>,
     next: Ms,
 }
 
 /// All of one dispatcher's part in turns and releases.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Releasing {
-    pub(super) tally: Tally,
+    pub(super) tally: OutcomeCounts,
     reports: Vec<EngineReport>,
     /// Engines as its own list has them.
     engines: Vec<Unit>,
-    conduct: Option<Conduct>,
+    conduct: Option<RolloutController>,
     next_look: Ms,
-    step: Option<Step>,
-    tell: Vec<TurnNo>,
-    revoke: Vec<TurnNo>,
+    step: Option<RolloutStep>,
+    tell: Vec<PermitId>,
+    revoke: Vec<PermitId>,
     pub(super) acts: BTreeMap<Address, TurnActs>,
     /// When a turn may be told again, and asked back again.
-    tells: BTreeMap<TurnNo, Ms>,
-    revokes: BTreeMap<TurnNo, Ms>,
+    tells: BTreeMap<PermitId, Ms>,
+    revokes: BTreeMap<PermitId, Ms>,
     wants: BTreeMap<Name, (String, Ms)>,
     halting: Option<Halting>,
     /// This process has its turn, and turns that it will not begin.
-    begun: Option<TurnNo>,
-    revoked: BTreeSet<TurnNo>,
+    begun: Option<PermitId>,
+    revoked: BTreeSet<PermitId>,
     /// For planted faults: a halt that nobody else knows, turns that are not agreed on.
     alone: bool,
-    unagreed: Vec<Turn>,
+    unagreed: Vec<DisruptionPermit>,
 }
 
 impl Member {
     /// The roll-call, as a duty.
-    fn roll_call() -> Duty {
-        Duty::from(ROLL_CALL)
+    fn roll_call() -> LeaseName {
+        LeaseName::from(ROLL_CALL)
     }
 
-    pub(super) fn fares(&mut self, fares: Fares) {
-        let Fares {
+    pub(super) fn fares(&mut self, fares: LocalHealth) {
+        let LocalHealth {
             ready,
             load,
             tally,
@@ -108,7 +115,7 @@
     }
 
     /// What is agreed on, as this dispatcher last knew it for certain.
-    fn agreed_care(&self) -> Option<&Care> {
+    fn agreed_care(&self) -> Option<&DisruptionState> {
         self.agreed.as_ref().map(|value| &*value.care)
     }
 
@@ -120,9 +127,9 @@
         newest || self.care.alone || self.agreed_care().is_none_or(|care| care.halted.is_some())
     }
 
-    fn view_of_fleet(&self) -> View {
+    fn view_of_fleet(&self) -> FleetView {
         let Some(roll) = &self.roll else {
-            return View::default();
+            return FleetView::default();
         };
         let (now, least) = (self.now, self.settings.beat);
         let dispatcher = |(name, member): (&Name, &crate::fleet::rollcall::Member)| Unit {
@@ -135,10 +142,10 @@
             role: None,
             label: member.beat.label.clone(),
             stand: match roll.standing(now, member, least) {
-                Standing::Suspected | Standing::Out => Stand::Out,
-                _ if member.beat.stopping => Stand::Going,
-                _ if !member.beat.ready => Stand::Coming,
-                _ => Stand::In,
+                MemberStatus::Suspected | MemberStatus::Dead => ServiceStatus::OutOfService,
+                _ if member.beat.stopping => ServiceStatus::Draining,
+                _ if !member.beat.ready => ServiceStatus::Starting,
+                _ => ServiceStatus::InService,
             },
             used: None,
             tally: member.beat.tally,
@@ -158,7 +165,7 @@
                 ..unit.clone()
             }
         };
-        View {
+        FleetView {
             dispatchers: roll.members().map(dispatcher).collect(),
             engines: self.care.engines.iter().map(engine).collect(),
             whole: now - roll.since >= WHOLE_AFTER * roll.beat_every(least),
@@ -203,8 +210,8 @@
             self.voters_now(),
             self.settings.me.clone(),
         );
-        let wants: Vec<Wants> = (self.care.wants.iter())
-            .map(|(name, (label, _))| Wants {
+        let wants: Vec<PermitRequest> = (self.care.wants.iter())
+            .map(|(name, (label, _))| PermitRequest {
                 name: name.clone(),
                 label: label.clone(),
             })
@@ -212,7 +219,7 @@
         let conduct = self
             .care
             .conduct
-            .get_or_insert_with(|| Conduct::begin(&care));
+            .get_or_insert_with(|| RolloutController::begin(&care));
         let own = &self.settings.bounds.0;
         let step = conduct.next(now, &care, &view, (&me, &voters), (&wants, own));
         let (tell, revoke) = (
@@ -222,7 +229,9 @@
         // What an operator halted here is not known to the others, with the fault that is planted.
         self.care.step = step.filter(|_| !self.care.alone);
         (self.care.tell, self.care.revoke) = (tell, revoke);
-        if let (true, Some(Step::Grant(turns))) = (is(Plant::ToldBeforeAgreed), &self.care.step) {
+        if let (true, Some(RolloutStep::Grant(turns))) =
+            (is(InjectedFault::ToldBeforeAgreed), &self.care.step)
+        {
             self.care.unagreed = turns.clone();
         }
     }
@@ -248,7 +257,7 @@
     }
 
     /// The step that the caller of the roll wants agreed on.
-    pub(super) fn wanted_step(&self) -> Option<(Purpose, Change)> {
+    pub(super) fn wanted_step(&self) -> Option<(Purpose, Command)> {
         let duty = Self::roll_call();
         let hold = self
             .holds
@@ -257,8 +266,8 @@
         let step = self.care.step.clone()?;
         let (term, who) = (hold.term, self.me());
         Some((
-            Purpose::Step,
-            Change::Step {
+            Purpose::RolloutStep,
+            Command::RolloutStep {
                 duty,
                 term,
                 who,
@@ -286,9 +295,9 @@
         else {
             return;
         };
-        if is(Plant::ToldBeforeAgreed) {
+        if is(InjectedFault::ToldBeforeAgreed) {
             for turn in std::mem::take(&mut self.care.unagreed) {
-                self.tell_turn(TurnNo(u64::MAX), &turn, hold, out);
+                self.tell_turn(PermitId(u64::MAX), &turn, hold, out);
             }
         }
         let Some(care) = self.agreed_care().cloned() else {
@@ -329,9 +338,15 @@
             .retain(|number, _| care.turns.contains_key(number));
     }
 
-    fn tell_turn(&mut self, number: TurnNo, turn: &Turn, hold: Hold, out: &mut Vec<Output>) {
+    fn tell_turn(
+        &mut self,
+        number: PermitId,
+        turn: &DisruptionPermit,
+        hold: HeldLease,
+        out: &mut Vec<Output>,
+    ) {
         let told = TurnTold::new(number, turn);
-        if turn.of == Of::Dispatchers && turn.who == self.settings.me {
+        if turn.of == UnitKind::Dispatchers && turn.who == self.settings.me {
             // Its own turn: the roll-call goes to another first.
             return self.told_turn(&told, out);
         }
@@ -358,7 +373,7 @@
         self.acts += 1;
         let (term, holder, act) = (hold.term, self.me(), self.acts);
         let body = told.write();
-        let act = Act {
+        let act = FencedCommand {
             duty: Self::roll_call(),
             term,
             holder,
@@ -370,7 +385,7 @@
         self.count("turns told");
         self.ask(
             to.clone(),
-            Question::Act(act),
+            Question::FencedCommand(act),
             Errand::TurnAct { to, turn: number },
             out,
         );
@@ -379,8 +394,8 @@
     pub(super) fn turn_told(
         &mut self,
         to: &Address,
-        turn: TurnNo,
-        answer: Option<(Verdict, Ticket)>,
+        turn: PermitId,
+        answer: Option<(FencingDecision, ReceiverTimestamp)>,
         out: &mut Vec<Output>,
     ) {
         let now = self.now;
@@ -393,15 +408,21 @@
         };
         acts.known.answered(now, ticket);
         acts.unsure_until = f64::NEG_INFINITY;
-        if verdict == Verdict::Unknown {
+        if verdict == FencingDecision::TimestampMissing {
             self.care.tells.remove(&turn);
         }
         // The next one for the same receiver, or the same with a ticket.
         self.tell_turns(out);
     }
 
-    fn ask_back(&mut self, number: TurnNo, turn: &Turn, errand: Errand, out: &mut Vec<Output>) {
-        let mine = turn.of == Of::Dispatchers && turn.who == self.settings.me;
+    fn ask_back(
+        &mut self,
+        number: PermitId,
+        turn: &DisruptionPermit,
+        errand: Errand,
+        out: &mut Vec<Output>,
+    ) {
+        let mine = turn.of == UnitKind::Dispatchers && turn.who == self.settings.me;
         if mine {
             let begun = self.asked_back(number, turn.run);
             return self.answered(errand, Some(Answer::Begun { begun }), out);
@@ -423,7 +444,7 @@
     }
 
     /// Whether a turn of this process has begun; it will not, if it has not.
-    pub(super) fn asked_back(&mut self, turn: TurnNo, run: Run) -> bool {
+    pub(super) fn asked_back(&mut self, turn: PermitId, run: Incarnation) -> bool {
         if run != self.settings.run || self.care.begun == Some(turn) {
             // Another process had it: that one is gone.
             return true;
@@ -436,7 +457,7 @@
     }
 
     /// An act that was obeyed here.
-    pub(super) fn obeyed(&mut self, act: &Act, out: &mut Vec<Output>) {
+    pub(super) fn obeyed(&mut self, act: &FencedCommand, out: &mut Vec<Output>) {
         if act.duty.0.as_ref() == ROLL_CALL {
             if let Some(told) = TurnTold::read(&act.body) {
                 self.told_turn(&told, out);
@@ -445,7 +466,7 @@
     }
 
     fn told_turn(&mut self, told: &TurnTold, out: &mut Vec<Output>) {
-        let mine = told.of == Of::Dispatchers
+        let mine = told.of == UnitKind::Dispatchers
             && told.who == self.settings.me
             && told.run == self.settings.run;
         if !mine || self.care.revoked.contains(&told.number) {
@@ -456,7 +477,7 @@
             self.count("turns begun");
             self.leave_service(out);
             let (turn, label) = (told.number, told.label.clone());
-            out.push(Output::Turn { turn, label });
+            out.push(Output::PermitGranted { turn, label });
         }
     }
 
@@ -489,7 +510,7 @@
     }
 
     /// A halt that this dispatcher gave is agreed on.
-    fn halt_agreed(&mut self, value: &Agreed) {
+    fn halt_agreed(&mut self, value: &ReplicatedState) {
         let said = value
             .care
             .turns
@@ -511,7 +532,7 @@
             return;
         }
         halting.next = self.now + self.settings.answer_within;
-        let open: Vec<TurnNo> = halting
+        let open: Vec<PermitId> = halting
             .said
             .iter()
             .filter(|(_, s)| s.1.is_none())
@@ -575,14 +596,16 @@
                 .filter(|(_, h)| h.run != self.settings.run)
             {
                 Some((_, holder)) => Reply::Elsewhere(holder.address.clone()),
-                None => Reply::No("nobody calls the roll now: try again in a moment".to_owned()),
+                None => {
+                    Reply::Refused("nobody calls the roll now: try again in a moment".to_owned())
+                }
             },
         )
     }
 
     /// What an operator orders of turns and releases. None: it is answered once voters have been asked.
-    pub(super) fn order_release(&mut self, call: CallNo, order: ReleaseOrder) -> Option<Reply> {
-        if let ReleaseOrder::Halt { why } = order {
+    pub(super) fn order_release(&mut self, call: CallId, order: RolloutRequest) -> Option<Reply> {
+        if let RolloutRequest::Halt { why } = order {
             return self.order_halt(call, why);
         }
         if let Some(reply) = self.not_the_caller() {
@@ -595,22 +618,22 @@
             .map_or(0.0, |roll| roll.beat_every(self.settings.beat));
         let young = roll.is_none_or(|since| self.now - since < WHOLE_AFTER * every);
         let view = self.view_of_fleet();
-        let sizes_of = |of: Of| sizes_seen(view.units(of).iter());
+        let sizes_of = |of: UnitKind| sizes_seen(view.units(of).iter());
         let word = match order {
-            ReleaseOrder::Halt { .. } => return None,
-            ReleaseOrder::Turn {
+            RolloutRequest::Halt { .. } => return None,
+            RolloutRequest::Permit {
                 name,
                 label,
                 refused,
             } => return Some(self.order_turn(name, label, refused, young)),
-            ReleaseOrder::End => Word::End,
+            RolloutRequest::End => OperatorCommand::End,
             _ if young => {
                 let why =
                     "the roll is not whole yet, a holder has just begun: try again in a moment";
-                return Some(Reply::No(why.to_owned()));
+                return Some(Reply::Refused(why.to_owned()));
             }
-            ReleaseOrder::Start { plan, skip, dry } => {
-                let bounds = if plan.of == Of::Engines {
+            RolloutRequest::Start { plan, skip, dry } => {
+                let bounds = if plan.of == UnitKind::Engines {
                     self.settings.bounds.1
                 } else {
                     self.settings.bounds.0
@@ -626,12 +649,12 @@
                 }
                 let units = view.units(plan.of);
                 if let Err(why) = self.fits(&plan, &bounds, units, &sizes, skip) {
-                    return Some(Reply::No(why));
+                    return Some(Reply::Refused(why));
                 }
                 if dry {
                     return Some(Reply::Done(told_waves(&plan, &bounds, units, &sizes)));
                 }
-                let release = Release {
+                let release = Rollout {
                     plan: *plan,
                     bounds,
                     by: self.settings.me.clone(),
@@ -644,18 +667,18 @@
                     left: BTreeMap::new(),
                     turned: 0,
                 };
-                Word::Start(Box::new(release))
+                OperatorCommand::Start(Box::new(release))
             }
-            ReleaseOrder::Resume => Word::Resume,
-            ReleaseOrder::Back => Word::Back,
-            ReleaseOrder::Recount { of } => Word::Recount(of, sizes_of(of)),
+            RolloutRequest::Resume => OperatorCommand::Resume,
+            RolloutRequest::RollBack => OperatorCommand::RollBack,
+            RolloutRequest::Recount { of } => OperatorCommand::Recount(of, sizes_of(of)),
         };
-        self.wish(call, Change::Word(word));
+        self.wish(call, Command::OperatorCommand(word));
         None
     }
 
-    fn order_halt(&mut self, call: CallNo, why: String) -> Option<Reply> {
-        if is(Plant::HaltByHolderAlone) && self.holds.contains_key(&Self::roll_call()) {
+    fn order_halt(&mut self, call: CallId, why: String) -> Option<Reply> {
+        if is(InjectedFault::HaltByHolderAlone) && self.holds.contains_key(&Self::roll_call()) {
             self.care.alone = true;
             return Some(Reply::Done("halted".to_owned()));
         }
@@ -666,10 +689,10 @@
                     self.care.halting = None;
                     Reply::Done(words)
                 }
-                Err(words) => Reply::Waits(words),
+                Err(words) => Reply::Pending(words),
             }),
             None => {
-                self.wish(call, Change::Word(Word::Halt(why)));
+                self.wish(call, Command::OperatorCommand(OperatorCommand::Halt(why)));
                 None
             }
         }
@@ -678,13 +701,13 @@
     fn order_turn(&mut self, name: Name, label: String, refused: bool, young: bool) -> Reply {
         let turn = self
             .agreed_care()
-            .and_then(|care| care.turn_of(Of::Dispatchers, &name));
+            .and_then(|care| care.turn_of(UnitKind::Dispatchers, &name));
         if let Some((number, turn)) = turn {
             let view = self.view_of_fleet();
             let unit = view.dispatchers.iter().find(|u| u.name == name);
             return match stage(turn, unit) {
-                Stage::Granted => {
-                    Reply::Waits(format!("turn {} is given and being told", number.0))
+                PermitStage::Granted => {
+                    Reply::Pending(format!("turn {} is given and being told", number.0))
                 }
                 _ => Reply::Done(format!("turn {}: {} drains and ends", number.0, turn.who.0)),
             };
@@ -699,25 +722,25 @@
             .is_none_or(|roll| roll.address(&name).is_none())
         {
             return match young {
-                true => Reply::Waits("the roll is not whole yet".to_owned()),
-                false => Reply::No(format!("the roll-call knows no {}", name.0)),
+                true => Reply::Pending("the roll is not whole yet".to_owned()),
+                false => Reply::Refused(format!("the roll-call knows no {}", name.0)),
             };
         }
         if self.care.wants.len() >= MOST_WANTS {
-            return Reply::No("too many wait for a turn".to_owned());
+            return Reply::Refused("too many wait for a turn".to_owned());
         }
         self.care.wants.insert(name, (label, self.now + WANTS_FOR));
         let why = self.care.conduct.as_ref().and_then(|c| c.why.clone());
-        Reply::Waits(why.unwrap_or_else(|| "waiting".to_owned()))
+        Reply::Pending(why.unwrap_or_else(|| "waiting".to_owned()))
     }
 
     /// Whether a plan can be carried out, here and now.
     fn fits(
         &self,
-        plan: &Plan,
-        bounds: &Bounds,
+        plan: &RolloutPlan,
+        bounds: &DisruptionBudget,
         units: &[Unit],
-        sizes: &Sizes,
+        sizes: &ZoneSizes,
         skip: bool,
     ) -> Result<(), String> {
         let there = |name: &&Name| units.iter().any(|u| u.name == **name);
@@ -728,7 +751,7 @@
             .map(|n| &*n.0)
             .collect();
         if !missing.is_empty() && !skip {
-            let what = if plan.of == Of::Engines {
+            let what = if plan.of == UnitKind::Engines {
                 "the list"
             } else {
                 "the roll-call"
@@ -741,7 +764,7 @@
         if !units.iter().any(|u| plan.takes(u)) {
             return Err("the plan means nobody who is there".to_owned());
         }
-        if plan.of == Of::Engines && self.settings.keeper.is_none() {
+        if plan.of == UnitKind::Engines && self.settings.keeper.is_none() {
             return Err(
                 "the settings of the fleet have no 'keeper' to list hosts as draining".to_owned(),
             );
@@ -756,42 +779,46 @@
     /// What came of an operator's word.
     pub(super) fn word_said(
         &mut self,
-        word: &Word,
-        done: Result<(), Refusal>,
-        value: Option<&Agreed>,
+        word: &OperatorCommand,
+        done: Result<(), CommandError>,
+        value: Option<&ReplicatedState>,
     ) -> Reply {
         let done = done.map(|()| match word {
-            Word::Start(release) => format!("release {} begins", release.plan.name),
-            Word::Halt(_) => {
+            OperatorCommand::Start(release) => format!("release {} begins", release.plan.name),
+            OperatorCommand::Halt(_) => {
                 if let Some(value) = value {
                     self.halt_agreed(value);
                 }
                 String::new()
             }
-            Word::Resume => "it goes on".to_owned(),
-            Word::Back => "it goes back".to_owned(),
-            Word::End => "it is ended as it stands".to_owned(),
-            Word::Recount(of, sizes) => format!("{} {of} are counted", sizes.values().sum::<u32>()),
-            Word::Note(_) => "noted".to_owned(),
+            OperatorCommand::Resume => "it goes on".to_owned(),
+            OperatorCommand::RollBack => "it goes back".to_owned(),
+            OperatorCommand::End => "it is ended as it stands".to_owned(),
+            OperatorCommand::Recount(of, sizes) => {
+                format!("{} {of} are counted", sizes.values().sum::<u32>())
+            }
+            OperatorCommand::Note(_) => "noted".to_owned(),
         });
         self.care.next_look = self.now;
         match (word, done) {
-            (Word::Halt(_), Ok(_)) => {
-                Reply::Waits("halted; asking those whose turn may still begin".to_owned())
+            (OperatorCommand::Halt(_), Ok(_)) => {
+                Reply::Pending("halted; asking those whose turn may still begin".to_owned())
             }
             (_, Ok(words)) => Reply::Done(words),
-            (Word::Start(_), Err(Refusal::Busy)) => {
-                Reply::No("another release is not done: 'release status' shows it".to_owned())
+            (OperatorCommand::Start(_), Err(CommandError::Busy)) => {
+                Reply::Refused("another release is not done: 'release status' shows it".to_owned())
+            }
+            (OperatorCommand::Start(_), Err(CommandError::Stopped)) => {
+                Reply::Refused("halted: 'resume' first, or 'release end'".to_owned())
             }
-            (Word::Start(_), Err(Refusal::Stopped)) => {
-                Reply::No("halted: 'resume' first, or 'release end'".to_owned())
+            (OperatorCommand::Resume, Err(_)) => {
+                Reply::Refused("nothing is halted: there is nothing to go on with".to_owned())
             }
-            (Word::Resume, Err(_)) => {
-                Reply::No("nothing is halted: there is nothing to go on with".to_owned())
+            (OperatorCommand::RollBack, Err(_)) => {
+                Reply::Refused("there is nothing to go back on".to_owned())
             }
-            (Word::Back, Err(_)) => Reply::No("there is nothing to go back on".to_owned()),
-            (Word::End, Err(_)) => Reply::No("no release is under way".to_owned()),
-            (_, Err(why)) => Reply::No(format!("nothing was changed ({why:?})")),
+            (OperatorCommand::End, Err(_)) => Reply::Refused("no release is under way".to_owned()),
+            (_, Err(why)) => Reply::Refused(format!("nothing was changed ({why:?})")),
         }
     }
 
@@ -799,7 +826,7 @@
     /// agrees again; the member itself ends.
     pub(super) fn order_by_hand(
         &mut self,
-        call: CallNo,
+        call: CallId,
         who: Name,
         address: Option<Address>,
         why: String,
@@ -811,8 +838,8 @@
             )));
             self.count("stopped by hand");
             self.leave_service(out);
-            out.push(Output::Turn {
-                turn: TurnNo(0),
+            out.push(Output::PermitGranted {
+                turn: PermitId(0),
                 label: String::new(),
             });
             return Some(Reply::Done(format!("{} drains and ends", who.0)));
@@ -826,21 +853,21 @@
             .or(known)
             .or(self.settings.voters.get(&who).cloned())
         else {
-            return Some(Reply::No(format!(
+            return Some(Reply::Refused(format!(
                 "nobody here knows where {} is: name its address",
                 who.0
             )));
         };
         let note = format!("{} was stopped by hand, without agreement: {why}", who.0);
         out.push(Output::Warn(note.clone()));
-        let order = Order::ByHand {
+        let order = OperatorRequest::ByHand {
             who,
             address: None,
             why,
         };
         self.ask(
             to,
-            Question::Order(order),
+            Question::Operator(order),
             Errand::ByHand { call, note },
             out,
         );
@@ -850,7 +877,7 @@
     /// The member that was to be stopped by hand answered.
     pub(super) fn stopped_by_hand(
         &mut self,
-        call: CallNo,
+        call: CallId,
         note: String,
         reply: Option<Reply>,
         out: &mut Vec<Output>,
@@ -859,16 +886,16 @@
             Some(Reply::Done(words)) => {
                 self.asks += 1;
                 // Nobody waits for this: a number that no call has.
-                let call = CallNo(u64::MAX - self.asks);
+                let call = CallId(u64::MAX - self.asks);
                 self.wishes.push(Wish {
                     call,
-                    change: Change::Word(Word::Note(note)),
+                    change: Command::OperatorCommand(OperatorCommand::Note(note)),
                     until: f64::INFINITY,
                 });
                 Reply::Done(format!("{words}; noted once the fleet agrees"))
             }
-            Some(Reply::No(why)) => Reply::No(why),
-            _ => Reply::No("it does not answer".to_owned()),
+            Some(Reply::Refused(why)) => Reply::Refused(why),
+            _ => Reply::Refused("it does not answer".to_owned()),
         };
         out.push(Output::Answer {
             call,
@@ -877,24 +904,24 @@
     }
 
     /// The release as operators see it.
-    pub(super) fn care_status(&self) -> CareStatus {
+    pub(super) fn care_status(&self) -> RolloutStatus {
         let Some(care) = self
             .agreed_care()
             .or(self.newest().map(|value| &*value.care))
         else {
-            return CareStatus::default();
+            return RolloutStatus::default();
         };
         let view = self.view_of_fleet();
         let conduct = self.care.conduct.as_ref();
-        let line = |(number, turn): (&TurnNo, &Turn)| {
+        let line = |(number, turn): (&PermitId, &DisruptionPermit)| {
             let unit = view.units(turn.of).iter().find(|u| u.name == turn.who);
             let at = match stage(turn, unit) {
                 _ if self.roll.is_none() => "given",
-                Stage::Granted => "given",
-                Stage::Begun => "out",
-                Stage::Starting => "starting",
-                Stage::Back => "back",
-                Stage::Wrong => "back under another label",
+                PermitStage::Granted => "given",
+                PermitStage::Draining => "out",
+                PermitStage::Starting => "starting",
+                PermitStage::Returned => "back",
+                PermitStage::WrongVersion => "back under another label",
             };
             (*number, turn.who.clone(), turn.zone.clone(), at.to_owned())
         };
@@ -909,10 +936,10 @@
             Some(_) if why.is_some() && care.turns.is_empty() => "held",
             Some(_) => "running",
         };
-        let of = release.map_or(Of::Dispatchers, |r| r.plan.of);
+        let of = release.map_or(UnitKind::Dispatchers, |r| r.plan.of);
         let bounds = release.map_or(&self.settings.bounds.0, |r| &r.bounds);
         let meant = |u: &&Unit| release.is_some_and(|r| r.plan.takes(u));
-        CareStatus {
+        RolloutStatus {
             name: release.map(|r| r.plan.name.clone()).unwrap_or_default(),
             of,
             state: state.to_owned(),
@@ -940,7 +967,12 @@
     }
 }
 
-fn told_waves(plan: &Plan, bounds: &Bounds, units: &[Unit], sizes: &Sizes) -> String {
+fn told_waves(
+    plan: &RolloutPlan,
+    bounds: &DisruptionBudget,
+    units: &[Unit],
+    sizes: &ZoneSizes,
+) -> String {
     let waves = waves(plan, bounds, units, sizes);
     let mut out = format!("release {} of {}, as they are now:\n", plan.name, plan.of);
     for (at, wave) in waves.iter().enumerate() {
--- a/src/fleet/member/voting.rs
+++ b/src/fleet/member/voting.rs
@@ -1,12 +1,16 @@
 //! The voter's side: its file, the first start, and whether it may vote.
 
 use super::*;
-use crate::fleet::agreed::Seat;
-use crate::fleet::planted::{is, Plant};
+use crate::fleet::agreed::VoterRecord;
+use crate::fleet::planted::{is, InjectedFault};
 use nanorand::Rng;
 
 impl Member {
-    pub(super) fn loaded(&mut self, file: Result<Option<Kept>, String>, out: &mut Vec<Output>) {
+    pub(super) fn loaded(
+        &mut self,
+        file: Result<Option<AcceptorState>, String>,
+        out: &mut Vec<Output>,
+    ) {
         match file {
             Ok(Some(kept)) if kept.name == self.settings.me => {
                 self.lasts = true;
@@ -15,7 +19,7 @@
                     self.saw(Some(ballot.clone()), value.clone());
                 }
                 self.durable = Some(Box::new(kept.clone()));
-                self.voter = Some(Voter::back(kept));
+                self.voter = Some(Acceptor::back(kept));
                 self.file = File::Good;
             }
             Ok(Some(kept)) => {
@@ -39,8 +43,8 @@
 
     /// A voter that never voted, under a new life.
     fn be_born(&mut self, out: &mut Vec<Output>) {
-        let life = Life(self.rng.generate::<u64>() | 1);
-        self.voter = Some(Voter::new(self.settings.me.clone(), life));
+        let life = VoterId(self.rng.generate::<u64>() | 1);
+        self.voter = Some(Acceptor::new(self.settings.me.clone(), life));
         (self.lasts, self.confirmed) = (false, Vec::new());
         self.save(out);
     }
@@ -60,7 +64,7 @@
             return;
         };
         self.saves += 1;
-        let (number, kept) = (SaveNo(self.saves), Box::new(voter.kept.clone()));
+        let (number, kept) = (SaveId(self.saves), Box::new(voter.kept.clone()));
         self.under_way = Some(kept.clone());
         out.push(Output::Save { number, kept });
         self.saving = Some(number);
@@ -68,7 +72,7 @@
         self.count("saves");
     }
 
-    pub(super) fn saved(&mut self, number: SaveNo, lasts: bool, out: &mut Vec<Output>) {
+    pub(super) fn saved(&mut self, number: SaveId, lasts: bool, out: &mut Vec<Output>) {
         if self.saving != Some(number) {
             return;
         }
@@ -95,14 +99,23 @@
         }
     }
 
-    pub(super) fn vote(&mut self, call: CallNo, ask: &register::Ask, out: &mut Vec<Output>) {
+    pub(super) fn vote(
+        &mut self,
+        call: CallId,
+        ask: &register::AcceptorRequest,
+        out: &mut Vec<Output>,
+    ) {
         let said = self
             .voter
             .as_mut()
             .filter(|_| self.lasts)
             .map(|voter| voter.asked(ask));
-        let (said, save) = said.unwrap_or((Said::NoVote, false));
-        if let (Said::Took { .. }, register::Ask::Take { ballot, value, .. }) = (&said, ask) {
+        let (said, save) = said.unwrap_or((AcceptorReply::NotVoting, false));
+        if let (
+            AcceptorReply::Accepted { .. },
+            register::AcceptorRequest::Accept { ballot, value, .. },
+        ) = (&said, ask)
+        {
             self.saw(Some(ballot.clone()), value.clone());
         }
         let answer = Answer::Vote(said);
@@ -111,7 +124,7 @@
         // that it was asked would keep the disk busy until the question's time is up.
         if !save || self.durable.as_deref() == kept {
             out.push(Output::Answer { call, answer });
-        } else if is(Plant::SaidBeforeKept) {
+        } else if is(InjectedFault::SaidBeforeKept) {
             out.push(Output::Answer { call, answer });
             self.save(out);
         } else if self.under_way.as_deref() == kept {
@@ -120,7 +133,7 @@
             self.after_next.push((call, answer));
             self.save(out);
         }
-        let old = |v: &Voter| !v.votes && !self.checking();
+        let old = |v: &Acceptor| !v.votes && !self.checking();
         if self.voter.as_ref().is_some_and(old) {
             self.forget(out);
         }
@@ -154,7 +167,7 @@
 
     /// Whether the voter is not sure of itself: it knows of no first start, or has to ask whether its file is old.
     fn wants_care(&self) -> bool {
-        let unsure = |v: &Voter| {
+        let unsure = |v: &Acceptor| {
             let blank = v.kept.founding.is_none() && v.kept.promised.is_none();
             !self.lasts || !v.votes || (blank && self.settings.voters.contains_key(&v.kept.name))
         };
@@ -204,7 +217,7 @@
         }
         let me = self.settings.me.clone();
         self.confirmed.push(by);
-        let confirmed = |name: &Name, _: &Seat| *name == me || self.confirmed.contains(name);
+        let confirmed = |name: &Name, _: &VoterRecord| *name == me || self.confirmed.contains(name);
         let taken = voter.kept.taken.as_ref().map(|(_, value)| &value.voters);
         let voters = taken.or(voter.kept.founding.as_ref());
         // All of the others, or a majority once there was time for all: who lags behind may have heard of nothing.
@@ -232,7 +245,7 @@
 
     /// The first start: a blank voter that has heard every other voter of the settings knows their lives. One that
     /// hears of a first start that was takes that; it votes if that names its life, else it waits to be let in.
-    fn found(&mut self, of: &Name, life: Option<Life>, out: &mut Vec<Output>) {
+    fn found(&mut self, of: &Name, life: Option<VoterId>, out: &mut Vec<Output>) {
         let founding = self.founding.clone();
         let Some(voter) = self
             .voter
@@ -267,7 +280,7 @@
             life_of(name).map(|life| {
                 (
                     name.clone(),
-                    Seat {
+                    VoterRecord {
                         life,
                         address: address.clone(),
                     },
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -31,11 +31,11 @@
 
 /// Work that one dispatcher does at a time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Duty(pub Arc<str>);
+pub struct LeaseName(pub Arc<str>);
 
 /// One process of a name: drawn anew at each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Run(pub u64);
+pub struct Incarnation(pub u64);
 
 /// Counts the holders of a duty; only grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -53,20 +53,20 @@
     }
 }
 
-impl From<&str> for Duty {
+impl From<&str> for LeaseName {
     fn from(text: &str) -> Self {
-        Duty(Arc::from(text))
+        LeaseName(Arc::from(text))
     }
 }
 
 /// A clock's reading made fit to count with: it never goes back, and tells when the clock did.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Steady {
+pub struct MonotonicClock {
     read: Option<Ms>,
     at: Ms,
 }
 
-impl Steady {
+impl MonotonicClock {
     /// Takes a reading. Gives this clock's own time, and whether the clock went back.
     pub fn take(&mut self, read: Ms) -> (Ms, bool) {
         let passed = self.read.map_or(0.0, |before| read - before);
--- a/src/fleet/planted.rs
+++ b/src/fleet/planted.rs
@@ -3,7 +3,7 @@
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// A voter answers before what it says lasts.
     SaidBeforeKept,
     /// A process that starts again uses the ballots of the one before.
@@ -50,54 +50,54 @@
     LabelUnchecked,
 }
 
-impl Plant {
-    pub const ALL: [Plant; 14] = [
-        Plant::SaidBeforeKept,
-        Plant::BallotAgain,
-        Plant::LeaseFromAnswer,
-        Plant::NoWait,
-        Plant::TermKept,
-        Plant::OldTermObeyed,
-        Plant::ReceiverForgot,
-        Plant::TwoChanges,
-        Plant::PauseUnnoticed,
-        Plant::PromiseBroken,
-        Plant::ValueOverlooked,
-        Plant::LossUnnoticed,
-        Plant::SleptWaiting,
-        Plant::ClockBackUnnoticed,
+impl InjectedFault {
+    pub const ALL: [InjectedFault; 14] = [
+        InjectedFault::SaidBeforeKept,
+        InjectedFault::BallotAgain,
+        InjectedFault::LeaseFromAnswer,
+        InjectedFault::NoWait,
+        InjectedFault::TermKept,
+        InjectedFault::OldTermObeyed,
+        InjectedFault::ReceiverForgot,
+        InjectedFault::TwoChanges,
+        InjectedFault::PauseUnnoticed,
+        InjectedFault::PromiseBroken,
+        InjectedFault::ValueOverlooked,
+        InjectedFault::LossUnnoticed,
+        InjectedFault::SleptWaiting,
+        InjectedFault::ClockBackUnnoticed,
     ];
 
     /// Faults of turns and releases.
-    pub const OF_RELEASES: [Plant; 8] = [
-        Plant::ToldBeforeAgreed,
-        Plant::TurnTwice,
-        Plant::FailuresUncounted,
-        Plant::HaltByHolderAlone,
-        Plant::BeginsAnew,
-        Plant::BackUnbound,
-        Plant::OldReportTaken,
-        Plant::LabelUnchecked,
+    pub const OF_RELEASES: [InjectedFault; 8] = [
+        InjectedFault::ToldBeforeAgreed,
+        InjectedFault::TurnTwice,
+        InjectedFault::FailuresUncounted,
+        InjectedFault::HaltByHolderAlone,
+        InjectedFault::BeginsAnew,
+        InjectedFault::BackUnbound,
+        InjectedFault::OldReportTaken,
+        InjectedFault::LabelUnchecked,
     ];
 }
 
 #[cfg(feature = "planted")]
 thread_local! {
-    static PLANTED: std::cell::Cell<Option<Plant>> = const { std::cell::Cell::new(None) };
+    static PLANTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
 /// Plants a fault in all that this thread runs, or takes it out.
 #[cfg(feature = "planted")]
-pub fn plant(plant: Option<Plant>) {
+pub fn plant(plant: Option<InjectedFault>) {
     PLANTED.set(plant);
 }
 
 #[cfg(feature = "planted")]
-pub fn is(plant: Plant) -> bool {
+pub fn is(plant: InjectedFault) -> bool {
     PLANTED.get() == Some(plant)
 }
 
 #[cfg(not(feature = "planted"))]
-pub const fn is(_: Plant) -> bool {
+pub const fn is(_: InjectedFault) -> bool {
     false
 }
--- a/src/fleet/register.rs
+++ b/src/fleet/register.rs
@@ -1,12 +1,14 @@
 //! Agreement on one value by ballots, without a log, in the manner of CASPaxos (D. Rystsov, 2018): a proposer asks
 //! a majority of the voters for what they took, works its change out on the newest, and has a majority take that.
 //!
-//! [`Voter`] keeps what it promised and took; what it answers goes out once that lasts. [`Round`] is one try of a
+//! [`Acceptor`] keeps what it promised and took; what it answers goes out once that lasts. [`Proposal`] is one try of a
 //! proposer. Both are plain state: small enough to be explored through every order of messages.
 
-use super::agreed::{Agreed, Change, Life, Refusal, Seat, Stamp, Voters};
-use super::planted::{is, Plant};
-use super::{Name, Run};
+use super::agreed::{
+    Command, CommandError, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
+};
+use super::planted::{is, InjectedFault};
+use super::{Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A try's number. No two processes share one, and no process uses one twice.
@@ -14,110 +16,110 @@
 pub struct Ballot {
     pub round: u64,
     pub by: Name,
-    pub run: Run,
+    pub run: Incarnation,
 }
 
 /// Writes of each voter that were heard of: a voter that is told of more than its own has an old file.
-pub type Writes = BTreeMap<(Name, Life), u64>;
+pub type WriteCounts = BTreeMap<(Name, VoterId), u64>;
 
 /// What a voter keeps in its file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct AcceptorState {
     pub name: Name,
-    pub life: Life,
+    pub life: VoterId,
     /// The voters of the first start, once all of them were heard.
     pub founding: Option<Voters>,
     pub promised: Option<Ballot>,
-    pub taken: Option<(Ballot, Agreed)>,
+    pub taken: Option<(Ballot, ReplicatedState)>,
     pub writes: u64,
     /// The others' writes as heard of.
-    pub heard: Writes,
+    pub heard: WriteCounts,
 }
 
 /// What a proposer asks a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Ask {
+pub enum AcceptorRequest {
     Prepare {
-        life: Life,
+        life: VoterId,
         ballot: Ballot,
-        heard: Writes,
+        heard: WriteCounts,
     },
-    Take {
-        life: Life,
+    Accept {
+        life: VoterId,
         ballot: Ballot,
-        value: Agreed,
-        heard: Writes,
+        value: ReplicatedState,
+        heard: WriteCounts,
     },
 }
 
 /// What a voter answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Said {
+pub enum AcceptorReply {
     Promise {
         ballot: Ballot,
-        taken: Option<(Ballot, Agreed)>,
+        taken: Option<(Ballot, ReplicatedState)>,
         writes: u64,
     },
-    Took {
+    Accepted {
         ballot: Ballot,
         writes: u64,
     },
     /// It promised another.
-    Outbid {
+    Conflict {
         promised: Ballot,
     },
     /// It does not vote, or not under this life.
-    NoVote,
+    NotVoting,
 }
 
-/// One voter. The caller has [`Voter::kept`] last before it passes an answer on that says so.
+/// One voter. The caller has [`Acceptor::kept`] last before it passes an answer on that says so.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Voter {
-    pub kept: Kept,
+pub struct Acceptor {
+    pub kept: AcceptorState,
     /// It may vote: its file is new, or others confirmed that it is not an old one.
     pub votes: bool,
 }
 
-impl Voter {
+impl Acceptor {
     /// With a new file.
-    pub fn new(name: Name, life: Life) -> Self {
-        let kept = Kept {
+    pub fn new(name: Name, life: VoterId) -> Self {
+        let kept = AcceptorState {
             name,
             life,
             founding: None,
             promised: None,
             taken: None,
             writes: 0,
-            heard: Writes::new(),
+            heard: WriteCounts::new(),
         };
-        Voter { kept, votes: true }
+        Acceptor { kept, votes: true }
     }
 
     /// With the file of an earlier process. It does not vote before others were asked whether it is old, unless
     /// it never said anything.
-    pub fn back(kept: Kept) -> Self {
+    pub fn back(kept: AcceptorState) -> Self {
         let votes = kept.promised.is_none();
-        Voter { kept, votes }
+        Acceptor { kept, votes }
     }
 
     /// The answer, and whether the file has to be written before it is given.
-    pub fn asked(&mut self, ask: &Ask) -> (Said, bool) {
+    pub fn asked(&mut self, ask: &AcceptorRequest) -> (AcceptorReply, bool) {
         let (life, ballot, heard) = match ask {
-            Ask::Prepare {
+            AcceptorRequest::Prepare {
                 life,
                 ballot,
                 heard,
             }
-            | Ask::Take {
+            | AcceptorRequest::Accept {
                 life,
                 ballot,
                 heard,
                 ..
             } => (life, ballot, heard),
         };
-        let known = is(Plant::LossUnnoticed) || *life == self.kept.life;
+        let known = is(InjectedFault::LossUnnoticed) || *life == self.kept.life;
         if !known || !self.votes || self.is_old(heard) {
-            return (Said::NoVote, false);
+            return (AcceptorReply::NotVoting, false);
         }
         for (who, writes) in heard {
             if who.0 != self.kept.name {
@@ -127,10 +129,10 @@
         }
         let promised = self.kept.promised.as_ref();
         match ask {
-            Ask::Prepare { .. } => {
+            AcceptorRequest::Prepare { .. } => {
                 if let Some(promised) = promised.filter(|p| *p > ballot) {
                     return (
-                        Said::Outbid {
+                        AcceptorReply::Conflict {
                             promised: promised.clone(),
                         },
                         false,
@@ -143,7 +145,7 @@
                 }
                 let taken = self.kept.taken.clone();
                 (
-                    Said::Promise {
+                    AcceptorReply::Promise {
                         ballot: ballot.clone(),
                         taken,
                         writes: self.kept.writes,
@@ -151,12 +153,12 @@
                     true,
                 )
             }
-            Ask::Take { value, .. } => {
+            AcceptorRequest::Accept { value, .. } => {
                 if let Some(promised) =
-                    promised.filter(|p| *p > ballot && !is(Plant::PromiseBroken))
+                    promised.filter(|p| *p > ballot && !is(InjectedFault::PromiseBroken))
                 {
                     return (
-                        Said::Outbid {
+                        AcceptorReply::Conflict {
                             promised: promised.clone(),
                         },
                         false,
@@ -168,7 +170,7 @@
                     self.kept.writes += 1;
                 }
                 (
-                    Said::Took {
+                    AcceptorReply::Accepted {
                         ballot: ballot.clone(),
                         writes: self.kept.writes,
                     },
@@ -179,7 +181,7 @@
     }
 
     /// Whether somebody heard of writes that this file does not have: it must not vote, as it forgot what it said.
-    pub fn is_old(&mut self, heard: &Writes) -> bool {
+    pub fn is_old(&mut self, heard: &WriteCounts) -> bool {
         let mine = heard.get(&(self.kept.name.clone(), self.kept.life));
         let old = mine.is_some_and(|writes| *writes > self.kept.writes);
         self.votes &= !old;
@@ -189,43 +191,48 @@
 
 /// One try to make a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Round {
+pub struct Proposal {
     pub ballot: Ballot,
-    pub change: Change,
+    pub change: Command,
     view: Voters,
-    promises: BTreeMap<(Name, Life), Option<(Ballot, Agreed)>>,
-    took: BTreeSet<(Name, Life)>,
-    against: BTreeSet<(Name, Life)>,
-    asked: BTreeSet<(Name, Life)>,
+    promises: BTreeMap<(Name, VoterId), Option<(Ballot, ReplicatedState)>>,
+    took: BTreeSet<(Name, VoterId)>,
+    against: BTreeSet<(Name, VoterId)>,
+    asked: BTreeSet<(Name, VoterId)>,
     /// Once a majority promised: what it is to take, and the voters before and after it.
-    value: Option<Agreed>,
+    value: Option<ReplicatedState>,
 }
 
 /// How a try ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum ProposalOutcome {
     /// It is agreed on.
-    Agreed(Agreed),
+    Chosen(ReplicatedState),
     /// The change is not to be made; what it was worked out on.
-    Refused(Refusal, Agreed),
+    Rejected(CommandError, ReplicatedState),
     /// Others are ahead: the highest ballot heard of.
-    Outbid(Option<Ballot>),
+    Conflict(Option<Ballot>),
 }
 
 /// What a proposer knows besides its try.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Knows {
+pub struct ProposerKnowledge {
     /// The voters of a value that is known to be agreed on.
     pub settled: Option<Voters>,
-    pub heard: Writes,
+    pub heard: WriteCounts,
 }
 
-type Asks = Vec<(Name, Seat, Ask)>;
+type Asks = Vec<(Name, VoterRecord, AcceptorRequest)>;
 
-impl Round {
+impl Proposal {
     /// `view`: the voters as the proposer knows them; an old view does no harm.
-    pub fn begin(ballot: Ballot, view: Voters, change: Change, knows: &Knows) -> (Round, Asks) {
-        let mut round = Round {
+    pub fn begin(
+        ballot: Ballot,
+        view: Voters,
+        change: Command,
+        knows: &ProposerKnowledge,
+    ) -> (Proposal, Asks) {
+        let mut round = Proposal {
             ballot,
             change,
             view,
@@ -240,7 +247,7 @@
     }
 
     /// Prepares to those in view that were not asked yet.
-    fn prepares(&mut self, knows: &Knows) -> Asks {
+    fn prepares(&mut self, knows: &ProposerKnowledge) -> Asks {
         let mut asks = Asks::new();
         for (name, seat) in self.view.all() {
             if self.asked.insert((name.clone(), seat.life)) {
@@ -248,7 +255,7 @@
                 asks.push((
                     name,
                     seat,
-                    Ask::Prepare {
+                    AcceptorRequest::Prepare {
                         life,
                         ballot,
                         heard,
@@ -264,11 +271,11 @@
     pub fn heard(
         &mut self,
         from: &Name,
-        life: Life,
+        life: VoterId,
         taking: bool,
-        said: Option<&Said>,
-        knows: &mut Knows,
-    ) -> (Asks, Option<End>) {
+        said: Option<&AcceptorReply>,
+        knows: &mut ProposerKnowledge,
+    ) -> (Asks, Option<ProposalOutcome>) {
         let who = (from.clone(), life);
         let answered = if taking {
             self.took.contains(&who)
@@ -280,7 +287,7 @@
             return (Asks::new(), None);
         }
         match said {
-            Some(Said::Promise {
+            Some(AcceptorReply::Promise {
                 ballot,
                 taken,
                 writes,
@@ -291,22 +298,25 @@
                     self.promises.insert(who, taken.clone());
                 }
             }
-            Some(Said::Took { ballot, writes }) if *ballot == self.ballot => {
+            Some(AcceptorReply::Accepted { ballot, writes }) if *ballot == self.ballot => {
                 heard_of(knows, &who, *writes);
                 if self.value.is_some() {
                     self.took.insert(who);
                 }
             }
-            Some(Said::Outbid { promised }) if *promised > self.ballot => {
+            Some(AcceptorReply::Conflict { promised }) if *promised > self.ballot => {
                 self.against.insert(who);
                 if !self.possible() {
-                    return (Asks::new(), Some(End::Outbid(Some(promised.clone()))));
+                    return (
+                        Asks::new(),
+                        Some(ProposalOutcome::Conflict(Some(promised.clone()))),
+                    );
                 }
             }
-            Some(Said::NoVote) | None => {
+            Some(AcceptorReply::NotVoting) | None => {
                 self.against.insert(who);
                 if !self.possible() {
-                    return (Asks::new(), Some(End::Outbid(None)));
+                    return (Asks::new(), Some(ProposalOutcome::Conflict(None)));
                 }
             }
             _ => return (Asks::new(), None),
@@ -314,11 +324,12 @@
         match &self.value {
             None => self.promised(knows),
             Some(value) => {
-                let took =
-                    |name: &Name, seat: &Seat| self.took.contains(&(name.clone(), seat.life));
+                let took = |name: &Name, seat: &VoterRecord| {
+                    self.took.contains(&(name.clone(), seat.life))
+                };
                 if self.view.majority(took) && value.voters.majority(took) {
                     knows.settled = Some(value.voters.clone());
-                    return (Asks::new(), Some(End::Agreed(value.clone())));
+                    return (Asks::new(), Some(ProposalOutcome::Chosen(value.clone())));
                 }
                 (Asks::new(), None)
             }
@@ -327,11 +338,12 @@
 
     /// Whether those that are not against it can still be enough.
     fn possible(&self) -> bool {
-        let open = |name: &Name, seat: &Seat| !self.against.contains(&(name.clone(), seat.life));
+        let open =
+            |name: &Name, seat: &VoterRecord| !self.against.contains(&(name.clone(), seat.life));
         self.view.majority(open) && self.value.as_ref().is_none_or(|v| v.voters.majority(open))
     }
 
-    fn promised(&mut self, knows: &Knows) -> (Asks, Option<End>) {
+    fn promised(&mut self, knows: &ProposerKnowledge) -> (Asks, Option<ProposalOutcome>) {
         let newest = self
             .promises
             .values()
@@ -342,35 +354,36 @@
         if let Some((_, seen)) = newest.filter(|(_, seen)| seen.voters != self.view) {
             self.view = seen.voters.clone();
         }
-        let promised =
-            |name: &Name, seat: &Seat| self.promises.contains_key(&(name.clone(), seat.life));
+        let promised = |name: &Name, seat: &VoterRecord| {
+            self.promises.contains_key(&(name.clone(), seat.life))
+        };
         if !self.view.majority(promised) {
             return (self.prepares(knows), None);
         }
         let base = match newest {
-            Some((_, value)) if !is(Plant::ValueOverlooked) => value.clone(),
-            _ => Agreed {
+            Some((_, value)) if !is(InjectedFault::ValueOverlooked) => value.clone(),
+            _ => ReplicatedState {
                 voters: self.view.clone(),
-                ..Agreed::default()
+                ..ReplicatedState::default()
             },
         };
         let settled = knows.settled.as_ref() == Some(&base.voters);
-        let stamp = Stamp {
+        let stamp = ProposalId {
             round: self.ballot.round,
             run: self.ballot.run,
         };
         let value = match base.after(&self.change, stamp, settled) {
             Ok(value) => value,
-            Err(why) => return (Asks::new(), Some(End::Refused(why, base))),
+            Err(why) => return (Asks::new(), Some(ProposalOutcome::Rejected(why, base))),
         };
         // Whoever voted before a change of voters and whoever does after it are all asked.
         let mut to = self.view.all();
         self.against.clear();
         to.extend(value.voters.all());
         self.value = Some(value.clone());
-        let ask = |(name, seat): (Name, Seat)| {
+        let ask = |(name, seat): (Name, VoterRecord)| {
             let (ballot, heard) = (self.ballot.clone(), knows.heard.clone());
-            let ask = Ask::Take {
+            let ask = AcceptorRequest::Accept {
                 life: seat.life,
                 ballot,
                 value: value.clone(),
@@ -382,7 +395,7 @@
     }
 }
 
-fn heard_of(knows: &mut Knows, who: &(Name, Life), writes: u64) {
+fn heard_of(knows: &mut ProposerKnowledge, who: &(Name, VoterId), writes: u64) {
     let best = knows.heard.entry(who.clone()).or_default();
     *best = (*best).max(writes);
 }
--- a/src/fleet/release.rs
+++ b/src/fleet/release.rs
@@ -2,23 +2,23 @@
 //! each change that can be made to it. A holder's steps name its term and count only while it holds the roll-call by
 //! this very value; operators' words may come from any dispatcher.
 
-use super::bounds::{Bounds, Of, Sizes, Unit};
-use super::planted::{is, Plant};
-use super::{Address, Name, Run};
+use super::bounds::{DisruptionBudget, Unit, UnitKind, ZoneSizes};
+use super::planted::{is, InjectedFault};
+use super::{Address, Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A turn's number: counted over all that were ever given.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TurnNo(pub u64);
+pub struct PermitId(pub u64);
 
 /// The leave for one to go out. It is agreed on before anybody is told of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Turn {
-    pub of: Of,
+pub struct DisruptionPermit {
+    pub of: UnitKind,
     pub who: Name,
     /// Which process is to go: another one of its name has been out and back.
-    pub run: Run,
+    pub run: Incarnation,
     pub address: Address,
     pub zone: String,
     /// What it is to come back under; empty: anything.
@@ -31,9 +31,9 @@
 
 /// An ordered plan.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Plan {
+pub struct RolloutPlan {
     pub name: String,
-    pub of: Of,
+    pub of: UnitKind,
     /// What its members come back under, and what they had before.
     pub label: String,
     pub before: String,
@@ -55,7 +55,7 @@
     pub back_ms: u64,
 }
 
-impl Plan {
+impl RolloutPlan {
     /// Whether a unit is meant.
     pub fn takes(&self, unit: &Unit) -> bool {
         let any =
@@ -82,9 +82,9 @@
 
 /// A release under way, or the last one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Release {
-    pub plan: Plan,
-    pub bounds: Bounds,
+pub struct Rollout {
+    pub plan: RolloutPlan,
+    pub bounds: DisruptionBudget,
     pub by: Name,
     /// It turns what went forward.
     pub back: bool,
@@ -104,57 +104,57 @@
 
 /// All of this that is agreed on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Care {
+pub struct DisruptionState {
     /// Turns given so far.
     pub given: u64,
-    pub turns: BTreeMap<TurnNo, Turn>,
-    pub release: Option<Box<Release>>,
+    pub turns: BTreeMap<PermitId, DisruptionPermit>,
+    pub release: Option<Box<Rollout>>,
     /// Why nothing goes out any more until an operator says so.
     pub halted: Option<String>,
     /// How often an operator had it go on: who waits for turns begins to wait anew.
     pub resumed: u64,
     /// How many dispatchers and engines each zone has: counted up as they are seen, and down by an operator's word
     /// alone, as one that is missing may have failed.
-    pub dispatchers: Sizes,
-    pub engines: Sizes,
+    pub dispatchers: ZoneSizes,
+    pub engines: ZoneSizes,
     /// What operators did by hand without agreement; the last few.
     pub notes: Vec<String>,
 }
 
 /// What whoever holds the roll-call does in its term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
-    Grant(Vec<Turn>),
+pub enum RolloutStep {
+    Grant(Vec<DisruptionPermit>),
     /// They are back as they should be, or gone for good.
-    Over(Vec<TurnNo>),
+    Complete(Vec<PermitId>),
     /// They surely have not begun and will not: they may be given again.
-    TakeBack(Vec<TurnNo>),
+    Revoke(Vec<PermitId>),
     /// Going back, one that is out and did not come back as it should is told again, as the process it is now.
-    Again(TurnNo, Turn),
-    Leave(TurnNo, String),
+    Reissue(PermitId, DisruptionPermit),
+    Abandon(PermitId, String),
     NextWave,
     Finish,
     Halt(String),
-    Count(Of, Sizes),
+    RecordSizes(UnitKind, ZoneSizes),
 }
 
 /// What operators say, at any dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Word {
-    Start(Box<Release>),
+pub enum OperatorCommand {
+    Start(Box<Rollout>),
     Halt(String),
     Resume,
-    Back,
+    RollBack,
     /// Ends a release that stands.
     End,
     /// There are as many as are seen now: whoever is missing is missed no more.
-    Recount(Of, Sizes),
+    Recount(UnitKind, ZoneSizes),
     Note(String),
 }
 
 /// Why a step or a word does not count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum No {
+pub enum RolloutError {
     /// Nothing goes out: halted, done, or no such release.
     Stopped,
     /// Another release is not done.
@@ -162,7 +162,7 @@
     AlreadySo,
     Nothing,
     /// The bounds or the value have no room.
-    Full,
+    NoRoom,
 }
 
 /// Turns at once: the value stays small. A turn takes some 80 bytes.
@@ -172,22 +172,22 @@
 pub const MOST_NOTES: usize = 8;
 pub const MOST_NAMES: usize = 256;
 
-impl Care {
+impl DisruptionState {
     /// Whether there is nothing of this at all.
     pub fn is_empty(&self) -> bool {
-        *self == Care::default()
+        *self == DisruptionState::default()
     }
 
-    pub fn sizes(&self, of: Of) -> &Sizes {
-        if of == Of::Engines {
+    pub fn sizes(&self, of: UnitKind) -> &ZoneSizes {
+        if of == UnitKind::Engines {
             &self.engines
         } else {
             &self.dispatchers
         }
     }
 
-    fn sizes_mut(&mut self, of: Of) -> &mut Sizes {
-        if of == Of::Engines {
+    fn sizes_mut(&mut self, of: UnitKind) -> &mut ZoneSizes {
+        if of == UnitKind::Engines {
             &mut self.engines
         } else {
             &mut self.dispatchers
@@ -195,7 +195,7 @@
     }
 
     /// The release that goes on, if nothing keeps it.
-    pub fn running(&self) -> Option<&Release> {
+    pub fn running(&self) -> Option<&Rollout> {
         self.release
             .as_deref()
             .filter(|r| !r.done && self.halted.is_none())
@@ -206,7 +206,7 @@
         !self.turns.is_empty() || self.release.as_deref().is_some_and(|r| !r.done)
     }
 
-    pub fn turn_of(&self, of: Of, who: &Name) -> Option<(&TurnNo, &Turn)> {
+    pub fn turn_of(&self, of: UnitKind, who: &Name) -> Option<(&PermitId, &DisruptionPermit)> {
         self.turns
             .iter()
             .find(|(_, turn)| turn.of == of && turn.who == *who)
@@ -216,10 +216,10 @@
     ///
     /// # Errors
     /// Why it does not count; nothing is changed then.
-    pub fn step(&mut self, step: &Step) -> Result<(), No> {
+    pub fn step(&mut self, step: &RolloutStep) -> Result<(), RolloutError> {
         match step {
-            Step::Grant(turns) => turns.iter().try_for_each(|turn| self.grant(turn)),
-            Step::Over(turns) => self.end(turns, |care, turn| {
+            RolloutStep::Grant(turns) => turns.iter().try_for_each(|turn| self.grant(turn)),
+            RolloutStep::Complete(turns) => self.end(turns, |care, turn| {
                 if turn.stays {
                     // By an operator's word it is gone for good: it is not missed.
                     if let Some(size) = care.sizes_mut(turn.of).get_mut(&turn.zone) {
@@ -230,57 +230,57 @@
                     release.turned += 1;
                 }
             }),
-            Step::TakeBack(turns) => self.end(turns, |care, turn| {
+            RolloutStep::Revoke(turns) => self.end(turns, |care, turn| {
                 if let Some(release) = care
                     .release
                     .as_deref_mut()
                     .filter(|r| turn.planned && !r.done)
                 {
                     release.given = release.given.saturating_sub(1);
-                    if turn.of == Of::Engines {
+                    if turn.of == UnitKind::Engines {
                         release.again.insert(turn.who);
                     }
                 }
             }),
-            Step::Again(number, turn) => {
-                let known = self.turns.get_mut(number).ok_or(No::Nothing)?;
+            RolloutStep::Reissue(number, turn) => {
+                let known = self.turns.get_mut(number).ok_or(RolloutError::Nothing)?;
                 let back = self.release.as_deref().is_some_and(|r| r.back && !r.done);
                 if !back || self.halted.is_some() || known.who != turn.who {
-                    return Err(No::Stopped);
+                    return Err(RolloutError::Stopped);
                 }
                 *known = turn.clone();
                 Ok(())
             }
-            Step::Leave(number, why) => {
-                let turn = self.turns.remove(number).ok_or(No::Nothing)?;
-                let release = self.release.as_deref_mut().ok_or(No::Nothing)?;
+            RolloutStep::Abandon(number, why) => {
+                let turn = self.turns.remove(number).ok_or(RolloutError::Nothing)?;
+                let release = self.release.as_deref_mut().ok_or(RolloutError::Nothing)?;
                 if release.left.len() >= MOST_LEFT {
-                    return Err(No::Full);
+                    return Err(RolloutError::NoRoom);
                 }
                 release.left.insert(turn.who, why.clone());
                 Ok(())
             }
-            Step::NextWave => {
+            RolloutStep::NextWave => {
                 let release = self
                     .release
                     .as_deref_mut()
                     .filter(|r| !r.done)
-                    .ok_or(No::Stopped)?;
+                    .ok_or(RolloutError::Stopped)?;
                 (release.wave, release.given) = (release.wave + 1, 0);
                 Ok(())
             }
-            Step::Finish => {
+            RolloutStep::Finish => {
                 let planned = self.turns.values().any(|turn| turn.planned);
                 let release = self
                     .release
                     .as_deref_mut()
                     .filter(|r| !r.done && !planned)
-                    .ok_or(No::Stopped)?;
+                    .ok_or(RolloutError::Stopped)?;
                 release.done = true;
                 Ok(())
             }
-            Step::Halt(why) => self.halt(why),
-            Step::Count(of, sizes) => {
+            RolloutStep::Halt(why) => self.halt(why),
+            RolloutStep::RecordSizes(of, sizes) => {
                 let known = self.sizes_mut(*of);
                 for (zone, size) in sizes {
                     let best = known.entry(zone.clone()).or_default();
@@ -291,15 +291,19 @@
         }
     }
 
-    fn halt(&mut self, why: &str) -> Result<(), No> {
+    fn halt(&mut self, why: &str) -> Result<(), RolloutError> {
         if self.halted.is_some() {
-            return Err(No::AlreadySo);
+            return Err(RolloutError::AlreadySo);
         }
         self.halted = Some(why.to_owned());
         Ok(())
     }
 
-    fn end(&mut self, turns: &[TurnNo], each: impl Fn(&mut Care, Turn)) -> Result<(), No> {
+    fn end(
+        &mut self,
+        turns: &[PermitId],
+        each: impl Fn(&mut DisruptionState, DisruptionPermit),
+    ) -> Result<(), RolloutError> {
         let mut any = false;
         for number in turns {
             if let Some(turn) = self.turns.remove(number) {
@@ -307,25 +311,25 @@
                 any = true;
             }
         }
-        any.then_some(()).ok_or(No::Nothing)
+        any.then_some(()).ok_or(RolloutError::Nothing)
     }
 
-    fn grant(&mut self, turn: &Turn) -> Result<(), No> {
+    fn grant(&mut self, turn: &DisruptionPermit) -> Result<(), RolloutError> {
         if self.halted.is_some() {
-            return Err(No::Stopped);
+            return Err(RolloutError::Stopped);
         }
-        if self.turn_of(turn.of, &turn.who).is_some() && !is(Plant::TurnTwice) {
-            return Err(No::AlreadySo);
+        if self.turn_of(turn.of, &turn.who).is_some() && !is(InjectedFault::TurnTwice) {
+            return Err(RolloutError::AlreadySo);
         }
         if self.turns.len() >= MOST_TURNS {
-            return Err(No::Full);
+            return Err(RolloutError::NoRoom);
         }
         if turn.planned {
             let release = self
                 .release
                 .as_deref()
                 .filter(|r| !r.done && r.plan.of == turn.of);
-            let bounds = release.ok_or(No::Stopped)?.bounds;
+            let bounds = release.ok_or(RolloutError::Stopped)?.bounds;
             // What is given by plan is counted here too: whatever a holder believes to see, this does not go over.
             let sizes = self.sizes(turn.of);
             let (fleet, zone) = (
@@ -333,24 +337,28 @@
                 sizes.get(&turn.zone).copied().unwrap_or_default(),
             );
             let given = |zone: Option<&str>| {
-                let same = |t: &&Turn| t.of == turn.of && zone.is_none_or(|zone| t.zone == zone);
+                let same = |t: &&DisruptionPermit| {
+                    t.of == turn.of && zone.is_none_or(|zone| t.zone == zone)
+                };
                 self.turns.values().filter(same).count() as u32
             };
-            let unbound = is(Plant::BackUnbound) || is(Plant::TurnTwice) || is(Plant::BeginsAnew);
+            let unbound = is(InjectedFault::BackUnbound)
+                || is(InjectedFault::TurnTwice)
+                || is(InjectedFault::BeginsAnew);
             let full = given(None) >= bounds.fleet.of(fleet)
                 || given(Some(&turn.zone)) >= bounds.zone.of(zone);
             if full && !unbound {
-                return Err(No::Full);
+                return Err(RolloutError::NoRoom);
             }
         }
         self.given += 1;
-        self.turns.insert(TurnNo(self.given), turn.clone());
+        self.turns.insert(PermitId(self.given), turn.clone());
         let Some(release) = self.release.as_deref_mut().filter(|_| turn.planned) else {
             return Ok(());
         };
         release.given += 1;
         release.again.remove(&turn.who);
-        if turn.of == Of::Engines {
+        if turn.of == UnitKind::Engines {
             let at = key(&turn.who);
             // Forward a zone has come to this one; back it has come to just before it.
             let to = if release.back {
@@ -372,31 +380,31 @@
     ///
     /// # Errors
     /// Why it does not count.
-    pub fn word(&mut self, word: &Word) -> Result<(), No> {
+    pub fn word(&mut self, word: &OperatorCommand) -> Result<(), RolloutError> {
         match word {
-            Word::Start(release) => {
+            OperatorCommand::Start(release) => {
                 if self.release.as_deref().is_some_and(|r| !r.done) {
-                    return Err(No::Busy);
+                    return Err(RolloutError::Busy);
                 }
                 if self.halted.is_some() {
-                    return Err(No::Stopped);
+                    return Err(RolloutError::Stopped);
                 }
                 self.release = Some(release.clone());
                 Ok(())
             }
             // A halt that is there already is agreed on once more, as it may have been a try only.
-            Word::Halt(why) => self.halt(why).or(Ok(())),
-            Word::Resume => {
-                self.halted.take().ok_or(No::Nothing)?;
+            OperatorCommand::Halt(why) => self.halt(why).or(Ok(())),
+            OperatorCommand::Resume => {
+                self.halted.take().ok_or(RolloutError::Nothing)?;
                 self.resumed += 1;
                 Ok(())
             }
-            Word::Back => {
+            OperatorCommand::RollBack => {
                 let halted = self.halted.is_some();
-                let release = self.release.as_deref_mut().ok_or(No::Nothing)?;
+                let release = self.release.as_deref_mut().ok_or(RolloutError::Nothing)?;
                 // What goes back already, or went, has nothing to go back on; and what left for good does not return.
                 if (release.back && !halted) || release.plan.stays {
-                    return Err(No::Nothing);
+                    return Err(RolloutError::Nothing);
                 }
                 (release.back, release.done) = (true, false);
                 (release.wave, release.given) = (0, 0);
@@ -405,21 +413,21 @@
                 self.resumed += 1;
                 Ok(())
             }
-            Word::End => {
+            OperatorCommand::End => {
                 let release = self
                     .release
                     .as_deref_mut()
                     .filter(|r| !r.done)
-                    .ok_or(No::Nothing)?;
+                    .ok_or(RolloutError::Nothing)?;
                 release.done = true;
                 self.halted = None;
                 Ok(())
             }
-            Word::Recount(of, sizes) => {
+            OperatorCommand::Recount(of, sizes) => {
                 *self.sizes_mut(*of) = sizes.clone();
                 Ok(())
             }
-            Word::Note(note) => {
+            OperatorCommand::Note(note) => {
                 self.notes.push(note.clone());
                 if self.notes.len() > MOST_NOTES {
                     self.notes.remove(0);
--- a/src/fleet/rollcall.rs
+++ b/src/fleet/rollcall.rs
@@ -1,16 +1,16 @@
 //! The roll-call: who is there, as the one dispatcher that holds this duty hears it from the others' beats.
 
-use super::agreed::Holder;
-use super::bounds::Tally;
-use super::duties::{places, Fit};
-use super::{Address, Duty, Name};
+use super::agreed::LeaseHolder;
+use super::bounds::OutcomeCounts;
+use super::duties::{places, Candidate};
+use super::{Address, LeaseName, Name};
 use crate::interface::Ms;
 use std::collections::BTreeMap;
 
 /// What a dispatcher says of itself in a beat.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Beat {
-    pub who: Holder,
+pub struct Heartbeat {
+    pub who: LeaseHolder,
     pub zone: String,
     /// The version that it runs, or another label of its operators'.
     pub label: String,
@@ -21,7 +21,7 @@
     pub load: f64,
     pub holds: u32,
     /// Tasks answered by this process.
-    pub tally: Tally,
+    pub tally: OutcomeCounts,
     /// What it heard of a few engines.
     pub reports: Vec<EngineReport>,
 }
@@ -33,35 +33,35 @@
     /// What is used of it, 0 to 1, and how old that is.
     pub used: Option<(f64, Ms)>,
     /// What became of requests there since the last report by this dispatcher.
-    pub tally: Tally,
+    pub tally: OutcomeCounts,
 }
 
 /// An engine, as dispatchers told of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct EngineHeard {
+pub struct EngineUsage {
     /// What is used of it, and when that was so.
     pub used: Option<(f64, Ms)>,
     /// Summed since this dispatcher calls the roll.
-    pub tally: Tally,
+    pub tally: OutcomeCounts,
 }
 
 /// How a member stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum MemberStatus {
     /// Heard in time.
-    In,
+    Alive,
     /// Not heard for several beats.
     Suspected,
     /// Not heard for long, or it said that it stops and went silent.
-    Out,
+    Dead,
     /// Heard again lately, as another process or after a silence.
-    Back,
+    Returned,
 }
 
 /// A member, as heard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    pub beat: Beat,
+    pub beat: Heartbeat,
     /// When it was heard last, and since when it has been heard without a gap.
     pub heard: Ms,
     pub since: Ms,
@@ -83,20 +83,20 @@
 
 /// The fleet's one view.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RollCall {
+pub struct Membership {
     members: BTreeMap<Name, Member>,
-    engines: BTreeMap<Name, EngineHeard>,
+    engines: BTreeMap<Name, EngineUsage>,
     /// Since when this dispatcher calls the roll.
     pub since: Ms,
-    duties: BTreeMap<Duty, BTreeMap<Name, u32>>,
+    duties: BTreeMap<LeaseName, BTreeMap<Name, u32>>,
     placed: Option<Ms>,
 }
 
-impl RollCall {
+impl Membership {
     pub fn begin(now: Ms) -> Self {
-        RollCall {
+        Membership {
             since: now,
-            ..RollCall::default()
+            ..Membership::default()
         }
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// Takes a beat in.
-    pub fn heard(&mut self, now: Ms, mut beat: Beat, least: Ms) {
+    pub fn heard(&mut self, now: Ms, mut beat: Heartbeat, least: Ms) {
         for report in std::mem::take(&mut beat.reports) {
             self.heard_of(now, report);
         }
@@ -147,22 +147,22 @@
         }
     }
 
-    pub fn engine(&self, name: &Name) -> Option<&EngineHeard> {
+    pub fn engine(&self, name: &Name) -> Option<&EngineUsage> {
         self.engines.get(name)
     }
 
-    pub fn standing(&self, now: Ms, member: &Member, least: Ms) -> Standing {
+    pub fn standing(&self, now: Ms, member: &Member, least: Ms) -> MemberStatus {
         let every = self.beat_every(least);
         let silent = now - member.heard;
         let gone = member.beat.stopping && silent > SUSPECTED_AFTER * every;
         if silent > OUT_AFTER * every || gone {
-            Standing::Out
+            MemberStatus::Dead
         } else if silent > SUSPECTED_AFTER * every {
-            Standing::Suspected
+            MemberStatus::Suspected
         } else if member.again && now - member.since <= BACK_FOR * every {
-            Standing::Back
+            MemberStatus::Returned
         } else {
-            Standing::In
+            MemberStatus::Alive
         }
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// How many stand so: in, suspected, out, back.
-    pub fn counts(&self, now: Ms, least: Ms) -> BTreeMap<Standing, u32> {
+    pub fn counts(&self, now: Ms, least: Ms) -> BTreeMap<MemberStatus, u32> {
         let mut counts = BTreeMap::new();
         for member in self.members.values() {
             *counts.entry(self.standing(now, member, least)).or_insert(0) += 1;
@@ -185,7 +185,12 @@
     }
 
     /// Who may hold each duty next; worked out anew once a beat, and those that are long gone are forgotten.
-    pub fn place(&mut self, now: Ms, least: Ms, duties: &[(Duty, Option<String>, Option<Name>)]) {
+    pub fn place(
+        &mut self,
+        now: Ms,
+        least: Ms,
+        duties: &[(LeaseName, Option<String>, Option<Name>)],
+    ) {
         let every = self.beat_every(least);
         if self.placed.is_some_and(|at| now - at < every) {
             return;
@@ -193,15 +198,19 @@
         self.placed = Some(now);
         self.members
             .retain(|_, member| now - member.heard <= FORGOTTEN_AFTER * every);
-        let fit = |member: &Member| Fit {
+        let fit = |member: &Member| Candidate {
             ready: member.beat.ready && !member.beat.stopping,
             zone: member.beat.zone.clone(),
             load: member.beat.load,
             holds: member.beat.holds,
         };
         let there = || {
-            let stands =
-                |m: &Member| matches!(self.standing(now, m, least), Standing::In | Standing::Back);
+            let stands = |m: &Member| {
+                matches!(
+                    self.standing(now, m, least),
+                    MemberStatus::Alive | MemberStatus::Returned
+                )
+            };
             self.members
                 .iter()
                 .filter(move |(_, m)| stands(m))
@@ -217,12 +226,12 @@
     }
 
     /// A member's place for a duty, if it has one.
-    pub fn place_of(&self, duty: &Duty, name: &Name) -> Option<u32> {
+    pub fn place_of(&self, duty: &LeaseName, name: &Name) -> Option<u32> {
         self.duties.get(duty)?.get(name).copied()
     }
 
     /// Who comes first for a duty.
-    pub fn first_for(&self, duty: &Duty) -> Option<&Name> {
+    pub fn first_for(&self, duty: &LeaseName) -> Option<&Name> {
         self.duties
             .get(duty)?
             .iter()
--- a/src/fleet/signs.rs
+++ b/src/fleet/signs.rs
@@ -2,8 +2,8 @@
 //! often each fell by itself. Compared within short slices of time, so that a burst, which meets both, is no sign (in the
 //! manner of Mantel and Haenszel, 1959); with enough cases, over enough members, and more than once in a row.
 
-use super::bounds::{Tally, Unit};
-use super::{Name, Run};
+use super::bounds::{OutcomeCounts, Unit};
+use super::{Incarnation, Name};
 use crate::interface::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,7 @@
 }
 
 impl Group {
-    fn of(tally: &Tally) -> Group {
+    fn of(tally: &OutcomeCounts) -> Group {
         Group {
             cases: tally.cases(),
             harmed: tally.harmed().min(tally.cases()),
@@ -96,24 +96,24 @@
 /// One unit as it was when the slice began.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Base {
-    run: Run,
-    tally: Tally,
+    run: Incarnation,
+    tally: OutcomeCounts,
 }
 
 /// What was seen of a release so far.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Signs {
+pub struct RolloutAnalysis {
     base: BTreeMap<Name, Base>,
     began: Option<Ms>,
     sum: Sum,
     /// Of those that have not turned, member by member, in slices that count.
     others: BTreeMap<Name, Group>,
     in_a_row: u32,
-    runs: BTreeMap<Name, Run>,
+    runs: BTreeMap<Name, Incarnation>,
     falls: BTreeMap<Name, u32>,
 }
 
-impl Signs {
+impl RolloutAnalysis {
     /// Takes a look. `turned`: those that turned; `turning`: those whose turn it is, whose end is no fall.
     pub fn look<'a>(
         &mut self,
@@ -205,7 +205,7 @@
             let from = if before.run == unit.run {
                 before.tally
             } else {
-                Tally::default()
+                OutcomeCounts::default()
             };
             let group = Group::of(&unit.tally.since(&from));
             if turned.contains(&unit.name) {
--- a/tests/voter.rs
+++ b/tests/voter.rs
@@ -1,9 +1,9 @@
 //! A voter's answers and the writes that they wait for.
 
 use cindercleat::fleet::duties::LeaseSettings;
-use cindercleat::fleet::member::{CallNo, FleetSettings, Input, Member, Output, Question, SaveNo};
-use cindercleat::fleet::register::{Ask, Ballot, Kept};
-use cindercleat::fleet::{Address, Name, Run};
+use cindercleat::fleet::member::{CallId, FleetSettings, Input, Member, Output, Question, SaveId};
+use cindercleat::fleet::register::{AcceptorRequest, AcceptorState, Ballot};
+use cindercleat::fleet::{Address, Incarnation, Name};
 
 fn settings() -> FleetSettings {
     let voter = |n: usize| {
@@ -15,7 +15,7 @@
     FleetSettings {
         fleet: "fleet".to_owned(),
         me: voter(0).0,
-        run: Run(100),
+        run: Incarnation(100),
         address: voter(0).1,
         zone: "z".to_owned(),
         label: "v1".to_owned(),
@@ -36,7 +36,7 @@
     }
 }
 
-fn saves(out: &[Output]) -> Vec<(SaveNo, Kept)> {
+fn saves(out: &[Output]) -> Vec<(SaveId, AcceptorState)> {
     let save = |output: &Output| match output {
         Output::Save { number, kept } => Some((*number, (**kept).clone())),
         _ => None,
@@ -44,7 +44,7 @@
     out.iter().filter_map(save).collect()
 }
 
-fn answered(out: &[Output]) -> Vec<CallNo> {
+fn answered(out: &[Output]) -> Vec<CallId> {
     let answer = |output: &Output| match output {
         Output::Answer { call, .. } => Some(*call),
         _ => None,
@@ -73,9 +73,9 @@
     let ballot = Ballot {
         round: 1,
         by: Name::from("d1"),
-        run: Run(7),
+        run: Incarnation(7),
     };
-    let ask = Ask::Prepare {
+    let ask = AcceptorRequest::Prepare {
         life: kept.life,
         ballot,
         heard: Default::default(),
@@ -86,7 +86,7 @@
             member,
             now,
             Input::Asked {
-                call: CallNo(call),
+                call: CallId(call),
                 question,
             },
         )
@@ -110,12 +110,12 @@
             lasts: true,
         },
     );
-    assert_eq!(answered(&out), [CallNo(1), CallNo(2), CallNo(3)]);
+    assert_eq!(answered(&out), [CallId(1), CallId(2), CallId(3)]);
     assert_eq!(saves(&out).len(), 0, "and no other follows");
     let out = asks(&mut member, 40.0, 4);
     assert_eq!(
         (answered(&out), saves(&out).len()),
-        (vec![CallNo(4)], 0),
+        (vec![CallId(4)], 0),
         "what lasts is said at once"
     );
 }
