--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -2,10 +2,10 @@
 
 use crate::serve::block_on;
 use crate::{release_plan, releases};
-use cindercleat::fleet::bounds::UnitKind;
-use cindercleat::fleet::member::{OperatorRequest, Reply, RolloutRequest, Status};
-use cindercleat::fleet::rollcall::MemberStatus;
-use cindercleat::fleet::{Address, LeaseName, Name, Term};
+use cindercleat::coordination::disruption_budget::UnitKind;
+use cindercleat::coordination::member::{OperatorRequest, Reply, RolloutRequest, Status};
+use cindercleat::coordination::membership::MemberStatus;
+use cindercleat::coordination::{Address, LeaseName, Name, Term};
 use cindercleat_fleet::ask::order_any;
 use cindercleat_fleet::job::{Ended, Job, Work};
 use cindercleat_net::{Clock, SystemClock, Tcp};
--- a/crates/cindercleat-cli/src/fleet_settings.rs
+++ b/crates/cindercleat-cli/src/fleet_settings.rs
@@ -2,10 +2,10 @@
 
 use crate::conf::{Line, Problem, Section, Time};
 use crate::release_plan;
-use cindercleat::fleet::agreed::{LEAST_VOTERS, MOST_VOTERS};
-use cindercleat::fleet::duties::LeaseSettings;
-use cindercleat::fleet::member::{FleetSettings, LONGEST_NAME};
-use cindercleat::fleet::{Address, Incarnation, Name};
+use cindercleat::coordination::lease::LeaseSettings;
+use cindercleat::coordination::member::{FleetSettings, LONGEST_NAME};
+use cindercleat::coordination::state::{LEAST_VOTERS, MOST_VOTERS};
+use cindercleat::coordination::{Address, Incarnation, Name};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
--- a/crates/cindercleat-cli/src/release_plan.rs
+++ b/crates/cindercleat-cli/src/release_plan.rs
@@ -1,10 +1,10 @@
 //! Plans of releases and bounds on who may be out, in the line-based form. `docs/releases.md` describes both.
 
 use crate::conf::{Line, Problem, Section, Time};
-use cindercleat::fleet::bounds::{DisruptionBudget, MaxUnavailable, UnitKind};
-use cindercleat::fleet::member::LONGEST_NAME;
-use cindercleat::fleet::release::{RolloutPlan, MOST_NAMES};
-use cindercleat::fleet::Name;
+use cindercleat::coordination::disruption_budget::{DisruptionBudget, MaxUnavailable, UnitKind};
+use cindercleat::coordination::member::LONGEST_NAME;
+use cindercleat::coordination::rollout::{RolloutPlan, MOST_NAMES};
+use cindercleat::coordination::Name;
 use std::collections::BTreeSet;
 
 /// A part of 1 as thousandths.
--- a/crates/cindercleat-cli/src/releases.rs
+++ b/crates/cindercleat-cli/src/releases.rs
@@ -1,8 +1,10 @@
 //! What operators see and do of releases: status, halt, and the turn that a supervisor asks for.
 
 use crate::fleet::{full_status, give, say};
-use cindercleat::fleet::member::{OperatorRequest, Reply, RolloutRequest, RolloutStatus, Status};
-use cindercleat::fleet::Name;
+use cindercleat::coordination::member::{
+    OperatorRequest, Reply, RolloutRequest, RolloutStatus, Status,
+};
+use cindercleat::coordination::Name;
 use cindercleat_net::{Clock, SystemClock};
 use std::io::{self, IsTerminal, Write};
 
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -1,8 +1,8 @@
 //! Runs a dispatcher on a thread of its own, and tells what it cost.
 
 use crate::settings::Serve;
-use cindercleat::fleet::bounds::Unit;
-use cindercleat::fleet::member::{LocalHealth, MOST_REPORTS};
+use cindercleat::coordination::disruption_budget::Unit;
+use cindercleat::coordination::member::{LocalHealth, MOST_REPORTS};
 use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_faults::fleet::End;
--- a/crates/dispatcher/src/driver.rs
+++ b/crates/dispatcher/src/driver.rs
@@ -8,9 +8,9 @@
     ClientConnectionId, Dispatcher, EngineConnectionId, Guarded, Input, Level, Output, StreamId,
 };
 use crate::{endpoint_cache, ProgramSettings};
+use cindercleat::coordination::disruption_budget::{OutcomeCounts, Unit};
+use cindercleat::coordination::membership::EngineReport;
 use cindercleat::discovery_client::{DiscoveryCalls, FirstCall};
-use cindercleat::fleet::bounds::{OutcomeCounts, Unit};
-use cindercleat::fleet::rollcall::EngineReport;
 use cindercleat::interface::{DispatcherId, EngineId, Ms};
 use cindercleat_grpc::Grpc;
 use cindercleat_net::{Clock, Listener, Transport};
--- a/crates/dispatcher/src/state/service_stats.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -1,9 +1,9 @@
 //! What a dispatcher in a fleet remembers of its own service, for those who watch a release: how its requests ended, and
 //! what engines said of their load. Kept only where it is asked for.
 
-use cindercleat::fleet::bounds::OutcomeCounts;
-use cindercleat::fleet::rollcall::EngineReport;
-use cindercleat::fleet::Name;
+use cindercleat::coordination::disruption_budget::OutcomeCounts;
+use cindercleat::coordination::membership::EngineReport;
+use cindercleat::coordination::Name;
 use cindercleat::interface::{EngineId, Event, Load, Ms, Outcome};
 use cindercleat_protocol::v1;
 use std::collections::BTreeMap;
--- a/crates/faults/src/drill/mod.rs
+++ b/crates/faults/src/drill/mod.rs
@@ -7,9 +7,9 @@
 pub use relay::{Way, Ways};
 
 use crate::duties::{Breach, Judge};
-use cindercleat::fleet::acts::{FencingDecision, Receiver};
-use cindercleat::fleet::member::{Answer, Question};
-use cindercleat::fleet::Incarnation;
+use cindercleat::coordination::fencing::{FencingDecision, Receiver};
+use cindercleat::coordination::member::{Answer, Question};
+use cindercleat::coordination::Incarnation;
 use cindercleat::interface::Ms;
 use cindercleat_fleet::words::{answer_out, question_in};
 use cindercleat_grpc::{serve, Event, Session, Setup};
@@ -591,7 +591,7 @@
         &mut self,
         by: usize,
         now: Ms,
-        act: &cindercleat::fleet::acts::FencedCommand,
+        act: &cindercleat::coordination::fencing::FencedCommand,
         verdict: FencingDecision,
     ) {
         let refused = match verdict {
--- a/crates/faults/src/duties/draw_release.rs
+++ b/crates/faults/src/duties/draw_release.rs
@@ -2,8 +2,8 @@
 
 use super::draw::{Plan, Shape, Spell, Trouble, Who};
 use super::service::{Act, Op, Play, Version};
-use cindercleat::fleet::bounds::{DisruptionBudget, MaxUnavailable, UnitKind};
-use cindercleat::fleet::release::RolloutPlan;
+use cindercleat::coordination::disruption_budget::{DisruptionBudget, MaxUnavailable, UnitKind};
+use cindercleat::coordination::rollout::RolloutPlan;
 use cindercleat::interface::Ms;
 use nanorand::{Rng, WyRand};
 
--- a/crates/faults/src/duties/judge.rs
+++ b/crates/faults/src/duties/judge.rs
@@ -1,7 +1,7 @@
 //! Judges from outside: what receivers obeyed, and when.
 
-use cindercleat::fleet::acts::FencedCommand;
-use cindercleat::fleet::agreed::LeaseHolder;
+use cindercleat::coordination::fencing::FencedCommand;
+use cindercleat::coordination::state::LeaseHolder;
 use cindercleat::interface::Ms;
 use std::collections::BTreeMap;
 
--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -13,14 +13,14 @@
 pub use draw::{draw, Plan, Shape, Trouble};
 pub use judge::{Breach, Judge};
 
-use cindercleat::fleet::acts::{FencingDecision, Receiver};
-use cindercleat::fleet::duties::LeaseSettings;
-use cindercleat::fleet::member::{
+use cindercleat::coordination::fencing::{FencingDecision, Receiver};
+use cindercleat::coordination::lease::LeaseSettings;
+use cindercleat::coordination::member::{
     Answer, CallId, FleetSettings, Input, LocalHealth, Member, OperatorRequest, Output, Question,
     QuestionId, Reply, SaveId, ROLL_CALL,
 };
-use cindercleat::fleet::register::AcceptorState;
-use cindercleat::fleet::{Address, Incarnation, LeaseName, Name};
+use cindercleat::coordination::register::AcceptorState;
+use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
 use cindercleat::interface::Ms;
 use cindercleat_fleet::words::{answer_out, question_out};
 use nanorand::{Rng, WyRand};
@@ -97,7 +97,7 @@
     FencedCommand {
         to: usize,
         from: MultiplexedConnection,
-        act: Box<cindercleat::fleet::acts::FencedCommand>,
+        act: Box<cindercleat::coordination::fencing::FencedCommand>,
     },
     Answer {
         to: usize,
@@ -117,7 +117,7 @@
     Start(usize),
     AskBack {
         from: MultiplexedConnection,
-        turn: cindercleat::fleet::release::PermitId,
+        turn: cindercleat::coordination::rollout::PermitId,
         who: Name,
         run: Incarnation,
     },
@@ -605,7 +605,7 @@
     }
 
     /// Reads off a new holder's acts when its roll is whole again, but for one that may be gone.
-    fn look_at_roll(&mut self, act: &cindercleat::fleet::acts::FencedCommand) {
+    fn look_at_roll(&mut self, act: &cindercleat::coordination::fencing::FencedCommand) {
         let term = act.term.0;
         if self.rebuilding.is_none_or(|(of, _)| of < term) {
             self.rebuilding = Some((term, self.now));
@@ -759,7 +759,7 @@
         &mut self,
         to: usize,
         from: MultiplexedConnection,
-        act: &cindercleat::fleet::acts::FencedCommand,
+        act: &cindercleat::coordination::fencing::FencedCommand,
     ) {
         let now = self.now;
         let target = &mut self.targets[to];
@@ -778,7 +778,9 @@
             self.judge.obeyed(now, to, act);
             self.played.obeyed += 1;
             if to == self.plan.targets {
-                if let Some(told) = cindercleat::fleet::conduct::PermitNotice::read(&act.body) {
+                if let Some(told) =
+                    cindercleat::coordination::rollout_controller::PermitNotice::read(&act.body)
+                {
                     self.keeper_told(&told);
                 }
             } else {
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -3,13 +3,13 @@
 //! work, what the voters' files hold; never what a member thinks.
 
 use super::*;
-use cindercleat::fleet::bounds::{
+use cindercleat::coordination::disruption_budget::{
     DisruptionBudget, MaxUnavailable, OutcomeCounts, ServiceStatus, Unit, UnitKind,
 };
-use cindercleat::fleet::conduct::PermitNotice;
-use cindercleat::fleet::member::{LocalHealth, RolloutRequest};
-use cindercleat::fleet::release::{PermitId, RolloutPlan};
-use cindercleat::fleet::rollcall::EngineReport;
+use cindercleat::coordination::member::{LocalHealth, RolloutRequest};
+use cindercleat::coordination::membership::EngineReport;
+use cindercleat::coordination::rollout::{PermitId, RolloutPlan};
+use cindercleat::coordination::rollout_controller::PermitNotice;
 use cindercleat::interface::Role;
 use std::collections::BTreeSet;
 
--- a/crates/faults/src/duties/small.rs
+++ b/crates/faults/src/duties/small.rs
@@ -3,16 +3,16 @@
 //! time that passes between any two steps.
 
 use crate::explore::Model;
-use cindercleat::fleet::agreed::{
-    Command, LeaseHolder, ReplicatedState, VoterId, VoterRecord, Voters,
-};
-use cindercleat::fleet::duties::{HeldLease, LeaseObserver, LeaseSettings};
-use cindercleat::fleet::planted::{is, InjectedFault};
-use cindercleat::fleet::register::{
+use cindercleat::coordination::fault_injection::{is_injected, InjectedFault};
+use cindercleat::coordination::lease::{HeldLease, LeaseObserver, LeaseSettings};
+use cindercleat::coordination::register::{
     Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Proposal, ProposalOutcome,
     ProposerKnowledge,
 };
-use cindercleat::fleet::{Address, Incarnation, LeaseName, Name};
+use cindercleat::coordination::state::{
+    Command, LeaseHolder, ReplicatedState, VoterId, VoterRecord, Voters,
+};
+use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
 use cindercleat::interface::Ms;
 use nanorand::WyRand;
 use std::collections::{BTreeMap, BTreeSet};
@@ -248,7 +248,7 @@
 
     /// Begins a try, and where that is one step has its first half done by the voters in `some`.
     fn begin(&mut self, at: usize, view: Voters, change: Command, some: Option<u32>) {
-        let run = if is(InjectedFault::BallotAgain) {
+        let run = if is_injected(InjectedFault::BallotAgain) {
             0
         } else {
             self.contenders[at].run
@@ -329,7 +329,7 @@
                 let voter = &mut self.voters[usize::from(*to)];
                 let (said, save) = voter.asked(&ask);
                 let life = voter.kept.life;
-                if save && !is(InjectedFault::SaidBeforeKept) {
+                if save && !is_injected(InjectedFault::SaidBeforeKept) {
                     self.disks[usize::from(*to)] = voter.kept.clone();
                 }
                 let message = Message::AcceptorReply {
@@ -594,7 +594,7 @@
         }
         // Where changes are looked at nobody waits for leases.
         if let Some(hold) = contender.hold.filter(|_| !self.changes) {
-            let live = hold.left(state.now) > 0.0 || is(InjectedFault::PauseUnnoticed);
+            let live = hold.left(state.now) > 0.0 || is_injected(InjectedFault::PauseUnnoticed);
             if live && hold.term.0 != state.acted {
                 step(format!("{name} acts in term {}", hold.term.0), &|s| {
                     if hold.term.0 < s.acted {
--- a/crates/faults/src/duties/small_release.rs
+++ b/crates/faults/src/duties/small_release.rs
@@ -3,15 +3,15 @@
 //! under way for as long as it likes, but not beyond the lease that it was sent in.
 
 use crate::explore::Model;
-use cindercleat::fleet::bounds::{
+use cindercleat::coordination::disruption_budget::{
     DisruptionBudget, MaxUnavailable, OutcomeCounts, ServiceStatus, Unit, UnitKind,
 };
-use cindercleat::fleet::conduct::{FleetView, RolloutController};
-use cindercleat::fleet::planted::{is, InjectedFault};
-use cindercleat::fleet::release::{
+use cindercleat::coordination::fault_injection::{is_injected, InjectedFault};
+use cindercleat::coordination::rollout::{
     DisruptionState, OperatorCommand, PermitId, Rollout, RolloutPlan, RolloutStep,
 };
-use cindercleat::fleet::{Address, Incarnation, Name};
+use cindercleat::coordination::rollout_controller::{FleetView, RolloutController};
+use cindercleat::coordination::{Address, Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What may happen, and how often.
@@ -137,7 +137,7 @@
                 .for_each(|turn| conduct.revoked(*turn, false));
             next = step(&mut conduct);
         }
-        if is(InjectedFault::ToldBeforeAgreed) {
+        if is_injected(InjectedFault::ToldBeforeAgreed) {
             if let Some(RolloutStep::Grant(turns)) = &next {
                 for turn in turns {
                     let to = (0..state.members.len()).find(|at| name(*at) == turn.who)?;
--- a/crates/faults/tests/changes.rs
+++ b/crates/faults/tests/changes.rs
@@ -1,13 +1,13 @@
 //! Two changes of voters at once, by hand: what would come of them, and that it does not.
 
-use cindercleat::fleet::agreed::{
-    Command, LeaseHolder, LeaseVersion, ReplicatedState, VoterId, VoterRecord, Voters,
-};
-use cindercleat::fleet::planted::{plant, InjectedFault};
-use cindercleat::fleet::register::{
+use cindercleat::coordination::fault_injection::{inject, InjectedFault};
+use cindercleat::coordination::register::{
     Acceptor, Ballot, Proposal, ProposalOutcome, ProposerKnowledge,
 };
-use cindercleat::fleet::{Address, Incarnation, LeaseName, Name};
+use cindercleat::coordination::state::{
+    Command, LeaseHolder, LeaseVersion, ReplicatedState, VoterId, VoterRecord, Voters,
+};
+use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
 use std::collections::BTreeMap;
 
 struct Table {
@@ -126,9 +126,9 @@
 
 #[test]
 fn each_half_of_the_voters_would_agree_on_a_holder_of_its_own() {
-    plant(Some(InjectedFault::TwoChanges));
+    inject(Some(InjectedFault::TwoChanges));
     let ends = Table::new().apart();
-    plant(None);
+    inject(None);
     let [Some(ProposalOutcome::Chosen(one)), Some(ProposalOutcome::Chosen(other))] = ends else {
         panic!("{ends:?}")
     };
--- a/crates/faults/tests/duties_planted.rs
+++ b/crates/faults/tests/duties_planted.rs
@@ -1,13 +1,13 @@
 //! Each planted fault of duties and of releases is found by some seed, and without one the same seeds find nothing: a judge that
 //! cannot find fault proves nothing. Prints how many seeds each took. Faults are planted for one thread.
 
-use cindercleat::fleet::planted::{plant, InjectedFault};
+use cindercleat::coordination::fault_injection::{inject, InjectedFault};
 use cindercleat_faults::duties::draw::SHAPES;
 use cindercleat_faults::duties::{draw, play, Shape};
 
 /// The first seed that finds a fault, and what it finds.
 fn first(fault: InjectedFault, shape: &Shape, most: u64) -> Option<(u64, String)> {
-    plant(Some(fault));
+    inject(Some(fault));
     let found = (1..=most).find_map(|seed| {
         let played = play(&draw(seed, shape));
         played
@@ -15,7 +15,7 @@
             .first()
             .map(|breach| (seed, format!("{} {}", breach.kind, breach.what)))
     });
-    plant(None);
+    inject(None);
     found
 }
 
--- a/crates/faults/tests/explored.rs
+++ b/crates/faults/tests/explored.rs
@@ -1,6 +1,6 @@
 //! Small cases of duties and of releases, explored through every order of steps, and by walks at random.
 
-use cindercleat::fleet::planted::{plant, InjectedFault};
+use cindercleat::coordination::fault_injection::{inject, InjectedFault};
 use cindercleat_faults::duties::small::Small;
 use cindercleat_faults::duties::small_release::SmallRelease;
 use cindercleat_faults::explore::{explore, wander, Explored};
@@ -129,9 +129,9 @@
         (InjectedFault::ToldBeforeAgreed, "turn"),
         (InjectedFault::TurnTwice, "turns"),
     ] {
-        plant(Some(fault));
+        inject(Some(fault));
         let found = wander(&HALTED, 1, 20_000, 60);
-        plant(None);
+        inject(None);
         let (walks, what, story) = found.unwrap_or_else(|| panic!("{fault:?} is not found"));
         println!("{fault:?}: walk {walks}: {what}: {}", story.join("; "));
         assert!(what.contains(says), "{what}");
@@ -140,9 +140,9 @@
 
 #[test]
 fn a_planted_fault_is_found_with_its_steps() {
-    plant(Some(InjectedFault::PromiseBroken));
+    inject(Some(InjectedFault::PromiseBroken));
     let found = wander(&VOTER_AGAIN, 1, 100_000, 30);
-    plant(None);
+    inject(None);
     let (_, what, story) = found.expect("it is found");
     assert!(
         what.contains("given twice") || what.contains("two values"),
@@ -180,7 +180,7 @@
     std::thread::scope(|scope| {
         for fault in InjectedFault::ALL {
             scope.spawn(move || {
-                plant(Some(fault));
+                inject(Some(fault));
                 let found = cases.iter().find_map(|(name, case)| {
                     wander(case, 1, 4_000, 40)
                         .map(|(walks, what, story)| (name, walks, what, story))
--- a/crates/faults/tests/releases.rs
+++ b/crates/faults/tests/releases.rs
@@ -1,6 +1,6 @@
 //! Hard cases of releases and drains, each by its name, on the virtual clock.
 
-use cindercleat::fleet::bounds::UnitKind;
+use cindercleat::coordination::disruption_budget::UnitKind;
 use cindercleat_faults::duties::draw::{Plan, Spell, Trouble, Who};
 use cindercleat_faults::duties::draw_release::quiet;
 use cindercleat_faults::duties::service::{Act, Op, Play, Released, Version};
--- a/crates/faults/tests/releases_figures.rs
+++ b/crates/faults/tests/releases_figures.rs
@@ -1,7 +1,7 @@
 //! Figures of releases, for `docs/releases.md`:
 //! `cargo test --release -p cindercleat-faults --test releases_figures -- --ignored --nocapture`.
 
-use cindercleat::fleet::bounds::{MaxUnavailable, UnitKind};
+use cindercleat::coordination::disruption_budget::{MaxUnavailable, UnitKind};
 use cindercleat_faults::duties::draw::{Plan, Spell, Trouble, Who};
 use cindercleat_faults::duties::draw_release::quiet;
 use cindercleat_faults::duties::service::{Act, Op, Released, Version};
@@ -45,7 +45,7 @@
     all.into_inner().expect("it is whole")
 }
 
-fn start_of(plan: &mut Plan) -> &mut cindercleat::fleet::release::RolloutPlan {
+fn start_of(plan: &mut Plan) -> &mut cindercleat::coordination::rollout::RolloutPlan {
     let ops = &mut plan.release.as_mut().expect("it has one").ops;
     let Some(Op {
         act: Act::Start(start),
--- a/crates/fleet/src/ask.rs
+++ b/crates/fleet/src/ask.rs
@@ -2,7 +2,7 @@
 
 use crate::shell::MOST_MESSAGE;
 use crate::words::{answer_in, question_out};
-use cindercleat::fleet::member::{Answer, OperatorRequest, Question, Reply};
+use cindercleat::coordination::member::{Answer, OperatorRequest, Question, Reply};
 use cindercleat::interface::Ms;
 use cindercleat_grpc::{connect, Event, Session, Setup};
 use cindercleat_net::{Clock, Transport};
--- a/crates/fleet/src/care_words.rs
+++ b/crates/fleet/src/care_words.rs
@@ -1,16 +1,18 @@
 //! Turns, plans and releases as the schema's messages, and back.
 
 use crate::words::{address, name, text, LONGEST};
-use cindercleat::fleet::bounds::{
+use cindercleat::coordination::disruption_budget::{
     DisruptionBudget, MaxUnavailable, OutcomeCounts, UnitKind, ZoneSizes,
 };
-use cindercleat::fleet::member::{OperatorRequest, RolloutRequest, RolloutStatus, MOST_REPORTS};
-use cindercleat::fleet::release::{
+use cindercleat::coordination::member::{
+    OperatorRequest, RolloutRequest, RolloutStatus, MOST_REPORTS,
+};
+use cindercleat::coordination::membership::EngineReport;
+use cindercleat::coordination::rollout::{
     DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan, MOST_LEFT, MOST_NAMES,
     MOST_NOTES, MOST_TURNS,
 };
-use cindercleat::fleet::rollcall::EngineReport;
-use cindercleat::fleet::{Address, Incarnation, Name};
+use cindercleat::coordination::{Address, Incarnation, Name};
 use cindercleat_protocol::v1;
 use std::collections::{BTreeMap, BTreeSet};
 use v1::fleet_call::Question as Q;
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -3,7 +3,7 @@
 //! [`Memory`] one that fails and damages as it is told.
 
 use crate::words::{file_in, file_out};
-use cindercleat::fleet::register::AcceptorState;
+use cindercleat::coordination::register::AcceptorState;
 use cindercleat_protocol::v1;
 use prost::Message;
 use std::cell::RefCell;
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -2,9 +2,9 @@
 //! the work, asks for the lease again while it goes on, and ends it in time when the lease is not renewed.
 
 use crate::ask::order_any;
-use cindercleat::fleet::job::JobLease;
-use cindercleat::fleet::member::{OperatorRequest, Reply};
-use cindercleat::fleet::{LeaseName, Term};
+use cindercleat::coordination::job_lease::JobLease;
+use cindercleat::coordination::member::{OperatorRequest, Reply};
+use cindercleat::coordination::{LeaseName, Term};
 use cindercleat::interface::Ms;
 use cindercleat_net::{Clock, Transport};
 use std::future::Future;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,4 +1,4 @@
-//! Carries out what `cindercleat::fleet` decides: messages over the schema's `Fleet` service ([`words`]), the voter's
+//! Carries out what `cindercleat::coordination` decides: messages over the schema's `Fleet` service ([`words`]), the voter's
 //! file ([`file`]), and the loop that joins both with a transport and a clock ([`shell`]). [`ask`] is the operators'
 //! end of it, and [`job`] holds a duty for work outside of the dispatchers.
 #![forbid(unsafe_code)]
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -4,12 +4,12 @@
 
 use crate::file::{self, Disk};
 use crate::words::{answer_in, answer_out, question_in, question_out};
-use cindercleat::fleet::bounds::Unit;
-use cindercleat::fleet::member::{
+use cindercleat::coordination::disruption_budget::Unit;
+use cindercleat::coordination::member::{
     CallId, FleetSettings, Input, LocalHealth, Member, Output, Question, QuestionId, SaveId,
 };
-use cindercleat::fleet::register::AcceptorState;
-use cindercleat::fleet::{Address, LeaseName, Term};
+use cindercleat::coordination::register::AcceptorState;
+use cindercleat::coordination::{Address, LeaseName, Term};
 use cindercleat::interface::Ms;
 use cindercleat_grpc::{connect, serve, Event, Out, Session, Setup};
 use cindercleat_net::{Clock, Listener, Transport};
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/words.rs
@@ -2,19 +2,19 @@
 //! a name that is empty or too long, an impossible ballot, a part that is not there.
 
 use crate::care_words;
-use cindercleat::fleet::acts::{FencedCommand, FencingDecision, ReceiverTimestamp};
-use cindercleat::fleet::agreed::{
-    LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
-    MOST_DUTIES, MOST_VOTERS,
-};
-use cindercleat::fleet::member::{
+use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
+use cindercleat::coordination::member::{
     Answer, HeartbeatReply, MemberLine, OperatorRequest, Question, Reply, Seen, Status, VoterLine,
 };
-use cindercleat::fleet::register::{
+use cindercleat::coordination::membership::{Heartbeat, MemberStatus};
+use cindercleat::coordination::register::{
     AcceptorReply, AcceptorRequest, AcceptorState, Ballot, WriteCounts,
 };
-use cindercleat::fleet::rollcall::{Heartbeat, MemberStatus};
-use cindercleat::fleet::{Address, Incarnation, LeaseName, Name, Term};
+use cindercleat::coordination::state::{
+    LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
+    MOST_DUTIES, MOST_VOTERS,
+};
+use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
 use cindercleat_protocol::v1;
 use std::collections::BTreeMap;
 use v1::fleet_answer::Answer as A;
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -1,9 +1,9 @@
 //! A job that holds a duty, beside three members on connections in memory and a paused clock, while the voters' disks
 //! are slow for a moment or for good.
 
-use cindercleat::fleet::duties::LeaseSettings;
-use cindercleat::fleet::member::{FleetSettings, LocalHealth};
-use cindercleat::fleet::{Address, Incarnation, LeaseName, Name, Term};
+use cindercleat::coordination::lease::LeaseSettings;
+use cindercleat::coordination::member::{FleetSettings, LocalHealth};
+use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
 use cindercleat_fleet::file::{Disk, Memory as File};
 use cindercleat_fleet::job::{Ended, Job, Work};
 use cindercleat_fleet::{Dispatcher, Shell};
--- a/crates/fleet/tests/shell.rs
+++ b/crates/fleet/tests/shell.rs
@@ -1,10 +1,10 @@
 //! Members on connections and files in memory, on a paused clock.
 
-use cindercleat::fleet::duties::LeaseSettings;
-use cindercleat::fleet::member::{
+use cindercleat::coordination::lease::LeaseSettings;
+use cindercleat::coordination::member::{
     Answer, FleetSettings, LocalHealth, OperatorRequest, Question, Reply,
 };
-use cindercleat::fleet::{Address, Incarnation, LeaseName, Name};
+use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
 use cindercleat_fleet::ask::{ask, order};
 use cindercleat_fleet::file::Memory as File;
 use cindercleat_fleet::{Dispatcher, Shell};
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -1,22 +1,24 @@
 //! The fleet's words on the wire: there and back, and whatever else may come.
 
-use cindercleat::fleet::acts::{FencedCommand, FencingDecision, ReceiverTimestamp};
-use cindercleat::fleet::agreed::{
-    LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
+use cindercleat::coordination::disruption_budget::{
+    DisruptionBudget, MaxUnavailable, OutcomeCounts, UnitKind,
 };
-use cindercleat::fleet::bounds::{DisruptionBudget, MaxUnavailable, OutcomeCounts, UnitKind};
-use cindercleat::fleet::member::{
+use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
+use cindercleat::coordination::member::{
     Answer, HeartbeatReply, OperatorRequest, Question, Reply, RolloutRequest, RolloutStatus, Seen,
     Status,
 };
-use cindercleat::fleet::register::{
+use cindercleat::coordination::membership::{EngineReport, Heartbeat};
+use cindercleat::coordination::register::{
     AcceptorReply, AcceptorRequest, AcceptorState, Ballot, WriteCounts,
 };
-use cindercleat::fleet::release::{
+use cindercleat::coordination::rollout::{
     DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan,
 };
-use cindercleat::fleet::rollcall::{EngineReport, Heartbeat};
-use cindercleat::fleet::{Address, Incarnation, LeaseName, Name, Term};
+use cindercleat::coordination::state::{
+    LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
+};
+use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
 use cindercleat_fleet::file::{read, write, Unusable};
 use cindercleat_fleet::words::{answer_in, answer_out, question_in, question_out};
 use cindercleat_protocol::v1;
--- a/src/fleet/planted.rs
+++ b/src/coordination/fault_injection.rs
@@ -81,23 +81,23 @@
     ];
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "fault-injection")]
 thread_local! {
-    static PLANTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
+    static INJECTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Plants a fault in all that this thread runs, or takes it out.
-#[cfg(feature = "planted")]
-pub fn plant(plant: Option<InjectedFault>) {
-    PLANTED.set(plant);
+/// Injects a fault into all that this thread runs, or takes it out.
+#[cfg(feature = "fault-injection")]
+pub fn inject(fault: Option<InjectedFault>) {
+    INJECTED.set(fault);
 }
 
-#[cfg(feature = "planted")]
-pub fn is(plant: InjectedFault) -> bool {
-    PLANTED.get() == Some(plant)
+#[cfg(feature = "fault-injection")]
+pub fn is_injected(fault: InjectedFault) -> bool {
+    INJECTED.get() == Some(fault)
 }
 
-#[cfg(not(feature = "planted"))]
-pub const fn is(_: InjectedFault) -> bool {
+#[cfg(not(feature = "fault-injection"))]
+pub const fn is_injected(_: InjectedFault) -> bool {
     false
 }
--- a/src/fleet/acts.rs
+++ b/src/coordination/fencing.rs
@@ -6,8 +6,8 @@
 //! after it was given, so the receiver's count ends before the lease does, however long the act was under way or its
 //! sender slept. A receiver that has just started knows no ticket of an earlier process: it asks before it obeys.
 
-use super::agreed::LeaseHolder;
-use super::planted::{is, InjectedFault};
+use super::fault_injection::{is_injected, InjectedFault};
+use super::state::LeaseHolder;
 use super::{Incarnation, LeaseName, Term};
 use crate::interface::Ms;
 use std::collections::BTreeMap;
@@ -76,20 +76,20 @@
     /// Whether an act is to be obeyed, now.
     pub fn receive(&mut self, now: Ms, act: &FencedCommand) -> FencingDecision {
         let last = self.last.get(&act.duty).copied().unwrap_or_default();
-        let forgot = is(InjectedFault::ReceiverForgot) && last == Default::default();
-        if act.term < last.0 && !is(InjectedFault::OldTermObeyed) {
+        let forgot = is_injected(InjectedFault::ReceiverForgot) && last == Default::default();
+        if act.term < last.0 && !is_injected(InjectedFault::OldTermObeyed) {
             return FencingDecision::StaleTerm;
         }
-        if (act.term, act.number) <= last && !is(InjectedFault::OldTermObeyed) {
+        if (act.term, act.number) <= last && !is_injected(InjectedFault::OldTermObeyed) {
             return FencingDecision::Duplicate;
         }
         match act.ticket.filter(|t| t.run == self.run && t.at <= now) {
-            None if !forgot && !is(InjectedFault::OldTermObeyed) => {
+            None if !forgot && !is_injected(InjectedFault::OldTermObeyed) => {
                 return FencingDecision::TimestampMissing
             }
             Some(ticket)
                 if now >= ticket.at + act.good_for * (1.0 - self.drift)
-                    && !is(InjectedFault::OldTermObeyed) =>
+                    && !is_injected(InjectedFault::OldTermObeyed) =>
             {
                 return FencingDecision::LeaseExpired;
             }
@@ -101,7 +101,7 @@
 
     /// The clock went back: tickets that were given are worth nothing any more.
     pub fn clock_went_back(&mut self) {
-        if !is(InjectedFault::ClockBackUnnoticed) {
+        if !is_injected(InjectedFault::ClockBackUnnoticed) {
             self.run = Incarnation(self.run.0.wrapping_add(1));
         }
     }
--- a/src/fleet/job.rs
+++ b/src/coordination/job_lease.rs
@@ -2,7 +2,7 @@
 //! the lease again, and when it has to end because the lease was not renewed.
 //!
 //! The dispatcher beside which the job runs renews the lease; the job only asks how much of it is left. Like the rest
-//! of [`fleet`](crate::fleet) it does no I/O and reads no clock.
+//! of [`fleet`](crate::coordination) it does no I/O and reads no clock.
 
 use super::Term;
 use crate::interface::Ms;
--- a/src/fleet/duties.rs
+++ b/src/coordination/lease.rs
@@ -2,8 +2,8 @@
 //! its lease from before it asked for it, a contender waits for a whole lease of its own since it last saw the
 //! duty's row change, and both allow for clocks that run apart by a stated part.
 
-use super::agreed::{LeaseHolder, LeaseRecord, LeaseVersion, ReplicatedState};
-use super::planted::{is, InjectedFault};
+use super::fault_injection::{is_injected, InjectedFault};
+use super::state::{LeaseHolder, LeaseRecord, LeaseVersion, ReplicatedState};
 use super::{Incarnation, LeaseName, Name, Term};
 use crate::interface::Ms;
 use nanorand::{Rng, WyRand};
@@ -67,7 +67,7 @@
 
 impl HeldLease {
     pub fn new(term: Term, asked: Ms, heard: Ms, settings: &LeaseSettings) -> Self {
-        let from = if is(InjectedFault::LeaseFromAnswer) {
+        let from = if is_injected(InjectedFault::LeaseFromAnswer) {
             heard
         } else {
             asked
@@ -130,7 +130,7 @@
         let passed = now - self.counted;
         self.counted = now;
         let awake = (0.0..=2.0 * settings.look_every()).contains(&passed);
-        if awake || is(InjectedFault::SleptWaiting) {
+        if awake || is_injected(InjectedFault::SleptWaiting) {
             self.waited += passed;
         }
     }
@@ -166,7 +166,7 @@
         let held = match &self.row {
             // A try of this process was agreed on without its hearing of it: nobody else acts by it.
             Some(row) if row.holder.as_ref() == Some(me) => return 0.0,
-            Some(row) if row.holder.is_some() && !is(InjectedFault::NoWait) => all,
+            Some(row) if row.holder.is_some() && !is_injected(InjectedFault::NoWait) => all,
             _ => 0.0,
         };
         let wanted = match named {
--- a/src/fleet/member/voting.rs
+++ b/src/coordination/member/acceptor.rs
@@ -1,8 +1,8 @@
 //! The voter's side: its file, the first start, and whether it may vote.
 
 use super::*;
-use crate::fleet::agreed::VoterRecord;
-use crate::fleet::planted::{is, InjectedFault};
+use crate::coordination::fault_injection::{is_injected, InjectedFault};
+use crate::coordination::state::VoterRecord;
 use nanorand::Rng;
 
 impl Member {
@@ -124,7 +124,7 @@
         // that it was asked would keep the disk busy until the question's time is up.
         if !save || self.durable.as_deref() == kept {
             out.push(Output::Answer { call, answer });
-        } else if is(InjectedFault::SaidBeforeKept) {
+        } else if is_injected(InjectedFault::SaidBeforeKept) {
             out.push(Output::Answer { call, answer });
             self.save(out);
         } else if self.under_way.as_deref() == kept {
--- a/src/fleet/member/beating.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -1,8 +1,8 @@
 //! Beats to whoever calls the roll, the roll itself, and its telling.
 
 use super::*;
-use crate::fleet::acts::FencingDecision;
-use crate::fleet::planted::{is, InjectedFault};
+use crate::coordination::fault_injection::{is_injected, InjectedFault};
+use crate::coordination::fencing::FencingDecision;
 use nanorand::Rng;
 
 impl Member {
@@ -187,7 +187,7 @@
         let Some(hold) = self.holds.get(&duty).copied() else {
             return;
         };
-        let unnoticed = is(InjectedFault::PauseUnnoticed);
+        let unnoticed = is_injected(InjectedFault::PauseUnnoticed);
         if hold.left(self.now) <= 0.0 && !unnoticed {
             return;
         }
@@ -248,7 +248,7 @@
 
     /// The roll in a line: how many stand how, of how many, and for how long it has been called.
     fn summary(&self) -> Vec<u8> {
-        use crate::fleet::rollcall::MemberStatus;
+        use crate::coordination::membership::MemberStatus;
         let Some(roll) = &self.roll else {
             return Vec::new();
         };
--- a/src/fleet/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -2,27 +2,27 @@
 //! or one that answers it. One entry, [`Member::handle`]; what is to be done comes out; [`Member::wants_call_at`]
 //! says when it wants to be called if nothing happens before.
 
-mod beating;
-mod holding;
-mod orders;
-mod releasing;
-mod voting;
+mod acceptor;
+mod heartbeat;
+mod operator_requests;
+mod proposer;
+mod rollout;
 
-pub use orders::{
+pub use operator_requests::{
     MemberLine, OperatorRequest, Reply, RolloutRequest, RolloutStatus, Status, VoterLine,
     LONGEST_NAME,
 };
-pub use releasing::MOST_REPORTS;
+pub use rollout::MOST_REPORTS;
 
-use super::acts::{FencedCommand, FencingDecision, Receiver, ReceiverClock, ReceiverTimestamp};
-use super::agreed::{Command, LeaseHolder, ReplicatedState, VoterId, Voters};
-use super::bounds::{DisruptionBudget, OutcomeCounts, Unit, UnitKind};
-use super::duties::{HeldLease, LeaseObserver, LeaseSettings};
+use super::disruption_budget::{DisruptionBudget, OutcomeCounts, Unit, UnitKind};
+use super::fencing::{FencedCommand, FencingDecision, Receiver, ReceiverClock, ReceiverTimestamp};
+use super::lease::{HeldLease, LeaseObserver, LeaseSettings};
+use super::membership::{EngineReport, Heartbeat, Membership};
 use super::register::{
     self, Acceptor, AcceptorReply, AcceptorState, Ballot, Proposal, ProposerKnowledge,
 };
-use super::release::PermitId;
-use super::rollcall::{EngineReport, Heartbeat, Membership};
+use super::rollout::PermitId;
+use super::state::{Command, LeaseHolder, ReplicatedState, VoterId, Voters};
 use super::{Address, Incarnation, LeaseName, MonotonicClock, Name, Term};
 use crate::interface::Ms;
 use nanorand::WyRand;
@@ -390,11 +390,11 @@
     acts: u64,
     receiver: Receiver,
     // Turns and releases.
-    care: releasing::Releasing,
+    care: rollout::Releasing,
     // Questions.
     asks: u64,
     out: BTreeMap<QuestionId, Out>,
-    inspecting: BTreeMap<CallId, orders::Inspection>,
+    inspecting: BTreeMap<CallId, operator_requests::Inspection>,
     counts: BTreeMap<&'static str, u64>,
 }
 
@@ -453,7 +453,7 @@
             told,
             acts: 0,
             receiver,
-            care: releasing::Releasing::default(),
+            care: rollout::Releasing::default(),
             asks: 0,
             out: BTreeMap::new(),
             inspecting: BTreeMap::new(),
@@ -570,7 +570,9 @@
     fn clock_went_back(&mut self, out: &mut Vec<Output>) {
         self.count("clock went back");
         self.receiver.clock_went_back();
-        if super::planted::is(super::planted::InjectedFault::ClockBackUnnoticed) {
+        if super::fault_injection::is_injected(
+            super::fault_injection::InjectedFault::ClockBackUnnoticed,
+        ) {
             return;
         }
         out.push(Output::Warn(
--- a/src/fleet/member/orders.rs
+++ b/src/coordination/member/operator_requests.rs
@@ -1,10 +1,10 @@
 //! What operators ask: who is there, who holds what, changes of voters, duties for their own jobs.
 
 use super::*;
-use crate::fleet::agreed::{CommandError, VoterRecord};
-use crate::fleet::duties::holder_of;
-use crate::fleet::release::RolloutPlan;
-use crate::fleet::rollcall::MemberStatus;
+use crate::coordination::lease::holder_of;
+use crate::coordination::membership::MemberStatus;
+use crate::coordination::rollout::RolloutPlan;
+use crate::coordination::state::{CommandError, VoterRecord};
 
 /// An operator's wish, at any dispatcher.
 #[derive(Clone, Debug, PartialEq)]
@@ -443,22 +443,23 @@
         };
         let answered =
             |name: &Name, _: &VoterRecord| voters.iter().any(|v| v.name == *name && v.votes);
-        let duty = |(duty, row): (&LeaseName, &super::super::agreed::LeaseRecord)| {
+        let duty = |(duty, row): (&LeaseName, &super::super::state::LeaseRecord)| {
             (duty.clone(), row.term, row.holder.clone())
         };
         let least = self.settings.beat;
         let roll = self.roll.as_ref();
-        let member = |(name, member): (&Name, &crate::fleet::rollcall::Member)| MemberLine {
-            name: name.clone(),
-            zone: member.beat.zone.clone(),
-            label: member.beat.label.clone(),
-            standing: roll.map_or(MemberStatus::Dead, |roll| {
-                roll.standing(self.now, member, least)
-            }),
-            ready: member.beat.ready,
-            up: member.beat.up + self.now - member.heard,
-            age: self.now - member.heard,
-        };
+        let member =
+            |(name, member): (&Name, &crate::coordination::membership::Member)| MemberLine {
+                name: name.clone(),
+                zone: member.beat.zone.clone(),
+                label: member.beat.label.clone(),
+                standing: roll.map_or(MemberStatus::Dead, |roll| {
+                    roll.standing(self.now, member, least)
+                }),
+                ready: member.beat.ready,
+                up: member.beat.up + self.now - member.heard,
+                age: self.now - member.heard,
+            };
         Status {
             by: Some(self.settings.me.clone()),
             majority: view.is_some_and(|view| view.majority(answered)),
--- a/src/fleet/member/holding.rs
+++ b/src/coordination/member/proposer.rs
@@ -1,10 +1,10 @@
 //! The proposer's side: which change is wanted next, tries of it, and what is held by them.
 
 use super::*;
-use crate::fleet::agreed::{CommandError, LeaseRecord, MOST_VOTERS};
-use crate::fleet::duties::{holder_of, is_mine};
-use crate::fleet::planted::{is, InjectedFault};
-use crate::fleet::register::ProposalOutcome;
+use crate::coordination::fault_injection::{is_injected, InjectedFault};
+use crate::coordination::lease::{holder_of, is_mine};
+use crate::coordination::register::ProposalOutcome;
+use crate::coordination::state::{CommandError, LeaseRecord, MOST_VOTERS};
 use nanorand::Rng;
 
 /// After a try that others were ahead of: the wait before the next in parts of a lease, doubled up to the most.
@@ -72,7 +72,7 @@
     /// What is over by itself: leases, jobs.
     pub(super) fn drop_ended(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        if !is(InjectedFault::PauseUnnoticed) {
+        if !is_injected(InjectedFault::PauseUnnoticed) {
             let over = |hold: &HeldLease| hold.left(now) <= 0.0;
             let ended: Vec<LeaseName> = self
                 .holds
@@ -303,7 +303,7 @@
             return;
         };
         self.highest += 1;
-        let run = if is(InjectedFault::BallotAgain) {
+        let run = if is_injected(InjectedFault::BallotAgain) {
             Incarnation(0)
         } else {
             self.settings.run
@@ -345,7 +345,7 @@
         ballot: &Ballot,
         asks: Vec<(
             Name,
-            crate::fleet::agreed::VoterRecord,
+            crate::coordination::state::VoterRecord,
             register::AcceptorRequest,
         )>,
         out: &mut Vec<Output>,
--- a/src/fleet/member/releasing.rs
+++ b/src/coordination/member/rollout.rs
@@ -2,20 +2,20 @@
 //! the halt, which any dispatcher may give.
 
 use super::*;
-use crate::fleet::acts::FencingDecision;
-use crate::fleet::agreed::CommandError;
-use crate::fleet::bounds::{
+use crate::coordination::disruption_budget::{
     sizes_seen, Counts, DisruptionBudget, OutcomeCounts, ServiceStatus, Unit, UnitKind, ZoneSizes,
 };
-use crate::fleet::conduct::{
+use crate::coordination::fault_injection::{is_injected, InjectedFault};
+use crate::coordination::fencing::FencingDecision;
+use crate::coordination::membership::MemberStatus;
+use crate::coordination::rollout::{
+    DisruptionPermit, DisruptionState, OperatorCommand, PermitId, Rollout, RolloutPlan, RolloutStep,
+};
+use crate::coordination::rollout_controller::{
     stage, told_at, waves, FleetView, PermitNotice as TurnTold, PermitRequest, PermitStage,
     RolloutController,
 };
-use crate::fleet::planted::{is, InjectedFault};
-use crate::fleet::release::{
-    DisruptionPermit, DisruptionState, OperatorCommand, PermitId, Rollout, RolloutPlan, RolloutStep,
-};
-use crate::fleet::rollcall::MemberStatus;
+use crate::coordination::state::CommandError;
 use std::collections::BTreeSet;
 
 /// The fleet is looked at so often in a beat, while there is something to look after.
@@ -132,7 +132,7 @@
             return FleetView::default();
         };
         let (now, least) = (self.now, self.settings.beat);
-        let dispatcher = |(name, member): (&Name, &crate::fleet::rollcall::Member)| Unit {
+        let dispatcher = |(name, member): (&Name, &crate::coordination::membership::Member)| Unit {
             name: name.clone(),
             run: member.beat.who.run,
             address: member.beat.who.address.clone(),
@@ -229,9 +229,10 @@
         // What an operator halted here is not known to the others, with the fault that is planted.
         self.care.step = step.filter(|_| !self.care.alone);
         (self.care.tell, self.care.revoke) = (tell, revoke);
-        if let (true, Some(RolloutStep::Grant(turns))) =
-            (is(InjectedFault::ToldBeforeAgreed), &self.care.step)
-        {
+        if let (true, Some(RolloutStep::Grant(turns))) = (
+            is_injected(InjectedFault::ToldBeforeAgreed),
+            &self.care.step,
+        ) {
             self.care.unagreed = turns.clone();
         }
     }
@@ -295,7 +296,7 @@
         else {
             return;
         };
-        if is(InjectedFault::ToldBeforeAgreed) {
+        if is_injected(InjectedFault::ToldBeforeAgreed) {
             for turn in std::mem::take(&mut self.care.unagreed) {
                 self.tell_turn(PermitId(u64::MAX), &turn, hold, out);
             }
@@ -678,7 +679,9 @@
     }
 
     fn order_halt(&mut self, call: CallId, why: String) -> Option<Reply> {
-        if is(InjectedFault::HaltByHolderAlone) && self.holds.contains_key(&Self::roll_call()) {
+        if is_injected(InjectedFault::HaltByHolderAlone)
+            && self.holds.contains_key(&Self::roll_call())
+        {
             self.care.alone = true;
             return Some(Reply::Done("halted".to_owned()));
         }
--- a/src/fleet/rollcall.rs
+++ b/src/coordination/membership.rs
@@ -1,8 +1,8 @@
 //! The roll-call: who is there, as the one dispatcher that holds this duty hears it from the others' beats.
 
-use super::agreed::LeaseHolder;
-use super::bounds::OutcomeCounts;
-use super::duties::{places, Candidate};
+use super::disruption_budget::OutcomeCounts;
+use super::lease::{places, Candidate};
+use super::state::LeaseHolder;
 use super::{Address, LeaseName, Name};
 use crate::interface::Ms;
 use std::collections::BTreeMap;
--- a/src/fleet/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,22 +1,22 @@
 //! What many dispatchers agree on: a small value among a few voters ([`register`]), duties that one dispatcher
-//! holds at a time ([`duties`]), acts that receivers obey only while their sender holds its duty ([`acts`]), and
-//! the roll-call of the fleet ([`rollcall`]). [`member`] is one dispatcher's part in all of it.
+//! holds at a time ([`lease`]), acts that receivers obey only while their sender holds its duty ([`fencing`]), and
+//! the roll-call of the fleet ([`membership`]). [`member`] is one dispatcher's part in all of it.
 //!
 //! Nothing here does I/O or reads a clock: callers hand in what came and the time, and do what comes out. No clock
 //! is compared with another's; `docs/duties.md` says what is promised.
 
-pub mod acts;
-pub mod agreed;
-pub mod bounds;
-pub mod conduct;
-pub mod duties;
-pub mod job;
+pub mod disruption_budget;
+pub mod fault_injection;
+pub mod fencing;
+pub mod job_lease;
+pub mod lease;
 pub mod member;
-pub mod planted;
+pub mod membership;
 pub mod register;
-pub mod release;
-pub mod rollcall;
-pub mod signs;
+pub mod rollout;
+pub mod rollout_analysis;
+pub mod rollout_controller;
+pub mod state;
 
 use crate::interface::Ms;
 use std::sync::Arc;
--- a/src/fleet/register.rs
+++ b/src/coordination/register.rs
@@ -4,10 +4,10 @@
 //! [`Acceptor`] keeps what it promised and took; what it answers goes out once that lasts. [`Proposal`] is one try of a
 //! proposer. Both are plain state: small enough to be explored through every order of messages.
 
-use super::agreed::{
+use super::fault_injection::{is_injected, InjectedFault};
+use super::state::{
     Command, CommandError, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
 };
-use super::planted::{is, InjectedFault};
 use super::{Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -117,7 +117,7 @@
                 ..
             } => (life, ballot, heard),
         };
-        let known = is(InjectedFault::LossUnnoticed) || *life == self.kept.life;
+        let known = is_injected(InjectedFault::LossUnnoticed) || *life == self.kept.life;
         if !known || !self.votes || self.is_old(heard) {
             return (AcceptorReply::NotVoting, false);
         }
@@ -155,7 +155,7 @@
             }
             AcceptorRequest::Accept { value, .. } => {
                 if let Some(promised) =
-                    promised.filter(|p| *p > ballot && !is(InjectedFault::PromiseBroken))
+                    promised.filter(|p| *p > ballot && !is_injected(InjectedFault::PromiseBroken))
                 {
                     return (
                         AcceptorReply::Conflict {
@@ -361,7 +361,7 @@
             return (self.prepares(knows), None);
         }
         let base = match newest {
-            Some((_, value)) if !is(InjectedFault::ValueOverlooked) => value.clone(),
+            Some((_, value)) if !is_injected(InjectedFault::ValueOverlooked) => value.clone(),
             _ => ReplicatedState {
                 voters: self.view.clone(),
                 ..ReplicatedState::default()
--- a/src/fleet/release.rs
+++ b/src/coordination/rollout.rs
@@ -2,8 +2,8 @@
 //! each change that can be made to it. A holder's steps name its term and count only while it holds the roll-call by
 //! this very value; operators' words may come from any dispatcher.
 
-use super::bounds::{DisruptionBudget, Unit, UnitKind, ZoneSizes};
-use super::planted::{is, InjectedFault};
+use super::disruption_budget::{DisruptionBudget, Unit, UnitKind, ZoneSizes};
+use super::fault_injection::{is_injected, InjectedFault};
 use super::{Address, Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
@@ -318,7 +318,7 @@
         if self.halted.is_some() {
             return Err(RolloutError::Stopped);
         }
-        if self.turn_of(turn.of, &turn.who).is_some() && !is(InjectedFault::TurnTwice) {
+        if self.turn_of(turn.of, &turn.who).is_some() && !is_injected(InjectedFault::TurnTwice) {
             return Err(RolloutError::AlreadySo);
         }
         if self.turns.len() >= MOST_TURNS {
@@ -342,9 +342,9 @@
                 };
                 self.turns.values().filter(same).count() as u32
             };
-            let unbound = is(InjectedFault::BackUnbound)
-                || is(InjectedFault::TurnTwice)
-                || is(InjectedFault::BeginsAnew);
+            let unbound = is_injected(InjectedFault::BackUnbound)
+                || is_injected(InjectedFault::TurnTwice)
+                || is_injected(InjectedFault::BeginsAnew);
             let full = given(None) >= bounds.fleet.of(fleet)
                 || given(Some(&turn.zone)) >= bounds.zone.of(zone);
             if full && !unbound {
--- a/src/fleet/signs.rs
+++ b/src/coordination/rollout_analysis.rs
@@ -2,7 +2,7 @@
 //! often each fell by itself. Compared within short slices of time, so that a burst, which meets both, is no sign (in the
 //! manner of Mantel and Haenszel, 1959); with enough cases, over enough members, and more than once in a row.
 
-use super::bounds::{OutcomeCounts, Unit};
+use super::disruption_budget::{OutcomeCounts, Unit};
 use super::{Incarnation, Name};
 use crate::interface::Ms;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/fleet/conduct.rs
+++ b/src/coordination/rollout_controller.rs
@@ -2,15 +2,15 @@
 //! at who is there, and names the next step. What it keeps for itself are times of its own, which its successor counts
 //! anew; all that must not be lost is in the agreed value.
 
-use super::bounds::{
+use super::disruption_budget::{
     sizes_seen, Counts, DisruptionBudget, ServiceStatus, Unit, UnitKind, Violation, ZoneSizes,
 };
-use super::planted::{is, InjectedFault};
-use super::release::{
+use super::fault_injection::{is_injected, InjectedFault};
+use super::rollout::{
     key, DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan, RolloutStep, MOST_LEFT,
     MOST_TURNS,
 };
-use super::signs::RolloutAnalysis;
+use super::rollout_analysis::RolloutAnalysis;
 use super::{Address, Incarnation, Name};
 use crate::interface::Ms;
 use std::collections::{BTreeMap, BTreeSet};
@@ -111,8 +111,9 @@
     };
     let other = unit.run != turn.run;
     // An engine carries no label: its keeper is told what it is to be.
-    let any =
-        turn.label.is_empty() || turn.of == UnitKind::Engines || is(InjectedFault::LabelUnchecked);
+    let any = turn.label.is_empty()
+        || turn.of == UnitKind::Engines
+        || is_injected(InjectedFault::LabelUnchecked);
     let fits = any || turn.label == unit.label;
     match unit.stand {
         ServiceStatus::InService if other && !turn.stays && fits => PermitStage::Returned,
@@ -126,7 +127,7 @@
 impl RolloutController {
     /// With what was agreed on when it began.
     pub fn begin(care: &DisruptionState) -> Self {
-        let before = if is(InjectedFault::BeginsAnew) {
+        let before = if is_injected(InjectedFault::BeginsAnew) {
             care.turns.keys().copied().collect()
         } else {
             BTreeSet::new()
@@ -238,7 +239,7 @@
                     // What failed since it was given, or is used more now, may have taken its room: then it is not
                     // told, or not again.
                     let full = counts.as_mut().is_some_and(|(release, counts)| {
-                        let unbound = release.back && is(InjectedFault::BackUnbound);
+                        let unbound = release.back && is_injected(InjectedFault::BackUnbound);
                         turn.planned && !unbound && !still_fits(counts, unit, &release.bounds)
                     });
                     if care.halted.is_some() || forward || full || now - seen.first > begin {
@@ -407,7 +408,7 @@
             if turns.len() >= most {
                 break;
             }
-            let unbound = release.back && is(InjectedFault::BackUnbound);
+            let unbound = release.back && is_injected(InjectedFault::BackUnbound);
             // One that is out already takes no room more.
             if unit.stand == ServiceStatus::InService && !unbound {
                 let voter = || voter_binds(unit, care, view, voters, &turns);
@@ -448,11 +449,11 @@
             .turns
             .iter()
             .filter(|(number, turn)| {
-                turn.of == of && !forgotten(number) && !is(InjectedFault::TurnTwice)
+                turn.of == of && !forgotten(number) && !is_injected(InjectedFault::TurnTwice)
             })
             .map(|(_, turn)| &turn.who)
             .collect();
-        if is(InjectedFault::FailuresUncounted) {
+        if is_injected(InjectedFault::FailuresUncounted) {
             let sound = |unit: &Unit| Unit {
                 stand: ServiceStatus::InService,
                 ..unit.clone()
@@ -462,7 +463,7 @@
                 turning.contains(&u.name)
             });
         }
-        if is(InjectedFault::OldReportTaken) {
+        if is_injected(InjectedFault::OldReportTaken) {
             let bounds = DisruptionBudget {
                 report_age_ms: u64::MAX,
                 ..*bounds
--- a/src/fleet/agreed.rs
+++ b/src/coordination/state.rs
@@ -1,8 +1,8 @@
 //! The agreed value, and each change that can be made to it. A change is worked out on the value that a majority
 //! gave, so it sees all that came before it.
 
-use super::planted::{is, InjectedFault};
-use super::release::{DisruptionState, OperatorCommand, RolloutError, RolloutStep};
+use super::fault_injection::{is_injected, InjectedFault};
+use super::rollout::{DisruptionState, OperatorCommand, RolloutError, RolloutStep};
 use super::{Address, Incarnation, LeaseName, Name, Term};
 use std::collections::BTreeMap;
 
@@ -219,8 +219,10 @@
                 if !new.duties.contains_key(duty) && new.duties.len() >= MOST_DUTIES {
                     return Err(CommandError::TooMany);
                 }
-                let term =
-                    Term(now.term.0 + u64::from(!is(InjectedFault::TermKept) || now.term.0 == 0));
+                let term = Term(
+                    now.term.0
+                        + u64::from(!is_injected(InjectedFault::TermKept) || now.term.0 == 0),
+                );
                 let holder = Some(who.clone());
                 let held = LeaseRecord {
                     term,
@@ -300,7 +302,7 @@
         &mut self,
         change: impl FnOnce(&mut BTreeMap<Name, VoterRecord>) -> Result<(), CommandError>,
     ) -> Result<(), CommandError> {
-        let unsafe_way = is(InjectedFault::TwoChanges);
+        let unsafe_way = is_injected(InjectedFault::TwoChanges);
         if self.voters.before.is_some() && !unsafe_way {
             return Err(CommandError::VoterChangeInProgress);
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,8 +8,8 @@
 pub mod client_connection;
 pub mod connection_pool;
 pub mod control;
+pub mod coordination;
 pub mod discovery_client;
-pub mod fleet;
 pub mod interface;
 pub mod resource_limits;
 pub mod status;
--- a/tests/voter.rs
+++ b/tests/voter.rs
@@ -1,9 +1,11 @@
 //! A voter's answers and the writes that they wait for.
 
-use cindercleat::fleet::duties::LeaseSettings;
-use cindercleat::fleet::member::{CallId, FleetSettings, Input, Member, Output, Question, SaveId};
-use cindercleat::fleet::register::{AcceptorRequest, AcceptorState, Ballot};
-use cindercleat::fleet::{Address, Incarnation, Name};
+use cindercleat::coordination::lease::LeaseSettings;
+use cindercleat::coordination::member::{
+    CallId, FleetSettings, Input, Member, Output, Question, SaveId,
+};
+use cindercleat::coordination::register::{AcceptorRequest, AcceptorState, Ballot};
+use cindercleat::coordination::{Address, Incarnation, Name};
 
 fn settings() -> FleetSettings {
     let voter = |n: usize| {
