--- a/crates/cindercleat-cli/src/drill.rs
+++ b/crates/cindercleat-cli/src/drill.rs
@@ -328,7 +328,7 @@
     }
     if let Some(one) = one.released {
         let sum = sum.released.get_or_insert_default();
-        (sum.turns, sum.drains) = (sum.turns + one.turns, sum.drains + one.drains);
+        (sum.permits, sum.drains) = (sum.permits + one.permits, sum.drains + one.drains);
         sum.most_out = (
             sum.most_out.0.max(one.most_out.0),
             sum.most_out.1.max(one.most_out.1),
@@ -365,7 +365,7 @@
         "turns begun {}, hosts drained {}, most out at once {} and {} (with failures)\norders done:{}\norders \
          refused:{}\nhalts acknowledged after ms (times, p50, worst): {} {:.0} {:.0}\nin at the end, by label:{}\n\
          tasks: {} tries, {} final answers\n",
-        released.turns,
+        released.permits,
         released.drains,
         released.most_out.0,
         released.most_out.1,
--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -32,7 +32,10 @@
         json: bool,
     },
     /// Gives a duty to another dispatcher, or to whoever comes next.
-    HandOver { duty: String, to: Option<String> },
+    HandOver {
+        lease_name: String,
+        to: Option<String>,
+    },
     /// Changes who votes, one at a time.
     Voters {
         #[command(subcommand)]
@@ -40,7 +43,7 @@
     },
     /// Holds a duty, prints its term, and keeps it until told to stop; or runs a command only while it is held.
     Hold {
-        duty: String,
+        lease_name: String,
         /// The command, after `--`. It finds the term in CINDERCLEAT_TERM.
         #[arg(last = true)]
         command: Vec<String>,
@@ -231,16 +234,21 @@
                 )
                 .await)
             }
-            What::Turn { name, label, .. } => releases::turn(&clock, &args.at, &name, &label).await,
-            What::Hold { duty, command } => hold(&clock, &args.at, &duty, &command).await,
+            What::Turn { name, label, .. } => {
+                releases::permit(&clock, &args.at, &name, &label).await
+            }
+            What::Hold {
+                lease_name,
+                command,
+            } => hold(&clock, &args.at, &lease_name, &command).await,
             What::Status { json } => status(&clock, &args.at, json).await,
-            What::HandOver { duty, to } => {
+            What::HandOver { lease_name, to } => {
                 let to = to.as_deref().map(Name::from);
                 say(give(
                     &clock,
                     &args.at,
                     &OperatorRequest::HandOver {
-                        duty: LeaseName::from(duty.as_str()),
+                        lease_name: LeaseName::from(lease_name.as_str()),
                         to,
                     },
                 )
@@ -313,7 +321,8 @@
     if let Some(caller) = &found.caller {
         let there = [caller.0.to_string()];
         if let Ok(Reply::Status(status)) = give(clock, &there, &OperatorRequest::Status).await {
-            (full.roll, full.roll_for, full.care) = (status.roll, status.roll_for, status.care);
+            (full.roll, full.roll_for, full.disruptions) =
+                (status.roll, status.roll_for, status.disruptions);
         }
     }
     Ok(full)
@@ -335,8 +344,8 @@
     Ok(full.majority)
 }
 
-fn standing(standing: MemberStatus) -> &'static str {
-    match standing {
+fn member_status(member_status: MemberStatus) -> &'static str {
+    match member_status {
         MemberStatus::Alive => "in",
         MemberStatus::Suspected => "suspected",
         MemberStatus::Dead => "out",
@@ -349,14 +358,14 @@
     let voters = status.voters.iter().map(|v| {
         json!({"name": *v.name.0, "address": *v.address.0, "answers": v.answers, "votes": v.votes, "version": v.version})
     });
-    let duties = status.duties.iter().map(|(duty, term, holder)| {
+    let leases = status.leases.iter().map(|(lease_name, term, holder)| {
         let name = holder.as_ref().map(|h| h.name.0.to_string());
         let address = holder.as_ref().map(|h| h.address.0.to_string());
-        json!({"duty": *duty.0, "term": term.0, "holder": name, "address": address})
+        json!({"duty": *lease_name.0, "term": term.0, "holder": name, "address": address})
     });
     let roll = status.roll.iter().map(|l| {
         json!({
-            "name": *l.name.0, "zone": l.zone, "label": l.label, "standing": standing(l.standing),
+            "name": *l.name.0, "zone": l.zone, "label": l.label, "standing": member_status(l.member_status),
             "ready": l.ready, "up_ms": l.up, "age_ms": l.age
         })
     });
@@ -367,7 +376,7 @@
         "changing": status.changing,
         "version": status.version,
         "voters": voters.collect::<Vec<_>>(),
-        "duties": duties.collect::<Vec<_>>(),
+        "duties": leases.collect::<Vec<_>>(),
         "roll_for_ms": status.roll_for,
         "roll": roll.collect::<Vec<_>>(),
     })
@@ -396,11 +405,11 @@
         );
     }
     out += "duties\n";
-    for (duty, term, holder) in &status.duties {
+    for (lease_name, term, holder) in &status.leases {
         let holder = holder.as_ref().map_or("nobody".to_owned(), |h| {
             format!("{} at {}", h.name.0, h.address.0)
         });
-        out += &format!("  {:<20} term {:<6} {holder}\n", duty.0, term.0);
+        out += &format!("  {:<20} term {:<6} {holder}\n", lease_name.0, term.0);
     }
     match status.roll_for {
         Some(ms) => out += &format!("roll, called for {:.1} s\n", ms / 1000.0),
@@ -412,7 +421,7 @@
             l.name.0,
             l.zone,
             l.label,
-            standing(l.standing),
+            member_status(l.member_status),
             if l.ready { "ready" } else { "not ready" },
             l.up / 1000.0,
             l.age
@@ -432,17 +441,17 @@
 async fn hold(
     clock: &SystemClock,
     at: &[String],
-    duty: &str,
+    lease_name: &str,
     command: &[String],
 ) -> io::Result<bool> {
     let stop = crate::serve::ends()?;
-    let (duty, number) = (
-        LeaseName::from(duty),
+    let (lease_name, number) = (
+        LeaseName::from(lease_name),
         RandomState::new().hash_one(std::process::id()),
     );
     let mut work = HeldCommand {
         clock,
-        duty: duty.clone(),
+        lease_name: lease_name.clone(),
         command,
         child: None,
     };
@@ -450,7 +459,7 @@
         transport: &Tcp,
         clock,
         addresses: at,
-        duty: duty.clone(),
+        lease_name: lease_name.clone(),
         number,
     };
     match job.run(&mut work, stop).await? {
@@ -458,7 +467,7 @@
         Ended::ByItself(success) => Ok(success),
         Ended::Refused(why) => say(Ok(Reply::Refused(why))),
         Ended::Lost(why) => {
-            eprintln!("cindercleat: {} is lost: {why}", duty.0);
+            eprintln!("cindercleat: {} is lost: {why}", lease_name.0);
             Ok(false)
         }
     }
@@ -467,7 +476,7 @@
 /// An operator's command that runs only while its duty is held; without one the term is printed and nothing is run.
 struct HeldCommand<'a> {
     clock: &'a SystemClock,
-    duty: LeaseName,
+    lease_name: LeaseName,
     command: &'a [String],
     child: Option<Child>,
 }
@@ -480,7 +489,7 @@
             command
                 .args(arguments)
                 .env("CINDERCLEAT_TERM", term.0.to_string());
-            command.env("CINDERCLEAT_DUTY", &*self.duty.0);
+            command.env("CINDERCLEAT_DUTY", &*self.lease_name.0);
             self.child = Some(command.spawn()?);
         }
         Ok(())
--- a/crates/cindercleat-cli/src/fleet_settings.rs
+++ b/crates/cindercleat-cli/src/fleet_settings.rs
@@ -4,7 +4,7 @@
 use crate::release_plan;
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{FleetSettings, LONGEST_NAME};
-use cindercleat::coordination::state::{LEAST_VOTERS, MOST_VOTERS};
+use cindercleat::coordination::state::{MAX_VOTERS, MIN_VOTERS};
 use cindercleat::coordination::{Address, Incarnation, Name};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -60,7 +60,7 @@
         }
     }
     let number = voters.len();
-    if number.is_multiple_of(2) || !(LEAST_VOTERS..=MOST_VOTERS).contains(&number) {
+    if number.is_multiple_of(2) || !(MIN_VOTERS..=MAX_VOTERS).contains(&number) {
         let last = block.all("voter").last().copied().unwrap_or(&block.head);
         return Err(last.wrong(&format!(
             "3, 5 or 7 lines 'voter NAME ADDRESS' (there are {number})"
@@ -93,9 +93,9 @@
             format!("a lease of at least {ROUND_TRIPS} times 'answer' ({answer_within:.0}ms)");
         return Err(line.wrong(&expected));
     }
-    let beat = time("beat", lease / 5.0)?;
-    let tell_every = time("tell-every", beat)?;
-    if beat < 10.0 || tell_every < 1.0 {
+    let heartbeat = time("beat", lease / 5.0)?;
+    let tell_every = time("tell-every", heartbeat)?;
+    if heartbeat < 10.0 || tell_every < 1.0 {
         return Err(block
             .head
             .wrong("'beat' of at least 10ms and 'tell-every' of at least 1ms"));
@@ -120,7 +120,7 @@
     let member = FleetSettings {
         fleet: block.value_or("name", "fleet".to_owned())?,
         me: Name::from(name),
-        run: Incarnation(run),
+        incarnation: Incarnation(run),
         address: Address::from(own.as_str()),
         zone: zone.to_owned(),
         label: block.value_or("label", env!("CARGO_PKG_VERSION").to_owned())?,
@@ -128,7 +128,7 @@
         may_vote: file.is_some(),
         lease: LeaseSettings { lease, drift },
         answer_within,
-        beat,
+        heartbeat,
         prefers: block.maybe_value("prefers")?,
         tells: tells.iter().map(|at| Address::from(at.as_str())).collect(),
         tell_every,
--- a/crates/cindercleat-cli/src/release_plan.rs
+++ b/crates/cindercleat-cli/src/release_plan.rs
@@ -3,7 +3,7 @@
 use crate::conf::{Line, Problem, Section, Time};
 use cindercleat::coordination::disruption_budget::{DisruptionBudget, MaxUnavailable, UnitKind};
 use cindercleat::coordination::member::LONGEST_NAME;
-use cindercleat::coordination::rollout::{RolloutPlan, MOST_NAMES};
+use cindercleat::coordination::rollout::{RolloutPlan, MAX_NAMES};
 use cindercleat::coordination::Name;
 use std::collections::BTreeSet;
 
@@ -96,8 +96,8 @@
             return Ok(Vec::new());
         };
         let words = &line.words[1..];
-        if words.is_empty() || words.len() > MOST_NAMES {
-            return Err(line.wrong(&format!("1 to {MOST_NAMES} words after '{keyword}'")));
+        if words.is_empty() || words.len() > MAX_NAMES {
+            return Err(line.wrong(&format!("1 to {MAX_NAMES} words after '{keyword}'")));
         }
         let mut once = BTreeSet::new();
         if let Some(twice) = words.iter().find(|word| !once.insert(*word)) {
@@ -181,8 +181,8 @@
 
 /// A drain of engines by name, all in one wave, as the bounds let them.
 pub fn drain(engines: &[String], stays: bool) -> Result<RolloutPlan, String> {
-    if engines.is_empty() || engines.len() > MOST_NAMES {
-        return Err(format!("1 to {MOST_NAMES} hosts"));
+    if engines.is_empty() || engines.len() > MAX_NAMES {
+        return Err(format!("1 to {MAX_NAMES} hosts"));
     }
     let mut once = BTreeSet::new();
     if let Some(twice) = engines.iter().find(|engine| !once.insert(*engine)) {
--- a/crates/cindercleat-cli/src/releases.rs
+++ b/crates/cindercleat-cli/src/releases.rs
@@ -35,7 +35,12 @@
 }
 
 /// Asks for a turn until it is there; told to stop, it wants it no more.
-pub async fn turn(clock: &SystemClock, at: &[String], name: &str, label: &str) -> io::Result<bool> {
+pub async fn permit(
+    clock: &SystemClock,
+    at: &[String],
+    name: &str,
+    label: &str,
+) -> io::Result<bool> {
     let stop = crate::serve::ends()?;
     tokio::pin!(stop);
     let order = |refused| {
@@ -77,7 +82,7 @@
             Ok(full) => full,
             Err(why) => return say(Err(why)),
         };
-        let over = matches!(full.care.state.as_str(), "done" | "halted" | "none");
+        let over = matches!(full.disruptions.state.as_str(), "done" | "halted" | "none");
         if json {
             println!("{}", as_json(&full));
         } else {
@@ -104,34 +109,34 @@
 
 fn as_json(full: &Status) -> serde_json::Value {
     use serde_json::json;
-    let care = &full.care;
-    let turns = care.turns.iter().map(
+    let disruptions = &full.disruptions;
+    let permits = disruptions.permits.iter().map(
         |(number, who, zone, at)| json!({"turn": number.0, "who": *who.0, "zone": zone, "at": at}),
     );
-    let room = care
+    let room = disruptions
         .room
         .iter()
         .map(|(zone, out, most)| json!({"zone": zone, "out": out, "most": most}));
-    let left = care
+    let left = disruptions
         .left
         .iter()
         .map(|(who, why)| json!({"who": *who.0, "why": why}));
     json!({
         "majority": full.majority,
-        "release": care.name,
-        "of": care.of.to_string(),
-        "state": care.state,
-        "halted": care.halted,
-        "why": care.why,
-        "wave": care.wave,
-        "given": care.given,
-        "of_wave": care.of_wave,
-        "turned": care.turned,
-        "meant": care.meant,
-        "turns": turns.collect::<Vec<_>>(),
+        "release": disruptions.name,
+        "of": disruptions.of.to_string(),
+        "state": disruptions.state,
+        "halted": disruptions.halted,
+        "why": disruptions.why,
+        "wave": disruptions.wave,
+        "given": disruptions.given,
+        "of_wave": disruptions.of_wave,
+        "turned": disruptions.turned,
+        "meant": disruptions.meant,
+        "turns": permits.collect::<Vec<_>>(),
         "room": room.collect::<Vec<_>>(),
         "left": left.collect::<Vec<_>>(),
-        "notes": care.notes,
+        "notes": disruptions.notes,
     })
 }
 
@@ -143,13 +148,13 @@
         halted,
         why,
         ..
-    } = &full.care;
-    let care = &full.care;
+    } = &full.disruptions;
+    let disruptions = &full.disruptions;
     let mut out = match state.as_str() {
         "none" => "no release\n".to_owned(),
         _ => format!(
             "release {name} of {of}: {state}\n  wave {}, {} of {} turns given in it; {} turns over, {} meant\n",
-            care.wave, care.given, care.of_wave, care.turned, care.meant
+            disruptions.wave, disruptions.given, disruptions.of_wave, disruptions.turned, disruptions.meant
         ),
     };
     if !halted.is_empty() {
@@ -158,10 +163,10 @@
     if !why.is_empty() && why != halted {
         out += &format!("  waits: {why}\n");
     }
-    for (number, who, zone, at) in &care.turns {
+    for (number, who, zone, at) in &disruptions.permits {
         out += &format!("  turn {:<6} {:<20} {:<10} {at}\n", number.0, who.0, zone);
     }
-    for (zone, is_out, most) in &care.room {
+    for (zone, is_out, most) in &disruptions.room {
         let place = if zone.is_empty() {
             "fleet".to_owned()
         } else {
@@ -174,10 +179,10 @@
         };
         out += &format!("  {place:<20} {is_out} out, {most} may be\n");
     }
-    for (who, why) in &care.left {
+    for (who, why) in &disruptions.left {
         out += &format!("  left for you: {} {why}\n", who.0);
     }
-    for note in &care.notes {
+    for note in &disruptions.notes {
         out += &format!("  noted: {note}\n");
     }
     out
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Serve;
 use cindercleat::coordination::disruption_budget::Unit;
-use cindercleat::coordination::member::{LocalHealth, MOST_REPORTS};
+use cindercleat::coordination::member::{LocalHealth, MAX_REPORTS};
 use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_faults::fleet::End;
@@ -33,7 +33,7 @@
         // Duties are handed over at once, and what is open runs on meanwhile.
         let (told, mut hears) = tokio::sync::watch::channel(false);
         let mut beside = None;
-        let turn = Rc::new(Notify::new());
+        let permit = Rc::new(Notify::new());
         if let Some(fleet) = settings.fleet {
             let transport = TcpFrom { from: fleet.from };
             let listener = transport.listen(&fleet.listen).await?;
@@ -41,7 +41,7 @@
             shell.keep_record();
             let dispatcher = Rc::new(Beside {
                 shell: shell.clone(),
-                turn: turn.clone(),
+                permit: permit.clone(),
             });
             let disk = fleet.file.map(Folder::new);
             let member =
@@ -57,7 +57,7 @@
             // Its turn is a stop like any other: what is open runs to its end.
             tokio::select! { biased;
                 () = stop => {}
-                () = turn.notified() => {}
+                () = permit.notified() => {}
             }
             told.send_replace(true);
         };
@@ -73,13 +73,13 @@
 /// What a member of a fleet asks of the dispatcher that it runs beside.
 struct Beside {
     shell: Driver<Tcp, TokioClock>,
-    turn: Rc<Notify>,
+    permit: Rc<Notify>,
 }
 
 impl cindercleat_fleet::Dispatcher for Beside {
-    fn fares(&self) -> LocalHealth {
+    fn local_health(&self) -> LocalHealth {
         let ((ready, load), (tally, reports)) =
-            (self.shell.fares(), self.shell.recorded(MOST_REPORTS));
+            (self.shell.fares(), self.shell.recorded(MAX_REPORTS));
         LocalHealth {
             ready,
             load,
@@ -92,10 +92,10 @@
         self.shell.units()
     }
 
-    fn has_turn(&self, turn: u64, label: &str) {
+    fn has_turn(&self, permit: u64, label: &str) {
         // For the supervisor that starts it again: what it is to come back under.
-        println!("turn {turn} label {label}");
-        self.turn.notify_one();
+        println!("turn {permit} label {label}");
+        self.permit.notify_one();
     }
 }
 
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -345,7 +345,7 @@
             let cold = started.is_some_and(|at| now < at + slow_start_window);
             Unit {
                 name: Name(engine.0.clone()),
-                run: Incarnation(started.map_or(0, f64::to_bits)),
+                incarnation: Incarnation(started.map_or(0, f64::to_bits)),
                 address: Address::from(row.line.address.as_str()),
                 zone: row.line.zone.clone(),
                 cell: row.line.cell.clone(),
--- a/crates/faults/src/drill/mod.rs
+++ b/crates/faults/src/drill/mod.rs
@@ -362,11 +362,11 @@
     for at in 0..drill.members {
         // A port of its own, taken and let go for the process, on an address that no other drill has.
         let from = loopback_of(at);
-        let taken = [
+        let accepted = [
             TcpListener::bind((from, 0)).await?,
             TcpListener::bind((from, 0)).await?,
         ];
-        let [own, fleet] = taken.map(|l| l.local_addr().map(|a| a.to_string()));
+        let [own, fleet] = accepted.map(|l| l.local_addr().map(|a| a.to_string()));
         let (own, fleet) = (own?, fleet?);
         let known = ways.relay(at, fleet.clone()).await?;
         ports.push((own, fleet, known));
@@ -575,9 +575,12 @@
                     let now = seen.now();
                     let mut receiver = receiver.borrow_mut();
                     let verdict = receiver.receive(now, &act);
-                    let ticket = receiver.ticket(now);
+                    let receiver_timestamp = receiver.receiver_timestamp(now);
                     seen.saw(at, now, &act, verdict);
-                    let answer = answer_out(&Answer::FencingDecision { verdict, ticket });
+                    let answer = answer_out(&Answer::FencingDecision {
+                        verdict,
+                        receiver_timestamp,
+                    });
                     out.send(frame(stream, Body::FleetAnswer(answer)));
                 }
             });
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -55,7 +55,7 @@
 /// What came of it.
 #[derive(Clone, Debug, Default)]
 pub struct Released {
-    pub turns: u64,
+    pub permits: u64,
     pub drains: u64,
     /// The most that were out at once: dispatchers and engines, planned or not.
     pub most_out: (u32, u32),
@@ -235,7 +235,7 @@
     /// A process told its supervisor that it has its turn.
     fn turn_begins(&self, at: usize, line: &str, label: String) {
         let now = self.now();
-        self.released.borrow_mut().turns += 1;
+        self.released.borrow_mut().permits += 1;
         self.judge(UnitKind::Dispatchers, &format!("d{at}"), line);
         let mut processes = self.processes.borrow_mut();
         let process = &mut processes[at];
@@ -271,11 +271,11 @@
             }
             UnitKind::Engines => {
                 let engines = self.engines.borrow();
-                let each = engines.iter().map(|(name, standing)| {
+                let each = engines.iter().map(|(name, member_status)| {
                     let zone = self.fleet.engines.get(name).map_or("", |h| &h.spec().zone);
                     (
                         zone.to_owned(),
-                        name == who || standing.planned || long(standing.out_since),
+                        name == who || member_status.planned || long(member_status.out_since),
                     )
                 });
                 (self.release.bounds.1, each.collect())
@@ -316,9 +316,9 @@
     /// Engines that are ready again, and the most that were out.
     fn count_out(&self, now: Ms) {
         let mut engines = self.engines.borrow_mut();
-        for standing in engines.values_mut() {
-            if standing.out_since.is_some() && now >= standing.ready_at {
-                *standing = Standing::default();
+        for member_status in engines.values_mut() {
+            if member_status.out_since.is_some() && now >= member_status.ready_at {
+                *member_status = Standing::default();
             }
         }
         let out = engines.values().filter(|s| s.out_since.is_some()).count() as u32;
@@ -372,16 +372,24 @@
                             Some(Question::FencedCommand(act)) => {
                                 let now = around.now();
                                 let verdict = receiver.borrow_mut().receive(now, &act);
-                                let ticket = receiver.borrow().ticket(now);
+                                let receiver_timestamp = receiver.borrow().receiver_timestamp(now);
                                 if let (FencingDecision::Executed, Some(told)) =
                                     (verdict, PermitNotice::read(&act.body))
                                 {
                                     around.drain(told);
                                 }
-                                Answer::FencingDecision { verdict, ticket }
+                                Answer::FencingDecision {
+                                    verdict,
+                                    receiver_timestamp,
+                                }
                             }
-                            Some(Question::AskBack { turn, who, run, .. }) => Answer::Begun {
-                                begun: around.is_begun(turn, &who, run),
+                            Some(Question::AskBack {
+                                permit,
+                                who,
+                                incarnation,
+                                ..
+                            }) => Answer::Begun {
+                                begun: around.is_begun(permit, &who, incarnation),
                             },
                             _ => continue,
                         };
@@ -404,11 +412,11 @@
         ))
     }
 
-    fn is_begun(&self, turn: PermitId, who: &Name, run: Incarnation) -> bool {
+    fn is_begun(&self, permit: PermitId, who: &Name, run: Incarnation) -> bool {
         let out = self.engines.borrow().get(&*who.0).is_none_or(|s| s.planned);
         let begun = out || self.run_of(who) != Some(run);
         if !begun {
-            self.asked_back.borrow_mut().insert(turn);
+            self.asked_back.borrow_mut().insert(permit);
         }
         begun
     }
@@ -422,7 +430,7 @@
             .is_none_or(|s| s.planned);
         if out
             || self.asked_back.borrow().contains(&told.number)
-            || self.run_of(&told.who) != Some(told.run)
+            || self.run_of(&told.who) != Some(told.incarnation)
         {
             return;
         }
@@ -433,8 +441,8 @@
         self.released.borrow_mut().drains += 1;
         self.judge(UnitKind::Engines, &name, &format!("turn {}", told.number.0));
         let now = self.now();
-        if let Some(standing) = self.engines.borrow_mut().get_mut(&name) {
-            *standing = Standing {
+        if let Some(member_status) = self.engines.borrow_mut().get_mut(&name) {
+            *member_status = Standing {
                 out_since: Some(now),
                 planned: true,
                 ready_at: f64::INFINITY,
@@ -462,8 +470,8 @@
             engine.trouble(|t| t.draining = false);
             feed.change(engine.line(v1::EndpointStatus::Ready));
             let slow_start_window = around.release.day.service.policy.slow_start_window;
-            if let Some(standing) = around.engines.borrow_mut().get_mut(engine.name()) {
-                standing.ready_at = around.seen.borrow().now() + slow_start_window;
+            if let Some(member_status) = around.engines.borrow_mut().get_mut(engine.name()) {
+                member_status.ready_at = around.seen.borrow().now() + slow_start_window;
             }
         });
     }
--- a/crates/faults/src/duties/draw.rs
+++ b/crates/faults/src/duties/draw.rs
@@ -122,7 +122,7 @@
     pub targets: usize,
     pub lease: Ms,
     pub drift: f64,
-    pub beat: Ms,
+    pub heartbeat: Ms,
     pub tell_every: Ms,
     pub prefers: Option<String>,
     /// A message is under way for up to this long.
@@ -151,7 +151,7 @@
             targets: 2,
             lease,
             drift: 0.02,
-            beat: 200.0,
+            heartbeat: 200.0,
             tell_every: 20.0,
             prefers: None,
             way: 2.0,
--- a/crates/faults/src/duties/draw_release.rs
+++ b/crates/faults/src/duties/draw_release.rs
@@ -31,7 +31,7 @@
 /// A fleet with a release and no troubles.
 pub fn quiet(seed: u64, voters: usize, members: usize, engines: usize, of: UnitKind) -> Plan {
     let mut plan = Plan::quiet(seed, voters, members, 1000.0, 60_000.0);
-    (plan.targets, plan.tell_every, plan.beat) = (1, 200.0, 100.0);
+    (plan.targets, plan.tell_every, plan.heartbeat) = (1, 200.0, 100.0);
     plan.release = Some(Play {
         engines,
         bounds: (DisruptionBudget::default(), DisruptionBudget::default()),
@@ -129,7 +129,7 @@
     }
     if large {
         // Ten at a time, and as fast as that goes.
-        (play.rate, plan.beat) = (10.0, 200.0);
+        (play.rate, plan.heartbeat) = (10.0, 200.0);
     }
     draw_ops(&mut rng, play, members);
     draw_troubles(&mut rng, &mut plan, shape, members, voters);
@@ -179,11 +179,11 @@
         });
     }
     for _ in 0..(3.0 * chance()) as usize {
-        let turn = Act::Turn(any(chance()));
+        let permit = Act::Turn(any(chance()));
         play.ops.push(Op {
             at: START + BUSY * chance(),
             node: any(chance()),
-            act: turn,
+            act: permit,
         });
     }
 }
--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -17,7 +17,7 @@
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
     Answer, CallId, FleetSettings, Input, LocalHealth, Member, OperatorRequest, Output, Question,
-    QuestionId, Reply, SaveId, ROLL_CALL,
+    QuestionId, Reply, SaveId, MEMBERSHIP_LEASE,
 };
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
@@ -68,7 +68,7 @@
 enum MultiplexedConnection {
     Node {
         at: usize,
-        run: Incarnation,
+        incarnation: Incarnation,
         ask: QuestionId,
     },
     /// One whose act on a release this is, by its number, or none.
@@ -101,13 +101,13 @@
     },
     Answer {
         to: usize,
-        run: Incarnation,
+        incarnation: Incarnation,
         ask: QuestionId,
         answer: Option<Box<Answer>>,
     },
     Saved {
         node: usize,
-        run: Incarnation,
+        incarnation: Incarnation,
         number: SaveId,
         kept: Box<AcceptorState>,
         lasts: bool,
@@ -117,9 +117,9 @@
     Start(usize),
     AskBack {
         from: MultiplexedConnection,
-        turn: cindercleat::coordination::rollout::PermitId,
+        permit: cindercleat::coordination::rollout::PermitId,
         who: Name,
-        run: Incarnation,
+        incarnation: Incarnation,
     },
     LocalHealth(usize),
     Watch,
@@ -338,7 +338,7 @@
         FleetSettings {
             fleet: "fleet".to_owned(),
             me: name_of(node),
-            run: Incarnation(node as u64 * 1_000_000 + self.nodes[node].starts),
+            incarnation: Incarnation(node as u64 * 1_000_000 + self.nodes[node].starts),
             address: address_of(node),
             zone: self.nodes[node].zone.clone(),
             label: self
@@ -353,7 +353,7 @@
                 drift: plan.drift,
             },
             answer_within: plan.lease * 0.15,
-            beat: plan.beat,
+            heartbeat: plan.heartbeat,
             prefers: plan.prefers.clone(),
             tells: (0..plan.targets)
                 .map(|at| Address::from(format!("t{at}").as_str()))
@@ -485,8 +485,12 @@
     fn perform(&mut self, node: usize, output: Output, late: Ms) {
         match output {
             Output::Ask { ask, to, question } => {
-                let run = Incarnation(node as u64 * 1_000_000 + self.nodes[node].starts);
-                let from = MultiplexedConnection::Node { at: node, run, ask };
+                let incarnation = Incarnation(node as u64 * 1_000_000 + self.nodes[node].starts);
+                let from = MultiplexedConnection::Node {
+                    at: node,
+                    incarnation,
+                    ask,
+                };
                 let weight = |plan: &Plan| {
                     if plan.weigh {
                         question_out(&question).encoded_len()
@@ -509,11 +513,19 @@
                                 from,
                                 act: Box::new(act.clone()),
                             },
-                            (Question::AskBack { turn, who, run, .. }, Some(_)) => What::AskBack {
+                            (
+                                Question::AskBack {
+                                    permit,
+                                    who,
+                                    incarnation,
+                                    ..
+                                },
+                                Some(_),
+                            ) => What::AskBack {
                                 from,
-                                turn: *turn,
+                                permit: *permit,
                                 who: who.clone(),
-                                run: *run,
+                                incarnation: *incarnation,
                             },
                             (_, Some(_)) => return,
                             (question, None) => What::Question {
@@ -527,7 +539,11 @@
                 }
             }
             Output::Answer { call, answer } => match self.nodes[node].calls.remove(&call) {
-                Some(MultiplexedConnection::Node { at, run, ask }) => {
+                Some(MultiplexedConnection::Node {
+                    at,
+                    incarnation,
+                    ask,
+                }) => {
                     let bytes = if self.plan.weigh {
                         answer_out(&answer).encoded_len()
                     } else {
@@ -540,7 +556,7 @@
                             self.now + late + way,
                             What::Answer {
                                 to: at,
-                                run,
+                                incarnation,
                                 ask,
                                 answer,
                             },
@@ -567,12 +583,12 @@
                 let (fails, slow) = (disk.fails, disk.slow);
                 let took =
                     0.2 + 2.0 * self.chance() + if slow { 80.0 * self.chance() } else { 0.0 };
-                let run = Incarnation(self.nodes[node].starts);
+                let incarnation = Incarnation(self.nodes[node].starts);
                 self.push(
                     self.now + late + took,
                     What::Saved {
                         node,
-                        run,
+                        incarnation,
                         number,
                         kept,
                         lasts: !fails,
@@ -580,7 +596,7 @@
                 );
             }
             Output::Holds { .. } | Output::Warn(_) | Output::Info(_) => {}
-            Output::PermitGranted { turn, label } => self.turn_begins(node, turn, &label),
+            Output::PermitGranted { permit, label } => self.turn_begins(node, permit, &label),
             // One that has its turn drains on and is ended by its time.
             Output::Stopped if self.is_ending(node) => {}
             Output::Stopped => {
@@ -641,14 +657,22 @@
             }
             What::Question { to, from, question } => {
                 let alive = self.nodes[to].member.is_some();
-                if let (false, MultiplexedConnection::Node { at, run, ask }) = (alive, from) {
+                if let (
+                    false,
+                    MultiplexedConnection::Node {
+                        at,
+                        incarnation,
+                        ask,
+                    },
+                ) = (alive, from)
+                {
                     // Nobody listens there: that is told, if the way back is free.
                     if let Some(way) = self.way(to, at) {
                         self.push(
                             self.now + way,
                             What::Answer {
                                 to: at,
-                                run,
+                                incarnation,
                                 ask,
                                 answer: None,
                             },
@@ -669,12 +693,12 @@
             }
             What::Answer {
                 to,
-                run,
+                incarnation,
                 ask,
                 answer,
             } => {
                 let now_run = Incarnation(to as u64 * 1_000_000 + self.nodes[to].starts);
-                if run == now_run {
+                if incarnation == now_run {
                     self.give(
                         to,
                         Input::Answered {
@@ -686,31 +710,36 @@
             }
             What::Saved {
                 node,
-                run,
+                incarnation,
                 number,
                 kept,
                 lasts,
-            } => self.saved(node, run, number, *kept, lasts),
+            } => self.saved(node, incarnation, number, *kept, lasts),
             What::FencedCommand { to, from, act } => self.act(to, from, &act),
             What::Start(node) => self.start(node),
             What::Trouble(at) => self.trouble(at),
             What::Over(at) => self.over(at),
             What::AskBack {
                 from,
-                turn,
+                permit,
                 who,
-                run,
+                incarnation,
             } => {
-                let begun = self.keeper_asked_back(turn, &who, run);
+                let begun = self.keeper_asked_back(permit, &who, incarnation);
                 let me = self.nodes.len() + self.plan.targets;
-                if let MultiplexedConnection::Node { at, run, ask } = from {
+                if let MultiplexedConnection::Node {
+                    at,
+                    incarnation,
+                    ask,
+                } = from
+                {
                     if let Some(way) = self.way(me, at) {
                         let answer = Some(Box::new(Answer::Begun { begun }));
                         self.push(
                             self.now + way,
                             What::Answer {
                                 to: at,
-                                run,
+                                incarnation,
                                 ask,
                                 answer,
                             },
@@ -718,7 +747,7 @@
                     }
                 }
             }
-            What::LocalHealth(node) => self.fares(node),
+            What::LocalHealth(node) => self.local_health(node),
             What::Watch => self.watch(),
             What::Ended { node, starts } => self.turn_ended(node, starts),
             What::Engine { at, number, back } => self.engine_step(at, number, back),
@@ -731,16 +760,17 @@
     fn saved(
         &mut self,
         node: usize,
-        run: Incarnation,
+        incarnation: Incarnation,
         number: SaveId,
         kept: AcceptorState,
         lasts: bool,
     ) {
-        let alive =
-            self.nodes[node].member.is_some() && Incarnation(self.nodes[node].starts) == run;
+        let alive = self.nodes[node].member.is_some()
+            && Incarnation(self.nodes[node].starts) == incarnation;
         // A process that died while it wrote left the old file or the new one.
-        let written =
-            lasts && (alive || self.chance() < 0.5) && Incarnation(self.nodes[node].starts) == run;
+        let written = lasts
+            && (alive || self.chance() < 0.5)
+            && Incarnation(self.nodes[node].starts) == incarnation;
         if written {
             let now = self.now;
             let disk = &mut self.nodes[node].disk;
@@ -769,7 +799,7 @@
         }
         target.last_read = read;
         let verdict = target.receiver.receive(read, act);
-        let ticket = target.receiver.ticket(read);
+        let receiver_timestamp = target.receiver.receiver_timestamp(read);
         let verdict_text = verdict_digest_text(verdict);
         self.hash.update(
             format!("{now:.6} {to} {} {} {verdict_text}", act.term.0, act.number).as_bytes(),
@@ -800,15 +830,23 @@
                 _ => "act refused: late",
             });
         }
-        if let MultiplexedConnection::Node { at, run, ask } = from {
+        if let MultiplexedConnection::Node {
+            at,
+            incarnation,
+            ask,
+        } = from
+        {
             let me = self.nodes.len() + to;
             if let Some(way) = self.way(me, at) {
-                let answer = Some(Box::new(Answer::FencingDecision { verdict, ticket }));
+                let answer = Some(Box::new(Answer::FencingDecision {
+                    verdict,
+                    receiver_timestamp,
+                }));
                 self.push(
                     now + way,
                     What::Answer {
                         to: at,
-                        run,
+                        incarnation,
                         ask,
                         answer,
                     },
@@ -978,8 +1016,8 @@
                     self.open_trouble("handed over");
                     let to =
                         (to % self.nodes.len() != holder).then(|| name_of(to % self.nodes.len()));
-                    let duty = LeaseName::from(ROLL_CALL);
-                    self.order(holder, OperatorRequest::HandOver { duty, to });
+                    let lease_name = LeaseName::from(MEMBERSHIP_LEASE);
+                    self.order(holder, OperatorRequest::HandOver { lease_name, to });
                 }
             }
             Trouble::Sleep => {
@@ -1033,8 +1071,8 @@
                 let to = who % self.targets.len();
                 let target = &mut self.targets[to];
                 target.runs += 1;
-                let run = Incarnation(1000 * (to as u64 + 1) + target.runs);
-                target.receiver = Receiver::new(run, self.plan.drift);
+                let incarnation = Incarnation(1000 * (to as u64 + 1) + target.runs);
+                target.receiver = Receiver::new(incarnation, self.plan.drift);
             }
             Trouble::TargetClock(ms) => {
                 let to = who % self.targets.len();
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -323,7 +323,7 @@
     }
 
     /// How a node fares, and what it says of it.
-    pub(super) fn fares(&mut self, node: usize) {
+    pub(super) fn local_health(&mut self, node: usize) {
         let next = self.now + FARES;
         self.push(next, What::LocalHealth(node));
         let (now, is_in) = (self.now, self.is_in(node));
@@ -385,7 +385,7 @@
                 }
             }
         }
-        let fares = LocalHealth {
+        let local_health = LocalHealth {
             ready,
             load: 0.2,
             tally: service.nodes[node].tally,
@@ -401,7 +401,7 @@
         {
             return self.dies(node);
         }
-        self.give(node, Input::LocalHealth(fares));
+        self.give(node, Input::LocalHealth(local_health));
         if let Some(engines) = engines {
             self.give(node, Input::Engines(engines));
         }
@@ -428,7 +428,7 @@
             };
             Some(Unit {
                 name: engine.name.clone(),
-                run: Incarnation(started.map_or(0, f64::to_bits)),
+                incarnation: Incarnation(started.map_or(0, f64::to_bits)),
                 address: Address::from("host"),
                 zone: engine.zone.clone(),
                 cell: engine.cell.clone(),
@@ -457,15 +457,15 @@
     }
 
     /// A process has its turn and drains.
-    pub(super) fn turn_begins(&mut self, node: usize, turn: PermitId, label: &str) {
+    pub(super) fn turn_begins(&mut self, node: usize, permit: PermitId, label: &str) {
         let was_in = self.is_in(node);
         self.met("turn begun");
         self.hash
-            .update(format!("{:.6} turn {} {node} {label}", self.now, turn.0).as_bytes());
+            .update(format!("{:.6} turn {} {node} {label}", self.now, permit.0).as_bytes());
         if was_in {
             self.judge_out(UnitKind::Dispatchers, node);
         }
-        self.judge_turn(turn, label);
+        self.judge_turn(permit, label);
         let now = self.now;
         let drains = self.service.as_ref().map_or(0.0, |s| s.play.drains) * (0.5 + self.chance());
         let starts = self.nodes[node].starts;
@@ -518,7 +518,7 @@
         let asked_back = service.asked_back.contains(&told.number);
         if asked_back
             || stand != ServiceStatus::InService
-            || started.map_or(0, f64::to_bits) != told.run.0
+            || started.map_or(0, f64::to_bits) != told.incarnation.0
         {
             return self.met("host's turn that was had");
         }
@@ -596,9 +596,9 @@
     /// Whether an engine's turn has begun, as its list's keeper knows.
     pub(super) fn keeper_asked_back(
         &mut self,
-        turn: PermitId,
+        permit: PermitId,
         who: &Name,
-        run: Incarnation,
+        incarnation: Incarnation,
     ) -> bool {
         let Some(service) = &mut self.service else {
             return true;
@@ -606,11 +606,11 @@
         let engine = service.engines.iter().find(|h| h.name == *who);
         let begun = engine.is_none_or(|h| {
             let (_, stand, started) = h.now();
-            stand != ServiceStatus::InService || started.map_or(0, f64::to_bits) != run.0
+            stand != ServiceStatus::InService || started.map_or(0, f64::to_bits) != incarnation.0
         });
         if !begun {
             // What it says that it has not begun it does not begin, whenever it is told.
-            service.asked_back.insert(turn);
+            service.asked_back.insert(permit);
         }
         begun
     }
@@ -645,13 +645,13 @@
 
     /// What the voters' files hold, for the judge.
     pub(super) fn filed(&mut self, voter: usize, kept: &AcceptorState) {
-        let Some((_, value)) = &kept.taken else {
+        let Some((_, value)) = &kept.accepted else {
             return;
         };
         let Some(service) = &mut self.service else {
             return;
         };
-        for number in value.care.turns.keys() {
+        for number in value.disruptions.permits.keys() {
             service.filed.entry(*number).or_default().insert(voter);
         }
         if service.filed.len() > 4096 {
@@ -727,7 +727,7 @@
 
     /// What failed is known after this long, and what was decided before that may still come.
     fn window(&self) -> Ms {
-        let every = self.plan.beat.max(self.nodes.len() as f64 * 2.0);
+        let every = self.plan.heartbeat.max(self.nodes.len() as f64 * 2.0);
         4.5 * every + 1.3 * self.plan.lease + LIST_LATE + 2.0 * FARES + 200.0
     }
 
@@ -840,7 +840,7 @@
     }
 
     /// A turn begins: is it agreed on, is nothing halted, and did those before it come back as they should?
-    fn judge_turn(&mut self, turn: PermitId, label: &str) {
+    fn judge_turn(&mut self, permit: PermitId, label: &str) {
         let (now, voters) = (self.now, self.plan.voters);
         let settle = 2_000.0 + self.window();
         let Some(service) = &mut self.service else {
@@ -848,13 +848,13 @@
         };
         service.last_seen = now;
         let mut wrong: Vec<(&'static str, String)> = Vec::new();
-        let filed = service.filed.get(&turn).map_or(0, BTreeSet::len);
+        let filed = service.filed.get(&permit).map_or(0, BTreeSet::len);
         if 2 * filed <= voters {
             wrong.push((
                 "not agreed",
                 format!(
                     "at {now:.1} ms turn {} begins, and {filed} voters have it",
-                    turn.0
+                    permit.0
                 ),
             ));
         }
@@ -868,7 +868,7 @@
                 "after a halt",
                 format!(
                     "at {now:.1} ms turn {} begins, halted since {at:.1}",
-                    turn.0
+                    permit.0
                 ),
             ));
         }
--- a/crates/faults/src/duties/small.rs
+++ b/crates/faults/src/duties/small.rs
@@ -73,7 +73,7 @@
 
 #[derive(Clone, Debug)]
 struct Contender {
-    run: u64,
+    incarnation: u64,
     highest: u64,
     tries: u32,
     round: Option<(Proposal, Ms)>,
@@ -104,7 +104,7 @@
 impl Hash for Contender {
     fn hash<H: Hasher>(&self, to: &mut H) {
         let Contender {
-            run,
+            incarnation,
             highest,
             tries,
             round,
@@ -113,7 +113,15 @@
             watch,
             hold,
         } = self;
-        (run, highest, tries, knows, newest, format!("{watch:?}")).hash(to);
+        (
+            incarnation,
+            highest,
+            tries,
+            knows,
+            newest,
+            format!("{watch:?}"),
+        )
+            .hash(to);
         round
             .as_ref()
             .map(|(round, asked)| (round, asked.to_bits()))
@@ -154,7 +162,7 @@
     }
 }
 
-fn duty() -> LeaseName {
+fn lease_name() -> LeaseName {
     LeaseName::from("duty")
 }
 
@@ -166,9 +174,9 @@
     Name::from(["x", "y"][at])
 }
 
-fn seat(at: usize) -> VoterRecord {
+fn voter_record(at: usize) -> VoterRecord {
     VoterRecord {
-        life: VoterId(at as u64 + 1),
+        voter_id: VoterId(at as u64 + 1),
         address: Address::default(),
     }
 }
@@ -181,9 +189,9 @@
 }
 
 impl Small {
-    fn founding(&self) -> Voters {
+    fn bootstrap(&self) -> Voters {
         let set = (0..self.voters)
-            .map(|at| (voter_name(at), seat(at)))
+            .map(|at| (voter_name(at), voter_record(at)))
             .collect();
         Voters {
             generation: 1,
@@ -196,16 +204,16 @@
         contender
             .newest
             .as_ref()
-            .map_or_else(|| self.founding(), |(_, value)| value.voters.clone())
+            .map_or_else(|| self.bootstrap(), |(_, value)| value.voters.clone())
     }
 }
 
 impl State {
     fn holder(&self, at: usize) -> LeaseHolder {
-        let run = Incarnation(self.contenders[at].run);
+        let incarnation = Incarnation(self.contenders[at].incarnation);
         LeaseHolder {
             name: contender_name(at),
-            run,
+            incarnation,
             address: Address::default(),
         }
     }
@@ -220,7 +228,7 @@
         let row = contender
             .newest
             .as_ref()
-            .and_then(|(_, value)| value.duties.get(&duty()));
+            .and_then(|(_, value)| value.leases.get(&lease_name()));
         contender.watch.saw(now, row, &mut WyRand::new_seed(1));
     }
 
@@ -248,10 +256,10 @@
 
     /// Begins a try, and where that is one step has its first half done by the voters in `some`.
     fn begin(&mut self, at: usize, view: Voters, change: Command, some: Option<u32>) {
-        let run = if is_injected(InjectedFault::BallotAgain) {
+        let incarnation = if is_injected(InjectedFault::BallotAgain) {
             0
         } else {
-            self.contenders[at].run
+            self.contenders[at].incarnation
         };
         let contender = &mut self.contenders[at];
         contender.highest += 1;
@@ -259,7 +267,7 @@
         let ballot = Ballot {
             round: contender.highest,
             by: contender_name(at),
-            run: Incarnation(run),
+            incarnation: Incarnation(incarnation),
         };
         let (round, asks) = Proposal::begin(ballot, view, change, &contender.knows);
         contender.round = Some((round, self.now));
@@ -298,14 +306,14 @@
                         self.wrong = Some(format!("two values of version {version} are agreed on"));
                     }
                 }
-                let (now, run) = (self.now, self.contenders[at].run);
-                let row = value.duties.get(&duty());
+                let (now, incarnation) = (self.now, self.contenders[at].incarnation);
+                let row = value.leases.get(&lease_name());
                 let mine = row.filter(|row| row.holder == Some(self.holder(at)));
                 if let Some(row) = mine {
                     let hold = HeldLease::new(row.term, asked, now, &LEASE);
                     self.contenders[at].hold = Some(hold);
-                    let who = *self.holders.entry(row.term.0).or_insert((at, run));
-                    if who != (at, run) {
+                    let who = *self.holders.entry(row.term.0).or_insert((at, incarnation));
+                    if who != (at, incarnation) {
                         self.wrong = Some(format!("term {} is given twice", row.term.0));
                     }
                 }
@@ -328,7 +336,7 @@
                 let ballot = ballot.clone();
                 let voter = &mut self.voters[usize::from(*to)];
                 let (said, save) = voter.asked(&ask);
-                let life = voter.kept.life;
+                let voter_id = voter.kept.voter_id;
                 if save && !is_injected(InjectedFault::SaidBeforeKept) {
                     self.disks[usize::from(*to)] = voter.kept.clone();
                 }
@@ -337,7 +345,7 @@
                     to: *from,
                     said: words((&ballot, &said)),
                 };
-                let answer = Carried::AcceptorReply(life, ballot, Rc::new(said));
+                let answer = Carried::AcceptorReply(voter_id, ballot, Rc::new(said));
                 if late {
                     self.net.insert(message, answer);
                 } else {
@@ -346,7 +354,7 @@
             }
             (
                 Message::AcceptorReply { from, to, .. },
-                Carried::AcceptorReply(life, ballot, said),
+                Carried::AcceptorReply(voter_id, ballot, said),
             ) => {
                 let (from, to) = (usize::from(*from), usize::from(*to));
                 let contender = &mut self.contenders[to];
@@ -358,7 +366,7 @@
                 let asked = *asked;
                 let (asks, end) = round.heard(
                     &voter_name(from),
-                    life,
+                    voter_id,
                     false,
                     Some(&said),
                     &mut contender.knows,
@@ -380,13 +388,13 @@
 
     fn begin(&self) -> State {
         let voter = |at: usize| {
-            let mut voter = Acceptor::new(voter_name(at), seat(at).life);
-            voter.kept.founding = Some(self.founding());
+            let mut voter = Acceptor::new(voter_name(at), voter_record(at).voter_id);
+            voter.kept.bootstrap = Some(self.bootstrap());
             voter
         };
         let voters: Vec<Acceptor> = (0..self.voters + self.spare).map(voter).collect();
         let contender = |at: usize| Contender {
-            run: 100 * (at as u64 + 1),
+            incarnation: 100 * (at as u64 + 1),
             highest: 0,
             tries: self.tries,
             round: None,
@@ -414,13 +422,13 @@
             state.saw_nothing(0);
             let (who, seen) = (state.holder(0), state.contenders[0].watch.mark());
             let change = Command::Acquire {
-                duty: duty(),
+                lease_name: lease_name(),
                 who,
                 lease_ms: 1000,
                 seen,
             };
             state.contenders[0].tries += 1;
-            state.begin(0, self.founding(), change, None);
+            state.begin(0, self.bootstrap(), change, None);
             while let Some((message, carried)) = state.net.pop_first() {
                 state.deliver(&message, carried, false);
             }
@@ -514,7 +522,7 @@
                     "lets a voter in",
                     Command::AddVoter {
                         name: voter_name(new),
-                        seat: seat(new),
+                        voter_record: voter_record(new),
                     },
                 )
             } else if let Some(hold) = contender.hold.filter(|hold| hold.left(state.now) > 0.0) {
@@ -522,7 +530,7 @@
                     "renews",
                     Command::Renew {
                         who,
-                        duties: vec![(duty(), hold.term)],
+                        leases: vec![(lease_name(), hold.term)],
                     },
                 )
             } else if contender.watch.waits(&who, true, &LEASE) <= LEASE.gap() || self.changes {
@@ -530,7 +538,7 @@
                 (
                     "takes",
                     Command::Acquire {
-                        duty: duty(),
+                        lease_name: lease_name(),
                         who,
                         lease_ms: 1000,
                         seen,
@@ -571,7 +579,7 @@
             .filter_map(|(v, voter)| {
                 voter
                     .kept
-                    .taken
+                    .accepted
                     .as_ref()
                     .map(|(ballot, _)| (ballot.clone(), v))
             })
@@ -583,7 +591,7 @@
         let looks: BTreeMap<Ballot, usize> = looks.collect();
         for (ballot, voter) in looks {
             step(format!("{name} looks at {}", voter_name(voter).0), &|s| {
-                let value = s.voters[voter].kept.taken.clone();
+                let value = s.voters[voter].kept.accepted.clone();
                 if let Some((_, value)) = value {
                     s.saw(at, ballot.clone(), value);
                 }
@@ -610,7 +618,7 @@
                 s.restarts -= 1;
                 let (now, contender) = (s.now, &mut s.contenders[at]);
                 let fresh = Contender {
-                    run: contender.run + 1,
+                    incarnation: contender.incarnation + 1,
                     highest: 0,
                     tries: contender.tries,
                     round: None,
--- a/crates/faults/src/duties/small_release.rs
+++ b/crates/faults/src/duties/small_release.rs
@@ -35,7 +35,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Member {
-    run: u64,
+    incarnation: u64,
     new: bool,
     process: Process,
     asked_back: BTreeSet<PermitId>,
@@ -95,7 +95,7 @@
     fn view(state: &State) -> FleetView {
         let unit = |(at, member): (usize, &Member)| Unit {
             name: name(at),
-            run: Incarnation(member.run),
+            incarnation: Incarnation(member.incarnation),
             address: Address::default(),
             zone: "z".to_owned(),
             cell: String::new(),
@@ -134,16 +134,19 @@
             caller
                 .unbegun
                 .iter()
-                .for_each(|turn| conduct.revoked(*turn, false));
+                .for_each(|permit| conduct.revoked(*permit, false));
             next = step(&mut conduct);
         }
         if is_injected(InjectedFault::ToldBeforeAgreed) {
-            if let Some(RolloutStep::Grant(turns)) = &next {
-                for turn in turns {
-                    let to = (0..state.members.len()).find(|at| name(*at) == turn.who)?;
-                    after
-                        .acts
-                        .insert((who, PermitId(caller.knows.given + 1), to, turn.run.0));
+            if let Some(RolloutStep::Grant(permits)) = &next {
+                for permit in permits {
+                    let to = (0..state.members.len()).find(|at| name(*at) == permit.who)?;
+                    after.acts.insert((
+                        who,
+                        PermitId(caller.knows.given + 1),
+                        to,
+                        permit.incarnation.0,
+                    ));
                 }
             }
         }
@@ -156,9 +159,9 @@
         }
         if caller.knows.halted.is_none() {
             for number in &conduct.tell {
-                let turn = caller.knows.turns.get(number)?;
-                let to = (0..state.members.len()).find(|at| name(*at) == turn.who)?;
-                after.acts.insert((who, *number, to, turn.run.0));
+                let permit = caller.knows.permits.get(number)?;
+                let to = (0..state.members.len()).find(|at| name(*at) == permit.who)?;
+                after.acts.insert((who, *number, to, permit.incarnation.0));
             }
         }
         for number in conduct.revoke.clone() {
@@ -170,15 +173,15 @@
         (after != *state).then(|| (format!("{who} tells"), after))
     }
 
-    fn turn_comes(state: &mut State, to: usize, turn: PermitId, run: u64) {
+    fn turn_comes(state: &mut State, to: usize, permit: PermitId, incarnation: u64) {
         let member = &mut state.members[to];
         if member.process != Process::Serves
-            || run != member.run
-            || member.asked_back.contains(&turn)
+            || incarnation != member.incarnation
+            || member.asked_back.contains(&permit)
         {
             return;
         }
-        member.process = Process::Out(Some(turn));
+        member.process = Process::Out(Some(permit));
         let out = state
             .members
             .iter()
@@ -188,21 +191,24 @@
             state.wrong = Some(format!("{out} are out by their turns, and 1 may be"));
         }
         if state.halt == Halt::Acknowledged {
-            state.wrong = Some(format!("turn {} begins after an acknowledged halt", turn.0));
+            state.wrong = Some(format!(
+                "turn {} begins after an acknowledged halt",
+                permit.0
+            ));
         }
     }
 }
 
 /// A member says whether a turn has begun; if not, it will not.
-fn ask_back(state: &mut State, number: PermitId, care: &DisruptionState) -> bool {
-    let Some(turn) = care.turns.get(&number) else {
+fn ask_back(state: &mut State, number: PermitId, disruptions: &DisruptionState) -> bool {
+    let Some(permit) = disruptions.permits.get(&number) else {
         return true;
     };
-    let Some(at) = (0..state.members.len()).find(|at| name(*at) == turn.who) else {
+    let Some(at) = (0..state.members.len()).find(|at| name(*at) == permit.who) else {
         return true;
     };
     let member = &mut state.members[at];
-    if member.run != turn.run.0 || member.process == Process::Out(Some(number)) {
+    if member.incarnation != permit.incarnation.0 || member.process == Process::Out(Some(number)) {
         return true;
     }
     member.asked_back.insert(number);
@@ -241,7 +247,7 @@
         value.dispatchers.insert("z".to_owned(), 3);
         let _ = value.word(&OperatorCommand::Start(Box::new(release)));
         let member = |at: u64| Member {
-            run: 10 * at,
+            incarnation: 10 * at,
             new: false,
             process: Process::Serves,
             asked_back: BTreeSet::new(),
@@ -301,13 +307,13 @@
             }
         }
         for act in &state.acts {
-            let (_, turn, to, run) = *act;
-            add(format!("turn {} comes to {to}", turn.0), &|s| {
+            let (_, permit, to, incarnation) = *act;
+            add(format!("turn {} comes to {to}", permit.0), &|s| {
                 s.acts.remove(act);
-                SmallRelease::turn_comes(s, to, turn, run);
+                SmallRelease::turn_comes(s, to, permit, incarnation);
             });
             if state.losses > 0 {
-                add(format!("turn {} is lost", turn.0), &|s| {
+                add(format!("turn {} is lost", permit.0), &|s| {
                     s.acts.remove(act);
                     s.losses -= 1;
                 });
@@ -315,15 +321,15 @@
         }
         for at in 0..state.members.len() {
             match state.members[at].process {
-                Process::Out(turn) => add(format!("{at} is back"), &|s| {
-                    let new = match turn {
+                Process::Out(permit) => add(format!("{at} is back"), &|s| {
+                    let new = match permit {
                         // By its turn it comes back as the turn has it: forward new, back old.
                         Some(_) => !s.value.release.as_deref().is_some_and(|r| r.back),
                         None => s.members[at].new,
                     };
                     let member = &mut s.members[at];
-                    (member.run, member.new, member.process) =
-                        (member.run + 1, new, Process::Serves);
+                    (member.incarnation, member.new, member.process) =
+                        (member.incarnation + 1, new, Process::Serves);
                     member.asked_back.clear();
                 }),
                 Process::Serves if state.failures > 0 => add(format!("{at} fails"), &|s| {
@@ -340,18 +346,18 @@
                     .word(&OperatorCommand::Halt("by hand".to_owned()))
                     .is_ok()
                 {
-                    s.halt = Halt::Agreed(s.value.turns.keys().copied().collect());
+                    s.halt = Halt::Agreed(s.value.permits.keys().copied().collect());
                 }
             });
         }
         if let Halt::Agreed(open) = &state.halt {
-            for turn in open {
-                let turn = *turn;
-                add(format!("turn {} is asked back", turn.0), &|s| {
-                    let care = s.value.clone();
-                    ask_back(s, turn, &care);
+            for permit in open {
+                let permit = *permit;
+                add(format!("turn {} is asked back", permit.0), &|s| {
+                    let disruptions = s.value.clone();
+                    ask_back(s, permit, &disruptions);
                     if let Halt::Agreed(open) = &mut s.halt {
-                        open.remove(&turn);
+                        open.remove(&permit);
                     }
                 });
             }
@@ -394,7 +400,7 @@
     fn wrong(&self, state: &State) -> Option<String> {
         let given = state
             .value
-            .turns
+            .permits
             .values()
             .filter(|t| t.of == UnitKind::Dispatchers)
             .count();
--- a/crates/faults/tests/changes.rs
+++ b/crates/faults/tests/changes.rs
@@ -14,9 +14,9 @@
     voters: BTreeMap<Name, Acceptor>,
 }
 
-fn seat(at: u64) -> VoterRecord {
+fn voter_record(at: u64) -> VoterRecord {
     VoterRecord {
-        life: VoterId(at),
+        voter_id: VoterId(at),
         address: Address::default(),
     }
 }
@@ -34,11 +34,11 @@
         }
     }
 
-    fn founding() -> Voters {
+    fn bootstrap() -> Voters {
         let set = ["a", "b", "c", "d"]
             .into_iter()
             .zip(1..)
-            .map(|(n, at)| (Name::from(n), seat(at)))
+            .map(|(n, at)| (Name::from(n), voter_record(at)))
             .collect();
         Voters {
             generation: 1,
@@ -60,15 +60,16 @@
         let ballot = Ballot {
             round,
             by: Name::from(by),
-            run: Incarnation(round),
+            incarnation: Incarnation(round),
         };
         let (mut round, mut asks) = Proposal::begin(ballot, view, change, &knows);
         for half in halves {
             let mut next = Vec::new();
-            for (name, seat, ask) in std::mem::take(&mut asks) {
+            for (name, voter_record, ask) in std::mem::take(&mut asks) {
                 if half.contains(&*name.0) {
                     let (said, _) = self.voters.get_mut(&name).expect("known").asked(&ask);
-                    let (more, end) = round.heard(&name, seat.life, false, Some(&said), &mut knows);
+                    let (more, end) =
+                        round.heard(&name, voter_record.voter_id, false, Some(&said), &mut knows);
                     next.extend(more);
                     if end.is_some() {
                         return end;
@@ -84,7 +85,7 @@
     fn at(&self, name: &str) -> ReplicatedState {
         self.voters[&Name::from(name)]
             .kept
-            .taken
+            .accepted
             .clone()
             .expect("it took something")
             .1
@@ -95,25 +96,25 @@
     fn apart(&mut self) -> [Option<ProposalOutcome>; 2] {
         let add = |name: &str, at| Command::AddVoter {
             name: Name::from(name),
-            seat: seat(at),
+            voter_record: voter_record(at),
         };
         let holder = |name: &str| LeaseHolder {
             name: Name::from(name),
-            run: Incarnation(1),
+            incarnation: Incarnation(1),
             address: Address::default(),
         };
         let take = |name: &str| Command::Acquire {
-            duty: LeaseName::from("duty"),
+            lease_name: LeaseName::from("duty"),
             who: holder(name),
             lease_ms: 1000,
             seen: LeaseVersion::default(),
         };
         assert_eq!(
-            self.try_with("x", 1, Self::founding(), add("e", 5), ["abc", "e"]),
+            self.try_with("x", 1, Self::bootstrap(), add("e", 5), ["abc", "e"]),
             None
         );
         assert_eq!(
-            self.try_with("y", 2, Self::founding(), add("f", 6), ["acd", "f"]),
+            self.try_with("y", 2, Self::bootstrap(), add("f", 6), ["acd", "f"]),
             None
         );
         let (with_e, with_f) = (self.at("e").voters, self.at("f").voters);
--- a/crates/faults/tests/duties_figures.rs
+++ b/crates/faults/tests/duties_figures.rs
@@ -41,7 +41,7 @@
             let mut without = Vec::new();
             for seed in 0..500u64 {
                 let mut plan = Plan::quiet(seed, 3, 9, lease, 6.0 * lease);
-                plan.beat = lease / 5.0;
+                plan.heartbeat = lease / 5.0;
                 let begin = 3.0 * lease + (seed % 97) as f64 / 97.0 * lease;
                 let trouble = match trouble {
                     Trouble::HandOver { .. } => Trouble::HandOver {
--- a/crates/faults/tests/duties_planted.rs
+++ b/crates/faults/tests/duties_planted.rs
@@ -46,8 +46,8 @@
 #[ignore = "a minute without optimization"]
 fn each_planted_fault_is_found_or_named() {
     let found: Vec<_> = std::thread::scope(|scope| {
-        let duties = InjectedFault::ALL.iter().map(|fault| (*fault, &SHAPES[0]));
-        let all = duties.chain(
+        let leases = InjectedFault::ALL.iter().map(|fault| (*fault, &SHAPES[0]));
+        let all = leases.chain(
             InjectedFault::OF_RELEASES
                 .iter()
                 .map(|fault| (*fault, &SHAPES[1])),
--- a/crates/fleet/src/care_words.rs
+++ b/crates/fleet/src/care_words.rs
@@ -5,12 +5,12 @@
     DisruptionBudget, MaxUnavailable, OutcomeCounts, UnitKind, ZoneSizes,
 };
 use cindercleat::coordination::member::{
-    OperatorRequest, RolloutRequest, RolloutStatus, MOST_REPORTS,
+    OperatorRequest, RolloutRequest, RolloutStatus, MAX_REPORTS,
 };
 use cindercleat::coordination::membership::EngineReport;
 use cindercleat::coordination::rollout::{
-    DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan, MOST_LEFT, MOST_NAMES,
-    MOST_NOTES, MOST_TURNS,
+    DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan, MAX_ABANDONED, MAX_NAMES,
+    MAX_NOTES, MAX_PERMITS,
 };
 use cindercleat::coordination::{Address, Incarnation, Name};
 use cindercleat_protocol::v1;
@@ -51,14 +51,14 @@
     names.into_iter().map(|n| n.0.to_string()).collect()
 }
 
-pub(crate) fn tally_out(tally: &OutcomeCounts) -> v1::FleetTally {
+pub(crate) fn tally_out(tally: &OutcomeCounts) -> v1::FleetOutcomeCounts {
     let OutcomeCounts {
         succeeded,
         rejected,
         failed,
         late,
     } = *tally;
-    v1::FleetTally {
+    v1::FleetOutcomeCounts {
         succeeded,
         rejected,
         failed,
@@ -66,8 +66,8 @@
     }
 }
 
-pub(crate) fn tally_in(said: Option<&v1::FleetTally>) -> OutcomeCounts {
-    let Some(&v1::FleetTally {
+pub(crate) fn tally_in(said: Option<&v1::FleetOutcomeCounts>) -> OutcomeCounts {
+    let Some(&v1::FleetOutcomeCounts {
         succeeded,
         rejected,
         failed,
@@ -110,17 +110,17 @@
             tally: tally_in(r.tally.as_ref()),
         })
     };
-    few(said, MOST_REPORTS)?.iter().map(report).collect()
+    few(said, MAX_REPORTS)?.iter().map(report).collect()
 }
 
-fn most_out(most: MaxUnavailable) -> Option<v1::FleetMost> {
-    Some(v1::FleetMost {
+fn most_out(most: MaxUnavailable) -> Option<v1::FleetMaxUnavailable> {
+    Some(v1::FleetMaxUnavailable {
         number: most.number,
         per_mille: most.per_mille,
     })
 }
 
-fn most_in(said: Option<&v1::FleetMost>) -> Option<MaxUnavailable> {
+fn most_in(said: Option<&v1::FleetMaxUnavailable>) -> Option<MaxUnavailable> {
     let said = said?;
     (said.per_mille <= 1000).then_some(MaxUnavailable {
         number: said.number,
@@ -128,8 +128,8 @@
     })
 }
 
-fn bounds_out(bounds: &DisruptionBudget) -> v1::FleetBounds {
-    v1::FleetBounds {
+fn bounds_out(bounds: &DisruptionBudget) -> v1::FleetDisruptionBudget {
+    v1::FleetDisruptionBudget {
         fleet: most_out(bounds.fleet),
         zone: most_out(bounds.zone),
         cell: most_out(bounds.cell),
@@ -143,7 +143,7 @@
     }
 }
 
-fn bounds_in(said: Option<&v1::FleetBounds>) -> Option<DisruptionBudget> {
+fn bounds_in(said: Option<&v1::FleetDisruptionBudget>) -> Option<DisruptionBudget> {
     let said = said?;
     Some(DisruptionBudget {
         fleet: most_in(said.fleet.as_ref())?,
@@ -159,36 +159,36 @@
     })
 }
 
-fn turn_out((number, turn): (&PermitId, &DisruptionPermit)) -> v1::FleetTurn {
-    v1::FleetTurn {
+fn turn_out((number, permit): (&PermitId, &DisruptionPermit)) -> v1::FleetPermit {
+    v1::FleetPermit {
         number: number.0,
-        engine: turn.of == UnitKind::Engines,
-        who: turn.who.0.to_string(),
-        run: turn.run.0,
-        address: turn.address.0.to_string(),
-        zone: turn.zone.clone(),
-        label: turn.label.clone(),
-        stays: turn.stays,
-        planned: turn.planned,
+        engine: permit.of == UnitKind::Engines,
+        who: permit.who.0.to_string(),
+        incarnation: permit.incarnation.0,
+        address: permit.address.0.to_string(),
+        zone: permit.zone.clone(),
+        label: permit.label.clone(),
+        stays: permit.stays,
+        planned: permit.planned,
     }
 }
 
-fn turn_in(said: &v1::FleetTurn) -> Option<(PermitId, DisruptionPermit)> {
-    let turn = DisruptionPermit {
+fn turn_in(said: &v1::FleetPermit) -> Option<(PermitId, DisruptionPermit)> {
+    let permit = DisruptionPermit {
         of: of_in(said.engine),
         who: name(&said.who)?,
-        run: Incarnation(said.run),
+        incarnation: Incarnation(said.incarnation),
         address: Address::from(word(&said.address)?.as_str()),
         zone: word(&said.zone)?,
         label: word(&said.label)?,
         stays: said.stays,
         planned: said.planned,
     };
-    Some((PermitId(said.number), turn))
+    Some((PermitId(said.number), permit))
 }
 
-pub(crate) fn plan_out(plan: &RolloutPlan) -> v1::FleetPlan {
-    v1::FleetPlan {
+pub(crate) fn plan_out(plan: &RolloutPlan) -> v1::FleetRolloutPlan {
+    v1::FleetRolloutPlan {
         name: plan.name.clone(),
         engines: plan.of == UnitKind::Engines,
         label: plan.label.clone(),
@@ -207,10 +207,10 @@
     }
 }
 
-pub(crate) fn plan_in(said: Option<&v1::FleetPlan>) -> Option<RolloutPlan> {
+pub(crate) fn plan_in(said: Option<&v1::FleetRolloutPlan>) -> Option<RolloutPlan> {
     let said = said?;
     let list = |all: &[String]| -> Option<Vec<String>> {
-        few(all, MOST_NAMES)?
+        few(all, MAX_NAMES)?
             .iter()
             .map(|one| text(one).map(str::to_owned))
             .collect()
@@ -225,7 +225,7 @@
         zones: list(&said.zones)?,
         cells: list(&said.cells)?,
         kinds: list(&said.kinds)?,
-        names: few(&said.names, MOST_NAMES)?
+        names: few(&said.names, MAX_NAMES)?
             .iter()
             .map(|n| name(n))
             .collect::<Option<_>>()?,
@@ -249,18 +249,18 @@
 }
 
 fn left_in(said: &[v1::FleetLeft]) -> Option<BTreeMap<Name, String>> {
-    few(said, MOST_LEFT)?
+    few(said, MAX_ABANDONED)?
         .iter()
         .map(|l| Some((name(&l.who)?, words(&l.why)?)))
         .collect()
 }
 
-fn release_out(release: &Rollout) -> v1::FleetRelease {
+fn release_out(release: &Rollout) -> v1::FleetRollout {
     let reached = |(zone, at): (&String, &u64)| v1::FleetReached {
         zone: zone.clone(),
         at: *at,
     };
-    v1::FleetRelease {
+    v1::FleetRollout {
         plan: Some(plan_out(&release.plan)),
         bounds: Some(bounds_out(&release.bounds)),
         by: release.by.0.to_string(),
@@ -275,11 +275,11 @@
     }
 }
 
-fn release_in(said: &v1::FleetRelease) -> Option<Rollout> {
+fn release_in(said: &v1::FleetRollout) -> Option<Rollout> {
     let reached = few(&said.reached, MOST_ZONES)?
         .iter()
         .map(|r| Some((word(&r.zone)?, r.at)));
-    let again = few(&said.again, MOST_TURNS)?.iter().map(|n| name(n));
+    let again = few(&said.again, MAX_PERMITS)?.iter().map(|n| name(n));
     Some(Rollout {
         plan: plan_in(said.plan.as_ref())?,
         bounds: bounds_in(said.bounds.as_ref())?,
@@ -313,20 +313,20 @@
 }
 
 /// Nothing, where there is nothing of it.
-pub(crate) fn care_out(care: &DisruptionState) -> Option<v1::FleetCare> {
-    (!care.is_empty()).then(|| v1::FleetCare {
-        given: care.given,
-        turns: care.turns.iter().map(turn_out).collect(),
-        release: care.release.as_deref().map(release_out),
-        halted: care.halted.clone(),
-        resumed: care.resumed,
-        dispatchers: sizes_out(&care.dispatchers),
-        engines: sizes_out(&care.engines),
-        notes: care.notes.clone(),
+pub(crate) fn care_out(disruptions: &DisruptionState) -> Option<v1::FleetDisruptions> {
+    (!disruptions.is_empty()).then(|| v1::FleetDisruptions {
+        given: disruptions.given,
+        permits: disruptions.permits.iter().map(turn_out).collect(),
+        release: disruptions.release.as_deref().map(release_out),
+        halted: disruptions.halted.clone(),
+        resumed: disruptions.resumed,
+        dispatchers: sizes_out(&disruptions.dispatchers),
+        engines: sizes_out(&disruptions.engines),
+        notes: disruptions.notes.clone(),
     })
 }
 
-pub(crate) fn care_in(said: Option<&v1::FleetCare>) -> Option<DisruptionState> {
+pub(crate) fn care_in(said: Option<&v1::FleetDisruptions>) -> Option<DisruptionState> {
     let Some(said) = said else {
         return Some(DisruptionState::default());
     };
@@ -340,7 +340,7 @@
     };
     Some(DisruptionState {
         given: said.given,
-        turns: few(&said.turns, MOST_TURNS)?
+        permits: few(&said.permits, MAX_PERMITS)?
             .iter()
             .map(turn_in)
             .collect::<Option<_>>()?,
@@ -349,7 +349,7 @@
         resumed: said.resumed,
         dispatchers: sizes_in(&said.dispatchers)?,
         engines: sizes_in(&said.engines)?,
-        notes: few(&said.notes, MOST_NOTES)?
+        notes: few(&said.notes, MAX_NOTES)?
             .iter()
             .map(|n| words(n))
             .collect::<Option<_>>()?,
@@ -374,7 +374,7 @@
             name,
             label,
             refused,
-        } => Q::WantTurn(v1::FleetWantTurn {
+        } => Q::WantPermit(v1::FleetWantPermit {
             name: name.0.to_string(),
             label: label.clone(),
             refused: *refused,
@@ -402,7 +402,7 @@
         Q::Recount(m) => RolloutRequest::Recount {
             of: of_in(m.engines),
         },
-        Q::WantTurn(m) => RolloutRequest::Permit {
+        Q::WantPermit(m) => RolloutRequest::Permit {
             name: name(&m.name)?,
             label: word(&m.label)?,
             refused: m.refused,
@@ -422,26 +422,31 @@
     }))
 }
 
-pub(crate) fn ask_back_out(turn: PermitId, of: UnitKind, who: &Name, run: Incarnation) -> Q {
+pub(crate) fn ask_back_out(
+    permit: PermitId,
+    of: UnitKind,
+    who: &Name,
+    incarnation: Incarnation,
+) -> Q {
     Q::AskBack(v1::FleetAskBack {
-        turn: turn.0,
+        permit: permit.0,
         engine: of == UnitKind::Engines,
         who: who.0.to_string(),
-        run: run.0,
+        incarnation: incarnation.0,
     })
 }
 
 pub(crate) fn ask_back_in(m: &v1::FleetAskBack) -> Option<(PermitId, UnitKind, Name, Incarnation)> {
     Some((
-        PermitId(m.turn),
+        PermitId(m.permit),
         of_in(m.engine),
         name(&m.who)?,
-        Incarnation(m.run),
+        Incarnation(m.incarnation),
     ))
 }
 
-pub(crate) fn status_out(status: &RolloutStatus) -> v1::FleetCareStatus {
-    let line = |(number, who, zone, at): &(PermitId, Name, String, String)| v1::FleetTurnLine {
+pub(crate) fn status_out(status: &RolloutStatus) -> v1::FleetRolloutStatus {
+    let line = |(number, who, zone, at): &(PermitId, Name, String, String)| v1::FleetPermitLine {
         number: number.0,
         who: who.0.to_string(),
         zone: zone.clone(),
@@ -456,7 +461,7 @@
         who: who.0.to_string(),
         why: why.clone(),
     };
-    v1::FleetCareStatus {
+    v1::FleetRolloutStatus {
         name: status.name.clone(),
         engines: status.of == UnitKind::Engines,
         state: status.state.clone(),
@@ -467,18 +472,18 @@
         of_wave: status.of_wave,
         turned: status.turned,
         meant: status.meant,
-        turns: status.turns.iter().map(line).collect(),
+        permits: status.permits.iter().map(line).collect(),
         room: status.room.iter().map(room).collect(),
         left: status.left.iter().map(left).collect(),
         notes: status.notes.clone(),
     }
 }
 
-pub(crate) fn status_in(said: Option<&v1::FleetCareStatus>) -> Option<RolloutStatus> {
+pub(crate) fn status_in(said: Option<&v1::FleetRolloutStatus>) -> Option<RolloutStatus> {
     let Some(said) = said else {
         return Some(RolloutStatus::default());
     };
-    let line = |l: &v1::FleetTurnLine| {
+    let line = |l: &v1::FleetPermitLine| {
         Some((
             PermitId(l.number),
             name(&l.who)?,
@@ -499,7 +504,7 @@
         of_wave: said.of_wave,
         turned: said.turned,
         meant: said.meant,
-        turns: few(&said.turns, MOST_TURNS)?
+        permits: few(&said.permits, MAX_PERMITS)?
             .iter()
             .map(line)
             .collect::<Option<_>>()?,
@@ -507,7 +512,7 @@
             .iter()
             .map(room)
             .collect::<Option<_>>()?,
-        left: few(&said.left, MOST_LEFT)?
+        left: few(&said.left, MAX_ABANDONED)?
             .iter()
             .map(left)
             .collect::<Option<_>>()?,
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -62,7 +62,7 @@
     if crc32fast::hash(body).to_be_bytes() != *sum {
         return Err(Unusable::Damaged);
     }
-    v1::VoterFile::decode(body)
+    v1::AcceptorFile::decode(body)
         .ok()
         .and_then(file_in)
         .ok_or(Unusable::Damaged)
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -57,7 +57,7 @@
     pub clock: &'a C,
     /// Dispatchers that may be asked, tried in turn.
     pub addresses: &'a [String],
-    pub duty: LeaseName,
+    pub lease_name: LeaseName,
     /// Tells this job from others that want the same duty.
     pub number: u64,
 }
@@ -114,7 +114,7 @@
     async fn ask(&self, asked: Ms, lease: Option<&JobLease>) -> Result<Reply, String> {
         let within = lease.map_or(ANSWER_WITHIN, JobLease::answer_within);
         let wish = OperatorRequest::HoldLease {
-            duty: self.duty.clone(),
+            lease_name: self.lease_name.clone(),
             job: self.number,
         };
         tokio::select! { biased;
@@ -175,7 +175,7 @@
     /// Gives the duty up. Whoever does not hear of it waits for the lease.
     async fn let_go(&self) {
         let order = OperatorRequest::LetGo {
-            duty: self.duty.clone(),
+            lease_name: self.lease_name.clone(),
             job: self.number,
         };
         let _ = order_any(
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -36,7 +36,7 @@
 /// The dispatcher beside which a member runs.
 pub trait Dispatcher {
     /// How it fares.
-    fn fares(&self) -> LocalHealth;
+    fn local_health(&self) -> LocalHealth;
 
     /// The engines as its list has them.
     fn engines(&self) -> Vec<Unit> {
@@ -44,7 +44,7 @@
     }
 
     /// It has its turn: it drains and ends in order, to be started again under a label if one is named.
-    fn has_turn(&self, turn: u64, label: &str);
+    fn has_turn(&self, permit: u64, label: &str);
 }
 
 struct Peer {
@@ -168,7 +168,7 @@
             .member
             .borrow()
             .held()
-            .map(|(duty, term)| (duty.clone(), term))
+            .map(|(lease_name, term)| (lease_name.clone(), term))
             .collect()
     }
 
@@ -183,7 +183,7 @@
     }
 
     fn look_at_fares(&self) {
-        self.input(Input::LocalHealth(self.inner.beside.fares()));
+        self.input(Input::LocalHealth(self.inner.beside.local_health()));
         if self.inner.member.borrow().wants_engines() {
             self.input(Input::Engines(self.inner.beside.engines()));
         }
@@ -216,22 +216,22 @@
                 spawn_local(self.clone().save(number, kept));
             }
             Output::Holds {
-                duty,
+                lease_name,
                 term,
                 held: true,
             } => {
-                tracing::info!(duty = %duty.0, term = term.0, "duty held");
+                tracing::info!(lease_name = %lease_name.0, term = term.0, "duty held");
             }
             Output::Holds {
-                duty,
+                lease_name,
                 term,
                 held: false,
             } => {
-                tracing::info!(duty = %duty.0, term = term.0, "duty no more held");
+                tracing::info!(lease_name = %lease_name.0, term = term.0, "duty no more held");
             }
-            Output::PermitGranted { turn, label } => {
-                tracing::info!(turn = turn.0, label, "has its turn to go");
-                self.inner.beside.has_turn(turn.0, &label);
+            Output::PermitGranted { permit, label } => {
+                tracing::info!(permit = permit.0, label, "has its turn to go");
+                self.inner.beside.has_turn(permit.0, &label);
             }
             Output::Warn(text) => tracing::warn!("{text}"),
             Output::Info(text) => tracing::debug!("{text}"),
@@ -300,7 +300,7 @@
             // Members greet each other by the fleet's name: one of another fleet is refused.
             name: self.inner.settings.fleet.clone(),
             expects: expects.to_owned(),
-            run: self.inner.settings.run.0,
+            run: self.inner.settings.incarnation.0,
             most_message: MOST_MESSAGE,
             most_calls: MOST_CALLS,
         }
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/words.rs
@@ -12,7 +12,7 @@
 };
 use cindercleat::coordination::state::{
     LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
-    MOST_DUTIES, MOST_VOTERS,
+    MAX_LEASES, MAX_VOTERS,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
 use cindercleat_protocol::v1;
@@ -34,7 +34,7 @@
     text(said).map(Name::from)
 }
 
-fn duty(said: &str) -> Option<LeaseName> {
+fn lease_name(said: &str) -> Option<LeaseName> {
     text(said).map(LeaseName::from)
 }
 
@@ -50,7 +50,7 @@
     v1::Ballot {
         round: ballot.round,
         by: ballot.by.0.to_string(),
-        run: ballot.run.0,
+        incarnation: ballot.incarnation.0,
     }
 }
 
@@ -62,31 +62,31 @@
     Some(Ballot {
         round: said.round,
         by: name(&said.by)?,
-        run: Incarnation(said.run),
+        incarnation: Incarnation(said.incarnation),
     })
 }
 
-fn seats_out(set: &BTreeMap<Name, VoterRecord>) -> Vec<v1::VoterSeat> {
-    let seat = |(name, seat): (&Name, &VoterRecord)| v1::VoterSeat {
+fn seats_out(set: &BTreeMap<Name, VoterRecord>) -> Vec<v1::VoterRecord> {
+    let voter_record = |(name, voter_record): (&Name, &VoterRecord)| v1::VoterRecord {
         name: name.0.to_string(),
-        life: seat.life.0,
-        address: seat.address.0.to_string(),
+        voter_id: voter_record.voter_id.0,
+        address: voter_record.address.0.to_string(),
     };
-    set.iter().map(seat).collect()
+    set.iter().map(voter_record).collect()
 }
 
-fn seats_in(said: &[v1::VoterSeat]) -> Option<BTreeMap<Name, VoterRecord>> {
-    (said.len() <= MOST_VOTERS + 1).then_some(())?;
-    let seat = |s: &v1::VoterSeat| {
+fn seats_in(said: &[v1::VoterRecord]) -> Option<BTreeMap<Name, VoterRecord>> {
+    (said.len() <= MAX_VOTERS + 1).then_some(())?;
+    let voter_record = |s: &v1::VoterRecord| {
         Some((
             name(&s.name)?,
             VoterRecord {
-                life: VoterId(s.life),
+                voter_id: VoterId(s.voter_id),
                 address: address(&s.address)?,
             },
         ))
     };
-    said.iter().map(seat).collect()
+    said.iter().map(voter_record).collect()
 }
 
 fn voters_out(voters: &Voters) -> v1::VoterSet {
@@ -111,32 +111,32 @@
     })
 }
 
-fn holder_out(holder: &LeaseHolder) -> v1::DutyHolder {
+fn holder_out(holder: &LeaseHolder) -> v1::LeaseHolder {
     let (name, address) = (holder.name.0.to_string(), holder.address.0.to_string());
-    v1::DutyHolder {
+    v1::LeaseHolder {
         name,
-        run: holder.run.0,
+        incarnation: holder.incarnation.0,
         address,
     }
 }
 
-fn holder_in(said: &v1::DutyHolder) -> Option<LeaseHolder> {
+fn holder_in(said: &v1::LeaseHolder) -> Option<LeaseHolder> {
     Some(LeaseHolder {
         name: name(&said.name)?,
-        run: Incarnation(said.run),
+        incarnation: Incarnation(said.incarnation),
         address: address(&said.address)?,
     })
 }
 
-fn row_out((duty, held): (&LeaseName, &LeaseRecord)) -> v1::DutyRow {
-    v1::DutyRow {
-        duty: duty.0.to_string(),
+fn row_out((lease_name, held): (&LeaseName, &LeaseRecord)) -> v1::LeaseRecord {
+    v1::LeaseRecord {
+        lease_name: lease_name.0.to_string(),
         term: held.term.0,
         holder: held.holder.as_ref().map(holder_out),
         renewed: held.renewed,
         lease_ms: held.lease_ms,
-        stamp_round: held.stamp.round,
-        stamp_run: held.stamp.run.0,
+        stamp_round: held.proposal_id.round,
+        stamp_run: held.proposal_id.incarnation.0,
         next: held
             .next
             .as_ref()
@@ -145,7 +145,7 @@
     }
 }
 
-fn row_in(said: &v1::DutyRow) -> Option<(LeaseName, LeaseRecord)> {
+fn row_in(said: &v1::LeaseRecord) -> Option<(LeaseName, LeaseRecord)> {
     let holder = match &said.holder {
         Some(holder) => Some(holder_in(holder)?),
         None => None,
@@ -154,95 +154,98 @@
         true => None,
         false => Some(name(&said.next)?),
     };
-    let stamp = ProposalId {
+    let proposal_id = ProposalId {
         round: said.stamp_round,
-        run: Incarnation(said.stamp_run),
+        incarnation: Incarnation(said.stamp_run),
     };
     let (term, renewed, lease_ms) = (Term(said.term), said.renewed, said.lease_ms);
     Some((
-        duty(&said.duty)?,
+        lease_name(&said.lease_name)?,
         LeaseRecord {
             term,
             holder,
             renewed,
             lease_ms,
-            stamp,
+            proposal_id,
             next,
         },
     ))
 }
 
-fn agreed_out(value: &ReplicatedState) -> v1::AgreedValue {
+fn agreed_out(value: &ReplicatedState) -> v1::ReplicatedState {
     let (version, voters) = (value.version, Some(voters_out(&value.voters)));
-    let care = care_words::care_out(&value.care);
-    v1::AgreedValue {
+    let disruptions = care_words::care_out(&value.disruptions);
+    v1::ReplicatedState {
         version,
         voters,
-        duties: value.duties.iter().map(row_out).collect(),
-        care,
+        leases: value.leases.iter().map(row_out).collect(),
+        disruptions,
     }
 }
 
-fn agreed_in(said: Option<v1::AgreedValue>) -> Option<ReplicatedState> {
+fn agreed_in(said: Option<v1::ReplicatedState>) -> Option<ReplicatedState> {
     let said = said?;
-    (said.duties.len() <= MOST_DUTIES).then_some(())?;
-    let duties = said.duties.iter().map(row_in).collect::<Option<_>>()?;
-    let care = Box::new(care_words::care_in(said.care.as_ref())?);
+    (said.leases.len() <= MAX_LEASES).then_some(())?;
+    let leases = said.leases.iter().map(row_in).collect::<Option<_>>()?;
+    let disruptions = Box::new(care_words::care_in(said.disruptions.as_ref())?);
     Some(ReplicatedState {
         version: said.version,
         voters: voters_in(&said.voters?)?,
-        duties,
-        care,
+        leases,
+        disruptions,
     })
 }
 
-fn taken_out(taken: &Option<(Ballot, ReplicatedState)>) -> Option<v1::TakenValue> {
-    let taken = taken.as_ref()?;
-    Some(v1::TakenValue {
-        ballot: Some(ballot_out(&taken.0)),
-        value: Some(agreed_out(&taken.1)),
+fn taken_out(accepted: &Option<(Ballot, ReplicatedState)>) -> Option<v1::AcceptedValue> {
+    let accepted = accepted.as_ref()?;
+    Some(v1::AcceptedValue {
+        ballot: Some(ballot_out(&accepted.0)),
+        value: Some(agreed_out(&accepted.1)),
     })
 }
 
 /// Nothing taken is something that can be said; a taken value that cannot be read is not.
-fn taken_in(said: Option<v1::TakenValue>) -> Option<Option<(Ballot, ReplicatedState)>> {
+fn taken_in(said: Option<v1::AcceptedValue>) -> Option<Option<(Ballot, ReplicatedState)>> {
     match said {
         None => Some(None),
-        Some(taken) => Some(Some((ballot_in(taken.ballot)?, agreed_in(taken.value)?))),
+        Some(accepted) => Some(Some((
+            ballot_in(accepted.ballot)?,
+            agreed_in(accepted.value)?,
+        ))),
     }
 }
 
-fn writes_out(heard: &WriteCounts) -> Vec<v1::VoterWrites> {
-    let line = |((name, life), writes): (&(Name, VoterId), &u64)| v1::VoterWrites {
+fn writes_out(heard: &WriteCounts) -> Vec<v1::VoterWriteCount> {
+    let line = |((name, voter_id), writes): (&(Name, VoterId), &u64)| v1::VoterWriteCount {
         name: name.0.to_string(),
-        life: life.0,
+        voter_id: voter_id.0,
         writes: *writes,
     };
     heard.iter().rev().take(MOST_HEARD).map(line).collect()
 }
 
-fn writes_in(said: &[v1::VoterWrites]) -> Option<WriteCounts> {
+fn writes_in(said: &[v1::VoterWriteCount]) -> Option<WriteCounts> {
     (said.len() <= MOST_HEARD).then_some(())?;
     said.iter()
-        .map(|w| Some(((name(&w.name)?, VoterId(w.life)), w.writes)))
+        .map(|w| Some(((name(&w.name)?, VoterId(w.voter_id)), w.writes)))
         .collect()
 }
 
 /// What a voter keeps, as bytes of its file.
-pub fn file_out(kept: &AcceptorState) -> v1::VoterFile {
-    v1::VoterFile {
+pub fn file_out(kept: &AcceptorState) -> v1::AcceptorFile {
+    v1::AcceptorFile {
         name: kept.name.0.to_string(),
-        life: kept.life.0,
-        founding: kept.founding.as_ref().map(voters_out),
+        voter_id: kept.voter_id.0,
+        bootstrap: kept.bootstrap.as_ref().map(voters_out),
         promised: kept.promised.as_ref().map(ballot_out),
-        taken: taken_out(&kept.taken),
+        accepted: taken_out(&kept.accepted),
         writes: kept.writes,
         heard: writes_out(&kept.heard),
     }
 }
 
-pub fn file_in(said: v1::VoterFile) -> Option<AcceptorState> {
-    let founding = match &said.founding {
+pub fn file_in(said: v1::AcceptorFile) -> Option<AcceptorState> {
+    let bootstrap = match &said.bootstrap {
         Some(voters) => Some(voters_in(voters)?),
         None => None,
     };
@@ -252,25 +255,25 @@
     };
     Some(AcceptorState {
         name: name(&said.name)?,
-        life: VoterId(said.life),
-        founding,
+        voter_id: VoterId(said.voter_id),
+        bootstrap,
         promised,
-        taken: taken_in(said.taken)?,
+        accepted: taken_in(said.accepted)?,
         writes: said.writes,
         heard: writes_in(&said.heard)?,
     })
 }
 
-fn ticket_out(ticket: ReceiverTimestamp) -> v1::FleetTicket {
-    v1::FleetTicket {
-        run: ticket.run.0,
-        at_ms: ticket.at,
+fn ticket_out(receiver_timestamp: ReceiverTimestamp) -> v1::ReceiverTimestamp {
+    v1::ReceiverTimestamp {
+        incarnation: receiver_timestamp.incarnation.0,
+        at_ms: receiver_timestamp.at,
     }
 }
 
-fn ticket_in(said: &v1::FleetTicket) -> Option<ReceiverTimestamp> {
+fn ticket_in(said: &v1::ReceiverTimestamp) -> Option<ReceiverTimestamp> {
     Some(ReceiverTimestamp {
-        run: Incarnation(said.run),
+        incarnation: Incarnation(said.incarnation),
         at: finite(said.at_ms)?,
     })
 }
@@ -278,55 +281,64 @@
 pub fn question_out(question: &Question) -> v1::FleetCall {
     let question = match question {
         Question::Vote(AcceptorRequest::Prepare {
-            life,
+            voter_id,
             ballot,
             heard,
         }) => Q::Prepare(v1::FleetPrepare {
-            life: life.0,
+            voter_id: voter_id.0,
             ballot: Some(ballot_out(ballot)),
             heard: writes_out(heard),
         }),
         Question::Vote(AcceptorRequest::Accept {
-            life,
+            voter_id,
             ballot,
             value,
             heard,
-        }) => Q::Take(v1::FleetTake {
-            life: life.0,
+        }) => Q::Accept(v1::FleetAccept {
+            voter_id: voter_id.0,
             ballot: Some(ballot_out(ballot)),
             value: Some(agreed_out(value)),
             heard: writes_out(heard),
         }),
         Question::Look => Q::Look(v1::FleetLook {}),
-        Question::Witness { of, life } => Q::Witness(v1::FleetWitness {
+        Question::Witness { of, voter_id } => Q::Witness(v1::FleetWitness {
             name: of.0.to_string(),
-            life: life.0,
+            voter_id: voter_id.0,
         }),
-        Question::Heartbeat(beat) => Q::Beat(v1::FleetBeat {
-            who: Some(holder_out(&beat.who)),
-            zone: beat.zone.clone(),
-            label: beat.label.clone(),
-            up_ms: beat.up,
-            ready: beat.ready,
-            stopping: beat.stopping,
-            load: beat.load,
-            holds: beat.holds,
-            tally: Some(care_words::tally_out(&beat.tally)),
-            reports: beat.reports.iter().map(care_words::report_out).collect(),
+        Question::Heartbeat(heartbeat) => Q::Heartbeat(v1::FleetHeartbeat {
+            who: Some(holder_out(&heartbeat.who)),
+            zone: heartbeat.zone.clone(),
+            label: heartbeat.label.clone(),
+            up_ms: heartbeat.up,
+            ready: heartbeat.ready,
+            stopping: heartbeat.stopping,
+            load: heartbeat.load,
+            holds: heartbeat.holds,
+            tally: Some(care_words::tally_out(&heartbeat.tally)),
+            reports: heartbeat
+                .reports
+                .iter()
+                .map(care_words::report_out)
+                .collect(),
         }),
-        Question::Nudge { duty } => Q::Nudge(v1::FleetNudge {
-            duty: duty.0.to_string(),
+        Question::Nudge { lease_name } => Q::Nudge(v1::FleetNudge {
+            lease_name: lease_name.0.to_string(),
         }),
-        Question::FencedCommand(act) => Q::Act(v1::FleetAct {
-            duty: act.duty.0.to_string(),
+        Question::FencedCommand(act) => Q::FencedCommand(v1::FencedCommand {
+            lease_name: act.lease_name.0.to_string(),
             term: act.term.0,
             holder: Some(holder_out(&act.holder)),
             number: act.number,
-            ticket: act.ticket.map(ticket_out),
+            receiver_timestamp: act.receiver_timestamp.map(ticket_out),
             good_for_ms: act.good_for,
             body: act.body.clone().into(),
         }),
-        Question::AskBack { turn, of, who, run } => care_words::ask_back_out(*turn, *of, who, *run),
+        Question::AskBack {
+            permit,
+            of,
+            who,
+            incarnation,
+        } => care_words::ask_back_out(*permit, *of, who, *incarnation),
         Question::Operator(order) => order_out(order),
     };
     v1::FleetCall {
@@ -338,8 +350,8 @@
     let word = |name: &Option<Name>| name.as_ref().map(|n| n.0.to_string()).unwrap_or_default();
     match order {
         OperatorRequest::Status => Q::Status(v1::FleetStatus {}),
-        OperatorRequest::HandOver { duty, to } => Q::HandOver(v1::FleetHandOver {
-            duty: duty.0.to_string(),
+        OperatorRequest::HandOver { lease_name, to } => Q::HandOver(v1::FleetHandOver {
+            lease_name: lease_name.0.to_string(),
             to: word(to),
         }),
         OperatorRequest::AddVoter { name, address } => Q::AddVoter(v1::FleetAddVoter {
@@ -352,12 +364,12 @@
         OperatorRequest::RemoveVoter { name } => Q::RemoveVoter(v1::FleetRemoveVoter {
             name: name.0.to_string(),
         }),
-        OperatorRequest::HoldLease { duty, job } => Q::Hold(v1::FleetHold {
-            duty: duty.0.to_string(),
+        OperatorRequest::HoldLease { lease_name, job } => Q::HoldLease(v1::FleetHoldLease {
+            lease_name: lease_name.0.to_string(),
             job: *job,
         }),
-        OperatorRequest::LetGo { duty, job } => Q::LetGo(v1::FleetLetGo {
-            duty: duty.0.to_string(),
+        OperatorRequest::LetGo { lease_name, job } => Q::LetGo(v1::FleetLetGo {
+            lease_name: lease_name.0.to_string(),
             job: *job,
         }),
         OperatorRequest::Rollout(order) => care_words::order_out(order),
@@ -378,13 +390,13 @@
         Q::Prepare(m) => {
             let heard = writes_in(&m.heard)?;
             Question::Vote(AcceptorRequest::Prepare {
-                life: VoterId(m.life),
+                voter_id: VoterId(m.voter_id),
                 ballot: ballot_in(m.ballot)?,
                 heard,
             })
         }
-        Q::Take(m) => Question::Vote(AcceptorRequest::Accept {
-            life: VoterId(m.life),
+        Q::Accept(m) => Question::Vote(AcceptorRequest::Accept {
+            voter_id: VoterId(m.voter_id),
             ballot: ballot_in(m.ballot)?,
             value: agreed_in(m.value)?,
             heard: writes_in(&m.heard)?,
@@ -392,9 +404,9 @@
         Q::Look(_) => Question::Look,
         Q::Witness(m) => Question::Witness {
             of: name(&m.name)?,
-            life: VoterId(m.life),
+            voter_id: VoterId(m.voter_id),
         },
-        Q::Beat(m) => {
+        Q::Heartbeat(m) => {
             let (zone, label) = (m.zone, m.label);
             (zone.len() <= LONGEST && label.len() <= LONGEST).then_some(())?;
             let (up, load) = (finite(m.up_ms)?, finite(m.load)?);
@@ -417,19 +429,19 @@
             })
         }
         Q::Nudge(m) => Question::Nudge {
-            duty: duty(&m.duty)?,
+            lease_name: lease_name(&m.lease_name)?,
         },
-        Q::Act(m) => {
-            let ticket = match &m.ticket {
-                Some(ticket) => Some(ticket_in(ticket)?),
+        Q::FencedCommand(m) => {
+            let receiver_timestamp = match &m.receiver_timestamp {
+                Some(receiver_timestamp) => Some(ticket_in(receiver_timestamp)?),
                 None => None,
             };
             Question::FencedCommand(FencedCommand {
-                duty: duty(&m.duty)?,
+                lease_name: lease_name(&m.lease_name)?,
                 term: Term(m.term),
                 holder: holder_in(&m.holder?)?,
                 number: m.number,
-                ticket,
+                receiver_timestamp,
                 good_for: finite(m.good_for_ms)?,
                 body: m.body.to_vec(),
             })
@@ -441,7 +453,7 @@
                 false => Some(name(&m.to)?),
             };
             Question::Operator(OperatorRequest::HandOver {
-                duty: duty(&m.duty)?,
+                lease_name: lease_name(&m.lease_name)?,
                 to,
             })
         }
@@ -458,17 +470,22 @@
         Q::RemoveVoter(m) => Question::Operator(OperatorRequest::RemoveVoter {
             name: name(&m.name)?,
         }),
-        Q::Hold(m) => Question::Operator(OperatorRequest::HoldLease {
-            duty: duty(&m.duty)?,
+        Q::HoldLease(m) => Question::Operator(OperatorRequest::HoldLease {
+            lease_name: lease_name(&m.lease_name)?,
             job: m.job,
         }),
         Q::LetGo(m) => Question::Operator(OperatorRequest::LetGo {
-            duty: duty(&m.duty)?,
+            lease_name: lease_name(&m.lease_name)?,
             job: m.job,
         }),
         Q::AskBack(m) => {
-            let (turn, of, who, run) = care_words::ask_back_in(&m)?;
-            Question::AskBack { turn, of, who, run }
+            let (permit, of, who, incarnation) = care_words::ask_back_in(&m)?;
+            Question::AskBack {
+                permit,
+                of,
+                who,
+                incarnation,
+            }
         }
         other => Question::Operator(care_words::order_in(&other)?),
     })
@@ -498,31 +515,33 @@
     let answer = match answer {
         Answer::Vote(AcceptorReply::Promise {
             ballot,
-            taken,
+            accepted,
             writes,
         }) => A::Promise(v1::FleetPromise {
             ballot: Some(ballot_out(ballot)),
-            taken: taken_out(taken),
-            writes: *writes,
-        }),
-        Answer::Vote(AcceptorReply::Accepted { ballot, writes }) => A::Took(v1::FleetTook {
-            ballot: Some(ballot_out(ballot)),
+            accepted: taken_out(accepted),
             writes: *writes,
         }),
-        Answer::Vote(AcceptorReply::Conflict { promised }) => A::Outbid(v1::FleetOutbid {
+        Answer::Vote(AcceptorReply::Accepted { ballot, writes }) => {
+            A::Accepted(v1::FleetAccepted {
+                ballot: Some(ballot_out(ballot)),
+                writes: *writes,
+            })
+        }
+        Answer::Vote(AcceptorReply::Conflict { promised }) => A::Conflict(v1::FleetConflict {
             promised: Some(ballot_out(promised)),
         }),
-        Answer::Vote(AcceptorReply::NotVoting) => A::NoVote(v1::FleetNoVote {}),
+        Answer::Vote(AcceptorReply::NotVoting) => A::NotVoting(v1::FleetNotVoting {}),
         Answer::Seen(seen) => A::Seen(v1::FleetSeen {
-            life: seen.life.map_or(0, |life| life.0),
+            voter_id: seen.voter_id.map_or(0, |voter_id| voter_id.0),
             votes: seen.votes,
-            founding: seen.founding.as_ref().map(voters_out),
+            bootstrap: seen.bootstrap.as_ref().map(voters_out),
             newest: taken_out(&seen.newest),
         }),
         Answer::Witnessed { writes } => A::Witnessed(v1::FleetWitnessed { writes: *writes }),
         Answer::Heard(heard) => {
-            let place = |(duty, place): &(LeaseName, u32)| v1::FleetPlace {
-                duty: duty.0.to_string(),
+            let place = |(lease_name, place): &(LeaseName, u32)| v1::FleetPlace {
+                lease_name: lease_name.0.to_string(),
                 place: *place,
             };
             A::Heard(v1::FleetHeard {
@@ -534,16 +553,19 @@
             })
         }
         Answer::Done => A::Done(v1::Done {}),
-        Answer::FencingDecision { verdict, ticket } => A::Verdict(v1::FleetVerdict {
+        Answer::FencingDecision {
+            verdict,
+            receiver_timestamp,
+        } => A::FencingDecision(v1::FencingDecision {
             verdict: place_in(&VERDICTS, verdict),
-            ticket: Some(ticket_out(*ticket)),
+            receiver_timestamp: Some(ticket_out(*receiver_timestamp)),
         }),
         Answer::Begun { begun } => A::Begun(v1::FleetBegun { begun: *begun }),
         Answer::Reply(Reply::Pending(words)) => A::Waits(words.clone()),
         Answer::Reply(Reply::Done(words)) => A::Yes(words.clone()),
         Answer::Reply(Reply::Refused(words)) => A::No(words.clone()),
         Answer::Reply(Reply::Elsewhere(address)) => A::Elsewhere(address.0.to_string()),
-        Answer::Reply(Reply::Holds { term, good_for }) => A::Holds(v1::FleetHolds {
+        Answer::Reply(Reply::Holds { term, good_for }) => A::LeaseHeld(v1::FleetLeaseHeld {
             term: term.map_or(0, |term| term.0),
             good_for_ms: *good_for,
         }),
@@ -558,31 +580,31 @@
 pub fn answer_in(said: v1::FleetAnswer) -> Option<Answer> {
     Some(match said.answer? {
         A::Promise(m) => {
-            let (ballot, taken) = (ballot_in(m.ballot)?, taken_in(m.taken)?);
+            let (ballot, accepted) = (ballot_in(m.ballot)?, taken_in(m.accepted)?);
             Answer::Vote(AcceptorReply::Promise {
                 ballot,
-                taken,
+                accepted,
                 writes: m.writes,
             })
         }
-        A::Took(m) => Answer::Vote(AcceptorReply::Accepted {
+        A::Accepted(m) => Answer::Vote(AcceptorReply::Accepted {
             ballot: ballot_in(m.ballot)?,
             writes: m.writes,
         }),
-        A::Outbid(m) => Answer::Vote(AcceptorReply::Conflict {
+        A::Conflict(m) => Answer::Vote(AcceptorReply::Conflict {
             promised: ballot_in(m.promised)?,
         }),
-        A::NoVote(_) => Answer::Vote(AcceptorReply::NotVoting),
+        A::NotVoting(_) => Answer::Vote(AcceptorReply::NotVoting),
         A::Seen(m) => {
-            let founding = match &m.founding {
+            let bootstrap = match &m.bootstrap {
                 Some(voters) => Some(voters_in(voters)?),
                 None => None,
             };
-            let life = (m.life != 0).then_some(VoterId(m.life));
+            let voter_id = (m.voter_id != 0).then_some(VoterId(m.voter_id));
             Answer::Seen(Seen {
-                life,
+                voter_id,
                 votes: m.votes,
-                founding,
+                bootstrap,
                 newest: taken_in(m.newest)?,
             })
         }
@@ -595,7 +617,7 @@
             let places = m
                 .places
                 .iter()
-                .map(|p| Some((duty(&p.duty)?, p.place)))
+                .map(|p| Some((lease_name(&p.lease_name)?, p.place)))
                 .collect::<Option<_>>()?;
             // A beat that is never wanted would end beating.
             let every = finite(m.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
@@ -607,11 +629,11 @@
             })
         }
         A::Done(_) => Answer::Done,
-        A::Verdict(m) => {
+        A::FencingDecision(m) => {
             let verdict = *VERDICTS.get(m.verdict as usize)?;
             Answer::FencingDecision {
                 verdict,
-                ticket: ticket_in(&m.ticket?)?,
+                receiver_timestamp: ticket_in(&m.receiver_timestamp?)?,
             }
         }
         A::Begun(m) => Answer::Begun { begun: m.begun },
@@ -619,7 +641,7 @@
         A::Yes(words) => Answer::Reply(Reply::Done(words)),
         A::No(words) => Answer::Reply(Reply::Refused(words)),
         A::Elsewhere(at) => Answer::Reply(Reply::Elsewhere(address(&at)?)),
-        A::Holds(m) => {
+        A::LeaseHeld(m) => {
             let term = (m.term > 0).then_some(Term(m.term));
             Answer::Reply(Reply::Holds {
                 term,
@@ -638,17 +660,18 @@
         votes: v.votes,
         version: v.version,
     };
-    let row = |(duty, term, holder): &(LeaseName, Term, Option<LeaseHolder>)| v1::DutyRow {
-        duty: duty.0.to_string(),
-        term: term.0,
-        holder: holder.as_ref().map(holder_out),
-        ..v1::DutyRow::default()
-    };
-    let line = |l: &MemberLine| v1::FleetRollLine {
+    let row =
+        |(lease_name, term, holder): &(LeaseName, Term, Option<LeaseHolder>)| v1::LeaseRecord {
+            lease_name: lease_name.0.to_string(),
+            term: term.0,
+            holder: holder.as_ref().map(holder_out),
+            ..v1::LeaseRecord::default()
+        };
+    let line = |l: &MemberLine| v1::FleetMemberLine {
         name: l.name.0.to_string(),
         zone: l.zone.clone(),
         label: l.label.clone(),
-        standing: place_in(&STANDINGS, &l.standing),
+        member_status: place_in(&STANDINGS, &l.member_status),
         ready: l.ready,
         up_ms: l.up,
         age_ms: l.age,
@@ -664,7 +687,7 @@
         changing: status.changing,
         version: status.version,
         voters: status.voters.iter().map(voter).collect(),
-        duties: status.duties.iter().map(row).collect(),
+        leases: status.leases.iter().map(row).collect(),
         roll_for_ms: status.roll_for,
         roll: status.roll.iter().map(line).collect(),
         caller: status
@@ -672,7 +695,7 @@
             .as_ref()
             .map(|a| a.0.to_string())
             .unwrap_or_default(),
-        care: Some(care_words::status_out(&status.care)),
+        disruptions: Some(care_words::status_out(&status.disruptions)),
     }
 }
 
@@ -687,19 +710,19 @@
             version,
         })
     };
-    let row = |r: &v1::DutyRow| {
+    let row = |r: &v1::LeaseRecord| {
         let holder = match &r.holder {
             Some(holder) => Some(holder_in(holder)?),
             None => None,
         };
-        Some((duty(&r.duty)?, Term(r.term), holder))
+        Some((lease_name(&r.lease_name)?, Term(r.term), holder))
     };
-    let line = |l: &v1::FleetRollLine| {
+    let line = |l: &v1::FleetMemberLine| {
         Some(MemberLine {
             name: name(&l.name)?,
             zone: l.zone.clone(),
             label: l.label.clone(),
-            standing: *STANDINGS.get(l.standing as usize)?,
+            member_status: *STANDINGS.get(l.member_status as usize)?,
             ready: l.ready,
             up: finite(l.up_ms)?,
             age: finite(l.age_ms)?,
@@ -712,10 +735,10 @@
         changing: said.changing,
         version: said.version,
         voters: said.voters.iter().map(voter).collect::<Option<_>>()?,
-        duties: said.duties.iter().map(row).collect::<Option<_>>()?,
+        leases: said.leases.iter().map(row).collect::<Option<_>>()?,
         roll_for: said.roll_for_ms,
         roll: said.roll.iter().map(line).collect::<Option<_>>()?,
         caller: address(&said.caller),
-        care: care_words::status_in(said.care.as_ref())?,
+        disruptions: care_words::status_in(said.disruptions.as_ref())?,
     })
 }
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -42,7 +42,7 @@
 struct Beside;
 
 impl Dispatcher for Beside {
-    fn fares(&self) -> LocalHealth {
+    fn local_health(&self) -> LocalHealth {
         LocalHealth {
             ready: true,
             load: 0.1,
@@ -96,7 +96,7 @@
     FleetSettings {
         fleet: "fleet".to_owned(),
         me: voter(at).0,
-        run: Incarnation(100 + at as u64),
+        incarnation: Incarnation(100 + at as u64),
         address: voter(at).1,
         zone: "z".to_owned(),
         label: "v1".to_owned(),
@@ -107,7 +107,7 @@
             drift: 0.01,
         },
         answer_within: ANSWER_WITHIN,
-        beat: 200.0,
+        heartbeat: 200.0,
         prefers: None,
         tells: Vec::new(),
         tell_every: 200.0,
@@ -166,12 +166,12 @@
         let (told, memory, clock) = (stop.clone(), self.memory.clone(), self.clock);
         let job = spawn_local(async move {
             let addresses = ["at-0".to_owned()];
-            let duty = LeaseName::from("nightly");
+            let lease_name = LeaseName::from("nightly");
             let job = Job {
                 transport: &memory,
                 clock: &clock,
                 addresses: &addresses,
-                duty,
+                lease_name,
                 number: 7,
             };
             let mut work = work;
--- a/crates/fleet/tests/shell.rs
+++ b/crates/fleet/tests/shell.rs
@@ -36,7 +36,7 @@
     FleetSettings {
         fleet: fleet.to_owned(),
         me: voter(at).0,
-        run: Incarnation(100 + at as u64),
+        incarnation: Incarnation(100 + at as u64),
         address: voter(at).1,
         zone: "z".to_owned(),
         label: "v1".to_owned(),
@@ -47,7 +47,7 @@
             drift: 0.01,
         },
         answer_within: 100.0,
-        beat: 200.0,
+        heartbeat: 200.0,
         prefers: None,
         tells: Vec::new(),
         tell_every: 200.0,
@@ -61,7 +61,7 @@
 struct Beside;
 
 impl Dispatcher for Beside {
-    fn fares(&self) -> LocalHealth {
+    fn local_health(&self) -> LocalHealth {
         LocalHealth {
             ready: true,
             load: 0.1,
@@ -150,7 +150,7 @@
             status.majority && status.voters.iter().all(|v| v.votes),
             "{status:?}"
         );
-        assert_eq!(status.duties.len(), 1);
+        assert_eq!(status.leases.len(), 1);
         net.wait(20_000.0).await;
         assert_eq!(net.holders(), 1);
         let lost = |m: &Member| m.counts().get("leases over").copied().unwrap_or_default();
@@ -163,7 +163,7 @@
     run(|net| async move {
         net.files[0].fail(true);
         let hold = OperatorRequest::HoldLease {
-            duty: LeaseName::from("job"),
+            lease_name: LeaseName::from("job"),
             job: 7,
         };
         let mut held = false;
@@ -231,7 +231,7 @@
         net.wait(2_000.0).await;
         assert!(dropped() >= strange + 2, "{} and {strange}", dropped());
         assert_eq!(net.holders(), 1, "it goes on");
-        let beats = ask(&net.memory, &net.clock, "at-0", &Question::Look, 900.0).await;
-        assert!(matches!(beats, Ok(Answer::Seen(_))), "{beats:?}");
+        let heartbeats = ask(&net.memory, &net.clock, "at-0", &Question::Look, 900.0).await;
+        assert!(matches!(heartbeats, Ok(Answer::Seen(_))), "{heartbeats:?}");
     });
 }
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -30,27 +30,27 @@
     Ballot {
         round,
         by: Name::from("a"),
-        run: Incarnation(7),
+        incarnation: Incarnation(7),
     }
 }
 
 fn holder() -> LeaseHolder {
     LeaseHolder {
         name: Name::from("a"),
-        run: Incarnation(7),
+        incarnation: Incarnation(7),
         address: Address::from("127.0.0.1:1"),
     }
 }
 
 fn voters() -> Voters {
-    let seat = |n: u64| VoterRecord {
-        life: VoterId(n),
+    let voter_record = |n: u64| VoterRecord {
+        voter_id: VoterId(n),
         address: Address::from("127.0.0.1:1"),
     };
     let set: BTreeMap<Name, VoterRecord> = ["a", "b", "c"]
         .into_iter()
         .zip(1..)
-        .map(|(n, l)| (n.into(), seat(l)))
+        .map(|(n, l)| (n.into(), voter_record(l)))
         .collect();
     Voters {
         generation: 2,
@@ -65,18 +65,18 @@
         holder: Some(holder()),
         renewed: 9,
         lease_ms: 1000,
-        stamp: ProposalId {
+        proposal_id: ProposalId {
             round: 12,
-            run: Incarnation(7),
+            incarnation: Incarnation(7),
         },
         next: Some(Name::from("b")),
     };
-    let duties = BTreeMap::from([(LeaseName::from("roll-call"), held)]);
+    let leases = BTreeMap::from([(LeaseName::from("roll-call"), held)]);
     ReplicatedState {
         version: 5,
         voters: voters(),
-        duties,
-        care: Box::new(care()),
+        leases,
+        disruptions: Box::new(disruptions()),
     }
 }
 
@@ -100,11 +100,11 @@
     }
 }
 
-fn care() -> DisruptionState {
-    let turn = DisruptionPermit {
+fn disruptions() -> DisruptionState {
+    let permit = DisruptionPermit {
         of: UnitKind::Engines,
         who: Name::from("h1"),
-        run: Incarnation(9),
+        incarnation: Incarnation(9),
         address: Address::default(),
         zone: "z".to_owned(),
         label: "v2".to_owned(),
@@ -136,7 +136,7 @@
     };
     DisruptionState {
         given: 12,
-        turns: BTreeMap::from([(PermitId(12), turn)]),
+        permits: BTreeMap::from([(PermitId(12), permit)]),
         release: Some(Box::new(release)),
         halted: Some("why".to_owned()),
         resumed: 2,
@@ -149,10 +149,10 @@
 fn kept() -> AcceptorState {
     AcceptorState {
         name: Name::from("a"),
-        life: VoterId(1),
-        founding: Some(voters()),
+        voter_id: VoterId(1),
+        bootstrap: Some(voters()),
         promised: Some(ballot(13)),
-        taken: Some((ballot(12), agreed())),
+        accepted: Some((ballot(12), agreed())),
         writes: 44,
         heard: WriteCounts::from([((Name::from("b"), VoterId(2)), 40)]),
     }
@@ -164,7 +164,7 @@
 
 #[test]
 fn what_is_said_is_what_is_heard() {
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         who: holder(),
         zone: "z".to_owned(),
         label: "v1".to_owned(),
@@ -193,27 +193,27 @@
         ],
     };
     let act = FencedCommand {
-        duty: LeaseName::from("roll-call"),
+        lease_name: LeaseName::from("roll-call"),
         term: Term(3),
         holder: holder(),
         number: 8,
-        ticket: Some(ReceiverTimestamp {
-            run: Incarnation(1),
+        receiver_timestamp: Some(ReceiverTimestamp {
+            incarnation: Incarnation(1),
             at: 12.5,
         }),
         good_for: 300.25,
         body: b"in 3".to_vec(),
     };
     let heard = kept().heard;
-    let (life, duty, name) = (VoterId(1), LeaseName::from("x"), Name::from("n"));
+    let (voter_id, lease_name, name) = (VoterId(1), LeaseName::from("x"), Name::from("n"));
     let questions = [
         Question::Vote(AcceptorRequest::Prepare {
-            life,
+            voter_id,
             ballot: ballot(1),
             heard: heard.clone(),
         }),
         Question::Vote(AcceptorRequest::Accept {
-            life,
+            voter_id,
             ballot: ballot(1),
             value: agreed(),
             heard,
@@ -221,18 +221,20 @@
         Question::Look,
         Question::Witness {
             of: name.clone(),
-            life,
+            voter_id,
+        },
+        Question::Heartbeat(heartbeat),
+        Question::Nudge {
+            lease_name: lease_name.clone(),
         },
-        Question::Heartbeat(beat),
-        Question::Nudge { duty: duty.clone() },
         Question::FencedCommand(act),
         Question::Operator(OperatorRequest::Status),
         Question::Operator(OperatorRequest::HandOver {
-            duty: duty.clone(),
+            lease_name: lease_name.clone(),
             to: None,
         }),
         Question::Operator(OperatorRequest::HandOver {
-            duty: duty.clone(),
+            lease_name: lease_name.clone(),
             to: Some(name.clone()),
         }),
         Question::Operator(OperatorRequest::AddVoter {
@@ -241,18 +243,18 @@
         }),
         Question::Operator(OperatorRequest::RemoveVoter { name }),
         Question::Operator(OperatorRequest::HoldLease {
-            duty: duty.clone(),
+            lease_name: lease_name.clone(),
             job: 4,
         }),
         Question::Operator(OperatorRequest::LetGo {
-            duty: duty.clone(),
+            lease_name: lease_name.clone(),
             job: 4,
         }),
         Question::AskBack {
-            turn: PermitId(3),
+            permit: PermitId(3),
             of: UnitKind::Engines,
             who: Name::from("h1"),
-            run: Incarnation(2),
+            incarnation: Incarnation(2),
         },
         release(RolloutRequest::Start {
             plan: Box::new(plan()),
@@ -282,14 +284,14 @@
     for question in questions {
         assert_eq!(question_in(question_out(&question)), Some(question));
     }
-    let ticket = ReceiverTimestamp {
-        run: Incarnation(2),
+    let receiver_timestamp = ReceiverTimestamp {
+        incarnation: Incarnation(2),
         at: 3.0,
     };
     let status = RolloutStatus {
         name: "v2".to_owned(),
         state: "running".to_owned(),
-        turns: vec![(
+        permits: vec![(
             PermitId(1),
             Name::from("n"),
             "z".to_owned(),
@@ -303,12 +305,12 @@
     let answers = [
         Answer::Vote(AcceptorReply::Promise {
             ballot: ballot(2),
-            taken: Some((ballot(1), agreed())),
+            accepted: Some((ballot(1), agreed())),
             writes: 3,
         }),
         Answer::Vote(AcceptorReply::Promise {
             ballot: ballot(2),
-            taken: None,
+            accepted: None,
             writes: 3,
         }),
         Answer::Vote(AcceptorReply::Accepted {
@@ -320,9 +322,9 @@
         }),
         Answer::Vote(AcceptorReply::NotVoting),
         Answer::Seen(Seen {
-            life: Some(life),
+            voter_id: Some(voter_id),
             votes: true,
-            founding: Some(voters()),
+            bootstrap: Some(voters()),
             newest: None,
         }),
         Answer::Witnessed { writes: 6 },
@@ -330,12 +332,12 @@
             heard: true,
             holder: Some((Term(3), holder())),
             every: 200.0,
-            places: vec![(duty, 2)],
+            places: vec![(lease_name, 2)],
         }),
         Answer::Done,
         Answer::FencingDecision {
             verdict: FencingDecision::LeaseExpired,
-            ticket,
+            receiver_timestamp,
         },
         Answer::Reply(Reply::Done("done".to_owned())),
         Answer::Reply(Reply::Refused("no".to_owned())),
@@ -346,7 +348,7 @@
         }),
         Answer::Reply(Reply::Status(Box::default())),
         Answer::Reply(Reply::Status(Box::new(Status {
-            care: status,
+            disruptions: status,
             ..Status::default()
         }))),
         Answer::Reply(Reply::Pending("waits".to_owned())),
@@ -361,7 +363,7 @@
 fn what_cannot_be_right_is_nobodys() {
     let prepare = |ballot| v1::FleetCall {
         question: Some(v1::fleet_call::Question::Prepare(v1::FleetPrepare {
-            life: 1,
+            voter_id: 1,
             ballot,
             heard: Vec::new(),
         })),
@@ -370,7 +372,7 @@
         Some(v1::Ballot {
             round,
             by: by.to_owned(),
-            run: 1,
+            incarnation: 1,
         })
     };
     assert!(question_in(prepare(said(1, "a"))).is_some());
@@ -390,14 +392,14 @@
         assert_eq!(question_in(prepare(ballot.clone())), None, "{ballot:?}");
     }
     let mut many = question_out(&Question::Vote(AcceptorRequest::Accept {
-        life: VoterId(1),
+        voter_id: VoterId(1),
         ballot: ballot(1),
         value: agreed(),
         heard: WriteCounts::new(),
     }));
-    if let Some(v1::fleet_call::Question::Take(take)) = &mut many.question {
+    if let Some(v1::fleet_call::Question::Accept(take)) = &mut many.question {
         let value = take.value.as_mut().expect("it is there");
-        value.duties = vec![value.duties[0].clone(); 1000];
+        value.leases = vec![value.leases[0].clone(); 1000];
     }
     assert_eq!(question_in(many), None, "more duties than there can be");
 }
--- a/src/coordination/disruption_budget.rs
+++ b/src/coordination/disruption_budget.rs
@@ -141,7 +141,7 @@
 pub struct Unit {
     pub name: Name,
     /// Which process of it; an engine's start stands for it.
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     pub address: Address,
     pub zone: String,
     pub cell: String,
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceiverTimestamp {
     /// The process that gave it.
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     /// Its clock when it did.
     pub at: Ms,
 }
@@ -24,12 +24,12 @@
 /// One act.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FencedCommand {
-    pub duty: LeaseName,
+    pub lease_name: LeaseName,
     pub term: Term,
     pub holder: LeaseHolder,
     /// Counts the sender's acts.
     pub number: u64,
-    pub ticket: Option<ReceiverTimestamp>,
+    pub receiver_timestamp: Option<ReceiverTimestamp>,
     /// For how long after the ticket was given the sender's lease goes on.
     pub good_for: Ms,
     pub body: Vec<u8>,
@@ -51,31 +51,31 @@
 /// Whoever acts are done to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Receiver {
-    run: Incarnation,
+    incarnation: Incarnation,
     last: BTreeMap<LeaseName, (Term, u64)>,
     drift: f64,
 }
 
 impl Receiver {
     /// `drift`: the part by which this clock and a sender's may run apart.
-    pub fn new(run: Incarnation, drift: f64) -> Self {
+    pub fn new(incarnation: Incarnation, drift: f64) -> Self {
         Receiver {
-            run,
+            incarnation,
             last: BTreeMap::new(),
             drift,
         }
     }
 
-    pub fn ticket(&self, now: Ms) -> ReceiverTimestamp {
+    pub fn receiver_timestamp(&self, now: Ms) -> ReceiverTimestamp {
         ReceiverTimestamp {
-            run: self.run,
+            incarnation: self.incarnation,
             at: now,
         }
     }
 
     /// Whether an act is to be obeyed, now.
     pub fn receive(&mut self, now: Ms, act: &FencedCommand) -> FencingDecision {
-        let last = self.last.get(&act.duty).copied().unwrap_or_default();
+        let last = self.last.get(&act.lease_name).copied().unwrap_or_default();
         let forgot = is_injected(InjectedFault::ReceiverForgot) && last == Default::default();
         if act.term < last.0 && !is_injected(InjectedFault::OldTermObeyed) {
             return FencingDecision::StaleTerm;
@@ -83,26 +83,30 @@
         if (act.term, act.number) <= last && !is_injected(InjectedFault::OldTermObeyed) {
             return FencingDecision::Duplicate;
         }
-        match act.ticket.filter(|t| t.run == self.run && t.at <= now) {
+        match act
+            .receiver_timestamp
+            .filter(|t| t.incarnation == self.incarnation && t.at <= now)
+        {
             None if !forgot && !is_injected(InjectedFault::OldTermObeyed) => {
                 return FencingDecision::TimestampMissing
             }
-            Some(ticket)
-                if now >= ticket.at + act.good_for * (1.0 - self.drift)
+            Some(receiver_timestamp)
+                if now >= receiver_timestamp.at + act.good_for * (1.0 - self.drift)
                     && !is_injected(InjectedFault::OldTermObeyed) =>
             {
                 return FencingDecision::LeaseExpired;
             }
             _ => {}
         }
-        self.last.insert(act.duty.clone(), (act.term, act.number));
+        self.last
+            .insert(act.lease_name.clone(), (act.term, act.number));
         FencingDecision::Executed
     }
 
     /// The clock went back: tickets that were given are worth nothing any more.
     pub fn clock_went_back(&mut self) {
         if !is_injected(InjectedFault::ClockBackUnnoticed) {
-            self.run = Incarnation(self.run.0.wrapping_add(1));
+            self.incarnation = Incarnation(self.incarnation.0.wrapping_add(1));
         }
     }
 }
@@ -110,19 +114,19 @@
 /// What a holder knows of a receiver.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReceiverClock {
-    ticket: Option<(ReceiverTimestamp, Ms)>,
+    receiver_timestamp: Option<(ReceiverTimestamp, Ms)>,
 }
 
 impl ReceiverClock {
     /// An answer came with a ticket.
-    pub fn answered(&mut self, now: Ms, ticket: ReceiverTimestamp) {
-        self.ticket = Some((ticket, now));
+    pub fn answered(&mut self, now: Ms, receiver_timestamp: ReceiverTimestamp) {
+        self.receiver_timestamp = Some((receiver_timestamp, now));
     }
 
     /// The ticket to send, and for how long it is good if the sender's lease ends at `until`.
     pub fn good_for(&self, until: Ms) -> (Option<ReceiverTimestamp>, Ms) {
-        match self.ticket {
-            Some((ticket, came)) => (Some(ticket), (until - came).max(0.0)),
+        match self.receiver_timestamp {
+            Some((receiver_timestamp, came)) => (Some(receiver_timestamp), (until - came).max(0.0)),
             None => (None, 0.0),
         }
     }
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -196,14 +196,14 @@
 /// The places of those that may hold a duty next: ready ones first, those of the preferred zone, not busy ones,
 /// those that hold least, and else spread by duty and name. Its holder has none.
 pub fn places<'a>(
-    duty: &LeaseName,
+    lease_name: &LeaseName,
     prefers: Option<&str>,
     holder: Option<&Name>,
     fits: impl Iterator<Item = (&'a Name, Candidate)>,
 ) -> BTreeMap<Name, u32> {
     let rank = |name: &Name, fit: &Candidate| {
         let near = prefers.is_none_or(|zone| zone == fit.zone);
-        let spread = xxh3_64(format!("{} {}", duty.0, name.0).as_bytes());
+        let spread = xxh3_64(format!("{} {}", lease_name.0, name.0).as_bytes());
         (!fit.ready, !near, fit.load >= BUSY, fit.holds, spread)
     };
     let mut all: Vec<_> = fits
@@ -220,15 +220,15 @@
 /// Whose process holds a duty by a value, and its term.
 pub fn holder_of<'a>(
     agreed: &'a ReplicatedState,
-    duty: &LeaseName,
+    lease_name: &LeaseName,
 ) -> Option<(Term, &'a LeaseHolder)> {
-    let row = agreed.duties.get(duty)?;
+    let row = agreed.leases.get(lease_name)?;
     row.holder.as_ref().map(|holder| (row.term, holder))
 }
 
 /// Whether a row is this process's.
-pub fn is_mine(row: &LeaseRecord, name: &Name, run: Incarnation) -> bool {
+pub fn is_mine(row: &LeaseRecord, name: &Name, incarnation: Incarnation) -> bool {
     row.holder
         .as_ref()
-        .is_some_and(|h| h.name == *name && h.run == run)
+        .is_some_and(|h| h.name == *name && h.incarnation == incarnation)
 }
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -14,8 +14,8 @@
         match file {
             Ok(Some(kept)) if kept.name == self.settings.me => {
                 self.lasts = true;
-                self.founding = kept.founding.clone();
-                if let Some((ballot, value)) = &kept.taken {
+                self.bootstrap = kept.bootstrap.clone();
+                if let Some((ballot, value)) = &kept.accepted {
                     self.saw(Some(ballot.clone()), value.clone());
                 }
                 self.durable = Some(Box::new(kept.clone()));
@@ -43,8 +43,8 @@
 
     /// A voter that never voted, under a new life.
     fn be_born(&mut self, out: &mut Vec<Output>) {
-        let life = VoterId(self.rng.generate::<u64>() | 1);
-        self.voter = Some(Acceptor::new(self.settings.me.clone(), life));
+        let voter_id = VoterId(self.rng.generate::<u64>() | 1);
+        self.voter = Some(Acceptor::new(self.settings.me.clone(), voter_id));
         (self.lasts, self.confirmed) = (false, Vec::new());
         self.save(out);
     }
@@ -151,10 +151,10 @@
     pub(super) fn seen(&self) -> Seen {
         let voter = self.voter.as_ref().filter(|_| self.lasts);
         Seen {
-            life: voter.map(|v| v.kept.life),
+            voter_id: voter.map(|v| v.kept.voter_id),
             votes: voter.is_some_and(|v| v.votes),
-            founding: self.view_of_founding().cloned(),
-            newest: voter.and_then(|v| v.kept.taken.clone()),
+            bootstrap: self.view_of_founding().cloned(),
+            newest: voter.and_then(|v| v.kept.accepted.clone()),
         }
     }
 
@@ -162,13 +162,13 @@
         self.voter
             .as_ref()
             .filter(|_| self.lasts)
-            .and_then(|v| v.kept.founding.as_ref())
+            .and_then(|v| v.kept.bootstrap.as_ref())
     }
 
     /// Whether the voter is not sure of itself: it knows of no first start, or has to ask whether its file is old.
     fn wants_care(&self) -> bool {
         let unsure = |v: &Acceptor| {
-            let blank = v.kept.founding.is_none() && v.kept.promised.is_none();
+            let blank = v.kept.bootstrap.is_none() && v.kept.promised.is_none();
             !self.lasts || !v.votes || (blank && self.settings.voters.contains_key(&v.kept.name))
         };
         match &self.file {
@@ -197,11 +197,11 @@
             }
             return;
         }
-        let (of, life) = (self.settings.me.clone(), voter.kept.life);
+        let (of, voter_id) = (self.settings.me.clone(), voter.kept.voter_id);
         for (name, to) in self.whom_to_look_at() {
             let question = Question::Witness {
                 of: of.clone(),
-                life,
+                voter_id,
             };
             self.ask(to, question, Errand::Witness { of: name }, out);
         }
@@ -218,10 +218,14 @@
         let me = self.settings.me.clone();
         self.confirmed.push(by);
         let confirmed = |name: &Name, _: &VoterRecord| *name == me || self.confirmed.contains(name);
-        let taken = voter.kept.taken.as_ref().map(|(_, value)| &value.voters);
-        let voters = taken.or(voter.kept.founding.as_ref());
+        let accepted = voter.kept.accepted.as_ref().map(|(_, value)| &value.voters);
+        let voters = accepted.or(voter.kept.bootstrap.as_ref());
         // All of the others, or a majority once there was time for all: who lags behind may have heard of nothing.
-        let all = voters.is_none_or(|v| v.all().iter().all(|(name, seat)| confirmed(name, seat)));
+        let all = voters.is_none_or(|v| {
+            v.all()
+                .iter()
+                .all(|(name, voter_record)| confirmed(name, voter_record))
+        });
         let waited = self.now - self.began >= self.settings.lease.lease;
         let enough = all || (waited && voters.is_none_or(|v| v.majority(confirmed)));
         if enough {
@@ -232,63 +236,63 @@
 
     /// A voter showed what it has.
     pub(super) fn looked(&mut self, of: &Name, seen: Seen, out: &mut Vec<Output>) {
-        if self.founding.is_none() {
-            self.founding.clone_from(&seen.founding);
+        if self.bootstrap.is_none() {
+            self.bootstrap.clone_from(&seen.bootstrap);
         }
         if let Some((ballot, value)) = seen.newest {
             self.saw(Some(ballot), value);
-        } else if self.newest.is_none() && self.founding.is_some() {
+        } else if self.newest.is_none() && self.bootstrap.is_some() {
             self.show_watches();
         }
-        self.found(of, seen.life, out);
+        self.found(of, seen.voter_id, out);
     }
 
     /// The first start: a blank voter that has heard every other voter of the settings knows their lives. One that
     /// hears of a first start that was takes that; it votes if that names its life, else it waits to be let in.
-    fn found(&mut self, of: &Name, life: Option<VoterId>, out: &mut Vec<Output>) {
-        let founding = self.founding.clone();
+    fn found(&mut self, of: &Name, voter_id: Option<VoterId>, out: &mut Vec<Output>) {
+        let bootstrap = self.bootstrap.clone();
         let Some(voter) = self
             .voter
             .as_mut()
-            .filter(|v| self.lasts && v.kept.founding.is_none())
+            .filter(|v| self.lasts && v.kept.bootstrap.is_none())
         else {
             return;
         };
-        let me = (self.settings.me.clone(), voter.kept.life);
+        let me = (self.settings.me.clone(), voter.kept.voter_id);
         if !self.settings.voters.contains_key(&me.0) || voter.kept.promised.is_some() {
             return;
         }
-        if let Some(founding) = founding {
-            if founding
+        if let Some(bootstrap) = bootstrap {
+            if bootstrap
                 .set
                 .get(&me.0)
-                .is_some_and(|seat| seat.life == me.1)
+                .is_some_and(|voter_record| voter_record.voter_id == me.1)
             {
-                voter.kept.founding = Some(founding);
+                voter.kept.bootstrap = Some(bootstrap);
                 self.save(out);
             }
             return;
         }
-        if let Some(life) = life.filter(|_| self.settings.voters.contains_key(of)) {
-            self.lives.insert(of.clone(), life);
+        if let Some(voter_id) = voter_id.filter(|_| self.settings.voters.contains_key(of)) {
+            self.lives.insert(of.clone(), voter_id);
         }
         let life_of = |name: &Name| match *name == me.0 {
             true => Some(me.1),
             false => self.lives.get(name).copied(),
         };
-        let seats = self.settings.voters.iter().map(|(name, address)| {
-            life_of(name).map(|life| {
+        let voter_records = self.settings.voters.iter().map(|(name, address)| {
+            life_of(name).map(|voter_id| {
                 (
                     name.clone(),
                     VoterRecord {
-                        life,
+                        voter_id,
                         address: address.clone(),
                     },
                 )
             })
         });
-        if let Some(set) = seats.collect::<Option<BTreeMap<_, _>>>() {
-            voter.kept.founding = Some(Voters {
+        if let Some(set) = voter_records.collect::<Option<BTreeMap<_, _>>>() {
+            voter.kept.bootstrap = Some(Voters {
                 generation: 1,
                 set,
                 before: None,
--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -20,20 +20,20 @@
     }
 
     /// A beat came.
-    pub(super) fn hear(&mut self, beat: Heartbeat) -> HeartbeatReply {
-        let roll_call = LeaseName::from(ROLL_CALL);
-        let (now, least) = (self.now, self.settings.beat);
+    pub(super) fn hear(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
+        let membership_lease = LeaseName::from(MEMBERSHIP_LEASE);
+        let (now, least) = (self.now, self.settings.heartbeat);
         let holds = self
             .holds
-            .get(&roll_call)
+            .get(&membership_lease)
             .is_some_and(|hold| hold.left(now) > 0.0);
         let holder = self.caller.clone();
         let places = match self.roll.as_mut().filter(|_| holds) {
             Some(roll) => {
-                let name = beat.who.name.clone();
-                roll.heard(now, beat, least);
-                roll.place_of(&roll_call, &name)
-                    .map(|place| (roll_call, place))
+                let name = heartbeat.who.name.clone();
+                roll.heard(now, heartbeat, least);
+                roll.place_of(&membership_lease, &name)
+                    .map(|place| (membership_lease, place))
                     .into_iter()
                     .collect()
             }
@@ -42,7 +42,7 @@
         let every = self
             .roll
             .as_ref()
-            .map_or(least, |roll| roll.beat_every(least));
+            .map_or(least, |roll| roll.heartbeat_interval(least));
         HeartbeatReply {
             heard: holds,
             holder,
@@ -62,26 +62,26 @@
             stopping: self.stopping,
             load: self.load,
             holds: self.holds.len() as u32,
-            tally: self.care.tally,
+            tally: self.disruptions.tally,
             reports,
         }
     }
 
     /// Beats when it is time, or asks who calls the roll; calls it if that is this dispatcher.
-    pub(super) fn beat(&mut self, out: &mut Vec<Output>) {
-        let roll_call = LeaseName::from(ROLL_CALL);
+    pub(super) fn heartbeat(&mut self, out: &mut Vec<Output>) {
+        let membership_lease = LeaseName::from(MEMBERSHIP_LEASE);
         if self.now < self.next_beat {
             return;
         }
         self.next_beat = self.now + self.every;
-        let beat = self.my_beat();
-        if self.holds.contains_key(&roll_call) {
+        let heartbeat = self.my_beat();
+        if self.holds.contains_key(&membership_lease) {
             let prefers = self.settings.prefers.clone();
-            let (now, least, me) = (self.now, self.settings.beat, self.settings.me.clone());
+            let (now, least, me) = (self.now, self.settings.heartbeat, self.settings.me.clone());
             if let Some(roll) = &mut self.roll {
-                roll.heard(now, beat, least);
-                roll.place(now, least, &[(roll_call, prefers, Some(me))]);
-                self.every = roll.beat_every(least);
+                roll.heard(now, heartbeat, least);
+                roll.place(now, least, &[(membership_lease, prefers, Some(me))]);
+                self.every = roll.heartbeat_interval(least);
                 self.next_beat = self.now + self.every;
             }
             return;
@@ -92,12 +92,12 @@
             .filter(|(_, holder)| holder.name != self.settings.me)
         {
             Some((_, holder)) => {
-                let (to, run) = (holder.address.clone(), holder.run);
+                let (to, incarnation) = (holder.address.clone(), holder.incarnation);
                 self.count("beats");
                 self.ask(
                     to,
-                    Question::Heartbeat(beat),
-                    Errand::Heartbeat { to: run },
+                    Question::Heartbeat(heartbeat),
+                    Errand::Heartbeat { to: incarnation },
                     out,
                 );
             }
@@ -111,18 +111,18 @@
         heard: Option<HeartbeatReply>,
         out: &mut Vec<Output>,
     ) {
-        let roll_call = LeaseName::from(ROLL_CALL);
+        let membership_lease = LeaseName::from(MEMBERSHIP_LEASE);
         let current = self
             .caller
             .as_ref()
-            .is_some_and(|(_, holder)| holder.run == to);
+            .is_some_and(|(_, holder)| holder.incarnation == to);
         let place = match heard {
             Some(heard) if heard.heard && current => {
                 self.heard = Some(self.now);
                 // A beat is some time away from the last, for each member another.
                 let (spread, every) = (
                     self.rng.generate::<f64>(),
-                    heard.every.max(self.settings.beat),
+                    heard.every.max(self.settings.heartbeat),
                 );
                 if every != self.every {
                     self.next_beat = self.now + every * spread;
@@ -131,14 +131,14 @@
                 heard
                     .places
                     .iter()
-                    .find(|(duty, _)| *duty == roll_call)
+                    .find(|(lease_name, _)| *lease_name == membership_lease)
                     .map(|(_, place)| *place)
             }
             Some(HeartbeatReply {
                 heard: false,
                 holder: Some(holder),
                 ..
-            }) if holder.1.run != to => {
+            }) if holder.1.incarnation != to => {
                 return self.learn_caller(holder);
             }
             // It was not reached, or calls the roll no more: whoever does is asked for, once, and then again
@@ -149,7 +149,7 @@
             }
             _ => return,
         };
-        if let Some(watch) = self.watches.get_mut(&roll_call) {
+        if let Some(watch) = self.watches.get_mut(&membership_lease) {
             watch.place = place;
         }
     }
@@ -161,16 +161,16 @@
 
     /// When none of this process's acts can be obeyed any more, if no answer comes.
     pub(super) fn acts_done_at(&self) -> Ms {
-        let turns = self.care.acts.values().map(|acts| acts.unsure_until);
+        let permits = self.disruptions.acts.values().map(|acts| acts.unsure_until);
         self.told
             .iter()
             .map(|told| told.unsure_until)
-            .chain(turns)
+            .chain(permits)
             .fold(f64::NEG_INFINITY, f64::max)
     }
 
     pub(super) fn tell_at(&self) -> Option<Ms> {
-        let holds = self.holds.contains_key(&LeaseName::from(ROLL_CALL));
+        let holds = self.holds.contains_key(&LeaseName::from(MEMBERSHIP_LEASE));
         let next = || {
             self.told
                 .iter()
@@ -183,8 +183,8 @@
 
     /// Tells the roll to those that the settings name: acts of the duty, each with its term.
     pub(super) fn tell(&mut self, out: &mut Vec<Output>) {
-        let duty = LeaseName::from(ROLL_CALL);
-        let Some(hold) = self.holds.get(&duty).copied() else {
+        let lease_name = LeaseName::from(MEMBERSHIP_LEASE);
+        let Some(hold) = self.holds.get(&lease_name).copied() else {
             return;
         };
         let unnoticed = is_injected(InjectedFault::PauseUnnoticed);
@@ -201,15 +201,15 @@
             if told.out || self.now < told.next {
                 continue;
             }
-            let (ticket, good_for) = told.known.good_for(until);
+            let (receiver_timestamp, good_for) = told.known.good_for(until);
             self.acts += 1;
             let (term, holder, number) = (hold.term, self.me(), self.acts);
             let act = FencedCommand {
-                duty: duty.clone(),
+                lease_name: lease_name.clone(),
                 term,
                 holder,
                 number,
-                ticket,
+                receiver_timestamp,
                 good_for,
                 body: self.summary(),
             };
@@ -232,8 +232,8 @@
         };
         told.out = false;
         match answer {
-            Some((verdict, ticket)) => {
-                told.known.answered(self.now, ticket);
+            Some((verdict, receiver_timestamp)) => {
+                told.known.answered(self.now, receiver_timestamp);
                 told.unsure_until = f64::NEG_INFINITY;
                 if verdict == FencingDecision::TimestampMissing {
                     // It asks before it obeys; now there is a ticket to send with it.
@@ -252,8 +252,8 @@
         let Some(roll) = &self.roll else {
             return Vec::new();
         };
-        let counts = roll.counts(self.now, self.settings.beat);
-        let of = |standing| counts.get(&standing).copied().unwrap_or(0);
+        let counts = roll.counts(self.now, self.settings.heartbeat);
+        let of = |member_status| counts.get(&member_status).copied().unwrap_or(0);
         let (inn, back) = (of(MemberStatus::Alive), of(MemberStatus::Returned));
         let (suspected, gone) = (of(MemberStatus::Suspected), of(MemberStatus::Dead));
         let since = self.now - roll.since;
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -12,7 +12,7 @@
     MemberLine, OperatorRequest, Reply, RolloutRequest, RolloutStatus, Status, VoterLine,
     LONGEST_NAME,
 };
-pub use rollout::MOST_REPORTS;
+pub use rollout::MAX_REPORTS;
 
 use super::disruption_budget::{DisruptionBudget, OutcomeCounts, Unit, UnitKind};
 use super::fencing::{FencedCommand, FencingDecision, Receiver, ReceiverClock, ReceiverTimestamp};
@@ -29,7 +29,7 @@
 use std::collections::BTreeMap;
 
 /// The roll-call's name as a duty.
-pub const ROLL_CALL: &str = "roll-call";
+pub const MEMBERSHIP_LEASE: &str = "roll-call";
 
 /// What a dispatcher is told of its fleet at its start. Times in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,7 +37,7 @@
     /// The fleet's name: members of another are no members.
     pub fleet: String,
     pub me: Name,
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     /// Where the others reach this dispatcher's fleet service.
     pub address: Address,
     pub zone: String,
@@ -50,7 +50,7 @@
     /// What is not answered within this is lost.
     pub answer_within: Ms,
     /// The least time between two beats.
-    pub beat: Ms,
+    pub heartbeat: Ms,
     /// The zone whose dispatchers are to call the roll, if there is one.
     pub prefers: Option<String>,
     /// Who is told the roll-call, and how often.
@@ -81,20 +81,20 @@
     /// How many writes of this voter have you heard of?
     Witness {
         of: Name,
-        life: VoterId,
+        voter_id: VoterId,
     },
     Heartbeat(Heartbeat),
     /// A duty was given up for you.
     Nudge {
-        duty: LeaseName,
+        lease_name: LeaseName,
     },
     FencedCommand(FencedCommand),
     /// Has this turn begun? If not, it is not to.
     AskBack {
-        turn: PermitId,
+        permit: PermitId,
         of: UnitKind,
         who: Name,
-        run: Incarnation,
+        incarnation: Incarnation,
     },
     Operator(OperatorRequest),
 }
@@ -111,7 +111,7 @@
     Done,
     FencingDecision {
         verdict: FencingDecision,
-        ticket: ReceiverTimestamp,
+        receiver_timestamp: ReceiverTimestamp,
     },
     Begun {
         begun: bool,
@@ -123,9 +123,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
     /// None if it is no voter, or has no file that it trusts.
-    pub life: Option<VoterId>,
+    pub voter_id: Option<VoterId>,
     pub votes: bool,
-    pub founding: Option<Voters>,
+    pub bootstrap: Option<Voters>,
     pub newest: Option<(Ballot, ReplicatedState)>,
 }
 
@@ -195,14 +195,14 @@
     },
     /// A duty is held from now on, or no more.
     Holds {
-        duty: LeaseName,
+        lease_name: LeaseName,
         term: Term,
         held: bool,
     },
     /// This process has its turn: it drains and ends in order, and its supervisor starts it again, under the label
     /// if one is named.
     PermitGranted {
-        turn: PermitId,
+        permit: PermitId,
         label: String,
     },
     Warn(String),
@@ -216,7 +216,7 @@
 enum Errand {
     Vote {
         from: Name,
-        life: VoterId,
+        voter_id: VoterId,
         ballot: Ballot,
         taking: bool,
     },
@@ -242,13 +242,13 @@
     },
     TurnAct {
         to: Address,
-        turn: PermitId,
+        permit: PermitId,
     },
     Revoke {
-        turn: PermitId,
+        permit: PermitId,
     },
     HaltAsk {
-        turn: PermitId,
+        permit: PermitId,
     },
     ByHand {
         call: CallId,
@@ -367,7 +367,7 @@
     newest: Option<(Option<Ballot>, ReplicatedState)>,
     /// The newest value that is known to be agreed on.
     agreed: Option<ReplicatedState>,
-    founding: Option<Voters>,
+    bootstrap: Option<Voters>,
     highest: u64,
     trying: Option<Try>,
     again_at: Ms,
@@ -390,7 +390,7 @@
     acts: u64,
     receiver: Receiver,
     // Turns and releases.
-    care: rollout::Releasing,
+    disruptions: rollout::Releasing,
     // Questions.
     asks: u64,
     out: BTreeMap<QuestionId, Out>,
@@ -401,10 +401,10 @@
 impl Member {
     pub fn new(settings: FleetSettings) -> Self {
         let rng = WyRand::new_seed(settings.seed);
-        let receiver = Receiver::new(settings.run, settings.lease.drift);
+        let receiver = Receiver::new(settings.incarnation, settings.lease.drift);
         let (told, every) = (
             vec![PermitNotice::default(); settings.tells.len()],
-            settings.beat,
+            settings.heartbeat,
         );
         Member {
             steady: MonotonicClock::default(),
@@ -434,7 +434,7 @@
             knows: ProposerKnowledge::default(),
             newest: None,
             agreed: None,
-            founding: None,
+            bootstrap: None,
             highest: 0,
             trying: None,
             again_at: 0.0,
@@ -453,7 +453,7 @@
             told,
             acts: 0,
             receiver,
-            care: rollout::Releasing::default(),
+            disruptions: rollout::Releasing::default(),
             asks: 0,
             out: BTreeMap::new(),
             inspecting: BTreeMap::new(),
@@ -484,7 +484,7 @@
                     self.answered(asked.errand, answer, out);
                 }
             }
-            Input::LocalHealth(fares) => self.fares(fares),
+            Input::LocalHealth(local_health) => self.local_health(local_health),
             Input::Engines(engines) => self.engines(engines),
             Input::Tick => {}
             Input::Stop => self.stopping = true,
@@ -494,7 +494,7 @@
         self.care_for_voter(out);
         self.look_after();
         self.go_on(out);
-        self.beat(out);
+        self.heartbeat(out);
         self.tell(out);
         self.tell_turns(out);
         self.care_for_halt(out);
@@ -526,7 +526,7 @@
         self.holds
             .iter()
             .filter(|(_, hold)| hold.left(self.now) > 0.0)
-            .map(|(duty, hold)| (duty, hold.term))
+            .map(|(lease_name, hold)| (lease_name, hold.term))
     }
 
     /// How often what happened.
@@ -555,9 +555,9 @@
         (self.began, self.next_look) = (self.now, self.now);
         // Hundreds that start at once do not beat at once.
         let phase: f64 = self.rng.generate();
-        self.next_beat = self.now + phase * self.settings.beat;
+        self.next_beat = self.now + phase * self.settings.heartbeat;
         self.watches.insert(
-            LeaseName::from(ROLL_CALL),
+            LeaseName::from(MEMBERSHIP_LEASE),
             LeaseObserver::new(self.now, &mut self.rng),
         );
     }
@@ -651,8 +651,8 @@
         let answer = match question {
             Question::Vote(ask) => return self.vote(call, &ask, out),
             Question::Look => Answer::Seen(self.seen()),
-            Question::Witness { of, life } => {
-                let who = (of, life);
+            Question::Witness { of, voter_id } => {
+                let who = (of, voter_id);
                 let kept = self
                     .voter
                     .as_ref()
@@ -663,9 +663,9 @@
                     .max(self.knows.heard.get(&who).copied().unwrap_or(0));
                 Answer::Witnessed { writes }
             }
-            Question::Heartbeat(beat) => Answer::Heard(self.hear(beat)),
-            Question::Nudge { duty } => {
-                self.nudged(&duty, out);
+            Question::Heartbeat(heartbeat) => Answer::Heard(self.hear(heartbeat)),
+            Question::Nudge { lease_name } => {
+                self.nudged(&lease_name, out);
                 Answer::Done
             }
             Question::FencedCommand(act) => {
@@ -675,13 +675,18 @@
                 }
                 Answer::FencingDecision {
                     verdict,
-                    ticket: self.receiver.ticket(self.now),
+                    receiver_timestamp: self.receiver.receiver_timestamp(self.now),
                 }
             }
-            Question::AskBack { turn, of, who, run } => {
+            Question::AskBack {
+                permit,
+                of,
+                who,
+                incarnation,
+            } => {
                 let mine = of == UnitKind::Dispatchers && who == self.settings.me;
                 Answer::Begun {
-                    begun: !mine || self.asked_back(turn, run),
+                    begun: !mine || self.asked_back(permit, incarnation),
                 }
             }
             Question::Operator(order) => return self.order(call, order, out),
@@ -694,7 +699,7 @@
             (
                 Errand::Vote {
                     from,
-                    life,
+                    voter_id,
                     ballot,
                     taking,
                 },
@@ -704,7 +709,7 @@
                     Some(Answer::Vote(said)) => Some(said),
                     _ => None,
                 };
-                self.voted((&from, life), &ballot, taking, said, out);
+                self.voted((&from, voter_id), &ballot, taking, said, out);
             }
             (Errand::Look { of, .. }, Some(Answer::Seen(seen))) => self.looked(&of, seen, out),
             (
@@ -736,17 +741,23 @@
             }
             (Errand::FencedCommand { to }, answer) => {
                 let verdict = match answer {
-                    Some(Answer::FencingDecision { verdict, ticket }) => Some((verdict, ticket)),
+                    Some(Answer::FencingDecision {
+                        verdict,
+                        receiver_timestamp,
+                    }) => Some((verdict, receiver_timestamp)),
                     _ => None,
                 };
                 self.told(to, verdict);
             }
-            (Errand::TurnAct { to, turn }, answer) => {
+            (Errand::TurnAct { to, permit }, answer) => {
                 let verdict = match answer {
-                    Some(Answer::FencingDecision { verdict, ticket }) => Some((verdict, ticket)),
+                    Some(Answer::FencingDecision {
+                        verdict,
+                        receiver_timestamp,
+                    }) => Some((verdict, receiver_timestamp)),
                     _ => None,
                 };
-                self.turn_told(&to, turn, verdict, out);
+                self.turn_told(&to, permit, verdict, out);
             }
             (Errand::ByHand { call, note }, answer) => {
                 let reply = match answer {
@@ -785,15 +796,15 @@
 
     /// The voters as known: by the newest value, else those of the first start.
     fn view(&self) -> Option<&Voters> {
-        let founding = self
+        let bootstrap = self
             .voter
             .as_ref()
-            .and_then(|v| v.kept.founding.as_ref())
-            .or(self.founding.as_ref());
+            .and_then(|v| v.kept.bootstrap.as_ref())
+            .or(self.bootstrap.as_ref());
         self.newest
             .as_ref()
             .map(|(_, value)| &value.voters)
-            .or(founding)
+            .or(bootstrap)
     }
 
     /// Where to ask who votes: the voters as known, and those of the settings.
@@ -803,7 +814,7 @@
             all.extend(
                 view.all()
                     .into_iter()
-                    .map(|(name, seat)| (name, seat.address)),
+                    .map(|(name, voter_record)| (name, voter_record.address)),
             );
         }
         all.remove(&self.settings.me);
@@ -812,11 +823,14 @@
 
     fn me(&self) -> LeaseHolder {
         let FleetSettings {
-            me, run, address, ..
+            me,
+            incarnation,
+            address,
+            ..
         } = &self.settings;
         LeaseHolder {
             name: me.clone(),
-            run: *run,
+            incarnation: *incarnation,
             address: address.clone(),
         }
     }
--- a/src/coordination/member/operator_requests.rs
+++ b/src/coordination/member/operator_requests.rs
@@ -12,7 +12,7 @@
     Status,
     /// Gives the duty to another: to `to`, or to whoever comes next.
     HandOver {
-        duty: LeaseName,
+        lease_name: LeaseName,
         to: Option<Name>,
     },
     /// The address may be left out for a member that the roll-call knows.
@@ -25,12 +25,12 @@
     },
     /// Wants the duty held for a job, or goes on to.
     HoldLease {
-        duty: LeaseName,
+        lease_name: LeaseName,
         job: u64,
     },
     /// The job is over.
     LetGo {
-        duty: LeaseName,
+        lease_name: LeaseName,
         job: u64,
     },
     Rollout(RolloutRequest),
@@ -87,7 +87,7 @@
     pub turned: u32,
     pub meant: u32,
     /// Number, member, zone, and where it is.
-    pub turns: Vec<(PermitId, Name, String, String)>,
+    pub permits: Vec<(PermitId, Name, String, String)>,
     /// How many are out and how many may be, over the fleet (no name) and by zone.
     pub room: Vec<(String, u32, u32)>,
     pub left: Vec<(Name, String)>,
@@ -129,7 +129,7 @@
     pub name: Name,
     pub zone: String,
     pub label: String,
-    pub standing: MemberStatus,
+    pub member_status: MemberStatus,
     pub ready: bool,
     pub up: Ms,
     pub age: Ms,
@@ -144,13 +144,13 @@
     pub changing: bool,
     pub version: u64,
     pub voters: Vec<VoterLine>,
-    pub duties: Vec<(LeaseName, Term, Option<LeaseHolder>)>,
+    pub leases: Vec<(LeaseName, Term, Option<LeaseHolder>)>,
     /// Whether this dispatcher calls the roll, and for how long it has.
     pub roll_for: Option<Ms>,
     pub roll: Vec<MemberLine>,
     /// Where the roll is called, if elsewhere.
     pub caller: Option<Address>,
-    pub care: RolloutStatus,
+    pub disruptions: RolloutStatus,
 }
 
 /// Voters that are being looked at for an order.
@@ -182,7 +182,9 @@
                 let all = self.whom_to_look_at();
                 return self.begin_inspection(call, all, None, out);
             }
-            OperatorRequest::HandOver { duty, to } => self.order_hand_over(&duty, to, out),
+            OperatorRequest::HandOver { lease_name, to } => {
+                self.order_hand_over(&lease_name, to, out)
+            }
             OperatorRequest::AddVoter { name, address } => {
                 let known = self
                     .roll
@@ -215,12 +217,12 @@
             OperatorRequest::RemoveVoter { name } => {
                 return self.wish(call, Command::RemoveVoter { name })
             }
-            OperatorRequest::HoldLease { duty, job } => self.order_hold(duty, job),
-            OperatorRequest::LetGo { duty, job } => {
-                if self.jobs.get(&duty).is_some_and(|j| j.number == job) {
-                    self.let_go(&duty, out);
+            OperatorRequest::HoldLease { lease_name, job } => self.order_hold(lease_name, job),
+            OperatorRequest::LetGo { lease_name, job } => {
+                if self.jobs.get(&lease_name).is_some_and(|j| j.number == job) {
+                    self.let_go(&lease_name, out);
                 }
-                Reply::Done(format!("{} let go", duty.0))
+                Reply::Done(format!("{} let go", lease_name.0))
             }
             OperatorRequest::Rollout(order) => match self.order_release(call, order) {
                 Some(reply) => reply,
@@ -241,50 +243,50 @@
 
     fn order_hand_over(
         &mut self,
-        duty: &LeaseName,
+        lease_name: &LeaseName,
         to: Option<Name>,
         out: &mut Vec<Output>,
     ) -> Reply {
-        if self.holds.contains_key(duty) {
+        if self.holds.contains_key(lease_name) {
             let roll = self.roll.as_ref();
-            let first = || roll.and_then(|roll| roll.first_for(duty)).cloned();
+            let first = || roll.and_then(|roll| roll.first_for(lease_name)).cloned();
             let Some(next) = to.or_else(first) else {
-                return Reply::Refused(format!("nobody is known that could hold {}", duty.0));
+                return Reply::Refused(format!("nobody is known that could hold {}", lease_name.0));
             };
             if next == self.settings.me {
-                return Reply::Refused(format!("{} holds {} already", next.0, duty.0));
+                return Reply::Refused(format!("{} holds {} already", next.0, lease_name.0));
             }
             if roll.is_some_and(|roll| roll.address(&next).is_none()) {
                 return Reply::Refused(format!("the roll-call knows no {}", next.0));
             }
-            self.hand_over(duty, Some(next.clone()), out);
-            return Reply::Done(format!("{} is given up for {}", duty.0, next.0));
+            self.hand_over(lease_name, Some(next.clone()), out);
+            return Reply::Done(format!("{} is given up for {}", lease_name.0, next.0));
         }
         let newest = self.newest();
-        let row = newest.and_then(|value| value.duties.get(duty));
-        match (newest.and_then(|value| holder_of(value, duty)), row) {
-            (Some((_, holder)), _) if holder.run != self.settings.run => {
+        let row = newest.and_then(|value| value.leases.get(lease_name));
+        match (newest.and_then(|value| holder_of(value, lease_name)), row) {
+            (Some((_, holder)), _) if holder.incarnation != self.settings.incarnation => {
                 Reply::Elsewhere(holder.address.clone())
             }
-            (_, Some(_)) => Reply::Refused(format!("nobody holds {} now", duty.0)),
-            (_, None) => Reply::Refused(format!("there is no duty {}", duty.0)),
+            (_, Some(_)) => Reply::Refused(format!("nobody holds {} now", lease_name.0)),
+            (_, None) => Reply::Refused(format!("there is no duty {}", lease_name.0)),
         }
     }
 
-    fn order_hold(&mut self, duty: LeaseName, job: u64) -> Reply {
-        if duty.0.as_ref() == ROLL_CALL {
-            return Reply::Refused(format!("{ROLL_CALL} is the dispatchers' own"));
+    fn order_hold(&mut self, lease_name: LeaseName, job: u64) -> Reply {
+        if lease_name.0.as_ref() == MEMBERSHIP_LEASE {
+            return Reply::Refused(format!("{MEMBERSHIP_LEASE} is the dispatchers' own"));
         }
-        if duty.0.is_empty() || duty.0.len() > LONGEST_NAME {
+        if lease_name.0.is_empty() || lease_name.0.len() > LONGEST_NAME {
             return Reply::Refused(format!("a duty's name has 1 to {LONGEST_NAME} bytes"));
         }
         if self.stopping {
             return Reply::Refused("this dispatcher stops".to_owned());
         }
         let (now, full) = (self.now, self.jobs.len() >= MOST_JOBS);
-        match self.jobs.get_mut(&duty) {
+        match self.jobs.get_mut(&lease_name) {
             Some(other) if other.number != job => {
-                return Reply::Refused(format!("{} is wanted here by another job", duty.0));
+                return Reply::Refused(format!("{} is wanted here by another job", lease_name.0));
             }
             Some(same) => same.asked = now,
             None if full => {
@@ -292,22 +294,26 @@
             }
             None => {
                 self.jobs.insert(
-                    duty.clone(),
+                    lease_name.clone(),
                     Job {
                         number: job,
                         asked: now,
                     },
                 );
                 self.watches
-                    .insert(duty.clone(), LeaseObserver::new(now, &mut self.rng));
+                    .insert(lease_name.clone(), LeaseObserver::new(now, &mut self.rng));
                 // Whoever asks first for a new duty comes first.
-                if let Some(watch) = self.watches.get_mut(&duty) {
+                if let Some(watch) = self.watches.get_mut(&lease_name) {
                     watch.place = Some(0);
                 }
                 self.next_look = now;
             }
         }
-        match self.holds.get(&duty).filter(|hold| hold.left(now) > 0.0) {
+        match self
+            .holds
+            .get(&lease_name)
+            .filter(|hold| hold.left(now) > 0.0)
+        {
             Some(hold) => Reply::Holds {
                 term: Some(hold.term),
                 good_for: hold.left(now),
@@ -373,11 +379,11 @@
             let reply = match &inspection.wish {
                 None => Reply::Status(Box::new(self.status(&inspection))),
                 Some((name, address)) => {
-                    let life = inspection
+                    let voter_id = inspection
                         .found
                         .get(name)
-                        .and_then(|seen| seen.as_ref()?.life);
-                    let Some(life) = life else {
+                        .and_then(|seen| seen.as_ref()?.voter_id);
+                    let Some(voter_id) = voter_id else {
                         let why = format!("{} does not answer as a voter at {}", name.0, address.0);
                         out.push(Output::Answer {
                             call,
@@ -385,15 +391,15 @@
                         });
                         continue;
                     };
-                    let seat = VoterRecord {
-                        life,
+                    let voter_record = VoterRecord {
+                        voter_id,
                         address: address.clone(),
                     };
                     self.wish(
                         call,
                         Command::AddVoter {
                             name: name.clone(),
-                            seat,
+                            voter_record,
                         },
                     );
                     self.go_on(out);
@@ -411,13 +417,15 @@
     fn status(&self, inspection: &Inspection) -> Status {
         let newest = self.newest();
         let view = self.view();
-        let seats = view.map(Voters::all).unwrap_or_default();
+        let voter_records = view.map(Voters::all).unwrap_or_default();
         let line = |(name, address): (&Name, &Address)| {
             let seen = match *name == self.settings.me {
                 true => Some(self.seen()),
                 false => inspection.found.get(name).cloned().flatten(),
             };
-            let life = seats.get(name).map(|seat| seat.life);
+            let voter_id = voter_records
+                .get(name)
+                .map(|voter_record| voter_record.voter_id);
             let (answers, voted) = (
                 seen.is_some(),
                 seen.as_ref().and_then(|s| s.newest.as_ref()),
@@ -425,7 +433,7 @@
             let version = voted.map_or(0, |(_, value)| value.version);
             let votes = seen
                 .as_ref()
-                .is_some_and(|s| s.votes && s.life == life && life.is_some());
+                .is_some_and(|s| s.votes && s.voter_id == voter_id && voter_id.is_some());
             VoterLine {
                 name: name.clone(),
                 address: address.clone(),
@@ -434,30 +442,30 @@
                 version,
             }
         };
-        let voters: Vec<VoterLine> = match seats.is_empty() {
-            false => seats
+        let voters: Vec<VoterLine> = match voter_records.is_empty() {
+            false => voter_records
                 .iter()
-                .map(|(name, seat)| line((name, &seat.address)))
+                .map(|(name, voter_record)| line((name, &voter_record.address)))
                 .collect(),
             true => self.settings.voters.iter().map(line).collect(),
         };
         let answered =
             |name: &Name, _: &VoterRecord| voters.iter().any(|v| v.name == *name && v.votes);
-        let duty = |(duty, row): (&LeaseName, &super::super::state::LeaseRecord)| {
-            (duty.clone(), row.term, row.holder.clone())
+        let lease_name = |(lease_name, row): (&LeaseName, &super::super::state::LeaseRecord)| {
+            (lease_name.clone(), row.term, row.holder.clone())
         };
-        let least = self.settings.beat;
+        let least = self.settings.heartbeat;
         let roll = self.roll.as_ref();
         let member =
             |(name, member): (&Name, &crate::coordination::membership::Member)| MemberLine {
                 name: name.clone(),
-                zone: member.beat.zone.clone(),
-                label: member.beat.label.clone(),
-                standing: roll.map_or(MemberStatus::Dead, |roll| {
-                    roll.standing(self.now, member, least)
+                zone: member.heartbeat.zone.clone(),
+                label: member.heartbeat.label.clone(),
+                member_status: roll.map_or(MemberStatus::Dead, |roll| {
+                    roll.member_status(self.now, member, least)
                 }),
-                ready: member.beat.ready,
-                up: member.beat.up + self.now - member.heard,
+                ready: member.heartbeat.ready,
+                up: member.heartbeat.up + self.now - member.heard,
                 age: self.now - member.heard,
             };
         Status {
@@ -467,10 +475,10 @@
             changing: view.is_some_and(|view| view.before.is_some()),
             version: newest.map_or(0, |value| value.version),
             voters,
-            duties: newest
+            leases: newest
                 .iter()
-                .flat_map(|value| value.duties.iter())
-                .map(duty)
+                .flat_map(|value| value.leases.iter())
+                .map(lease_name)
                 .collect(),
             roll_for: roll.map(|roll| self.now - roll.since),
             roll: roll
@@ -481,9 +489,9 @@
             caller: self
                 .caller
                 .as_ref()
-                .filter(|(_, h)| h.run != self.settings.run)
+                .filter(|(_, h)| h.incarnation != self.settings.incarnation)
                 .map(|(_, h)| h.address.clone()),
-            care: self.care_status(),
+            disruptions: self.care_status(),
         }
     }
 
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::lease::{holder_of, is_mine};
 use crate::coordination::register::ProposalOutcome;
-use crate::coordination::state::{CommandError, LeaseRecord, MOST_VOTERS};
+use crate::coordination::state::{CommandError, LeaseRecord, MAX_VOTERS};
 use nanorand::Rng;
 
 /// After a try that others were ahead of: the wait before the next in parts of a lease, doubled up to the most.
@@ -21,7 +21,7 @@
             self.highest = self.highest.max(ballot.round);
         }
         if self.newest.as_ref().is_none_or(|(at, _)| *at < ballot) {
-            let caller = holder_of(&value, &LeaseName::from(ROLL_CALL));
+            let caller = holder_of(&value, &LeaseName::from(MEMBERSHIP_LEASE));
             let caller = caller.map(|(term, holder)| (term, holder.clone()));
             self.newest = Some((ballot, value));
             if let Some(caller) = caller {
@@ -34,22 +34,25 @@
     /// Shows the newest value to those that wait for duties.
     pub(super) fn show_watches(&mut self) {
         let value = self.newest.as_ref().map(|(_, value)| value);
-        for (duty, watch) in &mut self.watches {
-            let row: Option<&LeaseRecord> = value.and_then(|v| v.duties.get(duty));
+        for (lease_name, watch) in &mut self.watches {
+            let row: Option<&LeaseRecord> = value.and_then(|v| v.leases.get(lease_name));
             watch.saw(self.now, row, &mut self.rng);
         }
     }
 
     /// Whether this dispatcher is to take a duty if it falls free.
-    fn contends(&self, duty: &LeaseName) -> bool {
-        if self.stopping || self.holds.contains_key(duty) || self.giving.contains_key(duty) {
+    fn contends(&self, lease_name: &LeaseName) -> bool {
+        if self.stopping
+            || self.holds.contains_key(lease_name)
+            || self.giving.contains_key(lease_name)
+        {
             return false;
         }
-        match duty.0.as_ref() == ROLL_CALL {
-            false => self.jobs.contains_key(duty),
+        match lease_name.0.as_ref() == MEMBERSHIP_LEASE {
+            false => self.jobs.contains_key(lease_name),
             // Whoever has no place in the line comes only when the caller does not hear it.
             true => {
-                let watch = self.watches.get(duty);
+                let watch = self.watches.get(lease_name);
                 let named = watch.is_some_and(|w| w.place.is_some() || w.names(&self.settings.me));
                 named || self.is_voter() || !self.caller_hears()
             }
@@ -78,11 +81,11 @@
                 .holds
                 .iter()
                 .filter(|(_, h)| over(h))
-                .map(|(duty, _)| duty.clone())
+                .map(|(lease_name, _)| lease_name.clone())
                 .collect();
-            for duty in ended {
+            for lease_name in ended {
                 self.count("leases over");
-                self.lose(&duty, out);
+                self.lose(&lease_name, out);
             }
             self.giving.retain(|_, giving| !over(&giving.hold));
         }
@@ -92,64 +95,65 @@
             .jobs
             .iter()
             .filter(|(_, j)| gone(j))
-            .map(|(duty, _)| duty.clone())
+            .map(|(lease_name, _)| lease_name.clone())
             .collect();
-        for duty in idle {
-            self.let_go(&duty, out);
+        for lease_name in idle {
+            self.let_go(&lease_name, out);
         }
     }
 
     /// The job is over: the duty is given up, for whoever contends for it.
-    pub(super) fn let_go(&mut self, duty: &LeaseName, out: &mut Vec<Output>) {
-        self.jobs.remove(duty);
-        self.watches.remove(duty);
-        self.hand_over(duty, None, out);
+    pub(super) fn let_go(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
+        self.jobs.remove(lease_name);
+        self.watches.remove(lease_name);
+        self.hand_over(lease_name, None, out);
     }
 
     /// Stops acting at once, and then gives the duty up.
     pub(super) fn hand_over(
         &mut self,
-        duty: &LeaseName,
+        lease_name: &LeaseName,
         next: Option<Name>,
         out: &mut Vec<Output>,
     ) {
-        if let Some(hold) = self.holds.get(duty).copied() {
+        if let Some(hold) = self.holds.get(lease_name).copied() {
             let roll = self.roll.as_ref();
             let address = |name: &Name| {
                 roll.and_then(|r| r.address(name))
                     .or(self.settings.voters.get(name))
             };
             let to = next.as_ref().and_then(address).cloned();
-            self.lose(duty, out);
-            self.giving.insert(duty.clone(), Giving { hold, next, to });
+            self.lose(lease_name, out);
+            self.giving
+                .insert(lease_name.clone(), Giving { hold, next, to });
         }
     }
 
-    fn lose(&mut self, duty: &LeaseName, out: &mut Vec<Output>) {
-        if let Some(hold) = self.holds.remove(duty) {
+    fn lose(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
+        if let Some(hold) = self.holds.remove(lease_name) {
             out.push(Output::Holds {
-                duty: duty.clone(),
+                lease_name: lease_name.clone(),
                 term: hold.term,
                 held: false,
             });
         }
-        if duty.0.as_ref() == ROLL_CALL {
+        if lease_name.0.as_ref() == MEMBERSHIP_LEASE {
             self.roll = None;
             self.heard = None;
         }
-        if let Some(watch) = self.watches.get_mut(duty) {
+        if let Some(watch) = self.watches.get_mut(lease_name) {
             watch.place = None;
         }
     }
 
-    fn hold(&mut self, duty: &LeaseName, hold: HeldLease, out: &mut Vec<Output>) {
-        if self.holds.insert(duty.clone(), hold).is_none() {
+    fn hold(&mut self, lease_name: &LeaseName, hold: HeldLease, out: &mut Vec<Output>) {
+        if self.holds.insert(lease_name.clone(), hold).is_none() {
             out.push(Output::Holds {
-                duty: duty.clone(),
+                lease_name: lease_name.clone(),
                 term: hold.term,
                 held: true,
             });
-            if duty.0.as_ref() == ROLL_CALL {
+            if lease_name.0.as_ref() == MEMBERSHIP_LEASE {
                 self.roll = Some(Membership::begin(self.now));
                 self.caller = Some((hold.term, self.me()));
                 self.next_beat = self.now;
@@ -161,7 +165,11 @@
     pub(super) fn go_on_at(&self) -> Vec<Ms> {
         let mut at = Vec::new();
         let (settings, me) = (&self.settings.lease, self.me());
-        if self.watches.keys().any(|duty| self.contends(duty)) {
+        if self
+            .watches
+            .keys()
+            .any(|lease_name| self.contends(lease_name))
+        {
             at.push(self.next_look.min(self.now + settings.look_every()));
         }
         at.extend(
@@ -184,7 +192,7 @@
             let takes = self
                 .watches
                 .iter()
-                .filter(|(duty, _)| self.contends(duty))
+                .filter(|(lease_name, _)| self.contends(lease_name))
                 .map(|(_, watch)| {
                     (self.now + watch.waits(&me, self.is_voter(), settings))
                         .max(self.acts_done_at())
@@ -211,42 +219,44 @@
     fn wanted(&self) -> Option<(Purpose, Command)> {
         let settings = &self.settings.lease;
         let who = self.me();
-        let given = |(duty, _): &(&LeaseName, &Giving)| {
-            duty.0.as_ref() != ROLL_CALL || self.acts_are_done()
+        let given = |(lease_name, _): &(&LeaseName, &Giving)| {
+            lease_name.0.as_ref() != MEMBERSHIP_LEASE || self.acts_are_done()
         };
-        if let Some((duty, giving)) = self.giving.iter().find(given) {
+        if let Some((lease_name, giving)) = self.giving.iter().find(given) {
             let (term, next) = (giving.hold.term, giving.next.clone());
             let change = Command::Resign {
-                duty: duty.clone(),
+                lease_name: lease_name.clone(),
                 term,
                 who,
                 next,
             };
-            return Some((Purpose::GiveUp(duty.clone()), change));
+            return Some((Purpose::GiveUp(lease_name.clone()), change));
         }
         let due = |hold: &HeldLease| hold.asked + settings.renew_after() <= self.now;
         if self.holds.values().any(due) {
-            let duties = self
+            let leases = self
                 .holds
                 .iter()
-                .map(|(duty, hold)| (duty.clone(), hold.term))
+                .map(|(lease_name, hold)| (lease_name.clone(), hold.term))
                 .collect();
-            return Some((Purpose::Renew, Command::Renew { who, duties }));
+            return Some((Purpose::Renew, Command::Renew { who, leases }));
         }
         let voter = self.is_voter();
         // Acts of an earlier term of our own must not be obeyed after one of the next.
-        let free = |(duty, watch): &(&LeaseName, &LeaseObserver)| {
-            self.contends(duty) && self.acts_are_done() && watch.waits(&who, voter, settings) <= 0.0
+        let free = |(lease_name, watch): &(&LeaseName, &LeaseObserver)| {
+            self.contends(lease_name)
+                && self.acts_are_done()
+                && watch.waits(&who, voter, settings) <= 0.0
         };
-        if let Some((duty, watch)) = self.watches.iter().find(free) {
+        if let Some((lease_name, watch)) = self.watches.iter().find(free) {
             let (lease_ms, seen) = (settings.lease_ms(), watch.mark());
             let change = Command::Acquire {
-                duty: duty.clone(),
+                lease_name: lease_name.clone(),
                 who,
                 lease_ms,
                 seen,
             };
-            return Some((Purpose::Take(duty.clone()), change));
+            return Some((Purpose::Take(lease_name.clone()), change));
         }
         if let Some(wish) = self.wishes.first() {
             return Some((Purpose::Wish(wish.call), wish.change.clone()));
@@ -264,17 +274,19 @@
             let next = self
                 .roll
                 .as_ref()
-                .and_then(|r| r.first_for(&LeaseName::from(ROLL_CALL)))
+                .and_then(|r| r.first_for(&LeaseName::from(MEMBERSHIP_LEASE)))
                 .cloned();
-            for duty in self.holds.keys().cloned().collect::<Vec<_>>() {
-                let next = next.clone().filter(|_| duty.0.as_ref() == ROLL_CALL);
-                self.hand_over(&duty, next, out);
+            for lease_name in self.holds.keys().cloned().collect::<Vec<_>>() {
+                let next = next
+                    .clone()
+                    .filter(|_| lease_name.0.as_ref() == MEMBERSHIP_LEASE);
+                self.hand_over(&lease_name, next, out);
             }
         }
         let contending: Vec<LeaseName> = self
             .watches
             .keys()
-            .filter(|duty| self.contends(duty))
+            .filter(|lease_name| self.contends(lease_name))
             .cloned()
             .collect();
         if !contending.is_empty() && self.now >= self.next_look {
@@ -287,8 +299,8 @@
             self.look_somewhere(out);
         }
         let lease = self.settings.lease;
-        for duty in &contending {
-            if let Some(watch) = self.watches.get_mut(duty) {
+        for lease_name in &contending {
+            if let Some(watch) = self.watches.get_mut(lease_name) {
                 watch.count(self.now, &lease);
             }
         }
@@ -303,15 +315,15 @@
             return;
         };
         self.highest += 1;
-        let run = if is_injected(InjectedFault::BallotAgain) {
+        let incarnation = if is_injected(InjectedFault::BallotAgain) {
             Incarnation(0)
         } else {
-            self.settings.run
+            self.settings.incarnation
         };
         let ballot = Ballot {
             round: self.highest,
             by: self.settings.me.clone(),
-            run,
+            incarnation,
         };
         let (round, asks) = Proposal::begin(ballot.clone(), view, change, &self.knows);
         self.count("tries");
@@ -325,7 +337,7 @@
 
     /// Asks any one voter what it took last.
     pub(super) fn look_somewhere(&mut self, out: &mut Vec<Output>) {
-        let at = self.rng.generate_range(0..MOST_VOTERS);
+        let at = self.rng.generate_range(0..MAX_VOTERS);
         self.look_at(at, 1, out);
     }
 
@@ -350,22 +362,22 @@
         )>,
         out: &mut Vec<Output>,
     ) {
-        for (from, seat, ask) in asks {
+        for (from, voter_record, ask) in asks {
             let taking = matches!(ask, register::AcceptorRequest::Accept { .. });
             let errand = Errand::Vote {
                 from,
-                life: seat.life,
+                voter_id: voter_record.voter_id,
                 ballot: ballot.clone(),
                 taking,
             };
-            self.ask(seat.address, Question::Vote(ask), errand, out);
+            self.ask(voter_record.address, Question::Vote(ask), errand, out);
         }
     }
 
     /// A voter answered a try, or did not.
     pub(super) fn voted(
         &mut self,
-        (from, life): (&Name, VoterId),
+        (from, voter_id): (&Name, VoterId),
         ballot: &Ballot,
         taking: bool,
         said: Option<&AcceptorReply>,
@@ -376,7 +388,7 @@
         };
         let (asks, end) = trying
             .round
-            .heard(from, life, taking, said, &mut self.knows);
+            .heard(from, voter_id, taking, said, &mut self.knows);
         self.ask_voters(ballot, asks, out);
         if let Some(end) = end {
             if let Some(trying) = self.trying.take() {
@@ -436,30 +448,42 @@
         asked: Ms,
         out: &mut Vec<Output>,
     ) {
-        let (me, run) = (self.settings.me.clone(), self.settings.run);
+        let (me, incarnation) = (self.settings.me.clone(), self.settings.incarnation);
         let settings = self.settings.lease;
         match purpose {
-            Purpose::Take(duty) => {
-                let row = value.duties.get(&duty).filter(|row| is_mine(row, &me, run));
+            Purpose::Take(lease_name) => {
+                let row = value
+                    .leases
+                    .get(&lease_name)
+                    .filter(|row| is_mine(row, &me, incarnation));
                 if let Some(term) = row.map(|row| row.term) {
                     self.count("terms");
-                    out.push(Output::Info(format!("holds {} in term {}", duty.0, term.0)));
-                    self.hold(&duty, HeldLease::new(term, asked, self.now, &settings), out);
+                    out.push(Output::Info(format!(
+                        "holds {} in term {}",
+                        lease_name.0, term.0
+                    )));
+                    self.hold(
+                        &lease_name,
+                        HeldLease::new(term, asked, self.now, &settings),
+                        out,
+                    );
                 }
             }
             Purpose::Renew => {
-                for (duty, hold) in &mut self.holds {
-                    let mine = |row: &&LeaseRecord| is_mine(row, &me, run) && row.term == hold.term;
-                    if value.duties.get(duty).filter(mine).is_some() {
+                for (lease_name, hold) in &mut self.holds {
+                    let mine = |row: &&LeaseRecord| {
+                        is_mine(row, &me, incarnation) && row.term == hold.term
+                    };
+                    if value.leases.get(lease_name).filter(mine).is_some() {
                         *hold = HeldLease::new(hold.term, asked, self.now, &settings);
                     }
                 }
             }
-            Purpose::GiveUp(duty) => {
-                let given = self.giving.remove(&duty);
+            Purpose::GiveUp(lease_name) => {
+                let given = self.giving.remove(&lease_name);
                 self.count("handed over");
                 if let Some(to) = given.and_then(|g| g.to) {
-                    self.ask(to, Question::Nudge { duty }, Errand::Nudge, out);
+                    self.ask(to, Question::Nudge { lease_name }, Errand::Nudge, out);
                 }
             }
             Purpose::Wish(call) => self.wish_done(call, Ok(()), Some(value), out),
@@ -478,12 +502,12 @@
                 self.again_at = self.now + self.settings.lease.gap();
             }
             Purpose::Renew => {
-                for duty in self.holds.keys().cloned().collect::<Vec<_>>() {
-                    self.lose(&duty, out);
+                for lease_name in self.holds.keys().cloned().collect::<Vec<_>>() {
+                    self.lose(&lease_name, out);
                 }
             }
-            Purpose::GiveUp(duty) => {
-                self.giving.remove(&duty);
+            Purpose::GiveUp(lease_name) => {
+                self.giving.remove(&lease_name);
             }
             Purpose::Wish(call) => self.wish_done(call, Err(why), None, out),
             Purpose::RolloutStep => self.step_tried(false),
@@ -492,9 +516,9 @@
     }
 
     /// A holder says that it gave a duty up for us: the voters are looked at, at once.
-    pub(super) fn nudged(&mut self, duty: &LeaseName, out: &mut Vec<Output>) {
+    pub(super) fn nudged(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         self.count("nudged");
-        if self.watches.contains_key(duty) {
+        if self.watches.contains_key(lease_name) {
             self.again_at = self.now;
             for (of, to) in self.whom_to_look_at() {
                 self.ask(to, Question::Look, Errand::Look { of, next: None }, out);
