--- a/src/coordination/member/rollout.rs
+++ b/src/coordination/member/rollout.rs
@@ -33,7 +33,7 @@
 const MOST_WANTS: usize = 1024;
 const MOST_REVOKED: usize = 1024;
 /// Reports of engines in one beat.
-pub const MOST_REPORTS: usize = 8;
+pub const MAX_REPORTS: usize = 8;
 
 /// What the holder knows of turns' acts at one receiver.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -81,74 +81,82 @@
 
 impl Member {
     /// The roll-call, as a duty.
-    fn roll_call() -> LeaseName {
-        LeaseName::from(ROLL_CALL)
+    fn membership_lease() -> LeaseName {
+        LeaseName::from(MEMBERSHIP_LEASE)
     }
 
-    pub(super) fn fares(&mut self, fares: LocalHealth) {
+    pub(super) fn local_health(&mut self, local_health: LocalHealth) {
         let LocalHealth {
             ready,
             load,
             tally,
             reports,
-        } = fares;
-        (self.ready, self.load, self.care.tally) = (ready, load, tally);
+        } = local_health;
+        (self.ready, self.load, self.disruptions.tally) = (ready, load, tally);
         // What a lost beat tells is lost: reports are thin evidence anyway, and come again.
-        self.care.reports.extend(reports);
-        let many = self.care.reports.len().saturating_sub(4 * MOST_REPORTS);
-        self.care.reports.drain(..many);
+        self.disruptions.reports.extend(reports);
+        let many = self
+            .disruptions
+            .reports
+            .len()
+            .saturating_sub(4 * MAX_REPORTS);
+        self.disruptions.reports.drain(..many);
     }
 
     pub(super) fn engines(&mut self, engines: Vec<Unit>) {
-        self.care.engines = engines;
+        self.disruptions.engines = engines;
     }
 
     /// The next few reports, for a beat.
     pub(super) fn next_reports(&mut self) -> Vec<EngineReport> {
-        let n = self.care.reports.len().min(MOST_REPORTS);
-        self.care.reports.drain(..n).collect()
+        let n = self.disruptions.reports.len().min(MAX_REPORTS);
+        self.disruptions.reports.drain(..n).collect()
     }
 
     /// Whether the list of engines is of use here: it is not handed in for nothing.
     pub fn wants_engines(&self) -> bool {
-        self.holds.contains_key(&Self::roll_call())
+        self.holds.contains_key(&Self::membership_lease())
     }
 
     /// What is agreed on, as this dispatcher last knew it for certain.
     fn agreed_care(&self) -> Option<&DisruptionState> {
-        self.agreed.as_ref().map(|value| &*value.care)
+        self.agreed.as_ref().map(|value| &*value.disruptions)
     }
 
     /// Whether anything that was seen, agreed on or not, keeps turns from being told.
     fn may_be_halted(&self) -> bool {
         let newest = self
             .newest()
-            .is_some_and(|value| value.care.halted.is_some());
-        newest || self.care.alone || self.agreed_care().is_none_or(|care| care.halted.is_some())
+            .is_some_and(|value| value.disruptions.halted.is_some());
+        newest
+            || self.disruptions.alone
+            || self
+                .agreed_care()
+                .is_none_or(|disruptions| disruptions.halted.is_some())
     }
 
     fn view_of_fleet(&self) -> FleetView {
         let Some(roll) = &self.roll else {
             return FleetView::default();
         };
-        let (now, least) = (self.now, self.settings.beat);
+        let (now, least) = (self.now, self.settings.heartbeat);
         let dispatcher = |(name, member): (&Name, &crate::coordination::membership::Member)| Unit {
             name: name.clone(),
-            run: member.beat.who.run,
-            address: member.beat.who.address.clone(),
-            zone: member.beat.zone.clone(),
+            incarnation: member.heartbeat.who.incarnation,
+            address: member.heartbeat.who.address.clone(),
+            zone: member.heartbeat.zone.clone(),
             cell: String::new(),
             kind: String::new(),
             role: None,
-            label: member.beat.label.clone(),
-            stand: match roll.standing(now, member, least) {
+            label: member.heartbeat.label.clone(),
+            stand: match roll.member_status(now, member, least) {
                 MemberStatus::Suspected | MemberStatus::Dead => ServiceStatus::OutOfService,
-                _ if member.beat.stopping => ServiceStatus::Draining,
-                _ if !member.beat.ready => ServiceStatus::Starting,
+                _ if member.heartbeat.stopping => ServiceStatus::Draining,
+                _ if !member.heartbeat.ready => ServiceStatus::Starting,
                 _ => ServiceStatus::InService,
             },
             used: None,
-            tally: member.beat.tally,
+            tally: member.heartbeat.tally,
         };
         let engine = |unit: &Unit| {
             let heard = roll.engine(&unit.name);
@@ -167,8 +175,8 @@
         };
         FleetView {
             dispatchers: roll.members().map(dispatcher).collect(),
-            engines: self.care.engines.iter().map(engine).collect(),
-            whole: now - roll.since >= WHOLE_AFTER * roll.beat_every(least),
+            engines: self.disruptions.engines.iter().map(engine).collect(),
+            whole: now - roll.since >= WHOLE_AFTER * roll.heartbeat_interval(least),
         }
     }
 
@@ -182,24 +190,28 @@
     pub(super) fn look_after(&mut self) {
         let holds = self
             .holds
-            .get(&Self::roll_call())
+            .get(&Self::membership_lease())
             .is_some_and(|hold| hold.left(self.now) > 0.0);
         if !holds {
-            self.care.conduct = None;
-            (self.care.step, self.care.tell, self.care.revoke) = (None, Vec::new(), Vec::new());
+            self.disruptions.conduct = None;
+            (
+                self.disruptions.step,
+                self.disruptions.tell,
+                self.disruptions.revoke,
+            ) = (None, Vec::new(), Vec::new());
             return;
         }
         let now = self.now;
-        self.care.wants.retain(|_, (_, until)| now < *until);
-        let Some(care) = self.agreed.as_ref().map(|value| value.care.clone()) else {
+        self.disruptions.wants.retain(|_, (_, until)| now < *until);
+        let Some(disruptions) = self.agreed.as_ref().map(|value| value.disruptions.clone()) else {
             return;
         };
-        if now < self.care.next_look || self.care.step.is_some() {
+        if now < self.disruptions.next_look || self.disruptions.step.is_some() {
             return;
         }
         // With nothing to look after the fleet is only counted, now and then.
-        let idle = !care.is_active() && self.care.wants.is_empty();
-        self.care.next_look = now
+        let idle = !disruptions.is_active() && self.disruptions.wants.is_empty();
+        self.disruptions.next_look = now
             + if idle {
                 COUNTED * self.settings.lease.lease
             } else {
@@ -210,46 +222,46 @@
             self.voters_now(),
             self.settings.me.clone(),
         );
-        let wants: Vec<PermitRequest> = (self.care.wants.iter())
+        let wants: Vec<PermitRequest> = (self.disruptions.wants.iter())
             .map(|(name, (label, _))| PermitRequest {
                 name: name.clone(),
                 label: label.clone(),
             })
             .collect();
         let conduct = self
-            .care
+            .disruptions
             .conduct
-            .get_or_insert_with(|| RolloutController::begin(&care));
+            .get_or_insert_with(|| RolloutController::begin(&disruptions));
         let own = &self.settings.bounds.0;
-        let step = conduct.next(now, &care, &view, (&me, &voters), (&wants, own));
+        let step = conduct.next(now, &disruptions, &view, (&me, &voters), (&wants, own));
         let (tell, revoke) = (
             std::mem::take(&mut conduct.tell),
             std::mem::take(&mut conduct.revoke),
         );
         // What an operator halted here is not known to the others, with the fault that is planted.
-        self.care.step = step.filter(|_| !self.care.alone);
-        (self.care.tell, self.care.revoke) = (tell, revoke);
-        if let (true, Some(RolloutStep::Grant(turns))) = (
+        self.disruptions.step = step.filter(|_| !self.disruptions.alone);
+        (self.disruptions.tell, self.disruptions.revoke) = (tell, revoke);
+        if let (true, Some(RolloutStep::Grant(permits))) = (
             is_injected(InjectedFault::ToldBeforeAgreed),
-            &self.care.step,
+            &self.disruptions.step,
         ) {
-            self.care.unagreed = turns.clone();
+            self.disruptions.unagreed = permits.clone();
         }
     }
 
     fn look_every(&self) -> Ms {
-        (self.settings.beat / LOOKS).clamp(10.0, 250.0)
+        (self.settings.heartbeat / LOOKS).clamp(10.0, 250.0)
     }
 
     /// When there is something to look at or to tell.
     pub(super) fn care_wants_at(&self) -> Option<Ms> {
-        let holds = self.holds.contains_key(&Self::roll_call());
-        let look = holds.then(|| match self.care.step {
+        let holds = self.holds.contains_key(&Self::membership_lease());
+        let look = holds.then(|| match self.disruptions.step {
             Some(_) => self.now + self.look_every(),
-            None => self.care.next_look,
+            None => self.disruptions.next_look,
         });
         let halting = self
-            .care
+            .disruptions
             .halting
             .as_ref()
             .filter(|h| h.open())
@@ -259,17 +271,17 @@
 
     /// The step that the caller of the roll wants agreed on.
     pub(super) fn wanted_step(&self) -> Option<(Purpose, Command)> {
-        let duty = Self::roll_call();
+        let lease_name = Self::membership_lease();
         let hold = self
             .holds
-            .get(&duty)
+            .get(&lease_name)
             .filter(|hold| hold.left(self.now) > 0.0)?;
-        let step = self.care.step.clone()?;
+        let step = self.disruptions.step.clone()?;
         let (term, who) = (hold.term, self.me());
         Some((
             Purpose::RolloutStep,
             Command::RolloutStep {
-                duty,
+                lease_name,
                 term,
                 who,
                 step,
@@ -278,8 +290,8 @@
     }
 
     pub(super) fn step_tried(&mut self, agreed: bool) {
-        self.care.step = None;
-        self.care.next_look = if agreed {
+        self.disruptions.step = None;
+        self.disruptions.next_look = if agreed {
             self.now
         } else {
             self.now + self.settings.lease.gap()
@@ -290,96 +302,100 @@
     pub(super) fn tell_turns(&mut self, out: &mut Vec<Output>) {
         let Some(hold) = self
             .holds
-            .get(&Self::roll_call())
+            .get(&Self::membership_lease())
             .copied()
             .filter(|h| h.left(self.now) > 0.0)
         else {
             return;
         };
         if is_injected(InjectedFault::ToldBeforeAgreed) {
-            for turn in std::mem::take(&mut self.care.unagreed) {
-                self.tell_turn(PermitId(u64::MAX), &turn, hold, out);
+            for permit in std::mem::take(&mut self.disruptions.unagreed) {
+                self.tell_turn(PermitId(u64::MAX), &permit, hold, out);
             }
         }
-        let Some(care) = self.agreed_care().cloned() else {
+        let Some(disruptions) = self.agreed_care().cloned() else {
             return;
         };
         if !self.may_be_halted() {
-            for number in self.care.tell.clone() {
+            for number in self.disruptions.tell.clone() {
                 // Only what is agreed on is told, and only while nothing is known against it.
                 let unbegun = self
-                    .care
+                    .disruptions
                     .conduct
                     .as_ref()
                     .is_some_and(|c| c.is_unbegun(number));
-                if let Some(turn) = care.turns.get(&number).filter(|_| !unbegun) {
-                    self.tell_turn(number, turn, hold, out);
+                if let Some(permit) = disruptions.permits.get(&number).filter(|_| !unbegun) {
+                    self.tell_turn(number, permit, hold, out);
                 }
             }
         }
-        for number in self.care.revoke.clone() {
+        for number in self.disruptions.revoke.clone() {
             let next = self
-                .care
+                .disruptions
                 .revokes
                 .get(&number)
                 .copied()
                 .unwrap_or(f64::NEG_INFINITY);
-            if let Some(turn) = care.turns.get(&number).filter(|_| self.now >= next) {
-                self.care
+            if let Some(permit) = disruptions
+                .permits
+                .get(&number)
+                .filter(|_| self.now >= next)
+            {
+                self.disruptions
                     .revokes
-                    .insert(number, self.now + self.settings.beat);
-                self.ask_back(number, turn, Errand::Revoke { turn: number }, out);
+                    .insert(number, self.now + self.settings.heartbeat);
+                self.ask_back(number, permit, Errand::Revoke { permit: number }, out);
             }
         }
-        self.care
+        self.disruptions
             .revokes
-            .retain(|number, _| care.turns.contains_key(number));
-        self.care
+            .retain(|number, _| disruptions.permits.contains_key(number));
+        self.disruptions
             .tells
-            .retain(|number, _| care.turns.contains_key(number));
+            .retain(|number, _| disruptions.permits.contains_key(number));
     }
 
     fn tell_turn(
         &mut self,
         number: PermitId,
-        turn: &DisruptionPermit,
+        permit: &DisruptionPermit,
         hold: HeldLease,
         out: &mut Vec<Output>,
     ) {
-        let told = TurnTold::new(number, turn);
-        if turn.of == UnitKind::Dispatchers && turn.who == self.settings.me {
+        let told = TurnTold::new(number, permit);
+        if permit.of == UnitKind::Dispatchers && permit.who == self.settings.me {
             // Its own turn: the roll-call goes to another first.
             return self.told_turn(&told, out);
         }
-        let Some(to) = told_at(turn, self.settings.keeper.as_ref()).cloned() else {
+        let Some(to) = told_at(permit, self.settings.keeper.as_ref()).cloned() else {
             return;
         };
         let next = self
-            .care
+            .disruptions
             .tells
             .get(&number)
             .copied()
             .unwrap_or(f64::NEG_INFINITY);
-        let acts = self.care.acts.entry(to.clone()).or_default();
+        let acts = self.disruptions.acts.entry(to.clone()).or_default();
         // One act at a time to each: a keeper is told of many, one after another.
         if acts.out || self.now < next {
             return;
         }
-        let (ticket, good_for) = acts.known.good_for(hold.until);
+        let (receiver_timestamp, good_for) = acts.known.good_for(hold.until);
         (acts.out, acts.unsure_until) = (true, hold.until);
         // That it was obeyed is seen in a beat or in the list, some time after.
-        self.care
+        self.disruptions
             .tells
-            .insert(number, self.now + TOLD_AGAIN * self.settings.beat);
+            .insert(number, self.now + TOLD_AGAIN * self.settings.heartbeat);
         self.acts += 1;
         let (term, holder, act) = (hold.term, self.me(), self.acts);
         let body = told.write();
         let act = FencedCommand {
-            duty: Self::roll_call(),
+            lease_name: Self::membership_lease(),
             term,
             holder,
             number: act,
-            ticket,
+            receiver_timestamp,
             good_for,
             body,
         };
@@ -387,7 +403,7 @@
         self.ask(
             to.clone(),
             Question::FencedCommand(act),
-            Errand::TurnAct { to, turn: number },
+            Errand::TurnAct { to, permit: number },
             out,
         );
     }
@@ -395,22 +411,22 @@
     pub(super) fn turn_told(
         &mut self,
         to: &Address,
-        turn: PermitId,
+        permit: PermitId,
         answer: Option<(FencingDecision, ReceiverTimestamp)>,
         out: &mut Vec<Output>,
     ) {
         let now = self.now;
-        let Some(acts) = self.care.acts.get_mut(to) else {
+        let Some(acts) = self.disruptions.acts.get_mut(to) else {
             return;
         };
         acts.out = false;
-        let Some((verdict, ticket)) = answer else {
+        let Some((verdict, receiver_timestamp)) = answer else {
             return;
         };
-        acts.known.answered(now, ticket);
+        acts.known.answered(now, receiver_timestamp);
         acts.unsure_until = f64::NEG_INFINITY;
         if verdict == FencingDecision::TimestampMissing {
-            self.care.tells.remove(&turn);
+            self.disruptions.tells.remove(&permit);
         }
         // The next one for the same receiver, or the same with a ticket.
         self.tell_turns(out);
@@ -419,24 +435,24 @@
     fn ask_back(
         &mut self,
         number: PermitId,
-        turn: &DisruptionPermit,
+        permit: &DisruptionPermit,
         errand: Errand,
         out: &mut Vec<Output>,
     ) {
-        let mine = turn.of == UnitKind::Dispatchers && turn.who == self.settings.me;
+        let mine = permit.of == UnitKind::Dispatchers && permit.who == self.settings.me;
         if mine {
-            let begun = self.asked_back(number, turn.run);
+            let begun = self.asked_back(number, permit.incarnation);
             return self.answered(errand, Some(Answer::Begun { begun }), out);
         }
-        if let Some(to) = told_at(turn, self.settings.keeper.as_ref()).cloned() {
-            let (of, who, run) = (turn.of, turn.who.clone(), turn.run);
+        if let Some(to) = told_at(permit, self.settings.keeper.as_ref()).cloned() {
+            let (of, who, incarnation) = (permit.of, permit.who.clone(), permit.incarnation);
             self.ask(
                 to,
                 Question::AskBack {
-                    turn: number,
+                    permit: number,
                     of,
                     who,
-                    run,
+                    incarnation,
                 },
                 errand,
                 out,
@@ -445,21 +461,21 @@
     }
 
     /// Whether a turn of this process has begun; it will not, if it has not.
-    pub(super) fn asked_back(&mut self, turn: PermitId, run: Incarnation) -> bool {
-        if run != self.settings.run || self.care.begun == Some(turn) {
+    pub(super) fn asked_back(&mut self, permit: PermitId, incarnation: Incarnation) -> bool {
+        if incarnation != self.settings.incarnation || self.disruptions.begun == Some(permit) {
             // Another process had it: that one is gone.
             return true;
         }
-        self.care.revoked.insert(turn);
-        while self.care.revoked.len() > MOST_REVOKED {
-            self.care.revoked.pop_first();
+        self.disruptions.revoked.insert(permit);
+        while self.disruptions.revoked.len() > MOST_REVOKED {
+            self.disruptions.revoked.pop_first();
         }
         false
     }
 
     /// An act that was obeyed here.
     pub(super) fn obeyed(&mut self, act: &FencedCommand, out: &mut Vec<Output>) {
-        if act.duty.0.as_ref() == ROLL_CALL {
+        if act.lease_name.0.as_ref() == MEMBERSHIP_LEASE {
             if let Some(told) = TurnTold::read(&act.body) {
                 self.told_turn(&told, out);
             }
@@ -469,16 +485,16 @@
     fn told_turn(&mut self, told: &TurnTold, out: &mut Vec<Output>) {
         let mine = told.of == UnitKind::Dispatchers
             && told.who == self.settings.me
-            && told.run == self.settings.run;
-        if !mine || self.care.revoked.contains(&told.number) {
+            && told.incarnation == self.settings.incarnation;
+        if !mine || self.disruptions.revoked.contains(&told.number) {
             return self.count("turns not ours");
         }
-        if self.care.begun.is_none() && !self.stopping {
-            self.care.begun = Some(told.number);
+        if self.disruptions.begun.is_none() && !self.stopping {
+            self.disruptions.begun = Some(told.number);
             self.count("turns begun");
             self.leave_service(out);
-            let (turn, label) = (told.number, told.label.clone());
-            out.push(Output::PermitGranted { turn, label });
+            let (permit, label) = (told.number, told.label.clone());
+            out.push(Output::PermitGranted { permit, label });
         }
     }
 
@@ -490,18 +506,18 @@
 
     pub(super) fn asked_back_said(&mut self, errand: &Errand, begun: Option<bool>) {
         match (errand, begun) {
-            (Errand::Revoke { turn }, Some(begun)) => {
-                if let Some(conduct) = &mut self.care.conduct {
-                    conduct.revoked(*turn, begun);
-                    self.care.next_look = self.now;
+            (Errand::Revoke { permit }, Some(begun)) => {
+                if let Some(conduct) = &mut self.disruptions.conduct {
+                    conduct.revoked(*permit, begun);
+                    self.disruptions.next_look = self.now;
                 }
             }
-            (Errand::HaltAsk { turn }, Some(begun)) => {
+            (Errand::HaltAsk { permit }, Some(begun)) => {
                 if let Some((_, said)) = self
-                    .care
+                    .disruptions
                     .halting
                     .as_mut()
-                    .and_then(|h| h.said.get_mut(turn))
+                    .and_then(|h| h.said.get_mut(permit))
                 {
                     *said = Some(begun);
                 }
@@ -513,11 +529,11 @@
     /// A halt that this dispatcher gave is agreed on.
     fn halt_agreed(&mut self, value: &ReplicatedState) {
         let said = value
-            .care
-            .turns
+            .disruptions
+            .permits
             .iter()
-            .map(|(number, turn)| (*number, (turn.who.clone(), None)));
-        self.care.halting = Some(Halting {
+            .map(|(number, permit)| (*number, (permit.who.clone(), None)));
+        self.disruptions.halting = Some(Halting {
             since: self.now,
             said: said.collect(),
             next: self.now,
@@ -526,7 +542,7 @@
 
     /// Asks those that may still begin, until all have said or no act can be obeyed any more.
     pub(super) fn care_for_halt(&mut self, out: &mut Vec<Output>) {
-        let Some(halting) = &mut self.care.halting else {
+        let Some(halting) = &mut self.disruptions.halting else {
             return;
         };
         if !halting.open() || self.now < halting.next {
@@ -539,13 +555,13 @@
             .filter(|(_, s)| s.1.is_none())
             .map(|(n, _)| *n)
             .collect();
-        let turns = self
+        let permits = self
             .agreed_care()
-            .map(|care| care.turns.clone())
+            .map(|disruptions| disruptions.permits.clone())
             .unwrap_or_default();
         for number in open {
-            if let Some(turn) = turns.get(&number) {
-                self.ask_back(number, turn, Errand::HaltAsk { turn: number }, out);
+            if let Some(permit) = permits.get(&number) {
+                self.ask_back(number, permit, Errand::HaltAsk { permit: number }, out);
             }
         }
     }
@@ -587,14 +603,14 @@
     }
 
     fn not_the_caller(&self) -> Option<Reply> {
-        if self.holds.contains_key(&Self::roll_call()) {
+        if self.holds.contains_key(&Self::membership_lease()) {
             return None;
         }
         Some(
             match self
                 .caller
                 .as_ref()
-                .filter(|(_, h)| h.run != self.settings.run)
+                .filter(|(_, h)| h.incarnation != self.settings.incarnation)
             {
                 Some((_, holder)) => Reply::Elsewhere(holder.address.clone()),
                 None => {
@@ -616,7 +632,7 @@
         let every = self
             .roll
             .as_ref()
-            .map_or(0.0, |roll| roll.beat_every(self.settings.beat));
+            .map_or(0.0, |roll| roll.heartbeat_interval(self.settings.heartbeat));
         let young = roll.is_none_or(|since| self.now - since < WHOLE_AFTER * every);
         let view = self.view_of_fleet();
         let sizes_of = |of: UnitKind| sizes_seen(view.units(of).iter());
@@ -642,7 +658,7 @@
                 let mut sizes = sizes_of(plan.of);
                 let known = self
                     .agreed_care()
-                    .map(|care| care.sizes(plan.of).clone())
+                    .map(|disruptions| disruptions.sizes(plan.of).clone())
                     .unwrap_or_default();
                 for (zone, size) in known {
                     let seen = sizes.entry(zone).or_default();
@@ -680,16 +696,16 @@
 
     fn order_halt(&mut self, call: CallId, why: String) -> Option<Reply> {
         if is_injected(InjectedFault::HaltByHolderAlone)
-            && self.holds.contains_key(&Self::roll_call())
+            && self.holds.contains_key(&Self::membership_lease())
         {
-            self.care.alone = true;
+            self.disruptions.alone = true;
             return Some(Reply::Done("halted".to_owned()));
         }
-        match &self.care.halting {
+        match &self.disruptions.halting {
             Some(halting) => Some(match self.halt_stands(halting) {
                 Ok(words) => {
                     // Whoever halts again later asks again.
-                    self.care.halting = None;
+                    self.disruptions.halting = None;
                     Reply::Done(words)
                 }
                 Err(words) => Reply::Pending(words),
@@ -702,21 +718,24 @@
     }
 
     fn order_turn(&mut self, name: Name, label: String, refused: bool, young: bool) -> Reply {
-        let turn = self
+        let permit = self
             .agreed_care()
-            .and_then(|care| care.turn_of(UnitKind::Dispatchers, &name));
-        if let Some((number, turn)) = turn {
+            .and_then(|disruptions| disruptions.turn_of(UnitKind::Dispatchers, &name));
+        if let Some((number, permit)) = permit {
             let view = self.view_of_fleet();
             let unit = view.dispatchers.iter().find(|u| u.name == name);
-            return match stage(turn, unit) {
+            return match stage(permit, unit) {
                 PermitStage::Granted => {
                     Reply::Pending(format!("turn {} is given and being told", number.0))
                 }
-                _ => Reply::Done(format!("turn {}: {} drains and ends", number.0, turn.who.0)),
+                _ => Reply::Done(format!(
+                    "turn {}: {} drains and ends",
+                    number.0, permit.who.0
+                )),
             };
         }
         if refused {
-            self.care.wants.remove(&name);
+            self.disruptions.wants.remove(&name);
             return Reply::Done(format!("{} waits no more", name.0));
         }
         if self
@@ -729,11 +748,17 @@
                 false => Reply::Refused(format!("the roll-call knows no {}", name.0)),
             };
         }
-        if self.care.wants.len() >= MOST_WANTS {
+        if self.disruptions.wants.len() >= MOST_WANTS {
             return Reply::Refused("too many wait for a turn".to_owned());
         }
-        self.care.wants.insert(name, (label, self.now + WANTS_FOR));
-        let why = self.care.conduct.as_ref().and_then(|c| c.why.clone());
+        self.disruptions
+            .wants
+            .insert(name, (label, self.now + WANTS_FOR));
+        let why = self
+            .disruptions
+            .conduct
+            .as_ref()
+            .and_then(|c| c.why.clone());
         Reply::Pending(why.unwrap_or_else(|| "waiting".to_owned()))
     }
 
@@ -802,7 +827,7 @@
             }
             OperatorCommand::Note(_) => "noted".to_owned(),
         });
-        self.care.next_look = self.now;
+        self.disruptions.next_look = self.now;
         match (word, done) {
             (OperatorCommand::Halt(_), Ok(_)) => {
                 Reply::Pending("halted; asking those whose turn may still begin".to_owned())
@@ -842,7 +867,7 @@
             self.count("stopped by hand");
             self.leave_service(out);
             out.push(Output::PermitGranted {
-                turn: PermitId(0),
+                permit: PermitId(0),
                 label: String::new(),
             });
             return Some(Reply::Done(format!("{} drains and ends", who.0)));
@@ -908,17 +933,17 @@
 
     /// The release as operators see it.
     pub(super) fn care_status(&self) -> RolloutStatus {
-        let Some(care) = self
+        let Some(disruptions) = self
             .agreed_care()
-            .or(self.newest().map(|value| &*value.care))
+            .or(self.newest().map(|value| &*value.disruptions))
         else {
             return RolloutStatus::default();
         };
         let view = self.view_of_fleet();
-        let conduct = self.care.conduct.as_ref();
-        let line = |(number, turn): (&PermitId, &DisruptionPermit)| {
-            let unit = view.units(turn.of).iter().find(|u| u.name == turn.who);
-            let at = match stage(turn, unit) {
+        let conduct = self.disruptions.conduct.as_ref();
+        let line = |(number, permit): (&PermitId, &DisruptionPermit)| {
+            let unit = view.units(permit.of).iter().find(|u| u.name == permit.who);
+            let at = match stage(permit, unit) {
                 _ if self.roll.is_none() => "given",
                 PermitStage::Granted => "given",
                 PermitStage::Draining => "out",
@@ -926,17 +951,22 @@
                 PermitStage::Returned => "back",
                 PermitStage::WrongVersion => "back under another label",
             };
-            (*number, turn.who.clone(), turn.zone.clone(), at.to_owned())
+            (
+                *number,
+                permit.who.clone(),
+                permit.zone.clone(),
+                at.to_owned(),
+            )
         };
-        let release = care.release.as_deref();
+        let release = disruptions.release.as_deref();
         let why = conduct.and_then(|c| c.why.clone());
         let state = match release {
             None => "none",
             Some(r) if r.done => "done",
-            Some(_) if care.halted.is_some() => "halted",
+            Some(_) if disruptions.halted.is_some() => "halted",
             Some(r) if r.back => "going back",
-            Some(r) if r.turned == 0 && care.turns.is_empty() => "waiting",
-            Some(_) if why.is_some() && care.turns.is_empty() => "held",
+            Some(r) if r.turned == 0 && disruptions.permits.is_empty() => "waiting",
+            Some(_) if why.is_some() && disruptions.permits.is_empty() => "held",
             Some(_) => "running",
         };
         let of = release.map_or(UnitKind::Dispatchers, |r| r.plan.of);
@@ -946,19 +976,19 @@
             name: release.map(|r| r.plan.name.clone()).unwrap_or_default(),
             of,
             state: state.to_owned(),
-            halted: care.halted.clone().unwrap_or_default(),
+            halted: disruptions.halted.clone().unwrap_or_default(),
             why: why.unwrap_or_default(),
             wave: release.map_or(0, |r| r.wave + 1),
             given: release.map_or(0, |r| r.given),
             of_wave: release.map_or(0, |r| if r.back { 0 } else { r.plan.wave(r.wave) }),
             turned: release.map_or(0, |r| r.turned),
             meant: view.units(of).iter().filter(meant).count() as u32,
-            turns: care.turns.iter().map(line).collect(),
+            permits: disruptions.permits.iter().map(line).collect(),
             room: conduct
-                .map(|c| c.room(care, &view, of, bounds))
+                .map(|c| c.room(disruptions, &view, of, bounds))
                 .unwrap_or_default(),
             left: release.iter().flat_map(|r| r.left.clone()).collect(),
-            notes: care.notes.clone(),
+            notes: disruptions.notes.clone(),
         }
     }
 }
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -61,7 +61,7 @@
 /// A member, as heard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    pub beat: Heartbeat,
+    pub heartbeat: Heartbeat,
     /// When it was heard last, and since when it has been heard without a gap.
     pub heard: Ms,
     pub since: Ms,
@@ -77,7 +77,7 @@
 /// Beats a second that the holder hears at most; with more members each beats less often.
 const MOST_BEATS_PER_S: f64 = 500.0;
 /// Members that are kept in the view; one more is not taken in.
-pub const MOST_MEMBERS: usize = 8192;
+pub const MAX_MEMBERS: usize = 8192;
 /// Members that have been out for this many beats are forgotten.
 const FORGOTTEN_AFTER: f64 = 600.0;
 
@@ -88,7 +88,7 @@
     engines: BTreeMap<Name, EngineUsage>,
     /// Since when this dispatcher calls the roll.
     pub since: Ms,
-    duties: BTreeMap<LeaseName, BTreeMap<Name, u32>>,
+    leases: BTreeMap<LeaseName, BTreeMap<Name, u32>>,
     placed: Option<Ms>,
 }
 
@@ -101,24 +101,24 @@
     }
 
     /// How long members wait between two beats.
-    pub fn beat_every(&self, least: Ms) -> Ms {
+    pub fn heartbeat_interval(&self, least: Ms) -> Ms {
         least.max(self.members.len() as f64 * 1000.0 / MOST_BEATS_PER_S)
     }
 
     /// Takes a beat in.
-    pub fn heard(&mut self, now: Ms, mut beat: Heartbeat, least: Ms) {
-        for report in std::mem::take(&mut beat.reports) {
+    pub fn heard(&mut self, now: Ms, mut heartbeat: Heartbeat, least: Ms) {
+        for report in std::mem::take(&mut heartbeat.reports) {
             self.heard_of(now, report);
         }
-        let every = self.beat_every(least);
-        let full = self.members.len() >= MOST_MEMBERS;
-        match self.members.get_mut(&beat.who.name) {
+        let every = self.heartbeat_interval(least);
+        let full = self.members.len() >= MAX_MEMBERS;
+        match self.members.get_mut(&heartbeat.who.name) {
             Some(member) => {
-                let other = member.beat.who.run != beat.who.run;
+                let other = member.heartbeat.who.incarnation != heartbeat.who.incarnation;
                 if other || now - member.heard > OUT_AFTER * every {
                     (member.since, member.again) = (now, true);
                 }
-                (member.heard, member.beat) = (now, beat);
+                (member.heard, member.heartbeat) = (now, heartbeat);
             }
             None if full => {}
             None => {
@@ -126,15 +126,16 @@
                     heard: now,
                     since: now,
                     again: false,
-                    beat,
+                    heartbeat,
                 };
-                self.members.insert(member.beat.who.name.clone(), member);
+                self.members
+                    .insert(member.heartbeat.who.name.clone(), member);
             }
         }
     }
 
     fn heard_of(&mut self, now: Ms, report: EngineReport) {
-        if !self.engines.contains_key(&report.engine) && self.engines.len() >= MOST_MEMBERS {
+        if !self.engines.contains_key(&report.engine) && self.engines.len() >= MAX_MEMBERS {
             return;
         }
         let heard = self.engines.entry(report.engine).or_default();
@@ -151,10 +152,10 @@
         self.engines.get(name)
     }
 
-    pub fn standing(&self, now: Ms, member: &Member, least: Ms) -> MemberStatus {
-        let every = self.beat_every(least);
+    pub fn member_status(&self, now: Ms, member: &Member, least: Ms) -> MemberStatus {
+        let every = self.heartbeat_interval(least);
         let silent = now - member.heard;
-        let gone = member.beat.stopping && silent > SUSPECTED_AFTER * every;
+        let gone = member.heartbeat.stopping && silent > SUSPECTED_AFTER * every;
         if silent > OUT_AFTER * every || gone {
             MemberStatus::Dead
         } else if silent > SUSPECTED_AFTER * every {
@@ -172,14 +173,16 @@
     }
 
     pub fn address(&self, name: &Name) -> Option<&Address> {
-        self.members.get(name).map(|m| &m.beat.who.address)
+        self.members.get(name).map(|m| &m.heartbeat.who.address)
     }
 
     /// How many stand so: in, suspected, out, back.
     pub fn counts(&self, now: Ms, least: Ms) -> BTreeMap<MemberStatus, u32> {
         let mut counts = BTreeMap::new();
         for member in self.members.values() {
-            *counts.entry(self.standing(now, member, least)).or_insert(0) += 1;
+            *counts
+                .entry(self.member_status(now, member, least))
+                .or_insert(0) += 1;
         }
         counts
     }
@@ -189,9 +192,9 @@
         &mut self,
         now: Ms,
         least: Ms,
-        duties: &[(LeaseName, Option<String>, Option<Name>)],
+        leases: &[(LeaseName, Option<String>, Option<Name>)],
     ) {
-        let every = self.beat_every(least);
+        let every = self.heartbeat_interval(least);
         if self.placed.is_some_and(|at| now - at < every) {
             return;
         }
@@ -199,15 +202,15 @@
         self.members
             .retain(|_, member| now - member.heard <= FORGOTTEN_AFTER * every);
         let fit = |member: &Member| Candidate {
-            ready: member.beat.ready && !member.beat.stopping,
-            zone: member.beat.zone.clone(),
-            load: member.beat.load,
-            holds: member.beat.holds,
+            ready: member.heartbeat.ready && !member.heartbeat.stopping,
+            zone: member.heartbeat.zone.clone(),
+            load: member.heartbeat.load,
+            holds: member.heartbeat.holds,
         };
         let there = || {
             let stands = |m: &Member| {
                 matches!(
-                    self.standing(now, m, least),
+                    self.member_status(now, m, least),
                     MemberStatus::Alive | MemberStatus::Returned
                 )
             };
@@ -216,24 +219,24 @@
                 .filter(move |(_, m)| stands(m))
                 .map(|(name, m)| (name, fit(m)))
         };
-        let placed = duties.iter().map(|(duty, prefers, holder)| {
+        let placed = leases.iter().map(|(lease_name, prefers, holder)| {
             (
-                duty.clone(),
-                places(duty, prefers.as_deref(), holder.as_ref(), there()),
+                lease_name.clone(),
+                places(lease_name, prefers.as_deref(), holder.as_ref(), there()),
             )
         });
-        self.duties = placed.collect();
+        self.leases = placed.collect();
     }
 
     /// A member's place for a duty, if it has one.
-    pub fn place_of(&self, duty: &LeaseName, name: &Name) -> Option<u32> {
-        self.duties.get(duty)?.get(name).copied()
+    pub fn place_of(&self, lease_name: &LeaseName, name: &Name) -> Option<u32> {
+        self.leases.get(lease_name)?.get(name).copied()
     }
 
     /// Who comes first for a duty.
-    pub fn first_for(&self, duty: &LeaseName) -> Option<&Name> {
-        self.duties
-            .get(duty)?
+    pub fn first_for(&self, lease_name: &LeaseName) -> Option<&Name> {
+        self.leases
+            .get(lease_name)?
             .iter()
             .min_by_key(|(_, place)| **place)
             .map(|(name, _)| name)
--- a/src/coordination/register.rs
+++ b/src/coordination/register.rs
@@ -16,7 +16,7 @@
 pub struct Ballot {
     pub round: u64,
     pub by: Name,
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// Writes of each voter that were heard of: a voter that is told of more than its own has an old file.
@@ -26,11 +26,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AcceptorState {
     pub name: Name,
-    pub life: VoterId,
+    pub voter_id: VoterId,
     /// The voters of the first start, once all of them were heard.
-    pub founding: Option<Voters>,
+    pub bootstrap: Option<Voters>,
     pub promised: Option<Ballot>,
-    pub taken: Option<(Ballot, ReplicatedState)>,
+    pub accepted: Option<(Ballot, ReplicatedState)>,
     pub writes: u64,
     /// The others' writes as heard of.
     pub heard: WriteCounts,
@@ -40,12 +40,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AcceptorRequest {
     Prepare {
-        life: VoterId,
+        voter_id: VoterId,
         ballot: Ballot,
         heard: WriteCounts,
     },
     Accept {
-        life: VoterId,
+        voter_id: VoterId,
         ballot: Ballot,
         value: ReplicatedState,
         heard: WriteCounts,
@@ -57,7 +57,7 @@
 pub enum AcceptorReply {
     Promise {
         ballot: Ballot,
-        taken: Option<(Ballot, ReplicatedState)>,
+        accepted: Option<(Ballot, ReplicatedState)>,
         writes: u64,
     },
     Accepted {
@@ -82,13 +82,13 @@
 
 impl Acceptor {
     /// With a new file.
-    pub fn new(name: Name, life: VoterId) -> Self {
+    pub fn new(name: Name, voter_id: VoterId) -> Self {
         let kept = AcceptorState {
             name,
-            life,
-            founding: None,
+            voter_id,
+            bootstrap: None,
             promised: None,
-            taken: None,
+            accepted: None,
             writes: 0,
             heard: WriteCounts::new(),
         };
@@ -104,20 +104,20 @@
 
     /// The answer, and whether the file has to be written before it is given.
     pub fn asked(&mut self, ask: &AcceptorRequest) -> (AcceptorReply, bool) {
-        let (life, ballot, heard) = match ask {
+        let (voter_id, ballot, heard) = match ask {
             AcceptorRequest::Prepare {
-                life,
+                voter_id,
                 ballot,
                 heard,
             }
             | AcceptorRequest::Accept {
-                life,
+                voter_id,
                 ballot,
                 heard,
                 ..
-            } => (life, ballot, heard),
+            } => (voter_id, ballot, heard),
         };
-        let known = is_injected(InjectedFault::LossUnnoticed) || *life == self.kept.life;
+        let known = is_injected(InjectedFault::LossUnnoticed) || *voter_id == self.kept.voter_id;
         if !known || !self.votes || self.is_old(heard) {
             return (AcceptorReply::NotVoting, false);
         }
@@ -143,11 +143,11 @@
                     self.kept.promised = Some(ballot.clone());
                     self.kept.writes += 1;
                 }
-                let taken = self.kept.taken.clone();
+                let accepted = self.kept.accepted.clone();
                 (
                     AcceptorReply::Promise {
                         ballot: ballot.clone(),
-                        taken,
+                        accepted,
                         writes: self.kept.writes,
                     },
                     true,
@@ -164,9 +164,14 @@
                         false,
                     );
                 }
-                if self.kept.taken.as_ref().is_none_or(|(at, _)| at != ballot) {
+                if self
+                    .kept
+                    .accepted
+                    .as_ref()
+                    .is_none_or(|(at, _)| at != ballot)
+                {
                     self.kept.promised = Some(ballot.clone());
-                    self.kept.taken = Some((ballot.clone(), value.clone()));
+                    self.kept.accepted = Some((ballot.clone(), value.clone()));
                     self.kept.writes += 1;
                 }
                 (
@@ -182,7 +187,7 @@
 
     /// Whether somebody heard of writes that this file does not have: it must not vote, as it forgot what it said.
     pub fn is_old(&mut self, heard: &WriteCounts) -> bool {
-        let mine = heard.get(&(self.kept.name.clone(), self.kept.life));
+        let mine = heard.get(&(self.kept.name.clone(), self.kept.voter_id));
         let old = mine.is_some_and(|writes| *writes > self.kept.writes);
         self.votes &= !old;
         old
@@ -249,14 +254,18 @@
     /// Prepares to those in view that were not asked yet.
     fn prepares(&mut self, knows: &ProposerKnowledge) -> Asks {
         let mut asks = Asks::new();
-        for (name, seat) in self.view.all() {
-            if self.asked.insert((name.clone(), seat.life)) {
-                let (life, ballot, heard) = (seat.life, self.ballot.clone(), knows.heard.clone());
+        for (name, voter_record) in self.view.all() {
+            if self.asked.insert((name.clone(), voter_record.voter_id)) {
+                let (voter_id, ballot, heard) = (
+                    voter_record.voter_id,
+                    self.ballot.clone(),
+                    knows.heard.clone(),
+                );
                 asks.push((
                     name,
-                    seat,
+                    voter_record,
                     AcceptorRequest::Prepare {
-                        life,
+                        voter_id,
                         ballot,
                         heard,
                     },
@@ -271,12 +280,12 @@
     pub fn heard(
         &mut self,
         from: &Name,
-        life: VoterId,
+        voter_id: VoterId,
         taking: bool,
         said: Option<&AcceptorReply>,
         knows: &mut ProposerKnowledge,
     ) -> (Asks, Option<ProposalOutcome>) {
-        let who = (from.clone(), life);
+        let who = (from.clone(), voter_id);
         let answered = if taking {
             self.took.contains(&who)
         } else {
@@ -289,13 +298,13 @@
         match said {
             Some(AcceptorReply::Promise {
                 ballot,
-                taken,
+                accepted,
                 writes,
             }) if *ballot == self.ballot => {
                 heard_of(knows, &who, *writes);
                 // A promise that is late tells nothing: what it knew then was asked for by another.
                 if self.value.is_none() {
-                    self.promises.insert(who, taken.clone());
+                    self.promises.insert(who, accepted.clone());
                 }
             }
             Some(AcceptorReply::Accepted { ballot, writes }) if *ballot == self.ballot => {
@@ -324,8 +333,8 @@
         match &self.value {
             None => self.promised(knows),
             Some(value) => {
-                let took = |name: &Name, seat: &VoterRecord| {
-                    self.took.contains(&(name.clone(), seat.life))
+                let took = |name: &Name, voter_record: &VoterRecord| {
+                    self.took.contains(&(name.clone(), voter_record.voter_id))
                 };
                 if self.view.majority(took) && value.voters.majority(took) {
                     knows.settled = Some(value.voters.clone());
@@ -338,8 +347,11 @@
 
     /// Whether those that are not against it can still be enough.
     fn possible(&self) -> bool {
-        let open =
-            |name: &Name, seat: &VoterRecord| !self.against.contains(&(name.clone(), seat.life));
+        let open = |name: &Name, voter_record: &VoterRecord| {
+            !self
+                .against
+                .contains(&(name.clone(), voter_record.voter_id))
+        };
         self.view.majority(open) && self.value.as_ref().is_none_or(|v| v.voters.majority(open))
     }
 
@@ -354,8 +366,9 @@
         if let Some((_, seen)) = newest.filter(|(_, seen)| seen.voters != self.view) {
             self.view = seen.voters.clone();
         }
-        let promised = |name: &Name, seat: &VoterRecord| {
-            self.promises.contains_key(&(name.clone(), seat.life))
+        let promised = |name: &Name, voter_record: &VoterRecord| {
+            self.promises
+                .contains_key(&(name.clone(), voter_record.voter_id))
         };
         if !self.view.majority(promised) {
             return (self.prepares(knows), None);
@@ -368,11 +381,11 @@
             },
         };
         let settled = knows.settled.as_ref() == Some(&base.voters);
-        let stamp = ProposalId {
+        let proposal_id = ProposalId {
             round: self.ballot.round,
-            run: self.ballot.run,
+            incarnation: self.ballot.incarnation,
         };
-        let value = match base.after(&self.change, stamp, settled) {
+        let value = match base.after(&self.change, proposal_id, settled) {
             Ok(value) => value,
             Err(why) => return (Asks::new(), Some(ProposalOutcome::Rejected(why, base))),
         };
@@ -381,15 +394,15 @@
         self.against.clear();
         to.extend(value.voters.all());
         self.value = Some(value.clone());
-        let ask = |(name, seat): (Name, VoterRecord)| {
+        let ask = |(name, voter_record): (Name, VoterRecord)| {
             let (ballot, heard) = (self.ballot.clone(), knows.heard.clone());
             let ask = AcceptorRequest::Accept {
-                life: seat.life,
+                voter_id: voter_record.voter_id,
                 ballot,
                 value: value.clone(),
                 heard,
             };
-            (name, seat, ask)
+            (name, voter_record, ask)
         };
         (to.into_iter().map(ask).collect(), None)
     }
--- a/src/coordination/rollout.rs
+++ b/src/coordination/rollout.rs
@@ -18,7 +18,7 @@
     pub of: UnitKind,
     pub who: Name,
     /// Which process is to go: another one of its name has been out and back.
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     pub address: Address,
     pub zone: String,
     /// What it is to come back under; empty: anything.
@@ -107,7 +107,7 @@
 pub struct DisruptionState {
     /// Turns given so far.
     pub given: u64,
-    pub turns: BTreeMap<PermitId, DisruptionPermit>,
+    pub permits: BTreeMap<PermitId, DisruptionPermit>,
     pub release: Option<Box<Rollout>>,
     /// Why nothing goes out any more until an operator says so.
     pub halted: Option<String>,
@@ -166,11 +166,11 @@
 }
 
 /// Turns at once: the value stays small. A turn takes some 80 bytes.
-pub const MOST_TURNS: usize = 256;
+pub const MAX_PERMITS: usize = 256;
 /// Units named as left, notes, names in a plan.
-pub const MOST_LEFT: usize = 64;
-pub const MOST_NOTES: usize = 8;
-pub const MOST_NAMES: usize = 256;
+pub const MAX_ABANDONED: usize = 64;
+pub const MAX_NOTES: usize = 8;
+pub const MAX_NAMES: usize = 256;
 
 impl DisruptionState {
     /// Whether there is nothing of this at all.
@@ -203,13 +203,13 @@
 
     /// Whether there is anything to look after.
     pub fn is_active(&self) -> bool {
-        !self.turns.is_empty() || self.release.as_deref().is_some_and(|r| !r.done)
+        !self.permits.is_empty() || self.release.as_deref().is_some_and(|r| !r.done)
     }
 
     pub fn turn_of(&self, of: UnitKind, who: &Name) -> Option<(&PermitId, &DisruptionPermit)> {
-        self.turns
+        self.permits
             .iter()
-            .find(|(_, turn)| turn.of == of && turn.who == *who)
+            .find(|(_, permit)| permit.of == of && permit.who == *who)
     }
 
     /// Takes a holder's step.
@@ -218,46 +218,50 @@
     /// Why it does not count; nothing is changed then.
     pub fn step(&mut self, step: &RolloutStep) -> Result<(), RolloutError> {
         match step {
-            RolloutStep::Grant(turns) => turns.iter().try_for_each(|turn| self.grant(turn)),
-            RolloutStep::Complete(turns) => self.end(turns, |care, turn| {
-                if turn.stays {
+            RolloutStep::Grant(permits) => permits.iter().try_for_each(|permit| self.grant(permit)),
+            RolloutStep::Complete(permits) => self.end(permits, |disruptions, permit| {
+                if permit.stays {
                     // By an operator's word it is gone for good: it is not missed.
-                    if let Some(size) = care.sizes_mut(turn.of).get_mut(&turn.zone) {
+                    if let Some(size) = disruptions.sizes_mut(permit.of).get_mut(&permit.zone) {
                         *size = size.saturating_sub(1);
                     }
                 }
-                if let Some(release) = care.release.as_deref_mut().filter(|_| turn.planned) {
+                if let Some(release) = disruptions
+                    .release
+                    .as_deref_mut()
+                    .filter(|_| permit.planned)
+                {
                     release.turned += 1;
                 }
             }),
-            RolloutStep::Revoke(turns) => self.end(turns, |care, turn| {
-                if let Some(release) = care
+            RolloutStep::Revoke(permits) => self.end(permits, |disruptions, permit| {
+                if let Some(release) = disruptions
                     .release
                     .as_deref_mut()
-                    .filter(|r| turn.planned && !r.done)
+                    .filter(|r| permit.planned && !r.done)
                 {
                     release.given = release.given.saturating_sub(1);
-                    if turn.of == UnitKind::Engines {
-                        release.again.insert(turn.who);
+                    if permit.of == UnitKind::Engines {
+                        release.again.insert(permit.who);
                     }
                 }
             }),
-            RolloutStep::Reissue(number, turn) => {
-                let known = self.turns.get_mut(number).ok_or(RolloutError::Nothing)?;
+            RolloutStep::Reissue(number, permit) => {
+                let known = self.permits.get_mut(number).ok_or(RolloutError::Nothing)?;
                 let back = self.release.as_deref().is_some_and(|r| r.back && !r.done);
-                if !back || self.halted.is_some() || known.who != turn.who {
+                if !back || self.halted.is_some() || known.who != permit.who {
                     return Err(RolloutError::Stopped);
                 }
-                *known = turn.clone();
+                *known = permit.clone();
                 Ok(())
             }
             RolloutStep::Abandon(number, why) => {
-                let turn = self.turns.remove(number).ok_or(RolloutError::Nothing)?;
+                let permit = self.permits.remove(number).ok_or(RolloutError::Nothing)?;
                 let release = self.release.as_deref_mut().ok_or(RolloutError::Nothing)?;
-                if release.left.len() >= MOST_LEFT {
+                if release.left.len() >= MAX_ABANDONED {
                     return Err(RolloutError::NoRoom);
                 }
-                release.left.insert(turn.who, why.clone());
+                release.left.insert(permit.who, why.clone());
                 Ok(())
             }
             RolloutStep::NextWave => {
@@ -270,7 +274,7 @@
                 Ok(())
             }
             RolloutStep::Finish => {
-                let planned = self.turns.values().any(|turn| turn.planned);
+                let planned = self.permits.values().any(|permit| permit.planned);
                 let release = self
                     .release
                     .as_deref_mut()
@@ -301,72 +305,73 @@
 
     fn end(
         &mut self,
-        turns: &[PermitId],
+        permits: &[PermitId],
         each: impl Fn(&mut DisruptionState, DisruptionPermit),
     ) -> Result<(), RolloutError> {
         let mut any = false;
-        for number in turns {
-            if let Some(turn) = self.turns.remove(number) {
-                each(self, turn);
+        for number in permits {
+            if let Some(permit) = self.permits.remove(number) {
+                each(self, permit);
                 any = true;
             }
         }
         any.then_some(()).ok_or(RolloutError::Nothing)
     }
 
-    fn grant(&mut self, turn: &DisruptionPermit) -> Result<(), RolloutError> {
+    fn grant(&mut self, permit: &DisruptionPermit) -> Result<(), RolloutError> {
         if self.halted.is_some() {
             return Err(RolloutError::Stopped);
         }
-        if self.turn_of(turn.of, &turn.who).is_some() && !is_injected(InjectedFault::TurnTwice) {
+        if self.turn_of(permit.of, &permit.who).is_some() && !is_injected(InjectedFault::TurnTwice)
+        {
             return Err(RolloutError::AlreadySo);
         }
-        if self.turns.len() >= MOST_TURNS {
+        if self.permits.len() >= MAX_PERMITS {
             return Err(RolloutError::NoRoom);
         }
-        if turn.planned {
+        if permit.planned {
             let release = self
                 .release
                 .as_deref()
-                .filter(|r| !r.done && r.plan.of == turn.of);
+                .filter(|r| !r.done && r.plan.of == permit.of);
             let bounds = release.ok_or(RolloutError::Stopped)?.bounds;
             // What is given by plan is counted here too: whatever a holder believes to see, this does not go over.
-            let sizes = self.sizes(turn.of);
+            let sizes = self.sizes(permit.of);
             let (fleet, zone) = (
                 sizes.values().sum(),
-                sizes.get(&turn.zone).copied().unwrap_or_default(),
+                sizes.get(&permit.zone).copied().unwrap_or_default(),
             );
             let given = |zone: Option<&str>| {
                 let same = |t: &&DisruptionPermit| {
-                    t.of == turn.of && zone.is_none_or(|zone| t.zone == zone)
+                    t.of == permit.of && zone.is_none_or(|zone| t.zone == zone)
                 };
-                self.turns.values().filter(same).count() as u32
+                self.permits.values().filter(same).count() as u32
             };
             let unbound = is_injected(InjectedFault::BackUnbound)
                 || is_injected(InjectedFault::TurnTwice)
                 || is_injected(InjectedFault::BeginsAnew);
             let full = given(None) >= bounds.fleet.of(fleet)
-                || given(Some(&turn.zone)) >= bounds.zone.of(zone);
+                || given(Some(&permit.zone)) >= bounds.zone.of(zone);
             if full && !unbound {
                 return Err(RolloutError::NoRoom);
             }
         }
         self.given += 1;
-        self.turns.insert(PermitId(self.given), turn.clone());
-        let Some(release) = self.release.as_deref_mut().filter(|_| turn.planned) else {
+        self.permits.insert(PermitId(self.given), permit.clone());
+        let Some(release) = self.release.as_deref_mut().filter(|_| permit.planned) else {
             return Ok(());
         };
         release.given += 1;
-        release.again.remove(&turn.who);
-        if turn.of == UnitKind::Engines {
-            let at = key(&turn.who);
+        release.again.remove(&permit.who);
+        if permit.of == UnitKind::Engines {
+            let at = key(&permit.who);
             // Forward a zone has come to this one; back it has come to just before it.
             let to = if release.back {
                 at.saturating_sub(1)
             } else {
                 at
             };
-            let reached = release.reached.entry(turn.zone.clone()).or_insert(to);
+            let reached = release.reached.entry(permit.zone.clone()).or_insert(to);
             *reached = if release.back {
                 (*reached).min(to)
             } else {
@@ -429,7 +434,7 @@
             }
             OperatorCommand::Note(note) => {
                 self.notes.push(note.clone());
-                if self.notes.len() > MOST_NOTES {
+                if self.notes.len() > MAX_NOTES {
                     self.notes.remove(0);
                 }
                 Ok(())
--- a/src/coordination/rollout_analysis.rs
+++ b/src/coordination/rollout_analysis.rs
@@ -96,7 +96,7 @@
 /// One unit as it was when the slice began.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Base {
-    run: Incarnation,
+    incarnation: Incarnation,
     tally: OutcomeCounts,
 }
 
@@ -131,8 +131,8 @@
             }
             if self
                 .runs
-                .insert(unit.name.clone(), unit.run)
-                .is_some_and(|before| before != unit.run)
+                .insert(unit.name.clone(), unit.incarnation)
+                .is_some_and(|before| before != unit.incarnation)
             {
                 *self.falls.entry(unit.name.clone()).or_default() += 1;
             }
@@ -194,7 +194,7 @@
         let mut each: Vec<(&Name, Group)> = Vec::new();
         for unit in units {
             let now = Base {
-                run: unit.run,
+                incarnation: unit.incarnation,
                 tally: unit.tally,
             };
             let before = self.base.insert(unit.name.clone(), now);
@@ -202,7 +202,7 @@
             let Some(before) = before.filter(|_| !turning(&unit.name)) else {
                 continue;
             };
-            let from = if before.run == unit.run {
+            let from = if before.incarnation == unit.incarnation {
                 before.tally
             } else {
                 OutcomeCounts::default()
--- a/src/coordination/rollout_controller.rs
+++ b/src/coordination/rollout_controller.rs
@@ -7,8 +7,8 @@
 };
 use super::fault_injection::{is_injected, InjectedFault};
 use super::rollout::{
-    key, DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan, RolloutStep, MOST_LEFT,
-    MOST_TURNS,
+    key, DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan, RolloutStep,
+    MAX_ABANDONED, MAX_PERMITS,
 };
 use super::rollout_analysis::RolloutAnalysis;
 use super::{Address, Incarnation, Name};
@@ -101,23 +101,23 @@
 }
 
 /// Where a turn is, by what is seen of its member.
-pub fn stage(turn: &DisruptionPermit, unit: Option<&Unit>) -> PermitStage {
+pub fn stage(permit: &DisruptionPermit, unit: Option<&Unit>) -> PermitStage {
     let Some(unit) = unit.filter(|u| u.stand != ServiceStatus::OutOfService) else {
-        return if turn.stays {
+        return if permit.stays {
             PermitStage::Returned
         } else {
             PermitStage::Draining
         };
     };
-    let other = unit.run != turn.run;
+    let other = unit.incarnation != permit.incarnation;
     // An engine carries no label: its keeper is told what it is to be.
-    let any = turn.label.is_empty()
-        || turn.of == UnitKind::Engines
+    let any = permit.label.is_empty()
+        || permit.of == UnitKind::Engines
         || is_injected(InjectedFault::LabelUnchecked);
-    let fits = any || turn.label == unit.label;
+    let fits = any || permit.label == unit.label;
     match unit.stand {
-        ServiceStatus::InService if other && !turn.stays && fits => PermitStage::Returned,
-        ServiceStatus::InService if other && !turn.stays => PermitStage::WrongVersion,
+        ServiceStatus::InService if other && !permit.stays && fits => PermitStage::Returned,
+        ServiceStatus::InService if other && !permit.stays => PermitStage::WrongVersion,
         ServiceStatus::Draining if !other => PermitStage::Draining,
         _ if !other => PermitStage::Granted,
         _ => PermitStage::Starting,
@@ -126,9 +126,9 @@
 
 impl RolloutController {
     /// With what was agreed on when it began.
-    pub fn begin(care: &DisruptionState) -> Self {
+    pub fn begin(disruptions: &DisruptionState) -> Self {
         let before = if is_injected(InjectedFault::BeginsAnew) {
-            care.turns.keys().copied().collect()
+            disruptions.permits.keys().copied().collect()
         } else {
             BTreeSet::new()
         };
@@ -139,22 +139,22 @@
     }
 
     /// A member said of a turn whether it has begun; if not, it will not.
-    pub fn revoked(&mut self, turn: PermitId, begun: bool) {
-        if let Some(seen) = self.seen.get_mut(&turn).filter(|_| !begun) {
+    pub fn revoked(&mut self, permit: PermitId, begun: bool) {
+        if let Some(seen) = self.seen.get_mut(&permit).filter(|_| !begun) {
             seen.unbegun = true;
         }
     }
 
     /// Whether nothing may be told of a turn any more, as it is being taken back.
-    pub fn is_unbegun(&self, turn: PermitId) -> bool {
-        self.seen.get(&turn).is_some_and(|seen| seen.unbegun)
+    pub fn is_unbegun(&self, permit: PermitId) -> bool {
+        self.seen.get(&permit).is_some_and(|seen| seen.unbegun)
     }
 
     /// The next step, if there is one. `view` is as fresh as the caller has it; `wants`: who asked for a turn.
     pub fn next(
         &mut self,
         now: Ms,
-        care: &DisruptionState,
+        disruptions: &DisruptionState,
         view: &FleetView,
         (me, voters): (&Name, &BTreeSet<Name>),
         (wants, own): (&[PermitRequest], &DisruptionBudget),
@@ -162,10 +162,10 @@
         (self.tell, self.revoke, self.why) = (Vec::new(), Vec::new(), None);
         let resumed = self
             .resumed
-            .replace(care.resumed)
-            .is_some_and(|before| before != care.resumed);
+            .replace(disruptions.resumed)
+            .is_some_and(|before| before != disruptions.resumed);
         self.seen
-            .retain(|number, _| care.turns.contains_key(number));
+            .retain(|number, _| disruptions.permits.contains_key(number));
         if resumed {
             // Who waits begins to wait anew, and what an operator saw and let go on is no reason to halt again.
             for seen in self.seen.values_mut() {
@@ -178,40 +178,45 @@
             self.broken = None;
             self.signs = RolloutAnalysis::default();
         }
-        if let Some(step) = self.turns(now, care, view) {
+        if let Some(step) = self.permits(now, disruptions, view) {
             return Some(step);
         }
         if let Some(step) = [UnitKind::Dispatchers, UnitKind::Engines]
             .into_iter()
-            .find_map(|of| grown(care, view, of))
+            .find_map(|of| grown(disruptions, view, of))
         {
             return Some(step);
         }
-        if care.halted.is_some() {
-            self.why.clone_from(&care.halted);
+        if disruptions.halted.is_some() {
+            self.why.clone_from(&disruptions.halted);
             return None;
         }
-        if let Some(release) = care.running() {
-            if let Some(step) = self.release(now, care, release, view, (me, voters)) {
+        if let Some(release) = disruptions.running() {
+            if let Some(step) = self.release(now, disruptions, release, view, (me, voters)) {
                 return Some(step);
             }
         }
-        self.asked(care, view, voters, wants, own)
+        self.asked(disruptions, view, voters, wants, own)
     }
 
     /// What becomes of the turns that are given.
-    fn turns(&mut self, now: Ms, care: &DisruptionState, view: &FleetView) -> Option<RolloutStep> {
-        let release = care.release.as_deref().filter(|r| !r.done);
+    fn permits(
+        &mut self,
+        now: Ms,
+        disruptions: &DisruptionState,
+        view: &FleetView,
+    ) -> Option<RolloutStep> {
+        let release = disruptions.release.as_deref().filter(|r| !r.done);
         let (mut over, mut back) = (Vec::new(), Vec::new());
         let mut counts = release.map(|r| {
             (
                 r,
-                self.counts(care, view.units(r.plan.of), r.plan.of, &r.bounds),
+                self.counts(disruptions, view.units(r.plan.of), r.plan.of, &r.bounds),
             )
         });
-        for (number, turn) in &care.turns {
-            let unit = view.units(turn.of).iter().find(|u| u.name == turn.who);
-            let stage = stage(turn, unit);
+        for (number, permit) in &disruptions.permits {
+            let unit = view.units(permit.of).iter().find(|u| u.name == permit.who);
+            let stage = stage(permit, unit);
             let seen = self.seen.entry(*number).or_insert(Seen {
                 first: now,
                 ..Seen::default()
@@ -220,18 +225,19 @@
                 seen.since = Some((stage, now));
             }
             let lasted = now - seen.since.map_or(now, |(_, at)| at);
-            let plan = release.filter(|_| turn.planned).map(|r| &r.plan);
+            let plan = release.filter(|_| permit.planned).map(|r| &r.plan);
             let (begin, within, settle) = plan.map_or((BEGIN, BACK, SETTLE), |p| {
                 (p.begin_ms as f64, p.back_ms as f64, p.settle_ms as f64)
             });
-            let goes_back = release.is_some_and(|r| r.back) && turn.planned;
+            let goes_back = release.is_some_and(|r| r.back) && permit.planned;
             // A turn of the way forward that is not over when the release goes back.
-            let forward =
-                goes_back && release.is_some_and(|r| r.plan.before != turn.label) && !turn.stays;
+            let forward = goes_back
+                && release.is_some_and(|r| r.plan.before != permit.label)
+                && !permit.stays;
             let late = now - seen.first > within;
             match stage {
                 // One that is gone has to be gone for as long as the roll takes to be whole.
-                PermitStage::Returned if turn.stays && (!view.whole || lasted < settle) => {}
+                PermitStage::Returned if permit.stays && (!view.whole || lasted < settle) => {}
                 PermitStage::Returned if lasted >= settle => over.push(*number),
                 PermitStage::Returned => {}
                 PermitStage::Granted if seen.unbegun => back.push(*number),
@@ -240,9 +246,9 @@
                     // told, or not again.
                     let full = counts.as_mut().is_some_and(|(release, counts)| {
                         let unbound = release.back && is_injected(InjectedFault::BackUnbound);
-                        turn.planned && !unbound && !still_fits(counts, unit, &release.bounds)
+                        permit.planned && !unbound && !still_fits(counts, unit, &release.bounds)
                     });
-                    if care.halted.is_some() || forward || full || now - seen.first > begin {
+                    if disruptions.halted.is_some() || forward || full || now - seen.first > begin {
                         self.revoke.push(*number);
                     } else {
                         self.tell.push(*number);
@@ -251,43 +257,43 @@
                 // In under another label than wanted, on the way back: its turn is over, and if it is to go it waits for
                 // room like any other.
                 PermitStage::WrongVersion
-                    if goes_back && care.halted.is_none() && lasted >= settle =>
+                    if goes_back && disruptions.halted.is_none() && lasted >= settle =>
                 {
-                    let tried = self.tried.entry(turn.who.clone()).or_default();
+                    let tried = self.tried.entry(permit.who.clone()).or_default();
                     *tried += u32::from(!forward);
                     if *tried > TOLD_BACK {
                         let label = unit.map_or("", |u| &u.label);
-                        return leave(care, *number, format!("stays under {label}"));
+                        return leave(disruptions, *number, format!("stays under {label}"));
                     }
                     back.push(*number);
                 }
                 // There and not ready under the new version: it is told at once, as what it is now. It is out already.
-                PermitStage::Starting if goes_back && care.halted.is_none() => {
+                PermitStage::Starting if goes_back && disruptions.halted.is_none() => {
                     if let (Some(unit), Some(r), true) = (unit, release, forward) {
-                        let turn = DisruptionPermit {
-                            run: unit.run,
+                        let permit = DisruptionPermit {
+                            incarnation: unit.incarnation,
                             address: unit.address.clone(),
                             label: r.plan.before.clone(),
-                            ..turn.clone()
+                            ..permit.clone()
                         };
-                        return Some(RolloutStep::Reissue(*number, turn));
+                        return Some(RolloutStep::Reissue(*number, permit));
                     }
                     if late {
-                        return leave(care, *number, "is not ready again".to_owned());
+                        return leave(disruptions, *number, "is not ready again".to_owned());
                     }
                 }
-                PermitStage::WrongVersion if seen.forgiven || !turn.planned => back.push(*number),
-                PermitStage::WrongVersion if lasted >= settle && care.halted.is_none() => {
+                PermitStage::WrongVersion if seen.forgiven || !permit.planned => back.push(*number),
+                PermitStage::WrongVersion if lasted >= settle && disruptions.halted.is_none() => {
                     let label = unit.map_or("", |u| &u.label);
                     let why = format!(
                         "{} came back under {label} in place of {}",
-                        turn.who.0, turn.label
+                        permit.who.0, permit.label
                     );
                     return Some(RolloutStep::Halt(why));
                 }
-                _ if late && care.halted.is_none() && turn.planned => {
+                _ if late && disruptions.halted.is_none() && permit.planned => {
                     if goes_back {
-                        return leave(care, *number, "did not come back".to_owned());
+                        return leave(disruptions, *number, "did not come back".to_owned());
                     }
                     let what = if stage == PermitStage::Starting {
                         "is not ready"
@@ -296,7 +302,7 @@
                     };
                     return Some(RolloutStep::Halt(format!(
                         "{} {what} within its time",
-                        turn.who.0
+                        permit.who.0
                     )));
                 }
                 _ => {}
@@ -312,20 +318,20 @@
     fn release(
         &mut self,
         now: Ms,
-        care: &DisruptionState,
+        disruptions: &DisruptionState,
         release: &Rollout,
         view: &FleetView,
         (me, voters): (&Name, &BTreeSet<Name>),
     ) -> Option<RolloutStep> {
         let (plan, bounds) = (&release.plan, &release.bounds);
         let units = view.units(plan.of);
-        let mut counts = self.counts(care, units, plan.of, bounds);
+        let mut counts = self.counts(disruptions, units, plan.of, bounds);
         if self.wave.replace((release.wave, release.back)) != Some((release.wave, release.back)) {
             self.over = None;
         }
-        let planned = care.turns.values().filter(|t| t.planned).count();
+        let planned = disruptions.permits.values().filter(|t| t.planned).count();
         if !release.back {
-            let turning = |name: &Name| care.turn_of(plan.of, name).is_some();
+            let turning = |name: &Name| disruptions.turn_of(plan.of, name).is_some();
             let turned = turned(release, units, turning);
             if let Some(why) = self.signs.look(
                 now,
@@ -348,15 +354,18 @@
             Some(_) => {}
             None => self.broken = None,
         }
-        let (order, waits) = self.order(care, release, units, me);
+        let (order, waits) = self.order(disruptions, release, units, me);
         let room = match release.back {
-            true => MOST_TURNS as u32,
+            true => MAX_PERMITS as u32,
             false => plan.wave(release.wave).saturating_sub(release.given),
         };
         if order.is_empty() && waits.is_none() && planned == 0 {
             // Nobody is left that is seen; one that is not seen may be one of them. An engine that is gone comes back
             // as another.
-            let beside = care.turns.values().any(|turn| turn.of == plan.of);
+            let beside = disruptions
+                .permits
+                .values()
+                .any(|permit| permit.of == plan.of);
             self.why = match view.whole {
                 false => Some("the roll is not whole yet".to_owned()),
                 true if beside => Some("turns beside the release are not over".to_owned()),
@@ -379,10 +388,18 @@
         }
         let most = (room as usize)
             .min(MOST_AT_ONCE)
-            .min(MOST_TURNS.saturating_sub(care.turns.len()));
-        let (turns, binds) = self.pick(&order, most, &mut counts, release, care, view, voters);
-        if !turns.is_empty() {
-            return Some(RolloutStep::Grant(turns));
+            .min(MAX_PERMITS.saturating_sub(disruptions.permits.len()));
+        let (permits, binds) = self.pick(
+            &order,
+            most,
+            &mut counts,
+            release,
+            disruptions,
+            view,
+            voters,
+        );
+        if !permits.is_empty() {
+            return Some(RolloutStep::Grant(permits));
         }
         let out = (planned > 0).then(|| format!("{planned} turns are not over"));
         self.why = binds.map(|binds| binds.to_string()).or(waits).or(out);
@@ -397,21 +414,21 @@
         most: usize,
         counts: &mut Counts,
         release: &Rollout,
-        care: &DisruptionState,
+        disruptions: &DisruptionState,
         view: &FleetView,
         voters: &BTreeSet<Name>,
     ) -> (Vec<DisruptionPermit>, Option<Violation>) {
         let (plan, bounds) = (&release.plan, &release.bounds);
-        let mut turns: Vec<DisruptionPermit> = Vec::new();
+        let mut permits: Vec<DisruptionPermit> = Vec::new();
         let mut first = None;
         for unit in order {
-            if turns.len() >= most {
+            if permits.len() >= most {
                 break;
             }
             let unbound = release.back && is_injected(InjectedFault::BackUnbound);
             // One that is out already takes no room more.
             if unit.stand == ServiceStatus::InService && !unbound {
-                let voter = || voter_binds(unit, care, view, voters, &turns);
+                let voter = || voter_binds(unit, disruptions, view, voters, &permits);
                 let may = counts.may_go(unit, bounds).and_then(|()| voter());
                 if let Err(binds) = may {
                     first = first.or(Some(binds));
@@ -419,10 +436,10 @@
                 }
             }
             counts.goes(unit);
-            turns.push(DisruptionPermit {
+            permits.push(DisruptionPermit {
                 of: plan.of,
                 who: unit.name.clone(),
-                run: unit.run,
+                incarnation: unit.incarnation,
                 address: unit.address.clone(),
                 zone: unit.zone.clone(),
                 label: if release.back {
@@ -434,24 +451,24 @@
                 planned: true,
             });
         }
-        (turns, first)
+        (permits, first)
     }
 
     fn counts(
         &self,
-        care: &DisruptionState,
+        disruptions: &DisruptionState,
         units: &[Unit],
         of: UnitKind,
         bounds: &DisruptionBudget,
     ) -> Counts {
         let forgotten = |number: &PermitId| self.before.contains(number);
-        let turning: BTreeSet<&Name> = care
-            .turns
+        let turning: BTreeSet<&Name> = disruptions
+            .permits
             .iter()
-            .filter(|(number, turn)| {
-                turn.of == of && !forgotten(number) && !is_injected(InjectedFault::TurnTwice)
+            .filter(|(number, permit)| {
+                permit.of == of && !forgotten(number) && !is_injected(InjectedFault::TurnTwice)
             })
-            .map(|(_, turn)| &turn.who)
+            .map(|(_, permit)| &permit.who)
             .collect();
         if is_injected(InjectedFault::FailuresUncounted) {
             let sound = |unit: &Unit| Unit {
@@ -468,11 +485,11 @@
                 report_age_ms: u64::MAX,
                 ..*bounds
             };
-            return Counts::new(units.iter(), care.sizes(of), &bounds, |u| {
+            return Counts::new(units.iter(), disruptions.sizes(of), &bounds, |u| {
                 turning.contains(&u.name)
             });
         }
-        Counts::new(units.iter(), care.sizes(of), bounds, |u| {
+        Counts::new(units.iter(), disruptions.sizes(of), bounds, |u| {
             turning.contains(&u.name)
         })
     }
@@ -480,7 +497,7 @@
     /// Those that are still to go, in their order, and what is waited for beside them.
     fn order<'a>(
         &self,
-        care: &DisruptionState,
+        disruptions: &DisruptionState,
         release: &Rollout,
         units: &'a [Unit],
         me: &Name,
@@ -503,7 +520,7 @@
         for unit in all {
             let left = release.left.contains_key(&unit.name);
             if left
-                || care
+                || disruptions
                     .turn_of(plan.of, &unit.name)
                     .is_some_and(|(n, _)| !self.before.contains(n))
             {
@@ -534,42 +551,49 @@
     /// Turns that dispatchers asked for.
     fn asked(
         &mut self,
-        care: &DisruptionState,
+        disruptions: &DisruptionState,
         view: &FleetView,
         voters: &BTreeSet<Name>,
         wants: &[PermitRequest],
         own: &DisruptionBudget,
     ) -> Option<RolloutStep> {
-        if wants.is_empty() || !view.whole || care.turns.len() >= MOST_TURNS {
+        if wants.is_empty() || !view.whole || disruptions.permits.len() >= MAX_PERMITS {
             return None;
         }
-        let running = care
+        let running = disruptions
             .release
             .as_deref()
             .filter(|r| !r.done && r.plan.of == UnitKind::Dispatchers);
         let bounds = running.map_or(own, |r| &r.bounds);
-        let mut counts = self.counts(care, &view.dispatchers, UnitKind::Dispatchers, bounds);
-        let mut turns: Vec<DisruptionPermit> = Vec::new();
+        let mut counts = self.counts(
+            disruptions,
+            &view.dispatchers,
+            UnitKind::Dispatchers,
+            bounds,
+        );
+        let mut permits: Vec<DisruptionPermit> = Vec::new();
         for want in wants {
             let unit = view
                 .dispatchers
                 .iter()
                 .find(|u| u.name == want.name && u.stand == ServiceStatus::InService);
-            let Some(unit) =
-                unit.filter(|u| care.turn_of(UnitKind::Dispatchers, &u.name).is_none())
-            else {
+            let Some(unit) = unit.filter(|u| {
+                disruptions
+                    .turn_of(UnitKind::Dispatchers, &u.name)
+                    .is_none()
+            }) else {
                 continue;
             };
-            let voter = || voter_binds(unit, care, view, voters, &turns);
+            let voter = || voter_binds(unit, disruptions, view, voters, &permits);
             if let Err(binds) = counts.may_go(unit, bounds).and_then(|()| voter()) {
                 self.why = self.why.take().or(Some(binds.to_string()));
                 continue;
             }
             counts.goes(unit);
-            turns.push(DisruptionPermit {
+            permits.push(DisruptionPermit {
                 of: UnitKind::Dispatchers,
                 who: unit.name.clone(),
-                run: unit.run,
+                incarnation: unit.incarnation,
                 address: unit.address.clone(),
                 zone: unit.zone.clone(),
                 label: want.label.clone(),
@@ -577,18 +601,19 @@
                 planned: false,
             });
         }
-        (!turns.is_empty()).then_some(RolloutStep::Grant(turns))
+        (!permits.is_empty()).then_some(RolloutStep::Grant(permits))
     }
 
     /// Counts for those that look: how many are out and how many may be, by zone.
     pub fn room(
         &self,
-        care: &DisruptionState,
+        disruptions: &DisruptionState,
         view: &FleetView,
         of: UnitKind,
         bounds: &DisruptionBudget,
     ) -> Vec<(String, u32, u32)> {
-        self.counts(care, view.units(of), of, bounds).room(bounds)
+        self.counts(disruptions, view.units(of), of, bounds)
+            .room(bounds)
     }
 }
 
@@ -626,9 +651,9 @@
 }
 
 /// The fleet is larger than was agreed.
-fn grown(care: &DisruptionState, view: &FleetView, of: UnitKind) -> Option<RolloutStep> {
+fn grown(disruptions: &DisruptionState, view: &FleetView, of: UnitKind) -> Option<RolloutStep> {
     let seen = sizes_seen(view.units(of).iter());
-    let known = care.sizes(of);
+    let known = disruptions.sizes(of);
     let more: ZoneSizes = seen
         .into_iter()
         .filter(|(zone, n)| *n > known.get(zone).copied().unwrap_or(0))
@@ -650,10 +675,10 @@
 /// Voters go one after another, never two: with one more gone nothing more might be agreed on.
 fn voter_binds(
     unit: &Unit,
-    care: &DisruptionState,
+    disruptions: &DisruptionState,
     view: &FleetView,
     voters: &BTreeSet<Name>,
-    turns: &[DisruptionPermit],
+    permits: &[DisruptionPermit],
 ) -> Result<(), Violation> {
     if unit.role.is_some() || !voters.contains(&unit.name) {
         return Ok(());
@@ -663,9 +688,9 @@
             .dispatchers
             .iter()
             .any(|u| u.name == **name && u.stand == ServiceStatus::InService);
-        let turn = care.turn_of(UnitKind::Dispatchers, name).is_some();
-        let going = turns.iter().any(|t| t.who == **name);
-        seen && !turn && !going
+        let permit = disruptions.turn_of(UnitKind::Dispatchers, name).is_some();
+        let going = permits.iter().any(|t| t.who == **name);
+        seen && !permit && !going
     };
     let out = voters.iter().filter(|name| !there(name)).count() as u32;
     match out {
@@ -678,11 +703,11 @@
     }
 }
 
-fn leave(care: &DisruptionState, number: PermitId, why: String) -> Option<RolloutStep> {
-    let full = care
+fn leave(disruptions: &DisruptionState, number: PermitId, why: String) -> Option<RolloutStep> {
+    let full = disruptions
         .release
         .as_deref()
-        .is_none_or(|r| r.left.len() >= MOST_LEFT);
+        .is_none_or(|r| r.left.len() >= MAX_ABANDONED);
     match full {
         true => Some(RolloutStep::Halt(
             "more than can be named did not come back".to_owned(),
@@ -697,26 +722,26 @@
     pub number: PermitId,
     pub of: UnitKind,
     pub who: Name,
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     pub label: String,
     pub stays: bool,
 }
 
 impl PermitNotice {
-    pub fn new(number: PermitId, turn: &DisruptionPermit) -> Self {
+    pub fn new(number: PermitId, permit: &DisruptionPermit) -> Self {
         let DisruptionPermit {
             of,
             who,
-            run,
+            incarnation,
             label,
             stays,
             ..
-        } = turn.clone();
+        } = permit.clone();
         PermitNotice {
             number,
             of,
             who,
-            run,
+            incarnation,
             label,
             stays,
         }
@@ -730,9 +755,9 @@
             "dispatcher"
         };
         let stays = if self.stays { "stays" } else { "returns" };
-        let (number, run) = (self.number.0, self.run.0);
+        let (number, incarnation) = (self.number.0, self.incarnation.0);
         format!(
-            "turn\n{number}\n{of}\n{}\n{run}\n{stays}\n{}",
+            "turn\n{number}\n{of}\n{}\n{incarnation}\n{stays}\n{}",
             self.who.0, self.label
         )
         .into_bytes()
@@ -742,7 +767,7 @@
     pub fn read(bytes: &[u8]) -> Option<PermitNotice> {
         let text = std::str::from_utf8(bytes).ok()?;
         let words: Vec<&str> = text.split('\n').collect();
-        let ["turn", number, of, who, run, stays, label] = words[..] else {
+        let ["turn", number, of, who, incarnation, stays, label] = words[..] else {
             return None;
         };
         let of = match of {
@@ -760,7 +785,7 @@
             number: PermitId(number.parse().ok()?),
             of,
             who: Name::from(who),
-            run: Incarnation(run.parse().ok()?),
+            incarnation: Incarnation(incarnation.parse().ok()?),
             label: label.to_owned(),
             stays,
         })
@@ -811,10 +836,13 @@
 }
 
 /// The address that a unit's turn is told at: its own, or the list's keeper's.
-pub fn told_at<'a>(turn: &'a DisruptionPermit, keeper: Option<&'a Address>) -> Option<&'a Address> {
-    if turn.of == UnitKind::Engines {
+pub fn told_at<'a>(
+    permit: &'a DisruptionPermit,
+    keeper: Option<&'a Address>,
+) -> Option<&'a Address> {
+    if permit.of == UnitKind::Engines {
         keeper
     } else {
-        Some(&turn.address)
+        Some(&permit.address)
     }
 }
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -14,7 +14,7 @@
 /// A voter, as the voters' list has it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoterRecord {
-    pub life: VoterId,
+    pub voter_id: VoterId,
     pub address: Address,
 }
 
@@ -30,7 +30,11 @@
     /// Whether those of whom `has` holds are a majority, of those before a change as well.
     pub fn majority(&self, has: impl Fn(&Name, &VoterRecord) -> bool) -> bool {
         let most = |set: &BTreeMap<Name, VoterRecord>| {
-            2 * set.iter().filter(|(name, seat)| has(name, seat)).count() > set.len()
+            2 * set
+                .iter()
+                .filter(|(name, voter_record)| has(name, voter_record))
+                .count()
+                > set.len()
         };
         most(&self.set) && self.before.as_ref().is_none_or(most)
     }
@@ -47,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     pub name: Name,
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     pub address: Address,
 }
 
@@ -62,7 +66,7 @@
     pub lease_ms: u64,
     /// The try that changed it last. A renewal that was not agreed on and is tried again is another one, or a
     /// contender that saw the first would take its lease for the second's.
-    pub stamp: ProposalId,
+    pub proposal_id: ProposalId,
     /// Who is to hold it next, after a holder that gave it up in order.
     pub next: Option<Name>,
 }
@@ -71,7 +75,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId {
     pub round: u64,
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// A duty's row as a contender saw it: no two leases have the same.
@@ -79,7 +83,7 @@
 pub struct LeaseVersion {
     pub term: Term,
     pub renewed: u64,
-    pub stamp: ProposalId,
+    pub proposal_id: ProposalId,
 }
 
 impl LeaseRecord {
@@ -87,7 +91,7 @@
         LeaseVersion {
             term: self.term,
             renewed: self.renewed,
-            stamp: self.stamp,
+            proposal_id: self.proposal_id,
         }
     }
 }
@@ -98,9 +102,9 @@
     /// Counts changes.
     pub version: u64,
     pub voters: Voters,
-    pub duties: BTreeMap<LeaseName, LeaseRecord>,
+    pub leases: BTreeMap<LeaseName, LeaseRecord>,
     /// Who may be out.
-    pub care: Box<DisruptionState>,
+    pub disruptions: Box<DisruptionState>,
 }
 
 /// A change that somebody asks for.
@@ -108,7 +112,7 @@
 pub enum Command {
     /// Holds a duty that is as it was last seen, and of which the holder's lease is over.
     Acquire {
-        duty: LeaseName,
+        lease_name: LeaseName,
         who: LeaseHolder,
         lease_ms: u64,
         seen: LeaseVersion,
@@ -116,18 +120,18 @@
     /// Counts the leases of duties on; those that are no longer the asker's are passed over.
     Renew {
         who: LeaseHolder,
-        duties: Vec<(LeaseName, Term)>,
+        leases: Vec<(LeaseName, Term)>,
     },
     /// Gives a duty up, for `next` if it is named.
     Resign {
-        duty: LeaseName,
+        lease_name: LeaseName,
         term: Term,
         who: LeaseHolder,
         next: Option<Name>,
     },
     AddVoter {
         name: Name,
-        seat: VoterRecord,
+        voter_record: VoterRecord,
     },
     RemoveVoter {
         name: Name,
@@ -136,7 +140,7 @@
     FinishVoterChange,
     /// A step of whoever holds a duty, in its term and no other.
     RolloutStep {
-        duty: LeaseName,
+        lease_name: LeaseName,
         term: Term,
         who: LeaseHolder,
         step: RolloutStep,
@@ -179,10 +183,10 @@
 }
 
 /// Voters at least and at most, but for the moment between two changes.
-pub const LEAST_VOTERS: usize = 3;
-pub const MOST_VOTERS: usize = 7;
+pub const MIN_VOTERS: usize = 3;
+pub const MAX_VOTERS: usize = 7;
 /// Duties of one fleet: the value stays a few kilobytes.
-pub const MOST_DUTIES: usize = 128;
+pub const MAX_LEASES: usize = 128;
 
 impl ReplicatedState {
     /// The value after a change. `knows`: a value with the voters as they are now here is known to be agreed on.
@@ -192,7 +196,7 @@
     pub fn after(
         &self,
         change: &Command,
-        stamp: ProposalId,
+        proposal_id: ProposalId,
         knows: bool,
     ) -> Result<ReplicatedState, CommandError> {
         let mut new = self.clone();
@@ -203,20 +207,20 @@
         }
         match change {
             Command::Acquire {
-                duty,
+                lease_name,
                 who,
                 lease_ms,
                 seen,
             } => {
                 let now = self
-                    .duties
-                    .get(duty)
+                    .leases
+                    .get(lease_name)
                     .map(LeaseRecord::mark)
                     .unwrap_or_default();
                 if now != *seen {
                     return Err(CommandError::Outdated);
                 }
-                if !new.duties.contains_key(duty) && new.duties.len() >= MOST_DUTIES {
+                if !new.leases.contains_key(lease_name) && new.leases.len() >= MAX_LEASES {
                     return Err(CommandError::TooMany);
                 }
                 let term = Term(
@@ -229,19 +233,19 @@
                     holder,
                     renewed: 0,
                     lease_ms: *lease_ms,
-                    stamp,
+                    proposal_id,
                     next: None,
                 };
-                new.duties.insert(duty.clone(), held);
+                new.leases.insert(lease_name.clone(), held);
             }
-            Command::Renew { who, duties } => {
+            Command::Renew { who, leases } => {
                 let mut any = false;
-                for (duty, term) in duties {
-                    let held = new.duties.get_mut(duty);
+                for (lease_name, term) in leases {
+                    let held = new.leases.get_mut(lease_name);
                     let theirs =
                         |h: &&mut LeaseRecord| h.term == *term && h.holder.as_ref() == Some(who);
                     if let Some(held) = held.filter(theirs) {
-                        (held.renewed, held.stamp) = (held.renewed + 1, stamp);
+                        (held.renewed, held.proposal_id) = (held.renewed + 1, proposal_id);
                         any = true;
                     }
                 }
@@ -250,46 +254,46 @@
                 }
             }
             Command::Resign {
-                duty,
+                lease_name,
                 term,
                 who,
                 next,
             } => {
-                let held = new.duties.get_mut(duty);
+                let held = new.leases.get_mut(lease_name);
                 let theirs =
                     |h: &&mut LeaseRecord| h.term == *term && h.holder.as_ref() == Some(who);
                 let held = held.filter(theirs).ok_or(CommandError::Outdated)?;
-                (held.holder, held.next, held.stamp) = (None, next.clone(), stamp);
+                (held.holder, held.next, held.proposal_id) = (None, next.clone(), proposal_id);
             }
-            Command::AddVoter { name, seat } => {
-                new.change_voters(|set| match set.insert(name.clone(), seat.clone()) {
+            Command::AddVoter { name, voter_record } => {
+                new.change_voters(|set| match set.insert(name.clone(), voter_record.clone()) {
                     Some(_) => Err(CommandError::AlreadySo),
-                    None if set.len() > MOST_VOTERS => Err(CommandError::TooMany),
+                    None if set.len() > MAX_VOTERS => Err(CommandError::TooMany),
                     None => Ok(()),
                 })?;
             }
             Command::RemoveVoter { name } => {
                 new.change_voters(|set| match set.remove(name) {
                     None => Err(CommandError::AlreadySo),
-                    Some(_) if set.len() < LEAST_VOTERS => Err(CommandError::TooFew),
+                    Some(_) if set.len() < MIN_VOTERS => Err(CommandError::TooFew),
                     Some(_) => Ok(()),
                 })?;
             }
             Command::RolloutStep {
-                duty,
+                lease_name,
                 term,
                 who,
                 step,
             } => {
-                let held = self.duties.get(duty);
+                let held = self.leases.get(lease_name);
                 let theirs =
                     held.is_some_and(|h| h.term == *term && h.holder.as_ref() == Some(who));
                 if !theirs {
                     return Err(CommandError::Outdated);
                 }
-                new.care.step(step)?;
+                new.disruptions.step(step)?;
             }
-            Command::OperatorCommand(word) => new.care.word(word)?,
+            Command::OperatorCommand(word) => new.disruptions.word(word)?,
             Command::FinishVoterChange if self.voters.before.is_none() => {
                 return Err(CommandError::Nothing)
             }
--- a/tests/voter.rs
+++ b/tests/voter.rs
@@ -17,7 +17,7 @@
     FleetSettings {
         fleet: "fleet".to_owned(),
         me: voter(0).0,
-        run: Incarnation(100),
+        incarnation: Incarnation(100),
         address: voter(0).1,
         zone: "z".to_owned(),
         label: "v1".to_owned(),
@@ -28,7 +28,7 @@
             drift: 0.01,
         },
         answer_within: 100.0,
-        beat: 200.0,
+        heartbeat: 200.0,
         prefers: None,
         tells: Vec::new(),
         tell_every: 200.0,
@@ -75,10 +75,10 @@
     let ballot = Ballot {
         round: 1,
         by: Name::from("d1"),
-        run: Incarnation(7),
+        incarnation: Incarnation(7),
     };
     let ask = AcceptorRequest::Prepare {
-        life: kept.life,
+        voter_id: kept.voter_id,
         ballot,
         heard: Default::default(),
     };
