--- a/crates/faults/src/fleet.rs
+++ b/crates/faults/src/fleet.rs
@@ -1,7 +1,7 @@
 //! A day's stand-ins on any transport and clock, and what befalls them.
 
 use crate::plan::{Day, Fault, Trouble};
-use cindercleat_net::sky::{Sky, Weather};
+use cindercleat_net::simulated_network::{NetworkConditions, SimulatedNetwork};
 use cindercleat_net::{Clock, Listener, Ms, Transport};
 use cindercleat_protocol::v1::EndpointStatus;
 use cindercleat_standin::client::Clients;
@@ -95,7 +95,7 @@
     }
 }
 
-/// Plays one fault, from its instant to its end. `sky`: the network in memory, if that is what is played on; what
+/// Plays one fault, from its instant to its end. `network`: the network in memory, if that is what is played on; what
 /// needs it does nothing without.
 ///
 /// # Errors
@@ -106,7 +106,7 @@
     fleet: Rc<Fleet<T, C>>,
     clients: Rc<Clients<T, C>>,
     dispatchers: Rc<D>,
-    sky: Option<Sky>,
+    network: Option<SimulatedNetwork>,
 ) -> io::Result<()> {
     let clock = fleet.clock.clone();
     clock.sleep_until(begin + fault.at).await;
@@ -120,10 +120,10 @@
     let all = |change: &dyn Fn(&mut Troubles)| engines.iter().for_each(|h| h.trouble(change));
     match &fault.trouble {
         Trouble::Die | Trouble::Drain | Trouble::DieBeforeEnd | Trouble::Vanish => {
-            if let (Trouble::Vanish, Some(sky)) = (&fault.trouble, &sky) {
+            if let (Trouble::Vanish, Some(network)) = (&fault.trouble, &network) {
                 engines
                     .iter()
-                    .for_each(|h| sky.silence(h.name(), true, true));
+                    .for_each(|h| network.silence(h.name(), true, true));
             }
             if fault.trouble == Trouble::Drain {
                 all(&|t| t.draining = true);
@@ -240,14 +240,14 @@
             clients.set_long_prompts(1.0, 0.0);
         }
         Trouble::Partition(zone) => {
-            if let Some(sky) = &sky {
+            if let Some(network) = &network {
                 let mut zones: Vec<&str> =
                     fleet.engines.values().map(|h| &*h.spec().zone).collect();
                 zones.push(CLIENTS);
                 let set = |on| {
                     for other in zones.iter().filter(|other| *other != zone) {
-                        sky.block(zone, other, on);
-                        sky.block(other, zone, on);
+                        network.block(zone, other, on);
+                        network.block(other, zone, on);
                     }
                 };
                 set(true);
@@ -256,38 +256,42 @@
             }
         }
         Trouble::HalfOpen { from, to } => {
-            if let Some(sky) = &sky {
+            if let Some(network) = &network {
                 engines
                     .iter()
-                    .for_each(|h| sky.silence(h.name(), *from, *to));
+                    .for_each(|h| network.silence(h.name(), *from, *to));
             }
         }
         Trouble::Hang => {
-            if let Some(sky) = &sky {
-                engines.iter().for_each(|h| sky.hang(&h.address(), true));
+            if let Some(network) = &network {
+                engines
+                    .iter()
+                    .for_each(|h| network.hang(&h.address(), true));
                 clock.sleep_until(over).await;
-                engines.iter().for_each(|h| sky.hang(&h.address(), false));
+                engines
+                    .iter()
+                    .for_each(|h| network.hang(&h.address(), false));
             }
         }
         Trouble::Lag(by) => {
-            if let Some(sky) = &sky {
-                sky.set_weather(Weather {
+            if let Some(network) = &network {
+                network.set_conditions(NetworkConditions {
                     delay: *by,
                     jitter: *by,
-                    ..Weather::default()
+                    ..NetworkConditions::default()
                 });
                 clock.sleep_until(over).await;
-                sky.set_weather(Weather::default());
+                network.set_conditions(NetworkConditions::default());
             }
         }
         Trouble::Narrow(bandwidth) => {
-            if let Some(sky) = &sky {
-                sky.set_weather(Weather {
+            if let Some(network) = &network {
+                network.set_conditions(NetworkConditions {
                     bandwidth: *bandwidth,
-                    ..Weather::default()
+                    ..NetworkConditions::default()
                 });
                 clock.sleep_until(over).await;
-                sky.set_weather(Weather::default());
+                network.set_conditions(NetworkConditions::default());
             }
         }
         Trouble::ClockStep(by) => {
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -6,7 +6,7 @@
 use crate::plan::{apart, rules, silences, Day};
 use cindercleat::interface::{Ms, RetrySafety};
 use cindercleat_dispatcher::driver::{Driver, Places};
-use cindercleat_net::sky::{address_of, Place, Sky};
+use cindercleat_net::simulated_network::{address_of, SimulatedHost, SimulatedNetwork};
 use cindercleat_net::{Clock, TokioClock, Transport};
 use cindercleat_protocol::{v1, Body};
 use cindercleat_standin::audit::{audit, Rule, Rules};
@@ -22,7 +22,7 @@
 use tokio::task::{spawn_local, AbortHandle, LocalSet};
 use xxhash_rust::xxh3::Xxh3;
 
-/// For the way between a dispatcher and who sees it: the weather's, and the millisecond of the clock's timers.
+/// For the way between a dispatcher and who sees it: the network conditions, and the millisecond of the clock's timers.
 const SLACK: Ms = 30.0;
 /// Instants begin here.
 const BEGIN: Ms = 1_000_000.0;
@@ -94,7 +94,7 @@
 }
 
 struct Process {
-    shell: Driver<Place, StepClock>,
+    shell: Driver<SimulatedHost, StepClock>,
     stop: Rc<Notify>,
     done: Rc<Notify>,
     over: Rc<Cell<bool>>,
@@ -103,8 +103,8 @@
 
 struct Virtual {
     day: Day,
-    fleet: Rc<Fleet<Place, TokioClock>>,
-    sky: Sky,
+    fleet: Rc<Fleet<SimulatedHost, TokioClock>>,
+    network: SimulatedNetwork,
     running: RefCell<Vec<Option<Process>>>,
     clocks: Vec<StepClock>,
     starts: Cell<u64>,
@@ -127,7 +127,7 @@
             .day
             .service
             .dispatcher(&name, zone, (at, self.day.dispatchers), run);
-        let place = self.sky.place(&name, &zones[zone as usize]);
+        let place = self.network.host(&name, &zones[zone as usize]);
         let places = Places {
             feeds: vec![self.fleet.feed_address.clone()],
             ..Places::default()
@@ -210,7 +210,7 @@
 
 async fn play_in(day: &Day) -> io::Result<Played> {
     let clock = TokioClock::starting_at(BEGIN);
-    let sky = Sky::new(day.seed ^ 0x5c1);
+    let network = SimulatedNetwork::new(day.seed ^ 0x5c1);
     let transcript = Transcript::default();
     let request_classes = day
         .service
@@ -231,7 +231,7 @@
     )));
     let watching = model.clone();
     transcript.watch(move |record| watching.borrow_mut().see(record));
-    let at = |name: &str, zone: &str| (sky.place(name, zone), address_of(name));
+    let at = |name: &str, zone: &str| (network.host(name, zone), address_of(name));
     let fleet = Rc::new(Fleet::start(day, at, clock, transcript.clone()).await?);
     let clocks = (0..day.dispatchers)
         .map(|_| StepClock::new(clock))
@@ -240,7 +240,7 @@
     let processes = Rc::new(Virtual {
         day: day.clone(),
         fleet: fleet.clone(),
-        sky: sky.clone(),
+        network: network.clone(),
         running,
         clocks,
         starts: Cell::new(0),
@@ -258,7 +258,7 @@
     let clients = Clients::new(
         day.habits.clone(),
         &addresses,
-        (sky.place(CLIENTS, CLIENTS), clock, transcript.clone()),
+        (network.host(CLIENTS, CLIENTS), clock, transcript.clone()),
         day.seed,
     );
     let begin = clock.now();
@@ -274,7 +274,7 @@
                 fleet,
                 clients,
                 processes,
-                Some(sky.clone()),
+                Some(network.clone()),
             ))
         })
         .collect();
@@ -419,7 +419,7 @@
     let traffic = day.habits.traffic.iter().find(|t| t.again_always)?.clone();
     let (transcript, place) = (
         world.fleet.transcript.clone(),
-        world.sky.place(CLIENTS, CLIENTS),
+        world.network.host(CLIENTS, CLIENTS),
     );
     let ports: Vec<_> = addresses
         .iter()
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,11 +1,11 @@
 //! What network code takes as parameters: a transport (connect, listen, byte streams) and a clock.
 //!
 //! [`Tcp`] and [`SystemClock`] serve. [`Memory`] joins both ends within one thread and [`TokioClock`] follows
-//! the runtime's time, which can be paused: with both, a run needs no sockets and no real time. [`sky`] is a
+//! the runtime's time, which can be paused: with both, a run needs no sockets and no real time. [`simulated_network`] is a
 //! network in memory with faults.
 
 mod memory;
-pub mod sky;
+pub mod simulated_network;
 
 pub use memory::Memory;
 
