--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,9 @@
 //! What network code takes as parameters: a transport (connect, listen, byte streams) and a clock.
 //!
-//! [`Tcp`] and [`SystemClock`] serve. [`Memory`] joins both ends within one thread and [`TokioClock`] follows
-//! the runtime's time, which can be paused: with both, a run needs no sockets and no real time. [`simulated_network`] is a
-//! network in memory with faults.
+//! In production these are [`Tcp`] and [`SystemClock`]. [`Memory`] joins both ends within one thread and [`TokioClock`]
+//! follows the runtime's time, which can be paused: with both, a run needs no sockets and no real time.
+//! [`simulated_network`] adds latency, partitions, resets and silent connections.
+#![warn(missing_docs)]
 
 mod memory;
 pub mod simulated_network;
@@ -22,22 +23,31 @@
 
 /// Connects and listens. Addresses are text: `ip:port` for TCP, any name in memory.
 pub trait Transport: Clone + 'static {
+    /// One end of a connection.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
+    /// What listens on an address of this transport.
     type Listener: Listener<Stream = Self::Stream> + 'static;
 
+    /// Opens a connection to an address.
+    ///
     /// # Errors
-    /// Nobody listens there, or cannot be reached.
+    /// Nothing listens there, or it cannot be reached.
     fn connect(&self, address: &str) -> impl Future<Output = io::Result<Self::Stream>>;
 
+    /// Listens on an address.
+    ///
     /// # Errors
-    /// The address is taken or is none.
+    /// The address is in use or is not an address of this transport.
     fn listen(&self, address: &str) -> impl Future<Output = io::Result<Self::Listener>>;
 }
 
-/// Takes connections in.
+/// Accepts connections.
 pub trait Listener {
+    /// One end of a connection.
     type Stream;
 
+    /// Waits for the next connection.
+    ///
     /// # Errors
     /// This connection failed, or (for good) the listener did.
     fn accept(&mut self) -> impl Future<Output = io::Result<Self::Stream>>;
@@ -48,8 +58,10 @@
 
 /// Tells the time, in milliseconds since 1970, and waits for it. Never goes backwards.
 pub trait Clock: Clone + 'static {
+    /// The time now.
     fn now(&self) -> Ms;
 
+    /// Waits until an instant; one that has passed is not waited for.
     fn sleep_until(&self, at: Ms) -> impl Future<Output = ()>;
 }
 
@@ -76,6 +88,7 @@
 /// TCP sockets whose connections go out from a given address of this machine, if one is given.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TcpFrom {
+    /// The local address; none leaves the choice to the system.
     pub from: Option<IpAddr>,
 }
 
@@ -132,6 +145,7 @@
 pub type SystemClock = TokioClock;
 
 impl TokioClock {
+    /// Counts from the system's time now.
     pub fn system() -> Self {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -139,6 +153,7 @@
         TokioClock::starting_at(since.as_secs_f64() * 1000.0)
     }
 
+    /// Counts from this instant, in milliseconds since 1970.
     pub fn starting_at(at_zero: Ms) -> Self {
         TokioClock {
             zero: Instant::now(),
--- a/crates/net/src/memory.rs
+++ b/crates/net/src/memory.rs
@@ -1,4 +1,4 @@
-//! Connections within one thread: the groundwork of runs on a virtual clock.
+//! Connections within one thread, without delay or faults.
 
 use crate::{Listener, Transport};
 use std::cell::RefCell;
@@ -8,18 +8,18 @@
 use tokio::io::DuplexStream;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 
-/// Bytes under way in each direction of a connection.
-const UNDER_WAY: usize = 64 * 1024;
+/// The most bytes in flight in each direction of a connection.
+const MAX_BYTES_IN_FLIGHT: usize = 64 * 1024;
 
 type Names = Rc<RefCell<BTreeMap<String, UnboundedSender<DuplexStream>>>>;
 
-/// A network in memory; clones are the same one.
+/// A network in memory; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     names: Names,
 }
 
-/// Listens under a name until it is dropped.
+/// A listener of this network; it listens until it is dropped.
 #[derive(Debug)]
 pub struct MemoryListener {
     name: String,
@@ -32,7 +32,7 @@
     type Listener = MemoryListener;
 
     async fn connect(&self, address: &str) -> io::Result<DuplexStream> {
-        let (near, far) = tokio::io::duplex(UNDER_WAY);
+        let (near, far) = tokio::io::duplex(MAX_BYTES_IN_FLIGHT);
         let names = self.names.borrow();
         let sent = names.get(address).map(|listener| listener.send(far));
         match sent {
