--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,8 @@
-//! The messages between clients, dispatchers, engines and the list feed (`proto/`). A [`Frame`] is one of
-//! them with the stream that it belongs to: the program's own form, also in transcripts. On the wire they are
-//! calls of the schema's services.
+//! The messages between clients, dispatchers, engines and discovery (`proto/`).
+//!
+//! A [`Frame`] is one message with the stream that it belongs to. Frames are the program's own form, also in transcripts;
+//! `crates/grpc` and `crates/http1` turn them into what goes over the wire and back.
+#![warn(missing_docs)]
 
 pub mod session;
 
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -1,62 +1,70 @@
-//! What a connection is to whoever drives it, whatever is spoken on it: frames in and out, and its end. A
-//! [`Wire`] makes sessions of byte streams; `crates/grpc` and `crates/http1` are two.
+//! A session: one connection as the driver sees it, whatever protocol it speaks. Frames go in and out until it ends.
+//!
+//! A [`Wire`] makes sessions of byte streams; `crates/grpc` and `crates/http1` have one each.
 
 use crate::{v1, Frame};
 use std::future::Future;
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::sync::mpsc;
 
-/// What a connection is given at its start.
+/// How a session introduces itself, and what it accepts.
 #[derive(Clone, Debug)]
 pub struct Setup {
+    /// What this side is.
     pub party: v1::Party,
+    /// The name of this side.
     pub name: String,
-    /// Whom a caller means to reach; empty if it does not matter.
+    /// The name that a caller expects to reach; empty if any will do.
     pub expects: String,
+    /// The incarnation of this process under its name.
     pub run: u64,
-    /// The largest message taken, in bytes.
+    /// The largest message that is accepted, in bytes.
     pub most_message: usize,
     /// Calls that the other side may have open at once.
     pub most_calls: u32,
 }
 
-/// What comes of a connection; nearly all of it is frames.
+/// What a session reports; nearly all of it is frames.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
+    /// A message arrived.
     Frame(Frame),
-    /// Part of a message is there and more is to come, on a wire where that is worth knowing.
+    /// Part of a message arrived and the rest has not, on protocols that report it.
     Partly,
-    /// So many token messages of a stream have left for the other side, which takes them.
+    /// Token messages of a stream were written to the other side, which reads them.
     Flushed {
+        /// The stream.
         stream: u64,
+        /// How many messages, since the last report.
         messages: u32,
     },
-    /// The other side takes no new call on this connection; what it has taken goes on.
+    /// The other side accepts no new call on this connection; open calls go on.
     GoingAway,
 }
 
-/// One connection. Its events end when it does.
+/// One connection. Its events end when the connection does.
 pub struct Session<O> {
     /// The other side's greeting.
     pub them: v1::Hello,
-    /// Calls that the other side lets be open at once, if it says; for a caller.
+    /// The calls that the other side accepts at once, if it says; for a caller.
     pub limit: Option<usize>,
+    /// What the session reports.
     pub events: mpsc::UnboundedReceiver<Event>,
+    /// The sending side.
     pub out: O,
 }
 
-/// The sending side of a session; clones are the same one.
+/// The sending side of a session; clones share it.
 pub trait Outbox: Clone + 'static {
-    /// Sends a frame; one that belongs to no call any more is passed over. Tells whether the connection was
-    /// there to send it on; if not, nothing of it has gone out.
+    /// Sends a frame; one whose call is over is dropped. Returns whether the connection was open; if not, nothing of the
+    /// frame was written.
     fn send(&self, frame: Frame) -> bool;
 
-    /// Takes no new call on this connection; those that are open go on, and it ends with the last. For a side
-    /// that answers.
+    /// Accepts no new call on this connection; open calls go on, and it ends with the last. For a side that answers.
     fn go_away(&self);
 
-    /// Ends the connection: calls that are open are cut off.
+    /// Closes the connection and aborts open calls.
     fn close(&self);
 
     /// Waits until the connection is over.
@@ -68,24 +76,25 @@
 
 impl<S: AsyncRead + AsyncWrite + Unpin + 'static> Io for S {}
 
-/// Makes sessions of byte streams; clones are the same one.
+/// A protocol: makes sessions of byte streams; clones share their settings.
 pub trait Wire: Clone + 'static {
+    /// The sending side of its sessions.
     type Out: Outbox;
 
-    /// Answers on a connection that was taken in.
+    /// Serves an accepted connection.
     ///
     /// # Errors
-    /// What came is not spoken here, with the reason.
+    /// The other side does not speak this protocol; the reason in words.
     fn serve<S: Io>(
         &self,
         io: S,
         setup: Setup,
     ) -> impl Future<Output = Result<Session<Self::Out>, String>>;
 
-    /// Calls whoever is at the other end.
+    /// Opens a session as a caller.
     ///
     /// # Errors
-    /// What comes is not spoken here, or it does not want to be called, with the reason.
+    /// The other side does not speak this protocol, or refuses the call; the reason in words.
     fn connect<S: Io>(
         &self,
         io: S,
