--- /dev/null
+++ b/src/control/learn.rs
@@ -0,0 +1,223 @@
+//! Takes events in: what they tell of requests, engines and traffic.
+
+use super::delivery::Delivery;
+use super::engines::EngineIndex;
+use super::requests::{Attempt, FirstRun, Intents, Request};
+use super::retry;
+use super::stage::Stage;
+use super::state::State;
+use crate::interface::*;
+
+/// `Ended::detail` of a rejection by a decode engine that found no KV state to fetch.
+const NO_KV_STATE: f64 = 1.0;
+
+impl State {
+    pub(super) fn learn(&mut self, event: &Event) {
+        match event {
+            Event::EndpointsUpdated { kind, endpoints } => self.learn_endpoints(*kind, endpoints),
+            Event::Arrived(arrival) => self.learn_arrival(arrival),
+            Event::ClientGone { request } => self.learn_client_gone(*request),
+            Event::FirstToken {
+                request, attempt, ..
+            } => self.learn_first_token(*request, *attempt),
+            Event::Ended(ended) => self.learn_end(ended),
+            Event::Delivered { request, attempt } => self.learn_delivery(*request, *attempt),
+            Event::Timer { timer } => self.timer.note_fired(*timer),
+            Event::HealthChecked {
+                engine,
+                outcome,
+                load,
+                ..
+            } => self.learn_health_check(engine, *outcome, load),
+            Event::ReservationChanged { .. } | Event::GossipReceived { .. } => {}
+        }
+    }
+
+    fn learn_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
+        if matches!(
+            kind,
+            EndpointUpdateKind::Snapshot | EndpointUpdateKind::Cached
+        ) {
+            self.engines.mark_gone_unless_in(endpoints);
+        }
+        for endpoint in endpoints {
+            if let Some(kind) = self.settings.kinds.get(endpoint.kind.0 as usize) {
+                self.engines.update(endpoint, kind);
+            }
+        }
+    }
+
+    fn learn_arrival(&mut self, arrival: &Arrival) {
+        let over_quota = self.note_tenant_request(arrival.tenant);
+        let Some(class) = self.classes.get(arrival.request_class) else {
+            return;
+        };
+        let request = Request {
+            prefill_by: self.prefill_by(class.latency_objective(arrival)),
+            ends_at: self.ends_at(arrival.time_to_deadline),
+            queueing_unit: self.classes.queueing_unit(arrival),
+            arrival: arrival.clone(),
+            attempts: 0,
+            attempt: None,
+            kv_state: None,
+            unclaimed_since: self.now,
+            held_until: 0.0,
+            excluded_engines: Vec::new(),
+            first_run: None,
+            finished: false,
+            over_quota,
+            intents: Intents::default(),
+        };
+        self.requests.insert(arrival.request, request);
+        self.queue.wake(arrival.request);
+        self.slow_start.note_arrival(self.now, &self.settings);
+    }
+
+    fn learn_client_gone(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.finished = true;
+            self.queue.wake(id);
+        }
+    }
+
+    fn learn_first_token(&mut self, id: RequestId, attempt: AttemptId) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let queued_after_ms = request.queued_after_ms();
+        let Some(attempt) = request.attempt.as_mut().filter(|a| a.id == attempt) else {
+            return;
+        };
+        attempt.decoding = true;
+        attempt.delivery = Delivery::Confirmed;
+        let (index, sent_at) = (attempt.engine, attempt.sent_at);
+        request.kv_state = None;
+        self.queue.wake(id);
+        let queued = self.now - sent_at > queued_after_ms;
+        let engine = &mut self.engines[index];
+        engine.note_queueing(queued, sent_at, self.now);
+        engine.last_response_at = self.now;
+        self.note_service(index, Stage::Decode);
+    }
+
+    fn learn_health_check(&mut self, engine: &EngineId, outcome: Outcome, load: &Load) {
+        let Some(index) = self.engines.index_of(engine) else {
+            return;
+        };
+        self.engines[index]
+            .health_check
+            .note_answer(outcome == Outcome::Succeeded, self.now);
+        self.engines.note_load(index, load, self.now);
+    }
+
+    fn learn_end(&mut self, ended: &Ended) {
+        let Some(index) = self.engines.index_of(&ended.engine) else {
+            return;
+        };
+        self.engines.note_load(index, &ended.load, self.now);
+        let Some(attempt) = self.take_attempt(ended, index) else {
+            return;
+        };
+        self.queue.wake(ended.request);
+        self.engines[index].note_attempt_ended(attempt.stage, attempt.uncached_tokens);
+        let Some(request) = self.requests.get_mut(&ended.request) else {
+            return;
+        };
+        let queued = ended.outcome != Outcome::PrefillDone
+            || self.now - attempt.sent_at > request.queued_after_ms();
+        request.finished |= ended.last;
+        if attempt.delivery.has_arrived(ended.outcome) {
+            request.unclaimed_since = self.now;
+        }
+        if retry::may_have_run(&attempt, ended.outcome, &self.engines) {
+            request.first_run.get_or_insert(FirstRun {
+                engine: index,
+                sent_at: attempt.sent_at,
+            });
+        }
+        self.learn_latency(&attempt, ended.outcome, queued);
+        self.learn_outcome(ended, index);
+    }
+
+    /// Takes the attempt that has ended from its request, if it is the one in flight.
+    fn take_attempt(&mut self, ended: &Ended, index: EngineIndex) -> Option<Attempt> {
+        let request = self.requests.get_mut(&ended.request)?;
+        self.queue.uncount(request);
+        let attempt = request
+            .attempt
+            .take_if(|attempt| attempt.id == ended.attempt && attempt.engine == index);
+        self.queue.count(request);
+        attempt
+    }
+
+    fn learn_latency(&mut self, attempt: &Attempt, outcome: Outcome, queued: bool) {
+        let engine = &mut self.engines[attempt.engine];
+        let is_prefill = attempt.stage == Stage::Prefill;
+        let tells_of_queue = matches!(
+            outcome,
+            Outcome::PrefillDone | Outcome::TimedOut | Outcome::Overloaded
+        );
+        if is_prefill && tells_of_queue {
+            engine.note_queueing(queued, attempt.sent_at, self.now);
+        }
+        // What came late, or was rejected, tells of a queue: a load report is wanted the more.
+        let answered_in_time = if is_prefill {
+            !queued
+        } else {
+            outcome == Outcome::Succeeded
+        };
+        if answered_in_time {
+            engine.last_response_at = self.now;
+        }
+    }
+
+    fn learn_outcome(&mut self, ended: &Ended, index: EngineIndex) {
+        let Some(request) = self.requests.get_mut(&ended.request) else {
+            return;
+        };
+        let engine = &mut self.engines[index];
+        match ended.outcome {
+            Outcome::Succeeded => engine.note_outcome(true),
+            Outcome::PrefillDone => {
+                request.kv_state = Some(index);
+                request.excluded_engines.clear();
+                self.engines
+                    .note_prefill_done(index, &request.arrival, ended.detail);
+                self.note_service(index, Stage::Prefill);
+            }
+            // The KV state is gone (its prefill engine died or released it): prefill again.
+            Outcome::Overloaded if ended.detail == NO_KV_STATE => request.kv_state = None,
+            Outcome::Overloaded => {
+                request.excluded_engines.push(index);
+                engine
+                    .overload_backoff
+                    .note_rejection(self.now, self.settings.kv_state_timeout);
+            }
+            Outcome::Failed
+            | Outcome::TimedOut
+            | Outcome::ConnectionLost
+            | Outcome::Unreachable => {
+                request.excluded_engines.push(index);
+                engine.note_outcome(false);
+            }
+            Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    /// An engine has done a prefill or begun a decode.
+    fn note_service(&mut self, index: EngineIndex, stage: Stage) {
+        self.engines[index].note_outcome(true);
+        // Guards against a cold-engine budget that is too large during a replacement: what ends at engines that are being
+        // replaced, held against the few warm ones that are left, would pass for what each of those bears.
+        if self.is_cold(index) || !self.engines[index].is_ready() {
+            return;
+        }
+        let warm = self
+            .engines
+            .ready(stage)
+            .filter(|&engine| !self.is_cold(engine))
+            .count();
+        self.slow_start
+            .note_service(stage, warm, self.now, &self.settings);
+    }
+}
--- /dev/null
+++ b/src/control/plan.rs
@@ -0,0 +1,122 @@
+//! Decides what is intended for a request, from all that is known at this step.
+
+use super::engines::EngineIndex;
+use super::outlier_detection::RETRY_INTERVAL_FRACTION;
+use super::requests::{Intent, Intents, Request};
+use super::state::State;
+use crate::interface::{EndpointStatus, Ms};
+
+/// Attempts that a request needs from its prefill on: one prefill and one decode.
+const ATTEMPTS_FROM_PREFILL: u32 = 2;
+
+impl State {
+    pub(super) fn plan(&mut self, request: &mut Request) {
+        request.intents = Intents::default();
+        request.held_until = self.now;
+        if request.finished {
+            return self.plan_finished(request);
+        }
+        if request.is_decoding() {
+            return;
+        }
+        let gives_up_at = self.gives_up_at(request);
+        if self.now >= gives_up_at || request.attempt.is_none() && self.may_not_run_again(request) {
+            return self.give_up(request);
+        }
+        self.wake_by(gives_up_at);
+        if request.attempt.is_some() {
+            self.note_if_late(request);
+            self.plan_delivery(request);
+        } else {
+            self.plan_next_attempt(request);
+        }
+    }
+
+    /// The client is gone or answered: what is left is cancelled and released.
+    fn plan_finished(&mut self, request: &mut Request) {
+        request.intents.cancel = request
+            .attempt
+            .as_ref()
+            .is_some_and(|attempt| !attempt.decoding);
+        request.intents.release = request.attempt.is_none() && request.kv_state.is_some();
+        if !self.settings.may_cancel {
+            self.plan_delivery(request);
+        }
+    }
+
+    /// Whether a request has run and may not run again, even where it ran first.
+    fn may_not_run_again(&self, request: &Request) -> bool {
+        request
+            .first_run
+            .is_some_and(|first| !self.may_run_on(request, first.engine))
+    }
+
+    /// Lowers the engine's concurrency limit as soon as an attempt must have queued, before its outcome: the engine may
+    /// never answer.
+    fn note_if_late(&mut self, request: &mut Request) {
+        let queued_after_ms = request.queued_after_ms();
+        let Some(attempt) = request.attempt.as_mut() else {
+            return;
+        };
+        let late_at = attempt.sent_at + queued_after_ms;
+        if self.now < late_at {
+            self.wake_by(late_at);
+        } else if !attempt.late {
+            attempt.late = true;
+            self.engines[attempt.engine].note_queueing(true, attempt.sent_at, self.now);
+        }
+    }
+
+    /// No attempt is in flight: starts the next one, gives the request up, or holds it.
+    fn plan_next_attempt(&mut self, request: &mut Request) {
+        // A KV state whose prefill engine is gone is computed again, and released in case the list is wrong.
+        request.intents.release = request
+            .kv_state
+            .is_some_and(|index| self.engines[index].endpoint.status == EndpointStatus::Gone);
+        let kv_state = request.kv_state.filter(|_| !request.intents.release);
+        let retry_interval_ms =
+            (RETRY_INTERVAL_FRACTION * self.settings.kv_state_timeout).max(self.settings.tick);
+        if self.cannot_finish(request, kv_state, retry_interval_ms) {
+            return self.give_up(request);
+        }
+        let target = match kv_state {
+            Some(prefill_engine) => self.choose_decode_engine(request, prefill_engine),
+            None if !self.decode_engines_have_room() => None,
+            None if self.awaits_home_reports(request) => None,
+            None => self.choose_prefill_engine(request),
+        };
+        let Some(engine) = target else {
+            return self.hold(request, retry_interval_ms);
+        };
+        request.intents.next = Intent::Start(engine);
+        if request.kv_state.is_none() {
+            self.request_reports_near(engine, request);
+        }
+    }
+
+    /// Whether too few attempts are left, or the KV state has waited for too long.
+    fn cannot_finish(
+        &self,
+        request: &Request,
+        kv_state: Option<EngineIndex>,
+        retry_interval_ms: Ms,
+    ) -> bool {
+        let attempts_left = self.settings.max_attempts.saturating_sub(request.attempts);
+        match kv_state {
+            Some(_) => {
+                attempts_left == 0 || self.is_kv_state_held_too_long(request, retry_interval_ms)
+            }
+            None => attempts_left < ATTEMPTS_FROM_PREFILL,
+        }
+    }
+
+    /// Has the request wait for an engine. Guards against a jam of held requests that takes all the processor's time:
+    /// once load reports are not waited for any more, they are not planned at every step.
+    fn hold(&mut self, request: &mut Request, retry_interval_ms: Ms) {
+        let retry_at = self.now + retry_interval_ms;
+        if request.kv_state.is_none() && self.now >= self.report_wait_ends_at(request) {
+            request.held_until = retry_at;
+        }
+        self.wake_by(retry_at);
+    }
+}
--- /dev/null
+++ b/src/control/prefix_cache.rs
@@ -0,0 +1,53 @@
+//! What a prefill engine holds of prompts, by the prefills that were seen to end there.
+
+use crate::interface::Arrival;
+use std::collections::VecDeque;
+
+/// Shared prefixes and sessions remembered for an engine; the oldest is forgotten first.
+const MAX_PREFIXES: usize = 64;
+/// A prompt counts as cached where less than this fraction of it has to be computed.
+const MAX_UNCACHED_FRACTION: f64 = 0.5;
+
+/// Shared prefixes and sessions by their ids, each with the number of its tokens that are held, oldest first.
+#[derive(Default)]
+pub(super) struct PrefixCache {
+    prefixes: VecDeque<(u64, f64)>,
+}
+
+impl PrefixCache {
+    pub(super) fn clear(&mut self) {
+        self.prefixes.clear();
+    }
+
+    /// Tokens of the prompt that the engine would have to compute.
+    pub(super) fn uncached_tokens(&self, arrival: &Arrival) -> f64 {
+        let belongs = |prefix: &u64| {
+            *prefix == arrival.session.0 || arrival.shared.is_some_and(|shared| *prefix == shared.0)
+        };
+        let cached = self
+            .prefixes
+            .iter()
+            .filter(|(prefix, _)| belongs(prefix))
+            .map(|(_, tokens)| *tokens)
+            .fold(0.0, f64::max);
+        (arrival.prompt_tokens - cached).max(0.0)
+    }
+
+    /// Whether the engine holds most of the prompt.
+    pub(super) fn holds_most(&self, arrival: &Arrival) -> bool {
+        self.uncached_tokens(arrival) < MAX_UNCACHED_FRACTION * arrival.prompt_tokens
+    }
+
+    /// A prefill has ended there: its whole prompt is held now.
+    pub(super) fn insert(&mut self, arrival: &Arrival) {
+        let shared = arrival.shared.map(|id| (id.0, arrival.shared_tokens));
+        let session = (arrival.session.0, arrival.prompt_tokens);
+        for entry in shared.into_iter().chain([session]) {
+            self.prefixes.retain(|(prefix, _)| *prefix != entry.0);
+            self.prefixes.push_back(entry);
+        }
+        while self.prefixes.len() > MAX_PREFIXES {
+            self.prefixes.pop_front();
+        }
+    }
+}
--- /dev/null
+++ b/src/control/retry.rs
@@ -0,0 +1,53 @@
+//! Whether a request may run again, where and until when.
+
+use super::engines::{EngineIndex, Engines};
+use super::requests::{Attempt, FirstRun};
+use crate::interface::{IdempotencyScope, Ms, Outcome, RetrySafety};
+
+/// Whether an attempt that ended so may have run: only a decode has an effect, unless it never reached its engine or was
+/// rejected. A success has run, but nothing follows it.
+pub(super) fn may_have_run(attempt: &Attempt, outcome: Outcome, engines: &Engines) -> bool {
+    let never_ran = engines.is_prefill_only(attempt.stage, attempt.engine)
+        || matches!(
+            outcome,
+            Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent
+        );
+    !never_ran && outcome != Outcome::Succeeded
+}
+
+/// Whether a client that sends the request again, at any time and through any dispatcher, can do no harm.
+pub(super) fn is_safe_for_client(retry_safety: RetrySafety, may_have_run: bool) -> bool {
+    match retry_safety {
+        RetrySafety::Idempotent => true,
+        RetrySafety::IdempotencyKey { scope, .. } => {
+            !may_have_run || scope == IdempotencyScope::All
+        }
+        RetrySafety::AtMostOnce => !may_have_run,
+    }
+}
+
+/// Whether a request may be sent to an engine now. Guards against a request that takes effect twice: after a first run
+/// only engines that recognise the repeat may get it, and only while they remember the first.
+pub(super) fn may_run_on(
+    engine: EngineIndex,
+    retry_safety: RetrySafety,
+    first_run: Option<FirstRun>,
+    engines: &Engines,
+    now: Ms,
+) -> bool {
+    let Some(first) = first_run else {
+        return true;
+    };
+    let (window, scope) = match retry_safety {
+        RetrySafety::Idempotent => return true,
+        RetrySafety::AtMostOnce => return false,
+        RetrySafety::IdempotencyKey { scope, window } => (window, scope),
+    };
+    let [ran, target] = [first.engine, engine].map(|index| &engines[index].endpoint);
+    now < first.sent_at + window
+        && match scope {
+            IdempotencyScope::All => true,
+            IdempotencyScope::Zone => ran.zone == target.zone,
+            IdempotencyScope::Cell => ran.cell == target.cell,
+        }
+}
--- /dev/null
+++ b/src/control/wake_timer.rs
@@ -0,0 +1,31 @@
+//! The one timer that brings the next step.
+
+use crate::interface::{Action, Ms, TimerId};
+
+#[derive(Default)]
+pub(super) struct WakeTimer {
+    armed_for: Option<Ms>,
+    last_id: u64,
+}
+
+impl WakeTimer {
+    /// A timer fired; an older one than the last set means nothing.
+    pub(super) fn note_fired(&mut self, timer: TimerId) {
+        if timer.0 == self.last_id {
+            self.armed_for = None;
+        }
+    }
+
+    /// Sets a timer for `wake_at`, unless one is set that fires before.
+    pub(super) fn arm(&mut self, wake_at: Ms, now: Ms) -> Option<Action> {
+        if self.armed_for.is_some_and(|at| at <= wake_at && at > now) {
+            return None;
+        }
+        self.last_id += 1;
+        self.armed_for = Some(wake_at);
+        Some(Action::SetTimer {
+            delay: (wake_at - now).max(0.0),
+            timer: TimerId(self.last_id),
+        })
+    }
+}
