--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -1,4 +1,5 @@
-//! Which requests are served at all: quotas, load shedding, and the rejection or failure that ends the others.
+//! Which requests are served at all: quotas, load shedding, and the rejection or failure that ends
+//! the others.
 
 use super::engines::EngineIndex;
 use super::requests::{Intent, Request};
@@ -7,7 +8,8 @@
 use super::state::State;
 use crate::interface::{Ms, RequestId, TenantId};
 
-/// A request that no prefill engine has taken by this fraction of its latency objective would be answered late.
+/// A request that no prefill engine has taken by this fraction of its latency objective would be
+/// answered late.
 const PREFILL_BY_FRACTION: f64 = 0.4;
 /// Own final answers come this many ticks before the client's deadline.
 const FINAL_ANSWER_TICKS: f64 = 2.0;
@@ -25,8 +27,8 @@
 }
 
 impl State {
-    /// Counts a tenant's request; gives whether the tenant sends more than its quota, as far as this dispatcher's part
-    /// of its requests tells.
+    /// Counts a tenant's request; gives whether the tenant sends more than its quota, as far as
+    /// this dispatcher's part of its requests shows.
     pub(super) fn note_tenant_request(&mut self, tenant: Option<TenantId>) -> bool {
         let Some(tenant) = tenant.map(|id| id.0 as usize) else {
             return false;
@@ -49,8 +51,9 @@
         self.now + time_to_deadline - FINAL_ANSWER_TICKS * self.settings.tick
     }
 
-    /// The requests to plan, in the order in which they take the room: those within their tenant's quota first, then
-    /// retries and prompts that some prefill engine has cached, then the soonest due.
+    /// The requests to plan, in the order in which they take the room: those within their tenant's
+    /// quota first, then retries and prompts that some prefill engine has cached, then the soonest
+    /// due.
     pub(super) fn plan_order(&self) -> Vec<RequestId> {
         let mut order: Vec<PlanOrder> = self
             .queue
@@ -77,9 +80,9 @@
         request.attempts == 0 && !self.engines.ready(Stage::Prefill).any(is_cached)
     }
 
-    /// When a request is given up. Guards against a jam that feeds on itself, which shows as prefill engines busy with
-    /// requests that are late already and make the next ones late: what no prefill engine has taken in time is
-    /// rejected, while a rejection does no harm.
+    /// When a request is given up. Guards against congestion that sustains itself, which shows as
+    /// prefill engines busy with requests that are late already and make the next ones late: what
+    /// no prefill engine has taken in time is rejected, while a rejection does no harm.
     pub(super) fn gives_up_at(&self, request: &Request) -> Ms {
         if request.attempt.is_none() && request.kv_state.is_none() {
             request.ends_at.min(request.prefill_by)
@@ -88,14 +91,15 @@
         }
     }
 
-    /// Whether a KV state must be released before it could be looked at again, `interval_ms` from now.
+    /// Whether a KV state must be released before it could be looked at again, `interval_ms` from
+    /// now.
     pub(super) fn is_kv_state_held_too_long(&self, request: &Request, interval_ms: Ms) -> bool {
         self.now + interval_ms - request.unclaimed_since
             > KV_STATE_HOLD_FRACTION * self.settings.kv_state_timeout
     }
 
-    /// Whether the decode engines can take what is being prefilled and one more. Guards against KV states that find no
-    /// decode engine: they cannot wait for long.
+    /// Whether the decode engines can take what is being prefilled and one more. Guards against KV
+    /// states that find no decode engine: they cannot wait for long.
     pub(super) fn decode_engines_have_room(&self) -> bool {
         let room: f64 = self
             .engines
@@ -108,8 +112,9 @@
         room >= self.queue.prefills_on_time() as f64 + 1.0
     }
 
-    /// The request ends here: rejected where a retry by the client is sure to do no harm, else failed. Its KV state is
-    /// released at once or, as an attempt still waits for it, with that attempt's outcome.
+    /// The request ends here: rejected where a retry by the client is sure to do no harm, else
+    /// failed. Its KV state is released at once or, as an attempt still waits for it, with that
+    /// attempt's outcome.
     pub(super) fn give_up(&self, request: &mut Request) {
         let decode_in_flight = request
             .attempt
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -8,9 +8,10 @@
 use crate::interface::RetrySafety;
 
 impl State {
-    /// The engines of a stage that may take this request now; none means that it is held. Draining engines and cold
-    /// engines without budget are never among them. Decode engines that report a high load, then those without room or
-    /// that failed this request, are left out while others are to be had.
+    /// The engines of a stage that may take this request now; none means that it is held. Draining
+    /// engines and cold engines without budget are never among them. Decode engines that report a
+    /// high load, then those without room or that failed this request, are left out while others
+    /// are to be had.
     pub(super) fn candidates(&self, request: &Request, stage: Stage) -> Vec<EngineIndex> {
         let budget = self.cold_engine_budget(stage);
         let open: Vec<EngineIndex> = self
@@ -33,9 +34,10 @@
             .unwrap_or_default()
     }
 
-    /// The ready engines that are not ejected. One that is ejected comes in for a trial, if that can do no harm; all of
-    /// them come in only when every engine of the stage is ejected, not when the others are merely busy. Guards against
-    /// an engine that fails fast, which always looks as if it had room.
+    /// The ready engines that are not ejected. One that is ejected comes in for a trial, if that is
+    /// safe; all of them come in only when every engine of the stage is ejected, not when the
+    /// others are merely busy. Guards against an engine that fails fast, which always looks as if
+    /// it had room.
     fn in_service(&self, request: &Request, stage: Stage) -> Vec<EngineIndex> {
         let ready: Vec<EngineIndex> = self.engines.ready(stage).collect();
         let success = |engine: EngineIndex| self.engines[engine].outcomes.success_fraction();
@@ -47,11 +49,11 @@
         if healthy.is_empty() {
             return ejected;
         }
-        let is_harmless =
+        let is_safe =
             stage == Stage::Prefill || self.retry_safety(request) == RetrySafety::Idempotent;
         let trials: Vec<EngineIndex> = ejected
             .into_iter()
-            .filter(|&engine| is_harmless && self.engines[engine].outcomes.may_be_tried(self.now))
+            .filter(|&engine| is_safe && self.engines[engine].outcomes.may_be_tried(self.now))
             .collect();
         [healthy, trials].concat()
     }
@@ -70,7 +72,8 @@
             && known.overload_backoff.is_over(self.now)
     }
 
-    /// A prefill's room is looked at when its engine is chosen, as it may be held for its home engine.
+    /// A prefill's room is looked at when its engine is chosen, as it may be held for its home
+    /// engine.
     fn is_fit(&self, engine: EngineIndex, request: &Request, stage: Stage) -> bool {
         (stage == Stage::Prefill || self.engines[engine].has_room())
             && !request.excluded_engines.contains(&engine)
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -1,20 +1,24 @@
-//! How many of this dispatcher's attempts may be in flight at an engine: additive increase, multiplicative decrease.
+//! How many of this dispatcher's attempts may be in flight at an engine: additive increase,
+//! multiplicative decrease.
 
 use crate::interface::{Ms, Role};
 
 /// Attempts in flight at an engine to start with, summed over all dispatchers.
 const INITIAL_PREFILLS: f64 = 12.0;
 const INITIAL_DECODES: f64 = 48.0;
-/// Increase for each limit's worth of attempts that met no queue. A decode lasts long, so fewer of them report.
+/// Increase for as many attempts without a queue as the limit allows at once. A decode lasts long,
+/// so fewer of them report.
 const PREFILL_INCREASE: f64 = 1.0;
 const DECODE_INCREASE: f64 = 3.0;
 /// What is left of the attempts in flight after one that queued.
 const DECREASE_FRACTION: f64 = 0.7;
-/// The limit grows only while it is nearly used up: with so many attempts in flight below it, or fewer.
+/// The limit grows only while it is nearly used up: with so many attempts in flight below it, or
+/// fewer.
 const UNUSED_ATTEMPTS: f64 = 2.0;
 
-/// Guards against queues at engines, in which requests grow late and cached prefixes are evicted: an attempt that
-/// queued lowers the limit, once for all attempts that were in flight together with it.
+/// Guards against queues at engines, in which requests grow late and cached prefixes are evicted:
+/// an attempt that queued lowers the limit, once for all attempts that were in flight together with
+/// it.
 pub(super) struct ConcurrencyLimit {
     attempts: f64,
     increase: f64,
--- a/src/control/decaying_rate.rs
+++ b/src/control/decaying_rate.rs
@@ -2,7 +2,8 @@
 
 use crate::interface::Ms;
 
-/// Events per millisecond. The rate decays only when an event is noted, so it lasts while none come.
+/// Events per millisecond. The rate decays only when an event is noted, so it lasts while none
+/// come.
 #[derive(Default)]
 pub(super) struct DecayingRate {
     per_ms: f64,
--- a/src/control/decode_placement.rs
+++ b/src/control/decode_placement.rs
@@ -1,8 +1,9 @@
-//! Which decode engine takes a KV state over: nearness to the prefill engine first, load within a band of it.
+//! Which decode engine takes a KV state over: nearness to the prefill engine first, load within a
+//! band of it.
 //!
-//! The engine is chosen when the prefill ends. Among the candidates within [`NEARNESS_BAND`] of the nearest, those with
-//! more than [`ABOVE_AVERAGE_DECODES`] own decodes above the candidates' average are skipped, and the one with the
-//! fewest in flight is taken.
+//! The engine is chosen when the prefill ends. Among the candidates within [`NEARNESS_BAND`] of the
+//! nearest, those with more than [`ABOVE_AVERAGE_DECODES`] own decodes above the candidates'
+//! average are skipped, and the one with the fewest in flight is taken.
 
 use super::engines::{Engine, EngineIndex};
 use super::requests::Request;
@@ -10,7 +11,8 @@
 use super::state::State;
 use nanorand::Rng;
 
-/// Nearness of engines in the same cell, in the same zone and elsewhere. A cell lies within a zone.
+/// Nearness of engines in the same cell, in the same zone and elsewhere. Each cell is part of a
+/// zone.
 const SAME_CELL_NEARNESS: f64 = 1.0;
 const SAME_ZONE_NEARNESS: f64 = 0.5;
 const ELSEWHERE_NEARNESS: f64 = 0.0;
@@ -59,8 +61,9 @@
         })
     }
 
-    /// Fewest in flight wins, a cold engine counting as loaded by its age. Ties are drawn, weighted by the free fraction
-    /// as last reported. Guards against herding: the least of old reports would draw every dispatcher to one engine.
+    /// Fewest in flight wins, a cold engine counting as loaded by its age. Ties are drawn, weighted
+    /// by the free fraction as last reported. Guards against herding: the least of old reports
+    /// would draw every dispatcher to one engine.
     fn choose_least_loaded(&mut self, engines: Vec<EngineIndex>) -> Option<EngineIndex> {
         // One draw for each, in order, so that the draws do not depend on loads.
         let draws: Vec<f64> = engines
@@ -88,7 +91,8 @@
         }
     }
 
-    /// Asks the decode engines next to a prefill engine for their load while the prefill runs, for the choice at its end.
+    /// Asks the decode engines next to a prefill engine for their load while the prefill runs, for
+    /// the choice at its end.
     pub(super) fn request_reports_near(&mut self, prefill_engine: EngineIndex, request: &Request) {
         let near: Vec<EngineIndex> = self
             .candidates(request, Stage::Decode)
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -1,42 +1,50 @@
 //! Whether a decode attempt has reached its engine, and when something is due about that.
 //!
-//! Bytes that were written to a connection prove nothing: the engine's machine may have vanished, and its connections
-//! then stay open without an error. Until the engine has shown that it runs, an attempt counts as not arrived, and the time
-//! within which the KV state has to be taken or released goes on. An engine that shows nothing in time is asked to
-//! confirm that it runs; without an answer the attempt is given up and another engine takes the KV state, or the state is
+//! Bytes that were written to a connection prove nothing: the engine's machine may have vanished,
+//! and its connections then stay open without an error. Until the engine has shown that it runs, an
+//! attempt counts as not arrived, and the time within which the KV state has to be taken or
+//! released goes on. An engine that shows nothing in time is asked to confirm that it runs; without
+//! an answer the attempt is given up and another engine takes the KV state, or the state is
 //! released.
 //!
-//! All times count from the instant since which the KV state is unclaimed, as fractions of its timeout.
+//! All times count from the instant since which the KV state is unclaimed, as fractions of its
+//! timeout.
 
 use crate::interface::{Ms, Outcome};
 
-/// When the engine is asked to confirm, counted from the send, and then after each further interval: on an open
-/// connection the answer takes one round trip, on a new one three.
+/// When the engine is asked to confirm, counted from the send, and then after each further
+/// interval: on an open connection the answer takes one round trip, on a new one three.
 const CONFIRM_AFTER_FRACTION: f64 = 0.2;
 const CONFIRM_INTERVAL_FRACTION: f64 = 0.15;
-/// When an attempt without an answer is given up: half of the timeout is left for one at another engine. That one is
-/// asked at once and has the second time to be confirmed.
+/// When an attempt without an answer is given up: half of the timeout is left for one at another
+/// engine. That one is asked at once and has the second time to be confirmed.
 const GIVE_UP_AT_FRACTION: f64 = 0.5;
 const MIN_CONFIRM_WAIT_FRACTION: f64 = 0.2;
-/// When the state is released, if the engine runs and nothing has come on the attempt's own connection, in case that
-/// connection alone is dead. It leaves the time for asking some engines that do not answer.
+/// When the state is released, if the engine runs and nothing has come on the attempt's own
+/// connection, in case that connection alone is dead. It leaves the time for asking some engines
+/// that do not answer.
 const RELEASE_AT_FRACTION: f64 = 0.8;
-/// The latest start of an attempt at another engine: its own wait, and then a release, still fit in.
+/// The latest start of an attempt at another engine: its own wait, and then a release, still fit
+/// in.
 const LAST_ATTEMPT_AT_FRACTION: f64 = 0.6;
 
-/// What comes from an engine may have been sent so many milliseconds earlier: a process may be held up for 150 ms
-/// between reading its clock and acting, and the platform's protocol adds 50 ms to each time on sockets.
+/// What comes from an engine may have been sent so many milliseconds earlier: a process may be held
+/// up for 150 ms between reading its clock and acting, and the platform's protocol adds 50 ms to
+/// each time on sockets.
 pub const RECEIVED_LATE: Ms = 200.0;
 
 /// What is known of an attempt's way to its engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Delivery {
-    /// The attempt has arrived, as far as anybody reports that, or nothing more is to be done about it.
+    /// The attempt has arrived, as far as anybody reports that, or nothing more is to be done about
+    /// it.
     Confirmed,
-    /// The engine has shown since the send that it runs, on some connection: the attempt is in its queue, or its own
-    /// connection alone is dead. When the state is released in case it is the latter.
+    /// The engine has shown since the send that it runs, on some connection: the attempt is in its
+    /// queue, or its own connection alone is dead. When the state is released in case it is the
+    /// latter.
     EngineRuns { release_at: Ms },
-    /// Nothing has come since the send: when the engine is asked next, and when the attempt is given up.
+    /// Nothing has come since the send: when the engine is asked next, and when the attempt is
+    /// given up.
     Unconfirmed { ask_at: Ms, give_up_at: Ms },
     /// Nothing came in time: the attempt counts as not arrived, though it may yet arrive.
     GivenUp,
@@ -119,7 +127,8 @@
         }
     }
 
-    /// Whether an attempt that ended so had arrived: only then its KV state is unclaimed anew from its end.
+    /// Whether an attempt that ended so had arrived: only then its KV state is unclaimed anew from
+    /// its end.
     pub(super) fn has_arrived(&self, outcome: Outcome) -> bool {
         match outcome {
             Outcome::Unreachable | Outcome::NotSent => false,
--- a/src/control/delivery_tracking.rs
+++ b/src/control/delivery_tracking.rs
@@ -54,9 +54,10 @@
                 request.intents.confirm = true;
                 self.wake_by(next_at);
             }
-            // Nothing has come from an engine that runs. By the platform's wire page a release lets go of what no attempt
-            // waits for, so it takes nothing from one in the queue; by the other page it does, and that one finds no
-            // state and is rejected, which proves that it has not run.
+            // Nothing has come from an engine that runs. By the platform's wire page a release lets
+            // go of what no attempt waits for, so it takes nothing from one in the queue; by the
+            // other page it does, and that one finds no state and is rejected, which proves that it
+            // has not run.
             DeliveryStep::ReleaseInDoubt => {
                 request.intents.release_in_doubt = request.kv_state.is_some();
             }
@@ -64,8 +65,9 @@
         }
     }
 
-    /// An attempt that has not arrived: another engine takes its KV state, if the request may run there and one is to be
-    /// had in time; else the state is released, and the attempt, should it arrive after all, finds none.
+    /// An attempt that has not arrived: another engine takes its KV state, if the request may run
+    /// there and one is to be had in time; else the state is released, and the attempt, should it
+    /// arrive after all, finds none.
     fn plan_undelivered(&mut self, request: &mut Request, engine: EngineIndex, sent_at: Ms) {
         let known = &mut self.engines[engine];
         known.note_outcome(false);
--- a/src/control/emit.rs
+++ b/src/control/emit.rs
@@ -1,4 +1,4 @@
-//! Turns intents into actions: the only place that acts on a request.
+//! Makes actions of intents: the only place that acts on a request.
 
 use super::delivery::Delivery;
 use super::engines::EngineIndex;
--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Takes its entry in the list of endpoints in. A later start is a new process under the same id: what was learned
-    /// of the old one no longer holds.
+    /// Takes its entry in the list of endpoints in. A later start is a new process under the same
+    /// id: what was learned of the old one no longer holds.
     fn update(&mut self, endpoint: &Endpoint) {
         let started_at = endpoint.started.unwrap_or(f64::NEG_INFINITY);
         if started_at > self.slow_start.started_at() {
@@ -207,7 +207,8 @@
             .map(|(index, _)| index)
     }
 
-    /// Whether an attempt of this stage only computes a KV state there; a mixed engine answers what it has prefilled.
+    /// Whether an attempt of this stage only computes a KV state there; a mixed engine answers what
+    /// it has prefilled.
     pub(super) fn is_prefill_only(&self, stage: Stage, index: EngineIndex) -> bool {
         stage == Stage::Prefill && self.engines[index].kind.role == Role::Prefill
     }
@@ -225,7 +226,8 @@
             .update(load, typical_tokens, engine.kind.memory_tokens, now);
     }
 
-    /// The mean of a reported value over the ready engines of a stage whose reports are known, one of them left out.
+    /// The mean of a reported value over the ready engines of a stage whose reports are known, one
+    /// of them left out.
     pub(super) fn mean_report(
         &self,
         stage: Stage,
@@ -241,8 +243,8 @@
         sum / f64::max(count, 1.0)
     }
 
-    /// Prompt tokens that wait at a prefill engine: own ones scaled by `dispatchers_seen`, or what it reported, which
-    /// ages towards `mean`; whichever is more.
+    /// Prompt tokens that wait at a prefill engine: own ones scaled by `dispatchers_seen`, or what
+    /// it reported, which ages towards `mean`; whichever is more.
     pub(super) fn waiting_tokens(
         &self,
         index: EngineIndex,
--- a/src/control/health_check.rs
+++ b/src/control/health_check.rs
@@ -6,16 +6,18 @@
 
 /// How long a prefill waits for load reports, in shortest latency objectives.
 pub(super) const REPORT_WAIT_OBJECTIVES: f64 = 0.03;
-/// For how long a report, or a check that is out, makes another one needless, in shortest latency objectives.
-const REPORT_FRESH_OBJECTIVES: f64 = 0.25;
-/// For how long the answer to an attempt stands in for a report, and how long a check is waited for, in shortest latency
+/// For how long a report, or a check that is out, makes another one needless, in shortest latency
 /// objectives.
+const REPORT_FRESH_OBJECTIVES: f64 = 0.25;
+/// For how long the answer to an attempt stands in for a report, and how long a check is waited
+/// for, in shortest latency objectives.
 const RESPONSE_FRESH_OBJECTIVES: f64 = 2.0;
-/// With more own decodes there than this the count of them tells enough.
-const TELLING_OWN_DECODES: f64 = 1.0;
+/// With more own decodes at an engine than this, their count shows its load well enough.
+const MIN_INFORMATIVE_DECODES: f64 = 1.0;
 
 impl State {
-    /// Asks those of the engines for their load of which nothing is known lately; gives whether an answer is awaited.
+    /// Asks those of the engines for their load of which nothing is known lately; gives whether an
+    /// answer is awaited.
     pub(super) fn request_load_reports(&mut self, engines: &[EngineIndex]) -> bool {
         if !self.settings.may_health_check {
             return false;
@@ -51,6 +53,6 @@
             .max(engine.load_report.received_at());
         self.now - reported_at < self.objectives(REPORT_FRESH_OBJECTIVES)
             || self.now - engine.last_response_at < self.objectives(RESPONSE_FRESH_OBJECTIVES)
-            || engine.decodes > TELLING_OWN_DECODES
+            || engine.decodes > MIN_INFORMATIVE_DECODES
     }
 }
--- a/src/control/home_engines.rs
+++ b/src/control/home_engines.rs
@@ -7,11 +7,13 @@
 /// Prefill engines over which the prefills of one prefix are spread.
 const MAX_HOME_ENGINES: usize = 4;
 
-/// The home engines of a request's prefix among `candidates`, in the order in which the session tries them: the home of
-/// all requests with this prefix, then the others in an order of the session's own.
+/// The home engines of a request's prefix among `candidates`, in the order in which the session
+/// tries them: the home of all requests with this prefix, then the others in an order of the
+/// session's own.
 ///
-/// Guards against prompts scattered over the fleet, which shows as prefixes that are computed over and over: whichever
-/// dispatcher sends a session's prompts finds them cached at one of the same few engines.
+/// Guards against prompts scattered over the fleet, which shows as prefixes that are computed over
+/// and over: whichever dispatcher sends a session's prompts finds them cached at one of the same
+/// few engines.
 pub(super) fn home_engines(
     arrival: &Arrival,
     candidates: &[EngineIndex],
--- a/src/control/learn.rs
+++ b/src/control/learn.rs
@@ -1,4 +1,4 @@
-//! Takes events in: what they tell of requests, engines and traffic.
+//! Takes events in: what they mean for requests, engines and traffic.
 
 use super::delivery::Delivery;
 use super::engines::EngineIndex;
@@ -153,14 +153,15 @@
     fn learn_latency(&mut self, attempt: &Attempt, outcome: Outcome, queued: bool) {
         let engine = &mut self.engines[attempt.engine];
         let is_prefill = attempt.stage == Stage::Prefill;
-        let tells_of_queue = matches!(
+        let shows_queueing = matches!(
             outcome,
             Outcome::PrefillDone | Outcome::TimedOut | Outcome::Overloaded
         );
-        if is_prefill && tells_of_queue {
+        if is_prefill && shows_queueing {
             engine.note_queueing(queued, attempt.sent_at, self.now);
         }
-        // What came late, or was rejected, tells of a queue: a load report is wanted the more.
+        // What came late, or was rejected, has met a queue: then a load report is wanted all the
+        // more.
         let answered_in_time = if is_prefill {
             !queued
         } else {
@@ -207,8 +208,9 @@
     /// An engine has done a prefill or begun a decode.
     fn note_service(&mut self, index: EngineIndex, stage: Stage) {
         self.engines[index].note_outcome(true);
-        // Guards against a cold-engine budget that is too large during a replacement: what ends at engines that are being
-        // replaced, held against the few warm ones that are left, would pass for what each of those bears.
+        // Guards against a cold-engine budget that is too large during a replacement: what ends at
+        // engines that are being replaced, held against the few warm ones that are left, would pass
+        // for what each of those bears.
         if self.is_cold(index) || !self.engines[index].is_ready() {
             return;
         }
--- a/src/control/load_report.rs
+++ b/src/control/load_report.rs
@@ -1,4 +1,5 @@
-//! What an engine reported of its load, how fast that ages, and whether a health check is unanswered.
+//! What an engine reported of its load, how fast that ages, and whether a health check is
+//! unanswered.
 
 use crate::interface::{Load, Ms};
 
@@ -26,8 +27,9 @@
         }
     }
 
-    /// Takes a report in; one that says nothing changes nothing. `typical_tokens`: prompt tokens of a waiting
-    /// request, where the engine only counts requests; `memory_tokens`: the engine's KV memory in tokens.
+    /// Takes a report in; one that says nothing changes nothing. `typical_tokens`: prompt tokens of
+    /// a waiting request, where the engine only counts requests; `memory_tokens`: the engine's KV
+    /// memory in tokens.
     pub(super) fn update(&mut self, load: &Load, typical_tokens: f64, memory_tokens: f64, now: Ms) {
         let fields = [
             load.in_flight,
@@ -98,8 +100,8 @@
         self.sent_at > self.answered_at.max(now - within_ms)
     }
 
-    /// Whether an answer is missing: a check is out or failed. Guards against an engine too busy to report how busy
-    /// it is, which would pass for one where nothing waits.
+    /// Whether an answer is missing: a check is out or failed. Guards against an engine too busy to
+    /// report how busy it is, which would pass for one where nothing waits.
     pub(super) fn lacks_answer(&self, now: Ms, within_ms: Ms) -> bool {
         now - self.sent_at < within_ms && (self.unresponsive || self.sent_at > self.answered_at)
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,15 +1,17 @@
-//! Every decision of a dispatcher about requests: which prefill engine computes a prompt, which decode engine answers it,
-//! what follows a failure, and when a request is rejected or failed.
+//! Every decision of a dispatcher about requests: which prefill engine computes a prompt, which
+//! decode engine answers it, what follows a failure, and when a request is rejected or failed.
 //!
-//! Callers make one [`Control`] a dispatcher, hand each batch of events to [`Control::step`] with its instant and carry
-//! out the actions in order; timers come back as [`Event::Timer`]. The types of both sides are in [`crate::interface`].
-//! The same settings, seed and events give the same actions.
+//! A driver makes one [`Control`] for each dispatcher, hands each batch of events to
+//! [`Control::step`] with its instant and carries out the actions in order; timers come back as
+//! [`Event::Timer`]. The types of both sides are in [`crate::interface`]. The same settings, seed
+//! and events give the same actions.
 //!
-//! A step runs in three parts: `learn` takes the events in, `plan` sets the intents of each request that can have
-//! changed (`plan_queue`), and `emit` alone turns intents into actions. The rules have a module each: `admission`,
-//! `candidates`, `prefill_placement`, `decode_placement`, `retry`, `health_check` and `delivery_tracking` decide with the
-//! whole `state`; what is known of one engine is made of `concurrency_limit`, `outlier_detection`, `prefix_cache`,
-//! `load_report` and `slow_start`.
+//! A step runs in three parts: `learn` takes the events in, `plan` sets the intents of each request
+//! that can have changed (`plan_queue`), and `emit` alone makes actions of intents. The rules have
+//! a module each: `admission`, `candidates`, `prefill_placement`, `decode_placement`, `retry`,
+//! `health_check` and `delivery_tracking` decide with the whole `state`; what is known of one
+//! engine is made of `concurrency_limit`, `outlier_detection`, `prefix_cache`, `load_report` and
+//! `slow_start`.
 
 mod admission;
 mod candidates;
@@ -49,7 +51,8 @@
 }
 
 impl Control {
-    /// A dispatcher that knows no engine yet. `seed` starts its random draws, which break ties between engines.
+    /// A dispatcher that knows no engine yet. `seed` starts its random draws, which break ties
+    /// between engines.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Control {
             state: State::new(settings, seed),
@@ -57,14 +60,15 @@
         }
     }
 
-    /// From now on a decode attempt counts as arrived only once [`Event::Delivered`], its first token or its end has
-    /// told so; without this call what is sent counts as arrived.
+    /// From now on a decode attempt counts as arrived only once [`Event::Delivered`], its first
+    /// token or its end shows it; without this call what is sent counts as arrived.
     pub fn track_deliveries(&mut self) {
         self.state.tracks_deliveries = true;
     }
 
-    /// Takes the events in at the instant `now`, in milliseconds on the caller's clock, and appends the actions that follow
-    /// to `actions`. An earlier instant than the last one counts as that one.
+    /// Takes the events in at the instant `now`, in milliseconds on the driver's clock, and appends
+    /// the actions that follow to `actions`. An earlier instant than the last one counts as that
+    /// one.
     pub fn step(&mut self, now: Ms, events: &[Event], actions: &mut Vec<Action>) {
         let state = &mut self.state;
         state.now = state.now.max(now);
@@ -101,8 +105,8 @@
         }
     }
 
-    /// Has every request but the held planned at the next step, as a simple policy without a queue would do. The actions
-    /// are the same; tests compare them.
+    /// Has every request but the held planned at the next step, as a simple policy without a queue
+    /// would do. The actions are the same; tests compare them.
     pub fn wake_all(&mut self) {
         let state = &mut self.state;
         let now = state.now;
--- a/src/control/outlier_detection.rs
+++ b/src/control/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Engines that are left out of the choice for a while: those that fail more often than their peers (ejection), and
-//! those that rejected an attempt as overloaded (backoff).
+//! Engines that are left out of the choice for a while: those that fail more often than their peers
+//! (ejection), and those that rejected an attempt as overloaded (backoff).
 
 use crate::interface::Ms;
 
@@ -9,7 +9,8 @@
 const MIN_OUTCOMES: u32 = 3;
 /// An engine is ejected below this fraction of its peers' mean success.
 const EJECT_BELOW_PEERS_FRACTION: f64 = 0.5;
-/// Interval at which overloaded engines and held requests are tried again, as a fraction of the KV state timeout.
+/// Interval at which overloaded engines and held requests are tried again, as a fraction of the KV
+/// state timeout.
 pub(super) const RETRY_INTERVAL_FRACTION: f64 = 0.1;
 /// How often the backoff is doubled at the most.
 const MAX_BACKOFF_DOUBLINGS: i32 = 5;
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Whether the engine fails far more often than its peers, whose mean success is given. Compared with peers
-    /// because a failure of the whole fleet must not eject every engine.
+    /// Whether the engine fails far more often than its peers, whose mean success is given.
+    /// Compared with peers because a failure of the whole fleet must not eject every engine.
     pub(super) fn is_ejected(&self, peers_success: f64) -> bool {
         self.bits.ilog2() >= MIN_OUTCOMES
             && self.success_fraction() < EJECT_BELOW_PEERS_FRACTION * peers_success
@@ -70,8 +71,8 @@
     }
 }
 
-/// Guards against an engine that rejects everything: it always looks as if it had room. Each rejection in a row
-/// doubles the time for which it is left out.
+/// Guards against an engine that rejects everything: it always looks as if it had room. Each
+/// rejection in a row doubles the time for which it is left out.
 pub(super) struct OverloadBackoff {
     until: Ms,
     rejections: i32,
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -51,8 +51,8 @@
             .is_some_and(|first| !self.may_run_on(request, first.engine))
     }
 
-    /// Lowers the engine's concurrency limit as soon as an attempt must have queued, before its outcome: the engine may
-    /// never answer.
+    /// Lowers the engine's concurrency limit as soon as an attempt must have queued, before its
+    /// outcome: the engine may never answer.
     fn note_if_late(&mut self, request: &mut Request) {
         let queued_after_ms = request.queued_after_ms();
         let Some(attempt) = request.attempt.as_mut() else {
@@ -69,7 +69,8 @@
 
     /// No attempt is in flight: starts the next one, gives the request up, or holds it.
     fn plan_next_attempt(&mut self, request: &mut Request) {
-        // A KV state whose prefill engine is gone is computed again, and released in case the list is wrong.
+        // A KV state whose prefill engine is gone is computed again, and released in case the list
+        // is wrong.
         request.intents.release = request
             .kv_state
             .is_some_and(|index| self.engines[index].endpoint.status == EndpointStatus::Gone);
@@ -110,8 +111,9 @@
         }
     }
 
-    /// Has the request wait for an engine. Guards against a jam of held requests that takes all the processor's time:
-    /// once load reports are not waited for any more, they are not planned at every step.
+    /// Has the request wait for an engine. Guards against a jam of held requests that takes all the
+    /// processor's time: once load reports are not waited for any more, they are not planned at
+    /// every step.
     fn hold(&mut self, request: &mut Request, retry_interval_ms: Ms) {
         let retry_at = self.now + retry_interval_ms;
         if request.kv_state.is_none() && self.now >= self.report_wait_ends_at(request) {
--- a/src/control/plan_queue.rs
+++ b/src/control/plan_queue.rs
@@ -23,9 +23,10 @@
     }
 }
 
-/// A new request, one that waits for load reports and one whose KV state waits are planned at every step. One that is
-/// held, or whose attempt is in flight, changes with an event of its own or when its time comes; one that decodes, or is
-/// finished, only with an event. So the cost of a step follows the events, not the requests that live.
+/// A new request, one that waits for load reports and one whose KV state waits are planned at every
+/// step. One that is held, or whose attempt is in flight, changes with an event of its own or when
+/// its time comes; one that decodes, or is finished, only with an event. So the cost of a step
+/// follows the events, not the requests that live.
 #[derive(Default)]
 pub(super) struct PlanQueue {
     awake: BTreeSet<RequestId>,
--- a/src/control/prefill_placement.rs
+++ b/src/control/prefill_placement.rs
@@ -15,10 +15,12 @@
 /// Home engines asked for their load before a prefill: the home and the session's next.
 const HOME_ENGINES_ASKED: usize = 2;
 
-/// The prompt tokens that wait at an engine, divided by its capacity fraction, for the choice of one request.
+/// The prompt tokens that wait at an engine, divided by its capacity fraction, for the choice of
+/// one request.
 struct Backlog<'a> {
     state: &'a State,
-    /// As many times our own part as there are dispatchers, at most as many times as we have prefills in flight.
+    /// As many times our own part as there are dispatchers, at most as many times as we have
+    /// prefills in flight.
     dispatchers_seen: f64,
     mean_reported: f64,
     /// Above this an engine has too much waiting.
@@ -72,7 +74,8 @@
 }
 
 impl State {
-    /// Whether a prefill waits for the load reports of the home engine and the session's next; asks for them.
+    /// Whether a prefill waits for the load reports of the home engine and the session's next; asks
+    /// for them.
     pub(super) fn awaits_home_reports(&mut self, request: &Request) -> bool {
         let until = self.report_wait_ends_at(request);
         let candidates = self.candidates(request, Stage::Prefill);
@@ -91,9 +94,10 @@
 
     /// The engine that computes the prompt; none if the request is held.
     ///
-    /// Guards against scattered prefills, which cost more elsewhere and evict what is cached there, until every engine
-    /// queues: a prefill leaves its home (too much waits, or no room) only while the prefill engines together
-    /// have capacity to spare, or for one that holds most of the prompt; else it is held for its home.
+    /// Guards against scattered prefills, which cost more elsewhere and evict what is cached there,
+    /// until every engine queues: a prefill leaves its home (too much waits, or no room) only while
+    /// the prefill engines together have capacity to spare, or for one that holds most of the
+    /// prompt; else it is held for its home.
     pub(super) fn choose_prefill_engine(&self, request: &Request) -> Option<EngineIndex> {
         let candidates = self.candidates(request, Stage::Prefill);
         let homes = home_engines(&request.arrival, &candidates, &self.engines);
--- a/src/control/prefix_cache.rs
+++ b/src/control/prefix_cache.rs
@@ -8,7 +8,8 @@
 /// A prompt counts as cached where less than this fraction of it has to be computed.
 const MAX_UNCACHED_FRACTION: f64 = 0.5;
 
-/// Shared prefixes and sessions by their ids, each with the number of its tokens that are held, oldest first.
+/// Shared prefixes and sessions by their ids, each with the number of its tokens that are held,
+/// oldest first.
 #[derive(Default)]
 pub(super) struct PrefixCache {
     prefixes: VecDeque<(u64, f64)>,
--- a/src/control/request_classes.rs
+++ b/src/control/request_classes.rs
@@ -57,14 +57,14 @@
         &self.classes[arrival.request_class.0 as usize]
     }
 
-    /// The shortest latency objective of all classes without what a prompt adds: the unit in which waits for load
-    /// reports and the age of what is known of an engine are given.
+    /// The shortest latency objective of all classes without what a prompt adds: the unit in which
+    /// waits for load reports and the age of what is known of an engine are given.
     pub(super) fn shortest_latency_objective(&self) -> Ms {
         self.shortest_latency_objective
     }
 
-    /// The shortest latency objective for a prompt of this length: the unit in which queueing is measured, whatever the
-    /// request's own class.
+    /// The shortest latency objective for a prompt of this length: the unit in which queueing is
+    /// measured, whatever the request's own class.
     pub(super) fn queueing_unit(&self, arrival: &Arrival) -> Ms {
         self.shortest_latency_objective + self.most_per_token * arrival.prompt_tokens
     }
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -5,7 +5,8 @@
 use super::stage::Stage;
 use crate::interface::{Arrival, AttemptId, Ms};
 
-/// An attempt whose prefill, or first token, takes more than this fraction of the queueing unit has waited in a queue.
+/// An attempt whose prefill, or first token, takes more than this fraction of the queueing unit has
+/// waited in a queue.
 const QUEUED_FRACTION: f64 = 0.3;
 
 /// An attempt in flight.
@@ -62,14 +63,16 @@
     pub(super) prefill_by: Ms,
     /// When the own final answer must be out.
     pub(super) ends_at: Ms,
-    /// The shortest latency objective of all classes for this prompt, in which queueing is measured.
+    /// The shortest latency objective of all classes for this prompt, in which queueing is
+    /// measured.
     pub(super) queueing_unit: Ms,
     /// Attempts started so far.
     pub(super) attempts: u32,
     pub(super) attempt: Option<Attempt>,
     /// The prefill engine that holds the KV state.
     pub(super) kv_state: Option<EngineIndex>,
-    /// Since when nothing claims the KV state, from where the KV state timeout counts; before the first attempt the arrival.
+    /// Since when nothing claims the KV state, from where the KV state timeout counts; before the
+    /// first attempt the arrival.
     pub(super) unclaimed_since: Ms,
     /// Until when the request is not planned again, if it is held without an attempt.
     pub(super) held_until: Ms,
@@ -83,7 +86,8 @@
 }
 
 impl Request {
-    /// Whether its prefill is in flight and has not queued so far: a decode engine will be wanted for it.
+    /// Whether its prefill is in flight and has not queued so far: a decode engine will be wanted
+    /// for it.
     pub(super) fn is_prefilling_on_time(&self) -> bool {
         self.attempt
             .as_ref()
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -1,7 +1,7 @@
 //! Cold engines: how many attempts one may get while it warms up, and for how much it counts.
 //!
-//! A cold engine collapses when it gets more than a multiple of its capacity within the overload window. No dispatcher
-//! sees what the others send, so each keeps to its own part.
+//! A cold engine collapses when it gets more than a multiple of its capacity within the overload
+//! window. No dispatcher sees what the others send, so each limits its own part.
 
 use super::decaying_rate::DecayingRate;
 use super::stage::Stage;
@@ -13,7 +13,8 @@
 const BUDGET_USED_FRACTION: f64 = 0.8;
 /// How many times the mean a popular engine may be in demand.
 const POPULAR_ENGINE_MULTIPLE: f64 = 4.0;
-/// The golden ratio as a fraction of 2^64: its multiples lie evenly however many there are (Weyl's sequence).
+/// The golden ratio as a fraction of 2^64: its multiples lie evenly however many there are (Weyl's
+/// sequence).
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// One engine's age and the attempts it got.
@@ -44,7 +45,8 @@
         now < self.started_at + slow_start_window
     }
 
-    /// For how much the engine counts beside a warm one: from the cold capacity up to 1 over the slow-start window.
+    /// For how much the engine counts beside a warm one: from the cold capacity up to 1 over the
+    /// slow-start window.
     pub(super) fn capacity_fraction(&self, now: Ms, settings: &Settings) -> f64 {
         let age = ((now - self.started_at) / settings.slow_start_window).clamp(0.0, 1.0);
         settings.cold_capacity + (1.0 - settings.cold_capacity) * age
@@ -56,12 +58,14 @@
         self.attempts.push_back(now);
     }
 
-    /// Whether one more attempt may be sent there, `budget` being the attempts that a cold engine may get from this
-    /// dispatcher within the overload window. Every attempt counts, also a rejected one.
+    /// Whether one more attempt may be sent there, `budget` being the attempts that a cold engine
+    /// may get from this dispatcher within the overload window. Every attempt counts, also a
+    /// rejected one.
     ///
-    /// Guards against parts that are each small and together too much, which shows as a cold engine that collapses:
-    /// each dispatcher rounds the budget to a whole number, the same while the engine is cold and no more requests
-    /// arrive, and who rounds up goes by the dispatchers' numbers, so that as many do as their fractions add up to.
+    /// Guards against parts that are each small and together too much, which shows as a cold engine
+    /// that collapses: each dispatcher rounds the budget to a whole number, the same while the
+    /// engine is cold and no more requests arrive, and who rounds up goes by the dispatchers'
+    /// numbers, so that as many do as their fractions add up to.
     pub(super) fn has_budget(
         &self,
         engine: &EngineId,
@@ -83,8 +87,9 @@
     }
 }
 
-/// This dispatcher's traffic, from which the budget of cold engines follows. Each dispatcher scales by its own traffic,
-/// however traffic is spread, so that together they stay within what an engine bears.
+/// This dispatcher's traffic, from which the budget of cold engines follows. Each dispatcher scales
+/// by its own traffic, however traffic is spread, so that together they stay within what an engine
+/// bears.
 #[derive(Default)]
 pub(super) struct SlowStartBudget {
     /// Own prefills done, and own decodes begun, by one warm engine.
@@ -119,8 +124,9 @@
         rate.note(1.0 / warm, now, settings.slow_start_window);
     }
 
-    /// Mean attempts that a cold engine bears of this dispatcher's within the overload window: what a warm one does,
-    /// scaled by the cold capacity and the overload multiple. Without a warm engine seen, arrivals are shared out.
+    /// Mean attempts that a cold engine bears of this dispatcher's within the overload window: what
+    /// a warm one does, scaled by the cold capacity and the overload multiple. Without a warm
+    /// engine seen, arrivals are shared out.
     fn mean_budget(&self, stage: Stage, engines: usize, settings: &Settings) -> f64 {
         let service_rate = match stage {
             Stage::Prefill => self.prefill_rate.per_ms(),
@@ -137,12 +143,13 @@
             * settings.overload_window
     }
 
-    /// Attempts that one cold engine may get from this dispatcher within the overload window, with a fraction.
+    /// Attempts that one cold engine may get from this dispatcher within the overload window, with
+    /// a fraction.
     ///
-    /// A dispatcher with a small part mostly has no request to send, so it may send more when it has one: engines are
-    /// rarely in demand for more than a multiple of the mean. Guards against a surge while most engines are cold, which
-    /// shows as a collapse of the few that have budget left: recent arrivals tell how many attempts each of them
-    /// would get.
+    /// A dispatcher with a small part mostly has no request to send, so it may send more when it
+    /// has one: engines are rarely in demand for more than a multiple of the mean. Guards against a
+    /// surge while most engines are cold, which shows as a collapse of the few that have budget
+    /// left: recent arrivals show how many attempts each of them would get.
     pub(super) fn attempts_per_cold_engine(
         &self,
         stage: Stage,
@@ -152,7 +159,8 @@
         settings: &Settings,
     ) -> f64 {
         let budget = self.mean_budget(stage, warm + cold, settings);
-        // The chance that a dispatcher with this mean demand has a request at all is 1 - exp(-demand).
+        // The chance that a dispatcher with this mean demand has a request at all is 1 -
+        // exp(-demand).
         let per_demand = |demand: f64| budget / (1.0 - (-demand.max(f64::EPSILON)).exp());
         let usual_demand = POPULAR_ENGINE_MULTIPLE * budget;
         let open = warm as f64 + cold as f64 * per_demand(usual_demand).min(1.0);
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -18,7 +18,7 @@
 
 pub(super) struct State {
     pub(super) settings: Settings,
-    /// Whether the caller reports [`Event::Delivered`](crate::interface::Event::Delivered).
+    /// Whether the driver reports [`Event::Delivered`](crate::interface::Event::Delivered).
     pub(super) tracks_deliveries: bool,
     pub(super) classes: RequestClasses,
     pub(super) rng: WyRand,
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -5,7 +5,8 @@
 /// Something to be done; actions are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sends a request to an engine: to be prefilled if no KV state is held for it, else to be decoded.
+    /// Sends a request to an engine: to be prefilled if no KV state is held for it, else to be
+    /// decoded.
     StartAttempt {
         /// The request.
         request: RequestId,
@@ -33,12 +34,14 @@
         /// The request.
         request: RequestId,
     },
-    /// Releases the KV state of a request, also while an attempt is in flight that counts as not arrived.
+    /// Releases the KV state of a request, also while an attempt is in flight that counts as not
+    /// arrived.
     Release {
         /// The request.
         request: RequestId,
     },
-    /// Asks the attempt's engine to confirm that it runs; [`Event::Delivered`](super::Event::Delivered) says that it does.
+    /// Asks the attempt's engine to confirm that it runs;
+    /// [`Event::Delivered`](super::Event::Delivered) says that it does.
     Confirm {
         /// The request.
         request: RequestId,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -93,7 +93,7 @@
     pub request: RequestId,
     /// Its class.
     pub request_class: RequestClassId,
-    /// Whose it is, if tenants are told apart.
+    /// Whose it is, if the settings name tenants.
     pub tenant: Option<TenantId>,
     /// The session that it belongs to.
     pub session: SessionId,
@@ -145,7 +145,8 @@
     },
     /// An attempt has ended.
     Ended(Ended),
-    /// Where deliveries are tracked: the attempt has reached an engine that runs, which has shown so since.
+    /// Where deliveries are tracked: the attempt has reached an engine that runs, which has shown
+    /// so since.
     Delivered {
         /// The request.
         request: RequestId,
@@ -204,8 +205,8 @@
     pub latency: Ms,
     /// The request is finished, by this outcome or before it.
     pub last: bool,
-    /// After [`Outcome::PrefillDone`]: prompt tokens that were cached. After [`Outcome::Overloaded`]: 1 if there was no KV
-    /// state to fetch.
+    /// After [`Outcome::PrefillDone`]: prompt tokens that were cached. After
+    /// [`Outcome::Overloaded`]: 1 if there was no KV state to fetch.
     pub detail: f64,
     /// The engine's load, if it reported it.
     pub load: Load,
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -34,7 +34,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u32);
 
-/// A request class, by its place in [`Settings::request_classes`](super::Settings::request_classes).
+/// A request class, by its place in
+/// [`Settings::request_classes`](super::Settings::request_classes).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestClassId(pub u32);
 
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,7 +1,9 @@
-//! The plain types that pass between a dispatcher's program and its [`Control`](crate::control::Control):
-//! ids, start settings, events in, actions out. Nothing here decides anything.
+//! The plain types that pass between a dispatcher's program and its
+//! [`Control`](crate::control::Control): ids, start settings, events in, actions out. Nothing here
+//! decides anything.
 //!
-//! Units: times are in milliseconds ([`Ms`]), text is measured in tokens, loads and shares are fractions of 1.
+//! Units: times are in milliseconds ([`Ms`]), text is measured in tokens, loads and shares are
+//! fractions of 1.
 
 mod actions;
 mod events;
@@ -21,5 +23,6 @@
     TenantSettings,
 };
 
-/// Milliseconds with fractions, either a duration or an instant on the caller's clock, whose zero means nothing.
+/// Milliseconds with fractions, either a duration or an instant on the driver's clock, whose zero
+/// means nothing.
 pub type Ms = f64;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -49,7 +49,8 @@
     pub latency_objective: Ms,
     /// Milliseconds that each 1,000 prompt tokens add to the latency objective.
     pub latency_objective_per_1000_tokens: Ms,
-    /// Milliseconds from the arrival after which the client waits no longer; infinite if each request says its own.
+    /// Milliseconds from the arrival after which the client waits no longer; infinite if each
+    /// request says its own.
     pub time_to_deadline: Ms,
     /// Value of an answer in time beside those of other classes.
     pub priority_weight: f64,
@@ -86,12 +87,13 @@
     Pushed,
     /// The dispatcher asks for the list.
     Polled {
-        /// Milliseconds within which it has to ask after a notice of changes.
+        /// Milliseconds within which a change of the list has to be learned; discovery calls are
+        /// timed by it.
         notified_within: Ms,
     },
 }
 
-/// All that a dispatcher is told at its start.
+/// All that a dispatcher is started with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Its number among its peers.
@@ -100,7 +102,7 @@
     pub dispatchers: u32,
     /// Where it runs.
     pub zone: ZoneId,
-    /// Milliseconds between two steps of the caller: what is due may be done so much later.
+    /// Milliseconds between two steps of the driver: what is due may be done so much later.
     pub tick: Ms,
     /// Request classes in the order of their ids.
     pub request_classes: Vec<RequestClassSettings>,
