--- a/benches/step.rs
+++ b/benches/step.rs
@@ -1,58 +1,34 @@
-//! The price of one whole request (arrival, read, first token, end: four steps or more) as live streams grow.
-//! The fleet is the same in every row, so that only the live streams differ; `plain` plans every request at
-//! every step, as the module did before its turns were kept.
+//! The time that one whole request takes (arrival, prefill, first token, end: four steps or more) as the requests
+//! that decode meanwhile grow. The engines are the same in every row; `plain` plans every request at every step,
+//! `lean` those that can have changed.
+
+#[path = "../tests/common/mod.rs"]
+mod common;
 
 use cindercleat::control::Control;
 use cindercleat::interface::*;
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use std::sync::Arc;
 
 const PREFILL_ENGINES: u32 = 16;
 const DECODE_ENGINES: u32 = 240;
 
 fn settings() -> Settings {
     let request_class = RequestClassSettings {
-        retry_safety: RetrySafety::Idempotent,
-        latency_objective: 1000.0,
-        latency_objective_per_1000_tokens: 40.0,
         time_to_deadline: 8000.0,
-        priority_weight: 1.0,
-        late_value_share: 0.2,
         token_pace: 60.0,
-        streams: true,
+        ..common::request_class(RetrySafety::Idempotent)
     };
     Settings {
-        me: DispatcherId(0),
-        dispatchers: 1,
-        zone: ZoneId(0),
-        tick: 4.0,
         request_classes: vec![request_class],
-        tenants: vec![],
         over_quota_weight: 1.0,
-        kinds: [Role::Prefill, Role::Decode]
-            .map(|role| KindSettings {
-                role,
-                memory_tokens: 2e5,
-            })
-            .to_vec(),
-        discovery: Discovery::Pushed,
-        kv_state_timeout: 500.0,
-        decode_engines_prefill: false,
-        may_reserve: false,
-        may_cancel: true,
-        may_hedge: false,
+        kinds: common::kinds(&[Role::Prefill, Role::Decode], 2e5),
         may_health_check: false,
-        may_gossip: false,
         clients_honor_retry_after: true,
         max_retry_after: 2000.0,
-        max_attempts: 4,
-        connect_timeout: 250.0,
         drain_grace: 500.0,
-        answer_grace: 16.0,
-        overload_multiple: 4.0,
         overload_window: 1000.0,
-        cold_capacity: 0.3,
         slow_start_window: 5000.0,
+        ..common::settings(0, 1)
     }
 }
 
@@ -66,14 +42,9 @@
 
 impl Bench {
     fn new(live: u32, plain: bool) -> Self {
-        let entry = |i: u32| Endpoint {
-            engine: EngineId(Arc::from(format!("host-{i}"))),
-            zone: ZoneId(0),
-            kind: KindId(u32::from(i >= PREFILL_ENGINES)),
-            cell: CellId(i % 4),
-            status: EndpointStatus::Ready,
-            weight: 1.0,
-            started: None,
+        let endpoint = |i: u32| {
+            let kind = u32::from(i >= PREFILL_ENGINES);
+            common::endpoint(&format!("host-{i}"), kind, 0, i % 4)
         };
         let mut bench = Bench {
             control: Control::new(settings(), 1),
@@ -82,7 +53,9 @@
             next: 0,
             actions: Vec::new(),
         };
-        let endpoints = (0..PREFILL_ENGINES + DECODE_ENGINES).map(entry).collect();
+        let endpoints = (0..PREFILL_ENGINES + DECODE_ENGINES)
+            .map(endpoint)
+            .collect();
         bench.step(Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Snapshot,
             endpoints,
--- a/src/control/decode_placement.rs
+++ b/src/control/decode_placement.rs
@@ -61,9 +61,9 @@
         })
     }
 
-    /// Fewest in flight wins, a cold engine counting as loaded by its age. Ties are drawn, weighted
-    /// by the free fraction as last reported. Guards against herding: the least of old reports
-    /// would draw every dispatcher to one engine.
+    /// Fewest in flight wins, a cold engine's load counting the more the younger it is. Ties are
+    /// drawn, weighted by the free fraction as last reported. Guards against herding: the least of
+    /// old reports would draw every dispatcher to one engine.
     fn choose_least_loaded(&mut self, engines: Vec<EngineIndex>) -> Option<EngineIndex> {
         // One draw for each, in order, so that the draws do not depend on loads.
         let draws: Vec<f64> = engines
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -124,9 +124,12 @@
         rate.note(1.0 / warm, now, settings.slow_start_window);
     }
 
-    /// Mean attempts that a cold engine bears of this dispatcher's within the overload window: what
-    /// a warm one does, scaled by the cold capacity and the overload multiple. Without a warm
-    /// engine seen, arrivals are shared out.
+    /// Mean attempts that a cold engine may get from this dispatcher within the overload window.
+    ///
+    /// Guards against overloading a cold engine, which shows as its collapse: warm engines show
+    /// what an engine bears (own prefills done and decodes begun there, also before all of them
+    /// restarted), and a cold one gets that, scaled by the cold capacity and the overload multiple,
+    /// less a margin. Without a warm engine seen, arrivals are shared out.
     fn mean_budget(&self, stage: Stage, engines: usize, settings: &Settings) -> f64 {
         let service_rate = match stage {
             Stage::Prefill => self.prefill_rate.per_ms(),
@@ -159,8 +162,7 @@
         settings: &Settings,
     ) -> f64 {
         let budget = self.mean_budget(stage, warm + cold, settings);
-        // The chance that a dispatcher with this mean demand has a request at all is 1 -
-        // exp(-demand).
+        // With this mean demand a dispatcher has a request at all with the chance 1 - exp(-demand).
         let per_demand = |demand: f64| budget / (1.0 - (-demand.max(f64::EPSILON)).exp());
         let usual_demand = POPULAR_ENGINE_MULTIPLE * budget;
         let open = warm as f64 + cold as f64 * per_demand(usual_demand).min(1.0);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,7 @@
-//! Hundreds of dispatchers that each see little, side by side: what is harmless in one and harmful in all.
+//! Hundreds of dispatchers that each see little, side by side: what does no harm in one may do much
+//! in all.
+
+mod common;
 
 use cindercleat::control::Control;
 use cindercleat::interface::*;
@@ -6,50 +9,12 @@
 
 const DISPATCHERS: u32 = 300;
 const PREFILL_ENGINES: u32 = 40;
-const BEGINNING: u64 = 9;
+const SHARED_PREFIX: u64 = 9;
 
 fn settings(me: u32) -> Settings {
-    let request_class = RequestClassSettings {
-        retry_safety: RetrySafety::Idempotent,
-        latency_objective: 1000.0,
-        latency_objective_per_1000_tokens: 40.0,
-        time_to_deadline: 4000.0,
-        priority_weight: 1.0,
-        late_value_share: 0.2,
-        token_pace: 50.0,
-        streams: true,
-    };
-    let kind = |role| KindSettings {
-        role,
-        memory_tokens: 150_000.0,
-    };
     Settings {
-        me: DispatcherId(me),
-        dispatchers: DISPATCHERS,
-        zone: ZoneId(0),
-        tick: 4.0,
-        request_classes: vec![request_class],
-        tenants: Vec::new(),
-        over_quota_weight: 0.1,
-        kinds: vec![kind(Role::Prefill), kind(Role::Decode)],
-        discovery: Discovery::Pushed,
-        kv_state_timeout: 500.0,
-        decode_engines_prefill: false,
-        may_reserve: false,
-        may_cancel: true,
-        may_hedge: false,
-        may_health_check: true,
         may_gossip: true,
-        clients_honor_retry_after: false,
-        max_retry_after: 1000.0,
-        max_attempts: 4,
-        connect_timeout: 250.0,
-        drain_grace: 250.0,
-        answer_grace: 16.0,
-        overload_multiple: 4.0,
-        overload_window: 2000.0,
-        cold_capacity: 0.3,
-        slow_start_window: 10_000.0,
+        ..common::settings(me, DISPATCHERS)
     }
 }
 
@@ -57,22 +22,14 @@
     EngineId(name.into())
 }
 
-fn entry(name: &str, kind: u32, at: u32) -> Endpoint {
-    Endpoint {
-        engine: engine(name),
-        zone: ZoneId(at % 3),
-        kind: KindId(kind),
-        cell: CellId(at % 9),
-        status: EndpointStatus::Ready,
-        weight: 1.0,
-        started: None,
-    }
+fn endpoint(name: &str, kind: u32, at: u32) -> Endpoint {
+    common::endpoint(name, kind, at % 3, at % 9)
 }
 
 fn engines() -> Vec<Endpoint> {
-    let prefill_engines = (0..PREFILL_ENGINES).map(|at| entry(&format!("r{at}"), 0, at));
+    let prefill_engines = (0..PREFILL_ENGINES).map(|at| endpoint(&format!("r{at}"), 0, at));
     prefill_engines
-        .chain((0..20).map(|at| entry(&format!("w{at}"), 1, at)))
+        .chain((0..20).map(|at| endpoint(&format!("w{at}"), 1, at)))
         .collect()
 }
 
@@ -92,7 +49,7 @@
         request: RequestId(request),
         session: SessionId(session),
         time_to_deadline: 4000.0,
-        shared: Some(SharedTextId(BEGINNING)),
+        shared: Some(SharedTextId(SHARED_PREFIX)),
         prompt_tokens: 5000.0,
         shared_tokens: 4000.0,
         max_tokens: 400.0,
@@ -100,12 +57,12 @@
     })
 }
 
-fn probes(actions: &[Action]) -> Vec<EngineId> {
-    let probe = |a: &Action| match a {
+fn health_checks(actions: &[Action]) -> Vec<EngineId> {
+    let health_check = |a: &Action| match a {
         Action::HealthCheck { engine } => Some(engine.clone()),
         _ => None,
     };
-    actions.iter().filter_map(probe).collect()
+    actions.iter().filter_map(health_check).collect()
 }
 
 fn attempted(actions: &[Action]) -> Option<EngineId> {
@@ -115,18 +72,20 @@
     })
 }
 
-/// Where a request that comes at `now` is read, if a probe of an engine ends as `says` has it; none: its answer is out.
-fn read_at(
+/// Where a request that comes at `now` is prefilled, if a health check of an engine ends as
+/// `reports` has it: the outcome and the requests that wait there; none if its answer does not
+/// come.
+fn prefill_engine_at(
     control: &mut Control,
     now: Ms,
     session: u64,
-    says: impl Fn(&EngineId) -> Option<(Outcome, f64)>,
+    reports: impl Fn(&EngineId) -> Option<(Outcome, f64)>,
 ) -> EngineId {
     let mut actions = Vec::new();
     control.step(now, &[arrives(now as u32, session)], &mut actions);
     let mut answers = Vec::new();
-    for engine in probes(&actions) {
-        let Some((outcome, queue)) = says(&engine) else {
+    for engine in health_checks(&actions) {
+        let Some((outcome, queue)) = reports(&engine) else {
             continue;
         };
         let queue = Some(queue).filter(|_| outcome == Outcome::Succeeded);
@@ -143,7 +102,7 @@
         });
     }
     control.step(now + 5.0, &answers, &mut actions);
-    // The wait for probes comes to its end.
+    // The wait for load reports ends.
     for after in [20.0, 40.0, 60.0, 100.0, 200.0] {
         control.wake_all();
         control.step(now + after, &[], &mut actions);
@@ -151,7 +110,7 @@
     attempted(&actions).expect("a task with room everywhere is read")
 }
 
-fn read_done(request: RequestId, engine: EngineId, last: bool) -> Event {
+fn prefill_done(request: RequestId, engine: EngineId, last: bool) -> Event {
     let (attempt, load, outcome, latency, detail) = (
         AttemptId(0),
         Load::default(),
@@ -175,38 +134,50 @@
     Some((Outcome::Succeeded, 0.0))
 }
 
-/// A dispatcher that has seen a prefill engine at work long ago, so that the length of a queue means something to it.
-fn seasoned(me: u32) -> Control {
+/// A dispatcher that has seen a prefill end long ago, so that it knows how many tokens a waiting
+/// request stands for.
+fn dispatcher_that_saw_a_prefill(me: u32) -> Control {
     let mut control = dispatcher(me);
-    let engine = read_at(&mut control, 1.0, 1, idle);
+    let engine = prefill_engine_at(&mut control, 1.0, 1, idle);
     let request = RequestId(1);
     control.step(
         210.0,
         &[
             Event::ClientGone { request },
-            read_done(request, engine, true),
+            prefill_done(request, engine, true),
         ],
         &mut Vec::new(),
     );
     control
 }
 
+/// Hundreds of dispatchers get requests with the same prefix. Unless all send them to one engine,
+/// each computes the prefix anew.
 #[test]
-fn all_read_a_beginning_at_one_home_while_it_is_idle() {
+fn all_prefill_a_shared_prefix_at_one_home_while_it_is_idle() {
     let homes: BTreeSet<EngineId> = (0..DISPATCHERS)
-        .map(|me| read_at(&mut dispatcher(me), 1.0, u64::from(me), idle))
+        .map(|me| prefill_engine_at(&mut dispatcher(me), 1.0, u64::from(me), idle))
         .collect();
     assert_eq!(homes.len(), 1, "{homes:?}");
 }
 
-/// A home that too much is drawn to: its reads go to a few others, the same for a session whoever sends it, and not
-/// to wherever each dispatcher happens to see least waiting. `says`: what the home makes of a probe.
-fn reads_leave_the_home(says: Option<(Outcome, f64)>) {
-    let home = read_at(&mut dispatcher(0), 1.0, 0, idle);
-    let jammed = |h: &EngineId| if *h == home { says } else { idle(h) };
+/// Too many prefills come to the home engine of a popular prefix. They must go to a few others, the
+/// same for a session whichever dispatcher sends it, and not to wherever each dispatcher happens to
+/// see least waiting: scattered, the prefix would be computed again at every engine.
+/// `home_reports`: how a health check of the home ends.
+fn prefills_leave_the_home(home_reports: Option<(Outcome, f64)>) {
+    let home = prefill_engine_at(&mut dispatcher(0), 1.0, 0, idle);
+    let report_of = |h: &EngineId| if *h == home { home_reports } else { idle(h) };
     let mut used = BTreeSet::new();
     for session in 0..u64::from(DISPATCHERS / 3) {
-        let at = |me: u32| read_at(&mut seasoned(me), 5000.0, session, jammed);
+        let at = |me: u32| {
+            prefill_engine_at(
+                &mut dispatcher_that_saw_a_prefill(me),
+                5000.0,
+                session,
+                report_of,
+            )
+        };
         let places: BTreeSet<EngineId> = [3, 40, 200].map(at).into();
         assert_eq!(places.len(), 1, "session {session}: {places:?}");
         used.extend(places);
@@ -215,29 +186,33 @@
     assert!((2..=4).contains(&used.len()), "{used:?}");
 }
 
+/// The home engine answers health checks and has a long queue.
 #[test]
-fn reads_leave_a_home_with_a_long_queue_for_a_few_readers() {
-    reads_leave_the_home(Some((Outcome::Succeeded, 30.0)));
+fn prefills_leave_a_home_with_a_long_queue_for_a_few_engines() {
+    prefills_leave_the_home(Some((Outcome::Succeeded, 30.0)));
 }
 
+/// The home engine is too busy to answer a health check. What is unknown must not count as an empty
+/// queue.
 #[test]
-fn a_home_too_busy_to_answer_a_probe_is_not_taken_for_idle() {
-    reads_leave_the_home(Some((Outcome::TimedOut, 0.0)));
-    reads_leave_the_home(Some((Outcome::Failed, 0.0)));
-    reads_leave_the_home(None);
+fn a_home_too_busy_to_answer_a_health_check_is_not_taken_for_idle() {
+    prefills_leave_the_home(Some((Outcome::TimedOut, 0.0)));
+    prefills_leave_the_home(Some((Outcome::Failed, 0.0)));
+    prefills_leave_the_home(None);
 }
 
-/// Of all dispatchers' next streams, how many begin at the cold one of these decode engines of the prefill engine's cell.
-fn begun_cold(warm: &[&str]) -> usize {
+/// How many of all dispatchers' next decodes go to the cold one of these decode engines in the
+/// prefill engine's cell.
+fn decodes_at_cold_engine(warm: &[&str]) -> usize {
     let taken = |me: u32| {
         let mut control = Control::new(settings(me), u64::from(me) * 7919);
         let cold = Endpoint {
             started: Some(1000.0),
-            ..entry("cold", 1, 0)
+            ..endpoint("cold", 1, 0)
         };
-        let near = warm.iter().map(|name| entry(name, 1, 0));
-        let far = ["f1", "f2", "f3"].map(|name| entry(name, 1, 1));
-        let endpoints = [cold, entry("r", 0, 0)]
+        let near = warm.iter().map(|name| endpoint(name, 1, 0));
+        let far = ["f1", "f2", "f3"].map(|name| endpoint(name, 1, 1));
+        let endpoints = [cold, endpoint("r", 0, 0)]
             .into_iter()
             .chain(near)
             .chain(far)
@@ -251,11 +226,11 @@
             }],
             &mut actions,
         );
-        let engine = read_at(&mut control, 2000.0, u64::from(me), idle);
+        let engine = prefill_engine_at(&mut control, 2000.0, u64::from(me), idle);
         actions.clear();
         control.step(
             2210.0,
-            &[read_done(RequestId(2000), engine, false)],
+            &[prefill_done(RequestId(2000), engine, false)],
             &mut actions,
         );
         attempted(&actions).is_some_and(|to| &*to.0 == "cold")
@@ -263,11 +238,12 @@
     (0..DISPATCHERS).filter(|&me| taken(me)).count()
 }
 
-/// Each has a small part of an attempt to give to a cold engine, and seldom a request for it: what is drawn of that by the
-/// clock is mostly not there when a request is, and an engine counted for less by its age loses each tie.
+/// A decode engine has just started. Each dispatcher may send it a small fraction of an attempt and
+/// seldom has a request at all. The engine must get its part of all decodes, neither nothing, as
+/// one that counts for less by its age loses each tie, nor so much that it collapses.
 #[test]
-fn a_cold_writer_gets_its_part_of_the_streams_of_all_and_no_more() {
-    let part = |warm: &[&str]| begun_cold(warm) as f64 / f64::from(DISPATCHERS);
+fn a_cold_decode_engine_gets_its_part_of_all_decodes_and_no_more() {
+    let part = |warm: &[&str]| decodes_at_cold_engine(warm) as f64 / f64::from(DISPATCHERS);
     let beside = part(&["w1", "w2"]);
     assert!(
         (0.02..0.15).contains(&beside),
@@ -280,11 +256,13 @@
     );
 }
 
-/// The busiest of hundreds, in a jam: what it holds may not take its part of a processor, or all that it took is lost.
+/// The engines are overloaded and one dispatcher holds hundreds of requests. Planning all of them
+/// at every step would take all the time of its processor, and nothing that it accepted would be
+/// answered.
 #[test]
 fn held_requests_are_not_planned_at_every_step() {
     let mut control = Control::new(settings(0), 7);
-    let endpoints = vec![entry("r", 0, 0), entry("w", 1, 0)];
+    let endpoints = vec![endpoint("r", 0, 0), endpoint("w", 1, 0)];
     let requests = (1..=300).map(|request| arrives(request, u64::from(request)));
     let first = [Event::EndpointsUpdated {
         kind: EndpointUpdateKind::Snapshot,
@@ -298,28 +276,32 @@
     let before = control.planned();
     for at in 51..350 {
         let load = Load::default();
-        let heard = Event::HealthChecked {
+        let checked = Event::HealthChecked {
             engine: engine("w"),
             outcome: Outcome::Succeeded,
             latency: 5.0,
             load,
         };
-        control.step(f64::from(at), &[heard], &mut Vec::new());
+        control.step(f64::from(at), &[checked], &mut Vec::new());
     }
-    // Every 50 ms, a tenth of the release time.
+    // Every 50 ms, a tenth of the KV state timeout.
     let planned = control.planned() - before;
     assert!((300..300 * 8).contains(&planned), "{planned}");
 }
 
-/// The same for a cold prefill engine that is the home of a beginning which all read.
+/// The home engine of a popular prefix has just started. It must get its part of the prefills of
+/// all dispatchers and no more, or it collapses.
 #[test]
-fn a_cold_home_gets_its_part_of_the_reads_of_all_and_no_more() {
-    let home = read_at(&mut dispatcher(0), 1.0, 0, idle);
+fn a_cold_home_gets_its_part_of_all_prefills_and_no_more() {
+    let home = prefill_engine_at(&mut dispatcher(0), 1.0, 0, idle);
     let taken = |me: u32| {
         let mut control = Control::new(settings(me), u64::from(me) * 7919);
         let mut endpoints = engines();
-        for entry in endpoints.iter_mut().filter(|entry| entry.engine == home) {
-            entry.started = Some(1000.0);
+        for endpoint in endpoints
+            .iter_mut()
+            .filter(|endpoint| endpoint.engine == home)
+        {
+            endpoint.started = Some(1000.0);
         }
         control.step(
             2000.0,
@@ -329,7 +311,7 @@
             }],
             &mut Vec::new(),
         );
-        read_at(&mut control, 2000.0, u64::from(me), idle) == home
+        prefill_engine_at(&mut control, 2000.0, u64::from(me), idle) == home
     };
     let part = (0..DISPATCHERS).filter(|&me| taken(me)).count() as f64 / f64::from(DISPATCHERS);
     assert!((0.15..0.35).contains(&part), "it gets {part}");
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -1,5 +1,9 @@
-//! The lean step against the plain one: random events go to two modules, one of which is told before each
-//! step to plan every request. Their actions must be the same, in number, order and content.
+//! The step that plans only the requests that can have changed, against one that plans every
+//! request: random events go to two instances, one of which is made to plan all before each step. A
+//! request that is forgotten in the queue would wait until its client gives up; here the two would
+//! act differently. Their actions must be the same, in number, order and content.
+
+mod common;
 
 use cindercleat::control::Control;
 use cindercleat::interface::*;
@@ -9,63 +13,33 @@
 
 fn settings() -> Settings {
     let request_class = |retry_safety, time_to_deadline| RequestClassSettings {
-        retry_safety,
         latency_objective: 800.0,
-        latency_objective_per_1000_tokens: 40.0,
         time_to_deadline,
-        priority_weight: 1.0,
-        late_value_share: 0.2,
         token_pace: 60.0,
-        streams: true,
+        ..common::request_class(retry_safety)
+    };
+    let zone_key = RetrySafety::IdempotencyKey {
+        scope: IdempotencyScope::Zone,
+        window: 900.0,
+    };
+    let tenant = TenantSettings {
+        quota_per_second: 3.0,
+        share: 0.5,
     };
     Settings {
-        me: DispatcherId(0),
-        dispatchers: 2,
-        zone: ZoneId(0),
-        tick: 4.0,
         request_classes: vec![
             request_class(RetrySafety::Idempotent, 4000.0),
-            request_class(
-                RetrySafety::IdempotencyKey {
-                    scope: IdempotencyScope::Zone,
-                    window: 900.0,
-                },
-                3000.0,
-            ),
+            request_class(zone_key, 3000.0),
             request_class(RetrySafety::AtMostOnce, 2500.0),
         ],
-        tenants: vec![
-            TenantSettings {
-                quota_per_second: 3.0,
-                share: 0.5
-            };
-            2
-        ],
-        over_quota_weight: 0.1,
-        kinds: [Role::Prefill, Role::Decode, Role::Both]
-            .map(|role| KindSettings {
-                role,
-                memory_tokens: 2e5,
-            })
-            .to_vec(),
-        discovery: Discovery::Pushed,
-        kv_state_timeout: 500.0,
-        decode_engines_prefill: false,
-        may_reserve: false,
-        may_cancel: true,
-        may_hedge: false,
-        may_health_check: true,
-        may_gossip: false,
+        tenants: vec![tenant; 2],
+        kinds: common::kinds(&[Role::Prefill, Role::Decode, Role::Both], 2e5),
         clients_honor_retry_after: true,
         max_retry_after: 2000.0,
-        max_attempts: 4,
-        connect_timeout: 250.0,
         drain_grace: 500.0,
-        answer_grace: 16.0,
-        overload_multiple: 4.0,
         overload_window: 1000.0,
-        cold_capacity: 0.3,
         slow_start_window: 5000.0,
+        ..common::settings(0, 2)
     }
 }
 
@@ -75,46 +49,42 @@
 
 const ENGINES: u32 = 7;
 
-fn entry(i: u32, status: EndpointStatus, started: Option<Ms>) -> Endpoint {
-    // Three prefill engines, three decode engines and one that does both, in two zones of two cells.
-    let kind = KindId(if i == 6 { 2 } else { i % 2 });
-    let (zone, cell) = (ZoneId(i / 2 % 2), CellId(i / 2 % 4));
+fn endpoint(i: u32, status: EndpointStatus, started: Option<Ms>) -> Endpoint {
+    // Three prefill engines, three decode engines and one that does both, in two zones of two
+    // cells.
+    let kind = if i == 6 { 2 } else { i % 2 };
     Endpoint {
-        engine: engine(i),
-        zone,
-        kind,
-        cell,
         status,
-        weight: 1.0,
         started,
+        ..common::endpoint(&engine(i).0, kind, i / 2 % 2, i / 2 % 4)
     }
 }
 
-/// One thing that happens: what, to whom, and how long after the last.
+/// One thing that happens: what, to which request or engine, and how long after the last.
 type Draw = (u8, u16, u16);
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone)]
-struct Out {
+struct InFlight {
     request: RequestId,
     attempt: AttemptId,
     engine: EngineId,
-    first: bool,
+    decoding: bool,
     sent: Ms,
 }
 
 #[derive(Default)]
-struct World {
+struct Environment {
     now: Ms,
     requests: u32,
     attempts: Vec<u32>,
-    out: Vec<Out>,
+    in_flight: Vec<InFlight>,
     timers: Vec<(Ms, TimerId)>,
-    probes: Vec<EngineId>,
+    health_checks: Vec<EngineId>,
 }
 
-impl World {
-    fn draw(&mut self, (what, whom, after): Draw) -> Vec<Event> {
+impl Environment {
+    fn draw(&mut self, (kind_of_event, which, after): Draw) -> Vec<Event> {
         self.now += f64::from(after % 512) * [0.25, 0.25, 1.0, 1.0][usize::from(after >> 9) % 4];
         let mut events = Vec::new();
         let now = self.now;
@@ -124,19 +94,19 @@
             }
             at > now
         });
-        let pick = |n: usize| usize::from(whom) % n.max(1);
-        match what % 16 {
+        let pick = |n: usize| usize::from(which) % n.max(1);
+        match kind_of_event % 16 {
             0..=5 => {
                 self.requests += 1;
                 self.attempts.push(0);
                 events.push(Event::Arrived(Arrival {
                     request: RequestId(self.requests - 1),
-                    request_class: RequestClassId(u32::from(whom) % 3),
-                    tenant: (whom % 5 < 2).then_some(TenantId(u32::from(whom) % 2)),
-                    session: SessionId(u64::from(whom % 11)),
-                    time_to_deadline: 300.0 + f64::from(whom % 3000),
-                    shared: (whom % 4 > 0).then_some(SharedTextId(u64::from(whom % 4))),
-                    prompt_tokens: f64::from(100 + whom % 3000),
+                    request_class: RequestClassId(u32::from(which) % 3),
+                    tenant: (which % 5 < 2).then_some(TenantId(u32::from(which) % 2)),
+                    session: SessionId(u64::from(which % 11)),
+                    time_to_deadline: 300.0 + f64::from(which % 3000),
+                    shared: (which % 4 > 0).then_some(SharedTextId(u64::from(which % 4))),
+                    prompt_tokens: f64::from(100 + which % 3000),
                     shared_tokens: 90.0,
                     max_tokens: 200.0,
                     ..Arrival::default()
@@ -150,24 +120,24 @@
                     EndpointStatus::Ready,
                     EndpointStatus::Draining,
                     EndpointStatus::Gone,
-                ][usize::from(whom >> 4) % 3];
-                let started = (whom >> 7) % 4 == 0;
-                let line = entry(
-                    u32::from(whom) % ENGINES,
+                ][usize::from(which >> 4) % 3];
+                let started = (which >> 7) % 4 == 0;
+                let endpoint_now = endpoint(
+                    u32::from(which) % ENGINES,
                     status,
                     started.then_some(self.now),
                 );
                 events.push(Event::EndpointsUpdated {
                     kind: EndpointUpdateKind::Delta,
-                    endpoints: vec![line],
+                    endpoints: vec![endpoint_now],
                 });
             }
             8 => {
-                if !self.probes.is_empty() {
-                    let engine = self.probes.remove(pick(self.probes.len()));
+                if !self.health_checks.is_empty() {
+                    let engine = self.health_checks.remove(pick(self.health_checks.len()));
                     let load = Load {
-                        memory_held: Some(f64::from(whom % 100) / 100.0),
-                        waiting_kilotokens: Some(f64::from(whom % 37)),
+                        memory_held: Some(f64::from(which % 100) / 100.0),
+                        waiting_kilotokens: Some(f64::from(which % 37)),
                         ..Load::default()
                     };
                     events.push(Event::HealthChecked {
@@ -179,25 +149,25 @@
                 }
             }
             9 => events.push(Event::FirstToken {
-                request: RequestId(u32::from(whom)),
+                request: RequestId(u32::from(which)),
                 attempt: AttemptId(0),
                 engine: engine(0),
                 latency: 1.0,
             }),
-            _ if self.out.is_empty() => {}
+            _ if self.in_flight.is_empty() => {}
             kind => {
-                let at = pick(self.out.len());
-                let Out {
+                let at = pick(self.in_flight.len());
+                let InFlight {
                     request,
                     attempt,
                     engine,
-                    first,
+                    decoding,
                     sent,
-                } = self.out[at].clone();
+                } = self.in_flight[at].clone();
                 let latency = self.now - sent;
                 let prefill_engine = ["host-0", "host-2", "host-4"].contains(&&*engine.0);
-                if !prefill_engine && !first && kind < 13 {
-                    self.out[at].first = true;
+                if !prefill_engine && !decoding && kind < 13 {
+                    self.in_flight[at].decoding = true;
                     events.push(Event::FirstToken {
                         request,
                         attempt,
@@ -205,8 +175,8 @@
                         latency,
                     });
                 } else {
-                    self.out.remove(at);
-                    let outcome = match (whom >> 5) % 12 {
+                    self.in_flight.remove(at);
+                    let outcome = match (which >> 5) % 12 {
                         0 => Outcome::Overloaded,
                         1 => Outcome::ConnectionLost,
                         2 => Outcome::Failed,
@@ -217,9 +187,9 @@
                         _ => Outcome::Succeeded,
                     };
                     let last = outcome == Outcome::Succeeded
-                        || first && outcome == Outcome::ConnectionLost;
+                        || decoding && outcome == Outcome::ConnectionLost;
                     let detail =
-                        f64::from(u8::from(outcome == Outcome::Overloaded && whom % 3 == 0));
+                        f64::from(u8::from(outcome == Outcome::Overloaded && which % 3 == 0));
                     let load = Load::default();
                     let end = Ended {
                         request,
@@ -246,17 +216,17 @@
                 } => {
                     let attempt = AttemptId(self.attempts[request.0 as usize]);
                     self.attempts[request.0 as usize] += 1;
-                    let out = Out {
+                    let in_flight = InFlight {
                         request: *request,
                         attempt,
                         engine: engine.clone(),
-                        first: false,
+                        decoding: false,
                         sent: self.now,
                     };
-                    self.out.push(out);
+                    self.in_flight.push(in_flight);
                 }
                 Action::SetTimer { delay, timer } => self.timers.push((self.now + delay, *timer)),
-                Action::HealthCheck { engine } => self.probes.push(engine.clone()),
+                Action::HealthCheck { engine } => self.health_checks.push(engine.clone()),
                 _ => {}
             }
         }
@@ -265,9 +235,9 @@
 
 fn play(draws: &[Draw], seed: u64) -> Result<usize, TestCaseError> {
     let [mut lean, mut plain] = [(); 2].map(|()| Control::new(settings(), seed));
-    let mut world = World::default();
+    let mut environment = Environment::default();
     let endpoints = (0..ENGINES)
-        .map(|i| entry(i, EndpointStatus::Ready, None))
+        .map(|i| endpoint(i, EndpointStatus::Ready, None))
         .collect();
     let mut events = vec![Event::EndpointsUpdated {
         kind: EndpointUpdateKind::Cached,
@@ -275,13 +245,13 @@
     }];
     let mut acted = 0;
     for (at, draw) in draws.iter().enumerate() {
-        events.extend(world.draw(*draw));
+        events.extend(environment.draw(*draw));
         let [mut a, mut b] = [Vec::new(), Vec::new()];
-        lean.step(world.now, &events, &mut a);
+        lean.step(environment.now, &events, &mut a);
         plain.wake_all();
-        plain.step(world.now, &events, &mut b);
+        plain.step(environment.now, &events, &mut b);
         prop_assert_eq!(&a, &b, "after {} draws", at);
-        world.carry_out(&a);
+        environment.carry_out(&a);
         acted += a.len();
         events.clear();
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,16 +1,21 @@
 //! Plays the scenario files of `tests/scenarios/`. Their notation, a line each, `#` starts a comment:
 //!
-//! `set KEY VALUE` changes a default setting; `effect P WORDS` a request class's effect.
-//! `list KIND NAME:ROLE:ZONE:CELL[:CONDITION[:STARTED]] ...` tells of engines, ROLE being `r`, `w` or `b`.
-//! `probed HOST SLOTS_USED QUEUE MEMORY` is the answer to a probe of that engine.
+//! `set KEY VALUE` changes a default setting; `effect P WORDS` the retry safety of the request class P.
+//! `list KIND NAME:ROLE:ZONE:CELL[:STATUS[:STARTED]] ...` updates the endpoints, ROLE being `r` (prefill), `w` (decode) or
+//! `b` (both).
+//! `probed ENGINE SLOTS_USED QUEUE MEMORY` is the answer to a health check of that engine.
 //! `at T` goes to the instant T, firing due timers on the way, and opens a batch of events:
-//! `request ID REQUEST_CLASS TIME_TO_DEADLINE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID HOST`,
-//! `end ID HOST OUTCOME [last] [none] [x1=K]`, `left ID`, `burst ID COUNT REQUEST_CLASS TIME_TO_DEADLINE PROMPT`.
-//! The attempt's number is the runner's: it counts attempts as they come; HOST `*` is the newest one's.
+//! `task ID REQUEST_CLASS TIME_TO_DEADLINE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID ENGINE`,
+//! `end ID ENGINE OUTCOME [last] [none] [x1=K]`, `left ID`, `burst ID COUNT REQUEST_CLASS TIME_TO_DEADLINE PROMPT`.
+//! The attempt's number is the runner's: it counts attempts as they come; ENGINE `*` is the newest one's.
 //! `each A B VERB WORDS` repeats a line for the ids from A to B.
 //! `> WORDS` must be among the actions since the last `at` that stands before an expectation, in any order,
 //! and is used up; `! WORDS` must not be there; `*` in WORDS stands for any one word. `most N WORDS` and
-//! `least N WORDS` count. `> attempt 1 r2 by 3990` also checks the time-out.
+//! `least N WORDS` count. `> launch 1 r2 by 3990` also checks the attempt's time-out.
+//! The words of actions are those of the files: `launch` starts an attempt, `bounce` rejects, `write-off` fails, `probe` is a
+//! health check. Each file begins with what it is about.
+
+mod common;
 
 use cindercleat::control::Control;
 use cindercleat::interface::*;
@@ -18,50 +23,15 @@
 use test_case::test_case;
 
 fn settings() -> Settings {
-    let request_class = |retry_safety| RequestClassSettings {
-        retry_safety,
-        latency_objective: 1000.0,
-        latency_objective_per_1000_tokens: 40.0,
-        time_to_deadline: 4000.0,
-        priority_weight: 1.0,
-        late_value_share: 0.2,
-        token_pace: 50.0,
-        streams: true,
-    };
-    let kind = |role| KindSettings {
-        role,
-        memory_tokens: 150_000.0,
-    };
     Settings {
-        me: DispatcherId(0),
-        dispatchers: 3,
-        zone: ZoneId(0),
-        tick: 4.0,
-        request_classes: vec![
-            request_class(RetrySafety::Idempotent),
-            request_class(RetrySafety::AtMostOnce),
-        ],
-        tenants: Vec::new(),
-        over_quota_weight: 0.1,
-        kinds: vec![kind(Role::Prefill), kind(Role::Decode), kind(Role::Both)],
-        discovery: Discovery::Pushed,
-        kv_state_timeout: 500.0,
-        decode_engines_prefill: false,
-        may_reserve: false,
-        may_cancel: true,
-        may_hedge: false,
+        request_classes: [RetrySafety::Idempotent, RetrySafety::AtMostOnce]
+            .map(common::request_class)
+            .to_vec(),
+        kinds: common::kinds(&[Role::Prefill, Role::Decode, Role::Both], 150_000.0),
         may_health_check: false,
         may_gossip: true,
         clients_honor_retry_after: true,
-        max_retry_after: 1000.0,
-        max_attempts: 4,
-        connect_timeout: 250.0,
-        drain_grace: 250.0,
-        answer_grace: 16.0,
-        overload_multiple: 4.0,
-        overload_window: 2000.0,
-        cold_capacity: 0.3,
-        slow_start_window: 10_000.0,
+        ..common::settings(0, 3)
     }
 }
 
@@ -70,11 +40,11 @@
     control: Option<Control>,
     now: Ms,
     events: Vec<Event>,
-    seen: Vec<String>,
+    actions_seen: Vec<String>,
     timers: Vec<(Ms, TimerId)>,
     attempts: BTreeMap<u32, u32>,
     newest: BTreeMap<u32, EngineId>,
-    checked: bool,
+    has_expectation: bool,
 }
 
 impl Play {
@@ -94,7 +64,7 @@
                 } => {
                     *self.attempts.entry(request.0).or_default() += 1;
                     self.newest.insert(request.0, engine.clone());
-                    self.seen.push(format!(
+                    self.actions_seen.push(format!(
                         "launch {} {} by {}",
                         request.0,
                         engine.0,
@@ -102,12 +72,22 @@
                     ));
                 }
                 Action::SetTimer { delay, timer } => self.timers.push((now + delay, timer)),
-                Action::Cancel { request, .. } => self.seen.push(format!("cancel {}", request.0)),
-                Action::Reject { request, .. } => self.seen.push(format!("bounce {}", request.0)),
-                Action::Fail { request } => self.seen.push(format!("write-off {}", request.0)),
-                Action::HealthCheck { engine } => self.seen.push(format!("probe {}", engine.0)),
-                Action::Release { request } => self.seen.push(format!("release {}", request.0)),
-                other => self.seen.push(format!("{other:?}").to_lowercase()),
+                Action::Cancel { request, .. } => {
+                    self.actions_seen.push(format!("cancel {}", request.0))
+                }
+                Action::Reject { request, .. } => {
+                    self.actions_seen.push(format!("bounce {}", request.0))
+                }
+                Action::Fail { request } => {
+                    self.actions_seen.push(format!("write-off {}", request.0))
+                }
+                Action::HealthCheck { engine } => {
+                    self.actions_seen.push(format!("probe {}", engine.0))
+                }
+                Action::Release { request } => {
+                    self.actions_seen.push(format!("release {}", request.0))
+                }
+                other => self.actions_seen.push(format!("{other:?}").to_lowercase()),
             }
         }
     }
@@ -131,13 +111,17 @@
     }
 
     fn count(&self, words: &[&str]) -> usize {
-        self.seen.iter().filter(|s| matches(s, words)).count()
+        self.actions_seen
+            .iter()
+            .filter(|s| matches(s, words))
+            .count()
     }
 }
 
-fn matches(seen: &str, words: &[&str]) -> bool {
-    let seen: Vec<&str> = seen.split(' ').collect();
-    words.len() <= seen.len() && words.iter().zip(seen).all(|(w, s)| *w == "*" || *w == s)
+/// Whether an action begins with these words, `*` standing for any one.
+fn matches(action: &str, words: &[&str]) -> bool {
+    let action: Vec<&str> = action.split(' ').collect();
+    words.len() <= action.len() && words.iter().zip(action).all(|(w, s)| *w == "*" || *w == s)
 }
 
 fn number(word: &str) -> f64 {
@@ -145,21 +129,23 @@
         .unwrap_or_else(|_| panic!("a number, not {word}"))
 }
 
-fn entry(text: &str) -> Endpoint {
+fn endpoint(text: &str) -> Endpoint {
     let parts: Vec<&str> = text.split(':').collect();
     let status = match parts.get(4).copied() {
         None | Some("ready") => EndpointStatus::Ready,
         Some("draining") => EndpointStatus::Draining,
         _ => EndpointStatus::Gone,
     };
+    let kind = ["r", "w", "b"].iter().position(|k| *k == parts[1]).unwrap() as u32;
     Endpoint {
-        engine: EngineId(parts[0].into()),
-        zone: ZoneId(number(parts[2]) as u32),
-        kind: KindId(["r", "w", "b"].iter().position(|k| *k == parts[1]).unwrap() as u32),
-        cell: CellId(number(parts[3]) as u32),
         status,
-        weight: 1.0,
         started: parts.get(5).map(|t| number(t)),
+        ..common::endpoint(
+            parts[0],
+            kind,
+            number(parts[2]) as u32,
+            number(parts[3]) as u32,
+        )
     }
 }
 
@@ -232,7 +218,7 @@
 }
 
 /// `each A B VERB WORDS` stands for `VERB ID WORDS` with every id from A to B.
-fn spread(line: &str) -> std::vec::IntoIter<String> {
+fn repeat_for_ids(line: &str) -> std::vec::IntoIter<String> {
     let words: Vec<&str> = line.split_whitespace().collect();
     match words.as_slice() {
         ["each", a, b, verb, rest @ ..] => (number(a) as u32..=number(b) as u32)
@@ -249,16 +235,16 @@
         control: None,
         now: 0.0,
         events: Vec::new(),
-        seen: Vec::new(),
+        actions_seen: Vec::new(),
         timers: Vec::new(),
         attempts: BTreeMap::new(),
         newest: BTreeMap::new(),
-        checked: false,
+        has_expectation: false,
     };
     for (at, line) in text
         .lines()
         .enumerate()
-        .flat_map(|(at, line)| spread(line).map(move |l| (at, l)))
+        .flat_map(|(at, line)| repeat_for_ids(line).map(move |l| (at, l)))
     {
         let words: Vec<&str> = line
             .split('#')
@@ -293,15 +279,15 @@
                     "remembered" => EndpointUpdateKind::Cached,
                     _ => EndpointUpdateKind::Snapshot,
                 };
-                let endpoints = rest[1..].iter().map(|e| entry(e)).collect();
+                let endpoints = rest[1..].iter().map(|e| endpoint(e)).collect();
                 play.events
                     .push(Event::EndpointsUpdated { kind, endpoints });
             }
             "at" => {
-                if play.checked {
-                    play.seen.clear();
+                if play.has_expectation {
+                    play.actions_seen.clear();
                 }
-                play.checked = false;
+                play.has_expectation = false;
                 play.run(number(rest[0]));
             }
             "task" => play.events.push(arrival(id().0, &rest[1..])),
@@ -353,12 +339,13 @@
             ">" | "!" | "most" | "least" => {
                 let now = play.now;
                 play.run(now);
-                play.checked = true;
-                let case = format!("line {}: {line}\nseen: {:#?}", at + 1, play.seen);
+                play.has_expectation = true;
+                let case = format!("line {}: {line}\nseen: {:#?}", at + 1, play.actions_seen);
                 match verb {
                     ">" => {
-                        let found = play.seen.iter().position(|s| matches(s, rest));
-                        play.seen.remove(found.unwrap_or_else(|| panic!("{case}")));
+                        let found = play.actions_seen.iter().position(|s| matches(s, rest));
+                        play.actions_seen
+                            .remove(found.unwrap_or_else(|| panic!("{case}")));
                     }
                     "!" => assert_eq!(play.count(rest), 0, "{case}"),
                     "most" => assert!(play.count(&rest[1..]) <= number(rest[0]) as usize, "{case}"),
