--- a/crates/dispatcher/src/fault_injection.rs
+++ b/crates/dispatcher/src/fault_injection.rs
@@ -1,93 +1,98 @@
-//! Faults that tests plant into the ledger, one at a time, to see that they are found. Without the feature
-//! `planted` there are none, and nothing is looked up.
+//! Faults that exist for tests to find: a test injects one into every dispatcher of the process and checks that the
+//! simulation detects it. Without the cargo feature `planted` no fault can be injected and nothing is looked up.
 
 use cindercleat_protocol::v1::{EndpointList, EndpointStatus};
 
-/// A fault.
+/// A fault that a test can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Plant {
-    /// No state is ever let go.
+pub enum InjectedFault {
+    /// No KV state is ever released.
     ReleaseForgotten = 1,
-    /// Engines do not hear that an attempt is called off.
+    /// Engines are not told that an attempt is cancelled.
     CancelLost,
-    /// A broken connection counts as proof that nothing ran.
-    BrokenAsFull,
-    /// Lines of the list that say draining are passed over.
-    DrainUnread,
-    /// What may have run is rejected.
+    /// A lost connection counts as proof that nothing ran.
+    ConnectionLossAsOverload,
+    /// Endpoints that are draining are left out of the list.
+    DrainingIgnored,
+    /// A request that may have run is rejected instead of failed.
     FailureAsRejection,
-    /// One final answer in sixteen is not given.
-    FinalLost,
-    /// Tokens go out twice.
+    /// One final answer in sixteen is not sent.
+    FinalAnswerLost,
+    /// Tokens are sent to the client twice.
     TokensTwice,
-    /// The state of a read that broke is kept.
-    BrokenReadKept,
-    /// The state that a decode engine did not find is kept.
-    NoStateKept,
-    /// An attempt that waits for its connection goes out whatever was learned meanwhile.
-    DrainReadLate,
-    /// Cold engines are taken for warm.
-    StartsUntold,
-    /// The decisions' timers are late.
+    /// The KV state of a prefill attempt that broke is not released.
+    BrokenPrefillStateKept,
+    /// A KV state that the decode engine did not find still counts as held.
+    MissingStateKept,
+    /// An attempt that waits for its connection is sent even if its engine has begun to drain meanwhile.
+    DrainSeenLate,
+    /// Start times of engines are ignored, so that cold engines count as warm.
+    StartTimesIgnored,
+    /// Timers of the routing decisions fire late.
     TimersLate,
-    /// A stop does not wait for its releases.
+    /// A stop does not wait for the releases of KV states.
     StopDropsReleases,
 }
 
-impl Plant {
-    pub const ALL: [Plant; 13] = [
-        Plant::ReleaseForgotten,
-        Plant::CancelLost,
-        Plant::BrokenAsFull,
-        Plant::DrainUnread,
-        Plant::FailureAsRejection,
-        Plant::FinalLost,
-        Plant::TokensTwice,
-        Plant::BrokenReadKept,
-        Plant::NoStateKept,
-        Plant::DrainReadLate,
-        Plant::StartsUntold,
-        Plant::TimersLate,
-        Plant::StopDropsReleases,
+impl InjectedFault {
+    /// Each fault once.
+    pub const ALL: [InjectedFault; 13] = [
+        InjectedFault::ReleaseForgotten,
+        InjectedFault::CancelLost,
+        InjectedFault::ConnectionLossAsOverload,
+        InjectedFault::DrainingIgnored,
+        InjectedFault::FailureAsRejection,
+        InjectedFault::FinalAnswerLost,
+        InjectedFault::TokensTwice,
+        InjectedFault::BrokenPrefillStateKept,
+        InjectedFault::MissingStateKept,
+        InjectedFault::DrainSeenLate,
+        InjectedFault::StartTimesIgnored,
+        InjectedFault::TimersLate,
+        InjectedFault::StopDropsReleases,
     ];
 }
 
 #[cfg(feature = "planted")]
-static PLANTED: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
+static INJECTED: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// Plants a fault in every ledger of the process, or takes it out.
+/// Injects a fault into every dispatcher of the process; `None` removes it.
 #[cfg(feature = "planted")]
-pub fn plant(plant: Option<Plant>) {
-    PLANTED.store(
-        plant.map_or(0, |p| p as u8),
+pub fn inject(fault: Option<InjectedFault>) {
+    INJECTED.store(
+        fault.map_or(0, |fault| fault as u8),
         std::sync::atomic::Ordering::SeqCst,
     );
 }
 
+/// Whether the fault is injected now.
 #[cfg(feature = "planted")]
-pub(crate) fn is(plant: Plant) -> bool {
-    PLANTED.load(std::sync::atomic::Ordering::Relaxed) == plant as u8
+pub(crate) fn is_injected(fault: InjectedFault) -> bool {
+    INJECTED.load(std::sync::atomic::Ordering::Relaxed) == fault as u8
 }
 
+/// No fault can be injected without the feature.
 #[cfg(not(feature = "planted"))]
-pub(crate) const fn is(_: Plant) -> bool {
+pub(crate) const fn is_injected(_: InjectedFault) -> bool {
     false
 }
 
-/// The list as a planted fault has it read; none if it is read as it is.
-pub(crate) fn list(list: &EndpointList) -> Option<EndpointList> {
-    if !is(Plant::DrainUnread) && !is(Plant::StartsUntold) {
+/// The list as the injected fault changes it; `None` if it is taken unchanged.
+pub(crate) fn altered_list(list: &EndpointList) -> Option<EndpointList> {
+    if !is_injected(InjectedFault::DrainingIgnored)
+        && !is_injected(InjectedFault::StartTimesIgnored)
+    {
         return None;
     }
     let mut list = list.clone();
-    if is(Plant::DrainUnread) {
+    if is_injected(InjectedFault::DrainingIgnored) {
         list.endpoints
-            .retain(|line| line.status() != EndpointStatus::Draining);
+            .retain(|endpoint| endpoint.status() != EndpointStatus::Draining);
     } else {
         list.endpoints
             .iter_mut()
-            .for_each(|line| line.started_ms = None);
+            .for_each(|endpoint| endpoint.started_ms = None);
     }
     Some(list)
 }
--- a/crates/dispatcher/src/state/engines.rs
+++ b/crates/dispatcher/src/state/engines.rs
@@ -175,7 +175,7 @@
         // The stream stays taken until the engine ends it: what the engine still works on takes room there.
         let prefilled = self.prefill_out(id);
         self.make_past(connection, stream);
-        if !fault_injection::is(Plant::CancelLost) {
+        if !fault_injection::is_injected(InjectedFault::CancelLost) {
             self.connections
                 .send(connection, stream, Body::Cancel(v1::Cancel {}), out);
         }
@@ -294,7 +294,9 @@
         let held = self
             .prefill_out(id)
             .filter(|_| matches!(outcome, Outcome::ConnectionLost | Outcome::Failed));
-        if let Some(held) = held.filter(|_| !fault_injection::is(Plant::BrokenReadKept)) {
+        if let Some(held) =
+            held.filter(|_| !fault_injection::is_injected(InjectedFault::BrokenPrefillStateKept))
+        {
             self.release_leftover(id, held, out);
         }
         self.end_attempt(id, outcome, 0.0, load);
@@ -475,7 +477,7 @@
         // Guards against a drain that was learned while the connection came up: an attempt that has not gone out does
         // not go out any more, and is known not to have run.
         let ready = self.endpoints.status(&engine) == EndpointStatus::Ready
-            || fault_injection::is(Plant::DrainReadLate);
+            || fault_injection::is_injected(InjectedFault::DrainSeenLate);
         self.flush_releases(&engine, out);
         for (stream, mut body) in waiting {
             let purpose = self
@@ -632,7 +634,9 @@
             return;
         };
         let outcome = match connection.up {
-            true if fault_injection::is(Plant::BrokenAsFull) => Outcome::Overloaded,
+            true if fault_injection::is_injected(InjectedFault::ConnectionLossAsOverload) => {
+                Outcome::Overloaded
+            }
             true => Outcome::ConnectionLost,
             false => Outcome::Unreachable,
         };
@@ -866,7 +870,7 @@
             v1::Status::NoState if !reading && !first => {
                 self.end_attempt(id, Outcome::Overloaded, 1.0, load);
                 // Guards against a decode engine that could not reach the prefill_engine: the state would lie there for nobody.
-                if fault_injection::is(Plant::NoStateKept) {
+                if fault_injection::is_injected(InjectedFault::MissingStateKept) {
                     self.kv_states.forget(id);
                 } else {
                     self.want_release(id, out);
@@ -935,7 +939,7 @@
             });
         }
         let (conn, stream) = request.client_stream;
-        if fault_injection::is(Plant::TokensTwice) {
+        if fault_injection::is_injected(InjectedFault::TokensTwice) {
             out.push(Output::ToClient {
                 conn,
                 frame: frame(stream.0, Body::Tokens(tokens.clone())),
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -21,7 +21,7 @@
 mod service_stats;
 mod timers;
 
-use crate::fault_injection::{self, Plant};
+use crate::fault_injection::{self, InjectedFault};
 use crate::settings::ProgramSettings;
 use cindercleat::control::Control;
 use cindercleat::fleet::bounds::{Stand, Tally, Unit};
@@ -389,7 +389,7 @@
     /// repeated: what a process leaves that has ended is freed by the platform.
     fn releasing(&self) -> bool {
         let open = self.engine_releases() + self.kv_states.unconfirmed();
-        !fault_injection::is(Plant::StopDropsReleases) && open > 0
+        !fault_injection::is_injected(InjectedFault::StopDropsReleases) && open > 0
     }
 
     /// Tells the decisions what happened and does what they decide, until nothing more follows. What is done
@@ -438,7 +438,7 @@
                 self.answer(request, answer, retry_after_ms, reason, out);
             }
             Action::Fail { request } => {
-                let reject = fault_injection::is(Plant::FailureAsRejection);
+                let reject = fault_injection::is_injected(InjectedFault::FailureAsRejection);
                 let answer = if reject {
                     v1::Answer::Rejected
                 } else {
@@ -451,7 +451,9 @@
             Action::Confirm { request, attempt } => self.confirm(request, attempt, out),
             Action::Reserve { request, engine } => self.hold_ahead(request, &engine, out),
             Action::Migrate { request } => self.move_away(request, out),
-            Action::SetTimer { delay, timer } if fault_injection::is(Plant::TimersLate) => {
+            Action::SetTimer { delay, timer }
+                if fault_injection::is_injected(InjectedFault::TimersLate) =>
+            {
                 self.timers
                     .set(self.now + delay.max(0.0) + 300.0, Due::Module(timer));
             }
@@ -761,7 +763,7 @@
             reason,
             full: false,
         };
-        if fault_injection::is(Plant::FinalLost) && id.0 % 16 == 7 {
+        if fault_injection::is_injected(InjectedFault::FinalAnswerLost) && id.0 % 16 == 7 {
             return;
         }
         out.push(Output::ToClient {
@@ -809,8 +811,8 @@
         remembered: Option<EndpointUpdateKind>,
         out: &mut Vec<Output>,
     ) {
-        let planted = fault_injection::list(list);
-        let list = planted.as_ref().unwrap_or(list);
+        let altered = fault_injection::altered_list(list);
+        let list = altered.as_ref().unwrap_or(list);
         let (kind, endpoints, wrong) = self.endpoints.take(list, &self.settings);
         out.extend(wrong.into_iter().map(|text| Output::Log {
             level: Level::Warn,
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -80,7 +80,7 @@
     }
 
     pub(super) fn release_unless_planted(&mut self, held: Held, out: &mut Vec<Output>) {
-        if !fault_injection::is(Plant::ReleaseForgotten) {
+        if !fault_injection::is_injected(InjectedFault::ReleaseForgotten) {
             self.release_at_engine(held, out);
         }
     }
@@ -95,7 +95,7 @@
 
     /// Begins the next round of calls to release a state, if it is time.
     pub(super) fn look_at_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if fault_injection::is(Plant::ReleaseForgotten) {
+        if fault_injection::is_injected(InjectedFault::ReleaseForgotten) {
             self.kv_states.forget(id);
         }
         let Some(state) = self.kv_states.to_release(id) else {
--- a/crates/faults/tests/planted.rs
+++ b/crates/faults/tests/planted.rs
@@ -1,7 +1,7 @@
-//! Each planted fault is found by some seed, and without one the same seeds find nothing: a check that cannot
+//! Each injected fault is found by some seed, and without one the same seeds find nothing: a check that cannot
 //! fail proves nothing. Prints how many seeds each took.
 
-use cindercleat_dispatcher::fault_injection::{plant, Plant};
+use cindercleat_dispatcher::fault_injection::{inject, InjectedFault};
 use cindercleat_faults::draw::{day, Shape, SHAPES};
 use cindercleat_faults::world::play;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -35,20 +35,20 @@
     })
 }
 
-/// Those that the first seeds find; one test at a time, as a planted fault is in every ledger of the process.
+/// Those that the first seeds find; one test at a time, as an injected fault is in every dispatcher of the process.
 #[test]
 fn some_planted_faults_are_found_soon() {
     for fault in [
-        Plant::ReleaseForgotten,
-        Plant::DrainUnread,
-        Plant::FinalLost,
-        Plant::TokensTwice,
+        InjectedFault::ReleaseForgotten,
+        InjectedFault::DrainingIgnored,
+        InjectedFault::FinalAnswerLost,
+        InjectedFault::TokensTwice,
     ] {
-        plant(Some(fault));
+        inject(Some(fault));
         let found = first(&SHAPES[0]).expect("it is found");
         assert!(found.0 <= 20, "{fault:?} by seed {}", found.0);
     }
-    plant(None);
+    inject(None);
 }
 
 /// All of them, with how many seeds each took:
@@ -58,14 +58,14 @@
 fn each_planted_fault_is_found() {
     let plain = &SHAPES[0];
     let mut missed = Vec::new();
-    for fault in Plant::ALL {
-        plant(Some(fault));
+    for fault in InjectedFault::ALL {
+        inject(Some(fault));
         match first(plain) {
             Some((seed, what)) => println!("{fault:?}: seed {seed}: {what}"),
             None => missed.push(fault),
         }
     }
-    plant(None);
+    inject(None);
     for seed in 1..=20 {
         assert_eq!(
             play(&day(seed, plain)).expect("it plays").breaches,
