--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -2,7 +2,7 @@
 //! written to disk, and nothing else listens.
 
 use crate::serve::block_on;
-use cindercleat::resource_limits::{ProcessLimits, ResourceLimits, OWN_DESCRIPTORS};
+use cindercleat::resource_limits::{ProcessLimits, ResourceLimits, RESERVED_FILE_DESCRIPTORS};
 use cindercleat_conf::Conf;
 use cindercleat_dispatcher::driver::{Driver, Places};
 use cindercleat_dispatcher::settings::Http1Limits;
@@ -79,15 +79,15 @@
         return Err(wrong("settings: each profile is to have a name".to_owned()));
     }
     let seed = u64::from_str_radix(&said.seed, 16).map_err(|e| wrong(format!("seed: {e}")))?;
-    let given = ProcessLimits {
-        memory: said.limits.memory_mb.max(1.0) * f64::from(1 << 20),
-        descriptors: said.limits.sockets,
+    let process = ProcessLimits {
+        memory_bytes: said.limits.memory_mb.max(1.0) * f64::from(1 << 20),
+        file_descriptors: said.limits.sockets,
         connect_timeout: conf.settings.connect_timeout,
         discovery: conf.settings.discovery,
         drain_grace: conf.settings.drain_grace,
-        engine_idle: conf.connection_idle,
-        most_held: conf.max_open_requests,
-        longest_deadline: conf
+        engine_idle_timeout: conf.connection_idle,
+        max_open_requests: conf.max_open_requests,
+        longest_time_to_deadline: conf
             .settings
             .request_classes
             .iter()
@@ -95,17 +95,21 @@
             .fold(0.0, f64::max),
         clients_resume: conf.clients_resume,
     };
-    let too_few = || wrong(format!("limits.sockets: over {OWN_DESCRIPTORS} are wanted"));
-    let allowed = ResourceLimits::of(&given).ok_or_else(too_few)?;
+    let too_few = || {
+        wrong(format!(
+            "limits.sockets: over {RESERVED_FILE_DESCRIPTORS} are wanted"
+        ))
+    };
+    let allowed = ResourceLimits::for_process(&process).ok_or_else(too_few)?;
     let bounds = Bounds {
-        most_body: allowed.most_body,
-        most_chunk: allowed.most_chunk,
-        most_list: allowed.most_list,
-        most_bodies: allowed.most_bodies,
-        feed_wait_ms: allowed.feed_wait as u32,
-        drain_ms: allowed.drain as u32,
-        most_drained: allowed.most_drained,
-        stall_ms: allowed.stall as u32,
+        most_body: allowed.max_body_bytes,
+        most_chunk: allowed.max_chunk_bytes,
+        most_list: allowed.max_list_bytes,
+        most_bodies: allowed.max_total_body_bytes,
+        feed_wait_ms: allowed.discovery_poll_wait as u32,
+        drain_ms: allowed.close_drain_timeout as u32,
+        most_drained: allowed.max_close_drain_bytes,
+        stall_ms: allowed.stall_timeout as u32,
     };
     let program = program(said.name, seed, conf, &allowed);
     Ok(Configuration {
@@ -123,36 +127,36 @@
     let limits = Limits {
         max_open_requests: allowed.max_open_requests,
         streams_per_connection: 1,
-        connections_per_engine: allowed.max_connections,
-        connection_idle: allowed.connection_idle,
-        window: allowed.window,
-        stall_limit: allowed.stall,
+        connections_per_engine: allowed.max_engine_connections,
+        connection_idle_timeout: allowed.engine_idle_timeout,
+        stream_window: allowed.stream_window,
+        stall_timeout: allowed.stall_timeout,
         health_check_timeout: conf.settings.connect_timeout,
         // HTTP/1.1 has no pings.
-        quiet: never,
+        keepalive_interval: never,
         ping_timeout: never,
-        client_quiet: never,
+        client_keepalive_interval: never,
         // Each attempt that is chosen for an engine dials it: what comes of that is the decisions' to judge.
-        again_first: 0.0,
-        again_most: 0.0,
+        initial_connect_backoff: 0.0,
+        max_connect_backoff: 0.0,
         // A client calls off by closing its connection, which costs it another one.
-        cancels: never,
-        cancels_per_s: 0.0,
+        cancel_burst: never,
+        cancels_per_second: 0.0,
         stop_grace: allowed.stop_grace,
-        stop_notice: allowed.stop_notice,
-        stop_moves: allowed.stop_moves,
-        most_frame: allowed.most_body,
-        most_clients: allowed.most_clients,
-        greet_within: conf.settings.connect_timeout,
-        single: Some(Http1Limits {
-            clients: allowed.clients,
-            max_connections: allowed.max_connections,
+        stop_accept_period: allowed.stop_accept_period,
+        stop_streams_after: allowed.stop_streams_after,
+        max_message_bytes: allowed.max_body_bytes,
+        max_client_connections: allowed.max_client_connections,
+        greeting_timeout: conf.settings.connect_timeout,
+        http1: Some(Http1Limits {
+            client_timeouts: allowed.client_timeouts,
+            max_engine_connections: allowed.max_engine_connections,
         }),
-        feed: allowed.feed,
+        discovery: allowed.discovery,
     };
     ProgramSettings {
         name,
-        run: seed,
+        incarnation: seed,
         policy: conf.settings,
         request_classes: conf.request_classes,
         tenants: conf.tenants,
--- a/crates/cindercleat-cli/src/script.rs
+++ b/crates/cindercleat-cli/src/script.rs
@@ -3,7 +3,7 @@
 use crate::conf::{Line, Problem, Section, Time};
 use crate::settings::{read_service, BLOCKS};
 use cindercleat::interface::{IdempotencyScope, Ms, RetrySafety, Role};
-use cindercleat_dispatcher::Service;
+use cindercleat_dispatcher::ServiceSettings;
 use cindercleat_faults::plan::{Day, Fault, Trouble};
 use cindercleat_standin::client::{Habits, Planned, Traffic};
 use cindercleat_standin::engine::{Does, EngineSpec};
@@ -66,7 +66,7 @@
     Ok(day)
 }
 
-fn stand_in(block: &Section, service: &Service) -> Result<EngineSpec, Problem> {
+fn stand_in(block: &Section, service: &ServiceSettings) -> Result<EngineSpec, Problem> {
     let kind: String = block.head.only()?;
     let at = service.kinds.iter().position(|k| *k == kind);
     let at = at.ok_or_else(|| {
@@ -108,7 +108,7 @@
     Ok(spec)
 }
 
-fn habits(block: &Section, service: &Service, length: Ms) -> Result<Habits, Problem> {
+fn habits(block: &Section, service: &ServiceSettings, length: Ms) -> Result<Habits, Problem> {
     let mut traffic = Vec::new();
     for line in block.all("profile-share") {
         let request_class: String = line.value(1)?;
@@ -326,16 +326,16 @@
         policy.tick,
         limits.streams_per_connection,
         limits.connections_per_engine,
-        limits.connection_idle,
-        limits.window,
-        limits.stall_limit,
-        limits.quiet,
+        limits.connection_idle_timeout,
+        limits.stream_window,
+        limits.stall_timeout,
+        limits.keepalive_interval,
         limits.ping_timeout,
-        limits.again_first,
-        limits.again_most,
-        limits.client_quiet,
+        limits.initial_connect_backoff,
+        limits.max_connect_backoff,
+        limits.client_keepalive_interval,
         limits.stop_grace,
-        limits.greet_within,
+        limits.greeting_timeout,
     );
     for kind in &day.service.kinds {
         // Engines of a kind are drawn alike but for their speed; a script has one for all.
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -5,7 +5,7 @@
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::*;
 use cindercleat_dispatcher::driver::Places;
-use cindercleat_dispatcher::{Limits, ProgramSettings, Service};
+use cindercleat_dispatcher::{Limits, ProgramSettings, ServiceSettings};
 use std::path::PathBuf;
 
 /// The keywords that open blocks.
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 /// The first thing wrong.
-pub fn read_service(section: &Section) -> Result<Service, Problem> {
+pub fn read_service(section: &Section) -> Result<ServiceSettings, Problem> {
     let zones = section.one("zones")?;
     if zones.words.len() < 2 {
         return Err(zones.wrong("a zone or more"));
@@ -179,38 +179,39 @@
         Some(line) => (line.value(1)?, line.must_after("more")?),
         None => (1_000.0, 200.0),
     };
-    let greet_within = or("greet-within", 5_000.0)?;
+    let greeting_timeout = or("greet-within", 5_000.0)?;
     let own = Limits {
         max_open_requests: limits.value_or("most-tasks", 20_000)?,
         streams_per_connection: limits.value_or("streams-per-link", 100)?,
         connections_per_engine: limits.value_or("links-per-host", 16)?,
-        connection_idle: or("link-idle", 15_000.0)?,
-        window: limits.value_or("window", 32)?,
-        stall_limit: or("stall", 3_000.0)?,
+        connection_idle_timeout: or("link-idle", 15_000.0)?,
+        stream_window: limits.value_or("window", 32)?,
+        stall_timeout: or("stall", 3_000.0)?,
         health_check_timeout: or("probe-timeout", policy.connect_timeout)?,
-        quiet: or("quiet", 2_000.0)?,
+        keepalive_interval: or("quiet", 2_000.0)?,
         ping_timeout: or("ping-timeout", 1_000.0)?,
-        again_first: or("connect-again", 100.0)?,
-        again_most: or("connect-again-most", 1_000.0)?,
-        client_quiet: or("client-quiet", 10_000.0)?,
-        cancels: cancels.0,
-        cancels_per_s: cancels.1,
+        initial_connect_backoff: or("connect-again", 100.0)?,
+        max_connect_backoff: or("connect-again-most", 1_000.0)?,
+        client_keepalive_interval: or("client-quiet", 10_000.0)?,
+        cancel_burst: cancels.0,
+        cancels_per_second: cancels.1,
         stop_grace: or("stop-grace", 10_000.0)?,
-        most_frame: limits.value_or("most-frame", 1 << 20)?,
-        most_clients: limits.value_or("most-clients", 12_000)?,
-        greet_within,
-        stop_notice: 0.0,
-        stop_moves: None,
-        single: None,
-        feed: DiscoverySettings::unhurried(greet_within),
+        max_message_bytes: limits.value_or("most-frame", 1 << 20)?,
+        max_client_connections: limits.value_or("most-clients", 12_000)?,
+        greeting_timeout,
+        stop_accept_period: 0.0,
+        stop_streams_after: None,
+        http1: None,
+        discovery: DiscoverySettings::without_silence_timeout(greeting_timeout),
     };
-    if own.window == 0 || own.streams_per_connection == 0 || own.connections_per_engine == 0 {
+    if own.stream_window == 0 || own.streams_per_connection == 0 || own.connections_per_engine == 0
+    {
         return Err(limits
             .head
             .wrong("window, streams-per-link and links-per-host of at least 1"));
     }
     limits.nothing_else()?;
-    Ok(Service {
+    Ok(ServiceSettings {
         policy,
         request_classes,
         tenants,
--- a/crates/cindercleat-cli/tests/conf.rs
+++ b/crates/cindercleat-cli/tests/conf.rs
@@ -59,7 +59,7 @@
         policy.request_classes[0].latency_objective_per_1000_tokens,
         40.0
     );
-    assert_eq!(read.program.run, 9);
+    assert_eq!(read.program.incarnation, 9);
 }
 
 #[test_case("number 0 of 2", "number 2 of 2", 2, "under M" ; "a number beyond")]
--- a/crates/dispatcher/src/driver.rs
+++ b/crates/dispatcher/src/driver.rs
@@ -428,13 +428,14 @@
     async fn flush(&self) {
         let limits = &self.inner.settings.limits;
         let clients: Vec<W::Out> = self.inner.clients.borrow().values().cloned().collect();
-        if limits.single.is_some() {
+        if limits.http1.is_some() {
             // Guards against the end of an answer that is cut off with its connection while its client still reads.
             clients.iter().for_each(Outbox::go_away);
-            self.wait_until_over(&clients, limits.stall_limit).await;
+            self.wait_until_over(&clients, limits.stall_timeout).await;
         }
         clients.iter().for_each(Outbox::close);
-        self.wait_until_over(&clients, limits.greet_within).await;
+        self.wait_until_over(&clients, limits.greeting_timeout)
+            .await;
         self.inner
             .connections
             .borrow()
@@ -460,8 +461,8 @@
             party: v1::Party::Dispatcher,
             name: settings.name.clone(),
             expects: expects.to_owned(),
-            run: settings.run,
-            most_message: settings.limits.most_frame,
+            run: settings.incarnation,
+            most_message: settings.limits.max_message_bytes,
             most_calls,
         }
     }
@@ -504,10 +505,10 @@
         let limits = &self.inner.settings.limits;
         loop {
             let changed = self.inner.place_changed.notified();
-            if self.clients() + self.inner.greeting.get() < limits.most_clients {
+            if self.clients() + self.inner.greeting.get() < limits.max_client_connections {
                 return true;
             }
-            if limits.single.is_none() {
+            if limits.http1.is_none() {
                 return false;
             }
             self.input(Input::ClientsFull);
@@ -518,7 +519,7 @@
     /// One connection that was taken in: greets, then serves a client or hears a peer.
     async fn client(self, stream: T::Stream) {
         let settings = &self.inner.settings;
-        let until = self.inner.clock.now() + settings.limits.greet_within;
+        let until = self.inner.clock.now() + settings.limits.greeting_timeout;
         let greeted = tokio::select! { biased;
             greeted = self.inner.wire.serve(stream, self.setup("", MOST_CALLS)) => greeted,
             () = self.inner.clock.sleep_until(until) => Err("nothing was asked in time".to_owned()),
@@ -638,7 +639,7 @@
 
     /// Follows the list feed, one address after another, for as long as the dispatcher serves.
     async fn follow_list(self) {
-        let mut calls = DiscoveryCalls::new(self.inner.settings.limits.feed, self.inner.seed);
+        let mut calls = DiscoveryCalls::new(self.inner.settings.limits.discovery, self.inner.seed);
         let mut at = 0;
         let mut said: Option<String> = None;
         loop {
@@ -649,14 +650,14 @@
             let address = &feeds[at % feeds.len()];
             let ended = tokio::select! { biased;
                 () = self.inner.moved.notified() => {
-                    calls.moved();
+                    calls.address_changed();
                     continue;
                 }
                 ended = self.read_feed(address, &mut calls) => ended,
             };
             let (reason, wait) = match ended {
-                FeedEnd::Lost(reason) => (reason, calls.lost()),
-                FeedEnd::Unusable(reason) => (reason, calls.unusable()),
+                FeedEnd::Lost(reason) => (reason, calls.backoff_after_loss()),
+                FeedEnd::Unusable(reason) => (reason, calls.backoff_after_unusable_list()),
             };
             // Said once, not with each call, while it stays so.
             if said.as_ref() != Some(&reason) {
@@ -667,7 +668,7 @@
             at += 1;
             let again = self.inner.clock.now() + wait;
             tokio::select! { biased;
-                () = self.inner.moved.notified() => calls.moved(),
+                () = self.inner.moved.notified() => calls.address_changed(),
                 () = self.inner.clock.sleep_until(again) => {}
             }
         }
@@ -675,11 +676,11 @@
 
     async fn read_feed(&self, address: &str, calls: &mut DiscoveryCalls) -> FeedEnd {
         let known = self.inner.ledger.borrow().known_version();
-        let known_version = match calls.calling(known) {
-            FirstCall::WholeList => None,
+        let known_version = match calls.begin_call(known) {
+            FirstCall::Snapshot => None,
             FirstCall::ChangesSince(version) => Some(version),
         };
-        let until = self.inner.clock.now() + self.inner.settings.limits.feed.connect;
+        let until = self.inner.clock.now() + self.inner.settings.limits.discovery.connect_timeout;
         let called = async {
             let stream = self
                 .inner
@@ -716,7 +717,7 @@
         let clock = &self.inner.clock;
         let mut heard = clock.now();
         loop {
-            let quiet = calls.quiet();
+            let quiet = calls.silence_timeout();
             let until = heard + quiet;
             let silent = async {
                 clock.sleep_until(until).await;
@@ -746,13 +747,13 @@
                     heard = clock.now();
                     let newest = self.inner.ledger.borrow().list_version();
                     let whole = list.kind() == v1::EndpointUpdateKind::Snapshot;
-                    if !calls.takes(whole, list.version, newest, heard) {
+                    if !calls.accept_version(whole, list.version, newest, heard) {
                         out.close();
                         return FeedEnd::Lost(
                             "its list is older than the one that is known".to_owned(),
                         );
                     }
-                    calls.answered();
+                    calls.list_received();
                     let told = |line: &v1::Endpoint| {
                         (
                             line.engine.clone(),
@@ -778,7 +779,7 @@
                     return ended(bye.reason);
                 }
                 // A long list has begun to come.
-                Some(Event::Partly) => calls.begins(),
+                Some(Event::Partly) => calls.answer_begun(),
                 Some(_) => {}
                 None => return FeedEnd::Lost("the connection ended".to_owned()),
             }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -10,4 +10,4 @@
 pub mod settings;
 pub mod state;
 
-pub use settings::{Limits, ProgramSettings, Service};
+pub use settings::{Limits, ProgramSettings, ServiceSettings};
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher's program is told at its start, besides what its decisions are told.
+//! Settings of a dispatcher's process, in addition to those of its decisions.
 
 use cindercleat::client_connection::http1::Http1Settings;
 use cindercleat::client_connection::multiplexed::MultiplexedSettings;
@@ -6,127 +6,149 @@
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::{DispatcherId, Ms, Settings, ZoneId};
 
-/// A dispatcher's settings.
+/// The settings of one dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProgramSettings {
+    /// The dispatcher's name, as engines and other dispatchers know it.
     pub name: String,
-    /// Tells this process from others of its name; drawn anew at each start.
-    pub run: u64,
+    /// Tells this process from earlier ones of the same name; drawn at each start.
+    pub incarnation: u64,
+    /// The settings of the routing decisions.
     pub policy: Settings,
-    /// The names behind the ids in `policy`, in the same order.
+    /// The names of the request classes in `policy`, in the same order.
     pub request_classes: Vec<String>,
+    /// The names of the tenants in `policy`, in the same order.
     pub tenants: Vec<String>,
+    /// The names of the zones, by their ids in `policy`.
     pub zones: Vec<String>,
+    /// The names of the kinds of engines in `policy`, in the same order.
     pub kinds: Vec<String>,
+    /// The process's own limits and timeouts.
     pub limits: Limits,
 }
 
-/// The program's own limits. Counts are upper limits; times are milliseconds.
+/// The process's own limits and timeouts. Counts are upper limits; times are milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Tasks open at once; one more is rejected.
+    /// Requests that are open at the same time; one more is rejected.
     pub max_open_requests: usize,
-    /// Launches and probes on one connection to an engine, and connections to one engine.
+    /// Attempts and health checks on one connection to an engine.
     pub streams_per_connection: usize,
+    /// Connections to one engine.
     pub connections_per_engine: usize,
-    /// A connection without streams is closed after this long.
-    pub connection_idle: Ms,
-    /// Token messages of one stream that may be between a decode engine and its client.
-    pub window: u32,
-    /// A stream whose decode engine sends nothing, or whose client takes nothing, for this long is over.
-    pub stall_limit: Ms,
+    /// A connection to an engine without streams is closed after this long.
+    pub connection_idle_timeout: Ms,
+    /// Token messages of one stream that have left its decode engine and not yet reached its client.
+    pub stream_window: u32,
+    /// A stream whose decode engine sends nothing, or whose client reads nothing, for this long is ended.
+    pub stall_timeout: Ms,
+    /// A health check without an answer has failed after this long.
     pub health_check_timeout: Ms,
-    /// A connection with streams that says nothing for this long is asked, and given up if it does not answer.
-    pub quiet: Ms,
+    /// A connection to an engine with streams over which nothing came for this long is pinged.
+    pub keepalive_interval: Ms,
+    /// A connection to an engine or of a client over which nothing comes for this long after a ping is closed.
     pub ping_timeout: Ms,
-    /// The wait after a failed connect, doubled each time up to the most.
-    pub again_first: Ms,
-    pub again_most: Ms,
-    /// A client that says nothing for this long is asked, too.
-    pub client_quiet: Ms,
-    /// Tasks that a client's connection may call off at once, and how many more each second.
-    pub cancels: f64,
-    pub cancels_per_s: f64,
+    /// The backoff after a failed connect to an engine; it doubles with each failure in a row.
+    pub initial_connect_backoff: Ms,
+    /// The upper limit of the doubled backoff.
+    pub max_connect_backoff: Ms,
+    /// A client that has sent nothing for this long is pinged.
+    pub client_keepalive_interval: Ms,
+    /// Requests that may be cancelled at once on a client's connection.
+    pub cancel_burst: f64,
+    /// Cancellations that a client's connection regains each second, up to the burst.
+    pub cancels_per_second: f64,
     /// After a stop: how long what is open may still run.
     pub stop_grace: Ms,
-    /// After a stop: for how long what still comes is taken.
-    pub stop_notice: Ms,
-    /// After a stop: streams are ended then, whose clients come back for the rest; none lets them run.
-    pub stop_moves: Option<Ms>,
-    /// The largest message taken from anybody, in bytes.
-    pub most_frame: usize,
-    /// Connections of clients at once, and how long one may take to greet.
-    pub most_clients: usize,
-    pub greet_within: Ms,
-    /// Where a connection carries one call at a time, and ends with a call that is called off: what is decided
-    /// about clients' connections, and how many there may be to all engines.
-    pub single: Option<Http1Limits>,
-    /// Of the calls to the list feed.
-    pub feed: DiscoverySettings,
+    /// After a stop: how long new requests are still accepted.
+    pub stop_accept_period: Ms,
+    /// After a stop: when streams are ended so that their clients resume elsewhere; `None`: they run to their end.
+    pub stop_streams_after: Option<Ms>,
+    /// The largest message that is accepted from a peer, in bytes.
+    pub max_message_bytes: usize,
+    /// Connections of clients at the same time.
+    pub max_client_connections: usize,
+    /// How long a new connection may take until its greeting is complete.
+    pub greeting_timeout: Ms,
+    /// Set where a connection carries one request at a time, and a cancelled request ends its connection.
+    pub http1: Option<Http1Limits>,
+    /// Timeouts of the calls to discovery.
+    pub discovery: DiscoverySettings,
 }
 
-/// What holds where a connection carries one call at a time.
+/// The limits where a connection carries one request at a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Http1Limits {
-    pub clients: Http1Settings,
-    pub max_connections: usize,
+    /// Timeouts of clients' connections.
+    pub client_timeouts: Http1Settings,
+    /// Connections to all engines together.
+    pub max_engine_connections: usize,
 }
 
 impl ProgramSettings {
-    pub fn channels(&self) -> PoolSettings {
+    /// The settings of the connections to one engine.
+    pub fn pool_settings(&self) -> PoolSettings {
         let limits = &self.limits;
         PoolSettings {
-            streams: limits.streams_per_connection,
-            most: limits.connections_per_engine,
+            max_streams_per_connection: limits.streams_per_connection,
+            max_connections: limits.connections_per_engine,
             connect_timeout: self.policy.connect_timeout,
-            idle: limits.connection_idle,
-            quiet: limits.quiet,
+            idle_timeout: limits.connection_idle_timeout,
+            keepalive_interval: limits.keepalive_interval,
             ping_timeout: limits.ping_timeout,
-            again_first: limits.again_first,
-            again_most: limits.again_most,
+            initial_backoff: limits.initial_connect_backoff,
+            max_backoff: limits.max_connect_backoff,
         }
     }
 
-    pub fn callers(&self) -> MultiplexedSettings {
+    /// The settings of a client's connection that carries many requests at once.
+    pub fn multiplexed_settings(&self) -> MultiplexedSettings {
         let limits = &self.limits;
         MultiplexedSettings {
-            quiet: limits.client_quiet,
+            keepalive_interval: limits.client_keepalive_interval,
             ping_timeout: limits.ping_timeout,
-            cancels: limits.cancels,
-            cancels_per_s: limits.cancels_per_s,
+            cancel_burst: limits.cancel_burst,
+            cancels_per_second: limits.cancels_per_second,
         }
     }
 }
 
-/// What the dispatchers of a service have in common.
+/// The settings that all dispatchers of a service have in common.
 #[derive(Clone, Debug)]
-pub struct Service {
+pub struct ServiceSettings {
+    /// The settings of the routing decisions; those of one dispatcher are filled in by
+    /// [`dispatcher`](Self::dispatcher).
     pub policy: Settings,
+    /// The names of the request classes in `policy`, in the same order.
     pub request_classes: Vec<String>,
+    /// The names of the tenants in `policy`, in the same order.
     pub tenants: Vec<String>,
+    /// The names of the zones, by their ids in `policy`.
     pub zones: Vec<String>,
+    /// The names of the kinds of engines in `policy`, in the same order.
     pub kinds: Vec<String>,
+    /// Each process's own limits and timeouts.
     pub limits: Limits,
 }
 
-impl Service {
-    /// What one dispatcher of the service is told.
+impl ServiceSettings {
+    /// The settings of one dispatcher of the service: the one with `number` of `dispatchers`, which are numbered from 0.
     pub fn dispatcher(
         &self,
         name: &str,
         zone: u32,
-        (me, of): (u32, u32),
-        run: u64,
+        (number, dispatchers): (u32, u32),
+        incarnation: u64,
     ) -> ProgramSettings {
         let policy = Settings {
-            me: DispatcherId(me),
-            dispatchers: of,
+            me: DispatcherId(number),
+            dispatchers,
             zone: ZoneId(zone),
             ..self.policy.clone()
         };
         ProgramSettings {
             name: name.to_owned(),
-            run,
+            incarnation,
             policy,
             request_classes: self.request_classes.clone(),
             tenants: self.tenants.clone(),
--- a/crates/dispatcher/src/state/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -1,4 +1,5 @@
-//! Clients' connections: which there are, and what is decided about each ([`MultiplexedConnection`], [`Http1Connection`]).
+//! Clients' connections: which there are, and how the decisions about each ([`MultiplexedConnection`],
+//! [`Http1Connection`]) are carried out.
 
 use super::timers::{Due, Timers};
 use super::*;
@@ -8,17 +9,33 @@
     ClientCommand, CloseReason, MultiplexedConnection, MultiplexedSettings,
 };
 
+/// The state of one client's connection.
 #[derive(Debug)]
-struct Row {
-    caller: MultiplexedConnection,
-    /// Where a connection carries one request at a time.
-    single: Option<Http1Connection>,
-    armed: Ms,
+struct ClientConnection {
+    multiplexed: MultiplexedConnection,
+    /// Set where a connection carries one request at a time.
+    http1: Option<Http1Connection>,
+    /// When its timer fires; infinity if none is set.
+    timer_at: Ms,
 }
 
+impl ClientConnection {
+    /// When a decision about the connection falls due next.
+    fn next_due_at(&self, settings: &MultiplexedSettings, limits: &Limits) -> Ms {
+        let http1_at = self
+            .http1
+            .zip(limits.http1)
+            .and_then(|(http1, limits)| http1.next_due_at(&limits.client_timeouts));
+        self.multiplexed
+            .next_due_at(settings)
+            .min(http1_at.unwrap_or(f64::INFINITY))
+    }
+}
+
+/// All connections of clients.
 #[derive(Debug, Default)]
 pub(super) struct ClientConnections {
-    all: BTreeMap<ClientConnectionId, Row>,
+    all: BTreeMap<ClientConnectionId, ClientConnection>,
 }
 
 impl ClientConnections {
@@ -30,179 +47,170 @@
         self.all.keys().copied()
     }
 
-    /// Sets the timer for what falls due next, unless an earlier one is set: it looks again.
-    fn arm(
+    fn http1_mut(&mut self, conn: ClientConnectionId) -> Option<&mut Http1Connection> {
+        self.all.get_mut(&conn)?.http1.as_mut()
+    }
+
+    /// The connection that is closed to make room for another.
+    fn to_evict(&self) -> Option<ClientConnectionId> {
+        let connections = self
+            .all
+            .iter()
+            .filter_map(|(conn, connection)| Some((*conn, connection.http1?)));
+        http1::connection_to_evict(connections)
+    }
+
+    /// Sets the timer for what falls due next, unless an earlier one is set: when that fires, this is called again.
+    fn set_timer(
         &mut self,
         conn: ClientConnectionId,
         settings: &MultiplexedSettings,
         limits: &Limits,
         timers: &mut Timers,
     ) {
-        let Some(row) = self.all.get_mut(&conn) else {
+        let Some(connection) = self.all.get_mut(&conn) else {
             return;
         };
-        let single = row
-            .single
-            .zip(limits.single)
-            .and_then(|(row, l)| row.next_at(&l.clients));
-        let at = row
-            .caller
-            .next_at(settings)
-            .min(single.unwrap_or(f64::INFINITY));
-        if at < row.armed {
-            row.armed = at;
+        let at = connection.next_due_at(settings, limits);
+        if at < connection.timer_at {
+            connection.timer_at = at;
             timers.set(at, Due::Client(conn));
         }
     }
 }
 
 impl Dispatcher {
+    /// A client has connected.
     pub(super) fn take_client_up(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
-        let settings = self.settings.callers();
-        let caller = MultiplexedConnection::new(&settings, self.now);
-        let single = self
-            .settings
-            .limits
-            .single
-            .map(|_| Http1Connection::new(self.now));
-        self.callers.all.insert(
-            conn,
-            Row {
-                caller,
-                single,
-                armed: f64::INFINITY,
-            },
-        );
-        self.arm_client(conn);
+        let settings = self.settings.multiplexed_settings();
+        let is_http1 = self.settings.limits.http1.is_some();
+        let connection = ClientConnection {
+            multiplexed: MultiplexedConnection::new(&settings, self.now),
+            http1: is_http1.then(|| Http1Connection::new(self.now)),
+            timer_at: f64::INFINITY,
+        };
+        self.callers.all.insert(conn, connection);
+        self.set_client_timer(conn);
         if self.is_closed() {
             out.push(Output::LeaveClient { conn });
         }
     }
 
-    fn arm_client(&mut self, conn: ClientConnectionId) {
-        let settings = self.settings.callers();
+    fn set_client_timer(&mut self, conn: ClientConnectionId) {
+        let settings = self.settings.multiplexed_settings();
         self.callers
-            .arm(conn, &settings, &self.settings.limits, &mut self.timers);
+            .set_timer(conn, &settings, &self.settings.limits, &mut self.timers);
     }
 
+    /// Anything was received from a client.
     pub(super) fn heard_client(&mut self, conn: ClientConnectionId) {
-        if let Some(row) = self.callers.all.get_mut(&conn) {
-            row.caller.heard(self.now);
+        if let Some(connection) = self.callers.all.get_mut(&conn) {
+            connection.multiplexed.received(self.now);
         }
     }
 
-    /// Part of a request is there.
+    /// Part of a request has come.
     pub(super) fn take_partly(&mut self, conn: ClientConnectionId) {
-        self.change_single(conn, Http1Connection::partly);
+        self.change_http1(conn, Http1Connection::request_begun);
     }
 
-    /// A request is there; gives how long ago its first part came.
+    /// A request has come in full. Returns how long ago its first part came, in milliseconds.
     pub(super) fn client_asks(&mut self, conn: ClientConnectionId) -> Ms {
-        let single = self
-            .callers
-            .all
-            .get_mut(&conn)
-            .and_then(|row| row.single.as_mut());
-        single.map_or(0.0, |single| single.whole(self.now))
+        self.callers
+            .http1_mut(conn)
+            .map_or(0.0, |http1| http1.request_received(self.now))
     }
 
-    /// The one answer to a request is out.
+    /// The one answer to a request was sent.
     pub(super) fn client_answered(&mut self, conn: ClientConnectionId) {
-        self.change_single(conn, Http1Connection::answered);
+        self.change_http1(conn, Http1Connection::response_sent);
     }
 
-    fn change_single(
+    fn change_http1(
         &mut self,
         conn: ClientConnectionId,
         change: impl FnOnce(&mut Http1Connection, Ms),
     ) {
-        if let Some(single) = self
-            .callers
-            .all
-            .get_mut(&conn)
-            .and_then(|row| row.single.as_mut())
-        {
-            change(single, self.now);
-            self.arm_client(conn);
+        if let Some(http1) = self.callers.http1_mut(conn) {
+            change(http1, self.now);
+            self.set_client_timer(conn);
         }
     }
 
-    /// There may be no more connections of clients, and one more wants to come.
+    /// The maximum of clients' connections is reached, and one more waits to be accepted.
     pub(super) fn make_room(&mut self, out: &mut Vec<Output>) {
-        let all = self
-            .callers
-            .all
-            .iter()
-            .filter_map(|(conn, row)| Some((*conn, row.single?)));
-        let Some(conn) = http1::shed(all) else {
+        let Some(conn) = self.callers.to_evict() else {
             return;
         };
-        let row = self
-            .callers
-            .all
-            .get_mut(&conn)
-            .and_then(|row| row.single.as_mut());
-        if let Some(why) = row.map(Http1Connection::give_up) {
-            self.end_single(conn, why, out);
+        if let Some(reason) = self.callers.http1_mut(conn).map(Http1Connection::evict) {
+            Self::close_http1(conn, reason, out);
         }
     }
 
-    fn end_single(
-        &mut self,
-        conn: ClientConnectionId,
-        why: http1::CloseReason,
-        out: &mut Vec<Output>,
-    ) {
-        match why {
-            // What it asks as this is said is still answered.
-            http1::CloseReason::Silent => out.push(Output::LeaveClient { conn }),
-            http1::CloseReason::Slow => {
+    fn close_http1(conn: ClientConnectionId, reason: http1::CloseReason, out: &mut Vec<Output>) {
+        match reason {
+            // A request that comes at the same moment is still answered.
+            http1::CloseReason::Idle => out.push(Output::LeaveClient { conn }),
+            http1::CloseReason::SlowRequest => {
                 let reason = "its request does not come".to_owned();
                 out.push(Output::CloseClient { conn, reason });
             }
         }
     }
 
+    /// A client has cancelled a request.
     pub(super) fn count_cancel(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
-        let settings = self.settings.callers();
-        if let Some(row) = self.callers.all.get_mut(&conn) {
-            row.caller.cancelled(&settings, self.now);
+        let settings = self.settings.multiplexed_settings();
+        if let Some(connection) = self.callers.all.get_mut(&conn) {
+            connection
+                .multiplexed
+                .request_cancelled(&settings, self.now);
             self.look_at_client(conn, out);
         }
     }
 
-    /// What has fallen due for a client's connection.
+    /// Carries out what has fallen due for a client's connection.
     pub(super) fn look_at_client(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
-        let settings = self.settings.callers();
-        let Some(row) = self.callers.all.get_mut(&conn) else {
+        let settings = self.settings.multiplexed_settings();
+        let Some(connection) = self.callers.all.get_mut(&conn) else {
             return;
         };
-        row.armed = f64::INFINITY;
-        let single = row.single.as_mut().zip(self.settings.limits.single);
-        let why = single.and_then(|(single, limits)| single.wanted(&limits.clients, self.now));
-        match row.caller.wanted(&settings, self.now) {
+        connection.timer_at = f64::INFINITY;
+        let http1_close = connection
+            .http1
+            .as_mut()
+            .zip(self.settings.limits.http1)
+            .and_then(|(http1, limits)| http1.due_close(&limits.client_timeouts, self.now));
+        match connection.multiplexed.due_command(&settings, self.now) {
             Some(ClientCommand::Ping) => {
-                out.push(Output::ToClient {
-                    conn,
-                    frame: frame(0, Body::Ping(v1::Ping {})),
-                });
+                let frame = frame(0, Body::Ping(v1::Ping {}));
+                out.push(Output::ToClient { conn, frame });
             }
-            Some(ClientCommand::Close(why)) => {
-                let reason = match why {
-                    CloseReason::Dead => "it does not answer",
-                    CloseReason::Flood => "it calls off more than it may",
-                };
-                self.take_client_closed(conn, out);
-                return out.push(Output::CloseClient {
-                    conn,
-                    reason: reason.to_owned(),
-                });
+            Some(ClientCommand::Close(reason)) => {
+                return self.close_multiplexed(conn, reason, out);
             }
             None => {}
         }
-        if let Some(why) = why {
-            self.end_single(conn, why, out);
+        if let Some(reason) = http1_close {
+            Self::close_http1(conn, reason, out);
         }
-        self.arm_client(conn);
+        self.set_client_timer(conn);
+    }
+
+    fn close_multiplexed(
+        &mut self,
+        conn: ClientConnectionId,
+        reason: CloseReason,
+        out: &mut Vec<Output>,
+    ) {
+        let reason = match reason {
+            CloseReason::PingTimeout => "it does not answer",
+            CloseReason::TooManyCancels => "it calls off more than it may",
+        };
+        self.take_client_closed(conn, out);
+        out.push(Output::CloseClient {
+            conn,
+            reason: reason.to_owned(),
+        });
     }
 }
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -1,5 +1,5 @@
-//! EngineConnections: connections to engines, and what is out on each. Which one a stream takes, when one more is
-//! dialled, asked whether it lives or closed, [`ConnectionPool`] decides.
+//! Connections to engines, and the streams that are open on each. [`ConnectionPool`] decides which connection carries a
+//! stream, and when one is dialled, pinged or closed.
 
 use super::engine_releases::EngineRelease;
 use super::kv_states::ReleaseCall;
@@ -14,85 +14,90 @@
 use cindercleat_protocol::{frame, Body};
 use std::collections::BTreeMap;
 
-/// What a stream of a connection is for.
+/// What a stream of a connection carries.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum StreamPurpose {
+    /// An attempt at a request.
     Attempt(RequestId, AttemptId),
-    Probe {
-        sent: Ms,
-    },
+    /// A health check.
+    Probe { sent: Ms },
+    /// A reservation for an attempt that is not chosen yet.
     Hold(RequestId, AttemptId),
-    /// Asked to release what is held for a request, at whatever engine.
+    /// The release of a request's KV state where any engine can release it.
     Release(ReleaseCall),
+    /// The release of a KV state at the engine that holds it.
     EngineRelease(EngineRelease),
-    /// Asked for nothing but a sign that its engine runs.
+    /// A question whose only purpose is an answer that proves that the engine runs.
     Sign,
-    /// Given up here; whatever still comes is old.
+    /// Given up here; what still comes on it is ignored.
     Past,
 }
 
+/// One connection to an engine, from its dialling on.
 #[derive(Debug)]
 pub(super) struct EngineConnection {
     pub engine: EngineId,
     pub address: String,
+    /// Whether it is established.
     pub up: bool,
     pub streams: BTreeMap<StreamId, StreamPurpose>,
-    /// What goes out once it is up.
+    /// What is sent once it is established.
     pub waiting: Vec<(StreamId, Body)>,
-    /// When it last sent anything.
+    /// When anything was last received over it.
     pub heard: Ms,
-    /// When it was dialled, and when its last call began.
     pub dialled: Ms,
+    /// When its last stream was opened.
     pub last_call: Ms,
     next_stream: u64,
 }
 
 impl EngineConnection {
-    /// Streams that it has carried.
+    /// How many streams were opened on it so far.
     pub fn carried(&self) -> u64 {
         self.next_stream - 1
     }
 }
 
-/// What tells whether an engine runs, by whatever connection. Instants long ago stand for never.
+/// What proves that an engine runs, over all its connections. Negative infinity stands for never.
 #[derive(Clone, Copy, Debug)]
-struct Signs {
+struct Liveness {
     /// When it last sent anything.
-    heard: Ms,
-    /// When it is known to have run, by what it sent.
-    ran: Ms,
-    /// When it is known to have worked on an attempt, by what it sent of one.
-    worked: Ms,
-    /// When it left a question unanswered.
-    unanswered: Ms,
+    last_received_at: Ms,
+    /// The latest instant at which what it sent proves that it ran.
+    ran_at: Ms,
+    /// The latest instant at which what it sent proves that it worked on an attempt.
+    worked_at: Ms,
+    /// When a question to it was last given up without an answer.
+    unanswered_at: Ms,
 }
 
-impl Default for Signs {
+impl Default for Liveness {
     fn default() -> Self {
         let never = f64::NEG_INFINITY;
-        Signs {
-            heard: never,
-            ran: never,
-            worked: never,
-            unanswered: never,
+        Liveness {
+            last_received_at: never,
+            ran_at: never,
+            worked_at: never,
+            unanswered_at: never,
         }
     }
 }
 
+/// The connections to all engines.
 #[derive(Debug, Default)]
 pub(super) struct EngineConnections {
     all: BTreeMap<EngineConnectionId, EngineConnection>,
-    of: BTreeMap<EngineId, Vec<EngineConnectionId>>,
-    made: u64,
-    decide: BTreeMap<EngineId, ConnectionPool>,
-    signs: BTreeMap<EngineId, Signs>,
-    /// When the timer of an engine's connections is due.
-    armed: BTreeMap<EngineId, Ms>,
+    by_engine: BTreeMap<EngineId, Vec<EngineConnectionId>>,
+    last_id: u64,
+    pools: BTreeMap<EngineId, ConnectionPool>,
+    liveness: BTreeMap<EngineId, Liveness>,
+    /// When the timer of an engine's connections fires, where one is set.
+    timers_at: BTreeMap<EngineId, Ms>,
     seed: u64,
 }
 
 impl EngineConnections {
-    /// `seed` starts the chance in when a connect is tried again.
+    /// `seed` determines the jitter of the backoff between connects.
     pub fn new(seed: u64) -> Self {
         EngineConnections {
             seed,
@@ -113,13 +118,13 @@
     }
 
     pub fn ids_of(&self, engine: &EngineId) -> Vec<EngineConnectionId> {
-        self.of.get(engine).cloned().unwrap_or_default()
+        self.by_engine.get(engine).cloned().unwrap_or_default()
     }
 
-    /// A stream at `engine`, on a connection that is dialled if need be.
+    /// Opens a stream to `engine`, on a connection that is dialled if need be.
     ///
     /// # Errors
-    /// No connection may carry it now; it has not run.
+    /// No connection can carry it now; nothing was sent.
     pub fn open(
         &mut self,
         engine: &EngineId,
@@ -132,11 +137,11 @@
         let chosen = self.place(engine, address, now, settings, (timers, out))?;
         let stream = self
             .open_on(chosen, purpose, now, timers)
-            .ok_or(PlacementError::AllTaken)?;
+            .ok_or(PlacementError::PoolExhausted)?;
         if self
-            .decide
+            .pools
             .get(engine)
-            .is_some_and(|channels| channels.wants_more(now))
+            .is_some_and(|pool| pool.wants_connection(now))
         {
             self.dial(engine, address, now, (timers, out));
         }
@@ -151,74 +156,79 @@
         settings: &ProgramSettings,
         to: (&mut Timers, &mut Vec<Output>),
     ) -> Result<EngineConnectionId, PlacementError> {
-        let ids = self.of.get(engine).into_iter().flatten();
-        let moved: Vec<EngineConnectionId> = ids
+        let ids = self.by_engine.get(engine).into_iter().flatten();
+        let at_old_address: Vec<EngineConnectionId> = ids
             .copied()
             .filter(|id| self.all[id].address != address)
             .collect();
-        let seed = self.seed ^ self.decide.len() as u64;
-        let new = || ConnectionPool::new(settings.channels(), seed);
-        let channels = self.decide.entry(engine.clone()).or_insert_with(new);
-        // The engine has another address now: what is out there ends there.
-        moved
+        let seed = self.seed ^ self.pools.len() as u64;
+        let new = || ConnectionPool::new(settings.pool_settings(), seed);
+        let pool = self.pools.entry(engine.clone()).or_insert_with(new);
+        // The engine has another address now: open streams end where they are, new ones go there.
+        at_old_address
             .iter()
-            .for_each(|id| channels.going_away(ConnectionId(id.0)));
-        match channels.place(now) {
-            Placement::On(id) => Ok(EngineConnectionId(id.0)),
-            Placement::Connect => {
-                let most = settings
+            .for_each(|id| pool.going_away(ConnectionId(id.0)));
+        match pool.place(now) {
+            Placement::Existing(id) => Ok(EngineConnectionId(id.0)),
+            Placement::NewConnection => {
+                let max_connections = settings
                     .limits
-                    .single
-                    .map_or(usize::MAX, |single| single.max_connections);
-                if self.all.len() >= most && !self.make_room(now, to.1) {
-                    return Err(PlacementError::AllTaken);
+                    .http1
+                    .map_or(usize::MAX, |http1| http1.max_engine_connections);
+                if self.all.len() >= max_connections && !self.make_room(now, to.1) {
+                    return Err(PlacementError::PoolExhausted);
                 }
                 Ok(self.dial(engine, address, now, to))
             }
-            Placement::Nowhere(refusal) => Err(refusal),
+            Placement::Unavailable(error) => Err(error),
         }
     }
 
-    /// Closes the connection that has rested longest, at whatever engine; tells whether there was one.
+    /// Closes the connection that has been idle longest, to whichever engine. Returns whether there was one.
     fn make_room(&mut self, now: Ms, out: &mut Vec<Output>) -> bool {
-        let resting = self
+        let idle = self
             .all
             .iter()
             .filter(|(_, connection)| connection.up && connection.streams.is_empty());
-        let longest = resting
+        let longest_idle = idle
             .min_by(|a, b| a.1.heard.total_cmp(&b.1.heard))
             .map(|(id, _)| *id);
-        if let Some(id) = longest {
+        if let Some(id) = longest_idle {
             out.push(Output::CloseConnection {
                 connection: id,
                 reason: "its place is wanted".to_owned(),
             });
             self.remove(id, now);
         }
-        longest.is_some()
+        longest_idle.is_some()
     }
 
-    /// Sets the timer for what falls due next at an engine's connections, unless an earlier one is set: it looks again.
+    /// Sets the timer for what falls due next for an engine's connections, unless an earlier one is set: when that
+    /// fires, this is called again.
     pub fn arm(&mut self, engine: &EngineId, timers: &mut Timers) {
-        let Some(at) = self.decide.get(engine).and_then(ConnectionPool::next_at) else {
+        let Some(at) = self.pools.get(engine).and_then(ConnectionPool::next_due_at) else {
             return;
         };
-        if self.armed.get(engine).is_none_or(|armed| at < *armed) {
-            self.armed.insert(engine.clone(), at);
+        if self
+            .timers_at
+            .get(engine)
+            .is_none_or(|timer_at| at < *timer_at)
+        {
+            self.timers_at.insert(engine.clone(), at);
             timers.set(at, Due::EngineConnections(engine.clone()));
         }
     }
 
-    /// What is to be done by now about an engine's connections.
+    /// What is to be done by now about an engine's connections. `ready`: whether the engine accepts new requests.
     pub fn wanted(&mut self, engine: &EngineId, now: Ms, ready: bool) -> Vec<PoolCommand> {
-        self.armed.remove(engine);
-        self.decide
+        self.timers_at.remove(engine);
+        self.pools
             .get_mut(engine)
-            .map(|channels| channels.wanted(now, ready))
+            .map(|pool| pool.due_commands(now, ready))
             .unwrap_or_default()
     }
 
-    /// The connection is up; `limit`: the streams that the engine allows on it.
+    /// The connection is established. `limit`: the streams that the engine allows on it, if it says so.
     pub fn come_up(
         &mut self,
         id: EngineConnectionId,
@@ -231,13 +241,13 @@
         };
         connection.up = true;
         let engine = connection.engine.clone();
-        if let Some(channels) = self.decide.get_mut(&engine) {
-            channels.up(ConnectionId(id.0), limit, now);
+        if let Some(pool) = self.pools.get_mut(&engine) {
+            pool.connected(ConnectionId(id.0), limit, now);
         }
         self.arm(&engine, timers);
     }
 
-    /// The engine takes nothing new on it.
+    /// The engine accepts no more streams on it.
     pub fn leaving(&mut self, id: EngineConnectionId, timers: &mut Timers) {
         let Some(engine) = self
             .all
@@ -246,14 +256,14 @@
         else {
             return;
         };
-        if let Some(channels) = self.decide.get_mut(&engine) {
-            channels.going_away(ConnectionId(id.0));
+        if let Some(pool) = self.pools.get_mut(&engine) {
+            pool.going_away(ConnectionId(id.0));
         }
         self.arm(&engine, timers);
     }
 
-    /// One more stream on a connection that is up, whatever it carries: for what ends something, and so must not
-    /// wait for room.
+    /// Opens a stream on an established connection regardless of limits: for what ends something and so must not wait
+    /// for room.
     pub fn open_on(
         &mut self,
         id: EngineConnectionId,
@@ -267,81 +277,85 @@
         connection.last_call = now;
         connection.streams.insert(stream, purpose);
         let engine = connection.engine.clone();
-        if let Some(channels) = self.decide.get_mut(&engine) {
-            channels.opened(ConnectionId(id.0), now);
+        if let Some(pool) = self.pools.get_mut(&engine) {
+            pool.stream_opened(ConnectionId(id.0), now);
         }
         self.arm(&engine, timers);
         Some(stream)
     }
 
-    /// Something came over it.
+    /// Anything was received over it.
     pub fn heard(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get_mut(&id) else {
             return;
         };
         connection.heard = now;
-        if let Some(channels) = self.decide.get_mut(&connection.engine) {
-            channels.heard(ConnectionId(id.0), now);
+        if let Some(pool) = self.pools.get_mut(&connection.engine) {
+            pool.received(ConnectionId(id.0), now);
         }
     }
 
-    /// When the engine last sent anything; long ago if it never did.
+    /// When the engine last sent anything; negative infinity if it never did.
     pub fn heard_at(&self, engine: &EngineId) -> Ms {
-        self.signs
+        self.liveness
             .get(engine)
-            .map_or(f64::NEG_INFINITY, |signs| signs.heard)
+            .map_or(f64::NEG_INFINITY, |liveness| liveness.last_received_at)
     }
 
-    /// A message has come over it that its engine wrote: the engine ran after it had the call.
+    /// A message of the engine itself was received over it, which proves that the engine ran after the last stream was
+    /// opened, and no longer ago than a message may be delayed.
     pub fn answered(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get(&id) else {
             return;
         };
-        if !self.signs.contains_key(&connection.engine) {
-            self.signs
-                .insert(connection.engine.clone(), Signs::default());
+        let proven_at = connection.last_call.max(now - RECEIVED_LATE);
+        // Messages are frequent: the engine's name is cloned only for its first.
+        if !self.liveness.contains_key(&connection.engine) {
+            self.liveness
+                .insert(connection.engine.clone(), Liveness::default());
         }
-        if let Some(signs) = self.signs.get_mut(&connection.engine) {
-            signs.heard = now;
-            signs.ran = signs.ran.max(connection.last_call).max(now - RECEIVED_LATE);
+        if let Some(liveness) = self.liveness.get_mut(&connection.engine) {
+            liveness.last_received_at = now;
+            liveness.ran_at = liveness.ran_at.max(proven_at);
         }
     }
 
-    /// What has come over it is part of an attempt's answer, or the whole.
+    /// What was received over it belongs to an attempt's answer.
     pub fn worked(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get(&id) else {
             return;
         };
-        if let Some(signs) = self.signs.get_mut(&connection.engine) {
-            signs.worked = signs
-                .worked
-                .max(connection.last_call)
-                .max(now - RECEIVED_LATE);
+        let proven_at = connection.last_call.max(now - RECEIVED_LATE);
+        if let Some(liveness) = self.liveness.get_mut(&connection.engine) {
+            liveness.worked_at = liveness.worked_at.max(proven_at);
         }
     }
 
-    /// The latest instant at which an engine is known to have worked; long ago if it never was.
+    /// The latest instant at which an engine is known to have worked on an attempt; negative infinity if never.
     pub fn worked_at(&self, engine: &EngineId) -> Ms {
-        self.signs
+        self.liveness
             .get(engine)
-            .map_or(f64::NEG_INFINITY, |signs| signs.worked)
+            .map_or(f64::NEG_INFINITY, |liveness| liveness.worked_at)
     }
 
-    /// Whether an engine is known to have run at an instant or later.
+    /// Whether an engine is known to have run at this instant or later.
     pub fn has_run_since(&self, engine: &EngineId, instant: Ms) -> bool {
         self.ran_at(engine) >= instant
     }
 
     /// A question to an engine was given up without an answer.
     pub fn left_unanswered(&mut self, engine: &EngineId, now: Ms) {
-        self.signs.entry(engine.clone()).or_default().unanswered = now;
+        self.liveness
+            .entry(engine.clone())
+            .or_default()
+            .unanswered_at = now;
     }
 
-    /// Whether it has said nothing since it left a question unanswered.
+    /// Whether the engine has sent nothing since it left a question unanswered.
     pub fn is_suspected(&self, engine: &EngineId) -> bool {
-        self.signs
+        self.liveness
             .get(engine)
-            .is_some_and(|signs| signs.unanswered > signs.heard)
+            .is_some_and(|liveness| liveness.unanswered_at > liveness.last_received_at)
     }
 
     /// Whether an engine that left a question unanswered has another one open.
@@ -356,24 +370,24 @@
                 .into_iter()
                 .any(|purpose| matches!(purpose, StreamPurpose::Release(..) | StreamPurpose::Sign))
         };
-        self.is_suspected(engine) && self.of.get(engine).into_iter().flatten().any(asks)
+        self.is_suspected(engine) && self.by_engine.get(engine).into_iter().flatten().any(asks)
     }
 
-    /// The latest instant at which an engine is known to have run; long ago if it never was.
+    /// The latest instant at which an engine is known to have run; negative infinity if never.
     pub fn ran_at(&self, engine: &EngineId) -> Ms {
-        self.signs
+        self.liveness
             .get(engine)
-            .map_or(f64::NEG_INFINITY, |signs| signs.ran)
+            .map_or(f64::NEG_INFINITY, |liveness| liveness.ran_at)
     }
 
-    /// The list tells of a new process there: what failed with the old one says nothing of it.
+    /// The engine's process is a new one: failed connects to the old one say nothing about it.
     pub fn renewed(&mut self, engine: &EngineId) {
-        if let Some(channels) = self.decide.get_mut(engine) {
-            channels.renewed();
+        if let Some(pool) = self.pools.get_mut(engine) {
+            pool.reset_backoff();
         }
     }
 
-    /// Dials an engine whose channels have asked for it.
+    /// Dials an engine, as its pool has asked for.
     pub fn dial(
         &mut self,
         engine: &EngineId,
@@ -381,18 +395,18 @@
         now: Ms,
         (timers, out): (&mut Timers, &mut Vec<Output>),
     ) -> EngineConnectionId {
-        self.made += 1;
-        let id = EngineConnectionId(self.made);
+        self.last_id += 1;
+        let id = EngineConnectionId(self.last_id);
         let (engine, address) = (engine.clone(), address.to_owned());
         out.push(Output::Dial {
             connection: id,
             engine: engine.clone(),
             address: address.clone(),
         });
-        if let Some(channels) = self.decide.get_mut(&engine) {
-            channels.connecting(ConnectionId(id.0), now);
+        if let Some(pool) = self.pools.get_mut(&engine) {
+            pool.connecting(ConnectionId(id.0), now);
         }
-        self.of.entry(engine.clone()).or_default().push(id);
+        self.by_engine.entry(engine.clone()).or_default().push(id);
         let connection = EngineConnection {
             engine: engine.clone(),
             address,
@@ -409,7 +423,7 @@
         id
     }
 
-    /// Releases that were sent to the engines of their states, and that those have not answered.
+    /// How many releases were sent to the engines that hold the KV states, and not answered yet.
     pub fn releasing(&self) -> usize {
         let all = self
             .all
@@ -419,18 +433,20 @@
             .count()
     }
 
-    /// A connection to the engine that is up and takes streams; `resting`: one that carries nothing.
+    /// An established connection to the engine that accepts streams. `resting`: only one without streams.
     pub fn up(&self, engine: &EngineId, resting: bool) -> Option<EngineConnectionId> {
-        let channels = self.decide.get(engine)?;
-        let ids = self.of.get(engine)?;
-        let fits = |l: &EngineConnection| l.up && (!resting || l.streams.is_empty());
-        let takes = |id: &EngineConnectionId| {
-            channels.takes(ConnectionId(id.0)) && self.all.get(id).is_some_and(fits)
+        let pool = self.pools.get(engine)?;
+        let ids = self.by_engine.get(engine)?;
+        let fits = |connection: &EngineConnection| {
+            connection.up && (!resting || connection.streams.is_empty())
+        };
+        let accepts = |id: &EngineConnectionId| {
+            pool.accepts_streams(ConnectionId(id.0)) && self.all.get(id).is_some_and(fits)
         };
-        ids.iter().copied().find(takes)
+        ids.iter().copied().find(accepts)
     }
 
-    /// Sees to it that a connection to the engine is up or coming up; tells whether it could.
+    /// Dials the engine unless a connection is established or connecting. Returns whether there is one now.
     pub fn want(
         &mut self,
         engine: &EngineId,
@@ -439,15 +455,15 @@
         settings: &ProgramSettings,
         to: (&mut Timers, &mut Vec<Output>),
     ) -> bool {
-        let channels = self.decide.get(engine);
-        let ids = self.of.get(engine).into_iter().flatten();
-        let coming = ids
+        let pool = self.pools.get(engine);
+        let ids = self.by_engine.get(engine).into_iter().flatten();
+        let exists = ids
             .into_iter()
-            .any(|id| channels.is_some_and(|c| c.takes(ConnectionId(id.0))));
-        coming || self.place(engine, address, now, settings, to).is_ok()
+            .any(|id| pool.is_some_and(|pool| pool.accepts_streams(ConnectionId(id.0))));
+        exists || self.place(engine, address, now, settings, to).is_ok()
     }
 
-    /// Sends now, or once the connection is up.
+    /// Sends now, or once the connection is established.
     pub fn send(
         &mut self,
         id: EngineConnectionId,
@@ -468,7 +484,7 @@
         }
     }
 
-    /// Takes back what was to be sent on a stream; tells whether it had not gone out.
+    /// Removes what waits to be sent on a stream. Returns whether it was not sent yet.
     pub fn unsend(&mut self, id: EngineConnectionId, stream: StreamId) -> bool {
         let Some(connection) = self.all.get_mut(&id) else {
             return true;
@@ -478,7 +494,7 @@
         connection.waiting.len() < before
     }
 
-    /// The stream is over; the connection may be idle from now on.
+    /// The stream has ended; the connection may be idle from now on. Returns what the stream carried.
     pub fn close_stream(
         &mut self,
         id: EngineConnectionId,
@@ -489,40 +505,41 @@
         let connection = self.all.get_mut(&id)?;
         let purpose = connection.streams.remove(&stream)?;
         let engine = connection.engine.clone();
-        if let Some(channels) = self.decide.get_mut(&engine) {
-            channels.ended(ConnectionId(id.0), now);
+        if let Some(pool) = self.pools.get_mut(&engine) {
+            pool.stream_ended(ConnectionId(id.0), now);
         }
         self.arm(&engine, timers);
         Some(purpose)
     }
 
-    /// Forgets what was decided about an engine's connections, if none is left; tells whether it did.
+    /// Drops the state of an engine without connections. Returns whether it has none.
     pub fn forget(&mut self, engine: &EngineId) -> bool {
-        let none = !self.of.contains_key(engine);
+        let none = !self.by_engine.contains_key(engine);
         if none {
-            self.decide.remove(engine);
-            self.signs.remove(engine);
-            self.armed.remove(engine);
+            self.pools.remove(engine);
+            self.liveness.remove(engine);
+            self.timers_at.remove(engine);
         }
         none
     }
 
-    /// Whether the connection is up and carries nothing.
+    /// Whether the connection is established and carries no stream.
     pub fn is_idle(&self, id: EngineConnectionId) -> bool {
         self.all
             .get(&id)
-            .is_some_and(|l| l.up && l.streams.is_empty())
+            .is_some_and(|connection| connection.up && connection.streams.is_empty())
     }
 
+    /// The connection has ended, or was never established.
     pub fn remove(&mut self, id: EngineConnectionId, now: Ms) -> Option<EngineConnection> {
         let connection = self.all.remove(&id)?;
-        if let Some(channels) = self.decide.get_mut(&connection.engine) {
-            channels.closed(ConnectionId(id.0), now);
+        if let Some(pool) = self.pools.get_mut(&connection.engine) {
+            pool.closed(ConnectionId(id.0), now);
         }
-        if let Some(ids) = self.of.get_mut(&connection.engine) {
+        if let Some(ids) = self.by_engine.get_mut(&connection.engine) {
             ids.retain(|other| *other != id);
             if ids.is_empty() {
-                self.of.remove(&connection.engine);
+                self.by_engine.remove(&connection.engine);
             }
         }
         Some(connection)
--- a/crates/dispatcher/src/state/engine_releases.rs
+++ b/crates/dispatcher/src/state/engine_releases.rs
@@ -65,7 +65,7 @@
                             .open_on(connection, purpose, self.now, &mut self.timers);
                     let Some(stream) = stream else { continue };
                     self.timers.set(
-                        self.now + self.settings.limits.stall_limit,
+                        self.now + self.settings.limits.stall_timeout,
                         Due::Past(connection, stream),
                     );
                     self.connections.send(
--- a/crates/dispatcher/src/state/engines.rs
+++ b/crates/dispatcher/src/state/engines.rs
@@ -46,8 +46,8 @@
         };
         let address = row.line.address.clone();
         let until = until.unwrap_or(request.ends).min(request.ends);
-        let state = state_of(self.settings.run, id, no);
-        let window = self.settings.limits.window;
+        let state = state_of(self.settings.incarnation, id, no);
+        let window = self.settings.limits.stream_window;
         let held = self.kv_states.on_offer(id).map(|state| &state.held);
         let body = body_of(
             request,
@@ -71,8 +71,8 @@
             // The next choice is to pass the engine by for a moment, or to judge it: it could not be reached.
             Err(refusal) => {
                 let outcome = match refusal {
-                    PlacementError::AllTaken => Outcome::Overloaded,
-                    PlacementError::NotYet => Outcome::Unreachable,
+                    PlacementError::PoolExhausted => Outcome::Overloaded,
+                    PlacementError::BackingOff => Outcome::Unreachable,
                 };
                 return self
                     .events
@@ -93,7 +93,7 @@
             position: 0,
             came: 0,
             gone: 0,
-            credited: self.settings.limits.window,
+            credited: self.settings.limits.stream_window,
             last_came: self.now,
             last_gone: self.now,
         });
@@ -131,8 +131,10 @@
             return false;
         }
         let (no, engine, address) = (attempt.no, attempt.engine.clone(), row.line.address.clone());
-        let state = attempt.reading.then(|| state_of(self.settings.run, id, no));
-        let window = self.settings.limits.window;
+        let state = attempt
+            .reading
+            .then(|| state_of(self.settings.incarnation, id, no));
+        let window = self.settings.limits.stream_window;
         let held = self.kv_states.on_offer(id).map(|state| &state.held);
         let body = body_of(
             request,
@@ -190,7 +192,7 @@
     fn prefill_out(&self, id: RequestId) -> Option<Held> {
         let request = self.requests.get(&id)?;
         let attempt = request.out.as_ref().filter(|attempt| attempt.reading)?;
-        let state = state_of(self.settings.run, id, attempt.no);
+        let state = state_of(self.settings.incarnation, id, attempt.no);
         Some(Held {
             engine: attempt.engine.clone(),
             id: state,
@@ -202,7 +204,7 @@
         if let Some(connection) = self.connections.get_mut(id) {
             connection.streams.insert(stream, StreamPurpose::Past);
             self.timers.set(
-                self.now + self.settings.limits.stall_limit,
+                self.now + self.settings.limits.stall_timeout,
                 Due::Past(id, stream),
             );
         }
@@ -230,7 +232,7 @@
             self.connections.left_unanswered(&engine, self.now);
             return self.drop_link(id, reason, out);
         }
-        let until = connection.heard + self.settings.limits.stall_limit;
+        let until = connection.heard + self.settings.limits.stall_timeout;
         if self.now >= until {
             self.drop_link(id, "it says nothing and ends nothing", out);
         } else {
@@ -249,7 +251,7 @@
         };
         self.unconfirmed.remove(&id);
         if outcome == Outcome::PrefillDone {
-            let state = state_of(self.settings.run, id, attempt.no);
+            let state = state_of(self.settings.incarnation, id, attempt.no);
             let held = Held {
                 engine: attempt.engine.clone(),
                 id: state,
@@ -349,7 +351,7 @@
         let Some(attempt) = self.requests.get(&id).and_then(|t| t.out.as_ref()) else {
             return;
         };
-        let state = state_of(self.settings.run, id, attempt.no);
+        let state = state_of(self.settings.incarnation, id, attempt.no);
         let purpose = StreamPurpose::Hold(id, attempt.no);
         let Some(row) = self
             .endpoints
@@ -597,8 +599,8 @@
                     let reason = match why {
                         CloseReason::ConnectTimeout => "no connection in time",
                         CloseReason::Idle => "idle",
-                        CloseReason::Dead => "it does not answer",
-                        CloseReason::Left => "it goes away",
+                        CloseReason::PingTimeout => "it does not answer",
+                        CloseReason::Drained => "it goes away",
                     };
                     self.drop_link(EngineConnectionId(id.0), reason, out);
                 }
@@ -928,7 +930,7 @@
             let (no, engine, latency) =
                 (attempt.no, attempt.engine.clone(), self.now - attempt.since);
             self.timers.set(
-                self.now + self.settings.limits.stall_limit,
+                self.now + self.settings.limits.stall_timeout,
                 Due::Stall(id, no),
             );
             self.events.push(Event::FirstToken {
@@ -971,8 +973,9 @@
         };
         attempt.gone = (attempt.gone + messages).min(attempt.came);
         attempt.last_gone = self.now;
-        let room = (attempt.gone + self.settings.limits.window).saturating_sub(attempt.credited);
-        if room >= (self.settings.limits.window / CREDIT_PARTS).max(1) {
+        let room =
+            (attempt.gone + self.settings.limits.stream_window).saturating_sub(attempt.credited);
+        if room >= (self.settings.limits.stream_window / CREDIT_PARTS).max(1) {
             attempt.credited += room;
             let (connection, stream) = (attempt.connection, attempt.stream);
             let body = Body::Credit(v1::Credit { messages: room });
@@ -995,7 +998,7 @@
         } else {
             attempt.last_gone
         };
-        let limit = self.settings.limits.stall_limit;
+        let limit = self.settings.limits.stall_timeout;
         if self.now < since + limit {
             return self.timers.set(since + limit, Due::Stall(id, no));
         }
--- a/crates/dispatcher/src/state/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -107,7 +107,7 @@
 
     /// Has the guard look at what is held for a request once it ought to be taken or released.
     pub(super) fn arm_guard(&mut self, id: RequestId) {
-        if self.settings.limits.single.is_some() && self.kv_states.get(id).is_some() {
+        if self.settings.limits.http1.is_some() && self.kv_states.get(id).is_some() {
             self.timers
                 .set(self.now + self.held_at_most(), Due::Held(id));
         }
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -210,7 +210,7 @@
     /// `seed` starts the chance that the decisions draw.
     pub fn new(settings: ProgramSettings, seed: u64) -> Self {
         let mut control = Control::new(settings.policy.clone(), seed);
-        if settings.limits.single.is_some() {
+        if settings.limits.http1.is_some() {
             control.track_deliveries();
         }
         Dispatcher {
@@ -654,7 +654,7 @@
     /// Whether nothing new is taken.
     fn is_closed(&self) -> bool {
         self.stopping
-            .is_some_and(|since| self.now >= since + self.settings.limits.stop_notice)
+            .is_some_and(|since| self.now >= since + self.settings.limits.stop_accept_period)
     }
 
     /// The request as the decisions take it; or the field that cannot be right, and why.
@@ -857,10 +857,10 @@
                 grace + self.settings.policy.kv_state_timeout,
                 Due::StopReleases,
             );
-            if let Some(after) = self.settings.limits.stop_moves {
+            if let Some(after) = self.settings.limits.stop_streams_after {
                 self.timers.set(self.now + after, Due::StopMoves);
             }
-            let notice = self.settings.limits.stop_notice;
+            let notice = self.settings.limits.stop_accept_period;
             if notice > 0.0 {
                 // Those with an open request are told with its answer, the others at the end of the notice.
                 let open: BTreeSet<ClientConnectionId> =
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -62,7 +62,7 @@
     }
 
     pub(super) fn want_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if self.settings.limits.single.is_some() {
+        if self.settings.limits.http1.is_some() {
             self.kv_states.want_release(id, self.now);
             self.arm_guard(id);
         } else if let Some(state) = self.kv_states.forget(id) {
@@ -72,7 +72,7 @@
 
     /// A prefill was cut off: it may have ended at its engine, with nobody left to hear of it.
     pub(super) fn release_leftover(&mut self, id: RequestId, held: Held, out: &mut Vec<Output>) {
-        if self.settings.limits.single.is_some() {
+        if self.settings.limits.http1.is_some() {
             self.kv_states.want_leftover_released(id, held, self.now);
         } else {
             self.release_unless_planted(held, out);
@@ -480,7 +480,7 @@
             outcome,
             Outcome::Cancelled | Outcome::TimedOut | Outcome::ConnectionLost
         );
-        let was_sent = ended.sent.is_some() && self.settings.limits.single.is_some();
+        let was_sent = ended.sent.is_some() && self.settings.limits.http1.is_some();
         let unanswered = (is_unanswered && was_sent).then(|| ended.engine.clone());
         let holds_anew = outcome == Outcome::PrefillDone || self.has_arrived(ended);
         if let Some(state) = self
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -318,18 +318,18 @@
 }
 
 pub fn limits() -> Limits {
-    let feed = DiscoverySettings {
-        connect: 250.0,
-        first_quiet: 1e9,
-        quiet: 1e9,
-        again_first: 100.0,
-        again_most: 1000.0,
-        resumes: false,
+    let discovery = DiscoverySettings {
+        connect_timeout: 250.0,
+        first_answer_timeout: 1e9,
+        silence_timeout: 1e9,
+        initial_backoff: 100.0,
+        max_backoff: 1000.0,
+        resume_from_known_version: false,
     };
     Limits {
-        feed,
-        most_frame: BOUNDS.most_body,
-        stop_notice: 600.0,
+        discovery,
+        max_message_bytes: BOUNDS.most_body,
+        stop_accept_period: 600.0,
         ..single_limits()
     }
 }
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -68,7 +68,7 @@
     let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
     ProgramSettings {
         name: "d".to_owned(),
-        run: 7,
+        incarnation: 7,
         policy,
         request_classes: names(&["draft", "proof", "caption"]),
         tenants: vec![],
@@ -83,48 +83,48 @@
         max_open_requests: 1000,
         streams_per_connection: 100,
         connections_per_engine: 4,
-        connection_idle: 15_000.0,
-        window: 4,
-        stall_limit: 1000.0,
+        connection_idle_timeout: 15_000.0,
+        stream_window: 4,
+        stall_timeout: 1000.0,
         health_check_timeout: 250.0,
-        quiet: 2000.0,
+        keepalive_interval: 2000.0,
         ping_timeout: 1000.0,
-        again_first: 100.0,
-        again_most: 1000.0,
-        client_quiet: 4000.0,
-        cancels: 200.0,
-        cancels_per_s: 50.0,
+        initial_connect_backoff: 100.0,
+        max_connect_backoff: 1000.0,
+        client_keepalive_interval: 4000.0,
+        cancel_burst: 200.0,
+        cancels_per_second: 50.0,
         stop_grace: 2000.0,
-        most_frame: 1 << 16,
-        most_clients: 100,
-        greet_within: 1000.0,
-        stop_notice: 0.0,
-        stop_moves: None,
-        single: None,
-        feed: DiscoverySettings::unhurried(1000.0),
+        max_message_bytes: 1 << 16,
+        max_client_connections: 100,
+        greeting_timeout: 1000.0,
+        stop_accept_period: 0.0,
+        stop_streams_after: None,
+        http1: None,
+        discovery: DiscoverySettings::without_silence_timeout(1000.0),
     }
 }
 
 /// Where a connection carries one call at a time.
 pub fn single_limits() -> Limits {
-    let clients = Http1Settings {
-        first: 2000.0,
-        whole: 2000.0,
-        first_whole: 2750.0,
-        rest: 10_000.0,
+    let client_timeouts = Http1Settings {
+        first_byte_timeout: 2000.0,
+        request_read_timeout: 2000.0,
+        first_request_timeout: 2750.0,
+        idle_timeout: 10_000.0,
     };
     Limits {
         streams_per_connection: 1,
         connections_per_engine: 50,
-        stall_limit: 4000.0,
-        quiet: f64::INFINITY,
+        stall_timeout: 4000.0,
+        keepalive_interval: f64::INFINITY,
         ping_timeout: f64::INFINITY,
-        client_quiet: f64::INFINITY,
-        again_first: 0.0,
-        again_most: 0.0,
-        single: Some(Http1Limits {
-            clients,
-            max_connections: 50,
+        client_keepalive_interval: f64::INFINITY,
+        initial_connect_backoff: 0.0,
+        max_connect_backoff: 0.0,
+        http1: Some(Http1Limits {
+            client_timeouts,
+            max_engine_connections: 50,
         }),
         ..limits()
     }
--- a/crates/dispatcher/tests/endings.rs
+++ b/crates/dispatcher/tests/endings.rs
@@ -595,7 +595,7 @@
     /// Two connections of clients at most.
     fn run_with_two_places<F: std::future::Future<Output = ()>>(test: impl FnOnce(Loopback) -> F) {
         let limits = Limits {
-            most_clients: 2,
+            max_client_connections: 2,
             ..limits()
         };
         run_with(
@@ -648,11 +648,11 @@
 
     #[test]
     fn at_the_engines_is_made_by_a_connection_at_rest_and_never_by_one_in_use() {
-        let single = limits().single.map(|single| Http1Limits {
-            max_connections: 2,
-            ..single
+        let http1 = limits().http1.map(|http1| Http1Limits {
+            max_engine_connections: 2,
+            ..http1
         });
-        let limits = Limits { single, ..limits() };
+        let limits = Limits { http1, ..limits() };
         run_with(
             ProgramSettings {
                 limits,
@@ -745,7 +745,7 @@
                 assert!(client.text_until(END).await.ends_with(END));
                 net.no_request_is_open().await;
                 // Until it has rested for as long as a connection may.
-                net.advance(limits().connection_idle);
+                net.advance(limits().connection_idle_timeout);
                 assert_eq!(
                     unused.rest().await,
                     "",
@@ -766,7 +766,7 @@
             assert_eq!(client.text_until(END).await, format!("{EVENT}{END}"));
             net.no_request_is_open().await;
             is_refused(&net, "b").await;
-            net.advance(limits().connection_idle);
+            net.advance(limits().connection_idle_timeout);
             assert_eq!(
                 engine.rest().await,
                 "",
@@ -887,21 +887,23 @@
 
     /// The settings of calls where lists are asked for, from a service that all dispatchers share.
     fn asked() -> Limits {
-        let given = ProcessLimits {
-            memory: 64e6,
-            descriptors: 256,
+        let process = ProcessLimits {
+            memory_bytes: 64e6,
+            file_descriptors: 256,
             connect_timeout: 250.0,
             discovery: Discovery::Polled {
                 notified_within: 6_000.0,
             },
             drain_grace: 2_000.0,
-            engine_idle: None,
-            most_held: None,
-            longest_deadline: 4_000.0,
+            engine_idle_timeout: None,
+            max_open_requests: None,
+            longest_time_to_deadline: 4_000.0,
             clients_resume: false,
         };
         Limits {
-            feed: ResourceLimits::of(&given).expect("room for work").feed,
+            discovery: ResourceLimits::for_process(&process)
+                .expect("room for work")
+                .discovery,
             ..limits()
         }
     }
@@ -956,11 +958,14 @@
 
     #[test]
     fn that_falls_silent_is_asked_anew() {
-        let feed = cindercleat::discovery_client::DiscoverySettings {
-            quiet: 700.0,
-            ..limits().feed
+        let discovery = cindercleat::discovery_client::DiscoverySettings {
+            silence_timeout: 700.0,
+            ..limits().discovery
+        };
+        let limits = Limits {
+            discovery,
+            ..limits()
         };
-        let limits = Limits { feed, ..limits() };
         run_with(
             ProgramSettings {
                 limits,
@@ -1152,7 +1157,7 @@
     #[test]
     fn for_clients_while_discovery_is_down_keeps_neither_requests_nor_the_list_out() {
         let limits = Limits {
-            most_clients: 8,
+            max_client_connections: 8,
             ..limits()
         };
         run_with(
@@ -1252,7 +1257,7 @@
     #[test]
     fn that_finds_no_place_waits_for_one_and_is_not_dropped_with_its_request() {
         let limits = Limits {
-            most_clients: 1,
+            max_client_connections: 1,
             ..limits()
         };
         run_with(
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -290,8 +290,8 @@
 #[test]
 fn a_flood_of_cancels_is_cut_off_and_others_are_served() {
     let limits = Limits {
-        cancels: 50.0,
-        cancels_per_s: 10.0,
+        cancel_burst: 50.0,
+        cancels_per_second: 10.0,
         ..common::limits()
     };
     run_with(
@@ -337,8 +337,8 @@
 #[test]
 fn cancels_at_a_bearable_pace_are_borne() {
     let limits = Limits {
-        cancels: 5.0,
-        cancels_per_s: 2.0,
+        cancel_burst: 5.0,
+        cancels_per_second: 2.0,
         ..common::limits()
     };
     run_with(
@@ -404,8 +404,10 @@
         net.wait(300.0).await;
         assert_eq!(net.shell.clients(), 1);
         assert_eq!(net.ran(), ["k"]);
-        net.wait(common::limits().client_quiet + common::limits().ping_timeout + 100.0)
-            .await;
+        net.wait(
+            common::limits().client_keepalive_interval + common::limits().ping_timeout + 100.0,
+        )
+        .await;
         assert_eq!(net.shell.clients(), 0, "its place is free again");
         nothing_is_left(&net).await;
         drop(stream);
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -30,12 +30,12 @@
 };
 
 const FEED: DiscoverySettings = DiscoverySettings {
-    connect: 250.0,
-    first_quiet: 1000.0,
-    quiet: 1000.0,
-    again_first: 100.0,
-    again_most: 1000.0,
-    resumes: false,
+    connect_timeout: 250.0,
+    first_answer_timeout: 1000.0,
+    silence_timeout: 1000.0,
+    initial_backoff: 100.0,
+    max_backoff: 1000.0,
+    resume_from_known_version: false,
 };
 
 #[derive(Clone)]
@@ -73,10 +73,10 @@
 
 fn limits() -> Limits {
     Limits {
-        connection_idle: 5000.0,
-        most_clients: 10,
-        stop_notice: 500.0,
-        feed: FEED,
+        connection_idle_timeout: 5000.0,
+        max_client_connections: 10,
+        stop_accept_period: 500.0,
+        discovery: FEED,
         ..single_limits()
     }
 }
@@ -517,37 +517,45 @@
 /// unanswered: at whatever phase of the calls it returns, one that it answers comes within the drain grace.
 #[test]
 fn an_agent_that_was_silent_is_heard_within_the_drain_grace_at_every_phase() {
-    let given = ProcessLimits {
-        memory: 64e6,
-        descriptors: 256,
+    let process = ProcessLimits {
+        memory_bytes: 64e6,
+        file_descriptors: 256,
         connect_timeout: 250.0,
         discovery: Discovery::Pushed,
         drain_grace: 500.0,
-        engine_idle: None,
-        most_held: None,
-        longest_deadline: 4_000.0,
+        engine_idle_timeout: None,
+        max_open_requests: None,
+        longest_time_to_deadline: 4_000.0,
         clients_resume: false,
     };
-    let feed = ResourceLimits::of(&given).expect("room for work").feed;
+    let discovery = ResourceLimits::for_process(&process)
+        .expect("room for work")
+        .discovery;
     for phase in 0..25 {
-        run_with(Limits { feed, ..limits() }, |net| async move {
-            net.feed.set(Feed::Silent);
-            net.wait(4_000.0 + 17.0 * f64::from(phase)).await;
-            net.feeds.borrow_mut().clear();
-            net.feed.set(Feed::Good);
-            net.wait(425.0).await;
-            assert!(
-                !net.feeds.borrow().is_empty(),
-                "phase {phase}: no call since the return"
-            );
-            net.feeds.borrow_mut().clear();
-            net.wait(3_000.0).await;
-            let calls = net.feeds.borrow().len();
-            assert!(
-                (4..9).contains(&calls),
-                "and then the watch goes on quietly: {calls} calls"
-            );
-        });
+        run_with(
+            Limits {
+                discovery,
+                ..limits()
+            },
+            |net| async move {
+                net.feed.set(Feed::Silent);
+                net.wait(4_000.0 + 17.0 * f64::from(phase)).await;
+                net.feeds.borrow_mut().clear();
+                net.feed.set(Feed::Good);
+                net.wait(425.0).await;
+                assert!(
+                    !net.feeds.borrow().is_empty(),
+                    "phase {phase}: no call since the return"
+                );
+                net.feeds.borrow_mut().clear();
+                net.wait(3_000.0).await;
+                let calls = net.feeds.borrow().len();
+                assert!(
+                    (4..9).contains(&calls),
+                    "and then the watch goes on quietly: {calls} calls"
+                );
+            },
+        );
     }
 }
 
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -271,11 +271,11 @@
 #[test]
 fn links_are_bounded_over_all_engines_and_one_that_rests_makes_room() {
     let limits = single_limits();
-    let single = limits.single.map(|single| Http1Limits {
-        max_connections: 2,
-        ..single
+    let http1 = limits.http1.map(|http1| Http1Limits {
+        max_engine_connections: 2,
+        ..http1
     });
-    let mut bench = bench_with(Limits { single, ..limits });
+    let mut bench = bench_with(Limits { http1, ..limits });
     let write = writing(&mut bench, 1, "a", "draft");
     bench.engine(&write, tokens(0));
     bench.ended(&write, Status::Succeeded);
@@ -327,8 +327,8 @@
 #[test]
 fn a_stop_takes_what_still_comes_for_a_moment_and_moves_streams_that_outlast_it() {
     let limits = Limits {
-        stop_notice: 600.0,
-        stop_moves: Some(2500.0),
+        stop_accept_period: 600.0,
+        stop_streams_after: Some(2500.0),
         stop_grace: 60_000.0,
         ..single_limits()
     };
@@ -358,8 +358,8 @@
 #[test]
 fn a_stream_that_begins_after_streams_were_moved_is_moved_as_well() {
     let limits = Limits {
-        stop_notice: 600.0,
-        stop_moves: Some(800.0),
+        stop_accept_period: 600.0,
+        stop_streams_after: Some(800.0),
         stop_grace: 60_000.0,
         ..single_limits()
     };
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -106,14 +106,14 @@
 #[test]
 fn hundreds_of_streams_on_one_thread_each_get_their_events() {
     const STREAMS: usize = 200;
-    let single = limits().single.map(|single| Http1Limits {
-        max_connections: 2 * STREAMS,
-        ..single
+    let http1 = limits().http1.map(|http1| Http1Limits {
+        max_engine_connections: 2 * STREAMS,
+        ..http1
     });
     let limits = Limits {
-        single,
+        http1,
         connections_per_engine: STREAMS,
-        most_clients: 2 * STREAMS,
+        max_client_connections: 2 * STREAMS,
         max_open_requests: STREAMS,
         ..limits()
     };
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -4,7 +4,7 @@
 use crate::plan::{Day, Fault, Trouble};
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::*;
-use cindercleat_dispatcher::{Limits, Service};
+use cindercleat_dispatcher::{Limits, ServiceSettings};
 use cindercleat_standin::client::{Habits, Planned, Traffic};
 use cindercleat_standin::engine::{Does, EngineSpec};
 use nanorand::{Rng, WyRand};
@@ -60,7 +60,7 @@
 const TICK: Ms = 10.0;
 
 /// The service that all drawn days share.
-pub fn service() -> Service {
+pub fn service() -> ServiceSettings {
     let request_class =
         |retry_safety, latency_objective, time_to_deadline, priority_weight| RequestClassSettings {
             retry_safety,
@@ -122,27 +122,27 @@
         max_open_requests: 1000,
         streams_per_connection: 50,
         connections_per_engine: 4,
-        connection_idle: 8_000.0,
-        window: 8,
-        stall_limit: 1500.0,
+        connection_idle_timeout: 8_000.0,
+        stream_window: 8,
+        stall_timeout: 1500.0,
         health_check_timeout: CONNECT,
-        quiet: 400.0,
+        keepalive_interval: 400.0,
         ping_timeout: 200.0,
-        again_first: 60.0,
-        again_most: 500.0,
-        client_quiet: 2_000.0,
-        cancels: 200.0,
-        cancels_per_s: 50.0,
+        initial_connect_backoff: 60.0,
+        max_connect_backoff: 500.0,
+        client_keepalive_interval: 2_000.0,
+        cancel_burst: 200.0,
+        cancels_per_second: 50.0,
         stop_grace: 1_500.0,
-        most_frame: 1 << 16,
-        most_clients: 100,
-        greet_within: 1_000.0,
-        stop_notice: 0.0,
-        stop_moves: None,
-        single: None,
-        feed: DiscoverySettings::unhurried(1_000.0),
+        max_message_bytes: 1 << 16,
+        max_client_connections: 100,
+        greeting_timeout: 1_000.0,
+        stop_accept_period: 0.0,
+        stop_streams_after: None,
+        http1: None,
+        discovery: DiscoverySettings::without_silence_timeout(1_000.0),
     };
-    Service {
+    ServiceSettings {
         policy,
         request_classes: names(&["caption-draft", "proof-send", "proof-page"]),
         tenants: vec![],
@@ -216,7 +216,7 @@
     }
 }
 
-fn engine(does: Does, n: usize, service: &Service, draw: &mut Draw) -> EngineSpec {
+fn engine(does: Does, n: usize, service: &ServiceSettings, draw: &mut Draw) -> EngineSpec {
     let reads = does == Does::Reads;
     let zone = ZONES[n % 2];
     EngineSpec {
@@ -240,7 +240,7 @@
     }
 }
 
-fn habits(service: &Service, shape: &Shape, requests: Vec<Planned>) -> Habits {
+fn habits(service: &ServiceSettings, shape: &Shape, requests: Vec<Planned>) -> Habits {
     let all = service
         .request_classes
         .iter()
@@ -272,7 +272,7 @@
     }
 }
 
-fn request(shape: &Shape, service: &Service, draw: &mut Draw) -> Planned {
+fn request(shape: &Shape, service: &ServiceSettings, draw: &mut Draw) -> Planned {
     let at = whole(draw.between(0.0, shape.busy));
     let request_class = (draw.share() * service.request_classes.len() as f64) as usize
         % service.request_classes.len();
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -1,7 +1,7 @@
 //! What a day is: a service, a fleet of stand-ins, clients' requests, and what goes wrong when.
 
 use cindercleat::interface::{Ms, RetrySafety};
-use cindercleat_dispatcher::Service;
+use cindercleat_dispatcher::ServiceSettings;
 use cindercleat_standin::audit::Rules;
 use cindercleat_standin::client::Habits;
 use cindercleat_standin::engine::EngineSpec;
@@ -12,7 +12,7 @@
 pub struct Day {
     pub name: String,
     pub seed: u64,
-    pub service: Service,
+    pub service: ServiceSettings,
     pub dispatchers: u32,
     pub engines: Vec<EngineSpec>,
     pub habits: Habits,
@@ -186,7 +186,7 @@
 /// The spans of a day in which clients and dispatchers hear each other late or not at all.
 pub fn apart(day: &Day, begin: Ms) -> Vec<(Ms, Ms)> {
     let limits = &day.service.limits;
-    let noticed = limits.client_quiet + limits.ping_timeout;
+    let noticed = limits.client_keepalive_interval + limits.ping_timeout;
     let parts = |fault: &&Fault| {
         matches!(
             fault.trouble,
@@ -200,13 +200,13 @@
 /// The time in which a dispatcher notices that a connection which it uses is dead.
 pub fn noticed(day: &Day) -> Ms {
     let limits = &day.service.limits;
-    limits.quiet + limits.ping_timeout + day.service.policy.connect_timeout
+    limits.keepalive_interval + limits.ping_timeout + day.service.policy.connect_timeout
 }
 
 /// The spans of a day, counted from `begin`, in which connections may be dead without a word: until they are used,
 /// or closed for not being used.
 pub fn silences(day: &Day, begin: Ms) -> Vec<(Ms, Ms, Ms)> {
-    let unused = day.service.limits.connection_idle + noticed(day);
+    let unused = day.service.limits.connection_idle_timeout + noticed(day);
     let silent = |fault: &&Fault| {
         use Trouble::*;
         matches!(
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -100,7 +100,9 @@
         ("Router/Run", Body::Final(m)) => {
             let told = match m.answer() {
                 v1::Answer::Succeeded => ClientAnswer::Succeeded,
-                v1::Answer::Rejected => ClientAnswer::Rejected { full: m.full },
+                v1::Answer::Rejected => ClientAnswer::Rejected {
+                    for_lack_of_capacity: m.full,
+                },
                 v1::Answer::Failed | v1::Answer::Unspecified => ClientAnswer::Failed,
             };
             let end = Some(Ending::told(told, m.retry_after_ms, &m.reason));
--- a/crates/grpc/src/details.rs
+++ b/crates/grpc/src/details.rs
@@ -4,7 +4,7 @@
 use base64::engine::general_purpose::{GeneralPurpose, STANDARD_NO_PAD};
 use base64::engine::{DecodePaddingMode, GeneralPurposeConfig};
 use base64::{alphabet, Engine};
-use cindercleat::status::{again, to_client, ClientAnswer, Code, RetryAdvice};
+use cindercleat::status::{client_status, retry_advice, ClientAnswer, Code, RetryAdvice};
 use http::{HeaderMap, HeaderValue};
 use prost::Message;
 use prost_types::{Any, Duration};
@@ -63,7 +63,7 @@
         Ending {
             code,
             why: why.to_owned(),
-            again: RetryAdvice::Unsaid,
+            again: RetryAdvice::None,
             details: Vec::new(),
             never_ran: false,
         }
@@ -79,7 +79,7 @@
 
     /// A request's final answer.
     pub fn told(told: ClientAnswer, retry_after_ms: f64, why: &str) -> Self {
-        let again = again(told, retry_after_ms);
+        let again = retry_advice(told, retry_after_ms);
         let details = match again {
             RetryAdvice::After(ms) => vec![any(
                 RETRY_INFO,
@@ -87,12 +87,12 @@
                     retry_delay: Some(duration(ms)),
                 },
             )],
-            RetryAdvice::Unsaid | RetryAdvice::Never => Vec::new(),
+            RetryAdvice::None | RetryAdvice::Never => Vec::new(),
         };
         Ending {
             again,
             details,
-            ..Ending::plain(to_client(told), why)
+            ..Ending::plain(client_status(told), why)
         }
     }
 
@@ -109,7 +109,7 @@
             },
         )];
         let plain = Ending::refused(
-            to_client(ClientAnswer::InvalidRequest),
+            client_status(ClientAnswer::InvalidRequest),
             &format!("{field}: {why}"),
         );
         Ending { details, ..plain }
@@ -122,7 +122,7 @@
             headers.insert("grpc-message", why);
         }
         match self.again {
-            RetryAdvice::Unsaid => {}
+            RetryAdvice::None => {}
             RetryAdvice::After(ms) => {
                 headers.insert(
                     "grpc-retry-pushback-ms",
@@ -228,8 +228,14 @@
 
     #[test]
     fn a_rejection_says_how_long_to_stay_away_and_a_failure_never_to_come_back() {
-        let rejected =
-            Ending::told(ClientAnswer::Rejected { full: true }, 1250.5, "no room").headers();
+        let rejected = Ending::told(
+            ClientAnswer::Rejected {
+                for_lack_of_capacity: true,
+            },
+            1250.5,
+            "no room",
+        )
+        .headers();
         assert_eq!(rejected["grpc-status"], "8");
         assert_eq!(rejected["grpc-retry-pushback-ms"], "1251");
         let bytes = LENIENT
--- a/src/client_connection/http1.rs
+++ b/src/client_connection/http1.rs
@@ -1,131 +1,141 @@
-//! What a dispatcher decides about a client's connection that carries one request at a time: when it is closed
-//! for saying nothing, for being slow with a request, or for resting too long, and which one makes room when
-//! there may be no more.
+//! Decisions about a client's connection that carries one request at a time: when it is closed because no request
+//! comes, because a request arrives too slowly or because the connection is idle, and which connection is closed to
+//! make room when their maximum is reached.
 //!
-//! Like [`channels`](crate::channels) it does no I/O and reads no clock; instants do not go back.
+//! Like [`connection_pool`](crate::connection_pool) it does no I/O and reads no clock. Instants that callers pass must
+//! not go back.
 
 use crate::interface::Ms;
 
+/// Timeouts of a client's connection, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Http1Settings {
-    /// A connection that has asked for nothing yet is closed after this long.
-    pub first: Ms,
-    /// A request must be whole this long after its first byte.
-    pub whole: Ms,
-    /// And the first one on a connection this long after the connection came.
-    pub first_whole: Ms,
-    /// A connection that rests between requests is closed after this long.
-    pub rest: Ms,
+    /// From the accept to the first byte of the first request.
+    pub first_byte_timeout: Ms,
+    /// From the first byte of a request to its last.
+    pub request_read_timeout: Ms,
+    /// From the accept to the last byte of the first request.
+    pub first_request_timeout: Ms,
+    /// From an answer to the first byte of the next request.
+    pub idle_timeout: Ms,
 }
 
+/// What a connection without an open request waits for. In the order of eviction: the last is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
-    /// Part of a request is there.
-    Partly,
-    /// Between requests.
-    Resting,
-    /// Nothing was asked yet.
+enum Phase {
+    /// Part of a request has come.
+    ReadingRequest,
+    /// The last request is answered; the next has not begun.
+    Idle,
+    /// No byte has come yet.
     New,
 }
 
-/// CloseReason a connection is closed.
+/// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It asks for nothing. What it asks meanwhile is still answered.
-    Silent,
-    /// Its request does not come.
-    Slow,
+    /// No request came in time. One that comes meanwhile is still answered.
+    Idle,
+    /// Its request did not arrive in full in time.
+    SlowRequest,
 }
 
-/// One client's connection.
+/// The state of one client's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Http1Connection {
-    /// None while its request is open.
+    /// `None` while a request is open.
     phase: Option<Phase>,
-    since: Ms,
-    /// When the connection came, until its first request is whole.
-    came: Option<Ms>,
-    told: bool,
+    phase_since: Ms,
+    /// When the connection was accepted, until its first request has come in full.
+    accepted_at: Option<Ms>,
+    close_requested: bool,
 }
 
 impl Http1Connection {
+    /// A connection that was accepted at `now`.
     pub fn new(now: Ms) -> Self {
         Http1Connection {
             phase: Some(Phase::New),
-            since: now,
-            came: Some(now),
-            told: false,
+            phase_since: now,
+            accepted_at: Some(now),
+            close_requested: false,
         }
     }
 
-    /// The first part of a request is there.
-    pub fn partly(&mut self, now: Ms) {
-        (self.phase, self.since) = (Some(Phase::Partly), now);
+    /// The first part of a request has come.
+    pub fn request_begun(&mut self, now: Ms) {
+        (self.phase, self.phase_since) = (Some(Phase::ReadingRequest), now);
     }
 
-    /// A request is there, whole; gives how long ago its first part came.
-    pub fn whole(&mut self, now: Ms) -> Ms {
-        let took = if self.phase == Some(Phase::Partly) {
-            now - self.since
+    /// A request has come in full. Returns how long ago its first part came, in milliseconds.
+    pub fn request_received(&mut self, now: Ms) -> Ms {
+        let took = if self.phase == Some(Phase::ReadingRequest) {
+            now - self.phase_since
         } else {
             0.0
         };
-        (self.phase, self.since, self.came) = (None, now, None);
+        (self.phase, self.phase_since, self.accepted_at) = (None, now, None);
         took.max(0.0)
     }
 
-    pub fn answered(&mut self, now: Ms) {
-        (self.phase, self.since) = (Some(Phase::Resting), now);
+    /// The open request has got its answer.
+    pub fn response_sent(&mut self, now: Ms) {
+        (self.phase, self.phase_since) = (Some(Phase::Idle), now);
     }
 
-    /// What is to be done by now, once.
-    pub fn wanted(&mut self, settings: &Http1Settings, now: Ms) -> Option<CloseReason> {
-        let (at, why) = self.due(settings)?;
-        self.told = now >= at;
-        self.told.then_some(why)
+    /// The reason to close the connection if a timeout has passed by now; it is returned once.
+    pub fn due_close(&mut self, settings: &Http1Settings, now: Ms) -> Option<CloseReason> {
+        let (at, reason) = self.next_close(settings)?;
+        self.close_requested = now >= at;
+        self.close_requested.then_some(reason)
     }
 
-    /// When `wanted` wants to be asked next, if nothing happens before.
-    pub fn next_at(&self, settings: &Http1Settings) -> Option<Ms> {
-        self.due(settings).map(|(at, _)| at)
+    /// When [`due_close`](Self::due_close) is to be called next, if nothing happens before; `None` while a request is
+    /// open.
+    pub fn next_due_at(&self, settings: &Http1Settings) -> Option<Ms> {
+        self.next_close(settings).map(|(at, _)| at)
     }
 
-    fn due(&self, settings: &Http1Settings) -> Option<(Ms, CloseReason)> {
-        let (at, why) = match self.phase? {
-            Phase::New => (self.since + settings.first, CloseReason::Silent),
-            Phase::Resting => (self.since + settings.rest, CloseReason::Silent),
-            // Guards against half a request, which would keep its place and its bytes for nobody.
-            Phase::Partly => {
-                let first_by = self
-                    .came
-                    .map_or(f64::INFINITY, |came| came + settings.first_whole);
-                (
-                    (self.since + settings.whole).min(first_by),
-                    CloseReason::Slow,
-                )
-            }
+    fn next_close(&self, settings: &Http1Settings) -> Option<(Ms, CloseReason)> {
+        let since = self.phase_since;
+        let close = match self.phase? {
+            Phase::New => (since + settings.first_byte_timeout, CloseReason::Idle),
+            Phase::Idle => (since + settings.idle_timeout, CloseReason::Idle),
+            Phase::ReadingRequest => (self.request_due_at(settings), CloseReason::SlowRequest),
         };
-        (!self.told).then_some((at, why))
+        (!self.close_requested).then_some(close)
     }
 
-    /// Its place is wanted: the reason to close it with.
-    pub fn give_up(&mut self) -> CloseReason {
-        self.told = true;
-        if self.phase == Some(Phase::Partly) {
-            CloseReason::Slow
+    /// Guards against a client that stops in the middle of a request: without a timeout it would occupy a connection
+    /// and the bytes that have come for ever.
+    fn request_due_at(&self, settings: &Http1Settings) -> Ms {
+        let first_request_by = self.accepted_at.map_or(f64::INFINITY, |accepted| {
+            accepted + settings.first_request_timeout
+        });
+        (self.phase_since + settings.request_read_timeout).min(first_request_by)
+    }
+
+    /// Marks the connection as one that makes room for another. Returns the reason to close it with.
+    pub fn evict(&mut self) -> CloseReason {
+        self.close_requested = true;
+        if self.phase == Some(Phase::ReadingRequest) {
+            CloseReason::SlowRequest
         } else {
-            CloseReason::Silent
+            CloseReason::Idle
         }
     }
 }
 
-/// Which connection makes room when there may be no more: one that has asked for nothing yet, else one that
-/// rests, else one whose request does not come; the longest so first. Never one with an open request. Guards
-/// against clients that connect by hundreds and say nothing: those who ask still find a place.
-pub fn shed<I>(all: impl Iterator<Item = (I, Http1Connection)>) -> Option<I> {
-    let may = all
-        .filter(|(_, single)| !single.told)
-        .filter_map(|(id, s)| Some((id, s.phase?, s.since)));
-    may.max_by(|a, b| a.1.cmp(&b.1).then(b.2.total_cmp(&a.2)))
+/// Which connection is closed to make room: one that has sent nothing yet, else an idle one, else one whose request
+/// arrives slowly; among equals the one that has waited longest. Never one with an open request. Guards against
+/// clients that open hundreds of connections and send nothing: clients that send requests still get a connection.
+pub fn connection_to_evict<I>(
+    connections: impl Iterator<Item = (I, Http1Connection)>,
+) -> Option<I> {
+    let candidates = connections
+        .filter(|(_, connection)| !connection.close_requested)
+        .filter_map(|(id, connection)| Some((id, connection.phase?, connection.phase_since)));
+    candidates
+        .max_by(|a, b| a.1.cmp(&b.1).then(b.2.total_cmp(&a.2)))
         .map(|(id, ..)| id)
 }
--- a/src/client_connection/multiplexed.rs
+++ b/src/client_connection/multiplexed.rs
@@ -1,99 +1,119 @@
-//! What a dispatcher decides about the connection of one client: when it is asked whether it is still there, and
-//! when it is given up, for want of an answer or for calling requests off faster than they can be borne.
+//! Decisions about a client's connection that carries many requests at once: when it is pinged, and when it is closed
+//! because pings are not answered or because too many requests are cancelled on it.
 //!
-//! Like [`channels`](crate::channels) it does no I/O and reads no clock; instants do not go back.
+//! Like [`connection_pool`](crate::connection_pool) it does no I/O and reads no clock. Instants that callers pass must
+//! not go back.
 
 use crate::interface::Ms;
 
+/// Timeouts in milliseconds, and the token bucket that limits cancellations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MultiplexedSettings {
-    /// A client that said nothing for this long is asked, and given up if it does not answer.
-    pub quiet: Ms,
+    /// A client that has sent nothing for this long is pinged.
+    pub keepalive_interval: Ms,
+    /// A client that sends nothing for this long after a ping is disconnected.
     pub ping_timeout: Ms,
-    /// Tasks that it may call off at once, and how many more each second.
-    pub cancels: f64,
-    pub cancels_per_s: f64,
+    /// Requests that a client may cancel at once.
+    pub cancel_burst: f64,
+    /// Cancellations that a client regains each second, up to the burst.
+    pub cancels_per_second: f64,
 }
 
 /// What is to be done about a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientCommand {
+    /// Send a ping.
     Ping,
+    /// Close the connection.
     Close(CloseReason),
 }
 
+/// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It does not answer.
-    Dead,
-    /// It calls off more than it may.
-    Flood,
+    /// A ping was not answered in time.
+    PingTimeout,
+    /// More requests were cancelled than the settings allow.
+    TooManyCancels,
 }
 
-/// One client's connection.
+/// The state of one client's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct MultiplexedConnection {
-    heard: Ms,
-    pinged: Option<Ms>,
-    /// Cancels that it has left, as of an instant.
-    cancels: f64,
-    counted: Ms,
-    flooded: bool,
+    last_received_at: Ms,
+    /// When the ping that is not answered yet was sent.
+    pinged_at: Option<Ms>,
+    /// Cancellations left in the bucket as of `bucket_at`; below zero: too many.
+    cancels_left: f64,
+    bucket_at: Ms,
+    is_flooded: bool,
 }
 
 impl MultiplexedConnection {
+    /// A connection that was accepted at `now`.
     pub fn new(settings: &MultiplexedSettings, now: Ms) -> Self {
-        let cancels = settings.cancels.max(1.0);
         MultiplexedConnection {
-            heard: now,
-            pinged: None,
-            cancels,
-            counted: now,
-            flooded: false,
+            last_received_at: now,
+            pinged_at: None,
+            cancels_left: settings.cancel_burst.max(1.0),
+            bucket_at: now,
+            is_flooded: false,
         }
     }
 
-    /// Anything came from it.
-    pub fn heard(&mut self, now: Ms) {
-        (self.heard, self.pinged) = (now, None);
+    /// Anything was received from the client.
+    pub fn received(&mut self, now: Ms) {
+        (self.last_received_at, self.pinged_at) = (now, None);
     }
 
-    /// It called a request off before that was answered. Guards against a client that opens and resets streams as
-    /// fast as it can: each costs a decision and perhaps an attempt, and nothing but this bounds how many.
-    pub fn cancelled(&mut self, settings: &MultiplexedSettings, now: Ms) {
-        let more = (now - self.counted).max(0.0) / 1000.0 * settings.cancels_per_s;
-        self.cancels = (self.cancels + more).min(settings.cancels.max(1.0)) - 1.0;
-        self.counted = now;
-        self.flooded |= self.cancels < 0.0;
+    /// The client cancelled a request before it was answered. Guards against a client that opens and resets streams as
+    /// fast as it can: each costs a decision and perhaps an attempt at an engine, and HTTP/2's limit of open streams
+    /// does not bound how many.
+    pub fn request_cancelled(&mut self, settings: &MultiplexedSettings, now: Ms) {
+        let regained = (now - self.bucket_at).max(0.0) / 1000.0 * settings.cancels_per_second;
+        self.cancels_left =
+            (self.cancels_left + regained).min(settings.cancel_burst.max(1.0)) - 1.0;
+        self.bucket_at = now;
+        self.is_flooded |= self.cancels_left < 0.0;
     }
 
-    /// What is to be done by now. A ping that is asked for counts as sent.
-    pub fn wanted(&mut self, settings: &MultiplexedSettings, now: Ms) -> Option<ClientCommand> {
-        let (at, what) = self.due(settings);
+    /// What is to be done by now. A ping that is returned counts as sent.
+    pub fn due_command(
+        &mut self,
+        settings: &MultiplexedSettings,
+        now: Ms,
+    ) -> Option<ClientCommand> {
+        let (at, command) = self.next_command(settings);
         if now < at {
             return None;
         }
-        if what == ClientCommand::Ping {
-            self.pinged = Some(now);
+        if command == ClientCommand::Ping {
+            self.pinged_at = Some(now);
         }
-        Some(what)
+        Some(command)
     }
 
-    /// When `wanted` wants to be asked next, if nothing happens before.
-    pub fn next_at(&self, settings: &MultiplexedSettings) -> Ms {
-        self.due(settings).0
+    /// When [`due_command`](Self::due_command) is to be called next, if nothing happens before.
+    pub fn next_due_at(&self, settings: &MultiplexedSettings) -> Ms {
+        self.next_command(settings).0
     }
 
-    fn due(&self, settings: &MultiplexedSettings) -> (Ms, ClientCommand) {
-        match self.pinged {
-            _ if self.flooded => (f64::NEG_INFINITY, ClientCommand::Close(CloseReason::Flood)),
-            // Guards against a client whose machine is gone: its connection never breaks by itself, and its
-            // place and its streams would be kept for nobody.
-            Some(at) => (
-                at + settings.ping_timeout,
-                ClientCommand::Close(CloseReason::Dead),
+    fn next_command(&self, settings: &MultiplexedSettings) -> (Ms, ClientCommand) {
+        if self.is_flooded {
+            let close = ClientCommand::Close(CloseReason::TooManyCancels);
+            return (f64::NEG_INFINITY, close);
+        }
+        match self.pinged_at {
+            // Guards against a client whose machine is gone: TCP reports nothing, and the connection and its streams
+            // would be held for ever.
+            Some(pinged_at) => (
+                pinged_at + settings.ping_timeout,
+                ClientCommand::Close(CloseReason::PingTimeout),
+            ),
+            None => (
+                self.last_received_at + settings.keepalive_interval,
+                ClientCommand::Ping,
             ),
-            None => (self.heard + settings.quiet, ClientCommand::Ping),
         }
     }
 }
--- a/src/connection_pool.rs
+++ b/src/connection_pool.rs
@@ -1,81 +1,95 @@
-//! What a dispatcher decides about its long-lived channels to one engine: which of them a new stream takes,
-//! how many there are, when one is connected (also ahead of need), looked after, or given up.
+//! Decisions about the long-lived connections to one engine: which of them carries a new stream, how many there are,
+//! and when one is opened (also ahead of need), pinged or closed.
 //!
-//! Callers make one [`ConnectionPool`] an engine, tell it what happens with instants that do not go back, ask
-//! [`ConnectionPool::place`] for each stream, and do what [`ConnectionPool::wanted`] says whenever [`ConnectionPool::next_at`] has
-//! come. It does no I/O and reads no clock; chance comes from the seed.
+//! Callers make one [`ConnectionPool`] per engine, report what happens, ask [`ConnectionPool::place`] for each stream,
+//! and carry out [`ConnectionPool::due_commands`] whenever [`ConnectionPool::next_due_at`] has come. The pool does no
+//! I/O and reads no clock: instants that callers pass must not go back, and chance comes from the seed.
 
 use crate::interface::Ms;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// A channel, as the caller numbers it; never used twice.
+/// A connection, as numbered by the caller. A number is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Limits and times; a number of streams or channels of 0 counts as 1.
+/// Limits, and times in milliseconds. A limit of 0 counts as 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolSettings {
-    /// Streams on one channel, unless the engine allows fewer.
-    pub streams: usize,
-    /// ConnectionPool that take streams at once.
-    pub most: usize,
+    /// Concurrent streams on one connection, unless the engine allows fewer.
+    pub max_streams_per_connection: usize,
+    /// Connections that accept streams at the same time; those that drain are not counted.
+    pub max_connections: usize,
+    /// A connection that is not established after this long is given up.
     pub connect_timeout: Ms,
-    /// A channel without streams is closed after this long.
-    pub idle: Ms,
-    /// A channel with streams that said nothing for this long is asked, and given up if it does not answer.
-    pub quiet: Ms,
+    /// A connection without streams is closed after this long.
+    pub idle_timeout: Ms,
+    /// A connection with streams over which nothing came for this long is pinged.
+    pub keepalive_interval: Ms,
+    /// A connection over which nothing comes for this long after a ping is closed.
     pub ping_timeout: Ms,
-    /// After a failed connect: the wait before the next, doubled each time up to the most.
-    pub again_first: Ms,
-    pub again_most: Ms,
+    /// The backoff after a failed connect; it doubles with each failure in a row.
+    pub initial_backoff: Ms,
+    /// The upper limit of the doubled backoff, before chance is applied.
+    pub max_backoff: Ms,
 }
 
-/// One more channel is connected ahead when less than this share of a channel's streams is free in all.
-const SPARE: f64 = 0.2;
+/// One more connection is opened ahead of need when the free streams of all connections are fewer than this fraction
+/// of one connection's streams.
+const MIN_FREE_STREAMS_FRACTION: f64 = 0.2;
 
-/// An engine that closes right after an answer has done so by this share of the connect timeout, as far as one
-/// can wait to see: channels that rest for less are taken last. Those that rest long may be closed by their
-/// engine as idle.
-const SETTLE: f64 = 0.02;
+/// A connection that has been idle for less than this fraction of the connect timeout is chosen last: an engine that
+/// closes a connection after its answer may not have done so yet.
+const SETTLE_TIME_FRACTION: f64 = 0.02;
 
-/// Where a stream goes.
+/// The backoff is multiplied by this much at least, and by up to 1 more by chance.
+const MIN_BACKOFF_JITTER: f64 = 0.5;
+
+/// Failures beyond this many do not double the backoff again; keeps the power of two finite.
+const MAX_BACKOFF_DOUBLINGS: u32 = 30;
+
+/// Where a new stream goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// On this channel, which may still be connecting.
-    On(ConnectionId),
-    /// On a new one: connect it, and tell by [`ConnectionPool::connecting`].
-    Connect,
-    /// Nowhere; it has not run.
-    Nowhere(PlacementError),
+    /// Onto this connection, which may still be connecting.
+    Existing(ConnectionId),
+    /// Onto a new connection: open one and report it by [`ConnectionPool::connecting`].
+    NewConnection,
+    /// Nowhere; nothing was sent.
+    Unavailable(PlacementError),
 }
 
+/// Why no connection can carry a new stream now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
-    /// Every channel that there may be carries all that it may.
-    AllTaken,
-    /// Connects failed lately; the next is not tried yet.
-    NotYet,
+    /// All connections are full, and their maximum is reached.
+    PoolExhausted,
+    /// Connects have failed; the backoff before the next has not passed.
+    BackingOff,
 }
 
-/// What is to be done.
+/// What is to be done about a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolCommand {
-    /// Connect one more, ahead of need.
+    /// Open one more connection, ahead of need.
     Connect,
+    /// Send a ping.
     Ping(ConnectionId),
+    /// Close the connection.
     Close(ConnectionId, CloseReason),
 }
 
+/// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It did not come up in time; nothing was sent on it.
+    /// It was not established in time; nothing was sent on it.
     ConnectTimeout,
+    /// It had no stream for the idle timeout.
     Idle,
-    /// It does not answer: its streams are broken, and what they carried may have run.
-    Dead,
-    /// The engine goes away, and the last stream has ended.
-    Left,
+    /// A ping was not answered in time. Its streams are lost, and what they carried may have run.
+    PingTimeout,
+    /// The engine announced that it closes the connection, and the last stream has ended.
+    Drained,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -84,229 +98,278 @@
         since: Ms,
     },
     Up,
-    /// The engine goes away: it carries what it has and takes nothing new.
-    Leaving,
+    /// The engine has announced that it closes the connection: open streams continue, none is added.
+    Draining,
 }
 
 #[derive(Clone, Debug)]
-struct Channel {
+struct Connection {
     phase: Phase,
     streams: usize,
-    limit: usize,
+    max_streams: usize,
     idle_since: Ms,
-    heard: Ms,
-    pinged: Option<Ms>,
+    last_received_at: Ms,
+    /// When the ping that is not answered yet was sent.
+    pinged_at: Option<Ms>,
 }
 
-/// The channels to one engine.
+/// The connections to one engine.
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
     settings: PoolSettings,
     rng: WyRand,
-    all: BTreeMap<ConnectionId, Channel>,
-    /// Connects that failed in a row, and when the next may be tried.
+    connections: BTreeMap<ConnectionId, Connection>,
+    /// Connects that failed in a row.
     failures: u32,
-    again_at: Ms,
+    /// The end of the backoff: no connect is begun before.
+    next_connect_at: Ms,
 }
 
 impl ConnectionPool {
+    /// A pool without connections. `seed` determines the jitter of the backoff.
     pub fn new(settings: PoolSettings, seed: u64) -> Self {
         ConnectionPool {
             settings,
             rng: WyRand::new_seed(seed),
-            all: BTreeMap::new(),
+            connections: BTreeMap::new(),
             failures: 0,
-            again_at: f64::NEG_INFINITY,
+            next_connect_at: f64::NEG_INFINITY,
         }
     }
 
-    /// Where the next stream goes: on the fullest channel that is up and has room, so that the others can fall
-    /// idle, among equals on the one that rests since lately, if not since just now; else on one that is
-    /// connecting; else on a new one, if there may be one.
+    /// Where the next stream goes.
+    ///
+    /// Onto the fullest established connection that has room, so that the others become idle and are closed. Among
+    /// equals, onto the one that became idle last, as the engine may be about to close one that has been idle for long;
+    /// but onto one that became idle only just now last of all. Else onto one that is connecting, else onto a new one
+    /// if another is allowed.
     pub fn place(&self, now: Ms) -> Placement {
-        let room =
-            |(_, c): &(&ConnectionId, &Channel)| c.phase != Phase::Leaving && c.streams < c.limit;
-        let settled_at = now - SETTLE * self.settings.connect_timeout;
-        let rank = |c: &Channel| (c.phase == Phase::Up, c.streams, c.idle_since <= settled_at);
-        let order = |a: &(&ConnectionId, &Channel), b: &(&ConnectionId, &Channel)| {
-            let rests = a.1.idle_since.total_cmp(&b.1.idle_since);
-            rank(a.1).cmp(&rank(b.1)).then(rests).then(b.0.cmp(a.0))
+        let settled_since = now - SETTLE_TIME_FRACTION * self.settings.connect_timeout;
+        let rank = |connection: &Connection| {
+            let is_settled = connection.idle_since <= settled_since;
+            (
+                connection.phase == Phase::Up,
+                connection.streams,
+                is_settled,
+            )
         };
-        match self.all.iter().filter(room).max_by(order) {
-            Some((id, _)) => Placement::On(*id),
-            None if self.taking() >= self.settings.most.max(1) => {
-                Placement::Nowhere(PlacementError::AllTaken)
+        let preference = |a: &(&ConnectionId, &Connection), b: &(&ConnectionId, &Connection)| {
+            let by_idle_since = a.1.idle_since.total_cmp(&b.1.idle_since);
+            rank(a.1)
+                .cmp(&rank(b.1))
+                .then(by_idle_since)
+                .then(b.0.cmp(a.0))
+        };
+        let with_room = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.has_room());
+        match with_room.max_by(preference) {
+            Some((id, _)) => Placement::Existing(*id),
+            None if self.is_at_max_connections() => {
+                Placement::Unavailable(PlacementError::PoolExhausted)
+            }
+            // Guards against an engine that is down: each request that is sent to it would start another connect.
+            None if now < self.next_connect_at => {
+                Placement::Unavailable(PlacementError::BackingOff)
             }
-            // Guards against an engine that is down being dialled by every request that it is chosen for.
-            None if now < self.again_at => Placement::Nowhere(PlacementError::NotYet),
-            None => Placement::Connect,
+            None => Placement::NewConnection,
         }
     }
 
     /// A connect has begun.
     pub fn connecting(&mut self, id: ConnectionId, now: Ms) {
-        let channel = Channel {
+        let connection = Connection {
             phase: Phase::Connecting { since: now },
             streams: 0,
-            limit: self.settings.streams.max(1),
+            max_streams: self.settings.max_streams_per_connection.max(1),
             idle_since: now,
-            heard: now,
-            pinged: None,
+            last_received_at: now,
+            pinged_at: None,
         };
-        self.all.insert(id, channel);
+        self.connections.insert(id, connection);
     }
 
-    /// It is up. `limit`: the streams that the engine allows on it, if it says.
-    pub fn up(&mut self, id: ConnectionId, limit: Option<usize>, now: Ms) {
-        let Some(channel) = self.all.get_mut(&id) else {
+    /// The connection is established. `max_streams`: the concurrent streams that the engine allows on it, if it says so.
+    pub fn connected(&mut self, id: ConnectionId, max_streams: Option<usize>, now: Ms) {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        (channel.phase, channel.heard, channel.idle_since) = (Phase::Up, now, now);
-        channel.limit = limit.map_or(channel.limit, |limit| limit.min(channel.limit));
-        self.renewed();
+        connection.phase = Phase::Up;
+        connection.last_received_at = now;
+        connection.idle_since = now;
+        if let Some(max_streams) = max_streams {
+            connection.max_streams = max_streams.min(connection.max_streams);
+        }
+        self.reset_backoff();
     }
 
-    /// It is over, or never came up. After a failed connect the next waits, longer each time and by chance, so
-    /// that dispatchers do not come back to an engine that restarts all at once.
+    /// The connection has ended, or was never established. After a failed connect the next one waits: twice as long
+    /// after each failure, with jitter, so that dispatchers do not all reconnect at once to an engine that restarts.
     pub fn closed(&mut self, id: ConnectionId, now: Ms) {
-        let Some(channel) = self.all.remove(&id) else {
+        let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        if let Phase::Connecting { .. } = channel.phase {
-            let doubled = self.settings.again_first * f64::from(self.failures.min(30)).exp2();
-            let chance: f64 = self.rng.generate();
-            self.again_at = now + doubled.min(self.settings.again_most) * (0.5 + chance);
-            self.failures += 1;
+        if let Phase::Connecting { .. } = connection.phase {
+            self.connect_failed(now);
         }
     }
 
-    /// There is reason to try again at once: a channel is up, or the list tells of a new process.
-    pub fn renewed(&mut self) {
-        (self.failures, self.again_at) = (0, f64::NEG_INFINITY);
+    fn connect_failed(&mut self, now: Ms) {
+        let doublings = f64::from(self.failures.min(MAX_BACKOFF_DOUBLINGS));
+        let backoff = self.settings.initial_backoff * doublings.exp2();
+        let chance: f64 = self.rng.generate();
+        let jitter = MIN_BACKOFF_JITTER + chance;
+        self.next_connect_at = now + backoff.min(self.settings.max_backoff) * jitter;
+        self.failures += 1;
+    }
+
+    /// Allows the next connect at once: a connection was established, or the engine's process is a new one.
+    pub fn reset_backoff(&mut self) {
+        (self.failures, self.next_connect_at) = (0, f64::NEG_INFINITY);
     }
 
-    /// The engine said that it takes no more on this channel.
+    /// The engine announced that it accepts no more streams on this connection (GOAWAY).
     pub fn going_away(&mut self, id: ConnectionId) {
-        if let Some(channel) = self.all.get_mut(&id) {
-            channel.phase = Phase::Leaving;
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.phase = Phase::Draining;
         }
     }
 
-    /// Anything came over it.
-    pub fn heard(&mut self, id: ConnectionId, now: Ms) {
-        if let Some(channel) = self.all.get_mut(&id) {
-            (channel.heard, channel.pinged) = (now, None);
+    /// Anything was received over the connection.
+    pub fn received(&mut self, id: ConnectionId, now: Ms) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            (connection.last_received_at, connection.pinged_at) = (now, None);
         }
     }
 
-    pub fn opened(&mut self, id: ConnectionId, now: Ms) {
-        if let Some(channel) = self.all.get_mut(&id) {
-            if channel.streams == 0 {
-                channel.heard = channel.heard.max(now);
+    /// A stream was opened on the connection.
+    pub fn stream_opened(&mut self, id: ConnectionId, now: Ms) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            if connection.streams == 0 {
+                connection.last_received_at = connection.last_received_at.max(now);
             }
-            channel.streams += 1;
+            connection.streams += 1;
         }
     }
 
-    pub fn ended(&mut self, id: ConnectionId, now: Ms) {
-        if let Some(channel) = self.all.get_mut(&id) {
-            channel.streams = channel.streams.saturating_sub(1);
-            channel.idle_since = now;
+    /// A stream has ended on the connection.
+    pub fn stream_ended(&mut self, id: ConnectionId, now: Ms) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.streams = connection.streams.saturating_sub(1);
+            connection.idle_since = now;
         }
     }
 
-    /// What is to be done by now; `ready`: whether the engine may get anything new. The caller tells of each
-    /// close by [`closed`](ConnectionPool::closed) and of each connect by [`connecting`](ConnectionPool::connecting).
-    pub fn wanted(&mut self, now: Ms, ready: bool) -> Vec<PoolCommand> {
-        let mut wanted = Vec::new();
-        for (&id, channel) in &mut self.all {
-            let Some((at, what)) = channel.due(id, &self.settings) else {
+    /// What is to be done by now. `is_engine_ready`: whether the engine accepts new requests. The caller reports each
+    /// close by [`closed`](Self::closed) and each connect by [`connecting`](Self::connecting); a ping counts as sent.
+    pub fn due_commands(&mut self, now: Ms, is_engine_ready: bool) -> Vec<PoolCommand> {
+        let mut commands = Vec::new();
+        for (&id, connection) in &mut self.connections {
+            let (at, command) = connection.next_command(id, &self.settings);
+            if now < at {
                 continue;
-            };
-            if now >= at {
-                if let PoolCommand::Ping(_) = what {
-                    channel.pinged = Some(now);
-                }
-                wanted.push(what);
             }
+            if let PoolCommand::Ping(_) = command {
+                connection.pinged_at = Some(now);
+            }
+            commands.push(command);
         }
-        if ready && self.wants_more(now) {
-            wanted.push(PoolCommand::Connect);
+        if is_engine_ready && self.wants_connection(now) {
+            commands.push(PoolCommand::Connect);
         }
-        wanted
+        commands
     }
 
-    /// Whether one more is to be connected ahead of need.
-    pub fn wants_more(&self, now: Ms) -> bool {
-        now >= self.again_at && self.short_of_room()
+    /// Whether one more connection is to be opened ahead of need.
+    pub fn wants_connection(&self, now: Ms) -> bool {
+        now >= self.next_connect_at && self.is_short_of_streams()
     }
 
-    /// When `wanted` wants to be asked next, if nothing happens before. Connecting ahead follows from what
-    /// happens, so it is asked for then.
-    pub fn next_at(&self) -> Option<Ms> {
-        let due = self
-            .all
+    /// When [`due_commands`](Self::due_commands) is to be called next, if nothing happens before. Opening ahead of need
+    /// follows from what happens, so callers ask for it then.
+    pub fn next_due_at(&self) -> Option<Ms> {
+        self.connections
             .iter()
-            .filter_map(|(id, channel)| channel.due(*id, &self.settings));
-        due.map(|(at, _)| at)
+            .map(|(id, connection)| connection.next_command(*id, &self.settings).0)
             .filter(|at| at.is_finite())
             .min_by(f64::total_cmp)
     }
 
-    /// Whether it takes streams, or will.
-    pub fn takes(&self, id: ConnectionId) -> bool {
-        self.all.get(&id).is_some_and(|c| c.phase != Phase::Leaving)
+    /// Whether the connection accepts streams, now or once it is established.
+    pub fn accepts_streams(&self, id: ConnectionId) -> bool {
+        self.connections
+            .get(&id)
+            .is_some_and(Connection::accepts_streams)
     }
 
+    /// Whether the pool has no connection.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.connections.is_empty()
     }
 
-    /// ConnectionPool that take streams, or will.
-    fn taking(&self) -> usize {
-        self.all
+    /// The connections that accept streams, now or once they are established.
+    fn accepting(&self) -> impl Iterator<Item = &Connection> {
+        self.connections
             .values()
-            .filter(|c| c.phase != Phase::Leaving)
-            .count()
+            .filter(|connection| connection.accepts_streams())
     }
 
-    /// Whether channels in use leave too little room for what comes while another connects.
-    fn short_of_room(&self) -> bool {
-        let taking = || self.all.values().filter(|c| c.phase != Phase::Leaving);
-        let free: usize = taking().map(|c| c.limit.saturating_sub(c.streams)).sum();
-        let connecting = taking().any(|c| c.phase != Phase::Up);
-        let used = self.all.values().any(|c| c.streams > 0);
-        let spare = SPARE * self.settings.streams.max(1) as f64;
-        // ConnectionPool for one stream each are never ahead of need: every request at a peak would cost the engine one.
-        let shared = self.settings.streams > 1;
-        shared
-            && used
-            && !connecting
-            && self.taking() < self.settings.most.max(1)
-            && (free as f64) < spare
+    fn is_at_max_connections(&self) -> bool {
+        self.accepting().count() >= self.settings.max_connections.max(1)
+    }
+
+    /// Whether connections in use leave too few free streams for what comes while another connects.
+    fn is_short_of_streams(&self) -> bool {
+        // Connections for one stream each are never opened ahead: at a peak each request would cost the engine one.
+        let are_shared = self.settings.max_streams_per_connection > 1;
+        let is_in_use = self.connections.values().any(|c| c.streams > 0);
+        let is_connecting = self.accepting().any(|c| c.phase != Phase::Up);
+        let free: usize = self.accepting().map(Connection::free_streams).sum();
+        let per_connection = self.settings.max_streams_per_connection.max(1) as f64;
+        are_shared
+            && is_in_use
+            && !is_connecting
+            && !self.is_at_max_connections()
+            && (free as f64) < MIN_FREE_STREAMS_FRACTION * per_connection
     }
 }
 
-impl Channel {
-    /// What falls due for it next, and when.
-    fn due(&self, id: ConnectionId, settings: &PoolSettings) -> Option<(Ms, PoolCommand)> {
-        let due = match (self.phase, self.streams, self.pinged) {
+impl Connection {
+    fn accepts_streams(&self) -> bool {
+        self.phase != Phase::Draining
+    }
+
+    fn free_streams(&self) -> usize {
+        self.max_streams.saturating_sub(self.streams)
+    }
+
+    fn has_room(&self) -> bool {
+        self.accepts_streams() && self.streams < self.max_streams
+    }
+
+    /// What is to be done about it next, and when.
+    fn next_command(&self, id: ConnectionId, settings: &PoolSettings) -> (Ms, PoolCommand) {
+        let close = |reason| PoolCommand::Close(id, reason);
+        match (self.phase, self.streams, self.pinged_at) {
             (Phase::Connecting { since }, ..) => (
                 since + settings.connect_timeout,
-                PoolCommand::Close(id, CloseReason::ConnectTimeout),
+                close(CloseReason::ConnectTimeout),
             ),
-            (Phase::Leaving, 0, _) => (self.idle_since, PoolCommand::Close(id, CloseReason::Left)),
+            (Phase::Draining, 0, _) => (self.idle_since, close(CloseReason::Drained)),
             (Phase::Up, 0, _) => (
-                self.idle_since + settings.idle,
-                PoolCommand::Close(id, CloseReason::Idle),
+                self.idle_since + settings.idle_timeout,
+                close(CloseReason::Idle),
             ),
-            // Guards against a peer that is gone without a word: its connection never breaks by itself.
-            (_, _, Some(at)) => (
-                at + settings.ping_timeout,
-                PoolCommand::Close(id, CloseReason::Dead),
+            // Guards against an engine whose machine is gone: TCP reports nothing, and the streams would wait for ever.
+            (_, _, Some(pinged_at)) => (
+                pinged_at + settings.ping_timeout,
+                close(CloseReason::PingTimeout),
             ),
-            (_, _, None) => (self.heard + settings.quiet, PoolCommand::Ping(id)),
-        };
-        Some(due)
+            (_, _, None) => (
+                self.last_received_at + settings.keepalive_interval,
+                PoolCommand::Ping(id),
+            ),
+        }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,15 @@
-//! cindercleat: routing decisions for language-model servers that read and write in two stages.
+//! cindercleat: routing decisions for language-model servers that run prefill and decode on separate engines.
 //!
-//! [`control::Control`] decides about requests, [`connection_pool::ConnectionPool`] about the connections to an engine,
-//! [`client_connection::multiplexed::MultiplexedConnection`] and [`client_connection::http1::Http1Connection`] about a client's, [`discovery_client::DiscoveryCalls`] about calls to discovery, [`resource_limits::ResourceLimits`] about how much of all there
-//! may be; [`interface`] holds the plain types that callers exchange with the first.
+//! All decisions are plain state machines: they do no I/O, read no clock and draw chance from a seed. Events go in with
+//! their instant, actions come out.
+//!
+//! - [`control::Control`] decides about requests; [`interface`] holds its settings, events and actions.
+//! - [`connection_pool::ConnectionPool`] decides about the connections to one engine.
+//! - [`client_connection`] decides about the connection of one client.
+//! - [`discovery_client::DiscoveryCalls`] decides when discovery is called.
+//! - [`resource_limits::ResourceLimits`] derives limits and timeouts from what a process was given.
+//! - [`status`] maps answers to gRPC status codes, and ends of calls to outcomes.
+//! - [`fleet`] holds the coordination between dispatchers.
 #![forbid(unsafe_code)]
 
 pub mod client_connection;
--- a/src/resource_limits.rs
+++ b/src/resource_limits.rs
@@ -1,178 +1,229 @@
-//! What a dispatcher on a machine of its own allows itself where connections carry one call at a time: every
-//! bound and time of its connections, from what its machine and its settings give it. Shares and times stand
-//! here and nowhere else.
+//! The limits and timeouts of a dispatcher whose connections carry one request at a time (HTTP/1.1), derived from what
+//! its machine and its settings give it. The fractions and times that they are derived by stand only here.
 
 use crate::client_connection::http1::Http1Settings;
 use crate::discovery_client::DiscoverySettings;
 use crate::interface::{Discovery, Ms};
 
-/// What it is given.
+/// What a process is given. Times are milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// In bytes.
-    pub memory: f64,
-    pub descriptors: usize,
-    /// How long a connection may take to come up.
+    /// Memory in bytes.
+    pub memory_bytes: f64,
+    /// Files and sockets that may be open at the same time.
+    pub file_descriptors: usize,
+    /// How long a connection may take to be established.
     pub connect_timeout: Ms,
-    /// How the list reaches it, and how soon it must heed that an engine drains.
+    /// How the list of endpoints reaches the process.
     pub discovery: Discovery,
+    /// How soon the process must notice that an engine drains.
     pub drain_grace: Ms,
-    /// An engine closes a connection that rests for this long.
-    pub engine_idle: Option<Ms>,
-    /// Tasks that may be open at once.
-    pub most_held: Option<usize>,
-    /// The longest deadline of a class.
-    pub longest_deadline: Ms,
-    /// Whether clients ask for the rest of a stream that ends before its end.
+    /// Engines close a connection that is idle for this long; `None`: never.
+    pub engine_idle_timeout: Option<Ms>,
+    /// Requests that may be open at the same time; `None`: as many as connections allow.
+    pub max_open_requests: Option<usize>,
+    /// The longest time from a request's arrival to its deadline, of all request classes.
+    pub longest_time_to_deadline: Ms,
+    /// Whether clients ask another dispatcher for the rest of a stream that ends early.
     pub clients_resume: bool,
 }
 
-/// What it allows itself. Counts and bytes are upper limits.
+/// The limits that follow. Counts and bytes are upper limits; times are milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
-    pub clients: Http1Settings,
-    pub most_clients: usize,
-    pub max_connections: usize,
+    /// Timeouts of clients' connections.
+    pub client_timeouts: Http1Settings,
+    /// Connections of clients.
+    pub max_client_connections: usize,
+    /// Connections to all engines together.
+    pub max_engine_connections: usize,
+    /// Requests that are open at the same time.
     pub max_open_requests: usize,
-    /// A connection to an engine that rests is closed after this long.
-    pub connection_idle: Ms,
-    /// One client's body, and all of them together.
-    pub most_body: usize,
-    pub most_bodies: usize,
-    /// A chunk of an engine's answer, and an answer that is no stream.
-    pub most_chunk: usize,
-    pub most_list: usize,
-    /// Token messages of a stream between its decode engine and its client.
-    pub window: u32,
-    /// A stream that does not go on for this long is ended.
-    pub stall: Ms,
-    /// How long the list feed may wait with an answer, and the times of the calls to it.
-    pub feed_wait: Ms,
-    pub feed: DiscoverySettings,
-    /// After the last answer on a client's connection: for how long, and how many bytes of, what still comes is
-    /// taken before the close.
-    pub drain: Ms,
-    pub most_drained: usize,
-    /// After a stop: for how long what comes is taken, when streams are ended for their clients to come back
-    /// elsewhere, and how long all else may run.
-    pub stop_notice: Ms,
-    pub stop_moves: Option<Ms>,
+    /// A connection to an engine that is idle for this long is closed.
+    pub engine_idle_timeout: Ms,
+    /// One request's body.
+    pub max_body_bytes: usize,
+    /// The bodies of all clients' requests together.
+    pub max_total_body_bytes: usize,
+    /// One chunk of an engine's answer, or an answer that is not chunked.
+    pub max_chunk_bytes: usize,
+    /// One list of endpoints.
+    pub max_list_bytes: usize,
+    /// Token messages of a stream that have left its decode engine and not yet reached its client.
+    pub stream_window: u32,
+    /// A stream that makes no progress for this long is ended.
+    pub stall_timeout: Ms,
+    /// How long discovery may delay an answer until there is a change (long poll).
+    pub discovery_poll_wait: Ms,
+    /// Timeouts of the calls to discovery.
+    pub discovery: DiscoverySettings,
+    /// After the last answer on a client's connection: how long bytes that still come are read before the close.
+    pub close_drain_timeout: Ms,
+    /// And how many bytes are read then.
+    pub max_close_drain_bytes: usize,
+    /// After a stop: how long new requests are still accepted.
+    pub stop_accept_period: Ms,
+    /// After a stop: when streams are ended so that their clients resume elsewhere; `None`: they run to their end.
+    pub stop_streams_after: Option<Ms>,
+    /// After a stop: how long everything else may run.
     pub stop_grace: Ms,
 }
 
-/// Descriptors for what is neither a client's nor an engine's: logs, signals, the listener, the list feed, and
-/// connections on their way out.
-pub const OWN_DESCRIPTORS: usize = 32;
-/// The part of the memory that clients' bodies may take.
-const BODIES_PART: f64 = 8.0;
-/// The largest body of the platform's protocol.
-const MOST_BODY: usize = 256 << 10;
-/// The part of the memory that a list may take, which holds every engine: some thousands of them. It is no less than this
-/// many bodies.
-const LIST_PART: f64 = 8.0;
-const LIST_BODIES: usize = 4;
-/// The part of the engines' idle time for which a connection rests here: well before they close it, so that no
-/// request is written to one that dies.
-const REST_PART: f64 = 0.4;
-/// Clients are owed a close within three seconds of connecting, also in the middle of a request, and keep good
-/// connections.
-const CLIENTS: Http1Settings = Http1Settings {
-    first: 2_000.0,
-    whole: 2_000.0,
-    first_whole: 2_750.0,
-    rest: 10_000.0,
+/// File descriptors that belong to no client and no engine: logs, signals, the listener, discovery, and connections
+/// that are being closed.
+pub const RESERVED_FILE_DESCRIPTORS: usize = 32;
+
+/// The bodies of requests may take the memory divided by this.
+const MEMORY_PER_BODIES: f64 = 8.0;
+
+/// The largest body that the platform's protocol allows, in bytes.
+const MAX_BODY_BYTES: usize = 256 << 10;
+
+/// One list of endpoints may take the memory divided by this: it holds every engine, of which there are thousands.
+const MEMORY_PER_LIST: f64 = 8.0;
+
+/// A list may always be as large as this many bodies.
+const MIN_LIST_BODIES: usize = 4;
+
+/// As many bodies are read and dropped at most before a client's connection is closed.
+const CLOSE_DRAIN_BODIES: usize = 4;
+
+/// A connection is closed after this fraction of the engines' idle timeout, well before they close it: a request that
+/// is written to a connection which the engine is closing is lost.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.4;
+
+/// The platform requires a close within three seconds of the accept, also in the middle of a request, and that idle
+/// connections of good clients are kept.
+const CLIENT_TIMEOUTS: Http1Settings = Http1Settings {
+    first_byte_timeout: 2_000.0,
+    request_read_timeout: 2_000.0,
+    first_request_timeout: 2_750.0,
+    idle_timeout: 10_000.0,
 };
-const WINDOW: u32 = 32;
-/// Under the five seconds for which a client may be left waiting.
-const STALL: Ms = 4_000.0;
-/// What discovery has to tell counts as told so long after it could be reached (the platform's protocol, and its
-/// standing test: whatever calls were lost before).
-pub const TOLD_WITHIN: Ms = 6_000.0;
-/// Where lists are asked for: parts of that, or of what the settings say if that is less, for the wait that a call
-/// asks for, for an answer without a wait, and between two calls.
-/// The whole list has longer: a service that all ask at once takes its calls in turn and refuses them after two seconds;
-/// whoever gives up sooner loses an answer that was on its way, and asks for another.
-const ASKED_WAIT: f64 = 1.0 / 4.0;
-const ASKED_ANSWER: f64 = 1.0 / 6.0;
-const ASKED_WHOLE: f64 = 1.0 / 3.0;
-/// Where lists are pushed to an agent on this machine, what it has counts as told at once: parts of the drain grace
-/// for an answer, a connect, and between two calls. It answers immediately, and at no cost.
-const PUSHED_ANSWER: f64 = 1.0 / 5.0;
-const PUSHED_WAIT: Ms = 500.0;
-/// Two dispatchers that lose discovery together do not come back to it together.
-const AGAIN_FIRST: f64 = 0.1;
+
+/// Token messages of one stream.
+const STREAM_WINDOW: u32 = 32;
+
+/// Less than the five seconds that a client may be left without a token.
+const STALL_TIMEOUT_MS: Ms = 4_000.0;
+
+/// A dispatcher counts as notified of a change this long after discovery could be reached, whichever calls were lost
+/// before (the platform's protocol).
+pub const DISCOVERY_NOTIFIED_WITHIN_MS: Ms = 6_000.0;
+
+/// Polled discovery: fractions of the time within which a dispatcher counts as notified. The wait that a poll asks for.
+const POLL_WAIT_FRACTION: f64 = 1.0 / 4.0;
+/// The timeout of an answer that does not wait, and the longest backoff.
+const POLL_ANSWER_FRACTION: f64 = 1.0 / 6.0;
+/// The timeout of a snapshot. It is longer, as a service that all dispatchers call at once serves the calls in turn and
+/// refuses them after two seconds; a caller that gives up sooner loses an answer and asks for another.
+const POLL_SNAPSHOT_FRACTION: f64 = 1.0 / 3.0;
+
+/// Pushed discovery: lists come from an agent on the same machine, and a dispatcher counts as notified at once. The
+/// agent answers immediately, so its answer, a connect and a backoff get this fraction of the drain grace each.
+const PUSH_ANSWER_FRACTION: f64 = 1.0 / 5.0;
+/// The wait that a call to the agent asks for.
+const PUSH_WAIT_MS: Ms = 500.0;
+
+/// The first backoff as a fraction of the longest.
+const INITIAL_BACKOFF_FRACTION: f64 = 0.1;
+
 /// A client that reads its answer closes within a round trip or two.
-const DRAIN: Ms = 500.0;
-/// The front deals out connections for a moment after a stop. The process may be killed so long after the longest
-/// deadline, counted as 3 s where it is longer (the platform's protocol). Streams go on for a part of that, so that most
-/// end by themselves and the others go on elsewhere; their clients have the rest of it to come back.
-const STOP_NOTICE: Ms = 600.0;
-const KILL_AFTER: Ms = 700.0;
-const LONGEST_COUNTED: Ms = 3_000.0;
-const STOP_MOVES_PART: f64 = 2.0 / 3.0;
-/// Where a stop is not ended by a kill: for how long streams go on after the last deadline.
-const STOP_STREAMS: Ms = 60_000.0;
+const CLOSE_DRAIN_TIMEOUT_MS: Ms = 500.0;
+
+/// The platform's load balancer still sends new connections for a moment after a stop.
+const STOP_ACCEPT_PERIOD_MS: Ms = 600.0;
+
+/// The platform may kill the process this long after the longest time to a deadline has passed since the stop.
+const KILL_AFTER_DEADLINE_MS: Ms = 700.0;
+/// Times to a deadline that are longer count as this much there.
+const MAX_COUNTED_TIME_TO_DEADLINE_MS: Ms = 3_000.0;
+
+/// Streams run for this fraction of the time until the kill, so that most end by themselves; the clients of the others
+/// have the rest of it to resume elsewhere.
+const STOP_STREAMS_FRACTION: f64 = 2.0 / 3.0;
+
+/// Where the process is not killed after a stop: how long streams may run after the last deadline.
+const STOP_STREAM_GRACE_MS: Ms = 60_000.0;
 
 impl ResourceLimits {
-    /// None if there are too few descriptors for any work.
-    pub fn of(given: &ProcessLimits) -> Option<ResourceLimits> {
-        let share = given.descriptors.checked_sub(OWN_DESCRIPTORS)? / 2;
-        let (feed_wait, answer, whole, connect) = match given.discovery {
-            Discovery::Pushed => {
-                let answer = PUSHED_ANSWER * given.drain_grace;
-                (
-                    PUSHED_WAIT,
-                    answer,
-                    answer,
-                    answer.min(given.connect_timeout),
-                )
-            }
-            Discovery::Polled { notified_within } => {
-                let told = notified_within.min(TOLD_WITHIN);
-                (
-                    ASKED_WAIT * told,
-                    ASKED_ANSWER * told,
-                    ASKED_WHOLE * told,
-                    given.connect_timeout,
-                )
-            }
-        };
-        let feed = DiscoverySettings {
-            connect,
-            first_quiet: whole,
-            quiet: feed_wait + answer,
-            again_first: AGAIN_FIRST * answer,
-            again_most: answer,
-            resumes: matches!(given.discovery, Discovery::Polled { .. }),
-        };
-        (share > 0).then(|| ResourceLimits {
-            clients: CLIENTS,
-            most_clients: share,
-            max_connections: share,
-            max_open_requests: given.most_held.unwrap_or(share).min(share),
-            connection_idle: given
-                .engine_idle
-                .map_or(f64::INFINITY, |idle| REST_PART * idle),
-            most_body: MOST_BODY,
-            most_bodies: (given.memory / BODIES_PART) as usize,
-            most_chunk: MOST_BODY,
-            most_list: ((given.memory / LIST_PART) as usize).max(LIST_BODIES * MOST_BODY),
-            window: WINDOW,
-            stall: STALL,
-            feed_wait,
-            feed,
-            drain: DRAIN,
-            most_drained: LIST_BODIES * MOST_BODY,
-            stop_notice: STOP_NOTICE,
-            stop_moves: given
+    /// The limits of a process. `None` if there are too few file descriptors to serve one client.
+    pub fn for_process(process: &ProcessLimits) -> Option<ResourceLimits> {
+        let usable = process
+            .file_descriptors
+            .checked_sub(RESERVED_FILE_DESCRIPTORS)?;
+        let max_connections = usable / 2;
+        if max_connections == 0 {
+            return None;
+        }
+        let (discovery_poll_wait, discovery) = discovery_settings(process);
+        Some(ResourceLimits {
+            client_timeouts: CLIENT_TIMEOUTS,
+            max_client_connections: max_connections,
+            max_engine_connections: max_connections,
+            max_open_requests: process
+                .max_open_requests
+                .unwrap_or(max_connections)
+                .min(max_connections),
+            engine_idle_timeout: process
+                .engine_idle_timeout
+                .map_or(f64::INFINITY, |idle| IDLE_TIMEOUT_FRACTION * idle),
+            max_body_bytes: MAX_BODY_BYTES,
+            max_total_body_bytes: (process.memory_bytes / MEMORY_PER_BODIES) as usize,
+            max_chunk_bytes: MAX_BODY_BYTES,
+            max_list_bytes: ((process.memory_bytes / MEMORY_PER_LIST) as usize)
+                .max(MIN_LIST_BODIES * MAX_BODY_BYTES),
+            stream_window: STREAM_WINDOW,
+            stall_timeout: STALL_TIMEOUT_MS,
+            discovery_poll_wait,
+            discovery,
+            close_drain_timeout: CLOSE_DRAIN_TIMEOUT_MS,
+            max_close_drain_bytes: CLOSE_DRAIN_BODIES * MAX_BODY_BYTES,
+            stop_accept_period: STOP_ACCEPT_PERIOD_MS,
+            stop_streams_after: process
                 .clients_resume
-                .then_some(STOP_MOVES_PART * earliest_kill(given)),
-            stop_grace: given.longest_deadline + STOP_STREAMS,
+                .then_some(STOP_STREAMS_FRACTION * earliest_kill(process)),
+            stop_grace: process.longest_time_to_deadline + STOP_STREAM_GRACE_MS,
         })
     }
 }
 
-/// How long after the signal to stop the process may be killed.
-fn earliest_kill(given: &ProcessLimits) -> Ms {
-    given.longest_deadline.min(LONGEST_COUNTED) + KILL_AFTER
+/// The wait that a call to discovery asks for, in milliseconds, and the timeouts of the calls.
+fn discovery_settings(process: &ProcessLimits) -> (Ms, DiscoverySettings) {
+    match process.discovery {
+        Discovery::Pushed => {
+            let answer_timeout = PUSH_ANSWER_FRACTION * process.drain_grace;
+            let settings = DiscoverySettings {
+                connect_timeout: answer_timeout.min(process.connect_timeout),
+                first_answer_timeout: answer_timeout,
+                silence_timeout: PUSH_WAIT_MS + answer_timeout,
+                initial_backoff: INITIAL_BACKOFF_FRACTION * answer_timeout,
+                max_backoff: answer_timeout,
+                resume_from_known_version: false,
+            };
+            (PUSH_WAIT_MS, settings)
+        }
+        Discovery::Polled { notified_within } => {
+            let notified_within = notified_within.min(DISCOVERY_NOTIFIED_WITHIN_MS);
+            let poll_wait = POLL_WAIT_FRACTION * notified_within;
+            let answer_timeout = POLL_ANSWER_FRACTION * notified_within;
+            let settings = DiscoverySettings {
+                connect_timeout: process.connect_timeout,
+                first_answer_timeout: POLL_SNAPSHOT_FRACTION * notified_within,
+                silence_timeout: poll_wait + answer_timeout,
+                initial_backoff: INITIAL_BACKOFF_FRACTION * answer_timeout,
+                max_backoff: answer_timeout,
+                resume_from_known_version: true,
+            };
+            (poll_wait, settings)
+        }
+    }
+}
+
+/// The shortest time in milliseconds from the signal to stop to a kill of the process.
+fn earliest_kill(process: &ProcessLimits) -> Ms {
+    process
+        .longest_time_to_deadline
+        .min(MAX_COUNTED_TIME_TO_DEADLINE_MS)
+        + KILL_AFTER_DEADLINE_MS
 }
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,33 +1,47 @@
-//! How ends of calls are told in gRPC's words, and what an end proves: to a client, which answer its status
-//! stands for and whether trying again does no harm; from an engine, whether a call that ended without its own
-//! word may have run.
+//! gRPC status codes: which status a client gets for each answer and what it may conclude about a retry, and what the
+//! end of a call to an engine proves about whether the call ran.
 //!
-//! A table of plain decisions without I/O; `docs/grpc.md` repeats it for users.
+//! Tables without I/O; `docs/grpc.md` repeats them for users.
 
 use crate::interface::{Ms, Outcome};
 
-/// gRPC's status codes that are used here, by their numbers.
+/// The gRPC status codes that are used here, with gRPC's names and numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Code {
+    /// The call succeeded.
     Ok = 0,
+    /// The caller cancelled the call.
     Cancelled = 1,
+    /// No other code applies; also a request that failed and may have run.
     Unknown = 2,
+    /// A field of the request is invalid.
     InvalidArgument = 3,
+    /// The deadline passed.
     DeadlineExceeded = 4,
+    /// Something that the request names does not exist.
     NotFound = 5,
+    /// The caller may not make this call.
     PermissionDenied = 7,
+    /// There is no capacity now.
     ResourceExhausted = 8,
+    /// The state of the system does not allow the call.
     FailedPrecondition = 9,
+    /// The call conflicted with another.
     Aborted = 10,
+    /// The method is not implemented.
     Unimplemented = 12,
+    /// An invariant was broken.
     Internal = 13,
+    /// The service cannot be reached now; clients may retry.
     Unavailable = 14,
+    /// Data is lost or corrupted.
     DataLoss = 15,
+    /// The caller is not authenticated.
     Unauthenticated = 16,
 }
 
 impl Code {
-    /// A number that is no code counts as unknown, as gRPC has it.
+    /// The code of a number. As in gRPC, a number that is no code counts as `Unknown`.
     pub fn from_number(number: u32) -> Code {
         use Code::*;
         let all = [
@@ -53,83 +67,95 @@
     }
 }
 
-/// A final answer, or a refusal of the submission itself.
+/// The answer that a client gets: the final one of its request, or that the request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAnswer {
+    /// The request was carried out.
     Succeeded,
-    /// `full`: there was no room, rather than nobody to do it.
+    /// The request has not run.
     Rejected {
-        full: bool,
+        /// Whether capacity was lacking, rather than an engine for this request.
+        for_lack_of_capacity: bool,
     },
+    /// The request has not succeeded and may have run.
     Failed,
-    /// A field cannot be right; it was not taken.
+    /// A field is invalid; the request was not accepted.
     InvalidRequest,
 }
 
-/// The status that a client gets. Clients that retry by themselves do so on `Unavailable`, which a failure
-/// must never be: it may have run.
-pub fn to_client(told: ClientAnswer) -> Code {
-    match told {
+/// The status that a client gets for an answer. Client libraries retry on `Unavailable` by themselves, so a request
+/// that failed must never get it: it may have run.
+pub fn client_status(answer: ClientAnswer) -> Code {
+    match answer {
         ClientAnswer::Succeeded => Code::Ok,
-        ClientAnswer::Rejected { full: false } => Code::Unavailable,
-        ClientAnswer::Rejected { full: true } => Code::ResourceExhausted,
+        ClientAnswer::Rejected {
+            for_lack_of_capacity: false,
+        } => Code::Unavailable,
+        ClientAnswer::Rejected {
+            for_lack_of_capacity: true,
+        } => Code::ResourceExhausted,
         ClientAnswer::Failed => Code::Unknown,
         ClientAnswer::InvalidRequest => Code::InvalidArgument,
     }
 }
 
-/// What clients that retry by themselves are told of another try, beside the status.
+/// What client libraries that retry by themselves are told about a retry, in addition to the status.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryAdvice {
-    /// Nothing: there is no point in it, or the status says it all.
-    Unsaid,
-    /// After this long.
+    /// Nothing: a retry is pointless, or the status is enough.
+    None,
+    /// Retry after this many milliseconds.
     After(Ms),
-    /// Not at all, whatever the client's own habit: it may have run.
+    /// Do not retry, whatever the client's own policy is: the request may have run.
     Never,
 }
 
-/// `retry_after`: what a reject asks for; 0 asks for nothing.
-pub fn again(told: ClientAnswer, retry_after: Ms) -> RetryAdvice {
-    match told {
+/// The advice for an answer. `retry_after`: the wait that a rejection asks for, in milliseconds; 0 for none.
+pub fn retry_advice(answer: ClientAnswer, retry_after: Ms) -> RetryAdvice {
+    match answer {
         ClientAnswer::Rejected { .. } if retry_after > 0.0 => RetryAdvice::After(retry_after),
         ClientAnswer::Failed => RetryAdvice::Never,
         ClientAnswer::Succeeded | ClientAnswer::Rejected { .. } | ClientAnswer::InvalidRequest => {
-            RetryAdvice::Unsaid
+            RetryAdvice::None
         }
     }
 }
 
-/// Whether a client may try the same request again without harm, by the status alone.
-pub fn again_is_harmless(code: Code) -> bool {
+/// Whether the status alone proves that the request has not run, so that a client may safely retry it.
+pub fn is_safe_to_retry(code: Code) -> bool {
     matches!(
         code,
         Code::Unavailable | Code::ResourceExhausted | Code::InvalidArgument
     )
 }
 
-/// How a call to an engine ended that did not end with the engine's own last word.
+/// How a call to an engine ended without the engine's final message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// No request went out: no connection, or the engine takes no more on it.
+    /// No request was sent: there was no connection, or the engine accepts no more streams on it.
     NotSent,
-    /// The engine reset the stream, with this HTTP/2 error code.
+    /// The engine reset the stream with this HTTP/2 error code.
     Reset(u32),
-    /// The engine went away, and the call came after the last one that it took.
+    /// The engine sent GOAWAY, and the call came after the last stream that it processes.
     BeyondLast,
-    /// The connection is gone with the call on it.
+    /// The connection ended while the call was open.
     ConnectionLost,
-    /// A status; `never_ran`: the engine's own mark that nothing of it ran.
-    Status { code: Code, never_ran: bool },
-    /// The stream ended in order but without a status or a last message.
+    /// The engine sent a status.
+    Status {
+        /// The status.
+        code: Code,
+        /// Whether the engine marked it to say that nothing of the call ran.
+        never_ran: bool,
+    },
+    /// The stream ended in order, without a status and without a final message.
     Nothing,
 }
 
-/// HTTP/2's error code by which a peer says that it did not process a stream at all.
+/// The HTTP/2 error code by which a peer says that it did not process a stream at all (RFC 9113, section 7).
 const REFUSED_STREAM: u32 = 7;
 
-/// What such an end means for the attempt. Only what is proven counts as not run: a status says nothing of that
-/// by itself, as something between here and the engine may have made it up.
+/// The outcome of the attempt. It counts as not run only if that is proven: a status alone proves nothing, as a proxy
+/// between the dispatcher and the engine may have made it.
 pub fn attempt_outcome(end: CallEnd) -> Outcome {
     match end {
         CallEnd::NotSent => Outcome::Unreachable,
--- a/tests/connection_pool.rs
+++ b/tests/connection_pool.rs
@@ -8,14 +8,14 @@
 
 fn settings() -> PoolSettings {
     PoolSettings {
-        streams: 10,
-        most: 3,
+        max_streams_per_connection: 10,
+        max_connections: 3,
         connect_timeout: 250.0,
-        idle: 5000.0,
-        quiet: 2000.0,
+        idle_timeout: 5000.0,
+        keepalive_interval: 2000.0,
         ping_timeout: 500.0,
-        again_first: 100.0,
-        again_most: 1000.0,
+        initial_backoff: 100.0,
+        max_backoff: 1000.0,
     }
 }
 
@@ -24,100 +24,104 @@
 
 /// One channel that is up and carries so many streams.
 fn carrying(streams: usize) -> ConnectionPool {
-    let mut channels = ConnectionPool::new(settings(), 1);
-    channels.connecting(A, 0.0);
-    channels.up(A, None, 10.0);
-    (0..streams).for_each(|_| channels.opened(A, 10.0));
-    channels
+    let mut pool = ConnectionPool::new(settings(), 1);
+    pool.connecting(A, 0.0);
+    pool.connected(A, None, 10.0);
+    (0..streams).for_each(|_| pool.stream_opened(A, 10.0));
+    pool
 }
 
 #[test]
 fn a_stream_takes_the_fullest_channel_with_room_and_waits_for_none_that_is_up() {
-    let mut channels = carrying(3);
-    channels.connecting(B, 10.0);
-    channels.opened(B, 10.0);
-    assert_eq!(channels.place(11.0), Placement::On(A));
-    channels.up(B, None, 12.0);
-    (0..4).for_each(|_| channels.opened(B, 12.0));
-    assert_eq!(channels.place(13.0), Placement::On(B));
+    let mut pool = carrying(3);
+    pool.connecting(B, 10.0);
+    pool.stream_opened(B, 10.0);
+    assert_eq!(pool.place(11.0), Placement::Existing(A));
+    pool.connected(B, None, 12.0);
+    (0..4).for_each(|_| pool.stream_opened(B, 12.0));
+    assert_eq!(pool.place(13.0), Placement::Existing(B));
 }
 
 #[test]
 fn the_engines_own_limit_counts_if_it_is_lower() {
-    let mut channels = ConnectionPool::new(settings(), 1);
-    channels.connecting(A, 0.0);
-    channels.up(A, Some(2), 1.0);
-    (0..2).for_each(|_| channels.opened(A, 1.0));
-    assert_eq!(channels.place(2.0), Placement::Connect);
+    let mut pool = ConnectionPool::new(settings(), 1);
+    pool.connecting(A, 0.0);
+    pool.connected(A, Some(2), 1.0);
+    (0..2).for_each(|_| pool.stream_opened(A, 1.0));
+    assert_eq!(pool.place(2.0), Placement::NewConnection);
 }
 
 #[test]
 fn beyond_the_most_channels_there_is_no_place() {
-    let mut channels = ConnectionPool::new(settings(), 1);
+    let mut pool = ConnectionPool::new(settings(), 1);
     for id in 1..=3 {
-        assert_eq!(channels.place(1.0), Placement::Connect);
-        channels.connecting(ConnectionId(id), 1.0);
-        channels.up(ConnectionId(id), None, 1.0);
-        (0..10).for_each(|_| channels.opened(ConnectionId(id), 1.0));
+        assert_eq!(pool.place(1.0), Placement::NewConnection);
+        pool.connecting(ConnectionId(id), 1.0);
+        pool.connected(ConnectionId(id), None, 1.0);
+        (0..10).for_each(|_| pool.stream_opened(ConnectionId(id), 1.0));
     }
     assert_eq!(
-        channels.place(1.0),
-        Placement::Nowhere(PlacementError::AllTaken)
+        pool.place(1.0),
+        Placement::Unavailable(PlacementError::PoolExhausted)
+    );
+    assert_eq!(
+        pool.due_commands(1.0, true),
+        [],
+        "nor is one connected ahead"
     );
-    assert_eq!(channels.wanted(1.0, true), [], "nor is one connected ahead");
 }
 
 #[test]
 fn one_is_connected_ahead_when_little_room_is_left_and_not_to_an_engine_that_drains() {
-    let mut channels = carrying(8);
+    let mut pool = carrying(8);
     assert_eq!(
-        channels.wanted(11.0, true),
+        pool.due_commands(11.0, true),
         [],
         "two of ten are room enough"
     );
-    channels.opened(A, 11.0);
-    assert_eq!(channels.wanted(11.0, false), []);
-    assert_eq!(channels.wanted(11.0, true), [PoolCommand::Connect]);
-    channels.connecting(B, 11.0);
-    assert_eq!(channels.wanted(11.0, true), [], "one is coming");
+    pool.stream_opened(A, 11.0);
+    assert_eq!(pool.due_commands(11.0, false), []);
+    assert_eq!(pool.due_commands(11.0, true), [PoolCommand::Connect]);
+    pool.connecting(B, 11.0);
+    assert_eq!(pool.due_commands(11.0, true), [], "one is coming");
 }
 
 #[test]
 fn a_channel_that_goes_away_carries_what_it_has_and_nothing_new() {
-    let mut channels = carrying(1);
-    channels.going_away(A);
-    assert_eq!(channels.place(20.0), Placement::Connect);
+    let mut pool = carrying(1);
+    pool.going_away(A);
+    assert_eq!(pool.place(20.0), Placement::NewConnection);
     assert_eq!(
-        channels.wanted(20.0, true),
+        pool.due_commands(20.0, true),
         [PoolCommand::Connect],
         "what is in use is replaced ahead of need"
     );
-    channels.ended(A, 30.0);
+    pool.stream_ended(A, 30.0);
     assert_eq!(
-        channels.wanted(30.0, true),
-        [PoolCommand::Close(A, CloseReason::Left)]
+        pool.due_commands(30.0, true),
+        [PoolCommand::Close(A, CloseReason::Drained)]
     );
 }
 
 #[test]
 fn failed_connects_are_tried_again_later_each_time_and_at_once_when_there_is_reason() {
-    let mut channels = ConnectionPool::new(settings(), 7);
+    let mut pool = ConnectionPool::new(settings(), 7);
     let (mut now, mut waits) = (0.0, Vec::new());
     for id in 0..8 {
-        assert_eq!(channels.place(now), Placement::Connect);
-        channels.connecting(ConnectionId(id), now);
-        assert_eq!(channels.wanted(now + 249.0, true), []);
+        assert_eq!(pool.place(now), Placement::NewConnection);
+        pool.connecting(ConnectionId(id), now);
+        assert_eq!(pool.due_commands(now + 249.0, true), []);
         assert_eq!(
-            channels.wanted(now + 250.0, true),
+            pool.due_commands(now + 250.0, true),
             [PoolCommand::Close(
                 ConnectionId(id),
                 CloseReason::ConnectTimeout
             )]
         );
-        channels.closed(ConnectionId(id), now + 250.0);
+        pool.closed(ConnectionId(id), now + 250.0);
         let begin = now + 250.0;
         now = begin;
-        while channels.place(now) == Placement::Nowhere(PlacementError::NotYet) {
+        while pool.place(now) == Placement::Unavailable(PlacementError::BackingOff) {
             now += 1.0;
         }
         waits.push(now - begin);
@@ -130,40 +134,40 @@
             "{at}: {waits:?}"
         );
     }
-    channels.connecting(A, now);
-    channels.closed(A, now);
+    pool.connecting(A, now);
+    pool.closed(A, now);
     assert_eq!(
-        channels.place(now),
-        Placement::Nowhere(PlacementError::NotYet)
+        pool.place(now),
+        Placement::Unavailable(PlacementError::BackingOff)
     );
-    channels.renewed();
-    assert_eq!(channels.place(now), Placement::Connect);
+    pool.reset_backoff();
+    assert_eq!(pool.place(now), Placement::NewConnection);
 }
 
 #[test]
 fn a_quiet_channel_with_streams_is_asked_and_given_up_if_it_does_not_answer() {
-    let mut channels = carrying(1);
-    assert_eq!(channels.next_at(), Some(2010.0));
-    assert_eq!(channels.wanted(2009.0, true), []);
-    assert_eq!(channels.wanted(2010.0, true), [PoolCommand::Ping(A)]);
-    assert_eq!(channels.wanted(2011.0, true), [], "it is asked once");
-    channels.heard(A, 2400.0);
-    assert_eq!(channels.wanted(2510.0, true), [], "it answered");
-    assert_eq!(channels.wanted(4400.0, true), [PoolCommand::Ping(A)]);
-    assert_eq!(channels.wanted(4899.0, true), []);
+    let mut pool = carrying(1);
+    assert_eq!(pool.next_due_at(), Some(2010.0));
+    assert_eq!(pool.due_commands(2009.0, true), []);
+    assert_eq!(pool.due_commands(2010.0, true), [PoolCommand::Ping(A)]);
+    assert_eq!(pool.due_commands(2011.0, true), [], "it is asked once");
+    pool.received(A, 2400.0);
+    assert_eq!(pool.due_commands(2510.0, true), [], "it answered");
+    assert_eq!(pool.due_commands(4400.0, true), [PoolCommand::Ping(A)]);
+    assert_eq!(pool.due_commands(4899.0, true), []);
     assert_eq!(
-        channels.wanted(4900.0, true),
-        [PoolCommand::Close(A, CloseReason::Dead)]
+        pool.due_commands(4900.0, true),
+        [PoolCommand::Close(A, CloseReason::PingTimeout)]
     );
 }
 
 #[test]
 fn a_channel_without_streams_is_not_asked_but_closed_when_idle() {
-    let mut channels = carrying(1);
-    channels.ended(A, 100.0);
-    assert_eq!(channels.wanted(5099.0, true), []);
+    let mut pool = carrying(1);
+    pool.stream_ended(A, 100.0);
+    assert_eq!(pool.due_commands(5099.0, true), []);
     assert_eq!(
-        channels.wanted(5100.0, true),
+        pool.due_commands(5100.0, true),
         [PoolCommand::Close(A, CloseReason::Idle)]
     );
 }
@@ -173,19 +177,19 @@
 
 fn play(draws: &[Draw], seed: u64) -> Result<[usize; 3], TestCaseError> {
     let settings = settings();
-    let mut channels = ConnectionPool::new(settings, seed);
+    let mut pool = ConnectionPool::new(settings, seed);
     // What is up or connecting, with its streams; whether it goes away; when it last spoke or began.
     let mut mine: BTreeMap<ConnectionId, (bool, usize, bool)> = BTreeMap::new();
     let (mut now, mut next, mut met): (Ms, u64, [usize; 3]) = (0.0, 0, [0; 3]);
     for &(what, whom, after) in draws {
         let until = now + f64::from(after % 1500);
-        while let Some(at) = channels.next_at().filter(|at| *at <= until) {
+        while let Some(at) = pool.next_due_at().filter(|at| *at <= until) {
             now = now.max(at);
-            for act in channels.wanted(now, !whom.is_multiple_of(7)) {
+            for act in pool.due_commands(now, !whom.is_multiple_of(7)) {
                 match act {
                     PoolCommand::Connect => {
                         next += 1;
-                        channels.connecting(ConnectionId(next), now);
+                        pool.connecting(ConnectionId(next), now);
                         mine.insert(ConnectionId(next), (false, 0, false));
                     }
                     PoolCommand::Ping(id) => {
@@ -197,18 +201,18 @@
                         let fits = match why {
                             CloseReason::ConnectTimeout => !up,
                             CloseReason::Idle => up && streams == 0,
-                            CloseReason::Dead => up && streams > 0,
-                            CloseReason::Left => leaving && streams == 0,
+                            CloseReason::PingTimeout => up && streams > 0,
+                            CloseReason::Drained => leaving && streams == 0,
                         };
                         prop_assert!(fits, "closed for {why:?} while up {up} with {streams}");
-                        channels.closed(id, now);
+                        pool.closed(id, now);
                         met[1] += 1;
                     }
                 }
             }
         }
         prop_assert!(
-            channels.next_at().is_none_or(|at| at > until),
+            pool.next_due_at().is_none_or(|at| at > until),
             "it wants nothing over and over"
         );
         now = until;
@@ -217,51 +221,51 @@
             .copied()
             .nth(usize::from(whom) % mine.len().max(1));
         match (what % 8, pick) {
-            (0..=3, _) => match channels.place(now) {
-                Placement::On(id) => {
+            (0..=3, _) => match pool.place(now) {
+                Placement::Existing(id) => {
                     let (_, streams, leaving) = mine
                         .get_mut(&id)
                         .map(|m| (m.0, &mut m.1, m.2))
                         .expect("known");
-                    prop_assert!(*streams < settings.streams && !leaving);
+                    prop_assert!(*streams < settings.max_streams_per_connection && !leaving);
                     *streams += 1;
-                    channels.opened(id, now);
+                    pool.stream_opened(id, now);
                 }
-                Placement::Connect => {
+                Placement::NewConnection => {
                     next += 1;
-                    channels.connecting(ConnectionId(next), now);
+                    pool.connecting(ConnectionId(next), now);
                     mine.insert(ConnectionId(next), (false, 1, false));
-                    channels.opened(ConnectionId(next), now);
+                    pool.stream_opened(ConnectionId(next), now);
                 }
-                Placement::Nowhere(_) => met[2] += 1,
+                Placement::Unavailable(_) => met[2] += 1,
             },
             (4, Some(id)) => {
                 if let Some(m) = mine.get_mut(&id).filter(|m| !m.0 && !m.2) {
                     m.0 = true;
-                    channels.up(id, None, now);
+                    pool.connected(id, None, now);
                 }
             }
             (5, Some(id)) => {
                 if let Some(m) = mine.get_mut(&id).filter(|m| m.1 > 0) {
                     m.1 -= 1;
-                    channels.ended(id, now);
+                    pool.stream_ended(id, now);
                 }
             }
             (6, Some(id)) => {
                 mine.remove(&id);
-                channels.closed(id, now);
+                pool.closed(id, now);
             }
             (7, Some(id)) if mine[&id].0 => {
-                channels.heard(id, now);
+                pool.received(id, now);
                 if whom.is_multiple_of(3) {
                     mine.entry(id).and_modify(|m| m.2 = true);
-                    channels.going_away(id);
+                    pool.going_away(id);
                 }
             }
             _ => {}
         }
         let taking = mine.values().filter(|m| !m.2).count();
-        prop_assert!(taking <= settings.most, "{taking} channels");
+        prop_assert!(taking <= settings.max_connections, "{taking} pool");
     }
     Ok(met)
 }
@@ -295,41 +299,41 @@
 
 #[test]
 fn a_channel_that_rests_since_lately_is_used_again_but_not_one_that_has_just_been_answered() {
-    let mut channels = ConnectionPool::new(
+    let mut pool = ConnectionPool::new(
         PoolSettings {
-            streams: 1,
-            most: 9,
+            max_streams_per_connection: 1,
+            max_connections: 9,
             ..settings()
         },
         1,
     );
     for (id, rests_since) in [(1, 10.0), (2, 50.0), (3, 99.9)] {
-        channels.connecting(ConnectionId(id), 0.0);
-        channels.up(ConnectionId(id), None, 0.0);
-        channels.opened(ConnectionId(id), 0.0);
-        channels.ended(ConnectionId(id), rests_since);
+        pool.connecting(ConnectionId(id), 0.0);
+        pool.connected(ConnectionId(id), None, 0.0);
+        pool.stream_opened(ConnectionId(id), 0.0);
+        pool.stream_ended(ConnectionId(id), rests_since);
     }
     // Its engine may be about to close the third; the first, for want of use.
     for id in [2, 1, 3] {
-        assert_eq!(channels.place(100.0), Placement::On(ConnectionId(id)));
-        channels.opened(ConnectionId(id), 100.0);
+        assert_eq!(pool.place(100.0), Placement::Existing(ConnectionId(id)));
+        pool.stream_opened(ConnectionId(id), 100.0);
     }
-    assert_eq!(channels.place(100.0), Placement::Connect);
+    assert_eq!(pool.place(100.0), Placement::NewConnection);
 }
 
 #[test]
 fn channels_for_one_stream_are_not_connected_ahead() {
-    let mut channels = ConnectionPool::new(
+    let mut pool = ConnectionPool::new(
         PoolSettings {
-            streams: 1,
-            most: 9,
+            max_streams_per_connection: 1,
+            max_connections: 9,
             ..settings()
         },
         1,
     );
-    channels.connecting(ConnectionId(1), 0.0);
-    channels.up(ConnectionId(1), None, 0.0);
-    channels.opened(ConnectionId(1), 0.0);
-    assert!(!channels.wants_more(1.0));
-    assert!(!channels.wanted(1.0, true).contains(&PoolCommand::Connect));
+    pool.connecting(ConnectionId(1), 0.0);
+    pool.connected(ConnectionId(1), None, 0.0);
+    pool.stream_opened(ConnectionId(1), 0.0);
+    assert!(!pool.wants_connection(1.0));
+    assert!(!pool.due_commands(1.0, true).contains(&PoolCommand::Connect));
 }
--- a/tests/discovery_client.rs
+++ b/tests/discovery_client.rs
@@ -1,41 +1,47 @@
 //! When discovery is called again.
 
-use cindercleat::discovery_client::{DiscoveryCalls, DiscoverySettings, FirstCall, UNUSABLE_MOST};
+use cindercleat::discovery_client::{
+    DiscoveryCalls, DiscoverySettings, FirstCall, MAX_UNUSABLE_LIST_BACKOFF_MS,
+};
 
 const SETTINGS: DiscoverySettings = DiscoverySettings {
-    connect: 250.0,
-    first_quiet: 1000.0,
-    quiet: 2500.0,
-    again_first: 100.0,
-    again_most: 1000.0,
-    resumes: false,
+    connect_timeout: 250.0,
+    first_answer_timeout: 1000.0,
+    silence_timeout: 2500.0,
+    initial_backoff: 100.0,
+    max_backoff: 1000.0,
+    resume_from_known_version: false,
 };
 
 #[test]
 fn waits_double_up_to_the_most_and_begin_anew_after_an_answer_or_a_move() {
     let mut calls = DiscoveryCalls::new(SETTINGS, 1);
     for most in [100.0, 200.0, 400.0, 800.0, 1000.0, 1000.0] {
-        let wait = calls.lost();
+        let wait = calls.backoff_after_loss();
         assert!((most / 2.0..=most).contains(&wait), "{wait} of {most}");
     }
-    calls.answered();
-    assert!(calls.lost() <= 100.0);
-    calls.lost();
-    calls.moved();
-    assert!(calls.lost() <= 100.0);
+    calls.list_received();
+    assert!(calls.backoff_after_loss() <= 100.0);
+    calls.backoff_after_loss();
+    calls.address_changed();
+    assert!(calls.backoff_after_loss() <= 100.0);
 }
 
 #[test]
 fn a_first_answer_is_waited_for_less_than_one_that_waits_for_a_change() {
     let mut calls = DiscoveryCalls::new(SETTINGS, 1);
-    calls.calling(None);
-    assert_eq!(calls.quiet(), 1000.0);
-    calls.begins();
-    assert_eq!(calls.quiet(), 2500.0, "a long list has begun to come");
-    calls.calling(None);
-    assert_eq!(calls.quiet(), 1000.0, "each connection anew");
-    calls.answered();
-    assert_eq!(calls.quiet(), 2500.0);
+    calls.begin_call(None);
+    assert_eq!(calls.silence_timeout(), 1000.0);
+    calls.answer_begun();
+    assert_eq!(
+        calls.silence_timeout(),
+        2500.0,
+        "a long list has begun to come"
+    );
+    calls.begin_call(None);
+    assert_eq!(calls.silence_timeout(), 1000.0, "each connection anew");
+    calls.list_received();
+    assert_eq!(calls.silence_timeout(), 2500.0);
 }
 
 /// Hundreds that lose discovery at one instant come back to it spread out: no tenth of the wait holds more than
@@ -48,7 +54,7 @@
     let mut at = vec![0.0; all.len()];
     for call in 1..8 {
         for (calls, at) in all.iter_mut().zip(&mut at) {
-            *at += SETTINGS.first_quiet + calls.lost();
+            *at += SETTINGS.first_answer_timeout + calls.backoff_after_loss();
         }
         let (first, last) = at
             .iter()
@@ -68,32 +74,36 @@
 #[test]
 fn a_call_goes_on_from_the_known_list_unless_it_is_the_first_at_its_address_or_the_last_list_was_older(
 ) {
-    let (whole, since) = (FirstCall::WholeList, FirstCall::ChangesSince);
+    let (whole, since) = (FirstCall::Snapshot, FirstCall::ChangesSince);
     let mut calls = DiscoveryCalls::new(
         DiscoverySettings {
-            resumes: true,
+            resume_from_known_version: true,
             ..SETTINGS
         },
         1,
     );
     assert_eq!(
-        calls.calling(Some(4)),
+        calls.begin_call(Some(4)),
         whole,
         "what is known may be from long ago"
     );
-    assert_eq!(calls.calling(Some(4)), since(4));
-    assert_eq!(calls.calling(None), whole, "there is nothing to go on from");
-    calls.moved();
-    assert_eq!(calls.calling(Some(5)), whole);
-    assert!(!calls.takes(false, 3, 5, 0.0));
-    assert_eq!(calls.calling(Some(5)), whole, "it may count anew");
-    assert_eq!(calls.calling(Some(5)), whole);
-    assert!(calls.takes(true, 6, 5, 100.0));
-    assert_eq!(calls.calling(Some(6)), since(6));
+    assert_eq!(calls.begin_call(Some(4)), since(4));
+    assert_eq!(
+        calls.begin_call(None),
+        whole,
+        "there is nothing to go on from"
+    );
+    calls.address_changed();
+    assert_eq!(calls.begin_call(Some(5)), whole);
+    assert!(!calls.accept_version(false, 3, 5, 0.0));
+    assert_eq!(calls.begin_call(Some(5)), whole, "it may count anew");
+    assert_eq!(calls.begin_call(Some(5)), whole);
+    assert!(calls.accept_version(true, 6, 5, 100.0));
+    assert_eq!(calls.begin_call(Some(6)), since(6));
     let mut calls = DiscoveryCalls::new(SETTINGS, 1);
-    calls.calling(Some(4));
+    calls.begin_call(Some(4));
     assert_eq!(
-        calls.calling(Some(4)),
+        calls.begin_call(Some(4)),
         whole,
         "where a call costs discovery nothing"
     );
@@ -110,20 +120,25 @@
         400.0,
         800.0,
         1600.0,
-        UNUSABLE_MOST,
-        UNUSABLE_MOST,
+        MAX_UNUSABLE_LIST_BACKOFF_MS,
+        MAX_UNUSABLE_LIST_BACKOFF_MS,
     ] {
-        let wait = calls.unusable();
+        let wait = calls.backoff_after_unusable_list();
         assert!((most / 2.0..=most).contains(&wait), "{wait} of {most}");
     }
     assert!(
-        calls.lost() <= SETTINGS.again_most,
+        calls.backoff_after_loss() <= SETTINGS.max_backoff,
         "one that is lost has its own most"
     );
-    calls.answered();
+    calls.list_received();
     assert!(
-        calls.unusable() <= 100.0,
+        calls.backoff_after_unusable_list() <= 100.0,
         "a spoilt one is asked for again soon"
     );
-    const { assert!(SETTINGS.connect + SETTINGS.quiet + UNUSABLE_MOST < 6_000.0) };
+    const {
+        assert!(
+            SETTINGS.connect_timeout + SETTINGS.silence_timeout + MAX_UNUSABLE_LIST_BACKOFF_MS
+                < 6_000.0
+        )
+    };
 }
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -1,44 +1,51 @@
 //! What a dispatcher on a machine of its own allows itself.
 
 use cindercleat::interface::Discovery;
-use cindercleat::resource_limits::{ProcessLimits, ResourceLimits, OWN_DESCRIPTORS, TOLD_WITHIN};
+use cindercleat::resource_limits::{
+    ProcessLimits, ResourceLimits, DISCOVERY_NOTIFIED_WITHIN_MS, RESERVED_FILE_DESCRIPTORS,
+};
 
-fn given() -> ProcessLimits {
+fn process() -> ProcessLimits {
     ProcessLimits {
-        memory: 32e6,
-        descriptors: 256,
+        memory_bytes: 32e6,
+        file_descriptors: 256,
         connect_timeout: 250.0,
         discovery: Discovery::Pushed,
         drain_grace: 2_000.0,
-        engine_idle: Some(15_000.0),
-        most_held: Some(20_000),
-        longest_deadline: 4_000.0,
+        engine_idle_timeout: Some(15_000.0),
+        max_open_requests: Some(20_000),
+        longest_time_to_deadline: 4_000.0,
         clients_resume: false,
     }
 }
 
 #[test]
 fn all_that_is_allowed_fits_into_what_is_given() {
-    let allowed = ResourceLimits::of(&given()).expect("room for work");
-    assert!(allowed.most_clients + allowed.max_connections + OWN_DESCRIPTORS <= 256);
+    let allowed = ResourceLimits::for_process(&process()).expect("room for work");
     assert!(
-        allowed.most_clients * 3 >= 256,
+        allowed.max_client_connections + allowed.max_engine_connections + RESERVED_FILE_DESCRIPTORS
+            <= 256
+    );
+    assert!(
+        allowed.max_client_connections * 3 >= 256,
         "a third of the descriptors is the clients'"
     );
-    assert!(allowed.max_open_requests <= allowed.most_clients);
-    assert!(allowed.most_bodies < 8_000_000 && allowed.connection_idle < 15_000.0 / 2.0);
+    assert!(allowed.max_open_requests <= allowed.max_client_connections);
+    assert!(
+        allowed.max_total_body_bytes < 8_000_000 && allowed.engine_idle_timeout < 15_000.0 / 2.0
+    );
     assert_eq!(
-        allowed.stop_moves, None,
+        allowed.stop_streams_after, None,
         "streams are cut only where clients come back"
     );
-    assert!(ResourceLimits::of(&ProcessLimits {
-        descriptors: OWN_DESCRIPTORS,
-        ..given()
+    assert!(ResourceLimits::for_process(&ProcessLimits {
+        file_descriptors: RESERVED_FILE_DESCRIPTORS,
+        ..process()
     })
     .is_none());
-    assert!(ResourceLimits::of(&ProcessLimits {
-        descriptors: 3,
-        ..given()
+    assert!(ResourceLimits::for_process(&ProcessLimits {
+        file_descriptors: 3,
+        ..process()
     })
     .is_none());
 }
@@ -55,19 +62,19 @@
         (3_000.0, 3_700.0),
         (60_000.0, 3_700.0),
     ] {
-        let given = ProcessLimits {
-            longest_deadline,
+        let process = ProcessLimits {
+            longest_time_to_deadline: longest_deadline,
             clients_resume: true,
-            ..given()
+            ..process()
         };
-        let allowed = ResourceLimits::of(&given).expect("room for work");
-        let moves = allowed.stop_moves.expect("clients come back");
+        let allowed = ResourceLimits::for_process(&process).expect("room for work");
+        let moves = allowed.stop_streams_after.expect("clients come back");
         assert!(
             moves + 300.0 <= kill,
             "{longest_deadline}: at {moves}, the kill at {kill}"
         );
         assert!(
-            moves > allowed.stop_notice,
+            moves > allowed.stop_accept_period,
             "{longest_deadline}: what was taken has begun"
         );
         assert!(
@@ -85,24 +92,27 @@
     for notified_within in [10_000.0, 6_000.0] {
         for connect_timeout in [50.0, 250.0, 500.0, 1_000.0] {
             let discovery = Discovery::Polled { notified_within };
-            let allowed = ResourceLimits::of(&ProcessLimits {
+            let allowed = ResourceLimits::for_process(&ProcessLimits {
                 connect_timeout,
                 discovery,
-                ..given()
+                ..process()
             })
             .expect("room for work");
-            let feed = allowed.feed;
+            let feed = allowed.discovery;
             assert!(
-                feed.asks_within() <= 0.92 * TOLD_WITHIN,
+                feed.max_recovery_time() <= 0.92 * DISCOVERY_NOTIFIED_WITHIN_MS,
                 "{connect_timeout}: {}",
-                feed.asks_within()
+                feed.max_recovery_time()
             );
-            let watch = feed.quiet + feed.again_most + feed.connect;
+            let watch = feed.silence_timeout + feed.max_backoff + feed.connect_timeout;
             assert!(
-                watch < allowed.feed_wait + 4_000.0,
+                watch < allowed.discovery_poll_wait + 4_000.0,
                 "a silent watch is opened anew: {watch}"
             );
-            assert!(feed.quiet > allowed.feed_wait, "an answer may wait");
+            assert!(
+                feed.silence_timeout > allowed.discovery_poll_wait,
+                "an answer may wait"
+            );
         }
     }
 }
@@ -114,19 +124,25 @@
 fn an_agent_that_was_silent_is_asked_again_within_the_drain_grace() {
     for drain_grace in [250.0, 500.0, 2_000.0] {
         for connect_timeout in [50.0, 250.0, 1_000.0] {
-            let allowed = ResourceLimits::of(&ProcessLimits {
+            let allowed = ResourceLimits::for_process(&ProcessLimits {
                 connect_timeout,
                 drain_grace,
-                ..given()
+                ..process()
             })
             .expect("room for work");
-            let feed = allowed.feed;
-            let asks = feed.connect + feed.first_quiet + feed.again_most + feed.connect;
+            let feed = allowed.discovery;
+            let asks = feed.connect_timeout
+                + feed.first_answer_timeout
+                + feed.max_backoff
+                + feed.connect_timeout;
             assert!(
                 asks <= 0.85 * drain_grace,
                 "{drain_grace}, {connect_timeout}: {asks}"
             );
-            assert!(feed.quiet > allowed.feed_wait && feed.asks_within() < TOLD_WITHIN / 2.0);
+            assert!(
+                feed.silence_timeout > allowed.discovery_poll_wait
+                    && feed.max_recovery_time() < DISCOVERY_NOTIFIED_WITHIN_MS / 2.0
+            );
         }
     }
 }
@@ -135,13 +151,20 @@
 #[test]
 fn a_list_of_thousands_of_engines_is_taken_within_a_part_of_the_memory() {
     for memory in [32e6, 64e6, 192e6] {
-        let allowed =
-            ResourceLimits::of(&ProcessLimits { memory, ..given() }).expect("room for work");
-        assert!(allowed.most_list >= 4_096 * 600, "{}", allowed.most_list);
+        let allowed = ResourceLimits::for_process(&ProcessLimits {
+            memory_bytes: memory,
+            ..process()
+        })
+        .expect("room for work");
+        assert!(
+            allowed.max_list_bytes >= 4_096 * 600,
+            "{}",
+            allowed.max_list_bytes
+        );
         assert!(
-            allowed.most_list as f64 <= memory / 8.0,
+            allowed.max_list_bytes as f64 <= memory / 8.0,
             "{}",
-            allowed.most_list
+            allowed.max_list_bytes
         );
     }
 }
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -5,19 +5,19 @@
 use test_case::test_case;
 
 #[test_case(ClientAnswer::Succeeded, Code::Ok)]
-#[test_case(ClientAnswer::Rejected { full: false }, Code::Unavailable)]
-#[test_case(ClientAnswer::Rejected { full: true }, Code::ResourceExhausted)]
+#[test_case(ClientAnswer::Rejected { for_lack_of_capacity: false }, Code::Unavailable)]
+#[test_case(ClientAnswer::Rejected { for_lack_of_capacity: true }, Code::ResourceExhausted)]
 #[test_case(ClientAnswer::Failed, Code::Unknown)]
 #[test_case(ClientAnswer::InvalidRequest, Code::InvalidArgument)]
-fn a_client_is_told(told: ClientAnswer, code: Code) {
-    assert_eq!(to_client(told), code);
-    let harmless = matches!(
-        told,
+fn a_client_is_told(answer: ClientAnswer, code: Code) {
+    assert_eq!(client_status(answer), code);
+    let has_not_run = matches!(
+        answer,
         ClientAnswer::Rejected { .. } | ClientAnswer::InvalidRequest
     );
     assert_eq!(
-        again_is_harmless(code),
-        harmless,
+        is_safe_to_retry(code),
+        has_not_run,
         "only what has not run may be tried again"
     );
 }
