--- a/crates/dispatcher/src/state/service_stats.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher in a fleet remembers of its own service, for those who watch a release: how its requests ended, and
-//! what engines said of their load. Kept only where it is asked for.
+//! Statistics for dispatchers that watch a rollout together: how this dispatcher's requests have ended, and what engines
+//! have reported about their load. Collected only where they are asked for.
 
 use cindercleat::fleet::bounds::Tally;
 use cindercleat::fleet::rollcall::EngineReport;
@@ -9,25 +9,28 @@
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// What was heard of one engine.
+/// What is known of one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Heard {
+struct EngineStats {
+    /// The used fraction of its capacity, and when it was reported.
     used: Option<(f64, Ms)>,
-    /// Since it was told last.
+    /// How attempts ended since the engine was last reported on.
     tally: Tally,
-    told: bool,
+    /// Whether nothing has changed since the engine was last reported on.
+    is_reported: bool,
 }
 
+/// The statistics of one dispatcher.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct ServiceStats {
     tally: Tally,
-    engines: BTreeMap<EngineId, Heard>,
-    /// The last engine that was told of: the next ones come first, so that each has its time.
-    last: Option<EngineId>,
+    engines: BTreeMap<EngineId, EngineStats>,
+    /// The last engine that was reported on; reports go on behind it, so that each engine gets its turn.
+    last_reported: Option<EngineId>,
 }
 
 impl ServiceStats {
-    /// A request got its final answer.
+    /// A request got its final answer. `late`: it missed its latency objective.
     pub fn answered(&mut self, answer: v1::Answer, late: bool) {
         match answer {
             v1::Answer::Succeeded => {
@@ -39,86 +42,90 @@
         }
     }
 
+    /// How all requests have ended so far.
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    /// What the decisions are told of engines is all that is known of them here.
+    /// Learns about an engine from an event for the decisions.
     pub fn hears(&mut self, now: Ms, event: &Event) {
         let (engine, load, outcome) = match event {
             Event::Ended(ended) => (&ended.engine, ended.load, Some(ended.outcome)),
             Event::HealthChecked { engine, load, .. } => (engine, *load, None),
             _ => return,
         };
-        let heard = self.engines.entry(engine.clone()).or_default();
-        if let Some(used) = used(&load) {
-            (heard.used, heard.told) = (Some((used, now)), false);
+        let stats = self.engines.entry(engine.clone()).or_default();
+        if let Some(used) = used_fraction(&load) {
+            stats.used = Some((used, now));
+            stats.is_reported = false;
         }
-        match outcome {
-            Some(Outcome::Succeeded | Outcome::PrefillDone) => heard.tally.succeeded += 1,
-            Some(Outcome::Overloaded) => heard.tally.rejected += 1,
-            Some(Outcome::Failed | Outcome::ConnectionLost | Outcome::TimedOut) => {
-                heard.tally.failed += 1
-            }
-            _ => return,
+        if let Some(count) = outcome.and_then(|outcome| count_of(&mut stats.tally, outcome)) {
+            *count += 1;
+            stats.is_reported = false;
         }
-        heard.told = false;
     }
 
-    /// What is used of an engine, and how old that is.
+    /// The used fraction of an engine's capacity, and the age of that report in milliseconds.
     pub fn used(&self, now: Ms, engine: &EngineId) -> Option<(f64, Ms)> {
-        self.engines
-            .get(engine)?
-            .used
-            .map(|(used, at)| (used, now - at))
+        let (used, at) = self.engines.get(engine)?.used?;
+        Some((used, now - at))
     }
 
-    /// Reports on so many engines, of which something new was heard, going round.
-    pub fn reports(&mut self, now: Ms, most: usize) -> Vec<EngineReport> {
-        let new = |(_, heard): &(&EngineId, &Heard)| !heard.told;
-        let after: Vec<EngineId> = match &self.last {
-            Some(last) => {
-                let after = self
-                    .engines
-                    .range((Excluded(last.clone()), Unbounded))
-                    .filter(new);
-                after
-                    .chain(self.engines.range(..=last.clone()).filter(new))
-                    .map(|(h, _)| h.clone())
-                    .take(most)
-                    .collect()
-            }
-            None => self
-                .engines
-                .iter()
-                .filter(new)
-                .map(|(engine, _)| engine.clone())
-                .take(most)
-                .collect(),
-        };
-        self.last = after.last().cloned().or(self.last.take());
-        let mut reports = Vec::new();
-        for engine in after {
-            let Some(heard) = self.engines.get_mut(&engine) else {
-                continue;
-            };
-            heard.told = true;
-            let (used, tally) = (
-                heard.used.map(|(used, at)| (used, now - at)),
-                std::mem::take(&mut heard.tally),
-            );
-            reports.push(EngineReport {
-                engine: Name(engine.0),
-                used,
-                tally,
-            });
+    /// Reports on up to `max` engines about which there is news, round robin.
+    pub fn reports(&mut self, now: Ms, max: usize) -> Vec<EngineReport> {
+        let engines = self.next_with_news(max);
+        if let Some(last) = engines.last() {
+            self.last_reported = Some(last.clone());
         }
-        reports
+        engines
+            .into_iter()
+            .filter_map(|engine| self.report(now, engine))
+            .collect()
+    }
+
+    /// The engines with news, in order, beginning behind the last that was reported on.
+    fn next_with_news(&self, max: usize) -> Vec<EngineId> {
+        let after_last = match &self.last_reported {
+            Some(last) => (Excluded(last), Unbounded),
+            None => (Unbounded, Unbounded),
+        };
+        let up_to_last = self
+            .last_reported
+            .iter()
+            .flat_map(|last| self.engines.range(..=last));
+        self.engines
+            .range::<EngineId, _>(after_last)
+            .chain(up_to_last)
+            .filter(|(_, stats)| !stats.is_reported)
+            .map(|(engine, _)| engine.clone())
+            .take(max)
+            .collect()
+    }
+
+    fn report(&mut self, now: Ms, engine: EngineId) -> Option<EngineReport> {
+        let stats = self.engines.get_mut(&engine)?;
+        stats.is_reported = true;
+        Some(EngineReport {
+            engine: Name(engine.0),
+            used: stats.used.map(|(used, at)| (used, now - at)),
+            tally: std::mem::take(&mut stats.tally),
+        })
+    }
+}
+
+/// The count that an attempt's outcome belongs to; `None` if it says nothing about the engine.
+fn count_of(tally: &mut Tally, outcome: Outcome) -> Option<&mut u64> {
+    match outcome {
+        Outcome::Succeeded | Outcome::PrefillDone => Some(&mut tally.succeeded),
+        Outcome::Overloaded => Some(&mut tally.rejected),
+        Outcome::Failed | Outcome::ConnectionLost | Outcome::TimedOut => Some(&mut tally.failed),
+        _ => None,
     }
 }
 
-/// What is used of an engine, by the fuller of its slots and its memory; none if it says neither.
-fn used(load: &Load) -> Option<f64> {
+/// The used fraction of an engine's capacity: of its slots or its memory, whichever is fuller. `None` if it reports
+/// neither.
+fn used_fraction(load: &Load) -> Option<f64> {
     match (load.slots_used, load.memory_held) {
         (None, None) => None,
         (slots, memory) => Some(slots.unwrap_or(0.0).max(memory.unwrap_or(0.0))),
