--- a/crates/cindercleat-cli/src/day.rs
+++ b/crates/cindercleat-cli/src/day.rs
@@ -3,7 +3,7 @@
 
 use crate::serve::{block_on, Thread};
 use cindercleat::interface::Ms;
-use cindercleat_dispatcher::driver::Places;
+use cindercleat_dispatcher::driver::Locations;
 use cindercleat_faults::fleet::{befall, name, End, Fleet, Processes};
 use cindercleat_faults::plan::{rules, Day};
 use cindercleat_net::{Clock, Tcp, TokioClock};
@@ -242,12 +242,12 @@
             .enumerate()
             .map(|(i, a)| (i as u32, a.clone()))
             .collect();
-        let places = Places {
-            feeds,
-            keep: Some(self.keep.join(format!("{name}.list"))),
+        let locations = Locations {
+            discovery: feeds,
+            endpoint_cache: Some(self.keep.join(format!("{name}.list"))),
             peers,
         };
-        Thread::start(settings, places, listen, self.fleet.clock, run).await
+        Thread::start(settings, locations, listen, self.fleet.clock, run).await
     }
 
     /// Ends all in order; gives their processor time, in milliseconds.
--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -4,7 +4,7 @@
 use crate::serve::block_on;
 use cindercleat::resource_limits::{ProcessLimits, ResourceLimits, RESERVED_FILE_DESCRIPTORS};
 use cindercleat_conf::Conf;
-use cindercleat_dispatcher::driver::{Driver, Places};
+use cindercleat_dispatcher::driver::{Driver, Locations};
 use cindercleat_dispatcher::settings::Http1Limits;
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_http1::{Bounds, Http1};
@@ -192,36 +192,36 @@
             address = listener.address(),
             "serving"
         );
-        let places = Places {
-            feeds: vec![conf.discovery],
-            ..Places::default()
+        let locations = Locations {
+            discovery: vec![conf.discovery],
+            ..Locations::default()
         };
         let wire = Http1::new(conf.bounds);
-        let shell = Driver::speaking(
+        let driver = Driver::with_wire(
             wire,
             conf.program,
-            places,
+            locations,
             Tcp,
             TokioClock::system(),
             conf.seed,
         );
         if let Some(list) = conf.known {
-            shell.remember_list(list);
+            driver.use_cached_endpoints(list);
         }
-        let (moving, path) = (shell.clone(), path.to_owned());
+        let (moving, path) = (driver.clone(), path.to_owned());
         tokio::task::spawn_local(async move {
             while hup.recv().await.is_some() {
                 match load(&path) {
                     Ok(conf) => {
                         tracing::info!(discovery = conf.discovery, "configuration read again");
-                        moving.move_feeds(vec![conf.discovery]);
+                        moving.set_discovery_addresses(vec![conf.discovery]);
                     }
                     // Serving on with what was good beats not serving.
                     Err(problem) => tracing::warn!(%problem, "the old configuration is kept"),
                 }
             }
         });
-        shell.serve(listener, stop).await?;
+        driver.serve(listener, stop).await?;
         tracing::info!("stopped");
         Ok(Ok(()))
     })?
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -3,7 +3,7 @@
 use crate::settings::Serve;
 use cindercleat::fleet::bounds::Unit;
 use cindercleat::fleet::member::{Fares, MOST_REPORTS};
-use cindercleat_dispatcher::driver::{Driver, Places};
+use cindercleat_dispatcher::driver::{Driver, Locations, Readiness};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_faults::fleet::End;
 use cindercleat_fleet::file::Folder;
@@ -29,7 +29,7 @@
             "serving"
         );
         let clock = TokioClock::system();
-        let shell = Driver::new(settings.program, settings.places, Tcp, clock, seed);
+        let driver = Driver::new(settings.program, settings.locations, Tcp, clock, seed);
         // Duties are handed over at once, and what is open runs on meanwhile.
         let (told, mut hears) = tokio::sync::watch::channel(false);
         let mut beside = None;
@@ -38,9 +38,9 @@
             let transport = TcpFrom { from: fleet.from };
             let listener = transport.listen(&fleet.listen).await?;
             tracing::info!(address = listener.address(), "in the fleet");
-            shell.keep_record();
+            driver.record_service_stats();
             let dispatcher = Rc::new(Beside {
-                shell: shell.clone(),
+                driver: driver.clone(),
                 turn: turn.clone(),
             });
             let disk = fleet.file.map(Folder::new);
@@ -61,7 +61,7 @@
             }
             told.send_replace(true);
         };
-        shell.serve(listener, stop).await?;
+        driver.serve(listener, stop).await?;
         if let Some(beside) = beside {
             let _ = beside.await;
         }
@@ -72,16 +72,16 @@
 
 /// What a member of a fleet asks of the dispatcher that it runs beside.
 struct Beside {
-    shell: Driver<Tcp, TokioClock>,
+    driver: Driver<Tcp, TokioClock>,
     turn: Rc<Notify>,
 }
 
 impl cindercleat_fleet::Dispatcher for Beside {
     fn fares(&self) -> Fares {
-        let ((ready, load), (tally, reports)) =
-            (self.shell.fares(), self.shell.recorded(MOST_REPORTS));
+        let Readiness { is_ready, load } = self.driver.readiness();
+        let (tally, reports) = self.driver.take_service_stats(MOST_REPORTS);
         Fares {
-            ready,
+            ready: is_ready,
             load,
             tally,
             reports,
@@ -89,7 +89,7 @@
     }
 
     fn engines(&self) -> Vec<Unit> {
-        self.shell.units()
+        self.driver.engines()
     }
 
     fn has_turn(&self, turn: u64, label: &str) {
@@ -143,7 +143,7 @@
     /// It cannot listen.
     pub async fn start(
         settings: ProgramSettings,
-        places: Places,
+        locations: Locations,
         listen: &str,
         clock: TokioClock,
         seed: u64,
@@ -164,9 +164,9 @@
                         }
                     };
                     let _ = up.send(Ok(listener.address()));
-                    let shell = Driver::new(settings, places, Tcp, clock, seed);
+                    let driver = Driver::new(settings, locations, Tcp, clock, seed);
                     let (stop, stopped) = oneshot::channel::<()>();
-                    let serving = shell.serve(listener, async {
+                    let serving = driver.serve(listener, async {
                         let _ = stopped.await;
                     });
                     tokio::pin!(serving);
--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -4,7 +4,7 @@
 use crate::fleet_settings::{self, Fleet};
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::*;
-use cindercleat_dispatcher::driver::Places;
+use cindercleat_dispatcher::driver::Locations;
 use cindercleat_dispatcher::{Limits, ProgramSettings, ServiceSettings};
 use std::path::PathBuf;
 
@@ -16,7 +16,7 @@
 pub struct Serve {
     pub listen: String,
     pub program: ProgramSettings,
-    pub places: Places,
+    pub locations: Locations,
     /// What it does in its fleet, if it is in one.
     pub fleet: Option<Fleet>,
 }
@@ -34,18 +34,18 @@
         return Err(number.wrong("'number N of M', N counted from 0 and under M"));
     }
     let zone = place(section.one("zone")?, 1, &service.zones, "zone")?;
-    let feeds: Vec<String> = section.one("list-feed")?.words[1..].to_vec();
-    if feeds.is_empty() {
+    let discovery: Vec<String> = section.one("list-feed")?.words[1..].to_vec();
+    if discovery.is_empty() {
         return Err(section.one("list-feed")?.wrong("an address or more"));
     }
-    for address in listen.words[1..].iter().chain(&feeds) {
+    for address in listen.words[1..].iter().chain(&discovery) {
         if address.parse::<std::net::SocketAddr>().is_err() {
             return Err(listen.wrong(&format!(
                 "addresses such as 127.0.0.1:7400 ('{address}' is none)"
             )));
         }
     }
-    let keep = section.maybe_value::<String>("keep")?.map(PathBuf::from);
+    let endpoint_cache = section.maybe_value::<String>("keep")?.map(PathBuf::from);
     let peer = |line: &&Line| Ok((line.value::<u32>(1)?, line.value::<String>(2)?));
     let peers = section
         .all("peer")
@@ -68,7 +68,11 @@
     Ok(Serve {
         listen,
         program,
-        places: Places { feeds, keep, peers },
+        locations: Locations {
+            discovery,
+            endpoint_cache,
+            peers,
+        },
         fleet,
     })
 }
--- a/crates/cindercleat-cli/tests/conf.rs
+++ b/crates/cindercleat-cli/tests/conf.rs
@@ -49,7 +49,7 @@
         (read.program.name.as_str(), read.listen.as_str()),
         ("d1", "127.0.0.1:7400")
     );
-    assert_eq!(read.places.feeds.len(), 2);
+    assert_eq!(read.locations.discovery.len(), 2);
     let policy = &read.program.policy;
     assert_eq!(
         (policy.zone.0, policy.dispatchers, policy.kv_state_timeout),
--- /dev/null
+++ b/crates/dispatcher/src/driver/engine_connections.rs
@@ -0,0 +1,128 @@
+//! Connections to engines: each is dialled, checked to reach the right engine, and read until it ends.
+
+use super::Driver;
+use crate::state::{EngineConnectionId, Input};
+use cindercleat::interface::EngineId;
+use cindercleat_net::{Clock, Transport};
+use cindercleat_protocol::session::{Event, Outbox, Session, Wire};
+use cindercleat_protocol::{v1, Frame};
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// The sending side of a connection to an engine, from its dialling on.
+pub(super) struct EngineHandle<O> {
+    /// Set once the connection is established.
+    out: RefCell<Option<O>>,
+    is_closed: Cell<bool>,
+    closed: Notify,
+}
+
+impl<O: Outbox> EngineHandle<O> {
+    pub fn new() -> Self {
+        EngineHandle {
+            out: RefCell::new(None),
+            is_closed: Cell::new(false),
+            closed: Notify::new(),
+        }
+    }
+
+    /// Sends a frame if the connection is established.
+    pub fn send(&self, frame: Frame) {
+        if let Some(out) = &*self.out.borrow() {
+            out.send(frame);
+        }
+    }
+
+    /// Closes the connection, or gives up its dialling.
+    pub fn close(&self) {
+        self.is_closed.set(true);
+        self.closed.notify_waiters();
+        if let Some(out) = &*self.out.borrow() {
+            out.close();
+        }
+    }
+
+    /// Waits until [`close`](Self::close) is called.
+    async fn closed(&self) {
+        while !self.is_closed.get() {
+            self.closed.notified().await;
+        }
+    }
+}
+
+impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
+    /// Runs one connection to an engine, from its dialling to its end.
+    pub(super) async fn run_engine_connection(
+        self,
+        connection: EngineConnectionId,
+        engine: EngineId,
+        address: String,
+        handle: Rc<EngineHandle<W::Out>>,
+    ) {
+        let reason = self
+            .read_engine(connection, &engine, &address, &handle)
+            .await;
+        self.shared
+            .engine_connections
+            .borrow_mut()
+            .remove(&connection);
+        self.input(Input::ConnectionClosed { connection, reason });
+    }
+
+    /// Dials an engine and passes on what it sends. Returns why the connection has ended.
+    async fn read_engine(
+        &self,
+        connection: EngineConnectionId,
+        engine: &EngineId,
+        address: &str,
+        handle: &EngineHandle<W::Out>,
+    ) -> String {
+        let connected = tokio::select! { biased;
+            // The connect timeout is the state machine's: it closes a connection that takes too long.
+            () = handle.closed() => return "given up".to_owned(),
+            connected = self.connect_to_engine(engine, address) => connected,
+        };
+        let Session {
+            mut events,
+            out,
+            limit,
+            ..
+        } = match connected {
+            Ok(session) => session,
+            Err(reason) => {
+                tracing::warn!(engine = %engine.0, address, reason, "host not reached");
+                return reason;
+            }
+        };
+        *handle.out.borrow_mut() = Some(out);
+        self.input(Input::ConnectionUp { connection, limit });
+        while let Some(event) = events.recv().await {
+            match event {
+                Event::Frame(frame) => self.input(Input::Engine { connection, frame }),
+                Event::GoingAway => self.input(Input::ConnectionDraining { connection }),
+                Event::Flushed { .. } | Event::Partly => {}
+            }
+        }
+        "the connection ended".to_owned()
+    }
+
+    /// Guards against an engine that was given another one's address: it would run what was not meant for it. An engine
+    /// refuses a greeting that expects another name; in case one does not, the name in its answer is checked here.
+    async fn connect_to_engine(
+        &self,
+        engine: &EngineId,
+        address: &str,
+    ) -> Result<Session<W::Out>, String> {
+        let setup = self.session_setup(&engine.0, 1);
+        let session = self.call(address, v1::Party::Engine, setup).await?;
+        if session.them.name != *engine.0 || session.them.party() != v1::Party::Engine {
+            session.out.close();
+            return Err(format!(
+                "{:?} answers in place of {:?}",
+                session.them.name, engine.0
+            ));
+        }
+        Ok(session)
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/driver/gossip.rs
@@ -0,0 +1,48 @@
+//! Gossip to other dispatchers, over connections that are dialled when needed. A message that cannot be sent at once is
+//! lost.
+
+use super::Driver;
+use cindercleat::interface::DispatcherId;
+use cindercleat_net::{Clock, Transport};
+use cindercleat_protocol::session::{Outbox, Session, Wire};
+use cindercleat_protocol::{frame, v1, Body};
+use tokio::task::spawn_local;
+
+impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
+    /// Sends to one dispatcher, or to all others.
+    pub(super) fn send_gossip(&self, to: Option<DispatcherId>, bytes: Vec<u8>) {
+        let me = self.shared.settings.policy.me.0;
+        let body = Body::Gossip(v1::Gossip {
+            from: me,
+            bytes: bytes.into(),
+        });
+        let is_addressed = |peer: u32| to.map_or(peer != me, |to| to.0 == peer);
+        let peers = self.shared.locations.borrow().peers.clone();
+        for (peer, address) in peers {
+            if !is_addressed(peer) {
+                continue;
+            }
+            let connected = self.shared.peers.borrow().get(&peer).cloned();
+            if let Some(out) = connected {
+                out.send(frame(0, body.clone()));
+            } else {
+                spawn_local(self.clone().run_peer(peer, address, body.clone()));
+            }
+        }
+    }
+
+    /// Runs one connection to another dispatcher, beginning with the message that it was dialled for.
+    async fn run_peer(self, peer: u32, address: String, first: Body) {
+        let setup = self.session_setup("", 1);
+        let Ok(session) = self.call(&address, v1::Party::Dispatcher, setup).await else {
+            return;
+        };
+        let Session {
+            mut events, out, ..
+        } = session;
+        out.send(frame(0, first));
+        self.shared.peers.borrow_mut().insert(peer, out);
+        while events.recv().await.is_some() {}
+        self.shared.peers.borrow_mut().remove(&peer);
+    }
+}
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,8 +1,8 @@
 //! The running dispatcher.
 //!
-//! [`state::Dispatcher`] holds the requests, attempts, KV states, connections and timers, and drives
-//! [`Control`](cindercleat::control::Control); it does no I/O and reads no clock: inputs go in with their
-//! instant, outputs come out. [`driver`] moves bytes between it and a transport. One dispatcher is one thread.
+//! [`state::Dispatcher`] is the state machine: it holds requests, attempts, KV states, connections and timers, and asks
+//! [`Control`](cindercleat::control::Control) for each decision. It does no I/O and reads no clock: inputs go in with
+//! their instant, outputs come out. [`driver`] moves bytes between it and a transport. A dispatcher runs on one thread.
 
 pub mod driver;
 pub mod endpoint_cache;
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -8,7 +8,7 @@
 use super::common::{settings, single_limits};
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::Ms;
-use cindercleat_dispatcher::driver::{Driver, Places};
+use cindercleat_dispatcher::driver::{Driver, Locations};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_http1::{Bounds, Http1};
 use cindercleat_net::{Clock, Listener, Tcp, Transport};
@@ -291,7 +291,7 @@
 }
 
 pub struct Loopback {
-    pub shell: Driver<Gate, ManualClock, Http1>,
+    pub driver: Driver<Gate, ManualClock, Http1>,
     pub clock: ManualClock,
     pub gate: Gate,
     pub address: String,
@@ -379,19 +379,19 @@
         }
         let discovery = TcpListener::bind(ADDRESS).await.expect("a port");
         let feeds = vec![discovery.local_addr().expect("an address").to_string()];
-        let places = Places {
-            feeds,
-            ..Places::default()
+        let locations = Locations {
+            discovery: feeds,
+            ..Locations::default()
         };
         let wire = Http1::new(BOUNDS);
-        let shell = Driver::speaking(wire, settings, places, gate.clone(), clock.clone(), 1);
+        let driver = Driver::with_wire(wire, settings, locations, gate.clone(), clock.clone(), 1);
         let inner = listen_narrow();
         let address = inner.local_addr().expect("an address").to_string();
         let listener = FailingListener {
             inner,
             errors: gate.accept_errors.clone(),
         };
-        let (stop, serving) = (Rc::new(Notify::new()), shell.clone());
+        let (stop, serving) = (Rc::new(Notify::new()), driver.clone());
         let told = stop.clone();
         let served = spawn_local(async move {
             serving
@@ -401,7 +401,7 @@
         });
         let (watch, revision) = (RefCell::new(None), Cell::new(1));
         let net = Loopback {
-            shell,
+            driver,
             clock,
             gate,
             address,
@@ -585,7 +585,7 @@
     }
 
     pub async fn no_request_is_open(&self) {
-        until(|| self.shell.held().requests == 0).await;
+        until(|| self.driver.held().requests == 0).await;
     }
 
     /// Waits until the process would end.
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -1,8 +1,8 @@
-//! A dispatcher's shell with a reader and a writer, on connections in memory and a paused clock.
+//! A dispatcher's driver with a reader and a writer, on connections in memory and a paused clock.
 #![allow(dead_code)]
 
 use super::common;
-use cindercleat_dispatcher::driver::{Driver, Places};
+use cindercleat_dispatcher::driver::{Driver, Locations};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_net::{Clock, Memory, TokioClock, Transport};
 use cindercleat_protocol::v1::EndpointStatus;
@@ -20,7 +20,7 @@
 pub struct Net {
     pub memory: Memory,
     pub clock: TokioClock,
-    pub shell: Driver<Memory, TokioClock>,
+    pub driver: Driver<Memory, TokioClock>,
     pub transcript: Transcript,
     pub feed: Feed<TokioClock>,
     /// Tells the dispatcher to stop.
@@ -66,13 +66,13 @@
             feed.tell(engine.line(EndpointStatus::Ready));
             engines.push(engine);
         }
-        let places = Places {
-            feeds: vec!["feed".to_owned()],
-            ..Places::default()
+        let locations = Locations {
+            discovery: vec!["feed".to_owned()],
+            ..Locations::default()
         };
-        let shell = Driver::new(settings, places, memory.clone(), clock, 1);
+        let driver = Driver::new(settings, locations, memory.clone(), clock, 1);
         let listener = memory.listen("d").await.expect("a name");
-        let serving = shell.clone();
+        let serving = driver.clone();
         let stop = Rc::new(Notify::new());
         let told = stop.clone();
         spawn_local(async move { serving.serve(listener, told.notified()).await });
@@ -82,7 +82,7 @@
         test(Net {
             memory,
             clock,
-            shell,
+            driver,
             transcript,
             feed,
             stop,
--- a/crates/dispatcher/tests/endings.rs
+++ b/crates/dispatcher/tests/endings.rs
@@ -52,7 +52,7 @@
     client.say(text).await;
     let mut engine = None;
     match stage {
-        Stage::Waits => until(|| net.shell.held().requests == 1).await,
+        Stage::Waits => until(|| net.driver.held().requests == 1).await,
         Stage::Connects => net.gate.held_up(&net.engine("r1").address).await,
         Stage::Prefills => engine = Some(net.engine("r1").asked().await.0),
         Stage::HoldsState => {
@@ -139,7 +139,7 @@
         );
         conn.say(RELEASED).await;
         let on_it = tokio::select! { biased;
-            () = until(|| net.shell.held().releases == 0) => return,
+            () = until(|| net.driver.held().releases == 0) => return,
             request = conn.next_request() => request,
             asked = net.any_asked() => {
                 conn = asked.0;
@@ -161,8 +161,8 @@
 /// A request is refused after a while, and nothing of it is sent to any engine.
 async fn is_refused(net: &Loopback, id: &str) {
     let mut client = net.ask(id, "proof").await;
-    until(|| net.shell.held().requests == 1).await;
-    net.pass_until(|| net.shell.held().requests == 0).await;
+    until(|| net.driver.held().requests == 1).await;
+    net.pass_until(|| net.driver.held().requests == 0).await;
     assert!(client.text_until("\n").await.starts_with("HTTP/1.1 503 "));
     for engine in ["r1", "w1"] {
         assert!(!net.engine(engine).is_asked(), "{engine} got nothing");
@@ -226,7 +226,7 @@
             let text = request_with("a", "draft", 4000, "a body of some length");
             client.say(&text[..text.len() - 5]).await;
             drop(client);
-            until(|| net.shell.clients() == 0).await;
+            until(|| net.driver.client_connections() == 0).await;
             nothing_is_left(&net, Stage::Streams, None).await;
         });
     }
@@ -506,7 +506,7 @@
             net.no_request_is_open().await;
             (&mut engine).await.expect("the engine has finished");
             net.stop.notify_one();
-            until(|| !net.shell.fares().0).await;
+            until(|| !net.driver.readiness().is_ready).await;
             net.advance(NOTICE);
             for _ in 0..1_000 {
                 tokio::task::yield_now().await;
@@ -545,7 +545,7 @@
         run(|net| async move {
             let mut resting = net.connect().await;
             net.stop.notify_one();
-            until(|| !net.shell.fares().0).await;
+            until(|| !net.driver.readiness().is_ready).await;
             resting.say(&request("a", "proof")).await;
             net.prefilled().await;
             let (mut decode, _) = net.engine("w1").asked().await;
@@ -565,9 +565,9 @@
         for request_first in [true, false] {
             run(|net| async move {
                 let mut resting = net.connect().await;
-                until(|| net.shell.clients() == 1).await;
+                until(|| net.driver.client_connections() == 1).await;
                 net.stop.notify_one();
-                until(|| !net.shell.fares().0).await;
+                until(|| !net.driver.readiness().is_ready).await;
                 let text = request("a", "proof");
                 if request_first {
                     resting.io.try_write(text.as_bytes()).expect("room");
@@ -613,7 +613,7 @@
         for request_first in [true, false] {
             run_with_two_places(|net| async move {
                 let (mut resting, other) = (net.connect().await, net.connect().await);
-                until(|| net.shell.clients() == 2).await;
+                until(|| net.driver.client_connections() == 2).await;
                 let text = request("a", "proof");
                 let new = if request_first {
                     resting.io.try_write(text.as_bytes()).expect("room");
@@ -998,7 +998,7 @@
             is_refused(&net, "a").await;
             net.advance(100.0);
             call.say(&net.list(3, true, &net.all("up"))).await;
-            until(|| net.shell.list_version() == 3).await;
+            until(|| net.driver.list_version() == 3).await;
             serves(&net, "b").await;
         });
     }
@@ -1012,7 +1012,7 @@
             let since = net.now();
             call.say(&net.list(1, true, &net.all("up"))).await;
             drop(call);
-            while net.shell.list_version() != 1 {
+            while net.driver.list_version() != 1 {
                 let mut call = asked_anew(&net).await;
                 call.say(&net.list(1, true, &net.all("up"))).await;
                 // Either it is taken, and the watch follows, or the call is closed.
@@ -1030,8 +1030,8 @@
             let moved = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
                 .expect("a port");
-            net.shell
-                .move_feeds(vec![moved.local_addr().expect("an address").to_string()]);
+            net.driver
+                .set_discovery_addresses(vec![moved.local_addr().expect("an address").to_string()]);
             let mut call = Conn::new(
                 moved
                     .accept()
@@ -1044,7 +1044,7 @@
             assert!(!call.request().await.head.contains("after="));
             call.say(&net.list(2, true, &[net.line("r1", "up"), net.line("w1", "draining")]))
                 .await;
-            until(|| net.shell.list_version() == 2).await;
+            until(|| net.driver.list_version() == 2).await;
             is_refused(&net, "b").await;
         });
     }
@@ -1134,12 +1134,12 @@
                     .say(&READ.replace("Content-Length", "Connection: close\r\nContent-Length"))
                     .await;
                 drop(engine);
-                net.pass_until(|| net.shell.held().requests == 0).await;
+                net.pass_until(|| net.driver.held().requests == 0).await;
                 assert!(
                     client.text_until("\n").await.starts_with("HTTP/1.1 503 "),
                     "{class}: nothing was decoded"
                 );
-                assert!(net.shell.held().releases > 0, "its state is not forgotten");
+                assert!(net.driver.held().releases > 0, "its state is not forgotten");
                 net.gate.exhaust(false);
                 release_is_sent(&net).await;
                 for engine in ["r1", "w1"] {
@@ -1174,7 +1174,7 @@
                 for _ in 0..8 {
                     idle.push(net.connect().await);
                 }
-                until(|| net.shell.clients() == 8).await;
+                until(|| net.driver.client_connections() == 8).await;
                 for id in ["a", "b", "c"] {
                     let mut client = net.ask(id, "proof").await;
                     let mut prefill = attempt_of(&net, "r1", id).await;
@@ -1183,7 +1183,10 @@
                     decode.say(&format!("{STREAM}{EVENT}{END}")).await;
                     assert!(client.text_until(END).await.ends_with(END));
                     idle.push(client);
-                    assert!(net.shell.clients() <= 8, "no more places than there are");
+                    assert!(
+                        net.driver.client_connections() <= 8,
+                        "no more places than there are"
+                    );
                 }
                 tokio::select! { biased;
                     () = net.gate.held_up(&discovery) => {}
@@ -1194,7 +1197,7 @@
                 assert!(!call.request().await.head.contains("after="));
                 call.say(&net.list(2, true, &[net.line("r1", "up"), net.line("w1", "draining")]))
                     .await;
-                until(|| net.shell.list_version() == 2).await;
+                until(|| net.driver.list_version() == 2).await;
             },
         );
     }
@@ -1220,7 +1223,7 @@
                 net.gate.fail_accepts(errors);
                 // The call that was under way before the errors.
                 let first = net.connect().await;
-                until(|| net.shell.clients() == 1).await;
+                until(|| net.driver.client_connections() == 1).await;
                 let mut client = net.ask("a", "proof").await;
                 net.prefilled().await;
                 let (mut decode, _) = net.engine("w1").asked().await;
@@ -1237,13 +1240,14 @@
         const ENFILE: i32 = 23;
         run(|net| async move {
             let mut first = net.connect().await;
-            until(|| net.shell.clients() == 1).await;
+            until(|| net.driver.client_connections() == 1).await;
             // The next is taken by the call that is under way; the one behind it fails.
             net.gate.fail_accepts(&[ENFILE]);
             let second = net.connect().await;
-            until(|| net.shell.clients() == 2).await;
+            until(|| net.driver.client_connections() == 2).await;
             let third = net.connect().await;
-            net.pass_until(|| net.shell.clients() == 3).await;
+            net.pass_until(|| net.driver.client_connections() == 3)
+                .await;
             first.say(&request("a", "proof")).await;
             net.prefilled().await;
             let (mut decode, _) = net.engine("w1").asked().await;
@@ -1279,7 +1283,10 @@
                     let mut decode = attempt_of(&net, "w1", id).await;
                     decode.say(&format!("{STREAM}{EVENT}{END}")).await;
                     assert!(client.text_until(END).await.ends_with(END), "{id}");
-                    assert!(net.shell.clients() <= 1, "no more places than there are");
+                    assert!(
+                        net.driver.client_connections() <= 1,
+                        "no more places than there are"
+                    );
                 }
             },
         );
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -28,7 +28,7 @@
 /// Everything that was out for a request is let go, and nothing of it is left.
 async fn nothing_is_left(net: &Net) {
     net.wait(600.0).await;
-    assert_eq!(net.shell.held().requests, 0, "a task is left");
+    assert_eq!(net.driver.held().requests, 0, "a task is left");
     assert!(
         net.engines.iter().all(|h| h.states() == 0),
         "a state is left"
@@ -402,13 +402,17 @@
             .expect("taken");
         // From here on nothing is read and nothing said.
         net.wait(300.0).await;
-        assert_eq!(net.shell.clients(), 1);
+        assert_eq!(net.driver.client_connections(), 1);
         assert_eq!(net.ran(), ["k"]);
         net.wait(
             common::limits().client_keepalive_interval + common::limits().ping_timeout + 100.0,
         )
         .await;
-        assert_eq!(net.shell.clients(), 0, "its place is free again");
+        assert_eq!(
+            net.driver.client_connections(),
+            0,
+            "its place is free again"
+        );
         nothing_is_left(&net).await;
         drop(stream);
     });
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use cindercleat_dispatcher::driver::{Driver, Places};
+use cindercleat_dispatcher::driver::{Driver, Locations};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_net::{Clock, Listener, Tcp, TokioClock, Transport};
 use cindercleat_protocol::v1::{self, run_reply::Part, EndpointStatus};
@@ -52,14 +52,14 @@
             limits,
             ..common::settings()
         };
-        let places = Places {
-            feeds: vec![feed_address],
-            ..Places::default()
+        let locations = Locations {
+            discovery: vec![feed_address],
+            ..Locations::default()
         };
-        let shell = Driver::new(settings, places, Tcp, clock, 1);
+        let driver = Driver::new(settings, locations, Tcp, clock, 1);
         let listener = Tcp.listen("127.0.0.1:0").await.expect("a port");
         let address = listener.address();
-        spawn_local(async move { shell.serve(listener, std::future::pending()).await });
+        spawn_local(async move { driver.serve(listener, std::future::pending()).await });
         while feed.followers() == 0 {
             clock.sleep_until(clock.now() + 1.0).await;
         }
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Whole requests over the platform's protocol: the shell with `Http1` on connections in memory and a paused
+//! Whole requests over the platform's protocol: the driver with `Http1` on connections in memory and a paused
 //! clock, between clients, engines and a list feed that speak plain HTTP/1.1.
 
 mod common;
@@ -6,7 +6,7 @@
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::Discovery;
 use cindercleat::resource_limits::{ProcessLimits, ResourceLimits};
-use cindercleat_dispatcher::driver::{Driver, Places};
+use cindercleat_dispatcher::driver::{Driver, Locations};
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_http1::{Bounds, Http1};
 use cindercleat_net::{Clock, Listener, Memory, TokioClock, Transport};
@@ -42,7 +42,7 @@
 struct Net {
     memory: Memory,
     clock: TokioClock,
-    shell: Driver<Memory, TokioClock, Http1>,
+    driver: Driver<Memory, TokioClock, Http1>,
     /// What engines were asked, `engine: first line id`.
     asked: Rc<RefCell<Vec<String>>>,
     /// How the writer answers.
@@ -96,14 +96,14 @@
             limits,
             ..settings()
         };
-        let places = Places {
-            feeds: vec!["feed".to_owned()],
-            ..Places::default()
+        let locations = Locations {
+            discovery: vec!["feed".to_owned()],
+            ..Locations::default()
         };
-        let shell = Driver::speaking(
+        let driver = Driver::with_wire(
             Http1::new(BOUNDS),
             settings,
-            places,
+            locations,
             memory.clone(),
             clock,
             1,
@@ -114,7 +114,7 @@
         let net = Net {
             memory,
             clock,
-            shell,
+            driver,
             asked,
             writer,
             feeds,
@@ -130,7 +130,7 @@
             spawn_local(net.clone().feed(name, listener));
         }
         let listener = net.memory.listen("d").await.expect("a name");
-        let (serving, told) = (net.shell.clone(), net.stop.clone());
+        let (serving, told) = (net.driver.clone(), net.stop.clone());
         spawn_local(async move { serving.serve(listener, told.notified()).await });
         net.wait(50.0).await;
         let within = std::time::Duration::from_secs(120);
@@ -322,16 +322,16 @@
             *net.asked.borrow(),
             [format!("r1: {line}"), format!("w1: {line}")]
         );
-        assert_eq!(net.shell.held().requests, 0);
+        assert_eq!(net.driver.held().requests, 0);
         net.request("a2", "draft").await;
         assert_eq!(
-            net.shell.held().connections,
+            net.driver.held().connections,
             2,
             "connections are used again"
         );
         net.wait(10_000.0).await;
         assert_eq!(
-            net.shell.held().connections,
+            net.driver.held().connections,
             0,
             "and closed from this side when they rest"
         );
@@ -371,7 +371,7 @@
         let answer = net.request("a1", "proof").await;
         assert!(answer.ends_with("9\r\ndata: a\n\n\r\n"), "{answer}");
         assert_eq!(net.asked("w1: POST"), 1, "nothing more goes out for it");
-        assert_eq!(net.shell.held().requests, 0);
+        assert_eq!(net.driver.held().requests, 0);
     });
 }
 
@@ -412,11 +412,11 @@
             2,
             "at once, and behind the close"
         );
-        assert_eq!(net.shell.held().requests, 0);
+        assert_eq!(net.driver.held().requests, 0);
         net.wait(20_000.0).await;
         let releases = net.asked("DELETE /bootstrap/rooms/a1");
         assert!(RELEASES_BEHIND_A_CLOSE.contains(&releases), "{releases}");
-        assert_eq!(net.shell.held().releases, 0, "and no more");
+        assert_eq!(net.driver.held().releases, 0, "and no more");
     });
 }
 
@@ -427,7 +427,7 @@
         let (begin, answer) = (net.clock.now(), net.request("a1", "proof").await);
         assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
         // The connection rests until it is closed; the answer came before.
-        assert!(net.shell.held().requests == 0 && begin > 0.0);
+        assert!(net.driver.held().requests == 0 && begin > 0.0);
         net.wait(20_000.0).await;
         // One while the attempt is in doubt, the others behind its close.
         let releases = net.asked("DELETE /bootstrap/rooms/a1");
@@ -435,7 +435,7 @@
             RELEASES_BEHIND_A_CLOSE.contains(&(releases - 1)),
             "{releases}"
         );
-        assert_eq!(net.shell.held().releases, 0);
+        assert_eq!(net.driver.held().releases, 0);
     });
 }
 
@@ -447,7 +447,7 @@
             silent.push(net.connect().await);
         }
         net.wait(10.0).await;
-        assert!(net.shell.clients() <= 10);
+        assert!(net.driver.client_connections() <= 10);
         assert!(net.request("a1", "draft").await.ends_with("0\r\n\r\n"));
         for io in &mut silent {
             assert_eq!(net.rest_of(io, 2500.0).await, "", "closed");
@@ -467,7 +467,7 @@
 #[test]
 fn a_list_feed_that_moved_is_followed_while_requests_go_on() {
     run(|net| async move {
-        net.shell.move_feeds(vec!["other".to_owned()]);
+        net.driver.set_discovery_addresses(vec!["other".to_owned()]);
         let mut io = net.connect().await;
         io.write_all(request_text("a1", "draft").as_bytes())
             .await
--- a/crates/dispatcher/tests/shell.rs
+++ b/crates/dispatcher/tests/shell.rs
@@ -1,4 +1,4 @@
-//! The shell on connections in memory and a paused clock: what peers may send that is no good, and how much
+//! The driver on connections in memory and a paused clock: what peers may send that is no good, and how much
 //! of it is borne. The same code serves TCP.
 
 mod common;
@@ -17,7 +17,7 @@
 fn a_request_goes_its_whole_way() {
     run(|net| async move {
         assert_eq!(net.request("c").await, (End::Succeeded, 50));
-        assert_eq!(net.shell.held().requests, 0);
+        assert_eq!(net.driver.held().requests, 0);
     });
 }
 
@@ -30,7 +30,7 @@
         for bytes in [&http[..], &[0xff; 100], &garbage, preface] {
             assert!(net.say(bytes).await, "{bytes:?}");
         }
-        assert_eq!(net.shell.clients(), 0);
+        assert_eq!(net.driver.client_connections(), 0);
         assert_eq!(
             net.request("c").await.0,
             End::Succeeded,
@@ -59,7 +59,7 @@
             port.run(common::submit("draft"), None, |_| {}).await,
             End::Succeeded
         );
-        assert_eq!(net.shell.held().requests, 0);
+        assert_eq!(net.driver.held().requests, 0);
     });
 }
 
@@ -75,7 +75,7 @@
             stream.write_all(b"x").await.is_err(),
             "nothing was asked in time: closed"
         );
-        assert_eq!(net.shell.clients(), 0);
+        assert_eq!(net.driver.client_connections(), 0);
         assert_eq!(net.request("c").await.0, End::Succeeded);
     });
 }
@@ -100,7 +100,7 @@
             let mut rest = Vec::new();
             let _ = stream.read_to_end(&mut rest).await;
         }
-        assert!(net.shell.clients() <= 1);
+        assert!(net.driver.client_connections() <= 1);
     });
 }
 
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -5,7 +5,7 @@
 use crate::model::{Again, Model};
 use crate::plan::{apart, rules, silences, Day};
 use cindercleat::interface::{Ms, RetrySafety};
-use cindercleat_dispatcher::driver::{Driver, Places};
+use cindercleat_dispatcher::driver::{Driver, Locations};
 use cindercleat_net::sky::{address_of, Place, Sky};
 use cindercleat_net::{Clock, TokioClock, Transport};
 use cindercleat_protocol::{v1, Body};
@@ -94,7 +94,7 @@
 }
 
 struct Process {
-    shell: Driver<Place, StepClock>,
+    driver: Driver<Place, StepClock>,
     stop: Rc<Notify>,
     done: Rc<Notify>,
     over: Rc<Cell<bool>>,
@@ -128,27 +128,27 @@
             .service
             .dispatcher(&name, zone, (at, self.day.dispatchers), run);
         let place = self.sky.place(&name, &zones[zone as usize]);
-        let places = Places {
-            feeds: vec![self.fleet.feed_address.clone()],
-            ..Places::default()
+        let locations = Locations {
+            discovery: vec![self.fleet.feed_address.clone()],
+            ..Locations::default()
         };
         let clock = self.clocks[at as usize].clone();
         let listener = place.listen(&address_of(&name)).await?;
-        let shell = Driver::new(settings, places, place, clock, run);
+        let driver = Driver::new(settings, locations, place, clock, run);
         let (stop, done, over): (Rc<Notify>, Rc<Notify>, Rc<Cell<bool>>) = Default::default();
         // All that a process runs ends with it.
         let process = LocalSet::new();
-        let serving = (shell.clone(), stop.clone(), done.clone(), over.clone());
+        let serving = (driver.clone(), stop.clone(), done.clone(), over.clone());
         process.spawn_local(async move {
-            let (shell, stop, done, over) = serving;
+            let (driver, stop, done, over) = serving;
             // A listener in memory does not fail.
-            let _ = shell.serve(listener, stop.notified()).await;
+            let _ = driver.serve(listener, stop.notified()).await;
             over.set(true);
             done.notify_one();
         });
         let request = spawn_local(process).abort_handle();
         Ok(Process {
-            shell,
+            driver,
             stop,
             done,
             over,
@@ -308,7 +308,10 @@
         })
     };
     for (at, process) in processes.running.borrow().iter().enumerate() {
-        let held = process.as_ref().map(|p| p.shell.held()).unwrap_or_default();
+        let held = process
+            .as_ref()
+            .map(|p| p.driver.held())
+            .unwrap_or_default();
         if held.requests > 0 {
             breach(
                 "LeftOver",
@@ -405,7 +408,7 @@
     loop {
         clock.sleep_until(clock.now() + 50.0).await;
         for process in processes.running.borrow().iter().flatten() {
-            let held = process.shell.held();
+            let held = process.driver.held();
             let all = held.requests + held.connections + held.timers;
             processes.most.set(processes.most.get().max(all));
         }
