--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -36,7 +36,7 @@
 /// The system's number for a process that has all the descriptors it may have (EMFILE).
 const TOO_MANY_OPEN_FILES: i32 = 24;
 /// A test that takes longer hangs.
-const HANGS_AFTER: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const ADDRESS: &str = "127.0.0.1:0";
 
 /// A clock that stands still until it is moved.
@@ -169,10 +169,10 @@
 pub struct Conn {
     pub io: TcpStream,
     /// Bytes that have come and were not looked at.
-    came: Vec<u8>,
+    received: Vec<u8>,
 }
 
-/// A request as it came.
+/// A request as it was received.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub head: String,
@@ -196,11 +196,11 @@
         io.set_nodelay(true).expect("a socket");
         Conn {
             io,
-            came: Vec::new(),
+            received: Vec::new(),
         }
     }
 
-    pub async fn say(&mut self, text: &str) {
+    pub async fn send(&mut self, text: &str) {
         self.io.write_all(text.as_bytes()).await.expect("written");
     }
 
@@ -210,32 +210,33 @@
         match self.io.read(&mut part).await {
             Ok(0) | Err(_) => false,
             Ok(bytes) => {
-                self.came.extend_from_slice(&part[..bytes]);
+                self.received.extend_from_slice(&part[..bytes]);
                 true
             }
         }
     }
 
     /// All that came up to and with an end; what there is if the connection ends first.
-    pub async fn text_until(&mut self, end: &str) -> String {
+    pub async fn read_until(&mut self, end: &str) -> String {
         loop {
             let at = self
-                .came
+                .received
                 .windows(end.len().max(1))
                 .position(|w| w == end.as_bytes());
             if let Some(at) = at {
-                let rest = self.came.split_off(at + end.len());
-                return String::from_utf8(std::mem::replace(&mut self.came, rest)).expect("text");
+                let rest = self.received.split_off(at + end.len());
+                return String::from_utf8(std::mem::replace(&mut self.received, rest))
+                    .expect("text");
             }
             if !self.more().await {
-                return String::from_utf8(std::mem::take(&mut self.came)).expect("text");
+                return String::from_utf8(std::mem::take(&mut self.received)).expect("text");
             }
         }
     }
 
     /// The next request, whole; none if the connection ends without a byte of one.
     pub async fn next_request(&mut self) -> Option<Request> {
-        let head = self.text_until("\r\n\r\n").await;
+        let head = self.read_until("\r\n\r\n").await;
         if head.is_empty() {
             return None;
         }
@@ -246,19 +247,22 @@
         let length = request
             .header("Content-Length")
             .map_or(0, |l| l.parse().expect("a length"));
-        while self.came.len() < length && self.more().await {}
-        request.body = self.came.drain(..length.min(self.came.len())).collect();
+        while self.received.len() < length && self.more().await {}
+        request.body = self
+            .received
+            .drain(..length.min(self.received.len()))
+            .collect();
         Some(request)
     }
 
-    pub async fn request(&mut self) -> Request {
+    pub async fn read_request(&mut self) -> Request {
         self.next_request().await.expect("a request")
     }
 
     /// What still comes up to the connection's end.
-    pub async fn rest(&mut self) -> String {
+    pub async fn read_to_end(&mut self) -> String {
         while self.more().await {}
-        String::from_utf8(std::mem::take(&mut self.came)).expect("text")
+        String::from_utf8(std::mem::take(&mut self.received)).expect("text")
     }
 }
 
@@ -274,14 +278,14 @@
     }
 
     /// The next connection's first request.
-    pub async fn asked(&self) -> (Conn, Request) {
+    pub async fn accept_request(&self) -> (Conn, Request) {
         let mut conn = self.accept().await;
-        let request = conn.request().await;
+        let request = conn.read_request().await;
         (conn, request)
     }
 
     /// Whether a connection has come up that was not accepted yet.
-    pub fn is_asked(&self) -> bool {
+    pub fn has_pending_connection(&self) -> bool {
         use std::future::poll_fn;
         use std::task::{Context, Poll, Waker};
         let mut context = Context::from_waker(Waker::noop());
@@ -307,7 +311,7 @@
 /// Bytes that a socket of the dispatcher's holds for a client that does not read; the system makes it a little more.
 const SMALL_BUFFER: u32 = 4096;
 
-fn listen_narrow() -> TcpListener {
+fn listen_with_small_buffer() -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     // Connections that are accepted have the listener's.
     socket.set_send_buffer_size(SMALL_BUFFER).expect("a buffer");
@@ -336,18 +340,12 @@
 
 /// Runs a test beside a dispatcher that knows a prefill engine "r1" and a decode engine "w1".
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Loopback) -> F) {
-    run_with(
-        ProgramSettings {
-            limits: limits(),
-            ..settings()
-        },
-        &["r1", "w1"],
-        test,
-    );
+    run_with(limits(), &["r1", "w1"], test);
 }
 
+/// Runs a test beside a dispatcher with these limits that knows these engines: names with `r` are prefill engines.
 pub fn run_with<F: Future<Output = ()>>(
-    settings: ProgramSettings,
+    limits: Limits,
     engines: &[&'static str],
     test: impl FnOnce(Loopback) -> F,
 ) {
@@ -355,8 +353,12 @@
         .enable_all()
         .build()
         .expect("a runtime");
+    let settings = ProgramSettings {
+        limits,
+        ..settings()
+    };
     LocalSet::new().block_on(&runtime, async {
-        let within = tokio::time::timeout(HANGS_AFTER, async {
+        let within = tokio::time::timeout(TEST_TIMEOUT, async {
             let net = Loopback::start(settings, engines).await;
             test(net).await;
         });
@@ -385,7 +387,7 @@
         };
         let wire = Http1::new(BOUNDS);
         let driver = Driver::with_wire(wire, settings, locations, gate.clone(), clock.clone(), 1);
-        let inner = listen_narrow();
+        let inner = listen_with_small_buffer();
         let address = inner.local_addr().expect("an address").to_string();
         let listener = FailingListener {
             inner,
@@ -414,17 +416,17 @@
         };
         let mut call = net.discovery_call().await;
         assert!(
-            !call.request().await.head.contains("after="),
+            !call.read_request().await.head.contains("after="),
             "the whole list is asked for first"
         );
-        call.say(&net.list(1, true, &net.all("up"))).await;
-        net.watched_on(call).await;
+        call.send(&net.list(1, true, &net.all("up"))).await;
+        net.keep_watch(call).await;
         net
     }
 
     /// Keeps a connection to discovery once the watch that follows is open on it.
-    pub async fn watched_on(&self, mut call: Conn) {
-        let watch = call.request().await;
+    pub async fn keep_watch(&self, mut call: Conn) {
+        let watch = call.read_request().await;
         assert!(
             watch
                 .head
@@ -440,12 +442,12 @@
     }
 
     /// Tells of changes on the watch that is open, and waits until the dispatcher has taken them in.
-    pub async fn tell(&self, lines: &[String]) {
+    pub async fn announce(&self, lines: &[String]) {
         self.revision.set(self.revision.get() + 1);
         let mut call = self.take_watch();
-        call.say(&self.list(self.revision.get(), false, lines))
+        call.send(&self.list(self.revision.get(), false, lines))
             .await;
-        self.watched_on(call).await;
+        self.keep_watch(call).await;
     }
 
     pub fn discovery_address(&self) -> String {
@@ -504,7 +506,7 @@
     }
 
     /// Moves the clock step by step until something is so, with everything else running in between.
-    pub async fn pass_until(&self, is: impl Fn() -> bool) {
+    pub async fn advance_until(&self, is: impl Fn() -> bool) {
         while !is() {
             self.advance(1.0);
             for _ in 0..20 {
@@ -518,7 +520,7 @@
     }
 
     /// A client whose socket holds as little as the system lets it.
-    pub async fn connect_narrow(&self) -> Conn {
+    pub async fn connect_with_small_buffer(&self) -> Conn {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(SMALL_BUFFER).expect("a buffer");
         let address = self.address.parse().expect("an address");
@@ -526,30 +528,30 @@
     }
 
     /// A client that has sent a request.
-    pub async fn ask(&self, id: &str, class: &str) -> Conn {
+    pub async fn send_request(&self, id: &str, class: &str) -> Conn {
         let mut conn = self.connect().await;
-        conn.say(&request(id, class)).await;
+        conn.send(&request(id, class)).await;
         conn
     }
 
     /// The first attempt of a request at the prefill engine, which answers that it has read the prompt.
-    pub async fn prefilled(&self) -> Request {
-        let (mut conn, request) = self.engine("r1").asked().await;
-        conn.say(READ).await;
+    pub async fn serve_prefill(&self) -> Request {
+        let (mut conn, request) = self.engine("r1").accept_request().await;
+        conn.send(PREFILL_ANSWER).await;
         request
     }
 
     /// A request that waits for the first token of its decode engine.
     pub async fn decoding(&self, id: &str, class: &str) -> (Conn, Conn) {
-        let client = self.ask(id, class).await;
-        self.prefilled().await;
-        let (engine, request) = self.engine("w1").asked().await;
+        let client = self.send_request(id, class).await;
+        self.serve_prefill().await;
+        let (engine, request) = self.engine("w1").accept_request().await;
         assert_eq!(request.id(), id);
         (client, engine)
     }
 
     /// The next connection's first request at any of several engines.
-    pub async fn asked_at(&self, names: &[&str]) -> (Conn, Request) {
+    pub async fn accept_request_at(&self, names: &[&str]) -> (Conn, Request) {
         let accepted = std::future::poll_fn(|context| {
             let ready = |name: &&str| match self.engines[*name].listener.poll_accept(context) {
                 std::task::Poll::Ready(accepted) => Some(accepted.expect("a connection").0),
@@ -561,12 +563,12 @@
                 .map_or(std::task::Poll::Pending, std::task::Poll::Ready)
         });
         let mut conn = Conn::new(accepted.await);
-        let request = conn.request().await;
+        let request = conn.read_request().await;
         (conn, request)
     }
 
     /// The next request at either of two engines on a new connection, with time passing until it comes.
-    pub async fn any_asked(&self) -> (Conn, Request) {
+    pub async fn accept_any_request(&self) -> (Conn, Request) {
         let asked = async {
             loop {
                 let mut conn = tokio::select! {
@@ -580,7 +582,7 @@
         };
         tokio::select! { biased;
             asked = asked => asked,
-            () = self.pass_until(|| false) => unreachable!("it goes on"),
+            () = self.advance_until(|| false) => unreachable!("it goes on"),
         }
     }
 
@@ -589,7 +591,7 @@
     }
 
     /// Waits until the process would end.
-    pub async fn ended(self) {
+    pub async fn wait_until_ended(self) {
         self.served.await.expect("it serves to the end");
     }
 
@@ -598,12 +600,13 @@
     }
 }
 
-pub const READ: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
-pub const STREAM: &str =
+pub const PREFILL_ANSWER: &str =
+    "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
+pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 pub const EVENT: &str = "9\r\ndata: a\n\n\r\n";
-pub const END: &str = "0\r\n\r\n";
-pub const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+pub const LAST_CHUNK: &str = "0\r\n\r\n";
+pub const RELEASE_CONFIRMED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
 pub fn request(id: &str, class: &str) -> String {
     request_with(id, class, 4000, "{}")
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -3,7 +3,7 @@
 
 use super::common;
 use cindercleat_dispatcher::driver::{Driver, Locations};
-use cindercleat_dispatcher::ProgramSettings;
+use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_net::{Clock, Memory, TokioClock, Transport};
 use cindercleat_protocol::v1::EndpointStatus;
 use cindercleat_protocol::Body;
@@ -30,10 +30,15 @@
 
 /// Runs a test against a dispatcher "d" with a reader and a writer.
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
-    run_with(common::settings(), test);
+    run_with(common::limits(), test);
 }
 
-pub fn run_with<F: Future<Output = ()>>(settings: ProgramSettings, test: impl FnOnce(Net) -> F) {
+/// Runs a test against a dispatcher "d" with these limits.
+pub fn run_with<F: Future<Output = ()>>(limits: Limits, test: impl FnOnce(Net) -> F) {
+    let settings = ProgramSettings {
+        limits,
+        ..common::settings()
+    };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -5,7 +5,7 @@
 #[path = "common/net.rs"]
 mod net;
 
-use cindercleat_dispatcher::{Limits, ProgramSettings};
+use cindercleat_dispatcher::Limits;
 use cindercleat_net::Clock;
 use cindercleat_protocol::{v1, Body};
 use cindercleat_standin::client::End;
@@ -35,6 +35,8 @@
     );
 }
 
+/// A client cancels in the middle of a stream. The decode engine would go on for nobody: it gets the cancellation at
+/// once, the request is not run again, and no KV state is left.
 #[test]
 fn a_client_that_cancels_in_mid_stream_ends_its_writer_soon() {
     for request_class in ["draft", "proof"] {
@@ -67,6 +69,8 @@
     }
 }
 
+/// A client cancels during the prefill. The prefill engine gets the cancellation at once, no KV state is left, and
+/// nothing is decoded.
 #[test]
 fn a_client_that_cancels_in_mid_read_leaves_nothing() {
     run(|net| async move {
@@ -83,8 +87,8 @@
     });
 }
 
-/// The read is done, and the attempt at the writer is still being connected: it never goes out, and the state
-/// is let go within the release time.
+/// A client cancels when the prefill is done and the connection for the decode attempt is still being established. The
+/// attempt is never sent, and the KV state is released within the release time.
 #[test]
 fn a_client_that_cancels_between_read_and_write_runs_nothing() {
     run(|net| async move {
@@ -109,6 +113,8 @@
     });
 }
 
+/// A decode engine stops sending after its first token and keeps its connection. The stream would hang for ever: it
+/// fails after the stall timeout, the engine gets a cancellation, and the request does not run twice.
 #[test]
 fn a_writer_that_stalls_after_its_first_token_is_written_off_by_the_stall_limit() {
     for request_class in ["draft", "proof"] {
@@ -130,6 +136,8 @@
     }
 }
 
+/// A decode engine accepts a request and sends nothing. The client gets its one answer by its deadline, and a request
+/// that must not run twice is not sent again.
 #[test]
 fn a_writer_that_stalls_before_its_first_token_is_answered_for_in_time() {
     for request_class in ["draft", "proof"] {
@@ -156,7 +164,7 @@
     }
 }
 
-/// Headers and then nothing, for ever: what the dispatcher and a mute engine have in common.
+/// Engines send response headers and then nothing, for ever. The client gets its one answer by its deadline.
 #[test]
 fn an_engine_that_says_nothing_at_all_is_answered_for_in_time() {
     run(|net| async move {
@@ -170,7 +178,8 @@
     });
 }
 
-/// Deadlines swept over the instants at which first tokens come: one final answer each, never none or two.
+/// Deadlines are swept over the instants at which first tokens come. A deadline and an answer that are handled each for
+/// itself would give none or two final answers: there is one for each request.
 #[test]
 fn a_final_answer_that_races_the_deadline_comes_once() {
     run(|net| async move {
@@ -294,43 +303,37 @@
         cancels_per_second: 10.0,
         ..common::limits()
     };
-    run_with(
-        ProgramSettings {
-            limits,
-            ..common::settings()
-        },
-        |net| async move {
-            let port = net.port("flood");
-            let mut cut = false;
-            for n in 0..500 {
-                let Some(mut stream) = port
-                    .open(Body::Submit(submit("proof", &format!("f{n}"))))
-                    .await
-                else {
+    run_with(limits, |net| async move {
+        let port = net.port("flood");
+        let mut cut = false;
+        for n in 0..500 {
+            let Some(mut stream) = port
+                .open(Body::Submit(submit("proof", &format!("f{n}"))))
+                .await
+            else {
+                break;
+            };
+            // Taken, then called off at once.
+            match stream.next().await {
+                Some(Body::Accepted(_)) => stream.say(Body::Cancel(v1::Cancel {})),
+                _ => {
+                    cut = true;
                     break;
-                };
-                // Taken, then called off at once.
-                match stream.next().await {
-                    Some(Body::Accepted(_)) => stream.say(Body::Cancel(v1::Cancel {})),
-                    _ => {
-                        cut = true;
-                        break;
-                    }
                 }
             }
-            assert!(cut, "it is cut off");
-            let begun = net
-                .transcript
-                .records()
-                .iter()
-                .filter(|r| &*r.seer == "flood")
-                .count();
-            assert!(begun < 400, "{begun} messages to and fro");
-            assert_eq!(net.request("other").await.0, End::Succeeded);
-            nothing_is_left(&net).await;
-            assert!(net.ran().len() <= 1, "{:?}", net.ran());
-        },
-    );
+        }
+        assert!(cut, "it is cut off");
+        let begun = net
+            .transcript
+            .records()
+            .iter()
+            .filter(|r| &*r.seer == "flood")
+            .count();
+        assert!(begun < 400, "{begun} messages to and fro");
+        assert_eq!(net.request("other").await.0, End::Succeeded);
+        nothing_is_left(&net).await;
+        assert!(net.ran().len() <= 1, "{:?}", net.ran());
+    });
 }
 
 /// A client that cancels now and then for hours is not.
@@ -341,24 +344,18 @@
         cancels_per_second: 2.0,
         ..common::limits()
     };
-    run_with(
-        ProgramSettings {
-            limits,
-            ..common::settings()
-        },
-        |net| async move {
-            let port = net.port("c");
-            for n in 0..40 {
-                let end = port.run(
-                    submit("draft", &format!("k{n}")),
-                    Some(net.clock.now() + 100.0),
-                    |_| {},
-                );
-                assert_eq!(end.await, End::Left, "task {n}");
-                net.wait(500.0).await;
-            }
-        },
-    );
+    run_with(limits, |net| async move {
+        let port = net.port("c");
+        for n in 0..40 {
+            let end = port.run(
+                submit("draft", &format!("k{n}")),
+                Some(net.clock.now() + 100.0),
+                |_| {},
+            );
+            assert_eq!(end.await, End::Left, "task {n}");
+            net.wait(500.0).await;
+        }
+    });
 }
 
 /// A client whose machine is gone without a word is found by its silence, and its stream's writer is ended.
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -195,6 +195,8 @@
     });
 }
 
+/// There is no decode engine. The request has not run, so the client gets the status on which it may retry, with the
+/// time to wait.
 #[test]
 fn a_rejection_is_unavailable_and_says_when_to_come_back() {
     // There are no writers.
@@ -221,6 +223,8 @@
     });
 }
 
+/// As many requests are open as there may be. The client gets a status that says so, with the time to wait, and nothing
+/// has run.
 #[test]
 fn no_room_is_resource_exhausted() {
     run(
@@ -247,6 +251,8 @@
     );
 }
 
+/// A decode engine stops in the middle of an answer. The request may have run: the client gets a status and a pushback
+/// on which no gRPC library retries by itself.
 #[test]
 fn a_failure_is_one_that_no_client_retries() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
@@ -262,6 +268,7 @@
     });
 }
 
+/// A field of a request is invalid. The status names the field, and nothing has run.
 #[test]
 fn bad_input_names_its_field() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
@@ -316,6 +323,8 @@
     });
 }
 
+/// A gRPC client sets a timeout on its call and no field. That is the request's deadline: when it passes, the prefill
+/// attempt is cancelled and nothing is decoded.
 #[test]
 fn the_calls_deadline_is_the_patience_and_ends_what_is_out() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
@@ -353,6 +362,7 @@
     });
 }
 
+/// A client calls a method that does not exist. It gets the status for that, and its connection serves the next call.
 #[test]
 fn what_is_not_there_is_unimplemented() {
     run(common::limits(), &["r1", "w1"], |peer| async move {
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -338,6 +338,8 @@
     });
 }
 
+/// The load balancer asks whether the dispatcher is ready. While it stops it must say no, or it is sent requests that
+/// it rejects.
 #[test]
 fn ready_is_said_once_a_list_is_there_and_not_while_stopping() {
     run(|net| async move {
@@ -355,6 +357,8 @@
     });
 }
 
+/// The decode engine does not find the request's KV state. Nothing has run, so even a request that must not run twice
+/// is prefilled again and served.
 #[test]
 fn a_state_that_is_gone_is_read_again() {
     run(|net| async move {
@@ -364,6 +368,8 @@
     });
 }
 
+/// A decode engine closes its connection after the first event. The client gets that event and no last chunk, and the
+/// request is not sent again.
 #[test]
 fn a_stream_that_breaks_ends_its_clients_connection_without_the_last_chunk() {
     run(|net| async move {
@@ -375,6 +381,8 @@
     });
 }
 
+/// A decode engine answers with bytes that are no HTTP. The request may have run: one that must not run twice gets 504,
+/// another is sent again.
 #[test]
 fn noise_in_place_of_an_answer_may_have_run() {
     run(|net| async move {
@@ -395,6 +403,8 @@
 /// the attempt's engine does not show that it works.
 const RELEASES_BEHIND_A_CLOSE: std::ops::RangeInclusive<usize> = 2..=16;
 
+/// A client disconnects while its decode engine is silent. The attempt is closed and the KV state released, again
+/// behind the close of the attempt, as the first release may have overtaken it.
 #[test]
 fn a_client_that_closes_has_its_attempt_closed_and_what_is_held_let_go() {
     run(|net| async move {
@@ -420,6 +430,8 @@
     });
 }
 
+/// A decode engine is silent until the client's deadline. The client gets 504 before that, and the KV state is
+/// released.
 #[test]
 fn a_request_is_answered_before_its_clients_time_is_up() {
     run(|net| async move {
@@ -439,6 +451,8 @@
     });
 }
 
+/// Clients open more connections than there may be and send nothing, or half a request. Those that send requests are
+/// still served; silent connections are closed in time, and half a request gets 408.
 #[test]
 fn silent_connections_by_the_dozen_leave_room_for_those_who_ask() {
     run(|net| async move {
@@ -464,6 +478,8 @@
     });
 }
 
+/// Discovery gets another address while a request is open. The request is served, and from then on only the new address
+/// is called.
 #[test]
 fn a_list_feed_that_moved_is_followed_while_requests_go_on() {
     run(|net| async move {
@@ -485,6 +501,8 @@
     });
 }
 
+/// Discovery is silent or returns half a list. The known list is used, discovery is called again at a bounded rate, and
+/// its list is followed once it answers.
 #[test]
 fn a_list_feed_that_is_silent_or_cannot_be_read_is_called_again_and_its_list_kept() {
     for feed in [Feed::Silent, Feed::Noise] {
@@ -513,8 +531,9 @@
     }
 }
 
-/// What an agent gets when discovery returns counts as told at once, and calls that it did not answer before stay
-/// unanswered: at whatever phase of the calls it returns, one that it answers comes within the drain grace.
+/// Discovery's agent was silent and answers again; calls that it has not answered before stay unanswered. What it has
+/// then counts as known at once: at whatever phase of the calls it returns, one that it answers comes within the drain
+/// grace.
 #[test]
 fn an_agent_that_was_silent_is_heard_within_the_drain_grace_at_every_phase() {
     let process = ProcessLimits {
@@ -559,6 +578,8 @@
     }
 }
 
+/// The dispatcher is told to stop with a request open, and another comes a moment later. Both are answered, and then
+/// the process ends.
 #[test]
 fn a_stop_answers_what_is_open_and_then_ends() {
     run(|net| async move {
--- a/crates/dispatcher/tests/shell.rs
+++ b/crates/dispatcher/tests/shell.rs
@@ -21,6 +21,7 @@
     });
 }
 
+/// A peer sends bytes that are no HTTP/2. Its connection ends; others are served on.
 #[test]
 fn bytes_that_are_no_http_2_end_their_own_connection() {
     run(|net| async move {
@@ -39,6 +40,8 @@
     });
 }
 
+/// A client sends a message that is larger than the limit. Reading it would use memory without bound: the request is
+/// refused, and the connection serves the next one.
 #[test]
 fn a_message_over_the_bound_is_refused_and_its_connection_serves_on() {
     run(|net| async move {
@@ -63,6 +66,8 @@
     });
 }
 
+/// A client sends its greeting byte by byte and never ends it. It would occupy a connection for ever: it is closed
+/// after the greeting timeout.
 #[test]
 fn a_connection_that_never_ends_its_greeting_is_closed() {
     run(|net| async move {
@@ -80,6 +85,8 @@
     });
 }
 
+/// A client opens ten thousand connections and sends nothing. Those beyond the maximum are closed, the others after the
+/// greeting timeout, and then requests are served again.
 #[test]
 fn ten_thousand_connections_that_send_nothing_leave_room_for_others() {
     run(|net| async move {
@@ -104,6 +111,8 @@
     });
 }
 
+/// Another engine was given the address of one that is gone. It would run requests that were not meant for it: it gets
+/// none.
 #[test]
 fn an_engine_that_claims_anothers_name_gets_no_request() {
     run(|net| async move {
@@ -132,6 +141,8 @@
     });
 }
 
+/// An engine's address answers with bytes that are no protocol. Its connection is closed, the request gets an answer,
+/// and once the engine is back requests are served.
 #[test]
 fn an_engine_that_sends_garbage_loses_its_link_and_the_dispatcher_serves_on() {
     run(|net| async move {
@@ -157,6 +168,8 @@
     });
 }
 
+/// Tests with a seed can be repeated only if the dispatcher is deterministic: the same run twice gives the same
+/// messages at the same instants.
 #[test]
 fn the_same_run_twice_gives_the_same_transcript() {
     let once = || {
