--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -13,7 +13,7 @@
 mod gossip;
 mod outputs;
 
-use crate::state::{ClientConnectionId, Dispatcher, EngineConnectionId, Guarded, Holding, Input};
+use crate::state::{ClientConnectionId, Dispatcher, EngineConnectionId, Holding, Input};
 use crate::{endpoint_cache, ProgramSettings};
 use cindercleat::fleet::bounds::{Tally, Unit};
 use cindercleat::fleet::rollcall::EngineReport;
@@ -174,11 +174,6 @@
         self.shared.dispatcher.borrow().held()
     }
 
-    /// How often the invariants were checked, and violated.
-    pub fn guarded(&self) -> Guarded {
-        self.shared.dispatcher.borrow().guarded().clone()
-    }
-
     /// Whether the dispatcher accepts requests, and how busy it is.
     pub fn readiness(&self) -> Readiness {
         let (is_ready, load) = self.shared.dispatcher.borrow().fares();
@@ -293,7 +288,7 @@
     }
 
     fn log_invariant_checks(&self) {
-        let guarded = self.guarded();
+        let guarded = self.shared.dispatcher.borrow().guarded().clone();
         tracing::info!(checked = ?guarded.checked, violated = ?guarded.violated, "invariants");
     }
 
--- a/src/connection_pool.rs
+++ b/src/connection_pool.rs
@@ -303,11 +303,6 @@
             .is_some_and(Connection::accepts_streams)
     }
 
-    /// Whether the pool has no connection.
-    pub fn is_empty(&self) -> bool {
-        self.connections.is_empty()
-    }
-
     /// The connections that accept streams, now or once they are established.
     fn accepting(&self) -> impl Iterator<Item = &Connection> {
         self.connections
