--- a/tests/client_connection_http1.rs
+++ b/tests/client_connection_http1.rs
@@ -1,4 +1,4 @@
-//! Connections that carry one request at a time: when they are closed, and which makes room.
+//! Connections that carry one request at a time: when they are closed, and which one is evicted.
 
 use cindercleat::client_connection::http1::{
     connection_to_evict, CloseReason, Http1Connection, Http1Settings,
@@ -42,8 +42,10 @@
     assert_eq!(connection.due_close(&SETTINGS, 2000.0), None, "said once");
 }
 
+/// A client sends nothing, or half a request. Both would hold a connection for ever; the reason decides how the
+/// connection is closed.
 #[test]
-fn half_a_request_is_slow_and_silence_is_silent() {
+fn half_a_request_and_a_silent_connection_are_closed_for_different_reasons() {
     let mut connection = Http1Connection::new(0.0);
     assert_eq!(
         connection.due_close(&SETTINGS, 100.0),
@@ -58,8 +60,10 @@
     );
 }
 
+/// Clients open as many connections as there may be and send nothing. A connection that has waited longest makes room
+/// for a new one; one with an open request never does, as its answer would be lost.
 #[test]
-fn the_longest_silent_makes_room_first_and_one_with_an_open_request_never() {
+fn the_longest_silent_connection_is_evicted_first_and_one_with_an_open_request_never() {
     let new = Http1Connection::new;
     let open = |at| {
         let mut connection = new(at);
--- a/tests/client_connection_multiplexed.rs
+++ b/tests/client_connection_multiplexed.rs
@@ -1,4 +1,4 @@
-//! A client's connection: asked when quiet, given up when it does not answer or floods.
+//! A client's connection with many requests: pinged when silent, closed when it does not answer or cancels too much.
 
 use cindercleat::client_connection::multiplexed::*;
 use proptest::prelude::*;
@@ -11,8 +11,10 @@
     cancels_per_second: 5.0,
 };
 
+/// A client's machine is gone, and TCP reports nothing. Its connection would be held for ever: it is pinged, and closed
+/// only when no answer comes.
 #[test]
-fn a_quiet_client_is_asked_and_given_up_only_if_it_does_not_answer() {
+fn a_silent_client_is_pinged_and_disconnected_only_if_it_does_not_answer() {
     let mut connection = MultiplexedConnection::new(&SETTINGS, 0.0);
     assert_eq!(connection.due_command(&SETTINGS, 999.0), None);
     assert_eq!(
@@ -37,8 +39,10 @@
     );
 }
 
+/// A client opens and cancels requests as fast as it can, each of which costs a decision. It is disconnected once it
+/// exceeds the burst; a moderate rate may go on for ever.
 #[test]
-fn cancels_are_borne_up_to_a_burst_and_a_pace() {
+fn cancels_are_limited_by_a_burst_and_a_rate() {
     let mut connection = MultiplexedConnection::new(&SETTINGS, 0.0);
     for n in 0..10 {
         connection.request_cancelled(&SETTINGS, 0.0);
@@ -60,8 +64,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
-    /// Whatever comes when: no more than the burst and the pace are borne, a client that answers each ping in
-    /// time is not called dead, and one that does not is, by the two times together.
+    /// In any order of events: no more cancels than the burst and the rate are accepted, a client that answers each ping
+    /// in time is not disconnected, and one that does not is, after both timeouts together.
     #[test]
     fn whatever_comes(steps in prop::collection::vec((0u8..4, 0u16..700), 1..200), answers in any::<bool>()) {
         let mut connection = MultiplexedConnection::new(&SETTINGS, 0.0);
--- a/tests/connection_pool.rs
+++ b/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! ConnectionPool to an engine: tables of what is decided, and random sequences held against what must always be so.
+//! The connections to an engine: tables of decisions, and random sequences that are checked for what must always hold.
 
 use cindercleat::connection_pool::*;
 use cindercleat::interface::Ms;
@@ -22,7 +22,7 @@
 const A: ConnectionId = ConnectionId(1);
 const B: ConnectionId = ConnectionId(2);
 
-/// One channel that is up and carries so many streams.
+/// A pool with one established connection that carries so many streams.
 fn carrying(streams: usize) -> ConnectionPool {
     let mut pool = ConnectionPool::new(settings(), 1);
     pool.connecting(A, 0.0);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_stream_takes_the_fullest_channel_with_room_and_waits_for_none_that_is_up() {
+fn a_stream_takes_the_fullest_connection_with_room_and_prefers_an_established_one() {
     let mut pool = carrying(3);
     pool.connecting(B, 10.0);
     pool.stream_opened(B, 10.0);
@@ -51,8 +51,10 @@
     assert_eq!(pool.place(2.0), Placement::NewConnection);
 }
 
+/// All connections that an engine may have are full. Another would overload it: the stream is not placed, and the
+/// caller knows that nothing was sent.
 #[test]
-fn beyond_the_most_channels_there_is_no_place() {
+fn beyond_the_maximum_of_connections_a_stream_is_not_placed() {
     let mut pool = ConnectionPool::new(settings(), 1);
     for id in 1..=3 {
         assert_eq!(pool.place(1.0), Placement::NewConnection);
@@ -71,6 +73,8 @@
     );
 }
 
+/// A stream that has to wait for a connect is late. One more connection is opened before the others are full, but not
+/// to an engine that drains, which would get no stream.
 #[test]
 fn one_is_connected_ahead_when_little_room_is_left_and_not_to_an_engine_that_drains() {
     let mut pool = carrying(8);
@@ -86,8 +90,10 @@
     assert_eq!(pool.due_commands(11.0, true), [], "one is coming");
 }
 
+/// An engine announces that it closes a connection. A new stream on it would be refused; open ones go on, and it is
+/// closed with the last.
 #[test]
-fn a_channel_that_goes_away_carries_what_it_has_and_nothing_new() {
+fn a_connection_that_drains_keeps_its_streams_and_gets_no_other() {
     let mut pool = carrying(1);
     pool.going_away(A);
     assert_eq!(pool.place(20.0), Placement::NewConnection);
@@ -103,8 +109,10 @@
     );
 }
 
+/// An engine is down, and each request for it would start a connect. The backoff doubles with jitter, and ends at once
+/// when the engine's process is a new one.
 #[test]
-fn failed_connects_are_tried_again_later_each_time_and_at_once_when_there_is_reason() {
+fn failed_connects_back_off_and_are_retried_at_once_when_there_is_reason() {
     let mut pool = ConnectionPool::new(settings(), 7);
     let (mut now, mut waits) = (0.0, Vec::new());
     for id in 0..8 {
@@ -144,8 +152,10 @@
     assert_eq!(pool.place(now), Placement::NewConnection);
 }
 
+/// An engine's machine is gone, and TCP reports nothing. The streams would wait for ever: the connection is pinged, and
+/// closed when no answer comes.
 #[test]
-fn a_quiet_channel_with_streams_is_asked_and_given_up_if_it_does_not_answer() {
+fn a_silent_connection_with_streams_is_pinged_and_closed_if_it_does_not_answer() {
     let mut pool = carrying(1);
     assert_eq!(pool.next_due_at(), Some(2010.0));
     assert_eq!(pool.due_commands(2009.0, true), []);
@@ -162,7 +172,7 @@
 }
 
 #[test]
-fn a_channel_without_streams_is_not_asked_but_closed_when_idle() {
+fn a_connection_without_streams_is_not_pinged_but_closed_when_idle() {
     let mut pool = carrying(1);
     pool.stream_ended(A, 100.0);
     assert_eq!(pool.due_commands(5099.0, true), []);
@@ -172,13 +182,13 @@
     );
 }
 
-/// What happens, to which channel, and how many milliseconds after the last.
+/// What happens, to which connection, and how many milliseconds after the last event.
 type Draw = (u8, u8, u16);
 
 fn play(draws: &[Draw], seed: u64) -> Result<[usize; 3], TestCaseError> {
     let settings = settings();
     let mut pool = ConnectionPool::new(settings, seed);
-    // What is up or connecting, with its streams; whether it goes away; when it last spoke or began.
+    // Each connection: whether it is established, its streams, and whether it drains.
     let mut mine: BTreeMap<ConnectionId, (bool, usize, bool)> = BTreeMap::new();
     let (mut now, mut next, mut met): (Ms, u64, [usize; 3]) = (0.0, 0, [0; 3]);
     for &(what, whom, after) in draws {
@@ -278,7 +288,7 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn whatever_happens_channels_stay_few_and_are_closed_for_a_reason(
+    fn whatever_happens_connections_stay_few_and_are_closed_for_a_reason(
         draws in prop::collection::vec(any::<Draw>(), 1..300),
         seed in any::<u64>(),
     ) {
@@ -297,8 +307,11 @@
     assert!(met.iter().all(|n| *n > 10), "{met:?}");
 }
 
+/// Engines close connections that have been idle for long, and some close right after an answer. A stream on a
+/// connection that is being closed is lost: the one that became idle last is chosen, but not one that became idle only
+/// just now.
 #[test]
-fn a_channel_that_rests_since_lately_is_used_again_but_not_one_that_has_just_been_answered() {
+fn the_connection_that_became_idle_last_is_used_again_but_not_one_that_did_just_now() {
     let mut pool = ConnectionPool::new(
         PoolSettings {
             max_streams_per_connection: 1,
@@ -321,8 +334,10 @@
     assert_eq!(pool.place(100.0), Placement::NewConnection);
 }
 
+/// Where a connection carries one stream, each would have another opened ahead of need, and an engine at its peak would
+/// get twice as many.
 #[test]
-fn channels_for_one_stream_are_not_connected_ahead() {
+fn connections_for_one_stream_are_not_opened_ahead() {
     let mut pool = ConnectionPool::new(
         PoolSettings {
             max_streams_per_connection: 1,
--- a/tests/discovery_client.rs
+++ b/tests/discovery_client.rs
@@ -1,4 +1,4 @@
-//! When discovery is called again.
+//! Calls to discovery: what they ask for, and when the next is made.
 
 use cindercleat::discovery_client::{
     DiscoveryCalls, DiscoverySettings, FirstCall, MAX_UNUSABLE_LIST_BACKOFF_MS,
@@ -14,7 +14,7 @@
 };
 
 #[test]
-fn waits_double_up_to_the_most_and_begin_anew_after_an_answer_or_a_move() {
+fn the_backoff_doubles_up_to_its_maximum_and_starts_anew_after_a_list_or_a_move() {
     let mut calls = DiscoveryCalls::new(SETTINGS, 1);
     for most in [100.0, 200.0, 400.0, 800.0, 1000.0, 1000.0] {
         let wait = calls.backoff_after_loss();
@@ -44,8 +44,8 @@
     assert_eq!(calls.silence_timeout(), 2500.0);
 }
 
-/// Hundreds that lose discovery at one instant come back to it spread out: no tenth of the wait holds more than
-/// twice its part of them, from the second call on.
+/// Hundreds of dispatchers lose discovery at the same instant. If they called it again at the same instant, it would be
+/// overloaded each time: no tenth of the wait holds more than twice its part of them, from the second call on.
 #[test]
 fn hundreds_that_lose_discovery_together_do_not_come_back_together() {
     let mut all: Vec<DiscoveryCalls> = (0..300)
@@ -109,8 +109,8 @@
     );
 }
 
-/// A list that cannot be used costs discovery as much as a good one: the waits go on growing, and stay within the time
-/// after which what it has counts as told.
+/// Discovery sends a list that cannot be used, which costs it as much as a good one. The backoff goes on growing, and
+/// stays within the time after which what discovery has counts as known.
 #[test]
 fn a_list_that_cannot_be_used_is_asked_for_less_and_less_often() {
     let mut calls = DiscoveryCalls::new(SETTINGS, 1);
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher on a machine of its own allows itself.
+//! Limits and timeouts that follow from what a process is given.
 
 use cindercleat::interface::Discovery;
 use cindercleat::resource_limits::{
