--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -6,29 +6,37 @@
 use nanorand::Rng;
 
 impl Member {
-    pub(super) fn learn_caller(&mut self, caller: (Term, LeaseHolder)) {
+    pub(super) fn learn_membership_leader(&mut self, caller: (Term, LeaseHolder)) {
         // Nothing that an old holder still says counts.
-        if self.caller.as_ref().is_some_and(|known| known.0 > caller.0) {
+        if self
+            .membership_leader
+            .as_ref()
+            .is_some_and(|known| known.0 > caller.0)
+        {
             return;
         }
-        if self.caller.as_ref().is_none_or(|known| *known != caller) {
-            self.heard = None;
+        if self
+            .membership_leader
+            .as_ref()
+            .is_none_or(|known| *known != caller)
+        {
+            self.leader_answered_at = None;
             // Members learn of it at moments of their own, so its successor is not met by all at once.
-            self.next_beat = self.next_beat.min(self.now);
-            self.caller = Some(caller);
+            self.next_heartbeat_at = self.next_heartbeat_at.min(self.now);
+            self.membership_leader = Some(caller);
         }
     }
 
     /// A beat came.
-    pub(super) fn hear(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
+    pub(super) fn heartbeat_received(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
         let membership_lease = LeaseName::from(MEMBERSHIP_LEASE);
         let (now, least) = (self.now, self.settings.heartbeat);
         let holds = self
-            .holds
+            .held_leases
             .get(&membership_lease)
             .is_some_and(|hold| hold.left(now) > 0.0);
-        let holder = self.caller.clone();
-        let places = match self.roll.as_mut().filter(|_| holds) {
+        let holder = self.membership_leader.clone();
+        let places = match self.membership.as_mut().filter(|_| holds) {
             Some(roll) => {
                 let name = heartbeat.who.name.clone();
                 roll.heard(now, heartbeat, least);
@@ -40,7 +48,7 @@
             None => Vec::new(),
         };
         let every = self
-            .roll
+            .membership
             .as_ref()
             .map_or(least, |roll| roll.heartbeat_interval(least));
         HeartbeatReply {
@@ -51,17 +59,17 @@
         }
     }
 
-    fn my_beat(&mut self) -> Heartbeat {
+    fn own_heartbeat(&mut self) -> Heartbeat {
         let reports = self.next_reports();
         Heartbeat {
             who: self.me(),
             zone: self.settings.zone.clone(),
             label: self.settings.label.clone(),
-            up: self.now - self.began,
+            up: self.now - self.started_at,
             ready: self.ready,
             stopping: self.stopping,
             load: self.load,
-            holds: self.holds.len() as u32,
+            holds: self.held_leases.len() as u32,
             tally: self.disruptions.tally,
             reports,
         }
@@ -70,42 +78,42 @@
     /// Beats when it is time, or asks who calls the roll; calls it if that is this dispatcher.
     pub(super) fn heartbeat(&mut self, out: &mut Vec<Output>) {
         let membership_lease = LeaseName::from(MEMBERSHIP_LEASE);
-        if self.now < self.next_beat {
+        if self.now < self.next_heartbeat_at {
             return;
         }
-        self.next_beat = self.now + self.every;
-        let heartbeat = self.my_beat();
-        if self.holds.contains_key(&membership_lease) {
+        self.next_heartbeat_at = self.now + self.heartbeat_interval;
+        let heartbeat = self.own_heartbeat();
+        if self.held_leases.contains_key(&membership_lease) {
             let prefers = self.settings.prefers.clone();
             let (now, least, me) = (self.now, self.settings.heartbeat, self.settings.me.clone());
-            if let Some(roll) = &mut self.roll {
+            if let Some(roll) = &mut self.membership {
                 roll.heard(now, heartbeat, least);
                 roll.place(now, least, &[(membership_lease, prefers, Some(me))]);
-                self.every = roll.heartbeat_interval(least);
-                self.next_beat = self.now + self.every;
+                self.heartbeat_interval = roll.heartbeat_interval(least);
+                self.next_heartbeat_at = self.now + self.heartbeat_interval;
             }
             return;
         }
         match self
-            .caller
+            .membership_leader
             .as_ref()
             .filter(|(_, holder)| holder.name != self.settings.me)
         {
             Some((_, holder)) => {
                 let (to, incarnation) = (holder.address.clone(), holder.incarnation);
                 self.count("beats");
-                self.ask(
+                self.send_request(
                     to,
                     Question::Heartbeat(heartbeat),
-                    Errand::Heartbeat { to: incarnation },
+                    RequestPurpose::Heartbeat { to: incarnation },
                     out,
                 );
             }
-            None => self.look_somewhere(out),
+            None => self.query_any_voter(out),
         }
     }
 
-    pub(super) fn beat_answered(
+    pub(super) fn heartbeat_answered(
         &mut self,
         to: Incarnation,
         heard: Option<HeartbeatReply>,
@@ -113,21 +121,21 @@
     ) {
         let membership_lease = LeaseName::from(MEMBERSHIP_LEASE);
         let current = self
-            .caller
+            .membership_leader
             .as_ref()
             .is_some_and(|(_, holder)| holder.incarnation == to);
         let place = match heard {
             Some(heard) if heard.heard && current => {
-                self.heard = Some(self.now);
+                self.leader_answered_at = Some(self.now);
                 // A beat is some time away from the last, for each member another.
                 let (spread, every) = (
                     self.rng.generate::<f64>(),
                     heard.every.max(self.settings.heartbeat),
                 );
-                if every != self.every {
-                    self.next_beat = self.now + every * spread;
+                if every != self.heartbeat_interval {
+                    self.next_heartbeat_at = self.now + every * spread;
                 }
-                self.every = every;
+                self.heartbeat_interval = every;
                 heard
                     .places
                     .iter()
@@ -139,40 +147,42 @@
                 holder: Some(holder),
                 ..
             }) if holder.1.incarnation != to => {
-                return self.learn_caller(holder);
+                return self.learn_membership_leader(holder);
             }
             // It was not reached, or calls the roll no more: whoever does is asked for, once, and then again
             // when the next beat is due.
             _ if current => {
                 self.count("beats lost");
-                return self.look_somewhere(out);
+                return self.query_any_voter(out);
             }
             _ => return,
         };
-        if let Some(watch) = self.watches.get_mut(&membership_lease) {
+        if let Some(watch) = self.lease_observers.get_mut(&membership_lease) {
             watch.place = place;
         }
     }
 
     /// Whether all that was done in the roll-call's name has been answered, or can be obeyed no more.
-    pub(super) fn acts_are_done(&self) -> bool {
-        self.acts_done_at() <= self.now
+    pub(super) fn fenced_commands_are_over(&self) -> bool {
+        self.fenced_commands_over_at() <= self.now
     }
 
     /// When none of this process's acts can be obeyed any more, if no answer comes.
-    pub(super) fn acts_done_at(&self) -> Ms {
+    pub(super) fn fenced_commands_over_at(&self) -> Ms {
         let permits = self.disruptions.acts.values().map(|acts| acts.unsure_until);
-        self.told
+        self.report_receivers
             .iter()
             .map(|told| told.unsure_until)
             .chain(permits)
             .fold(f64::NEG_INFINITY, f64::max)
     }
 
-    pub(super) fn tell_at(&self) -> Option<Ms> {
-        let holds = self.holds.contains_key(&LeaseName::from(MEMBERSHIP_LEASE));
+    pub(super) fn next_report_at(&self) -> Option<Ms> {
+        let holds = self
+            .held_leases
+            .contains_key(&LeaseName::from(MEMBERSHIP_LEASE));
         let next = || {
-            self.told
+            self.report_receivers
                 .iter()
                 .filter(|t| !t.out)
                 .map(|t| t.next)
@@ -182,9 +192,9 @@
     }
 
     /// Tells the roll to those that the settings name: acts of the duty, each with its term.
-    pub(super) fn tell(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn send_membership_reports(&mut self, out: &mut Vec<Output>) {
         let lease_name = LeaseName::from(MEMBERSHIP_LEASE);
-        let Some(hold) = self.holds.get(&lease_name).copied() else {
+        let Some(hold) = self.held_leases.get(&lease_name).copied() else {
             return;
         };
         let unnoticed = is_injected(InjectedFault::PauseUnnoticed);
@@ -196,14 +206,14 @@
         } else {
             hold.until
         };
-        for at in 0..self.told.len() {
-            let told = &self.told[at];
+        for at in 0..self.report_receivers.len() {
+            let told = &self.report_receivers[at];
             if told.out || self.now < told.next {
                 continue;
             }
             let (receiver_timestamp, good_for) = told.known.good_for(until);
-            self.acts += 1;
-            let (term, holder, number) = (hold.term, self.me(), self.acts);
+            self.commands_sent += 1;
+            let (term, holder, number) = (hold.term, self.me(), self.commands_sent);
             let act = FencedCommand {
                 lease_name: lease_name.clone(),
                 term,
@@ -213,21 +223,25 @@
                 good_for,
                 body: self.summary(),
             };
-            let told = &mut self.told[at];
+            let told = &mut self.report_receivers[at];
             (told.out, told.next) = (true, self.now + self.settings.tell_every);
             told.unsure_until = hold.until;
             self.count("acts");
-            self.ask(
+            self.send_request(
                 self.settings.tells[at].clone(),
                 Question::FencedCommand(act),
-                Errand::FencedCommand { to: at },
+                RequestPurpose::FencedCommand { to: at },
                 out,
             );
         }
     }
 
-    pub(super) fn told(&mut self, to: usize, answer: Option<(FencingDecision, ReceiverTimestamp)>) {
-        let Some(told) = self.told.get_mut(to) else {
+    pub(super) fn report_answered(
+        &mut self,
+        to: usize,
+        answer: Option<(FencingDecision, ReceiverTimestamp)>,
+    ) {
+        let Some(told) = self.report_receivers.get_mut(to) else {
             return;
         };
         told.out = false;
@@ -249,7 +263,7 @@
     /// The roll in a line: how many stand how, of how many, and for how long it has been called.
     fn summary(&self) -> Vec<u8> {
         use crate::coordination::membership::MemberStatus;
-        let Some(roll) = &self.roll else {
+        let Some(roll) = &self.membership else {
             return Vec::new();
         };
         let counts = roll.counts(self.now, self.settings.heartbeat);
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -213,7 +213,7 @@
 
 /// Why a question is out.
 #[derive(Clone, Debug, PartialEq)]
-enum Errand {
+enum RequestPurpose {
     Vote {
         from: Name,
         voter_id: VoterId,
@@ -257,8 +257,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Out {
-    errand: Errand,
+struct RequestInFlight {
+    errand: RequestPurpose,
     until: Ms,
     /// When it is asked again, and how often yet: a lost message does not cost a try.
     again: Option<(Ms, u32)>,
@@ -271,25 +271,25 @@
 
 /// What a try is for.
 #[derive(Clone, Debug, PartialEq)]
-enum Purpose {
+enum ProposalReason {
     Take(LeaseName),
     Renew,
     GiveUp(LeaseName),
-    Wish(CallId),
+    OperatorCommand(CallId),
     RolloutStep,
     Settle,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Try {
+struct ProposalInFlight {
     round: Proposal,
-    purpose: Purpose,
+    purpose: ProposalReason,
     asked: Ms,
 }
 
 /// A duty that is being given up: nothing is done in its name any more.
 #[derive(Clone, Debug, PartialEq)]
-struct Giving {
+struct LeaseHandover {
     hold: HeldLease,
     next: Option<Name>,
     /// Where whoever is named is told.
@@ -298,14 +298,14 @@
 
 /// A job of the operators' that wants a duty held for it.
 #[derive(Clone, Debug, PartialEq)]
-struct Job {
+struct LeaseJob {
     number: u64,
     asked: Ms,
 }
 
 /// A change that an operator asked for.
 #[derive(Clone, Debug, PartialEq)]
-struct Wish {
+struct PendingCommand {
     call: CallId,
     change: Command,
     until: Ms,
@@ -323,7 +323,7 @@
 
 /// The voter's file.
 #[derive(Clone, Debug, PartialEq)]
-enum File {
+enum AcceptorFile {
     /// It was not read yet.
     Unread,
     /// There is none, and none is wanted.
@@ -337,64 +337,64 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     settings: FleetSettings,
-    steady: MonotonicClock,
+    clock: MonotonicClock,
     now: Ms,
     rng: WyRand,
-    began: Ms,
+    started_at: Ms,
     ready: bool,
     load: f64,
     stopping: bool,
     stopped: bool,
     // The voter.
-    file: File,
-    voter: Option<Acceptor>,
+    file: AcceptorFile,
+    acceptor: Option<Acceptor>,
     /// Its file was written at least once, so its life lasts.
-    lasts: bool,
-    saving: Option<SaveId>,
+    file_is_durable: bool,
+    save_in_flight: Option<SaveId>,
     /// What the write under way keeps, and what the last one kept that lasts.
-    under_way: Option<Box<AcceptorState>>,
+    saving_state: Option<Box<AcceptorState>>,
     durable: Option<Box<AcceptorState>>,
-    saves: u64,
+    saves_started: u64,
     /// Answers for when the write under way, and the one after it, lasts.
-    after_save: Vec<(CallId, Answer)>,
-    after_next: Vec<(CallId, Answer)>,
-    next_care: Ms,
+    answers_after_save: Vec<(CallId, Answer)>,
+    answers_after_next_save: Vec<(CallId, Answer)>,
+    next_acceptor_check_at: Ms,
     /// Blank voters of the first start that were heard, and those that confirmed our file.
-    lives: BTreeMap<Name, VoterId>,
-    confirmed: Vec<Name>,
+    bootstrap_voter_ids: BTreeMap<Name, VoterId>,
+    confirmed_by: Vec<Name>,
     // The proposer.
-    knows: ProposerKnowledge,
+    knowledge: ProposerKnowledge,
     newest: Option<(Option<Ballot>, ReplicatedState)>,
     /// The newest value that is known to be agreed on.
-    agreed: Option<ReplicatedState>,
+    chosen: Option<ReplicatedState>,
     bootstrap: Option<Voters>,
-    highest: u64,
-    trying: Option<Try>,
-    again_at: Ms,
-    failures: u32,
-    wishes: Vec<Wish>,
+    highest_round: u64,
+    proposal: Option<ProposalInFlight>,
+    next_proposal_at: Ms,
+    conflicts_in_a_row: u32,
+    pending_commands: Vec<PendingCommand>,
     // Duties.
-    watches: BTreeMap<LeaseName, LeaseObserver>,
-    holds: BTreeMap<LeaseName, HeldLease>,
-    giving: BTreeMap<LeaseName, Giving>,
-    jobs: BTreeMap<LeaseName, Job>,
-    next_look: Ms,
+    lease_observers: BTreeMap<LeaseName, LeaseObserver>,
+    held_leases: BTreeMap<LeaseName, HeldLease>,
+    handovers: BTreeMap<LeaseName, LeaseHandover>,
+    jobs: BTreeMap<LeaseName, LeaseJob>,
+    next_query_at: Ms,
     // The roll-call.
-    roll: Option<Membership>,
-    caller: Option<(Term, LeaseHolder)>,
+    membership: Option<Membership>,
+    membership_leader: Option<(Term, LeaseHolder)>,
     /// When the caller last heard us.
-    heard: Option<Ms>,
-    next_beat: Ms,
-    every: Ms,
-    told: Vec<PermitNotice>,
-    acts: u64,
+    leader_answered_at: Option<Ms>,
+    next_heartbeat_at: Ms,
+    heartbeat_interval: Ms,
+    report_receivers: Vec<PermitNotice>,
+    commands_sent: u64,
     receiver: Receiver,
     // Turns and releases.
     disruptions: rollout::Releasing,
     // Questions.
-    asks: u64,
-    out: BTreeMap<QuestionId, Out>,
-    inspecting: BTreeMap<CallId, operator_requests::Inspection>,
+    requests_sent: u64,
+    in_flight: BTreeMap<QuestionId, RequestInFlight>,
+    inspections: BTreeMap<CallId, operator_requests::Inspection>,
     counts: BTreeMap<&'static str, u64>,
 }
 
@@ -402,61 +402,61 @@
     pub fn new(settings: FleetSettings) -> Self {
         let rng = WyRand::new_seed(settings.seed);
         let receiver = Receiver::new(settings.incarnation, settings.lease.drift);
-        let (told, every) = (
+        let (report_receivers, heartbeat_interval) = (
             vec![PermitNotice::default(); settings.tells.len()],
             settings.heartbeat,
         );
         Member {
-            steady: MonotonicClock::default(),
+            clock: MonotonicClock::default(),
             now: 0.0,
             rng,
-            began: 0.0,
+            started_at: 0.0,
             ready: false,
             load: 0.0,
             stopping: false,
             stopped: false,
             file: if settings.may_vote {
-                File::Unread
+                AcceptorFile::Unread
             } else {
-                File::None
+                AcceptorFile::None
             },
-            voter: None,
-            lasts: false,
-            saving: None,
-            under_way: None,
+            acceptor: None,
+            file_is_durable: false,
+            save_in_flight: None,
+            saving_state: None,
             durable: None,
-            saves: 0,
-            after_save: Vec::new(),
-            after_next: Vec::new(),
-            next_care: 0.0,
-            lives: BTreeMap::new(),
-            confirmed: Vec::new(),
-            knows: ProposerKnowledge::default(),
+            saves_started: 0,
+            answers_after_save: Vec::new(),
+            answers_after_next_save: Vec::new(),
+            next_acceptor_check_at: 0.0,
+            bootstrap_voter_ids: BTreeMap::new(),
+            confirmed_by: Vec::new(),
+            knowledge: ProposerKnowledge::default(),
             newest: None,
-            agreed: None,
+            chosen: None,
             bootstrap: None,
-            highest: 0,
-            trying: None,
-            again_at: 0.0,
-            failures: 0,
-            wishes: Vec::new(),
-            watches: BTreeMap::new(),
-            holds: BTreeMap::new(),
-            giving: BTreeMap::new(),
+            highest_round: 0,
+            proposal: None,
+            next_proposal_at: 0.0,
+            conflicts_in_a_row: 0,
+            pending_commands: Vec::new(),
+            lease_observers: BTreeMap::new(),
+            held_leases: BTreeMap::new(),
+            handovers: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            next_look: 0.0,
-            roll: None,
-            caller: None,
-            heard: None,
-            next_beat: 0.0,
-            every,
-            told,
-            acts: 0,
+            next_query_at: 0.0,
+            membership: None,
+            membership_leader: None,
+            leader_answered_at: None,
+            next_heartbeat_at: 0.0,
+            heartbeat_interval,
+            report_receivers,
+            commands_sent: 0,
             receiver,
             disruptions: rollout::Releasing::default(),
-            asks: 0,
-            out: BTreeMap::new(),
-            inspecting: BTreeMap::new(),
+            requests_sent: 0,
+            in_flight: BTreeMap::new(),
+            inspections: BTreeMap::new(),
             counts: BTreeMap::new(),
             settings,
         }
@@ -465,7 +465,7 @@
     /// Takes something in at a reading of the clock, and says what is to be done.
     pub fn handle(&mut self, read: Ms, input: Input, out: &mut Vec<Output>) {
         let first = self.counts.is_empty();
-        let (now, went_back) = self.steady.take(read);
+        let (now, went_back) = self.clock.take(read);
         self.now = now;
         if first {
             self.begin();
@@ -474,14 +474,14 @@
             self.clock_went_back(out);
         }
         // What is over is over before anything else is looked at, however long the process slept.
-        self.drop_ended(out);
+        self.drop_expired(out);
         match input {
-            Input::Loaded(file) => self.loaded(file, out),
-            Input::Saved { number, lasts } => self.saved(number, lasts, out),
-            Input::Asked { call, question } => self.asked(call, question, out),
+            Input::Loaded(file) => self.file_loaded(file, out),
+            Input::Saved { number, lasts } => self.file_saved(number, lasts, out),
+            Input::Asked { call, question } => self.handle_request(call, question, out),
             Input::Answered { ask, answer } => {
-                if let Some(asked) = self.out.remove(&ask) {
-                    self.answered(asked.errand, answer, out);
+                if let Some(asked) = self.in_flight.remove(&ask) {
+                    self.handle_answer(asked.errand, answer, out);
                 }
             }
             Input::LocalHealth(local_health) => self.local_health(local_health),
@@ -489,17 +489,21 @@
             Input::Tick => {}
             Input::Stop => self.stopping = true,
         }
-        self.ask_again(out);
-        self.give_up_waiting(out);
-        self.care_for_voter(out);
+        self.resend_requests(out);
+        self.expire_requests(out);
+        self.check_acceptor(out);
         self.look_after();
-        self.go_on(out);
+        self.advance(out);
         self.heartbeat(out);
-        self.tell(out);
+        self.send_membership_reports(out);
         self.tell_turns(out);
         self.care_for_halt(out);
-        self.inspect(out);
-        if self.stopping && !self.stopped && self.holds.is_empty() && self.giving.is_empty() {
+        self.finish_inspections(out);
+        if self.stopping
+            && !self.stopped
+            && self.held_leases.is_empty()
+            && self.handovers.is_empty()
+        {
             self.stopped = true;
             out.push(Output::Stopped);
         }
@@ -509,21 +513,21 @@
     pub fn wants_call_at(&self) -> Ms {
         let mut at = f64::INFINITY;
         let mut sooner = |when: Ms| at = at.min(when);
-        self.out
+        self.in_flight
             .values()
             .for_each(|o| sooner(o.again.map_or(o.until, |(at, _)| at.min(o.until))));
-        sooner(self.next_beat);
-        self.care_at().into_iter().for_each(&mut sooner);
-        self.go_on_at().into_iter().for_each(&mut sooner);
-        self.tell_at().into_iter().for_each(&mut sooner);
+        sooner(self.next_heartbeat_at);
+        self.next_acceptor_check().into_iter().for_each(&mut sooner);
+        self.lease_timers().into_iter().for_each(&mut sooner);
+        self.next_report_at().into_iter().for_each(&mut sooner);
         self.care_wants_at().into_iter().for_each(&mut sooner);
-        self.inspecting.values().for_each(|i| sooner(i.until()));
-        self.steady.reading_at(at.max(self.now))
+        self.inspections.values().for_each(|i| sooner(i.until()));
+        self.clock.reading_at(at.max(self.now))
     }
 
     /// The duties held now, with their terms.
     pub fn held(&self) -> impl Iterator<Item = (&LeaseName, Term)> {
-        self.holds
+        self.held_leases
             .iter()
             .filter(|(_, hold)| hold.left(self.now) > 0.0)
             .map(|(lease_name, hold)| (lease_name, hold.term))
@@ -536,7 +540,7 @@
 
     /// The roll-call, where this dispatcher calls it.
     pub fn roll(&self) -> Option<&Membership> {
-        self.roll.as_ref()
+        self.membership.as_ref()
     }
 
     /// The release as this dispatcher sees it.
@@ -552,11 +556,11 @@
     fn begin(&mut self) {
         use nanorand::Rng;
         self.count("starts");
-        (self.began, self.next_look) = (self.now, self.now);
+        (self.started_at, self.next_query_at) = (self.now, self.now);
         // Hundreds that start at once do not beat at once.
         let phase: f64 = self.rng.generate();
-        self.next_beat = self.now + phase * self.settings.heartbeat;
-        self.watches.insert(
+        self.next_heartbeat_at = self.now + phase * self.settings.heartbeat;
+        self.lease_observers.insert(
             LeaseName::from(MEMBERSHIP_LEASE),
             LeaseObserver::new(self.now, &mut self.rng),
         );
@@ -579,35 +583,41 @@
             "the clock went back: no lease that was asked for before counts".to_owned(),
         ));
         let now = self.now;
-        self.holds
+        self.held_leases
             .values_mut()
-            .chain(self.giving.values_mut().map(|g| &mut g.hold))
+            .chain(self.handovers.values_mut().map(|g| &mut g.hold))
             .for_each(|h| h.until = now);
-        self.trying = None;
+        self.proposal = None;
     }
 
-    fn ask(&mut self, to: Address, question: Question, errand: Errand, out: &mut Vec<Output>) {
+    fn send_request(
+        &mut self,
+        to: Address,
+        question: Question,
+        errand: RequestPurpose,
+        out: &mut Vec<Output>,
+    ) {
         let within = self.settings.answer_within;
-        let votes = matches!(errand, Errand::Vote { .. });
+        let votes = matches!(errand, RequestPurpose::Vote { .. });
         let again = votes.then(|| (self.now + within / f64::from(AGAIN + 1), AGAIN));
-        self.ask_until(self.now + within, again, to, question, errand, out);
+        self.send_request_until(self.now + within, again, to, question, errand, out);
     }
 
-    fn ask_until(
+    fn send_request_until(
         &mut self,
         until: Ms,
         again: Option<(Ms, u32)>,
         to: Address,
         question: Question,
-        errand: Errand,
+        errand: RequestPurpose,
         out: &mut Vec<Output>,
     ) {
-        self.asks += 1;
-        let ask = QuestionId(self.asks);
+        self.requests_sent += 1;
+        let ask = QuestionId(self.requests_sent);
         let kept = again.map(|_| Box::new(question.clone()));
-        self.out.insert(
+        self.in_flight.insert(
             ask,
-            Out {
+            RequestInFlight {
                 errand,
                 until,
                 again,
@@ -619,17 +629,17 @@
     }
 
     /// Asks again what a voter has not answered, while the try goes on that it is for.
-    fn ask_again(&mut self, out: &mut Vec<Output>) {
+    fn resend_requests(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let due = |o: &Out| o.again.is_some_and(|(at, _)| at <= now);
+        let due = |o: &RequestInFlight| o.again.is_some_and(|(at, _)| at <= now);
         let due: Vec<QuestionId> = self
-            .out
+            .in_flight
             .iter()
             .filter(|(_, o)| due(o))
             .map(|(ask, _)| *ask)
             .collect();
         for ask in due {
-            let Some(asked) = self.out.get_mut(&ask) else {
+            let Some(asked) = self.in_flight.get_mut(&ask) else {
                 continue;
             };
             let (Some((_, times)), Some(question)) = (asked.again.take(), asked.question.take())
@@ -637,35 +647,35 @@
                 continue;
             };
             let (errand, to, until) = (asked.errand.clone(), asked.to.clone(), asked.until);
-            let ballot = self.trying.as_ref().map(|t| &t.round.ballot);
-            if matches!(&errand, Errand::Vote { ballot: of, .. } if Some(of) == ballot) {
+            let ballot = self.proposal.as_ref().map(|t| &t.round.ballot);
+            if matches!(&errand, RequestPurpose::Vote { ballot: of, .. } if Some(of) == ballot) {
                 self.count("asked again");
                 let step = self.settings.answer_within / f64::from(AGAIN + 1);
                 let again = (times > 1).then_some((now + step, times - 1));
-                self.ask_until(until, again, to, *question, errand, out);
+                self.send_request_until(until, again, to, *question, errand, out);
             }
         }
     }
 
-    fn asked(&mut self, call: CallId, question: Question, out: &mut Vec<Output>) {
+    fn handle_request(&mut self, call: CallId, question: Question, out: &mut Vec<Output>) {
         let answer = match question {
-            Question::Vote(ask) => return self.vote(call, &ask, out),
-            Question::Look => Answer::Seen(self.seen()),
+            Question::Vote(ask) => return self.proposer_request(call, &ask, out),
+            Question::Look => Answer::Seen(self.voter_state()),
             Question::Witness { of, voter_id } => {
                 let who = (of, voter_id);
                 let kept = self
-                    .voter
+                    .acceptor
                     .as_ref()
                     .and_then(|v| v.kept.heard.get(&who))
                     .copied();
                 let writes = kept
                     .unwrap_or(0)
-                    .max(self.knows.heard.get(&who).copied().unwrap_or(0));
+                    .max(self.knowledge.heard.get(&who).copied().unwrap_or(0));
                 Answer::Witnessed { writes }
             }
-            Question::Heartbeat(heartbeat) => Answer::Heard(self.hear(heartbeat)),
+            Question::Heartbeat(heartbeat) => Answer::Heard(self.heartbeat_received(heartbeat)),
             Question::Nudge { lease_name } => {
-                self.nudged(&lease_name, out);
+                self.lease_offered(&lease_name, out);
                 Answer::Done
             }
             Question::FencedCommand(act) => {
@@ -694,10 +704,15 @@
         out.push(Output::Answer { call, answer });
     }
 
-    fn answered(&mut self, errand: Errand, answer: Option<Answer>, out: &mut Vec<Output>) {
+    fn handle_answer(
+        &mut self,
+        errand: RequestPurpose,
+        answer: Option<Answer>,
+        out: &mut Vec<Output>,
+    ) {
         match (errand, answer) {
             (
-                Errand::Vote {
+                RequestPurpose::Vote {
                     from,
                     voter_id,
                     ballot,
@@ -709,37 +724,39 @@
                     Some(Answer::Vote(said)) => Some(said),
                     _ => None,
                 };
-                self.voted((&from, voter_id), &ballot, taking, said, out);
+                self.acceptor_answered((&from, voter_id), &ballot, taking, said, out);
+            }
+            (RequestPurpose::Look { of, .. }, Some(Answer::Seen(seen))) => {
+                self.voter_state_received(&of, seen, out)
             }
-            (Errand::Look { of, .. }, Some(Answer::Seen(seen))) => self.looked(&of, seen, out),
             (
-                Errand::Look {
+                RequestPurpose::Look {
                     next: Some((at, times)),
                     ..
                 },
                 None,
-            ) => self.look_at(at, times, out),
-            (Errand::Inspect { of, call }, answer) => {
+            ) => self.query_voters_from(at, times, out),
+            (RequestPurpose::Inspect { of, call }, answer) => {
                 let seen = match answer {
                     Some(Answer::Seen(seen)) => Some(seen),
                     _ => None,
                 };
                 if let Some(seen) = &seen {
-                    self.looked(&of, seen.clone(), out);
+                    self.voter_state_received(&of, seen.clone(), out);
                 }
-                self.inspected(call, &of, seen, out);
+                self.inspection_answered(call, &of, seen, out);
             }
-            (Errand::Witness { of }, Some(Answer::Witnessed { writes })) => {
-                self.witnessed(of, writes, out)
+            (RequestPurpose::Witness { of }, Some(Answer::Witnessed { writes })) => {
+                self.write_count_received(of, writes, out)
             }
-            (Errand::Heartbeat { to }, answer) => {
+            (RequestPurpose::Heartbeat { to }, answer) => {
                 let heard = match answer {
                     Some(Answer::Heard(heard)) => Some(heard),
                     _ => None,
                 };
-                self.beat_answered(to, heard, out);
+                self.heartbeat_answered(to, heard, out);
             }
-            (Errand::FencedCommand { to }, answer) => {
+            (RequestPurpose::FencedCommand { to }, answer) => {
                 let verdict = match answer {
                     Some(Answer::FencingDecision {
                         verdict,
@@ -747,9 +764,9 @@
                     }) => Some((verdict, receiver_timestamp)),
                     _ => None,
                 };
-                self.told(to, verdict);
+                self.report_answered(to, verdict);
             }
-            (Errand::TurnAct { to, permit }, answer) => {
+            (RequestPurpose::TurnAct { to, permit }, answer) => {
                 let verdict = match answer {
                     Some(Answer::FencingDecision {
                         verdict,
@@ -759,45 +776,50 @@
                 };
                 self.turn_told(&to, permit, verdict, out);
             }
-            (Errand::ByHand { call, note }, answer) => {
+            (RequestPurpose::ByHand { call, note }, answer) => {
                 let reply = match answer {
                     Some(Answer::Reply(reply)) => Some(reply),
                     _ => None,
                 };
                 self.stopped_by_hand(call, note, reply, out);
             }
-            (errand @ (Errand::Revoke { .. } | Errand::HaltAsk { .. }), answer) => {
+            (errand @ (RequestPurpose::Revoke { .. } | RequestPurpose::HaltAsk { .. }), answer) => {
                 let begun = match answer {
                     Some(Answer::Begun { begun }) => Some(begun),
                     _ => None,
                 };
                 self.asked_back_said(&errand, begun);
             }
-            (Errand::Look { .. } | Errand::Witness { .. } | Errand::Nudge, _) => {}
+            (
+                RequestPurpose::Look { .. }
+                | RequestPurpose::Witness { .. }
+                | RequestPurpose::Nudge,
+                _,
+            ) => {}
         }
     }
 
     /// What was not answered in time is lost.
-    fn give_up_waiting(&mut self, out: &mut Vec<Output>) {
-        let late = |o: &Out| o.until <= self.now;
+    fn expire_requests(&mut self, out: &mut Vec<Output>) {
+        let late = |o: &RequestInFlight| o.until <= self.now;
         let lost: Vec<QuestionId> = self
-            .out
+            .in_flight
             .iter()
             .filter(|(_, o)| late(o))
             .map(|(ask, _)| *ask)
             .collect();
         for ask in lost {
-            if let Some(asked) = self.out.remove(&ask) {
+            if let Some(asked) = self.in_flight.remove(&ask) {
                 self.count("unanswered");
-                self.answered(asked.errand, None, out);
+                self.handle_answer(asked.errand, None, out);
             }
         }
     }
 
     /// The voters as known: by the newest value, else those of the first start.
-    fn view(&self) -> Option<&Voters> {
+    fn known_voter_set(&self) -> Option<&Voters> {
         let bootstrap = self
-            .voter
+            .acceptor
             .as_ref()
             .and_then(|v| v.kept.bootstrap.as_ref())
             .or(self.bootstrap.as_ref());
@@ -808,9 +830,9 @@
     }
 
     /// Where to ask who votes: the voters as known, and those of the settings.
-    fn whom_to_look_at(&self) -> BTreeMap<Name, Address> {
+    fn known_voters(&self) -> BTreeMap<Name, Address> {
         let mut all = self.settings.voters.clone();
-        if let Some(view) = self.view() {
+        if let Some(view) = self.known_voter_set() {
             all.extend(
                 view.all()
                     .into_iter()
--- a/src/coordination/member/operator_requests.rs
+++ b/src/coordination/member/operator_requests.rs
@@ -179,7 +179,7 @@
     pub(super) fn order(&mut self, call: CallId, order: OperatorRequest, out: &mut Vec<Output>) {
         let reply = match order {
             OperatorRequest::Status => {
-                let all = self.whom_to_look_at();
+                let all = self.known_voters();
                 return self.begin_inspection(call, all, None, out);
             }
             OperatorRequest::HandOver { lease_name, to } => {
@@ -187,7 +187,7 @@
             }
             OperatorRequest::AddVoter { name, address } => {
                 let known = self
-                    .roll
+                    .membership
                     .as_ref()
                     .and_then(|roll| roll.address(&name))
                     .cloned();
@@ -202,7 +202,7 @@
                         return self.begin_inspection(call, all, Some((name, address)), out);
                     }
                     None => match self
-                        .caller
+                        .membership_leader
                         .as_ref()
                         .filter(|(_, h)| h.name != self.settings.me)
                     {
@@ -215,12 +215,12 @@
                 }
             }
             OperatorRequest::RemoveVoter { name } => {
-                return self.wish(call, Command::RemoveVoter { name })
+                return self.submit_command(call, Command::RemoveVoter { name })
             }
             OperatorRequest::HoldLease { lease_name, job } => self.order_hold(lease_name, job),
             OperatorRequest::LetGo { lease_name, job } => {
                 if self.jobs.get(&lease_name).is_some_and(|j| j.number == job) {
-                    self.let_go(&lease_name, out);
+                    self.end_job(&lease_name, out);
                 }
                 Reply::Done(format!("{} let go", lease_name.0))
             }
@@ -247,8 +247,8 @@
         to: Option<Name>,
         out: &mut Vec<Output>,
     ) -> Reply {
-        if self.holds.contains_key(lease_name) {
-            let roll = self.roll.as_ref();
+        if self.held_leases.contains_key(lease_name) {
+            let roll = self.membership.as_ref();
             let first = || roll.and_then(|roll| roll.first_for(lease_name)).cloned();
             let Some(next) = to.or_else(first) else {
                 return Reply::Refused(format!("nobody is known that could hold {}", lease_name.0));
@@ -295,22 +295,22 @@
             None => {
                 self.jobs.insert(
                     lease_name.clone(),
-                    Job {
+                    LeaseJob {
                         number: job,
                         asked: now,
                     },
                 );
-                self.watches
+                self.lease_observers
                     .insert(lease_name.clone(), LeaseObserver::new(now, &mut self.rng));
                 // Whoever asks first for a new duty comes first.
-                if let Some(watch) = self.watches.get_mut(&lease_name) {
+                if let Some(watch) = self.lease_observers.get_mut(&lease_name) {
                     watch.place = Some(0);
                 }
-                self.next_look = now;
+                self.next_query_at = now;
             }
         }
         match self
-            .holds
+            .held_leases
             .get(&lease_name)
             .filter(|hold| hold.left(now) > 0.0)
         {
@@ -339,41 +339,46 @@
             until,
             wish,
         };
-        self.inspecting.insert(call, inspection);
+        self.inspections.insert(call, inspection);
         for (of, to) in asked {
             if of == self.settings.me {
-                let seen = self.seen();
-                self.inspected(call, &of, Some(seen), out);
+                let seen = self.voter_state();
+                self.inspection_answered(call, &of, Some(seen), out);
             } else {
-                self.ask(to, Question::Look, Errand::Inspect { of, call }, out);
+                self.send_request(
+                    to,
+                    Question::Look,
+                    RequestPurpose::Inspect { of, call },
+                    out,
+                );
             }
         }
     }
 
-    pub(super) fn inspected(
+    pub(super) fn inspection_answered(
         &mut self,
         call: CallId,
         of: &Name,
         seen: Option<Seen>,
         _: &mut [Output],
     ) {
-        if let Some(inspection) = self.inspecting.get_mut(&call) {
+        if let Some(inspection) = self.inspections.get_mut(&call) {
             inspection.found.insert(of.clone(), seen);
         }
     }
 
     /// Answers the orders whose voters have been looked at.
-    pub(super) fn inspect(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn finish_inspections(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let over = |i: &Inspection| i.found.len() >= i.asked.len() || now >= i.until;
         let ended: Vec<CallId> = self
-            .inspecting
+            .inspections
             .iter()
             .filter(|(_, i)| over(i))
             .map(|(call, _)| *call)
             .collect();
         for call in ended {
-            let Some(inspection) = self.inspecting.remove(&call) else {
+            let Some(inspection) = self.inspections.remove(&call) else {
                 continue;
             };
             let reply = match &inspection.wish {
@@ -395,14 +400,14 @@
                         voter_id,
                         address: address.clone(),
                     };
-                    self.wish(
+                    self.submit_command(
                         call,
                         Command::AddVoter {
                             name: name.clone(),
                             voter_record,
                         },
                     );
-                    self.go_on(out);
+                    self.advance(out);
                     continue;
                 }
             };
@@ -416,11 +421,11 @@
     /// What this dispatcher can tell of the fleet.
     fn status(&self, inspection: &Inspection) -> Status {
         let newest = self.newest();
-        let view = self.view();
+        let view = self.known_voter_set();
         let voter_records = view.map(Voters::all).unwrap_or_default();
         let line = |(name, address): (&Name, &Address)| {
             let seen = match *name == self.settings.me {
-                true => Some(self.seen()),
+                true => Some(self.voter_state()),
                 false => inspection.found.get(name).cloned().flatten(),
             };
             let voter_id = voter_records
@@ -455,7 +460,7 @@
             (lease_name.clone(), row.term, row.holder.clone())
         };
         let least = self.settings.heartbeat;
-        let roll = self.roll.as_ref();
+        let roll = self.membership.as_ref();
         let member =
             |(name, member): (&Name, &crate::coordination::membership::Member)| MemberLine {
                 name: name.clone(),
@@ -487,7 +492,7 @@
                 .map(member)
                 .collect(),
             caller: self
-                .caller
+                .membership_leader
                 .as_ref()
                 .filter(|(_, h)| h.incarnation != self.settings.incarnation)
                 .map(|(_, h)| h.address.clone()),
@@ -495,26 +500,26 @@
         }
     }
 
-    pub(super) fn wish(&mut self, call: CallId, change: Command) {
+    pub(super) fn submit_command(&mut self, call: CallId, change: Command) {
         let until = self.now + WITHIN;
-        self.wishes.push(Wish {
+        self.pending_commands.push(PendingCommand {
             call,
             change,
             until,
         });
     }
 
-    pub(super) fn wish_done(
+    pub(super) fn command_done(
         &mut self,
         call: CallId,
         done: Result<(), CommandError>,
         value: Option<&ReplicatedState>,
         out: &mut Vec<Output>,
     ) {
-        let Some(at) = self.wishes.iter().position(|w| w.call == call) else {
+        let Some(at) = self.pending_commands.iter().position(|w| w.call == call) else {
             return;
         };
-        let wish = self.wishes.remove(at);
+        let wish = self.pending_commands.remove(at);
         let (name, what) = match &wish.change {
             Command::AddVoter { name, .. } => (name.0.clone(), "votes from now on"),
             Command::RemoveVoter { name } => (name.0.clone(), "votes no more"),
@@ -547,16 +552,16 @@
         });
     }
 
-    pub(super) fn wishes_too_late(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn expire_commands(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let late: Vec<CallId> = self
-            .wishes
+            .pending_commands
             .iter()
             .filter(|w| w.until <= now)
             .map(|w| w.call)
             .collect();
         for call in late {
-            self.wishes.retain(|w| w.call != call);
+            self.pending_commands.retain(|w| w.call != call);
             let why = "no majority of the voters answers; it may still have been done: look again"
                 .to_owned();
             out.push(Output::Answer {
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -16,25 +16,25 @@
 
 impl Member {
     /// A value was seen at a voter, or agreed on.
-    pub(super) fn saw(&mut self, ballot: Option<Ballot>, value: ReplicatedState) {
+    pub(super) fn observe_state(&mut self, ballot: Option<Ballot>, value: ReplicatedState) {
         if let Some(ballot) = &ballot {
-            self.highest = self.highest.max(ballot.round);
+            self.highest_round = self.highest_round.max(ballot.round);
         }
         if self.newest.as_ref().is_none_or(|(at, _)| *at < ballot) {
             let caller = holder_of(&value, &LeaseName::from(MEMBERSHIP_LEASE));
             let caller = caller.map(|(term, holder)| (term, holder.clone()));
             self.newest = Some((ballot, value));
             if let Some(caller) = caller {
-                self.learn_caller(caller);
+                self.learn_membership_leader(caller);
             }
         }
-        self.show_watches();
+        self.update_lease_observers();
     }
 
     /// Shows the newest value to those that wait for duties.
-    pub(super) fn show_watches(&mut self) {
+    pub(super) fn update_lease_observers(&mut self) {
         let value = self.newest.as_ref().map(|(_, value)| value);
-        for (lease_name, watch) in &mut self.watches {
+        for (lease_name, watch) in &mut self.lease_observers {
             let row: Option<&LeaseRecord> = value.and_then(|v| v.leases.get(lease_name));
             watch.saw(self.now, row, &mut self.rng);
         }
@@ -43,8 +43,8 @@
     /// Whether this dispatcher is to take a duty if it falls free.
     fn contends(&self, lease_name: &LeaseName) -> bool {
         if self.stopping
-            || self.holds.contains_key(lease_name)
-            || self.giving.contains_key(lease_name)
+            || self.held_leases.contains_key(lease_name)
+            || self.handovers.contains_key(lease_name)
         {
             return false;
         }
@@ -52,45 +52,48 @@
             false => self.jobs.contains_key(lease_name),
             // Whoever has no place in the line comes only when the caller does not hear it.
             true => {
-                let watch = self.watches.get(lease_name);
+                let watch = self.lease_observers.get(lease_name);
                 let named = watch.is_some_and(|w| w.place.is_some() || w.names(&self.settings.me));
-                named || self.is_voter() || !self.caller_hears()
+                named || self.is_voter() || !self.leader_answers()
             }
         }
     }
 
     fn is_voter(&self) -> bool {
         let me = &self.settings.me;
-        self.voter.is_some() && self.view().is_some_and(|view| view.set.contains_key(me))
+        self.acceptor.is_some()
+            && self
+                .known_voter_set()
+                .is_some_and(|view| view.set.contains_key(me))
     }
 
     /// Whether the caller of the roll heard this dispatcher lately.
-    pub(super) fn caller_hears(&self) -> bool {
-        self.caller.is_some()
+    pub(super) fn leader_answers(&self) -> bool {
+        self.membership_leader.is_some()
             && self
-                .heard
-                .is_some_and(|at| self.now - at < 3.0 * self.every)
+                .leader_answered_at
+                .is_some_and(|at| self.now - at < 3.0 * self.heartbeat_interval)
     }
 
     /// What is over by itself: leases, jobs.
-    pub(super) fn drop_ended(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn drop_expired(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         if !is_injected(InjectedFault::PauseUnnoticed) {
             let over = |hold: &HeldLease| hold.left(now) <= 0.0;
             let ended: Vec<LeaseName> = self
-                .holds
+                .held_leases
                 .iter()
                 .filter(|(_, h)| over(h))
                 .map(|(lease_name, _)| lease_name.clone())
                 .collect();
             for lease_name in ended {
                 self.count("leases over");
-                self.lose(&lease_name, out);
+                self.drop_lease(&lease_name, out);
             }
-            self.giving.retain(|_, giving| !over(&giving.hold));
+            self.handovers.retain(|_, giving| !over(&giving.hold));
         }
         let longest = JOB_FOR * self.settings.lease.lease;
-        let gone = |job: &Job| now - job.asked >= longest;
+        let gone = |job: &LeaseJob| now - job.asked >= longest;
         let idle: Vec<LeaseName> = self
             .jobs
             .iter()
@@ -98,14 +101,14 @@
             .map(|(lease_name, _)| lease_name.clone())
             .collect();
         for lease_name in idle {
-            self.let_go(&lease_name, out);
+            self.end_job(&lease_name, out);
         }
     }
 
     /// The job is over: the duty is given up, for whoever contends for it.
-    pub(super) fn let_go(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
+    pub(super) fn end_job(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         self.jobs.remove(lease_name);
-        self.watches.remove(lease_name);
+        self.lease_observers.remove(lease_name);
         self.hand_over(lease_name, None, out);
     }
 
@@ -116,21 +119,21 @@
         next: Option<Name>,
         out: &mut Vec<Output>,
     ) {
-        if let Some(hold) = self.holds.get(lease_name).copied() {
-            let roll = self.roll.as_ref();
+        if let Some(hold) = self.held_leases.get(lease_name).copied() {
+            let roll = self.membership.as_ref();
             let address = |name: &Name| {
                 roll.and_then(|r| r.address(name))
                     .or(self.settings.voters.get(name))
             };
             let to = next.as_ref().and_then(address).cloned();
-            self.lose(lease_name, out);
-            self.giving
-                .insert(lease_name.clone(), Giving { hold, next, to });
+            self.drop_lease(lease_name, out);
+            self.handovers
+                .insert(lease_name.clone(), LeaseHandover { hold, next, to });
         }
     }
 
-    fn lose(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
-        if let Some(hold) = self.holds.remove(lease_name) {
+    fn drop_lease(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
+        if let Some(hold) = self.held_leases.remove(lease_name) {
             out.push(Output::Holds {
                 lease_name: lease_name.clone(),
                 term: hold.term,
@@ -138,44 +141,44 @@
             });
         }
         if lease_name.0.as_ref() == MEMBERSHIP_LEASE {
-            self.roll = None;
-            self.heard = None;
+            self.membership = None;
+            self.leader_answered_at = None;
         }
-        if let Some(watch) = self.watches.get_mut(lease_name) {
+        if let Some(watch) = self.lease_observers.get_mut(lease_name) {
             watch.place = None;
         }
     }
 
-    fn hold(&mut self, lease_name: &LeaseName, hold: HeldLease, out: &mut Vec<Output>) {
-        if self.holds.insert(lease_name.clone(), hold).is_none() {
+    fn lease_acquired(&mut self, lease_name: &LeaseName, hold: HeldLease, out: &mut Vec<Output>) {
+        if self.held_leases.insert(lease_name.clone(), hold).is_none() {
             out.push(Output::Holds {
                 lease_name: lease_name.clone(),
                 term: hold.term,
                 held: true,
             });
             if lease_name.0.as_ref() == MEMBERSHIP_LEASE {
-                self.roll = Some(Membership::begin(self.now));
-                self.caller = Some((hold.term, self.me()));
-                self.next_beat = self.now;
+                self.membership = Some(Membership::begin(self.now));
+                self.membership_leader = Some((hold.term, self.me()));
+                self.next_heartbeat_at = self.now;
             }
         }
     }
 
     /// When something of this falls due.
-    pub(super) fn go_on_at(&self) -> Vec<Ms> {
+    pub(super) fn lease_timers(&self) -> Vec<Ms> {
         let mut at = Vec::new();
         let (settings, me) = (&self.settings.lease, self.me());
         if self
-            .watches
+            .lease_observers
             .keys()
             .any(|lease_name| self.contends(lease_name))
         {
-            at.push(self.next_look.min(self.now + settings.look_every()));
+            at.push(self.next_query_at.min(self.now + settings.look_every()));
         }
         at.extend(
-            self.holds
+            self.held_leases
                 .values()
-                .chain(self.giving.values().map(|g| &g.hold))
+                .chain(self.handovers.values().map(|g| &g.hold))
                 .map(|hold| hold.until),
         );
         at.extend(
@@ -183,46 +186,50 @@
                 .values()
                 .map(|job| job.asked + JOB_FOR * settings.lease),
         );
-        at.extend(self.wishes.iter().map(|wish| wish.until));
-        if self.trying.is_none() {
+        at.extend(self.pending_commands.iter().map(|wish| wish.until));
+        if self.proposal.is_none() {
             let renew = self
-                .holds
+                .held_leases
                 .values()
                 .map(|hold| hold.asked + settings.renew_after());
             let takes = self
-                .watches
+                .lease_observers
                 .iter()
                 .filter(|(lease_name, _)| self.contends(lease_name))
                 .map(|(_, watch)| {
                     (self.now + watch.waits(&me, self.is_voter(), settings))
-                        .max(self.acts_done_at())
+                        .max(self.fenced_commands_over_at())
                 });
-            let gives = !self.giving.is_empty() && self.acts_are_done();
+            let gives = !self.handovers.is_empty() && self.fenced_commands_are_over();
             let steps = self.wanted_step().is_some();
-            let now =
-                (gives || steps || !self.wishes.is_empty() || self.settles()).then_some(self.now);
+            let now = (gives
+                || steps
+                || !self.pending_commands.is_empty()
+                || self.can_finish_voter_change())
+            .then_some(self.now);
             let next = renew.chain(takes).chain(now).fold(f64::INFINITY, f64::min);
-            at.push(next.max(self.again_at));
+            at.push(next.max(self.next_proposal_at));
         }
         at
     }
 
     /// Whether a change of voters is agreed on and is only to be ended.
-    fn settles(&self) -> bool {
-        let changing = |v: &Voters| v.before.is_some() && self.knows.settled.as_ref() == Some(v);
+    fn can_finish_voter_change(&self) -> bool {
+        let changing =
+            |v: &Voters| v.before.is_some() && self.knowledge.settled.as_ref() == Some(v);
         self.newest
             .as_ref()
             .is_some_and(|(_, value)| changing(&value.voters))
     }
 
     /// The change that is wanted most, if there is one.
-    fn wanted(&self) -> Option<(Purpose, Command)> {
+    fn next_command(&self) -> Option<(ProposalReason, Command)> {
         let settings = &self.settings.lease;
         let who = self.me();
-        let given = |(lease_name, _): &(&LeaseName, &Giving)| {
-            lease_name.0.as_ref() != MEMBERSHIP_LEASE || self.acts_are_done()
+        let given = |(lease_name, _): &(&LeaseName, &LeaseHandover)| {
+            lease_name.0.as_ref() != MEMBERSHIP_LEASE || self.fenced_commands_are_over()
         };
-        if let Some((lease_name, giving)) = self.giving.iter().find(given) {
+        if let Some((lease_name, giving)) = self.handovers.iter().find(given) {
             let (term, next) = (giving.hold.term, giving.next.clone());
             let change = Command::Resign {
                 lease_name: lease_name.clone(),
@@ -230,25 +237,25 @@
                 who,
                 next,
             };
-            return Some((Purpose::GiveUp(lease_name.clone()), change));
+            return Some((ProposalReason::GiveUp(lease_name.clone()), change));
         }
         let due = |hold: &HeldLease| hold.asked + settings.renew_after() <= self.now;
-        if self.holds.values().any(due) {
+        if self.held_leases.values().any(due) {
             let leases = self
-                .holds
+                .held_leases
                 .iter()
                 .map(|(lease_name, hold)| (lease_name.clone(), hold.term))
                 .collect();
-            return Some((Purpose::Renew, Command::Renew { who, leases }));
+            return Some((ProposalReason::Renew, Command::Renew { who, leases }));
         }
         let voter = self.is_voter();
         // Acts of an earlier term of our own must not be obeyed after one of the next.
         let free = |(lease_name, watch): &(&LeaseName, &LeaseObserver)| {
             self.contends(lease_name)
-                && self.acts_are_done()
+                && self.fenced_commands_are_over()
                 && watch.waits(&who, voter, settings) <= 0.0
         };
-        if let Some((lease_name, watch)) = self.watches.iter().find(free) {
+        if let Some((lease_name, watch)) = self.lease_observers.iter().find(free) {
             let (lease_ms, seen) = (settings.lease_ms(), watch.mark());
             let change = Command::Acquire {
                 lease_name: lease_name.clone(),
@@ -256,27 +263,30 @@
                 lease_ms,
                 seen,
             };
-            return Some((Purpose::Take(lease_name.clone()), change));
+            return Some((ProposalReason::Take(lease_name.clone()), change));
         }
-        if let Some(wish) = self.wishes.first() {
-            return Some((Purpose::Wish(wish.call), wish.change.clone()));
+        if let Some(wish) = self.pending_commands.first() {
+            return Some((
+                ProposalReason::OperatorCommand(wish.call),
+                wish.change.clone(),
+            ));
         }
         if let Some(step) = self.wanted_step() {
             return Some(step);
         }
-        self.settles()
-            .then_some((Purpose::Settle, Command::FinishVoterChange))
+        self.can_finish_voter_change()
+            .then_some((ProposalReason::Settle, Command::FinishVoterChange))
     }
 
     /// Looks where it has to, and begins the try that is wanted.
-    pub(super) fn go_on(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn advance(&mut self, out: &mut Vec<Output>) {
         if self.stopping {
             let next = self
-                .roll
+                .membership
                 .as_ref()
                 .and_then(|r| r.first_for(&LeaseName::from(MEMBERSHIP_LEASE)))
                 .cloned();
-            for lease_name in self.holds.keys().cloned().collect::<Vec<_>>() {
+            for lease_name in self.held_leases.keys().cloned().collect::<Vec<_>>() {
                 let next = next
                     .clone()
                     .filter(|_| lease_name.0.as_ref() == MEMBERSHIP_LEASE);
@@ -284,75 +294,80 @@
             }
         }
         let contending: Vec<LeaseName> = self
-            .watches
+            .lease_observers
             .keys()
             .filter(|lease_name| self.contends(lease_name))
             .cloned()
             .collect();
-        if !contending.is_empty() && self.now >= self.next_look {
-            let strangers = !self.is_voter() && self.watches.values().all(|w| w.place.is_none());
+        if !contending.is_empty() && self.now >= self.next_query_at {
+            let strangers =
+                !self.is_voter() && self.lease_observers.values().all(|w| w.place.is_none());
             // Those that come only as a last resort look no more often than they beat: there may be hundreds.
-            let least = if strangers { self.every } else { 0.0 };
+            let least = if strangers {
+                self.heartbeat_interval
+            } else {
+                0.0
+            };
             let spread: f64 = self.rng.generate();
-            self.next_look =
+            self.next_query_at =
                 self.now + self.settings.lease.look_every().max(least) * (0.75 + 0.5 * spread);
-            self.look_somewhere(out);
+            self.query_any_voter(out);
         }
         let lease = self.settings.lease;
         for lease_name in &contending {
-            if let Some(watch) = self.watches.get_mut(lease_name) {
+            if let Some(watch) = self.lease_observers.get_mut(lease_name) {
                 watch.count(self.now, &lease);
             }
         }
-        self.wishes_too_late(out);
-        if self.trying.is_some() || self.now < self.again_at {
+        self.expire_commands(out);
+        if self.proposal.is_some() || self.now < self.next_proposal_at {
             return;
         }
-        let Some(view) = self.view().cloned() else {
+        let Some(view) = self.known_voter_set().cloned() else {
             return;
         };
-        let Some((purpose, change)) = self.wanted() else {
+        let Some((purpose, change)) = self.next_command() else {
             return;
         };
-        self.highest += 1;
+        self.highest_round += 1;
         let incarnation = if is_injected(InjectedFault::BallotAgain) {
             Incarnation(0)
         } else {
             self.settings.incarnation
         };
         let ballot = Ballot {
-            round: self.highest,
+            round: self.highest_round,
             by: self.settings.me.clone(),
             incarnation,
         };
-        let (round, asks) = Proposal::begin(ballot.clone(), view, change, &self.knows);
+        let (round, asks) = Proposal::begin(ballot.clone(), view, change, &self.knowledge);
         self.count("tries");
-        self.trying = Some(Try {
+        self.proposal = Some(ProposalInFlight {
             round,
             purpose,
             asked: self.now,
         });
-        self.ask_voters(&ballot, asks, out);
+        self.send_to_acceptors(&ballot, asks, out);
     }
 
     /// Asks any one voter what it took last.
-    pub(super) fn look_somewhere(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn query_any_voter(&mut self, out: &mut Vec<Output>) {
         let at = self.rng.generate_range(0..MAX_VOTERS);
-        self.look_at(at, 1, out);
+        self.query_voters_from(at, 1, out);
     }
 
     /// Asks one voter, and if it does not answer the next, so many times in all: with one of three gone, a third of
     /// hundreds would wait for their next beat, and a third of those again.
-    pub(super) fn look_at(&mut self, at: usize, times: usize, out: &mut Vec<Output>) {
-        let all: Vec<_> = self.whom_to_look_at().into_iter().collect();
+    pub(super) fn query_voters_from(&mut self, at: usize, times: usize, out: &mut Vec<Output>) {
+        let all: Vec<_> = self.known_voters().into_iter().collect();
         if let Some((of, to)) = all.get(at % all.len().max(1)).cloned() {
             self.count("looks");
             let next = (times < all.len()).then_some((at + 1, times + 1));
-            self.ask(to, Question::Look, Errand::Look { of, next }, out);
+            self.send_request(to, Question::Look, RequestPurpose::Look { of, next }, out);
         }
     }
 
-    fn ask_voters(
+    fn send_to_acceptors(
         &mut self,
         ballot: &Ballot,
         asks: Vec<(
@@ -364,18 +379,18 @@
     ) {
         for (from, voter_record, ask) in asks {
             let taking = matches!(ask, register::AcceptorRequest::Accept { .. });
-            let errand = Errand::Vote {
+            let errand = RequestPurpose::Vote {
                 from,
                 voter_id: voter_record.voter_id,
                 ballot: ballot.clone(),
                 taking,
             };
-            self.ask(voter_record.address, Question::Vote(ask), errand, out);
+            self.send_request(voter_record.address, Question::Vote(ask), errand, out);
         }
     }
 
     /// A voter answered a try, or did not.
-    pub(super) fn voted(
+    pub(super) fn acceptor_answered(
         &mut self,
         (from, voter_id): (&Name, VoterId),
         ballot: &Ballot,
@@ -383,67 +398,74 @@
         said: Option<&AcceptorReply>,
         out: &mut Vec<Output>,
     ) {
-        let Some(trying) = self.trying.as_mut().filter(|t| t.round.ballot == *ballot) else {
+        let Some(trying) = self.proposal.as_mut().filter(|t| t.round.ballot == *ballot) else {
             return;
         };
         let (asks, end) = trying
             .round
-            .heard(from, voter_id, taking, said, &mut self.knows);
-        self.ask_voters(ballot, asks, out);
+            .heard(from, voter_id, taking, said, &mut self.knowledge);
+        self.send_to_acceptors(ballot, asks, out);
         if let Some(end) = end {
-            if let Some(trying) = self.trying.take() {
-                self.tried(trying, end, out);
+            if let Some(trying) = self.proposal.take() {
+                self.proposal_ended(trying, end, out);
             }
         }
     }
 
-    fn tried(&mut self, trying: Try, end: ProposalOutcome, out: &mut Vec<Output>) {
-        let Try {
+    fn proposal_ended(
+        &mut self,
+        trying: ProposalInFlight,
+        end: ProposalOutcome,
+        out: &mut Vec<Output>,
+    ) {
+        let ProposalInFlight {
             round,
             purpose,
             asked,
         } = trying;
         match end {
             ProposalOutcome::Chosen(value) => {
-                self.failures = 0;
+                self.conflicts_in_a_row = 0;
                 self.count("agreed");
                 if self
-                    .agreed
+                    .chosen
                     .as_ref()
                     .is_none_or(|known| known.version < value.version)
                 {
-                    self.agreed = Some(value.clone());
+                    self.chosen = Some(value.clone());
                 }
-                self.agreed(purpose, &value, asked, out);
-                self.saw(Some(round.ballot), value);
+                self.command_chosen(purpose, &value, asked, out);
+                self.observe_state(Some(round.ballot), value);
             }
             ProposalOutcome::Rejected(why, base) => {
-                self.failures = 0;
+                self.conflicts_in_a_row = 0;
                 self.count("refused");
-                self.refused(purpose, why, out);
+                self.command_rejected(purpose, why, out);
                 // What a majority showed at this ballot is newer than anything seen before.
-                self.saw(Some(round.ballot), base);
+                self.observe_state(Some(round.ballot), base);
             }
             ProposalOutcome::Conflict(by) => {
                 self.count("outbid");
-                self.highest = self.highest.max(by.map_or(0, |b| b.round));
-                let (doubled, chance) =
-                    (self.failures.min(AGAIN_DOUBLED), self.rng.generate::<f64>());
+                self.highest_round = self.highest_round.max(by.map_or(0, |b| b.round));
+                let (doubled, chance) = (
+                    self.conflicts_in_a_row.min(AGAIN_DOUBLED),
+                    self.rng.generate::<f64>(),
+                );
                 // The other try takes as long as this one did: who comes back before only puts an end to it as well.
                 let took = self.now - asked;
                 let wait = took.max(AGAIN * self.settings.lease.lease * f64::from(doubled).exp2());
-                self.again_at = self.now + wait * (0.5 + chance);
-                self.failures += 1;
-                if purpose == Purpose::RolloutStep {
+                self.next_proposal_at = self.now + wait * (0.5 + chance);
+                self.conflicts_in_a_row += 1;
+                if purpose == ProposalReason::RolloutStep {
                     self.step_tried(false);
                 }
             }
         }
     }
 
-    fn agreed(
+    fn command_chosen(
         &mut self,
-        purpose: Purpose,
+        purpose: ProposalReason,
         value: &ReplicatedState,
         asked: Ms,
         out: &mut Vec<Output>,
@@ -451,7 +473,7 @@
         let (me, incarnation) = (self.settings.me.clone(), self.settings.incarnation);
         let settings = self.settings.lease;
         match purpose {
-            Purpose::Take(lease_name) => {
+            ProposalReason::Take(lease_name) => {
                 let row = value
                     .leases
                     .get(&lease_name)
@@ -462,15 +484,15 @@
                         "holds {} in term {}",
                         lease_name.0, term.0
                     )));
-                    self.hold(
+                    self.lease_acquired(
                         &lease_name,
                         HeldLease::new(term, asked, self.now, &settings),
                         out,
                     );
                 }
             }
-            Purpose::Renew => {
-                for (lease_name, hold) in &mut self.holds {
+            ProposalReason::Renew => {
+                for (lease_name, hold) in &mut self.held_leases {
                     let mine = |row: &&LeaseRecord| {
                         is_mine(row, &me, incarnation) && row.term == hold.term
                     };
@@ -479,49 +501,66 @@
                     }
                 }
             }
-            Purpose::GiveUp(lease_name) => {
-                let given = self.giving.remove(&lease_name);
+            ProposalReason::GiveUp(lease_name) => {
+                let given = self.handovers.remove(&lease_name);
                 self.count("handed over");
                 if let Some(to) = given.and_then(|g| g.to) {
-                    self.ask(to, Question::Nudge { lease_name }, Errand::Nudge, out);
+                    self.send_request(
+                        to,
+                        Question::Nudge { lease_name },
+                        RequestPurpose::Nudge,
+                        out,
+                    );
                 }
             }
-            Purpose::Wish(call) => self.wish_done(call, Ok(()), Some(value), out),
-            Purpose::RolloutStep => {
+            ProposalReason::OperatorCommand(call) => {
+                self.command_done(call, Ok(()), Some(value), out)
+            }
+            ProposalReason::RolloutStep => {
                 self.count("steps");
                 self.step_tried(true);
             }
-            Purpose::Settle => self.count("settled"),
+            ProposalReason::Settle => self.count("settled"),
         }
     }
 
-    fn refused(&mut self, purpose: Purpose, why: CommandError, out: &mut Vec<Output>) {
+    fn command_rejected(
+        &mut self,
+        purpose: ProposalReason,
+        why: CommandError,
+        out: &mut Vec<Output>,
+    ) {
         match purpose {
-            Purpose::Take(_) => {
+            ProposalReason::Take(_) => {
                 // Guards against trying the same at once, where what was seen is newer than what is agreed on.
-                self.again_at = self.now + self.settings.lease.gap();
+                self.next_proposal_at = self.now + self.settings.lease.gap();
             }
-            Purpose::Renew => {
-                for lease_name in self.holds.keys().cloned().collect::<Vec<_>>() {
-                    self.lose(&lease_name, out);
+            ProposalReason::Renew => {
+                for lease_name in self.held_leases.keys().cloned().collect::<Vec<_>>() {
+                    self.drop_lease(&lease_name, out);
                 }
             }
-            Purpose::GiveUp(lease_name) => {
-                self.giving.remove(&lease_name);
+            ProposalReason::GiveUp(lease_name) => {
+                self.handovers.remove(&lease_name);
             }
-            Purpose::Wish(call) => self.wish_done(call, Err(why), None, out),
-            Purpose::RolloutStep => self.step_tried(false),
-            Purpose::Settle => self.again_at = self.now + self.settings.lease.gap(),
+            ProposalReason::OperatorCommand(call) => self.command_done(call, Err(why), None, out),
+            ProposalReason::RolloutStep => self.step_tried(false),
+            ProposalReason::Settle => self.next_proposal_at = self.now + self.settings.lease.gap(),
         }
     }
 
     /// A holder says that it gave a duty up for us: the voters are looked at, at once.
-    pub(super) fn nudged(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
+    pub(super) fn lease_offered(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         self.count("nudged");
-        if self.watches.contains_key(lease_name) {
-            self.again_at = self.now;
-            for (of, to) in self.whom_to_look_at() {
-                self.ask(to, Question::Look, Errand::Look { of, next: None }, out);
+        if self.lease_observers.contains_key(lease_name) {
+            self.next_proposal_at = self.now;
+            for (of, to) in self.known_voters() {
+                self.send_request(
+                    to,
+                    Question::Look,
+                    RequestPurpose::Look { of, next: None },
+                    out,
+                );
             }
         }
     }
--- a/src/coordination/member/rollout.rs
+++ b/src/coordination/member/rollout.rs
@@ -115,12 +115,12 @@
 
     /// Whether the list of engines is of use here: it is not handed in for nothing.
     pub fn wants_engines(&self) -> bool {
-        self.holds.contains_key(&Self::membership_lease())
+        self.held_leases.contains_key(&Self::membership_lease())
     }
 
     /// What is agreed on, as this dispatcher last knew it for certain.
     fn agreed_care(&self) -> Option<&DisruptionState> {
-        self.agreed.as_ref().map(|value| &*value.disruptions)
+        self.chosen.as_ref().map(|value| &*value.disruptions)
     }
 
     /// Whether anything that was seen, agreed on or not, keeps turns from being told.
@@ -136,7 +136,7 @@
     }
 
     fn view_of_fleet(&self) -> FleetView {
-        let Some(roll) = &self.roll else {
+        let Some(roll) = &self.membership else {
             return FleetView::default();
         };
         let (now, least) = (self.now, self.settings.heartbeat);
@@ -181,7 +181,7 @@
     }
 
     fn voters_now(&self) -> BTreeSet<Name> {
-        self.view()
+        self.known_voter_set()
             .map(|view| view.all().into_keys().collect())
             .unwrap_or_default()
     }
@@ -189,7 +189,7 @@
     /// Looks at the fleet if this dispatcher calls the roll and there is something to look after.
     pub(super) fn look_after(&mut self) {
         let holds = self
-            .holds
+            .held_leases
             .get(&Self::membership_lease())
             .is_some_and(|hold| hold.left(self.now) > 0.0);
         if !holds {
@@ -203,7 +203,7 @@
         }
         let now = self.now;
         self.disruptions.wants.retain(|_, (_, until)| now < *until);
-        let Some(disruptions) = self.agreed.as_ref().map(|value| value.disruptions.clone()) else {
+        let Some(disruptions) = self.chosen.as_ref().map(|value| value.disruptions.clone()) else {
             return;
         };
         if now < self.disruptions.next_look || self.disruptions.step.is_some() {
@@ -255,7 +255,7 @@
 
     /// When there is something to look at or to tell.
     pub(super) fn care_wants_at(&self) -> Option<Ms> {
-        let holds = self.holds.contains_key(&Self::membership_lease());
+        let holds = self.held_leases.contains_key(&Self::membership_lease());
         let look = holds.then(|| match self.disruptions.step {
             Some(_) => self.now + self.look_every(),
             None => self.disruptions.next_look,
@@ -270,16 +270,16 @@
     }
 
     /// The step that the caller of the roll wants agreed on.
-    pub(super) fn wanted_step(&self) -> Option<(Purpose, Command)> {
+    pub(super) fn wanted_step(&self) -> Option<(ProposalReason, Command)> {
         let lease_name = Self::membership_lease();
         let hold = self
-            .holds
+            .held_leases
             .get(&lease_name)
             .filter(|hold| hold.left(self.now) > 0.0)?;
         let step = self.disruptions.step.clone()?;
         let (term, who) = (hold.term, self.me());
         Some((
-            Purpose::RolloutStep,
+            ProposalReason::RolloutStep,
             Command::RolloutStep {
                 lease_name,
                 term,
@@ -301,7 +301,7 @@
     /// Tells members of their turns, and asks back what is to be taken back. Acts of the roll-call, in its term.
     pub(super) fn tell_turns(&mut self, out: &mut Vec<Output>) {
         let Some(hold) = self
-            .holds
+            .held_leases
             .get(&Self::membership_lease())
             .copied()
             .filter(|h| h.left(self.now) > 0.0)
@@ -344,7 +344,12 @@
                 self.disruptions
                     .revokes
                     .insert(number, self.now + self.settings.heartbeat);
-                self.ask_back(number, permit, Errand::Revoke { permit: number }, out);
+                self.ask_back(
+                    number,
+                    permit,
+                    RequestPurpose::Revoke { permit: number },
+                    out,
+                );
             }
         }
         self.disruptions
@@ -387,8 +392,8 @@
         self.disruptions
             .tells
             .insert(number, self.now + TOLD_AGAIN * self.settings.heartbeat);
-        self.acts += 1;
-        let (term, holder, act) = (hold.term, self.me(), self.acts);
+        self.commands_sent += 1;
+        let (term, holder, act) = (hold.term, self.me(), self.commands_sent);
         let body = told.write();
         let act = FencedCommand {
             lease_name: Self::membership_lease(),
@@ -400,10 +405,10 @@
             body,
         };
         self.count("turns told");
-        self.ask(
+        self.send_request(
             to.clone(),
             Question::FencedCommand(act),
-            Errand::TurnAct { to, permit: number },
+            RequestPurpose::TurnAct { to, permit: number },
             out,
         );
     }
@@ -436,17 +441,17 @@
         &mut self,
         number: PermitId,
         permit: &DisruptionPermit,
-        errand: Errand,
+        errand: RequestPurpose,
         out: &mut Vec<Output>,
     ) {
         let mine = permit.of == UnitKind::Dispatchers && permit.who == self.settings.me;
         if mine {
             let begun = self.asked_back(number, permit.incarnation);
-            return self.answered(errand, Some(Answer::Begun { begun }), out);
+            return self.handle_answer(errand, Some(Answer::Begun { begun }), out);
         }
         if let Some(to) = told_at(permit, self.settings.keeper.as_ref()).cloned() {
             let (of, who, incarnation) = (permit.of, permit.who.clone(), permit.incarnation);
-            self.ask(
+            self.send_request(
                 to,
                 Question::AskBack {
                     permit: number,
@@ -501,18 +506,18 @@
     /// Drains from now on, and says so at once.
     pub(super) fn leave_service(&mut self, _: &mut [Output]) {
         self.stopping = true;
-        self.next_beat = self.now;
+        self.next_heartbeat_at = self.now;
     }
 
-    pub(super) fn asked_back_said(&mut self, errand: &Errand, begun: Option<bool>) {
+    pub(super) fn asked_back_said(&mut self, errand: &RequestPurpose, begun: Option<bool>) {
         match (errand, begun) {
-            (Errand::Revoke { permit }, Some(begun)) => {
+            (RequestPurpose::Revoke { permit }, Some(begun)) => {
                 if let Some(conduct) = &mut self.disruptions.conduct {
                     conduct.revoked(*permit, begun);
                     self.disruptions.next_look = self.now;
                 }
             }
-            (Errand::HaltAsk { permit }, Some(begun)) => {
+            (RequestPurpose::HaltAsk { permit }, Some(begun)) => {
                 if let Some((_, said)) = self
                     .disruptions
                     .halting
@@ -561,7 +566,12 @@
             .unwrap_or_default();
         for number in open {
             if let Some(permit) = permits.get(&number) {
-                self.ask_back(number, permit, Errand::HaltAsk { permit: number }, out);
+                self.ask_back(
+                    number,
+                    permit,
+                    RequestPurpose::HaltAsk { permit: number },
+                    out,
+                );
             }
         }
     }
@@ -603,12 +613,12 @@
     }
 
     fn not_the_caller(&self) -> Option<Reply> {
-        if self.holds.contains_key(&Self::membership_lease()) {
+        if self.held_leases.contains_key(&Self::membership_lease()) {
             return None;
         }
         Some(
             match self
-                .caller
+                .membership_leader
                 .as_ref()
                 .filter(|(_, h)| h.incarnation != self.settings.incarnation)
             {
@@ -628,9 +638,9 @@
         if let Some(reply) = self.not_the_caller() {
             return Some(reply);
         }
-        let roll = self.roll.as_ref().map(|roll| roll.since);
+        let roll = self.membership.as_ref().map(|roll| roll.since);
         let every = self
-            .roll
+            .membership
             .as_ref()
             .map_or(0.0, |roll| roll.heartbeat_interval(self.settings.heartbeat));
         let young = roll.is_none_or(|since| self.now - since < WHOLE_AFTER * every);
@@ -690,13 +700,13 @@
             RolloutRequest::RollBack => OperatorCommand::RollBack,
             RolloutRequest::Recount { of } => OperatorCommand::Recount(of, sizes_of(of)),
         };
-        self.wish(call, Command::OperatorCommand(word));
+        self.submit_command(call, Command::OperatorCommand(word));
         None
     }
 
     fn order_halt(&mut self, call: CallId, why: String) -> Option<Reply> {
         if is_injected(InjectedFault::HaltByHolderAlone)
-            && self.holds.contains_key(&Self::membership_lease())
+            && self.held_leases.contains_key(&Self::membership_lease())
         {
             self.disruptions.alone = true;
             return Some(Reply::Done("halted".to_owned()));
@@ -711,7 +721,7 @@
                 Err(words) => Reply::Pending(words),
             }),
             None => {
-                self.wish(call, Command::OperatorCommand(OperatorCommand::Halt(why)));
+                self.submit_command(call, Command::OperatorCommand(OperatorCommand::Halt(why)));
                 None
             }
         }
@@ -739,7 +749,7 @@
             return Reply::Done(format!("{} waits no more", name.0));
         }
         if self
-            .roll
+            .membership
             .as_ref()
             .is_none_or(|roll| roll.address(&name).is_none())
         {
@@ -873,7 +883,7 @@
             return Some(Reply::Done(format!("{} drains and ends", who.0)));
         }
         let known = self
-            .roll
+            .membership
             .as_ref()
             .and_then(|roll| roll.address(&who))
             .cloned();
@@ -893,10 +903,10 @@
             address: None,
             why,
         };
-        self.ask(
+        self.send_request(
             to,
             Question::Operator(order),
-            Errand::ByHand { call, note },
+            RequestPurpose::ByHand { call, note },
             out,
         );
         None
@@ -912,10 +922,10 @@
     ) {
         let reply = match reply {
             Some(Reply::Done(words)) => {
-                self.asks += 1;
+                self.requests_sent += 1;
                 // Nobody waits for this: a number that no call has.
-                let call = CallId(u64::MAX - self.asks);
-                self.wishes.push(Wish {
+                let call = CallId(u64::MAX - self.requests_sent);
+                self.pending_commands.push(PendingCommand {
                     call,
                     change: Command::OperatorCommand(OperatorCommand::Note(note)),
                     until: f64::INFINITY,
@@ -944,7 +954,7 @@
         let line = |(number, permit): (&PermitId, &DisruptionPermit)| {
             let unit = view.units(permit.of).iter().find(|u| u.name == permit.who);
             let at = match stage(permit, unit) {
-                _ if self.roll.is_none() => "given",
+                _ if self.membership.is_none() => "given",
                 PermitStage::Granted => "given",
                 PermitStage::Draining => "out",
                 PermitStage::Starting => "starting",
