--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -298,7 +298,8 @@
         let limits = &self.shared.settings.limits;
         let clients: Vec<W::Out> = self.shared.clients.borrow().values().cloned().collect();
         if limits.http1.is_some() {
-            // Guards against an answer whose end is lost: closing at once would cut it off while its client still reads.
+            // Guards against an answer whose end is lost: closing at once would cut it off while its client still
+            // reads.
             clients.iter().for_each(Outbox::go_away);
             self.wait_until_closed(&clients, limits.stall_timeout).await;
         }
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -132,7 +132,8 @@
 }
 
 impl ServiceSettings {
-    /// The settings of one dispatcher of the service: the one with `number` of `dispatchers`, which are numbered from 0.
+    /// The settings of one dispatcher of the service: the one with `number` of `dispatchers`, which are numbered from
+    /// 0.
     pub fn dispatcher(
         &self,
         name: &str,
--- a/crates/dispatcher/src/state/service_stats.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -1,5 +1,5 @@
-//! Statistics for dispatchers that watch a rollout together: how this dispatcher's requests have ended, and what engines
-//! have reported about their load. Collected only where they are asked for.
+//! Statistics for dispatchers that watch a rollout together: how this dispatcher's requests have ended, and what
+//! engines have reported about their load. Collected only where they are asked for.
 
 use cindercleat::fleet::bounds::Tally;
 use cindercleat::fleet::rollcall::EngineReport;
--- a/src/connection_pool.rs
+++ b/src/connection_pool.rs
@@ -190,7 +190,8 @@
         self.connections.insert(id, connection);
     }
 
-    /// The connection is established. `max_streams`: the concurrent streams that the engine allows on it, if it says so.
+    /// The connection is established. `max_streams`: the concurrent streams that the engine allows on it, if it says
+    /// so.
     pub fn connected(&mut self, id: ConnectionId, max_streams: Option<usize>, now: Ms) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
