--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -17,7 +17,7 @@
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
     Answer, CallId, FleetSettings, Input, LocalHealth, Member, OperatorRequest, Output, Question,
-    QuestionId, Reply, SaveId, MEMBERSHIP_LEASE,
+    QuestionId, Reply, SaveId, UnusableFile, MEMBERSHIP_LEASE,
 };
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
@@ -383,7 +383,9 @@
         this.inbox.clear();
         this.calls.clear();
         let file = match this.disk.damaged {
-            true => Err("damaged".to_owned()),
+            true => Err(UnusableFile {
+                reason: "damaged".to_owned(),
+            }),
             false => Ok(this.disk.file.clone()),
         };
         let ready = self.service.is_none();
--- a/crates/faults/src/duties/small.rs
+++ b/crates/faults/src/duties/small.rs
@@ -6,8 +6,8 @@
 use cindercleat::coordination::fault_injection::{is_injected, InjectedFault};
 use cindercleat::coordination::lease::{HeldLease, LeaseObserver, LeaseSettings};
 use cindercleat::coordination::register::{
-    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Proposal, ProposalOutcome,
-    ProposerKnowledge,
+    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, OutgoingRequest, Phase,
+    Proposal, ProposalOutcome, ProposerKnowledge,
 };
 use cindercleat::coordination::state::{
     Command, LeaseHolder, ReplicatedState, VoterId, VoterRecord, Voters,
@@ -126,8 +126,14 @@
             .as_ref()
             .map(|(round, asked)| (round, asked.to_bits()))
             .hash(to);
-        hold.map(|hold| (hold.term, hold.asked.to_bits(), hold.until.to_bits()))
-            .hash(to);
+        hold.map(|hold| {
+            (
+                hold.term,
+                hold.requested_at.to_bits(),
+                hold.expires_at.to_bits(),
+            )
+        })
+        .hash(to);
     }
 }
 
@@ -229,18 +235,23 @@
             .newest
             .as_ref()
             .and_then(|(_, value)| value.leases.get(&lease_name()));
-        contender.watch.saw(now, row, &mut WyRand::new_seed(1));
+        contender.watch.observe(now, row, &mut WyRand::new_seed(1));
     }
 
     fn saw_nothing(&mut self, at: usize) {
         let now = self.now;
         self.contenders[at]
             .watch
-            .saw(now, None, &mut WyRand::new_seed(1));
+            .observe(now, None, &mut WyRand::new_seed(1));
     }
 
-    fn ask(&mut self, from: usize, asks: Vec<(Name, VoterRecord, AcceptorRequest)>) {
-        for (name, _, ask) in asks {
+    fn ask(&mut self, from: usize, asks: Vec<OutgoingRequest>) {
+        for OutgoingRequest {
+            to: name,
+            request: ask,
+            ..
+        } in asks
+        {
             let Some(to) = (0..self.voters.len()).find(|at| voter_name(*at) == name) else {
                 continue;
             };
@@ -335,11 +346,12 @@
                 | AcceptorRequest::Accept { ballot, .. }) = &*ask;
                 let ballot = ballot.clone();
                 let voter = &mut self.voters[usize::from(*to)];
-                let (said, save) = voter.asked(&ask);
-                let voter_id = voter.kept.voter_id;
-                if save && !is_injected(InjectedFault::SaidBeforeKept) {
-                    self.disks[usize::from(*to)] = voter.kept.clone();
+                let answer = voter.handle(&ask);
+                let voter_id = voter.state.voter_id;
+                if answer.needs_durable_state && !is_injected(InjectedFault::SaidBeforeKept) {
+                    self.disks[usize::from(*to)] = voter.state.clone();
                 }
+                let said = answer.reply;
                 let message = Message::AcceptorReply {
                     from: *to,
                     to: *from,
@@ -364,17 +376,16 @@
                     return;
                 };
                 let asked = *asked;
-                let (asks, end) = round.heard(
-                    &voter_name(from),
-                    voter_id,
-                    false,
+                let next = round.handle_reply(
+                    (voter_name(from), voter_id),
+                    Phase::Prepare,
                     Some(&said),
                     &mut contender.knows,
                 );
                 // Old files are not among these cases, and what is heard of them would only tell states apart.
-                contender.knows.heard.clear();
-                self.ask(to, asks);
-                if let Some(end) = end {
+                contender.knows.write_counts.clear();
+                self.ask(to, next.requests);
+                if let Some(end) = next.outcome {
                     self.end(to, end, asked);
                 }
             }
@@ -389,7 +400,7 @@
     fn begin(&self) -> State {
         let voter = |at: usize| {
             let mut voter = Acceptor::new(voter_name(at), voter_record(at).voter_id);
-            voter.kept.bootstrap = Some(self.bootstrap());
+            voter.state.bootstrap = Some(self.bootstrap());
             voter
         };
         let voters: Vec<Acceptor> = (0..self.voters + self.spare).map(voter).collect();
@@ -405,7 +416,7 @@
         };
         let mut state = State {
             now: 0.0,
-            disks: voters.iter().map(|v| v.kept.clone()).collect(),
+            disks: voters.iter().map(|v| v.state.clone()).collect(),
             voters,
             contenders: (0..2).map(contender).collect(),
             net: Net::new(),
@@ -420,7 +431,7 @@
         };
         if self.held {
             state.saw_nothing(0);
-            let (who, seen) = (state.holder(0), state.contenders[0].watch.mark());
+            let (who, seen) = (state.holder(0), state.contenders[0].watch.version());
             let change = Command::Acquire {
                 lease_name: lease_name(),
                 who,
@@ -483,7 +494,7 @@
                 let now = s.now;
                 s.contenders
                     .iter_mut()
-                    .for_each(|c| c.watch.count(now, &LEASE));
+                    .for_each(|c| c.watch.count_time(now, &LEASE));
             });
         }
         for at in 0..state.contenders.len() {
@@ -493,7 +504,7 @@
             if state.voter_restarts > 0 {
                 step(format!("{} starts again", voter_name(at).0), &|s| {
                     s.voter_restarts -= 1;
-                    s.voters[at] = Acceptor::back(s.disks[at].clone());
+                    s.voters[at] = Acceptor::recover(s.disks[at].clone());
                     s.voters[at].votes = true;
                 });
             }
@@ -533,8 +544,10 @@
                         leases: vec![(lease_name(), hold.term)],
                     },
                 )
-            } else if contender.watch.waits(&who, true, &LEASE) <= LEASE.gap() || self.changes {
-                let seen = contender.watch.mark();
+            } else if contender.watch.election_delay(&who, true, &LEASE) <= LEASE.gap()
+                || self.changes
+            {
+                let seen = contender.watch.version();
                 (
                     "takes",
                     Command::Acquire {
@@ -578,7 +591,7 @@
             .enumerate()
             .filter_map(|(v, voter)| {
                 voter
-                    .kept
+                    .state
                     .accepted
                     .as_ref()
                     .map(|(ballot, _)| (ballot.clone(), v))
@@ -591,13 +604,13 @@
         let looks: BTreeMap<Ballot, usize> = looks.collect();
         for (ballot, voter) in looks {
             step(format!("{name} looks at {}", voter_name(voter).0), &|s| {
-                let value = s.voters[voter].kept.accepted.clone();
+                let value = s.voters[voter].state.accepted.clone();
                 if let Some((_, value)) = value {
                     s.saw(at, ballot.clone(), value);
                 }
             });
         }
-        if !contender.watch.looked {
+        if !contender.watch.has_observed {
             step(format!("{name} finds nothing"), &|s| s.saw_nothing(at));
         }
         // Where changes are looked at nobody waits for leases.
--- a/crates/faults/tests/changes.rs
+++ b/crates/faults/tests/changes.rs
@@ -2,7 +2,7 @@
 
 use cindercleat::coordination::fault_injection::{inject, InjectedFault};
 use cindercleat::coordination::register::{
-    Acceptor, Ballot, Proposal, ProposalOutcome, ProposerKnowledge,
+    Acceptor, Ballot, OutgoingRequest, Phase, Proposal, ProposalOutcome, ProposerKnowledge,
 };
 use cindercleat::coordination::state::{
     Command, LeaseHolder, LeaseVersion, ReplicatedState, VoterId, VoterRecord, Voters,
@@ -65,14 +65,23 @@
         let (mut round, mut asks) = Proposal::begin(ballot, view, change, &knows);
         for half in halves {
             let mut next = Vec::new();
-            for (name, voter_record, ask) in std::mem::take(&mut asks) {
+            for OutgoingRequest {
+                to: name,
+                voter_record,
+                request: ask,
+            } in std::mem::take(&mut asks)
+            {
                 if half.contains(&*name.0) {
-                    let (said, _) = self.voters.get_mut(&name).expect("known").asked(&ask);
-                    let (more, end) =
-                        round.heard(&name, voter_record.voter_id, false, Some(&said), &mut knows);
-                    next.extend(more);
-                    if end.is_some() {
-                        return end;
+                    let answer = self.voters.get_mut(&name).expect("known").handle(&ask);
+                    let step = round.handle_reply(
+                        (name, voter_record.voter_id),
+                        Phase::Prepare,
+                        Some(&answer.reply),
+                        &mut knows,
+                    );
+                    next.extend(step.requests);
+                    if step.outcome.is_some() {
+                        return step.outcome;
                     }
                 }
             }
@@ -84,7 +93,7 @@
     /// What a voter took last.
     fn at(&self, name: &str) -> ReplicatedState {
         self.voters[&Name::from(name)]
-            .kept
+            .state
             .accepted
             .clone()
             .expect("it took something")
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -7,6 +7,7 @@
 use cindercleat::coordination::disruption_budget::Unit;
 use cindercleat::coordination::member::{
     CallId, FleetSettings, Input, LocalHealth, Member, Output, Question, QuestionId, SaveId,
+    UnusableFile,
 };
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat::coordination::{Address, LeaseName, Term};
@@ -134,8 +135,12 @@
         if let Some(disk) = &inner.disk {
             let kept = match disk.read() {
                 Ok(None) => Ok(None),
-                Ok(Some(bytes)) => file::read(&bytes).map(Some).map_err(|e| e.to_string()),
-                Err(problem) => Err(problem.to_string()),
+                Ok(Some(bytes)) => file::read(&bytes).map(Some).map_err(|e| UnusableFile {
+                    reason: e.to_string(),
+                }),
+                Err(problem) => Err(UnusableFile {
+                    reason: problem.to_string(),
+                }),
             };
             self.input(Input::Loaded(kept));
         }
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -1,6 +1,8 @@
-//! When a dispatcher holds a duty, and when it may take one. No clock is compared with another's: a holder counts
-//! its lease from before it asked for it, a contender waits for a whole lease of its own since it last saw the
-//! duty's row change, and both allow for clocks that run apart by a stated part.
+//! When a member holds a lease, and when it may acquire one.
+//!
+//! No clock is compared with another's. A holder counts its lease from before it requested it; a contender waits for
+//! a whole lease on its own clock since it last saw the lease's record change; and both allow for clocks that differ
+//! in rate by a stated fraction. So the lease is over at its holder before another member acquires it.
 
 use super::fault_injection::{is_injected, InjectedFault};
 use super::state::{LeaseHolder, LeaseRecord, LeaseVersion, ReplicatedState};
@@ -13,222 +15,251 @@
 /// Times of a fleet's leases.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseSettings {
+    /// The duration of a lease, in milliseconds.
     pub lease: Ms,
-    /// The part by which two clocks may run apart.
+    /// The fraction by which the rates of two clocks may differ.
     pub drift: f64,
 }
 
-/// A lease is renewed this often in its time, so that two tries may be lost.
-const RENEWALS: f64 = 3.0;
-/// Contenders with a place stand this part of a lease apart.
-const GAP: f64 = 0.05;
-/// A contender looks this often in a lease, and no step of its clock counts for more than two of these: one that
-/// was stopped, or whose clock jumped, has not waited meanwhile.
-const LOOKS: f64 = 10.0;
-/// Places that are given to contenders; whoever has none waits for another lease at least.
+/// Renewals in the time of a lease: two may fail before it is over.
+const RENEWALS_PER_LEASE: f64 = 3.0;
+/// The time between two contenders' election delays, as a fraction of a lease.
+const GAP_FRACTION: f64 = 0.05;
+/// Contenders ask for the newest value this often in the time of a lease.
+const QUERIES_PER_LEASE: f64 = 10.0;
+/// The longest step of a contender's clock that counts as waited, in query intervals.
+const MAX_STEP_QUERIES: f64 = 2.0;
+/// Places among the next holders. A member without one waits for another lease at least.
 pub const PLACES: u32 = 5;
 
 impl LeaseSettings {
-    /// For how long a holder counts on a lease that it asked for at 0.
+    /// How long a holder counts on a lease after it requested it, in milliseconds.
     pub fn held_for(&self) -> Ms {
         self.lease * (1.0 - self.drift)
     }
 
-    /// How long a contender waits for a lease of another's settings.
+    /// How long a contender waits for the end of a lease that its holder counts with `lease_ms`, in milliseconds.
     pub fn waited_for(&self, lease_ms: u64) -> Ms {
         self.lease.max(lease_ms as f64) * (1.0 + self.drift)
     }
 
+    /// When a lease is renewed, in milliseconds after it was requested.
     pub fn renew_after(&self) -> Ms {
-        self.lease / RENEWALS
+        self.lease / RENEWALS_PER_LEASE
     }
 
-    pub fn look_every(&self) -> Ms {
-        self.lease / LOOKS
+    /// How often a contender asks for the newest value, in milliseconds.
+    pub fn query_interval(&self) -> Ms {
+        self.lease / QUERIES_PER_LEASE
     }
 
+    /// The time between the election delays of two places, in milliseconds.
     pub fn gap(&self) -> Ms {
-        self.lease * GAP
+        self.lease * GAP_FRACTION
     }
 
+    /// The duration of a lease in whole milliseconds, rounded up.
     pub fn lease_ms(&self) -> u64 {
         self.lease.ceil() as u64
     }
 }
 
-/// A duty that this dispatcher holds.
+/// A lease that this member holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeldLease {
+    /// The term in which it is held.
     pub term: Term,
-    /// When it was asked for last, of the times that were granted, and until when that counts.
-    pub asked: Ms,
-    pub until: Ms,
+    /// When the proposal that granted it last began, on this member's clock in milliseconds.
+    pub requested_at: Ms,
+    /// When it is over, on this member's clock in milliseconds.
+    pub expires_at: Ms,
 }
 
 impl HeldLease {
-    pub fn new(term: Term, asked: Ms, heard: Ms, settings: &LeaseSettings) -> Self {
-        let from = if is_injected(InjectedFault::LeaseFromAnswer) {
-            heard
-        } else {
-            asked
+    /// A lease that was requested and granted at these times of this member's clock, in milliseconds.
+    ///
+    /// Guards against an answer that was long under way: a contender may have waited since the moment at which the
+    /// voters accepted the request, which is after it was sent. So the lease counts from `requested_at`.
+    pub fn new(term: Term, requested_at: Ms, granted_at: Ms, settings: &LeaseSettings) -> Self {
+        let begins_at = match is_injected(InjectedFault::LeaseFromAnswer) {
+            true => granted_at,
+            false => requested_at,
         };
         HeldLease {
             term,
-            asked,
-            until: from + settings.held_for(),
+            requested_at,
+            expires_at: begins_at + settings.held_for(),
         }
     }
 
-    /// What is left of it; nothing counts once it is over, even if nobody has noticed.
+    /// What is left of it, in milliseconds; 0 once it is over, whether that was noticed or not.
     pub fn left(&self, now: Ms) -> Ms {
-        (self.until - now).max(0.0)
+        (self.expires_at - now).max(0.0)
     }
 }
 
-/// A duty that this dispatcher is ready to hold, and what it saw of it.
+/// A lease that this member is ready to acquire, and what it saw of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseObserver {
-    mark: LeaseVersion,
-    /// The row as seen; none while there is none.
-    row: Option<LeaseRecord>,
-    /// A row was looked at, if there is one.
-    pub looked: bool,
-    /// What counts as waited since the mark was new, and when that was last counted.
+    /// The version of the record that was seen last.
+    version: LeaseVersion,
+    record: Option<LeaseRecord>,
+    /// The replicated state was seen, with a record of this lease or without.
+    pub has_observed: bool,
+    /// The time since the version was new, as far as it counts, and when it was last counted.
     waited: Ms,
-    counted: Ms,
-    /// Drawn for each mark: contenders do not come in the same moment.
+    counted_at: Ms,
+    /// Drawn for each version, 0 to 1: contenders do not come at the same moment.
     jitter: f64,
-    /// The place that the roll-call gave, if it gave one.
+    /// This member's place among the next holders, if it has one.
     pub place: Option<u32>,
 }
 
 impl LeaseObserver {
+    /// An observer that has not seen the replicated state yet.
     pub fn new(now: Ms, rng: &mut WyRand) -> Self {
         LeaseObserver {
-            mark: LeaseVersion::default(),
-            row: None,
-            looked: false,
+            version: LeaseVersion::default(),
+            record: None,
+            has_observed: false,
             waited: 0.0,
-            counted: now,
+            counted_at: now,
             jitter: rng.generate(),
             place: None,
         }
     }
 
-    /// The row as the newest value has it that was seen. Any change of it begins the waiting anew.
-    pub fn saw(&mut self, now: Ms, row: Option<&LeaseRecord>, rng: &mut WyRand) {
-        let mark = row.map(LeaseRecord::mark).unwrap_or_default();
-        if !self.looked || mark != self.mark {
-            (self.mark, self.row) = (mark, row.cloned());
-            (self.waited, self.counted, self.jitter) = (0.0, now, rng.generate());
-            self.looked = true;
+    /// Takes the lease's record of the newest value in. The waiting begins anew with each change of it.
+    pub fn observe(&mut self, now: Ms, record: Option<&LeaseRecord>, rng: &mut WyRand) {
+        let version = record.map(LeaseRecord::version).unwrap_or_default();
+        if self.has_observed && version == self.version {
+            return;
         }
+        self.version = version;
+        self.record = record.cloned();
+        self.waited = 0.0;
+        self.counted_at = now;
+        self.jitter = rng.generate();
+        self.has_observed = true;
     }
 
-    /// Counts the time since it was last asked.
-    pub fn count(&mut self, now: Ms, settings: &LeaseSettings) {
-        let passed = now - self.counted;
-        self.counted = now;
-        let awake = (0.0..=2.0 * settings.look_every()).contains(&passed);
-        if awake || is_injected(InjectedFault::SleptWaiting) {
+    /// Counts the time since the last call as waited.
+    ///
+    /// Guards against a contender that was stopped or whose clock jumped: it did not ask for newer values meanwhile,
+    /// and would acquire a lease that was renewed. A step longer than two queries does not count.
+    pub fn count_time(&mut self, now: Ms, settings: &LeaseSettings) {
+        let passed = now - self.counted_at;
+        self.counted_at = now;
+        let longest_step = MAX_STEP_QUERIES * settings.query_interval();
+        let was_awake = (0.0..=longest_step).contains(&passed);
+        if was_awake || is_injected(InjectedFault::SleptWaiting) {
             self.waited += passed;
         }
     }
 
-    pub fn mark(&self) -> LeaseVersion {
-        self.mark
+    /// The version of the record that was seen last.
+    pub fn version(&self) -> LeaseVersion {
+        self.version
     }
 
-    /// Whether the duty was given up for this dispatcher.
-    pub fn names(&self, me: &Name) -> bool {
-        self.row
-            .as_ref()
-            .is_some_and(|row| row.holder.is_none() && row.next.as_ref() == Some(me))
+    /// Whether the lease was given up with this member named as the next holder.
+    pub fn names_successor(&self, me: &Name) -> bool {
+        let record = self.record.as_ref();
+        record.is_some_and(|record| record.holder.is_none() && record.next.as_ref() == Some(me))
     }
 
-    /// How much longer this dispatcher waits before it takes the duty; 0 is now.
-    pub fn waits(&self, me: &LeaseHolder, voter: bool, settings: &LeaseSettings) -> Ms {
-        if !self.looked {
+    /// How much longer this member waits before it acquires the lease, in milliseconds; 0 is now.
+    pub fn election_delay(&self, me: &LeaseHolder, is_voter: bool, settings: &LeaseSettings) -> Ms {
+        if !self.has_observed {
             return f64::INFINITY;
         }
-        let (gap, all) = (
-            settings.gap(),
-            settings.waited_for(self.row.as_ref().map_or(0, |r| r.lease_ms)),
-        );
-        let place = match self.place {
-            Some(place) => (f64::from(place) + self.jitter) * gap,
-            // Without a roll-call voters come first, as those that can be counted on to be there.
-            None if voter => (f64::from(PLACES) + f64::from(PLACES) * self.jitter) * gap,
-            None => settings.lease * (1.0 + self.jitter),
-        };
-        let free = self.row.as_ref().filter(|row| row.holder.is_none());
-        let named = free.and_then(|row| row.next.as_ref());
-        let held = match &self.row {
-            // A try of this process was agreed on without its hearing of it: nobody else acts by it.
-            Some(row) if row.holder.as_ref() == Some(me) => return 0.0,
-            Some(row) if row.holder.is_some() && !is_injected(InjectedFault::NoWait) => all,
-            _ => 0.0,
+        let record = self.record.as_ref();
+        let holder = record.and_then(|record| record.holder.as_ref());
+        if holder == Some(me) {
+            // A proposal of this process was chosen without an answer to it: nobody else acts under the lease.
+            return 0.0;
+        }
+        let lease_end = settings.waited_for(record.map_or(0, |record| record.lease_ms));
+        let spread = self.spread(is_voter, settings);
+        let successor = match holder {
+            Some(_) => None,
+            None => record.and_then(|record| record.next.as_ref()),
         };
-        let wanted = match named {
-            Some(next) if *next == me.name => 0.0,
-            // Whoever was named gets the time of a lease to come.
-            Some(_) => all + place,
-            None => held + place,
+        let delay = match (successor, holder) {
+            (Some(successor), _) if *successor == me.name => 0.0,
+            // The named successor gets the time of a lease to come.
+            (Some(_), _) => lease_end + spread,
+            // Guards against two holders: the present one may act until its lease is over.
+            (None, Some(_)) if !is_injected(InjectedFault::NoWait) => lease_end + spread,
+            (None, _) => spread,
         };
-        (wanted - self.waited).max(0.0)
+        (delay - self.waited).max(0.0)
+    }
+
+    /// The part of the election delay that keeps contenders apart, in milliseconds.
+    fn spread(&self, is_voter: bool, settings: &LeaseSettings) -> Ms {
+        let gap = settings.gap();
+        match self.place {
+            Some(place) => (f64::from(place) + self.jitter) * gap,
+            // Without a place voters come first, as those that can be counted on to be there.
+            None if is_voter => (f64::from(PLACES) + f64::from(PLACES) * self.jitter) * gap,
+            None => settings.lease * (1.0 + self.jitter),
+        }
     }
 }
 
-/// How a dispatcher stands as a holder of duties.
+/// A member as a possible holder of leases.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
+    /// It takes requests and does not stop.
     pub ready: bool,
+    /// The zone that it runs in.
     pub zone: String,
-    /// What is used of it, 0 to 1.
+    /// Its utilization, 0 to 1.
     pub load: f64,
-    /// Duties that it holds.
+    /// How many leases it holds.
     pub holds: u32,
 }
 
-/// Above this much use a dispatcher is named only after the others.
-const BUSY: f64 = 0.8;
+/// From this utilization on a candidate comes after the others.
+const BUSY_UTILIZATION: f64 = 0.8;
 
-/// The places of those that may hold a duty next: ready ones first, those of the preferred zone, not busy ones,
-/// those that hold least, and else spread by duty and name. Its holder has none.
-pub fn places<'a>(
+/// The places among the next holders of a lease: ready candidates first, then those of the preferred zone, those
+/// that are not busy, and those that hold the fewest leases; else by a hash. The present holder has no place.
+pub fn rank_candidates<'a>(
     lease_name: &LeaseName,
-    prefers: Option<&str>,
+    preferred_zone: Option<&str>,
     holder: Option<&Name>,
-    fits: impl Iterator<Item = (&'a Name, Candidate)>,
+    candidates: impl Iterator<Item = (&'a Name, Candidate)>,
 ) -> BTreeMap<Name, u32> {
-    let rank = |name: &Name, fit: &Candidate| {
-        let near = prefers.is_none_or(|zone| zone == fit.zone);
-        let spread = xxh3_64(format!("{} {}", lease_name.0, name.0).as_bytes());
-        (!fit.ready, !near, fit.load >= BUSY, fit.holds, spread)
+    let rank = |name: &Name, candidate: &Candidate| {
+        let is_near = preferred_zone.is_none_or(|zone| zone == candidate.zone);
+        let is_busy = candidate.load >= BUSY_UTILIZATION;
+        let hash = xxh3_64(format!("{} {}", lease_name.0, name.0).as_bytes());
+        (!candidate.ready, !is_near, is_busy, candidate.holds, hash)
     };
-    let mut all: Vec<_> = fits
+    let mut ranked: Vec<_> = candidates
         .filter(|(name, _)| Some(*name) != holder)
-        .map(|(name, fit)| (rank(name, &fit), name.clone()))
+        .map(|(name, candidate)| (rank(name, &candidate), name.clone()))
         .collect();
-    all.sort();
-    all.into_iter()
-        .map(|(_, name)| name)
-        .zip(0..PLACES)
-        .collect()
+    ranked.sort();
+    let names = ranked.into_iter().map(|(_, name)| name);
+    names.zip(0..PLACES).collect()
 }
 
-/// Whose process holds a duty by a value, and its term.
+/// The holder of a lease by a value, and its term.
 pub fn holder_of<'a>(
-    agreed: &'a ReplicatedState,
+    state: &'a ReplicatedState,
     lease_name: &LeaseName,
 ) -> Option<(Term, &'a LeaseHolder)> {
-    let row = agreed.leases.get(lease_name)?;
-    row.holder.as_ref().map(|holder| (row.term, holder))
+    let record = state.leases.get(lease_name)?;
+    record.holder.as_ref().map(|holder| (record.term, holder))
 }
 
-/// Whether a row is this process's.
-pub fn is_mine(row: &LeaseRecord, name: &Name, incarnation: Incarnation) -> bool {
-    row.holder
+/// Whether a lease is held by this process.
+pub fn is_mine(record: &LeaseRecord, name: &Name, incarnation: Incarnation) -> bool {
+    record
+        .holder
         .as_ref()
-        .is_some_and(|h| h.name == *name && h.incarnation == incarnation)
+        .is_some_and(|holder| holder.name == *name && holder.incarnation == incarnation)
 }
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -1,56 +1,90 @@
-//! The voter's side: its file, the first start, and whether it may vote.
+//! The acceptor's side of a member: its file, the fleet's bootstrap, and whether it may vote.
 
 use super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
+use crate::coordination::register::AcceptorResponse;
 use crate::coordination::state::VoterRecord;
 use nanorand::Rng;
 
+/// The acceptor's file.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) enum AcceptorFile {
+    /// It was not read yet.
+    Unread,
+    /// There is none, and none is wanted.
+    None,
+    /// It may be used.
+    Good,
+    /// It cannot be trusted: no voting.
+    Bad(String),
+}
+
+/// Writes of the acceptor's file, one at a time, and the answers that wait for them.
+#[derive(Clone, Debug, Default)]
+pub(super) struct AcceptorStorage {
+    /// Whether the file was written at least once, so that the voter's identity is durable.
+    is_created: bool,
+    /// The write in flight, and the state that it stores.
+    in_flight: Option<SaveId>,
+    in_flight_state: Option<Box<AcceptorState>>,
+    /// The newest state that is durable.
+    durable_state: Option<Box<AcceptorState>>,
+    saves_started: u64,
+    /// Answers that wait for the write in flight, and those for the one after it.
+    answers: Vec<(CallId, Answer)>,
+    answers_of_next: Vec<(CallId, Answer)>,
+}
+
 impl Member {
+    /// Takes the acceptor's file as it was read at the start.
     pub(super) fn file_loaded(
         &mut self,
-        file: Result<Option<AcceptorState>, String>,
+        file: Result<Option<AcceptorState>, UnusableFile>,
         out: &mut Vec<Output>,
     ) {
         match file {
-            Ok(Some(kept)) if kept.name == self.settings.me => {
-                self.file_is_durable = true;
-                self.bootstrap = kept.bootstrap.clone();
-                if let Some((ballot, value)) = &kept.accepted {
-                    self.observe_state(Some(ballot.clone()), value.clone());
-                }
-                self.durable = Some(Box::new(kept.clone()));
-                self.acceptor = Some(Acceptor::back(kept));
-                self.file = AcceptorFile::Good;
-            }
-            Ok(Some(kept)) => {
-                let why = format!("the voter's file is {}'s; no voting here", kept.name.0);
-                out.push(Output::Warn(why.clone()));
-                self.file = AcceptorFile::Bad(why);
+            Ok(Some(state)) if state.name == self.settings.me => self.recover_acceptor(state),
+            Ok(Some(state)) => {
+                let reason = format!("the voter's file is {}'s; no voting here", state.name.0);
+                out.push(Output::Warn(reason.clone()));
+                self.file = AcceptorFile::Bad(reason);
             }
             Ok(None) => {
                 self.file = AcceptorFile::Good;
                 self.begin_as_new_voter(out);
             }
-            Err(why) => {
+            Err(UnusableFile { reason }) => {
                 out.push(Output::Warn(format!(
-                    "the voter's file is not used, no voting here: {why}"
+                    "the voter's file is not used, no voting here: {reason}"
                 )));
-                self.file = AcceptorFile::Bad(why);
+                self.file = AcceptorFile::Bad(reason);
             }
         }
         self.next_acceptor_check_at = self.now;
     }
 
-    /// A voter that never voted, under a new life.
+    fn recover_acceptor(&mut self, state: AcceptorState) {
+        self.storage.is_created = true;
+        self.bootstrap = state.bootstrap.clone();
+        if let Some((ballot, value)) = &state.accepted {
+            self.observe_state(Some(ballot.clone()), value.clone());
+        }
+        self.storage.durable_state = Some(Box::new(state.clone()));
+        self.acceptor = Some(Acceptor::recover(state));
+        self.file = AcceptorFile::Good;
+    }
+
+    /// A voter that never voted, under a new identity.
     fn begin_as_new_voter(&mut self, out: &mut Vec<Output>) {
         let voter_id = VoterId(self.rng.generate::<u64>() | 1);
         self.acceptor = Some(Acceptor::new(self.settings.me.clone(), voter_id));
-        (self.file_is_durable, self.confirmed_by) = (false, Vec::new());
+        self.storage.is_created = false;
+        self.confirmed_by = Vec::new();
         self.save(out);
     }
 
-    /// Its file is older than what it said: it forgot something, and must not vote as the one it was.
-    fn discard_old_file(&mut self, out: &mut Vec<Output>) {
+    /// The file is older than what this voter answered: it forgot something, and must not vote under its identity.
+    fn discard_outdated_file(&mut self, out: &mut Vec<Output>) {
         out.push(Output::Warn(
             "the voter's file is an old one: not voting until let in again".to_owned(),
         ));
@@ -58,194 +92,216 @@
         self.begin_as_new_voter(out);
     }
 
-    /// Writes the file if no write is under way; else once that is over.
+    /// Writes the file, unless a write is in flight; then the next one begins once that has ended.
     pub(super) fn save(&mut self, out: &mut Vec<Output>) {
-        let (None, Some(voter)) = (self.save_in_flight, &self.acceptor) else {
+        let (None, Some(acceptor)) = (self.storage.in_flight, &self.acceptor) else {
             return;
         };
-        self.saves_started += 1;
-        let (number, kept) = (SaveId(self.saves_started), Box::new(voter.kept.clone()));
-        self.saving_state = Some(kept.clone());
-        out.push(Output::Save { number, kept });
-        self.save_in_flight = Some(number);
-        self.answers_after_save = std::mem::take(&mut self.answers_after_next_save);
+        let storage = &mut self.storage;
+        storage.saves_started += 1;
+        let number = SaveId(storage.saves_started);
+        let state = Box::new(acceptor.state.clone());
+        storage.in_flight_state = Some(state.clone());
+        out.push(Output::Save {
+            number,
+            kept: state,
+        });
+        storage.in_flight = Some(number);
+        storage.answers = std::mem::take(&mut storage.answers_of_next);
         self.count("saves");
     }
 
-    pub(super) fn file_saved(&mut self, number: SaveId, lasts: bool, out: &mut Vec<Output>) {
-        if self.save_in_flight != Some(number) {
+    /// A write of the file has ended.
+    pub(super) fn file_saved(&mut self, number: SaveId, is_durable: bool, out: &mut Vec<Output>) {
+        let storage = &mut self.storage;
+        if storage.in_flight != Some(number) {
             return;
         }
-        self.save_in_flight = None;
-        let answers = std::mem::take(&mut self.answers_after_save);
-        let kept = self.saving_state.take();
-        if lasts {
-            self.durable = kept;
-            self.file_is_durable = true;
-            out.extend(
-                answers
-                    .into_iter()
-                    .map(|(call, answer)| Output::Answer { call, answer }),
-            );
+        storage.in_flight = None;
+        let answers = std::mem::take(&mut storage.answers);
+        let state = storage.in_flight_state.take();
+        if is_durable {
+            storage.durable_state = state;
+            storage.is_created = true;
+            let answer_call = |(call, answer)| Output::Answer { call, answer };
+            out.extend(answers.into_iter().map(answer_call));
         } else {
-            // Nothing that may not last is said. What was promised meanwhile stays promised.
+            // Guards against a full or failing disk: an answer whose state is lost with the process would break its
+            // promise. The answers are dropped, and what was promised stays promised in memory.
             self.count("saves failed");
             out.push(Output::Warn(
                 "the voter's file could not be written: not answering".to_owned(),
             ));
         }
-        if !self.answers_after_next_save.is_empty() || (!self.file_is_durable && lasts) {
+        if !self.storage.answers_of_next.is_empty() || (!self.storage.is_created && is_durable) {
             self.save(out);
         }
     }
 
+    /// Answers a proposer, once the state that the answer states is durable.
     pub(super) fn proposer_request(
         &mut self,
         call: CallId,
-        ask: &register::AcceptorRequest,
+        request: &AcceptorRequest,
         out: &mut Vec<Output>,
     ) {
-        let said = self
-            .acceptor
-            .as_mut()
-            .filter(|_| self.file_is_durable)
-            .map(|voter| voter.asked(ask));
-        let (said, save) = said.unwrap_or((AcceptorReply::NotVoting, false));
-        if let (
-            AcceptorReply::Accepted { .. },
-            register::AcceptorRequest::Accept { ballot, value, .. },
-        ) = (&said, ask)
+        let response = self.acceptor_response(request);
+        if let (AcceptorReply::Accepted { .. }, AcceptorRequest::Accept { ballot, value, .. }) =
+            (&response.reply, request)
         {
             self.observe_state(Some(ballot.clone()), value.clone());
         }
-        let answer = Answer::Vote(said);
-        let kept = self.acceptor.as_ref().map(|voter| &voter.kept);
-        // Guards against a question that is asked again while its answer waits for a slow disk: a write for each time
-        // that it was asked would keep the disk busy until the question's time is up.
-        if !save || self.durable.as_deref() == kept {
+        let answer = Answer::Vote(response.reply);
+        let state = self.acceptor.as_ref().map(|acceptor| &acceptor.state);
+        // Guards against a request that is sent again while its answer waits for a slow disk: a write for each copy
+        // would keep the disk busy until the request has timed out. A copy waits for the write that holds its state.
+        if !response.needs_durable_state || self.storage.durable_state.as_deref() == state {
             out.push(Output::Answer { call, answer });
         } else if is_injected(InjectedFault::SaidBeforeKept) {
             out.push(Output::Answer { call, answer });
             self.save(out);
-        } else if self.saving_state.as_deref() == kept {
-            self.answers_after_save.push((call, answer));
+        } else if self.storage.in_flight_state.as_deref() == state {
+            self.storage.answers.push((call, answer));
         } else {
-            self.answers_after_next_save.push((call, answer));
+            self.storage.answers_of_next.push((call, answer));
             self.save(out);
         }
-        let old = |v: &Acceptor| !v.votes && !self.awaits_confirmation();
-        if self.acceptor.as_ref().is_some_and(old) {
-            self.discard_old_file(out);
+        let acceptor = self.acceptor.as_ref();
+        if acceptor.is_some_and(|acceptor| !acceptor.votes && !self.awaits_confirmation()) {
+            self.discard_outdated_file(out);
         }
     }
 
-    /// Whether others are still to confirm that the file is not an old one.
+    fn acceptor_response(&mut self, request: &AcceptorRequest) -> AcceptorResponse {
+        match &mut self.acceptor {
+            Some(acceptor) if self.storage.is_created => acceptor.handle(request),
+            _ => AcceptorResponse {
+                reply: AcceptorReply::NotVoting,
+                needs_durable_state: false,
+            },
+        }
+    }
+
+    /// Whether other voters have yet to confirm that the file is not outdated.
     fn awaits_confirmation(&self) -> bool {
-        let Some(voter) = &self.acceptor else {
+        let Some(acceptor) = &self.acceptor else {
             return false;
         };
-        let me = &self.settings.me;
-        voter.kept.promised.is_some() && !self.confirmed_by.contains(me)
+        acceptor.state.promised.is_some() && !self.confirmed_by.contains(&self.settings.me)
     }
 
+    /// What this voter shows of itself to other members.
     pub(super) fn voter_state(&self) -> Seen {
-        let voter = self.acceptor.as_ref().filter(|_| self.file_is_durable);
+        let acceptor = self.durable_acceptor();
         Seen {
-            voter_id: voter.map(|v| v.kept.voter_id),
-            votes: voter.is_some_and(|v| v.votes),
-            bootstrap: self.durable_bootstrap().cloned(),
-            newest: voter.and_then(|v| v.kept.accepted.clone()),
+            voter_id: acceptor.map(|acceptor| acceptor.state.voter_id),
+            votes: acceptor.is_some_and(|acceptor| acceptor.votes),
+            bootstrap: acceptor.and_then(|acceptor| acceptor.state.bootstrap.clone()),
+            newest: acceptor.and_then(|acceptor| acceptor.state.accepted.clone()),
         }
     }
 
-    fn durable_bootstrap(&self) -> Option<&Voters> {
-        self.acceptor
-            .as_ref()
-            .filter(|_| self.file_is_durable)
-            .and_then(|v| v.kept.bootstrap.as_ref())
+    /// The acceptor, once its identity is durable.
+    fn durable_acceptor(&self) -> Option<&Acceptor> {
+        self.acceptor.as_ref().filter(|_| self.storage.is_created)
     }
 
-    /// Whether the voter is not sure of itself: it knows of no first start, or has to ask whether its file is old.
+    /// Whether the acceptor knows of no bootstrap yet, or other voters have to confirm its file.
     fn acceptor_needs_check(&self) -> bool {
-        let unsure = |v: &Acceptor| {
-            let blank = v.kept.bootstrap.is_none() && v.kept.promised.is_none();
-            !self.file_is_durable
-                || !v.votes
-                || (blank && self.settings.voters.contains_key(&v.kept.name))
-        };
-        match &self.file {
-            AcceptorFile::Good => self.acceptor.as_ref().is_some_and(unsure),
-            AcceptorFile::None | AcceptorFile::Bad(_) | AcceptorFile::Unread => false,
+        if self.file != AcceptorFile::Good {
+            return false;
         }
+        let Some(acceptor) = &self.acceptor else {
+            return false;
+        };
+        let state = &acceptor.state;
+        let is_blank = state.bootstrap.is_none() && state.promised.is_none();
+        let awaits_bootstrap = is_blank && self.settings.voters.contains_key(&state.name);
+        !self.storage.is_created || !acceptor.votes || awaits_bootstrap
     }
 
+    /// When [`Member::check_acceptor`] has something to do.
     pub(super) fn next_acceptor_check(&self) -> Option<Ms> {
         self.acceptor_needs_check()
             .then_some(self.next_acceptor_check_at)
     }
 
+    /// Creates the file, asks for the bootstrap, or has the file confirmed; again until it is done.
     pub(super) fn check_acceptor(&mut self, out: &mut Vec<Output>) {
         if !self.acceptor_needs_check() || self.now < self.next_acceptor_check_at {
             return;
         }
-        let spread: f64 = self.rng.generate();
-        self.next_acceptor_check_at = self.now + self.settings.answer_within * (0.5 + spread);
-        if !self.file_is_durable {
+        let jitter: f64 = self.rng.generate();
+        self.next_acceptor_check_at = self.now + self.settings.answer_within * (0.5 + jitter);
+        if !self.storage.is_created {
             return self.save(out);
         }
-        let Some(voter) = &self.acceptor else { return };
-        if voter.votes {
-            for (of, to) in self.known_voters() {
-                self.send_request(
-                    to,
-                    Question::Look,
-                    RequestPurpose::Look { of, next: None },
-                    out,
-                );
-            }
+        let Some(acceptor) = &self.acceptor else {
             return;
+        };
+        if acceptor.votes {
+            self.query_all_voters(out);
+        } else {
+            let voter_id = acceptor.state.voter_id;
+            self.ask_for_write_counts(voter_id, out);
         }
-        let (of, voter_id) = (self.settings.me.clone(), voter.kept.voter_id);
-        for (name, to) in self.known_voters() {
+    }
+
+    fn ask_for_write_counts(&mut self, voter_id: VoterId, out: &mut Vec<Output>) {
+        let me = self.settings.me.clone();
+        for (of, to) in self.known_voters() {
             let question = Question::Witness {
-                of: of.clone(),
+                of: me.clone(),
                 voter_id,
             };
-            self.send_request(to, question, RequestPurpose::Witness { of: name }, out);
+            let purpose = RequestPurpose::ConfirmFile { of };
+            self.send_request(to, question, purpose, out);
         }
     }
 
+    /// Another voter tells how many writes of this one it knows of.
+    ///
+    /// Guards against an outdated file, see [`Acceptor::detect_outdated_file`]: the acceptor votes again once all
+    /// voters have confirmed its file, or a majority has and a lease has passed.
     pub(super) fn write_count_received(&mut self, by: Name, writes: u64, out: &mut Vec<Output>) {
-        let Some(voter) = &mut self.acceptor else {
+        let Some(acceptor) = &mut self.acceptor else {
             return;
         };
-        if voter.votes || voter.kept.promised.is_none() {
+        if acceptor.votes || acceptor.state.promised.is_none() {
             return;
         }
-        if writes > voter.kept.writes {
-            return self.discard_old_file(out);
+        if writes > acceptor.state.writes {
+            return self.discard_outdated_file(out);
         }
-        let me = self.settings.me.clone();
         self.confirmed_by.push(by);
-        let confirmed =
-            |name: &Name, _: &VoterRecord| *name == me || self.confirmed_by.contains(name);
-        let accepted = voter.kept.accepted.as_ref().map(|(_, value)| &value.voters);
-        let voters = accepted.or(voter.kept.bootstrap.as_ref());
-        // All of the others, or a majority once there was time for all: who lags behind may have heard of nothing.
-        let all = voters.is_none_or(|v| {
-            v.all()
-                .iter()
-                .all(|(name, voter_record)| confirmed(name, voter_record))
-        });
-        let waited = self.now - self.started_at >= self.settings.lease.lease;
-        let enough = all || (waited && voters.is_none_or(|v| v.majority(confirmed)));
-        if enough {
-            voter.votes = true;
-            self.confirmed_by.push(me);
+        if self.file_is_confirmed() {
+            if let Some(acceptor) = &mut self.acceptor {
+                acceptor.votes = true;
+            }
+            self.confirmed_by.push(self.settings.me.clone());
+        }
+    }
+
+    fn file_is_confirmed(&self) -> bool {
+        let state = self.acceptor.as_ref().map(|acceptor| &acceptor.state);
+        let accepted = state.and_then(|state| state.accepted.as_ref());
+        let bootstrap = state.and_then(|state| state.bootstrap.as_ref());
+        let Some(voters) = accepted.map(|(_, value)| &value.voters).or(bootstrap) else {
+            return true;
+        };
+        let has_confirmed = |name: &Name, _: &VoterRecord| {
+            *name == self.settings.me || self.confirmed_by.contains(name)
+        };
+        let mut all = voters.all().into_iter();
+        if all.all(|(name, voter_record)| has_confirmed(&name, &voter_record)) {
+            return true;
         }
+        // A majority is enough only after the others had time to answer: a voter that lags behind may know of no write.
+        let has_waited = self.now - self.started_at >= self.settings.lease.lease;
+        has_waited && voters.majority(has_confirmed)
     }
 
-    /// A voter showed what it has.
+    /// A voter showed its state.
     pub(super) fn voter_state_received(&mut self, of: &Name, seen: Seen, out: &mut Vec<Output>) {
         if self.bootstrap.is_none() {
             self.bootstrap.clone_from(&seen.bootstrap);
@@ -258,60 +314,65 @@
         self.try_bootstrap(of, seen.voter_id, out);
     }
 
-    /// The first start: a blank voter that has heard every other voter of the settings knows their lives. One that
-    /// hears of a first start that was takes that; it votes if that names its life, else it waits to be let in.
+    /// The fleet's bootstrap: a blank voter that has heard every voter of the settings knows their identities, and
+    /// they are the first voters.
+    ///
+    /// Guards against a second bootstrap beside the first, with which two fleets would choose values of their own: a
+    /// voter takes the bootstrap that another has made. If that names its identity it votes, else it waits to be let
+    /// in.
     fn try_bootstrap(&mut self, of: &Name, voter_id: Option<VoterId>, out: &mut Vec<Output>) {
-        let bootstrap = self.bootstrap.clone();
-        let Some(voter) = self
-            .acceptor
-            .as_mut()
-            .filter(|v| self.file_is_durable && v.kept.bootstrap.is_none())
-        else {
+        let known_bootstrap = self.bootstrap.clone();
+        let Some(state) = self.durable_acceptor().map(|acceptor| &acceptor.state) else {
             return;
         };
-        let me = (self.settings.me.clone(), voter.kept.voter_id);
-        if !self.settings.voters.contains_key(&me.0) || voter.kept.promised.is_some() {
+        let (me, own_id) = (state.name.clone(), state.voter_id);
+        let is_blank = state.bootstrap.is_none() && state.promised.is_none();
+        if !is_blank || !self.settings.voters.contains_key(&me) {
             return;
         }
-        if let Some(bootstrap) = bootstrap {
-            if bootstrap
-                .set
-                .get(&me.0)
-                .is_some_and(|voter_record| voter_record.voter_id == me.1)
-            {
-                voter.kept.bootstrap = Some(bootstrap);
-                self.save(out);
+        if let Some(bootstrap) = known_bootstrap {
+            let own_record = bootstrap.set.get(&me);
+            if own_record.is_some_and(|voter_record| voter_record.voter_id == own_id) {
+                self.store_bootstrap(bootstrap, out);
             }
             return;
         }
         if let Some(voter_id) = voter_id.filter(|_| self.settings.voters.contains_key(of)) {
             self.bootstrap_voter_ids.insert(of.clone(), voter_id);
         }
-        let life_of = |name: &Name| match *name == me.0 {
-            true => Some(me.1),
-            false => self.bootstrap_voter_ids.get(name).copied(),
-        };
-        let voter_records = self.settings.voters.iter().map(|(name, address)| {
-            life_of(name).map(|voter_id| {
-                (
-                    name.clone(),
-                    VoterRecord {
-                        voter_id,
-                        address: address.clone(),
-                    },
-                )
-            })
-        });
-        if let Some(set) = voter_records.collect::<Option<BTreeMap<_, _>>>() {
-            voter.kept.bootstrap = Some(Voters {
+        if let Some(set) = self.bootstrap_voters(own_id) {
+            let bootstrap = Voters {
                 generation: 1,
                 set,
                 before: None,
-            });
+            };
             out.push(Output::Info(
                 "the fleet's first start: all voters are there".to_owned(),
             ));
-            self.save(out);
+            self.store_bootstrap(bootstrap, out);
+        }
+    }
+
+    fn store_bootstrap(&mut self, bootstrap: Voters, out: &mut Vec<Output>) {
+        if let Some(acceptor) = &mut self.acceptor {
+            acceptor.state.bootstrap = Some(bootstrap);
         }
+        self.save(out);
+    }
+
+    /// The voters of the settings with their identities, once all are known.
+    fn bootstrap_voters(&self, own_id: VoterId) -> Option<BTreeMap<Name, VoterRecord>> {
+        let record = |(name, address): (&Name, &Address)| {
+            let voter_id = match *name == self.settings.me {
+                true => own_id,
+                false => *self.bootstrap_voter_ids.get(name)?,
+            };
+            let voter_record = VoterRecord {
+                voter_id,
+                address: address.clone(),
+            };
+            Some((name.clone(), voter_record))
+        };
+        self.settings.voters.iter().map(record).collect()
     }
 }
--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -1,60 +1,56 @@
-//! Beats to whoever calls the roll, the roll itself, and its telling.
+//! Heartbeats to the membership leader, and the leader's answers.
 
 use super::*;
-use crate::coordination::fault_injection::{is_injected, InjectedFault};
-use crate::coordination::fencing::FencingDecision;
+use crate::coordination::membership::RankedLease;
 use nanorand::Rng;
 
+/// After this many heartbeats without an answer the membership leader counts as gone.
+const LEADER_TIMEOUT_HEARTBEATS: f64 = 3.0;
+
 impl Member {
-    pub(super) fn learn_membership_leader(&mut self, caller: (Term, LeaseHolder)) {
-        // Nothing that an old holder still says counts.
-        if self
-            .membership_leader
-            .as_ref()
-            .is_some_and(|known| known.0 > caller.0)
-        {
+    /// A membership leader was named, by a value or by another member.
+    pub(super) fn learn_membership_leader(&mut self, leader: (Term, LeaseHolder)) {
+        let known = self.membership_leader.as_ref();
+        // Guards against a leader of an earlier term that still answers: its successor would be forgotten.
+        if known.is_some_and(|known| known.0 > leader.0) {
             return;
         }
-        if self
-            .membership_leader
-            .as_ref()
-            .is_none_or(|known| *known != caller)
-        {
+        if known.is_none_or(|known| *known != leader) {
             self.leader_answered_at = None;
-            // Members learn of it at moments of their own, so its successor is not met by all at once.
+            // Members learn of a new leader at different moments, so it is not met by all of them at once.
             self.next_heartbeat_at = self.next_heartbeat_at.min(self.now);
-            self.membership_leader = Some(caller);
+            self.membership_leader = Some(leader);
         }
     }
 
-    /// A beat came.
+    /// Whether the membership leader has answered lately.
+    pub(super) fn leader_answers(&self) -> bool {
+        let timeout = LEADER_TIMEOUT_HEARTBEATS * self.heartbeat_interval;
+        let answered_at = self.leader_answered_at;
+        self.membership_leader.is_some() && answered_at.is_some_and(|at| self.now - at < timeout)
+    }
+
+    fn holds_membership_lease(&self) -> bool {
+        let held = self.held_leases.get(&membership_lease());
+        held.is_some_and(|held| held.left(self.now) > 0.0)
+    }
+
+    /// Another member's heartbeat came.
     pub(super) fn heartbeat_received(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
-        let membership_lease = LeaseName::from(MEMBERSHIP_LEASE);
-        let (now, least) = (self.now, self.settings.heartbeat);
-        let holds = self
-            .held_leases
-            .get(&membership_lease)
-            .is_some_and(|hold| hold.left(now) > 0.0);
-        let holder = self.membership_leader.clone();
-        let places = match self.membership.as_mut().filter(|_| holds) {
-            Some(roll) => {
-                let name = heartbeat.who.name.clone();
-                roll.heard(now, heartbeat, least);
-                roll.place_of(&membership_lease, &name)
-                    .map(|place| (membership_lease, place))
-                    .into_iter()
-                    .collect()
-            }
-            None => Vec::new(),
-        };
-        let every = self
-            .membership
-            .as_ref()
-            .map_or(least, |roll| roll.heartbeat_interval(least));
+        let (now, shortest) = (self.now, self.settings.heartbeat);
+        let is_leader = self.holds_membership_lease();
+        let mut places = Vec::new();
+        if let Some(membership) = self.membership.as_mut().filter(|_| is_leader) {
+            let name = heartbeat.who.name.clone();
+            membership.heartbeat_received(now, heartbeat, shortest);
+            let place = membership.place_of(&membership_lease(), &name);
+            places.extend(place.map(|place| (membership_lease(), place)));
+        }
+        let membership = self.membership.as_ref();
         HeartbeatReply {
-            heard: holds,
-            holder,
-            every,
+            heard: is_leader,
+            holder: self.membership_leader.clone(),
+            every: membership.map_or(shortest, |m| m.heartbeat_interval(shortest)),
             places,
         }
     }
@@ -75,203 +71,86 @@
         }
     }
 
-    /// Beats when it is time, or asks who calls the roll; calls it if that is this dispatcher.
-    pub(super) fn heartbeat(&mut self, out: &mut Vec<Output>) {
-        let membership_lease = LeaseName::from(MEMBERSHIP_LEASE);
+    /// Sends a heartbeat if it is time, or asks who the membership leader is; the leader takes in its own.
+    pub(super) fn heartbeat_if_due(&mut self, out: &mut Vec<Output>) {
         if self.now < self.next_heartbeat_at {
             return;
         }
         self.next_heartbeat_at = self.now + self.heartbeat_interval;
         let heartbeat = self.own_heartbeat();
-        if self.held_leases.contains_key(&membership_lease) {
-            let prefers = self.settings.prefers.clone();
-            let (now, least, me) = (self.now, self.settings.heartbeat, self.settings.me.clone());
-            if let Some(roll) = &mut self.membership {
-                roll.heard(now, heartbeat, least);
-                roll.place(now, least, &[(membership_lease, prefers, Some(me))]);
-                self.heartbeat_interval = roll.heartbeat_interval(least);
-                self.next_heartbeat_at = self.now + self.heartbeat_interval;
-            }
-            return;
+        if self.held_leases.contains_key(&membership_lease()) {
+            return self.take_own_heartbeat(heartbeat);
         }
-        match self
-            .membership_leader
-            .as_ref()
-            .filter(|(_, holder)| holder.name != self.settings.me)
-        {
-            Some((_, holder)) => {
-                let (to, incarnation) = (holder.address.clone(), holder.incarnation);
-                self.count("beats");
-                self.send_request(
-                    to,
-                    Question::Heartbeat(heartbeat),
-                    RequestPurpose::Heartbeat { to: incarnation },
-                    out,
-                );
-            }
-            None => self.query_any_voter(out),
+        let leader = self.membership_leader.as_ref();
+        let other = leader.filter(|(_, leader)| leader.name != self.settings.me);
+        let Some((_, leader)) = other else {
+            return self.query_any_voter(out);
+        };
+        let (address, to) = (leader.address.clone(), leader.incarnation);
+        self.count("beats");
+        let question = Question::Heartbeat(heartbeat);
+        self.send_request(address, question, RequestPurpose::Heartbeat { to }, out);
+    }
+
+    fn take_own_heartbeat(&mut self, heartbeat: Heartbeat) {
+        let (now, shortest) = (self.now, self.settings.heartbeat);
+        let preferred_zone = self.settings.prefers.clone();
+        let me = self.settings.me.clone();
+        if let Some(membership) = &mut self.membership {
+            membership.heartbeat_received(now, heartbeat, shortest);
+            let lease = RankedLease {
+                lease_name: membership_lease(),
+                preferred_zone,
+                holder: Some(me),
+            };
+            membership.rank_successors(now, shortest, &[lease]);
+            self.heartbeat_interval = membership.heartbeat_interval(shortest);
+            self.next_heartbeat_at = now + self.heartbeat_interval;
         }
     }
 
+    /// The membership leader with this incarnation answered a heartbeat, or did not.
     pub(super) fn heartbeat_answered(
         &mut self,
         to: Incarnation,
-        heard: Option<HeartbeatReply>,
+        reply: Option<HeartbeatReply>,
         out: &mut Vec<Output>,
     ) {
-        let membership_lease = LeaseName::from(MEMBERSHIP_LEASE);
-        let current = self
-            .membership_leader
-            .as_ref()
-            .is_some_and(|(_, holder)| holder.incarnation == to);
-        let place = match heard {
-            Some(heard) if heard.heard && current => {
-                self.leader_answered_at = Some(self.now);
-                // A beat is some time away from the last, for each member another.
-                let (spread, every) = (
-                    self.rng.generate::<f64>(),
-                    heard.every.max(self.settings.heartbeat),
-                );
-                if every != self.heartbeat_interval {
-                    self.next_heartbeat_at = self.now + every * spread;
-                }
-                self.heartbeat_interval = every;
-                heard
-                    .places
-                    .iter()
-                    .find(|(lease_name, _)| *lease_name == membership_lease)
-                    .map(|(_, place)| *place)
-            }
+        let leader = self.membership_leader.as_ref();
+        let is_current = leader.is_some_and(|(_, leader)| leader.incarnation == to);
+        let place = match reply {
+            Some(reply) if reply.heard && is_current => self.heartbeat_accepted(&reply),
             Some(HeartbeatReply {
                 heard: false,
-                holder: Some(holder),
+                holder: Some(leader),
                 ..
-            }) if holder.1.incarnation != to => {
-                return self.learn_membership_leader(holder);
-            }
-            // It was not reached, or calls the roll no more: whoever does is asked for, once, and then again
-            // when the next beat is due.
-            _ if current => {
+            }) if leader.1.incarnation != to => return self.learn_membership_leader(leader),
+            // It was not reached, or is no longer the leader: a voter is asked for its successor, once, and again
+            // when the next heartbeat is due.
+            _ if is_current => {
                 self.count("beats lost");
                 return self.query_any_voter(out);
             }
             _ => return,
         };
-        if let Some(watch) = self.lease_observers.get_mut(&membership_lease) {
-            watch.place = place;
-        }
-    }
-
-    /// Whether all that was done in the roll-call's name has been answered, or can be obeyed no more.
-    pub(super) fn fenced_commands_are_over(&self) -> bool {
-        self.fenced_commands_over_at() <= self.now
-    }
-
-    /// When none of this process's acts can be obeyed any more, if no answer comes.
-    pub(super) fn fenced_commands_over_at(&self) -> Ms {
-        let permits = self.disruptions.acts.values().map(|acts| acts.unsure_until);
-        self.report_receivers
-            .iter()
-            .map(|told| told.unsure_until)
-            .chain(permits)
-            .fold(f64::NEG_INFINITY, f64::max)
-    }
-
-    pub(super) fn next_report_at(&self) -> Option<Ms> {
-        let holds = self
-            .held_leases
-            .contains_key(&LeaseName::from(MEMBERSHIP_LEASE));
-        let next = || {
-            self.report_receivers
-                .iter()
-                .filter(|t| !t.out)
-                .map(|t| t.next)
-                .min_by(f64::total_cmp)
-        };
-        holds.then(next).flatten()
-    }
-
-    /// Tells the roll to those that the settings name: acts of the duty, each with its term.
-    pub(super) fn send_membership_reports(&mut self, out: &mut Vec<Output>) {
-        let lease_name = LeaseName::from(MEMBERSHIP_LEASE);
-        let Some(hold) = self.held_leases.get(&lease_name).copied() else {
-            return;
-        };
-        let unnoticed = is_injected(InjectedFault::PauseUnnoticed);
-        if hold.left(self.now) <= 0.0 && !unnoticed {
-            return;
-        }
-        let until = if unnoticed {
-            self.now + self.settings.lease.lease
-        } else {
-            hold.until
-        };
-        for at in 0..self.report_receivers.len() {
-            let told = &self.report_receivers[at];
-            if told.out || self.now < told.next {
-                continue;
-            }
-            let (receiver_timestamp, good_for) = told.known.good_for(until);
-            self.commands_sent += 1;
-            let (term, holder, number) = (hold.term, self.me(), self.commands_sent);
-            let act = FencedCommand {
-                lease_name: lease_name.clone(),
-                term,
-                holder,
-                number,
-                receiver_timestamp,
-                good_for,
-                body: self.summary(),
-            };
-            let told = &mut self.report_receivers[at];
-            (told.out, told.next) = (true, self.now + self.settings.tell_every);
-            told.unsure_until = hold.until;
-            self.count("acts");
-            self.send_request(
-                self.settings.tells[at].clone(),
-                Question::FencedCommand(act),
-                RequestPurpose::FencedCommand { to: at },
-                out,
-            );
+        if let Some(observer) = self.lease_observers.get_mut(&membership_lease()) {
+            observer.place = place;
         }
     }
 
-    pub(super) fn report_answered(
-        &mut self,
-        to: usize,
-        answer: Option<(FencingDecision, ReceiverTimestamp)>,
-    ) {
-        let Some(told) = self.report_receivers.get_mut(to) else {
-            return;
-        };
-        told.out = false;
-        match answer {
-            Some((verdict, receiver_timestamp)) => {
-                told.known.answered(self.now, receiver_timestamp);
-                told.unsure_until = f64::NEG_INFINITY;
-                if verdict == FencingDecision::TimestampMissing {
-                    // It asks before it obeys; now there is a ticket to send with it.
-                    told.next = self.now;
-                } else if verdict != FencingDecision::Executed {
-                    self.count("acts refused");
-                }
-            }
-            None => self.count("acts unanswered"),
+    /// The leader has taken a heartbeat in. Gives this member's place among the leader's successors.
+    fn heartbeat_accepted(&mut self, reply: &HeartbeatReply) -> Option<u32> {
+        self.leader_answered_at = Some(self.now);
+        let jitter: f64 = self.rng.generate();
+        let interval = reply.every.max(self.settings.heartbeat);
+        if interval != self.heartbeat_interval {
+            // A new interval begins at a random point, for each member another.
+            self.next_heartbeat_at = self.now + interval * jitter;
         }
-    }
-
-    /// The roll in a line: how many stand how, of how many, and for how long it has been called.
-    fn summary(&self) -> Vec<u8> {
-        use crate::coordination::membership::MemberStatus;
-        let Some(roll) = &self.membership else {
-            return Vec::new();
-        };
-        let counts = roll.counts(self.now, self.settings.heartbeat);
-        let of = |member_status| counts.get(&member_status).copied().unwrap_or(0);
-        let (inn, back) = (of(MemberStatus::Alive), of(MemberStatus::Returned));
-        let (suspected, gone) = (of(MemberStatus::Suspected), of(MemberStatus::Dead));
-        let since = self.now - roll.since;
-        format!("in {inn} back {back} suspected {suspected} out {gone} called-for-ms {since:.0}")
-            .into_bytes()
+        self.heartbeat_interval = interval;
+        let mut places = reply.places.iter();
+        places
+            .find(|(lease_name, _)| is_membership_lease(lease_name))
+            .map(|(_, place)| *place)
     }
 }
--- /dev/null
+++ b/src/coordination/member/leases.rs
@@ -0,0 +1,214 @@
+//! Leases of this member: those that it holds, hands over, or is ready to acquire.
+
+use super::*;
+use crate::coordination::fault_injection::{is_injected, InjectedFault};
+
+/// A job that does not ask for its lease for this many lease durations is over.
+const JOB_TIMEOUT_LEASES: f64 = 1.5;
+
+/// A lease that is being given up: nothing is done under it any more.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct LeaseHandover {
+    pub(super) held: HeldLease,
+    /// The successor that is named, if one is.
+    pub(super) next: Option<Name>,
+    /// Where the successor is told.
+    pub(super) to: Option<Address>,
+}
+
+/// A job of the operators for which a lease is held.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct LeaseJob {
+    /// Tells jobs of the same lease apart.
+    pub(super) number: u64,
+    /// When the job asked for its lease last.
+    pub(super) asked: Ms,
+}
+
+impl LeaseJob {
+    fn expires_at(&self, lease: Ms) -> Ms {
+        self.asked + JOB_TIMEOUT_LEASES * lease
+    }
+}
+
+pub(super) fn membership_lease() -> LeaseName {
+    LeaseName::from(MEMBERSHIP_LEASE)
+}
+
+pub(super) fn is_membership_lease(lease_name: &LeaseName) -> bool {
+    lease_name.0.as_ref() == MEMBERSHIP_LEASE
+}
+
+impl Member {
+    /// Whether this member acquires a lease once it is free.
+    pub(super) fn contends(&self, lease_name: &LeaseName) -> bool {
+        if self.stopping
+            || self.held_leases.contains_key(lease_name)
+            || self.handovers.contains_key(lease_name)
+        {
+            return false;
+        }
+        if !is_membership_lease(lease_name) {
+            return self.jobs.contains_key(lease_name);
+        }
+        // A member without a place contends only as a last resort, when the membership leader does not answer it.
+        let observer = self.lease_observers.get(lease_name);
+        let has_place = observer.is_some_and(|observer| {
+            observer.place.is_some() || observer.names_successor(&self.settings.me)
+        });
+        has_place || self.is_voter() || !self.leader_answers()
+    }
+
+    /// Whether this member is a voter by the newest value.
+    pub(super) fn is_voter(&self) -> bool {
+        let me = &self.settings.me;
+        let voters = self.known_voter_set();
+        self.acceptor.is_some() && voters.is_some_and(|voters| voters.set.contains_key(me))
+    }
+
+    /// Drops leases and jobs whose time is over.
+    ///
+    /// Guards against a process that slept or was stopped: it would act under a lease that another member has
+    /// acquired meanwhile. This runs before any input is looked at, and a lease's end is counted from before it was
+    /// requested, so it is over here before another member may acquire it.
+    pub(super) fn drop_expired(&mut self, out: &mut Vec<Output>) {
+        if !is_injected(InjectedFault::PauseUnnoticed) {
+            self.drop_expired_leases(out);
+        }
+        let (now, lease) = (self.now, self.settings.lease.lease);
+        let timeout = JOB_TIMEOUT_LEASES * lease;
+        let jobs = self.jobs.iter();
+        let over: Vec<LeaseName> = jobs
+            .filter(|(_, job)| now - job.asked >= timeout)
+            .map(|(lease_name, _)| lease_name.clone())
+            .collect();
+        for lease_name in over {
+            self.end_job(&lease_name, out);
+        }
+    }
+
+    fn drop_expired_leases(&mut self, out: &mut Vec<Output>) {
+        let now = self.now;
+        let is_over = |held: &HeldLease| held.left(now) <= 0.0;
+        let held_leases = self.held_leases.iter();
+        let over: Vec<LeaseName> = held_leases
+            .filter(|(_, held)| is_over(held))
+            .map(|(lease_name, _)| lease_name.clone())
+            .collect();
+        for lease_name in over {
+            self.count("leases over");
+            self.drop_lease(&lease_name, out);
+        }
+        self.handovers
+            .retain(|_, handover| !is_over(&handover.held));
+    }
+
+    /// A job is over: its lease is given up.
+    pub(super) fn end_job(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
+        self.jobs.remove(lease_name);
+        self.lease_observers.remove(lease_name);
+        self.hand_over(lease_name, None, out);
+    }
+
+    /// Stops acting under a lease at once, and then gives it up.
+    pub(super) fn hand_over(
+        &mut self,
+        lease_name: &LeaseName,
+        next: Option<Name>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(held) = self.held_leases.get(lease_name).copied() else {
+            return;
+        };
+        let membership = self.membership.as_ref();
+        let address_of = |name: &Name| {
+            let known = membership.and_then(|membership| membership.address(name));
+            known.or(self.settings.voters.get(name))
+        };
+        let to = next.as_ref().and_then(address_of).cloned();
+        self.drop_lease(lease_name, out);
+        let handover = LeaseHandover { held, next, to };
+        self.handovers.insert(lease_name.clone(), handover);
+    }
+
+    /// Hands all leases over, as this process ends.
+    pub(super) fn hand_over_all(&mut self, out: &mut Vec<Output>) {
+        let membership = self.membership.as_ref();
+        let successor = membership
+            .and_then(|membership| membership.first_successor(&membership_lease()))
+            .cloned();
+        for lease_name in self.held_leases.keys().cloned().collect::<Vec<_>>() {
+            let next = successor
+                .clone()
+                .filter(|_| is_membership_lease(&lease_name));
+            self.hand_over(&lease_name, next, out);
+        }
+    }
+
+    /// A lease is held no more.
+    pub(super) fn drop_lease(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
+        if let Some(held) = self.held_leases.remove(lease_name) {
+            out.push(Output::Holds {
+                lease_name: lease_name.clone(),
+                term: held.term,
+                held: false,
+            });
+        }
+        if is_membership_lease(lease_name) {
+            self.membership = None;
+            self.leader_answered_at = None;
+        }
+        if let Some(observer) = self.lease_observers.get_mut(lease_name) {
+            observer.place = None;
+        }
+    }
+
+    /// A lease is held from now on.
+    pub(super) fn lease_acquired(
+        &mut self,
+        lease_name: &LeaseName,
+        held: HeldLease,
+        out: &mut Vec<Output>,
+    ) {
+        if self.held_leases.insert(lease_name.clone(), held).is_some() {
+            return;
+        }
+        out.push(Output::Holds {
+            lease_name: lease_name.clone(),
+            term: held.term,
+            held: true,
+        });
+        if is_membership_lease(lease_name) {
+            self.membership = Some(Membership::begin(self.now));
+            self.membership_leader = Some((held.term, self.me()));
+            self.next_heartbeat_at = self.now;
+        }
+    }
+
+    /// A holder gave a lease up for this member: the voters are asked for the newest value at once.
+    pub(super) fn lease_offered(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
+        self.count("nudged");
+        if self.lease_observers.contains_key(lease_name) {
+            self.next_proposal_at = self.now;
+            self.query_all_voters(out);
+        }
+    }
+
+    /// When something of leases, jobs or pending commands falls due.
+    pub(super) fn lease_timers(&self) -> Vec<Ms> {
+        let settings = &self.settings.lease;
+        let mut timers = Vec::new();
+        if self.lease_observers.keys().any(|name| self.contends(name)) {
+            timers.push(self.next_query_at.min(self.now + settings.query_interval()));
+        }
+        let handed_over = self.handovers.values().map(|handover| &handover.held);
+        let all_held = self.held_leases.values().chain(handed_over);
+        timers.extend(all_held.map(|held| held.expires_at));
+        timers.extend(self.jobs.values().map(|job| job.expires_at(settings.lease)));
+        timers.extend(self.pending_commands.iter().map(|pending| pending.until));
+        if self.proposal.is_none() {
+            timers.push(self.next_command_at().max(self.next_proposal_at));
+        }
+        timers
+    }
+}
--- /dev/null
+++ b/src/coordination/member/membership_report.rs
@@ -0,0 +1,141 @@
+//! The membership leader's reports to the receivers that the settings name: commands under the membership lease, so
+//! that no receiver takes one of a former leader.
+
+use super::*;
+use crate::coordination::fault_injection::{is_injected, InjectedFault};
+use crate::coordination::membership::MemberStatus;
+
+/// A receiver of membership reports.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub(super) struct ReportReceiver {
+    clock: ReceiverClock,
+    next_report_at: Ms,
+    /// A report is in flight.
+    awaits_answer: bool,
+    /// A report that was not answered may still be executed before this.
+    unsettled_until: Ms,
+}
+
+impl Member {
+    /// Whether all commands under the membership lease have been answered, or cannot be executed any more.
+    pub(super) fn fenced_commands_are_over(&self) -> bool {
+        self.fenced_commands_over_at() <= self.now
+    }
+
+    /// When no command of this process can be executed any more, if no answer comes.
+    ///
+    /// Guards against a command that is under way while the lease changes hands: a successor, also this process in
+    /// its next term, must not act beside it. A receiver executes none after the lease under which it was sent.
+    pub(super) fn fenced_commands_over_at(&self) -> Ms {
+        let permits = self.disruptions.acts.values().map(|acts| acts.unsure_until);
+        let reports = self.report_receivers.iter();
+        reports
+            .map(|receiver| receiver.unsettled_until)
+            .chain(permits)
+            .fold(f64::NEG_INFINITY, f64::max)
+    }
+
+    /// When the next membership report is due, if this member is the leader.
+    pub(super) fn next_report_at(&self) -> Option<Ms> {
+        if !self.held_leases.contains_key(&membership_lease()) {
+            return None;
+        }
+        let receivers = self.report_receivers.iter();
+        receivers
+            .filter(|receiver| !receiver.awaits_answer)
+            .map(|receiver| receiver.next_report_at)
+            .min_by(f64::total_cmp)
+    }
+
+    /// Sends a membership report to each receiver that is due.
+    pub(super) fn send_membership_reports(&mut self, out: &mut Vec<Output>) {
+        let Some(held) = self.held_leases.get(&membership_lease()).copied() else {
+            return;
+        };
+        let ignores_end = is_injected(InjectedFault::PauseUnnoticed);
+        if held.left(self.now) <= 0.0 && !ignores_end {
+            return;
+        }
+        let lease_end = match ignores_end {
+            true => self.now + self.settings.lease.lease,
+            false => held.expires_at,
+        };
+        for index in 0..self.report_receivers.len() {
+            let receiver = &self.report_receivers[index];
+            if !receiver.awaits_answer && self.now >= receiver.next_report_at {
+                self.send_membership_report(index, &held, lease_end, out);
+            }
+        }
+    }
+
+    fn send_membership_report(
+        &mut self,
+        index: usize,
+        held: &HeldLease,
+        lease_end: Ms,
+        out: &mut Vec<Output>,
+    ) {
+        self.commands_sent += 1;
+        let body = self.membership_summary();
+        let holder = self.me();
+        let receiver = &mut self.report_receivers[index];
+        let (receiver_timestamp, good_for) = receiver.clock.good_for(lease_end);
+        receiver.awaits_answer = true;
+        receiver.next_report_at = self.now + self.settings.tell_every;
+        receiver.unsettled_until = held.expires_at;
+        let command = FencedCommand {
+            lease_name: membership_lease(),
+            term: held.term,
+            holder,
+            number: self.commands_sent,
+            receiver_timestamp,
+            good_for,
+            body,
+        };
+        self.count("acts");
+        let to = self.settings.tells[index].clone();
+        let purpose = RequestPurpose::MembershipReport { receiver: index };
+        self.send_request(to, Question::FencedCommand(command), purpose, out);
+    }
+
+    /// A receiver answered a membership report, or did not.
+    pub(super) fn report_answered(
+        &mut self,
+        index: usize,
+        answer: Option<(FencingDecision, ReceiverTimestamp)>,
+    ) {
+        let Some(receiver) = self.report_receivers.get_mut(index) else {
+            return;
+        };
+        receiver.awaits_answer = false;
+        let Some((decision, receiver_timestamp)) = answer else {
+            return self.count("acts unanswered");
+        };
+        receiver.clock.answered(self.now, receiver_timestamp);
+        receiver.unsettled_until = f64::NEG_INFINITY;
+        if decision == FencingDecision::TimestampMissing {
+            // The timestamp came with this answer: the report can be sent again at once.
+            receiver.next_report_at = self.now;
+        } else if decision != FencingDecision::Executed {
+            self.count("acts refused");
+        }
+    }
+
+    /// The members by status, and how long this member has been the leader.
+    fn membership_summary(&self) -> Vec<u8> {
+        let Some(membership) = &self.membership else {
+            return Vec::new();
+        };
+        let counts = membership.counts(self.now, self.settings.heartbeat);
+        let count = |status| counts.get(&status).copied().unwrap_or(0);
+        let summary = format!(
+            "in {} back {} suspected {} out {} called-for-ms {:.0}",
+            count(MemberStatus::Alive),
+            count(MemberStatus::Returned),
+            count(MemberStatus::Suspected),
+            count(MemberStatus::Dead),
+            self.now - membership.since,
+        );
+        summary.into_bytes()
+    }
+}
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -1,343 +1,60 @@
-//! One dispatcher's part in the fleet: a voter if its settings say so, a contender for duties, a caller of the roll
-//! or one that answers it. One entry, [`Member::handle`]; what is to be done comes out; [`Member::wants_call_at`]
-//! says when it wants to be called if nothing happens before.
+//! One dispatcher as a member of its fleet: an acceptor and a proposer of the replicated state, a holder of leases,
+//! and the membership leader or one of those that send it heartbeats.
+//!
+//! [`Member::handle`] takes an [`Input`] in and gives the [`Output`]s that are to be carried out;
+//! [`Member::wants_call_at`] says when to call it if nothing happens before.
 
 mod acceptor;
 mod heartbeat;
+mod leases;
+mod membership_report;
+mod messages;
 mod operator_requests;
 mod proposer;
+mod requests;
 mod rollout;
+mod settings;
 
+pub use messages::{
+    Answer, CallId, HeartbeatReply, Input, LocalHealth, Output, Question, QuestionId, SaveId, Seen,
+    UnusableFile,
+};
 pub use operator_requests::{
     MemberLine, OperatorRequest, Reply, RolloutRequest, RolloutStatus, Status, VoterLine,
     LONGEST_NAME,
 };
 pub use rollout::MAX_REPORTS;
-
-use super::disruption_budget::{DisruptionBudget, OutcomeCounts, Unit, UnitKind};
+pub use settings::FleetSettings;
+
+use self::acceptor::{AcceptorFile, AcceptorStorage};
+use self::leases::{is_membership_lease, membership_lease, LeaseHandover, LeaseJob};
+use self::membership_report::ReportReceiver;
+use self::proposer::{PendingCommand, ProposalInFlight, ProposalReason};
+use self::requests::{NextVoter, RequestInFlight, RequestPurpose};
+use super::disruption_budget::UnitKind;
+use super::fault_injection::{is_injected, InjectedFault};
 use super::fencing::{FencedCommand, FencingDecision, Receiver, ReceiverClock, ReceiverTimestamp};
-use super::lease::{HeldLease, LeaseObserver, LeaseSettings};
+use super::lease::{HeldLease, LeaseObserver};
 use super::membership::{EngineReport, Heartbeat, Membership};
 use super::register::{
-    self, Acceptor, AcceptorReply, AcceptorState, Ballot, Proposal, ProposerKnowledge,
+    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Proposal, ProposerKnowledge,
 };
 use super::rollout::PermitId;
 use super::state::{Command, LeaseHolder, ReplicatedState, VoterId, Voters};
 use super::{Address, Incarnation, LeaseName, MonotonicClock, Name, Term};
 use crate::interface::Ms;
-use nanorand::WyRand;
+use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// The roll-call's name as a duty.
+/// The name of the lease whose holder is the membership leader.
 pub const MEMBERSHIP_LEASE: &str = "roll-call";
 
-/// What a dispatcher is told of its fleet at its start. Times in milliseconds.
-#[derive(Clone, Debug, PartialEq)]
-pub struct FleetSettings {
-    /// The fleet's name: members of another are no members.
-    pub fleet: String,
-    pub me: Name,
-    pub incarnation: Incarnation,
-    /// Where the others reach this dispatcher's fleet service.
-    pub address: Address,
-    pub zone: String,
-    pub label: String,
-    /// The voters of the first start, and whom to ask who votes now.
-    pub voters: BTreeMap<Name, Address>,
-    /// It has a file to vote with.
-    pub may_vote: bool,
-    pub lease: LeaseSettings,
-    /// What is not answered within this is lost.
-    pub answer_within: Ms,
-    /// The least time between two beats.
-    pub heartbeat: Ms,
-    /// The zone whose dispatchers are to call the roll, if there is one.
-    pub prefers: Option<String>,
-    /// Who is told the roll-call, and how often.
-    pub tells: Vec<Address>,
-    pub tell_every: Ms,
-    /// How many dispatchers and how many engines may be out at once, and who lists engines as draining.
-    pub bounds: (DisruptionBudget, DisruptionBudget),
-    pub keeper: Option<Address>,
-    pub seed: u64,
-}
-
-/// A call that came from outside, as the caller numbers it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallId(pub u64);
-/// A question that went out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct QuestionId(pub u64);
-/// A write of the voter's file.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SaveId(pub u64);
-
-/// What members ask each other.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Question {
-    Vote(register::AcceptorRequest),
-    /// What did you, a voter, take last?
-    Look,
-    /// How many writes of this voter have you heard of?
-    Witness {
-        of: Name,
-        voter_id: VoterId,
-    },
-    Heartbeat(Heartbeat),
-    /// A duty was given up for you.
-    Nudge {
-        lease_name: LeaseName,
-    },
-    FencedCommand(FencedCommand),
-    /// Has this turn begun? If not, it is not to.
-    AskBack {
-        permit: PermitId,
-        of: UnitKind,
-        who: Name,
-        incarnation: Incarnation,
-    },
-    Operator(OperatorRequest),
-}
-
-/// What is answered.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
-    Vote(AcceptorReply),
-    Seen(Seen),
-    Witnessed {
-        writes: u64,
-    },
-    Heard(HeartbeatReply),
-    Done,
-    FencingDecision {
-        verdict: FencingDecision,
-        receiver_timestamp: ReceiverTimestamp,
-    },
-    Begun {
-        begun: bool,
-    },
-    Reply(Reply),
-}
-
-/// What a voter shows of itself.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
-    /// None if it is no voter, or has no file that it trusts.
-    pub voter_id: Option<VoterId>,
-    pub votes: bool,
-    pub bootstrap: Option<Voters>,
-    pub newest: Option<(Ballot, ReplicatedState)>,
-}
-
-/// What a beat is answered with.
-#[derive(Clone, Debug, PartialEq)]
-pub struct HeartbeatReply {
-    /// It was heard by the holder of the roll-call, of this term; else who that may be.
-    pub heard: bool,
-    pub holder: Option<(Term, LeaseHolder)>,
-    /// When the next beat is wanted.
-    pub every: Ms,
-    /// The duties for which the member has a place, and which.
-    pub places: Vec<(LeaseName, u32)>,
-}
-
-/// How the dispatcher fares.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct LocalHealth {
-    pub ready: bool,
-    pub load: f64,
-    /// Tasks answered by this process so far.
-    pub tally: OutcomeCounts,
-    /// What it heard of some engines since it was last asked.
-    pub reports: Vec<EngineReport>,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum Input {
-    /// What is in the voter's file; an error is a file that cannot be trusted.
-    Loaded(Result<Option<AcceptorState>, String>),
-    /// A write of the file is over; `lasts`: it lasts for certain.
-    Saved {
-        number: SaveId,
-        lasts: bool,
-    },
-    Asked {
-        call: CallId,
-        question: Question,
-    },
-    /// An answer, or none as the one asked was not reached.
-    Answered {
-        ask: QuestionId,
-        answer: Option<Answer>,
-    },
-    LocalHealth(LocalHealth),
-    /// The engines as this dispatcher's list has them.
-    Engines(Vec<Unit>),
-    Tick,
-    /// Hands over what it holds and contends no more.
-    Stop,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum Output {
-    Ask {
-        ask: QuestionId,
-        to: Address,
-        question: Question,
-    },
-    Answer {
-        call: CallId,
-        answer: Answer,
-    },
-    Save {
-        number: SaveId,
-        kept: Box<AcceptorState>,
-    },
-    /// A duty is held from now on, or no more.
-    Holds {
-        lease_name: LeaseName,
-        term: Term,
-        held: bool,
-    },
-    /// This process has its turn: it drains and ends in order, and its supervisor starts it again, under the label
-    /// if one is named.
-    PermitGranted {
-        permit: PermitId,
-        label: String,
-    },
-    Warn(String),
-    Info(String),
-    /// What it held is handed over.
-    Stopped,
-}
-
-/// Why a question is out.
-#[derive(Clone, Debug, PartialEq)]
-enum RequestPurpose {
-    Vote {
-        from: Name,
-        voter_id: VoterId,
-        ballot: Ballot,
-        taking: bool,
-    },
-    /// With whom to try next, by number and time, if this one does not answer.
-    Look {
-        of: Name,
-        next: Option<(usize, usize)>,
-    },
-    /// A look whose answer an order waits for.
-    Inspect {
-        of: Name,
-        call: CallId,
-    },
-    Witness {
-        of: Name,
-    },
-    Heartbeat {
-        to: Incarnation,
-    },
-    Nudge,
-    FencedCommand {
-        to: usize,
-    },
-    TurnAct {
-        to: Address,
-        permit: PermitId,
-    },
-    Revoke {
-        permit: PermitId,
-    },
-    HaltAsk {
-        permit: PermitId,
-    },
-    ByHand {
-        call: CallId,
-        note: String,
-    },
-}
-
-#[derive(Clone, Debug, PartialEq)]
-struct RequestInFlight {
-    errand: RequestPurpose,
-    until: Ms,
-    /// When it is asked again, and how often yet: a lost message does not cost a try.
-    again: Option<(Ms, u32)>,
-    to: Address,
-    question: Option<Box<Question>>,
-}
-
-/// What voters are asked is asked again so often in the time that it has.
-const AGAIN: u32 = 2;
-
-/// What a try is for.
-#[derive(Clone, Debug, PartialEq)]
-enum ProposalReason {
-    Take(LeaseName),
-    Renew,
-    GiveUp(LeaseName),
-    OperatorCommand(CallId),
-    RolloutStep,
-    Settle,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-struct ProposalInFlight {
-    round: Proposal,
-    purpose: ProposalReason,
-    asked: Ms,
-}
-
-/// A duty that is being given up: nothing is done in its name any more.
-#[derive(Clone, Debug, PartialEq)]
-struct LeaseHandover {
-    hold: HeldLease,
-    next: Option<Name>,
-    /// Where whoever is named is told.
-    to: Option<Address>,
-}
-
-/// A job of the operators' that wants a duty held for it.
-#[derive(Clone, Debug, PartialEq)]
-struct LeaseJob {
-    number: u64,
-    asked: Ms,
-}
-
-/// A change that an operator asked for.
-#[derive(Clone, Debug, PartialEq)]
-struct PendingCommand {
-    call: CallId,
-    change: Command,
-    until: Ms,
-}
-
-/// A receiver of the roll-call's acts.
-#[derive(Clone, Debug, Default, PartialEq)]
-struct PermitNotice {
-    known: ReceiverClock,
-    next: Ms,
-    out: bool,
-    /// Acts that were not answered may still come there before this.
-    unsure_until: Ms,
-}
-
-/// The voter's file.
-#[derive(Clone, Debug, PartialEq)]
-enum AcceptorFile {
-    /// It was not read yet.
-    Unread,
-    /// There is none, and none is wanted.
-    None,
-    Good,
-    /// It cannot be trusted: no voting.
-    Bad(String),
-}
-
 /// One dispatcher in its fleet.
 #[derive(Clone, Debug)]
 pub struct Member {
     settings: FleetSettings,
     clock: MonotonicClock,
+    /// The time of the input that is being handled, by [`MonotonicClock`].
     now: Ms,
     rng: WyRand,
     started_at: Ms,
@@ -345,53 +62,54 @@
     load: f64,
     stopping: bool,
     stopped: bool,
-    // The voter.
+
+    // The acceptor.
     file: AcceptorFile,
     acceptor: Option<Acceptor>,
-    /// Its file was written at least once, so its life lasts.
-    file_is_durable: bool,
-    save_in_flight: Option<SaveId>,
-    /// What the write under way keeps, and what the last one kept that lasts.
-    saving_state: Option<Box<AcceptorState>>,
-    durable: Option<Box<AcceptorState>>,
-    saves_started: u64,
-    /// Answers for when the write under way, and the one after it, lasts.
-    answers_after_save: Vec<(CallId, Answer)>,
-    answers_after_next_save: Vec<(CallId, Answer)>,
+    storage: AcceptorStorage,
     next_acceptor_check_at: Ms,
-    /// Blank voters of the first start that were heard, and those that confirmed our file.
+    /// Identities of the bootstrap's voters, as heard from them.
     bootstrap_voter_ids: BTreeMap<Name, VoterId>,
+    /// Voters that confirmed that the acceptor's file is not outdated.
     confirmed_by: Vec<Name>,
+
     // The proposer.
     knowledge: ProposerKnowledge,
+    /// The newest value seen, chosen or not.
     newest: Option<(Option<Ballot>, ReplicatedState)>,
-    /// The newest value that is known to be agreed on.
+    /// The newest value that is known to be chosen.
     chosen: Option<ReplicatedState>,
     bootstrap: Option<Voters>,
     highest_round: u64,
     proposal: Option<ProposalInFlight>,
+    /// The end of the wait after a conflict or a rejection.
     next_proposal_at: Ms,
     conflicts_in_a_row: u32,
     pending_commands: Vec<PendingCommand>,
-    // Duties.
+
+    // Leases.
     lease_observers: BTreeMap<LeaseName, LeaseObserver>,
     held_leases: BTreeMap<LeaseName, HeldLease>,
     handovers: BTreeMap<LeaseName, LeaseHandover>,
     jobs: BTreeMap<LeaseName, LeaseJob>,
+    /// When a voter is asked for the newest value next, while this member contends for a lease.
     next_query_at: Ms,
-    // The roll-call.
+
+    // Membership.
+    /// The members, while this one is the membership leader.
     membership: Option<Membership>,
     membership_leader: Option<(Term, LeaseHolder)>,
-    /// When the caller last heard us.
     leader_answered_at: Option<Ms>,
     next_heartbeat_at: Ms,
     heartbeat_interval: Ms,
-    report_receivers: Vec<PermitNotice>,
+    report_receivers: Vec<ReportReceiver>,
     commands_sent: u64,
     receiver: Receiver,
-    // Turns and releases.
+
+    // Disruptions and rollouts.
     disruptions: rollout::Releasing,
-    // Questions.
+
+    // Requests.
     requests_sent: u64,
     in_flight: BTreeMap<QuestionId, RequestInFlight>,
     inspections: BTreeMap<CallId, operator_requests::Inspection>,
@@ -399,35 +117,24 @@
 }
 
 impl Member {
+    /// A member that has not started yet: its first input starts it.
     pub fn new(settings: FleetSettings) -> Self {
-        let rng = WyRand::new_seed(settings.seed);
-        let receiver = Receiver::new(settings.incarnation, settings.lease.drift);
-        let (report_receivers, heartbeat_interval) = (
-            vec![PermitNotice::default(); settings.tells.len()],
-            settings.heartbeat,
-        );
+        let file = match settings.may_vote {
+            true => AcceptorFile::Unread,
+            false => AcceptorFile::None,
+        };
         Member {
             clock: MonotonicClock::default(),
             now: 0.0,
-            rng,
+            rng: WyRand::new_seed(settings.seed),
             started_at: 0.0,
             ready: false,
             load: 0.0,
             stopping: false,
             stopped: false,
-            file: if settings.may_vote {
-                AcceptorFile::Unread
-            } else {
-                AcceptorFile::None
-            },
+            file,
             acceptor: None,
-            file_is_durable: false,
-            save_in_flight: None,
-            saving_state: None,
-            durable: None,
-            saves_started: 0,
-            answers_after_save: Vec::new(),
-            answers_after_next_save: Vec::new(),
+            storage: AcceptorStorage::default(),
             next_acceptor_check_at: 0.0,
             bootstrap_voter_ids: BTreeMap::new(),
             confirmed_by: Vec::new(),
@@ -449,10 +156,10 @@
             membership_leader: None,
             leader_answered_at: None,
             next_heartbeat_at: 0.0,
-            heartbeat_interval,
-            report_receivers,
+            heartbeat_interval: settings.heartbeat,
+            report_receivers: vec![ReportReceiver::default(); settings.tells.len()],
             commands_sent: 0,
-            receiver,
+            receiver: Receiver::new(settings.incarnation, settings.lease.drift),
             disruptions: rollout::Releasing::default(),
             requests_sent: 0,
             in_flight: BTreeMap::new(),
@@ -462,398 +169,164 @@
         }
     }
 
-    /// Takes something in at a reading of the clock, and says what is to be done.
+    /// Takes an input in at a reading of the clock, in milliseconds, and adds what is to be done to `out`.
     pub fn handle(&mut self, read: Ms, input: Input, out: &mut Vec<Output>) {
-        let first = self.counts.is_empty();
-        let (now, went_back) = self.clock.take(read);
-        self.now = now;
-        if first {
-            self.begin();
-        }
-        if went_back {
-            self.clock_went_back(out);
-        }
-        // What is over is over before anything else is looked at, however long the process slept.
+        self.take_time(read, out);
+        // Before anything else: however long the process slept, nothing is done under a lease that is over.
         self.drop_expired(out);
         match input {
             Input::Loaded(file) => self.file_loaded(file, out),
             Input::Saved { number, lasts } => self.file_saved(number, lasts, out),
             Input::Asked { call, question } => self.handle_request(call, question, out),
-            Input::Answered { ask, answer } => {
-                if let Some(asked) = self.in_flight.remove(&ask) {
-                    self.handle_answer(asked.errand, answer, out);
-                }
-            }
+            Input::Answered { ask, answer } => self.answer_received(ask, answer, out),
             Input::LocalHealth(local_health) => self.local_health(local_health),
             Input::Engines(engines) => self.engines(engines),
             Input::Tick => {}
             Input::Stop => self.stopping = true,
         }
+        self.do_what_is_due(out);
+        self.stop_if_done(out);
+    }
+
+    fn do_what_is_due(&mut self, out: &mut Vec<Output>) {
         self.resend_requests(out);
         self.expire_requests(out);
         self.check_acceptor(out);
         self.look_after();
         self.advance(out);
-        self.heartbeat(out);
+        self.heartbeat_if_due(out);
         self.send_membership_reports(out);
         self.tell_turns(out);
         self.care_for_halt(out);
         self.finish_inspections(out);
-        if self.stopping
-            && !self.stopped
-            && self.held_leases.is_empty()
-            && self.handovers.is_empty()
-        {
+    }
+
+    fn stop_if_done(&mut self, out: &mut Vec<Output>) {
+        let holds_nothing = self.held_leases.is_empty() && self.handovers.is_empty();
+        if self.stopping && !self.stopped && holds_nothing {
             self.stopped = true;
             out.push(Output::Stopped);
         }
     }
 
-    /// When it wants to be called, on the clock that is read.
+    /// When [`Member::handle`] wants to be called with [`Input::Tick`], as a reading of the clock in milliseconds.
     pub fn wants_call_at(&self) -> Ms {
-        let mut at = f64::INFINITY;
-        let mut sooner = |when: Ms| at = at.min(when);
-        self.in_flight
-            .values()
-            .for_each(|o| sooner(o.again.map_or(o.until, |(at, _)| at.min(o.until))));
-        sooner(self.next_heartbeat_at);
-        self.next_acceptor_check().into_iter().for_each(&mut sooner);
-        self.lease_timers().into_iter().for_each(&mut sooner);
-        self.next_report_at().into_iter().for_each(&mut sooner);
-        self.care_wants_at().into_iter().for_each(&mut sooner);
-        self.inspections.values().for_each(|i| sooner(i.until()));
+        let requests = self.in_flight.values().map(RequestInFlight::due_at);
+        let inspections = self.inspections.values().map(|i| i.until());
+        let at = [self.next_heartbeat_at]
+            .into_iter()
+            .chain(requests)
+            .chain(self.next_acceptor_check())
+            .chain(self.lease_timers())
+            .chain(self.next_report_at())
+            .chain(self.care_wants_at())
+            .chain(inspections)
+            .fold(f64::INFINITY, f64::min);
         self.clock.reading_at(at.max(self.now))
     }
 
-    /// The duties held now, with their terms.
+    /// The leases held now, with their terms.
     pub fn held(&self) -> impl Iterator<Item = (&LeaseName, Term)> {
         self.held_leases
             .iter()
-            .filter(|(_, hold)| hold.left(self.now) > 0.0)
-            .map(|(lease_name, hold)| (lease_name, hold.term))
+            .filter(|(_, held)| held.left(self.now) > 0.0)
+            .map(|(lease_name, held)| (lease_name, held.term))
     }
 
-    /// How often what happened.
+    /// How often each kind of event happened, by name.
     pub fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
 
-    /// The roll-call, where this dispatcher calls it.
+    /// The members of the fleet, while this one is the membership leader.
     pub fn roll(&self) -> Option<&Membership> {
         self.membership.as_ref()
     }
 
-    /// The release as this dispatcher sees it.
+    /// The rollout as this member sees it.
     pub fn release_status(&self) -> RolloutStatus {
         self.care_status()
     }
 
-    /// The newest value seen, agreed on or not.
+    /// The newest value seen, chosen or not.
     pub fn newest(&self) -> Option<&ReplicatedState> {
         self.newest.as_ref().map(|(_, value)| value)
     }
 
-    fn begin(&mut self) {
-        use nanorand::Rng;
+    fn take_time(&mut self, read: Ms, out: &mut Vec<Output>) {
+        let is_first = self.counts.is_empty();
+        let (now, went_back) = self.clock.take(read);
+        self.now = now;
+        if is_first {
+            self.start();
+        }
+        if went_back {
+            self.clock_went_back(out);
+        }
+    }
+
+    fn start(&mut self) {
         self.count("starts");
-        (self.started_at, self.next_query_at) = (self.now, self.now);
-        // Hundreds that start at once do not beat at once.
+        self.started_at = self.now;
+        self.next_query_at = self.now;
+        // Hundreds of members that start at once do not send their heartbeats at once.
         let phase: f64 = self.rng.generate();
         self.next_heartbeat_at = self.now + phase * self.settings.heartbeat;
-        self.lease_observers.insert(
-            LeaseName::from(MEMBERSHIP_LEASE),
-            LeaseObserver::new(self.now, &mut self.rng),
-        );
+        let observer = LeaseObserver::new(self.now, &mut self.rng);
+        self.lease_observers.insert(membership_lease(), observer);
     }
 
-    fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    fn count(&mut self, event: &'static str) {
+        *self.counts.entry(event).or_default() += 1;
     }
 
-    /// Guards against a clock that is set back: what was counted on it would last too long.
+    /// Guards against a clock that is set back: a lease that is counted on it would last longer here than others
+    /// wait for it. All leases end now, timestamps given to senders become void, and the proposal in flight grants
+    /// nothing.
     fn clock_went_back(&mut self, out: &mut Vec<Output>) {
         self.count("clock went back");
         self.receiver.clock_went_back();
-        if super::fault_injection::is_injected(
-            super::fault_injection::InjectedFault::ClockBackUnnoticed,
-        ) {
+        if is_injected(InjectedFault::ClockBackUnnoticed) {
             return;
         }
         out.push(Output::Warn(
             "the clock went back: no lease that was asked for before counts".to_owned(),
         ));
-        let now = self.now;
-        self.held_leases
+        let handed_over = self
+            .handovers
             .values_mut()
-            .chain(self.handovers.values_mut().map(|g| &mut g.hold))
-            .for_each(|h| h.until = now);
-        self.proposal = None;
-    }
-
-    fn send_request(
-        &mut self,
-        to: Address,
-        question: Question,
-        errand: RequestPurpose,
-        out: &mut Vec<Output>,
-    ) {
-        let within = self.settings.answer_within;
-        let votes = matches!(errand, RequestPurpose::Vote { .. });
-        let again = votes.then(|| (self.now + within / f64::from(AGAIN + 1), AGAIN));
-        self.send_request_until(self.now + within, again, to, question, errand, out);
-    }
-
-    fn send_request_until(
-        &mut self,
-        until: Ms,
-        again: Option<(Ms, u32)>,
-        to: Address,
-        question: Question,
-        errand: RequestPurpose,
-        out: &mut Vec<Output>,
-    ) {
-        self.requests_sent += 1;
-        let ask = QuestionId(self.requests_sent);
-        let kept = again.map(|_| Box::new(question.clone()));
-        self.in_flight.insert(
-            ask,
-            RequestInFlight {
-                errand,
-                until,
-                again,
-                to: to.clone(),
-                question: kept,
-            },
-        );
-        out.push(Output::Ask { ask, to, question });
-    }
-
-    /// Asks again what a voter has not answered, while the try goes on that it is for.
-    fn resend_requests(&mut self, out: &mut Vec<Output>) {
-        let now = self.now;
-        let due = |o: &RequestInFlight| o.again.is_some_and(|(at, _)| at <= now);
-        let due: Vec<QuestionId> = self
-            .in_flight
-            .iter()
-            .filter(|(_, o)| due(o))
-            .map(|(ask, _)| *ask)
-            .collect();
-        for ask in due {
-            let Some(asked) = self.in_flight.get_mut(&ask) else {
-                continue;
-            };
-            let (Some((_, times)), Some(question)) = (asked.again.take(), asked.question.take())
-            else {
-                continue;
-            };
-            let (errand, to, until) = (asked.errand.clone(), asked.to.clone(), asked.until);
-            let ballot = self.proposal.as_ref().map(|t| &t.round.ballot);
-            if matches!(&errand, RequestPurpose::Vote { ballot: of, .. } if Some(of) == ballot) {
-                self.count("asked again");
-                let step = self.settings.answer_within / f64::from(AGAIN + 1);
-                let again = (times > 1).then_some((now + step, times - 1));
-                self.send_request_until(until, again, to, *question, errand, out);
-            }
-        }
-    }
-
-    fn handle_request(&mut self, call: CallId, question: Question, out: &mut Vec<Output>) {
-        let answer = match question {
-            Question::Vote(ask) => return self.proposer_request(call, &ask, out),
-            Question::Look => Answer::Seen(self.voter_state()),
-            Question::Witness { of, voter_id } => {
-                let who = (of, voter_id);
-                let kept = self
-                    .acceptor
-                    .as_ref()
-                    .and_then(|v| v.kept.heard.get(&who))
-                    .copied();
-                let writes = kept
-                    .unwrap_or(0)
-                    .max(self.knowledge.heard.get(&who).copied().unwrap_or(0));
-                Answer::Witnessed { writes }
-            }
-            Question::Heartbeat(heartbeat) => Answer::Heard(self.heartbeat_received(heartbeat)),
-            Question::Nudge { lease_name } => {
-                self.lease_offered(&lease_name, out);
-                Answer::Done
-            }
-            Question::FencedCommand(act) => {
-                let verdict = self.receiver.receive(self.now, &act);
-                if verdict == FencingDecision::Executed {
-                    self.obeyed(&act, out);
-                }
-                Answer::FencingDecision {
-                    verdict,
-                    receiver_timestamp: self.receiver.receiver_timestamp(self.now),
-                }
-            }
-            Question::AskBack {
-                permit,
-                of,
-                who,
-                incarnation,
-            } => {
-                let mine = of == UnitKind::Dispatchers && who == self.settings.me;
-                Answer::Begun {
-                    begun: !mine || self.asked_back(permit, incarnation),
-                }
-            }
-            Question::Operator(order) => return self.order(call, order, out),
-        };
-        out.push(Output::Answer { call, answer });
-    }
-
-    fn handle_answer(
-        &mut self,
-        errand: RequestPurpose,
-        answer: Option<Answer>,
-        out: &mut Vec<Output>,
-    ) {
-        match (errand, answer) {
-            (
-                RequestPurpose::Vote {
-                    from,
-                    voter_id,
-                    ballot,
-                    taking,
-                },
-                answer,
-            ) => {
-                let said = match &answer {
-                    Some(Answer::Vote(said)) => Some(said),
-                    _ => None,
-                };
-                self.acceptor_answered((&from, voter_id), &ballot, taking, said, out);
-            }
-            (RequestPurpose::Look { of, .. }, Some(Answer::Seen(seen))) => {
-                self.voter_state_received(&of, seen, out)
-            }
-            (
-                RequestPurpose::Look {
-                    next: Some((at, times)),
-                    ..
-                },
-                None,
-            ) => self.query_voters_from(at, times, out),
-            (RequestPurpose::Inspect { of, call }, answer) => {
-                let seen = match answer {
-                    Some(Answer::Seen(seen)) => Some(seen),
-                    _ => None,
-                };
-                if let Some(seen) = &seen {
-                    self.voter_state_received(&of, seen.clone(), out);
-                }
-                self.inspection_answered(call, &of, seen, out);
-            }
-            (RequestPurpose::Witness { of }, Some(Answer::Witnessed { writes })) => {
-                self.write_count_received(of, writes, out)
-            }
-            (RequestPurpose::Heartbeat { to }, answer) => {
-                let heard = match answer {
-                    Some(Answer::Heard(heard)) => Some(heard),
-                    _ => None,
-                };
-                self.heartbeat_answered(to, heard, out);
-            }
-            (RequestPurpose::FencedCommand { to }, answer) => {
-                let verdict = match answer {
-                    Some(Answer::FencingDecision {
-                        verdict,
-                        receiver_timestamp,
-                    }) => Some((verdict, receiver_timestamp)),
-                    _ => None,
-                };
-                self.report_answered(to, verdict);
-            }
-            (RequestPurpose::TurnAct { to, permit }, answer) => {
-                let verdict = match answer {
-                    Some(Answer::FencingDecision {
-                        verdict,
-                        receiver_timestamp,
-                    }) => Some((verdict, receiver_timestamp)),
-                    _ => None,
-                };
-                self.turn_told(&to, permit, verdict, out);
-            }
-            (RequestPurpose::ByHand { call, note }, answer) => {
-                let reply = match answer {
-                    Some(Answer::Reply(reply)) => Some(reply),
-                    _ => None,
-                };
-                self.stopped_by_hand(call, note, reply, out);
-            }
-            (errand @ (RequestPurpose::Revoke { .. } | RequestPurpose::HaltAsk { .. }), answer) => {
-                let begun = match answer {
-                    Some(Answer::Begun { begun }) => Some(begun),
-                    _ => None,
-                };
-                self.asked_back_said(&errand, begun);
-            }
-            (
-                RequestPurpose::Look { .. }
-                | RequestPurpose::Witness { .. }
-                | RequestPurpose::Nudge,
-                _,
-            ) => {}
-        }
-    }
-
-    /// What was not answered in time is lost.
-    fn expire_requests(&mut self, out: &mut Vec<Output>) {
-        let late = |o: &RequestInFlight| o.until <= self.now;
-        let lost: Vec<QuestionId> = self
-            .in_flight
-            .iter()
-            .filter(|(_, o)| late(o))
-            .map(|(ask, _)| *ask)
-            .collect();
-        for ask in lost {
-            if let Some(asked) = self.in_flight.remove(&ask) {
-                self.count("unanswered");
-                self.handle_answer(asked.errand, None, out);
-            }
+            .map(|handover| &mut handover.held);
+        for held in self.held_leases.values_mut().chain(handed_over) {
+            held.expires_at = self.now;
         }
+        self.proposal = None;
     }
 
-    /// The voters as known: by the newest value, else those of the first start.
+    /// The voters by the newest value, else those of the bootstrap.
     fn known_voter_set(&self) -> Option<&Voters> {
-        let bootstrap = self
-            .acceptor
-            .as_ref()
-            .and_then(|v| v.kept.bootstrap.as_ref())
-            .or(self.bootstrap.as_ref());
-        self.newest
-            .as_ref()
-            .map(|(_, value)| &value.voters)
-            .or(bootstrap)
+        let newest = self.newest.as_ref().map(|(_, value)| &value.voters);
+        let acceptor = self.acceptor.as_ref();
+        let stored_bootstrap = acceptor.and_then(|acceptor| acceptor.state.bootstrap.as_ref());
+        newest.or(stored_bootstrap).or(self.bootstrap.as_ref())
     }
 
-    /// Where to ask who votes: the voters as known, and those of the settings.
+    /// The other voters' addresses, with those of the settings.
     fn known_voters(&self) -> BTreeMap<Name, Address> {
-        let mut all = self.settings.voters.clone();
-        if let Some(view) = self.known_voter_set() {
-            all.extend(
-                view.all()
-                    .into_iter()
-                    .map(|(name, voter_record)| (name, voter_record.address)),
-            );
+        let mut known = self.settings.voters.clone();
+        if let Some(voters) = self.known_voter_set() {
+            let records = voters.all().into_iter();
+            known.extend(records.map(|(name, record)| (name, record.address)));
         }
-        all.remove(&self.settings.me);
-        all
+        known.remove(&self.settings.me);
+        known
     }
 
+    /// This member as a holder of leases.
     fn me(&self) -> LeaseHolder {
-        let FleetSettings {
-            me,
-            incarnation,
-            address,
-            ..
-        } = &self.settings;
         LeaseHolder {
-            name: me.clone(),
-            incarnation: *incarnation,
-            address: address.clone(),
+            name: self.settings.me.clone(),
+            incarnation: self.settings.incarnation,
+            address: self.settings.address.clone(),
         }
     }
 }
--- a/src/coordination/member/operator_requests.rs
+++ b/src/coordination/member/operator_requests.rs
@@ -249,7 +249,10 @@
     ) -> Reply {
         if self.held_leases.contains_key(lease_name) {
             let roll = self.membership.as_ref();
-            let first = || roll.and_then(|roll| roll.first_for(lease_name)).cloned();
+            let first = || {
+                roll.and_then(|roll| roll.first_successor(lease_name))
+                    .cloned()
+            };
             let Some(next) = to.or_else(first) else {
                 return Reply::Refused(format!("nobody is known that could hold {}", lease_name.0));
             };
@@ -470,8 +473,8 @@
                     roll.member_status(self.now, member, least)
                 }),
                 ready: member.heartbeat.ready,
-                up: member.heartbeat.up + self.now - member.heard,
-                age: self.now - member.heard,
+                up: member.heartbeat.up + self.now - member.last_heartbeat_at,
+                age: self.now - member.last_heartbeat_at,
             };
         Status {
             by: Some(self.settings.me.clone()),
@@ -504,7 +507,7 @@
         let until = self.now + WITHIN;
         self.pending_commands.push(PendingCommand {
             call,
-            change,
+            command: change,
             until,
         });
     }
@@ -520,7 +523,7 @@
             return;
         };
         let wish = self.pending_commands.remove(at);
-        let (name, what) = match &wish.change {
+        let (name, what) = match &wish.command {
             Command::AddVoter { name, .. } => (name.0.clone(), "votes from now on"),
             Command::RemoveVoter { name } => (name.0.clone(), "votes no more"),
             Command::OperatorCommand(word) => {
--- a/src/coordination/member/rollout.rs
+++ b/src/coordination/member/rollout.rs
@@ -386,8 +386,8 @@
         if acts.out || self.now < next {
             return;
         }
-        let (receiver_timestamp, good_for) = acts.known.good_for(hold.until);
-        (acts.out, acts.unsure_until) = (true, hold.until);
+        let (receiver_timestamp, good_for) = acts.known.good_for(hold.expires_at);
+        (acts.out, acts.unsure_until) = (true, hold.expires_at);
         // That it was obeyed is seen in a beat or in the list, some time after.
         self.disruptions
             .tells
@@ -927,7 +927,7 @@
                 let call = CallId(u64::MAX - self.requests_sent);
                 self.pending_commands.push(PendingCommand {
                     call,
-                    change: Command::OperatorCommand(OperatorCommand::Note(note)),
+                    command: Command::OperatorCommand(OperatorCommand::Note(note)),
                     until: f64::INFINITY,
                 });
                 Reply::Done(format!("{words}; noted once the fleet agrees"))
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,98 +1,120 @@
-//! The roll-call: who is there, as the one dispatcher that holds this duty hears it from the others' beats.
+//! The members of the fleet and their status, as the membership leader knows them from their heartbeats.
 
 use super::disruption_budget::OutcomeCounts;
-use super::lease::{places, Candidate};
+use super::lease::{rank_candidates, Candidate};
 use super::state::LeaseHolder;
 use super::{Address, LeaseName, Name};
 use crate::interface::Ms;
 use std::collections::BTreeMap;
 
-/// What a dispatcher says of itself in a beat.
+/// What a dispatcher tells the membership leader of itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
+    /// The sender.
     pub who: LeaseHolder,
+    /// The zone that it runs in.
     pub zone: String,
     /// The version that it runs, or another label of its operators'.
     pub label: String,
-    /// How long it has run.
+    /// How long it has run, in milliseconds.
     pub up: Ms,
+    /// It takes requests.
     pub ready: bool,
+    /// It has begun to stop.
     pub stopping: bool,
+    /// Its utilization, 0 to 1.
     pub load: f64,
+    /// How many leases it holds.
     pub holds: u32,
-    /// Tasks answered by this process.
+    /// Outcomes of this process's requests so far.
     pub tally: OutcomeCounts,
-    /// What it heard of a few engines.
+    /// Reports of a few engines.
     pub reports: Vec<EngineReport>,
 }
 
-/// What a dispatcher heard of an engine.
+/// What a dispatcher knows of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
+    /// The engine.
     pub engine: Name,
-    /// What is used of it, 0 to 1, and how old that is.
+    /// Its utilization, 0 to 1, and the age of that in milliseconds.
     pub used: Option<(f64, Ms)>,
-    /// What became of requests there since the last report by this dispatcher.
+    /// Outcomes of requests there since the dispatcher's last report.
     pub tally: OutcomeCounts,
 }
 
-/// An engine, as dispatchers told of it.
+/// What the dispatchers' reports say of an engine together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineUsage {
-    /// What is used of it, and when that was so.
+    /// The newest utilization, 0 to 1, and when it was measured, on the leader's clock in milliseconds.
     pub used: Option<(f64, Ms)>,
-    /// Summed since this dispatcher calls the roll.
+    /// Outcomes since this dispatcher became the leader.
     pub tally: OutcomeCounts,
 }
 
-/// How a member stands.
+/// The status of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberStatus {
-    /// Heard in time.
+    /// Its heartbeats come in time.
     Alive,
-    /// Not heard for several beats.
+    /// Several heartbeats are missing.
     Suspected,
-    /// Not heard for long, or it said that it stops and went silent.
+    /// Many heartbeats are missing, or several after it said that it stops.
     Dead,
-    /// Heard again lately, as another process or after a silence.
+    /// Alive again since a short time, as another process or after it was dead.
     Returned,
 }
 
-/// A member, as heard.
+/// A member, by its heartbeats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
+    /// The last heartbeat.
     pub heartbeat: Heartbeat,
-    /// When it was heard last, and since when it has been heard without a gap.
-    pub heard: Ms,
+    /// When that came, on the leader's clock in milliseconds.
+    pub last_heartbeat_at: Ms,
+    /// Since when its heartbeats have come without a gap, on the leader's clock in milliseconds.
     pub since: Ms,
-    /// It was out or had another run before.
-    again: bool,
+    /// It was dead or another process before.
+    has_returned: bool,
 }
 
-/// Beats that may be missing before a member is suspected, and before it is out.
-const SUSPECTED_AFTER: f64 = 3.0;
-const OUT_AFTER: f64 = 10.0;
-/// A member counts as back for this many beats.
-const BACK_FOR: f64 = 10.0;
-/// Beats a second that the holder hears at most; with more members each beats less often.
-const MOST_BEATS_PER_S: f64 = 500.0;
-/// Members that are kept in the view; one more is not taken in.
+/// Missing heartbeats after which a member is suspected, and after which it is dead.
+const SUSPECTED_AFTER_HEARTBEATS: f64 = 3.0;
+const DEAD_AFTER_HEARTBEATS: f64 = 10.0;
+/// How long a member counts as returned, in heartbeats.
+const RETURNED_FOR_HEARTBEATS: f64 = 10.0;
+/// A member without a heartbeat for this many heartbeats is forgotten.
+const FORGOTTEN_AFTER_HEARTBEATS: f64 = 600.0;
+/// Guards against a leader that many members overload: with more members each sends fewer heartbeats.
+const MAX_HEARTBEATS_PER_SECOND: f64 = 500.0;
+/// Members, and engines, that the leader keeps; one more is not taken in.
 pub const MAX_MEMBERS: usize = 8192;
-/// Members that have been out for this many beats are forgotten.
-const FORGOTTEN_AFTER: f64 = 600.0;
 
-/// The fleet's one view.
+/// A lease whose next holders are ranked.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RankedLease {
+    /// The lease.
+    pub lease_name: LeaseName,
+    /// The zone whose members come first, if one is preferred.
+    pub preferred_zone: Option<String>,
+    /// The present holder.
+    pub holder: Option<Name>,
+}
+
+/// The leader's view of the members.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Membership {
     members: BTreeMap<Name, Member>,
     engines: BTreeMap<Name, EngineUsage>,
-    /// Since when this dispatcher calls the roll.
+    /// When this dispatcher became the leader, on its clock in milliseconds.
     pub since: Ms,
-    leases: BTreeMap<LeaseName, BTreeMap<Name, u32>>,
-    placed: Option<Ms>,
+    /// The places among the next holders of each lease, and when they were worked out.
+    successors: BTreeMap<LeaseName, BTreeMap<Name, u32>>,
+    ranked_at: Option<Ms>,
 }
 
 impl Membership {
+    /// The view of a new leader: nothing is known.
     pub fn begin(now: Ms) -> Self {
         Membership {
             since: now,
@@ -100,67 +122,71 @@
         }
     }
 
-    /// How long members wait between two beats.
-    pub fn heartbeat_interval(&self, least: Ms) -> Ms {
-        least.max(self.members.len() as f64 * 1000.0 / MOST_BEATS_PER_S)
+    /// The time between two heartbeats of a member, in milliseconds; `shortest` is that of the settings.
+    pub fn heartbeat_interval(&self, shortest: Ms) -> Ms {
+        shortest.max(self.members.len() as f64 * 1000.0 / MAX_HEARTBEATS_PER_SECOND)
     }
 
-    /// Takes a beat in.
-    pub fn heard(&mut self, now: Ms, mut heartbeat: Heartbeat, least: Ms) {
+    /// Takes a heartbeat in that came at `now`; times in milliseconds.
+    pub fn heartbeat_received(&mut self, now: Ms, mut heartbeat: Heartbeat, shortest: Ms) {
         for report in std::mem::take(&mut heartbeat.reports) {
-            self.heard_of(now, report);
+            self.take_report(now, report);
         }
-        let every = self.heartbeat_interval(least);
-        let full = self.members.len() >= MAX_MEMBERS;
-        match self.members.get_mut(&heartbeat.who.name) {
-            Some(member) => {
-                let other = member.heartbeat.who.incarnation != heartbeat.who.incarnation;
-                if other || now - member.heard > OUT_AFTER * every {
-                    (member.since, member.again) = (now, true);
-                }
-                (member.heard, member.heartbeat) = (now, heartbeat);
-            }
-            None if full => {}
-            None => {
-                let member = Member {
-                    heard: now,
-                    since: now,
-                    again: false,
-                    heartbeat,
-                };
-                self.members
-                    .insert(member.heartbeat.who.name.clone(), member);
+        let dead_after = DEAD_AFTER_HEARTBEATS * self.heartbeat_interval(shortest);
+        if let Some(member) = self.members.get_mut(&heartbeat.who.name) {
+            let is_new_process = member.heartbeat.who.incarnation != heartbeat.who.incarnation;
+            if is_new_process || now - member.last_heartbeat_at > dead_after {
+                member.since = now;
+                member.has_returned = true;
             }
+            member.last_heartbeat_at = now;
+            member.heartbeat = heartbeat;
+        } else if self.members.len() < MAX_MEMBERS {
+            let name = heartbeat.who.name.clone();
+            let member = Member {
+                heartbeat,
+                last_heartbeat_at: now,
+                since: now,
+                has_returned: false,
+            };
+            self.members.insert(name, member);
         }
     }
 
-    fn heard_of(&mut self, now: Ms, report: EngineReport) {
+    fn take_report(&mut self, now: Ms, report: EngineReport) {
         if !self.engines.contains_key(&report.engine) && self.engines.len() >= MAX_MEMBERS {
             return;
         }
-        let heard = self.engines.entry(report.engine).or_default();
-        heard.tally.add(&report.tally);
-        if let Some((used, age)) = report.used {
-            let at = now - age.max(0.0);
-            if heard.used.is_none_or(|(_, before)| before < at) {
-                heard.used = Some((used, at));
-            }
+        let usage = self.engines.entry(report.engine).or_default();
+        usage.tally.add(&report.tally);
+        let Some((used, age)) = report.used else {
+            return;
+        };
+        let measured_at = now - age.max(0.0);
+        if usage
+            .used
+            .is_none_or(|(_, known_at)| known_at < measured_at)
+        {
+            usage.used = Some((used, measured_at));
         }
     }
 
+    /// What the dispatchers reported of an engine.
     pub fn engine(&self, name: &Name) -> Option<&EngineUsage> {
         self.engines.get(name)
     }
 
-    pub fn member_status(&self, now: Ms, member: &Member, least: Ms) -> MemberStatus {
-        let every = self.heartbeat_interval(least);
-        let silent = now - member.heard;
-        let gone = member.heartbeat.stopping && silent > SUSPECTED_AFTER * every;
-        if silent > OUT_AFTER * every || gone {
+    /// The status of a member at `now`; times in milliseconds.
+    pub fn member_status(&self, now: Ms, member: &Member, shortest: Ms) -> MemberStatus {
+        let interval = self.heartbeat_interval(shortest);
+        let silent_for = now - member.last_heartbeat_at;
+        let is_suspected = silent_for > SUSPECTED_AFTER_HEARTBEATS * interval;
+        let has_stopped = member.heartbeat.stopping && is_suspected;
+        if silent_for > DEAD_AFTER_HEARTBEATS * interval || has_stopped {
             MemberStatus::Dead
-        } else if silent > SUSPECTED_AFTER * every {
+        } else if is_suspected {
             MemberStatus::Suspected
-        } else if member.again && now - member.since <= BACK_FOR * every {
+        } else if member.has_returned && now - member.since <= RETURNED_FOR_HEARTBEATS * interval {
             MemberStatus::Returned
         } else {
             MemberStatus::Alive
@@ -172,70 +198,73 @@
         self.members.iter()
     }
 
+    /// The address of a member's fleet service.
     pub fn address(&self, name: &Name) -> Option<&Address> {
-        self.members.get(name).map(|m| &m.heartbeat.who.address)
+        let member = self.members.get(name);
+        member.map(|member| &member.heartbeat.who.address)
     }
 
-    /// How many stand so: in, suspected, out, back.
-    pub fn counts(&self, now: Ms, least: Ms) -> BTreeMap<MemberStatus, u32> {
+    /// How many members have each status at `now`; times in milliseconds.
+    pub fn counts(&self, now: Ms, shortest: Ms) -> BTreeMap<MemberStatus, u32> {
         let mut counts = BTreeMap::new();
         for member in self.members.values() {
-            *counts
-                .entry(self.member_status(now, member, least))
-                .or_insert(0) += 1;
+            let status = self.member_status(now, member, shortest);
+            *counts.entry(status).or_insert(0) += 1;
         }
         counts
     }
 
-    /// Who may hold each duty next; worked out anew once a beat, and those that are long gone are forgotten.
-    pub fn place(
-        &mut self,
-        now: Ms,
-        least: Ms,
-        leases: &[(LeaseName, Option<String>, Option<Name>)],
-    ) {
-        let every = self.heartbeat_interval(least);
-        if self.placed.is_some_and(|at| now - at < every) {
+    /// Works out the next holders of these leases, once in a heartbeat interval, and forgets members that have been
+    /// dead for long; times in milliseconds.
+    pub fn rank_successors(&mut self, now: Ms, shortest: Ms, leases: &[RankedLease]) {
+        let interval = self.heartbeat_interval(shortest);
+        if self.ranked_at.is_some_and(|at| now - at < interval) {
             return;
         }
-        self.placed = Some(now);
+        self.ranked_at = Some(now);
+        let forgotten_after = FORGOTTEN_AFTER_HEARTBEATS * interval;
         self.members
-            .retain(|_, member| now - member.heard <= FORGOTTEN_AFTER * every);
-        let fit = |member: &Member| Candidate {
-            ready: member.heartbeat.ready && !member.heartbeat.stopping,
-            zone: member.heartbeat.zone.clone(),
-            load: member.heartbeat.load,
-            holds: member.heartbeat.holds,
+            .retain(|_, member| now - member.last_heartbeat_at <= forgotten_after);
+        let rank = |lease: &RankedLease| {
+            let places = rank_candidates(
+                &lease.lease_name,
+                lease.preferred_zone.as_deref(),
+                lease.holder.as_ref(),
+                self.candidates(now, shortest),
+            );
+            (lease.lease_name.clone(), places)
         };
-        let there = || {
-            let stands = |m: &Member| {
-                matches!(
-                    self.member_status(now, m, least),
-                    MemberStatus::Alive | MemberStatus::Returned
-                )
-            };
-            self.members
-                .iter()
-                .filter(move |(_, m)| stands(m))
-                .map(|(name, m)| (name, fit(m)))
-        };
-        let placed = leases.iter().map(|(lease_name, prefers, holder)| {
-            (
-                lease_name.clone(),
-                places(lease_name, prefers.as_deref(), holder.as_ref(), there()),
+        self.successors = leases.iter().map(rank).collect();
+    }
+
+    /// The members that may hold a lease next.
+    fn candidates(&self, now: Ms, shortest: Ms) -> impl Iterator<Item = (&Name, Candidate)> {
+        let is_there = move |member: &Member| {
+            matches!(
+                self.member_status(now, member, shortest),
+                MemberStatus::Alive | MemberStatus::Returned
             )
-        });
-        self.leases = placed.collect();
+        };
+        let candidate = |Member { heartbeat, .. }: &Member| Candidate {
+            ready: heartbeat.ready && !heartbeat.stopping,
+            zone: heartbeat.zone.clone(),
+            load: heartbeat.load,
+            holds: heartbeat.holds,
+        };
+        self.members
+            .iter()
+            .filter(move |(_, member)| is_there(member))
+            .map(move |(name, member)| (name, candidate(member)))
     }
 
-    /// A member's place for a duty, if it has one.
+    /// A member's place among the next holders of a lease, if it has one.
     pub fn place_of(&self, lease_name: &LeaseName, name: &Name) -> Option<u32> {
-        self.leases.get(lease_name)?.get(name).copied()
+        self.successors.get(lease_name)?.get(name).copied()
     }
 
-    /// Who comes first for a duty.
-    pub fn first_for(&self, lease_name: &LeaseName) -> Option<&Name> {
-        self.leases
+    /// The first of the next holders of a lease.
+    pub fn first_successor(&self, lease_name: &LeaseName) -> Option<&Name> {
+        self.successors
             .get(lease_name)?
             .iter()
             .min_by_key(|(_, place)| **place)
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,9 +1,10 @@
-//! What many dispatchers agree on: a small value among a few voters ([`register`]), duties that one dispatcher
-//! holds at a time ([`lease`]), acts that receivers obey only while their sender holds its duty ([`fencing`]), and
-//! the roll-call of the fleet ([`membership`]). [`member`] is one dispatcher's part in all of it.
+//! Coordination between the dispatchers of a fleet: a small replicated state with a quorum of voters ([`register`],
+//! [`state`]), leases that one dispatcher holds at a time ([`lease`]), commands that receivers execute only while
+//! their sender holds its lease ([`fencing`]), and the members of the fleet ([`membership`]). [`member`] is one
+//! dispatcher's part in all of it.
 //!
-//! Nothing here does I/O or reads a clock: callers hand in what came and the time, and do what comes out. No clock
-//! is compared with another's; `docs/duties.md` says what is promised.
+//! Nothing here does I/O or reads a clock: a driver hands in messages and the time, and carries out what comes out.
+//! No clock is compared with another's. `docs/duties.md` says what is guaranteed.
 
 pub mod disruption_budget;
 pub mod fault_injection;
@@ -21,23 +22,24 @@
 use crate::interface::Ms;
 use std::sync::Arc;
 
-/// A dispatcher's lasting name.
+/// The name of a dispatcher or an engine, the same for all of its processes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name(pub Arc<str>);
 
-/// Where a dispatcher's fleet service listens, as the transport takes it.
+/// Where a dispatcher's fleet service listens, in the transport's form.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Address(pub Arc<str>);
 
-/// Work that one dispatcher does at a time.
+/// The name of a lease: of work that one dispatcher does at a time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseName(pub Arc<str>);
 
-/// One process of a name: drawn anew at each start.
+/// One process of a name, drawn at random at each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
-/// Counts the holders of a duty; only grows.
+/// The fencing token of a lease: grows with each acquisition, so commands of an earlier holder can be told from those
+/// of a later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Term(pub u64);
 
@@ -59,24 +61,27 @@
     }
 }
 
-/// A clock's reading made fit to count with: it never goes back, and tells when the clock did.
+/// Time that never goes back, counted from a clock that may. All times in milliseconds.
+///
+/// Guards against a clock that is set back: a lease that is counted on it would last too long. The time that passed
+/// is counted as none, and the caller is told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MonotonicClock {
-    read: Option<Ms>,
-    at: Ms,
+    last_reading: Option<Ms>,
+    now: Ms,
 }
 
 impl MonotonicClock {
-    /// Takes a reading. Gives this clock's own time, and whether the clock went back.
-    pub fn take(&mut self, read: Ms) -> (Ms, bool) {
-        let passed = self.read.map_or(0.0, |before| read - before);
-        self.read = Some(read);
-        self.at += passed.max(0.0);
-        (self.at, passed < 0.0)
+    /// Takes a reading of the clock. Gives the monotonic time, and whether the clock went back.
+    pub fn take(&mut self, reading: Ms) -> (Ms, bool) {
+        let passed = self.last_reading.map_or(0.0, |last| reading - last);
+        self.last_reading = Some(reading);
+        self.now += passed.max(0.0);
+        (self.now, passed < 0.0)
     }
 
-    /// When the clock that is read will show this time.
+    /// What the clock will read at a monotonic time.
     pub fn reading_at(&self, at: Ms) -> Ms {
-        self.read.unwrap_or_default() + (at - self.at)
+        self.last_reading.unwrap_or_default() + (at - self.now)
     }
 }
