--- a/crates/faults/src/duties/small.rs
+++ b/crates/faults/src/duties/small.rs
@@ -267,7 +267,7 @@
 
     /// Begins a try, and where that is one step has its first half done by the voters in `some`.
     fn begin(&mut self, at: usize, view: Voters, change: Command, some: Option<u32>) {
-        let incarnation = if is_injected(InjectedFault::BallotAgain) {
+        let incarnation = if is_injected(InjectedFault::BallotReused) {
             0
         } else {
             self.contenders[at].incarnation
@@ -348,7 +348,7 @@
                 let voter = &mut self.voters[usize::from(*to)];
                 let answer = voter.handle(&ask);
                 let voter_id = voter.state.voter_id;
-                if answer.needs_durable_state && !is_injected(InjectedFault::SaidBeforeKept) {
+                if answer.needs_durable_state && !is_injected(InjectedFault::AnswerBeforeDurable) {
                     self.disks[usize::from(*to)] = voter.state.clone();
                 }
                 let said = answer.reply;
@@ -615,7 +615,7 @@
         }
         // Where changes are looked at nobody waits for leases.
         if let Some(hold) = contender.hold.filter(|_| !self.changes) {
-            let live = hold.left(state.now) > 0.0 || is_injected(InjectedFault::PauseUnnoticed);
+            let live = hold.left(state.now) > 0.0 || is_injected(InjectedFault::LeaseEndIgnored);
             if live && hold.term.0 != state.acted {
                 step(format!("{name} acts in term {}", hold.term.0), &|s| {
                     if hold.term.0 < s.acted {
--- a/crates/faults/tests/changes.rs
+++ b/crates/faults/tests/changes.rs
@@ -136,7 +136,7 @@
 
 #[test]
 fn each_half_of_the_voters_would_agree_on_a_holder_of_its_own() {
-    inject(Some(InjectedFault::TwoChanges));
+    inject(Some(InjectedFault::ConcurrentVoterChanges));
     let ends = Table::new().apart();
     inject(None);
     let [Some(ProposalOutcome::Chosen(one)), Some(ProposalOutcome::Chosen(other))] = ends else {
--- a/crates/faults/tests/duties_planted.rs
+++ b/crates/faults/tests/duties_planted.rs
@@ -23,11 +23,11 @@
 #[test]
 fn some_planted_faults_are_found_soon() {
     let soon = [
-        InjectedFault::NoWait,
-        InjectedFault::TermKept,
-        InjectedFault::OldTermObeyed,
+        InjectedFault::LeaseTakenEarly,
+        InjectedFault::TermNotIncremented,
+        InjectedFault::StaleTermExecuted,
         InjectedFault::PromiseBroken,
-        InjectedFault::ValueOverlooked,
+        InjectedFault::AcceptedValueIgnored,
     ];
     std::thread::scope(|scope| {
         for fault in soon {
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/words.rs
@@ -4,7 +4,8 @@
 use crate::care_words;
 use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::coordination::member::{
-    Answer, HeartbeatReply, MemberLine, OperatorRequest, Question, Reply, Seen, Status, VoterLine,
+    Answer, HeartbeatReply, MemberLine, OperatorRequest, Question, Reply, Status, VoterLine,
+    VoterState,
 };
 use cindercleat::coordination::membership::{Heartbeat, MemberStatus};
 use cindercleat::coordination::register::{
@@ -300,8 +301,8 @@
             value: Some(agreed_out(value)),
             heard: writes_out(heard),
         }),
-        Question::Look => Q::Look(v1::FleetLook {}),
-        Question::Witness { of, voter_id } => Q::Witness(v1::FleetWitness {
+        Question::VoterState => Q::Look(v1::FleetLook {}),
+        Question::WriteCount { of, voter_id } => Q::Witness(v1::FleetWitness {
             name: of.0.to_string(),
             voter_id: voter_id.0,
         }),
@@ -321,7 +322,7 @@
                 .map(care_words::report_out)
                 .collect(),
         }),
-        Question::Nudge { lease_name } => Q::Nudge(v1::FleetNudge {
+        Question::LeaseOffer { lease_name } => Q::Nudge(v1::FleetNudge {
             lease_name: lease_name.0.to_string(),
         }),
         Question::FencedCommand(act) => Q::FencedCommand(v1::FencedCommand {
@@ -401,8 +402,8 @@
             value: agreed_in(m.value)?,
             heard: writes_in(&m.heard)?,
         }),
-        Q::Look(_) => Question::Look,
-        Q::Witness(m) => Question::Witness {
+        Q::Look(_) => Question::VoterState,
+        Q::Witness(m) => Question::WriteCount {
             of: name(&m.name)?,
             voter_id: VoterId(m.voter_id),
         },
@@ -428,7 +429,7 @@
                 reports,
             })
         }
-        Q::Nudge(m) => Question::Nudge {
+        Q::Nudge(m) => Question::LeaseOffer {
             lease_name: lease_name(&m.lease_name)?,
         },
         Q::FencedCommand(m) => {
@@ -532,14 +533,14 @@
             promised: Some(ballot_out(promised)),
         }),
         Answer::Vote(AcceptorReply::NotVoting) => A::NotVoting(v1::FleetNotVoting {}),
-        Answer::Seen(seen) => A::Seen(v1::FleetSeen {
+        Answer::VoterState(seen) => A::Seen(v1::FleetSeen {
             voter_id: seen.voter_id.map_or(0, |voter_id| voter_id.0),
             votes: seen.votes,
             bootstrap: seen.bootstrap.as_ref().map(voters_out),
             newest: taken_out(&seen.newest),
         }),
-        Answer::Witnessed { writes } => A::Witnessed(v1::FleetWitnessed { writes: *writes }),
-        Answer::Heard(heard) => {
+        Answer::WriteCount { writes } => A::Witnessed(v1::FleetWitnessed { writes: *writes }),
+        Answer::Heartbeat(heard) => {
             let place = |(lease_name, place): &(LeaseName, u32)| v1::FleetPlace {
                 lease_name: lease_name.0.to_string(),
                 place: *place,
@@ -601,14 +602,14 @@
                 None => None,
             };
             let voter_id = (m.voter_id != 0).then_some(VoterId(m.voter_id));
-            Answer::Seen(Seen {
+            Answer::VoterState(VoterState {
                 voter_id,
                 votes: m.votes,
                 bootstrap,
                 newest: taken_in(m.newest)?,
             })
         }
-        A::Witnessed(m) => Answer::Witnessed { writes: m.writes },
+        A::Witnessed(m) => Answer::WriteCount { writes: m.writes },
         A::Heard(m) => {
             let holder = match &m.holder {
                 Some(holder) => Some((Term(m.term), holder_in(holder)?)),
@@ -621,7 +622,7 @@
                 .collect::<Option<_>>()?;
             // A beat that is never wanted would end beating.
             let every = finite(m.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
-            Answer::Heard(HeartbeatReply {
+            Answer::Heartbeat(HeartbeatReply {
                 heard: m.heard,
                 holder,
                 every,
--- a/crates/fleet/tests/shell.rs
+++ b/crates/fleet/tests/shell.rs
@@ -231,7 +231,17 @@
         net.wait(2_000.0).await;
         assert!(dropped() >= strange + 2, "{} and {strange}", dropped());
         assert_eq!(net.holders(), 1, "it goes on");
-        let heartbeats = ask(&net.memory, &net.clock, "at-0", &Question::Look, 900.0).await;
-        assert!(matches!(heartbeats, Ok(Answer::Seen(_))), "{heartbeats:?}");
+        let heartbeats = ask(
+            &net.memory,
+            &net.clock,
+            "at-0",
+            &Question::VoterState,
+            900.0,
+        )
+        .await;
+        assert!(
+            matches!(heartbeats, Ok(Answer::VoterState(_))),
+            "{heartbeats:?}"
+        );
     });
 }
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -5,8 +5,8 @@
 };
 use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::coordination::member::{
-    Answer, HeartbeatReply, OperatorRequest, Question, Reply, RolloutRequest, RolloutStatus, Seen,
-    Status,
+    Answer, HeartbeatReply, OperatorRequest, Question, Reply, RolloutRequest, RolloutStatus,
+    Status, VoterState,
 };
 use cindercleat::coordination::membership::{EngineReport, Heartbeat};
 use cindercleat::coordination::register::{
@@ -218,13 +218,13 @@
             value: agreed(),
             heard,
         }),
-        Question::Look,
-        Question::Witness {
+        Question::VoterState,
+        Question::WriteCount {
             of: name.clone(),
             voter_id,
         },
         Question::Heartbeat(heartbeat),
-        Question::Nudge {
+        Question::LeaseOffer {
             lease_name: lease_name.clone(),
         },
         Question::FencedCommand(act),
@@ -321,14 +321,14 @@
             promised: ballot(9),
         }),
         Answer::Vote(AcceptorReply::NotVoting),
-        Answer::Seen(Seen {
+        Answer::VoterState(VoterState {
             voter_id: Some(voter_id),
             votes: true,
             bootstrap: Some(voters()),
             newest: None,
         }),
-        Answer::Witnessed { writes: 6 },
-        Answer::Heard(HeartbeatReply {
+        Answer::WriteCount { writes: 6 },
+        Answer::Heartbeat(HeartbeatReply {
             heard: true,
             holder: Some((Term(3), holder())),
             every: 200.0,
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -1,74 +1,75 @@
-//! Faults that tests plant, one at a time and for one thread, to see that they are found. Without the feature
-//! `planted` there are none, and nothing is looked up.
+//! Faults that tests inject, one at a time and for one thread, to see that the checks find them. Without the feature
+//! `fault-injection` there are none, and nothing is looked up.
 
-/// A fault.
+/// A guard that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// A voter answers before what it says lasts.
-    SaidBeforeKept,
+    /// An acceptor answers before the state that the answer states is durable.
+    AnswerBeforeDurable,
     /// A process that starts again uses the ballots of the one before.
-    BallotAgain,
-    /// The lease is counted from the answer, not from before it was asked for.
-    LeaseFromAnswer,
-    /// A duty is taken without waiting for its holder's lease.
-    NoWait,
+    BallotReused,
+    /// A lease counts from the answer, not from before it was requested.
+    LeaseCountedFromAnswer,
+    /// A lease is acquired before its holder's lease is over.
+    LeaseTakenEarly,
     /// The term stays when the holder changes.
-    TermKept,
-    /// A receiver obeys an older term.
-    OldTermObeyed,
-    /// A receiver that started again obeys whatever comes.
-    ReceiverForgot,
-    /// The voters are changed while a change is under way, and without the voters of before.
-    TwoChanges,
-    /// A holder does not look at what is left of its lease when it acts.
-    PauseUnnoticed,
-    /// A voter takes a value of a ballot lower than it promised.
+    TermNotIncremented,
+    /// A receiver executes commands of an older term.
+    StaleTermExecuted,
+    /// A receiver that has just started executes a command without its own timestamp.
+    TimestampNotRequired,
+    /// The voters are changed while a change is not finished, without a majority of those before it.
+    ConcurrentVoterChanges,
+    /// A holder acts without a look at what is left of its lease.
+    LeaseEndIgnored,
+    /// An acceptor accepts a value of a lower ballot than it promised.
     PromiseBroken,
-    /// A proposer puts its own value in place of the one that was taken.
-    ValueOverlooked,
-    /// A voter that lost its file votes under its old name.
-    LossUnnoticed,
-    /// A contender counts the time that it slept through as waited.
-    SleptWaiting,
-    /// A clock that went back leaves a lease as it was.
-    ClockBackUnnoticed,
-    /// A turn is told before it is agreed on.
+    /// A proposer proposes a value of its own in place of the one that was accepted.
+    AcceptedValueIgnored,
+    /// A voter that lost its file votes under its old identity.
+    FileLossIgnored,
+    /// A contender counts the time that it slept as waited.
+    SleepCountedAsWait,
+    /// A clock that was set back leaves leases and timestamps as they were.
+    ClockStepBackIgnored,
+    /// A permit is sent before it is chosen.
     ToldBeforeAgreed,
-    /// A turn that was given and not heard of is given to another.
+    /// A permit that was issued and not acknowledged is issued for another unit.
     TurnTwice,
-    /// Those that failed are not counted as out.
+    /// Failed units do not count as unavailable.
     FailuresUncounted,
-    /// A halt is known to whoever calls the roll, and not agreed on.
+    /// The membership leader alone knows of a halt; it is not in the replicated state.
     HaltByHolderAlone,
-    /// A new holder gives turns as if none were given.
+    /// A new membership leader issues permits as if none were issued.
     BeginsAnew,
-    /// On the way back the bounds do not count.
+    /// The disruption budget does not count during a rollback.
     BackUnbound,
-    /// An old report of load is taken for room.
+    /// An outdated report of load counts as room.
     OldReportTaken,
-    /// A turn is over whatever its member comes back under.
+    /// A disruption counts as over whatever label its unit comes back under.
     LabelUnchecked,
 }
 
 impl InjectedFault {
+    /// Faults of the replicated state, leases and fencing.
     pub const ALL: [InjectedFault; 14] = [
-        InjectedFault::SaidBeforeKept,
-        InjectedFault::BallotAgain,
-        InjectedFault::LeaseFromAnswer,
-        InjectedFault::NoWait,
-        InjectedFault::TermKept,
-        InjectedFault::OldTermObeyed,
-        InjectedFault::ReceiverForgot,
-        InjectedFault::TwoChanges,
-        InjectedFault::PauseUnnoticed,
+        InjectedFault::AnswerBeforeDurable,
+        InjectedFault::BallotReused,
+        InjectedFault::LeaseCountedFromAnswer,
+        InjectedFault::LeaseTakenEarly,
+        InjectedFault::TermNotIncremented,
+        InjectedFault::StaleTermExecuted,
+        InjectedFault::TimestampNotRequired,
+        InjectedFault::ConcurrentVoterChanges,
+        InjectedFault::LeaseEndIgnored,
         InjectedFault::PromiseBroken,
-        InjectedFault::ValueOverlooked,
-        InjectedFault::LossUnnoticed,
-        InjectedFault::SleptWaiting,
-        InjectedFault::ClockBackUnnoticed,
+        InjectedFault::AcceptedValueIgnored,
+        InjectedFault::FileLossIgnored,
+        InjectedFault::SleepCountedAsWait,
+        InjectedFault::ClockStepBackIgnored,
     ];
 
-    /// Faults of turns and releases.
+    /// Faults of disruptions and rollouts.
     pub const OF_RELEASES: [InjectedFault; 8] = [
         InjectedFault::ToldBeforeAgreed,
         InjectedFault::TurnTwice,
@@ -86,17 +87,19 @@
     static INJECTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Injects a fault into all that this thread runs, or takes it out.
+/// Injects a fault into all that this thread runs, or removes it.
 #[cfg(feature = "fault-injection")]
 pub fn inject(fault: Option<InjectedFault>) {
     INJECTED.set(fault);
 }
 
+/// Whether a fault is injected into what this thread runs.
 #[cfg(feature = "fault-injection")]
 pub fn is_injected(fault: InjectedFault) -> bool {
     INJECTED.get() == Some(fault)
 }
 
+/// Whether a fault is injected: never, without the feature.
 #[cfg(not(feature = "fault-injection"))]
 pub const fn is_injected(_: InjectedFault) -> bool {
     false
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -92,7 +92,7 @@
     pub fn receive(&mut self, now: Ms, command: &FencedCommand) -> FencingDecision {
         let last = self.last.get(&command.lease_name).copied();
         let last = last.unwrap_or_default();
-        let decision = match is_injected(InjectedFault::OldTermObeyed) {
+        let decision = match is_injected(InjectedFault::StaleTermExecuted) {
             true => FencingDecision::Executed,
             false => self.decide(now, command, last),
         };
@@ -115,7 +115,7 @@
             .filter(|given| given.incarnation == self.incarnation && given.at <= now);
         let Some(given) = own_timestamp else {
             let is_first = last == (Term::default(), 0);
-            return match is_first && is_injected(InjectedFault::ReceiverForgot) {
+            return match is_first && is_injected(InjectedFault::TimestampNotRequired) {
                 true => FencingDecision::Executed,
                 false => FencingDecision::TimestampMissing,
             };
@@ -129,7 +129,7 @@
     /// The clock was set back: timestamps that were given before would make leases seem longer. With another
     /// incarnation they count as those of another process.
     pub fn clock_went_back(&mut self) {
-        if !is_injected(InjectedFault::ClockBackUnnoticed) {
+        if !is_injected(InjectedFault::ClockStepBackIgnored) {
             self.incarnation = Incarnation(self.incarnation.0.wrapping_add(1));
         }
     }
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -81,7 +81,7 @@
     /// Guards against an answer that was long under way: a contender may have waited since the moment at which the
     /// voters accepted the request, which is after it was sent. So the lease counts from `requested_at`.
     pub fn new(term: Term, requested_at: Ms, granted_at: Ms, settings: &LeaseSettings) -> Self {
-        let begins_at = match is_injected(InjectedFault::LeaseFromAnswer) {
+        let begins_at = match is_injected(InjectedFault::LeaseCountedFromAnswer) {
             true => granted_at,
             false => requested_at,
         };
@@ -152,7 +152,7 @@
         self.counted_at = now;
         let longest_step = MAX_STEP_QUERIES * settings.query_interval();
         let was_awake = (0.0..=longest_step).contains(&passed);
-        if was_awake || is_injected(InjectedFault::SleptWaiting) {
+        if was_awake || is_injected(InjectedFault::SleepCountedAsWait) {
             self.waited += passed;
         }
     }
@@ -190,7 +190,7 @@
             // The named successor gets the time of a lease to come.
             (Some(_), _) => lease_end + spread,
             // Guards against two holders: the present one may act until its lease is over.
-            (None, Some(_)) if !is_injected(InjectedFault::NoWait) => lease_end + spread,
+            (None, Some(_)) if !is_injected(InjectedFault::LeaseTakenEarly) => lease_end + spread,
             (None, _) => spread,
         };
         (delay - self.waited).max(0.0)
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -157,7 +157,7 @@
         // would keep the disk busy until the request has timed out. A copy waits for the write that holds its state.
         if !response.needs_durable_state || self.storage.durable_state.as_deref() == state {
             out.push(Output::Answer { call, answer });
-        } else if is_injected(InjectedFault::SaidBeforeKept) {
+        } else if is_injected(InjectedFault::AnswerBeforeDurable) {
             out.push(Output::Answer { call, answer });
             self.save(out);
         } else if self.storage.in_flight_state.as_deref() == state {
@@ -191,9 +191,9 @@
     }
 
     /// What this voter shows of itself to other members.
-    pub(super) fn voter_state(&self) -> Seen {
+    pub(super) fn voter_state(&self) -> VoterState {
         let acceptor = self.durable_acceptor();
-        Seen {
+        VoterState {
             voter_id: acceptor.map(|acceptor| acceptor.state.voter_id),
             votes: acceptor.is_some_and(|acceptor| acceptor.votes),
             bootstrap: acceptor.and_then(|acceptor| acceptor.state.bootstrap.clone()),
@@ -250,7 +250,7 @@
     fn ask_for_write_counts(&mut self, voter_id: VoterId, out: &mut Vec<Output>) {
         let me = self.settings.me.clone();
         for (of, to) in self.known_voters() {
-            let question = Question::Witness {
+            let question = Question::WriteCount {
                 of: me.clone(),
                 voter_id,
             };
@@ -302,7 +302,12 @@
     }
 
     /// A voter showed its state.
-    pub(super) fn voter_state_received(&mut self, of: &Name, seen: Seen, out: &mut Vec<Output>) {
+    pub(super) fn voter_state_received(
+        &mut self,
+        of: &Name,
+        seen: VoterState,
+        out: &mut Vec<Output>,
+    ) {
         if self.bootstrap.is_none() {
             self.bootstrap.clone_from(&seen.bootstrap);
         }
--- a/src/coordination/member/leases.rs
+++ b/src/coordination/member/leases.rs
@@ -72,7 +72,7 @@
     /// acquired meanwhile. This runs before any input is looked at, and a lease's end is counted from before it was
     /// requested, so it is over here before another member may acquire it.
     pub(super) fn drop_expired(&mut self, out: &mut Vec<Output>) {
-        if !is_injected(InjectedFault::PauseUnnoticed) {
+        if !is_injected(InjectedFault::LeaseEndIgnored) {
             self.drop_expired_leases(out);
         }
         let (now, lease) = (self.now, self.settings.lease.lease);
--- a/src/coordination/member/membership_report.rs
+++ b/src/coordination/member/membership_report.rs
@@ -52,7 +52,7 @@
         let Some(held) = self.held_leases.get(&membership_lease()).copied() else {
             return;
         };
-        let ignores_end = is_injected(InjectedFault::PauseUnnoticed);
+        let ignores_end = is_injected(InjectedFault::LeaseEndIgnored);
         if held.left(self.now) <= 0.0 && !ignores_end {
             return;
         }
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -29,9 +29,9 @@
     /// A proposer's request to an acceptor.
     Vote(AcceptorRequest),
     /// Asks a voter for the value that it accepted last.
-    Look,
+    VoterState,
     /// Asks how many writes of a voter's file are known.
-    Witness {
+    WriteCount {
         /// The voter's name.
         of: Name,
         /// The voter's identity.
@@ -40,7 +40,7 @@
     /// A heartbeat to the membership leader.
     Heartbeat(Heartbeat),
     /// A lease was given up, with the receiver named as the next holder.
-    Nudge {
+    LeaseOffer {
         /// The lease.
         lease_name: LeaseName,
     },
@@ -66,16 +66,16 @@
 pub enum Answer {
     /// To [`Question::Vote`].
     Vote(AcceptorReply),
-    /// To [`Question::Look`].
-    Seen(Seen),
-    /// To [`Question::Witness`].
-    Witnessed {
+    /// To [`Question::VoterState`].
+    VoterState(VoterState),
+    /// To [`Question::WriteCount`].
+    WriteCount {
         /// The highest known write count.
         writes: u64,
     },
     /// To [`Question::Heartbeat`].
-    Heard(HeartbeatReply),
-    /// To [`Question::Nudge`].
+    Heartbeat(HeartbeatReply),
+    /// To [`Question::LeaseOffer`].
     Done,
     /// To [`Question::FencedCommand`].
     FencingDecision {
@@ -95,7 +95,7 @@
 
 /// What a voter shows of itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct VoterState {
     /// Its identity; none if it is no voter, or has no file that can be trusted.
     pub voter_id: Option<VoterId>,
     /// Whether it votes.
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -16,8 +16,8 @@
 mod settings;
 
 pub use messages::{
-    Answer, CallId, HeartbeatReply, Input, LocalHealth, Output, Question, QuestionId, SaveId, Seen,
-    UnusableFile,
+    Answer, CallId, HeartbeatReply, Input, LocalHealth, Output, Question, QuestionId, SaveId,
+    UnusableFile, VoterState,
 };
 pub use operator_requests::{
     MemberLine, OperatorRequest, Reply, RolloutRequest, RolloutStatus, Status, VoterLine,
@@ -286,7 +286,7 @@
     fn clock_went_back(&mut self, out: &mut Vec<Output>) {
         self.count("clock went back");
         self.receiver.clock_went_back();
-        if is_injected(InjectedFault::ClockBackUnnoticed) {
+        if is_injected(InjectedFault::ClockStepBackIgnored) {
             return;
         }
         out.push(Output::Warn(
--- a/src/coordination/member/operator_requests.rs
+++ b/src/coordination/member/operator_requests.rs
@@ -157,7 +157,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Inspection {
     asked: BTreeMap<Name, Address>,
-    found: BTreeMap<Name, Option<Seen>>,
+    found: BTreeMap<Name, Option<VoterState>>,
     until: Ms,
     wish: Option<(Name, Address)>,
 }
@@ -350,7 +350,7 @@
             } else {
                 self.send_request(
                     to,
-                    Question::Look,
+                    Question::VoterState,
                     RequestPurpose::Inspect { of, call },
                     out,
                 );
@@ -362,7 +362,7 @@
         &mut self,
         call: CallId,
         of: &Name,
-        seen: Option<Seen>,
+        seen: Option<VoterState>,
         _: &mut [Output],
     ) {
         if let Some(inspection) = self.inspections.get_mut(&call) {
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -246,7 +246,7 @@
 
     fn next_ballot(&mut self) -> Ballot {
         self.highest_round += 1;
-        let incarnation = match is_injected(InjectedFault::BallotAgain) {
+        let incarnation = match is_injected(InjectedFault::BallotReused) {
             true => Incarnation(0),
             false => self.settings.incarnation,
         };
@@ -281,14 +281,14 @@
             attempt: attempt + 1,
         });
         let purpose = RequestPurpose::QueryVoter { of, next };
-        self.send_request(to, Question::Look, purpose, out);
+        self.send_request(to, Question::VoterState, purpose, out);
     }
 
     /// Asks all voters for the value that they accepted last.
     pub(super) fn query_all_voters(&mut self, out: &mut Vec<Output>) {
         for (of, to) in self.known_voters() {
             let purpose = RequestPurpose::QueryVoter { of, next: None };
-            self.send_request(to, Question::Look, purpose, out);
+            self.send_request(to, Question::VoterState, purpose, out);
         }
     }
 
@@ -404,7 +404,7 @@
                 let handover = self.handovers.remove(&lease_name);
                 self.count("handed over");
                 if let Some(to) = handover.and_then(|handover| handover.to) {
-                    let question = Question::Nudge { lease_name };
+                    let question = Question::LeaseOffer { lease_name };
                     self.send_request(to, question, RequestPurpose::OfferLease, out);
                 }
             }
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -191,12 +191,12 @@
         let answer = match question {
             Question::Vote(request) => return self.proposer_request(call, &request, out),
             Question::Operator(order) => return self.order(call, order, out),
-            Question::Look => Answer::Seen(self.voter_state()),
-            Question::Witness { of, voter_id } => Answer::Witnessed {
+            Question::VoterState => Answer::VoterState(self.voter_state()),
+            Question::WriteCount { of, voter_id } => Answer::WriteCount {
                 writes: self.known_writes(&(of, voter_id)),
             },
-            Question::Heartbeat(heartbeat) => Answer::Heard(self.heartbeat_received(heartbeat)),
-            Question::Nudge { lease_name } => {
+            Question::Heartbeat(heartbeat) => Answer::Heartbeat(self.heartbeat_received(heartbeat)),
+            Question::LeaseOffer { lease_name } => {
                 self.lease_offered(&lease_name, out);
                 Answer::Done
             }
@@ -253,7 +253,7 @@
                 phase,
             } => self.acceptor_answered(voter, &ballot, phase, vote_in(answer), out),
             RequestPurpose::QueryVoter { of, next } => match answer {
-                Some(Answer::Seen(seen)) => self.voter_state_received(&of, seen, out),
+                Some(Answer::VoterState(seen)) => self.voter_state_received(&of, seen, out),
                 Some(_) => {}
                 None => self.query_next_voter(next, out),
             },
@@ -265,7 +265,7 @@
                 self.inspection_answered(call, &of, seen, out);
             }
             RequestPurpose::ConfirmFile { of } => {
-                if let Some(Answer::Witnessed { writes }) = answer {
+                if let Some(Answer::WriteCount { writes }) = answer {
                     self.write_count_received(of, writes, out);
                 }
             }
@@ -296,16 +296,16 @@
     }
 }
 
-fn seen_in(answer: Option<Answer>) -> Option<Seen> {
+fn seen_in(answer: Option<Answer>) -> Option<VoterState> {
     match answer {
-        Some(Answer::Seen(seen)) => Some(seen),
+        Some(Answer::VoterState(seen)) => Some(seen),
         _ => None,
     }
 }
 
 fn heartbeat_reply_in(answer: Option<Answer>) -> Option<HeartbeatReply> {
     match answer {
-        Some(Answer::Heard(reply)) => Some(reply),
+        Some(Answer::Heartbeat(reply)) => Some(reply),
         _ => None,
     }
 }
--- a/src/coordination/register/acceptor.rs
+++ b/src/coordination/register/acceptor.rs
@@ -164,7 +164,8 @@
         // Guards against a voter that lost its file and comes back under its name: it would promise again what it
         // had promised to another, and two values could be chosen. A new file has a new identity, which no proposer
         // addresses before a chosen change of voters lets it in.
-        let is_meant = is_injected(InjectedFault::LossUnnoticed) || voter_id == self.state.voter_id;
+        let is_meant =
+            is_injected(InjectedFault::FileLossIgnored) || voter_id == self.state.voter_id;
         if !is_meant || !self.votes || self.detect_outdated_file(heard) {
             return AcceptorResponse::immediate(AcceptorReply::NotVoting);
         }
--- a/src/coordination/register/proposal.rs
+++ b/src/coordination/register/proposal.rs
@@ -246,7 +246,7 @@
     /// be chosen; without any, to the empty value.
     fn base_value(&self) -> ReplicatedState {
         match self.newest_accepted() {
-            Some((_, value)) if !is_injected(InjectedFault::ValueOverlooked) => value.clone(),
+            Some((_, value)) if !is_injected(InjectedFault::AcceptedValueIgnored) => value.clone(),
             _ => ReplicatedState {
                 voters: self.voters.clone(),
                 ..ReplicatedState::default()
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -313,7 +313,7 @@
         if known.is_none() && self.leases.len() >= MAX_LEASES {
             return Err(CommandError::TooMany);
         }
-        let keeps_term = is_injected(InjectedFault::TermKept) && version.term != Term(0);
+        let keeps_term = is_injected(InjectedFault::TermNotIncremented) && version.term != Term(0);
         let record = LeaseRecord {
             term: Term(version.term.0 + u64::from(!keeps_term)),
             holder: Some(who.clone()),
@@ -404,7 +404,7 @@
         &mut self,
         change: impl FnOnce(&mut BTreeMap<Name, VoterRecord>) -> Result<(), CommandError>,
     ) -> Result<(), CommandError> {
-        let is_unguarded = is_injected(InjectedFault::TwoChanges);
+        let is_unguarded = is_injected(InjectedFault::ConcurrentVoterChanges);
         if self.voters.before.is_some() && !is_unguarded {
             return Err(CommandError::VoterChangeInProgress);
         }
