--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -579,7 +579,10 @@
                 }
                 None => {}
             },
-            Output::Save { number, kept } => {
+            Output::Save {
+                number,
+                state: kept,
+            } => {
                 self.played.syncs += 1;
                 let disk = &self.nodes[node].disk;
                 let (fails, slow) = (disk.fails, disk.slow);
@@ -783,7 +786,13 @@
             self.nodes[node].disk.file = Some(kept);
         }
         if alive {
-            self.give(node, Input::Saved { number, lasts });
+            self.give(
+                node,
+                Input::Saved {
+                    number,
+                    is_durable: lasts,
+                },
+            );
         }
     }
 
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -133,7 +133,7 @@
         self.input(Input::Tick);
         self.look_at_fares();
         if let Some(disk) = &inner.disk {
-            let kept = match disk.read() {
+            let state = match disk.read() {
                 Ok(None) => Ok(None),
                 Ok(Some(bytes)) => file::read(&bytes).map(Some).map_err(|e| UnusableFile {
                     reason: e.to_string(),
@@ -142,7 +142,7 @@
                     reason: problem.to_string(),
                 }),
             };
-            self.input(Input::Loaded(kept));
+            self.input(Input::Loaded(state));
         }
         let accepting = spawn_local(self.clone().accept(listener));
         let timing = spawn_local(self.clone().keep_time());
@@ -217,8 +217,8 @@
                     out.send(frame(stream, Body::FleetAnswer(answer_out(&answer))));
                 }
             }
-            Output::Save { number, kept } => {
-                spawn_local(self.clone().save(number, kept));
+            Output::Save { number, state } => {
+                spawn_local(self.clone().save(number, state));
             }
             Output::Holds {
                 lease_name,
@@ -247,17 +247,17 @@
         }
     }
 
-    async fn save(self, number: SaveId, kept: Box<AcceptorState>) {
-        let lasts = match &self.inner.disk {
-            Some(disk) => disk.replace(file::write(&kept)).await,
+    async fn save(self, number: SaveId, state: Box<AcceptorState>) {
+        let saved = match &self.inner.disk {
+            Some(disk) => disk.replace(file::write(&state)).await,
             None => Err(std::io::ErrorKind::Unsupported.into()),
         };
-        if let Err(problem) = &lasts {
+        if let Err(problem) = &saved {
             tracing::warn!(%problem, "voter's file not written");
         }
         self.input(Input::Saved {
             number,
-            lasts: lasts.is_ok(),
+            is_durable: saved.is_ok(),
         });
     }
 
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/words.rs
@@ -216,13 +216,18 @@
     }
 }
 
-fn writes_out(heard: &WriteCounts) -> Vec<v1::VoterWriteCount> {
+fn writes_out(write_counts: &WriteCounts) -> Vec<v1::VoterWriteCount> {
     let line = |((name, voter_id), writes): (&(Name, VoterId), &u64)| v1::VoterWriteCount {
         name: name.0.to_string(),
         voter_id: voter_id.0,
         writes: *writes,
     };
-    heard.iter().rev().take(MOST_HEARD).map(line).collect()
+    write_counts
+        .iter()
+        .rev()
+        .take(MOST_HEARD)
+        .map(line)
+        .collect()
 }
 
 fn writes_in(said: &[v1::VoterWriteCount]) -> Option<WriteCounts> {
@@ -241,7 +246,7 @@
         promised: kept.promised.as_ref().map(ballot_out),
         accepted: taken_out(&kept.accepted),
         writes: kept.writes,
-        heard: writes_out(&kept.heard),
+        heard: writes_out(&kept.write_counts),
     }
 }
 
@@ -261,7 +266,7 @@
         promised,
         accepted: taken_in(said.accepted)?,
         writes: said.writes,
-        heard: writes_in(&said.heard)?,
+        write_counts: writes_in(&said.heard)?,
     })
 }
 
@@ -284,22 +289,22 @@
         Question::Vote(AcceptorRequest::Prepare {
             voter_id,
             ballot,
-            heard,
+            write_counts,
         }) => Q::Prepare(v1::FleetPrepare {
             voter_id: voter_id.0,
             ballot: Some(ballot_out(ballot)),
-            heard: writes_out(heard),
+            heard: writes_out(write_counts),
         }),
         Question::Vote(AcceptorRequest::Accept {
             voter_id,
             ballot,
             value,
-            heard,
+            write_counts,
         }) => Q::Accept(v1::FleetAccept {
             voter_id: voter_id.0,
             ballot: Some(ballot_out(ballot)),
             value: Some(agreed_out(value)),
-            heard: writes_out(heard),
+            heard: writes_out(write_counts),
         }),
         Question::VoterState => Q::Look(v1::FleetLook {}),
         Question::WriteCount { of, voter_id } => Q::Witness(v1::FleetWitness {
@@ -389,18 +394,18 @@
 pub fn question_in(said: v1::FleetCall) -> Option<Question> {
     Some(match said.question? {
         Q::Prepare(m) => {
-            let heard = writes_in(&m.heard)?;
+            let write_counts = writes_in(&m.heard)?;
             Question::Vote(AcceptorRequest::Prepare {
                 voter_id: VoterId(m.voter_id),
                 ballot: ballot_in(m.ballot)?,
-                heard,
+                write_counts,
             })
         }
         Q::Accept(m) => Question::Vote(AcceptorRequest::Accept {
             voter_id: VoterId(m.voter_id),
             ballot: ballot_in(m.ballot)?,
             value: agreed_in(m.value)?,
-            heard: writes_in(&m.heard)?,
+            write_counts: writes_in(&m.heard)?,
         }),
         Q::Look(_) => Question::VoterState,
         Q::Witness(m) => Question::WriteCount {
@@ -546,7 +551,7 @@
                 place: *place,
             };
             A::Heard(v1::FleetHeard {
-                heard: heard.heard,
+                heard: heard.accepted,
                 term: heard.holder.as_ref().map_or(0, |(term, _)| term.0),
                 holder: heard.holder.as_ref().map(|(_, holder)| holder_out(holder)),
                 every_ms: heard.every,
@@ -623,7 +628,7 @@
             // A beat that is never wanted would end beating.
             let every = finite(m.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
             Answer::Heartbeat(HeartbeatReply {
-                heard: m.heard,
+                accepted: m.heard,
                 holder,
                 every,
                 places,
--- a/crates/fleet/tests/shell.rs
+++ b/crates/fleet/tests/shell.rs
@@ -1,4 +1,6 @@
-//! Members on connections and files in memory, on a paused clock.
+//! Three members with their drivers, on connections and files in memory and a paused clock. They elect a membership
+//! leader and keep it. A disk that is full silences its voter alone, and with two full disks no lease is renewed.
+//! Members of another fleet, noise and messages that say nothing are refused, and the fleet goes on.
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
@@ -23,7 +25,7 @@
     clock: TokioClock,
     files: Vec<File>,
     members: Vec<Member>,
-    requests: Vec<JoinHandle<()>>,
+    drivers: Vec<JoinHandle<()>>,
 }
 
 fn settings(fleet: &str, at: usize) -> FleetSettings {
@@ -58,9 +60,9 @@
 }
 
 /// A dispatcher that is always ready.
-struct Beside;
+struct ReadyDispatcher;
 
-impl Dispatcher for Beside {
+impl Dispatcher for ReadyDispatcher {
     fn local_health(&self) -> LocalHealth {
         LocalHealth {
             ready: true,
@@ -74,13 +76,13 @@
 
 impl Net {
     async fn start(&mut self, fleet: &str, at: usize, file: File) -> Member {
-        let beside = Rc::new(Beside);
+        let dispatcher = Rc::new(ReadyDispatcher);
         let member = Shell::new(
             settings(fleet, at),
             self.memory.clone(),
             self.clock,
             Some(file),
-            beside,
+            dispatcher,
         );
         let listener = self
             .memory
@@ -88,7 +90,7 @@
             .await
             .expect("a name");
         let running = member.clone();
-        self.requests.push(spawn_local(async move {
+        self.drivers.push(spawn_local(async move {
             running.run(listener, pending()).await
         }));
         member
@@ -103,7 +105,7 @@
     }
 }
 
-/// Runs a test with three members that vote, once one of them calls the roll.
+/// Runs a test with three members that vote, once one of them is the membership leader.
 fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -117,7 +119,7 @@
             clock,
             files,
             members: Vec::new(),
-            requests: Vec::new(),
+            drivers: Vec::new(),
         };
         for at in 0..3 {
             net.files.push(File::default());
@@ -176,7 +178,7 @@
         }
         assert!(held, "two of three are a majority");
         assert!(net.members[0].counts()["saves failed"] >= 1);
-        // With two disks full nothing new is agreed on.
+        // With two disks full no command is chosen.
         net.files[1].fail(true);
         net.wait(3_000.0).await;
         assert_eq!(net.holders(), 0, "no lease is renewed");
@@ -231,7 +233,7 @@
         net.wait(2_000.0).await;
         assert!(dropped() >= strange + 2, "{} and {strange}", dropped());
         assert_eq!(net.holders(), 1, "it goes on");
-        let heartbeats = ask(
+        let answer = ask(
             &net.memory,
             &net.clock,
             "at-0",
@@ -239,9 +241,6 @@
             900.0,
         )
         .await;
-        assert!(
-            matches!(heartbeats, Ok(Answer::VoterState(_))),
-            "{heartbeats:?}"
-        );
+        assert!(matches!(answer, Ok(Answer::VoterState(_))), "{answer:?}");
     });
 }
--- a/crates/fleet/tests/stored_bytes.rs
+++ b/crates/fleet/tests/stored_bytes.rs
@@ -210,7 +210,7 @@
         promised: Some(ballot(14, "c")),
         accepted: Some((ballot(13, "b"), value)),
         writes: 44,
-        heard: WriteCounts::from([
+        write_counts: WriteCounts::from([
             ((Name::from("b"), VoterId(12)), 40),
             ((Name::from("c"), VoterId(13)), 300),
         ]),
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -154,7 +154,7 @@
         promised: Some(ballot(13)),
         accepted: Some((ballot(12), agreed())),
         writes: 44,
-        heard: WriteCounts::from([((Name::from("b"), VoterId(2)), 40)]),
+        write_counts: WriteCounts::from([((Name::from("b"), VoterId(2)), 40)]),
     }
 }
 
@@ -204,19 +204,19 @@
         good_for: 300.25,
         body: b"in 3".to_vec(),
     };
-    let heard = kept().heard;
+    let write_counts = kept().write_counts;
     let (voter_id, lease_name, name) = (VoterId(1), LeaseName::from("x"), Name::from("n"));
     let questions = [
         Question::Vote(AcceptorRequest::Prepare {
             voter_id,
             ballot: ballot(1),
-            heard: heard.clone(),
+            write_counts: write_counts.clone(),
         }),
         Question::Vote(AcceptorRequest::Accept {
             voter_id,
             ballot: ballot(1),
             value: agreed(),
-            heard,
+            write_counts,
         }),
         Question::VoterState,
         Question::WriteCount {
@@ -329,7 +329,7 @@
         }),
         Answer::WriteCount { writes: 6 },
         Answer::Heartbeat(HeartbeatReply {
-            heard: true,
+            accepted: true,
             holder: Some((Term(3), holder())),
             every: 200.0,
             places: vec![(lease_name, 2)],
@@ -395,7 +395,7 @@
         voter_id: VoterId(1),
         ballot: ballot(1),
         value: agreed(),
-        heard: WriteCounts::new(),
+        write_counts: WriteCounts::new(),
     }));
     if let Some(v1::fleet_call::Question::Accept(take)) = &mut many.question {
         let value = take.value.as_mut().expect("it is there");
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -102,10 +102,7 @@
         let number = SaveId(storage.saves_started);
         let state = Box::new(acceptor.state.clone());
         storage.in_flight_state = Some(state.clone());
-        out.push(Output::Save {
-            number,
-            kept: state,
-        });
+        out.push(Output::Save { number, state });
         storage.in_flight = Some(number);
         storage.answers = std::mem::take(&mut storage.answers_of_next);
         self.count("saves");
--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -48,7 +48,7 @@
         }
         let membership = self.membership.as_ref();
         HeartbeatReply {
-            heard: is_leader,
+            accepted: is_leader,
             holder: self.membership_leader.clone(),
             every: membership.map_or(shortest, |m| m.heartbeat_interval(shortest)),
             places,
@@ -119,9 +119,9 @@
         let leader = self.membership_leader.as_ref();
         let is_current = leader.is_some_and(|(_, leader)| leader.incarnation == to);
         let place = match reply {
-            Some(reply) if reply.heard && is_current => self.heartbeat_accepted(&reply),
+            Some(reply) if reply.accepted && is_current => self.heartbeat_accepted(&reply),
             Some(HeartbeatReply {
-                heard: false,
+                accepted: false,
                 holder: Some(leader),
                 ..
             }) if leader.1.incarnation != to => return self.learn_membership_leader(leader),
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeartbeatReply {
     /// The receiver is the membership leader and has taken the heartbeat in.
-    pub heard: bool,
+    pub accepted: bool,
     /// The membership leader and its term, as the receiver knows them.
     pub holder: Option<(Term, LeaseHolder)>,
     /// The time to the next heartbeat, in milliseconds.
@@ -157,7 +157,7 @@
         /// The write.
         number: SaveId,
         /// It is durable for certain.
-        lasts: bool,
+        is_durable: bool,
     },
     /// A request came in.
     Asked {
@@ -207,7 +207,7 @@
         /// The write's number, for [`Input::Saved`].
         number: SaveId,
         /// What to write.
-        kept: Box<AcceptorState>,
+        state: Box<AcceptorState>,
     },
     /// A lease is held from now on, or no more.
     Holds {
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -176,7 +176,7 @@
         self.drop_expired(out);
         match input {
             Input::Loaded(file) => self.file_loaded(file, out),
-            Input::Saved { number, lasts } => self.file_saved(number, lasts, out),
+            Input::Saved { number, is_durable } => self.file_saved(number, is_durable, out),
             Input::Asked { call, question } => self.handle_request(call, question, out),
             Input::Answered { ask, answer } => self.answer_received(ask, answer, out),
             Input::LocalHealth(local_health) => self.local_health(local_health),
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -219,7 +219,7 @@
     /// The highest write count of a voter that the acceptor or the proposer knows.
     fn known_writes(&self, voter: &VoterKey) -> u64 {
         let acceptor = self.acceptor.as_ref();
-        let by_acceptor = acceptor.and_then(|acceptor| acceptor.state.heard.get(voter));
+        let by_acceptor = acceptor.and_then(|acceptor| acceptor.state.write_counts.get(voter));
         let by_proposer = self.knowledge.write_counts.get(voter);
         by_acceptor.max(by_proposer).copied().unwrap_or(0)
     }
--- a/src/coordination/register/acceptor.rs
+++ b/src/coordination/register/acceptor.rs
@@ -28,7 +28,7 @@
     /// How often the file changed.
     pub writes: u64,
     /// The other voters' write counts.
-    pub heard: WriteCounts,
+    pub write_counts: WriteCounts,
 }
 
 /// A proposer's request to an acceptor.
@@ -41,7 +41,7 @@
         /// The proposal.
         ballot: Ballot,
         /// The write counts that the proposer knows.
-        heard: WriteCounts,
+        write_counts: WriteCounts,
     },
     /// Asks to accept a value.
     Accept {
@@ -52,7 +52,7 @@
         /// The value to accept.
         value: ReplicatedState,
         /// The write counts that the proposer knows.
-        heard: WriteCounts,
+        write_counts: WriteCounts,
     },
 }
 
@@ -62,14 +62,14 @@
             AcceptorRequest::Prepare {
                 voter_id,
                 ballot,
-                heard,
+                write_counts,
             }
             | AcceptorRequest::Accept {
                 voter_id,
                 ballot,
-                heard,
+                write_counts,
                 ..
-            } => (*voter_id, ballot, heard),
+            } => (*voter_id, ballot, write_counts),
         }
     }
 }
@@ -146,7 +146,7 @@
             promised: None,
             accepted: None,
             writes: 0,
-            heard: WriteCounts::new(),
+            write_counts: WriteCounts::new(),
         };
         Acceptor { state, votes: true }
     }
@@ -160,26 +160,26 @@
 
     /// Answers a proposer.
     pub fn handle(&mut self, request: &AcceptorRequest) -> AcceptorResponse {
-        let (voter_id, ballot, heard) = request.parts();
+        let (voter_id, ballot, write_counts) = request.parts();
         // Guards against a voter that lost its file and comes back under its name: it would promise again what it
         // had promised to another, and two values could be chosen. A new file has a new identity, which no proposer
         // addresses before a chosen change of voters lets it in.
         let is_meant =
             is_injected(InjectedFault::FileLossIgnored) || voter_id == self.state.voter_id;
-        if !is_meant || !self.votes || self.detect_outdated_file(heard) {
+        if !is_meant || !self.votes || self.detect_outdated_file(write_counts) {
             return AcceptorResponse::immediate(AcceptorReply::NotVoting);
         }
-        self.learn_write_counts(heard);
+        self.learn_write_counts(write_counts);
         match request {
             AcceptorRequest::Prepare { .. } => self.prepare(ballot),
             AcceptorRequest::Accept { value, .. } => self.accept(ballot, value),
         }
     }
 
-    fn learn_write_counts(&mut self, heard: &WriteCounts) {
-        for (voter, writes) in heard {
+    fn learn_write_counts(&mut self, write_counts: &WriteCounts) {
+        for (voter, writes) in write_counts {
             if voter.0 != self.state.name {
-                let highest = self.state.heard.entry(voter.clone()).or_default();
+                let highest = self.state.write_counts.entry(voter.clone()).or_default();
                 *highest = (*highest).max(*writes);
             }
         }
@@ -231,9 +231,9 @@
     /// Guards against a file that was put back from a copy, or whose last writes were lost: its voter would break
     /// promises that it has forgotten, and two values could be chosen. It shows in the write count: proposers pass on
     /// the counts that they were answered with, and an answer goes out only once its write is durable.
-    pub fn detect_outdated_file(&mut self, heard: &WriteCounts) -> bool {
+    pub fn detect_outdated_file(&mut self, write_counts: &WriteCounts) -> bool {
         let own_key = (self.state.name.clone(), self.state.voter_id);
-        let known_writes = heard.get(&own_key);
+        let known_writes = write_counts.get(&own_key);
         let is_outdated = known_writes.is_some_and(|writes| *writes > self.state.writes);
         self.votes &= !is_outdated;
         is_outdated
--- a/src/coordination/register/proposal.rs
+++ b/src/coordination/register/proposal.rs
@@ -274,7 +274,7 @@
             let request = AcceptorRequest::Prepare {
                 voter_id: voter_record.voter_id,
                 ballot: self.ballot.clone(),
-                heard: knowledge.write_counts.clone(),
+                write_counts: knowledge.write_counts.clone(),
             };
             requests.push(OutgoingRequest {
                 to,
@@ -300,7 +300,7 @@
                 voter_id: voter_record.voter_id,
                 ballot: self.ballot.clone(),
                 value: value.clone(),
-                heard: knowledge.write_counts.clone(),
+                write_counts: knowledge.write_counts.clone(),
             };
             OutgoingRequest {
                 to,
--- a/tests/voter.rs
+++ b/tests/voter.rs
@@ -1,4 +1,7 @@
-//! A voter's answers and the writes that they wait for.
+//! A voter's disk is slow. Proposers send a request again when its answer does not come in time. If each copy cost
+//! another write of the voter's file, the disk would be busy with copies until all of them had timed out, and no
+//! lease could be renewed. So a copy waits for the write that is in flight already, and all copies are answered once
+//! the promise is durable, and not before.
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
@@ -40,7 +43,7 @@
 
 fn saves(out: &[Output]) -> Vec<(SaveId, AcceptorState)> {
     let save = |output: &Output| match output {
-        Output::Save { number, kept } => Some((*number, (**kept).clone())),
+        Output::Save { number, state } => Some((*number, (**state).clone())),
         _ => None,
     };
     out.iter().filter_map(save).collect()
@@ -63,13 +66,13 @@
         out
     };
     let out = handle(&mut member, 0.0, Input::Loaded(Ok(None)));
-    let (number, kept) = saves(&out).pop().expect("a new voter's file is written");
+    let (number, state) = saves(&out).pop().expect("a new voter's file is written");
     handle(
         &mut member,
         10.0,
         Input::Saved {
             number,
-            lasts: true,
+            is_durable: true,
         },
     );
     let ballot = Ballot {
@@ -77,13 +80,13 @@
         by: Name::from("d1"),
         incarnation: Incarnation(7),
     };
-    let ask = AcceptorRequest::Prepare {
-        voter_id: kept.voter_id,
+    let prepare = AcceptorRequest::Prepare {
+        voter_id: state.voter_id,
         ballot,
-        heard: Default::default(),
+        write_counts: Default::default(),
     };
-    let asks = |member: &mut Member, now: f64, call: u64| {
-        let question = Question::Vote(ask.clone());
+    let send_prepare = |member: &mut Member, now: f64, call: u64| {
+        let question = Question::Vote(prepare.clone());
         handle(
             member,
             now,
@@ -93,11 +96,11 @@
             },
         )
     };
-    let out = asks(&mut member, 20.0, 1);
+    let out = send_prepare(&mut member, 20.0, 1);
     assert_eq!(answered(&out), [], "nothing is said before it lasts");
     let (number, _) = saves(&out).pop().expect("the promise is written");
     for call in [2, 3] {
-        let out = asks(&mut member, 20.0 + call as f64, call);
+        let out = send_prepare(&mut member, 20.0 + call as f64, call);
         assert_eq!(
             (answered(&out), saves(&out).len()),
             (vec![], 0),
@@ -109,12 +112,12 @@
         30.0,
         Input::Saved {
             number,
-            lasts: true,
+            is_durable: true,
         },
     );
     assert_eq!(answered(&out), [CallId(1), CallId(2), CallId(3)]);
     assert_eq!(saves(&out).len(), 0, "and no other follows");
-    let out = asks(&mut member, 40.0, 4);
+    let out = send_prepare(&mut member, 40.0, 4);
     assert_eq!(
         (answered(&out), saves(&out).len()),
         (vec![CallId(4)], 0),
