--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/words.rs
@@ -4,7 +4,8 @@
 use crate::care_words;
 use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::coordination::member::{
-    Answer, HeartbeatReply, MemberLine, OperatorRequest, Question, Reply, Seen, Status, VoterLine,
+    Answer, HeartbeatReply, MemberLine, OperatorRequest, Question, Reply, Status, VoterLine,
+    VoterState,
 };
 use cindercleat::coordination::membership::{Heartbeat, MemberStatus};
 use cindercleat::coordination::register::{
@@ -215,13 +216,18 @@
     }
 }
 
-fn writes_out(heard: &WriteCounts) -> Vec<v1::VoterWriteCount> {
+fn writes_out(write_counts: &WriteCounts) -> Vec<v1::VoterWriteCount> {
     let line = |((name, voter_id), writes): (&(Name, VoterId), &u64)| v1::VoterWriteCount {
         name: name.0.to_string(),
         voter_id: voter_id.0,
         writes: *writes,
     };
-    heard.iter().rev().take(MOST_HEARD).map(line).collect()
+    write_counts
+        .iter()
+        .rev()
+        .take(MOST_HEARD)
+        .map(line)
+        .collect()
 }
 
 fn writes_in(said: &[v1::VoterWriteCount]) -> Option<WriteCounts> {
@@ -240,7 +246,7 @@
         promised: kept.promised.as_ref().map(ballot_out),
         accepted: taken_out(&kept.accepted),
         writes: kept.writes,
-        heard: writes_out(&kept.heard),
+        heard: writes_out(&kept.write_counts),
     }
 }
 
@@ -260,7 +266,7 @@
         promised,
         accepted: taken_in(said.accepted)?,
         writes: said.writes,
-        heard: writes_in(&said.heard)?,
+        write_counts: writes_in(&said.heard)?,
     })
 }
 
@@ -283,25 +289,25 @@
         Question::Vote(AcceptorRequest::Prepare {
             voter_id,
             ballot,
-            heard,
+            write_counts,
         }) => Q::Prepare(v1::FleetPrepare {
             voter_id: voter_id.0,
             ballot: Some(ballot_out(ballot)),
-            heard: writes_out(heard),
+            heard: writes_out(write_counts),
         }),
         Question::Vote(AcceptorRequest::Accept {
             voter_id,
             ballot,
             value,
-            heard,
+            write_counts,
         }) => Q::Accept(v1::FleetAccept {
             voter_id: voter_id.0,
             ballot: Some(ballot_out(ballot)),
             value: Some(agreed_out(value)),
-            heard: writes_out(heard),
+            heard: writes_out(write_counts),
         }),
-        Question::Look => Q::Look(v1::FleetLook {}),
-        Question::Witness { of, voter_id } => Q::Witness(v1::FleetWitness {
+        Question::VoterState => Q::Look(v1::FleetLook {}),
+        Question::WriteCount { of, voter_id } => Q::Witness(v1::FleetWitness {
             name: of.0.to_string(),
             voter_id: voter_id.0,
         }),
@@ -321,7 +327,7 @@
                 .map(care_words::report_out)
                 .collect(),
         }),
-        Question::Nudge { lease_name } => Q::Nudge(v1::FleetNudge {
+        Question::LeaseOffer { lease_name } => Q::Nudge(v1::FleetNudge {
             lease_name: lease_name.0.to_string(),
         }),
         Question::FencedCommand(act) => Q::FencedCommand(v1::FencedCommand {
@@ -388,21 +394,21 @@
 pub fn question_in(said: v1::FleetCall) -> Option<Question> {
     Some(match said.question? {
         Q::Prepare(m) => {
-            let heard = writes_in(&m.heard)?;
+            let write_counts = writes_in(&m.heard)?;
             Question::Vote(AcceptorRequest::Prepare {
                 voter_id: VoterId(m.voter_id),
                 ballot: ballot_in(m.ballot)?,
-                heard,
+                write_counts,
             })
         }
         Q::Accept(m) => Question::Vote(AcceptorRequest::Accept {
             voter_id: VoterId(m.voter_id),
             ballot: ballot_in(m.ballot)?,
             value: agreed_in(m.value)?,
-            heard: writes_in(&m.heard)?,
+            write_counts: writes_in(&m.heard)?,
         }),
-        Q::Look(_) => Question::Look,
-        Q::Witness(m) => Question::Witness {
+        Q::Look(_) => Question::VoterState,
+        Q::Witness(m) => Question::WriteCount {
             of: name(&m.name)?,
             voter_id: VoterId(m.voter_id),
         },
@@ -428,7 +434,7 @@
                 reports,
             })
         }
-        Q::Nudge(m) => Question::Nudge {
+        Q::Nudge(m) => Question::LeaseOffer {
             lease_name: lease_name(&m.lease_name)?,
         },
         Q::FencedCommand(m) => {
@@ -532,20 +538,20 @@
             promised: Some(ballot_out(promised)),
         }),
         Answer::Vote(AcceptorReply::NotVoting) => A::NotVoting(v1::FleetNotVoting {}),
-        Answer::Seen(seen) => A::Seen(v1::FleetSeen {
+        Answer::VoterState(seen) => A::Seen(v1::FleetSeen {
             voter_id: seen.voter_id.map_or(0, |voter_id| voter_id.0),
             votes: seen.votes,
             bootstrap: seen.bootstrap.as_ref().map(voters_out),
             newest: taken_out(&seen.newest),
         }),
-        Answer::Witnessed { writes } => A::Witnessed(v1::FleetWitnessed { writes: *writes }),
-        Answer::Heard(heard) => {
+        Answer::WriteCount { writes } => A::Witnessed(v1::FleetWitnessed { writes: *writes }),
+        Answer::Heartbeat(heard) => {
             let place = |(lease_name, place): &(LeaseName, u32)| v1::FleetPlace {
                 lease_name: lease_name.0.to_string(),
                 place: *place,
             };
             A::Heard(v1::FleetHeard {
-                heard: heard.heard,
+                heard: heard.accepted,
                 term: heard.holder.as_ref().map_or(0, |(term, _)| term.0),
                 holder: heard.holder.as_ref().map(|(_, holder)| holder_out(holder)),
                 every_ms: heard.every,
@@ -601,14 +607,14 @@
                 None => None,
             };
             let voter_id = (m.voter_id != 0).then_some(VoterId(m.voter_id));
-            Answer::Seen(Seen {
+            Answer::VoterState(VoterState {
                 voter_id,
                 votes: m.votes,
                 bootstrap,
                 newest: taken_in(m.newest)?,
             })
         }
-        A::Witnessed(m) => Answer::Witnessed { writes: m.writes },
+        A::Witnessed(m) => Answer::WriteCount { writes: m.writes },
         A::Heard(m) => {
             let holder = match &m.holder {
                 Some(holder) => Some((Term(m.term), holder_in(holder)?)),
@@ -621,8 +627,8 @@
                 .collect::<Option<_>>()?;
             // A beat that is never wanted would end beating.
             let every = finite(m.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
-            Answer::Heard(HeartbeatReply {
-                heard: m.heard,
+            Answer::Heartbeat(HeartbeatReply {
+                accepted: m.heard,
                 holder,
                 every,
                 places,
