--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -175,8 +175,8 @@
             } => {
                 let order = RolloutRequest::Start {
                     plan: Box::new(plan),
-                    skip: skip_absent,
-                    dry: dry_run,
+                    skip_missing: skip_absent,
+                    dry_run,
                 };
                 say(give(&clock, &args.at, &OperatorRequest::Rollout(order)).await)
             }
@@ -213,7 +213,7 @@
                 say(give(
                     &clock,
                     &args.at,
-                    &OperatorRequest::Rollout(RolloutRequest::Recount { of }),
+                    &OperatorRequest::Rollout(RolloutRequest::Recount { unit_kind: of }),
                 )
                 .await)
             }
--- a/crates/cindercleat-cli/src/release_plan.rs
+++ b/crates/cindercleat-cli/src/release_plan.rs
@@ -38,7 +38,10 @@
         let per_mille = line
             .after::<f64>("part")?
             .map_or(Ok(1000), |part| per_mille(line, part))?;
-        let most = MaxUnavailable { number, per_mille };
+        let most = MaxUnavailable {
+            count: number,
+            per_mille,
+        };
         let bounds = &mut both[at];
         match (place.as_str(), at) {
             ("fleet", _) => bounds.fleet = most,
@@ -59,18 +62,18 @@
         let (what, place): (String, String) = (line.value(1)?, line.value(2)?);
         let engines = &mut both[1];
         let least = match (what.as_str(), place.as_str()) {
-            ("readers", "zone") => &mut engines.prefill_engines_per_zone,
-            ("writers", "zone") => &mut engines.decode_engines_per_zone,
-            ("readers", "cell") => &mut engines.prefill_engines_per_cell,
-            ("writers", "cell") => &mut engines.decode_engines_per_cell,
+            ("readers", "zone") => &mut engines.min_prefill_engines_per_zone,
+            ("writers", "zone") => &mut engines.min_decode_engines_per_zone,
+            ("readers", "cell") => &mut engines.min_prefill_engines_per_cell,
+            ("writers", "cell") => &mut engines.min_decode_engines_per_cell,
             _ => return Err(line.wrong("'stay readers|writers zone|cell NUMBER'")),
         };
         *least = line.value(3)?;
         last[1] = Some(line);
     }
     if let Some(line) = block.maybe("used")? {
-        both[1].used_per_mille = per_mille(line, line.value(1)?)?;
-        both[1].report_age_ms = line.must_after::<Time>("reports")?.0 as u64;
+        both[1].max_utilization_per_mille = per_mille(line, line.value(1)?)?;
+        both[1].max_report_age_ms = line.must_after::<Time>("reports")?.0 as u64;
         last[1] = Some(line);
     }
     for (bounds, line) in both.iter().zip(last) {
@@ -119,9 +122,9 @@
     let grow = section.value_or("grow", 2.0_f64)?;
     let plan = RolloutPlan {
         name: section.value("release")?,
-        of,
+        unit_kind: of,
         label: section.value_or("label", String::new())?,
-        before: section.value_or("before", String::new())?,
+        previous_label: section.value_or("before", String::new())?,
         zones: list("zones")?,
         cells: list("cells")?,
         kinds: list("kinds")?,
@@ -129,13 +132,13 @@
             .iter()
             .map(|n| Name::from(n.as_str()))
             .collect(),
-        stays: section.value_or("stays", false)?,
-        first: section.value_or("first", 1)?,
-        grow_per_mille: (grow * 1000.0).round().min(1e9) as u32,
-        watch_ms: time("watch", 30_000.0)?,
+        permanent: section.value_or("stays", false)?,
+        first_wave_size: section.value_or("first", 1)?,
+        wave_growth_per_mille: (grow * 1000.0).round().min(1e9) as u32,
+        observe_ms: time("watch", 30_000.0)?,
         settle_ms: time("settle", 5_000.0)?,
-        begin_ms: time("begin", 30_000.0)?,
-        back_ms: time("back", 300_000.0)?,
+        start_timeout_ms: time("begin", 30_000.0)?,
+        return_timeout_ms: time("back", 300_000.0)?,
     };
     section.nothing_else()?;
     if plan.name.len() > LONGEST_NAME {
@@ -143,7 +146,7 @@
             .one("release")?
             .wrong(&format!("a name of at most {LONGEST_NAME} bytes")));
     }
-    if plan.first == 0 {
+    if plan.first_wave_size == 0 {
         return Err(section
             .one("first")?
             .wrong("at least one in the first wave"));
@@ -155,13 +158,13 @@
         if plan.label.is_empty() {
             return Err(section.lacks("label"));
         }
-        if plan.before.is_empty() {
+        if plan.previous_label.is_empty() {
             return Err(section.lacks("before"));
         }
-        if plan.label == plan.before {
+        if plan.label == plan.previous_label {
             return Err(section.one("label")?.wrong("another label than 'before'"));
         }
-        if plan.stays {
+        if plan.permanent {
             return Err(section
                 .one("stays")?
                 .wrong("'of hosts': dispatchers come back"));
@@ -173,7 +176,7 @@
                 .wrong("'zones' or 'names': dispatchers have no cells or kinds"));
         }
     }
-    if plan.back_ms <= plan.settle_ms {
+    if plan.return_timeout_ms <= plan.settle_ms {
         return Err(section.head.wrong("'back' of more than 'settle'"));
     }
     Ok(plan)
@@ -190,15 +193,15 @@
     }
     Ok(RolloutPlan {
         name: "drain".to_owned(),
-        of: UnitKind::Engines,
+        unit_kind: UnitKind::Engines,
         names: engines.iter().map(|h| Name::from(h.as_str())).collect(),
-        stays,
-        first: engines.len() as u32,
-        grow_per_mille: 1000,
-        watch_ms: 0,
+        permanent: stays,
+        first_wave_size: engines.len() as u32,
+        wave_growth_per_mille: 1000,
+        observe_ms: 0,
         settle_ms: 2_000,
-        begin_ms: 30_000,
-        back_ms: 600_000,
+        start_timeout_ms: 30_000,
+        return_timeout_ms: 600_000,
         ..RolloutPlan::default()
     })
 }
--- a/crates/cindercleat-cli/src/releases.rs
+++ b/crates/cindercleat-cli/src/releases.rs
@@ -16,7 +16,7 @@
 /// Gives the halt, and again until it is certain that nothing begins any more.
 pub async fn halt(clock: &SystemClock, at: &[String], why: &str) -> io::Result<bool> {
     let order = OperatorRequest::Rollout(RolloutRequest::Halt {
-        why: why.to_owned(),
+        reason: why.to_owned(),
     });
     let mut told = String::new();
     loop {
@@ -47,7 +47,7 @@
         OperatorRequest::Rollout(RolloutRequest::Permit {
             name: Name::from(name),
             label: label.to_owned(),
-            refused,
+            cancel: refused,
         })
     };
     let mut told = String::new();
@@ -114,25 +114,25 @@
         |(number, who, zone, at)| json!({"turn": number.0, "who": *who.0, "zone": zone, "at": at}),
     );
     let room = disruptions
-        .room
+        .unavailable
         .iter()
         .map(|(zone, out, most)| json!({"zone": zone, "out": out, "most": most}));
     let left = disruptions
-        .left
+        .abandoned
         .iter()
         .map(|(who, why)| json!({"who": *who.0, "why": why}));
     json!({
         "majority": full.majority,
         "release": disruptions.name,
-        "of": disruptions.of.to_string(),
+        "of": disruptions.unit_kind.to_string(),
         "state": disruptions.state,
         "halted": disruptions.halted,
-        "why": disruptions.why,
+        "why": disruptions.blocked_reason,
         "wave": disruptions.wave,
-        "given": disruptions.given,
-        "of_wave": disruptions.of_wave,
-        "turned": disruptions.turned,
-        "meant": disruptions.meant,
+        "given": disruptions.granted_in_wave,
+        "of_wave": disruptions.wave_size,
+        "turned": disruptions.completed,
+        "meant": disruptions.selected,
         "turns": permits.collect::<Vec<_>>(),
         "room": room.collect::<Vec<_>>(),
         "left": left.collect::<Vec<_>>(),
@@ -143,10 +143,10 @@
 fn as_text(full: &Status) -> String {
     let RolloutStatus {
         name,
-        of,
+        unit_kind: of,
         state,
         halted,
-        why,
+        blocked_reason: why,
         ..
     } = &full.disruptions;
     let disruptions = &full.disruptions;
@@ -154,7 +154,7 @@
         "none" => "no release\n".to_owned(),
         _ => format!(
             "release {name} of {of}: {state}\n  wave {}, {} of {} turns given in it; {} turns over, {} meant\n",
-            disruptions.wave, disruptions.given, disruptions.of_wave, disruptions.turned, disruptions.meant
+            disruptions.wave, disruptions.granted_in_wave, disruptions.wave_size, disruptions.completed, disruptions.selected
         ),
     };
     if !halted.is_empty() {
@@ -166,7 +166,7 @@
     for (number, who, zone, at) in &disruptions.permits {
         out += &format!("  turn {:<6} {:<20} {:<10} {at}\n", number.0, who.0, zone);
     }
-    for (zone, is_out, most) in &disruptions.room {
+    for (zone, is_out, most) in &disruptions.unavailable {
         let place = if zone.is_empty() {
             "fleet".to_owned()
         } else {
@@ -179,7 +179,7 @@
         };
         out += &format!("  {place:<20} {is_out} out, {most} may be\n");
     }
-    for (who, why) in &disruptions.left {
+    for (who, why) in &disruptions.abandoned {
         out += &format!("  left for you: {} {why}\n", who.0);
     }
     for note in &disruptions.notes {
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -352,17 +352,17 @@
                 kind: row.line.kind.clone(),
                 role: Some(row.role),
                 label: String::new(),
-                stand: match row.status {
+                status: match row.status {
                     EndpointStatus::Ready if cold => ServiceStatus::Starting,
                     EndpointStatus::Ready => ServiceStatus::InService,
                     EndpointStatus::Draining => ServiceStatus::Draining,
                     EndpointStatus::Gone => ServiceStatus::OutOfService,
                 },
-                used: self
+                utilization: self
                     .record
                     .as_ref()
                     .and_then(|record| record.used(now, engine)),
-                tally: OutcomeCounts::default(),
+                outcomes: OutcomeCounts::default(),
             }
         };
         self.endpoints.engines.iter().map(unit).collect()
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -303,8 +303,8 @@
             ("the fleet", bounds.fleet, count(false)),
             ("its zone", bounds.zone, count(true)),
         ] {
-            if out > most.of(size) {
-                let may = most.of(size);
+            if out > most.limit_for(size) {
+                let may = most.limit_for(size);
                 self.breach(
                     "too many out",
                     format!("at {now:.0} ms {who} goes: of {what} {out} of {size} are out, {may} may be"),
@@ -426,20 +426,20 @@
         let out = self
             .engines
             .borrow()
-            .get(&*told.who.0)
+            .get(&*told.unit.0)
             .is_none_or(|s| s.planned);
         if out
-            || self.asked_back.borrow().contains(&told.number)
-            || self.run_of(&told.who) != Some(told.incarnation)
+            || self.asked_back.borrow().contains(&told.permit)
+            || self.run_of(&told.unit) != Some(told.incarnation)
         {
             return;
         }
-        let name = told.who.0.to_string();
+        let name = told.unit.0.to_string();
         let Some(engine) = self.fleet.engines.get(&name).cloned() else {
             return;
         };
         self.released.borrow_mut().drains += 1;
-        self.judge(UnitKind::Engines, &name, &format!("turn {}", told.number.0));
+        self.judge(UnitKind::Engines, &name, &format!("turn {}", told.permit.0));
         let now = self.now();
         if let Some(member_status) = self.engines.borrow_mut().get_mut(&name) {
             *member_status = Standing {
@@ -457,7 +457,7 @@
             tokio::time::sleep(Duration::from_secs_f64((DRAINS + 2_000.0) / 1000.0)).await;
             engine.die();
             feed.change(engine.line(v1::EndpointStatus::Gone));
-            if told.stays {
+            if told.permanent {
                 return;
             }
             tokio::time::sleep(Duration::from_secs_f64(GONE / 1000.0)).await;
--- a/crates/faults/src/duties/draw_release.rs
+++ b/crates/faults/src/duties/draw_release.rs
@@ -15,15 +15,15 @@
 pub fn forward(of: UnitKind) -> RolloutPlan {
     RolloutPlan {
         name: "to-v2".to_owned(),
-        of,
+        unit_kind: of,
         label: "v2".to_owned(),
-        before: "v1".to_owned(),
-        first: 1,
-        grow_per_mille: 2000,
-        watch_ms: 1_500,
+        previous_label: "v1".to_owned(),
+        first_wave_size: 1,
+        wave_growth_per_mille: 2000,
+        observe_ms: 1_500,
         settle_ms: 500,
-        begin_ms: 4_000,
-        back_ms: 15_000,
+        start_timeout_ms: 4_000,
+        return_timeout_ms: 15_000,
         ..RolloutPlan::default()
     }
 }
@@ -75,7 +75,10 @@
     plan.loss = [0.0, 0.0, 0.01, 0.05][rng.generate_range(0..4usize)];
     plan.twice = [0.0, 0.02, 0.1][rng.generate_range(0..3usize)];
     plan.long = 0.002;
-    let most = |number: u32, per_mille: u32| MaxUnavailable { number, per_mille };
+    let most = |number: u32, per_mille: u32| MaxUnavailable {
+        count: number,
+        per_mille,
+    };
     let mut chance = || rng.generate::<f64>();
     let zone = if large {
         most(u32::MAX, 100)
@@ -93,8 +96,8 @@
         fleet,
         ..DisruptionBudget::default()
     };
-    if bounds.fleet.number < bounds.zone.number {
-        bounds.zone.number = bounds.fleet.number;
+    if bounds.fleet.count < bounds.zone.count {
+        bounds.zone.count = bounds.fleet.count;
     }
     let mut of_engines = bounds;
     of_engines.cell = if chance() < 0.5 && !large {
@@ -102,8 +105,8 @@
     } else {
         MaxUnavailable::ALL
     };
-    of_engines.used_per_mille = if chance() < 0.6 { 800 } else { 1000 };
-    of_engines.report_age_ms = 1_000;
+    of_engines.max_utilization_per_mille = if chance() < 0.6 { 800 } else { 1000 };
+    of_engines.max_report_age_ms = 1_000;
     let Some(play) = plan.release.as_mut() else {
         return plan;
     };
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -440,9 +440,9 @@
                 .to_owned(),
                 role: Some(engine.role),
                 label: String::new(),
-                stand,
-                used: None,
-                tally: OutcomeCounts::default(),
+                status: stand,
+                utilization: None,
+                outcomes: OutcomeCounts::default(),
             })
         };
         service.engines.iter().filter_map(unit).collect()
@@ -509,13 +509,13 @@
         let Some(at) = self
             .service
             .as_ref()
-            .and_then(|s| s.engines.iter().position(|h| h.name == told.who))
+            .and_then(|s| s.engines.iter().position(|h| h.name == told.unit))
         else {
             return;
         };
         let Some(service) = &self.service else { return };
         let (_, stand, started) = service.engines[at].now();
-        let asked_back = service.asked_back.contains(&told.number);
+        let asked_back = service.asked_back.contains(&told.permit);
         if asked_back
             || stand != ServiceStatus::InService
             || started.map_or(0, f64::to_bits) != told.incarnation.0
@@ -524,8 +524,8 @@
         }
         self.met("host drained");
         self.judge_out(UnitKind::Engines, at);
-        self.judge_turn(told.number, "");
-        self.engine_goes(at, true, told.stays, Some(told.label.as_str()));
+        self.judge_turn(told.permit, "");
+        self.engine_goes(at, true, told.permanent, Some(told.label.as_str()));
     }
 
     fn engine_goes(&mut self, at: usize, planned: bool, stays: bool, label: Option<&str>) {
@@ -768,10 +768,10 @@
         let mut check = |what: String, most: MaxUnavailable, among: &dyn Fn(usize) -> bool| {
             let size = outs.iter().filter(|(at, _)| among(*at)).count() as u32;
             let out = outs.iter().filter(|(at, out)| among(*at) && *out).count() as u32;
-            if out > most.of(size) {
+            if out > most.limit_for(size) {
                 wrong.push(format!(
                     "{what}: {out} of {size} are out, and {} may be",
-                    most.of(size)
+                    most.limit_for(size)
                 ));
             }
         };
@@ -784,10 +784,10 @@
             let in_cell = |at: usize| service.engines[at].cell == cell && zone_of(at) == zone;
             check(format!("cell {cell}"), bounds.cell, &in_cell);
             // What those left have to bear, with what is known of late: a load that has been so for long.
-            let before = now - window - bounds.report_age_ms as f64;
+            let before = now - window - bounds.max_report_age_ms as f64;
             let steady = service.used(before.max(0.0)).min(service.used(now));
             let load = service.used_of(now, role, 1) * steady / service.used(now).max(1e-9);
-            if load * 1000.0 > f64::from(bounds.used_per_mille) + 20.0 {
+            if load * 1000.0 > f64::from(bounds.max_utilization_per_mille) + 20.0 {
                 wrong.push(format!("those left are used to {load:.2}"));
             }
         }
@@ -945,8 +945,8 @@
             return;
         };
         let forward = service.resumed.is_none()
-            && status.of == UnitKind::Dispatchers
-            && status.left.is_empty();
+            && status.unit_kind == UnitKind::Dispatchers
+            && status.abandoned.is_empty();
         let behind = |n: &Serving| !n.removed && n.label == "v1";
         if status.state == "done" && forward && service.released.state != "done" {
             if let Some(at) = service.nodes.iter().position(behind) {
@@ -957,7 +957,8 @@
         let Some(service) = &mut self.service else {
             return;
         };
-        (service.released.state, service.released.why) = (status.state.clone(), status.why.clone());
+        (service.released.state, service.released.why) =
+            (status.state.clone(), status.blocked_reason.clone());
         if service.released.why.is_empty() {
             service.released.why = status.halted;
         }
@@ -1046,22 +1047,22 @@
         let order = match act {
             Act::Start(plan) => RolloutRequest::Start {
                 plan,
-                skip: false,
-                dry: false,
+                skip_missing: false,
+                dry_run: false,
             },
             Act::Halt => RolloutRequest::Halt {
-                why: "an operator says so".to_owned(),
+                reason: "an operator says so".to_owned(),
             },
             Act::Resume => RolloutRequest::Resume,
             Act::Back => RolloutRequest::RollBack,
             Act::End => RolloutRequest::End,
             Act::Recount => RolloutRequest::Recount {
-                of: UnitKind::Dispatchers,
+                unit_kind: UnitKind::Dispatchers,
             },
             Act::Turn(at) => RolloutRequest::Permit {
                 name: name_of(at % nodes),
                 label: String::new(),
-                refused: false,
+                cancel: false,
             },
         };
         self.numbers += 1;
--- a/crates/faults/src/duties/small_release.rs
+++ b/crates/faults/src/duties/small_release.rs
@@ -84,7 +84,7 @@
 fn bounds() -> DisruptionBudget {
     DisruptionBudget {
         fleet: MaxUnavailable {
-            number: 1,
+            count: 1,
             per_mille: 1000,
         },
         ..DisruptionBudget::default()
@@ -102,19 +102,19 @@
             kind: String::new(),
             role: None,
             label: if member.new { "v2" } else { "v1" }.to_owned(),
-            stand: if member.process == Process::Serves {
+            status: if member.process == Process::Serves {
                 ServiceStatus::InService
             } else {
                 ServiceStatus::OutOfService
             },
-            used: None,
-            tally: OutcomeCounts::default(),
+            utilization: None,
+            outcomes: OutcomeCounts::default(),
         };
         let dispatchers = state.members.iter().enumerate().map(unit).collect();
         FleetView {
             dispatchers,
             engines: Vec::new(),
-            whole: true,
+            complete: true,
         }
     }
 
@@ -122,11 +122,11 @@
     fn look(state: &State, who: usize) -> Option<(String, State)> {
         let mut after = state.clone();
         let caller = &state.callers[who];
-        let mut conduct = RolloutController::begin(&caller.knows);
+        let mut conduct = RolloutController::new(&caller.knows);
         let (nobody, view) = (BTreeSet::new(), Self::view(state));
         let me = Name::from("nobody");
         let step = |conduct: &mut RolloutController| {
-            conduct.next(0.0, &caller.knows, &view, (&me, &nobody), (&[], &bounds()))
+            conduct.next_step(0.0, &caller.knows, &view, (&me, &nobody), (&[], &bounds()))
         };
         // What it was told of turns asked back it has to know again: it is made anew at each look.
         let mut next = step(&mut conduct);
@@ -134,16 +134,16 @@
             caller
                 .unbegun
                 .iter()
-                .for_each(|permit| conduct.revoked(*permit, false));
+                .for_each(|permit| conduct.record_revocation_reply(*permit, false));
             next = step(&mut conduct);
         }
         if is_injected(InjectedFault::ToldBeforeAgreed) {
             if let Some(RolloutStep::Grant(permits)) = &next {
                 for permit in permits {
-                    let to = (0..state.members.len()).find(|at| name(*at) == permit.who)?;
+                    let to = (0..state.members.len()).find(|at| name(*at) == permit.unit)?;
                     after.acts.insert((
                         who,
-                        PermitId(caller.knows.given + 1),
+                        PermitId(caller.knows.permits_granted + 1),
                         to,
                         permit.incarnation.0,
                     ));
@@ -151,20 +151,20 @@
             }
         }
         if let Some(step) = next {
-            if caller.term == state.term && after.value.step(&step).is_ok() {
+            if caller.term == state.term && after.value.apply_step(&step).is_ok() {
                 after.callers[who].knows = after.value.clone();
                 return (after != *state).then(|| (format!("{who} {step:?}"), after));
             }
             return (after != *state).then(|| (format!("{who} tells before"), after));
         }
         if caller.knows.halted.is_none() {
-            for number in &conduct.tell {
+            for number in &conduct.to_notify {
                 let permit = caller.knows.permits.get(number)?;
-                let to = (0..state.members.len()).find(|at| name(*at) == permit.who)?;
+                let to = (0..state.members.len()).find(|at| name(*at) == permit.unit)?;
                 after.acts.insert((who, *number, to, permit.incarnation.0));
             }
         }
-        for number in conduct.revoke.clone() {
+        for number in conduct.to_revoke.clone() {
             let begun = ask_back(&mut after, number, &caller.knows);
             if !begun {
                 after.callers[who].unbegun.insert(number);
@@ -204,7 +204,7 @@
     let Some(permit) = disruptions.permits.get(&number) else {
         return true;
     };
-    let Some(at) = (0..state.members.len()).find(|at| name(*at) == permit.who) else {
+    let Some(at) = (0..state.members.len()).find(|at| name(*at) == permit.unit) else {
         return true;
     };
     let member = &mut state.members[at];
@@ -222,30 +222,30 @@
         let plan = RolloutPlan {
             name: "to-v2".to_owned(),
             label: "v2".to_owned(),
-            before: "v1".to_owned(),
-            first: 3,
-            grow_per_mille: 1000,
-            begin_ms: u64::MAX,
-            back_ms: u64::MAX,
-            watch_ms: u64::MAX,
+            previous_label: "v1".to_owned(),
+            first_wave_size: 3,
+            wave_growth_per_mille: 1000,
+            start_timeout_ms: u64::MAX,
+            return_timeout_ms: u64::MAX,
+            observe_ms: u64::MAX,
             ..RolloutPlan::default()
         };
         let release = Rollout {
             plan,
-            bounds: bounds(),
-            by: name(0),
-            back: false,
-            done: false,
+            budget: bounds(),
+            started_by: name(0),
+            rolling_back: false,
+            finished: false,
             wave: 0,
-            given: 0,
-            reached: BTreeMap::new(),
-            again: BTreeSet::new(),
-            left: BTreeMap::new(),
-            turned: 0,
+            granted_in_wave: 0,
+            zone_progress: BTreeMap::new(),
+            regrant: BTreeSet::new(),
+            abandoned: BTreeMap::new(),
+            completed: 0,
         };
         let mut value = DisruptionState::default();
-        value.dispatchers.insert("z".to_owned(), 3);
-        let _ = value.word(&OperatorCommand::Start(Box::new(release)));
+        value.dispatcher_sizes.insert("z".to_owned(), 3);
+        let _ = value.apply_command(&OperatorCommand::Start(Box::new(release)));
         let member = |at: u64| Member {
             incarnation: 10 * at,
             new: false,
@@ -324,7 +324,7 @@
                 Process::Out(permit) => add(format!("{at} is back"), &|s| {
                     let new = match permit {
                         // By its turn it comes back as the turn has it: forward new, back old.
-                        Some(_) => !s.value.release.as_deref().is_some_and(|r| r.back),
+                        Some(_) => !s.value.rollout.as_deref().is_some_and(|r| r.rolling_back),
                         None => s.members[at].new,
                     };
                     let member = &mut s.members[at];
@@ -343,7 +343,7 @@
             add("halt".to_owned(), &|s| {
                 s.halts -= 1;
                 if s.value
-                    .word(&OperatorCommand::Halt("by hand".to_owned()))
+                    .apply_command(&OperatorCommand::Halt("by hand".to_owned()))
                     .is_ok()
                 {
                     s.halt = Halt::Agreed(s.value.permits.keys().copied().collect());
@@ -377,7 +377,7 @@
         if state.halt == Halt::Acknowledged && state.resumes > 0 {
             add("resume".to_owned(), &|s| {
                 s.resumes -= 1;
-                if s.value.word(&OperatorCommand::Resume).is_ok() {
+                if s.value.apply_command(&OperatorCommand::Resume).is_ok() {
                     s.halt = Halt::None;
                 }
             });
@@ -385,7 +385,7 @@
         if state.back {
             add("back".to_owned(), &|s| {
                 s.back = false;
-                if s.value.word(&OperatorCommand::RollBack).is_ok() {
+                if s.value.apply_command(&OperatorCommand::RollBack).is_ok() {
                     s.halt = Halt::None;
                 }
             });
@@ -402,7 +402,7 @@
             .value
             .permits
             .values()
-            .filter(|t| t.of == UnitKind::Dispatchers)
+            .filter(|t| t.unit_kind == UnitKind::Dispatchers)
             .count();
         let two = (given > 1).then(|| format!("{given} turns are given, and there is room for 1"));
         state.wrong.clone().or(two)
--- a/crates/faults/tests/releases.rs
+++ b/crates/faults/tests/releases.rs
@@ -152,7 +152,7 @@
 #[test]
 fn the_holder_and_the_voters_have_their_turns_too_never_two_voters() {
     let (played, released) = with(UnitKind::Dispatchers, 8, |plan| {
-        release(plan).bounds.0.zone.number = 3;
+        release(plan).bounds.0.zone.count = 3;
     });
     assert_eq!((released.state.as_str(), released.begun), ("done", 9));
     // In order: nobody waits for a lease.
@@ -183,8 +183,8 @@
 #[test]
 fn with_all_reports_old_no_engine_goes() {
     let (_, released) = with(UnitKind::Engines, 11, |plan| {
-        release(plan).bounds.1.used_per_mille = 900;
-        release(plan).bounds.1.report_age_ms = 1_000;
+        release(plan).bounds.1.max_utilization_per_mille = 900;
+        release(plan).bounds.1.max_report_age_ms = 1_000;
         plan.troubles
             .push(spell(1_000.0, 59_000.0, Who::Node(0), Trouble::ReportsStop));
     });
@@ -219,7 +219,7 @@
     let gone = vec![6, 7, 8];
     let (_, missed) = with(UnitKind::Dispatchers, 14, |plan| {
         release(plan).shrinks = Some((7_000.0, gone.clone()));
-        release(plan).bounds.0.zone.number = 1;
+        release(plan).bounds.0.zone.count = 1;
     });
     assert!(
         missed.begun < 9 && matches!(missed.state.as_str(), "running" | "held" | "halted"),
--- a/crates/faults/tests/releases_figures.rs
+++ b/crates/faults/tests/releases_figures.rs
@@ -63,11 +63,11 @@
     plan.length = 200_000.0;
     plan.weigh = true;
     let most = MaxUnavailable {
-        number: u32::MAX,
+        count: u32::MAX,
         per_mille,
     };
-    start_of(&mut plan).first = wave;
-    start_of(&mut plan).watch_ms = 1_000;
+    start_of(&mut plan).first_wave_size = wave;
+    start_of(&mut plan).observe_ms = 1_000;
     let release = plan.release.as_mut().expect("it has one");
     release.rate = 5.0;
     for bounds in [&mut release.bounds.0, &mut release.bounds.1] {
--- a/crates/fleet/src/care_words.rs
+++ b/crates/fleet/src/care_words.rs
@@ -115,7 +115,7 @@
 
 fn most_out(most: MaxUnavailable) -> Option<v1::FleetMaxUnavailable> {
     Some(v1::FleetMaxUnavailable {
-        number: most.number,
+        number: most.count,
         per_mille: most.per_mille,
     })
 }
@@ -123,7 +123,7 @@
 fn most_in(said: Option<&v1::FleetMaxUnavailable>) -> Option<MaxUnavailable> {
     let said = said?;
     (said.per_mille <= 1000).then_some(MaxUnavailable {
-        number: said.number,
+        count: said.number,
         per_mille: said.per_mille,
     })
 }
@@ -134,12 +134,12 @@
         zone: most_out(bounds.zone),
         cell: most_out(bounds.cell),
         kind: most_out(bounds.kind),
-        prefill_engines_per_zone: bounds.prefill_engines_per_zone,
-        decode_engines_per_zone: bounds.decode_engines_per_zone,
-        prefill_engines_per_cell: bounds.prefill_engines_per_cell,
-        decode_engines_per_cell: bounds.decode_engines_per_cell,
-        used_per_mille: bounds.used_per_mille,
-        report_age_ms: bounds.report_age_ms,
+        prefill_engines_per_zone: bounds.min_prefill_engines_per_zone,
+        decode_engines_per_zone: bounds.min_decode_engines_per_zone,
+        prefill_engines_per_cell: bounds.min_prefill_engines_per_cell,
+        decode_engines_per_cell: bounds.min_decode_engines_per_cell,
+        used_per_mille: bounds.max_utilization_per_mille,
+        report_age_ms: bounds.max_report_age_ms,
     }
 }
 
@@ -150,38 +150,38 @@
         zone: most_in(said.zone.as_ref())?,
         cell: most_in(said.cell.as_ref())?,
         kind: most_in(said.kind.as_ref())?,
-        prefill_engines_per_zone: said.prefill_engines_per_zone,
-        decode_engines_per_zone: said.decode_engines_per_zone,
-        prefill_engines_per_cell: said.prefill_engines_per_cell,
-        decode_engines_per_cell: said.decode_engines_per_cell,
-        used_per_mille: said.used_per_mille,
-        report_age_ms: said.report_age_ms,
+        min_prefill_engines_per_zone: said.prefill_engines_per_zone,
+        min_decode_engines_per_zone: said.decode_engines_per_zone,
+        min_prefill_engines_per_cell: said.prefill_engines_per_cell,
+        min_decode_engines_per_cell: said.decode_engines_per_cell,
+        max_utilization_per_mille: said.used_per_mille,
+        max_report_age_ms: said.report_age_ms,
     })
 }
 
 fn turn_out((number, permit): (&PermitId, &DisruptionPermit)) -> v1::FleetPermit {
     v1::FleetPermit {
         number: number.0,
-        engine: permit.of == UnitKind::Engines,
-        who: permit.who.0.to_string(),
+        engine: permit.unit_kind == UnitKind::Engines,
+        who: permit.unit.0.to_string(),
         incarnation: permit.incarnation.0,
         address: permit.address.0.to_string(),
         zone: permit.zone.clone(),
         label: permit.label.clone(),
-        stays: permit.stays,
+        stays: permit.permanent,
         planned: permit.planned,
     }
 }
 
 fn turn_in(said: &v1::FleetPermit) -> Option<(PermitId, DisruptionPermit)> {
     let permit = DisruptionPermit {
-        of: of_in(said.engine),
-        who: name(&said.who)?,
+        unit_kind: of_in(said.engine),
+        unit: name(&said.who)?,
         incarnation: Incarnation(said.incarnation),
         address: Address::from(word(&said.address)?.as_str()),
         zone: word(&said.zone)?,
         label: word(&said.label)?,
-        stays: said.stays,
+        permanent: said.stays,
         planned: said.planned,
     };
     Some((PermitId(said.number), permit))
@@ -190,20 +190,20 @@
 pub(crate) fn plan_out(plan: &RolloutPlan) -> v1::FleetRolloutPlan {
     v1::FleetRolloutPlan {
         name: plan.name.clone(),
-        engines: plan.of == UnitKind::Engines,
+        engines: plan.unit_kind == UnitKind::Engines,
         label: plan.label.clone(),
-        before: plan.before.clone(),
+        before: plan.previous_label.clone(),
         zones: plan.zones.clone(),
         cells: plan.cells.clone(),
         kinds: plan.kinds.clone(),
         names: names_out(&plan.names),
-        stays: plan.stays,
-        first: plan.first,
-        grow_per_mille: plan.grow_per_mille,
-        watch_ms: plan.watch_ms,
+        stays: plan.permanent,
+        first: plan.first_wave_size,
+        grow_per_mille: plan.wave_growth_per_mille,
+        watch_ms: plan.observe_ms,
         settle_ms: plan.settle_ms,
-        begin_ms: plan.begin_ms,
-        back_ms: plan.back_ms,
+        begin_ms: plan.start_timeout_ms,
+        back_ms: plan.return_timeout_ms,
     }
 }
 
@@ -219,9 +219,9 @@
     (said.first > 0 && said.grow_per_mille >= 1000).then_some(())?;
     Some(RolloutPlan {
         name: text(&said.name)?.to_owned(),
-        of: of_in(said.engines),
+        unit_kind: of_in(said.engines),
         label: word(&said.label)?,
-        before: word(&said.before)?,
+        previous_label: word(&said.before)?,
         zones: list(&said.zones)?,
         cells: list(&said.cells)?,
         kinds: list(&said.kinds)?,
@@ -229,13 +229,13 @@
             .iter()
             .map(|n| name(n))
             .collect::<Option<_>>()?,
-        stays: said.stays,
-        first: said.first,
-        grow_per_mille: said.grow_per_mille,
-        watch_ms: said.watch_ms,
+        permanent: said.stays,
+        first_wave_size: said.first,
+        wave_growth_per_mille: said.grow_per_mille,
+        observe_ms: said.watch_ms,
         settle_ms: said.settle_ms,
-        begin_ms: said.begin_ms,
-        back_ms: said.back_ms,
+        start_timeout_ms: said.begin_ms,
+        return_timeout_ms: said.back_ms,
     })
 }
 
@@ -262,16 +262,16 @@
     };
     v1::FleetRollout {
         plan: Some(plan_out(&release.plan)),
-        bounds: Some(bounds_out(&release.bounds)),
-        by: release.by.0.to_string(),
-        back: release.back,
-        done: release.done,
+        bounds: Some(bounds_out(&release.budget)),
+        by: release.started_by.0.to_string(),
+        back: release.rolling_back,
+        done: release.finished,
         wave: release.wave,
-        given: release.given,
-        reached: release.reached.iter().map(reached).collect(),
-        again: names_out(&release.again),
-        left: left_out(&release.left),
-        turned: release.turned,
+        given: release.granted_in_wave,
+        reached: release.zone_progress.iter().map(reached).collect(),
+        again: names_out(&release.regrant),
+        left: left_out(&release.abandoned),
+        turned: release.completed,
     }
 }
 
@@ -282,16 +282,16 @@
     let again = few(&said.again, MAX_PERMITS)?.iter().map(|n| name(n));
     Some(Rollout {
         plan: plan_in(said.plan.as_ref())?,
-        bounds: bounds_in(said.bounds.as_ref())?,
-        by: name(&said.by)?,
-        back: said.back,
-        done: said.done,
+        budget: bounds_in(said.bounds.as_ref())?,
+        started_by: name(&said.by)?,
+        rolling_back: said.back,
+        finished: said.done,
         wave: said.wave,
-        given: said.given,
-        reached: reached.collect::<Option<_>>()?,
-        again: again.collect::<Option<BTreeSet<_>>>()?,
-        left: left_in(&said.left)?,
-        turned: said.turned,
+        granted_in_wave: said.given,
+        zone_progress: reached.collect::<Option<_>>()?,
+        regrant: again.collect::<Option<BTreeSet<_>>>()?,
+        abandoned: left_in(&said.left)?,
+        completed: said.turned,
     })
 }
 
@@ -315,13 +315,13 @@
 /// Nothing, where there is nothing of it.
 pub(crate) fn care_out(disruptions: &DisruptionState) -> Option<v1::FleetDisruptions> {
     (!disruptions.is_empty()).then(|| v1::FleetDisruptions {
-        given: disruptions.given,
+        given: disruptions.permits_granted,
         permits: disruptions.permits.iter().map(turn_out).collect(),
-        release: disruptions.release.as_deref().map(release_out),
+        release: disruptions.rollout.as_deref().map(release_out),
         halted: disruptions.halted.clone(),
-        resumed: disruptions.resumed,
-        dispatchers: sizes_out(&disruptions.dispatchers),
-        engines: sizes_out(&disruptions.engines),
+        resumed: disruptions.resume_count,
+        dispatchers: sizes_out(&disruptions.dispatcher_sizes),
+        engines: sizes_out(&disruptions.engine_sizes),
         notes: disruptions.notes.clone(),
     })
 }
@@ -339,16 +339,16 @@
         None => None,
     };
     Some(DisruptionState {
-        given: said.given,
+        permits_granted: said.given,
         permits: few(&said.permits, MAX_PERMITS)?
             .iter()
             .map(turn_in)
             .collect::<Option<_>>()?,
-        release,
+        rollout: release,
         halted,
-        resumed: said.resumed,
-        dispatchers: sizes_in(&said.dispatchers)?,
-        engines: sizes_in(&said.engines)?,
+        resume_count: said.resumed,
+        dispatcher_sizes: sizes_in(&said.dispatchers)?,
+        engine_sizes: sizes_in(&said.engines)?,
         notes: few(&said.notes, MAX_NOTES)?
             .iter()
             .map(|n| words(n))
@@ -358,22 +358,26 @@
 
 pub(crate) fn order_out(order: &RolloutRequest) -> Q {
     match order {
-        RolloutRequest::Start { plan, skip, dry } => Q::Start(v1::FleetStart {
+        RolloutRequest::Start {
+            plan,
+            skip_missing: skip,
+            dry_run: dry,
+        } => Q::Start(v1::FleetStart {
             plan: Some(plan_out(plan)),
             skip: *skip,
             dry: *dry,
         }),
-        RolloutRequest::Halt { why } => Q::Halt(v1::FleetHalt { why: why.clone() }),
+        RolloutRequest::Halt { reason: why } => Q::Halt(v1::FleetHalt { why: why.clone() }),
         RolloutRequest::Resume => Q::Resume(v1::FleetResume {}),
         RolloutRequest::RollBack => Q::Back(v1::FleetBack {}),
         RolloutRequest::End => Q::End(v1::FleetEnd {}),
-        RolloutRequest::Recount { of } => Q::Recount(v1::FleetRecount {
+        RolloutRequest::Recount { unit_kind: of } => Q::Recount(v1::FleetRecount {
             engines: *of == UnitKind::Engines,
         }),
         RolloutRequest::Permit {
             name,
             label,
-            refused,
+            cancel: refused,
         } => Q::WantPermit(v1::FleetWantPermit {
             name: name.0.to_string(),
             label: label.clone(),
@@ -389,23 +393,23 @@
             let plan = Box::new(plan_in(m.plan.as_ref())?);
             RolloutRequest::Start {
                 plan,
-                skip: m.skip,
-                dry: m.dry,
+                skip_missing: m.skip,
+                dry_run: m.dry,
             }
         }
         Q::Halt(m) => RolloutRequest::Halt {
-            why: words(&m.why)?,
+            reason: words(&m.why)?,
         },
         Q::Resume(_) => RolloutRequest::Resume,
         Q::Back(_) => RolloutRequest::RollBack,
         Q::End(_) => RolloutRequest::End,
         Q::Recount(m) => RolloutRequest::Recount {
-            of: of_in(m.engines),
+            unit_kind: of_in(m.engines),
         },
         Q::WantPermit(m) => RolloutRequest::Permit {
             name: name(&m.name)?,
             label: word(&m.label)?,
-            refused: m.refused,
+            cancel: m.refused,
         },
         Q::ByHand(m) => {
             let at = match m.address.is_empty() {
@@ -463,18 +467,18 @@
     };
     v1::FleetRolloutStatus {
         name: status.name.clone(),
-        engines: status.of == UnitKind::Engines,
+        engines: status.unit_kind == UnitKind::Engines,
         state: status.state.clone(),
         halted: status.halted.clone(),
-        why: status.why.clone(),
+        why: status.blocked_reason.clone(),
         wave: status.wave,
-        given: status.given,
-        of_wave: status.of_wave,
-        turned: status.turned,
-        meant: status.meant,
+        given: status.granted_in_wave,
+        of_wave: status.wave_size,
+        turned: status.completed,
+        meant: status.selected,
         permits: status.permits.iter().map(line).collect(),
-        room: status.room.iter().map(room).collect(),
-        left: status.left.iter().map(left).collect(),
+        room: status.unavailable.iter().map(room).collect(),
+        left: status.abandoned.iter().map(left).collect(),
         notes: status.notes.clone(),
     }
 }
@@ -495,24 +499,24 @@
     let room = |r: &v1::FleetRoom| Some((word(&r.zone)?, r.out, r.most));
     Some(RolloutStatus {
         name: word(&said.name)?,
-        of: of_in(said.engines),
+        unit_kind: of_in(said.engines),
         state: word(&said.state)?,
         halted: words(&said.halted)?,
-        why: words(&said.why)?,
+        blocked_reason: words(&said.why)?,
         wave: said.wave,
-        given: said.given,
-        of_wave: said.of_wave,
-        turned: said.turned,
-        meant: said.meant,
+        granted_in_wave: said.given,
+        wave_size: said.of_wave,
+        completed: said.turned,
+        selected: said.meant,
         permits: few(&said.permits, MAX_PERMITS)?
             .iter()
             .map(line)
             .collect::<Option<_>>()?,
-        room: few(&said.room, MOST_ZONES + 1)?
+        unavailable: few(&said.room, MOST_ZONES + 1)?
             .iter()
             .map(room)
             .collect::<Option<_>>()?,
-        left: few(&said.left, MAX_ABANDONED)?
+        abandoned: few(&said.left, MAX_ABANDONED)?
             .iter()
             .map(left)
             .collect::<Option<_>>()?,
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -83,65 +83,65 @@
 fn plan() -> RolloutPlan {
     RolloutPlan {
         name: "v2".to_owned(),
-        of: UnitKind::Engines,
+        unit_kind: UnitKind::Engines,
         label: "v2".to_owned(),
-        before: "v1".to_owned(),
+        previous_label: "v1".to_owned(),
         zones: vec!["z".to_owned()],
         cells: vec!["c".to_owned()],
         kinds: vec!["k".to_owned()],
         names: vec![Name::from("h1")],
-        stays: true,
-        first: 2,
-        grow_per_mille: 1500,
-        watch_ms: 1,
+        permanent: true,
+        first_wave_size: 2,
+        wave_growth_per_mille: 1500,
+        observe_ms: 1,
         settle_ms: 2,
-        begin_ms: 3,
-        back_ms: 4,
+        start_timeout_ms: 3,
+        return_timeout_ms: 4,
     }
 }
 
 fn disruptions() -> DisruptionState {
     let permit = DisruptionPermit {
-        of: UnitKind::Engines,
-        who: Name::from("h1"),
+        unit_kind: UnitKind::Engines,
+        unit: Name::from("h1"),
         incarnation: Incarnation(9),
         address: Address::default(),
         zone: "z".to_owned(),
         label: "v2".to_owned(),
-        stays: true,
+        permanent: true,
         planned: true,
     };
     let most = MaxUnavailable {
-        number: 3,
+        count: 3,
         per_mille: 100,
     };
     let bounds = DisruptionBudget {
         fleet: most,
-        used_per_mille: 800,
-        prefill_engines_per_cell: 2,
+        max_utilization_per_mille: 800,
+        min_prefill_engines_per_cell: 2,
         ..DisruptionBudget::default()
     };
     let release = Rollout {
         plan: plan(),
-        bounds,
-        by: Name::from("a"),
-        back: true,
-        done: true,
+        budget: bounds,
+        started_by: Name::from("a"),
+        rolling_back: true,
+        finished: true,
         wave: 3,
-        given: 2,
-        reached: BTreeMap::from([("z".to_owned(), u64::MAX)]),
-        again: BTreeSet::from([Name::from("h2")]),
-        left: BTreeMap::from([(Name::from("h3"), "did not come back".to_owned())]),
-        turned: 7,
+        granted_in_wave: 2,
+        zone_progress: BTreeMap::from([("z".to_owned(), u64::MAX)]),
+        regrant: BTreeSet::from([Name::from("h2")]),
+        abandoned: BTreeMap::from([(Name::from("h3"), "did not come back".to_owned())]),
+        completed: 7,
     };
     DisruptionState {
-        given: 12,
+        permits_granted: 12,
         permits: BTreeMap::from([(PermitId(12), permit)]),
-        release: Some(Box::new(release)),
+        rollout: Some(Box::new(release)),
         halted: Some("why".to_owned()),
-        resumed: 2,
-        dispatchers: BTreeMap::from([("z".to_owned(), 300)]),
-        engines: BTreeMap::from([("z".to_owned(), 100)]),
+        resume_count: 2,
+        dispatcher_sizes: BTreeMap::from([("z".to_owned(), 300)]),
+        engine_sizes: BTreeMap::from([("z".to_owned(), 100)]),
         notes: vec!["by hand".to_owned()],
     }
 }
@@ -258,22 +258,22 @@
         },
         release(RolloutRequest::Start {
             plan: Box::new(plan()),
-            skip: true,
-            dry: false,
+            skip_missing: true,
+            dry_run: false,
         }),
         release(RolloutRequest::Halt {
-            why: "a reason".to_owned(),
+            reason: "a reason".to_owned(),
         }),
         release(RolloutRequest::Resume),
         release(RolloutRequest::RollBack),
         release(RolloutRequest::End),
         release(RolloutRequest::Recount {
-            of: UnitKind::Engines,
+            unit_kind: UnitKind::Engines,
         }),
         release(RolloutRequest::Permit {
             name: Name::from("n"),
             label: String::new(),
-            refused: true,
+            cancel: true,
         }),
         Question::Operator(OperatorRequest::ByHand {
             who: Name::from("n"),
@@ -297,8 +297,8 @@
             "z".to_owned(),
             "out".to_owned(),
         )],
-        room: vec![(String::new(), 1, u32::MAX)],
-        left: vec![(Name::from("n"), "why".to_owned())],
+        unavailable: vec![(String::new(), 1, u32::MAX)],
+        abandoned: vec![(Name::from("n"), "why".to_owned())],
         notes: vec!["note".to_owned()],
         ..RolloutStatus::default()
     };
--- a/src/coordination/disruption_budget.rs
+++ b/src/coordination/disruption_budget.rs
@@ -28,20 +28,20 @@
 /// The most out at once of so many: a number, and a part in thousandths; the smaller counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct MaxUnavailable {
-    pub number: u32,
+    pub count: u32,
     pub per_mille: u32,
 }
 
 impl MaxUnavailable {
     /// As many as like.
     pub const ALL: MaxUnavailable = MaxUnavailable {
-        number: u32::MAX,
+        count: u32::MAX,
         per_mille: 1000,
     };
 
-    pub fn of(self, size: u32) -> u32 {
+    pub fn limit_for(self, size: u32) -> u32 {
         let part = u64::from(size) * u64::from(self.per_mille) / 1000;
-        self.number.min(u32::try_from(part).unwrap_or(u32::MAX))
+        self.count.min(u32::try_from(part).unwrap_or(u32::MAX))
     }
 }
 
@@ -53,14 +53,14 @@
     pub cell: MaxUnavailable,
     pub kind: MaxUnavailable,
     /// Ready engines that stay, at least.
-    pub prefill_engines_per_zone: u32,
-    pub decode_engines_per_zone: u32,
-    pub prefill_engines_per_cell: u32,
-    pub decode_engines_per_cell: u32,
+    pub min_prefill_engines_per_zone: u32,
+    pub min_decode_engines_per_zone: u32,
+    pub min_prefill_engines_per_cell: u32,
+    pub min_decode_engines_per_cell: u32,
     /// None goes when those left would be used above this, in thousandths; 1000 is no bound.
-    pub used_per_mille: u32,
+    pub max_utilization_per_mille: u32,
     /// A report of load that is older counts as full, in milliseconds.
-    pub report_age_ms: u64,
+    pub max_report_age_ms: u64,
 }
 
 impl Default for DisruptionBudget {
@@ -69,17 +69,17 @@
         DisruptionBudget {
             fleet: MaxUnavailable::ALL,
             zone: MaxUnavailable {
-                number: 1,
+                count: 1,
                 per_mille: 1000,
             },
             cell: MaxUnavailable::ALL,
             kind: MaxUnavailable::ALL,
-            prefill_engines_per_zone: 0,
-            decode_engines_per_zone: 0,
-            prefill_engines_per_cell: 0,
-            decode_engines_per_cell: 0,
-            used_per_mille: 1000,
-            report_age_ms: 5_000,
+            min_prefill_engines_per_zone: 0,
+            min_decode_engines_per_zone: 0,
+            min_prefill_engines_per_cell: 0,
+            min_decode_engines_per_cell: 0,
+            max_utilization_per_mille: 1000,
+            max_report_age_ms: 5_000,
         }
     }
 }
@@ -97,29 +97,29 @@
             ("kind", self.kind),
         ];
         for (name, most) in each {
-            if most.number == 0 || most.per_mille == 0 {
+            if most.count == 0 || most.per_mille == 0 {
                 return Err(format!("'{name}' that lets at least one go"));
             }
             if most.per_mille > 1000 {
                 return Err(format!("'{name}' with a part of at most 1"));
             }
-            if most.number != u32::MAX && most.number > self.fleet.number {
+            if most.count != u32::MAX && most.count > self.fleet.count {
                 return Err(format!(
                     "'{name}' of at most the fleet's {}",
-                    self.fleet.number
+                    self.fleet.count
                 ));
             }
         }
         let cells = [
             (
                 "readers",
-                self.prefill_engines_per_cell,
-                self.prefill_engines_per_zone,
+                self.min_prefill_engines_per_cell,
+                self.min_prefill_engines_per_zone,
             ),
             (
                 "writers",
-                self.decode_engines_per_cell,
-                self.decode_engines_per_zone,
+                self.min_decode_engines_per_cell,
+                self.min_decode_engines_per_zone,
             ),
         ];
         for (name, cell, zone) in cells {
@@ -129,7 +129,7 @@
                 ));
             }
         }
-        if !(1..=1000).contains(&self.used_per_mille) {
+        if !(1..=1000).contains(&self.max_utilization_per_mille) {
             return Err("'used' over 0 and at most 1".to_owned());
         }
         Ok(())
@@ -148,10 +148,10 @@
     pub kind: String,
     pub role: Option<Role>,
     pub label: String,
-    pub stand: ServiceStatus,
+    pub status: ServiceStatus,
     /// What is used of it, 0 to 1, and the age of the report.
-    pub used: Option<(f64, Ms)>,
-    pub tally: OutcomeCounts,
+    pub utilization: Option<(f64, Ms)>,
+    pub outcomes: OutcomeCounts,
 }
 
 /// Whether it serves.
@@ -178,7 +178,7 @@
 }
 
 impl OutcomeCounts {
-    pub fn cases(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.succeeded + self.rejected + self.failed
     }
 
@@ -210,7 +210,7 @@
 /// How many are there in each zone, ready or not.
 pub fn sizes_seen<'a>(units: impl Iterator<Item = &'a Unit>) -> ZoneSizes {
     let mut sizes = ZoneSizes::new();
-    for unit in units.filter(|u| u.stand != ServiceStatus::OutOfService) {
+    for unit in units.filter(|u| u.status != ServiceStatus::OutOfService) {
         *sizes.entry(unit.zone.clone()).or_default() += 1;
     }
     sizes
@@ -220,12 +220,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Count {
     size: u32,
-    there: u32,
+    available: u32,
 }
 
 impl Count {
-    fn out(self) -> u32 {
-        self.size - self.there.min(self.size)
+    fn unavailable(self) -> u32 {
+        self.size - self.available.min(self.size)
     }
 }
 
@@ -327,13 +327,13 @@
             sizes.get(zone).is_some_and(|size| *size <= there)
         };
         for unit in units {
-            if unit.stand == ServiceStatus::OutOfService && whole(&unit.zone) {
+            if unit.status == ServiceStatus::OutOfService && whole(&unit.zone) {
                 continue;
             }
-            let there = u32::from(unit.stand == ServiceStatus::InService && !out(unit));
+            let there = u32::from(unit.status == ServiceStatus::InService && !out(unit));
             let add = |count: &mut Count| {
                 count.size += 1;
-                count.there += there;
+                count.available += there;
             };
             add(counts.zones.entry(unit.zone.clone()).or_default());
             if unit.role.is_none() {
@@ -345,8 +345,8 @@
                 continue;
             }
             let fresh = unit
-                .used
-                .filter(|(_, age)| *age <= bounds.report_age_ms as f64);
+                .utilization
+                .filter(|(_, age)| *age <= bounds.max_report_age_ms as f64);
             // A report that is old or missing counts against going.
             let used = fresh.map_or(1.0, |(used, _)| used.clamp(0.0, 1.0));
             for role in roles(unit.role) {
@@ -368,7 +368,7 @@
         }
         for count in counts.zones.values() {
             counts.fleet.size += count.size;
-            counts.fleet.there += count.there;
+            counts.fleet.available += count.available;
         }
         counts
     }
@@ -377,11 +377,15 @@
     ///
     /// # Errors
     /// What binds.
-    pub fn may_go(&self, unit: &Unit, bounds: &DisruptionBudget) -> Result<(), Violation> {
+    pub fn check_disruption(
+        &self,
+        unit: &Unit,
+        bounds: &DisruptionBudget,
+    ) -> Result<(), Violation> {
         let full = |count: Option<&Count>, most: MaxUnavailable| {
             let count = count.copied().unwrap_or_default();
-            let most = most.of(count.size);
-            (count.out() >= most).then_some((count.out(), most))
+            let most = most.limit_for(count.size);
+            (count.unavailable() >= most).then_some((count.unavailable(), most))
         };
         if let Some((out, most)) = full(Some(&self.fleet), bounds.fleet) {
             return Err(Violation::Fleet(out, most));
@@ -400,12 +404,12 @@
             return Err(Violation::Kind(unit.kind.clone(), out, most));
         }
         let zone_least = [
-            bounds.prefill_engines_per_zone,
-            bounds.decode_engines_per_zone,
+            bounds.min_prefill_engines_per_zone,
+            bounds.min_decode_engines_per_zone,
         ];
         let cell_least = [
-            bounds.prefill_engines_per_cell,
-            bounds.decode_engines_per_cell,
+            bounds.min_prefill_engines_per_cell,
+            bounds.min_decode_engines_per_cell,
         ];
         for role in roles(unit.role) {
             let ready = |cell: bool, place: &str| {
@@ -429,7 +433,7 @@
                     cell_least[at],
                 ));
             }
-            if bounds.used_per_mille >= 1000 {
+            if bounds.max_utilization_per_mille >= 1000 {
                 continue;
             }
             for place in ["", &unit.zone] {
@@ -447,7 +451,7 @@
                 } else {
                     sum.0 / f64::from(sum.1 - 1)
                 };
-                if after * 1000.0 > f64::from(bounds.used_per_mille) {
+                if after * 1000.0 > f64::from(bounds.max_utilization_per_mille) {
                     let place = if place.is_empty() {
                         "the fleet".to_owned()
                     } else {
@@ -464,32 +468,33 @@
     }
 
     /// Whether more are out than may be, planned or not: where, how many, and how many may be.
-    pub fn broken(&self, bounds: &DisruptionBudget) -> Option<Violation> {
+    pub fn exceeded(&self, bounds: &DisruptionBudget) -> Option<Violation> {
         let over = |count: &Count, most: MaxUnavailable| {
-            (count.out() > most.of(count.size)).then(|| most.of(count.size))
+            (count.unavailable() > most.limit_for(count.size)).then(|| most.limit_for(count.size))
         };
         if let Some(most) = over(&self.fleet, bounds.fleet) {
-            return Some(Violation::Fleet(self.fleet.out(), most));
+            return Some(Violation::Fleet(self.fleet.unavailable(), most));
         }
         let zone = |(zone, count): (&String, &Count)| {
-            over(count, bounds.zone).map(|most| Violation::Zone(zone.clone(), count.out(), most))
+            over(count, bounds.zone)
+                .map(|most| Violation::Zone(zone.clone(), count.unavailable(), most))
         };
         self.zones.iter().find_map(zone)
     }
 
     /// One more of them is out from now on.
-    pub fn goes(&mut self, unit: &Unit) {
-        self.moves(unit, |n| *n = n.saturating_sub(1));
+    pub fn mark_unavailable(&mut self, unit: &Unit) {
+        self.adjust(unit, |n| *n = n.saturating_sub(1));
     }
 
     /// One that counts as out is in again.
-    pub fn returns(&mut self, unit: &Unit) {
-        self.moves(unit, |n| *n += 1);
+    pub fn mark_available(&mut self, unit: &Unit) {
+        self.adjust(unit, |n| *n += 1);
     }
 
     /// What is used stays and is borne by one more, or by one fewer.
-    fn moves(&mut self, unit: &Unit, by: impl Fn(&mut u32)) {
-        by(&mut self.fleet.there);
+    fn adjust(&mut self, unit: &Unit, by: impl Fn(&mut u32)) {
+        by(&mut self.fleet.available);
         let cell = cell_of(unit);
         let each = [
             self.zones.get_mut(&unit.zone),
@@ -498,7 +503,7 @@
         ];
         each.into_iter()
             .flatten()
-            .for_each(|count| by(&mut count.there));
+            .for_each(|count| by(&mut count.available));
         for role in roles(unit.role) {
             for key in [(false, role, unit.zone.clone()), (true, role, cell.clone())] {
                 by(self.ready.entry(key).or_default());
@@ -510,7 +515,7 @@
     }
 
     /// Zones of which some are not seen at all, though the fleet agreed on them.
-    pub fn missing(&self, units: &[Unit]) -> Option<String> {
+    pub fn missing_units(&self, units: &[Unit]) -> Option<String> {
         let seen = sizes_seen(units.iter());
         let lacks = |(zone, count): (&String, &Count)| {
             let there = seen.get(zone).copied().unwrap_or(0);
@@ -521,14 +526,18 @@
     }
 
     /// How many are out and how many may be: of the fleet (no name), and each zone.
-    pub fn room(&self, bounds: &DisruptionBudget) -> Vec<(String, u32, u32)> {
+    pub fn unavailable_counts(&self, bounds: &DisruptionBudget) -> Vec<(String, u32, u32)> {
         let fleet = (
             String::new(),
-            self.fleet.out(),
-            bounds.fleet.of(self.fleet.size),
+            self.fleet.unavailable(),
+            bounds.fleet.limit_for(self.fleet.size),
         );
         let zone = |(zone, count): (&String, &Count)| {
-            (zone.clone(), count.out(), bounds.zone.of(count.size))
+            (
+                zone.clone(),
+                count.unavailable(),
+                bounds.zone.limit_for(count.size),
+            )
         };
         std::iter::once(fleet)
             .chain(self.zones.iter().map(zone))
@@ -536,13 +545,13 @@
     }
 
     /// A place of which the bounds never let any go that is meant, whatever is in.
-    pub fn never(
+    pub fn impossible_reason(
         &self,
         units: &[Unit],
         bounds: &DisruptionBudget,
         meant: impl Fn(&Unit) -> bool,
     ) -> Option<String> {
-        if bounds.fleet.of(self.fleet.size) == 0 {
+        if bounds.fleet.limit_for(self.fleet.size) == 0 {
             return Some(format!(
                 "the bounds let none of a fleet of {} go",
                 self.fleet.size
@@ -551,7 +560,7 @@
         let zones: BTreeSet<&String> = units.iter().filter(|u| meant(u)).map(|u| &u.zone).collect();
         let none = |zone: &&String| {
             let size = self.zones.get(*zone).map_or(0, |count| count.size);
-            (bounds.zone.of(size) == 0)
+            (bounds.zone.limit_for(size) == 0)
                 .then(|| format!("the bounds let none of zone {zone}'s {size} go"))
         };
         if let Some(why) = zones.iter().find_map(none) {
@@ -570,10 +579,10 @@
         let asked: BTreeSet<_> = units.iter().filter(|u| meant(u)).flat_map(places).collect();
         all.retain(|place, _| asked.contains(place));
         let least = |cell: bool, role: Role2| match (cell, role) {
-            (false, 0) => bounds.prefill_engines_per_zone,
-            (false, _) => bounds.decode_engines_per_zone,
-            (true, 0) => bounds.prefill_engines_per_cell,
-            (true, _) => bounds.decode_engines_per_cell,
+            (false, 0) => bounds.min_prefill_engines_per_zone,
+            (false, _) => bounds.min_decode_engines_per_zone,
+            (true, 0) => bounds.min_prefill_engines_per_cell,
+            (true, _) => bounds.min_decode_engines_per_cell,
         };
         all.into_iter().find_map(|((cell, role, place), n)| {
             let least = least(cell, role);
--- a/src/coordination/member/operator_requests.rs
+++ b/src/coordination/member/operator_requests.rs
@@ -48,25 +48,25 @@
     /// `skip`: those that the plan names and that are not there are passed over. `dry`: it is only shown.
     Start {
         plan: Box<RolloutPlan>,
-        skip: bool,
-        dry: bool,
+        skip_missing: bool,
+        dry_run: bool,
     },
     /// Given again until it is acknowledged.
     Halt {
-        why: String,
+        reason: String,
     },
     Resume,
     RollBack,
     End,
     /// Whoever is missing now is missed no more.
     Recount {
-        of: UnitKind,
+        unit_kind: UnitKind,
     },
     /// Wants a turn for a dispatcher, or goes on to; `refused`: wants it no more.
     Permit {
         name: Name,
         label: String,
-        refused: bool,
+        cancel: bool,
     },
 }
 
@@ -74,23 +74,23 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutStatus {
     pub name: String,
-    pub of: UnitKind,
+    pub unit_kind: UnitKind,
     /// none, waiting, running, held, halted, going back, done.
     pub state: String,
     pub halted: String,
     /// Why nothing goes out now.
-    pub why: String,
+    pub blocked_reason: String,
     /// The wave counted from 1, how many turns it gave, of how many.
     pub wave: u32,
-    pub given: u32,
-    pub of_wave: u32,
-    pub turned: u32,
-    pub meant: u32,
+    pub granted_in_wave: u32,
+    pub wave_size: u32,
+    pub completed: u32,
+    pub selected: u32,
     /// Number, member, zone, and where it is.
     pub permits: Vec<(PermitId, Name, String, String)>,
     /// How many are out and how many may be, over the fleet (no name) and by zone.
-    pub room: Vec<(String, u32, u32)>,
-    pub left: Vec<(Name, String)>,
+    pub unavailable: Vec<(String, u32, u32)>,
+    pub abandoned: Vec<(Name, String)>,
     pub notes: Vec<String>,
 }
 
--- a/src/coordination/member/rollout.rs
+++ b/src/coordination/member/rollout.rs
@@ -149,34 +149,34 @@
             kind: String::new(),
             role: None,
             label: member.heartbeat.label.clone(),
-            stand: match roll.member_status(now, member, least) {
+            status: match roll.member_status(now, member, least) {
                 MemberStatus::Suspected | MemberStatus::Dead => ServiceStatus::OutOfService,
                 _ if member.heartbeat.stopping => ServiceStatus::Draining,
                 _ if !member.heartbeat.ready => ServiceStatus::Starting,
                 _ => ServiceStatus::InService,
             },
-            used: None,
-            tally: member.heartbeat.tally,
+            utilization: None,
+            outcomes: member.heartbeat.tally,
         };
         let engine = |unit: &Unit| {
             let heard = roll.engine(&unit.name);
             let used = heard
                 .and_then(|h| h.used)
                 .map(|(used, at)| (used, now - at));
-            let fresher = match (unit.used, used) {
+            let fresher = match (unit.utilization, used) {
                 (Some(own), Some(told)) => Some(if told.1 < own.1 { told } else { own }),
                 (own, told) => own.or(told),
             };
             Unit {
-                used: fresher,
-                tally: heard.map(|h| h.tally).unwrap_or_default(),
+                utilization: fresher,
+                outcomes: heard.map(|h| h.tally).unwrap_or_default(),
                 ..unit.clone()
             }
         };
         FleetView {
             dispatchers: roll.members().map(dispatcher).collect(),
             engines: self.disruptions.engines.iter().map(engine).collect(),
-            whole: now - roll.since >= WHOLE_AFTER * roll.heartbeat_interval(least),
+            complete: now - roll.since >= WHOLE_AFTER * roll.heartbeat_interval(least),
         }
     }
 
@@ -231,12 +231,12 @@
         let conduct = self
             .disruptions
             .conduct
-            .get_or_insert_with(|| RolloutController::begin(&disruptions));
+            .get_or_insert_with(|| RolloutController::new(&disruptions));
         let own = &self.settings.bounds.0;
-        let step = conduct.next(now, &disruptions, &view, (&me, &voters), (&wants, own));
+        let step = conduct.next_step(now, &disruptions, &view, (&me, &voters), (&wants, own));
         let (tell, revoke) = (
-            std::mem::take(&mut conduct.tell),
-            std::mem::take(&mut conduct.revoke),
+            std::mem::take(&mut conduct.to_notify),
+            std::mem::take(&mut conduct.to_revoke),
         );
         // What an operator halted here is not known to the others, with the fault that is planted.
         self.disruptions.step = step.filter(|_| !self.disruptions.alone);
@@ -323,7 +323,7 @@
                     .disruptions
                     .conduct
                     .as_ref()
-                    .is_some_and(|c| c.is_unbegun(number));
+                    .is_some_and(|c| c.is_revoked(number));
                 if let Some(permit) = disruptions.permits.get(&number).filter(|_| !unbegun) {
                     self.tell_turn(number, permit, hold, out);
                 }
@@ -363,7 +363,7 @@
         out: &mut Vec<Output>,
     ) {
         let told = TurnTold::new(number, permit);
-        if permit.of == UnitKind::Dispatchers && permit.who == self.settings.me {
+        if permit.unit_kind == UnitKind::Dispatchers && permit.unit == self.settings.me {
             // Its own turn: the roll-call goes to another first.
             return self.told_turn(&told, out);
         }
@@ -439,13 +439,14 @@
         errand: Errand,
         out: &mut Vec<Output>,
     ) {
-        let mine = permit.of == UnitKind::Dispatchers && permit.who == self.settings.me;
+        let mine = permit.unit_kind == UnitKind::Dispatchers && permit.unit == self.settings.me;
         if mine {
             let begun = self.asked_back(number, permit.incarnation);
             return self.answered(errand, Some(Answer::Begun { begun }), out);
         }
         if let Some(to) = told_at(permit, self.settings.keeper.as_ref()).cloned() {
-            let (of, who, incarnation) = (permit.of, permit.who.clone(), permit.incarnation);
+            let (of, who, incarnation) =
+                (permit.unit_kind, permit.unit.clone(), permit.incarnation);
             self.ask(
                 to,
                 Question::AskBack {
@@ -483,17 +484,17 @@
     }
 
     fn told_turn(&mut self, told: &TurnTold, out: &mut Vec<Output>) {
-        let mine = told.of == UnitKind::Dispatchers
-            && told.who == self.settings.me
+        let mine = told.unit_kind == UnitKind::Dispatchers
+            && told.unit == self.settings.me
             && told.incarnation == self.settings.incarnation;
-        if !mine || self.disruptions.revoked.contains(&told.number) {
+        if !mine || self.disruptions.revoked.contains(&told.permit) {
             return self.count("turns not ours");
         }
         if self.disruptions.begun.is_none() && !self.stopping {
-            self.disruptions.begun = Some(told.number);
+            self.disruptions.begun = Some(told.permit);
             self.count("turns begun");
             self.leave_service(out);
-            let (permit, label) = (told.number, told.label.clone());
+            let (permit, label) = (told.permit, told.label.clone());
             out.push(Output::PermitGranted { permit, label });
         }
     }
@@ -508,7 +509,7 @@
         match (errand, begun) {
             (Errand::Revoke { permit }, Some(begun)) => {
                 if let Some(conduct) = &mut self.disruptions.conduct {
-                    conduct.revoked(*permit, begun);
+                    conduct.record_revocation_reply(*permit, begun);
                     self.disruptions.next_look = self.now;
                 }
             }
@@ -532,7 +533,7 @@
             .disruptions
             .permits
             .iter()
-            .map(|(number, permit)| (*number, (permit.who.clone(), None)));
+            .map(|(number, permit)| (*number, (permit.unit.clone(), None)));
         self.disruptions.halting = Some(Halting {
             since: self.now,
             said: said.collect(),
@@ -622,7 +623,7 @@
 
     /// What an operator orders of turns and releases. None: it is answered once voters have been asked.
     pub(super) fn order_release(&mut self, call: CallId, order: RolloutRequest) -> Option<Reply> {
-        if let RolloutRequest::Halt { why } = order {
+        if let RolloutRequest::Halt { reason: why } = order {
             return self.order_halt(call, why);
         }
         if let Some(reply) = self.not_the_caller() {
@@ -641,7 +642,7 @@
             RolloutRequest::Permit {
                 name,
                 label,
-                refused,
+                cancel: refused,
             } => return Some(self.order_turn(name, label, refused, young)),
             RolloutRequest::End => OperatorCommand::End,
             _ if young => {
@@ -649,22 +650,26 @@
                     "the roll is not whole yet, a holder has just begun: try again in a moment";
                 return Some(Reply::Refused(why.to_owned()));
             }
-            RolloutRequest::Start { plan, skip, dry } => {
-                let bounds = if plan.of == UnitKind::Engines {
+            RolloutRequest::Start {
+                plan,
+                skip_missing: skip,
+                dry_run: dry,
+            } => {
+                let bounds = if plan.unit_kind == UnitKind::Engines {
                     self.settings.bounds.1
                 } else {
                     self.settings.bounds.0
                 };
-                let mut sizes = sizes_of(plan.of);
+                let mut sizes = sizes_of(plan.unit_kind);
                 let known = self
                     .agreed_care()
-                    .map(|disruptions| disruptions.sizes(plan.of).clone())
+                    .map(|disruptions| disruptions.zone_sizes(plan.unit_kind).clone())
                     .unwrap_or_default();
                 for (zone, size) in known {
                     let seen = sizes.entry(zone).or_default();
                     *seen = (*seen).max(size);
                 }
-                let units = view.units(plan.of);
+                let units = view.units(plan.unit_kind);
                 if let Err(why) = self.fits(&plan, &bounds, units, &sizes, skip) {
                     return Some(Reply::Refused(why));
                 }
@@ -673,22 +678,22 @@
                 }
                 let release = Rollout {
                     plan: *plan,
-                    bounds,
-                    by: self.settings.me.clone(),
-                    back: false,
-                    done: false,
+                    budget: bounds,
+                    started_by: self.settings.me.clone(),
+                    rolling_back: false,
+                    finished: false,
                     wave: 0,
-                    given: 0,
-                    reached: BTreeMap::new(),
-                    again: BTreeSet::new(),
-                    left: BTreeMap::new(),
-                    turned: 0,
+                    granted_in_wave: 0,
+                    zone_progress: BTreeMap::new(),
+                    regrant: BTreeSet::new(),
+                    abandoned: BTreeMap::new(),
+                    completed: 0,
                 };
                 OperatorCommand::Start(Box::new(release))
             }
             RolloutRequest::Resume => OperatorCommand::Resume,
             RolloutRequest::RollBack => OperatorCommand::RollBack,
-            RolloutRequest::Recount { of } => OperatorCommand::Recount(of, sizes_of(of)),
+            RolloutRequest::Recount { unit_kind: of } => OperatorCommand::Recount(of, sizes_of(of)),
         };
         self.wish(call, Command::OperatorCommand(word));
         None
@@ -720,7 +725,7 @@
     fn order_turn(&mut self, name: Name, label: String, refused: bool, young: bool) -> Reply {
         let permit = self
             .agreed_care()
-            .and_then(|disruptions| disruptions.turn_of(UnitKind::Dispatchers, &name));
+            .and_then(|disruptions| disruptions.permit_for(UnitKind::Dispatchers, &name));
         if let Some((number, permit)) = permit {
             let view = self.view_of_fleet();
             let unit = view.dispatchers.iter().find(|u| u.name == name);
@@ -730,7 +735,7 @@
                 }
                 _ => Reply::Done(format!(
                     "turn {}: {} drains and ends",
-                    number.0, permit.who.0
+                    number.0, permit.unit.0
                 )),
             };
         }
@@ -758,7 +763,7 @@
             .disruptions
             .conduct
             .as_ref()
-            .and_then(|c| c.why.clone());
+            .and_then(|c| c.blocked_reason.clone());
         Reply::Pending(why.unwrap_or_else(|| "waiting".to_owned()))
     }
 
@@ -779,7 +784,7 @@
             .map(|n| &*n.0)
             .collect();
         if !missing.is_empty() && !skip {
-            let what = if plan.of == UnitKind::Engines {
+            let what = if plan.unit_kind == UnitKind::Engines {
                 "the list"
             } else {
                 "the roll-call"
@@ -789,16 +794,16 @@
                 missing.join(", ")
             ));
         }
-        if !units.iter().any(|u| plan.takes(u)) {
+        if !units.iter().any(|u| plan.selects(u)) {
             return Err("the plan means nobody who is there".to_owned());
         }
-        if plan.of == UnitKind::Engines && self.settings.keeper.is_none() {
+        if plan.unit_kind == UnitKind::Engines && self.settings.keeper.is_none() {
             return Err(
                 "the settings of the fleet have no 'keeper' to list hosts as draining".to_owned(),
             );
         }
         let counts = Counts::new(units.iter(), sizes, bounds, |_| false);
-        match counts.never(units, bounds, |unit| plan.takes(unit)) {
+        match counts.impossible_reason(units, bounds, |unit| plan.selects(unit)) {
             Some(why) => Err(why),
             None => Ok(()),
         }
@@ -942,7 +947,10 @@
         let view = self.view_of_fleet();
         let conduct = self.disruptions.conduct.as_ref();
         let line = |(number, permit): (&PermitId, &DisruptionPermit)| {
-            let unit = view.units(permit.of).iter().find(|u| u.name == permit.who);
+            let unit = view
+                .units(permit.unit_kind)
+                .iter()
+                .find(|u| u.name == permit.unit);
             let at = match stage(permit, unit) {
                 _ if self.roll.is_none() => "given",
                 PermitStage::Granted => "given",
@@ -953,41 +961,47 @@
             };
             (
                 *number,
-                permit.who.clone(),
+                permit.unit.clone(),
                 permit.zone.clone(),
                 at.to_owned(),
             )
         };
-        let release = disruptions.release.as_deref();
-        let why = conduct.and_then(|c| c.why.clone());
+        let release = disruptions.rollout.as_deref();
+        let why = conduct.and_then(|c| c.blocked_reason.clone());
         let state = match release {
             None => "none",
-            Some(r) if r.done => "done",
+            Some(r) if r.finished => "done",
             Some(_) if disruptions.halted.is_some() => "halted",
-            Some(r) if r.back => "going back",
-            Some(r) if r.turned == 0 && disruptions.permits.is_empty() => "waiting",
+            Some(r) if r.rolling_back => "going back",
+            Some(r) if r.completed == 0 && disruptions.permits.is_empty() => "waiting",
             Some(_) if why.is_some() && disruptions.permits.is_empty() => "held",
             Some(_) => "running",
         };
-        let of = release.map_or(UnitKind::Dispatchers, |r| r.plan.of);
-        let bounds = release.map_or(&self.settings.bounds.0, |r| &r.bounds);
-        let meant = |u: &&Unit| release.is_some_and(|r| r.plan.takes(u));
+        let of = release.map_or(UnitKind::Dispatchers, |r| r.plan.unit_kind);
+        let bounds = release.map_or(&self.settings.bounds.0, |r| &r.budget);
+        let meant = |u: &&Unit| release.is_some_and(|r| r.plan.selects(u));
         RolloutStatus {
             name: release.map(|r| r.plan.name.clone()).unwrap_or_default(),
-            of,
+            unit_kind: of,
             state: state.to_owned(),
             halted: disruptions.halted.clone().unwrap_or_default(),
-            why: why.unwrap_or_default(),
+            blocked_reason: why.unwrap_or_default(),
             wave: release.map_or(0, |r| r.wave + 1),
-            given: release.map_or(0, |r| r.given),
-            of_wave: release.map_or(0, |r| if r.back { 0 } else { r.plan.wave(r.wave) }),
-            turned: release.map_or(0, |r| r.turned),
-            meant: view.units(of).iter().filter(meant).count() as u32,
+            granted_in_wave: release.map_or(0, |r| r.granted_in_wave),
+            wave_size: release.map_or(0, |r| {
+                if r.rolling_back {
+                    0
+                } else {
+                    r.plan.wave_size(r.wave)
+                }
+            }),
+            completed: release.map_or(0, |r| r.completed),
+            selected: view.units(of).iter().filter(meant).count() as u32,
             permits: disruptions.permits.iter().map(line).collect(),
-            room: conduct
-                .map(|c| c.room(disruptions, &view, of, bounds))
+            unavailable: conduct
+                .map(|c| c.unavailable_counts(disruptions, &view, of, bounds))
                 .unwrap_or_default(),
-            left: release.iter().flat_map(|r| r.left.clone()).collect(),
+            abandoned: release.iter().flat_map(|r| r.abandoned.clone()).collect(),
             notes: disruptions.notes.clone(),
         }
     }
@@ -1007,13 +1021,16 @@
     sizes: &ZoneSizes,
 ) -> String {
     let waves = waves(plan, bounds, units, sizes);
-    let mut out = format!("release {} of {}, as they are now:\n", plan.name, plan.of);
+    let mut out = format!(
+        "release {} of {}, as they are now:\n",
+        plan.name, plan.unit_kind
+    );
     for (at, wave) in waves.iter().enumerate() {
         let names: Vec<&str> = wave.iter().map(|n| &*n.0).collect();
         out += &format!("  wave {}: {} ({})\n", at + 1, names.len(), names.join(" "));
     }
     let counts = Counts::new(units.iter(), sizes, bounds, |_| false);
-    for (zone, is_out, most) in counts.room(bounds) {
+    for (zone, is_out, most) in counts.unavailable_counts(bounds) {
         let place = if zone.is_empty() {
             "the fleet".to_owned()
         } else {
@@ -1023,8 +1040,8 @@
     }
     if let Some(binds) = units
         .iter()
-        .filter(|u| plan.takes(u))
-        .find_map(|u| counts.may_go(u, bounds).err())
+        .filter(|u| plan.selects(u))
+        .find_map(|u| counts.check_disruption(u, bounds).err())
     {
         out += &format!("  now binds: {binds}\n");
     }
--- a/src/coordination/rollout.rs
+++ b/src/coordination/rollout.rs
@@ -15,8 +15,8 @@
 /// The leave for one to go out. It is agreed on before anybody is told of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DisruptionPermit {
-    pub of: UnitKind,
-    pub who: Name,
+    pub unit_kind: UnitKind,
+    pub unit: Name,
     /// Which process is to go: another one of its name has been out and back.
     pub incarnation: Incarnation,
     pub address: Address,
@@ -24,7 +24,7 @@
     /// What it is to come back under; empty: anything.
     pub label: String,
     /// It is not to come back.
-    pub stays: bool,
+    pub permanent: bool,
     /// Part of the release that is under way, not asked for beside it.
     pub planned: bool,
 }
@@ -33,31 +33,31 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RolloutPlan {
     pub name: String,
-    pub of: UnitKind,
+    pub unit_kind: UnitKind,
     /// What its members come back under, and what they had before.
     pub label: String,
-    pub before: String,
+    pub previous_label: String,
     /// Which are meant; an empty list means all.
     pub zones: Vec<String>,
     pub cells: Vec<String>,
     pub kinds: Vec<String>,
     pub names: Vec<Name>,
     /// Those that go out stay out.
-    pub stays: bool,
+    pub permanent: bool,
     /// How many turn in the first wave, and by what the next is larger, in thousandths.
-    pub first: u32,
-    pub grow_per_mille: u32,
+    pub first_wave_size: u32,
+    pub wave_growth_per_mille: u32,
     /// Milliseconds: watched between waves; back and ready before a turn is over; within which a turn has to have
     /// begun, and to be over.
-    pub watch_ms: u64,
+    pub observe_ms: u64,
     pub settle_ms: u64,
-    pub begin_ms: u64,
-    pub back_ms: u64,
+    pub start_timeout_ms: u64,
+    pub return_timeout_ms: u64,
 }
 
 impl RolloutPlan {
     /// Whether a unit is meant.
-    pub fn takes(&self, unit: &Unit) -> bool {
+    pub fn selects(&self, unit: &Unit) -> bool {
         let any =
             |list: &[String], word: &str| list.is_empty() || list.iter().any(|one| one == word);
         any(&self.zones, &unit.zone)
@@ -67,9 +67,9 @@
     }
 
     /// How many turn in a wave, counted from 0.
-    pub fn wave(&self, number: u32) -> u32 {
-        let grow = f64::from(self.grow_per_mille) / 1000.0;
-        let size = f64::from(self.first) * grow.powi(number.min(64) as i32);
+    pub fn wave_size(&self, number: u32) -> u32 {
+        let grow = f64::from(self.wave_growth_per_mille) / 1000.0;
+        let size = f64::from(self.first_wave_size) * grow.powi(number.min(64) as i32);
         size.ceil().min(f64::from(u32::MAX)) as u32
     }
 }
@@ -84,39 +84,39 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Rollout {
     pub plan: RolloutPlan,
-    pub bounds: DisruptionBudget,
-    pub by: Name,
+    pub budget: DisruptionBudget,
+    pub started_by: Name,
     /// It turns what went forward.
-    pub back: bool,
-    pub done: bool,
+    pub rolling_back: bool,
+    pub finished: bool,
     /// The wave, counted from 0, and how many turns it has given.
     pub wave: u32,
-    pub given: u32,
+    pub granted_in_wave: u32,
     /// Of engines, which carry no label: how far each zone has come, by [`key`]; and those before that which are
     /// to go again.
-    pub reached: BTreeMap<String, u64>,
-    pub again: BTreeSet<Name>,
+    pub zone_progress: BTreeMap<String, u64>,
+    pub regrant: BTreeSet<Name>,
     /// Those that did not come back as they should, with the reason, left for operators.
-    pub left: BTreeMap<Name, String>,
+    pub abandoned: BTreeMap<Name, String>,
     /// How many turns are over.
-    pub turned: u32,
+    pub completed: u32,
 }
 
 /// All of this that is agreed on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DisruptionState {
     /// Turns given so far.
-    pub given: u64,
+    pub permits_granted: u64,
     pub permits: BTreeMap<PermitId, DisruptionPermit>,
-    pub release: Option<Box<Rollout>>,
+    pub rollout: Option<Box<Rollout>>,
     /// Why nothing goes out any more until an operator says so.
     pub halted: Option<String>,
     /// How often an operator had it go on: who waits for turns begins to wait anew.
-    pub resumed: u64,
+    pub resume_count: u64,
     /// How many dispatchers and engines each zone has: counted up as they are seen, and down by an operator's word
     /// alone, as one that is missing may have failed.
-    pub dispatchers: ZoneSizes,
-    pub engines: ZoneSizes,
+    pub dispatcher_sizes: ZoneSizes,
+    pub engine_sizes: ZoneSizes,
     /// What operators did by hand without agreement; the last few.
     pub notes: Vec<String>,
 }
@@ -178,78 +178,84 @@
         *self == DisruptionState::default()
     }
 
-    pub fn sizes(&self, of: UnitKind) -> &ZoneSizes {
+    pub fn zone_sizes(&self, of: UnitKind) -> &ZoneSizes {
         if of == UnitKind::Engines {
-            &self.engines
+            &self.engine_sizes
         } else {
-            &self.dispatchers
+            &self.dispatcher_sizes
         }
     }
 
-    fn sizes_mut(&mut self, of: UnitKind) -> &mut ZoneSizes {
+    fn zone_sizes_mut(&mut self, of: UnitKind) -> &mut ZoneSizes {
         if of == UnitKind::Engines {
-            &mut self.engines
+            &mut self.engine_sizes
         } else {
-            &mut self.dispatchers
+            &mut self.dispatcher_sizes
         }
     }
 
     /// The release that goes on, if nothing keeps it.
     pub fn running(&self) -> Option<&Rollout> {
-        self.release
+        self.rollout
             .as_deref()
-            .filter(|r| !r.done && self.halted.is_none())
+            .filter(|r| !r.finished && self.halted.is_none())
     }
 
     /// Whether there is anything to look after.
     pub fn is_active(&self) -> bool {
-        !self.permits.is_empty() || self.release.as_deref().is_some_and(|r| !r.done)
+        !self.permits.is_empty() || self.rollout.as_deref().is_some_and(|r| !r.finished)
     }
 
-    pub fn turn_of(&self, of: UnitKind, who: &Name) -> Option<(&PermitId, &DisruptionPermit)> {
+    pub fn permit_for(&self, of: UnitKind, who: &Name) -> Option<(&PermitId, &DisruptionPermit)> {
         self.permits
             .iter()
-            .find(|(_, permit)| permit.of == of && permit.who == *who)
+            .find(|(_, permit)| permit.unit_kind == of && permit.unit == *who)
     }
 
     /// Takes a holder's step.
     ///
     /// # Errors
     /// Why it does not count; nothing is changed then.
-    pub fn step(&mut self, step: &RolloutStep) -> Result<(), RolloutError> {
+    pub fn apply_step(&mut self, step: &RolloutStep) -> Result<(), RolloutError> {
         match step {
             RolloutStep::Grant(permits) => permits.iter().try_for_each(|permit| self.grant(permit)),
             RolloutStep::Complete(permits) => self.end(permits, |disruptions, permit| {
-                if permit.stays {
+                if permit.permanent {
                     // By an operator's word it is gone for good: it is not missed.
-                    if let Some(size) = disruptions.sizes_mut(permit.of).get_mut(&permit.zone) {
+                    if let Some(size) = disruptions
+                        .zone_sizes_mut(permit.unit_kind)
+                        .get_mut(&permit.zone)
+                    {
                         *size = size.saturating_sub(1);
                     }
                 }
                 if let Some(release) = disruptions
-                    .release
+                    .rollout
                     .as_deref_mut()
                     .filter(|_| permit.planned)
                 {
-                    release.turned += 1;
+                    release.completed += 1;
                 }
             }),
             RolloutStep::Revoke(permits) => self.end(permits, |disruptions, permit| {
                 if let Some(release) = disruptions
-                    .release
+                    .rollout
                     .as_deref_mut()
-                    .filter(|r| permit.planned && !r.done)
+                    .filter(|r| permit.planned && !r.finished)
                 {
-                    release.given = release.given.saturating_sub(1);
-                    if permit.of == UnitKind::Engines {
-                        release.again.insert(permit.who);
+                    release.granted_in_wave = release.granted_in_wave.saturating_sub(1);
+                    if permit.unit_kind == UnitKind::Engines {
+                        release.regrant.insert(permit.unit);
                     }
                 }
             }),
             RolloutStep::Reissue(number, permit) => {
                 let known = self.permits.get_mut(number).ok_or(RolloutError::Nothing)?;
-                let back = self.release.as_deref().is_some_and(|r| r.back && !r.done);
-                if !back || self.halted.is_some() || known.who != permit.who {
+                let back = self
+                    .rollout
+                    .as_deref()
+                    .is_some_and(|r| r.rolling_back && !r.finished);
+                if !back || self.halted.is_some() || known.unit != permit.unit {
                     return Err(RolloutError::Stopped);
                 }
                 *known = permit.clone();
@@ -257,35 +263,35 @@
             }
             RolloutStep::Abandon(number, why) => {
                 let permit = self.permits.remove(number).ok_or(RolloutError::Nothing)?;
-                let release = self.release.as_deref_mut().ok_or(RolloutError::Nothing)?;
-                if release.left.len() >= MAX_ABANDONED {
+                let release = self.rollout.as_deref_mut().ok_or(RolloutError::Nothing)?;
+                if release.abandoned.len() >= MAX_ABANDONED {
                     return Err(RolloutError::NoRoom);
                 }
-                release.left.insert(permit.who, why.clone());
+                release.abandoned.insert(permit.unit, why.clone());
                 Ok(())
             }
             RolloutStep::NextWave => {
                 let release = self
-                    .release
+                    .rollout
                     .as_deref_mut()
-                    .filter(|r| !r.done)
+                    .filter(|r| !r.finished)
                     .ok_or(RolloutError::Stopped)?;
-                (release.wave, release.given) = (release.wave + 1, 0);
+                (release.wave, release.granted_in_wave) = (release.wave + 1, 0);
                 Ok(())
             }
             RolloutStep::Finish => {
                 let planned = self.permits.values().any(|permit| permit.planned);
                 let release = self
-                    .release
+                    .rollout
                     .as_deref_mut()
-                    .filter(|r| !r.done && !planned)
+                    .filter(|r| !r.finished && !planned)
                     .ok_or(RolloutError::Stopped)?;
-                release.done = true;
+                release.finished = true;
                 Ok(())
             }
             RolloutStep::Halt(why) => self.halt(why),
             RolloutStep::RecordSizes(of, sizes) => {
-                let known = self.sizes_mut(*of);
+                let known = self.zone_sizes_mut(*of);
                 for (zone, size) in sizes {
                     let best = known.entry(zone.clone()).or_default();
                     *best = (*best).max(*size);
@@ -322,7 +328,8 @@
         if self.halted.is_some() {
             return Err(RolloutError::Stopped);
         }
-        if self.turn_of(permit.of, &permit.who).is_some() && !is_injected(InjectedFault::TurnTwice)
+        if self.permit_for(permit.unit_kind, &permit.unit).is_some()
+            && !is_injected(InjectedFault::TurnTwice)
         {
             return Err(RolloutError::AlreadySo);
         }
@@ -331,48 +338,52 @@
         }
         if permit.planned {
             let release = self
-                .release
+                .rollout
                 .as_deref()
-                .filter(|r| !r.done && r.plan.of == permit.of);
-            let bounds = release.ok_or(RolloutError::Stopped)?.bounds;
+                .filter(|r| !r.finished && r.plan.unit_kind == permit.unit_kind);
+            let bounds = release.ok_or(RolloutError::Stopped)?.budget;
             // What is given by plan is counted here too: whatever a holder believes to see, this does not go over.
-            let sizes = self.sizes(permit.of);
+            let sizes = self.zone_sizes(permit.unit_kind);
             let (fleet, zone) = (
                 sizes.values().sum(),
                 sizes.get(&permit.zone).copied().unwrap_or_default(),
             );
             let given = |zone: Option<&str>| {
                 let same = |t: &&DisruptionPermit| {
-                    t.of == permit.of && zone.is_none_or(|zone| t.zone == zone)
+                    t.unit_kind == permit.unit_kind && zone.is_none_or(|zone| t.zone == zone)
                 };
                 self.permits.values().filter(same).count() as u32
             };
             let unbound = is_injected(InjectedFault::BackUnbound)
                 || is_injected(InjectedFault::TurnTwice)
                 || is_injected(InjectedFault::BeginsAnew);
-            let full = given(None) >= bounds.fleet.of(fleet)
-                || given(Some(&permit.zone)) >= bounds.zone.of(zone);
+            let full = given(None) >= bounds.fleet.limit_for(fleet)
+                || given(Some(&permit.zone)) >= bounds.zone.limit_for(zone);
             if full && !unbound {
                 return Err(RolloutError::NoRoom);
             }
         }
-        self.given += 1;
-        self.permits.insert(PermitId(self.given), permit.clone());
-        let Some(release) = self.release.as_deref_mut().filter(|_| permit.planned) else {
+        self.permits_granted += 1;
+        self.permits
+            .insert(PermitId(self.permits_granted), permit.clone());
+        let Some(release) = self.rollout.as_deref_mut().filter(|_| permit.planned) else {
             return Ok(());
         };
-        release.given += 1;
-        release.again.remove(&permit.who);
-        if permit.of == UnitKind::Engines {
-            let at = key(&permit.who);
+        release.granted_in_wave += 1;
+        release.regrant.remove(&permit.unit);
+        if permit.unit_kind == UnitKind::Engines {
+            let at = key(&permit.unit);
             // Forward a zone has come to this one; back it has come to just before it.
-            let to = if release.back {
+            let to = if release.rolling_back {
                 at.saturating_sub(1)
             } else {
                 at
             };
-            let reached = release.reached.entry(permit.zone.clone()).or_insert(to);
-            *reached = if release.back {
+            let reached = release
+                .zone_progress
+                .entry(permit.zone.clone())
+                .or_insert(to);
+            *reached = if release.rolling_back {
                 (*reached).min(to)
             } else {
                 (*reached).max(to)
@@ -385,51 +396,51 @@
     ///
     /// # Errors
     /// Why it does not count.
-    pub fn word(&mut self, word: &OperatorCommand) -> Result<(), RolloutError> {
+    pub fn apply_command(&mut self, word: &OperatorCommand) -> Result<(), RolloutError> {
         match word {
             OperatorCommand::Start(release) => {
-                if self.release.as_deref().is_some_and(|r| !r.done) {
+                if self.rollout.as_deref().is_some_and(|r| !r.finished) {
                     return Err(RolloutError::Busy);
                 }
                 if self.halted.is_some() {
                     return Err(RolloutError::Stopped);
                 }
-                self.release = Some(release.clone());
+                self.rollout = Some(release.clone());
                 Ok(())
             }
             // A halt that is there already is agreed on once more, as it may have been a try only.
             OperatorCommand::Halt(why) => self.halt(why).or(Ok(())),
             OperatorCommand::Resume => {
                 self.halted.take().ok_or(RolloutError::Nothing)?;
-                self.resumed += 1;
+                self.resume_count += 1;
                 Ok(())
             }
             OperatorCommand::RollBack => {
                 let halted = self.halted.is_some();
-                let release = self.release.as_deref_mut().ok_or(RolloutError::Nothing)?;
+                let release = self.rollout.as_deref_mut().ok_or(RolloutError::Nothing)?;
                 // What goes back already, or went, has nothing to go back on; and what left for good does not return.
-                if (release.back && !halted) || release.plan.stays {
+                if (release.rolling_back && !halted) || release.plan.permanent {
                     return Err(RolloutError::Nothing);
                 }
-                (release.back, release.done) = (true, false);
-                (release.wave, release.given) = (0, 0);
-                release.left.clear();
+                (release.rolling_back, release.finished) = (true, false);
+                (release.wave, release.granted_in_wave) = (0, 0);
+                release.abandoned.clear();
                 self.halted = None;
-                self.resumed += 1;
+                self.resume_count += 1;
                 Ok(())
             }
             OperatorCommand::End => {
                 let release = self
-                    .release
+                    .rollout
                     .as_deref_mut()
-                    .filter(|r| !r.done)
+                    .filter(|r| !r.finished)
                     .ok_or(RolloutError::Nothing)?;
-                release.done = true;
+                release.finished = true;
                 self.halted = None;
                 Ok(())
             }
             OperatorCommand::Recount(of, sizes) => {
-                *self.sizes_mut(*of) = sizes.clone();
+                *self.zone_sizes_mut(*of) = sizes.clone();
                 Ok(())
             }
             OperatorCommand::Note(note) => {
--- a/src/coordination/rollout_analysis.rs
+++ b/src/coordination/rollout_analysis.rs
@@ -35,8 +35,8 @@
 impl Group {
     fn of(tally: &OutcomeCounts) -> Group {
         Group {
-            cases: tally.cases(),
-            harmed: tally.harmed().min(tally.cases()),
+            cases: tally.total(),
+            harmed: tally.harmed().min(tally.total()),
         }
     }
 
@@ -103,19 +103,19 @@
 /// What was seen of a release so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutAnalysis {
-    base: BTreeMap<Name, Base>,
-    began: Option<Ms>,
-    sum: Sum,
+    baselines: BTreeMap<Name, Base>,
+    slice_started_at: Option<Ms>,
+    totals: Sum,
     /// Of those that have not turned, member by member, in slices that count.
-    others: BTreeMap<Name, Group>,
-    in_a_row: u32,
-    runs: BTreeMap<Name, Incarnation>,
-    falls: BTreeMap<Name, u32>,
+    control_members: BTreeMap<Name, Group>,
+    consecutive_signs: u32,
+    incarnations: BTreeMap<Name, Incarnation>,
+    restarts: BTreeMap<Name, u32>,
 }
 
 impl RolloutAnalysis {
     /// Takes a look. `turned`: those that turned; `turning`: those whose turn it is, whose end is no fall.
-    pub fn look<'a>(
+    pub fn observe<'a>(
         &mut self,
         now: Ms,
         units: impl Iterator<Item = &'a Unit>,
@@ -126,17 +126,17 @@
         let (mut members, mut falls) = ((0, 0), (0, 0));
         for unit in &units {
             if turning(&unit.name) {
-                self.runs.remove(&unit.name);
+                self.incarnations.remove(&unit.name);
                 continue;
             }
             if self
-                .runs
+                .incarnations
                 .insert(unit.name.clone(), unit.incarnation)
                 .is_some_and(|before| before != unit.incarnation)
             {
-                *self.falls.entry(unit.name.clone()).or_default() += 1;
+                *self.restarts.entry(unit.name.clone()).or_default() += 1;
             }
-            let fell = self.falls.get(&unit.name).copied().unwrap_or(0);
+            let fell = self.restarts.get(&unit.name).copied().unwrap_or(0);
             if turned.contains(&unit.name) {
                 (members.0, falls.0) = (members.0 + 1, falls.0 + fell);
             } else {
@@ -152,19 +152,19 @@
                 falls.1
             ));
         }
-        if now - *self.began.get_or_insert(now) < SLICE {
+        if now - *self.slice_started_at.get_or_insert(now) < SLICE {
             return None;
         }
-        self.began = Some(now);
+        self.slice_started_at = Some(now);
         self.end_slice(&units, turned, turning);
         let others: Vec<f64> = self
-            .others
+            .control_members
             .values()
             .filter(|g| g.cases >= EACH)
             .map(|group| group.part())
             .collect();
-        self.in_a_row = if self.sum.is_worse(&others) {
-            self.in_a_row + 1
+        self.consecutive_signs = if self.totals.is_worse(&others) {
+            self.consecutive_signs + 1
         } else {
             0
         };
@@ -173,8 +173,8 @@
             without,
             expected,
             ..
-        } = self.sum;
-        (self.in_a_row >= IN_A_ROW).then(|| {
+        } = self.totals;
+        (self.consecutive_signs >= IN_A_ROW).then(|| {
             format!(
                 "those that turned do worse: {} of {} tasks harmed where {expected:.0} were to be expected, {} of {} at \
                  the others",
@@ -195,9 +195,9 @@
         for unit in units {
             let now = Base {
                 incarnation: unit.incarnation,
-                tally: unit.tally,
+                tally: unit.outcomes,
             };
-            let before = self.base.insert(unit.name.clone(), now);
+            let before = self.baselines.insert(unit.name.clone(), now);
             // A process that is new began within the slice; one that has not been seen tells nothing yet.
             let Some(before) = before.filter(|_| !turning(&unit.name)) else {
                 continue;
@@ -207,7 +207,7 @@
             } else {
                 OutcomeCounts::default()
             };
-            let group = Group::of(&unit.tally.since(&from));
+            let group = Group::of(&unit.outcomes.since(&from));
             if turned.contains(&unit.name) {
                 with.add(group);
             } else {
@@ -215,10 +215,13 @@
                 each.push((&unit.name, group));
             }
         }
-        self.sum.add(with, without);
+        self.totals.add(with, without);
         if with.cases > 0 {
             for (name, group) in each {
-                self.others.entry(name.clone()).or_default().add(group);
+                self.control_members
+                    .entry(name.clone())
+                    .or_default()
+                    .add(group);
             }
         }
     }
--- a/src/coordination/rollout_controller.rs
+++ b/src/coordination/rollout_controller.rs
@@ -31,7 +31,7 @@
     pub dispatchers: Vec<Unit>,
     pub engines: Vec<Unit>,
     /// The roll has been called for long enough that all who are there were heard.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl FleetView {
@@ -54,13 +54,13 @@
 /// A turn as this holder has seen it.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Seen {
-    first: Ms,
+    first_seen_at: Ms,
     /// Since when it stands as it is to.
-    since: Option<(PermitStage, Ms)>,
+    stage_since: Option<(PermitStage, Ms)>,
     /// It said that it has not begun, and will not.
-    unbegun: bool,
+    revoked: bool,
     /// An operator saw it as it is and had the release go on.
-    forgiven: bool,
+    accepted: bool,
 }
 
 /// Where a turn is.
@@ -81,29 +81,29 @@
 /// A holder's own part.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutController {
-    seen: BTreeMap<PermitId, Seen>,
-    resumed: Option<u64>,
-    wave: Option<(u32, bool)>,
+    observations: BTreeMap<PermitId, Seen>,
+    resume_count: Option<u64>,
+    observed_wave: Option<(u32, bool)>,
     /// Since when the wave has been over.
-    over: Option<Ms>,
-    signs: RolloutAnalysis,
+    wave_finished_at: Option<Ms>,
+    analysis: RolloutAnalysis,
     /// Since when more are out than may be.
-    broken: Option<Ms>,
+    budget_exceeded_since: Option<Ms>,
     /// How often one came back under the new label on the way back.
-    tried: BTreeMap<Name, u32>,
+    wrong_version_returns: BTreeMap<Name, u32>,
     /// Turns that are agreed on and are to be told; that are to be taken back if that can be.
-    pub tell: Vec<PermitId>,
-    pub revoke: Vec<PermitId>,
+    pub to_notify: Vec<PermitId>,
+    pub to_revoke: Vec<PermitId>,
     /// Why nothing goes out now.
-    pub why: Option<String>,
+    pub blocked_reason: Option<String>,
     /// Turns that were given before this holder's time, for a planted fault.
-    before: BTreeSet<PermitId>,
+    forgotten_permits: BTreeSet<PermitId>,
 }
 
 /// Where a turn is, by what is seen of its member.
 pub fn stage(permit: &DisruptionPermit, unit: Option<&Unit>) -> PermitStage {
-    let Some(unit) = unit.filter(|u| u.stand != ServiceStatus::OutOfService) else {
-        return if permit.stays {
+    let Some(unit) = unit.filter(|u| u.status != ServiceStatus::OutOfService) else {
+        return if permit.permanent {
             PermitStage::Returned
         } else {
             PermitStage::Draining
@@ -112,12 +112,12 @@
     let other = unit.incarnation != permit.incarnation;
     // An engine carries no label: its keeper is told what it is to be.
     let any = permit.label.is_empty()
-        || permit.of == UnitKind::Engines
+        || permit.unit_kind == UnitKind::Engines
         || is_injected(InjectedFault::LabelUnchecked);
     let fits = any || permit.label == unit.label;
-    match unit.stand {
-        ServiceStatus::InService if other && !permit.stays && fits => PermitStage::Returned,
-        ServiceStatus::InService if other && !permit.stays => PermitStage::WrongVersion,
+    match unit.status {
+        ServiceStatus::InService if other && !permit.permanent && fits => PermitStage::Returned,
+        ServiceStatus::InService if other && !permit.permanent => PermitStage::WrongVersion,
         ServiceStatus::Draining if !other => PermitStage::Draining,
         _ if !other => PermitStage::Granted,
         _ => PermitStage::Starting,
@@ -126,32 +126,34 @@
 
 impl RolloutController {
     /// With what was agreed on when it began.
-    pub fn begin(disruptions: &DisruptionState) -> Self {
+    pub fn new(disruptions: &DisruptionState) -> Self {
         let before = if is_injected(InjectedFault::BeginsAnew) {
             disruptions.permits.keys().copied().collect()
         } else {
             BTreeSet::new()
         };
         RolloutController {
-            before,
+            forgotten_permits: before,
             ..RolloutController::default()
         }
     }
 
     /// A member said of a turn whether it has begun; if not, it will not.
-    pub fn revoked(&mut self, permit: PermitId, begun: bool) {
-        if let Some(seen) = self.seen.get_mut(&permit).filter(|_| !begun) {
-            seen.unbegun = true;
+    pub fn record_revocation_reply(&mut self, permit: PermitId, begun: bool) {
+        if let Some(seen) = self.observations.get_mut(&permit).filter(|_| !begun) {
+            seen.revoked = true;
         }
     }
 
     /// Whether nothing may be told of a turn any more, as it is being taken back.
-    pub fn is_unbegun(&self, permit: PermitId) -> bool {
-        self.seen.get(&permit).is_some_and(|seen| seen.unbegun)
+    pub fn is_revoked(&self, permit: PermitId) -> bool {
+        self.observations
+            .get(&permit)
+            .is_some_and(|seen| seen.revoked)
     }
 
     /// The next step, if there is one. `view` is as fresh as the caller has it; `wants`: who asked for a turn.
-    pub fn next(
+    pub fn next_step(
         &mut self,
         now: Ms,
         disruptions: &DisruptionState,
@@ -159,26 +161,26 @@
         (me, voters): (&Name, &BTreeSet<Name>),
         (wants, own): (&[PermitRequest], &DisruptionBudget),
     ) -> Option<RolloutStep> {
-        (self.tell, self.revoke, self.why) = (Vec::new(), Vec::new(), None);
+        (self.to_notify, self.to_revoke, self.blocked_reason) = (Vec::new(), Vec::new(), None);
         let resumed = self
-            .resumed
-            .replace(disruptions.resumed)
-            .is_some_and(|before| before != disruptions.resumed);
-        self.seen
+            .resume_count
+            .replace(disruptions.resume_count)
+            .is_some_and(|before| before != disruptions.resume_count);
+        self.observations
             .retain(|number, _| disruptions.permits.contains_key(number));
         if resumed {
             // Who waits begins to wait anew, and what an operator saw and let go on is no reason to halt again.
-            for seen in self.seen.values_mut() {
+            for seen in self.observations.values_mut() {
                 *seen = Seen {
-                    first: now,
-                    forgiven: true,
+                    first_seen_at: now,
+                    accepted: true,
                     ..Seen::default()
                 };
             }
-            self.broken = None;
-            self.signs = RolloutAnalysis::default();
+            self.budget_exceeded_since = None;
+            self.analysis = RolloutAnalysis::default();
         }
-        if let Some(step) = self.permits(now, disruptions, view) {
+        if let Some(step) = self.permit_step(now, disruptions, view) {
             return Some(step);
         }
         if let Some(step) = [UnitKind::Dispatchers, UnitKind::Engines]
@@ -188,70 +190,88 @@
             return Some(step);
         }
         if disruptions.halted.is_some() {
-            self.why.clone_from(&disruptions.halted);
+            self.blocked_reason.clone_from(&disruptions.halted);
             return None;
         }
         if let Some(release) = disruptions.running() {
-            if let Some(step) = self.release(now, disruptions, release, view, (me, voters)) {
+            if let Some(step) = self.rollout_step(now, disruptions, release, view, (me, voters)) {
                 return Some(step);
             }
         }
-        self.asked(disruptions, view, voters, wants, own)
+        self.grant_requested(disruptions, view, voters, wants, own)
     }
 
     /// What becomes of the turns that are given.
-    fn permits(
+    fn permit_step(
         &mut self,
         now: Ms,
         disruptions: &DisruptionState,
         view: &FleetView,
     ) -> Option<RolloutStep> {
-        let release = disruptions.release.as_deref().filter(|r| !r.done);
+        let release = disruptions.rollout.as_deref().filter(|r| !r.finished);
         let (mut over, mut back) = (Vec::new(), Vec::new());
         let mut counts = release.map(|r| {
             (
                 r,
-                self.counts(disruptions, view.units(r.plan.of), r.plan.of, &r.bounds),
+                self.counts(
+                    disruptions,
+                    view.units(r.plan.unit_kind),
+                    r.plan.unit_kind,
+                    &r.budget,
+                ),
             )
         });
         for (number, permit) in &disruptions.permits {
-            let unit = view.units(permit.of).iter().find(|u| u.name == permit.who);
+            let unit = view
+                .units(permit.unit_kind)
+                .iter()
+                .find(|u| u.name == permit.unit);
             let stage = stage(permit, unit);
-            let seen = self.seen.entry(*number).or_insert(Seen {
-                first: now,
+            let seen = self.observations.entry(*number).or_insert(Seen {
+                first_seen_at: now,
                 ..Seen::default()
             });
-            if seen.since.is_none_or(|(before, _)| before != stage) {
-                seen.since = Some((stage, now));
+            if seen.stage_since.is_none_or(|(before, _)| before != stage) {
+                seen.stage_since = Some((stage, now));
             }
-            let lasted = now - seen.since.map_or(now, |(_, at)| at);
+            let lasted = now - seen.stage_since.map_or(now, |(_, at)| at);
             let plan = release.filter(|_| permit.planned).map(|r| &r.plan);
             let (begin, within, settle) = plan.map_or((BEGIN, BACK, SETTLE), |p| {
-                (p.begin_ms as f64, p.back_ms as f64, p.settle_ms as f64)
+                (
+                    p.start_timeout_ms as f64,
+                    p.return_timeout_ms as f64,
+                    p.settle_ms as f64,
+                )
             });
-            let goes_back = release.is_some_and(|r| r.back) && permit.planned;
+            let goes_back = release.is_some_and(|r| r.rolling_back) && permit.planned;
             // A turn of the way forward that is not over when the release goes back.
             let forward = goes_back
-                && release.is_some_and(|r| r.plan.before != permit.label)
-                && !permit.stays;
-            let late = now - seen.first > within;
+                && release.is_some_and(|r| r.plan.previous_label != permit.label)
+                && !permit.permanent;
+            let late = now - seen.first_seen_at > within;
             match stage {
                 // One that is gone has to be gone for as long as the roll takes to be whole.
-                PermitStage::Returned if permit.stays && (!view.whole || lasted < settle) => {}
+                PermitStage::Returned
+                    if permit.permanent && (!view.complete || lasted < settle) => {}
                 PermitStage::Returned if lasted >= settle => over.push(*number),
                 PermitStage::Returned => {}
-                PermitStage::Granted if seen.unbegun => back.push(*number),
+                PermitStage::Granted if seen.revoked => back.push(*number),
                 PermitStage::Granted => {
                     // What failed since it was given, or is used more now, may have taken its room: then it is not
                     // told, or not again.
                     let full = counts.as_mut().is_some_and(|(release, counts)| {
-                        let unbound = release.back && is_injected(InjectedFault::BackUnbound);
-                        permit.planned && !unbound && !still_fits(counts, unit, &release.bounds)
+                        let unbound =
+                            release.rolling_back && is_injected(InjectedFault::BackUnbound);
+                        permit.planned && !unbound && !still_fits(counts, unit, &release.budget)
                     });
-                    if disruptions.halted.is_some() || forward || full || now - seen.first > begin {
-                        self.revoke.push(*number);
+                    if disruptions.halted.is_some()
+                        || forward
+                        || full
+                        || now - seen.first_seen_at > begin
+                    {
+                        self.to_revoke.push(*number);
                     } else {
-                        self.tell.push(*number);
+                        self.to_notify.push(*number);
                     }
                 }
                 // In under another label than wanted, on the way back: its turn is over, and if it is to go it waits for
@@ -259,7 +279,10 @@
                 PermitStage::WrongVersion
                     if goes_back && disruptions.halted.is_none() && lasted >= settle =>
                 {
-                    let tried = self.tried.entry(permit.who.clone()).or_default();
+                    let tried = self
+                        .wrong_version_returns
+                        .entry(permit.unit.clone())
+                        .or_default();
                     *tried += u32::from(!forward);
                     if *tried > TOLD_BACK {
                         let label = unit.map_or("", |u| &u.label);
@@ -273,7 +296,7 @@
                         let permit = DisruptionPermit {
                             incarnation: unit.incarnation,
                             address: unit.address.clone(),
-                            label: r.plan.before.clone(),
+                            label: r.plan.previous_label.clone(),
                             ..permit.clone()
                         };
                         return Some(RolloutStep::Reissue(*number, permit));
@@ -282,12 +305,12 @@
                         return leave(disruptions, *number, "is not ready again".to_owned());
                     }
                 }
-                PermitStage::WrongVersion if seen.forgiven || !permit.planned => back.push(*number),
+                PermitStage::WrongVersion if seen.accepted || !permit.planned => back.push(*number),
                 PermitStage::WrongVersion if lasted >= settle && disruptions.halted.is_none() => {
                     let label = unit.map_or("", |u| &u.label);
                     let why = format!(
                         "{} came back under {label} in place of {}",
-                        permit.who.0, permit.label
+                        permit.unit.0, permit.label
                     );
                     return Some(RolloutStep::Halt(why));
                 }
@@ -302,7 +325,7 @@
                     };
                     return Some(RolloutStep::Halt(format!(
                         "{} {what} within its time",
-                        permit.who.0
+                        permit.unit.0
                     )));
                 }
                 _ => {}
@@ -315,7 +338,7 @@
     }
 
     /// The release's next step.
-    fn release(
+    fn rollout_step(
         &mut self,
         now: Ms,
         disruptions: &DisruptionState,
@@ -323,41 +346,48 @@
         view: &FleetView,
         (me, voters): (&Name, &BTreeSet<Name>),
     ) -> Option<RolloutStep> {
-        let (plan, bounds) = (&release.plan, &release.bounds);
-        let units = view.units(plan.of);
-        let mut counts = self.counts(disruptions, units, plan.of, bounds);
-        if self.wave.replace((release.wave, release.back)) != Some((release.wave, release.back)) {
-            self.over = None;
+        let (plan, bounds) = (&release.plan, &release.budget);
+        let units = view.units(plan.unit_kind);
+        let mut counts = self.counts(disruptions, units, plan.unit_kind, bounds);
+        if self
+            .observed_wave
+            .replace((release.wave, release.rolling_back))
+            != Some((release.wave, release.rolling_back))
+        {
+            self.wave_finished_at = None;
         }
         let planned = disruptions.permits.values().filter(|t| t.planned).count();
-        if !release.back {
-            let turning = |name: &Name| disruptions.turn_of(plan.of, name).is_some();
+        if !release.rolling_back {
+            let turning = |name: &Name| disruptions.permit_for(plan.unit_kind, name).is_some();
             let turned = turned(release, units, turning);
-            if let Some(why) = self.signs.look(
+            if let Some(why) = self.analysis.observe(
                 now,
-                units.iter().filter(|u| plan.takes(u)),
+                units.iter().filter(|u| plan.selects(u)),
                 &turned,
                 turning,
             ) {
                 return Some(RolloutStep::Halt(why));
             }
         }
-        match counts.broken(bounds).filter(|_| view.whole) {
+        match counts.exceeded(bounds).filter(|_| view.complete) {
             Some(binds)
-                if now - *self.broken.get_or_insert(now) > plan.watch_ms as f64
-                    && !release.back =>
+                if now - *self.budget_exceeded_since.get_or_insert(now)
+                    > plan.observe_ms as f64
+                    && !release.rolling_back =>
             {
                 return Some(RolloutStep::Halt(format!(
                     "more are out than may be: {binds}"
                 )));
             }
             Some(_) => {}
-            None => self.broken = None,
+            None => self.budget_exceeded_since = None,
         }
-        let (order, waits) = self.order(disruptions, release, units, me);
-        let room = match release.back {
+        let (order, waits) = self.candidates(disruptions, release, units, me);
+        let room = match release.rolling_back {
             true => MAX_PERMITS as u32,
-            false => plan.wave(release.wave).saturating_sub(release.given),
+            false => plan
+                .wave_size(release.wave)
+                .saturating_sub(release.granted_in_wave),
         };
         if order.is_empty() && waits.is_none() && planned == 0 {
             // Nobody is left that is seen; one that is not seen may be one of them. An engine that is gone comes back
@@ -365,31 +395,31 @@
             let beside = disruptions
                 .permits
                 .values()
-                .any(|permit| permit.of == plan.of);
-            self.why = match view.whole {
+                .any(|permit| permit.unit_kind == plan.unit_kind);
+            self.blocked_reason = match view.complete {
                 false => Some("the roll is not whole yet".to_owned()),
                 true if beside => Some("turns beside the release are not over".to_owned()),
-                true if plan.of == UnitKind::Engines => None,
-                true => counts.missing(units),
+                true if plan.unit_kind == UnitKind::Engines => None,
+                true => counts.missing_units(units),
             };
-            return self.why.is_none().then_some(RolloutStep::Finish);
+            return self.blocked_reason.is_none().then_some(RolloutStep::Finish);
         }
         if room == 0 && !order.is_empty() {
             if planned > 0 {
-                self.why = Some(format!("wave {} is not over", release.wave + 1));
+                self.blocked_reason = Some(format!("wave {} is not over", release.wave + 1));
                 return None;
             }
-            let since = *self.over.get_or_insert(now);
-            if now - since >= plan.watch_ms as f64 {
+            let since = *self.wave_finished_at.get_or_insert(now);
+            if now - since >= plan.observe_ms as f64 {
                 return Some(RolloutStep::NextWave);
             }
-            self.why = Some(format!("wave {} is watched", release.wave + 1));
+            self.blocked_reason = Some(format!("wave {} is watched", release.wave + 1));
             return None;
         }
         let most = (room as usize)
             .min(MOST_AT_ONCE)
             .min(MAX_PERMITS.saturating_sub(disruptions.permits.len()));
-        let (permits, binds) = self.pick(
+        let (permits, binds) = self.choose_permits(
             &order,
             most,
             &mut counts,
@@ -402,13 +432,13 @@
             return Some(RolloutStep::Grant(permits));
         }
         let out = (planned > 0).then(|| format!("{planned} turns are not over"));
-        self.why = binds.map(|binds| binds.to_string()).or(waits).or(out);
+        self.blocked_reason = binds.map(|binds| binds.to_string()).or(waits).or(out);
         None
     }
 
     /// Those of an order that may go now, and what binds the first that may not.
     #[allow(clippy::too_many_arguments)]
-    fn pick(
+    fn choose_permits(
         &self,
         order: &[&Unit],
         most: usize,
@@ -418,36 +448,36 @@
         view: &FleetView,
         voters: &BTreeSet<Name>,
     ) -> (Vec<DisruptionPermit>, Option<Violation>) {
-        let (plan, bounds) = (&release.plan, &release.bounds);
+        let (plan, bounds) = (&release.plan, &release.budget);
         let mut permits: Vec<DisruptionPermit> = Vec::new();
         let mut first = None;
         for unit in order {
             if permits.len() >= most {
                 break;
             }
-            let unbound = release.back && is_injected(InjectedFault::BackUnbound);
+            let unbound = release.rolling_back && is_injected(InjectedFault::BackUnbound);
             // One that is out already takes no room more.
-            if unit.stand == ServiceStatus::InService && !unbound {
+            if unit.status == ServiceStatus::InService && !unbound {
                 let voter = || voter_binds(unit, disruptions, view, voters, &permits);
-                let may = counts.may_go(unit, bounds).and_then(|()| voter());
+                let may = counts.check_disruption(unit, bounds).and_then(|()| voter());
                 if let Err(binds) = may {
                     first = first.or(Some(binds));
                     continue;
                 }
             }
-            counts.goes(unit);
+            counts.mark_unavailable(unit);
             permits.push(DisruptionPermit {
-                of: plan.of,
-                who: unit.name.clone(),
+                unit_kind: plan.unit_kind,
+                unit: unit.name.clone(),
                 incarnation: unit.incarnation,
                 address: unit.address.clone(),
                 zone: unit.zone.clone(),
-                label: if release.back {
-                    plan.before.clone()
+                label: if release.rolling_back {
+                    plan.previous_label.clone()
                 } else {
                     plan.label.clone()
                 },
-                stays: plan.stays,
+                permanent: plan.permanent,
                 planned: true,
             });
         }
@@ -461,18 +491,20 @@
         of: UnitKind,
         bounds: &DisruptionBudget,
     ) -> Counts {
-        let forgotten = |number: &PermitId| self.before.contains(number);
+        let forgotten = |number: &PermitId| self.forgotten_permits.contains(number);
         let turning: BTreeSet<&Name> = disruptions
             .permits
             .iter()
             .filter(|(number, permit)| {
-                permit.of == of && !forgotten(number) && !is_injected(InjectedFault::TurnTwice)
+                permit.unit_kind == of
+                    && !forgotten(number)
+                    && !is_injected(InjectedFault::TurnTwice)
             })
-            .map(|(_, permit)| &permit.who)
+            .map(|(_, permit)| &permit.unit)
             .collect();
         if is_injected(InjectedFault::FailuresUncounted) {
             let sound = |unit: &Unit| Unit {
-                stand: ServiceStatus::InService,
+                status: ServiceStatus::InService,
                 ..unit.clone()
             };
             let sound: Vec<Unit> = units.iter().map(sound).collect();
@@ -482,20 +514,20 @@
         }
         if is_injected(InjectedFault::OldReportTaken) {
             let bounds = DisruptionBudget {
-                report_age_ms: u64::MAX,
+                max_report_age_ms: u64::MAX,
                 ..*bounds
             };
-            return Counts::new(units.iter(), disruptions.sizes(of), &bounds, |u| {
+            return Counts::new(units.iter(), disruptions.zone_sizes(of), &bounds, |u| {
                 turning.contains(&u.name)
             });
         }
-        Counts::new(units.iter(), disruptions.sizes(of), bounds, |u| {
+        Counts::new(units.iter(), disruptions.zone_sizes(of), bounds, |u| {
             turning.contains(&u.name)
         })
     }
 
     /// Those that are still to go, in their order, and what is waited for beside them.
-    fn order<'a>(
+    fn candidates<'a>(
         &self,
         disruptions: &DisruptionState,
         release: &Rollout,
@@ -508,34 +540,38 @@
         let mut blocked: BTreeMap<&str, u64> = BTreeMap::new();
         let mut all: Vec<&Unit> = units
             .iter()
-            .filter(|u| plan.takes(u) && wanted(release, u))
+            .filter(|u| plan.selects(u) && wanted(release, u))
             .collect();
         all.sort_by_key(|unit| {
             let at = key(&unit.name);
             (
-                unit.name == *me && plan.of == UnitKind::Dispatchers,
-                if release.back { u64::MAX - at } else { at },
+                unit.name == *me && plan.unit_kind == UnitKind::Dispatchers,
+                if release.rolling_back {
+                    u64::MAX - at
+                } else {
+                    at
+                },
             )
         });
         for unit in all {
-            let left = release.left.contains_key(&unit.name);
+            let left = release.abandoned.contains_key(&unit.name);
             if left
                 || disruptions
-                    .turn_of(plan.of, &unit.name)
-                    .is_some_and(|(n, _)| !self.before.contains(n))
+                    .permit_for(plan.unit_kind, &unit.name)
+                    .is_some_and(|(n, _)| !self.forgotten_permits.contains(n))
             {
                 continue;
             }
             // Back, a dispatcher that is there and not ready may be told at once: it takes no room. An engine that is
             // cold will be ready by itself.
-            let engines = plan.of == UnitKind::Engines;
-            let there = unit.stand == ServiceStatus::InService
-                || release.back && !engines && unit.stand == ServiceStatus::Starting;
+            let engines = plan.unit_kind == UnitKind::Engines;
+            let there = unit.status == ServiceStatus::InService
+                || release.rolling_back && !engines && unit.status == ServiceStatus::Starting;
             match there {
                 true if engines && blocked.contains_key(unit.zone.as_str()) => {}
                 true => order.push(unit),
                 // An engine that is not listed any more comes back as another.
-                false if engines && unit.stand == ServiceStatus::OutOfService => {}
+                false if engines && unit.status == ServiceStatus::OutOfService => {}
                 false => {
                     if engines {
                         // A zone is gone through in order, or this one would be passed over.
@@ -549,7 +585,7 @@
     }
 
     /// Turns that dispatchers asked for.
-    fn asked(
+    fn grant_requested(
         &mut self,
         disruptions: &DisruptionState,
         view: &FleetView,
@@ -557,14 +593,14 @@
         wants: &[PermitRequest],
         own: &DisruptionBudget,
     ) -> Option<RolloutStep> {
-        if wants.is_empty() || !view.whole || disruptions.permits.len() >= MAX_PERMITS {
+        if wants.is_empty() || !view.complete || disruptions.permits.len() >= MAX_PERMITS {
             return None;
         }
         let running = disruptions
-            .release
+            .rollout
             .as_deref()
-            .filter(|r| !r.done && r.plan.of == UnitKind::Dispatchers);
-        let bounds = running.map_or(own, |r| &r.bounds);
+            .filter(|r| !r.finished && r.plan.unit_kind == UnitKind::Dispatchers);
+        let bounds = running.map_or(own, |r| &r.budget);
         let mut counts = self.counts(
             disruptions,
             &view.dispatchers,
@@ -576,28 +612,28 @@
             let unit = view
                 .dispatchers
                 .iter()
-                .find(|u| u.name == want.name && u.stand == ServiceStatus::InService);
+                .find(|u| u.name == want.name && u.status == ServiceStatus::InService);
             let Some(unit) = unit.filter(|u| {
                 disruptions
-                    .turn_of(UnitKind::Dispatchers, &u.name)
+                    .permit_for(UnitKind::Dispatchers, &u.name)
                     .is_none()
             }) else {
                 continue;
             };
             let voter = || voter_binds(unit, disruptions, view, voters, &permits);
-            if let Err(binds) = counts.may_go(unit, bounds).and_then(|()| voter()) {
-                self.why = self.why.take().or(Some(binds.to_string()));
+            if let Err(binds) = counts.check_disruption(unit, bounds).and_then(|()| voter()) {
+                self.blocked_reason = self.blocked_reason.take().or(Some(binds.to_string()));
                 continue;
             }
-            counts.goes(unit);
+            counts.mark_unavailable(unit);
             permits.push(DisruptionPermit {
-                of: UnitKind::Dispatchers,
-                who: unit.name.clone(),
+                unit_kind: UnitKind::Dispatchers,
+                unit: unit.name.clone(),
                 incarnation: unit.incarnation,
                 address: unit.address.clone(),
                 zone: unit.zone.clone(),
                 label: want.label.clone(),
-                stays: false,
+                permanent: false,
                 planned: false,
             });
         }
@@ -605,7 +641,7 @@
     }
 
     /// Counts for those that look: how many are out and how many may be, by zone.
-    pub fn room(
+    pub fn unavailable_counts(
         &self,
         disruptions: &DisruptionState,
         view: &FleetView,
@@ -613,38 +649,38 @@
         bounds: &DisruptionBudget,
     ) -> Vec<(String, u32, u32)> {
         self.counts(disruptions, view.units(of), of, bounds)
-            .room(bounds)
+            .unavailable_counts(bounds)
     }
 }
 
 /// Whether a unit is one that the release has still to turn, as it stands.
 fn wanted(release: &Rollout, unit: &Unit) -> bool {
     let plan = &release.plan;
-    if plan.of == UnitKind::Dispatchers {
-        return if release.back {
+    if plan.unit_kind == UnitKind::Dispatchers {
+        return if release.rolling_back {
             unit.label == plan.label
         } else {
             unit.label != plan.label
         };
     }
-    let reached = release.reached.get(&unit.zone).copied();
+    let reached = release.zone_progress.get(&unit.zone).copied();
     let passed = reached.is_some_and(|at| key(&unit.name) <= at);
-    if release.back {
+    if release.rolling_back {
         return passed;
     }
-    !passed || release.again.contains(&unit.name)
+    !passed || release.regrant.contains(&unit.name)
 }
 
 /// Those that have turned, by what is seen of them.
 fn turned(release: &Rollout, units: &[Unit], turning: impl Fn(&Name) -> bool) -> BTreeSet<Name> {
     let plan = &release.plan;
-    let has = |u: &&Unit| match plan.of {
+    let has = |u: &&Unit| match plan.unit_kind {
         UnitKind::Dispatchers => u.label == plan.label,
         UnitKind::Engines => !wanted(release, u) && !turning(&u.name),
     };
     units
         .iter()
-        .filter(|u| plan.takes(u))
+        .filter(|u| plan.selects(u))
         .filter(has)
         .map(|u| u.name.clone())
         .collect()
@@ -653,7 +689,7 @@
 /// The fleet is larger than was agreed.
 fn grown(disruptions: &DisruptionState, view: &FleetView, of: UnitKind) -> Option<RolloutStep> {
     let seen = sizes_seen(view.units(of).iter());
-    let known = disruptions.sizes(of);
+    let known = disruptions.zone_sizes(of);
     let more: ZoneSizes = seen
         .into_iter()
         .filter(|(zone, n)| *n > known.get(zone).copied().unwrap_or(0))
@@ -663,12 +699,12 @@
 
 /// Whether one whose turn is given could still be given it.
 fn still_fits(counts: &mut Counts, unit: Option<&Unit>, bounds: &DisruptionBudget) -> bool {
-    let Some(unit) = unit.filter(|u| u.stand == ServiceStatus::InService) else {
+    let Some(unit) = unit.filter(|u| u.status == ServiceStatus::InService) else {
         return true;
     };
-    counts.returns(unit);
-    let fits = counts.may_go(unit, bounds).is_ok();
-    counts.goes(unit);
+    counts.mark_available(unit);
+    let fits = counts.check_disruption(unit, bounds).is_ok();
+    counts.mark_unavailable(unit);
     fits
 }
 
@@ -687,9 +723,11 @@
         let seen = view
             .dispatchers
             .iter()
-            .any(|u| u.name == **name && u.stand == ServiceStatus::InService);
-        let permit = disruptions.turn_of(UnitKind::Dispatchers, name).is_some();
-        let going = permits.iter().any(|t| t.who == **name);
+            .any(|u| u.name == **name && u.status == ServiceStatus::InService);
+        let permit = disruptions
+            .permit_for(UnitKind::Dispatchers, name)
+            .is_some();
+        let going = permits.iter().any(|t| t.unit == **name);
         seen && !permit && !going
     };
     let out = voters.iter().filter(|name| !there(name)).count() as u32;
@@ -705,9 +743,9 @@
 
 fn leave(disruptions: &DisruptionState, number: PermitId, why: String) -> Option<RolloutStep> {
     let full = disruptions
-        .release
+        .rollout
         .as_deref()
-        .is_none_or(|r| r.left.len() >= MAX_ABANDONED);
+        .is_none_or(|r| r.abandoned.len() >= MAX_ABANDONED);
     match full {
         true => Some(RolloutStep::Halt(
             "more than can be named did not come back".to_owned(),
@@ -719,46 +757,46 @@
 /// What a member is told of its turn, as an act's body, and the list's keeper of an engine's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitNotice {
-    pub number: PermitId,
-    pub of: UnitKind,
-    pub who: Name,
+    pub permit: PermitId,
+    pub unit_kind: UnitKind,
+    pub unit: Name,
     pub incarnation: Incarnation,
     pub label: String,
-    pub stays: bool,
+    pub permanent: bool,
 }
 
 impl PermitNotice {
     pub fn new(number: PermitId, permit: &DisruptionPermit) -> Self {
         let DisruptionPermit {
-            of,
-            who,
+            unit_kind: of,
+            unit: who,
             incarnation,
             label,
-            stays,
+            permanent: stays,
             ..
         } = permit.clone();
         PermitNotice {
-            number,
-            of,
-            who,
+            permit: number,
+            unit_kind: of,
+            unit: who,
             incarnation,
             label,
-            stays,
+            permanent: stays,
         }
     }
 
     /// One word a line; a label is the last, as it may be empty.
     pub fn write(&self) -> Vec<u8> {
-        let of = if self.of == UnitKind::Engines {
+        let of = if self.unit_kind == UnitKind::Engines {
             "host"
         } else {
             "dispatcher"
         };
-        let stays = if self.stays { "stays" } else { "returns" };
-        let (number, incarnation) = (self.number.0, self.incarnation.0);
+        let stays = if self.permanent { "stays" } else { "returns" };
+        let (number, incarnation) = (self.permit.0, self.incarnation.0);
         format!(
             "turn\n{number}\n{of}\n{}\n{incarnation}\n{stays}\n{}",
-            self.who.0, self.label
+            self.unit.0, self.label
         )
         .into_bytes()
     }
@@ -782,12 +820,12 @@
         };
         (!who.is_empty()).then_some(())?;
         Some(PermitNotice {
-            number: PermitId(number.parse().ok()?),
-            of,
-            who: Name::from(who),
+            permit: PermitId(number.parse().ok()?),
+            unit_kind: of,
+            unit: Name::from(who),
             incarnation: Incarnation(incarnation.parse().ok()?),
             label: label.to_owned(),
-            stays,
+            permanent: stays,
         })
     }
 }
@@ -801,24 +839,24 @@
 ) -> Vec<Vec<Name>> {
     let mut left: Vec<&Unit> = units
         .iter()
-        .filter(|u| plan.takes(u) && u.stand == ServiceStatus::InService)
+        .filter(|u| plan.selects(u) && u.status == ServiceStatus::InService)
         .collect();
-    if plan.of == UnitKind::Dispatchers {
+    if plan.unit_kind == UnitKind::Dispatchers {
         left.retain(|u| u.label != plan.label);
     }
     left.sort_by_key(|u| key(&u.name));
     let mut waves = Vec::new();
     while !left.is_empty() && waves.len() < 10_000 {
-        let most = plan.wave(waves.len() as u32) as usize;
+        let most = plan.wave_size(waves.len() as u32) as usize;
         let mut wave: Vec<Name> = Vec::new();
         // A wave goes on until it is full: in parts, as the bounds let them.
         while wave.len() < most && !left.is_empty() {
             let mut counts = Counts::new(units.iter(), sizes, bounds, |_| false);
             let before = wave.len();
             left.retain(|unit| {
-                let goes = wave.len() < most && counts.may_go(unit, bounds).is_ok();
+                let goes = wave.len() < most && counts.check_disruption(unit, bounds).is_ok();
                 if goes {
-                    counts.goes(unit);
+                    counts.mark_unavailable(unit);
                     wave.push(unit.name.clone());
                 }
                 !goes
@@ -840,7 +878,7 @@
     permit: &'a DisruptionPermit,
     keeper: Option<&'a Address>,
 ) -> Option<&'a Address> {
-    if permit.of == UnitKind::Engines {
+    if permit.unit_kind == UnitKind::Engines {
         keeper
     } else {
         Some(&permit.address)
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -291,9 +291,9 @@
                 if !theirs {
                     return Err(CommandError::Outdated);
                 }
-                new.disruptions.step(step)?;
+                new.disruptions.apply_step(step)?;
             }
-            Command::OperatorCommand(word) => new.disruptions.word(word)?,
+            Command::OperatorCommand(word) => new.disruptions.apply_command(word)?,
             Command::FinishVoterChange if self.voters.before.is_none() => {
                 return Err(CommandError::Nothing)
             }
