--- a/crates/cindercleat-cli/src/release_plan.rs
+++ b/crates/cindercleat-cli/src/release_plan.rs
@@ -78,7 +78,7 @@
     }
     for (bounds, line) in both.iter().zip(last) {
         if let (Err(why), Some(line)) = (bounds.check(), line) {
-            return Err(line.wrong(&why));
+            return Err(line.wrong(&why.to_string()));
         }
     }
     let [dispatchers, engines] = both;
--- a/crates/cindercleat-cli/src/releases.rs
+++ b/crates/cindercleat-cli/src/releases.rs
@@ -111,16 +111,16 @@
     use serde_json::json;
     let disruptions = &full.disruptions;
     let permits = disruptions.permits.iter().map(
-        |(number, who, zone, at)| json!({"turn": number.0, "who": *who.0, "zone": zone, "at": at}),
+        |line| json!({"turn": line.permit.0, "who": *line.unit.0, "zone": line.zone, "at": line.stage}),
     );
     let room = disruptions
         .unavailable
         .iter()
-        .map(|(zone, out, most)| json!({"zone": zone, "out": out, "most": most}));
+        .map(|count| json!({"zone": count.zone, "out": count.unavailable, "most": count.limit}));
     let left = disruptions
         .abandoned
         .iter()
-        .map(|(who, why)| json!({"who": *who.0, "why": why}));
+        .map(|line| json!({"who": *line.unit.0, "why": line.reason}));
     json!({
         "majority": full.majority,
         "release": disruptions.name,
@@ -163,24 +163,27 @@
     if !why.is_empty() && why != halted {
         out += &format!("  waits: {why}\n");
     }
-    for (number, who, zone, at) in &disruptions.permits {
-        out += &format!("  turn {:<6} {:<20} {:<10} {at}\n", number.0, who.0, zone);
+    for line in &disruptions.permits {
+        out += &format!(
+            "  turn {:<6} {:<20} {:<10} {}\n",
+            line.permit.0, line.unit.0, line.zone, line.stage
+        );
     }
-    for (zone, is_out, most) in &disruptions.unavailable {
-        let place = if zone.is_empty() {
+    for count in &disruptions.unavailable {
+        let place = if count.zone.is_empty() {
             "fleet".to_owned()
         } else {
-            format!("zone {zone}")
+            format!("zone {}", count.zone)
         };
-        let most = if *most == u32::MAX {
+        let limit = if count.limit == u32::MAX {
             "any".to_owned()
         } else {
-            most.to_string()
+            count.limit.to_string()
         };
-        out += &format!("  {place:<20} {is_out} out, {most} may be\n");
+        out += &format!("  {place:<20} {} out, {limit} may be\n", count.unavailable);
     }
-    for (who, why) in &disruptions.abandoned {
-        out += &format!("  left for you: {} {why}\n", who.0);
+    for line in &disruptions.abandoned {
+        out += &format!("  left for you: {} {}\n", line.unit.0, line.reason);
     }
     for note in &disruptions.notes {
         out += &format!("  noted: {note}\n");
--- a/crates/fleet/src/care_words.rs
+++ b/crates/fleet/src/care_words.rs
@@ -2,10 +2,10 @@
 
 use crate::words::{address, name, text, LONGEST};
 use cindercleat::coordination::disruption_budget::{
-    DisruptionBudget, MaxUnavailable, OutcomeCounts, UnitKind, ZoneSizes,
+    DisruptionBudget, MaxUnavailable, OutcomeCounts, UnavailableCount, UnitKind, ZoneSizes,
 };
 use cindercleat::coordination::member::{
-    OperatorRequest, RolloutRequest, RolloutStatus, MAX_REPORTS,
+    AbandonedUnit, OperatorRequest, PermitStatus, RolloutRequest, RolloutStatus, MAX_REPORTS,
 };
 use cindercleat::coordination::membership::EngineReport;
 use cindercleat::coordination::rollout::{
@@ -450,20 +450,20 @@
 }
 
 pub(crate) fn status_out(status: &RolloutStatus) -> v1::FleetRolloutStatus {
-    let line = |(number, who, zone, at): &(PermitId, Name, String, String)| v1::FleetPermitLine {
-        number: number.0,
-        who: who.0.to_string(),
-        zone: zone.clone(),
-        at: at.clone(),
+    let line = |line: &PermitStatus| v1::FleetPermitLine {
+        number: line.permit.0,
+        who: line.unit.0.to_string(),
+        zone: line.zone.clone(),
+        at: line.stage.clone(),
     };
-    let room = |(zone, out, most): &(String, u32, u32)| v1::FleetRoom {
-        zone: zone.clone(),
-        out: *out,
-        most: *most,
+    let room = |count: &UnavailableCount| v1::FleetRoom {
+        zone: count.zone.clone(),
+        out: count.unavailable,
+        most: count.limit,
     };
-    let left = |(who, why): &(Name, String)| v1::FleetLeft {
-        who: who.0.to_string(),
-        why: why.clone(),
+    let left = |line: &AbandonedUnit| v1::FleetLeft {
+        who: line.unit.0.to_string(),
+        why: line.reason.clone(),
     };
     v1::FleetRolloutStatus {
         name: status.name.clone(),
@@ -488,15 +488,26 @@
         return Some(RolloutStatus::default());
     };
     let line = |l: &v1::FleetPermitLine| {
-        Some((
-            PermitId(l.number),
-            name(&l.who)?,
-            word(&l.zone)?,
-            word(&l.at)?,
-        ))
+        Some(PermitStatus {
+            permit: PermitId(l.number),
+            unit: name(&l.who)?,
+            zone: word(&l.zone)?,
+            stage: word(&l.at)?,
+        })
+    };
+    let left = |l: &v1::FleetLeft| {
+        Some(AbandonedUnit {
+            unit: name(&l.who)?,
+            reason: words(&l.why)?,
+        })
+    };
+    let room = |r: &v1::FleetRoom| {
+        Some(UnavailableCount {
+            zone: word(&r.zone)?,
+            unavailable: r.out,
+            limit: r.most,
+        })
     };
-    let left = |l: &v1::FleetLeft| Some((name(&l.who)?, words(&l.why)?));
-    let room = |r: &v1::FleetRoom| Some((word(&r.zone)?, r.out, r.most));
     Some(RolloutStatus {
         name: word(&said.name)?,
         unit_kind: of_in(said.engines),
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -1,12 +1,12 @@
 //! The fleet's words on the wire: there and back, and whatever else may come.
 
 use cindercleat::coordination::disruption_budget::{
-    DisruptionBudget, MaxUnavailable, OutcomeCounts, UnitKind,
+    DisruptionBudget, MaxUnavailable, OutcomeCounts, UnavailableCount, UnitKind,
 };
 use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::coordination::member::{
-    Answer, HeartbeatReply, OperatorRequest, Question, Reply, RolloutRequest, RolloutStatus, Seen,
-    Status,
+    AbandonedUnit, Answer, HeartbeatReply, OperatorRequest, PermitStatus, Question, Reply,
+    RolloutRequest, RolloutStatus, Seen, Status,
 };
 use cindercleat::coordination::membership::{EngineReport, Heartbeat};
 use cindercleat::coordination::register::{
@@ -291,14 +291,21 @@
     let status = RolloutStatus {
         name: "v2".to_owned(),
         state: "running".to_owned(),
-        permits: vec![(
-            PermitId(1),
-            Name::from("n"),
-            "z".to_owned(),
-            "out".to_owned(),
-        )],
-        unavailable: vec![(String::new(), 1, u32::MAX)],
-        abandoned: vec![(Name::from("n"), "why".to_owned())],
+        permits: vec![PermitStatus {
+            permit: PermitId(1),
+            unit: Name::from("n"),
+            zone: "z".to_owned(),
+            stage: "out".to_owned(),
+        }],
+        unavailable: vec![UnavailableCount {
+            zone: String::new(),
+            unavailable: 1,
+            limit: u32::MAX,
+        }],
+        abandoned: vec![AbandonedUnit {
+            unit: Name::from("n"),
+            reason: "why".to_owned(),
+        }],
         notes: vec!["note".to_owned()],
         ..RolloutStatus::default()
     };
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -9,8 +9,8 @@
 mod rollout;
 
 pub use operator_requests::{
-    MemberLine, OperatorRequest, Reply, RolloutRequest, RolloutStatus, Status, VoterLine,
-    LONGEST_NAME,
+    AbandonedUnit, MemberLine, OperatorRequest, PermitStatus, Reply, RolloutRequest, RolloutStatus,
+    Status, VoterLine, LONGEST_NAME,
 };
 pub use rollout::MAX_REPORTS;
 
--- a/src/coordination/member/operator_requests.rs
+++ b/src/coordination/member/operator_requests.rs
@@ -1,6 +1,7 @@
 //! What operators ask: who is there, who holds what, changes of voters, duties for their own jobs.
 
 use super::*;
+use crate::coordination::disruption_budget::UnavailableCount;
 use crate::coordination::lease::holder_of;
 use crate::coordination::membership::MemberStatus;
 use crate::coordination::rollout::RolloutPlan;
@@ -87,13 +88,35 @@
     pub completed: u32,
     pub selected: u32,
     /// Number, member, zone, and where it is.
-    pub permits: Vec<(PermitId, Name, String, String)>,
+    pub permits: Vec<PermitStatus>,
     /// How many are out and how many may be, over the fleet (no name) and by zone.
-    pub unavailable: Vec<(String, u32, u32)>,
-    pub abandoned: Vec<(Name, String)>,
+    pub unavailable: Vec<UnavailableCount>,
+    pub abandoned: Vec<AbandonedUnit>,
     pub notes: Vec<String>,
 }
 
+/// A permit and where its unit is.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PermitStatus {
+    /// The permit.
+    pub permit: PermitId,
+    /// The unit that may go.
+    pub unit: Name,
+    /// The unit's zone.
+    pub zone: String,
+    /// Where it is, in the operators' words: given, out, starting, back, back under another label.
+    pub stage: String,
+}
+
+/// A unit that did not come back as it should, left for operators.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AbandonedUnit {
+    /// The unit.
+    pub unit: Name,
+    /// What was seen of it, in words.
+    pub reason: String,
+}
+
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     Status(Box<Status>),
--- a/src/coordination/member/rollout.rs
+++ b/src/coordination/member/rollout.rs
@@ -3,7 +3,8 @@
 
 use super::*;
 use crate::coordination::disruption_budget::{
-    sizes_seen, Counts, DisruptionBudget, OutcomeCounts, ServiceStatus, Unit, UnitKind, ZoneSizes,
+    observed_zone_sizes, DisruptionBudget, OutcomeCounts, ServiceStatus, UnavailableCount, Unit,
+    UnitCounts, UnitKind, ZoneSizes,
 };
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::fencing::FencingDecision;
@@ -636,7 +637,7 @@
             .map_or(0.0, |roll| roll.heartbeat_interval(self.settings.heartbeat));
         let young = roll.is_none_or(|since| self.now - since < WHOLE_AFTER * every);
         let view = self.view_of_fleet();
-        let sizes_of = |of: UnitKind| sizes_seen(view.units(of).iter());
+        let sizes_of = |of: UnitKind| observed_zone_sizes(view.units(of).iter());
         let word = match order {
             RolloutRequest::Halt { .. } => return None,
             RolloutRequest::Permit {
@@ -802,7 +803,7 @@
                 "the settings of the fleet have no 'keeper' to list hosts as draining".to_owned(),
             );
         }
-        let counts = Counts::new(units.iter(), sizes, bounds, |_| false);
+        let counts = UnitCounts::new(units.iter(), sizes, bounds, |_| false);
         match counts.impossible_reason(units, bounds, |unit| plan.selects(unit)) {
             Some(why) => Err(why),
             None => Ok(()),
@@ -959,12 +960,12 @@
                 PermitStage::Returned => "back",
                 PermitStage::WrongVersion => "back under another label",
             };
-            (
-                *number,
-                permit.unit.clone(),
-                permit.zone.clone(),
-                at.to_owned(),
-            )
+            PermitStatus {
+                permit: *number,
+                unit: permit.unit.clone(),
+                zone: permit.zone.clone(),
+                stage: at.to_owned(),
+            }
         };
         let release = disruptions.rollout.as_deref();
         let why = conduct.and_then(|c| c.blocked_reason.clone());
@@ -1001,7 +1002,11 @@
             unavailable: conduct
                 .map(|c| c.unavailable_counts(disruptions, &view, of, bounds))
                 .unwrap_or_default(),
-            abandoned: release.iter().flat_map(|r| r.abandoned.clone()).collect(),
+            abandoned: release
+                .iter()
+                .flat_map(|r| r.abandoned.clone())
+                .map(|(unit, reason)| AbandonedUnit { unit, reason })
+                .collect(),
             notes: disruptions.notes.clone(),
         }
     }
@@ -1029,14 +1034,19 @@
         let names: Vec<&str> = wave.iter().map(|n| &*n.0).collect();
         out += &format!("  wave {}: {} ({})\n", at + 1, names.len(), names.join(" "));
     }
-    let counts = Counts::new(units.iter(), sizes, bounds, |_| false);
-    for (zone, is_out, most) in counts.unavailable_counts(bounds) {
+    let counts = UnitCounts::new(units.iter(), sizes, bounds, |_| false);
+    for UnavailableCount {
+        zone,
+        unavailable,
+        limit,
+    } in counts.unavailable_counts(bounds)
+    {
         let place = if zone.is_empty() {
             "the fleet".to_owned()
         } else {
             format!("zone {zone}")
         };
-        out += &format!("  {place}: {is_out} out now, {most} may be\n");
+        out += &format!("  {place}: {unavailable} out now, {limit} may be\n");
     }
     if let Some(binds) = units
         .iter()
--- a/src/coordination/rollout_controller.rs
+++ b/src/coordination/rollout_controller.rs
@@ -3,11 +3,12 @@
 //! anew; all that must not be lost is in the agreed value.
 
 use super::disruption_budget::{
-    sizes_seen, Counts, DisruptionBudget, ServiceStatus, Unit, UnitKind, Violation, ZoneSizes,
+    observed_zone_sizes, DisruptionBudget, ServiceStatus, UnavailableCount, Unit, UnitCounts,
+    UnitKind, Violation, ZoneSizes,
 };
 use super::fault_injection::{is_injected, InjectedFault};
 use super::rollout::{
-    key, DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan, RolloutStep,
+    order_key, DisruptionPermit, DisruptionState, PermitId, Rollout, RolloutPlan, RolloutStep,
     MAX_ABANDONED, MAX_PERMITS,
 };
 use super::rollout_analysis::RolloutAnalysis;
@@ -442,7 +443,7 @@
         &self,
         order: &[&Unit],
         most: usize,
-        counts: &mut Counts,
+        counts: &mut UnitCounts,
         release: &Rollout,
         disruptions: &DisruptionState,
         view: &FleetView,
@@ -490,7 +491,7 @@
         units: &[Unit],
         of: UnitKind,
         bounds: &DisruptionBudget,
-    ) -> Counts {
+    ) -> UnitCounts {
         let forgotten = |number: &PermitId| self.forgotten_permits.contains(number);
         let turning: BTreeSet<&Name> = disruptions
             .permits
@@ -508,7 +509,7 @@
                 ..unit.clone()
             };
             let sound: Vec<Unit> = units.iter().map(sound).collect();
-            return Counts::new(sound.iter(), &ZoneSizes::new(), bounds, |u| {
+            return UnitCounts::new(sound.iter(), &ZoneSizes::new(), bounds, |u| {
                 turning.contains(&u.name)
             });
         }
@@ -517,11 +518,11 @@
                 max_report_age_ms: u64::MAX,
                 ..*bounds
             };
-            return Counts::new(units.iter(), disruptions.zone_sizes(of), &bounds, |u| {
+            return UnitCounts::new(units.iter(), disruptions.zone_sizes(of), &bounds, |u| {
                 turning.contains(&u.name)
             });
         }
-        Counts::new(units.iter(), disruptions.zone_sizes(of), bounds, |u| {
+        UnitCounts::new(units.iter(), disruptions.zone_sizes(of), bounds, |u| {
             turning.contains(&u.name)
         })
     }
@@ -543,7 +544,7 @@
             .filter(|u| plan.selects(u) && wanted(release, u))
             .collect();
         all.sort_by_key(|unit| {
-            let at = key(&unit.name);
+            let at = order_key(&unit.name);
             (
                 unit.name == *me && plan.unit_kind == UnitKind::Dispatchers,
                 if release.rolling_back {
@@ -575,7 +576,7 @@
                 false => {
                     if engines {
                         // A zone is gone through in order, or this one would be passed over.
-                        blocked.entry(&unit.zone).or_insert(key(&unit.name));
+                        blocked.entry(&unit.zone).or_insert(order_key(&unit.name));
                     }
                     waits = waits.or(Some(format!("{} is not ready", unit.name.0)));
                 }
@@ -640,14 +641,14 @@
         (!permits.is_empty()).then_some(RolloutStep::Grant(permits))
     }
 
-    /// Counts for those that look: how many are out and how many may be, by zone.
+    /// UnitCounts for those that look: how many are out and how many may be, by zone.
     pub fn unavailable_counts(
         &self,
         disruptions: &DisruptionState,
         view: &FleetView,
         of: UnitKind,
         bounds: &DisruptionBudget,
-    ) -> Vec<(String, u32, u32)> {
+    ) -> Vec<UnavailableCount> {
         self.counts(disruptions, view.units(of), of, bounds)
             .unavailable_counts(bounds)
     }
@@ -664,7 +665,7 @@
         };
     }
     let reached = release.zone_progress.get(&unit.zone).copied();
-    let passed = reached.is_some_and(|at| key(&unit.name) <= at);
+    let passed = reached.is_some_and(|at| order_key(&unit.name) <= at);
     if release.rolling_back {
         return passed;
     }
@@ -688,7 +689,7 @@
 
 /// The fleet is larger than was agreed.
 fn grown(disruptions: &DisruptionState, view: &FleetView, of: UnitKind) -> Option<RolloutStep> {
-    let seen = sizes_seen(view.units(of).iter());
+    let seen = observed_zone_sizes(view.units(of).iter());
     let known = disruptions.zone_sizes(of);
     let more: ZoneSizes = seen
         .into_iter()
@@ -698,7 +699,7 @@
 }
 
 /// Whether one whose turn is given could still be given it.
-fn still_fits(counts: &mut Counts, unit: Option<&Unit>, bounds: &DisruptionBudget) -> bool {
+fn still_fits(counts: &mut UnitCounts, unit: Option<&Unit>, bounds: &DisruptionBudget) -> bool {
     let Some(unit) = unit.filter(|u| u.status == ServiceStatus::InService) else {
         return true;
     };
@@ -733,11 +734,11 @@
     let out = voters.iter().filter(|name| !there(name)).count() as u32;
     match out {
         0 => Ok(()),
-        out => Err(Violation::Ready(
-            "voters",
-            format!("{out} of the voters are out"),
-            voters.len() as u32,
-        )),
+        out => Err(Violation::MinReady {
+            role: "voters",
+            place: format!("{out} of the voters are out"),
+            minimum: voters.len() as u32,
+        }),
     }
 }
 
@@ -844,14 +845,14 @@
     if plan.unit_kind == UnitKind::Dispatchers {
         left.retain(|u| u.label != plan.label);
     }
-    left.sort_by_key(|u| key(&u.name));
+    left.sort_by_key(|u| order_key(&u.name));
     let mut waves = Vec::new();
     while !left.is_empty() && waves.len() < 10_000 {
         let most = plan.wave_size(waves.len() as u32) as usize;
         let mut wave: Vec<Name> = Vec::new();
         // A wave goes on until it is full: in parts, as the bounds let them.
         while wave.len() < most && !left.is_empty() {
-            let mut counts = Counts::new(units.iter(), sizes, bounds, |_| false);
+            let mut counts = UnitCounts::new(units.iter(), sizes, bounds, |_| false);
             let before = wave.len();
             left.retain(|unit| {
                 let goes = wave.len() < most && counts.check_disruption(unit, bounds).is_ok();
