--- a/crates/faults/src/duties/small_release.rs
+++ b/crates/faults/src/duties/small_release.rs
@@ -10,7 +10,9 @@
 use cindercleat::coordination::rollout::{
     DisruptionState, OperatorCommand, PermitId, Rollout, RolloutPlan, RolloutStep,
 };
-use cindercleat::coordination::rollout_controller::{FleetView, RolloutController};
+use cindercleat::coordination::rollout_controller::{
+    ControllerInputs, FleetView, RolloutController,
+};
 use cindercleat::coordination::{Address, Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -122,20 +124,26 @@
     fn look(state: &State, who: usize) -> Option<(String, State)> {
         let mut after = state.clone();
         let caller = &state.callers[who];
-        let mut conduct = RolloutController::new(&caller.knows);
+        let mut controller = RolloutController::new(&caller.knows);
         let (nobody, view) = (BTreeSet::new(), Self::view(state));
         let me = Name::from("nobody");
-        let step = |conduct: &mut RolloutController| {
-            conduct.next_step(0.0, &caller.knows, &view, (&me, &nobody), (&[], &bounds()))
+        let inputs = ControllerInputs {
+            now: 0.0,
+            disruptions: &caller.knows,
+            view: &view,
+            me: &me,
+            voters: &nobody,
+            requests: &[],
+            request_budget: &bounds(),
         };
         // What it was told of turns asked back it has to know again: it is made anew at each look.
-        let mut next = step(&mut conduct);
+        let mut next = controller.next_step(&inputs);
         if !caller.unbegun.is_empty() {
             caller
                 .unbegun
                 .iter()
-                .for_each(|permit| conduct.record_revocation_reply(*permit, false));
-            next = step(&mut conduct);
+                .for_each(|permit| controller.record_revocation_reply(*permit, false));
+            next = controller.next_step(&inputs);
         }
         if is_injected(InjectedFault::ToldBeforeAgreed) {
             if let Some(RolloutStep::Grant(permits)) = &next {
@@ -158,13 +166,13 @@
             return (after != *state).then(|| (format!("{who} tells before"), after));
         }
         if caller.knows.halted.is_none() {
-            for number in &conduct.to_notify {
+            for number in &controller.to_notify {
                 let permit = caller.knows.permits.get(number)?;
                 let to = (0..state.members.len()).find(|at| name(*at) == permit.unit)?;
                 after.acts.insert((who, *number, to, permit.incarnation.0));
             }
         }
-        for number in conduct.to_revoke.clone() {
+        for number in controller.to_revoke.clone() {
             let begun = ask_back(&mut after, number, &caller.knows);
             if !begun {
                 after.callers[who].unbegun.insert(number);
--- a/src/coordination/member/rollout.rs
+++ b/src/coordination/member/rollout.rs
@@ -13,8 +13,8 @@
     DisruptionPermit, DisruptionState, OperatorCommand, PermitId, Rollout, RolloutPlan, RolloutStep,
 };
 use crate::coordination::rollout_controller::{
-    stage, told_at, waves, FleetView, PermitNotice as TurnTold, PermitRequest, PermitStage,
-    RolloutController,
+    notice_address, permit_stage, planned_waves, ControllerInputs, FleetView,
+    PermitNotice as TurnTold, PermitRequest, PermitStage, RolloutController,
 };
 use crate::coordination::state::CommandError;
 use std::collections::BTreeSet;
@@ -234,7 +234,15 @@
             .conduct
             .get_or_insert_with(|| RolloutController::new(&disruptions));
         let own = &self.settings.bounds.0;
-        let step = conduct.next_step(now, &disruptions, &view, (&me, &voters), (&wants, own));
+        let step = conduct.next_step(&ControllerInputs {
+            now,
+            disruptions: &disruptions,
+            view: &view,
+            me: &me,
+            voters: &voters,
+            requests: &wants,
+            request_budget: own,
+        });
         let (tell, revoke) = (
             std::mem::take(&mut conduct.to_notify),
             std::mem::take(&mut conduct.to_revoke),
@@ -368,7 +376,7 @@
             // Its own turn: the roll-call goes to another first.
             return self.told_turn(&told, out);
         }
-        let Some(to) = told_at(permit, self.settings.keeper.as_ref()).cloned() else {
+        let Some(to) = notice_address(permit, self.settings.keeper.as_ref()).cloned() else {
             return;
         };
         let next = self
@@ -445,7 +453,7 @@
             let begun = self.asked_back(number, permit.incarnation);
             return self.answered(errand, Some(Answer::Begun { begun }), out);
         }
-        if let Some(to) = told_at(permit, self.settings.keeper.as_ref()).cloned() {
+        if let Some(to) = notice_address(permit, self.settings.keeper.as_ref()).cloned() {
             let (of, who, incarnation) =
                 (permit.unit_kind, permit.unit.clone(), permit.incarnation);
             self.ask(
@@ -730,7 +738,7 @@
         if let Some((number, permit)) = permit {
             let view = self.view_of_fleet();
             let unit = view.dispatchers.iter().find(|u| u.name == name);
-            return match stage(permit, unit) {
+            return match permit_stage(permit, unit) {
                 PermitStage::Granted => {
                     Reply::Pending(format!("turn {} is given and being told", number.0))
                 }
@@ -952,7 +960,7 @@
                 .units(permit.unit_kind)
                 .iter()
                 .find(|u| u.name == permit.unit);
-            let at = match stage(permit, unit) {
+            let at = match permit_stage(permit, unit) {
                 _ if self.roll.is_none() => "given",
                 PermitStage::Granted => "given",
                 PermitStage::Draining => "out",
@@ -1025,7 +1033,7 @@
     units: &[Unit],
     sizes: &ZoneSizes,
 ) -> String {
-    let waves = waves(plan, bounds, units, sizes);
+    let waves = planned_waves(plan, bounds, units, sizes);
     let mut out = format!(
         "release {} of {}, as they are now:\n",
         plan.name, plan.unit_kind
--- /dev/null
+++ b/src/coordination/rollout_controller/granting.rs
@@ -0,0 +1,118 @@
+//! Which units are granted permits now.
+
+use super::inputs::ControllerInputs;
+use super::unit_counts::check_voters;
+use crate::coordination::disruption_budget::{
+    DisruptionBudget, ServiceStatus, Unit, UnitCounts, UnitKind, Violation,
+};
+use crate::coordination::fault_injection::{is_injected, InjectedFault};
+use crate::coordination::rollout::{DisruptionPermit, Rollout};
+
+/// Permits to grant, and what forbids the first unit that gets none.
+#[derive(Debug, Default)]
+pub(super) struct Grants {
+    /// To be agreed on in one step.
+    pub permits: Vec<DisruptionPermit>,
+    /// The limit that forbids the first unit without a permit.
+    pub forbidden_by: Option<Violation>,
+}
+
+impl Grants {
+    /// Grants permits of a rollout to candidates, in their order, as long as the budget allows.
+    pub fn to_candidates(
+        candidates: &[&Unit],
+        max_permits: usize,
+        counts: &mut UnitCounts,
+        inputs: &ControllerInputs<'_>,
+        rollout: &Rollout,
+    ) -> Grants {
+        let plan = &rollout.plan;
+        let label = match rollout.rolling_back {
+            true => &plan.previous_label,
+            false => &plan.label,
+        };
+        let unchecked = rollout.rolling_back && is_injected(InjectedFault::BackUnbound);
+        let mut grants = Grants::default();
+        for unit in candidates {
+            if grants.permits.len() >= max_permits {
+                break;
+            }
+            // A unit that is unavailable already uses up no more of the budget.
+            let is_checked = unit.status == ServiceStatus::InService && !unchecked;
+            if is_checked && !grants.is_allowed(unit, counts, inputs, &rollout.budget) {
+                continue;
+            }
+            counts.mark_unavailable(unit);
+            grants.permits.push(DisruptionPermit {
+                permanent: plan.permanent,
+                planned: true,
+                ..permit_for(unit, plan.unit_kind, label)
+            });
+        }
+        grants
+    }
+
+    /// Grants permits to dispatchers that asked for them, in the order of their names.
+    pub fn to_requests(
+        counts: &mut UnitCounts,
+        inputs: &ControllerInputs<'_>,
+        budget: &DisruptionBudget,
+    ) -> Grants {
+        let mut grants = Grants::default();
+        for request in inputs.requests {
+            let unit = inputs
+                .view
+                .dispatchers
+                .iter()
+                .find(|u| u.name == request.name && u.status == ServiceStatus::InService);
+            let has_permit = inputs
+                .disruptions
+                .permit_for(UnitKind::Dispatchers, &request.name)
+                .is_some();
+            let Some(unit) = unit.filter(|_| !has_permit) else {
+                continue;
+            };
+            if !grants.is_allowed(unit, counts, inputs, budget) {
+                continue;
+            }
+            counts.mark_unavailable(unit);
+            let permit = permit_for(unit, UnitKind::Dispatchers, &request.label);
+            grants.permits.push(permit);
+        }
+        grants
+    }
+
+    /// Whether a unit may go; else what forbids it is noted, unless something is noted already.
+    fn is_allowed(
+        &mut self,
+        unit: &Unit,
+        counts: &UnitCounts,
+        inputs: &ControllerInputs<'_>,
+        budget: &DisruptionBudget,
+    ) -> bool {
+        let allowed = counts
+            .check_disruption(unit, budget)
+            .and_then(|()| check_voters(unit, inputs, &self.permits));
+        match allowed {
+            Ok(()) => true,
+            Err(violation) => {
+                self.forbidden_by.get_or_insert(violation);
+                false
+            }
+        }
+    }
+}
+
+/// A permit beside a rollout, for a unit that comes back.
+fn permit_for(unit: &Unit, unit_kind: UnitKind, label: &str) -> DisruptionPermit {
+    DisruptionPermit {
+        unit_kind,
+        unit: unit.name.clone(),
+        incarnation: unit.incarnation,
+        address: unit.address.clone(),
+        zone: unit.zone.clone(),
+        label: label.to_owned(),
+        permanent: false,
+        planned: false,
+    }
+}
