--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -62,7 +62,7 @@
             stopping: self.stopping,
             load: self.load,
             holds: self.holds.len() as u32,
-            tally: self.disruptions.tally,
+            tally: self.disruptions.outcomes,
             reports,
         }
     }
@@ -161,7 +161,8 @@
 
     /// When none of this process's acts can be obeyed any more, if no answer comes.
     pub(super) fn acts_done_at(&self) -> Ms {
-        let permits = self.disruptions.acts.values().map(|acts| acts.unsure_until);
+        let receivers = self.disruptions.receivers.values();
+        let permits = receivers.map(|receiver| receiver.unsure_until);
         self.told
             .iter()
             .map(|told| told.unsure_until)
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -390,7 +390,7 @@
     acts: u64,
     receiver: Receiver,
     // Turns and releases.
-    disruptions: rollout::Releasing,
+    disruptions: rollout::RolloutState,
     // Questions.
     asks: u64,
     out: BTreeMap<QuestionId, Out>,
@@ -453,7 +453,7 @@
             told,
             acts: 0,
             receiver,
-            disruptions: rollout::Releasing::default(),
+            disruptions: rollout::RolloutState::default(),
             asks: 0,
             out: BTreeMap::new(),
             inspecting: BTreeMap::new(),
@@ -492,12 +492,12 @@
         self.ask_again(out);
         self.give_up_waiting(out);
         self.care_for_voter(out);
-        self.look_after();
+        self.run_rollout_controller();
         self.go_on(out);
         self.heartbeat(out);
         self.tell(out);
-        self.tell_turns(out);
-        self.care_for_halt(out);
+        self.send_permit_notices(out);
+        self.confirm_halt(out);
         self.inspect(out);
         if self.stopping && !self.stopped && self.holds.is_empty() && self.giving.is_empty() {
             self.stopped = true;
@@ -516,7 +516,7 @@
         self.care_at().into_iter().for_each(&mut sooner);
         self.go_on_at().into_iter().for_each(&mut sooner);
         self.tell_at().into_iter().for_each(&mut sooner);
-        self.care_wants_at().into_iter().for_each(&mut sooner);
+        self.rollout_wakes_at().into_iter().for_each(&mut sooner);
         self.inspecting.values().for_each(|i| sooner(i.until()));
         self.steady.reading_at(at.max(self.now))
     }
@@ -541,7 +541,7 @@
 
     /// The release as this dispatcher sees it.
     pub fn release_status(&self) -> RolloutStatus {
-        self.care_status()
+        self.rollout_status()
     }
 
     /// The newest value seen, agreed on or not.
@@ -671,7 +671,7 @@
             Question::FencedCommand(act) => {
                 let verdict = self.receiver.receive(self.now, &act);
                 if verdict == FencingDecision::Executed {
-                    self.obeyed(&act, out);
+                    self.command_executed(&act, out);
                 }
                 Answer::FencingDecision {
                     verdict,
@@ -686,7 +686,7 @@
             } => {
                 let mine = of == UnitKind::Dispatchers && who == self.settings.me;
                 Answer::Begun {
-                    begun: !mine || self.asked_back(permit, incarnation),
+                    begun: !mine || self.revoke_unless_begun(permit, incarnation),
                 }
             }
             Question::Operator(order) => return self.order(call, order, out),
@@ -757,21 +757,21 @@
                     }) => Some((verdict, receiver_timestamp)),
                     _ => None,
                 };
-                self.turn_told(&to, permit, verdict, out);
+                self.permit_notice_answered(&to, permit, verdict, out);
             }
             (Errand::ByHand { call, note }, answer) => {
                 let reply = match answer {
                     Some(Answer::Reply(reply)) => Some(reply),
                     _ => None,
                 };
-                self.stopped_by_hand(call, note, reply, out);
+                self.stop_by_hand_answered(call, note, reply, out);
             }
             (errand @ (Errand::Revoke { .. } | Errand::HaltAsk { .. }), answer) => {
                 let begun = match answer {
                     Some(Answer::Begun { begun }) => Some(begun),
                     _ => None,
                 };
-                self.asked_back_said(&errand, begun);
+                self.revocation_answered(&errand, begun);
             }
             (Errand::Look { .. } | Errand::Witness { .. } | Errand::Nudge, _) => {}
         }
--- a/src/coordination/member/operator_requests.rs
+++ b/src/coordination/member/operator_requests.rs
@@ -247,12 +247,12 @@
                 }
                 Reply::Done(format!("{} let go", lease_name.0))
             }
-            OperatorRequest::Rollout(order) => match self.order_release(call, order) {
+            OperatorRequest::Rollout(order) => match self.rollout_request(call, order) {
                 Some(reply) => reply,
                 None => return,
             },
             OperatorRequest::ByHand { who, address, why } => {
-                match self.order_by_hand(call, who, address, why, out) {
+                match self.stop_by_hand(call, who, address, why, out) {
                     Some(reply) => reply,
                     None => return,
                 }
@@ -514,7 +514,7 @@
                 .as_ref()
                 .filter(|(_, h)| h.incarnation != self.settings.incarnation)
                 .map(|(_, h)| h.address.clone()),
-            disruptions: self.care_status(),
+            disruptions: self.rollout_status(),
         }
     }
 
@@ -542,7 +542,7 @@
             Command::AddVoter { name, .. } => (name.0.clone(), "votes from now on"),
             Command::RemoveVoter { name } => (name.0.clone(), "votes no more"),
             Command::OperatorCommand(word) => {
-                let answer = Answer::Reply(self.word_said(word, done, value));
+                let answer = Answer::Reply(self.operator_command_done(word, done, value));
                 out.push(Output::Answer { call, answer });
                 return;
             }
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -198,7 +198,7 @@
                         .max(self.acts_done_at())
                 });
             let gives = !self.giving.is_empty() && self.acts_are_done();
-            let steps = self.wanted_step().is_some();
+            let steps = self.proposed_step().is_some();
             let now =
                 (gives || steps || !self.wishes.is_empty() || self.settles()).then_some(self.now);
             let next = renew.chain(takes).chain(now).fold(f64::INFINITY, f64::min);
@@ -261,7 +261,7 @@
         if let Some(wish) = self.wishes.first() {
             return Some((Purpose::Wish(wish.call), wish.change.clone()));
         }
-        if let Some(step) = self.wanted_step() {
+        if let Some(step) = self.proposed_step() {
             return Some(step);
         }
         self.settles()
@@ -435,7 +435,7 @@
                 self.again_at = self.now + wait * (0.5 + chance);
                 self.failures += 1;
                 if purpose == Purpose::RolloutStep {
-                    self.step_tried(false);
+                    self.step_proposed(false);
                 }
             }
         }
@@ -489,7 +489,7 @@
             Purpose::Wish(call) => self.wish_done(call, Ok(()), Some(value), out),
             Purpose::RolloutStep => {
                 self.count("steps");
-                self.step_tried(true);
+                self.step_proposed(true);
             }
             Purpose::Settle => self.count("settled"),
         }
@@ -510,7 +510,7 @@
                 self.giving.remove(&lease_name);
             }
             Purpose::Wish(call) => self.wish_done(call, Err(why), None, out),
-            Purpose::RolloutStep => self.step_tried(false),
+            Purpose::RolloutStep => self.step_proposed(false),
             Purpose::Settle => self.again_at = self.now + self.settings.lease.gap(),
         }
     }
--- /dev/null
+++ b/src/coordination/member/rollout/fleet_view.rs
@@ -0,0 +1,82 @@
+//! The fleet as the membership leader sees it.
+
+use super::super::*;
+use crate::coordination::disruption_budget::ServiceStatus;
+use crate::coordination::membership::{self, MemberStatus};
+use crate::coordination::rollout_controller::FleetView;
+
+/// Heartbeat intervals of a new leader until its view is complete: a dispatcher that is there has been heard by then,
+/// and one that is silent is known to be.
+const COMPLETE_AFTER_HEARTBEATS: f64 = 12.0;
+
+impl Member {
+    pub(super) fn fleet_view(&self) -> FleetView {
+        let Some(membership) = &self.roll else {
+            return FleetView::default();
+        };
+        let dispatchers = membership.members();
+        let engines = self.disruptions.engines.iter();
+        FleetView {
+            dispatchers: dispatchers
+                .map(|(name, member)| self.dispatcher_unit(membership, name, member))
+                .collect(),
+            engines: engines
+                .map(|unit| self.engine_unit(membership, unit))
+                .collect(),
+            complete: self.is_view_complete(),
+        }
+    }
+
+    /// Whether this dispatcher has led for long enough to have heard every dispatcher that is there.
+    pub(super) fn is_view_complete(&self) -> bool {
+        self.roll.as_ref().is_some_and(|membership| {
+            let interval = membership.heartbeat_interval(self.settings.heartbeat);
+            self.now - membership.since >= COMPLETE_AFTER_HEARTBEATS * interval
+        })
+    }
+
+    fn dispatcher_unit(
+        &self,
+        membership: &Membership,
+        name: &Name,
+        member: &membership::Member,
+    ) -> Unit {
+        let heartbeat = &member.heartbeat;
+        let status = match membership.member_status(self.now, member, self.settings.heartbeat) {
+            MemberStatus::Suspected | MemberStatus::Dead => ServiceStatus::OutOfService,
+            _ if heartbeat.stopping => ServiceStatus::Draining,
+            _ if !heartbeat.ready => ServiceStatus::Starting,
+            _ => ServiceStatus::InService,
+        };
+        Unit {
+            name: name.clone(),
+            incarnation: heartbeat.who.incarnation,
+            address: heartbeat.who.address.clone(),
+            zone: heartbeat.zone.clone(),
+            cell: String::new(),
+            kind: String::new(),
+            role: None,
+            label: heartbeat.label.clone(),
+            status,
+            utilization: None,
+            outcomes: heartbeat.tally,
+        }
+    }
+
+    /// An engine of this dispatcher's list, with the freshest report of its load and all dispatchers' outcomes.
+    fn engine_unit(&self, membership: &Membership, unit: &Unit) -> Unit {
+        let reported = membership.engine(&unit.name);
+        let reported_utilization = reported
+            .and_then(|usage| usage.used)
+            .map(|(fraction, at)| (fraction, self.now - at));
+        let utilization = match (unit.utilization, reported_utilization) {
+            (Some(own), Some(reported)) if reported.1 < own.1 => Some(reported),
+            (own, reported) => own.or(reported),
+        };
+        Unit {
+            utilization,
+            outcomes: reported.map(|usage| usage.tally).unwrap_or_default(),
+            ..unit.clone()
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/member/rollout/stop_by_hand.rs
@@ -0,0 +1,82 @@
+//! An operator stops one dispatcher without agreement, as for a fleet that cannot agree.
+
+use super::super::*;
+use crate::coordination::rollout::OperatorCommand;
+
+impl Member {
+    /// The dispatcher that is to stop drains; any other passes the request on, and has it noted once the fleet agrees
+    /// again. None: it is answered once the other dispatcher answered.
+    pub(in super::super) fn stop_by_hand(
+        &mut self,
+        call: CallId,
+        who: Name,
+        address: Option<Address>,
+        why: String,
+        out: &mut Vec<Output>,
+    ) -> Option<Reply> {
+        if who == self.settings.me {
+            return Some(self.stop_this_by_hand(&why, out));
+        }
+        let membership = self.roll.as_ref();
+        let member = membership.and_then(|roll| roll.address(&who)).cloned();
+        let voter = self.settings.voters.get(&who).cloned();
+        let Some(to) = address.or(member).or(voter) else {
+            let why = format!("nobody here knows where {} is: name its address", who.0);
+            return Some(Reply::Refused(why));
+        };
+        let note = format!("{} was stopped by hand, without agreement: {why}", who.0);
+        out.push(Output::Warn(note.clone()));
+        let request = OperatorRequest::ByHand {
+            who,
+            address: None,
+            why,
+        };
+        let errand = Errand::ByHand { call, note };
+        self.ask(to, Question::Operator(request), errand, out);
+        None
+    }
+
+    fn stop_this_by_hand(&mut self, why: &str, out: &mut Vec<Output>) -> Reply {
+        let warning = format!("stopped by hand, without agreement: {why}");
+        out.push(Output::Warn(warning));
+        self.count("stopped by hand");
+        self.drain();
+        out.push(Output::PermitGranted {
+            permit: PermitId(0),
+            label: String::new(),
+        });
+        Reply::Done(format!("{} drains and ends", self.settings.me.0))
+    }
+
+    /// The dispatcher that was to stop answered, or did not.
+    pub(in super::super) fn stop_by_hand_answered(
+        &mut self,
+        call: CallId,
+        note: String,
+        reply: Option<Reply>,
+        out: &mut Vec<Output>,
+    ) {
+        let reply = match reply {
+            Some(Reply::Done(text)) => {
+                self.note_once_agreed(note);
+                Reply::Done(format!("{text}; noted once the fleet agrees"))
+            }
+            Some(Reply::Refused(why)) => Reply::Refused(why),
+            _ => Reply::Refused("it does not answer".to_owned()),
+        };
+        out.push(Output::Answer {
+            call,
+            answer: Answer::Reply(reply),
+        });
+    }
+
+    fn note_once_agreed(&mut self, note: String) {
+        self.asks += 1;
+        self.wishes.push(Wish {
+            // Nobody waits for this: a number that no call has.
+            call: CallId(u64::MAX - self.asks),
+            change: Command::OperatorCommand(OperatorCommand::Note(note)),
+            until: f64::INFINITY,
+        });
+    }
+}
