--- a/src/coordination/member/operator_requests.rs
+++ b/src/coordination/member/operator_requests.rs
@@ -1,6 +1,7 @@
 //! What operators ask: who is there, who holds what, changes of voters, duties for their own jobs.
 
 use super::*;
+use crate::coordination::disruption_budget::UnavailableCount;
 use crate::coordination::lease::holder_of;
 use crate::coordination::membership::MemberStatus;
 use crate::coordination::rollout::RolloutPlan;
@@ -48,25 +49,25 @@
     /// `skip`: those that the plan names and that are not there are passed over. `dry`: it is only shown.
     Start {
         plan: Box<RolloutPlan>,
-        skip: bool,
-        dry: bool,
+        skip_missing: bool,
+        dry_run: bool,
     },
     /// Given again until it is acknowledged.
     Halt {
-        why: String,
+        reason: String,
     },
     Resume,
     RollBack,
     End,
     /// Whoever is missing now is missed no more.
     Recount {
-        of: UnitKind,
+        unit_kind: UnitKind,
     },
     /// Wants a turn for a dispatcher, or goes on to; `refused`: wants it no more.
     Permit {
         name: Name,
         label: String,
-        refused: bool,
+        cancel: bool,
     },
 }
 
@@ -74,26 +75,48 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutStatus {
     pub name: String,
-    pub of: UnitKind,
+    pub unit_kind: UnitKind,
     /// none, waiting, running, held, halted, going back, done.
     pub state: String,
     pub halted: String,
     /// Why nothing goes out now.
-    pub why: String,
+    pub blocked_reason: String,
     /// The wave counted from 1, how many turns it gave, of how many.
     pub wave: u32,
-    pub given: u32,
-    pub of_wave: u32,
-    pub turned: u32,
-    pub meant: u32,
+    pub granted_in_wave: u32,
+    pub wave_size: u32,
+    pub completed: u32,
+    pub selected: u32,
     /// Number, member, zone, and where it is.
-    pub permits: Vec<(PermitId, Name, String, String)>,
+    pub permits: Vec<PermitStatus>,
     /// How many are out and how many may be, over the fleet (no name) and by zone.
-    pub room: Vec<(String, u32, u32)>,
-    pub left: Vec<(Name, String)>,
+    pub unavailable: Vec<UnavailableCount>,
+    pub abandoned: Vec<AbandonedUnit>,
     pub notes: Vec<String>,
 }
 
+/// A permit and where its unit is.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PermitStatus {
+    /// The permit.
+    pub permit: PermitId,
+    /// The unit that may go.
+    pub unit: Name,
+    /// The unit's zone.
+    pub zone: String,
+    /// Where it is, in the operators' words: given, out, starting, back, back under another label.
+    pub stage: String,
+}
+
+/// A unit that did not come back as it should, left for operators.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AbandonedUnit {
+    /// The unit.
+    pub unit: Name,
+    /// What was seen of it, in words.
+    pub reason: String,
+}
+
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     Status(Box<Status>),
@@ -224,12 +247,12 @@
                 }
                 Reply::Done(format!("{} let go", lease_name.0))
             }
-            OperatorRequest::Rollout(order) => match self.order_release(call, order) {
+            OperatorRequest::Rollout(order) => match self.rollout_request(call, order) {
                 Some(reply) => reply,
                 None => return,
             },
             OperatorRequest::ByHand { who, address, why } => {
-                match self.order_by_hand(call, who, address, why, out) {
+                match self.stop_by_hand(call, who, address, why, out) {
                     Some(reply) => reply,
                     None => return,
                 }
@@ -499,7 +522,7 @@
                 .as_ref()
                 .filter(|(_, h)| h.incarnation != self.settings.incarnation)
                 .map(|(_, h)| h.address.clone()),
-            disruptions: self.care_status(),
+            disruptions: self.rollout_status(),
         }
     }
 
@@ -527,7 +550,7 @@
             Command::AddVoter { name, .. } => (name.0.clone(), "votes from now on"),
             Command::RemoveVoter { name } => (name.0.clone(), "votes no more"),
             Command::OperatorCommand(word) => {
-                let answer = Answer::Reply(self.word_said(word, done, value));
+                let answer = Answer::Reply(self.operator_command_done(word, done, value));
                 out.push(Output::Answer { call, answer });
                 return;
             }
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -209,7 +209,7 @@
             } => {
                 let is_mine = of == UnitKind::Dispatchers && who == self.settings.me;
                 Answer::Begun {
-                    begun: !is_mine || self.asked_back(permit, incarnation),
+                    begun: !is_mine || self.revoke_unless_begun(permit, incarnation),
                 }
             }
         };
@@ -231,7 +231,7 @@
     ) -> Answer {
         let verdict = self.receiver.receive(self.now, command);
         if verdict == FencingDecision::Executed {
-            self.obeyed(command, out);
+            self.command_executed(command, out);
         }
         Answer::FencingDecision {
             verdict,
@@ -277,13 +277,13 @@
                 self.report_answered(receiver, fencing_decision_in(answer));
             }
             RequestPurpose::TurnAct { to, permit } => {
-                self.turn_told(&to, permit, fencing_decision_in(answer), out);
+                self.permit_notice_answered(&to, permit, fencing_decision_in(answer), out);
             }
             RequestPurpose::ByHand { call, note } => {
-                self.stopped_by_hand(call, note, operator_reply_in(answer), out);
+                self.stop_by_hand_answered(call, note, operator_reply_in(answer), out);
             }
             RequestPurpose::Revoke { .. } | RequestPurpose::HaltAsk { .. } => {
-                self.asked_back_said(&purpose, begun_in(answer));
+                self.revocation_answered(&purpose, begun_in(answer));
             }
         }
     }
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -289,9 +289,9 @@
                 step,
             } => {
                 new.held_by(lease_name, (*term, who))?;
-                new.disruptions.step(step)?;
+                new.disruptions.apply_step(step)?;
             }
-            Command::OperatorCommand(command) => new.disruptions.word(command)?,
+            Command::OperatorCommand(command) => new.disruptions.apply_command(command)?,
         }
         Ok(new)
     }
