--- /dev/null
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -0,0 +1,253 @@
+//! What happens to connections to engines: up, due, dropped, closed.
+
+use super::kv_states::ReleaseCall;
+use super::stream_purpose::StreamPurpose;
+use super::*;
+use cindercleat::connection_pool::{CloseReason, PoolCommand};
+
+/// An engine is told to wait for a millisecond at least: 0 would say nothing.
+const LEAST_WAIT: Ms = 1.0;
+
+impl Dispatcher {
+    pub(super) fn take_link_up(
+        &mut self,
+        id: EngineConnectionId,
+        limit: Option<usize>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(connection) = self.connections.get_mut(id) else {
+            let reason = "not wanted any more".to_owned();
+            return out.push(Output::CloseConnection {
+                connection: id,
+                reason,
+            });
+        };
+        let (engine, waiting) = (
+            connection.engine.clone(),
+            std::mem::take(&mut connection.waiting),
+        );
+        self.connections
+            .come_up(id, limit, self.now, &mut self.timers);
+        // Guards against a drain that was learned while the connection came up: an attempt that has not gone out does
+        // not go out any more, and is known not to have run.
+        let ready = self.endpoints.status(&engine) == EndpointStatus::Ready
+            || fault_injection::is(Plant::DrainReadLate);
+        self.flush_releases(&engine, out);
+        for (stream, mut body) in waiting {
+            let purpose = self
+                .connections
+                .get(id)
+                .and_then(|l| l.streams.get(&stream).cloned());
+            if let Some(StreamPurpose::Attempt(request, _)) = &purpose {
+                self.tell_time_left(*request, &mut body);
+            }
+            let frame = frame(stream.0, body);
+            match purpose {
+                Some(StreamPurpose::Release(call)) => {
+                    if self.release_goes_out(id, stream, &call) {
+                        out.push(Output::ToEngine {
+                            connection: id,
+                            frame,
+                        });
+                    }
+                }
+                // Nor does one whose client has gone meanwhile: nobody waits for it.
+                Some(StreamPurpose::Attempt(request, _)) if !ready || self.is_answered(request) => {
+                    self.close_stream(id, stream);
+                    self.end_attempt(request, Outcome::NotSent, 0.0, Load::default());
+                }
+                Some(StreamPurpose::Attempt(request, _)) => {
+                    if let Some(request) = self.requests.get_mut(&request) {
+                        request.note_sent(self.now);
+                    }
+                    out.push(Output::ToEngine {
+                        connection: id,
+                        frame,
+                    });
+                }
+                _ => out.push(Output::ToEngine {
+                    connection: id,
+                    frame,
+                }),
+            }
+        }
+    }
+
+    /// The connection of a release has come up: it goes out now, unless there is nothing to release any more, or its request
+    /// needs what is held.
+    pub(super) fn release_goes_out(
+        &mut self,
+        id: EngineConnectionId,
+        stream: StreamId,
+        call: &ReleaseCall,
+    ) -> bool {
+        let goes_out = self
+            .kv_states
+            .to_release(call.request)
+            .is_some_and(|state| !self.is_needed(state));
+        if !goes_out {
+            self.close_stream(id, stream);
+            self.release_unsent(call);
+        } else if let Some(connection) = self.connections.get_mut(id) {
+            connection.streams.insert(
+                stream,
+                StreamPurpose::Release(ReleaseCall {
+                    begun: self.now,
+                    ..call.clone()
+                }),
+            );
+        }
+        goes_out
+    }
+
+    /// An attempt that has waited for its connection tells its engine what is left now.
+    pub(super) fn tell_time_left(&self, request: RequestId, body: &mut Body) {
+        let Some(attempt) = self
+            .requests
+            .get(&request)
+            .and_then(|request| request.out.as_ref())
+        else {
+            return;
+        };
+        let left = (attempt.until - self.now).max(LEAST_WAIT);
+        match body {
+            Body::Prefill(read) => read.wait_ms = left,
+            Body::Decode(write) => write.wait_ms = left,
+            _ => {}
+        }
+    }
+
+    pub(super) fn is_answered(&self, request: RequestId) -> bool {
+        self.requests
+            .get(&request)
+            .is_some_and(|request| request.answered)
+    }
+
+    pub(super) fn close_stream(
+        &mut self,
+        id: EngineConnectionId,
+        stream: StreamId,
+    ) -> Option<StreamPurpose> {
+        self.connections
+            .close_stream(id, stream, self.now, &mut self.timers)
+    }
+
+    pub(super) fn close_idle(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
+        for id in self.connections.ids_of(engine) {
+            if self.connections.is_idle(id) {
+                self.drop_link(id, "idle", out);
+            }
+        }
+    }
+
+    /// What has fallen due for the connections to an engine.
+    pub(super) fn look_at_links(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
+        let row = self.endpoints.engines.get(engine);
+        let ready = row.is_some_and(|r| r.status == EndpointStatus::Ready);
+        let address = row.map(|r| r.line.address.clone()).unwrap_or_default();
+        for act in self.connections.wanted(engine, self.now, ready) {
+            match act {
+                PoolCommand::Connect => {
+                    let to = (&mut self.timers, &mut *out);
+                    self.connections.dial(engine, &address, self.now, to);
+                }
+                PoolCommand::Ping(id) => {
+                    self.connections.send(
+                        EngineConnectionId(id.0),
+                        StreamId(0),
+                        Body::Ping(v1::Ping {}),
+                        out,
+                    );
+                }
+                PoolCommand::Close(id, why) => {
+                    let reason = match why {
+                        CloseReason::ConnectTimeout => "no connection in time",
+                        CloseReason::Idle => "idle",
+                        CloseReason::Dead => "it does not answer",
+                        CloseReason::Left => "it goes away",
+                    };
+                    self.drop_link(EngineConnectionId(id.0), reason, out);
+                }
+            }
+        }
+        self.connections.arm(engine, &mut self.timers);
+    }
+
+    /// Closes a connection from this side.
+    pub(super) fn drop_link(
+        &mut self,
+        id: EngineConnectionId,
+        reason: &str,
+        out: &mut Vec<Output>,
+    ) {
+        if self.connections.get(id).is_some() {
+            out.push(Output::CloseConnection {
+                connection: id,
+                reason: reason.to_owned(),
+            });
+            self.take_link_closed(id, reason, out);
+        }
+    }
+
+    /// Whatever was out on a connection that came up may have run; on one that did not, nothing was sent.
+    pub(super) fn take_link_closed(
+        &mut self,
+        id: EngineConnectionId,
+        reason: &str,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(connection) = self.connections.remove(id, self.now) else {
+            return;
+        };
+        let outcome = match connection.up {
+            true if fault_injection::is(Plant::BrokenAsFull) => Outcome::Overloaded,
+            true => Outcome::ConnectionLost,
+            false => Outcome::Unreachable,
+        };
+        // A connection that ends with what was called off ends as it should.
+        let streams = connection
+            .streams
+            .values()
+            .filter(|purpose| **purpose != StreamPurpose::Past)
+            .count();
+        if streams > 0 {
+            let text = format!(
+                "link to {} over with {streams} streams: {reason}",
+                connection.engine.0
+            );
+            out.push(Output::Log {
+                level: Level::Warn,
+                text,
+            });
+        }
+        self.retry_releases(&connection.engine);
+        for (_, purpose) in connection.streams {
+            match purpose {
+                StreamPurpose::Attempt(request, _) => {
+                    self.finish_attempt(
+                        request,
+                        outcome,
+                        "the writer's connection broke",
+                        Load::default(),
+                        out,
+                    );
+                }
+                StreamPurpose::Probe { sent } => {
+                    let (engine, load) = (connection.engine.clone(), Load::default());
+                    self.events.push(Event::HealthChecked {
+                        engine,
+                        outcome,
+                        latency: self.now - sent,
+                        load,
+                    });
+                }
+                StreamPurpose::Release(call) => self.release_lost(connection.engine.clone(), &call),
+                StreamPurpose::EngineRelease(release) => {
+                    self.engine_release_lost(connection.engine.clone(), release)
+                }
+                StreamPurpose::Hold(..) | StreamPurpose::Sign | StreamPurpose::Past => {}
+            }
+        }
+        self.forget_gone(&connection.engine);
+    }
+}
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -1,8 +1,7 @@
 //! EngineConnections: connections to engines, and what is out on each. Which one a stream takes, when one more is
 //! dialled, asked whether it lives or closed, [`ConnectionPool`] decides.
 
-use super::engine_releases::EngineRelease;
-use super::kv_states::ReleaseCall;
+use super::stream_purpose::StreamPurpose;
 use super::timers::{Due, Timers};
 use super::{EngineConnectionId, Output, StreamId};
 use crate::settings::ProgramSettings;
@@ -10,27 +9,10 @@
     ConnectionId, ConnectionPool, Placement, PlacementError, PoolCommand,
 };
 use cindercleat::control::RECEIVED_LATE;
-use cindercleat::interface::{AttemptId, EngineId, Ms, RequestId};
+use cindercleat::interface::{EngineId, Ms};
 use cindercleat_protocol::{frame, Body};
 use std::collections::BTreeMap;
 
-/// What a stream of a connection is for.
-#[derive(Clone, Debug, PartialEq)]
-pub(super) enum StreamPurpose {
-    Attempt(RequestId, AttemptId),
-    Probe {
-        sent: Ms,
-    },
-    Hold(RequestId, AttemptId),
-    /// Asked to release what is held for a request, at whatever engine.
-    Release(ReleaseCall),
-    EngineRelease(EngineRelease),
-    /// Asked for nothing but a sign that its engine runs.
-    Sign,
-    /// Given up here; whatever still comes is old.
-    Past,
-}
-
 #[derive(Debug)]
 pub(super) struct EngineConnection {
     pub engine: EngineId,
--- a/crates/dispatcher/src/state/delivery.rs
+++ b/crates/dispatcher/src/state/delivery.rs
@@ -3,7 +3,7 @@
 //! Written bytes are no proof. The answer to a call that was begun after the attempt was sent is one, on whatever
 //! connection it comes; so is anything that comes so long after it that it cannot have been under way before.
 
-use super::connections::StreamPurpose;
+use super::stream_purpose::StreamPurpose;
 use super::*;
 
 /// The part of the release time within which an engine has to answer when it is asked for a sign. Then the connection
--- a/crates/dispatcher/src/state/engine_releases.rs
+++ b/crates/dispatcher/src/state/engine_releases.rs
@@ -1,8 +1,8 @@
 //! Releases where a state belongs to one engine and goes by an id of its own, over connections that carry many calls: a
 //! release goes to that engine until it has confirmed it. One that is lost on its way would leave the state pinned.
 
-use super::connections::StreamPurpose;
 use super::kv_states::Held;
+use super::stream_purpose::StreamPurpose;
 use super::*;
 
 /// A release is sent again after this part of the release time.
@@ -10,13 +10,6 @@
 /// For how many release times one that nobody confirms is sent again.
 const GIVE_UP_AFTER: f64 = 10.0;
 
-/// A release that its engine has not confirmed yet.
-#[derive(Clone, Debug, PartialEq)]
-pub(super) struct EngineRelease {
-    held: Held,
-    since: Ms,
-}
-
 impl Dispatcher {
     pub(super) fn release_at_engine(&mut self, held: Held, out: &mut Vec<Output>) {
         let engine = held.engine.clone();
--- /dev/null
+++ b/crates/dispatcher/src/state/release_targets.rs
@@ -0,0 +1,99 @@
+//! Which engines are asked next to release a KV state, where any engine passes a release on.
+
+use super::kv_states::KvState;
+use super::releases::CONFIRM_PART;
+use super::*;
+
+/// Each round without an answer asks one engine more at once, so many at the most: when nearly all of a fleet are silent,
+/// one after another would take too long.
+const MOST_AT_ONCE: usize = 4;
+
+impl Dispatcher {
+    /// The engines that the next round asks: the one that holds the state, or that most likely runs; one more for each that has
+    /// not answered.
+    pub(super) fn engines_to_ask(
+        &self,
+        state: &KvState,
+        unconfirmed: &mut Vec<EngineId>,
+    ) -> Vec<EngineId> {
+        let more = unconfirmed.len().min(MOST_AT_ONCE - 1);
+        let mut asked: Vec<EngineId> = self.holder_to_ask(state, unconfirmed).into_iter().collect();
+        while asked.len() < 1 + more {
+            let Some(next) = self.next_engine(unconfirmed, &asked) else {
+                break;
+            };
+            asked.push(next);
+        }
+        asked
+    }
+
+    /// The engine that holds the state, if it has not been asked, and was heard lately or was to prefill it just now. Guards
+    /// against a release that overtakes the end of a prefill that was cut off: by way of a nearer engine it could come before
+    /// the state is there.
+    pub(super) fn holder_to_ask(
+        &self,
+        state: &KvState,
+        unconfirmed: &[EngineId],
+    ) -> Option<EngineId> {
+        let engine = &state.held.engine;
+        let may_ask = self.endpoints.status(engine) != EndpointStatus::Gone
+            && !self.connections.is_asked_in_vain(engine);
+        let was_cut =
+            state.release.confirmed == 0 && state.unknowing().any(|other| other == engine);
+        let fits =
+            may_ask && (was_cut || self.was_heard_lately(engine)) && !unconfirmed.contains(engine);
+        fits.then(|| engine.clone())
+    }
+
+    pub(super) fn was_heard_lately(&self, engine: &EngineId) -> bool {
+        self.connections.heard_at(engine)
+            >= self.now - self.settings.policy.kv_state_timeout / CONFIRM_PART
+    }
+
+    /// The engine that most likely runs, of those that have not been asked: none that has left a question unanswered since it
+    /// was heard, if there is another; one that was heard lately and has a connection at rest, one that was heard lately,
+    /// or the one that was heard last. Once all were asked it begins anew. Guards against a part of the fleet that falls
+    /// silent at once: its connections at rest stay up, while those of the engines that work are busy.
+    pub(super) fn next_engine(
+        &self,
+        unconfirmed: &mut Vec<EngineId>,
+        taken: &[EngineId],
+    ) -> Option<EngineId> {
+        let ready =
+            |(_, row): &(&EngineId, &endpoints::EngineEntry)| row.status == EndpointStatus::Ready;
+        let engines: Vec<&EngineId> = self
+            .endpoints
+            .engines
+            .iter()
+            .filter(ready)
+            .map(|(engine, _)| engine)
+            .collect();
+        if engines.iter().all(|engine| unconfirmed.contains(engine)) {
+            // The last one asked is not asked again at once, if there is another.
+            let asked = unconfirmed.len();
+            unconfirmed.drain(..asked.saturating_sub(1));
+        }
+        let rank = |engine: &EngineId| {
+            let fresh = self.was_heard_lately(engine);
+            let rests = fresh && self.connections.up(engine, true).is_some();
+            (
+                !self.connections.is_suspected(engine),
+                fresh,
+                rests,
+                self.connections.heard_at(engine),
+            )
+        };
+        let order = |a: &&EngineId, b: &&EngineId| {
+            let (a, b) = (rank(a), rank(b));
+            (a.0, a.1, a.2)
+                .cmp(&(b.0, b.1, b.2))
+                .then(a.3.total_cmp(&b.3))
+        };
+        // Guards against a storm: all requests that a process has open at a silent engine would ask it again and again.
+        let unasked = engines
+            .into_iter()
+            .filter(|engine| !unconfirmed.contains(engine) && !taken.contains(engine));
+        let unasked = unasked.filter(|engine| !self.connections.is_asked_in_vain(engine));
+        unasked.max_by(order).cloned()
+    }
+}
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -2,13 +2,13 @@
 //!
 //! Whether a confirmed one counts, the state's record tells (`kv_states.rs`). Until then it is sent again.
 
-use super::connections::StreamPurpose;
-use super::kv_states::{Held, KvState, ReleaseCall};
+use super::kv_states::{Held, ReleaseCall};
+use super::stream_purpose::StreamPurpose;
 use super::*;
 
 /// The part of the release time within which an engine has to confirm a release, and the part that passes before the next
 /// round where none has: first, and later.
-const CONFIRM_PART: f64 = 4.0;
+pub(super) const CONFIRM_PART: f64 = 4.0;
 const NEXT_ROUND_PART: f64 = 25.0;
 const SLOW_ROUND_PART: f64 = 4.0;
 /// Where a release was confirmed that does not count: in release times, when it is sent again for the first time, and how often
@@ -17,13 +17,6 @@
 const FIRST_REPEAT: f64 = 0.75;
 const REPEAT: f64 = 1.0;
 const EVEN_REPEATS: u32 = 10;
-/// Where a release waits for an attempt of its request: the part of the release time after which the attempt's engine is
-/// asked for a sign, and the part after which an attempt without one is waited for no longer.
-const ASK_PART: f64 = 4.0;
-const DOUBT_PART: f64 = 2.0;
-/// Each round without an answer asks one engine more at once, so many at the most: when nearly all of a fleet are silent,
-/// one after another would take too long.
-const MOST_AT_ONCE: usize = 4;
 /// For so many release times the next round comes soon; then it is likely that hardly any engine can be reached.
 const HURRIED_FOR: f64 = 2.0;
 /// For how many release times a release is sent again that was confirmed and is not known to have taken effect, and one that
@@ -272,7 +265,7 @@
     }
 
     /// Has a release looked at at an instant, and not before.
-    fn look_again(&mut self, id: RequestId, at: Ms) {
+    pub(super) fn look_again(&mut self, id: RequestId, at: Ms) {
         let Some(state) = self.kv_states.get_mut(id) else {
             return;
         };
@@ -307,193 +300,6 @@
             }
         }
     }
-
-    /// The open request that goes by the id for which a state is held, and its attempt that is out.
-    fn open_request(&self, state: &KvState) -> Option<(RequestId, Option<&requests::Attempt>)> {
-        let id = *self.origins.get(&state.held.origin)?;
-        Some((
-            id,
-            self.requests
-                .get(&id)
-                .and_then(|request| request.out.as_ref()),
-        ))
-    }
-
-    /// Whether an attempt of a request is out.
-    fn is_attempted(&self, id: RequestId) -> bool {
-        let request = self
-            .kv_states
-            .get(id)
-            .and_then(|state| self.open_request(state));
-        request.is_some_and(|(_, attempt)| attempt.is_some())
-    }
-
-    /// Whether a release would end what its request still needs, as it does not tell a prefill's state from the next one's.
-    /// A decode attempt that is out for a state which the decisions have released needs nothing, and a prefill that has not
-    /// arrived neither.
-    pub(super) fn is_needed(&self, state: &KvState) -> bool {
-        let Some((id, attempt)) = self.open_request(state) else {
-            return false;
-        };
-        let needs = |attempt: &requests::Attempt| {
-            let may_arrive = self.now < self.doubted_from(state, attempt) + self.doubt_lasts();
-            attempt.first || attempt.reading && (may_arrive || self.has_arrived(attempt))
-        };
-        let is_on_offer = self
-            .kv_states
-            .on_offer(id)
-            .is_some_and(|state| !state.is_to_release());
-        is_on_offer || attempt.is_some_and(needs)
-    }
-
-    /// How long a release waits for a prefill that may not have arrived.
-    fn doubt_lasts(&self) -> Ms {
-        self.settings.policy.kv_state_timeout / DOUBT_PART
-    }
-
-    /// Since when. A release that has gone out before waits for each prefill anew.
-    fn doubted_from(&self, state: &KvState, attempt: &requests::Attempt) -> Ms {
-        let wanted = state.release.wanted;
-        if state.release.calls > 0 {
-            wanted.max(attempt.since)
-        } else {
-            wanted
-        }
-    }
-
-    /// A release waits for an attempt of its request. One that may not have arrived: its engine is asked for a sign, and
-    /// without one the release goes out in time.
-    fn wait_for_attempt(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(state) = self.kv_states.get_mut(id) else {
-            return;
-        };
-        state.release.since = self.now;
-        let mut again = self.now + self.settings.policy.kv_state_timeout / DOUBT_PART;
-        let Some(state) = self.kv_states.get(id) else {
-            return;
-        };
-        let Some((of, attempt)) = self.open_request(state) else {
-            return;
-        };
-        if let Some(attempt) =
-            attempt.filter(|attempt| !attempt.first && !self.has_arrived(attempt))
-        {
-            let from = self.doubted_from(state, attempt);
-            let asks_at = from + self.settings.policy.kv_state_timeout / ASK_PART;
-            again = if self.now < asks_at {
-                asks_at
-            } else {
-                from + self.doubt_lasts()
-            };
-            let (no, is_doubted) = (attempt.no, attempt.is_doubted);
-            if self.now >= asks_at && !is_doubted {
-                self.confirm(of, no, out);
-            }
-        }
-        self.look_again(id, again.max(self.now));
-    }
-
-    /// The engines that the next round asks: the one that holds the state, or that most likely runs; one more for each that has
-    /// not answered.
-    fn engines_to_ask(&self, state: &KvState, unconfirmed: &mut Vec<EngineId>) -> Vec<EngineId> {
-        let more = unconfirmed.len().min(MOST_AT_ONCE - 1);
-        let mut asked: Vec<EngineId> = self.holder_to_ask(state, unconfirmed).into_iter().collect();
-        while asked.len() < 1 + more {
-            let Some(next) = self.next_engine(unconfirmed, &asked) else {
-                break;
-            };
-            asked.push(next);
-        }
-        asked
-    }
-
-    /// The engine that holds the state, if it has not been asked, and was heard lately or was to prefill it just now. Guards
-    /// against a release that overtakes the end of a prefill that was cut off: by way of a nearer engine it could come before
-    /// the state is there.
-    fn holder_to_ask(&self, state: &KvState, unconfirmed: &[EngineId]) -> Option<EngineId> {
-        let engine = &state.held.engine;
-        let may_ask = self.endpoints.status(engine) != EndpointStatus::Gone
-            && !self.connections.is_asked_in_vain(engine);
-        let was_cut =
-            state.release.confirmed == 0 && state.unknowing().any(|other| other == engine);
-        let fits =
-            may_ask && (was_cut || self.was_heard_lately(engine)) && !unconfirmed.contains(engine);
-        fits.then(|| engine.clone())
-    }
-
-    fn was_heard_lately(&self, engine: &EngineId) -> bool {
-        self.connections.heard_at(engine)
-            >= self.now - self.settings.policy.kv_state_timeout / CONFIRM_PART
-    }
-
-    /// The engine that most likely runs, of those that have not been asked: none that has left a question unanswered since it
-    /// was heard, if there is another; one that was heard lately and has a connection at rest, one that was heard lately,
-    /// or the one that was heard last. Once all were asked it begins anew. Guards against a part of the fleet that falls
-    /// silent at once: its connections at rest stay up, while those of the engines that work are busy.
-    fn next_engine(&self, unconfirmed: &mut Vec<EngineId>, taken: &[EngineId]) -> Option<EngineId> {
-        let ready =
-            |(_, row): &(&EngineId, &endpoints::EngineEntry)| row.status == EndpointStatus::Ready;
-        let engines: Vec<&EngineId> = self
-            .endpoints
-            .engines
-            .iter()
-            .filter(ready)
-            .map(|(engine, _)| engine)
-            .collect();
-        if engines.iter().all(|engine| unconfirmed.contains(engine)) {
-            // The last one asked is not asked again at once, if there is another.
-            let asked = unconfirmed.len();
-            unconfirmed.drain(..asked.saturating_sub(1));
-        }
-        let rank = |engine: &EngineId| {
-            let fresh = self.was_heard_lately(engine);
-            let rests = fresh && self.connections.up(engine, true).is_some();
-            (
-                !self.connections.is_suspected(engine),
-                fresh,
-                rests,
-                self.connections.heard_at(engine),
-            )
-        };
-        let order = |a: &&EngineId, b: &&EngineId| {
-            let (a, b) = (rank(a), rank(b));
-            (a.0, a.1, a.2)
-                .cmp(&(b.0, b.1, b.2))
-                .then(a.3.total_cmp(&b.3))
-        };
-        // Guards against a storm: all requests that a process has open at a silent engine would ask it again and again.
-        let unasked = engines
-            .into_iter()
-            .filter(|engine| !unconfirmed.contains(engine) && !taken.contains(engine));
-        let unasked = unasked.filter(|engine| !self.connections.is_asked_in_vain(engine));
-        unasked.max_by(order).cloned()
-    }
-
-    /// An attempt of a request is over: what is held for it may be taken back, and what is to be released can be.
-    pub(super) fn settle_state(
-        &mut self,
-        id: RequestId,
-        ended: &requests::Attempt,
-        outcome: Outcome,
-    ) {
-        let is_unanswered = matches!(
-            outcome,
-            Outcome::Cancelled | Outcome::TimedOut | Outcome::ConnectionLost
-        );
-        let was_sent = ended.sent.is_some() && self.settings.limits.single.is_some();
-        let unanswered = (is_unanswered && was_sent).then(|| ended.engine.clone());
-        let holds_anew = outcome == Outcome::PrefillDone || self.has_arrived(ended);
-        if let Some(state) = self
-            .kv_states
-            .get_mut(id)
-            .filter(|state| state.is_on_offer() && holds_anew)
-        {
-            state.held_since = self.now;
-        }
-        self.kv_states.take_back(id, ended.no);
-        self.kv_states.attempt_over(id, unanswered, self.now);
-        self.arm_guard(id);
-    }
 }
 
 /// In release times: when a release is sent again that was confirmed so often, and does not count.
