--- a/crates/dispatcher/src/driver.rs
+++ b/crates/dispatcher/src/driver.rs
@@ -5,7 +5,8 @@
 //! peer keeps its order.
 
 use crate::state::{
-    ClientConnectionId, Dispatcher, EngineConnectionId, Guarded, Input, Level, Output, StreamId,
+    ClientConnectionId, Dispatcher, EngineConnectionId, Input, InvariantCounts, Level, Output,
+    StreamId,
 };
 use crate::{endpoint_cache, ProgramSettings};
 use cindercleat::discovery_client::{DiscoveryCalls, FirstCall};
@@ -158,10 +159,10 @@
     ) -> Self {
         let mut ledger = Dispatcher::new(settings.clone(), seed);
         if tracing::enabled!(tracing::Level::DEBUG) {
-            ledger.tell_stories();
+            ledger.enable_request_log();
         }
         if places.keep.is_none() {
-            ledger.keep_no_lists();
+            ledger.disable_endpoint_cache();
         }
         let inner = Inner {
             ledger: RefCell::new(ledger),
@@ -205,20 +206,20 @@
         self.input(Input::Stop);
         self.inner.stopped.notified().await;
         accepting.abort();
-        let guarded = self.inner.ledger.borrow().guarded().clone();
+        let guarded = self.inner.ledger.borrow().invariant_counts().clone();
         tracing::info!(checked = ?guarded.checked, violated = ?guarded.violated, "invariants");
         self.flush().await;
         Ok(())
     }
 
     /// How much the ledger holds.
-    pub fn held(&self) -> crate::state::Holding {
-        self.inner.ledger.borrow().held()
+    pub fn held(&self) -> crate::state::Usage {
+        self.inner.ledger.borrow().usage()
     }
 
     /// How often the invariants were looked at, and violated.
-    pub fn guarded(&self) -> Guarded {
-        self.inner.ledger.borrow().guarded().clone()
+    pub fn guarded(&self) -> InvariantCounts {
+        self.inner.ledger.borrow().invariant_counts().clone()
     }
 
     /// Whether it is ready for requests, and how much of it is used, 0 to 1.
@@ -233,7 +234,7 @@
 
     /// Remembers from now on how its requests end and what engines say: for a fleet that watches releases.
     pub fn keep_record(&self) {
-        self.inner.ledger.borrow_mut().keep_record();
+        self.inner.ledger.borrow_mut().collect_service_stats();
     }
 
     /// How its requests ended, and reports on so many engines that were heard of since.
--- a/crates/dispatcher/src/state/abandoned_streams.rs
+++ b/crates/dispatcher/src/state/abandoned_streams.rs
@@ -4,43 +4,44 @@
 use super::*;
 
 impl Dispatcher {
-    pub(super) fn make_past(&mut self, id: EngineConnectionId, stream: StreamId) {
-        if let Some(connection) = self.connections.get_mut(id) {
-            connection.streams.insert(stream, StreamPurpose::Past);
+    pub(super) fn abandon_stream(&mut self, connection_id: EngineConnectionId, stream: StreamId) {
+        if let Some(connection) = self.connections.get_mut(connection_id) {
+            connection.streams.insert(stream, StreamPurpose::Abandoned);
             self.timers.set(
                 self.now + self.settings.limits.stall_limit,
-                Due::Past(id, stream),
+                Due::StreamTimeout(connection_id, stream),
             );
         }
     }
 
     /// Guards against an engine that hears nothing any more on a connection that never breaks: what was called
     /// off there would take its room for ever.
-    pub(super) fn look_at_past(
+    pub(super) fn check_unanswered_stream(
         &mut self,
-        id: EngineConnectionId,
+        connection_id: EngineConnectionId,
         stream: StreamId,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(connection) = self.connections.get(id) else {
+        let Some(connection) = self.connections.get(connection_id) else {
             return;
         };
         let unanswered = match connection.streams.get(&stream) {
             Some(StreamPurpose::Release(..)) => Some("it does not answer a release"),
-            Some(StreamPurpose::Sign) => Some("it gives no sign that it runs"),
-            Some(StreamPurpose::Past | StreamPurpose::EngineRelease(..)) => None,
+            Some(StreamPurpose::LivenessCheck) => Some("it gives no sign that it runs"),
+            Some(StreamPurpose::Abandoned | StreamPurpose::EngineRelease(..)) => None,
             _ => return,
         };
         if let Some(reason) = unanswered {
             let engine = connection.engine.clone();
             self.connections.left_unanswered(&engine, self.now);
-            return self.drop_link(id, reason, out);
+            return self.close_connection(connection_id, reason, outputs);
         }
         let until = connection.heard + self.settings.limits.stall_limit;
         if self.now >= until {
-            self.drop_link(id, "it says nothing and ends nothing", out);
+            self.close_connection(connection_id, "it says nothing and ends nothing", outputs);
         } else {
-            self.timers.set(until, Due::Past(id, stream));
+            self.timers
+                .set(until, Due::StreamTimeout(connection_id, stream));
         }
     }
 }
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -3,24 +3,24 @@
 use super::*;
 
 /// What is left to a request whose time has passed while it came.
-const NO_TIME: Ms = 0.001;
+const MIN_TIME_TO_DEADLINE_MS: Ms = 0.001;
 
 impl Dispatcher {
-    pub(super) fn take_client(
+    pub(super) fn handle_client_message(
         &mut self,
         conn: ClientConnectionId,
         frame: Frame,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let stream = StreamId(frame.stream);
         self.heard_client(conn);
         match frame.body {
-            Some(Body::Submit(submit)) => self.take_submit((conn, stream), submit, out),
+            Some(Body::Submit(submit)) => self.handle_submit((conn, stream), submit, outputs),
             Some(Body::Cancel(_)) => {
                 // An unknown one has been answered in this very turn; nothing more is owed.
                 if let Some(id) = self.client_streams.get(&(conn, stream)).copied() {
-                    self.leave(id, out);
-                    self.count_cancel(conn, out);
+                    self.client_gone(id, outputs);
+                    self.count_cancel(conn, outputs);
                 }
             }
             // Whether requests can be routed: the list is there, and no stop has begun.
@@ -40,41 +40,42 @@
                     stream: stream.0,
                     body: Some(body),
                 };
-                out.push(Output::ToClient { conn, frame });
+                outputs.push(Output::ToClient { conn, frame });
                 self.client_answered(conn);
             }
             Some(Body::Goodbye(_) | Body::Pong(_)) => {}
             other => {
                 let reason = format!("a client does not send {}", name_of(other.as_ref()));
-                out.push(Output::CloseClient { conn, reason });
+                outputs.push(Output::CloseClient { conn, reason });
             }
         }
     }
 
-    pub(super) fn take_submit(
+    pub(super) fn handle_submit(
         &mut self,
         client_stream: ClientStream,
         mut submit: v1::Submit,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let (conn, stream) = client_stream;
         let took = self.client_asks(conn);
         if self.client_streams.contains_key(&client_stream) || stream.0 == 0 {
             let reason = format!("stream {} is in use or reserved", stream.0);
-            return out.push(Output::CloseClient { conn, reason });
+            return outputs.push(Output::CloseClient { conn, reason });
         }
         // The client's time runs since it sent the first of its request. One whose time has passed meanwhile is as good
         // as any other, and is answered so.
         if submit.time_to_deadline_ms > 0.0 {
-            submit.time_to_deadline_ms = (submit.time_to_deadline_ms - took).max(NO_TIME);
+            submit.time_to_deadline_ms =
+                (submit.time_to_deadline_ms - took).max(MIN_TIME_TO_DEADLINE_MS);
         }
         let arrival = match self.admit(&submit) {
             Ok(arrival) => arrival,
             Err(body) => {
-                if let (Some(record), Body::Final(end)) = (&mut self.record, &*body) {
-                    record.answered(end.answer(), false);
+                if let (Some(service_stats), Body::Final(end)) = (&mut self.service_stats, &*body) {
+                    service_stats.answered(end.answer(), false);
                 }
-                out.push(Output::ToClient {
+                outputs.push(Output::ToClient {
                     conn,
                     frame: frame(stream.0, *body),
                 });
@@ -83,35 +84,35 @@
         };
         let id = arrival.request;
         self.next_request_id += 1;
-        out.push(Output::ToClient {
+        outputs.push(Output::ToClient {
             conn,
             frame: frame(stream.0, Body::Accepted(v1::Accepted { request: id.0 })),
         });
-        if self.stopping.is_some() {
-            out.push(Output::LeaveClient { conn });
+        if self.stopping_since.is_some() {
+            outputs.push(Output::LeaveClient { conn });
         }
-        let ends = self.now + arrival.time_to_deadline;
+        let deadline = self.now + arrival.time_to_deadline;
         let request_class = &self.settings.policy.request_classes[arrival.request_class.0 as usize];
         let latency_objective = request_class.latency_objective
             + request_class.latency_objective_per_1000_tokens * arrival.prompt_tokens / 1000.0;
-        let latency_objective = self.now - took + latency_objective;
-        self.timers.set(ends, Due::Deadline(id));
+        let first_token_due_at = self.now - took + latency_objective;
+        self.timers.set(deadline, Due::Deadline(id));
         self.client_streams.insert(client_stream, id);
         if let Some(origin) = &submit.origin {
-            self.origins.insert(origin.id.clone(), id);
+            self.requests_by_origin.insert(origin.id.clone(), id);
         }
         let request = Request {
             client_stream,
             submit,
-            ends,
-            latency_objective,
-            late: false,
+            deadline,
+            first_token_due_at,
+            first_token_late: false,
             answered: false,
             attempts: 0,
-            out: None,
-            sent: false,
+            current_attempt: None,
+            was_sent: false,
             retry_safety: request_class.retry_safety,
-            first_run: None,
+            first_possible_run: None,
         };
         self.requests.insert(id, request);
         self.events.push(Event::Arrived(arrival));
@@ -129,7 +130,7 @@
         if submit
             .origin
             .as_ref()
-            .is_some_and(|origin| self.origins.contains_key(&origin.id))
+            .is_some_and(|origin| self.requests_by_origin.contains_key(&origin.id))
         {
             // Guards against a request that goes by another's id: what is held for that one would be mixed up.
             return Err(rejected(("id", "a task of this id is open".to_owned())));
@@ -215,47 +216,50 @@
         })
     }
 
-    pub(super) fn take_client_closed(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
+    pub(super) fn on_client_closed(&mut self, conn: ClientConnectionId, outputs: &mut Vec<Output>) {
         self.callers.remove(conn);
         let all = (conn, StreamId(0))..=(conn, StreamId(u64::MAX));
         let ids: Vec<RequestId> = self.client_streams.range(all).map(|(_, id)| *id).collect();
         for id in ids {
-            self.leave(id, out);
+            self.client_gone(id, outputs);
         }
     }
 
     /// The client wants no more of a request: nothing is owed, and what is out for it ends.
-    pub(super) fn leave(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id) else {
+    pub(super) fn client_gone(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
         request.answered = true;
         self.client_streams.remove(&request.client_stream);
-        self.events.push(Event::ClientGone { request: id });
+        self.events.push(Event::ClientGone {
+            request: request_id,
+        });
         // A stream that nobody reads ends; what has not begun the decisions call off themselves.
-        if request.streams() {
-            self.stop_attempt(id, out);
-            self.end_attempt(id, Outcome::Cancelled, 0.0, Load::default());
+        if request.has_stream() {
+            self.stop_attempt(request_id, outputs);
+            self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
         }
-        self.forget_past(id);
+        self.forget_finished(request_id);
     }
 
     /// The one place that gives a final answer.
     pub(super) fn answer(
         &mut self,
-        id: RequestId,
+        request_id: RequestId,
         answer: v1::Answer,
         retry_after_ms: f64,
         reason: &str,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(request) = self.requests.get_mut(&id).filter(|t| !t.answered) else {
+        let Some(request) = self.requests.get_mut(&request_id).filter(|t| !t.answered) else {
             return;
         };
         request.answered = true;
-        if let Some(record) = &mut self.record {
-            let late = request.late || !request.streams() && self.now > request.latency_objective;
-            record.answered(answer, late);
+        if let Some(service_stats) = &mut self.service_stats {
+            let late = request.first_token_late
+                || !request.has_stream() && self.now > request.first_token_due_at;
+            service_stats.answered(answer, late);
         }
         // No attempt can need it any more.
         request.submit.prompt = Default::default();
@@ -268,45 +272,50 @@
             reason,
             full: false,
         };
-        if fault_injection::is(Plant::FinalLost) && id.0 % 16 == 7 {
+        if fault_injection::is(Plant::FinalLost) && request_id.0 % 16 == 7 {
             return;
         }
-        out.push(Output::ToClient {
+        outputs.push(Output::ToClient {
             conn,
             frame: frame(stream.0, Body::Final(body)),
         });
         self.client_answered(conn);
-        self.forget_past(id);
+        self.forget_finished(request_id);
     }
 
-    pub(super) fn forget_past(&mut self, id: RequestId) {
-        let is_past = self.requests.get(&id).is_some_and(Request::is_past);
-        if is_past && self.kv_states.on_offer(id).is_none() {
-            let past = self.requests.remove(&id);
+    pub(super) fn forget_finished(&mut self, request_id: RequestId) {
+        let is_finished = self
+            .requests
+            .get(&request_id)
+            .is_some_and(Request::is_finished);
+        if is_finished && self.kv_states.available(request_id).is_none() {
+            let past = self.requests.remove(&request_id);
             if let Some(origin) = past.and_then(|request| request.submit.origin) {
-                self.origins.remove(&origin.id);
-                self.last_over = Some(origin.id);
+                self.requests_by_origin.remove(&origin.id);
+                self.last_finished_origin = Some(origin.id);
             }
         }
     }
 
     /// Guards against a request that the decisions left without an answer, whatever the reason: no request is lost.
-    pub(super) fn reach_deadline(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id) else {
+    pub(super) fn on_deadline(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        let Some(request) = self.requests.get(&request_id) else {
             return;
         };
-        if request.answered || request.streams() {
+        if request.answered || request.has_stream() {
             return;
         }
         let text = format!(
             "task {} was not answered before its client's time was up",
-            id.0
+            request_id.0
         );
-        out.push(Output::Log {
+        outputs.push(Output::Log {
             level: Level::Warn,
             text,
         });
-        self.answer(id, v1::Answer::Failed, 0.0, "time is up", out);
-        self.events.push(Event::ClientGone { request: id });
+        self.answer(request_id, v1::Answer::Failed, 0.0, "time is up", outputs);
+        self.events.push(Event::ClientGone {
+            request: request_id,
+        });
     }
 }
--- a/crates/dispatcher/src/state/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -192,7 +192,7 @@
                     CloseReason::Dead => "it does not answer",
                     CloseReason::Flood => "it calls off more than it may",
                 };
-                self.take_client_closed(conn, out);
+                self.on_client_closed(conn, out);
                 return out.push(Output::CloseClient {
                     conn,
                     reason: reason.to_owned(),
--- a/crates/dispatcher/src/state/connection_events.rs
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -6,19 +6,19 @@
 use cindercleat::connection_pool::{CloseReason, PoolCommand};
 
 /// An engine is told to wait for a millisecond at least: 0 would say nothing.
-const LEAST_WAIT: Ms = 1.0;
+const MIN_ENGINE_WAIT_MS: Ms = 1.0;
 
 impl Dispatcher {
-    pub(super) fn take_link_up(
+    pub(super) fn on_connection_up(
         &mut self,
-        id: EngineConnectionId,
+        connection_id: EngineConnectionId,
         limit: Option<usize>,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(connection) = self.connections.get_mut(id) else {
+        let Some(connection) = self.connections.get_mut(connection_id) else {
             let reason = "not wanted any more".to_owned();
-            return out.push(Output::CloseConnection {
-                connection: id,
+            return outputs.push(Output::CloseConnection {
+                connection: connection_id,
                 reason,
             });
         };
@@ -27,46 +27,46 @@
             std::mem::take(&mut connection.waiting),
         );
         self.connections
-            .come_up(id, limit, self.now, &mut self.timers);
+            .come_up(connection_id, limit, self.now, &mut self.timers);
         // Guards against a drain that was learned while the connection came up: an attempt that has not gone out does
         // not go out any more, and is known not to have run.
         let ready = self.endpoints.status(&engine) == EndpointStatus::Ready
             || fault_injection::is(Plant::DrainReadLate);
-        self.flush_releases(&engine, out);
+        self.send_engine_releases(&engine, outputs);
         for (stream, mut body) in waiting {
             let purpose = self
                 .connections
-                .get(id)
+                .get(connection_id)
                 .and_then(|l| l.streams.get(&stream).cloned());
             if let Some(StreamPurpose::Attempt(request, _)) = &purpose {
-                self.tell_time_left(*request, &mut body);
+                self.update_time_left(*request, &mut body);
             }
             let frame = frame(stream.0, body);
             match purpose {
                 Some(StreamPurpose::Release(call)) => {
-                    if self.release_goes_out(id, stream, &call) {
-                        out.push(Output::ToEngine {
-                            connection: id,
+                    if self.begin_waiting_release(connection_id, stream, &call) {
+                        outputs.push(Output::ToEngine {
+                            connection: connection_id,
                             frame,
                         });
                     }
                 }
                 // Nor does one whose client has gone meanwhile: nobody waits for it.
                 Some(StreamPurpose::Attempt(request, _)) if !ready || self.is_answered(request) => {
-                    self.close_stream(id, stream);
+                    self.close_stream(connection_id, stream);
                     self.end_attempt(request, Outcome::NotSent, 0.0, Load::default());
                 }
                 Some(StreamPurpose::Attempt(request, _)) => {
                     if let Some(request) = self.requests.get_mut(&request) {
-                        request.note_sent(self.now);
+                        request.mark_sent(self.now);
                     }
-                    out.push(Output::ToEngine {
-                        connection: id,
+                    outputs.push(Output::ToEngine {
+                        connection: connection_id,
                         frame,
                     });
                 }
-                _ => out.push(Output::ToEngine {
-                    connection: id,
+                _ => outputs.push(Output::ToEngine {
+                    connection: connection_id,
                     frame,
                 }),
             }
@@ -75,24 +75,24 @@
 
     /// The connection of a release has come up: it goes out now, unless there is nothing to release any more, or its request
     /// needs what is held.
-    pub(super) fn release_goes_out(
+    pub(super) fn begin_waiting_release(
         &mut self,
-        id: EngineConnectionId,
+        connection_id: EngineConnectionId,
         stream: StreamId,
         call: &ReleaseCall,
     ) -> bool {
         let goes_out = self
             .kv_states
-            .to_release(call.request)
+            .release_wanted(call.request)
             .is_some_and(|state| !self.is_needed(state));
         if !goes_out {
-            self.close_stream(id, stream);
+            self.close_stream(connection_id, stream);
             self.release_unsent(call);
-        } else if let Some(connection) = self.connections.get_mut(id) {
+        } else if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.streams.insert(
                 stream,
                 StreamPurpose::Release(ReleaseCall {
-                    begun: self.now,
+                    begun_at: self.now,
                     ..call.clone()
                 }),
             );
@@ -101,15 +101,11 @@
     }
 
     /// An attempt that has waited for its connection tells its engine what is left now.
-    pub(super) fn tell_time_left(&self, request: RequestId, body: &mut Body) {
-        let Some(attempt) = self
-            .requests
-            .get(&request)
-            .and_then(|request| request.out.as_ref())
-        else {
+    pub(super) fn update_time_left(&self, request: RequestId, body: &mut Body) {
+        let Some(attempt) = self.current_attempt(request) else {
             return;
         };
-        let left = (attempt.until - self.now).max(LEAST_WAIT);
+        let left = (attempt.expires_at - self.now).max(MIN_ENGINE_WAIT_MS);
         match body {
             Body::Prefill(read) => read.wait_ms = left,
             Body::Decode(write) => write.wait_ms = left,
@@ -125,30 +121,30 @@
 
     pub(super) fn close_stream(
         &mut self,
-        id: EngineConnectionId,
+        connection_id: EngineConnectionId,
         stream: StreamId,
     ) -> Option<StreamPurpose> {
         self.connections
-            .close_stream(id, stream, self.now, &mut self.timers)
+            .close_stream(connection_id, stream, self.now, &mut self.timers)
     }
 
-    pub(super) fn close_idle(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
+    pub(super) fn close_idle(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         for id in self.connections.ids_of(engine) {
             if self.connections.is_idle(id) {
-                self.drop_link(id, "idle", out);
+                self.close_connection(id, "idle", outputs);
             }
         }
     }
 
     /// What has fallen due for the connections to an engine.
-    pub(super) fn look_at_links(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
+    pub(super) fn run_connection_pool(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         let row = self.endpoints.engines.get(engine);
         let ready = row.is_some_and(|r| r.status == EndpointStatus::Ready);
         let address = row.map(|r| r.line.address.clone()).unwrap_or_default();
         for act in self.connections.wanted(engine, self.now, ready) {
             match act {
                 PoolCommand::Connect => {
-                    let to = (&mut self.timers, &mut *out);
+                    let to = (&mut self.timers, &mut *outputs);
                     self.connections.dial(engine, &address, self.now, to);
                 }
                 PoolCommand::Ping(id) => {
@@ -156,7 +152,7 @@
                         EngineConnectionId(id.0),
                         StreamId(0),
                         Body::Ping(v1::Ping {}),
-                        out,
+                        outputs,
                     );
                 }
                 PoolCommand::Close(id, why) => {
@@ -166,7 +162,7 @@
                         CloseReason::Dead => "it does not answer",
                         CloseReason::Left => "it goes away",
                     };
-                    self.drop_link(EngineConnectionId(id.0), reason, out);
+                    self.close_connection(EngineConnectionId(id.0), reason, outputs);
                 }
             }
         }
@@ -174,29 +170,29 @@
     }
 
     /// Closes a connection from this side.
-    pub(super) fn drop_link(
+    pub(super) fn close_connection(
         &mut self,
-        id: EngineConnectionId,
+        connection_id: EngineConnectionId,
         reason: &str,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        if self.connections.get(id).is_some() {
-            out.push(Output::CloseConnection {
-                connection: id,
+        if self.connections.get(connection_id).is_some() {
+            outputs.push(Output::CloseConnection {
+                connection: connection_id,
                 reason: reason.to_owned(),
             });
-            self.take_link_closed(id, reason, out);
+            self.on_connection_closed(connection_id, reason, outputs);
         }
     }
 
     /// Whatever was out on a connection that came up may have run; on one that did not, nothing was sent.
-    pub(super) fn take_link_closed(
+    pub(super) fn on_connection_closed(
         &mut self,
-        id: EngineConnectionId,
+        connection_id: EngineConnectionId,
         reason: &str,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(connection) = self.connections.remove(id, self.now) else {
+        let Some(connection) = self.connections.remove(connection_id, self.now) else {
             return;
         };
         let outcome = match connection.up {
@@ -208,19 +204,19 @@
         let streams = connection
             .streams
             .values()
-            .filter(|purpose| **purpose != StreamPurpose::Past)
+            .filter(|purpose| **purpose != StreamPurpose::Abandoned)
             .count();
         if streams > 0 {
             let text = format!(
                 "link to {} over with {streams} streams: {reason}",
                 connection.engine.0
             );
-            out.push(Output::Log {
+            outputs.push(Output::Log {
                 level: Level::Warn,
                 text,
             });
         }
-        self.retry_releases(&connection.engine);
+        self.schedule_engine_releases(&connection.engine);
         for (_, purpose) in connection.streams {
             match purpose {
                 StreamPurpose::Attempt(request, _) => {
@@ -229,15 +225,15 @@
                         outcome,
                         "the writer's connection broke",
                         Load::default(),
-                        out,
+                        outputs,
                     );
                 }
-                StreamPurpose::Probe { sent } => {
+                StreamPurpose::HealthCheck { sent_at } => {
                     let (engine, load) = (connection.engine.clone(), Load::default());
                     self.events.push(Event::HealthChecked {
                         engine,
                         outcome,
-                        latency: self.now - sent,
+                        latency: self.now - sent_at,
                         load,
                     });
                 }
@@ -245,9 +241,11 @@
                 StreamPurpose::EngineRelease(release) => {
                     self.engine_release_lost(connection.engine.clone(), release)
                 }
-                StreamPurpose::Hold(..) | StreamPurpose::Sign | StreamPurpose::Past => {}
+                StreamPurpose::Reservation(..)
+                | StreamPurpose::LivenessCheck
+                | StreamPurpose::Abandoned => {}
             }
         }
-        self.forget_gone(&connection.engine);
+        self.forget_gone_engine(&connection.engine);
     }
 }
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -334,9 +334,12 @@
                 .get(id)
                 .into_iter()
                 .flat_map(|connection| connection.streams.values());
-            streams
-                .into_iter()
-                .any(|purpose| matches!(purpose, StreamPurpose::Release(..) | StreamPurpose::Sign))
+            streams.into_iter().any(|purpose| {
+                matches!(
+                    purpose,
+                    StreamPurpose::Release(..) | StreamPurpose::LivenessCheck
+                )
+            })
         };
         self.is_suspected(engine) && self.of.get(engine).into_iter().flatten().any(asks)
     }
--- a/crates/dispatcher/src/state/delivery.rs
+++ b/crates/dispatcher/src/state/delivery.rs
@@ -8,39 +8,53 @@
 
 /// The part of the release time within which an engine has to answer when it is asked for a sign. Then the connection
 /// is given up, and the next question takes another one.
-const ANSWER_PART: f64 = 4.0;
+const LIVENESS_TIMEOUT_DIVISOR: f64 = 4.0;
 
 impl Dispatcher {
     /// The decisions want to know whether an attempt has reached an engine that runs.
-    pub(super) fn confirm(&mut self, id: RequestId, no: AttemptId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id) else {
+    pub(super) fn confirm(
+        &mut self,
+        request_id: RequestId,
+        attempt_id: AttemptId,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
-        let Some(attempt) = request.out.as_mut().filter(|attempt| attempt.no == no) else {
+        let Some(attempt) = request
+            .current_attempt
+            .as_mut()
+            .filter(|attempt| attempt.id == attempt_id)
+        else {
             return;
         };
         // One whose connection is under way has not gone out: the connection has its own time limit.
-        let Some(sent) = attempt.sent else { return };
+        let Some(sent) = attempt.sent_at else { return };
         let engine = attempt.engine.clone();
-        attempt.is_doubted = true;
+        attempt.confirmation_requested = true;
         if self.connections.has_run_since(&engine, sent) {
-            self.delivered(id);
+            self.delivered(request_id);
         } else {
-            self.unconfirmed.insert(id);
-            self.ask_for_sign(&engine, out);
+            self.delivery_unconfirmed.insert(request_id);
+            self.check_liveness(&engine, outputs);
         }
     }
 
     /// An engine has shown that it runs: what was sent to it before has arrived.
-    pub(super) fn note_sign(&mut self, engine: &EngineId) {
+    pub(super) fn note_engine_alive(&mut self, engine: &EngineId) {
         let arrived = |id: &&RequestId| {
             let attempt = self
                 .requests
                 .get(id)
-                .and_then(|request| request.out.as_ref());
+                .and_then(|request| request.current_attempt.as_ref());
             attempt.is_some_and(|attempt| attempt.engine == *engine && self.has_arrived(attempt))
         };
-        let arrived: Vec<RequestId> = self.unconfirmed.iter().filter(arrived).copied().collect();
+        let arrived: Vec<RequestId> = self
+            .delivery_unconfirmed
+            .iter()
+            .filter(arrived)
+            .copied()
+            .collect();
         for id in arrived {
             self.delivered(id);
         }
@@ -49,35 +63,31 @@
     /// Whether its engine has run since an attempt was sent.
     pub(super) fn has_arrived(&self, attempt: &requests::Attempt) -> bool {
         attempt
-            .sent
+            .sent_at
             .is_some_and(|sent| self.connections.has_run_since(&attempt.engine, sent))
     }
 
     fn delivered(&mut self, request: RequestId) {
-        self.unconfirmed.remove(&request);
-        let Some(attempt) = self
-            .requests
-            .get(&request)
-            .and_then(|request| request.out.as_ref())
-        else {
+        self.delivery_unconfirmed.remove(&request);
+        let Some(attempt) = self.current_attempt(request) else {
             return;
         };
         self.events.push(Event::Delivered {
             request,
-            attempt: attempt.no,
+            attempt: attempt.id,
         });
     }
 
     /// Asks an engine for something that any engine answers at once and that costs it little: the release of a request
     /// that is over. A process that has had none yet probes, where that is allowed.
-    fn ask_for_sign(&mut self, engine: &EngineId, out: &mut Vec<Output>) {
+    fn check_liveness(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         let over = self
-            .last_over
+            .last_finished_origin
             .clone()
-            .filter(|origin| !self.origins.contains_key(origin));
+            .filter(|origin| !self.requests_by_origin.contains_key(origin));
         let Some(origin) = over else {
             if self.settings.policy.may_health_check {
-                self.probe(engine.clone(), out);
+                self.check_health(engine.clone(), outputs);
             }
             return;
         };
@@ -93,21 +103,21 @@
             return;
         }
         let address = row.line.address.clone();
-        let to = (&mut self.timers, &mut *out);
+        let to = (&mut self.timers, &mut *outputs);
         // Without a connection there is no sign either.
         let Ok((connection, stream)) = self.connections.open(
             engine,
             &address,
-            StreamPurpose::Sign,
+            StreamPurpose::LivenessCheck,
             self.now,
             &self.settings,
             to,
         ) else {
             return;
         };
-        let within = self.settings.policy.kv_state_timeout / ANSWER_PART;
+        let within = self.settings.policy.kv_state_timeout / LIVENESS_TIMEOUT_DIVISOR;
         self.timers
-            .set(self.now + within, Due::Past(connection, stream));
+            .set(self.now + within, Due::StreamTimeout(connection, stream));
         self.connections.send(
             connection,
             stream,
@@ -115,14 +125,20 @@
                 state: None,
                 origin,
             }),
-            out,
+            outputs,
         );
     }
 
     /// What is doubted of an attempt that is out, and how it stands, for the log.
-    pub(super) fn doubt(&self, id: RequestId) -> Option<(&'static str, String)> {
-        let request = self.requests.get(&id)?;
-        let attempt = request.out.as_ref().filter(|attempt| !attempt.first)?;
+    pub(super) fn undelivered_attempt(
+        &self,
+        request_id: RequestId,
+    ) -> Option<(&'static str, String)> {
+        let request = self.requests.get(&request_id)?;
+        let attempt = request
+            .current_attempt
+            .as_ref()
+            .filter(|attempt| !attempt.first_token_sent)?;
         let doubt = match self.has_arrived(attempt) {
             true => "nothing has come on its attempt's connection",
             false => "its attempt has not arrived",
@@ -139,9 +155,9 @@
             "id={} launch={} host={} sent {}, on a connection made {} that carried {} calls; its host was last heard {}, \
              and answered a call that was sent {}",
             request.origin(),
-            attempt.no.0,
+            attempt.id.0,
             attempt.engine.0,
-            attempt.sent.map_or("not yet".to_owned(), since),
+            attempt.sent_at.map_or("not yet".to_owned(), since),
             since(connection.dialled),
             connection.carried(),
             since(self.connections.heard_at(&attempt.engine)),
--- a/crates/dispatcher/src/state/engine_requests.rs
+++ b/crates/dispatcher/src/state/engine_requests.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// The name of the state that an attempt makes or takes.
-pub(super) fn state_of(run: u64, request: RequestId, attempt: AttemptId) -> v1::KvStateId {
+pub(super) fn kv_state_id(run: u64, request: RequestId, attempt: AttemptId) -> v1::KvStateId {
     v1::KvStateId {
         run,
         request: request.0,
@@ -13,7 +13,7 @@
 }
 
 /// What an attempt says to its engine; `state`: what a read is to leave, none for a write.
-pub(super) fn body_of(
+pub(super) fn attempt_message(
     request: &Request,
     held: Option<&Held>,
     state: Option<v1::KvStateId>,
@@ -75,7 +75,7 @@
     })
 }
 
-pub(super) fn load_of(load: &v1::Load) -> Load {
+pub(super) fn reported_load(load: &v1::Load) -> Load {
     // Guards against a report that would poison every mean.
     let said = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
     Load {
--- a/crates/dispatcher/src/state/health_checks.rs
+++ b/crates/dispatcher/src/state/health_checks.rs
@@ -4,14 +4,14 @@
 use super::*;
 
 impl Dispatcher {
-    pub(super) fn probe(&mut self, engine: EngineId, out: &mut Vec<Output>) {
+    pub(super) fn check_health(&mut self, engine: EngineId, outputs: &mut Vec<Output>) {
         let address = self
             .endpoints
             .engines
             .get(&engine)
             .map(|row| row.line.address.clone());
-        let purpose = StreamPurpose::Probe { sent: self.now };
-        let to = (&mut self.timers, &mut *out);
+        let purpose = StreamPurpose::HealthCheck { sent_at: self.now };
+        let to = (&mut self.timers, &mut *outputs);
         let opened = address.and_then(|a| {
             self.connections
                 .open(&engine, &a, purpose, self.now, &self.settings, to)
@@ -28,41 +28,42 @@
         };
         self.timers.set(
             self.now + self.settings.limits.health_check_timeout,
-            Due::Probe(connection, stream),
+            Due::HealthCheckTimeout(connection, stream),
         );
         self.connections.send(
             connection,
             stream,
             Body::HealthCheck(v1::HealthCheck {}),
-            out,
+            outputs,
         );
     }
 
     pub(super) fn end_health_check(
         &mut self,
-        id: EngineConnectionId,
+        connection_id: EngineConnectionId,
         stream: StreamId,
         outcome: Outcome,
         load: Load,
     ) {
-        let Some(connection) = self.connections.get_mut(id) else {
+        let Some(connection) = self.connections.get_mut(connection_id) else {
             return;
         };
-        let Some(StreamPurpose::Probe { sent }) = connection.streams.get(&stream).cloned() else {
+        let Some(StreamPurpose::HealthCheck { sent_at }) = connection.streams.get(&stream).cloned()
+        else {
             return;
         };
         let engine = connection.engine.clone();
         self.events.push(Event::HealthChecked {
             engine,
             outcome,
-            latency: self.now - sent,
+            latency: self.now - sent_at,
             load,
         });
-        if outcome == Outcome::TimedOut && !self.connections.unsend(id, stream) {
-            self.make_past(id, stream);
+        if outcome == Outcome::TimedOut && !self.connections.unsend(connection_id, stream) {
+            self.abandon_stream(connection_id, stream);
         } else {
             self.connections
-                .close_stream(id, stream, self.now, &mut self.timers);
+                .close_stream(connection_id, stream, self.now, &mut self.timers);
         }
     }
 }
--- a/crates/dispatcher/src/state/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -24,8 +24,8 @@
 
 /// What is held may be held so much longer than the settings say (the platform's protocol): the guard leaves half of it for
 /// the release to get through.
-const HELD_EXTRA: Ms = 300.0;
-const HELD_PART: f64 = 2.0;
+const HELD_STATE_TOLERANCE_MS: Ms = 300.0;
+const HELD_STATE_TOLERANCE_DIVISOR: f64 = 2.0;
 
 impl fmt::Display for Invariant {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -41,14 +41,14 @@
 
 /// How often each invariant was looked at, and how often a guard had to stop something.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Guarded {
+pub struct InvariantCounts {
     pub checked: BTreeMap<Invariant, u64>,
     pub violated: BTreeMap<Invariant, u64>,
 }
 
 /// The first attempt of a request that may have run: where and when it was sent.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct FirstRun {
+pub(super) struct PossibleRun {
     zone: String,
     cell: String,
     at: Ms,
@@ -56,44 +56,47 @@
 
 impl Dispatcher {
     /// How often the invariants were looked at, and violated.
-    pub fn guarded(&self) -> &Guarded {
-        &self.guarded
+    pub fn invariant_counts(&self) -> &InvariantCounts {
+        &self.invariant_counts
     }
 
     /// Tells whether an attempt of a request may go to an engine now. `reading`: it prefills only, which has no effect.
-    pub(super) fn guard_attempt(
+    pub(super) fn may_start_attempt(
         &mut self,
-        id: RequestId,
+        request_id: RequestId,
         engine: &EngineId,
-        reading: bool,
-        out: &mut Vec<Output>,
+        is_prefill: bool,
+        outputs: &mut Vec<Output>,
     ) -> bool {
-        let Some(request) = self.requests.get(&id) else {
+        let Some(request) = self.requests.get(&request_id) else {
             return false;
         };
         let starts = !request.answered
-            && request.out.is_none()
+            && request.current_attempt.is_none()
             && request.attempts <= self.settings.policy.max_attempts
-            && self.now <= request.ends;
+            && self.now <= request.deadline;
         let sends = self.endpoints.status(engine) == EndpointStatus::Ready;
-        let repeats = reading || self.may_run_at(request, engine);
+        let repeats = is_prefill || self.may_run_at(request, engine);
         let checks = [
             (Invariant::Start, starts),
             (Invariant::Send, sends),
             (Invariant::Repeat, repeats),
         ];
         checks.into_iter().fold(true, |good, (invariant, holds)| {
-            self.check(invariant, holds, id, engine.0.as_ref(), out) && good
+            self.check(invariant, holds, request_id, engine.0.as_ref(), outputs) && good
         })
     }
 
     /// Tells whether a request may be refused with the word that trying again is harmless.
-    pub(super) fn guard_refusal(&mut self, id: RequestId, out: &mut Vec<Output>) -> bool {
-        let Some(request) = self.requests.get(&id) else {
+    pub(super) fn may_reject(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) -> bool {
+        let Some(request) = self.requests.get(&request_id) else {
             return true;
         };
-        let decodes = request.out.as_ref().is_some_and(|attempt| !attempt.reading);
-        let may_have_run = decodes || request.first_run.is_some();
+        let decodes = request
+            .current_attempt
+            .as_ref()
+            .is_some_and(|attempt| !attempt.is_prefill);
+        let may_have_run = decodes || request.first_possible_run.is_some();
         let harmless = match request.retry_safety {
             RetrySafety::Idempotent
             | RetrySafety::IdempotencyKey {
@@ -102,62 +105,66 @@
             } => true,
             RetrySafety::IdempotencyKey { .. } | RetrySafety::AtMostOnce => !may_have_run,
         };
-        self.check(Invariant::Close, harmless, id, "refused", out)
+        self.check(Invariant::Close, harmless, request_id, "refused", outputs)
     }
 
     /// Has the guard look at what is held for a request once it ought to be taken or released.
-    pub(super) fn arm_guard(&mut self, id: RequestId) {
-        if self.settings.limits.single.is_some() && self.kv_states.get(id).is_some() {
-            self.timers
-                .set(self.now + self.held_at_most(), Due::Held(id));
+    pub(super) fn schedule_held_check(&mut self, request_id: RequestId) {
+        if self.settings.limits.single.is_some() && self.kv_states.get(request_id).is_some() {
+            self.timers.set(
+                self.now + self.max_held_duration(),
+                Due::HeldStateCheck(request_id),
+            );
         }
     }
 
-    fn held_at_most(&self) -> Ms {
-        self.settings.policy.kv_state_timeout + HELD_EXTRA / HELD_PART
+    fn max_held_duration(&self) -> Ms {
+        self.settings.policy.kv_state_timeout
+            + HELD_STATE_TOLERANCE_MS / HELD_STATE_TOLERANCE_DIVISOR
     }
 
     /// Sees to it that a state is released which the decisions have left, or whose release was forgotten.
-    pub(super) fn guard_held(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(state) = self.kv_states.get(id) else {
+    pub(super) fn check_held_state(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        let Some(state) = self.kv_states.get(request_id) else {
             return;
         };
-        let attempt = self
-            .requests
-            .get(&id)
-            .and_then(|request| request.out.as_ref());
-        if attempt.is_some_and(|attempt| state.is_to_release() || self.has_arrived(attempt)) {
-            return self.arm_guard(id);
+        let attempt = self.current_attempt(request_id);
+        if attempt.is_some_and(|attempt| state.is_release_wanted() || self.has_arrived(attempt)) {
+            return self.schedule_held_check(request_id);
         }
-        let is_on_offer = state.is_on_offer();
-        let (from, is_on_its_way) = match is_on_offer {
+        let is_available = state.is_available();
+        let (from, is_on_its_way) = match is_available {
             true => (state.held_since, false),
             false => (
-                state.release.since,
-                state.release.last_begun >= state.release.since,
+                state.release.unblocked_since,
+                state.release.last_call_at >= state.release.unblocked_since,
             ),
         };
-        let due = from + self.held_at_most();
+        let due = from + self.max_held_duration();
         if is_on_its_way {
             return;
         }
         if self.now < due {
-            return self.timers.set(due, Due::Held(id));
+            return self.timers.set(due, Due::HeldStateCheck(request_id));
         }
         let engine = state.held.engine.0.to_string();
-        self.check(Invariant::Hold, false, id, &engine, out);
-        match is_on_offer {
-            true => self.release(id, out),
-            false => self.look_at_release(id, out),
+        self.check(Invariant::Hold, false, request_id, &engine, outputs);
+        match is_available {
+            true => self.release(request_id, outputs),
+            false => self.continue_release(request_id, outputs),
         }
     }
 
     /// Notes that the attempt of a request that is out may have run, if its end leaves that open.
-    pub(super) fn note_run(&mut self, id: RequestId, outcome: Outcome) {
-        let Some(request) = self.requests.get_mut(&id) else {
+    pub(super) fn note_possible_run(&mut self, request_id: RequestId, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
-        let Some(attempt) = request.out.as_ref().filter(|attempt| !attempt.reading) else {
+        let Some(attempt) = request
+            .current_attempt
+            .as_ref()
+            .filter(|attempt| !attempt.is_prefill)
+        else {
             return;
         };
         let open = [
@@ -166,7 +173,7 @@
             Outcome::ConnectionLost,
             Outcome::Cancelled,
         ];
-        if request.first_run.is_none() && open.contains(&outcome) {
+        if request.first_possible_run.is_none() && open.contains(&outcome) {
             let line = self
                 .endpoints
                 .engines
@@ -175,18 +182,20 @@
             let (zone, cell) = line
                 .map(|line| (line.zone.clone(), line.cell.clone()))
                 .unwrap_or_default();
-            request.first_run = Some(FirstRun {
+            request.first_possible_run = Some(PossibleRun {
                 zone,
                 cell,
-                at: attempt.since,
+                at: attempt.started_at,
             });
         }
     }
 
     /// Whether a request's effect lets it run at an engine, by what may have run before.
     fn may_run_at(&self, request: &Request, engine: &EngineId) -> bool {
-        let (Some(first), Some(row)) = (&request.first_run, self.endpoints.engines.get(engine))
-        else {
+        let (Some(first), Some(row)) = (
+            &request.first_possible_run,
+            self.endpoints.engines.get(engine),
+        ) else {
             return true;
         };
         match request.retry_safety {
@@ -212,23 +221,23 @@
         &mut self,
         invariant: Invariant,
         holds: bool,
-        id: RequestId,
+        request_id: RequestId,
         what: &str,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) -> bool {
-        *self.guarded.checked.entry(invariant).or_insert(0) += 1;
+        *self.invariant_counts.checked.entry(invariant).or_insert(0) += 1;
         if !holds {
-            *self.guarded.violated.entry(invariant).or_insert(0) += 1;
+            *self.invariant_counts.violated.entry(invariant).or_insert(0) += 1;
             let origin = self
                 .requests
-                .get(&id)
+                .get(&request_id)
                 .map(Request::origin)
                 .unwrap_or_default();
             let text = format!(
                 "invariant violated: {invariant}; task={} id={origin} at {what}",
-                id.0
+                request_id.0
             );
-            out.push(Output::Log {
+            outputs.push(Output::Log {
                 level: Level::Warn,
                 text,
             });
--- a/crates/dispatcher/src/state/kv_states.rs
+++ b/crates/dispatcher/src/state/kv_states.rs
@@ -9,7 +9,7 @@
 
 /// An attempt that was closed without a word of its engine's is over there this part of the release time after the engine has
 /// shown that it works: the close and what follows it go over different connections, and nothing orders them.
-const CLOSE_ARRIVES_PART: f64 = 4.0;
+const CLOSE_DELIVERY_DIVISOR: f64 = 4.0;
 
 /// A KV state and the engine that holds it.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,25 +29,25 @@
     Offered(AttemptId),
     /// The same, and nothing has come of the attempt: its connection alone may be silent. It is to be released, which does
     /// nothing if the attempt waits for it.
-    OfferedInDoubt(AttemptId),
+    OfferedUnconfirmed(AttemptId),
     /// It is to be released. An attempt may still be out that had not arrived, as far as anybody knew.
     ReleaseWanted,
 }
 
 /// An attempt that ended here without a word of its engine's: it was closed, or its connection broke.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct UnansweredEnd {
+pub(super) struct UnacknowledgedEnd {
     pub engine: EngineId,
     pub at: Ms,
     /// When its engine had shown that it has worked since.
-    known_at: Option<Ms>,
+    known_since: Option<Ms>,
 }
 
-impl UnansweredEnd {
+impl UnacknowledgedEnd {
     /// From when on a release does not overtake it any more, if that is known.
     fn is_past_at(&self, release_time: Ms) -> Option<Ms> {
-        self.known_at
-            .map(|known| known + release_time / CLOSE_ARRIVES_PART)
+        self.known_since
+            .map(|known| known + release_time / CLOSE_DELIVERY_DIVISOR)
     }
 }
 
@@ -55,26 +55,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReleaseCall {
     pub request: RequestId,
-    pub begun: Ms,
+    pub begun_at: Ms,
 }
 
 /// What was done to release a state.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReleaseProgress {
     /// Since when it is wanted, and since when nothing holds it up.
-    pub wanted: Ms,
-    pub since: Ms,
+    pub wanted_since: Ms,
+    pub unblocked_since: Ms,
     /// Calls that are under way, and all that there were.
     pub open_calls: usize,
     pub calls: u32,
     /// When the last call began.
-    pub last_begun: Ms,
+    pub last_call_at: Ms,
     /// When it is looked at next, if nothing happens before.
-    pub next_look: Ms,
+    pub next_check_at: Ms,
     /// Engines that were asked and have not confirmed it.
-    pub unconfirmed: Vec<EngineId>,
+    pub asked_engines: Vec<EngineId>,
     /// How often it was confirmed, since nothing holds it up, by calls that do not count.
-    pub confirmed: u32,
+    pub confirmations: u32,
     /// Whether one of the calls of this round was confirmed.
     pub round_confirmed: bool,
 }
@@ -82,14 +82,14 @@
 impl ReleaseProgress {
     fn new(now: Ms) -> Self {
         ReleaseProgress {
-            wanted: now,
-            since: now,
+            wanted_since: now,
+            unblocked_since: now,
             open_calls: 0,
             calls: 0,
-            last_begun: f64::NEG_INFINITY,
-            next_look: f64::NEG_INFINITY,
-            unconfirmed: Vec::new(),
-            confirmed: 0,
+            last_call_at: f64::NEG_INFINITY,
+            next_check_at: f64::NEG_INFINITY,
+            asked_engines: Vec::new(),
+            confirmations: 0,
             round_confirmed: false,
         }
     }
@@ -105,7 +105,7 @@
     pub release: ReleaseProgress,
     /// Whether a prefill that was cut off may have left one more.
     has_leftover: bool,
-    unanswered: Vec<UnansweredEnd>,
+    unacknowledged_ends: Vec<UnacknowledgedEnd>,
 }
 
 impl KvState {
@@ -117,33 +117,33 @@
             held_since: now,
             release,
             has_leftover: false,
-            unanswered: Vec::new(),
+            unacknowledged_ends: Vec::new(),
         }
     }
 
     /// Whether an attempt may take it.
-    pub fn is_on_offer(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         self.step != Step::ReleaseWanted
     }
 
     /// Whether it is to be released.
-    pub fn is_to_release(&self) -> bool {
-        matches!(self.step, Step::ReleaseWanted | Step::OfferedInDoubt(_))
+    pub fn is_release_wanted(&self) -> bool {
+        matches!(self.step, Step::ReleaseWanted | Step::OfferedUnconfirmed(_))
     }
 
     /// Whether the confirmation of a call proves that nothing is held any more: it began after every attempt of the request
     /// was over, where its engine knew it. No attempt of the request is out.
     pub fn is_released_by(&self, call: &ReleaseCall, release_time: Ms) -> bool {
-        call.begun >= self.release.since
+        call.begun_at >= self.release.unblocked_since
             && self
                 .counts_from(release_time)
-                .is_some_and(|at| call.begun >= at)
+                .is_some_and(|at| call.begun_at >= at)
     }
 
     /// From when on a call counts, if all engines have shown that they work.
     pub fn counts_from(&self, release_time: Ms) -> Option<Ms> {
         let past: Option<Vec<Ms>> = self
-            .unanswered
+            .unacknowledged_ends
             .iter()
             .map(|end| end.is_past_at(release_time))
             .collect();
@@ -151,16 +151,16 @@
     }
 
     /// The engines that have not shown since that they work.
-    pub fn unknowing(&self) -> impl Iterator<Item = &EngineId> {
-        self.unanswered
+    pub fn unaware_engines(&self) -> impl Iterator<Item = &EngineId> {
+        self.unacknowledged_ends
             .iter()
-            .filter(|end| end.known_at.is_none())
+            .filter(|end| end.known_since.is_none())
             .map(|end| &end.engine)
     }
 
     /// Whether an attempt for it ended without a word of its engine's.
-    pub fn was_in_doubt(&self) -> bool {
-        !self.unanswered.is_empty()
+    pub fn had_unacknowledged_end(&self) -> bool {
+        !self.unacknowledged_ends.is_empty()
     }
 }
 
@@ -169,11 +169,11 @@
 pub(super) struct KvStates {
     states: BTreeMap<RequestId, KvState>,
     /// Requests with an unanswered end at an engine that has not shown since that it works.
-    awaited: BTreeMap<EngineId, BTreeSet<RequestId>>,
+    waiting_for_engine: BTreeMap<EngineId, BTreeSet<RequestId>>,
     /// Requests of whose last calls to release a state none was confirmed.
-    pub stuck: BTreeSet<RequestId>,
+    pub unconfirmed_releases: BTreeSet<RequestId>,
     /// Releases to look at once the present input is dealt with.
-    pub due: BTreeSet<RequestId>,
+    pub due_releases: BTreeSet<RequestId>,
 }
 
 impl KvStates {
@@ -186,27 +186,27 @@
     }
 
     /// States that are to be released, of which no engine has confirmed it since their last attempt ended.
-    pub fn unconfirmed(&self) -> usize {
+    pub fn unconfirmed_count(&self) -> usize {
         let is_unconfirmed =
-            |state: &&KvState| state.is_to_release() && state.release.confirmed == 0;
+            |state: &&KvState| state.is_release_wanted() && state.release.confirmations == 0;
         self.states.values().filter(is_unconfirmed).count()
     }
 
     /// The state that an attempt of a request may take.
-    pub fn on_offer(&self, request: RequestId) -> Option<&KvState> {
-        self.get(request).filter(|state| state.is_on_offer())
+    pub fn available(&self, request: RequestId) -> Option<&KvState> {
+        self.get(request).filter(|state| state.is_available())
     }
 
     /// The state of a request that is to be released.
-    pub fn to_release(&self, request: RequestId) -> Option<&KvState> {
-        self.get(request).filter(|state| state.is_to_release())
+    pub fn release_wanted(&self, request: RequestId) -> Option<&KvState> {
+        self.get(request).filter(|state| state.is_release_wanted())
     }
 
     /// States that are to be released.
-    pub fn releasing(&self) -> usize {
+    pub fn release_wanted_count(&self) -> usize {
         self.states
             .values()
-            .filter(|state| state.is_to_release())
+            .filter(|state| state.is_release_wanted())
             .count()
     }
 
@@ -230,15 +230,15 @@
         if let Some(state) = self
             .states
             .get_mut(&request)
-            .filter(|state| state.is_on_offer())
+            .filter(|state| state.is_available())
         {
             state.step = Step::Offered(attempt);
         }
     }
 
     /// The decode attempt is over and has not taken it.
-    pub fn take_back(&mut self, request: RequestId, attempt: AttemptId) {
-        let steps = [Step::Offered(attempt), Step::OfferedInDoubt(attempt)];
+    pub fn withdraw_offer(&mut self, request: RequestId, attempt: AttemptId) {
+        let steps = [Step::Offered(attempt), Step::OfferedUnconfirmed(attempt)];
         if let Some(state) = self
             .states
             .get_mut(&request)
@@ -249,12 +249,12 @@
     }
 
     /// A decode attempt has taken it.
-    pub fn taken(&mut self, request: RequestId, now: Ms) {
+    pub fn mark_taken(&mut self, request: RequestId, now: Ms) {
         match self.states.get_mut(&request) {
             Some(state) if state.has_leftover => {
                 state.has_leftover = false;
                 (state.step, state.release) = (Step::ReleaseWanted, ReleaseProgress::new(now));
-                self.due.insert(request);
+                self.due_releases.insert(request);
             }
             _ => {
                 self.forget(request);
@@ -263,14 +263,14 @@
     }
 
     /// It is to be released, unless the attempt that is out waits for it.
-    pub fn doubt(&mut self, request: RequestId, now: Ms) {
+    pub fn mark_unconfirmed(&mut self, request: RequestId, now: Ms) {
         let Some(state) = self.states.get_mut(&request) else {
             return;
         };
         if let Step::Offered(attempt) = state.step {
             (state.step, state.release) =
-                (Step::OfferedInDoubt(attempt), ReleaseProgress::new(now));
-            self.due.insert(request);
+                (Step::OfferedUnconfirmed(attempt), ReleaseProgress::new(now));
+            self.due_releases.insert(request);
         }
     }
 
@@ -279,11 +279,11 @@
         if let Some(state) = self
             .states
             .get_mut(&request)
-            .filter(|state| state.is_on_offer())
+            .filter(|state| state.is_available())
         {
             state.has_leftover = false;
             (state.step, state.release) = (Step::ReleaseWanted, ReleaseProgress::new(now));
-            self.due.insert(request);
+            self.due_releases.insert(request);
         }
     }
 
@@ -293,37 +293,42 @@
             .states
             .entry(request)
             .or_insert_with(|| KvState::new(held, Step::ReleaseWanted, now));
-        state.has_leftover |= state.is_on_offer();
-        self.due.insert(request);
+        state.has_leftover |= state.is_available();
+        self.due_releases.insert(request);
     }
 
     /// An attempt of a request is over: what is to be released of it can be now. `unanswered`: the attempt's engine, if that
     /// has not said a word of it.
-    pub fn attempt_over(&mut self, request: RequestId, unanswered: Option<EngineId>, now: Ms) {
+    pub fn attempt_over(
+        &mut self,
+        request: RequestId,
+        unacknowledged_at: Option<EngineId>,
+        now: Ms,
+    ) {
         let Some(state) = self.states.get_mut(&request) else {
             return;
         };
-        if let Some(engine) = unanswered {
-            self.awaited
+        if let Some(engine) = unacknowledged_at {
+            self.waiting_for_engine
                 .entry(engine.clone())
                 .or_default()
                 .insert(request);
-            state.unanswered.push(UnansweredEnd {
+            state.unacknowledged_ends.push(UnacknowledgedEnd {
                 engine,
                 at: now,
-                known_at: None,
+                known_since: None,
             });
         }
-        if !state.is_on_offer() {
-            (state.release.since, state.release.confirmed) = (now, 0);
-            state.release.unconfirmed.clear();
-            self.due.insert(request);
+        if !state.is_available() {
+            (state.release.unblocked_since, state.release.confirmations) = (now, 0);
+            state.release.asked_engines.clear();
+            self.due_releases.insert(request);
         }
     }
 
     /// An engine has shown that it worked at an instant; gives the requests for which that matters.
     pub fn engine_worked(&mut self, engine: &EngineId, worked: Ms, now: Ms) -> Vec<RequestId> {
-        let Some(waiting) = self.awaited.get_mut(engine) else {
+        let Some(waiting) = self.waiting_for_engine.get_mut(engine) else {
             return Vec::new();
         };
         let mut known = Vec::new();
@@ -332,13 +337,13 @@
                 return false;
             };
             let ends = state
-                .unanswered
+                .unacknowledged_ends
                 .iter_mut()
-                .filter(|end| end.engine == *engine && end.known_at.is_none());
+                .filter(|end| end.engine == *engine && end.known_since.is_none());
             let (mut some_known, mut some_left) = (false, false);
             for end in ends {
                 if end.at <= worked {
-                    (end.known_at, some_known) = (Some(now), true);
+                    (end.known_since, some_known) = (Some(now), true);
                 } else {
                     some_left = true;
                 }
@@ -349,7 +354,7 @@
             some_left
         });
         if waiting.is_empty() {
-            self.awaited.remove(engine);
+            self.waiting_for_engine.remove(engine);
         }
         known
     }
@@ -357,10 +362,10 @@
     /// Nothing is held for a request any more, or nothing more can be done about it.
     pub fn forget(&mut self, request: RequestId) -> Option<KvState> {
         let state = self.states.remove(&request)?;
-        for engine in state.unknowing() {
-            let waiting = self.awaited.get_mut(engine);
+        for engine in state.unaware_engines() {
+            let waiting = self.waiting_for_engine.get_mut(engine);
             if waiting.is_some_and(|waiting| waiting.remove(&request) && waiting.is_empty()) {
-                self.awaited.remove(engine);
+                self.waiting_for_engine.remove(engine);
             }
         }
         Some(state)
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -46,11 +46,11 @@
 use clients::ClientConnections;
 use connections::EngineConnections;
 use endpoints::Endpoints;
-pub use invariants::{Guarded, Invariant};
+pub use invariants::{Invariant, InvariantCounts};
 pub use io::{ClientConnectionId, EngineConnectionId, Input, Level, Output, StreamId};
 use kv_states::KvStates;
 use requests::{ClientStream, Request};
-pub use status::Holding;
+pub use status::Usage;
 use std::collections::{BTreeMap, BTreeSet};
 use stream_purpose::EngineRelease;
 use timers::{Due, Timers};
@@ -62,7 +62,7 @@
     requests: BTreeMap<RequestId, Request>,
     client_streams: BTreeMap<ClientStream, RequestId>,
     /// Open requests by the id that their clients gave them, where they did.
-    origins: BTreeMap<String, RequestId>,
+    requests_by_origin: BTreeMap<String, RequestId>,
     callers: ClientConnections,
     next_request_id: u32,
     endpoints: Endpoints,
@@ -70,21 +70,21 @@
     timers: Timers,
     kv_states: KvStates,
     /// Releases to send where a state belongs to its engine, by that engine.
-    unreleased: BTreeMap<EngineId, Vec<EngineRelease>>,
+    pending_engine_releases: BTreeMap<EngineId, Vec<EngineRelease>>,
     /// Requests whose attempt the decisions doubt, and the id of the last request that was over.
-    unconfirmed: BTreeSet<RequestId>,
-    last_over: Option<String>,
+    delivery_unconfirmed: BTreeSet<RequestId>,
+    last_finished_origin: Option<String>,
     /// What the decisions have not been told yet.
     events: Vec<Event>,
-    stopping: Option<Ms>,
+    stopping_since: Option<Ms>,
     stopped: bool,
     /// Whether what happens to requests is told line by line.
-    stories: bool,
+    logs_requests: bool,
     /// What those who watch a release want to know, if there are any.
-    record: Option<service_stats::ServiceStats>,
-    guarded: Guarded,
+    service_stats: Option<service_stats::ServiceStats>,
+    invariant_counts: InvariantCounts,
     /// Whether somebody keeps the list for the next start.
-    keeps_lists: bool,
+    caches_endpoints: bool,
 }
 
 impl Dispatcher {
@@ -100,53 +100,57 @@
             now: f64::NEG_INFINITY,
             requests: BTreeMap::new(),
             client_streams: BTreeMap::new(),
-            origins: BTreeMap::new(),
+            requests_by_origin: BTreeMap::new(),
             callers: ClientConnections::default(),
             next_request_id: 0,
             endpoints: Endpoints::default(),
             connections: EngineConnections::new(seed),
             timers: Timers::default(),
             kv_states: KvStates::default(),
-            unreleased: BTreeMap::new(),
-            unconfirmed: BTreeSet::new(),
-            last_over: None,
+            pending_engine_releases: BTreeMap::new(),
+            delivery_unconfirmed: BTreeSet::new(),
+            last_finished_origin: None,
             events: Vec::new(),
-            stopping: None,
+            stopping_since: None,
             stopped: false,
-            stories: false,
-            record: None,
-            guarded: Guarded::default(),
-            keeps_lists: true,
+            logs_requests: false,
+            service_stats: None,
+            invariant_counts: InvariantCounts::default(),
+            caches_endpoints: true,
         }
     }
 
     /// Takes one input in at its instant; an instant before the last counts as the last. What has fallen due
     /// by then is done after it.
-    pub fn handle(&mut self, now: Ms, input: Input, out: &mut Vec<Output>) {
+    pub fn handle(&mut self, now: Ms, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
-            Input::ClientUp { conn } => self.take_client_up(conn, out),
-            Input::Client { conn, frame } => self.take_client(conn, frame, out),
+            Input::ClientUp { conn } => self.take_client_up(conn, outputs),
+            Input::Client { conn, frame } => self.handle_client_message(conn, frame, outputs),
             Input::ClientPartly { conn } => self.take_partly(conn),
-            Input::ClientsFull => self.make_room(out),
-            Input::ClientClosed { conn } => self.take_client_closed(conn, out),
+            Input::ClientsFull => self.make_room(outputs),
+            Input::ClientClosed { conn } => self.on_client_closed(conn, outputs),
             Input::Flushed {
                 conn,
                 stream,
                 messages,
-            } => self.take_flushed((conn, stream), messages, out),
-            Input::ConnectionUp { connection, limit } => self.take_link_up(connection, limit, out),
+            } => self.on_messages_forwarded((conn, stream), messages, outputs),
+            Input::ConnectionUp { connection, limit } => {
+                self.on_connection_up(connection, limit, outputs)
+            }
             Input::ConnectionDraining { connection } => {
                 self.connections.leaving(connection, &mut self.timers)
             }
             Input::ConnectionClosed { connection, reason } => {
-                self.take_link_closed(connection, &reason, out)
+                self.on_connection_closed(connection, &reason, outputs)
+            }
+            Input::Engine { connection, frame } => {
+                self.handle_engine_message(connection, frame, outputs)
             }
-            Input::Engine { connection, frame } => self.take_engine(connection, frame, out),
             Input::CachedEndpoints(list) => {
-                self.take_list(&list, Some(EndpointUpdateKind::Cached), out)
+                self.update_endpoints(&list, Some(EndpointUpdateKind::Cached), outputs)
             }
-            Input::Listed(list) => self.take_list(&list, None, out),
+            Input::Listed(list) => self.update_endpoints(&list, None, outputs),
             Input::EndpointsRejected => {
                 self.events.push(Event::EndpointsUpdated {
                     kind: EndpointUpdateKind::Rejected,
@@ -155,15 +159,15 @@
             }
             Input::Heard { from, bytes } => self.events.push(Event::GossipReceived { from, bytes }),
             Input::Tick => {}
-            Input::Stop => self.take_stop(out),
+            Input::Stop => self.begin_stop(outputs),
         }
-        self.settle(out);
+        self.settle(outputs);
         while let Some(due) = self.timers.take_due(self.now) {
-            self.take_due(due, out);
-            self.settle(out);
+            self.take_due(due, outputs);
+            self.settle(outputs);
         }
-        self.look_at_due_releases(out);
-        self.end_stop(out);
+        self.continue_due_releases(outputs);
+        self.end_stop(outputs);
     }
 
     /// When `handle` wants to be called at the latest; an earlier `Tick` does no harm.
@@ -173,36 +177,38 @@
 
     /// Tells the decisions what happened and does what they decide, until nothing more follows. What is done
     /// may be over at once (an attempt that no connection can take); each such round ends an attempt, and a request has few.
-    fn settle(&mut self, out: &mut Vec<Output>) {
+    fn settle(&mut self, outputs: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
-            if let Some(record) = &mut self.record {
+            if let Some(service_stats) = &mut self.service_stats {
                 events
                     .iter()
-                    .for_each(|event| record.hears(self.now, event));
+                    .for_each(|event| service_stats.hears(self.now, event));
             }
-            if self.stories {
-                events.iter().for_each(|event| self.tell_event(event, out));
+            if self.logs_requests {
+                events
+                    .iter()
+                    .for_each(|event| self.log_event(event, outputs));
             }
             self.control.step(self.now, &events, &mut actions);
             for action in actions.drain(..) {
-                if self.stories {
-                    self.tell_action(&action, out);
+                if self.logs_requests {
+                    self.log_action(&action, outputs);
                 }
-                self.carry_out(action, out);
+                self.carry_out(action, outputs);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action, out: &mut Vec<Output>) {
+    fn carry_out(&mut self, action: Action, outputs: &mut Vec<Output>) {
         match action {
             Action::StartAttempt {
                 request,
                 engine,
                 until,
-            } => self.start_attempt(request, engine, until, out),
-            Action::Cancel { request, attempt } => self.call_off(request, attempt, out),
+            } => self.start_attempt(request, engine, until, outputs),
+            Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt, outputs),
             Action::Reject {
                 request,
                 retry_after,
@@ -210,11 +216,11 @@
                 let retry_after_ms = retry_after
                     .unwrap_or(0.0)
                     .min(self.settings.policy.max_retry_after);
-                let (answer, reason) = match self.guard_refusal(request, out) {
+                let (answer, reason) = match self.may_reject(request, outputs) {
                     true => (v1::Answer::Rejected, "turned away"),
                     false => (v1::Answer::Failed, "it may have run"),
                 };
-                self.answer(request, answer, retry_after_ms, reason, out);
+                self.answer(request, answer, retry_after_ms, reason, outputs);
             }
             Action::Fail { request } => {
                 let reject = fault_injection::is(Plant::FailureAsRejection);
@@ -223,50 +229,56 @@
                 } else {
                     v1::Answer::Failed
                 };
-                self.answer(request, answer, 0.0, "no answer in time", out)
+                self.answer(request, answer, 0.0, "no answer in time", outputs)
             }
-            Action::Release { request } => self.release(request, out),
-            Action::ReleaseInDoubt { request } => self.release_in_doubt(request, out),
-            Action::Confirm { request, attempt } => self.confirm(request, attempt, out),
-            Action::Reserve { request, engine } => self.hold_ahead(request, &engine, out),
-            Action::Migrate { request } => self.move_away(request, out),
+            Action::Release { request } => self.release(request, outputs),
+            Action::ReleaseInDoubt { request } => self.release_unconfirmed(request, outputs),
+            Action::Confirm { request, attempt } => self.confirm(request, attempt, outputs),
+            Action::Reserve { request, engine } => self.reserve(request, &engine, outputs),
+            Action::Migrate { request } => self.migrate(request, outputs),
             Action::SetTimer { delay, timer } if fault_injection::is(Plant::TimersLate) => {
                 self.timers
-                    .set(self.now + delay.max(0.0) + 300.0, Due::Module(timer));
+                    .set(self.now + delay.max(0.0) + 300.0, Due::Control(timer));
             }
             Action::SetTimer { delay, timer } => self
                 .timers
-                .set(self.now + delay.max(0.0), Due::Module(timer)),
-            Action::HealthCheck { engine } => self.probe(engine, out),
-            Action::CloseIdle { engine } => self.close_idle(&engine, out),
-            Action::SendGossip { to, bytes } => out.push(Output::Tell { to, bytes }),
-            Action::FetchEndpoints => out.push(Output::Follow { changes: false }),
-            Action::WatchEndpoints { on } => out.push(Output::Follow { changes: on }),
-            Action::Log { text } => out.push(Output::Log {
+                .set(self.now + delay.max(0.0), Due::Control(timer)),
+            Action::HealthCheck { engine } => self.check_health(engine, outputs),
+            Action::CloseIdle { engine } => self.close_idle(&engine, outputs),
+            Action::SendGossip { to, bytes } => outputs.push(Output::Tell { to, bytes }),
+            Action::FetchEndpoints => outputs.push(Output::Follow { changes: false }),
+            Action::WatchEndpoints { on } => outputs.push(Output::Follow { changes: on }),
+            Action::Log { text } => outputs.push(Output::Log {
                 level: Level::Info,
                 text,
             }),
         }
     }
 
-    fn take_due(&mut self, due: Due, out: &mut Vec<Output>) {
+    fn take_due(&mut self, due: Due, outputs: &mut Vec<Output>) {
         match due {
-            Due::Module(timer) => self.events.push(Event::Timer { timer }),
-            Due::Attempt(request, attempt) => self.time_out(request, attempt, out),
-            Due::Deadline(id) => self.reach_deadline(id, out),
-            Due::Stall(request, attempt) => self.look_at_stream(request, attempt, out),
-            Due::Client(conn) => self.look_at_client(conn, out),
-            Due::EngineConnections(engine) => self.look_at_links(&engine, out),
-            Due::Probe(connection, stream) => {
+            Due::Control(timer) => self.events.push(Event::Timer { timer }),
+            Due::AttemptTimeout(request, attempt) => {
+                self.time_out_attempt(request, attempt, outputs)
+            }
+            Due::Deadline(id) => self.on_deadline(id, outputs),
+            Due::StreamStall(request, attempt) => {
+                self.check_stream_progress(request, attempt, outputs)
+            }
+            Due::Client(conn) => self.look_at_client(conn, outputs),
+            Due::EngineConnections(engine) => self.run_connection_pool(&engine, outputs),
+            Due::HealthCheckTimeout(connection, stream) => {
                 self.end_health_check(connection, stream, Outcome::TimedOut, Load::default())
             }
-            Due::Past(connection, stream) => self.look_at_past(connection, stream, out),
-            Due::Held(request) => self.guard_held(request, out),
-            Due::Release(engine) => self.flush_releases(&engine, out),
-            Due::KvState(request) => self.end_wait(request, out),
-            Due::StopNotice => self.end_notice(out),
-            Due::StopMoves => self.move_all(out),
-            Due::StopGrace => self.end_grace(out),
+            Due::StreamTimeout(connection, stream) => {
+                self.check_unanswered_stream(connection, stream, outputs)
+            }
+            Due::HeldStateCheck(request) => self.check_held_state(request, outputs),
+            Due::EngineReleaseRetry(engine) => self.send_engine_releases(&engine, outputs),
+            Due::ReleaseCheck(request) => self.on_release_timer(request, outputs),
+            Due::StopNotice => self.end_notice(outputs),
+            Due::StopMigration => self.migrate_all(outputs),
+            Due::StopGrace => self.end_grace(outputs),
             Due::StopReleases => {}
         }
     }
--- a/crates/dispatcher/src/state/release_targets.rs
+++ b/crates/dispatcher/src/state/release_targets.rs
@@ -1,12 +1,12 @@
 //! Which engines are asked next to release a KV state, where any engine passes a release on.
 
 use super::kv_states::KvState;
-use super::releases::CONFIRM_PART;
+use super::releases::CONFIRMATION_TIMEOUT_DIVISOR;
 use super::*;
 
 /// Each round without an answer asks one engine more at once, so many at the most: when nearly all of a fleet are silent,
 /// one after another would take too long.
-const MOST_AT_ONCE: usize = 4;
+const MAX_PARALLEL_CALLS: usize = 4;
 
 impl Dispatcher {
     /// The engines that the next round asks: the one that holds the state, or that most likely runs; one more for each that has
@@ -14,12 +14,15 @@
     pub(super) fn engines_to_ask(
         &self,
         state: &KvState,
-        unconfirmed: &mut Vec<EngineId>,
+        asked_engines: &mut Vec<EngineId>,
     ) -> Vec<EngineId> {
-        let more = unconfirmed.len().min(MOST_AT_ONCE - 1);
-        let mut asked: Vec<EngineId> = self.holder_to_ask(state, unconfirmed).into_iter().collect();
+        let more = asked_engines.len().min(MAX_PARALLEL_CALLS - 1);
+        let mut asked: Vec<EngineId> = self
+            .holder_to_ask(state, asked_engines)
+            .into_iter()
+            .collect();
         while asked.len() < 1 + more {
-            let Some(next) = self.next_engine(unconfirmed, &asked) else {
+            let Some(next) = self.next_engine(asked_engines, &asked) else {
                 break;
             };
             asked.push(next);
@@ -33,21 +36,22 @@
     pub(super) fn holder_to_ask(
         &self,
         state: &KvState,
-        unconfirmed: &[EngineId],
+        asked_engines: &[EngineId],
     ) -> Option<EngineId> {
         let engine = &state.held.engine;
         let may_ask = self.endpoints.status(engine) != EndpointStatus::Gone
             && !self.connections.is_asked_in_vain(engine);
-        let was_cut =
-            state.release.confirmed == 0 && state.unknowing().any(|other| other == engine);
-        let fits =
-            may_ask && (was_cut || self.was_heard_lately(engine)) && !unconfirmed.contains(engine);
+        let was_cut = state.release.confirmations == 0
+            && state.unaware_engines().any(|other| other == engine);
+        let fits = may_ask
+            && (was_cut || self.was_heard_lately(engine))
+            && !asked_engines.contains(engine);
         fits.then(|| engine.clone())
     }
 
     pub(super) fn was_heard_lately(&self, engine: &EngineId) -> bool {
         self.connections.heard_at(engine)
-            >= self.now - self.settings.policy.kv_state_timeout / CONFIRM_PART
+            >= self.now - self.settings.policy.kv_state_timeout / CONFIRMATION_TIMEOUT_DIVISOR
     }
 
     /// The engine that most likely runs, of those that have not been asked: none that has left a question unanswered since it
@@ -56,7 +60,7 @@
     /// silent at once: its connections at rest stay up, while those of the engines that work are busy.
     pub(super) fn next_engine(
         &self,
-        unconfirmed: &mut Vec<EngineId>,
+        asked_engines: &mut Vec<EngineId>,
         taken: &[EngineId],
     ) -> Option<EngineId> {
         let ready =
@@ -68,10 +72,10 @@
             .filter(ready)
             .map(|(engine, _)| engine)
             .collect();
-        if engines.iter().all(|engine| unconfirmed.contains(engine)) {
+        if engines.iter().all(|engine| asked_engines.contains(engine)) {
             // The last one asked is not asked again at once, if there is another.
-            let asked = unconfirmed.len();
-            unconfirmed.drain(..asked.saturating_sub(1));
+            let asked = asked_engines.len();
+            asked_engines.drain(..asked.saturating_sub(1));
         }
         let rank = |engine: &EngineId| {
             let fresh = self.was_heard_lately(engine);
@@ -92,7 +96,7 @@
         // Guards against a storm: all requests that a process has open at a silent engine would ask it again and again.
         let unasked = engines
             .into_iter()
-            .filter(|engine| !unconfirmed.contains(engine) && !taken.contains(engine));
+            .filter(|engine| !asked_engines.contains(engine) && !taken.contains(engine));
         let unasked = unasked.filter(|engine| !self.connections.is_asked_in_vain(engine));
         unasked.max_by(order).cloned()
     }
--- a/crates/dispatcher/src/state/release_waits.rs
+++ b/crates/dispatcher/src/state/release_waits.rs
@@ -5,8 +5,8 @@
 
 /// Where a release waits for an attempt of its request: the part of the release time after which the attempt's engine is
 /// asked for a sign, and the part after which an attempt without one is waited for no longer.
-const ASK_PART: f64 = 4.0;
-const DOUBT_PART: f64 = 2.0;
+const LIVENESS_CHECK_DIVISOR: f64 = 4.0;
+const UNCONFIRMED_ATTEMPT_DIVISOR: f64 = 2.0;
 
 impl Dispatcher {
     /// The open request that goes by the id for which a state is held, and its attempt that is out.
@@ -14,20 +14,15 @@
         &self,
         state: &KvState,
     ) -> Option<(RequestId, Option<&requests::Attempt>)> {
-        let id = *self.origins.get(&state.held.origin)?;
-        Some((
-            id,
-            self.requests
-                .get(&id)
-                .and_then(|request| request.out.as_ref()),
-        ))
+        let id = *self.requests_by_origin.get(&state.held.origin)?;
+        Some((id, self.current_attempt(id)))
     }
 
     /// Whether an attempt of a request is out.
-    pub(super) fn is_attempted(&self, id: RequestId) -> bool {
+    pub(super) fn is_attempted(&self, request_id: RequestId) -> bool {
         let request = self
             .kv_states
-            .get(id)
+            .get(request_id)
             .and_then(|state| self.open_request(state));
         request.is_some_and(|(_, attempt)| attempt.is_some())
     }
@@ -40,26 +35,28 @@
             return false;
         };
         let needs = |attempt: &requests::Attempt| {
-            let may_arrive = self.now < self.doubted_from(state, attempt) + self.doubt_lasts();
-            attempt.first || attempt.reading && (may_arrive || self.has_arrived(attempt))
+            let may_arrive =
+                self.now < self.unconfirmed_since(state, attempt) + self.unconfirmed_attempt_wait();
+            attempt.first_token_sent
+                || attempt.is_prefill && (may_arrive || self.has_arrived(attempt))
         };
-        let is_on_offer = self
+        let is_available = self
             .kv_states
-            .on_offer(id)
-            .is_some_and(|state| !state.is_to_release());
-        is_on_offer || attempt.is_some_and(needs)
+            .available(id)
+            .is_some_and(|state| !state.is_release_wanted());
+        is_available || attempt.is_some_and(needs)
     }
 
     /// How long a release waits for a prefill that may not have arrived.
-    pub(super) fn doubt_lasts(&self) -> Ms {
-        self.settings.policy.kv_state_timeout / DOUBT_PART
+    pub(super) fn unconfirmed_attempt_wait(&self) -> Ms {
+        self.settings.policy.kv_state_timeout / UNCONFIRMED_ATTEMPT_DIVISOR
     }
 
     /// Since when. A release that has gone out before waits for each prefill anew.
-    pub(super) fn doubted_from(&self, state: &KvState, attempt: &requests::Attempt) -> Ms {
-        let wanted = state.release.wanted;
+    pub(super) fn unconfirmed_since(&self, state: &KvState, attempt: &requests::Attempt) -> Ms {
+        let wanted = state.release.wanted_since;
         if state.release.calls > 0 {
-            wanted.max(attempt.since)
+            wanted.max(attempt.started_at)
         } else {
             wanted
         }
@@ -67,40 +64,41 @@
 
     /// A release waits for an attempt of its request. One that may not have arrived: its engine is asked for a sign, and
     /// without one the release goes out in time.
-    pub(super) fn wait_for_attempt(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(state) = self.kv_states.get_mut(id) else {
+    pub(super) fn wait_for_attempt(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        let Some(state) = self.kv_states.get_mut(request_id) else {
             return;
         };
-        state.release.since = self.now;
-        let mut again = self.now + self.settings.policy.kv_state_timeout / DOUBT_PART;
-        let Some(state) = self.kv_states.get(id) else {
+        state.release.unblocked_since = self.now;
+        let mut again =
+            self.now + self.settings.policy.kv_state_timeout / UNCONFIRMED_ATTEMPT_DIVISOR;
+        let Some(state) = self.kv_states.get(request_id) else {
             return;
         };
         let Some((of, attempt)) = self.open_request(state) else {
             return;
         };
         if let Some(attempt) =
-            attempt.filter(|attempt| !attempt.first && !self.has_arrived(attempt))
+            attempt.filter(|attempt| !attempt.first_token_sent && !self.has_arrived(attempt))
         {
-            let from = self.doubted_from(state, attempt);
-            let asks_at = from + self.settings.policy.kv_state_timeout / ASK_PART;
+            let from = self.unconfirmed_since(state, attempt);
+            let asks_at = from + self.settings.policy.kv_state_timeout / LIVENESS_CHECK_DIVISOR;
             again = if self.now < asks_at {
                 asks_at
             } else {
-                from + self.doubt_lasts()
+                from + self.unconfirmed_attempt_wait()
             };
-            let (no, is_doubted) = (attempt.no, attempt.is_doubted);
-            if self.now >= asks_at && !is_doubted {
-                self.confirm(of, no, out);
+            let (attempt_id, confirmation_requested) = (attempt.id, attempt.confirmation_requested);
+            if self.now >= asks_at && !confirmation_requested {
+                self.confirm(of, attempt_id, outputs);
             }
         }
-        self.look_again(id, again.max(self.now));
+        self.schedule_release_check(request_id, again.max(self.now));
     }
 
     /// An attempt of a request is over: what is held for it may be taken back, and what is to be released can be.
-    pub(super) fn settle_state(
+    pub(super) fn settle_kv_state(
         &mut self,
-        id: RequestId,
+        request_id: RequestId,
         ended: &requests::Attempt,
         outcome: Outcome,
     ) {
@@ -108,18 +106,19 @@
             outcome,
             Outcome::Cancelled | Outcome::TimedOut | Outcome::ConnectionLost
         );
-        let was_sent = ended.sent.is_some() && self.settings.limits.single.is_some();
+        let was_sent = ended.sent_at.is_some() && self.settings.limits.single.is_some();
         let unanswered = (is_unanswered && was_sent).then(|| ended.engine.clone());
         let holds_anew = outcome == Outcome::PrefillDone || self.has_arrived(ended);
         if let Some(state) = self
             .kv_states
-            .get_mut(id)
-            .filter(|state| state.is_on_offer() && holds_anew)
+            .get_mut(request_id)
+            .filter(|state| state.is_available() && holds_anew)
         {
             state.held_since = self.now;
         }
-        self.kv_states.take_back(id, ended.no);
-        self.kv_states.attempt_over(id, unanswered, self.now);
-        self.arm_guard(id);
+        self.kv_states.withdraw_offer(request_id, ended.id);
+        self.kv_states
+            .attempt_over(request_id, unanswered, self.now);
+        self.schedule_held_check(request_id);
     }
 }
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -8,17 +8,17 @@
 
 /// The part of the release time within which an engine has to confirm a release, and the part that passes before the next
 /// round where none has: first, and later.
-pub(super) const CONFIRM_PART: f64 = 4.0;
-const NEXT_ROUND_PART: f64 = 25.0;
-const SLOW_ROUND_PART: f64 = 4.0;
+pub(super) const CONFIRMATION_TIMEOUT_DIVISOR: f64 = 4.0;
+const NEXT_ROUND_DIVISOR: f64 = 25.0;
+const SLOW_ROUND_DIVISOR: f64 = 4.0;
 /// Where a release was confirmed that does not count: in release times, when it is sent again for the first time, and how often
 /// after that. An engine that hangs may notice the close of its attempt at any time, and the state's time counts from then
 /// on. After some repeats the wait doubles.
-const FIRST_REPEAT: f64 = 0.75;
-const REPEAT: f64 = 1.0;
-const EVEN_REPEATS: u32 = 10;
+const FIRST_REPEAT_TIMEOUTS: f64 = 0.75;
+const REPEAT_TIMEOUTS: f64 = 1.0;
+const REPEATS_BEFORE_BACKOFF: u32 = 10;
 /// For so many release times the next round comes soon; then it is likely that hardly any engine can be reached.
-const HURRIED_FOR: f64 = 2.0;
+const FAST_ROUNDS_TIMEOUTS: f64 = 2.0;
 /// For how many release times a release is sent again that was confirmed and is not known to have taken effect, and one that
 /// nobody has confirmed.
 const GIVE_UP_AFTER: f64 = 20.0;
@@ -26,146 +26,167 @@
 
 impl Dispatcher {
     /// The decisions let the state go that is held for a request.
-    pub(super) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if self.kv_states.on_offer(id).is_none() {
+    pub(super) fn release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        if self.kv_states.available(request_id).is_none() {
             return;
         }
-        if let Some((doubt, text)) = self.doubt(id) {
+        if let Some((doubt, text)) = self.undelivered_attempt(request_id) {
             let text = format!("state released, {doubt}: {text}");
-            out.push(Output::Log {
+            outputs.push(Output::Log {
                 level: Level::Info,
                 text,
             });
         }
-        self.want_release(id, out);
-        self.forget_past(id);
+        self.want_release(request_id, outputs);
+        self.forget_finished(request_id);
     }
 
     /// The decisions doubt that the attempt which is out has arrived, though its engine runs: what is held is let go, unless that
     /// attempt waits for it.
-    pub(super) fn release_in_doubt(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if let Some((doubt, text)) = self.doubt(id) {
+    pub(super) fn release_unconfirmed(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        if let Some((doubt, text)) = self.undelivered_attempt(request_id) {
             let text = format!("release sent, {doubt}: {text}");
-            out.push(Output::Log {
+            outputs.push(Output::Log {
                 level: Level::Info,
                 text,
             });
         }
-        self.kv_states.doubt(id, self.now);
+        self.kv_states.mark_unconfirmed(request_id, self.now);
     }
 
-    pub(super) fn want_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    pub(super) fn want_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if self.settings.limits.single.is_some() {
-            self.kv_states.want_release(id, self.now);
-            self.arm_guard(id);
-        } else if let Some(state) = self.kv_states.forget(id) {
-            self.release_unless_planted(state.held, out);
+            self.kv_states.want_release(request_id, self.now);
+            self.schedule_held_check(request_id);
+        } else if let Some(state) = self.kv_states.forget(request_id) {
+            self.release_at_engine_unless_forgotten(state.held, outputs);
         }
     }
 
     /// A prefill was cut off: it may have ended at its engine, with nobody left to hear of it.
-    pub(super) fn release_leftover(&mut self, id: RequestId, held: Held, out: &mut Vec<Output>) {
+    pub(super) fn release_leftover(
+        &mut self,
+        request_id: RequestId,
+        held: Held,
+        outputs: &mut Vec<Output>,
+    ) {
         if self.settings.limits.single.is_some() {
-            self.kv_states.want_leftover_released(id, held, self.now);
+            self.kv_states
+                .want_leftover_released(request_id, held, self.now);
         } else {
-            self.release_unless_planted(held, out);
+            self.release_at_engine_unless_forgotten(held, outputs);
         }
     }
 
-    pub(super) fn release_unless_planted(&mut self, held: Held, out: &mut Vec<Output>) {
+    pub(super) fn release_at_engine_unless_forgotten(
+        &mut self,
+        held: Held,
+        outputs: &mut Vec<Output>,
+    ) {
         if !fault_injection::is(Plant::ReleaseForgotten) {
-            self.release_at_engine(held, out);
+            self.release_at_engine(held, outputs);
         }
     }
 
     /// Looks at the releases that have come up, once the decisions have dealt with what happened: only then it is known
     /// whether a request goes on.
-    pub(super) fn look_at_due_releases(&mut self, out: &mut Vec<Output>) {
-        for id in std::mem::take(&mut self.kv_states.due) {
-            self.look_at_release(id, out);
+    pub(super) fn continue_due_releases(&mut self, outputs: &mut Vec<Output>) {
+        for id in std::mem::take(&mut self.kv_states.due_releases) {
+            self.continue_release(id, outputs);
         }
     }
 
     /// Begins the next round of calls to release a state, if it is time.
-    pub(super) fn look_at_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    pub(super) fn continue_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if fault_injection::is(Plant::ReleaseForgotten) {
-            self.kv_states.forget(id);
+            self.kv_states.forget(request_id);
         }
-        let Some(state) = self.kv_states.to_release(id) else {
+        let Some(state) = self.kv_states.release_wanted(request_id) else {
             return;
         };
         if state.release.open_calls > 0 {
             return;
         }
         if self.is_needed(state) {
-            return self.wait_for_attempt(id, out);
+            return self.wait_for_attempt(request_id, outputs);
         }
-        let lasts = if state.release.confirmed > 0 {
+        let lasts = if state.release.confirmations > 0 {
             GIVE_UP_AFTER
         } else {
             GIVE_UP_UNCONFIRMED_AFTER
         };
-        if self.now - state.release.since > lasts * self.settings.policy.kv_state_timeout {
-            return self.give_up_release(id, out);
+        if self.now - state.release.unblocked_since > lasts * self.settings.policy.kv_state_timeout
+        {
+            return self.give_up_release(request_id, outputs);
         }
-        let mut unconfirmed = state.release.unconfirmed.clone();
-        let engines = self.engines_to_ask(state, &mut unconfirmed);
-        if let Some(state) = self.kv_states.get_mut(id) {
-            state.release.unconfirmed = unconfirmed;
+        let mut asked_engines = state.release.asked_engines.clone();
+        let engines = self.engines_to_ask(state, &mut asked_engines);
+        if let Some(state) = self.kv_states.get_mut(request_id) {
+            state.release.asked_engines = asked_engines;
             state.release.round_confirmed = false;
         }
         for engine in engines {
-            self.begin_release(id, engine, out);
+            self.begin_release(request_id, engine, outputs);
         }
-        self.plan_next_round(id);
+        self.schedule_next_round(request_id);
     }
 
-    fn give_up_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(state) = self.kv_states.forget(id) else {
+    fn give_up_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        let Some(state) = self.kv_states.forget(request_id) else {
             return;
         };
-        let unknowing: Vec<&str> = state.unknowing().map(|engine| engine.0.as_ref()).collect();
+        let unaware_engines: Vec<&str> = state
+            .unaware_engines()
+            .map(|engine| engine.0.as_ref())
+            .collect();
         let text = format!(
-            "state not released again: id={} after {} calls, {} confirmed; engines that have not worked since: {unknowing:?}",
-            state.held.origin, state.release.calls, state.release.confirmed
+            "state not released again: id={} after {} calls, {} confirmed; engines that have not worked since: {unaware_engines:?}",
+            state.held.origin, state.release.calls, state.release.confirmations
         );
-        let level = if state.release.confirmed > 0 {
+        let level = if state.release.confirmations > 0 {
             Level::Info
         } else {
             Level::Warn
         };
-        out.push(Output::Log { level, text });
+        outputs.push(Output::Log { level, text });
     }
 
-    fn begin_release(&mut self, id: RequestId, engine: EngineId, out: &mut Vec<Output>) {
+    fn begin_release(
+        &mut self,
+        request_id: RequestId,
+        engine: EngineId,
+        outputs: &mut Vec<Output>,
+    ) {
         let Some(row) = self.endpoints.engines.get(&engine) else {
             return;
         };
-        let Some(state) = self.kv_states.get_mut(id) else {
+        let Some(state) = self.kv_states.get_mut(request_id) else {
             return;
         };
         let (now, address) = (self.now, row.line.address.clone());
-        (state.release.last_begun, state.release.calls) = (now, state.release.calls + 1);
+        (state.release.last_call_at, state.release.calls) = (now, state.release.calls + 1);
         let body = Body::Release(v1::Release {
             state: Some(state.held.id),
             origin: state.held.origin.clone(),
         });
         let purpose = StreamPurpose::Release(ReleaseCall {
-            request: id,
-            begun: now,
+            request: request_id,
+            begun_at: now,
         });
-        let to = (&mut self.timers, &mut *out);
+        let to = (&mut self.timers, &mut *outputs);
         match self
             .connections
             .open(&engine, &address, purpose, now, &self.settings, to)
         {
             Ok((connection, stream)) => {
                 state.release.open_calls += 1;
-                let until = now + self.settings.policy.kv_state_timeout / CONFIRM_PART;
-                self.timers.set(until, Due::Past(connection, stream));
-                self.connections.send(connection, stream, body, out);
+                let until =
+                    now + self.settings.policy.kv_state_timeout / CONFIRMATION_TIMEOUT_DIVISOR;
+                self.timers
+                    .set(until, Due::StreamTimeout(connection, stream));
+                self.connections.send(connection, stream, body, outputs);
             }
-            Err(_) => state.release.unconfirmed.push(engine),
+            Err(_) => state.release.asked_engines.push(engine),
         }
     }
 
@@ -173,7 +194,7 @@
     pub(super) fn release_unsent(&mut self, call: &ReleaseCall) {
         if let Some(state) = self.kv_states.get_mut(call.request) {
             state.release.open_calls = state.release.open_calls.saturating_sub(1);
-            self.kv_states.due.insert(call.request);
+            self.kv_states.due_releases.insert(call.request);
         }
     }
 
@@ -183,8 +204,8 @@
             return;
         };
         state.release.open_calls = state.release.open_calls.saturating_sub(1);
-        state.release.unconfirmed.push(asked);
-        self.plan_next_round(call.request);
+        state.release.asked_engines.push(asked);
+        self.schedule_next_round(call.request);
     }
 
     /// An engine has confirmed a release: the state's record is over, if that counts.
@@ -192,27 +213,27 @@
         &mut self,
         asked: &EngineId,
         call: &ReleaseCall,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let release_time = self.settings.policy.kv_state_timeout;
         let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
         };
         state.release.open_calls = state.release.open_calls.saturating_sub(1);
-        state.release.unconfirmed.clear();
+        state.release.asked_engines.clear();
         state.release.round_confirmed = true;
-        if !state.is_to_release() {
+        if !state.is_release_wanted() {
             return;
         }
-        state.release.confirmed += 1;
+        state.release.confirmations += 1;
         let counts = state.is_released_by(call, release_time);
         if !counts || self.is_attempted(call.request) {
-            return self.plan_next_round(call.request);
+            return self.schedule_next_round(call.request);
         }
         let Some(state) = self.kv_states.forget(call.request) else {
             return;
         };
-        let level = if state.was_in_doubt() {
+        let level = if state.had_unacknowledged_end() {
             Level::Info
         } else {
             Level::Debug
@@ -222,65 +243,67 @@
             state.held.origin,
             asked.0,
             state.release.calls,
-            self.now - state.release.since
+            self.now - state.release.unblocked_since
         );
-        out.push(Output::Log { level, text });
+        outputs.push(Output::Log { level, text });
     }
 
     /// Sets the time of the next round, once no call of this one is under way.
-    fn plan_next_round(&mut self, id: RequestId) {
+    fn schedule_next_round(&mut self, request_id: RequestId) {
         let release_time = self.settings.policy.kv_state_timeout;
         let Some(state) = self
             .kv_states
-            .to_release(id)
+            .release_wanted(request_id)
             .filter(|state| state.release.open_calls == 0)
         else {
             return;
         };
         let release = &state.release;
-        let is_hurried = self.now - release.since < HURRIED_FOR * release_time;
+        let is_hurried = self.now - release.unblocked_since < FAST_ROUNDS_TIMEOUTS * release_time;
         let wait = match release.round_confirmed {
             // The end of the attempt brings it up again.
-            true if self.is_attempted(id) => return,
+            true if self.is_attempted(request_id) => return,
             true => {
                 let counts_in = state
                     .counts_from(release_time)
                     .map(|at| (at - self.now).max(0.0));
-                let usual = repeat_after(release.confirmed) * release_time;
+                let usual = repeat_after(release.confirmations) * release_time;
                 counts_in.map_or(usual, |counts_in| counts_in.min(usual))
             }
-            false if is_hurried => release_time / NEXT_ROUND_PART,
-            false => release_time / SLOW_ROUND_PART,
+            false if is_hurried => release_time / NEXT_ROUND_DIVISOR,
+            false => release_time / SLOW_ROUND_DIVISOR,
         };
         if !release.round_confirmed {
-            self.kv_states.stuck.insert(id);
+            self.kv_states.unconfirmed_releases.insert(request_id);
         }
-        self.look_again(id, self.now + wait);
+        self.schedule_release_check(request_id, self.now + wait);
     }
 
     /// An engine has shown that it runs: it passes on the releases that nobody has confirmed.
-    pub(super) fn note_engine_ran(&mut self) {
-        let mut stuck = std::mem::take(&mut self.kv_states.stuck);
-        self.kv_states.due.append(&mut stuck);
+    pub(super) fn wake_unconfirmed_releases(&mut self) {
+        let mut unconfirmed_releases = std::mem::take(&mut self.kv_states.unconfirmed_releases);
+        self.kv_states
+            .due_releases
+            .append(&mut unconfirmed_releases);
     }
 
     /// Has a release looked at at an instant, and not before.
-    pub(super) fn look_again(&mut self, id: RequestId, at: Ms) {
-        let Some(state) = self.kv_states.get_mut(id) else {
+    pub(super) fn schedule_release_check(&mut self, request_id: RequestId, at: Ms) {
+        let Some(state) = self.kv_states.get_mut(request_id) else {
             return;
         };
-        state.release.next_look = at;
-        self.timers.set(at, Due::KvState(id));
+        state.release.next_check_at = at;
+        self.timers.set(at, Due::ReleaseCheck(request_id));
     }
 
     /// The time has come at which a release was to be looked at, unless it was put off meanwhile.
-    pub(super) fn end_wait(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    pub(super) fn on_release_timer(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let is_due = self
             .kv_states
-            .to_release(id)
-            .is_some_and(|state| state.release.next_look <= self.now);
+            .release_wanted(request_id)
+            .is_some_and(|state| state.release.next_check_at <= self.now);
         if is_due {
-            self.look_at_release(id, out);
+            self.continue_release(request_id, outputs);
         }
     }
 
@@ -290,22 +313,25 @@
         for id in self.kv_states.engine_worked(engine, worked, self.now) {
             let state = self
                 .kv_states
-                .to_release(id)
-                .filter(|state| state.release.confirmed > 1);
-            let next = state.map_or(f64::INFINITY, |state| state.release.next_look);
+                .release_wanted(id)
+                .filter(|state| state.release.confirmations > 1);
+            let next = state.map_or(f64::INFINITY, |state| state.release.next_check_at);
             if let Some(at) =
                 state.and_then(|state| state.counts_from(self.settings.policy.kv_state_timeout))
             {
-                self.look_again(id, at.max(self.now).min(next));
+                self.schedule_release_check(id, at.max(self.now).min(next));
             }
         }
     }
 }
 
 /// In release times: when a release is sent again that was confirmed so often, and does not count.
-fn repeat_after(confirmed: u32) -> f64 {
-    match confirmed {
-        0 | 1 => FIRST_REPEAT,
-        many => REPEAT * 2.0_f64.powi(many.saturating_sub(EVEN_REPEATS).min(8) as i32),
+fn repeat_after(confirmations: u32) -> f64 {
+    match confirmations {
+        0 | 1 => FIRST_REPEAT_TIMEOUTS,
+        many => {
+            REPEAT_TIMEOUTS
+                * 2.0_f64.powi(many.saturating_sub(REPEATS_BEFORE_BACKOFF).min(8) as i32)
+        }
     }
 }
--- a/crates/dispatcher/src/state/request_log.rs
+++ b/crates/dispatcher/src/state/request_log.rs
@@ -6,11 +6,11 @@
 
 impl Dispatcher {
     /// What happens to requests is told line by line from now on.
-    pub fn tell_stories(&mut self) {
-        self.stories = true;
+    pub fn enable_request_log(&mut self) {
+        self.logs_requests = true;
     }
 
-    pub(super) fn tell_event(&self, event: &Event, out: &mut Vec<Output>) {
+    pub(super) fn log_event(&self, event: &Event, outputs: &mut Vec<Output>) {
         let text = match event {
             Event::Arrived(a) => {
                 let (shared, session) = (a.shared.map_or(0, |s| s.0), a.session.0);
@@ -88,13 +88,13 @@
             | Event::Timer { .. }
             | Event::GossipReceived { .. } => return,
         };
-        out.push(Output::Log {
+        outputs.push(Output::Log {
             level: Level::Debug,
             text,
         });
     }
 
-    pub(super) fn tell_action(&self, action: &Action, out: &mut Vec<Output>) {
+    pub(super) fn log_action(&self, action: &Action, outputs: &mut Vec<Output>) {
         let text = match action {
             Action::StartAttempt {
                 request, engine, ..
@@ -120,21 +120,21 @@
             }
             _ => return,
         };
-        out.push(Output::Log {
+        outputs.push(Output::Log {
             level: Level::Debug,
             text,
         });
     }
 
-    fn called(&self, id: RequestId) -> String {
+    fn called(&self, request_id: RequestId) -> String {
         let origin = self
             .requests
-            .get(&id)
+            .get(&request_id)
             .map(Request::origin)
             .unwrap_or_default();
         format!(
             "task={} id={}",
-            id.0,
+            request_id.0,
             if origin.is_empty() { "-" } else { &origin }
         )
     }
--- a/crates/dispatcher/src/state/status.rs
+++ b/crates/dispatcher/src/state/status.rs
@@ -5,7 +5,7 @@
 impl Dispatcher {
     /// Whether a list is there and no stop has begun, and which part of the requests that it may have open is.
     pub fn fares(&self) -> (bool, f64) {
-        let ready = self.endpoints.is_known() && self.stopping.is_none();
+        let ready = self.endpoints.is_known() && self.stopping_since.is_none();
         let most = self.settings.limits.max_open_requests.max(1);
         (ready, self.requests.len() as f64 / most as f64)
     }
@@ -21,21 +21,21 @@
     }
 
     /// Nobody keeps the list for the next start: it is not put together with each change.
-    pub fn keep_no_lists(&mut self) {
-        self.keeps_lists = false;
+    pub fn disable_endpoint_cache(&mut self) {
+        self.caches_endpoints = false;
     }
 
     /// Remembers from now on how its requests end and what engines say.
-    pub fn keep_record(&mut self) {
-        self.record = Some(service_stats::ServiceStats::default());
+    pub fn collect_service_stats(&mut self) {
+        self.service_stats = Some(service_stats::ServiceStats::default());
     }
 
     /// How its requests ended, and reports on so many engines that were heard of since.
     pub fn recorded(&mut self, now: Ms, most: usize) -> (Tally, Vec<EngineReport>) {
-        let Some(record) = &mut self.record else {
+        let Some(service_stats) = &mut self.service_stats else {
             return Default::default();
         };
-        (record.tally(), record.reports(now, most))
+        (service_stats.tally(), service_stats.reports(now, most))
     }
 
     /// The engines as the list has them. `now` is on the list's clock as well.
@@ -60,9 +60,9 @@
                     EndpointStatus::Gone => Stand::Out,
                 },
                 used: self
-                    .record
+                    .service_stats
                     .as_ref()
-                    .and_then(|record| record.used(now, engine)),
+                    .and_then(|service_stats| service_stats.used(now, engine)),
                 tally: Tally::default(),
             }
         };
@@ -70,26 +70,26 @@
     }
 
     /// How much is held, for logs and for tests of what must not grow.
-    pub fn held(&self) -> Holding {
-        Holding {
+    pub fn usage(&self) -> Usage {
+        Usage {
             requests: self.requests.len(),
             connections: self.connections.len(),
             timers: self.timers.len(),
             engines: self.endpoints.engines.len(),
-            releases: self.engine_releases() + self.kv_states.releasing(),
+            releases: self.engine_releases() + self.kv_states.release_wanted_count(),
         }
     }
 
     /// Releases where a state belongs to its engine, which that has not confirmed.
     pub(super) fn engine_releases(&self) -> usize {
-        let queued: usize = self.unreleased.values().map(Vec::len).sum();
+        let queued: usize = self.pending_engine_releases.values().map(Vec::len).sum();
         queued + self.connections.releasing()
     }
 }
 
 /// How much a ledger holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Holding {
+pub struct Usage {
     pub requests: usize,
     pub connections: usize,
     pub timers: usize,
--- a/crates/dispatcher/src/state/stream_purpose.rs
+++ b/crates/dispatcher/src/state/stream_purpose.rs
@@ -7,17 +7,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum StreamPurpose {
     Attempt(RequestId, AttemptId),
-    Probe {
-        sent: Ms,
+    HealthCheck {
+        sent_at: Ms,
     },
-    Hold(RequestId, AttemptId),
+    Reservation(RequestId, AttemptId),
     /// Asked to release what is held for a request, at whatever engine.
     Release(ReleaseCall),
     EngineRelease(EngineRelease),
     /// Asked for nothing but a sign that its engine runs.
-    Sign,
+    LivenessCheck,
     /// Given up here; whatever still comes is old.
-    Past,
+    Abandoned,
 }
 
 /// A release that its engine has not confirmed yet.
--- a/crates/dispatcher/src/state/timers.rs
+++ b/crates/dispatcher/src/state/timers.rs
@@ -8,30 +8,30 @@
 /// What a timer is for. Timers are not taken back: who is called looks whether there is still cause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Due {
-    Module(TimerId),
+    Control(TimerId),
     /// The module's time for an attempt has passed.
-    Attempt(RequestId, AttemptId),
+    AttemptTimeout(RequestId, AttemptId),
     /// The client's own time for a request has passed.
     Deadline(RequestId),
     /// A stream may have stalled.
-    Stall(RequestId, AttemptId),
+    StreamStall(RequestId, AttemptId),
     /// Something falls due for a client's connection.
     Client(ClientConnectionId),
     /// Something falls due for the connections to this engine.
     EngineConnections(EngineId),
-    Probe(EngineConnectionId, StreamId),
+    HealthCheckTimeout(EngineConnectionId, StreamId),
     /// The engine should have ended what was called off.
-    Past(EngineConnectionId, StreamId),
+    StreamTimeout(EngineConnectionId, StreamId),
     /// What this request holds may have lain for too long.
-    Held(RequestId),
+    HeldStateCheck(RequestId),
     /// States there whose release was lost are let go again.
-    Release(EngineId),
+    EngineReleaseRetry(EngineId),
     /// The release of this request's state is looked at.
-    KvState(RequestId),
+    ReleaseCheck(RequestId),
     /// What comes from now on is not taken any more.
     StopNotice,
     /// Streams are to go on elsewhere.
-    StopMoves,
+    StopMigration,
     StopGrace,
     /// Releases after a stop have had their time.
     StopReleases,
--- a/crates/dispatcher/src/state/token_streams.rs
+++ b/crates/dispatcher/src/state/token_streams.rs
@@ -3,65 +3,68 @@
 use super::*;
 
 /// The whole of the credit is given back in so many parts.
-const CREDIT_PARTS: u32 = 2;
+const CREDIT_GRANTS_PER_WINDOW: u32 = 2;
 
 impl Dispatcher {
     /// Tells whether the engine may say so: a decode engine, the next tokens, within its credit.
-    pub(super) fn take_tokens(
+    pub(super) fn handle_tokens(
         &mut self,
-        id: RequestId,
+        request_id: RequestId,
         tokens: v1::Tokens,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) -> bool {
-        let Some(request) = self.requests.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&request_id) else {
             return true;
         };
-        let Some(attempt) = request.out.as_mut() else {
+        let Some(attempt) = request.current_attempt.as_mut() else {
             return true;
         };
-        if attempt.reading
+        if attempt.is_prefill
             || tokens.position != attempt.position
-            || attempt.came >= attempt.credited
+            || attempt.messages_received >= attempt.messages_credited
         {
             return false;
         }
         if request.answered {
             // The answer is out, and the decisions may not call off: nothing more reaches the client.
-            self.stop_attempt(id, out);
-            self.end_attempt(id, Outcome::Cancelled, 0.0, Load::default());
+            self.stop_attempt(request_id, outputs);
+            self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
             return true;
         }
-        attempt.came += 1;
+        attempt.messages_received += 1;
         attempt.position = attempt.position.saturating_add(tokens.count);
-        attempt.last_came = self.now;
-        if !attempt.first {
-            attempt.first = true;
-            attempt.last_gone = self.now;
-            request.late = self.now > request.latency_objective;
-            self.kv_states.taken(id, self.now);
+        attempt.last_received_at = self.now;
+        if !attempt.first_token_sent {
+            attempt.first_token_sent = true;
+            attempt.last_forwarded_at = self.now;
+            request.first_token_late = self.now > request.first_token_due_at;
+            self.kv_states.mark_taken(request_id, self.now);
             // No attempt can need it any more.
             request.submit.prompt = Default::default();
-            let (no, engine, latency) =
-                (attempt.no, attempt.engine.clone(), self.now - attempt.since);
+            let (attempt_id, engine, latency) = (
+                attempt.id,
+                attempt.engine.clone(),
+                self.now - attempt.started_at,
+            );
             self.timers.set(
                 self.now + self.settings.limits.stall_limit,
-                Due::Stall(id, no),
+                Due::StreamStall(request_id, attempt_id),
             );
             self.events.push(Event::FirstToken {
-                request: id,
-                attempt: no,
+                request: request_id,
+                attempt: attempt_id,
                 engine,
                 latency,
             });
         }
         let (conn, stream) = request.client_stream;
         if fault_injection::is(Plant::TokensTwice) {
-            out.push(Output::ToClient {
+            outputs.push(Output::ToClient {
                 conn,
                 frame: frame(stream.0, Body::Tokens(tokens.clone())),
             });
         }
-        out.push(Output::ToClient {
+        outputs.push(Output::ToClient {
             conn,
             frame: frame(stream.0, Body::Tokens(tokens)),
         });
@@ -69,11 +72,11 @@
     }
 
     /// The client has taken some of a stream: the decode engine may send as much more.
-    pub(super) fn take_flushed(
+    pub(super) fn on_messages_forwarded(
         &mut self,
         client_stream: ClientStream,
         messages: u32,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let Some(request) = self
             .client_streams
@@ -82,57 +85,73 @@
         else {
             return;
         };
-        let Some(attempt) = request.out.as_mut() else {
+        let Some(attempt) = request.current_attempt.as_mut() else {
             return;
         };
-        attempt.gone = (attempt.gone + messages).min(attempt.came);
-        attempt.last_gone = self.now;
-        let room = (attempt.gone + self.settings.limits.window).saturating_sub(attempt.credited);
-        if room >= (self.settings.limits.window / CREDIT_PARTS).max(1) {
-            attempt.credited += room;
+        attempt.messages_forwarded =
+            (attempt.messages_forwarded + messages).min(attempt.messages_received);
+        attempt.last_forwarded_at = self.now;
+        let room = (attempt.messages_forwarded + self.settings.limits.window)
+            .saturating_sub(attempt.messages_credited);
+        if room >= (self.settings.limits.window / CREDIT_GRANTS_PER_WINDOW).max(1) {
+            attempt.messages_credited += room;
             let (connection, stream) = (attempt.connection, attempt.stream);
             let body = Body::Credit(v1::Credit { messages: room });
-            self.connections.send(connection, stream, body, out);
+            self.connections.send(connection, stream, body, outputs);
         }
     }
 
     /// Guards against streams that neither go on nor end: a decode engine that stalls is given up as broken, and a
     /// client that takes nothing has left. A decode engine that waits for credit does not stall.
-    pub(super) fn look_at_stream(&mut self, id: RequestId, no: AttemptId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id) else {
+    pub(super) fn check_stream_progress(
+        &mut self,
+        request_id: RequestId,
+        attempt_id: AttemptId,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(request) = self.requests.get(&request_id) else {
             return;
         };
-        let Some(attempt) = request.out.as_ref().filter(|l| l.no == no) else {
+        let Some(attempt) = request
+            .current_attempt
+            .as_ref()
+            .filter(|l| l.id == attempt_id)
+        else {
             return;
         };
-        let client_waits = attempt.gone == attempt.came;
+        let client_waits = attempt.messages_forwarded == attempt.messages_received;
         let since = if client_waits {
-            attempt.last_came.max(attempt.last_gone)
+            attempt.last_received_at.max(attempt.last_forwarded_at)
         } else {
-            attempt.last_gone
+            attempt.last_forwarded_at
         };
         let limit = self.settings.limits.stall_limit;
         if self.now < since + limit {
-            return self.timers.set(since + limit, Due::Stall(id, no));
+            return self
+                .timers
+                .set(since + limit, Due::StreamStall(request_id, attempt_id));
         }
         if client_waits {
-            let text = format!("stream of task {} stalled at {}", id.0, attempt.engine.0);
-            out.push(Output::Log {
+            let text = format!(
+                "stream of task {} stalled at {}",
+                request_id.0, attempt.engine.0
+            );
+            outputs.push(Output::Log {
                 level: Level::Warn,
                 text,
             });
-            self.stop_attempt(id, out);
+            self.stop_attempt(request_id, outputs);
             self.finish_attempt(
-                id,
+                request_id,
                 Outcome::ConnectionLost,
                 "the writer stalled",
                 Load::default(),
-                out,
+                outputs,
             );
         } else {
             let (conn, _) = request.client_stream;
-            self.leave(id, out);
-            out.push(Output::CloseClient {
+            self.client_gone(request_id, outputs);
+            outputs.push(Output::CloseClient {
                 conn,
                 reason: "it takes nothing".to_owned(),
             });
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -1,4 +1,4 @@
-//! A ledger where a connection carries a call at a time, with four engines of each kind, as the platform has them.
+//! A dispatcher where a connection carries a call at a time, with four engines of each kind, as the platform has them.
 #![allow(dead_code)]
 
 use super::*;
@@ -6,7 +6,7 @@
 /// What is held has this much more than the settings say.
 pub const HELD_SLACK: f64 = 300.0;
 
-/// A ledger that has four engines of each kind.
+/// A dispatcher that has four engines of each kind.
 pub fn bench() -> Bench {
     let mut bench = Bench::with(ProgramSettings {
         limits: single_limits(),
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Drives a ledger without I/O: a small fleet, clients' and engines' messages, and what comes out.
+//! Drives a dispatcher without I/O: a small fleet, clients' and engines' messages, and what comes out.
 #![allow(dead_code)]
 
 pub mod engines;
@@ -191,9 +191,9 @@
     pub state: Option<v1::KvStateId>,
 }
 
-/// A ledger with readers `r1`, `r2` and writers `w1`, `w2`, and all that came out of it.
+/// A dispatcher with readers `r1`, `r2` and writers `w1`, `w2`, and all that came out of it.
 pub struct Bench {
-    pub ledger: Dispatcher,
+    pub dispatcher: Dispatcher,
     pub now: Ms,
     pub out: Vec<Output>,
     engines: BTreeMap<EngineConnectionId, String>,
@@ -212,9 +212,9 @@
     }
 
     pub fn with(settings: ProgramSettings) -> Self {
-        let ledger = Dispatcher::new(settings, 1);
+        let dispatcher = Dispatcher::new(settings, 1);
         let mut bench = Bench {
-            ledger,
+            dispatcher,
             now: 1000.0,
             out: Vec::new(),
             engines: BTreeMap::new(),
@@ -236,7 +236,7 @@
         let mut next = vec![input];
         while let Some(input) = next.pop() {
             let mut out = Vec::new();
-            self.ledger.handle(self.now, input, &mut out);
+            self.dispatcher.handle(self.now, input, &mut out);
             for output in &out {
                 match output {
                     Output::Dial {
@@ -289,11 +289,11 @@
         all
     }
 
-    /// Lets time pass, with every call that the ledger wants on the way.
+    /// Lets time pass, with every call that the dispatcher wants on the way.
     pub fn pass(&mut self, by: Ms) -> Vec<Output> {
         let until = self.now + by;
         let mut all = Vec::new();
-        while let Some(at) = self.ledger.wants_call_at().filter(|at| *at <= until) {
+        while let Some(at) = self.dispatcher.wants_call_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             all.extend(self.put(Input::Tick));
         }
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -60,7 +60,7 @@
         0,
         "an attempt for nobody: {out:?}"
     );
-    assert_eq!(bench.ledger.held().requests, 0, "nothing is kept");
+    assert_eq!(bench.dispatcher.usage().requests, 0, "nothing is kept");
 }
 
 #[test_case(Gone::Closes, true; "closes")]
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -21,7 +21,7 @@
         .collect();
     assert_eq!(said, [5, 5, 5, 5], "accepted, two tokens, one final answer");
     assert_eq!(finals(&bench.out), [(5, Answer::Succeeded)]);
-    assert_eq!(bench.ledger.held().requests, 0);
+    assert_eq!(bench.dispatcher.usage().requests, 0);
     assert_eq!(finals(&bench.pass(60_000.0)), []);
 }
 
@@ -91,7 +91,7 @@
     assert!(finals(&bench.out)
         .iter()
         .all(|(_, answer)| *answer == Answer::Rejected));
-    assert_eq!(bench.ledger.held().requests, 0);
+    assert_eq!(bench.dispatcher.usage().requests, 0);
 }
 
 #[test]
@@ -134,7 +134,7 @@
         let later = bench.pass(10_000.0);
         assert!(bench.attempts(&out).is_empty() && bench.attempts(&later).is_empty());
         assert_eq!(to_client(&later), []);
-        assert_eq!(bench.ledger.held().requests, 0);
+        assert_eq!(bench.dispatcher.usage().requests, 0);
     }
 }
 
@@ -160,7 +160,7 @@
             reason: "reset".to_owned(),
         });
         assert_eq!(to_client(&[late, cut].concat()), []);
-        assert_eq!(bench.ledger.held().requests, 0);
+        assert_eq!(bench.dispatcher.usage().requests, 0);
     }
 }
 
@@ -233,7 +233,7 @@
     let out = bench.engine(&write, tokens(1));
     assert_eq!(out, [], "what was under way is passed over");
     bench.ended(&write, Status::Cancelled);
-    assert_eq!(bench.ledger.held().requests, 0);
+    assert_eq!(bench.dispatcher.usage().requests, 0);
 }
 
 #[test]
@@ -312,7 +312,7 @@
         .out
         .iter()
         .any(|o| matches!(o, Output::CloseClient { .. })));
-    assert_eq!(bench.ledger.held().requests, 1);
+    assert_eq!(bench.dispatcher.usage().requests, 1);
 }
 
 #[test]
@@ -353,7 +353,7 @@
         bench.client(stream, Body::Submit(submit("proof")));
     }
     assert_eq!(finals(&bench.out), [(3, Answer::Rejected)]);
-    assert_eq!(bench.ledger.held().requests, 2);
+    assert_eq!(bench.dispatcher.usage().requests, 2);
 }
 
 #[test]
@@ -411,7 +411,7 @@
             "{field}: {said:?}"
         );
     }
-    assert_eq!(bench.ledger.held().requests, 0);
+    assert_eq!(bench.dispatcher.usage().requests, 0);
     bench.streaming(9, "draft");
     let out = bench.client(9, Body::Submit(submit("draft")));
     assert!(
@@ -465,9 +465,9 @@
 #[test]
 fn a_remembered_list_serves_until_the_feed_speaks() {
     let ready = EndpointStatus::Ready;
-    let mut ledger = cindercleat_dispatcher::state::Dispatcher::new(settings(), 1);
+    let mut dispatcher = cindercleat_dispatcher::state::Dispatcher::new(settings(), 1);
     let mut out = Vec::new();
-    ledger.handle(
+    dispatcher.handle(
         1.0,
         Input::CachedEndpoints(list(
             EndpointUpdateKind::Snapshot,
@@ -475,7 +475,7 @@
         )),
         &mut out,
     );
-    ledger.handle(
+    dispatcher.handle(
         2.0,
         Input::Client {
             conn: ClientConnectionId(1),
@@ -491,7 +491,7 @@
         "it is kept already"
     );
     out.clear();
-    ledger.handle(
+    dispatcher.handle(
         3.0,
         Input::Listed(list(EndpointUpdateKind::Snapshot, &[("w1", ready)])),
         &mut out,
@@ -614,9 +614,9 @@
     for read in bench.attempts(&bench.out.clone()) {
         bench.ended(&read, Status::Cancelled);
     }
-    assert!(bench.ledger.held().connections > 0);
+    assert!(bench.dispatcher.usage().connections > 0);
     bench.pass(15_100.0);
-    assert_eq!(bench.ledger.held().connections, 0, "idle links close");
+    assert_eq!(bench.dispatcher.usage().connections, 0, "idle links close");
 }
 
 #[test]
@@ -705,7 +705,7 @@
     let story = |asked: bool| {
         let mut bench = Bench::new();
         if asked {
-            bench.ledger.tell_stories();
+            bench.dispatcher.enable_request_log();
         }
         let origin = v1::Origin {
             id: "9b1f03aa".to_owned(),
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -1,6 +1,6 @@
-//! Random rows of inputs to the ledger, and what must hold after each: one final answer a request and nothing
+//! Random rows of inputs to the dispatcher, and what must hold after each: one final answer a request and nothing
 //! after it, one attempt out a request, nothing to engines that are not ready, no second write of an at-most-once
-//! request that may have run, no state left pinned, and a ledger that empties at the end.
+//! request that may have run, no state left pinned, and a dispatcher that empties at the end.
 
 mod common;
 
@@ -51,13 +51,13 @@
 }
 
 struct World {
-    ledger: Dispatcher,
+    dispatcher: Dispatcher,
     now: Ms,
     statuses: BTreeMap<&'static str, EndpointStatus>,
     dialled: Vec<(EngineConnectionId, String)>,
     connections: BTreeMap<EngineConnectionId, String>,
     attempts: Vec<Attempt>,
-    /// Launches that the ledger has cancelled, which the engine has yet to end.
+    /// Launches that the dispatcher has cancelled, which the engine has yet to end.
     past: Vec<Attempt>,
     requests: BTreeMap<u32, Request>,
     by_stream: BTreeMap<u64, u32>,
@@ -78,7 +78,7 @@
         let mut settings = settings();
         settings.policy.may_health_check = seed.is_multiple_of(2);
         World {
-            ledger: Dispatcher::new(settings, seed),
+            dispatcher: Dispatcher::new(settings, seed),
             now: 1000.0,
             statuses: ENGINES.map(|h| (h, EndpointStatus::Ready)).into(),
             dialled: Vec::new(),
@@ -100,7 +100,7 @@
 
     fn put(&mut self, input: Input) -> Result<(), TestCaseError> {
         let mut out = Vec::new();
-        self.ledger.handle(self.now, input, &mut out);
+        self.dispatcher.handle(self.now, input, &mut out);
         for output in out {
             self.check(output)?;
         }
@@ -339,7 +339,7 @@
 
     fn draw(&mut self, (what, whom, after): Draw) -> Result<(), TestCaseError> {
         let until = self.now + f64::from(after % 400) / 2.0;
-        while let Some(at) = self.ledger.wants_call_at().filter(|at| *at <= until) {
+        while let Some(at) = self.dispatcher.wants_call_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.put(Input::Tick)?;
         }
@@ -458,7 +458,7 @@
             12 if !self.past.is_empty() => {
                 let attempt = self.past.remove(pick(self.past.len()));
                 let late = !attempt.write && whom.is_multiple_of(2);
-                // Its write had ended for the ledger with the cancel.
+                // Its write had ended for the dispatcher with the cancel.
                 let state = late.then_some(attempt.state);
                 if late {
                     self.held
@@ -538,27 +538,27 @@
         self.put(Input::ClientClosed {
             conn: ClientConnectionId(1),
         })?;
-        // Whom the ledger still dials, to let states go, cannot be had; then the states are not its to keep.
+        // Whom the dispatcher still dials, to let states go, cannot be had; then the states are not its to keep.
         self.held.clear();
         for _ in 0..400 {
-            let Some(at) = self.ledger.wants_call_at() else {
+            let Some(at) = self.dispatcher.wants_call_at() else {
                 break;
             };
             self.now = self.now.max(at);
             self.put(Input::Tick)?;
         }
-        let held = self.ledger.held();
+        let held = self.dispatcher.usage();
         prop_assert_eq!(
             (held.requests, held.connections, held.timers),
             (0, 0, 0),
             "{:?}",
             held
         );
-        let guarded = self.ledger.guarded();
+        let counts = self.dispatcher.invariant_counts();
         prop_assert!(
-            guarded.violated.is_empty(),
+            counts.violated.is_empty(),
             "a guard had to stop something: {:?}",
-            guarded
+            counts
         );
         Ok(())
     }
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -118,7 +118,7 @@
         );
         let out = bench.pass(20_000.0);
         assert_eq!(
-            (releases_of(1, &out), bench.ledger.held().releases),
+            (releases_of(1, &out), bench.dispatcher.usage().releases),
             (vec![], 0),
             "{class}"
         );
@@ -152,7 +152,7 @@
             "{class}: but not for ever: {}",
             releases_of(1, &out).len()
         );
-        assert_eq!(bench.ledger.held().releases, 0);
+        assert_eq!(bench.dispatcher.usage().releases, 0);
     }
 }
 
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -160,7 +160,7 @@
         bench.engine(&queued, tokens(0));
         let out = bench.pass(5_000.0);
         assert_eq!(releases_of(1, &out), [], "{class}: it has taken the state");
-        assert_eq!(bench.ledger.held().releases, 0, "{class}");
+        assert_eq!(bench.dispatcher.usage().releases, 0, "{class}");
     }
 }
 
@@ -178,7 +178,10 @@
         let out = bench.pass(1_000.0);
         assert!(bench.attempts(&out).is_empty(), "{class}");
         assert_eq!(
-            (bench.ledger.held().requests, bench.ledger.held().releases),
+            (
+                bench.dispatcher.usage().requests,
+                bench.dispatcher.usage().releases
+            ),
             (0, 0),
             "{class}"
         );
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -1,4 +1,4 @@
-//! The ledger where a connection carries one call at a time and states go by their request's id: what differs.
+//! The dispatcher where a connection carries one call at a time and states go by their request's id: what differs.
 
 mod common;
 
@@ -283,7 +283,7 @@
         let write = writing(&mut bench, n, &n.to_string(), "draft");
         bench.engine(&write, tokens(0));
         bench.ended(&write, Status::Succeeded);
-        assert!(bench.ledger.held().connections <= 2);
+        assert!(bench.dispatcher.usage().connections <= 2);
     }
 }
 
@@ -352,7 +352,7 @@
         "the stream; what has not begun goes on"
     );
     assert!(!out.iter().any(|o| matches!(o, Output::Stopped)));
-    assert_eq!(bench.ledger.held().requests, 1);
+    assert_eq!(bench.dispatcher.usage().requests, 1);
 }
 
 #[test]
@@ -427,7 +427,7 @@
         });
     }
     bench.pass(60_000.0);
-    let held = bench.ledger.held();
+    let held = bench.dispatcher.usage();
     assert_eq!((held.engines, held.connections, held.requests), (4, 0, 0));
     assert!(held.timers < 10, "{held:?}");
 }
@@ -448,7 +448,7 @@
     out.iter().filter_map(release).collect()
 }
 
-/// A ledger that knows eight engines of each kind.
+/// A dispatcher that knows eight engines of each kind.
 fn many() -> Bench {
     let mut bench = bench();
     let names: Vec<String> = ["r", "w"]
