--- a/crates/dispatcher/src/state/attempts.rs
+++ b/crates/dispatcher/src/state/attempts.rs
@@ -7,12 +7,30 @@
 use super::*;
 use cindercleat::connection_pool::PlacementError;
 
+/// An attempt that is about to go out.
+struct PlannedAttempt {
+    request_id: RequestId,
+    attempt_id: AttemptId,
+    engine: EngineId,
+    is_prefill: bool,
+    expires_at: Ms,
+}
+
+/// The stream that was opened for an attempt, and the message to send on it.
+struct OpenedAttempt {
+    connection: EngineConnectionId,
+    stream: StreamId,
+    body: Body,
+}
+
 impl Dispatcher {
     /// The attempt of a request that has not ended.
     pub(super) fn current_attempt(&self, request_id: RequestId) -> Option<&Attempt> {
         self.requests.get(&request_id)?.current_attempt.as_ref()
     }
 
+    /// Starts an attempt of a request at an engine. `until`: when it times out at the latest; the request's deadline if
+    /// none. What may not or cannot go out ends at once.
     pub(super) fn start_attempt(
         &mut self,
         request_id: RequestId,
@@ -25,84 +43,104 @@
         };
         let attempt_id = AttemptId(request.attempts);
         request.attempts += 1;
-        let (holds_no_state, answered) = (
-            self.kv_states.available(request_id).is_none(),
-            request.answered,
-        );
-        let reads = self
-            .endpoints
-            .engines
-            .get(&engine)
-            .is_some_and(|row| row.role == Role::Prefill);
-        let is_prefill = holds_no_state && reads;
-        // What must not be ends as never sent.
+        let (answered, deadline) = (request.answered, request.deadline);
+        let is_prefill = self.prefills_only(request_id, &engine);
         if !self.may_start_attempt(request_id, &engine, is_prefill, outputs) {
-            return self.events.push(never_sent(
-                request_id,
-                attempt_id,
-                engine,
-                Outcome::NotSent,
-                answered,
-            ));
+            let outcome = Outcome::NotSent;
+            let event = never_sent(request_id, attempt_id, engine, outcome, answered);
+            return self.events.push(event);
         }
-        let (Some(request), Some(row)) = (
-            self.requests.get_mut(&request_id),
-            self.endpoints.engines.get(&engine),
-        ) else {
-            return;
+        let planned = PlannedAttempt {
+            request_id,
+            attempt_id,
+            engine,
+            is_prefill,
+            expires_at: until.unwrap_or(deadline).min(deadline),
         };
-        let address = row.line.address.clone();
-        let until = until.unwrap_or(request.deadline).min(request.deadline);
-        let state = kv_state_id(self.settings.run, request_id, attempt_id);
-        let window = self.settings.limits.window;
-        let held = self
-            .kv_states
-            .available(request_id)
-            .map(|state| &state.held);
+        match self.open_attempt(&planned, outputs) {
+            Some(Ok(opened)) => self.begin_attempt(planned, opened, outputs),
+            // The next choice is to pass the engine by for a moment, or to judge it: it could not be reached.
+            Some(Err(refusal)) => {
+                let outcome = match refusal {
+                    PlacementError::AllTaken => Outcome::Overloaded,
+                    PlacementError::NotYet => Outcome::Unreachable,
+                };
+                let event = never_sent(request_id, attempt_id, planned.engine, outcome, answered);
+                self.events.push(event);
+            }
+            None => {}
+        }
+    }
+
+    /// Whether an attempt at an engine leaves a KV state there and no tokens.
+    fn prefills_only(&self, request_id: RequestId, engine: &EngineId) -> bool {
+        let entry = self.endpoints.engines.get(engine);
+        self.kv_states.available(request_id).is_none()
+            && entry.is_some_and(|entry| entry.role == Role::Prefill)
+    }
+
+    /// Opens a stream for an attempt. None if its request or its engine is not known.
+    fn open_attempt(
+        &mut self,
+        planned: &PlannedAttempt,
+        outputs: &mut Vec<Output>,
+    ) -> Option<Result<OpenedAttempt, PlacementError>> {
+        let request_id = planned.request_id;
+        let request = self.requests.get(&request_id)?;
+        let address = self
+            .endpoints
+            .engines
+            .get(&planned.engine)?
+            .line
+            .address
+            .clone();
+        let state = planned
+            .is_prefill
+            .then(|| kv_state_id(self.settings.run, request_id, planned.attempt_id));
+        let available = self.kv_states.available(request_id);
         let body = attempt_message(
             request,
-            held,
-            is_prefill.then_some(state),
+            available.map(|state| &state.held),
+            state,
             &self.endpoints,
-            window,
-            until - self.now,
+            self.settings.limits.window,
+            planned.expires_at - self.now,
         );
-        let purpose = StreamPurpose::Attempt(request_id, attempt_id);
         let opened = self.connections.open(
-            &engine,
+            &planned.engine,
             &address,
-            purpose,
+            StreamPurpose::Attempt(request_id, planned.attempt_id),
             self.now,
             &self.settings,
             (&mut self.timers, outputs),
         );
-        let (connection, stream) = match opened {
-            Ok(place) => place,
-            // The next choice is to pass the engine by for a moment, or to judge it: it could not be reached.
-            Err(refusal) => {
-                let outcome = match refusal {
-                    PlacementError::AllTaken => Outcome::Overloaded,
-                    PlacementError::NotYet => Outcome::Unreachable,
-                };
-                return self.events.push(never_sent(
-                    request_id,
-                    attempt_id,
-                    engine,
-                    outcome,
-                    request.answered,
-                ));
-            }
+        Some(opened.map(|(connection, stream)| OpenedAttempt {
+            connection,
+            stream,
+            body,
+        }))
+    }
+
+    fn begin_attempt(
+        &mut self,
+        planned: PlannedAttempt,
+        opened: OpenedAttempt,
+        outputs: &mut Vec<Output>,
+    ) {
+        let (request_id, attempt_id) = (planned.request_id, planned.attempt_id);
+        let Some(request) = self.requests.get_mut(&request_id) else {
+            return;
         };
         request.current_attempt = Some(Attempt {
             id: attempt_id,
-            engine,
-            connection,
-            stream,
-            is_prefill,
+            engine: planned.engine,
+            connection: opened.connection,
+            stream: opened.stream,
+            is_prefill: planned.is_prefill,
             started_at: self.now,
             sent_at: None,
             confirmation_requested: false,
-            expires_at: until,
+            expires_at: planned.expires_at,
             first_token_sent: false,
             position: 0,
             messages_received: 0,
@@ -111,82 +149,61 @@
             last_received_at: self.now,
             last_forwarded_at: self.now,
         });
-        if self
-            .connections
-            .get(connection)
-            .is_some_and(|connection| connection.up)
-        {
+        let connection = self.connections.get(opened.connection);
+        if connection.is_some_and(|connection| connection.up) {
             request.mark_sent(self.now);
         }
-        if !is_prefill {
+        if !planned.is_prefill {
             self.kv_states.offer(request_id, attempt_id);
         }
-        self.timers
-            .set(until, Due::AttemptTimeout(request_id, attempt_id));
-        self.connections.send(connection, stream, body, outputs);
+        let timeout = Due::AttemptTimeout(request_id, attempt_id);
+        self.timers.set(planned.expires_at, timeout);
+        self.connections
+            .send(opened.connection, opened.stream, opened.body, outputs);
     }
 
     /// An attempt that its connection did not carry, as it was over before anything was written, goes out on
-    /// another one: the engine has said nothing of it. Tells whether it could.
+    /// another one: the engine has sent nothing of it. Tells whether it could.
     pub(super) fn resend_attempt(
         &mut self,
         request_id: RequestId,
         outputs: &mut Vec<Output>,
     ) -> bool {
-        let Some(request) = self
-            .requests
-            .get_mut(&request_id)
-            .filter(|request| !request.answered)
-        else {
+        if self.is_answered(request_id) {
             return false;
-        };
-        let Some(attempt) = request
-            .current_attempt
-            .as_ref()
-            .filter(|attempt| !attempt.first_token_sent)
-        else {
+        }
+        let current = self.current_attempt(request_id);
+        let Some(attempt) = current.filter(|attempt| !attempt.first_token_sent) else {
             return false;
         };
-        let Some(row) = self.endpoints.engines.get(&attempt.engine) else {
-            return false;
+        let planned = PlannedAttempt {
+            request_id,
+            attempt_id: attempt.id,
+            engine: attempt.engine.clone(),
+            is_prefill: attempt.is_prefill,
+            expires_at: attempt.expires_at,
         };
-        if row.status != EndpointStatus::Ready {
+        if self.endpoints.status(&planned.engine) != EndpointStatus::Ready {
             return false;
         }
-        let (attempt_id, engine, address) =
-            (attempt.id, attempt.engine.clone(), row.line.address.clone());
-        let state = attempt
-            .is_prefill
-            .then(|| kv_state_id(self.settings.run, request_id, attempt_id));
-        let window = self.settings.limits.window;
-        let held = self
-            .kv_states
-            .available(request_id)
-            .map(|state| &state.held);
-        let body = attempt_message(
-            request,
-            held,
-            state,
-            &self.endpoints,
-            window,
-            attempt.expires_at - self.now,
-        );
-        let to = (&mut self.timers, &mut *outputs);
-        let purpose = StreamPurpose::Attempt(request_id, attempt_id);
-        let opened =
-            self.connections
-                .open(&engine, &address, purpose, self.now, &self.settings, to);
-        let (Ok((connection, stream)), Some(attempt)) = (opened, request.current_attempt.as_mut())
-        else {
+        let Some(Ok(opened)) = self.open_attempt(&planned, outputs) else {
+            return false;
+        };
+        let current = self
+            .requests
+            .get_mut(&request_id)
+            .and_then(|request| request.current_attempt.as_mut());
+        let Some(attempt) = current else {
             return false;
         };
-        (attempt.connection, attempt.stream) = (connection, stream);
+        (attempt.connection, attempt.stream) = (opened.connection, opened.stream);
         attempt.sent_at = self
             .connections
-            .get(connection)
+            .get(opened.connection)
             .filter(|connection| connection.up)
             .map(|_| self.now);
-        self.connections.send(connection, stream, body, outputs);
+        self.connections
+            .send(opened.connection, opened.stream, opened.body, outputs);
         true
     }
 
@@ -306,62 +323,59 @@
         self.end_attempt(request_id, outcome, 0.0, load);
     }
 
+    /// Cancels an attempt, unless its stream has begun.
     pub(super) fn cancel_attempt(
         &mut self,
         request_id: RequestId,
         attempt_id: AttemptId,
         outputs: &mut Vec<Output>,
     ) {
-        let attempt = self.current_attempt(request_id);
-        if !attempt.is_some_and(|l| l.id == attempt_id && !l.first_token_sent) {
+        if !self.is_waiting(request_id, attempt_id) {
             return;
         }
-        if let Some((doubt, text)) = self
-            .undelivered_attempt(request_id)
-            .filter(|_| !self.is_answered(request_id))
-        {
-            let text = format!("attempt given up, {doubt}: {text}");
-            outputs.push(Output::Log {
-                level: Level::Info,
-                text,
-            });
+        let undelivered = self.undelivered_attempt(request_id);
+        if let Some((problem, text)) = undelivered.filter(|_| !self.is_answered(request_id)) {
+            let text = format!("attempt given up, {problem}: {text}");
+            outputs.push(Output::log(Level::Info, text));
         }
-        let unsent = self.stop_attempt(request_id, outputs);
-        self.end_attempt(
-            request_id,
-            if unsent {
-                Outcome::NotSent
-            } else {
-                Outcome::Cancelled
-            },
-            0.0,
-            Load::default(),
-        );
+        self.stop_and_end_attempt(request_id, Outcome::Cancelled, outputs);
     }
 
+    /// Ends an attempt whose time is up, unless its stream has begun.
     pub(super) fn time_out_attempt(
         &mut self,
         request_id: RequestId,
         attempt_id: AttemptId,
         outputs: &mut Vec<Output>,
     ) {
-        let attempt = self.current_attempt(request_id);
-        if !attempt.is_some_and(|l| l.id == attempt_id && !l.first_token_sent) {
-            return;
+        if self.is_waiting(request_id, attempt_id) {
+            self.stop_and_end_attempt(request_id, Outcome::TimedOut, outputs);
         }
-        let unsent = self.stop_attempt(request_id, outputs);
-        self.end_attempt(
-            request_id,
-            if unsent {
-                Outcome::NotSent
-            } else {
-                Outcome::TimedOut
-            },
-            0.0,
-            Load::default(),
-        );
     }
 
+    /// Whether an attempt is the current one of its request and no token of it has come.
+    fn is_waiting(&self, request_id: RequestId, attempt_id: AttemptId) -> bool {
+        let current = self.current_attempt(request_id);
+        current.is_some_and(|attempt| attempt.id == attempt_id && !attempt.first_token_sent)
+    }
+
+    /// Stops the current attempt; it ends with `outcome`, or as not sent if it never went out.
+    fn stop_and_end_attempt(
+        &mut self,
+        request_id: RequestId,
+        outcome: Outcome,
+        outputs: &mut Vec<Output>,
+    ) {
+        let was_unsent = self.stop_attempt(request_id, outputs);
+        let outcome = if was_unsent {
+            Outcome::NotSent
+        } else {
+            outcome
+        };
+        self.end_attempt(request_id, outcome, 0.0, Load::default());
+    }
+
+    /// Reserves a place at an engine for the decode attempt that follows the prefill which is out.
     pub(super) fn reserve(
         &mut self,
         request_id: RequestId,
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -309,10 +309,7 @@
             "task {} was not answered before its client's time was up",
             request_id.0
         );
-        outputs.push(Output::Log {
-            level: Level::Warn,
-            text,
-        });
+        outputs.push(Output::log(Level::Warn, text));
         self.answer(request_id, v1::Answer::Failed, 0.0, "time is up", outputs);
         self.events.push(Event::ClientGone {
             request: request_id,
--- a/crates/dispatcher/src/state/connection_events.rs
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -28,48 +28,53 @@
         );
         self.connections
             .come_up(connection_id, limit, self.now, &mut self.timers);
-        // Guards against a drain that was learned while the connection came up: an attempt that has not gone out does
-        // not go out any more, and is known not to have run.
+        // Guards against a drain that was learned while the connection came up, which shows as an attempt at an engine that
+        // has left service: an attempt that has not gone out stays here, and is known not to have run.
         let ready = self.endpoints.status(&engine) == EndpointStatus::Ready
             || fault_injection::is(Plant::DrainReadLate);
         self.send_engine_releases(&engine, outputs);
-        for (stream, mut body) in waiting {
-            let purpose = self
-                .connections
-                .get(connection_id)
-                .and_then(|l| l.streams.get(&stream).cloned());
-            if let Some(StreamPurpose::Attempt(request, _)) = &purpose {
-                self.update_time_left(*request, &mut body);
+        for (stream, body) in waiting {
+            self.send_waiting(connection_id, stream, body, ready, outputs);
+        }
+    }
+
+    /// Sends what has waited for its connection, if there is still cause. `ready`: whether the engine takes attempts.
+    fn send_waiting(
+        &mut self,
+        connection_id: EngineConnectionId,
+        stream: StreamId,
+        mut body: Body,
+        ready: bool,
+        outputs: &mut Vec<Output>,
+    ) {
+        let purpose = self
+            .connections
+            .get(connection_id)
+            .and_then(|connection| connection.streams.get(&stream).cloned());
+        let goes_out = match purpose {
+            Some(StreamPurpose::Release(call)) => {
+                self.begin_waiting_release(connection_id, stream, &call)
             }
-            let frame = frame(stream.0, body);
-            match purpose {
-                Some(StreamPurpose::Release(call)) => {
-                    if self.begin_waiting_release(connection_id, stream, &call) {
-                        outputs.push(Output::ToEngine {
-                            connection: connection_id,
-                            frame,
-                        });
-                    }
-                }
-                // Nor does one whose client has gone meanwhile: nobody waits for it.
-                Some(StreamPurpose::Attempt(request, _)) if !ready || self.is_answered(request) => {
-                    self.close_stream(connection_id, stream);
-                    self.end_attempt(request, Outcome::NotSent, 0.0, Load::default());
-                }
-                Some(StreamPurpose::Attempt(request, _)) => {
-                    if let Some(request) = self.requests.get_mut(&request) {
-                        request.mark_sent(self.now);
-                    }
-                    outputs.push(Output::ToEngine {
-                        connection: connection_id,
-                        frame,
-                    });
+            // Nor does one whose client has gone meanwhile: nobody waits for it.
+            Some(StreamPurpose::Attempt(request, _)) if !ready || self.is_answered(request) => {
+                self.close_stream(connection_id, stream);
+                self.end_attempt(request, Outcome::NotSent, 0.0, Load::default());
+                false
+            }
+            Some(StreamPurpose::Attempt(request, _)) => {
+                self.update_time_left(request, &mut body);
+                if let Some(request) = self.requests.get_mut(&request) {
+                    request.mark_sent(self.now);
                 }
-                _ => outputs.push(Output::ToEngine {
-                    connection: connection_id,
-                    frame,
-                }),
+                true
             }
+            _ => true,
+        };
+        if goes_out {
+            outputs.push(Output::ToEngine {
+                connection: connection_id,
+                frame: frame(stream.0, body),
+            });
         }
     }
 
@@ -200,7 +205,7 @@
             true => Outcome::ConnectionLost,
             false => Outcome::Unreachable,
         };
-        // A connection that ends with what was called off ends as it should.
+        // A connection that ends with what was abandoned ends as it should.
         let streams = connection
             .streams
             .values()
@@ -208,44 +213,46 @@
             .count();
         if streams > 0 {
             let text = format!(
-                "link to {} over with {streams} streams: {reason}",
+                "connection to {} closed with {streams} open streams: {reason}",
                 connection.engine.0
             );
-            outputs.push(Output::Log {
-                level: Level::Warn,
-                text,
-            });
+            outputs.push(Output::log(Level::Warn, text));
         }
         self.schedule_engine_releases(&connection.engine);
         for (_, purpose) in connection.streams {
-            match purpose {
-                StreamPurpose::Attempt(request, _) => {
-                    self.finish_attempt(
-                        request,
-                        outcome,
-                        "the writer's connection broke",
-                        Load::default(),
-                        outputs,
-                    );
-                }
-                StreamPurpose::HealthCheck { sent_at } => {
-                    let (engine, load) = (connection.engine.clone(), Load::default());
-                    self.events.push(Event::HealthChecked {
-                        engine,
-                        outcome,
-                        latency: self.now - sent_at,
-                        load,
-                    });
-                }
-                StreamPurpose::Release(call) => self.release_lost(connection.engine.clone(), &call),
-                StreamPurpose::EngineRelease(release) => {
-                    self.engine_release_lost(connection.engine.clone(), release)
-                }
-                StreamPurpose::Reservation(..)
-                | StreamPurpose::LivenessCheck
-                | StreamPurpose::Abandoned => {}
-            }
+            self.end_lost_stream(&connection.engine, purpose, outcome, outputs);
         }
         self.forget_gone_engine(&connection.engine);
     }
+
+    /// Ends what a stream of a closed connection was for.
+    fn end_lost_stream(
+        &mut self,
+        engine: &EngineId,
+        purpose: StreamPurpose,
+        outcome: Outcome,
+        outputs: &mut Vec<Output>,
+    ) {
+        match purpose {
+            StreamPurpose::Attempt(request, _) => {
+                let reason = "the writer's connection broke";
+                self.finish_attempt(request, outcome, reason, Load::default(), outputs);
+            }
+            StreamPurpose::HealthCheck { sent_at } => {
+                self.events.push(Event::HealthChecked {
+                    engine: engine.clone(),
+                    outcome,
+                    latency: self.now - sent_at,
+                    load: Load::default(),
+                });
+            }
+            StreamPurpose::Release(call) => self.release_lost(engine.clone(), &call),
+            StreamPurpose::EngineRelease(release) => {
+                self.engine_release_lost(engine.clone(), release)
+            }
+            StreamPurpose::Reservation(..)
+            | StreamPurpose::LivenessCheck
+            | StreamPurpose::Abandoned => {}
+        }
+    }
 }
--- a/crates/dispatcher/src/state/engine_messages.rs
+++ b/crates/dispatcher/src/state/engine_messages.rs
@@ -1,11 +1,27 @@
 //! Messages from engines, by what their stream carries.
 
 use super::engine_requests::reported_load;
-use super::kv_states::Held;
+use super::kv_states::{Held, ReleaseCall};
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
+/// A message that its stream cannot carry, or that breaks the order or the credit of a stream of tokens.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct ProtocolViolation;
+
+/// Where a message came from.
+struct EngineStream {
+    connection: EngineConnectionId,
+    stream: StreamId,
+    engine: EngineId,
+}
+
 impl Dispatcher {
+    /// Takes a message from an engine.
+    ///
+    /// Guards against an engine that does not keep to the protocol, which shows as a message that its stream cannot carry:
+    /// nothing more that comes on this connection can be believed. The connection is closed, and every attempt on it ends
+    /// as one that may have run, so nothing is repeated that must not be.
     pub(super) fn handle_engine_message(
         &mut self,
         connection_id: EngineConnectionId,
@@ -13,159 +29,253 @@
         outputs: &mut Vec<Output>,
     ) {
         let stream = StreamId(frame.stream);
-        // What comes after a connection was given up here is old.
         self.connections.heard(connection_id, self.now);
+        // What comes after a connection was closed here is old.
         let Some(connection) = self.connections.get(connection_id) else {
             return;
         };
-        let engine = connection.engine.clone();
         let purpose = connection.streams.get(&stream).cloned();
-        // A goodbye is said on this side, of a connection that is over.
-        if !matches!(frame.body, Some(Body::Goodbye(_))) {
-            self.connections.answered(connection_id, self.now);
-            self.note_engine_alive(&engine);
-            self.wake_unconfirmed_releases();
-            if shows_work(purpose.as_ref(), frame.body.as_ref()) {
-                self.connections.worked(connection_id, self.now);
-                self.note_engine_worked(&engine);
-            }
-        }
+        let source = EngineStream {
+            connection: connection_id,
+            stream,
+            engine: connection.engine.clone(),
+        };
+        self.note_liveness(&source, purpose.as_ref(), frame.body.as_ref());
         let name = name_of(frame.body.as_ref());
-        let good = match (purpose, frame.body) {
-            (Some(StreamPurpose::Attempt(request, _)), Some(Body::Tokens(tokens))) => {
-                self.handle_tokens(request, tokens, outputs)
-            }
-            (Some(StreamPurpose::Attempt(request, _)), Some(Body::Ended(ended))) => {
-                self.close_stream(connection_id, stream);
-                self.handle_attempt_end(request, &ended, outputs)
-            }
-            // The connection is over before or after the whole request was written: only the first proves
-            // that nothing ran.
-            (Some(StreamPurpose::Attempt(request, _)), Some(Body::Goodbye(bye))) => {
-                let reused = self
-                    .connections
-                    .get(connection_id)
-                    .is_some_and(|connection| connection.carried() > 1);
-                self.close_stream(connection_id, stream);
-                self.connections.leaving(connection_id, &mut self.timers);
-                let again = bye.never_ran && reused && self.resend_attempt(request, outputs);
-                if !again {
-                    let outcome = if bye.never_ran {
-                        Outcome::Unreachable
-                    } else {
-                        Outcome::ConnectionLost
-                    };
-                    let text = format!("launch at {} over: {}", engine.0, bye.reason);
-                    outputs.push(Output::Log {
-                        level: Level::Info,
-                        text,
-                    });
-                    self.finish_attempt(
-                        request,
-                        outcome,
-                        "the connection broke",
-                        Load::default(),
-                        outputs,
-                    );
-                }
-                true
-            }
-            (Some(StreamPurpose::HealthCheck { .. }), Some(Body::Load(load))) => {
-                self.end_health_check(
-                    connection_id,
-                    stream,
-                    Outcome::Succeeded,
-                    reported_load(&load),
-                );
-                true
-            }
-            (
-                Some(StreamPurpose::Reservation(request, attempt)),
-                Some(Body::Reservation(place)),
-            ) => {
-                self.close_stream(connection_id, stream);
-                self.events.push(Event::ReservationChanged {
-                    request,
-                    attempt,
-                    engine: engine.clone(),
-                    held: place.held,
-                });
-                true
-            }
-            (Some(StreamPurpose::Abandoned), Some(Body::Ended(ended))) => {
-                self.close_stream(connection_id, stream);
-                self.handle_late_end(engine.clone(), &ended, outputs);
-                true
-            }
-            (Some(StreamPurpose::Abandoned), Some(Body::Load(_) | Body::Goodbye(_))) => {
-                self.close_stream(connection_id, stream);
-                true
-            }
-            (Some(StreamPurpose::Release(call)), Some(Body::Done(_))) => {
-                self.close_stream(connection_id, stream);
-                self.release_confirmed(&engine, &call, outputs);
-                true
-            }
-            (Some(StreamPurpose::EngineRelease(_)), Some(Body::Done(_))) => {
-                self.close_stream(connection_id, stream);
-                true
-            }
-            (Some(StreamPurpose::LivenessCheck), Some(Body::Done(_) | Body::Goodbye(_))) => {
-                self.close_stream(connection_id, stream);
-                true
-            }
-            // A call that was reset or refused ends alone: what else is on the connection goes on.
-            (Some(StreamPurpose::Release(call)), Some(Body::Goodbye(_))) => {
-                self.close_stream(connection_id, stream);
-                self.release_lost(engine.clone(), &call);
-                true
-            }
-            (Some(StreamPurpose::EngineRelease(release)), Some(Body::Goodbye(_))) => {
-                self.close_stream(connection_id, stream);
-                self.engine_release_lost(engine.clone(), release);
-                true
-            }
-            (Some(StreamPurpose::HealthCheck { .. }), Some(Body::Goodbye(_))) => {
-                self.end_health_check(connection_id, stream, Outcome::Failed, Load::default());
-                true
-            }
-            (Some(StreamPurpose::Reservation(request, attempt)), Some(Body::Goodbye(_))) => {
-                self.close_stream(connection_id, stream);
-                self.events.push(Event::ReservationChanged {
-                    request,
-                    attempt,
-                    engine: engine.clone(),
-                    held: false,
-                });
-                true
-            }
-            (Some(StreamPurpose::Abandoned), Some(Body::Tokens(_))) => true,
-            (None, Some(Body::Pong(_))) if stream.0 == 0 => true,
-            (None, Some(Body::Goodbye(bye))) if stream.0 == 0 => {
-                self.close_connection(
-                    connection_id,
-                    &format!("it said goodbye: {}", bye.reason),
-                    outputs,
-                );
-                true
-            }
-            _ => false,
+        let taken = match frame.body {
+            Some(body) => self.handle_message_of(&source, purpose, body, outputs),
+            None => Err(ProtocolViolation),
         };
-        if !good {
-            // Guards against an engine that does not keep to the protocol: nothing more that it says on this
-            // connection can be believed. What was out there may have run.
+        if let Err(ProtocolViolation) = taken {
             let text = format!(
-                "host {} sent {name} on stream {} where it cannot be",
-                engine.0, stream.0
+                "engine {} sent {name} on stream {} where it cannot be",
+                source.engine.0, stream.0
             );
-            outputs.push(Output::Log {
-                level: Level::Warn,
-                text,
-            });
+            outputs.push(Output::log(Level::Warn, text));
             self.close_connection(connection_id, "it does not keep to the protocol", outputs);
         }
     }
 
+    /// Notes what a message shows of its engine: that it runs, and that it works on attempts.
+    fn note_liveness(
+        &mut self,
+        source: &EngineStream,
+        purpose: Option<&StreamPurpose>,
+        body: Option<&Body>,
+    ) {
+        // A goodbye is made on this side, for a stream or connection that is over.
+        if matches!(body, Some(Body::Goodbye(_))) {
+            return;
+        }
+        self.connections.answered(source.connection, self.now);
+        self.note_engine_alive(&source.engine);
+        self.wake_unconfirmed_releases();
+        if shows_work(purpose, body) {
+            self.connections.worked(source.connection, self.now);
+            self.note_engine_worked(&source.engine);
+        }
+    }
+
+    /// Hands a message to what its stream is for.
+    fn handle_message_of(
+        &mut self,
+        source: &EngineStream,
+        purpose: Option<StreamPurpose>,
+        body: Body,
+        outputs: &mut Vec<Output>,
+    ) -> Result<(), ProtocolViolation> {
+        match purpose {
+            Some(StreamPurpose::Attempt(request_id, _)) => {
+                self.handle_attempt_message(source, request_id, body, outputs)
+            }
+            Some(StreamPurpose::HealthCheck { .. }) => {
+                self.handle_health_check_message(source, &body)
+            }
+            Some(StreamPurpose::Reservation(request_id, attempt_id)) => {
+                self.handle_reservation_message(source, request_id, attempt_id, &body)
+            }
+            Some(StreamPurpose::Release(call)) => {
+                self.handle_release_message(source, &call, &body, outputs)
+            }
+            Some(StreamPurpose::EngineRelease(release)) => {
+                self.handle_engine_release_message(source, release, &body)
+            }
+            Some(StreamPurpose::LivenessCheck) => match body {
+                Body::Done(_) | Body::Goodbye(_) => self.end_stream(source),
+                _ => Err(ProtocolViolation),
+            },
+            Some(StreamPurpose::Abandoned) => self.handle_abandoned_message(source, &body, outputs),
+            None => self.handle_connection_message(source, &body, outputs),
+        }
+    }
+
+    fn handle_attempt_message(
+        &mut self,
+        source: &EngineStream,
+        request_id: RequestId,
+        body: Body,
+        outputs: &mut Vec<Output>,
+    ) -> Result<(), ProtocolViolation> {
+        match body {
+            Body::Tokens(tokens) => self.handle_tokens(request_id, tokens, outputs),
+            Body::Ended(ended) => {
+                self.close_stream(source.connection, source.stream);
+                self.handle_attempt_end(request_id, &ended, outputs)
+            }
+            Body::Goodbye(goodbye) => {
+                self.handle_attempt_goodbye(source, request_id, &goodbye, outputs);
+                Ok(())
+            }
+            _ => Err(ProtocolViolation),
+        }
+    }
+
+    /// The connection of an attempt is over before or after the whole request was written: only the first proves that
+    /// nothing ran.
+    fn handle_attempt_goodbye(
+        &mut self,
+        source: &EngineStream,
+        request_id: RequestId,
+        goodbye: &v1::Goodbye,
+        outputs: &mut Vec<Output>,
+    ) {
+        let is_reused = self
+            .connections
+            .get(source.connection)
+            .is_some_and(|connection| connection.carried() > 1);
+        self.close_stream(source.connection, source.stream);
+        self.connections
+            .leaving(source.connection, &mut self.timers);
+        if goodbye.never_ran && is_reused && self.resend_attempt(request_id, outputs) {
+            return;
+        }
+        let outcome = if goodbye.never_ran {
+            Outcome::Unreachable
+        } else {
+            Outcome::ConnectionLost
+        };
+        let text = format!("attempt at {} over: {}", source.engine.0, goodbye.reason);
+        outputs.push(Output::log(Level::Info, text));
+        let reason = "the connection broke";
+        self.finish_attempt(request_id, outcome, reason, Load::default(), outputs);
+    }
+
+    fn handle_health_check_message(
+        &mut self,
+        source: &EngineStream,
+        body: &Body,
+    ) -> Result<(), ProtocolViolation> {
+        let (outcome, load) = match body {
+            Body::Load(load) => (Outcome::Succeeded, reported_load(load)),
+            Body::Goodbye(_) => (Outcome::Failed, Load::default()),
+            _ => return Err(ProtocolViolation),
+        };
+        self.end_health_check(source.connection, source.stream, outcome, load);
+        Ok(())
+    }
+
+    fn handle_reservation_message(
+        &mut self,
+        source: &EngineStream,
+        request: RequestId,
+        attempt: AttemptId,
+        body: &Body,
+    ) -> Result<(), ProtocolViolation> {
+        let held = match body {
+            Body::Reservation(reservation) => reservation.held,
+            Body::Goodbye(_) => false,
+            _ => return Err(ProtocolViolation),
+        };
+        self.close_stream(source.connection, source.stream);
+        self.events.push(Event::ReservationChanged {
+            request,
+            attempt,
+            engine: source.engine.clone(),
+            held,
+        });
+        Ok(())
+    }
+
+    /// A call that was reset or refused ends alone: what else is on the connection goes on.
+    fn handle_release_message(
+        &mut self,
+        source: &EngineStream,
+        call: &ReleaseCall,
+        body: &Body,
+        outputs: &mut Vec<Output>,
+    ) -> Result<(), ProtocolViolation> {
+        match body {
+            Body::Done(_) => {
+                self.close_stream(source.connection, source.stream);
+                self.release_confirmed(&source.engine, call, outputs);
+            }
+            Body::Goodbye(_) => {
+                self.close_stream(source.connection, source.stream);
+                self.release_lost(source.engine.clone(), call);
+            }
+            _ => return Err(ProtocolViolation),
+        }
+        Ok(())
+    }
+
+    fn handle_engine_release_message(
+        &mut self,
+        source: &EngineStream,
+        release: EngineRelease,
+        body: &Body,
+    ) -> Result<(), ProtocolViolation> {
+        match body {
+            Body::Done(_) => self.end_stream(source),
+            Body::Goodbye(_) => {
+                self.close_stream(source.connection, source.stream);
+                self.engine_release_lost(source.engine.clone(), release);
+                Ok(())
+            }
+            _ => Err(ProtocolViolation),
+        }
+    }
+
+    fn handle_abandoned_message(
+        &mut self,
+        source: &EngineStream,
+        body: &Body,
+        outputs: &mut Vec<Output>,
+    ) -> Result<(), ProtocolViolation> {
+        match body {
+            Body::Ended(ended) => {
+                self.close_stream(source.connection, source.stream);
+                self.handle_late_end(source.engine.clone(), ended, outputs);
+                Ok(())
+            }
+            Body::Load(_) | Body::Goodbye(_) => self.end_stream(source),
+            Body::Tokens(_) => Ok(()),
+            _ => Err(ProtocolViolation),
+        }
+    }
+
+    /// A message on no open stream: only one about the connection as a whole is allowed.
+    fn handle_connection_message(
+        &mut self,
+        source: &EngineStream,
+        body: &Body,
+        outputs: &mut Vec<Output>,
+    ) -> Result<(), ProtocolViolation> {
+        match body {
+            Body::Pong(_) if source.stream.0 == 0 => Ok(()),
+            Body::Goodbye(goodbye) if source.stream.0 == 0 => {
+                let reason = format!("it said goodbye: {}", goodbye.reason);
+                self.close_connection(source.connection, &reason, outputs);
+                Ok(())
+            }
+            _ => Err(ProtocolViolation),
+        }
+    }
+
+    fn end_stream(&mut self, source: &EngineStream) -> Result<(), ProtocolViolation> {
+        self.close_stream(source.connection, source.stream);
+        Ok(())
+    }
+
     /// A read that ended after it was given up: the decisions do not know of its state, so it is let go here,
     /// or it would stay pinned.
     pub(super) fn handle_late_end(
@@ -186,15 +296,18 @@
         }
     }
 
-    /// Tells whether the engine may say so.
+    /// An engine has ended an attempt.
+    ///
+    /// # Errors
+    /// The end is none that this attempt can have; the attempt has ended as one whose connection broke.
     pub(super) fn handle_attempt_end(
         &mut self,
         request_id: RequestId,
         ended: &v1::Ended,
         outputs: &mut Vec<Output>,
-    ) -> bool {
+    ) -> Result<(), ProtocolViolation> {
         let Some(attempt) = self.current_attempt(request_id) else {
-            return true;
+            return Ok(());
         };
         let load = ended.load.as_ref().map(reported_load).unwrap_or_default();
         let (is_prefill, first_token_sent) = (attempt.is_prefill, attempt.first_token_sent);
@@ -235,10 +348,10 @@
                     load,
                     outputs,
                 );
-                return false;
+                return Err(ProtocolViolation);
             }
         }
-        true
+        Ok(())
     }
 }
 
--- a/crates/dispatcher/src/state/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -237,10 +237,7 @@
                 "invariant violated: {invariant}; task={} id={origin} at {what}",
                 request_id.0
             );
-            outputs.push(Output::Log {
-                level: Level::Warn,
-                text,
-            });
+            outputs.push(Output::log(Level::Warn, text));
         }
         holds
     }
--- a/crates/dispatcher/src/state/io.rs
+++ b/crates/dispatcher/src/state/io.rs
@@ -122,3 +122,9 @@
     Info,
     Warn,
 }
+
+impl Output {
+    pub(super) fn log(level: Level, text: String) -> Self {
+        Output::Log { level, text }
+    }
+}
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -248,10 +248,7 @@
             Action::SendGossip { to, bytes } => outputs.push(Output::Tell { to, bytes }),
             Action::FetchEndpoints => outputs.push(Output::Follow { changes: false }),
             Action::WatchEndpoints { on } => outputs.push(Output::Follow { changes: on }),
-            Action::Log { text } => outputs.push(Output::Log {
-                level: Level::Info,
-                text,
-            }),
+            Action::Log { text } => outputs.push(Output::log(Level::Info, text)),
         }
     }
 
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -32,10 +32,7 @@
         }
         if let Some((doubt, text)) = self.undelivered_attempt(request_id) {
             let text = format!("state released, {doubt}: {text}");
-            outputs.push(Output::Log {
-                level: Level::Info,
-                text,
-            });
+            outputs.push(Output::log(Level::Info, text));
         }
         self.want_release(request_id, outputs);
         self.forget_finished(request_id);
@@ -46,10 +43,7 @@
     pub(super) fn release_unconfirmed(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if let Some((doubt, text)) = self.undelivered_attempt(request_id) {
             let text = format!("release sent, {doubt}: {text}");
-            outputs.push(Output::Log {
-                level: Level::Info,
-                text,
-            });
+            outputs.push(Output::log(Level::Info, text));
         }
         self.kv_states.mark_unconfirmed(request_id, self.now);
     }
@@ -148,7 +142,7 @@
         } else {
             Level::Warn
         };
-        outputs.push(Output::Log { level, text });
+        outputs.push(Output::log(level, text));
     }
 
     fn begin_release(
@@ -245,7 +239,7 @@
             state.release.calls,
             self.now - state.release.unblocked_since
         );
-        outputs.push(Output::Log { level, text });
+        outputs.push(Output::log(level, text));
     }
 
     /// Sets the time of the next round, once no call of this one is under way.
--- a/crates/dispatcher/src/state/request_log.rs
+++ b/crates/dispatcher/src/state/request_log.rs
@@ -88,10 +88,7 @@
             | Event::Timer { .. }
             | Event::GossipReceived { .. } => return,
         };
-        outputs.push(Output::Log {
-            level: Level::Debug,
-            text,
-        });
+        outputs.push(Output::log(Level::Debug, text));
     }
 
     pub(super) fn log_action(&self, action: &Action, outputs: &mut Vec<Output>) {
@@ -120,10 +117,7 @@
             }
             _ => return,
         };
-        outputs.push(Output::Log {
-            level: Level::Debug,
-            text,
-        });
+        outputs.push(Output::log(Level::Debug, text));
     }
 
     fn called(&self, request_id: RequestId) -> String {
--- a/crates/dispatcher/src/state/shutdown.rs
+++ b/crates/dispatcher/src/state/shutdown.rs
@@ -46,10 +46,7 @@
                 self.end_notice(outputs);
             }
             let text = format!("stopping with {} tasks open", self.requests.len());
-            outputs.push(Output::Log {
-                level: Level::Info,
-                text,
-            });
+            outputs.push(Output::log(Level::Info, text));
         }
     }
 
--- a/crates/dispatcher/src/state/token_streams.rs
+++ b/crates/dispatcher/src/state/token_streams.rs
@@ -1,63 +1,48 @@
 //! Tokens from decode engines to clients: order, credit, and streams that stall.
 
+use super::engine_messages::ProtocolViolation;
 use super::*;
 
 /// The whole of the credit is given back in so many parts.
 const CREDIT_GRANTS_PER_WINDOW: u32 = 2;
 
 impl Dispatcher {
-    /// Tells whether the engine may say so: a decode engine, the next tokens, within its credit.
+    /// Forwards a message of tokens to the request's client.
+    ///
+    /// # Errors
+    /// The attempt prefills only, the tokens are not the next ones, or they exceed the credit.
     pub(super) fn handle_tokens(
         &mut self,
         request_id: RequestId,
         tokens: v1::Tokens,
         outputs: &mut Vec<Output>,
-    ) -> bool {
+    ) -> Result<(), ProtocolViolation> {
         let Some(request) = self.requests.get_mut(&request_id) else {
-            return true;
+            return Ok(());
         };
         let Some(attempt) = request.current_attempt.as_mut() else {
-            return true;
+            return Ok(());
         };
         if attempt.is_prefill
             || tokens.position != attempt.position
             || attempt.messages_received >= attempt.messages_credited
         {
-            return false;
+            return Err(ProtocolViolation);
         }
         if request.answered {
-            // The answer is out, and the decisions may not call off: nothing more reaches the client.
+            // The answer is out, and the decisions may not cancel: nothing more reaches the client.
             self.stop_attempt(request_id, outputs);
             self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
-            return true;
+            return Ok(());
         }
         attempt.messages_received += 1;
         attempt.position = attempt.position.saturating_add(tokens.count);
         attempt.last_received_at = self.now;
-        if !attempt.first_token_sent {
-            attempt.first_token_sent = true;
-            attempt.last_forwarded_at = self.now;
-            request.first_token_late = self.now > request.first_token_due_at;
-            self.kv_states.mark_taken(request_id, self.now);
-            // No attempt can need it any more.
-            request.submit.prompt = Default::default();
-            let (attempt_id, engine, latency) = (
-                attempt.id,
-                attempt.engine.clone(),
-                self.now - attempt.started_at,
-            );
-            self.timers.set(
-                self.now + self.settings.limits.stall_limit,
-                Due::StreamStall(request_id, attempt_id),
-            );
-            self.events.push(Event::FirstToken {
-                request: request_id,
-                attempt: attempt_id,
-                engine,
-                latency,
-            });
-        }
+        let is_first = !attempt.first_token_sent;
         let (conn, stream) = request.client_stream;
+        if is_first {
+            self.begin_stream(request_id);
+        }
         if fault_injection::is(Plant::TokensTwice) {
             outputs.push(Output::ToClient {
                 conn,
@@ -68,7 +53,35 @@
             conn,
             frame: frame(stream.0, Body::Tokens(tokens)),
         });
-        true
+        Ok(())
+    }
+
+    /// The first token of a request has come: its decode attempt has taken the KV state.
+    fn begin_stream(&mut self, request_id: RequestId) {
+        let Some(request) = self.requests.get_mut(&request_id) else {
+            return;
+        };
+        let Some(attempt) = request.current_attempt.as_mut() else {
+            return;
+        };
+        attempt.first_token_sent = true;
+        attempt.last_forwarded_at = self.now;
+        request.first_token_late = self.now > request.first_token_due_at;
+        self.kv_states.mark_taken(request_id, self.now);
+        // No attempt can need it any more.
+        request.submit.prompt = Default::default();
+        let (attempt_id, engine) = (attempt.id, attempt.engine.clone());
+        let latency = self.now - attempt.started_at;
+        self.timers.set(
+            self.now + self.settings.limits.stall_limit,
+            Due::StreamStall(request_id, attempt_id),
+        );
+        self.events.push(Event::FirstToken {
+            request: request_id,
+            attempt: attempt_id,
+            engine,
+            latency,
+        });
     }
 
     /// The client has taken some of a stream: the decode engine may send as much more.
@@ -101,8 +114,9 @@
         }
     }
 
-    /// Guards against streams that neither go on nor end: a decode engine that stalls is given up as broken, and a
-    /// client that takes nothing has left. A decode engine that waits for credit does not stall.
+    /// Guards against streams that neither go on nor end, which show as a client that waits for ever, or as messages that
+    /// pile up for a client that reads nothing: a decode engine that sends nothing for the stall limit is given up as
+    /// broken, and a client that reads nothing for it has gone. A decode engine that waits for credit does not stall.
     pub(super) fn check_stream_progress(
         &mut self,
         request_id: RequestId,
@@ -112,11 +126,8 @@
         let Some(request) = self.requests.get(&request_id) else {
             return;
         };
-        let Some(attempt) = request
-            .current_attempt
-            .as_ref()
-            .filter(|l| l.id == attempt_id)
-        else {
+        let current = request.current_attempt.as_ref();
+        let Some(attempt) = current.filter(|attempt| attempt.id == attempt_id) else {
             return;
         };
         let client_waits = attempt.messages_forwarded == attempt.messages_received;
@@ -127,27 +138,12 @@
         };
         let limit = self.settings.limits.stall_limit;
         if self.now < since + limit {
-            return self
-                .timers
-                .set(since + limit, Due::StreamStall(request_id, attempt_id));
+            let timer = Due::StreamStall(request_id, attempt_id);
+            return self.timers.set(since + limit, timer);
         }
         if client_waits {
-            let text = format!(
-                "stream of task {} stalled at {}",
-                request_id.0, attempt.engine.0
-            );
-            outputs.push(Output::Log {
-                level: Level::Warn,
-                text,
-            });
-            self.stop_attempt(request_id, outputs);
-            self.finish_attempt(
-                request_id,
-                Outcome::ConnectionLost,
-                "the writer stalled",
-                Load::default(),
-                outputs,
-            );
+            let engine = attempt.engine.clone();
+            self.end_stalled_stream(request_id, &engine, outputs);
         } else {
             let (conn, _) = request.client_stream;
             self.client_gone(request_id, outputs);
@@ -157,4 +153,18 @@
             });
         }
     }
+
+    fn end_stalled_stream(
+        &mut self,
+        request_id: RequestId,
+        engine: &EngineId,
+        outputs: &mut Vec<Output>,
+    ) {
+        let text = format!("stream of request {} stalled at {}", request_id.0, engine.0);
+        outputs.push(Output::log(Level::Warn, text));
+        self.stop_attempt(request_id, outputs);
+        let outcome = Outcome::ConnectionLost;
+        let reason = "the writer stalled";
+        self.finish_attempt(request_id, outcome, reason, Load::default(), outputs);
+    }
 }
