--- a/crates/dispatcher/src/driver.rs
+++ b/crates/dispatcher/src/driver.rs
@@ -224,7 +224,10 @@
 
     /// Whether it is ready for requests, and how much of it is used, 0 to 1.
     pub fn fares(&self) -> (bool, f64) {
-        self.inner.ledger.borrow().fares()
+        {
+            let ledger = self.inner.ledger.borrow();
+            (ledger.is_ready(), ledger.open_fraction())
+        }
     }
 
     /// The version of the newest list of engines.
--- a/crates/dispatcher/src/state/abandoned_streams.rs
+++ b/crates/dispatcher/src/state/abandoned_streams.rs
@@ -1,9 +1,10 @@
-//! Streams that are given up here and that their engine has not ended yet.
+//! Streams that were given up here and that their engine has not ended yet, and calls that it has not answered.
 
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
 impl Dispatcher {
+    /// Nothing is expected on a stream any more; it stays taken until its engine ends it.
     pub(super) fn abandon_stream(&mut self, connection_id: EngineConnectionId, stream: StreamId) {
         if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.streams.insert(stream, StreamPurpose::Abandoned);
@@ -14,8 +15,9 @@
         }
     }
 
-    /// Guards against an engine that hears nothing any more on a connection that never breaks: what was called
-    /// off there would take its room for ever.
+    /// Guards against an engine that receives nothing any more on a connection that never breaks, which shows as cancelled
+    /// attempts that take up its streams for ever, or as calls that are never answered: the connection is closed, which
+    /// ends all that is on it.
     pub(super) fn check_unanswered_stream(
         &mut self,
         connection_id: EngineConnectionId,
--- a/crates/dispatcher/src/state/attempts.rs
+++ b/crates/dispatcher/src/state/attempts.rs
@@ -163,7 +163,7 @@
     }
 
     /// An attempt that its connection did not carry, as it was over before anything was written, goes out on
-    /// another one: the engine has sent nothing of it. Tells whether it could.
+    /// another one: the engine has sent nothing of it. Gives whether it did.
     pub(super) fn resend_attempt(
         &mut self,
         request_id: RequestId,
@@ -207,8 +207,8 @@
         true
     }
 
-    /// The wire's end of the attempt that is out: what has not gone out is taken back, else the engine is told.
-    /// Tells whether it never went out.
+    /// Ends the current attempt on the wire: what has not gone out is taken back, else the engine is sent a cancel. Gives
+    /// whether it never went out.
     pub(super) fn stop_attempt(
         &mut self,
         request_id: RequestId,
@@ -230,14 +230,15 @@
             self.connections
                 .send(connection, stream, Body::Cancel(v1::Cancel {}), outputs);
         }
-        // The prefill may have ended at the engine before the cancel comes, with nobody left to hear of it.
+        // Guards against a prefill that ends at its engine before the cancel comes, which shows as a KV state that stays
+        // pinned there: its release goes out as well.
         if let Some(held) = prefilled {
             self.release_leftover(request_id, held, outputs);
         }
         false
     }
 
-    /// The state that the prefill which is out for a request leaves, if one is out.
+    /// The KV state that the current attempt of a request leaves, if it is a prefill.
     pub(super) fn prefill_out(&self, request_id: RequestId) -> Option<Held> {
         let request = self.requests.get(&request_id)?;
         let attempt = request
@@ -252,7 +253,7 @@
         })
     }
 
-    /// The ledger's end of the attempt that is out; the decisions are told.
+    /// Ends the record of the current attempt, and reports its outcome to the decisions. `detail`: see [`Ended`].
     pub(super) fn end_attempt(
         &mut self,
         request_id: RequestId,
@@ -294,8 +295,8 @@
         self.forget_finished(request_id);
     }
 
-    /// An attempt whose outcome the client is told at once: its whole answer, or the break of its stream. For a
-    /// stream that had begun there is no other way on: what was sent cannot be taken back.
+    /// Ends an attempt whose outcome is the answer to the client where a stream has begun, as what was sent of it cannot be
+    /// taken back; a success is the answer in any case.
     pub(super) fn finish_attempt(
         &mut self,
         request_id: RequestId,
@@ -304,16 +305,17 @@
         load: Load,
         outputs: &mut Vec<Output>,
     ) {
-        let streams = self
+        let has_stream = self
             .requests
             .get(&request_id)
             .is_some_and(Request::has_stream);
         match outcome {
             Outcome::Succeeded => self.answer(request_id, v1::Answer::Succeeded, 0.0, "", outputs),
-            _ if streams => self.answer(request_id, v1::Answer::Failed, 0.0, reason, outputs),
+            _ if has_stream => self.answer(request_id, v1::Answer::Failed, 0.0, reason, outputs),
             _ => {}
         }
-        // A prefill that broke may have ended at its engine, with the word of it lost: its state would lie there.
+        // Guards against a prefill that has ended at its engine with the message of it lost, which shows as a KV state that
+        // stays pinned there: it is released.
         let held = self
             .prefill_out(request_id)
             .filter(|_| matches!(outcome, Outcome::ConnectionLost | Outcome::Failed));
@@ -406,7 +408,7 @@
         }
     }
 
-    /// Ends a stream in good order; its client comes back for the rest.
+    /// Ends a stream in good order; its client asks another dispatcher for the rest.
     pub(super) fn migrate(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if self
             .requests
@@ -426,6 +428,7 @@
     }
 }
 
+/// The end of an attempt that never went out. `last`: no other attempt of the request follows.
 fn never_sent(
     request: RequestId,
     attempt: AttemptId,
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -2,10 +2,32 @@
 
 use super::*;
 
-/// What is left to a request whose time has passed while it came.
+/// What is left to a request whose deadline has passed while it was being received.
 const MIN_TIME_TO_DEADLINE_MS: Ms = 0.001;
 
+/// A field of a client's request that cannot be right.
+struct InvalidField {
+    /// Its name on the wire.
+    field: &'static str,
+    /// Why, for the client.
+    reason: String,
+}
+
+impl InvalidField {
+    fn new(field: &'static str, reason: String) -> Self {
+        InvalidField { field, reason }
+    }
+
+    fn into_answer(self) -> Box<Body> {
+        Box::new(Body::InvalidRequest(v1::InvalidRequest {
+            field: self.field.to_owned(),
+            reason: self.reason,
+        }))
+    }
+}
+
 impl Dispatcher {
+    /// Takes a message from a client.
     pub(super) fn handle_client_message(
         &mut self,
         conn: ClientConnectionId,
@@ -23,25 +45,8 @@
                     self.count_cancel(conn, outputs);
                 }
             }
-            // Whether requests can be routed: the list is there, and no stop has begun.
             Some(Body::Ping(_)) if stream.0 > 0 => {
-                self.client_asks(conn);
-                let ready = self.fares().0;
-                let no = || v1::Goodbye {
-                    reason: "not ready".to_owned(),
-                    never_ran: true,
-                };
-                let body = if ready {
-                    Body::Pong(v1::Pong {})
-                } else {
-                    Body::Goodbye(no())
-                };
-                let frame = Frame {
-                    stream: stream.0,
-                    body: Some(body),
-                };
-                outputs.push(Output::ToClient { conn, frame });
-                self.client_answered(conn);
+                self.answer_readiness(conn, stream, outputs);
             }
             Some(Body::Goodbye(_) | Body::Pong(_)) => {}
             other => {
@@ -51,6 +56,30 @@
         }
     }
 
+    /// Answers whether requests can be routed: endpoints are known, and no stop has begun.
+    fn answer_readiness(
+        &mut self,
+        conn: ClientConnectionId,
+        stream: StreamId,
+        outputs: &mut Vec<Output>,
+    ) {
+        self.client_asks(conn);
+        let body = if self.is_ready() {
+            Body::Pong(v1::Pong {})
+        } else {
+            Body::Goodbye(v1::Goodbye {
+                reason: "not ready".to_owned(),
+                never_ran: true,
+            })
+        };
+        outputs.push(Output::ToClient {
+            conn,
+            frame: frame(stream.0, body),
+        });
+        self.client_answered(conn);
+    }
+
+    /// A client has sent a request: it is taken, or answered at once.
     pub(super) fn handle_submit(
         &mut self,
         client_stream: ClientStream,
@@ -63,8 +92,8 @@
             let reason = format!("stream {} is in use or reserved", stream.0);
             return outputs.push(Output::CloseClient { conn, reason });
         }
-        // The client's time runs since it sent the first of its request. One whose time has passed meanwhile is as good
-        // as any other, and is answered so.
+        // The deadline counts from the first part of the request. One whose deadline has passed meanwhile is taken like
+        // any other, and is answered as late.
         if submit.time_to_deadline_ms > 0.0 {
             submit.time_to_deadline_ms =
                 (submit.time_to_deadline_ms - took).max(MIN_TIME_TO_DEADLINE_MS);
@@ -82,15 +111,32 @@
                 return self.client_answered(conn);
             }
         };
-        let id = arrival.request;
         self.next_request_id += 1;
         outputs.push(Output::ToClient {
             conn,
-            frame: frame(stream.0, Body::Accepted(v1::Accepted { request: id.0 })),
+            frame: frame(
+                stream.0,
+                Body::Accepted(v1::Accepted {
+                    request: arrival.request.0,
+                }),
+            ),
         });
         if self.stopping_since.is_some() {
             outputs.push(Output::LeaveClient { conn });
         }
+        self.insert_request(client_stream, submit, &arrival, took);
+        self.events.push(Event::Arrived(arrival));
+    }
+
+    /// Opens the record of a request. `took`: how long it took to receive, in milliseconds.
+    fn insert_request(
+        &mut self,
+        client_stream: ClientStream,
+        submit: v1::Submit,
+        arrival: &Arrival,
+        took: Ms,
+    ) {
+        let id = arrival.request;
         let deadline = self.now + arrival.time_to_deadline;
         let request_class = &self.settings.policy.request_classes[arrival.request_class.0 as usize];
         let latency_objective = request_class.latency_objective
@@ -115,39 +161,38 @@
             first_possible_run: None,
         };
         self.requests.insert(id, request);
-        self.events.push(Event::Arrived(arrival));
     }
 
-    /// The request as the decisions take it, or what is said in place of taking it.
-    pub(super) fn admit(&self, submit: &v1::Submit) -> Result<Arrival, Box<Body>> {
-        let rejected = |(field, reason): (&str, String)| {
-            Box::new(Body::InvalidRequest(v1::InvalidRequest {
-                field: field.to_owned(),
-                reason,
-            }))
-        };
-        let arrival = self.arrival(submit).map_err(rejected)?;
+    /// The request as the decisions take it.
+    ///
+    /// # Errors
+    /// The answer to the client in place of taking it.
+    fn admit(&self, submit: &v1::Submit) -> Result<Arrival, Box<Body>> {
+        let arrival = self.arrival(submit).map_err(InvalidField::into_answer)?;
+        // Guards against a request that goes by the id of an open one, which would show as the release of one ending the
+        // KV state of the other: ids of open requests are unique, as the second is refused.
         if submit
             .origin
             .as_ref()
             .is_some_and(|origin| self.requests_by_origin.contains_key(&origin.id))
         {
-            // Guards against a request that goes by another's id: what is held for that one would be mixed up.
-            return Err(rejected(("id", "a task of this id is open".to_owned())));
+            let invalid = InvalidField::new("id", "a task of this id is open".to_owned());
+            return Err(invalid.into_answer());
         }
-        // Guards against more open requests than memory and time to deadline bear; nothing has run, so a retry is harmless.
+        // Guards against more open requests than there is memory for, which would show as a process that is killed with
+        // all of them: what exceeds the limit is rejected. Nothing of it has run, so a retry is safe.
         let full = self.requests.len() >= self.settings.limits.max_open_requests
             || self.next_request_id == u32::MAX;
         if !full && !self.is_closed() {
             return Ok(arrival);
         }
         let policy = &self.settings.policy;
-        let hears = if policy.clients_honor_retry_after {
+        let longest = if policy.clients_honor_retry_after {
             policy.kv_state_timeout
         } else {
             0.0
         };
-        let retry_after_ms = hears.min(policy.max_retry_after);
+        let retry_after_ms = longest.min(policy.max_retry_after);
         let reason = if full {
             "too many tasks are open"
         } else {
@@ -163,41 +208,23 @@
         })))
     }
 
-    /// The request as the decisions take it; or the field that cannot be right, and why.
-    pub(super) fn arrival(&self, submit: &v1::Submit) -> Result<Arrival, (&'static str, String)> {
-        let place =
-            |names: &[String], name: &str| names.iter().position(|n| n == name).map(|at| at as u32);
-        let request_class = place(&self.settings.request_classes, &submit.request_class)
+    /// The request as the decisions take it.
+    ///
+    /// # Errors
+    /// The field that cannot be right.
+    fn arrival(&self, submit: &v1::Submit) -> Result<Arrival, InvalidField> {
+        let request_class = index_of(&self.settings.request_classes, &submit.request_class)
             .ok_or_else(|| {
-                (
-                    "profile",
-                    format!("there is no profile {:?}", submit.request_class),
-                )
+                let reason = format!("there is no profile {:?}", submit.request_class);
+                InvalidField::new("profile", reason)
             })?;
         let tenant = match submit.tenant.as_str() {
             "" => None,
-            name => Some(
-                place(&self.settings.tenants, name)
-                    .ok_or_else(|| ("tenant", format!("there is no tenant {name:?}")))?,
-            ),
+            name => Some(index_of(&self.settings.tenants, name).ok_or_else(|| {
+                InvalidField::new("tenant", format!("there is no tenant {name:?}"))
+            })?),
         };
-        if !submit.time_to_deadline_ms.is_finite() || submit.time_to_deadline_ms <= 0.0 {
-            return Err((
-                "patience_ms",
-                format!("{} is no time to wait", submit.time_to_deadline_ms),
-            ));
-        }
-        if submit.prompt_tokens == 0 || submit.max_tokens == 0 {
-            let field = if submit.prompt_tokens == 0 {
-                "prompt_tokens"
-            } else {
-                "max_tokens"
-            };
-            return Err((field, "at least one token is wanted".to_owned()));
-        }
-        if submit.shared_tokens > submit.prompt_tokens {
-            return Err(("shared_tokens", "more than the prompt has".to_owned()));
-        }
+        check_amounts(submit)?;
         Ok(Arrival {
             request: RequestId(self.next_request_id),
             request_class: RequestClassId(request_class),
@@ -216,6 +243,7 @@
         })
     }
 
+    /// A client's connection is closed: it wants none of its requests any more.
     pub(super) fn on_client_closed(&mut self, conn: ClientConnectionId, outputs: &mut Vec<Output>) {
         self.callers.remove(conn);
         let all = (conn, StreamId(0))..=(conn, StreamId(u64::MAX));
@@ -235,7 +263,7 @@
         self.events.push(Event::ClientGone {
             request: request_id,
         });
-        // A stream that nobody reads ends; what has not begun the decisions call off themselves.
+        // A stream that nobody reads ends; what has not begun the decisions cancel themselves.
         if request.has_stream() {
             self.stop_attempt(request_id, outputs);
             self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
@@ -243,7 +271,35 @@
         self.forget_finished(request_id);
     }
 
-    /// The one place that gives a final answer.
+    /// Rejects a request, if it is harmless to try it again; else it fails. `retry_after`: in milliseconds.
+    pub(super) fn reject(
+        &mut self,
+        request_id: RequestId,
+        retry_after: Option<Ms>,
+        outputs: &mut Vec<Output>,
+    ) {
+        let retry_after_ms = retry_after
+            .unwrap_or(0.0)
+            .min(self.settings.policy.max_retry_after);
+        let (answer, reason) = match self.may_reject(request_id, outputs) {
+            true => (v1::Answer::Rejected, "turned away"),
+            false => (v1::Answer::Failed, "it may have run"),
+        };
+        self.answer(request_id, answer, retry_after_ms, reason, outputs);
+    }
+
+    /// Answers that a request has failed, which says nothing of whether it has run.
+    pub(super) fn fail(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        let answer = if fault_injection::is(Plant::FailureAsRejection) {
+            v1::Answer::Rejected
+        } else {
+            v1::Answer::Failed
+        };
+        self.answer(request_id, answer, 0.0, "no answer in time", outputs)
+    }
+
+    /// Gives the one final answer of a request; a request that has one gets no other. `retry_after_ms`: when the client
+    /// may try again, 0 for no hint.
     pub(super) fn answer(
         &mut self,
         request_id: RequestId,
@@ -252,7 +308,11 @@
         reason: &str,
         outputs: &mut Vec<Output>,
     ) {
-        let Some(request) = self.requests.get_mut(&request_id).filter(|t| !t.answered) else {
+        let Some(request) = self
+            .requests
+            .get_mut(&request_id)
+            .filter(|request| !request.answered)
+        else {
             return;
         };
         request.answered = true;
@@ -283,21 +343,23 @@
         self.forget_finished(request_id);
     }
 
+    /// Drops the record of a request that has its answer, no current attempt and no KV state.
     pub(super) fn forget_finished(&mut self, request_id: RequestId) {
         let is_finished = self
             .requests
             .get(&request_id)
             .is_some_and(Request::is_finished);
         if is_finished && self.kv_states.available(request_id).is_none() {
-            let past = self.requests.remove(&request_id);
-            if let Some(origin) = past.and_then(|request| request.submit.origin) {
+            let finished = self.requests.remove(&request_id);
+            if let Some(origin) = finished.and_then(|request| request.submit.origin) {
                 self.requests_by_origin.remove(&origin.id);
                 self.last_finished_origin = Some(origin.id);
             }
         }
     }
 
-    /// Guards against a request that the decisions left without an answer, whatever the reason: no request is lost.
+    /// Guards against a request that the decisions left without an answer, whatever the reason, which would show as a client
+    /// that waits for ever: at its deadline each request without an answer or a stream is failed.
     pub(super) fn on_deadline(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&request_id) else {
             return;
@@ -306,7 +368,7 @@
             return;
         }
         let text = format!(
-            "task {} was not answered before its client's time was up",
+            "request {} was not answered before its deadline",
             request_id.0
         );
         outputs.push(Output::log(Level::Warn, text));
@@ -316,3 +378,31 @@
         });
     }
 }
+
+/// Checks the amounts of a request: its time and its tokens.
+fn check_amounts(submit: &v1::Submit) -> Result<(), InvalidField> {
+    let time_to_deadline = submit.time_to_deadline_ms;
+    if !time_to_deadline.is_finite() || time_to_deadline <= 0.0 {
+        let reason = format!("{time_to_deadline} is no time to wait");
+        return Err(InvalidField::new("patience_ms", reason));
+    }
+    if submit.prompt_tokens == 0 || submit.max_tokens == 0 {
+        let field = if submit.prompt_tokens == 0 {
+            "prompt_tokens"
+        } else {
+            "max_tokens"
+        };
+        let reason = "at least one token is wanted".to_owned();
+        return Err(InvalidField::new(field, reason));
+    }
+    if submit.shared_tokens > submit.prompt_tokens {
+        let reason = "more than the prompt has".to_owned();
+        return Err(InvalidField::new("shared_tokens", reason));
+    }
+    Ok(())
+}
+
+fn index_of(names: &[String], name: &str) -> Option<u32> {
+    let index = names.iter().position(|known| known == name);
+    index.map(|index| index as u32)
+}
--- a/crates/dispatcher/src/state/connection_events.rs
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -5,10 +5,11 @@
 use super::*;
 use cindercleat::connection_pool::{CloseReason, PoolCommand};
 
-/// An engine is told to wait for a millisecond at least: 0 would say nothing.
+/// The least time that an engine is given for an attempt; 0 would mean no limit.
 const MIN_ENGINE_WAIT_MS: Ms = 1.0;
 
 impl Dispatcher {
+    /// A connection is up: what has waited for it goes out. `limit`: the streams that the engine allows on it.
     pub(super) fn on_connection_up(
         &mut self,
         connection_id: EngineConnectionId,
@@ -78,8 +79,8 @@
         }
     }
 
-    /// The connection of a release has come up: it goes out now, unless there is nothing to release any more, or its request
-    /// needs what is held.
+    /// The connection of a release is up: it goes out now, unless there is nothing to release any more, or its request
+    /// needs the KV state. Gives whether it does.
     pub(super) fn begin_waiting_release(
         &mut self,
         connection_id: EngineConnectionId,
@@ -105,19 +106,20 @@
         goes_out
     }
 
-    /// An attempt that has waited for its connection tells its engine what is left now.
+    /// Sets the time that is left to an attempt which has waited for its connection.
     pub(super) fn update_time_left(&self, request: RequestId, body: &mut Body) {
         let Some(attempt) = self.current_attempt(request) else {
             return;
         };
         let left = (attempt.expires_at - self.now).max(MIN_ENGINE_WAIT_MS);
         match body {
-            Body::Prefill(read) => read.wait_ms = left,
-            Body::Decode(write) => write.wait_ms = left,
+            Body::Prefill(prefill) => prefill.wait_ms = left,
+            Body::Decode(decode) => decode.wait_ms = left,
             _ => {}
         }
     }
 
+    /// Whether a request has its answer, or its client has gone.
     pub(super) fn is_answered(&self, request: RequestId) -> bool {
         self.requests
             .get(&request)
@@ -133,6 +135,7 @@
             .close_stream(connection_id, stream, self.now, &mut self.timers)
     }
 
+    /// Closes the connections to an engine that carry nothing.
     pub(super) fn close_idle(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         for id in self.connections.ids_of(engine) {
             if self.connections.is_idle(id) {
@@ -141,13 +144,13 @@
         }
     }
 
-    /// What has fallen due for the connections to an engine.
+    /// Does what is due for the connections to an engine.
     pub(super) fn run_connection_pool(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         let row = self.endpoints.engines.get(engine);
         let ready = row.is_some_and(|r| r.status == EndpointStatus::Ready);
         let address = row.map(|r| r.line.address.clone()).unwrap_or_default();
-        for act in self.connections.wanted(engine, self.now, ready) {
-            match act {
+        for command in self.connections.wanted(engine, self.now, ready) {
+            match command {
                 PoolCommand::Connect => {
                     let to = (&mut self.timers, &mut *outputs);
                     self.connections.dial(engine, &address, self.now, to);
@@ -160,8 +163,8 @@
                         outputs,
                     );
                 }
-                PoolCommand::Close(id, why) => {
-                    let reason = match why {
+                PoolCommand::Close(id, cause) => {
+                    let reason = match cause {
                         CloseReason::ConnectTimeout => "no connection in time",
                         CloseReason::Idle => "idle",
                         CloseReason::Dead => "it does not answer",
@@ -190,7 +193,7 @@
         }
     }
 
-    /// Whatever was out on a connection that came up may have run; on one that did not, nothing was sent.
+    /// A connection is closed. What was out on it may have run if it was up; if it never was, nothing was sent.
     pub(super) fn on_connection_closed(
         &mut self,
         connection_id: EngineConnectionId,
--- a/crates/dispatcher/src/state/delivery.rs
+++ b/crates/dispatcher/src/state/delivery.rs
@@ -1,4 +1,4 @@
-//! What the connections tell of attempts that were sent: whether their engine has run since.
+//! Whether an attempt that was sent has reached its engine: whether the engine has run since.
 //!
 //! Written bytes are no proof. The answer to a call that was begun after the attempt was sent is one, on whatever
 //! connection it comes; so is anything that comes so long after it that it cannot have been under way before.
@@ -6,12 +6,13 @@
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// The part of the release time within which an engine has to answer when it is asked for a sign. Then the connection
-/// is given up, and the next question takes another one.
+/// The release time divided by this is the time within which an engine has to answer a liveness check. After it the
+/// connection is closed, and the next check takes another one.
 const LIVENESS_TIMEOUT_DIVISOR: f64 = 4.0;
 
 impl Dispatcher {
     /// The decisions want to know whether an attempt has reached an engine that runs.
+    /// The answer is an [`Event::Delivered`], now or once the engine has run.
     pub(super) fn confirm(
         &mut self,
         request_id: RequestId,
@@ -79,7 +80,7 @@
     }
 
     /// Asks an engine for something that any engine answers at once and that costs it little: the release of a request
-    /// that is over. A process that has had none yet probes, where that is allowed.
+    /// that is over. A process that has had none yet sends a health check, where that is allowed.
     fn check_liveness(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         let over = self
             .last_finished_origin
@@ -104,7 +105,7 @@
         }
         let address = row.line.address.clone();
         let to = (&mut self.timers, &mut *outputs);
-        // Without a connection there is no sign either.
+        // Without a connection there is no answer either.
         let Ok((connection, stream)) = self.connections.open(
             engine,
             &address,
@@ -129,7 +130,7 @@
         );
     }
 
-    /// What is doubted of an attempt that is out, and how it stands, for the log.
+    /// What is not known of the current attempt of a request, and how it stands, for the log.
     pub(super) fn undelivered_attempt(
         &self,
         request_id: RequestId,
@@ -139,7 +140,7 @@
             .current_attempt
             .as_ref()
             .filter(|attempt| !attempt.first_token_sent)?;
-        let doubt = match self.has_arrived(attempt) {
+        let problem = match self.has_arrived(attempt) {
             true => "nothing has come on its attempt's connection",
             false => "its attempt has not arrived",
         };
@@ -152,7 +153,7 @@
             }
         };
         let text = format!(
-            "id={} launch={} host={} sent {}, on a connection made {} that carried {} calls; its host was last heard {}, \
+            "id={} attempt={} engine={} sent {}, on a connection made {} that carried {} calls; its engine was last heard {}, \
              and answered a call that was sent {}",
             request.origin(),
             attempt.id.0,
@@ -163,6 +164,6 @@
             since(self.connections.heard_at(&attempt.engine)),
             since(self.connections.ran_at(&attempt.engine)),
         );
-        Some((doubt, text))
+        Some((problem, text))
     }
 }
--- a/crates/dispatcher/src/state/endpoint_updates.rs
+++ b/crates/dispatcher/src/state/endpoint_updates.rs
@@ -1,12 +1,13 @@
-//! Updates of the list of endpoints, and what is forgotten of engines that are gone.
+//! Updates of the endpoints, and what is forgotten of engines that are gone.
 
 use super::*;
 
 impl Dispatcher {
+    /// Takes an update of the endpoints. `cached`: what kind of update it counts as, where it is not from discovery.
     pub(super) fn update_endpoints(
         &mut self,
         list: &v1::EndpointList,
-        remembered: Option<EndpointUpdateKind>,
+        cached: Option<EndpointUpdateKind>,
         outputs: &mut Vec<Output>,
     ) {
         let planted = fault_injection::list(list);
@@ -16,7 +17,7 @@
             level: Level::Warn,
             text,
         }));
-        if self.caches_endpoints && remembered.is_none() && !list.endpoints.is_empty() {
+        if self.caches_endpoints && cached.is_none() && !list.endpoints.is_empty() {
             outputs.push(Output::KeepList(self.endpoints.whole()));
         }
         for entry in endpoints
@@ -29,7 +30,7 @@
             self.connections.renewed(&entry.engine);
         }
         self.events.push(Event::EndpointsUpdated {
-            kind: remembered.unwrap_or(kind),
+            kind: cached.unwrap_or(kind),
             endpoints,
         });
         for engine in self.endpoints.gone() {
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Guards against a fleet that is replaced all day: nothing is kept of an engine that is gone, once no
-    /// connection to it is left. An unknown engine counts as gone.
+    /// Guards against a fleet whose engines are replaced all day, which shows as memory that grows: nothing is kept of an
+    /// engine that is gone, once no connection to it is left. An unknown engine counts as gone.
     pub(super) fn forget_gone_engine(&mut self, engine: &EngineId) {
         if self.endpoints.status(engine) == EndpointStatus::Gone && self.connections.forget(engine)
         {
--- a/crates/dispatcher/src/state/engine_messages.rs
+++ b/crates/dispatcher/src/state/engine_messages.rs
@@ -276,8 +276,8 @@
         Ok(())
     }
 
-    /// A read that ended after it was given up: the decisions do not know of its state, so it is let go here,
-    /// or it would stay pinned.
+    /// Guards against a prefill that ends after it was cancelled, which shows as a KV state that stays pinned at its engine,
+    /// as the decisions do not know of it: it is released here.
     pub(super) fn handle_late_end(
         &mut self,
         engine: EngineId,
@@ -328,7 +328,8 @@
             }
             v1::Status::NoState if !is_prefill && !first_token_sent => {
                 self.end_attempt(request_id, Outcome::Overloaded, 1.0, load);
-                // Guards against a decode engine that could not reach the prefill_engine: the state would lie there for nobody.
+                // Guards against a decode engine that could not fetch the KV state, which shows as a state that stays
+                // pinned at its prefill engine: it is released.
                 if fault_injection::is(Plant::NoStateKept) {
                     self.kv_states.forget(request_id);
                 } else {
@@ -355,7 +356,7 @@
     }
 }
 
-/// Whether a message shows that its engine works on attempts. A part of it may still answer other calls while the rest hangs.
+/// Whether a message shows that its engine works on attempts. An engine may still answer other calls while these hang.
 fn shows_work(purpose: Option<&StreamPurpose>, body: Option<&Body>) -> bool {
     let done =
         |status: v1::Status| matches!(status, v1::Status::PrefillDone | v1::Status::Succeeded);
--- a/crates/dispatcher/src/state/health_checks.rs
+++ b/crates/dispatcher/src/state/health_checks.rs
@@ -4,6 +4,7 @@
 use super::*;
 
 impl Dispatcher {
+    /// Sends a health check to an engine; its result is an [`Event::HealthChecked`].
     pub(super) fn check_health(&mut self, engine: EngineId, outputs: &mut Vec<Output>) {
         let address = self
             .endpoints
@@ -38,6 +39,7 @@
         );
     }
 
+    /// Ends the health check on a stream.
     pub(super) fn end_health_check(
         &mut self,
         connection_id: EngineConnectionId,
--- a/crates/dispatcher/src/state/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -1,30 +1,30 @@
 //! The invariants that no decision may break, whatever led to it. Each is held by one guard, which stops what would break
 //! it, counts it, and says so in the log.
 //!
-//! The guards know by the ledger's own record what was sent and how it ended, not by what the decisions believe.
+//! The guards go by the dispatcher's own record of what was sent and how it ended, not by what the decisions assume.
 
 use super::*;
 use std::fmt;
 
-/// What has to hold.
+/// What has to hold, whatever the decisions are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// An attempt goes to an engine that is in service.
     Send,
-    /// What may have run runs again only where its class allows.
+    /// What may have run runs again only where its request class allows.
     Repeat,
-    /// A request is refused as harmless to try again only if it is.
+    /// A request is rejected, which says that a retry is safe, only if it is.
     Close,
     /// An attempt begins for a request that is open, one at a time, in time, and within the number allowed.
     Start,
-    /// A KV state that no attempt has reached is taken or released in time, and a release is sent anew once an attempt is over
-    /// that may have kept it from taking effect.
+    /// A KV state that no attempt has reached is taken or released in time, and a release is sent again once an attempt is
+    /// over that may have kept it from taking effect.
     Hold,
 }
 
-/// What is held may be held so much longer than the settings say (the platform's protocol): the guard leaves half of it for
-/// the release to get through.
+/// A KV state may be held so much longer than the settings say (the platform's protocol).
 const HELD_STATE_TOLERANCE_MS: Ms = 300.0;
+/// The part of that tolerance after which the guard acts; the rest is left for the release to reach the engine.
 const HELD_STATE_TOLERANCE_DIVISOR: f64 = 2.0;
 
 impl fmt::Display for Invariant {
@@ -39,10 +39,12 @@
     }
 }
 
-/// How often each invariant was looked at, and how often a guard had to stop something.
+/// How often each invariant was checked, and how often a guard had to stop something.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InvariantCounts {
+    /// Checks, by invariant.
     pub checked: BTreeMap<Invariant, u64>,
+    /// Violations, by invariant.
     pub violated: BTreeMap<Invariant, u64>,
 }
 
@@ -55,12 +57,16 @@
 }
 
 impl Dispatcher {
-    /// How often the invariants were looked at, and violated.
+    /// How often the invariants were checked and violated, since the start.
     pub fn invariant_counts(&self) -> &InvariantCounts {
         &self.invariant_counts
     }
 
-    /// Tells whether an attempt of a request may go to an engine now. `reading`: it prefills only, which has no effect.
+    /// Whether an attempt of a request may go to an engine now. `is_prefill`: it prefills only, which has no effect
+    /// outside the engine.
+    ///
+    /// Guards against an attempt for a request that is over, at an engine that is not in service, or of what may have run and
+    /// must not run twice, which shows as an effect that happens twice: such an attempt ends as not sent.
     pub(super) fn may_start_attempt(
         &mut self,
         request_id: RequestId,
@@ -87,7 +93,10 @@
         })
     }
 
-    /// Tells whether a request may be refused with the word that trying again is harmless.
+    /// Whether a request may be rejected, which says that a retry is safe.
+    ///
+    /// Guards against a client that repeats what has run, which shows as an effect that happens twice: a request of which
+    /// an attempt may have run fails instead, unless its request class allows a repeat anywhere.
     pub(super) fn may_reject(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) -> bool {
         let Some(request) = self.requests.get(&request_id) else {
             return true;
@@ -108,7 +117,7 @@
         self.check(Invariant::Close, harmless, request_id, "refused", outputs)
     }
 
-    /// Has the guard look at what is held for a request once it ought to be taken or released.
+    /// Has the guard check the KV state of a request once it has to be taken or released.
     pub(super) fn schedule_held_check(&mut self, request_id: RequestId) {
         if self.settings.limits.single.is_some() && self.kv_states.get(request_id).is_some() {
             self.timers.set(
@@ -123,7 +132,8 @@
             + HELD_STATE_TOLERANCE_MS / HELD_STATE_TOLERANCE_DIVISOR
     }
 
-    /// Sees to it that a state is released which the decisions have left, or whose release was forgotten.
+    /// Guards against a KV state that the decisions have left, or whose release was forgotten, which shows as memory that
+    /// stays pinned at its engine: it is released at the end of its time.
     pub(super) fn check_held_state(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(state) = self.kv_states.get(request_id) else {
             return;
@@ -133,7 +143,7 @@
             return self.schedule_held_check(request_id);
         }
         let is_available = state.is_available();
-        let (from, is_on_its_way) = match is_available {
+        let (from, was_sent_since) = match is_available {
             true => (state.held_since, false),
             false => (
                 state.release.unblocked_since,
@@ -141,7 +151,7 @@
             ),
         };
         let due = from + self.max_held_duration();
-        if is_on_its_way {
+        if was_sent_since {
             return;
         }
         if self.now < due {
@@ -155,7 +165,7 @@
         }
     }
 
-    /// Notes that the attempt of a request that is out may have run, if its end leaves that open.
+    /// Notes that the current attempt of a request may have run, if its end leaves that open.
     pub(super) fn note_possible_run(&mut self, request_id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
@@ -167,13 +177,13 @@
         else {
             return;
         };
-        let open = [
+        let leaves_open = [
             Outcome::Failed,
             Outcome::TimedOut,
             Outcome::ConnectionLost,
             Outcome::Cancelled,
         ];
-        if request.first_possible_run.is_none() && open.contains(&outcome) {
+        if request.first_possible_run.is_none() && leaves_open.contains(&outcome) {
             let line = self
                 .endpoints
                 .engines
@@ -190,7 +200,7 @@
         }
     }
 
-    /// Whether a request's effect lets it run at an engine, by what may have run before.
+    /// Whether a request may run at an engine, by what may have run before and how far its idempotency key holds.
     fn may_run_at(&self, request: &Request, engine: &EngineId) -> bool {
         let (Some(first), Some(row)) = (
             &request.first_possible_run,
@@ -217,6 +227,7 @@
         }
     }
 
+    /// Counts a check; a violation is logged. Gives whether the invariant holds.
     fn check(
         &mut self,
         invariant: Invariant,
@@ -234,7 +245,7 @@
                 .map(Request::origin)
                 .unwrap_or_default();
             let text = format!(
-                "invariant violated: {invariant}; task={} id={origin} at {what}",
+                "invariant violated: {invariant}; request={} id={origin} at {what}",
                 request_id.0
             );
             outputs.push(Output::log(Level::Warn, text));
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -3,9 +3,9 @@
 //! next ([`Dispatcher::wants_call_at`]). The same inputs give the same outputs.
 //!
 //! Every choice between engines, every reject and failure of a request that was taken is
-//! [`Control`](cindercleat::control::Control)'s. The ledger carries them out, tells it each outcome, and sees
-//! to what holds for any decision: one final answer a request, nothing to an engine that left the list meanwhile,
-//! nothing held that the decisions do not know of, bounded buffers.
+//! [`Control`](cindercleat::control::Control)'s. The dispatcher carries them out, reports each outcome to it, and
+//! ensures what holds for any decision: one final answer a request, nothing to an engine that has left service
+//! meanwhile, no KV state held that the decisions do not know of, bounded buffers.
 
 mod abandoned_streams;
 mod attempts;
@@ -55,6 +55,8 @@
 use stream_purpose::EngineRelease;
 use timers::{Due, Timers};
 
+/// Routes requests to engines and their tokens back to clients. A state machine without I/O; see the
+/// [module](self)'s page. All instants are milliseconds on one clock that the caller keeps.
 pub struct Dispatcher {
     settings: ProgramSettings,
     control: Control,
@@ -71,24 +73,25 @@
     kv_states: KvStates,
     /// Releases to send where a state belongs to its engine, by that engine.
     pending_engine_releases: BTreeMap<EngineId, Vec<EngineRelease>>,
-    /// Requests whose attempt the decisions doubt, and the id of the last request that was over.
+    /// Requests of whose attempt the decisions want to know whether it has reached its engine.
     delivery_unconfirmed: BTreeSet<RequestId>,
+    /// The client's id of the last request that is over; its release is a liveness check that any engine answers.
     last_finished_origin: Option<String>,
-    /// What the decisions have not been told yet.
+    /// Events that the decisions have not taken yet.
     events: Vec<Event>,
     stopping_since: Option<Ms>,
     stopped: bool,
-    /// Whether what happens to requests is told line by line.
+    /// Whether each event of a request is logged.
     logs_requests: bool,
-    /// What those who watch a release want to know, if there are any.
+    /// What a rollout is judged by; none where nobody asks for it.
     service_stats: Option<service_stats::ServiceStats>,
     invariant_counts: InvariantCounts,
-    /// Whether somebody keeps the list for the next start.
+    /// Whether the endpoints are cached for the next start.
     caches_endpoints: bool,
 }
 
 impl Dispatcher {
-    /// `seed` starts the chance that the decisions draw.
+    /// A dispatcher that knows no endpoints yet. `seed` starts the random draws of the decisions.
     pub fn new(settings: ProgramSettings, seed: u64) -> Self {
         let mut control = Control::new(settings.policy.clone(), seed);
         if settings.limits.single.is_some() {
@@ -120,8 +123,8 @@
         }
     }
 
-    /// Takes one input in at its instant; an instant before the last counts as the last. What has fallen due
-    /// by then is done after it.
+    /// Takes one input at its instant `now`, in milliseconds; an instant before the last counts as the last. Timers that
+    /// are due by then run after it. What is to be done is appended to `outputs`, in its order.
     pub fn handle(&mut self, now: Ms, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
@@ -163,20 +166,20 @@
         }
         self.settle(outputs);
         while let Some(due) = self.timers.take_due(self.now) {
-            self.take_due(due, outputs);
+            self.on_timer(due, outputs);
             self.settle(outputs);
         }
         self.continue_due_releases(outputs);
         self.end_stop(outputs);
     }
 
-    /// When `handle` wants to be called at the latest; an earlier `Tick` does no harm.
+    /// When [`Self::handle`] wants to be called at the latest, in milliseconds; an earlier `Tick` changes nothing.
     pub fn wants_call_at(&self) -> Option<Ms> {
         self.timers.next_at()
     }
 
-    /// Tells the decisions what happened and does what they decide, until nothing more follows. What is done
-    /// may be over at once (an attempt that no connection can take); each such round ends an attempt, and a request has few.
+    /// Passes the events to the decisions and carries out what they decide, until nothing more follows. An attempt that no
+    /// connection can take ends at once, which is an event again; a request has few attempts, so this ends.
     fn settle(&mut self, outputs: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while !self.events.is_empty() {
@@ -213,24 +216,9 @@
                 request,
                 retry_after,
             } => {
-                let retry_after_ms = retry_after
-                    .unwrap_or(0.0)
-                    .min(self.settings.policy.max_retry_after);
-                let (answer, reason) = match self.may_reject(request, outputs) {
-                    true => (v1::Answer::Rejected, "turned away"),
-                    false => (v1::Answer::Failed, "it may have run"),
-                };
-                self.answer(request, answer, retry_after_ms, reason, outputs);
-            }
-            Action::Fail { request } => {
-                let reject = fault_injection::is(Plant::FailureAsRejection);
-                let answer = if reject {
-                    v1::Answer::Rejected
-                } else {
-                    v1::Answer::Failed
-                };
-                self.answer(request, answer, 0.0, "no answer in time", outputs)
+                self.reject(request, retry_after, outputs);
             }
+            Action::Fail { request } => self.fail(request, outputs),
             Action::Release { request } => self.release(request, outputs),
             Action::ReleaseInDoubt { request } => self.release_unconfirmed(request, outputs),
             Action::Confirm { request, attempt } => self.confirm(request, attempt, outputs),
@@ -252,7 +240,7 @@
         }
     }
 
-    fn take_due(&mut self, due: Due, outputs: &mut Vec<Output>) {
+    fn on_timer(&mut self, due: Due, outputs: &mut Vec<Output>) {
         match due {
             Due::Control(timer) => self.events.push(Event::Timer { timer }),
             Due::AttemptTimeout(request, attempt) => {
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -30,8 +30,8 @@
         if self.kv_states.available(request_id).is_none() {
             return;
         }
-        if let Some((doubt, text)) = self.undelivered_attempt(request_id) {
-            let text = format!("state released, {doubt}: {text}");
+        if let Some((problem, text)) = self.undelivered_attempt(request_id) {
+            let text = format!("state released, {problem}: {text}");
             outputs.push(Output::log(Level::Info, text));
         }
         self.want_release(request_id, outputs);
@@ -41,8 +41,8 @@
     /// The decisions doubt that the attempt which is out has arrived, though its engine runs: what is held is let go, unless that
     /// attempt waits for it.
     pub(super) fn release_unconfirmed(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
-        if let Some((doubt, text)) = self.undelivered_attempt(request_id) {
-            let text = format!("release sent, {doubt}: {text}");
+        if let Some((problem, text)) = self.undelivered_attempt(request_id) {
+            let text = format!("release sent, {problem}: {text}");
             outputs.push(Output::log(Level::Info, text));
         }
         self.kv_states.mark_unconfirmed(request_id, self.now);
--- a/crates/dispatcher/src/state/request_log.rs
+++ b/crates/dispatcher/src/state/request_log.rs
@@ -1,29 +1,33 @@
-//! The story of each request in lines for the log, so that one request can be followed by the id that its client gave
-//! it through every dispatcher that had it. Made only where somebody reads it (`Dispatcher::tell_stories`).
+//! The request log: a line for each event and action of a request, so that one request can be followed by the id that its
+//! client gave it through every dispatcher that had it. Made only where it is asked for
+//! ([`Dispatcher::enable_request_log`]).
 
 use super::*;
 use std::fmt::Write;
 
 impl Dispatcher {
-    /// What happens to requests is told line by line from now on.
+    /// Logs each event and action of a request from now on, at level debug.
     pub fn enable_request_log(&mut self) {
         self.logs_requests = true;
     }
 
+    /// Logs an event, before the decisions take it.
     pub(super) fn log_event(&self, event: &Event, outputs: &mut Vec<Output>) {
         let text = match event {
             Event::Arrived(a) => {
                 let (shared, session) = (a.shared.map_or(0, |s| s.0), a.session.0);
-                let (prompt, beginning) = (a.prompt_tokens, a.shared_tokens);
-                let (request_class, waits) = (a.request_class.0, a.time_to_deadline);
-                let request = self.called(a.request);
+                let (prompt, shared_tokens) = (a.prompt_tokens, a.shared_tokens);
+                let (request_class, deadline) = (a.request_class.0, a.time_to_deadline);
+                let request = self.request_label(a.request);
                 format!(
-                    "{request} arrived profile={request_class} prompt={prompt} shared={beginning} beginning={shared:x} \
-                     session={session:x} waits={waits:.0} retried={}",
+                    "{request} arrived class={request_class} prompt={prompt} shared={shared_tokens} prefix={shared:x} \
+                     session={session:x} deadline={deadline:.0} retried={}",
                     a.retried
                 )
             }
-            Event::ClientGone { request } => format!("{} left", self.called(*request)),
+            Event::ClientGone { request } => {
+                format!("{} client gone", self.request_label(*request))
+            }
             Event::FirstToken {
                 request,
                 attempt,
@@ -31,15 +35,15 @@
                 latency,
             } => {
                 format!(
-                    "{} launch={} host={} began after={latency:.1}",
-                    self.called(*request),
+                    "{} attempt={} engine={} first token after={latency:.1}",
+                    self.request_label(*request),
                     attempt.0,
                     engine.0
                 )
             }
             Event::Ended(e) => format!(
-                "{} launch={} host={} ended outcome={:?} after={:.1} detail={}",
-                self.called(e.request),
+                "{} attempt={} engine={} ended outcome={:?} after={:.1} detail={}",
+                self.request_label(e.request),
                 e.attempt.0,
                 e.engine.0,
                 e.outcome,
@@ -52,20 +56,21 @@
                 latency,
                 load,
             } => {
-                let said = |value: Option<f64>| value.map_or("-".to_owned(), |v| format!("{v:.3}"));
+                let shown =
+                    |value: Option<f64>| value.map_or("-".to_owned(), |v| format!("{v:.3}"));
                 let (queue, slots, memory) = (
-                    said(load.queue),
-                    said(load.slots_used),
-                    said(load.memory_held),
+                    shown(load.queue),
+                    shown(load.slots_used),
+                    shown(load.memory_held),
                 );
                 format!(
-                    "probe host={} outcome={outcome:?} after={latency:.1} queue={queue} slots={slots} \
+                    "health check engine={} outcome={outcome:?} after={latency:.1} queue={queue} slots={slots} \
                      memory={memory}",
                     engine.0
                 )
             }
             Event::EndpointsUpdated { kind, endpoints } => {
-                let mut text = format!("list {kind:?}");
+                let mut text = format!("endpoints {kind:?}");
                 for e in endpoints {
                     // Writing to a string cannot fail.
                     let _ = write!(
@@ -82,7 +87,11 @@
                 text
             }
             Event::Delivered { request, attempt } => {
-                format!("{} launch={} delivered", self.called(*request), attempt.0)
+                format!(
+                    "{} attempt={} delivered",
+                    self.request_label(*request),
+                    attempt.0
+                )
             }
             Event::ReservationChanged { .. }
             | Event::Timer { .. }
@@ -91,43 +100,59 @@
         outputs.push(Output::log(Level::Debug, text));
     }
 
+    /// Logs an action, before it is carried out.
     pub(super) fn log_action(&self, action: &Action, outputs: &mut Vec<Output>) {
         let text = match action {
             Action::StartAttempt {
                 request, engine, ..
             } => {
-                let no = self.requests.get(request).map_or(0, |t| t.attempts);
+                let attempt = self
+                    .requests
+                    .get(request)
+                    .map_or(0, |request| request.attempts);
                 format!(
-                    "{} launch={no} host={} goes out",
-                    self.called(*request),
+                    "{} attempt={attempt} engine={} goes out",
+                    self.request_label(*request),
                     engine.0
                 )
             }
             Action::Cancel { request, attempt } => {
-                format!("{} launch={} called off", self.called(*request), attempt.0)
+                format!(
+                    "{} attempt={} cancelled",
+                    self.request_label(*request),
+                    attempt.0
+                )
             }
-            Action::Reject { request, .. } => format!("{} bounced", self.called(*request)),
-            Action::Fail { request } => format!("{} written off", self.called(*request)),
-            Action::Release { request } => format!("{} released", self.called(*request)),
+            Action::Reject { request, .. } => format!("{} rejected", self.request_label(*request)),
+            Action::Fail { request } => format!("{} failed", self.request_label(*request)),
+            Action::Release { request } => format!("{} released", self.request_label(*request)),
             Action::ReleaseInDoubt { request } => {
-                format!("{} released in doubt", self.called(*request))
+                format!(
+                    "{} released, delivery unconfirmed",
+                    self.request_label(*request)
+                )
             }
             Action::Confirm { request, attempt } => {
-                format!("{} launch={} in doubt", self.called(*request), attempt.0)
+                format!(
+                    "{} attempt={} delivery unconfirmed",
+                    self.request_label(*request),
+                    attempt.0
+                )
             }
             _ => return,
         };
         outputs.push(Output::log(Level::Debug, text));
     }
 
-    fn called(&self, request_id: RequestId) -> String {
+    /// A request by its number here and its id at its client.
+    fn request_label(&self, request_id: RequestId) -> String {
         let origin = self
             .requests
             .get(&request_id)
             .map(Request::origin)
             .unwrap_or_default();
         format!(
-            "task={} id={}",
+            "request={} id={}",
             request_id.0,
             if origin.is_empty() { "-" } else { &origin }
         )
--- a/crates/dispatcher/src/state/shutdown.rs
+++ b/crates/dispatcher/src/state/shutdown.rs
@@ -3,12 +3,12 @@
 
 use super::*;
 
-/// After streams were moved in a stop: how often those are that have begun since.
+/// How often streams that begin after the first migration of a stop are migrated as well.
 const MIGRATION_INTERVAL_MS: Ms = 100.0;
 
 impl Dispatcher {
-    /// States that are let go are gone when their engines say so: a stop does not cut that off, but no engine that
-    /// says nothing holds it up for longer than a release may take.
+    /// Completes the stop, once nothing is open. A KV state is released when its engine confirms it, and a stop waits for
+    /// that; an engine that does not answer delays it by the release time at most.
     pub(super) fn end_stop(&mut self, outputs: &mut Vec<Output>) {
         if let (Some(since), false) = (self.stopping_since, self.stopped) {
             let latest =
@@ -23,6 +23,7 @@
         }
     }
 
+    /// Begins the stop, unless it has begun.
     pub(super) fn begin_stop(&mut self, outputs: &mut Vec<Output>) {
         if self.stopping_since.is_none() {
             self.stopping_since = Some(self.now);
@@ -37,7 +38,7 @@
             }
             let notice = self.settings.limits.stop_notice;
             if notice > 0.0 {
-                // Those with an open request are told with its answer, the others at the end of the notice.
+                // Clients with an open request leave now, the others at the end of the notice.
                 let open: BTreeSet<ClientConnectionId> =
                     self.client_streams.keys().map(|(conn, _)| *conn).collect();
                 outputs.extend(open.into_iter().map(|conn| Output::LeaveClient { conn }));
@@ -45,38 +46,38 @@
             } else {
                 self.end_notice(outputs);
             }
-            let text = format!("stopping with {} tasks open", self.requests.len());
+            let text = format!("stopping with {} requests open", self.requests.len());
             outputs.push(Output::log(Level::Info, text));
         }
     }
 
-    /// Whether nothing new is taken.
+    /// Whether new requests are rejected.
     pub(super) fn is_closed(&self) -> bool {
         self.stopping_since
             .is_some_and(|since| self.now >= since + self.settings.limits.stop_notice)
     }
 
-    /// Nothing new is taken from now on.
+    /// New requests are rejected from now on.
     pub(super) fn end_notice(&mut self, outputs: &mut Vec<Output>) {
         outputs.extend(self.callers.all().map(|conn| Output::LeaveClient { conn }));
     }
 
-    /// Guards against streams that outlast this process: cut off with it they would all look for another
-    /// dispatcher at an instant that nobody chose, perhaps with none there.
+    /// Guards against streams that outlast this process, which show as many clients that lose theirs at once and look for
+    /// another dispatcher when there may be none: they are migrated while the process still runs, each in good order.
     pub(super) fn migrate_all(&mut self, outputs: &mut Vec<Output>) {
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
             self.migrate(id, outputs);
         }
-        // What begins from now on is moved soon as well.
+        // Streams that begin from now on are migrated soon as well.
         if !self.requests.is_empty() {
             self.timers
                 .set(self.now + MIGRATION_INTERVAL_MS, Due::StopMigration);
         }
     }
 
-    /// What is still open at the end of the grace is answered: rejected if nothing of it ever went out, else
-    /// failed, which promises nothing; its attempts are called off and its states let go.
+    /// Requests that are open at the end of the grace are answered: rejected if nothing of them ever went out, else
+    /// failed, as they may have run. Their attempts are cancelled and their KV states released.
     pub(super) fn end_grace(&mut self, outputs: &mut Vec<Output>) {
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Whether a state is to be let go of which no engine has said yet that it is. A stop does not wait for releases to be
-    /// repeated: what a process leaves that has ended is freed by the platform.
+    /// Whether a release is open that no engine has confirmed yet. A stop does not wait for releases to be repeated: the
+    /// platform frees what a process leaves that has ended.
     pub(super) fn releasing(&self) -> bool {
         let open = self.engine_releases() + self.kv_states.unconfirmed_count();
         !fault_injection::is(Plant::StopDropsReleases) && open > 0
--- a/crates/dispatcher/src/state/status.rs
+++ b/crates/dispatcher/src/state/status.rs
@@ -1,36 +1,42 @@
-//! What a dispatcher tells of itself to those that run it: whether it is ready, how full it is, what it has served.
+//! What a dispatcher reports of itself to the process that runs it: whether it is ready, how full it is, what it has
+//! served.
 
 use super::*;
 
 impl Dispatcher {
-    /// Whether a list is there and no stop has begun, and which part of the requests that it may have open is.
-    pub fn fares(&self) -> (bool, f64) {
-        let ready = self.endpoints.is_known() && self.stopping_since.is_none();
+    /// Whether endpoints are known and no stop has begun.
+    pub fn is_ready(&self) -> bool {
+        self.endpoints.is_known() && self.stopping_since.is_none()
+    }
+
+    /// The fraction of the requests that may be open which is open, from 0 to 1.
+    pub fn open_fraction(&self) -> f64 {
         let most = self.settings.limits.max_open_requests.max(1);
-        (ready, self.requests.len() as f64 / most as f64)
+        self.requests.len() as f64 / most as f64
     }
 
-    /// The version of the newest list.
+    /// The version of the newest update of the endpoints; 0 if there was none.
     pub fn list_version(&self) -> u64 {
         self.endpoints.version
     }
 
-    /// That version, if a list is known at all.
+    /// That version, if endpoints are known at all.
     pub fn known_version(&self) -> Option<u64> {
         self.endpoints.is_known().then_some(self.endpoints.version)
     }
 
-    /// Nobody keeps the list for the next start: it is not put together with each change.
+    /// Nobody caches the endpoints for the next start: [`Output::KeepList`] is not made.
     pub fn disable_endpoint_cache(&mut self) {
         self.caches_endpoints = false;
     }
 
-    /// Remembers from now on how its requests end and what engines say.
+    /// Counts from now on how requests end, and keeps the load that engines report.
     pub fn collect_service_stats(&mut self) {
         self.service_stats = Some(service_stats::ServiceStats::default());
     }
 
-    /// How its requests ended, and reports on so many engines that were heard of since.
+    /// How requests ended since [`Self::collect_service_stats`], and reports on at most `most` engines of which something is
+    /// new. `now`: in milliseconds. Empty where nothing is collected.
     pub fn recorded(&mut self, now: Ms, most: usize) -> (Tally, Vec<EngineReport>) {
         let Some(service_stats) = &mut self.service_stats else {
             return Default::default();
@@ -38,7 +44,7 @@
         (service_stats.tally(), service_stats.reports(now, most))
     }
 
-    /// The engines as the list has them. `now` is on the list's clock as well.
+    /// The engines as the endpoints have them. `now`: in milliseconds on the clock of the endpoints' start times.
     pub fn units(&self, now: Ms) -> Vec<Unit> {
         let slow_start_window = self.settings.policy.slow_start_window;
         let unit = |(engine, row): (&EngineId, &endpoints::EngineEntry)| {
@@ -69,7 +75,7 @@
         self.endpoints.engines.iter().map(unit).collect()
     }
 
-    /// How much is held, for logs and for tests of what must not grow.
+    /// How much is in use, for logs and for tests of what must not grow.
     pub fn usage(&self) -> Usage {
         Usage {
             requests: self.requests.len(),
@@ -80,18 +86,21 @@
         }
     }
 
-    /// Releases where a state belongs to its engine, which that has not confirmed.
+    /// Releases, where a state belongs to its engine, which that engine has not confirmed.
     pub(super) fn engine_releases(&self) -> usize {
         let queued: usize = self.pending_engine_releases.values().map(Vec::len).sum();
         queued + self.connections.releasing()
     }
 }
 
-/// How much a ledger holds.
+/// How much a dispatcher has in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
+    /// Open requests, and those with an attempt or a KV state.
     pub requests: usize,
+    /// Connections to engines.
     pub connections: usize,
+    /// Timers, of which some have no cause any more.
     pub timers: usize,
     /// Engines of which anything is known.
     pub engines: usize,
--- a/crates/dispatcher/src/state/token_streams.rs
+++ b/crates/dispatcher/src/state/token_streams.rs
@@ -3,7 +3,7 @@
 use super::engine_messages::ProtocolViolation;
 use super::*;
 
-/// The whole of the credit is given back in so many parts.
+/// Credit is granted again in so many parts of the window, rather than message by message.
 const CREDIT_GRANTS_PER_WINDOW: u32 = 2;
 
 impl Dispatcher {
@@ -84,7 +84,7 @@
         });
     }
 
-    /// The client has taken some of a stream: the decode engine may send as much more.
+    /// Messages of a stream were written to its client: the decode engine may send as many more.
     pub(super) fn on_messages_forwarded(
         &mut self,
         client_stream: ClientStream,
@@ -104,12 +104,12 @@
         attempt.messages_forwarded =
             (attempt.messages_forwarded + messages).min(attempt.messages_received);
         attempt.last_forwarded_at = self.now;
-        let room = (attempt.messages_forwarded + self.settings.limits.window)
+        let credit = (attempt.messages_forwarded + self.settings.limits.window)
             .saturating_sub(attempt.messages_credited);
-        if room >= (self.settings.limits.window / CREDIT_GRANTS_PER_WINDOW).max(1) {
-            attempt.messages_credited += room;
+        if credit >= (self.settings.limits.window / CREDIT_GRANTS_PER_WINDOW).max(1) {
+            attempt.messages_credited += credit;
             let (connection, stream) = (attempt.connection, attempt.stream);
-            let body = Body::Credit(v1::Credit { messages: room });
+            let body = Body::Credit(v1::Credit { messages: credit });
             self.connections.send(connection, stream, body, outputs);
         }
     }
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -724,7 +724,7 @@
             Output::Log {
                 level: Level::Debug,
                 text,
-            } if text.starts_with("task=") => Some(text.clone()),
+            } if text.starts_with("request=") => Some(text.clone()),
             _ => None,
         };
         bench.out.iter().filter_map(told).collect::<Vec<_>>()
@@ -732,12 +732,16 @@
     let told = story(true);
     assert!(
         told.iter()
-            .all(|line| line.starts_with("task=0 id=9b1f03aa ")),
+            .all(|line| line.starts_with("request=0 id=9b1f03aa ")),
         "{told:#?}"
     );
     let has = |words: &str| told.iter().filter(|line| line.contains(words)).count();
     assert_eq!(
-        [has(" arrived "), has(" goes out"), has("outcome=ReadDone")],
+        [
+            has(" arrived "),
+            has(" goes out"),
+            has("outcome=PrefillDone")
+        ],
         [1, 2, 1],
         "{told:#?}"
     );
