--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -93,7 +93,7 @@
             return outputs.push(Output::CloseClient { conn, reason });
         }
         // The deadline counts from the first part of the request. One whose deadline has passed meanwhile is taken like
-        // any other, and is answered as late.
+        // any other, with hardly any time left.
         if submit.time_to_deadline_ms > 0.0 {
             submit.time_to_deadline_ms =
                 (submit.time_to_deadline_ms - took).max(MIN_TIME_TO_DEADLINE_MS);
@@ -271,7 +271,7 @@
         self.forget_finished(request_id);
     }
 
-    /// Rejects a request, if it is harmless to try it again; else it fails. `retry_after`: in milliseconds.
+    /// Rejects a request, if a retry is safe; else it fails. `retry_after`: in milliseconds.
     pub(super) fn reject(
         &mut self,
         request_id: RequestId,
--- a/crates/dispatcher/src/state/connection_events.rs
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -5,7 +5,7 @@
 use super::*;
 use cindercleat::connection_pool::{CloseReason, PoolCommand};
 
-/// The least time that an engine is given for an attempt; 0 would mean no limit.
+/// The least time that an engine is given for an attempt; 0 would mean that none is given.
 const MIN_ENGINE_WAIT_MS: Ms = 1.0;
 
 impl Dispatcher {
--- a/crates/dispatcher/src/state/engine_requests.rs
+++ b/crates/dispatcher/src/state/engine_requests.rs
@@ -1,9 +1,9 @@
-//! Messages to engines, made from a request and the endpoints; and the load that engines report.
+//! The messages of attempts to engines, made from a request and the endpoints; and the load that engines report.
 
 use super::kv_states::Held;
 use super::*;
 
-/// The name of the state that an attempt makes or takes.
+/// The id of the KV state that an attempt makes.
 pub(super) fn kv_state_id(run: u64, request: RequestId, attempt: AttemptId) -> v1::KvStateId {
     v1::KvStateId {
         run,
@@ -12,7 +12,9 @@
     }
 }
 
-/// What an attempt says to its engine; `state`: what a read is to leave, none for a write.
+/// The message of an attempt to its engine. `held`: the KV state that a decode attempt takes; `state`: the id of the one
+/// that a prefill leaves, none for a decode attempt; `window`: the first credit, in messages; `wait_ms`: what is left of its
+/// time, in milliseconds.
 pub(super) fn attempt_message(
     request: &Request,
     held: Option<&Held>,
@@ -22,12 +24,12 @@
     wait_ms: Ms,
 ) -> Body {
     match state {
-        Some(state) => read(&request.submit, state, wait_ms),
-        None => write(request, held, endpoints, window, wait_ms),
+        Some(state) => prefill_message(&request.submit, state, wait_ms),
+        None => decode_message(request, held, endpoints, window, wait_ms),
     }
 }
 
-fn read(submit: &v1::Submit, state: v1::KvStateId, wait_ms: Ms) -> Body {
+fn prefill_message(submit: &v1::Submit, state: v1::KvStateId, wait_ms: Ms) -> Body {
     Body::Prefill(v1::Prefill {
         state: Some(state),
         key: submit.key.clone(),
@@ -43,7 +45,7 @@
     })
 }
 
-fn write(
+fn decode_message(
     request: &Request,
     held: Option<&Held>,
     endpoints: &Endpoints,
@@ -75,14 +77,17 @@
     })
 }
 
+/// The load that an engine reports.
+///
+/// Guards against a report that is no number or negative, which shows as means that stay wrong for good: such a value counts
+/// as not reported.
 pub(super) fn reported_load(load: &v1::Load) -> Load {
-    // Guards against a report that would poison every mean.
-    let said = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
+    let valid = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
     Load {
-        in_flight: said(load.in_flight),
-        queue: said(load.queue),
-        slots_used: said(load.slots_used),
-        memory_held: said(load.memory_held),
-        waiting_kilotokens: said(load.waiting_kilotokens),
+        in_flight: valid(load.in_flight),
+        queue: valid(load.queue),
+        slots_used: valid(load.slots_used),
+        memory_held: valid(load.memory_held),
+        waiting_kilotokens: valid(load.waiting_kilotokens),
     }
 }
--- a/crates/dispatcher/src/state/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -106,7 +106,7 @@
             .as_ref()
             .is_some_and(|attempt| !attempt.is_prefill);
         let may_have_run = decodes || request.first_possible_run.is_some();
-        let harmless = match request.retry_safety {
+        let retry_is_safe = match request.retry_safety {
             RetrySafety::Idempotent
             | RetrySafety::IdempotencyKey {
                 scope: IdempotencyScope::All,
@@ -114,7 +114,13 @@
             } => true,
             RetrySafety::IdempotencyKey { .. } | RetrySafety::AtMostOnce => !may_have_run,
         };
-        self.check(Invariant::Close, harmless, request_id, "refused", outputs)
+        self.check(
+            Invariant::Close,
+            retry_is_safe,
+            request_id,
+            "refused",
+            outputs,
+        )
     }
 
     /// Has the guard check the KV state of a request once it has to be taken or released.
--- a/crates/dispatcher/src/state/kv_states.rs
+++ b/crates/dispatcher/src/state/kv_states.rs
@@ -1,14 +1,14 @@
 //! KV states that engines hold, or may hold, for requests: one record a request, from the end of its prefill until a decode
 //! attempt has taken the state or a release has taken effect.
 //!
-//! Where a release names a request and any engine passes it on, its confirmation alone proves nothing: a release lets go of
-//! every state 'that no attempt waits for' (the platform's wire page), and an attempt that this process has closed waits
-//! until its engine knows of the close. So a record stays until a confirmation counts: [`KvState::is_released_by`].
+//! Where a release names a request and any engine passes it on, its confirmation alone proves nothing: it releases every
+//! state 'that no attempt waits for' (the platform's wire page), and an attempt that this process has closed waits until
+//! its engine knows of the close. So a record stays until a confirmation counts: [`KvState::is_released_by`].
 
 use super::*;
 
-/// An attempt that was closed without a word of its engine's is over there this part of the release time after the engine has
-/// shown that it works: the close and what follows it go over different connections, and nothing orders them.
+/// An attempt that was closed without a message of its engine is over there, at the latest, the release time divided by this
+/// after the engine has shown that it works: the close and a release go over different connections, and nothing orders them.
 const CLOSE_DELIVERY_DIVISOR: f64 = 4.0;
 
 /// A KV state and the engine that holds it.
@@ -20,7 +20,8 @@
     pub origin: String,
 }
 
-/// How far a KV state has come.
+/// The step in which a KV state is. It goes from `Held` to `Offered` and back with each decode attempt, until one takes it
+/// or it is to be released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
     /// Its engine holds it, and no attempt is out that may take it.
@@ -34,17 +35,17 @@
     ReleaseWanted,
 }
 
-/// An attempt that ended here without a word of its engine's: it was closed, or its connection broke.
+/// An attempt that ended here without a message of its engine: it was closed, or its connection broke.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct UnacknowledgedEnd {
     pub engine: EngineId,
     pub at: Ms,
-    /// When its engine had shown that it has worked since.
+    /// When its engine was first known to have worked since.
     known_since: Option<Ms>,
 }
 
 impl UnacknowledgedEnd {
-    /// From when on a release does not overtake it any more, if that is known.
+    /// From when on a release cannot overtake its close any more, if that is known.
     fn is_past_at(&self, release_time: Ms) -> Option<Ms> {
         self.known_since
             .map(|known| known + release_time / CLOSE_DELIVERY_DIVISOR)
@@ -58,22 +59,24 @@
     pub begun_at: Ms,
 }
 
-/// What was done to release a state.
+/// What was done to release a KV state. Instants are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReleaseProgress {
-    /// Since when it is wanted, and since when nothing holds it up.
+    /// Since when it is wanted.
     pub wanted_since: Ms,
+    /// Since when no attempt holds it up.
     pub unblocked_since: Ms,
-    /// Calls that are under way, and all that there were.
+    /// Calls that are under way.
     pub open_calls: usize,
+    /// All calls that were begun.
     pub calls: u32,
     /// When the last call began.
     pub last_call_at: Ms,
-    /// When it is looked at next, if nothing happens before.
+    /// When it is continued, if nothing happens before.
     pub next_check_at: Ms,
     /// Engines that were asked and have not confirmed it.
     pub asked_engines: Vec<EngineId>,
-    /// How often it was confirmed, since nothing holds it up, by calls that do not count.
+    /// How often it was confirmed by calls that do not count, since no attempt holds it up.
     pub confirmations: u32,
     /// Whether one of the calls of this round was confirmed.
     pub round_confirmed: bool,
@@ -103,7 +106,7 @@
     /// Since when the time counts within which it has to be taken or released.
     pub held_since: Ms,
     pub release: ReleaseProgress,
-    /// Whether a prefill that was cut off may have left one more.
+    /// Whether a prefill that was cancelled may have left one more.
     has_leftover: bool,
     unacknowledged_ends: Vec<UnacknowledgedEnd>,
 }
@@ -158,7 +161,7 @@
             .map(|end| &end.engine)
     }
 
-    /// Whether an attempt for it ended without a word of its engine's.
+    /// Whether an attempt for it ended without a message of its engine.
     pub fn had_unacknowledged_end(&self) -> bool {
         !self.unacknowledged_ends.is_empty()
     }
@@ -177,10 +180,12 @@
 }
 
 impl KvStates {
+    /// The record of a request.
     pub fn get(&self, request: RequestId) -> Option<&KvState> {
         self.states.get(&request)
     }
 
+    /// The record of a request, to change what was done to release it.
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut KvState> {
         self.states.get_mut(&request)
     }
@@ -262,7 +267,7 @@
         }
     }
 
-    /// It is to be released, unless the attempt that is out waits for it.
+    /// It is to be released, unless the current attempt waits for it.
     pub fn mark_unconfirmed(&mut self, request: RequestId, now: Ms) {
         let Some(state) = self.states.get_mut(&request) else {
             return;
@@ -287,7 +292,7 @@
         }
     }
 
-    /// A prefill was cut off, which may have ended just then: what it may have left is to be released.
+    /// A prefill was cancelled, which may have ended just then: what it may have left is to be released.
     pub fn want_leftover_released(&mut self, request: RequestId, held: Held, now: Ms) {
         let state = self
             .states
--- a/crates/dispatcher/src/state/release_waits.rs
+++ b/crates/dispatcher/src/state/release_waits.rs
@@ -3,13 +3,15 @@
 use super::kv_states::KvState;
 use super::*;
 
-/// Where a release waits for an attempt of its request: the part of the release time after which the attempt's engine is
-/// asked for a sign, and the part after which an attempt without one is waited for no longer.
+/// Where a release waits for an attempt of its request, the release time divided by this is the time after which the
+/// attempt's engine is asked whether it runs.
 const LIVENESS_CHECK_DIVISOR: f64 = 4.0;
+/// The release time divided by this is the time after which an attempt that is not known to have arrived is waited for no
+/// longer.
 const UNCONFIRMED_ATTEMPT_DIVISOR: f64 = 2.0;
 
 impl Dispatcher {
-    /// The open request that goes by the id for which a state is held, and its attempt that is out.
+    /// The open request that goes by the id for which a KV state is held, and its current attempt.
     pub(super) fn open_request(
         &self,
         state: &KvState,
@@ -18,7 +20,7 @@
         Some((id, self.current_attempt(id)))
     }
 
-    /// Whether an attempt of a request is out.
+    /// Whether the request that goes by the id of a KV state has a current attempt.
     pub(super) fn is_attempted(&self, request_id: RequestId) -> bool {
         let request = self
             .kv_states
@@ -27,9 +29,9 @@
         request.is_some_and(|(_, attempt)| attempt.is_some())
     }
 
-    /// Whether a release would end what its request still needs, as it does not tell a prefill's state from the next one's.
-    /// A decode attempt that is out for a state which the decisions have released needs nothing, and a prefill that has not
-    /// arrived neither.
+    /// Whether a release would end what its request still needs, as a release by the request's id ends the KV state of the
+    /// next prefill as well. A decode attempt for a state that the decisions have released needs nothing, nor does a prefill
+    /// that has not arrived.
     pub(super) fn is_needed(&self, state: &KvState) -> bool {
         let Some((id, attempt)) = self.open_request(state) else {
             return false;
@@ -52,7 +54,7 @@
         self.settings.policy.kv_state_timeout / UNCONFIRMED_ATTEMPT_DIVISOR
     }
 
-    /// Since when. A release that has gone out before waits for each prefill anew.
+    /// Since when a release waits for an attempt that may not have arrived, in milliseconds. A release that has gone out before waits for each prefill anew.
     pub(super) fn unconfirmed_since(&self, state: &KvState, attempt: &requests::Attempt) -> Ms {
         let wanted = state.release.wanted_since;
         if state.release.calls > 0 {
@@ -62,19 +64,19 @@
         }
     }
 
-    /// A release waits for an attempt of its request. One that may not have arrived: its engine is asked for a sign, and
-    /// without one the release goes out in time.
+    /// A release waits for an attempt of its request. Where that may not have arrived, its engine is asked whether it runs;
+    /// without an answer the release goes out in time.
     pub(super) fn wait_for_attempt(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(state) = self.kv_states.get_mut(request_id) else {
             return;
         };
         state.release.unblocked_since = self.now;
-        let mut again =
+        let mut next_check_at =
             self.now + self.settings.policy.kv_state_timeout / UNCONFIRMED_ATTEMPT_DIVISOR;
         let Some(state) = self.kv_states.get(request_id) else {
             return;
         };
-        let Some((of, attempt)) = self.open_request(state) else {
+        let Some((open_id, attempt)) = self.open_request(state) else {
             return;
         };
         if let Some(attempt) =
@@ -82,20 +84,21 @@
         {
             let from = self.unconfirmed_since(state, attempt);
             let asks_at = from + self.settings.policy.kv_state_timeout / LIVENESS_CHECK_DIVISOR;
-            again = if self.now < asks_at {
+            next_check_at = if self.now < asks_at {
                 asks_at
             } else {
                 from + self.unconfirmed_attempt_wait()
             };
             let (attempt_id, confirmation_requested) = (attempt.id, attempt.confirmation_requested);
             if self.now >= asks_at && !confirmation_requested {
-                self.confirm(of, attempt_id, outputs);
+                self.confirm(open_id, attempt_id, outputs);
             }
         }
-        self.schedule_release_check(request_id, again.max(self.now));
+        self.schedule_release_check(request_id, next_check_at.max(self.now));
     }
 
-    /// An attempt of a request is over: what is held for it may be taken back, and what is to be released can be.
+    /// An attempt of a request is over: a KV state that was offered to it is held again, and one that is to be released can
+    /// be.
     pub(super) fn settle_kv_state(
         &mut self,
         request_id: RequestId,
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -1,31 +1,35 @@
-//! Releases of KV states where any engine passes one on: when a release goes out, and which engines are asked next.
+//! Releases of KV states where any engine passes one on: when a release is sent, repeated and given up.
 //!
-//! Whether a confirmed one counts, the state's record tells (`kv_states.rs`). Until then it is sent again.
+//! Whether a confirmation counts is up to the record of the KV state (`kv_states.rs`); until one does, the release is sent
+//! again. Which engines are asked is in `release_targets.rs`, and when a release waits for an attempt in `release_waits.rs`.
+//! A 'release time' is the setting `kv_state_timeout`, in milliseconds.
 
 use super::kv_states::{Held, ReleaseCall};
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// The part of the release time within which an engine has to confirm a release, and the part that passes before the next
-/// round where none has: first, and later.
+/// The release time divided by this is the time within which an engine has to confirm a release.
 pub(super) const CONFIRMATION_TIMEOUT_DIVISOR: f64 = 4.0;
+/// The release time divided by this is the time to the next round where no engine has confirmed: at first.
 const NEXT_ROUND_DIVISOR: f64 = 25.0;
+/// The same, after [`FAST_ROUNDS_RELEASE_TIMES`].
 const SLOW_ROUND_DIVISOR: f64 = 4.0;
-/// Where a release was confirmed that does not count: in release times, when it is sent again for the first time, and how often
-/// after that. An engine that hangs may notice the close of its attempt at any time, and the state's time counts from then
-/// on. After some repeats the wait doubles.
-const FIRST_REPEAT_TIMEOUTS: f64 = 0.75;
-const REPEAT_TIMEOUTS: f64 = 1.0;
+/// After how many release times a release is sent again for the first time that was confirmed and does not count. An engine
+/// that hangs may notice the close of its attempt at any time, and the time of the KV state counts from then on.
+const FIRST_REPEAT_RELEASE_TIMES: f64 = 0.75;
+/// After how many release times it is sent again after that.
+const REPEAT_RELEASE_TIMES: f64 = 1.0;
+/// After so many repeats each wait is twice the one before.
 const REPEATS_BEFORE_BACKOFF: u32 = 10;
-/// For so many release times the next round comes soon; then it is likely that hardly any engine can be reached.
-const FAST_ROUNDS_TIMEOUTS: f64 = 2.0;
-/// For how many release times a release is sent again that was confirmed and is not known to have taken effect, and one that
-/// nobody has confirmed.
-const GIVE_UP_AFTER: f64 = 20.0;
-const GIVE_UP_UNCONFIRMED_AFTER: f64 = 120.0;
+/// For so many release times rounds follow each other fast; after that it is likely that hardly any engine can be reached.
+const FAST_ROUNDS_RELEASE_TIMES: f64 = 2.0;
+/// For how many release times a release is sent again that was confirmed and is not known to have taken effect.
+const GIVE_UP_RELEASE_TIMES: f64 = 20.0;
+/// For how many release times a release is sent again that no engine has confirmed.
+const GIVE_UP_UNCONFIRMED_RELEASE_TIMES: f64 = 120.0;
 
 impl Dispatcher {
-    /// The decisions let the state go that is held for a request.
+    /// The decisions release the KV state of a request.
     pub(super) fn release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if self.kv_states.available(request_id).is_none() {
             return;
@@ -38,7 +42,7 @@
         self.forget_finished(request_id);
     }
 
-    /// The decisions doubt that the attempt which is out has arrived, though its engine runs: what is held is let go, unless that
+    /// It is unconfirmed that the current attempt has arrived, though its engine runs: the KV state is released, unless that
     /// attempt waits for it.
     pub(super) fn release_unconfirmed(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if let Some((problem, text)) = self.undelivered_attempt(request_id) {
@@ -48,6 +52,7 @@
         self.kv_states.mark_unconfirmed(request_id, self.now);
     }
 
+    /// The KV state of a request is to be released.
     pub(super) fn want_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if self.settings.limits.single.is_some() {
             self.kv_states.want_release(request_id, self.now);
@@ -57,7 +62,7 @@
         }
     }
 
-    /// A prefill was cut off: it may have ended at its engine, with nobody left to hear of it.
+    /// A prefill was cancelled or its connection broke: it may have left a KV state at its engine.
     pub(super) fn release_leftover(
         &mut self,
         request_id: RequestId,
@@ -72,6 +77,7 @@
         }
     }
 
+    /// Releases a KV state at its engine.
     pub(super) fn release_at_engine_unless_forgotten(
         &mut self,
         held: Held,
@@ -82,15 +88,15 @@
         }
     }
 
-    /// Looks at the releases that have come up, once the decisions have dealt with what happened: only then it is known
-    /// whether a request goes on.
+    /// Continues the releases that are due, once the decisions have taken the present events: only then it is known whether
+    /// a request goes on.
     pub(super) fn continue_due_releases(&mut self, outputs: &mut Vec<Output>) {
         for id in std::mem::take(&mut self.kv_states.due_releases) {
             self.continue_release(id, outputs);
         }
     }
 
-    /// Begins the next round of calls to release a state, if it is time.
+    /// Begins the next round of calls to release a KV state, if no call is open and no attempt holds it up.
     pub(super) fn continue_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if fault_injection::is(Plant::ReleaseForgotten) {
             self.kv_states.forget(request_id);
@@ -105,9 +111,9 @@
             return self.wait_for_attempt(request_id, outputs);
         }
         let lasts = if state.release.confirmations > 0 {
-            GIVE_UP_AFTER
+            GIVE_UP_RELEASE_TIMES
         } else {
-            GIVE_UP_UNCONFIRMED_AFTER
+            GIVE_UP_UNCONFIRMED_RELEASE_TIMES
         };
         if self.now - state.release.unblocked_since > lasts * self.settings.policy.kv_state_timeout
         {
@@ -125,6 +131,7 @@
         self.schedule_next_round(request_id);
     }
 
+    /// A release is not sent again; what is not known of its effect is logged.
     fn give_up_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(state) = self.kv_states.forget(request_id) else {
             return;
@@ -145,6 +152,7 @@
         outputs.push(Output::log(level, text));
     }
 
+    /// Asks an engine to release a KV state.
     fn begin_release(
         &mut self,
         request_id: RequestId,
@@ -184,7 +192,7 @@
         }
     }
 
-    /// A call to release a state has not gone out.
+    /// A call to release a KV state has not gone out.
     pub(super) fn release_unsent(&mut self, call: &ReleaseCall) {
         if let Some(state) = self.kv_states.get_mut(call.request) {
             state.release.open_calls = state.release.open_calls.saturating_sub(1);
@@ -192,7 +200,7 @@
         }
     }
 
-    /// A call to release a state was not confirmed by the engine that was asked.
+    /// A call to release a KV state was not confirmed by the engine that was asked.
     pub(super) fn release_lost(&mut self, asked: EngineId, call: &ReleaseCall) {
         let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
@@ -202,7 +210,7 @@
         self.schedule_next_round(call.request);
     }
 
-    /// An engine has confirmed a release: the state's record is over, if that counts.
+    /// An engine has confirmed a release: the record of the KV state ends, if that counts.
     pub(super) fn release_confirmed(
         &mut self,
         asked: &EngineId,
@@ -253,9 +261,10 @@
             return;
         };
         let release = &state.release;
-        let is_hurried = self.now - release.unblocked_since < FAST_ROUNDS_TIMEOUTS * release_time;
+        let is_hurried =
+            self.now - release.unblocked_since < FAST_ROUNDS_RELEASE_TIMES * release_time;
         let wait = match release.round_confirmed {
-            // The end of the attempt brings it up again.
+            // The end of the attempt continues it.
             true if self.is_attempted(request_id) => return,
             true => {
                 let counts_in = state
@@ -273,7 +282,7 @@
         self.schedule_release_check(request_id, self.now + wait);
     }
 
-    /// An engine has shown that it runs: it passes on the releases that nobody has confirmed.
+    /// An engine has shown that it runs: it can pass on the releases that no engine has confirmed.
     pub(super) fn wake_unconfirmed_releases(&mut self) {
         let mut unconfirmed_releases = std::mem::take(&mut self.kv_states.unconfirmed_releases);
         self.kv_states
@@ -281,7 +290,7 @@
             .append(&mut unconfirmed_releases);
     }
 
-    /// Has a release looked at at an instant, and not before.
+    /// Has a release continued at an instant, in milliseconds, and not before unless something happens.
     pub(super) fn schedule_release_check(&mut self, request_id: RequestId, at: Ms) {
         let Some(state) = self.kv_states.get_mut(request_id) else {
             return;
@@ -290,7 +299,7 @@
         self.timers.set(at, Due::ReleaseCheck(request_id));
     }
 
-    /// The time has come at which a release was to be looked at, unless it was put off meanwhile.
+    /// A release may be due, unless it was put off meanwhile.
     pub(super) fn on_release_timer(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let is_due = self
             .kv_states
@@ -301,7 +310,7 @@
         }
     }
 
-    /// An engine has worked since attempts there ended without its word: it knows of their ends now, or will in a moment.
+    /// An engine has worked since attempts there ended without a message of it: it knows of their ends now, or soon will.
     pub(super) fn note_engine_worked(&mut self, engine: &EngineId) {
         let worked = self.connections.worked_at(engine);
         for id in self.kv_states.engine_worked(engine, worked, self.now) {
@@ -319,12 +328,12 @@
     }
 }
 
-/// In release times: when a release is sent again that was confirmed so often, and does not count.
+/// After how many release times a release is sent again that was confirmed so often by calls that do not count.
 fn repeat_after(confirmations: u32) -> f64 {
     match confirmations {
-        0 | 1 => FIRST_REPEAT_TIMEOUTS,
+        0 | 1 => FIRST_REPEAT_RELEASE_TIMES,
         many => {
-            REPEAT_TIMEOUTS
+            REPEAT_RELEASE_TIMES
                 * 2.0_f64.powi(many.saturating_sub(REPEATS_BEFORE_BACKOFF).min(8) as i32)
         }
     }
--- a/crates/dispatcher/src/state/shutdown.rs
+++ b/crates/dispatcher/src/state/shutdown.rs
@@ -38,7 +38,7 @@
             }
             let notice = self.settings.limits.stop_notice;
             if notice > 0.0 {
-                // Clients with an open request leave now, the others at the end of the notice.
+                // Clients with an open request are asked to leave with its answer, the others at the end of the notice.
                 let open: BTreeSet<ClientConnectionId> =
                     self.client_streams.keys().map(|(conn, _)| *conn).collect();
                 outputs.extend(open.into_iter().map(|conn| Output::LeaveClient { conn }));
--- a/crates/dispatcher/src/state/timers.rs
+++ b/crates/dispatcher/src/state/timers.rs
@@ -5,38 +5,42 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// What a timer is for. Timers are not taken back: who is called looks whether there is still cause.
+/// What a timer is for. Timers are not cancelled: who is called checks whether there is still cause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Due {
+    /// A timer that the decisions have set.
     Control(TimerId),
-    /// The module's time for an attempt has passed.
+    /// The time that the decisions gave an attempt has passed.
     AttemptTimeout(RequestId, AttemptId),
-    /// The client's own time for a request has passed.
+    /// The deadline of a request has passed.
     Deadline(RequestId),
     /// A stream may have stalled.
     StreamStall(RequestId, AttemptId),
-    /// Something falls due for a client's connection.
+    /// Something is due for a client's connection.
     Client(ClientConnectionId),
-    /// Something falls due for the connections to this engine.
+    /// Something is due for the connections to this engine.
     EngineConnections(EngineId),
+    /// A health check was not answered in time.
     HealthCheckTimeout(EngineConnectionId, StreamId),
-    /// The engine should have ended what was called off.
+    /// An abandoned stream should have ended, or a call on it should have been answered.
     StreamTimeout(EngineConnectionId, StreamId),
-    /// What this request holds may have lain for too long.
+    /// The KV state of this request may have been held for too long.
     HeldStateCheck(RequestId),
-    /// States there whose release was lost are let go again.
+    /// Releases to this engine that were lost are sent again.
     EngineReleaseRetry(EngineId),
-    /// The release of this request's state is looked at.
+    /// The release of this request's KV state is continued.
     ReleaseCheck(RequestId),
-    /// What comes from now on is not taken any more.
+    /// The notice of a stop is over: new requests are rejected.
     StopNotice,
-    /// Streams are to go on elsewhere.
+    /// In a stop, streams are migrated to other dispatchers.
     StopMigration,
+    /// The grace of a stop is over: what is open is answered.
     StopGrace,
-    /// Releases after a stop have had their time.
+    /// Releases after the grace of a stop have had their time.
     StopReleases,
 }
 
+/// An instant in milliseconds, as a key: ordered in total.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct At(Ms);
 
@@ -54,22 +58,27 @@
     }
 }
 
+/// All timers of a dispatcher.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     queue: BTreeMap<(At, u64), Due>,
-    set: u64,
+    /// How many were set: orders those of one instant.
+    set_count: u64,
 }
 
 impl Timers {
+    /// Sets a timer for the instant `at`, in milliseconds.
     pub fn set(&mut self, at: Ms, due: Due) {
-        self.set += 1;
-        self.queue.insert((At(at), self.set), due);
+        self.set_count += 1;
+        self.queue.insert((At(at), self.set_count), due);
     }
 
+    /// When the earliest timer is due.
     pub fn next_at(&self) -> Option<Ms> {
         self.queue.first_key_value().map(|((at, _), _)| at.0)
     }
 
+    /// Removes the earliest timer, if it is due.
     pub fn take_due(&mut self, now: Ms) -> Option<Due> {
         let entry = self.queue.first_entry()?;
         (entry.key().0 .0 <= now).then(|| entry.remove())
