--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -27,7 +27,7 @@
     bench
 }
 
-/// A client asks; it goes by its connection's number.
+/// A client sends a request whose id is the number of its connection.
 pub fn asks(bench: &mut Bench, conn: u64, class: &str) -> Vec<Output> {
     let origin = Some(v1::Origin {
         id: conn.to_string(),
@@ -83,8 +83,8 @@
     out.iter().filter_map(release).collect()
 }
 
-/// Whether an attempt was called off, which ends its connection where one carries a call at a time.
-pub fn called_off(out: &[Output], sent: &Sent) -> bool {
+/// Whether an attempt was cancelled, which ends its connection where one carries a call at a time.
+pub fn is_cancelled(out: &[Output], sent: &Sent) -> bool {
     let is_cancel = |output: &Output| match output {
         Output::ToEngine {
             connection,
@@ -99,7 +99,7 @@
     out.iter().any(is_cancel)
 }
 
-/// Engines that fall silent together, with nothing heard of them beforehand but their last answers.
+/// Engines that fall silent together, with no message before but their last answers.
 pub fn silence(bench: &mut Bench, names: &[&str]) {
     bench
         .silent
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -191,13 +191,13 @@
     pub state: Option<v1::KvStateId>,
 }
 
-/// A dispatcher with readers `r1`, `r2` and writers `w1`, `w2`, and all that came out of it.
+/// A dispatcher with prefill engines `r1`, `r2` and decode engines `w1`, `w2`, and all that came out of it.
 pub struct Bench {
     pub dispatcher: Dispatcher,
     pub now: Ms,
     pub out: Vec<Output>,
     engines: BTreeMap<EngineConnectionId, String>,
-    pub links_come_up: bool,
+    pub connections_come_up: bool,
     pub engines_answer_pings: bool,
     pub engines_answer_releases: bool,
     /// Engines that have fallen silent: what is sent to them gets no answer, and connections to them do not come up.
@@ -218,7 +218,7 @@
             now: 1000.0,
             out: Vec::new(),
             engines: BTreeMap::new(),
-            links_come_up: true,
+            connections_come_up: true,
             engines_answer_pings: true,
             engines_answer_releases: true,
             silent: BTreeSet::new(),
@@ -230,7 +230,7 @@
         bench
     }
 
-    /// Puts an input in; connections that it dials come up at once, unless told otherwise.
+    /// Puts an input in; connections that it dials come up at once, unless `connections_come_up` is false.
     pub fn put(&mut self, input: Input) -> Vec<Output> {
         let mut all = Vec::new();
         let mut next = vec![input];
@@ -245,7 +245,7 @@
                         self.engines.insert(*connection, engine.0.to_string());
                         let runs =
                             self.silent_engines_accept || !self.silent.contains(engine.0.as_ref());
-                        if self.links_come_up && runs {
+                        if self.connections_come_up && runs {
                             next.push(Input::ConnectionUp {
                                 connection: *connection,
                                 limit: None,
@@ -328,7 +328,7 @@
         )
     }
 
-    pub fn told(&mut self, engine: &str, status: v1::EndpointStatus) -> Vec<Output> {
+    pub fn update_endpoint(&mut self, engine: &str, status: v1::EndpointStatus) -> Vec<Output> {
         self.put(Input::Listed(list(
             v1::EndpointUpdateKind::Delta,
             &[(engine, status)],
@@ -354,8 +354,8 @@
                 return None;
             };
             let state = match &frame.body {
-                Some(Body::Prefill(read)) => read.state,
-                Some(Body::Decode(write)) => write.state,
+                Some(Body::Prefill(prefill)) => prefill.state,
+                Some(Body::Decode(decode)) => decode.state,
                 _ => return None,
             };
             Some(Sent {
@@ -368,30 +368,32 @@
         out.iter().filter_map(attempt).collect()
     }
 
-    /// A request up to its read, and that read.
-    pub fn reading(&mut self, stream: u64, request_class: &str) -> Sent {
+    /// A request up to its prefill, and that prefill.
+    pub fn prefilling(&mut self, stream: u64, request_class: &str) -> Sent {
         let out = self.client(stream, Body::Submit(submit(request_class)));
-        self.attempts(&out).pop().expect("a read goes out")
+        self.attempts(&out).pop().expect("a prefill goes out")
     }
 
-    /// A request up to its writer's attempt.
-    pub fn writing(&mut self, stream: u64, request_class: &str) -> Sent {
-        let read = self.reading(stream, request_class);
-        let out = self.ended(&read, v1::Status::PrefillDone);
-        self.attempts(&out).pop().expect("a write goes out")
+    /// A request up to its decode attempt, and that attempt.
+    pub fn decoding(&mut self, stream: u64, request_class: &str) -> Sent {
+        let prefill = self.prefilling(stream, request_class);
+        let out = self.ended(&prefill, v1::Status::PrefillDone);
+        self.attempts(&out)
+            .pop()
+            .expect("a decode attempt goes out")
     }
 
     /// A request up to its first token.
     pub fn streaming(&mut self, stream: u64, request_class: &str) -> Sent {
-        let write = self.writing(stream, request_class);
-        self.engine(&write, tokens(0));
-        write
+        let decode = self.decoding(stream, request_class);
+        self.engine(&decode, tokens(0));
+        decode
     }
 }
 
 /// Messages to the client among outputs, by stream.
 pub fn to_client(out: &[Output]) -> Vec<(u64, Body)> {
-    let said = |output: &Output| match output {
+    let found = |output: &Output| match output {
         Output::ToClient {
             frame: Frame {
                 stream,
@@ -401,7 +403,7 @@
         } => Some((*stream, body.clone())),
         _ => None,
     };
-    out.iter().filter_map(said).collect()
+    out.iter().filter_map(found).collect()
 }
 
 pub fn finals(out: &[Output]) -> Vec<(u64, v1::Answer)> {
@@ -412,11 +414,11 @@
     to_client(out).into_iter().filter_map(last).collect()
 }
 
-/// What was said to engines, by name.
+/// Messages to engines among outputs, by name.
 pub fn to_engines(out: &[Output]) -> Vec<&'static str> {
-    let said = |output: &Output| match output {
+    let found = |output: &Output| match output {
         Output::ToEngine { frame, .. } => Some(cindercleat_protocol::name_of(frame.body.as_ref())),
         _ => None,
     };
-    out.iter().filter_map(said).collect()
+    out.iter().filter_map(found).collect()
 }
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/dispatcher_state.rs
@@ -1,5 +1,5 @@
-//! The ledger's hard cases, without sockets: each test causes the failure it is named after, and also looks
-//! at what must not come of it.
+//! The dispatcher's state machine without sockets: each test causes one failure, and checks what must and what must not
+//! come of it.
 
 mod common;
 
@@ -12,23 +12,29 @@
 #[test]
 fn a_request_is_read_written_and_answered_once() {
     let mut bench = Bench::new();
-    let write = bench.streaming(5, "draft");
-    bench.engine(&write, tokens(1));
-    bench.ended(&write, Status::Succeeded);
-    let said: Vec<u64> = to_client(&bench.out)
+    let decode = bench.streaming(5, "draft");
+    bench.engine(&decode, tokens(1));
+    bench.ended(&decode, Status::Succeeded);
+    let found: Vec<u64> = to_client(&bench.out)
         .iter()
         .map(|(stream, _)| *stream)
         .collect();
-    assert_eq!(said, [5, 5, 5, 5], "accepted, two tokens, one final answer");
+    assert_eq!(
+        found,
+        [5, 5, 5, 5],
+        "accepted, two tokens, one final answer"
+    );
     assert_eq!(finals(&bench.out), [(5, Answer::Succeeded)]);
     assert_eq!(bench.dispatcher.usage().requests, 0);
     assert_eq!(finals(&bench.pass(60_000.0)), []);
 }
 
+/// An attempt waits for its connection. Discovery reports meanwhile that the engine drains, and the connection comes up
+/// only then. The attempt must not go out there, and the request goes to another engine.
 #[test]
 fn a_drain_learned_while_an_attempt_is_connected_keeps_it_from_going_out() {
     let mut bench = Bench::new();
-    bench.links_come_up = false;
+    bench.connections_come_up = false;
     let out = bench.client(1, Body::Submit(submit("proof")));
     let dialled = out.iter().find_map(|o| match o {
         Output::Dial {
@@ -36,9 +42,9 @@
         } => Some((*connection, engine.0.to_string())),
         _ => None,
     });
-    let (connection, engine) = dialled.expect("a reader is dialled");
-    bench.told(&engine, EndpointStatus::Draining);
-    bench.links_come_up = true;
+    let (connection, engine) = dialled.expect("a prefill engine is dialled");
+    bench.update_endpoint(&engine, EndpointStatus::Draining);
+    bench.connections_come_up = true;
     let out = bench.put(Input::ConnectionUp {
         connection,
         limit: None,
@@ -48,15 +54,20 @@
         went.iter().all(|to| *to != engine),
         "sent to {engine}, which drains: {went:?}"
     );
-    assert_eq!(went.len(), 1, "the task goes to the other reader");
+    assert_eq!(
+        went.len(),
+        1,
+        "the request goes to the other prefill engine"
+    );
 }
 
+/// A decode engine begins to drain while a prefill for it runs. The decode attempt must go to another one.
 #[test]
 fn a_writer_that_drains_while_a_state_is_held_gets_nothing() {
     let mut bench = Bench::new();
-    let read = bench.reading(1, "draft");
-    bench.told("w1", EndpointStatus::Draining);
-    let out = bench.ended(&read, Status::PrefillDone);
+    let prefill = bench.prefilling(1, "draft");
+    bench.update_endpoint("w1", EndpointStatus::Draining);
+    let out = bench.ended(&prefill, Status::PrefillDone);
     assert_eq!(
         bench
             .attempts(&out)
@@ -67,25 +78,27 @@
     );
 }
 
+/// A hundred requests are open when all prefill engines drain or are gone. As prefills that are out end, room seems to
+/// become free; nothing new may go there, and each request gets one answer.
 #[test]
 fn a_hundred_queued_requests_do_not_follow_a_drain() {
     let mut bench = Bench::new();
     for stream in 1..=100 {
         bench.client(stream, Body::Submit(submit("draft")));
     }
-    bench.told("r1", EndpointStatus::Draining);
-    bench.told("r2", EndpointStatus::Gone);
+    bench.update_endpoint("r1", EndpointStatus::Draining);
+    bench.update_endpoint("r2", EndpointStatus::Gone);
     let seen = bench.out.len();
-    // Reads that are out end, which would make room for those that wait.
-    for read in bench.attempts(&bench.out.clone()) {
-        bench.ended(&read, Status::Overloaded);
+    // Prefills that are out end, which would make room for those that wait.
+    for prefill in bench.attempts(&bench.out.clone()) {
+        bench.ended(&prefill, Status::Overloaded);
     }
     bench.pass(10_000.0);
     let after = bench.out[seen..].to_vec();
     assert_eq!(
         bench.attempts(&after).len(),
         0,
-        "nothing new goes to readers that drain or are gone"
+        "nothing new goes to prefill engines that drain or are gone"
     );
     assert_eq!(finals(&bench.out).len(), 100);
     assert!(finals(&bench.out)
@@ -94,14 +107,16 @@
     assert_eq!(bench.dispatcher.usage().requests, 0);
 }
 
+/// The connection of a decode attempt breaks before its first token. It may have run: only a request that may run twice
+/// goes out again, and an at-most-once request fails.
 #[test]
 fn a_writer_that_dies_before_the_first_token_ends_what_may_have_run() {
     for (request_class, again) in [("draft", true), ("caption", true), ("proof", false)] {
         let mut bench = Bench::new();
-        let write = bench.writing(1, request_class);
+        let decode = bench.decoding(1, request_class);
         let reason = "reset".to_owned();
         let out = bench.put(Input::ConnectionClosed {
-            connection: write.connection,
+            connection: decode.connection,
             reason,
         });
         assert_eq!(
@@ -118,16 +133,18 @@
     }
 }
 
+/// The connection of a decode attempt breaks in the middle of its stream. What the client has cannot be taken back, so
+/// the request fails and nothing is repeated.
 #[test]
 fn a_writer_that_dies_in_mid_stream_or_before_its_end_mark_is_written_off_and_not_repeated() {
     for request_class in ["draft", "proof"] {
         let mut bench = Bench::new();
-        let write = bench.streaming(1, request_class);
+        let decode = bench.streaming(1, request_class);
         for position in 1..4 {
-            bench.engine(&write, tokens(position));
+            bench.engine(&decode, tokens(position));
         }
         let out = bench.put(Input::ConnectionClosed {
-            connection: write.connection,
+            connection: decode.connection,
             reason: "reset".to_owned(),
         });
         assert_eq!(finals(&out), [(1, Answer::Failed)], "{request_class}");
@@ -138,11 +155,13 @@
     }
 }
 
+/// A decode engine never answers. The request gets one answer before its deadline, its attempt is cancelled, and what
+/// the engine sends later, or the loss of its connection, changes nothing.
 #[test]
 fn a_writer_that_never_answers_is_given_up_before_the_clients_time_is_up() {
     for request_class in ["draft", "proof"] {
         let mut bench = Bench::new();
-        let (begin, write) = (bench.now, bench.writing(1, request_class));
+        let (begin, decode) = (bench.now, bench.decoding(1, request_class));
         let out = bench.pass(3999.0);
         let answers = finals(&out);
         assert_eq!(answers.len(), 1, "{request_class} is answered in time");
@@ -153,10 +172,10 @@
         );
         assert!(to_engines(&out).contains(&"cancel"));
         // Its outcome comes after its cancel, and its connection is cut after the client left.
-        let late = bench.ended(&write, Status::Succeeded);
+        let late = bench.ended(&decode, Status::Succeeded);
         bench.client(1, Body::Cancel(v1::Cancel {}));
         let cut = bench.put(Input::ConnectionClosed {
-            connection: write.connection,
+            connection: decode.connection,
             reason: "reset".to_owned(),
         });
         assert_eq!(to_client(&[late, cut].concat()), []);
@@ -164,17 +183,19 @@
     }
 }
 
+/// A client cancels while its prompt is prefilled, and the prefill ends before the cancel reaches its engine. Its KV
+/// state is released, or it would stay pinned there.
 #[test]
 fn a_read_that_ends_after_its_cancel_is_released() {
     let mut bench = Bench::new();
-    let read = bench.reading(1, "draft");
+    let prefill = bench.prefilling(1, "draft");
     let out = bench.client(1, Body::Cancel(v1::Cancel {}));
     assert_eq!(
         to_engines(&out),
         ["cancel", "release"],
         "its end may be lost with the cancel"
     );
-    let out = bench.ended(&read, Status::PrefillDone);
+    let out = bench.ended(&prefill, Status::PrefillDone);
     assert_eq!(
         to_engines(&out),
         ["release"],
@@ -183,37 +204,42 @@
     assert_eq!(to_client(&out), []);
 }
 
+/// All decode engines leave service while a prefill runs. Its KV state can be taken by none, so it is released in time
+/// and the request is rejected.
 #[test]
 fn a_state_that_no_writer_takes_is_let_go_within_the_release_time() {
     let mut bench = Bench::new();
-    let read = bench.reading(1, "draft");
-    bench.told("w1", EndpointStatus::Gone);
-    bench.told("w2", EndpointStatus::Draining);
-    let out = bench.ended(&read, Status::PrefillDone);
+    let prefill = bench.prefilling(1, "draft");
+    bench.update_endpoint("w1", EndpointStatus::Gone);
+    bench.update_endpoint("w2", EndpointStatus::Draining);
+    let out = bench.ended(&prefill, Status::PrefillDone);
     assert_eq!(to_engines(&out), Vec::<&str>::new());
     let out = bench.pass(499.0);
     assert!(to_engines(&out).contains(&"release"));
     assert_eq!(finals(&out), [(1, Answer::Rejected)]);
 }
 
+/// An engine sends two ends of one attempt at once. The first is the answer; the second breaks the protocol, and the
+/// connection is closed.
 #[test]
 fn of_two_outcomes_in_one_read_of_a_socket_the_second_breaks_the_link() {
     let mut bench = Bench::new();
-    let write = bench.streaming(1, "proof");
-    let out = bench.ended(&write, Status::Succeeded);
+    let decode = bench.streaming(1, "proof");
+    let out = bench.ended(&decode, Status::Succeeded);
     assert_eq!(finals(&out), [(1, Answer::Succeeded)]);
-    let out = bench.ended(&write, Status::Failed);
+    let out = bench.ended(&decode, Status::Failed);
     assert_eq!(to_client(&out), [], "one answer is enough");
     assert!(out
         .iter()
         .any(|o| matches!(o, Output::CloseConnection { .. })));
 }
 
+/// A client cancels, and then closes its connection, just as its answer goes out. Nothing more happens.
 #[test]
 fn a_client_that_leaves_in_the_turn_of_its_answer_changes_nothing() {
     let mut bench = Bench::new();
-    let write = bench.streaming(1, "draft");
-    bench.ended(&write, Status::Succeeded);
+    let decode = bench.streaming(1, "draft");
+    bench.ended(&decode, Status::Succeeded);
     let out = bench.client(1, Body::Cancel(v1::Cancel {}));
     assert_eq!(out, []);
     let out = bench.put(Input::ClientClosed {
@@ -222,44 +248,48 @@
     assert_eq!(to_client(&out), []);
 }
 
+/// A client closes its connection in the middle of its stream. The attempt is cancelled, and tokens that were under way
+/// are ignored.
 #[test]
 fn a_client_that_leaves_ends_its_stream_at_the_writer() {
     let mut bench = Bench::new();
-    let write = bench.streaming(1, "proof");
+    let decode = bench.streaming(1, "proof");
     let out = bench.put(Input::ClientClosed {
         conn: ClientConnectionId(1),
     });
     assert_eq!(to_engines(&out), ["cancel"]);
-    let out = bench.engine(&write, tokens(1));
+    let out = bench.engine(&decode, tokens(1));
     assert_eq!(out, [], "what was under way is passed over");
-    bench.ended(&write, Status::Cancelled);
+    bench.ended(&decode, Status::Cancelled);
     assert_eq!(bench.dispatcher.usage().requests, 0);
 }
 
+/// An engine breaks the protocol in one of three ways. Its connection is closed with all that is on it, and requests on
+/// other connections go on.
 #[test]
 fn an_engine_that_breaks_the_protocol_loses_its_link_and_what_is_there() {
-    // Tokens out of turn, tokens beyond the credit, an end that a writer cannot give.
-    let gap = |bench: &mut Bench, write: &Sent| bench.engine(write, tokens(7));
-    let over = |bench: &mut Bench, write: &Sent| {
+    // Tokens out of turn, tokens beyond the credit, an end that a decode engine cannot give.
+    let gap = |bench: &mut Bench, decode: &Sent| bench.engine(decode, tokens(7));
+    let over = |bench: &mut Bench, decode: &Sent| {
         (1..=4)
-            .map(|at| bench.engine(write, tokens(at)))
+            .map(|at| bench.engine(decode, tokens(at)))
             .last()
             .unwrap_or_default()
     };
-    let end = |bench: &mut Bench, write: &Sent| bench.ended(write, Status::PrefillDone);
+    let end = |bench: &mut Bench, decode: &Sent| bench.ended(decode, Status::PrefillDone);
     for breach in [gap, over, end] as [fn(&mut Bench, &Sent) -> Vec<Output>; 3] {
         let mut bench = Bench::new();
-        let write = bench.streaming(1, "draft");
+        let decode = bench.streaming(1, "draft");
         let other = bench.streaming(2, "draft");
-        let out = breach(&mut bench, &write);
+        let out = breach(&mut bench, &decode);
         assert!(out
             .iter()
-            .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == write.connection)));
+            .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == decode.connection)));
         let lost = finals(&out);
         assert!(lost.contains(&(1, Answer::Failed)));
         assert_eq!(
             lost.len(),
-            if other.connection == write.connection {
+            if other.connection == decode.connection {
                 2
             } else {
                 1
@@ -269,6 +299,8 @@
     }
 }
 
+/// One client reads nothing and one reads at once. Only the second one's decode engine gets credit, and the first
+/// client is closed after the stall limit.
 #[test]
 fn a_client_that_reads_slowly_holds_back_its_own_writer_only() {
     let mut bench = Bench::new();
@@ -315,10 +347,11 @@
     assert_eq!(bench.dispatcher.usage().requests, 1);
 }
 
+/// A decode engine sends one token and then nothing. After the stall limit, and not before, the request fails.
 #[test]
 fn a_stream_that_stalls_at_its_writer_is_written_off_after_the_stall_limit() {
     let mut bench = Bench::new();
-    let write = bench.streaming(1, "draft");
+    let decode = bench.streaming(1, "draft");
     bench.put(Input::Flushed {
         conn: ClientConnectionId(1),
         stream: StreamId(1),
@@ -326,20 +359,23 @@
     });
     assert_eq!(finals(&bench.pass(999.0)), [], "not yet");
     assert_eq!(finals(&bench.pass(2.0)), [(1, Answer::Failed)]);
-    assert_eq!(to_client(&bench.engine(&write, tokens(1))), []);
+    assert_eq!(to_client(&bench.engine(&decode, tokens(1))), []);
 }
 
+/// An engine never ends a cancelled attempt, which would take up its place for ever. Its connection is closed after the
+/// stall limit.
 #[test]
 fn an_engine_that_ends_nothing_and_says_nothing_loses_its_link() {
     let mut bench = Bench::new();
-    let write = bench.streaming(1, "draft");
+    let decode = bench.streaming(1, "draft");
     bench.client(1, Body::Cancel(v1::Cancel {}));
     let out = bench.pass(1001.0);
     assert!(out
         .iter()
-        .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == write.connection)));
+        .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == decode.connection)));
 }
 
+/// More requests come than may be open. The one beyond the limit is rejected, as nothing of it has run.
 #[test]
 fn beyond_the_most_open_requests_comes_an_honest_rejection() {
     let mut bench = Bench::with(ProgramSettings {
@@ -356,6 +392,8 @@
     assert_eq!(bench.dispatcher.usage().requests, 2);
 }
 
+/// A client sends requests that cannot be right. Each is refused with the name of its field; a message that breaks the
+/// protocol closes only its own connection.
 #[test]
 fn a_submission_that_cannot_be_right_is_rejected_by_field_and_others_go_on() {
     let mut bench = Bench::new();
@@ -405,10 +443,10 @@
     ];
     for (stream, (field, submit)) in bad.into_iter().enumerate() {
         let out = bench.client(stream as u64 + 1, Body::Submit(submit));
-        let said = to_client(&out);
+        let found = to_client(&out);
         assert!(
-            matches!(&said[..], [(_, Body::InvalidRequest(r))] if r.field == field),
-            "{field}: {said:?}"
+            matches!(&found[..], [(_, Body::InvalidRequest(r))] if r.field == field),
+            "{field}: {found:?}"
         );
     }
     assert_eq!(bench.dispatcher.usage().requests, 0);
@@ -431,12 +469,14 @@
     )));
 }
 
+/// The process is stopped with one request that finishes, one that hangs and one that waits for its connection. New
+/// requests are rejected, and within the grace each open one gets one answer.
 #[test]
 fn a_stop_takes_nothing_new_and_answers_all_within_its_grace() {
     let mut bench = Bench::new();
     let finishes = bench.streaming(1, "draft");
     let hangs = bench.streaming(2, "proof");
-    bench.links_come_up = false;
+    bench.connections_come_up = false;
     bench.client(3, Body::Submit(submit("proof")));
     let out = bench.put(Input::Stop);
     assert!(!out.contains(&Output::Stopped));
@@ -462,6 +502,7 @@
     );
 }
 
+/// Discovery cannot be reached at the start. The cached endpoints serve until its first snapshot, which replaces them.
 #[test]
 fn a_remembered_list_serves_until_the_feed_speaks() {
     let ready = EndpointStatus::Ready;
@@ -508,10 +549,12 @@
     assert_eq!(
         kept,
         Some(vec!["w1".to_owned()]),
-        "a host that a whole list does not name is gone"
+        "an engine that a snapshot does not name is gone"
     );
 }
 
+/// An update of the endpoints has an entry with an unknown zone and one with a weight that is no number. The first is
+/// skipped with a warning, the second is used.
 #[test]
 fn a_line_of_the_list_that_cannot_be_right_is_passed_over_and_the_rest_used() {
     let mut bench = Bench::new();
@@ -529,6 +572,7 @@
     assert_eq!(warned, 1);
 }
 
+/// All decode engines are gone as many prefills end at one instant. All their KV states are released in time.
 #[test]
 fn all_states_held_at_one_instant_are_let_go_within_the_release_time() {
     let mut bench = Bench::new();
@@ -537,14 +581,14 @@
         let out = bench.client(stream, Body::Submit(submit("draft")));
         held.extend(bench.attempts(&out));
     }
-    bench.told("w1", EndpointStatus::Gone);
-    bench.told("w2", EndpointStatus::Gone);
+    bench.update_endpoint("w1", EndpointStatus::Gone);
+    bench.update_endpoint("w2", EndpointStatus::Gone);
     let mut ended = 0;
     let mut out = Vec::new();
     let begin = bench.now;
-    while let Some(read) = held.pop() {
+    while let Some(prefill) = held.pop() {
         ended += 1;
-        let now = bench.ended(&read, Status::PrefillDone);
+        let now = bench.ended(&prefill, Status::PrefillDone);
         held.extend(bench.attempts(&now));
         out.extend(now);
     }
@@ -553,17 +597,19 @@
     out.extend(bench.pass(499.0));
     let released = to_engines(&out)
         .iter()
-        .filter(|said| **said == "release")
+        .filter(|found| **found == "release")
         .count();
     assert_eq!(released, ended);
 }
 
+/// Attempts may not be cancelled, and a request reaches its deadline, and then the end of a stop's grace, with its
+/// attempt still out. It gets one answer.
 #[test]
 fn where_nothing_may_be_called_off_an_answered_request_is_answered_once_also_by_a_stop() {
     let mut settings = settings();
     settings.policy.may_cancel = false;
     let mut bench = Bench::with(settings);
-    let write = bench.writing(1, "proof");
+    let decode = bench.decoding(1, "proof");
     bench.pass(3000.0);
     bench.put(Input::Stop);
     assert_eq!(finals(&bench.out), []);
@@ -571,11 +617,13 @@
     bench.pass(1500.0);
     assert_eq!(finals(&bench.out), [(1, Answer::Failed)]);
     bench.pass(1500.0);
-    let late = bench.engine(&write, tokens(0));
+    let late = bench.engine(&decode, tokens(0));
     assert_eq!(to_client(&late), []);
     assert_eq!(finals(&bench.out), [(1, Answer::Failed)]);
 }
 
+/// More requests come than the connections to an engine have room for. No connection beyond the limit is dialled, the
+/// request that finds no room is rejected in time, and idle connections close.
 #[test]
 fn links_fill_up_before_another_is_dialled_and_idle_ones_close() {
     let limits = Limits {
@@ -588,7 +636,7 @@
         ..settings()
     };
     let mut bench = Bench::with(few);
-    bench.told("r2", EndpointStatus::Gone);
+    bench.update_endpoint("r2", EndpointStatus::Gone);
     for stream in 1..=4 {
         bench.client(stream, Body::Submit(submit("draft")));
     }
@@ -597,7 +645,11 @@
             .filter(|o| matches!(o, Output::Dial { .. }))
             .count()
     };
-    assert_eq!(dials(&bench.out), 2, "four reads on two links of two");
+    assert_eq!(
+        dials(&bench.out),
+        2,
+        "four prefills on two connections of two"
+    );
     // A fifth has no place on any connection: as full, which proves that it has not run, and it waits.
     let out = bench.client(5, Body::Submit(submit("proof")));
     assert_eq!((dials(&out), finals(&out)), (0, vec![]));
@@ -611,20 +663,26 @@
     bench.put(Input::ClientClosed {
         conn: ClientConnectionId(1),
     });
-    for read in bench.attempts(&bench.out.clone()) {
-        bench.ended(&read, Status::Cancelled);
+    for prefill in bench.attempts(&bench.out.clone()) {
+        bench.ended(&prefill, Status::Cancelled);
     }
     assert!(bench.dispatcher.usage().connections > 0);
     bench.pass(15_100.0);
-    assert_eq!(bench.dispatcher.usage().connections, 0, "idle links close");
+    assert_eq!(
+        bench.dispatcher.usage().connections,
+        0,
+        "idle connections close"
+    );
 }
 
+/// An engine dies without closing its connection. It is sent a ping after a quiet time, and without an answer the
+/// connection is closed with what is on it.
 #[test]
 fn an_engine_that_is_gone_without_a_word_is_found_by_its_silence() {
     for (request_class, expected) in [("draft", vec![]), ("proof", vec![(1, Answer::Failed)])] {
         let mut bench = Bench::new();
         bench.engines_answer_pings = false;
-        let write = bench.writing(1, request_class);
+        let decode = bench.decoding(1, request_class);
         let out = bench.pass(1999.0);
         assert!(!to_engines(&out).contains(&"ping"), "it is not asked yet");
         let out = bench.pass(2.0);
@@ -632,15 +690,16 @@
         let out = bench.pass(1000.0);
         assert!(out
             .iter()
-            .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == write.connection)));
+            .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == decode.connection)));
         assert_eq!(finals(&out), expected, "{request_class}");
     }
 }
 
+/// An engine refuses every connection while many requests come. It is dialled at a bounded rate, and again later.
 #[test]
 fn an_engine_that_cannot_be_reached_is_not_dialled_by_every_request() {
     let mut bench = Bench::new();
-    bench.links_come_up = false;
+    bench.connections_come_up = false;
     let dial = |out: &[Output]| {
         out.iter().find_map(|o| match o {
             Output::Dial { connection, .. } => Some(*connection),
@@ -672,9 +731,9 @@
 fn a_read_that_broke_is_let_go_at_its_engine() {
     for request_class in ["draft", "proof"] {
         let mut bench = Bench::new();
-        let read = bench.reading(1, request_class);
+        let prefill = bench.prefilling(1, request_class);
         let out = bench.put(Input::ConnectionClosed {
-            connection: read.connection,
+            connection: prefill.connection,
             reason: "reset".to_owned(),
         });
         let released: Vec<v1::KvStateId> = out
@@ -691,11 +750,15 @@
                 _ => None,
             })
             .collect();
-        assert_eq!(released, [read.state.expect("a state")], "{request_class}");
+        assert_eq!(
+            released,
+            [prefill.state.expect("a state")],
+            "{request_class}"
+        );
         // What has its word is not.
         let mut bench = Bench::new();
-        let read = bench.reading(1, request_class);
-        let out = bench.ended(&read, Status::Overloaded);
+        let prefill = bench.prefilling(1, request_class);
+        let out = bench.ended(&prefill, Status::Overloaded);
         assert!(!to_engines(&out).contains(&"release"));
     }
 }
@@ -718,8 +781,8 @@
                 ..submit("draft")
             }),
         );
-        let read = bench.attempts(&bench.out).remove(0);
-        bench.ended(&read, Status::PrefillDone);
+        let prefill = bench.attempts(&bench.out).remove(0);
+        bench.ended(&prefill, Status::PrefillDone);
         let told = |o: &Output| match o {
             Output::Log {
                 level: Level::Debug,
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -17,14 +17,14 @@
     Cancels,
 }
 
-fn bench(may_cancel: bool, links_come_up: bool) -> Bench {
+fn bench(may_cancel: bool, connections_come_up: bool) -> Bench {
     let mut settings = settings();
     settings.policy.may_cancel = may_cancel;
     let mut bench = Bench::with(ProgramSettings {
         limits: single_limits(),
         ..settings
     });
-    bench.links_come_up = links_come_up;
+    bench.connections_come_up = connections_come_up;
     bench
 }
 
@@ -53,7 +53,7 @@
             limit: None,
         }));
     }
-    bench.links_come_up = true;
+    bench.connections_come_up = true;
     out.extend(bench.pass(6_000.0));
     assert_eq!(
         bench.attempts(&out).len(),
@@ -63,6 +63,7 @@
     assert_eq!(bench.dispatcher.usage().requests, 0, "nothing is kept");
 }
 
+/// A client goes while its first attempt waits for a connection. The attempt must not go out when that comes up.
 #[test_case(Gone::Closes, true; "closes")]
 #[test_case(Gone::Closes, false; "closes where attempts are not called off")]
 #[test_case(Gone::Cancels, true; "cancels")]
@@ -80,13 +81,14 @@
     nothing_begins(&mut bench, out, &connections);
 }
 
+/// A client goes while its prompt is prefilled. No decode attempt begins, and the KV state is released.
 #[test_case(Gone::Closes, true; "closes")]
 #[test_case(Gone::Cancels, false; "cancels where attempts are not called off")]
 fn a_client_that_goes_while_its_prompt_is_read(gone: Gone, may_cancel: bool) {
     let mut bench = bench(may_cancel, true);
-    let read = bench.reading(1, "draft");
+    let prefill = bench.prefilling(1, "draft");
     let mut out = goes(&mut bench, gone);
-    out.extend(bench.ended(&read, Status::PrefillDone));
+    out.extend(bench.ended(&prefill, Status::PrefillDone));
     nothing_begins(&mut bench, out, &[]);
     assert!(
         to_engines(&bench.out).contains(&"release"),
@@ -94,14 +96,16 @@
     );
 }
 
+/// A client goes while its decode attempt waits for a connection. The attempt must not go out, and the KV state is
+/// released.
 #[test_case(Gone::Closes; "closes")]
 #[test_case(Gone::Cancels; "cancels")]
 fn a_client_that_goes_between_prefill_and_decode(gone: Gone) {
     for may_cancel in [true, false] {
         let mut bench = bench(may_cancel, true);
-        let read = bench.reading(1, "draft");
-        bench.links_come_up = false;
-        let out = bench.ended(&read, Status::PrefillDone);
+        let prefill = bench.prefilling(1, "draft");
+        bench.connections_come_up = false;
+        let out = bench.ended(&prefill, Status::PrefillDone);
         let connections = dialled(&out);
         assert_eq!(
             (connections.len(), bench.attempts(&out).len()),
@@ -117,13 +121,15 @@
     }
 }
 
+/// A decode engine is overloaded, and the client goes while the next attempt waits for a connection. That attempt must
+/// not go out.
 #[test_case(Gone::Closes; "closes")]
 #[test_case(Gone::Cancels; "cancels")]
 fn a_client_that_goes_while_a_further_attempt_is_due(gone: Gone) {
     let mut bench = bench(true, true);
-    let write = bench.writing(1, "draft");
-    bench.links_come_up = false;
-    let out = bench.ended(&write, Status::Overloaded);
+    let decode = bench.decoding(1, "draft");
+    bench.connections_come_up = false;
+    let out = bench.ended(&decode, Status::Overloaded);
     let connections = dialled(&out);
     let out = goes(&mut bench, gone);
     nothing_begins(&mut bench, out, &connections);
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -1,5 +1,5 @@
 //! Random rows of inputs to the dispatcher, and what must hold after each: one final answer a request and nothing
-//! after it, one attempt out a request, nothing to engines that are not ready, no second write of an at-most-once
+//! after it, one attempt out a request, nothing to engines that are not ready, no second decode attempt of an at-most-once
 //! request that may have run, no state left pinned, and a dispatcher that empties at the end.
 
 mod common;
@@ -17,7 +17,7 @@
 
 const ENGINES: [&str; 5] = ["r1", "r2", "w1", "w2", "w3"];
 const REQUEST_CLASSES: [&str; 3] = ["draft", "proof", "caption"];
-/// The release time after the read and after each attempt that may follow, and those attempts' connect
+/// The release time after the prefill and after each attempt that may follow, and those attempts' connect
 /// timeouts: one that is being connected is out, but does not show here.
 const RELEASE: Ms = 4.0 * 500.0 + 3.0 * 250.0;
 
@@ -34,7 +34,7 @@
     request: u32,
     connection: EngineConnectionId,
     stream: u64,
-    write: bool,
+    is_decode: bool,
     state: v1::KvStateId,
     position: u32,
     credit: u32,
@@ -46,7 +46,7 @@
     request_class: usize,
     answered: bool,
     left: bool,
-    /// A write of it went out and was not proven not to have run.
+    /// A decode attempt of it went out and was not proven not to have run.
     may_have_run: bool,
 }
 
@@ -57,11 +57,11 @@
     dialled: Vec<(EngineConnectionId, String)>,
     connections: BTreeMap<EngineConnectionId, String>,
     attempts: Vec<Attempt>,
-    /// Launches that the dispatcher has cancelled, which the engine has yet to end.
+    /// Attempts that the dispatcher has cancelled, which the engine has yet to end.
     past: Vec<Attempt>,
     requests: BTreeMap<u32, Request>,
     by_stream: BTreeMap<u64, u32>,
-    /// States at readers, and since when nothing is out for them.
+    /// States at prefill engines, and since when nothing is out for them.
     held: BTreeMap<(u32, u32), Ms>,
     at: BTreeMap<(u32, u32), String>,
     next_stream: u64,
@@ -184,9 +184,9 @@
             .cloned()
             .unwrap_or_default();
         let stream = frame.stream;
-        let (state, write) = match &frame.body {
+        let (state, is_decode) = match &frame.body {
             Some(Body::Prefill(read)) => (read.state, false),
-            Some(Body::Decode(write)) => (write.state, true),
+            Some(Body::Decode(is_decode)) => (is_decode.state, true),
             Some(Body::Release(release)) => {
                 let state = release.state.unwrap_or_default();
                 let key = (state.request, state.attempt);
@@ -241,7 +241,7 @@
             .count();
         prop_assert_eq!(out, 0, "two launches of task {} out", state.request);
         let request = self.requests.entry(state.request).or_default();
-        if write {
+        if is_decode {
             let twice = REQUEST_CLASSES[request.request_class] == "proof" && request.may_have_run;
             prop_assert!(
                 !twice,
@@ -253,14 +253,14 @@
                 *since = f64::INFINITY;
             }
         }
-        if !write {
+        if !is_decode {
             self.at.insert((state.request, state.attempt), engine);
         }
         let attempt = Attempt {
             request: state.request,
             connection,
             stream,
-            write,
+            is_decode,
             state,
             position: 0,
             credit: 4,
@@ -272,7 +272,7 @@
     /// The state of a write that is over lies there again, if it was not taken.
     fn end_held(&mut self, attempt: &Attempt, still_there: bool) {
         let key = (attempt.state.request, attempt.state.attempt);
-        if attempt.write {
+        if attempt.is_decode {
             if !still_there || attempt.position > 0 {
                 self.held.remove(&key);
             } else if let Some(since) = self.held.get_mut(&key) {
@@ -299,7 +299,7 @@
                 .cloned()
                 .unwrap_or_default();
             let gone = self.statuses.get(engine.as_str()) == Some(&EndpointStatus::Gone);
-            if !attempt.write && attempt.stream.is_multiple_of(2) && !gone {
+            if !attempt.is_decode && attempt.stream.is_multiple_of(2) && !gone {
                 self.held
                     .insert((attempt.state.request, attempt.state.attempt), self.now);
             }
@@ -308,7 +308,7 @@
 
     fn end(&mut self, attempt: Attempt, status: Status) -> Result<(), TestCaseError> {
         let proven = matches!(status, Status::Overloaded | Status::NoState);
-        if attempt.write && proven {
+        if attempt.is_decode && proven {
             self.requests
                 .entry(attempt.request)
                 .or_default()
@@ -457,8 +457,8 @@
             }
             12 if !self.past.is_empty() => {
                 let attempt = self.past.remove(pick(self.past.len()));
-                let late = !attempt.write && whom.is_multiple_of(2);
-                // Its write had ended for the dispatcher with the cancel.
+                let late = !attempt.is_decode && whom.is_multiple_of(2);
+                // Its decode attempt had ended for the dispatcher with the cancel.
                 let state = late.then_some(attempt.state);
                 if late {
                     self.held
@@ -490,7 +490,7 @@
                 let at = pick(self.attempts.len());
                 let attempt = &mut self.attempts[at];
                 let kind = (whom >> 6) % 8;
-                if attempt.write && kind < 5 && attempt.credit > 0 {
+                if attempt.is_decode && kind < 5 && attempt.credit > 0 {
                     attempt.credit -= 1;
                     let body = tokens(attempt.position);
                     attempt.position += 1;
@@ -510,7 +510,7 @@
                     });
                 }
                 let attempt = self.attempts.remove(at);
-                let status = match (attempt.write, kind, attempt.position) {
+                let status = match (attempt.is_decode, kind, attempt.position) {
                     (_, 5, 0) => Status::Overloaded,
                     (true, 6, 0) => Status::NoState,
                     (_, 7, _) => Status::Failed,
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -44,6 +44,8 @@
     decode
 }
 
+/// A decode engine hangs with an attempt for a KV state, so a release that is confirmed meanwhile may do nothing. It is
+/// sent again once the attempt is over.
 #[test]
 fn a_release_that_was_confirmed_while_an_attempt_was_out_is_sent_again_once_that_is_over() {
     for ends_by_deadline in [false, true] {
@@ -71,6 +73,8 @@
     }
 }
 
+/// A client leaves while its attempt is at an engine that hangs. The close of the attempt and the release go over two
+/// connections and may arrive in either order, so the release is sent again.
 #[test]
 fn a_release_that_may_overtake_the_close_of_its_attempt_is_sent_again() {
     for class in ["draft", "proof"] {
@@ -97,6 +101,8 @@
     }
 }
 
+/// A client leaves, and the engine of its attempt works on. It knows of the close then, so one release that is
+/// confirmed after that is the last.
 #[test]
 fn a_release_is_not_sent_again_once_the_engine_of_the_closed_attempt_has_worked_and_one_has_been_confirmed_since(
 ) {
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -29,6 +29,8 @@
     (bench.now - since, None)
 }
 
+/// The engine of a decode attempt becomes unresponsive before the attempt arrives. The request may run twice, so
+/// another engine takes the KV state in time, and the first attempt is cancelled.
 #[test]
 fn an_idempotent_request_whose_decode_attempt_does_not_arrive_is_decoded_elsewhere_in_time() {
     let mut bench = bench();
@@ -43,7 +45,7 @@
     );
     // What lies unsent on the first connection must not go out later: the second attempt would then be one of two.
     assert!(
-        called_off(&bench.out, &lost),
+        is_cancelled(&bench.out, &lost),
         "the connection of the first attempt is ended"
     );
     bench.engine(&decode, tokens(0));
@@ -53,6 +55,7 @@
     );
 }
 
+/// The same with a request that may run once: no second attempt goes out, and the KV state is released in time.
 #[test]
 fn an_at_most_once_request_whose_decode_attempt_does_not_arrive_has_its_state_released_in_time() {
     let mut bench = bench();
@@ -66,7 +69,7 @@
         "released after {after} ms"
     );
     assert!(
-        !called_off(&bench.out, &lost),
+        !is_cancelled(&bench.out, &lost),
         "the first attempt may still be served"
     );
 }
@@ -77,6 +80,7 @@
     bench.engine(busy, tokens(*position));
 }
 
+/// All decode engines become unresponsive at once. The KV state is released in time.
 #[test]
 fn a_state_is_taken_or_released_in_time_while_all_decode_engines_are_silent() {
     for class in ["draft", "proof", "caption"] {
@@ -93,6 +97,8 @@
     }
 }
 
+/// All engines but one become unresponsive, among them the one that holds the KV state. The release goes by way of the
+/// last one in time.
 #[test]
 fn a_release_gets_through_while_the_engine_that_was_to_pass_it_on_is_silent_too() {
     let mut bench = bench();
@@ -156,7 +162,7 @@
                 .is_some_and(|last| last.connection == queued.connection),
             "{class}"
         );
-        assert!(!called_off(&bench.out, &queued), "{class}");
+        assert!(!is_cancelled(&bench.out, &queued), "{class}");
         bench.engine(&queued, tokens(0));
         let out = bench.pass(5_000.0);
         assert_eq!(releases_of(1, &out), [], "{class}: it has taken the state");
@@ -214,13 +220,13 @@
     let released = |out: &[Output]| {
         to_engines(out)
             .into_iter()
-            .filter(|said| *said == "release")
+            .filter(|found| *found == "release")
             .count()
     };
     for step in 1..=200 {
         let out = bench.pass(10.0);
         go_on(&mut bench, &busy, &mut position);
-        assert!(bench.attempts(&out).is_empty() && !called_off(&out, &queued));
+        assert!(bench.attempts(&out).is_empty() && !is_cancelled(&out, &queued));
         let is_due = usize::from(f64::from(step) * 10.0 == UNANSWERED_UNTIL);
         assert!(dialled(&out) <= is_due, "no connection for a question");
         assert_eq!(
@@ -255,6 +261,8 @@
     assert_eq!(decodes, 0, "none without a new prefill");
 }
 
+/// A client leaves while it is not known whether its attempt has arrived. The attempt is cancelled, nothing begins, and
+/// the KV state is released.
 #[test]
 fn a_client_that_leaves_while_its_attempt_is_in_doubt_leaves_no_attempt_and_no_state() {
     for class in ["draft", "proof"] {
@@ -269,7 +277,7 @@
                 conn: ClientConnectionId(1),
             });
             assert!(
-                called_off(&bench.out, &lost),
+                is_cancelled(&bench.out, &lost),
                 "{class} after {after}: the attempt is given up"
             );
             assert!(bench.attempts(&out).is_empty());
@@ -300,6 +308,8 @@
     }
 }
 
+/// The engine of an attempt becomes unresponsive while all others drain. No second attempt goes to those, and the KV
+/// state is released in time.
 #[test]
 fn a_draining_engine_gets_no_second_attempt() {
     let mut bench = bench();
@@ -311,7 +321,7 @@
         .filter(|name| *name != lost.engine)
         .collect();
     for name in &others {
-        bench.told(name, v1::EndpointStatus::Draining);
+        bench.update_endpoint(name, v1::EndpointStatus::Draining);
     }
     let (after, decode) = until_state_is_taken(&mut bench, 1);
     assert!(decode.is_none(), "{decode:?}");
@@ -431,7 +441,7 @@
     };
     let mut out = bench.engine(&broken, Body::Goodbye(bye));
     let since = bench.now;
-    let second = bench.attempts(&out).pop().expect("it is read again");
+    let second = bench.attempts(&out).pop().expect("it is prefilled again");
     assert!(
         bench.is_silent(second.connection),
         "at an engine that is silent"
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -1,4 +1,4 @@
-//! The dispatcher where a connection carries one call at a time and states go by their request's id: what differs.
+//! The dispatcher where a connection carries one call at a time and KV states go by the id of their request: what differs.
 
 mod common;
 
@@ -40,15 +40,18 @@
     })
 }
 
-fn reading(bench: &mut Bench, conn: u64, id: &str, request_class: &str) -> Sent {
+fn prefilling(bench: &mut Bench, conn: u64, id: &str, request_class: &str) -> Sent {
     let out = asks(bench, conn, request(id, request_class));
-    bench.attempts(&out).pop().expect("a read goes out")
+    bench.attempts(&out).pop().expect("a prefill goes out")
 }
 
-fn writing(bench: &mut Bench, conn: u64, id: &str, request_class: &str) -> Sent {
-    let read = reading(bench, conn, id, request_class);
-    let out = bench.ended(&read, Status::PrefillDone);
-    bench.attempts(&out).pop().expect("a write goes out")
+fn decoding(bench: &mut Bench, conn: u64, id: &str, request_class: &str) -> Sent {
+    let prefill = prefilling(bench, conn, id, request_class);
+    let out = bench.ended(&prefill, Status::PrefillDone);
+    bench
+        .attempts(&out)
+        .pop()
+        .expect("a decode attempt goes out")
 }
 
 fn releases(out: &[Output]) -> Vec<String> {
@@ -78,7 +81,7 @@
     let mut bench = bench();
     let mut connections = Vec::new();
     for n in 1..=6 {
-        connections.push(reading(&mut bench, n, &n.to_string(), "draft"));
+        connections.push(prefilling(&mut bench, n, &n.to_string(), "draft"));
     }
     let mut used: Vec<_> = connections.iter().map(|l| l.connection).collect();
     used.dedup();
@@ -88,36 +91,40 @@
         .iter()
         .filter(|o| matches!(o, Output::Dial { .. }))
         .count();
-    assert_eq!(dials, 6, "one for each launch, none ahead");
+    assert_eq!(dials, 6, "one for each attempt, none ahead");
 }
 
+/// The connection of an at-most-once attempt breaks. If its request was not written as a whole it has not run and goes
+/// out again; else it fails.
 #[test]
 fn a_connection_that_broke_before_its_request_was_written_proves_that_nothing_ran() {
     for (never_ran, again) in [(true, true), (false, false)] {
         let mut bench = bench();
-        let write = writing(&mut bench, 1, "a", "proof");
-        let out = bench.engine(&write, goodbye(never_ran));
+        let decode = decoding(&mut bench, 1, "a", "proof");
+        let out = bench.engine(&decode, goodbye(never_ran));
         assert_eq!(
             !bench.attempts(&out).is_empty(),
             again,
-            "an at-most-once task goes out again"
+            "an at-most-once request goes out again"
         );
         let answers: Vec<Answer> = finals(&out).into_iter().map(|(_, answer)| answer).collect();
         assert_eq!(answers, if again { vec![] } else { vec![Answer::Failed] });
     }
 }
 
+/// An attempt takes an idle connection that its engine has just closed. It goes out again on another connection to the
+/// same engine, as the same attempt.
 #[test]
 fn an_attempt_on_a_connection_that_was_over_goes_out_on_another_to_the_same_engine() {
     let mut bench = bench();
-    let write = writing(&mut bench, 1, "a", "proof");
-    bench.engine(&write, tokens(0));
-    bench.ended(&write, Status::Succeeded);
-    // The next write there takes the connection that rests, which its engine has closed meanwhile.
+    let decode = decoding(&mut bench, 1, "a", "proof");
+    bench.engine(&decode, tokens(0));
+    bench.ended(&decode, Status::Succeeded);
+    // The next decode attempt there takes the connection that rests, which its engine has closed meanwhile.
     let next = loop {
         let n = bench.out.len() as u64;
-        let next = writing(&mut bench, n, &n.to_string(), "proof");
-        if next.connection == write.connection {
+        let next = decoding(&mut bench, n, &n.to_string(), "proof");
+        if next.connection == decode.connection {
             break next;
         }
     };
@@ -125,33 +132,38 @@
     let again = bench.attempts(&out).pop().expect("it goes out again");
     assert_eq!(again.engine, next.engine);
     assert_ne!(again.connection, next.connection);
-    assert_eq!(again.state, next.state, "as the same launch");
+    assert_eq!(again.state, next.state, "as the same attempt");
     assert_eq!(finals(&out), []);
 }
 
+/// A prefill breaks and may have left a KV state; the request is prefilled again. The release of the first state would
+/// end the second as well, so it waits until the request is over, and is then repeated until the engine has worked.
 #[test]
 fn a_release_waits_while_its_requests_next_attempt_is_out_and_goes_out_once_it_is_over() {
     let mut bench = bench();
-    let read = reading(&mut bench, 1, "a", "draft");
-    // The read broke: it may have left a state; the request is read again.
-    let out = bench.engine(&read, goodbye(false));
-    let second = bench.attempts(&out).pop().expect("it is read again");
+    let prefill = prefilling(&mut bench, 1, "a", "draft");
+    // The prefill broke: it may have left a state; the request is prefilled again.
+    let out = bench.engine(&prefill, goodbye(false));
+    let second = bench.attempts(&out).pop().expect("it is prefilled again");
     assert_eq!(
         releases(&out),
         Vec::<String>::new(),
-        "it would end the second read's state"
+        "it would end the second prefill's state"
     );
     let out = bench.ended(&second, Status::PrefillDone);
     assert_eq!(releases(&out), Vec::<String>::new());
-    let write = bench.attempts(&out).pop().expect("a write goes out");
-    bench.engine(&write, tokens(0));
-    let out = bench.ended(&write, Status::Succeeded);
+    let decode = bench
+        .attempts(&out)
+        .pop()
+        .expect("a decode attempt goes out");
+    bench.engine(&decode, tokens(0));
+    let out = bench.ended(&decode, Status::Succeeded);
     assert_eq!(releases(&out), ["a"]);
     assert_eq!(finals(&out), [(1, Answer::Succeeded)]);
     // Nothing orders it behind the end of the prefill that broke, over another connection: again, until its engine works.
     assert_eq!(releases(&bench.pass(500.0)), ["a"]);
     for n in 2.. {
-        let next = reading(&mut bench, n, &n.to_string(), "draft");
+        let next = prefilling(&mut bench, n, &n.to_string(), "draft");
         let out = bench.ended(&next, Status::PrefillDone);
         let decode = bench
             .attempts(&out)
@@ -159,7 +171,7 @@
             .expect("a decode attempt goes out");
         bench.engine(&decode, tokens(0));
         bench.ended(&decode, Status::Succeeded);
-        if next.engine == read.engine {
+        if next.engine == prefill.engine {
             break;
         }
     }
@@ -170,11 +182,13 @@
     );
 }
 
+/// An engine does not answer a release. Another engine is asked within the release time, and the rate of calls stays
+/// bounded until the release is given up.
 #[test]
 fn a_release_that_gets_no_answer_is_said_to_another_engine_in_good_time() {
     let mut bench = bench();
     bench.engines_answer_releases = false;
-    let read = reading(&mut bench, 1, "a", "draft");
+    let prefill = prefilling(&mut bench, 1, "a", "draft");
     let out = bench.put(Input::ClientClosed {
         conn: ClientConnectionId(1),
     });
@@ -203,8 +217,8 @@
         "said again within the release time"
     );
     assert!(
-        engines.iter().any(|engine| *engine != read.engine),
-        "to another host: {engines:?}"
+        engines.iter().any(|engine| *engine != prefill.engine),
+        "to another engine: {engines:?}"
     );
     assert!(first.is_some());
     bench.pass(2_000.0);
@@ -221,10 +235,11 @@
     );
 }
 
+/// A client sends a request with the id of one that is open. It is refused, and the open one goes on.
 #[test]
 fn the_id_of_an_open_request_is_refused_and_the_open_one_goes_on() {
     let mut bench = bench();
-    let read = reading(&mut bench, 1, "a", "draft");
+    let prefill = prefilling(&mut bench, 1, "a", "draft");
     let out = asks(&mut bench, 2, request("a", "draft"));
     assert!(
         matches!(to_client(&out)[..], [(1, Body::InvalidRequest(_))]),
@@ -234,11 +249,11 @@
     bench.put(Input::ClientClosed {
         conn: ClientConnectionId(2),
     });
-    let out = bench.ended(&read, Status::PrefillDone);
-    let write = bench.attempts(&out).pop().expect("the open one goes on");
-    bench.engine(&write, tokens(0));
+    let out = bench.ended(&prefill, Status::PrefillDone);
+    let decode = bench.attempts(&out).pop().expect("the open one goes on");
+    bench.engine(&decode, tokens(0));
     assert_eq!(
-        finals(&bench.ended(&write, Status::Succeeded)),
+        finals(&bench.ended(&decode, Status::Succeeded)),
         [(1, Answer::Succeeded)]
     );
     // Once it is over, its id is nobody's.
@@ -246,6 +261,7 @@
     assert!(!bench.attempts(&out).is_empty());
 }
 
+/// A request takes 1.5 s to be received. Its deadline counts from its first part.
 #[test]
 fn time_that_a_request_took_to_come_is_part_of_its_patience() {
     let mut bench = bench();
@@ -258,7 +274,7 @@
     bench.pass(1500.0);
     let begin = bench.now;
     asks(&mut bench, 1, request("a", "proof"));
-    bench.links_come_up = false;
+    bench.connections_come_up = false;
     bench.pass(3000.0);
     assert_eq!(
         finals(&bench.out).len(),
@@ -268,6 +284,7 @@
     );
 }
 
+/// Connections to all engines together are limited to two. An idle one is closed for each new one that is needed.
 #[test]
 fn links_are_bounded_over_all_engines_and_one_that_rests_makes_room() {
     let limits = single_limits();
@@ -276,17 +293,19 @@
         ..single
     });
     let mut bench = bench_with(Limits { single, ..limits });
-    let write = writing(&mut bench, 1, "a", "draft");
-    bench.engine(&write, tokens(0));
-    bench.ended(&write, Status::Succeeded);
+    let decode = decoding(&mut bench, 1, "a", "draft");
+    bench.engine(&decode, tokens(0));
+    bench.ended(&decode, Status::Succeeded);
     for n in 2..30 {
-        let write = writing(&mut bench, n, &n.to_string(), "draft");
-        bench.engine(&write, tokens(0));
-        bench.ended(&write, Status::Succeeded);
+        let decode = decoding(&mut bench, n, &n.to_string(), "draft");
+        bench.engine(&decode, tokens(0));
+        bench.ended(&decode, Status::Succeeded);
         assert!(bench.dispatcher.usage().connections <= 2);
     }
 }
 
+/// Clients connect and send nothing, or half a request. They are closed in time, and one is asked to leave when another
+/// client needs room; one with an open request stays.
 #[test]
 fn silent_clients_are_closed_in_time_and_make_room_when_it_is_short() {
     let mut bench = bench();
@@ -303,7 +322,7 @@
         [Output::LeaveClient {
             conn: ClientConnectionId(2)
         }],
-        "not the one with an open task"
+        "not the one with an open request"
     );
     bench.put(Input::ClientPartly {
         conn: ClientConnectionId(3),
@@ -324,6 +343,8 @@
     assert_eq!(bench.out.iter().filter(of_one).count(), 0);
 }
 
+/// The process is stopped while clients still send. Requests are taken until the end of the notice, and a stream that
+/// lasts too long is migrated.
 #[test]
 fn a_stop_takes_what_still_comes_for_a_moment_and_moves_streams_that_outlast_it() {
     let limits = Limits {
@@ -333,8 +354,8 @@
         ..single_limits()
     };
     let mut bench = bench_with(limits);
-    let write = writing(&mut bench, 1, "a", "draft");
-    bench.engine(&write, tokens(0));
+    let decode = decoding(&mut bench, 1, "a", "draft");
+    bench.engine(&decode, tokens(0));
     bench.put(Input::Stop);
     let out = asks(&mut bench, 2, request("b", "draft"));
     assert!(!bench.attempts(&out).is_empty(), "still taken");
@@ -355,6 +376,7 @@
     assert_eq!(bench.dispatcher.usage().requests, 1);
 }
 
+/// A stream begins only after streams were migrated in a stop. It is migrated as well, before the process is killed.
 #[test]
 fn a_stream_that_begins_after_streams_were_moved_is_moved_as_well() {
     let limits = Limits {
@@ -364,13 +386,13 @@
         ..single_limits()
     };
     let mut bench = bench_with(limits);
-    let over = writing(&mut bench, 2, "over", "draft");
+    let over = decoding(&mut bench, 2, "over", "draft");
     bench.engine(&over, tokens(0));
     bench.ended(&over, Status::Succeeded);
-    let write = writing(&mut bench, 1, "a", "draft");
+    let decode = decoding(&mut bench, 1, "a", "draft");
     bench.put(Input::Stop);
     bench.pass(900.0);
-    bench.engine(&write, tokens(0));
+    bench.engine(&decode, tokens(0));
     let out = bench.pass(200.0);
     assert_eq!(
         finals(&out),
@@ -405,20 +427,21 @@
     ));
 }
 
+/// Engines are replaced all day. Nothing is kept of those that are gone.
 #[test]
 fn nothing_is_kept_of_engines_that_are_gone_however_many_come() {
     use v1::EndpointStatus::{Gone, Ready};
     let mut bench = bench();
     for n in 0..200 {
         let (reader, writer) = (format!("r-{n}"), format!("w-{n}"));
-        bench.told(&reader, Ready);
-        bench.told(&writer, Ready);
-        let write = writing(&mut bench, n, &n.to_string(), "draft");
-        bench.engine(&write, tokens(0));
-        bench.told(&reader, Gone);
-        bench.told(&writer, Gone);
+        bench.update_endpoint(&reader, Ready);
+        bench.update_endpoint(&writer, Ready);
+        let decode = decoding(&mut bench, n, &n.to_string(), "draft");
+        bench.engine(&decode, tokens(0));
+        bench.update_endpoint(&reader, Gone);
+        bench.update_endpoint(&writer, Gone);
         assert_eq!(
-            finals(&bench.ended(&write, Status::Succeeded)),
+            finals(&bench.ended(&decode, Status::Succeeded)),
             [(1, Answer::Succeeded)],
             "it went on"
         );
@@ -433,7 +456,7 @@
 }
 
 /// The connections over which releases went, among outputs.
-fn release_links(out: &[Output]) -> Vec<EngineConnectionId> {
+fn release_connections(out: &[Output]) -> Vec<EngineConnectionId> {
     let release = |output: &Output| match output {
         Output::ToEngine {
             connection,
@@ -466,6 +489,8 @@
     bench
 }
 
+/// All engines but one become unresponsive, with idle connections that stay up. A release reaches the one that works in
+/// time.
 #[test]
 fn a_release_reaches_an_engine_that_works_while_most_have_fallen_silent_with_connections_at_rest() {
     let mut bench = many();
@@ -483,22 +508,25 @@
             ..v1::Origin::default()
         });
         let out = asks(&mut bench, n, Body::Submit(v1::Submit { origin, ..text }));
-        let read = bench.attempts(&out).pop().expect("a read goes out");
-        let out = bench.ended(&read, Status::PrefillDone);
-        let write = bench.attempts(&out).pop().expect("a write goes out");
-        bench.engine(&write, tokens(0));
-        bench.ended(&write, Status::Succeeded);
-        linked.extend([read.engine, write.engine]);
+        let prefill = bench.attempts(&out).pop().expect("a prefill goes out");
+        let out = bench.ended(&prefill, Status::PrefillDone);
+        let decode = bench
+            .attempts(&out)
+            .pop()
+            .expect("a decode attempt goes out");
+        bench.engine(&decode, tokens(0));
+        bench.ended(&decode, Status::Succeeded);
+        linked.extend([prefill.engine, decode.engine]);
         bench.pass(10.0);
         assert!(n < 2_000, "every engine is used: {linked:?}");
     }
-    // A state that is read, and from then on all but one engine are silent: their connections stay up. The one that
+    // A state that is held, and from then on all but one engine are silent: their connections stay up. The one that
     // works goes on with streams of other requests.
     bench.engines_answer_releases = false;
-    let busy = writing(&mut bench, 1, "busy", "draft");
+    let busy = decoding(&mut bench, 1, "busy", "draft");
     bench.engine(&busy, tokens(0));
-    let read = reading(&mut bench, 2, "last", "draft");
-    bench.ended(&read, Status::PrefillDone);
+    let prefill = prefilling(&mut bench, 2, "last", "draft");
+    bench.ended(&prefill, Status::PrefillDone);
     // Nothing was heard of any for long enough, and the decode attempt is not given up yet.
     bench.pass(200.0);
     bench.engine(&busy, tokens(1));
@@ -508,7 +536,7 @@
     });
     let mut position = 2;
     let reached = loop {
-        let asked: Vec<String> = release_links(&out)
+        let asked: Vec<String> = release_connections(&out)
             .iter()
             .map(|l| bench.engine_of(*l).to_owned())
             .collect();
@@ -526,16 +554,17 @@
     );
 }
 
+/// No connection to a decode engine comes up while a KV state is held. It is released in time.
 #[test]
 fn a_state_is_let_go_in_time_while_no_connection_to_a_decode_engine_comes_up() {
     let mut bench = many();
-    let read = reading(&mut bench, 1, "a", "draft");
+    let prefill = prefilling(&mut bench, 1, "a", "draft");
     // Connections to decode engines stay under way until their time is up; the one to the prefill engine rests.
-    bench.links_come_up = false;
-    let mut out = bench.ended(&read, Status::PrefillDone);
+    bench.connections_come_up = false;
+    let mut out = bench.ended(&prefill, Status::PrefillDone);
     let since = bench.now;
     let mut dialled = 0;
-    while release_links(&out).is_empty() {
+    while release_connections(&out).is_empty() {
         dialled += out
             .iter()
             .filter(|output| matches!(output, Output::Dial { .. }))
@@ -549,24 +578,26 @@
     assert!(lay <= 600.0, "let go after {lay}");
 }
 
+/// A client leaves while its prompt is prefilled. By way of another engine the release could come before the KV state
+/// is there, so the prefill's own engine is asked first.
 #[test]
 fn the_release_of_a_prefill_that_was_cut_off_goes_to_its_own_engine_first() {
     let mut bench = many();
     // Another engine was heard of just now, and this one not for a while.
-    let busy = writing(&mut bench, 1, "busy", "draft");
-    let read = reading(&mut bench, 2, "cut", "draft");
+    let busy = decoding(&mut bench, 1, "busy", "draft");
+    let prefill = prefilling(&mut bench, 2, "cut", "draft");
     bench.pass(1_000.0);
     bench.engine(&busy, tokens(0));
     let out = bench.put(Input::ClientClosed {
         conn: ClientConnectionId(2),
     });
-    let asked: Vec<&str> = release_links(&out)
+    let asked: Vec<&str> = release_connections(&out)
         .iter()
         .map(|connection| bench.engine_of(*connection))
         .collect();
     assert_eq!(
         asked,
-        [read.engine.as_str()],
+        [prefill.engine.as_str()],
         "or it could come before the state is there"
     );
 }
