--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -13,7 +13,7 @@
 mod gossip;
 mod outputs;
 
-use crate::state::{ClientConnectionId, Dispatcher, EngineConnectionId, Holding, Input};
+use crate::state::{ClientConnectionId, Dispatcher, EngineConnectionId, Input, Usage};
 use crate::{endpoint_cache, ProgramSettings};
 use cindercleat::coordination::disruption_budget::{OutcomeCounts, Unit};
 use cindercleat::coordination::membership::EngineReport;
@@ -116,10 +116,10 @@
     ) -> Self {
         let mut dispatcher = Dispatcher::new(settings.clone(), seed);
         if tracing::enabled!(tracing::Level::DEBUG) {
-            dispatcher.tell_stories();
+            dispatcher.enable_request_log();
         }
         if locations.endpoint_cache.is_none() {
-            dispatcher.keep_no_lists();
+            dispatcher.disable_endpoint_cache();
         }
         let shared = Shared {
             dispatcher: RefCell::new(dispatcher),
@@ -170,14 +170,17 @@
     }
 
     /// How much state the dispatcher holds.
-    pub fn held(&self) -> Holding {
-        self.shared.dispatcher.borrow().held()
+    pub fn usage(&self) -> Usage {
+        self.shared.dispatcher.borrow().usage()
     }
 
     /// Whether the dispatcher accepts requests, and how busy it is.
     pub fn readiness(&self) -> Readiness {
-        let (is_ready, load) = self.shared.dispatcher.borrow().fares();
-        Readiness { is_ready, load }
+        let dispatcher = self.shared.dispatcher.borrow();
+        Readiness {
+            is_ready: dispatcher.is_ready(),
+            load: dispatcher.open_fraction(),
+        }
     }
 
     /// The version of the newest list of endpoints.
@@ -187,7 +190,7 @@
 
     /// Records from now on how requests end and what engines report, for dispatchers that watch a rollout together.
     pub fn record_service_stats(&self) {
-        self.shared.dispatcher.borrow_mut().keep_record();
+        self.shared.dispatcher.borrow_mut().collect_service_stats();
     }
 
     /// How requests have ended, and reports on up to `max_reports` engines that reported since they were last returned.
@@ -288,7 +291,7 @@
     }
 
     fn log_invariant_checks(&self) {
-        let guarded = self.shared.dispatcher.borrow().guarded().clone();
+        let guarded = self.shared.dispatcher.borrow().invariant_counts().clone();
         tracing::info!(checked = ?guarded.checked, violated = ?guarded.violated, "invariants");
     }
 
--- /dev/null
+++ b/crates/dispatcher/src/state/attempts.rs
@@ -0,0 +1,452 @@
+//! Attempts at engines: start, resend, cancel, time out and end.
+
+use super::engine_requests::{attempt_message, kv_state_id};
+use super::kv_states::Held;
+use super::requests::Attempt;
+use super::stream_purpose::StreamPurpose;
+use super::*;
+use cindercleat::connection_pool::PlacementError;
+
+/// An attempt that is about to go out.
+struct PlannedAttempt {
+    request_id: RequestId,
+    attempt_id: AttemptId,
+    engine: EngineId,
+    is_prefill: bool,
+    expires_at: Ms,
+}
+
+/// The stream that was opened for an attempt, and the message to send on it.
+struct OpenedAttempt {
+    connection: EngineConnectionId,
+    stream: StreamId,
+    body: Body,
+}
+
+impl Dispatcher {
+    /// The attempt of a request that has not ended.
+    pub(super) fn current_attempt(&self, request_id: RequestId) -> Option<&Attempt> {
+        self.requests.get(&request_id)?.current_attempt.as_ref()
+    }
+
+    /// Starts an attempt of a request at an engine. `until`: when it times out at the latest; the request's deadline if
+    /// none. What may not or cannot go out ends at once.
+    pub(super) fn start_attempt(
+        &mut self,
+        request_id: RequestId,
+        engine: EngineId,
+        until: Option<Ms>,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(request) = self.requests.get_mut(&request_id) else {
+            return;
+        };
+        let attempt_id = AttemptId(request.attempts);
+        request.attempts += 1;
+        let (answered, deadline) = (request.answered, request.deadline);
+        let is_prefill = self.prefills_only(request_id, &engine);
+        if !self.may_start_attempt(request_id, &engine, is_prefill, outputs) {
+            let outcome = Outcome::NotSent;
+            let event = never_sent(request_id, attempt_id, engine, outcome, answered);
+            return self.events.push(event);
+        }
+        let planned = PlannedAttempt {
+            request_id,
+            attempt_id,
+            engine,
+            is_prefill,
+            expires_at: until.unwrap_or(deadline).min(deadline),
+        };
+        match self.open_attempt(&planned, outputs) {
+            Some(Ok(opened)) => self.begin_attempt(planned, opened, outputs),
+            // The next choice is to pass the engine by for a moment, or to judge it: it could not be reached.
+            Some(Err(refusal)) => {
+                let outcome = match refusal {
+                    PlacementError::PoolExhausted => Outcome::Overloaded,
+                    PlacementError::BackingOff => Outcome::Unreachable,
+                };
+                let event = never_sent(request_id, attempt_id, planned.engine, outcome, answered);
+                self.events.push(event);
+            }
+            None => {}
+        }
+    }
+
+    /// Whether an attempt at an engine leaves a KV state there and no tokens.
+    fn prefills_only(&self, request_id: RequestId, engine: &EngineId) -> bool {
+        let entry = self.endpoints.engines.get(engine);
+        self.kv_states.available(request_id).is_none()
+            && entry.is_some_and(|entry| entry.role == Role::Prefill)
+    }
+
+    /// Opens a stream for an attempt. None if its request or its engine is not known.
+    fn open_attempt(
+        &mut self,
+        planned: &PlannedAttempt,
+        outputs: &mut Vec<Output>,
+    ) -> Option<Result<OpenedAttempt, PlacementError>> {
+        let request_id = planned.request_id;
+        let request = self.requests.get(&request_id)?;
+        let address = self
+            .endpoints
+            .engines
+            .get(&planned.engine)?
+            .line
+            .address
+            .clone();
+        let state = planned
+            .is_prefill
+            .then(|| kv_state_id(self.settings.incarnation, request_id, planned.attempt_id));
+        let available = self.kv_states.available(request_id);
+        let body = attempt_message(
+            request,
+            available.map(|state| &state.held),
+            state,
+            &self.endpoints,
+            self.settings.limits.stream_window,
+            planned.expires_at - self.now,
+        );
+        let opened = self.connections.open(
+            &planned.engine,
+            &address,
+            StreamPurpose::Attempt(request_id, planned.attempt_id),
+            self.now,
+            &self.settings,
+            (&mut self.timers, outputs),
+        );
+        Some(opened.map(|(connection, stream)| OpenedAttempt {
+            connection,
+            stream,
+            body,
+        }))
+    }
+
+    fn begin_attempt(
+        &mut self,
+        planned: PlannedAttempt,
+        opened: OpenedAttempt,
+        outputs: &mut Vec<Output>,
+    ) {
+        let (request_id, attempt_id) = (planned.request_id, planned.attempt_id);
+        let Some(request) = self.requests.get_mut(&request_id) else {
+            return;
+        };
+        request.current_attempt = Some(Attempt {
+            id: attempt_id,
+            engine: planned.engine,
+            connection: opened.connection,
+            stream: opened.stream,
+            is_prefill: planned.is_prefill,
+            started_at: self.now,
+            sent_at: None,
+            confirmation_requested: false,
+            expires_at: planned.expires_at,
+            first_token_sent: false,
+            position: 0,
+            messages_received: 0,
+            messages_forwarded: 0,
+            messages_credited: self.settings.limits.stream_window,
+            last_received_at: self.now,
+            last_forwarded_at: self.now,
+        });
+        let connection = self.connections.get(opened.connection);
+        if connection.is_some_and(|connection| connection.up) {
+            request.mark_sent(self.now);
+        }
+        if !planned.is_prefill {
+            self.kv_states.offer(request_id, attempt_id);
+        }
+        let timeout = Due::AttemptTimeout(request_id, attempt_id);
+        self.timers.set(planned.expires_at, timeout);
+        self.connections
+            .send(opened.connection, opened.stream, opened.body, outputs);
+    }
+
+    /// An attempt that its connection did not carry, as it was over before anything was written, goes out on
+    /// another one: the engine has sent nothing of it. Gives whether it did.
+    pub(super) fn resend_attempt(
+        &mut self,
+        request_id: RequestId,
+        outputs: &mut Vec<Output>,
+    ) -> bool {
+        if self.is_answered(request_id) {
+            return false;
+        }
+        let current = self.current_attempt(request_id);
+        let Some(attempt) = current.filter(|attempt| !attempt.first_token_sent) else {
+            return false;
+        };
+        let planned = PlannedAttempt {
+            request_id,
+            attempt_id: attempt.id,
+            engine: attempt.engine.clone(),
+            is_prefill: attempt.is_prefill,
+            expires_at: attempt.expires_at,
+        };
+        if self.endpoints.status(&planned.engine) != EndpointStatus::Ready {
+            return false;
+        }
+        let Some(Ok(opened)) = self.open_attempt(&planned, outputs) else {
+            return false;
+        };
+        let current = self
+            .requests
+            .get_mut(&request_id)
+            .and_then(|request| request.current_attempt.as_mut());
+        let Some(attempt) = current else {
+            return false;
+        };
+        (attempt.connection, attempt.stream) = (opened.connection, opened.stream);
+        attempt.sent_at = self
+            .connections
+            .get(opened.connection)
+            .filter(|connection| connection.up)
+            .map(|_| self.now);
+        self.connections
+            .send(opened.connection, opened.stream, opened.body, outputs);
+        true
+    }
+
+    /// Ends the current attempt on the wire: what has not gone out is taken back, else the engine is sent a cancel. Gives
+    /// whether it never went out.
+    pub(super) fn stop_attempt(
+        &mut self,
+        request_id: RequestId,
+        outputs: &mut Vec<Output>,
+    ) -> bool {
+        let Some(attempt) = self.current_attempt(request_id) else {
+            return true;
+        };
+        let (connection, stream) = (attempt.connection, attempt.stream);
+        if self.connections.unsend(connection, stream) {
+            self.connections
+                .close_stream(connection, stream, self.now, &mut self.timers);
+            return true;
+        }
+        // The stream stays taken until the engine ends it: what the engine still works on takes room there.
+        let prefilled = self.prefill_out(request_id);
+        self.abandon_stream(connection, stream);
+        if !fault_injection::is_injected(InjectedFault::CancelLost) {
+            self.connections
+                .send(connection, stream, Body::Cancel(v1::Cancel {}), outputs);
+        }
+        // Guards against a prefill that ends at its engine before the cancel comes, which shows as a KV state that stays
+        // pinned there: its release goes out as well.
+        if let Some(held) = prefilled {
+            self.release_leftover(request_id, held, outputs);
+        }
+        false
+    }
+
+    /// The KV state that the current attempt of a request leaves, if it is a prefill.
+    pub(super) fn prefill_out(&self, request_id: RequestId) -> Option<Held> {
+        let request = self.requests.get(&request_id)?;
+        let attempt = request
+            .current_attempt
+            .as_ref()
+            .filter(|attempt| attempt.is_prefill)?;
+        let state = kv_state_id(self.settings.incarnation, request_id, attempt.id);
+        Some(Held {
+            engine: attempt.engine.clone(),
+            id: state,
+            origin: request.origin(),
+        })
+    }
+
+    /// Ends the record of the current attempt, and reports its outcome to the decisions. `detail`: see [`Ended`].
+    pub(super) fn end_attempt(
+        &mut self,
+        request_id: RequestId,
+        outcome: Outcome,
+        detail: f64,
+        load: Load,
+    ) {
+        self.note_possible_run(request_id, outcome);
+        let Some(request) = self.requests.get_mut(&request_id) else {
+            return;
+        };
+        let Some(attempt) = request.current_attempt.take() else {
+            return;
+        };
+        self.delivery_unconfirmed.remove(&request_id);
+        if outcome == Outcome::PrefillDone {
+            let state = kv_state_id(self.settings.incarnation, request_id, attempt.id);
+            let held = Held {
+                engine: attempt.engine.clone(),
+                id: state,
+                origin: request.origin(),
+            };
+            self.kv_states.hold(request_id, held, self.now);
+        }
+        let latency = self.now - attempt.started_at;
+        let last = request.answered;
+        self.settle_kv_state(request_id, &attempt, outcome);
+        let (attempt, engine) = (attempt.id, attempt.engine);
+        self.events.push(Event::Ended(Ended {
+            request: request_id,
+            attempt,
+            engine,
+            outcome,
+            latency,
+            last,
+            detail,
+            load,
+        }));
+        self.forget_finished(request_id);
+    }
+
+    /// Ends an attempt whose outcome is the answer to the client where a stream has begun, as what was sent of it cannot be
+    /// taken back; a success is the answer in any case.
+    pub(super) fn finish_attempt(
+        &mut self,
+        request_id: RequestId,
+        outcome: Outcome,
+        reason: &str,
+        load: Load,
+        outputs: &mut Vec<Output>,
+    ) {
+        let has_stream = self
+            .requests
+            .get(&request_id)
+            .is_some_and(Request::has_stream);
+        match outcome {
+            Outcome::Succeeded => self.answer(request_id, v1::Answer::Succeeded, 0.0, "", outputs),
+            _ if has_stream => self.answer(request_id, v1::Answer::Failed, 0.0, reason, outputs),
+            _ => {}
+        }
+        // Guards against a prefill that has ended at its engine with the message of it lost, which shows as a KV state that
+        // stays pinned there: it is released.
+        let held = self
+            .prefill_out(request_id)
+            .filter(|_| matches!(outcome, Outcome::ConnectionLost | Outcome::Failed));
+        if let Some(held) =
+            held.filter(|_| !fault_injection::is_injected(InjectedFault::BrokenPrefillStateKept))
+        {
+            self.release_leftover(request_id, held, outputs);
+        }
+        self.end_attempt(request_id, outcome, 0.0, load);
+    }
+
+    /// Cancels an attempt, unless its stream has begun.
+    pub(super) fn cancel_attempt(
+        &mut self,
+        request_id: RequestId,
+        attempt_id: AttemptId,
+        outputs: &mut Vec<Output>,
+    ) {
+        if !self.is_waiting(request_id, attempt_id) {
+            return;
+        }
+        let undelivered = self.undelivered_attempt(request_id);
+        if let Some((problem, text)) = undelivered.filter(|_| !self.is_answered(request_id)) {
+            let text = format!("attempt given up, {problem}: {text}");
+            outputs.push(Output::log(Level::Info, text));
+        }
+        self.stop_and_end_attempt(request_id, Outcome::Cancelled, outputs);
+    }
+
+    /// Ends an attempt whose time is up, unless its stream has begun.
+    pub(super) fn time_out_attempt(
+        &mut self,
+        request_id: RequestId,
+        attempt_id: AttemptId,
+        outputs: &mut Vec<Output>,
+    ) {
+        if self.is_waiting(request_id, attempt_id) {
+            self.stop_and_end_attempt(request_id, Outcome::TimedOut, outputs);
+        }
+    }
+
+    /// Whether an attempt is the current one of its request and no token of it has come.
+    fn is_waiting(&self, request_id: RequestId, attempt_id: AttemptId) -> bool {
+        let current = self.current_attempt(request_id);
+        current.is_some_and(|attempt| attempt.id == attempt_id && !attempt.first_token_sent)
+    }
+
+    /// Stops the current attempt; it ends with `outcome`, or as not sent if it never went out.
+    fn stop_and_end_attempt(
+        &mut self,
+        request_id: RequestId,
+        outcome: Outcome,
+        outputs: &mut Vec<Output>,
+    ) {
+        let was_unsent = self.stop_attempt(request_id, outputs);
+        let outcome = if was_unsent {
+            Outcome::NotSent
+        } else {
+            outcome
+        };
+        self.end_attempt(request_id, outcome, 0.0, Load::default());
+    }
+
+    /// Reserves a place at an engine for the decode attempt that follows the prefill which is out.
+    pub(super) fn reserve(
+        &mut self,
+        request_id: RequestId,
+        engine: &EngineId,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(attempt) = self.current_attempt(request_id) else {
+            return;
+        };
+        let state = kv_state_id(self.settings.incarnation, request_id, attempt.id);
+        let purpose = StreamPurpose::Reservation(request_id, attempt.id);
+        let Some(row) = self
+            .endpoints
+            .engines
+            .get(engine)
+            .filter(|r| r.status == EndpointStatus::Ready)
+        else {
+            return;
+        };
+        let address = row.line.address.clone();
+        let to = (&mut self.timers, &mut *outputs);
+        let opened = self
+            .connections
+            .open(engine, &address, purpose, self.now, &self.settings, to);
+        if let Ok((connection, stream)) = opened {
+            let body = Body::Reserve(v1::Reserve { state: Some(state) });
+            self.connections.send(connection, stream, body, outputs);
+        }
+    }
+
+    /// Ends a stream in good order; its client asks another dispatcher for the rest.
+    pub(super) fn migrate(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        if self
+            .requests
+            .get(&request_id)
+            .is_some_and(Request::has_stream)
+        {
+            self.stop_attempt(request_id, outputs);
+            self.answer(
+                request_id,
+                v1::Answer::Failed,
+                0.0,
+                "moved: come back for the rest",
+                outputs,
+            );
+            self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
+        }
+    }
+}
+
+/// The end of an attempt that never went out. `last`: no other attempt of the request follows.
+fn never_sent(
+    request: RequestId,
+    attempt: AttemptId,
+    engine: EngineId,
+    outcome: Outcome,
+    last: bool,
+) -> Event {
+    let load = Load::default();
+    Event::Ended(Ended {
+        request,
+        attempt,
+        engine,
+        outcome,
+        latency: 0.0,
+        last,
+        detail: 0.0,
+        load,
+    })
+}
--- a/crates/dispatcher/src/state/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -207,7 +207,7 @@
             CloseReason::PingTimeout => "it does not answer",
             CloseReason::TooManyCancels => "it calls off more than it may",
         };
-        self.take_client_closed(conn, out);
+        self.on_client_closed(conn, out);
         out.push(Output::CloseClient {
             conn,
             reason: reason.to_owned(),
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -1,8 +1,7 @@
 //! Connections to engines, and the streams that are open on each. [`ConnectionPool`] decides which connection carries a
 //! stream, and when one is dialled, pinged or closed.
 
-use super::engine_releases::EngineRelease;
-use super::kv_states::ReleaseCall;
+use super::stream_purpose::StreamPurpose;
 use super::timers::{Due, Timers};
 use super::{EngineConnectionId, Output, StreamId};
 use crate::settings::ProgramSettings;
@@ -10,29 +9,10 @@
     ConnectionId, ConnectionPool, Placement, PlacementError, PoolCommand,
 };
 use cindercleat::control::RECEIVED_LATE;
-use cindercleat::interface::{AttemptId, EngineId, Ms, RequestId};
+use cindercleat::interface::{EngineId, Ms};
 use cindercleat_protocol::{frame, Body};
 use std::collections::BTreeMap;
 
-/// What a stream of a connection carries.
-#[derive(Clone, Debug, PartialEq)]
-pub(super) enum StreamPurpose {
-    /// An attempt at a request.
-    Attempt(RequestId, AttemptId),
-    /// A health check.
-    Probe { sent: Ms },
-    /// A reservation for an attempt that is not chosen yet.
-    Hold(RequestId, AttemptId),
-    /// The release of a request's KV state where any engine can release it.
-    Release(ReleaseCall),
-    /// The release of a KV state at the engine that holds it.
-    EngineRelease(EngineRelease),
-    /// A question whose only purpose is an answer that proves that the engine runs.
-    Sign,
-    /// Given up here; what still comes on it is ignored.
-    Past,
-}
-
 /// One connection to an engine, from its dialling on.
 #[derive(Debug)]
 pub(super) struct EngineConnection {
@@ -366,9 +346,12 @@
                 .get(id)
                 .into_iter()
                 .flat_map(|connection| connection.streams.values());
-            streams
-                .into_iter()
-                .any(|purpose| matches!(purpose, StreamPurpose::Release(..) | StreamPurpose::Sign))
+            streams.into_iter().any(|purpose| {
+                matches!(
+                    purpose,
+                    StreamPurpose::Release(..) | StreamPurpose::LivenessCheck
+                )
+            })
         };
         self.is_suspected(engine) && self.by_engine.get(engine).into_iter().flatten().any(asks)
     }
--- /dev/null
+++ b/crates/dispatcher/src/state/engine_requests.rs
@@ -0,0 +1,93 @@
+//! The messages of attempts to engines, made from a request and the endpoints; and the load that engines report.
+
+use super::kv_states::Held;
+use super::*;
+
+/// The id of the KV state that an attempt makes.
+pub(super) fn kv_state_id(run: u64, request: RequestId, attempt: AttemptId) -> v1::KvStateId {
+    v1::KvStateId {
+        run,
+        request: request.0,
+        attempt: attempt.0,
+    }
+}
+
+/// The message of an attempt to its engine. `held`: the KV state that a decode attempt takes; `state`: the id of the one
+/// that a prefill leaves, none for a decode attempt; `window`: the first credit, in messages; `wait_ms`: what is left of its
+/// time, in milliseconds.
+pub(super) fn attempt_message(
+    request: &Request,
+    held: Option<&Held>,
+    state: Option<v1::KvStateId>,
+    endpoints: &Endpoints,
+    window: u32,
+    wait_ms: Ms,
+) -> Body {
+    match state {
+        Some(state) => prefill_message(&request.submit, state, wait_ms),
+        None => decode_message(request, held, endpoints, window, wait_ms),
+    }
+}
+
+fn prefill_message(submit: &v1::Submit, state: v1::KvStateId, wait_ms: Ms) -> Body {
+    Body::Prefill(v1::Prefill {
+        state: Some(state),
+        key: submit.key.clone(),
+        session: submit.session,
+        shared_text: submit.shared_text,
+        prompt_tokens: submit.prompt_tokens,
+        shared_tokens: submit.shared_tokens,
+        request_class: submit.request_class.clone(),
+        tenant: submit.tenant.clone(),
+        prompt: submit.prompt.clone(),
+        origin: submit.origin.clone(),
+        wait_ms,
+    })
+}
+
+fn decode_message(
+    request: &Request,
+    held: Option<&Held>,
+    endpoints: &Endpoints,
+    window: u32,
+    wait_ms: Ms,
+) -> Body {
+    let submit = &request.submit;
+    let prefill_engine = held.and_then(|held| endpoints.engines.get(&held.engine));
+    Body::Decode(v1::Decode {
+        state: held.map(|held| held.id),
+        prefill_engine: prefill_engine
+            .map(|row| row.line.engine.clone())
+            .unwrap_or_default(),
+        prefill_engine_address: prefill_engine
+            .map(|row| row.line.address.clone())
+            .unwrap_or_default(),
+        key: submit.key.clone(),
+        session: submit.session,
+        shared_text: submit.shared_text,
+        prompt_tokens: submit.prompt_tokens,
+        shared_tokens: submit.shared_tokens,
+        max_tokens: submit.max_tokens,
+        request_class: submit.request_class.clone(),
+        tenant: submit.tenant.clone(),
+        window,
+        prompt: submit.prompt.clone(),
+        origin: submit.origin.clone(),
+        wait_ms,
+    })
+}
+
+/// The load that an engine reports.
+///
+/// Guards against a report that is no number or negative, which shows as means that stay wrong for good: such a value counts
+/// as not reported.
+pub(super) fn reported_load(load: &v1::Load) -> Load {
+    let valid = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
+    Load {
+        in_flight: valid(load.in_flight),
+        queue: valid(load.queue),
+        slots_used: valid(load.slots_used),
+        memory_held: valid(load.memory_held),
+        waiting_kilotokens: valid(load.waiting_kilotokens),
+    }
+}
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -1,225 +1,241 @@
-//! Releases of KV states where any engine passes one on: when a release goes out, and which engines are asked next.
+//! Releases of KV states where any engine passes one on: when a release is sent, repeated and given up.
 //!
-//! Whether a confirmed one counts, the state's record tells (`kv_states.rs`). Until then it is sent again.
+//! Whether a confirmation counts is up to the record of the KV state (`kv_states.rs`); until one does, the release is sent
+//! again. Which engines are asked is in `release_targets.rs`, and when a release waits for an attempt in `release_waits.rs`.
+//! A 'release time' is the setting `kv_state_timeout`, in milliseconds.
 
-use super::connections::StreamPurpose;
-use super::kv_states::{Held, KvState, ReleaseCall};
+use super::kv_states::{Held, ReleaseCall};
+use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// The part of the release time within which an engine has to confirm a release, and the part that passes before the next
-/// round where none has: first, and later.
-const CONFIRM_PART: f64 = 4.0;
-const NEXT_ROUND_PART: f64 = 25.0;
-const SLOW_ROUND_PART: f64 = 4.0;
-/// Where a release was confirmed that does not count: in release times, when it is sent again for the first time, and how often
-/// after that. An engine that hangs may notice the close of its attempt at any time, and the state's time counts from then
-/// on. After some repeats the wait doubles.
-const FIRST_REPEAT: f64 = 0.75;
-const REPEAT: f64 = 1.0;
-const EVEN_REPEATS: u32 = 10;
-/// Where a release waits for an attempt of its request: the part of the release time after which the attempt's engine is
-/// asked for a sign, and the part after which an attempt without one is waited for no longer.
-const ASK_PART: f64 = 4.0;
-const DOUBT_PART: f64 = 2.0;
-/// Each round without an answer asks one engine more at once, so many at the most: when nearly all of a fleet are silent,
-/// one after another would take too long.
-const MOST_AT_ONCE: usize = 4;
-/// For so many release times the next round comes soon; then it is likely that hardly any engine can be reached.
-const HURRIED_FOR: f64 = 2.0;
-/// For how many release times a release is sent again that was confirmed and is not known to have taken effect, and one that
-/// nobody has confirmed.
-const GIVE_UP_AFTER: f64 = 20.0;
-const GIVE_UP_UNCONFIRMED_AFTER: f64 = 120.0;
+/// The release time divided by this is the time within which an engine has to confirm a release.
+pub(super) const CONFIRMATION_TIMEOUT_DIVISOR: f64 = 4.0;
+/// The release time divided by this is the time to the next round where no engine has confirmed: at first.
+const NEXT_ROUND_DIVISOR: f64 = 25.0;
+/// The same, after [`FAST_ROUNDS_RELEASE_TIMES`].
+const SLOW_ROUND_DIVISOR: f64 = 4.0;
+/// After how many release times a release is sent again for the first time that was confirmed and does not count. An engine
+/// that hangs may notice the close of its attempt at any time, and the time of the KV state counts from then on.
+const FIRST_REPEAT_RELEASE_TIMES: f64 = 0.75;
+/// After how many release times it is sent again after that.
+const REPEAT_RELEASE_TIMES: f64 = 1.0;
+/// After so many repeats each wait is twice the one before.
+const REPEATS_BEFORE_BACKOFF: u32 = 10;
+/// For so many release times rounds follow each other fast; after that it is likely that hardly any engine can be reached.
+const FAST_ROUNDS_RELEASE_TIMES: f64 = 2.0;
+/// For how many release times a release is sent again that was confirmed and is not known to have taken effect.
+const GIVE_UP_RELEASE_TIMES: f64 = 20.0;
+/// For how many release times a release is sent again that no engine has confirmed.
+const GIVE_UP_UNCONFIRMED_RELEASE_TIMES: f64 = 120.0;
 
 impl Dispatcher {
-    /// The decisions let the state go that is held for a request.
-    pub(super) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if self.kv_states.on_offer(id).is_none() {
+    /// The decisions release the KV state of a request.
+    pub(super) fn release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        if self.kv_states.available(request_id).is_none() {
             return;
         }
-        if let Some((doubt, text)) = self.doubt(id) {
-            let text = format!("state released, {doubt}: {text}");
-            out.push(Output::Log {
-                level: Level::Info,
-                text,
-            });
+        if let Some((problem, text)) = self.undelivered_attempt(request_id) {
+            let text = format!("state released, {problem}: {text}");
+            outputs.push(Output::log(Level::Info, text));
         }
-        self.want_release(id, out);
-        self.forget_past(id);
+        self.want_release(request_id, outputs);
+        self.forget_finished(request_id);
     }
 
-    /// The decisions doubt that the attempt which is out has arrived, though its engine runs: what is held is let go, unless that
+    /// It is unconfirmed that the current attempt has arrived, though its engine runs: the KV state is released, unless that
     /// attempt waits for it.
-    pub(super) fn release_in_doubt(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if let Some((doubt, text)) = self.doubt(id) {
-            let text = format!("release sent, {doubt}: {text}");
-            out.push(Output::Log {
-                level: Level::Info,
-                text,
-            });
+    pub(super) fn release_unconfirmed(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        if let Some((problem, text)) = self.undelivered_attempt(request_id) {
+            let text = format!("release sent, {problem}: {text}");
+            outputs.push(Output::log(Level::Info, text));
         }
-        self.kv_states.doubt(id, self.now);
+        self.kv_states.mark_unconfirmed(request_id, self.now);
     }
 
-    pub(super) fn want_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    /// The KV state of a request is to be released.
+    pub(super) fn want_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if self.settings.limits.http1.is_some() {
-            self.kv_states.want_release(id, self.now);
-            self.arm_guard(id);
-        } else if let Some(state) = self.kv_states.forget(id) {
-            self.release_unless_planted(state.held, out);
+            self.kv_states.want_release(request_id, self.now);
+            self.schedule_held_check(request_id);
+        } else if let Some(state) = self.kv_states.forget(request_id) {
+            self.release_at_engine_unless_forgotten(state.held, outputs);
         }
     }
 
-    /// A prefill was cut off: it may have ended at its engine, with nobody left to hear of it.
-    pub(super) fn release_leftover(&mut self, id: RequestId, held: Held, out: &mut Vec<Output>) {
+    /// A prefill was cancelled or its connection broke: it may have left a KV state at its engine.
+    pub(super) fn release_leftover(
+        &mut self,
+        request_id: RequestId,
+        held: Held,
+        outputs: &mut Vec<Output>,
+    ) {
         if self.settings.limits.http1.is_some() {
-            self.kv_states.want_leftover_released(id, held, self.now);
+            self.kv_states
+                .want_leftover_released(request_id, held, self.now);
         } else {
-            self.release_unless_planted(held, out);
+            self.release_at_engine_unless_forgotten(held, outputs);
         }
     }
 
-    pub(super) fn release_unless_planted(&mut self, held: Held, out: &mut Vec<Output>) {
+    /// Releases a KV state at its engine.
+    pub(super) fn release_at_engine_unless_forgotten(
+        &mut self,
+        held: Held,
+        outputs: &mut Vec<Output>,
+    ) {
         if !fault_injection::is_injected(InjectedFault::ReleaseForgotten) {
-            self.release_at_engine(held, out);
+            self.release_at_engine(held, outputs);
         }
     }
 
-    /// Looks at the releases that have come up, once the decisions have dealt with what happened: only then it is known
-    /// whether a request goes on.
-    pub(super) fn look_at_due_releases(&mut self, out: &mut Vec<Output>) {
-        for id in std::mem::take(&mut self.kv_states.due) {
-            self.look_at_release(id, out);
+    /// Continues the releases that are due, once the decisions have taken the present events: only then it is known whether
+    /// a request goes on.
+    pub(super) fn continue_due_releases(&mut self, outputs: &mut Vec<Output>) {
+        for id in std::mem::take(&mut self.kv_states.due_releases) {
+            self.continue_release(id, outputs);
         }
     }
 
-    /// Begins the next round of calls to release a state, if it is time.
-    pub(super) fn look_at_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    /// Begins the next round of calls to release a KV state, if no call is open and no attempt holds it up.
+    pub(super) fn continue_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if fault_injection::is_injected(InjectedFault::ReleaseForgotten) {
-            self.kv_states.forget(id);
+            self.kv_states.forget(request_id);
         }
-        let Some(state) = self.kv_states.to_release(id) else {
+        let Some(state) = self.kv_states.release_wanted(request_id) else {
             return;
         };
         if state.release.open_calls > 0 {
             return;
         }
         if self.is_needed(state) {
-            return self.wait_for_attempt(id, out);
+            return self.wait_for_attempt(request_id, outputs);
         }
-        let lasts = if state.release.confirmed > 0 {
-            GIVE_UP_AFTER
+        let lasts = if state.release.confirmations > 0 {
+            GIVE_UP_RELEASE_TIMES
         } else {
-            GIVE_UP_UNCONFIRMED_AFTER
+            GIVE_UP_UNCONFIRMED_RELEASE_TIMES
         };
-        if self.now - state.release.since > lasts * self.settings.policy.kv_state_timeout {
-            return self.give_up_release(id, out);
+        if self.now - state.release.unblocked_since > lasts * self.settings.policy.kv_state_timeout
+        {
+            return self.give_up_release(request_id, outputs);
         }
-        let mut unconfirmed = state.release.unconfirmed.clone();
-        let engines = self.engines_to_ask(state, &mut unconfirmed);
-        if let Some(state) = self.kv_states.get_mut(id) {
-            state.release.unconfirmed = unconfirmed;
+        let mut asked_engines = state.release.asked_engines.clone();
+        let engines = self.engines_to_ask(state, &mut asked_engines);
+        if let Some(state) = self.kv_states.get_mut(request_id) {
+            state.release.asked_engines = asked_engines;
             state.release.round_confirmed = false;
         }
         for engine in engines {
-            self.begin_release(id, engine, out);
+            self.begin_release(request_id, engine, outputs);
         }
-        self.plan_next_round(id);
+        self.schedule_next_round(request_id);
     }
 
-    fn give_up_release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(state) = self.kv_states.forget(id) else {
+    /// A release is not sent again; what is not known of its effect is logged.
+    fn give_up_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+        let Some(state) = self.kv_states.forget(request_id) else {
             return;
         };
-        let unknowing: Vec<&str> = state.unknowing().map(|engine| engine.0.as_ref()).collect();
+        let unaware_engines: Vec<&str> = state
+            .unaware_engines()
+            .map(|engine| engine.0.as_ref())
+            .collect();
         let text = format!(
-            "state not released again: id={} after {} calls, {} confirmed; engines that have not worked since: {unknowing:?}",
-            state.held.origin, state.release.calls, state.release.confirmed
+            "state not released again: id={} after {} calls, {} confirmed; engines that have not worked since: {unaware_engines:?}",
+            state.held.origin, state.release.calls, state.release.confirmations
         );
-        let level = if state.release.confirmed > 0 {
+        let level = if state.release.confirmations > 0 {
             Level::Info
         } else {
             Level::Warn
         };
-        out.push(Output::Log { level, text });
+        outputs.push(Output::log(level, text));
     }
 
-    fn begin_release(&mut self, id: RequestId, engine: EngineId, out: &mut Vec<Output>) {
+    /// Asks an engine to release a KV state.
+    fn begin_release(
+        &mut self,
+        request_id: RequestId,
+        engine: EngineId,
+        outputs: &mut Vec<Output>,
+    ) {
         let Some(row) = self.endpoints.engines.get(&engine) else {
             return;
         };
-        let Some(state) = self.kv_states.get_mut(id) else {
+        let Some(state) = self.kv_states.get_mut(request_id) else {
             return;
         };
         let (now, address) = (self.now, row.line.address.clone());
-        (state.release.last_begun, state.release.calls) = (now, state.release.calls + 1);
+        (state.release.last_call_at, state.release.calls) = (now, state.release.calls + 1);
         let body = Body::Release(v1::Release {
             state: Some(state.held.id),
             origin: state.held.origin.clone(),
         });
         let purpose = StreamPurpose::Release(ReleaseCall {
-            request: id,
-            begun: now,
+            request: request_id,
+            begun_at: now,
         });
-        let to = (&mut self.timers, &mut *out);
+        let to = (&mut self.timers, &mut *outputs);
         match self
             .connections
             .open(&engine, &address, purpose, now, &self.settings, to)
         {
             Ok((connection, stream)) => {
                 state.release.open_calls += 1;
-                let until = now + self.settings.policy.kv_state_timeout / CONFIRM_PART;
-                self.timers.set(until, Due::Past(connection, stream));
-                self.connections.send(connection, stream, body, out);
+                let until =
+                    now + self.settings.policy.kv_state_timeout / CONFIRMATION_TIMEOUT_DIVISOR;
+                self.timers
+                    .set(until, Due::StreamTimeout(connection, stream));
+                self.connections.send(connection, stream, body, outputs);
             }
-            Err(_) => state.release.unconfirmed.push(engine),
+            Err(_) => state.release.asked_engines.push(engine),
         }
     }
 
-    /// A call to release a state has not gone out.
+    /// A call to release a KV state has not gone out.
     pub(super) fn release_unsent(&mut self, call: &ReleaseCall) {
         if let Some(state) = self.kv_states.get_mut(call.request) {
             state.release.open_calls = state.release.open_calls.saturating_sub(1);
-            self.kv_states.due.insert(call.request);
+            self.kv_states.due_releases.insert(call.request);
         }
     }
 
-    /// A call to release a state was not confirmed by the engine that was asked.
+    /// A call to release a KV state was not confirmed by the engine that was asked.
     pub(super) fn release_lost(&mut self, asked: EngineId, call: &ReleaseCall) {
         let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
         };
         state.release.open_calls = state.release.open_calls.saturating_sub(1);
-        state.release.unconfirmed.push(asked);
-        self.plan_next_round(call.request);
+        state.release.asked_engines.push(asked);
+        self.schedule_next_round(call.request);
     }
 
-    /// An engine has confirmed a release: the state's record is over, if that counts.
+    /// An engine has confirmed a release: the record of the KV state ends, if that counts.
     pub(super) fn release_confirmed(
         &mut self,
         asked: &EngineId,
         call: &ReleaseCall,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let release_time = self.settings.policy.kv_state_timeout;
         let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
         };
         state.release.open_calls = state.release.open_calls.saturating_sub(1);
-        state.release.unconfirmed.clear();
+        state.release.asked_engines.clear();
         state.release.round_confirmed = true;
-        if !state.is_to_release() {
+        if !state.is_release_wanted() {
             return;
         }
-        state.release.confirmed += 1;
+        state.release.confirmations += 1;
         let counts = state.is_released_by(call, release_time);
         if !counts || self.is_attempted(call.request) {
-            return self.plan_next_round(call.request);
+            return self.schedule_next_round(call.request);
         }
         let Some(state) = self.kv_states.forget(call.request) else {
             return;
         };
-        let level = if state.was_in_doubt() {
+        let level = if state.had_unacknowledged_end() {
             Level::Info
         } else {
             Level::Debug
@@ -229,277 +245,96 @@
             state.held.origin,
             asked.0,
             state.release.calls,
-            self.now - state.release.since
+            self.now - state.release.unblocked_since
         );
-        out.push(Output::Log { level, text });
+        outputs.push(Output::log(level, text));
     }
 
     /// Sets the time of the next round, once no call of this one is under way.
-    fn plan_next_round(&mut self, id: RequestId) {
+    fn schedule_next_round(&mut self, request_id: RequestId) {
         let release_time = self.settings.policy.kv_state_timeout;
         let Some(state) = self
             .kv_states
-            .to_release(id)
+            .release_wanted(request_id)
             .filter(|state| state.release.open_calls == 0)
         else {
             return;
         };
         let release = &state.release;
-        let is_hurried = self.now - release.since < HURRIED_FOR * release_time;
+        let is_hurried =
+            self.now - release.unblocked_since < FAST_ROUNDS_RELEASE_TIMES * release_time;
         let wait = match release.round_confirmed {
-            // The end of the attempt brings it up again.
-            true if self.is_attempted(id) => return,
+            // The end of the attempt continues it.
+            true if self.is_attempted(request_id) => return,
             true => {
                 let counts_in = state
                     .counts_from(release_time)
                     .map(|at| (at - self.now).max(0.0));
-                let usual = repeat_after(release.confirmed) * release_time;
+                let usual = repeat_after(release.confirmations) * release_time;
                 counts_in.map_or(usual, |counts_in| counts_in.min(usual))
             }
-            false if is_hurried => release_time / NEXT_ROUND_PART,
-            false => release_time / SLOW_ROUND_PART,
+            false if is_hurried => release_time / NEXT_ROUND_DIVISOR,
+            false => release_time / SLOW_ROUND_DIVISOR,
         };
         if !release.round_confirmed {
-            self.kv_states.stuck.insert(id);
+            self.kv_states.unconfirmed_releases.insert(request_id);
         }
-        self.look_again(id, self.now + wait);
+        self.schedule_release_check(request_id, self.now + wait);
     }
 
-    /// An engine has shown that it runs: it passes on the releases that nobody has confirmed.
-    pub(super) fn note_engine_ran(&mut self) {
-        let mut stuck = std::mem::take(&mut self.kv_states.stuck);
-        self.kv_states.due.append(&mut stuck);
+    /// An engine has shown that it runs: it can pass on the releases that no engine has confirmed.
+    pub(super) fn wake_unconfirmed_releases(&mut self) {
+        let mut unconfirmed_releases = std::mem::take(&mut self.kv_states.unconfirmed_releases);
+        self.kv_states
+            .due_releases
+            .append(&mut unconfirmed_releases);
     }
 
-    /// Has a release looked at at an instant, and not before.
-    fn look_again(&mut self, id: RequestId, at: Ms) {
-        let Some(state) = self.kv_states.get_mut(id) else {
+    /// Has a release continued at an instant, in milliseconds, and not before unless something happens.
+    pub(super) fn schedule_release_check(&mut self, request_id: RequestId, at: Ms) {
+        let Some(state) = self.kv_states.get_mut(request_id) else {
             return;
         };
-        state.release.next_look = at;
-        self.timers.set(at, Due::KvState(id));
+        state.release.next_check_at = at;
+        self.timers.set(at, Due::ReleaseCheck(request_id));
     }
 
-    /// The time has come at which a release was to be looked at, unless it was put off meanwhile.
-    pub(super) fn end_wait(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    /// A release may be due, unless it was put off meanwhile.
+    pub(super) fn on_release_timer(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let is_due = self
             .kv_states
-            .to_release(id)
-            .is_some_and(|state| state.release.next_look <= self.now);
+            .release_wanted(request_id)
+            .is_some_and(|state| state.release.next_check_at <= self.now);
         if is_due {
-            self.look_at_release(id, out);
+            self.continue_release(request_id, outputs);
         }
     }
 
-    /// An engine has worked since attempts there ended without its word: it knows of their ends now, or will in a moment.
+    /// An engine has worked since attempts there ended without a message of it: it knows of their ends now, or soon will.
     pub(super) fn note_engine_worked(&mut self, engine: &EngineId) {
         let worked = self.connections.worked_at(engine);
         for id in self.kv_states.engine_worked(engine, worked, self.now) {
             let state = self
                 .kv_states
-                .to_release(id)
-                .filter(|state| state.release.confirmed > 1);
-            let next = state.map_or(f64::INFINITY, |state| state.release.next_look);
+                .release_wanted(id)
+                .filter(|state| state.release.confirmations > 1);
+            let next = state.map_or(f64::INFINITY, |state| state.release.next_check_at);
             if let Some(at) =
                 state.and_then(|state| state.counts_from(self.settings.policy.kv_state_timeout))
             {
-                self.look_again(id, at.max(self.now).min(next));
+                self.schedule_release_check(id, at.max(self.now).min(next));
             }
         }
     }
-
-    /// The open request that goes by the id for which a state is held, and its attempt that is out.
-    fn open_request(&self, state: &KvState) -> Option<(RequestId, Option<&requests::Attempt>)> {
-        let id = *self.origins.get(&state.held.origin)?;
-        Some((
-            id,
-            self.requests
-                .get(&id)
-                .and_then(|request| request.out.as_ref()),
-        ))
-    }
-
-    /// Whether an attempt of a request is out.
-    fn is_attempted(&self, id: RequestId) -> bool {
-        let request = self
-            .kv_states
-            .get(id)
-            .and_then(|state| self.open_request(state));
-        request.is_some_and(|(_, attempt)| attempt.is_some())
-    }
-
-    /// Whether a release would end what its request still needs, as it does not tell a prefill's state from the next one's.
-    /// A decode attempt that is out for a state which the decisions have released needs nothing, and a prefill that has not
-    /// arrived neither.
-    pub(super) fn is_needed(&self, state: &KvState) -> bool {
-        let Some((id, attempt)) = self.open_request(state) else {
-            return false;
-        };
-        let needs = |attempt: &requests::Attempt| {
-            let may_arrive = self.now < self.doubted_from(state, attempt) + self.doubt_lasts();
-            attempt.first || attempt.reading && (may_arrive || self.has_arrived(attempt))
-        };
-        let is_on_offer = self
-            .kv_states
-            .on_offer(id)
-            .is_some_and(|state| !state.is_to_release());
-        is_on_offer || attempt.is_some_and(needs)
-    }
-
-    /// How long a release waits for a prefill that may not have arrived.
-    fn doubt_lasts(&self) -> Ms {
-        self.settings.policy.kv_state_timeout / DOUBT_PART
-    }
-
-    /// Since when. A release that has gone out before waits for each prefill anew.
-    fn doubted_from(&self, state: &KvState, attempt: &requests::Attempt) -> Ms {
-        let wanted = state.release.wanted;
-        if state.release.calls > 0 {
-            wanted.max(attempt.since)
-        } else {
-            wanted
-        }
-    }
-
-    /// A release waits for an attempt of its request. One that may not have arrived: its engine is asked for a sign, and
-    /// without one the release goes out in time.
-    fn wait_for_attempt(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(state) = self.kv_states.get_mut(id) else {
-            return;
-        };
-        state.release.since = self.now;
-        let mut again = self.now + self.settings.policy.kv_state_timeout / DOUBT_PART;
-        let Some(state) = self.kv_states.get(id) else {
-            return;
-        };
-        let Some((of, attempt)) = self.open_request(state) else {
-            return;
-        };
-        if let Some(attempt) =
-            attempt.filter(|attempt| !attempt.first && !self.has_arrived(attempt))
-        {
-            let from = self.doubted_from(state, attempt);
-            let asks_at = from + self.settings.policy.kv_state_timeout / ASK_PART;
-            again = if self.now < asks_at {
-                asks_at
-            } else {
-                from + self.doubt_lasts()
-            };
-            let (no, is_doubted) = (attempt.no, attempt.is_doubted);
-            if self.now >= asks_at && !is_doubted {
-                self.confirm(of, no, out);
-            }
-        }
-        self.look_again(id, again.max(self.now));
-    }
-
-    /// The engines that the next round asks: the one that holds the state, or that most likely runs; one more for each that has
-    /// not answered.
-    fn engines_to_ask(&self, state: &KvState, unconfirmed: &mut Vec<EngineId>) -> Vec<EngineId> {
-        let more = unconfirmed.len().min(MOST_AT_ONCE - 1);
-        let mut asked: Vec<EngineId> = self.holder_to_ask(state, unconfirmed).into_iter().collect();
-        while asked.len() < 1 + more {
-            let Some(next) = self.next_engine(unconfirmed, &asked) else {
-                break;
-            };
-            asked.push(next);
-        }
-        asked
-    }
-
-    /// The engine that holds the state, if it has not been asked, and was heard lately or was to prefill it just now. Guards
-    /// against a release that overtakes the end of a prefill that was cut off: by way of a nearer engine it could come before
-    /// the state is there.
-    fn holder_to_ask(&self, state: &KvState, unconfirmed: &[EngineId]) -> Option<EngineId> {
-        let engine = &state.held.engine;
-        let may_ask = self.endpoints.status(engine) != EndpointStatus::Gone
-            && !self.connections.is_asked_in_vain(engine);
-        let was_cut =
-            state.release.confirmed == 0 && state.unknowing().any(|other| other == engine);
-        let fits =
-            may_ask && (was_cut || self.was_heard_lately(engine)) && !unconfirmed.contains(engine);
-        fits.then(|| engine.clone())
-    }
-
-    fn was_heard_lately(&self, engine: &EngineId) -> bool {
-        self.connections.heard_at(engine)
-            >= self.now - self.settings.policy.kv_state_timeout / CONFIRM_PART
-    }
-
-    /// The engine that most likely runs, of those that have not been asked: none that has left a question unanswered since it
-    /// was heard, if there is another; one that was heard lately and has a connection at rest, one that was heard lately,
-    /// or the one that was heard last. Once all were asked it begins anew. Guards against a part of the fleet that falls
-    /// silent at once: its connections at rest stay up, while those of the engines that work are busy.
-    fn next_engine(&self, unconfirmed: &mut Vec<EngineId>, taken: &[EngineId]) -> Option<EngineId> {
-        let ready =
-            |(_, row): &(&EngineId, &endpoints::EngineEntry)| row.status == EndpointStatus::Ready;
-        let engines: Vec<&EngineId> = self
-            .endpoints
-            .engines
-            .iter()
-            .filter(ready)
-            .map(|(engine, _)| engine)
-            .collect();
-        if engines.iter().all(|engine| unconfirmed.contains(engine)) {
-            // The last one asked is not asked again at once, if there is another.
-            let asked = unconfirmed.len();
-            unconfirmed.drain(..asked.saturating_sub(1));
-        }
-        let rank = |engine: &EngineId| {
-            let fresh = self.was_heard_lately(engine);
-            let rests = fresh && self.connections.up(engine, true).is_some();
-            (
-                !self.connections.is_suspected(engine),
-                fresh,
-                rests,
-                self.connections.heard_at(engine),
-            )
-        };
-        let order = |a: &&EngineId, b: &&EngineId| {
-            let (a, b) = (rank(a), rank(b));
-            (a.0, a.1, a.2)
-                .cmp(&(b.0, b.1, b.2))
-                .then(a.3.total_cmp(&b.3))
-        };
-        // Guards against a storm: all requests that a process has open at a silent engine would ask it again and again.
-        let unasked = engines
-            .into_iter()
-            .filter(|engine| !unconfirmed.contains(engine) && !taken.contains(engine));
-        let unasked = unasked.filter(|engine| !self.connections.is_asked_in_vain(engine));
-        unasked.max_by(order).cloned()
-    }
-
-    /// An attempt of a request is over: what is held for it may be taken back, and what is to be released can be.
-    pub(super) fn settle_state(
-        &mut self,
-        id: RequestId,
-        ended: &requests::Attempt,
-        outcome: Outcome,
-    ) {
-        let is_unanswered = matches!(
-            outcome,
-            Outcome::Cancelled | Outcome::TimedOut | Outcome::ConnectionLost
-        );
-        let was_sent = ended.sent.is_some() && self.settings.limits.http1.is_some();
-        let unanswered = (is_unanswered && was_sent).then(|| ended.engine.clone());
-        let holds_anew = outcome == Outcome::PrefillDone || self.has_arrived(ended);
-        if let Some(state) = self
-            .kv_states
-            .get_mut(id)
-            .filter(|state| state.is_on_offer() && holds_anew)
-        {
-            state.held_since = self.now;
-        }
-        self.kv_states.take_back(id, ended.no);
-        self.kv_states.attempt_over(id, unanswered, self.now);
-        self.arm_guard(id);
-    }
 }
 
-/// In release times: when a release is sent again that was confirmed so often, and does not count.
-fn repeat_after(confirmed: u32) -> f64 {
-    match confirmed {
-        0 | 1 => FIRST_REPEAT,
-        many => REPEAT * 2.0_f64.powi(many.saturating_sub(EVEN_REPEATS).min(8) as i32),
+/// After how many release times a release is sent again that was confirmed so often by calls that do not count.
+fn repeat_after(confirmations: u32) -> f64 {
+    match confirmations {
+        0 | 1 => FIRST_REPEAT_RELEASE_TIMES,
+        many => {
+            REPEAT_RELEASE_TIMES
+                * 2.0_f64.powi(many.saturating_sub(REPEATS_BEFORE_BACKOFF).min(8) as i32)
+        }
     }
 }
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -587,7 +587,7 @@
     }
 
     pub async fn no_request_is_open(&self) {
-        until(|| self.driver.held().requests == 0).await;
+        until(|| self.driver.usage().requests == 0).await;
     }
 
     /// Waits until the process would end.
--- a/crates/dispatcher/tests/common/request_stages.rs
+++ b/crates/dispatcher/tests/common/request_stages.rs
@@ -42,7 +42,7 @@
     client.send(text).await;
     let mut engine = None;
     match stage {
-        Stage::Waits => until(|| net.driver.held().requests == 1).await,
+        Stage::Waits => until(|| net.driver.usage().requests == 1).await,
         Stage::Connects => net.gate.held_up(&net.engine("r1").address).await,
         Stage::Prefills => engine = Some(net.engine("r1").accept_request().await.0),
         Stage::HoldsState => {
@@ -136,7 +136,7 @@
         );
         conn.send(RELEASE_CONFIRMED).await;
         let on_it = tokio::select! { biased;
-            () = until(|| net.driver.held().releases == 0) => return,
+            () = until(|| net.driver.usage().releases == 0) => return,
             request = conn.next_request() => request,
             asked = net.accept_any_request() => {
                 conn = asked.0;
@@ -158,8 +158,8 @@
 /// A request is refused after a while, and nothing of it is sent to any engine.
 pub async fn is_refused(net: &Loopback, id: &str) {
     let mut client = net.send_request(id, "proof").await;
-    until(|| net.driver.held().requests == 1).await;
-    net.advance_until(|| net.driver.held().requests == 0).await;
+    until(|| net.driver.usage().requests == 1).await;
+    net.advance_until(|| net.driver.usage().requests == 0).await;
     assert!(client.read_until("\n").await.starts_with("HTTP/1.1 503 "));
     for engine in ["r1", "w1"] {
         assert!(
--- a/crates/dispatcher/tests/driver.rs
+++ b/crates/dispatcher/tests/driver.rs
@@ -17,7 +17,7 @@
 fn a_request_goes_its_whole_way() {
     run(|net| async move {
         assert_eq!(net.request("c").await, (End::Succeeded, 50));
-        assert_eq!(net.driver.held().requests, 0);
+        assert_eq!(net.driver.usage().requests, 0);
     });
 }
 
@@ -62,7 +62,7 @@
             port.run(common::submit("draft"), None, |_| {}).await,
             End::Succeeded
         );
-        assert_eq!(net.driver.held().requests, 0);
+        assert_eq!(net.driver.usage().requests, 0);
     });
 }
 
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -28,7 +28,7 @@
 /// No request is open and no KV state is held any more.
 async fn nothing_is_left(net: &Net) {
     net.wait(600.0).await;
-    assert_eq!(net.driver.held().requests, 0, "a task is left");
+    assert_eq!(net.driver.usage().requests, 0, "a task is left");
     assert!(
         net.engines.iter().all(|h| h.states() == 0),
         "a state is left"
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -322,16 +322,16 @@
             *net.asked.borrow(),
             [format!("r1: {line}"), format!("w1: {line}")]
         );
-        assert_eq!(net.driver.held().requests, 0);
+        assert_eq!(net.driver.usage().requests, 0);
         net.request("a2", "draft").await;
         assert_eq!(
-            net.driver.held().connections,
+            net.driver.usage().connections,
             2,
             "connections are used again"
         );
         net.wait(10_000.0).await;
         assert_eq!(
-            net.driver.held().connections,
+            net.driver.usage().connections,
             0,
             "and closed from this side when they rest"
         );
@@ -377,7 +377,7 @@
         let answer = net.request("a1", "proof").await;
         assert!(answer.ends_with("9\r\ndata: a\n\n\r\n"), "{answer}");
         assert_eq!(net.asked("w1: POST"), 1, "nothing more goes out for it");
-        assert_eq!(net.driver.held().requests, 0);
+        assert_eq!(net.driver.usage().requests, 0);
     });
 }
 
@@ -422,11 +422,11 @@
             2,
             "at once, and behind the close"
         );
-        assert_eq!(net.driver.held().requests, 0);
+        assert_eq!(net.driver.usage().requests, 0);
         net.wait(20_000.0).await;
         let releases = net.asked("DELETE /bootstrap/rooms/a1");
         assert!(RELEASES_BEHIND_A_CLOSE.contains(&releases), "{releases}");
-        assert_eq!(net.driver.held().releases, 0, "and no more");
+        assert_eq!(net.driver.usage().releases, 0, "and no more");
     });
 }
 
@@ -439,7 +439,7 @@
         let (begin, answer) = (net.clock.now(), net.request("a1", "proof").await);
         assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
         // The connection rests until it is closed; the answer came before.
-        assert!(net.driver.held().requests == 0 && begin > 0.0);
+        assert!(net.driver.usage().requests == 0 && begin > 0.0);
         net.wait(20_000.0).await;
         // One while the attempt is in doubt, the others behind its close.
         let releases = net.asked("DELETE /bootstrap/rooms/a1");
@@ -447,7 +447,7 @@
             RELEASES_BEHIND_A_CLOSE.contains(&(releases - 1)),
             "{releases}"
         );
-        assert_eq!(net.driver.held().releases, 0);
+        assert_eq!(net.driver.usage().releases, 0);
     });
 }
 
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -44,6 +44,8 @@
     decode
 }
 
+/// A decode engine hangs with an attempt for a KV state, so a release that is confirmed meanwhile may do nothing. It is
+/// sent again once the attempt is over.
 #[test]
 fn a_release_that_was_confirmed_while_an_attempt_was_out_is_sent_again_once_that_is_over() {
     for ends_by_deadline in [false, true] {
@@ -71,6 +73,8 @@
     }
 }
 
+/// A client leaves while its attempt is at an engine that hangs. The close of the attempt and the release go over two
+/// connections and may arrive in either order, so the release is sent again.
 #[test]
 fn a_release_that_may_overtake_the_close_of_its_attempt_is_sent_again() {
     for class in ["draft", "proof"] {
@@ -97,6 +101,8 @@
     }
 }
 
+/// A client leaves, and the engine of its attempt works on. It knows of the close then, so one release that is
+/// confirmed after that is the last.
 #[test]
 fn a_release_is_not_sent_again_once_the_engine_of_the_closed_attempt_has_worked_and_one_has_been_confirmed_since(
 ) {
@@ -118,7 +124,7 @@
         );
         let out = bench.pass(20_000.0);
         assert_eq!(
-            (releases_of(1, &out), bench.ledger.held().releases),
+            (releases_of(1, &out), bench.dispatcher.usage().releases),
             (vec![], 0),
             "{class}"
         );
@@ -152,7 +158,7 @@
             "{class}: but not for ever: {}",
             releases_of(1, &out).len()
         );
-        assert_eq!(bench.ledger.held().releases, 0);
+        assert_eq!(bench.dispatcher.usage().releases, 0);
     }
 }
 
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -310,7 +310,7 @@
     for (at, process) in processes.running.borrow().iter().enumerate() {
         let held = process
             .as_ref()
-            .map(|p| p.driver.held())
+            .map(|p| p.driver.usage())
             .unwrap_or_default();
         if held.requests > 0 {
             breach(
@@ -408,7 +408,7 @@
     loop {
         clock.sleep_until(clock.now() + 50.0).await;
         for process in processes.running.borrow().iter().flatten() {
-            let held = process.driver.held();
+            let held = process.driver.usage();
             let all = held.requests + held.connections + held.timers;
             processes.most.set(processes.most.get().max(all));
         }
