--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -155,7 +155,7 @@
         self.dispatchers
     }
 
-    /// How long a load report, or a missing one, says something.
+    /// Time constant with which a load report ages; a missing one counts for as long.
     pub(super) fn report_decay_ms(&self) -> Ms {
         self.report_decay_ms
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -229,23 +229,23 @@
     }
 }
 
-fn play(text: &str) {
-    let mut play = Play {
-        settings: settings(),
-        control: None,
-        now: 0.0,
-        events: Vec::new(),
-        actions_seen: Vec::new(),
-        timers: Vec::new(),
-        attempts: BTreeMap::new(),
-        newest: BTreeMap::new(),
-        has_expectation: false,
-    };
-    for (at, line) in text
-        .lines()
-        .enumerate()
-        .flat_map(|(at, line)| repeat_for_ids(line).map(move |l| (at, l)))
-    {
+impl Play {
+    fn new() -> Self {
+        Play {
+            settings: settings(),
+            control: None,
+            now: 0.0,
+            events: Vec::new(),
+            actions_seen: Vec::new(),
+            timers: Vec::new(),
+            attempts: BTreeMap::new(),
+            newest: BTreeMap::new(),
+            has_expectation: false,
+        }
+    }
+
+    /// Plays one line; `at` is its number, from 0.
+    fn line(&mut self, at: usize, line: &str) {
         let words: Vec<&str> = line
             .split('#')
             .next()
@@ -253,26 +253,60 @@
             .split_whitespace()
             .collect();
         let Some((&verb, rest)) = words.split_first() else {
-            continue;
-        };
-        let id = || RequestId(number(rest[0]) as u32);
-        let engine = |play: &Play| match rest[1] {
-            "*" => play.newest[&id().0].clone(),
-            name => EngineId(name.into()),
-        };
-        let newest = |play: &Play| {
-            AttemptId(
-                play.attempts
-                    .get(&id().0)
-                    .map_or(0, |n| n.saturating_sub(1)),
-            )
+            return;
         };
         match verb {
-            "set" => set(&mut play.settings, rest[0], rest[1]),
+            "set" => set(&mut self.settings, rest[0], rest[1]),
             "effect" => {
-                play.settings.request_classes[number(rest[0]) as usize].retry_safety =
+                self.settings.request_classes[number(rest[0]) as usize].retry_safety =
                     retry_safety(&rest[1..])
             }
+            "at" => self.go_to(number(rest[0])),
+            ">" | "!" | "most" | "least" => {
+                let now = self.now;
+                self.run(now);
+                self.has_expectation = true;
+                let case = format!("line {}: {line}\nseen: {:#?}", at + 1, self.actions_seen);
+                self.expect(verb, rest, &case);
+            }
+            "burst" => {
+                let first = request_id(rest).0;
+                self.events
+                    .extend((0..number(rest[1]) as u32).map(|n| arrival(first + n, &rest[2..])));
+            }
+            _ => {
+                let event = self.event(verb, rest);
+                self.events
+                    .push(event.unwrap_or_else(|| panic!("line {}: no verb {verb}", at + 1)));
+            }
+        }
+    }
+
+    /// Opens a batch of events at an instant; actions seen before the last expectations are forgotten.
+    fn go_to(&mut self, instant: Ms) {
+        if self.has_expectation {
+            self.actions_seen.clear();
+        }
+        self.has_expectation = false;
+        self.run(instant);
+    }
+
+    fn expect(&mut self, verb: &str, rest: &[&str], case: &str) {
+        match verb {
+            ">" => {
+                let found = self.actions_seen.iter().position(|s| matches(s, rest));
+                self.actions_seen
+                    .remove(found.unwrap_or_else(|| panic!("{case}")));
+            }
+            "!" => assert_eq!(self.count(rest), 0, "{case}"),
+            "most" => assert!(self.count(&rest[1..]) <= number(rest[0]) as usize, "{case}"),
+            _ => assert!(self.count(&rest[1..]) >= number(rest[0]) as usize, "{case}"),
+        }
+    }
+
+    /// The event that a line stands for; none if its verb is not one of an event.
+    fn event(&self, verb: &str, rest: &[&str]) -> Option<Event> {
+        Some(match verb {
             "list" => {
                 let kind = match rest[0] {
                     "changes" => EndpointUpdateKind::Delta,
@@ -280,79 +314,79 @@
                     _ => EndpointUpdateKind::Snapshot,
                 };
                 let endpoints = rest[1..].iter().map(|e| endpoint(e)).collect();
-                play.events
-                    .push(Event::EndpointsUpdated { kind, endpoints });
-            }
-            "at" => {
-                if play.has_expectation {
-                    play.actions_seen.clear();
-                }
-                play.has_expectation = false;
-                play.run(number(rest[0]));
+                Event::EndpointsUpdated { kind, endpoints }
             }
-            "task" => play.events.push(arrival(id().0, &rest[1..])),
-            "burst" => {
-                let first = id().0;
-                play.events
-                    .extend((0..number(rest[1]) as u32).map(|n| arrival(first + n, &rest[2..])));
-            }
-            "probed" => {
-                let [slots_used, queue, memory_held] = [1, 2, 3].map(|at| Some(number(rest[at])));
-                play.events.push(Event::HealthChecked {
-                    engine: EngineId(rest[0].into()),
-                    outcome: Outcome::Succeeded,
-                    latency: 5.0,
-                    load: Load {
-                        slots_used,
-                        queue,
-                        memory_held,
-                        ..Load::default()
-                    },
-                });
-            }
-            "left" => play.events.push(Event::ClientGone { request: id() }),
-            "first" => {
-                let attempt = newest(&play);
-                play.events.push(Event::FirstToken {
-                    request: id(),
-                    attempt,
-                    engine: engine(&play),
-                    latency: 50.0,
-                });
-            }
-            "end" => {
-                let x1 = rest.iter().find_map(|w| w.strip_prefix("x1=")).map(number);
-                play.events.push(Event::Ended(Ended {
-                    request: id(),
-                    attempt: newest(&play),
-                    engine: engine(&play),
-                    outcome: outcome(rest[2]),
-                    latency: 50.0,
-                    last: rest.contains(&"last"),
-                    detail: f64::from(u8::from(rest.contains(&"none"))),
-                    load: Load {
-                        waiting_kilotokens: x1,
-                        ..Load::default()
-                    },
-                }));
-            }
-            ">" | "!" | "most" | "least" => {
-                let now = play.now;
-                play.run(now);
-                play.has_expectation = true;
-                let case = format!("line {}: {line}\nseen: {:#?}", at + 1, play.actions_seen);
-                match verb {
-                    ">" => {
-                        let found = play.actions_seen.iter().position(|s| matches(s, rest));
-                        play.actions_seen
-                            .remove(found.unwrap_or_else(|| panic!("{case}")));
-                    }
-                    "!" => assert_eq!(play.count(rest), 0, "{case}"),
-                    "most" => assert!(play.count(&rest[1..]) <= number(rest[0]) as usize, "{case}"),
-                    _ => assert!(play.count(&rest[1..]) >= number(rest[0]) as usize, "{case}"),
-                }
-            }
-            _ => panic!("line {}: no verb {verb}", at + 1),
+            "task" => arrival(request_id(rest).0, &rest[1..]),
+            "probed" => health_checked(rest),
+            "left" => Event::ClientGone {
+                request: request_id(rest),
+            },
+            "first" => Event::FirstToken {
+                request: request_id(rest),
+                attempt: self.newest_attempt(rest),
+                engine: self.engine(rest),
+                latency: 50.0,
+            },
+            "end" => Event::Ended(self.ended(rest)),
+            _ => return None,
+        })
+    }
+
+    fn ended(&self, rest: &[&str]) -> Ended {
+        let x1 = rest.iter().find_map(|w| w.strip_prefix("x1=")).map(number);
+        Ended {
+            request: request_id(rest),
+            attempt: self.newest_attempt(rest),
+            engine: self.engine(rest),
+            outcome: outcome(rest[2]),
+            latency: 50.0,
+            last: rest.contains(&"last"),
+            detail: f64::from(u8::from(rest.contains(&"none"))),
+            load: Load {
+                waiting_kilotokens: x1,
+                ..Load::default()
+            },
+        }
+    }
+
+    /// The engine that a line names; `*` is that of the request's newest attempt.
+    fn engine(&self, rest: &[&str]) -> EngineId {
+        match rest[1] {
+            "*" => self.newest[&request_id(rest).0].clone(),
+            name => EngineId(name.into()),
+        }
+    }
+
+    fn newest_attempt(&self, rest: &[&str]) -> AttemptId {
+        let attempts = self.attempts.get(&request_id(rest).0);
+        AttemptId(attempts.map_or(0, |n| n.saturating_sub(1)))
+    }
+}
+
+fn request_id(rest: &[&str]) -> RequestId {
+    RequestId(number(rest[0]) as u32)
+}
+
+fn health_checked(rest: &[&str]) -> Event {
+    let [slots_used, queue, memory_held] = [1, 2, 3].map(|at| Some(number(rest[at])));
+    Event::HealthChecked {
+        engine: EngineId(rest[0].into()),
+        outcome: Outcome::Succeeded,
+        latency: 5.0,
+        load: Load {
+            slots_used,
+            queue,
+            memory_held,
+            ..Load::default()
+        },
+    }
+}
+
+fn play(text: &str) {
+    let mut play = Play::new();
+    for (at, line) in text.lines().enumerate() {
+        for line in repeat_for_ids(line) {
+            play.line(at, &line);
         }
     }
 }
