--- a/crates/dispatcher/src/state/connection_events.rs
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -126,6 +126,7 @@
             .is_some_and(|request| request.answered)
     }
 
+    /// A stream is over. Gives what it was for, if it was open.
     pub(super) fn close_stream(
         &mut self,
         connection_id: EngineConnectionId,
--- a/crates/dispatcher/src/state/io.rs
+++ b/crates/dispatcher/src/state/io.rs
@@ -178,6 +178,7 @@
 }
 
 impl Output {
+    /// A line for the log.
     pub(super) fn log(level: Level, text: String) -> Self {
         Output::Log { level, text }
     }
--- a/crates/dispatcher/src/state/kv_states.rs
+++ b/crates/dispatcher/src/state/kv_states.rs
@@ -303,7 +303,7 @@
     }
 
     /// An attempt of a request is over: what is to be released of it can be now. `unanswered`: the attempt's engine, if that
-    /// has not said a word of it.
+    /// has sent no message of it.
     pub fn attempt_over(
         &mut self,
         request: RequestId,
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -55,8 +55,7 @@
 use stream_purpose::EngineRelease;
 use timers::{Due, Timers};
 
-/// Routes requests to engines and their tokens back to clients. A state machine without I/O; see the
-/// [module](self)'s page. All instants are milliseconds on one clock that the caller keeps.
+/// Routes requests to engines and their tokens back to clients: a state machine without I/O. All instants are milliseconds on one clock that the caller keeps.
 pub struct Dispatcher {
     settings: ProgramSettings,
     control: Control,
--- a/crates/dispatcher/src/state/release_targets.rs
+++ b/crates/dispatcher/src/state/release_targets.rs
@@ -51,6 +51,7 @@
         fits.then(|| engine.clone())
     }
 
+    /// Whether an engine has sent anything within the time in which a release has to be confirmed.
     pub(super) fn has_responded_lately(&self, engine: &EngineId) -> bool {
         self.connections.heard_at(engine)
             >= self.now - self.settings.policy.kv_state_timeout / CONFIRMATION_TIMEOUT_DIVISOR
--- a/crates/dispatcher/src/state/request_log.rs
+++ b/crates/dispatcher/src/state/request_log.rs
@@ -14,17 +14,7 @@
     /// Logs an event, before the decisions take it.
     pub(super) fn log_event(&self, event: &Event, outputs: &mut Vec<Output>) {
         let text = match event {
-            Event::Arrived(a) => {
-                let (shared, session) = (a.shared.map_or(0, |s| s.0), a.session.0);
-                let (prompt, shared_tokens) = (a.prompt_tokens, a.shared_tokens);
-                let (request_class, deadline) = (a.request_class.0, a.time_to_deadline);
-                let request = self.request_label(a.request);
-                format!(
-                    "{request} arrived class={request_class} prompt={prompt} shared={shared_tokens} prefix={shared:x} \
-                     session={session:x} deadline={deadline:.0} retried={}",
-                    a.retried
-                )
-            }
+            Event::Arrived(arrival) => self.arrival_text(arrival),
             Event::ClientGone { request } => {
                 format!("{} client gone", self.request_label(*request))
             }
@@ -55,37 +45,8 @@
                 outcome,
                 latency,
                 load,
-            } => {
-                let shown =
-                    |value: Option<f64>| value.map_or("-".to_owned(), |v| format!("{v:.3}"));
-                let (queue, slots, memory) = (
-                    shown(load.queue),
-                    shown(load.slots_used),
-                    shown(load.memory_held),
-                );
-                format!(
-                    "health check engine={} outcome={outcome:?} after={latency:.1} queue={queue} slots={slots} \
-                     memory={memory}",
-                    engine.0
-                )
-            }
-            Event::EndpointsUpdated { kind, endpoints } => {
-                let mut text = format!("endpoints {kind:?}");
-                for e in endpoints {
-                    // Writing to a string cannot fail.
-                    let _ = write!(
-                        text,
-                        " {}:{}:{}:{}:{:?}:{:.0}",
-                        e.engine.0,
-                        e.kind.0,
-                        e.zone.0,
-                        e.cell.0,
-                        e.status,
-                        e.started.unwrap_or(0.0)
-                    );
-                }
-                text
-            }
+            } => health_check_text(engine, *outcome, *latency, load),
+            Event::EndpointsUpdated { kind, endpoints } => endpoints_text(*kind, endpoints),
             Event::Delivered { request, attempt } => {
                 format!(
                     "{} attempt={} delivered",
@@ -144,6 +105,20 @@
         outputs.push(Output::log(Level::Debug, text));
     }
 
+    fn arrival_text(&self, arrival: &Arrival) -> String {
+        format!(
+            "{} arrived class={} prompt={} shared={} prefix={:x} session={:x} deadline={:.0} retried={}",
+            self.request_label(arrival.request),
+            arrival.request_class.0,
+            arrival.prompt_tokens,
+            arrival.shared_tokens,
+            arrival.shared.map_or(0, |shared| shared.0),
+            arrival.session.0,
+            arrival.time_to_deadline,
+            arrival.retried
+        )
+    }
+
     /// A request by its number here and its id at its client.
     fn request_label(&self, request_id: RequestId) -> String {
         let origin = self
@@ -158,3 +133,32 @@
         )
     }
 }
+
+fn health_check_text(engine: &EngineId, outcome: Outcome, latency: Ms, load: &Load) -> String {
+    let shown = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.3}"));
+    format!(
+        "health check engine={} outcome={outcome:?} after={latency:.1} queue={} slots={} memory={}",
+        engine.0,
+        shown(load.queue),
+        shown(load.slots_used),
+        shown(load.memory_held)
+    )
+}
+
+fn endpoints_text(kind: EndpointUpdateKind, endpoints: &[Endpoint]) -> String {
+    let mut text = format!("endpoints {kind:?}");
+    for endpoint in endpoints {
+        // Writing to a string cannot fail.
+        let _ = write!(
+            text,
+            " {}:{}:{}:{}:{:?}:{:.0}",
+            endpoint.engine.0,
+            endpoint.kind.0,
+            endpoint.zone.0,
+            endpoint.cell.0,
+            endpoint.status,
+            endpoint.started.unwrap_or(0.0)
+        );
+    }
+    text
+}
--- a/crates/dispatcher/src/state/timers.rs
+++ b/crates/dispatcher/src/state/timers.rs
@@ -84,6 +84,7 @@
         (entry.key().0 .0 <= now).then(|| entry.remove())
     }
 
+    /// How many are set, also without cause.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
