--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -1,5 +1,7 @@
-//! A job that holds a duty, beside three members on connections in memory and a paused clock, while the voters' disks
-//! are slow for a moment or for good.
+//! A job of the operators runs under a lease, beside three members on connections in memory and a paused clock. Then
+//! the voters' disks become slow. A renewal that is lost once, or disks that are always slow but answer in time, must
+//! not end the work. When nothing renews the lease any more, the work must end before the lease is over: after that
+//! another process may hold the lease, and the same work would run twice.
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{FleetSettings, LocalHealth};
@@ -39,9 +41,10 @@
     }
 }
 
-struct Beside;
+/// A dispatcher that is always ready.
+struct ReadyDispatcher;
 
-impl Dispatcher for Beside {
+impl Dispatcher for ReadyDispatcher {
     fn local_health(&self) -> LocalHealth {
         LocalHealth {
             ready: true,
@@ -141,7 +144,7 @@
                 net.memory.clone(),
                 net.clock,
                 Some(disk),
-                Rc::new(Beside),
+                Rc::new(ReadyDispatcher),
             );
             let listener = net
                 .memory
@@ -160,10 +163,10 @@
         self.clock.sleep_until(self.clock.now() + ms).await;
     }
 
-    /// A job at the first member, once it holds its duty; gives what ends it, and how it will have ended.
+    /// A job at the first member, once it holds its lease; gives what stops it, and how it ends.
     async fn job(&self, work: Endless) -> (Rc<Notify>, tokio::task::JoinHandle<Ended>) {
         let (stop, begins) = (Rc::new(Notify::new()), work.begins.clone());
-        let (told, memory, clock) = (stop.clone(), self.memory.clone(), self.clock);
+        let (stopped, memory, clock) = (stop.clone(), self.memory.clone(), self.clock);
         let job = spawn_local(async move {
             let addresses = ["at-0".to_owned()];
             let lease_name = LeaseName::from("nightly");
@@ -175,7 +178,7 @@
                 number: 7,
             };
             let mut work = work;
-            job.run(&mut work, told.notified())
+            job.run(&mut work, stopped.notified())
                 .await
                 .expect("its work begins and ends")
         });
@@ -192,7 +195,7 @@
             let (begun, ended_by) = (work.begun.clone(), work.ended_by.clone());
             let (stop, job) = net.job(work).await;
             net.wait(LEASE * f64::from(part) / 20.0).await;
-            // One write that comes too late for the proposer: the try that needs it is lost, the next is not.
+            // One write that comes too late for the proposer: the proposal that needs it is lost, the next is not.
             net.write_takes.set(1.5 * ANSWER_WITHIN);
             net.wait(0.5 * ANSWER_WITHIN).await;
             net.write_takes.set(0.0);
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -1,4 +1,6 @@
-//! The fleet's words on the wire: there and back, and whatever else may come.
+//! Members exchange requests and answers as protobuf messages and store the acceptor's file in the same form. A message
+//! that were decoded as another, or a file that is damaged and yet read, would change what a voter promised. So all
+//! messages are encoded and decoded, and bytes that cannot be right are refused without a panic.
 
 use cindercleat::coordination::disruption_budget::{
     DisruptionBudget, MaxUnavailable, OutcomeCounts, UnitKind,
@@ -59,7 +61,7 @@
     }
 }
 
-fn agreed() -> ReplicatedState {
+fn replicated_state() -> ReplicatedState {
     let held = LeaseRecord {
         term: Term(3),
         holder: Some(holder()),
@@ -146,19 +148,19 @@
     }
 }
 
-fn kept() -> AcceptorState {
+fn acceptor_state() -> AcceptorState {
     AcceptorState {
         name: Name::from("a"),
         voter_id: VoterId(1),
         bootstrap: Some(voters()),
         promised: Some(ballot(13)),
-        accepted: Some((ballot(12), agreed())),
+        accepted: Some((ballot(12), replicated_state())),
         writes: 44,
         write_counts: WriteCounts::from([((Name::from("b"), VoterId(2)), 40)]),
     }
 }
 
-fn release(order: RolloutRequest) -> Question {
+fn rollout_request(order: RolloutRequest) -> Question {
     Question::Operator(OperatorRequest::Rollout(order))
 }
 
@@ -192,7 +194,7 @@
             },
         ],
     };
-    let act = FencedCommand {
+    let command = FencedCommand {
         lease_name: LeaseName::from("roll-call"),
         term: Term(3),
         holder: holder(),
@@ -204,7 +206,7 @@
         good_for: 300.25,
         body: b"in 3".to_vec(),
     };
-    let write_counts = kept().write_counts;
+    let write_counts = acceptor_state().write_counts;
     let (voter_id, lease_name, name) = (VoterId(1), LeaseName::from("x"), Name::from("n"));
     let questions = [
         Question::Vote(AcceptorRequest::Prepare {
@@ -215,7 +217,7 @@
         Question::Vote(AcceptorRequest::Accept {
             voter_id,
             ballot: ballot(1),
-            value: agreed(),
+            value: replicated_state(),
             write_counts,
         }),
         Question::VoterState,
@@ -227,7 +229,7 @@
         Question::LeaseOffer {
             lease_name: lease_name.clone(),
         },
-        Question::FencedCommand(act),
+        Question::FencedCommand(command),
         Question::Operator(OperatorRequest::Status),
         Question::Operator(OperatorRequest::HandOver {
             lease_name: lease_name.clone(),
@@ -256,21 +258,21 @@
             who: Name::from("h1"),
             incarnation: Incarnation(2),
         },
-        release(RolloutRequest::Start {
+        rollout_request(RolloutRequest::Start {
             plan: Box::new(plan()),
             skip: true,
             dry: false,
         }),
-        release(RolloutRequest::Halt {
+        rollout_request(RolloutRequest::Halt {
             why: "a reason".to_owned(),
         }),
-        release(RolloutRequest::Resume),
-        release(RolloutRequest::RollBack),
-        release(RolloutRequest::End),
-        release(RolloutRequest::Recount {
+        rollout_request(RolloutRequest::Resume),
+        rollout_request(RolloutRequest::RollBack),
+        rollout_request(RolloutRequest::End),
+        rollout_request(RolloutRequest::Recount {
             of: UnitKind::Engines,
         }),
-        release(RolloutRequest::Permit {
+        rollout_request(RolloutRequest::Permit {
             name: Name::from("n"),
             label: String::new(),
             refused: true,
@@ -305,7 +307,7 @@
     let answers = [
         Answer::Vote(AcceptorReply::Promise {
             ballot: ballot(2),
-            accepted: Some((ballot(1), agreed())),
+            accepted: Some((ballot(1), replicated_state())),
             writes: 3,
         }),
         Answer::Vote(AcceptorReply::Promise {
@@ -368,14 +370,14 @@
             heard: Vec::new(),
         })),
     };
-    let said = |round, by: &str| {
+    let wire_ballot = |round, by: &str| {
         Some(v1::Ballot {
             round,
             by: by.to_owned(),
             incarnation: 1,
         })
     };
-    assert!(question_in(prepare(said(1, "a"))).is_some());
+    assert!(question_in(prepare(wire_ballot(1, "a"))).is_some());
     assert_eq!(
         question_in(v1::FleetCall { question: None }),
         None,
@@ -383,22 +385,22 @@
     );
     for ballot in [
         None,
-        said(0, "a"),
-        said(u64::MAX, "a"),
-        said(1, ""),
-        said(1, "a\nb"),
-        said(1, &"x".repeat(300)),
+        wire_ballot(0, "a"),
+        wire_ballot(u64::MAX, "a"),
+        wire_ballot(1, ""),
+        wire_ballot(1, "a\nb"),
+        wire_ballot(1, &"x".repeat(300)),
     ] {
         assert_eq!(question_in(prepare(ballot.clone())), None, "{ballot:?}");
     }
     let mut many = question_out(&Question::Vote(AcceptorRequest::Accept {
         voter_id: VoterId(1),
         ballot: ballot(1),
-        value: agreed(),
+        value: replicated_state(),
         write_counts: WriteCounts::new(),
     }));
-    if let Some(v1::fleet_call::Question::Accept(take)) = &mut many.question {
-        let value = take.value.as_mut().expect("it is there");
+    if let Some(v1::fleet_call::Question::Accept(accept)) = &mut many.question {
+        let value = accept.value.as_mut().expect("it is there");
         value.leases = vec![value.leases[0].clone(); 1000];
     }
     assert_eq!(question_in(many), None, "more duties than there can be");
@@ -406,8 +408,8 @@
 
 #[test]
 fn a_voters_file_is_read_as_written_or_not_at_all() {
-    let bytes = write(&kept());
-    assert_eq!(read(&bytes).expect("it is whole"), kept());
+    let bytes = write(&acceptor_state());
+    assert_eq!(read(&bytes).expect("it is whole"), acceptor_state());
     assert!(matches!(read(b"something else"), Err(Unusable::Foreign)));
     assert!(matches!(read(&[]), Err(Unusable::Foreign)));
     let mut newer = bytes.clone();
@@ -432,7 +434,7 @@
 
     #[test]
     fn a_flipped_bit_is_noticed(at in 5usize..200, bit in 0u8..8) {
-        let mut bytes = write(&kept());
+        let mut bytes = write(&acceptor_state());
         let at = at % bytes.len();
         prop_assume!(at >= 5);
         bytes[at] ^= 1 << bit;
