--- a/crates/cindercleat-cli/src/fleet_settings.rs
+++ b/crates/cindercleat-cli/src/fleet_settings.rs
@@ -94,13 +94,13 @@
         return Err(line.wrong(&expected));
     }
     let heartbeat = time("beat", lease / 5.0)?;
-    let tell_every = time("tell-every", heartbeat)?;
-    if heartbeat < 10.0 || tell_every < 1.0 {
+    let report_interval = time("tell-every", heartbeat)?;
+    if heartbeat < 10.0 || report_interval < 1.0 {
         return Err(block
             .head
             .wrong("'beat' of at least 10ms and 'tell-every' of at least 1ms"));
     }
-    let tells = block
+    let report_receivers = block
         .all("tell")
         .iter()
         .map(|line| address(line, 1))
@@ -129,9 +129,12 @@
         lease: LeaseSettings { lease, drift },
         answer_within,
         heartbeat,
-        prefers: block.maybe_value("prefers")?,
-        tells: tells.iter().map(|at| Address::from(at.as_str())).collect(),
-        tell_every,
+        preferred_zone: block.maybe_value("prefers")?,
+        report_receivers: report_receivers
+            .iter()
+            .map(|at| Address::from(at.as_str()))
+            .collect(),
+        report_interval,
         bounds: release_plan::bounds(block)?,
         keeper: match block.maybe("keeper")? {
             Some(line) => Some(Address::from(address(line, 1)?.as_str())),
--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -354,11 +354,11 @@
             },
             answer_within: plan.lease * 0.15,
             heartbeat: plan.heartbeat,
-            prefers: plan.prefers.clone(),
-            tells: (0..plan.targets)
+            preferred_zone: plan.prefers.clone(),
+            report_receivers: (0..plan.targets)
                 .map(|at| Address::from(format!("t{at}").as_str()))
                 .collect(),
-            tell_every: plan.tell_every,
+            report_interval: plan.tell_every,
             bounds: plan
                 .release
                 .as_ref()
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -900,7 +900,7 @@
                 && self.nodes[at]
                     .member
                     .as_ref()
-                    .is_some_and(|m| m.roll().is_some())
+                    .is_some_and(|m| m.membership().is_some())
         });
         let Some(status) = caller
             .and_then(|at| self.nodes[at].member.as_ref())
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Another voter tells how many writes of this one it knows of.
+    /// Another voter answers how many writes of this one it knows of.
     ///
     /// Guards against an outdated file, see [`Acceptor::detect_outdated_file`]: the acceptor votes again once all
     /// voters have confirmed its file, or a majority has and a lease has passed.
@@ -316,7 +316,7 @@
         self.try_bootstrap(of, seen.voter_id, out);
     }
 
-    /// The fleet's bootstrap: a blank voter that has heard every voter of the settings knows their identities, and
+    /// The fleet's bootstrap: a blank voter that every voter of the settings has answered knows their identities, and
     /// they are the first voters.
     ///
     /// Guards against a second bootstrap beside the first, with which two fleets would choose values of their own: a
--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -94,7 +94,7 @@
 
     fn take_own_heartbeat(&mut self, heartbeat: Heartbeat) {
         let (now, shortest) = (self.now, self.settings.heartbeat);
-        let preferred_zone = self.settings.prefers.clone();
+        let preferred_zone = self.settings.preferred_zone.clone();
         let me = self.settings.me.clone();
         if let Some(membership) = &mut self.membership {
             membership.heartbeat_received(now, heartbeat, shortest);
--- a/src/coordination/member/leases.rs
+++ b/src/coordination/member/leases.rs
@@ -12,7 +12,7 @@
     pub(super) held: HeldLease,
     /// The successor that is named, if one is.
     pub(super) next: Option<Name>,
-    /// Where the successor is told.
+    /// Where the successor is sent word of it.
     pub(super) to: Option<Address>,
 }
 
--- a/src/coordination/member/membership_report.rs
+++ b/src/coordination/member/membership_report.rs
@@ -81,7 +81,7 @@
         let receiver = &mut self.report_receivers[index];
         let (receiver_timestamp, good_for) = receiver.clock.good_for(lease_end);
         receiver.awaits_answer = true;
-        receiver.next_report_at = self.now + self.settings.tell_every;
+        receiver.next_report_at = self.now + self.settings.report_interval;
         receiver.unsettled_until = held.expires_at;
         let command = FencedCommand {
             lease_name: membership_lease(),
@@ -93,7 +93,7 @@
             body,
         };
         self.count("acts");
-        let to = self.settings.tells[index].clone();
+        let to = self.settings.report_receivers[index].clone();
         let purpose = RequestPurpose::MembershipReport { receiver: index };
         self.send_request(to, Question::FencedCommand(command), purpose, out);
     }
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -68,7 +68,7 @@
     acceptor: Option<Acceptor>,
     storage: AcceptorStorage,
     next_acceptor_check_at: Ms,
-    /// Identities of the bootstrap's voters, as heard from them.
+    /// Identities of the bootstrap's voters, by their answers.
     bootstrap_voter_ids: BTreeMap<Name, VoterId>,
     /// Voters that confirmed that the acceptor's file is not outdated.
     confirmed_by: Vec<Name>,
@@ -157,7 +157,7 @@
             leader_answered_at: None,
             next_heartbeat_at: 0.0,
             heartbeat_interval: settings.heartbeat,
-            report_receivers: vec![ReportReceiver::default(); settings.tells.len()],
+            report_receivers: vec![ReportReceiver::default(); settings.report_receivers.len()],
             commands_sent: 0,
             receiver: Receiver::new(settings.incarnation, settings.lease.drift),
             disruptions: rollout::Releasing::default(),
@@ -239,7 +239,7 @@
     }
 
     /// The members of the fleet, while this one is the membership leader.
-    pub fn roll(&self) -> Option<&Membership> {
+    pub fn membership(&self) -> Option<&Membership> {
         self.membership.as_ref()
     }
 
--- a/src/coordination/member/settings.rs
+++ b/src/coordination/member/settings.rs
@@ -1,4 +1,4 @@
-//! What a member is told of its fleet at its start.
+//! The settings of a member, given at its start.
 
 use crate::coordination::disruption_budget::DisruptionBudget;
 use crate::coordination::lease::LeaseSettings;
@@ -32,11 +32,11 @@
     /// The shortest time between two heartbeats.
     pub heartbeat: Ms,
     /// The zone whose members are preferred as membership leader.
-    pub prefers: Option<String>,
+    pub preferred_zone: Option<String>,
     /// Receivers of the membership report.
-    pub tells: Vec<Address>,
+    pub report_receivers: Vec<Address>,
     /// How often each of them is sent one.
-    pub tell_every: Ms,
+    pub report_interval: Ms,
     /// The disruption budgets of dispatchers and of engines.
     pub bounds: (DisruptionBudget, DisruptionBudget),
     /// Who lists engines as draining.
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -7,7 +7,7 @@
 use crate::interface::Ms;
 use std::collections::BTreeMap;
 
-/// What a dispatcher tells the membership leader of itself.
+/// What a dispatcher reports of itself to the membership leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
     /// The sender.
@@ -87,7 +87,7 @@
 const FORGOTTEN_AFTER_HEARTBEATS: f64 = 600.0;
 /// Guards against a leader that many members overload: with more members each sends fewer heartbeats.
 const MAX_HEARTBEATS_PER_SECOND: f64 = 500.0;
-/// Members, and engines, that the leader keeps; one more is not taken in.
+/// The most members, and the most engines, that the leader records; one more is ignored.
 pub const MAX_MEMBERS: usize = 8192;
 
 /// A lease whose next holders are ranked.
--- a/src/coordination/register/acceptor.rs
+++ b/src/coordination/register/acceptor.rs
@@ -19,7 +19,7 @@
     pub name: Name,
     /// The voter's identity, drawn when its file was made.
     pub voter_id: VoterId,
-    /// The voters of the fleet's bootstrap, once all of them were heard.
+    /// The voters of the fleet's bootstrap, once the identities of all are known.
     pub bootstrap: Option<Voters>,
     /// The highest ballot that was promised.
     pub promised: Option<Ballot>,
