--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -230,7 +230,11 @@
                 say(give(
                     &clock,
                     &args.at,
-                    &OperatorRequest::ByHand { who, address, why },
+                    &OperatorRequest::ByHand {
+                        name: who,
+                        address,
+                        reason: why,
+                    },
                 )
                 .await)
             }
@@ -318,11 +322,11 @@
     };
     // The roll is where it is called.
     let mut full = found.clone();
-    if let Some(caller) = &found.caller {
+    if let Some(caller) = &found.leader {
         let there = [caller.0.to_string()];
         if let Ok(Reply::Status(status)) = give(clock, &there, &OperatorRequest::Status).await {
-            (full.roll, full.roll_for, full.disruptions) =
-                (status.roll, status.roll_for, status.disruptions);
+            (full.members, full.leading_for, full.disruptions) =
+                (status.members, status.leading_for, status.disruptions);
         }
     }
     Ok(full)
@@ -363,21 +367,21 @@
         let address = holder.as_ref().map(|h| h.address.0.to_string());
         json!({"duty": *lease_name.0, "term": term.0, "holder": name, "address": address})
     });
-    let roll = status.roll.iter().map(|l| {
+    let roll = status.members.iter().map(|l| {
         json!({
             "name": *l.name.0, "zone": l.zone, "label": l.label, "standing": member_status(l.member_status),
-            "ready": l.ready, "up_ms": l.up, "age_ms": l.age
+            "ready": l.ready, "up_ms": l.uptime, "age_ms": l.heard_ago
         })
     });
     json!({
-        "by": status.by.as_ref().map(|n| n.0.to_string()),
+        "by": status.reported_by.as_ref().map(|n| n.0.to_string()),
         "majority": status.majority,
         "generation": status.generation,
         "changing": status.changing,
         "version": status.version,
         "voters": voters.collect::<Vec<_>>(),
         "duties": leases.collect::<Vec<_>>(),
-        "roll_for_ms": status.roll_for,
+        "roll_for_ms": status.leading_for,
         "roll": roll.collect::<Vec<_>>(),
     })
 }
@@ -411,11 +415,11 @@
         });
         out += &format!("  {:<20} term {:<6} {holder}\n", lease_name.0, term.0);
     }
-    match status.roll_for {
+    match status.leading_for {
         Some(ms) => out += &format!("roll, called for {:.1} s\n", ms / 1000.0),
         None => out += "roll: nobody who calls it answers\n",
     }
-    for l in &status.roll {
+    for l in &status.members {
         out += &format!(
             "  {:<20} {:<10} {:<12} {:<10} {:<10} up {:.0} s, heard {:.0} ms ago\n",
             l.name.0,
@@ -423,8 +427,8 @@
             l.label,
             member_status(l.member_status),
             if l.ready { "ready" } else { "not ready" },
-            l.up / 1000.0,
-            l.age
+            l.uptime / 1000.0,
+            l.heard_ago
         );
     }
     out
--- a/crates/fleet/src/care_words.rs
+++ b/crates/fleet/src/care_words.rs
@@ -417,9 +417,9 @@
                 false => Some(address(&m.address)?),
             };
             return Some(OperatorRequest::ByHand {
-                who: name(&m.who)?,
+                name: name(&m.who)?,
                 address: at,
-                why: words(&m.why)?,
+                reason: words(&m.why)?,
             });
         }
         _ => return None,
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/words.rs
@@ -373,7 +373,11 @@
             job: *job,
         }),
         OperatorRequest::Rollout(order) => care_words::order_out(order),
-        OperatorRequest::ByHand { who, address, why } => Q::ByHand(v1::FleetByHand {
+        OperatorRequest::ByHand {
+            name: who,
+            address,
+            reason: why,
+        } => Q::ByHand(v1::FleetByHand {
             who: who.0.to_string(),
             address: address
                 .as_ref()
@@ -673,12 +677,12 @@
         label: l.label.clone(),
         member_status: place_in(&STANDINGS, &l.member_status),
         ready: l.ready,
-        up_ms: l.up,
-        age_ms: l.age,
+        up_ms: l.uptime,
+        age_ms: l.heard_ago,
     };
     v1::FleetStatusReply {
         by: status
-            .by
+            .reported_by
             .as_ref()
             .map(|n| n.0.to_string())
             .unwrap_or_default(),
@@ -688,10 +692,10 @@
         version: status.version,
         voters: status.voters.iter().map(voter).collect(),
         leases: status.leases.iter().map(row).collect(),
-        roll_for_ms: status.roll_for,
-        roll: status.roll.iter().map(line).collect(),
+        roll_for_ms: status.leading_for,
+        roll: status.members.iter().map(line).collect(),
         caller: status
-            .caller
+            .leader
             .as_ref()
             .map(|a| a.0.to_string())
             .unwrap_or_default(),
@@ -724,21 +728,21 @@
             label: l.label.clone(),
             member_status: *STANDINGS.get(l.member_status as usize)?,
             ready: l.ready,
-            up: finite(l.up_ms)?,
-            age: finite(l.age_ms)?,
+            uptime: finite(l.up_ms)?,
+            heard_ago: finite(l.age_ms)?,
         })
     };
     Some(Status {
-        by: name(&said.by),
+        reported_by: name(&said.by),
         majority: said.majority,
         generation: said.generation,
         changing: said.changing,
         version: said.version,
         voters: said.voters.iter().map(voter).collect::<Option<_>>()?,
         leases: said.leases.iter().map(row).collect::<Option<_>>()?,
-        roll_for: said.roll_for_ms,
-        roll: said.roll.iter().map(line).collect::<Option<_>>()?,
-        caller: address(&said.caller),
+        leading_for: said.roll_for_ms,
+        members: said.roll.iter().map(line).collect::<Option<_>>()?,
+        leader: address(&said.caller),
         disruptions: care_words::status_in(said.disruptions.as_ref())?,
     })
 }
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -276,9 +276,9 @@
             cancel: true,
         }),
         Question::Operator(OperatorRequest::ByHand {
-            who: Name::from("n"),
+            name: Name::from("n"),
             address: None,
-            why: "why".to_owned(),
+            reason: "why".to_owned(),
         }),
     ];
     for question in questions {
--- /dev/null
+++ b/src/coordination/member/operator_requests/leases.rs
@@ -0,0 +1,119 @@
+//! Operators' requests about leases.
+
+use super::super::*;
+use super::api::{Reply, LONGEST_NAME};
+use crate::coordination::lease::holder_of;
+
+/// Jobs that one dispatcher holds leases for.
+const MAX_JOBS: usize = 32;
+
+impl Member {
+    pub(super) fn order_hand_over(
+        &mut self,
+        lease_name: &LeaseName,
+        to: Option<Name>,
+        out: &mut Vec<Output>,
+    ) -> Reply {
+        if !self.holds.contains_key(lease_name) {
+            return self.hand_over_elsewhere(lease_name);
+        }
+        let membership = self.roll.as_ref();
+        let first = || membership.and_then(|m| m.first_for(lease_name)).cloned();
+        let Some(next) = to.or_else(first) else {
+            return Reply::Refused(format!("nobody is known that could hold {}", lease_name.0));
+        };
+        if next == self.settings.me {
+            return Reply::Refused(format!("{} holds {} already", next.0, lease_name.0));
+        }
+        if membership.is_some_and(|m| m.address(&next).is_none()) {
+            return Reply::Refused(format!("the roll-call knows no {}", next.0));
+        }
+        self.hand_over(lease_name, Some(next.clone()), out);
+        Reply::Done(format!("{} is given up for {}", lease_name.0, next.0))
+    }
+
+    fn hand_over_elsewhere(&self, lease_name: &LeaseName) -> Reply {
+        let newest = self.newest();
+        let holder = newest.and_then(|value| holder_of(value, lease_name));
+        if let Some((_, holder)) = holder {
+            if holder.incarnation != self.settings.incarnation {
+                return Reply::Elsewhere(holder.address.clone());
+            }
+        }
+        let is_known = newest.is_some_and(|value| value.leases.contains_key(lease_name));
+        Reply::Refused(match is_known {
+            true => format!("nobody holds {} now", lease_name.0),
+            false => format!("there is no duty {}", lease_name.0),
+        })
+    }
+
+    pub(super) fn order_hold(&mut self, lease_name: LeaseName, job: u64) -> Reply {
+        if let Some(reason) = self.hold_refused(&lease_name, job) {
+            return Reply::Refused(reason);
+        }
+        let now = self.now;
+        match self.jobs.get_mut(&lease_name) {
+            Some(same) => same.asked = now,
+            None => self.begin_job(&lease_name, job),
+        }
+        let lease = self.holds.get(&lease_name);
+        match lease.filter(|lease| lease.left(now) > 0.0) {
+            Some(lease) => Reply::Holds {
+                term: Some(lease.term),
+                good_for: lease.left(now),
+            },
+            None => Reply::Holds {
+                term: None,
+                good_for: 0.0,
+            },
+        }
+    }
+
+    /// Why a lease is not held for a job, in words.
+    fn hold_refused(&self, lease_name: &LeaseName, job: u64) -> Option<String> {
+        if lease_name.0.as_ref() == MEMBERSHIP_LEASE {
+            return Some(format!("{MEMBERSHIP_LEASE} is the dispatchers' own"));
+        }
+        if lease_name.0.is_empty() || lease_name.0.len() > LONGEST_NAME {
+            return Some(format!("a duty's name has 1 to {LONGEST_NAME} bytes"));
+        }
+        if self.stopping {
+            return Some("this dispatcher stops".to_owned());
+        }
+        match self.jobs.get(lease_name) {
+            Some(other) if other.number != job => {
+                Some(format!("{} is wanted here by another job", lease_name.0))
+            }
+            None if self.jobs.len() >= MAX_JOBS => {
+                Some(format!("{MAX_JOBS} jobs are held for here already"))
+            }
+            _ => None,
+        }
+    }
+
+    fn begin_job(&mut self, lease_name: &LeaseName, job: u64) {
+        let now = self.now;
+        let job = Job {
+            number: job,
+            asked: now,
+        };
+        self.jobs.insert(lease_name.clone(), job);
+        let mut observer = LeaseObserver::new(now, &mut self.rng);
+        // The dispatcher that is asked first for a new lease contends first.
+        observer.place = Some(0);
+        self.watches.insert(lease_name.clone(), observer);
+        self.next_look = now;
+    }
+
+    pub(super) fn order_let_go(
+        &mut self,
+        lease_name: &LeaseName,
+        job: u64,
+        out: &mut Vec<Output>,
+    ) -> Reply {
+        if self.jobs.get(lease_name).is_some_and(|j| j.number == job) {
+            self.let_go(lease_name, out);
+        }
+        Reply::Done(format!("{} let go", lease_name.0))
+    }
+}
--- a/src/coordination/member/rollout/stop_by_hand.rs
+++ b/src/coordination/member/rollout/stop_by_hand.rs
@@ -9,35 +9,38 @@
     pub(in super::super) fn stop_by_hand(
         &mut self,
         call: CallId,
-        who: Name,
+        name: Name,
         address: Option<Address>,
-        why: String,
+        reason: String,
         out: &mut Vec<Output>,
     ) -> Option<Reply> {
-        if who == self.settings.me {
-            return Some(self.stop_this_by_hand(&why, out));
+        if name == self.settings.me {
+            return Some(self.stop_this_by_hand(&reason, out));
         }
         let membership = self.roll.as_ref();
-        let member = membership.and_then(|roll| roll.address(&who)).cloned();
-        let voter = self.settings.voters.get(&who).cloned();
+        let member = membership.and_then(|roll| roll.address(&name)).cloned();
+        let voter = self.settings.voters.get(&name).cloned();
         let Some(to) = address.or(member).or(voter) else {
-            let why = format!("nobody here knows where {} is: name its address", who.0);
+            let why = format!("nobody here knows where {} is: name its address", name.0);
             return Some(Reply::Refused(why));
         };
-        let note = format!("{} was stopped by hand, without agreement: {why}", who.0);
+        let note = format!(
+            "{} was stopped by hand, without agreement: {reason}",
+            name.0
+        );
         out.push(Output::Warn(note.clone()));
         let request = OperatorRequest::ByHand {
-            who,
+            name,
             address: None,
-            why,
+            reason,
         };
         let errand = Errand::ByHand { call, note };
         self.ask(to, Question::Operator(request), errand, out);
         None
     }
 
-    fn stop_this_by_hand(&mut self, why: &str, out: &mut Vec<Output>) -> Reply {
-        let warning = format!("stopped by hand, without agreement: {why}");
+    fn stop_this_by_hand(&mut self, reason: &str, out: &mut Vec<Output>) -> Reply {
+        let warning = format!("stopped by hand, without agreement: {reason}");
         out.push(Output::Warn(warning));
         self.count("stopped by hand");
         self.drain();
