--- a/crates/cindercleat-cli/src/releases.rs
+++ b/crates/cindercleat-cli/src/releases.rs
@@ -16,7 +16,7 @@
 /// Gives the halt, and again until it is certain that nothing begins any more.
 pub async fn halt(clock: &SystemClock, at: &[String], why: &str) -> io::Result<bool> {
     let order = OperatorRequest::Rollout(RolloutRequest::Halt {
-        why: why.to_owned(),
+        reason: why.to_owned(),
     });
     let mut told = String::new();
     loop {
@@ -47,7 +47,7 @@
         OperatorRequest::Rollout(RolloutRequest::Permit {
             name: Name::from(name),
             label: label.to_owned(),
-            refused,
+            cancel: refused,
         })
     };
     let mut told = String::new();
@@ -111,28 +111,28 @@
     use serde_json::json;
     let disruptions = &full.disruptions;
     let permits = disruptions.permits.iter().map(
-        |(number, who, zone, at)| json!({"turn": number.0, "who": *who.0, "zone": zone, "at": at}),
+        |line| json!({"turn": line.permit.0, "who": *line.unit.0, "zone": line.zone, "at": line.stage}),
     );
     let room = disruptions
-        .room
+        .unavailable
         .iter()
-        .map(|(zone, out, most)| json!({"zone": zone, "out": out, "most": most}));
+        .map(|count| json!({"zone": count.zone, "out": count.unavailable, "most": count.limit}));
     let left = disruptions
-        .left
+        .abandoned
         .iter()
-        .map(|(who, why)| json!({"who": *who.0, "why": why}));
+        .map(|line| json!({"who": *line.unit.0, "why": line.reason}));
     json!({
         "majority": full.majority,
         "release": disruptions.name,
-        "of": disruptions.of.to_string(),
+        "of": disruptions.unit_kind.to_string(),
         "state": disruptions.state,
         "halted": disruptions.halted,
-        "why": disruptions.why,
+        "why": disruptions.blocked_reason,
         "wave": disruptions.wave,
-        "given": disruptions.given,
-        "of_wave": disruptions.of_wave,
-        "turned": disruptions.turned,
-        "meant": disruptions.meant,
+        "given": disruptions.granted_in_wave,
+        "of_wave": disruptions.wave_size,
+        "turned": disruptions.completed,
+        "meant": disruptions.selected,
         "turns": permits.collect::<Vec<_>>(),
         "room": room.collect::<Vec<_>>(),
         "left": left.collect::<Vec<_>>(),
@@ -143,10 +143,10 @@
 fn as_text(full: &Status) -> String {
     let RolloutStatus {
         name,
-        of,
+        unit_kind: of,
         state,
         halted,
-        why,
+        blocked_reason: why,
         ..
     } = &full.disruptions;
     let disruptions = &full.disruptions;
@@ -154,7 +154,7 @@
         "none" => "no release\n".to_owned(),
         _ => format!(
             "release {name} of {of}: {state}\n  wave {}, {} of {} turns given in it; {} turns over, {} meant\n",
-            disruptions.wave, disruptions.given, disruptions.of_wave, disruptions.turned, disruptions.meant
+            disruptions.wave, disruptions.granted_in_wave, disruptions.wave_size, disruptions.completed, disruptions.selected
         ),
     };
     if !halted.is_empty() {
@@ -163,24 +163,27 @@
     if !why.is_empty() && why != halted {
         out += &format!("  waits: {why}\n");
     }
-    for (number, who, zone, at) in &disruptions.permits {
-        out += &format!("  turn {:<6} {:<20} {:<10} {at}\n", number.0, who.0, zone);
+    for line in &disruptions.permits {
+        out += &format!(
+            "  turn {:<6} {:<20} {:<10} {}\n",
+            line.permit.0, line.unit.0, line.zone, line.stage
+        );
     }
-    for (zone, is_out, most) in &disruptions.room {
-        let place = if zone.is_empty() {
+    for count in &disruptions.unavailable {
+        let place = if count.zone.is_empty() {
             "fleet".to_owned()
         } else {
-            format!("zone {zone}")
+            format!("zone {}", count.zone)
         };
-        let most = if *most == u32::MAX {
+        let limit = if count.limit == u32::MAX {
             "any".to_owned()
         } else {
-            most.to_string()
+            count.limit.to_string()
         };
-        out += &format!("  {place:<20} {is_out} out, {most} may be\n");
+        out += &format!("  {place:<20} {} out, {limit} may be\n", count.unavailable);
     }
-    for (who, why) in &disruptions.left {
-        out += &format!("  left for you: {} {why}\n", who.0);
+    for line in &disruptions.abandoned {
+        out += &format!("  left for you: {} {}\n", line.unit.0, line.reason);
     }
     for note in &disruptions.notes {
         out += &format!("  noted: {note}\n");
--- a/crates/fleet/tests/stored_bytes.rs
+++ b/crates/fleet/tests/stored_bytes.rs
@@ -104,7 +104,7 @@
 
 fn budget() -> DisruptionBudget {
     let limit = |number| MaxUnavailable {
-        number,
+        count: number,
         per_mille: 10 * number,
     };
     DisruptionBudget {
@@ -112,67 +112,67 @@
         zone: limit(22),
         cell: limit(23),
         kind: limit(24),
-        prefill_engines_per_zone: 2,
-        decode_engines_per_zone: 3,
-        prefill_engines_per_cell: 4,
-        decode_engines_per_cell: 5,
-        used_per_mille: 800,
-        report_age_ms: 6_000,
+        min_prefill_engines_per_zone: 2,
+        min_decode_engines_per_zone: 3,
+        min_prefill_engines_per_cell: 4,
+        min_decode_engines_per_cell: 5,
+        max_utilization_per_mille: 800,
+        max_report_age_ms: 6_000,
     }
 }
 
 fn rollout() -> Rollout {
     let plan = RolloutPlan {
         name: "v2 in three waves".to_owned(),
-        of: UnitKind::Engines,
+        unit_kind: UnitKind::Engines,
         label: "v2".to_owned(),
-        before: "v1".to_owned(),
+        previous_label: "v1".to_owned(),
         zones: vec!["z1".to_owned(), "z2".to_owned()],
         cells: vec!["c1".to_owned()],
         kinds: vec!["k1".to_owned()],
         names: vec![Name::from("e1"), Name::from("e2")],
-        stays: true,
-        first: 2,
-        grow_per_mille: 1500,
-        watch_ms: 60_000,
+        permanent: true,
+        first_wave_size: 2,
+        wave_growth_per_mille: 1500,
+        observe_ms: 60_000,
         settle_ms: 30_000,
-        begin_ms: 20_000,
-        back_ms: 90_000,
+        start_timeout_ms: 20_000,
+        return_timeout_ms: 90_000,
     };
     Rollout {
         plan,
-        bounds: budget(),
-        by: Name::from("a"),
-        back: true,
-        done: true,
+        budget: budget(),
+        started_by: Name::from("a"),
+        rolling_back: true,
+        finished: true,
         wave: 3,
-        given: 2,
-        reached: BTreeMap::from([("z1".to_owned(), 1), ("z2".to_owned(), u64::MAX)]),
-        again: BTreeSet::from([Name::from("e2")]),
-        left: BTreeMap::from([(Name::from("e3"), "did not come back".to_owned())]),
-        turned: 7,
+        granted_in_wave: 2,
+        zone_progress: BTreeMap::from([("z1".to_owned(), 1), ("z2".to_owned(), u64::MAX)]),
+        regrant: BTreeSet::from([Name::from("e2")]),
+        abandoned: BTreeMap::from([(Name::from("e3"), "did not come back".to_owned())]),
+        completed: 7,
     }
 }
 
 fn permits() -> BTreeMap<PermitId, DisruptionPermit> {
     let of_an_engine = DisruptionPermit {
-        of: UnitKind::Engines,
-        who: Name::from("e1"),
+        unit_kind: UnitKind::Engines,
+        unit: Name::from("e1"),
         incarnation: Incarnation(9),
         address: Address::default(),
         zone: "z1".to_owned(),
         label: "v2".to_owned(),
-        stays: true,
+        permanent: true,
         planned: true,
     };
     let of_a_dispatcher = DisruptionPermit {
-        of: UnitKind::Dispatchers,
-        who: Name::from("b"),
+        unit_kind: UnitKind::Dispatchers,
+        unit: Name::from("b"),
         incarnation: Incarnation(10),
         address: Address::from("b.example:7000"),
         zone: "z2".to_owned(),
         label: String::new(),
-        stays: false,
+        permanent: false,
         planned: false,
     };
     BTreeMap::from([
@@ -183,13 +183,13 @@
 
 fn stored_state() -> AcceptorState {
     let disruptions = DisruptionState {
-        given: 12,
+        permits_granted: 12,
         permits: permits(),
-        release: Some(Box::new(rollout())),
+        rollout: Some(Box::new(rollout())),
         halted: Some("too many errors".to_owned()),
-        resumed: 2,
-        dispatchers: BTreeMap::from([("z1".to_owned(), 300), ("z2".to_owned(), 200)]),
-        engines: BTreeMap::from([("z1".to_owned(), 100)]),
+        resume_count: 2,
+        dispatcher_sizes: BTreeMap::from([("z1".to_owned(), 300), ("z2".to_owned(), 200)]),
+        engine_sizes: BTreeMap::from([("z1".to_owned(), 100)]),
         notes: vec!["c was stopped by hand".to_owned()],
     };
     let value = ReplicatedState {
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -3,12 +3,12 @@
 //! messages are encoded and decoded, and bytes that cannot be right are refused without a panic.
 
 use cindercleat::coordination::disruption_budget::{
-    DisruptionBudget, MaxUnavailable, OutcomeCounts, UnitKind,
+    DisruptionBudget, MaxUnavailable, OutcomeCounts, UnavailableCount, UnitKind,
 };
 use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::coordination::member::{
-    Answer, HeartbeatReply, OperatorRequest, Question, Reply, RolloutRequest, RolloutStatus,
-    Status, VoterState,
+    AbandonedUnit, Answer, HeartbeatReply, OperatorRequest, PermitStatus, Question, Reply,
+    RolloutRequest, RolloutStatus, Status, VoterState,
 };
 use cindercleat::coordination::membership::{EngineReport, Heartbeat};
 use cindercleat::coordination::register::{
@@ -85,65 +85,65 @@
 fn plan() -> RolloutPlan {
     RolloutPlan {
         name: "v2".to_owned(),
-        of: UnitKind::Engines,
+        unit_kind: UnitKind::Engines,
         label: "v2".to_owned(),
-        before: "v1".to_owned(),
+        previous_label: "v1".to_owned(),
         zones: vec!["z".to_owned()],
         cells: vec!["c".to_owned()],
         kinds: vec!["k".to_owned()],
         names: vec![Name::from("h1")],
-        stays: true,
-        first: 2,
-        grow_per_mille: 1500,
-        watch_ms: 1,
+        permanent: true,
+        first_wave_size: 2,
+        wave_growth_per_mille: 1500,
+        observe_ms: 1,
         settle_ms: 2,
-        begin_ms: 3,
-        back_ms: 4,
+        start_timeout_ms: 3,
+        return_timeout_ms: 4,
     }
 }
 
 fn disruptions() -> DisruptionState {
     let permit = DisruptionPermit {
-        of: UnitKind::Engines,
-        who: Name::from("h1"),
+        unit_kind: UnitKind::Engines,
+        unit: Name::from("h1"),
         incarnation: Incarnation(9),
         address: Address::default(),
         zone: "z".to_owned(),
         label: "v2".to_owned(),
-        stays: true,
+        permanent: true,
         planned: true,
     };
     let most = MaxUnavailable {
-        number: 3,
+        count: 3,
         per_mille: 100,
     };
     let bounds = DisruptionBudget {
         fleet: most,
-        used_per_mille: 800,
-        prefill_engines_per_cell: 2,
+        max_utilization_per_mille: 800,
+        min_prefill_engines_per_cell: 2,
         ..DisruptionBudget::default()
     };
     let release = Rollout {
         plan: plan(),
-        bounds,
-        by: Name::from("a"),
-        back: true,
-        done: true,
+        budget: bounds,
+        started_by: Name::from("a"),
+        rolling_back: true,
+        finished: true,
         wave: 3,
-        given: 2,
-        reached: BTreeMap::from([("z".to_owned(), u64::MAX)]),
-        again: BTreeSet::from([Name::from("h2")]),
-        left: BTreeMap::from([(Name::from("h3"), "did not come back".to_owned())]),
-        turned: 7,
+        granted_in_wave: 2,
+        zone_progress: BTreeMap::from([("z".to_owned(), u64::MAX)]),
+        regrant: BTreeSet::from([Name::from("h2")]),
+        abandoned: BTreeMap::from([(Name::from("h3"), "did not come back".to_owned())]),
+        completed: 7,
     };
     DisruptionState {
-        given: 12,
+        permits_granted: 12,
         permits: BTreeMap::from([(PermitId(12), permit)]),
-        release: Some(Box::new(release)),
+        rollout: Some(Box::new(release)),
         halted: Some("why".to_owned()),
-        resumed: 2,
-        dispatchers: BTreeMap::from([("z".to_owned(), 300)]),
-        engines: BTreeMap::from([("z".to_owned(), 100)]),
+        resume_count: 2,
+        dispatcher_sizes: BTreeMap::from([("z".to_owned(), 300)]),
+        engine_sizes: BTreeMap::from([("z".to_owned(), 100)]),
         notes: vec!["by hand".to_owned()],
     }
 }
@@ -260,27 +260,27 @@
         },
         rollout_request(RolloutRequest::Start {
             plan: Box::new(plan()),
-            skip: true,
-            dry: false,
+            skip_missing: true,
+            dry_run: false,
         }),
         rollout_request(RolloutRequest::Halt {
-            why: "a reason".to_owned(),
+            reason: "a reason".to_owned(),
         }),
         rollout_request(RolloutRequest::Resume),
         rollout_request(RolloutRequest::RollBack),
         rollout_request(RolloutRequest::End),
         rollout_request(RolloutRequest::Recount {
-            of: UnitKind::Engines,
+            unit_kind: UnitKind::Engines,
         }),
         rollout_request(RolloutRequest::Permit {
             name: Name::from("n"),
             label: String::new(),
-            refused: true,
+            cancel: true,
         }),
         Question::Operator(OperatorRequest::ByHand {
-            who: Name::from("n"),
+            name: Name::from("n"),
             address: None,
-            why: "why".to_owned(),
+            reason: "why".to_owned(),
         }),
     ];
     for question in questions {
@@ -293,14 +293,21 @@
     let status = RolloutStatus {
         name: "v2".to_owned(),
         state: "running".to_owned(),
-        permits: vec![(
-            PermitId(1),
-            Name::from("n"),
-            "z".to_owned(),
-            "out".to_owned(),
-        )],
-        room: vec![(String::new(), 1, u32::MAX)],
-        left: vec![(Name::from("n"), "why".to_owned())],
+        permits: vec![PermitStatus {
+            permit: PermitId(1),
+            unit: Name::from("n"),
+            zone: "z".to_owned(),
+            stage: "out".to_owned(),
+        }],
+        unavailable: vec![UnavailableCount {
+            zone: String::new(),
+            unavailable: 1,
+            limit: u32::MAX,
+        }],
+        abandoned: vec![AbandonedUnit {
+            unit: Name::from("n"),
+            reason: "why".to_owned(),
+        }],
         notes: vec!["note".to_owned()],
         ..RolloutStatus::default()
     };
--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -66,7 +66,7 @@
             stopping: self.stopping,
             load: self.load,
             holds: self.held_leases.len() as u32,
-            tally: self.disruptions.tally,
+            tally: self.disruptions.outcomes,
             reports,
         }
     }
--- a/src/coordination/member/membership_report.rs
+++ b/src/coordination/member/membership_report.rs
@@ -27,7 +27,8 @@
     /// Guards against a command that is under way while the lease changes hands: a successor, also this process in
     /// its next term, must not act beside it. A receiver executes none after the lease under which it was sent.
     pub(super) fn fenced_commands_over_at(&self) -> Ms {
-        let permits = self.disruptions.acts.values().map(|acts| acts.unsure_until);
+        let receivers = self.disruptions.receivers.values();
+        let permits = receivers.map(|receiver| receiver.unsure_until);
         let reports = self.report_receivers.iter();
         reports
             .map(|receiver| receiver.unsettled_until)
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -20,8 +20,8 @@
     UnusableFile, VoterState,
 };
 pub use operator_requests::{
-    MemberLine, OperatorRequest, Reply, RolloutRequest, RolloutStatus, Status, VoterLine,
-    LONGEST_NAME,
+    AbandonedUnit, MemberLine, OperatorRequest, PermitStatus, Reply, RolloutRequest, RolloutStatus,
+    Status, VoterLine, LONGEST_NAME,
 };
 pub use rollout::MAX_REPORTS;
 pub use settings::FleetSettings;
@@ -31,7 +31,7 @@
 use self::membership_report::ReportReceiver;
 use self::proposer::{PendingCommand, ProposalInFlight, ProposalReason};
 use self::requests::{NextVoter, RequestInFlight, RequestPurpose};
-use super::disruption_budget::UnitKind;
+use super::disruption_budget::{OutcomeCounts, Unit, UnitKind};
 use super::fault_injection::{is_injected, InjectedFault};
 use super::fencing::{FencedCommand, FencingDecision, Receiver, ReceiverClock, ReceiverTimestamp};
 use super::lease::{HeldLease, LeaseObserver};
@@ -107,7 +107,7 @@
     receiver: Receiver,
 
     // Disruptions and rollouts.
-    disruptions: rollout::Releasing,
+    disruptions: rollout::RolloutState,
 
     // Requests.
     requests_sent: u64,
@@ -160,7 +160,7 @@
             report_receivers: vec![ReportReceiver::default(); settings.report_receivers.len()],
             commands_sent: 0,
             receiver: Receiver::new(settings.incarnation, settings.lease.drift),
-            disruptions: rollout::Releasing::default(),
+            disruptions: rollout::RolloutState::default(),
             requests_sent: 0,
             in_flight: BTreeMap::new(),
             inspections: BTreeMap::new(),
@@ -192,12 +192,12 @@
         self.resend_requests(out);
         self.expire_requests(out);
         self.check_acceptor(out);
-        self.look_after();
+        self.run_rollout_controller();
         self.advance(out);
         self.heartbeat_if_due(out);
         self.send_membership_reports(out);
-        self.tell_turns(out);
-        self.care_for_halt(out);
+        self.send_permit_notices(out);
+        self.confirm_halt(out);
         self.finish_inspections(out);
     }
 
@@ -219,7 +219,7 @@
             .chain(self.next_acceptor_check())
             .chain(self.lease_timers())
             .chain(self.next_report_at())
-            .chain(self.care_wants_at())
+            .chain(self.rollout_wakes_at())
             .chain(inspections)
             .fold(f64::INFINITY, f64::min);
         self.clock.reading_at(at.max(self.now))
@@ -245,7 +245,7 @@
 
     /// The rollout as this member sees it.
     pub fn release_status(&self) -> RolloutStatus {
-        self.care_status()
+        self.rollout_status()
     }
 
     /// The newest value seen, chosen or not.
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -87,7 +87,7 @@
             .or_else(|| self.renewal())
             .or_else(|| self.acquisition())
             .or_else(|| self.operator_command())
-            .or_else(|| self.wanted_step())
+            .or_else(|| self.proposed_step())
             .or_else(|| self.voter_change_end())
     }
 
@@ -171,7 +171,7 @@
             });
         let can_resign = !self.handovers.is_empty() && self.fenced_commands_are_over();
         let has_command_now = can_resign
-            || self.wanted_step().is_some()
+            || self.proposed_step().is_some()
             || !self.pending_commands.is_empty()
             || self.can_finish_voter_change();
         renewals
@@ -370,7 +370,7 @@
                 self.highest_round = self.highest_round.max(conflicting_round);
                 self.back_off(ended.begun_at);
                 if ended.reason == ProposalReason::RolloutStep {
-                    self.step_tried(false);
+                    self.step_proposed(false);
                 }
             }
         }
@@ -413,7 +413,7 @@
             }
             ProposalReason::RolloutStep => {
                 self.count("steps");
-                self.step_tried(true);
+                self.step_proposed(true);
             }
             ProposalReason::FinishVoterChange => self.count("settled"),
         }
@@ -474,7 +474,7 @@
             ProposalReason::OperatorCommand(call) => {
                 self.command_done(call, Err(error), None, out);
             }
-            ProposalReason::RolloutStep => self.step_tried(false),
+            ProposalReason::RolloutStep => self.step_proposed(false),
         }
     }
 }
