--- a/src/coordination/disruption_budget/counts.rs
+++ b/src/coordination/disruption_budget/counts.rs
@@ -1,36 +1,11 @@
 //! The units of one kind counted against the budget.
 
 use super::budget::{DisruptionBudget, MaxUnavailable};
+use super::groups::{cell_of, Count, RoleGroup, ServedRole, UtilizationSum};
 use super::unit::{observed_zone_sizes, ServiceStatus, Unit, ZoneSizes};
 use super::violation::Violation;
-use crate::interface::Role;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many units there are in a group, and how many of them serve.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Count {
-    size: u32,
-    available: u32,
-}
-
-impl Count {
-    fn unavailable(self) -> u32 {
-        self.size - self.available.min(self.size)
-    }
-
-    /// The unavailable units and the limit, where the limit is used up.
-    fn used_up(self, max: MaxUnavailable) -> Option<(u32, u32)> {
-        let limit = max.limit_for(self.size);
-        (self.unavailable() >= limit).then_some((self.unavailable(), limit))
-    }
-
-    /// The unavailable units and the limit, where the limit is exceeded.
-    fn over(self, max: MaxUnavailable) -> Option<(u32, u32)> {
-        let limit = max.limit_for(self.size);
-        (self.unavailable() > limit).then_some((self.unavailable(), limit))
-    }
-}
-
 /// How many units of a place are unavailable, and how many may be.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnavailableCount {
@@ -42,106 +17,9 @@
     pub limit: u32,
 }
 
-/// What an engine does for requests; one that does both counts in each.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum ServedRole {
-    Prefill,
-    Decode,
-}
-
-impl ServedRole {
-    /// The operators' word for engines of this role.
-    fn word(self) -> &'static str {
-        match self {
-            ServedRole::Prefill => "readers",
-            ServedRole::Decode => "writers",
-        }
-    }
-
-    fn served_by(unit: &Unit) -> impl Iterator<Item = ServedRole> {
-        let prefill = matches!(unit.role, Some(Role::Prefill | Role::Both));
-        let decode = matches!(unit.role, Some(Role::Decode | Role::Both));
-        let prefill = prefill.then_some(ServedRole::Prefill);
-        prefill
-            .into_iter()
-            .chain(decode.then_some(ServedRole::Decode))
-    }
-}
-
-/// A scope in which ready engines have to stay.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Scope {
-    Zone,
-    Cell,
-}
-
-impl Scope {
-    fn word(self) -> &'static str {
-        match self {
-            Scope::Zone => "zone",
-            Scope::Cell => "cell",
-        }
-    }
-}
-
-/// Engines of a role in a zone or cell.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct RoleGroup {
-    scope: Scope,
-    role: ServedRole,
-    place: String,
-}
-
-impl RoleGroup {
-    /// The zone's and the cell's group of an engine in one role.
-    fn both_of(unit: &Unit, role: ServedRole) -> [RoleGroup; 2] {
-        let group = |scope, place| RoleGroup { scope, role, place };
-        [
-            group(Scope::Zone, unit.zone.clone()),
-            group(Scope::Cell, cell_of(unit)),
-        ]
-    }
-
-    fn all_of(unit: &Unit) -> impl Iterator<Item = RoleGroup> + '_ {
-        ServedRole::served_by(unit).flat_map(|role| RoleGroup::both_of(unit, role))
-    }
-
-    /// Engines of the group that have to stay ready; 0: no limit.
-    fn minimum(&self, budget: &DisruptionBudget) -> u32 {
-        match (self.scope, self.role) {
-            (Scope::Zone, ServedRole::Prefill) => budget.min_prefill_engines_per_zone,
-            (Scope::Zone, ServedRole::Decode) => budget.min_decode_engines_per_zone,
-            (Scope::Cell, ServedRole::Prefill) => budget.min_prefill_engines_per_cell,
-            (Scope::Cell, ServedRole::Decode) => budget.min_decode_engines_per_cell,
-        }
-    }
-}
-
-/// Utilization summed over the ready engines of a role.
-#[derive(Clone, Copy, Debug, Default)]
-struct UtilizationSum {
-    sum: f64,
-    engines: u32,
-}
-
-impl UtilizationSum {
-    /// The mean utilization once one engine is gone and its work is borne by the others.
-    fn without_one(self) -> f64 {
-        if self.engines < 2 {
-            f64::INFINITY
-        } else {
-            self.sum / f64::from(self.engines - 1)
-        }
-    }
-}
-
 /// The name of the whole fleet among zones.
 const WHOLE_FLEET: &str = "";
 
-fn cell_of(unit: &Unit) -> String {
-    format!("{}/{}", unit.zone, unit.cell)
-}
-
 /// The units of one kind, counted once and then asked for each unit that could go.
 #[derive(Clone, Debug, Default)]
 pub struct UnitCounts {
--- a/src/coordination/disruption_budget/mod.rs
+++ b/src/coordination/disruption_budget/mod.rs
@@ -6,6 +6,7 @@
 
 mod budget;
 mod counts;
+mod groups;
 mod unit;
 mod violation;
 
--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -207,7 +207,7 @@
     pub ready: bool,
     /// How long its process has run, in milliseconds.
     pub uptime: Ms,
-    /// How long ago it was heard, in milliseconds.
+    /// How long ago its last heartbeat arrived, in milliseconds.
     pub heard_ago: Ms,
 }
 
--- a/src/coordination/member/rollout/commands.rs
+++ b/src/coordination/member/rollout/commands.rs
@@ -70,8 +70,8 @@
 
     /// Whether this dispatcher is the membership leader with a complete view.
     ///
-    /// Guards against a new leader that takes units it has not heard of yet for missing, which would show as a plan or a
-    /// count without them: it refuses until every unit that is there has had the time to be heard.
+    /// Guards against a new leader that takes units it has not seen yet for missing, which would show as a plan or a
+    /// count without them: it refuses until every unit that is there has had the time to send a heartbeat.
     fn check_view(&self) -> Result<(), Reply> {
         self.check_leader()?;
         if self.is_view_complete() {
--- a/src/coordination/member/rollout/fleet_view.rs
+++ b/src/coordination/member/rollout/fleet_view.rs
@@ -5,7 +5,7 @@
 use crate::coordination::membership::{self, MemberStatus};
 use crate::coordination::rollout_controller::FleetView;
 
-/// Heartbeat intervals of a new leader until its view is complete: a dispatcher that is there has been heard by then,
+/// Heartbeat intervals of a new leader until its view is complete: a dispatcher that is there has sent one by then,
 /// and one that is silent is known to be.
 const COMPLETE_AFTER_HEARTBEATS: f64 = 12.0;
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether this dispatcher has led for long enough to have heard every dispatcher that is there.
+    /// Whether this dispatcher has led for long enough to have a heartbeat of every dispatcher that is there.
     pub(super) fn is_view_complete(&self) -> bool {
         self.roll.as_ref().is_some_and(|membership| {
             let interval = membership.heartbeat_interval(self.settings.heartbeat);
--- a/src/coordination/member/rollout/mod.rs
+++ b/src/coordination/member/rollout/mod.rs
@@ -20,7 +20,7 @@
 
 /// Engine reports in one heartbeat.
 pub const MAX_REPORTS: usize = 8;
-/// Heartbeats for which engine reports are kept.
+/// Heartbeats for which engine reports are queued.
 const MAX_QUEUED_HEARTBEATS: usize = 4;
 
 /// One dispatcher's state of rollouts.
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -11,7 +11,7 @@
 pub struct Rollout {
     /// The operator's plan.
     pub plan: RolloutPlan,
-    /// The limits that it keeps to.
+    /// The limits that it stays within.
     pub budget: DisruptionBudget,
     /// The dispatcher that passed the operator's command on.
     pub started_by: Name,
@@ -75,7 +75,7 @@
 pub const MAX_PERMITS: usize = 256;
 /// Abandoned units that a rollout names.
 pub const MAX_ABANDONED: usize = 64;
-/// Notes that are kept.
+/// Notes that are stored.
 pub const MAX_NOTES: usize = 8;
 /// Units that a plan may name.
 pub const MAX_NAMES: usize = 256;
--- a/src/coordination/rollout_analysis/analysis.rs
+++ b/src/coordination/rollout_analysis/analysis.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The outcomes at the slice's begin: none for a unit that is seen for the first time, as it tells nothing yet; zero
+    /// The outcomes at the slice's begin: none for a unit that is seen for the first time, as it shows nothing yet; zero
     /// for another process, as it began within the slice.
     fn replace_baseline(&mut self, unit: &Unit) -> Option<OutcomeCounts> {
         let baseline = Baseline {
--- a/src/coordination/rollout_analysis/comparison.rs
+++ b/src/coordination/rollout_analysis/comparison.rs
@@ -60,7 +60,7 @@
 }
 
 impl StratifiedComparison {
-    /// Adds a slice. One in which a group had no requests tells nothing and does not count.
+    /// Adds a slice. One in which a group had no requests shows nothing and does not count.
     pub fn add_slice(&mut self, updated: GroupOutcomes, others: GroupOutcomes) {
         if updated.requests == 0 || others.requests == 0 {
             return;
--- a/src/coordination/rollout_controller/controller.rs
+++ b/src/coordination/rollout_controller/controller.rs
@@ -68,7 +68,7 @@
         let disruptions = inputs.disruptions;
         self.blocked_reason = None;
         self.permits.retain(disruptions);
-        self.resume_if_told(inputs);
+        self.reset_on_resume(inputs);
         if let Some(step) = self.permit_step(inputs) {
             return Some(step);
         }
@@ -87,7 +87,7 @@
         self.request_step(inputs)
     }
 
-    fn resume_if_told(&mut self, inputs: &ControllerInputs<'_>) {
+    fn reset_on_resume(&mut self, inputs: &ControllerInputs<'_>) {
         let count = inputs.disruptions.resume_count;
         let before = self.resume_count.replace(count);
         if before.is_some_and(|before| before != count) {
@@ -180,7 +180,7 @@
 
     /// Guards against a rollout that goes on while failures use up the budget: it halts once more units have been
     /// unavailable than may be for as long as units are observed between waves. Only a complete view counts, as a new
-    /// leader has yet to hear of all units.
+    /// leader has not seen all units yet.
     fn lasting_violation(
         &mut self,
         inputs: &ControllerInputs<'_>,
--- a/src/coordination/rollout_controller/inputs.rs
+++ b/src/coordination/rollout_controller/inputs.rs
@@ -13,7 +13,7 @@
     pub dispatchers: Vec<Unit>,
     /// Engines that are listed.
     pub engines: Vec<Unit>,
-    /// The leader has led for long enough to have heard every dispatcher that is there.
+    /// The leader has led for long enough to have a heartbeat of every dispatcher that is there.
     pub complete: bool,
 }
 
--- a/src/coordination/rollout_controller/notice.rs
+++ b/src/coordination/rollout_controller/notice.rs
@@ -1,11 +1,11 @@
-//! What a unit is told of its permit.
+//! The notice of a permit to its unit.
 
 use crate::coordination::disruption_budget::UnitKind;
 use crate::coordination::rollout::{DisruptionPermit, PermitId};
 use crate::coordination::{Address, Incarnation, Name};
 
-/// What a dispatcher is told of its permit, as the body of a fenced command; of an engine's permit the discovery
-/// registry is told.
+/// The notice of a permit, as the body of a fenced command: to the dispatcher that may go, or for an engine to the
+/// discovery registry, which lists it as draining.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitNotice {
     /// The permit.
--- a/src/coordination/rollout_controller/stage.rs
+++ b/src/coordination/rollout_controller/stage.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// An engine carries no label: the discovery registry is told what it is to be.
+/// An engine carries no label; the discovery registry gets it with the notice.
 fn label_fits(permit: &DisruptionPermit, unit: &Unit) -> bool {
     permit.label.is_empty()
         || permit.unit_kind == UnitKind::Engines
