--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -28,13 +28,13 @@
     /// A membership report to the receiver with this index.
     MembershipReport { receiver: usize },
     /// Tells a unit, or who lists it as draining, of its permit.
-    TurnAct { to: Address, permit: PermitId },
+    PermitNotice { to: Address, permit: PermitId },
     /// Asks for a permit to be taken back.
-    Revoke { permit: PermitId },
+    RevokePermit { permit: PermitId },
     /// Asks after a halt whether a permitted disruption has begun.
-    HaltAsk { permit: PermitId },
+    ConfirmHalt { permit: PermitId },
     /// Asks a member to stop for an operator.
-    ByHand { call: CallId, note: String },
+    StopByHand { call: CallId, note: String },
 }
 
 /// The voter to ask next: by index into the known voters, and as which of how many.
@@ -276,13 +276,13 @@
             RequestPurpose::MembershipReport { receiver } => {
                 self.report_answered(receiver, fencing_decision_in(answer));
             }
-            RequestPurpose::TurnAct { to, permit } => {
+            RequestPurpose::PermitNotice { to, permit } => {
                 self.permit_notice_answered(&to, permit, fencing_decision_in(answer), out);
             }
-            RequestPurpose::ByHand { call, note } => {
+            RequestPurpose::StopByHand { call, note } => {
                 self.stop_by_hand_answered(call, note, operator_reply_in(answer), out);
             }
-            RequestPurpose::Revoke { .. } | RequestPurpose::HaltAsk { .. } => {
+            RequestPurpose::RevokePermit { .. } | RequestPurpose::ConfirmHalt { .. } => {
                 self.revocation_answered(&purpose, begun_in(answer));
             }
         }
--- a/src/coordination/member/rollout/stop_by_hand.rs
+++ b/src/coordination/member/rollout/stop_by_hand.rs
@@ -34,7 +34,7 @@
             address: None,
             reason,
         };
-        let errand = RequestPurpose::ByHand { call, note };
+        let errand = RequestPurpose::StopByHand { call, note };
         self.send_request(to, Question::Operator(request), errand, out);
         None
     }
