--- a/src/coordination/member/rollout/halt.rs
+++ b/src/coordination/member/rollout/halt.rs
@@ -109,7 +109,7 @@
             .unwrap_or_default();
         for id in open {
             if let Some(permit) = permits.get(&id) {
-                self.ask_revocation(id, permit, RequestPurpose::HaltAsk { permit: id }, out);
+                self.ask_revocation(id, permit, RequestPurpose::ConfirmHalt { permit: id }, out);
             }
         }
     }
--- a/src/coordination/member/rollout/notices.rs
+++ b/src/coordination/member/rollout/notices.rs
@@ -80,7 +80,7 @@
                 self.disruptions
                     .next_revocation
                     .insert(id, self.now + self.settings.heartbeat);
-                self.ask_revocation(id, permit, RequestPurpose::Revoke { permit: id }, out);
+                self.ask_revocation(id, permit, RequestPurpose::RevokePermit { permit: id }, out);
             }
         }
     }
@@ -124,7 +124,7 @@
             body: notice.write(),
         };
         self.count("turns told");
-        let errand = RequestPurpose::TurnAct {
+        let errand = RequestPurpose::PermitNotice {
             to: to.clone(),
             permit: id,
         };
@@ -190,13 +190,13 @@
         begun: Option<bool>,
     ) {
         match (errand, begun) {
-            (RequestPurpose::Revoke { permit }, Some(begun)) => {
+            (RequestPurpose::RevokePermit { permit }, Some(begun)) => {
                 if let Some(controller) = &mut self.disruptions.controller {
                     controller.record_revocation_reply(*permit, begun);
                     self.disruptions.next_look = self.now;
                 }
             }
-            (RequestPurpose::HaltAsk { permit }, Some(begun)) => {
+            (RequestPurpose::ConfirmHalt { permit }, Some(begun)) => {
                 if let Some(halt) = &mut self.disruptions.halt {
                     halt.record_reply(*permit, begun);
                 }
