--- a/crates/dispatcher/src/fault_injection.rs
+++ b/crates/dispatcher/src/fault_injection.rs
@@ -54,11 +54,11 @@
     ];
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "fault-injection")]
 static INJECTED: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
 /// Injects a fault into every dispatcher of the process; `None` removes it.
-#[cfg(feature = "planted")]
+#[cfg(feature = "fault-injection")]
 pub fn inject(fault: Option<InjectedFault>) {
     INJECTED.store(
         fault.map_or(0, |fault| fault as u8),
@@ -67,13 +67,13 @@
 }
 
 /// Whether the fault is injected now.
-#[cfg(feature = "planted")]
+#[cfg(feature = "fault-injection")]
 pub(crate) fn is_injected(fault: InjectedFault) -> bool {
     INJECTED.load(std::sync::atomic::Ordering::Relaxed) == fault as u8
 }
 
 /// No fault can be injected without the feature.
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "fault-injection"))]
 pub(crate) const fn is_injected(_: InjectedFault) -> bool {
     false
 }
--- a/crates/dispatcher/src/state/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -3,6 +3,7 @@
 //!
 //! The guards go by the dispatcher's own record of what was sent and how it ended, not by what the decisions assume.
 
+use super::requests::PossibleRun;
 use super::*;
 use std::fmt;
 
@@ -48,14 +49,6 @@
     pub violated: BTreeMap<Invariant, u64>,
 }
 
-/// The first attempt of a request that may have run: where and when it was sent.
-#[derive(Clone, Debug, PartialEq)]
-pub(super) struct PossibleRun {
-    zone: String,
-    cell: String,
-    at: Ms,
-}
-
 impl Dispatcher {
     /// How often the invariants were checked and violated, since the start.
     pub fn invariant_counts(&self) -> &InvariantCounts {
--- a/crates/dispatcher/src/state/requests.rs
+++ b/crates/dispatcher/src/state/requests.rs
@@ -1,6 +1,5 @@
 //! The dispatcher's record of a request and of its current attempt. All instants are in milliseconds.
 
-use super::invariants::PossibleRun;
 use super::{ClientConnectionId, EngineConnectionId, StreamId};
 use cindercleat::interface::{AttemptId, EngineId, Ms, RetrySafety};
 use cindercleat_protocol::v1;
@@ -94,3 +93,12 @@
             .is_some_and(|attempt| attempt.first_token_sent)
     }
 }
+
+/// The first attempt of a request that may have run: where and when it was sent.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct PossibleRun {
+    pub zone: String,
+    pub cell: String,
+    /// In milliseconds.
+    pub at: Ms,
+}
--- a/crates/dispatcher/tests/connection_limits.rs
+++ b/crates/dispatcher/tests/connection_limits.rs
@@ -147,7 +147,10 @@
                     client.read_until("\n").await.starts_with("HTTP/1.1 503 "),
                     "{class}: nothing was decoded"
                 );
-                assert!(net.driver.usage().releases > 0, "its state is not forgotten");
+                assert!(
+                    net.driver.usage().releases > 0,
+                    "its state is not forgotten"
+                );
                 net.gate.exhaust(false);
                 release_is_sent(&net).await;
                 for engine in ["r1", "w1"] {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,8 +9,9 @@
 //! - [`discovery_client::DiscoveryCalls`] decides when discovery is called.
 //! - [`resource_limits::ResourceLimits`] derives limits and timeouts from what a process was given.
 //! - [`status`] maps answers to gRPC status codes, and ends of calls to outcomes.
-//! - [`fleet`] holds the coordination between dispatchers.
+//! - [`coordination`] holds what many dispatchers agree on.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod client_connection;
 pub mod connection_pool;
