--- a/crates/dispatcher/src/driver/clients.rs
+++ b/crates/dispatcher/src/driver/clients.rs
@@ -120,7 +120,7 @@
                 ..
             }) => {
                 let (from, bytes) = (DispatcherId(gossip.from), gossip.bytes.to_vec());
-                self.input(Input::Heard { from, bytes });
+                self.input(Input::GossipReceived { from, bytes });
             }
             Event::Frame(frame) => self.input(Input::Client { conn, frame }),
             Event::Partly => self.input(Input::ClientPartly { conn }),
--- a/crates/dispatcher/src/driver/discovery.rs
+++ b/crates/dispatcher/src/driver/discovery.rs
@@ -30,6 +30,7 @@
         let mut last_reason: Option<String> = None;
         loop {
             let addresses = self.shared.locations.borrow().discovery.clone();
+            // Without an address this dispatcher never calls discovery.
             if addresses.is_empty() {
                 return;
             }
@@ -162,7 +163,7 @@
         }
         calls.list_received();
         log_list(&list);
-        self.input(Input::Listed(list));
+        self.input(Input::EndpointsUpdated(list));
         Ok(())
     }
 }
--- a/crates/dispatcher/src/driver/outputs.rs
+++ b/crates/dispatcher/src/driver/outputs.rs
@@ -15,7 +15,7 @@
     pub(super) fn perform(&self, output: Output) {
         match output {
             Output::ToClient { conn, frame } => self.send_to_client(conn, frame),
-            Output::LeaveClient { conn } => {
+            Output::DrainClient { conn } => {
                 if let Some(out) = self.shared.clients.borrow().get(&conn) {
                     out.go_away();
                 }
@@ -43,9 +43,9 @@
                     handle.close();
                 }
             }
-            Output::KeepList(list) => self.save_endpoints(&list),
-            Output::Follow { .. } => self.shared.list_wanted.notify_one(),
-            Output::Tell { to, bytes } => self.send_gossip(to, bytes),
+            Output::CacheEndpoints(list) => self.save_endpoints(&list),
+            Output::RequestEndpoints { .. } => self.shared.list_wanted.notify_one(),
+            Output::SendGossip { to, bytes } => self.send_gossip(to, bytes),
             Output::Log { level, text } => log(level, &text),
             Output::Stopped => self.shared.stopped.notify_one(),
         }
--- a/crates/dispatcher/src/state/attempts.rs
+++ b/crates/dispatcher/src/state/attempts.rs
@@ -59,7 +59,7 @@
         };
         match self.open_attempt(&planned, outputs) {
             Some(Ok(opened)) => self.begin_attempt(planned, opened, outputs),
-            // The next choice is to pass the engine by for a moment, or to judge it: it could not be reached.
+            // The next decision passes the engine by for a moment, or counts the failure: it could not be reached.
             Some(Err(refusal)) => {
                 let outcome = match refusal {
                     PlacementError::PoolExhausted => Outcome::Overloaded,
@@ -68,6 +68,7 @@
                 let event = never_sent(request_id, attempt_id, planned.engine, outcome, answered);
                 self.events.push(event);
             }
+            // The request or the engine is unknown: `may_start_attempt` has ruled that out.
             None => {}
         }
     }
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -122,7 +122,7 @@
             ),
         });
         if self.stopping_since.is_some() {
-            outputs.push(Output::LeaveClient { conn });
+            outputs.push(Output::DrainClient { conn });
         }
         self.insert_request(client_stream, submit, &arrival, took);
         self.events.push(Event::Arrived(arrival));
@@ -245,7 +245,7 @@
 
     /// A client's connection is closed: it wants none of its requests any more.
     pub(super) fn on_client_closed(&mut self, conn: ClientConnectionId, outputs: &mut Vec<Output>) {
-        self.callers.remove(conn);
+        self.client_connections.remove(conn);
         let all = (conn, StreamId(0))..=(conn, StreamId(u64::MAX));
         let ids: Vec<RequestId> = self.client_streams.range(all).map(|(_, id)| *id).collect();
         for id in ids {
@@ -373,6 +373,7 @@
         );
         outputs.push(Output::log(Level::Warn, text));
         self.answer(request_id, v1::Answer::Failed, 0.0, "time is up", outputs);
+        // The decisions have nothing to do for it any more, as if its client had gone.
         self.events.push(Event::ClientGone {
             request: request_id,
         });
--- a/crates/dispatcher/src/state/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -89,22 +89,22 @@
             http1: is_http1.then(|| Http1Connection::new(self.now)),
             timer_at: f64::INFINITY,
         };
-        self.callers.all.insert(conn, connection);
+        self.client_connections.all.insert(conn, connection);
         self.set_client_timer(conn);
         if self.is_closed() {
-            out.push(Output::LeaveClient { conn });
+            out.push(Output::DrainClient { conn });
         }
     }
 
     fn set_client_timer(&mut self, conn: ClientConnectionId) {
         let settings = self.settings.multiplexed_settings();
-        self.callers
+        self.client_connections
             .set_timer(conn, &settings, &self.settings.limits, &mut self.timers);
     }
 
     /// Anything was received from a client.
     pub(super) fn heard_client(&mut self, conn: ClientConnectionId) {
-        if let Some(connection) = self.callers.all.get_mut(&conn) {
+        if let Some(connection) = self.client_connections.all.get_mut(&conn) {
             connection.multiplexed.received(self.now);
         }
     }
@@ -116,7 +116,7 @@
 
     /// A request has come in full. Returns how long ago its first part came, in milliseconds.
     pub(super) fn client_asks(&mut self, conn: ClientConnectionId) -> Ms {
-        self.callers
+        self.client_connections
             .http1_mut(conn)
             .map_or(0.0, |http1| http1.request_received(self.now))
     }
@@ -131,7 +131,7 @@
         conn: ClientConnectionId,
         change: impl FnOnce(&mut Http1Connection, Ms),
     ) {
-        if let Some(http1) = self.callers.http1_mut(conn) {
+        if let Some(http1) = self.client_connections.http1_mut(conn) {
             change(http1, self.now);
             self.set_client_timer(conn);
         }
@@ -139,10 +139,14 @@
 
     /// The maximum of clients' connections is reached, and one more waits to be accepted.
     pub(super) fn make_room(&mut self, out: &mut Vec<Output>) {
-        let Some(conn) = self.callers.to_evict() else {
+        let Some(conn) = self.client_connections.to_evict() else {
             return;
         };
-        if let Some(reason) = self.callers.http1_mut(conn).map(Http1Connection::evict) {
+        if let Some(reason) = self
+            .client_connections
+            .http1_mut(conn)
+            .map(Http1Connection::evict)
+        {
             Self::close_http1(conn, reason, out);
         }
     }
@@ -150,7 +154,7 @@
     fn close_http1(conn: ClientConnectionId, reason: http1::CloseReason, out: &mut Vec<Output>) {
         match reason {
             // A request that comes at the same moment is still answered.
-            http1::CloseReason::Idle => out.push(Output::LeaveClient { conn }),
+            http1::CloseReason::Idle => out.push(Output::DrainClient { conn }),
             http1::CloseReason::SlowRequest => {
                 let reason = "its request does not come".to_owned();
                 out.push(Output::CloseClient { conn, reason });
@@ -161,7 +165,7 @@
     /// A client has cancelled a request.
     pub(super) fn count_cancel(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         let settings = self.settings.multiplexed_settings();
-        if let Some(connection) = self.callers.all.get_mut(&conn) {
+        if let Some(connection) = self.client_connections.all.get_mut(&conn) {
             connection
                 .multiplexed
                 .request_cancelled(&settings, self.now);
@@ -172,7 +176,7 @@
     /// Carries out what has fallen due for a client's connection.
     pub(super) fn look_at_client(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         let settings = self.settings.multiplexed_settings();
-        let Some(connection) = self.callers.all.get_mut(&conn) else {
+        let Some(connection) = self.client_connections.all.get_mut(&conn) else {
             return;
         };
         connection.timer_at = f64::INFINITY;
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -242,8 +242,8 @@
         self.arm(&engine, timers);
     }
 
-    /// Opens a stream on an established connection regardless of limits: for what ends something and so must not wait
-    /// for room.
+    /// Opens a stream on a connection without a check of limits: the caller has placed it there, or it ends something and
+    /// must not wait for room.
     pub fn open_on(
         &mut self,
         id: EngineConnectionId,
@@ -467,7 +467,8 @@
         }
     }
 
-    /// Removes what waits to be sent on a stream. Returns whether it was not sent yet.
+    /// Removes what waits to be sent on a stream. Returns whether it was not sent yet; true also where the connection is
+    /// gone, as its end has ended its streams, so nothing of this one can be sent any more.
     pub fn unsend(&mut self, id: EngineConnectionId, stream: StreamId) -> bool {
         let Some(connection) = self.all.get_mut(&id) else {
             return true;
--- a/crates/dispatcher/src/state/delivery.rs
+++ b/crates/dispatcher/src/state/delivery.rs
@@ -6,7 +6,7 @@
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// The release time divided by this is the time within which an engine has to answer a liveness check. After it the
+/// The KV state timeout divided by this is the time within which an engine has to answer a liveness check. After it the
 /// connection is closed, and the next check takes another one.
 const LIVENESS_TIMEOUT_DIVISOR: f64 = 4.0;
 
--- a/crates/dispatcher/src/state/endpoint_updates.rs
+++ b/crates/dispatcher/src/state/endpoint_updates.rs
@@ -10,15 +10,15 @@
         cached: Option<EndpointUpdateKind>,
         outputs: &mut Vec<Output>,
     ) {
-        let planted = fault_injection::altered_list(list);
-        let list = planted.as_ref().unwrap_or(list);
+        let altered = fault_injection::altered_list(list);
+        let list = altered.as_ref().unwrap_or(list);
         let (kind, endpoints, wrong) = self.endpoints.take(list, &self.settings);
         outputs.extend(wrong.into_iter().map(|text| Output::Log {
             level: Level::Warn,
             text,
         }));
         if self.caches_endpoints && cached.is_none() && !list.endpoints.is_empty() {
-            outputs.push(Output::KeepList(self.endpoints.whole()));
+            outputs.push(Output::CacheEndpoints(self.endpoints.whole()));
         }
         for entry in endpoints
             .iter()
--- a/crates/dispatcher/src/state/endpoints.rs
+++ b/crates/dispatcher/src/state/endpoints.rs
@@ -67,7 +67,8 @@
         (kind, endpoints, problems)
     }
 
-    /// Engines that a snapshot does not name are gone.
+    /// Engines that a snapshot does not name are gone. One whose line is not usable keeps its entry here, so that its
+    /// attempts can end; the decisions, which get usable lines alone, send it nothing new.
     fn mark_unlisted_gone(&mut self, snapshot: &v1::EndpointList) {
         let listed: BTreeSet<&str> = snapshot
             .endpoints
--- a/crates/dispatcher/src/state/engine_releases.rs
+++ b/crates/dispatcher/src/state/engine_releases.rs
@@ -7,10 +7,10 @@
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// The release time divided by this is the time after which a release is sent again.
+/// The KV state timeout divided by this is the time after which a release is sent again.
 const RETRY_INTERVAL_DIVISOR: f64 = 4.0;
-/// For how many release times a release that is not confirmed is sent again.
-const GIVE_UP_RELEASE_TIMES: f64 = 10.0;
+/// For how many KV state timeouts a release that is not confirmed is sent again.
+const GIVE_UP_KV_STATE_TIMEOUTS: f64 = 10.0;
 
 impl Dispatcher {
     /// Releases a KV state at its engine.
@@ -46,7 +46,7 @@
         let Some(states) = self.pending_engine_releases.get_mut(engine) else {
             return;
         };
-        let oldest = self.now - GIVE_UP_RELEASE_TIMES * self.settings.policy.kv_state_timeout;
+        let oldest = self.now - GIVE_UP_KV_STATE_TIMEOUTS * self.settings.policy.kv_state_timeout;
         states.retain(|release| release.since >= oldest);
         let row = self
             .endpoints
--- a/crates/dispatcher/src/state/io.rs
+++ b/crates/dispatcher/src/state/io.rs
@@ -80,11 +80,11 @@
     /// The endpoints that the process before has cached; the first input, if there is one.
     CachedEndpoints(v1::EndpointList),
     /// An update of the endpoints from discovery.
-    Listed(v1::EndpointList),
+    EndpointsUpdated(v1::EndpointList),
     /// Discovery refused a call, or its connection is lost.
     EndpointsRejected,
     /// Gossip from another dispatcher.
-    Heard {
+    GossipReceived {
         /// The sender.
         from: DispatcherId,
         /// What it sent.
@@ -107,7 +107,7 @@
         frame: Frame,
     },
     /// Ask a client to begin nothing new on a connection; what is open goes on.
-    LeaveClient {
+    DrainClient {
         /// The connection.
         conn: ClientConnectionId,
     },
@@ -142,14 +142,14 @@
         reason: String,
     },
     /// Cache the endpoints for the next start.
-    KeepList(v1::EndpointList),
+    CacheEndpoints(v1::EndpointList),
     /// Ask discovery for the endpoints.
-    Follow {
+    RequestEndpoints {
         /// Whether it is to go on with each change.
         changes: bool,
     },
     /// Send gossip.
-    Tell {
+    SendGossip {
         /// To one dispatcher, or to all.
         to: Option<DispatcherId>,
         /// What to send.
--- a/crates/dispatcher/src/state/kv_states.rs
+++ b/crates/dispatcher/src/state/kv_states.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 
-/// An attempt that was closed without a message of its engine is over there, at the latest, the release time divided by this
+/// An attempt that was closed without a message of its engine is over there, at the latest, the KV state timeout divided by this
 /// after the engine has shown that it works: the close and a release go over different connections, and nothing orders them.
 const CLOSE_DELIVERY_DIVISOR: f64 = 4.0;
 
@@ -46,9 +46,9 @@
 
 impl UnacknowledgedEnd {
     /// From when on a release cannot overtake its close any more, if that is known.
-    fn is_past_at(&self, release_time: Ms) -> Option<Ms> {
+    fn is_past_at(&self, kv_state_timeout: Ms) -> Option<Ms> {
         self.known_since
-            .map(|known| known + release_time / CLOSE_DELIVERY_DIVISOR)
+            .map(|known| known + kv_state_timeout / CLOSE_DELIVERY_DIVISOR)
     }
 }
 
@@ -136,19 +136,19 @@
 
     /// Whether the confirmation of a call proves that nothing is held any more: it began after every attempt of the request
     /// was over, where its engine knew it. No attempt of the request is out.
-    pub fn is_released_by(&self, call: &ReleaseCall, release_time: Ms) -> bool {
+    pub fn is_released_by(&self, call: &ReleaseCall, kv_state_timeout: Ms) -> bool {
         call.begun_at >= self.release.unblocked_since
             && self
-                .counts_from(release_time)
+                .counts_from(kv_state_timeout)
                 .is_some_and(|at| call.begun_at >= at)
     }
 
     /// From when on a call counts, if all engines have shown that they work.
-    pub fn counts_from(&self, release_time: Ms) -> Option<Ms> {
+    pub fn counts_from(&self, kv_state_timeout: Ms) -> Option<Ms> {
         let past: Option<Vec<Ms>> = self
             .unacknowledged_ends
             .iter()
-            .map(|end| end.is_past_at(release_time))
+            .map(|end| end.is_past_at(kv_state_timeout))
             .collect();
         past.map(|past| past.into_iter().fold(f64::NEG_INFINITY, f64::max))
     }
@@ -171,7 +171,7 @@
 #[derive(Debug, Default)]
 pub(super) struct KvStates {
     states: BTreeMap<RequestId, KvState>,
-    /// Requests with an unanswered end at an engine that has not shown since that it works.
+    /// Requests with an unacknowledged end at an engine that has not shown since that it works.
     waiting_for_engine: BTreeMap<EngineId, BTreeSet<RequestId>>,
     /// Requests of whose last calls to release a state none was confirmed.
     pub unconfirmed_releases: BTreeSet<RequestId>,
@@ -302,7 +302,7 @@
         self.due_releases.insert(request);
     }
 
-    /// An attempt of a request is over: what is to be released of it can be now. `unanswered`: the attempt's engine, if that
+    /// An attempt of a request is over: what is to be released of it can be now. `unacknowledged_at`: the attempt's engine, if that
     /// has sent no message of it.
     pub fn attempt_over(
         &mut self,
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -64,7 +64,7 @@
     client_streams: BTreeMap<ClientStream, RequestId>,
     /// Open requests by the id that their clients gave them, where they did.
     requests_by_origin: BTreeMap<String, RequestId>,
-    callers: ClientConnections,
+    client_connections: ClientConnections,
     next_request_id: u32,
     endpoints: Endpoints,
     connections: EngineConnections,
@@ -103,7 +103,7 @@
             requests: BTreeMap::new(),
             client_streams: BTreeMap::new(),
             requests_by_origin: BTreeMap::new(),
-            callers: ClientConnections::default(),
+            client_connections: ClientConnections::default(),
             next_request_id: 0,
             endpoints: Endpoints::default(),
             connections: EngineConnections::new(seed),
@@ -152,14 +152,16 @@
             Input::CachedEndpoints(list) => {
                 self.update_endpoints(&list, Some(EndpointUpdateKind::Cached), outputs)
             }
-            Input::Listed(list) => self.update_endpoints(&list, None, outputs),
+            Input::EndpointsUpdated(list) => self.update_endpoints(&list, None, outputs),
             Input::EndpointsRejected => {
                 self.events.push(Event::EndpointsUpdated {
                     kind: EndpointUpdateKind::Rejected,
                     endpoints: Vec::new(),
                 });
             }
-            Input::Heard { from, bytes } => self.events.push(Event::GossipReceived { from, bytes }),
+            Input::GossipReceived { from, bytes } => {
+                self.events.push(Event::GossipReceived { from, bytes })
+            }
             Input::Tick => {}
             Input::Stop => self.begin_stop(outputs),
         }
@@ -234,9 +236,9 @@
                 .set(self.now + delay.max(0.0), Due::Control(timer)),
             Action::HealthCheck { engine } => self.check_health(engine, outputs),
             Action::CloseIdle { engine } => self.close_idle(&engine, outputs),
-            Action::SendGossip { to, bytes } => outputs.push(Output::Tell { to, bytes }),
-            Action::FetchEndpoints => outputs.push(Output::Follow { changes: false }),
-            Action::WatchEndpoints { on } => outputs.push(Output::Follow { changes: on }),
+            Action::SendGossip { to, bytes } => outputs.push(Output::SendGossip { to, bytes }),
+            Action::FetchEndpoints => outputs.push(Output::RequestEndpoints { changes: false }),
+            Action::WatchEndpoints { on } => outputs.push(Output::RequestEndpoints { changes: on }),
             Action::Log { text } => outputs.push(Output::log(Level::Info, text)),
         }
     }
--- a/crates/dispatcher/src/state/release_waits.rs
+++ b/crates/dispatcher/src/state/release_waits.rs
@@ -3,10 +3,10 @@
 use super::kv_states::KvState;
 use super::*;
 
-/// Where a release waits for an attempt of its request, the release time divided by this is the time after which the
+/// Where a release waits for an attempt of its request, the KV state timeout divided by this is the time after which the
 /// attempt's engine is asked whether it runs.
 const LIVENESS_CHECK_DIVISOR: f64 = 4.0;
-/// The release time divided by this is the time after which an attempt that is not known to have arrived is waited for no
+/// The KV state timeout divided by this is the time after which an attempt that is not known to have arrived is waited for no
 /// longer.
 const UNCONFIRMED_ATTEMPT_DIVISOR: f64 = 2.0;
 
@@ -105,12 +105,12 @@
         ended: &requests::Attempt,
         outcome: Outcome,
     ) {
-        let is_unanswered = matches!(
+        let is_unacknowledged = matches!(
             outcome,
             Outcome::Cancelled | Outcome::TimedOut | Outcome::ConnectionLost
         );
         let was_sent = ended.sent_at.is_some() && self.settings.limits.http1.is_some();
-        let unanswered = (is_unanswered && was_sent).then(|| ended.engine.clone());
+        let unacknowledged_at = (is_unacknowledged && was_sent).then(|| ended.engine.clone());
         let holds_anew = outcome == Outcome::PrefillDone || self.has_arrived(ended);
         if let Some(state) = self
             .kv_states
@@ -121,7 +121,7 @@
         }
         self.kv_states.withdraw_offer(request_id, ended.id);
         self.kv_states
-            .attempt_over(request_id, unanswered, self.now);
+            .attempt_over(request_id, unacknowledged_at, self.now);
         self.schedule_held_check(request_id);
     }
 }
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -2,31 +2,31 @@
 //!
 //! Whether a confirmation counts is up to the record of the KV state (`kv_states.rs`); until one does, the release is sent
 //! again. Which engines are asked is in `release_targets.rs`, and when a release waits for an attempt in `release_waits.rs`.
-//! A 'release time' is the setting `kv_state_timeout`, in milliseconds.
+//! Its times are fractions and multiples of the KV state timeout, the setting `kv_state_timeout`, in milliseconds.
 
 use super::kv_states::{Held, ReleaseCall};
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// The release time divided by this is the time within which an engine has to confirm a release.
+/// The KV state timeout divided by this is the time within which an engine has to confirm a release.
 pub(super) const CONFIRMATION_TIMEOUT_DIVISOR: f64 = 4.0;
-/// The release time divided by this is the time to the next round where no engine has confirmed: at first.
+/// The KV state timeout divided by this is the time to the next round where no engine has confirmed: at first.
 const NEXT_ROUND_DIVISOR: f64 = 25.0;
-/// The same, after [`FAST_ROUNDS_RELEASE_TIMES`].
+/// The same, after [`FAST_ROUNDS_KV_STATE_TIMEOUTS`].
 const SLOW_ROUND_DIVISOR: f64 = 4.0;
-/// After how many release times a release is sent again for the first time that was confirmed and does not count. An engine
+/// After how many KV state timeouts a release is sent again for the first time that was confirmed and does not count. An engine
 /// that hangs may notice the close of its attempt at any time, and the time of the KV state counts from then on.
-const FIRST_REPEAT_RELEASE_TIMES: f64 = 0.75;
-/// After how many release times it is sent again after that.
-const REPEAT_RELEASE_TIMES: f64 = 1.0;
+const FIRST_REPEAT_KV_STATE_TIMEOUTS: f64 = 0.75;
+/// After how many KV state timeouts it is sent again after that.
+const REPEAT_KV_STATE_TIMEOUTS: f64 = 1.0;
 /// After so many repeats each wait is twice the one before.
 const REPEATS_BEFORE_BACKOFF: u32 = 10;
-/// For so many release times rounds follow each other fast; after that it is likely that hardly any engine can be reached.
-const FAST_ROUNDS_RELEASE_TIMES: f64 = 2.0;
-/// For how many release times a release is sent again that was confirmed and is not known to have taken effect.
-const GIVE_UP_RELEASE_TIMES: f64 = 20.0;
-/// For how many release times a release is sent again that no engine has confirmed.
-const GIVE_UP_UNCONFIRMED_RELEASE_TIMES: f64 = 120.0;
+/// For so many KV state timeouts rounds follow each other fast; after that it is likely that hardly any engine can be reached.
+const FAST_ROUNDS_KV_STATE_TIMEOUTS: f64 = 2.0;
+/// For how many KV state timeouts a release is sent again that was confirmed and is not known to have taken effect.
+const GIVE_UP_KV_STATE_TIMEOUTS: f64 = 20.0;
+/// For how many KV state timeouts a release is sent again that no engine has confirmed.
+const GIVE_UP_UNCONFIRMED_KV_STATE_TIMEOUTS: f64 = 120.0;
 
 impl Dispatcher {
     /// The decisions release the KV state of a request.
@@ -111,9 +111,9 @@
             return self.wait_for_attempt(request_id, outputs);
         }
         let lasts = if state.release.confirmations > 0 {
-            GIVE_UP_RELEASE_TIMES
+            GIVE_UP_KV_STATE_TIMEOUTS
         } else {
-            GIVE_UP_UNCONFIRMED_RELEASE_TIMES
+            GIVE_UP_UNCONFIRMED_KV_STATE_TIMEOUTS
         };
         if self.now - state.release.unblocked_since > lasts * self.settings.policy.kv_state_timeout
         {
@@ -217,7 +217,7 @@
         call: &ReleaseCall,
         outputs: &mut Vec<Output>,
     ) {
-        let release_time = self.settings.policy.kv_state_timeout;
+        let kv_state_timeout = self.settings.policy.kv_state_timeout;
         let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
         };
@@ -228,7 +228,7 @@
             return;
         }
         state.release.confirmations += 1;
-        let counts = state.is_released_by(call, release_time);
+        let counts = state.is_released_by(call, kv_state_timeout);
         if !counts || self.is_attempted(call.request) {
             return self.schedule_next_round(call.request);
         }
@@ -252,7 +252,7 @@
 
     /// Sets the time of the next round, once no call of this one is under way.
     fn schedule_next_round(&mut self, request_id: RequestId) {
-        let release_time = self.settings.policy.kv_state_timeout;
+        let kv_state_timeout = self.settings.policy.kv_state_timeout;
         let Some(state) = self
             .kv_states
             .release_wanted(request_id)
@@ -262,19 +262,19 @@
         };
         let release = &state.release;
         let is_hurried =
-            self.now - release.unblocked_since < FAST_ROUNDS_RELEASE_TIMES * release_time;
+            self.now - release.unblocked_since < FAST_ROUNDS_KV_STATE_TIMEOUTS * kv_state_timeout;
         let wait = match release.round_confirmed {
             // The end of the attempt continues it.
             true if self.is_attempted(request_id) => return,
             true => {
                 let counts_in = state
-                    .counts_from(release_time)
+                    .counts_from(kv_state_timeout)
                     .map(|at| (at - self.now).max(0.0));
-                let usual = repeat_after(release.confirmations) * release_time;
+                let usual = repeat_after(release.confirmations) * kv_state_timeout;
                 counts_in.map_or(usual, |counts_in| counts_in.min(usual))
             }
-            false if is_hurried => release_time / NEXT_ROUND_DIVISOR,
-            false => release_time / SLOW_ROUND_DIVISOR,
+            false if is_hurried => kv_state_timeout / NEXT_ROUND_DIVISOR,
+            false => kv_state_timeout / SLOW_ROUND_DIVISOR,
         };
         if !release.round_confirmed {
             self.kv_states.unconfirmed_releases.insert(request_id);
@@ -328,12 +328,12 @@
     }
 }
 
-/// After how many release times a release is sent again that was confirmed so often by calls that do not count.
+/// After how many KV state timeouts a release is sent again that was confirmed so often by calls that do not count.
 fn repeat_after(confirmations: u32) -> f64 {
     match confirmations {
-        0 | 1 => FIRST_REPEAT_RELEASE_TIMES,
+        0 | 1 => FIRST_REPEAT_KV_STATE_TIMEOUTS,
         many => {
-            REPEAT_RELEASE_TIMES
+            REPEAT_KV_STATE_TIMEOUTS
                 * 2.0_f64.powi(many.saturating_sub(REPEATS_BEFORE_BACKOFF).min(8) as i32)
         }
     }
--- a/crates/dispatcher/src/state/shutdown.rs
+++ b/crates/dispatcher/src/state/shutdown.rs
@@ -8,7 +8,7 @@
 
 impl Dispatcher {
     /// Completes the stop, once nothing is open. A KV state is released when its engine confirms it, and a stop waits for
-    /// that; an engine that does not answer delays it by the release time at most.
+    /// that; an engine that does not answer delays it by the KV state timeout at most.
     pub(super) fn end_stop(&mut self, outputs: &mut Vec<Output>) {
         if let (Some(since), false) = (self.stopping_since, self.stopped) {
             let latest =
@@ -41,7 +41,7 @@
                 // Clients with an open request are asked to leave with its answer, the others at the end of the notice.
                 let open: BTreeSet<ClientConnectionId> =
                     self.client_streams.keys().map(|(conn, _)| *conn).collect();
-                outputs.extend(open.into_iter().map(|conn| Output::LeaveClient { conn }));
+                outputs.extend(open.into_iter().map(|conn| Output::DrainClient { conn }));
                 self.timers.set(self.now + notice, Due::StopNotice);
             } else {
                 self.end_notice(outputs);
@@ -59,7 +59,11 @@
 
     /// New requests are rejected from now on.
     pub(super) fn end_notice(&mut self, outputs: &mut Vec<Output>) {
-        outputs.extend(self.callers.all().map(|conn| Output::LeaveClient { conn }));
+        outputs.extend(
+            self.client_connections
+                .all()
+                .map(|conn| Output::DrainClient { conn }),
+        );
     }
 
     /// Guards against streams that outlast this process, which show as many clients that lose theirs at once and look for
--- a/crates/dispatcher/src/state/status.rs
+++ b/crates/dispatcher/src/state/status.rs
@@ -25,7 +25,7 @@
         self.endpoints.is_known().then_some(self.endpoints.version)
     }
 
-    /// Nobody caches the endpoints for the next start: [`Output::KeepList`] is not made.
+    /// Nobody caches the endpoints for the next start: [`Output::CacheEndpoints`] is not made.
     pub fn disable_endpoint_cache(&mut self) {
         self.caches_endpoints = false;
     }
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -20,7 +20,7 @@
         .iter()
         .map(|name| (name.as_str(), v1::EndpointStatus::Ready))
         .collect();
-    bench.put(Input::Listed(list(
+    bench.put(Input::EndpointsUpdated(list(
         v1::EndpointUpdateKind::Snapshot,
         &ready,
     )));
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -226,7 +226,10 @@
         };
         let ready = v1::EndpointStatus::Ready;
         let all = [("r1", ready), ("r2", ready), ("w1", ready), ("w2", ready)];
-        bench.put(Input::Listed(list(v1::EndpointUpdateKind::Snapshot, &all)));
+        bench.put(Input::EndpointsUpdated(list(
+            v1::EndpointUpdateKind::Snapshot,
+            &all,
+        )));
         bench
     }
 
@@ -329,7 +332,7 @@
     }
 
     pub fn update_endpoint(&mut self, engine: &str, status: v1::EndpointStatus) -> Vec<Output> {
-        self.put(Input::Listed(list(
+        self.put(Input::EndpointsUpdated(list(
             v1::EndpointUpdateKind::Delta,
             &[(engine, status)],
         )))
--- a/crates/dispatcher/tests/dispatcher_state.rs
+++ b/crates/dispatcher/tests/dispatcher_state.rs
@@ -528,17 +528,17 @@
         .iter()
         .any(|o| matches!(o, Output::Dial { engine, .. } if &*engine.0 == "r1")));
     assert!(
-        !out.iter().any(|o| matches!(o, Output::KeepList(_))),
+        !out.iter().any(|o| matches!(o, Output::CacheEndpoints(_))),
         "it is kept already"
     );
     out.clear();
     dispatcher.handle(
         3.0,
-        Input::Listed(list(EndpointUpdateKind::Snapshot, &[("w1", ready)])),
+        Input::EndpointsUpdated(list(EndpointUpdateKind::Snapshot, &[("w1", ready)])),
         &mut out,
     );
     let kept = out.iter().find_map(|o| match o {
-        Output::KeepList(list) => Some(
+        Output::CacheEndpoints(list) => Some(
             list.endpoints
                 .iter()
                 .map(|l| l.engine.clone())
@@ -564,7 +564,7 @@
     );
     list.endpoints[0].zone = "nowhere".to_owned();
     list.endpoints[1].weight = f64::NAN;
-    let out = bench.put(Input::Listed(list));
+    let out = bench.put(Input::EndpointsUpdated(list));
     let warned = out
         .iter()
         .filter(|o| matches!(o, Output::Log { text, .. } if text.contains("w3")))
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -424,7 +424,7 @@
                         *lost = lost.filter(|key| at.get(key).is_none_or(|h| h != engine));
                     }
                 }
-                self.put(Input::Listed(list(
+                self.put(Input::EndpointsUpdated(list(
                     EndpointUpdateKind::Delta,
                     &[(engine, status)],
                 )))
@@ -567,7 +567,10 @@
 fn play(draws: &[Draw], seed: u64) -> Result<World, TestCaseError> {
     let mut world = World::new(seed);
     let ready = ENGINES.map(|h| (h, EndpointStatus::Ready));
-    world.put(Input::Listed(list(EndpointUpdateKind::Snapshot, &ready)))?;
+    world.put(Input::EndpointsUpdated(list(
+        EndpointUpdateKind::Snapshot,
+        &ready,
+    )))?;
     for draw in draws {
         world.draw(*draw)?;
     }
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -319,7 +319,7 @@
     let out = bench.put(Input::ClientsFull);
     assert_eq!(
         out,
-        [Output::LeaveClient {
+        [Output::DrainClient {
             conn: ClientConnectionId(2)
         }],
         "not the one with an open request"
@@ -335,7 +335,7 @@
         "half a request is closed"
     );
     let of_one = |o: &&Output| match o {
-        Output::CloseClient { conn, .. } | Output::LeaveClient { conn } => {
+        Output::CloseClient { conn, .. } | Output::DrainClient { conn } => {
             *conn == ClientConnectionId(1)
         }
         _ => false,
@@ -482,7 +482,7 @@
         .iter()
         .map(|name| (name.as_str(), v1::EndpointStatus::Ready))
         .collect();
-    bench.put(Input::Listed(list(
+    bench.put(Input::EndpointsUpdated(list(
         v1::EndpointUpdateKind::Snapshot,
         &ready,
     )));
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -82,7 +82,8 @@
 
     /// When a request is given up. Guards against congestion that sustains itself, which shows as
     /// prefill engines busy with requests that are late already and make the next ones late: what
-    /// no prefill engine has taken in time is rejected, while a rejection does no harm.
+    /// no prefill engine has taken in time is given up (see [`State::give_up`]), which is a rejection
+    /// as long as nothing of it may have run.
     pub(super) fn gives_up_at(&self, request: &Request) -> Ms {
         if request.attempt.is_none() && request.kv_state.is_none() {
             request.ends_at.min(request.prefill_by)
@@ -120,7 +121,7 @@
             .attempt
             .as_ref()
             .is_some_and(|attempt| !self.engines.is_prefill_only(attempt.stage, attempt.engine));
-        let may_have_run = request.first_run.is_some() || decode_in_flight;
+        let may_have_run = request.first_possible_run.is_some() || decode_in_flight;
         let is_safe = retry::is_safe_for_client(self.retry_safety(request), may_have_run);
         request.intents.next = if is_safe {
             Intent::Reject
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -116,7 +116,7 @@
         retry::may_run_on(
             engine,
             retry_safety,
-            request.first_run,
+            request.first_possible_run,
             &self.engines,
             self.now,
         )
--- a/src/control/delivery_tracking.rs
+++ b/src/control/delivery_tracking.rs
@@ -3,7 +3,7 @@
 use super::delivery::{self, Delivery, DeliveryStep};
 use super::engines::EngineIndex;
 use super::outlier_detection::RETRY_INTERVAL_FRACTION;
-use super::requests::{FirstRun, Request};
+use super::requests::{PossibleRun, Request};
 use super::state::State;
 use crate::interface::{AttemptId, Ms, RequestId};
 
@@ -79,7 +79,7 @@
         let may_cancel = self.settings.may_cancel;
         let goes_elsewhere = may_cancel && self.has_other_engine(request, engine, sent_at);
         // A repeat that arrived long after would be one that engines do not recognise any more.
-        let is_repeat = request.first_run.is_some();
+        let is_repeat = request.first_possible_run.is_some();
         request.intents.cancel = goes_elsewhere || may_cancel && is_repeat;
         request.intents.release = request.kv_state.is_some() && !goes_elsewhere;
     }
@@ -101,13 +101,13 @@
             return false;
         }
         // The attempt that is given up may run yet: the other engine must be one for a repeat.
-        let first_run = request.first_run;
-        request.first_run.get_or_insert(FirstRun {
+        let first_possible_run = request.first_possible_run;
+        request.first_possible_run.get_or_insert(PossibleRun {
             engine: unresponsive,
             sent_at,
         });
         let other = self.choose_decode_engine(request, prefill_engine);
-        request.first_run = first_run;
+        request.first_possible_run = first_possible_run;
         other.is_some_and(|engine| engine != unresponsive)
     }
 }
--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -52,7 +52,8 @@
     }
 
     /// Takes its entry in the list of endpoints in. A later start is a new process under the same
-    /// id: what was learned of the old one no longer holds.
+    /// id: outcomes, load report and cached prefixes of the old one no longer hold. The concurrency
+    /// limit, the overload backoff and the health check are kept and follow what the new one answers.
     fn update(&mut self, endpoint: &Endpoint) {
         let started_at = endpoint.started.unwrap_or(f64::NEG_INFINITY);
         if started_at > self.slow_start.started_at() {
@@ -168,7 +169,8 @@
         self.engines.iter()
     }
 
-    /// Takes an entry of the list of endpoints in.
+    /// Takes an entry of the list of endpoints in. `kind` counts for an engine that is new: one that
+    /// is known keeps the kind that it was first listed with.
     pub(super) fn update(&mut self, endpoint: &Endpoint, kind: &KindSettings) {
         let index = match self.index.get(&endpoint.engine) {
             Some(&index) => index,
--- a/src/control/learn.rs
+++ b/src/control/learn.rs
@@ -2,7 +2,7 @@
 
 use super::delivery::Delivery;
 use super::engines::EngineIndex;
-use super::requests::{Attempt, FirstRun, Intents, Request};
+use super::requests::{Attempt, Intents, PossibleRun, Request};
 use super::retry;
 use super::stage::Stage;
 use super::state::State;
@@ -63,7 +63,7 @@
             unclaimed_since: self.now,
             held_until: 0.0,
             excluded_engines: Vec::new(),
-            first_run: None,
+            first_possible_run: None,
             finished: false,
             over_quota,
             intents: Intents::default(),
@@ -130,7 +130,7 @@
             request.unclaimed_since = self.now;
         }
         if retry::may_have_run(&attempt, ended.outcome, &self.engines) {
-            request.first_run.get_or_insert(FirstRun {
+            request.first_possible_run.get_or_insert(PossibleRun {
                 engine: index,
                 sent_at: attempt.sent_at,
             });
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -47,7 +47,7 @@
     /// Whether a request has run and may not run again, even where it ran first.
     fn may_not_run_again(&self, request: &Request) -> bool {
         request
-            .first_run
+            .first_possible_run
             .is_some_and(|first| !self.may_run_on(request, first.engine))
     }
 
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -27,7 +27,7 @@
 
 /// The first attempt that may have run: where, and when it was sent.
 #[derive(Clone, Copy)]
-pub(super) struct FirstRun {
+pub(super) struct PossibleRun {
     pub(super) engine: EngineIndex,
     pub(super) sent_at: Ms,
 }
@@ -78,7 +78,7 @@
     pub(super) held_until: Ms,
     /// Engines that rejected or failed this request since its last prefill.
     pub(super) excluded_engines: Vec<EngineIndex>,
-    pub(super) first_run: Option<FirstRun>,
+    pub(super) first_possible_run: Option<PossibleRun>,
     /// The client is gone, or its final answer is out.
     pub(super) finished: bool,
     pub(super) over_quota: bool,
--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -1,7 +1,7 @@
 //! Whether a request may run again, where and until when.
 
 use super::engines::{EngineIndex, Engines};
-use super::requests::{Attempt, FirstRun};
+use super::requests::{Attempt, PossibleRun};
 use crate::interface::{IdempotencyScope, Ms, Outcome, RetrySafety};
 
 /// Whether an attempt that ended so may have run: only a decode has an effect, unless it never
@@ -33,11 +33,11 @@
 pub(super) fn may_run_on(
     engine: EngineIndex,
     retry_safety: RetrySafety,
-    first_run: Option<FirstRun>,
+    first_possible_run: Option<PossibleRun>,
     engines: &Engines,
     now: Ms,
 ) -> bool {
-    let Some(first) = first_run else {
+    let Some(first) = first_possible_run else {
         return true;
     };
     let (window, scope) = match retry_safety {
--- a/src/coordination/member/membership_report.rs
+++ b/src/coordination/member/membership_report.rs
@@ -13,7 +13,7 @@
     /// A report is in flight.
     awaits_answer: bool,
     /// A report that was not answered may still be executed before this.
-    unsettled_until: Ms,
+    executable_until: Ms,
 }
 
 impl Member {
@@ -28,10 +28,10 @@
     /// its next term, must not act beside it. A receiver executes none after the lease under which it was sent.
     pub(super) fn fenced_commands_over_at(&self) -> Ms {
         let receivers = self.disruptions.receivers.values();
-        let permits = receivers.map(|receiver| receiver.unsure_until);
+        let permits = receivers.map(|receiver| receiver.executable_until);
         let reports = self.report_receivers.iter();
         reports
-            .map(|receiver| receiver.unsettled_until)
+            .map(|receiver| receiver.executable_until)
             .chain(permits)
             .fold(f64::NEG_INFINITY, f64::max)
     }
@@ -83,7 +83,7 @@
         let (receiver_timestamp, good_for) = receiver.clock.good_for(lease_end);
         receiver.awaits_answer = true;
         receiver.next_report_at = self.now + self.settings.report_interval;
-        receiver.unsettled_until = held.expires_at;
+        receiver.executable_until = held.expires_at;
         let command = FencedCommand {
             lease_name: membership_lease(),
             term: held.term,
@@ -113,7 +113,7 @@
             return self.count("acts unanswered");
         };
         receiver.clock.answered(self.now, receiver_timestamp);
-        receiver.unsettled_until = f64::NEG_INFINITY;
+        receiver.executable_until = f64::NEG_INFINITY;
         if decision == FencingDecision::TimestampMissing {
             // The timestamp came with this answer: the report can be sent again at once.
             receiver.next_report_at = self.now;
--- a/src/coordination/member/rollout/notices.rs
+++ b/src/coordination/member/rollout/notices.rs
@@ -16,7 +16,7 @@
     /// A notice is on its way.
     in_flight: bool,
     /// A notice that was not answered may still arrive there before this.
-    pub(in super::super) unsure_until: Ms,
+    pub(in super::super) executable_until: Ms,
 }
 
 impl Member {
@@ -107,7 +107,7 @@
         }
         let (receiver_timestamp, good_for) = receiver.clock.good_for(lease.expires_at);
         receiver.in_flight = true;
-        receiver.unsure_until = lease.expires_at;
+        receiver.executable_until = lease.expires_at;
         // That it was executed is seen in a heartbeat or in the list, some time after.
         self.disruptions.next_notice.insert(
             id,
@@ -124,11 +124,11 @@
             body: notice.write(),
         };
         self.count("turns told");
-        let errand = RequestPurpose::PermitNotice {
+        let purpose = RequestPurpose::PermitNotice {
             to: to.clone(),
             permit: id,
         };
-        self.send_request(to, Question::FencedCommand(command), errand, out);
+        self.send_request(to, Question::FencedCommand(command), purpose, out);
     }
 
     fn is_mine(&self, permit: &DisruptionPermit) -> bool {
@@ -152,7 +152,7 @@
             return;
         };
         receiver.clock.answered(now, receiver_timestamp);
-        receiver.unsure_until = f64::NEG_INFINITY;
+        receiver.executable_until = f64::NEG_INFINITY;
         if decision == FencingDecision::TimestampMissing {
             self.disruptions.next_notice.remove(&permit);
         }
@@ -165,12 +165,12 @@
         &mut self,
         id: PermitId,
         permit: &DisruptionPermit,
-        errand: RequestPurpose,
+        purpose: RequestPurpose,
         out: &mut Vec<Output>,
     ) {
         if self.is_mine(permit) {
             let begun = self.revoke_unless_begun(id, permit.incarnation);
-            return self.handle_answer(errand, Some(Answer::Begun { begun }), out);
+            return self.handle_answer(purpose, Some(Answer::Begun { begun }), out);
         }
         if let Some(to) = notice_address(permit, self.settings.keeper.as_ref()).cloned() {
             let question = Question::AskBack {
@@ -179,17 +179,17 @@
                 who: permit.unit.clone(),
                 incarnation: permit.incarnation,
             };
-            self.send_request(to, question, errand, out);
+            self.send_request(to, question, purpose, out);
         }
     }
 
     /// A unit answered whether it has begun to go, or did not answer.
     pub(in super::super) fn revocation_answered(
         &mut self,
-        errand: &RequestPurpose,
+        purpose: &RequestPurpose,
         begun: Option<bool>,
     ) {
-        match (errand, begun) {
+        match (purpose, begun) {
             (RequestPurpose::RevokePermit { permit }, Some(begun)) => {
                 if let Some(controller) = &mut self.disruptions.controller {
                     controller.record_revocation_reply(*permit, begun);
--- a/src/coordination/member/rollout/stop_by_hand.rs
+++ b/src/coordination/member/rollout/stop_by_hand.rs
@@ -34,8 +34,8 @@
             address: None,
             reason,
         };
-        let errand = RequestPurpose::StopByHand { call, note };
-        self.send_request(to, Question::Operator(request), errand, out);
+        let purpose = RequestPurpose::StopByHand { call, note };
+        self.send_request(to, Question::Operator(request), purpose, out);
         None
     }
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -22,7 +22,7 @@
         /// Its attempt.
         attempt: AttemptId,
     },
-    /// Answers that the request was not accepted and may safely be sent again.
+    /// Answers that the request will not be served and that a retry is safe.
     Reject {
         /// The request.
         request: RequestId,
@@ -53,14 +53,15 @@
         /// The request.
         request: RequestId,
     },
-    /// Reserves a place at a decode engine while the prefill runs.
+    /// Reserves a place at a decode engine while the prefill runs. The decisions do not use it.
     Reserve {
         /// The request.
         request: RequestId,
         /// The decode engine.
         engine: EngineId,
     },
-    /// Ends an answer in good order, so that its client asks for the rest elsewhere.
+    /// Ends an answer in good order, so that its client asks for the rest elsewhere. The decisions do
+    /// not use it.
     Migrate {
         /// The request.
         request: RequestId,
@@ -77,26 +78,26 @@
         /// The engine.
         engine: EngineId,
     },
-    /// Closes the idle connections to an engine.
+    /// Closes the idle connections to an engine. The decisions do not use it.
     CloseIdle {
         /// The engine.
         engine: EngineId,
     },
-    /// Sends a message to other dispatchers.
+    /// Sends a message to other dispatchers. The decisions do not use it.
     SendGossip {
         /// One dispatcher; none means all others.
         to: Option<DispatcherId>,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Asks for the whole list of endpoints.
+    /// Asks for the whole list of endpoints. The decisions do not use it.
     FetchEndpoints,
-    /// Begins or ends to follow changes of the list of endpoints.
+    /// Begins or ends to follow changes of the list of endpoints. The decisions do not use it.
     WatchEndpoints {
         /// Whether to follow them.
         on: bool,
     },
-    /// Writes a line to the log.
+    /// Writes a line to the log. The decisions do not use it.
     Log {
         /// The line.
         text: String,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -99,7 +99,8 @@
     pub session: SessionId,
     /// Milliseconds for which its client still waits.
     pub time_to_deadline: Ms,
-    /// Milliseconds that the answer is expected to take, if the client says so.
+    /// Milliseconds that the answer is expected to take, if the client says so. The decisions do not
+    /// read it.
     pub answer_hint: Option<Ms>,
     /// The prefix that its prompt shares with other sessions' prompts.
     pub shared: Option<SharedTextId>,
@@ -127,7 +128,7 @@
     },
     /// A request has come.
     Arrived(Arrival),
-    /// The client left; nothing more is owed.
+    /// The client has gone, or the driver has answered the request itself; nothing more is owed.
     ClientGone {
         /// Its request.
         request: RequestId,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -52,11 +52,11 @@
     /// Milliseconds from the arrival after which the client waits no longer; infinite if each
     /// request says its own.
     pub time_to_deadline: Ms,
-    /// Value of an answer in time beside those of other classes.
+    /// Value of an answer in time beside those of other classes. The decisions do not read it.
     pub priority_weight: f64,
-    /// Fraction of that value which a late answer has.
+    /// Fraction of that value which a late answer has. The decisions do not read it.
     pub late_value_share: f64,
-    /// Milliseconds wanted from one token to the next.
+    /// Milliseconds wanted from one token to the next. The decisions do not read it.
     pub token_pace: Ms,
     /// Whether tokens are sent as they come.
     pub streams: bool,
@@ -67,7 +67,7 @@
 pub struct TenantSettings {
     /// Requests per second within its quota, over all dispatchers.
     pub quota_per_second: f64,
-    /// The tenant's part of the service, as a fraction.
+    /// The tenant's part of the service, as a fraction. The decisions do not read it.
     pub share: f64,
 }
 
@@ -108,7 +108,7 @@
     pub request_classes: Vec<RequestClassSettings>,
     /// Tenants in the order of their ids.
     pub tenants: Vec<TenantSettings>,
-    /// Factor on the value of requests beyond their tenant's quota.
+    /// Factor on the value of requests beyond their tenant's quota. The decisions do not read it.
     pub over_quota_weight: f64,
     /// Kinds of engines in the order of their ids.
     pub kinds: Vec<KindSettings>,
@@ -116,17 +116,19 @@
     pub discovery: Discovery,
     /// Milliseconds within which a KV state has to be taken over or released.
     pub kv_state_timeout: Ms,
-    /// Whether decode engines can also prefill.
+    /// Whether decode engines can also prefill. The decisions do not read it.
     pub decode_engines_prefill: bool,
-    /// Whether [`Action::Reserve`](super::Action::Reserve) may be used.
+    /// Whether [`Action::Reserve`](super::Action::Reserve) may be used. The decisions do not read it.
     pub may_reserve: bool,
     /// Whether [`Action::Cancel`](super::Action::Cancel) may be used.
     pub may_cancel: bool,
-    /// Whether a request may have two attempts at once.
+    /// Whether a request may have two attempts at once (hedging). The decisions do not read it: they
+    /// never hedge.
     pub may_hedge: bool,
     /// Whether [`Action::HealthCheck`](super::Action::HealthCheck) may be used.
     pub may_health_check: bool,
-    /// Whether [`Action::SendGossip`](super::Action::SendGossip) may be used.
+    /// Whether [`Action::SendGossip`](super::Action::SendGossip) may be used. The decisions do not
+    /// read it.
     pub may_gossip: bool,
     /// Whether clients wait as long as a rejection asks them to.
     pub clients_honor_retry_after: bool,
