--- a/crates/cindercleat-cli/src/main.rs
+++ b/crates/cindercleat-cli/src/main.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A router for language-model servers that read and write in two stages.
+/// A router for language-model servers with prefill and decode on separate engines.
 #[derive(Parser)]
 #[command(name = "cindercleat", version)]
 struct Cli {
--- a/crates/cindercleat-cli/tests/program.rs
+++ b/crates/cindercleat-cli/tests/program.rs
@@ -545,7 +545,7 @@
     until("the old configuration is kept");
     std::fs::write(&conf, configuration("127.0.0.1:2")).expect("written");
     signal("-HUP");
-    until("list feed moved");
+    until("discovery moved");
     assert!(ask(ready).starts_with("HTTP/1.1 200 "));
     signal("-TERM");
     until("\"stopped\"");
--- a/crates/dispatcher/src/driver/discovery.rs
+++ b/crates/dispatcher/src/driver/discovery.rs
@@ -48,7 +48,7 @@
             };
             // Logged once, not after each call, while the reason stays the same.
             if last_reason.as_ref() != Some(&reason) {
-                tracing::warn!(address, reason, "list feed lost");
+                tracing::warn!(address, reason, "discovery lost");
                 last_reason = Some(reason);
             }
             self.input(Input::EndpointsRejected);
--- a/crates/dispatcher/src/driver/engine_connections.rs
+++ b/crates/dispatcher/src/driver/engine_connections.rs
@@ -91,7 +91,7 @@
         } = match connected {
             Ok(session) => session,
             Err(reason) => {
-                tracing::warn!(engine = %engine.0, address, reason, "host not reached");
+                tracing::warn!(engine = %engine.0, address, reason, "engine not reached");
                 return reason;
             }
         };
--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -216,7 +216,7 @@
     /// Discovery has these addresses from now on.
     pub fn set_discovery_addresses(&self, addresses: Vec<String>) {
         if self.shared.locations.borrow().discovery != addresses {
-            tracing::info!(feeds = ?addresses, "list feed moved");
+            tracing::info!(addresses = ?addresses, "discovery moved");
             self.shared.locations.borrow_mut().discovery = addresses;
             self.shared.discovery_moved.notify_one();
         }
@@ -237,13 +237,15 @@
                 tracing::info!(
                     engines = list.endpoints.len(),
                     version = list.version,
-                    "list remembered"
+                    "cached endpoint list used"
                 );
                 self.use_cached_endpoints(list);
             }
             Ok(None) => {}
             // A dispatcher without a list is better than none: it gets one from discovery.
-            Err(problem) => tracing::warn!(path = %path.display(), %problem, "kept list not used"),
+            Err(problem) => {
+                tracing::warn!(path = %path.display(), %problem, "cached endpoint list not used")
+            }
         }
     }
 
--- a/crates/dispatcher/src/driver/outputs.rs
+++ b/crates/dispatcher/src/driver/outputs.rs
@@ -33,7 +33,11 @@
             } => self.dial(connection, engine, address),
             Output::ToEngine { connection, frame } => self.send_to_engine(connection, frame),
             Output::CloseConnection { connection, reason } => {
-                tracing::debug!(connection = connection.0, reason, "link closed");
+                tracing::debug!(
+                    connection = connection.0,
+                    reason,
+                    "engine connection closed"
+                );
                 let handle = self
                     .shared
                     .engine_connections
@@ -89,7 +93,7 @@
             return;
         };
         if let Err(problem) = endpoint_cache::save(&path, list) {
-            tracing::warn!(path = %path.display(), %problem, "list not kept");
+            tracing::warn!(path = %path.display(), %problem, "endpoint list not cached");
         }
     }
 }
--- a/crates/dispatcher/src/endpoint_cache.rs
+++ b/crates/dispatcher/src/endpoint_cache.rs
@@ -23,7 +23,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The file does not begin with the mark: something else wrote it.
-    #[error("not a kept list of hosts")]
+    #[error("not a cached list of endpoints")]
     Foreign,
     /// The file is not what was written.
     #[error("damaged: its checksum does not fit")]
--- a/crates/dispatcher/src/state/endpoints.rs
+++ b/crates/dispatcher/src/state/endpoints.rs
@@ -60,7 +60,7 @@
             match self.take_line(line, settings) {
                 Ok(endpoint) => endpoints.push(endpoint),
                 Err(problem) => {
-                    problems.push(format!("host {:?} of the list: {problem}", line.engine))
+                    problems.push(format!("engine {:?} of the list: {problem}", line.engine))
                 }
             }
         }
--- a/crates/dispatcher/src/state/kv_states.rs
+++ b/crates/dispatcher/src/state/kv_states.rs
@@ -2,7 +2,7 @@
 //! attempt has taken the state or a release has taken effect.
 //!
 //! Where a release names a request and any engine passes it on, its confirmation alone proves nothing: it releases every
-//! state 'that no attempt waits for' (the platform's wire page), and an attempt that this process has closed waits until
+//! state 'that no attempt waits for' (docs/acceptance.md, 'Readings'), and an attempt that this process has closed waits until
 //! its engine knows of the close. So a record stays until a confirmation counts: [`KvState::is_released_by`].
 
 use super::*;
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -55,6 +55,9 @@
 use stream_purpose::EngineRelease;
 use timers::{Due, Timers};
 
+/// How late the injected fault `TimersLate` sets a timer, in milliseconds.
+const INJECTED_TIMER_DELAY_MS: Ms = 300.0;
+
 /// Routes requests to engines and their tokens back to clients: a state machine without I/O. All instants are milliseconds on one clock that the caller keeps.
 pub struct Dispatcher {
     settings: ProgramSettings,
@@ -228,8 +231,10 @@
             Action::SetTimer { delay, timer }
                 if fault_injection::is_injected(InjectedFault::TimersLate) =>
             {
-                self.timers
-                    .set(self.now + delay.max(0.0) + 300.0, Due::Control(timer));
+                self.timers.set(
+                    self.now + delay.max(0.0) + INJECTED_TIMER_DELAY_MS,
+                    Due::Control(timer),
+                );
             }
             Action::SetTimer { delay, timer } => self
                 .timers
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -225,17 +225,17 @@
                 term,
                 held: true,
             } => {
-                tracing::info!(lease_name = %lease_name.0, term = term.0, "duty held");
+                tracing::info!(lease_name = %lease_name.0, term = term.0, "lease held");
             }
             Output::Holds {
                 lease_name,
                 term,
                 held: false,
             } => {
-                tracing::info!(lease_name = %lease_name.0, term = term.0, "duty no more held");
+                tracing::info!(lease_name = %lease_name.0, term = term.0, "lease lost");
             }
             Output::PermitGranted { permit, label } => {
-                tracing::info!(permit = permit.0, label, "has its turn to go");
+                tracing::info!(permit = permit.0, label, "disruption permit received");
                 self.inner.beside.has_turn(permit.0, &label);
             }
             Output::Warn(text) => tracing::warn!("{text}"),
--- a/src/control/delivery_tracking.rs
+++ b/src/control/delivery_tracking.rs
@@ -54,10 +54,10 @@
                 request.intents.confirm = true;
                 self.wake_by(next_at);
             }
-            // Nothing has come from an engine that runs. By the platform's wire page a release lets
-            // go of what no attempt waits for, so it takes nothing from one in the queue; by the
-            // other page it does, and that one finds no state and is rejected, which proves that it
-            // has not run.
+            // Nothing has come from an engine that runs. The platform's pages can be read in two ways
+            // (docs/acceptance.md, 'Readings'): a release spares what an attempt waits for, so it
+            // takes nothing from one in the queue; or it releases everything, and that one finds no
+            // state and is rejected, which proves that it has not run.
             DeliveryStep::ReleaseInDoubt => {
                 request.intents.release_in_doubt = request.kv_state.is_some();
             }
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -162,9 +162,13 @@
         settings: &Settings,
     ) -> f64 {
         let budget = self.mean_budget(stage, warm + cold, settings);
-        // With this mean demand a dispatcher has a request at all with the chance 1 - exp(-demand).
+        // Where an engine is wanted `demand` times a window in the mean, this dispatcher wants it at all
+        // with the chance 1 - exp(-demand). So it may send budget / chance when it does: with a budget of
+        // 0.1 and a demand of 0.4 that is 0.1 / 0.33 = 0.3 attempts, and the mean stays 0.1.
         let per_demand = |demand: f64| budget / (1.0 - (-demand.max(f64::EPSILON)).exp());
         let usual_demand = POPULAR_ENGINE_MULTIPLE * budget;
+        // Engines that can take an attempt from here in this window: all warm ones, and of the cold ones
+        // those of which the budget, as a chance, allows one.
         let open = warm as f64 + cold as f64 * per_demand(usual_demand).min(1.0);
         // The request for which an engine is sought has arrived itself: it is not counted.
         let since = now - settings.overload_window;
