--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -6,7 +6,7 @@
 use cindercleat::coordination::member::{OperatorRequest, Reply, RolloutRequest, Status};
 use cindercleat::coordination::membership::MemberStatus;
 use cindercleat::coordination::{Address, LeaseName, Name, Term};
-use cindercleat_fleet::ask::order_any;
+use cindercleat_fleet::admin_client::order_any;
 use cindercleat_fleet::job::{Ended, Job, Work};
 use cindercleat_net::{Clock, SystemClock, Tcp};
 use clap::{Args, Subcommand};
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -6,7 +6,7 @@
 use cindercleat_dispatcher::driver::{Driver, Locations, Readiness};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_faults::fleet::End;
-use cindercleat_fleet::file::Folder;
+use cindercleat_fleet::acceptor_storage::Folder;
 use cindercleat_net::{Listener, Tcp, TcpFrom, TokioClock, Transport};
 use std::future::Future;
 use std::io;
@@ -45,7 +45,7 @@
             });
             let disk = fleet.file.map(Folder::new);
             let member =
-                cindercleat_fleet::Shell::new(fleet.member, transport, clock, disk, dispatcher);
+                cindercleat_fleet::Driver::new(fleet.member, transport, clock, disk, dispatcher);
             beside = Some(tokio::task::spawn_local(async move {
                 // A channel that is gone is a stop, too.
                 let stop = async { while !*hears.borrow() && hears.changed().await.is_ok() {} };
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -8,8 +8,8 @@
 use cindercleat_protocol::v1::EndpointStatus;
 use cindercleat_protocol::Body;
 use cindercleat_standin::client::{End, Port};
+use cindercleat_standin::discovery::Discovery;
 use cindercleat_standin::engine::{Does, Engine, EngineSpec};
-use cindercleat_standin::feed::Feed;
 use cindercleat_standin::transcript::{Note, Transcript, Way, What};
 use std::future::Future;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
     pub clock: TokioClock,
     pub driver: Driver<Memory, TokioClock>,
     pub transcript: Transcript,
-    pub feed: Feed<TokioClock>,
+    pub feed: Discovery<TokioClock>,
     /// Tells the dispatcher to stop.
     pub stop: Rc<Notify>,
     pub engines: Vec<Engine<Memory, TokioClock>>,
@@ -47,7 +47,7 @@
     LocalSet::new().block_on(&runtime, async {
         let (memory, clock) = (Memory::default(), TokioClock::starting_at(1e6));
         let transcript = Transcript::default();
-        let feed = Feed::new("list", clock, transcript.clone(), 0.0);
+        let feed = Discovery::new("list", clock, transcript.clone(), 0.0);
         spawn_local(
             feed.clone()
                 .serve::<Memory>(memory.listen("feed").await.expect("a name")),
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -7,8 +7,8 @@
 use cindercleat_dispatcher::{Limits, ProgramSettings};
 use cindercleat_net::{Clock, Listener, Tcp, TokioClock, Transport};
 use cindercleat_protocol::v1::{self, run_reply::Part, EndpointStatus};
+use cindercleat_standin::discovery::Discovery;
 use cindercleat_standin::engine::{Does, Engine, EngineSpec};
-use cindercleat_standin::feed::Feed;
 use cindercleat_standin::transcript::{Note, Transcript, What};
 use http::uri::PathAndQuery;
 use prost::Message;
@@ -32,7 +32,7 @@
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let (clock, transcript) = (TokioClock::system(), Transcript::default());
-        let feed = Feed::new("list", clock, transcript.clone(), 0.0);
+        let feed = Discovery::new("list", clock, transcript.clone(), 0.0);
         let listener = Tcp.listen("127.0.0.1:0").await.expect("a port");
         let feed_address = listener.address();
         spawn_local(feed.clone().serve::<Tcp>(listener));
--- a/crates/faults/src/drill/mod.rs
+++ b/crates/faults/src/drill/mod.rs
@@ -11,7 +11,7 @@
 use cindercleat::coordination::member::{Answer, Question};
 use cindercleat::coordination::Incarnation;
 use cindercleat::interface::Ms;
-use cindercleat_fleet::words::{answer_out, question_in};
+use cindercleat_fleet::codec::{answer_out, question_in};
 use cindercleat_grpc::{serve, Event, Session, Setup};
 use cindercleat_protocol::{frame, v1, Body, Frame};
 use cindercleat_standin::transcript::Note;
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -14,7 +14,7 @@
 use cindercleat::coordination::rollout_controller::PermitNotice;
 use cindercleat::coordination::{Incarnation, Name};
 use cindercleat::interface::Ms;
-use cindercleat_fleet::words::{answer_out, question_in};
+use cindercleat_fleet::codec::{answer_out, question_in};
 use cindercleat_grpc::{serve, Event, Session, Setup};
 use cindercleat_net::{Clock, Tcp, TokioClock};
 use cindercleat_protocol::{frame, v1, Body, Frame};
--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -22,7 +22,7 @@
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
 use cindercleat::interface::Ms;
-use cindercleat_fleet::words::{answer_out, question_out};
+use cindercleat_fleet::codec::{answer_out, question_out};
 use nanorand::{Rng, WyRand};
 use prost::Message;
 use std::cmp::Reverse;
--- a/crates/faults/src/fleet.rs
+++ b/crates/faults/src/fleet.rs
@@ -5,8 +5,8 @@
 use cindercleat_net::{Clock, Listener, Ms, Transport};
 use cindercleat_protocol::v1::EndpointStatus;
 use cindercleat_standin::client::Clients;
+use cindercleat_standin::discovery::Discovery;
 use cindercleat_standin::engine::{Engine, Troubles};
-use cindercleat_standin::feed::Feed;
 use cindercleat_standin::transcript::Transcript;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -48,7 +48,7 @@
 /// Stand-ins of a fleet.
 pub struct Fleet<T, C> {
     pub engines: BTreeMap<String, Engine<T, C>>,
-    pub feed: Feed<C>,
+    pub feed: Discovery<C>,
     pub feed_address: String,
     pub clock: C,
     pub transcript: Transcript,
@@ -65,7 +65,7 @@
         clock: C,
         transcript: Transcript,
     ) -> io::Result<Self> {
-        let feed = Feed::new("list", clock.clone(), transcript.clone(), day.list_delay);
+        let feed = Discovery::new("list", clock.clone(), transcript.clone(), day.list_delay);
         let (transport, address) = place("list", CLIENTS);
         let listener = transport.listen(&address).await?;
         let feed_address = listener.address();
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/acceptor_storage.rs
@@ -2,7 +2,7 @@
 //! or the new one, and what was said to last does. File access is a parameter: [`Folder`] is the system's, and
 //! [`Memory`] one that fails and damages as it is told.
 
-use crate::words::{file_in, file_out};
+use crate::codec::{file_in, file_out};
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat_protocol::v1;
 use prost::Message;
--- a/crates/fleet/src/ask.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -1,7 +1,7 @@
 //! The operators' end: one question to a member, and its answer.
 
-use crate::shell::MOST_MESSAGE;
-use crate::words::{answer_in, question_out};
+use crate::codec::{answer_in, question_out};
+use crate::driver::MOST_MESSAGE;
 use cindercleat::coordination::member::{Answer, OperatorRequest, Question, Reply};
 use cindercleat::interface::Ms;
 use cindercleat_grpc::{connect, Event, Session, Setup};
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/codec.rs
@@ -1,7 +1,8 @@
 //! The fleet's plain types as the schema's messages, and back. What comes from outside and cannot be right is `None`:
 //! a name that is empty or too long, an impossible ballot, a part that is not there.
 
-use crate::care_words;
+use crate::codec_fields::{address, name, text, MAX_TEXT_BYTES};
+use crate::rollout_codec;
 use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::coordination::member::{
     Answer, HeartbeatReply, MemberLine, OperatorRequest, Question, Reply, Status, VoterLine,
@@ -15,34 +16,19 @@
     LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
     MAX_LEASES, MAX_VOTERS,
 };
-use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
+use cindercleat::coordination::{Incarnation, LeaseName, Name, Term};
 use cindercleat_protocol::v1;
 use std::collections::BTreeMap;
 use v1::fleet_answer::Answer as A;
 use v1::fleet_call::Question as Q;
 
-/// Longest name or address taken.
-pub(crate) const LONGEST: usize = 256;
 /// Voters' writes that one message tells of; there are a few a voter.
 const MOST_HEARD: usize = 256;
 
-pub(crate) fn text(text: &str) -> Option<&str> {
-    (!text.is_empty() && text.len() <= LONGEST && !text.chars().any(char::is_control))
-        .then_some(text)
-}
-
-pub(crate) fn name(said: &str) -> Option<Name> {
-    text(said).map(Name::from)
-}
-
 fn lease_name(said: &str) -> Option<LeaseName> {
     text(said).map(LeaseName::from)
 }
 
-pub(crate) fn address(said: &str) -> Option<Address> {
-    text(said).map(Address::from)
-}
-
 fn finite(ms: f64) -> Option<f64> {
     ms.is_finite().then_some(ms)
 }
@@ -175,7 +161,7 @@
 
 fn agreed_out(value: &ReplicatedState) -> v1::ReplicatedState {
     let (version, voters) = (value.version, Some(voters_out(&value.voters)));
-    let disruptions = care_words::care_out(&value.disruptions);
+    let disruptions = rollout_codec::care_out(&value.disruptions);
     v1::ReplicatedState {
         version,
         voters,
@@ -188,7 +174,7 @@
     let said = said?;
     (said.leases.len() <= MAX_LEASES).then_some(())?;
     let leases = said.leases.iter().map(row_in).collect::<Option<_>>()?;
-    let disruptions = Box::new(care_words::care_in(said.disruptions.as_ref())?);
+    let disruptions = Box::new(rollout_codec::care_in(said.disruptions.as_ref())?);
     Some(ReplicatedState {
         version: said.version,
         voters: voters_in(&said.voters?)?,
@@ -320,11 +306,11 @@
             stopping: heartbeat.stopping,
             load: heartbeat.load,
             holds: heartbeat.holds,
-            tally: Some(care_words::tally_out(&heartbeat.tally)),
+            tally: Some(rollout_codec::tally_out(&heartbeat.tally)),
             reports: heartbeat
                 .reports
                 .iter()
-                .map(care_words::report_out)
+                .map(rollout_codec::report_out)
                 .collect(),
         }),
         Question::LeaseOffer { lease_name } => Q::Nudge(v1::FleetNudge {
@@ -344,7 +330,7 @@
             of,
             who,
             incarnation,
-        } => care_words::ask_back_out(*permit, *of, who, *incarnation),
+        } => rollout_codec::ask_back_out(*permit, *of, who, *incarnation),
         Question::Operator(order) => order_out(order),
     };
     v1::FleetCall {
@@ -378,7 +364,7 @@
             lease_name: lease_name.0.to_string(),
             job: *job,
         }),
-        OperatorRequest::Rollout(order) => care_words::order_out(order),
+        OperatorRequest::Rollout(order) => rollout_codec::order_out(order),
         OperatorRequest::ByHand {
             name: who,
             address,
@@ -418,12 +404,12 @@
         },
         Q::Heartbeat(m) => {
             let (zone, label) = (m.zone, m.label);
-            (zone.len() <= LONGEST && label.len() <= LONGEST).then_some(())?;
+            (zone.len() <= MAX_TEXT_BYTES && label.len() <= MAX_TEXT_BYTES).then_some(())?;
             let (up, load) = (finite(m.up_ms)?, finite(m.load)?);
             let (who, ready, stopping, holds) = (holder_in(&m.who?)?, m.ready, m.stopping, m.holds);
             let (tally, reports) = (
-                care_words::tally_in(m.tally.as_ref()),
-                care_words::reports_in(&m.reports)?,
+                rollout_codec::tally_in(m.tally.as_ref()),
+                rollout_codec::reports_in(&m.reports)?,
             );
             Question::Heartbeat(Heartbeat {
                 who,
@@ -489,7 +475,7 @@
             job: m.job,
         }),
         Q::AskBack(m) => {
-            let (permit, of, who, incarnation) = care_words::ask_back_in(&m)?;
+            let (permit, of, who, incarnation) = rollout_codec::ask_back_in(&m)?;
             Question::AskBack {
                 permit,
                 of,
@@ -497,7 +483,7 @@
                 incarnation,
             }
         }
-        other => Question::Operator(care_words::order_in(&other)?),
+        other => Question::Operator(rollout_codec::order_in(&other)?),
     })
 }
 
@@ -705,7 +691,7 @@
             .as_ref()
             .map(|a| a.0.to_string())
             .unwrap_or_default(),
-        disruptions: Some(care_words::status_out(&status.disruptions)),
+        disruptions: Some(rollout_codec::status_out(&status.disruptions)),
     }
 }
 
@@ -749,6 +735,6 @@
         leading_for: said.roll_for_ms,
         members: said.roll.iter().map(line).collect::<Option<_>>()?,
         leader: address(&said.caller),
-        disruptions: care_words::status_in(said.disruptions.as_ref())?,
+        disruptions: rollout_codec::status_in(said.disruptions.as_ref())?,
     })
 }
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/driver.rs
@@ -2,8 +2,8 @@
 //! connections, nothing that serving waits for. All runs on the thread that it is started on, but for the syncs of the
 //! voter's file.
 
-use crate::file::{self, Disk};
-use crate::words::{answer_in, answer_out, question_in, question_out};
+use crate::acceptor_storage::{self, Disk};
+use crate::codec::{answer_in, answer_out, question_in, question_out};
 use cindercleat::coordination::disruption_budget::Unit;
 use cindercleat::coordination::member::{
     CallId, FleetSettings, Input, LocalHealth, Member, Output, Question, QuestionId, SaveId,
@@ -82,19 +82,19 @@
 }
 
 /// One dispatcher's part in its fleet; clones are the same one.
-pub struct Shell<T, C, D> {
+pub struct Driver<T, C, D> {
     inner: Rc<Inner<T, C, D>>,
 }
 
-impl<T, C, D> Clone for Shell<T, C, D> {
+impl<T, C, D> Clone for Driver<T, C, D> {
     fn clone(&self) -> Self {
-        Shell {
+        Driver {
             inner: self.inner.clone(),
         }
     }
 }
 
-impl<T: Transport, C: Clock, D: Disk> Shell<T, C, D> {
+impl<T: Transport, C: Clock, D: Disk> Driver<T, C, D> {
     pub fn new(
         settings: FleetSettings,
         transport: T,
@@ -121,7 +121,7 @@
             dropped: Cell::new(0),
             warned: Cell::new(f64::NEG_INFINITY),
         };
-        Shell {
+        Driver {
             inner: Rc::new(inner),
         }
     }
@@ -135,9 +135,13 @@
         if let Some(disk) = &inner.disk {
             let state = match disk.read() {
                 Ok(None) => Ok(None),
-                Ok(Some(bytes)) => file::read(&bytes).map(Some).map_err(|e| UnusableFile {
-                    reason: e.to_string(),
-                }),
+                Ok(Some(bytes)) => {
+                    acceptor_storage::read(&bytes)
+                        .map(Some)
+                        .map_err(|e| UnusableFile {
+                            reason: e.to_string(),
+                        })
+                }
                 Err(problem) => Err(UnusableFile {
                     reason: problem.to_string(),
                 }),
@@ -249,7 +253,7 @@
 
     async fn save(self, number: SaveId, state: Box<AcceptorState>) {
         let saved = match &self.inner.disk {
-            Some(disk) => disk.replace(file::write(&state)).await,
+            Some(disk) => disk.replace(acceptor_storage::write(&state)).await,
             None => Err(std::io::ErrorKind::Unsupported.into()),
         };
         if let Err(problem) = &saved {
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -1,7 +1,7 @@
 //! Holds a duty for work outside of the dispatchers, such as an operator's command: waits until the duty is held, begins
 //! the work, asks for the lease again while it goes on, and ends it in time when the lease is not renewed.
 
-use crate::ask::order_any;
+use crate::admin_client::order_any;
 use cindercleat::coordination::job_lease::JobLease;
 use cindercleat::coordination::member::{OperatorRequest, Reply};
 use cindercleat::coordination::{LeaseName, Term};
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,14 @@
-//! Carries out what `cindercleat::coordination` decides: messages over the schema's `Fleet` service ([`words`]), the voter's
-//! file ([`file`]), and the loop that joins both with a transport and a clock ([`shell`]). [`ask`] is the operators'
-//! end of it, and [`job`] holds a duty for work outside of the dispatchers.
+//! Carries out what `cindercleat::coordination` decides: messages over the schema's `Fleet` service ([`codec`]), the voter's
+//! file ([`acceptor_storage`]), and the loop that joins both with a transport and a clock ([`driver`]). [`admin_client`] is the operators'
+//! end of it, and [`job`] holds a lease for work outside of the dispatchers.
 #![forbid(unsafe_code)]
 
-pub mod ask;
-mod care_words;
-pub mod file;
+pub mod acceptor_storage;
+pub mod admin_client;
+pub mod codec;
+mod codec_fields;
+pub mod driver;
 pub mod job;
-pub mod shell;
-pub mod words;
+mod rollout_codec;
 
-pub use shell::{Dispatcher, Shell};
+pub use driver::{Dispatcher, Driver};
--- a/crates/fleet/src/care_words.rs
+++ b/crates/fleet/src/rollout_codec.rs
@@ -1,6 +1,6 @@
 //! Turns, plans and releases as the schema's messages, and back.
 
-use crate::words::{address, name, text, LONGEST};
+use crate::codec_fields::{address, name, text, MAX_TEXT_BYTES};
 use cindercleat::coordination::disruption_budget::{
     DisruptionBudget, MaxUnavailable, OutcomeCounts, UnavailableCount, UnitKind, ZoneSizes,
 };
@@ -531,7 +531,7 @@
             .iter()
             .map(left)
             .collect::<Option<_>>()?,
-        notes: few(&said.notes, LONGEST)?
+        notes: few(&said.notes, MAX_TEXT_BYTES)?
             .iter()
             .map(|n| words(n))
             .collect::<Option<_>>()?,
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/codec.rs
@@ -21,8 +21,8 @@
     LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
-use cindercleat_fleet::file::{read, write, Unusable};
-use cindercleat_fleet::words::{answer_in, answer_out, question_in, question_out};
+use cindercleat_fleet::acceptor_storage::{read, write, Unusable};
+use cindercleat_fleet::codec::{answer_in, answer_out, question_in, question_out};
 use cindercleat_protocol::v1;
 use proptest::prelude::*;
 use prost::Message;
--- a/crates/fleet/tests/shell.rs
+++ b/crates/fleet/tests/driver.rs
@@ -7,9 +7,9 @@
     Answer, FleetSettings, LocalHealth, OperatorRequest, Question, Reply,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
-use cindercleat_fleet::ask::{ask, order};
-use cindercleat_fleet::file::Memory as File;
-use cindercleat_fleet::{Dispatcher, Shell};
+use cindercleat_fleet::acceptor_storage::Memory as File;
+use cindercleat_fleet::admin_client::{ask, order};
+use cindercleat_fleet::{Dispatcher, Driver};
 use cindercleat_grpc::{connect, Event, Setup};
 use cindercleat_net::{Clock, Memory, TokioClock, Transport};
 use cindercleat_protocol::{frame, v1, Body, Frame};
@@ -18,7 +18,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-type Member = Shell<Memory, TokioClock, File>;
+type Member = Driver<Memory, TokioClock, File>;
 
 struct Net {
     memory: Memory,
@@ -77,7 +77,7 @@
 impl Net {
     async fn start(&mut self, fleet: &str, at: usize, file: File) -> Member {
         let dispatcher = Rc::new(ReadyDispatcher);
-        let member = Shell::new(
+        let member = Driver::new(
             settings(fleet, at),
             self.memory.clone(),
             self.clock,
@@ -195,7 +195,7 @@
         let stranger = net.start("other", 7, File::default()).await;
         net.wait(2_000.0).await;
         assert!(stranger.held().is_empty());
-        let dropped = || net.members.iter().map(Shell::dropped).sum::<u64>();
+        let dropped = || net.members.iter().map(Driver::dropped).sum::<u64>();
         let strange = dropped();
         assert!(strange >= 1, "it was refused");
         // Bytes that are nothing, and a call that says nothing.
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -6,9 +6,9 @@
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{FleetSettings, LocalHealth};
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
-use cindercleat_fleet::file::{Disk, Memory as File};
+use cindercleat_fleet::acceptor_storage::{Disk, Memory as File};
 use cindercleat_fleet::job::{Ended, Job, Work};
-use cindercleat_fleet::{Dispatcher, Shell};
+use cindercleat_fleet::{Dispatcher, Driver};
 use cindercleat_net::{Clock, Memory, TokioClock, Transport};
 use std::cell::{Cell, RefCell};
 use std::future::{pending, Future};
@@ -139,7 +139,7 @@
                 clock: net.clock,
                 write_takes: net.write_takes.clone(),
             };
-            let member = Shell::new(
+            let member = Driver::new(
                 settings(at),
                 net.memory.clone(),
                 net.clock,
--- a/crates/fleet/tests/stored_bytes.rs
+++ b/crates/fleet/tests/stored_bytes.rs
@@ -12,7 +12,7 @@
     LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
-use cindercleat_fleet::file::{read, write};
+use cindercleat_fleet::acceptor_storage::{read, write};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The file's bytes in hexadecimal.
--- a/crates/http1/src/feed.rs
+++ b/crates/http1/src/discovery_client.rs
@@ -1,7 +1,7 @@
 //! The list feed's side: the whole list once, then the watch, each next call at once after the last answer.
 
 use crate::framing::{Came, Length, Reading};
-use crate::{list, session, words, Bounds, Session, Shared};
+use crate::{list, session, wire_names, Bounds, Session, Shared};
 use bytes::BytesMut;
 use cindercleat_protocol::session::{Event, Io, Setup};
 use cindercleat_protocol::{v1, Body, Frame};
@@ -56,7 +56,7 @@
         return Ended::Lost("nothing was asked".to_owned());
     };
     let mut path = match follow.known_version {
-        None => words::LIST.to_owned(),
+        None => wire_names::LIST.to_owned(),
         // The answer does not wait for a change: it shows that discovery is there.
         Some(version) => changes_since(version, 0),
     };
@@ -88,9 +88,9 @@
 fn changes_since(version: u64, wait_ms: u32) -> String {
     format!(
         "{}?{}={version}&{}={wait_ms}",
-        words::LIST,
-        words::LIST_AFTER,
-        words::LIST_WAIT
+        wire_names::LIST,
+        wire_names::LIST_AFTER,
+        wire_names::LIST_WAIT
     )
 }
 
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -5,7 +5,7 @@
 
 use crate::event_stream::FirstEvent;
 use crate::framing::{Answer, Came, Fault, Length, Reading};
-use crate::{session, words, Bounds, Session, Shared};
+use crate::{session, wire_names, Bounds, Session, Shared};
 use bytes::{Bytes, BytesMut};
 use cindercleat_protocol::session::{Event, Io, Setup};
 use cindercleat_protocol::{v1, Body, Frame};
@@ -149,12 +149,12 @@
             Body::HealthCheck(_) => {
                 let head = format!(
                     "GET {} HTTP/1.1\r\nHost: {authority}\r\n\r\n",
-                    words::LOAD_PATH
+                    wire_names::LOAD_PATH
                 );
                 Some((Call::Probe, head.into_bytes(), Bytes::new()))
             }
             Body::Release(release) => {
-                let path = format!("{}{}", words::STATES, release.origin);
+                let path = format!("{}{}", wire_names::STATES, release.origin);
                 let head = format!(
                     "DELETE {path} HTTP/1.1\r\nHost: {authority}\r\nContent-Length: 0\r\n\r\n"
                 );
@@ -173,11 +173,11 @@
         );
         head += &format!(
             "{}: {}\r\nContent-Length: {length}\r\n",
-            words::ID,
+            wire_names::ID,
             origin.id
         );
         if wait_ms > 0.0 {
-            head += &format!("{}: {}\r\n", words::TIME_TO_DEADLINE, wait_ms.floor());
+            head += &format!("{}: {}\r\n", wire_names::TIME_TO_DEADLINE, wait_ms.floor());
         }
         let mut head = head.into_bytes();
         for header in origin.headers {
@@ -428,7 +428,7 @@
 }
 
 fn turns_away(head: &Answer) -> bool {
-    head.get(words::TURNED_AWAY) == Some(b"1") && matches!(head.first, 503 | 504 | 410)
+    head.get(wire_names::TURNED_AWAY) == Some(b"1") && matches!(head.first, 503 | 504 | 410)
 }
 
 fn failed(call: &Call, reason: String) -> Body {
@@ -482,7 +482,7 @@
 
 /// What a whole answer says.
 fn said_of(call: &Call, head: &Answer, body: &[u8]) -> Body {
-    let load_said = head.get(words::LOAD).and_then(load);
+    let load_said = head.get(wire_names::LOAD).and_then(load);
     let ended = |status: v1::Status| {
         let reason = format!("status {}", head.first);
         v1::Ended {
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1's framing without I/O: heads (by `httparse`), lengths, chunks. Bytes go in as they come, in any
 //! pieces; what is not plainly right is a [`Fault`]. Nothing here grows beyond the bounds that it is given.
 
-use crate::words::digits;
+use crate::wire_names::digits;
 use bytes::{Buf, Bytes, BytesMut};
 
 /// The longest head taken, in bytes, and the most header lines in it.
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,18 +1,18 @@
-//! The platform's protocol, HTTP/1.1 with JSON and event streams, as sessions of the ledger's frames: for
-//! clients ([`server`]), engines ([`engine_client`]) and the list feed ([`feed`]).
+//! The platform's protocol, HTTP/1.1 with JSON and event streams, as sessions of the dispatcher's frames: for
+//! clients ([`server`]), engines ([`engine_client`]) and discovery ([`discovery_client`]).
 //!
 //! [`framing`] is the part without I/O. A connection carries one request at a time, so a session is one request
-//! that reads, writes and waits by turns. Names and forms are in [`words`]; nothing is decided here.
+//! that reads, writes and waits by turns. Names and forms are in [`wire_names`]; nothing is decided here.
 #![forbid(unsafe_code)]
 
 mod arrivals;
+mod discovery_client;
 mod engine_client;
 pub mod event_stream;
-mod feed;
 pub mod framing;
 mod list;
 mod server;
-pub mod words;
+pub mod wire_names;
 
 pub use list::{parse as parse_list, Malformed};
 
@@ -78,7 +78,7 @@
     async fn connect<S: Io>(&self, io: S, to: v1::Party, setup: Setup) -> Result<Session, String> {
         match to {
             v1::Party::Engine => Ok(engine_client::start(io, self.bounds, setup)),
-            v1::Party::Feed => Ok(feed::start(io, self.bounds, setup)),
+            v1::Party::Feed => Ok(discovery_client::start(io, self.bounds, setup)),
             _ => Err("not spoken on this wire".to_owned()),
         }
     }
--- a/crates/http1/src/list.rs
+++ b/crates/http1/src/list.rs
@@ -1,6 +1,6 @@
 //! The list of engines in the platform's form.
 
-use crate::words;
+use crate::wire_names;
 use cindercleat_protocol::v1;
 use serde::Deserialize;
 
@@ -47,9 +47,9 @@
 
 fn line(member: Member) -> v1::Endpoint {
     let status = match member.phase.as_str() {
-        words::UP => v1::EndpointStatus::Ready,
-        words::DRAINING => v1::EndpointStatus::Draining,
-        words::REMOVED => v1::EndpointStatus::Gone,
+        wire_names::UP => v1::EndpointStatus::Ready,
+        wire_names::DRAINING => v1::EndpointStatus::Draining,
+        wire_names::REMOVED => v1::EndpointStatus::Gone,
         _ => v1::EndpointStatus::Unspecified,
     };
     v1::Endpoint {
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::arrivals::Arrivals;
 use crate::framing::{self, Fault, Length, Part, Request};
-use crate::{session, words, Http1, Session, Shared};
+use crate::{session, wire_names, Http1, Session, Shared};
 use bytes::{Bytes, BytesMut};
 use cindercleat_protocol::session::{Event, Io};
 use cindercleat_protocol::{v1, Body, Frame};
@@ -183,7 +183,7 @@
             self.more(&mut told).await?;
         };
         let most = self.wire.bounds.most_body;
-        let too_long = || Last::Refused(refusal(words::TOO_LONG, "the body is too long"));
+        let too_long = || Last::Refused(refusal(wire_names::TOO_LONG, "the body is too long"));
         if matches!(head.length, Length::Known(bytes) if bytes > most as u64) {
             return Err(too_long());
         }
@@ -207,7 +207,7 @@
                     // Guards against many large bodies at once, which memory would not bear.
                     if self.lease.held.get() > self.wire.bounds.most_bodies {
                         return Err(Last::Refused(refusal(
-                            words::BOUNCED,
+                            wire_names::BOUNCED,
                             "too much is being sent",
                         )));
                     }
@@ -245,7 +245,7 @@
         tokio::select! { biased;
             () = self.shared.closed() => {
                 Err(if resting { Last::Over } else {
-                    Last::Refused(refusal(words::SLOW, "the request did not come in time"))
+                    Last::Refused(refusal(wire_names::SLOW, "the request did not come in time"))
                 })
             }
             read = self.io.read_buf(&mut self.bytes) => match read {
@@ -393,20 +393,28 @@
                     } else {
                         String::new()
                     };
-                    (words::BOUNCED, said.reason.as_str(), more, keeps)
+                    (wire_names::BOUNCED, said.reason.as_str(), more, keeps)
                 }
                 (_, false) => (
-                    words::WRITTEN_OFF,
+                    wire_names::WRITTEN_OFF,
                     said.reason.as_str(),
                     String::new(),
                     keeps,
                 ),
             },
-            Body::InvalidRequest(said) => {
-                (words::REJECTED, said.reason.as_str(), String::new(), false)
-            }
-            Body::Pong(_) => (words::READY, "ready", String::new(), keeps),
-            Body::Goodbye(said) => (words::BOUNCED, said.reason.as_str(), String::new(), keeps),
+            Body::InvalidRequest(said) => (
+                wire_names::REJECTED,
+                said.reason.as_str(),
+                String::new(),
+                false,
+            ),
+            Body::Pong(_) => (wire_names::READY, "ready", String::new(), keeps),
+            Body::Goodbye(said) => (
+                wire_names::BOUNCED,
+                said.reason.as_str(),
+                String::new(),
+                keeps,
+            ),
             _ => return None,
         };
         text.extend_from_slice(&plain(status, why, &more, keeps));
@@ -425,11 +433,11 @@
 
 fn wrong(fault: Fault) -> Refusal {
     match fault {
-        Fault::Malformed(what) => refusal(words::REJECTED, what),
+        Fault::Malformed(what) => refusal(wire_names::REJECTED, what),
         Fault::TooLong(what @ ("the head" | "the list of headers")) => {
-            refusal(words::HEAD_TOO_LONG, what)
+            refusal(wire_names::HEAD_TOO_LONG, what)
         }
-        Fault::TooLong(what) => refusal(words::TOO_LONG, what),
+        Fault::TooLong(what) => refusal(wire_names::TOO_LONG, what),
     }
 }
 
@@ -442,37 +450,39 @@
 fn kind(head: &Request) -> Result<Kind, Refusal> {
     let path = head.first.target.split('?').next().unwrap_or_default();
     match head.first.method.as_str() {
-        "GET" if path == words::READY_PATH => Ok(Kind::Ready),
-        "POST" if path.starts_with(words::REQUESTS_PATH) => Ok(Kind::Submit),
-        _ if path.starts_with(words::REQUESTS_PATH) => {
-            Err(refusal(words::WRONG_METHOD, "only POST"))
+        "GET" if path == wire_names::READY_PATH => Ok(Kind::Ready),
+        "POST" if path.starts_with(wire_names::REQUESTS_PATH) => Ok(Kind::Submit),
+        _ if path.starts_with(wire_names::REQUESTS_PATH) => {
+            Err(refusal(wire_names::WRONG_METHOD, "only POST"))
         }
-        _ => Err(refusal(words::NOWHERE, "there is nothing here")),
+        _ => Err(refusal(wire_names::NOWHERE, "there is nothing here")),
     }
 }
 
 /// The request that a request describes, or the first thing that cannot be right.
 fn submit(head: &Request, prompt: Bytes) -> Result<v1::Submit, Refusal> {
-    let bad = |why| refusal(words::REJECTED, why);
+    let bad = |why| refusal(wire_names::REJECTED, why);
     let id = head
-        .text(words::ID)
-        .filter(|id| words::is_id(id))
+        .text(wire_names::ID)
+        .filter(|id| wire_names::is_id(id))
         .ok_or_else(|| bad("no id, or none that can be one"))?;
-    let time_to_deadline = head.get(words::TIME_TO_DEADLINE).and_then(words::whole);
+    let time_to_deadline = head
+        .get(wire_names::TIME_TO_DEADLINE)
+        .and_then(wire_names::whole);
     let time_to_deadline =
         time_to_deadline.ok_or_else(|| bad("no time to wait, or none that can be one"))?;
-    let request_class = head.text(words::REQUEST_CLASS).unwrap_or_default();
+    let request_class = head.text(wire_names::REQUEST_CLASS).unwrap_or_default();
     let mut labels = Labels::default();
-    if let Some(text) = head.text(words::LABELS) {
+    if let Some(text) = head.text(wire_names::LABELS) {
         labels = Labels::read(text).ok_or_else(|| bad("the labels cannot be read"))?;
     }
-    let guessed = prompt.len().div_ceil(words::CHARS_PER_TOKEN).max(1) as u32;
+    let guessed = prompt.len().div_ceil(wire_names::CHARS_PER_TOKEN).max(1) as u32;
     let prompt_tokens = labels.prompt_tokens.unwrap_or(guessed).max(1);
-    let session = head.text(words::SESSION).unwrap_or(id);
-    let resent = head.text(words::RETRIED);
+    let session = head.text(wire_names::SESSION).unwrap_or(id);
+    let resent = head.text(wire_names::RETRIED);
     // These two are the dispatcher's own to say.
     let ours = |name: &str| {
-        [words::ID, words::TIME_TO_DEADLINE]
+        [wire_names::ID, wire_names::TIME_TO_DEADLINE]
             .iter()
             .any(|ours| ours.eq_ignore_ascii_case(name))
     };
@@ -483,15 +493,15 @@
     });
     Ok(v1::Submit {
         request_class: request_class.to_owned(),
-        tenant: head.text(words::TENANT).unwrap_or_default().to_owned(),
-        session: words::key(session),
+        tenant: head.text(wire_names::TENANT).unwrap_or_default().to_owned(),
+        session: wire_names::key(session),
         shared_text: labels.shared.unwrap_or(0),
         prompt_tokens,
         shared_tokens: labels.shared_tokens.unwrap_or(0).min(prompt_tokens),
         max_tokens: labels.max_tokens.unwrap_or(guessed).max(1),
         time_to_deadline_ms: f64::from(time_to_deadline),
-        retried: resent == Some(words::TRIED_BEFORE),
-        resumed: resent == Some(words::FOR_THE_REST),
+        retried: resent == Some(wire_names::TRIED_BEFORE),
+        resumed: resent == Some(wire_names::FOR_THE_REST),
         key: String::new(),
         prompt,
         origin: Some(v1::Origin {
@@ -520,12 +530,12 @@
             .filter(|label| !label.is_empty())
         {
             let (name, value) = label.split_once('=')?;
-            let number = || words::whole(value.as_bytes());
+            let number = || wire_names::whole(value.as_bytes());
             match name {
-                words::SHARED => labels.shared = Some(words::key(value)),
-                words::PROMPT_TOKENS => labels.prompt_tokens = Some(number()?),
-                words::SHARED_TOKENS => labels.shared_tokens = Some(number()?),
-                words::MAX_TOKENS => labels.max_tokens = Some(number()?),
+                wire_names::SHARED => labels.shared = Some(wire_names::key(value)),
+                wire_names::PROMPT_TOKENS => labels.prompt_tokens = Some(number()?),
+                wire_names::SHARED_TOKENS => labels.shared_tokens = Some(number()?),
+                wire_names::MAX_TOKENS => labels.max_tokens = Some(number()?),
                 _ => {}
             }
         }
--- a/crates/http1/src/words.rs
+++ b/crates/http1/src/wire_names.rs
@@ -1,4 +1,4 @@
-//! The platform's words: names of headers, paths and fields, and the form of its numbers. Nothing is decided
+//! Names of the platform's protocol: headers, paths and fields, and the form of its numbers. Nothing is decided
 //! here.
 
 pub const ID: &str = "X-Txn";
--- a/crates/standin/src/feed.rs
+++ b/crates/standin/src/discovery.rs
@@ -23,19 +23,19 @@
 }
 
 /// A list feed; clones are the same one.
-pub struct Feed<C> {
+pub struct Discovery<C> {
     inner: Rc<Inner<C>>,
 }
 
-impl<C> Clone for Feed<C> {
+impl<C> Clone for Discovery<C> {
     fn clone(&self) -> Self {
-        Feed {
+        Discovery {
             inner: self.inner.clone(),
         }
     }
 }
 
-impl<C: Clock> Feed<C> {
+impl<C: Clock> Discovery<C> {
     pub fn new(name: &str, clock: C, transcript: Transcript, delay: Ms) -> Self {
         let inner = Inner {
             clock,
@@ -47,7 +47,7 @@
             delay: Cell::new(delay),
             silent: Cell::new(false),
         };
-        Feed {
+        Discovery {
             inner: Rc::new(inner),
         }
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,10 +1,10 @@
-//! Stand-ins written for this project: engines, the list feed and clients, with faults by script, and the
+//! Stand-ins written for this project: engines, discovery and clients, with faults by script, and the
 //! [`audit`] that holds the five rules against what they saw. None of it knows a dispatcher's state.
 
 pub mod audit;
 pub mod client;
+pub mod discovery;
 pub mod engine;
-pub mod feed;
 pub mod transcript;
 
 use cindercleat_grpc::{connect, serve, Session, Setup};
