--- a/crates/dispatcher/src/state/abandoned_streams.rs
+++ b/crates/dispatcher/src/state/abandoned_streams.rs
@@ -38,7 +38,7 @@
             self.connections.left_unanswered(&engine, self.now);
             return self.close_connection(connection_id, reason, outputs);
         }
-        let until = connection.heard + self.settings.limits.stall_timeout;
+        let until = connection.last_received_at + self.settings.limits.stall_timeout;
         if self.now >= until {
             self.close_connection(connection_id, "it says nothing and ends nothing", outputs);
         } else {
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -35,7 +35,7 @@
         outputs: &mut Vec<Output>,
     ) {
         let stream = StreamId(frame.stream);
-        self.heard_client(conn);
+        self.client_message_received(conn);
         match frame.body {
             Some(Body::Submit(submit)) => self.handle_submit((conn, stream), submit, outputs),
             Some(Body::Cancel(_)) => {
--- a/crates/dispatcher/src/state/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -103,7 +103,7 @@
     }
 
     /// Anything was received from a client.
-    pub(super) fn heard_client(&mut self, conn: ClientConnectionId) {
+    pub(super) fn client_message_received(&mut self, conn: ClientConnectionId) {
         if let Some(connection) = self.client_connections.all.get_mut(&conn) {
             connection.multiplexed.received(self.now);
         }
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -24,7 +24,7 @@
     /// What is sent once it is established.
     pub waiting: Vec<(StreamId, Body)>,
     /// When anything was last received over it.
-    pub heard: Ms,
+    pub last_received_at: Ms,
     pub dialled: Ms,
     /// When its last stream was opened.
     pub last_call: Ms,
@@ -171,7 +171,7 @@
             .iter()
             .filter(|(_, connection)| connection.up && connection.streams.is_empty());
         let longest_idle = idle
-            .min_by(|a, b| a.1.heard.total_cmp(&b.1.heard))
+            .min_by(|a, b| a.1.last_received_at.total_cmp(&b.1.last_received_at))
             .map(|(id, _)| *id);
         if let Some(id) = longest_idle {
             out.push(Output::CloseConnection {
@@ -265,18 +265,18 @@
     }
 
     /// Anything was received over it.
-    pub fn heard(&mut self, id: EngineConnectionId, now: Ms) {
+    pub fn message_received(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get_mut(&id) else {
             return;
         };
-        connection.heard = now;
+        connection.last_received_at = now;
         if let Some(pool) = self.pools.get_mut(&connection.engine) {
             pool.received(ConnectionId(id.0), now);
         }
     }
 
     /// When the engine last sent anything; negative infinity if it never did.
-    pub fn heard_at(&self, engine: &EngineId) -> Ms {
+    pub fn engine_last_received_at(&self, engine: &EngineId) -> Ms {
         self.liveness
             .get(engine)
             .map_or(f64::NEG_INFINITY, |liveness| liveness.last_received_at)
@@ -396,7 +396,7 @@
             up: false,
             streams: BTreeMap::new(),
             waiting: Vec::new(),
-            heard: now,
+            last_received_at: now,
             dialled: now,
             last_call: now,
             next_stream: 1,
--- a/crates/dispatcher/src/state/delivery.rs
+++ b/crates/dispatcher/src/state/delivery.rs
@@ -161,7 +161,7 @@
             attempt.sent_at.map_or("not yet".to_owned(), since),
             since(connection.dialled),
             connection.carried(),
-            since(self.connections.heard_at(&attempt.engine)),
+            since(self.connections.engine_last_received_at(&attempt.engine)),
             since(self.connections.ran_at(&attempt.engine)),
         );
         Some((problem, text))
--- a/crates/dispatcher/src/state/engine_messages.rs
+++ b/crates/dispatcher/src/state/engine_messages.rs
@@ -29,7 +29,7 @@
         outputs: &mut Vec<Output>,
     ) {
         let stream = StreamId(frame.stream);
-        self.connections.heard(connection_id, self.now);
+        self.connections.message_received(connection_id, self.now);
         // What comes after a connection was closed here is old.
         let Some(connection) = self.connections.get(connection_id) else {
             return;
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -191,7 +191,7 @@
             if let Some(service_stats) = &mut self.service_stats {
                 events
                     .iter()
-                    .for_each(|event| service_stats.hears(self.now, event));
+                    .for_each(|event| service_stats.observe(self.now, event));
             }
             if self.logs_requests {
                 events
--- a/crates/dispatcher/src/state/release_targets.rs
+++ b/crates/dispatcher/src/state/release_targets.rs
@@ -53,7 +53,7 @@
 
     /// Whether an engine has sent anything within the time in which a release has to be confirmed.
     pub(super) fn has_responded_lately(&self, engine: &EngineId) -> bool {
-        self.connections.heard_at(engine)
+        self.connections.engine_last_received_at(engine)
             >= self.now - self.settings.policy.kv_state_timeout / CONFIRMATION_TIMEOUT_DIVISOR
     }
 
@@ -90,7 +90,7 @@
                 !self.connections.is_suspected(engine),
                 fresh,
                 rests,
-                self.connections.heard_at(engine),
+                self.connections.engine_last_received_at(engine),
             )
         };
         let order = |a: &&EngineId, b: &&EngineId| {
--- a/crates/dispatcher/src/state/service_stats.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -48,7 +48,7 @@
     }
 
     /// Learns about an engine from an event for the decisions.
-    pub fn hears(&mut self, now: Ms, event: &Event) {
+    pub fn observe(&mut self, now: Ms, event: &Event) {
         let (engine, load, outcome) = match event {
             Event::Ended(ended) => (&ended.engine, ended.load, Some(ended.outcome)),
             Event::HealthChecked { engine, load, .. } => (engine, *load, None),
--- a/src/coordination/member/operator_requests/voter_changes.rs
+++ b/src/coordination/member/operator_requests/voter_changes.rs
@@ -69,8 +69,8 @@
         let Some(at) = self.pending_commands.iter().position(|w| w.call == call) else {
             return;
         };
-        let wish = self.pending_commands.remove(at);
-        let reply = match &wish.command {
+        let pending = self.pending_commands.remove(at);
+        let reply = match &pending.command {
             Command::AddVoter { name, .. } => voter_reply(name, "votes from now on", done),
             Command::RemoveVoter { name } => voter_reply(name, "votes no more", done),
             Command::OperatorCommand(command) => self.operator_command_done(command, done, value),
