--- a/crates/dispatcher/src/driver/clients.rs
+++ b/crates/dispatcher/src/driver/clients.rs
@@ -1,4 +1,4 @@
-//! Connections that are accepted: clients, and other dispatchers that send gossip.
+//! Accepts connections from clients, and from other dispatchers that send gossip.
 
 use super::Driver;
 use crate::state::{ClientConnectionId, Input, StreamId};
@@ -9,37 +9,38 @@
 use std::io;
 use tokio::task::{spawn_local, yield_now};
 
-/// How long to wait before the next accept when one has failed for lack of resources.
+/// Delay before the next accept after one has failed because memory or file descriptors ran out.
 const ACCEPT_RETRY_DELAY_MS: Ms = 20.0;
 
-/// Linux's number of EPROTO, which has no [`io::ErrorKind`].
+/// The value of `EPROTO` on Linux; [`io::ErrorKind`] has no equivalent.
 const EPROTO: i32 = 71;
 
-/// Streams that a client may have open on one connection.
-const MAX_CALLS_PER_CLIENT: u32 = 1024;
+/// The number of streams that a client may have open on one connection.
+const MAX_STREAMS_PER_CLIENT: u32 = 1024;
 
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
     /// Accepts connections until the task is aborted.
     pub(super) async fn accept_connections(self, mut listener: T::Listener) {
-        let mut is_short_of_resources = false;
+        let mut previous_accept_failed = false;
         loop {
             match listener.accept().await {
                 Ok(stream) => {
-                    is_short_of_resources = false;
-                    self.admit(stream).await;
+                    previous_accept_failed = false;
+                    self.serve_if_capacity(stream).await;
                 }
-                Err(problem) if concerns_one_connection(&problem) => {
-                    tracing::debug!(%problem, "connection not taken");
+                Err(problem) if affects_one_connection(&problem) => {
+                    tracing::debug!(%problem, "accept failed for one connection; accepting the next");
                     yield_now().await;
                 }
-                // Too many files are open, or memory is short. If the next accept fails as well, an idle client's
-                // connection is closed to make room; not for a single failure, as its client may be about to send.
+                // Too many files are open, or memory is short. A single failure closes no connection, because an idle
+                // client may be about to send. If the next accept fails as well, the connection of an idle client is
+                // closed to free resources.
                 Err(problem) => {
-                    tracing::warn!(%problem, "no connection can be taken");
-                    if is_short_of_resources {
-                        self.input(Input::ClientsFull);
+                    tracing::warn!(%problem, "accept failed; retrying in {ACCEPT_RETRY_DELAY_MS} ms");
+                    if previous_accept_failed {
+                        self.input(Input::ClientLimitReached);
                     }
-                    is_short_of_resources = true;
+                    previous_accept_failed = true;
                     let retry_at = self.shared.clock.now() + ACCEPT_RETRY_DELAY_MS;
                     self.shared.clock.sleep_until(retry_at).await;
                 }
@@ -47,44 +48,49 @@
         }
     }
 
-    /// Serves an accepted connection, or drops it if there are too many.
-    async fn admit(&self, stream: T::Stream) {
+    /// Serves an accepted connection, or drops it if the connection limit is reached.
+    async fn serve_if_capacity(&self, stream: T::Stream) {
         if self.wait_for_capacity().await {
-            self.shared.greeting.set(self.shared.greeting.get() + 1);
+            self.shared
+                .pending_greetings
+                .set(self.shared.pending_greetings.get() + 1);
             spawn_local(self.clone().serve_connection(stream));
         }
     }
 
-    /// Whether one more connection may be served. Guards against more connections than memory can hold.
+    /// Returns whether one more connection may be served. The limit keeps connections from exhausting memory.
     ///
-    /// Where a connection carries one request at a time, a connection beyond the maximum waits, unread, until another
-    /// has ended; those behind it wait in the system's queue. Closing it could lose a request that its client has
-    /// already sent. Elsewhere it is closed: its client was not greeted, so none of its requests has run.
+    /// A connection that carries one request at a time is not closed at the limit, because its client may already
+    /// have sent a request that would be lost. It is left unread until another connection ends; connections
+    /// behind it wait in the listen queue of the operating system. A multiplexed connection is closed: the
+    /// greeting is not complete, so none of its requests has run.
     async fn wait_for_capacity(&self) -> bool {
         let limits = &self.shared.settings.limits;
         loop {
             let changed = self.shared.client_capacity_changed.notified();
-            let in_use = self.client_connections() + self.shared.greeting.get();
+            let in_use = self.client_connections() + self.shared.pending_greetings.get();
             if in_use < limits.max_client_connections {
                 return true;
             }
             if limits.http1.is_none() {
                 return false;
             }
-            self.input(Input::ClientsFull);
+            self.input(Input::ClientLimitReached);
             changed.await;
         }
     }
 
-    /// Runs one accepted connection: the greeting, then its messages until it ends.
+    /// Runs one accepted connection: completes the greeting, then reads messages until the connection ends.
     async fn serve_connection(self, stream: T::Stream) {
         let greeted = self.greet(stream).await;
-        self.shared.greeting.set(self.shared.greeting.get() - 1);
+        self.shared
+            .pending_greetings
+            .set(self.shared.pending_greetings.get() - 1);
         let session = match greeted {
             Ok(session) => session,
             Err(reason) => {
                 self.shared.client_capacity_changed.notify_waiters();
-                return tracing::debug!(reason, "connection refused");
+                return tracing::debug!(reason, "greeting failed; connection dropped");
             }
         };
         let Session {
@@ -93,8 +99,8 @@
         let conn = ClientConnectionId(self.shared.last_client_connection.get() + 1);
         self.shared.last_client_connection.set(conn.0);
         self.shared.clients.borrow_mut().insert(conn, out);
-        self.input(Input::ClientUp { conn });
-        // From now on it can be closed to make room for another.
+        self.input(Input::ClientConnected { conn });
+        // The new connection can now be evicted, so a connection that waits for capacity checks again.
         self.shared.client_capacity_changed.notify_waiters();
         while let Some(event) = events.recv().await {
             self.client_event(conn, event);
@@ -105,11 +111,12 @@
     }
 
     async fn greet(&self, stream: T::Stream) -> Result<Session<W::Out>, String> {
-        let until = self.shared.clock.now() + self.shared.settings.limits.greeting_timeout;
-        let setup = self.session_setup("", MAX_CALLS_PER_CLIENT);
+        let timeout = self.shared.settings.limits.greeting_timeout;
+        let until = self.shared.clock.now() + timeout;
+        let setup = self.session_setup("", MAX_STREAMS_PER_CLIENT);
         tokio::select! { biased;
             greeted = self.shared.wire.serve(stream, setup) => greeted,
-            () = self.shared.clock.sleep_until(until) => Err("nothing was asked in time".to_owned()),
+            () = self.shared.clock.sleep_until(until) => Err(format!("no greeting within {timeout:.0} ms")),
         }
     }
 
@@ -123,11 +130,11 @@
                 self.input(Input::GossipReceived { from, bytes });
             }
             Event::Frame(frame) => self.input(Input::Client { conn, frame }),
-            Event::Partly => self.input(Input::ClientPartly { conn }),
+            Event::Partly => self.input(Input::ClientRequestBegun { conn }),
             Event::GoingAway => {}
             Event::Flushed { stream, messages } => {
                 let stream = StreamId(stream);
-                self.input(Input::Flushed {
+                self.input(Input::MessagesForwarded {
                     conn,
                     stream,
                     messages,
@@ -137,9 +144,9 @@
     }
 }
 
-/// Whether an error of accept concerns only one connection, or an interrupted call. accept(2) returns network errors
-/// that were pending on the new connection, which are to be treated as if no connection had come.
-fn concerns_one_connection(problem: &io::Error) -> bool {
+/// Returns whether an error of `accept` affects only one connection or an interrupted call. accept(2) returns
+/// network errors that were pending on the new connection; they are handled as if no connection had arrived.
+fn affects_one_connection(problem: &io::Error) -> bool {
     use io::ErrorKind::*;
     let kinds = [
         ConnectionAborted,
--- a/crates/dispatcher/src/driver/discovery.rs
+++ b/crates/dispatcher/src/driver/discovery.rs
@@ -1,5 +1,5 @@
-//! Calls to service discovery, one address after another. [`DiscoveryCalls`] decides what to ask for and how long to
-//! wait.
+//! Connects to service discovery and follows its endpoint list, trying the configured addresses in turn.
+//! [`DiscoveryCalls`] decides what to request and how long to wait.
 
 use super::Driver;
 use crate::state::Input;
@@ -12,31 +12,32 @@
 
 /// How a connection to discovery ended.
 enum CallEnd {
-    /// It was lost, for this reason.
+    /// The connection was lost or not established; carries the reason for the log.
     Lost(String),
-    /// What came is no list that can be used, for this reason.
+    /// Discovery answered with a list that cannot be used; carries the reason for the log.
     UnusableList(String),
 }
 
-/// How often other tasks run before silence counts: events that came meanwhile need as many turns to get here.
-const YIELDS_BEFORE_SILENCE: usize = 3;
+/// How often the task yields before it reports a silence timeout. Events that arrived in the meantime take up
+/// to this many turns of the scheduler to reach the task.
+const YIELDS_BEFORE_TIMEOUT: usize = 3;
 
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
-    /// Follows discovery's list for as long as the dispatcher serves.
+    /// Follows the endpoint list of discovery until the dispatcher stops.
     pub(super) async fn run_discovery(self) {
         let settings = self.shared.settings.limits.discovery;
         let mut calls = DiscoveryCalls::new(settings, self.shared.seed);
-        let mut attempt = 0;
+        let mut call_count = 0;
         let mut last_reason: Option<String> = None;
         loop {
             let addresses = self.shared.locations.borrow().discovery.clone();
-            // Without an address this dispatcher never calls discovery.
+            // Without addresses the dispatcher never calls discovery.
             if addresses.is_empty() {
                 return;
             }
-            let address = &addresses[attempt % addresses.len()];
+            let address = &addresses[call_count % addresses.len()];
             let end = tokio::select! { biased;
-                () = self.shared.discovery_moved.notified() => {
+                () = self.shared.discovery_addresses_changed.notified() => {
                     calls.address_changed();
                     continue;
                 }
@@ -46,22 +47,26 @@
                 CallEnd::Lost(reason) => (reason, calls.backoff_after_loss()),
                 CallEnd::UnusableList(reason) => (reason, calls.backoff_after_unusable_list()),
             };
-            // Logged once, not after each call, while the reason stays the same.
+            // A repeated reason is logged once, not after each call.
             if last_reason.as_ref() != Some(&reason) {
-                tracing::warn!(address, reason, "discovery lost");
+                tracing::warn!(
+                    address,
+                    reason,
+                    "discovery unavailable; calling again in {backoff:.0} ms"
+                );
                 last_reason = Some(reason);
             }
             self.input(Input::EndpointsRejected);
-            attempt += 1;
+            call_count += 1;
             let next_call_at = self.shared.clock.now() + backoff;
             tokio::select! { biased;
-                () = self.shared.discovery_moved.notified() => calls.address_changed(),
+                () = self.shared.discovery_addresses_changed.notified() => calls.address_changed(),
                 () = self.shared.clock.sleep_until(next_call_at) => {}
             }
         }
     }
 
-    /// Runs one connection to discovery, from its dialling to its end.
+    /// Runs one connection to discovery until the connection ends.
     async fn call_discovery(&self, address: &str, calls: &mut DiscoveryCalls) -> CallEnd {
         let known = self.shared.dispatcher.borrow().known_version();
         let known_version = match calls.begin_call(known) {
@@ -80,12 +85,13 @@
         let until = self.shared.clock.now() + timeout;
         let setup = self.session_setup("", 1);
         tokio::select! { biased;
-            session = self.call(address, v1::Party::Feed, setup) => session,
-            () = self.shared.clock.sleep_until(until) => Err("no greeting in time".to_owned()),
+            session = self.connect(address, v1::Party::Feed, setup) => session,
+            () = self.shared.clock.sleep_until(until) => Err(format!("no greeting within {timeout:.0} ms")),
         }
     }
 
-    /// Watches the list on an established connection until that ends, is silent for too long or is of no use.
+    /// Reads endpoint lists until the connection ends, stays silent for too long, or delivers a list that cannot
+    /// be used.
     async fn watch_endpoints(
         &self,
         session: Session<W::Out>,
@@ -101,16 +107,17 @@
         loop {
             let timeout = calls.silence_timeout();
             let event = tokio::select! { biased;
-                () = self.shared.list_wanted.notified() => {
+                () = self.shared.snapshot_requested.notified() => {
                     stream += 1;
                     out.send(watch_request(stream, None));
                     continue;
                 }
                 event = events.recv() => event,
-                // Guards against discovery that is gone without closing the connection: its list would never change.
-                () = self.silence(last_received_at + timeout), if timeout.is_finite() => {
+                // Discovery may have died without closing the connection, and the endpoint list would then never
+                // change.
+                () = self.wait_for_silence(last_received_at + timeout), if timeout.is_finite() => {
                     out.close();
-                    return CallEnd::Lost("it says nothing".to_owned());
+                    return CallEnd::Lost("no message within the silence timeout".to_owned());
                 }
             };
             match event {
@@ -119,7 +126,7 @@
                     ..
                 })) => {
                     last_received_at = self.shared.clock.now();
-                    if let Err(end) = self.take_list(list, last_received_at, calls) {
+                    if let Err(end) = self.forward_list(list, last_received_at, calls) {
                         out.close();
                         return end;
                     }
@@ -131,25 +138,28 @@
                     out.close();
                     return goodbye_end(goodbye);
                 }
-                // The first part of a long list has come.
+                // The first part of a long list has arrived.
                 Some(Event::Partly) => calls.answer_begun(),
                 Some(_) => {}
-                None => return CallEnd::Lost("the connection ended".to_owned()),
+                None => return CallEnd::Lost("discovery closed the connection".to_owned()),
             }
         }
     }
 
-    /// Waits until `until`. Guards against a process that did not run for a while: what came meanwhile is read before
-    /// the silence counts.
-    async fn silence(&self, until: Ms) {
+    /// Sleeps until `until`, then yields a few times. If the process was suspended for a while, messages that
+    /// arrived meanwhile are read before the timeout counts.
+    async fn wait_for_silence(&self, until: Ms) {
         self.shared.clock.sleep_until(until).await;
-        for _ in 0..YIELDS_BEFORE_SILENCE {
+        for _ in 0..YIELDS_BEFORE_TIMEOUT {
             yield_now().await;
         }
     }
 
-    /// Passes a list on unless it is outdated.
-    fn take_list(
+    /// Passes a list to the state machine.
+    ///
+    /// # Errors
+    /// The list is older than the known one.
+    fn forward_list(
         &self,
         list: v1::EndpointList,
         now: Ms,
@@ -158,7 +168,7 @@
         let newest = self.shared.dispatcher.borrow().list_version();
         let is_snapshot = list.kind() == v1::EndpointUpdateKind::Snapshot;
         if !calls.accept_version(is_snapshot, list.version, newest, now) {
-            let reason = "its list is older than the one that is known".to_owned();
+            let reason = "the received list is older than the known one".to_owned();
             return Err(CallEnd::Lost(reason));
         }
         calls.list_received();
@@ -168,7 +178,8 @@
     }
 }
 
-/// Asks for changes from `known_version` on, or for the whole list and its changes.
+/// Builds the request for the endpoint list. With `known_version`, discovery sends only the changes since
+/// then; without, it sends a snapshot first.
 fn watch_request(stream: u64, known_version: Option<u64>) -> Frame {
     let watch = v1::WatchEndpoints {
         changes: true,
@@ -177,7 +188,8 @@
     frame(stream, Body::WatchEndpoints(watch))
 }
 
-/// Where nothing of the call ran, discovery was not reached; else its answer was of no use.
+/// Classifies a goodbye from discovery. If nothing of the call ran, discovery was not reached; otherwise its
+/// answer cannot be used.
 fn goodbye_end(goodbye: v1::Goodbye) -> CallEnd {
     if goodbye.never_ran {
         CallEnd::Lost(goodbye.reason)
@@ -191,7 +203,7 @@
         let status = endpoint.status().as_str_name();
         (endpoint.engine.clone(), status, endpoint.started_ms)
     };
-    // A closure, so that the list is put together only where the line is logged.
+    // A closure builds the list only if the log level is enabled.
     let engines = || list.endpoints.iter().map(summary).collect::<Vec<_>>();
-    tracing::debug!(version = list.version, engines = ?engines(), "list");
+    tracing::debug!(version = list.version, engines = ?engines(), "endpoint list received");
 }
--- a/crates/dispatcher/src/driver/engine_connections.rs
+++ b/crates/dispatcher/src/driver/engine_connections.rs
@@ -1,4 +1,5 @@
-//! Connections to engines: each is dialled, checked to reach the right engine, and read until it ends.
+//! Connections to engines: dials them, verifies the identity of the engine, and reads messages until the
+//! connection ends.
 
 use super::Driver;
 use crate::state::{EngineConnectionId, Input};
@@ -10,9 +11,9 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The sending side of a connection to an engine, from its dialling on.
+/// The sending side of a connection to an engine. It exists from the dial on.
 pub(super) struct EngineHandle<O> {
-    /// Set once the connection is established.
+    /// `None` until the connection is established.
     out: RefCell<Option<O>>,
     is_closed: Cell<bool>,
     closed: Notify,
@@ -27,14 +28,14 @@
         }
     }
 
-    /// Sends a frame if the connection is established.
+    /// Sends a frame; drops the frame if the connection is not established.
     pub fn send(&self, frame: Frame) {
         if let Some(out) = &*self.out.borrow() {
             out.send(frame);
         }
     }
 
-    /// Closes the connection, or gives up its dialling.
+    /// Closes the connection, or aborts the dial.
     pub fn close(&self) {
         self.is_closed.set(true);
         self.closed.notify_waiters();
@@ -52,7 +53,7 @@
 }
 
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
-    /// Runs one connection to an engine, from its dialling to its end.
+    /// Dials an engine and runs the connection until it ends.
     pub(super) async fn run_engine_connection(
         self,
         connection: EngineConnectionId,
@@ -70,7 +71,7 @@
         self.input(Input::ConnectionClosed { connection, reason });
     }
 
-    /// Dials an engine and passes on what it sends. Returns why the connection has ended.
+    /// Dials an engine and passes its messages to the state machine. Returns why the connection ended.
     async fn read_engine(
         &self,
         connection: EngineConnectionId,
@@ -79,8 +80,8 @@
         handle: &EngineHandle<W::Out>,
     ) -> String {
         let connected = tokio::select! { biased;
-            // The connect timeout is the state machine's: it closes a connection that takes too long.
-            () = handle.closed() => return "given up".to_owned(),
+            // The state machine enforces the connect timeout: it closes a connection that takes too long.
+            () = handle.closed() => return "dial aborted".to_owned(),
             connected = self.connect_to_engine(engine, address) => connected,
         };
         let Session {
@@ -91,12 +92,12 @@
         } = match connected {
             Ok(session) => session,
             Err(reason) => {
-                tracing::warn!(engine = %engine.0, address, reason, "engine not reached");
+                tracing::warn!(engine = %engine.0, address, reason, "connection to engine failed");
                 return reason;
             }
         };
         *handle.out.borrow_mut() = Some(out);
-        self.input(Input::ConnectionUp { connection, limit });
+        self.input(Input::ConnectionEstablished { connection, limit });
         while let Some(event) = events.recv().await {
             match event {
                 Event::Frame(frame) => self.input(Input::Engine { connection, frame }),
@@ -107,20 +108,23 @@
         "the connection ended".to_owned()
     }
 
-    /// Guards against an engine that was given another one's address: it would run what was not meant for it. An engine
-    /// refuses a greeting that expects another name; in case one does not, the name in its answer is checked here.
+    /// Dials an engine and verifies its name.
+    ///
+    /// The address may by now belong to another engine, which would run requests that are not meant for it. An
+    /// engine refuses a greeting that expects another name. The name in its answer is checked here as well, in
+    /// case the engine does not.
     async fn connect_to_engine(
         &self,
         engine: &EngineId,
         address: &str,
     ) -> Result<Session<W::Out>, String> {
         let setup = self.session_setup(&engine.0, 1);
-        let session = self.call(address, v1::Party::Engine, setup).await?;
+        let session = self.connect(address, v1::Party::Engine, setup).await?;
         if session.them.name != *engine.0 || session.them.party() != v1::Party::Engine {
             session.out.close();
             return Err(format!(
-                "{:?} answers in place of {:?}",
-                session.them.name, engine.0
+                "expected engine {:?}, but {:?} answered",
+                engine.0, session.them.name
             ));
         }
         Ok(session)
--- a/crates/dispatcher/src/driver/gossip.rs
+++ b/crates/dispatcher/src/driver/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip to other dispatchers, over connections that are dialled when needed. A message that cannot be sent at once is
-//! lost.
+//! Sends gossip to other dispatchers, over connections that are dialled on demand. Delivery is best effort: a
+//! message is lost if its connection cannot be established.
 
 use super::Driver;
 use cindercleat::interface::DispatcherId;
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
-    /// Sends to one dispatcher, or to all others.
+    /// Sends `bytes` to the dispatcher `to`, or to all other dispatchers if `to` is `None`.
     pub(super) fn send_gossip(&self, to: Option<DispatcherId>, bytes: Vec<u8>) {
         let me = self.shared.settings.policy.me.0;
         let body = Body::Gossip(v1::Gossip {
@@ -31,10 +31,10 @@
         }
     }
 
-    /// Runs one connection to another dispatcher, beginning with the message that it was dialled for.
+    /// Connects to another dispatcher, sends `first`, and keeps the connection for later messages until it ends.
     async fn run_peer(self, peer: u32, address: String, first: Body) {
         let setup = self.session_setup("", 1);
-        let Ok(session) = self.call(&address, v1::Party::Dispatcher, setup).await else {
+        let Ok(session) = self.connect(&address, v1::Party::Dispatcher, setup).await else {
             return;
         };
         let Session {
--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -1,11 +1,13 @@
-//! Moves bytes between a transport and the [`Dispatcher`], and tells it the time. Nothing is decided here.
+//! Moves bytes between a transport and the [`Dispatcher`] and calls its timers. The driver itself makes no
+//! decisions.
 //!
-//! A driver runs on one thread. Each message is given to the state machine at once, and the outputs are carried out
-//! before the next input, so that messages to one peer keep their order. What is sent goes to the outbox of the
-//! connection's session, whichever [`Wire`] it speaks.
+//! A driver runs on one thread. Each message goes to the state machine at once, and its outputs are carried
+//! out before the next input, so messages to one peer keep their order. Outgoing messages go to the outbox of
+//! the connection's session, which encodes them for its [`Wire`].
 //!
-//! By concern: `outputs` carries out what the state machine says, `clients` accepts connections, `engine_connections`
-//! dials engines, `discovery` calls service discovery and `gossip` sends to other dispatchers.
+//! `outputs` carries out the outputs of the state machine, `clients` accepts connections,
+//! `engine_connections` dials engines, `discovery` calls service discovery, and `gossip` sends to other
+//! dispatchers.
 
 mod clients;
 mod discovery;
@@ -32,27 +34,27 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, yield_now};
 
-/// Where a dispatcher finds what is outside of its process.
+/// The addresses and files outside of the process that a dispatcher uses.
 #[derive(Clone, Debug, Default)]
 pub struct Locations {
-    /// The addresses of discovery, tried in turn.
+    /// The addresses of discovery, tried in turn. If empty, discovery is never called.
     pub discovery: Vec<String>,
-    /// The file that keeps the list of endpoints for the next start; `None`: it is not kept.
+    /// The file in which the endpoint list is cached for the next start; `None` disables the cache.
     pub endpoint_cache: Option<PathBuf>,
-    /// The addresses of the other dispatchers, by their numbers.
+    /// The addresses of the other dispatchers, by dispatcher number.
     pub peers: BTreeMap<u32, String>,
 }
 
 /// Whether a dispatcher accepts requests, and how busy it is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Readiness {
-    /// Whether a list of endpoints is known and no stop has begun.
+    /// Whether the endpoints are known and no stop has begun.
     pub is_ready: bool,
-    /// The open requests as a fraction of their maximum.
+    /// The number of open requests as a fraction of the maximum, from 0 to 1.
     pub load: f64,
 }
 
-/// What the tasks of one driver share.
+/// The state that all tasks of one driver share.
 struct Shared<T, C, W: Wire> {
     settings: ProgramSettings,
     seed: u64,
@@ -65,20 +67,20 @@
     engine_connections: RefCell<BTreeMap<EngineConnectionId, Rc<EngineHandle<W::Out>>>>,
     peers: RefCell<BTreeMap<u32, W::Out>>,
     last_client_connection: Cell<u64>,
-    /// Connections that were accepted and whose greeting is not complete.
-    greeting: Cell<usize>,
-    /// The instant that the timer task waits for.
+    /// The number of accepted connections whose greeting is not complete.
+    pending_greetings: Cell<usize>,
+    /// The instant for which the timer task sleeps; `None` while no timer is set.
     timer_at: Cell<Option<Ms>>,
     timer_changed: Notify,
-    /// The state machine wants the whole list of endpoints.
-    list_wanted: Notify,
-    discovery_moved: Notify,
-    /// A client's connection has ended or become idle.
+    /// Notified when the state machine requests a snapshot of the endpoints.
+    snapshot_requested: Notify,
+    discovery_addresses_changed: Notify,
+    /// Notified when a client connection has ended or become idle.
     client_capacity_changed: Notify,
     stopped: Notify,
 }
 
-/// A dispatcher that serves over wire `W`. Clones are the same dispatcher.
+/// A dispatcher that serves over the wire protocol `W`. All clones share the same dispatcher.
 pub struct Driver<T, C, W: Wire = Grpc> {
     shared: Rc<Shared<T, C, W>>,
 }
@@ -92,7 +94,8 @@
 }
 
 impl<T: Transport, C: Clock> Driver<T, C> {
-    /// A dispatcher that speaks gRPC. `seed` determines what the decisions draw by chance.
+    /// Creates a dispatcher that speaks gRPC. `seed` initializes the random generators of the routing decisions
+    /// and of the backoff.
     pub fn new(
         settings: ProgramSettings,
         locations: Locations,
@@ -105,7 +108,8 @@
 }
 
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
-    /// A dispatcher that speaks `wire`. `seed` determines what the decisions draw by chance.
+    /// Creates a dispatcher that speaks `wire`. `seed` initializes the random generators of the routing decisions
+    /// and of the backoff.
     pub fn with_wire(
         wire: W,
         settings: ProgramSettings,
@@ -133,11 +137,11 @@
             engine_connections: RefCell::default(),
             peers: RefCell::default(),
             last_client_connection: Cell::new(0),
-            greeting: Cell::new(0),
+            pending_greetings: Cell::new(0),
             timer_at: Cell::new(None),
             timer_changed: Notify::new(),
-            list_wanted: Notify::new(),
-            discovery_moved: Notify::new(),
+            snapshot_requested: Notify::new(),
+            discovery_addresses_changed: Notify::new(),
             client_capacity_changed: Notify::new(),
             stopped: Notify::new(),
         };
@@ -146,8 +150,8 @@
         }
     }
 
-    /// Serves until `stop` completes, and then until what was open has ended or its grace has passed. Must run within a
-    /// `LocalSet`.
+    /// Serves until `stop` completes, and then until the open requests have ended or the grace period has passed.
+    /// Must run within a `LocalSet`.
     ///
     /// # Errors
     /// None at present: errors of the listener are logged, and accepting continues.
@@ -169,7 +173,7 @@
         Ok(())
     }
 
-    /// How much state the dispatcher holds.
+    /// The number of requests, connections, timers, engines and releases that the dispatcher holds.
     pub fn usage(&self) -> Usage {
         self.shared.dispatcher.borrow().usage()
     }
@@ -183,47 +187,50 @@
         }
     }
 
-    /// The version of the newest list of endpoints.
+    /// The version of the newest endpoint list; 0 if none was received.
     pub fn list_version(&self) -> u64 {
         self.shared.dispatcher.borrow().list_version()
     }
 
-    /// Records from now on how requests end and what engines report, for dispatchers that watch a rollout together.
+    /// Starts to record the outcomes of requests and the load reports of engines, for dispatchers that monitor a
+    /// rollout together.
     pub fn record_service_stats(&self) {
         self.shared.dispatcher.borrow_mut().collect_service_stats();
     }
 
-    /// How requests have ended, and reports on up to `max_reports` engines that reported since they were last returned.
+    /// Returns the outcomes of all requests so far, and reports on up to `max_reports` engines with news since
+    /// their last report.
     pub fn take_service_stats(&self, max_reports: usize) -> (OutcomeCounts, Vec<EngineReport>) {
         let now = self.shared.clock.now();
         self.shared
             .dispatcher
             .borrow_mut()
-            .recorded(now, max_reports)
+            .take_service_stats(now, max_reports)
     }
 
-    /// The engines that the list of endpoints names.
+    /// The engines in the endpoint list, with their status and reported load.
     pub fn engines(&self) -> Vec<Unit> {
         let now = self.shared.clock.now();
-        self.shared.dispatcher.borrow().units(now)
+        self.shared.dispatcher.borrow().engine_units(now)
     }
 
-    /// How many connections of clients there are.
+    /// The number of established client connections.
     pub fn client_connections(&self) -> usize {
         self.shared.clients.borrow().len()
     }
 
-    /// Discovery has these addresses from now on.
+    /// Replaces the addresses of discovery. If they differ from the present ones, the connection is dropped and
+    /// the new addresses are called at once.
     pub fn set_discovery_addresses(&self, addresses: Vec<String>) {
         if self.shared.locations.borrow().discovery != addresses {
             tracing::info!(addresses = ?addresses, "discovery moved");
             self.shared.locations.borrow_mut().discovery = addresses;
-            self.shared.discovery_moved.notify_one();
+            self.shared.discovery_addresses_changed.notify_one();
         }
     }
 
-    /// Starts from a list of endpoints that was known before. To be called before serving: discovery's own list is
-    /// newer.
+    /// Initializes the endpoints from a cached list. Must be called before serving, because the list that
+    /// discovery sends is newer.
     pub fn use_cached_endpoints(&self, list: v1::EndpointList) {
         self.input(Input::CachedEndpoints(list));
     }
@@ -237,19 +244,19 @@
                 tracing::info!(
                     engines = list.endpoints.len(),
                     version = list.version,
-                    "cached endpoint list used"
+                    "starting with the cached endpoint list"
                 );
                 self.use_cached_endpoints(list);
             }
             Ok(None) => {}
-            // A dispatcher without a list is better than none: it gets one from discovery.
+            // The dispatcher starts without endpoints and receives them from discovery.
             Err(problem) => {
-                tracing::warn!(path = %path.display(), %problem, "cached endpoint list not used")
+                tracing::warn!(path = %path.display(), %problem, "cached endpoint list not loaded; waiting for discovery")
             }
         }
     }
 
-    /// Gives the state machine an input and carries out the outputs.
+    /// Passes an input to the state machine and carries out the outputs.
     fn input(&self, input: Input) {
         let mut outputs = Vec::new();
         let now = self.shared.clock.now();
@@ -263,7 +270,7 @@
         self.update_timer();
     }
 
-    /// Wakes the timer task if the state machine wants to be called sooner than the task waits for.
+    /// Wakes the timer task if the state machine has set a timer that is due before the task wakes up.
     fn update_timer(&self) {
         let wanted_at = self.shared.dispatcher.borrow().wants_call_at();
         let is_sooner = match (wanted_at, self.shared.timer_at.get()) {
@@ -276,7 +283,7 @@
         }
     }
 
-    /// Calls the state machine whenever it wants to be called.
+    /// Calls the state machine whenever one of its timers is due.
     async fn run_timers(self) {
         loop {
             let wanted_at = self.shared.dispatcher.borrow().wants_call_at();
@@ -293,18 +300,17 @@
     }
 
     fn log_invariant_checks(&self) {
-        let guarded = self.shared.dispatcher.borrow().invariant_counts().clone();
-        tracing::info!(checked = ?guarded.checked, violated = ?guarded.violated, "invariants");
+        let counts = self.shared.dispatcher.borrow().invariant_counts().clone();
+        tracing::info!(checked = ?counts.checked, violated = ?counts.violated, "invariants");
     }
 
-    /// Sends what is still in outboxes before the process ends, as far as peers read it: slow clients get as long as a
-    /// stream may stall.
+    /// Sends the remaining content of the outboxes before the process ends. Slow clients get as long as a stream
+    /// may stall.
     async fn flush(&self) {
         let limits = &self.shared.settings.limits;
         let clients: Vec<W::Out> = self.shared.clients.borrow().values().cloned().collect();
         if limits.http1.is_some() {
-            // Guards against an answer whose end is lost: closing at once would cut it off while its client still
-            // reads.
+            // An immediate close would cut off an answer that the client is still reading.
             clients.iter().for_each(Outbox::go_away);
             self.wait_until_closed(&clients, limits.stall_timeout).await;
         }
@@ -317,7 +323,7 @@
         yield_now().await;
     }
 
-    /// Waits until all connections have ended, but no longer than `timeout`.
+    /// Waits until all connections have ended, for `timeout` milliseconds at most.
     async fn wait_until_closed(&self, connections: &[W::Out], timeout: Ms) {
         let until = self.shared.clock.now() + timeout;
         for connection in connections {
@@ -328,8 +334,8 @@
         }
     }
 
-    /// What a session is given at its start. `expects`: the name of the peer; empty if any is right. `max_calls`: the
-    /// calls that the peer may have open at the same time.
+    /// Builds the parameters of a session. `expects` is the name that the peer must have; an empty string accepts
+    /// any name. `max_calls` is the number of calls that the peer may have open at the same time.
     fn session_setup(&self, expects: &str, max_calls: u32) -> Setup {
         let settings = &self.shared.settings;
         Setup {
@@ -342,8 +348,11 @@
         }
     }
 
-    /// Dials an address and greets whoever answers there. The error is the reason for a log line.
-    pub(super) async fn call(
+    /// Dials an address and completes the greeting.
+    ///
+    /// # Errors
+    /// The reason for the log, if the connection or the greeting fails.
+    pub(super) async fn connect(
         &self,
         address: &str,
         party: v1::Party,
--- a/crates/dispatcher/src/driver/outputs.rs
+++ b/crates/dispatcher/src/driver/outputs.rs
@@ -21,7 +21,7 @@
                 }
             }
             Output::CloseClient { conn, reason } => {
-                tracing::warn!(conn = conn.0, reason, "client closed");
+                tracing::warn!(conn = conn.0, reason, "closing client connection");
                 if let Some(out) = self.shared.clients.borrow().get(&conn) {
                     out.close();
                 }
@@ -36,7 +36,7 @@
                 tracing::debug!(
                     connection = connection.0,
                     reason,
-                    "engine connection closed"
+                    "closing engine connection"
                 );
                 let handle = self
                     .shared
@@ -48,7 +48,7 @@
                 }
             }
             Output::CacheEndpoints(list) => self.save_endpoints(&list),
-            Output::RequestEndpoints { .. } => self.shared.list_wanted.notify_one(),
+            Output::RequestEndpoints { .. } => self.shared.snapshot_requested.notify_one(),
             Output::SendGossip { to, bytes } => self.send_gossip(to, bytes),
             Output::Log { level, text } => log(level, &text),
             Output::Stopped => self.shared.stopped.notify_one(),
@@ -93,22 +93,22 @@
             return;
         };
         if let Err(problem) = endpoint_cache::save(&path, list) {
-            tracing::warn!(path = %path.display(), %problem, "endpoint list not cached");
+            tracing::warn!(path = %path.display(), %problem, "endpoint list not written to the cache file; the previous file is kept");
         }
     }
 }
 
-/// Logs each answer that is not a success.
+/// Logs each final answer that is not a success.
 fn log_answer(conn: ClientConnectionId, frame: &Frame) {
     let (conn, stream) = (conn.0, frame.stream);
     match &frame.body {
         Some(Body::Final(last)) if last.answer() != v1::Answer::Succeeded => {
             let (answer, reason) = (last.answer().as_str_name(), &last.reason);
-            tracing::debug!(conn, stream, answer, reason, "answered");
+            tracing::debug!(conn, stream, answer, reason, "request not successful");
         }
         Some(Body::InvalidRequest(invalid)) => {
             let (field, reason) = (&invalid.field, &invalid.reason);
-            tracing::debug!(conn, stream, field, reason, "rejected");
+            tracing::debug!(conn, stream, field, reason, "invalid request rejected");
         }
         _ => {}
     }
--- a/crates/dispatcher/src/endpoint_cache.rs
+++ b/crates/dispatcher/src/endpoint_cache.rs
@@ -1,8 +1,8 @@
-//! The newest list of endpoints, kept in a file for the next start.
+//! Caches the newest endpoint list in a file for the next start.
 //!
-//! The file is a mark of four bytes, a CRC-32 of four bytes (big endian), and the list as it is on the wire. It is
-//! written to a temporary file in the same folder, synced and renamed, and the folder is synced: after a crash there is
-//! either the old list or the new one.
+//! The file consists of a magic number of four bytes, a CRC-32 of four bytes (big endian), and the list in
+//! its wire encoding. [`save`] writes a temporary file in the same directory, syncs and renames it, and syncs
+//! the directory. After a crash the file holds either the old list or the new one.
 
 use cindercleat_protocol::v1::EndpointList;
 use prost::Message;
@@ -10,30 +10,30 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-/// The first bytes of the file.
-const MARK: &[u8; 4] = b"cchl";
+/// The magic number at the start of the file.
+const MAGIC: &[u8; 4] = b"cchl";
 
-/// The extension of the temporary file.
+/// The extension of the temporary file that [`save`] renames.
 const TEMPORARY_EXTENSION: &str = "new";
 
-/// Why a file is not used.
+/// Why a cache file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum CacheError {
     /// The file cannot be read.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The file does not begin with the mark: something else wrote it.
-    #[error("not a cached list of endpoints")]
-    Foreign,
-    /// The file is not what was written.
-    #[error("damaged: its checksum does not fit")]
+    /// The magic number is missing: another program wrote the file.
+    #[error("not an endpoint cache file: magic number is missing")]
+    UnknownFormat,
+    /// The checksum does not match, or the content cannot be decoded.
+    #[error("endpoint cache file is damaged: checksum or content is invalid")]
     Damaged,
 }
 
-/// Loads the list that is kept at `path`; `None` if there is no such file.
+/// Loads the list that is cached at `path`. Returns `None` if the file does not exist.
 ///
 /// # Errors
-/// The file cannot be read, or is not what [`save`] has written.
+/// The file cannot be read, or [`save`] did not write it in this form.
 pub fn load(path: &Path) -> Result<Option<EndpointList>, CacheError> {
     match std::fs::read(path) {
         Ok(bytes) => decode(&bytes).map(Some),
@@ -42,10 +42,10 @@
     }
 }
 
-/// Replaces the file at `path`.
+/// Replaces the file at `path` atomically.
 ///
 /// # Errors
-/// The file cannot be written; the one that was there stays.
+/// The file cannot be written; the previous file is kept.
 pub fn save(path: &Path, list: &EndpointList) -> io::Result<()> {
     let temporary = path.with_extension(TEMPORARY_EXTENSION);
     let mut file = File::create(&temporary)?;
@@ -55,7 +55,7 @@
     sync_folder_of(path)
 }
 
-/// Guards against a crash that undoes the renaming: it is durable only once the folder is synced.
+/// Syncs the directory of `path`: only then does the rename survive a crash.
 fn sync_folder_of(path: &Path) -> io::Result<()> {
     let folder = path
         .parent()
@@ -66,11 +66,11 @@
 
 fn encode(list: &EndpointList) -> Vec<u8> {
     let list = list.encode_to_vec();
-    [&MARK[..], &crc32fast::hash(&list).to_be_bytes(), &list].concat()
+    [&MAGIC[..], &crc32fast::hash(&list).to_be_bytes(), &list].concat()
 }
 
 fn decode(bytes: &[u8]) -> Result<EndpointList, CacheError> {
-    let rest = bytes.strip_prefix(MARK).ok_or(CacheError::Foreign)?;
+    let rest = bytes.strip_prefix(MAGIC).ok_or(CacheError::UnknownFormat)?;
     let (checksum, list) = rest.split_first_chunk::<4>().ok_or(CacheError::Damaged)?;
     if crc32fast::hash(list).to_be_bytes() != *checksum {
         return Err(CacheError::Damaged);
--- a/crates/dispatcher/src/fault_injection.rs
+++ b/crates/dispatcher/src/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Faults that exist for tests to find: a test injects one into every dispatcher of the process and checks that the
-//! simulation detects it. Without the cargo feature `planted` no fault can be injected and nothing is looked up.
+//! Faults that tests inject into every dispatcher of the process, to check that the simulation detects them.
+//! Without the cargo feature `fault-injection` no fault can be injected and the checks compile to `false`.
 
 use cindercleat_protocol::v1::{EndpointList, EndpointStatus};
 
@@ -9,34 +9,34 @@
 pub enum InjectedFault {
     /// No KV state is ever released.
     ReleaseForgotten = 1,
-    /// Engines are not told that an attempt is cancelled.
+    /// No cancel is sent to the engine when an attempt is cancelled.
     CancelLost,
-    /// A lost connection counts as proof that nothing ran.
+    /// A lost connection is reported as overload, as if no attempt on it had run.
     ConnectionLossAsOverload,
-    /// Endpoints that are draining are left out of the list.
+    /// Endpoints that are draining are removed from received lists.
     DrainingIgnored,
     /// A request that may have run is rejected instead of failed.
     FailureAsRejection,
-    /// One final answer in sixteen is not sent.
+    /// One of sixteen final answers is not sent.
     FinalAnswerLost,
     /// Tokens are sent to the client twice.
     TokensTwice,
-    /// The KV state of a prefill attempt that broke is not released.
+    /// The KV state that a failed prefill attempt may have left is not released.
     BrokenPrefillStateKept,
-    /// A KV state that the decode engine did not find still counts as held.
+    /// The KV state is not released after the decode engine reports that it did not find it.
     MissingStateKept,
-    /// An attempt that waits for its connection is sent even if its engine has begun to drain meanwhile.
+    /// An attempt that was queued for its connection is sent even if its engine has begun to drain.
     DrainSeenLate,
-    /// Start times of engines are ignored, so that cold engines count as warm.
+    /// Start times of engines are ignored, so engines in slow start are treated as warm.
     StartTimesIgnored,
-    /// Timers of the routing decisions fire late.
+    /// Timers of the routing logic fire late.
     TimersLate,
-    /// A stop does not wait for the releases of KV states.
+    /// A stop does not wait until KV states are released.
     StopDropsReleases,
 }
 
 impl InjectedFault {
-    /// Each fault once.
+    /// All faults.
     pub const ALL: [InjectedFault; 13] = [
         InjectedFault::ReleaseForgotten,
         InjectedFault::CancelLost,
@@ -66,20 +66,20 @@
     );
 }
 
-/// Whether the fault is injected now.
+/// Returns whether `fault` is the injected one.
 #[cfg(feature = "fault-injection")]
 pub(crate) fn is_injected(fault: InjectedFault) -> bool {
     INJECTED.load(std::sync::atomic::Ordering::Relaxed) == fault as u8
 }
 
-/// No fault can be injected without the feature.
+/// Always `false`: without the feature no fault can be injected.
 #[cfg(not(feature = "fault-injection"))]
 pub(crate) const fn is_injected(_: InjectedFault) -> bool {
     false
 }
 
-/// The list as the injected fault changes it; `None` if it is taken unchanged.
-pub(crate) fn altered_list(list: &EndpointList) -> Option<EndpointList> {
+/// Applies the injected fault to a received list. Returns `None` if the list is used unchanged.
+pub(crate) fn apply_list_faults(list: &EndpointList) -> Option<EndpointList> {
     if !is_injected(InjectedFault::DrainingIgnored)
         && !is_injected(InjectedFault::StartTimesIgnored)
     {
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,8 +1,9 @@
-//! The running dispatcher.
+//! The request dispatcher: routes requests to engines and streams their tokens back to clients.
 //!
-//! [`state::Dispatcher`] is the state machine: it holds requests, attempts, KV states, connections and timers, and asks
-//! [`Control`](cindercleat::control::Control) for each decision. It does no I/O and reads no clock: inputs go in with
-//! their instant, outputs come out. [`driver`] moves bytes between it and a transport. A dispatcher runs on one thread.
+//! [`state::Dispatcher`] is the state machine. It holds requests, attempts, KV states, connections and
+//! timers, and asks [`Control`](cindercleat::control::Control) for each routing decision. It does no I/O and
+//! reads no clock: each input carries its instant, and the outputs are returned to the caller. [`driver`]
+//! moves bytes between the state machine and a transport. A dispatcher runs on one thread.
 #![warn(missing_docs)]
 
 pub mod driver;
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a dispatcher's process, in addition to those of its decisions.
+//! Settings of a dispatcher process, in addition to the settings of its routing logic.
 
 use cindercleat::client_connection::http1::Http1Settings;
 use cindercleat::client_connection::multiplexed::MultiplexedSettings;
@@ -9,84 +9,86 @@
 /// The settings of one dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProgramSettings {
-    /// The dispatcher's name, as engines and other dispatchers know it.
+    /// The dispatcher's name in greetings to engines and other dispatchers.
     pub name: String,
-    /// Tells this process from earlier ones of the same name; drawn at each start.
+    /// Distinguishes this process from earlier ones of the same name; drawn at each start.
     pub incarnation: u64,
-    /// The settings of the routing decisions.
+    /// The settings of the routing logic.
     pub policy: Settings,
     /// The names of the request classes in `policy`, in the same order.
     pub request_classes: Vec<String>,
     /// The names of the tenants in `policy`, in the same order.
     pub tenants: Vec<String>,
-    /// The names of the zones, by their ids in `policy`.
+    /// The names of the zones; the index of a name is the zone's id in `policy`.
     pub zones: Vec<String>,
     /// The names of the kinds of engines in `policy`, in the same order.
     pub kinds: Vec<String>,
-    /// The process's own limits and timeouts.
+    /// The limits and timeouts of the process.
     pub limits: Limits,
 }
 
-/// The process's own limits and timeouts. Counts are upper limits; times are milliseconds.
+/// The limits and timeouts of the process. Counts are upper limits; times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Requests that are open at the same time; one more is rejected.
+    /// Open requests; a further request is rejected.
     pub max_open_requests: usize,
-    /// Attempts and health checks on one connection to an engine.
+    /// Streams on one connection to an engine, counting attempts and health checks.
     pub streams_per_connection: usize,
     /// Connections to one engine.
     pub connections_per_engine: usize,
-    /// A connection to an engine without streams is closed after this long.
+    /// An engine connection without streams is closed after this long.
     pub connection_idle_timeout: Ms,
-    /// Token messages of one stream that have left its decode engine and not yet reached its client.
+    /// Token messages of one stream that its decode engine has sent and that are not yet written to its client.
     pub stream_window: u32,
-    /// A stream whose decode engine sends nothing, or whose client reads nothing, for this long is ended.
+    /// A stream is ended if its decode engine sends nothing, or its client reads nothing, for this long.
     pub stall_timeout: Ms,
-    /// A health check without an answer has failed after this long.
+    /// A health check fails if it has no answer after this long.
     pub health_check_timeout: Ms,
-    /// A connection to an engine with streams over which nothing came for this long is pinged.
+    /// An engine connection with open streams is pinged after receiving nothing for this long.
     pub keepalive_interval: Ms,
-    /// A connection to an engine or of a client over which nothing comes for this long after a ping is closed.
+    /// An engine or client connection is closed if nothing is received for this long after a ping.
     pub ping_timeout: Ms,
-    /// The backoff after a failed connect to an engine; it doubles with each failure in a row.
+    /// The backoff after the first failed connect to an engine; it doubles with each consecutive failure.
     pub initial_connect_backoff: Ms,
-    /// The upper limit of the doubled backoff.
+    /// The maximum backoff between connects to an engine.
     pub max_connect_backoff: Ms,
-    /// A client that has sent nothing for this long is pinged.
+    /// A client connection is pinged after receiving nothing for this long.
     pub client_keepalive_interval: Ms,
-    /// Requests that may be cancelled at once on a client's connection.
+    /// Requests that one client connection may cancel in a burst.
     pub cancel_burst: f64,
-    /// Cancellations that a client's connection regains each second, up to the burst.
+    /// Cancellations that a client connection regains per second, up to `cancel_burst`.
     pub cancels_per_second: f64,
-    /// After a stop: how long what is open may still run.
+    /// How long open requests may still run after a stop begins.
     pub stop_grace: Ms,
-    /// After a stop: how long new requests are still accepted.
+    /// How long new requests are still accepted after a stop begins.
     pub stop_accept_period: Ms,
-    /// After a stop: when streams are ended so that their clients resume elsewhere; `None`: they run to their end.
+    /// The time from the start of a stop to the migration of open streams, whose clients resume at another
+    /// dispatcher. `None` lets streams run to their end.
     pub stop_streams_after: Option<Ms>,
-    /// The largest message that is accepted from a peer, in bytes.
+    /// The largest message accepted from a peer, in bytes.
     pub max_message_bytes: usize,
-    /// Connections of clients at the same time.
+    /// Established client connections, including those whose greeting is not complete.
     pub max_client_connections: usize,
-    /// How long a new connection may take until its greeting is complete.
+    /// How long the greeting on a new connection may take.
     pub greeting_timeout: Ms,
-    /// Set where a connection carries one request at a time, and a cancelled request ends its connection.
+    /// The limits of HTTP/1 connections, which carry one request at a time: cancelling a request ends its
+    /// connection. `None` if connections are multiplexed.
     pub http1: Option<Http1Limits>,
-    /// Timeouts of the calls to discovery.
+    /// The timeouts of calls to discovery.
     pub discovery: DiscoverySettings,
 }
 
-/// The limits where a connection carries one request at a time.
+/// Limits that apply only to HTTP/1, where a connection carries one request at a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Http1Limits {
-    /// Timeouts of clients' connections.
+    /// The timeouts of client connections.
     pub client_timeouts: Http1Settings,
-    /// Connections to all engines together.
+    /// Connections to all engines in total.
     pub max_engine_connections: usize,
 }
 
 impl ProgramSettings {
-    /// The settings of the connections to one engine.
+    /// The settings of the connection pool of one engine.
     pub fn pool_settings(&self) -> PoolSettings {
         let limits = &self.limits;
         PoolSettings {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// The settings of a client's connection that carries many requests at once.
+    /// The settings of a multiplexed client connection.
     pub fn multiplexed_settings(&self) -> MultiplexedSettings {
         let limits = &self.limits;
         MultiplexedSettings {
@@ -113,27 +115,27 @@
     }
 }
 
-/// The settings that all dispatchers of a service have in common.
+/// The settings that all dispatchers of a service share.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// The settings of the routing decisions; those of one dispatcher are filled in by
-    /// [`dispatcher`](Self::dispatcher).
+    /// The settings of the routing logic. [`dispatcher`](Self::dispatcher) fills in the fields that differ
+    /// between dispatchers.
     pub policy: Settings,
     /// The names of the request classes in `policy`, in the same order.
     pub request_classes: Vec<String>,
     /// The names of the tenants in `policy`, in the same order.
     pub tenants: Vec<String>,
-    /// The names of the zones, by their ids in `policy`.
+    /// The names of the zones; the index of a name is the zone's id in `policy`.
     pub zones: Vec<String>,
     /// The names of the kinds of engines in `policy`, in the same order.
     pub kinds: Vec<String>,
-    /// Each process's own limits and timeouts.
+    /// The limits and timeouts of each process.
     pub limits: Limits,
 }
 
 impl ServiceSettings {
-    /// The settings of one dispatcher of the service: the one with `number` of `dispatchers`, which are numbered from
-    /// 0.
+    /// The settings of one dispatcher of the service. `number` is the dispatcher's number, from 0 to
+    /// `dispatchers` - 1.
     pub fn dispatcher(
         &self,
         name: &str,
--- a/crates/dispatcher/src/state/abandoned_streams.rs
+++ b/crates/dispatcher/src/state/abandoned_streams.rs
@@ -1,23 +1,25 @@
-//! Streams that were given up here and that their engine has not ended yet, and calls that it has not answered.
+//! Streams that this side has abandoned and their engine has not ended, and calls that were not answered.
 
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
 impl Dispatcher {
-    /// Nothing is expected on a stream any more; it stays taken until its engine ends it.
+    /// Abandons a stream: later messages on it are ignored. The stream stays open until its engine ends it.
     pub(super) fn abandon_stream(&mut self, connection_id: EngineConnectionId, stream: StreamId) {
         if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.streams.insert(stream, StreamPurpose::Abandoned);
             self.timers.set(
                 self.now + self.settings.limits.stall_timeout,
-                Due::StreamTimeout(connection_id, stream),
+                TimerKind::StreamTimeout(connection_id, stream),
             );
         }
     }
 
-    /// Guards against an engine that receives nothing any more on a connection that never breaks, which shows as cancelled
-    /// attempts that take up its streams for ever, or as calls that are never answered: the connection is closed, which
-    /// ends all that is on it.
+    /// Closes the connection of a stream that its engine has neither answered nor ended in time, which ends all
+    /// streams of the connection.
+    ///
+    /// An engine may receive nothing any more although its connection never breaks. Cancelled attempts would then
+    /// occupy its streams forever, and calls would never be answered.
     pub(super) fn check_unanswered_stream(
         &mut self,
         connection_id: EngineConnectionId,
@@ -28,22 +30,22 @@
             return;
         };
         let unanswered = match connection.streams.get(&stream) {
-            Some(StreamPurpose::Release(..)) => Some("it does not answer a release"),
-            Some(StreamPurpose::LivenessCheck) => Some("it gives no sign that it runs"),
+            Some(StreamPurpose::Release(..)) => Some("release not answered in time"),
+            Some(StreamPurpose::LivenessCheck) => Some("liveness check not answered in time"),
             Some(StreamPurpose::Abandoned | StreamPurpose::EngineRelease(..)) => None,
             _ => return,
         };
         if let Some(reason) = unanswered {
             let engine = connection.engine.clone();
-            self.connections.left_unanswered(&engine, self.now);
+            self.connections.record_unanswered_call(&engine, self.now);
             return self.close_connection(connection_id, reason, outputs);
         }
         let until = connection.last_received_at + self.settings.limits.stall_timeout;
         if self.now >= until {
-            self.close_connection(connection_id, "it says nothing and ends nothing", outputs);
+            self.close_connection(connection_id, "abandoned stream not ended in time", outputs);
         } else {
             self.timers
-                .set(until, Due::StreamTimeout(connection_id, stream));
+                .set(until, TimerKind::StreamTimeout(connection_id, stream));
         }
     }
 }
--- a/crates/dispatcher/src/state/attempts.rs
+++ b/crates/dispatcher/src/state/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at engines: start, resend, cancel, time out and end.
+//! Attempts at engines: start, resend, cancel, timeout and end.
 
 use super::engine_requests::{attempt_message, kv_state_id};
 use super::kv_states::Held;
@@ -7,7 +7,7 @@
 use super::*;
 use cindercleat::connection_pool::PlacementError;
 
-/// An attempt that is about to go out.
+/// An attempt for which no stream is open yet.
 struct PlannedAttempt {
     request_id: RequestId,
     attempt_id: AttemptId,
@@ -16,7 +16,7 @@
     expires_at: Ms,
 }
 
-/// The stream that was opened for an attempt, and the message to send on it.
+/// The stream that was opened for an attempt, and the attempt's message.
 struct OpenedAttempt {
     connection: EngineConnectionId,
     stream: StreamId,
@@ -24,13 +24,14 @@
 }
 
 impl Dispatcher {
-    /// The attempt of a request that has not ended.
+    /// The attempt of a request that has not ended; `None` between attempts.
     pub(super) fn current_attempt(&self, request_id: RequestId) -> Option<&Attempt> {
         self.requests.get(&request_id)?.current_attempt.as_ref()
     }
 
-    /// Starts an attempt of a request at an engine. `until`: when it times out at the latest; the request's deadline if
-    /// none. What may not or cannot go out ends at once.
+    /// Starts an attempt of a request at an engine. The attempt times out at `until`, or at the request's
+    /// deadline if that is earlier or `until` is `None`. An attempt that is not allowed or cannot be sent ends at
+    /// once.
     pub(super) fn start_attempt(
         &mut self,
         request_id: RequestId,
@@ -44,10 +45,10 @@
         let attempt_id = AttemptId(request.attempts);
         request.attempts += 1;
         let (answered, deadline) = (request.answered, request.deadline);
-        let is_prefill = self.prefills_only(request_id, &engine);
+        let is_prefill = self.is_prefill_only(request_id, &engine);
         if !self.may_start_attempt(request_id, &engine, is_prefill, outputs) {
             let outcome = Outcome::NotSent;
-            let event = never_sent(request_id, attempt_id, engine, outcome, answered);
+            let event = unsent_attempt_ended(request_id, attempt_id, engine, outcome, answered);
             return self.events.push(event);
         }
         let planned = PlannedAttempt {
@@ -59,28 +60,30 @@
         };
         match self.open_attempt(&planned, outputs) {
             Some(Ok(opened)) => self.begin_attempt(planned, opened, outputs),
-            // The next decision passes the engine by for a moment, or counts the failure: it could not be reached.
+            // `Control` skips the engine for a moment after `Overloaded`, and counts `Unreachable` as a failure of
+            // the engine.
             Some(Err(refusal)) => {
                 let outcome = match refusal {
                     PlacementError::PoolExhausted => Outcome::Overloaded,
                     PlacementError::BackingOff => Outcome::Unreachable,
                 };
-                let event = never_sent(request_id, attempt_id, planned.engine, outcome, answered);
+                let event =
+                    unsent_attempt_ended(request_id, attempt_id, planned.engine, outcome, answered);
                 self.events.push(event);
             }
-            // The request or the engine is unknown: `may_start_attempt` has ruled that out.
+            // `may_start_attempt` has checked that the request and the engine are known.
             None => {}
         }
     }
 
-    /// Whether an attempt at an engine leaves a KV state there and no tokens.
-    fn prefills_only(&self, request_id: RequestId, engine: &EngineId) -> bool {
+    /// Whether an attempt at the engine only prefills: it leaves a KV state there and streams no tokens.
+    fn is_prefill_only(&self, request_id: RequestId, engine: &EngineId) -> bool {
         let entry = self.endpoints.engines.get(engine);
         self.kv_states.available(request_id).is_none()
             && entry.is_some_and(|entry| entry.role == Role::Prefill)
     }
 
-    /// Opens a stream for an attempt. None if its request or its engine is not known.
+    /// Opens a stream for an attempt. Returns `None` if the request or the engine is unknown.
     fn open_attempt(
         &mut self,
         planned: &PlannedAttempt,
@@ -92,7 +95,7 @@
             .endpoints
             .engines
             .get(&planned.engine)?
-            .line
+            .endpoint
             .address
             .clone();
         let state = planned
@@ -151,20 +154,20 @@
             last_forwarded_at: self.now,
         });
         let connection = self.connections.get(opened.connection);
-        if connection.is_some_and(|connection| connection.up) {
+        if connection.is_some_and(|connection| connection.is_established) {
             request.mark_sent(self.now);
         }
         if !planned.is_prefill {
             self.kv_states.offer(request_id, attempt_id);
         }
-        let timeout = Due::AttemptTimeout(request_id, attempt_id);
+        let timeout = TimerKind::AttemptTimeout(request_id, attempt_id);
         self.timers.set(planned.expires_at, timeout);
         self.connections
             .send(opened.connection, opened.stream, opened.body, outputs);
     }
 
-    /// An attempt that its connection did not carry, as it was over before anything was written, goes out on
-    /// another one: the engine has sent nothing of it. Gives whether it did.
+    /// Sends an attempt again on another connection, after its connection ended before anything of it was
+    /// written: the engine has sent nothing of the attempt. Returns whether the attempt was sent or queued.
     pub(super) fn resend_attempt(
         &mut self,
         request_id: RequestId,
@@ -201,15 +204,15 @@
         attempt.sent_at = self
             .connections
             .get(opened.connection)
-            .filter(|connection| connection.up)
+            .filter(|connection| connection.is_established)
             .map(|_| self.now);
         self.connections
             .send(opened.connection, opened.stream, opened.body, outputs);
         true
     }
 
-    /// Ends the current attempt on the wire: what has not gone out is taken back, else the engine is sent a cancel. Gives
-    /// whether it never went out.
+    /// Stops the current attempt. A message that is still queued is withdrawn; otherwise the engine is sent a
+    /// cancel. Returns whether the attempt was never sent.
     pub(super) fn stop_attempt(
         &mut self,
         request_id: RequestId,
@@ -219,28 +222,29 @@
             return true;
         };
         let (connection, stream) = (attempt.connection, attempt.stream);
-        if self.connections.unsend(connection, stream) {
+        if self.connections.withdraw_unsent(connection, stream) {
             self.connections
                 .close_stream(connection, stream, self.now, &mut self.timers);
             return true;
         }
-        // The stream stays taken until the engine ends it: what the engine still works on takes room there.
-        let prefilled = self.prefill_out(request_id);
+        // The stream stays open until the engine ends it, because the engine may still be working on the attempt and
+        // its capacity is in use.
+        let prefilled = self.current_prefill_state(request_id);
         self.abandon_stream(connection, stream);
         if !fault_injection::is_injected(InjectedFault::CancelLost) {
             self.connections
                 .send(connection, stream, Body::Cancel(v1::Cancel {}), outputs);
         }
-        // Guards against a prefill that ends at its engine before the cancel comes, which shows as a KV state that stays
-        // pinned there: its release goes out as well.
+        // The prefill may end at its engine before the cancel arrives, and its KV state would stay pinned there. The
+        // state is therefore released as well.
         if let Some(held) = prefilled {
             self.release_leftover(request_id, held, outputs);
         }
         false
     }
 
-    /// The KV state that the current attempt of a request leaves, if it is a prefill.
-    pub(super) fn prefill_out(&self, request_id: RequestId) -> Option<Held> {
+    /// The KV state that the current attempt leaves at its engine, if the attempt only prefills.
+    pub(super) fn current_prefill_state(&self, request_id: RequestId) -> Option<Held> {
         let request = self.requests.get(&request_id)?;
         let attempt = request
             .current_attempt
@@ -254,7 +258,7 @@
         })
     }
 
-    /// Ends the record of the current attempt, and reports its outcome to the decisions. `detail`: see [`Ended`].
+    /// Ends the current attempt and reports its outcome to `Control`. For the meaning of `detail` see [`Ended`].
     pub(super) fn end_attempt(
         &mut self,
         request_id: RequestId,
@@ -296,8 +300,8 @@
         self.forget_finished(request_id);
     }
 
-    /// Ends an attempt whose outcome is the answer to the client where a stream has begun, as what was sent of it cannot be
-    /// taken back; a success is the answer in any case.
+    /// Ends an attempt whose outcome may be the final answer. A success always is. Any other outcome is a failed
+    /// answer if the stream has begun, because sent tokens cannot be taken back.
     pub(super) fn finish_attempt(
         &mut self,
         request_id: RequestId,
@@ -315,10 +319,10 @@
             _ if has_stream => self.answer(request_id, v1::Answer::Failed, 0.0, reason, outputs),
             _ => {}
         }
-        // Guards against a prefill that has ended at its engine with the message of it lost, which shows as a KV state that
-        // stays pinned there: it is released.
+        // The prefill may have ended at its engine although the message about it was lost, and its KV state would
+        // stay pinned there. The state is therefore released.
         let held = self
-            .prefill_out(request_id)
+            .current_prefill_state(request_id)
             .filter(|_| matches!(outcome, Outcome::ConnectionLost | Outcome::Failed));
         if let Some(held) =
             held.filter(|_| !fault_injection::is_injected(InjectedFault::BrokenPrefillStateKept))
@@ -328,7 +332,7 @@
         self.end_attempt(request_id, outcome, 0.0, load);
     }
 
-    /// Cancels an attempt, unless its stream has begun.
+    /// Cancels an attempt unless its stream has begun.
     pub(super) fn cancel_attempt(
         &mut self,
         request_id: RequestId,
@@ -340,13 +344,13 @@
         }
         let undelivered = self.undelivered_attempt(request_id);
         if let Some((problem, text)) = undelivered.filter(|_| !self.is_answered(request_id)) {
-            let text = format!("attempt given up, {problem}: {text}");
+            let text = format!("attempt cancelled, {problem}: {text}");
             outputs.push(Output::log(Level::Info, text));
         }
         self.stop_and_end_attempt(request_id, Outcome::Cancelled, outputs);
     }
 
-    /// Ends an attempt whose time is up, unless its stream has begun.
+    /// Ends an attempt that has timed out, unless its stream has begun.
     pub(super) fn time_out_attempt(
         &mut self,
         request_id: RequestId,
@@ -358,13 +362,14 @@
         }
     }
 
-    /// Whether an attempt is the current one of its request and no token of it has come.
+    /// Whether the attempt is the current one of its request and has sent no token.
     fn is_waiting(&self, request_id: RequestId, attempt_id: AttemptId) -> bool {
         let current = self.current_attempt(request_id);
         current.is_some_and(|attempt| attempt.id == attempt_id && !attempt.first_token_sent)
     }
 
-    /// Stops the current attempt; it ends with `outcome`, or as not sent if it never went out.
+    /// Stops the current attempt. The attempt ends with `outcome`, or with [`Outcome::NotSent`] if it was never
+    /// sent.
     fn stop_and_end_attempt(
         &mut self,
         request_id: RequestId,
@@ -380,7 +385,7 @@
         self.end_attempt(request_id, outcome, 0.0, Load::default());
     }
 
-    /// Reserves a place at an engine for the decode attempt that follows the prefill which is out.
+    /// Reserves a slot at an engine for the decode attempt that follows the current prefill.
     pub(super) fn reserve(
         &mut self,
         request_id: RequestId,
@@ -392,7 +397,7 @@
         };
         let state = kv_state_id(self.settings.incarnation, request_id, attempt.id);
         let purpose = StreamPurpose::Reservation(request_id, attempt.id);
-        let Some(row) = self
+        let Some(entry) = self
             .endpoints
             .engines
             .get(engine)
@@ -400,18 +405,18 @@
         else {
             return;
         };
-        let address = row.line.address.clone();
-        let to = (&mut self.timers, &mut *outputs);
-        let opened = self
-            .connections
-            .open(engine, &address, purpose, self.now, &self.settings, to);
+        let address = entry.endpoint.address.clone();
+        let effects = (&mut self.timers, &mut *outputs);
+        let opened =
+            self.connections
+                .open(engine, &address, purpose, self.now, &self.settings, effects);
         if let Ok((connection, stream)) = opened {
             let body = Body::Reserve(v1::Reserve { state: Some(state) });
             self.connections.send(connection, stream, body, outputs);
         }
     }
 
-    /// Ends a stream in good order; its client asks another dispatcher for the rest.
+    /// Ends a stream so that its client resumes the request at another dispatcher.
     pub(super) fn migrate(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if self
             .requests
@@ -431,8 +436,8 @@
     }
 }
 
-/// The end of an attempt that never went out. `last`: no other attempt of the request follows.
-fn never_sent(
+/// The event for an attempt that was never sent. `last` is whether no other attempt of the request follows.
+fn unsent_attempt_ended(
     request: RequestId,
     attempt: AttemptId,
     engine: EngineId,
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -1,15 +1,15 @@
-//! What clients send and are answered: a request from its arrival to its one final answer.
+//! Requests of clients, from their arrival to the final answer.
 
 use super::*;
 
-/// What is left to a request whose deadline has passed while it was being received.
+/// The time to the deadline that is left to a request whose deadline passed while it was being received.
 const MIN_TIME_TO_DEADLINE_MS: Ms = 0.001;
 
-/// A field of a client's request that cannot be right.
+/// A field of a client's request with an invalid value.
 struct InvalidField {
-    /// Its name on the wire.
+    /// The field's name on the wire.
     field: &'static str,
-    /// Why, for the client.
+    /// Why the value is invalid; sent to the client.
     reason: String,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Dispatcher {
-    /// Takes a message from a client.
+    /// Handles a message from a client.
     pub(super) fn handle_client_message(
         &mut self,
         conn: ClientConnectionId,
@@ -39,7 +39,7 @@
         match frame.body {
             Some(Body::Submit(submit)) => self.handle_submit((conn, stream), submit, outputs),
             Some(Body::Cancel(_)) => {
-                // An unknown one has been answered in this very turn; nothing more is owed.
+                // A request that is not open any more was answered in the same turn; nothing is owed.
                 if let Some(id) = self.client_streams.get(&(conn, stream)).copied() {
                     self.client_gone(id, outputs);
                     self.count_cancel(conn, outputs);
@@ -50,20 +50,23 @@
             }
             Some(Body::Goodbye(_) | Body::Pong(_)) => {}
             other => {
-                let reason = format!("a client does not send {}", name_of(other.as_ref()));
+                let reason = format!(
+                    "unexpected message from a client: {}",
+                    name_of(other.as_ref())
+                );
                 outputs.push(Output::CloseClient { conn, reason });
             }
         }
     }
 
-    /// Answers whether requests can be routed: endpoints are known, and no stop has begun.
+    /// Answers a readiness check: endpoints are known, and no stop has begun.
     fn answer_readiness(
         &mut self,
         conn: ClientConnectionId,
         stream: StreamId,
         outputs: &mut Vec<Output>,
     ) {
-        self.client_asks(conn);
+        self.on_client_request_received(conn);
         let body = if self.is_ready() {
             Body::Pong(v1::Pong {})
         } else {
@@ -76,10 +79,10 @@
             conn,
             frame: frame(stream.0, body),
         });
-        self.client_answered(conn);
+        self.on_client_response_sent(conn);
     }
 
-    /// A client has sent a request: it is taken, or answered at once.
+    /// Accepts a request, or answers it at once.
     pub(super) fn handle_submit(
         &mut self,
         client_stream: ClientStream,
@@ -87,16 +90,16 @@
         outputs: &mut Vec<Output>,
     ) {
         let (conn, stream) = client_stream;
-        let took = self.client_asks(conn);
+        let receive_duration = self.on_client_request_received(conn);
         if self.client_streams.contains_key(&client_stream) || stream.0 == 0 {
             let reason = format!("stream {} is in use or reserved", stream.0);
             return outputs.push(Output::CloseClient { conn, reason });
         }
-        // The deadline counts from the first part of the request. One whose deadline has passed meanwhile is taken like
-        // any other, with hardly any time left.
+        // The deadline counts from the first part of the request. If the deadline passed during reception, the
+        // request is still accepted, with the minimal time left.
         if submit.time_to_deadline_ms > 0.0 {
             submit.time_to_deadline_ms =
-                (submit.time_to_deadline_ms - took).max(MIN_TIME_TO_DEADLINE_MS);
+                (submit.time_to_deadline_ms - receive_duration).max(MIN_TIME_TO_DEADLINE_MS);
         }
         let arrival = match self.admit(&submit) {
             Ok(arrival) => arrival,
@@ -108,7 +111,7 @@
                     conn,
                     frame: frame(stream.0, *body),
                 });
-                return self.client_answered(conn);
+                return self.on_client_response_sent(conn);
             }
         };
         self.next_request_id += 1;
@@ -124,25 +127,25 @@
         if self.stopping_since.is_some() {
             outputs.push(Output::DrainClient { conn });
         }
-        self.insert_request(client_stream, submit, &arrival, took);
+        self.insert_request(client_stream, submit, &arrival, receive_duration);
         self.events.push(Event::Arrived(arrival));
     }
 
-    /// Opens the record of a request. `took`: how long it took to receive, in milliseconds.
+    /// Inserts the record of a request. `receive_duration` is the time that its reception took, in milliseconds.
     fn insert_request(
         &mut self,
         client_stream: ClientStream,
         submit: v1::Submit,
         arrival: &Arrival,
-        took: Ms,
+        receive_duration: Ms,
     ) {
         let id = arrival.request;
         let deadline = self.now + arrival.time_to_deadline;
         let request_class = &self.settings.policy.request_classes[arrival.request_class.0 as usize];
         let latency_objective = request_class.latency_objective
             + request_class.latency_objective_per_1000_tokens * arrival.prompt_tokens / 1000.0;
-        let first_token_due_at = self.now - took + latency_objective;
-        self.timers.set(deadline, Due::Deadline(id));
+        let first_token_due_at = self.now - receive_duration + latency_objective;
+        self.timers.set(deadline, TimerKind::Deadline(id));
         self.client_streams.insert(client_stream, id);
         if let Some(origin) = &submit.origin {
             self.requests_by_origin.insert(origin.id.clone(), id);
@@ -163,14 +166,14 @@
         self.requests.insert(id, request);
     }
 
-    /// The request as the decisions take it.
+    /// Converts a request into the event for `Control`, unless it cannot be accepted.
     ///
     /// # Errors
-    /// The answer to the client in place of taking it.
+    /// The answer for the client: the request is invalid, or a limit or a stop does not allow it.
     fn admit(&self, submit: &v1::Submit) -> Result<Arrival, Box<Body>> {
         let arrival = self.arrival(submit).map_err(InvalidField::into_answer)?;
-        // Guards against a request that goes by the id of an open one, which would show as the release of one ending the
-        // KV state of the other: ids of open requests are unique, as the second is refused.
+        // Ids of open requests are unique. Two open requests with the same id would share their releases: the release
+        // of one would also end the KV state of the other. The second request is therefore refused.
         if submit
             .origin
             .as_ref()
@@ -179,21 +182,21 @@
             let invalid = InvalidField::new("id", "a task of this id is open".to_owned());
             return Err(invalid.into_answer());
         }
-        // Guards against more open requests than there is memory for, which would show as a process that is killed with
-        // all of them: what exceeds the limit is rejected. Nothing of it has run, so a retry is safe.
-        let full = self.requests.len() >= self.settings.limits.max_open_requests
+        // The limit keeps open requests from exhausting memory, which would kill the process and all of its requests.
+        // A request above the limit is rejected; nothing of it has run, so a retry is safe.
+        let is_full = self.requests.len() >= self.settings.limits.max_open_requests
             || self.next_request_id == u32::MAX;
-        if !full && !self.is_closed() {
+        if !is_full && !self.rejects_new_requests() {
             return Ok(arrival);
         }
         let policy = &self.settings.policy;
-        let longest = if policy.clients_honor_retry_after {
+        let max_retry_after = if policy.clients_honor_retry_after {
             policy.kv_state_timeout
         } else {
             0.0
         };
-        let retry_after_ms = longest.min(policy.max_retry_after);
-        let reason = if full {
+        let retry_after_ms = max_retry_after.min(policy.max_retry_after);
+        let reason = if is_full {
             "too many tasks are open"
         } else {
             "stopping"
@@ -204,14 +207,14 @@
             answer,
             retry_after_ms,
             reason,
-            full,
+            full: is_full,
         })))
     }
 
-    /// The request as the decisions take it.
+    /// Converts a request into the event for `Control`.
     ///
     /// # Errors
-    /// The field that cannot be right.
+    /// The first field with an invalid value.
     fn arrival(&self, submit: &v1::Submit) -> Result<Arrival, InvalidField> {
         let request_class = index_of(&self.settings.request_classes, &submit.request_class)
             .ok_or_else(|| {
@@ -243,17 +246,21 @@
         })
     }
 
-    /// A client's connection is closed: it wants none of its requests any more.
+    /// Handles the end of a client connection: all of its requests are cancelled.
     pub(super) fn on_client_closed(&mut self, conn: ClientConnectionId, outputs: &mut Vec<Output>) {
         self.client_connections.remove(conn);
-        let all = (conn, StreamId(0))..=(conn, StreamId(u64::MAX));
-        let ids: Vec<RequestId> = self.client_streams.range(all).map(|(_, id)| *id).collect();
+        let streams = (conn, StreamId(0))..=(conn, StreamId(u64::MAX));
+        let ids: Vec<RequestId> = self
+            .client_streams
+            .range(streams)
+            .map(|(_, id)| *id)
+            .collect();
         for id in ids {
             self.client_gone(id, outputs);
         }
     }
 
-    /// The client wants no more of a request: nothing is owed, and what is out for it ends.
+    /// Handles a client that no longer wants a request: no answer is owed, and the request's stream is stopped.
     pub(super) fn client_gone(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
@@ -263,7 +270,7 @@
         self.events.push(Event::ClientGone {
             request: request_id,
         });
-        // A stream that nobody reads ends; what has not begun the decisions cancel themselves.
+        // A stream without a reader is stopped here. `Control` cancels attempts without a stream.
         if request.has_stream() {
             self.stop_attempt(request_id, outputs);
             self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
@@ -271,7 +278,7 @@
         self.forget_finished(request_id);
     }
 
-    /// Rejects a request, if a retry is safe; else it fails. `retry_after`: in milliseconds.
+    /// Rejects a request if a retry is safe; fails it otherwise. `retry_after` is in milliseconds.
     pub(super) fn reject(
         &mut self,
         request_id: RequestId,
@@ -288,7 +295,7 @@
         self.answer(request_id, answer, retry_after_ms, reason, outputs);
     }
 
-    /// Answers that a request has failed, which says nothing of whether it has run.
+    /// Answers that a request has failed. A failure does not tell the client whether the request has run.
     pub(super) fn fail(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let answer = if fault_injection::is_injected(InjectedFault::FailureAsRejection) {
             v1::Answer::Rejected
@@ -298,8 +305,8 @@
         self.answer(request_id, answer, 0.0, "no answer in time", outputs)
     }
 
-    /// Gives the one final answer of a request; a request that has one gets no other. `retry_after_ms`: when the client
-    /// may try again, 0 for no hint.
+    /// Sends the final answer of a request, unless one was sent. `retry_after_ms` is the time after which the
+    /// client may retry; 0 gives no hint.
     pub(super) fn answer(
         &mut self,
         request_id: RequestId,
@@ -321,7 +328,7 @@
                 || !request.has_stream() && self.now > request.first_token_due_at;
             service_stats.answered(answer, late);
         }
-        // No attempt can need it any more.
+        // No further attempt needs the prompt; dropping it frees memory.
         request.submit.prompt = Default::default();
         let (conn, stream) = request.client_stream;
         self.client_streams.remove(&request.client_stream);
@@ -339,11 +346,11 @@
             conn,
             frame: frame(stream.0, Body::Final(body)),
         });
-        self.client_answered(conn);
+        self.on_client_response_sent(conn);
         self.forget_finished(request_id);
     }
 
-    /// Drops the record of a request that has its answer, no current attempt and no KV state.
+    /// Drops the record of a request that has its final answer, no current attempt and no available KV state.
     pub(super) fn forget_finished(&mut self, request_id: RequestId) {
         let is_finished = self
             .requests
@@ -358,8 +365,8 @@
         }
     }
 
-    /// Guards against a request that the decisions left without an answer, whatever the reason, which would show as a client
-    /// that waits for ever: at its deadline each request without an answer or a stream is failed.
+    /// Fails a request that has neither an answer nor a stream at its deadline, whatever the reason: without this
+    /// its client would wait forever.
     pub(super) fn on_deadline(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&request_id) else {
             return;
@@ -368,19 +375,19 @@
             return;
         }
         let text = format!(
-            "request {} was not answered before its deadline",
+            "request {} has no answer at its deadline; answering that it failed",
             request_id.0
         );
         outputs.push(Output::log(Level::Warn, text));
         self.answer(request_id, v1::Answer::Failed, 0.0, "time is up", outputs);
-        // The decisions have nothing to do for it any more, as if its client had gone.
+        // `Control` treats the request as if its client had gone and does nothing more for it.
         self.events.push(Event::ClientGone {
             request: request_id,
         });
     }
 }
 
-/// Checks the amounts of a request: its time and its tokens.
+/// Checks the deadline and the token counts of a request.
 fn check_amounts(submit: &v1::Submit) -> Result<(), InvalidField> {
     let time_to_deadline = submit.time_to_deadline_ms;
     if !time_to_deadline.is_finite() || time_to_deadline <= 0.0 {
--- a/crates/dispatcher/src/state/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -1,7 +1,7 @@
-//! Clients' connections: which there are, and how the decisions about each ([`MultiplexedConnection`],
-//! [`Http1Connection`]) are carried out.
+//! Client connections, and the actions that [`MultiplexedConnection`] and [`Http1Connection`] decide on for
+//! them.
 
-use super::timers::{Due, Timers};
+use super::timers::{TimerKind, Timers};
 use super::*;
 use crate::settings::Limits;
 use cindercleat::client_connection::http1::{self, Http1Connection};
@@ -9,18 +9,18 @@
     ClientCommand, CloseReason, MultiplexedConnection, MultiplexedSettings,
 };
 
-/// The state of one client's connection.
+/// The state of one client connection.
 #[derive(Debug)]
 struct ClientConnection {
     multiplexed: MultiplexedConnection,
-    /// Set where a connection carries one request at a time.
+    /// `None` if the connection is multiplexed.
     http1: Option<Http1Connection>,
-    /// When its timer fires; infinity if none is set.
+    /// When the connection's timer fires, in milliseconds; infinity if none is set.
     timer_at: Ms,
 }
 
 impl ClientConnection {
-    /// When a decision about the connection falls due next.
+    /// When the next action for the connection is due, in milliseconds.
     fn next_due_at(&self, settings: &MultiplexedSettings, limits: &Limits) -> Ms {
         let http1_at = self
             .http1
@@ -32,7 +32,7 @@
     }
 }
 
-/// All connections of clients.
+/// All client connections.
 #[derive(Debug, Default)]
 pub(super) struct ClientConnections {
     all: BTreeMap<ClientConnectionId, ClientConnection>,
@@ -51,7 +51,7 @@
         self.all.get_mut(&conn)?.http1.as_mut()
     }
 
-    /// The connection that is closed to make room for another.
+    /// The connection to close when the connection limit is reached; `None` if all are busy.
     fn to_evict(&self) -> Option<ClientConnectionId> {
         let connections = self
             .all
@@ -60,7 +60,8 @@
         http1::connection_to_evict(connections)
     }
 
-    /// Sets the timer for what falls due next, unless an earlier one is set: when that fires, this is called again.
+    /// Sets the timer for the next action that is due, unless an earlier timer is set: that one sets the next
+    /// when it fires.
     fn set_timer(
         &mut self,
         conn: ClientConnectionId,
@@ -74,14 +75,14 @@
         let at = connection.next_due_at(settings, limits);
         if at < connection.timer_at {
             connection.timer_at = at;
-            timers.set(at, Due::Client(conn));
+            timers.set(at, TimerKind::Client(conn));
         }
     }
 }
 
 impl Dispatcher {
-    /// A client has connected.
-    pub(super) fn take_client_up(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
+    /// Handles a client that has connected. During the stop the client is asked to leave at once.
+    pub(super) fn on_client_connected(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         let settings = self.settings.multiplexed_settings();
         let is_http1 = self.settings.limits.http1.is_some();
         let connection = ClientConnection {
@@ -91,7 +92,7 @@
         };
         self.client_connections.all.insert(conn, connection);
         self.set_client_timer(conn);
-        if self.is_closed() {
+        if self.rejects_new_requests() {
             out.push(Output::DrainClient { conn });
         }
     }
@@ -102,31 +103,32 @@
             .set_timer(conn, &settings, &self.settings.limits, &mut self.timers);
     }
 
-    /// Anything was received from a client.
+    /// Records that a message was received from a client, which proves that the client is alive.
     pub(super) fn client_message_received(&mut self, conn: ClientConnectionId) {
         if let Some(connection) = self.client_connections.all.get_mut(&conn) {
             connection.multiplexed.received(self.now);
         }
     }
 
-    /// Part of a request has come.
-    pub(super) fn take_partly(&mut self, conn: ClientConnectionId) {
-        self.change_http1(conn, Http1Connection::request_begun);
+    /// Records that the first part of a request was received.
+    pub(super) fn on_client_request_begun(&mut self, conn: ClientConnectionId) {
+        self.update_http1(conn, Http1Connection::request_begun);
     }
 
-    /// A request has come in full. Returns how long ago its first part came, in milliseconds.
-    pub(super) fn client_asks(&mut self, conn: ClientConnectionId) -> Ms {
+    /// Records that a request was received completely. Returns how long ago its first part arrived, in
+    /// milliseconds.
+    pub(super) fn on_client_request_received(&mut self, conn: ClientConnectionId) -> Ms {
         self.client_connections
             .http1_mut(conn)
             .map_or(0.0, |http1| http1.request_received(self.now))
     }
 
-    /// The one answer to a request was sent.
-    pub(super) fn client_answered(&mut self, conn: ClientConnectionId) {
-        self.change_http1(conn, Http1Connection::response_sent);
+    /// Records that the answer to a request was sent.
+    pub(super) fn on_client_response_sent(&mut self, conn: ClientConnectionId) {
+        self.update_http1(conn, Http1Connection::response_sent);
     }
 
-    fn change_http1(
+    fn update_http1(
         &mut self,
         conn: ClientConnectionId,
         change: impl FnOnce(&mut Http1Connection, Ms),
@@ -137,8 +139,9 @@
         }
     }
 
-    /// The maximum of clients' connections is reached, and one more waits to be accepted.
-    pub(super) fn make_room(&mut self, out: &mut Vec<Output>) {
+    /// Closes the connection that [`http1::connection_to_evict`] selects, because another client waits to be
+    /// accepted.
+    pub(super) fn evict_client(&mut self, out: &mut Vec<Output>) {
         let Some(conn) = self.client_connections.to_evict() else {
             return;
         };
@@ -153,28 +156,32 @@
 
     fn close_http1(conn: ClientConnectionId, reason: http1::CloseReason, out: &mut Vec<Output>) {
         match reason {
-            // A request that comes at the same moment is still answered.
+            // A drain is used instead of a close, so that a request sent at the same moment is still answered.
             http1::CloseReason::Idle => out.push(Output::DrainClient { conn }),
             http1::CloseReason::SlowRequest => {
-                let reason = "its request does not come".to_owned();
+                let reason = "request not received in time".to_owned();
                 out.push(Output::CloseClient { conn, reason });
             }
         }
     }
 
-    /// A client has cancelled a request.
+    /// Counts a cancelled request against the client's cancellation limit.
     pub(super) fn count_cancel(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         let settings = self.settings.multiplexed_settings();
         if let Some(connection) = self.client_connections.all.get_mut(&conn) {
             connection
                 .multiplexed
                 .request_cancelled(&settings, self.now);
-            self.look_at_client(conn, out);
+            self.run_client_connection(conn, out);
         }
     }
 
-    /// Carries out what has fallen due for a client's connection.
-    pub(super) fn look_at_client(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
+    /// Carries out the actions that are due for a client connection.
+    pub(super) fn run_client_connection(
+        &mut self,
+        conn: ClientConnectionId,
+        out: &mut Vec<Output>,
+    ) {
         let settings = self.settings.multiplexed_settings();
         let Some(connection) = self.client_connections.all.get_mut(&conn) else {
             return;
@@ -208,8 +215,8 @@
         out: &mut Vec<Output>,
     ) {
         let reason = match reason {
-            CloseReason::PingTimeout => "it does not answer",
-            CloseReason::TooManyCancels => "it calls off more than it may",
+            CloseReason::PingTimeout => "no answer to a ping",
+            CloseReason::TooManyCancels => "too many requests cancelled",
         };
         self.on_client_closed(conn, out);
         out.push(Output::CloseClient {
--- a/crates/dispatcher/src/state/connection_events.rs
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -1,15 +1,16 @@
-//! What happens to connections to engines: up, due, dropped, closed.
+//! Events of engine connections: established, due commands, lost, closed.
 
 use super::kv_states::ReleaseCall;
 use super::stream_purpose::StreamPurpose;
 use super::*;
 use cindercleat::connection_pool::{CloseReason, PoolCommand};
 
-/// The least time that an engine is given for an attempt; 0 would mean that none is given.
+/// The minimum time that an attempt gives its engine. An engine reads 0 as no time limit given.
 const MIN_ENGINE_WAIT_MS: Ms = 1.0;
 
 impl Dispatcher {
-    /// A connection is up: what has waited for it goes out. `limit`: the streams that the engine allows on it.
+    /// Handles a connection that is established: its queued messages are sent. `limit` is the number of
+    /// concurrent streams that the engine allows on it.
     pub(super) fn on_connection_up(
         &mut self,
         connection_id: EngineConnectionId,
@@ -17,29 +18,30 @@
         outputs: &mut Vec<Output>,
     ) {
         let Some(connection) = self.connections.get_mut(connection_id) else {
-            let reason = "not wanted any more".to_owned();
+            let reason = "no longer needed".to_owned();
             return outputs.push(Output::CloseConnection {
                 connection: connection_id,
                 reason,
             });
         };
-        let (engine, waiting) = (
+        let (engine, unsent_messages) = (
             connection.engine.clone(),
-            std::mem::take(&mut connection.waiting),
+            std::mem::take(&mut connection.unsent_messages),
         );
         self.connections
-            .come_up(connection_id, limit, self.now, &mut self.timers);
-        // Guards against a drain that was learned while the connection came up, which shows as an attempt at an engine that
-        // has left service: an attempt that has not gone out stays here, and is known not to have run.
+            .mark_established(connection_id, limit, self.now, &mut self.timers);
+        // The engine may have begun to drain while the connection was being established, and must not get an attempt
+        // then. A queued attempt is not sent, so it is known not to have run.
         let ready = self.endpoints.status(&engine) == EndpointStatus::Ready
             || fault_injection::is_injected(InjectedFault::DrainSeenLate);
         self.send_engine_releases(&engine, outputs);
-        for (stream, body) in waiting {
+        for (stream, body) in unsent_messages {
             self.send_waiting(connection_id, stream, body, ready, outputs);
         }
     }
 
-    /// Sends what has waited for its connection, if there is still cause. `ready`: whether the engine takes attempts.
+    /// Sends a message that was queued for its connection, if its purpose still applies. `ready` is whether the
+    /// engine accepts attempts.
     fn send_waiting(
         &mut self,
         connection_id: EngineConnectionId,
@@ -52,11 +54,11 @@
             .connections
             .get(connection_id)
             .and_then(|connection| connection.streams.get(&stream).cloned());
-        let goes_out = match purpose {
+        let is_sent = match purpose {
             Some(StreamPurpose::Release(call)) => {
                 self.begin_waiting_release(connection_id, stream, &call)
             }
-            // Nor does one whose client has gone meanwhile: nobody waits for it.
+            // An attempt is not sent either if its client has gone: nobody waits for it.
             Some(StreamPurpose::Attempt(request, _)) if !ready || self.is_answered(request) => {
                 self.close_stream(connection_id, stream);
                 self.end_attempt(request, Outcome::NotSent, 0.0, Load::default());
@@ -71,7 +73,7 @@
             }
             _ => true,
         };
-        if goes_out {
+        if is_sent {
             outputs.push(Output::ToEngine {
                 connection: connection_id,
                 frame: frame(stream.0, body),
@@ -79,19 +81,19 @@
         }
     }
 
-    /// The connection of a release is up: it goes out now, unless there is nothing to release any more, or its request
-    /// needs the KV state. Gives whether it does.
+    /// Starts a release that was queued for its connection, unless nothing is left to release or the request
+    /// needs the KV state. Returns whether the release is sent.
     pub(super) fn begin_waiting_release(
         &mut self,
         connection_id: EngineConnectionId,
         stream: StreamId,
         call: &ReleaseCall,
     ) -> bool {
-        let goes_out = self
+        let is_sent = self
             .kv_states
-            .release_wanted(call.request)
-            .is_some_and(|state| !self.is_needed(state));
-        if !goes_out {
+            .pending_release(call.request)
+            .is_some_and(|state| !self.is_still_needed(state));
+        if !is_sent {
             self.close_stream(connection_id, stream);
             self.release_unsent(call);
         } else if let Some(connection) = self.connections.get_mut(connection_id) {
@@ -103,30 +105,30 @@
                 }),
             );
         }
-        goes_out
+        is_sent
     }
 
-    /// Sets the time that is left to an attempt which has waited for its connection.
+    /// Updates the time limit in the message of an attempt that was queued for its connection.
     pub(super) fn update_time_left(&self, request: RequestId, body: &mut Body) {
         let Some(attempt) = self.current_attempt(request) else {
             return;
         };
-        let left = (attempt.expires_at - self.now).max(MIN_ENGINE_WAIT_MS);
+        let time_left = (attempt.expires_at - self.now).max(MIN_ENGINE_WAIT_MS);
         match body {
-            Body::Prefill(prefill) => prefill.wait_ms = left,
-            Body::Decode(decode) => decode.wait_ms = left,
+            Body::Prefill(prefill) => prefill.wait_ms = time_left,
+            Body::Decode(decode) => decode.wait_ms = time_left,
             _ => {}
         }
     }
 
-    /// Whether a request has its answer, or its client has gone.
+    /// Whether the request's final answer was sent, or its client has gone.
     pub(super) fn is_answered(&self, request: RequestId) -> bool {
         self.requests
             .get(&request)
             .is_some_and(|request| request.answered)
     }
 
-    /// A stream is over. Gives what it was for, if it was open.
+    /// Ends a stream. Returns its purpose if it was open.
     pub(super) fn close_stream(
         &mut self,
         connection_id: EngineConnectionId,
@@ -136,7 +138,7 @@
             .close_stream(connection_id, stream, self.now, &mut self.timers)
     }
 
-    /// Closes the connections to an engine that carry nothing.
+    /// Closes the connections to an engine that have no open streams.
     pub(super) fn close_idle(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         for id in self.connections.ids_of(engine) {
             if self.connections.is_idle(id) {
@@ -145,16 +147,18 @@
         }
     }
 
-    /// Does what is due for the connections to an engine.
+    /// Carries out the commands that are due for an engine's connections.
     pub(super) fn run_connection_pool(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
-        let row = self.endpoints.engines.get(engine);
-        let ready = row.is_some_and(|r| r.status == EndpointStatus::Ready);
-        let address = row.map(|r| r.line.address.clone()).unwrap_or_default();
-        for command in self.connections.wanted(engine, self.now, ready) {
+        let entry = self.endpoints.engines.get(engine);
+        let ready = entry.is_some_and(|r| r.status == EndpointStatus::Ready);
+        let address = entry
+            .map(|r| r.endpoint.address.clone())
+            .unwrap_or_default();
+        for command in self.connections.due_commands(engine, self.now, ready) {
             match command {
                 PoolCommand::Connect => {
-                    let to = (&mut self.timers, &mut *outputs);
-                    self.connections.dial(engine, &address, self.now, to);
+                    let effects = (&mut self.timers, &mut *outputs);
+                    self.connections.dial(engine, &address, self.now, effects);
                 }
                 PoolCommand::Ping(id) => {
                     self.connections.send(
@@ -166,19 +170,19 @@
                 }
                 PoolCommand::Close(id, cause) => {
                     let reason = match cause {
-                        CloseReason::ConnectTimeout => "no connection in time",
+                        CloseReason::ConnectTimeout => "connect timeout",
                         CloseReason::Idle => "idle",
-                        CloseReason::PingTimeout => "it does not answer",
-                        CloseReason::Drained => "it goes away",
+                        CloseReason::PingTimeout => "no answer to a ping",
+                        CloseReason::Drained => "drained by the engine",
                     };
                     self.close_connection(EngineConnectionId(id.0), reason, outputs);
                 }
             }
         }
-        self.connections.arm(engine, &mut self.timers);
+        self.connections.schedule_timer(engine, &mut self.timers);
     }
 
-    /// Closes a connection from this side.
+    /// Closes a connection to an engine and ends all of its streams.
     pub(super) fn close_connection(
         &mut self,
         connection_id: EngineConnectionId,
@@ -194,7 +198,8 @@
         }
     }
 
-    /// A connection is closed. What was out on it may have run if it was up; if it never was, nothing was sent.
+    /// Handles a connection that has ended. If it was established, attempts on it may have run; if it never was,
+    /// nothing was sent.
     pub(super) fn on_connection_closed(
         &mut self,
         connection_id: EngineConnectionId,
@@ -204,14 +209,14 @@
         let Some(connection) = self.connections.remove(connection_id, self.now) else {
             return;
         };
-        let outcome = match connection.up {
+        let outcome = match connection.is_established {
             true if fault_injection::is_injected(InjectedFault::ConnectionLossAsOverload) => {
                 Outcome::Overloaded
             }
             true => Outcome::ConnectionLost,
             false => Outcome::Unreachable,
         };
-        // A connection that ends with what was abandoned ends as it should.
+        // Abandoned streams have no effect when they end, so they are not counted.
         let streams = connection
             .streams
             .values()
@@ -231,7 +236,7 @@
         self.forget_gone_engine(&connection.engine);
     }
 
-    /// Ends what a stream of a closed connection was for.
+    /// Ends the call whose connection has ended.
     fn end_lost_stream(
         &mut self,
         engine: &EngineId,
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -1,8 +1,8 @@
-//! Connections to engines, and the streams that are open on each. [`ConnectionPool`] decides which connection carries a
-//! stream, and when one is dialled, pinged or closed.
+//! Connections to engines and their open streams. [`ConnectionPool`] decides which connection carries a
+//! stream, and when connections are dialled, pinged or closed.
 
 use super::stream_purpose::StreamPurpose;
-use super::timers::{Due, Timers};
+use super::timers::{TimerKind, Timers};
 use super::{EngineConnectionId, Output, StreamId};
 use crate::settings::ProgramSettings;
 use cindercleat::connection_pool::{
@@ -13,41 +13,42 @@
 use cindercleat_protocol::{frame, Body};
 use std::collections::BTreeMap;
 
-/// One connection to an engine, from its dialling on.
+/// One connection to an engine. It exists from the dial on.
 #[derive(Debug)]
 pub(super) struct EngineConnection {
     pub engine: EngineId,
     pub address: String,
-    /// Whether it is established.
-    pub up: bool,
+    /// Whether the dial and the greeting are complete.
+    pub is_established: bool,
     pub streams: BTreeMap<StreamId, StreamPurpose>,
-    /// What is sent once it is established.
-    pub waiting: Vec<(StreamId, Body)>,
-    /// When anything was last received over it.
+    /// Messages that are sent once the connection is established.
+    pub unsent_messages: Vec<(StreamId, Body)>,
+    /// When the last message was received; the instant of the dial if there was none.
     pub last_received_at: Ms,
-    pub dialled: Ms,
-    /// When its last stream was opened.
-    pub last_call: Ms,
+    pub dialled_at: Ms,
+    /// When the last stream was opened; the instant of the dial if there was none.
+    pub last_stream_opened_at: Ms,
     next_stream: u64,
 }
 
 impl EngineConnection {
-    /// How many streams were opened on it so far.
-    pub fn carried(&self) -> u64 {
+    /// The number of streams opened on the connection so far.
+    pub fn opened_streams(&self) -> u64 {
         self.next_stream - 1
     }
 }
 
-/// What proves that an engine runs, over all its connections. Negative infinity stands for never.
+/// The evidence that an engine is alive, from all of its connections. Instants are in milliseconds; negative
+/// infinity stands for never.
 #[derive(Clone, Copy, Debug)]
 struct Liveness {
-    /// When it last sent anything.
+    /// When the engine last sent a message.
     last_received_at: Ms,
-    /// The latest instant at which what it sent proves that it ran.
+    /// The latest instant at which the engine is known to have run.
     ran_at: Ms,
-    /// The latest instant at which what it sent proves that it worked on an attempt.
+    /// The latest instant at which the engine is known to have worked on an attempt.
     worked_at: Ms,
-    /// When a question to it was last given up without an answer.
+    /// When a call to the engine was last given up without an answer.
     unanswered_at: Ms,
 }
 
@@ -71,8 +72,8 @@
     last_id: u64,
     pools: BTreeMap<EngineId, ConnectionPool>,
     liveness: BTreeMap<EngineId, Liveness>,
-    /// When the timer of an engine's connections fires, where one is set.
-    timers_at: BTreeMap<EngineId, Ms>,
+    /// When the timer of an engine's connections fires; engines without a timer are absent.
+    timer_due_at: BTreeMap<EngineId, Ms>,
     seed: u64,
 }
 
@@ -101,10 +102,10 @@
         self.by_engine.get(engine).cloned().unwrap_or_default()
     }
 
-    /// Opens a stream to `engine`, on a connection that is dialled if need be.
+    /// Opens a stream to `engine`. A connection is dialled if no established one can carry the stream.
     ///
     /// # Errors
-    /// No connection can carry it now; nothing was sent.
+    /// No connection can carry the stream now; nothing was sent.
     pub fn open(
         &mut self,
         engine: &EngineId,
@@ -134,7 +135,7 @@
         address: &str,
         now: Ms,
         settings: &ProgramSettings,
-        to: (&mut Timers, &mut Vec<Output>),
+        effects: (&mut Timers, &mut Vec<Output>),
     ) -> Result<EngineConnectionId, PlacementError> {
         let ids = self.by_engine.get(engine).into_iter().flatten();
         let at_old_address: Vec<EngineConnectionId> = ids
@@ -142,9 +143,10 @@
             .filter(|id| self.all[id].address != address)
             .collect();
         let seed = self.seed ^ self.pools.len() as u64;
-        let new = || ConnectionPool::new(settings.pool_settings(), seed);
-        let pool = self.pools.entry(engine.clone()).or_insert_with(new);
-        // The engine has another address now: open streams end where they are, new ones go there.
+        let new_pool = || ConnectionPool::new(settings.pool_settings(), seed);
+        let pool = self.pools.entry(engine.clone()).or_insert_with(new_pool);
+        // The engine has moved to another address: open streams end on the old connections, and new streams use the
+        // new address.
         at_old_address
             .iter()
             .for_each(|id| pool.going_away(ConnectionId(id.0)));
@@ -155,61 +157,70 @@
                     .limits
                     .http1
                     .map_or(usize::MAX, |http1| http1.max_engine_connections);
-                if self.all.len() >= max_connections && !self.make_room(now, to.1) {
+                if self.all.len() >= max_connections && !self.evict_idle_connection(now, effects.1)
+                {
                     return Err(PlacementError::PoolExhausted);
                 }
-                Ok(self.dial(engine, address, now, to))
+                Ok(self.dial(engine, address, now, effects))
             }
             Placement::Unavailable(error) => Err(error),
         }
     }
 
-    /// Closes the connection that has been idle longest, to whichever engine. Returns whether there was one.
-    fn make_room(&mut self, now: Ms, out: &mut Vec<Output>) -> bool {
+    /// Closes the connection that has been idle longest, whichever engine it belongs to. Returns whether there
+    /// was one.
+    fn evict_idle_connection(&mut self, now: Ms, out: &mut Vec<Output>) -> bool {
         let idle = self
             .all
             .iter()
-            .filter(|(_, connection)| connection.up && connection.streams.is_empty());
+            .filter(|(_, connection)| connection.is_established && connection.streams.is_empty());
         let longest_idle = idle
             .min_by(|a, b| a.1.last_received_at.total_cmp(&b.1.last_received_at))
             .map(|(id, _)| *id);
         if let Some(id) = longest_idle {
             out.push(Output::CloseConnection {
                 connection: id,
-                reason: "its place is wanted".to_owned(),
+                reason: "evicted to make room for another connection".to_owned(),
             });
             self.remove(id, now);
         }
         longest_idle.is_some()
     }
 
-    /// Sets the timer for what falls due next for an engine's connections, unless an earlier one is set: when that
-    /// fires, this is called again.
-    pub fn arm(&mut self, engine: &EngineId, timers: &mut Timers) {
+    /// Sets the timer for the next action on an engine's connections, unless an earlier timer is set: that one
+    /// sets the next when it fires.
+    pub fn schedule_timer(&mut self, engine: &EngineId, timers: &mut Timers) {
         let Some(at) = self.pools.get(engine).and_then(ConnectionPool::next_due_at) else {
             return;
         };
         if self
-            .timers_at
+            .timer_due_at
             .get(engine)
             .is_none_or(|timer_at| at < *timer_at)
         {
-            self.timers_at.insert(engine.clone(), at);
-            timers.set(at, Due::EngineConnections(engine.clone()));
+            self.timer_due_at.insert(engine.clone(), at);
+            timers.set(at, TimerKind::EngineConnections(engine.clone()));
         }
     }
 
-    /// What is to be done by now about an engine's connections. `ready`: whether the engine accepts new requests.
-    pub fn wanted(&mut self, engine: &EngineId, now: Ms, ready: bool) -> Vec<PoolCommand> {
-        self.timers_at.remove(engine);
+    /// The commands that are due for an engine's connections. `accepts_requests` is whether the engine is in
+    /// service.
+    pub fn due_commands(
+        &mut self,
+        engine: &EngineId,
+        now: Ms,
+        accepts_requests: bool,
+    ) -> Vec<PoolCommand> {
+        self.timer_due_at.remove(engine);
         self.pools
             .get_mut(engine)
-            .map(|pool| pool.due_commands(now, ready))
+            .map(|pool| pool.due_commands(now, accepts_requests))
             .unwrap_or_default()
     }
 
-    /// The connection is established. `limit`: the streams that the engine allows on it, if it says so.
-    pub fn come_up(
+    /// Marks the connection as established. `limit` is the number of concurrent streams that the engine allows on
+    /// it; `None` if unlimited.
+    pub fn mark_established(
         &mut self,
         id: EngineConnectionId,
         limit: Option<usize>,
@@ -219,16 +230,16 @@
         let Some(connection) = self.all.get_mut(&id) else {
             return;
         };
-        connection.up = true;
+        connection.is_established = true;
         let engine = connection.engine.clone();
         if let Some(pool) = self.pools.get_mut(&engine) {
             pool.connected(ConnectionId(id.0), limit, now);
         }
-        self.arm(&engine, timers);
+        self.schedule_timer(&engine, timers);
     }
 
-    /// The engine accepts no more streams on it.
-    pub fn leaving(&mut self, id: EngineConnectionId, timers: &mut Timers) {
+    /// Marks the connection as draining: it gets no new streams.
+    pub fn mark_draining(&mut self, id: EngineConnectionId, timers: &mut Timers) {
         let Some(engine) = self
             .all
             .get(&id)
@@ -239,11 +250,11 @@
         if let Some(pool) = self.pools.get_mut(&engine) {
             pool.going_away(ConnectionId(id.0));
         }
-        self.arm(&engine, timers);
+        self.schedule_timer(&engine, timers);
     }
 
-    /// Opens a stream on a connection without a check of limits: the caller has placed it there, or it ends something and
-    /// must not wait for room.
+    /// Opens a stream on a connection without checking its limits. The caller has placed the stream there, or the
+    /// stream ends something and must not wait for capacity. Returns `None` if the connection has ended.
     pub fn open_on(
         &mut self,
         id: EngineConnectionId,
@@ -254,17 +265,17 @@
         let connection = self.all.get_mut(&id)?;
         let stream = StreamId(connection.next_stream);
         connection.next_stream += 1;
-        connection.last_call = now;
+        connection.last_stream_opened_at = now;
         connection.streams.insert(stream, purpose);
         let engine = connection.engine.clone();
         if let Some(pool) = self.pools.get_mut(&engine) {
             pool.stream_opened(ConnectionId(id.0), now);
         }
-        self.arm(&engine, timers);
+        self.schedule_timer(&engine, timers);
         Some(stream)
     }
 
-    /// Anything was received over it.
+    /// Records that a message was received over the connection.
     pub fn message_received(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get_mut(&id) else {
             return;
@@ -275,21 +286,21 @@
         }
     }
 
-    /// When the engine last sent anything; negative infinity if it never did.
+    /// When the engine last sent a message; negative infinity if it never did.
     pub fn engine_last_received_at(&self, engine: &EngineId) -> Ms {
         self.liveness
             .get(engine)
             .map_or(f64::NEG_INFINITY, |liveness| liveness.last_received_at)
     }
 
-    /// A message of the engine itself was received over it, which proves that the engine ran after the last stream was
-    /// opened, and no longer ago than a message may be delayed.
-    pub fn answered(&mut self, id: EngineConnectionId, now: Ms) {
+    /// Records a message from the engine itself. It proves that the engine ran after the last stream was opened,
+    /// and within [`RECEIVED_LATE`] before now.
+    pub fn record_response(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get(&id) else {
             return;
         };
-        let proven_at = connection.last_call.max(now - RECEIVED_LATE);
-        // Messages are frequent: the engine's name is cloned only for its first.
+        let proven_at = connection.last_stream_opened_at.max(now - RECEIVED_LATE);
+        // Messages are frequent: the engine's name is cloned only for the first one.
         if !self.liveness.contains_key(&connection.engine) {
             self.liveness
                 .insert(connection.engine.clone(), Liveness::default());
@@ -300,47 +311,48 @@
         }
     }
 
-    /// What was received over it belongs to an attempt's answer.
-    pub fn worked(&mut self, id: EngineConnectionId, now: Ms) {
+    /// Records a message that belongs to the answer of an attempt, which proves that the engine works on
+    /// attempts.
+    pub fn record_attempt_progress(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get(&id) else {
             return;
         };
-        let proven_at = connection.last_call.max(now - RECEIVED_LATE);
+        let proven_at = connection.last_stream_opened_at.max(now - RECEIVED_LATE);
         if let Some(liveness) = self.liveness.get_mut(&connection.engine) {
             liveness.worked_at = liveness.worked_at.max(proven_at);
         }
     }
 
-    /// The latest instant at which an engine is known to have worked on an attempt; negative infinity if never.
+    /// The latest instant at which the engine is known to have worked on an attempt; negative infinity if never.
     pub fn worked_at(&self, engine: &EngineId) -> Ms {
         self.liveness
             .get(engine)
             .map_or(f64::NEG_INFINITY, |liveness| liveness.worked_at)
     }
 
-    /// Whether an engine is known to have run at this instant or later.
+    /// Whether the engine is known to have run at `instant` or later.
     pub fn has_run_since(&self, engine: &EngineId, instant: Ms) -> bool {
         self.ran_at(engine) >= instant
     }
 
-    /// A question to an engine was given up without an answer.
-    pub fn left_unanswered(&mut self, engine: &EngineId, now: Ms) {
+    /// Records that a call to the engine was given up without an answer.
+    pub fn record_unanswered_call(&mut self, engine: &EngineId, now: Ms) {
         self.liveness
             .entry(engine.clone())
             .or_default()
             .unanswered_at = now;
     }
 
-    /// Whether the engine has sent nothing since it left a question unanswered.
+    /// Whether the engine has sent nothing since a call to it was given up without an answer.
     pub fn is_suspected(&self, engine: &EngineId) -> bool {
         self.liveness
             .get(engine)
             .is_some_and(|liveness| liveness.unanswered_at > liveness.last_received_at)
     }
 
-    /// Whether an engine that left a question unanswered has another one open.
-    pub fn is_asked_in_vain(&self, engine: &EngineId) -> bool {
-        let asks = |id: &EngineConnectionId| {
+    /// Whether the engine is suspected and another release or liveness check is open there.
+    pub fn is_suspected_with_open_call(&self, engine: &EngineId) -> bool {
+        let has_open_call = |id: &EngineConnectionId| {
             let streams = self
                 .all
                 .get(id)
@@ -353,24 +365,31 @@
                 )
             })
         };
-        self.is_suspected(engine) && self.by_engine.get(engine).into_iter().flatten().any(asks)
+        self.is_suspected(engine)
+            && self
+                .by_engine
+                .get(engine)
+                .into_iter()
+                .flatten()
+                .any(has_open_call)
     }
 
-    /// The latest instant at which an engine is known to have run; negative infinity if never.
+    /// The latest instant at which the engine is known to have run; negative infinity if never.
     pub fn ran_at(&self, engine: &EngineId) -> Ms {
         self.liveness
             .get(engine)
             .map_or(f64::NEG_INFINITY, |liveness| liveness.ran_at)
     }
 
-    /// The engine's process is a new one: failed connects to the old one say nothing about it.
-    pub fn renewed(&mut self, engine: &EngineId) {
+    /// Ends the connect backoff: the engine's process is new, and failed connects to the old process say nothing
+    /// about it.
+    pub fn reset_backoff(&mut self, engine: &EngineId) {
         if let Some(pool) = self.pools.get_mut(engine) {
             pool.reset_backoff();
         }
     }
 
-    /// Dials an engine, as its pool has asked for.
+    /// Dials an engine, as its connection pool has requested.
     pub fn dial(
         &mut self,
         engine: &EngineId,
@@ -393,21 +412,21 @@
         let connection = EngineConnection {
             engine: engine.clone(),
             address,
-            up: false,
+            is_established: false,
             streams: BTreeMap::new(),
-            waiting: Vec::new(),
+            unsent_messages: Vec::new(),
             last_received_at: now,
-            dialled: now,
-            last_call: now,
+            dialled_at: now,
+            last_stream_opened_at: now,
             next_stream: 1,
         };
         self.all.insert(id, connection);
-        self.arm(&engine, timers);
+        self.schedule_timer(&engine, timers);
         id
     }
 
-    /// How many releases were sent to the engines that hold the KV states, and not answered yet.
-    pub fn releasing(&self) -> usize {
+    /// The number of releases that were sent to the engine that holds the KV state and are not answered.
+    pub fn open_engine_release_count(&self) -> usize {
         let all = self
             .all
             .values()
@@ -416,37 +435,43 @@
             .count()
     }
 
-    /// An established connection to the engine that accepts streams. `resting`: only one without streams.
-    pub fn up(&self, engine: &EngineId, resting: bool) -> Option<EngineConnectionId> {
+    /// An established connection to the engine that accepts new streams. With `idle_only`, only a connection
+    /// without open streams is returned.
+    pub fn accepting_connection(
+        &self,
+        engine: &EngineId,
+        idle_only: bool,
+    ) -> Option<EngineConnectionId> {
         let pool = self.pools.get(engine)?;
         let ids = self.by_engine.get(engine)?;
-        let fits = |connection: &EngineConnection| {
-            connection.up && (!resting || connection.streams.is_empty())
+        let is_eligible = |connection: &EngineConnection| {
+            connection.is_established && (!idle_only || connection.streams.is_empty())
         };
         let accepts = |id: &EngineConnectionId| {
-            pool.accepts_streams(ConnectionId(id.0)) && self.all.get(id).is_some_and(fits)
+            pool.accepts_streams(ConnectionId(id.0)) && self.all.get(id).is_some_and(is_eligible)
         };
         ids.iter().copied().find(accepts)
     }
 
-    /// Dials the engine unless a connection is established or connecting. Returns whether there is one now.
-    pub fn want(
+    /// Dials the engine unless a connection accepts streams or is being dialled. Returns whether there is a
+    /// connection now.
+    pub fn ensure_connection(
         &mut self,
         engine: &EngineId,
         address: &str,
         now: Ms,
         settings: &ProgramSettings,
-        to: (&mut Timers, &mut Vec<Output>),
+        effects: (&mut Timers, &mut Vec<Output>),
     ) -> bool {
         let pool = self.pools.get(engine);
         let ids = self.by_engine.get(engine).into_iter().flatten();
         let exists = ids
             .into_iter()
             .any(|id| pool.is_some_and(|pool| pool.accepts_streams(ConnectionId(id.0))));
-        exists || self.place(engine, address, now, settings, to).is_ok()
+        exists || self.place(engine, address, now, settings, effects).is_ok()
     }
 
-    /// Sends now, or once the connection is established.
+    /// Sends a message now, or once the connection is established.
     pub fn send(
         &mut self,
         id: EngineConnectionId,
@@ -457,28 +482,31 @@
         let Some(connection) = self.all.get_mut(&id) else {
             return;
         };
-        if connection.up {
+        if connection.is_established {
             out.push(Output::ToEngine {
                 connection: id,
                 frame: frame(stream.0, body),
             });
         } else {
-            connection.waiting.push((stream, body));
+            connection.unsent_messages.push((stream, body));
         }
     }
 
-    /// Removes what waits to be sent on a stream. Returns whether it was not sent yet; true also where the connection is
-    /// gone, as its end has ended its streams, so nothing of this one can be sent any more.
-    pub fn unsend(&mut self, id: EngineConnectionId, stream: StreamId) -> bool {
+    /// Removes the queued messages of a stream. Returns whether nothing of the stream was sent. The result is
+    /// also `true` if the connection has ended: its end has ended all of its streams, so nothing more can be
+    /// sent.
+    pub fn withdraw_unsent(&mut self, id: EngineConnectionId, stream: StreamId) -> bool {
         let Some(connection) = self.all.get_mut(&id) else {
             return true;
         };
-        let before = connection.waiting.len();
-        connection.waiting.retain(|(waiting, _)| *waiting != stream);
-        connection.waiting.len() < before
+        let length_before = connection.unsent_messages.len();
+        connection
+            .unsent_messages
+            .retain(|(unsent, _)| *unsent != stream);
+        connection.unsent_messages.len() < length_before
     }
 
-    /// The stream has ended; the connection may be idle from now on. Returns what the stream carried.
+    /// Ends a stream, which may leave the connection idle. Returns the purpose of the stream if it was open.
     pub fn close_stream(
         &mut self,
         id: EngineConnectionId,
@@ -492,29 +520,29 @@
         if let Some(pool) = self.pools.get_mut(&engine) {
             pool.stream_ended(ConnectionId(id.0), now);
         }
-        self.arm(&engine, timers);
+        self.schedule_timer(&engine, timers);
         Some(purpose)
     }
 
-    /// Drops the state of an engine without connections. Returns whether it has none.
+    /// Drops the pool and the liveness record of an engine if it has no connections. Returns whether it has none.
     pub fn forget(&mut self, engine: &EngineId) -> bool {
-        let none = !self.by_engine.contains_key(engine);
-        if none {
+        let has_no_connections = !self.by_engine.contains_key(engine);
+        if has_no_connections {
             self.pools.remove(engine);
             self.liveness.remove(engine);
-            self.timers_at.remove(engine);
+            self.timer_due_at.remove(engine);
         }
-        none
+        has_no_connections
     }
 
     /// Whether the connection is established and carries no stream.
     pub fn is_idle(&self, id: EngineConnectionId) -> bool {
         self.all
             .get(&id)
-            .is_some_and(|connection| connection.up && connection.streams.is_empty())
+            .is_some_and(|connection| connection.is_established && connection.streams.is_empty())
     }
 
-    /// The connection has ended, or was never established.
+    /// Removes a connection that has ended or could not be established.
     pub fn remove(&mut self, id: EngineConnectionId, now: Ms) -> Option<EngineConnection> {
         let connection = self.all.remove(&id)?;
         if let Some(pool) = self.pools.get_mut(&connection.engine) {
--- a/crates/dispatcher/src/state/delivery.rs
+++ b/crates/dispatcher/src/state/delivery.rs
@@ -1,19 +1,21 @@
-//! Whether an attempt that was sent has reached its engine: whether the engine has run since.
+//! Checks whether an attempt has reached its engine, which is the case if the engine has run since the
+//! attempt was sent.
 //!
-//! Written bytes are no proof. The answer to a call that was begun after the attempt was sent is one, on whatever
-//! connection it comes; so is anything that comes so long after it that it cannot have been under way before.
+//! Bytes that were written to a socket prove nothing. The answer to a call that began after the attempt was
+//! sent is a proof, on any connection of the engine. So is any message that arrives so long after the attempt
+//! was sent that it cannot have been in transit before.
 
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// The KV state timeout divided by this is the time within which an engine has to answer a liveness check. After it the
-/// connection is closed, and the next check takes another one.
+/// An engine must answer a liveness check within the KV state timeout divided by this. After that the
+/// connection is closed, and the next check uses another connection.
 const LIVENESS_TIMEOUT_DIVISOR: f64 = 4.0;
 
 impl Dispatcher {
-    /// The decisions want to know whether an attempt has reached an engine that runs.
-    /// The answer is an [`Event::Delivered`], now or once the engine has run.
-    pub(super) fn confirm(
+    /// Checks whether an attempt has reached its engine, at the request of `Control`. The result is an
+    /// [`Event::Delivered`], at once or when the engine is known to have run.
+    pub(super) fn confirm_delivery(
         &mut self,
         request_id: RequestId,
         attempt_id: AttemptId,
@@ -29,19 +31,19 @@
         else {
             return;
         };
-        // One whose connection is under way has not gone out: the connection has its own time limit.
+        // An attempt that is queued for its connection was not sent; the connect timeout limits that wait.
         let Some(sent) = attempt.sent_at else { return };
         let engine = attempt.engine.clone();
         attempt.confirmation_requested = true;
         if self.connections.has_run_since(&engine, sent) {
-            self.delivered(request_id);
+            self.report_delivery(request_id);
         } else {
             self.delivery_unconfirmed.insert(request_id);
             self.check_liveness(&engine, outputs);
         }
     }
 
-    /// An engine has shown that it runs: what was sent to it before has arrived.
+    /// Reports the delivery of attempts to an engine that is known to have run after they were sent.
     pub(super) fn note_engine_alive(&mut self, engine: &EngineId) {
         let arrived = |id: &&RequestId| {
             let attempt = self
@@ -57,18 +59,18 @@
             .copied()
             .collect();
         for id in arrived {
-            self.delivered(id);
+            self.report_delivery(id);
         }
     }
 
-    /// Whether its engine has run since an attempt was sent.
+    /// Whether the attempt's engine is known to have run since the attempt was sent.
     pub(super) fn has_arrived(&self, attempt: &requests::Attempt) -> bool {
         attempt
             .sent_at
             .is_some_and(|sent| self.connections.has_run_since(&attempt.engine, sent))
     }
 
-    fn delivered(&mut self, request: RequestId) {
+    fn report_delivery(&mut self, request: RequestId) {
         self.delivery_unconfirmed.remove(&request);
         let Some(attempt) = self.current_attempt(request) else {
             return;
@@ -79,46 +81,48 @@
         });
     }
 
-    /// Asks an engine for something that any engine answers at once and that costs it little: the release of a request
-    /// that is over. A process that has had none yet sends a health check, where that is allowed.
+    /// Sends an engine a call that every engine answers at once and at little cost: the release of a request that
+    /// has finished. If no request has finished yet, a health check is sent instead, where the settings allow it.
     fn check_liveness(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
-        let over = self
+        let finished_origin = self
             .last_finished_origin
             .clone()
             .filter(|origin| !self.requests_by_origin.contains_key(origin));
-        let Some(origin) = over else {
+        let Some(origin) = finished_origin else {
             if self.settings.policy.may_health_check {
                 self.check_health(engine.clone(), outputs);
             }
             return;
         };
-        let Some(row) = self
+        let Some(entry) = self
             .endpoints
             .engines
             .get(engine)
-            .filter(|row| row.status != EndpointStatus::Gone)
+            .filter(|entry| entry.status != EndpointStatus::Gone)
         else {
             return;
         };
-        if self.connections.is_asked_in_vain(engine) {
+        if self.connections.is_suspected_with_open_call(engine) {
             return;
         }
-        let address = row.line.address.clone();
-        let to = (&mut self.timers, &mut *outputs);
-        // Without a connection there is no answer either.
+        let address = entry.endpoint.address.clone();
+        let effects = (&mut self.timers, &mut *outputs);
+        // Without a connection there can be no answer.
         let Ok((connection, stream)) = self.connections.open(
             engine,
             &address,
             StreamPurpose::LivenessCheck,
             self.now,
             &self.settings,
-            to,
+            effects,
         ) else {
             return;
         };
-        let within = self.settings.policy.kv_state_timeout / LIVENESS_TIMEOUT_DIVISOR;
-        self.timers
-            .set(self.now + within, Due::StreamTimeout(connection, stream));
+        let timeout = self.settings.policy.kv_state_timeout / LIVENESS_TIMEOUT_DIVISOR;
+        self.timers.set(
+            self.now + timeout,
+            TimerKind::StreamTimeout(connection, stream),
+        );
         self.connections.send(
             connection,
             stream,
@@ -130,7 +134,8 @@
         );
     }
 
-    /// What is not known of the current attempt of a request, and how it stands, for the log.
+    /// Describes why the delivery of the current attempt is uncertain, and its state, for the log. Returns `None`
+    /// if the attempt's stream has begun or there is no attempt.
     pub(super) fn undelivered_attempt(
         &self,
         request_id: RequestId,
@@ -141,8 +146,8 @@
             .as_ref()
             .filter(|attempt| !attempt.first_token_sent)?;
         let problem = match self.has_arrived(attempt) {
-            true => "nothing has come on its attempt's connection",
-            false => "its attempt has not arrived",
+            true => "no message on the attempt's connection although the engine runs",
+            false => "attempt not known to have reached its engine",
         };
         let connection = self.connections.get(attempt.connection)?;
         let since = |at: Ms| {
@@ -153,14 +158,14 @@
             }
         };
         let text = format!(
-            "id={} attempt={} engine={} sent {}, on a connection made {} that carried {} calls; its engine was last heard {}, \
-             and answered a call that was sent {}",
+            "id={} attempt={} engine={} sent {}, on a connection dialled {} \
+             with {} streams opened; last message from the engine {}, last known to have run {}",
             request.origin(),
             attempt.id.0,
             attempt.engine.0,
             attempt.sent_at.map_or("not yet".to_owned(), since),
-            since(connection.dialled),
-            connection.carried(),
+            since(connection.dialled_at),
+            connection.opened_streams(),
             since(self.connections.engine_last_received_at(&attempt.engine)),
             since(self.connections.ran_at(&attempt.engine)),
         );
--- a/crates/dispatcher/src/state/endpoint_updates.rs
+++ b/crates/dispatcher/src/state/endpoint_updates.rs
@@ -1,24 +1,24 @@
-//! Updates of the endpoints, and what is forgotten of engines that are gone.
+//! Applies endpoint updates, and drops the records of engines that are gone.
 
 use super::*;
 
 impl Dispatcher {
-    /// Takes an update of the endpoints. `cached`: what kind of update it counts as, where it is not from discovery.
+    /// Applies an endpoint update. `cached` is the kind of the update if it does not come from discovery.
     pub(super) fn update_endpoints(
         &mut self,
         list: &v1::EndpointList,
         cached: Option<EndpointUpdateKind>,
         outputs: &mut Vec<Output>,
     ) {
-        let altered = fault_injection::altered_list(list);
+        let altered = fault_injection::apply_list_faults(list);
         let list = altered.as_ref().unwrap_or(list);
-        let (kind, endpoints, wrong) = self.endpoints.take(list, &self.settings);
-        outputs.extend(wrong.into_iter().map(|text| Output::Log {
+        let (kind, endpoints, problems) = self.endpoints.apply_update(list, &self.settings);
+        outputs.extend(problems.into_iter().map(|text| Output::Log {
             level: Level::Warn,
             text,
         }));
         if self.caches_endpoints && cached.is_none() && !list.endpoints.is_empty() {
-            outputs.push(Output::CacheEndpoints(self.endpoints.whole()));
+            outputs.push(Output::CacheEndpoints(self.endpoints.snapshot()));
         }
         for entry in endpoints
             .iter()
@@ -27,19 +27,19 @@
             self.close_idle(&entry.engine, outputs);
         }
         for entry in endpoints.iter().filter(|e| e.started.is_some()) {
-            self.connections.renewed(&entry.engine);
+            self.connections.reset_backoff(&entry.engine);
         }
         self.events.push(Event::EndpointsUpdated {
             kind: cached.unwrap_or(kind),
             endpoints,
         });
-        for engine in self.endpoints.gone() {
+        for engine in self.endpoints.gone_engines() {
             self.forget_gone_engine(&engine);
         }
     }
 
-    /// Guards against a fleet whose engines are replaced all day, which shows as memory that grows: nothing is kept of an
-    /// engine that is gone, once no connection to it is left. An unknown engine counts as gone.
+    /// Drops the record of an engine that is gone, once no connection to it is left. Without this, memory would
+    /// grow in a fleet whose engines are constantly replaced. An unknown engine counts as gone.
     pub(super) fn forget_gone_engine(&mut self, engine: &EngineId) {
         if self.endpoints.status(engine) == EndpointStatus::Gone && self.connections.forget(engine)
         {
--- a/crates/dispatcher/src/state/endpoints.rs
+++ b/crates/dispatcher/src/state/endpoints.rs
@@ -1,4 +1,5 @@
-//! The engines as discovery's list names them, and the numbers by which the decisions know zones, kinds and cells.
+//! The table of engines from the endpoint list, and the ids of zones, kinds and cells that the routing logic
+//! uses.
 
 use crate::settings::ProgramSettings;
 use cindercleat::interface::*;
@@ -6,44 +7,44 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What is known of one engine.
+/// The record of one engine.
 #[derive(Clone, Debug)]
 pub(super) struct EngineEntry {
-    /// The engine's newest line of the list.
-    pub line: v1::Endpoint,
+    /// The engine's newest entry in the endpoint list.
+    pub endpoint: v1::Endpoint,
     pub status: EndpointStatus,
     pub role: Role,
 }
 
-/// Why a line of the list is not used.
+/// Why an entry of the endpoint list is not used.
 #[derive(Debug, thiserror::Error)]
-enum LineError {
-    #[error("no name or no address")]
+enum EndpointError {
+    #[error("name or address is missing")]
     NoNameOrAddress,
     #[error("{what} {name:?} is not in the settings")]
     UnknownName { what: &'static str, name: String },
     #[error("kind {0:?} has no settings")]
     KindWithoutSettings(String),
-    #[error("no condition")]
-    NoStatus,
+    #[error("status is missing")]
+    MissingStatus,
 }
 
-/// The weight of an engine whose line gives none that can be used.
+/// The weight of an engine whose entry has no valid weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// All engines of the list, and those that have left it while connections to them are open.
+/// All engines in the endpoint list, and engines that have left it but still have open connections.
 #[derive(Debug, Default)]
 pub(super) struct Endpoints {
     pub engines: BTreeMap<EngineId, EngineEntry>,
     cells: BTreeMap<String, CellId>,
-    /// The version of the newest list.
+    /// The version of the newest update; 0 if there was none.
     pub version: u64,
 }
 
 impl Endpoints {
-    /// Takes a list in. Returns the endpoints for the decisions, and for each line that is not used a text that says
-    /// why.
-    pub fn take(
+    /// Applies an update. Returns its kind, the valid endpoints, and for each entry that is not used a log text
+    /// with the reason.
+    pub fn apply_update(
         &mut self,
         list: &v1::EndpointList,
         settings: &ProgramSettings,
@@ -56,24 +57,26 @@
             EndpointUpdateKind::Delta
         };
         let (mut endpoints, mut problems) = (Vec::new(), Vec::new());
-        for line in &list.endpoints {
-            match self.take_line(line, settings) {
+        for endpoint in &list.endpoints {
+            match self.apply_endpoint(endpoint, settings) {
                 Ok(endpoint) => endpoints.push(endpoint),
-                Err(problem) => {
-                    problems.push(format!("engine {:?} of the list: {problem}", line.engine))
-                }
+                Err(problem) => problems.push(format!(
+                    "endpoint of engine {:?} ignored: {problem}",
+                    endpoint.engine
+                )),
             }
         }
         (kind, endpoints, problems)
     }
 
-    /// Engines that a snapshot does not name are gone. One whose line is not usable keeps its entry here, so that its
-    /// attempts can end; the decisions, which get usable lines alone, send it nothing new.
+    /// Marks engines that a snapshot does not list as gone. An engine whose entry is invalid keeps its record, so
+    /// that its attempts can end. The routing logic receives only valid entries and sends such an engine nothing
+    /// new.
     fn mark_unlisted_gone(&mut self, snapshot: &v1::EndpointList) {
         let listed: BTreeSet<&str> = snapshot
             .endpoints
             .iter()
-            .map(|line| line.engine.as_str())
+            .map(|endpoint| endpoint.engine.as_str())
             .collect();
         for (engine, entry) in &mut self.engines {
             if !listed.contains(engine.0.as_ref()) {
@@ -82,24 +85,24 @@
         }
     }
 
-    fn take_line(
+    fn apply_endpoint(
         &mut self,
-        line: &v1::Endpoint,
+        endpoint: &v1::Endpoint,
         settings: &ProgramSettings,
-    ) -> Result<Endpoint, LineError> {
-        if line.engine.is_empty() || line.address.is_empty() {
-            return Err(LineError::NoNameOrAddress);
+    ) -> Result<Endpoint, EndpointError> {
+        if endpoint.engine.is_empty() || endpoint.address.is_empty() {
+            return Err(EndpointError::NoNameOrAddress);
         }
-        let zone = ZoneId(number_of(&settings.zones, &line.zone, "zone")?);
-        let kind = KindId(number_of(&settings.kinds, &line.kind, "kind")?);
+        let zone = ZoneId(index_of_name(&settings.zones, &endpoint.zone, "zone")?);
+        let kind = KindId(index_of_name(&settings.kinds, &endpoint.kind, "kind")?);
         let kind_settings = settings.policy.kinds.get(kind.0 as usize);
         let role = kind_settings
-            .ok_or_else(|| LineError::KindWithoutSettings(line.kind.clone()))?
+            .ok_or_else(|| EndpointError::KindWithoutSettings(endpoint.kind.clone()))?
             .role;
-        let status = status_of(line)?;
-        let engine = EngineId(Arc::from(line.engine.as_str()));
+        let status = endpoint_status(endpoint)?;
+        let engine = EngineId(Arc::from(endpoint.engine.as_str()));
         let entry = EngineEntry {
-            line: line.clone(),
+            endpoint: endpoint.clone(),
             status,
             role,
         };
@@ -108,29 +111,29 @@
             engine,
             zone,
             kind,
-            cell: self.cell_of(line),
+            cell: self.cell_id(endpoint),
             status,
-            weight: weight_of(line),
-            started: started_of(line),
+            weight: valid_weight(endpoint),
+            started: valid_start_time(endpoint),
         })
     }
 
-    /// The number of a line's cell; a cell's name is unique within its zone.
-    fn cell_of(&mut self, line: &v1::Endpoint) -> CellId {
+    /// The id of the endpoint's cell. Cell names are unique within their zone.
+    fn cell_id(&mut self, endpoint: &v1::Endpoint) -> CellId {
         let next = CellId(self.cells.len() as u32);
         *self
             .cells
-            .entry(format!("{}/{}", line.zone, line.cell))
+            .entry(format!("{}/{}", endpoint.zone, endpoint.cell))
             .or_insert(next)
     }
 
-    /// Whether any engine is known.
+    /// Whether any engine is in the table.
     pub fn is_known(&self) -> bool {
         !self.engines.is_empty()
     }
 
-    /// The engines that have left the list.
-    pub fn gone(&self) -> Vec<EngineId> {
+    /// The engines that have left the endpoint list.
+    pub fn gone_engines(&self) -> Vec<EngineId> {
         let gone = self
             .engines
             .iter()
@@ -139,12 +142,12 @@
     }
 
     /// All engines that are not gone, as a snapshot for the endpoint cache.
-    pub fn whole(&self) -> v1::EndpointList {
+    pub fn snapshot(&self) -> v1::EndpointList {
         let present = self
             .engines
             .values()
             .filter(|entry| entry.status != EndpointStatus::Gone);
-        let endpoints = present.map(|entry| entry.line.clone()).collect();
+        let endpoints = present.map(|entry| entry.endpoint.clone()).collect();
         v1::EndpointList {
             kind: v1::EndpointUpdateKind::Snapshot.into(),
             version: self.version,
@@ -152,7 +155,7 @@
         }
     }
 
-    /// An engine's status; `Gone` if it is not known.
+    /// The status of an engine; `Gone` if it is unknown.
     pub fn status(&self, engine: &EngineId) -> EndpointStatus {
         self.engines
             .get(engine)
@@ -160,35 +163,40 @@
     }
 }
 
-/// The place of a name among the settings' names, which is its number for the decisions.
-fn number_of(names: &[String], name: &str, what: &'static str) -> Result<u32, LineError> {
+/// The index of a name in the settings, which is its id for the routing logic.
+///
+/// # Errors
+/// The settings do not contain the name; `what` says which kind of name it is.
+fn index_of_name(names: &[String], name: &str, what: &'static str) -> Result<u32, EndpointError> {
     let at = names.iter().position(|known| known == name);
     at.map(|at| at as u32)
-        .ok_or_else(|| LineError::UnknownName {
+        .ok_or_else(|| EndpointError::UnknownName {
             what,
             name: name.to_owned(),
         })
 }
 
-fn status_of(line: &v1::Endpoint) -> Result<EndpointStatus, LineError> {
-    match line.status() {
+fn endpoint_status(endpoint: &v1::Endpoint) -> Result<EndpointStatus, EndpointError> {
+    match endpoint.status() {
         v1::EndpointStatus::Ready => Ok(EndpointStatus::Ready),
         v1::EndpointStatus::Draining => Ok(EndpointStatus::Draining),
         v1::EndpointStatus::Gone => Ok(EndpointStatus::Gone),
-        v1::EndpointStatus::Unspecified => Err(LineError::NoStatus),
+        v1::EndpointStatus::Unspecified => Err(EndpointError::MissingStatus),
     }
 }
 
-/// Guards against a weight that is not a number or not positive: it would make every comparison with it meaningless.
-fn weight_of(line: &v1::Endpoint) -> f64 {
-    if line.weight.is_finite() && line.weight > 0.0 {
-        line.weight
+/// The weight of an endpoint. A weight that is not a positive number is replaced by [`DEFAULT_WEIGHT`],
+/// because comparisons with it would be meaningless.
+fn valid_weight(endpoint: &v1::Endpoint) -> f64 {
+    if endpoint.weight.is_finite() && endpoint.weight > 0.0 {
+        endpoint.weight
     } else {
         DEFAULT_WEIGHT
     }
 }
 
-/// Guards against a start time that is not a number, as [`weight_of`] does.
-fn started_of(line: &v1::Endpoint) -> Option<Ms> {
-    line.started_ms.filter(|at| at.is_finite())
+/// The start time of an endpoint, in milliseconds. A value that is not a finite number counts as absent, as
+/// comparisons with it would be meaningless.
+fn valid_start_time(endpoint: &v1::Endpoint) -> Option<Ms> {
+    endpoint.started_ms.filter(|at| at.is_finite())
 }
--- a/crates/dispatcher/src/state/engine_messages.rs
+++ b/crates/dispatcher/src/state/engine_messages.rs
@@ -1,15 +1,15 @@
-//! Messages from engines, by what their stream carries.
+//! Handles messages from engines by the purpose of their stream.
 
 use super::engine_requests::reported_load;
 use super::kv_states::{Held, ReleaseCall};
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// A message that its stream cannot carry, or that breaks the order or the credit of a stream of tokens.
+/// A message that is not allowed on its stream, or that breaks the order or the credit of a token stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProtocolViolation;
 
-/// Where a message came from.
+/// The connection, stream and engine that a message came from.
 struct EngineStream {
     connection: EngineConnectionId,
     stream: StreamId,
@@ -17,11 +17,11 @@
 }
 
 impl Dispatcher {
-    /// Takes a message from an engine.
+    /// Handles a message from an engine.
     ///
-    /// Guards against an engine that does not keep to the protocol, which shows as a message that its stream cannot carry:
-    /// nothing more that comes on this connection can be believed. The connection is closed, and every attempt on it ends
-    /// as one that may have run, so nothing is repeated that must not be.
+    /// If the message is not allowed on its stream, the engine violates the protocol, and no later message on
+    /// this connection can be trusted. The connection is closed. Every attempt on it ends as one that may have
+    /// run, so nothing is repeated that must not run twice.
     pub(super) fn handle_engine_message(
         &mut self,
         connection_id: EngineConnectionId,
@@ -30,7 +30,7 @@
     ) {
         let stream = StreamId(frame.stream);
         self.connections.message_received(connection_id, self.now);
-        // What comes after a connection was closed here is old.
+        // Messages that arrive after this side has closed the connection are ignored.
         let Some(connection) = self.connections.get(connection_id) else {
             return;
         };
@@ -42,41 +42,43 @@
         };
         self.note_liveness(&source, purpose.as_ref(), frame.body.as_ref());
         let name = name_of(frame.body.as_ref());
-        let taken = match frame.body {
+        let result = match frame.body {
             Some(body) => self.handle_message_of(&source, purpose, body, outputs),
             None => Err(ProtocolViolation),
         };
-        if let Err(ProtocolViolation) = taken {
+        if let Err(ProtocolViolation) = result {
             let text = format!(
-                "engine {} sent {name} on stream {} where it cannot be",
+                "engine {} sent unexpected {name} on stream {}; closing the connection",
                 source.engine.0, stream.0
             );
             outputs.push(Output::log(Level::Warn, text));
-            self.close_connection(connection_id, "it does not keep to the protocol", outputs);
+            self.close_connection(connection_id, "protocol violation", outputs);
         }
     }
 
-    /// Notes what a message shows of its engine: that it runs, and that it works on attempts.
+    /// Records what a message proves about its engine: that it runs, and that it works on attempts.
     fn note_liveness(
         &mut self,
         source: &EngineStream,
         purpose: Option<&StreamPurpose>,
         body: Option<&Body>,
     ) {
-        // A goodbye is made on this side, for a stream or connection that is over.
+        // The session layer of this process creates goodbyes when a stream or connection ends, so they prove nothing.
         if matches!(body, Some(Body::Goodbye(_))) {
             return;
         }
-        self.connections.answered(source.connection, self.now);
+        self.connections
+            .record_response(source.connection, self.now);
         self.note_engine_alive(&source.engine);
-        self.wake_unconfirmed_releases();
+        self.retry_unconfirmed_releases();
         if shows_work(purpose, body) {
-            self.connections.worked(source.connection, self.now);
+            self.connections
+                .record_attempt_progress(source.connection, self.now);
             self.note_engine_worked(&source.engine);
         }
     }
 
-    /// Hands a message to what its stream is for.
+    /// Handles a message according to the purpose of its stream.
     fn handle_message_of(
         &mut self,
         source: &EngineStream,
@@ -130,8 +132,8 @@
         }
     }
 
-    /// The connection of an attempt is over before or after the whole request was written: only the first proves that
-    /// nothing ran.
+    /// Handles the end of an attempt's connection. Nothing has run only if the connection ended before the whole
+    /// request was written.
     fn handle_attempt_goodbye(
         &mut self,
         source: &EngineStream,
@@ -142,10 +144,10 @@
         let is_reused = self
             .connections
             .get(source.connection)
-            .is_some_and(|connection| connection.carried() > 1);
+            .is_some_and(|connection| connection.opened_streams() > 1);
         self.close_stream(source.connection, source.stream);
         self.connections
-            .leaving(source.connection, &mut self.timers);
+            .mark_draining(source.connection, &mut self.timers);
         if goodbye.never_ran && is_reused && self.resend_attempt(request_id, outputs) {
             return;
         }
@@ -154,7 +156,10 @@
         } else {
             Outcome::ConnectionLost
         };
-        let text = format!("attempt at {} over: {}", source.engine.0, goodbye.reason);
+        let text = format!(
+            "connection of the attempt at {} ended: {}",
+            source.engine.0, goodbye.reason
+        );
         outputs.push(Output::log(Level::Info, text));
         let reason = "the connection broke";
         self.finish_attempt(request_id, outcome, reason, Load::default(), outputs);
@@ -196,7 +201,8 @@
         Ok(())
     }
 
-    /// A call that was reset or refused ends alone: what else is on the connection goes on.
+    /// Handles the answer to a release. A call that was reset or refused ends alone; other streams of the
+    /// connection continue.
     fn handle_release_message(
         &mut self,
         source: &EngineStream,
@@ -253,7 +259,7 @@
         }
     }
 
-    /// A message on no open stream: only one about the connection as a whole is allowed.
+    /// Handles a message without an open stream. Only messages about the connection as a whole are allowed.
     fn handle_connection_message(
         &mut self,
         source: &EngineStream,
@@ -263,7 +269,7 @@
         match body {
             Body::Pong(_) if source.stream.0 == 0 => Ok(()),
             Body::Goodbye(goodbye) if source.stream.0 == 0 => {
-                let reason = format!("it said goodbye: {}", goodbye.reason);
+                let reason = format!("the engine said goodbye: {}", goodbye.reason);
                 self.close_connection(source.connection, &reason, outputs);
                 Ok(())
             }
@@ -276,8 +282,8 @@
         Ok(())
     }
 
-    /// Guards against a prefill that ends after it was cancelled, which shows as a KV state that stays pinned at its engine,
-    /// as the decisions do not know of it: it is released here.
+    /// Releases the KV state of a prefill that ended after it was cancelled. `Control` does not know of this
+    /// state, and it would stay pinned at its engine.
     pub(super) fn handle_late_end(
         &mut self,
         engine: EngineId,
@@ -285,7 +291,7 @@
         outputs: &mut Vec<Output>,
     ) {
         if let (v1::Status::PrefillDone, Some(state)) = (ended.status(), ended.state) {
-            self.release_at_engine_unless_forgotten(
+            self.release_at_engine(
                 Held {
                     engine,
                     id: state,
@@ -296,10 +302,10 @@
         }
     }
 
-    /// An engine has ended an attempt.
+    /// Handles the end of an attempt.
     ///
     /// # Errors
-    /// The end is none that this attempt can have; the attempt has ended as one whose connection broke.
+    /// The status is not allowed for this attempt. The attempt has then ended with [`Outcome::ConnectionLost`].
     pub(super) fn handle_attempt_end(
         &mut self,
         request_id: RequestId,
@@ -328,12 +334,12 @@
             }
             v1::Status::NoState if !is_prefill && !first_token_sent => {
                 self.end_attempt(request_id, Outcome::Overloaded, 1.0, load);
-                // Guards against a decode engine that could not fetch the KV state, which shows as a state that stays
-                // pinned at its prefill engine: it is released.
+                // The decode engine could not fetch the KV state, which would stay pinned at its prefill engine. The
+                // state is therefore released.
                 if fault_injection::is_injected(InjectedFault::MissingStateKept) {
                     self.kv_states.forget(request_id);
                 } else {
-                    self.want_release(request_id, outputs);
+                    self.request_release(request_id, outputs);
                 }
                 self.forget_finished(request_id);
             }
@@ -341,7 +347,7 @@
                 self.finish_attempt(request_id, Outcome::Failed, &ended.reason, load, outputs)
             }
             _ => {
-                // The stream is closed already; the attempt ends with the connection, and may have run.
+                // The stream is closed already. The attempt ends like the connection and may have run.
                 self.finish_attempt(
                     request_id,
                     Outcome::ConnectionLost,
@@ -356,7 +362,8 @@
     }
 }
 
-/// Whether a message shows that its engine works on attempts. An engine may still answer other calls while these hang.
+/// Whether a message proves that its engine works on attempts. An engine whose attempts hang may still answer
+/// other calls.
 fn shows_work(purpose: Option<&StreamPurpose>, body: Option<&Body>) -> bool {
     let done =
         |status: v1::Status| matches!(status, v1::Status::PrefillDone | v1::Status::Succeeded);
--- a/crates/dispatcher/src/state/engine_releases.rs
+++ b/crates/dispatcher/src/state/engine_releases.rs
@@ -1,20 +1,21 @@
-//! Releases where a KV state belongs to one engine and has an id of its own, over connections that carry many calls.
+//! Releases of KV states over multiplexed connections, where a state has its own id and is released at the
+//! engine that holds it.
 //!
-//! Guards against a release that is lost on its way, which shows as a KV state that stays pinned at its engine: the release
-//! is sent to that engine until it has confirmed it, or has been unreachable for so long that it has timed the state out.
+//! A lost release would leave the KV state pinned at its engine. The release is therefore repeated until the
+//! engine has confirmed it, or was unreachable for so long that its own timeout has released the state.
 
 use super::kv_states::Held;
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// The KV state timeout divided by this is the time after which a release is sent again.
+/// A release is repeated after the KV state timeout divided by this.
 const RETRY_INTERVAL_DIVISOR: f64 = 4.0;
-/// For how many KV state timeouts a release that is not confirmed is sent again.
+/// An unconfirmed release is repeated for this many KV state timeouts.
 const GIVE_UP_KV_STATE_TIMEOUTS: f64 = 10.0;
 
 impl Dispatcher {
-    /// Releases a KV state at its engine.
-    pub(super) fn release_at_engine(&mut self, held: Held, outputs: &mut Vec<Output>) {
+    /// Queues the release of a KV state and sends it to the engine that holds the state.
+    pub(super) fn enqueue_engine_release(&mut self, held: Held, outputs: &mut Vec<Output>) {
         let engine = held.engine.clone();
         self.pending_engine_releases
             .entry(engine.clone())
@@ -26,7 +27,7 @@
         self.send_engine_releases(&engine, outputs);
     }
 
-    /// A release was not confirmed: it is sent again.
+    /// Queues a release again that was not confirmed.
     pub(super) fn engine_release_lost(&mut self, engine: EngineId, release: EngineRelease) {
         self.pending_engine_releases
             .entry(engine.clone())
@@ -37,36 +38,41 @@
 
     fn schedule_engine_release_retry(&mut self, engine: EngineId) {
         let again = self.now + self.settings.policy.kv_state_timeout / RETRY_INTERVAL_DIVISOR;
-        self.timers.set(again, Due::EngineReleaseRetry(engine));
+        self.timers
+            .set(again, TimerKind::EngineReleaseRetry(engine));
     }
 
-    /// Sends the pending releases to an engine over any connection that is up, or dials one. A process that is gone holds
-    /// nothing, and an engine that cannot be reached for long times its KV states out itself.
+    /// Sends the pending releases of an engine over any established connection, or dials one. If the engine's
+    /// process is gone, it holds nothing. An engine that cannot be reached for long releases its KV states by its
+    /// own timeout.
     pub(super) fn send_engine_releases(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         let Some(states) = self.pending_engine_releases.get_mut(engine) else {
             return;
         };
         let oldest = self.now - GIVE_UP_KV_STATE_TIMEOUTS * self.settings.policy.kv_state_timeout;
         states.retain(|release| release.since >= oldest);
-        let row = self
+        let entry = self
             .endpoints
             .engines
             .get(engine)
-            .filter(|row| row.status != EndpointStatus::Gone);
-        match (self.connections.up(engine, false), row) {
+            .filter(|entry| entry.status != EndpointStatus::Gone);
+        match (self.connections.accepting_connection(engine, false), entry) {
             (Some(connection), _) => {
                 let releases = self.pending_engine_releases.remove(engine);
                 for release in releases.unwrap_or_default() {
                     self.send_engine_release(connection, release, outputs);
                 }
             }
-            (None, Some(row)) if !states.is_empty() => {
-                let address = row.line.address.clone();
-                let to = (&mut self.timers, outputs);
-                if !self
-                    .connections
-                    .want(engine, &address, self.now, &self.settings, to)
-                {
+            (None, Some(entry)) if !states.is_empty() => {
+                let address = entry.endpoint.address.clone();
+                let effects = (&mut self.timers, outputs);
+                if !self.connections.ensure_connection(
+                    engine,
+                    &address,
+                    self.now,
+                    &self.settings,
+                    effects,
+                ) {
                     self.schedule_engine_release_retry(engine.clone());
                 }
             }
@@ -90,13 +96,14 @@
         let Some(stream) = opened else { return };
         self.timers.set(
             self.now + self.settings.limits.stall_timeout,
-            Due::StreamTimeout(connection, stream),
+            TimerKind::StreamTimeout(connection, stream),
         );
         let body = Body::Release(v1::Release { state, origin });
         self.connections.send(connection, stream, body, outputs);
     }
 
-    /// A connection to an engine is closed: pending releases go over another one.
+    /// Schedules the pending releases of an engine for another connection, after one of its connections has
+    /// ended.
     pub(super) fn schedule_engine_releases(&mut self, engine: &EngineId) {
         if self.pending_engine_releases.contains_key(engine) {
             self.schedule_engine_release_retry(engine.clone());
--- a/crates/dispatcher/src/state/engine_requests.rs
+++ b/crates/dispatcher/src/state/engine_requests.rs
@@ -1,9 +1,9 @@
-//! The messages of attempts to engines, made from a request and the endpoints; and the load that engines report.
+//! Builds the messages of attempts from a request and the endpoints, and reads the load that engines report.
 
 use super::kv_states::Held;
 use super::*;
 
-/// The id of the KV state that an attempt makes.
+/// The id of the KV state that an attempt creates. `run` is the incarnation of this process.
 pub(super) fn kv_state_id(run: u64, request: RequestId, attempt: AttemptId) -> v1::KvStateId {
     v1::KvStateId {
         run,
@@ -12,9 +12,11 @@
     }
 }
 
-/// The message of an attempt to its engine. `held`: the KV state that a decode attempt takes; `state`: the id of the one
-/// that a prefill leaves, none for a decode attempt; `window`: the first credit, in messages; `wait_ms`: what is left of its
-/// time, in milliseconds.
+/// Builds the message of an attempt.
+///
+/// `held` is the KV state that a decode attempt fetches. `state` is the id of the KV state that a prefill
+/// leaves; `None` makes the message a decode. `window` is the initial credit in messages, and `wait_ms` the
+/// time that is left to the attempt.
 pub(super) fn attempt_message(
     request: &Request,
     held: Option<&Held>,
@@ -57,10 +59,10 @@
     Body::Decode(v1::Decode {
         state: held.map(|held| held.id),
         prefill_engine: prefill_engine
-            .map(|row| row.line.engine.clone())
+            .map(|entry| entry.endpoint.engine.clone())
             .unwrap_or_default(),
         prefill_engine_address: prefill_engine
-            .map(|row| row.line.address.clone())
+            .map(|entry| entry.endpoint.address.clone())
             .unwrap_or_default(),
         key: submit.key.clone(),
         session: submit.session,
@@ -77,10 +79,8 @@
     })
 }
 
-/// The load that an engine reports.
-///
-/// Guards against a report that is no number or negative, which shows as means that stay wrong for good: such a value counts
-/// as not reported.
+/// Converts the load that an engine reports. A value that is negative or not a number counts as not reported,
+/// because it would distort averages permanently.
 pub(super) fn reported_load(load: &v1::Load) -> Load {
     let valid = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
     Load {
--- a/crates/dispatcher/src/state/health_checks.rs
+++ b/crates/dispatcher/src/state/health_checks.rs
@@ -1,21 +1,21 @@
-//! Health checks: an engine is asked for its load, which also tells whether it answers.
+//! Health checks: a call that asks an engine for its load and shows whether it answers.
 
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
 impl Dispatcher {
-    /// Sends a health check to an engine; its result is an [`Event::HealthChecked`].
+    /// Sends a health check to an engine. The result is reported as [`Event::HealthChecked`].
     pub(super) fn check_health(&mut self, engine: EngineId, outputs: &mut Vec<Output>) {
         let address = self
             .endpoints
             .engines
             .get(&engine)
-            .map(|row| row.line.address.clone());
+            .map(|entry| entry.endpoint.address.clone());
         let purpose = StreamPurpose::HealthCheck { sent_at: self.now };
-        let to = (&mut self.timers, &mut *outputs);
+        let effects = (&mut self.timers, &mut *outputs);
         let opened = address.and_then(|a| {
             self.connections
-                .open(&engine, &a, purpose, self.now, &self.settings, to)
+                .open(&engine, &a, purpose, self.now, &self.settings, effects)
                 .ok()
         });
         let Some((connection, stream)) = opened else {
@@ -29,7 +29,7 @@
         };
         self.timers.set(
             self.now + self.settings.limits.health_check_timeout,
-            Due::HealthCheckTimeout(connection, stream),
+            TimerKind::HealthCheckTimeout(connection, stream),
         );
         self.connections.send(
             connection,
@@ -39,7 +39,7 @@
         );
     }
 
-    /// Ends the health check on a stream.
+    /// Ends the health check on a stream, if there is one, and reports its result.
     pub(super) fn end_health_check(
         &mut self,
         connection_id: EngineConnectionId,
@@ -61,7 +61,8 @@
             latency: self.now - sent_at,
             load,
         });
-        if outcome == Outcome::TimedOut && !self.connections.unsend(connection_id, stream) {
+        if outcome == Outcome::TimedOut && !self.connections.withdraw_unsent(connection_id, stream)
+        {
             self.abandon_stream(connection_id, stream);
         } else {
             self.connections
--- a/crates/dispatcher/src/state/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -1,31 +1,33 @@
-//! The invariants that no decision may break, whatever led to it. Each is held by one guard, which stops what would break
-//! it, counts it, and says so in the log.
+//! The invariants that hold whatever the routing logic decides. One guard enforces each: it prevents a
+//! violation, counts it and logs it.
 //!
-//! The guards go by the dispatcher's own record of what was sent and how it ended, not by what the decisions assume.
+//! The guards rely on the dispatcher's own record of what was sent and how it ended, not on the state of the
+//! routing logic.
 
 use super::requests::PossibleRun;
 use super::*;
 use std::fmt;
 
-/// What has to hold, whatever the decisions are.
+/// A condition that holds whatever the routing logic decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// An attempt goes to an engine that is in service.
+    /// Attempts are sent only to engines that are in service.
     Send,
-    /// What may have run runs again only where its request class allows.
+    /// A request that may have run runs again only if its request class allows that.
     Repeat,
-    /// A request is rejected, which says that a retry is safe, only if it is.
+    /// A request is rejected, which tells the client that a retry is safe, only if a retry is safe.
     Close,
-    /// An attempt begins for a request that is open, one at a time, in time, and within the number allowed.
+    /// An attempt starts only for an open request, one at a time, before the deadline, and within the maximum
+    /// number of attempts.
     Start,
-    /// A KV state that no attempt has reached is taken or released in time, and a release is sent again once an attempt is
-    /// over that may have kept it from taking effect.
+    /// A KV state that no attempt has reached is taken or released in time. A release is repeated after the end
+    /// of an attempt that may have kept it from taking effect.
     Hold,
 }
 
-/// A KV state may be held so much longer than the settings say (the platform's protocol).
+/// The platform's protocol allows KV states to be held this much longer than the KV state timeout.
 const HELD_STATE_TOLERANCE_MS: Ms = 300.0;
-/// The part of that tolerance after which the guard acts; the rest is left for the release to reach the engine.
+/// The guard acts after the tolerance divided by this; the rest is left for the release to reach the engine.
 const HELD_STATE_TOLERANCE_DIVISOR: f64 = 2.0;
 
 impl fmt::Display for Invariant {
@@ -40,26 +42,27 @@
     }
 }
 
-/// How often each invariant was checked, and how often a guard had to stop something.
+/// How often each invariant was checked, and how often a guard prevented a violation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InvariantCounts {
-    /// Checks, by invariant.
+    /// The number of checks, by invariant.
     pub checked: BTreeMap<Invariant, u64>,
-    /// Violations, by invariant.
+    /// The number of prevented violations, by invariant.
     pub violated: BTreeMap<Invariant, u64>,
 }
 
 impl Dispatcher {
-    /// How often the invariants were checked and violated, since the start.
+    /// The checks and prevented violations since the process started.
     pub fn invariant_counts(&self) -> &InvariantCounts {
         &self.invariant_counts
     }
 
-    /// Whether an attempt of a request may go to an engine now. `is_prefill`: it prefills only, which has no effect
-    /// outside the engine.
+    /// Returns whether an attempt of a request may start at an engine now. `is_prefill` is whether the attempt
+    /// only prefills, which has no effect outside of the engine.
     ///
-    /// Guards against an attempt for a request that is over, at an engine that is not in service, or of what may have run and
-    /// must not run twice, which shows as an effect that happens twice: such an attempt ends as not sent.
+    /// An attempt is not allowed for a request that has ended, at an engine that is not in service, or if the
+    /// request may have run and must not run twice. Its effect could otherwise happen twice. The attempt then
+    /// ends as not sent.
     pub(super) fn may_start_attempt(
         &mut self,
         request_id: RequestId,
@@ -70,35 +73,37 @@
         let Some(request) = self.requests.get(&request_id) else {
             return false;
         };
-        let starts = !request.answered
+        let may_start = !request.answered
             && request.current_attempt.is_none()
             && request.attempts <= self.settings.policy.max_attempts
             && self.now <= request.deadline;
-        let sends = self.endpoints.status(engine) == EndpointStatus::Ready;
-        let repeats = is_prefill || self.may_run_at(request, engine);
+        let is_in_service = self.endpoints.status(engine) == EndpointStatus::Ready;
+        let may_repeat = is_prefill || self.may_run_at(request, engine);
         let checks = [
-            (Invariant::Start, starts),
-            (Invariant::Send, sends),
-            (Invariant::Repeat, repeats),
+            (Invariant::Start, may_start),
+            (Invariant::Send, is_in_service),
+            (Invariant::Repeat, may_repeat),
         ];
-        checks.into_iter().fold(true, |good, (invariant, holds)| {
-            self.check(invariant, holds, request_id, engine.0.as_ref(), outputs) && good
-        })
+        checks
+            .into_iter()
+            .fold(true, |all_hold, (invariant, holds)| {
+                self.check(invariant, holds, request_id, engine.0.as_ref(), outputs) && all_hold
+            })
     }
 
-    /// Whether a request may be rejected, which says that a retry is safe.
+    /// Returns whether a request may be rejected, which tells the client that a retry is safe.
     ///
-    /// Guards against a client that repeats what has run, which shows as an effect that happens twice: a request of which
-    /// an attempt may have run fails instead, unless its request class allows a repeat anywhere.
+    /// If an attempt may have run, the request is failed instead, unless its request class allows a repeat
+    /// anywhere. A client that repeats a request after a rejection would otherwise cause its effect twice.
     pub(super) fn may_reject(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) -> bool {
         let Some(request) = self.requests.get(&request_id) else {
             return true;
         };
-        let decodes = request
+        let is_decoding = request
             .current_attempt
             .as_ref()
             .is_some_and(|attempt| !attempt.is_prefill);
-        let may_have_run = decodes || request.first_possible_run.is_some();
+        let may_have_run = is_decoding || request.first_possible_run.is_some();
         let retry_is_safe = match request.retry_safety {
             RetrySafety::Idempotent
             | RetrySafety::IdempotencyKey {
@@ -116,12 +121,12 @@
         )
     }
 
-    /// Has the guard check the KV state of a request once it has to be taken or released.
+    /// Schedules a check of a request's KV state for the time by which the state must be taken or released.
     pub(super) fn schedule_held_check(&mut self, request_id: RequestId) {
         if self.settings.limits.http1.is_some() && self.kv_states.get(request_id).is_some() {
             self.timers.set(
                 self.now + self.max_held_duration(),
-                Due::HeldStateCheck(request_id),
+                TimerKind::HeldStateCheck(request_id),
             );
         }
     }
@@ -131,30 +136,32 @@
             + HELD_STATE_TOLERANCE_MS / HELD_STATE_TOLERANCE_DIVISOR
     }
 
-    /// Guards against a KV state that the decisions have left, or whose release was forgotten, which shows as memory that
-    /// stays pinned at its engine: it is released at the end of its time.
+    /// Releases a KV state that is held for too long, because the routing logic has left it or its release was
+    /// forgotten. Its memory would otherwise stay pinned at the engine.
     pub(super) fn check_held_state(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(state) = self.kv_states.get(request_id) else {
             return;
         };
         let attempt = self.current_attempt(request_id);
-        if attempt.is_some_and(|attempt| state.is_release_wanted() || self.has_arrived(attempt)) {
+        if attempt.is_some_and(|attempt| state.is_release_pending() || self.has_arrived(attempt)) {
             return self.schedule_held_check(request_id);
         }
         let is_available = state.is_available();
-        let (from, was_sent_since) = match is_available {
+        let (from, was_called_since) = match is_available {
             true => (state.held_since, false),
             false => (
                 state.release.unblocked_since,
                 state.release.last_call_at >= state.release.unblocked_since,
             ),
         };
-        let due = from + self.max_held_duration();
-        if was_sent_since {
+        let due_at = from + self.max_held_duration();
+        if was_called_since {
             return;
         }
-        if self.now < due {
-            return self.timers.set(due, Due::HeldStateCheck(request_id));
+        if self.now < due_at {
+            return self
+                .timers
+                .set(due_at, TimerKind::HeldStateCheck(request_id));
         }
         let engine = state.held.engine.0.to_string();
         self.check(Invariant::Hold, false, request_id, &engine, outputs);
@@ -164,7 +171,7 @@
         }
     }
 
-    /// Notes that the current attempt of a request may have run, if its end leaves that open.
+    /// Records that the current attempt may have run, if `outcome` leaves that open.
     pub(super) fn note_possible_run(&mut self, request_id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
@@ -176,32 +183,33 @@
         else {
             return;
         };
-        let leaves_open = [
+        let uncertain_outcomes = [
             Outcome::Failed,
             Outcome::TimedOut,
             Outcome::ConnectionLost,
             Outcome::Cancelled,
         ];
-        if request.first_possible_run.is_none() && leaves_open.contains(&outcome) {
-            let line = self
+        if request.first_possible_run.is_none() && uncertain_outcomes.contains(&outcome) {
+            let endpoint = self
                 .endpoints
                 .engines
                 .get(&attempt.engine)
-                .map(|row| &row.line);
-            let (zone, cell) = line
-                .map(|line| (line.zone.clone(), line.cell.clone()))
+                .map(|entry| &entry.endpoint);
+            let (zone, cell) = endpoint
+                .map(|endpoint| (endpoint.zone.clone(), endpoint.cell.clone()))
                 .unwrap_or_default();
             request.first_possible_run = Some(PossibleRun {
                 zone,
                 cell,
-                at: attempt.started_at,
+                started_at: attempt.started_at,
             });
         }
     }
 
-    /// Whether a request may run at an engine, by what may have run before and how far its idempotency key holds.
+    /// Returns whether a request may run at an engine, given where it may have run before and the scope of its
+    /// idempotency key.
     fn may_run_at(&self, request: &Request, engine: &EngineId) -> bool {
-        let (Some(first), Some(row)) = (
+        let (Some(first), Some(entry)) = (
             &request.first_possible_run,
             self.endpoints.engines.get(engine),
         ) else {
@@ -210,7 +218,9 @@
         match request.retry_safety {
             RetrySafety::Idempotent => true,
             RetrySafety::AtMostOnce => false,
-            RetrySafety::IdempotencyKey { window, .. } if self.now >= first.at + window => false,
+            RetrySafety::IdempotencyKey { window, .. } if self.now >= first.started_at + window => {
+                false
+            }
             RetrySafety::IdempotencyKey {
                 scope: IdempotencyScope::All,
                 ..
@@ -218,15 +228,15 @@
             RetrySafety::IdempotencyKey {
                 scope: IdempotencyScope::Zone,
                 ..
-            } => first.zone == row.line.zone,
+            } => first.zone == entry.endpoint.zone,
             RetrySafety::IdempotencyKey {
                 scope: IdempotencyScope::Cell,
                 ..
-            } => (&first.zone, &first.cell) == (&row.line.zone, &row.line.cell),
+            } => (&first.zone, &first.cell) == (&entry.endpoint.zone, &entry.endpoint.cell),
         }
     }
 
-    /// Counts a check; a violation is logged. Gives whether the invariant holds.
+    /// Counts a check and logs a violation. Returns whether the invariant holds.
     fn check(
         &mut self,
         invariant: Invariant,
