--- a/crates/dispatcher/src/state/io.rs
+++ b/crates/dispatcher/src/state/io.rs
@@ -1,184 +1,186 @@
-//! What goes into a dispatcher and what comes out, and the ids of connections and streams in both.
+//! The inputs and outputs of a dispatcher, and the ids of connections and streams in them.
 
 use cindercleat::interface::{DispatcherId, EngineId};
 use cindercleat_protocol::{v1, Frame};
 
-/// A client's connection. The driver numbers them and never uses a number twice.
+/// The id of a client connection. The driver assigns it and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientConnectionId(pub u64);
 
-/// A connection to an engine. The dispatcher numbers them and never uses a number twice.
+/// The id of a connection to an engine. The dispatcher assigns it and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineConnectionId(pub u64);
 
-/// One exchange of messages on a connection; 0 stands for the connection as a whole.
+/// The id of one call on a connection; 0 stands for the connection as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(pub u64);
 
-/// What happens to a dispatcher.
+/// An event that the driver reports to the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A client has sent a message, after its greeting.
+    /// A client has sent a message after its greeting.
     Client {
-        /// Where it came.
+        /// The connection that carried the message.
         conn: ClientConnectionId,
         /// The message.
         frame: Frame,
     },
-    /// A client has connected.
-    ClientUp {
+    /// A client has completed its greeting.
+    ClientConnected {
         /// The new connection.
         conn: ClientConnectionId,
     },
-    /// Part of a client's message has come.
-    ClientPartly {
-        /// Where it came.
+    /// The first part of a client's request has arrived.
+    ClientRequestBegun {
+        /// The connection that carried the request.
         conn: ClientConnectionId,
     },
-    /// One more client wants to connect, and there may be no more connections of clients.
-    ClientsFull,
-    /// A client's connection is closed.
+    /// A client waits to be accepted, but the limit of client connections is reached, or the process is out of
+    /// memory or file descriptors.
+    ClientLimitReached,
+    /// A client connection has ended.
     ClientClosed {
-        /// The closed connection.
+        /// The connection that ended.
         conn: ClientConnectionId,
     },
     /// Token messages of a stream were written to its client.
-    Flushed {
-        /// The client's connection.
+    MessagesForwarded {
+        /// The connection of the client.
         conn: ClientConnectionId,
-        /// The request's stream on it.
+        /// The stream of the request on that connection.
         stream: StreamId,
-        /// How many messages, since the last such input.
+        /// The number of messages written since the previous such input for the stream.
         messages: u32,
     },
-    /// A dialled connection is up: the engine has greeted by its right name.
-    ConnectionUp {
-        /// The connection.
+    /// A dialled connection is established: the engine has greeted with the expected name.
+    ConnectionEstablished {
+        /// The connection that was dialled.
         connection: EngineConnectionId,
-        /// How many streams the engine allows on it at once, if it limits them.
+        /// The number of concurrent streams that the engine allows on the connection; `None` if unlimited.
         limit: Option<usize>,
     },
-    /// The engine takes nothing new on a connection; what it took goes on.
+    /// The engine accepts no new streams on a connection; open streams continue.
     ConnectionDraining {
-        /// The connection.
+        /// The connection that is draining.
         connection: EngineConnectionId,
     },
-    /// A connection could not be made, or is closed.
+    /// A connection to an engine could not be established, or has ended.
     ConnectionClosed {
-        /// The connection.
+        /// The connection that was dialled.
         connection: EngineConnectionId,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: String,
     },
     /// An engine has sent a message.
     Engine {
-        /// Where it came.
+        /// The connection that carried the message.
         connection: EngineConnectionId,
         /// The message.
         frame: Frame,
     },
-    /// The endpoints that the process before has cached; the first input, if there is one.
+    /// The endpoints that an earlier process has cached. If present, this is the first input.
     CachedEndpoints(v1::EndpointList),
     /// An update of the endpoints from discovery.
     EndpointsUpdated(v1::EndpointList),
-    /// Discovery refused a call, or its connection is lost.
+    /// Discovery refused a call, or the connection to it was lost.
     EndpointsRejected,
-    /// Gossip from another dispatcher.
+    /// Another dispatcher has sent gossip.
     GossipReceived {
-        /// The sender.
+        /// The dispatcher that sent it.
         from: DispatcherId,
-        /// What it sent.
+        /// The encoded message, passed to `Control` unchanged.
         bytes: Vec<u8>,
     },
-    /// Time has passed.
+    /// No event: only timers that are due are run.
     Tick,
-    /// Take nothing new, finish what is open within the grace, end.
+    /// Begin the stop: reject new requests after the accept period, and end open requests within the grace
+    /// period.
     Stop,
 }
 
-/// What a dispatcher asks its driver to do.
+/// An action that the dispatcher asks its driver to take.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to a client.
     ToClient {
-        /// Where to send it.
+        /// The connection that carries the message.
         conn: ClientConnectionId,
         /// The message.
         frame: Frame,
     },
-    /// Ask a client to begin nothing new on a connection; what is open goes on.
+    /// Ask a client to start no new requests on a connection; open requests continue.
     DrainClient {
-        /// The connection.
+        /// The connection to drain.
         conn: ClientConnectionId,
     },
-    /// Close a client's connection, after what was sent before.
+    /// Close a client connection after the messages that were already sent on it.
     CloseClient {
-        /// The connection.
+        /// The connection to close.
         conn: ClientConnectionId,
-        /// Why; the client may be sent it.
+        /// The reason, for the log.
         reason: String,
     },
-    /// Connect to an engine.
+    /// Dial an engine.
     Dial {
-        /// The number of the new connection.
+        /// The id of the new connection.
         connection: EngineConnectionId,
-        /// The engine that must answer there.
+        /// The engine that must answer at the address.
         engine: EngineId,
-        /// Where to connect.
+        /// The address to dial.
         address: String,
     },
     /// Send a message to an engine.
     ToEngine {
-        /// Where to send it.
+        /// The connection that carries the message.
         connection: EngineConnectionId,
         /// The message.
         frame: Frame,
     },
-    /// Close a connection to an engine, after what was sent before.
+    /// Close a connection to an engine after the messages that were already sent on it.
     CloseConnection {
-        /// The connection.
+        /// The connection to close.
         connection: EngineConnectionId,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: String,
     },
     /// Cache the endpoints for the next start.
     CacheEndpoints(v1::EndpointList),
-    /// Ask discovery for the endpoints.
+    /// Request the endpoints from discovery.
     RequestEndpoints {
-        /// Whether it is to go on with each change.
+        /// Whether discovery is to send later changes as well.
         changes: bool,
     },
-    /// Send gossip.
+    /// Send gossip to other dispatchers.
     SendGossip {
-        /// To one dispatcher, or to all.
+        /// The receiver; `None` for all other dispatchers.
         to: Option<DispatcherId>,
-        /// What to send.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
     /// Write a line to the log.
     Log {
-        /// How important it is.
+        /// The severity of the line.
         level: Level,
-        /// The line.
+        /// The text of the line.
         text: String,
     },
-    /// The stop is complete.
+    /// The stop is complete: the process may end.
     Stopped,
 }
 
-/// How important a log line is.
+/// The severity of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// Of use to somebody who follows single requests.
+    /// Details for tracing single requests.
     Debug,
-    /// An event of normal operation.
+    /// Events of normal operation.
     Info,
-    /// Something that an operator may have to look into.
+    /// A condition that an operator may have to investigate.
     Warn,
 }
 
 impl Output {
-    /// A line for the log.
+    /// Creates an output that writes a line to the log.
     pub(super) fn log(level: Level, text: String) -> Self {
         Output::Log { level, text }
     }
--- a/crates/dispatcher/src/state/kv_states.rs
+++ b/crates/dispatcher/src/state/kv_states.rs
@@ -1,14 +1,16 @@
-//! KV states that engines hold, or may hold, for requests: one record a request, from the end of its prefill until a decode
-//! attempt has taken the state or a release has taken effect.
+//! KV states that engines hold, or may hold, for requests. There is one record per request, from the end of
+//! its prefill until a decode attempt has taken the state or a release has taken effect.
 //!
-//! Where a release names a request and any engine passes it on, its confirmation alone proves nothing: it releases every
-//! state 'that no attempt waits for' (docs/acceptance.md, 'Readings'), and an attempt that this process has closed waits until
-//! its engine knows of the close. So a record stays until a confirmation counts: [`KvState::is_released_by`].
+//! Where a release names a request and any engine passes it on, a confirmation alone proves nothing. A
+//! release frees every state 'that no attempt waits for' (docs/acceptance.md, 'Readings'), and an attempt
+//! that this process has closed still waits until its engine learns of the close. The record therefore stays
+//! until a confirmation is conclusive, see [`KvState::is_released_by`].
 
 use super::*;
 
-/// An attempt that was closed without a message of its engine is over there, at the latest, the KV state timeout divided by this
-/// after the engine has shown that it works: the close and a release go over different connections, and nothing orders them.
+/// An attempt that was closed without a message from its engine is assumed to have ended there once the
+/// engine has shown that it works and the KV state timeout divided by this has passed. The close and a
+/// release use different connections, so their order is not guaranteed.
 const CLOSE_DELIVERY_DIVISOR: f64 = 4.0;
 
 /// A KV state and the engine that holds it.
@@ -16,76 +18,77 @@
 pub(super) struct Held {
     pub engine: EngineId,
     pub id: v1::KvStateId,
-    /// The request's id as its client gave it, where states are known by it; else empty.
+    /// The client-assigned id of the request, if engines know KV states by it; empty otherwise.
     pub origin: String,
 }
 
-/// The step in which a KV state is. It goes from `Held` to `Offered` and back with each decode attempt, until one takes it
-/// or it is to be released.
+/// The step of a KV state. It alternates between `Held` and `Offered` with each decode attempt, until an
+/// attempt takes the state or its release is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
-    /// Its engine holds it, and no attempt is out that may take it.
+    /// The engine holds the state, and no current attempt can take it.
     Held,
-    /// A decode attempt is out that may take it.
+    /// The given decode attempt was started and may take the state.
     Offered(AttemptId),
-    /// The same, and nothing has come of the attempt: its connection alone may be silent. It is to be released, which does
-    /// nothing if the attempt waits for it.
+    /// Like `Offered`, but no message of the attempt has arrived; perhaps only its connection is silent. A
+    /// release is pending; it has no effect if the attempt waits for the state.
     OfferedUnconfirmed(AttemptId),
-    /// It is to be released. An attempt may still be out that had not arrived, as far as anybody knew.
-    ReleaseWanted,
+    /// A release is pending. An attempt that was not known to have reached its engine may still be current.
+    ReleasePending,
 }
 
-/// An attempt that ended here without a message of its engine: it was closed, or its connection broke.
+/// An attempt that ended at this side without a message from its engine: it was closed, or its connection was
+/// lost.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct UnacknowledgedEnd {
     pub engine: EngineId,
     pub at: Ms,
-    /// When its engine was first known to have worked since.
-    known_since: Option<Ms>,
+    /// When it first became known that the engine has worked since the end.
+    work_observed_at: Option<Ms>,
 }
 
 impl UnacknowledgedEnd {
-    /// From when on a release cannot overtake its close any more, if that is known.
-    fn is_past_at(&self, kv_state_timeout: Ms) -> Option<Ms> {
-        self.known_since
+    /// The instant from which a release cannot overtake the close of the attempt; `None` if not yet known.
+    fn release_safe_at(&self, kv_state_timeout: Ms) -> Option<Ms> {
+        self.work_observed_at
             .map(|known| known + kv_state_timeout / CLOSE_DELIVERY_DIVISOR)
     }
 }
 
-/// A call that asks an engine to release what is held for a request.
+/// A call that asks an engine to release the KV state of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReleaseCall {
     pub request: RequestId,
     pub begun_at: Ms,
 }
 
-/// What was done to release a KV state. Instants are in milliseconds.
+/// The progress of a release. Instants are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReleaseProgress {
-    /// Since when it is wanted.
-    pub wanted_since: Ms,
-    /// Since when no attempt holds it up.
+    /// When the release was requested.
+    pub pending_since: Ms,
+    /// Since when no attempt delays the release.
     pub unblocked_since: Ms,
-    /// Calls that are under way.
+    /// The number of calls that are not answered yet.
     pub open_calls: usize,
-    /// All calls that were begun.
+    /// The number of calls that were started in total.
     pub calls: u32,
-    /// When the last call began.
+    /// When the last call was started.
     pub last_call_at: Ms,
-    /// When it is continued, if nothing happens before.
+    /// When the release is continued if no event continues it earlier.
     pub next_check_at: Ms,
-    /// Engines that were asked and have not confirmed it.
+    /// The engines that were called and have not confirmed the release.
     pub asked_engines: Vec<EngineId>,
-    /// How often it was confirmed by calls that do not count, since no attempt holds it up.
+    /// The number of inconclusive confirmations since no attempt delays the release.
     pub confirmations: u32,
-    /// Whether one of the calls of this round was confirmed.
+    /// Whether a call of the present round was confirmed.
     pub round_confirmed: bool,
 }
 
 impl ReleaseProgress {
     fn new(now: Ms) -> Self {
         ReleaseProgress {
-            wanted_since: now,
+            pending_since: now,
             unblocked_since: now,
             open_calls: 0,
             calls: 0,
@@ -98,16 +101,16 @@
     }
 }
 
-/// What is known of the KV state of a request.
+/// The record of one request's KV state.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct KvState {
     pub held: Held,
     pub step: Step,
-    /// Since when the time counts within which it has to be taken or released.
+    /// The start of the period within which the state must be taken or released, in milliseconds.
     pub held_since: Ms,
     pub release: ReleaseProgress,
-    /// Whether a prefill that was cancelled may have left one more.
-    has_leftover: bool,
+    /// Whether a cancelled prefill may have left another KV state.
+    may_have_leftover: bool,
     unacknowledged_ends: Vec<UnacknowledgedEnd>,
 }
 
@@ -119,49 +122,52 @@
             step,
             held_since: now,
             release,
-            has_leftover: false,
+            may_have_leftover: false,
             unacknowledged_ends: Vec::new(),
         }
     }
 
-    /// Whether an attempt may take it.
+    /// Whether an attempt may take the state.
     pub fn is_available(&self) -> bool {
-        self.step != Step::ReleaseWanted
+        self.step != Step::ReleasePending
     }
 
-    /// Whether it is to be released.
-    pub fn is_release_wanted(&self) -> bool {
-        matches!(self.step, Step::ReleaseWanted | Step::OfferedUnconfirmed(_))
+    /// Whether a release is pending.
+    pub fn is_release_pending(&self) -> bool {
+        matches!(
+            self.step,
+            Step::ReleasePending | Step::OfferedUnconfirmed(_)
+        )
     }
 
-    /// Whether the confirmation of a call proves that nothing is held any more: it began after every attempt of the request
-    /// was over, where its engine knew it. No attempt of the request is out.
+    /// Whether the confirmation of `call` proves that no KV state is held any more: the call began after every
+    /// attempt of the request had ended and its engine knew of the end. The request must have no current attempt.
     pub fn is_released_by(&self, call: &ReleaseCall, kv_state_timeout: Ms) -> bool {
         call.begun_at >= self.release.unblocked_since
             && self
-                .counts_from(kv_state_timeout)
+                .confirmations_count_from(kv_state_timeout)
                 .is_some_and(|at| call.begun_at >= at)
     }
 
-    /// From when on a call counts, if all engines have shown that they work.
-    pub fn counts_from(&self, kv_state_timeout: Ms) -> Option<Ms> {
+    /// The instant from which confirmations are conclusive; `None` if an engine has not yet shown that it works.
+    pub fn confirmations_count_from(&self, kv_state_timeout: Ms) -> Option<Ms> {
         let past: Option<Vec<Ms>> = self
             .unacknowledged_ends
             .iter()
-            .map(|end| end.is_past_at(kv_state_timeout))
+            .map(|end| end.release_safe_at(kv_state_timeout))
             .collect();
         past.map(|past| past.into_iter().fold(f64::NEG_INFINITY, f64::max))
     }
 
-    /// The engines that have not shown since that they work.
-    pub fn unaware_engines(&self) -> impl Iterator<Item = &EngineId> {
+    /// The engines that have not shown that they work since an attempt ended there without a message.
+    pub fn engines_not_seen_working(&self) -> impl Iterator<Item = &EngineId> {
         self.unacknowledged_ends
             .iter()
-            .filter(|end| end.known_since.is_none())
+            .filter(|end| end.work_observed_at.is_none())
             .map(|end| &end.engine)
     }
 
-    /// Whether an attempt for it ended without a message of its engine.
+    /// Whether an attempt for the state ended without a message from its engine.
     pub fn had_unacknowledged_end(&self) -> bool {
         !self.unacknowledged_ends.is_empty()
     }
@@ -171,57 +177,57 @@
 #[derive(Debug, Default)]
 pub(super) struct KvStates {
     states: BTreeMap<RequestId, KvState>,
-    /// Requests with an unacknowledged end at an engine that has not shown since that it works.
+    /// Requests with an unacknowledged end, by engines that have not shown since that they work.
     waiting_for_engine: BTreeMap<EngineId, BTreeSet<RequestId>>,
-    /// Requests of whose last calls to release a state none was confirmed.
+    /// Requests whose last round of release calls was not confirmed.
     pub unconfirmed_releases: BTreeSet<RequestId>,
-    /// Releases to look at once the present input is dealt with.
+    /// Requests whose release is continued once the present input is handled.
     pub due_releases: BTreeSet<RequestId>,
 }
 
 impl KvStates {
-    /// The record of a request.
+    /// The record of a request's KV state.
     pub fn get(&self, request: RequestId) -> Option<&KvState> {
         self.states.get(&request)
     }
 
-    /// The record of a request, to change what was done to release it.
+    /// The record of a request's KV state, for updates to the progress of its release.
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut KvState> {
         self.states.get_mut(&request)
     }
 
-    /// States that are to be released, of which no engine has confirmed it since their last attempt ended.
+    /// The number of pending releases that no engine has confirmed since the last attempt ended.
     pub fn unconfirmed_count(&self) -> usize {
         let is_unconfirmed =
-            |state: &&KvState| state.is_release_wanted() && state.release.confirmations == 0;
+            |state: &&KvState| state.is_release_pending() && state.release.confirmations == 0;
         self.states.values().filter(is_unconfirmed).count()
     }
 
-    /// The state that an attempt of a request may take.
+    /// The record of a request whose KV state an attempt may take.
     pub fn available(&self, request: RequestId) -> Option<&KvState> {
         self.get(request).filter(|state| state.is_available())
     }
 
-    /// The state of a request that is to be released.
-    pub fn release_wanted(&self, request: RequestId) -> Option<&KvState> {
-        self.get(request).filter(|state| state.is_release_wanted())
+    /// The record of a request whose release is pending.
+    pub fn pending_release(&self, request: RequestId) -> Option<&KvState> {
+        self.get(request).filter(|state| state.is_release_pending())
     }
 
-    /// States that are to be released.
-    pub fn release_wanted_count(&self) -> usize {
+    /// The number of pending releases.
+    pub fn pending_release_count(&self) -> usize {
         self.states
             .values()
-            .filter(|state| state.is_release_wanted())
+            .filter(|state| state.is_release_pending())
             .count()
     }
 
-    /// A prefill has ended: its engine holds the state.
+    /// Records that a prefill has ended and its engine holds the state.
     pub fn hold(&mut self, request: RequestId, held: Held, now: Ms) {
         match self.states.get_mut(&request) {
-            // What an earlier prefill may have left is released once this one is taken or released.
+            // A state that an earlier prefill may have left is released once the present one is taken or released.
             Some(state) => {
                 (state.held, state.step, state.held_since) = (held, Step::Held, now);
-                state.has_leftover = true;
+                state.may_have_leftover = true;
             }
             None => {
                 self.states
@@ -230,7 +236,7 @@
         }
     }
 
-    /// A decode attempt goes out that may take it.
+    /// Records that a decode attempt was started that may take the state.
     pub fn offer(&mut self, request: RequestId, attempt: AttemptId) {
         if let Some(state) = self
             .states
@@ -241,7 +247,7 @@
         }
     }
 
-    /// The decode attempt is over and has not taken it.
+    /// Records that a decode attempt has ended without taking the state.
     pub fn withdraw_offer(&mut self, request: RequestId, attempt: AttemptId) {
         let steps = [Step::Offered(attempt), Step::OfferedUnconfirmed(attempt)];
         if let Some(state) = self
@@ -253,12 +259,12 @@
         }
     }
 
-    /// A decode attempt has taken it.
+    /// Records that a decode attempt has taken the state.
     pub fn mark_taken(&mut self, request: RequestId, now: Ms) {
         match self.states.get_mut(&request) {
-            Some(state) if state.has_leftover => {
-                state.has_leftover = false;
-                (state.step, state.release) = (Step::ReleaseWanted, ReleaseProgress::new(now));
+            Some(state) if state.may_have_leftover => {
+                state.may_have_leftover = false;
+                (state.step, state.release) = (Step::ReleasePending, ReleaseProgress::new(now));
                 self.due_releases.insert(request);
             }
             _ => {
@@ -267,7 +273,7 @@
         }
     }
 
-    /// It is to be released, unless the current attempt waits for it.
+    /// Requests a release that has no effect if the current attempt waits for the state.
     pub fn mark_unconfirmed(&mut self, request: RequestId, now: Ms) {
         let Some(state) = self.states.get_mut(&request) else {
             return;
@@ -279,31 +285,32 @@
         }
     }
 
-    /// It is to be released.
-    pub fn want_release(&mut self, request: RequestId, now: Ms) {
+    /// Requests the release of an available state.
+    pub fn request_release(&mut self, request: RequestId, now: Ms) {
         if let Some(state) = self
             .states
             .get_mut(&request)
             .filter(|state| state.is_available())
         {
-            state.has_leftover = false;
-            (state.step, state.release) = (Step::ReleaseWanted, ReleaseProgress::new(now));
+            state.may_have_leftover = false;
+            (state.step, state.release) = (Step::ReleasePending, ReleaseProgress::new(now));
             self.due_releases.insert(request);
         }
     }
 
-    /// A prefill was cancelled, which may have ended just then: what it may have left is to be released.
-    pub fn want_leftover_released(&mut self, request: RequestId, held: Held, now: Ms) {
+    /// Requests the release of the state that a cancelled prefill may have left, if it ended before the cancel
+    /// arrived.
+    pub fn request_leftover_release(&mut self, request: RequestId, held: Held, now: Ms) {
         let state = self
             .states
             .entry(request)
-            .or_insert_with(|| KvState::new(held, Step::ReleaseWanted, now));
-        state.has_leftover |= state.is_available();
+            .or_insert_with(|| KvState::new(held, Step::ReleasePending, now));
+        state.may_have_leftover |= state.is_available();
         self.due_releases.insert(request);
     }
 
-    /// An attempt of a request is over: what is to be released of it can be now. `unacknowledged_at`: the attempt's engine, if that
-    /// has sent no message of it.
+    /// Records the end of an attempt, after which a pending release need not wait for it. `unacknowledged_at` is
+    /// the attempt's engine if the engine has sent no message about the end.
     pub fn attempt_over(
         &mut self,
         request: RequestId,
@@ -321,7 +328,7 @@
             state.unacknowledged_ends.push(UnacknowledgedEnd {
                 engine,
                 at: now,
-                known_since: None,
+                work_observed_at: None,
             });
         }
         if !state.is_available() {
@@ -331,7 +338,8 @@
         }
     }
 
-    /// An engine has shown that it worked at an instant; gives the requests for which that matters.
+    /// Records that an engine is known to have worked at the instant `worked`. Returns the requests with an
+    /// unacknowledged end before that instant.
     pub fn engine_worked(&mut self, engine: &EngineId, worked: Ms, now: Ms) -> Vec<RequestId> {
         let Some(waiting) = self.waiting_for_engine.get_mut(engine) else {
             return Vec::new();
@@ -344,19 +352,19 @@
             let ends = state
                 .unacknowledged_ends
                 .iter_mut()
-                .filter(|end| end.engine == *engine && end.known_since.is_none());
-            let (mut some_known, mut some_left) = (false, false);
+                .filter(|end| end.engine == *engine && end.work_observed_at.is_none());
+            let (mut any_observed, mut any_left) = (false, false);
             for end in ends {
                 if end.at <= worked {
-                    (end.known_since, some_known) = (Some(now), true);
+                    (end.work_observed_at, any_observed) = (Some(now), true);
                 } else {
-                    some_left = true;
+                    any_left = true;
                 }
             }
-            if some_known {
+            if any_observed {
                 known.push(*request);
             }
-            some_left
+            any_left
         });
         if waiting.is_empty() {
             self.waiting_for_engine.remove(engine);
@@ -364,10 +372,11 @@
         known
     }
 
-    /// Nothing is held for a request any more, or nothing more can be done about it.
+    /// Drops the record of a request, because nothing is held any more or its release is given up. Returns the
+    /// record.
     pub fn forget(&mut self, request: RequestId) -> Option<KvState> {
         let state = self.states.remove(&request)?;
-        for engine in state.unaware_engines() {
+        for engine in state.engines_not_seen_working() {
             let waiting = self.waiting_for_engine.get_mut(engine);
             if waiting.is_some_and(|waiting| waiting.remove(&request) && waiting.is_empty()) {
                 self.waiting_for_engine.remove(engine);
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -1,11 +1,12 @@
-//! The dispatcher without its I/O: requests, attempts, KV states, connections and timers. Inputs go in by
-//! [`Dispatcher::handle`] with their instant; what is to be done comes out. It tells when it wants to be called
-//! next ([`Dispatcher::wants_call_at`]). The same inputs give the same outputs.
+//! The dispatcher without I/O: requests, attempts, KV states, connections and timers. Inputs enter through
+//! [`Dispatcher::handle`] with their instant, and the outputs tell the caller what to send.
+//! [`Dispatcher::wants_call_at`] returns when the next timer is due. The same inputs always produce the same
+//! outputs.
 //!
-//! Every choice between engines, every reject and failure of a request that was taken is
-//! [`Control`](cindercleat::control::Control)'s. The dispatcher carries them out, reports each outcome to it, and
-//! ensures what holds for any decision: one final answer a request, nothing to an engine that has left service
-//! meanwhile, no KV state held that the decisions do not know of, bounded buffers.
+//! [`Control`](cindercleat::control::Control) makes every choice between engines and decides when an accepted
+//! request is rejected or failed. The dispatcher carries out these actions and reports each outcome back. It
+//! enforces what must hold for any decision: one final answer per request, no attempt at an engine that is
+//! out of service, no KV state held that `Control` does not know of, and bounded buffers.
 
 mod abandoned_streams;
 mod attempts;
@@ -53,19 +54,20 @@
 pub use status::Usage;
 use std::collections::{BTreeMap, BTreeSet};
 use stream_purpose::EngineRelease;
-use timers::{Due, Timers};
+use timers::{TimerKind, Timers};
 
-/// How late the injected fault `TimersLate` sets a timer, in milliseconds.
+/// The delay that the injected fault `TimersLate` adds to a timer.
 const INJECTED_TIMER_DELAY_MS: Ms = 300.0;
 
-/// Routes requests to engines and their tokens back to clients: a state machine without I/O. All instants are milliseconds on one clock that the caller keeps.
+/// Routes requests to engines and their tokens back to clients, as a state machine without I/O. All instants
+/// are milliseconds on one clock of the caller.
 pub struct Dispatcher {
     settings: ProgramSettings,
     control: Control,
     now: Ms,
     requests: BTreeMap<RequestId, Request>,
     client_streams: BTreeMap<ClientStream, RequestId>,
-    /// Open requests by the id that their clients gave them, where they did.
+    /// Open requests by the id that their clients assigned; requests without such an id are absent.
     requests_by_origin: BTreeMap<String, RequestId>,
     client_connections: ClientConnections,
     next_request_id: u32,
@@ -73,27 +75,31 @@
     connections: EngineConnections,
     timers: Timers,
     kv_states: KvStates,
-    /// Releases to send where a state belongs to its engine, by that engine.
+    /// Releases that wait to be sent, by the engine that holds the KV state. Used with multiplexed connections
+    /// only.
     pending_engine_releases: BTreeMap<EngineId, Vec<EngineRelease>>,
-    /// Requests of whose attempt the decisions want to know whether it has reached its engine.
+    /// Requests for whose current attempt `Control` has asked whether it has reached its engine.
     delivery_unconfirmed: BTreeSet<RequestId>,
-    /// The client's id of the last request that is over; its release is a liveness check that any engine answers.
+    /// The client-assigned id of the request that finished last. A release of this id serves as a liveness check,
+    /// because any engine answers it.
     last_finished_origin: Option<String>,
-    /// Events that the decisions have not taken yet.
+    /// Events that are not yet passed to `Control`.
     events: Vec<Event>,
     stopping_since: Option<Ms>,
     stopped: bool,
-    /// Whether each event of a request is logged.
+    /// Whether events and actions of requests are logged.
     logs_requests: bool,
-    /// What a rollout is judged by; none where nobody asks for it.
+    /// Statistics for the monitoring of a rollout; `None` unless [`Dispatcher::collect_service_stats`] was
+    /// called.
     service_stats: Option<service_stats::ServiceStats>,
     invariant_counts: InvariantCounts,
-    /// Whether the endpoints are cached for the next start.
+    /// Whether received endpoints are output for caching.
     caches_endpoints: bool,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no endpoints yet. `seed` starts the random draws of the decisions.
+    /// Creates a dispatcher without endpoints. `seed` initializes the random generators of the routing logic and
+    /// of the connect backoff.
     pub fn new(settings: ProgramSettings, seed: u64) -> Self {
         let mut control = Control::new(settings.policy.clone(), seed);
         if settings.limits.http1.is_some() {
@@ -125,26 +131,27 @@
         }
     }
 
-    /// Takes one input at its instant `now`, in milliseconds; an instant before the last counts as the last. Timers that
-    /// are due by then run after it. What is to be done is appended to `outputs`, in its order.
+    /// Handles one input at the instant `now`, in milliseconds. An instant before the previous one counts as the
+    /// previous one. Timers that are due by then run after the input. Outputs are appended to `outputs` in the
+    /// order in which they must be carried out.
     pub fn handle(&mut self, now: Ms, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
-            Input::ClientUp { conn } => self.take_client_up(conn, outputs),
+            Input::ClientConnected { conn } => self.on_client_connected(conn, outputs),
             Input::Client { conn, frame } => self.handle_client_message(conn, frame, outputs),
-            Input::ClientPartly { conn } => self.take_partly(conn),
-            Input::ClientsFull => self.make_room(outputs),
+            Input::ClientRequestBegun { conn } => self.on_client_request_begun(conn),
+            Input::ClientLimitReached => self.evict_client(outputs),
             Input::ClientClosed { conn } => self.on_client_closed(conn, outputs),
-            Input::Flushed {
+            Input::MessagesForwarded {
                 conn,
                 stream,
                 messages,
             } => self.on_messages_forwarded((conn, stream), messages, outputs),
-            Input::ConnectionUp { connection, limit } => {
+            Input::ConnectionEstablished { connection, limit } => {
                 self.on_connection_up(connection, limit, outputs)
             }
             Input::ConnectionDraining { connection } => {
-                self.connections.leaving(connection, &mut self.timers)
+                self.connections.mark_draining(connection, &mut self.timers)
             }
             Input::ConnectionClosed { connection, reason } => {
                 self.on_connection_closed(connection, &reason, outputs)
@@ -168,23 +175,25 @@
             Input::Tick => {}
             Input::Stop => self.begin_stop(outputs),
         }
-        self.settle(outputs);
+        self.run_decisions(outputs);
         while let Some(due) = self.timers.take_due(self.now) {
             self.on_timer(due, outputs);
-            self.settle(outputs);
+            self.run_decisions(outputs);
         }
         self.continue_due_releases(outputs);
-        self.end_stop(outputs);
+        self.complete_stop(outputs);
     }
 
-    /// When [`Self::handle`] wants to be called at the latest, in milliseconds; an earlier `Tick` changes nothing.
+    /// When [`Self::handle`] must be called next at the latest, in milliseconds; `None` if no timer is set. An
+    /// earlier `Tick` has no effect.
     pub fn wants_call_at(&self) -> Option<Ms> {
         self.timers.next_at()
     }
 
-    /// Passes the events to the decisions and carries out what they decide, until nothing more follows. An attempt that no
-    /// connection can take ends at once, which is an event again; a request has few attempts, so this ends.
-    fn settle(&mut self, outputs: &mut Vec<Output>) {
+    /// Passes the pending events to `Control` and carries out its actions until no event remains. An attempt that
+    /// no connection can carry ends at once, which is a further event. The loop ends because the number of
+    /// attempts per request is limited.
+    fn run_decisions(&mut self, outputs: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
@@ -203,12 +212,12 @@
                 if self.logs_requests {
                     self.log_action(&action, outputs);
                 }
-                self.carry_out(action, outputs);
+                self.execute(action, outputs);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action, outputs: &mut Vec<Output>) {
+    fn execute(&mut self, action: Action, outputs: &mut Vec<Output>) {
         match action {
             Action::StartAttempt {
                 request,
@@ -225,7 +234,9 @@
             Action::Fail { request } => self.fail(request, outputs),
             Action::Release { request } => self.release(request, outputs),
             Action::ReleaseInDoubt { request } => self.release_unconfirmed(request, outputs),
-            Action::Confirm { request, attempt } => self.confirm(request, attempt, outputs),
+            Action::Confirm { request, attempt } => {
+                self.confirm_delivery(request, attempt, outputs)
+            }
             Action::Reserve { request, engine } => self.reserve(request, &engine, outputs),
             Action::Migrate { request } => self.migrate(request, outputs),
             Action::SetTimer { delay, timer }
@@ -233,12 +244,12 @@
             {
                 self.timers.set(
                     self.now + delay.max(0.0) + INJECTED_TIMER_DELAY_MS,
-                    Due::Control(timer),
+                    TimerKind::Control(timer),
                 );
             }
             Action::SetTimer { delay, timer } => self
                 .timers
-                .set(self.now + delay.max(0.0), Due::Control(timer)),
+                .set(self.now + delay.max(0.0), TimerKind::Control(timer)),
             Action::HealthCheck { engine } => self.check_health(engine, outputs),
             Action::CloseIdle { engine } => self.close_idle(&engine, outputs),
             Action::SendGossip { to, bytes } => outputs.push(Output::SendGossip { to, bytes }),
@@ -248,31 +259,31 @@
         }
     }
 
-    fn on_timer(&mut self, due: Due, outputs: &mut Vec<Output>) {
+    fn on_timer(&mut self, due: TimerKind, outputs: &mut Vec<Output>) {
         match due {
-            Due::Control(timer) => self.events.push(Event::Timer { timer }),
-            Due::AttemptTimeout(request, attempt) => {
+            TimerKind::Control(timer) => self.events.push(Event::Timer { timer }),
+            TimerKind::AttemptTimeout(request, attempt) => {
                 self.time_out_attempt(request, attempt, outputs)
             }
-            Due::Deadline(id) => self.on_deadline(id, outputs),
-            Due::StreamStall(request, attempt) => {
+            TimerKind::Deadline(id) => self.on_deadline(id, outputs),
+            TimerKind::StreamStall(request, attempt) => {
                 self.check_stream_progress(request, attempt, outputs)
             }
-            Due::Client(conn) => self.look_at_client(conn, outputs),
-            Due::EngineConnections(engine) => self.run_connection_pool(&engine, outputs),
-            Due::HealthCheckTimeout(connection, stream) => {
+            TimerKind::Client(conn) => self.run_client_connection(conn, outputs),
+            TimerKind::EngineConnections(engine) => self.run_connection_pool(&engine, outputs),
+            TimerKind::HealthCheckTimeout(connection, stream) => {
                 self.end_health_check(connection, stream, Outcome::TimedOut, Load::default())
             }
-            Due::StreamTimeout(connection, stream) => {
+            TimerKind::StreamTimeout(connection, stream) => {
                 self.check_unanswered_stream(connection, stream, outputs)
             }
-            Due::HeldStateCheck(request) => self.check_held_state(request, outputs),
-            Due::EngineReleaseRetry(engine) => self.send_engine_releases(&engine, outputs),
-            Due::ReleaseCheck(request) => self.on_release_timer(request, outputs),
-            Due::StopNotice => self.end_notice(outputs),
-            Due::StopMigration => self.migrate_all(outputs),
-            Due::StopGrace => self.end_grace(outputs),
-            Due::StopReleases => {}
+            TimerKind::HeldStateCheck(request) => self.check_held_state(request, outputs),
+            TimerKind::EngineReleaseRetry(engine) => self.send_engine_releases(&engine, outputs),
+            TimerKind::ReleaseCheck(request) => self.on_release_timer(request, outputs),
+            TimerKind::StopAcceptPeriodEnd => self.end_accept_period(outputs),
+            TimerKind::StopMigration => self.migrate_all(outputs),
+            TimerKind::StopGrace => self.end_stop_grace(outputs),
+            TimerKind::StopReleases => {}
         }
     }
 }
--- a/crates/dispatcher/src/state/release_targets.rs
+++ b/crates/dispatcher/src/state/release_targets.rs
@@ -1,27 +1,27 @@
-//! Which engines are asked next to release a KV state, where any engine passes a release on.
+//! Selects the engines to call next for the release of a KV state, where any engine passes a release on.
 
 use super::kv_states::KvState;
 use super::releases::CONFIRMATION_TIMEOUT_DIVISOR;
 use super::*;
 
-/// Each round without an answer asks one engine more at once, up to so many: when nearly all engines are unresponsive, one
-/// after another would take too long.
+/// The maximum number of calls in one round. Each round without an answer calls one more engine in parallel,
+/// because calling them one by one takes too long when nearly all engines are unresponsive.
 const MAX_PARALLEL_CALLS: usize = 4;
 
 impl Dispatcher {
-    /// The engines that the next round asks: the one that holds the KV state, or that most likely runs; one more for each that
-    /// has not answered.
+    /// The engines to call in the next round: first the engine that holds the KV state or else the engine most
+    /// likely to run, and one more for each engine that has not answered.
     pub(super) fn engines_to_ask(
         &self,
         state: &KvState,
         asked_engines: &mut Vec<EngineId>,
     ) -> Vec<EngineId> {
-        let more = asked_engines.len().min(MAX_PARALLEL_CALLS - 1);
+        let extra_calls = asked_engines.len().min(MAX_PARALLEL_CALLS - 1);
         let mut asked: Vec<EngineId> = self
             .holder_to_ask(state, asked_engines)
             .into_iter()
             .collect();
-        while asked.len() < 1 + more {
+        while asked.len() < 1 + extra_calls {
             let Some(next) = self.next_engine(asked_engines, &asked) else {
                 break;
             };
@@ -30,11 +30,12 @@
         asked
     }
 
-    /// The engine that holds the KV state, if it has not been asked, and has responded lately or was to prefill it just now.
+    /// The engine that holds the KV state, if it has not been called in this cycle, and has responded recently or
+    /// had its prefill cancelled.
     ///
-    /// Guards against a release that overtakes the end of a cancelled prefill, which shows as a KV state that stays pinned
-    /// though its release was confirmed: by way of another engine the release could come before the state is there, so the
-    /// holder itself is asked first.
+    /// The holder is called first because a release must not overtake the end of a cancelled prefill. Through
+    /// another engine, the release could arrive before the state exists: it would be confirmed, and the state
+    /// would stay pinned.
     pub(super) fn holder_to_ask(
         &self,
         state: &KvState,
@@ -42,35 +43,39 @@
     ) -> Option<EngineId> {
         let engine = &state.held.engine;
         let may_ask = self.endpoints.status(engine) != EndpointStatus::Gone
-            && !self.connections.is_asked_in_vain(engine);
+            && !self.connections.is_suspected_with_open_call(engine);
         let was_cancelled = state.release.confirmations == 0
-            && state.unaware_engines().any(|other| other == engine);
-        let fits = may_ask
+            && state
+                .engines_not_seen_working()
+                .any(|other| other == engine);
+        let should_ask = may_ask
             && (was_cancelled || self.has_responded_lately(engine))
             && !asked_engines.contains(engine);
-        fits.then(|| engine.clone())
+        should_ask.then(|| engine.clone())
     }
 
-    /// Whether an engine has sent anything within the time in which a release has to be confirmed.
+    /// Whether the engine has sent a message within the time in which a release must be confirmed.
     pub(super) fn has_responded_lately(&self, engine: &EngineId) -> bool {
         self.connections.engine_last_received_at(engine)
             >= self.now - self.settings.policy.kv_state_timeout / CONFIRMATION_TIMEOUT_DIVISOR
     }
 
-    /// The engine that most likely runs, of those that have not been asked: none that has left a call unanswered since its
-    /// last response, if there is another; one that has responded lately and has an idle connection, one that has responded
-    /// lately, or the one that has responded last. Once all were asked it begins anew.
+    /// The engine that is most likely to run, among those not called in this cycle. When all were called, a new
+    /// cycle begins.
     ///
-    /// Guards against many engines that become unresponsive at once, which shows as releases that reach none in time: the
-    /// idle connections of such engines stay up, while those of the engines that work are busy, so an idle connection counts
-    /// only with a recent response.
+    /// An engine that has left a call unanswered since its last message ranks last. Next counts a recent
+    /// response, then an idle connection, then the time of the last response. An idle connection counts only
+    /// together with a recent response: when many engines become unresponsive at once, their idle connections
+    /// stay open, while connections to working engines are busy. Preferring idle connections alone would send
+    /// releases to unresponsive engines until they are late.
     pub(super) fn next_engine(
         &self,
         asked_engines: &mut Vec<EngineId>,
         chosen: &[EngineId],
     ) -> Option<EngineId> {
-        let ready =
-            |(_, row): &(&EngineId, &endpoints::EngineEntry)| row.status == EndpointStatus::Ready;
+        let ready = |(_, entry): &(&EngineId, &endpoints::EngineEntry)| {
+            entry.status == EndpointStatus::Ready
+        };
         let engines: Vec<&EngineId> = self
             .endpoints
             .engines
@@ -79,32 +84,37 @@
             .map(|(engine, _)| engine)
             .collect();
         if engines.iter().all(|engine| asked_engines.contains(engine)) {
-            // The last one asked is not asked again at once, if there is another.
+            // The engine that was called last is not called again at once if there is another.
             let asked = asked_engines.len();
             asked_engines.drain(..asked.saturating_sub(1));
         }
         let rank = |engine: &EngineId| {
-            let fresh = self.has_responded_lately(engine);
-            let rests = fresh && self.connections.up(engine, true).is_some();
+            let responded_lately = self.has_responded_lately(engine);
+            let has_idle_connection = responded_lately
+                && self
+                    .connections
+                    .accepting_connection(engine, true)
+                    .is_some();
             (
                 !self.connections.is_suspected(engine),
-                fresh,
-                rests,
+                responded_lately,
+                has_idle_connection,
                 self.connections.engine_last_received_at(engine),
             )
         };
-        let order = |a: &&EngineId, b: &&EngineId| {
+        let by_rank = |a: &&EngineId, b: &&EngineId| {
             let (a, b) = (rank(a), rank(b));
             (a.0, a.1, a.2)
                 .cmp(&(b.0, b.1, b.2))
                 .then(a.3.total_cmp(&b.3))
         };
-        // Guards against a storm of calls, which shows as many connections to one unresponsive engine: all requests that are
-        // open there would ask it. One that has left a call unanswered gets no other while one is open there.
+        // A suspected engine gets no second call while one is open there. Otherwise each request that is open there
+        // would call it, with many connections to one unresponsive engine.
         let unasked = engines
             .into_iter()
             .filter(|engine| !asked_engines.contains(engine) && !chosen.contains(engine));
-        let unasked = unasked.filter(|engine| !self.connections.is_asked_in_vain(engine));
-        unasked.max_by(order).cloned()
+        let unasked =
+            unasked.filter(|engine| !self.connections.is_suspected_with_open_call(engine));
+        unasked.max_by(by_rank).cloned()
     }
 }
--- a/crates/dispatcher/src/state/release_waits.rs
+++ b/crates/dispatcher/src/state/release_waits.rs
@@ -1,17 +1,16 @@
-//! When a release has to wait for an attempt of its request.
+//! Decides when the release of a KV state waits for an attempt of its request.
 
 use super::kv_states::KvState;
 use super::*;
 
-/// Where a release waits for an attempt of its request, the KV state timeout divided by this is the time after which the
-/// attempt's engine is asked whether it runs.
+/// While a release waits for an attempt, the attempt's engine is sent a liveness check after the KV state
+/// timeout divided by this.
 const LIVENESS_CHECK_DIVISOR: f64 = 4.0;
-/// The KV state timeout divided by this is the time after which an attempt that is not known to have arrived is waited for no
-/// longer.
+/// A release waits for an attempt whose delivery is unknown for the KV state timeout divided by this.
 const UNCONFIRMED_ATTEMPT_DIVISOR: f64 = 2.0;
 
 impl Dispatcher {
-    /// The open request that goes by the id for which a KV state is held, and its current attempt.
+    /// The open request with the client-assigned id for which the KV state is held, and its current attempt.
     pub(super) fn open_request(
         &self,
         state: &KvState,
@@ -20,8 +19,8 @@
         Some((id, self.current_attempt(id)))
     }
 
-    /// Whether the request that goes by the id of a KV state has a current attempt.
-    pub(super) fn is_attempted(&self, request_id: RequestId) -> bool {
+    /// Whether an open request with the client-assigned id of the KV state has a current attempt.
+    pub(super) fn has_current_attempt(&self, request_id: RequestId) -> bool {
         let request = self
             .kv_states
             .get(request_id)
@@ -29,10 +28,10 @@
         request.is_some_and(|(_, attempt)| attempt.is_some())
     }
 
-    /// Whether a release would end what its request still needs, as a release by the request's id ends the KV state of the
-    /// next prefill as well. A decode attempt for a state that the decisions have released needs nothing, nor does a prefill
-    /// that has not arrived.
-    pub(super) fn is_needed(&self, state: &KvState) -> bool {
+    /// Whether the open request still needs what a release would end. A release by the request's id also ends the
+    /// KV state of the next prefill. A decode attempt for a state that `Control` has released needs nothing, and
+    /// neither does a prefill that has not reached its engine.
+    pub(super) fn is_still_needed(&self, state: &KvState) -> bool {
         let Some((id, attempt)) = self.open_request(state) else {
             return false;
         };
@@ -45,18 +44,19 @@
         let is_available = self
             .kv_states
             .available(id)
-            .is_some_and(|state| !state.is_release_wanted());
+            .is_some_and(|state| !state.is_release_pending());
         is_available || attempt.is_some_and(needs)
     }
 
-    /// How long a release waits for a prefill that may not have arrived.
+    /// How long a release waits for a prefill whose delivery is unknown, in milliseconds.
     pub(super) fn unconfirmed_attempt_wait(&self) -> Ms {
         self.settings.policy.kv_state_timeout / UNCONFIRMED_ATTEMPT_DIVISOR
     }
 
-    /// Since when a release waits for an attempt that may not have arrived, in milliseconds. A release that has gone out before waits for each prefill anew.
+    /// Since when a release has waited for an attempt whose delivery is unknown, in milliseconds. Once the
+    /// release was called, the wait restarts with each prefill.
     pub(super) fn unconfirmed_since(&self, state: &KvState, attempt: &requests::Attempt) -> Ms {
-        let wanted = state.release.wanted_since;
+        let wanted = state.release.pending_since;
         if state.release.calls > 0 {
             wanted.max(attempt.started_at)
         } else {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// A release waits for an attempt of its request. Where that may not have arrived, its engine is asked whether it runs;
-    /// without an answer the release goes out in time.
+    /// Makes a release wait for an attempt of its request. If it is unknown whether the attempt has reached its
+    /// engine, the engine is sent a liveness check. Without an answer, the release is sent when the wait ends.
     pub(super) fn wait_for_attempt(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(state) = self.kv_states.get_mut(request_id) else {
             return;
@@ -82,23 +82,24 @@
         if let Some(attempt) =
             attempt.filter(|attempt| !attempt.first_token_sent && !self.has_arrived(attempt))
         {
-            let from = self.unconfirmed_since(state, attempt);
-            let asks_at = from + self.settings.policy.kv_state_timeout / LIVENESS_CHECK_DIVISOR;
-            next_check_at = if self.now < asks_at {
-                asks_at
+            let waiting_since = self.unconfirmed_since(state, attempt);
+            let liveness_check_at =
+                waiting_since + self.settings.policy.kv_state_timeout / LIVENESS_CHECK_DIVISOR;
+            next_check_at = if self.now < liveness_check_at {
+                liveness_check_at
             } else {
-                from + self.unconfirmed_attempt_wait()
+                waiting_since + self.unconfirmed_attempt_wait()
             };
             let (attempt_id, confirmation_requested) = (attempt.id, attempt.confirmation_requested);
-            if self.now >= asks_at && !confirmation_requested {
-                self.confirm(open_id, attempt_id, outputs);
+            if self.now >= liveness_check_at && !confirmation_requested {
+                self.confirm_delivery(open_id, attempt_id, outputs);
             }
         }
         self.schedule_release_check(request_id, next_check_at.max(self.now));
     }
 
-    /// An attempt of a request is over: a KV state that was offered to it is held again, and one that is to be released can
-    /// be.
+    /// Updates the KV state of a request whose attempt has ended: a state that was offered to the attempt is held
+    /// again, and a pending release no longer waits for the attempt.
     pub(super) fn settle_kv_state(
         &mut self,
         request_id: RequestId,
@@ -111,11 +112,11 @@
         );
         let was_sent = ended.sent_at.is_some() && self.settings.limits.http1.is_some();
         let unacknowledged_at = (is_unacknowledged && was_sent).then(|| ended.engine.clone());
-        let holds_anew = outcome == Outcome::PrefillDone || self.has_arrived(ended);
+        let restarts_hold_time = outcome == Outcome::PrefillDone || self.has_arrived(ended);
         if let Some(state) = self
             .kv_states
             .get_mut(request_id)
-            .filter(|state| state.is_available() && holds_anew)
+            .filter(|state| state.is_available() && restarts_hold_time)
         {
             state.held_since = self.now;
         }
--- a/crates/dispatcher/src/state/request_log.rs
+++ b/crates/dispatcher/src/state/request_log.rs
@@ -1,17 +1,17 @@
-//! The request log: a line for each event and action of a request, so that one request can be followed by the id that its
-//! client gave it through every dispatcher that had it. Made only where it is asked for
-//! ([`Dispatcher::enable_request_log`]).
+//! The request log: one line for each event and action of a request, at debug level. The id that the client
+//! has assigned identifies a request across all dispatchers that have handled it. The log is off unless
+//! [`Dispatcher::enable_request_log`] was called.
 
 use super::*;
 use std::fmt::Write;
 
 impl Dispatcher {
-    /// Logs each event and action of a request from now on, at level debug.
+    /// Starts to log each event and action of a request at debug level.
     pub fn enable_request_log(&mut self) {
         self.logs_requests = true;
     }
 
-    /// Logs an event, before the decisions take it.
+    /// Logs an event before it is passed to `Control`.
     pub(super) fn log_event(&self, event: &Event, outputs: &mut Vec<Output>) {
         let text = match event {
             Event::Arrived(arrival) => self.arrival_text(arrival),
@@ -61,7 +61,7 @@
         outputs.push(Output::log(Level::Debug, text));
     }
 
-    /// Logs an action, before it is carried out.
+    /// Logs an action before it is carried out.
     pub(super) fn log_action(&self, action: &Action, outputs: &mut Vec<Output>) {
         let text = match action {
             Action::StartAttempt {
@@ -119,7 +119,7 @@
         )
     }
 
-    /// A request by its number here and its id at its client.
+    /// The request's number at this dispatcher and the id that its client has assigned.
     fn request_label(&self, request_id: RequestId) -> String {
         let origin = self
             .requests
--- a/crates/dispatcher/src/state/requests.rs
+++ b/crates/dispatcher/src/state/requests.rs
@@ -1,70 +1,70 @@
-//! The dispatcher's record of a request and of its current attempt. All instants are in milliseconds.
+//! The dispatcher's records of a request and its current attempt. All instants are in milliseconds.
 
 use super::{ClientConnectionId, EngineConnectionId, StreamId};
 use cindercleat::interface::{AttemptId, EngineId, Ms, RetrySafety};
 use cindercleat_protocol::v1;
 
-/// A client's stream: its connection and its own number for the request.
+/// The client stream of a request: the client connection and the stream id that the client has chosen.
 pub(super) type ClientStream = (ClientConnectionId, StreamId);
 
-/// An open request, or one that is answered and has an attempt or a KV state yet.
+/// A request that is open, or that is answered but still has an attempt or a KV state.
 #[derive(Debug)]
 pub(super) struct Request {
     pub client_stream: ClientStream,
     pub submit: v1::Submit,
-    /// When the client gives up, unless a stream has begun.
+    /// When the client stops waiting for the first token.
     pub deadline: Ms,
-    /// By when its first token is due, by the latency objective of its request class.
+    /// When the first token is due, by the latency objective of the request class.
     pub first_token_due_at: Ms,
-    /// Whether its first token came later.
+    /// Whether the first token was sent after `first_token_due_at`.
     pub first_token_late: bool,
-    /// Whether its one final answer is out, or its client has gone and none is owed.
+    /// Whether no final answer is owed any more: it was sent, or the client has gone.
     pub answered: bool,
-    /// How many attempts were started; the id of the next one.
+    /// The number of attempts started so far; also the id of the next attempt.
     pub attempts: u32,
-    /// The attempt that has not ended.
+    /// The attempt that has not ended; `None` between attempts.
     pub current_attempt: Option<Attempt>,
-    /// Whether any attempt of it went out on a connection that was up.
+    /// Whether any attempt was sent on an established connection.
     pub was_sent: bool,
     pub retry_safety: RetrySafety,
-    /// The first attempt of it that may have run.
+    /// The first attempt that may have run; `None` as long as a retry repeats nothing.
     pub first_possible_run: Option<PossibleRun>,
 }
 
-/// The attempt of a request that has not ended.
+/// An attempt that has not ended.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub id: AttemptId,
     pub engine: EngineId,
     pub connection: EngineConnectionId,
     pub stream: StreamId,
-    /// Whether it leaves a KV state at its engine, and no tokens.
+    /// Whether the attempt only prefills: it leaves a KV state at its engine and streams no tokens.
     pub is_prefill: bool,
     pub started_at: Ms,
-    /// When it went out on a connection that was up.
+    /// When the attempt was sent on an established connection; `None` while it is queued.
     pub sent_at: Option<Ms>,
-    /// Whether the decisions have asked if it has arrived.
+    /// Whether `Control` has asked if the attempt has reached its engine.
     pub confirmation_requested: bool,
-    /// When it times out, unless its stream has begun.
+    /// When the attempt times out unless its stream has begun.
     pub expires_at: Ms,
-    /// Whether its stream has begun: the first token went to the client.
+    /// Whether the stream has begun: the first token was sent to the client.
     pub first_token_sent: bool,
-    /// Where the next token message must begin.
+    /// The position that the next token message must have.
     pub position: u32,
-    /// Token messages that have come from the decode engine.
+    /// The number of token messages received from the decode engine.
     pub messages_received: u32,
-    /// Token messages that were written to the client.
+    /// The number of token messages written to the client.
     pub messages_forwarded: u32,
-    /// Token messages that the decode engine may send in all.
+    /// The total number of token messages that the decode engine may send.
     pub messages_credited: u32,
-    /// When the last token message came.
+    /// When the last token message was received.
     pub last_received_at: Ms,
     /// When the last token message was written to the client.
     pub last_forwarded_at: Ms,
 }
 
 impl Request {
-    /// Its current attempt has gone out on a connection that is up.
+    /// Records that the current attempt was sent on an established connection.
     pub fn mark_sent(&mut self, now: Ms) {
         self.was_sent = true;
         if let Some(attempt) = &mut self.current_attempt {
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Whether no attempt is current and no answer is owed.
+    /// Whether no final answer is owed and no attempt is current.
     pub fn is_finished(&self) -> bool {
         self.answered && self.current_attempt.is_none()
     }
 
-    /// The id that its client gave it; empty if none.
+    /// The id that the client assigned to the request; empty if it assigned none.
     pub fn origin(&self) -> String {
         self.submit
             .origin
@@ -86,7 +86,7 @@
             .unwrap_or_default()
     }
 
-    /// Whether tokens of its current attempt have gone to the client.
+    /// Whether tokens of the current attempt were sent to the client.
     pub fn has_stream(&self) -> bool {
         self.current_attempt
             .as_ref()
@@ -94,11 +94,11 @@
     }
 }
 
-/// The first attempt of a request that may have run: where and when it was sent.
+/// Where and when the first attempt that may have run was started.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct PossibleRun {
     pub zone: String,
     pub cell: String,
-    /// In milliseconds.
-    pub at: Ms,
+    /// When the attempt was started, in milliseconds.
+    pub started_at: Ms,
 }
--- a/crates/dispatcher/src/state/service_stats.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -1,5 +1,5 @@
-//! Statistics for dispatchers that watch a rollout together: how this dispatcher's requests have ended, and what
-//! engines have reported about their load. Collected only where they are asked for.
+//! Statistics for dispatchers that monitor a rollout together: the outcomes of this dispatcher's requests,
+//! and the load that engines have reported. They are collected on request only.
 
 use cindercleat::coordination::disruption_budget::OutcomeCounts;
 use cindercleat::coordination::membership::EngineReport;
@@ -9,14 +9,14 @@
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// What is known of one engine.
+/// The statistics of one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct EngineStats {
-    /// The used fraction of its capacity, and when it was reported.
+    /// The used fraction of the engine's capacity, and when it was reported; `None` if never reported.
     used: Option<(f64, Ms)>,
-    /// How attempts ended since the engine was last reported on.
+    /// The outcomes of attempts since the last report on the engine.
     tally: OutcomeCounts,
-    /// Whether nothing has changed since the engine was last reported on.
+    /// Whether nothing has changed since the last report on the engine.
     is_reported: bool,
 }
 
@@ -25,12 +25,12 @@
 pub(super) struct ServiceStats {
     tally: OutcomeCounts,
     engines: BTreeMap<EngineId, EngineStats>,
-    /// The last engine that was reported on; reports go on behind it, so that each engine gets its turn.
+    /// The engine that was reported on last. The next reports continue after it, so every engine gets its turn.
     last_reported: Option<EngineId>,
 }
 
 impl ServiceStats {
-    /// A request got its final answer. `late`: it missed its latency objective.
+    /// Counts the final answer of a request. `late` is whether its first token missed the latency objective.
     pub fn answered(&mut self, answer: v1::Answer, late: bool) {
         match answer {
             v1::Answer::Succeeded => {
@@ -42,12 +42,12 @@
         }
     }
 
-    /// How all requests have ended so far.
+    /// The outcomes of all requests so far.
     pub fn tally(&self) -> OutcomeCounts {
         self.tally
     }
 
-    /// Learns about an engine from an event for the decisions.
+    /// Records the load and the outcome in an event for `Control`.
     pub fn observe(&mut self, now: Ms, event: &Event) {
         let (engine, load, outcome) = match event {
             Event::Ended(ended) => (&ended.engine, ended.load, Some(ended.outcome)),
@@ -65,13 +65,14 @@
         }
     }
 
-    /// The used fraction of an engine's capacity, and the age of that report in milliseconds.
+    /// The used fraction of an engine's capacity, and the age of that value in milliseconds; `None` if never
+    /// reported.
     pub fn used(&self, now: Ms, engine: &EngineId) -> Option<(f64, Ms)> {
         let (used, at) = self.engines.get(engine)?.used?;
         Some((used, now - at))
     }
 
-    /// Reports on up to `max` engines about which there is news, round robin.
+    /// Returns reports on up to `max` engines with news, round robin.
     pub fn reports(&mut self, now: Ms, max: usize) -> Vec<EngineReport> {
         let engines = self.next_with_news(max);
         if let Some(last) = engines.last() {
@@ -83,7 +84,7 @@
             .collect()
     }
 
-    /// The engines with news, in order, beginning behind the last that was reported on.
+    /// Up to `max` engines with news, in order, starting after the engine that was reported on last.
     fn next_with_news(&self, max: usize) -> Vec<EngineId> {
         let after_last = match &self.last_reported {
             Some(last) => (Excluded(last), Unbounded),
@@ -113,7 +114,7 @@
     }
 }
 
-/// The count that an attempt's outcome belongs to; `None` if it says nothing about the engine.
+/// The counter for the outcome of an attempt; `None` if the outcome says nothing about the engine.
 fn count_of(tally: &mut OutcomeCounts, outcome: Outcome) -> Option<&mut u64> {
     match outcome {
         Outcome::Succeeded | Outcome::PrefillDone => Some(&mut tally.succeeded),
@@ -123,8 +124,8 @@
     }
 }
 
-/// The used fraction of an engine's capacity: of its slots or its memory, whichever is fuller. `None` if it reports
-/// neither.
+/// The used fraction of an engine's capacity: of its slots or its memory, whichever is fuller. `None` if the
+/// engine reports neither.
 fn used_fraction(load: &Load) -> Option<f64> {
     match (load.slots_used, load.memory_held) {
         (None, None) => None,
--- a/crates/dispatcher/src/state/shutdown.rs
+++ b/crates/dispatcher/src/state/shutdown.rs
@@ -1,21 +1,21 @@
-//! The stop: a notice in which requests are still taken, a grace in which what is open may end, and the releases that
-//! are waited for after it.
+//! The stop of a dispatcher: an accept period in which new requests are still taken, a grace period in which
+//! open requests may end, and a wait for the releases of KV states.
 
 use super::*;
 
-/// How often streams that begin after the first migration of a stop are migrated as well.
+/// The interval at which streams that begin after the first migration are migrated as well.
 const MIGRATION_INTERVAL_MS: Ms = 100.0;
 
 impl Dispatcher {
-    /// Completes the stop, once nothing is open. A KV state is released when its engine confirms it, and a stop waits for
-    /// that; an engine that does not answer delays it by the KV state timeout at most.
-    pub(super) fn end_stop(&mut self, outputs: &mut Vec<Output>) {
+    /// Completes the stop once no request is open and all releases are confirmed. Releases that are not confirmed
+    /// delay the stop by the KV state timeout after the grace period at most.
+    pub(super) fn complete_stop(&mut self, outputs: &mut Vec<Output>) {
         if let (Some(since), false) = (self.stopping_since, self.stopped) {
-            let latest =
+            let give_up_at =
                 since + self.settings.limits.stop_grace + self.settings.policy.kv_state_timeout;
             if self.requests.is_empty()
-                && self.is_closed()
-                && (!self.releasing() || self.now >= latest)
+                && self.rejects_new_requests()
+                && (!self.has_unconfirmed_releases() || self.now >= give_up_at)
             {
                 self.stopped = true;
                 outputs.push(Output::Stopped);
@@ -23,42 +23,48 @@
         }
     }
 
-    /// Begins the stop, unless it has begun.
+    /// Begins the stop; has no effect if it has begun.
     pub(super) fn begin_stop(&mut self, outputs: &mut Vec<Output>) {
         if self.stopping_since.is_none() {
             self.stopping_since = Some(self.now);
-            let grace = self.now + self.settings.limits.stop_grace;
-            self.timers.set(grace, Due::StopGrace);
+            let grace_end = self.now + self.settings.limits.stop_grace;
+            self.timers.set(grace_end, TimerKind::StopGrace);
             self.timers.set(
-                grace + self.settings.policy.kv_state_timeout,
-                Due::StopReleases,
+                grace_end + self.settings.policy.kv_state_timeout,
+                TimerKind::StopReleases,
             );
             if let Some(after) = self.settings.limits.stop_streams_after {
-                self.timers.set(self.now + after, Due::StopMigration);
+                self.timers.set(self.now + after, TimerKind::StopMigration);
             }
-            let notice = self.settings.limits.stop_accept_period;
-            if notice > 0.0 {
-                // Clients with an open request are asked to leave with its answer, the others at the end of the notice.
-                let open: BTreeSet<ClientConnectionId> =
+            let accept_period = self.settings.limits.stop_accept_period;
+            if accept_period > 0.0 {
+                // Clients with an open request are asked to leave with its answer, the others at the end of the
+                // accept period.
+                let with_open_requests: BTreeSet<ClientConnectionId> =
                     self.client_streams.keys().map(|(conn, _)| *conn).collect();
-                outputs.extend(open.into_iter().map(|conn| Output::DrainClient { conn }));
-                self.timers.set(self.now + notice, Due::StopNotice);
+                outputs.extend(
+                    with_open_requests
+                        .into_iter()
+                        .map(|conn| Output::DrainClient { conn }),
+                );
+                self.timers
+                    .set(self.now + accept_period, TimerKind::StopAcceptPeriodEnd);
             } else {
-                self.end_notice(outputs);
+                self.end_accept_period(outputs);
             }
             let text = format!("stopping with {} requests open", self.requests.len());
             outputs.push(Output::log(Level::Info, text));
         }
     }
 
-    /// Whether new requests are rejected.
-    pub(super) fn is_closed(&self) -> bool {
+    /// Whether the accept period of a stop is over, so that new requests are rejected.
+    pub(super) fn rejects_new_requests(&self) -> bool {
         self.stopping_since
             .is_some_and(|since| self.now >= since + self.settings.limits.stop_accept_period)
     }
 
-    /// New requests are rejected from now on.
-    pub(super) fn end_notice(&mut self, outputs: &mut Vec<Output>) {
+    /// Ends the accept period: all clients are asked to leave, and new requests are rejected.
+    pub(super) fn end_accept_period(&mut self, outputs: &mut Vec<Output>) {
         outputs.extend(
             self.client_connections
                 .all()
@@ -66,23 +72,23 @@
         );
     }
 
-    /// Guards against streams that outlast this process, which show as many clients that lose theirs at once and look for
-    /// another dispatcher when there may be none: they are migrated while the process still runs, each in good order.
+    /// Migrates all open streams to other dispatchers while this process still runs. Otherwise many clients would
+    /// lose their streams at once when it ends, and look for another dispatcher when there may be none.
     pub(super) fn migrate_all(&mut self, outputs: &mut Vec<Output>) {
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
             self.migrate(id, outputs);
         }
-        // Streams that begin from now on are migrated soon as well.
+        // Streams that begin from now on are migrated at the next interval.
         if !self.requests.is_empty() {
             self.timers
-                .set(self.now + MIGRATION_INTERVAL_MS, Due::StopMigration);
+                .set(self.now + MIGRATION_INTERVAL_MS, TimerKind::StopMigration);
         }
     }
 
-    /// Requests that are open at the end of the grace are answered: rejected if nothing of them ever went out, else
-    /// failed, as they may have run. Their attempts are cancelled and their KV states released.
-    pub(super) fn end_grace(&mut self, outputs: &mut Vec<Output>) {
+    /// Answers the requests that are open at the end of the grace period. A request of which nothing was sent is
+    /// rejected; any other is failed, because it may have run. Attempts are cancelled and KV states released.
+    pub(super) fn end_stop_grace(&mut self, outputs: &mut Vec<Output>) {
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
             let Some(request) = self.requests.get(&id) else {
@@ -98,10 +104,10 @@
         }
     }
 
-    /// Whether a release is open that no engine has confirmed yet. A stop does not wait for releases to be repeated: the
-    /// platform frees what a process leaves that has ended.
-    pub(super) fn releasing(&self) -> bool {
-        let open = self.engine_releases() + self.kv_states.unconfirmed_count();
-        !fault_injection::is_injected(InjectedFault::StopDropsReleases) && open > 0
+    /// Whether a release is pending that no engine has confirmed. A stop does not wait for repeats of confirmed
+    /// releases: the platform frees what an ended process leaves.
+    pub(super) fn has_unconfirmed_releases(&self) -> bool {
+        let unconfirmed = self.engine_releases() + self.kv_states.unconfirmed_count();
+        !fault_injection::is_injected(InjectedFault::StopDropsReleases) && unconfirmed > 0
     }
 }
--- a/crates/dispatcher/src/state/status.rs
+++ b/crates/dispatcher/src/state/status.rs
@@ -1,5 +1,4 @@
-//! What a dispatcher reports of itself to the process that runs it: whether it is ready, how full it is, what it has
-//! served.
+//! Status of the dispatcher for the process that runs it: readiness, utilization and statistics.
 
 use super::*;
 
@@ -9,57 +8,63 @@
         self.endpoints.is_known() && self.stopping_since.is_none()
     }
 
-    /// The fraction of the requests that may be open which is open, from 0 to 1.
+    /// The number of open requests as a fraction of the maximum, from 0 to 1.
     pub fn open_fraction(&self) -> f64 {
         let most = self.settings.limits.max_open_requests.max(1);
         self.requests.len() as f64 / most as f64
     }
 
-    /// The version of the newest update of the endpoints; 0 if there was none.
+    /// The version of the newest endpoint update; 0 if none was received.
     pub fn list_version(&self) -> u64 {
         self.endpoints.version
     }
 
-    /// That version, if endpoints are known at all.
+    /// The version of the newest endpoint update, or `None` if no endpoint is known.
     pub fn known_version(&self) -> Option<u64> {
         self.endpoints.is_known().then_some(self.endpoints.version)
     }
 
-    /// Nobody caches the endpoints for the next start: [`Output::CacheEndpoints`] is not made.
+    /// Stops the output of [`Output::CacheEndpoints`], for a driver that has no cache file.
     pub fn disable_endpoint_cache(&mut self) {
         self.caches_endpoints = false;
     }
 
-    /// Counts from now on how requests end, and keeps the load that engines report.
+    /// Starts to count the outcomes of requests and to record the load that engines report.
     pub fn collect_service_stats(&mut self) {
         self.service_stats = Some(service_stats::ServiceStats::default());
     }
 
-    /// How requests ended since [`Self::collect_service_stats`], and reports on at most `most` engines of which something is
-    /// new. `now`: in milliseconds. Empty where nothing is collected.
-    pub fn recorded(&mut self, now: Ms, most: usize) -> (OutcomeCounts, Vec<EngineReport>) {
+    /// Returns the outcomes of all requests since [`Self::collect_service_stats`], and reports on up to `most`
+    /// engines with news since their last report. `now` is in milliseconds. Both are empty if nothing is
+    /// collected.
+    pub fn take_service_stats(
+        &mut self,
+        now: Ms,
+        most: usize,
+    ) -> (OutcomeCounts, Vec<EngineReport>) {
         let Some(service_stats) = &mut self.service_stats else {
             return Default::default();
         };
         (service_stats.tally(), service_stats.reports(now, most))
     }
 
-    /// The engines as the endpoints have them. `now`: in milliseconds on the clock of the endpoints' start times.
-    pub fn units(&self, now: Ms) -> Vec<Unit> {
+    /// The engines in the endpoint list, as units of a rollout. `now` is in milliseconds on the clock of the
+    /// endpoints' start times.
+    pub fn engine_units(&self, now: Ms) -> Vec<Unit> {
         let slow_start_window = self.settings.policy.slow_start_window;
-        let unit = |(engine, row): (&EngineId, &endpoints::EngineEntry)| {
-            let started = row.line.started_ms.filter(|at| at.is_finite());
+        let unit = |(engine, entry): (&EngineId, &endpoints::EngineEntry)| {
+            let started = entry.endpoint.started_ms.filter(|at| at.is_finite());
             let cold = started.is_some_and(|at| now < at + slow_start_window);
             Unit {
                 name: Name(engine.0.clone()),
                 incarnation: Incarnation(started.map_or(0, f64::to_bits)),
-                address: Address::from(row.line.address.as_str()),
-                zone: row.line.zone.clone(),
-                cell: row.line.cell.clone(),
-                kind: row.line.kind.clone(),
-                role: Some(row.role),
+                address: Address::from(entry.endpoint.address.as_str()),
+                zone: entry.endpoint.zone.clone(),
+                cell: entry.endpoint.cell.clone(),
+                kind: entry.endpoint.kind.clone(),
+                role: Some(entry.role),
                 label: String::new(),
-                status: match row.status {
+                status: match entry.status {
                     EndpointStatus::Ready if cold => ServiceStatus::Starting,
                     EndpointStatus::Ready => ServiceStatus::InService,
                     EndpointStatus::Draining => ServiceStatus::Draining,
@@ -75,35 +80,35 @@
         self.endpoints.engines.iter().map(unit).collect()
     }
 
-    /// How much is in use, for logs and for tests of what must not grow.
+    /// The sizes of the dispatcher's tables, for logs and for tests against leaks.
     pub fn usage(&self) -> Usage {
         Usage {
             requests: self.requests.len(),
             connections: self.connections.len(),
             timers: self.timers.len(),
             engines: self.endpoints.engines.len(),
-            releases: self.engine_releases() + self.kv_states.release_wanted_count(),
+            releases: self.engine_releases() + self.kv_states.pending_release_count(),
         }
     }
 
-    /// Releases, where a state belongs to its engine, which that engine has not confirmed.
+    /// The number of releases that the engine which holds the KV state has not confirmed, queued ones included.
     pub(super) fn engine_releases(&self) -> usize {
         let queued: usize = self.pending_engine_releases.values().map(Vec::len).sum();
-        queued + self.connections.releasing()
+        queued + self.connections.open_engine_release_count()
     }
 }
 
-/// How much a dispatcher has in use.
+/// The sizes of the dispatcher's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Open requests, and those with an attempt or a KV state.
+    /// Requests that are open, or that still have an attempt or a KV state.
     pub requests: usize,
-    /// Connections to engines.
+    /// Connections to engines, including those being dialled.
     pub connections: usize,
-    /// Timers, of which some have no cause any more.
+    /// Timers in the queue, including those that no longer apply.
     pub timers: usize,
-    /// Engines of which anything is known.
+    /// Engines in the endpoint table.
     pub engines: usize,
-    /// Releases that no engine has confirmed.
+    /// Releases that are pending or not confirmed.
     pub releases: usize,
 }
--- a/crates/dispatcher/src/state/stream_purpose.rs
+++ b/crates/dispatcher/src/state/stream_purpose.rs
@@ -1,34 +1,35 @@
-//! What a stream of a connection to an engine is for.
+//! The purposes of streams on connections to engines.
 
 use super::kv_states::{Held, ReleaseCall};
 use cindercleat::interface::{AttemptId, Ms, RequestId};
 
-/// What a stream of a connection is for.
+/// The call that a stream on an engine connection carries.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum StreamPurpose {
     /// An attempt of a request.
     Attempt(RequestId, AttemptId),
     /// A health check.
     HealthCheck {
-        /// When it was sent, in milliseconds.
+        /// When the health check was sent, in milliseconds.
         sent_at: Ms,
     },
-    /// Asked to reserve a place for the decode attempt that follows a prefill.
+    /// Reserves a slot for the decode attempt that follows the given prefill attempt.
     Reservation(RequestId, AttemptId),
-    /// Asked to release the KV state of a request, wherever it is held.
+    /// Releases the KV state of a request. Any engine accepts the call and passes it on to the engine that holds
+    /// the state.
     Release(ReleaseCall),
-    /// Asked to release a KV state that this engine holds.
+    /// Releases a KV state that the called engine holds.
     EngineRelease(EngineRelease),
-    /// Asked only to find out whether the engine runs.
+    /// Checks only whether the engine runs.
     LivenessCheck,
-    /// Given up here: what still comes is ignored, except for the KV state of a prefill that ends late.
+    /// Abandoned by this side. Messages are ignored, except for the KV state of a prefill that ends late.
     Abandoned,
 }
 
-/// A release that its engine has not confirmed yet.
+/// A release that the engine which holds the KV state has not confirmed.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct EngineRelease {
     pub held: Held,
-    /// Since when the release is wanted, in milliseconds.
+    /// When the release was requested, in milliseconds.
     pub since: Ms,
 }
--- a/crates/dispatcher/src/state/timers.rs
+++ b/crates/dispatcher/src/state/timers.rs
@@ -1,46 +1,48 @@
-//! Timers, earliest first; those of one instant in the order in which they were set.
+//! The timer queue. Timers fire in the order of their instants; timers of the same instant fire in the order
+//! in which they were set.
 
 use super::{ClientConnectionId, EngineConnectionId, StreamId};
 use cindercleat::interface::{AttemptId, EngineId, Ms, RequestId, TimerId};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// What a timer is for. Timers are not cancelled: who is called checks whether there is still cause.
+/// What a timer does when it fires. Timers are never cancelled: each handler checks whether its timer still
+/// applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Due {
-    /// A timer that the decisions have set.
+pub(super) enum TimerKind {
+    /// Passes a timer to the routing logic, which has set it.
     Control(TimerId),
-    /// The time that the decisions gave an attempt has passed.
+    /// Times out an attempt at the instant that the routing logic has set.
     AttemptTimeout(RequestId, AttemptId),
-    /// The deadline of a request has passed.
+    /// Fails a request that has no answer and no stream at its deadline.
     Deadline(RequestId),
-    /// A stream may have stalled.
+    /// Checks whether a stream has stalled.
     StreamStall(RequestId, AttemptId),
-    /// Something is due for a client's connection.
+    /// Pings, closes or drains a client connection.
     Client(ClientConnectionId),
-    /// Something is due for the connections to this engine.
+    /// Dials, pings or closes connections to an engine.
     EngineConnections(EngineId),
-    /// A health check was not answered in time.
+    /// Times out a health check that has no answer.
     HealthCheckTimeout(EngineConnectionId, StreamId),
-    /// An abandoned stream should have ended, or a call on it should have been answered.
+    /// Closes a connection if an abandoned stream has not ended, or a call on it has no answer.
     StreamTimeout(EngineConnectionId, StreamId),
-    /// The KV state of this request may have been held for too long.
+    /// Checks whether the KV state of a request was held for too long.
     HeldStateCheck(RequestId),
-    /// Releases to this engine that were lost are sent again.
+    /// Sends unconfirmed releases to an engine again.
     EngineReleaseRetry(EngineId),
-    /// The release of this request's KV state is continued.
+    /// Continues the release of the KV state of a request.
     ReleaseCheck(RequestId),
-    /// The notice of a stop is over: new requests are rejected.
-    StopNotice,
-    /// In a stop, streams are migrated to other dispatchers.
+    /// Ends the accept period of a stop: new requests are rejected from then on.
+    StopAcceptPeriodEnd,
+    /// Migrates open streams to other dispatchers during a stop.
     StopMigration,
-    /// The grace of a stop is over: what is open is answered.
+    /// Ends the grace period of a stop: open requests are answered.
     StopGrace,
-    /// Releases after the grace of a stop have had their time.
+    /// Completes a stop even if releases are still unconfirmed.
     StopReleases,
 }
 
-/// An instant in milliseconds, as a key: ordered in total.
+/// An instant in milliseconds with a total order, for use as a map key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct At(Ms);
 
@@ -58,33 +60,33 @@
     }
 }
 
-/// All timers of a dispatcher.
+/// All timers of a dispatcher, ordered by instant.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
-    queue: BTreeMap<(At, u64), Due>,
-    /// How many were set: orders those of one instant.
+    queue: BTreeMap<(At, u64), TimerKind>,
+    /// How many timers were set so far; orders timers of the same instant.
     set_count: u64,
 }
 
 impl Timers {
     /// Sets a timer for the instant `at`, in milliseconds.
-    pub fn set(&mut self, at: Ms, due: Due) {
+    pub fn set(&mut self, at: Ms, due: TimerKind) {
         self.set_count += 1;
         self.queue.insert((At(at), self.set_count), due);
     }
 
-    /// When the earliest timer is due.
+    /// When the earliest timer is due, in milliseconds; `None` if no timer is set.
     pub fn next_at(&self) -> Option<Ms> {
         self.queue.first_key_value().map(|((at, _), _)| at.0)
     }
 
-    /// Removes the earliest timer, if it is due.
-    pub fn take_due(&mut self, now: Ms) -> Option<Due> {
+    /// Removes and returns the earliest timer if it is due at `now`.
+    pub fn take_due(&mut self, now: Ms) -> Option<TimerKind> {
         let entry = self.queue.first_entry()?;
         (entry.key().0 .0 <= now).then(|| entry.remove())
     }
 
-    /// How many are set, also without cause.
+    /// The number of timers in the queue, including those that no longer apply.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
--- a/crates/dispatcher/src/state/token_streams.rs
+++ b/crates/dispatcher/src/state/token_streams.rs
@@ -1,16 +1,16 @@
-//! Tokens from decode engines to clients: order, credit, and streams that stall.
+//! Token streams from decode engines to clients: order, credit and stall detection.
 
 use super::engine_messages::ProtocolViolation;
 use super::*;
 
-/// Credit is granted again in so many parts of the window, rather than message by message.
+/// Credit is granted in this many portions per window, instead of after each message.
 const CREDIT_GRANTS_PER_WINDOW: u32 = 2;
 
 impl Dispatcher {
-    /// Forwards a message of tokens to the request's client.
+    /// Forwards a token message to the request's client.
     ///
     /// # Errors
-    /// The attempt prefills only, the tokens are not the next ones, or they exceed the credit.
+    /// The attempt only prefills, the tokens are out of order, or the message exceeds the credit.
     pub(super) fn handle_tokens(
         &mut self,
         request_id: RequestId,
@@ -30,7 +30,7 @@
             return Err(ProtocolViolation);
         }
         if request.answered {
-            // The answer is out, and the decisions may not cancel: nothing more reaches the client.
+            // The final answer was sent and `Control` may not cancel any more: no more tokens may reach the client.
             self.stop_attempt(request_id, outputs);
             self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
             return Ok(());
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// The first token of a request has come: its decode attempt has taken the KV state.
+    /// Handles the first token of a request: its decode attempt has taken the KV state.
     fn begin_stream(&mut self, request_id: RequestId) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
@@ -68,13 +68,13 @@
         attempt.last_forwarded_at = self.now;
         request.first_token_late = self.now > request.first_token_due_at;
         self.kv_states.mark_taken(request_id, self.now);
-        // No attempt can need it any more.
+        // No further attempt needs the prompt; dropping it frees memory.
         request.submit.prompt = Default::default();
         let (attempt_id, engine) = (attempt.id, attempt.engine.clone());
         let latency = self.now - attempt.started_at;
         self.timers.set(
             self.now + self.settings.limits.stall_timeout,
-            Due::StreamStall(request_id, attempt_id),
+            TimerKind::StreamStall(request_id, attempt_id),
         );
         self.events.push(Event::FirstToken {
             request: request_id,
@@ -84,7 +84,7 @@
         });
     }
 
-    /// Messages of a stream were written to its client: the decode engine may send as many more.
+    /// Handles token messages that were written to the client: the decode engine gets credit for as many more.
     pub(super) fn on_messages_forwarded(
         &mut self,
         client_stream: ClientStream,
@@ -114,9 +114,11 @@
         }
     }
 
-    /// Guards against streams that neither go on nor end, which show as a client that waits for ever, or as messages that
-    /// pile up for a client that reads nothing: a decode engine that sends nothing for the stall limit is given up as
-    /// broken, and a client that reads nothing for it has gone. A decode engine that waits for credit does not stall.
+    /// Ends a stream that makes no progress for the stall timeout. Without this, a client could wait forever, or
+    /// messages could accumulate for a client that does not read.
+    ///
+    /// If the decode engine sends nothing, its attempt ends as lost. If the client reads nothing, it counts as
+    /// gone. A decode engine that waits for credit does not stall.
     pub(super) fn check_stream_progress(
         &mut self,
         request_id: RequestId,
@@ -138,7 +140,7 @@
         };
         let limit = self.settings.limits.stall_timeout;
         if self.now < since + limit {
-            let timer = Due::StreamStall(request_id, attempt_id);
+            let timer = TimerKind::StreamStall(request_id, attempt_id);
             return self.timers.set(since + limit, timer);
         }
         if client_waits {
@@ -149,7 +151,7 @@
             self.client_gone(request_id, outputs);
             outputs.push(Output::CloseClient {
                 conn,
-                reason: "it takes nothing".to_owned(),
+                reason: format!("client read no tokens for {limit:.0} ms"),
             });
         }
     }
@@ -160,7 +162,11 @@
         engine: &EngineId,
         outputs: &mut Vec<Output>,
     ) {
-        let text = format!("stream of request {} stalled at {}", request_id.0, engine.0);
+        let timeout = self.settings.limits.stall_timeout;
+        let text = format!(
+            "request {}: no message from {} for {timeout:.0} ms; stream ended as failed",
+            request_id.0, engine.0
+        );
         outputs.push(Output::log(Level::Warn, text));
         self.stop_attempt(request_id, outputs);
         let outcome = Outcome::ConnectionLost;
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -249,7 +249,7 @@
                         let runs =
                             self.silent_engines_accept || !self.silent.contains(engine.0.as_ref());
                         if self.connections_come_up && runs {
-                            next.push(Input::ConnectionUp {
+                            next.push(Input::ConnectionEstablished {
                                 connection: *connection,
                                 limit: None,
                             });
--- a/crates/dispatcher/tests/dispatcher_state.rs
+++ b/crates/dispatcher/tests/dispatcher_state.rs
@@ -45,7 +45,7 @@
     let (connection, engine) = dialled.expect("a prefill engine is dialled");
     bench.update_endpoint(&engine, EndpointStatus::Draining);
     bench.connections_come_up = true;
-    let out = bench.put(Input::ConnectionUp {
+    let out = bench.put(Input::ConnectionEstablished {
         connection,
         limit: None,
     });
@@ -310,7 +310,7 @@
         assert!(!to_engines(&bench.engine(&slow, tokens(position))).contains(&"credit"));
         bench.engine(&quick, tokens(position));
     }
-    let flushed = Input::Flushed {
+    let flushed = Input::MessagesForwarded {
         conn: ClientConnectionId(1),
         stream: StreamId(2),
         messages: 4,
@@ -334,7 +334,7 @@
     for position in 4..8 {
         bench.pass(300.0);
         bench.engine(&quick, tokens(position));
-        bench.put(Input::Flushed {
+        bench.put(Input::MessagesForwarded {
             conn: ClientConnectionId(1),
             stream: StreamId(2),
             messages: 1,
@@ -352,7 +352,7 @@
 fn a_stream_that_stalls_at_its_writer_is_written_off_after_the_stall_limit() {
     let mut bench = Bench::new();
     let decode = bench.streaming(1, "draft");
-    bench.put(Input::Flushed {
+    bench.put(Input::MessagesForwarded {
         conn: ClientConnectionId(1),
         stream: StreamId(1),
         messages: 1,
@@ -487,7 +487,7 @@
     for position in 1..4 {
         out.extend(bench.pass(500.0));
         bench.engine(&hangs, tokens(position));
-        bench.put(Input::Flushed {
+        bench.put(Input::MessagesForwarded {
             conn: ClientConnectionId(1),
             stream: StreamId(2),
             messages: 1,
--- a/crates/dispatcher/tests/endpoint_cache.rs
+++ b/crates/dispatcher/tests/endpoint_cache.rs
@@ -99,9 +99,9 @@
 fn another_file_is_not_used() {
     assert!(matches!(
         load("other", b"something else"),
-        Err(CacheError::Foreign)
+        Err(CacheError::UnknownFormat)
     ));
-    assert!(matches!(load("empty", b""), Err(CacheError::Foreign)));
+    assert!(matches!(load("empty", b""), Err(CacheError::UnknownFormat)));
 }
 
 #[test]
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -48,7 +48,7 @@
 /// Nothing begins from now on, whatever comes up and however long it takes.
 fn nothing_begins(bench: &mut Bench, mut out: Vec<Output>, connections: &[EngineConnectionId]) {
     for connection in connections {
-        out.extend(bench.put(Input::ConnectionUp {
+        out.extend(bench.put(Input::ConnectionEstablished {
             connection: *connection,
             limit: None,
         }));
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -450,7 +450,7 @@
                     });
                 }
                 self.connections.insert(connection, engine);
-                self.put(Input::ConnectionUp {
+                self.put(Input::ConnectionEstablished {
                     connection,
                     limit: None,
                 })
@@ -503,7 +503,7 @@
                         frame: frame(stream, body),
                     })?;
                     let stream = StreamId(self.requests[&request].stream);
-                    return self.put(Input::Flushed {
+                    return self.put(Input::MessagesForwarded {
                         conn: ClientConnectionId(1),
                         stream,
                         messages: 1,
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -265,10 +265,10 @@
 #[test]
 fn time_that_a_request_took_to_come_is_part_of_its_patience() {
     let mut bench = bench();
-    bench.put(Input::ClientUp {
+    bench.put(Input::ClientConnected {
         conn: ClientConnectionId(1),
     });
-    bench.put(Input::ClientPartly {
+    bench.put(Input::ClientRequestBegun {
         conn: ClientConnectionId(1),
     });
     bench.pass(1500.0);
@@ -310,13 +310,13 @@
 fn silent_clients_are_closed_in_time_and_make_room_when_it_is_short() {
     let mut bench = bench();
     for conn in 1..=3 {
-        bench.put(Input::ClientUp {
+        bench.put(Input::ClientConnected {
             conn: ClientConnectionId(conn),
         });
         bench.pass(1.0);
     }
     asks(&mut bench, 1, request("a", "draft"));
-    let out = bench.put(Input::ClientsFull);
+    let out = bench.put(Input::ClientLimitReached);
     assert_eq!(
         out,
         [Output::DrainClient {
@@ -324,7 +324,7 @@
         }],
         "not the one with an open request"
     );
-    bench.put(Input::ClientPartly {
+    bench.put(Input::ClientRequestBegun {
         conn: ClientConnectionId(3),
     });
     let out = bench.pass(2500.0);
