--- a/crates/dispatcher/src/driver/clients.rs
+++ b/crates/dispatcher/src/driver/clients.rs
@@ -33,8 +33,8 @@
                     yield_now().await;
                 }
                 // Too many files are open, or memory is short. A single failure closes no connection, because an idle
-                // client may be about to send. If the next accept fails as well, the connection of an idle client is
-                // closed to free resources.
+                // client may be about to send. If the next accept fails as well, an idle client's connection is
+                // closed.
                 Err(problem) => {
                     tracing::warn!(%problem, "accept failed; retrying in {ACCEPT_RETRY_DELAY_MS} ms");
                     if previous_accept_failed {
--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Moves bytes between a transport and the [`Dispatcher`] and calls its timers. The driver itself makes no
+//! Moves bytes between a transport and the [`Dispatcher`] and runs its timers. The driver itself makes no
 //! decisions.
 //!
 //! A driver runs on one thread. Each message goes to the state machine at once, and its outputs are carried
@@ -244,14 +244,14 @@
                 tracing::info!(
                     engines = list.endpoints.len(),
                     version = list.version,
-                    "starting with the cached endpoint list"
+                    "starting with cached endpoints"
                 );
                 self.use_cached_endpoints(list);
             }
             Ok(None) => {}
             // The dispatcher starts without endpoints and receives them from discovery.
             Err(problem) => {
-                tracing::warn!(path = %path.display(), %problem, "cached endpoint list not loaded; waiting for discovery")
+                tracing::warn!(path = %path.display(), %problem, "endpoint cache not loaded; waiting for discovery")
             }
         }
     }
@@ -272,9 +272,9 @@
 
     /// Wakes the timer task if the state machine has set a timer that is due before the task wakes up.
     fn update_timer(&self) {
-        let wanted_at = self.shared.dispatcher.borrow().wants_call_at();
-        let is_sooner = match (wanted_at, self.shared.timer_at.get()) {
-            (Some(wanted_at), Some(timer_at)) => wanted_at < timer_at,
+        let due_at = self.shared.dispatcher.borrow().wants_call_at();
+        let is_sooner = match (due_at, self.shared.timer_at.get()) {
+            (Some(due_at), Some(timer_at)) => due_at < timer_at,
             (Some(_), None) => true,
             (None, _) => false,
         };
@@ -286,9 +286,9 @@
     /// Calls the state machine whenever one of its timers is due.
     async fn run_timers(self) {
         loop {
-            let wanted_at = self.shared.dispatcher.borrow().wants_call_at();
-            self.shared.timer_at.set(wanted_at);
-            let Some(at) = wanted_at else {
+            let due_at = self.shared.dispatcher.borrow().wants_call_at();
+            self.shared.timer_at.set(due_at);
+            let Some(at) = due_at else {
                 self.shared.timer_changed.notified().await;
                 continue;
             };
--- a/crates/dispatcher/src/driver/outputs.rs
+++ b/crates/dispatcher/src/driver/outputs.rs
@@ -93,7 +93,7 @@
             return;
         };
         if let Err(problem) = endpoint_cache::save(&path, list) {
-            tracing::warn!(path = %path.display(), %problem, "endpoint list not written to the cache file; the previous file is kept");
+            tracing::warn!(path = %path.display(), %problem, "endpoint cache not updated; continuing");
         }
     }
 }
--- a/crates/dispatcher/src/endpoint_cache.rs
+++ b/crates/dispatcher/src/endpoint_cache.rs
@@ -52,16 +52,16 @@
     file.write_all(&encode(list))?;
     file.sync_all()?;
     std::fs::rename(temporary, path)?;
-    sync_folder_of(path)
+    sync_directory_of(path)
 }
 
 /// Syncs the directory of `path`: only then does the rename survive a crash.
-fn sync_folder_of(path: &Path) -> io::Result<()> {
-    let folder = path
+fn sync_directory_of(path: &Path) -> io::Result<()> {
+    let directory = path
         .parent()
-        .filter(|folder| !folder.as_os_str().is_empty())
+        .filter(|directory| !directory.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    File::open(folder)?.sync_all()
+    File::open(directory)?.sync_all()
 }
 
 fn encode(list: &EndpointList) -> Vec<u8> {
--- a/crates/dispatcher/src/fault_injection.rs
+++ b/crates/dispatcher/src/fault_injection.rs
@@ -36,7 +36,7 @@
 }
 
 impl InjectedFault {
-    /// All faults.
+    /// All faults, for tests that inject each in turn.
     pub const ALL: [InjectedFault; 13] = [
         InjectedFault::ReleaseForgotten,
         InjectedFault::CancelLost,
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -30,11 +30,11 @@
 /// The limits and timeouts of the process. Counts are upper limits; times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Open requests; a further request is rejected.
+    /// Requests that are open at the same time; a further request is rejected.
     pub max_open_requests: usize,
     /// Streams on one connection to an engine, counting attempts and health checks.
     pub streams_per_connection: usize,
-    /// Connections to one engine.
+    /// Connections that are open to one engine at the same time.
     pub connections_per_engine: usize,
     /// An engine connection without streams is closed after this long.
     pub connection_idle_timeout: Ms,
--- a/crates/dispatcher/src/state/abandoned_streams.rs
+++ b/crates/dispatcher/src/state/abandoned_streams.rs
@@ -15,8 +15,9 @@
         }
     }
 
-    /// Closes the connection of a stream that its engine has neither answered nor ended in time, which ends all
-    /// streams of the connection.
+    /// Closes the connection of a stream if the call on it was not answered in time, or if an abandoned stream is
+    /// still open and its connection was silent for the stall timeout. The close ends all streams of the
+    /// connection.
     ///
     /// An engine may receive nothing any more although its connection never breaks. Cancelled attempts would then
     /// occupy its streams forever, and calls would never be answered.
@@ -42,7 +43,11 @@
         }
         let until = connection.last_received_at + self.settings.limits.stall_timeout;
         if self.now >= until {
-            self.close_connection(connection_id, "abandoned stream not ended in time", outputs);
+            self.close_connection(
+                connection_id,
+                "no message within the stall timeout",
+                outputs,
+            );
         } else {
             self.timers
                 .set(until, TimerKind::StreamTimeout(connection_id, stream));
--- a/crates/dispatcher/src/state/attempts.rs
+++ b/crates/dispatcher/src/state/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts at engines: start, resend, cancel, timeout and end.
 
 use super::engine_requests::{attempt_message, kv_state_id};
-use super::kv_states::Held;
+use super::kv_states::HeldState;
 use super::requests::Attempt;
 use super::stream_purpose::StreamPurpose;
 use super::*;
@@ -244,14 +244,14 @@
     }
 
     /// The KV state that the current attempt leaves at its engine, if the attempt only prefills.
-    pub(super) fn current_prefill_state(&self, request_id: RequestId) -> Option<Held> {
+    pub(super) fn current_prefill_state(&self, request_id: RequestId) -> Option<HeldState> {
         let request = self.requests.get(&request_id)?;
         let attempt = request
             .current_attempt
             .as_ref()
             .filter(|attempt| attempt.is_prefill)?;
         let state = kv_state_id(self.settings.incarnation, request_id, attempt.id);
-        Some(Held {
+        Some(HeldState {
             engine: attempt.engine.clone(),
             id: state,
             origin: request.origin(),
@@ -266,7 +266,7 @@
         detail: f64,
         load: Load,
     ) {
-        self.note_possible_run(request_id, outcome);
+        self.record_possible_run(request_id, outcome);
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
@@ -276,7 +276,7 @@
         self.delivery_unconfirmed.remove(&request_id);
         if outcome == Outcome::PrefillDone {
             let state = kv_state_id(self.settings.incarnation, request_id, attempt.id);
-            let held = Held {
+            let held = HeldState {
                 engine: attempt.engine.clone(),
                 id: state,
                 origin: request.origin(),
@@ -285,7 +285,7 @@
         }
         let latency = self.now - attempt.started_at;
         let last = request.answered;
-        self.settle_kv_state(request_id, &attempt, outcome);
+        self.update_kv_state_after_attempt(request_id, &attempt, outcome);
         let (attempt, engine) = (attempt.id, attempt.engine);
         self.events.push(Event::Ended(Ended {
             request: request_id,
@@ -339,7 +339,7 @@
         attempt_id: AttemptId,
         outputs: &mut Vec<Output>,
     ) {
-        if !self.is_waiting(request_id, attempt_id) {
+        if !self.is_awaiting_first_token(request_id, attempt_id) {
             return;
         }
         let undelivered = self.undelivered_attempt(request_id);
@@ -357,13 +357,13 @@
         attempt_id: AttemptId,
         outputs: &mut Vec<Output>,
     ) {
-        if self.is_waiting(request_id, attempt_id) {
+        if self.is_awaiting_first_token(request_id, attempt_id) {
             self.stop_and_end_attempt(request_id, Outcome::TimedOut, outputs);
         }
     }
 
     /// Whether the attempt is the current one of its request and has sent no token.
-    fn is_waiting(&self, request_id: RequestId, attempt_id: AttemptId) -> bool {
+    fn is_awaiting_first_token(&self, request_id: RequestId, attempt_id: AttemptId) -> bool {
         let current = self.current_attempt(request_id);
         current.is_some_and(|attempt| attempt.id == attempt_id && !attempt.first_token_sent)
     }
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -35,13 +35,13 @@
         outputs: &mut Vec<Output>,
     ) {
         let stream = StreamId(frame.stream);
-        self.client_message_received(conn);
+        self.on_client_message_received(conn);
         match frame.body {
             Some(Body::Submit(submit)) => self.handle_submit((conn, stream), submit, outputs),
             Some(Body::Cancel(_)) => {
                 // A request that is not open any more was answered in the same turn; nothing is owed.
                 if let Some(id) = self.client_streams.get(&(conn, stream)).copied() {
-                    self.client_gone(id, outputs);
+                    self.on_client_gone(id, outputs);
                     self.count_cancel(conn, outputs);
                 }
             }
@@ -105,7 +105,7 @@
             Ok(arrival) => arrival,
             Err(body) => {
                 if let (Some(service_stats), Body::Final(end)) = (&mut self.service_stats, &*body) {
-                    service_stats.answered(end.answer(), false);
+                    service_stats.record_answer(end.answer(), false);
                 }
                 outputs.push(Output::ToClient {
                     conn,
@@ -171,7 +171,9 @@
     /// # Errors
     /// The answer for the client: the request is invalid, or a limit or a stop does not allow it.
     fn admit(&self, submit: &v1::Submit) -> Result<Arrival, Box<Body>> {
-        let arrival = self.arrival(submit).map_err(InvalidField::into_answer)?;
+        let arrival = self
+            .arrival_event(submit)
+            .map_err(InvalidField::into_answer)?;
         // Ids of open requests are unique. Two open requests with the same id would share their releases: the release
         // of one would also end the KV state of the other. The second request is therefore refused.
         if submit
@@ -215,7 +217,7 @@
     ///
     /// # Errors
     /// The first field with an invalid value.
-    fn arrival(&self, submit: &v1::Submit) -> Result<Arrival, InvalidField> {
+    fn arrival_event(&self, submit: &v1::Submit) -> Result<Arrival, InvalidField> {
         let request_class = index_of(&self.settings.request_classes, &submit.request_class)
             .ok_or_else(|| {
                 let reason = format!("there is no profile {:?}", submit.request_class);
@@ -256,12 +258,12 @@
             .map(|(_, id)| *id)
             .collect();
         for id in ids {
-            self.client_gone(id, outputs);
+            self.on_client_gone(id, outputs);
         }
     }
 
     /// Handles a client that no longer wants a request: no answer is owed, and the request's stream is stopped.
-    pub(super) fn client_gone(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+    pub(super) fn on_client_gone(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
@@ -326,7 +328,7 @@
         if let Some(service_stats) = &mut self.service_stats {
             let late = request.first_token_late
                 || !request.has_stream() && self.now > request.first_token_due_at;
-            service_stats.answered(answer, late);
+            service_stats.record_answer(answer, late);
         }
         // No further attempt needs the prompt; dropping it frees memory.
         request.submit.prompt = Default::default();
--- a/crates/dispatcher/src/state/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// All client connections.
+/// All client connections, by id.
 #[derive(Debug, Default)]
 pub(super) struct ClientConnections {
     all: BTreeMap<ClientConnectionId, ClientConnection>,
@@ -52,7 +52,7 @@
     }
 
     /// The connection to close when the connection limit is reached; `None` if all are busy.
-    fn to_evict(&self) -> Option<ClientConnectionId> {
+    fn connection_to_evict(&self) -> Option<ClientConnectionId> {
         let connections = self
             .all
             .iter()
@@ -104,7 +104,7 @@
     }
 
     /// Records that a message was received from a client, which proves that the client is alive.
-    pub(super) fn client_message_received(&mut self, conn: ClientConnectionId) {
+    pub(super) fn on_client_message_received(&mut self, conn: ClientConnectionId) {
         if let Some(connection) = self.client_connections.all.get_mut(&conn) {
             connection.multiplexed.received(self.now);
         }
@@ -142,7 +142,7 @@
     /// Closes the connection that [`http1::connection_to_evict`] selects, because another client waits to be
     /// accepted.
     pub(super) fn evict_client(&mut self, out: &mut Vec<Output>) {
-        let Some(conn) = self.client_connections.to_evict() else {
+        let Some(conn) = self.client_connections.connection_to_evict() else {
             return;
         };
         if let Some(reason) = self
--- a/crates/dispatcher/src/state/connection_events.rs
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -11,7 +11,7 @@
 impl Dispatcher {
     /// Handles a connection that is established: its queued messages are sent. `limit` is the number of
     /// concurrent streams that the engine allows on it.
-    pub(super) fn on_connection_up(
+    pub(super) fn on_connection_established(
         &mut self,
         connection_id: EngineConnectionId,
         limit: Option<usize>,
@@ -32,22 +32,22 @@
             .mark_established(connection_id, limit, self.now, &mut self.timers);
         // The engine may have begun to drain while the connection was being established, and must not get an attempt
         // then. A queued attempt is not sent, so it is known not to have run.
-        let ready = self.endpoints.status(&engine) == EndpointStatus::Ready
+        let accepts_attempts = self.endpoints.status(&engine) == EndpointStatus::Ready
             || fault_injection::is_injected(InjectedFault::DrainSeenLate);
         self.send_engine_releases(&engine, outputs);
         for (stream, body) in unsent_messages {
-            self.send_waiting(connection_id, stream, body, ready, outputs);
+            self.send_queued_message(connection_id, stream, body, accepts_attempts, outputs);
         }
     }
 
-    /// Sends a message that was queued for its connection, if its purpose still applies. `ready` is whether the
-    /// engine accepts attempts.
-    fn send_waiting(
+    /// Sends a message that was queued for its connection, if its purpose still applies. `accepts_attempts` is
+    /// whether the engine is in service.
+    fn send_queued_message(
         &mut self,
         connection_id: EngineConnectionId,
         stream: StreamId,
         mut body: Body,
-        ready: bool,
+        accepts_attempts: bool,
         outputs: &mut Vec<Output>,
     ) {
         let purpose = self
@@ -56,10 +56,12 @@
             .and_then(|connection| connection.streams.get(&stream).cloned());
         let is_sent = match purpose {
             Some(StreamPurpose::Release(call)) => {
-                self.begin_waiting_release(connection_id, stream, &call)
+                self.begin_queued_release(connection_id, stream, &call)
             }
             // An attempt is not sent either if its client has gone: nobody waits for it.
-            Some(StreamPurpose::Attempt(request, _)) if !ready || self.is_answered(request) => {
+            Some(StreamPurpose::Attempt(request, _))
+                if !accepts_attempts || self.is_answered(request) =>
+            {
                 self.close_stream(connection_id, stream);
                 self.end_attempt(request, Outcome::NotSent, 0.0, Load::default());
                 false
@@ -83,7 +85,7 @@
 
     /// Starts a release that was queued for its connection, unless nothing is left to release or the request
     /// needs the KV state. Returns whether the release is sent.
-    pub(super) fn begin_waiting_release(
+    pub(super) fn begin_queued_release(
         &mut self,
         connection_id: EngineConnectionId,
         stream: StreamId,
@@ -95,7 +97,7 @@
             .is_some_and(|state| !self.is_still_needed(state));
         if !is_sent {
             self.close_stream(connection_id, stream);
-            self.release_unsent(call);
+            self.on_release_withdrawn(call);
         } else if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.streams.insert(
                 stream,
@@ -257,9 +259,9 @@
                     load: Load::default(),
                 });
             }
-            StreamPurpose::Release(call) => self.release_lost(engine.clone(), &call),
+            StreamPurpose::Release(call) => self.on_release_failed(engine.clone(), &call),
             StreamPurpose::EngineRelease(release) => {
-                self.engine_release_lost(engine.clone(), release)
+                self.requeue_engine_release(engine.clone(), release)
             }
             StreamPurpose::Reservation(..)
             | StreamPurpose::LivenessCheck
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -115,9 +115,9 @@
         settings: &ProgramSettings,
         (timers, out): (&mut Timers, &mut Vec<Output>),
     ) -> Result<(EngineConnectionId, StreamId), PlacementError> {
-        let chosen = self.place(engine, address, now, settings, (timers, out))?;
+        let chosen = self.place_stream(engine, address, now, settings, (timers, out))?;
         let stream = self
-            .open_on(chosen, purpose, now, timers)
+            .open_stream_on(chosen, purpose, now, timers)
             .ok_or(PlacementError::PoolExhausted)?;
         if self
             .pools
@@ -129,7 +129,7 @@
         Ok((chosen, stream))
     }
 
-    fn place(
+    fn place_stream(
         &mut self,
         engine: &EngineId,
         address: &str,
@@ -253,9 +253,9 @@
         self.schedule_timer(&engine, timers);
     }
 
-    /// Opens a stream on a connection without checking its limits. The caller has placed the stream there, or the
+    /// Opens a stream on a connection without checking its limits: the caller has reserved the place, or the
     /// stream ends something and must not wait for capacity. Returns `None` if the connection has ended.
-    pub fn open_on(
+    pub fn open_stream_on(
         &mut self,
         id: EngineConnectionId,
         purpose: StreamPurpose,
@@ -468,7 +468,10 @@
         let exists = ids
             .into_iter()
             .any(|id| pool.is_some_and(|pool| pool.accepts_streams(ConnectionId(id.0))));
-        exists || self.place(engine, address, now, settings, effects).is_ok()
+        exists
+            || self
+                .place_stream(engine, address, now, settings, effects)
+                .is_ok()
     }
 
     /// Sends a message now, or once the connection is established.
--- a/crates/dispatcher/src/state/delivery.rs
+++ b/crates/dispatcher/src/state/delivery.rs
@@ -44,21 +44,21 @@
     }
 
     /// Reports the delivery of attempts to an engine that is known to have run after they were sent.
-    pub(super) fn note_engine_alive(&mut self, engine: &EngineId) {
-        let arrived = |id: &&RequestId| {
+    pub(super) fn report_confirmed_deliveries(&mut self, engine: &EngineId) {
+        let is_delivered = |id: &&RequestId| {
             let attempt = self
                 .requests
                 .get(id)
                 .and_then(|request| request.current_attempt.as_ref());
             attempt.is_some_and(|attempt| attempt.engine == *engine && self.has_arrived(attempt))
         };
-        let arrived: Vec<RequestId> = self
+        let delivered: Vec<RequestId> = self
             .delivery_unconfirmed
             .iter()
-            .filter(arrived)
+            .filter(is_delivered)
             .copied()
             .collect();
-        for id in arrived {
+        for id in delivered {
             self.report_delivery(id);
         }
     }
@@ -134,8 +134,8 @@
         );
     }
 
-    /// Describes why the delivery of the current attempt is uncertain, and its state, for the log. Returns `None`
-    /// if the attempt's stream has begun or there is no attempt.
+    /// Describes the current attempt and why its delivery is uncertain, for the log. Returns `None` if the
+    /// attempt's stream has begun or there is no attempt.
     pub(super) fn undelivered_attempt(
         &self,
         request_id: RequestId,
--- a/crates/dispatcher/src/state/engine_messages.rs
+++ b/crates/dispatcher/src/state/engine_messages.rs
@@ -1,7 +1,7 @@
 //! Handles messages from engines by the purpose of their stream.
 
 use super::engine_requests::reported_load;
-use super::kv_states::{Held, ReleaseCall};
+use super::kv_states::{HeldState, ReleaseCall};
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
@@ -40,10 +40,10 @@
             stream,
             engine: connection.engine.clone(),
         };
-        self.note_liveness(&source, purpose.as_ref(), frame.body.as_ref());
+        self.record_liveness(&source, purpose.as_ref(), frame.body.as_ref());
         let name = name_of(frame.body.as_ref());
         let result = match frame.body {
-            Some(body) => self.handle_message_of(&source, purpose, body, outputs),
+            Some(body) => self.dispatch_message(&source, purpose, body, outputs),
             None => Err(ProtocolViolation),
         };
         if let Err(ProtocolViolation) = result {
@@ -57,29 +57,30 @@
     }
 
     /// Records what a message proves about its engine: that it runs, and that it works on attempts.
-    fn note_liveness(
+    fn record_liveness(
         &mut self,
         source: &EngineStream,
         purpose: Option<&StreamPurpose>,
         body: Option<&Body>,
     ) {
-        // The session layer of this process creates goodbyes when a stream or connection ends, so they prove nothing.
+        // This side creates goodbyes for streams and connections that are over, so they prove nothing about the
+        // engine.
         if matches!(body, Some(Body::Goodbye(_))) {
             return;
         }
         self.connections
             .record_response(source.connection, self.now);
-        self.note_engine_alive(&source.engine);
+        self.report_confirmed_deliveries(&source.engine);
         self.retry_unconfirmed_releases();
-        if shows_work(purpose, body) {
+        if proves_attempt_progress(purpose, body) {
             self.connections
                 .record_attempt_progress(source.connection, self.now);
-            self.note_engine_worked(&source.engine);
+            self.on_engine_worked(&source.engine);
         }
     }
 
     /// Handles a message according to the purpose of its stream.
-    fn handle_message_of(
+    fn dispatch_message(
         &mut self,
         source: &EngineStream,
         purpose: Option<StreamPurpose>,
@@ -213,11 +214,11 @@
         match body {
             Body::Done(_) => {
                 self.close_stream(source.connection, source.stream);
-                self.release_confirmed(&source.engine, call, outputs);
+                self.on_release_confirmed(&source.engine, call, outputs);
             }
             Body::Goodbye(_) => {
                 self.close_stream(source.connection, source.stream);
-                self.release_lost(source.engine.clone(), call);
+                self.on_release_failed(source.engine.clone(), call);
             }
             _ => return Err(ProtocolViolation),
         }
@@ -234,7 +235,7 @@
             Body::Done(_) => self.end_stream(source),
             Body::Goodbye(_) => {
                 self.close_stream(source.connection, source.stream);
-                self.engine_release_lost(source.engine.clone(), release);
+                self.requeue_engine_release(source.engine.clone(), release);
                 Ok(())
             }
             _ => Err(ProtocolViolation),
@@ -269,7 +270,7 @@
         match body {
             Body::Pong(_) if source.stream.0 == 0 => Ok(()),
             Body::Goodbye(goodbye) if source.stream.0 == 0 => {
-                let reason = format!("the engine said goodbye: {}", goodbye.reason);
+                let reason = format!("session ended: {}", goodbye.reason);
                 self.close_connection(source.connection, &reason, outputs);
                 Ok(())
             }
@@ -292,7 +293,7 @@
     ) {
         if let (v1::Status::PrefillDone, Some(state)) = (ended.status(), ended.state) {
             self.release_at_engine(
-                Held {
+                HeldState {
                     engine,
                     id: state,
                     origin: String::new(),
@@ -364,7 +365,7 @@
 
 /// Whether a message proves that its engine works on attempts. An engine whose attempts hang may still answer
 /// other calls.
-fn shows_work(purpose: Option<&StreamPurpose>, body: Option<&Body>) -> bool {
+fn proves_attempt_progress(purpose: Option<&StreamPurpose>, body: Option<&Body>) -> bool {
     let done =
         |status: v1::Status| matches!(status, v1::Status::PrefillDone | v1::Status::Succeeded);
     match (purpose, body) {
--- a/crates/dispatcher/src/state/engine_releases.rs
+++ b/crates/dispatcher/src/state/engine_releases.rs
@@ -4,7 +4,7 @@
 //! A lost release would leave the KV state pinned at its engine. The release is therefore repeated until the
 //! engine has confirmed it, or was unreachable for so long that its own timeout has released the state.
 
-use super::kv_states::Held;
+use super::kv_states::HeldState;
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
@@ -15,7 +15,7 @@
 
 impl Dispatcher {
     /// Queues the release of a KV state and sends it to the engine that holds the state.
-    pub(super) fn enqueue_engine_release(&mut self, held: Held, outputs: &mut Vec<Output>) {
+    pub(super) fn enqueue_engine_release(&mut self, held: HeldState, outputs: &mut Vec<Output>) {
         let engine = held.engine.clone();
         self.pending_engine_releases
             .entry(engine.clone())
@@ -28,7 +28,7 @@
     }
 
     /// Queues a release again that was not confirmed.
-    pub(super) fn engine_release_lost(&mut self, engine: EngineId, release: EngineRelease) {
+    pub(super) fn requeue_engine_release(&mut self, engine: EngineId, release: EngineRelease) {
         self.pending_engine_releases
             .entry(engine.clone())
             .or_default()
@@ -37,14 +37,14 @@
     }
 
     fn schedule_engine_release_retry(&mut self, engine: EngineId) {
-        let again = self.now + self.settings.policy.kv_state_timeout / RETRY_INTERVAL_DIVISOR;
+        let retry_at = self.now + self.settings.policy.kv_state_timeout / RETRY_INTERVAL_DIVISOR;
         self.timers
-            .set(again, TimerKind::EngineReleaseRetry(engine));
+            .set(retry_at, TimerKind::EngineReleaseRetry(engine));
     }
 
     /// Sends the pending releases of an engine over any established connection, or dials one. If the engine's
-    /// process is gone, it holds nothing. An engine that cannot be reached for long releases its KV states by its
-    /// own timeout.
+    /// process is gone, it holds nothing. An engine that stays unreachable releases its KV states when their
+    /// timeout expires.
     pub(super) fn send_engine_releases(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         let Some(states) = self.pending_engine_releases.get_mut(engine) else {
             return;
@@ -90,9 +90,9 @@
     ) {
         let (state, origin) = (Some(release.held.id), release.held.origin.clone());
         let purpose = StreamPurpose::EngineRelease(release);
-        let opened = self
-            .connections
-            .open_on(connection, purpose, self.now, &mut self.timers);
+        let opened =
+            self.connections
+                .open_stream_on(connection, purpose, self.now, &mut self.timers);
         let Some(stream) = opened else { return };
         self.timers.set(
             self.now + self.settings.limits.stall_timeout,
--- a/crates/dispatcher/src/state/engine_requests.rs
+++ b/crates/dispatcher/src/state/engine_requests.rs
@@ -1,6 +1,6 @@
 //! Builds the messages of attempts from a request and the endpoints, and reads the load that engines report.
 
-use super::kv_states::Held;
+use super::kv_states::HeldState;
 use super::*;
 
 /// The id of the KV state that an attempt creates. `run` is the incarnation of this process.
@@ -19,7 +19,7 @@
 /// time that is left to the attempt.
 pub(super) fn attempt_message(
     request: &Request,
-    held: Option<&Held>,
+    held: Option<&HeldState>,
     state: Option<v1::KvStateId>,
     endpoints: &Endpoints,
     window: u32,
@@ -49,7 +49,7 @@
 
 fn decode_message(
     request: &Request,
-    held: Option<&Held>,
+    held: Option<&HeldState>,
     endpoints: &Endpoints,
     window: u32,
     wait_ms: Ms,
--- a/crates/dispatcher/src/state/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -147,14 +147,14 @@
             return self.schedule_held_check(request_id);
         }
         let is_available = state.is_available();
-        let (from, was_called_since) = match is_available {
+        let (held_since, was_called_since) = match is_available {
             true => (state.held_since, false),
             false => (
                 state.release.unblocked_since,
                 state.release.last_call_at >= state.release.unblocked_since,
             ),
         };
-        let due_at = from + self.max_held_duration();
+        let due_at = held_since + self.max_held_duration();
         if was_called_since {
             return;
         }
@@ -172,7 +172,7 @@
     }
 
     /// Records that the current attempt may have run, if `outcome` leaves that open.
-    pub(super) fn note_possible_run(&mut self, request_id: RequestId, outcome: Outcome) {
+    pub(super) fn record_possible_run(&mut self, request_id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
@@ -242,7 +242,7 @@
         invariant: Invariant,
         holds: bool,
         request_id: RequestId,
-        what: &str,
+        context: &str,
         outputs: &mut Vec<Output>,
     ) -> bool {
         *self.invariant_counts.checked.entry(invariant).or_insert(0) += 1;
@@ -254,7 +254,7 @@
                 .map(Request::origin)
                 .unwrap_or_default();
             let text = format!(
-                "invariant violated: {invariant}; request={} id={origin} at {what}",
+                "invariant violated: {invariant}; request={} id={origin} at {context}",
                 request_id.0
             );
             outputs.push(Output::log(Level::Warn, text));
--- a/crates/dispatcher/src/state/io.rs
+++ b/crates/dispatcher/src/state/io.rs
@@ -22,7 +22,7 @@
     Client {
         /// The connection that carried the message.
         conn: ClientConnectionId,
-        /// The message.
+        /// The message and the stream it belongs to.
         frame: Frame,
     },
     /// A client has completed its greeting.
@@ -75,7 +75,7 @@
     Engine {
         /// The connection that carried the message.
         connection: EngineConnectionId,
-        /// The message.
+        /// The message and the stream it belongs to.
         frame: Frame,
     },
     /// The endpoints that an earlier process has cached. If present, this is the first input.
@@ -105,7 +105,7 @@
     ToClient {
         /// The connection that carries the message.
         conn: ClientConnectionId,
-        /// The message.
+        /// The message and the stream it belongs to.
         frame: Frame,
     },
     /// Ask a client to start no new requests on a connection; open requests continue.
@@ -133,7 +133,7 @@
     ToEngine {
         /// The connection that carries the message.
         connection: EngineConnectionId,
-        /// The message.
+        /// The message and the stream it belongs to.
         frame: Frame,
     },
     /// Close a connection to an engine after the messages that were already sent on it.
--- a/crates/dispatcher/src/state/kv_states.rs
+++ b/crates/dispatcher/src/state/kv_states.rs
@@ -15,7 +15,7 @@
 
 /// A KV state and the engine that holds it.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Held {
+pub(super) struct HeldState {
     pub engine: EngineId,
     pub id: v1::KvStateId,
     /// The client-assigned id of the request, if engines know KV states by it; empty otherwise.
@@ -78,7 +78,7 @@
     /// When the release is continued if no event continues it earlier.
     pub next_check_at: Ms,
     /// The engines that were called and have not confirmed the release.
-    pub asked_engines: Vec<EngineId>,
+    pub called_engines: Vec<EngineId>,
     /// The number of inconclusive confirmations since no attempt delays the release.
     pub confirmations: u32,
     /// Whether a call of the present round was confirmed.
@@ -94,7 +94,7 @@
             calls: 0,
             last_call_at: f64::NEG_INFINITY,
             next_check_at: f64::NEG_INFINITY,
-            asked_engines: Vec::new(),
+            called_engines: Vec::new(),
             confirmations: 0,
             round_confirmed: false,
         }
@@ -104,7 +104,7 @@
 /// The record of one request's KV state.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct KvState {
-    pub held: Held,
+    pub held: HeldState,
     pub step: Step,
     /// The start of the period within which the state must be taken or released, in milliseconds.
     pub held_since: Ms,
@@ -115,7 +115,7 @@
 }
 
 impl KvState {
-    fn new(held: Held, step: Step, now: Ms) -> Self {
+    fn new(held: HeldState, step: Step, now: Ms) -> Self {
         let release = ReleaseProgress::new(now);
         KvState {
             held,
@@ -145,21 +145,21 @@
     pub fn is_released_by(&self, call: &ReleaseCall, kv_state_timeout: Ms) -> bool {
         call.begun_at >= self.release.unblocked_since
             && self
-                .confirmations_count_from(kv_state_timeout)
+                .conclusive_from(kv_state_timeout)
                 .is_some_and(|at| call.begun_at >= at)
     }
 
     /// The instant from which confirmations are conclusive; `None` if an engine has not yet shown that it works.
-    pub fn confirmations_count_from(&self, kv_state_timeout: Ms) -> Option<Ms> {
-        let past: Option<Vec<Ms>> = self
+    pub fn conclusive_from(&self, kv_state_timeout: Ms) -> Option<Ms> {
+        let safe_instants: Option<Vec<Ms>> = self
             .unacknowledged_ends
             .iter()
             .map(|end| end.release_safe_at(kv_state_timeout))
             .collect();
-        past.map(|past| past.into_iter().fold(f64::NEG_INFINITY, f64::max))
+        safe_instants.map(|instants| instants.into_iter().fold(f64::NEG_INFINITY, f64::max))
     }
 
-    /// The engines that have not shown that they work since an attempt ended there without a message.
+    /// The engines where an attempt ended without a message and which have not been seen working since.
     pub fn engines_not_seen_working(&self) -> impl Iterator<Item = &EngineId> {
         self.unacknowledged_ends
             .iter()
@@ -213,7 +213,7 @@
         self.get(request).filter(|state| state.is_release_pending())
     }
 
-    /// The number of pending releases.
+    /// The number of KV states whose release is pending, confirmed inconclusively or not at all.
     pub fn pending_release_count(&self) -> usize {
         self.states
             .values()
@@ -222,7 +222,7 @@
     }
 
     /// Records that a prefill has ended and its engine holds the state.
-    pub fn hold(&mut self, request: RequestId, held: Held, now: Ms) {
+    pub fn hold(&mut self, request: RequestId, held: HeldState, now: Ms) {
         match self.states.get_mut(&request) {
             // A state that an earlier prefill may have left is released once the present one is taken or released.
             Some(state) => {
@@ -274,7 +274,7 @@
     }
 
     /// Requests a release that has no effect if the current attempt waits for the state.
-    pub fn mark_unconfirmed(&mut self, request: RequestId, now: Ms) {
+    pub fn request_unconfirmed_release(&mut self, request: RequestId, now: Ms) {
         let Some(state) = self.states.get_mut(&request) else {
             return;
         };
@@ -300,7 +300,7 @@
 
     /// Requests the release of the state that a cancelled prefill may have left, if it ended before the cancel
     /// arrived.
-    pub fn request_leftover_release(&mut self, request: RequestId, held: Held, now: Ms) {
+    pub fn request_leftover_release(&mut self, request: RequestId, held: HeldState, now: Ms) {
         let state = self
             .states
             .entry(request)
@@ -311,7 +311,7 @@
 
     /// Records the end of an attempt, after which a pending release need not wait for it. `unacknowledged_at` is
     /// the attempt's engine if the engine has sent no message about the end.
-    pub fn attempt_over(
+    pub fn record_attempt_end(
         &mut self,
         request: RequestId,
         unacknowledged_at: Option<EngineId>,
@@ -333,18 +333,23 @@
         }
         if !state.is_available() {
             (state.release.unblocked_since, state.release.confirmations) = (now, 0);
-            state.release.asked_engines.clear();
+            state.release.called_engines.clear();
             self.due_releases.insert(request);
         }
     }
 
-    /// Records that an engine is known to have worked at the instant `worked`. Returns the requests with an
+    /// Records that an engine is known to have worked at the instant `worked_at`. Returns the requests with an
     /// unacknowledged end before that instant.
-    pub fn engine_worked(&mut self, engine: &EngineId, worked: Ms, now: Ms) -> Vec<RequestId> {
+    pub fn record_engine_work(
+        &mut self,
+        engine: &EngineId,
+        worked_at: Ms,
+        now: Ms,
+    ) -> Vec<RequestId> {
         let Some(waiting) = self.waiting_for_engine.get_mut(engine) else {
             return Vec::new();
         };
-        let mut known = Vec::new();
+        let mut affected = Vec::new();
         waiting.retain(|request| {
             let Some(state) = self.states.get_mut(request) else {
                 return false;
@@ -355,21 +360,21 @@
                 .filter(|end| end.engine == *engine && end.work_observed_at.is_none());
             let (mut any_observed, mut any_left) = (false, false);
             for end in ends {
-                if end.at <= worked {
+                if end.at <= worked_at {
                     (end.work_observed_at, any_observed) = (Some(now), true);
                 } else {
                     any_left = true;
                 }
             }
             if any_observed {
-                known.push(*request);
+                affected.push(*request);
             }
             any_left
         });
         if waiting.is_empty() {
             self.waiting_for_engine.remove(engine);
         }
-        known
+        affected
     }
 
     /// Drops the record of a request, because nothing is held any more or its release is given up. Returns the
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -3,7 +3,7 @@
 //! [`Dispatcher::wants_call_at`] returns when the next timer is due. The same inputs always produce the same
 //! outputs.
 //!
-//! [`Control`](cindercleat::control::Control) makes every choice between engines and decides when an accepted
+//! [`Control`] makes every choice between engines and decides when an accepted
 //! request is rejected or failed. The dispatcher carries out these actions and reports each outcome back. It
 //! enforces what must hold for any decision: one final answer per request, no attempt at an engine that is
 //! out of service, no KV state held that `Control` does not know of, and bounded buffers.
@@ -148,7 +148,7 @@
                 messages,
             } => self.on_messages_forwarded((conn, stream), messages, outputs),
             Input::ConnectionEstablished { connection, limit } => {
-                self.on_connection_up(connection, limit, outputs)
+                self.on_connection_established(connection, limit, outputs)
             }
             Input::ConnectionDraining { connection } => {
                 self.connections.mark_draining(connection, &mut self.timers)
--- a/crates/dispatcher/src/state/release_targets.rs
+++ b/crates/dispatcher/src/state/release_targets.rs
@@ -11,23 +11,23 @@
 impl Dispatcher {
     /// The engines to call in the next round: first the engine that holds the KV state or else the engine most
     /// likely to run, and one more for each engine that has not answered.
-    pub(super) fn engines_to_ask(
+    pub(super) fn engines_to_call(
         &self,
         state: &KvState,
-        asked_engines: &mut Vec<EngineId>,
+        called_engines: &mut Vec<EngineId>,
     ) -> Vec<EngineId> {
-        let extra_calls = asked_engines.len().min(MAX_PARALLEL_CALLS - 1);
-        let mut asked: Vec<EngineId> = self
-            .holder_to_ask(state, asked_engines)
+        let extra_calls = called_engines.len().min(MAX_PARALLEL_CALLS - 1);
+        let mut to_call: Vec<EngineId> = self
+            .holder_to_call(state, called_engines)
             .into_iter()
             .collect();
-        while asked.len() < 1 + extra_calls {
-            let Some(next) = self.next_engine(asked_engines, &asked) else {
+        while to_call.len() < 1 + extra_calls {
+            let Some(next) = self.next_engine(called_engines, &to_call) else {
                 break;
             };
-            asked.push(next);
+            to_call.push(next);
         }
-        asked
+        to_call
     }
 
     /// The engine that holds the KV state, if it has not been called in this cycle, and has responded recently or
@@ -36,26 +36,26 @@
     /// The holder is called first because a release must not overtake the end of a cancelled prefill. Through
     /// another engine, the release could arrive before the state exists: it would be confirmed, and the state
     /// would stay pinned.
-    pub(super) fn holder_to_ask(
+    pub(super) fn holder_to_call(
         &self,
         state: &KvState,
-        asked_engines: &[EngineId],
+        called_engines: &[EngineId],
     ) -> Option<EngineId> {
         let engine = &state.held.engine;
-        let may_ask = self.endpoints.status(engine) != EndpointStatus::Gone
+        let may_call = self.endpoints.status(engine) != EndpointStatus::Gone
             && !self.connections.is_suspected_with_open_call(engine);
         let was_cancelled = state.release.confirmations == 0
             && state
                 .engines_not_seen_working()
                 .any(|other| other == engine);
-        let should_ask = may_ask
-            && (was_cancelled || self.has_responded_lately(engine))
-            && !asked_engines.contains(engine);
-        should_ask.then(|| engine.clone())
+        let should_call = may_call
+            && (was_cancelled || self.has_responded_recently(engine))
+            && !called_engines.contains(engine);
+        should_call.then(|| engine.clone())
     }
 
     /// Whether the engine has sent a message within the time in which a release must be confirmed.
-    pub(super) fn has_responded_lately(&self, engine: &EngineId) -> bool {
+    pub(super) fn has_responded_recently(&self, engine: &EngineId) -> bool {
         self.connections.engine_last_received_at(engine)
             >= self.now - self.settings.policy.kv_state_timeout / CONFIRMATION_TIMEOUT_DIVISOR
     }
@@ -70,34 +70,34 @@
     /// releases to unresponsive engines until they are late.
     pub(super) fn next_engine(
         &self,
-        asked_engines: &mut Vec<EngineId>,
+        called_engines: &mut Vec<EngineId>,
         chosen: &[EngineId],
     ) -> Option<EngineId> {
-        let ready = |(_, entry): &(&EngineId, &endpoints::EngineEntry)| {
+        let is_ready = |(_, entry): &(&EngineId, &endpoints::EngineEntry)| {
             entry.status == EndpointStatus::Ready
         };
         let engines: Vec<&EngineId> = self
             .endpoints
             .engines
             .iter()
-            .filter(ready)
+            .filter(is_ready)
             .map(|(engine, _)| engine)
             .collect();
-        if engines.iter().all(|engine| asked_engines.contains(engine)) {
+        if engines.iter().all(|engine| called_engines.contains(engine)) {
             // The engine that was called last is not called again at once if there is another.
-            let asked = asked_engines.len();
-            asked_engines.drain(..asked.saturating_sub(1));
+            let called_count = called_engines.len();
+            called_engines.drain(..called_count.saturating_sub(1));
         }
         let rank = |engine: &EngineId| {
-            let responded_lately = self.has_responded_lately(engine);
-            let has_idle_connection = responded_lately
+            let responded_recently = self.has_responded_recently(engine);
+            let has_idle_connection = responded_recently
                 && self
                     .connections
                     .accepting_connection(engine, true)
                     .is_some();
             (
                 !self.connections.is_suspected(engine),
-                responded_lately,
+                responded_recently,
                 has_idle_connection,
                 self.connections.engine_last_received_at(engine),
             )
@@ -110,11 +110,11 @@
         };
         // A suspected engine gets no second call while one is open there. Otherwise each request that is open there
         // would call it, with many connections to one unresponsive engine.
-        let unasked = engines
+        let candidates = engines
             .into_iter()
-            .filter(|engine| !asked_engines.contains(engine) && !chosen.contains(engine));
-        let unasked =
-            unasked.filter(|engine| !self.connections.is_suspected_with_open_call(engine));
-        unasked.max_by(by_rank).cloned()
+            .filter(|engine| !called_engines.contains(engine) && !chosen.contains(engine));
+        let candidates =
+            candidates.filter(|engine| !self.connections.is_suspected_with_open_call(engine));
+        candidates.max_by(by_rank).cloned()
     }
 }
--- a/crates/dispatcher/src/state/release_waits.rs
+++ b/crates/dispatcher/src/state/release_waits.rs
@@ -30,7 +30,7 @@
 
     /// Whether the open request still needs what a release would end. A release by the request's id also ends the
     /// KV state of the next prefill. A decode attempt for a state that `Control` has released needs nothing, and
-    /// neither does a prefill that has not reached its engine.
+    /// neither does a prefill that does not reach its engine in time.
     pub(super) fn is_still_needed(&self, state: &KvState) -> bool {
         let Some((id, attempt)) = self.open_request(state) else {
             return false;
@@ -53,14 +53,14 @@
         self.settings.policy.kv_state_timeout / UNCONFIRMED_ATTEMPT_DIVISOR
     }
 
-    /// Since when a release has waited for an attempt whose delivery is unknown, in milliseconds. Once the
-    /// release was called, the wait restarts with each prefill.
+    /// Since when a release has waited for an attempt whose delivery is unknown, in milliseconds. Once a call for
+    /// the release was started, the wait restarts with each prefill.
     pub(super) fn unconfirmed_since(&self, state: &KvState, attempt: &requests::Attempt) -> Ms {
-        let wanted = state.release.pending_since;
+        let pending_since = state.release.pending_since;
         if state.release.calls > 0 {
-            wanted.max(attempt.started_at)
+            pending_since.max(attempt.started_at)
         } else {
-            wanted
+            pending_since
         }
     }
 
@@ -100,7 +100,7 @@
 
     /// Updates the KV state of a request whose attempt has ended: a state that was offered to the attempt is held
     /// again, and a pending release no longer waits for the attempt.
-    pub(super) fn settle_kv_state(
+    pub(super) fn update_kv_state_after_attempt(
         &mut self,
         request_id: RequestId,
         ended: &requests::Attempt,
@@ -122,7 +122,7 @@
         }
         self.kv_states.withdraw_offer(request_id, ended.id);
         self.kv_states
-            .attempt_over(request_id, unacknowledged_at, self.now);
+            .record_attempt_end(request_id, unacknowledged_at, self.now);
         self.schedule_held_check(request_id);
     }
 }
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -6,7 +6,7 @@
 //! decides when a release waits for an attempt. All times are fractions or multiples of the KV state timeout,
 //! the setting `kv_state_timeout` in milliseconds.
 
-use super::kv_states::{Held, ReleaseCall};
+use super::kv_states::{HeldState, ReleaseCall};
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
@@ -14,8 +14,8 @@
 pub(super) const CONFIRMATION_TIMEOUT_DIVISOR: f64 = 4.0;
 /// The time to the next round after a round without a confirmation is the KV state timeout divided by this,
 /// during the first [`FAST_ROUNDS_KV_STATE_TIMEOUTS`].
-const NEXT_ROUND_DIVISOR: f64 = 25.0;
-/// The divisor that replaces [`NEXT_ROUND_DIVISOR`] after [`FAST_ROUNDS_KV_STATE_TIMEOUTS`].
+const FAST_ROUND_DIVISOR: f64 = 25.0;
+/// The divisor that replaces [`FAST_ROUND_DIVISOR`] after [`FAST_ROUNDS_KV_STATE_TIMEOUTS`].
 const SLOW_ROUND_DIVISOR: f64 = 4.0;
 /// The first repeat of a release whose confirmation is not conclusive follows after this many KV state
 /// timeouts. A hanging engine may notice the close of its attempt at any time, and the timeout of the KV
@@ -23,10 +23,10 @@
 const FIRST_REPEAT_KV_STATE_TIMEOUTS: f64 = 0.75;
 /// The interval between further repeats, in KV state timeouts.
 const REPEAT_KV_STATE_TIMEOUTS: f64 = 1.0;
-/// After this many repeats, the interval doubles with each repeat.
+/// After this many inconclusive confirmations, the interval doubles with each repeat.
 const REPEATS_BEFORE_BACKOFF: u32 = 10;
-/// Rounds follow each other quickly for this many KV state timeouts. A release that is still unconfirmed then
-/// indicates that hardly any engine can be reached.
+/// Rounds follow each other quickly for this many KV state timeouts. If a release is still unconfirmed then,
+/// hardly any engine can be reached.
 const FAST_ROUNDS_KV_STATE_TIMEOUTS: f64 = 2.0;
 /// A release that was confirmed, but not conclusively, is repeated for this many KV state timeouts.
 const GIVE_UP_KV_STATE_TIMEOUTS: f64 = 20.0;
@@ -54,7 +54,8 @@
             let text = format!("KV state release sent, {problem}: {text}");
             outputs.push(Output::log(Level::Info, text));
         }
-        self.kv_states.mark_unconfirmed(request_id, self.now);
+        self.kv_states
+            .request_unconfirmed_release(request_id, self.now);
     }
 
     /// Requests the release of a request's KV state.
@@ -72,7 +73,7 @@
     pub(super) fn release_leftover(
         &mut self,
         request_id: RequestId,
-        held: Held,
+        held: HeldState,
         outputs: &mut Vec<Output>,
     ) {
         if self.settings.limits.http1.is_some() {
@@ -84,7 +85,7 @@
     }
 
     /// Releases a KV state at the engine that holds it.
-    pub(super) fn release_at_engine(&mut self, held: Held, outputs: &mut Vec<Output>) {
+    pub(super) fn release_at_engine(&mut self, held: HeldState, outputs: &mut Vec<Output>) {
         if !fault_injection::is_injected(InjectedFault::ReleaseForgotten) {
             self.enqueue_engine_release(held, outputs);
         }
@@ -123,10 +124,10 @@
         {
             return self.give_up_release(request_id, outputs);
         }
-        let mut asked_engines = state.release.asked_engines.clone();
-        let engines = self.engines_to_ask(state, &mut asked_engines);
+        let mut called_engines = state.release.called_engines.clone();
+        let engines = self.engines_to_call(state, &mut called_engines);
         if let Some(state) = self.kv_states.get_mut(request_id) {
-            state.release.asked_engines = asked_engines;
+            state.release.called_engines = called_engines;
             state.release.round_confirmed = false;
         }
         for engine in engines {
@@ -145,7 +146,8 @@
             .map(|engine| engine.0.as_ref())
             .collect();
         let text = format!(
-            "KV state release given up: id={} after {} calls, {} confirmed; engines not seen working since: {engines_not_seen_working:?}",
+            "KV state release given up: id={} after {} calls, {} confirmed; \
+             engines not seen working since: {engines_not_seen_working:?}",
             state.held.origin, state.release.calls, state.release.confirmations
         );
         let level = if state.release.confirmations > 0 {
@@ -192,12 +194,12 @@
                     .set(until, TimerKind::StreamTimeout(connection, stream));
                 self.connections.send(connection, stream, body, outputs);
             }
-            Err(_) => state.release.asked_engines.push(engine),
+            Err(_) => state.release.called_engines.push(engine),
         }
     }
 
     /// Handles a release that was withdrawn before it was sent.
-    pub(super) fn release_unsent(&mut self, call: &ReleaseCall) {
+    pub(super) fn on_release_withdrawn(&mut self, call: &ReleaseCall) {
         if let Some(state) = self.kv_states.get_mut(call.request) {
             state.release.open_calls = state.release.open_calls.saturating_sub(1);
             self.kv_states.due_releases.insert(call.request);
@@ -205,20 +207,20 @@
     }
 
     /// Handles a release that the called engine did not confirm.
-    pub(super) fn release_lost(&mut self, asked: EngineId, call: &ReleaseCall) {
+    pub(super) fn on_release_failed(&mut self, engine: EngineId, call: &ReleaseCall) {
         let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
         };
         state.release.open_calls = state.release.open_calls.saturating_sub(1);
-        state.release.asked_engines.push(asked);
+        state.release.called_engines.push(engine);
         self.schedule_next_round(call.request);
     }
 
     /// Handles the confirmation of a release. If the confirmation is conclusive, the record of the KV state is
     /// dropped.
-    pub(super) fn release_confirmed(
+    pub(super) fn on_release_confirmed(
         &mut self,
-        asked: &EngineId,
+        engine: &EngineId,
         call: &ReleaseCall,
         outputs: &mut Vec<Output>,
     ) {
@@ -227,7 +229,7 @@
             return;
         };
         state.release.open_calls = state.release.open_calls.saturating_sub(1);
-        state.release.asked_engines.clear();
+        state.release.called_engines.clear();
         state.release.round_confirmed = true;
         if !state.is_release_pending() {
             return;
@@ -248,7 +250,7 @@
         let text = format!(
             "KV state released: id={} through {}, call {}, {:.0} ms after its last attempt ended",
             state.held.origin,
-            asked.0,
+            engine.0,
             state.release.calls,
             self.now - state.release.unblocked_since
         );
@@ -272,13 +274,15 @@
             // The end of the attempt starts the next round.
             true if self.has_current_attempt(request_id) => return,
             true => {
-                let counts_after = state
-                    .confirmations_count_from(kv_state_timeout)
+                let wait_until_conclusive = state
+                    .conclusive_from(kv_state_timeout)
                     .map(|at| (at - self.now).max(0.0));
-                let repeat_wait = repeat_after(release.confirmations) * kv_state_timeout;
-                counts_after.map_or(repeat_wait, |counts_after| counts_after.min(repeat_wait))
+                let repeat_wait = repeat_interval(release.confirmations) * kv_state_timeout;
+                wait_until_conclusive.map_or(repeat_wait, |wait_until_conclusive| {
+                    wait_until_conclusive.min(repeat_wait)
+                })
             }
-            false if uses_fast_rounds => kv_state_timeout / NEXT_ROUND_DIVISOR,
+            false if uses_fast_rounds => kv_state_timeout / FAST_ROUND_DIVISOR,
             false => kv_state_timeout / SLOW_ROUND_DIVISOR,
         };
         if !release.round_confirmed {
@@ -319,17 +323,20 @@
 
     /// Handles proof that an engine has worked since attempts ended there without a message from it: the engine
     /// knows of these ends now, or will know soon.
-    pub(super) fn note_engine_worked(&mut self, engine: &EngineId) {
-        let worked = self.connections.worked_at(engine);
-        for id in self.kv_states.engine_worked(engine, worked, self.now) {
+    pub(super) fn on_engine_worked(&mut self, engine: &EngineId) {
+        let worked_at = self.connections.worked_at(engine);
+        for id in self
+            .kv_states
+            .record_engine_work(engine, worked_at, self.now)
+        {
             let state = self
                 .kv_states
                 .pending_release(id)
                 .filter(|state| state.release.confirmations > 1);
             let next = state.map_or(f64::INFINITY, |state| state.release.next_check_at);
-            if let Some(at) = state.and_then(|state| {
-                state.confirmations_count_from(self.settings.policy.kv_state_timeout)
-            }) {
+            if let Some(at) =
+                state.and_then(|state| state.conclusive_from(self.settings.policy.kv_state_timeout))
+            {
                 self.schedule_release_check(id, at.max(self.now).min(next));
             }
         }
@@ -337,7 +344,7 @@
 }
 
 /// The interval to the next repeat, in KV state timeouts, after this many inconclusive confirmations.
-fn repeat_after(confirmations: u32) -> f64 {
+fn repeat_interval(confirmations: u32) -> f64 {
     match confirmations {
         0 | 1 => FIRST_REPEAT_KV_STATE_TIMEOUTS,
         repeats => {
--- a/crates/dispatcher/src/state/service_stats.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -31,7 +31,7 @@
 
 impl ServiceStats {
     /// Counts the final answer of a request. `late` is whether its first token missed the latency objective.
-    pub fn answered(&mut self, answer: v1::Answer, late: bool) {
+    pub fn record_answer(&mut self, answer: v1::Answer, late: bool) {
         match answer {
             v1::Answer::Succeeded => {
                 self.tally.succeeded += 1;
@@ -43,7 +43,7 @@
     }
 
     /// The outcomes of all requests so far.
-    pub fn tally(&self) -> OutcomeCounts {
+    pub fn outcomes(&self) -> OutcomeCounts {
         self.tally
     }
 
@@ -67,14 +67,14 @@
 
     /// The used fraction of an engine's capacity, and the age of that value in milliseconds; `None` if never
     /// reported.
-    pub fn used(&self, now: Ms, engine: &EngineId) -> Option<(f64, Ms)> {
+    pub fn utilization(&self, now: Ms, engine: &EngineId) -> Option<(f64, Ms)> {
         let (used, at) = self.engines.get(engine)?.used?;
         Some((used, now - at))
     }
 
     /// Returns reports on up to `max` engines with news, round robin.
     pub fn reports(&mut self, now: Ms, max: usize) -> Vec<EngineReport> {
-        let engines = self.next_with_news(max);
+        let engines = self.next_unreported(max);
         if let Some(last) = engines.last() {
             self.last_reported = Some(last.clone());
         }
@@ -85,7 +85,7 @@
     }
 
     /// Up to `max` engines with news, in order, starting after the engine that was reported on last.
-    fn next_with_news(&self, max: usize) -> Vec<EngineId> {
+    fn next_unreported(&self, max: usize) -> Vec<EngineId> {
         let after_last = match &self.last_reported {
             Some(last) => (Excluded(last), Unbounded),
             None => (Unbounded, Unbounded),
--- a/crates/dispatcher/src/state/shutdown.rs
+++ b/crates/dispatcher/src/state/shutdown.rs
@@ -100,14 +100,15 @@
                 v1::Answer::Rejected
             };
             self.answer(id, answer, 0.0, "the dispatcher stops", outputs);
-            self.client_gone(id, outputs);
+            self.on_client_gone(id, outputs);
         }
     }
 
     /// Whether a release is pending that no engine has confirmed. A stop does not wait for repeats of confirmed
     /// releases: the platform frees what an ended process leaves.
     pub(super) fn has_unconfirmed_releases(&self) -> bool {
-        let unconfirmed = self.engine_releases() + self.kv_states.unconfirmed_count();
+        let unconfirmed =
+            self.unconfirmed_engine_release_count() + self.kv_states.unconfirmed_count();
         !fault_injection::is_injected(InjectedFault::StopDropsReleases) && unconfirmed > 0
     }
 }
--- a/crates/dispatcher/src/state/status.rs
+++ b/crates/dispatcher/src/state/status.rs
@@ -10,8 +10,8 @@
 
     /// The number of open requests as a fraction of the maximum, from 0 to 1.
     pub fn open_fraction(&self) -> f64 {
-        let most = self.settings.limits.max_open_requests.max(1);
-        self.requests.len() as f64 / most as f64
+        let max_open = self.settings.limits.max_open_requests.max(1);
+        self.requests.len() as f64 / max_open as f64
     }
 
     /// The version of the newest endpoint update; 0 if none was received.
@@ -40,12 +40,15 @@
     pub fn take_service_stats(
         &mut self,
         now: Ms,
-        most: usize,
+        max_reports: usize,
     ) -> (OutcomeCounts, Vec<EngineReport>) {
         let Some(service_stats) = &mut self.service_stats else {
             return Default::default();
         };
-        (service_stats.tally(), service_stats.reports(now, most))
+        (
+            service_stats.outcomes(),
+            service_stats.reports(now, max_reports),
+        )
     }
 
     /// The engines in the endpoint list, as units of a rollout. `now` is in milliseconds on the clock of the
@@ -73,7 +76,7 @@
                 utilization: self
                     .service_stats
                     .as_ref()
-                    .and_then(|service_stats| service_stats.used(now, engine)),
+                    .and_then(|service_stats| service_stats.utilization(now, engine)),
                 outcomes: OutcomeCounts::default(),
             }
         };
@@ -87,12 +90,13 @@
             connections: self.connections.len(),
             timers: self.timers.len(),
             engines: self.endpoints.engines.len(),
-            releases: self.engine_releases() + self.kv_states.pending_release_count(),
+            releases: self.unconfirmed_engine_release_count()
+                + self.kv_states.pending_release_count(),
         }
     }
 
     /// The number of releases that the engine which holds the KV state has not confirmed, queued ones included.
-    pub(super) fn engine_releases(&self) -> usize {
+    pub(super) fn unconfirmed_engine_release_count(&self) -> usize {
         let queued: usize = self.pending_engine_releases.values().map(Vec::len).sum();
         queued + self.connections.open_engine_release_count()
     }
--- a/crates/dispatcher/src/state/stream_purpose.rs
+++ b/crates/dispatcher/src/state/stream_purpose.rs
@@ -1,12 +1,12 @@
 //! The purposes of streams on connections to engines.
 
-use super::kv_states::{Held, ReleaseCall};
+use super::kv_states::{HeldState, ReleaseCall};
 use cindercleat::interface::{AttemptId, Ms, RequestId};
 
 /// The call that a stream on an engine connection carries.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum StreamPurpose {
-    /// An attempt of a request.
+    /// A prefill or decode attempt of a request.
     Attempt(RequestId, AttemptId),
     /// A health check.
     HealthCheck {
@@ -29,7 +29,7 @@
 /// A release that the engine which holds the KV state has not confirmed.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct EngineRelease {
-    pub held: Held,
+    pub held: HeldState,
     /// When the release was requested, in milliseconds.
     pub since: Ms,
 }
--- a/crates/dispatcher/src/state/timers.rs
+++ b/crates/dispatcher/src/state/timers.rs
@@ -44,17 +44,17 @@
 
 /// An instant in milliseconds with a total order, for use as a map key.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct At(Ms);
+struct OrderedInstant(Ms);
 
-impl Eq for At {}
+impl Eq for OrderedInstant {}
 
-impl Ord for At {
+impl Ord for OrderedInstant {
     fn cmp(&self, other: &Self) -> Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
-impl PartialOrd for At {
+impl PartialOrd for OrderedInstant {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
@@ -63,7 +63,7 @@
 /// All timers of a dispatcher, ordered by instant.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
-    queue: BTreeMap<(At, u64), TimerKind>,
+    queue: BTreeMap<(OrderedInstant, u64), TimerKind>,
     /// How many timers were set so far; orders timers of the same instant.
     set_count: u64,
 }
@@ -72,7 +72,7 @@
     /// Sets a timer for the instant `at`, in milliseconds.
     pub fn set(&mut self, at: Ms, due: TimerKind) {
         self.set_count += 1;
-        self.queue.insert((At(at), self.set_count), due);
+        self.queue.insert((OrderedInstant(at), self.set_count), due);
     }
 
     /// When the earliest timer is due, in milliseconds; `None` if no timer is set.
--- a/crates/dispatcher/src/state/token_streams.rs
+++ b/crates/dispatcher/src/state/token_streams.rs
@@ -30,7 +30,8 @@
             return Err(ProtocolViolation);
         }
         if request.answered {
-            // The final answer was sent and `Control` may not cancel any more: no more tokens may reach the client.
+            // The final answer was sent, but `Control` has not necessarily cancelled the attempt. No more tokens may
+            // reach the client.
             self.stop_attempt(request_id, outputs);
             self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
             return Ok(());
@@ -132,26 +133,26 @@
         let Some(attempt) = current.filter(|attempt| attempt.id == attempt_id) else {
             return;
         };
-        let client_waits = attempt.messages_forwarded == attempt.messages_received;
-        let since = if client_waits {
+        let all_messages_forwarded = attempt.messages_forwarded == attempt.messages_received;
+        let stalled_since = if all_messages_forwarded {
             attempt.last_received_at.max(attempt.last_forwarded_at)
         } else {
             attempt.last_forwarded_at
         };
-        let limit = self.settings.limits.stall_timeout;
-        if self.now < since + limit {
+        let timeout = self.settings.limits.stall_timeout;
+        if self.now < stalled_since + timeout {
             let timer = TimerKind::StreamStall(request_id, attempt_id);
-            return self.timers.set(since + limit, timer);
+            return self.timers.set(stalled_since + timeout, timer);
         }
-        if client_waits {
+        if all_messages_forwarded {
             let engine = attempt.engine.clone();
             self.end_stalled_stream(request_id, &engine, outputs);
         } else {
             let (conn, _) = request.client_stream;
-            self.client_gone(request_id, outputs);
+            self.on_client_gone(request_id, outputs);
             outputs.push(Output::CloseClient {
                 conn,
-                reason: format!("client read no tokens for {limit:.0} ms"),
+                reason: format!("client read no tokens for {timeout:.0} ms"),
             });
         }
     }
