--- a/crates/dispatcher/src/driver/discovery.rs
+++ b/crates/dispatcher/src/driver/discovery.rs
@@ -141,7 +141,7 @@
                 // The first part of a long list has arrived.
                 Some(Event::Partly) => calls.answer_begun(),
                 Some(_) => {}
-                None => return CallEnd::Lost("discovery closed the connection".to_owned()),
+                None => return CallEnd::Lost("the connection to discovery ended".to_owned()),
             }
         }
     }
--- a/crates/dispatcher/src/state/connection_events.rs
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -175,7 +175,7 @@
                         CloseReason::ConnectTimeout => "connect timeout",
                         CloseReason::Idle => "idle",
                         CloseReason::PingTimeout => "no answer to a ping",
-                        CloseReason::Drained => "drained by the engine",
+                        CloseReason::Drained => "drained",
                     };
                     self.close_connection(EngineConnectionId(id.0), reason, outputs);
                 }
