--- a/crates/dispatcher/src/driver/discovery.rs
+++ b/crates/dispatcher/src/driver/discovery.rs
@@ -205,5 +205,5 @@
     };
     // A closure builds the list only if the log level is enabled.
     let engines = || list.endpoints.iter().map(summary).collect::<Vec<_>>();
-    tracing::debug!(version = list.version, engines = ?engines(), "endpoint list received");
+    tracing::debug!(version = list.version, engines = ?engines(), "list");
 }
--- a/crates/dispatcher/src/driver/outputs.rs
+++ b/crates/dispatcher/src/driver/outputs.rs
@@ -104,11 +104,11 @@
     match &frame.body {
         Some(Body::Final(last)) if last.answer() != v1::Answer::Succeeded => {
             let (answer, reason) = (last.answer().as_str_name(), &last.reason);
-            tracing::debug!(conn, stream, answer, reason, "request not successful");
+            tracing::debug!(conn, stream, answer, reason, "answered");
         }
         Some(Body::InvalidRequest(invalid)) => {
             let (field, reason) = (&invalid.field, &invalid.reason);
-            tracing::debug!(conn, stream, field, reason, "invalid request rejected");
+            tracing::debug!(conn, stream, field, reason, "rejected");
         }
         _ => {}
     }
