--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -1,4 +1,4 @@
-//! Which engines may take a request at all, before one of them is chosen.
+//! Filters the engines that may get a request, before one of them is chosen.
 
 use super::engines::EngineIndex;
 use super::requests::Request;
@@ -8,37 +8,37 @@
 use crate::interface::RetrySafety;
 
 impl State {
-    /// The engines of a stage that may take this request now; none means that it is held. Draining
-    /// engines and cold engines without budget are never among them. Decode engines that report a
-    /// high load, then those without room or that failed this request, are left out while others
-    /// are to be had.
+    /// The engines of a stage that may get this request now; if there are none, the request is
+    /// held. Draining engines and cold engines without budget are never returned. Decode engines
+    /// that report a high load are left out if others remain. So are decode engines without
+    /// capacity, and engines that rejected or failed this request.
     pub(super) fn candidates(&self, request: &Request, stage: Stage) -> Vec<EngineIndex> {
         let budget = self.cold_engine_budget(stage);
-        let open: Vec<EngineIndex> = self
-            .in_service(request, stage)
+        let allowed: Vec<EngineIndex> = self
+            .not_ejected_or_on_trial(request, stage)
             .into_iter()
-            .filter(|&engine| self.is_open(engine, request, budget))
+            .filter(|&engine| self.is_allowed(engine, request, budget))
             .collect();
-        let fit: Vec<EngineIndex> = open
+        let preferred: Vec<EngineIndex> = allowed
             .iter()
             .copied()
-            .filter(|&engine| self.is_fit(engine, request, stage))
+            .filter(|&engine| self.is_preferred(engine, request, stage))
             .collect();
         let lightly_loaded: Vec<EngineIndex> = match stage {
-            Stage::Prefill => fit.clone(),
-            Stage::Decode => self.without_highly_loaded(&fit),
+            Stage::Prefill => preferred.clone(),
+            Stage::Decode => self.without_highly_loaded(&preferred),
         };
-        [lightly_loaded, fit, open]
+        [lightly_loaded, preferred, allowed]
             .into_iter()
             .find(|engines| !engines.is_empty())
             .unwrap_or_default()
     }
 
-    /// The ready engines that are not ejected. One that is ejected comes in for a trial, if that is
-    /// safe; all of them come in only when every engine of the stage is ejected, not when the
-    /// others are merely busy. Guards against an engine that fails fast, which always looks as if
-    /// it had room.
-    fn in_service(&self, request: &Request, stage: Stage) -> Vec<EngineIndex> {
+    /// The ready engines that are not ejected, plus ejected engines that are due for a trial, if a
+    /// failed trial does no harm. If every ready engine of the stage is ejected, all of them are
+    /// returned; that the other engines are busy is no reason to return ejected ones. Guards
+    /// against an engine that fails fast, which always appears to have capacity.
+    fn not_ejected_or_on_trial(&self, request: &Request, stage: Stage) -> Vec<EngineIndex> {
         let ready: Vec<EngineIndex> = self.engines.ready(stage).collect();
         let success = |engine: EngineIndex| self.engines[engine].outcomes.success_fraction();
         let sum: f64 = ready.iter().map(|&engine| success(engine)).sum();
@@ -53,33 +53,35 @@
             stage == Stage::Prefill || self.retry_safety(request) == RetrySafety::Idempotent;
         let trials: Vec<EngineIndex> = ejected
             .into_iter()
-            .filter(|&engine| is_safe && self.engines[engine].outcomes.may_be_tried(self.now))
+            .filter(|&engine| is_safe && self.engines[engine].outcomes.is_trial_due(self.now))
             .collect();
         [healthy, trials].concat()
     }
 
-    /// Whether a request may go to an engine: the rules that are never set aside.
-    fn is_open(&self, engine: EngineIndex, request: &Request, cold_engine_budget: f64) -> bool {
-        let known = &self.engines[engine];
+    /// Whether the request may be sent to the engine. These conditions hold even if no engine meets
+    /// them.
+    fn is_allowed(&self, engine: EngineIndex, request: &Request, cold_engine_budget: f64) -> bool {
+        let candidate = &self.engines[engine];
         self.may_run_on(request, engine)
-            && known.slow_start.has_budget(
-                &known.endpoint.engine,
+            && candidate.slow_start.has_budget(
+                &candidate.endpoint.engine,
                 self.settings.me,
                 cold_engine_budget,
                 self.now,
                 &self.settings,
             )
-            && known.overload_backoff.is_over(self.now)
+            && candidate.overload_backoff.is_over(self.now)
     }
 
-    /// A prefill's room is looked at when its engine is chosen, as it may be held for its home
-    /// engine.
-    fn is_fit(&self, engine: EngineIndex, request: &Request, stage: Stage) -> bool {
-        (stage == Stage::Prefill || self.engines[engine].has_room())
+    /// Whether a decode engine has capacity, and whether an engine of either stage has neither
+    /// rejected nor failed this request. The capacity of a prefill engine is checked when the
+    /// engine is chosen, because the request may be held for its home engine.
+    fn is_preferred(&self, engine: EngineIndex, request: &Request, stage: Stage) -> bool {
+        (stage == Stage::Prefill || self.engines[engine].has_capacity())
             && !request.excluded_engines.contains(&engine)
     }
 
-    /// Leaves out decode engines that are taken by more than the middle between the mean and full.
+    /// Leaves out decode engines whose utilization is above the midpoint between the mean and 1.
     fn without_highly_loaded(&self, engines: &[EngineIndex]) -> Vec<EngineIndex> {
         let mean = self.mean_decode_utilization();
         let is_highly_loaded = |engine: EngineIndex| {
@@ -92,7 +94,7 @@
             .collect()
     }
 
-    /// Attempts that a cold engine may get from here within the overload window.
+    /// Attempts that one cold engine may get from this dispatcher within the overload window.
     fn cold_engine_budget(&self, stage: Stage) -> f64 {
         let (cold, warm): (Vec<EngineIndex>, Vec<EngineIndex>) = self
             .engines
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -1,24 +1,24 @@
-//! How many of this dispatcher's attempts may be in flight at an engine: additive increase,
-//! multiplicative decrease.
+//! Limit of this dispatcher's attempts in flight at one engine: additive increase, multiplicative
+//! decrease.
 
 use crate::interface::{Ms, Role};
 
-/// Attempts in flight at an engine to start with, summed over all dispatchers.
+/// Initial limit for a prefill engine, in attempts of all dispatchers.
 const INITIAL_PREFILLS: f64 = 12.0;
+/// Initial limit for an engine that decodes, in attempts of all dispatchers.
 const INITIAL_DECODES: f64 = 48.0;
-/// Increase for as many attempts without a queue as the limit allows at once. A decode lasts long,
-/// so fewer of them report.
+/// Increase of the limit after as many prefills without queueing as the limit allows at once.
 const PREFILL_INCREASE: f64 = 1.0;
+/// The same for decodes. It is larger because a decode lasts long, so fewer of them report.
 const DECODE_INCREASE: f64 = 3.0;
-/// What is left of the attempts in flight after one that queued.
+/// After an attempt that queued, the limit is this fraction of the attempts in flight.
 const DECREASE_FRACTION: f64 = 0.7;
-/// The limit grows only while it is nearly used up: with so many attempts in flight below it, or
-/// fewer.
+/// The limit grows only if at most this many of the attempts that it allows are not in flight.
 const UNUSED_ATTEMPTS: f64 = 2.0;
 
-/// Guards against queues at engines, in which requests grow late and cached prefixes are evicted:
-/// an attempt that queued lowers the limit, once for all attempts that were in flight together with
-/// it.
+/// Concurrency limit of one engine. Guards against queues at engines, which make requests late and
+/// evict cached prefixes. An attempt that queued lowers the limit, once for all attempts that were
+/// in flight together with it.
 pub(super) struct ConcurrencyLimit {
     attempts: f64,
     increase: f64,
@@ -26,7 +26,8 @@
 }
 
 impl ConcurrencyLimit {
-    /// One of `dispatchers` equal parts of what an engine of this role is given to start with.
+    /// The initial limit of one of `dispatchers` dispatchers, which share the limit of an engine of
+    /// this role equally.
     pub(super) fn new(role: Role, dispatchers: f64) -> Self {
         let (initial, increase) = match role {
             Role::Prefill => (INITIAL_PREFILLS, PREFILL_INCREASE),
@@ -39,24 +40,24 @@
         }
     }
 
-    /// The limit in attempts, with a fraction.
+    /// The limit in attempts; may be fractional.
     pub(super) fn attempts(&self) -> f64 {
         self.attempts
     }
 
-    /// Whether one more than `in_flight` attempts may be out.
-    pub(super) fn has_room(&self, in_flight: f64) -> bool {
+    /// Whether one more attempt may be sent while `in_flight` attempts are in flight.
+    pub(super) fn has_capacity(&self, in_flight: f64) -> bool {
         in_flight + 1.0 <= self.attempts
     }
 
-    /// An attempt met no queue.
+    /// Raises the limit after an attempt that did not queue.
     pub(super) fn increase(&mut self, in_flight: f64) {
         if in_flight + UNUSED_ATTEMPTS >= self.attempts {
             self.attempts += self.increase / self.attempts;
         }
     }
 
-    /// An attempt sent at `sent_at` met a queue.
+    /// Lowers the limit after an attempt that was sent at `sent_at` and queued.
     pub(super) fn decrease(&mut self, in_flight: f64, sent_at: Ms, now: Ms) {
         if sent_at >= self.decreased_at {
             self.attempts = (self.attempts.min(in_flight + 1.0) * DECREASE_FRACTION).max(1.0);
--- a/src/control/decaying_rate.rs
+++ b/src/control/decaying_rate.rs
@@ -1,23 +1,23 @@
-//! An event rate that fades with time.
+//! An event rate with exponential decay.
 
 use crate::interface::Ms;
 
-/// Events per millisecond. The rate decays only when an event is noted, so it lasts while none
-/// come.
+/// The rate of events. It decays only when an event is recorded and stays constant while no event
+/// comes.
 #[derive(Default)]
 pub(super) struct DecayingRate {
     per_ms: f64,
-    noted_at: Ms,
+    updated_at: Ms,
 }
 
 impl DecayingRate {
-    /// Adds `amount` events at `now`; older ones fade with the time constant `decay_ms`.
-    pub(super) fn note(&mut self, amount: f64, now: Ms, decay_ms: Ms) {
-        self.per_ms = self.per_ms * (-(now - self.noted_at) / decay_ms).exp() + amount / decay_ms;
-        self.noted_at = now;
+    /// Records `amount` events at `now`. Earlier events decay with the time constant `decay_ms`.
+    pub(super) fn record(&mut self, amount: f64, now: Ms, decay_ms: Ms) {
+        self.per_ms = self.per_ms * (-(now - self.updated_at) / decay_ms).exp() + amount / decay_ms;
+        self.updated_at = now;
     }
 
-    /// Events per millisecond.
+    /// Events per millisecond, as of the last recorded event.
     pub(super) fn per_ms(&self) -> f64 {
         self.per_ms
     }
--- a/src/control/decode_placement.rs
+++ b/src/control/decode_placement.rs
@@ -1,9 +1,10 @@
-//! Which decode engine takes a KV state over: nearness to the prefill engine first, load within a
-//! band of it.
+//! Chooses the decode engine that takes over a KV state: by proximity to the prefill engine, then
+//! by load.
 //!
-//! The engine is chosen when the prefill ends. Among the candidates within [`NEARNESS_BAND`] of the
-//! nearest, those with more than [`ABOVE_AVERAGE_DECODES`] own decodes above the candidates'
-//! average are skipped, and the one with the fewest in flight is taken.
+//! The engine is chosen when the prefill ends. Candidates within [`PROXIMITY_BAND`] of the best
+//! proximity are considered, except those with more than [`ABOVE_AVERAGE_DECODES`] own decodes
+//! above the average of all candidates. Of these the engine with the fewest requests in flight is
+//! chosen.
 
 use super::engines::{Engine, EngineIndex};
 use super::requests::Request;
@@ -11,17 +12,17 @@
 use super::state::State;
 use nanorand::Rng;
 
-/// Nearness of engines in the same cell, in the same zone and elsewhere. Each cell is part of a
-/// zone.
-const SAME_CELL_NEARNESS: f64 = 1.0;
-const SAME_ZONE_NEARNESS: f64 = 0.5;
-const ELSEWHERE_NEARNESS: f64 = 0.0;
-/// The band under the best nearness within which load decides.
-const NEARNESS_BAND: f64 = 0.1;
-/// An engine with more own decodes than the average and this many is skipped.
+/// Proximity of two engines in the same cell, in the same zone and in different zones. Each cell is
+/// part of one zone.
+const SAME_CELL_PROXIMITY: f64 = 1.0;
+const SAME_ZONE_PROXIMITY: f64 = 0.5;
+const OTHER_ZONE_PROXIMITY: f64 = 0.0;
+/// Candidates whose proximity is at most this much below the best are compared by load.
+const PROXIMITY_BAND: f64 = 0.1;
+/// A candidate is skipped if its own decodes exceed the average by more than this.
 const ABOVE_AVERAGE_DECODES: f64 = 1.0;
 
-/// An engine's place in the order of choice: load first, then the weighted draw.
+/// Sort key of a candidate: load first, then the weighted random draw.
 struct Ranked {
     load: f64,
     draw: f64,
@@ -29,17 +30,17 @@
 }
 
 impl State {
-    /// The decode engine for a KV state at `prefill_engine`; none if the request is held.
+    /// The decode engine for a KV state at `prefill_engine`; `None` if the request is held.
     pub(super) fn choose_decode_engine(
         &mut self,
         request: &Request,
         prefill_engine: EngineIndex,
     ) -> Option<EngineIndex> {
         let candidates = self.candidates(request, Stage::Decode);
-        let best_nearness = candidates
+        let best_proximity = candidates
             .iter()
-            .map(|&engine| self.nearness(prefill_engine, engine))
-            .fold(ELSEWHERE_NEARNESS, f64::max);
+            .map(|&engine| self.proximity(prefill_engine, engine))
+            .fold(OTHER_ZONE_PROXIMITY, f64::max);
         let decodes = |engine: EngineIndex| self.engines[engine].decodes;
         let mean_decodes = candidates
             .iter()
@@ -50,7 +51,7 @@
             .iter()
             .copied()
             .filter(|&engine| {
-                self.nearness(prefill_engine, engine) >= best_nearness - NEARNESS_BAND
+                self.proximity(prefill_engine, engine) >= best_proximity - PROXIMITY_BAND
                     && decodes(engine) <= mean_decodes + ABOVE_AVERAGE_DECODES
             })
             .collect();
@@ -61,11 +62,12 @@
         })
     }
 
-    /// Fewest in flight wins, a cold engine's load counting the more the younger it is. Ties are
-    /// drawn, weighted by the free fraction as last reported. Guards against herding: the least of
-    /// old reports would draw every dispatcher to one engine.
+    /// Chooses the engine with the fewest requests in flight; the younger a cold engine is, the
+    /// more each of its requests counts. A random draw, weighted by the free fraction in the last
+    /// load report, breaks ties. Guards against herding: if the lowest load in outdated reports
+    /// decided, all dispatchers would choose the same engine.
     fn choose_least_loaded(&mut self, engines: Vec<EngineIndex>) -> Option<EngineIndex> {
-        // One draw for each, in order, so that the draws do not depend on loads.
+        // Every engine gets one draw, in a fixed order, so that the draws do not depend on loads.
         let draws: Vec<f64> = engines
             .iter()
             .map(|_| -self.rng.generate::<f64>().ln())
@@ -80,41 +82,41 @@
     }
 
     fn rank(&self, engine: EngineIndex, draw: f64, mean_utilization: f64) -> Ranked {
-        let known = &self.engines[engine];
+        let candidate = &self.engines[engine];
         let capacity = self.capacity_fraction(engine);
         let utilization = self.engines.utilization(engine, mean_utilization, self.now);
         let free = (1.0 - utilization).max(f64::EPSILON);
         Ranked {
-            load: (known.decodes + known.load_report.in_flight) / capacity,
+            load: (candidate.decodes + candidate.load_report.in_flight) / capacity,
             draw: draw / free / capacity,
             engine,
         }
     }
 
-    /// Asks the decode engines next to a prefill engine for their load while the prefill runs, for
-    /// the choice at its end.
+    /// Requests load reports from the decode engines nearby a prefill engine while the prefill runs.
+    /// The decode engine is chosen by them when the prefill ends.
     pub(super) fn request_reports_near(&mut self, prefill_engine: EngineIndex, request: &Request) {
-        let near: Vec<EngineIndex> = self
+        let nearby: Vec<EngineIndex> = self
             .candidates(request, Stage::Decode)
             .into_iter()
             .filter(|&engine| {
-                self.nearness(prefill_engine, engine) >= SAME_CELL_NEARNESS - NEARNESS_BAND
+                self.proximity(prefill_engine, engine) >= SAME_CELL_PROXIMITY - PROXIMITY_BAND
             })
             .collect();
-        self.request_load_reports(&near);
+        self.request_load_reports(&nearby);
     }
 
-    fn nearness(&self, prefill_engine: EngineIndex, decode_engine: EngineIndex) -> f64 {
-        nearness(&self.engines[prefill_engine], &self.engines[decode_engine])
+    fn proximity(&self, prefill_engine: EngineIndex, decode_engine: EngineIndex) -> f64 {
+        proximity(&self.engines[prefill_engine], &self.engines[decode_engine])
     }
 }
 
-fn nearness(a: &Engine, b: &Engine) -> f64 {
+fn proximity(a: &Engine, b: &Engine) -> f64 {
     let same_cell = a.endpoint.cell == b.endpoint.cell;
     let same_zone = a.endpoint.zone == b.endpoint.zone;
     match (same_cell, same_zone) {
-        (true, true) => SAME_CELL_NEARNESS,
-        (false, false) => ELSEWHERE_NEARNESS,
-        _ => SAME_ZONE_NEARNESS,
+        (true, true) => SAME_CELL_PROXIMITY,
+        (false, false) => OTHER_ZONE_PROXIMITY,
+        _ => SAME_ZONE_PROXIMITY,
     }
 }
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -1,61 +1,64 @@
-//! Whether a decode attempt has reached its engine, and when something is due about that.
+//! Tracks whether a decode attempt has reached its engine, and when the next step of that check is
+//! due.
 //!
-//! Bytes that were written to a connection prove nothing: the engine's machine may have vanished,
-//! and its connections then stay open without an error. Until the engine has shown that it runs, an
-//! attempt counts as not arrived, and the time within which the KV state has to be taken or
-//! released goes on. An engine that shows nothing in time is asked to confirm that it runs; without
-//! an answer the attempt is given up and another engine takes the KV state, or the state is
-//! released.
+//! A successful write to a connection does not prove delivery: the engine's machine may have
+//! vanished, and its connections then stay open without an error. An attempt counts as undelivered
+//! until the engine has shown that it runs; meanwhile the timeout of the KV state keeps running. An
+//! engine that shows nothing in time is asked to confirm that it runs. Without an answer the
+//! attempt is given up, and another engine takes over the KV state or the KV state is released.
 //!
-//! All times count from the instant since which the KV state is unclaimed, as fractions of its
-//! timeout.
+//! Times are fractions of the KV state timeout. They count from the instant since which the KV
+//! state is unclaimed, unless noted otherwise.
 
 use crate::interface::{Ms, Outcome};
 
-/// When the engine is asked to confirm, counted from the send, and then after each further
-/// interval: on an open connection the answer takes one round trip, on a new one three.
+/// When the engine is first asked to confirm that it runs, counted from the send, and the interval
+/// between further questions. An answer takes one round trip on an open connection and three on a
+/// new one.
 const CONFIRM_AFTER_FRACTION: f64 = 0.2;
 const CONFIRM_INTERVAL_FRACTION: f64 = 0.15;
-/// When an attempt without an answer is given up: half of the timeout is left for one at another
-/// engine. That one is asked at once and has the second time to be confirmed.
+/// When an attempt without an answer is given up. Half of the timeout is left for an attempt at
+/// another engine. That engine is asked to confirm at once and has [`MIN_CONFIRM_WAIT_FRACTION`] to
+/// answer.
 const GIVE_UP_AT_FRACTION: f64 = 0.5;
 const MIN_CONFIRM_WAIT_FRACTION: f64 = 0.2;
-/// When the state is released, if the engine runs and nothing has come on the attempt's own
-/// connection, in case that connection alone is dead. It leaves the time for asking some engines
-/// that do not answer.
+/// When the KV state is released if the engine runs and nothing has come on the attempt's own
+/// connection, in case only that connection is dead. The rest of the timeout suffices to ask
+/// several engines that do not answer.
 const RELEASE_AT_FRACTION: f64 = 0.8;
-/// The latest start of an attempt at another engine: its own wait, and then a release, still fit
-/// in.
+/// The latest start of an attempt at another engine. Its confirmation and then a release still fit
+/// into the timeout.
 const LAST_ATTEMPT_AT_FRACTION: f64 = 0.6;
 
-/// What comes from an engine may have been sent so many milliseconds earlier: a process may be held
-/// up for 150 ms between reading its clock and acting, and the platform's protocol adds 50 ms to
-/// each time on sockets.
+/// Longest delay in milliseconds between the send of an engine and the receipt here. A process may
+/// be delayed by 150 ms between reading its clock and acting, and the platform's protocol adds 50
+/// ms to each time on sockets.
 pub const RECEIVED_LATE: Ms = 200.0;
 
-/// What is known of an attempt's way to its engine.
+/// What is known about the delivery of an attempt to its engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Delivery {
-    /// The attempt has arrived, as far as anybody reports that, or nothing more is to be done about
-    /// it.
+    /// The attempt has reached its engine, as far as the driver reports deliveries, or no further
+    /// step is needed.
     Confirmed,
-    /// The engine has shown since the send that it runs, on some connection: the attempt is in its
-    /// queue, or its own connection alone is dead. When the state is released in case it is the
-    /// latter.
+    /// The engine has shown on some connection that it has run since the send. The attempt is in
+    /// the engine's queue, or only its own connection is dead. The KV state is released at
+    /// `release_at` in case the connection is dead.
     EngineRuns { release_at: Ms },
-    /// Nothing has come since the send: when the engine is asked next, and when the attempt is
-    /// given up.
+    /// Nothing has come from the engine since the send. The engine is asked to confirm at `ask_at`,
+    /// and the attempt is given up at `give_up_at`.
     Unconfirmed { ask_at: Ms, give_up_at: Ms },
-    /// Nothing came in time: the attempt counts as not arrived, though it may yet arrive.
+    /// Nothing came from the engine in time. The attempt counts as undelivered, though it may still
+    /// arrive.
     GivenUp,
 }
 
-/// What is due about a delivery.
+/// The step that is due for a delivery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum DeliveryStep {
     Nothing,
     WaitUntil(Ms),
-    /// Ask the engine to confirm that it runs, and look again at the instant.
+    /// Ask the engine to confirm that it runs; the next step is due at `next_at`.
     Confirm {
         next_at: Ms,
     },
@@ -64,7 +67,8 @@
 }
 
 impl Delivery {
-    /// A decode attempt is sent now for a KV state that is unclaimed since then.
+    /// The delivery of a decode attempt that is sent now for a KV state that is unclaimed since
+    /// `unclaimed_since`.
     pub(super) fn sent(now: Ms, unclaimed_since: Ms, kv_state_timeout: Ms) -> Self {
         let usual = now + CONFIRM_AFTER_FRACTION * kv_state_timeout;
         let latest =
@@ -75,24 +79,24 @@
         Delivery::Unconfirmed { ask_at, give_up_at }
     }
 
-    /// The engine has shown that it runs; gives whether that was news.
-    pub(super) fn note_engine_runs(
+    /// Records that the engine has shown that it runs. Returns whether this was not known before.
+    pub(super) fn record_engine_runs(
         &mut self,
         now: Ms,
         unclaimed_since: Ms,
         kv_state_timeout: Ms,
     ) -> bool {
-        let is_news = matches!(self, Delivery::Unconfirmed { .. });
-        if is_news {
+        let is_new = matches!(self, Delivery::Unconfirmed { .. });
+        if is_new {
             let release_at = unclaimed_since + RELEASE_AT_FRACTION * kv_state_timeout;
             *self = Delivery::EngineRuns {
                 release_at: release_at.max(now),
             };
         }
-        is_news
+        is_new
     }
 
-    /// What is due now; takes note of it as done.
+    /// Returns the step that is due now and marks it as done.
     pub(super) fn next_step(&mut self, now: Ms, kv_state_timeout: Ms) -> DeliveryStep {
         match self {
             Delivery::Confirmed | Delivery::GivenUp => DeliveryStep::Nothing,
@@ -118,7 +122,7 @@
         }
     }
 
-    /// When something is due about it; never, if nothing is.
+    /// When the next step is due; `None` if there is none.
     pub(super) fn next_at(&self) -> Option<Ms> {
         match self {
             Delivery::Unconfirmed { ask_at, give_up_at } => Some(ask_at.min(*give_up_at)),
@@ -127,12 +131,12 @@
         }
     }
 
-    /// Whether an attempt that ended so had arrived: only then its KV state is unclaimed anew from
-    /// its end.
-    pub(super) fn has_arrived(&self, outcome: Outcome) -> bool {
+    /// Whether an attempt with this outcome had reached its engine. Only then does the KV state
+    /// count as unclaimed from the end of the attempt.
+    pub(super) fn has_reached_engine(&self, outcome: Outcome) -> bool {
         match outcome {
             Outcome::Unreachable | Outcome::NotSent => false,
-            // Each is an answer of the engine's.
+            // Each of these outcomes is an answer of the engine.
             Outcome::Succeeded | Outcome::Failed | Outcome::Overloaded | Outcome::PrefillDone => {
                 true
             }
@@ -143,7 +147,11 @@
     }
 }
 
-/// Whether there is time for an attempt at another engine.
-pub(super) fn is_time_for_another(now: Ms, unclaimed_since: Ms, kv_state_timeout: Ms) -> bool {
+/// Whether enough of the KV state timeout is left for an attempt at another engine.
+pub(super) fn has_time_for_another_attempt(
+    now: Ms,
+    unclaimed_since: Ms,
+    kv_state_timeout: Ms,
+) -> bool {
     now - unclaimed_since <= LAST_ATTEMPT_AT_FRACTION * kv_state_timeout
 }
--- a/src/control/delivery_tracking.rs
+++ b/src/control/delivery_tracking.rs
@@ -1,4 +1,4 @@
-//! What is done about a decode attempt that may not have reached its engine.
+//! Handles decode attempts that may not have reached their engine.
 
 use super::delivery::{self, Delivery, DeliveryStep};
 use super::engines::EngineIndex;
@@ -8,7 +8,7 @@
 use crate::interface::{AttemptId, Ms, RequestId};
 
 impl State {
-    /// What is known of the delivery of a decode attempt that is sent now.
+    /// The delivery state of a decode attempt that is sent now.
     pub(super) fn delivery_of_new_decode(&self, request: &Request) -> Delivery {
         if !self.tracks_deliveries {
             return Delivery::Confirmed;
@@ -20,8 +20,8 @@
         )
     }
 
-    /// The attempt's engine has shown that it runs.
-    pub(super) fn learn_delivery(&mut self, id: RequestId, attempt: AttemptId) {
+    /// Records that the attempt's engine has shown that it runs.
+    pub(super) fn handle_delivered(&mut self, id: RequestId, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -32,13 +32,14 @@
         let timeout = self.settings.kv_state_timeout;
         if attempt
             .delivery
-            .note_engine_runs(self.now, unclaimed_since, timeout)
+            .record_engine_runs(self.now, unclaimed_since, timeout)
         {
             self.queue.wake(id);
         }
     }
 
-    /// Plans for an attempt in flight: asks its engine to confirm that it runs, or gives it up.
+    /// Plans the next delivery step of an attempt in flight: asks its engine to confirm that it
+    /// runs, releases the KV state or gives the attempt up.
     pub(super) fn plan_delivery(&mut self, request: &mut Request) {
         let Some(attempt) = request.attempt.as_mut() else {
             return;
@@ -54,10 +55,11 @@
                 request.intents.confirm = true;
                 self.wake_by(next_at);
             }
-            // Nothing has come from an engine that runs. The platform's pages can be read in two ways
-            // (docs/acceptance.md, 'Readings'): a release spares what an attempt waits for, so it
-            // takes nothing from one in the queue; or it releases everything, and that one finds no
-            // state and is rejected, which proves that it has not run.
+            // The engine runs, but nothing has come for the attempt. The platform's pages can be
+            // read in two ways (docs/acceptance.md, 'Readings'). If a release spares a KV state
+            // that an attempt waits for, it takes nothing from an attempt in the queue. If a
+            // release frees every KV state, the attempt finds none and is rejected, which proves
+            // that it has not run.
             DeliveryStep::ReleaseInDoubt => {
                 request.intents.release_in_doubt = request.kv_state.is_some();
             }
@@ -65,23 +67,24 @@
         }
     }
 
-    /// An attempt that has not arrived: another engine takes its KV state, if the request may run
-    /// there and one is to be had in time; else the state is released, and the attempt, should it
-    /// arrive after all, finds none.
+    /// Handles an attempt that has not reached its engine. Another engine takes over the KV state
+    /// if the request may run there and such an engine is available in time. Otherwise the KV state
+    /// is released; should the attempt arrive later, it finds no KV state.
     fn plan_undelivered(&mut self, request: &mut Request, engine: EngineIndex, sent_at: Ms) {
-        let known = &mut self.engines[engine];
-        known.note_outcome(false);
-        // Guards against a run of requests that all wait for the same unresponsive engine.
-        known
+        let unresponsive = &mut self.engines[engine];
+        unresponsive.record_outcome(false);
+        // Guards against a series of requests that all wait for the same unresponsive engine.
+        unresponsive
             .overload_backoff
-            .leave_out_until(self.now + self.settings.kv_state_timeout);
+            .exclude_until(self.now + self.settings.kv_state_timeout);
         request.excluded_engines.push(engine);
         let may_cancel = self.settings.may_cancel;
-        let goes_elsewhere = may_cancel && self.has_other_engine(request, engine, sent_at);
-        // A repeat that arrived long after would be one that engines do not recognise any more.
+        let is_retried_elsewhere = may_cancel && self.has_other_engine(request, engine, sent_at);
+        // A repeat is cancelled in any case: if it arrived much later, engines would no longer
+        // recognise it as a repeat.
         let is_repeat = request.first_possible_run.is_some();
-        request.intents.cancel = goes_elsewhere || may_cancel && is_repeat;
-        request.intents.release = request.kv_state.is_some() && !goes_elsewhere;
+        request.intents.cancel = is_retried_elsewhere || may_cancel && is_repeat;
+        request.intents.release = request.kv_state.is_some() && !is_retried_elsewhere;
     }
 
     fn has_other_engine(
@@ -95,12 +98,13 @@
         };
         let timeout = self.settings.kv_state_timeout;
         let in_time = !request.finished
-            && delivery::is_time_for_another(self.now, request.unclaimed_since, timeout)
-            && self.now < request.ends_at - RETRY_INTERVAL_FRACTION * timeout;
+            && delivery::has_time_for_another_attempt(self.now, request.unclaimed_since, timeout)
+            && self.now < request.answer_by - RETRY_INTERVAL_FRACTION * timeout;
         if !in_time || request.attempts >= self.settings.max_attempts {
             return false;
         }
-        // The attempt that is given up may run yet: the other engine must be one for a repeat.
+        // The attempt that is given up may still run, so the other engine must be one that may get
+        // a repeat.
         let first_possible_run = request.first_possible_run;
         request.first_possible_run.get_or_insert(PossibleRun {
             engine: unresponsive,
--- a/src/control/emit.rs
+++ b/src/control/emit.rs
@@ -1,4 +1,4 @@
-//! Makes actions of intents: the only place that acts on a request.
+//! Turns intents into actions. No other module acts on a request.
 
 use super::delivery::Delivery;
 use super::engines::EngineIndex;
@@ -28,7 +28,7 @@
         request.finished |= matches!(request.intents.next, Intent::Reject | Intent::Fail);
     }
 
-    /// Starts a decode of the KV state, or a prefill if none is held.
+    /// Starts a decode of the KV state, or a prefill if the request holds no KV state.
     fn emit_start(
         &mut self,
         id: RequestId,
@@ -39,14 +39,14 @@
         actions.push(Action::StartAttempt {
             request: id,
             engine: self.engines[index].endpoint.engine.clone(),
-            until: Some(request.ends_at),
+            until: Some(request.answer_by),
         });
         let attempt = self.new_attempt(request, index);
         let engine = &mut self.engines[index];
         let overload_window = self.settings.overload_window;
-        engine.note_attempt_started(attempt.stage, attempt.uncached_tokens);
-        engine.slow_start.note_attempt(self.now, overload_window);
-        engine.outcomes.note_attempt(self.now, overload_window);
+        engine.record_attempt_started(attempt.stage, attempt.uncached_tokens);
+        engine.slow_start.record_attempt(self.now, overload_window);
+        engine.outcomes.record_attempt(self.now, overload_window);
         request.attempt = Some(attempt);
         request.attempts += 1;
         self.wake_by(self.now + request.queued_after_ms());
@@ -66,14 +66,14 @@
             stage,
             decoding: false,
             cancelled: false,
-            late: false,
+            has_queued: false,
             uncached_tokens,
             sent_at: self.now,
             delivery,
         }
     }
 
-    /// Asks engines for their load.
+    /// Emits the health checks that this step has requested.
     pub(super) fn emit_health_checks(&mut self, actions: &mut Vec<Action>) {
         for index in self.health_checks.drain(..) {
             actions.push(Action::HealthCheck {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sets the timer for the next step.
+    /// Sets the timer for the next step, unless one that fires early enough is set.
     pub(super) fn emit_timer(&mut self, actions: &mut Vec<Action>) {
         if let Some(wake_at) = self.wake_at {
             actions.extend(self.timer.arm(wake_at, self.now));
--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -1,4 +1,4 @@
-//! What is known of each engine.
+//! The state of each engine as this dispatcher knows it.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::load_report::{HealthCheckState, LoadReport, TypicalPrefill};
@@ -10,16 +10,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// An engine's place in [`Engines`]; lasting.
+/// Index of an engine in [`Engines`]; it never changes, because engines are never removed.
 pub(super) type EngineIndex = usize;
 
 pub(super) struct Engine {
     pub(super) endpoint: Endpoint,
     pub(super) kind: KindSettings,
-    /// Own attempts in flight, by stage.
+    /// Decodes of this dispatcher in flight at the engine.
     pub(super) decodes: f64,
+    /// Prefills of this dispatcher in flight at the engine.
     pub(super) prefills: f64,
-    /// Uncached prompt tokens of own prefills in flight.
+    /// Uncached prompt tokens of this dispatcher's prefills in flight.
     pub(super) prefill_tokens: f64,
     pub(super) concurrency_limit: ConcurrencyLimit,
     pub(super) prefix_cache: PrefixCache,
@@ -51,9 +52,10 @@
         }
     }
 
-    /// Takes its entry in the list of endpoints in. A later start is a new process under the same
-    /// id: outcomes, load report and cached prefixes of the old one no longer hold. The concurrency
-    /// limit, the overload backoff and the health check are kept and follow what the new one answers.
+    /// Applies the engine's entry in the list of endpoints. A later start means a new process under
+    /// the same id: outcomes, load report and cached prefixes of the old process no longer apply.
+    /// The concurrency limit, the overload backoff and the health check are kept and follow the
+    /// answers of the new process.
     fn update(&mut self, endpoint: &Endpoint) {
         let started_at = endpoint.started.unwrap_or(f64::NEG_INFINITY);
         if started_at > self.slow_start.started_at() {
@@ -69,16 +71,16 @@
         self.endpoint.status == EndpointStatus::Ready
     }
 
-    /// Own attempts in flight.
+    /// Attempts of this dispatcher in flight at the engine, of both stages.
     pub(super) fn in_flight(&self) -> f64 {
         self.prefills + self.decodes
     }
 
-    pub(super) fn has_room(&self) -> bool {
-        self.concurrency_limit.has_room(self.in_flight())
+    pub(super) fn has_capacity(&self) -> bool {
+        self.concurrency_limit.has_capacity(self.in_flight())
     }
 
-    pub(super) fn note_attempt_started(&mut self, stage: Stage, uncached_tokens: f64) {
+    pub(super) fn record_attempt_started(&mut self, stage: Stage, uncached_tokens: f64) {
         match stage {
             Stage::Prefill => {
                 self.prefills += 1.0;
@@ -88,7 +90,7 @@
         }
     }
 
-    pub(super) fn note_attempt_ended(&mut self, stage: Stage, uncached_tokens: f64) {
+    pub(super) fn record_attempt_ended(&mut self, stage: Stage, uncached_tokens: f64) {
         match stage {
             Stage::Prefill => {
                 self.prefills -= 1.0;
@@ -98,8 +100,8 @@
         }
     }
 
-    /// An attempt sent at `sent_at` did or did not wait in a queue there.
-    pub(super) fn note_queueing(&mut self, queued: bool, sent_at: Ms, now: Ms) {
+    /// Records whether an attempt that was sent at `sent_at` waited in a queue at the engine.
+    pub(super) fn record_queueing(&mut self, queued: bool, sent_at: Ms, now: Ms) {
         let in_flight = self.in_flight();
         if queued {
             self.concurrency_limit.decrease(in_flight, sent_at, now);
@@ -108,20 +110,20 @@
         }
     }
 
-    pub(super) fn note_outcome(&mut self, success: bool) {
+    pub(super) fn record_outcome(&mut self, success: bool) {
         if success {
-            self.overload_backoff.note_success();
+            self.overload_backoff.record_success();
         }
-        self.outcomes.note(success);
+        self.outcomes.record(success);
     }
 }
 
 pub(super) struct Engines {
     dispatchers: f64,
-    /// Time constant with which a load report ages.
+    /// Time constant in milliseconds with which a load report ages.
     report_decay_ms: Ms,
     index: BTreeMap<EngineId, EngineIndex>,
-    /// Every engine ever listed, in the order in which they came.
+    /// Every engine ever listed, in the order of first listing.
     engines: Vec<Engine>,
     typical_prefill: TypicalPrefill,
 }
@@ -151,12 +153,13 @@
         }
     }
 
-    /// How many dispatchers share the engines, this one counted.
+    /// How many dispatchers share the engines, including this one.
     pub(super) fn dispatchers(&self) -> f64 {
         self.dispatchers
     }
 
-    /// Time constant with which a load report ages; a missing one counts for as long.
+    /// Time constant in milliseconds with which a load report ages. A health check without an
+    /// answer counts for the same time.
     pub(super) fn report_decay_ms(&self) -> Ms {
         self.report_decay_ms
     }
@@ -169,8 +172,8 @@
         self.engines.iter()
     }
 
-    /// Takes an entry of the list of endpoints in. `kind` counts for an engine that is new: one that
-    /// is known keeps the kind that it was first listed with.
+    /// Applies an entry of the list of endpoints. `kind` applies only to a new engine; a known
+    /// engine keeps the kind of its first listing.
     pub(super) fn update(&mut self, endpoint: &Endpoint, kind: &KindSettings) {
         let index = match self.index.get(&endpoint.engine) {
             Some(&index) => index,
@@ -187,7 +190,7 @@
         index
     }
 
-    /// A full list came: engines that are not in it are gone.
+    /// Marks the engines that are missing from a full list as gone.
     pub(super) fn mark_gone_unless_in(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<&EngineId> = endpoints.iter().map(|entry| &entry.engine).collect();
         for engine in &mut self.engines {
@@ -197,7 +200,7 @@
         }
     }
 
-    /// The engines that serve a stage and take new attempts, in the order of their indices.
+    /// The engines that serve a stage and accept new attempts, by ascending index.
     pub(super) fn ready(&self, stage: Stage) -> impl Iterator<Item = EngineIndex> + '_ {
         let ready = move |(_, engine): &(EngineIndex, &Engine)| {
             stage.is_served_by(engine.kind.role) && engine.is_ready()
@@ -209,18 +212,23 @@
             .map(|(index, _)| index)
     }
 
-    /// Whether an attempt of this stage only computes a KV state there; a mixed engine answers what
-    /// it has prefilled.
+    /// Whether an attempt of this stage only computes a KV state at the engine. An engine of both
+    /// roles also generates the answer to what it has prefilled.
     pub(super) fn is_prefill_only(&self, stage: Stage, index: EngineIndex) -> bool {
         stage == Stage::Prefill && self.engines[index].kind.role == Role::Prefill
     }
 
-    pub(super) fn note_prefill_done(&mut self, index: EngineIndex, arrival: &Arrival, cached: f64) {
+    pub(super) fn record_prefill_done(
+        &mut self,
+        index: EngineIndex,
+        arrival: &Arrival,
+        cached: f64,
+    ) {
         self.engines[index].prefix_cache.insert(arrival);
-        self.typical_prefill.note(arrival.prompt_tokens - cached);
+        self.typical_prefill.record(arrival.prompt_tokens - cached);
     }
 
-    pub(super) fn note_load(&mut self, index: EngineIndex, load: &Load, now: Ms) {
+    pub(super) fn record_load(&mut self, index: EngineIndex, load: &Load, now: Ms) {
         let engine = &mut self.engines[index];
         let typical_tokens = self.typical_prefill.tokens();
         engine
@@ -228,39 +236,40 @@
             .update(load, typical_tokens, engine.kind.memory_tokens, now);
     }
 
-    /// The mean of a reported value over the ready engines of a stage whose reports are known, one
-    /// of them left out.
+    /// The mean of a reported value over the ready engines of a stage with a known report, except
+    /// `excluded`; 0 if there are none.
     pub(super) fn mean_report(
         &self,
         stage: Stage,
         value: impl Fn(&LoadReport) -> f64,
-        without: Option<EngineIndex>,
+        excluded: Option<EngineIndex>,
     ) -> f64 {
-        let known = self
+        let reporting = self
             .ready(stage)
-            .filter(|&index| Some(index) != without && self.engines[index].load_report.is_known());
-        let (sum, count) = known.fold((0.0, 0.0), |(sum, count), index| {
+            .filter(|&index| Some(index) != excluded && self.engines[index].load_report.is_known());
+        let (sum, count) = reporting.fold((0.0, 0.0), |(sum, count), index| {
             (sum + value(&self.engines[index].load_report), count + 1.0)
         });
         sum / f64::max(count, 1.0)
     }
 
-    /// Prompt tokens that wait at a prefill engine: own ones scaled by `dispatchers_seen`, or what
-    /// it reported, which ages towards `mean`; whichever is more.
+    /// Prompt tokens that wait at a prefill engine: those of this dispatcher times
+    /// `own_tokens_factor`, or those that the engine reported, which age towards `mean`, whichever
+    /// are more.
     pub(super) fn waiting_tokens(
         &self,
         index: EngineIndex,
-        dispatchers_seen: f64,
+        own_tokens_factor: f64,
         mean: f64,
         now: Ms,
     ) -> f64 {
         let engine = &self.engines[index];
         let report = &engine.load_report;
         let reported = report.aged(report.waiting_tokens, mean, now, self.report_decay_ms);
-        (dispatchers_seen * engine.prefill_tokens).max(reported)
+        (own_tokens_factor * engine.prefill_tokens).max(reported)
     }
 
-    /// The fraction of an engine that is taken, as reported; ages towards `mean`.
+    /// The fraction of an engine in use, as reported; it ages towards `mean`.
     pub(super) fn utilization(&self, index: EngineIndex, mean: f64, now: Ms) -> f64 {
         let report = &self.engines[index].load_report;
         report.aged(report.utilization, mean, now, self.report_decay_ms)
--- a/src/control/learn.rs
+++ b/src/control/event_handlers.rs
@@ -1,4 +1,4 @@
-//! Takes events in: what they mean for requests, engines and traffic.
+//! Applies events to the state of requests, engines and traffic.
 
 use super::delivery::Delivery;
 use super::engines::EngineIndex;
@@ -12,28 +12,30 @@
 const NO_KV_STATE: f64 = 1.0;
 
 impl State {
-    pub(super) fn learn(&mut self, event: &Event) {
+    pub(super) fn handle_event(&mut self, event: &Event) {
         match event {
-            Event::EndpointsUpdated { kind, endpoints } => self.learn_endpoints(*kind, endpoints),
-            Event::Arrived(arrival) => self.learn_arrival(arrival),
-            Event::ClientGone { request } => self.learn_client_gone(*request),
+            Event::EndpointsUpdated { kind, endpoints } => {
+                self.handle_endpoints_updated(*kind, endpoints)
+            }
+            Event::Arrived(arrival) => self.handle_arrival(arrival),
+            Event::ClientGone { request } => self.handle_client_gone(*request),
             Event::FirstToken {
                 request, attempt, ..
-            } => self.learn_first_token(*request, *attempt),
-            Event::Ended(ended) => self.learn_end(ended),
-            Event::Delivered { request, attempt } => self.learn_delivery(*request, *attempt),
-            Event::Timer { timer } => self.timer.note_fired(*timer),
+            } => self.handle_first_token(*request, *attempt),
+            Event::Ended(ended) => self.handle_attempt_ended(ended),
+            Event::Delivered { request, attempt } => self.handle_delivered(*request, *attempt),
+            Event::Timer { timer } => self.timer.record_fired(*timer),
             Event::HealthChecked {
                 engine,
                 outcome,
                 load,
                 ..
-            } => self.learn_health_check(engine, *outcome, load),
+            } => self.handle_health_checked(engine, *outcome, load),
             Event::ReservationChanged { .. } | Event::GossipReceived { .. } => {}
         }
     }
 
-    fn learn_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
+    fn handle_endpoints_updated(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         if matches!(
             kind,
             EndpointUpdateKind::Snapshot | EndpointUpdateKind::Cached
@@ -47,14 +49,14 @@
         }
     }
 
-    fn learn_arrival(&mut self, arrival: &Arrival) {
-        let over_quota = self.note_tenant_request(arrival.tenant);
+    fn handle_arrival(&mut self, arrival: &Arrival) {
+        let over_quota = self.record_tenant_request(arrival.tenant);
         let Some(class) = self.classes.get(arrival.request_class) else {
             return;
         };
         let request = Request {
-            prefill_by: self.prefill_by(class.latency_objective(arrival)),
-            ends_at: self.ends_at(arrival.time_to_deadline),
+            prefill_start_by: self.prefill_start_by(class.latency_objective(arrival)),
+            answer_by: self.answer_by(arrival.time_to_deadline),
             queueing_unit: self.classes.queueing_unit(arrival),
             arrival: arrival.clone(),
             attempts: 0,
@@ -70,17 +72,17 @@
         };
         self.requests.insert(arrival.request, request);
         self.queue.wake(arrival.request);
-        self.slow_start.note_arrival(self.now, &self.settings);
+        self.slow_start.record_arrival(self.now, &self.settings);
     }
 
-    fn learn_client_gone(&mut self, id: RequestId) {
+    fn handle_client_gone(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.finished = true;
             self.queue.wake(id);
         }
     }
 
-    fn learn_first_token(&mut self, id: RequestId, attempt: AttemptId) {
+    fn handle_first_token(&mut self, id: RequestId, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -95,38 +97,38 @@
         self.queue.wake(id);
         let queued = self.now - sent_at > queued_after_ms;
         let engine = &mut self.engines[index];
-        engine.note_queueing(queued, sent_at, self.now);
+        engine.record_queueing(queued, sent_at, self.now);
         engine.last_response_at = self.now;
-        self.note_service(index, Stage::Decode);
+        self.record_service(index, Stage::Decode);
     }
 
-    fn learn_health_check(&mut self, engine: &EngineId, outcome: Outcome, load: &Load) {
+    fn handle_health_checked(&mut self, engine: &EngineId, outcome: Outcome, load: &Load) {
         let Some(index) = self.engines.index_of(engine) else {
             return;
         };
         self.engines[index]
             .health_check
-            .note_answer(outcome == Outcome::Succeeded, self.now);
-        self.engines.note_load(index, load, self.now);
+            .record_answer(outcome == Outcome::Succeeded, self.now);
+        self.engines.record_load(index, load, self.now);
     }
 
-    fn learn_end(&mut self, ended: &Ended) {
+    fn handle_attempt_ended(&mut self, ended: &Ended) {
         let Some(index) = self.engines.index_of(&ended.engine) else {
             return;
         };
-        self.engines.note_load(index, &ended.load, self.now);
+        self.engines.record_load(index, &ended.load, self.now);
         let Some(attempt) = self.take_attempt(ended, index) else {
             return;
         };
         self.queue.wake(ended.request);
-        self.engines[index].note_attempt_ended(attempt.stage, attempt.uncached_tokens);
+        self.engines[index].record_attempt_ended(attempt.stage, attempt.uncached_tokens);
         let Some(request) = self.requests.get_mut(&ended.request) else {
             return;
         };
         let queued = ended.outcome != Outcome::PrefillDone
             || self.now - attempt.sent_at > request.queued_after_ms();
         request.finished |= ended.last;
-        if attempt.delivery.has_arrived(ended.outcome) {
+        if attempt.delivery.has_reached_engine(ended.outcome) {
             request.unclaimed_since = self.now;
         }
         if retry::may_have_run(&attempt, ended.outcome, &self.engines) {
@@ -135,22 +137,22 @@
                 sent_at: attempt.sent_at,
             });
         }
-        self.learn_latency(&attempt, ended.outcome, queued);
-        self.learn_outcome(ended, index);
+        self.record_latency(&attempt, ended.outcome, queued);
+        self.apply_outcome(ended, index);
     }
 
-    /// Takes the attempt that has ended from its request, if it is the one in flight.
+    /// Removes the attempt that has ended from its request, if it is the one in flight.
     fn take_attempt(&mut self, ended: &Ended, index: EngineIndex) -> Option<Attempt> {
         let request = self.requests.get_mut(&ended.request)?;
-        self.queue.uncount(request);
+        self.queue.remove_from_count(request);
         let attempt = request
             .attempt
             .take_if(|attempt| attempt.id == ended.attempt && attempt.engine == index);
-        self.queue.count(request);
+        self.queue.add_to_count(request);
         attempt
     }
 
-    fn learn_latency(&mut self, attempt: &Attempt, outcome: Outcome, queued: bool) {
+    fn record_latency(&mut self, attempt: &Attempt, outcome: Outcome, queued: bool) {
         let engine = &mut self.engines[attempt.engine];
         let is_prefill = attempt.stage == Stage::Prefill;
         let shows_queueing = matches!(
@@ -158,10 +160,10 @@
             Outcome::PrefillDone | Outcome::TimedOut | Outcome::Overloaded
         );
         if is_prefill && shows_queueing {
-            engine.note_queueing(queued, attempt.sent_at, self.now);
+            engine.record_queueing(queued, attempt.sent_at, self.now);
         }
-        // What came late, or was rejected, has met a queue: then a load report is wanted all the
-        // more.
+        // An attempt that was late or rejected has queued. It does not count as an answer that
+        // makes a load report unnecessary: a report is then needed all the more.
         let answered_in_time = if is_prefill {
             !queued
         } else {
@@ -172,45 +174,46 @@
         }
     }
 
-    fn learn_outcome(&mut self, ended: &Ended, index: EngineIndex) {
+    fn apply_outcome(&mut self, ended: &Ended, index: EngineIndex) {
         let Some(request) = self.requests.get_mut(&ended.request) else {
             return;
         };
         let engine = &mut self.engines[index];
         match ended.outcome {
-            Outcome::Succeeded => engine.note_outcome(true),
+            Outcome::Succeeded => engine.record_outcome(true),
             Outcome::PrefillDone => {
                 request.kv_state = Some(index);
                 request.excluded_engines.clear();
                 self.engines
-                    .note_prefill_done(index, &request.arrival, ended.detail);
-                self.note_service(index, Stage::Prefill);
+                    .record_prefill_done(index, &request.arrival, ended.detail);
+                self.record_service(index, Stage::Prefill);
             }
-            // The KV state is gone (its prefill engine died or released it): prefill again.
+            // The KV state is gone (its prefill engine died or released it), so the prompt is
+            // prefilled again.
             Outcome::Overloaded if ended.detail == NO_KV_STATE => request.kv_state = None,
             Outcome::Overloaded => {
                 request.excluded_engines.push(index);
                 engine
                     .overload_backoff
-                    .note_rejection(self.now, self.settings.kv_state_timeout);
+                    .record_rejection(self.now, self.settings.kv_state_timeout);
             }
             Outcome::Failed
             | Outcome::TimedOut
             | Outcome::ConnectionLost
             | Outcome::Unreachable => {
                 request.excluded_engines.push(index);
-                engine.note_outcome(false);
+                engine.record_outcome(false);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
-    /// An engine has done a prefill or begun a decode.
-    fn note_service(&mut self, index: EngineIndex, stage: Stage) {
-        self.engines[index].note_outcome(true);
-        // Guards against a cold-engine budget that is too large during a replacement: what ends at
-        // engines that are being replaced, held against the few warm ones that are left, would pass
-        // for what each of those bears.
+    /// Records that an engine has finished a prefill or started a decode.
+    fn record_service(&mut self, index: EngineIndex, stage: Stage) {
+        self.engines[index].record_outcome(true);
+        // Guards against a cold-engine budget that is too large while engines are replaced. Work
+        // that ends at replaced engines must not be divided among the few warm engines that are
+        // left, as it would overstate what each of them serves.
         if self.is_cold(index) || !self.engines[index].is_ready() {
             return;
         }
@@ -220,6 +223,6 @@
             .filter(|&engine| !self.is_cold(engine))
             .count();
         self.slow_start
-            .note_service(stage, warm, self.now, &self.settings);
+            .record_service(stage, warm, self.now, &self.settings);
     }
 }
--- a/src/control/health_check.rs
+++ b/src/control/health_check.rs
@@ -1,23 +1,23 @@
-//! When an engine is asked for its load.
+//! Decides when a health check asks an engine for its load.
 
 use super::engines::EngineIndex;
 use super::state::State;
 use crate::interface::Ms;
 
-/// How long a prefill waits for load reports, in shortest latency objectives.
+/// How long a prefill waits for load reports, in multiples of the shortest latency objective.
 pub(super) const REPORT_WAIT_OBJECTIVES: f64 = 0.03;
-/// For how long a report, or a check that is out, makes another one needless, in shortest latency
-/// objectives.
+/// How long no further health check is sent after a load report or a health check, in multiples of
+/// the shortest latency objective.
 const REPORT_FRESH_OBJECTIVES: f64 = 0.25;
-/// For how long the answer to an attempt stands in for a report, and how long a check is waited
-/// for, in shortest latency objectives.
+/// How long an answered attempt makes a load report unnecessary, and how long the answer to a
+/// health check is awaited, in multiples of the shortest latency objective.
 const RESPONSE_FRESH_OBJECTIVES: f64 = 2.0;
-/// With more own decodes at an engine than this, their count shows its load well enough.
+/// With more own decodes at an engine than this, their number is a good enough measure of its load.
 const MIN_INFORMATIVE_DECODES: f64 = 1.0;
 
 impl State {
-    /// Asks those of the engines for their load of which nothing is known lately; gives whether an
-    /// answer is awaited.
+    /// Sends health checks to those of `engines` whose load is not known or known only from long
+    /// ago. Returns whether an answer is awaited.
     pub(super) fn request_load_reports(&mut self, engines: &[EngineIndex]) -> bool {
         if !self.settings.may_health_check {
             return false;
--- a/src/control/home_engines.rs
+++ b/src/control/home_engines.rs
@@ -1,18 +1,18 @@
-//! The home engines of a prefix, by rendezvous hashing.
+//! Home engines of a prefix, chosen by rendezvous hashing.
 
 use super::engines::{EngineIndex, Engines};
 use crate::interface::Arrival;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Prefill engines over which the prefills of one prefix are spread.
+/// Number of prefill engines over which the prefills of one prefix are spread.
 const MAX_HOME_ENGINES: usize = 4;
 
-/// The home engines of a request's prefix among `candidates`, in the order in which the session
-/// tries them: the home of all requests with this prefix, then the others in an order of the
-/// session's own.
+/// The home engines of a request's prefix among `candidates`, in the order in which its session
+/// tries them. The first is the same for all requests with this prefix; the order of the others
+/// depends on the session.
 ///
-/// Guards against prompts scattered over the fleet, which shows as prefixes that are computed over
-/// and over: whichever dispatcher sends a session's prompts finds them cached at one of the same
+/// Guards against prompts scattered over all engines, which compute the same prefixes again and
+/// again. Whichever dispatcher sends the prompts of a session, they are cached at one of the same
 /// few engines.
 pub(super) fn home_engines(
     arrival: &Arrival,
--- a/src/control/load_report.rs
+++ b/src/control/load_report.rs
@@ -1,18 +1,17 @@
-//! What an engine reported of its load, how fast that ages, and whether a health check is
-//! unanswered.
+//! The last load report of an engine, how it ages, and whether a health check is unanswered.
 
 use crate::interface::{Load, Ms};
 
-/// Prefills over which the typical prompt length is averaged.
+/// Number of prefills over which the typical prompt length is averaged.
 const TYPICAL_PREFILLS: f64 = 8.0;
 
-/// An engine's last report; zeros before the first.
+/// The last load report of an engine; all values are 0 before the first.
 pub(super) struct LoadReport {
-    /// Requests in flight there, of all dispatchers.
+    /// Requests in flight at the engine, from all dispatchers.
     pub(super) in_flight: f64,
-    /// Prompt tokens that wait there to be computed or fetched.
+    /// Prompt tokens that wait at the engine to be computed or fetched.
     pub(super) waiting_tokens: f64,
-    /// Fraction of the engine that is taken, with what waits; may exceed 1.
+    /// Fraction of the engine in use, waiting requests included; may exceed 1.
     pub(super) utilization: f64,
     received_at: Ms,
 }
@@ -27,9 +26,9 @@
         }
     }
 
-    /// Takes a report in; one that says nothing changes nothing. `typical_tokens`: prompt tokens of
-    /// a waiting request, where the engine only counts requests; `memory_tokens`: the engine's KV
-    /// memory in tokens.
+    /// Applies a load report; a report without any value is ignored. `typical_tokens`: prompt
+    /// tokens of a waiting request, for an engine that only counts requests; `memory_tokens`: the
+    /// engine's KV memory in tokens.
     pub(super) fn update(&mut self, load: &Load, typical_tokens: f64, memory_tokens: f64, now: Ms) {
         let fields = [
             load.in_flight,
@@ -44,17 +43,17 @@
         let waiting_tokens = load
             .waiting_kilotokens
             .map_or(load.queue.unwrap_or(0.0) * typical_tokens, |k| k * 1000.0);
-        let taken = load
+        let used = load
             .slots_used
             .unwrap_or(0.0)
             .max(load.memory_held.unwrap_or(0.0));
         self.in_flight = load.in_flight.unwrap_or(0.0);
         self.waiting_tokens = waiting_tokens;
-        self.utilization = taken + waiting_tokens / memory_tokens.max(1.0);
+        self.utilization = used + waiting_tokens / memory_tokens.max(1.0);
         self.received_at = now;
     }
 
-    /// Forgets when the report came, as the process that sent it is gone.
+    /// Marks the report as unknown, because the process that sent it is gone.
     pub(super) fn expire(&mut self) {
         self.received_at = f64::NEG_INFINITY;
     }
@@ -67,17 +66,18 @@
         self.received_at
     }
 
-    /// A reported value moves towards the mean of the engine's peers as the report ages.
+    /// A reported value, moved further towards `mean`, the mean of the engine's peers, the older
+    /// the report is.
     pub(super) fn aged(&self, value: f64, mean: f64, now: Ms, decay_ms: Ms) -> f64 {
         mean + (-(now - self.received_at) / decay_ms).exp() * (value - mean)
     }
 }
 
-/// The health checks sent to an engine.
+/// The last health check of an engine and its answer.
 pub(super) struct HealthCheckState {
     pub(super) sent_at: Ms,
     pub(super) answered_at: Ms,
-    /// Whether the last one came back without an answer.
+    /// Whether the last health check ended without an answer.
     pub(super) unresponsive: bool,
 }
 
@@ -90,24 +90,25 @@
         }
     }
 
-    pub(super) fn note_answer(&mut self, success: bool, now: Ms) {
+    pub(super) fn record_answer(&mut self, success: bool, now: Ms) {
         self.unresponsive = !success;
         self.answered_at = now;
     }
 
-    /// Whether the last check, sent less than `within_ms` ago, has no answer yet.
+    /// Whether the last health check was sent less than `within_ms` ago and has not ended.
     pub(super) fn is_pending(&self, now: Ms, within_ms: Ms) -> bool {
         self.sent_at > self.answered_at.max(now - within_ms)
     }
 
-    /// Whether an answer is missing: a check is out or failed. Guards against an engine too busy to
-    /// report how busy it is, which would pass for one where nothing waits.
+    /// Whether a health check that was sent less than `within_ms` ago is unanswered or failed.
+    /// Guards against an engine that is too busy to report its load and would count as one without
+    /// a queue.
     pub(super) fn lacks_answer(&self, now: Ms, within_ms: Ms) -> bool {
         now - self.sent_at < within_ms && (self.unresponsive || self.sent_at > self.answered_at)
     }
 }
 
-/// The prompt tokens that a prefill usually computes, learned from own prefills.
+/// The mean number of prompt tokens that a prefill computes, taken from this dispatcher's prefills.
 #[derive(Default)]
 pub(super) struct TypicalPrefill {
     tokens: f64,
@@ -115,7 +116,7 @@
 }
 
 impl TypicalPrefill {
-    pub(super) fn note(&mut self, computed_tokens: f64) {
+    pub(super) fn record(&mut self, computed_tokens: f64) {
         self.samples = (self.samples + 1.0).min(TYPICAL_PREFILLS);
         self.tokens += (computed_tokens - self.tokens) / self.samples;
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,16 +1,17 @@
-//! Every decision of a dispatcher about requests: which prefill engine computes a prompt, which
-//! decode engine answers it, what follows a failure, and when a request is rejected or failed.
+//! The decisions of a dispatcher about requests: which prefill engine computes a prompt, which
+//! decode engine generates the answer, what follows a failure, and when a request is rejected or
+//! failed.
 //!
-//! A driver makes one [`Control`] for each dispatcher, hands each batch of events to
-//! [`Control::step`] with its instant and carries out the actions in order; timers come back as
-//! [`Event::Timer`]. The types of both sides are in [`crate::interface`]. The same settings, seed
-//! and events give the same actions.
+//! A driver creates one [`Control`] per dispatcher, passes each batch of events to
+//! [`Control::step`] with its instant, and carries out the resulting actions in order. Timers come
+//! back as [`Event::Timer`]. The types of events and actions are in [`crate::interface`]. The same
+//! settings, seed and events produce the same actions.
 //!
-//! A step runs in three parts: `learn` takes the events in, `plan` sets the intents of each request
-//! that can have changed (`plan_queue`), and `emit` alone makes actions of intents. The rules have
-//! a module each: `admission`, `candidates`, `prefill_placement`, `decode_placement`, `retry`,
-//! `health_check` and `delivery_tracking` decide with the whole `state`; what is known of one
-//! engine is made of `concurrency_limit`, `outlier_detection`, `prefix_cache`, `load_report` and
+//! A step has three phases: `event_handlers` applies the events, `plan` sets the intents of each
+//! request that may have changed (`plan_queue`), and `emit` turns the intents into actions. Each
+//! rule has its own module. `admission`, `candidates`, `prefill_placement`, `decode_placement`,
+//! `retry`, `health_check` and `delivery_tracking` decide with the whole `state`. The state of one
+//! engine consists of `concurrency_limit`, `outlier_detection`, `prefix_cache`, `load_report` and
 //! `slow_start`.
 
 mod admission;
@@ -22,9 +23,9 @@
 mod delivery_tracking;
 mod emit;
 mod engines;
+mod event_handlers;
 mod health_check;
 mod home_engines;
-mod learn;
 mod load_report;
 mod outlier_detection;
 mod plan;
@@ -44,36 +45,37 @@
 use crate::interface::{Action, Event, Ms, RequestId, Settings};
 use state::State;
 
-/// The decisions of one dispatcher.
+/// The decision logic of one dispatcher. It does no I/O and reads no clock.
 pub struct Control {
     state: State,
-    planned: u64,
+    plan_count: u64,
 }
 
 impl Control {
-    /// A dispatcher that knows no engine yet. `seed` starts its random draws, which break ties
-    /// between engines.
+    /// Creates a dispatcher that knows no engine yet. `seed` initialises the random draws that
+    /// break ties between engines.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Control {
             state: State::new(settings, seed),
-            planned: 0,
+            plan_count: 0,
         }
     }
 
-    /// From now on a decode attempt counts as arrived only once [`Event::Delivered`], its first
-    /// token or its end shows it; without this call what is sent counts as arrived.
+    /// From this call on, a decode attempt counts as delivered only once [`Event::Delivered`], its
+    /// first token or its end shows it. Without this call an attempt counts as delivered when it is
+    /// sent.
     pub fn track_deliveries(&mut self) {
         self.state.tracks_deliveries = true;
     }
 
-    /// Takes the events in at the instant `now`, in milliseconds on the driver's clock, and appends
-    /// the actions that follow to `actions`. An earlier instant than the last one counts as that
-    /// one.
+    /// Applies the events at the instant `now`, in milliseconds on the driver's clock, and appends
+    /// the resulting actions to `actions`. If `now` is earlier than the instant of the last call,
+    /// the latter is used.
     pub fn step(&mut self, now: Ms, events: &[Event], actions: &mut Vec<Action>) {
         let state = &mut self.state;
         state.now = state.now.max(now);
         for event in events {
-            state.learn(event);
+            state.handle_event(event);
         }
         state.wake_at = None;
         state.queue.wake_due(state.now);
@@ -81,7 +83,7 @@
             self.plan_and_emit(id, actions);
         }
         let state = &mut self.state;
-        debug_assert!(state.counts_prefills_on_time());
+        debug_assert!(state.is_unqueued_prefill_count_correct());
         if let Some(due_at) = state.queue.next_due_at() {
             state.wake_by(due_at);
         }
@@ -94,19 +96,19 @@
         let Some(mut request) = state.requests.remove(&id) else {
             return;
         };
-        state.queue.uncount(&request);
+        state.queue.remove_from_count(&request);
         state.plan(&mut request);
-        self.planned += 1;
+        self.plan_count += 1;
         state.emit(id, &mut request, actions);
         state.queue.reschedule(id, &request, state.now);
-        state.queue.count(&request);
+        state.queue.add_to_count(&request);
         if !request.finished || request.attempt.is_some() {
             state.requests.insert(id, request);
         }
     }
 
-    /// Has every request but the held planned at the next step, as a simple policy without a queue
-    /// would do. The actions are the same; tests compare them.
+    /// Schedules every request that is not held for planning at the next step, as a policy without
+    /// a plan queue would. The actions stay the same; tests compare them.
     pub fn wake_all(&mut self) {
         let state = &mut self.state;
         let now = state.now;
@@ -117,8 +119,8 @@
         }
     }
 
-    /// How many times a request was planned so far.
-    pub fn planned(&self) -> u64 {
-        self.planned
+    /// How often requests have been planned so far, all requests counted together.
+    pub fn plan_count(&self) -> u64 {
+        self.plan_count
     }
 }
--- a/src/control/outlier_detection.rs
+++ b/src/control/outlier_detection.rs
@@ -1,23 +1,24 @@
-//! Engines that are left out of the choice for a while: those that fail more often than their peers
-//! (ejection), and those that rejected an attempt as overloaded (backoff).
+//! Engines that get no attempts for a while: engines that fail more often than their peers
+//! (ejection), and engines that rejected an attempt as overloaded (backoff).
 
 use crate::interface::Ms;
 
-/// Last outcomes that count.
+/// Number of recent outcomes that count.
 const MAX_OUTCOMES: u32 = 8;
-/// Fewer outcomes than this prove nothing.
+/// An engine with fewer outcomes than this is not ejected, as they prove too little.
 const MIN_OUTCOMES: u32 = 3;
-/// An engine is ejected below this fraction of its peers' mean success.
+/// An engine is ejected if its success fraction is below this fraction of its peers' mean.
 const EJECT_BELOW_PEERS_FRACTION: f64 = 0.5;
-/// Interval at which overloaded engines and held requests are tried again, as a fraction of the KV
+/// Interval at which overloaded engines and held requests are retried, as a fraction of the KV
 /// state timeout.
 pub(super) const RETRY_INTERVAL_FRACTION: f64 = 0.1;
-/// How often the backoff is doubled at the most.
+/// The backoff is doubled at most this many times.
 const MAX_BACKOFF_DOUBLINGS: i32 = 5;
 
-/// The last outcomes of attempts at an engine.
+/// The recent outcomes of attempts at an engine.
 pub(super) struct OutcomeHistory {
-    /// Newest outcome in the lowest bit, a success as one; above the oldest stands a one.
+    /// One bit per outcome, 1 for a success, with the newest outcome in the lowest bit. A 1 above
+    /// the oldest outcome marks the end.
     bits: u32,
     next_trial_at: Ms,
 }
@@ -30,12 +31,12 @@
         }
     }
 
-    /// Forgets the outcomes of an earlier process.
+    /// Drops the outcomes of an earlier process.
     pub(super) fn clear(&mut self) {
         self.bits = 1;
     }
 
-    pub(super) fn note(&mut self, success: bool) {
+    pub(super) fn record(&mut self, success: bool) {
         let bits = self.bits << 1 | u32::from(success);
         self.bits = if bits >> MAX_OUTCOMES > 1 {
             bits & ((1 << MAX_OUTCOMES) - 1) | 1 << MAX_OUTCOMES
@@ -44,7 +45,7 @@
         };
     }
 
-    /// Successes among the last outcomes, from 0 to 1; 1 without any outcome.
+    /// The fraction of successes among the recent outcomes, from 0 to 1; 1 without any outcome.
     pub(super) fn success_fraction(&self) -> f64 {
         if self.bits == 1 {
             1.0
@@ -53,26 +54,28 @@
         }
     }
 
-    /// Whether the engine fails far more often than its peers, whose mean success is given.
-    /// Compared with peers because a failure of the whole fleet must not eject every engine.
+    /// Whether the engine fails far more often than its peers, whose mean success fraction is
+    /// `peers_success`. The comparison with peers prevents that a failure of the whole fleet ejects
+    /// every engine.
     pub(super) fn is_ejected(&self, peers_success: f64) -> bool {
         self.bits.ilog2() >= MIN_OUTCOMES
             && self.success_fraction() < EJECT_BELOW_PEERS_FRACTION * peers_success
     }
 
-    /// Whether an ejected engine may be given one attempt again, to see whether it has recovered.
-    pub(super) fn may_be_tried(&self, now: Ms) -> bool {
+    /// Whether an ejected engine may get one attempt that shows whether it has recovered.
+    pub(super) fn is_trial_due(&self, now: Ms) -> bool {
         now >= self.next_trial_at
     }
 
-    /// An attempt was sent: the next trial waits for `interval_ms`.
-    pub(super) fn note_attempt(&mut self, now: Ms, interval_ms: Ms) {
+    /// Records that an attempt was sent; the next trial is due after `interval_ms`.
+    pub(super) fn record_attempt(&mut self, now: Ms, interval_ms: Ms) {
         self.next_trial_at = now + interval_ms;
     }
 }
 
-/// Guards against an engine that rejects everything: it always looks as if it had room. Each
-/// rejection in a row doubles the time for which it is left out.
+/// Backoff after rejections. Guards against an engine that rejects everything and therefore always
+/// appears to have capacity. Each rejection in a row doubles the time for which the engine gets no
+/// attempts.
 pub(super) struct OverloadBackoff {
     until: Ms,
     rejections: i32,
@@ -90,19 +93,20 @@
         now >= self.until
     }
 
-    pub(super) fn note_rejection(&mut self, now: Ms, kv_state_timeout: Ms) {
-        let wait = RETRY_INTERVAL_FRACTION * kv_state_timeout * 2.0_f64.powi(self.rejections);
-        self.until = now + wait;
+    pub(super) fn record_rejection(&mut self, now: Ms, kv_state_timeout: Ms) {
+        let backoff = RETRY_INTERVAL_FRACTION * kv_state_timeout * 2.0_f64.powi(self.rejections);
+        self.until = now + backoff;
         self.rejections = (self.rejections + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// An attempt succeeded: the next rejection starts from the shortest wait again.
-    pub(super) fn note_success(&mut self) {
+    /// Records that an attempt succeeded; the next rejection starts with the shortest backoff
+    /// again.
+    pub(super) fn record_success(&mut self) {
         self.rejections = 0;
     }
 
-    /// Leaves the engine out until an instant, whatever it answered.
-    pub(super) fn leave_out_until(&mut self, until: Ms) {
+    /// Excludes the engine until an instant, whatever it has answered.
+    pub(super) fn exclude_until(&mut self, until: Ms) {
         self.until = until;
     }
 }
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -1,4 +1,4 @@
-//! Decides what is intended for a request, from all that is known at this step.
+//! Decides the intents of a request from the state in this step.
 
 use super::engines::EngineIndex;
 use super::outlier_detection::RETRY_INTERVAL_FRACTION;
@@ -6,7 +6,7 @@
 use super::state::State;
 use crate::interface::{EndpointStatus, Ms};
 
-/// Attempts that a request needs from its prefill on: one prefill and one decode.
+/// Attempts that a request needs if it starts with a prefill: one prefill and one decode.
 const ATTEMPTS_FROM_PREFILL: u32 = 2;
 
 impl State {
@@ -19,20 +19,21 @@
         if request.is_decoding() {
             return;
         }
-        let gives_up_at = self.gives_up_at(request);
-        if self.now >= gives_up_at || request.attempt.is_none() && self.may_not_run_again(request) {
+        let give_up_at = self.give_up_at(request);
+        if self.now >= give_up_at || request.attempt.is_none() && self.may_not_run_again(request) {
             return self.give_up(request);
         }
-        self.wake_by(gives_up_at);
+        self.wake_by(give_up_at);
         if request.attempt.is_some() {
-            self.note_if_late(request);
+            self.record_if_queued(request);
             self.plan_delivery(request);
         } else {
             self.plan_next_attempt(request);
         }
     }
 
-    /// The client is gone or answered: what is left is cancelled and released.
+    /// Plans a request whose client is gone or has its answer: cancels its attempt and releases its
+    /// KV state.
     fn plan_finished(&mut self, request: &mut Request) {
         request.intents.cancel = request
             .attempt
@@ -44,33 +45,35 @@
         }
     }
 
-    /// Whether a request has run and may not run again, even where it ran first.
+    /// Whether the request may have run and must not run again, not even at the engine where it ran
+    /// first.
     fn may_not_run_again(&self, request: &Request) -> bool {
         request
             .first_possible_run
             .is_some_and(|first| !self.may_run_on(request, first.engine))
     }
 
-    /// Lowers the engine's concurrency limit as soon as an attempt must have queued, before its
-    /// outcome: the engine may never answer.
-    fn note_if_late(&mut self, request: &mut Request) {
+    /// Lowers the engine's concurrency limit as soon as an attempt must have queued, without
+    /// waiting for its outcome: the engine may never answer.
+    fn record_if_queued(&mut self, request: &mut Request) {
         let queued_after_ms = request.queued_after_ms();
         let Some(attempt) = request.attempt.as_mut() else {
             return;
         };
-        let late_at = attempt.sent_at + queued_after_ms;
-        if self.now < late_at {
-            self.wake_by(late_at);
-        } else if !attempt.late {
-            attempt.late = true;
-            self.engines[attempt.engine].note_queueing(true, attempt.sent_at, self.now);
+        let queued_at = attempt.sent_at + queued_after_ms;
+        if self.now < queued_at {
+            self.wake_by(queued_at);
+        } else if !attempt.has_queued {
+            attempt.has_queued = true;
+            self.engines[attempt.engine].record_queueing(true, attempt.sent_at, self.now);
         }
     }
 
-    /// No attempt is in flight: starts the next one, gives the request up, or holds it.
+    /// Plans a request without an attempt in flight: starts the next attempt, gives the request up,
+    /// or holds it.
     fn plan_next_attempt(&mut self, request: &mut Request) {
-        // A KV state whose prefill engine is gone is computed again, and released in case the list
-        // is wrong.
+        // A KV state whose prefill engine is gone is computed again. It is also released, in case
+        // the list of endpoints is wrong.
         request.intents.release = request
             .kv_state
             .is_some_and(|index| self.engines[index].endpoint.status == EndpointStatus::Gone);
@@ -82,7 +85,7 @@
         }
         let target = match kv_state {
             Some(prefill_engine) => self.choose_decode_engine(request, prefill_engine),
-            None if !self.decode_engines_have_room() => None,
+            None if !self.decode_engines_have_capacity() => None,
             None if self.awaits_home_reports(request) => None,
             None => self.choose_prefill_engine(request),
         };
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Whether too few attempts are left, or the KV state has waited for too long.
+    /// Whether too few attempts are left, or the KV state has waited too long for a decode engine.
     fn cannot_finish(
         &self,
         request: &Request,
@@ -111,9 +114,9 @@
         }
     }
 
-    /// Has the request wait for an engine. Guards against a jam of held requests that takes all the
-    /// processor's time: once load reports are not waited for any more, they are not planned at
-    /// every step.
+    /// Holds the request until an engine is available. Guards against a backlog of held requests
+    /// that takes all the processor's time: once load reports are no longer awaited, held requests
+    /// are not planned at every step.
     fn hold(&mut self, request: &mut Request, retry_interval_ms: Ms) {
         let retry_at = self.now + retry_interval_ms;
         if request.kv_state.is_none() && self.now >= self.report_wait_ends_at(request) {
--- a/src/control/plan_queue.rs
+++ b/src/control/plan_queue.rs
@@ -1,11 +1,11 @@
-//! Which requests a step has to plan.
+//! Tracks which requests a step has to plan.
 
 use super::requests::Request;
 use crate::interface::{Ms, RequestId};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An instant in a total order.
+/// An instant with a total order.
 #[derive(Clone, Copy, PartialEq)]
 struct DueAt(Ms);
 
@@ -23,26 +23,27 @@
     }
 }
 
-/// A new request, one that waits for load reports and one whose KV state waits are planned at every
-/// step. One that is held, or whose attempt is in flight, changes with an event of its own or when
-/// its time comes; one that decodes, or is finished, only with an event. So the cost of a step
-/// follows the events, not the requests that live.
+/// The requests to plan and when they are due. New requests, requests that wait for load reports
+/// and requests whose KV state waits for a decode engine are planned at every step. A held request,
+/// or one whose attempt is in flight, is planned after an event of its own or when it is due. A
+/// request that is decoding or finished is planned only after an event. The cost of a step
+/// therefore grows with the number of events, not with the number of open requests.
 #[derive(Default)]
 pub(super) struct PlanQueue {
     awake: BTreeSet<RequestId>,
     due: BTreeSet<(DueAt, RequestId)>,
-    due_of: BTreeMap<RequestId, DueAt>,
-    /// Requests whose prefill is in flight and has not queued so far.
-    prefills_on_time: usize,
+    due_by_request: BTreeMap<RequestId, DueAt>,
+    /// Number of requests whose prefill is in flight and has not queued so far.
+    unqueued_prefills: usize,
 }
 
 impl PlanQueue {
-    /// Has a request planned at the next step.
+    /// Schedules a request for planning at the next step.
     pub(super) fn wake(&mut self, id: RequestId) {
         self.awake.insert(id);
     }
 
-    /// Wakes all whose time has come.
+    /// Wakes all requests that are due at `now`.
     pub(super) fn wake_due(&mut self, now: Ms) {
         let due = self.due.iter().take_while(|(due, _)| due.0 <= now);
         self.awake.extend(due.map(|(_, id)| *id));
@@ -52,27 +53,28 @@
         self.awake.iter()
     }
 
-    /// When the next request is due.
+    /// When the next request is due; `None` if none has a due time.
     pub(super) fn next_due_at(&self) -> Option<Ms> {
         self.due.first().map(|(due, _)| due.0)
     }
 
-    pub(super) fn prefills_on_time(&self) -> usize {
-        self.prefills_on_time
+    pub(super) fn unqueued_prefills(&self) -> usize {
+        self.unqueued_prefills
     }
 
-    /// A request is about to change: it leaves the count of prefills, until [`PlanQueue::count`].
-    pub(super) fn uncount(&mut self, request: &Request) {
-        self.prefills_on_time -= usize::from(request.is_prefilling_on_time());
+    /// Takes a request that is about to change out of the count of unqueued prefills, until
+    /// [`PlanQueue::add_to_count`].
+    pub(super) fn remove_from_count(&mut self, request: &Request) {
+        self.unqueued_prefills -= usize::from(request.is_prefilling_unqueued());
     }
 
-    pub(super) fn count(&mut self, request: &Request) {
-        self.prefills_on_time += usize::from(request.is_prefilling_on_time());
+    pub(super) fn add_to_count(&mut self, request: &Request) {
+        self.unqueued_prefills += usize::from(request.is_prefilling_unqueued());
     }
 
-    /// A request was planned: decides when it is planned again.
+    /// Sets when a request that was just planned is planned again.
     pub(super) fn reschedule(&mut self, id: RequestId, request: &Request, now: Ms) {
-        if let Some(due) = self.due_of.remove(&id) {
+        if let Some(due) = self.due_by_request.remove(&id) {
             self.due.remove(&(due, id));
         }
         let held = is_held(request, now);
@@ -81,7 +83,7 @@
         }
         if let Some(due_at) = next_due_at(request, held, now) {
             self.due.insert((DueAt(due_at), id));
-            self.due_of.insert(id, DueAt(due_at));
+            self.due_by_request.insert(id, DueAt(due_at));
         }
     }
 }
@@ -90,7 +92,8 @@
     request.attempt.is_none() && request.held_until > now
 }
 
-/// When a request changes without an event; none if it does not, or is planned at every step.
+/// When a request has to be planned without an event; `None` if never, or if it is planned at every
+/// step.
 fn next_due_at(request: &Request, held: bool, now: Ms) -> Option<Ms> {
     let waiting = request.attempt.as_ref().filter(|attempt| !attempt.decoding);
     let confirm_at = waiting
@@ -100,13 +103,15 @@
         return Some(confirm_at).filter(|at| *at != f64::INFINITY);
     }
     match waiting.map(|attempt| attempt.sent_at + request.queued_after_ms()) {
-        Some(late_at) if now < late_at => Some(late_at.min(request.ends_at).min(confirm_at)),
-        Some(_) => Some(request.ends_at.min(confirm_at)),
+        Some(queued_at) if now < queued_at => {
+            Some(queued_at.min(request.answer_by).min(confirm_at))
+        }
+        Some(_) => Some(request.answer_by.min(confirm_at)),
         None if held => Some(
             request
                 .held_until
-                .min(request.prefill_by)
-                .min(request.ends_at),
+                .min(request.prefill_start_by)
+                .min(request.answer_by),
         ),
         None => None,
     }
--- a/src/control/prefix_cache.rs
+++ b/src/control/prefix_cache.rs
@@ -1,15 +1,15 @@
-//! What a prefill engine holds of prompts, by the prefills that were seen to end there.
+//! Estimates which prompts a prefill engine has cached, from the prefills that have ended there.
 
 use crate::interface::Arrival;
 use std::collections::VecDeque;
 
-/// Shared prefixes and sessions remembered for an engine; the oldest is forgotten first.
+/// Number of shared prefixes and sessions remembered per engine; the oldest is dropped first.
 const MAX_PREFIXES: usize = 64;
-/// A prompt counts as cached where less than this fraction of it has to be computed.
+/// A prompt counts as cached if less than this fraction of it has to be computed.
 const MAX_UNCACHED_FRACTION: f64 = 0.5;
 
-/// Shared prefixes and sessions by their ids, each with the number of its tokens that are held,
-/// oldest first.
+/// Ids of shared prefixes and sessions, each with the number of its tokens that are cached, oldest
+/// first.
 #[derive(Default)]
 pub(super) struct PrefixCache {
     prefixes: VecDeque<(u64, f64)>,
@@ -34,12 +34,12 @@
         (arrival.prompt_tokens - cached).max(0.0)
     }
 
-    /// Whether the engine holds most of the prompt.
-    pub(super) fn holds_most(&self, arrival: &Arrival) -> bool {
+    /// Whether the engine has most of the prompt cached.
+    pub(super) fn has_most_cached(&self, arrival: &Arrival) -> bool {
         self.uncached_tokens(arrival) < MAX_UNCACHED_FRACTION * arrival.prompt_tokens
     }
 
-    /// A prefill has ended there: its whole prompt is held now.
+    /// Records that a prefill has ended at the engine: the whole prompt is cached now.
     pub(super) fn insert(&mut self, arrival: &Arrival) {
         let shared = arrival.shared.map(|id| (id.0, arrival.shared_tokens));
         let session = (arrival.session.0, arrival.prompt_tokens);
--- a/src/control/request_classes.rs
+++ b/src/control/request_classes.rs
@@ -1,4 +1,4 @@
-//! The settings of request classes in the form in which decisions use them.
+//! The settings of request classes, prepared for the decisions.
 
 use crate::interface::{Arrival, Ms, RequestClassId, RequestClassSettings, RetrySafety};
 
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Milliseconds from the arrival within which the first token is wanted.
+    /// The latency objective of the first token, in milliseconds from the arrival.
     pub(super) fn latency_objective(&self, arrival: &Arrival) -> Ms {
         self.latency_objective + self.latency_objective_per_token * arrival.prompt_tokens
     }
@@ -26,8 +26,8 @@
 pub(super) struct RequestClasses {
     classes: Vec<RequestClass>,
     shortest_latency_objective: Ms,
-    /// The most that a prompt token adds to a latency objective.
-    most_per_token: Ms,
+    /// The largest number of milliseconds that one prompt token adds to a latency objective.
+    max_per_token: Ms,
 }
 
 impl RequestClasses {
@@ -37,14 +37,14 @@
             .iter()
             .map(|class| class.latency_objective)
             .fold(f64::INFINITY, f64::min);
-        let most_per_token = classes
+        let max_per_token = classes
             .iter()
             .map(|class| class.latency_objective_per_token)
             .fold(0.0, f64::max);
         RequestClasses {
             classes,
             shortest_latency_objective,
-            most_per_token,
+            max_per_token,
         }
     }
 
@@ -52,20 +52,20 @@
         self.classes.get(id.0 as usize)
     }
 
-    /// The class of a request that was accepted.
+    /// The class of an accepted request, which is always a known one.
     pub(super) fn of(&self, arrival: &Arrival) -> &RequestClass {
         &self.classes[arrival.request_class.0 as usize]
     }
 
-    /// The shortest latency objective of all classes without what a prompt adds: the unit in which
-    /// waits for load reports and the age of what is known of an engine are given.
+    /// The shortest latency objective of all classes for an empty prompt. Waits for load reports
+    /// and the age of information about engines are measured in multiples of it.
     pub(super) fn shortest_latency_objective(&self) -> Ms {
         self.shortest_latency_objective
     }
 
-    /// The shortest latency objective for a prompt of this length: the unit in which queueing is
-    /// measured, whatever the request's own class.
+    /// The shortest latency objective of all classes for a prompt of this length. Queueing is
+    /// measured in fractions of it, whatever the class of the request is.
     pub(super) fn queueing_unit(&self, arrival: &Arrival) -> Ms {
-        self.shortest_latency_objective + self.most_per_token * arrival.prompt_tokens
+        self.shortest_latency_objective + self.max_per_token * arrival.prompt_tokens
     }
 }
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -1,12 +1,12 @@
-//! The record of a request, its attempt in flight and what is intended for it.
+//! A request, its attempt in flight and its intents.
 
 use super::delivery::Delivery;
 use super::engines::EngineIndex;
 use super::stage::Stage;
 use crate::interface::{Arrival, AttemptId, Ms};
 
-/// An attempt whose prefill, or first token, takes more than this fraction of the queueing unit has
-/// waited in a queue.
+/// An attempt whose prefill or first token takes more than this fraction of the queueing unit has
+/// queued.
 const QUEUED_FRACTION: f64 = 0.3;
 
 /// An attempt in flight.
@@ -14,36 +14,36 @@
     pub(super) id: AttemptId,
     pub(super) engine: EngineIndex,
     pub(super) stage: Stage,
-    /// Its first token has come.
+    /// Whether its first token has come.
     pub(super) decoding: bool,
     pub(super) cancelled: bool,
-    /// It has taken so long that it must have queued.
-    pub(super) late: bool,
+    /// Whether it has taken so long that it must have queued.
+    pub(super) has_queued: bool,
     /// Prompt tokens that the engine has to compute for it.
     pub(super) uncached_tokens: f64,
     pub(super) sent_at: Ms,
     pub(super) delivery: Delivery,
 }
 
-/// The first attempt that may have run: where, and when it was sent.
+/// The first attempt of a request that may have run: its engine and the time of its send.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleRun {
     pub(super) engine: EngineIndex,
     pub(super) sent_at: Ms,
 }
 
-/// What shall happen to a request next.
+/// The next step that is planned for a request.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum Intent {
     #[default]
     Wait,
-    /// Start an attempt there: a decode if a KV state is held, else a prefill.
+    /// Start an attempt at this engine: a decode if a KV state is held, else a prefill.
     Start(EngineIndex),
     Reject,
     Fail,
 }
 
-/// What a step intends for a request; set by planning, carried out by emitting.
+/// The intents of a step for one request; `plan` sets them and `emit` carries them out.
 #[derive(Default)]
 pub(super) struct Intents {
     pub(super) next: Intent,
@@ -59,39 +59,39 @@
 
 pub(super) struct Request {
     pub(super) arrival: Arrival,
-    /// When a prefill must have started for the answer to come within the latency objective.
-    pub(super) prefill_by: Ms,
-    /// When the own final answer must be out.
-    pub(super) ends_at: Ms,
-    /// The shortest latency objective of all classes for this prompt, in which queueing is
-    /// measured.
+    /// The latest start of a prefill for which the answer comes within the latency objective.
+    pub(super) prefill_start_by: Ms,
+    /// When the dispatcher sends its own final answer at the latest.
+    pub(super) answer_by: Ms,
+    /// The shortest latency objective of all classes for this prompt; queueing is measured in
+    /// fractions of it.
     pub(super) queueing_unit: Ms,
     /// Attempts started so far.
     pub(super) attempts: u32,
     pub(super) attempt: Option<Attempt>,
     /// The prefill engine that holds the KV state.
     pub(super) kv_state: Option<EngineIndex>,
-    /// Since when nothing claims the KV state, from where the KV state timeout counts; before the
-    /// first attempt the arrival.
+    /// The instant since which no attempt claims the KV state, from which the KV state timeout
+    /// counts; before the first attempt the arrival.
     pub(super) unclaimed_since: Ms,
-    /// Until when the request is not planned again, if it is held without an attempt.
+    /// Until when a held request without an attempt is not planned again.
     pub(super) held_until: Ms,
     /// Engines that rejected or failed this request since its last prefill.
     pub(super) excluded_engines: Vec<EngineIndex>,
     pub(super) first_possible_run: Option<PossibleRun>,
-    /// The client is gone, or its final answer is out.
+    /// Whether the client is gone or the final answer was sent.
     pub(super) finished: bool,
     pub(super) over_quota: bool,
     pub(super) intents: Intents,
 }
 
 impl Request {
-    /// Whether its prefill is in flight and has not queued so far: a decode engine will be wanted
-    /// for it.
-    pub(super) fn is_prefilling_on_time(&self) -> bool {
+    /// Whether its prefill is in flight and has not queued so far. Such a request will need a
+    /// decode engine soon.
+    pub(super) fn is_prefilling_unqueued(&self) -> bool {
         self.attempt
             .as_ref()
-            .is_some_and(|attempt| attempt.stage == Stage::Prefill && !attempt.late)
+            .is_some_and(|attempt| attempt.stage == Stage::Prefill && !attempt.has_queued)
     }
 
     pub(super) fn is_decoding(&self) -> bool {
@@ -100,7 +100,7 @@
             .is_some_and(|attempt| attempt.decoding)
     }
 
-    /// How long an attempt may take before it must have queued.
+    /// Milliseconds after which an attempt must have queued.
     pub(super) fn queued_after_ms(&self) -> Ms {
         QUEUED_FRACTION * self.queueing_unit
     }
--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -1,11 +1,12 @@
-//! Whether a request may run again, where and until when.
+//! Decides whether a request may run again, at which engines and until when.
 
 use super::engines::{EngineIndex, Engines};
 use super::requests::{Attempt, PossibleRun};
 use crate::interface::{IdempotencyScope, Ms, Outcome, RetrySafety};
 
-/// Whether an attempt that ended so may have run: only a decode has an effect, unless it never
-/// reached its engine or was rejected. A success has run, but nothing follows it.
+/// Whether an attempt with this outcome may have run. Only a decode has an effect, unless it never
+/// reached its engine or was rejected. A success has run, but does not count here because no
+/// further attempt follows.
 pub(super) fn may_have_run(attempt: &Attempt, outcome: Outcome, engines: &Engines) -> bool {
     let never_ran = engines.is_prefill_only(attempt.stage, attempt.engine)
         || matches!(
@@ -15,8 +16,8 @@
     !never_ran && outcome != Outcome::Succeeded
 }
 
-/// Whether a client that sends the request again, at any time and through any dispatcher, can do no
-/// harm.
+/// Whether it is harmless that the client sends the request again, at any time and through any
+/// dispatcher.
 pub(super) fn is_safe_for_client(retry_safety: RetrySafety, may_have_run: bool) -> bool {
     match retry_safety {
         RetrySafety::Idempotent => true,
@@ -28,8 +29,8 @@
 }
 
 /// Whether a request may be sent to an engine now. Guards against a request that takes effect
-/// twice: after a first run only engines that recognise the repeat may get it, and only while they
-/// remember the first.
+/// twice: after a possible first run, only engines that recognise the repeat may get it, and only
+/// while they remember the first run.
 pub(super) fn may_run_on(
     engine: EngineIndex,
     retry_safety: RetrySafety,
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -1,7 +1,8 @@
-//! Cold engines: how many attempts one may get while it warms up, and for how much it counts.
+//! Slow start: how many attempts a cold engine may get while it warms up, and how much its capacity
+//! counts.
 //!
 //! A cold engine collapses when it gets more than a multiple of its capacity within the overload
-//! window. No dispatcher sees what the others send, so each limits its own part.
+//! window. A dispatcher does not see what the others send, so each dispatcher limits its own part.
 
 use super::decaying_rate::DecayingRate;
 use super::stage::Stage;
@@ -9,19 +10,19 @@
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Fraction of the budget that is used; the rest is for what one dispatcher cannot see.
+/// Fraction of the budget that is used. The rest covers what one dispatcher cannot see.
 const BUDGET_USED_FRACTION: f64 = 0.8;
-/// How many times the mean a popular engine may be in demand.
+/// The demand for a popular engine, in multiples of the mean demand.
 const POPULAR_ENGINE_MULTIPLE: f64 = 4.0;
-/// The golden ratio as a fraction of 2^64: its multiples lie evenly however many there are (Weyl's
+/// The golden ratio as a fraction of 2^64. Any number of its multiples is evenly distributed (Weyl
 /// sequence).
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// One engine's age and the attempts it got.
+/// The start time of one engine and the recent attempts of this dispatcher there.
 pub(super) struct SlowStart {
-    /// Minus infinity if it has run for long.
+    /// Start of the engine's process; minus infinity if it has run for long.
     started_at: Ms,
-    /// When attempts were sent there within the overload window, oldest first.
+    /// When attempts were sent to the engine within the overload window, oldest first.
     attempts: VecDeque<Ms>,
 }
 
@@ -45,27 +46,27 @@
         now < self.started_at + slow_start_window
     }
 
-    /// For how much the engine counts beside a warm one: from the cold capacity up to 1 over the
-    /// slow-start window.
+    /// The capacity of the engine as a fraction of a warm one's. It grows from the cold capacity to
+    /// 1 over the slow-start window.
     pub(super) fn capacity_fraction(&self, now: Ms, settings: &Settings) -> f64 {
         let age = ((now - self.started_at) / settings.slow_start_window).clamp(0.0, 1.0);
         settings.cold_capacity + (1.0 - settings.cold_capacity) * age
     }
 
-    pub(super) fn note_attempt(&mut self, now: Ms, overload_window: Ms) {
+    pub(super) fn record_attempt(&mut self, now: Ms, overload_window: Ms) {
         let since = now - overload_window;
         self.attempts.retain(|&at| at > since);
         self.attempts.push_back(now);
     }
 
-    /// Whether one more attempt may be sent there, `budget` being the attempts that a cold engine
-    /// may get from this dispatcher within the overload window. Every attempt counts, also a
-    /// rejected one.
+    /// Whether one more attempt may be sent to the engine. `budget`: the attempts that a cold
+    /// engine may get from this dispatcher within the overload window. Every attempt counts,
+    /// including rejected ones.
     ///
-    /// Guards against parts that are each small and together too much, which shows as a cold engine
-    /// that collapses: each dispatcher rounds the budget to a whole number, the same while the
-    /// engine is cold and no more requests arrive, and who rounds up goes by the dispatchers'
-    /// numbers, so that as many do as their fractions add up to.
+    /// Guards against budgets that are each small and together too large, which shows as a cold
+    /// engine that collapses. Each dispatcher rounds its budget to a whole number, which stays the
+    /// same while the engine is cold and no more requests arrive. The dispatcher's number decides
+    /// whether it rounds up, so that as many dispatchers round up as their fractions add up to.
     pub(super) fn has_budget(
         &self,
         engine: &EngineId,
@@ -78,38 +79,41 @@
             return true;
         }
         let engine_hash = xxh3_64_with_seed(engine.0.as_bytes(), self.started_at.to_bits());
-        let position = engine_hash.wrapping_add(u64::from(dispatcher.0).wrapping_mul(GOLDEN_RATIO))
-            as f64
-            / u64::MAX as f64;
+        let rounding_offset =
+            engine_hash.wrapping_add(u64::from(dispatcher.0).wrapping_mul(GOLDEN_RATIO)) as f64
+                / u64::MAX as f64;
         let since = now - settings.overload_window;
         let sent = self.attempts.iter().filter(|&&at| at > since).count();
-        budget > 0.0 && (sent as f64) < (budget + position).floor()
+        budget > 0.0 && (sent as f64) < (budget + rounding_offset).floor()
     }
 }
 
 /// This dispatcher's traffic, from which the budget of cold engines follows. Each dispatcher scales
-/// by its own traffic, however traffic is spread, so that together they stay within what an engine
-/// bears.
+/// the budget by its own traffic. However the traffic is spread, all dispatchers together thus stay
+/// within what an engine can take.
 #[derive(Default)]
 pub(super) struct SlowStartBudget {
-    /// Own prefills done, and own decodes begun, by one warm engine.
+    /// Own prefills finished by one warm engine.
     prefill_rate: DecayingRate,
+    /// Own decodes started by one warm engine.
     decode_rate: DecayingRate,
+    /// Requests that arrive at this dispatcher.
     arrival_rate: DecayingRate,
     /// When requests arrived within the overload window, oldest first.
     arrivals: VecDeque<Ms>,
 }
 
 impl SlowStartBudget {
-    pub(super) fn note_arrival(&mut self, now: Ms, settings: &Settings) {
-        self.arrival_rate.note(1.0, now, settings.slow_start_window);
+    pub(super) fn record_arrival(&mut self, now: Ms, settings: &Settings) {
+        self.arrival_rate
+            .record(1.0, now, settings.slow_start_window);
         let oldest = now - settings.overload_window;
         self.arrivals.push_back(now);
         while self.arrivals.pop_front_if(|at| *at <= oldest).is_some() {}
     }
 
-    /// One of so many warm engines has done a prefill or begun a decode.
-    pub(super) fn note_service(
+    /// Records that one of `warm_engines` warm engines has finished a prefill or started a decode.
+    pub(super) fn record_service(
         &mut self,
         stage: Stage,
         warm_engines: usize,
@@ -121,15 +125,17 @@
             Stage::Prefill => &mut self.prefill_rate,
             Stage::Decode => &mut self.decode_rate,
         };
-        rate.note(1.0 / warm, now, settings.slow_start_window);
+        rate.record(1.0 / warm, now, settings.slow_start_window);
     }
 
-    /// Mean attempts that a cold engine may get from this dispatcher within the overload window.
+    /// The mean number of attempts that a cold engine may get from this dispatcher within the
+    /// overload window.
     ///
-    /// Guards against overloading a cold engine, which shows as its collapse: warm engines show
-    /// what an engine bears (own prefills done and decodes begun there, also before all of them
-    /// restarted), and a cold one gets that, scaled by the cold capacity and the overload multiple,
-    /// less a margin. Without a warm engine seen, arrivals are shared out.
+    /// Guards against overloading a cold engine, which shows as its collapse. Warm engines show
+    /// what an engine can take: own prefills finished and own decodes started there, including
+    /// those before all engines restarted. A cold engine gets that rate, scaled by the cold
+    /// capacity and the overload multiple, less a margin. If no warm engine was ever seen, the
+    /// arrivals are divided among the engines.
     fn mean_budget(&self, stage: Stage, engines: usize, settings: &Settings) -> f64 {
         let service_rate = match stage {
             Stage::Prefill => self.prefill_rate.per_ms(),
@@ -146,13 +152,13 @@
             * settings.overload_window
     }
 
-    /// Attempts that one cold engine may get from this dispatcher within the overload window, with
-    /// a fraction.
+    /// Attempts that one cold engine may get from this dispatcher within the overload window; may
+    /// be fractional.
     ///
-    /// A dispatcher with a small part mostly has no request to send, so it may send more when it
-    /// has one: engines are rarely in demand for more than a multiple of the mean. Guards against a
-    /// surge while most engines are cold, which shows as a collapse of the few that have budget
-    /// left: recent arrivals show how many attempts each of them would get.
+    /// A dispatcher with a small part of the traffic usually has no request to send, so it may send
+    /// more when it has one: the demand for an engine rarely exceeds a multiple of the mean. Guards
+    /// against a surge while most engines are cold, which shows as a collapse of the few engines
+    /// with budget left. Recent arrivals show how many attempts each of those engines would get.
     pub(super) fn attempts_per_cold_engine(
         &self,
         stage: Stage,
@@ -162,15 +168,16 @@
         settings: &Settings,
     ) -> f64 {
         let budget = self.mean_budget(stage, warm + cold, settings);
-        // Where an engine is wanted `demand` times a window in the mean, this dispatcher wants it at all
-        // with the chance 1 - exp(-demand). So it may send budget / chance when it does: with a budget of
-        // 0.1 and a demand of 0.4 that is 0.1 / 0.33 = 0.3 attempts, and the mean stays 0.1.
-        let per_demand = |demand: f64| budget / (1.0 - (-demand.max(f64::EPSILON)).exp());
-        let usual_demand = POPULAR_ENGINE_MULTIPLE * budget;
-        // Engines that can take an attempt from here in this window: all warm ones, and of the cold ones
-        // those of which the budget, as a chance, allows one.
-        let open = warm as f64 + cold as f64 * per_demand(usual_demand).min(1.0);
-        // The request for which an engine is sought has arrived itself: it is not counted.
+        // If an engine is needed `demand` times per window on average, this dispatcher needs it at
+        // least once with the probability 1 - exp(-demand). When it does, it may send budget /
+        // probability: with a budget of 0.1 and a demand of 0.4 that is 0.1 / 0.33 = 0.3 attempts,
+        // and the mean stays 0.1.
+        let budget_at_demand = |demand: f64| budget / (1.0 - (-demand.max(f64::EPSILON)).exp());
+        let expected_demand = POPULAR_ENGINE_MULTIPLE * budget;
+        // Engines that can get an attempt from this dispatcher in this window: all warm engines,
+        // and each cold engine with the probability that the budget allows an attempt.
+        let available = warm as f64 + cold as f64 * budget_at_demand(expected_demand).min(1.0);
+        // The request to be placed is itself among the arrivals and is not counted.
         let since = now - settings.overload_window;
         let others = self
             .arrivals
@@ -179,6 +186,6 @@
             .take_while(|&&at| at > since)
             .skip(1)
             .count();
-        per_demand(usual_demand.max(others as f64 / open.max(1.0)))
+        budget_at_demand(expected_demand.max(others as f64 / available.max(1.0)))
     }
 }
--- a/src/control/stage.rs
+++ b/src/control/stage.rs
@@ -1,4 +1,4 @@
-//! The two stages of a request.
+//! The two stages of a request, prefill and decode.
 
 use crate::interface::Role;
 
@@ -7,7 +7,7 @@
 pub(super) enum Stage {
     /// Computes the KV state of the prompt.
     Prefill,
-    /// Takes the KV state over and generates the answer.
+    /// Takes over the KV state and generates the answer.
     Decode,
 }
 
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -1,4 +1,4 @@
-//! All that the decisions read and change: settings, clock, engines, requests and traffic.
+//! The state that the decisions read and change: settings, clock, engines, requests and traffic.
 
 use super::decaying_rate::DecayingRate;
 use super::engines::{EngineIndex, Engines};
@@ -13,7 +13,8 @@
 use nanorand::WyRand;
 use std::collections::BTreeMap;
 
-/// How fast a load report ages towards the mean of its peers, in shortest latency objectives.
+/// Time constant with which a load report ages towards the mean of the engine's peers, in multiples
+/// of the shortest latency objective.
 const REPORT_DECAY_OBJECTIVES: f64 = 3.0;
 
 pub(super) struct State {
@@ -22,17 +23,17 @@
     pub(super) tracks_deliveries: bool,
     pub(super) classes: RequestClasses,
     pub(super) rng: WyRand,
-    /// The instant of the step; never goes back.
+    /// The instant of the current step, in milliseconds on the driver's clock; it never goes back.
     pub(super) now: Ms,
     pub(super) engines: Engines,
     pub(super) requests: BTreeMap<RequestId, Request>,
     pub(super) queue: PlanQueue,
     pub(super) slow_start: SlowStartBudget,
-    /// Requests per millisecond of each tenant that came here.
+    /// The rate of each tenant's requests at this dispatcher, in the order of the tenants' ids.
     pub(super) tenant_rates: Vec<DecayingRate>,
-    /// Engines to be asked for their load at the end of the step.
+    /// Engines to which this step sends a health check at its end.
     pub(super) health_checks: Vec<EngineIndex>,
-    /// When the next step is wanted at the latest.
+    /// The latest instant of the next step; `None` if no further step is needed.
     pub(super) wake_at: Option<Ms>,
     pub(super) timer: WakeTimer,
 }
@@ -62,9 +63,9 @@
         }
     }
 
-    /// Wants the next step at `at` or before.
+    /// Requests that the next step comes at `at` or earlier.
     pub(super) fn wake_by(&mut self, at: Ms) {
-        self.wake_at = Some(self.wake_at.map_or(at, |wake| wake.min(at)));
+        self.wake_at = Some(self.wake_at.map_or(at, |wake_at| wake_at.min(at)));
     }
 
     pub(super) fn is_cold(&self, engine: EngineIndex) -> bool {
@@ -73,25 +74,25 @@
             .is_cold(self.now, self.settings.slow_start_window)
     }
 
-    /// For how much an engine counts beside a warm one, from the cold capacity to 1.
+    /// The capacity of an engine as a fraction of a warm one's, from the cold capacity to 1.
     pub(super) fn capacity_fraction(&self, engine: EngineIndex) -> f64 {
         self.engines[engine]
             .slow_start
             .capacity_fraction(self.now, &self.settings)
     }
 
-    /// The mean utilization that the decode engines reported.
+    /// The mean of the utilizations that the ready decode engines have reported.
     pub(super) fn mean_decode_utilization(&self) -> f64 {
         let utilization = |report: &LoadReport| report.utilization;
         self.engines.mean_report(Stage::Decode, utilization, None)
     }
 
-    /// Whether the queue's count of prefills is right.
-    pub(super) fn counts_prefills_on_time(&self) -> bool {
+    /// Whether the plan queue counts the unqueued prefills correctly.
+    pub(super) fn is_unqueued_prefill_count_correct(&self) -> bool {
         let prefills = self
             .requests
             .values()
-            .filter(|request| request.is_prefilling_on_time());
-        self.queue.prefills_on_time() == prefills.count()
+            .filter(|request| request.is_prefilling_unqueued());
+        self.queue.unqueued_prefills() == prefills.count()
     }
 }
--- a/src/control/wake_timer.rs
+++ b/src/control/wake_timer.rs
@@ -1,4 +1,4 @@
-//! The one timer that brings the next step.
+//! The timer that triggers the next step; only the last one set counts.
 
 use crate::interface::{Action, Ms, TimerId};
 
@@ -9,14 +9,14 @@
 }
 
 impl WakeTimer {
-    /// A timer fired; an older one than the last set means nothing.
-    pub(super) fn note_fired(&mut self, timer: TimerId) {
+    /// Records that a timer has fired; a timer other than the last one set is ignored.
+    pub(super) fn record_fired(&mut self, timer: TimerId) {
         if timer.0 == self.last_id {
             self.armed_for = None;
         }
     }
 
-    /// Sets a timer for `wake_at`, unless one is set that fires before.
+    /// Sets a timer for `wake_at`, unless one is set that fires no later.
     pub(super) fn arm(&mut self, wake_at: Ms, now: Ms) -> Option<Action> {
         if self.armed_for.is_some_and(|at| at <= wake_at && at > now) {
             return None;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -273,7 +273,7 @@
     .collect::<Vec<_>>();
     control.step(0.0, &first, &mut Vec::new());
     control.step(50.0, &[], &mut Vec::new());
-    let before = control.planned();
+    let before = control.plan_count();
     for at in 51..350 {
         let load = Load::default();
         let checked = Event::HealthChecked {
@@ -285,7 +285,7 @@
         control.step(f64::from(at), &[checked], &mut Vec::new());
     }
     // Every 50 ms, a tenth of the KV state timeout.
-    let planned = control.planned() - before;
+    let planned = control.plan_count() - before;
     assert!((300..300 * 8).contains(&planned), "{planned}");
 }
 
