--- a/src/client_connection/http1.rs
+++ b/src/client_connection/http1.rs
@@ -1,9 +1,9 @@
-//! Decisions about a client's connection that carries one request at a time: when it is closed because no request
-//! comes, because a request arrives too slowly or because the connection is idle, and which connection is closed to
-//! make room when their maximum is reached.
+//! Decides about a client's connection that carries one request at a time. Such a connection is closed if no request
+//! comes, if a request arrives too slowly or if the connection is idle; when the maximum number of connections is
+//! reached, one of them is evicted.
 //!
-//! Like [`connection_pool`](crate::connection_pool) it does no I/O and reads no clock. Instants that callers pass must
-//! not go back.
+//! Like [`connection_pool`](crate::connection_pool), this module does no I/O and reads no clock. The instants that
+//! callers pass must not decrease.
 
 use crate::interface::Ms;
 
@@ -20,23 +20,24 @@
     pub idle_timeout: Ms,
 }
 
-/// What a connection without an open request waits for. In the order of eviction: the last is evicted first.
+/// What a connection without an open request waits for, ordered by eviction: connections in the last phase are evicted
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// Part of a request has come.
+    /// Part of a request was received.
     ReadingRequest,
-    /// The last request is answered; the next has not begun.
+    /// The last request was answered, and the next has not begun.
     Idle,
-    /// No byte has come yet.
+    /// No byte was received yet.
     New,
 }
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// No request came in time. One that comes meanwhile is still answered.
+    /// No request came in time. A request that arrives before the close is still answered.
     Idle,
-    /// Its request did not arrive in full in time.
+    /// A request did not arrive in full in time.
     SlowRequest,
 }
 
@@ -45,9 +46,11 @@
 pub struct Http1Connection {
     /// `None` while a request is open.
     phase: Option<Phase>,
+    /// When the connection entered its phase, or when the open request had arrived in full.
     phase_since: Ms,
-    /// When the connection was accepted, until its first request has come in full.
+    /// When the connection was accepted; `None` once its first request has arrived in full.
     accepted_at: Option<Ms>,
+    /// Whether a reason to close the connection was already returned.
     close_requested: bool,
 }
 
@@ -62,35 +65,35 @@
         }
     }
 
-    /// The first part of a request has come.
+    /// Records that the first part of a request was received.
     pub fn request_begun(&mut self, now: Ms) {
         (self.phase, self.phase_since) = (Some(Phase::ReadingRequest), now);
     }
 
-    /// A request has come in full. Returns how long ago its first part came, in milliseconds.
+    /// Records that a request was received in full. Returns the milliseconds since its first part.
     pub fn request_received(&mut self, now: Ms) -> Ms {
-        let took = if self.phase == Some(Phase::ReadingRequest) {
+        let read_time = if self.phase == Some(Phase::ReadingRequest) {
             now - self.phase_since
         } else {
             0.0
         };
         (self.phase, self.phase_since, self.accepted_at) = (None, now, None);
-        took.max(0.0)
+        read_time.max(0.0)
     }
 
-    /// The open request has got its answer.
+    /// Records that the open request was answered.
     pub fn response_sent(&mut self, now: Ms) {
         (self.phase, self.phase_since) = (Some(Phase::Idle), now);
     }
 
-    /// The reason to close the connection if a timeout has passed by now; it is returned once.
+    /// The reason to close the connection if a timeout has passed at `now`. It is returned only once.
     pub fn due_close(&mut self, settings: &Http1Settings, now: Ms) -> Option<CloseReason> {
         let (at, reason) = self.next_close(settings)?;
         self.close_requested = now >= at;
         self.close_requested.then_some(reason)
     }
 
-    /// When [`due_close`](Self::due_close) is to be called next, if nothing happens before; `None` while a request is
+    /// When [`due_close`](Self::due_close) has to be called next if no event comes before; `None` while a request is
     /// open.
     pub fn next_due_at(&self, settings: &Http1Settings) -> Option<Ms> {
         self.next_close(settings).map(|(at, _)| at)
@@ -106,8 +109,8 @@
         (!self.close_requested).then_some(close)
     }
 
-    /// Guards against a client that stops in the middle of a request: without a timeout it would occupy a connection
-    /// and the bytes that have come for ever.
+    /// Guards against a client that stops in the middle of a request: without a timeout the connection and the bytes
+    /// received so far would be held forever.
     fn request_due_at(&self, settings: &Http1Settings) -> Ms {
         let first_request_by = self.accepted_at.map_or(f64::INFINITY, |accepted| {
             accepted + settings.first_request_timeout
@@ -115,7 +118,7 @@
         (self.phase_since + settings.request_read_timeout).min(first_request_by)
     }
 
-    /// Marks the connection as one that makes room for another. Returns the reason to close it with.
+    /// Marks the connection as evicted. Returns the reason to close it with.
     pub fn evict(&mut self) -> CloseReason {
         self.close_requested = true;
         if self.phase == Some(Phase::ReadingRequest) {
@@ -126,9 +129,10 @@
     }
 }
 
-/// Which connection is closed to make room: one that has sent nothing yet, else an idle one, else one whose request
-/// arrives slowly; among equals the one that has waited longest. Never one with an open request. Guards against
-/// clients that open hundreds of connections and send nothing: clients that send requests still get a connection.
+/// Chooses the connection that is closed to make room for another: one that has sent nothing yet, else an idle one,
+/// else one whose request arrives slowly. Among equals the one that has waited longest is chosen. A connection with an
+/// open request is never chosen. Guards against clients that open hundreds of connections and send nothing: clients
+/// that send requests still get a connection.
 pub fn connection_to_evict<I>(
     connections: impl Iterator<Item = (I, Http1Connection)>,
 ) -> Option<I> {
--- a/src/client_connection/mod.rs
+++ b/src/client_connection/mod.rs
@@ -1,5 +1,5 @@
-//! Decisions about one client's connection: [`multiplexed`] where it carries many requests at once (gRPC), [`http1`]
-//! where it carries one at a time (HTTP/1.1).
+//! Decides about the connection of one client: [`multiplexed`] for a connection with many concurrent requests (gRPC),
+//! [`http1`] for one request at a time (HTTP/1.1).
 
 pub mod http1;
 pub mod multiplexed;
--- a/src/client_connection/multiplexed.rs
+++ b/src/client_connection/multiplexed.rs
@@ -1,8 +1,8 @@
-//! Decisions about a client's connection that carries many requests at once: when it is pinged, and when it is closed
-//! because pings are not answered or because too many requests are cancelled on it.
+//! Decides about a client's connection that carries many concurrent requests: when the client is pinged, and when the
+//! connection is closed because pings are not answered or too many requests are cancelled.
 //!
-//! Like [`connection_pool`](crate::connection_pool) it does no I/O and reads no clock. Instants that callers pass must
-//! not go back.
+//! Like [`connection_pool`](crate::connection_pool), this module does no I/O and reads no clock. The instants that
+//! callers pass must not decrease.
 
 use crate::interface::Ms;
 
@@ -13,13 +13,13 @@
     pub keepalive_interval: Ms,
     /// A client that sends nothing for this long after a ping is disconnected.
     pub ping_timeout: Ms,
-    /// Requests that a client may cancel at once.
+    /// Number of requests that a client may cancel at once; the size of the token bucket.
     pub cancel_burst: f64,
-    /// Cancellations that a client regains each second, up to the burst.
+    /// Number of cancellations per second by which the bucket refills.
     pub cancels_per_second: f64,
 }
 
-/// What is to be done about a client's connection.
+/// An instruction to the owner of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientCommand {
     /// Send a ping.
@@ -41,12 +41,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct MultiplexedConnection {
     last_received_at: Ms,
-    /// When the ping that is not answered yet was sent.
+    /// When the unanswered ping was sent; `None` if there is none.
     pinged_at: Option<Ms>,
-    /// Cancellations left in the bucket as of `bucket_at`; below zero: too many.
+    /// Cancellations left in the bucket as of `bucket_at`; negative if too many were made.
     cancels_left: f64,
     bucket_at: Ms,
-    is_flooded: bool,
+    exceeded_cancel_limit: bool,
 }
 
 impl MultiplexedConnection {
@@ -57,27 +57,26 @@
             pinged_at: None,
             cancels_left: settings.cancel_burst.max(1.0),
             bucket_at: now,
-            is_flooded: false,
+            exceeded_cancel_limit: false,
         }
     }
 
-    /// Anything was received from the client.
+    /// Records that anything was received from the client.
     pub fn received(&mut self, now: Ms) {
         (self.last_received_at, self.pinged_at) = (now, None);
     }
 
-    /// The client cancelled a request before it was answered. Guards against a client that opens and resets streams as
-    /// fast as it can: each costs a decision and perhaps an attempt at an engine, and HTTP/2's limit of open streams
-    /// does not bound how many.
+    /// Records that the client cancelled a request before its answer. Guards against a client that opens and resets
+    /// streams as fast as it can: each stream costs a decision and perhaps an attempt at an engine, and HTTP/2's limit
+    /// of open streams does not bound their number.
     pub fn request_cancelled(&mut self, settings: &MultiplexedSettings, now: Ms) {
-        let regained = (now - self.bucket_at).max(0.0) / 1000.0 * settings.cancels_per_second;
-        self.cancels_left =
-            (self.cancels_left + regained).min(settings.cancel_burst.max(1.0)) - 1.0;
+        let refill = (now - self.bucket_at).max(0.0) / 1000.0 * settings.cancels_per_second;
+        self.cancels_left = (self.cancels_left + refill).min(settings.cancel_burst.max(1.0)) - 1.0;
         self.bucket_at = now;
-        self.is_flooded |= self.cancels_left < 0.0;
+        self.exceeded_cancel_limit |= self.cancels_left < 0.0;
     }
 
-    /// What is to be done by now. A ping that is returned counts as sent.
+    /// The command that is due at `now`, if any. A returned ping counts as sent.
     pub fn due_command(
         &mut self,
         settings: &MultiplexedSettings,
@@ -93,19 +92,19 @@
         Some(command)
     }
 
-    /// When [`due_command`](Self::due_command) is to be called next, if nothing happens before.
+    /// When [`due_command`](Self::due_command) has to be called next if no event comes before.
     pub fn next_due_at(&self, settings: &MultiplexedSettings) -> Ms {
         self.next_command(settings).0
     }
 
     fn next_command(&self, settings: &MultiplexedSettings) -> (Ms, ClientCommand) {
-        if self.is_flooded {
+        if self.exceeded_cancel_limit {
             let close = ClientCommand::Close(CloseReason::TooManyCancels);
             return (f64::NEG_INFINITY, close);
         }
         match self.pinged_at {
             // Guards against a client whose machine is gone: TCP reports nothing, and the connection and its streams
-            // would be held for ever.
+            // would be held forever.
             Some(pinged_at) => (
                 pinged_at + settings.ping_timeout,
                 ClientCommand::Close(CloseReason::PingTimeout),
--- a/src/connection_pool.rs
+++ b/src/connection_pool.rs
@@ -1,77 +1,77 @@
-//! Decisions about the long-lived connections to one engine: which of them carries a new stream, how many there are,
-//! and when one is opened (also ahead of need), pinged or closed.
+//! Decides about the long-lived connections to one engine: which of them carries a new stream, how many there are, and
+//! when a connection is opened (also ahead of need), pinged or closed.
 //!
-//! Callers make one [`ConnectionPool`] per engine, report what happens, ask [`ConnectionPool::place`] for each stream,
-//! and carry out [`ConnectionPool::due_commands`] whenever [`ConnectionPool::next_due_at`] has come. The pool does no
-//! I/O and reads no clock: instants that callers pass must not go back, and chance comes from the seed.
+//! Callers create one [`ConnectionPool`] per engine, report what happens, call [`ConnectionPool::place`] for each
+//! stream, and carry out [`ConnectionPool::due_commands`] whenever [`ConnectionPool::next_due_at`] has come. The pool
+//! does no I/O and reads no clock. The instants that callers pass must not decrease. Random numbers come from the seed.
 
 use crate::interface::Ms;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// A connection, as numbered by the caller. A number is never used twice.
+/// A connection, numbered by the caller. A number is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Limits, and times in milliseconds. A limit of 0 counts as 1.
+/// Limits of a pool, and times in milliseconds. A limit of 0 counts as 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolSettings {
-    /// Concurrent streams on one connection, unless the engine allows fewer.
+    /// Maximum number of concurrent streams on one connection, unless the engine allows fewer.
     pub max_streams_per_connection: usize,
-    /// Connections that accept streams at the same time; those that drain are not counted.
+    /// Maximum number of connections that accept streams; connections that drain are not counted.
     pub max_connections: usize,
-    /// A connection that is not established after this long is given up.
+    /// A connection that is not established within this time is closed.
     pub connect_timeout: Ms,
-    /// A connection without streams is closed after this long.
+    /// A connection without streams is closed after this time.
     pub idle_timeout: Ms,
-    /// A connection with streams over which nothing came for this long is pinged.
+    /// A connection with streams is pinged if nothing was received for this long.
     pub keepalive_interval: Ms,
-    /// A connection over which nothing comes for this long after a ping is closed.
+    /// A connection is closed if nothing is received for this long after a ping.
     pub ping_timeout: Ms,
-    /// The backoff after a failed connect; it doubles with each failure in a row.
+    /// The backoff after a failed connect; it doubles with each further failure in a row.
     pub initial_backoff: Ms,
-    /// The upper limit of the doubled backoff, before chance is applied.
+    /// The upper limit of the doubled backoff, before jitter is applied.
     pub max_backoff: Ms,
 }
 
-/// One more connection is opened ahead of need when the free streams of all connections are fewer than this fraction
+/// A further connection is opened ahead of need when the free streams of all connections are fewer than this fraction
 /// of one connection's streams.
 const MIN_FREE_STREAMS_FRACTION: f64 = 0.2;
 
 /// A connection that has been idle for less than this fraction of the connect timeout is chosen last: an engine that
-/// closes a connection after its answer may not have done so yet.
+/// closes each connection after its answer may not have closed this one yet.
 const SETTLE_TIME_FRACTION: f64 = 0.02;
 
-/// The backoff is multiplied by this much at least, and by up to 1 more by chance.
+/// Lower limit of the random factor on the backoff; the upper limit is this plus 1.
 const MIN_BACKOFF_JITTER: f64 = 0.5;
 
-/// Failures beyond this many do not double the backoff again; keeps the power of two finite.
+/// Failures beyond this many do not double the backoff further, which keeps the power of two finite.
 const MAX_BACKOFF_DOUBLINGS: u32 = 30;
 
 /// Where a new stream goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// Onto this connection, which may still be connecting.
+    /// On this connection, which may still be connecting.
     Existing(ConnectionId),
-    /// Onto a new connection: open one and report it by [`ConnectionPool::connecting`].
+    /// On a new connection: open one and report it by [`ConnectionPool::connecting`].
     NewConnection,
-    /// Nowhere; nothing was sent.
+    /// The stream cannot be opened now; nothing was sent.
     Unavailable(PlacementError),
 }
 
 /// Why no connection can carry a new stream now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
-    /// All connections are full, and their maximum is reached.
+    /// All connections are full, and no further one is allowed.
     PoolExhausted,
-    /// Connects have failed; the backoff before the next has not passed.
+    /// Connects have failed, and the backoff before the next one has not ended.
     BackingOff,
 }
 
-/// What is to be done about a connection.
+/// An instruction to the owner of the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolCommand {
-    /// Open one more connection, ahead of need.
+    /// Open a further connection, ahead of need.
     Connect,
     /// Send a ping.
     Ping(ConnectionId),
@@ -82,11 +82,11 @@
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It was not established in time; nothing was sent on it.
+    /// The connection was not established in time; nothing was sent on it.
     ConnectTimeout,
-    /// It had no stream for the idle timeout.
+    /// The connection had no stream for the idle timeout.
     Idle,
-    /// A ping was not answered in time. Its streams are lost, and what they carried may have run.
+    /// A ping was not answered in time. The streams of the connection are lost, and their requests may have run.
     PingTimeout,
     /// The engine announced that it closes the connection, and the last stream has ended.
     Drained,
@@ -98,7 +98,7 @@
         since: Ms,
     },
     Up,
-    /// The engine has announced that it closes the connection: open streams continue, none is added.
+    /// The engine has announced that it closes the connection: open streams continue, no new ones are opened.
     Draining,
 }
 
@@ -109,7 +109,7 @@
     max_streams: usize,
     idle_since: Ms,
     last_received_at: Ms,
-    /// When the ping that is not answered yet was sent.
+    /// When the unanswered ping was sent; `None` if there is none.
     pinged_at: Option<Ms>,
 }
 
@@ -119,14 +119,14 @@
     settings: PoolSettings,
     rng: WyRand,
     connections: BTreeMap<ConnectionId, Connection>,
-    /// Connects that failed in a row.
+    /// Number of connects that failed in a row.
     failures: u32,
-    /// The end of the backoff: no connect is begun before.
+    /// The end of the backoff; no connect starts earlier.
     next_connect_at: Ms,
 }
 
 impl ConnectionPool {
-    /// A pool without connections. `seed` determines the jitter of the backoff.
+    /// Creates a pool without connections. `seed` determines the jitter of the backoff.
     pub fn new(settings: PoolSettings, seed: u64) -> Self {
         ConnectionPool {
             settings,
@@ -137,12 +137,13 @@
         }
     }
 
-    /// Where the next stream goes.
+    /// Chooses where the next stream goes.
     ///
-    /// Onto the fullest established connection that has room, so that the others become idle and are closed. Among
-    /// equals, onto the one that became idle last, as the engine may be about to close one that has been idle for long;
-    /// but onto one that became idle only just now last of all. Else onto one that is connecting, else onto a new one
-    /// if another is allowed.
+    /// The fullest established connection with free streams is preferred, so that the others become idle and are
+    /// closed. Among equally full ones, the connection that became idle last is preferred, because the engine may be
+    /// about to close one that has been idle for long. A connection that became idle only just now comes last. Without
+    /// an established connection the stream goes to one that is connecting, else to a new connection if another is
+    /// allowed.
     pub fn place(&self, now: Ms) -> Placement {
         let settled_since = now - SETTLE_TIME_FRACTION * self.settings.connect_timeout;
         let rank = |connection: &Connection| {
@@ -160,16 +161,16 @@
                 .then(by_idle_since)
                 .then(b.0.cmp(a.0))
         };
-        let with_room = self
+        let with_free_stream = self
             .connections
             .iter()
-            .filter(|(_, connection)| connection.has_room());
-        match with_room.max_by(preference) {
+            .filter(|(_, connection)| connection.has_free_stream());
+        match with_free_stream.max_by(preference) {
             Some((id, _)) => Placement::Existing(*id),
             None if self.is_at_max_connections() => {
                 Placement::Unavailable(PlacementError::PoolExhausted)
             }
-            // Guards against an engine that is down: each request that is sent to it would start another connect.
+            // Guards against an engine that is down: otherwise each request for it would start another connect.
             None if now < self.next_connect_at => {
                 Placement::Unavailable(PlacementError::BackingOff)
             }
@@ -177,7 +178,7 @@
         }
     }
 
-    /// A connect has begun.
+    /// Records that a connect has started.
     pub fn connecting(&mut self, id: ConnectionId, now: Ms) {
         let connection = Connection {
             phase: Phase::Connecting { since: now },
@@ -190,8 +191,8 @@
         self.connections.insert(id, connection);
     }
 
-    /// The connection is established. `max_streams`: the concurrent streams that the engine allows on it, if it says
-    /// so.
+    /// Records that the connection is established. `max_streams`: the number of concurrent streams that the engine
+    /// allows on it; `None` if the engine does not state a limit.
     pub fn connected(&mut self, id: ConnectionId, max_streams: Option<usize>, now: Ms) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -205,8 +206,9 @@
         self.reset_backoff();
     }
 
-    /// The connection has ended, or was never established. After a failed connect the next one waits: twice as long
-    /// after each failure, with jitter, so that dispatchers do not all reconnect at once to an engine that restarts.
+    /// Records that the connection has ended or could not be established. The next connect after a failed one is
+    /// delayed, twice as long after each failure and with jitter, so that dispatchers do not all reconnect at the same
+    /// time to an engine that restarts.
     pub fn closed(&mut self, id: ConnectionId, now: Ms) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -225,26 +227,26 @@
         self.failures += 1;
     }
 
-    /// Allows the next connect at once: a connection was established, or the engine's process is a new one.
+    /// Ends the backoff: a connection was established, or the engine's process is a new one.
     pub fn reset_backoff(&mut self) {
         (self.failures, self.next_connect_at) = (0, f64::NEG_INFINITY);
     }
 
-    /// The engine announced that it accepts no more streams on this connection (GOAWAY).
+    /// Records that the engine accepts no more streams on this connection (GOAWAY).
     pub fn going_away(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.phase = Phase::Draining;
         }
     }
 
-    /// Anything was received over the connection.
+    /// Records that anything was received over the connection.
     pub fn received(&mut self, id: ConnectionId, now: Ms) {
         if let Some(connection) = self.connections.get_mut(&id) {
             (connection.last_received_at, connection.pinged_at) = (now, None);
         }
     }
 
-    /// A stream was opened on the connection.
+    /// Records that a stream was opened on the connection.
     pub fn stream_opened(&mut self, id: ConnectionId, now: Ms) {
         if let Some(connection) = self.connections.get_mut(&id) {
             if connection.streams == 0 {
@@ -254,7 +256,7 @@
         }
     }
 
-    /// A stream has ended on the connection.
+    /// Records that a stream has ended on the connection.
     pub fn stream_ended(&mut self, id: ConnectionId, now: Ms) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.streams = connection.streams.saturating_sub(1);
@@ -262,8 +264,9 @@
         }
     }
 
-    /// What is to be done by now. `is_engine_ready`: whether the engine accepts new requests. The caller reports each
-    /// close by [`closed`](Self::closed) and each connect by [`connecting`](Self::connecting); a ping counts as sent.
+    /// The commands that are due at `now`. `is_engine_ready`: whether the engine accepts new requests. The caller
+    /// reports each close by [`closed`](Self::closed) and each connect by [`connecting`](Self::connecting); a returned
+    /// ping counts as sent.
     pub fn due_commands(&mut self, now: Ms, is_engine_ready: bool) -> Vec<PoolCommand> {
         let mut commands = Vec::new();
         for (&id, connection) in &mut self.connections {
@@ -282,13 +285,13 @@
         commands
     }
 
-    /// Whether one more connection is to be opened ahead of need.
+    /// Whether a further connection should be opened ahead of need.
     pub fn wants_connection(&self, now: Ms) -> bool {
         now >= self.next_connect_at && self.is_short_of_streams()
     }
 
-    /// When [`due_commands`](Self::due_commands) is to be called next, if nothing happens before. Opening ahead of need
-    /// follows from what happens, so callers ask for it then.
+    /// When [`due_commands`](Self::due_commands) has to be called next if no event comes before. Connects ahead of need
+    /// follow from events, so callers check [`wants_connection`](Self::wants_connection) after each event.
     pub fn next_due_at(&self) -> Option<Ms> {
         self.connections
             .iter()
@@ -297,7 +300,7 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Whether the connection accepts streams, now or once it is established.
+    /// Whether the connection accepts streams, now or once it is established; false for an unknown connection.
     pub fn accepts_streams(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
@@ -315,9 +318,10 @@
         self.accepting().count() >= self.settings.max_connections.max(1)
     }
 
-    /// Whether connections in use leave too few free streams for what comes while another connects.
+    /// Whether connections are in use and leave too few free streams for the requests that come while another connects.
     fn is_short_of_streams(&self) -> bool {
-        // Connections for one stream each are never opened ahead: at a peak each request would cost the engine one.
+        // Connections for one stream each are never opened ahead of need: at peak load each request would cost the
+        // engine an additional connection.
         let are_shared = self.settings.max_streams_per_connection > 1;
         let is_in_use = self.connections.values().any(|c| c.streams > 0);
         let is_connecting = self.accepting().any(|c| c.phase != Phase::Up);
@@ -340,11 +344,11 @@
         self.max_streams.saturating_sub(self.streams)
     }
 
-    fn has_room(&self) -> bool {
+    fn has_free_stream(&self) -> bool {
         self.accepts_streams() && self.streams < self.max_streams
     }
 
-    /// What is to be done about it next, and when.
+    /// The next command for the connection, and when it is due.
     fn next_command(&self, id: ConnectionId, settings: &PoolSettings) -> (Ms, PoolCommand) {
         let close = |reason| PoolCommand::Close(id, reason);
         match (self.phase, self.streams, self.pinged_at) {
@@ -357,7 +361,7 @@
                 self.idle_since + settings.idle_timeout,
                 close(CloseReason::Idle),
             ),
-            // Guards against an engine whose machine is gone: TCP reports nothing, and the streams would wait for ever.
+            // Guards against an engine whose machine is gone: TCP reports nothing, and the streams would wait forever.
             (_, _, Some(pinged_at)) => (
                 pinged_at + settings.ping_timeout,
                 close(CloseReason::PingTimeout),
--- a/src/discovery_client.rs
+++ b/src/discovery_client.rs
@@ -1,46 +1,48 @@
-//! Decisions about calls to service discovery: what a call asks for, how long a connection may be silent before it is
-//! given up, and how long to wait before the next.
+//! Decides about calls to service discovery: what a call requests, how long a connection may be silent before it is
+//! closed, and how long to wait before the next call.
 //!
-//! Like [`connection_pool`](crate::connection_pool) it does no I/O and reads no clock; chance comes from the seed.
+//! Like [`connection_pool`](crate::connection_pool), this module does no I/O and reads no clock; random numbers come
+//! from the seed.
 
 use crate::interface::Ms;
 use nanorand::{Rng, WyRand};
 
-/// What a call on a new connection asks for first.
+/// What the first call on a new connection requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstCall {
-    /// The whole list of endpoints.
+    /// The full list of endpoints.
     Snapshot,
-    /// What has changed since this version, which is known.
+    /// The changes since this version, which the dispatcher knows.
     ChangesSince(u64),
 }
 
-/// Timeouts of the calls to discovery, in milliseconds, and whether calls resume.
+/// Timeouts of calls to discovery, in milliseconds, and whether calls resume from the known list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DiscoverySettings {
-    /// A connection that is not established after this long is given up.
+    /// A connection that is not established within this time is closed.
     pub connect_timeout: Ms,
-    /// How long a connection may be silent before its first answer has begun. That answer waits for nothing.
+    /// How long a connection may be silent until its first answer begins. Discovery sends the first answer at once.
     pub first_answer_timeout: Ms,
-    /// How long a connection may be silent after that. These answers may wait for a change.
+    /// How long a connection may be silent after that. Discovery may delay these answers until there is a change.
     pub silence_timeout: Ms,
-    /// The backoff after a lost call; it doubles with each in a row.
+    /// The backoff after a lost call; it doubles with each further loss in a row.
     pub initial_backoff: Ms,
     /// The upper limit of the doubled backoff.
     pub max_backoff: Ms,
-    /// Whether a call after a lost one asks only for what has changed since the known list. Guards against a discovery
-    /// service that refuses calls under load: a snapshot and the watch after it are two calls, and if each refused
-    /// call is followed by both, no dispatcher gets both through.
+    /// Whether a call after a lost one requests only the changes since the known list. Guards against a discovery
+    /// service that refuses calls under load: a snapshot and the watch that follows it are two calls. If each refused
+    /// call is followed by both, no dispatcher gets both calls through.
     pub resume_from_known_version: bool,
 }
 
-/// The backoff where discovery pushes its lists.
+/// First backoff if discovery pushes its lists.
 const PUSH_INITIAL_BACKOFF_MS: Ms = 100.0;
+/// Upper limit of the backoff if discovery pushes its lists.
 const PUSH_MAX_BACKOFF_MS: Ms = 2_000.0;
 
 impl DiscoverySettings {
-    /// For discovery that sends only when there is a change, over a transport that detects a dead peer itself (HTTP/2
-    /// pings): silence has no timeout. `connect_timeout` in milliseconds.
+    /// Settings for discovery that sends only changes, over a transport that detects a dead peer by itself (HTTP/2
+    /// pings): silence has no timeout. `connect_timeout` is in milliseconds.
     pub fn without_silence_timeout(connect_timeout: Ms) -> Self {
         DiscoverySettings {
             connect_timeout,
@@ -52,8 +54,8 @@
         }
     }
 
-    /// The longest time in milliseconds from when discovery can be reached (again) to a call for its list on an
-    /// established connection. In the worst case the last call before was made just too early: it runs into its
+    /// The longest time in milliseconds from the instant when discovery becomes reachable to a call for its list on an
+    /// established connection. In the worst case the previous call was made just before that instant: it runs into its
     /// timeout and is followed by the longest backoff.
     pub fn max_recovery_time(&self) -> Ms {
         let given_up = self.connect_timeout + self.first_answer_timeout.max(self.silence_timeout);
@@ -61,16 +63,16 @@
     }
 }
 
-/// The upper limit of the backoff after lists that cannot be used, such as one that is too long: each costs discovery
-/// as much as a good one. A third of
+/// Upper limit of the backoff after unusable lists, such as a list that is too long: an unusable list costs discovery
+/// as much as a usable one. A third of
 /// [`DISCOVERY_NOTIFIED_WITHIN_MS`](crate::resource_limits::DISCOVERY_NOTIFIED_WITHIN_MS).
 pub const MAX_UNUSABLE_LIST_BACKOFF_MS: Ms = 2_000.0;
 
-/// Discovery that sends only older snapshots for this long has restarted its version numbers, as after a new
-/// installation. Half of [`DISCOVERY_NOTIFIED_WITHIN_MS`](crate::resource_limits::DISCOVERY_NOTIFIED_WITHIN_MS).
+/// After this long with only older snapshots, discovery is assumed to have restarted its version numbers, as after a
+/// new installation. Half of [`DISCOVERY_NOTIFIED_WITHIN_MS`](crate::resource_limits::DISCOVERY_NOTIFIED_WITHIN_MS).
 const VERSION_RESET_AFTER_MS: Ms = 3_000.0;
 
-/// Up to this fraction of a backoff is taken off by chance.
+/// Jitter shortens a backoff by up to this fraction.
 const BACKOFF_JITTER_FRACTION: f64 = 0.5;
 
 /// The calls of one dispatcher to discovery.
@@ -80,16 +82,16 @@
     rng: WyRand,
     /// The next backoff, before jitter.
     backoff: Ms,
-    /// Whether an answer has begun on the present connection.
+    /// Whether an answer has begun on the current connection.
     is_answered: bool,
-    /// Whether this address was never called: its list may differ in more than the newest changes.
+    /// Whether this address was never called: its list may differ from the known one in more than the newest changes.
     is_first_call: bool,
-    /// Since when discovery has sent only lists that are older than the newest known one.
+    /// Since when discovery has sent only lists older than the newest known list; `None` if it has not.
     outdated_since: Option<Ms>,
 }
 
 impl DiscoveryCalls {
-    /// No call was made yet. `seed` determines the jitter of the backoff.
+    /// Creates the state before the first call. `seed` determines the jitter of the backoff.
     pub fn new(settings: DiscoverySettings, seed: u64) -> Self {
         DiscoveryCalls {
             settings,
@@ -101,8 +103,8 @@
         }
     }
 
-    /// A connection is about to be opened; returns what to ask for on it. `known`: the version of the newest list, if
-    /// there is one. The first call at an address asks for a snapshot, and so does each call while discovery sends
+    /// Starts a call on a new connection and returns what to request. `known`: the version of the newest known list, if
+    /// there is one. The first call at an address requests a snapshot, and so does every call while discovery sends
     /// outdated lists.
     pub fn begin_call(&mut self, known: Option<u64>) -> FirstCall {
         self.is_answered = false;
@@ -116,18 +118,18 @@
         }
     }
 
-    /// The first bytes of an answer have come.
+    /// Records that the first bytes of an answer were received.
     pub fn answer_begun(&mut self) {
         self.is_answered = true;
     }
 
-    /// A list has come that is used: the backoff starts anew.
+    /// Records that a usable list was received: the backoff is reset.
     pub fn list_received(&mut self) {
         (self.is_answered, self.backoff) = (true, self.settings.initial_backoff);
     }
 
-    /// Whether a list of this version is used, given the newest known version. Guards against a replica of discovery
-    /// that lags behind: its list would bring back engines that drain or are gone.
+    /// Whether to use a list of this version, given the newest known version. Guards against a discovery replica that
+    /// lags behind: its list would bring back engines that drain or are gone.
     pub fn accept_version(
         &mut self,
         is_snapshot: bool,
@@ -147,12 +149,12 @@
         versions_restarted
     }
 
-    /// Discovery has another address from now on: the backoff starts anew, and the next call asks for a snapshot.
+    /// Records that the address of discovery has changed: the backoff is reset, and the next call requests a snapshot.
     pub fn address_changed(&mut self) {
         (self.backoff, self.is_first_call) = (self.settings.initial_backoff, true);
     }
 
-    /// How long the present connection may be silent, in milliseconds.
+    /// How long the current connection may be silent, in milliseconds.
     pub fn silence_timeout(&self) -> Ms {
         if self.is_answered {
             self.settings.silence_timeout
@@ -161,18 +163,18 @@
         }
     }
 
-    /// The connection was lost; returns the milliseconds to wait before the next.
+    /// Returns the milliseconds to wait before the next call, after the connection was lost.
     pub fn backoff_after_loss(&mut self) -> Ms {
         self.next_backoff(self.settings.max_backoff)
     }
 
-    /// The list that came cannot be used; returns the milliseconds to wait before the next call.
+    /// Returns the milliseconds to wait before the next call, after an unusable list.
     pub fn backoff_after_unusable_list(&mut self) -> Ms {
         self.next_backoff(MAX_UNUSABLE_LIST_BACKOFF_MS.max(self.settings.max_backoff))
     }
 
-    /// Guards against hundreds of dispatchers that lose discovery at the same instant and then call it again at the
-    /// same instant, each time: jitter spreads them.
+    /// Guards against hundreds of dispatchers that lose discovery at the same time and then all call it again at the
+    /// same time, over and over: jitter spreads their calls.
     fn next_backoff(&mut self, max: Ms) -> Ms {
         let chance: f64 = self.rng.generate();
         let backoff = self.backoff.min(max) * (1.0 - chance * BACKOFF_JITTER_FRACTION);
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,105 +1,108 @@
-//! What a dispatcher is to do.
+//! Actions: what the decision logic asks a dispatcher's driver to do.
 
 use super::{AttemptId, DispatcherId, EngineId, Ms, RequestId, TimerId};
 
-/// Something to be done; actions are carried out in their order.
+/// An instruction to the driver. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sends a request to an engine: to be prefilled if no KV state is held for it, else to be
-    /// decoded.
+    /// Sends a request to an engine: for a prefill if the request holds no KV state, else for a
+    /// decode.
     StartAttempt {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Where to.
+        /// The engine that gets the attempt.
         engine: EngineId,
-        /// The instant at which the attempt times out; none leaves it to the client's deadline.
+        /// The instant at which the attempt times out; `None` leaves it to the client's deadline.
         until: Option<Ms>,
     },
     /// Cancels an attempt; its end is reported as [`Event::Ended`](super::Event::Ended).
     Cancel {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Its attempt.
+        /// The attempt to cancel, which is in flight.
         attempt: AttemptId,
     },
-    /// Answers that the request will not be served and that a retry is safe.
+    /// Answers the client that the request will not be served and that a retry is safe.
     Reject {
-        /// The request.
+        /// The request to reject.
         request: RequestId,
-        /// Milliseconds after which the client may send it again, if it is asked to wait.
+        /// Milliseconds after which the client may send the request again; `None` if it is not
+        /// asked to wait.
         retry_after: Option<Ms>,
     },
-    /// Answers that the request failed: it may have run, and a retry may do harm.
+    /// Answers the client that the request failed: it may have run, and a retry may do harm.
     Fail {
-        /// The request.
+        /// The request to fail.
         request: RequestId,
     },
-    /// Releases the KV state of a request, also while an attempt is in flight that counts as not
-    /// arrived.
+    /// Releases the KV state of a request, even while an undelivered attempt is in flight.
     Release {
-        /// The request.
+        /// The request that holds the KV state.
         request: RequestId,
     },
     /// Asks the attempt's engine to confirm that it runs;
-    /// [`Event::Delivered`](super::Event::Delivered) says that it does.
+    /// [`Event::Delivered`](super::Event::Delivered) reports that it does.
     Confirm {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Its attempt.
+        /// The attempt in flight whose engine is asked.
         attempt: AttemptId,
     },
     /// Releases the KV state of a request, unless its attempt in flight waits for it.
     ReleaseInDoubt {
-        /// The request.
+        /// The request that holds the KV state.
         request: RequestId,
     },
-    /// Reserves a place at a decode engine while the prefill runs. The decisions do not use it.
+    /// Reserves a slot at a decode engine while the prefill runs. The decision logic never returns
+    /// it.
     Reserve {
-        /// The request.
+        /// The request whose prefill runs.
         request: RequestId,
-        /// The decode engine.
+        /// The decode engine where the slot is reserved.
         engine: EngineId,
     },
-    /// Ends an answer in good order, so that its client asks for the rest elsewhere. The decisions do
-    /// not use it.
+    /// Ends an answer in good order before it is complete, so that the client requests the rest
+    /// from another dispatcher. The decision logic never returns it.
     Migrate {
-        /// The request.
+        /// The request whose answer is ended.
         request: RequestId,
     },
     /// Sets a timer, which comes back as [`Event::Timer`](super::Event::Timer).
     SetTimer {
         /// Milliseconds from now, 0 or more.
         delay: Ms,
-        /// The timer's id.
+        /// The id that the timer's event carries.
         timer: TimerId,
     },
-    /// Asks an engine for its load; [`Event::HealthChecked`](super::Event::HealthChecked) answers.
+    /// Asks an engine for its load; [`Event::HealthChecked`](super::Event::HealthChecked) reports
+    /// the answer.
     HealthCheck {
-        /// The engine.
+        /// The engine to ask.
         engine: EngineId,
     },
-    /// Closes the idle connections to an engine. The decisions do not use it.
+    /// Closes the idle connections to an engine. The decision logic never returns it.
     CloseIdle {
-        /// The engine.
+        /// The engine whose connections are closed.
         engine: EngineId,
     },
-    /// Sends a message to other dispatchers. The decisions do not use it.
+    /// Sends a message to other dispatchers. The decision logic never returns it.
     SendGossip {
-        /// One dispatcher; none means all others.
+        /// The receiver; `None` sends the message to all other dispatchers.
         to: Option<DispatcherId>,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// Asks for the whole list of endpoints. The decisions do not use it.
+    /// Requests the full list of endpoints. The decision logic never returns it.
     FetchEndpoints,
-    /// Begins or ends to follow changes of the list of endpoints. The decisions do not use it.
+    /// Starts or stops watching changes of the list of endpoints. The decision logic never returns
+    /// it.
     WatchEndpoints {
-        /// Whether to follow them.
+        /// Whether to watch from now on.
         on: bool,
     },
-    /// Writes a line to the log. The decisions do not use it.
+    /// Writes a line to the log. The decision logic never returns it.
     Log {
-        /// The line.
+        /// The text of the line.
         text: String,
     },
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,192 +1,194 @@
-//! What happens to a dispatcher.
+//! Events: what a dispatcher's driver reports to the decision logic.
 
 use super::{
     AttemptId, CellId, DispatcherId, EngineId, KindId, Ms, RequestClassId, RequestId, SessionId,
     SharedTextId, TenantId, TimerId, ZoneId,
 };
 
-/// An engine's last report of its load; a field is absent where the engine does not report it.
+/// The last load report of an engine; a field is `None` if the engine does not report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests that it works on.
+    /// Requests that the engine is working on.
     pub in_flight: Option<f64>,
-    /// Requests that wait there.
+    /// Requests that wait in the engine's queue.
     pub queue: Option<f64>,
-    /// Fraction of its slots in use.
+    /// Fraction of the engine's slots in use.
     pub slots_used: Option<f64>,
-    /// Fraction of its KV memory in use.
+    /// Fraction of the engine's KV memory in use.
     pub memory_held: Option<f64>,
-    /// Thousands of prompt tokens that wait there.
+    /// Thousands of prompt tokens that wait at the engine.
     pub waiting_kilotokens: Option<f64>,
 }
 
-/// What discovery says of an engine.
+/// The status of an engine according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes new attempts.
+    /// The engine accepts new attempts.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The engine finishes its attempts and accepts no new ones.
     Draining,
-    /// It is not there any more.
+    /// The engine no longer exists.
     Gone,
 }
 
 /// One entry of the list of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its lasting name.
+    /// The engine's name, which survives restarts.
     pub engine: EngineId,
-    /// The zone where it runs.
+    /// The zone in which the engine runs.
     pub zone: ZoneId,
-    /// Its kind.
+    /// The kind of engine, which determines its role.
     pub kind: KindId,
-    /// The cell where it runs.
+    /// The cell in which the engine runs.
     pub cell: CellId,
-    /// Whether it takes new attempts.
+    /// Whether the engine accepts new attempts, drains or is gone.
     pub status: EndpointStatus,
-    /// Its size beside those of its kind; 1 is the usual one.
+    /// The engine's size relative to other engines of its kind; 1 is the usual size. The decision
+    /// logic does not read it.
     pub weight: f64,
-    /// The instant when it last started; none means long ago.
+    /// When the engine's process last started; `None` means long ago.
     pub started: Option<Ms>,
 }
 
-/// What an update of the list of endpoints holds.
+/// The content of an update of the list of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// Entries that changed; the others stay.
+    /// The entries that have changed; the others stay as they are.
     Delta,
-    /// Every entry; engines that are not in it are gone.
+    /// Every entry; engines that are missing are gone.
     Snapshot,
     /// Every entry, as stored by an earlier process of this dispatcher.
     Cached,
-    /// Nothing: discovery rejected the request for the list.
+    /// No entry: discovery rejected the call for the list.
     Rejected,
 }
 
 /// How an attempt, or a health check, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer came; of a health check: the engine answered.
+    /// The whole answer was received, or the engine answered the health check.
     Succeeded,
     /// The engine reported a failure; the request may have run.
     Failed,
     /// The engine rejected the attempt before it ran.
     Overloaded,
-    /// Its time was up; the request may have run.
+    /// The attempt timed out; the request may have run.
     TimedOut,
-    /// No connection to the engine was to be had; the request has not run.
+    /// No connection to the engine could be used; the request has not run.
     Unreachable,
     /// The connection was lost; the request may have run.
     ConnectionLost,
-    /// It was cancelled; the request may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
     /// Nothing was sent; the request has not run.
     NotSent,
-    /// The prompt is computed: the engine holds its KV state.
+    /// The prompt is computed, and the engine holds its KV state.
     PrefillDone,
 }
 
-/// A request as it arrives.
+/// A request on its arrival from a client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arrival {
-    /// Its number here.
+    /// The id that this dispatcher gave the request.
     pub request: RequestId,
-    /// Its class.
+    /// The request class, which sets retry safety and latency objective.
     pub request_class: RequestClassId,
-    /// Whose it is, if the settings name tenants.
+    /// The tenant that sent the request, if the settings name tenants.
     pub tenant: Option<TenantId>,
-    /// The session that it belongs to.
+    /// The session that the request belongs to.
     pub session: SessionId,
-    /// Milliseconds for which its client still waits.
+    /// Milliseconds from the arrival until the client stops waiting.
     pub time_to_deadline: Ms,
-    /// Milliseconds that the answer is expected to take, if the client says so. The decisions do not
-    /// read it.
+    /// Expected duration of the answer in milliseconds, if the client states it. The decision logic
+    /// does not read it.
     pub answer_hint: Option<Ms>,
-    /// The prefix that its prompt shares with other sessions' prompts.
+    /// The prefix that the prompt shares with prompts of other sessions.
     pub shared: Option<SharedTextId>,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub prompt_tokens: f64,
-    /// Tokens of the shared prefix.
+    /// Length of the shared prefix in tokens.
     pub shared_tokens: f64,
-    /// The most tokens that its answer may have.
+    /// Upper limit of the answer's length in tokens.
     pub max_tokens: f64,
-    /// The client sends it again after a rejection or failure.
+    /// Whether the client sends the request again after a rejection or failure.
     pub retried: bool,
-    /// The client asks for the rest of an answer that broke off.
+    /// Whether the client requests the rest of an answer that broke off.
     pub resumed: bool,
 }
 
-/// Something that happened, in the order in which it did.
+/// An event; events are reported in the order in which they happen.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The list of endpoints has come, or changes to it.
+    /// The list of endpoints, or changes to it, were received.
     EndpointsUpdated {
-        /// What `endpoints` holds.
+        /// Whether `endpoints` is the full list or only changes.
         kind: EndpointUpdateKind,
-        /// The entries.
+        /// The entries, one per engine.
         endpoints: Vec<Endpoint>,
     },
-    /// A request has come.
+    /// A client has sent a request.
     Arrived(Arrival),
-    /// The client has gone, or the driver has answered the request itself; nothing more is owed.
+    /// The client has disconnected, or the driver has answered the request itself. The request
+    /// needs no further answer.
     ClientGone {
-        /// Its request.
+        /// The request that needs no further answer.
         request: RequestId,
     },
-    /// The first token of an answer has come.
+    /// The first token of an answer was received.
     FirstToken {
-        /// The request answered.
+        /// The request that the answer belongs to.
         request: RequestId,
-        /// The attempt that answers it.
+        /// The decode attempt that generates the answer.
         attempt: AttemptId,
-        /// Where it runs.
+        /// The engine that runs the attempt.
         engine: EngineId,
         /// Milliseconds since the attempt was sent.
         latency: Ms,
     },
     /// An attempt has ended.
     Ended(Ended),
-    /// Where deliveries are tracked: the attempt has reached an engine that runs, which has shown
-    /// so since.
+    /// Reported only where deliveries are tracked: the attempt's engine has shown since the send
+    /// that it runs.
     Delivered {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Its attempt.
+        /// The attempt whose engine runs.
         attempt: AttemptId,
     },
-    /// A decode engine holds, or no longer holds, a place for a request; answers
+    /// A decode engine holds, or no longer holds, a reserved slot for a request; answers
     /// [`Action::Reserve`](super::Action::Reserve).
     ReservationChanged {
-        /// The request.
+        /// The request that the slot is reserved for.
         request: RequestId,
-        /// The attempt in flight meanwhile.
+        /// The attempt that is in flight during the reservation.
         attempt: AttemptId,
-        /// The decode engine.
+        /// The decode engine with the reserved slot.
         engine: EngineId,
-        /// Whether it holds a place.
+        /// Whether the slot is reserved now.
         held: bool,
     },
     /// A timer has fired.
     Timer {
-        /// The timer, as it was set.
+        /// The id from [`Action::SetTimer`](super::Action::SetTimer).
         timer: TimerId,
     },
     /// A health check has ended.
     HealthChecked {
-        /// The engine asked.
+        /// The engine that was asked.
         engine: EngineId,
         /// [`Outcome::Succeeded`] if it answered.
         outcome: Outcome,
-        /// Milliseconds since it was sent.
+        /// Milliseconds since the health check was sent.
         latency: Ms,
-        /// The load that it reported.
+        /// The load that the engine reported with its answer.
         load: Load,
     },
     /// Another dispatcher has sent a message.
     GossipReceived {
-        /// The sender.
+        /// The dispatcher that sent the message.
         from: DispatcherId,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
 }
@@ -194,21 +196,21 @@
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
-    /// The request.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// Its attempt.
+    /// The attempt that ended.
     pub attempt: AttemptId,
-    /// Where it was sent.
+    /// The engine that the attempt was sent to.
     pub engine: EngineId,
-    /// How it ended.
+    /// The result of the attempt, which decides what follows.
     pub outcome: Outcome,
     /// Milliseconds since the attempt was sent.
     pub latency: Ms,
-    /// The request is finished, by this outcome or before it.
+    /// Whether the request is finished, by this outcome or before it.
     pub last: bool,
-    /// After [`Outcome::PrefillDone`]: prompt tokens that were cached. After
+    /// After [`Outcome::PrefillDone`]: the number of prompt tokens that were cached. After
     /// [`Outcome::Overloaded`]: 1 if there was no KV state to fetch.
     pub detail: f64,
-    /// The engine's load, if it reported it.
+    /// The engine's load; all fields are `None` if it was not reported.
     pub load: Load,
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,52 +1,52 @@
-//! Ids of what events, actions and settings speak of.
+//! Ids that events, actions and settings use.
 
 use std::sync::Arc;
 
-/// A request, as its dispatcher numbers it; never used twice.
+/// A request, numbered by its dispatcher; a number is never used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// An engine's lasting name.
+/// The name of an engine, which survives restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub Arc<str>);
 
-/// A session: the requests of one client that follow each other, each prompt extending the last.
+/// A session: consecutive requests of one client, in which each prompt extends the previous one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// A prefix that prompts of several sessions share.
+/// A prompt prefix that several sessions share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SharedTextId(pub u64);
 
-/// An attempt of a request; the attempts of one request count from 0.
+/// An attempt of a request; the attempts of a request are numbered from 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u32);
 
-/// A zone, by its place in the settings.
+/// A zone, by its index in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A cell: a few engines of a zone with a short way between them.
+/// A cell: a few engines of a zone with a short network path between them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
 
-/// A kind of engine, by its place in [`Settings::kinds`](super::Settings::kinds).
+/// A kind of engine, by its index in [`Settings::kinds`](super::Settings::kinds).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u32);
 
-/// A request class, by its place in
+/// A request class, by its index in
 /// [`Settings::request_classes`](super::Settings::request_classes).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestClassId(pub u32);
 
-/// A tenant, by its place in [`Settings::tenants`](super::Settings::tenants).
+/// A tenant, by its index in [`Settings::tenants`](super::Settings::tenants).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u32);
 
-/// A dispatcher's number among its peers, from 0.
+/// A dispatcher, numbered from 0 among all dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DispatcherId(pub u32);
 
-/// A timer that [`Action::SetTimer`](super::Action::SetTimer) has set.
+/// A timer that was set by [`Action::SetTimer`](super::Action::SetTimer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,8 +1,7 @@
-//! The plain types that pass between a dispatcher's program and its
-//! [`Control`](crate::control::Control): ids, start settings, events in, actions out. Nothing here
-//! decides anything.
+//! The types that a dispatcher's driver and its [`Control`](crate::control::Control) exchange: ids,
+//! settings, events (input) and actions (output). They contain no decision logic.
 //!
-//! Units: times are in milliseconds ([`Ms`]), text is measured in tokens, loads and shares are
+//! Units: times are in milliseconds ([`Ms`]), lengths of texts in tokens, loads and shares in
 //! fractions of 1.
 
 mod actions;
@@ -23,6 +22,6 @@
     TenantSettings,
 };
 
-/// Milliseconds with fractions, either a duration or an instant on the driver's clock, whose zero
-/// means nothing.
+/// Milliseconds with a fractional part: a duration, or an instant on the driver's clock, whose zero
+/// point is arbitrary.
 pub type Ms = f64;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,153 +1,157 @@
-//! What a dispatcher is started with.
+//! The settings with which a dispatcher starts.
 
 use super::{DispatcherId, Ms, ZoneId};
 
-/// What a kind of engine does.
+/// The stages that a kind of engine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Computes KV states of prompts.
     Prefill,
-    /// Takes KV states over and generates answers.
+    /// Takes over KV states and generates answers.
     Decode,
-    /// Does both.
+    /// Serves both stages.
     Both,
 }
 
-/// The engines that recognise the repeat of a request by its idempotency key.
+/// The engines that recognise a repeated request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// Every engine.
     All,
-    /// The engines in the zone of the one where it ran first.
+    /// The engines in the zone of the engine that ran the request first.
     Zone,
-    /// The engines in the cell of the one where it ran first.
+    /// The engines in the cell of the engine that ran the request first.
     Cell,
 }
 
 /// Whether a request that may have run may run again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetrySafety {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
     /// Engines recognise a repeat by its key.
     IdempotencyKey {
-        /// The engines that do.
+        /// The engines that recognise the repeat.
         scope: IdempotencyScope,
-        /// For how long they do, in milliseconds from the first attempt.
+        /// Milliseconds from the first attempt during which they recognise it.
         window: Ms,
     },
-    /// It must not run twice.
+    /// The request must not run twice.
     AtMostOnce,
 }
 
-/// One request class.
+/// Settings of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClassSettings {
-    /// Whether a request that may have run may run again.
+    /// Whether a request of this class that may have run may run again.
     pub retry_safety: RetrySafety,
-    /// Milliseconds from the arrival to the first token for an empty prompt.
+    /// Latency objective for an empty prompt: milliseconds from the arrival to the first token.
     pub latency_objective: Ms,
     /// Milliseconds that each 1,000 prompt tokens add to the latency objective.
     pub latency_objective_per_1000_tokens: Ms,
-    /// Milliseconds from the arrival after which the client waits no longer; infinite if each
-    /// request says its own.
+    /// Milliseconds from the arrival after which the client stops waiting; infinite if each request
+    /// states its own deadline.
     pub time_to_deadline: Ms,
-    /// Value of an answer in time beside those of other classes. The decisions do not read it.
+    /// Value of an answer in time, relative to other classes. The decision logic does not read it.
     pub priority_weight: f64,
-    /// Fraction of that value which a late answer has. The decisions do not read it.
+    /// Fraction of that value that a late answer has. The decision logic does not read it.
     pub late_value_share: f64,
-    /// Milliseconds wanted from one token to the next. The decisions do not read it.
+    /// Target interval between two tokens, in milliseconds. The decision logic does not read it.
     pub token_pace: Ms,
-    /// Whether tokens are sent as they come.
+    /// Whether each token is sent to the client as soon as it is generated.
     pub streams: bool,
 }
 
-/// One tenant.
+/// Settings of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Requests per second within its quota, over all dispatchers.
+    /// The quota in requests per second, summed over all dispatchers.
     pub quota_per_second: f64,
-    /// The tenant's part of the service, as a fraction. The decisions do not read it.
+    /// The tenant's share of the service, as a fraction. The decision logic does not read it.
     pub share: f64,
 }
 
-/// One kind of engine.
+/// Settings of a kind of engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindSettings {
-    /// What it does.
+    /// The stages that engines of this kind serve.
     pub role: Role,
-    /// Tokens whose KV state fits into its memory.
+    /// The number of tokens whose KV state fits into an engine's memory.
     pub memory_tokens: f64,
 }
 
-/// How the list of endpoints reaches a dispatcher.
+/// How a dispatcher receives the list of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Discovery {
-    /// Changes are pushed.
+    /// Discovery pushes changes.
     Pushed,
-    /// The dispatcher asks for the list.
+    /// The dispatcher polls the list.
     Polled {
-        /// Milliseconds within which a change of the list has to be learned; discovery calls are
-        /// timed by it.
+        /// Milliseconds within which the dispatcher has to learn of a change; the timing of
+        /// discovery calls is derived from it.
         notified_within: Ms,
     },
 }
 
-/// All that a dispatcher is started with.
+/// The settings of a dispatcher. They do not change while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its number among its peers.
+    /// This dispatcher's number among all dispatchers, from 0.
     pub me: DispatcherId,
-    /// How many dispatchers there are, this one counted.
+    /// The number of dispatchers, including this one.
     pub dispatchers: u32,
-    /// Where it runs.
+    /// The zone in which this dispatcher runs.
     pub zone: ZoneId,
-    /// Milliseconds between two steps of the driver: what is due may be done so much later.
+    /// Milliseconds between two steps of the driver; a due step may be delayed by as much.
     pub tick: Ms,
-    /// Request classes in the order of their ids.
+    /// Request classes; a class's index is its id.
     pub request_classes: Vec<RequestClassSettings>,
-    /// Tenants in the order of their ids.
+    /// Tenants; a tenant's index is its id.
     pub tenants: Vec<TenantSettings>,
-    /// Factor on the value of requests beyond their tenant's quota. The decisions do not read it.
+    /// Factor on the value of requests beyond their tenant's quota. The decision logic does not
+    /// read it.
     pub over_quota_weight: f64,
-    /// Kinds of engines in the order of their ids.
+    /// Kinds of engines; a kind's index is its id.
     pub kinds: Vec<KindSettings>,
-    /// How the list of endpoints comes.
+    /// How this dispatcher receives the list of endpoints.
     pub discovery: Discovery,
     /// Milliseconds within which a KV state has to be taken over or released.
     pub kv_state_timeout: Ms,
-    /// Whether decode engines can also prefill. The decisions do not read it.
+    /// Whether decode engines can also prefill. The decision logic does not read it.
     pub decode_engines_prefill: bool,
-    /// Whether [`Action::Reserve`](super::Action::Reserve) may be used. The decisions do not read it.
+    /// Whether [`Action::Reserve`](super::Action::Reserve) may be used. The decision logic does not
+    /// read it.
     pub may_reserve: bool,
     /// Whether [`Action::Cancel`](super::Action::Cancel) may be used.
     pub may_cancel: bool,
-    /// Whether a request may have two attempts at once (hedging). The decisions do not read it: they
-    /// never hedge.
+    /// Whether a request may have two attempts at the same time (hedging). The decision logic does
+    /// not read it and never hedges.
     pub may_hedge: bool,
     /// Whether [`Action::HealthCheck`](super::Action::HealthCheck) may be used.
     pub may_health_check: bool,
-    /// Whether [`Action::SendGossip`](super::Action::SendGossip) may be used. The decisions do not
-    /// read it.
+    /// Whether [`Action::SendGossip`](super::Action::SendGossip) may be used. The decision logic
+    /// does not read it.
     pub may_gossip: bool,
-    /// Whether clients wait as long as a rejection asks them to.
+    /// Whether clients wait for as long as a rejection asks them to.
     pub clients_honor_retry_after: bool,
-    /// The longest wait that clients are asked for, in milliseconds.
+    /// The longest wait in milliseconds that a rejection asks for.
     pub max_retry_after: Ms,
-    /// Attempts that a request may have, prefills and decodes counted together.
+    /// Maximum number of attempts per request, prefills and decodes counted together.
     pub max_attempts: u32,
-    /// Milliseconds that a connection to an engine may take to open.
+    /// Milliseconds within which a connection to an engine has to be established.
     pub connect_timeout: Ms,
-    /// Milliseconds after the notice of a drain in which attempts may still start at the engine.
+    /// Milliseconds after the notice of a drain during which attempts may still start at the
+    /// engine.
     pub drain_grace: Ms,
-    /// Milliseconds after the client's deadline in which a final answer still counts.
+    /// Milliseconds after the client's deadline during which a final answer still counts.
     pub answer_grace: Ms,
-    /// A cold engine collapses when it gets more than this many times its capacity ...
+    /// A cold engine collapses if it gets more than this many times its capacity within the
+    /// overload window.
     pub overload_multiple: f64,
-    /// ... within so many milliseconds.
+    /// The length of the overload window in milliseconds.
     pub overload_window: Ms,
-    /// Capacity of an engine at its start, as a fraction of a warm one's.
+    /// The capacity of an engine at its start, as a fraction of a warm engine's.
     pub cold_capacity: f64,
-    /// Milliseconds from its start until an engine is warm; above 0.
+    /// Milliseconds from an engine's start until it is warm; above 0.
     pub slow_start_window: Ms,
 }
--- a/src/resource_limits.rs
+++ b/src/resource_limits.rs
@@ -1,99 +1,99 @@
-//! The limits and timeouts of a dispatcher whose connections carry one request at a time (HTTP/1.1), derived from what
-//! its machine and its settings give it. The fractions and times that they are derived by stand only here.
+//! Derives the limits and timeouts of a dispatcher whose connections carry one request at a time (HTTP/1.1) from the
+//! resources of its machine and its settings. All fractions and times of the derivation are defined in this module.
 
 use crate::client_connection::http1::Http1Settings;
 use crate::discovery_client::DiscoverySettings;
 use crate::interface::{Discovery, Ms};
 
-/// What a process is given. Times are milliseconds.
+/// The resources and settings that limits are derived from. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// Memory in bytes.
+    /// Memory of the process in bytes.
     pub memory_bytes: f64,
-    /// Files and sockets that may be open at the same time.
+    /// Number of files and sockets that the process may have open at the same time.
     pub file_descriptors: usize,
-    /// How long a connection may take to be established.
+    /// Milliseconds within which a connection has to be established.
     pub connect_timeout: Ms,
-    /// How the list of endpoints reaches the process.
+    /// How the process receives the list of endpoints.
     pub discovery: Discovery,
-    /// How soon the process must notice that an engine drains.
+    /// Milliseconds within which the process has to notice that an engine drains.
     pub drain_grace: Ms,
-    /// Engines close a connection that is idle for this long; `None`: never.
+    /// Engines close a connection that has been idle for this long; `None` if they never do.
     pub engine_idle_timeout: Option<Ms>,
-    /// Requests that may be open at the same time; `None`: as many as connections allow.
+    /// Maximum number of open requests; `None` if only connections limit it.
     pub max_open_requests: Option<usize>,
-    /// The longest time from a request's arrival to its deadline, of all request classes.
+    /// The longest time to deadline of all request classes, counted from the arrival of a request.
     pub longest_time_to_deadline: Ms,
-    /// Whether clients ask another dispatcher for the rest of a stream that ends early.
+    /// Whether clients request the rest of a stream that ends early from another dispatcher.
     pub clients_resume: bool,
 }
 
-/// The limits that follow. Counts and bytes are upper limits; times are milliseconds.
+/// The derived limits. Counts and bytes are upper limits; times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// Timeouts of clients' connections.
+    /// Timeouts of the connections of clients.
     pub client_timeouts: Http1Settings,
-    /// Connections of clients.
+    /// Number of connections of clients.
     pub max_client_connections: usize,
-    /// Connections to all engines together.
+    /// Number of connections to all engines together.
     pub max_engine_connections: usize,
-    /// Requests that are open at the same time.
+    /// Number of requests that are open at the same time.
     pub max_open_requests: usize,
-    /// A connection to an engine that is idle for this long is closed.
+    /// A connection to an engine is closed after it has been idle for this long; infinite if engines never close one.
     pub engine_idle_timeout: Ms,
-    /// One request's body.
+    /// Size of the body of one request.
     pub max_body_bytes: usize,
-    /// The bodies of all clients' requests together.
+    /// Size of the bodies of all open requests together.
     pub max_total_body_bytes: usize,
-    /// One chunk of an engine's answer, or an answer that is not chunked.
+    /// Size of one chunk of an engine's answer, or of an answer that is not chunked.
     pub max_chunk_bytes: usize,
-    /// One list of endpoints.
+    /// Size of one list of endpoints.
     pub max_list_bytes: usize,
-    /// Token messages of a stream that have left its decode engine and not yet reached its client.
+    /// Number of token messages of a stream that have left its decode engine and have not reached its client.
     pub stream_window: u32,
-    /// A stream that makes no progress for this long is ended.
+    /// A stream is ended if it makes no progress for this long.
     pub stall_timeout: Ms,
-    /// How long discovery may delay an answer until there is a change (long poll).
+    /// How long discovery may delay an answer until there is a change (long polling).
     pub discovery_poll_wait: Ms,
-    /// Timeouts of the calls to discovery.
+    /// Timeouts and backoffs of calls to discovery.
     pub discovery: DiscoverySettings,
-    /// After the last answer on a client's connection: how long bytes that still come are read before the close.
+    /// After the last answer on a client's connection: how long incoming bytes are still read before the close.
     pub close_drain_timeout: Ms,
-    /// And how many bytes are read then.
+    /// How many bytes are read in that time.
     pub max_close_drain_bytes: usize,
-    /// After a stop: how long new requests are still accepted.
+    /// After a stop signal: how long new requests are still accepted.
     pub stop_accept_period: Ms,
-    /// After a stop: when streams are ended so that their clients resume elsewhere; `None`: they run to their end.
+    /// After a stop signal: when streams are ended so that their clients resume at another dispatcher; `None` if
+    /// streams run to their end.
     pub stop_streams_after: Option<Ms>,
-    /// After a stop: how long everything else may run.
+    /// After a stop signal: how long all other work may run.
     pub stop_grace: Ms,
 }
 
-/// File descriptors that belong to no client and no engine: logs, signals, the listener, discovery, and connections
-/// that are being closed.
+/// File descriptors reserved for logs, signals, the listener, discovery and connections that are being closed.
 pub const RESERVED_FILE_DESCRIPTORS: usize = 32;
 
-/// The bodies of requests may take the memory divided by this.
+/// The bodies of all requests may use the memory divided by this.
 const MEMORY_PER_BODIES: f64 = 8.0;
 
 /// The largest body that the platform's protocol allows, in bytes.
 const MAX_BODY_BYTES: usize = 256 << 10;
 
-/// One list of endpoints may take the memory divided by this: it holds every engine, of which there are thousands.
+/// A list of endpoints may use the memory divided by this: it contains every engine, and there are thousands.
 const MEMORY_PER_LIST: f64 = 8.0;
 
-/// A list may always be as large as this many bodies.
+/// The limit for a list is never less than this many bodies of maximum size.
 const MIN_LIST_BODIES: usize = 4;
 
-/// As many bodies are read and dropped at most before a client's connection is closed.
+/// At most this many bodies are read and discarded before a client's connection is closed.
 const CLOSE_DRAIN_BODIES: usize = 4;
 
-/// A connection is closed after this fraction of the engines' idle timeout, well before they close it: a request that
-/// is written to a connection which the engine is closing is lost.
+/// A connection is closed after this fraction of the engines' idle timeout, well before the engine closes it: a request
+/// written to a connection that the engine is closing is lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.4;
 
-/// The platform requires a close within three seconds of the accept, also in the middle of a request, and that idle
-/// connections of good clients are kept.
+/// The platform requires a close within three seconds of the accept, also in the middle of a request. It also requires
+/// that idle connections of well-behaved clients are kept.
 const CLIENT_TIMEOUTS: Http1Settings = Http1Settings {
     first_byte_timeout: 2_000.0,
     request_read_timeout: 2_000.0,
@@ -101,58 +101,61 @@
     idle_timeout: 10_000.0,
 };
 
-/// Token messages of one stream.
+/// Number of token messages of one stream that may be in transit.
 const STREAM_WINDOW: u32 = 32;
 
-/// Less than the five seconds that a client may be left without a token.
+/// Shorter than the five seconds for which a client may be left without a token.
 const STALL_TIMEOUT_MS: Ms = 4_000.0;
 
-/// A dispatcher counts as notified of a change this long after discovery could be reached, whichever calls were lost
+/// A dispatcher counts as notified of a change this long after discovery became reachable, whichever calls were lost
 /// before (the platform's protocol).
 pub const DISCOVERY_NOTIFIED_WITHIN_MS: Ms = 6_000.0;
 
-/// Polled discovery: fractions of the time within which a dispatcher counts as notified. The wait that a poll asks for.
+/// Polled discovery: the wait that a poll requests, as a fraction of the time within which a dispatcher counts as
+/// notified.
 const POLL_WAIT_FRACTION: f64 = 1.0 / 4.0;
-/// The timeout of an answer that does not wait, and the longest backoff.
+/// Polled discovery: the timeout of an answer without a wait, and the longest backoff, as a fraction of the same time.
 const POLL_ANSWER_FRACTION: f64 = 1.0 / 6.0;
-/// The timeout of a snapshot. It is longer, as a service that all dispatchers call at once serves the calls in turn and
-/// refuses them after two seconds; a caller that gives up sooner loses an answer and asks for another.
+/// Polled discovery: the timeout of a snapshot, as a fraction of the same time. It is longer because discovery that all
+/// dispatchers call at once serves the calls in turn and refuses them after two seconds. A caller that gives up sooner
+/// loses an answer and asks for another.
 const POLL_SNAPSHOT_FRACTION: f64 = 1.0 / 3.0;
 
 /// Pushed discovery: lists come from an agent on the same machine, and a dispatcher counts as notified at once. The
-/// agent answers immediately, so its answer, a connect and a backoff get this fraction of the drain grace each.
+/// agent answers immediately, so its answer, a connect and a backoff each get this fraction of the drain grace.
 const PUSH_ANSWER_FRACTION: f64 = 1.0 / 5.0;
-/// The wait that a call to the agent asks for.
+/// Pushed discovery: the wait that a call to the agent requests.
 const PUSH_WAIT_MS: Ms = 500.0;
 
-/// The first backoff as a fraction of the longest.
+/// The first backoff as a fraction of the longest backoff.
 const INITIAL_BACKOFF_FRACTION: f64 = 0.1;
 
-/// A client that reads its answer closes within a round trip or two.
+/// Long enough for a client that reads its answer, which closes the connection within one or two round trips.
 const CLOSE_DRAIN_TIMEOUT_MS: Ms = 500.0;
 
-/// The platform's load balancer still sends new connections for a moment after a stop.
+/// The platform's load balancer still sends new connections for a moment after a stop signal.
 const STOP_ACCEPT_PERIOD_MS: Ms = 600.0;
 
-/// The platform may kill the process this long after the longest time to a deadline has passed since the stop.
+/// The platform may kill the process when the longest time to a deadline and this time have passed since the stop
+/// signal.
 const KILL_AFTER_DEADLINE_MS: Ms = 700.0;
-/// Times to a deadline that are longer count as this much there.
+/// A longer time to a deadline counts as this much in that rule.
 const MAX_COUNTED_TIME_TO_DEADLINE_MS: Ms = 3_000.0;
 
-/// Streams run for this fraction of the time until the kill, so that most end by themselves; the clients of the others
-/// have the rest of it to resume elsewhere.
+/// After a stop signal, streams run for this fraction of the time until the kill, so that most of them end by
+/// themselves. The rest of the time is left for the clients of the other streams to resume at another dispatcher.
 const STOP_STREAMS_FRACTION: f64 = 2.0 / 3.0;
 
-/// Where the process is not killed after a stop: how long streams may run after the last deadline.
+/// If the process is not killed after a stop signal: how long streams may run after the last deadline.
 const STOP_STREAM_GRACE_MS: Ms = 60_000.0;
 
 impl ResourceLimits {
-    /// The limits of a process. `None` if there are too few file descriptors to serve one client.
+    /// Derives the limits of a process; `None` if there are too few file descriptors to serve one client.
     pub fn for_process(process: &ProcessLimits) -> Option<ResourceLimits> {
-        let usable = process
+        let available = process
             .file_descriptors
             .checked_sub(RESERVED_FILE_DESCRIPTORS)?;
-        let max_connections = usable / 2;
+        let max_connections = available / 2;
         if max_connections == 0 {
             return None;
         }
@@ -188,7 +191,7 @@
     }
 }
 
-/// The wait that a call to discovery asks for, in milliseconds, and the timeouts of the calls.
+/// The wait that a call to discovery requests, in milliseconds, and the timeouts of the calls.
 fn discovery_settings(process: &ProcessLimits) -> (Ms, DiscoverySettings) {
     match process.discovery {
         Discovery::Pushed => {
@@ -220,7 +223,7 @@
     }
 }
 
-/// The shortest time in milliseconds from the signal to stop to a kill of the process.
+/// The shortest time in milliseconds from the stop signal to the kill of the process.
 fn earliest_kill(process: &ProcessLimits) -> Ms {
     process
         .longest_time_to_deadline
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,18 +1,18 @@
-//! gRPC status codes: which status a client gets for each answer and what it may conclude about a retry, and what the
-//! end of a call to an engine proves about whether the call ran.
+//! Maps between gRPC status codes and outcomes: which status a client gets for each answer, what the client may
+//! conclude about a retry, and what the end of a call to an engine proves about whether the call ran.
 //!
-//! Tables without I/O; `docs/grpc.md` repeats them for users.
+//! The module consists of tables without I/O; `docs/grpc.md` documents them for users.
 
 use crate::interface::{Ms, Outcome};
 
-/// The gRPC status codes that are used here, with gRPC's names and numbers.
+/// The gRPC status codes that dispatchers use, with gRPC's names and numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Code {
     /// The call succeeded.
     Ok = 0,
     /// The caller cancelled the call.
     Cancelled = 1,
-    /// No other code applies; also a request that failed and may have run.
+    /// No other code applies. Also used for a request that failed and may have run.
     Unknown = 2,
     /// A field of the request is invalid.
     InvalidArgument = 3,
@@ -22,17 +22,17 @@
     NotFound = 5,
     /// The caller may not make this call.
     PermissionDenied = 7,
-    /// There is no capacity now.
+    /// The service lacks capacity at the moment.
     ResourceExhausted = 8,
     /// The state of the system does not allow the call.
     FailedPrecondition = 9,
-    /// The call conflicted with another.
+    /// The call conflicted with another call.
     Aborted = 10,
     /// The method is not implemented.
     Unimplemented = 12,
     /// An invariant was broken.
     Internal = 13,
-    /// The service cannot be reached now; clients may retry.
+    /// The service is not reachable at the moment; clients may retry.
     Unavailable = 14,
     /// Data is lost or corrupted.
     DataLoss = 15,
@@ -41,7 +41,7 @@
 }
 
 impl Code {
-    /// The code of a number. As in gRPC, a number that is no code counts as `Unknown`.
+    /// Converts a number to its code. As in gRPC, a number without a code counts as `Unknown`.
     pub fn from_number(number: u32) -> Code {
         use Code::*;
         let all = [
@@ -67,14 +67,14 @@
     }
 }
 
-/// The answer that a client gets: the final one of its request, or that the request is invalid.
+/// The answer that a client gets: the final answer to its request, or that the request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAnswer {
     /// The request was carried out.
     Succeeded,
     /// The request has not run.
     Rejected {
-        /// Whether capacity was lacking, rather than an engine for this request.
+        /// Whether capacity was lacking. Otherwise no engine could serve this request.
         for_lack_of_capacity: bool,
     },
     /// The request has not succeeded and may have run.
@@ -99,10 +99,10 @@
     }
 }
 
-/// What client libraries that retry by themselves are told about a retry, in addition to the status.
+/// What client libraries with automatic retries are told about a retry, in addition to the status.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryAdvice {
-    /// Nothing: a retry is pointless, or the status is enough.
+    /// No advice: a retry is pointless, or the status says enough.
     None,
     /// Retry after this many milliseconds.
     After(Ms),
@@ -110,7 +110,7 @@
     Never,
 }
 
-/// The advice for an answer. `retry_after`: the wait that a rejection asks for, in milliseconds; 0 for none.
+/// The advice for an answer. `retry_after`: the wait in milliseconds that a rejection asks for; 0 if it asks for none.
 pub fn retry_advice(answer: ClientAnswer, retry_after: Ms) -> RetryAdvice {
     match answer {
         ClientAnswer::Rejected { .. } if retry_after > 0.0 => RetryAdvice::After(retry_after),
@@ -136,26 +136,26 @@
     NotSent,
     /// The engine reset the stream with this HTTP/2 error code.
     Reset(u32),
-    /// The engine sent GOAWAY, and the call came after the last stream that it processes.
+    /// The engine sent GOAWAY, and the call came after the last stream that the engine processes.
     BeyondLast,
     /// The connection ended while the call was open.
     ConnectionLost,
     /// The engine sent a status.
     Status {
-        /// The status.
+        /// The status code that the engine sent.
         code: Code,
-        /// Whether the engine marked it to say that nothing of the call ran.
+        /// Whether the engine marked the status to say that no part of the call ran.
         never_ran: bool,
     },
-    /// The stream ended in order, without a status and without a final message.
+    /// The stream ended normally, without a status and without a final message.
     Nothing,
 }
 
-/// The HTTP/2 error code by which a peer says that it did not process a stream at all (RFC 9113, section 7).
+/// The HTTP/2 error code by which a peer states that it has not processed a stream at all (RFC 9113, section 7).
 const REFUSED_STREAM: u32 = 7;
 
-/// The outcome of the attempt. It counts as not run only if that is proven: a status alone proves nothing, as a proxy
-/// between the dispatcher and the engine may have made it.
+/// The outcome of an attempt whose call ended like this. The attempt counts as not run only if that is proven. A status
+/// alone proves nothing, because a proxy between the dispatcher and the engine may have produced it.
 pub fn attempt_outcome(end: CallEnd) -> Outcome {
     match end {
         CallEnd::NotSent => Outcome::Unreachable,
