--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -8,8 +8,7 @@
 use super::state::State;
 use crate::interface::{Ms, RequestId, TenantId};
 
-/// Latest start of a prefill, as a fraction of the latency objective. A request whose prefill
-/// starts later would be answered late.
+/// A prefill that starts later than this fraction of the latency objective leads to a late answer.
 const PREFILL_START_BY_FRACTION: f64 = 0.4;
 /// The dispatcher sends its own final answer this many ticks before the client's deadline.
 const FINAL_ANSWER_TICKS: f64 = 2.0;
@@ -27,8 +26,8 @@
 }
 
 impl State {
-    /// Counts a request of `tenant`. Returns whether the tenant exceeds its quota: its total rate
-    /// is estimated as the rate at this dispatcher times the number of dispatchers.
+    /// Counts a request of `tenant`. Returns whether the tenant exceeds its quota. The tenant's
+    /// total rate is estimated as its rate at this dispatcher times the number of dispatchers.
     pub(super) fn record_tenant_request(&mut self, tenant: Option<TenantId>) -> bool {
         let Some(tenant) = tenant.map(|id| id.0 as usize) else {
             return false;
@@ -46,8 +45,8 @@
         self.now + PREFILL_START_BY_FRACTION * latency_objective
     }
 
-    /// When the dispatcher sends its own final answer, at the latest, to a request that arrives
-    /// now.
+    /// The latest instant at which the dispatcher sends its own final answer to a request that
+    /// arrives now.
     pub(super) fn answer_by(&self, time_to_deadline: Ms) -> Ms {
         self.now + time_to_deadline - FINAL_ANSWER_TICKS * self.settings.tick
     }
@@ -83,9 +82,9 @@
     }
 
     /// When a request is given up. Guards against self-sustaining congestion: prefill engines that
-    /// work on requests which are already late make the next requests late as well. A request that
-    /// no prefill engine accepts in time is given up, which means a rejection as long as no part of
-    /// it may have run (see [`State::give_up`]).
+    /// work on late requests make the next requests late as well. A request that no prefill engine
+    /// accepts in time is given up; it is rejected if no part of it may have run (see
+    /// [`State::give_up`]).
     pub(super) fn give_up_at(&self, request: &Request) -> Ms {
         if request.attempt.is_none() && request.kv_state.is_none() {
             request.answer_by.min(request.prefill_start_by)
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -36,7 +36,7 @@
 
     /// The ready engines that are not ejected, plus ejected engines that are due for a trial, if a
     /// failed trial does no harm. If every ready engine of the stage is ejected, all of them are
-    /// returned; that the other engines are busy is no reason to return ejected ones. Guards
+    /// returned. Ejected engines are not returned merely because the others are busy. Guards
     /// against an engine that fails fast, which always appears to have capacity.
     fn not_ejected_or_on_trial(&self, request: &Request, stage: Stage) -> Vec<EngineIndex> {
         let ready: Vec<EngineIndex> = self.engines.ready(stage).collect();
@@ -58,8 +58,8 @@
         [healthy, trials].concat()
     }
 
-    /// Whether the request may be sent to the engine. These conditions hold even if no engine meets
-    /// them.
+    /// Whether the request may be sent to the engine. These conditions are never relaxed, even if
+    /// no engine meets them.
     fn is_allowed(&self, engine: EngineIndex, request: &Request, cold_engine_budget: f64) -> bool {
         let candidate = &self.engines[engine];
         self.may_run_on(request, engine)
@@ -73,9 +73,9 @@
             && candidate.overload_backoff.is_over(self.now)
     }
 
-    /// Whether a decode engine has capacity, and whether an engine of either stage has neither
-    /// rejected nor failed this request. The capacity of a prefill engine is checked when the
-    /// engine is chosen, because the request may be held for its home engine.
+    /// Whether the engine has neither rejected nor failed this request, and a decode engine has
+    /// capacity for it. The capacity of a prefill engine is checked when the engine is chosen,
+    /// because the request may be held for its home engine.
     fn is_preferred(&self, engine: EngineIndex, request: &Request, stage: Stage) -> bool {
         (stage == Stage::Prefill || self.engines[engine].has_capacity())
             && !request.excluded_engines.contains(&engine)
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -7,18 +7,19 @@
 const INITIAL_PREFILLS: f64 = 12.0;
 /// Initial limit for an engine that decodes, in attempts of all dispatchers.
 const INITIAL_DECODES: f64 = 48.0;
-/// Increase of the limit after as many prefills without queueing as the limit allows at once.
+/// Increase of the limit once as many prefills as the limit allows have ended without queueing.
 const PREFILL_INCREASE: f64 = 1.0;
-/// The same for decodes. It is larger because a decode lasts long, so fewer of them report.
+/// Increase of the limit for decodes. It is larger because a decode lasts long, so fewer decodes
+/// report.
 const DECODE_INCREASE: f64 = 3.0;
 /// After an attempt that queued, the limit is this fraction of the attempts in flight.
 const DECREASE_FRACTION: f64 = 0.7;
-/// The limit grows only if at most this many of the attempts that it allows are not in flight.
+/// The limit grows only while the attempts in flight are at most this many below it.
 const UNUSED_ATTEMPTS: f64 = 2.0;
 
 /// Concurrency limit of one engine. Guards against queues at engines, which make requests late and
 /// evict cached prefixes. An attempt that queued lowers the limit, once for all attempts that were
-/// in flight together with it.
+/// in flight at the same time.
 pub(super) struct ConcurrencyLimit {
     attempts: f64,
     increase: f64,
--- a/src/control/decode_placement.rs
+++ b/src/control/decode_placement.rs
@@ -17,7 +17,7 @@
 const SAME_CELL_PROXIMITY: f64 = 1.0;
 const SAME_ZONE_PROXIMITY: f64 = 0.5;
 const OTHER_ZONE_PROXIMITY: f64 = 0.0;
-/// Candidates whose proximity is at most this much below the best are compared by load.
+/// Candidates whose proximity is within this distance of the best proximity are compared by load.
 const PROXIMITY_BAND: f64 = 0.1;
 /// A candidate is skipped if its own decodes exceed the average by more than this.
 const ABOVE_AVERAGE_DECODES: f64 = 1.0;
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Requests load reports from the decode engines nearby a prefill engine while the prefill runs.
-    /// The decode engine is chosen by them when the prefill ends.
+    /// Requests load reports from the decode engines near a prefill engine while the prefill runs,
+    /// for the choice of the decode engine when the prefill ends.
     pub(super) fn request_reports_near(&mut self, prefill_engine: EngineIndex, request: &Request) {
         let nearby: Vec<EngineIndex> = self
             .candidates(request, Stage::Decode)
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -3,7 +3,7 @@
 //!
 //! A successful write to a connection does not prove delivery: the engine's machine may have
 //! vanished, and its connections then stay open without an error. An attempt counts as undelivered
-//! until the engine has shown that it runs; meanwhile the timeout of the KV state keeps running. An
+//! until the engine has shown that it runs; meanwhile the timeout of the KV state continues. An
 //! engine that shows nothing in time is asked to confirm that it runs. Without an answer the
 //! attempt is given up, and another engine takes over the KV state or the KV state is released.
 //!
@@ -12,9 +12,9 @@
 
 use crate::interface::{Ms, Outcome};
 
-/// When the engine is first asked to confirm that it runs, counted from the send, and the interval
-/// between further questions. An answer takes one round trip on an open connection and three on a
-/// new one.
+/// When the engine is first asked to confirm that it runs, counted from the send of the attempt,
+/// and the interval of further requests to confirm. An answer takes one round trip on an open
+/// connection and three on a new one.
 const CONFIRM_AFTER_FRACTION: f64 = 0.2;
 const CONFIRM_INTERVAL_FRACTION: f64 = 0.15;
 /// When an attempt without an answer is given up. Half of the timeout is left for an attempt at
@@ -30,9 +30,9 @@
 /// into the timeout.
 const LAST_ATTEMPT_AT_FRACTION: f64 = 0.6;
 
-/// Longest delay in milliseconds between the send of an engine and the receipt here. A process may
-/// be delayed by 150 ms between reading its clock and acting, and the platform's protocol adds 50
-/// ms to each time on sockets.
+/// Upper limit in milliseconds of the time between a send by an engine and its processing here. A
+/// process may be delayed by 150 ms between reading its clock and acting, and the platform's
+/// protocol adds 50 ms to each time on sockets.
 pub const RECEIVED_LATE: Ms = 200.0;
 
 /// What is known about the delivery of an attempt to its engine.
--- a/src/control/delivery_tracking.rs
+++ b/src/control/delivery_tracking.rs
@@ -57,8 +57,8 @@
             }
             // The engine runs, but nothing has come for the attempt. The platform's pages can be
             // read in two ways (docs/acceptance.md, 'Readings'). If a release spares a KV state
-            // that an attempt waits for, it takes nothing from an attempt in the queue. If a
-            // release frees every KV state, the attempt finds none and is rejected, which proves
+            // that an attempt waits for, an attempt in the engine's queue keeps its KV state. If a
+            // release frees every KV state, that attempt finds none and is rejected, which proves
             // that it has not run.
             DeliveryStep::ReleaseInDoubt => {
                 request.intents.release_in_doubt = request.kv_state.is_some();
--- a/src/control/emit.rs
+++ b/src/control/emit.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sets the timer for the next step, unless one that fires early enough is set.
+    /// Sets the timer for the next step, unless one is set that fires no later.
     pub(super) fn emit_timer(&mut self, actions: &mut Vec<Action>) {
         if let Some(wake_at) = self.wake_at {
             actions.extend(self.timer.arm(wake_at, self.now));
--- a/src/control/event_handlers.rs
+++ b/src/control/event_handlers.rs
@@ -162,8 +162,8 @@
         if is_prefill && shows_queueing {
             engine.record_queueing(queued, attempt.sent_at, self.now);
         }
-        // An attempt that was late or rejected has queued. It does not count as an answer that
-        // makes a load report unnecessary: a report is then needed all the more.
+        // An attempt that was late or rejected has queued. It does not count as an answer in place
+        // of a load report, because a report is then needed all the more.
         let answered_in_time = if is_prefill {
             !queued
         } else {
--- a/src/control/health_check.rs
+++ b/src/control/health_check.rs
@@ -6,18 +6,18 @@
 
 /// How long a prefill waits for load reports, in multiples of the shortest latency objective.
 pub(super) const REPORT_WAIT_OBJECTIVES: f64 = 0.03;
-/// How long no further health check is sent after a load report or a health check, in multiples of
-/// the shortest latency objective.
+/// How long a load report, or a health check that was sent, makes another health check unnecessary,
+/// in multiples of the shortest latency objective.
 const REPORT_FRESH_OBJECTIVES: f64 = 0.25;
-/// How long an answered attempt makes a load report unnecessary, and how long the answer to a
+/// How long an answered attempt counts in place of a load report, and how long the answer to a
 /// health check is awaited, in multiples of the shortest latency objective.
 const RESPONSE_FRESH_OBJECTIVES: f64 = 2.0;
 /// With more own decodes at an engine than this, their number is a good enough measure of its load.
 const MIN_INFORMATIVE_DECODES: f64 = 1.0;
 
 impl State {
-    /// Sends health checks to those of `engines` whose load is not known or known only from long
-    /// ago. Returns whether an answer is awaited.
+    /// Sends health checks to those of `engines` without recent information on their load. Returns
+    /// whether an answer is awaited.
     pub(super) fn request_load_reports(&mut self, engines: &[EngineIndex]) -> bool {
         if !self.settings.may_health_check {
             return false;
--- a/src/control/outlier_detection.rs
+++ b/src/control/outlier_detection.rs
@@ -17,8 +17,8 @@
 
 /// The recent outcomes of attempts at an engine.
 pub(super) struct OutcomeHistory {
-    /// One bit per outcome, 1 for a success, with the newest outcome in the lowest bit. A 1 above
-    /// the oldest outcome marks the end.
+    /// One bit per outcome, 1 for a success, with the newest outcome in the lowest bit. The bit
+    /// above the oldest outcome is always 1 and marks the end.
     bits: u32,
     next_trial_at: Ms,
 }
@@ -55,8 +55,8 @@
     }
 
     /// Whether the engine fails far more often than its peers, whose mean success fraction is
-    /// `peers_success`. The comparison with peers prevents that a failure of the whole fleet ejects
-    /// every engine.
+    /// `peers_success`. The comparison with peers prevents a failure of the whole fleet from
+    /// ejecting every engine.
     pub(super) fn is_ejected(&self, peers_success: f64) -> bool {
         self.bits.ilog2() >= MIN_OUTCOMES
             && self.success_fraction() < EJECT_BELOW_PEERS_FRACTION * peers_success
--- a/src/control/plan_queue.rs
+++ b/src/control/plan_queue.rs
@@ -27,7 +27,7 @@
 /// and requests whose KV state waits for a decode engine are planned at every step. A held request,
 /// or one whose attempt is in flight, is planned after an event of its own or when it is due. A
 /// request that is decoding or finished is planned only after an event. The cost of a step
-/// therefore grows with the number of events, not with the number of open requests.
+/// therefore depends on the number of events, not on the number of open requests.
 #[derive(Default)]
 pub(super) struct PlanQueue {
     awake: BTreeSet<RequestId>,
--- a/src/control/prefill_placement.rs
+++ b/src/control/prefill_placement.rs
@@ -9,7 +9,8 @@
 use super::state::State;
 use crate::interface::Ms;
 
-/// A home engine passes a prefill on if its backlog is more than this many times the mean.
+/// A backlog is excessive if it is more than this many times the mean backlog. A home engine with
+/// an excessive backlog passes prefills on to other engines.
 const EXCESSIVE_BACKLOG_MULTIPLE: f64 = 2.0;
 /// Prefill engines together have spare capacity while the prefills in flight are fewer than this
 /// fraction of the sum of their limits.
@@ -22,8 +23,8 @@
 /// of prompt tokens that wait at an engine, divided by its capacity fraction.
 struct Backlog<'a> {
     state: &'a State,
-    /// Factor from this dispatcher's waiting tokens to those of all dispatchers: the number of
-    /// dispatchers, but at most the number of own prefills in flight.
+    /// Ratio of all dispatchers' waiting tokens to those of this dispatcher, as estimated: the
+    /// number of dispatchers, but at most the number of own prefills in flight.
     own_tokens_factor: f64,
     mean_reported: f64,
     /// A backlog above this many tokens is excessive.
@@ -38,7 +39,7 @@
         home: EngineIndex,
     ) -> Self {
         let engines = &state.engines;
-        // The report of the home engine is excluded from the mean: if few reports are candidate, it
+        // The report of the home engine is excluded from the mean: if few reports are known, it
         // would hide the home engine's queue.
         let mean_reported =
             engines.mean_report(Stage::Prefill, |report| report.waiting_tokens, Some(home));
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -14,18 +14,18 @@
     pub(super) id: AttemptId,
     pub(super) engine: EngineIndex,
     pub(super) stage: Stage,
-    /// Whether its first token has come.
+    /// Whether the first token was received.
     pub(super) decoding: bool,
     pub(super) cancelled: bool,
-    /// Whether it has taken so long that it must have queued.
+    /// Whether the attempt has taken so long that it must have queued.
     pub(super) has_queued: bool,
-    /// Prompt tokens that the engine has to compute for it.
+    /// Prompt tokens that the engine has to compute, those that it has cached not counted.
     pub(super) uncached_tokens: f64,
     pub(super) sent_at: Ms,
     pub(super) delivery: Delivery,
 }
 
-/// The first attempt of a request that may have run: its engine and the time of its send.
+/// The first attempt of a request that may have run: its engine and when it was sent.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleRun {
     pub(super) engine: EngineIndex,
@@ -59,9 +59,9 @@
 
 pub(super) struct Request {
     pub(super) arrival: Arrival,
-    /// The latest start of a prefill for which the answer comes within the latency objective.
+    /// The latest start of the prefill with which the answer still meets the latency objective.
     pub(super) prefill_start_by: Ms,
-    /// When the dispatcher sends its own final answer at the latest.
+    /// The latest instant at which the dispatcher sends its own final answer.
     pub(super) answer_by: Ms,
     /// The shortest latency objective of all classes for this prompt; queueing is measured in
     /// fractions of it.
@@ -71,8 +71,8 @@
     pub(super) attempt: Option<Attempt>,
     /// The prefill engine that holds the KV state.
     pub(super) kv_state: Option<EngineIndex>,
-    /// The instant since which no attempt claims the KV state, from which the KV state timeout
-    /// counts; before the first attempt the arrival.
+    /// The instant since which no attempt claims the KV state; the KV state timeout counts from it.
+    /// Before the first attempt it is the arrival.
     pub(super) unclaimed_since: Ms,
     /// Until when a held request without an attempt is not planned again.
     pub(super) held_until: Ms,
@@ -86,8 +86,8 @@
 }
 
 impl Request {
-    /// Whether its prefill is in flight and has not queued so far. Such a request will need a
-    /// decode engine soon.
+    /// Whether a prefill is in flight and has not queued so far. Such a request will need a decode
+    /// engine soon.
     pub(super) fn is_prefilling_unqueued(&self) -> bool {
         self.attempt
             .as_ref()
--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -4,9 +4,9 @@
 use super::requests::{Attempt, PossibleRun};
 use crate::interface::{IdempotencyScope, Ms, Outcome, RetrySafety};
 
-/// Whether an attempt with this outcome may have run. Only a decode has an effect, unless it never
-/// reached its engine or was rejected. A success has run, but does not count here because no
-/// further attempt follows.
+/// Whether an attempt that ended with this outcome may have run. Only a decode has an effect,
+/// unless it never reached its engine or was rejected. A success has certainly run, but returns
+/// false because no further attempt follows it.
 pub(super) fn may_have_run(attempt: &Attempt, outcome: Outcome, engines: &Engines) -> bool {
     let never_ran = engines.is_prefill_only(attempt.stage, attempt.engine)
         || matches!(
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -66,7 +66,7 @@
     /// Guards against budgets that are each small and together too large, which shows as a cold
     /// engine that collapses. Each dispatcher rounds its budget to a whole number, which stays the
     /// same while the engine is cold and no more requests arrive. The dispatcher's number decides
-    /// whether it rounds up, so that as many dispatchers round up as their fractions add up to.
+    /// whether it rounds up. The number of dispatchers that round up is the sum of the fractions.
     pub(super) fn has_budget(
         &self,
         engine: &EngineId,
@@ -89,8 +89,8 @@
 }
 
 /// This dispatcher's traffic, from which the budget of cold engines follows. Each dispatcher scales
-/// the budget by its own traffic. However the traffic is spread, all dispatchers together thus stay
-/// within what an engine can take.
+/// the budget by its own traffic. However the traffic is spread, all dispatchers together therefore
+/// stay within what an engine can take.
 #[derive(Default)]
 pub(super) struct SlowStartBudget {
     /// Own prefills finished by one warm engine.
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Requests that the next step comes at `at` or earlier.
+    /// Makes the next step come at `at` or earlier.
     pub(super) fn wake_by(&mut self, at: Ms) {
         self.wake_at = Some(self.wake_at.map_or(at, |wake_at| wake_at.min(at)));
     }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -42,7 +42,7 @@
     pub kind: KindId,
     /// The cell in which the engine runs.
     pub cell: CellId,
-    /// Whether the engine accepts new attempts, drains or is gone.
+    /// Whether the engine accepts new attempts.
     pub status: EndpointStatus,
     /// The engine's size relative to other engines of its kind; 1 is the usual size. The decision
     /// logic does not read it.
@@ -148,7 +148,7 @@
     },
     /// An attempt has ended.
     Ended(Ended),
-    /// Reported only where deliveries are tracked: the attempt's engine has shown since the send
+    /// Reported only if deliveries are tracked: the attempt's engine has shown, after the send,
     /// that it runs.
     Delivered {
         /// The request of the attempt.
@@ -177,7 +177,7 @@
     HealthChecked {
         /// The engine that was asked.
         engine: EngineId,
-        /// [`Outcome::Succeeded`] if it answered.
+        /// [`Outcome::Succeeded`] if the engine answered; any other outcome means that it did not.
         outcome: Outcome,
         /// Milliseconds since the health check was sent.
         latency: Ms,
@@ -202,7 +202,7 @@
     pub attempt: AttemptId,
     /// The engine that the attempt was sent to.
     pub engine: EngineId,
-    /// The result of the attempt, which decides what follows.
+    /// The result of the attempt.
     pub outcome: Outcome,
     /// Milliseconds since the attempt was sent.
     pub latency: Ms,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -31,9 +31,10 @@
     Idempotent,
     /// Engines recognise a repeat by its key.
     IdempotencyKey {
-        /// The engines that recognise the repeat.
+        /// The engines that recognise the repeated request.
         scope: IdempotencyScope,
-        /// Milliseconds from the first attempt during which they recognise it.
+        /// Milliseconds from the first attempt during which the engines recognise the repeated
+        /// request.
         window: Ms,
     },
     /// The request must not run twice.
--- a/src/resource_limits.rs
+++ b/src/resource_limits.rs
@@ -33,23 +33,23 @@
 pub struct ResourceLimits {
     /// Timeouts of the connections of clients.
     pub client_timeouts: Http1Settings,
-    /// Number of connections of clients.
+    /// Maximum number of connections of clients.
     pub max_client_connections: usize,
-    /// Number of connections to all engines together.
+    /// Maximum number of connections to all engines together.
     pub max_engine_connections: usize,
-    /// Number of requests that are open at the same time.
+    /// Maximum number of requests that are open at the same time.
     pub max_open_requests: usize,
     /// A connection to an engine is closed after it has been idle for this long; infinite if engines never close one.
     pub engine_idle_timeout: Ms,
-    /// Size of the body of one request.
+    /// Maximum size of the body of one request.
     pub max_body_bytes: usize,
-    /// Size of the bodies of all open requests together.
+    /// Maximum size of the bodies of all open requests together.
     pub max_total_body_bytes: usize,
-    /// Size of one chunk of an engine's answer, or of an answer that is not chunked.
+    /// Maximum size of one chunk of an engine's answer, or of an answer that is not chunked.
     pub max_chunk_bytes: usize,
-    /// Size of one list of endpoints.
+    /// Maximum size of one list of endpoints.
     pub max_list_bytes: usize,
-    /// Number of token messages of a stream that have left its decode engine and have not reached its client.
+    /// Maximum number of token messages of a stream that have left its decode engine and have not reached its client.
     pub stream_window: u32,
     /// A stream is ended if it makes no progress for this long.
     pub stall_timeout: Ms,
@@ -59,7 +59,7 @@
     pub discovery: DiscoverySettings,
     /// After the last answer on a client's connection: how long incoming bytes are still read before the close.
     pub close_drain_timeout: Ms,
-    /// How many bytes are read in that time.
+    /// After the last answer on a client's connection: how many incoming bytes are read at most before the close.
     pub max_close_drain_bytes: usize,
     /// After a stop signal: how long new requests are still accepted.
     pub stop_accept_period: Ms,
@@ -114,11 +114,12 @@
 /// Polled discovery: the wait that a poll requests, as a fraction of the time within which a dispatcher counts as
 /// notified.
 const POLL_WAIT_FRACTION: f64 = 1.0 / 4.0;
-/// Polled discovery: the timeout of an answer without a wait, and the longest backoff, as a fraction of the same time.
+/// Polled discovery: the timeout of an answer without a wait, and the longest backoff, as a fraction of the time within
+/// which a dispatcher counts as notified.
 const POLL_ANSWER_FRACTION: f64 = 1.0 / 6.0;
-/// Polled discovery: the timeout of a snapshot, as a fraction of the same time. It is longer because discovery that all
-/// dispatchers call at once serves the calls in turn and refuses them after two seconds. A caller that gives up sooner
-/// loses an answer and asks for another.
+/// Polled discovery: the timeout of a snapshot, as a fraction of the time within which a dispatcher counts as notified.
+/// It is longer than for other answers: if all dispatchers call at once, discovery serves the calls in turn and refuses
+/// them after two seconds. A caller that gives up sooner loses an answer and asks for another.
 const POLL_SNAPSHOT_FRACTION: f64 = 1.0 / 3.0;
 
 /// Pushed discovery: lists come from an agent on the same machine, and a dispatcher counts as notified at once. The
@@ -136,10 +137,10 @@
 /// The platform's load balancer still sends new connections for a moment after a stop signal.
 const STOP_ACCEPT_PERIOD_MS: Ms = 600.0;
 
-/// The platform may kill the process when the longest time to a deadline and this time have passed since the stop
+/// The platform may kill the process as soon as the longest time to a deadline plus this time has passed since the stop
 /// signal.
 const KILL_AFTER_DEADLINE_MS: Ms = 700.0;
-/// A longer time to a deadline counts as this much in that rule.
+/// A longer time to a deadline counts as this much in the earliest time of the kill.
 const MAX_COUNTED_TIME_TO_DEADLINE_MS: Ms = 3_000.0;
 
 /// After a stop signal, streams run for this fraction of the time until the kill, so that most of them end by
--- a/tests/client_connection_multiplexed.rs
+++ b/tests/client_connection_multiplexed.rs
@@ -66,7 +66,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
     /// In any order of events, no more cancellations than the burst and the rate allow are accepted. A client that
-    /// answers_pings each ping in time is not disconnected; one that does not is disconnected after both timeouts together.
+    /// answers each ping in time is not disconnected; one that does not is disconnected after both timeouts together.
     #[test]
     fn cancel_limit_and_ping_timeout_hold_in_any_order_of_events(steps in prop::collection::vec((0u8..4, 0u16..700), 1..200), answers_pings in any::<bool>()) {
         let mut connection = MultiplexedConnection::new(&SETTINGS, 0.0);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Cold engines and the sum of the attempts of all dispatchers.
+//! Limits the attempts of all dispatchers together at a cold engine.
 //!
 //! A cold engine collapses if it gets more than a multiple of its small capacity within the
 //! overload window. Each dispatcher decides alone, so each may send little while the sum is too
@@ -83,7 +83,7 @@
     old.chain(new).chain(decode_engines).collect()
 }
 
-/// A scheduled occurrence at one dispatcher.
+/// Something scheduled to happen at one dispatcher.
 enum Occurrence {
     Arrives,
     Receives(Event),
--- a/tests/connection_pool.rs
+++ b/tests/connection_pool.rs
@@ -373,7 +373,7 @@
         pool.stream_opened(ConnectionId(id), 0.0);
         pool.stream_ended(ConnectionId(id), idle_since);
     }
-    // The engine may be about to close the third right after its answer, and the first after a long idle time.
+    // The engine may close the third right after its answer, and the first because of its long idle time.
     for id in [2, 1, 3] {
         assert_eq!(pool.place(100.0), Placement::Existing(ConnectionId(id)));
         pool.stream_opened(ConnectionId(id), 100.0);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -72,8 +72,9 @@
     })
 }
 
-/// Sends a request at `now` and returns its prefill engine. `reports` gives how a health check of
-/// an engine ends: its outcome and the number of waiting requests there; `None` if no answer comes.
+/// Sends a request at `now` and returns its prefill engine. `reports` returns the result of a
+/// health check of an engine: its outcome and the number of waiting requests there; `None` if no
+/// answer comes.
 fn prefill_engine_at(
     control: &mut Control,
     now: Ms,
@@ -244,8 +245,9 @@
 }
 
 /// A decode engine has just started. Each dispatcher may send it only a small fraction of an
-/// attempt and rarely has a request at all. The engine must get its share of all decodes: not zero,
-/// as if its lower weight lost every tie, and not so much that it collapses.
+/// attempt and rarely has a request at all. The engine must get its share of all decodes. It must
+/// not get none, which would be the case if its lower weight lost every tie, nor so many that it
+/// collapses.
 #[test]
 fn a_cold_decode_engine_gets_its_share_of_all_decodes_and_no_more() {
     let share = |warm: &[&str]| decodes_at_cold_engine(warm) as f64 / f64::from(DISPATCHERS);
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -30,7 +30,7 @@
 const COLD_CAPACITY: f64 = 0.35;
 /// Prompt tokens that a prefill engine computes per second.
 const PREFILL_TOKENS_PER_S: f64 = 20_000.0;
-/// Requests that may wait at a prefill engine.
+/// Maximum number of requests that wait at a prefill engine.
 const MAX_QUEUED_PREFILLS: usize = 30;
 const DECODE_SLOTS: usize = 60;
 const TOKEN_MS: f64 = 10.0;
@@ -38,23 +38,23 @@
 const TENANTS: usize = 3;
 /// Median prompt length of new sessions, in tokens.
 const MEDIAN_TOKENS: f64 = 900.0;
-/// Standard deviation of the logarithm of that length.
+/// Standard deviation of the logarithm of the prompt length.
 const LOG_STANDARD_DEVIATION: f64 = 1.2;
 /// Length of the platform's largest prompts.
 const MAX_PROMPT_TOKENS: f64 = 24_000.0;
-/// Requests of a session.
+/// Number of requests in a session.
 const TURNS: u32 = 3;
 
 /// A fault that affects a part of the engines of each kind from [`FAULT_AT`] on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// Every attempt at them fails at once.
+    /// Every attempt at the affected engines fails at once.
     Failing,
-    /// They are replaced by engines that start cold.
+    /// The affected engines are replaced by engines that start cold.
     Cold,
     Draining,
-    /// They reject every attempt.
+    /// The affected engines reject every attempt.
     Rejecting,
     Gone,
 }
@@ -182,13 +182,13 @@
     fault: Fault,
 }
 
-/// The fraction of the requests that `is` selects which were answered; `None` if it selects none.
+/// The fraction of the selected requests that were answered; `None` if none is selected.
 fn answered_fraction(
     requests: &[ClientRequest],
-    is: impl Fn(&ClientRequest) -> bool,
+    is_selected: impl Fn(&ClientRequest) -> bool,
 ) -> Option<f64> {
     let (mut all, mut answered) = (0, 0);
-    for request in requests.iter().filter(|request| is(request)) {
+    for request in requests.iter().filter(|request| is_selected(request)) {
         all += 1;
         answered += usize::from(request.answer == Answer::Answered);
     }
@@ -535,8 +535,8 @@
     }
 }
 
-/// The fractions answered of a class's requests with the longest prompts: the longest tenth, and
-/// the next fifth.
+/// The fractions answered of the requests of a class with the longest prompts: of the longest
+/// tenth, and of the next fifth.
 fn longest_prompts(requests: &[ClientRequest], class: usize) -> (f64, f64) {
     let mut lengths: Vec<f64> = requests
         .iter()
@@ -576,7 +576,8 @@
 }
 
 /// Runs a simulation and checks the lower bounds. `min_answered`: the fraction of all requests;
-/// `min_long_prompts`: the fraction for the longest prompts, relative to their class.
+/// `min_long_prompts`: the fraction of the requests with the longest prompts, relative to the
+/// fraction of their class.
 fn check_lower_bounds(
     fault: Fault,
     load: f64,
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -117,9 +117,9 @@
     }
 }
 
-/// With pushed lists, a dispatcher counts as notified as soon as the agent has a list from discovery that is reachable
-/// again. The agent is therefore called again well within the drain grace, whatever calls it did not answer. A call
-/// that was unanswered when discovery returned is never answered.
+/// With pushed lists, a dispatcher counts as notified as soon as discovery is back and the agent has its list. The
+/// agent is therefore called again well within the drain grace, whatever calls it did not answer. A call that was
+/// unanswered when discovery came back is never answered.
 #[test]
 fn a_silent_agent_is_called_again_within_the_drain_grace() {
     for drain_grace in [250.0, 500.0, 2_000.0] {
