--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -110,7 +110,7 @@
     }
 
     pub(super) fn retry_safety(&self, request: &Request) -> RetrySafety {
-        self.classes.of(&request.arrival).retry_safety
+        self.classes.class_of(&request.arrival).retry_safety
     }
 
     pub(super) fn may_run_on(&self, request: &Request, engine: EngineIndex) -> bool {
--- a/src/control/decode_placement.rs
+++ b/src/control/decode_placement.rs
@@ -2,7 +2,7 @@
 //! by load.
 //!
 //! The engine is chosen when the prefill ends. Candidates within [`PROXIMITY_BAND`] of the best
-//! proximity are considered, except those with more than [`ABOVE_AVERAGE_DECODES`] own decodes
+//! proximity are considered, except those with more than [`MAX_DECODES_ABOVE_AVERAGE`] own decodes
 //! above the average of all candidates. Of these the engine with the fewest requests in flight is
 //! chosen.
 
@@ -20,7 +20,7 @@
 /// Candidates whose proximity is within this distance of the best proximity are compared by load.
 const PROXIMITY_BAND: f64 = 0.1;
 /// A candidate is skipped if its own decodes exceed the average by more than this.
-const ABOVE_AVERAGE_DECODES: f64 = 1.0;
+const MAX_DECODES_ABOVE_AVERAGE: f64 = 1.0;
 
 /// Sort key of a candidate: load first, then the weighted random draw.
 struct Ranked {
@@ -52,7 +52,7 @@
             .copied()
             .filter(|&engine| {
                 self.proximity(prefill_engine, engine) >= best_proximity - PROXIMITY_BAND
-                    && decodes(engine) <= mean_decodes + ABOVE_AVERAGE_DECODES
+                    && decodes(engine) <= mean_decodes + MAX_DECODES_ABOVE_AVERAGE
             })
             .collect();
         self.choose_least_loaded(if preferred.is_empty() {
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -70,10 +70,10 @@
     /// The delivery of a decode attempt that is sent now for a KV state that is unclaimed since
     /// `unclaimed_since`.
     pub(super) fn sent(now: Ms, unclaimed_since: Ms, kv_state_timeout: Ms) -> Self {
-        let usual = now + CONFIRM_AFTER_FRACTION * kv_state_timeout;
-        let latest =
+        let usual_ask_at = now + CONFIRM_AFTER_FRACTION * kv_state_timeout;
+        let latest_ask_at =
             unclaimed_since + (GIVE_UP_AT_FRACTION - MIN_CONFIRM_WAIT_FRACTION) * kv_state_timeout;
-        let ask_at = usual.min(latest).max(now);
+        let ask_at = usual_ask_at.min(latest_ask_at).max(now);
         let give_up_at = (unclaimed_since + GIVE_UP_AT_FRACTION * kv_state_timeout)
             .max(ask_at + MIN_CONFIRM_WAIT_FRACTION * kv_state_timeout);
         Delivery::Unconfirmed { ask_at, give_up_at }
--- a/src/control/health_check.rs
+++ b/src/control/health_check.rs
@@ -35,14 +35,16 @@
         any_awaited
     }
 
-    fn objectives(&self, count: f64) -> Ms {
+    /// Milliseconds of `count` shortest latency objectives.
+    fn latency_objectives_ms(&self, count: f64) -> Ms {
         count * self.classes.shortest_latency_objective()
     }
 
     fn is_report_pending(&self, index: EngineIndex) -> bool {
-        self.engines[index]
-            .health_check
-            .is_pending(self.now, self.objectives(RESPONSE_FRESH_OBJECTIVES))
+        self.engines[index].health_check.is_pending(
+            self.now,
+            self.latency_objectives_ms(RESPONSE_FRESH_OBJECTIVES),
+        )
     }
 
     fn is_load_known(&self, index: EngineIndex) -> bool {
@@ -51,8 +53,9 @@
             .health_check
             .sent_at
             .max(engine.load_report.received_at());
-        self.now - reported_at < self.objectives(REPORT_FRESH_OBJECTIVES)
-            || self.now - engine.last_response_at < self.objectives(RESPONSE_FRESH_OBJECTIVES)
+        self.now - reported_at < self.latency_objectives_ms(REPORT_FRESH_OBJECTIVES)
+            || self.now - engine.last_response_at
+                < self.latency_objectives_ms(RESPONSE_FRESH_OBJECTIVES)
             || engine.decodes > MIN_INFORMATIVE_DECODES
     }
 }
--- a/src/control/request_classes.rs
+++ b/src/control/request_classes.rs
@@ -53,7 +53,7 @@
     }
 
     /// The class of an accepted request, which is always a known one.
-    pub(super) fn of(&self, arrival: &Arrival) -> &RequestClass {
+    pub(super) fn class_of(&self, arrival: &Arrival) -> &RequestClass {
         &self.classes[arrival.request_class.0 as usize]
     }
 
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -54,8 +54,8 @@
     }
 
     pub(super) fn record_attempt(&mut self, now: Ms, overload_window: Ms) {
-        let since = now - overload_window;
-        self.attempts.retain(|&at| at > since);
+        let window_start = now - overload_window;
+        self.attempts.retain(|&at| at > window_start);
         self.attempts.push_back(now);
     }
 
@@ -82,8 +82,12 @@
         let rounding_offset =
             engine_hash.wrapping_add(u64::from(dispatcher.0).wrapping_mul(GOLDEN_RATIO)) as f64
                 / u64::MAX as f64;
-        let since = now - settings.overload_window;
-        let sent = self.attempts.iter().filter(|&&at| at > since).count();
+        let window_start = now - settings.overload_window;
+        let sent = self
+            .attempts
+            .iter()
+            .filter(|&&at| at > window_start)
+            .count();
         budget > 0.0 && (sent as f64) < (budget + rounding_offset).floor()
     }
 }
@@ -176,16 +180,17 @@
         let expected_demand = POPULAR_ENGINE_MULTIPLE * budget;
         // Engines that can get an attempt from this dispatcher in this window: all warm engines,
         // and each cold engine with the probability that the budget allows an attempt.
-        let available = warm as f64 + cold as f64 * budget_at_demand(expected_demand).min(1.0);
+        let available_engines =
+            warm as f64 + cold as f64 * budget_at_demand(expected_demand).min(1.0);
         // The request to be placed is itself among the arrivals and is not counted.
-        let since = now - settings.overload_window;
+        let window_start = now - settings.overload_window;
         let others = self
             .arrivals
             .iter()
             .rev()
-            .take_while(|&&at| at > since)
+            .take_while(|&&at| at > window_start)
             .skip(1)
             .count();
-        budget_at_demand(expected_demand.max(others as f64 / available.max(1.0)))
+        budget_at_demand(expected_demand.max(others as f64 / available_engines.max(1.0)))
     }
 }
--- a/src/discovery_client.rs
+++ b/src/discovery_client.rs
@@ -58,8 +58,9 @@
     /// established connection. In the worst case the previous call was made just before that instant: it runs into its
     /// timeout and is followed by the longest backoff.
     pub fn max_recovery_time(&self) -> Ms {
-        let given_up = self.connect_timeout + self.first_answer_timeout.max(self.silence_timeout);
-        given_up + self.initial_backoff.max(self.max_backoff) + self.connect_timeout
+        let call_lost_after =
+            self.connect_timeout + self.first_answer_timeout.max(self.silence_timeout);
+        call_lost_after + self.initial_backoff.max(self.max_backoff) + self.connect_timeout
     }
 }
 
