--- a/crates/fleet/src/acceptor_storage.rs
+++ b/crates/fleet/src/acceptor_storage.rs
@@ -1,8 +1,11 @@
-//! The voter's file. It is written beside its place, synced, renamed, and its folder synced: a cut leaves the old one
-//! or the new one, and what was said to last does. File access is a parameter: [`Folder`] is the system's, and
-//! [`Memory`] one that fails and damages as it is told.
-
-use crate::codec::{file_in, file_out};
+//! Storage of the voter's file.
+//!
+//! A write goes to a temporary file in the same directory, which is synced and renamed over the old file; then the
+//! directory is synced. After a crash either the old or the new content is there, and content that was reported as
+//! durable is not lost. File access is behind the [`FileStore`] trait: [`Folder`] is a file of the operating system,
+//! and [`MemoryFile`] is a file in memory that tests can damage and whose writes can be made to fail.
+
+use crate::codec::{acceptor_file_from_proto, acceptor_file_to_proto};
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat_protocol::v1;
 use prost::Message;
@@ -13,143 +16,155 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Marks the file as a voter's, and the version of its form.
-const MARK: &[u8; 4] = b"ccvt";
-const VERSION: u8 = 1;
-/// A larger file is none of ours.
-const MOST: usize = 1 << 20;
+/// The first bytes of every voter's file.
+const MAGIC: &[u8; 4] = b"ccvt";
+/// The version of the file format, stored after the magic bytes.
+const FORMAT_VERSION: u8 = 1;
+/// A larger file is not a voter's file.
+const MAX_FILE_BYTES: usize = 1 << 20;
 
-/// Why a file is not used.
+/// Why a voter's file cannot be loaded.
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum LoadError {
+    /// The file cannot be read.
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("it is not a voter's file")]
-    Foreign,
-    #[error("it is of version {0}, and version {VERSION} is known here")]
-    Newer(u8),
-    #[error("it is damaged: its checksum or its content does not fit")]
-    Damaged,
+    /// The file does not begin with the magic bytes, or is too large.
+    #[error("not a voter's file")]
+    NotAVoterFile,
+    /// The file has this format version, which this process does not support.
+    #[error(
+        "file format version {0} is not supported: this process supports version {FORMAT_VERSION}"
+    )]
+    UnknownVersion(u8),
+    /// The file is truncated, its checksum does not match, or its content is not a valid acceptor state.
+    #[error("file is corrupt: truncated, wrong checksum or invalid content")]
+    Corrupt,
 }
 
-/// Where a file is read and replaced.
-pub trait Disk: Clone + 'static {
+/// A file that is read as a whole and replaced as a whole. Clones access the same file.
+pub trait FileStore: Clone + 'static {
+    /// The file's content, or `None` if the file does not exist.
+    ///
     /// # Errors
-    /// It cannot be read.
+    /// The file exists and cannot be read.
     fn read(&self) -> io::Result<Option<Vec<u8>>>;
 
-    /// Replaces it so that it lasts. Does not block the thread that serves.
+    /// Replaces the content durably, without blocking the calling thread.
     ///
     /// # Errors
-    /// It may not last: the old one or the new one is there.
+    /// The new content may not be durable: the file holds the old or the new content.
     fn replace(&self, bytes: Vec<u8>) -> impl Future<Output = io::Result<()>>;
 }
 
-/// What a file's bytes say.
+/// Decodes the content of a voter's file.
 ///
 /// # Errors
-/// They are not what a voter wrote.
-pub fn read(bytes: &[u8]) -> Result<AcceptorState, Unusable> {
-    if bytes.len() > MOST {
-        return Err(Unusable::Foreign);
+/// [`LoadError`] if the bytes are not a complete voter's file of a supported version.
+pub fn decode(bytes: &[u8]) -> Result<AcceptorState, LoadError> {
+    if bytes.len() > MAX_FILE_BYTES {
+        return Err(LoadError::NotAVoterFile);
     }
-    let rest = bytes.strip_prefix(MARK).ok_or(Unusable::Foreign)?;
-    let (&version, rest) = rest.split_first().ok_or(Unusable::Damaged)?;
-    if version != VERSION {
-        return Err(Unusable::Newer(version));
+    let rest = bytes.strip_prefix(MAGIC).ok_or(LoadError::NotAVoterFile)?;
+    let (&version, rest) = rest.split_first().ok_or(LoadError::Corrupt)?;
+    if version != FORMAT_VERSION {
+        return Err(LoadError::UnknownVersion(version));
     }
-    let (sum, body) = rest.split_first_chunk::<4>().ok_or(Unusable::Damaged)?;
-    if crc32fast::hash(body).to_be_bytes() != *sum {
-        return Err(Unusable::Damaged);
+    let (checksum, body) = rest.split_first_chunk::<4>().ok_or(LoadError::Corrupt)?;
+    if crc32fast::hash(body).to_be_bytes() != *checksum {
+        return Err(LoadError::Corrupt);
     }
     v1::AcceptorFile::decode(body)
         .ok()
-        .and_then(file_in)
-        .ok_or(Unusable::Damaged)
+        .and_then(acceptor_file_from_proto)
+        .ok_or(LoadError::Corrupt)
 }
 
-pub fn write(kept: &AcceptorState) -> Vec<u8> {
-    let body = file_out(kept).encode_to_vec();
+/// Encodes an acceptor's state as the content of a voter's file, with magic bytes, version and checksum.
+pub fn write(state: &AcceptorState) -> Vec<u8> {
+    let body = acceptor_file_to_proto(state).encode_to_vec();
     [
-        &MARK[..],
-        &[VERSION],
+        &MAGIC[..],
+        &[FORMAT_VERSION],
         &crc32fast::hash(&body).to_be_bytes(),
         &body,
     ]
     .concat()
 }
 
-/// The system's files.
+/// A voter's file in the operating system's file system.
 #[derive(Clone, Debug)]
 pub struct Folder {
     path: PathBuf,
 }
 
 impl Folder {
+    /// The file at `path`. The file need not exist yet, but its directory has to.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Folder { path: path.into() }
     }
 }
 
-fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let beside = path.with_extension("new");
+/// Writes `bytes` to a temporary file and renames it to `path`; blocks until file and directory are synced.
+fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let temporary = path.with_extension("new");
     let mut file = OpenOptions::new()
         .write(true)
         .create(true)
         .truncate(true)
-        .open(&beside)?;
+        .open(&temporary)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    std::fs::rename(&beside, path)?;
-    let folder = path
+    std::fs::rename(&temporary, path)?;
+    let directory = path
         .parent()
         .filter(|p| !p.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    File::open(folder)?.sync_all()
+    File::open(directory)?.sync_all()
 }
 
-impl Disk for Folder {
+impl FileStore for Folder {
     fn read(&self) -> io::Result<Option<Vec<u8>>> {
         match std::fs::read(&self.path) {
-            Err(problem) if problem.kind() == io::ErrorKind::NotFound => Ok(None),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
             other => other.map(Some),
         }
     }
 
     async fn replace(&self, bytes: Vec<u8>) -> io::Result<()> {
         let path = self.path.clone();
-        // A sync takes milliseconds: tokens go on meanwhile.
-        let job = tokio::task::spawn_blocking(move || replace(&path, &bytes));
-        job.await.map_err(io::Error::other)?
+        // A sync takes milliseconds, during which the dispatcher's thread has to go on forwarding tokens.
+        let writing = tokio::task::spawn_blocking(move || replace_file(&path, &bytes));
+        writing.await.map_err(io::Error::other)?
     }
 }
 
-/// A file in memory.
+/// A file in memory, for tests.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct MemoryFile {
     bytes: Rc<RefCell<Option<Vec<u8>>>>,
-    fails: Rc<RefCell<bool>>,
+    writes_fail: Rc<RefCell<bool>>,
 }
 
-impl Memory {
-    /// What is there now, to be put back, damaged or taken away.
+impl MemoryFile {
+    /// Replaces the content; `None` deletes the file.
     pub fn set(&self, bytes: Option<Vec<u8>>) {
         *self.bytes.borrow_mut() = bytes;
     }
 
-    /// Whether writes fail: the disk is full.
-    pub fn fail(&self, fails: bool) {
-        *self.fails.borrow_mut() = fails;
+    /// Makes all writes fail as on a full disk, or succeed again.
+    pub fn fail_writes(&self, fail: bool) {
+        *self.writes_fail.borrow_mut() = fail;
     }
 }
 
-impl Disk for Memory {
+impl FileStore for MemoryFile {
     fn read(&self) -> io::Result<Option<Vec<u8>>> {
         Ok(self.bytes.borrow().clone())
     }
 
     async fn replace(&self, bytes: Vec<u8>) -> io::Result<()> {
-        if *self.fails.borrow() {
+        if *self.writes_fail.borrow() {
             return Err(io::ErrorKind::StorageFull.into());
         }
         self.set(Some(bytes));
--- a/crates/fleet/src/admin_client.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -1,39 +1,40 @@
-//! The operators' end: one question to a member, and its answer.
+//! Client for operators: sends requests to members of a fleet and awaits their answers.
 
 use crate::codec::{answer_in, question_out};
-use crate::driver::MOST_MESSAGE;
+use crate::driver::MAX_MESSAGE_BYTES;
 use cindercleat::coordination::member::{Answer, OperatorRequest, Question, Reply};
 use cindercleat::interface::Ms;
 use cindercleat_grpc::{connect, Event, Session, Setup};
 use cindercleat_net::{Clock, Transport};
 use cindercleat_protocol::{frame, v1, Body, Frame};
 
-/// Times that an order is passed on from one member to another.
-const PASSED_ON: usize = 3;
+/// The most redirects from one member to another that a request follows.
+const MAX_REDIRECTS: usize = 3;
 
-/// Asks one member; what it answers.
+/// Sends a request to the member at `address` and returns its answer.
 ///
 /// # Errors
-/// It is not reached, or does not answer within the time, in words.
-pub async fn ask<T: Transport, C: Clock>(
+/// A message with the address and the reason if the member cannot be reached, closes the connection, sends an invalid
+/// answer, or does not answer within `timeout` milliseconds.
+pub async fn send_request<T: Transport, C: Clock>(
     transport: &T,
     clock: &C,
     address: &str,
     question: &Question,
-    within: Ms,
+    timeout: Ms,
 ) -> Result<Answer, String> {
-    let until = clock.now() + within;
-    let asked = async {
+    let times_out_at = clock.now() + timeout;
+    let exchange = async {
         let stream = transport
             .connect(address)
             .await
-            .map_err(|e| e.to_string())?;
+            .map_err(|error| error.to_string())?;
         let setup = Setup {
             party: v1::Party::Client,
             name: "operator".to_owned(),
             expects: String::new(),
             run: 0,
-            most_message: MOST_MESSAGE,
+            most_message: MAX_MESSAGE_BYTES,
             most_calls: 1,
         };
         let Session {
@@ -43,76 +44,83 @@
         while let Some(event) = events.recv().await {
             match event {
                 Event::Frame(Frame {
-                    body: Some(Body::FleetAnswer(said)),
+                    body: Some(Body::FleetAnswer(message)),
                     ..
                 }) => {
                     out.close();
-                    return answer_in(said)
-                        .ok_or_else(|| "an answer that cannot be read".to_owned());
+                    return answer_in(message)
+                        .ok_or_else(|| "the answer is not a valid message".to_owned());
                 }
                 Event::Frame(Frame {
-                    body: Some(Body::Goodbye(bye)),
+                    body: Some(Body::Goodbye(goodbye)),
                     ..
-                }) => return Err(bye.reason),
+                }) => return Err(goodbye.reason),
                 _ => {}
             }
         }
-        Err("the connection ended".to_owned())
+        Err("the connection was closed before the answer came".to_owned())
     };
     let answer = tokio::select! { biased;
-        answer = asked => answer,
-        () = clock.sleep_until(until) => Err(format!("no answer within {within:.0} ms")),
+        answer = exchange => answer,
+        () = clock.sleep_until(times_out_at) => Err(format!("no answer within {timeout:.0} ms")),
     };
-    answer.map_err(|why| format!("{address}: {why}"))
+    answer.map_err(|reason| format!("{address}: {reason}"))
 }
 
-/// Gives an order to a member, and to whoever it names in its place.
+/// Sends an operator's request to the member at `address` and follows redirects to other members.
 ///
 /// # Errors
-/// As [`ask`], or it is passed on for ever.
-pub async fn order<T: Transport, C: Clock>(
+/// As [`send_request`], or a message if a member redirects the request too often or answers with another kind of
+/// answer.
+pub async fn send_operator_request<T: Transport, C: Clock>(
     transport: &T,
     clock: &C,
     address: &str,
-    order: &OperatorRequest,
-    within: Ms,
+    request: &OperatorRequest,
+    timeout: Ms,
 ) -> Result<Reply, String> {
     let mut address = address.to_owned();
-    for _ in 0..=PASSED_ON {
-        match ask(
+    for _ in 0..=MAX_REDIRECTS {
+        match send_request(
             transport,
             clock,
             &address,
-            &Question::Operator(order.clone()),
-            within,
+            &Question::Operator(request.clone()),
+            timeout,
         )
         .await?
         {
-            Answer::Reply(Reply::Elsewhere(other)) => address = other.0.to_string(),
+            Answer::Reply(Reply::Elsewhere(redirect)) => address = redirect.0.to_string(),
             Answer::Reply(reply) => return Ok(reply),
-            _ => return Err(format!("{address}: another answer than was asked for")),
+            _ => {
+                return Err(format!(
+                    "{address}: the answer does not fit an operator's request"
+                ))
+            }
         }
     }
-    Err("the dispatchers send one from one to another: try again in a moment".to_owned())
+    Err(format!(
+        "more than {MAX_REDIRECTS} redirects between members: the leader may be changing, try again"
+    ))
 }
 
-/// Gives an order to the first of several members that answers.
+/// Sends an operator's request to the members at `addresses` in turn, until one of them answers.
 ///
 /// # Errors
-/// As [`order`], of the last one that was asked.
+/// The error of the last member, as in [`send_operator_request`]; a message if `addresses` is empty.
 pub async fn order_any<T: Transport, C: Clock>(
     transport: &T,
     clock: &C,
     addresses: &[String],
-    what: &OperatorRequest,
-    within: Ms,
+    request: &OperatorRequest,
+    timeout: Ms,
 ) -> Result<Reply, String> {
-    let mut problem = "no address was given".to_owned();
+    let mut last_error = "no address was given".to_owned();
     for address in addresses {
-        match order(transport, clock, address, what, within).await {
+        match send_operator_request(transport, clock, address, request, timeout).await {
             Ok(reply) => return Ok(reply),
-            Err(why) => problem = why,
+            Err(error) => last_error = error,
         }
     }
-    Err(problem)
+    Err(last_error)
 }
--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -1,8 +1,9 @@
-//! Joins a [`Member`] with a transport, a clock and a disk, beside the dispatcher's shell: its own listener, its own
-//! connections, nothing that serving waits for. All runs on the thread that it is started on, but for the syncs of the
-//! voter's file.
+//! Connects a [`Member`] to a transport, a clock and the voter's file.
+//!
+//! The driver has a listener and connections of its own, and client requests never wait for it. All of it runs on the
+//! thread that it is started on, except for writes of the voter's file.
 
-use crate::acceptor_storage::{self, Disk};
+use crate::acceptor_storage::{self, FileStore};
 use crate::codec::{answer_in, answer_out, question_in, question_out};
 use cindercleat::coordination::disruption_budget::Unit;
 use cindercleat::coordination::member::{
@@ -22,66 +23,84 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// The largest message between members: a value of a few kilobytes, or a roll of thousands for operators.
-pub const MOST_MESSAGE: usize = 4 << 20;
-/// Calls of one member that are open at once on a connection, and connections taken in.
-const MOST_CALLS: u32 = 256;
-const MOST_CONNECTIONS: usize = 8192;
-/// A connection that was not used for this long is closed.
-const IDLE: Ms = 30_000.0;
-/// Messages that cannot be right are warned of once in so long.
-const WARN_EVERY: Ms = 10_000.0;
-/// How often the dispatcher is asked how it fares.
-const FARES_EVERY: Ms = 100.0;
+/// The largest message between members: a replicated state takes a few kilobytes, an operator's list of members has
+/// thousands of entries.
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
+/// The most requests that are open at once on one connection.
+const MAX_CALLS_PER_CONNECTION: u32 = 256;
+/// The most incoming connections that are open at once.
+const MAX_INCOMING_CONNECTIONS: usize = 8192;
+/// An outgoing connection without requests for this long is closed.
+const IDLE_TIMEOUT_MS: Ms = 30_000.0;
+/// The shortest time between two warnings about invalid messages.
+const WARNING_INTERVAL_MS: Ms = 10_000.0;
+/// The time between two readings of the dispatcher's health.
+const HEALTH_INTERVAL_MS: Ms = 100.0;
+/// The pause after a failure to accept a connection.
+const ACCEPT_RETRY_MS: Ms = 100.0;
+/// The longest time that is left for the last requests to be sent when the driver stops.
+const MAX_FINAL_SEND_MS: Ms = 50.0;
+/// The HTTP/2 error code `INTERNAL_ERROR`, with which streams of invalid requests are reset.
+const RESET_INTERNAL_ERROR: u32 = 2;
 
-/// The dispatcher beside which a member runs.
+/// The dispatcher that a member belongs to.
 pub trait Dispatcher {
-    /// How it fares.
+    /// The dispatcher's readiness, utilization and request outcomes, for heartbeats.
     fn local_health(&self) -> LocalHealth;
 
-    /// The engines as its list has them.
+    /// The engines in the dispatcher's endpoint list; none by default.
     fn engines(&self) -> Vec<Unit> {
         Vec::new()
     }
 
-    /// It has its turn: it drains and ends in order, to be started again under a label if one is named.
+    /// The dispatcher is permitted to restart: it drains and exits, and its supervisor starts it again under `label`,
+    /// or under its present label if `label` is empty.
     fn has_turn(&self, permit: u64, label: &str);
 }
 
+/// An open connection to another member.
 struct Peer {
     out: Out,
-    used: Cell<Ms>,
-    /// Questions that are out on it, by their streams, and since when.
-    asked: RefCell<BTreeMap<u64, (QuestionId, Ms)>>,
-    streams: Cell<u64>,
+    last_used_at: Cell<Ms>,
+    /// Requests that await their answer, with the time at which they were sent, by stream.
+    unanswered: RefCell<BTreeMap<u64, (QuestionId, Ms)>>,
+    streams_opened: Cell<u64>,
 }
 
-/// A question for a connection that is not up yet, and since when.
-type Waiting = (QuestionId, v1::FleetCall, Ms);
+/// A request that waits until the connection to its receiver is open.
+struct QueuedRequest {
+    id: QuestionId,
+    call: v1::FleetCall,
+    queued_at: Ms,
+}
 
 struct Inner<T, C, D> {
     settings: FleetSettings,
     transport: T,
     clock: C,
-    disk: Option<D>,
+    voter_file: Option<D>,
     member: RefCell<Member>,
-    beside: Rc<dyn Dispatcher>,
+    dispatcher: Rc<dyn Dispatcher>,
+    /// Open outgoing connections.
     peers: RefCell<BTreeMap<Address, Rc<Peer>>>,
-    /// What is to go out once the connection is up.
-    dialling: RefCell<BTreeMap<Address, Vec<Waiting>>>,
-    /// Who waits for the answer to a call.
-    calls: RefCell<BTreeMap<CallId, (Out, u64)>>,
-    numbers: Cell<u64>,
-    connections: Cell<usize>,
-    armed: Cell<Ms>,
-    timer: Notify,
+    /// Requests to members whose connection is being opened.
+    connecting: RefCell<BTreeMap<Address, Vec<QueuedRequest>>>,
+    /// The connection and stream on which the answer to each received request is sent.
+    open_calls: RefCell<BTreeMap<CallId, (Out, u64)>>,
+    calls_received: Cell<u64>,
+    incoming_connections: Cell<usize>,
+    /// When the timer task calls the member next.
+    timer_fires_at: Cell<Ms>,
+    /// Wakes the timer task, as the member wants to be called earlier.
+    timer_changed: Notify,
+    /// Whether the member has handed over all leases after it was told to stop.
     stopped: Cell<bool>,
-    stopping: Notify,
-    dropped: Cell<u64>,
-    warned: Cell<Ms>,
+    stop_notify: Notify,
+    dropped_messages: Cell<u64>,
+    last_warning_at: Cell<Ms>,
 }
 
-/// One dispatcher's part in its fleet; clones are the same one.
+/// Runs one dispatcher's member of the fleet. Clones share the same member.
 pub struct Driver<T, C, D> {
     inner: Rc<Inner<T, C, D>>,
 }
@@ -94,76 +113,80 @@
     }
 }
 
-impl<T: Transport, C: Clock, D: Disk> Driver<T, C, D> {
+impl<T: Transport, C: Clock, D: FileStore> Driver<T, C, D> {
+    /// A driver that does nothing until [`Driver::run`] is called. Without a `voter_file` the member never votes.
     pub fn new(
         settings: FleetSettings,
         transport: T,
         clock: C,
-        disk: Option<D>,
-        beside: Rc<dyn Dispatcher>,
+        voter_file: Option<D>,
+        dispatcher: Rc<dyn Dispatcher>,
     ) -> Self {
         let inner = Inner {
             member: RefCell::new(Member::new(settings.clone())),
             settings,
             transport,
             clock,
-            disk,
-            beside,
+            voter_file,
+            dispatcher,
             peers: RefCell::default(),
-            dialling: RefCell::default(),
-            calls: RefCell::default(),
-            numbers: Cell::new(0),
-            connections: Cell::new(0),
-            armed: Cell::new(f64::INFINITY),
-            timer: Notify::new(),
+            connecting: RefCell::default(),
+            open_calls: RefCell::default(),
+            calls_received: Cell::new(0),
+            incoming_connections: Cell::new(0),
+            timer_fires_at: Cell::new(f64::INFINITY),
+            timer_changed: Notify::new(),
             stopped: Cell::new(false),
-            stopping: Notify::new(),
-            dropped: Cell::new(0),
-            warned: Cell::new(f64::NEG_INFINITY),
+            stop_notify: Notify::new(),
+            dropped_messages: Cell::new(0),
+            last_warning_at: Cell::new(f64::NEG_INFINITY),
         };
         Driver {
             inner: Rc::new(inner),
         }
     }
 
-    /// Takes part until `stop` is there, and what it holds is handed over or its lease is over. Runs within a
-    /// `LocalSet`, beside whatever serves.
+    /// Runs the member until `stop` completes and then until its leases are handed over, for one lease duration at
+    /// most.
+    ///
+    /// # Panics
+    /// If it does not run within a `tokio::task::LocalSet`.
     pub async fn run(&self, listener: T::Listener, stop: impl Future<Output = ()>) {
         let inner = &self.inner;
-        self.input(Input::Tick);
-        self.look_at_fares();
-        if let Some(disk) = &inner.disk {
-            let state = match disk.read() {
+        self.handle_input(Input::Tick);
+        self.update_health();
+        if let Some(voter_file) = &inner.voter_file {
+            let loaded = match voter_file.read() {
                 Ok(None) => Ok(None),
                 Ok(Some(bytes)) => {
-                    acceptor_storage::read(&bytes)
+                    acceptor_storage::decode(&bytes)
                         .map(Some)
-                        .map_err(|e| UnusableFile {
-                            reason: e.to_string(),
+                        .map_err(|error| UnusableFile {
+                            reason: error.to_string(),
                         })
                 }
-                Err(problem) => Err(UnusableFile {
-                    reason: problem.to_string(),
+                Err(error) => Err(UnusableFile {
+                    reason: error.to_string(),
                 }),
             };
-            self.input(Input::Loaded(state));
+            self.handle_input(Input::Loaded(loaded));
         }
-        let accepting = spawn_local(self.clone().accept(listener));
-        let timing = spawn_local(self.clone().keep_time());
+        let accept_task = spawn_local(self.clone().accept(listener));
+        let timer_task = spawn_local(self.clone().run_timer());
         stop.await;
-        self.input(Input::Stop);
-        let until = inner.clock.now() + inner.settings.lease.lease;
-        while !inner.stopped.get() && inner.clock.now() < until {
+        self.handle_input(Input::Stop);
+        let leases_expire_at = inner.clock.now() + inner.settings.lease.lease;
+        while !inner.stopped.get() && inner.clock.now() < leases_expire_at {
             tokio::select! { biased;
-                () = inner.stopping.notified() => {}
-                () = inner.clock.sleep_until(until) => {}
+                () = inner.stop_notify.notified() => {}
+                () = inner.clock.sleep_until(leases_expire_at) => {}
             }
         }
-        // A last word to whoever was named goes out.
-        let moment = inner.clock.now() + inner.settings.answer_within.min(50.0);
-        inner.clock.sleep_until(moment).await;
-        accepting.abort();
-        timing.abort();
+        // Leaves time for the lease offer to the named successor to be sent.
+        let send_time = inner.settings.answer_within.min(MAX_FINAL_SEND_MS);
+        inner.clock.sleep_until(inner.clock.now() + send_time).await;
+        accept_task.abort();
+        timer_task.abort();
         inner
             .peers
             .borrow()
@@ -171,7 +194,7 @@
             .for_each(|peer| peer.out.close());
     }
 
-    /// The duties held now, with their terms.
+    /// The leases that the member holds now, with their terms.
     pub fn held(&self) -> Vec<(LeaseName, Term)> {
         self.inner
             .member
@@ -181,48 +204,50 @@
             .collect()
     }
 
-    /// How often what happened.
+    /// The member's event counters, by event name; see [`Member::counts`].
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
         self.inner.member.borrow().counts().clone()
     }
 
-    /// Messages and connections that could not be right.
+    /// How many invalid messages, and connections without a valid greeting, were dropped so far.
     pub fn dropped(&self) -> u64 {
-        self.inner.dropped.get()
+        self.inner.dropped_messages.get()
     }
 
-    fn look_at_fares(&self) {
-        self.input(Input::LocalHealth(self.inner.beside.local_health()));
+    /// Passes the dispatcher's health to the member, and its engines if the member needs them.
+    fn update_health(&self) {
+        self.handle_input(Input::LocalHealth(self.inner.dispatcher.local_health()));
         if self.inner.member.borrow().wants_engines() {
-            self.input(Input::Engines(self.inner.beside.engines()));
+            self.handle_input(Input::Engines(self.inner.dispatcher.engines()));
         }
     }
 
-    fn input(&self, input: Input) {
+    /// Passes an input to the member and performs what the member asks for.
+    fn handle_input(&self, input: Input) {
         let mut outputs = Vec::new();
         let now = self.inner.clock.now();
         let mut member = self.inner.member.borrow_mut();
         member.handle(now, input, &mut outputs);
-        let wants = member.wants_call_at();
+        let next_call_at = member.wants_call_at();
         drop(member);
         for output in outputs {
-            self.perform(output);
+            self.perform_output(output);
         }
-        if wants < self.inner.armed.get() {
-            self.inner.timer.notify_one();
+        if next_call_at < self.inner.timer_fires_at.get() {
+            self.inner.timer_changed.notify_one();
         }
     }
 
-    fn perform(&self, output: Output) {
+    fn perform_output(&self, output: Output) {
         match output {
-            Output::Ask { ask, to, question } => self.ask(ask, to, &question),
+            Output::Ask { ask, to, question } => self.send_request(ask, to, &question),
             Output::Answer { call, answer } => {
-                if let Some((out, stream)) = self.inner.calls.borrow_mut().remove(&call) {
+                if let Some((out, stream)) = self.inner.open_calls.borrow_mut().remove(&call) {
                     out.send(frame(stream, Body::FleetAnswer(answer_out(&answer))));
                 }
             }
             Output::Save { number, state } => {
-                spawn_local(self.clone().save(number, state));
+                spawn_local(self.clone().save_acceptor_state(number, state));
             }
             Output::Holds {
                 lease_name,
@@ -240,126 +265,140 @@
             }
             Output::PermitGranted { permit, label } => {
                 tracing::info!(permit = permit.0, label, "disruption permit received");
-                self.inner.beside.has_turn(permit.0, &label);
+                self.inner.dispatcher.has_turn(permit.0, &label);
             }
             Output::Warn(text) => tracing::warn!("{text}"),
             Output::Info(text) => tracing::debug!("{text}"),
             Output::Stopped => {
                 self.inner.stopped.set(true);
-                self.inner.stopping.notify_one();
+                self.inner.stop_notify.notify_one();
             }
         }
     }
 
-    async fn save(self, number: SaveId, state: Box<AcceptorState>) {
-        let saved = match &self.inner.disk {
-            Some(disk) => disk.replace(acceptor_storage::write(&state)).await,
+    async fn save_acceptor_state(self, number: SaveId, state: Box<AcceptorState>) {
+        let saved = match &self.inner.voter_file {
+            Some(voter_file) => voter_file.replace(acceptor_storage::write(&state)).await,
             None => Err(std::io::ErrorKind::Unsupported.into()),
         };
         if let Err(problem) = &saved {
-            tracing::warn!(%problem, "voter's file not written");
+            tracing::warn!(
+                %problem,
+                "could not write the voter's file; answers that need the new state are dropped"
+            );
         }
-        self.input(Input::Saved {
+        self.handle_input(Input::Saved {
             number,
             is_durable: saved.is_ok(),
         });
     }
 
-    async fn keep_time(self) {
-        let mut fares_at = 0.0;
+    /// Calls the member when it wants to be called, and reads the dispatcher's health at its interval.
+    async fn run_timer(self) {
+        let mut health_due_at = 0.0;
         loop {
             let now = self.inner.clock.now();
-            if now >= fares_at {
-                fares_at = now + FARES_EVERY;
-                self.look_at_fares();
-                self.close_idle(now);
+            if now >= health_due_at {
+                health_due_at = now + HEALTH_INTERVAL_MS;
+                self.update_health();
+                self.close_idle_connections(now);
             }
-            let wants = self.inner.member.borrow().wants_call_at().min(fares_at);
-            self.inner.armed.set(wants);
+            let member_due_at = self.inner.member.borrow().wants_call_at();
+            let fires_at = member_due_at.min(health_due_at);
+            self.inner.timer_fires_at.set(fires_at);
             tokio::select! { biased;
-                () = self.inner.timer.notified() => {}
-                () = self.inner.clock.sleep_until(wants) => self.input(Input::Tick),
+                () = self.inner.timer_changed.notified() => {}
+                () = self.inner.clock.sleep_until(fires_at) => self.handle_input(Input::Tick),
             }
         }
     }
 
-    /// Closes connections that rest, and calls off what was given up long ago: neither side keeps it.
-    fn close_idle(&self, now: Ms) {
-        let longest = 2.0 * self.inner.settings.answer_within;
+    /// Closes idle connections, and cancels requests whose answer is no longer awaited so that neither side keeps state
+    /// for them.
+    fn close_idle_connections(&self, now: Ms) {
+        let longest_wait = 2.0 * self.inner.settings.answer_within;
         let mut peers = self.inner.peers.borrow_mut();
         peers.retain(|_, peer| {
-            peer.asked.borrow_mut().retain(|stream, (_, since)| {
-                let keeps = now - *since <= longest;
-                if !keeps {
+            peer.unanswered.borrow_mut().retain(|stream, (_, sent_at)| {
+                let is_awaited = now - *sent_at <= longest_wait;
+                if !is_awaited {
                     peer.out.send(frame(*stream, Body::Cancel(v1::Cancel {})));
                 }
-                keeps
+                is_awaited
             });
-            let rests = peer.asked.borrow().is_empty() && now - peer.used.get() > IDLE;
-            if rests {
+            let idle_for = now - peer.last_used_at.get();
+            let is_idle = peer.unanswered.borrow().is_empty() && idle_for > IDLE_TIMEOUT_MS;
+            if is_idle {
                 peer.out.close();
             }
-            !rests
+            !is_idle
         });
     }
 
+    /// The greeting of this member; `expects` is the name that the other side has to greet with, if it is not empty.
     fn setup(&self, expects: &str) -> Setup {
         Setup {
             party: v1::Party::Fleet,
-            // Members greet each other by the fleet's name: one of another fleet is refused.
+            // Members greet each other with the fleet's name, so that a member of another fleet is refused.
             name: self.inner.settings.fleet.clone(),
             expects: expects.to_owned(),
             run: self.inner.settings.incarnation.0,
-            most_message: MOST_MESSAGE,
-            most_calls: MOST_CALLS,
+            most_message: MAX_MESSAGE_BYTES,
+            most_calls: MAX_CALLS_PER_CONNECTION,
         }
     }
 
-    fn ask(&self, ask: QuestionId, to: Address, question: &Question) {
+    /// Sends a request, or queues the request until the connection to its receiver is open.
+    fn send_request(&self, id: QuestionId, to: Address, question: &Question) {
         let call = question_out(question);
         let peer = self.inner.peers.borrow().get(&to).cloned();
         if let Some(peer) = peer {
-            return self.send(&peer, ask, call);
+            return self.send_on(&peer, id, call);
         }
         let now = self.inner.clock.now();
-        let mut dialling = self.inner.dialling.borrow_mut();
-        match dialling.get_mut(&to) {
-            Some(waiting) => {
-                // What was given up meanwhile is not sent late.
-                waiting.retain(|(_, _, since)| now - *since <= self.inner.settings.answer_within);
-                waiting.push((ask, call, now));
+        let request = QueuedRequest {
+            id,
+            call,
+            queued_at: now,
+        };
+        let mut connecting = self.inner.connecting.borrow_mut();
+        match connecting.get_mut(&to) {
+            Some(queue) => {
+                // Requests whose answer is no longer awaited are not sent late.
+                let timeout = self.inner.settings.answer_within;
+                queue.retain(|queued| now - queued.queued_at <= timeout);
+                queue.push(request);
             }
             None => {
-                dialling.insert(to.clone(), vec![(ask, call, now)]);
-                spawn_local(self.clone().dial(to));
+                connecting.insert(to.clone(), vec![request]);
+                spawn_local(self.clone().run_outgoing_connection(to));
             }
         }
     }
 
-    fn send(&self, peer: &Rc<Peer>, ask: QuestionId, call: v1::FleetCall) {
-        let stream = peer.streams.get() + 1;
-        peer.streams.set(stream);
-        peer.used.set(self.inner.clock.now());
-        peer.asked
-            .borrow_mut()
-            .insert(stream, (ask, self.inner.clock.now()));
+    fn send_on(&self, peer: &Rc<Peer>, id: QuestionId, call: v1::FleetCall) {
+        let now = self.inner.clock.now();
+        let stream = peer.streams_opened.get() + 1;
+        peer.streams_opened.set(stream);
+        peer.last_used_at.set(now);
+        peer.unanswered.borrow_mut().insert(stream, (id, now));
         peer.out.send(frame(stream, Body::FleetCall(call)));
     }
 
-    /// One connection to another member, from the dialling to its end.
-    async fn dial(self, to: Address) {
-        // Longer than an answer may take: on a machine that is short of time a connection comes up all the same, once,
-        // where one that is given up and dialled anew each time would keep everybody busy and never come up.
+    /// Opens a connection to another member and passes its answers on until the connection ends.
+    async fn run_outgoing_connection(self, to: Address) {
+        // The timeout is longer than that of an answer. On an overloaded machine a slow connection still opens once,
+        // whereas connections that are given up early and retried each time keep all members busy and never open.
         let settings = &self.inner.settings;
-        let until =
-            self.inner.clock.now() + settings.lease.lease.max(10.0 * settings.answer_within);
-        let dialled = async {
+        let timeout = settings.lease.lease.max(10.0 * settings.answer_within);
+        let times_out_at = self.inner.clock.now() + timeout;
+        let connecting = async {
             let stream = self
                 .inner
                 .transport
                 .connect(&to.0)
                 .await
-                .map_err(|e| e.to_string())?;
+                .map_err(|error| error.to_string())?;
             connect(
                 stream,
                 v1::Party::Fleet,
@@ -367,83 +406,97 @@
             )
             .await
         };
-        let dialled = tokio::select! { biased;
-            dialled = dialled => dialled,
-            () = self.inner.clock.sleep_until(until) => Err("no greeting in time".to_owned()),
+        let connected = tokio::select! { biased;
+            connected = connecting => connected,
+            () = self.inner.clock.sleep_until(times_out_at) => {
+                Err(format!("no greeting within {timeout:.0} ms"))
+            }
         };
-        let waiting = self
+        let queue = self
             .inner
-            .dialling
+            .connecting
             .borrow_mut()
             .remove(&to)
             .unwrap_or_default();
         let Session {
             mut events, out, ..
-        } = match dialled {
+        } = match connected {
             Ok(session) => session,
             Err(reason) => {
-                tracing::debug!(address = %to.0, reason, "member not reached");
-                // Not at once: the core asked this very moment, and answers to what it asks come later.
-                for (ask, ..) in waiting {
-                    self.input(Input::Answered { ask, answer: None });
+                tracing::debug!(
+                    address = %to.0,
+                    reason,
+                    "could not connect to fleet member; requests to it count as unanswered"
+                );
+                // Reported from this task, not from `send_request`: a member expects answers after the input that sent
+                // the request, not while that input is being handled.
+                for request in queue {
+                    self.handle_input(Input::Answered {
+                        ask: request.id,
+                        answer: None,
+                    });
                 }
                 return;
             }
         };
-        let used = Cell::new(self.inner.clock.now());
         let peer = Rc::new(Peer {
             out,
-            used,
-            asked: RefCell::default(),
-            streams: Cell::new(0),
+            last_used_at: Cell::new(self.inner.clock.now()),
+            unanswered: RefCell::default(),
+            streams_opened: Cell::new(0),
         });
         self.inner
             .peers
             .borrow_mut()
             .insert(to.clone(), peer.clone());
         let oldest = self.inner.clock.now() - self.inner.settings.answer_within;
-        for (ask, call, _) in waiting.into_iter().filter(|(_, _, since)| *since >= oldest) {
-            self.send(&peer, ask, call);
+        for request in queue
+            .into_iter()
+            .filter(|queued| queued.queued_at >= oldest)
+        {
+            self.send_on(&peer, request.id, request.call);
         }
         while let Some(event) = events.recv().await {
             match event {
                 Event::Frame(Frame { stream, body }) => {
-                    let Some((ask, _)) = peer.asked.borrow_mut().remove(&stream) else {
+                    let Some((ask, _)) = peer.unanswered.borrow_mut().remove(&stream) else {
                         continue;
                     };
                     let answer = match body {
-                        Some(Body::FleetAnswer(said)) => self.understood(answer_in(said)),
+                        Some(Body::FleetAnswer(message)) => {
+                            self.count_if_invalid(answer_in(message))
+                        }
                         _ => None,
                     };
-                    self.input(Input::Answered { ask, answer });
+                    self.handle_input(Input::Answered { ask, answer });
                 }
                 Event::GoingAway => break,
                 Event::Flushed { .. } | Event::Partly => {}
             }
         }
         let mut peers = self.inner.peers.borrow_mut();
-        if peers.get(&to).is_some_and(|now| Rc::ptr_eq(now, &peer)) {
+        if peers
+            .get(&to)
+            .is_some_and(|current| Rc::ptr_eq(current, &peer))
+        {
             peers.remove(&to);
         }
         drop(peers);
-        let lost = std::mem::take(&mut *peer.asked.borrow_mut());
+        let lost = std::mem::take(&mut *peer.unanswered.borrow_mut());
         for (ask, _) in lost.into_values() {
-            self.input(Input::Answered { ask, answer: None });
+            self.handle_input(Input::Answered { ask, answer: None });
         }
     }
 
-    /// Counts what cannot be right, and says so once in a while.
-    fn understood<M>(&self, message: Option<M>) -> Option<M> {
+    /// Counts a message that could not be decoded, and warns at most once per [`WARNING_INTERVAL_MS`].
+    fn count_if_invalid<M>(&self, message: Option<M>) -> Option<M> {
         if message.is_none() {
-            self.inner.dropped.set(self.inner.dropped.get() + 1);
+            let dropped = self.inner.dropped_messages.get() + 1;
+            self.inner.dropped_messages.set(dropped);
             let now = self.inner.clock.now();
-            if now - self.inner.warned.get() >= WARN_EVERY {
-                self.inner.warned.set(now);
-                let dropped = self.inner.dropped.get();
-                tracing::warn!(
-                    dropped,
-                    "messages of the fleet that cannot be right are dropped"
-                );
+            if now - self.inner.last_warning_at.get() >= WARNING_INTERVAL_MS {
+                self.inner.last_warning_at.set(now);
+                tracing::warn!(dropped, "dropped invalid fleet messages or connections");
             }
         }
         message
@@ -452,29 +505,36 @@
     async fn accept(self, mut listener: T::Listener) {
         loop {
             match listener.accept().await {
-                // Guards against more connections than descriptors bear: members come again.
-                Ok(stream) if self.inner.connections.get() < MOST_CONNECTIONS => {
-                    self.inner.connections.set(self.inner.connections.get() + 1);
-                    spawn_local(self.clone().caller(stream));
+                // Guards against running out of file descriptors. Members whose connection is closed connect again.
+                Ok(stream) if self.inner.incoming_connections.get() < MAX_INCOMING_CONNECTIONS => {
+                    let count = self.inner.incoming_connections.get() + 1;
+                    self.inner.incoming_connections.set(count);
+                    spawn_local(self.clone().run_incoming_connection(stream));
                 }
                 Ok(_) => {}
                 Err(problem) => {
-                    tracing::warn!(%problem, "connection of the fleet not taken");
-                    let again = self.inner.clock.now() + FARES_EVERY;
-                    self.inner.clock.sleep_until(again).await;
+                    tracing::warn!(
+                        %problem,
+                        "could not accept a fleet connection; retrying in {ACCEPT_RETRY_MS} ms"
+                    );
+                    let retry_at = self.inner.clock.now() + ACCEPT_RETRY_MS;
+                    self.inner.clock.sleep_until(retry_at).await;
                 }
             }
         }
     }
 
-    /// One connection that was taken in.
-    async fn caller(self, stream: T::Stream) {
-        let until = self.inner.clock.now() + 10.0 * self.inner.settings.answer_within;
-        let met = tokio::select! { biased;
-            met = serve(stream, self.setup("")) => met,
-            () = self.inner.clock.sleep_until(until) => Err("nothing was asked in time".to_owned()),
+    /// Handles the requests on an accepted connection until the connection ends.
+    async fn run_incoming_connection(self, stream: T::Stream) {
+        let timeout = 10.0 * self.inner.settings.answer_within;
+        let times_out_at = self.inner.clock.now() + timeout;
+        let greeted = tokio::select! { biased;
+            greeted = serve(stream, self.setup("")) => greeted,
+            () = self.inner.clock.sleep_until(times_out_at) => {
+                Err(format!("no greeting within {timeout:.0} ms"))
+            }
         };
-        match met {
+        match greeted {
             Ok(Session {
                 mut events, out, ..
             }) => {
@@ -484,39 +544,43 @@
                         body: Some(body),
                     }) = event
                     {
-                        self.called(&out, stream, body);
+                        self.handle_frame(&out, stream, body);
                     }
                 }
             }
-            // Nobody of this fleet: another's dispatcher, or whoever speaks something else.
-            Err(_) => drop(self.understood(None::<()>)),
+            // The other side is a member of another fleet, or does not speak this protocol.
+            Err(_) => drop(self.count_if_invalid(None::<()>)),
         }
-        self.inner.connections.set(self.inner.connections.get() - 1);
+        let count = self.inner.incoming_connections.get() - 1;
+        self.inner.incoming_connections.set(count);
     }
 
-    fn called(&self, out: &Out, stream: u64, body: Body) {
+    /// Passes a received request to the member, or forgets a request that its sender has cancelled.
+    fn handle_frame(&self, out: &Out, stream: u64, body: Body) {
         match body {
-            Body::FleetCall(said) => match self.understood(question_in(said)) {
+            Body::FleetCall(message) => match self.count_if_invalid(question_in(message)) {
                 Some(question) => {
-                    let call = CallId(self.inner.numbers.get() + 1);
-                    self.inner.numbers.set(call.0);
+                    let call = CallId(self.inner.calls_received.get() + 1);
+                    self.inner.calls_received.set(call.0);
                     self.inner
-                        .calls
+                        .open_calls
                         .borrow_mut()
                         .insert(call, (out.clone(), stream));
-                    self.input(Input::Asked { call, question });
+                    self.handle_input(Input::Asked { call, question });
                 }
-                None => out.reset(stream, 2),
+                None => out.reset(stream, RESET_INTERNAL_ERROR),
             },
-            // It waits no more.
+            // The sender no longer awaits the answer.
             Body::Cancel(_) => {
-                let mine = |(o, s): &(Out, u64)| *s == stream && o.same(out);
+                let is_cancelled = |(connection, call_stream): &(Out, u64)| {
+                    *call_stream == stream && connection.same(out)
+                };
                 self.inner
-                    .calls
+                    .open_calls
                     .borrow_mut()
-                    .retain(|_, waits| !mine(waits));
+                    .retain(|_, call| !is_cancelled(call));
             }
-            _ => out.reset(stream, 2),
+            _ => out.reset(stream, RESET_INTERNAL_ERROR),
         }
     }
 }
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -1,5 +1,6 @@
-//! Holds a duty for work outside of the dispatchers, such as an operator's command: waits until the duty is held, begins
-//! the work, asks for the lease again while it goes on, and ends it in time when the lease is not renewed.
+//! Runs work outside of the dispatchers, such as an operator's command, under a lease: waits until the lease is held,
+//! starts the work, asks for the lease again while the work runs, and ends the work before the lease expires if the
+//! lease is not renewed.
 
 use crate::admin_client::order_any;
 use cindercleat::coordination::job_lease::JobLease;
@@ -10,32 +11,34 @@
 use std::future::Future;
 use std::io;
 
-/// While the duty is not held yet: for how long an answer is waited for, and how often it is asked for.
-const ANSWER_WITHIN: Ms = 950.0;
-const ASK_EVERY: Ms = 50.0;
+/// How long an answer is awaited while the lease is not held yet.
+const ANSWER_TIMEOUT_MS: Ms = 950.0;
+/// The time between two requests for a lease that is not held yet.
+const ACQUIRE_RETRY_MS: Ms = 50.0;
 
-/// What is done while a duty is held.
+/// Work that runs only while a lease is held.
 pub trait Work {
-    /// The duty is held under this term.
+    /// Starts the work; the lease is held in this term. Called once.
     ///
     /// # Errors
-    /// The work cannot begin.
+    /// The work cannot be started.
     fn begin(&mut self, term: Term) -> io::Result<()>;
 
-    /// Whether the work has ended by itself, and how: true for success.
+    /// Whether the work has ended by itself: `Some(true)` after success, `Some(false)` after failure, `None` while it
+    /// runs.
     ///
     /// # Errors
-    /// It cannot be told.
+    /// The state of the work cannot be determined.
     fn ended(&mut self) -> io::Result<Option<bool>>;
 
-    /// Ends the work, by force if it has not ended by an instant.
+    /// Tells the work to end, and kills it if it still runs at `by`, a time of the job's clock in milliseconds.
     ///
     /// # Errors
-    /// It could not be ended.
+    /// The work could not be ended.
     fn end(&mut self, by: Ms) -> impl Future<Output = io::Result<()>>;
 
-    /// The duty is not held yet, for this reason. Said once.
-    fn waits(&mut self, why: &str);
+    /// Reports why the lease is not held yet. Called at most once, after the first request that got no reply.
+    fn waits(&mut self, reason: &str);
 }
 
 /// How a job ended.
@@ -43,36 +46,40 @@
 pub enum Ended {
     /// The work ended by itself, with success or not.
     ByItself(bool),
-    /// It was told to stop.
+    /// The caller of [`Job::run`] stopped the job.
     Stopped,
-    /// The duty was refused, for this reason.
+    /// A dispatcher refused the lease, for this reason.
     Refused(String),
-    /// The duty was lost, for this reason.
+    /// The work was ended because the lease was lost or not renewed, for this reason.
     Lost(String),
 }
 
-/// A job: which duty it needs, and whom it asks for it.
+/// A job: the lease that it needs, and the dispatchers that acquire the lease for it.
 pub struct Job<'a, T, C> {
+    /// Connects to the dispatchers.
     pub transport: &'a T,
+    /// The job's clock, which counts the lease.
     pub clock: &'a C,
-    /// Dispatchers that may be asked, tried in turn.
+    /// The dispatchers' fleet addresses, tried in turn.
     pub addresses: &'a [String],
+    /// The lease under which the work runs.
     pub lease_name: LeaseName,
-    /// Tells this job from others that want the same duty.
+    /// Distinguishes this job from other jobs that request the same lease.
     pub number: u64,
 }
 
-/// What a job does next.
+/// What a job does after a reply.
 enum Next {
-    Ask,
+    AskAgain,
     End(Ended),
 }
 
 impl<T: Transport, C: Clock> Job<'_, T, C> {
-    /// Holds the duty and does the work, until `stop` is there, the work has ended, or the duty is lost.
+    /// Acquires the lease and runs the work, until `stop` completes, the work has ended, or the lease is refused or
+    /// lost. Unless an error is returned, the work does not run any more.
     ///
     /// # Errors
-    /// The work could not be begun or ended.
+    /// An error of [`Work`]: the work could not be started or ended, or its state could not be determined.
     pub async fn run(
         &self,
         work: &mut impl Work,
@@ -80,26 +87,30 @@
     ) -> io::Result<Ended> {
         tokio::pin!(stop);
         let mut lease: Option<JobLease> = None;
-        let mut said = false;
+        let mut wait_is_reported = false;
         loop {
             let step = async {
-                let asked = self.clock.now();
-                let reply = self.ask(asked, lease.as_ref()).await;
-                if let (None, Err(why), false) = (&lease, &reply, said) {
-                    said = true;
-                    work.waits(why);
+                let asked_at = self.clock.now();
+                let reply = self.request_lease(asked_at, lease.as_ref()).await;
+                if let (None, Err(reason), false) = (&lease, &reply, wait_is_reported) {
+                    wait_is_reported = true;
+                    work.waits(reason);
                 }
-                let next = self.take_reply(asked, &reply, &mut lease, work).await?;
-                if let Next::Ask = next {
-                    let wait = lease.as_ref().map_or(ASK_EVERY, JobLease::ask_again_after);
+                let next = self
+                    .handle_reply(asked_at, &reply, &mut lease, work)
+                    .await?;
+                if let Next::AskAgain = next {
+                    let wait = lease
+                        .as_ref()
+                        .map_or(ACQUIRE_RETRY_MS, JobLease::ask_interval);
                     self.clock.sleep_until(self.clock.now() + wait).await;
                 }
                 io::Result::Ok(next)
             };
             let next = tokio::select! { biased;
                 () = &mut stop => {
-                    work.end(lease.as_ref().map_or(0.0, JobLease::until)).await?;
-                    self.let_go().await;
+                    work.end(lease.as_ref().map_or(0.0, JobLease::expires_at)).await?;
+                    self.release_lease().await;
                     return Ok(Ended::Stopped);
                 }
                 next = step => next?,
@@ -110,22 +121,23 @@
         }
     }
 
-    /// What is sure does not wait for an answer that may not come.
-    async fn ask(&self, asked: Ms, lease: Option<&JobLease>) -> Result<Reply, String> {
-        let within = lease.map_or(ANSWER_WITHIN, JobLease::answer_within);
-        let wish = OperatorRequest::HoldLease {
+    /// Requests the lease. While the lease is held the timeout is shorter, so that a missing answer does not keep the
+    /// job from ending its work in time.
+    async fn request_lease(&self, asked_at: Ms, lease: Option<&JobLease>) -> Result<Reply, String> {
+        let timeout = lease.map_or(ANSWER_TIMEOUT_MS, JobLease::answer_timeout);
+        let request = OperatorRequest::HoldLease {
             lease_name: self.lease_name.clone(),
             job: self.number,
         };
         tokio::select! { biased;
-            reply = order_any(self.transport, self.clock, self.addresses, &wish, ANSWER_WITHIN) => reply,
-            () = self.clock.sleep_until(asked + within) => Err("no answer in time".to_owned()),
+            reply = order_any(self.transport, self.clock, self.addresses, &request, ANSWER_TIMEOUT_MS) => reply,
+            () = self.clock.sleep_until(asked_at + timeout) => Err(format!("no answer within {timeout:.0} ms")),
         }
     }
 
-    async fn take_reply(
+    async fn handle_reply(
         &self,
-        asked: Ms,
+        asked_at: Ms,
         reply: &Result<Reply, String>,
         lease: &mut Option<JobLease>,
         work: &mut impl Work,
@@ -136,45 +148,49 @@
                 good_for,
             }) => match lease {
                 None => {
-                    *lease = Some(JobLease::new(*term, asked, *good_for));
+                    *lease = Some(JobLease::new(*term, asked_at, *good_for));
                     work.begin(*term)?;
                 }
                 Some(held) => {
-                    if held.renew(*term, asked, *good_for).is_err() {
-                        work.end(held.until()).await?;
-                        return Ok(Next::End(Ended::Lost("it has another term".to_owned())));
+                    if held.renew(*term, asked_at, *good_for).is_err() {
+                        work.end(held.expires_at()).await?;
+                        return Ok(Next::End(Ended::Lost(
+                            "the lease is held in another term: another process may have held it"
+                                .to_owned(),
+                        )));
                     }
                 }
             },
-            Ok(Reply::Refused(why)) => {
-                work.end(lease.map_or(0.0, |held| held.until())).await?;
-                return Ok(Next::End(Ended::Refused(why.clone())));
+            Ok(Reply::Refused(reason)) => {
+                work.end(lease.map_or(0.0, |held| held.expires_at()))
+                    .await?;
+                return Ok(Next::End(Ended::Refused(reason.clone())));
             }
-            // Not held yet, or any more; or nobody answers.
+            // The lease is not held yet or no longer, or no dispatcher answered.
             Ok(_) | Err(_) => {}
         }
         let Some(held) = lease else {
-            return Ok(Next::Ask);
+            return Ok(Next::AskAgain);
         };
         if held.is_running_out(self.clock.now()) {
             work.end(held.kill_at()).await?;
-            let why = match reply {
-                Ok(Reply::Holds { .. }) => "its lease was not renewed",
-                Ok(_) => "it is not said to be held any more",
-                Err(why) => why,
+            let reason = match reply {
+                Ok(Reply::Holds { .. }) => "the lease was not renewed",
+                Ok(_) => "the dispatcher no longer reports the lease as held",
+                Err(error) => error,
             };
-            return Ok(Next::End(Ended::Lost(why.to_owned())));
+            return Ok(Next::End(Ended::Lost(reason.to_owned())));
         }
         if let Some(success) = work.ended()? {
-            self.let_go().await;
+            self.release_lease().await;
             return Ok(Next::End(Ended::ByItself(success)));
         }
-        Ok(Next::Ask)
+        Ok(Next::AskAgain)
     }
 
-    /// Gives the duty up. Whoever does not hear of it waits for the lease.
-    async fn let_go(&self) {
-        let order = OperatorRequest::LetGo {
+    /// Releases the lease. If no dispatcher receives the request, the next holder waits until the lease has expired.
+    async fn release_lease(&self) {
+        let request = OperatorRequest::LetGo {
             lease_name: self.lease_name.clone(),
             job: self.number,
         };
@@ -182,8 +198,8 @@
             self.transport,
             self.clock,
             self.addresses,
-            &order,
-            ANSWER_WITHIN,
+            &request,
+            ANSWER_TIMEOUT_MS,
         )
         .await;
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,7 @@
-//! Carries out what `cindercleat::coordination` decides: messages over the schema's `Fleet` service ([`codec`]), the voter's
-//! file ([`acceptor_storage`]), and the loop that joins both with a transport and a clock ([`driver`]). [`admin_client`] is the operators'
-//! end of it, and [`job`] holds a lease for work outside of the dispatchers.
+//! I/O for `cindercleat::coordination`: messages over the schema's `Fleet` service ([`codec`]), the voter's file
+//! ([`acceptor_storage`]), and the driver that connects a member to a transport, a clock and that file ([`driver`]).
+//! [`admin_client`] sends operators' requests to members, and [`job`] holds a lease for work outside of the
+//! dispatchers.
 #![forbid(unsafe_code)]
 
 pub mod acceptor_storage;
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -1,6 +1,7 @@
-//! Members exchange requests and answers as protobuf messages and store the acceptor's file in the same form. A message
-//! that were decoded as another, or a file that is damaged and yet read, would change what a voter promised. So all
-//! messages are encoded and decoded, and bytes that cannot be right are refused without a panic.
+//! Tests of the fleet's messages and of the acceptor's file, which has the same encoding.
+//!
+//! A message that is decoded as a different one, or a corrupt file that is accepted, would change what a voter has
+//! promised. All messages have to survive encoding and decoding, and invalid bytes have to be refused without a panic.
 
 use cindercleat::coordination::disruption_budget::{
     DisruptionBudget, MaxUnavailable, OutcomeCounts, UnavailableCount, UnitKind,
@@ -21,7 +22,7 @@
     LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
-use cindercleat_fleet::acceptor_storage::{read, write, Unusable};
+use cindercleat_fleet::acceptor_storage::{decode, write, LoadError};
 use cindercleat_fleet::codec::{answer_in, answer_out, question_in, question_out};
 use cindercleat_protocol::v1;
 use proptest::prelude::*;
@@ -45,14 +46,14 @@
 }
 
 fn voters() -> Voters {
-    let voter_record = |n: u64| VoterRecord {
-        voter_id: VoterId(n),
+    let voter_record = |id: u64| VoterRecord {
+        voter_id: VoterId(id),
         address: Address::from("127.0.0.1:1"),
     };
     let set: BTreeMap<Name, VoterRecord> = ["a", "b", "c"]
         .into_iter()
         .zip(1..)
-        .map(|(n, l)| (n.into(), voter_record(l)))
+        .map(|(name, id)| (name.into(), voter_record(id)))
         .collect();
     Voters {
         generation: 2,
@@ -62,7 +63,7 @@
 }
 
 fn replicated_state() -> ReplicatedState {
-    let held = LeaseRecord {
+    let record = LeaseRecord {
         term: Term(3),
         holder: Some(holder()),
         renewed: 9,
@@ -73,7 +74,7 @@
         },
         next: Some(Name::from("b")),
     };
-    let leases = BTreeMap::from([(LeaseName::from("roll-call"), held)]);
+    let leases = BTreeMap::from([(LeaseName::from("roll-call"), record)]);
     ReplicatedState {
         version: 5,
         voters: voters(),
@@ -113,19 +114,19 @@
         permanent: true,
         planned: true,
     };
-    let most = MaxUnavailable {
+    let limit = MaxUnavailable {
         count: 3,
         per_mille: 100,
     };
-    let bounds = DisruptionBudget {
-        fleet: most,
+    let budget = DisruptionBudget {
+        fleet: limit,
         max_utilization_per_mille: 800,
         min_prefill_engines_per_cell: 2,
         ..DisruptionBudget::default()
     };
-    let release = Rollout {
+    let rollout = Rollout {
         plan: plan(),
-        budget: bounds,
+        budget,
         started_by: Name::from("a"),
         rolling_back: true,
         finished: true,
@@ -139,7 +140,7 @@
     DisruptionState {
         permits_granted: 12,
         permits: BTreeMap::from([(PermitId(12), permit)]),
-        rollout: Some(Box::new(release)),
+        rollout: Some(Box::new(rollout)),
         halted: Some("why".to_owned()),
         resume_count: 2,
         dispatcher_sizes: BTreeMap::from([("z".to_owned(), 300)]),
@@ -160,12 +161,12 @@
     }
 }
 
-fn rollout_request(order: RolloutRequest) -> Question {
-    Question::Operator(OperatorRequest::Rollout(order))
+fn rollout_request(request: RolloutRequest) -> Question {
+    Question::Operator(OperatorRequest::Rollout(request))
 }
 
 #[test]
-fn what_is_said_is_what_is_heard() {
+fn messages_are_decoded_as_they_were_encoded() {
     let heartbeat = Heartbeat {
         who: holder(),
         zone: "z".to_owned(),
@@ -369,7 +370,7 @@
 }
 
 #[test]
-fn what_cannot_be_right_is_nobodys() {
+fn invalid_messages_are_refused() {
     let prepare = |ballot| v1::FleetCall {
         question: Some(v1::fleet_call::Question::Prepare(v1::FleetPrepare {
             voter_id: 1,
@@ -388,7 +389,7 @@
     assert_eq!(
         question_in(v1::FleetCall { question: None }),
         None,
-        "an unknown kind"
+        "a call without a question"
     );
     for ballot in [
         None,
@@ -400,51 +401,64 @@
     ] {
         assert_eq!(question_in(prepare(ballot.clone())), None, "{ballot:?}");
     }
-    let mut many = question_out(&Question::Vote(AcceptorRequest::Accept {
+    let mut overlong = question_out(&Question::Vote(AcceptorRequest::Accept {
         voter_id: VoterId(1),
         ballot: ballot(1),
         value: replicated_state(),
         write_counts: WriteCounts::new(),
     }));
-    if let Some(v1::fleet_call::Question::Accept(accept)) = &mut many.question {
-        let value = accept.value.as_mut().expect("it is there");
+    if let Some(v1::fleet_call::Question::Accept(accept)) = &mut overlong.question {
+        let value = accept.value.as_mut().expect("the request has a value");
         value.leases = vec![value.leases[0].clone(); 1000];
     }
-    assert_eq!(question_in(many), None, "more duties than there can be");
+    assert_eq!(
+        question_in(overlong),
+        None,
+        "more leases than a fleet can have"
+    );
 }
 
 #[test]
-fn a_voters_file_is_read_as_written_or_not_at_all() {
+fn a_voters_file_is_decoded_as_written_or_refused() {
     let bytes = write(&acceptor_state());
-    assert_eq!(read(&bytes).expect("it is whole"), acceptor_state());
-    assert!(matches!(read(b"something else"), Err(Unusable::Foreign)));
-    assert!(matches!(read(&[]), Err(Unusable::Foreign)));
-    let mut newer = bytes.clone();
-    newer[4] = 9;
-    assert!(matches!(read(&newer), Err(Unusable::Newer(9))));
+    assert_eq!(decode(&bytes).expect("the file is valid"), acceptor_state());
+    assert!(matches!(
+        decode(b"something else"),
+        Err(LoadError::NotAVoterFile)
+    ));
+    assert!(matches!(decode(&[]), Err(LoadError::NotAVoterFile)));
+    let mut unknown_version = bytes.clone();
+    unknown_version[4] = 9;
+    assert!(matches!(
+        decode(&unknown_version),
+        Err(LoadError::UnknownVersion(9))
+    ));
     for cut in 4..bytes.len() {
-        assert!(read(&bytes[..cut]).is_err(), "cut at {cut}");
+        assert!(
+            decode(&bytes[..cut]).is_err(),
+            "file truncated to {cut} bytes"
+        );
     }
 }
 
 proptest! {
     #[test]
-    fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn decoding_random_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         if let Ok(call) = v1::FleetCall::decode(&bytes[..]) {
             let _ = question_in(call);
         }
         if let Ok(answer) = v1::FleetAnswer::decode(&bytes[..]) {
             let _ = answer_in(answer);
         }
-        let _ = read(&bytes);
+        let _ = decode(&bytes);
     }
 
     #[test]
-    fn a_flipped_bit_is_noticed(at in 5usize..200, bit in 0u8..8) {
+    fn a_file_with_a_flipped_bit_is_refused(at in 5usize..200, bit in 0u8..8) {
         let mut bytes = write(&acceptor_state());
         let at = at % bytes.len();
         prop_assume!(at >= 5);
         bytes[at] ^= 1 << bit;
-        prop_assert!(read(&bytes).is_err());
+        prop_assert!(decode(&bytes).is_err());
     }
 }
--- a/crates/fleet/tests/driver.rs
+++ b/crates/fleet/tests/driver.rs
@@ -1,14 +1,16 @@
-//! Three members with their drivers, on connections and files in memory and a paused clock. They elect a membership
-//! leader and keep it. A disk that is full silences its voter alone, and with two full disks no lease is renewed.
-//! Members of another fleet, noise and messages that say nothing are refused, and the fleet goes on.
+//! Tests of three members with their drivers, with connections and files in memory and a paused clock.
+//!
+//! The members elect a membership leader and keep it. A full disk stops only its own voter from answering; with two
+//! full disks no lease is renewed. Members of another fleet, bytes that are not the protocol and requests without
+//! content are refused, and the fleet goes on.
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
     Answer, FleetSettings, LocalHealth, OperatorRequest, Question, Reply,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
-use cindercleat_fleet::acceptor_storage::Memory as File;
-use cindercleat_fleet::admin_client::{ask, order};
+use cindercleat_fleet::acceptor_storage::MemoryFile;
+use cindercleat_fleet::admin_client::{send_operator_request, send_request};
 use cindercleat_fleet::{Dispatcher, Driver};
 use cindercleat_grpc::{connect, Event, Setup};
 use cindercleat_net::{Clock, Memory, TokioClock, Transport};
@@ -18,17 +20,17 @@
 use tokio::io::AsyncWriteExt;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-type Member = Driver<Memory, TokioClock, File>;
+type Member = Driver<Memory, TokioClock, MemoryFile>;
 
 struct Net {
     memory: Memory,
     clock: TokioClock,
-    files: Vec<File>,
+    files: Vec<MemoryFile>,
     members: Vec<Member>,
     drivers: Vec<JoinHandle<()>>,
 }
 
-fn settings(fleet: &str, at: usize) -> FleetSettings {
+fn settings(fleet: &str, index: usize) -> FleetSettings {
     let voter = |n: usize| {
         (
             Name::from(format!("d{n}").as_str()),
@@ -37,13 +39,13 @@
     };
     FleetSettings {
         fleet: fleet.to_owned(),
-        me: voter(at).0,
-        incarnation: Incarnation(100 + at as u64),
-        address: voter(at).1,
+        me: voter(index).0,
+        incarnation: Incarnation(100 + index as u64),
+        address: voter(index).1,
         zone: "z".to_owned(),
         label: "v1".to_owned(),
         voters: (0..3).map(voter).collect(),
-        may_vote: at < 3,
+        may_vote: index < 3,
         lease: LeaseSettings {
             lease: 1000.0,
             drift: 0.01,
@@ -55,7 +57,7 @@
         report_interval: 200.0,
         bounds: Default::default(),
         keeper: None,
-        seed: at as u64,
+        seed: index as u64,
     }
 }
 
@@ -75,10 +77,10 @@
 }
 
 impl Net {
-    async fn start(&mut self, fleet: &str, at: usize, file: File) -> Member {
+    async fn start(&mut self, fleet: &str, index: usize, file: MemoryFile) -> Member {
         let dispatcher = Rc::new(ReadyDispatcher);
         let member = Driver::new(
-            settings(fleet, at),
+            settings(fleet, index),
             self.memory.clone(),
             self.clock,
             Some(file),
@@ -86,13 +88,13 @@
         );
         let listener = self
             .memory
-            .listen(&format!("at-{at}"))
+            .listen(&format!("at-{index}"))
             .await
-            .expect("a name");
-        let running = member.clone();
-        self.drivers.push(spawn_local(async move {
-            running.run(listener, pending()).await
-        }));
+            .expect("the address is free");
+        let driver = member.clone();
+        self.drivers.push(spawn_local(
+            async move { driver.run(listener, pending()).await },
+        ));
         member
     }
 
@@ -100,18 +102,22 @@
         self.clock.sleep_until(self.clock.now() + ms).await;
     }
 
+    /// How many members hold a lease.
     fn holders(&self) -> usize {
-        self.members.iter().filter(|m| !m.held().is_empty()).count()
+        self.members
+            .iter()
+            .filter(|member| !member.held().is_empty())
+            .count()
     }
 }
 
-/// Runs a test with three members that vote, once one of them is the membership leader.
+/// Starts three voting members and runs a test once one of them is the membership leader.
 fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+    LocalSet::new().block_on(&runtime.expect("the runtime starts"), async {
         let (memory, clock) = (Memory::default(), TokioClock::starting_at(1e6));
         let files = Vec::new();
         let mut net = Net {
@@ -121,10 +127,10 @@
             members: Vec::new(),
             drivers: Vec::new(),
         };
-        for at in 0..3 {
-            net.files.push(File::default());
-            let file = net.files[at].clone();
-            let member = net.start("fleet", at, file).await;
+        for index in 0..3 {
+            net.files.push(MemoryFile::default());
+            let file = net.files[index].clone();
+            let member = net.start("fleet", index, file).await;
             net.members.push(member);
         }
         net.wait(2_000.0).await;
@@ -134,9 +140,9 @@
 }
 
 #[test]
-fn three_members_agree_who_calls_the_roll_and_tell_operators() {
+fn three_members_elect_one_leader_and_answer_operators() {
     run(|net| async move {
-        let reply = order(
+        let reply = send_operator_request(
             &net.memory,
             &net.clock,
             "at-1",
@@ -144,67 +150,81 @@
             900.0,
         )
         .await
-        .expect("it answers");
+        .expect("the member answers");
         let Reply::Status(status) = reply else {
             panic!("{reply:?}")
         };
         assert!(
-            status.majority && status.voters.iter().all(|v| v.votes),
+            status.majority && status.voters.iter().all(|voter| voter.votes),
             "{status:?}"
         );
         assert_eq!(status.leases.len(), 1);
         net.wait(20_000.0).await;
         assert_eq!(net.holders(), 1);
-        let lost = |m: &Member| m.counts().get("leases over").copied().unwrap_or_default();
-        assert_eq!(net.members.iter().map(lost).sum::<u64>(), 0);
+        let expired_leases = |member: &Member| {
+            member
+                .counts()
+                .get("leases over")
+                .copied()
+                .unwrap_or_default()
+        };
+        assert_eq!(net.members.iter().map(expired_leases).sum::<u64>(), 0);
     });
 }
 
 #[test]
-fn a_full_disk_keeps_a_voter_silent_and_the_others_agree() {
+fn with_one_full_disk_the_other_two_voters_choose_commands() {
     run(|net| async move {
-        net.files[0].fail(true);
-        let hold = OperatorRequest::HoldLease {
+        net.files[0].fail_writes(true);
+        let request = OperatorRequest::HoldLease {
             lease_name: LeaseName::from("job"),
             job: 7,
         };
         let mut held = false;
         for _ in 0..20 {
-            let reply = order(&net.memory, &net.clock, "at-1", &hold, 900.0)
+            let reply = send_operator_request(&net.memory, &net.clock, "at-1", &request, 900.0)
                 .await
-                .expect("it answers");
+                .expect("the member answers");
             held |= matches!(reply, Reply::Holds { term: Some(_), .. });
             net.wait(50.0).await;
         }
-        assert!(held, "two of three are a majority");
+        assert!(held, "two of three voters are a majority");
         assert!(net.members[0].counts()["saves failed"] >= 1);
-        // With two disks full no command is chosen.
-        net.files[1].fail(true);
+        // With two full disks no majority accepts a command.
+        net.files[1].fail_writes(true);
         net.wait(3_000.0).await;
         assert_eq!(net.holders(), 0, "no lease is renewed");
-        net.files[0].fail(false);
+        net.files[0].fail_writes(false);
         net.wait(4_000.0).await;
         assert!(net.holders() >= 1);
     });
 }
 
 #[test]
-fn strangers_and_noise_are_dropped_and_counted() {
+fn other_fleets_and_invalid_messages_are_dropped_and_counted() {
     run(|mut net| async move {
-        // A dispatcher of another fleet at a known address.
-        let stranger = net.start("other", 7, File::default()).await;
+        // A dispatcher of another fleet has this fleet's voters in its settings.
+        let outsider = net.start("other", 7, MemoryFile::default()).await;
         net.wait(2_000.0).await;
-        assert!(stranger.held().is_empty());
+        assert!(outsider.held().is_empty());
         let dropped = || net.members.iter().map(Driver::dropped).sum::<u64>();
-        let strange = dropped();
-        assert!(strange >= 1, "it was refused");
-        // Bytes that are nothing, and a call that says nothing.
-        let mut noise = net.memory.connect("at-0").await.expect("it listens");
-        noise
+        let dropped_before = dropped();
+        assert!(dropped_before >= 1, "the other fleet's member was refused");
+        // Bytes that are not the protocol, and a call without a question.
+        let mut connection = net
+            .memory
+            .connect("at-0")
+            .await
+            .expect("the member listens");
+        connection
             .write_all(b"noise and nothing else, of some length\r\n\r\n")
             .await
-            .expect("taken");
-        let io = net.memory.connect("at-0").await.expect("it listens");
+            .expect("the bytes are sent");
+        let io = net
+            .memory
+            .connect("at-0")
+            .await
+            .expect("the member listens");
         let setup = Setup {
             party: v1::Party::Client,
             name: "x".to_owned(),
@@ -215,7 +235,7 @@
         };
         let mut session = connect(io, v1::Party::Fleet, setup)
             .await
-            .expect("it greets");
+            .expect("the member greets");
         session
             .out
             .send(frame(1, Body::FleetCall(v1::FleetCall { question: None })));
@@ -231,9 +251,13 @@
             "{answer:?}"
         );
         net.wait(2_000.0).await;
-        assert!(dropped() >= strange + 2, "{} and {strange}", dropped());
-        assert_eq!(net.holders(), 1, "it goes on");
-        let answer = ask(
+        assert!(
+            dropped() >= dropped_before + 2,
+            "dropped {} after {dropped_before}",
+            dropped()
+        );
+        assert_eq!(net.holders(), 1, "the leader keeps its lease");
+        let answer = send_request(
             &net.memory,
             &net.clock,
             "at-0",
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -1,12 +1,13 @@
-//! A job of the operators runs under a lease, beside three members on connections in memory and a paused clock. Then
-//! the voters' disks become slow. A renewal that is lost once, or disks that are always slow but answer in time, must
-//! not end the work. When nothing renews the lease any more, the work must end before the lease is over: after that
-//! another process may hold the lease, and the same work would run twice.
+//! Tests of an operator's job under a lease, with three members, connections in memory and a paused clock.
+//!
+//! The voters' disks become slow. One lost renewal, or disks that are always slow but answer in time, must not end the
+//! work. When the lease is not renewed any more, the work has to end before the lease expires: after that another
+//! process may hold the lease, and the same work would run twice.
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{FleetSettings, LocalHealth};
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
-use cindercleat_fleet::acceptor_storage::{Disk, Memory as File};
+use cindercleat_fleet::acceptor_storage::{FileStore, MemoryFile};
 use cindercleat_fleet::job::{Ended, Job, Work};
 use cindercleat_fleet::{Dispatcher, Driver};
 use cindercleat_net::{Clock, Memory, TokioClock, Transport};
@@ -17,18 +18,18 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, LocalSet};
 
-const LEASE: f64 = 1000.0;
-const ANSWER_WITHIN: f64 = 100.0;
+const LEASE_MS: f64 = 1000.0;
+const ANSWER_TIMEOUT_MS: f64 = 100.0;
 
-/// A file whose writes take as long as the test says.
+/// A file in memory whose writes take `write_takes` milliseconds.
 #[derive(Clone)]
 struct SlowDisk {
-    file: File,
+    file: MemoryFile,
     clock: TokioClock,
     write_takes: Rc<Cell<f64>>,
 }
 
-impl Disk for SlowDisk {
+impl FileStore for SlowDisk {
     fn read(&self) -> io::Result<Option<Vec<u8>>> {
         self.file.read()
     }
@@ -56,15 +57,17 @@
     fn has_turn(&self, _: u64, _: &str) {}
 }
 
-/// Work that goes on until it is ended, and notes when that was.
+/// Work that runs until the job ends it.
 #[derive(Default)]
-struct Endless {
+struct EndlessWork {
+    /// The terms in which the work was started.
     begun: Rc<RefCell<Vec<Term>>>,
     begins: Rc<Notify>,
+    /// The time by which the work was told to end.
     ended_by: Rc<Cell<Option<f64>>>,
 }
 
-impl Work for Endless {
+impl Work for EndlessWork {
     fn begin(&mut self, term: Term) -> io::Result<()> {
         self.begun.borrow_mut().push(term);
         self.begins.notify_one();
@@ -89,7 +92,7 @@
     write_takes: Rc<Cell<f64>>,
 }
 
-fn settings(at: usize) -> FleetSettings {
+fn settings(index: usize) -> FleetSettings {
     let voter = |n: usize| {
         (
             Name::from(format!("d{n}").as_str()),
@@ -98,49 +101,49 @@
     };
     FleetSettings {
         fleet: "fleet".to_owned(),
-        me: voter(at).0,
-        incarnation: Incarnation(100 + at as u64),
-        address: voter(at).1,
+        me: voter(index).0,
+        incarnation: Incarnation(100 + index as u64),
+        address: voter(index).1,
         zone: "z".to_owned(),
         label: "v1".to_owned(),
         voters: (0..3).map(voter).collect(),
         may_vote: true,
         lease: LeaseSettings {
-            lease: LEASE,
+            lease: LEASE_MS,
             drift: 0.01,
         },
-        answer_within: ANSWER_WITHIN,
+        answer_within: ANSWER_TIMEOUT_MS,
         heartbeat: 200.0,
         preferred_zone: None,
         report_receivers: Vec::new(),
         report_interval: 200.0,
         bounds: Default::default(),
         keeper: None,
-        seed: at as u64,
+        seed: index as u64,
     }
 }
 
-/// Runs a test beside three members that vote.
+/// Starts three voting members and runs a test once they had time to elect a leader.
 fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+    LocalSet::new().block_on(&runtime.expect("the runtime starts"), async {
         let (memory, clock) = (Memory::default(), TokioClock::starting_at(1e6));
         let net = Net {
             memory,
             clock,
             write_takes: Rc::default(),
         };
-        for at in 0..3 {
+        for index in 0..3 {
             let disk = SlowDisk {
-                file: File::default(),
+                file: MemoryFile::default(),
                 clock: net.clock,
                 write_takes: net.write_takes.clone(),
             };
             let member = Driver::new(
-                settings(at),
+                settings(index),
                 net.memory.clone(),
                 net.clock,
                 Some(disk),
@@ -148,9 +151,9 @@
             );
             let listener = net
                 .memory
-                .listen(&format!("at-{at}"))
+                .listen(&format!("at-{index}"))
                 .await
-                .expect("a name");
+                .expect("the address is free");
             spawn_local(async move { member.run(listener, pending()).await });
         }
         net.wait(2_000.0).await;
@@ -163,10 +166,10 @@
         self.clock.sleep_until(self.clock.now() + ms).await;
     }
 
-    /// A job at the first member, once it holds its lease; gives what stops it, and how it ends.
-    async fn job(&self, work: Endless) -> (Rc<Notify>, tokio::task::JoinHandle<Ended>) {
+    /// Starts a job at the first member and returns once its work has begun, with what stops the job and its task.
+    async fn start_job(&self, work: EndlessWork) -> (Rc<Notify>, tokio::task::JoinHandle<Ended>) {
         let (stop, begins) = (Rc::new(Notify::new()), work.begins.clone());
-        let (stopped, memory, clock) = (stop.clone(), self.memory.clone(), self.clock);
+        let (stop_requested, memory, clock) = (stop.clone(), self.memory.clone(), self.clock);
         let job = spawn_local(async move {
             let addresses = ["at-0".to_owned()];
             let lease_name = LeaseName::from("nightly");
@@ -178,9 +181,9 @@
                 number: 7,
             };
             let mut work = work;
-            job.run(&mut work, stopped.notified())
+            job.run(&mut work, stop_requested.notified())
                 .await
-                .expect("its work begins and ends")
+                .expect("the work starts and ends")
         });
         begins.notified().await;
         (stop, job)
@@ -188,67 +191,76 @@
 }
 
 #[test]
-fn a_renewal_that_is_lost_once_does_not_end_the_work_at_whatever_part_of_the_lease() {
+fn one_lost_renewal_at_any_point_of_the_lease_does_not_end_the_work() {
     for part in 0..20 {
         run(|net| async move {
-            let work = Endless::default();
+            let work = EndlessWork::default();
             let (begun, ended_by) = (work.begun.clone(), work.ended_by.clone());
-            let (stop, job) = net.job(work).await;
-            net.wait(LEASE * f64::from(part) / 20.0).await;
-            // One write that comes too late for the proposer: the proposal that needs it is lost, the next is not.
-            net.write_takes.set(1.5 * ANSWER_WITHIN);
-            net.wait(0.5 * ANSWER_WITHIN).await;
+            let (stop, job) = net.start_job(work).await;
+            net.wait(LEASE_MS * f64::from(part) / 20.0).await;
+            // Writes are slower than the proposer's timeout for half a timeout: the proposal that needs them fails, and
+            // the next one succeeds.
+            net.write_takes.set(1.5 * ANSWER_TIMEOUT_MS);
+            net.wait(0.5 * ANSWER_TIMEOUT_MS).await;
             net.write_takes.set(0.0);
-            net.wait(3.0 * LEASE).await;
-            assert_eq!(ended_by.get(), None, "part {part}: the work goes on");
+            net.wait(3.0 * LEASE_MS).await;
+            assert_eq!(
+                ended_by.get(),
+                None,
+                "renewal lost after {part}/20 of the lease: the work goes on"
+            );
             stop.notify_one();
-            assert_eq!(job.await.expect("it ends"), Ended::Stopped, "part {part}");
-            assert_eq!(begun.borrow().len(), 1, "it began once");
+            assert_eq!(
+                job.await.expect("the job ends"),
+                Ended::Stopped,
+                "{part}/20"
+            );
+            assert_eq!(begun.borrow().len(), 1, "the work began once");
         });
     }
 }
 
-/// Two writes of a voter, one behind the other, fit into the time of an answer: though two holders renew their leases at
-/// the same voters, each does so in time, and the work goes on.
+/// Two consecutive writes of a voter fit into the answer timeout. Two holders that renew their leases with the same
+/// voters therefore both succeed in time, and the work goes on.
 #[test]
-fn disks_that_are_slow_for_good_do_not_end_the_work() {
-    for part in [0.1, 0.2, 0.3, 0.4] {
+fn permanently_slow_disks_do_not_end_the_work() {
+    for fraction in [0.1, 0.2, 0.3, 0.4] {
         run(|net| async move {
-            let work = Endless::default();
+            let work = EndlessWork::default();
             let ended_by = work.ended_by.clone();
-            let (stop, job) = net.job(work).await;
-            net.write_takes.set(part * ANSWER_WITHIN);
-            net.wait(10.0 * LEASE).await;
+            let (stop, job) = net.start_job(work).await;
+            net.write_takes.set(fraction * ANSWER_TIMEOUT_MS);
+            net.wait(10.0 * LEASE_MS).await;
             assert_eq!(
                 ended_by.get(),
                 None,
-                "writes that take {part} of an answer's time: the work goes on"
+                "writes take {fraction} of the answer timeout: the work goes on"
             );
             stop.notify_one();
-            assert_eq!(job.await.expect("it ends"), Ended::Stopped);
+            assert_eq!(job.await.expect("the job ends"), Ended::Stopped);
         });
     }
 }
 
 #[test]
-fn work_is_ended_before_its_lease_is_over_when_nothing_renews_it() {
+fn work_ends_before_its_lease_expires_if_the_lease_is_not_renewed() {
     run(|net| async move {
-        let work = Endless::default();
+        let work = EndlessWork::default();
         let ended_by = work.ended_by.clone();
-        let (_, job) = net.job(work).await;
+        let (_, job) = net.start_job(work).await;
         net.write_takes.set(f64::from(u32::MAX));
-        let silent_since = net.clock.now();
-        let ended = job.await.expect("it ends");
+        let disks_stopped_at = net.clock.now();
+        let ended = job.await.expect("the job ends");
         assert!(matches!(ended, Ended::Lost(_)), "{ended:?}");
-        let lost_after = net.clock.now() - silent_since;
+        let lost_after = net.clock.now() - disks_stopped_at;
         assert!(
-            lost_after < 0.99 * LEASE,
-            "told to end while the lease lasts: {lost_after}"
+            lost_after < 0.99 * LEASE_MS,
+            "the work is told to end {lost_after} ms after the disks stopped, before the lease expires"
         );
-        let by = ended_by.get().expect("the work was ended") - silent_since;
+        let killed_after = ended_by.get().expect("the work was ended") - disks_stopped_at;
         assert!(
-            by > lost_after && by < 0.99 * LEASE,
-            "and killed while it lasts: {by}"
+            killed_after > lost_after && killed_after < 0.99 * LEASE_MS,
+            "the work is killed {killed_after} ms after the disks stopped, before the lease expires"
         );
     });
 }
--- a/crates/fleet/tests/stored_bytes.rs
+++ b/crates/fleet/tests/stored_bytes.rs
@@ -1,7 +1,9 @@
-//! A dispatcher is replaced by a newer version while its acceptor's file stays. If the newer version read the file as
-//! another state, or refused it, the voter would forget what it promised, and a fleet that is updated member by
-//! member could choose two values or lose its quorum. So the bytes of a file with every field set stand here as an
-//! earlier version wrote them, and have to be read as the state that was stored and to be written again as they are.
+//! Compatibility test of the acceptor's file, which stays when a dispatcher is replaced by a newer version.
+//!
+//! If the newer version decoded the file as another state, or refused it, the voter would forget what it promised. A
+//! fleet that is updated member by member could then choose two values or lose its quorum. The bytes below are a file
+//! with every field set, as an earlier version wrote it: they have to be decoded as the stored state, and the state has
+//! to be written as the same bytes.
 
 use cindercleat::coordination::disruption_budget::{DisruptionBudget, MaxUnavailable, UnitKind};
 use cindercleat::coordination::register::{AcceptorState, Ballot, WriteCounts};
@@ -12,10 +14,10 @@
     LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
-use cindercleat_fleet::acceptor_storage::{read, write};
+use cindercleat_fleet::acceptor_storage::{decode, write};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The file's bytes in hexadecimal.
+/// A file written by an earlier version, in hexadecimal.
 const STORED: &str = "\
 63637674012603ebaf0a0161100b1a47080112150a0161100b1a0e612e6578616d706c653a3730303012150a0162100c1a0e\
 622e6578616d706c653a3730303012150a0163100d1a0e632e6578616d706c653a37303030220c080e120163188080808080\
@@ -36,8 +38,8 @@
 fn stored_bytes() -> Vec<u8> {
     let digits = STORED.as_bytes().chunks(2);
     let byte = |digits: &[u8]| {
-        let digits = std::str::from_utf8(digits).expect("text");
-        u8::from_str_radix(digits, 16).expect("hexadecimal digits")
+        let digits = std::str::from_utf8(digits).expect("the digits are ASCII");
+        u8::from_str_radix(digits, 16).expect("the digits are hexadecimal")
     };
     digits.map(byte).collect()
 }
@@ -85,7 +87,7 @@
         },
         next: None,
     };
-    let given_up = LeaseRecord {
+    let resigned = LeaseRecord {
         term: Term(5),
         holder: None,
         renewed: 1,
@@ -98,14 +100,14 @@
     };
     BTreeMap::from([
         (LeaseName::from("roll-call"), held),
-        (LeaseName::from("backup"), given_up),
+        (LeaseName::from("backup"), resigned),
     ])
 }
 
 fn budget() -> DisruptionBudget {
-    let limit = |number| MaxUnavailable {
-        count: number,
-        per_mille: 10 * number,
+    let limit = |count| MaxUnavailable {
+        count,
+        per_mille: 10 * count,
     };
     DisruptionBudget {
         fleet: limit(21),
@@ -155,7 +157,7 @@
 }
 
 fn permits() -> BTreeMap<PermitId, DisruptionPermit> {
-    let of_an_engine = DisruptionPermit {
+    let engine_permit = DisruptionPermit {
         unit_kind: UnitKind::Engines,
         unit: Name::from("e1"),
         incarnation: Incarnation(9),
@@ -165,7 +167,7 @@
         permanent: true,
         planned: true,
     };
-    let of_a_dispatcher = DisruptionPermit {
+    let dispatcher_permit = DisruptionPermit {
         unit_kind: UnitKind::Dispatchers,
         unit: Name::from("b"),
         incarnation: Incarnation(10),
@@ -176,8 +178,8 @@
         planned: false,
     };
     BTreeMap::from([
-        (PermitId(11), of_a_dispatcher),
-        (PermitId(12), of_an_engine),
+        (PermitId(11), dispatcher_permit),
+        (PermitId(12), engine_permit),
     ])
 }
 
@@ -218,12 +220,12 @@
 }
 
 #[test]
-fn an_earlier_versions_file_is_read_as_the_state_that_was_stored() {
-    let state = read(&stored_bytes()).expect("the file is whole");
+fn an_earlier_versions_file_is_decoded_as_the_stored_state() {
+    let state = decode(&stored_bytes()).expect("the file is valid");
     assert_eq!(state, stored_state());
 }
 
 #[test]
-fn a_state_is_written_as_an_earlier_version_wrote_it() {
+fn a_state_is_written_as_the_bytes_of_an_earlier_version() {
     assert_eq!(write(&stored_state()), stored_bytes());
 }
--- a/src/coordination/job_lease.rs
+++ b/src/coordination/job_lease.rs
@@ -1,29 +1,31 @@
-//! The lease of a job outside of the dispatchers: until when the job surely holds it, when it asks for it again, and
-//! when it has to end because the lease was not renewed.
+//! The lease of a job outside of the dispatchers: until when the job certainly holds the lease, when the job asks for
+//! the lease again, and when the work has to end because the lease was not renewed.
 //!
-//! The dispatcher beside which the job runs renews the lease; the job only asks how much of it is left. Like the rest
-//! of [`coordination`](crate::coordination) this does no I/O and reads no clock.
+//! A dispatcher acquires and renews the lease for the job; the job only asks how much of the lease is left. Like the
+//! rest of [`coordination`](crate::coordination) this module does no I/O and reads no clock.
 
 use super::Term;
 use crate::interface::Ms;
 
-/// While the lease is held the job asks for it again after this fraction of it, but at least this often.
-const ASK_AGAIN_FRACTION: f64 = 1.0 / 16.0;
-const LONGEST_ASK_INTERVAL_MS: Ms = 50.0;
-/// An answer is waited for during this fraction of the lease.
+/// The time between two requests for a lease that is held, as a fraction of the lease duration.
+const ASK_INTERVAL_FRACTION: f64 = 1.0 / 16.0;
+/// The longest time between two requests for a lease that is held.
+const MAX_ASK_INTERVAL_MS: Ms = 50.0;
+/// How long an answer is awaited, as a fraction of the lease duration.
 const ANSWER_TIMEOUT_FRACTION: f64 = 0.25;
-/// The work is told to end when this fraction of the lease is left, and killed when the second is. A lease is renewed
-/// from a third of its time on, and a proposal that the voters do not answer in time costs up to a fifth: one such
-/// proposal, and the next that succeeds, fit in before.
+/// The work is told to end when this fraction of the lease is left. Dispatchers begin to renew a lease after a third of
+/// its duration, and a proposal that the voters do not answer in time takes up to a fifth: one failed proposal and the
+/// next, successful one fit in before.
 const END_FRACTION: f64 = 0.25;
+/// Work that still runs is killed when this fraction of the lease is left.
 const KILL_FRACTION: f64 = 0.1;
 
-/// The lease of a job, as the job counts it. All times are in milliseconds on the job's clock.
+/// The lease of a job, counted on the job's own clock. All times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobLease {
     term: Term,
     expires_at: Ms,
-    /// The longest that was ever left: the whole lease, as far as the job can tell.
+    /// The longest remaining time that any answer stated: the closest known value to the whole lease duration.
     duration: Ms,
 }
 
@@ -32,9 +34,9 @@
 pub struct TermChanged;
 
 impl JobLease {
-    /// A lease that was asked for at `asked_at`, of which the answer says that `left` is left.
+    /// A lease that was requested at `asked_at` and of which `left` remains according to the answer.
     ///
-    /// Guards against an answer that was long under way: what is left counts from before the job asked.
+    /// Guards against a delayed answer: the remaining time counts from when the job sent its request.
     pub fn new(term: Term, asked_at: Ms, left: Ms) -> Self {
         JobLease {
             term,
@@ -43,15 +45,15 @@
         }
     }
 
-    /// The term in which it is held.
+    /// The term in which the job's lease is held; a renewal does not change it.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Takes a later answer in, to a request at `asked_at`.
+    /// Extends the lease by the answer to a later request, sent at `asked_at`, of which `left` remains.
     ///
     /// # Errors
-    /// The lease is held in another term.
+    /// [`TermChanged`] if the answer names another term; the lease is left as it was.
     pub fn renew(&mut self, term: Term, asked_at: Ms, left: Ms) -> Result<(), TermChanged> {
         if term != self.term {
             return Err(TermChanged);
@@ -61,28 +63,28 @@
         Ok(())
     }
 
-    /// How long an answer is waited for.
-    pub fn answer_within(&self) -> Ms {
+    /// How long the answer to a request for the lease is awaited.
+    pub fn answer_timeout(&self) -> Ms {
         ANSWER_TIMEOUT_FRACTION * self.duration
     }
 
-    /// How long after an answer the lease is asked for again.
-    pub fn ask_again_after(&self) -> Ms {
-        (ASK_AGAIN_FRACTION * self.duration).min(LONGEST_ASK_INTERVAL_MS)
+    /// The time from an answer to the next request for the lease.
+    pub fn ask_interval(&self) -> Ms {
+        (ASK_INTERVAL_FRACTION * self.duration).min(MAX_ASK_INTERVAL_MS)
     }
 
-    /// Whether the work has to end, as too little is left.
+    /// Whether so little of the lease is left that the work has to end.
     pub fn is_running_out(&self, now: Ms) -> bool {
         self.expires_at - now < END_FRACTION * self.duration
     }
 
-    /// When the work is killed, if it has not ended by itself.
+    /// When work that was told to end and still runs is killed.
     pub fn kill_at(&self) -> Ms {
         self.expires_at - KILL_FRACTION * self.duration
     }
 
-    /// When the lease is over.
-    pub fn until(&self) -> Ms {
+    /// When the lease expires.
+    pub fn expires_at(&self) -> Ms {
         self.expires_at
     }
 }
