--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -1,57 +1,57 @@
-//! Faults that tests inject, one at a time and for one thread, to see that the checks find them. Without the feature
-//! `fault-injection` there are none, and nothing is looked up.
+//! Deliberate faults that tests inject to verify that the checks detect them, one at a time and per thread. Without the
+//! feature `fault-injection` no fault is ever injected, and [`is_injected`] is a constant.
 
-/// A guard that is left out.
+/// A protection that is switched off while the fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// An acceptor answers before the state that the answer states is durable.
+    /// An acceptor answers before the state that its answer reports is durable.
     AnswerBeforeDurable,
-    /// A process that starts again uses the ballots of the one before.
+    /// A restarted process uses the same ballots as the process before it.
     BallotReused,
-    /// A lease counts from the answer, not from before it was requested.
+    /// A holder counts its lease from the answer instead of from its request.
     LeaseCountedFromAnswer,
-    /// A lease is acquired before its holder's lease is over.
+    /// A contender acquires a lease before the holder's lease has expired.
     LeaseTakenEarly,
-    /// The term stays when the holder changes.
+    /// The term of a lease stays the same when its holder changes.
     TermNotIncremented,
     /// A receiver executes commands of an older term.
     StaleTermExecuted,
-    /// A receiver that has just started executes a command without its own timestamp.
+    /// A receiver that has just started executes a command that carries no timestamp of its process.
     TimestampNotRequired,
-    /// The voters are changed while a change is not finished, without a majority of those before it.
+    /// The voters are changed while an earlier change is unfinished, without a majority of the voters before it.
     ConcurrentVoterChanges,
-    /// A holder acts without a look at what is left of its lease.
+    /// A holder acts without checking whether its lease has expired.
     LeaseEndIgnored,
-    /// An acceptor accepts a value of a lower ballot than it promised.
+    /// An acceptor accepts a value whose ballot is lower than the ballot that it promised.
     PromiseBroken,
-    /// A proposer proposes a value of its own in place of the one that was accepted.
+    /// A proposer ignores the accepted value and proposes a new one.
     AcceptedValueIgnored,
-    /// A voter that lost its file votes under its old identity.
+    /// A voter that lost its file still votes under its former identity.
     FileLossIgnored,
-    /// A contender counts the time that it slept as waited.
+    /// A contender counts time during which its process was suspended as waited.
     SleepCountedAsWait,
-    /// A clock that was set back leaves leases and timestamps as they were.
+    /// Leases and timestamps stay valid after the clock was set back.
     ClockStepBackIgnored,
-    /// A permit is sent before it is chosen.
+    /// A permit is sent to its unit before the voters have chosen it.
     ToldBeforeAgreed,
-    /// A permit that was issued and not acknowledged is issued for another unit.
+    /// A permit that was issued but not acknowledged is issued again for another unit.
     TurnTwice,
     /// Failed units do not count as unavailable.
     FailuresUncounted,
-    /// The membership leader alone knows of a halt; it is not in the replicated state.
+    /// A halt is known to the membership leader only and not stored in the replicated state.
     HaltByHolderAlone,
-    /// A new membership leader issues permits as if none were issued.
+    /// A new membership leader issues permits as if no permits had been issued before.
     BeginsAnew,
-    /// The disruption budget does not count during a rollback.
+    /// The disruption budget is not enforced during a rollback.
     BackUnbound,
-    /// An outdated report of load counts as room.
+    /// An outdated load report counts as spare capacity.
     OldReportTaken,
-    /// A disruption counts as over whatever label its unit comes back under.
+    /// A disruption counts as over even if the unit returns under another label than the permitted one.
     LabelUnchecked,
 }
 
 impl InjectedFault {
-    /// Faults of the replicated state, leases and fencing.
+    /// Faults in the replicated state, leases and fencing.
     pub const ALL: [InjectedFault; 14] = [
         InjectedFault::AnswerBeforeDurable,
         InjectedFault::BallotReused,
@@ -69,7 +69,7 @@
         InjectedFault::ClockStepBackIgnored,
     ];
 
-    /// Faults of disruptions and rollouts.
+    /// Faults in disruption permits and rollouts.
     pub const OF_RELEASES: [InjectedFault; 8] = [
         InjectedFault::ToldBeforeAgreed,
         InjectedFault::TurnTwice,
@@ -87,19 +87,19 @@
     static INJECTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Injects a fault into all that this thread runs, or removes it.
+/// Injects a fault into the calling thread in place of the previous one; `None` removes it.
 #[cfg(feature = "fault-injection")]
 pub fn inject(fault: Option<InjectedFault>) {
     INJECTED.set(fault);
 }
 
-/// Whether a fault is injected into what this thread runs.
+/// Whether a fault is injected into the calling thread.
 #[cfg(feature = "fault-injection")]
 pub fn is_injected(fault: InjectedFault) -> bool {
     INJECTED.get() == Some(fault)
 }
 
-/// Whether a fault is injected: never, without the feature.
+/// Whether a fault is injected; always false without the feature `fault-injection`.
 #[cfg(not(feature = "fault-injection"))]
 pub const fn is_injected(_: InjectedFault) -> bool {
     false
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -1,15 +1,15 @@
 //! Commands of a lease holder, executed only while their sender holds the lease.
 //!
-//! Guards against a former holder that was stopped, or whose messages were long under way, and that acts beside its
-//! successor. It shows as a command of an older term, or as one that arrives after its sender's lease. Two checks
-//! keep it out:
+//! Guards against a former holder that acts beside its successor, because its process was suspended or its messages
+//! were delayed. Such a command has an older term, or arrives after its sender's lease has expired. Two checks refuse
+//! it:
 //!
-//! - The term is a fencing token: a receiver that has executed a command of a newer term executes none of an older.
-//! - That alone does not help at a receiver that heard nothing of the successor yet. So a command carries a
-//!   timestamp of the receiver's own clock, given with its last answer, and how long after it the sender's lease
-//!   surely lasts. The sender got the timestamp after it was given, so the receiver's count ends before the lease
-//!   does, however long the command was under way. A receiver that has just started knows no timestamp of an earlier
-//!   process and asks for the command again.
+//! - The term is a fencing token: a receiver that has executed a command of a newer term executes none of an older one.
+//! - The term alone does not help at a receiver that has not heard from the successor yet. A command therefore carries
+//!   a timestamp of the receiver's own clock, which the receiver sent with its last answer, and for how long after that
+//!   timestamp the sender's lease certainly lasts. The sender received the timestamp after it was taken, so the
+//!   receiver's count ends before the lease does, however long the command was delayed. A receiver that has just
+//!   started does not recognize timestamps of an earlier process, and asks for the command to be sent again.
 
 use super::fault_injection::{is_injected, InjectedFault};
 use super::state::LeaseHolder;
@@ -17,70 +17,71 @@
 use crate::interface::Ms;
 use std::collections::BTreeMap;
 
-/// A moment of a receiver's clock.
+/// A time of a receiver's clock, which is meaningful to that receiver's process only.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceiverTimestamp {
-    /// The receiver's process.
+    /// The process whose clock was read.
     pub incarnation: Incarnation,
-    /// Its clock, in milliseconds.
+    /// The reading of that clock, in milliseconds.
     pub at: Ms,
 }
 
-/// A command of a lease holder.
+/// A command that a lease holder sends to a receiver, with what the receiver needs to check the lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FencedCommand {
-    /// The lease under which it is given.
+    /// The lease that entitles the sender to the command.
     pub lease_name: LeaseName,
-    /// The term of the lease.
+    /// The term in which the sender holds the lease.
     pub term: Term,
-    /// The sender.
+    /// The process that sends the command.
     pub holder: LeaseHolder,
-    /// Counts the sender's commands.
+    /// A number that grows with each command of the sender, so that receivers can tell duplicates.
     pub number: u64,
-    /// The timestamp that the receiver gave last, if the sender has one.
+    /// The newest timestamp that the sender has from this receiver; `None` before the receiver's first answer.
     pub receiver_timestamp: Option<ReceiverTimestamp>,
-    /// How long after that timestamp the sender's lease lasts, in milliseconds.
+    /// For how long after that timestamp the sender's lease certainly lasts, in milliseconds.
     pub good_for: Ms,
-    /// What the command says.
+    /// The content of the command, which fencing does not interpret.
     pub body: Vec<u8>,
 }
 
-/// Whether a command is executed, or why not.
+/// A receiver's decision whether to execute a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FencingDecision {
-    /// It is executed.
+    /// The command is executed.
     Executed,
-    /// A command of a newer term was executed here.
+    /// Refused: this receiver has executed a command of a newer term.
     StaleTerm,
-    /// It, or one that was sent after it, was executed before.
+    /// Refused: this receiver has already executed this command or a later one of the same sender.
     Duplicate,
-    /// It has no timestamp of this process: it is to be sent again with the one that comes with this answer.
+    /// Refused: the command carries no timestamp of this process. The sender may send the command again with the
+    /// timestamp in this answer.
     TimestampMissing,
-    /// The sender's lease is over, or may be.
+    /// Refused: the sender's lease may have expired.
     LeaseExpired,
 }
 
-/// A receiver of commands.
+/// Decides which commands are executed; one per receiving process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Receiver {
     incarnation: Incarnation,
-    /// The term and the number of the last command under each lease.
-    last: BTreeMap<LeaseName, (Term, u64)>,
+    /// The term and the number of the last command executed under each lease.
+    last_executed: BTreeMap<LeaseName, (Term, u64)>,
     drift: f64,
 }
 
 impl Receiver {
-    /// A receiver that has executed nothing yet. `drift` is the fraction by which the rates of this clock and of a
-    /// sender's may differ.
+    /// A receiver that has not executed any command. `drift` is the largest fraction by which the rates of the
+    /// receiver's and a sender's clocks may differ.
     pub fn new(incarnation: Incarnation, drift: f64) -> Self {
         Receiver {
             incarnation,
-            last: BTreeMap::new(),
+            last_executed: BTreeMap::new(),
             drift,
         }
     }
 
-    /// The timestamp to send with an answer; `now` in milliseconds.
+    /// The timestamp to send with an answer at `now`, in milliseconds.
     pub fn receiver_timestamp(&self, now: Ms) -> ReceiverTimestamp {
         ReceiverTimestamp {
             incarnation: self.incarnation,
@@ -88,16 +89,16 @@
         }
     }
 
-    /// Decides whether a command is to be executed at `now`, in milliseconds; if so it counts as executed.
+    /// Decides whether a command is executed at `now`, in milliseconds, and records it as executed if so.
     pub fn receive(&mut self, now: Ms, command: &FencedCommand) -> FencingDecision {
-        let last = self.last.get(&command.lease_name).copied();
+        let last = self.last_executed.get(&command.lease_name).copied();
         let last = last.unwrap_or_default();
         let decision = match is_injected(InjectedFault::StaleTermExecuted) {
             true => FencingDecision::Executed,
             false => self.decide(now, command, last),
         };
         if decision == FencingDecision::Executed {
-            self.last
+            self.last_executed
                 .insert(command.lease_name.clone(), (command.term, command.number));
         }
         decision
@@ -112,22 +113,22 @@
         }
         let own_timestamp = command
             .receiver_timestamp
-            .filter(|given| given.incarnation == self.incarnation && given.at <= now);
-        let Some(given) = own_timestamp else {
+            .filter(|timestamp| timestamp.incarnation == self.incarnation && timestamp.at <= now);
+        let Some(timestamp) = own_timestamp else {
             let is_first = last == (Term::default(), 0);
             return match is_first && is_injected(InjectedFault::TimestampNotRequired) {
                 true => FencingDecision::Executed,
                 false => FencingDecision::TimestampMissing,
             };
         };
-        if now >= given.at + command.good_for * (1.0 - self.drift) {
+        if now >= timestamp.at + command.good_for * (1.0 - self.drift) {
             return FencingDecision::LeaseExpired;
         }
         FencingDecision::Executed
     }
 
-    /// The clock was set back: timestamps that were given before would make leases seem longer. With another
-    /// incarnation they count as those of another process.
+    /// Invalidates all earlier timestamps after the clock was set back: leases would seem to last longer with them.
+    /// Under a new incarnation earlier timestamps count as those of another process.
     pub fn clock_went_back(&mut self) {
         if !is_injected(InjectedFault::ClockStepBackIgnored) {
             self.incarnation = Incarnation(self.incarnation.0.wrapping_add(1));
@@ -135,25 +136,26 @@
     }
 }
 
-/// What a sender knows of a receiver's clock.
+/// A sender's knowledge of one receiver's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReceiverClock {
-    /// The newest timestamp, and when it came, on the sender's clock in milliseconds.
+    /// The newest timestamp, and when it arrived, on the sender's clock in milliseconds.
     newest: Option<(ReceiverTimestamp, Ms)>,
 }
 
 impl ReceiverClock {
-    /// An answer with a timestamp came at `now`, in milliseconds.
+    /// Records the timestamp of an answer that arrived at `now`, in milliseconds on the sender's clock.
     pub fn answered(&mut self, now: Ms, receiver_timestamp: ReceiverTimestamp) {
         self.newest = Some((receiver_timestamp, now));
     }
 
-    /// The timestamp to send, and for how many milliseconds after it the sender's lease lasts, if that ends at
-    /// `lease_end` on the sender's clock.
+    /// The timestamp to send with a command, and for how many milliseconds after the timestamp a lease lasts that
+    /// expires at `lease_end` on the sender's clock; no timestamp and 0 before the receiver's first answer.
     pub fn good_for(&self, lease_end: Ms) -> (Option<ReceiverTimestamp>, Ms) {
         match self.newest {
-            Some((receiver_timestamp, came_at)) => {
-                (Some(receiver_timestamp), (lease_end - came_at).max(0.0))
+            Some((receiver_timestamp, arrived_at)) => {
+                let good_for = (lease_end - arrived_at).max(0.0);
+                (Some(receiver_timestamp), good_for)
             }
             None => (None, 0.0),
         }
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -1,8 +1,9 @@
-//! When a member holds a lease, and when it may acquire one.
+//! How long a member holds a lease, and when another member may acquire the lease.
 //!
-//! No clock is compared with another's. A holder counts its lease from before it requested it; a contender waits for
-//! a whole lease on its own clock since it last saw the lease's record change; and both allow for clocks that differ
-//! in rate by a stated fraction. So the lease is over at its holder before another member acquires it.
+//! The clocks of different members are never compared. A holder counts its lease from before it requested the lease. A
+//! contender waits for a whole lease duration on its own clock, counted from when it last saw the lease's record
+//! change. Both allow for clock rates that differ by a configured fraction. The lease therefore ends at its holder
+//! before another member acquires it.
 
 use super::fault_injection::{is_injected, InjectedFault};
 use super::state::{LeaseHolder, LeaseRecord, LeaseVersion, ReplicatedState};
@@ -12,53 +13,54 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Times of a fleet's leases.
+/// Durations of a fleet's leases; the same for all members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseSettings {
-    /// The duration of a lease, in milliseconds.
+    /// The duration of a lease, in milliseconds, before the allowance for drift.
     pub lease: Ms,
-    /// The fraction by which the rates of two clocks may differ.
+    /// The largest fraction by which the rates of two members' clocks may differ.
     pub drift: f64,
 }
 
-/// Renewals in the time of a lease: two may fail before it is over.
+/// Renewals per lease duration: two renewals may fail before the lease expires.
 const RENEWALS_PER_LEASE: f64 = 3.0;
-/// The time between two contenders' election delays, as a fraction of a lease.
-const GAP_FRACTION: f64 = 0.05;
-/// Contenders ask for the newest value this often in the time of a lease.
+/// The difference between the election delays of successive ranks, as a fraction of the lease duration.
+const ELECTION_GAP_FRACTION: f64 = 0.05;
+/// How often per lease duration a contender asks a voter for the newest value.
 const QUERIES_PER_LEASE: f64 = 10.0;
-/// The longest step of a contender's clock that counts as waited, in query intervals.
+/// The longest time between two inputs that counts towards a contender's wait, in query intervals.
 const MAX_STEP_QUERIES: f64 = 2.0;
-/// Places among the next holders. A member without one waits for another lease at least.
-pub const PLACES: u32 = 5;
+/// How many members are ranked as possible successors of a holder. Other members wait for at least one more lease
+/// duration.
+pub const RANKED_SUCCESSORS: u32 = 5;
 
 impl LeaseSettings {
-    /// How long a holder counts on a lease after it requested it, in milliseconds.
-    pub fn held_for(&self) -> Ms {
+    /// How long a holder may act under a lease after it requested the lease, in milliseconds.
+    pub fn holding_time(&self) -> Ms {
         self.lease * (1.0 - self.drift)
     }
 
-    /// How long a contender waits for the end of a lease that its holder counts with `lease_ms`, in milliseconds.
+    /// How long a contender waits for a lease whose record states the duration `lease_ms` to expire, in milliseconds.
     pub fn waited_for(&self, lease_ms: u64) -> Ms {
         self.lease.max(lease_ms as f64) * (1.0 + self.drift)
     }
 
-    /// When a lease is renewed, in milliseconds after it was requested.
+    /// The time from a request for a lease to its renewal, in milliseconds.
     pub fn renew_after(&self) -> Ms {
         self.lease / RENEWALS_PER_LEASE
     }
 
-    /// How often a contender asks for the newest value, in milliseconds.
+    /// The time between two queries of a contender for the newest value, in milliseconds.
     pub fn query_interval(&self) -> Ms {
         self.lease / QUERIES_PER_LEASE
     }
 
-    /// The time between the election delays of two places, in milliseconds.
+    /// The difference between the election delays of successive ranks, in milliseconds.
     pub fn gap(&self) -> Ms {
-        self.lease * GAP_FRACTION
+        self.lease * ELECTION_GAP_FRACTION
     }
 
-    /// The duration of a lease in whole milliseconds, rounded up.
+    /// The lease duration as it is stored in lease records: in whole milliseconds, rounded up.
     pub fn lease_ms(&self) -> u64 {
         self.lease.ceil() as u64
     }
@@ -67,19 +69,19 @@
 /// A lease that this member holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeldLease {
-    /// The term in which it is held.
+    /// The fencing token, which commands under this lease carry.
     pub term: Term,
-    /// When the proposal that granted it last began, on this member's clock in milliseconds.
+    /// When the proposal that last granted or renewed the lease began, on this member's clock in milliseconds.
     pub requested_at: Ms,
-    /// When it is over, on this member's clock in milliseconds.
+    /// When the lease expires, on this member's clock in milliseconds.
     pub expires_at: Ms,
 }
 
 impl HeldLease {
     /// A lease that was requested and granted at these times of this member's clock, in milliseconds.
     ///
-    /// Guards against an answer that was long under way: a contender may have waited since the moment at which the
-    /// voters accepted the request, which is after it was sent. So the lease counts from `requested_at`.
+    /// Guards against a delayed answer: a contender's wait may begin as soon as the voters accept the request. The
+    /// lease therefore counts from `requested_at`, which is before that.
     pub fn new(term: Term, requested_at: Ms, granted_at: Ms, settings: &LeaseSettings) -> Self {
         let begins_at = match is_injected(InjectedFault::LeaseCountedFromAnswer) {
             true => granted_at,
@@ -88,35 +90,36 @@
         HeldLease {
             term,
             requested_at,
-            expires_at: begins_at + settings.held_for(),
+            expires_at: begins_at + settings.holding_time(),
         }
     }
 
-    /// What is left of it, in milliseconds; 0 once it is over, whether that was noticed or not.
+    /// The time until the lease expires, in milliseconds; 0 if it has expired, even if nothing has handled that yet.
     pub fn left(&self, now: Ms) -> Ms {
         (self.expires_at - now).max(0.0)
     }
 }
 
-/// A lease that this member is ready to acquire, and what it saw of it.
+/// Tracks a lease that this member may acquire, and how long the lease's record has been unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseObserver {
-    /// The version of the record that was seen last.
+    /// The version of the newest record seen; the default while there is no record.
     version: LeaseVersion,
     record: Option<LeaseRecord>,
-    /// The replicated state was seen, with a record of this lease or without.
+    /// Whether the replicated state was seen, with or without a record of this lease.
     pub has_observed: bool,
-    /// The time since the version was new, as far as it counts, and when it was last counted.
+    /// How much time counts as waited since the version was first seen, in milliseconds.
     waited: Ms,
+    /// Up to when `waited` is counted.
     counted_at: Ms,
-    /// Drawn for each version, 0 to 1: contenders do not come at the same moment.
+    /// Drawn anew for each version, 0 to 1, so that contenders do not propose at the same moment.
     jitter: f64,
-    /// This member's place among the next holders, if it has one.
+    /// This member's rank among the possible successors, as the membership leader told it; `None` if it is not ranked.
     pub place: Option<u32>,
 }
 
 impl LeaseObserver {
-    /// An observer that has not seen the replicated state yet.
+    /// An observer that has not seen the replicated state yet, and whose wait begins at `now` in milliseconds.
     pub fn new(now: Ms, rng: &mut WyRand) -> Self {
         LeaseObserver {
             version: LeaseVersion::default(),
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Takes the lease's record of the newest value in. The waiting begins anew with each change of it.
+    /// Shows the observer the lease's record in the newest value. The wait begins anew with each change of the record.
     pub fn observe(&mut self, now: Ms, record: Option<&LeaseRecord>, rng: &mut WyRand) {
         let version = record.map(LeaseRecord::version).unwrap_or_default();
         if self.has_observed && version == self.version {
@@ -145,30 +148,32 @@
 
     /// Counts the time since the last call as waited.
     ///
-    /// Guards against a contender that was stopped or whose clock jumped: it did not ask for newer values meanwhile,
-    /// and would acquire a lease that was renewed. A step longer than two queries does not count.
+    /// Guards against a contender whose process was suspended or whose clock jumped: it did not query newer values
+    /// meanwhile, and would acquire a lease that has been renewed. A step of more than two query intervals does not
+    /// count.
     pub fn count_time(&mut self, now: Ms, settings: &LeaseSettings) {
         let passed = now - self.counted_at;
         self.counted_at = now;
         let longest_step = MAX_STEP_QUERIES * settings.query_interval();
-        let was_awake = (0.0..=longest_step).contains(&passed);
-        if was_awake || is_injected(InjectedFault::SleepCountedAsWait) {
+        let was_running = (0.0..=longest_step).contains(&passed);
+        if was_running || is_injected(InjectedFault::SleepCountedAsWait) {
             self.waited += passed;
         }
     }
 
-    /// The version of the record that was seen last.
+    /// The version of the newest record seen, to be stated when the lease is acquired.
     pub fn version(&self) -> LeaseVersion {
         self.version
     }
 
-    /// Whether the lease was given up with this member named as the next holder.
+    /// Whether the last holder released the lease and named `me` as its successor.
     pub fn names_successor(&self, me: &Name) -> bool {
         let record = self.record.as_ref();
         record.is_some_and(|record| record.holder.is_none() && record.next.as_ref() == Some(me))
     }
 
-    /// How much longer this member waits before it acquires the lease, in milliseconds; 0 is now.
+    /// How much longer this member has to wait before it may acquire the lease, in milliseconds; 0 if it may do so now,
+    /// infinite before it has seen the replicated state.
     pub fn election_delay(&self, me: &LeaseHolder, is_voter: bool, settings: &LeaseSettings) -> Ms {
         if !self.has_observed {
             return f64::INFINITY;
@@ -176,56 +181,59 @@
         let record = self.record.as_ref();
         let holder = record.and_then(|record| record.holder.as_ref());
         if holder == Some(me) {
-            // A proposal of this process was chosen without an answer to it: nobody else acts under the lease.
+            // A proposal of this process was chosen although no answer arrived: no other process acts under the lease.
             return 0.0;
         }
         let lease_end = settings.waited_for(record.map_or(0, |record| record.lease_ms));
-        let spread = self.spread(is_voter, settings);
+        let spread = self.election_spread(is_voter, settings);
         let successor = match holder {
             Some(_) => None,
             None => record.and_then(|record| record.next.as_ref()),
         };
         let delay = match (successor, holder) {
             (Some(successor), _) if *successor == me.name => 0.0,
-            // The named successor gets the time of a lease to come.
+            // The named successor has one lease duration to acquire the lease before others may.
             (Some(_), _) => lease_end + spread,
-            // Guards against two holders: the present one may act until its lease is over.
+            // Guards against two holders: the present holder may act until its lease expires.
             (None, Some(_)) if !is_injected(InjectedFault::LeaseTakenEarly) => lease_end + spread,
             (None, _) => spread,
         };
         (delay - self.waited).max(0.0)
     }
 
-    /// The part of the election delay that keeps contenders apart, in milliseconds.
-    fn spread(&self, is_voter: bool, settings: &LeaseSettings) -> Ms {
+    /// The part of the election delay that differs between contenders, in milliseconds.
+    fn election_spread(&self, is_voter: bool, settings: &LeaseSettings) -> Ms {
         let gap = settings.gap();
         match self.place {
             Some(place) => (f64::from(place) + self.jitter) * gap,
-            // Without a place voters come first, as those that can be counted on to be there.
-            None if is_voter => (f64::from(PLACES) + f64::from(PLACES) * self.jitter) * gap,
+            // Among unranked members voters come first, as they are the members most likely to be running.
+            None if is_voter => {
+                (f64::from(RANKED_SUCCESSORS) + f64::from(RANKED_SUCCESSORS) * self.jitter) * gap
+            }
             None => settings.lease * (1.0 + self.jitter),
         }
     }
 }
 
-/// A member as a possible holder of leases.
+/// A member that may hold a lease next, by the properties that decide its rank.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// It takes requests and does not stop.
+    /// Whether the member accepts client requests and is not stopping.
     pub ready: bool,
-    /// The zone that it runs in.
+    /// The zone that the member runs in; compared with the preferred zone.
     pub zone: String,
-    /// Its utilization, 0 to 1.
-    pub load: f64,
-    /// How many leases it holds.
-    pub holds: u32,
+    /// The member's utilization, 0 to 1.
+    pub utilization: f64,
+    /// The number of leases that the member holds now.
+    pub leases_held: u32,
 }
 
-/// From this utilization on a candidate comes after the others.
+/// Candidates with at least this utilization are ranked after the others.
 const BUSY_UTILIZATION: f64 = 0.8;
 
-/// The places among the next holders of a lease: ready candidates first, then those of the preferred zone, those
-/// that are not busy, and those that hold the fewest leases; else by a hash. The present holder has no place.
+/// Ranks the possible successors of a lease's holder, the best with rank 0: ready candidates first, then those of the
+/// preferred zone, those that are not busy, and those that hold the fewest leases; ties are broken by a hash. The
+/// present holder is not ranked, nor are candidates beyond the first [`RANKED_SUCCESSORS`].
 pub fn rank_candidates<'a>(
     lease_name: &LeaseName,
     preferred_zone: Option<&str>,
@@ -233,10 +241,16 @@
     candidates: impl Iterator<Item = (&'a Name, Candidate)>,
 ) -> BTreeMap<Name, u32> {
     let rank = |name: &Name, candidate: &Candidate| {
-        let is_near = preferred_zone.is_none_or(|zone| zone == candidate.zone);
-        let is_busy = candidate.load >= BUSY_UTILIZATION;
+        let is_in_preferred_zone = preferred_zone.is_none_or(|zone| zone == candidate.zone);
+        let is_busy = candidate.utilization >= BUSY_UTILIZATION;
         let hash = xxh3_64(format!("{} {}", lease_name.0, name.0).as_bytes());
-        (!candidate.ready, !is_near, is_busy, candidate.holds, hash)
+        (
+            !candidate.ready,
+            !is_in_preferred_zone,
+            is_busy,
+            candidate.leases_held,
+            hash,
+        )
     };
     let mut ranked: Vec<_> = candidates
         .filter(|(name, _)| Some(*name) != holder)
@@ -244,10 +258,10 @@
         .collect();
     ranked.sort();
     let names = ranked.into_iter().map(|(_, name)| name);
-    names.zip(0..PLACES).collect()
+    names.zip(0..RANKED_SUCCESSORS).collect()
 }
 
-/// The holder of a lease by a value, and its term.
+/// The holder of a lease in a replicated state, with its term; `None` if the lease is free.
 pub fn holder_of<'a>(
     state: &'a ReplicatedState,
     lease_name: &LeaseName,
@@ -256,7 +270,7 @@
     record.holder.as_ref().map(|holder| (record.term, holder))
 }
 
-/// Whether a lease is held by this process.
+/// Whether a lease is held by the process with this name and incarnation.
 pub fn is_mine(record: &LeaseRecord, name: &Name, incarnation: Incarnation) -> bool {
     record
         .holder
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -222,7 +222,7 @@
             .chain(self.rollout_wakes_at())
             .chain(inspections)
             .fold(f64::INFINITY, f64::min);
-        self.clock.reading_at(at.max(self.now))
+        self.clock.to_reading(at.max(self.now))
     }
 
     /// The leases held now, with their terms.
@@ -255,7 +255,7 @@
 
     fn take_time(&mut self, read: Ms, out: &mut Vec<Output>) {
         let is_first = self.counts.is_empty();
-        let (now, went_back) = self.clock.take(read);
+        let (now, went_back) = self.clock.advance(read);
         self.now = now;
         if is_first {
             self.start();
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,4 +1,4 @@
-//! The members of the fleet and their status, as the membership leader knows them from their heartbeats.
+//! The membership leader's view of the fleet: members, engines and their status, from the members' heartbeats.
 
 use super::disruption_budget::OutcomeCounts;
 use super::lease::{rank_candidates, Candidate};
@@ -7,114 +7,119 @@
 use crate::interface::Ms;
 use std::collections::BTreeMap;
 
-/// What a dispatcher reports of itself to the membership leader.
+/// A dispatcher's periodic report to the membership leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// The sender.
+    /// The sending process, by name, incarnation and address.
     pub who: LeaseHolder,
-    /// The zone that it runs in.
+    /// The zone that the sender runs in.
     pub zone: String,
-    /// The version that it runs, or another label of its operators'.
+    /// The version that the sender runs, or another label that its operators chose.
     pub label: String,
-    /// How long it has run, in milliseconds.
+    /// The time since the process started, in milliseconds.
     pub up: Ms,
-    /// It takes requests.
+    /// Whether the dispatcher accepts client requests.
     pub ready: bool,
-    /// It has begun to stop.
+    /// Whether the process is shutting down.
     pub stopping: bool,
-    /// Its utilization, 0 to 1.
+    /// The dispatcher's utilization, 0 to 1.
     pub load: f64,
-    /// How many leases it holds.
+    /// The number of leases that the process holds.
     pub holds: u32,
-    /// Outcomes of this process's requests so far.
+    /// Outcomes of client requests since the process started.
     pub tally: OutcomeCounts,
-    /// Reports of a few engines.
+    /// Reports about a few engines; further reports follow with the next heartbeats.
     pub reports: Vec<EngineReport>,
 }
 
-/// What a dispatcher knows of an engine.
+/// A dispatcher's report about one engine, sent with heartbeats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
-    /// The engine.
+    /// The name of the engine, as discovery lists it.
     pub engine: Name,
-    /// Its utilization, 0 to 1, and the age of that in milliseconds.
+    /// The engine's utilization, 0 to 1, and the age of that value in milliseconds; `None` if it is unknown.
     pub used: Option<(f64, Ms)>,
-    /// Outcomes of requests there since the dispatcher's last report.
+    /// Outcomes of requests to the engine since the dispatcher's previous report about it.
     pub tally: OutcomeCounts,
 }
 
-/// What the dispatchers' reports say of an engine together.
+/// The combined reports of all dispatchers about one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineUsage {
-    /// The newest utilization, 0 to 1, and when it was measured, on the leader's clock in milliseconds.
+    /// The newest utilization, 0 to 1, and when it was measured, on the leader's clock in milliseconds; `None` before
+    /// the first report that states one.
     pub used: Option<(f64, Ms)>,
-    /// Outcomes since this dispatcher became the leader.
+    /// Outcomes of requests to the engine since this dispatcher became the leader.
     pub tally: OutcomeCounts,
 }
 
-/// The status of a member.
+/// The status of a member, by how many of its heartbeats are missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberStatus {
-    /// Its heartbeats come in time.
+    /// Heartbeats arrive in time.
     Alive,
-    /// Several heartbeats are missing.
+    /// Heartbeats are missing, but not enough of them for the member to count as dead.
     Suspected,
-    /// Many heartbeats are missing, or several after it said that it stops.
+    /// Many heartbeats are missing, or some are missing after the member announced that it stops.
     Dead,
-    /// Alive again since a short time, as another process or after it was dead.
+    /// Alive for a short time only, after a restart or after the member counted as dead.
     Returned,
 }
 
-/// A member, by its heartbeats.
+/// The leader's record of one member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// The last heartbeat.
+    /// The newest heartbeat, without its engine reports.
     pub heartbeat: Heartbeat,
-    /// When that came, on the leader's clock in milliseconds.
+    /// When the newest heartbeat arrived, on the leader's clock in milliseconds.
     pub last_heartbeat_at: Ms,
-    /// Since when its heartbeats have come without a gap, on the leader's clock in milliseconds.
+    /// Since when heartbeats have arrived without a restart or a long gap, on the leader's clock in milliseconds.
     pub since: Ms,
-    /// It was dead or another process before.
+    /// Whether the leader knew the member before `since`: as another process, or until it counted as dead.
     has_returned: bool,
 }
 
-/// Missing heartbeats after which a member is suspected, and after which it is dead.
+/// A member is suspected once more heartbeats than this are missing.
 const SUSPECTED_AFTER_HEARTBEATS: f64 = 3.0;
+/// A member counts as dead once more heartbeats than this are missing.
 const DEAD_AFTER_HEARTBEATS: f64 = 10.0;
-/// How long a member counts as returned, in heartbeats.
+/// How long a member counts as returned, in heartbeat intervals.
 const RETURNED_FOR_HEARTBEATS: f64 = 10.0;
-/// A member without a heartbeat for this many heartbeats is forgotten.
-const FORGOTTEN_AFTER_HEARTBEATS: f64 = 600.0;
-/// Guards against a leader that many members overload: with more members each sends fewer heartbeats.
+/// A member is removed after this many heartbeat intervals without a heartbeat.
+const REMOVED_AFTER_HEARTBEATS: f64 = 600.0;
+/// Guards against overload of the leader in a large fleet: each member sends heartbeats less often, so that the leader
+/// receives at most this many.
 const MAX_HEARTBEATS_PER_SECOND: f64 = 500.0;
-/// The most members, and the most engines, that the leader records; one more is ignored.
+/// The most members, and the most engines, that the leader records; any further ones are ignored.
 pub const MAX_MEMBERS: usize = 8192;
 
-/// A lease whose next holders are ranked.
+/// A lease whose possible next holders are to be ranked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RankedLease {
-    /// The lease.
+    /// The name of the lease, which also enters the hash that breaks ties.
     pub lease_name: LeaseName,
-    /// The zone whose members come first, if one is preferred.
+    /// The zone whose members are ranked before others; `None` if no zone is preferred.
     pub preferred_zone: Option<String>,
-    /// The present holder.
+    /// The present holder, which is not ranked itself.
     pub holder: Option<Name>,
 }
 
-/// The leader's view of the members.
+/// The members and engines of the fleet, as the membership leader knows them from heartbeats.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Membership {
     members: BTreeMap<Name, Member>,
     engines: BTreeMap<Name, EngineUsage>,
     /// When this dispatcher became the leader, on its clock in milliseconds.
     pub since: Ms,
-    /// The places among the next holders of each lease, and when they were worked out.
+    /// The ranks of the possible successors of each lease's holder.
     successors: BTreeMap<LeaseName, BTreeMap<Name, u32>>,
+    /// When `successors` was last computed.
     ranked_at: Option<Ms>,
 }
 
 impl Membership {
-    /// The view of a new leader: nothing is known.
+    /// The view of a dispatcher that became the leader at `now`, in milliseconds: without members until they send
+    /// heartbeats.
     pub fn begin(now: Ms) -> Self {
         Membership {
             since: now,
@@ -122,15 +127,16 @@
         }
     }
 
-    /// The time between two heartbeats of a member, in milliseconds; `shortest` is that of the settings.
+    /// The time between two heartbeats of a member, in milliseconds: `shortest`, or more in a large fleet.
     pub fn heartbeat_interval(&self, shortest: Ms) -> Ms {
         shortest.max(self.members.len() as f64 * 1000.0 / MAX_HEARTBEATS_PER_SECOND)
     }
 
-    /// Takes a heartbeat in that came at `now`; times in milliseconds.
+    /// Records a heartbeat that arrived at `now`. `shortest` is the configured heartbeat interval; both are in
+    /// milliseconds.
     pub fn heartbeat_received(&mut self, now: Ms, mut heartbeat: Heartbeat, shortest: Ms) {
         for report in std::mem::take(&mut heartbeat.reports) {
-            self.take_report(now, report);
+            self.record_report(now, report);
         }
         let dead_after = DEAD_AFTER_HEARTBEATS * self.heartbeat_interval(shortest);
         if let Some(member) = self.members.get_mut(&heartbeat.who.name) {
@@ -153,7 +159,7 @@
         }
     }
 
-    fn take_report(&mut self, now: Ms, report: EngineReport) {
+    fn record_report(&mut self, now: Ms, report: EngineReport) {
         if !self.engines.contains_key(&report.engine) && self.engines.len() >= MAX_MEMBERS {
             return;
         }
@@ -171,12 +177,12 @@
         }
     }
 
-    /// What the dispatchers reported of an engine.
+    /// What the dispatchers reported about an engine; `None` if there was no report.
     pub fn engine(&self, name: &Name) -> Option<&EngineUsage> {
         self.engines.get(name)
     }
 
-    /// The status of a member at `now`; times in milliseconds.
+    /// The status of a member at `now`. `shortest` is the configured heartbeat interval; both are in milliseconds.
     pub fn member_status(&self, now: Ms, member: &Member, shortest: Ms) -> MemberStatus {
         let interval = self.heartbeat_interval(shortest);
         let silent_for = now - member.last_heartbeat_at;
@@ -193,18 +199,19 @@
         }
     }
 
-    /// All members, by name.
+    /// The members whose heartbeats arrived, dead ones included until they are removed, by name.
     pub fn members(&self) -> impl Iterator<Item = (&Name, &Member)> {
         self.members.iter()
     }
 
-    /// The address of a member's fleet service.
+    /// The address of a member's fleet service, from its newest heartbeat; `None` for an unknown member.
     pub fn address(&self, name: &Name) -> Option<&Address> {
         let member = self.members.get(name);
         member.map(|member| &member.heartbeat.who.address)
     }
 
-    /// How many members have each status at `now`; times in milliseconds.
+    /// The number of members by status at `now`. `shortest` is the configured heartbeat interval; both are in
+    /// milliseconds.
     pub fn counts(&self, now: Ms, shortest: Ms) -> BTreeMap<MemberStatus, u32> {
         let mut counts = BTreeMap::new();
         for member in self.members.values() {
@@ -214,32 +221,32 @@
         counts
     }
 
-    /// Works out the next holders of these leases, once in a heartbeat interval, and forgets members that have been
-    /// dead for long; times in milliseconds.
+    /// Ranks the possible next holders of these leases and removes members that have long been dead, at most once per
+    /// heartbeat interval. `now` and `shortest`, the configured heartbeat interval, are in milliseconds.
     pub fn rank_successors(&mut self, now: Ms, shortest: Ms, leases: &[RankedLease]) {
         let interval = self.heartbeat_interval(shortest);
         if self.ranked_at.is_some_and(|at| now - at < interval) {
             return;
         }
         self.ranked_at = Some(now);
-        let forgotten_after = FORGOTTEN_AFTER_HEARTBEATS * interval;
+        let removed_after = REMOVED_AFTER_HEARTBEATS * interval;
         self.members
-            .retain(|_, member| now - member.last_heartbeat_at <= forgotten_after);
+            .retain(|_, member| now - member.last_heartbeat_at <= removed_after);
         let rank = |lease: &RankedLease| {
-            let places = rank_candidates(
+            let ranks = rank_candidates(
                 &lease.lease_name,
                 lease.preferred_zone.as_deref(),
                 lease.holder.as_ref(),
                 self.candidates(now, shortest),
             );
-            (lease.lease_name.clone(), places)
+            (lease.lease_name.clone(), ranks)
         };
         self.successors = leases.iter().map(rank).collect();
     }
 
-    /// The members that may hold a lease next.
+    /// The members that may hold a lease next: those that are alive, whether they returned lately or not.
     fn candidates(&self, now: Ms, shortest: Ms) -> impl Iterator<Item = (&Name, Candidate)> {
-        let is_there = move |member: &Member| {
+        let is_alive = move |member: &Member| {
             matches!(
                 self.member_status(now, member, shortest),
                 MemberStatus::Alive | MemberStatus::Returned
@@ -248,26 +255,26 @@
         let candidate = |Member { heartbeat, .. }: &Member| Candidate {
             ready: heartbeat.ready && !heartbeat.stopping,
             zone: heartbeat.zone.clone(),
-            load: heartbeat.load,
-            holds: heartbeat.holds,
+            utilization: heartbeat.load,
+            leases_held: heartbeat.holds,
         };
         self.members
             .iter()
-            .filter(move |(_, member)| is_there(member))
+            .filter(move |(_, member)| is_alive(member))
             .map(move |(name, member)| (name, candidate(member)))
     }
 
-    /// A member's place among the next holders of a lease, if it has one.
+    /// A member's rank among the possible next holders of a lease; `None` if it is not ranked.
     pub fn place_of(&self, lease_name: &LeaseName, name: &Name) -> Option<u32> {
         self.successors.get(lease_name)?.get(name).copied()
     }
 
-    /// The first of the next holders of a lease.
+    /// The best-ranked of the possible next holders of a lease; `None` if no member is ranked.
     pub fn first_successor(&self, lease_name: &LeaseName) -> Option<&Name> {
         self.successors
             .get(lease_name)?
             .iter()
-            .min_by_key(|(_, place)| **place)
+            .min_by_key(|(_, rank)| **rank)
             .map(|(name, _)| name)
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,10 +1,10 @@
 //! Coordination between the dispatchers of a fleet: a small replicated state with a quorum of voters ([`register`],
 //! [`state`]), leases that one dispatcher holds at a time ([`lease`]), commands that receivers execute only while
-//! their sender holds its lease ([`fencing`]), and the members of the fleet ([`membership`]). [`member`] is one
-//! dispatcher's part in all of it.
+//! their sender holds its lease ([`fencing`]), and the members of the fleet ([`membership`]). [`member`] combines them
+//! into the state machine that one dispatcher runs.
 //!
-//! Nothing here does I/O or reads a clock: a driver hands in messages and the time, and carries out what comes out.
-//! No clock is compared with another's. `docs/duties.md` says what is guaranteed.
+//! Nothing here does I/O or reads a clock: a driver passes in messages and the time, and performs the returned outputs.
+//! The clocks of different processes are never compared. `docs/duties.md` states the guarantees.
 
 pub mod disruption_budget;
 pub mod fault_injection;
@@ -22,24 +22,24 @@
 use crate::interface::Ms;
 use std::sync::Arc;
 
-/// The name of a dispatcher or an engine, the same for all of its processes.
+/// The name of a dispatcher or an engine. The name stays the same when its process restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name(pub Arc<str>);
 
-/// Where a dispatcher's fleet service listens, in the transport's form.
+/// The address of a dispatcher's fleet service, in the format of the transport.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Address(pub Arc<str>);
 
-/// The name of a lease: of work that one dispatcher does at a time.
+/// The name of a lease, which stands for work that only one process may do at a time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseName(pub Arc<str>);
 
-/// One process of a name, drawn at random at each start.
+/// Identifies one process among those that run under the same name; drawn at random at each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
-/// The fencing token of a lease: grows with each acquisition, so commands of an earlier holder can be told from those
-/// of a later one.
+/// The fencing token of a lease. The term grows with each acquisition, so that receivers can refuse commands of an
+/// earlier holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Term(pub u64);
 
@@ -61,10 +61,10 @@
     }
 }
 
-/// Time that never goes back, counted from a clock that may. All times in milliseconds.
+/// Monotonic time derived from a clock that may be set back. All times are in milliseconds.
 ///
-/// Guards against a clock that is set back: a lease that is counted on it would last too long. The time that passed
-/// is counted as none, and the caller is told.
+/// Guards against a clock that is set back, on which a lease would last too long. Such a step counts as no time passed,
+/// and the caller is told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MonotonicClock {
     last_reading: Option<Ms>,
@@ -72,16 +72,16 @@
 }
 
 impl MonotonicClock {
-    /// Takes a reading of the clock. Gives the monotonic time, and whether the clock went back.
-    pub fn take(&mut self, reading: Ms) -> (Ms, bool) {
+    /// Advances to a new reading of the clock. Returns the monotonic time, and whether the clock was set back.
+    pub fn advance(&mut self, reading: Ms) -> (Ms, bool) {
         let passed = self.last_reading.map_or(0.0, |last| reading - last);
         self.last_reading = Some(reading);
         self.now += passed.max(0.0);
         (self.now, passed < 0.0)
     }
 
-    /// What the clock will read at a monotonic time.
-    pub fn reading_at(&self, at: Ms) -> Ms {
-        self.last_reading.unwrap_or_default() + (at - self.now)
+    /// Converts a monotonic time to the reading that the clock will then show, unless the clock is set.
+    pub fn to_reading(&self, time: Ms) -> Ms {
+        self.last_reading.unwrap_or_default() + (time - self.now)
     }
 }
--- a/src/coordination/register/acceptor.rs
+++ b/src/coordination/register/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor: what one voter promised and accepted, and what it answers to proposers.
+//! The acceptor: one voter's promises and accepted value, and its answers to proposers.
 
 use super::Ballot;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
@@ -6,52 +6,52 @@
 use crate::coordination::Name;
 use std::collections::BTreeMap;
 
-/// A voter by name and identity: the same name with another file is another voter.
+/// A voter's name and identity. The same name with a newly created file is a different voter.
 pub type VoterKey = (Name, VoterId);
 
-/// The highest known number of writes of each voter's file.
+/// The highest known write count of each voter's file.
 pub type WriteCounts = BTreeMap<VoterKey, u64>;
 
-/// What an acceptor stores in its file.
+/// The durable state of an acceptor, stored in the voter's file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AcceptorState {
-    /// The voter's name.
+    /// The name of the dispatcher that votes; a file with another dispatcher's name is not used.
     pub name: Name,
-    /// The voter's identity, drawn when its file was made.
+    /// The voter's identity, drawn at random when its file was created.
     pub voter_id: VoterId,
-    /// The voters of the fleet's bootstrap, once the identities of all are known.
+    /// The first voters of the fleet; `None` until the identities of all of them are known.
     pub bootstrap: Option<Voters>,
-    /// The highest ballot that was promised.
+    /// The highest ballot that was promised; lower ballots are refused.
     pub promised: Option<Ballot>,
-    /// The value that was accepted last, and its ballot.
+    /// The value that was accepted last, with its ballot; `None` before the first one.
     pub accepted: Option<(Ballot, ReplicatedState)>,
-    /// How often the file changed.
+    /// How often the state was changed, which reveals an outdated copy of the file.
     pub writes: u64,
-    /// The other voters' write counts.
+    /// The other voters' write counts, as far as proposers passed them on.
     pub write_counts: WriteCounts,
 }
 
 /// A proposer's request to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AcceptorRequest {
-    /// Asks for the promise not to accept a lower ballot.
+    /// Asks for the promise to accept no value with a lower ballot.
     Prepare {
-        /// The voter that is meant.
+        /// The identity of the addressed voter; a voter with another identity does not vote on the request.
         voter_id: VoterId,
-        /// The proposal.
+        /// The ballot of the proposal.
         ballot: Ballot,
-        /// The write counts that the proposer knows.
+        /// The voters' write counts that the proposer knows.
         write_counts: WriteCounts,
     },
-    /// Asks to accept a value.
+    /// Asks the acceptor to accept a value.
     Accept {
-        /// The voter that is meant.
+        /// The identity of the addressed voter; a voter with another identity does not vote on the request.
         voter_id: VoterId,
-        /// The proposal.
+        /// The ballot of the proposal.
         ballot: Ballot,
-        /// The value to accept.
+        /// The new state, with the proposal's command applied.
         value: ReplicatedState,
-        /// The write counts that the proposer knows.
+        /// The voters' write counts that the proposer knows.
         write_counts: WriteCounts,
     },
 }
@@ -74,40 +74,40 @@
     }
 }
 
-/// An acceptor's answer.
+/// An acceptor's answer to a proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AcceptorReply {
-    /// The ballot is promised.
+    /// The acceptor promises to accept no value with a lower ballot.
     Promise {
-        /// The ballot that is promised.
+        /// The ballot of the request.
         ballot: Ballot,
-        /// The value that was accepted last.
+        /// The value that the acceptor accepted last, with its ballot, if any.
         accepted: Option<(Ballot, ReplicatedState)>,
-        /// The voter's write count.
+        /// The write count of the voter's file, this promise included.
         writes: u64,
     },
-    /// The value is accepted.
+    /// The acceptor has accepted the value.
     Accepted {
-        /// The ballot of the value.
+        /// The ballot of the accepted value.
         ballot: Ballot,
-        /// The voter's write count.
+        /// The write count of the voter's file, this value included.
         writes: u64,
     },
-    /// A higher ballot was promised before.
+    /// The acceptor has promised a higher ballot.
     Conflict {
-        /// That ballot.
+        /// The ballot that was promised.
         promised: Ballot,
     },
-    /// It does not vote, or not under this identity.
+    /// The acceptor does not vote now, or not under the requested identity.
     NotVoting,
 }
 
-/// An answer, and when it may go out.
+/// An answer, and whether it may be sent before the acceptor's state is durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptorResponse {
-    /// The answer.
+    /// The answer for the proposer.
     pub reply: AcceptorReply,
-    /// The answer states what [`Acceptor::state`] holds: it goes out once that state is durable.
+    /// Whether the answer reports [`Acceptor::state`] and may be sent only once that state is durable.
     pub needs_durable_state: bool,
 }
 
@@ -127,17 +127,18 @@
     }
 }
 
-/// One voter. The caller makes [`Acceptor::state`] durable before it sends an answer that needs it.
+/// One voter's side of the consensus. The caller makes [`Acceptor::state`] durable before it sends an answer that needs
+/// it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
-    /// What has to be durable.
+    /// The state that has to be durable before dependent answers are sent.
     pub state: AcceptorState,
-    /// It may vote: its file is new, or other voters confirmed that it is not outdated.
+    /// Whether the acceptor may vote: its file is new, or other voters have confirmed that the file is not outdated.
     pub votes: bool,
 }
 
 impl Acceptor {
-    /// An acceptor with a new file.
+    /// An acceptor with a newly created file, which may vote at once.
     pub fn new(name: Name, voter_id: VoterId) -> Self {
         let state = AcceptorState {
             name,
@@ -151,22 +152,22 @@
         Acceptor { state, votes: true }
     }
 
-    /// An acceptor with the file of an earlier process. It does not vote until the other voters were asked whether
-    /// the file is outdated, unless it never promised anything.
+    /// An acceptor with the file of an earlier process. The acceptor does not vote until other voters have confirmed
+    /// that the file is not outdated, unless the file contains no promise.
     pub fn recover(state: AcceptorState) -> Self {
         let votes = state.promised.is_none();
         Acceptor { state, votes }
     }
 
-    /// Answers a proposer.
+    /// Handles a proposer's request and returns the answer.
     pub fn handle(&mut self, request: &AcceptorRequest) -> AcceptorResponse {
         let (voter_id, ballot, write_counts) = request.parts();
-        // Guards against a voter that lost its file and comes back under its name: it would promise again what it
-        // had promised to another, and two values could be chosen. A new file has a new identity, which no proposer
-        // addresses before a chosen change of voters lets it in.
-        let is_meant =
+        // Guards against a voter that lost its file and comes back under the same name: it would break a promise that
+        // it has forgotten, and two values could be chosen. A new file has a new identity, which no proposer addresses
+        // until a chosen command has added it as a voter.
+        let is_addressed =
             is_injected(InjectedFault::FileLossIgnored) || voter_id == self.state.voter_id;
-        if !is_meant || !self.votes || self.detect_outdated_file(write_counts) {
+        if !is_addressed || !self.votes || self.detect_outdated_file(write_counts) {
             return AcceptorResponse::immediate(AcceptorReply::NotVoting);
         }
         self.learn_write_counts(write_counts);
@@ -185,7 +186,8 @@
         }
     }
 
-    /// CASPaxos, prepare: a ballot that is not lower than the promised one is promised, and the accepted value shown.
+    /// CASPaxos, prepare phase: promises a ballot that is not lower than the promised one, and returns the accepted
+    /// value.
     fn prepare(&mut self, ballot: &Ballot) -> AcceptorResponse {
         let promised = self.state.promised.as_ref();
         if let Some(higher) = promised.filter(|promised| *promised > ballot) {
@@ -204,7 +206,7 @@
         })
     }
 
-    /// CASPaxos, accept: a value is accepted unless a higher ballot is promised.
+    /// CASPaxos, accept phase: accepts a value unless a higher ballot was promised.
     fn accept(&mut self, ballot: &Ballot, value: &ReplicatedState) -> AcceptorResponse {
         let promised = self.state.promised.as_ref();
         let is_higher =
@@ -226,11 +228,12 @@
         })
     }
 
-    /// Whether others know of more writes than this file has. From then on it does not vote.
+    /// Whether other members know of more writes than this file contains. If so, the acceptor stops voting.
     ///
-    /// Guards against a file that was put back from a copy, or whose last writes were lost: its voter would break
-    /// promises that it has forgotten, and two values could be chosen. It shows in the write count: proposers pass on
-    /// the counts that they were answered with, and an answer goes out only once its write is durable.
+    /// Guards against a file that was restored from a copy, or whose last writes were lost: its voter would break
+    /// promises that it has forgotten, and two values could be chosen. The write count reveals such a file, as
+    /// proposers pass on the counts from the answers that they received, and an answer is sent only once its write is
+    /// durable.
     pub fn detect_outdated_file(&mut self, write_counts: &WriteCounts) -> bool {
         let own_key = (self.state.name.clone(), self.state.voter_id);
         let known_writes = write_counts.get(&own_key);
--- a/src/coordination/register/proposal.rs
+++ b/src/coordination/register/proposal.rs
@@ -1,4 +1,4 @@
-//! One attempt of a proposer to have a command applied to the register's value.
+//! One attempt of a proposer to apply a command to the register's value.
 
 use super::{AcceptorReply, AcceptorRequest, Ballot, VoterKey, WriteCounts};
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
@@ -8,51 +8,51 @@
 use crate::coordination::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One attempt to have a command applied.
+/// One attempt to apply a command, with the acceptors' answers so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal {
-    /// The attempt's number.
+    /// The ballot under which the command is proposed.
     pub ballot: Ballot,
-    /// What is to be applied.
+    /// The command that is applied to the newest accepted value.
     pub command: Command,
-    /// The voters by the newest value that was seen.
+    /// The voters in the newest accepted value that a promise returned, or else those that the proposer knew.
     voters: Voters,
-    /// Voters that promised, with the value that each accepted last.
+    /// The voters that promised, with the value that each of them accepted last.
     promises: BTreeMap<VoterKey, Option<(Ballot, ReplicatedState)>>,
     accepted_by: BTreeSet<VoterKey>,
-    /// Voters that refused or did not answer in the current phase.
+    /// The voters that refused or did not answer in the current phase.
     refused_by: BTreeSet<VoterKey>,
     prepare_sent: BTreeSet<VoterKey>,
-    /// The value to accept, once a majority promised.
+    /// The value to be accepted; set once a majority has promised.
     value: Option<ReplicatedState>,
 }
 
 /// The two phases of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// A majority is asked for promises.
+    /// The voters are asked for promises.
     Prepare,
-    /// A majority is asked to accept the value.
+    /// The voters are asked to accept the value.
     Accept,
 }
 
 /// How a proposal ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalOutcome {
-    /// This value is chosen.
+    /// The command was applied and the resulting value is chosen.
     Chosen(ReplicatedState),
-    /// The command cannot be applied to this value, the newest that a majority showed.
+    /// The command cannot be applied to this value, the newest that a majority returned.
     Rejected(CommandError, ReplicatedState),
-    /// No majority can be reached under this ballot; the highest ballot that an acceptor named.
+    /// No majority can be reached with this ballot. Contains the conflicting ballot, if an acceptor named one.
     Conflict(Option<Ballot>),
 }
 
-/// What a proposer knows beyond one proposal.
+/// What a proposer learns from its proposals and uses for later ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ProposerKnowledge {
-    /// The voters of a value that is known to be chosen.
+    /// The voters in the newest value that this proposer knows to be chosen.
     pub chosen_voters: Option<Voters>,
-    /// The voters' write counts, passed on with each request.
+    /// The highest known write counts of the voters, passed on with each request.
     pub write_counts: WriteCounts,
 }
 
@@ -63,23 +63,23 @@
     }
 }
 
-/// A request to one voter.
+/// A request that is to be sent to one voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingRequest {
-    /// The voter's name.
+    /// The name of the addressed voter.
     pub to: Name,
-    /// The voter's identity and address.
+    /// The identity and address of the addressed voter.
     pub voter_record: VoterRecord,
-    /// What it is asked.
+    /// The prepare or accept request.
     pub request: AcceptorRequest,
 }
 
-/// What follows from an answer.
+/// What a proposer does after an answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProposalStep {
-    /// Requests to send.
+    /// Further requests to send, possibly none.
     pub requests: Vec<OutgoingRequest>,
-    /// The end of the proposal, if this is it.
+    /// How the proposal ended; `None` while it goes on.
     pub outcome: Option<ProposalOutcome>,
 }
 
@@ -100,8 +100,8 @@
 }
 
 impl Proposal {
-    /// A proposal, and its first requests. `voters` are those that the proposer knows: outdated ones do no harm, as
-    /// the acceptors' answers name the newer ones.
+    /// Begins a proposal and returns it with its prepare requests. `voters` may be outdated, as the values that the
+    /// acceptors return contain the newer voters.
     pub fn begin(
         ballot: Ballot,
         voters: Voters,
@@ -122,7 +122,7 @@
         (proposal, requests)
     }
 
-    /// A voter answered, or (`None`) will not answer a request of this phase.
+    /// Handles a voter's answer to a request of `phase`; `None` means that no answer will come.
     pub fn handle_reply(
         &mut self,
         voter: VoterKey,
@@ -130,7 +130,7 @@
         reply: Option<&AcceptorReply>,
         knowledge: &mut ProposerKnowledge,
     ) -> ProposalStep {
-        if reply.is_none() && !self.awaits(&voter, phase) {
+        if reply.is_none() && !self.awaits_answer(&voter, phase) {
             return ProposalStep::default();
         }
         match reply {
@@ -140,7 +140,7 @@
                 writes,
             }) if *ballot == self.ballot => {
                 knowledge.learn_writes(&voter, *writes);
-                // A promise that comes after the value was worked out is not needed any more.
+                // A promise that arrives after the value was computed is no longer needed.
                 if self.value.is_none() {
                     self.promises.insert(voter, accepted.clone());
                 }
@@ -175,9 +175,9 @@
         }
     }
 
-    /// Whether an answer of this voter in this phase is still missing. A request that was sent again may be answered
-    /// once only, and an answer that the prepare phase lacked is not missed in the accept phase.
-    fn awaits(&self, voter: &VoterKey, phase: Phase) -> bool {
+    /// Whether the voter's answer is still missing and `phase` is the current one. A request that was sent several
+    /// times needs only one answer, and missing answers of the prepare phase do not matter in the accept phase.
+    fn awaits_answer(&self, voter: &VoterKey, phase: Phase) -> bool {
         let has_answered = match phase {
             Phase::Prepare => self.promises.contains_key(voter),
             Phase::Accept => self.accepted_by.contains(voter),
@@ -185,16 +185,16 @@
         !has_answered && phase == self.phase()
     }
 
-    /// Whether the voters that did not refuse are still a majority.
+    /// Whether the voters that have not refused are still a majority.
     fn can_reach_majority(&self) -> bool {
-        let may_agree = |name: &Name, voter_record: &VoterRecord| {
+        let has_not_refused = |name: &Name, voter_record: &VoterRecord| {
             !self
                 .refused_by
                 .contains(&(name.clone(), voter_record.voter_id))
         };
         let value = self.value.as_ref();
-        self.voters.majority(may_agree)
-            && value.is_none_or(|value| value.voters.majority(may_agree))
+        self.voters.majority(has_not_refused)
+            && value.is_none_or(|value| value.voters.majority(has_not_refused))
     }
 
     fn advance(&mut self, knowledge: &mut ProposerKnowledge) -> ProposalStep {
@@ -205,7 +205,7 @@
             self.accepted_by
                 .contains(&(name.clone(), voter_record.voter_id))
         };
-        // A command that changes the voters needs a majority of those before it and of those after it.
+        // A command that changes the voters needs a majority of the voters before and of the voters after it.
         if !self.voters.majority(has_accepted) || !value.voters.majority(has_accepted) {
             return ProposalStep::default();
         }
@@ -215,8 +215,9 @@
 
     /// Begins the accept phase once a majority has promised.
     fn advance_prepare(&mut self, knowledge: &ProposerKnowledge) -> ProposalStep {
-        // Guards against a majority of outdated voters: it would miss a value that the newer voters chose, and
-        // overwrite it. The voters are those of the newest value seen, chosen or not; those are asked as well.
+        // Guards against a majority of former voters, which may not know a value that the newer voters chose: the
+        // proposal would overwrite that value. The voters of the newest value seen count, chosen or not, and they are
+        // asked as well.
         let newer_voters = self.newest_accepted().map(|(_, value)| &value.voters);
         if let Some(newer_voters) = newer_voters.filter(|voters| **voters != self.voters) {
             self.voters = newer_voters.clone();
@@ -242,8 +243,8 @@
         accepted.max_by(|a, b| a.0.cmp(&b.0))
     }
 
-    /// CASPaxos: the command is applied to the value of the highest ballot that the promises show, as that value may
-    /// be chosen; without any, to the empty value.
+    /// The value that the command is applied to. CASPaxos takes the accepted value with the highest ballot among the
+    /// promises, as that value may be chosen, and the empty value if there is none.
     fn base_value(&self) -> ReplicatedState {
         match self.newest_accepted() {
             Some((_, value)) if !is_injected(InjectedFault::AcceptedValueIgnored) => value.clone(),
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Prepare requests to the voters that were not sent one yet.
+    /// Prepare requests to those voters that have not been sent one.
     fn prepare_requests(&mut self, knowledge: &ProposerKnowledge) -> Vec<OutgoingRequest> {
         let mut requests = Vec::new();
         for (to, voter_record) in self.voters.all() {
@@ -285,7 +286,7 @@
         requests
     }
 
-    /// Begins the accept phase: the voters before the command and those after it are all asked.
+    /// Begins the accept phase with requests to all voters before and after the command.
     fn accept_requests(
         &mut self,
         value: ReplicatedState,
@@ -295,7 +296,7 @@
         recipients.extend(value.voters.all());
         self.refused_by.clear();
         self.value = Some(value.clone());
-        let address_to = |(to, voter_record): (Name, VoterRecord)| {
+        let accept_request = |(to, voter_record): (Name, VoterRecord)| {
             let request = AcceptorRequest::Accept {
                 voter_id: voter_record.voter_id,
                 ballot: self.ballot.clone(),
@@ -308,6 +309,6 @@
                 request,
             }
         };
-        recipients.into_iter().map(address_to).collect()
+        recipients.into_iter().map(accept_request).collect()
     }
 }
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -1,5 +1,5 @@
-//! The replicated state, and the commands that change it. A command is applied to the state that a majority of the
-//! voters showed, so it sees all commands that were chosen before it.
+//! The replicated state, and the commands that change it. A command is applied to the newest state that a majority of
+//! the voters returned, so it sees the effect of all commands that were chosen before it.
 
 use super::fault_injection::{is_injected, InjectedFault};
 use super::rollout::{DisruptionState, OperatorCommand, RolloutError, RolloutStep};
@@ -7,46 +7,46 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The identity of a voter, drawn when its file is made: one that lost its file comes back as another, which does
-/// not count until it is let in.
+/// The identity of a voter, drawn at random when its file is created. A voter that lost its file comes back with
+/// another identity and does not count as a voter until an operator adds it again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VoterId(pub u64);
 
-/// A voter, as the replicated state has it.
+/// A voter's entry in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoterRecord {
-    /// Its identity.
+    /// The identity under which the voter counts; a file with another identity does not vote.
     pub voter_id: VoterId,
-    /// Where its fleet service listens.
+    /// The address of the voter's fleet service.
     pub address: Address,
 }
 
-/// The voters. During a change those before it count as well.
+/// The voters of the fleet. During a change of voters a quorum needs a majority of the former voters as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voters {
-    /// Counts changes of the voters.
+    /// Grows by one with each change of the voters.
     pub generation: u64,
-    /// The voters, by name.
+    /// The present voters, by name.
     pub set: BTreeMap<Name, VoterRecord>,
-    /// The voters before a change that is not finished.
+    /// The voters before an unfinished change; `None` if no change is in progress.
     pub before: Option<BTreeMap<Name, VoterRecord>>,
 }
 
 impl Voters {
-    /// Whether the voters for which `has` holds are a quorum: a majority, and during a change also a majority of
-    /// those before it.
-    pub fn majority(&self, has: impl Fn(&Name, &VoterRecord) -> bool) -> bool {
+    /// Whether the voters that `is_counted` selects are a quorum: a majority of the present voters, and during a change
+    /// also a majority of the former voters.
+    pub fn majority(&self, is_counted: impl Fn(&Name, &VoterRecord) -> bool) -> bool {
         let is_majority = |set: &BTreeMap<Name, VoterRecord>| {
             let count = set
                 .iter()
-                .filter(|(name, record)| has(name, record))
+                .filter(|(name, record)| is_counted(name, record))
                 .count();
             2 * count > set.len()
         };
         is_majority(&self.set) && self.before.as_ref().is_none_or(is_majority)
     }
 
-    /// All voters, those before a change included.
+    /// All voters by name, including the former voters during a change.
     pub fn all(&self) -> BTreeMap<Name, VoterRecord> {
         let mut all = self.before.clone().unwrap_or_default();
         all.extend(self.set.clone());
@@ -54,59 +54,59 @@
     }
 }
 
-/// The process that holds a lease.
+/// A process that holds a lease, or asks for one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
-    /// The dispatcher's name.
+    /// The name of the holding dispatcher.
     pub name: Name,
-    /// Its process.
+    /// The holding process; another process of the same dispatcher does not hold the lease.
     pub incarnation: Incarnation,
-    /// Where its fleet service listens.
+    /// The address of the dispatcher's fleet service.
     pub address: Address,
 }
 
-/// The record of a lease. It stays when nobody holds the lease, as a term must not be given twice.
+/// The record of a lease. The record stays when the lease is released, as a term must not be used twice.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseRecord {
-    /// The lease's fencing token: grows with each acquisition.
+    /// The fencing token of the lease; grows by one with each acquisition.
     pub term: Term,
-    /// The holder, if there is one.
+    /// The process that acquired the lease last; `None` after it released the lease.
     pub holder: Option<LeaseHolder>,
-    /// Counts the renewals in this term.
+    /// The number of renewals in this term.
     pub renewed: u64,
-    /// The duration of the holder's lease, in whole milliseconds, rounded up: nobody waits for less.
+    /// The duration of the holder's lease in whole milliseconds, rounded up; no contender waits for less.
     pub lease_ms: u64,
     /// The proposal that changed the record last.
     ///
-    /// Guards against a renewal that was not chosen and is proposed again: a contender that saw the first would take
-    /// its time for the second's, and acquire the lease too early.
+    /// Guards against a renewal that was not chosen and is proposed again. A contender that saw the first proposal
+    /// would otherwise count its wait from there when the second is chosen, and acquire the lease too early.
     pub proposal_id: ProposalId,
-    /// The next holder, as named by one that gave the lease up.
+    /// The successor that the last holder named when it released the lease, if any.
     pub next: Option<Name>,
 }
 
-/// The identity of a proposal.
+/// Identifies a proposal among those of all processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId {
-    /// The round of the proposal's ballot.
+    /// The round of the proposal's ballot, which its proposer uses once.
     pub round: u64,
-    /// The proposer's process.
+    /// The process that made the proposal.
     pub incarnation: Incarnation,
 }
 
-/// The version of a lease's record: no two grants or renewals have the same.
+/// The version of a lease's record. Each acquisition and each renewal has a different one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseVersion {
-    /// The term of the record.
+    /// The term in which the lease is or was held.
     pub term: Term,
-    /// The renewals in that term.
+    /// The number of renewals in that term.
     pub renewed: u64,
-    /// The proposal that changed the record last.
+    /// The proposal that changed the record last; tells a renewal from an equal one that was not chosen.
     pub proposal_id: ProposalId,
 }
 
 impl LeaseRecord {
-    /// The version of this record.
+    /// The version of this record, for comparison with what a contender has seen.
     pub fn version(&self) -> LeaseVersion {
         LeaseVersion {
             term: self.term,
@@ -116,98 +116,98 @@
     }
 }
 
-/// The replicated state: the one value that the voters agree on.
+/// The replicated state: the single value that the voters agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ReplicatedState {
-    /// Counts the commands that were applied.
+    /// The number of commands applied so far.
     pub version: u64,
-    /// The voters.
+    /// The voters whose quorum chooses the next state.
     pub voters: Voters,
-    /// All leases that were ever held, by name.
+    /// The records of all leases that were ever held, by name.
     pub leases: BTreeMap<LeaseName, LeaseRecord>,
-    /// Permitted disruptions and the rollout.
+    /// Disruption permits and the rollout.
     pub disruptions: Box<DisruptionState>,
 }
 
-/// A change of the replicated state.
+/// A command that changes the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
-    /// Acquires a lease whose record is as it was seen, after the holder's lease is over.
+    /// Acquires a free or expired lease, if its record has not changed since the contender saw it.
     Acquire {
-        /// The lease.
+        /// The lease to acquire.
         lease_name: LeaseName,
-        /// The new holder.
+        /// The process that becomes the holder.
         who: LeaseHolder,
-        /// The duration of its lease, in whole milliseconds.
+        /// The duration of the new holder's lease, in whole milliseconds.
         lease_ms: u64,
-        /// The version of the record that was seen.
+        /// The version of the record that the contender saw; the default if there was no record.
         seen: LeaseVersion,
     },
-    /// Renews leases; those that the holder has lost are passed over.
+    /// Renews several leases of one holder. Leases that the holder has lost are skipped.
     Renew {
-        /// The holder.
+        /// The process that holds the leases.
         who: LeaseHolder,
-        /// The leases, with their terms.
+        /// The leases to renew, each with the term in which it is held.
         leases: Vec<(LeaseName, Term)>,
     },
-    /// Gives a lease up.
+    /// Releases a lease before it expires.
     Resign {
-        /// The lease.
+        /// The lease to release.
         lease_name: LeaseName,
-        /// The term in which it is held.
+        /// The term in which the lease is held.
         term: Term,
-        /// The holder.
+        /// The process that holds the lease.
         who: LeaseHolder,
-        /// The next holder, if one is named.
+        /// The named successor, which may acquire the lease before others; `None` lets every contender acquire it.
         next: Option<Name>,
     },
-    /// Adds a voter.
+    /// Adds one voter. The change is in progress until [`Command::FinishVoterChange`].
     AddVoter {
-        /// Its name.
+        /// The name of the new voter.
         name: Name,
-        /// Its identity and address.
+        /// The identity and address of the new voter.
         voter_record: VoterRecord,
     },
-    /// Removes a voter.
+    /// Removes one voter. The change is in progress until [`Command::FinishVoterChange`].
     RemoveVoter {
-        /// Its name.
+        /// The name of the voter to remove.
         name: Name,
     },
-    /// Finishes a change of voters that is known to be chosen.
+    /// Ends the need for a majority of the former voters, once the change of voters is known to be chosen.
     FinishVoterChange,
-    /// A step of a rollout, by the holder of a lease in its term.
+    /// Advances a rollout; rejected unless the sender holds the lease in this term.
     RolloutStep {
-        /// The lease.
+        /// The lease that entitles the sender to the step.
         lease_name: LeaseName,
-        /// The term in which it is held.
+        /// The term in which the lease is held.
         term: Term,
-        /// The holder.
+        /// The process that holds the lease.
         who: LeaseHolder,
-        /// The step.
+        /// What the step changes.
         step: RolloutStep,
     },
-    /// An operator's command about disruptions.
+    /// An operator's command that concerns disruption permits or a rollout.
     OperatorCommand(OperatorCommand),
 }
 
-/// Why a command cannot be applied.
+/// Why a command cannot be applied to the replicated state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CommandError {
-    /// The lease's record is not as it was seen, or the sender does not hold the lease.
+    /// The lease's record has changed since the sender saw it, or the sender does not hold the lease.
     Outdated,
-    /// A change of voters is not finished.
+    /// An earlier change of voters is not finished.
     VoterChangeInProgress,
-    /// The voter to add is one already, or the voter to remove is none.
+    /// The voter to add is already a voter, the voter to remove is none, or a rollout is already in the wanted state.
     AlreadySo,
     /// Fewer than [`MIN_VOTERS`] voters would be left.
     TooFew,
     /// There would be more than [`MAX_VOTERS`] voters, or more than [`MAX_LEASES`] leases.
     TooMany,
-    /// There is nothing to do.
+    /// The command has nothing to change, such as no unfinished change of voters to finish.
     Nothing,
-    /// The rollout is halted or done.
+    /// The rollout is halted or finished.
     Stopped,
-    /// Another rollout is not done.
+    /// Another rollout is not finished.
     Busy,
 }
 
@@ -240,18 +240,20 @@
     }
 }
 
-/// The fewest voters: with fewer, none may fail.
+/// The fewest voters of a fleet: a quorum of fewer than three voters tolerates no failure.
 pub const MIN_VOTERS: usize = 3;
-/// The most voters.
+/// The most voters of a fleet.
 pub const MAX_VOTERS: usize = 7;
-/// The most leases of a fleet: the state, which each message of a proposal carries, stays a few kilobytes.
+/// The most leases of a fleet. The limit keeps the state, which every message of a proposal carries, at a few
+/// kilobytes.
 pub const MAX_LEASES: usize = 128;
 
 impl ReplicatedState {
-    /// The state after a command. `voters_are_chosen`: a state with these voters is known to be chosen.
+    /// Applies a command and returns the new state. `voters_are_chosen` states that a state with the present voters is
+    /// known to be chosen, which finishes a change of voters.
     ///
     /// # Errors
-    /// Why the command cannot be applied.
+    /// A [`CommandError`] if the command does not fit this state.
     pub fn apply(
         &self,
         command: &Command,
@@ -260,8 +262,8 @@
     ) -> Result<ReplicatedState, CommandError> {
         let mut new = self.clone();
         new.version += 1;
-        // Guards against two majorities that do not meet: the voters before a change count until it is known to be
-        // chosen, as some proposers may know only those.
+        // Guards against two majorities without a common voter. The former voters count until the change is known to be
+        // chosen, as some proposers may know only the former voters.
         if voters_are_chosen {
             new.voters.before = None;
         }
@@ -306,7 +308,7 @@
     ) -> Result<(), CommandError> {
         let known = self.leases.get(lease_name);
         let version = known.map(LeaseRecord::version).unwrap_or_default();
-        // Guards against a lease that was renewed or acquired by another since the contender saw it.
+        // Guards against acquiring a lease that was renewed, or acquired by another member, since the contender saw it.
         if version != seen {
             return Err(CommandError::Outdated);
         }
@@ -360,7 +362,7 @@
         Ok(())
     }
 
-    /// A lease's record, if this process holds it in this term.
+    /// The record of a lease that this process holds in this term, or [`CommandError::Outdated`].
     fn held_by(
         &mut self,
         lease_name: &LeaseName,
@@ -388,7 +390,8 @@
         })
     }
 
-    /// Whether a change of voters is to be finished; [`ReplicatedState::apply`] finishes it.
+    /// Checks that a change of voters is in progress; [`ReplicatedState::apply`] has already finished it in the new
+    /// state.
     fn finish_voter_change(&self) -> Result<(), CommandError> {
         match self.voters.before {
             Some(_) => Ok(()),
@@ -396,10 +399,11 @@
         }
     }
 
-    /// Changes the voters by one. Until the change is finished, majorities of those before and after it are needed.
+    /// Adds or removes one voter. Until the change is finished, a quorum needs a majority of the voters before and
+    /// after the change.
     ///
-    /// Guards against two changes at once, after each of which another half of the voters would be a majority: two
-    /// values could be chosen.
+    /// Guards against concurrent changes, which could leave two majorities without a common voter: two values could be
+    /// chosen.
     fn change_voters(
         &mut self,
         change: impl FnOnce(&mut BTreeMap<Name, VoterRecord>) -> Result<(), CommandError>,
