--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor's side of a member: its file, the fleet's bootstrap, and whether it may vote.
+//! The acceptor's part of a member: the voter's file, the fleet's bootstrap, and whether the member may vote.
 
 use super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
@@ -6,37 +6,39 @@
 use crate::coordination::state::VoterRecord;
 use nanorand::Rng;
 
-/// The acceptor's file.
+/// Whether the voter's file can be used.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum AcceptorFile {
-    /// It was not read yet.
-    Unread,
-    /// There is none, and none is wanted.
-    None,
-    /// It may be used.
-    Good,
-    /// It cannot be trusted: no voting.
-    Bad(String),
+    /// The file was not loaded yet.
+    NotLoaded,
+    /// This member has no voter's file, by its settings.
+    NotConfigured,
+    /// The file was loaded, or did not exist and is to be created.
+    Usable,
+    /// The file cannot be trusted, for this reason: the member does not vote.
+    Unusable(String),
 }
 
-/// Writes of the acceptor's file, one at a time, and the answers that wait for them.
+/// Writes of the voter's file, one at a time, and the answers that wait for them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AcceptorStorage {
-    /// Whether the file was written at least once, so that the voter's identity is durable.
+    /// Whether the file was written at least once, so that the voter's identity is durable and may be announced.
     is_created: bool,
-    /// The write in flight, and the state that it stores.
-    in_flight: Option<SaveId>,
+    /// The write that has begun and not ended.
+    write_in_flight: Option<SaveId>,
+    /// The state that the write in flight stores.
     in_flight_state: Option<Box<AcceptorState>>,
     /// The newest state that is durable.
     durable_state: Option<Box<AcceptorState>>,
     saves_started: u64,
-    /// Answers that wait for the write in flight, and those for the one after it.
+    /// Answers that wait for the write in flight.
     answers: Vec<(CallId, Answer)>,
-    answers_of_next: Vec<(CallId, Answer)>,
+    /// Answers that wait for the write after the one in flight.
+    answers_for_next_write: Vec<(CallId, Answer)>,
 }
 
 impl Member {
-    /// Takes the acceptor's file as it was read at the start.
+    /// Handles the voter's file as it was read at the start.
     pub(super) fn file_loaded(
         &mut self,
         file: Result<Option<AcceptorState>, UnusableFile>,
@@ -45,19 +47,22 @@
         match file {
             Ok(Some(state)) if state.name == self.settings.me => self.recover_acceptor(state),
             Ok(Some(state)) => {
-                let reason = format!("the voter's file is {}'s; no voting here", state.name.0);
+                let reason = format!(
+                    "the voter's file belongs to {}: this member does not vote",
+                    state.name.0
+                );
                 out.push(Output::Warn(reason.clone()));
-                self.file = AcceptorFile::Bad(reason);
+                self.file = AcceptorFile::Unusable(reason);
             }
             Ok(None) => {
-                self.file = AcceptorFile::Good;
-                self.begin_as_new_voter(out);
+                self.file = AcceptorFile::Usable;
+                self.create_new_voter(out);
             }
             Err(UnusableFile { reason }) => {
                 out.push(Output::Warn(format!(
-                    "the voter's file is not used, no voting here: {reason}"
+                    "cannot use the voter's file, this member does not vote: {reason}"
                 )));
-                self.file = AcceptorFile::Bad(reason);
+                self.file = AcceptorFile::Unusable(reason);
             }
         }
         self.next_acceptor_check_at = self.now;
@@ -71,30 +76,33 @@
         }
         self.storage.durable_state = Some(Box::new(state.clone()));
         self.acceptor = Some(Acceptor::recover(state));
-        self.file = AcceptorFile::Good;
+        self.file = AcceptorFile::Usable;
     }
 
-    /// A voter that never voted, under a new identity.
-    fn begin_as_new_voter(&mut self, out: &mut Vec<Output>) {
+    /// Replaces the acceptor by one that has never voted, with a new identity, and writes its file.
+    fn create_new_voter(&mut self, out: &mut Vec<Output>) {
         let voter_id = VoterId(self.rng.generate::<u64>() | 1);
         self.acceptor = Some(Acceptor::new(self.settings.me.clone(), voter_id));
         self.storage.is_created = false;
         self.confirmed_by = Vec::new();
-        self.save(out);
+        self.save_acceptor(out);
     }
 
-    /// The file is older than what this voter answered: it forgot something, and must not vote under its identity.
+    /// Discards a file that is older than this voter's answers: the voter has forgotten promises and must not vote
+    /// under its identity any more.
     fn discard_outdated_file(&mut self, out: &mut Vec<Output>) {
         out.push(Output::Warn(
-            "the voter's file is an old one: not voting until let in again".to_owned(),
+            "the voter's file is outdated: this member does not vote until an operator adds it as a voter \
+             again"
+                .to_owned(),
         ));
         self.count("old files");
-        self.begin_as_new_voter(out);
+        self.create_new_voter(out);
     }
 
-    /// Writes the file, unless a write is in flight; then the next one begins once that has ended.
-    pub(super) fn save(&mut self, out: &mut Vec<Output>) {
-        let (None, Some(acceptor)) = (self.storage.in_flight, &self.acceptor) else {
+    /// Begins to write the file, unless a write is in flight: the next write then begins when that one ends.
+    pub(super) fn save_acceptor(&mut self, out: &mut Vec<Output>) {
+        let (None, Some(acceptor)) = (self.storage.write_in_flight, &self.acceptor) else {
             return;
         };
         let storage = &mut self.storage;
@@ -103,18 +111,18 @@
         let state = Box::new(acceptor.state.clone());
         storage.in_flight_state = Some(state.clone());
         out.push(Output::Save { number, state });
-        storage.in_flight = Some(number);
-        storage.answers = std::mem::take(&mut storage.answers_of_next);
+        storage.write_in_flight = Some(number);
+        storage.answers = std::mem::take(&mut storage.answers_for_next_write);
         self.count("saves");
     }
 
-    /// A write of the file has ended.
+    /// Handles the end of a write: sends the answers that waited for it if the write is durable.
     pub(super) fn file_saved(&mut self, number: SaveId, is_durable: bool, out: &mut Vec<Output>) {
         let storage = &mut self.storage;
-        if storage.in_flight != Some(number) {
+        if storage.write_in_flight != Some(number) {
             return;
         }
-        storage.in_flight = None;
+        storage.write_in_flight = None;
         let answers = std::mem::take(&mut storage.answers);
         let state = storage.in_flight_state.take();
         if is_durable {
@@ -123,19 +131,21 @@
             let answer_call = |(call, answer)| Output::Answer { call, answer };
             out.extend(answers.into_iter().map(answer_call));
         } else {
-            // Guards against a full or failing disk: an answer whose state is lost with the process would break its
-            // promise. The answers are dropped, and what was promised stays promised in memory.
+            // Guards against a full or failing disk: if the process ended after an answer whose state is not durable,
+            // the voter would break its promise. The answers are dropped, and the promises stay in memory.
             self.count("saves failed");
             out.push(Output::Warn(
-                "the voter's file could not be written: not answering".to_owned(),
+                "could not write the voter's file: dropped the answers that wait for it".to_owned(),
             ));
         }
-        if !self.storage.answers_of_next.is_empty() || (!self.storage.is_created && is_durable) {
-            self.save(out);
+        if !self.storage.answers_for_next_write.is_empty()
+            || (!self.storage.is_created && is_durable)
+        {
+            self.save_acceptor(out);
         }
     }
 
-    /// Answers a proposer, once the state that the answer states is durable.
+    /// Handles a proposer's request. The answer is sent once the state that it reports is durable.
     pub(super) fn proposer_request(
         &mut self,
         call: CallId,
@@ -150,18 +160,18 @@
         }
         let answer = Answer::Vote(response.reply);
         let state = self.acceptor.as_ref().map(|acceptor| &acceptor.state);
-        // Guards against a request that is sent again while its answer waits for a slow disk: a write for each copy
-        // would keep the disk busy until the request has timed out. A copy waits for the write that holds its state.
+        // Guards against requests that are sent again while their answer waits for a slow disk: one write per copy
+        // would keep the disk busy until the request has timed out. A copy waits for the write that contains its state.
         if !response.needs_durable_state || self.storage.durable_state.as_deref() == state {
             out.push(Output::Answer { call, answer });
         } else if is_injected(InjectedFault::AnswerBeforeDurable) {
             out.push(Output::Answer { call, answer });
-            self.save(out);
+            self.save_acceptor(out);
         } else if self.storage.in_flight_state.as_deref() == state {
             self.storage.answers.push((call, answer));
         } else {
-            self.storage.answers_of_next.push((call, answer));
-            self.save(out);
+            self.storage.answers_for_next_write.push((call, answer));
+            self.save_acceptor(out);
         }
         let acceptor = self.acceptor.as_ref();
         if acceptor.is_some_and(|acceptor| !acceptor.votes && !self.awaits_confirmation()) {
@@ -179,7 +189,7 @@
         }
     }
 
-    /// Whether other voters have yet to confirm that the file is not outdated.
+    /// Whether other voters still have to confirm that the file is not outdated.
     fn awaits_confirmation(&self) -> bool {
         let Some(acceptor) = &self.acceptor else {
             return false;
@@ -187,7 +197,7 @@
         acceptor.state.promised.is_some() && !self.confirmed_by.contains(&self.settings.me)
     }
 
-    /// What this voter shows of itself to other members.
+    /// The answer to a query of another member: this voter's identity, bootstrap and accepted value.
     pub(super) fn voter_state(&self) -> VoterState {
         let acceptor = self.durable_acceptor();
         VoterState {
@@ -198,14 +208,15 @@
         }
     }
 
-    /// The acceptor, once its identity is durable.
+    /// The acceptor, or `None` until its identity is durable.
     fn durable_acceptor(&self) -> Option<&Acceptor> {
         self.acceptor.as_ref().filter(|_| self.storage.is_created)
     }
 
-    /// Whether the acceptor knows of no bootstrap yet, or other voters have to confirm its file.
+    /// Whether [`Member::check_acceptor`] has something to do: the file is not created, the bootstrap is not known, or
+    /// other voters have not confirmed the file.
     fn acceptor_needs_check(&self) -> bool {
-        if self.file != AcceptorFile::Good {
+        if self.file != AcceptorFile::Usable {
             return false;
         }
         let Some(acceptor) = &self.acceptor else {
@@ -217,13 +228,13 @@
         !self.storage.is_created || !acceptor.votes || awaits_bootstrap
     }
 
-    /// When [`Member::check_acceptor`] has something to do.
+    /// When [`Member::check_acceptor`] is to be called next; `None` if it has nothing to do.
     pub(super) fn next_acceptor_check(&self) -> Option<Ms> {
         self.acceptor_needs_check()
             .then_some(self.next_acceptor_check_at)
     }
 
-    /// Creates the file, asks for the bootstrap, or has the file confirmed; again until it is done.
+    /// Creates the file, queries the bootstrap or asks other voters to confirm the file, repeatedly until that is done.
     pub(super) fn check_acceptor(&mut self, out: &mut Vec<Output>) {
         if !self.acceptor_needs_check() || self.now < self.next_acceptor_check_at {
             return;
@@ -231,7 +242,7 @@
         let jitter: f64 = self.rng.generate();
         self.next_acceptor_check_at = self.now + self.settings.answer_within * (0.5 + jitter);
         if !self.storage.is_created {
-            return self.save(out);
+            return self.save_acceptor(out);
         }
         let Some(acceptor) = &self.acceptor else {
             return;
@@ -256,10 +267,10 @@
         }
     }
 
-    /// Another voter answers how many writes of this one it knows of.
+    /// Handles another voter's answer that states how many writes of this voter it knows of.
     ///
     /// Guards against an outdated file, see [`Acceptor::detect_outdated_file`]: the acceptor votes again once all
-    /// voters have confirmed its file, or a majority has and a lease has passed.
+    /// voters have confirmed its file, or a majority has confirmed it and a lease duration has passed since the start.
     pub(super) fn write_count_received(&mut self, by: Name, writes: u64, out: &mut Vec<Output>) {
         let Some(acceptor) = &mut self.acceptor else {
             return;
@@ -293,35 +304,36 @@
         if all.all(|(name, voter_record)| has_confirmed(&name, &voter_record)) {
             return true;
         }
-        // A majority is enough only after the others had time to answer: a voter that lags behind may know of no write.
+        // A majority is enough only after the others had time to answer, as a voter that lags behind may not know of
+        // the newest writes.
         let has_waited = self.now - self.started_at >= self.settings.lease.lease;
         has_waited && voters.majority(has_confirmed)
     }
 
-    /// A voter showed its state.
+    /// Handles a voter's answer to a query of its state.
     pub(super) fn voter_state_received(
         &mut self,
         of: &Name,
-        seen: VoterState,
+        voter_state: VoterState,
         out: &mut Vec<Output>,
     ) {
         if self.bootstrap.is_none() {
-            self.bootstrap.clone_from(&seen.bootstrap);
+            self.bootstrap.clone_from(&voter_state.bootstrap);
         }
-        if let Some((ballot, value)) = seen.newest {
+        if let Some((ballot, value)) = voter_state.newest {
             self.observe_state(Some(ballot), value);
         } else if self.newest.is_none() && self.bootstrap.is_some() {
             self.update_lease_observers();
         }
-        self.try_bootstrap(of, seen.voter_id, out);
+        self.try_bootstrap(of, voter_state.voter_id, out);
     }
 
-    /// The fleet's bootstrap: a blank voter that every voter of the settings has answered knows their identities, and
-    /// they are the first voters.
+    /// Bootstraps the fleet: once a blank voter has received the identities of all voters in the settings, these are
+    /// the first voters.
     ///
-    /// Guards against a second bootstrap beside the first, with which two fleets would choose values of their own: a
-    /// voter takes the bootstrap that another has made. If that names its identity it votes, else it waits to be let
-    /// in.
+    /// Guards against a second bootstrap beside the first, as two sets of voters would choose values independently. A
+    /// voter adopts a bootstrap that another voter has made. If the bootstrap contains its identity it votes, otherwise
+    /// it waits until an operator adds it as a voter.
     fn try_bootstrap(&mut self, of: &Name, voter_id: Option<VoterId>, out: &mut Vec<Output>) {
         let known_bootstrap = self.bootstrap.clone();
         let Some(state) = self.durable_acceptor().map(|acceptor| &acceptor.state) else {
@@ -349,7 +361,7 @@
                 before: None,
             };
             out.push(Output::Info(
-                "the fleet's first start: all voters are there".to_owned(),
+                "fleet bootstrap: the identities of all configured voters are known".to_owned(),
             ));
             self.store_bootstrap(bootstrap, out);
         }
@@ -359,10 +371,10 @@
         if let Some(acceptor) = &mut self.acceptor {
             acceptor.state.bootstrap = Some(bootstrap);
         }
-        self.save(out);
+        self.save_acceptor(out);
     }
 
-    /// The voters of the settings with their identities, once all are known.
+    /// The voters of the settings with their identities; `None` until all identities are known.
     fn bootstrap_voters(&self, own_id: VoterId) -> Option<BTreeMap<Name, VoterRecord>> {
         let record = |(name, address): (&Name, &Address)| {
             let voter_id = match *name == self.settings.me {
--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -1,30 +1,31 @@
-//! Heartbeats to the membership leader, and the leader's answers.
+//! Sending heartbeats to the membership leader, and answering heartbeats as the leader.
 
 use super::*;
 use crate::coordination::membership::RankedLease;
 use nanorand::Rng;
 
-/// After this many heartbeats without an answer the membership leader counts as gone.
+/// The membership leader counts as unresponsive after this many heartbeat intervals without an answer.
 const LEADER_TIMEOUT_HEARTBEATS: f64 = 3.0;
 
 impl Member {
-    /// A membership leader was named, by a value or by another member.
+    /// Records the membership leader that a replicated state or another member names, unless its term is outdated.
     pub(super) fn learn_membership_leader(&mut self, leader: (Term, LeaseHolder)) {
         let known = self.membership_leader.as_ref();
-        // Guards against a leader of an earlier term that still answers: its successor would be forgotten.
+        // Guards against answers of an earlier leader, which would replace its successor here.
         if known.is_some_and(|known| known.0 > leader.0) {
             return;
         }
         if known.is_none_or(|known| *known != leader) {
             self.leader_answered_at = None;
-            // Members learn of a new leader at different moments, so it is not met by all of them at once.
+            // The heartbeat is sent at once. Members learn of a new leader at different times, so their heartbeats do
+            // not all arrive together.
             self.next_heartbeat_at = self.next_heartbeat_at.min(self.now);
             self.membership_leader = Some(leader);
         }
     }
 
-    /// Whether the membership leader has answered lately.
-    pub(super) fn leader_answers(&self) -> bool {
+    /// Whether a membership leader is known and has answered a heartbeat lately.
+    pub(super) fn leader_is_responsive(&self) -> bool {
         let timeout = LEADER_TIMEOUT_HEARTBEATS * self.heartbeat_interval;
         let answered_at = self.leader_answered_at;
         self.membership_leader.is_some() && answered_at.is_some_and(|at| self.now - at < timeout)
@@ -35,7 +36,7 @@
         held.is_some_and(|held| held.left(self.now) > 0.0)
     }
 
-    /// Another member's heartbeat came.
+    /// Handles another member's heartbeat; only the membership leader records the heartbeat.
     pub(super) fn heartbeat_received(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
         let (now, shortest) = (self.now, self.settings.heartbeat);
         let is_leader = self.holds_membership_lease();
@@ -43,14 +44,16 @@
         if let Some(membership) = self.membership.as_mut().filter(|_| is_leader) {
             let name = heartbeat.who.name.clone();
             membership.heartbeat_received(now, heartbeat, shortest);
-            let place = membership.place_of(&membership_lease(), &name);
-            places.extend(place.map(|place| (membership_lease(), place)));
+            let rank = membership.place_of(&membership_lease(), &name);
+            places.extend(rank.map(|rank| (membership_lease(), rank)));
         }
         let membership = self.membership.as_ref();
         HeartbeatReply {
             accepted: is_leader,
             holder: self.membership_leader.clone(),
-            every: membership.map_or(shortest, |m| m.heartbeat_interval(shortest)),
+            every: membership.map_or(shortest, |membership| {
+                membership.heartbeat_interval(shortest)
+            }),
             places,
         }
     }
@@ -71,19 +74,20 @@
         }
     }
 
-    /// Sends a heartbeat if it is time, or asks who the membership leader is; the leader takes in its own.
-    pub(super) fn heartbeat_if_due(&mut self, out: &mut Vec<Output>) {
+    /// Sends a heartbeat if one is due, or queries a voter if no other member is known to be the leader. The leader
+    /// records its own heartbeat.
+    pub(super) fn send_heartbeat_if_due(&mut self, out: &mut Vec<Output>) {
         if self.now < self.next_heartbeat_at {
             return;
         }
         self.next_heartbeat_at = self.now + self.heartbeat_interval;
         let heartbeat = self.own_heartbeat();
         if self.held_leases.contains_key(&membership_lease()) {
-            return self.take_own_heartbeat(heartbeat);
+            return self.record_own_heartbeat(heartbeat);
         }
         let leader = self.membership_leader.as_ref();
-        let other = leader.filter(|(_, leader)| leader.name != self.settings.me);
-        let Some((_, leader)) = other else {
+        let other_leader = leader.filter(|(_, leader)| leader.name != self.settings.me);
+        let Some((_, leader)) = other_leader else {
             return self.query_any_voter(out);
         };
         let (address, to) = (leader.address.clone(), leader.incarnation);
@@ -92,7 +96,7 @@
         self.send_request(address, question, RequestPurpose::Heartbeat { to }, out);
     }
 
-    fn take_own_heartbeat(&mut self, heartbeat: Heartbeat) {
+    fn record_own_heartbeat(&mut self, heartbeat: Heartbeat) {
         let (now, shortest) = (self.now, self.settings.heartbeat);
         let preferred_zone = self.settings.preferred_zone.clone();
         let me = self.settings.me.clone();
@@ -109,7 +113,7 @@
         }
     }
 
-    /// The membership leader with this incarnation answered a heartbeat, or did not.
+    /// Handles the answer to a heartbeat that was sent to the leader with the incarnation `to`; `None` if none came.
     pub(super) fn heartbeat_answered(
         &mut self,
         to: Incarnation,
@@ -118,15 +122,15 @@
     ) {
         let leader = self.membership_leader.as_ref();
         let is_current = leader.is_some_and(|(_, leader)| leader.incarnation == to);
-        let place = match reply {
+        let rank = match reply {
             Some(reply) if reply.accepted && is_current => self.heartbeat_accepted(&reply),
             Some(HeartbeatReply {
                 accepted: false,
                 holder: Some(leader),
                 ..
             }) if leader.1.incarnation != to => return self.learn_membership_leader(leader),
-            // It was not reached, or is no longer the leader: a voter is asked for its successor, once, and again
-            // when the next heartbeat is due.
+            // The leader was not reached, or is no longer the leader. A voter is asked once for the newest value, which
+            // names the successor, and again when the next heartbeat is due.
             _ if is_current => {
                 self.count("beats lost");
                 return self.query_any_voter(out);
@@ -134,23 +138,23 @@
             _ => return,
         };
         if let Some(observer) = self.lease_observers.get_mut(&membership_lease()) {
-            observer.place = place;
+            observer.place = rank;
         }
     }
 
-    /// The leader has taken a heartbeat in. Gives this member's place among the leader's successors.
+    /// Handles an accepted heartbeat. Returns this member's rank among the possible successors of the leader.
     fn heartbeat_accepted(&mut self, reply: &HeartbeatReply) -> Option<u32> {
         self.leader_answered_at = Some(self.now);
         let jitter: f64 = self.rng.generate();
         let interval = reply.every.max(self.settings.heartbeat);
         if interval != self.heartbeat_interval {
-            // A new interval begins at a random point, for each member another.
+            // A new interval begins at a random time, so that the members' heartbeats stay spread out.
             self.next_heartbeat_at = self.now + interval * jitter;
         }
         self.heartbeat_interval = interval;
-        let mut places = reply.places.iter();
-        places
+        let mut ranks = reply.places.iter();
+        ranks
             .find(|(lease_name, _)| is_membership_lease(lease_name))
-            .map(|(_, place)| *place)
+            .map(|(_, rank)| *rank)
     }
 }
--- a/src/coordination/member/leases.rs
+++ b/src/coordination/member/leases.rs
@@ -1,27 +1,27 @@
-//! Leases of this member: those that it holds, hands over, or is ready to acquire.
+//! The leases that this member holds, hands over or contends for, and the jobs for which it holds leases.
 
 use super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 
-/// A job that does not ask for its lease for this many lease durations is over.
+/// A job counts as ended after this many lease durations without a request for its lease.
 const JOB_TIMEOUT_LEASES: f64 = 1.5;
 
-/// A lease that is being given up: nothing is done under it any more.
+/// A lease that is being released: the member does not act under it any more.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LeaseHandover {
     pub(super) held: HeldLease,
-    /// The successor that is named, if one is.
+    /// The named successor; `None` lets every contender acquire the lease.
     pub(super) next: Option<Name>,
-    /// Where the successor is sent word of it.
+    /// The address at which the successor is told of the release, if it is known.
     pub(super) to: Option<Address>,
 }
 
-/// A job of the operators for which a lease is held.
+/// An operator's job, for which this member acquires and renews a lease.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LeaseJob {
-    /// Tells jobs of the same lease apart.
+    /// Distinguishes jobs that request the same lease.
     pub(super) number: u64,
-    /// When the job asked for its lease last.
+    /// When the job last asked for its lease, in milliseconds.
     pub(super) asked: Ms,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Member {
-    /// Whether this member acquires a lease once it is free.
+    /// Whether this member acquires the lease once the lease is free.
     pub(super) fn contends(&self, lease_name: &LeaseName) -> bool {
         if self.stopping
             || self.held_leases.contains_key(lease_name)
@@ -51,26 +51,26 @@
         if !is_membership_lease(lease_name) {
             return self.jobs.contains_key(lease_name);
         }
-        // A member without a place contends only as a last resort, when the membership leader does not answer it.
+        // An unranked member contends only as a last resort, when the membership leader does not answer it.
         let observer = self.lease_observers.get(lease_name);
-        let has_place = observer.is_some_and(|observer| {
+        let is_ranked = observer.is_some_and(|observer| {
             observer.place.is_some() || observer.names_successor(&self.settings.me)
         });
-        has_place || self.is_voter() || !self.leader_answers()
+        is_ranked || self.is_voter() || !self.leader_is_responsive()
     }
 
-    /// Whether this member is a voter by the newest value.
+    /// Whether this member is a voter according to the newest value, and has an acceptor.
     pub(super) fn is_voter(&self) -> bool {
         let me = &self.settings.me;
         let voters = self.known_voter_set();
         self.acceptor.is_some() && voters.is_some_and(|voters| voters.set.contains_key(me))
     }
 
-    /// Drops leases and jobs whose time is over.
+    /// Drops expired leases and ended jobs.
     ///
-    /// Guards against a process that slept or was stopped: it would act under a lease that another member has
-    /// acquired meanwhile. This runs before any input is looked at, and a lease's end is counted from before it was
-    /// requested, so it is over here before another member may acquire it.
+    /// Guards against a process that was suspended: it would act under a lease that another member has acquired
+    /// meanwhile. This runs before any input is handled, and a lease counts from before it was requested, so the lease
+    /// expires here before another member may acquire it.
     pub(super) fn drop_expired(&mut self, out: &mut Vec<Output>) {
         if !is_injected(InjectedFault::LeaseEndIgnored) {
             self.drop_expired_leases(out);
@@ -78,39 +78,39 @@
         let (now, lease) = (self.now, self.settings.lease.lease);
         let timeout = JOB_TIMEOUT_LEASES * lease;
         let jobs = self.jobs.iter();
-        let over: Vec<LeaseName> = jobs
+        let ended: Vec<LeaseName> = jobs
             .filter(|(_, job)| now - job.asked >= timeout)
             .map(|(lease_name, _)| lease_name.clone())
             .collect();
-        for lease_name in over {
+        for lease_name in ended {
             self.end_job(&lease_name, out);
         }
     }
 
     fn drop_expired_leases(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let is_over = |held: &HeldLease| held.left(now) <= 0.0;
+        let is_expired = |held: &HeldLease| held.left(now) <= 0.0;
         let held_leases = self.held_leases.iter();
-        let over: Vec<LeaseName> = held_leases
-            .filter(|(_, held)| is_over(held))
+        let expired: Vec<LeaseName> = held_leases
+            .filter(|(_, held)| is_expired(held))
             .map(|(lease_name, _)| lease_name.clone())
             .collect();
-        for lease_name in over {
+        for lease_name in expired {
             self.count("leases over");
             self.drop_lease(&lease_name, out);
         }
         self.handovers
-            .retain(|_, handover| !is_over(&handover.held));
+            .retain(|_, handover| !is_expired(&handover.held));
     }
 
-    /// A job is over: its lease is given up.
+    /// Forgets a job and releases its lease.
     pub(super) fn end_job(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         self.jobs.remove(lease_name);
         self.lease_observers.remove(lease_name);
         self.hand_over(lease_name, None, out);
     }
 
-    /// Stops acting under a lease at once, and then gives it up.
+    /// Stops acting under a lease at once, and releases the lease with the next proposal.
     pub(super) fn hand_over(
         &mut self,
         lease_name: &LeaseName,
@@ -131,7 +131,8 @@
         self.handovers.insert(lease_name.clone(), handover);
     }
 
-    /// Hands all leases over, as this process ends.
+    /// Hands over all leases, as this process is stopping. The best-ranked member is the successor for the membership
+    /// lease.
     pub(super) fn hand_over_all(&mut self, out: &mut Vec<Output>) {
         let membership = self.membership.as_ref();
         let successor = membership
@@ -145,7 +146,7 @@
         }
     }
 
-    /// A lease is held no more.
+    /// Stops holding a lease, without a proposal to the voters.
     pub(super) fn drop_lease(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         if let Some(held) = self.held_leases.remove(lease_name) {
             out.push(Output::Holds {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// A lease is held from now on.
+    /// Begins to hold a lease, and begins to lead if it is the membership lease.
     pub(super) fn lease_acquired(
         &mut self,
         lease_name: &LeaseName,
@@ -185,7 +186,8 @@
         }
     }
 
-    /// A holder gave a lease up for this member: the voters are asked for the newest value at once.
+    /// Handles the offer of a lease whose holder named this member as the successor: the voters are asked for the
+    /// newest value at once.
     pub(super) fn lease_offered(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         self.count("nudged");
         if self.lease_observers.contains_key(lease_name) {
@@ -194,7 +196,7 @@
         }
     }
 
-    /// When something of leases, jobs or pending commands falls due.
+    /// The times at which leases, jobs or pending commands have to be handled, unordered.
     pub(super) fn lease_timers(&self) -> Vec<Ms> {
         let settings = &self.settings.lease;
         let mut timers = Vec::new();
--- a/src/coordination/member/membership_report.rs
+++ b/src/coordination/member/membership_report.rs
@@ -1,32 +1,33 @@
-//! The membership leader's reports to the receivers that the settings name: commands under the membership lease, so
-//! that no receiver takes one of a former leader.
+//! The membership leader's reports to the receivers in the settings. Reports are fenced commands under the membership
+//! lease, so that no receiver accepts one from a former leader.
 
 use super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::membership::MemberStatus;
 
-/// A receiver of membership reports.
+/// The state of the reports to one receiver.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct ReportReceiver {
     clock: ReceiverClock,
     next_report_at: Ms,
-    /// A report is in flight.
+    /// Whether a report is in flight.
     awaits_answer: bool,
-    /// A report that was not answered may still be executed before this.
+    /// Until when the receiver may still execute a report that it has not answered.
     executable_until: Ms,
 }
 
 impl Member {
-    /// Whether all commands under the membership lease have been answered, or cannot be executed any more.
-    pub(super) fn fenced_commands_are_over(&self) -> bool {
-        self.fenced_commands_over_at() <= self.now
+    /// Whether every command under the membership lease has been answered or can no longer be executed.
+    pub(super) fn fenced_commands_are_finished(&self) -> bool {
+        self.fenced_commands_finish_at() <= self.now
     }
 
-    /// When no command of this process can be executed any more, if no answer comes.
+    /// The time after which no command of this process can be executed any more, even if no more answers come.
     ///
-    /// Guards against a command that is under way while the lease changes hands: a successor, also this process in
-    /// its next term, must not act beside it. A receiver executes none after the lease under which it was sent.
-    pub(super) fn fenced_commands_over_at(&self) -> Ms {
+    /// Guards against a command that is still in transit when the lease changes hands: a successor, which may be this
+    /// process in its next term, must not act at the same time. Receivers refuse a command once the lease under which
+    /// it was sent has expired.
+    pub(super) fn fenced_commands_finish_at(&self) -> Ms {
         let receivers = self.disruptions.receivers.values();
         let permits = receivers.map(|receiver| receiver.executable_until);
         let reports = self.report_receivers.iter();
@@ -36,7 +37,7 @@
             .fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// When the next membership report is due, if this member is the leader.
+    /// When the next membership report is due; `None` if this member is not the leader or all receivers owe an answer.
     pub(super) fn next_report_at(&self) -> Option<Ms> {
         if !self.held_leases.contains_key(&membership_lease()) {
             return None;
@@ -48,7 +49,7 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Sends a membership report to each receiver that is due.
+    /// Sends a membership report to each receiver for which one is due, while the membership lease lasts.
     pub(super) fn send_membership_reports(&mut self, out: &mut Vec<Output>) {
         let Some(held) = self.held_leases.get(&membership_lease()).copied() else {
             return;
@@ -99,7 +100,7 @@
         self.send_request(to, Question::FencedCommand(command), purpose, out);
     }
 
-    /// A receiver answered a membership report, or did not.
+    /// Handles a receiver's answer to a membership report; `None` if there was no answer.
     pub(super) fn report_answered(
         &mut self,
         index: usize,
@@ -115,14 +116,14 @@
         receiver.clock.answered(self.now, receiver_timestamp);
         receiver.executable_until = f64::NEG_INFINITY;
         if decision == FencingDecision::TimestampMissing {
-            // The timestamp came with this answer: the report can be sent again at once.
+            // This answer contains the missing timestamp, so the report is sent again at once.
             receiver.next_report_at = self.now;
         } else if decision != FencingDecision::Executed {
             self.count("acts refused");
         }
     }
 
-    /// The members by status, and how long this member has been the leader.
+    /// The body of a membership report: the number of members by status, and how long this member has been the leader.
     fn membership_summary(&self) -> Vec<u8> {
         let Some(membership) = &self.membership else {
             return Vec::new();
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into a member and what comes out of it.
+//! The inputs and outputs of a member, and the messages between members.
 
 use super::{OperatorRequest, Reply};
 use crate::coordination::disruption_budget::{OutcomeCounts, Unit, UnitKind};
@@ -11,131 +11,131 @@
 use crate::interface::Ms;
 use std::fmt;
 
-/// A request that came in, as the driver numbers it.
+/// Identifies a received request until its answer is sent; assigned by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A request that went out.
+/// Identifies a sent request until its answer arrives; assigned by the member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QuestionId(pub u64);
 
-/// A write of the acceptor's file.
+/// Identifies a write of the voter's file; assigned by the member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SaveId(pub u64);
 
-/// A request from one member to another.
+/// A request from one member, or from an operator, to a member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Question {
-    /// A proposer's request to an acceptor.
+    /// A proposer's prepare or accept request to an acceptor.
     Vote(AcceptorRequest),
     /// Asks a voter for the value that it accepted last.
     VoterState,
-    /// Asks how many writes of a voter's file are known.
+    /// Asks for the highest known write count of a voter's file.
     WriteCount {
-        /// The voter's name.
+        /// The name of the voter whose file it is.
         of: Name,
-        /// The voter's identity.
+        /// The identity in that file.
         voter_id: VoterId,
     },
     /// A heartbeat to the membership leader.
     Heartbeat(Heartbeat),
-    /// A lease was given up, with the receiver named as the next holder.
+    /// Tells the receiver that a lease was released and that the receiver is named as the successor.
     LeaseOffer {
-        /// The lease.
+        /// The lease that the receiver may acquire.
         lease_name: LeaseName,
     },
-    /// A command of a lease holder.
+    /// A lease holder's command, which is executed only while the sender holds the lease.
     FencedCommand(FencedCommand),
-    /// Asks whether the disruption that a permit allows has begun. If not, it must not begin any more.
+    /// Revokes a permit, unless the disruption that the permit allows has already begun.
     AskBack {
-        /// The permit.
+        /// The permit to revoke.
         permit: PermitId,
-        /// Whether it is a dispatcher's or an engine's.
+        /// Whether the unit is a dispatcher or an engine.
         of: UnitKind,
-        /// The unit that has the permit.
+        /// The name of the unit that the permit was issued to.
         who: Name,
-        /// The unit's process.
+        /// The process of the unit for which the permit was issued.
         incarnation: Incarnation,
     },
-    /// A request of an operator.
+    /// An operator's request, such as a status query or a change of voters.
     Operator(OperatorRequest),
 }
 
 /// The answer to a [`Question`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// To [`Question::Vote`].
+    /// Answers [`Question::Vote`].
     Vote(AcceptorReply),
-    /// To [`Question::VoterState`].
+    /// Answers [`Question::VoterState`].
     VoterState(VoterState),
-    /// To [`Question::WriteCount`].
+    /// Answers [`Question::WriteCount`].
     WriteCount {
-        /// The highest known write count.
+        /// The highest write count that the receiver knows; 0 if it knows none.
         writes: u64,
     },
-    /// To [`Question::Heartbeat`].
+    /// Answers [`Question::Heartbeat`].
     Heartbeat(HeartbeatReply),
-    /// To [`Question::LeaseOffer`].
+    /// Confirms the receipt of [`Question::LeaseOffer`].
     Done,
-    /// To [`Question::FencedCommand`].
+    /// Answers [`Question::FencedCommand`].
     FencingDecision {
-        /// Whether it was executed, or why not.
+        /// Whether the command was executed, or why it was refused.
         verdict: FencingDecision,
-        /// The receiver's clock, for the next command.
+        /// The receiver's timestamp, which the sender attaches to its next command.
         receiver_timestamp: ReceiverTimestamp,
     },
-    /// To [`Question::AskBack`].
+    /// Answers [`Question::AskBack`].
     Begun {
-        /// Whether the disruption has begun.
+        /// Whether the disruption has begun, so that the permit cannot be revoked.
         begun: bool,
     },
-    /// To [`Question::Operator`].
+    /// Answers [`Question::Operator`].
     Reply(Reply),
 }
 
-/// What a voter shows of itself.
+/// A voter's answer to a query of its state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoterState {
-    /// Its identity; none if it is no voter, or has no file that can be trusted.
+    /// The voter's identity; `None` without a voter's file, or with one that cannot be trusted.
     pub voter_id: Option<VoterId>,
-    /// Whether it votes.
+    /// Whether the voter answers proposers now.
     pub votes: bool,
-    /// The bootstrap that its file holds.
+    /// The first voters of the fleet according to the voter's file, if they are known.
     pub bootstrap: Option<Voters>,
-    /// The value that it accepted last.
+    /// The value that the voter accepted last, with its ballot, if any.
     pub newest: Option<(Ballot, ReplicatedState)>,
 }
 
-/// The answer to a heartbeat.
+/// A member's answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeartbeatReply {
-    /// The receiver is the membership leader and has taken the heartbeat in.
+    /// Whether the receiver is the membership leader and has recorded the heartbeat.
     pub accepted: bool,
-    /// The membership leader and its term, as the receiver knows them.
+    /// The membership leader and its term as far as the receiver knows them.
     pub holder: Option<(Term, LeaseHolder)>,
-    /// The time to the next heartbeat, in milliseconds.
+    /// The time until the sender's next heartbeat, in milliseconds.
     pub every: Ms,
-    /// The sender's places among the next holders of leases.
+    /// The sender's ranks among the possible next holders of leases, 0 for the first; empty if it is not ranked.
     pub places: Vec<(LeaseName, u32)>,
 }
 
-/// The dispatcher's own state, as it is reported with heartbeats.
+/// The dispatcher's health, which the driver measures and the member reports with heartbeats.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalHealth {
-    /// It takes requests.
+    /// Whether the dispatcher accepts client requests.
     pub ready: bool,
-    /// Its utilization, 0 to 1.
+    /// The dispatcher's utilization, 0 to 1.
     pub load: f64,
-    /// Outcomes of this process's requests so far.
+    /// Outcomes of client requests since the process started.
     pub tally: OutcomeCounts,
-    /// Reports of engines since the last time.
+    /// New reports about engines since the previous input of this kind.
     pub reports: Vec<EngineReport>,
 }
 
-/// Why an acceptor's file cannot be used.
+/// The error for a voter's file that exists and cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnusableFile {
-    /// The reason, as it is logged and shown to operators.
+    /// The reason in words, as logs and operators' tools show it.
     pub reason: String,
 }
 
@@ -147,88 +147,88 @@
 
 impl std::error::Error for UnusableFile {}
 
-/// What a member takes in.
+/// An event that a driver passes to [`Member::handle`](super::Member::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The acceptor's file as it was read at the start; `None` if there is none yet.
+    /// The voter's file as it was read at the start; `Ok(None)` if the file does not exist.
     Loaded(Result<Option<AcceptorState>, UnusableFile>),
-    /// A write of the acceptor's file has ended.
+    /// A write of the voter's file has ended.
     Saved {
-        /// The write.
+        /// The number of the write, from [`Output::Save`].
         number: SaveId,
-        /// It is durable for certain.
+        /// Whether the new content is certainly durable; false after a failed write.
         is_durable: bool,
     },
-    /// A request came in.
+    /// A request was received.
     Asked {
-        /// The request's number.
+        /// The number that the driver gives the request, for [`Output::Answer`].
         call: CallId,
-        /// The request.
+        /// The request as decoded from its message.
         question: Question,
     },
-    /// A request that went out was answered, or its receiver could not be reached.
+    /// A sent request was answered, or its receiver could not be reached.
     Answered {
-        /// The request's number.
+        /// The number of the request, from [`Output::Ask`].
         ask: QuestionId,
-        /// The answer, if there is one.
+        /// The answer; `None` if none will come, or if the answer was invalid.
         answer: Option<Answer>,
     },
-    /// The dispatcher's own state.
+    /// A new measurement of the dispatcher's health.
     LocalHealth(LocalHealth),
-    /// The engines as this dispatcher's endpoint list has them.
+    /// The engines in this dispatcher's endpoint list, replacing the earlier ones.
     Engines(Vec<Unit>),
-    /// Time has passed.
+    /// Only time has passed.
     Tick,
-    /// The process ends: leases are handed over and no more are acquired.
+    /// The process is to end: the member hands over its leases and acquires no more.
     Stop,
 }
 
-/// What a member wants done.
+/// An action that a driver performs for a member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a request.
+    /// Send a request to another member.
     Ask {
-        /// The request's number, for [`Input::Answered`].
+        /// The number of the request, for [`Input::Answered`].
         ask: QuestionId,
-        /// The receiver.
+        /// The address of the receiver's fleet service.
         to: Address,
-        /// The request.
+        /// The request to encode and send.
         question: Question,
     },
-    /// Answer a request that came in.
+    /// Answer a received request.
     Answer {
-        /// The request's number.
+        /// The number of the request, from [`Input::Asked`].
         call: CallId,
-        /// The answer.
+        /// The answer to encode and send.
         answer: Answer,
     },
-    /// Write the acceptor's file.
+    /// Write the voter's file durably.
     Save {
-        /// The write's number, for [`Input::Saved`].
+        /// The number of the write, for [`Input::Saved`].
         number: SaveId,
-        /// What to write.
+        /// The new content of the file.
         state: Box<AcceptorState>,
     },
-    /// A lease is held from now on, or no more.
+    /// Report that the member has begun or ceased to hold a lease.
     Holds {
-        /// The lease.
+        /// The lease that was acquired, released or lost.
         lease_name: LeaseName,
-        /// The lease's term.
+        /// The term in which the lease is or was held.
         term: Term,
-        /// Whether it is held.
+        /// Whether the lease is held from now on.
         held: bool,
     },
-    /// This process is permitted to restart: it drains and ends, and its supervisor starts it again.
+    /// Restart this process: it drains and exits, and its supervisor starts it again.
     PermitGranted {
-        /// The permit.
+        /// The permit for the disruption.
         permit: PermitId,
-        /// The label to start under; empty for the present one.
+        /// The label to start under; empty for the present label.
         label: String,
     },
-    /// A warning to log.
+    /// Log a warning.
     Warn(String),
-    /// An information to log.
+    /// Log an informational message.
     Info(String),
-    /// After [`Input::Stop`]: all leases are handed over.
+    /// Report that all leases are handed over after [`Input::Stop`], so that the process may exit.
     Stopped,
 }
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -1,8 +1,8 @@
-//! One dispatcher as a member of its fleet: an acceptor and a proposer of the replicated state, a holder of leases,
-//! and the membership leader or one of those that send it heartbeats.
+//! One dispatcher as a member of its fleet: an acceptor and a proposer of the replicated state, a holder of leases, and
+//! either the membership leader or a member that sends heartbeats to the leader.
 //!
-//! [`Member::handle`] takes an [`Input`] in and gives the [`Output`]s that are to be carried out;
-//! [`Member::wants_call_at`] says when to call it if nothing happens before.
+//! [`Member::handle`] takes an [`Input`] and returns the [`Output`]s to be performed. [`Member::wants_call_at`] states
+//! when it has to be called next if there is no input before.
 
 mod acceptor;
 mod heartbeat;
@@ -49,12 +49,12 @@
 /// The name of the lease whose holder is the membership leader.
 pub const MEMBERSHIP_LEASE: &str = "roll-call";
 
-/// One dispatcher in its fleet.
+/// The state machine of one dispatcher's membership in its fleet.
 #[derive(Clone, Debug)]
 pub struct Member {
     settings: FleetSettings,
     clock: MonotonicClock,
-    /// The time of the input that is being handled, by [`MonotonicClock`].
+    /// The time of the input that is being handled, from [`MonotonicClock`] in milliseconds.
     now: Ms,
     rng: WyRand,
     started_at: Ms,
@@ -63,40 +63,41 @@
     stopping: bool,
     stopped: bool,
 
-    // The acceptor.
+    // State of the acceptor.
     file: AcceptorFile,
     acceptor: Option<Acceptor>,
     storage: AcceptorStorage,
     next_acceptor_check_at: Ms,
-    /// Identities of the bootstrap's voters, by their answers.
+    /// The identities of the configured voters that have answered, for the bootstrap.
     bootstrap_voter_ids: BTreeMap<Name, VoterId>,
-    /// Voters that confirmed that the acceptor's file is not outdated.
+    /// The voters that have confirmed that the acceptor's file is not outdated; includes this member once voting
+    /// resumes.
     confirmed_by: Vec<Name>,
 
-    // The proposer.
+    // State of the proposer.
     knowledge: ProposerKnowledge,
-    /// The newest value seen, chosen or not.
+    /// The newest value seen, with its ballot; it may not be chosen.
     newest: Option<(Option<Ballot>, ReplicatedState)>,
-    /// The newest value that is known to be chosen.
+    /// The newest value that this member knows to be chosen.
     chosen: Option<ReplicatedState>,
     bootstrap: Option<Voters>,
     highest_round: u64,
     proposal: Option<ProposalInFlight>,
-    /// The end of the wait after a conflict or a rejection.
+    /// No proposal begins before this time, as the last one conflicted or was rejected.
     next_proposal_at: Ms,
     conflicts_in_a_row: u32,
     pending_commands: Vec<PendingCommand>,
 
-    // Leases.
+    // State of leases and jobs.
     lease_observers: BTreeMap<LeaseName, LeaseObserver>,
     held_leases: BTreeMap<LeaseName, HeldLease>,
     handovers: BTreeMap<LeaseName, LeaseHandover>,
     jobs: BTreeMap<LeaseName, LeaseJob>,
-    /// When a voter is asked for the newest value next, while this member contends for a lease.
+    /// When a voter is next asked for the newest value, while this member contends for a lease.
     next_query_at: Ms,
 
-    // Membership.
-    /// The members, while this one is the membership leader.
+    // Heartbeats and the membership leader.
+    /// The leader's view of the fleet; `Some` while this member is the membership leader.
     membership: Option<Membership>,
     membership_leader: Option<(Term, LeaseHolder)>,
     leader_answered_at: Option<Ms>,
@@ -106,10 +107,10 @@
     commands_sent: u64,
     receiver: Receiver,
 
-    // Disruptions and rollouts.
+    // State of disruption permits and rollouts.
     disruptions: rollout::RolloutState,
 
-    // Requests.
+    // Requests to other members and of operators.
     requests_sent: u64,
     in_flight: BTreeMap<QuestionId, RequestInFlight>,
     inspections: BTreeMap<CallId, operator_requests::Inspection>,
@@ -117,11 +118,11 @@
 }
 
 impl Member {
-    /// A member that has not started yet: its first input starts it.
+    /// A member that has not started yet. Its first input starts it.
     pub fn new(settings: FleetSettings) -> Self {
         let file = match settings.may_vote {
-            true => AcceptorFile::Unread,
-            false => AcceptorFile::None,
+            true => AcceptorFile::NotLoaded,
+            false => AcceptorFile::NotConfigured,
         };
         Member {
             clock: MonotonicClock::default(),
@@ -169,10 +170,10 @@
         }
     }
 
-    /// Takes an input in at a reading of the clock, in milliseconds, and adds what is to be done to `out`.
-    pub fn handle(&mut self, read: Ms, input: Input, out: &mut Vec<Output>) {
-        self.take_time(read, out);
-        // Before anything else: however long the process slept, nothing is done under a lease that is over.
+    /// Handles an input at a reading of the clock, in milliseconds, and appends the outputs to be performed to `out`.
+    pub fn handle(&mut self, reading: Ms, input: Input, out: &mut Vec<Output>) {
+        self.advance_clock(reading, out);
+        // Comes first, so that nothing is done under an expired lease, however long the process was suspended.
         self.drop_expired(out);
         match input {
             Input::Loaded(file) => self.file_loaded(file, out),
@@ -184,17 +185,17 @@
             Input::Tick => {}
             Input::Stop => self.stopping = true,
         }
-        self.do_what_is_due(out);
+        self.run_due_tasks(out);
         self.stop_if_done(out);
     }
 
-    fn do_what_is_due(&mut self, out: &mut Vec<Output>) {
+    fn run_due_tasks(&mut self, out: &mut Vec<Output>) {
         self.resend_requests(out);
         self.expire_requests(out);
         self.check_acceptor(out);
         self.run_rollout_controller();
         self.advance(out);
-        self.heartbeat_if_due(out);
+        self.send_heartbeat_if_due(out);
         self.send_membership_reports(out);
         self.send_permit_notices(out);
         self.confirm_halt(out);
@@ -209,11 +210,15 @@
         }
     }
 
-    /// When [`Member::handle`] wants to be called with [`Input::Tick`], as a reading of the clock in milliseconds.
+    /// When [`Member::handle`] has to be called with [`Input::Tick`], as a reading of the clock in milliseconds;
+    /// infinite if nothing is due.
     pub fn wants_call_at(&self) -> Ms {
         let requests = self.in_flight.values().map(RequestInFlight::due_at);
-        let inspections = self.inspections.values().map(|i| i.until());
-        let at = [self.next_heartbeat_at]
+        let inspections = self
+            .inspections
+            .values()
+            .map(|inspection| inspection.until());
+        let next_call_at = [self.next_heartbeat_at]
             .into_iter()
             .chain(requests)
             .chain(self.next_acceptor_check())
@@ -222,10 +227,10 @@
             .chain(self.rollout_wakes_at())
             .chain(inspections)
             .fold(f64::INFINITY, f64::min);
-        self.clock.to_reading(at.max(self.now))
+        self.clock.to_reading(next_call_at.max(self.now))
     }
 
-    /// The leases held now, with their terms.
+    /// The leases that this member holds now, with their terms.
     pub fn held(&self) -> impl Iterator<Item = (&LeaseName, Term)> {
         self.held_leases
             .iter()
@@ -233,29 +238,29 @@
             .map(|(lease_name, held)| (lease_name, held.term))
     }
 
-    /// How often each kind of event happened, by name.
+    /// How often each kind of event has happened since the start, by the event's name.
     pub fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
 
-    /// The members of the fleet, while this one is the membership leader.
+    /// The members of the fleet; `None` unless this member is the membership leader.
     pub fn membership(&self) -> Option<&Membership> {
         self.membership.as_ref()
     }
 
-    /// The rollout as this member sees it.
+    /// The status of the rollout, as far as this member knows it.
     pub fn release_status(&self) -> RolloutStatus {
         self.rollout_status()
     }
 
-    /// The newest value seen, chosen or not.
+    /// The newest replicated state seen, which may not be chosen; `None` before the first one.
     pub fn newest(&self) -> Option<&ReplicatedState> {
         self.newest.as_ref().map(|(_, value)| value)
     }
 
-    fn take_time(&mut self, read: Ms, out: &mut Vec<Output>) {
+    fn advance_clock(&mut self, reading: Ms, out: &mut Vec<Output>) {
         let is_first = self.counts.is_empty();
-        let (now, went_back) = self.clock.advance(read);
+        let (now, went_back) = self.clock.advance(reading);
         self.now = now;
         if is_first {
             self.start();
@@ -269,7 +274,7 @@
         self.count("starts");
         self.started_at = self.now;
         self.next_query_at = self.now;
-        // Hundreds of members that start at once do not send their heartbeats at once.
+        // A random first interval keeps hundreds of members that start together from sending heartbeats together.
         let phase: f64 = self.rng.generate();
         self.next_heartbeat_at = self.now + phase * self.settings.heartbeat;
         let observer = LeaseObserver::new(self.now, &mut self.rng);
@@ -280,9 +285,10 @@
         *self.counts.entry(event).or_default() += 1;
     }
 
-    /// Guards against a clock that is set back: a lease that is counted on it would last longer here than others
-    /// wait for it. All leases end now, timestamps given to senders become void, and the proposal in flight grants
-    /// nothing.
+    /// Handles a clock that was set back.
+    ///
+    /// Guards against a lease that lasts longer here than other members wait for it. All leases end now, the timestamps
+    /// given to senders become void, and the proposal in flight is dropped so that it grants nothing.
     fn clock_went_back(&mut self, out: &mut Vec<Output>) {
         self.count("clock went back");
         self.receiver.clock_went_back();
@@ -290,7 +296,7 @@
             return;
         }
         out.push(Output::Warn(
-            "the clock went back: no lease that was asked for before counts".to_owned(),
+            "the clock was set back: all leases held or requested so far are void".to_owned(),
         ));
         let handed_over = self
             .handovers
@@ -302,7 +308,7 @@
         self.proposal = None;
     }
 
-    /// The voters by the newest value, else those of the bootstrap.
+    /// The voters according to the newest value, or the voters of the bootstrap if no value was seen.
     fn known_voter_set(&self) -> Option<&Voters> {
         let newest = self.newest.as_ref().map(|(_, value)| &value.voters);
         let acceptor = self.acceptor.as_ref();
@@ -310,7 +316,7 @@
         newest.or(stored_bootstrap).or(self.bootstrap.as_ref())
     }
 
-    /// The other voters' addresses, with those of the settings.
+    /// The addresses of the other voters, including the voters in the settings.
     fn known_voters(&self) -> BTreeMap<Name, Address> {
         let mut known = self.settings.voters.clone();
         if let Some(voters) = self.known_voter_set() {
@@ -321,7 +327,7 @@
         known
     }
 
-    /// This member as a holder of leases.
+    /// This process as a lease holder, for commands and messages.
     fn me(&self) -> LeaseHolder {
         LeaseHolder {
             name: self.settings.me.clone(),
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -1,5 +1,5 @@
-//! The proposer's side of a member: which command is proposed next, the proposal in flight, and what its outcome
-//! means.
+//! The proposer's part of a member: the choice of the next command, the proposal in flight, and the handling of its
+//! outcome.
 
 use super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
@@ -10,14 +10,15 @@
 use crate::coordination::state::{CommandError, LeaseRecord, MAX_VOTERS};
 use nanorand::Rng;
 
-/// The shortest wait after a conflict, as a fraction of a lease; doubled for each conflict in a row, this often.
+/// The shortest wait after a conflict, as a fraction of the lease duration.
 ///
-/// Guards against proposers that interrupt each other for ever, none of which reaches a majority: each waits longer
-/// and at random, so one of them finishes.
+/// Guards against proposers that keep interrupting each other so that none of them reaches a majority. Each waits for a
+/// longer, random time after every conflict in a row, so one of them finishes.
 const CONFLICT_BACKOFF_FRACTION: f64 = 0.01;
+/// How often the shortest wait is doubled, once for each conflict in a row.
 const CONFLICT_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// What a proposal is for.
+/// Why a command is proposed, which decides how its outcome is handled.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum ProposalReason {
     AcquireLease(LeaseName),
@@ -28,26 +29,26 @@
     FinishVoterChange,
 }
 
-/// The proposal whose acceptors are being asked.
+/// The proposal that awaits answers from acceptors; a member makes one at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ProposalInFlight {
     pub(super) proposal: Proposal,
     reason: ProposalReason,
-    /// When it began: a lease that it grants counts from then.
+    /// When the proposal began; leases that it grants or renews count from then.
     begun_at: Ms,
 }
 
-/// A command of an operator that waits to be chosen.
+/// An operator's command that has not been chosen yet.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct PendingCommand {
     pub(super) call: CallId,
     pub(super) command: Command,
-    /// When it is given up.
+    /// The command is abandoned if it has not been chosen by this time.
     pub(super) until: Ms,
 }
 
 impl Member {
-    /// A value was seen at a voter, or chosen.
+    /// Records a replicated state that a voter returned or that was chosen, if it is the newest so far.
     pub(super) fn observe_state(&mut self, ballot: Option<Ballot>, value: ReplicatedState) {
         if let Some(ballot) = &ballot {
             self.highest_round = self.highest_round.max(ballot.round);
@@ -64,7 +65,7 @@
         self.update_lease_observers();
     }
 
-    /// Shows the newest value to the lease observers.
+    /// Passes the lease records in the newest value to the lease observers.
     pub(super) fn update_lease_observers(&mut self) {
         let value = self.newest.as_ref().map(|(_, value)| value);
         for (lease_name, observer) in &mut self.lease_observers {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Whether a chosen change of voters is only to be finished.
+    /// Whether a change of voters is chosen and only has to be finished.
     fn can_finish_voter_change(&self) -> bool {
         let voters = self.newest.as_ref().map(|(_, value)| &value.voters);
         voters.is_some_and(|voters| {
@@ -81,7 +82,7 @@
         })
     }
 
-    /// The command to propose next, by priority, and why.
+    /// The command to propose next, the most urgent first, with the reason; `None` if there is nothing to propose.
     fn next_command(&self) -> Option<(ProposalReason, Command)> {
         self.resignation()
             .or_else(|| self.renewal())
@@ -92,10 +93,10 @@
     }
 
     fn resignation(&self) -> Option<(ProposalReason, Command)> {
-        // Guards against commands of this term that arrive after the successor's: the membership lease is given up
-        // once they are answered or cannot be executed any more.
+        // Guards against commands of this term that arrive after the successor's commands: the membership lease is
+        // released once they are answered or can no longer be executed.
         let may_resign = |(lease_name, _): &(&LeaseName, &LeaseHandover)| {
-            !is_membership_lease(lease_name) || self.fenced_commands_are_over()
+            !is_membership_lease(lease_name) || self.fenced_commands_are_finished()
         };
         let (lease_name, handover) = self.handovers.iter().find(may_resign)?;
         let command = Command::Resign {
@@ -125,10 +126,10 @@
         let settings = &self.settings.lease;
         let who = self.me();
         let is_voter = self.is_voter();
-        // Commands of an earlier term of this process must not be executed after one of its next term.
+        // Guards against a command of an earlier term of this process that is executed after one of its next term.
         let may_acquire = |(lease_name, observer): &(&LeaseName, &LeaseObserver)| {
             self.contends(lease_name)
-                && self.fenced_commands_are_over()
+                && self.fenced_commands_are_finished()
                 && observer.election_delay(&who, is_voter, settings) <= 0.0
         };
         let (lease_name, observer) = self.lease_observers.iter().find(may_acquire)?;
@@ -154,7 +155,7 @@
         ))
     }
 
-    /// When [`Member::next_command`] has something to propose, as far as that is known now; infinite if never.
+    /// When [`Member::next_command`] will have something to propose, as far as is known now; infinite if never.
     pub(super) fn next_command_at(&self) -> Ms {
         let (settings, me, is_voter) = (&self.settings.lease, self.me(), self.is_voter());
         let renewals = self
@@ -167,9 +168,9 @@
             .filter(|(lease_name, _)| self.contends(lease_name))
             .map(|(_, observer)| {
                 let delay = observer.election_delay(&me, is_voter, settings);
-                (self.now + delay).max(self.fenced_commands_over_at())
+                (self.now + delay).max(self.fenced_commands_finish_at())
             });
-        let can_resign = !self.handovers.is_empty() && self.fenced_commands_are_over();
+        let can_resign = !self.handovers.is_empty() && self.fenced_commands_are_finished();
         let has_command_now = can_resign
             || self.proposed_step().is_some()
             || !self.pending_commands.is_empty()
@@ -180,7 +181,7 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Hands leases over if the process ends, asks for newer values if that is due, and begins the next proposal.
+    /// Hands over leases if the process is stopping, queries newer values if that is due, and begins the next proposal.
     pub(super) fn advance(&mut self, out: &mut Vec<Output>) {
         if self.stopping {
             self.hand_over_all(out);
@@ -208,16 +209,16 @@
         if self.now < self.next_query_at {
             return;
         }
-        // Members that contend only as a last resort ask no more often than they send heartbeats: there may be
+        // Members that contend only as a last resort do not query more often than they send heartbeats, as there may be
         // hundreds of them.
         let mut observers = self.lease_observers.values();
         let is_last_resort = !self.is_voter() && observers.all(|observer| observer.place.is_none());
-        let least = match is_last_resort {
+        let min_interval = match is_last_resort {
             true => self.heartbeat_interval,
             false => 0.0,
         };
         let jitter: f64 = self.rng.generate();
-        let interval = self.settings.lease.query_interval().max(least);
+        let interval = self.settings.lease.query_interval().max(min_interval);
         self.next_query_at = self.now + interval * (0.75 + 0.5 * jitter);
         self.query_any_voter(out);
     }
@@ -257,16 +258,16 @@
         }
     }
 
-    /// Asks any one voter for the value that it accepted last, and others if it does not answer.
+    /// Asks a random voter for the value that it accepted last, and other voters if it does not answer.
     pub(super) fn query_any_voter(&mut self, out: &mut Vec<Output>) {
         let index = self.rng.generate_range(0..MAX_VOTERS);
         self.query_next_voter(Some(NextVoter { index, attempt: 1 }), out);
     }
 
-    /// Asks one voter, and the next one if it does not answer.
+    /// Asks one voter, and the next voter if it does not answer.
     ///
-    /// Guards against a voter that is gone: with one of three gone, a third of hundreds of members would wait for
-    /// their next heartbeat, and a third of those again.
+    /// Guards against a dead voter: with one of three voters dead, a third of hundreds of members would get no answer
+    /// until their next heartbeat is due, and a third of them would fail again then.
     pub(super) fn query_next_voter(&mut self, voter: Option<NextVoter>, out: &mut Vec<Output>) {
         let Some(NextVoter { index, attempt }) = voter else {
             return;
@@ -313,7 +314,7 @@
         }
     }
 
-    /// An acceptor answered a request of a proposal, or did not in time.
+    /// Handles an acceptor's answer to a request of a proposal; `None` if there was no answer in time.
     pub(super) fn acceptor_answered(
         &mut self,
         voter: VoterKey,
@@ -361,7 +362,7 @@
                 self.conflicts_in_a_row = 0;
                 self.count("refused");
                 self.command_rejected(ended.reason, error, out);
-                // What a majority showed under this ballot is newer than anything seen before.
+                // The value that a majority returned under this ballot is newer than any value seen before.
                 self.observe_state(Some(ballot), base);
             }
             ProposalOutcome::Conflict(promised) => {
@@ -376,14 +377,14 @@
         }
     }
 
-    /// Waits after a conflict, at least about as long as the proposal took: the other one takes as long, and to come
-    /// back before it is done would only interrupt it as well.
+    /// Delays the next proposal after a conflict, for at least about the time that the failed proposal took. The
+    /// competing proposal takes about as long, and a proposal before its end would only interrupt it.
     fn back_off(&mut self, begun_at: Ms) {
         let doublings = self.conflicts_in_a_row.min(CONFLICT_BACKOFF_DOUBLINGS);
         let jitter: f64 = self.rng.generate();
-        let took = self.now - begun_at;
+        let proposal_duration = self.now - begun_at;
         let shortest = CONFLICT_BACKOFF_FRACTION * self.settings.lease.lease;
-        let wait = took.max(shortest * f64::from(doublings).exp2());
+        let wait = proposal_duration.max(shortest * f64::from(doublings).exp2());
         self.next_proposal_at = self.now + wait * (0.5 + jitter);
         self.conflicts_in_a_row += 1;
     }
@@ -434,7 +435,7 @@
         let term = record.term;
         self.count("terms");
         out.push(Output::Info(format!(
-            "holds {} in term {}",
+            "acquired lease {} in term {}",
             lease_name.0, term.0
         )));
         let held = HeldLease::new(term, begun_at, self.now, &self.settings.lease);
@@ -459,7 +460,8 @@
         out: &mut Vec<Output>,
     ) {
         match reason {
-            // Guards against the same proposal at once again, where what was seen is newer than what is chosen.
+            // Guards against repeating the same proposal at once, when the newest value seen is newer than the chosen
+            // one.
             ProposalReason::AcquireLease(_) | ProposalReason::FinishVoterChange => {
                 self.next_proposal_at = self.now + self.settings.lease.gap();
             }
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -1,71 +1,72 @@
-//! Requests between members: those in flight, and which part of the member takes a request or an answer.
+//! Requests between members: the requests in flight, and the dispatch of received requests and answers.
 
 use super::*;
 use crate::coordination::register::{Phase, VoterKey};
 
-/// How often a request to an acceptor is sent again while its answer is waited for.
-const RESENDS: u32 = 2;
+/// How often a request to an acceptor is sent again while its answer is awaited.
+const MAX_RESENDS: u32 = 2;
 
-/// What a request in flight is for.
+/// What a request in flight is for, which decides who handles its answer.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum RequestPurpose {
-    /// A request of the proposal with this ballot.
+    /// A prepare or accept request of the proposal with this ballot.
     Proposal {
         voter: VoterKey,
         ballot: Ballot,
         phase: Phase,
     },
-    /// Asks a voter for its newest value, and the next one if this does not answer.
+    /// Asks a voter for its newest value, and the next voter if this one does not answer.
     QueryVoter { of: Name, next: Option<NextVoter> },
-    /// Asks a voter for its state, for an operator's request.
+    /// Asks a voter for its state to answer an operator's request.
     Inspect { of: Name, call: CallId },
     /// Asks a voter to confirm that the acceptor's file is not outdated.
     ConfirmFile { of: Name },
     /// A heartbeat to the membership leader with this incarnation.
     Heartbeat { to: Incarnation },
-    /// Tells the named successor of a lease that it was given up.
+    /// Tells the named successor of a lease that the lease was released.
     OfferLease,
     /// A membership report to the receiver with this index.
     MembershipReport { receiver: usize },
-    /// Tells a unit, or who lists it as draining, of its permit.
+    /// Notifies a unit, or the service that lists the unit as draining, of the unit's permit.
     PermitNotice { to: Address, permit: PermitId },
-    /// Asks for a permit to be taken back.
+    /// Revokes a permit unless its disruption has begun.
     RevokePermit { permit: PermitId },
     /// Asks after a halt whether a permitted disruption has begun.
     ConfirmHalt { permit: PermitId },
-    /// Asks a member to stop for an operator.
+    /// Tells a member to stop, at an operator's request.
     StopByHand { call: CallId, note: String },
 }
 
-/// The voter to ask next: by index into the known voters, and as which of how many.
+/// The voter to ask next: its index among the known voters, and how many voters will have been asked by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct NextVoter {
     pub(super) index: usize,
     pub(super) attempt: usize,
 }
 
-/// When a request is sent again, and how many times are left.
+/// When a request is sent again, and how many times it may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Resend {
     at: Ms,
     times_left: u32,
 }
 
-/// A request whose answer is waited for.
+/// A request whose answer is awaited.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct RequestInFlight {
     purpose: RequestPurpose,
     to: Address,
-    /// From then on the answer is given up.
+    /// When the request counts as unanswered.
     times_out_at: Ms,
-    /// Guards against a lost message, which would cost a whole proposal: the request is sent again meanwhile.
+    /// When the request is sent again before it times out. Guards against a lost message, which would make a whole
+    /// proposal fail.
     resend: Option<Resend>,
-    /// The request, if it may be sent again.
+    /// The request; kept only if it may be sent again.
     question: Option<Box<Question>>,
 }
 
 impl RequestInFlight {
-    /// When it is to be sent again or given up.
+    /// When the request is to be sent again or counts as unanswered.
     pub(super) fn due_at(&self) -> Ms {
         match self.resend {
             Some(resend) => resend.at.min(self.times_out_at),
@@ -75,7 +76,7 @@
 }
 
 impl Member {
-    /// Sends a request; its answer is waited for as long as the settings say.
+    /// Sends a request. The request counts as unanswered after the timeout in the settings.
     pub(super) fn send_request(
         &mut self,
         to: Address,
@@ -84,10 +85,10 @@
         out: &mut Vec<Output>,
     ) {
         let timeout = self.settings.answer_within;
-        let is_resent = matches!(purpose, RequestPurpose::Proposal { .. });
-        let resend = is_resent.then(|| Resend {
+        let may_resend = matches!(purpose, RequestPurpose::Proposal { .. });
+        let resend = may_resend.then(|| Resend {
             at: self.now + self.resend_interval(),
-            times_left: RESENDS,
+            times_left: MAX_RESENDS,
         });
         let request = RequestInFlight {
             purpose,
@@ -100,7 +101,7 @@
     }
 
     fn resend_interval(&self) -> Ms {
-        self.settings.answer_within / f64::from(RESENDS + 1)
+        self.settings.answer_within / f64::from(MAX_RESENDS + 1)
     }
 
     fn transmit(
@@ -110,35 +111,40 @@
         out: &mut Vec<Output>,
     ) {
         self.requests_sent += 1;
-        let ask = QuestionId(self.requests_sent);
+        let id = QuestionId(self.requests_sent);
         let to = request.to.clone();
         request.question = request.resend.map(|_| Box::new(question.clone()));
-        self.in_flight.insert(ask, request);
-        out.push(Output::Ask { ask, to, question });
+        self.in_flight.insert(id, request);
+        out.push(Output::Ask {
+            ask: id,
+            to,
+            question,
+        });
     }
 
-    /// Sends again what acceptors have not answered, while the proposal goes on.
+    /// Sends those requests again that acceptors have not answered, if their proposal is still in progress.
     pub(super) fn resend_requests(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let is_due = |request: &RequestInFlight| request.resend.is_some_and(|r| r.at <= now);
-        for ask in self.requests_where(is_due) {
-            let Some(request) = self.in_flight.get_mut(&ask) else {
+        let is_due =
+            |request: &RequestInFlight| request.resend.is_some_and(|resend| resend.at <= now);
+        for id in self.requests_where(is_due) {
+            let Some(request) = self.in_flight.get_mut(&id) else {
                 continue;
             };
             let (Some(resend), Some(question)) = (request.resend.take(), request.question.take())
             else {
                 continue;
             };
-            let mut again = request.clone();
-            if !self.belongs_to_current_proposal(&again.purpose) {
+            let mut copy = request.clone();
+            if !self.belongs_to_current_proposal(&copy.purpose) {
                 continue;
             }
             self.count("asked again");
-            again.resend = (resend.times_left > 1).then(|| Resend {
+            copy.resend = (resend.times_left > 1).then(|| Resend {
                 at: now + self.resend_interval(),
                 times_left: resend.times_left - 1,
             });
-            self.transmit(again, *question, out);
+            self.transmit(copy, *question, out);
         }
     }
 
@@ -150,38 +156,38 @@
         current.is_some_and(|current| current.proposal.ballot == *ballot)
     }
 
-    fn requests_where(&self, has: impl Fn(&RequestInFlight) -> bool) -> Vec<QuestionId> {
+    fn requests_where(&self, is_selected: impl Fn(&RequestInFlight) -> bool) -> Vec<QuestionId> {
         let requests = self.in_flight.iter();
         requests
-            .filter(|(_, request)| has(request))
-            .map(|(ask, _)| *ask)
+            .filter(|(_, request)| is_selected(request))
+            .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Gives up the requests that were not answered in time.
+    /// Handles the requests that have timed out as unanswered.
     pub(super) fn expire_requests(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        for ask in self.requests_where(|request| request.times_out_at <= now) {
-            if let Some(request) = self.in_flight.remove(&ask) {
+        for id in self.requests_where(|request| request.times_out_at <= now) {
+            if let Some(request) = self.in_flight.remove(&id) {
                 self.count("unanswered");
                 self.handle_answer(request.purpose, None, out);
             }
         }
     }
 
-    /// An answer came, or the receiver could not be reached.
+    /// Handles an answer; `None` if the receiver could not be reached. Answers after the timeout are ignored.
     pub(super) fn answer_received(
         &mut self,
-        ask: QuestionId,
+        id: QuestionId,
         answer: Option<Answer>,
         out: &mut Vec<Output>,
     ) {
-        if let Some(request) = self.in_flight.remove(&ask) {
+        if let Some(request) = self.in_flight.remove(&id) {
             self.handle_answer(request.purpose, answer, out);
         }
     }
 
-    /// A request came.
+    /// Handles a received request and answers it, at once or later.
     pub(super) fn handle_request(
         &mut self,
         call: CallId,
@@ -190,7 +196,7 @@
     ) {
         let answer = match question {
             Question::Vote(request) => return self.proposer_request(call, &request, out),
-            Question::Operator(order) => return self.order(call, order, out),
+            Question::Operator(request) => return self.order(call, request, out),
             Question::VoterState => Answer::VoterState(self.voter_state()),
             Question::WriteCount { of, voter_id } => Answer::WriteCount {
                 writes: self.known_writes(&(of, voter_id)),
@@ -216,7 +222,7 @@
         out.push(Output::Answer { call, answer });
     }
 
-    /// The highest write count of a voter that the acceptor or the proposer knows.
+    /// The highest write count of a voter that this member's acceptor or proposer knows; 0 if they know none.
     fn known_writes(&self, voter: &VoterKey) -> u64 {
         let acceptor = self.acceptor.as_ref();
         let by_acceptor = acceptor.and_then(|acceptor| acceptor.state.write_counts.get(voter));
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Hands an answer, or `None` where none will come, to the part of the member that waits for it.
+    /// Passes an answer, or `None` if none will come, to the part of the member that awaits it.
     pub(super) fn handle_answer(
         &mut self,
         purpose: RequestPurpose,
@@ -253,16 +259,16 @@
                 phase,
             } => self.acceptor_answered(voter, &ballot, phase, vote_in(answer), out),
             RequestPurpose::QueryVoter { of, next } => match answer {
-                Some(Answer::VoterState(seen)) => self.voter_state_received(&of, seen, out),
+                Some(Answer::VoterState(state)) => self.voter_state_received(&of, state, out),
                 Some(_) => {}
                 None => self.query_next_voter(next, out),
             },
             RequestPurpose::Inspect { of, call } => {
-                let seen = seen_in(answer);
-                if let Some(seen) = &seen {
-                    self.voter_state_received(&of, seen.clone(), out);
+                let state = voter_state_in(answer);
+                if let Some(state) = &state {
+                    self.voter_state_received(&of, state.clone(), out);
                 }
-                self.inspection_answered(call, &of, seen, out);
+                self.inspection_answered(call, &of, state, out);
             }
             RequestPurpose::ConfirmFile { of } => {
                 if let Some(Answer::WriteCount { writes }) = answer {
@@ -296,9 +302,9 @@
     }
 }
 
-fn seen_in(answer: Option<Answer>) -> Option<VoterState> {
+fn voter_state_in(answer: Option<Answer>) -> Option<VoterState> {
     match answer {
-        Some(Answer::VoterState(seen)) => Some(seen),
+        Some(Answer::VoterState(state)) => Some(state),
         _ => None,
     }
 }
--- a/src/coordination/member/settings.rs
+++ b/src/coordination/member/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a member, given at its start.
+//! The settings of a member, which stay the same while its process runs.
 
 use crate::coordination::disruption_budget::DisruptionBudget;
 use crate::coordination::lease::LeaseSettings;
@@ -9,38 +9,38 @@
 /// Settings of one member. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// The fleet's name. Members of another fleet are refused.
+    /// The name of the fleet. Members refuse connections from members of another fleet.
     pub fleet: String,
-    /// This member's name.
+    /// The name of this member.
     pub me: Name,
-    /// This process of the member.
+    /// Identifies this process of the member; drawn at random at each start.
     pub incarnation: Incarnation,
-    /// Where the other members reach this one's fleet service.
+    /// The address at which other members reach this member's fleet service.
     pub address: Address,
     /// The zone that this member runs in.
     pub zone: String,
-    /// The version that it runs, or another label of its operators'.
+    /// The version that this member runs, or another label that its operators chose.
     pub label: String,
-    /// The voters of the bootstrap; also asked who votes now.
+    /// The first voters of the fleet, by name. They are also queried for the present voters.
     pub voters: BTreeMap<Name, Address>,
-    /// It has a file for an acceptor.
+    /// Whether this member has a voter's file and may become a voter.
     pub may_vote: bool,
-    /// Times of the leases.
+    /// The lease duration and the allowed clock drift.
     pub lease: LeaseSettings,
-    /// How long the answer to a request is waited for.
+    /// How long the answer to a request to another member is awaited.
     pub answer_within: Ms,
-    /// The shortest time between two heartbeats.
+    /// The shortest time between two heartbeats of this member; large fleets use a longer one.
     pub heartbeat: Ms,
-    /// The zone whose members are preferred as membership leader.
+    /// The zone whose members are preferred as membership leader; `None` for no preference.
     pub preferred_zone: Option<String>,
-    /// Receivers of the membership report.
+    /// The addresses to which this member sends membership reports while it is the leader.
     pub report_receivers: Vec<Address>,
-    /// How often each of them is sent one.
+    /// The time between two membership reports to the same receiver.
     pub report_interval: Ms,
-    /// The disruption budgets of dispatchers and of engines.
+    /// The disruption budgets of dispatchers and of engines, in this order.
     pub bounds: (DisruptionBudget, DisruptionBudget),
-    /// Who lists engines as draining.
+    /// The address of the service that lists engines as draining; `None` if there is no such service.
     pub keeper: Option<Address>,
-    /// Seed of all random draws.
+    /// The seed of all random draws of this member.
     pub seed: u64,
 }
--- a/tests/voter.rs
+++ b/tests/voter.rs
@@ -1,7 +1,9 @@
-//! A voter's disk is slow. Proposers send a request again when its answer does not come in time. If each copy cost
-//! another write of the voter's file, the disk would be busy with copies until all of them had timed out, and no
-//! lease could be renewed. So a copy waits for the write that is in flight already, and all copies are answered once
-//! the promise is durable, and not before.
+//! Test of a voter with a slow disk.
+//!
+//! Proposers send a request again when its answer is late. If each copy caused another write of the voter's file, the
+//! disk would be busy with copies until all of them had timed out, and no lease could be renewed. A copy therefore has
+//! to wait for the write that is already in flight, and all copies are answered once the promise is durable, and not
+//! before.
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
@@ -11,10 +13,10 @@
 use cindercleat::coordination::{Address, Incarnation, Name};
 
 fn settings() -> FleetSettings {
-    let voter = |n: usize| {
+    let voter = |index: usize| {
         (
-            Name::from(format!("d{n}").as_str()),
-            Address::from(format!("at-{n}").as_str()),
+            Name::from(format!("d{index}").as_str()),
+            Address::from(format!("at-{index}").as_str()),
         )
     };
     FleetSettings {
@@ -41,6 +43,7 @@
     }
 }
 
+/// The writes of the voter's file among the outputs.
 fn saves(out: &[Output]) -> Vec<(SaveId, AcceptorState)> {
     let save = |output: &Output| match output {
         Output::Save { number, state } => Some((*number, (**state).clone())),
@@ -49,7 +52,8 @@
     out.iter().filter_map(save).collect()
 }
 
-fn answered(out: &[Output]) -> Vec<CallId> {
+/// The calls that the outputs answer.
+fn answered_calls(out: &[Output]) -> Vec<CallId> {
     let answer = |output: &Output| match output {
         Output::Answer { call, .. } => Some(*call),
         _ => None,
@@ -58,7 +62,7 @@
 }
 
 #[test]
-fn a_question_that_is_asked_again_costs_no_further_write() {
+fn a_request_that_is_sent_again_causes_no_further_write() {
     let mut member = Member::new(settings());
     let handle = |member: &mut Member, now: f64, input: Input| {
         let mut out = Vec::new();
@@ -66,7 +70,9 @@
         out
     };
     let out = handle(&mut member, 0.0, Input::Loaded(Ok(None)));
-    let (number, state) = saves(&out).pop().expect("a new voter's file is written");
+    let (number, state) = saves(&out)
+        .pop()
+        .expect("the file of a new voter is written");
     handle(
         &mut member,
         10.0,
@@ -97,14 +103,18 @@
         )
     };
     let out = send_prepare(&mut member, 20.0, 1);
-    assert_eq!(answered(&out), [], "nothing is said before it lasts");
+    assert_eq!(
+        answered_calls(&out),
+        [],
+        "no answer is sent before the promise is durable"
+    );
     let (number, _) = saves(&out).pop().expect("the promise is written");
     for call in [2, 3] {
         let out = send_prepare(&mut member, 20.0 + call as f64, call);
         assert_eq!(
-            (answered(&out), saves(&out).len()),
+            (answered_calls(&out), saves(&out).len()),
             (vec![], 0),
-            "the write under way keeps it"
+            "the copy waits for the write in flight"
         );
     }
     let out = handle(
@@ -115,12 +125,12 @@
             is_durable: true,
         },
     );
-    assert_eq!(answered(&out), [CallId(1), CallId(2), CallId(3)]);
-    assert_eq!(saves(&out).len(), 0, "and no other follows");
+    assert_eq!(answered_calls(&out), [CallId(1), CallId(2), CallId(3)]);
+    assert_eq!(saves(&out).len(), 0, "no further write follows");
     let out = send_prepare(&mut member, 40.0, 4);
     assert_eq!(
-        (answered(&out), saves(&out).len()),
+        (answered_calls(&out), saves(&out).len()),
         (vec![CallId(4)], 0),
-        "what lasts is said at once"
+        "a durable promise is answered at once"
     );
 }
