--- a/crates/fleet/src/acceptor_storage.rs
+++ b/crates/fleet/src/acceptor_storage.rs
@@ -107,15 +107,15 @@
 
 /// Writes `bytes` to a temporary file and renames it to `path`; blocks until file and directory are synced.
 fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let temporary = path.with_extension("new");
+    let temporary_path = path.with_extension("new");
     let mut file = OpenOptions::new()
         .write(true)
         .create(true)
         .truncate(true)
-        .open(&temporary)?;
+        .open(&temporary_path)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    std::fs::rename(&temporary, path)?;
+    std::fs::rename(&temporary_path, path)?;
     let directory = path
         .parent()
         .filter(|p| !p.as_os_str().is_empty())
--- a/crates/fleet/src/admin_client.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -70,8 +70,7 @@
 /// Sends an operator's request to the member at `address` and follows redirects to other members.
 ///
 /// # Errors
-/// As [`send_request`], or a message if a member redirects the request too often or answers with another kind of
-/// answer.
+/// As [`send_request`], or a message if the request is redirected too often or the answer is not an operator's reply.
 pub async fn send_operator_request<T: Transport, C: Clock>(
     transport: &T,
     clock: &C,
@@ -100,7 +99,7 @@
         }
     }
     Err(format!(
-        "more than {MAX_REDIRECTS} redirects between members: the leader may be changing, try again"
+        "more than {MAX_REDIRECTS} redirects between members: try again in a moment"
     ))
 }
 
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -29,7 +29,7 @@
 /// How often per lease duration a contender asks a voter for the newest value.
 const QUERIES_PER_LEASE: f64 = 10.0;
 /// The longest time between two inputs that counts towards a contender's wait, in query intervals.
-const MAX_STEP_QUERIES: f64 = 2.0;
+const MAX_STEP_QUERY_INTERVALS: f64 = 2.0;
 /// How many members are ranked as possible successors of a holder. Other members wait for at least one more lease
 /// duration.
 pub const RANKED_SUCCESSORS: u32 = 5;
@@ -154,7 +154,7 @@
     pub fn count_time(&mut self, now: Ms, settings: &LeaseSettings) {
         let passed = now - self.counted_at;
         self.counted_at = now;
-        let longest_step = MAX_STEP_QUERIES * settings.query_interval();
+        let longest_step = MAX_STEP_QUERY_INTERVALS * settings.query_interval();
         let was_running = (0.0..=longest_step).contains(&passed);
         if was_running || is_injected(InjectedFault::SleepCountedAsWait) {
             self.waited += passed;
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -88,7 +88,7 @@
 /// A member is removed after this many heartbeat intervals without a heartbeat.
 const REMOVED_AFTER_HEARTBEATS: f64 = 600.0;
 /// Guards against overload of the leader in a large fleet: each member sends heartbeats less often, so that the leader
-/// receives at most this many.
+/// receives at most this many per second.
 const MAX_HEARTBEATS_PER_SECOND: f64 = 500.0;
 /// The most members, and the most engines, that the leader records; any further ones are ignored.
 pub const MAX_MEMBERS: usize = 8192;
