--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -74,7 +74,8 @@
     queued_at: Ms,
 }
 
-struct Inner<T, C, D> {
+/// What the clones of a driver share.
+struct DriverState<T, C, D> {
     settings: FleetSettings,
     transport: T,
     clock: C,
@@ -102,13 +103,13 @@
 
 /// Runs one dispatcher's member of the fleet. Clones share the same member.
 pub struct Driver<T, C, D> {
-    inner: Rc<Inner<T, C, D>>,
+    state: Rc<DriverState<T, C, D>>,
 }
 
 impl<T, C, D> Clone for Driver<T, C, D> {
     fn clone(&self) -> Self {
         Driver {
-            inner: self.inner.clone(),
+            state: self.state.clone(),
         }
     }
 }
@@ -122,7 +123,7 @@
         voter_file: Option<D>,
         dispatcher: Rc<dyn Dispatcher>,
     ) -> Self {
-        let inner = Inner {
+        let state = DriverState {
             member: RefCell::new(Member::new(settings.clone())),
             settings,
             transport,
@@ -142,7 +143,7 @@
             last_warning_at: Cell::new(f64::NEG_INFINITY),
         };
         Driver {
-            inner: Rc::new(inner),
+            state: Rc::new(state),
         }
     }
 
@@ -152,10 +153,10 @@
     /// # Panics
     /// If it does not run within a `tokio::task::LocalSet`.
     pub async fn run(&self, listener: T::Listener, stop: impl Future<Output = ()>) {
-        let inner = &self.inner;
+        let state = &self.state;
         self.handle_input(Input::Tick);
         self.update_health();
-        if let Some(voter_file) = &inner.voter_file {
+        if let Some(voter_file) = &state.voter_file {
             let loaded = match voter_file.read() {
                 Ok(None) => Ok(None),
                 Ok(Some(bytes)) => {
@@ -175,19 +176,19 @@
         let timer_task = spawn_local(self.clone().run_timer());
         stop.await;
         self.handle_input(Input::Stop);
-        let leases_expire_at = inner.clock.now() + inner.settings.lease.lease;
-        while !inner.stopped.get() && inner.clock.now() < leases_expire_at {
+        let leases_expire_at = state.clock.now() + state.settings.lease.lease;
+        while !state.stopped.get() && state.clock.now() < leases_expire_at {
             tokio::select! { biased;
-                () = inner.stop_notify.notified() => {}
-                () = inner.clock.sleep_until(leases_expire_at) => {}
+                () = state.stop_notify.notified() => {}
+                () = state.clock.sleep_until(leases_expire_at) => {}
             }
         }
         // Leaves time for the lease offer to the named successor to be sent.
-        let send_time = inner.settings.answer_within.min(MAX_FINAL_SEND_MS);
-        inner.clock.sleep_until(inner.clock.now() + send_time).await;
+        let send_time = state.settings.answer_within.min(MAX_FINAL_SEND_MS);
+        state.clock.sleep_until(state.clock.now() + send_time).await;
         accept_task.abort();
         timer_task.abort();
-        inner
+        state
             .peers
             .borrow()
             .values()
@@ -196,7 +197,7 @@
 
     /// The leases that the member holds now, with their terms.
     pub fn held(&self) -> Vec<(LeaseName, Term)> {
-        self.inner
+        self.state
             .member
             .borrow()
             .held()
@@ -206,35 +207,35 @@
 
     /// The member's event counters, by event name; see [`Member::counts`].
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
-        self.inner.member.borrow().counts().clone()
+        self.state.member.borrow().counts().clone()
     }
 
     /// How many invalid messages, and connections without a valid greeting, were dropped so far.
     pub fn dropped(&self) -> u64 {
-        self.inner.dropped_messages.get()
+        self.state.dropped_messages.get()
     }
 
     /// Passes the dispatcher's health to the member, and its engines if the member needs them.
     fn update_health(&self) {
-        self.handle_input(Input::LocalHealth(self.inner.dispatcher.local_health()));
-        if self.inner.member.borrow().wants_engines() {
-            self.handle_input(Input::Engines(self.inner.dispatcher.engines()));
+        self.handle_input(Input::LocalHealth(self.state.dispatcher.local_health()));
+        if self.state.member.borrow().wants_engines() {
+            self.handle_input(Input::Engines(self.state.dispatcher.engines()));
         }
     }
 
     /// Passes an input to the member and performs what the member asks for.
     fn handle_input(&self, input: Input) {
         let mut outputs = Vec::new();
-        let now = self.inner.clock.now();
-        let mut member = self.inner.member.borrow_mut();
+        let now = self.state.clock.now();
+        let mut member = self.state.member.borrow_mut();
         member.handle(now, input, &mut outputs);
         let next_call_at = member.wants_call_at();
         drop(member);
         for output in outputs {
             self.perform_output(output);
         }
-        if next_call_at < self.inner.timer_fires_at.get() {
-            self.inner.timer_changed.notify_one();
+        if next_call_at < self.state.timer_fires_at.get() {
+            self.state.timer_changed.notify_one();
         }
     }
 
@@ -242,7 +243,7 @@
         match output {
             Output::Ask { ask, to, question } => self.send_request(ask, to, &question),
             Output::Answer { call, answer } => {
-                if let Some((out, stream)) = self.inner.open_calls.borrow_mut().remove(&call) {
+                if let Some((out, stream)) = self.state.open_calls.borrow_mut().remove(&call) {
                     out.send(frame(stream, Body::FleetAnswer(answer_out(&answer))));
                 }
             }
@@ -265,19 +266,19 @@
             }
             Output::PermitGranted { permit, label } => {
                 tracing::info!(permit = permit.0, label, "disruption permit received");
-                self.inner.dispatcher.has_turn(permit.0, &label);
+                self.state.dispatcher.has_turn(permit.0, &label);
             }
             Output::Warn(text) => tracing::warn!("{text}"),
             Output::Info(text) => tracing::debug!("{text}"),
             Output::Stopped => {
-                self.inner.stopped.set(true);
-                self.inner.stop_notify.notify_one();
+                self.state.stopped.set(true);
+                self.state.stop_notify.notify_one();
             }
         }
     }
 
     async fn save_acceptor_state(self, number: SaveId, state: Box<AcceptorState>) {
-        let saved = match &self.inner.voter_file {
+        let saved = match &self.state.voter_file {
             Some(voter_file) => voter_file.replace(acceptor_storage::write(&state)).await,
             None => Err(std::io::ErrorKind::Unsupported.into()),
         };
@@ -297,18 +298,18 @@
     async fn run_timer(self) {
         let mut health_due_at = 0.0;
         loop {
-            let now = self.inner.clock.now();
+            let now = self.state.clock.now();
             if now >= health_due_at {
                 health_due_at = now + HEALTH_INTERVAL_MS;
                 self.update_health();
                 self.close_idle_connections(now);
             }
-            let member_due_at = self.inner.member.borrow().wants_call_at();
+            let member_due_at = self.state.member.borrow().wants_call_at();
             let fires_at = member_due_at.min(health_due_at);
-            self.inner.timer_fires_at.set(fires_at);
+            self.state.timer_fires_at.set(fires_at);
             tokio::select! { biased;
-                () = self.inner.timer_changed.notified() => {}
-                () = self.inner.clock.sleep_until(fires_at) => self.handle_input(Input::Tick),
+                () = self.state.timer_changed.notified() => {}
+                () = self.state.clock.sleep_until(fires_at) => self.handle_input(Input::Tick),
             }
         }
     }
@@ -316,8 +317,8 @@
     /// Closes idle connections, and cancels requests whose answer is no longer awaited so that neither side keeps state
     /// for them.
     fn close_idle_connections(&self, now: Ms) {
-        let longest_wait = 2.0 * self.inner.settings.answer_within;
-        let mut peers = self.inner.peers.borrow_mut();
+        let longest_wait = 2.0 * self.state.settings.answer_within;
+        let mut peers = self.state.peers.borrow_mut();
         peers.retain(|_, peer| {
             peer.unanswered.borrow_mut().retain(|stream, (_, sent_at)| {
                 let is_awaited = now - *sent_at <= longest_wait;
@@ -340,9 +341,9 @@
         Setup {
             party: v1::Party::Fleet,
             // Members greet each other with the fleet's name, so that a member of another fleet is refused.
-            name: self.inner.settings.fleet.clone(),
+            name: self.state.settings.fleet.clone(),
             expects: expects.to_owned(),
-            run: self.inner.settings.incarnation.0,
+            run: self.state.settings.incarnation.0,
             most_message: MAX_MESSAGE_BYTES,
             most_calls: MAX_CALLS_PER_CONNECTION,
         }
@@ -351,21 +352,21 @@
     /// Sends a request, or queues the request until the connection to its receiver is open.
     fn send_request(&self, id: QuestionId, to: Address, question: &Question) {
         let call = question_out(question);
-        let peer = self.inner.peers.borrow().get(&to).cloned();
+        let peer = self.state.peers.borrow().get(&to).cloned();
         if let Some(peer) = peer {
-            return self.send_on(&peer, id, call);
+            return self.send_on_connection(&peer, id, call);
         }
-        let now = self.inner.clock.now();
+        let now = self.state.clock.now();
         let request = QueuedRequest {
             id,
             call,
             queued_at: now,
         };
-        let mut connecting = self.inner.connecting.borrow_mut();
+        let mut connecting = self.state.connecting.borrow_mut();
         match connecting.get_mut(&to) {
             Some(queue) => {
                 // Requests whose answer is no longer awaited are not sent late.
-                let timeout = self.inner.settings.answer_within;
+                let timeout = self.state.settings.answer_within;
                 queue.retain(|queued| now - queued.queued_at <= timeout);
                 queue.push(request);
             }
@@ -376,8 +377,8 @@
         }
     }
 
-    fn send_on(&self, peer: &Rc<Peer>, id: QuestionId, call: v1::FleetCall) {
-        let now = self.inner.clock.now();
+    fn send_on_connection(&self, peer: &Rc<Peer>, id: QuestionId, call: v1::FleetCall) {
+        let now = self.state.clock.now();
         let stream = peer.streams_opened.get() + 1;
         peer.streams_opened.set(stream);
         peer.last_used_at.set(now);
@@ -389,12 +390,12 @@
     async fn run_outgoing_connection(self, to: Address) {
         // The timeout is longer than that of an answer. On an overloaded machine a slow connection still opens once,
         // whereas connections that are given up early and retried each time keep all members busy and never open.
-        let settings = &self.inner.settings;
+        let settings = &self.state.settings;
         let timeout = settings.lease.lease.max(10.0 * settings.answer_within);
-        let times_out_at = self.inner.clock.now() + timeout;
+        let times_out_at = self.state.clock.now() + timeout;
         let connecting = async {
             let stream = self
-                .inner
+                .state
                 .transport
                 .connect(&to.0)
                 .await
@@ -402,18 +403,18 @@
             connect(
                 stream,
                 v1::Party::Fleet,
-                self.setup(&self.inner.settings.fleet),
+                self.setup(&self.state.settings.fleet),
             )
             .await
         };
         let connected = tokio::select! { biased;
             connected = connecting => connected,
-            () = self.inner.clock.sleep_until(times_out_at) => {
+            () = self.state.clock.sleep_until(times_out_at) => {
                 Err(format!("no greeting within {timeout:.0} ms"))
             }
         };
         let queue = self
-            .inner
+            .state
             .connecting
             .borrow_mut()
             .remove(&to)
@@ -441,20 +442,20 @@
         };
         let peer = Rc::new(Peer {
             out,
-            last_used_at: Cell::new(self.inner.clock.now()),
+            last_used_at: Cell::new(self.state.clock.now()),
             unanswered: RefCell::default(),
             streams_opened: Cell::new(0),
         });
-        self.inner
+        self.state
             .peers
             .borrow_mut()
             .insert(to.clone(), peer.clone());
-        let oldest = self.inner.clock.now() - self.inner.settings.answer_within;
+        let oldest = self.state.clock.now() - self.state.settings.answer_within;
         for request in queue
             .into_iter()
             .filter(|queued| queued.queued_at >= oldest)
         {
-            self.send_on(&peer, request.id, request.call);
+            self.send_on_connection(&peer, request.id, request.call);
         }
         while let Some(event) = events.recv().await {
             match event {
@@ -474,7 +475,7 @@
                 Event::Flushed { .. } | Event::Partly => {}
             }
         }
-        let mut peers = self.inner.peers.borrow_mut();
+        let mut peers = self.state.peers.borrow_mut();
         if peers
             .get(&to)
             .is_some_and(|current| Rc::ptr_eq(current, &peer))
@@ -491,11 +492,11 @@
     /// Counts a message that could not be decoded, and warns at most once per [`WARNING_INTERVAL_MS`].
     fn count_if_invalid<M>(&self, message: Option<M>) -> Option<M> {
         if message.is_none() {
-            let dropped = self.inner.dropped_messages.get() + 1;
-            self.inner.dropped_messages.set(dropped);
-            let now = self.inner.clock.now();
-            if now - self.inner.last_warning_at.get() >= WARNING_INTERVAL_MS {
-                self.inner.last_warning_at.set(now);
+            let dropped = self.state.dropped_messages.get() + 1;
+            self.state.dropped_messages.set(dropped);
+            let now = self.state.clock.now();
+            if now - self.state.last_warning_at.get() >= WARNING_INTERVAL_MS {
+                self.state.last_warning_at.set(now);
                 tracing::warn!(dropped, "dropped invalid fleet messages or connections");
             }
         }
@@ -506,9 +507,9 @@
         loop {
             match listener.accept().await {
                 // Guards against running out of file descriptors. Members whose connection is closed connect again.
-                Ok(stream) if self.inner.incoming_connections.get() < MAX_INCOMING_CONNECTIONS => {
-                    let count = self.inner.incoming_connections.get() + 1;
-                    self.inner.incoming_connections.set(count);
+                Ok(stream) if self.state.incoming_connections.get() < MAX_INCOMING_CONNECTIONS => {
+                    let count = self.state.incoming_connections.get() + 1;
+                    self.state.incoming_connections.set(count);
                     spawn_local(self.clone().run_incoming_connection(stream));
                 }
                 Ok(_) => {}
@@ -517,8 +518,8 @@
                         %problem,
                         "could not accept a fleet connection; retrying in {ACCEPT_RETRY_MS} ms"
                     );
-                    let retry_at = self.inner.clock.now() + ACCEPT_RETRY_MS;
-                    self.inner.clock.sleep_until(retry_at).await;
+                    let retry_at = self.state.clock.now() + ACCEPT_RETRY_MS;
+                    self.state.clock.sleep_until(retry_at).await;
                 }
             }
         }
@@ -526,11 +527,11 @@
 
     /// Handles the requests on an accepted connection until the connection ends.
     async fn run_incoming_connection(self, stream: T::Stream) {
-        let timeout = 10.0 * self.inner.settings.answer_within;
-        let times_out_at = self.inner.clock.now() + timeout;
+        let timeout = 10.0 * self.state.settings.answer_within;
+        let times_out_at = self.state.clock.now() + timeout;
         let greeted = tokio::select! { biased;
             greeted = serve(stream, self.setup("")) => greeted,
-            () = self.inner.clock.sleep_until(times_out_at) => {
+            () = self.state.clock.sleep_until(times_out_at) => {
                 Err(format!("no greeting within {timeout:.0} ms"))
             }
         };
@@ -551,8 +552,8 @@
             // The other side is a member of another fleet, or does not speak this protocol.
             Err(_) => drop(self.count_if_invalid(None::<()>)),
         }
-        let count = self.inner.incoming_connections.get() - 1;
-        self.inner.incoming_connections.set(count);
+        let count = self.state.incoming_connections.get() - 1;
+        self.state.incoming_connections.set(count);
     }
 
     /// Passes a received request to the member, or forgets a request that its sender has cancelled.
@@ -560,9 +561,9 @@
         match body {
             Body::FleetCall(message) => match self.count_if_invalid(question_in(message)) {
                 Some(question) => {
-                    let call = CallId(self.inner.calls_received.get() + 1);
-                    self.inner.calls_received.set(call.0);
-                    self.inner
+                    let call = CallId(self.state.calls_received.get() + 1);
+                    self.state.calls_received.set(call.0);
+                    self.state
                         .open_calls
                         .borrow_mut()
                         .insert(call, (out.clone(), stream));
@@ -575,7 +576,7 @@
                 let is_cancelled = |(connection, call_stream): &(Out, u64)| {
                     *call_stream == stream && connection.same(out)
                 };
-                self.inner
+                self.state
                     .open_calls
                     .borrow_mut()
                     .retain(|_, call| !is_cancelled(call));
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -69,7 +69,7 @@
 }
 
 /// What a job does after a reply.
-enum Next {
+enum NextStep {
     AskAgain,
     End(Ended),
 }
@@ -99,7 +99,7 @@
                 let next = self
                     .handle_reply(asked_at, &reply, &mut lease, work)
                     .await?;
-                if let Next::AskAgain = next {
+                if let NextStep::AskAgain = next {
                     let wait = lease
                         .as_ref()
                         .map_or(ACQUIRE_RETRY_MS, JobLease::ask_interval);
@@ -115,7 +115,7 @@
                 }
                 next = step => next?,
             };
-            if let Next::End(ended) = next {
+            if let NextStep::End(ended) = next {
                 return Ok(ended);
             }
         }
@@ -141,7 +141,7 @@
         reply: &Result<Reply, String>,
         lease: &mut Option<JobLease>,
         work: &mut impl Work,
-    ) -> io::Result<Next> {
+    ) -> io::Result<NextStep> {
         match reply {
             Ok(Reply::Holds {
                 term: Some(term),
@@ -154,7 +154,7 @@
                 Some(held) => {
                     if held.renew(*term, asked_at, *good_for).is_err() {
                         work.end(held.expires_at()).await?;
-                        return Ok(Next::End(Ended::Lost(
+                        return Ok(NextStep::End(Ended::Lost(
                             "the lease is held in another term: another process may have held it"
                                 .to_owned(),
                         )));
@@ -164,13 +164,13 @@
             Ok(Reply::Refused(reason)) => {
                 work.end(lease.map_or(0.0, |held| held.expires_at()))
                     .await?;
-                return Ok(Next::End(Ended::Refused(reason.clone())));
+                return Ok(NextStep::End(Ended::Refused(reason.clone())));
             }
             // The lease is not held yet or no longer, or no dispatcher answered.
             Ok(_) | Err(_) => {}
         }
         let Some(held) = lease else {
-            return Ok(Next::AskAgain);
+            return Ok(NextStep::AskAgain);
         };
         if held.is_running_out(self.clock.now()) {
             work.end(held.kill_at()).await?;
@@ -179,13 +179,13 @@
                 Ok(_) => "the dispatcher no longer reports the lease as held",
                 Err(error) => error,
             };
-            return Ok(Next::End(Ended::Lost(reason.to_owned())));
+            return Ok(NextStep::End(Ended::Lost(reason.to_owned())));
         }
         if let Some(success) = work.ended()? {
             self.release_lease().await;
-            return Ok(Next::End(Ended::ByItself(success)));
+            return Ok(NextStep::End(Ended::ByItself(success)));
         }
-        Ok(Next::AskAgain)
+        Ok(NextStep::AskAgain)
     }
 
     /// Releases the lease. If no dispatcher receives the request, the next holder waits until the lease has expired.
--- a/src/coordination/member/membership_report.rs
+++ b/src/coordination/member/membership_report.rs
@@ -54,11 +54,11 @@
         let Some(held) = self.held_leases.get(&membership_lease()).copied() else {
             return;
         };
-        let ignores_end = is_injected(InjectedFault::LeaseEndIgnored);
-        if held.left(self.now) <= 0.0 && !ignores_end {
+        let ignores_expiry = is_injected(InjectedFault::LeaseEndIgnored);
+        if held.left(self.now) <= 0.0 && !ignores_expiry {
             return;
         }
-        let lease_end = match ignores_end {
+        let lease_end = match ignores_expiry {
             true => self.now + self.settings.lease.lease,
             false => held.expires_at,
         };
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -89,7 +89,7 @@
             .or_else(|| self.acquisition())
             .or_else(|| self.operator_command())
             .or_else(|| self.proposed_step())
-            .or_else(|| self.voter_change_end())
+            .or_else(|| self.voter_change_completion())
     }
 
     fn resignation(&self) -> Option<(ProposalReason, Command)> {
@@ -148,7 +148,7 @@
         Some((reason, pending.command.clone()))
     }
 
-    fn voter_change_end(&self) -> Option<(ProposalReason, Command)> {
+    fn voter_change_completion(&self) -> Option<(ProposalReason, Command)> {
         self.can_finish_voter_change().then_some((
             ProposalReason::FinishVoterChange,
             Command::FinishVoterChange,
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -127,7 +127,7 @@
         let now = self.now;
         let is_due =
             |request: &RequestInFlight| request.resend.is_some_and(|resend| resend.at <= now);
-        for id in self.requests_where(is_due) {
+        for id in self.request_ids_where(is_due) {
             let Some(request) = self.in_flight.get_mut(&id) else {
                 continue;
             };
@@ -156,7 +156,7 @@
         current.is_some_and(|current| current.proposal.ballot == *ballot)
     }
 
-    fn requests_where(&self, is_selected: impl Fn(&RequestInFlight) -> bool) -> Vec<QuestionId> {
+    fn request_ids_where(&self, is_selected: impl Fn(&RequestInFlight) -> bool) -> Vec<QuestionId> {
         let requests = self.in_flight.iter();
         requests
             .filter(|(_, request)| is_selected(request))
@@ -167,7 +167,7 @@
     /// Handles the requests that have timed out as unanswered.
     pub(super) fn expire_requests(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        for id in self.requests_where(|request| request.times_out_at <= now) {
+        for id in self.request_ids_where(|request| request.times_out_at <= now) {
             if let Some(request) = self.in_flight.remove(&id) {
                 self.count("unanswered");
                 self.handle_answer(request.purpose, None, out);
@@ -257,14 +257,14 @@
                 voter,
                 ballot,
                 phase,
-            } => self.acceptor_answered(voter, &ballot, phase, vote_in(answer), out),
+            } => self.acceptor_answered(voter, &ballot, phase, vote_from(answer), out),
             RequestPurpose::QueryVoter { of, next } => match answer {
                 Some(Answer::VoterState(state)) => self.voter_state_received(&of, state, out),
                 Some(_) => {}
                 None => self.query_next_voter(next, out),
             },
             RequestPurpose::Inspect { of, call } => {
-                let state = voter_state_in(answer);
+                let state = voter_state_from(answer);
                 if let Some(state) = &state {
                     self.voter_state_received(&of, state.clone(), out);
                 }
@@ -276,47 +276,47 @@
                 }
             }
             RequestPurpose::Heartbeat { to } => {
-                self.heartbeat_answered(to, heartbeat_reply_in(answer), out);
+                self.heartbeat_answered(to, heartbeat_reply_from(answer), out);
             }
             RequestPurpose::OfferLease => {}
             RequestPurpose::MembershipReport { receiver } => {
-                self.report_answered(receiver, fencing_decision_in(answer));
+                self.report_answered(receiver, fencing_decision_from(answer));
             }
             RequestPurpose::PermitNotice { to, permit } => {
-                self.permit_notice_answered(&to, permit, fencing_decision_in(answer), out);
+                self.permit_notice_answered(&to, permit, fencing_decision_from(answer), out);
             }
             RequestPurpose::StopByHand { call, note } => {
-                self.stop_by_hand_answered(call, note, operator_reply_in(answer), out);
+                self.stop_by_hand_answered(call, note, operator_reply_from(answer), out);
             }
             RequestPurpose::RevokePermit { .. } | RequestPurpose::ConfirmHalt { .. } => {
-                self.revocation_answered(&purpose, begun_in(answer));
+                self.revocation_answered(&purpose, begun_from(answer));
             }
         }
     }
 }
 
-fn vote_in(answer: Option<Answer>) -> Option<AcceptorReply> {
+fn vote_from(answer: Option<Answer>) -> Option<AcceptorReply> {
     match answer {
         Some(Answer::Vote(reply)) => Some(reply),
         _ => None,
     }
 }
 
-fn voter_state_in(answer: Option<Answer>) -> Option<VoterState> {
+fn voter_state_from(answer: Option<Answer>) -> Option<VoterState> {
     match answer {
         Some(Answer::VoterState(state)) => Some(state),
         _ => None,
     }
 }
 
-fn heartbeat_reply_in(answer: Option<Answer>) -> Option<HeartbeatReply> {
+fn heartbeat_reply_from(answer: Option<Answer>) -> Option<HeartbeatReply> {
     match answer {
         Some(Answer::Heartbeat(reply)) => Some(reply),
         _ => None,
     }
 }
 
-fn fencing_decision_in(answer: Option<Answer>) -> Option<(FencingDecision, ReceiverTimestamp)> {
+fn fencing_decision_from(answer: Option<Answer>) -> Option<(FencingDecision, ReceiverTimestamp)> {
     match answer {
         Some(Answer::FencingDecision {
             verdict,
@@ -326,14 +326,14 @@
     }
 }
 
-fn operator_reply_in(answer: Option<Answer>) -> Option<Reply> {
+fn operator_reply_from(answer: Option<Answer>) -> Option<Reply> {
     match answer {
         Some(Answer::Reply(reply)) => Some(reply),
         _ => None,
     }
 }
 
-fn begun_in(answer: Option<Answer>) -> Option<bool> {
+fn begun_from(answer: Option<Answer>) -> Option<bool> {
     match answer {
         Some(Answer::Begun { begun }) => Some(begun),
         _ => None,
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -290,7 +290,7 @@
                 who,
                 step,
             } => {
-                new.held_by(lease_name, (*term, who))?;
+                new.record_held_by(lease_name, (*term, who))?;
                 new.disruptions.apply_step(step)?;
             }
             Command::OperatorCommand(command) => new.disruptions.apply_command(command)?,
@@ -336,7 +336,7 @@
     ) -> Result<(), CommandError> {
         let mut renewed_any = false;
         for (lease_name, term) in leases {
-            if let Ok(record) = self.held_by(lease_name, (*term, who)) {
+            if let Ok(record) = self.record_held_by(lease_name, (*term, who)) {
                 record.renewed += 1;
                 record.proposal_id = proposal_id;
                 renewed_any = true;
@@ -355,7 +355,7 @@
         next: Option<&Name>,
         proposal_id: ProposalId,
     ) -> Result<(), CommandError> {
-        let record = self.held_by(lease_name, holder)?;
+        let record = self.record_held_by(lease_name, holder)?;
         record.holder = None;
         record.next = next.cloned();
         record.proposal_id = proposal_id;
@@ -363,7 +363,7 @@
     }
 
     /// The record of a lease that this process holds in this term, or [`CommandError::Outdated`].
-    fn held_by(
+    fn record_held_by(
         &mut self,
         lease_name: &LeaseName,
         (term, who): (Term, &LeaseHolder),
