--- a/src/coordination/rollout/commands.rs
+++ b/src/coordination/rollout/commands.rs
@@ -1,24 +1,24 @@
-//! Operators' commands.
+//! Commands by which operators start, halt, resume, roll back and end rollouts.
 
 use super::state::{DisruptionState, Rollout, RolloutError, MAX_NOTES};
 use crate::coordination::disruption_budget::{UnitKind, ZoneSizes};
 
-/// A change that an operator makes, at any dispatcher.
+/// A change of the replicated state that an operator requests. Any dispatcher accepts the request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OperatorCommand {
-    /// Starts a rollout.
+    /// Starts a rollout. Refused while another rollout is unfinished or permits are halted.
     Start(Box<Rollout>),
-    /// No permit is granted until an operator resumes; with the reason in words.
+    /// Stops the granting of permits until an operator resumes. Carries the operator's reason.
     Halt(String),
-    /// Ends a halt.
+    /// Ends a halt and restarts the timeouts of all permits.
     Resume,
-    /// Brings units back to the previous label, and ends a halt.
+    /// Returns updated units to the plan's previous label, and ends a halt.
     RollBack,
-    /// Finishes the rollout as it stands, and ends a halt.
+    /// Marks the rollout as finished without updating the remaining units, and ends a halt.
     End,
-    /// Sets the sizes of the zones to what is seen now: a unit that is missing does not count any more.
+    /// Replaces the agreed zone sizes by the number of units seen now. Missing units no longer count as unavailable.
     Recount(UnitKind, ZoneSizes),
-    /// Notes what an operator did by hand without agreement.
+    /// Records an action that an operator took on a single dispatcher without the fleet's agreement.
     Note(String),
 }
 
@@ -26,11 +26,12 @@
     /// Applies an operator's command.
     ///
     /// # Errors
-    /// Why it does not count; nothing is changed then.
+    /// Returns the reason why the command does not apply. The state is unchanged in that case.
     pub fn apply_command(&mut self, command: &OperatorCommand) -> Result<(), RolloutError> {
         match command {
             OperatorCommand::Start(rollout) => self.start(rollout),
-            // A halt that is there already is agreed on once more: what was seen of it may be a proposal that failed.
+            // A repeated halt succeeds: the halt in the state that the operator saw may come from a proposal that
+            // was never chosen.
             OperatorCommand::Halt(reason) => self.halt(reason).or(Ok(())),
             OperatorCommand::Resume => self.resume(),
             OperatorCommand::RollBack => self.roll_back(),
@@ -66,7 +67,7 @@
     fn roll_back(&mut self) -> Result<(), RolloutError> {
         let halted = self.halted.is_some();
         let rollout = self.rollout.as_deref_mut().ok_or(RolloutError::Nothing)?;
-        // A roll-back has nothing to roll back, and units that left for good do not return.
+        // A rollback cannot be rolled back, and permanently removed units do not return.
         if (rollout.rolling_back && !halted) || rollout.plan.permanent {
             return Err(RolloutError::Nothing);
         }
--- a/src/coordination/rollout/mod.rs
+++ b/src/coordination/rollout/mod.rs
@@ -1,9 +1,9 @@
-//! Rollouts of software as the fleet agrees on them: which units may be out of service, and the rollout that grants
-//! it to them.
+//! The replicated state of software rollouts: permits that allow units to go out of service, and the rollout that
+//! grants the permits.
 //!
-//! [`DisruptionState`] is a part of the replicated state. It changes by [`RolloutStep`]s of the membership leader, which
-//! name its term and count only while it holds the lease by this very state, and by [`OperatorCommand`]s, which may
-//! come from any dispatcher.
+//! [`DisruptionState`] is a part of the fleet's replicated state. Two kinds of changes apply to it. The membership
+//! leader proposes [`RolloutStep`]s with the term of its lease. A step applies only if the same replicated state names
+//! that leader as the lease's holder. Any dispatcher may propose an [`OperatorCommand`].
 
 mod commands;
 mod permit;
--- a/src/coordination/rollout/permit.rs
+++ b/src/coordination/rollout/permit.rs
@@ -1,29 +1,29 @@
-//! The permit for one unit to go out of service.
+//! Permits for units to go out of service.
 
 use crate::coordination::disruption_budget::UnitKind;
 use crate::coordination::{Address, Incarnation, Name};
 
-/// A permit's number: counted over all that were ever granted.
+/// The number of a permit. Numbers increase over the fleet's lifetime and are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PermitId(pub u64);
 
-/// The permit for one unit to go out of service. The fleet agrees on it before the unit is notified.
+/// A permit for one unit to go out of service. The fleet agrees on a permit before the unit is notified.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DisruptionPermit {
-    /// The kind of unit.
+    /// Whether the unit is a dispatcher or an engine.
     pub unit_kind: UnitKind,
-    /// The unit.
+    /// The name of the unit that may drain.
     pub unit: Name,
-    /// The process that is to go: another incarnation of its name has been out and back.
+    /// The process that may drain. A different incarnation under the same name shows that the unit has restarted.
     pub incarnation: Incarnation,
-    /// Where the unit is reached.
+    /// The address at which the unit accepts connections.
     pub address: Address,
-    /// The unit's zone.
+    /// The unit's zone, against whose limit the permit counts.
     pub zone: String,
-    /// The label that it is to come back under; empty: any.
+    /// The label that the unit must have after its restart. An empty label accepts any.
     pub label: String,
-    /// The unit is not to come back.
+    /// Whether the unit is removed for good instead of restarted.
     pub permanent: bool,
-    /// Granted by the rollout that is under way, not asked for beside it.
+    /// Whether the current rollout granted the permit. False for a permit that a dispatcher requested for itself.
     pub planned: bool,
 }
--- a/src/coordination/rollout/plan.rs
+++ b/src/coordination/rollout/plan.rs
@@ -1,60 +1,60 @@
-//! An operator's plan of a rollout.
+//! The plan of a rollout, as an operator submits it.
 
 use crate::coordination::disruption_budget::{Unit, UnitKind};
 use crate::coordination::Name;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Which units go, in which waves, and how long they may take.
+/// Which units a rollout updates, in which waves, and the timeouts of each unit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RolloutPlan {
-    /// The operators' name for the rollout.
+    /// The operator's name for the rollout, shown in its status.
     pub name: String,
-    /// The kind of unit that goes.
+    /// Whether the rollout updates dispatchers or engines.
     pub unit_kind: UnitKind,
-    /// The label that units come back under.
+    /// The label that units must have after their restart.
     pub label: String,
-    /// The label that they had before, for a roll-back.
+    /// The label of the units before the rollout. A rollback returns units to this label.
     pub previous_label: String,
-    /// Zones that are selected; empty: all.
+    /// Zones whose units are updated. An empty list selects all zones.
     pub zones: Vec<String>,
-    /// Cells that are selected; empty: all.
+    /// Cells whose units are updated. An empty list selects all cells.
     pub cells: Vec<String>,
-    /// Kinds that are selected; empty: all.
+    /// Kinds of hardware or build whose units are updated. An empty list selects all kinds.
     pub kinds: Vec<String>,
-    /// Units that are selected; empty: all.
+    /// Names of the units that are updated. An empty list selects all units.
     pub names: Vec<Name>,
-    /// Units that go do not come back.
+    /// Whether units are removed for good instead of restarted.
     pub permanent: bool,
-    /// Units of the first wave.
+    /// Size of the first wave, in units.
     pub first_wave_size: u32,
-    /// The size of a wave over the one before, in thousandths.
+    /// Ratio of a wave's size to the size of the previous wave, in thousandths.
     pub wave_growth_per_mille: u32,
-    /// How long the units are observed between two waves, in milliseconds.
+    /// How long the outcomes of updated units are observed between two waves, in milliseconds.
     pub observe_ms: u64,
-    /// How long a unit has to be back and ready before its permit is complete, in milliseconds.
+    /// How long a restarted unit must stay ready before its permit is complete, in milliseconds.
     pub settle_ms: u64,
-    /// Within this a unit has to begin to go, in milliseconds from its permit.
+    /// How long a unit may take to begin draining, in milliseconds from its permit.
     pub start_timeout_ms: u64,
-    /// Within this a unit has to be back, in milliseconds from its permit.
+    /// How long a unit may take to be ready again, in milliseconds from its permit.
     pub return_timeout_ms: u64,
 }
 
-/// Waves beyond this one are no larger: a size that has grown this often is above any fleet.
+/// Wave sizes stop growing after this wave. At this number of growth steps a wave exceeds any fleet.
 const MAX_GROWTH_STEPS: u32 = 64;
 
 impl RolloutPlan {
-    /// Whether the plan selects a unit.
+    /// Whether the plan selects a unit: the unit matches each list that is not empty.
     pub fn selects(&self, unit: &Unit) -> bool {
-        let has = |list: &[String], value: &str| {
+        let matches = |list: &[String], value: &str| {
             list.is_empty() || list.iter().any(|entry| entry == value)
         };
-        has(&self.zones, &unit.zone)
-            && has(&self.cells, &unit.cell)
-            && has(&self.kinds, &unit.kind)
+        matches(&self.zones, &unit.zone)
+            && matches(&self.cells, &unit.cell)
+            && matches(&self.kinds, &unit.kind)
             && (self.names.is_empty() || self.names.contains(&unit.name))
     }
 
-    /// The size of a wave in units; waves are counted from 0.
+    /// The maximum number of units in a wave. Waves are counted from 0.
     pub fn wave_size(&self, wave: u32) -> u32 {
         let growth = f64::from(self.wave_growth_per_mille) / 1000.0;
         let size = f64::from(self.first_wave_size) * growth.powi(wave.min(MAX_GROWTH_STEPS) as i32);
@@ -62,8 +62,10 @@
     }
 }
 
-/// A unit's place in the order of a rollout: a hash of its name, which spreads the order over zones and cells and is the
-/// same for each membership leader, however the fleet grows.
+/// A unit's sort key in the order of a rollout: a hash of the unit's name.
+///
+/// The hash spreads consecutive units over zones and cells. Every membership leader computes the same order, also after
+/// the fleet has grown.
 pub fn order_key(name: &Name) -> u64 {
     xxh3_64(name.0.as_bytes())
 }
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -1,4 +1,4 @@
-//! What the fleet agreed on about units out of service.
+//! The replicated state of permits and of the rollout.
 
 use super::permit::{DisruptionPermit, PermitId};
 use super::plan::RolloutPlan;
@@ -6,87 +6,88 @@
 use crate::coordination::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rollout under way, or the last one.
+/// The current rollout, or the last finished rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Rollout {
-    /// The operator's plan.
+    /// The plan that the operator submitted.
     pub plan: RolloutPlan,
-    /// The limits that it stays within.
+    /// The limits on unavailable units, copied from the settings of the dispatcher that started the rollout.
     pub budget: DisruptionBudget,
-    /// The dispatcher that passed the operator's command on.
+    /// The dispatcher that received the operator's command.
     pub started_by: Name,
-    /// It brings units back to the previous label.
+    /// Whether the rollout returns units to the previous label.
     pub rolling_back: bool,
-    /// It is over.
+    /// Whether the rollout has ended.
     pub finished: bool,
-    /// The current wave, counted from 0.
+    /// The current wave, counted from 0. A rollback starts again at wave 0.
     pub wave: u32,
-    /// Permits that the current wave has granted.
+    /// The number of permits that the current wave has granted. Revoked permits are subtracted.
     pub granted_in_wave: u32,
-    /// How far each zone has come, by [`order_key`](super::order_key). Engines only: they carry no label that would show
-    /// whether they have been out.
+    /// For each zone, the [`order_key`](super::order_key) up to which engines have been granted permits. Used for
+    /// engines only, because an engine has no label that shows whether the engine has been updated.
     pub zone_progress: BTreeMap<String, u64>,
-    /// Engines behind their zone's progress that are to go again, as their permit was revoked.
+    /// Engines that need another permit although their zone's progress has passed them, because their permit was
+    /// revoked.
     pub regrant: BTreeSet<Name>,
-    /// Units that did not come back as they should, left for operators, with the reason in words.
+    /// Units that did not return as planned and need an operator, each with the reason.
     pub abandoned: BTreeMap<Name, String>,
-    /// Permits that are complete.
+    /// The number of completed permits.
     pub completed: u32,
 }
 
-/// Permits, the rollout, and the sizes of the fleet; a part of the replicated state.
+/// Permits, the rollout, and the agreed size of each zone. A part of the replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DisruptionState {
-    /// Permits granted so far.
+    /// The number of permits ever granted. The next permit gets the following number.
     pub permits_granted: u64,
-    /// Permits that are granted and not complete.
+    /// Permits that are granted and neither completed, revoked nor abandoned.
     pub permits: BTreeMap<PermitId, DisruptionPermit>,
-    /// The rollout under way, or the last one.
+    /// The current rollout, or the last finished rollout. None before the first rollout.
     pub rollout: Option<Box<Rollout>>,
-    /// Why no permit is granted until an operator resumes, in words.
+    /// The reason for the current halt. None while permits are not halted.
     pub halted: Option<String>,
-    /// How often an operator resumed: timeouts of permits start anew with each.
+    /// How often an operator has resumed or rolled back. Each increase restarts the timeouts of all permits.
     pub resume_count: u64,
-    /// Dispatchers of each zone. Counted up as they are seen, and down by an operator's command alone, as a unit that
-    /// is missing may have failed.
+    /// The agreed number of dispatchers in each zone. The number rises when more dispatchers are seen. Only an
+    /// operator's command lowers the number, because a missing dispatcher may have failed.
     pub dispatcher_sizes: ZoneSizes,
-    /// Engines of each zone, counted like dispatchers.
+    /// The agreed number of engines in each zone, maintained like `dispatcher_sizes`.
     pub engine_sizes: ZoneSizes,
-    /// What operators did by hand without agreement; the last [`MAX_NOTES`].
+    /// The last [`MAX_NOTES`] records of operators' actions on single dispatchers without the fleet's agreement.
     pub notes: Vec<String>,
 }
 
-/// Why a step or a command does not count.
+/// Why a step or a command does not apply to the current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RolloutError {
-    /// Nothing may go: halted, finished, or no such rollout.
+    /// Permits are halted, the rollout is finished, or there is no rollout of this kind.
     Stopped,
-    /// Another rollout is not finished.
+    /// Another rollout is unfinished.
     Busy,
-    /// The state is like that already.
+    /// The requested change is already in effect.
     AlreadySo,
-    /// There is nothing that it applies to.
+    /// The permit, rollout or halt that the change refers to does not exist.
     Nothing,
-    /// The budget or the state has no room.
+    /// The change would exceed the disruption budget or the maximum size of the state.
     NoRoom,
 }
 
-/// Permits at once; keeps the replicated state small, at some 80 bytes a permit.
+/// The maximum number of granted permits. At about 80 bytes per permit, this limits the size of the replicated state.
 pub const MAX_PERMITS: usize = 256;
-/// Abandoned units that a rollout names.
+/// The maximum number of abandoned units that a rollout lists by name.
 pub const MAX_ABANDONED: usize = 64;
-/// Notes that are stored.
+/// The maximum number of stored notes. A further note replaces the oldest.
 pub const MAX_NOTES: usize = 8;
-/// Units that a plan may name.
+/// The maximum number of units that a plan may list by name.
 pub const MAX_NAMES: usize = 256;
 
 impl DisruptionState {
-    /// Whether there is nothing in it at all.
+    /// Whether the state equals the state of a new fleet: no permit, rollout, halt, zone size or note.
     pub fn is_empty(&self) -> bool {
         *self == DisruptionState::default()
     }
 
-    /// The agreed sizes of the zones, in units of a kind.
+    /// The agreed number of dispatchers, or of engines, in each zone.
     pub fn zone_sizes(&self, unit_kind: UnitKind) -> &ZoneSizes {
         if unit_kind == UnitKind::Engines {
             &self.engine_sizes
@@ -103,26 +104,28 @@
         }
     }
 
-    /// The rollout, unless it is finished.
+    /// The current rollout, also while halted. None once the rollout is finished.
     pub fn unfinished(&self) -> Option<&Rollout> {
-        self.rollout.as_deref().filter(|r| !r.finished)
+        self.rollout.as_deref().filter(|rollout| !rollout.finished)
     }
 
     pub(super) fn unfinished_mut(&mut self) -> Option<&mut Rollout> {
-        self.rollout.as_deref_mut().filter(|r| !r.finished)
+        self.rollout
+            .as_deref_mut()
+            .filter(|rollout| !rollout.finished)
     }
 
-    /// The rollout, unless it is finished or halted.
+    /// The current rollout. None if the rollout is finished or halted.
     pub fn running(&self) -> Option<&Rollout> {
         self.unfinished().filter(|_| self.halted.is_none())
     }
 
-    /// Whether there are permits or an unfinished rollout to look after.
+    /// Whether there is a granted permit or an unfinished rollout.
     pub fn is_active(&self) -> bool {
         !self.permits.is_empty() || self.unfinished().is_some()
     }
 
-    /// The permit of a unit, if it has one.
+    /// The granted permit of a unit. None if the unit has no permit.
     pub fn permit_for(
         &self,
         unit_kind: UnitKind,
--- a/src/coordination/rollout/steps.rs
+++ b/src/coordination/rollout/steps.rs
@@ -1,4 +1,4 @@
-//! The membership leader's steps.
+//! Steps by which the membership leader grants, completes and revokes permits and advances a rollout.
 
 use super::permit::{DisruptionPermit, PermitId};
 use super::plan::order_key;
@@ -6,39 +6,43 @@
 use crate::coordination::disruption_budget::{DisruptionBudget, UnitKind, ZoneSizes};
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 
-/// A change that the membership leader makes in its term.
+/// A change that the membership leader proposes in its term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RolloutStep {
-    /// Grants permits.
+    /// Grants permits to units.
     Grant(Vec<DisruptionPermit>),
-    /// The units are back as they should be, or gone for good.
+    /// Completes permits whose units have returned as planned, or have been removed for good.
     Complete(Vec<PermitId>),
-    /// The units surely have not begun to go and will not: they may get permits again.
+    /// Withdraws permits whose units have confirmed that they have not begun to drain and will not. The units may get
+    /// new permits.
     Revoke(Vec<PermitId>),
-    /// Rolling back, a unit that came back wrong gets its permit anew, for the process that it is now.
+    /// During a rollback, replaces the permit of a unit that restarted under the new version by a permit for its
+    /// current process.
     Reissue(PermitId, DisruptionPermit),
-    /// A unit is left for operators, with the reason in words.
+    /// Gives up on a unit, which an operator has to repair. Carries the reason.
     Abandon(PermitId, String),
-    /// The next wave begins.
+    /// Begins the next wave.
     NextWave,
-    /// The rollout is finished.
+    /// Marks the rollout as finished.
     Finish,
-    /// No permit is granted until an operator resumes; with the reason in words.
+    /// Stops the granting of permits until an operator resumes. Carries the reason.
     Halt(String),
-    /// Zones are larger than was agreed.
+    /// Raises the agreed zone sizes to the number of units seen.
     RecordSizes(UnitKind, ZoneSizes),
 }
 
 impl DisruptionState {
     /// Applies a step of the membership leader.
     ///
-    /// # Errors
-    /// Why it does not count; the state is of no use then, as a part of the step may be applied.
+    /// # Errors Returns the reason why the step does not apply. The caller must discard the state in that case, because
+    /// a part of the step may have been applied.
     pub fn apply_step(&mut self, step: &RolloutStep) -> Result<(), RolloutError> {
         match step {
             RolloutStep::Grant(permits) => permits.iter().try_for_each(|permit| self.grant(permit)),
-            RolloutStep::Complete(ids) => self.remove_permits(ids, DisruptionState::completed),
-            RolloutStep::Revoke(ids) => self.remove_permits(ids, DisruptionState::revoked),
+            RolloutStep::Complete(ids) => {
+                self.remove_permits(ids, DisruptionState::apply_completion)
+            }
+            RolloutStep::Revoke(ids) => self.remove_permits(ids, DisruptionState::apply_revocation),
             RolloutStep::Reissue(id, permit) => self.reissue(*id, permit),
             RolloutStep::Abandon(id, reason) => self.abandon(*id, reason),
             RolloutStep::NextWave => self.next_wave(),
@@ -74,54 +78,57 @@
         Ok(())
     }
 
-    /// Guards against a membership leader with a stale view, which would show as more planned permits in a zone than
-    /// its limit: all permits are counted here once more, against the agreed sizes, so that no view can exceed it.
+    /// Counts all permits against the limits of the fleet and of the zone, by the agreed zone sizes.
+    ///
+    /// A membership leader with a stale view could otherwise grant more planned permits in a zone than its limit.
     fn check_budget(&self, permit: &DisruptionPermit) -> Result<(), RolloutError> {
         let rollout = self
             .unfinished()
-            .filter(|r| r.plan.unit_kind == permit.unit_kind)
+            .filter(|rollout| rollout.plan.unit_kind == permit.unit_kind)
             .ok_or(RolloutError::Stopped)?;
-        let unchecked = is_injected(InjectedFault::BackUnbound)
+        let skips_check = is_injected(InjectedFault::BackUnbound)
             || is_injected(InjectedFault::TurnTwice)
             || is_injected(InjectedFault::BeginsAnew);
-        if self.is_used_up(&rollout.budget, permit) && !unchecked {
+        if self.exhausts_budget(&rollout.budget, permit) && !skips_check {
             return Err(RolloutError::NoRoom);
         }
         Ok(())
     }
 
-    fn is_used_up(&self, budget: &DisruptionBudget, permit: &DisruptionPermit) -> bool {
+    fn exhausts_budget(&self, budget: &DisruptionBudget, permit: &DisruptionPermit) -> bool {
         let sizes = self.zone_sizes(permit.unit_kind);
         let fleet_size = sizes.values().sum();
         let zone_size = sizes.get(&permit.zone).copied().unwrap_or_default();
-        let same_kind = || {
+        let permits_of_kind = || {
             let permits = self.permits.values();
             permits.filter(|granted| granted.unit_kind == permit.unit_kind)
         };
-        let in_fleet = same_kind().count() as u32;
-        let in_zone = same_kind().filter(|g| g.zone == permit.zone).count() as u32;
-        in_fleet >= budget.fleet.limit_for(fleet_size)
-            || in_zone >= budget.zone.limit_for(zone_size)
+        let granted_in_fleet = permits_of_kind().count() as u32;
+        let granted_in_zone = permits_of_kind()
+            .filter(|granted| granted.zone == permit.zone)
+            .count() as u32;
+        granted_in_fleet >= budget.fleet.limit_for(fleet_size)
+            || granted_in_zone >= budget.zone.limit_for(zone_size)
     }
 
     fn remove_permits(
         &mut self,
         ids: &[PermitId],
-        each: impl Fn(&mut DisruptionState, DisruptionPermit),
+        on_removed: impl Fn(&mut DisruptionState, DisruptionPermit),
     ) -> Result<(), RolloutError> {
-        let mut any = false;
+        let mut any_removed = false;
         for id in ids {
             if let Some(permit) = self.permits.remove(id) {
-                each(self, permit);
-                any = true;
+                on_removed(self, permit);
+                any_removed = true;
             }
         }
-        any.then_some(()).ok_or(RolloutError::Nothing)
+        any_removed.then_some(()).ok_or(RolloutError::Nothing)
     }
 
-    fn completed(&mut self, permit: DisruptionPermit) {
+    fn apply_completion(&mut self, permit: DisruptionPermit) {
         if permit.permanent {
-            // Gone for good by an operator's command: it is not missing.
+            // An operator removed the unit for good, so the unit must not count as missing.
             let sizes = self.zone_sizes_mut(permit.unit_kind);
             if let Some(size) = sizes.get_mut(&permit.zone) {
                 *size = size.saturating_sub(1);
@@ -132,7 +139,7 @@
         }
     }
 
-    fn revoked(&mut self, permit: DisruptionPermit) {
+    fn apply_revocation(&mut self, permit: DisruptionPermit) {
         let Some(rollout) = self.unfinished_mut().filter(|_| permit.planned) else {
             return;
         };
@@ -143,13 +150,15 @@
     }
 
     fn reissue(&mut self, id: PermitId, permit: &DisruptionPermit) -> Result<(), RolloutError> {
-        let rolling_back = self.unfinished().is_some_and(|r| r.rolling_back);
+        let rolling_back = self
+            .unfinished()
+            .is_some_and(|rollout| rollout.rolling_back);
         let halted = self.halted.is_some();
-        let known = self.permits.get_mut(&id).ok_or(RolloutError::Nothing)?;
-        if !rolling_back || halted || known.unit != permit.unit {
+        let reissued = self.permits.get_mut(&id).ok_or(RolloutError::Nothing)?;
+        if !rolling_back || halted || reissued.unit != permit.unit {
             return Err(RolloutError::Stopped);
         }
-        *known = permit.clone();
+        *reissued = permit.clone();
         Ok(())
     }
 
@@ -171,19 +180,19 @@
     }
 
     fn finish(&mut self) -> Result<(), RolloutError> {
-        let any_planned = self.permits.values().any(|permit| permit.planned);
+        let has_planned_permits = self.permits.values().any(|permit| permit.planned);
         let rollout = self
             .unfinished_mut()
-            .filter(|_| !any_planned)
+            .filter(|_| !has_planned_permits)
             .ok_or(RolloutError::Stopped)?;
         rollout.finished = true;
         Ok(())
     }
 
     fn record_sizes(&mut self, unit_kind: UnitKind, sizes: &ZoneSizes) {
-        let known = self.zone_sizes_mut(unit_kind);
+        let agreed = self.zone_sizes_mut(unit_kind);
         for (zone, size) in sizes {
-            let largest = known.entry(zone.clone()).or_default();
+            let largest = agreed.entry(zone.clone()).or_default();
             *largest = (*largest).max(*size);
         }
     }
@@ -198,20 +207,20 @@
         }
     }
 
-    /// Forward a zone has come to this engine; rolling back it has come to just before it.
+    /// Moves the zone's progress to this engine. During a rollback, moves the progress to just before this engine.
     fn record_zone_progress(&mut self, permit: &DisruptionPermit) {
         let key = order_key(&permit.unit);
         let progress = match self.rolling_back {
             true => key.saturating_sub(1),
             false => key,
         };
-        let reached = self
+        let zone_progress = self
             .zone_progress
             .entry(permit.zone.clone())
             .or_insert(progress);
-        *reached = match self.rolling_back {
-            true => (*reached).min(progress),
-            false => (*reached).max(progress),
+        *zone_progress = match self.rolling_back {
+            true => (*zone_progress).min(progress),
+            false => (*zone_progress).max(progress),
         };
     }
 }
--- a/src/coordination/rollout_analysis/analysis.rs
+++ b/src/coordination/rollout_analysis/analysis.rs
@@ -1,4 +1,4 @@
-//! Readings of all units, slice by slice.
+//! The analysis of a running rollout: samples of all units, compared in short slices of time.
 
 use super::comparison::{GroupOutcomes, StratifiedComparison};
 use super::restarts::RestartComparison;
@@ -7,36 +7,39 @@
 use crate::interface::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The least length of a slice, in milliseconds: what is known of a unit is up to a heartbeat old, more in a large
-/// fleet.
+/// The minimum length of a slice, in milliseconds. Counts of a unit are up to one heartbeat interval old, and the
+/// interval grows with the fleet.
 const MIN_SLICE_MS: Ms = 1_000.0;
-/// Requests of another unit before its share of harmed ones is compared.
+/// The minimum number of requests for a unit's share of harmed requests to count. Applies to units that are not
+/// updated.
 const MIN_REQUESTS_PER_UNIT: u64 = 10;
-/// Slices in a row that have to say that the updated units do worse.
-const MIN_SIGNS_IN_A_ROW: u32 = 3;
+/// The number of consecutive slices that must show worse outcomes of the updated units before the rollout halts.
+const MIN_CONSECUTIVE_WORSE_SLICES: u32 = 3;
 
-/// A unit as it was when the slice began.
+/// The state of a unit at the beginning of the current slice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Baseline {
     incarnation: Incarnation,
     outcomes: OutcomeCounts,
 }
 
-/// What was seen of a rollout so far.
+/// Observations of a rollout. The controller starts with an empty analysis whenever an operator resumes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutAnalysis {
     baselines: BTreeMap<Name, Baseline>,
     slice_started_at: Option<Ms>,
     comparison: StratifiedComparison,
-    /// Units that are not updated, in slices that count.
-    others: BTreeMap<Name, GroupOutcomes>,
-    signs_in_a_row: u32,
+    /// Total outcomes of each unit that is not updated, over the slices in which updated units had requests.
+    other_units: BTreeMap<Name, GroupOutcomes>,
+    consecutive_worse_slices: u32,
     restarts: RestartComparison,
 }
 
 impl RolloutAnalysis {
-    /// Takes a reading at `now`, in milliseconds. Gives the reason in words if the updated units do worse than the
-    /// others. `updated`: units that run the new version; `has_permit`: units that are to restart.
+    /// Takes a sample of all units at `now`, in milliseconds.
+    ///
+    /// Returns the reason to halt the rollout if the updated units perform worse than the other units, else none.
+    /// `updated` names the units that run the new version. `has_permit` tells which units may restart at any time.
     pub fn observe<'a>(
         &mut self,
         now: Ms,
@@ -53,18 +56,18 @@
         }
         self.slice_started_at = Some(now);
         self.end_slice(&units, updated, has_permit);
-        self.outcome_sign()
+        self.halt_reason()
     }
 
-    fn outcome_sign(&mut self) -> Option<String> {
+    fn halt_reason(&mut self) -> Option<String> {
         let other_shares: Vec<f64> = self
-            .others
+            .other_units
             .values()
-            .filter(|group| group.requests >= MIN_REQUESTS_PER_UNIT)
-            .map(|group| group.harmed_share())
+            .filter(|outcomes| outcomes.requests >= MIN_REQUESTS_PER_UNIT)
+            .map(|outcomes| outcomes.harmed_share())
             .collect();
-        self.signs_in_a_row = match self.comparison.is_worse(&other_shares) {
-            true => self.signs_in_a_row + 1,
+        self.consecutive_worse_slices = match self.comparison.is_worse(&other_shares) {
+            true => self.consecutive_worse_slices + 1,
             false => 0,
         };
         let StratifiedComparison {
@@ -73,7 +76,7 @@
             expected_harmed,
             ..
         } = self.comparison;
-        (self.signs_in_a_row >= MIN_SIGNS_IN_A_ROW).then(|| {
+        (self.consecutive_worse_slices >= MIN_CONSECUTIVE_WORSE_SLICES).then(|| {
             format!(
                 "those that turned do worse: {} of {} tasks harmed where {expected_harmed:.0} were to be expected, {} \
                  of {} at the others",
@@ -82,16 +85,16 @@
         })
     }
 
-    /// Counts what came since the slice began.
+    /// Adds the outcomes since the beginning of the slice to the comparison.
     fn end_slice(
         &mut self,
         units: &[&Unit],
         updated: &BTreeSet<Name>,
         has_permit: impl Fn(&Name) -> bool,
     ) {
-        let mut with = GroupOutcomes::default();
-        let mut without = GroupOutcomes::default();
-        let mut each_other: Vec<(&Name, GroupOutcomes)> = Vec::new();
+        let mut updated_group = GroupOutcomes::default();
+        let mut other_group = GroupOutcomes::default();
+        let mut outcomes_per_other_unit: Vec<(&Name, GroupOutcomes)> = Vec::new();
         for unit in units {
             let Some(before) = self.replace_baseline(unit) else {
                 continue;
@@ -99,24 +102,27 @@
             if has_permit(&unit.name) {
                 continue;
             }
-            let group = GroupOutcomes::new(&unit.outcomes.since(&before));
+            let outcomes = GroupOutcomes::new(&unit.outcomes.since(&before));
             if updated.contains(&unit.name) {
-                with.add(group);
+                updated_group.add(outcomes);
             } else {
-                without.add(group);
-                each_other.push((&unit.name, group));
+                other_group.add(outcomes);
+                outcomes_per_other_unit.push((&unit.name, outcomes));
             }
         }
-        self.comparison.add_slice(with, without);
-        if with.requests > 0 {
-            for (name, group) in each_other {
-                self.others.entry(name.clone()).or_default().add(group);
+        self.comparison.add_slice(updated_group, other_group);
+        if updated_group.requests > 0 {
+            for (name, outcomes) in outcomes_per_other_unit {
+                let total = self.other_units.entry(name.clone()).or_default();
+                total.add(outcomes);
             }
         }
     }
 
-    /// The outcomes at the slice's begin: none for a unit that is seen for the first time, as it shows nothing yet; zero
-    /// for another process, as it began within the slice.
+    /// Stores the unit's current counts and returns its counts at the beginning of the slice.
+    ///
+    /// Returns none for a unit that is seen for the first time, because its counts may be older than the slice. Returns
+    /// zero counts after a restart, because the new process started within the slice.
     fn replace_baseline(&mut self, unit: &Unit) -> Option<OutcomeCounts> {
         let baseline = Baseline {
             incarnation: unit.incarnation,
--- a/src/coordination/rollout_analysis/comparison.rs
+++ b/src/coordination/rollout_analysis/comparison.rs
@@ -1,29 +1,30 @@
-//! Outcomes of updated units against those of the others.
+//! A statistical comparison of request outcomes between updated units and the other units of a rollout.
 //!
-//! Compared within short slices of time, so that a burst, which meets both groups, is no sign. Expectation and variance
-//! are summed over the slices as strata, in the manner of N. Mantel and W. Haenszel, "Statistical aspects of the analysis
-//! of data from retrospective studies of disease", Journal of the National Cancer Institute 22 (1959), 719-748.
+//! Outcomes are compared within short slices of time, because a burst of load raises the failures of both groups at the
+//! same time. The expected value and the variance are summed over the slices as strata, following N. Mantel and
+//! W. Haenszel, "Statistical aspects of the analysis of data from retrospective studies of disease", Journal of the
+//! National Cancer Institute 22 (1959), 719-748.
 
 use crate::coordination::disruption_budget::OutcomeCounts;
 
-/// Requests of each group before anything is said of them.
+/// The minimum number of requests in each group. The comparison reports no difference below it.
 const MIN_REQUESTS: u64 = 40;
-/// Harmed requests of the updated units before anything is said of them.
+/// The minimum number of harmed requests at the updated units. The comparison reports no difference below it.
 const MIN_HARMED: u64 = 8;
-/// The share of harmed requests has to be above the expected one by this.
+/// The minimum difference between the actual and the expected share of harmed requests at the updated units.
 const MIN_EXCESS_SHARE: f64 = 0.03;
-/// The harmed requests have to be above the expected ones by this many standard errors.
+/// The minimum difference between actual and expected harmed requests, in standard errors.
 const MIN_STANDARD_ERRORS: f64 = 4.0;
-/// The share of harmed requests has to be above that of this share of the other units, so that a zone that does badly
-/// on both sides is no sign.
+/// The share of other units whose share of harmed requests must be below that of the updated units. A failing zone
+/// affects some units of both groups and must not halt the rollout.
 const MIN_UNITS_BELOW_SHARE: f64 = 0.9;
 
-/// Requests of a group of units.
+/// Outcome totals of a group of units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GroupOutcomes {
-    /// Answered requests.
+    /// The number of answered requests.
     pub requests: u64,
-    /// Those of them that were rejected, failed or late.
+    /// The number of requests that were rejected, failed or answered after their deadline; at most `requests`.
     pub harmed: u64,
 }
 
@@ -35,45 +36,52 @@
         }
     }
 
-    /// The share of harmed requests, 0 to 1; 0 without requests.
+    /// The share of harmed requests, from 0 to 1. A group without requests has a share of 0.
     pub fn harmed_share(self) -> f64 {
         self.harmed as f64 / self.requests.max(1) as f64
     }
 
-    /// Adds the requests of another.
-    pub fn add(&mut self, more: GroupOutcomes) {
-        self.requests += more.requests;
-        self.harmed += more.harmed;
+    /// Adds the totals of another group or slice.
+    pub fn add(&mut self, other: GroupOutcomes) {
+        self.requests += other.requests;
+        self.harmed += other.harmed;
     }
 }
 
-/// Slices summed: the updated units against what the others of the same slices lead to expect.
+/// Totals of both groups, summed over slices, with the outcomes that the other units of the same slices predict for
+/// the updated units.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StratifiedComparison {
-    /// Requests of the updated units, in slices that count.
+    /// Totals of the updated units, over slices in which both groups had requests.
     pub updated: GroupOutcomes,
-    /// Requests of the others, in slices that count.
+    /// Totals of the units that are not updated, over slices in which both groups had requests.
     pub others: GroupOutcomes,
-    /// Harmed requests of the updated units, if they did like the others.
+    /// The number of harmed requests at the updated units if their share equalled that of the other units.
     pub expected_harmed: f64,
     variance: f64,
 }
 
 impl StratifiedComparison {
-    /// Adds a slice. One in which a group had no requests shows nothing and does not count.
+    /// Adds a slice. A slice in which either group had no requests is ignored.
     pub fn add_slice(&mut self, updated: GroupOutcomes, others: GroupOutcomes) {
         if updated.requests == 0 || others.requests == 0 {
             return;
         }
-        let (n, m) = (updated.requests as f64, others.requests as f64);
-        let p = (updated.harmed + others.harmed) as f64 / (n + m);
-        self.expected_harmed += n * others.harmed_share();
-        self.variance += p * (1.0 - p) * n * (1.0 + n / m);
+        let updated_requests = updated.requests as f64;
+        let other_requests = others.requests as f64;
+        let harmed = (updated.harmed + others.harmed) as f64;
+        let pooled_share = harmed / (updated_requests + other_requests);
+        self.expected_harmed += updated_requests * others.harmed_share();
+        self.variance += pooled_share
+            * (1.0 - pooled_share)
+            * updated_requests
+            * (1.0 + updated_requests / other_requests);
         self.updated.add(updated);
         self.others.add(others);
     }
 
-    /// Whether the updated units do worse. `other_shares`: the share of harmed requests of each other unit, 0 to 1.
+    /// Whether the updated units have significantly more harmed requests than expected. `other_shares` holds the share
+    /// of harmed requests of each unit that is not updated, from 0 to 1.
     pub fn is_worse(&self, other_shares: &[f64]) -> bool {
         let StratifiedComparison {
             updated,
@@ -81,19 +89,19 @@
             expected_harmed,
             variance,
         } = *self;
-        let is_thin = updated.requests < MIN_REQUESTS
+        let lacks_evidence = updated.requests < MIN_REQUESTS
             || updated.harmed < MIN_HARMED
             || others.requests < MIN_REQUESTS;
-        if is_thin {
+        if lacks_evidence {
             return false;
         }
         let excess = updated.harmed as f64 - expected_harmed;
-        let below = other_shares
+        let units_below = other_shares
             .iter()
             .filter(|share| **share < updated.harmed_share())
             .count();
         excess >= MIN_EXCESS_SHARE * updated.requests as f64
             && excess >= MIN_STANDARD_ERRORS * variance.sqrt()
-            && below as f64 >= MIN_UNITS_BELOW_SHARE * other_shares.len() as f64
+            && units_below as f64 >= MIN_UNITS_BELOW_SHARE * other_shares.len() as f64
     }
 }
--- a/src/coordination/rollout_analysis/mod.rs
+++ b/src/coordination/rollout_analysis/mod.rs
@@ -1,7 +1,7 @@
-//! Whether the units that a rollout has updated do worse than the others.
+//! Detects whether the units that a rollout has updated perform worse than the units that it has not updated.
 //!
-//! Two signs are looked for: outcomes of requests ([`StratifiedComparison`]) and restarts that nobody asked for. One
-//! sign is enough to halt a rollout.
+//! The analysis compares the outcomes of requests ([`StratifiedComparison`]) and the number of unplanned restarts. A
+//! significant difference in either of the two halts the rollout.
 
 mod analysis;
 mod comparison;
--- a/src/coordination/rollout_analysis/restarts.rs
+++ b/src/coordination/rollout_analysis/restarts.rs
@@ -1,15 +1,15 @@
-//! Restarts that nobody asked for.
+//! A comparison of unplanned restarts between updated units and the other units of a rollout.
 
 use crate::coordination::disruption_budget::Unit;
 use crate::coordination::{Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Restarts of the updated units before anything is said of them.
+/// The minimum number of restarts at the updated units. The comparison reports no difference below it.
 const MIN_RESTARTS: u32 = 2;
-/// Restarts of an updated unit have to be above this many times those of another unit.
+/// The mean number of restarts of an updated unit must exceed this multiple of the mean of the other units.
 const MIN_RATE_RATIO: f64 = 3.0;
 
-/// A group of units and how often they restarted.
+/// The size of a group of units and their total number of restarts.
 #[derive(Clone, Copy, Debug, Default)]
 struct GroupRestarts {
     units: u32,
@@ -17,12 +17,12 @@
 }
 
 impl GroupRestarts {
-    fn rate(self) -> f64 {
+    fn restarts_per_unit(self) -> f64 {
         f64::from(self.restarts) / f64::from(self.units.max(1))
     }
 }
 
-/// Restarts of each unit since the rollout began.
+/// Unplanned restarts of each unit since the analysis began.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct RestartComparison {
     incarnations: BTreeMap<Name, Incarnation>,
@@ -30,15 +30,16 @@
 }
 
 impl RestartComparison {
-    /// Takes a reading. Gives the reason in words if the updated units restart more often than the others.
-    /// `has_permit`: units that are to restart.
+    /// Takes a sample of all units. Returns the reason to halt the rollout if the updated units restart more often than
+    /// the other units, else none. Restarts of units for which `has_permit` is true are planned and not counted.
     pub fn observe(
         &mut self,
         units: &[&Unit],
         updated: &BTreeSet<Name>,
         has_permit: impl Fn(&Name) -> bool,
     ) -> Option<String> {
-        let (mut new, mut old) = (GroupRestarts::default(), GroupRestarts::default());
+        let mut updated_group = GroupRestarts::default();
+        let mut other_group = GroupRestarts::default();
         for unit in units {
             if has_permit(&unit.name) {
                 self.incarnations.remove(&unit.name);
@@ -46,26 +47,27 @@
             }
             let restarts = self.restarts_of(unit);
             let group = match updated.contains(&unit.name) {
-                true => &mut new,
-                false => &mut old,
+                true => &mut updated_group,
+                false => &mut other_group,
             };
             group.units += 1;
             group.restarts += restarts;
         }
-        let is_sign = new.restarts >= MIN_RESTARTS && new.rate() > MIN_RATE_RATIO * old.rate();
-        is_sign.then(|| {
+        let restarts_more_often = updated_group.restarts >= MIN_RESTARTS
+            && updated_group.restarts_per_unit() > MIN_RATE_RATIO * other_group.restarts_per_unit();
+        restarts_more_often.then(|| {
             format!(
                 "those that turned fell {} times, {} of them; the others {}",
-                new.restarts, new.units, old.restarts
+                updated_group.restarts, updated_group.units, other_group.restarts
             )
         })
     }
 
     fn restarts_of(&mut self, unit: &Unit) -> u32 {
-        let before = self
+        let previous = self
             .incarnations
             .insert(unit.name.clone(), unit.incarnation);
-        if before.is_some_and(|before| before != unit.incarnation) {
+        if previous.is_some_and(|previous| previous != unit.incarnation) {
             *self.restarts.entry(unit.name.clone()).or_default() += 1;
         }
         self.restarts.get(&unit.name).copied().unwrap_or(0)
--- a/tests/rollout_analysis.rs
+++ b/tests/rollout_analysis.rs
@@ -1,46 +1,49 @@
-//! Whether updated units do worse than the others: little evidence and troubles that meet both groups are no sign.
+//! Tests of the comparison between updated units and the other units. Little evidence, or a failure that affects both
+//! groups, must not halt a rollout.
 
 use cindercleat::coordination::rollout_analysis::{GroupOutcomes, StratifiedComparison};
 
-/// Requests and harmed ones.
-type Pair = (u64, u64);
+/// The number of requests and the number of harmed requests among them.
+type Counts = (u64, u64);
 
-fn worse(slices: &[(Pair, Pair)], others: &[f64]) -> bool {
+fn is_worse(slices: &[(Counts, Counts)], other_shares: &[f64]) -> bool {
     let group = |(requests, harmed)| GroupOutcomes { requests, harmed };
     let mut comparison = StratifiedComparison::default();
-    slices.iter().for_each(|(updated, without)| {
-        comparison.add_slice(group(*updated), group(*without));
+    slices.iter().for_each(|(updated, others)| {
+        comparison.add_slice(group(*updated), group(*others));
     });
-    comparison.is_worse(others)
+    comparison.is_worse(other_shares)
 }
 
-/// A few requests fail on any version: a rollout must not halt for them.
+/// A few requests fail on any version. A rollout must not halt for so few failures.
 #[test]
-fn little_evidence_is_no_sign() {
-    assert!(!worse(&[((39, 39), (1000, 0))], &[]));
-    assert!(!worse(&[((1000, 7), (100_000, 0))], &[]));
+fn few_harmed_requests_do_not_count_as_worse() {
+    assert!(!is_worse(&[((39, 39), (1000, 0))], &[]));
+    assert!(!is_worse(&[((1000, 7), (100_000, 0))], &[]));
     assert!(
-        !worse(&[((1000, 25), (100_000, 0))], &[]),
-        "under the margin"
+        !is_worse(&[((1000, 25), (100_000, 0))], &[]),
+        "0.025 of the requests are harmed, below the minimum excess of 0.03"
     );
-    assert!(worse(&[((1000, 40), (100_000, 0))], &[]));
-    assert!(worse(&[((40, 20), (1000, 50))], &[]));
-    assert!(!worse(&[((40, 4), (1000, 50))], &[]));
+    assert!(is_worse(&[((1000, 40), (100_000, 0))], &[]));
+    assert!(is_worse(&[((40, 20), (1000, 50))], &[]));
+    assert!(!is_worse(&[((40, 4), (1000, 50))], &[]));
 }
 
-/// A burst rejects requests everywhere just after the first units were updated. Summed over the whole rollout the updated
-/// units look worse, as the others had long quiet times before.
+/// A burst of load causes rejections at all units just after the first units were updated. Totals over the whole
+/// rollout would show worse outcomes at the updated units, because only the other units had served during the quiet
+/// time before.
 #[test]
-fn a_burst_that_meets_both_is_no_sign_whenever_those_that_turned_came() {
+fn burst_at_both_groups_does_not_count_as_worse() {
     let quiet = ((0, 0), (10_000, 10));
-    assert!(!worse(&[quiet, quiet, ((100, 40), (1000, 400))], &[]));
-    assert!(worse(&[quiet, quiet, ((100, 40), (1000, 100))], &[]));
+    assert!(!is_worse(&[quiet, quiet, ((100, 40), (1000, 400))], &[]));
+    assert!(is_worse(&[quiet, quiet, ((100, 40), (1000, 100))], &[]));
 }
 
-/// A zone in trouble harms requests of updated units and of others alike: three of ten others do as badly.
+/// A failing zone harms requests at updated units and at other units: three of ten other units have the same share of
+/// harmed requests as the updated units.
 #[test]
-fn a_zone_that_does_badly_on_both_sides_is_no_sign() {
-    let others = [0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.5, 0.5, 0.5];
-    assert!(!worse(&[((100, 50), (1000, 150))], &others));
-    assert!(worse(&[((100, 50), (1000, 10))], &others[..7]));
+fn failing_zone_with_both_groups_does_not_count_as_worse() {
+    let other_shares = [0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.5, 0.5, 0.5];
+    assert!(!is_worse(&[((100, 50), (1000, 150))], &other_shares));
+    assert!(is_worse(&[((100, 50), (1000, 10))], &other_shares[..7]));
 }
