--- a/src/coordination/rollout_controller/candidates.rs
+++ b/src/coordination/rollout_controller/candidates.rs
@@ -1,4 +1,4 @@
-//! The units that a rollout has still to take, and those that it has taken.
+//! The units that a rollout has not updated yet, and the units that it has updated.
 
 use super::inputs::ControllerInputs;
 use crate::coordination::disruption_budget::{ServiceStatus, Unit, UnitKind};
@@ -6,25 +6,25 @@
 use crate::coordination::Name;
 use std::collections::BTreeSet;
 
-/// Units that may be granted permits next.
+/// Units that may get permits next, before the limits of the budget are checked.
 #[derive(Debug, Default)]
 pub(super) struct Candidates<'a> {
-    /// In the order of the rollout.
+    /// The candidates, in the order of the rollout.
     pub units: Vec<&'a Unit>,
-    /// The first unit that is waited for, in words.
+    /// A message that names the first unit that the rollout waits for. None if all remaining units are candidates.
     pub waiting_for: Option<String>,
 }
 
 impl<'a> Candidates<'a> {
-    /// The rollout's candidates. `forgotten`: permits that do not count, by an injected fault.
-    pub fn of(
+    /// Collects the candidates of a rollout. `forgotten` names permits that an injected fault hides from the rollout.
+    pub fn collect(
         inputs: &ControllerInputs<'a>,
         rollout: &Rollout,
         forgotten: &BTreeSet<PermitId>,
     ) -> Candidates<'a> {
         let mut candidates = Candidates::default();
         let mut blocked_zones: BTreeSet<&str> = BTreeSet::new();
-        let is_engines = rollout.plan.unit_kind == UnitKind::Engines;
+        let updates_engines = rollout.plan.unit_kind == UnitKind::Engines;
         for unit in ordered_pending(inputs, rollout) {
             let permit = inputs
                 .disruptions
@@ -33,19 +33,19 @@
             if has_permit || rollout.abandoned.contains_key(&unit.name) {
                 continue;
             }
-            if can_go(unit, rollout) {
-                if !(is_engines && blocked_zones.contains(unit.zone.as_str())) {
+            if may_get_permit(unit, rollout) {
+                if !(updates_engines && blocked_zones.contains(unit.zone.as_str())) {
                     candidates.units.push(unit);
                 }
                 continue;
             }
-            // An engine that is not listed any more comes back as another.
-            if is_engines && unit.status == ServiceStatus::OutOfService {
+            // An engine that is no longer listed returns under a new name.
+            if updates_engines && unit.status == ServiceStatus::OutOfService {
                 continue;
             }
-            if is_engines {
-                // Guards against an engine that is passed over for good, as a zone's progress is one key: no engine
-                // behind this one in the zone's order goes before it.
+            if updates_engines {
+                // A zone's progress is a single key. If a later engine of the zone got its permit first, the progress
+                // would pass this engine and the rollout would never update it.
                 blocked_zones.insert(&unit.zone);
             }
             candidates
@@ -56,37 +56,37 @@
     }
 }
 
-/// The pending units in the order of the rollout; this dispatcher is the last.
+/// The pending units in the order of the rollout. The leader's own dispatcher is last.
 fn ordered_pending<'a>(inputs: &ControllerInputs<'a>, rollout: &Rollout) -> Vec<&'a Unit> {
     let plan = &rollout.plan;
     let mut units: Vec<&Unit> = inputs
         .view
         .units(plan.unit_kind)
         .iter()
-        .filter(|u| plan.selects(u) && is_pending(rollout, u))
+        .filter(|unit| plan.selects(unit) && is_pending(rollout, unit))
         .collect();
     units.sort_by_key(|unit| {
         let key = order_key(&unit.name);
         let is_me = unit.name == *inputs.me && plan.unit_kind == UnitKind::Dispatchers;
-        let place = match rollout.rolling_back {
+        let position = match rollout.rolling_back {
             true => u64::MAX - key,
             false => key,
         };
-        (is_me, place)
+        (is_me, position)
     });
     units
 }
 
-/// A unit in service can go. Rolling back, a dispatcher that is starting can too, as it is unavailable already; an
-/// engine that is cold will be ready by itself.
-fn can_go(unit: &Unit, rollout: &Rollout) -> bool {
+/// Whether a unit's status allows a permit. A unit in service may get a permit. During a rollback a starting dispatcher
+/// may get a permit too, because the dispatcher is already unavailable. A cold engine becomes ready without a permit.
+fn may_get_permit(unit: &Unit, rollout: &Rollout) -> bool {
     let is_dispatcher = rollout.plan.unit_kind == UnitKind::Dispatchers;
     let is_starting = unit.status == ServiceStatus::Starting;
     unit.status == ServiceStatus::InService
         || (rollout.rolling_back && is_dispatcher && is_starting)
 }
 
-/// Whether the rollout has still to take a unit, by what is seen of it.
+/// Whether the rollout has not updated a unit yet, judged by the unit's label or by its zone's progress.
 fn is_pending(rollout: &Rollout, unit: &Unit) -> bool {
     let plan = &rollout.plan;
     if plan.unit_kind == UnitKind::Dispatchers {
@@ -96,28 +96,28 @@
         };
     }
     let progress = rollout.zone_progress.get(&unit.zone).copied();
-    let passed = progress.is_some_and(|reached| order_key(&unit.name) <= reached);
+    let is_passed = progress.is_some_and(|progress| order_key(&unit.name) <= progress);
     if rollout.rolling_back {
-        return passed;
+        return is_passed;
     }
-    !passed || rollout.regrant.contains(&unit.name)
+    !is_passed || rollout.regrant.contains(&unit.name)
 }
 
-/// The units that run the rollout's new version, by what is seen of them.
+/// The names of the selected units that run the rollout's new version, judged by label or by zone progress.
 pub(super) fn updated_units(
     rollout: &Rollout,
     units: &[Unit],
     has_permit: impl Fn(&Name) -> bool,
 ) -> BTreeSet<Name> {
     let plan = &rollout.plan;
-    let is_updated = |u: &&Unit| match plan.unit_kind {
-        UnitKind::Dispatchers => u.label == plan.label,
-        UnitKind::Engines => !is_pending(rollout, u) && !has_permit(&u.name),
+    let is_updated = |unit: &&Unit| match plan.unit_kind {
+        UnitKind::Dispatchers => unit.label == plan.label,
+        UnitKind::Engines => !is_pending(rollout, unit) && !has_permit(&unit.name),
     };
     units
         .iter()
-        .filter(|u| plan.selects(u))
+        .filter(|unit| plan.selects(unit))
         .filter(is_updated)
-        .map(|u| u.name.clone())
+        .map(|unit| unit.name.clone())
         .collect()
 }
--- a/src/coordination/rollout_controller/controller.rs
+++ b/src/coordination/rollout_controller/controller.rs
@@ -1,4 +1,4 @@
-//! The controller's next step.
+//! The rollout controller, which chooses the next step of permits and rollouts.
 
 use super::candidates::{updated_units, Candidates};
 use super::granting::Grants;
@@ -15,33 +15,33 @@
 use crate::interface::Ms;
 use std::collections::BTreeSet;
 
-/// Permits granted in one step.
+/// The maximum number of permits granted in one step.
 const MAX_PERMITS_PER_STEP: usize = 64;
 
-/// The membership leader's own state: timers, and what it learned of permits.
+/// The state of the membership leader that is not replicated: timers, and observations of permits and outcomes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutController {
     permits: PermitTracker,
     resume_count: Option<u64>,
-    /// The wave looked at last, and whether it rolled back.
+    /// The wave at the previous step, and whether that wave was part of a rollback.
     observed_wave: Option<(u32, bool)>,
-    /// When the last permit of the wave was over.
+    /// When the last permit of the wave ended. None while the wave has unfinished permits.
     wave_finished_at: Option<Ms>,
     analysis: RolloutAnalysis,
-    /// Since when more units are unavailable than may be.
+    /// Since when more units have been unavailable than the budget allows. None while within the budget.
     budget_exceeded_since: Option<Ms>,
-    /// Permits that are agreed on and whose units are to be notified.
+    /// Agreed permits whose units must be notified. Replaced by each call of [`Self::next_step`].
     pub to_notify: Vec<PermitId>,
-    /// Permits whose units are to be asked not to begin.
+    /// Permits whose units must be asked not to begin draining. Replaced by each call of [`Self::next_step`].
     pub to_revoke: Vec<PermitId>,
-    /// Why no permit is granted now, in words.
+    /// The reason why no permit is granted now. None if nothing prevents permits.
     pub blocked_reason: Option<String>,
-    /// Permits granted before this leader's time, for an injected fault.
+    /// Permits of earlier leaders that an injected fault makes this leader ignore. Empty otherwise.
     forgotten_permits: BTreeSet<PermitId>,
 }
 
 impl RolloutController {
-    /// The controller of a leader that begins with this state.
+    /// Creates the controller of a new leader, which starts from the replicated state `disruptions`.
     pub fn new(disruptions: &DisruptionState) -> Self {
         let forgotten_permits = match is_injected(InjectedFault::BeginsAnew) {
             true => disruptions.permits.keys().copied().collect(),
@@ -53,17 +53,18 @@
         }
     }
 
-    /// A unit said whether it has begun to go on a permit; if not, it will not.
+    /// Records a unit's reply whether it has begun to drain. A unit that replies `false` will not begin.
     pub fn record_revocation_reply(&mut self, permit: PermitId, begun: bool) {
         self.permits.record_revocation_reply(permit, begun);
     }
 
-    /// Whether a permit is being revoked, so that its unit must not be notified any more.
+    /// Whether the unit has confirmed that it will not drain. Its permit must not be sent again.
     pub fn is_revoked(&self, permit: PermitId) -> bool {
         self.permits.is_revoked(permit)
     }
 
-    /// The next step to agree on, if there is one.
+    /// Returns the next step to propose, or none if no change is due. Updates `to_notify`, `to_revoke` and
+    /// `blocked_reason`.
     pub fn next_step(&mut self, inputs: &ControllerInputs<'_>) -> Option<RolloutStep> {
         let disruptions = inputs.disruptions;
         self.blocked_reason = None;
@@ -72,7 +73,7 @@
         if let Some(step) = self.permit_step(inputs) {
             return Some(step);
         }
-        if let Some(step) = grown_zones(disruptions, inputs.view) {
+        if let Some(step) = zone_growth_step(disruptions, inputs.view) {
             return Some(step);
         }
         if disruptions.halted.is_some() {
@@ -89,8 +90,8 @@
 
     fn reset_on_resume(&mut self, inputs: &ControllerInputs<'_>) {
         let count = inputs.disruptions.resume_count;
-        let before = self.resume_count.replace(count);
-        if before.is_some_and(|before| before != count) {
+        let previous = self.resume_count.replace(count);
+        if previous.is_some_and(|previous| previous != count) {
             self.permits.resume(inputs.now);
             self.budget_exceeded_since = None;
             self.analysis = RolloutAnalysis::default();
@@ -99,7 +100,8 @@
 
     fn permit_step(&mut self, inputs: &ControllerInputs<'_>) -> Option<RolloutStep> {
         let rollout = inputs.disruptions.unfinished();
-        let counts = rollout.map(|r| self.count(inputs, r.plan.unit_kind, &r.budget));
+        let counts =
+            rollout.map(|rollout| self.count(inputs, rollout.plan.unit_kind, &rollout.budget));
         let decisions = self.permits.decide(inputs, counts);
         self.to_notify = decisions.notify;
         self.to_revoke = decisions.ask_revocation;
@@ -114,28 +116,28 @@
         let mut counts = self.count(inputs, rollout.plan.unit_kind, &rollout.budget);
         self.observe_wave(rollout);
         let halt_reason = self
-            .sign_of_harm(inputs, rollout)
-            .or_else(|| self.lasting_violation(inputs, rollout, &counts));
+            .harm_halt_reason(inputs, rollout)
+            .or_else(|| self.budget_halt_reason(inputs, rollout, &counts));
         if let Some(reason) = halt_reason {
             return Some(RolloutStep::Halt(reason));
         }
-        let candidates = Candidates::of(inputs, rollout, &self.forgotten_permits);
+        let candidates = Candidates::collect(inputs, rollout, &self.forgotten_permits);
         let planned = planned_permits(inputs.disruptions);
         let is_idle = candidates.units.is_empty() && planned == 0;
         if is_idle && candidates.waiting_for.is_none() {
             return self.finish_step(inputs, rollout, &counts);
         }
-        let room = match rollout.rolling_back {
+        let left_in_wave = match rollout.rolling_back {
             true => MAX_PERMITS as u32,
             false => {
                 let size = rollout.plan.wave_size(rollout.wave);
                 size.saturating_sub(rollout.granted_in_wave)
             }
         };
-        if room == 0 && !candidates.units.is_empty() {
+        if left_in_wave == 0 && !candidates.units.is_empty() {
             return self.wave_step(inputs.now, rollout, planned);
         }
-        let max_permits = (room as usize)
+        let max_permits = (left_in_wave as usize)
             .min(MAX_PERMITS_PER_STEP)
             .min(MAX_PERMITS.saturating_sub(inputs.disruptions.permits.len()));
         let units = &candidates.units;
@@ -143,12 +145,12 @@
         if !grants.permits.is_empty() {
             return Some(RolloutStep::Grant(grants.permits));
         }
-        let unfinished = || (planned > 0).then(|| format!("{planned} turns are not over"));
+        let unfinished_permits = || (planned > 0).then(|| format!("{planned} turns are not over"));
         self.blocked_reason = grants
             .forbidden_by
             .map(|violation| violation.to_string())
             .or(candidates.waiting_for)
-            .or_else(unfinished);
+            .or_else(unfinished_permits);
         None
     }
 
@@ -160,9 +162,14 @@
         }
     }
 
-    /// Guards against a version that does harm, which shows as worse outcomes or more restarts of the units that run it:
-    /// the rollout halts. A roll-back goes on, as it takes the version out of service.
-    fn sign_of_harm(&mut self, inputs: &ControllerInputs<'_>, rollout: &Rollout) -> Option<String> {
+    /// The reason to halt a rollout whose new version shows worse outcomes or more restarts than the old version.
+    ///
+    /// None during a rollback, which must continue because it takes the new version out of service.
+    fn harm_halt_reason(
+        &mut self,
+        inputs: &ControllerInputs<'_>,
+        rollout: &Rollout,
+    ) -> Option<String> {
         if rollout.rolling_back {
             return None;
         }
@@ -173,15 +180,16 @@
             permit.is_some()
         };
         let updated = updated_units(rollout, units, has_permit);
-        let selected = units.iter().filter(|u| plan.selects(u));
+        let selected = units.iter().filter(|unit| plan.selects(unit));
         self.analysis
             .observe(inputs.now, selected, &updated, has_permit)
     }
 
-    /// Guards against a rollout that goes on while failures use up the budget: it halts once more units have been
-    /// unavailable than may be for as long as units are observed between waves. Only a complete view counts, as a new
-    /// leader has not seen all units yet.
-    fn lasting_violation(
+    /// The reason to halt a rollout because failures use up the budget: more units than allowed have been unavailable
+    /// for longer than the plan's observation time between waves.
+    ///
+    /// None during a rollback, and while the view is incomplete, because a new leader has not seen all units yet.
+    fn budget_halt_reason(
         &mut self,
         inputs: &ControllerInputs<'_>,
         rollout: &Rollout,
@@ -193,12 +201,15 @@
             return None;
         };
         let since = *self.budget_exceeded_since.get_or_insert(inputs.now);
-        let lasts = inputs.now - since > rollout.plan.observe_ms as f64;
-        (lasts && !rollout.rolling_back).then(|| format!("more are out than may be: {violation}"))
+        let is_persistent = inputs.now - since > rollout.plan.observe_ms as f64;
+        (is_persistent && !rollout.rolling_back)
+            .then(|| format!("more are out than may be: {violation}"))
     }
 
-    /// No unit that is seen is left. A dispatcher that is not seen may be one of them; an engine that is gone comes back
-    /// as another.
+    /// Finishes the rollout when all seen units are updated and nothing else is outstanding.
+    ///
+    /// Missing dispatchers delay the end, because a missing dispatcher may not be updated. Missing engines do not,
+    /// because a missing engine returns under a new name.
     fn finish_step(
         &mut self,
         inputs: &ControllerInputs<'_>,
@@ -207,10 +218,10 @@
     ) -> Option<RolloutStep> {
         let unit_kind = rollout.plan.unit_kind;
         let mut permits = inputs.disruptions.permits.values();
-        let any_beside = permits.any(|permit| permit.unit_kind == unit_kind);
+        let has_unplanned_permits = permits.any(|permit| permit.unit_kind == unit_kind);
         self.blocked_reason = if !inputs.view.complete {
             Some("the roll is not whole yet".to_owned())
-        } else if any_beside {
+        } else if has_unplanned_permits {
             Some("turns beside the release are not over".to_owned())
         } else if unit_kind == UnitKind::Engines {
             None
@@ -221,7 +232,7 @@
         is_finished.then_some(RolloutStep::Finish)
     }
 
-    /// The wave has granted all of its permits.
+    /// Begins the next wave after all permits of the current wave are over and the observation time has passed.
     fn wave_step(&mut self, now: Ms, rollout: &Rollout, planned: usize) -> Option<RolloutStep> {
         let wave = rollout.wave + 1;
         if planned > 0 {
@@ -236,7 +247,7 @@
         None
     }
 
-    /// Grants permits that dispatchers asked for.
+    /// Grants permits that dispatchers requested outside of a rollout.
     fn request_step(&mut self, inputs: &ControllerInputs<'_>) -> Option<RolloutStep> {
         let is_full = inputs.disruptions.permits.len() >= MAX_PERMITS;
         if inputs.requests.is_empty() || !inputs.view.complete || is_full {
@@ -245,8 +256,8 @@
         let rollout = inputs
             .disruptions
             .unfinished()
-            .filter(|r| r.plan.unit_kind == UnitKind::Dispatchers);
-        let budget = rollout.map_or(inputs.request_budget, |r| &r.budget);
+            .filter(|rollout| rollout.plan.unit_kind == UnitKind::Dispatchers);
+        let budget = rollout.map_or(inputs.request_budget, |rollout| &rollout.budget);
         let mut counts = self.count(inputs, UnitKind::Dispatchers, budget);
         let grants = Grants::to_requests(&mut counts, inputs, budget);
         if self.blocked_reason.is_none() {
@@ -255,7 +266,7 @@
         (!grants.permits.is_empty()).then_some(RolloutStep::Grant(grants.permits))
     }
 
-    /// Unavailable units and their limits, for display: the fleet's first, then each zone's.
+    /// The number of unavailable units and its limit, for status displays. The fleet is first, followed by each zone.
     pub fn unavailable_counts(
         &self,
         disruptions: &DisruptionState,
@@ -291,15 +302,15 @@
     permits.filter(|permit| permit.planned).count()
 }
 
-/// Zones that have more units than was agreed.
-fn grown_zones(disruptions: &DisruptionState, view: &FleetView) -> Option<RolloutStep> {
+/// A step that records the zones with more units than agreed. None if no zone has grown.
+fn zone_growth_step(disruptions: &DisruptionState, view: &FleetView) -> Option<RolloutStep> {
     [UnitKind::Dispatchers, UnitKind::Engines]
         .into_iter()
         .find_map(|unit_kind| {
-            let known = disruptions.zone_sizes(unit_kind);
+            let agreed = disruptions.zone_sizes(unit_kind);
             let grown: ZoneSizes = observed_zone_sizes(view.units(unit_kind).iter())
                 .into_iter()
-                .filter(|(zone, size)| *size > known.get(zone).copied().unwrap_or(0))
+                .filter(|(zone, size)| *size > agreed.get(zone).copied().unwrap_or(0))
                 .collect();
             (!grown.is_empty()).then_some(RolloutStep::RecordSizes(unit_kind, grown))
         })
--- a/src/coordination/rollout_controller/dry_run.rs
+++ b/src/coordination/rollout_controller/dry_run.rs
@@ -1,4 +1,4 @@
-//! What a plan would do.
+//! A dry run of a plan: the waves that a rollout would consist of.
 
 use crate::coordination::disruption_budget::{
     DisruptionBudget, ServiceStatus, Unit, UnitCounts, UnitKind, ZoneSizes,
@@ -6,17 +6,19 @@
 use crate::coordination::rollout::{order_key, RolloutPlan};
 use crate::coordination::Name;
 
-/// Waves that are shown.
+/// The maximum number of waves that a dry run computes.
 const MAX_SHOWN_WAVES: usize = 10_000;
 
-/// The units of each wave of a plan, if all go and return as planned.
+/// Computes the units of each wave of a plan, assuming that every unit drains and returns as planned.
+///
+/// The list ends early if the budget admits no further unit, or after 10 000 waves.
 pub fn planned_waves(
     plan: &RolloutPlan,
     budget: &DisruptionBudget,
     units: &[Unit],
     sizes: &ZoneSizes,
 ) -> Vec<Vec<Name>> {
-    let mut remaining = units_to_go(plan, units);
+    let mut remaining = units_to_update(plan, units);
     let mut waves = Vec::new();
     while !remaining.is_empty() && waves.len() < MAX_SHOWN_WAVES {
         let size = plan.wave_size(waves.len() as u32) as usize;
@@ -29,19 +31,20 @@
     waves
 }
 
-fn units_to_go<'a>(plan: &RolloutPlan, units: &'a [Unit]) -> Vec<&'a Unit> {
+fn units_to_update<'a>(plan: &RolloutPlan, units: &'a [Unit]) -> Vec<&'a Unit> {
     let mut remaining: Vec<&Unit> = units
         .iter()
-        .filter(|u| plan.selects(u) && u.status == ServiceStatus::InService)
+        .filter(|unit| plan.selects(unit) && unit.status == ServiceStatus::InService)
         .collect();
     if plan.unit_kind == UnitKind::Dispatchers {
-        remaining.retain(|u| u.label != plan.label);
+        remaining.retain(|unit| unit.label != plan.label);
     }
-    remaining.sort_by_key(|u| order_key(&u.name));
+    remaining.sort_by_key(|unit| order_key(&unit.name));
     remaining
 }
 
-/// Takes a wave out of the remaining units, in as many parts as the budget makes of it.
+/// Removes the units of one wave from the remaining units. Units that exceed the budget together become part of the
+/// same wave one group after another.
 fn next_wave(
     remaining: &mut Vec<&Unit>,
     size: usize,
@@ -52,16 +55,16 @@
     let mut wave: Vec<Name> = Vec::new();
     while wave.len() < size && !remaining.is_empty() {
         let mut counts = UnitCounts::new(units.iter(), sizes, budget, |_| false);
-        let before = wave.len();
+        let previous_size = wave.len();
         remaining.retain(|unit| {
-            let goes = wave.len() < size && counts.check_disruption(unit, budget).is_ok();
-            if goes {
+            let is_granted = wave.len() < size && counts.check_disruption(unit, budget).is_ok();
+            if is_granted {
                 counts.mark_unavailable(unit);
                 wave.push(unit.name.clone());
             }
-            !goes
+            !is_granted
         });
-        if wave.len() == before {
+        if wave.len() == previous_size {
             break;
         }
     }
--- a/src/coordination/rollout_controller/granting.rs
+++ b/src/coordination/rollout_controller/granting.rs
@@ -1,4 +1,4 @@
-//! Which units are granted permits now.
+//! The selection of units that get permits in the next step.
 
 use super::inputs::ControllerInputs;
 use super::unit_counts::check_voters;
@@ -8,17 +8,17 @@
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::rollout::{DisruptionPermit, Rollout};
 
-/// Permits to grant, and what forbids the first unit that gets none.
+/// Permits to grant in one step, and the limit that the first rejected unit would exceed.
 #[derive(Debug, Default)]
 pub(super) struct Grants {
-    /// To be agreed on in one step.
+    /// The permits to propose.
     pub permits: Vec<DisruptionPermit>,
-    /// The limit that forbids the first unit without a permit.
+    /// The limit that the first rejected unit would exceed. None if no unit was rejected.
     pub forbidden_by: Option<Violation>,
 }
 
 impl Grants {
-    /// Grants permits of a rollout to candidates, in their order, as long as the budget allows.
+    /// Grants permits of a rollout to candidates in the given order, skipping units that the budget does not allow.
     pub fn to_candidates(
         candidates: &[&Unit],
         max_permits: usize,
@@ -31,14 +31,14 @@
             true => &plan.previous_label,
             false => &plan.label,
         };
-        let unchecked = rollout.rolling_back && is_injected(InjectedFault::BackUnbound);
+        let skips_check = rollout.rolling_back && is_injected(InjectedFault::BackUnbound);
         let mut grants = Grants::default();
         for unit in candidates {
             if grants.permits.len() >= max_permits {
                 break;
             }
-            // A unit that is unavailable already uses up no more of the budget.
-            let is_checked = unit.status == ServiceStatus::InService && !unchecked;
+            // A unit that is already unavailable does not change the use of the budget.
+            let is_checked = unit.status == ServiceStatus::InService && !skips_check;
             if is_checked && !grants.is_allowed(unit, counts, inputs, &rollout.budget) {
                 continue;
             }
@@ -52,7 +52,7 @@
         grants
     }
 
-    /// Grants permits to dispatchers that asked for them, in the order of their names.
+    /// Grants permits to dispatchers that requested them, in the order of the requests, which is by name.
     pub fn to_requests(
         counts: &mut UnitCounts,
         inputs: &ControllerInputs<'_>,
@@ -60,11 +60,10 @@
     ) -> Grants {
         let mut grants = Grants::default();
         for request in inputs.requests {
-            let unit = inputs
-                .view
-                .dispatchers
-                .iter()
-                .find(|u| u.name == request.name && u.status == ServiceStatus::InService);
+            let unit =
+                inputs.view.dispatchers.iter().find(|unit| {
+                    unit.name == request.name && unit.status == ServiceStatus::InService
+                });
             let has_permit = inputs
                 .disruptions
                 .permit_for(UnitKind::Dispatchers, &request.name)
@@ -82,7 +81,7 @@
         grants
     }
 
-    /// Whether a unit may go; else what forbids it is noted, unless something is noted already.
+    /// Whether the limits allow the unit to drain. Records the first violation in `forbidden_by`.
     fn is_allowed(
         &mut self,
         unit: &Unit,
@@ -103,7 +102,7 @@
     }
 }
 
-/// A permit beside a rollout, for a unit that comes back.
+/// A permit for a unit that restarts, not counted as part of a rollout.
 fn permit_for(unit: &Unit, unit_kind: UnitKind, label: &str) -> DisruptionPermit {
     DisruptionPermit {
         unit_kind,
--- a/src/coordination/rollout_controller/inputs.rs
+++ b/src/coordination/rollout_controller/inputs.rs
@@ -1,4 +1,4 @@
-//! What the controller looks at.
+//! The inputs of the rollout controller.
 
 use crate::coordination::disruption_budget::{DisruptionBudget, Unit, UnitKind};
 use crate::coordination::rollout::DisruptionState;
@@ -9,16 +9,16 @@
 /// The fleet as the membership leader sees it.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// Dispatchers that are members.
+    /// The dispatchers that are members, including suspected and failed members.
     pub dispatchers: Vec<Unit>,
-    /// Engines that are listed.
+    /// The engines in the membership leader's own list from discovery.
     pub engines: Vec<Unit>,
-    /// The leader has led for long enough to have a heartbeat of every dispatcher that is there.
+    /// Whether the leader has led for long enough to have received a heartbeat from every live dispatcher.
     pub complete: bool,
 }
 
 impl FleetView {
-    /// The units of a kind.
+    /// The dispatchers, or the engines, of the view.
     pub fn units(&self, unit_kind: UnitKind) -> &[Unit] {
         if unit_kind == UnitKind::Engines {
             &self.engines
@@ -28,30 +28,30 @@
     }
 }
 
-/// A dispatcher that asked for a permit, beside a rollout.
+/// A dispatcher's request for a permit of its own, outside of a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PermitRequest {
-    /// The dispatcher.
+    /// The name of the dispatcher that requests the permit.
     pub name: Name,
-    /// The label that it is to come back under; empty: any.
+    /// The label that the dispatcher will have after its restart. An empty label accepts any.
     pub label: String,
 }
 
-/// All that a step depends on besides the controller's own timers.
+/// Everything besides the controller's own timers that the next step depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerInputs<'a> {
-    /// The time, in milliseconds.
+    /// The current time of the leader's clock, in milliseconds.
     pub now: Ms,
-    /// What the fleet agreed on.
+    /// The agreed permits, rollout and zone sizes.
     pub disruptions: &'a DisruptionState,
-    /// The fleet as seen now.
+    /// The units that the leader sees now.
     pub view: &'a FleetView,
-    /// This dispatcher: it goes last.
+    /// The name of the leader's own dispatcher, which the rollout updates last.
     pub me: &'a Name,
-    /// The dispatchers that vote.
+    /// The names of the current voters.
     pub voters: &'a BTreeSet<Name>,
-    /// Dispatchers that asked for permits.
+    /// Unexpired requests of dispatchers for permits of their own.
     pub requests: &'a [PermitRequest],
-    /// The limits for requests while no rollout of dispatchers sets its own.
+    /// The budget that applies to `requests` while no rollout of dispatchers is unfinished.
     pub request_budget: &'a DisruptionBudget,
 }
--- a/src/coordination/rollout_controller/mod.rs
+++ b/src/coordination/rollout_controller/mod.rs
@@ -1,8 +1,9 @@
-//! What the membership leader does about permits and the rollout, one step at a time.
+//! The membership leader's control loop for permits and rollouts.
 //!
-//! [`RolloutController::next_step`] looks at what the fleet agreed on and at the units that are seen, and names the next
-//! step. The controller's own state is timers, which the next leader starts anew; what must not be lost is in the
-//! replicated [`DisruptionState`](super::rollout::DisruptionState).
+//! [`RolloutController::next_step`] compares the replicated state with the units that the leader sees, and returns the
+//! next step to propose. The controller itself holds timers and observations only. A new leader starts with an empty
+//! controller. State that must survive a change of leader is in the replicated
+//! [`DisruptionState`](super::rollout::DisruptionState).
 
 mod candidates;
 mod controller;
--- a/src/coordination/rollout_controller/notice.rs
+++ b/src/coordination/rollout_controller/notice.rs
@@ -1,29 +1,31 @@
-//! The notice of a permit to its unit.
+//! The notice by which a unit learns of its permit, and the notice's encoding.
 
 use crate::coordination::disruption_budget::UnitKind;
 use crate::coordination::rollout::{DisruptionPermit, PermitId};
 use crate::coordination::{Address, Incarnation, Name};
 
-/// The notice of a permit, as the body of a fenced command: to the dispatcher that may go, or for an engine to the
-/// discovery registry, which lists it as draining.
+/// The notice of a permit, sent as the body of a fenced command.
+///
+/// The notice for a dispatcher goes to that dispatcher. The notice for an engine goes to the discovery registry, which
+/// then lists the engine as draining.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitNotice {
-    /// The permit.
+    /// The number of the permit that the unit receives.
     pub permit: PermitId,
-    /// The kind of unit.
+    /// Whether the unit is a dispatcher or an engine.
     pub unit_kind: UnitKind,
-    /// The unit that may go.
+    /// The name of the unit that may drain.
     pub unit: Name,
-    /// The process of it that may go.
+    /// The process that may drain. A later process of the unit must not drain on this notice.
     pub incarnation: Incarnation,
-    /// The label that it is to come back under; empty: any.
+    /// The label that the unit must have after its restart. An empty label accepts any.
     pub label: String,
-    /// The unit is not to come back.
+    /// Whether the unit is removed for good instead of restarted.
     pub permanent: bool,
 }
 
 impl PermitNotice {
-    /// The notice of a permit.
+    /// Builds the notice with the fields that the unit needs of its permit.
     pub fn new(id: PermitId, permit: &DisruptionPermit) -> Self {
         PermitNotice {
             permit: id,
@@ -35,7 +37,8 @@
         }
     }
 
-    /// The bytes of a command's body: one field a line; the label is the last, as it may be empty.
+    /// Encodes the notice as the body of a command, one field per line. The label is the last field, because an empty
+    /// label makes an empty line.
     pub fn write(&self) -> Vec<u8> {
         let kind = match self.unit_kind {
             UnitKind::Engines => "host",
@@ -49,7 +52,7 @@
         .into_bytes()
     }
 
-    /// Reads a command's body; none if it is no notice.
+    /// Decodes the body of a command. Returns none if the body is not a well-formed notice.
     pub fn read(bytes: &[u8]) -> Option<PermitNotice> {
         let text = std::str::from_utf8(bytes).ok()?;
         let lines: Vec<&str> = text.split('\n').collect();
@@ -78,7 +81,8 @@
     }
 }
 
-/// Where a permit's notice goes: to the dispatcher, or for an engine to the discovery registry, if there is one.
+/// The address that a permit's notice is sent to: the dispatcher, or for an engine the discovery registry. None for an
+/// engine if `registry` is none.
 pub fn notice_address<'a>(
     permit: &'a DisruptionPermit,
     registry: Option<&'a Address>,
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -1,8 +1,8 @@
-//! What becomes of the permits that are granted.
+//! Tracks granted permits and decides when to notify units and to complete, revoke or abandon permits.
 
 use super::inputs::ControllerInputs;
 use super::stage::{permit_stage, PermitStage};
-use super::unit_counts::still_fits;
+use super::unit_counts::is_still_allowed;
 use crate::coordination::disruption_budget::{Unit, UnitCounts};
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::rollout::{
@@ -12,121 +12,127 @@
 use crate::interface::Ms;
 use std::collections::BTreeMap;
 
-/// Timeouts of a permit, in milliseconds.
+/// Timeouts of a permit, in milliseconds from when the leader first sees the permit.
 #[derive(Clone, Copy, Debug)]
 struct PermitTimeouts {
-    /// Within this the unit has to begin to go.
+    /// How long the unit may take to begin draining.
     start: Ms,
-    /// Within this it has to be back.
-    comeback: Ms,
-    /// How long it has to be back and ready.
+    /// How long the unit may take to be ready again.
+    restart: Ms,
+    /// How long the unit must stay ready after its restart, in milliseconds from its becoming ready.
     settle: Ms,
 }
 
-/// For permits beside a rollout.
+/// Timeouts of permits that dispatchers requested outside of a rollout.
 const UNPLANNED_TIMEOUTS: PermitTimeouts = PermitTimeouts {
     start: 30_000.0,
-    comeback: 600_000.0,
+    restart: 600_000.0,
     settle: 2_000.0,
 };
 
-/// A unit that comes back under the wrong label, rolling back, this many times more is left for operators.
+/// The number of restarts under the wrong label that a unit may make on permits of a rollback. One more restart under
+/// the wrong label abandons the unit to operators.
 const MAX_WRONG_VERSIONS: u32 = 3;
 
-/// A permit as this leader has seen it.
+/// This leader's observations of one permit.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Observation {
+    /// When this leader first saw the permit, or when an operator last resumed.
     first_seen_at: Ms,
-    /// The stage, and since when.
+    /// The current stage, and when the permit entered the stage.
     stage_since: Option<(PermitStage, Ms)>,
-    /// Its unit said that it has not begun to go, and will not.
+    /// Whether the unit has confirmed that it has not begun to drain and will not.
     revoked: bool,
-    /// An operator saw it as it is and resumed.
-    accepted: bool,
+    /// Whether an operator resumed after the permit was granted. The operator has then accepted the unit's condition.
+    accepted_by_operator: bool,
 }
 
-/// What follows from the permits.
+/// The actions that follow from the current stages of all permits.
 #[derive(Debug, Default)]
 pub(super) struct PermitDecisions {
-    /// Permits whose units are to be notified.
+    /// Permits whose units must be notified.
     pub notify: Vec<PermitId>,
-    /// Permits whose units are to be asked not to begin.
+    /// Permits whose units must be asked not to begin draining.
     pub ask_revocation: Vec<PermitId>,
-    /// The step to agree on.
+    /// The step to propose. None if no permit needs a change.
     pub step: Option<RolloutStep>,
 }
 
-/// What follows from one permit.
+/// The action that follows from the current stage of one permit.
 enum Decision {
     Wait,
     Notify,
     AskRevocation,
-    /// The unit is back, or gone for good.
+    /// The unit has returned, or has been removed for good.
     Complete,
-    /// The unit will not begin, or its permit is of no use any more.
+    /// The unit will not begin draining, or the permit no longer serves a purpose.
     Revoke,
-    /// At once, before the other permits are looked at.
+    /// Proposes the step at once, before the remaining permits are examined.
     Step(RolloutStep),
 }
 
-/// A permit with all that its decision depends on.
+/// A permit together with everything that the decision about the permit depends on.
 struct PermitCase<'a> {
     id: PermitId,
     permit: &'a DisruptionPermit,
     unit: Option<&'a Unit>,
     stage: PermitStage,
-    /// For how long it has been in this stage.
-    lasted: Ms,
-    /// For how long this leader has seen it.
+    /// How long the permit has been in this stage, in milliseconds.
+    time_in_stage: Ms,
+    /// How long this leader has seen the permit, in milliseconds.
     age: Ms,
     timeouts: PermitTimeouts,
-    /// The rollout, unless it is finished.
+    /// The current rollout. None if the rollout is finished.
     rollout: Option<&'a Rollout>,
     disruptions: &'a DisruptionState,
     revoked: bool,
-    accepted: bool,
+    accepted_by_operator: bool,
 }
 
-/// Timers of permits, and what units said about them.
+/// Timers of permits, and the replies of units to revocations.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct PermitTracker {
     observations: BTreeMap<PermitId, Observation>,
-    /// How often each unit came back under the new label while rolling back.
+    /// How often each unit restarted under the new label during a rollback.
     wrong_versions: BTreeMap<Name, u32>,
 }
 
 impl PermitTracker {
-    /// Forgets permits that are over.
+    /// Discards the observations of permits that are no longer granted.
     pub fn retain(&mut self, disruptions: &DisruptionState) {
         self.observations
             .retain(|id, _| disruptions.permits.contains_key(id));
     }
 
-    /// An operator resumed. Guards against a halt right after it for what the operator has just seen: timers start anew,
-    /// and what is wrong with a permit by now is no reason to halt again.
+    /// Restarts all timers after an operator resumed, and marks the current condition of all permits as accepted.
+    ///
+    /// Otherwise the rollout would halt again at once for a condition that the operator has just seen.
     pub fn resume(&mut self, now: Ms) {
         for observation in self.observations.values_mut() {
             *observation = Observation {
                 first_seen_at: now,
-                accepted: true,
+                accepted_by_operator: true,
                 ..Observation::default()
             };
         }
     }
 
-    /// A unit said whether it has begun to go; if not, it will not.
+    /// Records a unit's reply whether it has begun to drain. A unit that replies `false` will not begin.
     pub fn record_revocation_reply(&mut self, id: PermitId, begun: bool) {
         if let Some(observation) = self.observations.get_mut(&id).filter(|_| !begun) {
             observation.revoked = true;
         }
     }
 
-    /// Whether a unit said that it will not begin.
+    /// Whether the unit has confirmed that it will not begin to drain.
     pub fn is_revoked(&self, id: PermitId) -> bool {
-        self.observations.get(&id).is_some_and(|o| o.revoked)
+        self.observations
+            .get(&id)
+            .is_some_and(|observation| observation.revoked)
     }
 
-    /// Decides on all permits. `counts`: the units counted against the unfinished rollout's budget.
+    /// Decides on all permits. `counts` holds the units counted against the budget of the unfinished rollout, and is
+    /// none without such a rollout.
     pub fn decide(
         &mut self,
         inputs: &ControllerInputs<'_>,
@@ -164,7 +170,7 @@
     ) -> PermitCase<'a> {
         let now = inputs.now;
         let units = inputs.view.units(permit.unit_kind);
-        let unit = units.iter().find(|u| u.name == permit.unit);
+        let unit = units.iter().find(|unit| unit.name == permit.unit);
         let stage = permit_stage(permit, unit);
         let observation = self.observations.entry(id).or_insert(Observation {
             first_seen_at: now,
@@ -172,28 +178,30 @@
         });
         if observation
             .stage_since
-            .is_none_or(|(before, _)| before != stage)
+            .is_none_or(|(previous, _)| previous != stage)
         {
             observation.stage_since = Some((stage, now));
         }
         let rollout = inputs.disruptions.unfinished();
-        let plan = rollout.filter(|_| permit.planned).map(|r| &r.plan);
+        let plan = rollout
+            .filter(|_| permit.planned)
+            .map(|rollout| &rollout.plan);
         PermitCase {
             id,
             permit,
             unit,
             stage,
-            lasted: now - observation.stage_since.map_or(now, |(_, at)| at),
+            time_in_stage: now - observation.stage_since.map_or(now, |(_, at)| at),
             age: now - observation.first_seen_at,
             timeouts: plan.map_or(UNPLANNED_TIMEOUTS, |plan| PermitTimeouts {
                 start: plan.start_timeout_ms as f64,
-                comeback: plan.return_timeout_ms as f64,
+                restart: plan.return_timeout_ms as f64,
                 settle: plan.settle_ms as f64,
             }),
             rollout,
             disruptions: inputs.disruptions,
             revoked: observation.revoked,
-            accepted: observation.accepted,
+            accepted_by_operator: observation.accepted_by_operator,
         }
     }
 
@@ -203,28 +211,28 @@
         view_complete: bool,
         counts: Option<&mut UnitCounts>,
     ) -> Decision {
-        let rolls_back = case.rolls_back() && !case.is_halted();
+        let is_rolling_back = case.is_in_rollback() && !case.is_halted();
         match case.stage {
             PermitStage::Returned => case.returned(view_complete),
             PermitStage::Granted => case.granted(counts),
-            PermitStage::WrongVersion if rolls_back && case.has_settled() => {
-                self.wrong_version_again(case)
+            PermitStage::WrongVersion if is_rolling_back && case.has_settled() => {
+                self.wrong_version_in_rollback(case)
             }
-            PermitStage::Starting if rolls_back => case.restarting(),
+            PermitStage::Starting if is_rolling_back => case.starting_in_rollback(),
             PermitStage::WrongVersion => case.wrong_version(),
-            PermitStage::Starting | PermitStage::Draining => case.overdue(),
+            PermitStage::Starting | PermitStage::Draining => case.check_restart_timeout(),
         }
     }
 
-    /// Rolling back, a unit is in service under another label than wanted: its permit is over, and if it is to go it
-    /// waits for the budget like any other.
-    fn wrong_version_again(&mut self, case: &PermitCase<'_>) -> Decision {
-        let returns = self
+    /// Handles a unit that is in service under the wrong label during a rollback. The permit is revoked, and the unit
+    /// waits for its next permit within the budget like any other unit.
+    fn wrong_version_in_rollback(&mut self, case: &PermitCase<'_>) -> Decision {
+        let wrong_restarts = self
             .wrong_versions
             .entry(case.permit.unit.clone())
             .or_default();
-        *returns += u32::from(!case.is_of_way_forward());
-        if *returns > MAX_WRONG_VERSIONS {
+        *wrong_restarts += u32::from(!case.is_outdated_by_rollback());
+        if *wrong_restarts > MAX_WRONG_VERSIONS {
             return case.abandon(format!("stays under {}", case.unit_label()));
         }
         Decision::Revoke
@@ -236,32 +244,34 @@
         self.disruptions.halted.is_some()
     }
 
-    fn rolls_back(&self) -> bool {
-        self.permit.planned && self.rollout.is_some_and(|r| r.rolling_back)
+    fn is_in_rollback(&self) -> bool {
+        self.permit.planned && self.rollout.is_some_and(|rollout| rollout.rolling_back)
     }
 
-    /// Whether the permit was granted on the way forward and is not over now that the rollout rolls back.
-    fn is_of_way_forward(&self) -> bool {
-        let differs = |r: &Rollout| r.plan.previous_label != self.permit.label;
-        self.rolls_back() && self.rollout.is_some_and(differs) && !self.permit.permanent
+    /// Whether the permit was granted before the rollback began, and therefore carries the new label instead of the
+    /// previous one.
+    fn is_outdated_by_rollback(&self) -> bool {
+        let differs = |rollout: &Rollout| rollout.plan.previous_label != self.permit.label;
+        self.is_in_rollback() && self.rollout.is_some_and(differs) && !self.permit.permanent
     }
 
     fn has_settled(&self) -> bool {
-        self.lasted >= self.timeouts.settle
+        self.time_in_stage >= self.timeouts.settle
     }
 
-    fn is_late(&self) -> bool {
-        self.age > self.timeouts.comeback
+    fn is_past_restart_timeout(&self) -> bool {
+        self.age > self.timeouts.restart
     }
 
     fn unit_label(&self) -> &str {
         self.unit.map_or("", |unit| &unit.label)
     }
 
-    /// A unit that is gone for good has to be gone for as long as it takes the view to be complete.
+    /// Completes the permit once the unit has settled. A permanently removed unit must also be absent from a complete
+    /// view, because a new leader may not have seen the unit yet.
     fn returned(&self, view_complete: bool) -> Decision {
-        let may_be_unseen = self.permit.permanent && !view_complete;
-        match self.has_settled() && !may_be_unseen {
+        let may_still_exist = self.permit.permanent && !view_complete;
+        match self.has_settled() && !may_still_exist {
             true => Decision::Complete,
             false => Decision::Wait,
         }
@@ -271,29 +281,32 @@
         if self.revoked {
             return Decision::Revoke;
         }
-        let is_overdue = self.age > self.timeouts.start;
-        let is_void = self.is_halted() || self.is_of_way_forward() || is_overdue;
-        match is_void || self.has_lost_room(counts) {
+        let is_past_start_timeout = self.age > self.timeouts.start;
+        let must_be_revoked =
+            self.is_halted() || self.is_outdated_by_rollback() || is_past_start_timeout;
+        match must_be_revoked || self.exceeds_budget(counts) {
             true => Decision::AskRevocation,
             false => Decision::Notify,
         }
     }
 
-    /// Guards against a unit that goes on a permit whose room a failure, or a higher load, has taken since it was
-    /// granted, which would show as more unavailable units than the budget allows: it is not notified, or not again.
-    fn has_lost_room(&self, counts: Option<&mut UnitCounts>) -> bool {
+    /// Whether failures or a higher load since the permit was granted have used up the budget that the permit needs.
+    ///
+    /// The unit is then not notified, or not notified again. Otherwise more units could become unavailable than the
+    /// budget allows.
+    fn exceeds_budget(&self, counts: Option<&mut UnitCounts>) -> bool {
         let (Some(rollout), Some(counts)) = (self.rollout, counts) else {
             return false;
         };
-        let unchecked = rollout.rolling_back && is_injected(InjectedFault::BackUnbound);
-        self.permit.planned && !unchecked && !still_fits(counts, self.unit, &rollout.budget)
+        let skips_check = rollout.rolling_back && is_injected(InjectedFault::BackUnbound);
+        self.permit.planned && !skips_check && !is_still_allowed(counts, self.unit, &rollout.budget)
     }
 
-    /// Rolling back, a unit that is not ready under the new version gets its permit anew at once, as the process that
-    /// it is now: it is unavailable already.
-    fn restarting(&self) -> Decision {
+    /// During a rollback, reissues the permit for the unit's current process if the unit is starting under the new
+    /// version. The reissue needs no check of the budget, because the unit is already unavailable.
+    fn starting_in_rollback(&self) -> Decision {
         if let (Some(unit), Some(rollout), true) =
-            (self.unit, self.rollout, self.is_of_way_forward())
+            (self.unit, self.rollout, self.is_outdated_by_rollback())
         {
             let permit = DisruptionPermit {
                 incarnation: unit.incarnation,
@@ -303,14 +316,14 @@
             };
             return Decision::Step(RolloutStep::Reissue(self.id, permit));
         }
-        match self.is_late() {
+        match self.is_past_restart_timeout() {
             true => self.abandon("is not ready again".to_owned()),
             false => Decision::Wait,
         }
     }
 
     fn wrong_version(&self) -> Decision {
-        if self.accepted || !self.permit.planned {
+        if self.accepted_by_operator || !self.permit.planned {
             return Decision::Revoke;
         }
         if self.has_settled() && !self.is_halted() {
@@ -321,33 +334,33 @@
                 self.permit.label
             )));
         }
-        self.overdue()
+        self.check_restart_timeout()
     }
 
-    fn overdue(&self) -> Decision {
-        if !self.is_late() || self.is_halted() || !self.permit.planned {
+    fn check_restart_timeout(&self) -> Decision {
+        if !self.is_past_restart_timeout() || self.is_halted() || !self.permit.planned {
             return Decision::Wait;
         }
-        if self.rolls_back() {
+        if self.is_in_rollback() {
             return self.abandon("did not come back".to_owned());
         }
-        let what = match self.stage {
+        let condition = match self.stage {
             PermitStage::Starting => "is not ready",
             _ => "is not back",
         };
         Decision::Step(RolloutStep::Halt(format!(
-            "{} {what} within its time",
+            "{} {condition} within its time",
             self.permit.unit.0
         )))
     }
 
-    /// Leaves the unit for operators; halts where more are left already than can be named.
+    /// Abandons the unit to operators. Halts the rollout instead if the list of abandoned units is full.
     fn abandon(&self, reason: String) -> Decision {
         let is_full = self
             .disruptions
             .rollout
             .as_deref()
-            .is_none_or(|r| r.abandoned.len() >= MAX_ABANDONED);
+            .is_none_or(|rollout| rollout.abandoned.len() >= MAX_ABANDONED);
         Decision::Step(match is_full {
             true => RolloutStep::Halt("more than can be named did not come back".to_owned()),
             false => RolloutStep::Abandon(self.id, reason),
--- a/src/coordination/rollout_controller/stage.rs
+++ b/src/coordination/rollout_controller/stage.rs
@@ -1,27 +1,27 @@
-//! How far a unit with a permit has come.
+//! The progress of a unit from its permit to its return.
 
 use crate::coordination::disruption_budget::{ServiceStatus, Unit, UnitKind};
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::rollout::DisruptionPermit;
 
-/// How far a unit with a permit has come.
+/// The progress of a unit with a permit, as the membership leader sees the unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitStage {
-    /// The unit serves as before.
+    /// The process that holds the permit is up and not draining.
     Granted,
-    /// The unit drains or is gone.
+    /// The unit is draining, or no longer seen.
     Draining,
-    /// Another process of the unit is there and not ready yet.
+    /// A new process of the unit has started and is not ready yet.
     Starting,
-    /// The unit is back and ready under its label; or gone for good, where that was wanted.
+    /// The unit has restarted and is ready under the permit's label, or a permanently removed unit is no longer seen.
     Returned,
-    /// The unit is back and ready under another label.
+    /// The unit has restarted and is ready under a label other than the permit's.
     WrongVersion,
 }
 
-/// The stage of a permit, by what is seen of its unit.
+/// Derives the stage of a permit from the unit's current status. `unit` is none if the unit is not seen.
 pub fn permit_stage(permit: &DisruptionPermit, unit: Option<&Unit>) -> PermitStage {
-    let Some(unit) = unit.filter(|u| u.status != ServiceStatus::OutOfService) else {
+    let Some(unit) = unit.filter(|unit| unit.status != ServiceStatus::OutOfService) else {
         return match permit.permanent {
             true => PermitStage::Returned,
             false => PermitStage::Draining,
@@ -35,14 +35,15 @@
     }
     match unit.status {
         ServiceStatus::InService if permit.permanent => PermitStage::Starting,
-        ServiceStatus::InService if label_fits(permit, unit) => PermitStage::Returned,
+        ServiceStatus::InService if matches_label(permit, unit) => PermitStage::Returned,
         ServiceStatus::InService => PermitStage::WrongVersion,
         _ => PermitStage::Starting,
     }
 }
 
-/// An engine carries no label; the discovery registry gets it with the notice.
-fn label_fits(permit: &DisruptionPermit, unit: &Unit) -> bool {
+/// Whether the unit has the permit's label. Engines always match: an engine reports no label, and the discovery
+/// registry receives the label with the notice.
+fn matches_label(permit: &DisruptionPermit, unit: &Unit) -> bool {
     permit.label.is_empty()
         || permit.unit_kind == UnitKind::Engines
         || is_injected(InjectedFault::LabelUnchecked)
--- a/src/coordination/rollout_controller/unit_counts.rs
+++ b/src/coordination/rollout_controller/unit_counts.rs
@@ -1,4 +1,4 @@
-//! Units counted with the permits that are granted.
+//! Counts of available units that treat every unit with a permit as unavailable.
 
 use super::inputs::ControllerInputs;
 use crate::coordination::disruption_budget::{
@@ -9,8 +9,9 @@
 use crate::coordination::Name;
 use std::collections::BTreeSet;
 
-/// Counts units; a unit with a permit counts as unavailable, also while it still serves. `forgotten`: permits that do
-/// not count, by an injected fault.
+/// Counts the units of one kind. A unit with a permit counts as unavailable even while the unit still serves.
+///
+/// `forgotten` names permits that an injected fault excludes from the count.
 pub(super) fn count_units(
     disruptions: &DisruptionState,
     units: &[Unit],
@@ -48,32 +49,32 @@
     }
 }
 
-/// Whether a unit with a permit could still be granted it.
-pub(super) fn still_fits(
+/// Whether the budget would still allow a unit's permit if the permit were granted now.
+pub(super) fn is_still_allowed(
     counts: &mut UnitCounts,
     unit: Option<&Unit>,
     budget: &DisruptionBudget,
 ) -> bool {
-    let Some(unit) = unit.filter(|u| u.status == ServiceStatus::InService) else {
+    let Some(unit) = unit.filter(|unit| unit.status == ServiceStatus::InService) else {
         return true;
     };
     counts.mark_available(unit);
-    let fits = counts.check_disruption(unit, budget).is_ok();
+    let is_allowed = counts.check_disruption(unit, budget).is_ok();
     counts.mark_unavailable(unit);
-    fits
+    is_allowed
 }
 
-/// Whether a unit may go as a voter.
+/// Checks that no other voter is unavailable, or about to become unavailable, if the unit is a voter.
 ///
-/// Guards against a rollout that takes the majority of the voters, which would show as a fleet that can agree on
-/// nothing, not even on the permits' end: no voter goes while another one is unavailable or about to go.
+/// Without this check a rollout could take the majority of the voters out of service. The fleet could then agree on
+/// nothing, not even on the completion of the permits.
 ///
 /// # Errors
-/// How many voters are unavailable.
+/// Returns a violation with the number of unavailable voters.
 pub(super) fn check_voters(
     unit: &Unit,
     inputs: &ControllerInputs<'_>,
-    granting: &[DisruptionPermit],
+    new_permits: &[DisruptionPermit],
 ) -> Result<(), Violation> {
     if unit.role.is_some() || !inputs.voters.contains(&unit.name) {
         return Ok(());
@@ -81,7 +82,7 @@
     let unavailable = inputs
         .voters
         .iter()
-        .filter(|name| !is_voter_available(name, inputs, granting))
+        .filter(|name| !is_voter_available(name, inputs, new_permits))
         .count();
     match unavailable {
         0 => Ok(()),
@@ -96,14 +97,14 @@
 fn is_voter_available(
     name: &Name,
     inputs: &ControllerInputs<'_>,
-    granting: &[DisruptionPermit],
+    new_permits: &[DisruptionPermit],
 ) -> bool {
-    let serves = inputs
+    let is_in_service = inputs
         .view
         .dispatchers
         .iter()
-        .any(|u| u.name == *name && u.status == ServiceStatus::InService);
+        .any(|unit| unit.name == *name && unit.status == ServiceStatus::InService);
     let permit = inputs.disruptions.permit_for(UnitKind::Dispatchers, name);
-    let is_going = granting.iter().any(|permit| permit.unit == *name);
-    serves && permit.is_none() && !is_going
+    let gets_permit = new_permits.iter().any(|permit| permit.unit == *name);
+    is_in_service && permit.is_none() && !gets_permit
 }
