--- a/src/coordination/disruption_budget/budget.rs
+++ b/src/coordination/disruption_budget/budget.rs
@@ -1,57 +1,59 @@
-//! The limits that operators set.
+//! Disruption budgets: the limits on unavailable units that operators set.
 
 use std::fmt;
 
-/// The most units of a group that may be unavailable at once: a count and a share; the smaller one binds.
+/// The maximum number of units of a group that may be unavailable at once, as a count and as a share of the group. The
+/// smaller of the two applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct MaxUnavailable {
-    /// Units.
+    /// The maximum as a number of units.
     pub count: u32,
-    /// Share of the group, in thousandths.
+    /// The maximum as a share of the group, in thousandths.
     pub per_mille: u32,
 }
 
 impl MaxUnavailable {
-    /// No limit.
+    /// Allows all units of a group to be unavailable.
     pub const ALL: MaxUnavailable = MaxUnavailable {
         count: u32::MAX,
         per_mille: 1000,
     };
 
-    /// The limit for a group of this many units.
+    /// The limit for a group of `size` units. The share is rounded down to whole units.
     pub fn limit_for(self, size: u32) -> u32 {
         let share = u64::from(size) * u64::from(self.per_mille) / 1000;
         self.count.min(u32::try_from(share).unwrap_or(u32::MAX))
     }
 }
 
-/// Limits for one kind of unit.
+/// The limits on unavailable units, for dispatchers or for engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct DisruptionBudget {
-    /// Over the whole fleet.
+    /// The limit for the whole fleet.
     pub fleet: MaxUnavailable,
-    /// In each zone.
+    /// The limit for each zone.
     pub zone: MaxUnavailable,
-    /// In each cell of a zone; engines only.
+    /// The limit for each cell of a zone. Applies to engines only.
     pub cell: MaxUnavailable,
-    /// Of each kind; engines only.
+    /// The limit for each kind of hardware or build. Applies to engines only.
     pub kind: MaxUnavailable,
-    /// Ready prefill engines that stay in each zone; 0: no limit.
+    /// The minimum number of ready prefill engines in each zone; 0 for no minimum.
     pub min_prefill_engines_per_zone: u32,
-    /// Ready decode engines that stay in each zone; 0: no limit.
+    /// The minimum number of ready decode engines in each zone; 0 for no minimum.
     pub min_decode_engines_per_zone: u32,
-    /// Ready prefill engines that stay in each cell; 0: no limit.
+    /// The minimum number of ready prefill engines in each cell; 0 for no minimum.
     pub min_prefill_engines_per_cell: u32,
-    /// Ready decode engines that stay in each cell; 0: no limit.
+    /// The minimum number of ready decode engines in each cell; 0 for no minimum.
     pub min_decode_engines_per_cell: u32,
-    /// No engine goes when the utilization of those that stay would exceed this, in thousandths; 1000: no limit.
+    /// The maximum mean utilization of the remaining engines after one engine drains, in thousandths; 1000 for no
+    /// limit.
     pub max_utilization_per_mille: u32,
-    /// An engine whose load report is older than this, in milliseconds, counts as fully used.
+    /// The maximum age of a load report, in milliseconds. An engine with an older report counts as fully used.
     pub max_report_age_ms: u64,
 }
 
 impl Default for DisruptionBudget {
-    /// One unit of each zone at a time.
+    /// Allows one unavailable unit in each zone.
     fn default() -> Self {
         DisruptionBudget {
             fleet: MaxUnavailable::ALL,
@@ -71,54 +73,60 @@
     }
 }
 
-/// Limits that can never be met, or that contradict each other. Displayed as what is wanted instead.
+/// A limit that can never be met or that contradicts another limit. Displayed as the value that the settings should
+/// have instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetError {
-    /// The limit of this scope lets no unit go.
+    /// The limit of this scope allows no unavailable unit.
     AllowsNone {
         /// `fleet`, `zone`, `cell` or `kind`.
         scope: &'static str,
     },
-    /// The share of this scope is above 1000 thousandths.
+    /// The share of this scope is above 1000 thousandths of the group.
     ShareAboveOne {
         /// `fleet`, `zone`, `cell` or `kind`.
         scope: &'static str,
     },
-    /// The limit of this scope is above the fleet's.
+    /// The limit of this scope is above the fleet's limit.
     AboveFleet {
         /// `zone`, `cell` or `kind`.
         scope: &'static str,
-        /// The fleet's limit, in units.
+        /// The fleet's limit, as a number of units.
         limit: u32,
     },
-    /// More engines have to stay in a cell than in its zone.
+    /// The minimum number of ready engines of a cell is above the minimum of its zone.
     CellAboveZone {
-        /// The settings' word for the engines' role.
+        /// The engines' role, as the settings name the role.
         role: &'static str,
-        /// The zone's minimum, in engines.
+        /// The zone's minimum, as a number of engines.
         zone_minimum: u32,
     },
-    /// The highest utilization is not within 1 to 1000 thousandths.
+    /// The maximum utilization is not between 1 and 1000 thousandths.
     UtilizationOutOfRange,
 }
 
 impl fmt::Display for BudgetError {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BudgetError::AllowsNone { scope } => {
-                write!(to, "'{scope}' that lets at least one go")
+                write!(formatter, "a '{scope}' limit that lets at least one go")
             }
             BudgetError::ShareAboveOne { scope } => {
-                write!(to, "'{scope}' with a part of at most 1")
+                write!(formatter, "a '{scope}' limit with a 'part' of at most 1")
             }
             BudgetError::AboveFleet { scope, limit } => {
-                write!(to, "'{scope}' of at most the fleet's {limit}")
+                write!(
+                    formatter,
+                    "a '{scope}' limit of at most the fleet's {limit}"
+                )
             }
             BudgetError::CellAboveZone { role, zone_minimum } => write!(
-                to,
-                "ready {role} of a cell of at most those of its zone, {zone_minimum}"
+                formatter,
+                "a minimum of ready {role} per cell that is at most those of its zone, {zone_minimum}"
             ),
-            BudgetError::UtilizationOutOfRange => to.write_str("'used' over 0 and at most 1"),
+            BudgetError::UtilizationOutOfRange => {
+                formatter.write_str("a 'used' limit above 0 and at most 1")
+            }
         }
     }
 }
@@ -126,10 +134,10 @@
 impl std::error::Error for BudgetError {}
 
 impl DisruptionBudget {
-    /// Checks that the limits can be met and do not contradict each other.
+    /// Checks that each limit can be met and that no two limits contradict each other.
     ///
     /// # Errors
-    /// The first limit that cannot.
+    /// Returns the first limit that fails the check.
     pub fn check(&self) -> Result<(), BudgetError> {
         self.check_limits()?;
         self.check_minima()?;
--- a/src/coordination/disruption_budget/counts.rs
+++ b/src/coordination/disruption_budget/counts.rs
@@ -1,26 +1,26 @@
-//! The units of one kind counted against the budget.
+//! Counts of dispatchers or of engines, checked against a disruption budget.
 
 use super::budget::{DisruptionBudget, MaxUnavailable};
-use super::groups::{cell_of, Count, RoleGroup, ServedRole, UtilizationSum};
+use super::groups::{cell_key, Count, RoleGroup, ServedRole, UtilizationSum};
 use super::unit::{observed_zone_sizes, ServiceStatus, Unit, ZoneSizes};
 use super::violation::Violation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many units of a place are unavailable, and how many may be.
+/// The number of unavailable units in the fleet or in a zone, and its limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnavailableCount {
-    /// The zone; empty for the whole fleet.
+    /// The zone's name. Empty for the whole fleet.
     pub zone: String,
-    /// Units that are unavailable.
+    /// The number of unavailable units.
     pub unavailable: u32,
-    /// Units that may be.
+    /// The maximum number of unavailable units.
     pub limit: u32,
 }
 
-/// The name of the whole fleet among zones.
+/// The key of the whole fleet in maps that are keyed by zone.
 const WHOLE_FLEET: &str = "";
 
-/// The units of one kind, counted once and then asked for each unit that could go.
+/// Counts of all dispatchers or of all engines. Built once and then checked for each unit that may drain.
 #[derive(Clone, Debug, Default)]
 pub struct UnitCounts {
     fleet: Count,
@@ -28,15 +28,16 @@
     cells: BTreeMap<String, Count>,
     kinds: BTreeMap<String, Count>,
     ready: BTreeMap<RoleGroup, u32>,
-    /// By role, over the fleet ([`WHOLE_FLEET`]) and by zone.
+    /// Utilization by role, for the fleet ([`WHOLE_FLEET`]) and for each zone.
     utilization: BTreeMap<(ServedRole, String), UtilizationSum>,
 }
 
 impl UnitCounts {
-    /// Counts units. `is_disrupted`: whether a unit counts as unavailable though it serves, as it has a permit to go.
+    /// Counts units. `is_disrupted` tells whether a unit counts as unavailable although it serves, because the unit has
+    /// a permit to drain.
     ///
-    /// A unit that is remembered and not seen counts as long as its zone lacks units by `sizes`; where none is missing,
-    /// it is gone for good.
+    /// A unit that is remembered but not seen counts as unavailable while its zone has fewer units than `sizes` states.
+    /// If the zone lacks no unit, the remembered unit has been removed for good and is ignored.
     pub fn new<'a>(
         units: impl Iterator<Item = &'a Unit>,
         sizes: &ZoneSizes,
@@ -47,9 +48,10 @@
         let units: Vec<&Unit> = units.collect();
         let seen = observed_zone_sizes(units.iter().copied());
         let seen_in = |zone: &str| seen.get(zone).copied().unwrap_or(0);
-        let is_whole = |zone: &str| sizes.get(zone).is_some_and(|size| *size <= seen_in(zone));
+        let all_units_seen =
+            |zone: &str| sizes.get(zone).is_some_and(|size| *size <= seen_in(zone));
         for unit in units {
-            if unit.status == ServiceStatus::OutOfService && is_whole(&unit.zone) {
+            if unit.status == ServiceStatus::OutOfService && all_units_seen(&unit.zone) {
                 continue;
             }
             let available = unit.status == ServiceStatus::InService && !is_disrupted(unit);
@@ -74,7 +76,7 @@
         if unit.role.is_none() {
             return;
         }
-        add(self.cells.entry(cell_of(unit)).or_default());
+        add(self.cells.entry(cell_key(unit)).or_default());
         add(self.kinds.entry(unit.kind.clone()).or_default());
         if available {
             self.add_ready_engine(unit, budget);
@@ -82,14 +84,15 @@
     }
 
     fn add_ready_engine(&mut self, unit: &Unit, budget: &DisruptionBudget) {
-        let fresh = unit
+        let recent_report = unit
             .utilization
             .filter(|(_, age)| *age <= budget.max_report_age_ms as f64);
-        // Guards against an engine leaving on the word of an old report while the others are full: requests would then
-        // be rejected. An old or missing report counts as fully used, so it can only keep units in service.
-        let utilization = fresh.map_or(1.0, |(utilization, _)| utilization.clamp(0.0, 1.0));
+        // An old or missing report counts as fully used, so that it can only keep units in service. Otherwise an engine
+        // could drain because of an outdated low utilization while the other engines are full, and requests would be
+        // rejected.
+        let utilization = recent_report.map_or(1.0, |(utilization, _)| utilization.clamp(0.0, 1.0));
         for role in ServedRole::served_by(unit) {
-            for group in RoleGroup::both_of(unit, role) {
+            for group in RoleGroup::zone_and_cell_groups(unit, role) {
                 *self.ready.entry(group).or_default() += 1;
             }
             for place in [WHOLE_FLEET.to_owned(), unit.zone.clone()] {
@@ -100,10 +103,10 @@
         }
     }
 
-    /// Whether a unit that serves may go now.
+    /// Checks whether a unit that is in service may drain now.
     ///
     /// # Errors
-    /// The limit that forbids it.
+    /// Returns the first limit that forbids the unit to drain.
     pub fn check_disruption(
         &self,
         unit: &Unit,
@@ -126,11 +129,11 @@
         unit: &Unit,
         budget: &DisruptionBudget,
     ) -> Result<(), Violation> {
-        if let Some((unavailable, limit)) = self.fleet.used_up(budget.fleet) {
+        if let Some((unavailable, limit)) = self.fleet.limit_reached(budget.fleet) {
             return Err(Violation::Fleet { unavailable, limit });
         }
         let zone = self.zones.get(&unit.zone).copied().unwrap_or_default();
-        match zone.used_up(budget.zone) {
+        match zone.limit_reached(budget.zone) {
             Some((unavailable, limit)) => Err(Violation::Zone {
                 zone: unit.zone.clone(),
                 unavailable,
@@ -141,9 +144,9 @@
     }
 
     fn check_cell_and_kind(&self, unit: &Unit, budget: &DisruptionBudget) -> Result<(), Violation> {
-        let cell = cell_of(unit);
+        let cell = cell_key(unit);
         let count = self.cells.get(&cell).copied().unwrap_or_default();
-        if let Some((unavailable, limit)) = count.used_up(budget.cell) {
+        if let Some((unavailable, limit)) = count.limit_reached(budget.cell) {
             return Err(Violation::Cell {
                 cell,
                 unavailable,
@@ -151,7 +154,7 @@
             });
         }
         let count = self.kinds.get(&unit.kind).copied().unwrap_or_default();
-        match count.used_up(budget.kind) {
+        match count.limit_reached(budget.kind) {
             Some((unavailable, limit)) => Err(Violation::Kind {
                 kind: unit.kind.clone(),
                 unavailable,
@@ -167,13 +170,13 @@
         role: ServedRole,
         budget: &DisruptionBudget,
     ) -> Result<(), Violation> {
-        for group in RoleGroup::both_of(unit, role) {
+        for group in RoleGroup::zone_and_cell_groups(unit, role) {
             let ready = self.ready.get(&group).copied().unwrap_or(0);
             let minimum = group.minimum(budget);
             if minimum > 0 && ready <= minimum {
                 return Err(Violation::MinReady {
-                    role: role.word(),
-                    place: format!("{} {}", group.scope.word(), group.place),
+                    role: role.settings_name(),
+                    place: format!("{} {}", group.scope.name(), group.place),
                     minimum,
                 });
             }
@@ -194,18 +197,18 @@
             let key = (role, place.to_owned());
             let total = self.utilization.get(&key).copied().unwrap_or_default();
             let is_zone = place != WHOLE_FLEET;
-            // The only engine of its role in a zone leaves its work to other zones.
+            // If a zone has a single engine of the role, other zones take over the load of that engine.
             if is_zone && total.engines < 2 {
                 continue;
             }
-            let per_mille = total.without_one() * 1000.0;
+            let per_mille = total.mean_without_one() * 1000.0;
             if per_mille > f64::from(budget.max_utilization_per_mille) {
                 let place = match is_zone {
                     true => format!("zone {place}"),
                     false => "the fleet".to_owned(),
                 };
                 return Err(Violation::Utilization {
-                    place: format!("{place}, {}", role.word()),
+                    place: format!("{place}, {}", role.settings_name()),
                     per_mille: per_mille.min(999.0) as u32,
                 });
             }
@@ -213,13 +216,14 @@
         Ok(())
     }
 
-    /// The first limit of the fleet or a zone that is exceeded, planned or not.
+    /// Returns the first limit of the fleet or of a zone that is exceeded by planned and unplanned disruptions
+    /// together.
     pub fn exceeded(&self, budget: &DisruptionBudget) -> Option<Violation> {
-        if let Some((unavailable, limit)) = self.fleet.over(budget.fleet) {
+        if let Some((unavailable, limit)) = self.fleet.limit_exceeded(budget.fleet) {
             return Some(Violation::Fleet { unavailable, limit });
         }
         self.zones.iter().find_map(|(zone, count)| {
-            let (unavailable, limit) = count.over(budget.zone)?;
+            let (unavailable, limit) = count.limit_exceeded(budget.zone)?;
             Some(Violation::Zone {
                 zone: zone.clone(),
                 unavailable,
@@ -228,29 +232,30 @@
         })
     }
 
-    /// Counts a unit as unavailable from now on.
+    /// Counts an available unit as unavailable from now on.
     pub fn mark_unavailable(&mut self, unit: &Unit) {
-        self.adjust(unit, |n| *n = n.saturating_sub(1));
+        self.adjust(unit, |count| *count = count.saturating_sub(1));
     }
 
-    /// Counts a unit that was unavailable as available again.
+    /// Counts an unavailable unit as available again.
     pub fn mark_available(&mut self, unit: &Unit) {
-        self.adjust(unit, |n| *n += 1);
+        self.adjust(unit, |count| *count += 1);
     }
 
-    /// The utilization summed stays: the work is borne by one more engine, or by one fewer.
+    /// Changes the number of available units in all groups of a unit. The total utilization stays the same, because the
+    /// same load is spread over one engine more or one fewer.
     fn adjust(&mut self, unit: &Unit, change: impl Fn(&mut u32)) {
         change(&mut self.fleet.available);
         let counts = [
             self.zones.get_mut(&unit.zone),
-            self.cells.get_mut(&cell_of(unit)),
+            self.cells.get_mut(&cell_key(unit)),
             self.kinds.get_mut(&unit.kind),
         ];
         for count in counts.into_iter().flatten() {
             change(&mut count.available);
         }
         for role in ServedRole::served_by(unit) {
-            for group in RoleGroup::both_of(unit, role) {
+            for group in RoleGroup::zone_and_cell_groups(unit, role) {
                 change(self.ready.entry(group).or_default());
             }
             for place in [WHOLE_FLEET.to_owned(), unit.zone.clone()] {
@@ -259,7 +264,7 @@
         }
     }
 
-    /// The first zone of which units are not seen at all, though the fleet agreed on them, in words.
+    /// A message about the first zone in which fewer units are seen than agreed. None if no zone lacks a unit.
     pub fn missing_units(&self, units: &[Unit]) -> Option<String> {
         let seen = observed_zone_sizes(units.iter());
         self.zones.iter().find_map(|(zone, count)| {
@@ -272,20 +277,21 @@
         })
     }
 
-    /// Unavailable units and their limits: the fleet's first, then each zone's.
+    /// The number of unavailable units and its limit, for the fleet first and then for each zone.
     pub fn unavailable_counts(&self, budget: &DisruptionBudget) -> Vec<UnavailableCount> {
-        let line = |zone: &str, count: &Count, max: MaxUnavailable| UnavailableCount {
+        let unavailable_count = |zone: &str, count: &Count, max: MaxUnavailable| UnavailableCount {
             zone: zone.to_owned(),
             unavailable: count.unavailable(),
             limit: max.limit_for(count.size),
         };
         let zones = self.zones.iter();
-        std::iter::once(line(WHOLE_FLEET, &self.fleet, budget.fleet))
-            .chain(zones.map(|(zone, count)| line(zone, count, budget.zone)))
+        std::iter::once(unavailable_count(WHOLE_FLEET, &self.fleet, budget.fleet))
+            .chain(zones.map(|(zone, count)| unavailable_count(zone, count, budget.zone)))
             .collect()
     }
 
-    /// Why some of the selected units could never go, even with all units in service; in words.
+    /// The reason why some of the selected units could never drain, even with all units in service. None if each
+    /// selected unit could drain.
     pub fn impossible_reason(
         &self,
         units: &[Unit],
@@ -313,19 +319,20 @@
     }
 }
 
-/// A group of engines that has no more in all than have to stay ready.
+/// A message about the first group of engines that has no engine beyond the minimum that must stay ready. None if there
+/// is no such group among the groups of the selected units.
 fn impossible_group(
     units: &[Unit],
     selected: &[&Unit],
     budget: &DisruptionBudget,
 ) -> Option<String> {
     let mut sizes: BTreeMap<RoleGroup, u32> = BTreeMap::new();
-    for group in units.iter().flat_map(RoleGroup::all_of) {
+    for group in units.iter().flat_map(RoleGroup::groups_of) {
         *sizes.entry(group).or_default() += 1;
     }
     let affected: BTreeSet<RoleGroup> = selected
         .iter()
-        .flat_map(|unit| RoleGroup::all_of(unit))
+        .flat_map(|unit| RoleGroup::groups_of(unit))
         .collect();
     sizes.retain(|group, _| affected.contains(group));
     sizes.into_iter().find_map(|(group, size)| {
@@ -333,9 +340,9 @@
         (minimum > 0 && size <= minimum).then(|| {
             format!(
                 "{} {} has {size} {} in all, and {minimum} have to stay ready",
-                group.scope.word(),
+                group.scope.name(),
                 group.place,
-                group.role.word()
+                group.role.settings_name()
             )
         })
     })
--- a/src/coordination/disruption_budget/groups.rs
+++ b/src/coordination/disruption_budget/groups.rs
@@ -1,10 +1,10 @@
-//! Groups of units that the budget limits.
+//! Groups of units to which the limits of a budget apply.
 
 use super::budget::{DisruptionBudget, MaxUnavailable};
 use super::unit::Unit;
 use crate::interface::Role;
 
-/// How many units there are in a group, and how many of them serve.
+/// The number of units in a group, and the number of available units among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Count {
     pub size: u32,
@@ -16,20 +16,20 @@
         self.size - self.available.min(self.size)
     }
 
-    /// The unavailable units and the limit, where the limit is used up.
-    pub fn used_up(self, max: MaxUnavailable) -> Option<(u32, u32)> {
+    /// Returns the number of unavailable units and the limit if no further unit may become unavailable.
+    pub fn limit_reached(self, max: MaxUnavailable) -> Option<(u32, u32)> {
         let limit = max.limit_for(self.size);
         (self.unavailable() >= limit).then_some((self.unavailable(), limit))
     }
 
-    /// The unavailable units and the limit, where the limit is exceeded.
-    pub fn over(self, max: MaxUnavailable) -> Option<(u32, u32)> {
+    /// Returns the number of unavailable units and the limit if more units are unavailable than allowed.
+    pub fn limit_exceeded(self, max: MaxUnavailable) -> Option<(u32, u32)> {
         let limit = max.limit_for(self.size);
         (self.unavailable() > limit).then_some((self.unavailable(), limit))
     }
 }
 
-/// What an engine does for requests; one that does both counts in each.
+/// A role that an engine serves. An engine that serves both roles counts in each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ServedRole {
     Prefill,
@@ -37,14 +37,15 @@
 }
 
 impl ServedRole {
-    /// The operators' word for engines of this role.
-    pub fn word(self) -> &'static str {
+    /// The name of engines of this role in the settings and in replies to operators.
+    pub fn settings_name(self) -> &'static str {
         match self {
             ServedRole::Prefill => "readers",
             ServedRole::Decode => "writers",
         }
     }
 
+    /// The roles that a unit serves. Empty for a dispatcher.
     pub fn served_by(unit: &Unit) -> impl Iterator<Item = ServedRole> {
         let prefill = matches!(unit.role, Some(Role::Prefill | Role::Both));
         let decode = matches!(unit.role, Some(Role::Decode | Role::Both));
@@ -55,7 +56,7 @@
     }
 }
 
-/// A scope in which ready engines have to stay.
+/// A scope to which a minimum number of ready engines applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Scope {
     Zone,
@@ -63,7 +64,8 @@
 }
 
 impl Scope {
-    pub fn word(self) -> &'static str {
+    /// The name of the scope in replies to operators.
+    pub fn name(self) -> &'static str {
         match self {
             Scope::Zone => "zone",
             Scope::Cell => "cell",
@@ -71,7 +73,7 @@
     }
 }
 
-/// Engines of a role in a zone or cell.
+/// The engines of one role in one zone or cell.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RoleGroup {
     pub scope: Scope,
@@ -80,20 +82,21 @@
 }
 
 impl RoleGroup {
-    /// The zone's and the cell's group of an engine in one role.
-    pub fn both_of(unit: &Unit, role: ServedRole) -> [RoleGroup; 2] {
+    /// The groups of an engine's zone and of its cell, for one role.
+    pub fn zone_and_cell_groups(unit: &Unit, role: ServedRole) -> [RoleGroup; 2] {
         let group = |scope, place| RoleGroup { scope, role, place };
         [
             group(Scope::Zone, unit.zone.clone()),
-            group(Scope::Cell, cell_of(unit)),
+            group(Scope::Cell, cell_key(unit)),
         ]
     }
 
-    pub fn all_of(unit: &Unit) -> impl Iterator<Item = RoleGroup> + '_ {
-        ServedRole::served_by(unit).flat_map(|role| RoleGroup::both_of(unit, role))
+    /// All groups that a unit belongs to, over its roles. Empty for a dispatcher.
+    pub fn groups_of(unit: &Unit) -> impl Iterator<Item = RoleGroup> + '_ {
+        ServedRole::served_by(unit).flat_map(|role| RoleGroup::zone_and_cell_groups(unit, role))
     }
 
-    /// Engines of the group that have to stay ready; 0: no limit.
+    /// The minimum number of ready engines in the group; 0 for no minimum.
     pub fn minimum(&self, budget: &DisruptionBudget) -> u32 {
         match (self.scope, self.role) {
             (Scope::Zone, ServedRole::Prefill) => budget.min_prefill_engines_per_zone,
@@ -104,7 +107,7 @@
     }
 }
 
-/// Utilization summed over the ready engines of a role.
+/// The total utilization of the ready engines of a role, and the number of these engines.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct UtilizationSum {
     pub sum: f64,
@@ -112,8 +115,9 @@
 }
 
 impl UtilizationSum {
-    /// The mean utilization once one engine is gone and its work is borne by the others.
-    pub fn without_one(self) -> f64 {
+    /// The mean utilization after one engine drains and the remaining engines take over its load. Infinite if no engine
+    /// would remain.
+    pub fn mean_without_one(self) -> f64 {
         if self.engines < 2 {
             f64::INFINITY
         } else {
@@ -122,6 +126,7 @@
     }
 }
 
-pub(super) fn cell_of(unit: &Unit) -> String {
+/// The key of an engine's cell: cell names are unique within a zone only.
+pub(super) fn cell_key(unit: &Unit) -> String {
     format!("{}/{}", unit.zone, unit.cell)
 }
--- a/src/coordination/disruption_budget/mod.rs
+++ b/src/coordination/disruption_budget/mod.rs
@@ -1,8 +1,8 @@
-//! How many units of a fleet may be unavailable at once, and what forbids one more.
+//! Limits on the number of units that may be unavailable at once, and the check whether another unit may drain.
 //!
-//! A unit is a dispatcher or an engine. [`UnitCounts`] counts the units as one member sees them against the
-//! [`DisruptionBudget`] over the fleet, a zone, a cell and a kind. A unit that is not seen in service counts as
-//! unavailable, planned or not: failures use up the same budget as a rollout.
+//! A unit is a dispatcher or an engine. [`UnitCounts`] counts the units that one member sees against the limits of a
+//! [`DisruptionBudget`] for the fleet, each zone, each cell and each kind. Any unit that is not seen in service counts
+//! as unavailable, so that failures use up the same budget as a rollout.
 
 mod budget;
 mod counts;
--- a/src/coordination/disruption_budget/unit.rs
+++ b/src/coordination/disruption_budget/unit.rs
@@ -1,23 +1,23 @@
-//! Units of a fleet, as a member sees them.
+//! Units of a fleet, as one member observes them.
 
 use crate::coordination::{Address, Incarnation, Name};
 use crate::interface::{Ms, Role};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The kind of unit that is taken out of service and brought back.
+/// The kind of a unit: a dispatcher or an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum UnitKind {
-    /// Dispatchers, members of the fleet.
+    /// Dispatchers, which are the members of the fleet.
     #[default]
     Dispatchers,
-    /// Engines that the dispatchers send requests to.
+    /// Engines, which serve the requests that dispatchers send.
     Engines,
 }
 
 impl fmt::Display for UnitKind {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(if *self == UnitKind::Engines {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(if *self == UnitKind::Engines {
             "model hosts"
         } else {
             "dispatchers"
@@ -25,71 +25,72 @@
     }
 }
 
-/// A dispatcher or an engine, as seen.
+/// A dispatcher or an engine, with its status at the time of observation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unit {
-    /// Its lasting name.
+    /// The unit's name, which stays the same across restarts.
     pub name: Name,
-    /// Which process of it; an engine's start stands for it.
+    /// Identifies the unit's process. The start time of an engine serves as its incarnation.
     pub incarnation: Incarnation,
-    /// Where it is reached.
+    /// The address at which the unit accepts connections.
     pub address: Address,
-    /// Its zone.
+    /// The name of the unit's zone.
     pub zone: String,
-    /// Its cell within the zone; empty for a dispatcher.
+    /// The name of the unit's cell within the zone. Empty for a dispatcher.
     pub cell: String,
-    /// Its kind of hardware or build; empty for a dispatcher.
+    /// The unit's kind of hardware or build. Empty for a dispatcher.
     pub kind: String,
-    /// What an engine does; none for a dispatcher.
+    /// Whether an engine serves prefill, decode or both. None for a dispatcher.
     pub role: Option<Role>,
-    /// The version that it runs, or another label of its operators'; empty for an engine.
+    /// The version that a dispatcher runs, or another label that operators gave to it. Empty for an engine.
     pub label: String,
-    /// Whether it serves.
+    /// The unit's service status at the time of observation.
     pub status: ServiceStatus,
-    /// The fraction of its capacity in use, 0 to 1, and the age of the report in milliseconds.
+    /// The used fraction of an engine's capacity, from 0 to 1, and the age of the load report in milliseconds. None if
+    /// no report is known.
     pub utilization: Option<(f64, Ms)>,
-    /// Requests that this process answered.
+    /// Requests that the unit has answered, by outcome.
     pub outcomes: OutcomeCounts,
 }
 
-/// Whether a unit serves.
+/// The service status of a unit, as one member observes the unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceStatus {
-    /// Seen lately and ready.
+    /// Recently seen and ready.
     InService,
-    /// Seen, and not ready: starting, or cold within its slow-start window.
+    /// Seen but not ready yet: starting, or a cold engine within its slow-start window.
     Starting,
-    /// Seen, and draining or stopping.
+    /// Seen, but draining or stopping.
     Draining,
-    /// Not seen, or not listed.
+    /// Not seen, or no longer listed by discovery.
     OutOfService,
 }
 
-/// Answered requests, by outcome.
+/// Cumulative counts of answered requests, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Succeeded, in time or late.
+    /// Requests that succeeded, before or after their deadline.
     pub succeeded: u64,
-    /// Rejected.
+    /// Requests that were rejected without being served.
     pub rejected: u64,
-    /// Failed.
+    /// Requests that were attempted and failed.
     pub failed: u64,
-    /// Succeeded after the deadline; counted in `succeeded` too.
+    /// Requests that succeeded after their deadline. Also counted in `succeeded`.
     pub late: u64,
 }
 
 impl OutcomeCounts {
-    /// All answered requests.
+    /// The number of answered requests.
     pub fn total(&self) -> u64 {
         self.succeeded + self.rejected + self.failed
     }
 
-    /// Requests that were rejected, failed or late.
+    /// The number of requests that were rejected, failed or answered late.
     pub fn harmed(&self) -> u64 {
         self.rejected + self.failed + self.late
     }
 
-    /// What was added since an earlier reading; never below 0.
+    /// The increase of each count since the earlier sample `before`. A count that has decreased yields 0.
     pub fn since(&self, before: &OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             succeeded: self.succeeded.saturating_sub(before.succeeded),
@@ -99,23 +100,23 @@
         }
     }
 
-    /// Adds the counts of another.
-    pub fn add(&mut self, more: &OutcomeCounts) {
-        self.succeeded += more.succeeded;
-        self.rejected += more.rejected;
-        self.failed += more.failed;
-        self.late += more.late;
+    /// Adds another unit's counts.
+    pub fn add(&mut self, other: &OutcomeCounts) {
+        self.succeeded += other.succeeded;
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+        self.late += other.late;
     }
 }
 
-/// The number of units of each zone that the fleet agreed on. A unit that is missing counts as unavailable, also for a
-/// leader that never saw it.
+/// The agreed number of units in each zone. A missing unit counts as unavailable, even for a leader that has never seen
+/// the unit.
 pub type ZoneSizes = BTreeMap<String, u32>;
 
-/// The number of units that are seen in each zone, ready or not.
+/// Counts the units of each zone that are seen, ready or not.
 pub fn observed_zone_sizes<'a>(units: impl Iterator<Item = &'a Unit>) -> ZoneSizes {
     let mut sizes = ZoneSizes::new();
-    for unit in units.filter(|u| u.status != ServiceStatus::OutOfService) {
+    for unit in units.filter(|unit| unit.status != ServiceStatus::OutOfService) {
         *sizes.entry(unit.zone.clone()).or_default() += 1;
     }
     sizes
--- a/src/coordination/disruption_budget/violation.rs
+++ b/src/coordination/disruption_budget/violation.rs
@@ -1,90 +1,102 @@
-//! Why a unit may not go.
+//! Violations of a disruption budget: the limits that can prevent a unit from draining.
 
 use std::fmt;
 
-/// The limit that forbids a unit to go now.
+/// The limit that prevents a unit from draining now. Displayed in the status of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// The fleet's limit is used up.
+    /// The fleet already has as many unavailable units as its limit allows.
     Fleet {
-        /// Units that are unavailable.
+        /// The number of unavailable units.
         unavailable: u32,
-        /// Units that may be.
+        /// The maximum number of unavailable units.
         limit: u32,
     },
-    /// A zone's limit is used up.
+    /// The zone already has as many unavailable units as its limit allows.
     Zone {
-        /// The zone.
+        /// The zone's name.
         zone: String,
-        /// Units that are unavailable.
+        /// The number of unavailable units.
         unavailable: u32,
-        /// Units that may be.
+        /// The maximum number of unavailable units.
         limit: u32,
     },
-    /// A cell's limit is used up.
+    /// The cell already has as many unavailable units as its limit allows.
     Cell {
-        /// The cell, after its zone.
+        /// The zone's name and the cell's name, separated by a slash.
         cell: String,
-        /// Units that are unavailable.
+        /// The number of unavailable units.
         unavailable: u32,
-        /// Units that may be.
+        /// The maximum number of unavailable units.
         limit: u32,
     },
-    /// A kind's limit is used up.
+    /// The kind already has as many unavailable units as its limit allows.
     Kind {
-        /// The kind.
+        /// The name of the kind.
         kind: String,
-        /// Units that are unavailable.
+        /// The number of unavailable units.
         unavailable: u32,
-        /// Units that may be.
+        /// The maximum number of unavailable units.
         limit: u32,
     },
-    /// No more units of a role stay ready in a place than have to.
+    /// A zone, a cell or the voters have no ready unit of a role beyond the minimum.
     MinReady {
-        /// The role, in the operators' words.
+        /// The role, as operators name the role in the settings.
         role: &'static str,
-        /// The zone or cell, in words.
+        /// The zone or cell, or the state of the voters, as text for operators.
         place: String,
-        /// Units that have to stay.
+        /// The minimum number of units that must stay ready.
         minimum: u32,
     },
-    /// Those that stay in a place would be used too much.
+    /// The remaining engines of a role would exceed the maximum utilization.
     Utilization {
-        /// The place and the role, in words.
+        /// The fleet or the zone, followed by the role, as text for operators.
         place: String,
-        /// The utilization to expect, in thousandths; at most 999.
+        /// The expected mean utilization of the remaining engines, in thousandths, from 0 to 999.
         per_mille: u32,
     },
 }
 
 impl fmt::Display for Violation {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Violation::Fleet { unavailable, limit } => {
-                write!(to, "{unavailable} of the fleet are out and {limit} may be")
+                write!(
+                    formatter,
+                    "{unavailable} of the fleet are out and {limit} may be"
+                )
             }
             Violation::Zone {
                 zone,
                 unavailable,
                 limit,
-            } => write!(to, "zone {zone}: {unavailable} are out and {limit} may be"),
+            } => write!(
+                formatter,
+                "zone {zone}: {unavailable} are out and {limit} may be"
+            ),
             Violation::Cell {
                 cell,
                 unavailable,
                 limit,
-            } => write!(to, "cell {cell}: {unavailable} are out and {limit} may be"),
+            } => write!(
+                formatter,
+                "cell {cell}: {unavailable} are out and {limit} may be"
+            ),
             Violation::Kind {
                 kind,
                 unavailable,
                 limit,
-            } => write!(to, "kind {kind}: {unavailable} are out and {limit} may be"),
+            } => write!(
+                formatter,
+                "kind {kind}: {unavailable} are out and {limit} may be"
+            ),
             Violation::MinReady {
                 role,
                 place,
                 minimum,
-            } => write!(to, "{place}: {minimum} ready {role} have to stay"),
+            } => write!(formatter, "{place}: {minimum} ready {role} have to stay"),
             Violation::Utilization { place, per_mille } => write!(
-                to,
+                formatter,
                 "{place}: those left would be used to 0.{:03}, or nobody knows",
                 per_mille.min(&999)
             ),
