--- a/src/coordination/member/rollout/commands.rs
+++ b/src/coordination/member/rollout/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' requests about rollouts.
+//! Handles operators' requests about rollouts and dispatchers' requests for permits.
 
 use super::super::*;
 use super::plan_check::PlanCheck;
@@ -8,26 +8,27 @@
 use crate::coordination::state::CommandError;
 use std::collections::BTreeSet;
 
-/// A dispatcher that waits for a permit asks again within this, in milliseconds.
+/// How long a dispatcher's request for a permit stays valid, in milliseconds. The dispatcher renews the request within
+/// this time.
 const REQUEST_TTL_MS: Ms = 2_000.0;
-/// Dispatchers that may wait for a permit at once.
-const MAX_REQUESTS: usize = 1024;
+/// The maximum number of dispatchers that wait for a permit at once.
+const MAX_PERMIT_REQUESTS: usize = 1024;
 
 impl Member {
-    /// Takes an operator's request. None: it is answered once the voters agreed.
+    /// Handles a request. Returns none if the reply follows once the voters have agreed on a command.
     pub(in super::super) fn rollout_request(
         &mut self,
         call: CallId,
         request: RolloutRequest,
     ) -> Option<Reply> {
         let command = match request {
-            RolloutRequest::Halt { reason } => return self.request_halt(call, reason),
+            RolloutRequest::Halt { reason } => return self.handle_halt(call, reason),
             RolloutRequest::Permit {
                 name,
                 label,
                 cancel,
             } => match self.check_leader() {
-                Ok(()) => return Some(self.request_permit(name, label, cancel)),
+                Ok(()) => return Some(self.handle_permit_request(name, label, cancel)),
                 Err(reply) => Err(reply),
             },
             RolloutRequest::End => self.check_leader().map(|()| OperatorCommand::End),
@@ -53,25 +54,27 @@
         }
     }
 
-    /// Whether this dispatcher is the membership leader; else the reply says where to ask instead.
+    /// Checks that this dispatcher is the membership leader. The error is the reply, with the leader's address if the
+    /// leader is known.
     fn check_leader(&self) -> Result<(), Reply> {
-        if self.held_leases.contains_key(&Self::membership_lease()) {
+        if self.held_leases.contains_key(&membership_lease()) {
             return Ok(());
         }
-        let other = self
+        let other_leader = self
             .membership_leader
             .as_ref()
             .filter(|(_, holder)| holder.incarnation != self.settings.incarnation);
-        Err(match other {
+        Err(match other_leader {
             Some((_, holder)) => Reply::Elsewhere(holder.address.clone()),
             None => Reply::Refused("nobody calls the roll now: try again in a moment".to_owned()),
         })
     }
 
-    /// Whether this dispatcher is the membership leader with a complete view.
+    /// Checks that this dispatcher is the membership leader and has a complete view of the fleet.
     ///
-    /// Guards against a new leader that takes units it has not seen yet for missing, which would show as a plan or a
-    /// count without them: it refuses until every unit that is there has had the time to send a heartbeat.
+    /// A new leader has not seen all units yet. Without this check the leader would treat unseen units as missing and
+    /// leave them out of a plan or a count. The leader therefore refuses until every live unit has had time to send a
+    /// heartbeat.
     fn check_view(&self) -> Result<(), Reply> {
         self.check_leader()?;
         if self.is_view_complete() {
@@ -87,7 +90,8 @@
         OperatorCommand::Recount(unit_kind, sizes)
     }
 
-    /// The command of a plan that can be carried out; else the reply, also that of a dry run.
+    /// Builds the command that starts a rollout. The error is the reply to a dry run, or the refusal of a plan that
+    /// cannot be carried out.
     fn start_command(
         &self,
         plan: RolloutPlan,
@@ -126,7 +130,7 @@
         })))
     }
 
-    /// The sizes of the zones, as agreed or as seen: the larger ones.
+    /// The larger of the agreed and the observed number of units in each zone.
     fn largest_sizes(&self, view: &FleetView, unit_kind: UnitKind) -> ZoneSizes {
         let mut sizes = observed_zone_sizes(view.units(unit_kind).iter());
         let agreed = self
@@ -140,40 +144,43 @@
         sizes
     }
 
-    /// A dispatcher asks for a permit, or asks again, or waits no more.
-    fn request_permit(&mut self, name: Name, label: String, cancel: bool) -> Reply {
+    /// Stores, renews or cancels a dispatcher's request for a permit.
+    fn handle_permit_request(&mut self, name: Name, label: String, cancel: bool) -> Reply {
         if let Some(reply) = self.granted_reply(&name) {
             return reply;
         }
         if cancel {
-            self.disruptions.requests.remove(&name);
+            self.disruptions.permit_requests.remove(&name);
             return Reply::Done(format!("{} waits no more", name.0));
         }
         let address = self
             .membership
             .as_ref()
-            .and_then(|roll| roll.address(&name));
+            .and_then(|membership| membership.address(&name));
         if address.is_none() {
             return match self.is_view_complete() {
                 false => Reply::Pending("the roll is not whole yet".to_owned()),
                 true => Reply::Refused(format!("the roll-call knows no {}", name.0)),
             };
         }
-        if self.disruptions.requests.len() >= MAX_REQUESTS {
+        if self.disruptions.permit_requests.len() >= MAX_PERMIT_REQUESTS {
             return Reply::Refused("too many wait for a turn".to_owned());
         }
-        let until = self.now + REQUEST_TTL_MS;
-        self.disruptions.requests.insert(name, (label, until));
+        let expires_at = self.now + REQUEST_TTL_MS;
+        self.disruptions
+            .permit_requests
+            .insert(name, (label, expires_at));
         let controller = self.disruptions.controller.as_ref();
-        let reason = controller.and_then(|c| c.blocked_reason.clone());
+        let reason = controller.and_then(|controller| controller.blocked_reason.clone());
         Reply::Pending(reason.unwrap_or_else(|| "waiting".to_owned()))
     }
 
+    /// The reply to a dispatcher that already has a permit. None if the dispatcher has no permit.
     fn granted_reply(&self, name: &Name) -> Option<Reply> {
         let disruptions = self.agreed_disruptions()?;
         let (id, permit) = disruptions.permit_for(UnitKind::Dispatchers, name)?;
         let view = self.fleet_view();
-        let unit = view.dispatchers.iter().find(|u| u.name == *name);
+        let unit = view.dispatchers.iter().find(|unit| unit.name == *name);
         Some(match permit_stage(permit, unit) {
             PermitStage::Granted => {
                 Reply::Pending(format!("turn {} is given and being told", id.0))
@@ -182,19 +189,19 @@
         })
     }
 
-    /// The reply to an operator once the voters agreed on its command, or did not.
+    /// Returns the reply to an operator's command after the voters have agreed on the command or rejected it.
     pub(in super::super) fn operator_command_done(
         &mut self,
         command: &OperatorCommand,
-        done: Result<(), CommandError>,
+        result: Result<(), CommandError>,
         value: Option<&ReplicatedState>,
     ) -> Reply {
         let is_halt = matches!(command, OperatorCommand::Halt(_));
-        if let (true, Ok(()), Some(value)) = (is_halt, &done, value) {
-            self.halt_agreed(value);
+        if let (true, Ok(()), Some(value)) = (is_halt, &result, value) {
+            self.begin_halt_confirmation(value);
         }
-        self.disruptions.next_look = self.now;
-        match done {
+        self.disruptions.next_evaluation_at = self.now;
+        match result {
             Ok(()) => agreed_reply(command),
             Err(error) => refused_reply(command, error),
         }
--- a/src/coordination/member/rollout/fleet_view.rs
+++ b/src/coordination/member/rollout/fleet_view.rs
@@ -1,15 +1,16 @@
-//! The fleet as the membership leader sees it.
+//! The membership leader's view of all units, built from heartbeats and the list of engines.
 
 use super::super::*;
 use crate::coordination::disruption_budget::ServiceStatus;
 use crate::coordination::membership::{self, MemberStatus};
 use crate::coordination::rollout_controller::FleetView;
 
-/// Heartbeat intervals of a new leader until its view is complete: a dispatcher that is there has sent one by then,
-/// and one that is silent is known to be.
-const COMPLETE_AFTER_HEARTBEATS: f64 = 12.0;
+/// The number of heartbeat intervals after which a new leader's view is complete. By then every live dispatcher has
+/// sent a heartbeat, and a silent dispatcher has been detected as failed.
+const VIEW_COMPLETE_AFTER_HEARTBEATS: f64 = 12.0;
 
 impl Member {
+    /// Builds the current view. Empty unless this dispatcher is the membership leader.
     pub(super) fn fleet_view(&self) -> FleetView {
         let Some(membership) = &self.membership else {
             return FleetView::default();
@@ -27,11 +28,11 @@
         }
     }
 
-    /// Whether this dispatcher has led for long enough to have a heartbeat of every dispatcher that is there.
+    /// Whether this dispatcher has led for long enough to have received a heartbeat from every live dispatcher.
     pub(super) fn is_view_complete(&self) -> bool {
         self.membership.as_ref().is_some_and(|membership| {
             let interval = membership.heartbeat_interval(self.settings.heartbeat);
-            self.now - membership.since >= COMPLETE_AFTER_HEARTBEATS * interval
+            self.now - membership.since >= VIEW_COMPLETE_AFTER_HEARTBEATS * interval
         })
     }
 
@@ -63,14 +64,16 @@
         }
     }
 
-    /// An engine of this dispatcher's list, with the freshest report of its load and all dispatchers' outcomes.
+    /// An engine of this dispatcher's own list, with its latest load report and its outcomes at all dispatchers.
     fn engine_unit(&self, membership: &Membership, unit: &Unit) -> Unit {
         let reported = membership.engine(&unit.name);
         let reported_utilization = reported
             .and_then(|usage| usage.used)
             .map(|(fraction, at)| (fraction, self.now - at));
         let utilization = match (unit.utilization, reported_utilization) {
-            (Some(own), Some(reported)) if reported.1 < own.1 => Some(reported),
+            (Some((_, own_age)), Some((_, reported_age))) if reported_age < own_age => {
+                reported_utilization
+            }
             (own, reported) => own.or(reported),
         };
         Unit {
--- a/src/coordination/member/rollout/halt.rs
+++ b/src/coordination/member/rollout/halt.rs
@@ -1,24 +1,26 @@
-//! A halt, which any dispatcher may give. It is confirmed once no unit can begin to go any more.
+//! Halts, which any dispatcher accepts from an operator. A halt is confirmed once no unit can begin to drain any more.
 
 use super::super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::rollout::{DisruptionState, OperatorCommand};
 
-/// A unit with a permit, and what it said.
+/// A unit that had a permit at the halt, and the unit's reply.
 #[derive(Clone, Debug, PartialEq)]
 struct AskedUnit {
     unit: Name,
-    /// Whether it had begun to go; none until it said.
+    /// Whether the unit had begun to drain before the halt. None until the unit replies.
     begun: Option<bool>,
 }
 
-/// A halt that is agreed on and not confirmed yet: units that may still begin are asked, or waited for.
+/// The confirmation of an agreed halt: units that may still begin to drain are asked, until all have replied or can no
+/// longer begin.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct HaltConfirmation {
-    since: Ms,
-    /// Units with permits at the halt.
+    /// When this dispatcher learned that the halt was agreed on.
+    agreed_at: Ms,
+    /// The units that had permits at the halt.
     asked: BTreeMap<PermitId, AskedUnit>,
-    next_question: Ms,
+    next_question_at: Ms,
 }
 
 impl HaltConfirmation {
@@ -28,37 +30,38 @@
             (*id, AskedUnit { unit, begun: None })
         });
         HaltConfirmation {
-            since: now,
+            agreed_at: now,
             asked: asked.collect(),
-            next_question: now,
+            next_question_at: now,
         }
     }
 
-    /// Units that have not said.
-    fn open(&self) -> impl Iterator<Item = &PermitId> {
+    /// The permits whose units have not replied.
+    fn unanswered(&self) -> impl Iterator<Item = &PermitId> {
         let asked = self.asked.iter();
         asked
             .filter(|(_, asked)| asked.begun.is_none())
             .map(|(id, _)| id)
     }
 
-    fn is_open(&self) -> bool {
-        self.open().next().is_some()
+    fn has_unanswered(&self) -> bool {
+        self.unanswered().next().is_some()
     }
 
-    /// When units are asked again, if any has not said.
+    /// When the units that have not replied are asked again. None if all have replied.
     pub fn next_question_at(&self) -> Option<Ms> {
-        self.is_open().then_some(self.next_question)
+        self.has_unanswered().then_some(self.next_question_at)
     }
 
-    /// A unit said whether it had begun.
+    /// Records a unit's reply whether it had begun to drain.
     pub fn record_reply(&mut self, permit: PermitId, begun: bool) {
         if let Some(asked) = self.asked.get_mut(&permit) {
             asked.begun = Some(begun);
         }
     }
 
-    fn names(&self, begun: Option<bool>) -> String {
+    /// The names of the units with this reply, separated by commas.
+    fn unit_names(&self, begun: Option<bool>) -> String {
         let names: Vec<&str> = self
             .asked
             .values()
@@ -68,7 +71,7 @@
         names.join(", ")
     }
 
-    /// What the units said, in words.
+    /// A text for the operator that lists the units by their reply.
     fn summary(&self) -> String {
         let mut text = "halted: no turn begins from now on".to_owned();
         let groups = [
@@ -76,10 +79,10 @@
             (Some(false), "taken back"),
             (None, "not reached, may have begun before"),
         ];
-        for (begun, what) in groups {
-            let names = self.names(begun);
+        for (begun, description) in groups {
+            let names = self.unit_names(begun);
             if !names.is_empty() {
-                text += &format!("; {what}: {names}");
+                text += &format!("; {description}: {names}");
             }
         }
         text
@@ -87,65 +90,68 @@
 }
 
 impl Member {
-    /// A halt that this dispatcher passed on is agreed on.
-    pub(super) fn halt_agreed(&mut self, value: &ReplicatedState) {
+    /// Starts the confirmation of a halt that this dispatcher proposed and that the voters have agreed on.
+    pub(super) fn begin_halt_confirmation(&mut self, value: &ReplicatedState) {
         let confirmation = HaltConfirmation::new(self.now, &value.disruptions);
-        self.disruptions.halt = Some(confirmation);
+        self.disruptions.halt_confirmation = Some(confirmation);
     }
 
-    /// Asks units that may still begin, until all have said.
+    /// Asks the units that have not replied yet, at most once per request timeout.
     pub(in super::super) fn confirm_halt(&mut self, out: &mut Vec<Output>) {
-        let Some(halt) = &mut self.disruptions.halt else {
+        let Some(halt) = &mut self.disruptions.halt_confirmation else {
             return;
         };
-        if !halt.is_open() || self.now < halt.next_question {
+        if !halt.has_unanswered() || self.now < halt.next_question_at {
             return;
         }
-        halt.next_question = self.now + self.settings.answer_within;
-        let open: Vec<PermitId> = halt.open().copied().collect();
+        halt.next_question_at = self.now + self.settings.answer_within;
+        let unanswered: Vec<PermitId> = halt.unanswered().copied().collect();
         let permits = self
             .agreed_disruptions()
             .map(|disruptions| disruptions.permits.clone())
             .unwrap_or_default();
-        for id in open {
+        for id in unanswered {
             if let Some(permit) = permits.get(&id) {
                 self.ask_revocation(id, permit, RequestPurpose::ConfirmHalt { permit: id }, out);
             }
         }
     }
 
-    /// Guards against a halt that is confirmed while a notice of an earlier leader is on its way, which would show as a
-    /// unit that goes after the halt: all units have said, or a whole lease has passed, after which no receiver executes
-    /// a notice from before the halt, and a later leader knows of it.
+    /// The reply to an operator's halt: pending until all units have replied or one full lease has passed.
+    ///
+    /// After a full lease no receiver executes a notice that was sent before the halt, and any later leader knows of
+    /// the halt. A reply before that time could confirm the halt while a notice of an earlier leader is in transit, and
+    /// a unit would drain after the halt.
     fn halt_reply(&self, halt: &HaltConfirmation) -> Reply {
         let lease = &self.settings.lease;
-        let remaining = halt.since + lease.waited_for(lease.lease_ms()) - self.now;
-        if halt.is_open() && remaining > 0.0 {
-            let open = halt.open().count();
+        let remaining = halt.agreed_at + lease.waited_for(lease.lease_ms()) - self.now;
+        if halt.has_unanswered() && remaining > 0.0 {
+            let unanswered = halt.unanswered().count();
             return Reply::Pending(format!(
-                "halted; {open} turns may still begin, for {remaining:.0} ms at most"
+                "halted; {unanswered} turns may still begin, for {remaining:.0} ms at most"
             ));
         }
         Reply::Done(halt.summary())
     }
 
-    /// An operator's halt. None: it is answered once it is agreed on.
-    pub(super) fn request_halt(&mut self, call: CallId, reason: String) -> Option<Reply> {
+    /// Handles an operator's halt, which the operator repeats until the halt is confirmed. Returns none if the reply
+    /// follows once the voters have agreed on the halt.
+    pub(super) fn handle_halt(&mut self, call: CallId, reason: String) -> Option<Reply> {
         if is_injected(InjectedFault::HaltByHolderAlone)
-            && self.held_leases.contains_key(&Self::membership_lease())
+            && self.held_leases.contains_key(&membership_lease())
         {
-            self.disruptions.halted_alone = true;
+            self.disruptions.has_local_halt = true;
             return Some(Reply::Done("halted".to_owned()));
         }
-        let Some(halt) = &self.disruptions.halt else {
+        let Some(halt) = &self.disruptions.halt_confirmation else {
             let command = OperatorCommand::Halt(reason);
             self.submit_command(call, Command::OperatorCommand(command));
             return None;
         };
         let reply = self.halt_reply(halt);
         if matches!(reply, Reply::Done(_)) {
-            // A later halt asks again.
-            self.disruptions.halt = None;
+            // A later halt starts a new confirmation.
+            self.disruptions.halt_confirmation = None;
         }
         Some(reply)
     }
--- a/src/coordination/member/rollout/leader.rs
+++ b/src/coordination/member/rollout/leader.rs
@@ -1,4 +1,4 @@
-//! The membership leader runs the controller.
+//! Runs the rollout controller on the membership leader and proposes its steps.
 
 use super::super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
@@ -6,45 +6,49 @@
 use crate::coordination::rollout_controller::{ControllerInputs, PermitRequest, RolloutController};
 use std::collections::BTreeSet;
 
-/// Looks at the fleet in one heartbeat interval, while there is something to look after.
-const LOOKS_PER_HEARTBEAT: f64 = 2.0;
-/// The least and the most time between two looks, in milliseconds.
-const MIN_LOOK_INTERVAL_MS: Ms = 10.0;
-const MAX_LOOK_INTERVAL_MS: Ms = 250.0;
-/// Time between two looks with nothing to look after, in leases: units are only counted then.
-const IDLE_LOOK_LEASES: f64 = 1.0;
+/// How often the controller runs per heartbeat interval while there is a permit, a rollout or a request for a permit.
+const EVALUATIONS_PER_HEARTBEAT: f64 = 2.0;
+/// The minimum time between two runs of the controller, in milliseconds.
+const MIN_EVALUATION_INTERVAL_MS: Ms = 10.0;
+/// The maximum time between two runs of the controller that is not idle, in milliseconds.
+const MAX_EVALUATION_INTERVAL_MS: Ms = 250.0;
+/// The time between two runs of an idle controller, in lease durations. An idle controller only updates the agreed zone
+/// sizes.
+const IDLE_EVALUATION_INTERVAL_LEASES: f64 = 1.0;
 
 impl Member {
-    /// Runs the controller if this dispatcher is the membership leader and it is time for a look.
+    /// Runs the controller if this dispatcher is the membership leader and the next run is due. Discards the controller
+    /// if this dispatcher is not the leader.
     pub(in super::super) fn run_rollout_controller(&mut self) {
         if self.valid_membership_lease().is_none() {
             self.disruptions.controller = None;
-            self.disruptions.step = None;
+            self.disruptions.pending_step = None;
             self.disruptions.to_notify = Vec::new();
             self.disruptions.to_revoke = Vec::new();
             return;
         }
         let now = self.now;
         self.disruptions
-            .requests
-            .retain(|_, (_, until)| now < *until);
+            .permit_requests
+            .retain(|_, (_, expires_at)| now < *expires_at);
         let Some(disruptions) = self.agreed_disruptions().cloned() else {
             return;
         };
-        if now < self.disruptions.next_look || self.disruptions.step.is_some() {
+        if now < self.disruptions.next_evaluation_at || self.disruptions.pending_step.is_some() {
             return;
         }
-        let is_idle = !disruptions.is_active() && self.disruptions.requests.is_empty();
+        let is_idle = !disruptions.is_active() && self.disruptions.permit_requests.is_empty();
         let interval = match is_idle {
-            true => IDLE_LOOK_LEASES * self.settings.lease.lease,
-            false => self.look_interval(),
+            true => IDLE_EVALUATION_INTERVAL_LEASES * self.settings.lease.lease,
+            false => self.evaluation_interval(),
         };
-        self.disruptions.next_look = now + interval;
-        self.look(&disruptions);
+        self.disruptions.next_evaluation_at = now + interval;
+        self.evaluate_rollout(&disruptions);
     }
 
-    fn look(&mut self, disruptions: &DisruptionState) {
-        let requests: Vec<PermitRequest> = (self.disruptions.requests.iter())
+    /// Runs the controller once and stores its step, notices and revocations.
+    fn evaluate_rollout(&mut self, disruptions: &DisruptionState) {
+        let requests: Vec<PermitRequest> = (self.disruptions.permit_requests.iter())
             .map(|(name, (label, _))| PermitRequest {
                 name: name.clone(),
                 label: label.clone(),
@@ -67,13 +71,13 @@
         let step = controller.next_step(&inputs);
         self.disruptions.to_notify = std::mem::take(&mut controller.to_notify);
         self.disruptions.to_revoke = std::mem::take(&mut controller.to_revoke);
-        // With the injected fault a halt given here is not known to the others.
-        self.disruptions.step = step.filter(|_| !self.disruptions.halted_alone);
+        // With the injected fault, a halt that only this leader knows of stops all steps.
+        self.disruptions.pending_step = step.filter(|_| !self.disruptions.has_local_halt);
         if let (true, Some(RolloutStep::Grant(permits))) = (
             is_injected(InjectedFault::ToldBeforeAgreed),
-            &self.disruptions.step,
+            &self.disruptions.pending_step,
         ) {
-            self.disruptions.unagreed = permits.clone();
+            self.disruptions.unagreed_permits = permits.clone();
         }
     }
 
@@ -83,39 +87,44 @@
             .unwrap_or_default()
     }
 
-    fn look_interval(&self) -> Ms {
-        (self.settings.heartbeat / LOOKS_PER_HEARTBEAT)
-            .clamp(MIN_LOOK_INTERVAL_MS, MAX_LOOK_INTERVAL_MS)
+    fn evaluation_interval(&self) -> Ms {
+        (self.settings.heartbeat / EVALUATIONS_PER_HEARTBEAT)
+            .clamp(MIN_EVALUATION_INTERVAL_MS, MAX_EVALUATION_INTERVAL_MS)
     }
 
-    /// When there is something to look at or to send.
+    /// When the controller runs next, or when units are next asked after a halt. None if neither is due.
     pub(in super::super) fn rollout_wakes_at(&self) -> Option<Ms> {
-        let is_leader = self.held_leases.contains_key(&Self::membership_lease());
-        let look = is_leader.then(|| match self.disruptions.step {
-            Some(_) => self.now + self.look_interval(),
-            None => self.disruptions.next_look,
+        let is_leader = self.held_leases.contains_key(&membership_lease());
+        let evaluation = is_leader.then(|| match self.disruptions.pending_step {
+            Some(_) => self.now + self.evaluation_interval(),
+            None => self.disruptions.next_evaluation_at,
         });
-        let halt = self.disruptions.halt.as_ref();
-        let halt = halt.and_then(|halt| halt.next_question_at());
-        look.into_iter().chain(halt).min_by(f64::total_cmp)
+        let halt = self.disruptions.halt_confirmation.as_ref();
+        let question = halt.and_then(|halt| halt.next_question_at());
+        evaluation
+            .into_iter()
+            .chain(question)
+            .min_by(f64::total_cmp)
     }
 
-    /// The step that the membership leader wants agreed on.
+    /// The pending step as a command to propose. None unless this dispatcher is the membership leader and has such a
+    /// step.
     pub(in super::super) fn proposed_step(&self) -> Option<(ProposalReason, Command)> {
         let lease = self.valid_membership_lease()?;
         let command = Command::RolloutStep {
-            lease_name: Self::membership_lease(),
+            lease_name: membership_lease(),
             term: lease.term,
             who: self.me(),
-            step: self.disruptions.step.clone()?,
+            step: self.disruptions.pending_step.clone()?,
         };
         Some((ProposalReason::RolloutStep, command))
     }
 
-    /// A step was proposed, and agreed on or not.
+    /// Clears the pending step after its proposal ended. The controller runs again at once if the voters agreed on the
+    /// step, else after a delay.
     pub(in super::super) fn step_proposed(&mut self, agreed: bool) {
-        self.disruptions.step = None;
-        self.disruptions.next_look = match agreed {
+        self.disruptions.pending_step = None;
+        self.disruptions.next_evaluation_at = match agreed {
             true => self.now,
             false => self.now + self.settings.lease.gap(),
         };
--- a/src/coordination/member/rollout/mod.rs
+++ b/src/coordination/member/rollout/mod.rs
@@ -1,5 +1,5 @@
-//! One dispatcher's part in rollouts: the membership leader runs the controller and notifies units of their permits; a
-//! dispatcher with a permit drains; any dispatcher may halt.
+//! One dispatcher's part in rollouts. The membership leader runs the rollout controller and notifies units of their
+//! permits. A dispatcher that is notified of its permit drains. Any dispatcher accepts an operator's halt.
 
 mod commands;
 mod fleet_view;
@@ -18,53 +18,55 @@
 use notices::NoticeReceiver;
 use std::collections::BTreeSet;
 
-/// Engine reports in one heartbeat.
+/// The maximum number of engine reports in one heartbeat.
 pub const MAX_REPORTS: usize = 8;
-/// Heartbeats for which engine reports are queued.
+/// The maximum length of the queue of engine reports, in multiples of [`MAX_REPORTS`].
 const MAX_QUEUED_HEARTBEATS: usize = 4;
 
-/// One dispatcher's state of rollouts.
+/// The state of one dispatcher for rollouts: as the membership leader, as a unit with a permit, and as the receiver of
+/// a halt. Not replicated.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RolloutState {
-    /// Requests that this process answered.
+    /// Cumulative outcomes of the requests that this process has answered.
     pub(super) outcomes: OutcomeCounts,
-    reports: Vec<EngineReport>,
-    /// Engines as this dispatcher's own list has them.
+    /// Engine reports that wait for the next heartbeats, oldest first.
+    queued_reports: Vec<EngineReport>,
+    /// The engines in this dispatcher's own list from discovery.
     engines: Vec<Unit>,
-    // The leader.
+    // State of the membership leader.
     controller: Option<RolloutController>,
-    next_look: Ms,
-    /// The step that is to be agreed on.
-    step: Option<RolloutStep>,
+    /// When the controller runs next.
+    next_evaluation_at: Ms,
+    /// The step that is being proposed.
+    pending_step: Option<RolloutStep>,
     to_notify: Vec<PermitId>,
     to_revoke: Vec<PermitId>,
     pub(super) receivers: BTreeMap<Address, NoticeReceiver>,
-    /// When a notice, and a revocation, may be sent again.
-    next_notice: BTreeMap<PermitId, Ms>,
-    next_revocation: BTreeMap<PermitId, Ms>,
-    /// Dispatchers that asked for permits: their labels, and until when they wait.
-    requests: BTreeMap<Name, (String, Ms)>,
-    // The unit.
-    /// The permit on which this process drains.
-    begun: Option<PermitId>,
-    /// Permits on which it will not begin.
-    revoked: BTreeSet<PermitId>,
-    // The halt.
-    halt: Option<HaltConfirmation>,
-    /// For injected faults: a halt that nobody else knows, permits that are not agreed on.
-    halted_alone: bool,
-    unagreed: Vec<DisruptionPermit>,
+    /// The earliest time of the next notice of each permit.
+    next_notice_at: BTreeMap<PermitId, Ms>,
+    /// The earliest time of the next revocation request for each permit.
+    next_revocation_at: BTreeMap<PermitId, Ms>,
+    /// Dispatchers that requested permits, each with its next label and the time at which the request expires.
+    permit_requests: BTreeMap<Name, (String, Ms)>,
+    // State of a unit with a permit.
+    /// The permit on which this process drains. None while the process is not draining on a permit.
+    begun_permit: Option<PermitId>,
+    /// Permits on which this process must not begin to drain.
+    revoked_permits: BTreeSet<PermitId>,
+    // State of the dispatcher that received a halt.
+    halt_confirmation: Option<HaltConfirmation>,
+    // State for injected faults.
+    /// A halt that is not in the replicated state.
+    has_local_halt: bool,
+    /// Permits that are sent before the fleet agrees on them.
+    unagreed_permits: Vec<DisruptionPermit>,
 }
 
 impl Member {
-    fn membership_lease() -> LeaseName {
-        LeaseName::from(MEMBERSHIP_LEASE)
-    }
-
-    /// The membership lease, while this dispatcher holds it.
+    /// The membership lease, if this dispatcher holds the lease and the lease has not expired.
     fn valid_membership_lease(&self) -> Option<HeldLease> {
         self.held_leases
-            .get(&Self::membership_lease())
+            .get(&membership_lease())
             .copied()
             .filter(|lease| lease.left(self.now) > 0.0)
     }
@@ -73,31 +75,33 @@
         self.ready = local_health.ready;
         self.load = local_health.load;
         self.disruptions.outcomes = local_health.tally;
-        // Reports of a lost heartbeat are lost: they are thin evidence anyway, and come again.
-        let reports = &mut self.disruptions.reports;
+        // The oldest reports are dropped when the queue is full, and reports in a lost heartbeat are not sent again. A
+        // single report carries little evidence, and a newer report of the same engine follows.
+        let reports = &mut self.disruptions.queued_reports;
         reports.extend(local_health.reports);
-        let surplus = reports
+        let excess = reports
             .len()
             .saturating_sub(MAX_QUEUED_HEARTBEATS * MAX_REPORTS);
-        reports.drain(..surplus);
+        reports.drain(..excess);
     }
 
     pub(super) fn engines(&mut self, engines: Vec<Unit>) {
         self.disruptions.engines = engines;
     }
 
-    /// The next few reports, for a heartbeat.
+    /// Removes up to [`MAX_REPORTS`] reports from the queue, for the next heartbeat.
     pub(super) fn next_reports(&mut self) -> Vec<EngineReport> {
-        let count = self.disruptions.reports.len().min(MAX_REPORTS);
-        self.disruptions.reports.drain(..count).collect()
+        let count = self.disruptions.queued_reports.len().min(MAX_REPORTS);
+        self.disruptions.queued_reports.drain(..count).collect()
     }
 
-    /// Whether [`Input::Engines`] is of use: only the membership leader looks at the list.
+    /// Whether the driver should provide [`Input::Engines`]. Only the membership leader uses the list of engines.
     pub fn wants_engines(&self) -> bool {
-        self.held_leases.contains_key(&Self::membership_lease())
+        self.held_leases.contains_key(&membership_lease())
     }
 
-    /// What is agreed on, as this dispatcher last knew it for certain.
+    /// The permits and the rollout of the newest value that this dispatcher knows to be chosen. None before any is
+    /// known.
     fn agreed_disruptions(&self) -> Option<&DisruptionState> {
         self.chosen.as_ref().map(|value| &*value.disruptions)
     }
--- a/src/coordination/member/rollout/notices.rs
+++ b/src/coordination/member/rollout/notices.rs
@@ -1,60 +1,65 @@
-//! The membership leader notifies units of their permits, and asks them not to begin. Notices are fenced commands under
-//! the membership lease, in its term.
+//! Sends notices of permits to units, and asks units not to drain on permits that are to be revoked. Notices are fenced
+//! commands under the membership lease, in the leader's term.
 
 use super::super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::rollout::{DisruptionPermit, DisruptionState};
 use crate::coordination::rollout_controller::{notice_address, PermitNotice};
 
-/// A notice is sent again after this many heartbeats, if its unit does not show that it goes.
+/// The number of heartbeat intervals after which a notice is sent again if its unit has not begun to drain.
 const RESEND_AFTER_HEARTBEATS: f64 = 4.0;
 
-/// What the leader knows of a receiver of notices.
+/// The leader's state about one receiver of notices: a dispatcher, or the discovery registry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(in super::super) struct NoticeReceiver {
     clock: ReceiverClock,
-    /// A notice is on its way.
+    /// Whether a notice has been sent and not answered.
     in_flight: bool,
-    /// A notice that was not answered may still arrive there before this.
+    /// Until when the receiver may execute an unanswered notice. Negative infinity if every notice has been answered.
     pub(in super::super) executable_until: Ms,
 }
 
 impl Member {
-    /// Whether anything that was seen, agreed on or not, forbids notices.
+    /// Whether a halt may be in effect: the agreed state or any newer known value has a halt, or no agreed state is
+    /// known.
     fn may_be_halted(&self) -> bool {
         let newest = self.newest();
         newest.is_some_and(|value| value.disruptions.halted.is_some())
-            || self.disruptions.halted_alone
+            || self.disruptions.has_local_halt
             || self
                 .agreed_disruptions()
                 .is_none_or(|disruptions| disruptions.halted.is_some())
     }
 
-    /// Sends the notices and revocations that the controller wants.
+    /// Sends the notices and revocation requests that the controller has selected and that are due.
     pub(in super::super) fn send_permit_notices(&mut self, out: &mut Vec<Output>) {
         let Some(lease) = self.valid_membership_lease() else {
             return;
         };
         if is_injected(InjectedFault::ToldBeforeAgreed) {
-            for permit in std::mem::take(&mut self.disruptions.unagreed) {
-                self.notify(PermitId(u64::MAX), &permit, lease, out);
+            for permit in std::mem::take(&mut self.disruptions.unagreed_permits) {
+                self.send_notice(PermitId(u64::MAX), &permit, lease, out);
             }
         }
         let Some(disruptions) = self.agreed_disruptions().cloned() else {
             return;
         };
-        self.notify_all(&disruptions, lease, out);
-        self.revoke_all(&disruptions, out);
+        self.send_due_notices(&disruptions, lease, out);
+        self.send_due_revocations(&disruptions, out);
         let is_granted = |id: &PermitId| disruptions.permits.contains_key(id);
         self.disruptions
-            .next_revocation
+            .next_revocation_at
+            .retain(|id, _| is_granted(id));
+        self.disruptions
+            .next_notice_at
             .retain(|id, _| is_granted(id));
-        self.disruptions.next_notice.retain(|id, _| is_granted(id));
     }
 
-    /// Guards against a unit that goes on a permit which the fleet has not agreed on, or has halted, which would show as
-    /// two units unavailable where one may be: only agreed permits are sent, and only while nothing is known against it.
-    fn notify_all(
+    /// Sends notices of agreed permits only, and only while no halt is known.
+    ///
+    /// Otherwise a unit could drain on a permit that the fleet has not agreed on or has halted, and two units could be
+    /// unavailable where the budget allows one.
+    fn send_due_notices(
         &mut self,
         disruptions: &DisruptionState,
         lease: HeldLease,
@@ -65,27 +70,27 @@
         }
         for id in self.disruptions.to_notify.clone() {
             let controller = self.disruptions.controller.as_ref();
-            let is_revoked = controller.is_some_and(|c| c.is_revoked(id));
+            let is_revoked = controller.is_some_and(|controller| controller.is_revoked(id));
             if let Some(permit) = disruptions.permits.get(&id).filter(|_| !is_revoked) {
-                self.notify(id, permit, lease, out);
+                self.send_notice(id, permit, lease, out);
             }
         }
     }
 
-    fn revoke_all(&mut self, disruptions: &DisruptionState, out: &mut Vec<Output>) {
+    fn send_due_revocations(&mut self, disruptions: &DisruptionState, out: &mut Vec<Output>) {
         for id in self.disruptions.to_revoke.clone() {
-            let next = self.disruptions.next_revocation.get(&id).copied();
-            let is_due = next.is_none_or(|next| self.now >= next);
+            let next_at = self.disruptions.next_revocation_at.get(&id).copied();
+            let is_due = next_at.is_none_or(|next_at| self.now >= next_at);
             if let Some(permit) = disruptions.permits.get(&id).filter(|_| is_due) {
                 self.disruptions
-                    .next_revocation
+                    .next_revocation_at
                     .insert(id, self.now + self.settings.heartbeat);
                 self.ask_revocation(id, permit, RequestPurpose::RevokePermit { permit: id }, out);
             }
         }
     }
 
-    fn notify(
+    fn send_notice(
         &mut self,
         id: PermitId,
         permit: &DisruptionPermit,
@@ -93,29 +98,29 @@
         out: &mut Vec<Output>,
     ) {
         let notice = PermitNotice::new(id, permit);
-        if self.is_mine(permit) {
-            return self.permit_notified(&notice, out);
+        if self.is_for_this_dispatcher(permit) {
+            return self.handle_permit_notice(&notice, out);
         }
         let Some(to) = notice_address(permit, self.settings.keeper.as_ref()).cloned() else {
             return;
         };
-        let next = self.disruptions.next_notice.get(&id).copied();
+        let next_at = self.disruptions.next_notice_at.get(&id).copied();
         let receiver = self.disruptions.receivers.entry(to.clone()).or_default();
-        // One notice at a time to each receiver: the discovery registry gets those of many engines.
-        if receiver.in_flight || next.is_some_and(|next| self.now < next) {
+        // A receiver gets one notice at a time, because the discovery registry receives the notices of many engines.
+        if receiver.in_flight || next_at.is_some_and(|next_at| self.now < next_at) {
             return;
         }
         let (receiver_timestamp, good_for) = receiver.clock.good_for(lease.expires_at);
         receiver.in_flight = true;
         receiver.executable_until = lease.expires_at;
-        // That it was executed is seen in a heartbeat or in the list, some time after.
-        self.disruptions.next_notice.insert(
+        // The effect of an executed notice shows only later, in a heartbeat or in the list of engines.
+        self.disruptions.next_notice_at.insert(
             id,
             self.now + RESEND_AFTER_HEARTBEATS * self.settings.heartbeat,
         );
         self.commands_sent += 1;
         let command = FencedCommand {
-            lease_name: Self::membership_lease(),
+            lease_name: membership_lease(),
             term: lease.term,
             holder: self.me(),
             number: self.commands_sent,
@@ -131,11 +136,11 @@
         self.send_request(to, Question::FencedCommand(command), purpose, out);
     }
 
-    fn is_mine(&self, permit: &DisruptionPermit) -> bool {
+    fn is_for_this_dispatcher(&self, permit: &DisruptionPermit) -> bool {
         permit.unit_kind == UnitKind::Dispatchers && permit.unit == self.settings.me
     }
 
-    /// A receiver answered a notice, or did not.
+    /// Handles the answer to a notice. `answer` is none if the receiver did not answer in time.
     pub(in super::super) fn permit_notice_answered(
         &mut self,
         to: &Address,
@@ -154,13 +159,13 @@
         receiver.clock.answered(now, receiver_timestamp);
         receiver.executable_until = f64::NEG_INFINITY;
         if decision == FencingDecision::TimestampMissing {
-            self.disruptions.next_notice.remove(&permit);
+            self.disruptions.next_notice_at.remove(&permit);
         }
-        // The next one for the same receiver, or the same with a timestamp.
+        // Sends the next notice for this receiver, or the same notice again with the receiver's timestamp.
         self.send_permit_notices(out);
     }
 
-    /// Asks a unit whether it has begun to go; if not, it will not.
+    /// Asks a unit whether it has begun to drain. A unit that has not begun must not begin after its answer.
     pub(super) fn ask_revocation(
         &mut self,
         id: PermitId,
@@ -168,7 +173,7 @@
         purpose: RequestPurpose,
         out: &mut Vec<Output>,
     ) {
-        if self.is_mine(permit) {
+        if self.is_for_this_dispatcher(permit) {
             let begun = self.revoke_unless_begun(id, permit.incarnation);
             return self.handle_answer(purpose, Some(Answer::Begun { begun }), out);
         }
@@ -183,7 +188,7 @@
         }
     }
 
-    /// A unit answered whether it has begun to go, or did not answer.
+    /// Handles a unit's answer whether it has begun to drain. `begun` is none if the unit did not answer in time.
     pub(in super::super) fn revocation_answered(
         &mut self,
         purpose: &RequestPurpose,
@@ -193,11 +198,11 @@
             (RequestPurpose::RevokePermit { permit }, Some(begun)) => {
                 if let Some(controller) = &mut self.disruptions.controller {
                     controller.record_revocation_reply(*permit, begun);
-                    self.disruptions.next_look = self.now;
+                    self.disruptions.next_evaluation_at = self.now;
                 }
             }
             (RequestPurpose::ConfirmHalt { permit }, Some(begun)) => {
-                if let Some(halt) = &mut self.disruptions.halt {
+                if let Some(halt) = &mut self.disruptions.halt_confirmation {
                     halt.record_reply(*permit, begun);
                 }
             }
--- a/src/coordination/member/rollout/permit.rs
+++ b/src/coordination/member/rollout/permit.rs
@@ -1,34 +1,35 @@
-//! This process gets a permit, and drains.
+//! Handles notices and revocations of this process's own permit, and begins to drain.
 
 use super::super::*;
 use crate::coordination::rollout_controller::PermitNotice;
 
-/// Permits that are remembered as revoked.
-const MAX_REVOKED: usize = 1024;
+/// The maximum number of revoked permits that a process remembers. The oldest permits are forgotten first.
+const MAX_REVOKED_PERMITS: usize = 1024;
 
 impl Member {
-    /// Whether this process has begun to drain on a permit; if not, it will not.
+    /// Returns whether this process has begun to drain on a permit. If not, revokes the permit: a later notice of the
+    /// permit is ignored.
     ///
-    /// Guards against a notice that arrives after the leader took the permit for revoked, which would show as a unit that
-    /// drains without a permit: a revoked permit is remembered and its notice ignored.
+    /// Otherwise a notice that arrives after the leader has recorded the revocation would make the process drain
+    /// without a permit.
     pub(in super::super) fn revoke_unless_begun(
         &mut self,
         permit: PermitId,
         incarnation: Incarnation,
     ) -> bool {
-        // Another process had it: that one is gone.
+        // A different incarnation shows that the process with the permit has already ended.
         let is_other_process = incarnation != self.settings.incarnation;
-        if is_other_process || self.disruptions.begun == Some(permit) {
+        if is_other_process || self.disruptions.begun_permit == Some(permit) {
             return true;
         }
-        self.disruptions.revoked.insert(permit);
-        while self.disruptions.revoked.len() > MAX_REVOKED {
-            self.disruptions.revoked.pop_first();
+        self.disruptions.revoked_permits.insert(permit);
+        while self.disruptions.revoked_permits.len() > MAX_REVOKED_PERMITS {
+            self.disruptions.revoked_permits.pop_first();
         }
         false
     }
 
-    /// A fenced command was executed here.
+    /// Handles a fenced command that this process has accepted. Acts on notices of permits and ignores other commands.
     pub(in super::super) fn command_executed(
         &mut self,
         command: &FencedCommand,
@@ -36,20 +37,21 @@
     ) {
         if command.lease_name.0.as_ref() == MEMBERSHIP_LEASE {
             if let Some(notice) = PermitNotice::read(&command.body) {
-                self.permit_notified(&notice, out);
+                self.handle_permit_notice(&notice, out);
             }
         }
     }
 
-    pub(super) fn permit_notified(&mut self, notice: &PermitNotice, out: &mut Vec<Output>) {
-        let is_mine = notice.unit_kind == UnitKind::Dispatchers
+    /// Begins to drain if the notice names this process and its permit is not revoked.
+    pub(super) fn handle_permit_notice(&mut self, notice: &PermitNotice, out: &mut Vec<Output>) {
+        let is_for_this_process = notice.unit_kind == UnitKind::Dispatchers
             && notice.unit == self.settings.me
             && notice.incarnation == self.settings.incarnation;
-        if !is_mine || self.disruptions.revoked.contains(&notice.permit) {
+        if !is_for_this_process || self.disruptions.revoked_permits.contains(&notice.permit) {
             return self.count("turns not ours");
         }
-        if self.disruptions.begun.is_none() && !self.stopping {
-            self.disruptions.begun = Some(notice.permit);
+        if self.disruptions.begun_permit.is_none() && !self.stopping {
+            self.disruptions.begun_permit = Some(notice.permit);
             self.count("turns begun");
             self.drain();
             out.push(Output::PermitGranted {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Drains from now on, and says so in a heartbeat at once.
+    /// Begins to drain, and makes a heartbeat due at once that reports it.
     pub(super) fn drain(&mut self) {
         self.stopping = true;
         self.next_heartbeat_at = self.now;
--- a/src/coordination/member/rollout/plan_check.rs
+++ b/src/coordination/member/rollout/plan_check.rs
@@ -1,4 +1,4 @@
-//! Whether a plan can be carried out, and what it would do.
+//! Checks whether a plan can be carried out, and describes its effect for a dry run.
 
 use crate::coordination::disruption_budget::{
     DisruptionBudget, Unit, UnitCounts, UnitKind, ZoneSizes,
@@ -8,39 +8,38 @@
 use crate::coordination::Name;
 use std::fmt;
 
-/// Why a plan cannot be carried out here and now. Displayed as the operator's reply.
+/// Why a plan cannot be carried out with the current units and limits. Displayed as the reply to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum PlanError {
-    /// The plan names units that are not there.
+    /// The plan names units that do not exist. `names` lists them, separated by commas.
     UnknownUnits { unit_kind: UnitKind, names: String },
-    /// The plan selects no unit that is there.
+    /// The plan selects none of the existing units.
     SelectsNothing,
-    /// No discovery registry is known that would list engines as draining.
+    /// The settings name no discovery registry, so no engine can be listed as draining.
     NoRegistry,
-    /// The budget forbids some of the selected units for good; in words.
+    /// The budget can never allow some of the selected units to drain. Carries the reason.
     Impossible(String),
 }
 
 impl fmt::Display for PlanError {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PlanError::UnknownUnits { unit_kind, names } => {
-                let list = match unit_kind {
+                let source = match unit_kind {
                     UnitKind::Engines => "the list",
                     UnitKind::Dispatchers => "the roll-call",
                 };
-                write!(to, "{list} has no {names}; nothing was changed")
+                write!(formatter, "{source} has no {names}; nothing was changed")
             }
-            PlanError::SelectsNothing => to.write_str("the plan means nobody who is there"),
-            PlanError::NoRegistry => {
-                to.write_str("the settings of the fleet have no 'keeper' to list hosts as draining")
-            }
-            PlanError::Impossible(reason) => to.write_str(reason),
+            PlanError::SelectsNothing => formatter.write_str("the plan means nobody who is there"),
+            PlanError::NoRegistry => formatter
+                .write_str("the settings of the fleet have no 'keeper' to list hosts as draining"),
+            PlanError::Impossible(reason) => formatter.write_str(reason),
         }
     }
 }
 
-/// A plan with the units and limits that it would be carried out with.
+/// A plan, with the units, the budget and the zone sizes against which the plan is checked.
 pub(super) struct PlanCheck<'a> {
     pub plan: &'a RolloutPlan,
     pub budget: &'a DisruptionBudget,
@@ -49,7 +48,10 @@
 }
 
 impl PlanCheck<'_> {
-    /// Whether the plan can be carried out. `skip_missing`: units that it names and that are not there are passed over.
+    /// Checks that the plan can be carried out. `skip_missing` ignores units that the plan names and that do not exist.
+    ///
+    /// # Errors
+    /// Returns the first reason why the plan cannot be carried out.
     pub fn check(&self, skip_missing: bool, has_registry: bool) -> Result<(), PlanError> {
         let unit_kind = self.plan.unit_kind;
         let unknown = self.unknown_units();
@@ -57,7 +59,7 @@
             let names = unknown.join(", ");
             return Err(PlanError::UnknownUnits { unit_kind, names });
         }
-        if !self.units.iter().any(|u| self.plan.selects(u)) {
+        if !self.units.iter().any(|unit| self.plan.selects(unit)) {
             return Err(PlanError::SelectsNothing);
         }
         if unit_kind == UnitKind::Engines && !has_registry {
@@ -82,7 +84,8 @@
         UnitCounts::new(self.units.iter(), self.sizes, self.budget, |_| false)
     }
 
-    /// The waves of the plan, what is unavailable now, and what forbids the first unit; in words.
+    /// Describes the waves of the plan, the units that are unavailable now, and the limit that forbids the first
+    /// selected unit that may not drain now.
     pub fn describe(&self) -> String {
         let PlanCheck {
             plan,
@@ -94,9 +97,14 @@
             "release {} of {}, as they are now:\n",
             plan.name, plan.unit_kind
         );
-        for (at, wave) in planned_waves(plan, budget, units, sizes).iter().enumerate() {
+        for (index, wave) in planned_waves(plan, budget, units, sizes).iter().enumerate() {
             let names: Vec<&str> = wave.iter().map(|name| &*name.0).collect();
-            text += &format!("  wave {}: {} ({})\n", at + 1, names.len(), names.join(" "));
+            text += &format!(
+                "  wave {}: {} ({})\n",
+                index + 1,
+                names.len(),
+                names.join(" ")
+            );
         }
         let counts = self.counts();
         for count in counts.unavailable_counts(budget) {
@@ -109,8 +117,9 @@
                 count.unavailable, count.limit
             );
         }
-        let mut selected = units.iter().filter(|u| plan.selects(u));
-        if let Some(violation) = selected.find_map(|u| counts.check_disruption(u, budget).err()) {
+        let mut selected = units.iter().filter(|unit| plan.selects(unit));
+        let violation = selected.find_map(|unit| counts.check_disruption(unit, budget).err());
+        if let Some(violation) = violation {
             text += &format!("  now binds: {violation}\n");
         }
         text
--- a/src/coordination/member/rollout/status.rs
+++ b/src/coordination/member/rollout/status.rs
@@ -1,4 +1,4 @@
-//! The rollout as operators see it.
+//! Builds the status of the rollout and the permits for operators.
 
 use super::super::*;
 use crate::coordination::disruption_budget::UnavailableCount;
@@ -6,6 +6,8 @@
 use crate::coordination::rollout_controller::{permit_stage, FleetView, PermitStage};
 
 impl Member {
+    /// The status of the rollout and the permits. Without a known agreed state, the newest known value is shown
+    /// instead.
     pub(in super::super) fn rollout_status(&self) -> RolloutStatus {
         let newest = || self.newest().map(|value| &*value.disruptions);
         let Some(disruptions) = self.agreed_disruptions().or_else(newest) else {
@@ -13,7 +15,7 @@
         };
         let view = self.fleet_view();
         let controller = self.disruptions.controller.as_ref();
-        let blocked_reason = controller.and_then(|c| c.blocked_reason.clone());
+        let blocked_reason = controller.and_then(|controller| controller.blocked_reason.clone());
         let rollout = disruptions.rollout.as_deref();
         let permits = disruptions.permits.iter();
         let common = RolloutStatus {
@@ -23,7 +25,7 @@
             permits: permits
                 .map(|(id, permit)| self.permit_status(*id, permit, &view))
                 .collect(),
-            unavailable: self.unavailable(disruptions, &view),
+            unavailable: self.unavailable_counts(disruptions, &view),
             notes: disruptions.notes.clone(),
             ..RolloutStatus::default()
         };
@@ -40,9 +42,9 @@
         view: &FleetView,
     ) -> PermitStatus {
         let units = view.units(permit.unit_kind);
-        let unit = units.iter().find(|u| u.name == permit.unit);
+        let unit = units.iter().find(|unit| unit.name == permit.unit);
         let stage = match permit_stage(permit, unit) {
-            // Only the membership leader sees units.
+            // Only the membership leader sees units, so other dispatchers cannot tell the stage.
             _ if self.membership.is_none() => "given",
             PermitStage::Granted => "given",
             PermitStage::Draining => "out",
@@ -58,7 +60,8 @@
         }
     }
 
-    fn unavailable(
+    /// The unavailable units and their limits. Empty unless this dispatcher is the membership leader.
+    fn unavailable_counts(
         &self,
         disruptions: &DisruptionState,
         view: &FleetView,
@@ -67,12 +70,13 @@
             return Vec::new();
         };
         let rollout = disruptions.rollout.as_deref();
-        let unit_kind = rollout.map_or(UnitKind::Dispatchers, |r| r.plan.unit_kind);
-        let budget = rollout.map_or(&self.settings.bounds.0, |r| &r.budget);
+        let unit_kind = rollout.map_or(UnitKind::Dispatchers, |rollout| rollout.plan.unit_kind);
+        let budget = rollout.map_or(&self.settings.bounds.0, |rollout| &rollout.budget);
         controller.unavailable_counts(disruptions, view, unit_kind, budget)
     }
 }
 
+/// Adds the fields that describe the rollout itself to a status.
 fn with_rollout(status: RolloutStatus, rollout: &Rollout, view: &FleetView) -> RolloutStatus {
     let plan = &rollout.plan;
     let units = view.units(plan.unit_kind).iter();
@@ -87,7 +91,7 @@
             false => plan.wave_size(rollout.wave),
         },
         completed: rollout.completed,
-        selected: units.filter(|u| plan.selects(u)).count() as u32,
+        selected: units.filter(|unit| plan.selects(unit)).count() as u32,
         abandoned: abandoned
             .map(|(unit, reason)| AbandonedUnit { unit, reason })
             .collect(),
@@ -95,15 +99,15 @@
     }
 }
 
-/// The rollout's state in one of the operators' words.
+/// The state of the rollout, as one of the words of [`RolloutStatus::state`].
 fn state_word(disruptions: &DisruptionState, is_blocked: bool) -> &'static str {
     let no_permits = disruptions.permits.is_empty();
     match disruptions.rollout.as_deref() {
         None => "none",
-        Some(r) if r.finished => "done",
+        Some(rollout) if rollout.finished => "done",
         Some(_) if disruptions.halted.is_some() => "halted",
-        Some(r) if r.rolling_back => "going back",
-        Some(r) if r.completed == 0 && no_permits => "waiting",
+        Some(rollout) if rollout.rolling_back => "going back",
+        Some(rollout) if rollout.completed == 0 && no_permits => "waiting",
         Some(_) if is_blocked && no_permits => "held",
         Some(_) => "running",
     }
--- a/src/coordination/member/rollout/stop_by_hand.rs
+++ b/src/coordination/member/rollout/stop_by_hand.rs
@@ -1,11 +1,14 @@
-//! An operator stops one dispatcher without agreement, as for a fleet that cannot agree.
+//! Stops a single dispatcher on an operator's request without the fleet's agreement. Intended for a fleet whose voters
+//! cannot agree.
 
 use super::super::*;
 use crate::coordination::rollout::OperatorCommand;
 
 impl Member {
-    /// The dispatcher that is to stop drains; any other passes the request on, and has it noted once the fleet agrees
-    /// again. None: it is answered once the other dispatcher answered.
+    /// Handles an operator's request to stop the dispatcher `name`.
+    ///
+    /// The named dispatcher drains. Any other dispatcher forwards the request, and adds a note to the replicated state
+    /// once the voters agree again. Returns none if the reply follows after the named dispatcher has answered.
     pub(in super::super) fn stop_by_hand(
         &mut self,
         call: CallId,
@@ -15,10 +18,12 @@
         out: &mut Vec<Output>,
     ) -> Option<Reply> {
         if name == self.settings.me {
-            return Some(self.stop_this_by_hand(&reason, out));
+            return Some(self.stop_this_dispatcher(&reason, out));
         }
         let membership = self.membership.as_ref();
-        let member = membership.and_then(|roll| roll.address(&name)).cloned();
+        let member = membership
+            .and_then(|membership| membership.address(&name))
+            .cloned();
         let voter = self.settings.voters.get(&name).cloned();
         let Some(to) = address.or(member).or(voter) else {
             let why = format!("nobody here knows where {} is: name its address", name.0);
@@ -28,7 +33,10 @@
             "{} was stopped by hand, without agreement: {reason}",
             name.0
         );
-        out.push(Output::Warn(note.clone()));
+        out.push(Output::Warn(format!(
+            "stopping {} on an operator's request, without a permit that the fleet agreed on: {reason}",
+            name.0
+        )));
         let request = OperatorRequest::ByHand {
             name,
             address: None,
@@ -39,8 +47,10 @@
         None
     }
 
-    fn stop_this_by_hand(&mut self, reason: &str, out: &mut Vec<Output>) -> Reply {
-        let warning = format!("stopped by hand, without agreement: {reason}");
+    fn stop_this_dispatcher(&mut self, reason: &str, out: &mut Vec<Output>) -> Reply {
+        let warning = format!(
+            "draining on an operator's request, without a permit that the fleet agreed on: {reason}"
+        );
         out.push(Output::Warn(warning));
         self.count("stopped by hand");
         self.drain();
@@ -51,7 +61,8 @@
         Reply::Done(format!("{} drains and ends", self.settings.me.0))
     }
 
-    /// The dispatcher that was to stop answered, or did not.
+    /// Answers the operator after the dispatcher to stop has answered. `reply` is none if that dispatcher did not
+    /// answer in time.
     pub(in super::super) fn stop_by_hand_answered(
         &mut self,
         call: CallId,
@@ -73,10 +84,11 @@
         });
     }
 
+    /// Proposes the note until the voters agree on it.
     fn note_once_agreed(&mut self, note: String) {
         self.requests_sent += 1;
         self.pending_commands.push(PendingCommand {
-            // Nobody waits for this: a number that no call has.
+            // No caller waits for the result, so the number must not equal that of any call.
             call: CallId(u64::MAX - self.requests_sent),
             command: Command::OperatorCommand(OperatorCommand::Note(note)),
             until: f64::INFINITY,
