--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -1,4 +1,4 @@
-//! Requests and replies.
+//! The types of operators' requests and of the replies.
 
 use crate::coordination::disruption_budget::{UnavailableCount, UnitKind};
 use crate::coordination::membership::MemberStatus;
@@ -7,56 +7,56 @@
 use crate::coordination::{Address, LeaseName, Name, Term};
 use crate::interface::Ms;
 
-/// Longest name of a lease or of a member, in bytes.
+/// The maximum length of the name of a lease or of a member, in bytes.
 pub const LONGEST_NAME: usize = 64;
 
-/// An operator's request, to any dispatcher.
+/// An operator's request. Any dispatcher accepts a request, and may refer the operator to another dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRequest {
-    /// Asks for a [`Status`].
+    /// Requests a [`Status`] of the fleet.
     Status,
-    /// Hands a lease over.
+    /// Hands a lease over to another dispatcher.
     HandOver {
-        /// The lease.
+        /// The name of the lease.
         lease_name: LeaseName,
-        /// The dispatcher that is to hold it; none: whichever comes next.
+        /// The next holder. None selects the first in the order of succession.
         to: Option<Name>,
     },
-    /// Makes a dispatcher a voter.
+    /// Adds a dispatcher to the voters.
     AddVoter {
-        /// The dispatcher.
+        /// The name of the dispatcher.
         name: Name,
-        /// Where it is reached; may be left out for a member that is known.
+        /// The address of the dispatcher's fleet service. May be none for a known member.
         address: Option<Address>,
     },
-    /// Makes a dispatcher a voter no more.
+    /// Removes a dispatcher from the voters.
     RemoveVoter {
-        /// The dispatcher.
+        /// The name of the dispatcher.
         name: Name,
     },
-    /// Asks for a lease for a job, or goes on to ask for it.
+    /// Requests a lease for a job. The job repeats the request to keep the lease.
     HoldLease {
-        /// The lease.
+        /// The name of the lease.
         lease_name: LeaseName,
-        /// The job's number, drawn by the job.
+        /// The job's number, drawn by the job. Distinguishes jobs that request the same lease.
         job: u64,
     },
-    /// The job is over.
+    /// Releases the lease of a job that has ended.
     LetGo {
-        /// The lease.
+        /// The name of the lease.
         lease_name: LeaseName,
-        /// The job's number.
+        /// The number that the job used in its requests to hold the lease.
         job: u64,
     },
-    /// A request about rollouts.
+    /// A request about rollouts or permits.
     Rollout(RolloutRequest),
-    /// Stops one dispatcher without agreement.
+    /// Stops one dispatcher without the fleet's agreement.
     ByHand {
-        /// The dispatcher.
+        /// The name of the dispatcher.
         name: Name,
-        /// Where it is reached; may be left out for a member that is known.
+        /// The address of the dispatcher's fleet service. May be none for a known member or voter.
         address: Option<Address>,
-        /// The operator's reason, in words.
+        /// The operator's reason, which is logged and stored in a note.
         reason: String,
     },
 }
@@ -66,174 +66,178 @@
 pub enum RolloutRequest {
     /// Starts a rollout.
     Start {
-        /// The plan.
+        /// The units, waves and timeouts of the rollout.
         plan: Box<RolloutPlan>,
-        /// Units that the plan names and that are not there are passed over.
+        /// Whether to ignore units that the plan names and that do not exist. Otherwise such a plan is refused.
         skip_missing: bool,
-        /// The waves are only shown.
+        /// Whether to only reply with the waves of the plan, without starting the rollout.
         dry_run: bool,
     },
-    /// Grants no permit any more. Asked again until the reply is [`Reply::Done`].
+    /// Stops the granting of permits. The operator repeats the request until the reply is [`Reply::Done`], which
+    /// confirms that no unit begins to drain any more.
     Halt {
-        /// The operator's reason, in words.
+        /// The operator's reason, which is shown in the status.
         reason: String,
     },
-    /// Ends a halt.
+    /// Ends a halt and restarts the timeouts of all permits.
     Resume,
-    /// Brings units back to the previous label.
+    /// Returns updated units to the plan's previous label, and ends a halt.
     RollBack,
-    /// Finishes the rollout as it stands.
+    /// Finishes the rollout without updating the remaining units, and ends a halt.
     End,
-    /// Units that are missing now are not missing any more.
+    /// Sets the agreed zone sizes to the number of units seen now, so that missing units no longer count as
+    /// unavailable.
     Recount {
-        /// The kind of units.
+        /// Whether to count dispatchers or engines.
         unit_kind: UnitKind,
     },
-    /// Asks for a permit for a dispatcher, or goes on to ask for it.
+    /// Requests a permit for a dispatcher. The dispatcher repeats the request until the permit is granted.
     Permit {
-        /// The dispatcher.
+        /// The name of the dispatcher.
         name: Name,
-        /// The label that it is to come back under; empty: any.
+        /// The label that the dispatcher will have after its restart. An empty label accepts any.
         label: String,
-        /// The permit is not wanted any more.
+        /// Whether to withdraw an earlier request instead.
         cancel: bool,
     },
 }
 
-/// A rollout and the permits, as the dispatcher that was asked sees them; whole at the membership leader.
+/// The rollout and the permits, as the queried dispatcher knows them. Only the membership leader knows all fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutStatus {
-    /// The operators' name for the rollout.
+    /// The operator's name for the rollout. Empty before the first rollout.
     pub name: String,
-    /// The kind of unit that goes.
+    /// Whether the rollout updates dispatchers or engines.
     pub unit_kind: UnitKind,
-    /// One of: none, waiting, running, held, halted, going back, done.
+    /// The state of the rollout. One of: none, waiting, running, held, halted, going back, done.
     pub state: String,
-    /// Why it is halted, in words; empty if it is not.
+    /// The reason for the current halt. Empty if there is no halt.
     pub halted: String,
-    /// Why no permit is granted now, in words; empty if nothing forbids it.
+    /// The reason why no permit is granted now. Empty if nothing prevents permits.
     pub blocked_reason: String,
-    /// The wave, counted from 1.
+    /// The current wave, counted from 1.
     pub wave: u32,
-    /// Permits that the wave has granted.
+    /// The number of permits that the wave has granted.
     pub granted_in_wave: u32,
-    /// Permits that the wave may grant; 0 while rolling back.
+    /// The maximum number of permits of the wave. 0 during a rollback, which has no waves.
     pub wave_size: u32,
-    /// Permits that are complete.
+    /// The number of completed permits of the rollout.
     pub completed: u32,
-    /// Units that are seen and that the plan selects.
+    /// The number of units that the leader sees and the plan selects.
     pub selected: u32,
-    /// Permits that are granted and not complete.
+    /// The granted permits that have not ended.
     pub permits: Vec<PermitStatus>,
-    /// Unavailable units and their limits: the fleet's first, then each zone's.
+    /// The number of unavailable units and its limit, for the fleet first and then for each zone.
     pub unavailable: Vec<UnavailableCount>,
-    /// Units that did not come back as they should.
+    /// Units that did not return as planned and need repair by an operator.
     pub abandoned: Vec<AbandonedUnit>,
-    /// What operators did by hand without agreement.
+    /// Records of operators' actions on single dispatchers without the fleet's agreement.
     pub notes: Vec<String>,
 }
 
-/// A permit and where its unit is.
+/// A granted permit and the progress of its unit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PermitStatus {
-    /// The permit.
+    /// The number of the permit.
     pub permit: PermitId,
-    /// The unit that may go.
+    /// The name of the unit that may drain.
     pub unit: Name,
-    /// The unit's zone.
+    /// The name of the unit's zone.
     pub zone: String,
-    /// One of: given, out, starting, back, back under another label.
+    /// The progress of the unit. One of: given, out, starting, back, back under another label.
     pub stage: String,
 }
 
-/// A unit that did not come back as it should, left for operators.
+/// A unit that did not return as planned and needs repair by an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AbandonedUnit {
-    /// The unit.
+    /// The name of the unit.
     pub unit: Name,
-    /// What was seen of it, in words.
+    /// Why the rollout gave up on the unit.
     pub reason: String,
 }
 
-/// The reply to a request.
+/// The reply to an [`OperatorRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// What was asked for.
+    /// The requested status of the fleet.
     Status(Box<Status>),
-    /// Done, in words.
+    /// The request has succeeded. Carries a description of the result.
     Done(String),
-    /// Not done, with the reason in words.
+    /// The request was refused or has failed. Carries the reason.
     Refused(String),
-    /// Not done yet, with the reason in words: ask again.
+    /// The request is not complete yet. Carries the reason. The sender repeats the request.
     Pending(String),
-    /// The dispatcher at this address can do it.
+    /// The dispatcher at this address can handle the request.
     Elsewhere(Address),
     /// Whether a job's lease is held.
     Holds {
-        /// The lease's term; none if it is not held yet.
+        /// The lease's term. None if the dispatcher does not hold the lease yet.
         term: Option<Term>,
-        /// How long it is held at least, in milliseconds from before it was asked for.
+        /// How long the dispatcher holds the lease at least, in milliseconds from the moment before the request was
+        /// sent.
         good_for: Ms,
     },
 }
 
-/// A voter, as it was asked.
+/// The status of one voter, after a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoterLine {
-    /// Its name.
+    /// The voter's name.
     pub name: Name,
-    /// Where it is reached.
+    /// The address of the voter's fleet service.
     pub address: Address,
-    /// It answered.
+    /// Whether the voter answered the query.
     pub answers: bool,
-    /// It votes, as the voter that the fleet agreed on.
+    /// Whether the voter votes under the identity that the fleet agreed on.
     pub votes: bool,
-    /// The version of the state that it accepted last; 0 if none.
+    /// The version of the state that the voter accepted last. 0 if the voter has accepted none.
     pub version: u64,
 }
 
-/// A member, as the membership leader has it.
+/// The status of one member, as the membership leader knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberLine {
-    /// Its name.
+    /// The member's name.
     pub name: Name,
-    /// Its zone.
+    /// The name of the member's zone.
     pub zone: String,
-    /// The version that it runs, or another label of its operators'.
+    /// The version that the member runs, or another label that operators gave to it.
     pub label: String,
-    /// Whether it is alive.
+    /// The member's liveness, as derived from its heartbeats.
     pub member_status: MemberStatus,
-    /// It said that it is ready.
+    /// Whether the member's last heartbeat reported it as ready.
     pub ready: bool,
-    /// How long its process has run, in milliseconds.
+    /// How long the member's process has run, in milliseconds.
     pub uptime: Ms,
-    /// How long ago its last heartbeat arrived, in milliseconds.
+    /// The time since the member's last heartbeat arrived, in milliseconds.
     pub heard_ago: Ms,
 }
 
-/// The fleet, as the dispatcher that was asked knows it.
+/// The status of the fleet, as the queried dispatcher knows it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Status {
-    /// The dispatcher that was asked.
+    /// The dispatcher that was queried. None in an empty status.
     pub reported_by: Option<Name>,
-    /// A majority of the voters answered.
+    /// Whether a majority of the voters answered the query.
     pub majority: bool,
-    /// Counts changes of the voters.
+    /// The number of changes that the set of voters has had.
     pub generation: u64,
-    /// A change of the voters is under way.
+    /// Whether a change of the set of voters is in progress.
     pub changing: bool,
-    /// The newest version of the state that is known.
+    /// The newest known version of the replicated state. 0 if none is known.
     pub version: u64,
-    /// The voters, each as it was asked.
+    /// The status of each voter.
     pub voters: Vec<VoterLine>,
-    /// Leases with their terms and holders.
+    /// All leases with their terms and holders. The holder is none for a lease that nobody holds.
     pub leases: Vec<(LeaseName, Term, Option<LeaseHolder>)>,
-    /// For how long this dispatcher has been the membership leader, in milliseconds; none if it is not.
+    /// How long this dispatcher has been the membership leader, in milliseconds. None if this dispatcher is not the
+    /// leader.
     pub leading_for: Option<Ms>,
-    /// The members, if this dispatcher is the membership leader.
+    /// The status of each member. Empty unless this dispatcher is the membership leader.
     pub members: Vec<MemberLine>,
-    /// Where the membership leader is, if that is another dispatcher.
+    /// The address of the membership leader. None if this dispatcher is the leader or the leader is unknown.
     pub leader: Option<Address>,
-    /// The rollout and the permits.
+    /// The status of the rollout and the permits.
     pub disruptions: RolloutStatus,
 }
--- a/src/coordination/member/operator_requests/handling.rs
+++ b/src/coordination/member/operator_requests/handling.rs
@@ -1,10 +1,11 @@
-//! Which part of the member takes a request.
+//! Dispatches each operator's request to its handler.
 
 use super::super::*;
 use super::api::{OperatorRequest, Reply};
 
 impl Member {
-    /// Takes a request. It is answered at once, or as soon as the voters it depends on have answered.
+    /// Handles an operator's request. The reply follows at once, or after the voters that the request depends on have
+    /// answered.
     pub(in super::super) fn order(
         &mut self,
         call: CallId,
@@ -18,20 +19,20 @@
                 None
             }
             OperatorRequest::HandOver { lease_name, to } => {
-                Some(self.order_hand_over(&lease_name, to, out))
+                Some(self.hand_over_request(&lease_name, to, out))
             }
             OperatorRequest::AddVoter { name, address } => {
-                self.order_add_voter(call, name, address, out)
+                self.add_voter_request(call, name, address, out)
             }
             OperatorRequest::RemoveVoter { name } => {
                 self.submit_command(call, Command::RemoveVoter { name });
                 None
             }
             OperatorRequest::HoldLease { lease_name, job } => {
-                Some(self.order_hold(lease_name, job))
+                Some(self.hold_lease_request(lease_name, job))
             }
             OperatorRequest::LetGo { lease_name, job } => {
-                Some(self.order_let_go(&lease_name, job, out))
+                Some(self.release_lease_request(&lease_name, job, out))
             }
             OperatorRequest::Rollout(request) => self.rollout_request(call, request),
             OperatorRequest::ByHand {
@@ -46,7 +47,7 @@
     }
 }
 
-/// Answers a request.
+/// Sends the reply to the request with this call number.
 pub(super) fn reply_to(call: CallId, reply: Reply, out: &mut Vec<Output>) {
     let answer = Answer::Reply(reply);
     out.push(Output::Answer { call, answer });
--- a/src/coordination/member/operator_requests/inspection.rs
+++ b/src/coordination/member/operator_requests/inspection.rs
@@ -1,41 +1,44 @@
-//! Voters are asked what they accepted last, for a status or before one is added.
+//! Queries voters for their state, for a status or before a voter is added.
 
 use super::super::*;
 use super::api::Reply;
 use super::handling::reply_to;
-use super::voter_changes::ANSWER_WITHIN_MS;
+use super::voter_changes::ANSWER_TIMEOUT_MS;
 use crate::coordination::state::VoterRecord;
 
-/// A dispatcher that is to vote.
+/// A dispatcher that an operator wants to add as a voter.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct NewVoter {
     pub name: Name,
     pub address: Address,
 }
 
-/// Voters that are being asked for a request.
+/// A query of voters on behalf of one operator's request.
 #[derive(Clone, Debug, PartialEq)]
 pub(in super::super) struct Inspection {
-    asked: BTreeMap<Name, Address>,
-    /// What each showed; none for one that was not reached.
-    pub(super) found: BTreeMap<Name, Option<VoterState>>,
-    until: Ms,
-    /// The voter to add; none for a status.
+    /// The voters that were queried.
+    queried: BTreeMap<Name, Address>,
+    /// The state of each voter that has answered. None for a voter that could not be reached.
+    pub(super) states: BTreeMap<Name, Option<VoterState>>,
+    /// When the operator gets a reply, even if some voters have not answered.
+    deadline: Ms,
+    /// The voter to add. None for a status request.
     new_voter: Option<NewVoter>,
 }
 
 impl Inspection {
-    /// When the request is answered at the latest.
+    /// When the operator gets a reply at the latest.
     pub(in super::super) fn until(&self) -> Ms {
-        self.until
+        self.deadline
     }
 
     fn is_over(&self, now: Ms) -> bool {
-        self.found.len() >= self.asked.len() || now >= self.until
+        self.states.len() >= self.queried.len() || now >= self.deadline
     }
 }
 
 impl Member {
+    /// Queries the voters. This member's own state is recorded at once.
     pub(super) fn begin_inspection(
         &mut self,
         call: CallId,
@@ -44,65 +47,66 @@
         out: &mut Vec<Output>,
     ) {
         let inspection = Inspection {
-            asked: voters.clone(),
-            found: BTreeMap::new(),
-            until: self.now + ANSWER_WITHIN_MS,
+            queried: voters.clone(),
+            states: BTreeMap::new(),
+            deadline: self.now + ANSWER_TIMEOUT_MS,
             new_voter,
         };
         self.inspections.insert(call, inspection);
-        for (of, to) in voters {
-            if of == self.settings.me {
-                let seen = self.voter_state();
-                self.inspection_answered(call, &of, Some(seen), out);
+        for (voter, address) in voters {
+            if voter == self.settings.me {
+                let state = self.voter_state();
+                self.inspection_answered(call, &voter, Some(state), out);
             } else {
                 self.send_request(
-                    to,
+                    address,
                     Question::VoterState,
-                    RequestPurpose::Inspect { of, call },
+                    RequestPurpose::Inspect { of: voter, call },
                     out,
                 );
             }
         }
     }
 
-    /// A voter answered, or was not reached.
+    /// Records the state of a queried voter. `state` is none if the voter could not be reached.
     pub(in super::super) fn inspection_answered(
         &mut self,
         call: CallId,
-        of: &Name,
-        seen: Option<VoterState>,
+        voter: &Name,
+        state: Option<VoterState>,
         _: &mut [Output],
     ) {
         if let Some(inspection) = self.inspections.get_mut(&call) {
-            inspection.found.insert(of.clone(), seen);
+            inspection.states.insert(voter.clone(), state);
         }
     }
 
-    /// Answers the requests whose voters have been asked.
+    /// Replies to the requests whose voters have all answered, or whose deadline has passed.
     pub(in super::super) fn finish_inspections(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let ended: Vec<CallId> = self
+        let finished: Vec<CallId> = self
             .inspections
             .iter()
             .filter(|(_, inspection)| inspection.is_over(now))
             .map(|(call, _)| *call)
             .collect();
-        for call in ended {
+        for call in finished {
             if let Some(inspection) = self.inspections.remove(&call) {
-                self.inspection_ended(call, &inspection, out);
+                self.finish_inspection(call, &inspection, out);
             }
         }
     }
 
-    fn inspection_ended(&mut self, call: CallId, inspection: &Inspection, out: &mut Vec<Output>) {
+    /// Replies with the status, or proposes to add the new voter if that voter has answered with its identity.
+    fn finish_inspection(&mut self, call: CallId, inspection: &Inspection, out: &mut Vec<Output>) {
         let Some(NewVoter { name, address }) = inspection.new_voter.clone() else {
             let status = Box::new(self.status(inspection));
             return reply_to(call, Reply::Status(status), out);
         };
-        let seen = inspection.found.get(&name).and_then(Option::as_ref);
-        let Some(voter_id) = seen.and_then(|seen| seen.voter_id) else {
-            let why = format!("{} does not answer as a voter at {}", name.0, address.0);
-            return reply_to(call, Reply::Refused(why), out);
+        let state = inspection.states.get(&name).and_then(Option::as_ref);
+        let Some(voter_id) = state.and_then(|state| state.voter_id) else {
+            let reason = format!("{} does not answer as a voter at {}", name.0, address.0);
+            return reply_to(call, Reply::Refused(reason), out);
         };
         let voter_record = VoterRecord { voter_id, address };
         self.submit_command(call, Command::AddVoter { name, voter_record });
--- a/src/coordination/member/operator_requests/leases.rs
+++ b/src/coordination/member/operator_requests/leases.rs
@@ -1,42 +1,45 @@
-//! Operators' requests about leases.
+//! Handles operators' requests to hand over leases, and to hold or release leases for their own jobs.
 
 use super::super::*;
 use super::api::{Reply, LONGEST_NAME};
 use crate::coordination::lease::holder_of;
 
-/// Jobs that one dispatcher holds leases for.
+/// The maximum number of jobs for which one dispatcher holds leases.
 const MAX_JOBS: usize = 32;
 
 impl Member {
-    pub(super) fn order_hand_over(
+    /// Hands a lease of this dispatcher over to `to`, or to the next dispatcher in the order of succession.
+    pub(super) fn hand_over_request(
         &mut self,
         lease_name: &LeaseName,
         to: Option<Name>,
         out: &mut Vec<Output>,
     ) -> Reply {
         if !self.held_leases.contains_key(lease_name) {
-            return self.hand_over_elsewhere(lease_name);
+            return self.lease_not_held_reply(lease_name);
         }
         let membership = self.membership.as_ref();
-        let first = || {
+        let first_successor = || {
             membership
-                .and_then(|m| m.first_successor(lease_name))
+                .and_then(|membership| membership.first_successor(lease_name))
                 .cloned()
         };
-        let Some(next) = to.or_else(first) else {
+        let Some(next) = to.or_else(first_successor) else {
             return Reply::Refused(format!("nobody is known that could hold {}", lease_name.0));
         };
         if next == self.settings.me {
             return Reply::Refused(format!("{} holds {} already", next.0, lease_name.0));
         }
-        if membership.is_some_and(|m| m.address(&next).is_none()) {
+        if membership.is_some_and(|membership| membership.address(&next).is_none()) {
             return Reply::Refused(format!("the roll-call knows no {}", next.0));
         }
         self.hand_over(lease_name, Some(next.clone()), out);
         Reply::Done(format!("{} is given up for {}", lease_name.0, next.0))
     }
 
-    fn hand_over_elsewhere(&self, lease_name: &LeaseName) -> Reply {
+    /// The reply for a lease that this dispatcher does not hold: the holder's address, if another dispatcher is known
+    /// to hold the lease.
+    fn lease_not_held_reply(&self, lease_name: &LeaseName) -> Reply {
         let newest = self.newest();
         let holder = newest.and_then(|value| holder_of(value, lease_name));
         if let Some((_, holder)) = holder {
@@ -51,14 +54,15 @@
         })
     }
 
-    pub(super) fn order_hold(&mut self, lease_name: LeaseName, job: u64) -> Reply {
-        if let Some(reason) = self.hold_refused(&lease_name, job) {
+    /// Starts or continues to hold a lease for a job, and replies whether this dispatcher holds the lease.
+    pub(super) fn hold_lease_request(&mut self, lease_name: LeaseName, job: u64) -> Reply {
+        if let Some(reason) = self.hold_refusal_reason(&lease_name, job) {
             return Reply::Refused(reason);
         }
         let now = self.now;
         match self.jobs.get_mut(&lease_name) {
-            Some(same) => same.asked = now,
-            None => self.begin_job(&lease_name, job),
+            Some(existing_job) => existing_job.asked = now,
+            None => self.start_job(&lease_name, job),
         }
         let lease = self.held_leases.get(&lease_name);
         match lease.filter(|lease| lease.left(now) > 0.0) {
@@ -73,8 +77,8 @@
         }
     }
 
-    /// Why a lease is not held for a job, in words.
-    fn hold_refused(&self, lease_name: &LeaseName, job: u64) -> Option<String> {
+    /// The reason why this dispatcher refuses to hold a lease for a job. None if the request is accepted.
+    fn hold_refusal_reason(&self, lease_name: &LeaseName, job: u64) -> Option<String> {
         if lease_name.0.as_ref() == MEMBERSHIP_LEASE {
             return Some(format!("{MEMBERSHIP_LEASE} is the dispatchers' own"));
         }
@@ -85,7 +89,7 @@
             return Some("this dispatcher stops".to_owned());
         }
         match self.jobs.get(lease_name) {
-            Some(other) if other.number != job => {
+            Some(known) if known.number != job => {
                 Some(format!("{} is wanted here by another job", lease_name.0))
             }
             None if self.jobs.len() >= MAX_JOBS => {
@@ -95,7 +99,8 @@
         }
     }
 
-    fn begin_job(&mut self, lease_name: &LeaseName, job: u64) {
+    /// Registers a job and starts to contend for its lease.
+    fn start_job(&mut self, lease_name: &LeaseName, job: u64) {
         let now = self.now;
         let job = LeaseJob {
             number: job,
@@ -103,19 +108,24 @@
         };
         self.jobs.insert(lease_name.clone(), job);
         let mut observer = LeaseObserver::new(now, &mut self.rng);
-        // The dispatcher that is asked first for a new lease contends first.
+        // For a new lease, the dispatcher that the job asks first contends without an election delay.
         observer.place = Some(0);
         self.lease_observers.insert(lease_name.clone(), observer);
         self.next_query_at = now;
     }
 
-    pub(super) fn order_let_go(
+    /// Ends a job and releases its lease. Replies with success even if the job is unknown.
+    pub(super) fn release_lease_request(
         &mut self,
         lease_name: &LeaseName,
         job: u64,
         out: &mut Vec<Output>,
     ) -> Reply {
-        if self.jobs.get(lease_name).is_some_and(|j| j.number == job) {
+        if self
+            .jobs
+            .get(lease_name)
+            .is_some_and(|known| known.number == job)
+        {
             self.end_job(lease_name, out);
         }
         Reply::Done(format!("{} let go", lease_name.0))
--- a/src/coordination/member/operator_requests/mod.rs
+++ b/src/coordination/member/operator_requests/mod.rs
@@ -1,5 +1,5 @@
-//! What operators ask of any dispatcher: who is there, who holds which lease, changes of voters, leases for their own
-//! jobs, rollouts.
+//! Operators' requests, which any dispatcher accepts: the status of the fleet, handovers of leases, changes of the
+//! voters, leases for operators' own jobs, and rollouts.
 
 mod api;
 mod handling;
--- a/src/coordination/member/operator_requests/status.rs
+++ b/src/coordination/member/operator_requests/status.rs
@@ -1,4 +1,4 @@
-//! What this dispatcher knows of the fleet.
+//! Builds the status of the fleet from what this dispatcher knows.
 
 use super::super::*;
 use super::api::{MemberLine, Status, VoterLine};
@@ -7,33 +7,37 @@
 use crate::coordination::state::{VoterId, VoterRecord};
 
 impl Member {
+    /// Builds the status after the voters have been queried.
     pub(super) fn status(&self, inspection: &Inspection) -> Status {
         let newest = self.newest();
-        let view = self.known_voter_set();
+        let voter_set = self.known_voter_set();
         let voters = self.voter_lines(inspection);
-        let answered =
-            |name: &Name, _: &VoterRecord| voters.iter().any(|v| v.name == *name && v.votes);
-        let majority = view.is_some_and(|view| view.majority(answered));
+        let answered = |name: &Name, _: &VoterRecord| {
+            voters
+                .iter()
+                .any(|voter| voter.name == *name && voter.votes)
+        };
+        let majority = voter_set.is_some_and(|voter_set| voter_set.majority(answered));
         let leases = newest.iter().flat_map(|value| value.leases.iter());
         let membership = self.membership.as_ref();
         Status {
             reported_by: Some(self.settings.me.clone()),
             majority,
-            generation: view.map_or(0, |view| view.generation),
-            changing: view.is_some_and(|view| view.before.is_some()),
+            generation: voter_set.map_or(0, |voter_set| voter_set.generation),
+            changing: voter_set.is_some_and(|voter_set| voter_set.before.is_some()),
             version: newest.map_or(0, |value| value.version),
             voters,
             leases: leases
                 .map(|(name, lease)| (name.clone(), lease.term, lease.holder.clone()))
                 .collect(),
-            leading_for: membership.map(|m| self.now - m.since),
+            leading_for: membership.map(|membership| self.now - membership.since),
             members: self.member_lines(),
             leader: self.other_leader(),
             disruptions: self.rollout_status(),
         }
     }
 
-    /// The voters as agreed, else those of the settings.
+    /// One line for each agreed voter, or for each voter of the settings if no voter set is known.
     fn voter_lines(&self, inspection: &Inspection) -> Vec<VoterLine> {
         let records = self.known_voter_set().map(Voters::all).unwrap_or_default();
         if records.is_empty() {
@@ -48,6 +52,8 @@
         records.iter().map(line).collect()
     }
 
+    /// `voter_id` is the identity under which the fleet agreed on the voter. A voter with another identity does not
+    /// vote.
     fn voter_line(
         &self,
         name: &Name,
@@ -55,21 +61,24 @@
         voter_id: Option<VoterId>,
         inspection: &Inspection,
     ) -> VoterLine {
-        let seen = match *name == self.settings.me {
+        let state = match *name == self.settings.me {
             true => Some(self.voter_state()),
-            false => inspection.found.get(name).cloned().flatten(),
+            false => inspection.states.get(name).cloned().flatten(),
         };
-        let newest = seen.as_ref().and_then(|seen| seen.newest.as_ref());
-        let is_agreed = |seen: &VoterState| voter_id.is_some() && seen.voter_id == voter_id;
+        let newest = state.as_ref().and_then(|state| state.newest.as_ref());
+        let is_agreed = |state: &VoterState| voter_id.is_some() && state.voter_id == voter_id;
         VoterLine {
             name: name.clone(),
             address: address.clone(),
-            answers: seen.is_some(),
-            votes: seen.as_ref().is_some_and(|s| s.votes && is_agreed(s)),
+            answers: state.is_some(),
+            votes: state
+                .as_ref()
+                .is_some_and(|state| state.votes && is_agreed(state)),
             version: newest.map_or(0, |(_, value)| value.version),
         }
     }
 
+    /// One line for each member. Empty unless this dispatcher is the membership leader.
     fn member_lines(&self) -> Vec<MemberLine> {
         let Some(membership) = &self.membership else {
             return Vec::new();
@@ -86,6 +95,7 @@
         membership.members().map(line).collect()
     }
 
+    /// The address of the membership leader, if that is another process.
     fn other_leader(&self) -> Option<Address> {
         let (_, holder) = self.membership_leader.as_ref()?;
         let is_other = holder.incarnation != self.settings.incarnation;
--- a/src/coordination/member/operator_requests/voter_changes.rs
+++ b/src/coordination/member/operator_requests/voter_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the voters, and other changes that an operator asked for, until they are agreed on.
+//! Changes of the voters, and the pending commands of operators that the voters have not agreed on yet.
 
 use super::super::*;
 use super::api::Reply;
@@ -6,12 +6,13 @@
 use super::inspection::NewVoter;
 use crate::coordination::state::CommandError;
 
-/// A request is answered within this, in milliseconds, whoever does not answer.
-pub(super) const ANSWER_WITHIN_MS: Ms = 800.0;
+/// How long an operator's request may wait for voters before the operator gets a reply, in milliseconds.
+pub(super) const ANSWER_TIMEOUT_MS: Ms = 800.0;
 
 impl Member {
-    /// Asks a dispatcher whether it can vote. None: it is answered once that dispatcher answered.
-    pub(super) fn order_add_voter(
+    /// Queries a dispatcher that is to become a voter. Returns none if the reply follows after the dispatcher has
+    /// answered.
+    pub(super) fn add_voter_request(
         &mut self,
         call: CallId,
         name: Name,
@@ -19,7 +20,7 @@
         out: &mut Vec<Output>,
     ) -> Option<Reply> {
         let Some(address) = address.or_else(|| self.known_address(&name)) else {
-            return Some(self.unknown_address(&name));
+            return Some(self.unknown_address_reply(&name));
         };
         let voters = BTreeMap::from([(name.clone(), address.clone())]);
         let new_voter = NewVoter { name, address };
@@ -27,17 +28,22 @@
         None
     }
 
+    /// The address of a dispatcher, from the membership, from this member's own settings or from the voters in the
+    /// settings.
     fn known_address(&self, name: &Name) -> Option<Address> {
         let membership = self.membership.as_ref();
-        let member = membership.and_then(|m| m.address(name)).cloned();
+        let member = membership
+            .and_then(|membership| membership.address(name))
+            .cloned();
         let own = (*name == self.settings.me).then(|| self.settings.address.clone());
         member
             .or(own)
             .or_else(|| self.settings.voters.get(name).cloned())
     }
 
-    /// The membership leader may know the address.
-    fn unknown_address(&self, name: &Name) -> Reply {
+    /// The reply for a dispatcher without a known address. Refers the operator to the membership leader, which may know
+    /// the address.
+    fn unknown_address_reply(&self, name: &Name) -> Reply {
         let leader = self.membership_leader.as_ref();
         match leader.filter(|(_, holder)| holder.name != self.settings.me) {
             Some((_, holder)) => Reply::Elsewhere(holder.address.clone()),
@@ -48,9 +54,10 @@
         }
     }
 
-    /// Has a change agreed on; it is answered then.
+    /// Queues a command for proposal. The operator gets a reply once the voters have agreed on the command or the
+    /// request has timed out.
     pub(in super::super) fn submit_command(&mut self, call: CallId, command: Command) {
-        let until = self.now + ANSWER_WITHIN_MS;
+        let until = self.now + ANSWER_TIMEOUT_MS;
         self.pending_commands.push(PendingCommand {
             call,
             command,
@@ -58,52 +65,58 @@
         });
     }
 
-    /// A change was agreed on, or does not count.
+    /// Replies to the operator after the voters have agreed on its command or rejected it.
     pub(in super::super) fn command_done(
         &mut self,
         call: CallId,
-        done: Result<(), CommandError>,
+        result: Result<(), CommandError>,
         value: Option<&ReplicatedState>,
         out: &mut Vec<Output>,
     ) {
-        let Some(at) = self.pending_commands.iter().position(|w| w.call == call) else {
+        let pending_commands = &mut self.pending_commands;
+        let index = pending_commands
+            .iter()
+            .position(|pending| pending.call == call);
+        let Some(index) = index else {
             return;
         };
-        let pending = self.pending_commands.remove(at);
+        let pending = pending_commands.remove(index);
         let reply = match &pending.command {
-            Command::AddVoter { name, .. } => voter_reply(name, "votes from now on", done),
-            Command::RemoveVoter { name } => voter_reply(name, "votes no more", done),
-            Command::OperatorCommand(command) => self.operator_command_done(command, done, value),
+            Command::AddVoter { name, .. } => voter_reply(name, "votes from now on", result),
+            Command::RemoveVoter { name } => voter_reply(name, "votes no more", result),
+            Command::OperatorCommand(command) => self.operator_command_done(command, result, value),
             _ => return,
         };
         reply_to(call, reply, out);
     }
 
-    /// Answers changes that were not agreed on in time.
+    /// Drops the commands that the voters have not agreed on in time, and replies that their outcome is unknown.
     pub(in super::super) fn expire_commands(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let late: Vec<CallId> = self
+        let expired: Vec<CallId> = self
             .pending_commands
             .iter()
-            .filter(|w| w.until <= now)
-            .map(|w| w.call)
+            .filter(|pending| pending.until <= now)
+            .map(|pending| pending.call)
             .collect();
-        for call in late {
-            self.pending_commands.retain(|w| w.call != call);
-            let why = "no majority of the voters answers; it may still have been done: look again";
-            reply_to(call, Reply::Refused(why.to_owned()), out);
+        for call in expired {
+            self.pending_commands.retain(|pending| pending.call != call);
+            let reason =
+                "no majority of the voters answers; it may still have been done: look again";
+            reply_to(call, Reply::Refused(reason.to_owned()), out);
         }
     }
 }
 
-fn voter_reply(name: &Name, what: &str, done: Result<(), CommandError>) -> Reply {
+/// The reply to a change of the voters. `effect` describes the successful change, with the dispatcher as its subject.
+fn voter_reply(name: &Name, effect: &str, result: Result<(), CommandError>) -> Reply {
     let name = &name.0;
-    let reason = match done {
-        Ok(()) => return Reply::Done(format!("{name} {what}")),
+    let reason = match result {
+        Ok(()) => return Reply::Done(format!("{name} {effect}")),
         Err(CommandError::VoterChangeInProgress) => {
             "another change of voters is under way".to_owned()
         }
-        Err(CommandError::AlreadySo) => format!("{name} {what} already, or is none"),
+        Err(CommandError::AlreadySo) => format!("{name} {effect} already, or is none"),
         Err(CommandError::TooFew) => "fewer than 3 voters would be left: add one first".to_owned(),
         Err(CommandError::TooMany) => "7 voters are the most: remove one first".to_owned(),
         Err(_) => "nothing was changed".to_owned(),
