--- a/crates/fleet/src/rollout_codec.rs
+++ b/crates/fleet/src/rollout_codec.rs
@@ -1,4 +1,6 @@
-//! Turns, plans and releases as the schema's messages, and back.
+//! Conversion of permits, plans, rollouts and their status to the messages of the schema, and back.
+//!
+//! Each decoding function returns none if a field is missing, too long or out of range.
 
 use crate::codec_fields::{address, name, text, MAX_TEXT_BYTES};
 use cindercleat::coordination::disruption_budget::{
@@ -15,14 +17,17 @@
 use cindercleat::coordination::{Address, Incarnation, Name};
 use cindercleat_protocol::v1;
 use std::collections::{BTreeMap, BTreeSet};
-use v1::fleet_call::Question as Q;
+use v1::fleet_call::Question;
 
-/// Zones of one fleet.
-const MOST_ZONES: usize = 1024;
-/// Longest reason.
-const MOST_WORDS: usize = 1024;
+/// The maximum number of zones in a message.
+const MAX_ZONES: usize = 1024;
+/// The maximum length of a text for operators, such as a reason or a note, in bytes.
+const MAX_REASON_BYTES: usize = 1024;
+/// The maximum count of outcomes of one kind. The limit keeps sums of counts from overflowing.
+const MAX_OUTCOME_COUNT: u64 = 1 << 48;
 
-fn of_in(engines: bool) -> UnitKind {
+/// Decodes the kind of a unit, which the schema states as a flag that is true for engines.
+fn unit_kind_from_proto(engines: bool) -> UnitKind {
     if engines {
         UnitKind::Engines
     } else {
@@ -30,34 +35,36 @@
     }
 }
 
-/// Words for people: any but too many.
-fn words(said: &str) -> Option<String> {
-    (said.len() <= MOST_WORDS).then(|| said.to_owned())
+/// Decodes a text for operators, such as a reason or a note. Any characters are allowed. None if the text is too long.
+fn reason_from_proto(field: &str) -> Option<String> {
+    (field.len() <= MAX_REASON_BYTES).then(|| field.to_owned())
 }
 
-/// A short word that may be empty.
-fn word(said: &str) -> Option<String> {
-    match said.is_empty() {
+/// Decodes a short text field that may be empty, such as a label or a zone.
+fn text_or_empty(field: &str) -> Option<String> {
+    match field.is_empty() {
         true => Some(String::new()),
-        false => text(said).map(str::to_owned),
+        false => text(field).map(str::to_owned),
     }
 }
 
-fn few<T>(said: &[T], most: usize) -> Option<&[T]> {
-    (said.len() <= most).then_some(said)
+/// Returns the list, or none if the list has more than `max_items` items.
+fn at_most<T>(items: &[T], max_items: usize) -> Option<&[T]> {
+    (items.len() <= max_items).then_some(items)
 }
 
-fn names_out<'a>(names: impl IntoIterator<Item = &'a Name>) -> Vec<String> {
-    names.into_iter().map(|n| n.0.to_string()).collect()
+fn names_to_proto<'a>(names: impl IntoIterator<Item = &'a Name>) -> Vec<String> {
+    names.into_iter().map(|name| name.0.to_string()).collect()
 }
 
-pub(crate) fn tally_out(tally: &OutcomeCounts) -> v1::FleetOutcomeCounts {
+/// Encodes the counts of answered requests.
+pub(crate) fn tally_out(outcomes: &OutcomeCounts) -> v1::FleetOutcomeCounts {
     let OutcomeCounts {
         succeeded,
         rejected,
         failed,
         late,
-    } = *tally;
+    } = *outcomes;
     v1::FleetOutcomeCounts {
         succeeded,
         rejected,
@@ -66,19 +73,19 @@
     }
 }
 
-pub(crate) fn tally_in(said: Option<&v1::FleetOutcomeCounts>) -> OutcomeCounts {
+/// Decodes the counts of answered requests. A missing message yields zero counts.
+pub(crate) fn tally_in(message: Option<&v1::FleetOutcomeCounts>) -> OutcomeCounts {
     let Some(&v1::FleetOutcomeCounts {
         succeeded,
         rejected,
         failed,
         late,
-    }) = said
+    }) = message
     else {
         return OutcomeCounts::default();
     };
-    // Sums of them are not to overflow.
     let [succeeded, rejected, failed, late] =
-        [succeeded, rejected, failed, late].map(|n| n.min(1 << 48));
+        [succeeded, rejected, failed, late].map(|count| count.min(MAX_OUTCOME_COUNT));
     OutcomeCounts {
         succeeded,
         rejected,
@@ -87,6 +94,7 @@
     }
 }
 
+/// Encodes an engine report of a heartbeat.
 pub(crate) fn report_out(report: &EngineReport) -> v1::FleetEngineReport {
     v1::FleetEngineReport {
         engine: report.engine.0.to_string(),
@@ -96,72 +104,72 @@
     }
 }
 
-pub(crate) fn reports_in(said: &[v1::FleetEngineReport]) -> Option<Vec<EngineReport>> {
-    let report = |r: &v1::FleetEngineReport| {
-        let used = match r.used {
-            Some(used) => {
-                Some((used, r.age_ms)).filter(|(u, a)| u.is_finite() && a.is_finite() && *a >= 0.0)
-            }
-            None => None,
-        };
+/// Decodes the engine reports of a heartbeat. A report without a finite utilization and a finite, non-negative age
+/// keeps its outcomes only.
+pub(crate) fn reports_in(messages: &[v1::FleetEngineReport]) -> Option<Vec<EngineReport>> {
+    let report = |message: &v1::FleetEngineReport| {
+        let used = message
+            .used
+            .map(|utilization| (utilization, message.age_ms))
+            .filter(|(utilization, age)| utilization.is_finite() && age.is_finite() && *age >= 0.0);
         Some(EngineReport {
-            engine: name(&r.engine)?,
+            engine: name(&message.engine)?,
             used,
-            tally: tally_in(r.tally.as_ref()),
+            tally: tally_in(message.tally.as_ref()),
         })
     };
-    few(said, MAX_REPORTS)?.iter().map(report).collect()
+    at_most(messages, MAX_REPORTS)?.iter().map(report).collect()
 }
 
-fn most_out(most: MaxUnavailable) -> Option<v1::FleetMaxUnavailable> {
+fn max_unavailable_to_proto(max: MaxUnavailable) -> Option<v1::FleetMaxUnavailable> {
     Some(v1::FleetMaxUnavailable {
-        number: most.count,
-        per_mille: most.per_mille,
+        number: max.count,
+        per_mille: max.per_mille,
     })
 }
 
-fn most_in(said: Option<&v1::FleetMaxUnavailable>) -> Option<MaxUnavailable> {
-    let said = said?;
-    (said.per_mille <= 1000).then_some(MaxUnavailable {
-        count: said.number,
-        per_mille: said.per_mille,
+fn max_unavailable_from_proto(message: Option<&v1::FleetMaxUnavailable>) -> Option<MaxUnavailable> {
+    let message = message?;
+    (message.per_mille <= 1000).then_some(MaxUnavailable {
+        count: message.number,
+        per_mille: message.per_mille,
     })
 }
 
-fn bounds_out(bounds: &DisruptionBudget) -> v1::FleetDisruptionBudget {
+fn budget_to_proto(budget: &DisruptionBudget) -> v1::FleetDisruptionBudget {
     v1::FleetDisruptionBudget {
-        fleet: most_out(bounds.fleet),
-        zone: most_out(bounds.zone),
-        cell: most_out(bounds.cell),
-        kind: most_out(bounds.kind),
-        prefill_engines_per_zone: bounds.min_prefill_engines_per_zone,
-        decode_engines_per_zone: bounds.min_decode_engines_per_zone,
-        prefill_engines_per_cell: bounds.min_prefill_engines_per_cell,
-        decode_engines_per_cell: bounds.min_decode_engines_per_cell,
-        used_per_mille: bounds.max_utilization_per_mille,
-        report_age_ms: bounds.max_report_age_ms,
+        fleet: max_unavailable_to_proto(budget.fleet),
+        zone: max_unavailable_to_proto(budget.zone),
+        cell: max_unavailable_to_proto(budget.cell),
+        kind: max_unavailable_to_proto(budget.kind),
+        prefill_engines_per_zone: budget.min_prefill_engines_per_zone,
+        decode_engines_per_zone: budget.min_decode_engines_per_zone,
+        prefill_engines_per_cell: budget.min_prefill_engines_per_cell,
+        decode_engines_per_cell: budget.min_decode_engines_per_cell,
+        used_per_mille: budget.max_utilization_per_mille,
+        report_age_ms: budget.max_report_age_ms,
     }
 }
 
-fn bounds_in(said: Option<&v1::FleetDisruptionBudget>) -> Option<DisruptionBudget> {
-    let said = said?;
+fn budget_from_proto(message: Option<&v1::FleetDisruptionBudget>) -> Option<DisruptionBudget> {
+    let message = message?;
     Some(DisruptionBudget {
-        fleet: most_in(said.fleet.as_ref())?,
-        zone: most_in(said.zone.as_ref())?,
-        cell: most_in(said.cell.as_ref())?,
-        kind: most_in(said.kind.as_ref())?,
-        min_prefill_engines_per_zone: said.prefill_engines_per_zone,
-        min_decode_engines_per_zone: said.decode_engines_per_zone,
-        min_prefill_engines_per_cell: said.prefill_engines_per_cell,
-        min_decode_engines_per_cell: said.decode_engines_per_cell,
-        max_utilization_per_mille: said.used_per_mille,
-        max_report_age_ms: said.report_age_ms,
+        fleet: max_unavailable_from_proto(message.fleet.as_ref())?,
+        zone: max_unavailable_from_proto(message.zone.as_ref())?,
+        cell: max_unavailable_from_proto(message.cell.as_ref())?,
+        kind: max_unavailable_from_proto(message.kind.as_ref())?,
+        min_prefill_engines_per_zone: message.prefill_engines_per_zone,
+        min_decode_engines_per_zone: message.decode_engines_per_zone,
+        min_prefill_engines_per_cell: message.prefill_engines_per_cell,
+        min_decode_engines_per_cell: message.decode_engines_per_cell,
+        max_utilization_per_mille: message.used_per_mille,
+        max_report_age_ms: message.report_age_ms,
     })
 }
 
-fn turn_out((number, permit): (&PermitId, &DisruptionPermit)) -> v1::FleetPermit {
+fn permit_to_proto((id, permit): (&PermitId, &DisruptionPermit)) -> v1::FleetPermit {
     v1::FleetPermit {
-        number: number.0,
+        number: id.0,
         engine: permit.unit_kind == UnitKind::Engines,
         who: permit.unit.0.to_string(),
         incarnation: permit.incarnation.0,
@@ -173,21 +181,22 @@
     }
 }
 
-fn turn_in(said: &v1::FleetPermit) -> Option<(PermitId, DisruptionPermit)> {
+fn permit_from_proto(message: &v1::FleetPermit) -> Option<(PermitId, DisruptionPermit)> {
     let permit = DisruptionPermit {
-        unit_kind: of_in(said.engine),
-        unit: name(&said.who)?,
-        incarnation: Incarnation(said.incarnation),
-        address: Address::from(word(&said.address)?.as_str()),
-        zone: word(&said.zone)?,
-        label: word(&said.label)?,
-        permanent: said.stays,
-        planned: said.planned,
+        unit_kind: unit_kind_from_proto(message.engine),
+        unit: name(&message.who)?,
+        incarnation: Incarnation(message.incarnation),
+        address: Address::from(text_or_empty(&message.address)?.as_str()),
+        zone: text_or_empty(&message.zone)?,
+        label: text_or_empty(&message.label)?,
+        permanent: message.stays,
+        planned: message.planned,
     };
-    Some((PermitId(said.number), permit))
+    Some((PermitId(message.number), permit))
 }
 
-pub(crate) fn plan_out(plan: &RolloutPlan) -> v1::FleetRolloutPlan {
+/// Encodes the plan of a rollout.
+fn plan_to_proto(plan: &RolloutPlan) -> v1::FleetRolloutPlan {
     v1::FleetRolloutPlan {
         name: plan.name.clone(),
         engines: plan.unit_kind == UnitKind::Engines,
@@ -196,7 +205,7 @@
         zones: plan.zones.clone(),
         cells: plan.cells.clone(),
         kinds: plan.kinds.clone(),
-        names: names_out(&plan.names),
+        names: names_to_proto(&plan.names),
         stays: plan.permanent,
         first: plan.first_wave_size,
         grow_per_mille: plan.wave_growth_per_mille,
@@ -207,95 +216,99 @@
     }
 }
 
-pub(crate) fn plan_in(said: Option<&v1::FleetRolloutPlan>) -> Option<RolloutPlan> {
-    let said = said?;
-    let list = |all: &[String]| -> Option<Vec<String>> {
-        few(all, MAX_NAMES)?
+/// Decodes the plan of a rollout.
+fn plan_from_proto(message: Option<&v1::FleetRolloutPlan>) -> Option<RolloutPlan> {
+    let message = message?;
+    let list = |items: &[String]| -> Option<Vec<String>> {
+        at_most(items, MAX_NAMES)?
             .iter()
-            .map(|one| text(one).map(str::to_owned))
+            .map(|item| text(item).map(str::to_owned))
             .collect()
     };
-    // A plan that begins with none never begins.
-    (said.first > 0 && said.grow_per_mille >= 1000).then_some(())?;
+    // A rollout with an empty first wave would never update a unit. Waves must not shrink.
+    (message.first > 0 && message.grow_per_mille >= 1000).then_some(())?;
     Some(RolloutPlan {
-        name: text(&said.name)?.to_owned(),
-        unit_kind: of_in(said.engines),
-        label: word(&said.label)?,
-        previous_label: word(&said.before)?,
-        zones: list(&said.zones)?,
-        cells: list(&said.cells)?,
-        kinds: list(&said.kinds)?,
-        names: few(&said.names, MAX_NAMES)?
+        name: text(&message.name)?.to_owned(),
+        unit_kind: unit_kind_from_proto(message.engines),
+        label: text_or_empty(&message.label)?,
+        previous_label: text_or_empty(&message.before)?,
+        zones: list(&message.zones)?,
+        cells: list(&message.cells)?,
+        kinds: list(&message.kinds)?,
+        names: at_most(&message.names, MAX_NAMES)?
             .iter()
-            .map(|n| name(n))
+            .map(|unit| name(unit))
             .collect::<Option<_>>()?,
-        permanent: said.stays,
-        first_wave_size: said.first,
-        wave_growth_per_mille: said.grow_per_mille,
-        observe_ms: said.watch_ms,
-        settle_ms: said.settle_ms,
-        start_timeout_ms: said.begin_ms,
-        return_timeout_ms: said.back_ms,
+        permanent: message.stays,
+        first_wave_size: message.first,
+        wave_growth_per_mille: message.grow_per_mille,
+        observe_ms: message.watch_ms,
+        settle_ms: message.settle_ms,
+        start_timeout_ms: message.begin_ms,
+        return_timeout_ms: message.back_ms,
     })
 }
 
-fn left_out(left: &BTreeMap<Name, String>) -> Vec<v1::FleetLeft> {
-    left.iter()
-        .map(|(who, why)| v1::FleetLeft {
-            who: who.0.to_string(),
-            why: why.clone(),
+fn abandoned_to_proto(abandoned: &BTreeMap<Name, String>) -> Vec<v1::FleetLeft> {
+    abandoned
+        .iter()
+        .map(|(unit, reason)| v1::FleetLeft {
+            who: unit.0.to_string(),
+            why: reason.clone(),
         })
         .collect()
 }
 
-fn left_in(said: &[v1::FleetLeft]) -> Option<BTreeMap<Name, String>> {
-    few(said, MAX_ABANDONED)?
+fn abandoned_from_proto(messages: &[v1::FleetLeft]) -> Option<BTreeMap<Name, String>> {
+    at_most(messages, MAX_ABANDONED)?
         .iter()
-        .map(|l| Some((name(&l.who)?, words(&l.why)?)))
+        .map(|unit| Some((name(&unit.who)?, reason_from_proto(&unit.why)?)))
         .collect()
 }
 
-fn release_out(release: &Rollout) -> v1::FleetRollout {
-    let reached = |(zone, at): (&String, &u64)| v1::FleetReached {
+fn rollout_to_proto(rollout: &Rollout) -> v1::FleetRollout {
+    let zone_progress = |(zone, key): (&String, &u64)| v1::FleetReached {
         zone: zone.clone(),
-        at: *at,
+        at: *key,
     };
     v1::FleetRollout {
-        plan: Some(plan_out(&release.plan)),
-        bounds: Some(bounds_out(&release.budget)),
-        by: release.started_by.0.to_string(),
-        back: release.rolling_back,
-        done: release.finished,
-        wave: release.wave,
-        given: release.granted_in_wave,
-        reached: release.zone_progress.iter().map(reached).collect(),
-        again: names_out(&release.regrant),
-        left: left_out(&release.abandoned),
-        turned: release.completed,
+        plan: Some(plan_to_proto(&rollout.plan)),
+        bounds: Some(budget_to_proto(&rollout.budget)),
+        by: rollout.started_by.0.to_string(),
+        back: rollout.rolling_back,
+        done: rollout.finished,
+        wave: rollout.wave,
+        given: rollout.granted_in_wave,
+        reached: rollout.zone_progress.iter().map(zone_progress).collect(),
+        again: names_to_proto(&rollout.regrant),
+        left: abandoned_to_proto(&rollout.abandoned),
+        turned: rollout.completed,
     }
 }
 
-fn release_in(said: &v1::FleetRollout) -> Option<Rollout> {
-    let reached = few(&said.reached, MOST_ZONES)?
+fn rollout_from_proto(message: &v1::FleetRollout) -> Option<Rollout> {
+    let zone_progress = at_most(&message.reached, MAX_ZONES)?
+        .iter()
+        .map(|zone| Some((text_or_empty(&zone.zone)?, zone.at)));
+    let regrant = at_most(&message.again, MAX_PERMITS)?
         .iter()
-        .map(|r| Some((word(&r.zone)?, r.at)));
-    let again = few(&said.again, MAX_PERMITS)?.iter().map(|n| name(n));
+        .map(|unit| name(unit));
     Some(Rollout {
-        plan: plan_in(said.plan.as_ref())?,
-        budget: bounds_in(said.bounds.as_ref())?,
-        started_by: name(&said.by)?,
-        rolling_back: said.back,
-        finished: said.done,
-        wave: said.wave,
-        granted_in_wave: said.given,
-        zone_progress: reached.collect::<Option<_>>()?,
-        regrant: again.collect::<Option<BTreeSet<_>>>()?,
-        abandoned: left_in(&said.left)?,
-        completed: said.turned,
+        plan: plan_from_proto(message.plan.as_ref())?,
+        budget: budget_from_proto(message.bounds.as_ref())?,
+        started_by: name(&message.by)?,
+        rolling_back: message.back,
+        finished: message.done,
+        wave: message.wave,
+        granted_in_wave: message.given,
+        zone_progress: zone_progress.collect::<Option<_>>()?,
+        regrant: regrant.collect::<Option<BTreeSet<_>>>()?,
+        abandoned: abandoned_from_proto(&message.left)?,
+        completed: message.turned,
     })
 }
 
-fn sizes_out(sizes: &ZoneSizes) -> Vec<v1::FleetSize> {
+fn zone_sizes_to_proto(sizes: &ZoneSizes) -> Vec<v1::FleetSize> {
     sizes
         .iter()
         .map(|(zone, size)| v1::FleetSize {
@@ -305,165 +318,175 @@
         .collect()
 }
 
-fn sizes_in(said: &[v1::FleetSize]) -> Option<ZoneSizes> {
-    few(said, MOST_ZONES)?
+fn zone_sizes_from_proto(messages: &[v1::FleetSize]) -> Option<ZoneSizes> {
+    at_most(messages, MAX_ZONES)?
         .iter()
-        .map(|s| Some((word(&s.zone)?, s.size)))
+        .map(|zone| Some((text_or_empty(&zone.zone)?, zone.size)))
         .collect()
 }
 
-/// Nothing, where there is nothing of it.
+/// Encodes the state of permits and rollouts. None for the empty state.
 pub(crate) fn care_out(disruptions: &DisruptionState) -> Option<v1::FleetDisruptions> {
     (!disruptions.is_empty()).then(|| v1::FleetDisruptions {
         given: disruptions.permits_granted,
-        permits: disruptions.permits.iter().map(turn_out).collect(),
-        release: disruptions.rollout.as_deref().map(release_out),
+        permits: disruptions.permits.iter().map(permit_to_proto).collect(),
+        release: disruptions.rollout.as_deref().map(rollout_to_proto),
         halted: disruptions.halted.clone(),
         resumed: disruptions.resume_count,
-        dispatchers: sizes_out(&disruptions.dispatcher_sizes),
-        engines: sizes_out(&disruptions.engine_sizes),
+        dispatchers: zone_sizes_to_proto(&disruptions.dispatcher_sizes),
+        engines: zone_sizes_to_proto(&disruptions.engine_sizes),
         notes: disruptions.notes.clone(),
     })
 }
 
-pub(crate) fn care_in(said: Option<&v1::FleetDisruptions>) -> Option<DisruptionState> {
-    let Some(said) = said else {
+/// Decodes the state of permits and rollouts. A missing message yields the empty state.
+pub(crate) fn care_in(message: Option<&v1::FleetDisruptions>) -> Option<DisruptionState> {
+    let Some(message) = message else {
         return Some(DisruptionState::default());
     };
-    let release = match &said.release {
-        Some(release) => Some(Box::new(release_in(release)?)),
+    let rollout = match &message.release {
+        Some(rollout) => Some(Box::new(rollout_from_proto(rollout)?)),
         None => None,
     };
-    let halted = match &said.halted {
-        Some(why) => Some(words(why)?),
+    let halted = match &message.halted {
+        Some(reason) => Some(reason_from_proto(reason)?),
         None => None,
     };
     Some(DisruptionState {
-        permits_granted: said.given,
-        permits: few(&said.permits, MAX_PERMITS)?
+        permits_granted: message.given,
+        permits: at_most(&message.permits, MAX_PERMITS)?
             .iter()
-            .map(turn_in)
+            .map(permit_from_proto)
             .collect::<Option<_>>()?,
-        rollout: release,
+        rollout,
         halted,
-        resume_count: said.resumed,
-        dispatcher_sizes: sizes_in(&said.dispatchers)?,
-        engine_sizes: sizes_in(&said.engines)?,
-        notes: few(&said.notes, MAX_NOTES)?
+        resume_count: message.resumed,
+        dispatcher_sizes: zone_sizes_from_proto(&message.dispatchers)?,
+        engine_sizes: zone_sizes_from_proto(&message.engines)?,
+        notes: at_most(&message.notes, MAX_NOTES)?
             .iter()
-            .map(|n| words(n))
+            .map(|note| reason_from_proto(note))
             .collect::<Option<_>>()?,
     })
 }
 
-pub(crate) fn order_out(order: &RolloutRequest) -> Q {
-    match order {
+/// Encodes an operator's request about rollouts.
+pub(crate) fn order_out(request: &RolloutRequest) -> Question {
+    match request {
         RolloutRequest::Start {
             plan,
-            skip_missing: skip,
-            dry_run: dry,
-        } => Q::Start(v1::FleetStart {
-            plan: Some(plan_out(plan)),
-            skip: *skip,
-            dry: *dry,
+            skip_missing,
+            dry_run,
+        } => Question::Start(v1::FleetStart {
+            plan: Some(plan_to_proto(plan)),
+            skip: *skip_missing,
+            dry: *dry_run,
         }),
-        RolloutRequest::Halt { reason: why } => Q::Halt(v1::FleetHalt { why: why.clone() }),
-        RolloutRequest::Resume => Q::Resume(v1::FleetResume {}),
-        RolloutRequest::RollBack => Q::Back(v1::FleetBack {}),
-        RolloutRequest::End => Q::End(v1::FleetEnd {}),
-        RolloutRequest::Recount { unit_kind: of } => Q::Recount(v1::FleetRecount {
-            engines: *of == UnitKind::Engines,
+        RolloutRequest::Halt { reason } => Question::Halt(v1::FleetHalt {
+            why: reason.clone(),
+        }),
+        RolloutRequest::Resume => Question::Resume(v1::FleetResume {}),
+        RolloutRequest::RollBack => Question::Back(v1::FleetBack {}),
+        RolloutRequest::End => Question::End(v1::FleetEnd {}),
+        RolloutRequest::Recount { unit_kind } => Question::Recount(v1::FleetRecount {
+            engines: *unit_kind == UnitKind::Engines,
         }),
         RolloutRequest::Permit {
             name,
             label,
-            cancel: refused,
-        } => Q::WantPermit(v1::FleetWantPermit {
+            cancel,
+        } => Question::WantPermit(v1::FleetWantPermit {
             name: name.0.to_string(),
             label: label.clone(),
-            refused: *refused,
+            refused: *cancel,
         }),
     }
 }
 
-/// An order on releases; none if it is none, or cannot be right.
-pub(crate) fn order_in(said: &Q) -> Option<OperatorRequest> {
-    Some(OperatorRequest::Rollout(match said {
-        Q::Start(m) => {
-            let plan = Box::new(plan_in(m.plan.as_ref())?);
+/// Decodes an operator's request about rollouts, or to stop a single dispatcher. None if the question is another one,
+/// or if a field is invalid.
+pub(crate) fn order_in(question: &Question) -> Option<OperatorRequest> {
+    Some(OperatorRequest::Rollout(match question {
+        Question::Start(message) => {
+            let plan = Box::new(plan_from_proto(message.plan.as_ref())?);
             RolloutRequest::Start {
                 plan,
-                skip_missing: m.skip,
-                dry_run: m.dry,
+                skip_missing: message.skip,
+                dry_run: message.dry,
             }
         }
-        Q::Halt(m) => RolloutRequest::Halt {
-            reason: words(&m.why)?,
+        Question::Halt(message) => RolloutRequest::Halt {
+            reason: reason_from_proto(&message.why)?,
         },
-        Q::Resume(_) => RolloutRequest::Resume,
-        Q::Back(_) => RolloutRequest::RollBack,
-        Q::End(_) => RolloutRequest::End,
-        Q::Recount(m) => RolloutRequest::Recount {
-            unit_kind: of_in(m.engines),
+        Question::Resume(_) => RolloutRequest::Resume,
+        Question::Back(_) => RolloutRequest::RollBack,
+        Question::End(_) => RolloutRequest::End,
+        Question::Recount(message) => RolloutRequest::Recount {
+            unit_kind: unit_kind_from_proto(message.engines),
         },
-        Q::WantPermit(m) => RolloutRequest::Permit {
-            name: name(&m.name)?,
-            label: word(&m.label)?,
-            cancel: m.refused,
+        Question::WantPermit(message) => RolloutRequest::Permit {
+            name: name(&message.name)?,
+            label: text_or_empty(&message.label)?,
+            cancel: message.refused,
         },
-        Q::ByHand(m) => {
-            let at = match m.address.is_empty() {
+        Question::ByHand(message) => {
+            let address = match message.address.is_empty() {
                 true => None,
-                false => Some(address(&m.address)?),
+                false => Some(address(&message.address)?),
             };
             return Some(OperatorRequest::ByHand {
-                name: name(&m.who)?,
-                address: at,
-                reason: words(&m.why)?,
+                name: name(&message.who)?,
+                address,
+                reason: reason_from_proto(&message.why)?,
             });
         }
         _ => return None,
     }))
 }
 
+/// Encodes the question whether a unit has begun to drain on a permit.
 pub(crate) fn ask_back_out(
     permit: PermitId,
-    of: UnitKind,
-    who: &Name,
+    unit_kind: UnitKind,
+    unit: &Name,
     incarnation: Incarnation,
-) -> Q {
-    Q::AskBack(v1::FleetAskBack {
+) -> Question {
+    Question::AskBack(v1::FleetAskBack {
         permit: permit.0,
-        engine: of == UnitKind::Engines,
-        who: who.0.to_string(),
+        engine: unit_kind == UnitKind::Engines,
+        who: unit.0.to_string(),
         incarnation: incarnation.0,
     })
 }
 
-pub(crate) fn ask_back_in(m: &v1::FleetAskBack) -> Option<(PermitId, UnitKind, Name, Incarnation)> {
+/// Decodes the question whether a unit has begun to drain on a permit.
+pub(crate) fn ask_back_in(
+    message: &v1::FleetAskBack,
+) -> Option<(PermitId, UnitKind, Name, Incarnation)> {
     Some((
-        PermitId(m.permit),
-        of_in(m.engine),
-        name(&m.who)?,
-        Incarnation(m.incarnation),
+        PermitId(message.permit),
+        unit_kind_from_proto(message.engine),
+        name(&message.who)?,
+        Incarnation(message.incarnation),
     ))
 }
 
+/// Encodes the status of the rollout and the permits.
 pub(crate) fn status_out(status: &RolloutStatus) -> v1::FleetRolloutStatus {
-    let line = |line: &PermitStatus| v1::FleetPermitLine {
-        number: line.permit.0,
-        who: line.unit.0.to_string(),
-        zone: line.zone.clone(),
-        at: line.stage.clone(),
+    let permit = |permit: &PermitStatus| v1::FleetPermitLine {
+        number: permit.permit.0,
+        who: permit.unit.0.to_string(),
+        zone: permit.zone.clone(),
+        at: permit.stage.clone(),
     };
-    let room = |count: &UnavailableCount| v1::FleetRoom {
+    let unavailable = |count: &UnavailableCount| v1::FleetRoom {
         zone: count.zone.clone(),
         out: count.unavailable,
         most: count.limit,
     };
-    let left = |line: &AbandonedUnit| v1::FleetLeft {
-        who: line.unit.0.to_string(),
-        why: line.reason.clone(),
+    let abandoned = |unit: &AbandonedUnit| v1::FleetLeft {
+        who: unit.unit.0.to_string(),
+        why: unit.reason.clone(),
     };
     v1::FleetRolloutStatus {
         name: status.name.clone(),
@@ -476,64 +499,66 @@
         of_wave: status.wave_size,
         turned: status.completed,
         meant: status.selected,
-        permits: status.permits.iter().map(line).collect(),
-        room: status.unavailable.iter().map(room).collect(),
-        left: status.abandoned.iter().map(left).collect(),
+        permits: status.permits.iter().map(permit).collect(),
+        room: status.unavailable.iter().map(unavailable).collect(),
+        left: status.abandoned.iter().map(abandoned).collect(),
         notes: status.notes.clone(),
     }
 }
 
-pub(crate) fn status_in(said: Option<&v1::FleetRolloutStatus>) -> Option<RolloutStatus> {
-    let Some(said) = said else {
+/// Decodes the status of the rollout and the permits. A missing message yields an empty status.
+pub(crate) fn status_in(message: Option<&v1::FleetRolloutStatus>) -> Option<RolloutStatus> {
+    let Some(message) = message else {
         return Some(RolloutStatus::default());
     };
-    let line = |l: &v1::FleetPermitLine| {
+    let permit = |line: &v1::FleetPermitLine| {
         Some(PermitStatus {
-            permit: PermitId(l.number),
-            unit: name(&l.who)?,
-            zone: word(&l.zone)?,
-            stage: word(&l.at)?,
+            permit: PermitId(line.number),
+            unit: name(&line.who)?,
+            zone: text_or_empty(&line.zone)?,
+            stage: text_or_empty(&line.at)?,
         })
     };
-    let left = |l: &v1::FleetLeft| {
+    let abandoned = |line: &v1::FleetLeft| {
         Some(AbandonedUnit {
-            unit: name(&l.who)?,
-            reason: words(&l.why)?,
+            unit: name(&line.who)?,
+            reason: reason_from_proto(&line.why)?,
         })
     };
-    let room = |r: &v1::FleetRoom| {
+    let unavailable = |line: &v1::FleetRoom| {
         Some(UnavailableCount {
-            zone: word(&r.zone)?,
-            unavailable: r.out,
-            limit: r.most,
+            zone: text_or_empty(&line.zone)?,
+            unavailable: line.out,
+            limit: line.most,
         })
     };
     Some(RolloutStatus {
-        name: word(&said.name)?,
-        unit_kind: of_in(said.engines),
-        state: word(&said.state)?,
-        halted: words(&said.halted)?,
-        blocked_reason: words(&said.why)?,
-        wave: said.wave,
-        granted_in_wave: said.given,
-        wave_size: said.of_wave,
-        completed: said.turned,
-        selected: said.meant,
-        permits: few(&said.permits, MAX_PERMITS)?
+        name: text_or_empty(&message.name)?,
+        unit_kind: unit_kind_from_proto(message.engines),
+        state: text_or_empty(&message.state)?,
+        halted: reason_from_proto(&message.halted)?,
+        blocked_reason: reason_from_proto(&message.why)?,
+        wave: message.wave,
+        granted_in_wave: message.given,
+        wave_size: message.of_wave,
+        completed: message.turned,
+        selected: message.meant,
+        permits: at_most(&message.permits, MAX_PERMITS)?
             .iter()
-            .map(line)
+            .map(permit)
             .collect::<Option<_>>()?,
-        unavailable: few(&said.room, MOST_ZONES + 1)?
+        // One entry for the whole fleet precedes the entries of the zones.
+        unavailable: at_most(&message.room, MAX_ZONES + 1)?
             .iter()
-            .map(room)
+            .map(unavailable)
             .collect::<Option<_>>()?,
-        abandoned: few(&said.left, MAX_ABANDONED)?
+        abandoned: at_most(&message.left, MAX_ABANDONED)?
             .iter()
-            .map(left)
+            .map(abandoned)
             .collect::<Option<_>>()?,
-        notes: few(&said.notes, MAX_TEXT_BYTES)?
+        notes: at_most(&message.notes, MAX_TEXT_BYTES)?
             .iter()
-            .map(|n| words(n))
+            .map(|note| reason_from_proto(note))
             .collect::<Option<_>>()?,
     })
 }
