--- a/src/coordination/rollout/commands.rs
+++ b/src/coordination/rollout/commands.rs
@@ -30,8 +30,8 @@
     pub fn apply_command(&mut self, command: &OperatorCommand) -> Result<(), RolloutError> {
         match command {
             OperatorCommand::Start(rollout) => self.start(rollout),
-            // A repeated halt succeeds: the halt in the state that the operator saw may come from a proposal that
-            // was never chosen.
+            // A halt of a halted state succeeds and is agreed on once more. The halt that was seen before may belong to
+            // a proposal that was never chosen.
             OperatorCommand::Halt(reason) => self.halt(reason).or(Ok(())),
             OperatorCommand::Resume => self.resume(),
             OperatorCommand::RollBack => self.roll_back(),
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -29,7 +29,7 @@
     /// Engines that need another permit although their zone's progress has passed them, because their permit was
     /// revoked.
     pub regrant: BTreeSet<Name>,
-    /// Units that did not return as planned and need an operator, each with the reason.
+    /// Units that did not return as planned and need repair by an operator, each with the reason.
     pub abandoned: BTreeMap<Name, String>,
     /// The number of completed permits.
     pub completed: u32,
--- a/src/coordination/rollout/steps.rs
+++ b/src/coordination/rollout/steps.rs
@@ -19,7 +19,8 @@
     /// During a rollback, replaces the permit of a unit that restarted under the new version by a permit for its
     /// current process.
     Reissue(PermitId, DisruptionPermit),
-    /// Gives up on a unit, which an operator has to repair. Carries the reason.
+    /// Removes the permit of a unit that did not return as planned, and lists the unit for operators. Carries the
+    /// reason.
     Abandon(PermitId, String),
     /// Begins the next wave.
     NextWave,
@@ -34,8 +35,9 @@
 impl DisruptionState {
     /// Applies a step of the membership leader.
     ///
-    /// # Errors Returns the reason why the step does not apply. The caller must discard the state in that case, because
-    /// a part of the step may have been applied.
+    /// # Errors
+    /// Returns the reason why the step does not apply. The caller must discard the state in that case, because a part
+    /// of the step may have been applied.
     pub fn apply_step(&mut self, step: &RolloutStep) -> Result<(), RolloutError> {
         match step {
             RolloutStep::Grant(permits) => permits.iter().try_for_each(|permit| self.grant(permit)),
--- a/src/coordination/rollout_analysis/analysis.rs
+++ b/src/coordination/rollout_analysis/analysis.rs
@@ -10,8 +10,8 @@
 /// The minimum length of a slice, in milliseconds. Counts of a unit are up to one heartbeat interval old, and the
 /// interval grows with the fleet.
 const MIN_SLICE_MS: Ms = 1_000.0;
-/// The minimum number of requests for a unit's share of harmed requests to count. Applies to units that are not
-/// updated.
+/// The minimum number of requests at a unit that is not updated. With fewer requests, the unit's share of harmed
+/// requests is left out of the comparison.
 const MIN_REQUESTS_PER_UNIT: u64 = 10;
 /// The number of consecutive slices that must show worse outcomes of the updated units before the rollout halts.
 const MIN_CONSECUTIVE_WORSE_SLICES: u32 = 3;
@@ -39,7 +39,8 @@
     /// Takes a sample of all units at `now`, in milliseconds.
     ///
     /// Returns the reason to halt the rollout if the updated units perform worse than the other units, else none.
-    /// `updated` names the units that run the new version. `has_permit` tells which units may restart at any time.
+    /// `updated` names the units that run the new version. `has_permit` tells which units are expected to restart and
+    /// are therefore left out.
     pub fn observe<'a>(
         &mut self,
         now: Ms,
--- a/src/coordination/rollout_analysis/comparison.rs
+++ b/src/coordination/rollout_analysis/comparison.rs
@@ -7,16 +7,16 @@
 
 use crate::coordination::disruption_budget::OutcomeCounts;
 
-/// The minimum number of requests in each group. The comparison reports no difference below it.
+/// The minimum number of requests in each group. The comparison reports no difference with fewer requests.
 const MIN_REQUESTS: u64 = 40;
-/// The minimum number of harmed requests at the updated units. The comparison reports no difference below it.
+/// The minimum number of harmed requests at the updated units. The comparison reports no difference with fewer.
 const MIN_HARMED: u64 = 8;
 /// The minimum difference between the actual and the expected share of harmed requests at the updated units.
 const MIN_EXCESS_SHARE: f64 = 0.03;
 /// The minimum difference between actual and expected harmed requests, in standard errors.
 const MIN_STANDARD_ERRORS: f64 = 4.0;
-/// The share of other units whose share of harmed requests must be below that of the updated units. A failing zone
-/// affects some units of both groups and must not halt the rollout.
+/// The minimum fraction of other units that must have a lower share of harmed requests than the updated units. A
+/// failing zone raises the share at some units of both groups, and must not halt the rollout.
 const MIN_UNITS_BELOW_SHARE: f64 = 0.9;
 
 /// Outcome totals of a group of units.
@@ -48,8 +48,8 @@
     }
 }
 
-/// Totals of both groups, summed over slices, with the outcomes that the other units of the same slices predict for
-/// the updated units.
+/// Outcomes of the updated units and of the other units, summed over slices, and the number of harmed requests that the
+/// other units predict for the updated units.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StratifiedComparison {
     /// Totals of the updated units, over slices in which both groups had requests.
--- a/src/coordination/rollout_analysis/restarts.rs
+++ b/src/coordination/rollout_analysis/restarts.rs
@@ -4,7 +4,7 @@
 use crate::coordination::{Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The minimum number of restarts at the updated units. The comparison reports no difference below it.
+/// The minimum number of restarts at the updated units. The comparison reports no difference with fewer.
 const MIN_RESTARTS: u32 = 2;
 /// The mean number of restarts of an updated unit must exceed this multiple of the mean of the other units.
 const MIN_RATE_RATIO: f64 = 3.0;
--- a/src/coordination/rollout_controller/candidates.rs
+++ b/src/coordination/rollout_controller/candidates.rs
@@ -86,7 +86,7 @@
         || (rollout.rolling_back && is_dispatcher && is_starting)
 }
 
-/// Whether the rollout has not updated a unit yet, judged by the unit's label or by its zone's progress.
+/// Whether the rollout has not updated a unit yet, according to the unit's label or its zone's progress.
 fn is_pending(rollout: &Rollout, unit: &Unit) -> bool {
     let plan = &rollout.plan;
     if plan.unit_kind == UnitKind::Dispatchers {
@@ -103,7 +103,7 @@
     !is_passed || rollout.regrant.contains(&unit.name)
 }
 
-/// The names of the selected units that run the rollout's new version, judged by label or by zone progress.
+/// The names of the selected units that run the rollout's new version, according to label or zone progress.
 pub(super) fn updated_units(
     rollout: &Rollout,
     units: &[Unit],
--- a/src/coordination/rollout_controller/dry_run.rs
+++ b/src/coordination/rollout_controller/dry_run.rs
@@ -7,7 +7,7 @@
 use crate::coordination::Name;
 
 /// The maximum number of waves that a dry run computes.
-const MAX_SHOWN_WAVES: usize = 10_000;
+const MAX_DRY_RUN_WAVES: usize = 10_000;
 
 /// Computes the units of each wave of a plan, assuming that every unit drains and returns as planned.
 ///
@@ -20,7 +20,7 @@
 ) -> Vec<Vec<Name>> {
     let mut remaining = units_to_update(plan, units);
     let mut waves = Vec::new();
-    while !remaining.is_empty() && waves.len() < MAX_SHOWN_WAVES {
+    while !remaining.is_empty() && waves.len() < MAX_DRY_RUN_WAVES {
         let size = plan.wave_size(waves.len() as u32) as usize;
         let wave = next_wave(&mut remaining, size, budget, units, sizes);
         if wave.is_empty() {
@@ -43,8 +43,8 @@
     remaining
 }
 
-/// Removes the units of one wave from the remaining units. Units that exceed the budget together become part of the
-/// same wave one group after another.
+/// Removes the units of one wave from the remaining units. If the budget does not allow all units of the wave to drain
+/// at the same time, the wave consists of several groups that drain one after another.
 fn next_wave(
     remaining: &mut Vec<&Unit>,
     size: usize,
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -31,7 +31,7 @@
 };
 
 /// The number of restarts under the wrong label that a unit may make on permits of a rollback. One more restart under
-/// the wrong label abandons the unit to operators.
+/// the wrong label abandons the unit, which an operator then has to repair.
 const MAX_WRONG_VERSIONS: u32 = 3;
 
 /// This leader's observations of one permit.
@@ -131,8 +131,8 @@
             .is_some_and(|observation| observation.revoked)
     }
 
-    /// Decides on all permits. `counts` holds the units counted against the budget of the unfinished rollout, and is
-    /// none without such a rollout.
+    /// Decides what to do about each permit. `counts` holds the units counted against the budget of the unfinished
+    /// rollout, and is none without such a rollout.
     pub fn decide(
         &mut self,
         inputs: &ControllerInputs<'_>,
@@ -354,7 +354,7 @@
         )))
     }
 
-    /// Abandons the unit to operators. Halts the rollout instead if the list of abandoned units is full.
+    /// Lists the unit as abandoned, for repair by an operator. Halts the rollout instead if the list is full.
     fn abandon(&self, reason: String) -> Decision {
         let is_full = self
             .disruptions
