--- a/src/coordination/disruption_budget/counts.rs
+++ b/src/coordination/disruption_budget/counts.rs
@@ -1,7 +1,7 @@
 //! Counts of dispatchers or of engines, checked against a disruption budget.
 
 use super::budget::{DisruptionBudget, MaxUnavailable};
-use super::groups::{cell_key, Count, RoleGroup, ServedRole, UtilizationSum};
+use super::groups::{cell_key, GroupCount, RoleGroup, ServedRole, UtilizationSum};
 use super::unit::{observed_zone_sizes, ServiceStatus, Unit, ZoneSizes};
 use super::violation::Violation;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,10 +23,10 @@
 /// Counts of all dispatchers or of all engines. Built once and then checked for each unit that may drain.
 #[derive(Clone, Debug, Default)]
 pub struct UnitCounts {
-    fleet: Count,
-    zones: BTreeMap<String, Count>,
-    cells: BTreeMap<String, Count>,
-    kinds: BTreeMap<String, Count>,
+    fleet: GroupCount,
+    zones: BTreeMap<String, GroupCount>,
+    cells: BTreeMap<String, GroupCount>,
+    kinds: BTreeMap<String, GroupCount>,
     ready: BTreeMap<RoleGroup, u32>,
     /// Utilization by role, for the fleet ([`WHOLE_FLEET`]) and for each zone.
     utilization: BTreeMap<(ServedRole, String), UtilizationSum>,
@@ -68,7 +68,7 @@
     }
 
     fn add(&mut self, unit: &Unit, available: bool, budget: &DisruptionBudget) {
-        let add = |count: &mut Count| {
+        let add = |count: &mut GroupCount| {
             count.size += 1;
             count.available += u32::from(available);
         };
@@ -279,11 +279,12 @@
 
     /// The number of unavailable units and its limit, for the fleet first and then for each zone.
     pub fn unavailable_counts(&self, budget: &DisruptionBudget) -> Vec<UnavailableCount> {
-        let unavailable_count = |zone: &str, count: &Count, max: MaxUnavailable| UnavailableCount {
-            zone: zone.to_owned(),
-            unavailable: count.unavailable(),
-            limit: max.limit_for(count.size),
-        };
+        let unavailable_count =
+            |zone: &str, count: &GroupCount, max: MaxUnavailable| UnavailableCount {
+                zone: zone.to_owned(),
+                unavailable: count.unavailable(),
+                limit: max.limit_for(count.size),
+            };
         let zones = self.zones.iter();
         std::iter::once(unavailable_count(WHOLE_FLEET, &self.fleet, budget.fleet))
             .chain(zones.map(|(zone, count)| unavailable_count(zone, count, budget.zone)))
--- a/src/coordination/disruption_budget/groups.rs
+++ b/src/coordination/disruption_budget/groups.rs
@@ -6,12 +6,12 @@
 
 /// The number of units in a group, and the number of available units among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Count {
+pub(super) struct GroupCount {
     pub size: u32,
     pub available: u32,
 }
 
-impl Count {
+impl GroupCount {
     pub fn unavailable(self) -> u32 {
         self.size - self.available.min(self.size)
     }
--- a/src/coordination/member/rollout/commands.rs
+++ b/src/coordination/member/rollout/commands.rs
@@ -80,8 +80,8 @@
         if self.is_view_complete() {
             return Ok(());
         }
-        let why = "the roll is not whole yet, a holder has just begun: try again in a moment";
-        Err(Reply::Refused(why.to_owned()))
+        let reason = "the roll is not whole yet, a holder has just begun: try again in a moment";
+        Err(Reply::Refused(reason.to_owned()))
     }
 
     fn recount_command(&self, unit_kind: UnitKind) -> OperatorCommand {
--- a/src/coordination/member/rollout/stop_by_hand.rs
+++ b/src/coordination/member/rollout/stop_by_hand.rs
@@ -26,8 +26,8 @@
             .cloned();
         let voter = self.settings.voters.get(&name).cloned();
         let Some(to) = address.or(member).or(voter) else {
-            let why = format!("nobody here knows where {} is: name its address", name.0);
-            return Some(Reply::Refused(why));
+            let reason = format!("nobody here knows where {} is: name its address", name.0);
+            return Some(Reply::Refused(reason));
         };
         let note = format!(
             "{} was stopped by hand, without agreement: {reason}",
@@ -75,7 +75,7 @@
                 self.note_once_agreed(note);
                 Reply::Done(format!("{text}; noted once the fleet agrees"))
             }
-            Some(Reply::Refused(why)) => Reply::Refused(why),
+            Some(Reply::Refused(reason)) => Reply::Refused(reason),
             _ => Reply::Refused("it does not answer".to_owned()),
         };
         out.push(Output::Answer {
--- a/src/coordination/rollout_analysis/restarts.rs
+++ b/src/coordination/rollout_analysis/restarts.rs
@@ -7,7 +7,7 @@
 /// The minimum number of restarts at the updated units. The comparison reports no difference with fewer.
 const MIN_RESTARTS: u32 = 2;
 /// The mean number of restarts of an updated unit must exceed this multiple of the mean of the other units.
-const MIN_RATE_RATIO: f64 = 3.0;
+const MIN_RESTART_RATIO: f64 = 3.0;
 
 /// The size of a group of units and their total number of restarts.
 #[derive(Clone, Copy, Debug, Default)]
@@ -54,7 +54,8 @@
             group.restarts += restarts;
         }
         let restarts_more_often = updated_group.restarts >= MIN_RESTARTS
-            && updated_group.restarts_per_unit() > MIN_RATE_RATIO * other_group.restarts_per_unit();
+            && updated_group.restarts_per_unit()
+                > MIN_RESTART_RATIO * other_group.restarts_per_unit();
         restarts_more_often.then(|| {
             format!(
                 "those that turned fell {} times, {} of them; the others {}",
