--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,5 +1,5 @@
-//! The start settings: `path=value` pairs in any order to the interface's [`Settings`]. The simulator's wire
-//! carries them as text ([`read`]), the platform's configuration as an object of the same names
+//! Parses start settings, `path=value` pairs in any order, into the interface's [`Settings`]. The simulator's protocol
+//! carries them as text ([`read`]); the platform's configuration carries them as a JSON object with the same names
 //! ([`read_object`]).
 
 use cindercleat::interface::*;
@@ -8,50 +8,58 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// What should have been there, and what came.
+/// A parse error: the input that was expected, and the input found in its place.
 #[derive(Debug)]
 pub struct Malformed {
+    /// A description of the expected input.
     pub expected: String,
-    pub came: String,
+    /// The input found, or `none` if it is missing; messages show its first 80 characters.
+    pub found: String,
 }
 
 impl Malformed {
-    pub fn new(expected: impl Into<String>, came: impl Into<String>) -> Self {
+    /// Describes a parse error; see the fields.
+    pub fn new(expected: impl Into<String>, found: impl Into<String>) -> Self {
         Malformed {
             expected: expected.into(),
-            came: came.into(),
+            found: found.into(),
         }
     }
 }
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let came: String = self.came.chars().take(80).collect();
-        write!(f, "expected {}, came {came:?}", self.expected)
+        let found: String = self.found.chars().take(80).collect();
+        write!(f, "expected {}, found {found:?}", self.expected)
     }
 }
 
-/// The settings, and what is said besides to whoever needs more than the decisions do.
+/// The parsed start settings: those of the decision module, and those that only its host needs.
 pub struct Conf {
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// The load report's columns, in the wire's words.
+    /// The columns of load reports in their order, as `stats.columns` names them.
     pub columns: Vec<String>,
-    /// The names behind the ids in `settings`, in the same order, where they are said.
+    /// The names of the request classes in the order of their ids; shorter than the classes if names are missing.
     pub request_classes: Vec<String>,
+    /// The names of the tenants in the order of their ids; shorter than the tenants if names are missing.
     pub tenants: Vec<String>,
+    /// The names of the zones in the order of their ids; empty if the settings do not name them.
     pub zones: Vec<String>,
+    /// The names of the engine kinds in the order of their ids; empty if the settings do not name them.
     pub kinds: Vec<String>,
-    /// An engine closes a connection that rests for this long.
+    /// The idle time after which engines close a connection, in milliseconds; `None` if they keep it open.
     pub connection_idle: Option<Ms>,
-    /// Whether clients ask for the rest of a stream that ends before its end.
+    /// Whether clients ask for the rest of a stream that broke.
     pub clients_resume: bool,
-    /// Tasks open at once.
+    /// The maximum number of open requests; `None` if there is no bound.
     pub max_open_requests: Option<usize>,
 }
 
-/// The shortest cold start that is told from none.
-const SHORTEST_SLOW_START_WINDOW: Ms = 1.0;
+/// The slow start window that stands for a setting of 0, because the window must be positive.
+const MIN_SLOW_START_WINDOW: Ms = 1.0;
 
+/// The values of the settings by path. Each method reads one setting, and fails if the value has another form.
 struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
 impl Pairs<'_> {
@@ -94,7 +102,7 @@
         Ok(time)
     }
 
-    /// A time that measures others: nothing can be held within a time of 0.
+    /// A time that must be above 0, such as a timeout: a timeout of 0 would always expire.
     fn positive_time(&self, path: &str) -> Result<Ms, Malformed> {
         let time = self.time(path)?;
         if time == 0.0 {
@@ -127,9 +135,9 @@
         text.split(',').filter(|part| !part.is_empty()).collect()
     }
 
-    /// The `at`-th of a list of times, one a request class; nothing where the list is absent.
-    fn time_in(&self, path: &str, at: usize) -> Result<Ms, Malformed> {
-        let Some(text) = self.list(path).get(at).copied() else {
+    /// The time at `index` of a list with one time per request class; 0 if the list is absent or shorter.
+    fn time_in(&self, path: &str, index: usize) -> Result<Ms, Malformed> {
+        let Some(text) = self.list(path).get(index).copied() else {
             return Ok(0.0);
         };
         let value: f64 = text
@@ -139,10 +147,10 @@
     }
 }
 
-/// Reads pairs separated by tabs.
+/// Parses `path=value` pairs separated by tabs. Unknown paths are ignored.
 ///
 /// # Errors
-/// The first thing wrong.
+/// Returns the first setting that is missing or malformed.
 pub fn read(text: &str) -> Result<Conf, Malformed> {
     let mut pairs = BTreeMap::new();
     for pair in text.split('\t').filter(|pair| !pair.is_empty()) {
@@ -154,11 +162,12 @@
     read_pairs(Pairs(pairs))
 }
 
-/// Reads an object: what lies within another has both names, joined by a dot; a list of values is one value
-/// with commas, a list of objects has a count, and its entries numbers for names.
+/// Parses a JSON object of settings. The path of a nested field joins the names with dots. A list of values becomes one
+/// value with commas. A list of objects becomes a field `count` and its entries, named by index. Unknown paths are
+/// ignored.
 ///
 /// # Errors
-/// The first thing wrong.
+/// Returns the first setting that is missing or malformed.
 pub fn read_object(object: &Value) -> Result<Conf, Malformed> {
     let mut flat = BTreeMap::new();
     flatten(object, String::new(), &mut flat);
@@ -170,7 +179,7 @@
 }
 
 fn flatten(value: &Value, path: String, flat: &mut BTreeMap<String, String>) {
-    let within = |name: &str| {
+    let nested_path = |name: &str| {
         if path.is_empty() {
             name.to_owned()
         } else {
@@ -180,29 +189,28 @@
     match value {
         Value::Object(fields) => fields
             .iter()
-            .for_each(|(name, value)| flatten(value, within(name), flat)),
+            .for_each(|(name, value)| flatten(value, nested_path(name), flat)),
         Value::Array(entries) => {
-            let objects = entries.iter().any(Value::is_object);
-            if objects || entries.is_empty() {
-                flat.insert(within("count"), entries.len().to_string());
-                entries
-                    .iter()
-                    .enumerate()
-                    .for_each(|(i, e)| flatten(e, within(&i.to_string()), flat));
+            let has_objects = entries.iter().any(Value::is_object);
+            if has_objects || entries.is_empty() {
+                flat.insert(nested_path("count"), entries.len().to_string());
+                entries.iter().enumerate().for_each(|(i, entry)| {
+                    flatten(entry, nested_path(&i.to_string()), flat);
+                });
             }
-            if !objects {
-                let texts: Vec<String> = entries.iter().map(plain).collect();
+            if !has_objects {
+                let texts: Vec<String> = entries.iter().map(scalar_text).collect();
                 flat.insert(path, texts.join(","));
             }
         }
         other => {
-            flat.insert(path, plain(other));
+            flat.insert(path, scalar_text(other));
         }
     }
 }
 
-/// A value as the wire writes it.
-fn plain(value: &Value) -> String {
+/// A JSON value in the text form of the `path=value` pairs; empty for null.
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Number(number) => match number.as_f64() {
@@ -261,17 +269,14 @@
         overload_multiple: pairs.amount("rules.fallMultiple")?,
         overload_window: pairs.positive_time("rules.overloadFor")?,
         cold_capacity: pairs.amount("rules.startCapacity")?,
-        // An engine that is as good as warm at once: a moment stands for none.
-        slow_start_window: pairs
-            .time("rules.rampTime")?
-            .max(SHORTEST_SLOW_START_WINDOW),
+        slow_start_window: pairs.time("rules.rampTime")?.max(MIN_SLOW_START_WINDOW),
     };
     let texts = |path: &str| pairs.list(path).into_iter().map(str::to_owned).collect();
-    let named = |what: &str, count: usize| {
+    let names = |list: &str, count: usize| {
         let name = |i| {
             pairs
                 .0
-                .get(format!("{what}.{i}.name").as_str())
+                .get(format!("{list}.{i}.name").as_str())
                 .map(|name| (*name).to_owned())
         };
         (0..count).map_while(name).collect()
@@ -286,8 +291,8 @@
     Ok(Conf {
         settings,
         columns: texts("stats.columns"),
-        request_classes: named("services", request_classes),
-        tenants: named("orgs", tenants),
+        request_classes: names("services", request_classes),
+        tenants: names("orgs", tenants),
         zones: texts("zones"),
         kinds: texts("shapes"),
         connection_idle: (connection_idle > 0.0).then_some(connection_idle),
@@ -297,12 +302,12 @@
 }
 
 fn request_class(pairs: &Pairs, i: usize) -> Result<RequestClassSettings, Malformed> {
-    let at = |key: &str| format!("services.{i}.{key}");
-    let retry_safety = match pairs.text(&at("effect"))? {
+    let path = |key: &str| format!("services.{i}.{key}");
+    let retry_safety = match pairs.text(&path("effect"))? {
         "safe" => RetrySafety::Idempotent,
         "unsafe" => RetrySafety::AtMostOnce,
         "keyed" => {
-            let scope = match pairs.text(&at("keyScope"))? {
+            let scope = match pairs.text(&path("keyScope"))? {
                 "all" => IdempotencyScope::All,
                 "zone" => IdempotencyScope::Zone,
                 "cell" => IdempotencyScope::Cell,
@@ -310,25 +315,26 @@
             };
             RetrySafety::IdempotencyKey {
                 scope,
-                window: pairs.time(&at("dedupWindow"))?,
+                window: pairs.time(&path("dedupWindow"))?,
             }
         }
         other => return Err(Malformed::new("safe, keyed or unsafe in effect", other)),
     };
-    // A class without a deadline of its own goes by what each request says; one without a target by its deadline.
-    let deadline = pairs.time_or(&at("giveUp"), 0.0)?;
-    let target = [pairs.time_or(&at("aim"), 0.0)?, deadline]
+    // Without a deadline of the class, each request's own deadline applies. Without an objective, the class's deadline
+    // serves as the objective.
+    let deadline = pairs.time_or(&path("giveUp"), 0.0)?;
+    let objective = [pairs.time_or(&path("aim"), 0.0)?, deadline]
         .into_iter()
         .find(|time| *time > 0.0);
-    let none = || {
+    let missing = || {
         Malformed::new(
-            format!("a time above 0 in {} or {}", at("aim"), at("giveUp")),
+            format!("a time above 0 in {} or {}", path("aim"), path("giveUp")),
             "none",
         )
     };
     Ok(RequestClassSettings {
         retry_safety,
-        latency_objective: target.ok_or_else(none)?,
+        latency_objective: objective.ok_or_else(missing)?,
         latency_objective_per_1000_tokens: pairs
             .time_in("familyInfo.aimUsPer1000PromptTokens", i)?,
         time_to_deadline: if deadline > 0.0 {
@@ -336,10 +342,10 @@
         } else {
             f64::INFINITY
         },
-        priority_weight: pairs.amount_or(&at("importance"), 1.0)?,
-        late_value_share: pairs.amount_or(&at("lateShare"), 0.0)?,
+        priority_weight: pairs.amount_or(&path("importance"), 1.0)?,
+        late_value_share: pairs.amount_or(&path("lateShare"), 0.0)?,
         token_pace: pairs.time_in("familyInfo.tokenAim", i)?,
-        streams: pairs.flag(&at("stream"))?,
+        streams: pairs.flag(&path("stream"))?,
     })
 }
 
@@ -386,10 +392,10 @@
             .any(|kind| kind.role == role || kind.role == Role::Both)
     };
     if !serves(Role::Prefill) || !serves(Role::Decode) {
-        let came = pairs.text("familyInfo.kindRole")?;
+        let found = pairs.text("familyInfo.kindRole")?;
         return Err(Malformed::new(
             "a kind that reads and one that writes in familyInfo.kindRole",
-            came,
+            found,
         ));
     }
     Ok(kinds)
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,8 @@
-//! What network code takes as parameters: a transport (connect, listen, byte streams) and a clock.
+//! The traits that network code is generic over: a transport (connect, listen, byte streams) and a clock.
 //!
-//! In production these are [`Tcp`] and [`SystemClock`]. [`Memory`] joins both ends within one thread and [`TokioClock`]
-//! follows the runtime's time, which can be paused: with both, a run needs no sockets and no real time.
-//! [`simulated_network`] adds latency, partitions, resets and silent connections.
+//! Production code uses [`Tcp`] and [`SystemClock`]. [`Memory`] connects both ends within one thread, and [`TokioClock`]
+//! follows the runtime's time, which tests can pause; together they need no sockets and no real time.
+//! [`simulated_network`] adds latency, partitions, resets and connections that lose bytes without an error.
 #![warn(missing_docs)]
 
 mod memory;
@@ -21,27 +21,27 @@
 /// Milliseconds with fractions.
 pub type Ms = f64;
 
-/// Connects and listens. Addresses are text: `ip:port` for TCP, any name in memory.
+/// Opens and accepts connections. An address is `ip:port` for TCP, and any name for [`Memory`].
 pub trait Transport: Clone + 'static {
     /// One end of a connection.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
-    /// What listens on an address of this transport.
+    /// Accepts the connections to an address; stops listening when dropped.
     type Listener: Listener<Stream = Self::Stream> + 'static;
 
     /// Opens a connection to an address.
     ///
     /// # Errors
-    /// Nothing listens there, or it cannot be reached.
+    /// Returns an error if nothing listens on the address or the address cannot be reached.
     fn connect(&self, address: &str) -> impl Future<Output = io::Result<Self::Stream>>;
 
     /// Listens on an address.
     ///
     /// # Errors
-    /// The address is in use or is not an address of this transport.
+    /// Returns an error if the address is in use or is not valid for this transport.
     fn listen(&self, address: &str) -> impl Future<Output = io::Result<Self::Listener>>;
 }
 
-/// Accepts connections.
+/// Accepts connections to one address.
 pub trait Listener {
     /// One end of a connection.
     type Stream;
@@ -49,23 +49,23 @@
     /// Waits for the next connection.
     ///
     /// # Errors
-    /// This connection failed, or (for good) the listener did.
+    /// Returns an error if this connection failed, or on every call once the listener failed.
     fn accept(&mut self) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// The address to connect to.
+    /// The address that clients connect to; empty if the system cannot report it.
     fn address(&self) -> String;
 }
 
-/// Tells the time, in milliseconds since 1970, and waits for it. Never goes backwards.
+/// A clock in milliseconds since 1970 that never goes backwards.
 pub trait Clock: Clone + 'static {
-    /// The time now.
+    /// The current time, in milliseconds since 1970.
     fn now(&self) -> Ms;
 
-    /// Waits until an instant; one that has passed is not waited for.
+    /// Waits until an instant; returns at once if the instant has passed.
     fn sleep_until(&self, at: Ms) -> impl Future<Output = ()>;
 }
 
-/// TCP sockets, with Nagle's delay off.
+/// TCP sockets with Nagle's algorithm disabled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tcp;
 
@@ -75,7 +75,7 @@
 
     async fn connect(&self, address: &str) -> io::Result<TcpStream> {
         let stream = TcpStream::connect(address).await?;
-        // What is written goes out whole and at once; without the option its tail may wait for an acknowledgement.
+        // Without the option, the last part of a write may wait for an acknowledgement of the earlier parts.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
@@ -85,10 +85,10 @@
     }
 }
 
-/// TCP sockets whose connections go out from a given address of this machine, if one is given.
+/// TCP sockets that connect from a given local address.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TcpFrom {
-    /// The local address; none leaves the choice to the system.
+    /// The local address of outgoing connections; with `None` the system chooses.
     pub from: Option<IpAddr>,
 }
 
@@ -100,14 +100,14 @@
         let Some(from) = self.from else {
             return Tcp.connect(address).await;
         };
-        let to: SocketAddr = address.parse().map_err(|_| io::ErrorKind::InvalidInput)?;
-        let socket = if to.is_ipv4() {
+        let remote: SocketAddr = address.parse().map_err(|_| io::ErrorKind::InvalidInput)?;
+        let socket = if remote.is_ipv4() {
             TcpSocket::new_v4()
         } else {
             TcpSocket::new_v6()
         }?;
         socket.bind(SocketAddr::new(from, 0))?;
-        let stream = socket.connect(to).await?;
+        let stream = socket.connect(remote).await?;
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
@@ -122,7 +122,7 @@
 
     async fn accept(&mut self) -> io::Result<TcpStream> {
         let (stream, _) = TcpListener::accept(self).await?;
-        // Its client may have sent its request already: a connection whose option cannot be set is worth more than none.
+        // A connection without the option still works, and its client may have sent a request already.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
@@ -133,38 +133,38 @@
     }
 }
 
-/// The runtime's time, counted from an instant since 1970 that is given or the system's at the start. Steps
-/// of the system's clock do not reach it.
+/// A clock that advances with the Tokio runtime from a given start time. Steps of the system clock after the start do
+/// not change it.
 #[derive(Clone, Copy, Debug)]
 pub struct TokioClock {
-    zero: Instant,
-    at_zero: Ms,
+    start: Instant,
+    start_ms: Ms,
 }
 
-/// The clock that serves: the system's time at the start, and from then on the runtime's.
+/// The clock of production code; [`TokioClock::system`] starts it at the system's time.
 pub type SystemClock = TokioClock;
 
 impl TokioClock {
-    /// Counts from the system's time now.
+    /// Starts at the system's current time, or at 1970 if the system clock is set before 1970.
     pub fn system() -> Self {
-        let since = SystemTime::now()
+        let since_1970 = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        TokioClock::starting_at(since.as_secs_f64() * 1000.0)
+        TokioClock::starting_at(since_1970.as_secs_f64() * 1000.0)
     }
 
-    /// Counts from this instant, in milliseconds since 1970.
-    pub fn starting_at(at_zero: Ms) -> Self {
+    /// Starts at `start_ms`, in milliseconds since 1970.
+    pub fn starting_at(start_ms: Ms) -> Self {
         TokioClock {
-            zero: Instant::now(),
-            at_zero,
+            start: Instant::now(),
+            start_ms,
         }
     }
 }
 
 impl Clock for TokioClock {
     fn now(&self) -> Ms {
-        self.at_zero + self.zero.elapsed().as_secs_f64() * 1000.0
+        self.start_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
     async fn sleep_until(&self, at: Ms) {
--- a/crates/net/src/memory.rs
+++ b/crates/net/src/memory.rs
@@ -1,4 +1,4 @@
-//! Connections within one thread, without delay or faults.
+//! An in-memory transport between tasks of one thread, without delay or faults.
 
 use crate::{Listener, Transport};
 use std::cell::RefCell;
@@ -8,23 +8,24 @@
 use tokio::io::DuplexStream;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 
-/// The most bytes in flight in each direction of a connection.
+/// The maximum number of bytes in flight in each direction of a connection.
 const MAX_BYTES_IN_FLIGHT: usize = 64 * 1024;
 
-type Names = Rc<RefCell<BTreeMap<String, UnboundedSender<DuplexStream>>>>;
+/// The queues of connections to accept, by address.
+type Listeners = Rc<RefCell<BTreeMap<String, UnboundedSender<DuplexStream>>>>;
 
-/// A network in memory; clones share it.
+/// An in-memory network; clones share the network.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
-    names: Names,
+    listeners: Listeners,
 }
 
-/// A listener of this network; it listens until it is dropped.
+/// A listener of a [`Memory`] network; listens until it is dropped.
 #[derive(Debug)]
 pub struct MemoryListener {
-    name: String,
-    names: Names,
-    coming: UnboundedReceiver<DuplexStream>,
+    address: String,
+    listeners: Listeners,
+    incoming: UnboundedReceiver<DuplexStream>,
 }
 
 impl Transport for Memory {
@@ -33,8 +34,8 @@
 
     async fn connect(&self, address: &str) -> io::Result<DuplexStream> {
         let (near, far) = tokio::io::duplex(MAX_BYTES_IN_FLIGHT);
-        let names = self.names.borrow();
-        let sent = names.get(address).map(|listener| listener.send(far));
+        let listeners = self.listeners.borrow();
+        let sent = listeners.get(address).map(|listener| listener.send(far));
         match sent {
             Some(Ok(())) => Ok(near),
             _ => Err(io::ErrorKind::ConnectionRefused.into()),
@@ -42,16 +43,16 @@
     }
 
     async fn listen(&self, address: &str) -> io::Result<MemoryListener> {
-        let (to, coming) = unbounded_channel();
-        let mut names = self.names.borrow_mut();
-        if names.contains_key(address) {
+        let (sender, incoming) = unbounded_channel();
+        let mut listeners = self.listeners.borrow_mut();
+        if listeners.contains_key(address) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
-        names.insert(address.to_owned(), to);
+        listeners.insert(address.to_owned(), sender);
         Ok(MemoryListener {
-            name: address.to_owned(),
-            names: self.names.clone(),
-            coming,
+            address: address.to_owned(),
+            listeners: self.listeners.clone(),
+            incoming,
         })
     }
 }
@@ -60,19 +61,19 @@
     type Stream = DuplexStream;
 
     async fn accept(&mut self) -> io::Result<DuplexStream> {
-        self.coming
+        self.incoming
             .recv()
             .await
             .ok_or_else(|| io::ErrorKind::NotConnected.into())
     }
 
     fn address(&self) -> String {
-        self.name.clone()
+        self.address.clone()
     }
 }
 
 impl Drop for MemoryListener {
     fn drop(&mut self) {
-        self.names.borrow_mut().remove(&self.name);
+        self.listeners.borrow_mut().remove(&self.address);
     }
 }
--- a/crates/net/src/simulated_network.rs
+++ b/crates/net/src/simulated_network.rs
@@ -1,8 +1,9 @@
-//! A network in memory with faults: delay, jitter, bandwidth, cuts in either direction, connections that are half
-//! open, zones that do not reach each other, connects that hang. All chance comes from a seed and all time from
-//! the runtime's clock, so on a paused runtime the same calls give the same bytes at the same instants.
+//! An in-memory network with delay, jitter, limited bandwidth and injected faults: resets, half-open connections, bytes
+//! lost in one direction, partitions between zones, and connects that hang.
 //!
-//! Bytes of one connection keep their order; those of different connections do not wait for each other.
+//! Random draws come from a seed and time comes from the runtime's clock, so on a paused runtime the same calls deliver
+//! the same bytes at the same instants. The bytes of one connection keep their order; connections do not delay each
+//! other.
 
 use crate::{Listener, Ms, Transport};
 use nanorand::{Rng, WyRand};
@@ -18,19 +19,19 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::{sleep, Instant, Sleep};
 
-/// The most bytes in flight in each direction of a connection; a sender waits for some to be read.
+/// The maximum number of bytes in flight in each direction of a connection; a sender then waits until some are read.
 pub const MAX_BYTES_IN_FLIGHT: usize = 64 * 1024;
-/// What stands before a name in its address.
+/// The prefix that turns a host name into its address.
 const ADDRESS_PREFIX: &str = "at-";
 
-/// How bytes travel from now on.
+/// The latency and bandwidth of the network.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkConditions {
-    /// The time that each byte takes, in milliseconds.
+    /// The minimum latency of each write, in milliseconds.
     pub delay: Ms,
-    /// Up to this much more, drawn for each write, in milliseconds.
+    /// The maximum additional latency, drawn uniformly for each write, in milliseconds.
     pub jitter: Ms,
-    /// Bytes per millisecond in each direction of a connection.
+    /// The bandwidth of each direction of a connection, in bytes per millisecond.
     pub bandwidth: f64,
 }
 
@@ -44,30 +45,31 @@
     }
 }
 
-/// The zone of a listener, and where its connections go.
-type Listening = (Rc<str>, UnboundedSender<SimulatedStream>);
+/// The zone of a listener, and its queue of connections to accept.
+type ListenerEntry = (Rc<str>, UnboundedSender<SimulatedStream>);
 
+/// The state that all hosts of a network share.
 struct Inner {
-    zero: Instant,
+    start: Instant,
     rng: RefCell<WyRand>,
     conditions: Cell<NetworkConditions>,
-    listeners: RefCell<BTreeMap<String, Listening>>,
+    listeners: RefCell<BTreeMap<String, ListenerEntry>>,
     connections: RefCell<Vec<Weak<Connection>>>,
-    /// Zones, from and to, between which nothing passes.
+    /// Pairs of zones (from, to) between which a partition holds bytes back.
     blocked: RefCell<BTreeSet<(Rc<str>, Rc<str>)>>,
-    /// Connects to these addresses hang.
+    /// Addresses to which connects hang.
     hanging: RefCell<BTreeSet<String>>,
-    /// The most bytes that were in flight in one direction of one connection.
+    /// The peak number of bytes in flight in one direction of one connection.
     max_in_flight: Cell<usize>,
 }
 
-/// A simulated network; clones share it.
+/// A simulated network; clones share the network.
 #[derive(Clone)]
 pub struct SimulatedNetwork {
     inner: Rc<Inner>,
 }
 
-/// One host of the network: connects and listens as itself, from its zone.
+/// One host of the network; its connections carry its name and zone.
 #[derive(Clone)]
 pub struct SimulatedHost {
     network: SimulatedNetwork,
@@ -75,44 +77,57 @@
     zone: Rc<str>,
 }
 
+/// The bytes of one write, with the time at which they arrive.
+struct Segment {
+    arrives_at: Ms,
+    bytes: Vec<u8>,
+    /// The number of these bytes that the receiver has read.
+    consumed: usize,
+}
+
 /// One direction of a connection.
 struct Pipe {
-    segments: VecDeque<(Ms, Vec<u8>, usize)>,
+    segments: VecDeque<Segment>,
+    /// The number of bytes in flight.
     bytes: usize,
-    /// When the next byte can be sent, and when the last one arrives.
+    /// The time at which the bandwidth limit allows the next byte to be sent.
     free_at: Ms,
-    last: Ms,
-    /// No byte follows the last.
+    /// The time at which the last byte arrives.
+    last_arrival: Ms,
+    /// The sender has closed this direction.
     ended: bool,
-    /// The receiving side has gone.
+    /// The receiving side was dropped.
     receiver_gone: bool,
-    /// What is written is lost; neither side sees an error.
+    /// Written bytes are lost, and neither side sees an error.
     silent: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
+/// A connection between two hosts.
 struct Connection {
     network: Weak<Inner>,
-    /// Who connected, and to whom; names and zones.
+    /// The name and zone of each host: first the one that connected, then the one that accepted.
     ends: [(Rc<str>, Rc<str>); 2],
+    /// The two directions, each at the index of its sender in `ends`.
     pipes: [RefCell<Pipe>; 2],
+    /// The connection was reset.
     broken: Cell<bool>,
 }
 
 /// One side of a connection.
 pub struct SimulatedStream {
     connection: Rc<Connection>,
-    /// 0 connected, 1 was connected to.
+    /// The index of this side in `Connection::ends`.
     side: usize,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl SimulatedNetwork {
-    /// An empty network; `seed` starts the draws of its jitter.
+    /// Creates a network without hosts; `seed` determines the jitter of all writes.
     pub fn new(seed: u64) -> Self {
         let inner = Inner {
-            zero: Instant::now(),
+            start: Instant::now(),
             rng: RefCell::new(WyRand::new_seed(seed)),
             conditions: Cell::default(),
             listeners: RefCell::default(),
@@ -126,7 +141,7 @@
         }
     }
 
-    /// The host of this name in this zone; its address is [`address_of`] the name.
+    /// Returns the host `name` in `zone`; [`address_of`] gives its address.
     pub fn host(&self, name: &str, zone: &str) -> SimulatedHost {
         SimulatedHost {
             network: self.clone(),
@@ -135,12 +150,13 @@
         }
     }
 
-    /// Bytes written from now on travel under these conditions.
+    /// Sets the conditions of later writes; bytes in flight keep their arrival times.
     pub fn set_conditions(&self, conditions: NetworkConditions) {
         self.inner.conditions.set(conditions);
     }
 
-    /// Sets whether a partition blocks bytes from one zone to another; what is in flight waits meanwhile.
+    /// Starts or ends a partition that holds back all bytes from one zone to another, including bytes in flight. Connects
+    /// between the two zones hang meanwhile.
     pub fn block(&self, from: &str, to: &str, blocked: bool) {
         let pair = (Rc::from(from), Rc::from(to));
         if blocked {
@@ -151,7 +167,7 @@
         }
     }
 
-    /// Sets whether connects to an address hang: they get no answer.
+    /// Sets whether connects to an address hang without a result.
     pub fn hang(&self, address: &str, hangs: bool) {
         if hangs {
             self.inner.hanging.borrow_mut().insert(address.to_owned());
@@ -160,10 +176,10 @@
         }
     }
 
-    /// Resets all connections of a host: both sides see it at once.
+    /// Resets all connections of a host; both sides see the reset at once.
     pub fn cut(&self, name: &str) {
         self.each_connection(
-            |connection| connection.of(name),
+            |connection| connection.has_end(name),
             |connection| {
                 connection.broken.set(true);
                 connection.wake();
@@ -171,46 +187,47 @@
         );
     }
 
-    /// From now on what a host writes on its existing connections is lost (`from`), and what is written to it (`to`);
-    /// neither side sees an error.
+    /// Loses all later bytes that a host writes (`from`) or that are written to it (`to`) on its existing connections.
+    /// Neither side sees an error. New connections are not affected.
     pub fn silence(&self, name: &str, from: bool, to: bool) {
         self.each_connection(
-            |connection| connection.of(name),
+            |connection| connection.has_end(name),
             |connection| {
                 for side in 0..2 {
-                    let says = &*connection.ends[side].0 == name;
-                    connection.pipes[side].borrow_mut().silent |= (says && from) || (!says && to);
+                    let is_sender = &*connection.ends[side].0 == name;
+                    connection.pipes[side].borrow_mut().silent |=
+                        (is_sender && from) || (!is_sender && to);
                 }
             },
         );
     }
 
-    /// The most bytes that were in flight in one direction of one connection.
+    /// The peak number of bytes in flight in one direction of one connection, over the life of the network.
     pub fn max_bytes_in_flight(&self) -> usize {
         self.inner.max_in_flight.get()
     }
 
-    fn each_connection(&self, which: impl Fn(&Connection) -> bool, what: impl Fn(&Connection)) {
+    fn each_connection(&self, selects: impl Fn(&Connection) -> bool, action: impl Fn(&Connection)) {
         let mut connections = self.inner.connections.borrow_mut();
         connections.retain(|connection| connection.strong_count() > 0);
         let all: Vec<Rc<Connection>> = connections.iter().filter_map(Weak::upgrade).collect();
         drop(connections);
         all.iter()
-            .filter(|connection| which(connection))
-            .for_each(|connection| what(connection));
+            .filter(|connection| selects(connection))
+            .for_each(|connection| action(connection));
     }
 }
 
 impl Inner {
     fn now(&self) -> Ms {
-        self.zero.elapsed().as_secs_f64() * 1000.0
+        self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The latency of one write under the current conditions, in milliseconds.
+    /// Draws the latency of one write under the current conditions, in milliseconds.
     fn latency(&self) -> Ms {
         let conditions = self.conditions.get();
-        let chance: f64 = self.rng.borrow_mut().generate();
-        conditions.delay + conditions.jitter * chance
+        let jitter_share: f64 = self.rng.borrow_mut().generate();
+        conditions.delay + conditions.jitter * jitter_share
     }
 }
 
@@ -224,7 +241,7 @@
 
     async fn connect(&self, address: &str) -> io::Result<SimulatedStream> {
         let inner = &self.network.inner;
-        // There and back.
+        // A connect takes one round trip.
         wait(inner.latency() + inner.latency()).await;
         let zone = inner
             .listeners
@@ -234,11 +251,11 @@
         let blocked = |from: &Rc<str>, to: &Rc<str>| {
             inner.blocked.borrow().contains(&(from.clone(), to.clone()))
         };
-        let cut_off = zone
+        let is_partitioned = zone
             .as_ref()
             .is_some_and(|zone| blocked(&self.zone, zone) || blocked(zone, &self.zone));
-        if cut_off || inner.hanging.borrow().contains(address) {
-            // No error comes: the caller has to give up by itself.
+        if is_partitioned || inner.hanging.borrow().contains(address) {
+            // The connect never fails by itself; only the caller's timeout ends it.
             pending::<()>().await;
         }
         let listeners = inner.listeners.borrow();
@@ -250,7 +267,7 @@
                 segments: VecDeque::new(),
                 bytes: 0,
                 free_at: 0.0,
-                last: 0.0,
+                last_arrival: 0.0,
                 ended: false,
                 receiver_gone: false,
                 silent: false,
@@ -287,7 +304,7 @@
     }
 
     async fn listen(&self, address: &str) -> io::Result<SimulatedListener> {
-        let (to, coming) = unbounded_channel();
+        let (sender, incoming) = unbounded_channel();
         let mut listeners = self.network.inner.listeners.borrow_mut();
         if listeners
             .get(address)
@@ -295,16 +312,16 @@
         {
             return Err(io::ErrorKind::AddrInUse.into());
         }
-        listeners.insert(address.to_owned(), (self.zone.clone(), to));
+        listeners.insert(address.to_owned(), (self.zone.clone(), sender));
         Ok(SimulatedListener {
             address: address.to_owned(),
             network: self.network.clone(),
-            coming,
+            incoming,
         })
     }
 }
 
-/// The address that a host of this name listens on.
+/// The address of the host `name`, for `listen` and `connect`.
 pub fn address_of(name: &str) -> String {
     format!("{ADDRESS_PREFIX}{name}")
 }
@@ -313,18 +330,18 @@
     address.strip_prefix(ADDRESS_PREFIX).unwrap_or(address)
 }
 
-/// A listener of a simulated host; it listens until it is dropped.
+/// A listener of a [`SimulatedHost`]; listens until it is dropped.
 pub struct SimulatedListener {
     address: String,
     network: SimulatedNetwork,
-    coming: UnboundedReceiver<SimulatedStream>,
+    incoming: UnboundedReceiver<SimulatedStream>,
 }
 
 impl Listener for SimulatedListener {
     type Stream = SimulatedStream;
 
     async fn accept(&mut self) -> io::Result<SimulatedStream> {
-        self.coming
+        self.incoming
             .recv()
             .await
             .ok_or_else(|| io::ErrorKind::NotConnected.into())
@@ -337,12 +354,12 @@
 
 impl Drop for SimulatedListener {
     fn drop(&mut self) {
-        // Another process may listen there by now.
-        self.coming.close();
+        // A newer listener may have taken over the address; only a closed entry is removed.
+        self.incoming.close();
         let mut listeners = self.network.inner.listeners.borrow_mut();
         if listeners
             .get(&self.address)
-            .is_some_and(|(_, to)| to.is_closed())
+            .is_some_and(|(_, sender)| sender.is_closed())
         {
             listeners.remove(&self.address);
         }
@@ -350,7 +367,7 @@
 }
 
 impl Connection {
-    fn of(&self, name: &str) -> bool {
+    fn has_end(&self, name: &str) -> bool {
         self.ends.iter().any(|(end, _)| &**end == name)
     }
 
@@ -365,7 +382,7 @@
         }
     }
 
-    /// Whether nothing passes from a side now.
+    /// Whether a partition holds back the bytes that `side` sends.
     fn is_blocked(&self, network: &Inner, side: usize) -> bool {
         let blocked = network.blocked.borrow();
         !blocked.is_empty()
@@ -392,17 +409,18 @@
         let mut read = 0;
         if !this.connection.is_blocked(&network, from) {
             while into.remaining() > 0 {
-                let Some((at, bytes, done)) = pipe.segments.front_mut() else {
+                let Some(segment) = pipe.segments.front_mut() else {
                     break;
                 };
-                if *at > now {
+                if segment.arrives_at > now {
                     break;
                 }
-                let part = into.remaining().min(bytes.len() - *done);
-                into.put_slice(&bytes[*done..*done + part]);
-                *done += part;
+                let start = segment.consumed;
+                let part = into.remaining().min(segment.bytes.len() - start);
+                into.put_slice(&segment.bytes[start..start + part]);
+                segment.consumed += part;
                 read += part;
-                if *done == bytes.len() {
+                if segment.consumed == segment.bytes.len() {
                     pipe.segments.pop_front();
                 }
             }
@@ -412,18 +430,18 @@
             pipe.writer.take().into_iter().for_each(Waker::wake);
             return Poll::Ready(Ok(()));
         }
-        let all_came = pipe.ended && pipe.segments.is_empty() && pipe.last <= now;
-        if all_came && !pipe.silent && !this.connection.is_blocked(&network, from) {
+        let at_end = pipe.ended && pipe.segments.is_empty() && pipe.last_arrival <= now;
+        if at_end && !pipe.silent && !this.connection.is_blocked(&network, from) {
             return Poll::Ready(Ok(()));
         }
         pipe.reader = Some(cx.waker().clone());
         let next = pipe
             .segments
             .front()
-            .map(|(at, ..)| *at)
-            .or(pipe.ended.then_some(pipe.last));
+            .map(|segment| segment.arrives_at)
+            .or(pipe.ended.then_some(pipe.last_arrival));
         drop(pipe);
-        // Bytes that are blocked or lost wake nobody by themselves.
+        // Lost bytes never arrive, and `block` wakes the readers of bytes that a partition held back.
         if let Some(at) = next.filter(|at| at.is_finite() && *at > now) {
             let wait = Duration::try_from_secs_f64((at - now) / 1000.0).unwrap_or_default();
             let mut timer = Box::pin(sleep(wait));
@@ -461,14 +479,19 @@
         let now = network.now();
         pipe.free_at =
             pipe.free_at.max(now) + part as f64 / network.conditions.get().bandwidth.max(1e-3);
-        let arrives = if pipe.silent {
+        let arrives_at = if pipe.silent {
             f64::INFINITY
         } else {
             pipe.free_at + network.latency()
         };
-        pipe.last = pipe.last.max(arrives);
-        let at = pipe.last;
-        pipe.segments.push_back((at, bytes[..part].to_vec(), 0));
+        // Bytes keep their order: no write arrives before an earlier one.
+        pipe.last_arrival = pipe.last_arrival.max(arrives_at);
+        let segment = Segment {
+            arrives_at: pipe.last_arrival,
+            bytes: bytes[..part].to_vec(),
+            consumed: 0,
+        };
+        pipe.segments.push_back(segment);
         pipe.bytes += part;
         network
             .max_in_flight
@@ -488,7 +511,7 @@
 }
 
 impl SimulatedStream {
-    /// Ends this direction: no byte follows.
+    /// Closes the sending direction of this side; the peer reads an end of stream after the last byte.
     fn end(&self) {
         let latency = self
             .connection
@@ -498,7 +521,7 @@
         let mut pipe = self.connection.pipes[self.side].borrow_mut();
         if let (false, Some((now, latency))) = (pipe.ended, latency) {
             pipe.ended = true;
-            pipe.last = pipe.last.max(now + latency);
+            pipe.last_arrival = pipe.last_arrival.max(now + latency);
             pipe.reader.take().into_iter().for_each(Waker::wake);
         }
     }
--- a/crates/net/tests/simulated_network.rs
+++ b/crates/net/tests/simulated_network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: order and time of bytes, backpressure, partitions, resets and silence.
+//! The simulated network: order and arrival times of bytes, backpressure, partitions, resets and lost bytes.
 
 use cindercleat_net::simulated_network::*;
 use cindercleat_net::{Listener, Transport};
@@ -14,7 +14,7 @@
         .enable_time()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+    LocalSet::new().block_on(&runtime.expect("runtime built"), async {
         test(SimulatedNetwork::new(1)).await
     });
 }
@@ -24,17 +24,17 @@
         .host("b", "south")
         .listen("at-b")
         .await
-        .expect("free");
+        .expect("address is free");
     let near = network
         .host("a", "north")
         .connect("at-b")
         .await
-        .expect("it listens");
-    (near, listener.accept().await.expect("it came"))
+        .expect("connection established");
+    (near, listener.accept().await.expect("connection accepted"))
 }
 
 #[test]
-fn bytes_take_their_time_and_keep_their_order() {
+fn bytes_arrive_in_order_and_at_the_configured_bandwidth() {
     run(|network| async move {
         network.set_conditions(NetworkConditions {
             delay: 20.0,
@@ -44,22 +44,22 @@
         let (mut near, mut far) = pair(&network).await;
         let begin = Instant::now();
         for n in 0..100u8 {
-            near.write_all(&[n; 10]).await.expect("taken");
+            near.write_all(&[n; 10]).await.expect("bytes written");
         }
         drop(near);
         let mut all = Vec::new();
-        far.read_to_end(&mut all).await.expect("it ends in order");
+        far.read_to_end(&mut all).await.expect("end of stream");
         assert_eq!(all, (0..100u8).flat_map(|n| [n; 10]).collect::<Vec<u8>>());
         let took = begin.elapsed().as_secs_f64() * 1000.0;
         assert!(
             (100.0 + 20.0..100.0 + 20.0 + 100.0).contains(&took),
-            "1,000 bytes at 10 a ms: {took}"
+            "1,000 bytes at 10 bytes per ms took {took} ms"
         );
     });
 }
 
 #[test]
-fn a_writer_waits_for_a_slow_reader() {
+fn a_writer_waits_while_the_reader_reads_nothing() {
     run(|network| async move {
         let (mut near, _far) = pair(&network).await;
         let written = timeout(
@@ -67,22 +67,22 @@
             near.write_all(&vec![0; 10 * MAX_BYTES_IN_FLIGHT]),
         )
         .await;
-        assert!(written.is_err(), "it waits");
+        assert!(written.is_err(), "the write waits for the reader");
         assert_eq!(network.max_bytes_in_flight(), MAX_BYTES_IN_FLIGHT);
     });
 }
 
 #[test]
-fn blocked_zones_hold_bytes_back_and_connects_hang() {
+fn a_partition_holds_bytes_back_in_one_direction_and_connects_hang() {
     run(|network| async move {
         let (mut near, mut far) = pair(&network).await;
         network.block("north", "south", true);
-        near.write_all(b"x").await.expect("taken");
-        far.write_all(b"y").await.expect("taken");
+        near.write_all(b"x").await.expect("byte written");
+        far.write_all(b"y").await.expect("byte written");
         let mut byte = [0];
         near.read_exact(&mut byte)
             .await
-            .expect("the other way is free");
+            .expect("the other direction is not blocked");
         assert!(timeout(Duration::from_secs(9), far.read_exact(&mut byte))
             .await
             .is_err());
@@ -90,55 +90,55 @@
             .host("b", "south")
             .listen("at-b")
             .await
-            .expect("free");
+            .expect("address is free");
         let host = network.host("c", "north");
         assert!(timeout(Duration::from_secs(9), host.connect("at-b"))
             .await
             .is_err());
-        let healing = network.clone();
+        let partitioned = network.clone();
         spawn_local(async move {
             sleep(Duration::from_millis(100)).await;
-            healing.block("north", "south", false);
+            partitioned.block("north", "south", false);
         });
         far.read_exact(&mut byte)
             .await
-            .expect("it comes when the way is free");
+            .expect("the byte arrives once the partition ends");
         assert_eq!(&byte, b"x");
     });
 }
 
 #[test]
-fn a_cut_is_told_and_silence_is_not() {
+fn a_reset_is_an_error_and_lost_bytes_are_not() {
     run(|network| async move {
         let (mut near, mut far) = pair(&network).await;
         network.silence("a", true, false);
-        near.write_all(b"x").await.expect("taken");
+        near.write_all(b"x").await.expect("byte written");
         let mut byte = [0];
         assert!(timeout(Duration::from_secs(99), far.read_exact(&mut byte))
             .await
             .is_err());
-        far.write_all(b"y").await.expect("taken");
+        far.write_all(b"y").await.expect("byte written");
         near.read_exact(&mut byte)
             .await
-            .expect("the other direction goes on");
+            .expect("the other direction still delivers");
         drop(near);
         assert!(
             timeout(Duration::from_secs(99), far.read_exact(&mut byte))
                 .await
                 .is_err(),
-            "no end either"
+            "the end of the stream is lost too"
         );
         network.cut("b");
-        let problem = far.read_exact(&mut byte).await.expect_err("it is told");
-        assert_eq!(problem.kind(), io::ErrorKind::ConnectionReset);
+        let error = far.read_exact(&mut byte).await.expect_err("a reset");
+        assert_eq!(error.kind(), io::ErrorKind::ConnectionReset);
     });
 }
 
 #[test]
-fn nobody_listens_once_the_listener_is_gone_and_another_may() {
+fn dropping_a_listener_frees_its_address() {
     run(|network| async move {
         let host = network.host("b", "south");
-        let first = host.listen("at-b").await.expect("free");
+        let first = host.listen("at-b").await.expect("address is free");
         assert!(host.listen("at-b").await.is_err());
         drop(first);
         assert!(network.host("a", "north").connect("at-b").await.is_err());
--- a/crates/protocol/build.rs
+++ b/crates/protocol/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema without an installed protoc.
+//! Generates the Rust types of the protobuf schema; needs no installed `protoc`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto");
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,12 +1,12 @@
 //! The messages between clients, dispatchers, engines and discovery (`proto/`).
 //!
-//! A [`Frame`] is one message with the stream that it belongs to. Frames are the program's own form, also in transcripts;
-//! `crates/grpc` and `crates/http1` turn them into what goes over the wire and back.
+//! A [`Frame`] is one message with the stream that it belongs to. The program and its transcripts use frames;
+//! `crates/grpc` and `crates/http1` translate frames to and from their wire protocols.
 #![warn(missing_docs)]
 
 pub mod session;
 
-/// The generated messages.
+/// The types generated from the protobuf package `cindercleat.v1`.
 pub mod v1 {
     #![allow(clippy::all, missing_docs)]
     include!(concat!(env!("OUT_DIR"), "/cindercleat.v1.rs"));
@@ -17,10 +17,10 @@
 
 use bytes::Bytes;
 
-/// The version that this crate speaks.
+/// The protocol version that both sides name in their `Hello`; a different version is refused.
 pub const VERSION: u32 = 1;
 
-/// A frame of `stream`.
+/// Makes a frame that belongs to `stream`; stream 0 is the connection itself.
 pub fn frame(stream: u64, body: Body) -> Frame {
     Frame {
         stream,
@@ -28,7 +28,7 @@
     }
 }
 
-/// A message's name, for logs.
+/// The name of a message in logs and transcripts; `nothing` for a frame without a body.
 pub fn name_of(body: Option<&Body>) -> &'static str {
     match body {
         None => "nothing",
@@ -62,7 +62,7 @@
     }
 }
 
-/// Bytes of text, for a message's text fields.
+/// Copies a string into the byte type of the schema's `bytes` fields.
 pub fn text(text: &str) -> Bytes {
     Bytes::copy_from_slice(text.as_bytes())
 }
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -1,100 +1,103 @@
-//! A session: one connection as the driver sees it, whatever protocol it speaks. Frames go in and out until it ends.
+//! A session: the driver's view of one connection, independent of the wire protocol. A session sends and receives
+//! frames until its connection ends.
 //!
-//! A [`Wire`] makes sessions of byte streams; `crates/grpc` and `crates/http1` have one each.
+//! A [`Wire`] runs sessions on byte streams; `crates/grpc` and `crates/http1` implement one each.
 
 use crate::{v1, Frame};
 use std::future::Future;
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::sync::mpsc;
 
-/// How a session introduces itself, and what it accepts.
+/// The identity that a session announces to its peer, and the limits that it enforces.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// What this side is.
+    /// The role of this side, such as client or dispatcher.
     pub party: v1::Party,
-    /// The name of this side.
+    /// The name of this side; a caller that expects another name is refused.
     pub name: String,
-    /// The name that a caller expects to reach; empty if any will do.
+    /// The name that a caller requires of its peer; empty accepts any peer.
     pub expects: String,
-    /// The incarnation of this process under its name.
+    /// The incarnation of this process: a process that restarts under the same name draws a new one.
     pub run: u64,
-    /// The largest message that is accepted, in bytes.
+    /// The largest message accepted from the peer, in bytes.
     pub most_message: usize,
-    /// Calls that the other side may have open at once.
+    /// The maximum number of calls that the peer may have open at once.
     pub most_calls: u32,
 }
 
-/// What a session reports; nearly all of it is frames.
+/// An event of a session.
+// Nearly all events are frames, so boxing the large variant would save no memory.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A message arrived.
     Frame(Frame),
-    /// Part of a message arrived and the rest has not, on protocols that report it.
+    /// The first bytes of a message arrived, and its end has not. Only HTTP/1.1 sessions report this.
     Partly,
-    /// Token messages of a stream were written to the other side, which reads them.
+    /// Token messages of a stream left the send queue: the peer reads the stream.
     Flushed {
-        /// The stream.
+        /// The stream number of the token messages.
         stream: u64,
-        /// How many messages, since the last report.
+        /// The number of token messages written since the previous `Flushed` of the stream.
         messages: u32,
     },
-    /// The other side accepts no new call on this connection; open calls go on.
+    /// The peer accepts no new calls on this connection; open calls continue.
     GoingAway,
 }
 
-/// One connection. Its events end when the connection does.
+/// One connection and both directions of its messages.
 pub struct Session<O> {
-    /// The other side's greeting.
+    /// The peer's `Hello`. Sessions fill it in themselves where the wire protocol has no greeting.
     pub them: v1::Hello,
-    /// The calls that the other side accepts at once, if it says; for a caller.
+    /// The maximum number of calls that the peer accepts at once; `None` if the peer sets no limit or this side serves.
     pub limit: Option<usize>,
-    /// What the session reports.
+    /// The received frames and other events; the channel closes when the connection ends.
     pub events: mpsc::UnboundedReceiver<Event>,
     /// The sending side.
     pub out: O,
 }
 
-/// The sending side of a session; clones share it.
+/// The sending side of a session; all clones send on the same connection.
 pub trait Outbox: Clone + 'static {
-    /// Sends a frame; one whose call is over is dropped. Returns whether the connection was open; if not, nothing of the
-    /// frame was written.
+    /// Queues a frame; drops a frame whose call has ended. Returns whether the connection was open; if it was not,
+    /// no byte of the frame was written.
     fn send(&self, frame: Frame) -> bool;
 
-    /// Accepts no new call on this connection; open calls go on, and it ends with the last. For a side that answers.
+    /// Accepts no new calls; open calls continue, and the connection closes after the last one. Only the serving side
+    /// may call this.
     fn go_away(&self);
 
     /// Closes the connection and aborts open calls.
     fn close(&self);
 
-    /// Waits until the connection is over.
+    /// Waits until the connection has ended.
     fn over(&self) -> impl Future<Output = ()>;
 }
 
-/// A byte stream that sessions run on.
+/// A byte stream that a session can run on; implemented for every type that meets the bounds.
 pub trait Io: AsyncRead + AsyncWrite + Unpin + 'static {}
 
 impl<S: AsyncRead + AsyncWrite + Unpin + 'static> Io for S {}
 
-/// A protocol: makes sessions of byte streams; clones share their settings.
+/// A wire protocol that runs sessions on byte streams; clones share their settings.
 pub trait Wire: Clone + 'static {
-    /// The sending side of its sessions.
+    /// The sending side of this protocol's sessions.
     type Out: Outbox;
 
-    /// Serves an accepted connection.
+    /// Starts a session on an accepted connection.
     ///
     /// # Errors
-    /// The other side does not speak this protocol; the reason in words.
+    /// Returns a readable reason if the peer does not speak this protocol.
     fn serve<S: Io>(
         &self,
         io: S,
         setup: Setup,
     ) -> impl Future<Output = Result<Session<Self::Out>, String>>;
 
-    /// Opens a session as a caller.
+    /// Starts a session as the caller, to a peer of role `to`.
     ///
     /// # Errors
-    /// The other side does not speak this protocol, or refuses the call; the reason in words.
+    /// Returns a readable reason if the peer does not speak this protocol or refuses the session.
     fn connect<S: Io>(
         &self,
         io: S,
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,5 +1,5 @@
-//! Engines the instances of [`cindercleat::control::Control`] that the simulator plays, one a dispatcher, and
-//! carries its wire to the module's interface and back. Nothing is decided here, and instances share nothing.
+//! Hosts the simulator's dispatchers, one [`Control`] instance each. Translates the simulator's line protocol into the
+//! module's events, and its actions into lines. This crate makes no decisions, and the instances share no state.
 
 mod wire;
 
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 use wire::{Line, Parser};
 
-/// One dispatcher: its decisions and the events of the batch being read.
+/// One dispatcher: its decision module, and its events of the current batch.
 struct Instance {
     control: Control,
     events: Vec<Event>,
@@ -20,8 +20,8 @@
 fn main() -> ExitCode {
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("{problem}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
@@ -31,12 +31,12 @@
     let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
     let mut parser = Parser::default();
     let mut batch: Option<(Ms, u64)> = None;
-    let mut raw = Vec::new();
+    let mut line_bytes = Vec::new();
     let mut actions: Vec<Action> = Vec::new();
     loop {
-        raw.clear();
+        line_bytes.clear();
         let read = input
-            .read_until(b'\n', &mut raw)
+            .read_until(b'\n', &mut line_bytes)
             .map_err(|e| format!("standard input: {e}"))?;
         if read == 0 {
             return match batch {
@@ -45,8 +45,8 @@
             };
         }
         let line = parser
-            .line(&raw, batch.is_some())
-            .map_err(|m| parser.at_line(m))?;
+            .line(&line_bytes, batch.is_some())
+            .map_err(|malformed| parser.at_line(malformed))?;
         match line {
             Line::Empty => {}
             Line::Begin { now, number } => batch = Some((now, number)),
@@ -72,12 +72,12 @@
                     instance.events.push(event);
                 }
             }
-            Line::Row(entry) => {
-                let held = instances.get_mut(&parser.list_owner());
+            Line::Row(endpoint) => {
+                let owner = instances.get_mut(&parser.list_owner());
                 if let Some(Event::EndpointsUpdated { endpoints, .. }) =
-                    held.and_then(|i| i.events.last_mut())
+                    owner.and_then(|instance| instance.events.last_mut())
                 {
-                    endpoints.push(entry);
+                    endpoints.push(endpoint);
                 }
             }
             Line::Flush => {
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's lines to events, and actions to the wire's lines.
+//! Parses lines of the simulator's protocol into events, and writes actions as lines.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use cindercleat::interface::*;
@@ -7,7 +7,7 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// One line, understood.
+/// One parsed line.
 pub enum Line {
     Empty,
     Begin {
@@ -30,7 +30,7 @@
     Flush,
 }
 
-/// Keeps what the next line depends on: its number, the list being read and the load columns.
+/// The parser's state between lines: the line number, the endpoint list being read, and each instance's load columns.
 #[derive(Default)]
 pub struct Parser {
     number: u64,
@@ -40,106 +40,117 @@
     columns: std::collections::BTreeMap<u32, Vec<String>>,
 }
 
-/// The parts of one line, taken from the left.
-struct Parts<'a> {
+/// The unread fields of one line. `expected` describes a field in error messages.
+struct Fields<'a> {
     rest: Option<&'a str>,
 }
 
-impl<'a> Parts<'a> {
-    fn next(&mut self, what: &str) -> Result<&'a str, Malformed> {
+impl<'a> Fields<'a> {
+    fn next(&mut self, expected: &str) -> Result<&'a str, Malformed> {
         let rest = self
             .rest
-            .ok_or_else(|| Malformed::new(what, "the end of the line"))?;
-        let (part, rest) = match rest.split_once('\t') {
-            Some((part, rest)) => (part, Some(rest)),
+            .ok_or_else(|| Malformed::new(expected, "the end of the line"))?;
+        let (field, rest) = match rest.split_once('\t') {
+            Some((field, rest)) => (field, Some(rest)),
             None => (rest, None),
         };
         self.rest = rest;
-        if part.is_empty() {
-            return Err(Malformed::new(what, "nothing"));
+        if field.is_empty() {
+            return Err(Malformed::new(expected, "nothing"));
         }
-        Ok(part)
+        Ok(field)
     }
 
-    /// A part that may be `-`, or left out at the end of its line.
-    fn maybe(&mut self) -> Option<&'a str> {
+    /// An optional field: `None` if the field is `-`, empty, or missing at the end of the line.
+    fn optional(&mut self) -> Option<&'a str> {
         self.rest?;
-        self.next("").ok().filter(|p| *p != "-")
+        self.next("").ok().filter(|field| *field != "-")
     }
 
-    fn number<T: FromStr>(&mut self, what: &str) -> Result<T, Malformed> {
-        let part = self.next(what)?;
-        part.parse().map_err(|_| Malformed::new(what, part))
+    fn number<T: FromStr>(&mut self, expected: &str) -> Result<T, Malformed> {
+        let field = self.next(expected)?;
+        field.parse().map_err(|_| Malformed::new(expected, field))
     }
 
-    fn maybe_number<T: FromStr>(&mut self, what: &str) -> Result<Option<T>, Malformed> {
-        self.maybe()
-            .map(|p| p.parse().map_err(|_| Malformed::new(what, p)))
+    fn optional_number<T: FromStr>(&mut self, expected: &str) -> Result<Option<T>, Malformed> {
+        self.optional()
+            .map(|field| field.parse().map_err(|_| Malformed::new(expected, field)))
             .transpose()
     }
 
-    fn amount(&mut self, what: &str) -> Result<f64, Malformed> {
-        let found = self.maybe_number::<f64>(what)?.unwrap_or(0.0);
-        if found.is_finite() {
-            Ok(found)
+    /// A finite number; 0 if the field is missing.
+    fn amount(&mut self, expected: &str) -> Result<f64, Malformed> {
+        let amount = self.optional_number::<f64>(expected)?.unwrap_or(0.0);
+        if amount.is_finite() {
+            Ok(amount)
         } else {
-            Err(Malformed::new(what, found.to_string()))
+            Err(Malformed::new(expected, amount.to_string()))
         }
     }
 
-    fn time(&mut self, what: &str) -> Result<Ms, Malformed> {
-        self.number::<u64>(what).map(ms)
+    /// A time; lines carry whole microseconds.
+    fn time(&mut self, expected: &str) -> Result<Ms, Malformed> {
+        self.number::<u64>(expected).map(ms_from_us)
     }
 
-    fn flag(&mut self, what: &str) -> Result<bool, Malformed> {
-        match self.maybe() {
+    fn flag(&mut self, expected: &str) -> Result<bool, Malformed> {
+        match self.optional() {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(other) => Err(Malformed::new(what, other)),
+            Some(other) => Err(Malformed::new(expected, other)),
         }
     }
 
-    fn maybe_key(&mut self, what: &str) -> Result<Option<u64>, Malformed> {
-        self.maybe()
-            .map(|p| u64::from_str_radix(p, 16).map_err(|_| Malformed::new(what, p)))
+    /// A key in hexadecimal.
+    fn optional_key(&mut self, expected: &str) -> Result<Option<u64>, Malformed> {
+        self.optional()
+            .map(|field| {
+                u64::from_str_radix(field, 16).map_err(|_| Malformed::new(expected, field))
+            })
             .transpose()
     }
 
     fn engine(&mut self) -> Result<EngineId, Malformed> {
-        self.next("a model host").map(|p| EngineId(Arc::from(p)))
+        self.next("an engine").map(|name| EngineId(Arc::from(name)))
     }
 }
 
-fn ms(us: u64) -> Ms {
+fn ms_from_us(us: u64) -> Ms {
     us as f64 / 1000.0
 }
 
-/// Whole microseconds, never later than the milliseconds say.
-fn us(ms: Ms) -> u64 {
-    let down = (ms * 1000.0).floor().max(0.0);
-    down as u64
+/// Rounds down to whole microseconds, so that no deadline or timer becomes later than the module asked for.
+fn us_from_ms(ms: Ms) -> u64 {
+    let microseconds = (ms * 1000.0).floor().max(0.0);
+    microseconds as u64
 }
 
 impl Parser {
-    pub fn at_line(&self, problem: Malformed) -> String {
-        format!("line {}: {problem}", self.number)
+    /// The error message for the last line given to [`Parser::line`].
+    pub fn at_line(&self, malformed: Malformed) -> String {
+        format!("line {}: {malformed}", self.number)
     }
 
+    /// The instance that the `row` lines belong to.
     pub fn list_owner(&self) -> u32 {
         self.list_owner
     }
 
-    pub fn line(&mut self, raw: &[u8], in_batch: bool) -> Result<Line, Malformed> {
+    /// Parses one line; `in_batch`: whether a `begin_batch` is open.
+    ///
+    /// # Errors
+    /// Returns the first field that is missing or malformed.
+    pub fn line(&mut self, bytes: &[u8], in_batch: bool) -> Result<Line, Malformed> {
         self.number += 1;
         let text =
-            std::str::from_utf8(raw).map_err(|_| Malformed::new("UTF-8 text", "other bytes"))?;
+            std::str::from_utf8(bytes).map_err(|_| Malformed::new("UTF-8 text", "other bytes"))?;
         let text = text.strip_suffix('\n').unwrap_or(text);
         let text = text.strip_suffix('\r').unwrap_or(text);
         if text.is_empty() {
             return Ok(Line::Empty);
         }
-        let mut parts = Parts { rest: Some(text) };
-        let name = parts.next("a message name")?;
+        let mut fields = Fields { rest: Some(text) };
+        let name = fields.next("a message name")?;
         if self.rows_left > 0 && name != "row" {
             return Err(Malformed::new(
                 format!("{} more row lines", self.rows_left),
@@ -148,22 +159,22 @@
         }
         match name {
             "begin_batch" if !in_batch => {
-                self.now_us = parts.number("the clock in microseconds")?;
+                self.now_us = fields.number("the clock in microseconds")?;
                 Ok(Line::Begin {
-                    now: ms(self.now_us),
-                    number: parts.number("the batch's number")?,
+                    now: ms_from_us(self.now_us),
+                    number: fields.number("the batch's number")?,
                 })
             }
             _ if !in_batch => Err(Malformed::new("begin_batch", name)),
             "flush" => Ok(Line::Flush),
             "row" if self.rows_left > 0 => {
                 self.rows_left -= 1;
-                self.row(&mut parts).map(Line::Row)
+                self.row(&mut fields).map(Line::Row)
             }
             "begin" => {
-                let instance = parts.number("an instance")?;
-                let seed = parts.number("a seed")?;
-                let conf = conf::read(parts.rest.unwrap_or(""))?;
+                let instance = fields.number("an instance")?;
+                let seed = fields.number("a seed")?;
+                let conf = conf::read(fields.rest.unwrap_or(""))?;
                 self.columns.insert(instance, conf.columns);
                 Ok(Line::Start {
                     instance,
@@ -172,14 +183,14 @@
                 })
             }
             "power_off" => Ok(Line::PowerOff {
-                instance: parts.number("an instance")?,
+                instance: fields.number("an instance")?,
             }),
-            _ => self.event(name, &mut parts),
+            _ => self.event(name, &mut fields),
         }
     }
 
-    fn event(&mut self, name: &str, parts: &mut Parts) -> Result<Line, Malformed> {
-        const EVENTS: [&str; 8] = [
+    fn event(&mut self, name: &str, fields: &mut Fields) -> Result<Line, Malformed> {
+        const EVENTS: [&str; 9] = [
             "announce",
             "accept",
             "withdrawn",
@@ -188,65 +199,66 @@
             "bell",
             "probe_result",
             "attempt_end",
+            "note",
         ];
-        if !EVENTS.contains(&name) && name != "note" {
-            return Err(Malformed::new("an event of the wire", name));
+        if !EVENTS.contains(&name) {
+            return Err(Malformed::new("an event of the simulator's protocol", name));
         }
-        let instance: u32 = parts.number("an instance")?;
+        let instance: u32 = fields.number("an instance")?;
         let event = match name {
-            "announce" => self.announce(instance, parts)?,
-            "accept" => accept(parts)?,
+            "announce" => self.announce(instance, fields)?,
+            "accept" => accept(fields)?,
             "withdrawn" => Event::ClientGone {
-                request: request(parts)?,
+                request: request(fields)?,
             },
             "ack_first" => {
-                let request = request(parts)?;
-                let engine = parts.engine()?;
-                let attempt = attempt(parts)?;
+                let request = request(fields)?;
+                let engine = fields.engine()?;
+                let attempt = attempt(fields)?;
                 Event::FirstToken {
                     request,
                     attempt,
                     engine,
-                    latency: parts.time("a latency")?,
+                    latency: fields.time("a latency")?,
                 }
             }
             "heard" => {
-                let from = DispatcherId(parts.number("a dispatcher's number")?);
-                let raw = parts.maybe().unwrap_or("");
+                let from = DispatcherId(fields.number("a dispatcher's number")?);
+                let encoded = fields.optional().unwrap_or("");
                 let bytes = BASE64_STANDARD
-                    .decode(raw)
-                    .map_err(|_| Malformed::new("base64", raw))?;
+                    .decode(encoded)
+                    .map_err(|_| Malformed::new("base64", encoded))?;
                 Event::GossipReceived { from, bytes }
             }
             "bell" => {
-                let token = parts.next("a timer's token")?;
-                let timer = token
+                let field = fields.next("a timer's id")?;
+                let timer = field
                     .parse()
-                    .map_err(|_| Malformed::new("a timer that was armed", token))?;
+                    .map_err(|_| Malformed::new("the id of a timer that was set", field))?;
                 Event::Timer {
                     timer: TimerId(timer),
                 }
             }
             "probe_result" => {
-                let outcome = outcome(parts.next("an outcome")?)?;
-                let latency = parts.time("a latency")?;
-                let engine = parts.engine()?;
+                let outcome = outcome(fields.next("an outcome")?)?;
+                let latency = fields.time("a latency")?;
+                let engine = fields.engine()?;
                 Event::HealthChecked {
                     engine,
                     outcome,
                     latency,
-                    load: self.load(instance, parts)?,
+                    load: self.load(instance, fields)?,
                 }
             }
             "attempt_end" => {
-                let request = request(parts)?;
-                let attempt = attempt(parts)?;
-                let engine = parts.engine()?;
-                let outcome = outcome(parts.next("an outcome")?)?;
-                let latency = parts.time("a latency")?;
-                let last = parts.flag("1 or 0")?;
-                let detail = parts.amount("a detail")?;
-                let load = self.load(instance, parts)?;
+                let request = request(fields)?;
+                let attempt = attempt(fields)?;
+                let engine = fields.engine()?;
+                let outcome = outcome(fields.next("an outcome")?)?;
+                let latency = fields.time("a latency")?;
+                let last = fields.flag("1 or 0")?;
+                let detail = fields.amount("a detail")?;
+                let load = self.load(instance, fields)?;
                 Event::Ended(Ended {
                     request,
                     attempt,
@@ -258,11 +270,12 @@
                     load,
                 })
             }
+            // `note`: a reservation changed; kind 1 means that the engine holds it.
             _ => {
-                let request = request(parts)?;
-                let attempt = attempt(parts)?;
-                let engine = parts.engine()?;
-                let kind: u32 = parts.number("1 or 2")?;
+                let request = request(fields)?;
+                let attempt = attempt(fields)?;
+                let engine = fields.engine()?;
+                let kind: u32 = fields.number("1 or 2")?;
                 Event::ReservationChanged {
                     request,
                     attempt,
@@ -274,16 +287,17 @@
         Ok(Line::Event { instance, event })
     }
 
-    fn announce(&mut self, instance: u32, parts: &mut Parts) -> Result<Event, Malformed> {
-        let kind = match parts.next("a kind of list")? {
+    fn announce(&mut self, instance: u32, fields: &mut Fields) -> Result<Event, Malformed> {
+        let kind = match fields.next("a kind of endpoint list")? {
             "changes" => EndpointUpdateKind::Delta,
             "all" => EndpointUpdateKind::Snapshot,
             "remembered" => EndpointUpdateKind::Cached,
             "refused" => EndpointUpdateKind::Rejected,
             other => return Err(Malformed::new("changes, all, remembered or refused", other)),
         };
-        let _version: Option<i64> = parts.maybe_number("a version")?;
-        self.rows_left = parts.maybe_number("a number of rows")?.unwrap_or(0);
+        // The module does not use the list's version, but a malformed one is still an error.
+        let _version: Option<i64> = fields.optional_number("a version")?;
+        self.rows_left = fields.optional_number("a number of rows")?.unwrap_or(0);
         self.list_owner = instance;
         Ok(Event::EndpointsUpdated {
             kind,
@@ -291,22 +305,22 @@
         })
     }
 
-    fn row(&self, parts: &mut Parts) -> Result<Endpoint, Malformed> {
-        let engine = parts.engine()?;
-        let zone = ZoneId(parts.maybe_number("a zone")?.unwrap_or(0));
-        let kind = KindId(parts.maybe_number("a kind")?.unwrap_or(0));
-        let cell = CellId(parts.maybe_number("a cell")?.unwrap_or(0));
-        let status = match parts.next("a condition")? {
+    fn row(&self, fields: &mut Fields) -> Result<Endpoint, Malformed> {
+        let engine = fields.engine()?;
+        let zone = ZoneId(fields.optional_number("a zone")?.unwrap_or(0));
+        let kind = KindId(fields.optional_number("a kind")?.unwrap_or(0));
+        let cell = CellId(fields.optional_number("a cell")?.unwrap_or(0));
+        let status = match fields.next("a status")? {
             "ready" => EndpointStatus::Ready,
             "draining" => EndpointStatus::Draining,
             "gone" => EndpointStatus::Gone,
             other => return Err(Malformed::new("ready, draining or gone", other)),
         };
-        let weight = parts.maybe_number("a weight")?.unwrap_or(1.0);
-        let started = parts
-            .maybe_number::<u64>("a start time")?
-            .filter(|t| *t > 0)
-            .map(ms);
+        let weight = fields.optional_number("a weight")?.unwrap_or(1.0);
+        let started = fields
+            .optional_number::<u64>("a start time")?
+            .filter(|us| *us > 0)
+            .map(ms_from_us);
         Ok(Endpoint {
             engine,
             zone,
@@ -318,11 +332,12 @@
         })
     }
 
-    fn load(&self, instance: u32, parts: &mut Parts) -> Result<Load, Malformed> {
+    fn load(&self, instance: u32, fields: &mut Fields) -> Result<Load, Malformed> {
         let mut load = Load::default();
-        let Some(report) = parts.maybe() else {
+        let Some(report) = fields.optional() else {
             return Ok(load);
         };
+        // An instance's `stats.columns` setting defines the order of the values.
         let columns = self.columns.get(&instance).map_or(&[][..], Vec::as_slice);
         for (column, value) in columns.iter().zip(report.split(',')) {
             if value == "-" || value.is_empty() {
@@ -345,36 +360,36 @@
     }
 }
 
-fn request(parts: &mut Parts) -> Result<RequestId, Malformed> {
-    parts.number("a request id").map(RequestId)
+fn request(fields: &mut Fields) -> Result<RequestId, Malformed> {
+    fields.number("a request id").map(RequestId)
 }
 
-fn attempt(parts: &mut Parts) -> Result<AttemptId, Malformed> {
-    parts.number("an attempt's number").map(AttemptId)
+fn attempt(fields: &mut Fields) -> Result<AttemptId, Malformed> {
+    fields.number("an attempt id").map(AttemptId)
 }
 
-fn accept(parts: &mut Parts) -> Result<Event, Malformed> {
+fn accept(fields: &mut Fields) -> Result<Event, Malformed> {
     Ok(Event::Arrived(Arrival {
-        request: request(parts)?,
-        request_class: RequestClassId(parts.number("a class")?),
-        tenant: parts.maybe_number("a tenant")?.map(TenantId),
-        session: SessionId(parts.maybe_key("a session's key")?.unwrap_or(0)),
-        time_to_deadline: parts.time("the time left")?,
-        answer_hint: parts.maybe_number("a hint")?.map(ms),
-        shared: parts
-            .maybe_key("a shared beginning's key")?
-            .filter(|k| *k != 0)
+        request: request(fields)?,
+        request_class: RequestClassId(fields.number("a class")?),
+        tenant: fields.optional_number("a tenant")?.map(TenantId),
+        session: SessionId(fields.optional_key("a session's key")?.unwrap_or(0)),
+        time_to_deadline: fields.time("the time to the deadline")?,
+        answer_hint: fields.optional_number("a hint")?.map(ms_from_us),
+        shared: fields
+            .optional_key("the key of a shared prefix")?
+            .filter(|key| *key != 0)
             .map(SharedTextId),
-        prompt_tokens: parts.amount("prompt tokens")?,
-        shared_tokens: parts.amount("shared tokens")?,
-        max_tokens: parts.amount("most tokens")?,
-        retried: parts.flag("1 or 0")?,
-        resumed: parts.flag("1 or 0")?,
+        prompt_tokens: fields.amount("a number of prompt tokens")?,
+        shared_tokens: fields.amount("a number of shared tokens")?,
+        max_tokens: fields.amount("a maximum number of tokens")?,
+        retried: fields.flag("1 or 0")?,
+        resumed: fields.flag("1 or 0")?,
     }))
 }
 
-fn outcome(word: &str) -> Result<Outcome, Malformed> {
-    Ok(match word {
+fn outcome(name: &str) -> Result<Outcome, Malformed> {
+    Ok(match name {
         "success" => Outcome::Succeeded,
         "failure" => Outcome::Failed,
         "overloaded" => Outcome::Overloaded,
@@ -384,11 +399,16 @@
         "withdrawn" => Outcome::Cancelled,
         "void" => Outcome::NotSent,
         "ready_to_answer" => Outcome::PrefillDone,
-        other => return Err(Malformed::new("an outcome of the wire", other)),
+        other => {
+            return Err(Malformed::new(
+                "an outcome of the simulator's protocol",
+                other,
+            ))
+        }
     })
 }
 
-/// Writes one action as one line.
+/// Appends one action of instance `i` as one line. Actions that the simulator has no line for are left out.
 pub fn write_action(out: &mut String, i: u32, action: &Action) {
     // Writing to a string cannot fail.
     let _ = match action {
@@ -397,7 +417,8 @@
             engine,
             until,
         } => {
-            let until = until.map_or(0, |at| us(at).max(1));
+            // 0 stands for no deadline on the line.
+            let until = until.map_or(0, |at| us_from_ms(at).max(1));
             writeln!(out, "route\t{i}\t{}\t{}\t{until}", request.0, engine.0)
         }
         Action::Cancel { request, attempt } => {
@@ -411,28 +432,31 @@
                 out,
                 "say_no\t{i}\t{}\t{}",
                 request.0,
-                retry_after.map_or(0, us)
+                retry_after.map_or(0, us_from_ms)
             )
         }
         Action::Fail { request } => writeln!(out, "finish_error\t{i}\t{}", request.0),
-        // Asked for only where deliveries are tracked.
+        // The module emits these only after `Control::track_deliveries`, which this host does not call.
         Action::Confirm { .. } | Action::ReleaseInDoubt { .. } => Ok(()),
         Action::Release { request } => writeln!(out, "let_go\t{i}\t{}", request.0),
         Action::Reserve { request, engine } => {
             writeln!(out, "earmark\t{i}\t{}\t{}", request.0, engine.0)
         }
         Action::Migrate { request } => writeln!(out, "transfer\t{i}\t{}", request.0),
-        Action::SetTimer { delay, timer } => writeln!(out, "arm\t{i}\t{}\t{}", us(*delay), timer.0),
+        Action::SetTimer { delay, timer } => {
+            writeln!(out, "arm\t{i}\t{}\t{}", us_from_ms(*delay), timer.0)
+        }
         Action::HealthCheck { engine } => writeln!(out, "poll\t{i}\t{}", engine.0),
         Action::CloseIdle { engine } => writeln!(out, "close_idle\t{i}\t{}", engine.0),
         Action::SendGossip { to, bytes } => {
-            let to = to.map_or(-1, |d| i64::from(d.0));
-            let raw = if bytes.is_empty() {
+            // -1 addresses all other dispatchers.
+            let to = to.map_or(-1, |dispatcher| i64::from(dispatcher.0));
+            let encoded = if bytes.is_empty() {
                 "-".into()
             } else {
                 BASE64_STANDARD.encode(bytes)
             };
-            writeln!(out, "publish\t{i}\t{to}\t{raw}")
+            writeln!(out, "publish\t{i}\t{to}\t{encoded}")
         }
         Action::FetchEndpoints => writeln!(out, "read_list\t{i}"),
         Action::WatchEndpoints { on } => writeln!(out, "track\t{i}\t{}", u8::from(*on)),
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Feeds the program whole inputs: what it answers, and what it says of a malformed one.
+//! The program's output for complete inputs, and its error messages for malformed ones.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -13,7 +13,8 @@
 const LIST: &str =
     "announce\t1\tremembered\t4\t2\nrow\tr\t0\t0\t0\tready\t1\t-\nrow\tw\t0\t1\t0\tready\t1\t5\n";
 
-/// Words are parted by blanks in the cases below and by tabs on the wire; `BEGIN` starts instance 1.
+/// Runs the program on an input and returns its exit code, standard output and standard error. The cases below separate
+/// fields by spaces, which become tabs; a line `BEGIN` starts instance 1 and gives it the endpoints of `LIST`.
 fn run(input: &str) -> (i32, String, String) {
     let program = env!("CARGO_BIN_EXE_cindercleat-simhost");
     let piped = || Stdio::piped();
@@ -25,14 +26,14 @@
         .unwrap();
     let begin = format!("begin\t1\t7\t{CONF}\n{LIST}");
     let input = input.replace(' ', "\t").replace("BEGIN\n", &begin);
-    // A program that has ended over a bad line no longer reads.
+    // The write fails if the program has exited because of a malformed line.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
-    let done = child.wait_with_output().unwrap();
+    let output = child.wait_with_output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     (
-        done.status.code().unwrap_or(-1),
-        text(done.stdout),
-        text(done.stderr),
+        output.status.code().unwrap_or(-1),
+        text(output.stdout),
+        text(output.stderr),
     )
 }
 
@@ -40,22 +41,22 @@
 #[test_case("begin_batch 900 1\nBEGIN\naccept 1 5 0 - 0a 4000000 - - 900 - 64\nflush\n",
     "route 1 5 r 3992900\narm 1 300000 1\nready 1\n"; "absent values and unknown settings")]
 #[test_case("begin_batch 900 1\nBEGIN\npower_off 1\nBEGIN\nwithdrawn 1 77\nbell 1 9\nflush\n", "ready 1\n";
-    "stopped and started in one batch, and ids no longer held")]
+    "stopped and started in one batch, then ids of the old instance")]
 #[test_case("begin_batch 900 1\nBEGIN\nattempt_end 1 5 0 x success 10 1 - -\nnote 1 5 0 r 1 0\nflush\n", "ready 1\n";
-    "a host that no list named")]
-fn answers(input: &str, expected: &str) {
+    "an engine that no endpoint list named")]
+fn valid_input_is_answered(input: &str, expected: &str) {
     assert_eq!(run(input), (0, expected.replace(' ', "\t"), String::new()));
 }
 
 #[test_case("flush\n", "line 1: expected begin_batch"; "an event outside a batch")]
 #[test_case("begin_batch 900 1\nboo 1\nflush\n", "line 2: expected an event"; "an unknown event")]
-#[test_case("begin_batch 900 1\nBEGIN\naccept 1 five 0\nflush\n", "line 6: expected a request id"; "no number")]
+#[test_case("begin_batch 900 1\nBEGIN\naccept 1 five 0\nflush\n", "line 6: expected a request id"; "a request id that is not a number")]
 #[test_case("begin_batch 900 1\nannounce 1 all 4 2\nrow r 0 0 0 ready 1 -\nflush\n", "line 4: expected 1 more row";
     "too few rows")]
 #[test_case("begin_batch 900 1\nbegin 1 7 me=0\nflush\n", "line 2: expected the setting"; "a missing setting")]
-#[test_case("begin_batch 900 1\n", "line 1: expected flush"; "half a batch")]
-fn malformed(input: &str, problem: &str) {
-    let (code, answered, said) = run(input);
-    assert_eq!((code, answered.as_str(), said.lines().count()), (2, "", 1));
-    assert!(said.starts_with(problem), "{said}");
+#[test_case("begin_batch 900 1\n", "line 1: expected flush"; "a batch without its end")]
+fn malformed_input_is_an_error(input: &str, expected: &str) {
+    let (code, stdout, stderr) = run(input);
+    assert_eq!((code, stdout.as_str(), stderr.lines().count()), (2, "", 1));
+    assert!(stderr.starts_with(expected), "{stderr}");
 }
