--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -1,13 +1,13 @@
-//! Which call each message belongs to: paths of services, messages as bodies of frames, the end of a call.
+//! Maps gRPC calls to frames: the path of each call, its messages as frame bodies, and the status that ends it.
 
-use crate::details::Ending;
+use crate::details::CallEnding;
 use bytes::Bytes;
 use cindercleat::status::{ClientAnswer, Code};
 use cindercleat_protocol::{v1, Body};
 use prost::Message;
 
-/// The path of the call that a body begins.
-pub fn path(body: &Body) -> Option<&'static str> {
+/// The path of the call that a body starts; `None` if it starts no call.
+pub fn call_path(body: &Body) -> Option<&'static str> {
     Some(match body {
         Body::Submit(_) => "/cindercleat.v1.Router/Run",
         Body::Prefill(_) => "/cindercleat.v1.Host/Read",
@@ -23,7 +23,7 @@
     })
 }
 
-/// The service that a caller greets.
+/// The path of the `Greet` method that a caller uses for a peer of this role.
 pub fn greet_path(party: v1::Party) -> &'static str {
     match party {
         v1::Party::Engine => "/cindercleat.v1.Host/Greet",
@@ -33,8 +33,8 @@
     }
 }
 
-/// A request's message as a body; nothing if there is no such call.
-pub fn request(path: &str, bytes: Bytes) -> Option<Result<Body, prost::DecodeError>> {
+/// Decodes the request message of a call; `None` if there is no such method.
+pub fn decode_request(path: &str, bytes: Bytes) -> Option<Result<Body, prost::DecodeError>> {
     let method = path.strip_prefix("/cindercleat.v1.")?;
     Some(match method {
         "Router/Run" => v1::Submit::decode(bytes).map(Body::Submit),
@@ -54,8 +54,8 @@
     })
 }
 
-/// A reply's message as a body, by the call's path.
-pub fn reply(path: &str, bytes: Bytes) -> Result<Option<Body>, prost::DecodeError> {
+/// Decodes a reply message of the call at `path`; `None` if the message is empty.
+pub fn decode_reply(path: &str, bytes: Bytes) -> Result<Option<Body>, prost::DecodeError> {
     use v1::{decode_reply, run_reply};
     Ok(match path.strip_prefix("/cindercleat.v1.").unwrap_or("") {
         "Router/Run" => v1::RunReply::decode(bytes)?.part.map(|part| match part {
@@ -81,54 +81,55 @@
     })
 }
 
-/// What a body is on the way back: its message, and the status that ends the call after it.
-pub struct Back {
+/// A body encoded as a reply: its message, and the status if the call ends with it.
+pub struct Reply {
     pub message: Option<Bytes>,
-    pub end: Option<Ending>,
+    pub ending: Option<CallEnding>,
 }
 
-/// A body as an answer to the call of a path; nothing if it does not belong there.
-pub fn back(path: &str, body: Body) -> Option<Back> {
+/// Encodes a body as a reply to the call at `path`; `None` if the body does not belong to such a call.
+pub fn encode_reply(path: &str, body: Body) -> Option<Reply> {
     use crate::message::encode;
     use v1::{decode_reply, run_reply};
     let run = |part| Some(encode(&v1::RunReply { part: Some(part) }));
     let write = |part| Some(encode(&v1::DecodeReply { part: Some(part) }));
-    let ok = || Some(Ending::plain(Code::Ok, ""));
-    let (message, end) = match (path.strip_prefix("/cindercleat.v1.")?, body) {
+    let ok = || Some(CallEnding::plain(Code::Ok, ""));
+    let (message, ending) = match (path.strip_prefix("/cindercleat.v1.")?, body) {
         ("Router/Run", Body::Accepted(m)) => (run(run_reply::Part::Accepted(m)), None),
         ("Router/Run", Body::Tokens(m)) => (run(run_reply::Part::Tokens(m)), None),
         ("Router/Run", Body::Final(m)) => {
-            let told = match m.answer() {
+            let answer = match m.answer() {
                 v1::Answer::Succeeded => ClientAnswer::Succeeded,
                 v1::Answer::Rejected => ClientAnswer::Rejected {
                     for_lack_of_capacity: m.full,
                 },
                 v1::Answer::Failed | v1::Answer::Unspecified => ClientAnswer::Failed,
             };
-            let end = Some(Ending::told(told, m.retry_after_ms, &m.reason));
-            (run(run_reply::Part::Final(m)), end)
+            let ending = Some(CallEnding::answered(answer, m.retry_after_ms, &m.reason));
+            (run(run_reply::Part::Final(m)), ending)
         }
         ("Router/Run", Body::InvalidRequest(m)) => {
-            (None, Some(Ending::rejected(&m.field, &m.reason)))
+            (None, Some(CallEnding::invalid_field(&m.field, &m.reason)))
         }
         ("Host/Write", Body::Tokens(m)) => (write(decode_reply::Part::Tokens(m)), None),
         ("Host/Write", Body::Ended(m)) => (write(decode_reply::Part::Ended(m)), ok()),
         ("Host/Read", Body::Ended(m)) => (Some(encode(&m)), ok()),
         ("Host/Probe", Body::Load(m)) => (Some(encode(&m)), ok()),
         ("Host/Hold", Body::Reservation(m)) => (Some(encode(&m)), ok()),
-        // Said by whoever let the state go, never in its name: a release that is lost is to be said again.
+        // Only the engine itself confirms a release. A lost release stays unconfirmed, so that the dispatcher repeats
+        // it.
         ("Host/Release", Body::Done(m)) => (Some(encode(&m)), ok()),
         ("Host/Fetch", Body::State(m)) => (Some(encode(&m)), ok()),
         ("Fleet/Call", Body::FleetAnswer(m)) => (Some(encode(&m)), ok()),
         ("List/Follow", Body::Endpoints(m)) => (Some(encode(&m)), None),
         (_, Body::Hello(m)) => (Some(encode(&m)), ok()),
-        // What was taken may have run, so the end of a request without an answer is never one to try again.
+        // A request that was accepted may have run, so its end without an answer must not invite a retry.
         ("Router/Run", Body::Goodbye(m)) => (
             None,
-            Some(Ending::told(ClientAnswer::Failed, 0.0, &m.reason)),
+            Some(CallEnding::answered(ClientAnswer::Failed, 0.0, &m.reason)),
         ),
-        (_, Body::Goodbye(m)) => (None, Some(Ending::plain(Code::Unavailable, &m.reason))),
+        (_, Body::Goodbye(m)) => (None, Some(CallEnding::plain(Code::Unavailable, &m.reason))),
         _ => return None,
     };
-    Some(Back { message, end })
+    Some(Reply { message, ending })
 }
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -1,10 +1,12 @@
-//! The calling side of a connection.
+//! The calling side of a connection: the handshake, and one task per call.
 
 use crate::call;
-use crate::details::{field_of, message_of};
-use crate::message::{encode, send, Messages, Stop};
-use crate::watch::{Seen, Watched};
-use crate::{connection_window, Event, Out, Said, Session, Setup, Shared, Unmet, STREAM_WINDOW};
+use crate::details::{invalid_field, status_message};
+use crate::goaway_detector::{GoawayDetector, GoawayState};
+use crate::message::{encode, send, MessageReader, ReadError};
+use crate::{
+    connection_window, Event, HandshakeGuard, Out, Outgoing, Session, Setup, Shared, STREAM_WINDOW,
+};
 use bytes::Bytes;
 use cindercleat::interface::Outcome;
 use cindercleat::status::{attempt_outcome, CallEnd, Code};
@@ -16,21 +18,21 @@
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, yield_now};
 
-/// What new calls are begun with.
-pub(crate) struct Begin {
+/// The handles that start new calls on a connection.
+pub(crate) struct CallStarter {
     requests: SendRequest<Bytes>,
-    seen: Rc<Seen>,
+    goaway: Rc<GoawayState>,
 }
 
-/// Turns of the thread that calls get to take in what came before their connection's end.
-const LAST_TURNS: usize = 1000;
-/// Credit of a call: token messages that may still be taken from the other side.
-const UNBOUNDED: u32 = u32::MAX;
+/// The number of times that the connection's task yields to let calls read the messages received before the end.
+const MAX_FINAL_YIELDS: usize = 1000;
+/// The credit of a call whose token messages are not limited by credit.
+const UNLIMITED_CREDIT: u32 = u32::MAX;
 
-/// Connects: greets whoever is there and gives the session.
+/// Opens a session with a peer of role `to`: performs the HTTP/2 handshake and exchanges greetings.
 ///
 /// # Errors
-/// The bytes that come are not HTTP/2, or the greeting is refused, with the reason.
+/// Returns a readable reason if the peer does not speak HTTP/2 or refuses the greeting.
 pub async fn connect<S>(io: S, to: v1::Party, setup: Setup) -> Result<Session, String>
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
@@ -43,65 +45,66 @@
     builder
         .initial_window_size(STREAM_WINDOW)
         .initial_connection_window_size(connection_window(&setup));
-    let (io, seen) = Watched::new(io);
+    let (io, goaway) = GoawayDetector::new(io);
     let (requests, mut connection) = builder
         .handshake::<_, Bytes>(io)
         .await
         .map_err(|e| e.to_string())?;
     let (shared, events) = Shared::new(setup);
     *shared.pings.borrow_mut() = connection.ping_pong();
-    *shared.begin.borrow_mut() = Some(Begin {
+    *shared.starter.borrow_mut() = Some(CallStarter {
         requests: requests.clone(),
-        seen: seen.clone(),
+        goaway: goaway.clone(),
     });
     let driving = shared.clone();
     spawn_local(async move {
-        let mut told = false;
+        let mut reported = false;
         loop {
             tokio::select! { biased;
                 _ = &mut connection => break,
-                () = seen.came.notified(), if !told => {
-                    told = true;
-                    driving.tell(Event::GoingAway);
+                () = goaway.received.notified(), if !reported => {
+                    reported = true;
+                    driving.send_event(Event::GoingAway);
                 }
-                () = async { driving.closed().await; for _ in 0..3 { yield_now().await } } => {
+                () = async { driving.wait_closing().await; for _ in 0..3 { yield_now().await } } => {
                     return driving.end();
                 }
             }
         }
-        // What came before the end is taken in yet: last words lie unread with their calls. Streams end with
-        // the connection, so it must not be kept meanwhile.
+        // Calls may still have unread messages from before the end. Dropping the connection ends their streams, so that
+        // the calls can finish.
         drop(connection);
-        driving.begin.borrow_mut().take();
-        for _ in 0..LAST_TURNS {
+        driving.starter.borrow_mut().take();
+        for _ in 0..MAX_FINAL_YIELDS {
             if driving.calls.borrow().is_empty() {
                 break;
             }
             yield_now().await;
         }
-        driving.dry.set(true);
-        driving.close.notify_waiters();
-        // One that ended in order has all that its calls were sent; some wait for credit to hand it on.
-        while seen.leaving() && !driving.calls.borrow().is_empty() && !driving.closing.get() {
-            driving.close.notified().await;
+        driving.drained.set(true);
+        driving.changed.notify_waiters();
+        // After a GOAWAY all messages of open calls have been received; some calls still wait for credit to forward
+        // them.
+        while goaway.is_received() && !driving.calls.borrow().is_empty() && !driving.closing.get() {
+            driving.changed.notified().await;
         }
         driving.end();
     });
-    let mut unmet = Unmet(Some(shared.clone()));
-    let us = &shared.setup;
-    let (name, expects) = (us.name.clone(), us.expects.clone());
+    let mut guard = HandshakeGuard(Some(shared.clone()));
+    let setup = &shared.setup;
+    let (name, expects) = (setup.name.clone(), setup.expects.clone());
     let hello = v1::Hello {
         version: VERSION,
-        party: us.party.into(),
+        party: setup.party.into(),
         name,
         expects,
-        run: us.run,
+        run: setup.run,
     };
     let path = call::greet_path(to);
     let greeted = async {
         let mut requests = requests.ready().await.map_err(|e| e.to_string())?;
         let (response, mut stream) = requests
-            .send_request(head(path)?, false)
+            .send_request(request_head(path)?, false)
             .map_err(|e| e.to_string())?;
         send(&mut stream, encode(&hello), true)
             .await
@@ -109,22 +112,24 @@
         let response = response.await.map_err(|e| e.to_string())?;
         let headers = response.headers().clone();
         let limit = Some(requests.current_max_send_streams()).filter(|limit| *limit < 1 << 31);
-        let mut messages = Messages::new(response.into_body(), shared.setup.most_message);
+        let mut messages = MessageReader::new(response.into_body(), shared.setup.most_message);
         match messages.next().await {
-            Ok(bytes) => match call::reply(path, bytes) {
+            Ok(bytes) => match call::decode_reply(path, bytes) {
                 Ok(Some(Body::Hello(them))) => Ok((them, limit)),
                 _ => Err("no greeting".to_owned()),
             },
-            Err(Stop::End) if headers.contains_key("grpc-message") => Err(message_of(&headers)),
-            Err(Stop::End) => Err("no greeting".to_owned()),
-            Err(Stop::Malformed(why)) => Err(why),
-            Err(Stop::Compressed) => Err("a compressed greeting".to_owned()),
-            Err(Stop::Broken(problem)) => Err(problem.to_string()),
+            Err(ReadError::EndOfStream) if headers.contains_key("grpc-message") => {
+                Err(status_message(&headers))
+            }
+            Err(ReadError::EndOfStream) => Err("no greeting".to_owned()),
+            Err(ReadError::Malformed(reason)) => Err(reason),
+            Err(ReadError::Compressed) => Err("a compressed greeting".to_owned()),
+            Err(ReadError::Broken(error)) => Err(error.to_string()),
         }
     };
     match greeted.await {
         Ok((them, limit)) => {
-            unmet.0.take();
+            guard.0.take();
             Ok(Session {
                 them,
                 limit,
@@ -132,11 +137,11 @@
                 out: Out { shared },
             })
         }
-        Err(why) => Err(why),
+        Err(reason) => Err(reason),
     }
 }
 
-fn head(path: &str) -> Result<Request<()>, String> {
+fn request_head(path: &str) -> Result<Request<()>, String> {
     let request = Request::post(format!("http://cindercleat{path}"));
     let request = request
         .header("content-type", "application/grpc")
@@ -144,71 +149,75 @@
     request.body(()).map_err(|e| e.to_string())
 }
 
-/// Begins the call that a body stands for; a body that begins none is passed over.
-pub(crate) fn begin(shared: &Rc<Shared>, stream: u64, body: Body) {
-    let Some(path) = call::path(&body) else {
+/// Starts the call for a body; ignores a body that starts no call.
+pub(crate) fn start_call(shared: &Rc<Shared>, stream: u64, body: Body) {
+    let Some(path) = call::call_path(&body) else {
         return;
     };
-    let begin = shared.begin.borrow();
-    let Some(begin) = begin.as_ref() else {
-        // The connection takes no more calls.
-        if let Some(body) = word(path, CallEnd::NotSent.into()) {
-            shared.tell(Event::Frame(frame(stream, body)));
+    let starter = shared.starter.borrow();
+    let Some(starter) = starter.as_ref() else {
+        // The connection accepts no new calls.
+        if let Some(body) = body_for_end(path, CallEnd::NotSent.into()) {
+            shared.send_event(Event::Frame(frame(stream, body)));
         }
         return;
     };
-    let (to, queue) = mpsc::unbounded_channel();
-    let quiet = matches!(body, Body::Gossip(_));
-    // A call that nobody waits for is open until it is over, too: its sender must not be dropped before.
-    let held = quiet.then(|| to.clone());
-    if !quiet {
-        shared.calls.borrow_mut().insert(stream, to);
+    let (sender, queue) = mpsc::unbounded_channel();
+    let is_one_way = matches!(body, Body::Gossip(_));
+    // A one-way call has no entry in `calls`, but a dropped queue sender would end it, so its task keeps the sender.
+    let queue_sender = is_one_way.then(|| sender.clone());
+    if !is_one_way {
+        shared.calls.borrow_mut().insert(stream, sender);
     }
-    let (shared, requests, seen) = (shared.clone(), begin.requests.clone(), begin.seen.clone());
+    let (shared, requests, goaway) = (
+        shared.clone(),
+        starter.requests.clone(),
+        starter.goaway.clone(),
+    );
     spawn_local(async move {
-        let last = run(&shared, stream, path, body, (requests, seen), queue).await;
-        drop(held);
-        if !quiet {
+        let end = run_call(&shared, stream, path, body, (requests, goaway), queue).await;
+        drop(queue_sender);
+        if !is_one_way {
             shared.calls.borrow_mut().remove(&stream);
-            shared.close.notify_waiters();
-            if let Some(body) = last.and_then(|last| word(path, last)) {
-                shared.tell(Event::Frame(frame(stream, body)));
+            shared.changed.notify_waiters();
+            if let Some(body) = end.and_then(|end| body_for_end(path, end)) {
+                shared.send_event(Event::Frame(frame(stream, body)));
             }
         }
     });
 }
 
-/// Runs a call to its end. Gives how it ended if the other side gave no last word.
-async fn run(
+/// Runs a call to its end. Returns how the call ended if the peer sent no message that ends it.
+async fn run_call(
     shared: &Rc<Shared>,
     stream: u64,
     path: &'static str,
     body: Body,
-    (requests, seen): (SendRequest<Bytes>, Rc<Seen>),
-    mut queue: mpsc::UnboundedReceiver<Said>,
-) -> Option<Last> {
+    (requests, goaway): (SendRequest<Bytes>, Rc<GoawayState>),
+    mut queue: mpsc::UnboundedReceiver<Outgoing>,
+) -> Option<EndWithoutReply> {
     let mut credit = match &body {
         Body::Decode(write) => write.window,
-        _ => UNBOUNDED,
+        _ => UNLIMITED_CREDIT,
     };
-    let not_sent = || Some(Last::from(CallEnd::NotSent));
-    // A call may be called off while it waits for its turn: nothing of it has gone out.
+    let not_sent = || Some(EndWithoutReply::from(CallEnd::NotSent));
+    // A call that is cancelled while it waits for a free stream was not sent.
     let ready = tokio::select! { biased;
-        _ = cancelled(shared, &mut queue, &mut credit) => return not_sent(),
+        _ = wait_cancelled(shared, &mut queue, &mut credit) => return not_sent(),
         ready = requests.ready() => ready,
     };
-    let (Ok(mut requests), Ok(head)) = (ready, head(path)) else {
+    let (Ok(mut requests), Ok(head)) = (ready, request_head(path)) else {
         return not_sent();
     };
     let Ok((response, mut to)) = requests.send_request(head, false) else {
         return not_sent();
     };
     let id = to.stream_id().as_u32();
-    // What the other side says that it did not take has not run, in whatever words the call ends.
-    let ended = |end: CallEnd| match end {
-        _ if seen.beyond(id) => CallEnd::BeyondLast,
-        // The connection was on its way out, and says nothing of the engine: the call ends alone.
-        CallEnd::ConnectionLost if seen.leaving() => CallEnd::Status {
+    // A call that the GOAWAY excludes did not run, whatever error the call itself ends with.
+    let classify = |end: CallEnd| match end {
+        _ if goaway.is_beyond_last_stream(id) => CallEnd::BeyondLast,
+        // After a GOAWAY the end of the connection is expected. It fails this call, but is not a connection loss.
+        CallEnd::ConnectionLost if goaway.is_received() => CallEnd::Status {
             code: Code::Unavailable,
             never_ran: false,
         },
@@ -228,34 +237,34 @@
         _ => return not_sent(),
     };
     tokio::pin!(response);
-    // An answer may come before all is sent: a message that is too large.
-    let begun = tokio::select! { biased;
+    // The response may arrive before the whole request is sent, for example if the request is too large.
+    let started = tokio::select! { biased;
         response = &mut response => Ok(response),
-        end = cancelled(shared, &mut queue, &mut credit) => Err(end),
+        end = wait_cancelled(shared, &mut queue, &mut credit) => Err(end),
         _ = send(&mut to, bytes, true) => tokio::select! { biased;
             response = &mut response => Ok(response),
-            end = cancelled(shared, &mut queue, &mut credit) => Err(end),
+            end = wait_cancelled(shared, &mut queue, &mut credit) => Err(end),
         },
     };
-    let response = match begun {
+    let response = match started {
         Ok(Ok(response)) => response,
-        Ok(Err(problem)) => return Some(ended(end_of(&problem)).into()),
+        Ok(Err(error)) => return Some(classify(end_from_h2(&error)).into()),
         Err(end) => {
             to.send_reset(h2::Reason::CANCEL);
-            return Some(ended(end).into());
+            return Some(classify(end).into());
         }
     };
     let headers = response.headers().clone();
-    let mut messages = Messages::new(response.into_body(), shared.setup.most_message);
+    let mut messages = MessageReader::new(response.into_body(), shared.setup.most_message);
     loop {
-        // A message that there is no credit for is not taken: its sender's window fills, and it waits.
+        // Without credit no message is read, so the sender's window fills and the sender waits.
         let next = tokio::select! { biased;
-            said = queue.recv() => {
-                if let Some(Said::Body(Body::Credit(more))) = said {
-                    credit = credit.saturating_add(more.messages);
+            outgoing = queue.recv() => {
+                if let Some(Outgoing::Body(Body::Credit(added))) = outgoing {
+                    credit = credit.saturating_add(added.messages);
                     continue;
                 }
-                match call_end(said) {
+                match local_end(outgoing) {
                     Some(end) => {
                         to.send_reset(h2::Reason::CANCEL);
                         return Some(end.into());
@@ -264,15 +273,15 @@
                 }
             }
             next = messages.next(), if credit > 0 => next,
-            () = shared.ran_dry(), if credit > 0 => return Some(ended(CallEnd::ConnectionLost).into()),
+            () = shared.wait_drained(), if credit > 0 => return Some(classify(CallEnd::ConnectionLost).into()),
         };
         match next {
-            Ok(bytes) => match call::reply(path, bytes) {
+            Ok(bytes) => match call::decode_reply(path, bytes) {
                 Ok(Some(body)) => {
                     if let Body::Tokens(_) = body {
-                        credit = credit.saturating_sub(u32::from(credit != UNBOUNDED));
+                        credit = credit.saturating_sub(u32::from(credit != UNLIMITED_CREDIT));
                     }
-                    let last = matches!(
+                    let is_final = matches!(
                         body,
                         Body::Ended(_)
                             | Body::Final(_)
@@ -282,11 +291,11 @@
                             | Body::Done(_)
                             | Body::FleetAnswer(_)
                     );
-                    if last {
+                    if is_final {
                         shared.calls.borrow_mut().remove(&stream);
                     }
-                    shared.tell(Event::Frame(frame(stream, body)));
-                    if last {
+                    shared.send_event(Event::Frame(frame(stream, body)));
+                    if is_final {
                         return None;
                     }
                 }
@@ -296,18 +305,18 @@
                     return Some(CallEnd::Nothing.into());
                 }
             },
-            Err(Stop::End) => {
+            Err(ReadError::EndOfStream) => {
                 let trailers = messages.stream().trailers().await.ok().flatten();
-                let said = trailers.as_ref().unwrap_or(&headers);
-                let field = field_of(said);
-                return Some(Last {
-                    end: status_of(said),
-                    message: message_of(said),
+                let status = trailers.as_ref().unwrap_or(&headers);
+                let field = invalid_field(status);
+                return Some(EndWithoutReply {
+                    end: end_from_status(status),
+                    message: status_message(status),
                     field,
                 });
             }
-            Err(Stop::Broken(problem)) => return Some(ended(end_of(&problem)).into()),
-            Err(Stop::Malformed(_) | Stop::Compressed) => {
+            Err(ReadError::Broken(error)) => return Some(classify(end_from_h2(&error)).into()),
+            Err(ReadError::Malformed(_) | ReadError::Compressed) => {
                 to.send_reset(h2::Reason::INTERNAL_ERROR);
                 return Some(CallEnd::Nothing.into());
             }
@@ -315,48 +324,47 @@
     }
 }
 
-/// Waits for the call to be cancelled, or its connection to have nothing more for it, keeping credit that comes
-/// meanwhile.
-async fn cancelled(
+/// Waits until the call is cancelled or its connection is drained; adds credit that is granted meanwhile.
+async fn wait_cancelled(
     shared: &Shared,
-    queue: &mut mpsc::UnboundedReceiver<Said>,
+    queue: &mut mpsc::UnboundedReceiver<Outgoing>,
     credit: &mut u32,
 ) -> CallEnd {
     loop {
-        let said = tokio::select! { biased;
-            said = queue.recv() => said,
-            () = shared.ran_dry() => return CallEnd::ConnectionLost,
+        let outgoing = tokio::select! { biased;
+            outgoing = queue.recv() => outgoing,
+            () = shared.wait_drained() => return CallEnd::ConnectionLost,
         };
-        if let Some(Said::Body(Body::Credit(more))) = said {
-            *credit = credit.saturating_add(more.messages);
-        } else if let Some(end) = call_end(said) {
+        if let Some(Outgoing::Body(Body::Credit(added))) = outgoing {
+            *credit = credit.saturating_add(added.messages);
+        } else if let Some(end) = local_end(outgoing) {
             return end;
         }
     }
 }
 
-/// The end that our own side makes of a call, if what it says is one.
-fn call_end(said: Option<Said>) -> Option<CallEnd> {
-    match said {
-        Some(Said::Body(Body::Cancel(_)) | Said::Reset(_)) => Some(CallEnd::Status {
+/// The end of a call that this side causes; `None` if the item does not end the call.
+fn local_end(outgoing: Option<Outgoing>) -> Option<CallEnd> {
+    match outgoing {
+        Some(Outgoing::Body(Body::Cancel(_)) | Outgoing::Reset(_)) => Some(CallEnd::Status {
             code: Code::Cancelled,
             never_ran: false,
         }),
-        Some(Said::Body(_)) => None,
+        Some(Outgoing::Body(_)) => None,
         None => Some(CallEnd::ConnectionLost),
     }
 }
 
-/// How a call ended that had no last word, and what the status said beside.
-struct Last {
+/// The end of a call without a final message, with the message and the invalid field of its status.
+struct EndWithoutReply {
     end: CallEnd,
     message: String,
     field: Option<(String, String)>,
 }
 
-impl From<CallEnd> for Last {
+impl From<CallEnd> for EndWithoutReply {
     fn from(end: CallEnd) -> Self {
-        Last {
+        EndWithoutReply {
             end,
             message: String::new(),
             field: None,
@@ -364,14 +372,16 @@
     }
 }
 
-fn end_of(problem: &h2::Error) -> CallEnd {
-    match problem.reason() {
-        Some(reason) if problem.is_reset() => CallEnd::Reset(u32::from(reason)),
+/// Classifies an HTTP/2 error as a reset of the call or a loss of the connection.
+fn end_from_h2(error: &h2::Error) -> CallEnd {
+    match error.reason() {
+        Some(reason) if error.is_reset() => CallEnd::Reset(u32::from(reason)),
         _ => CallEnd::ConnectionLost,
     }
 }
 
-fn status_of(headers: &HeaderMap) -> CallEnd {
+/// The end of a call by the gRPC status in its trailers.
+fn end_from_status(headers: &HeaderMap) -> CallEnd {
     let number = headers
         .get("grpc-status")
         .and_then(|v| v.to_str().ok()?.parse::<u32>().ok());
@@ -387,14 +397,15 @@
     }
 }
 
-/// The last word that stands for an end without one.
-fn word(
+/// The final body to report for a call that ended without a final message; `None` if the end of the session follows and
+/// covers it.
+fn body_for_end(
     path: &str,
-    Last {
+    EndWithoutReply {
         end,
         message,
         field,
-    }: Last,
+    }: EndWithoutReply,
 ) -> Option<Body> {
     let reason = if message.is_empty() {
         format!("{end:?}")
@@ -421,7 +432,7 @@
             Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent => {
                 ended(v1::Status::Overloaded)
             }
-            // With the connection lost its end says it all.
+            // The end of the session reports the lost connection for all its calls.
             _ if end == CallEnd::ConnectionLost => None,
             _ => ended(v1::Status::Failed),
         },
--- a/crates/grpc/src/details.rs
+++ b/crates/grpc/src/details.rs
@@ -1,5 +1,5 @@
-//! The end of a call as gRPC's users expect it: status, message, `google.rpc` details, and what a client that
-//! retries by itself is told (`grpc-retry-pushback-ms`).
+//! The status that ends a call, in the form that gRPC clients expect: code, message, `google.rpc` details, and the
+//! retry delay for clients that retry automatically (`grpc-retry-pushback-ms`).
 
 use base64::engine::general_purpose::{GeneralPurpose, STANDARD_NO_PAD};
 use base64::engine::{DecodePaddingMode, GeneralPurposeConfig};
@@ -11,13 +11,13 @@
 
 const RETRY_INFO: &str = "type.googleapis.com/google.rpc.RetryInfo";
 const BAD_REQUEST: &str = "type.googleapis.com/google.rpc.BadRequest";
-/// Others may pad; we need not.
-const LENIENT: GeneralPurpose = GeneralPurpose::new(
+/// Decodes base64 with or without padding, because peers may send either.
+const BASE64_ANY_PADDING: GeneralPurpose = GeneralPurpose::new(
     &alphabet::STANDARD,
     GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent),
 );
 
-/// `google.rpc.Status`, from its public specification, as are the two below.
+/// The message `google.rpc.Status`. This struct and the following ones are written after their public specifications.
 #[derive(Clone, PartialEq, Message)]
 struct Status {
     #[prost(int32, tag = "1")]
@@ -48,40 +48,41 @@
     description: String,
 }
 
-/// The end of a call.
-pub(crate) struct Ending {
+/// The status of a call, with the details that go into its trailers.
+pub(crate) struct CallEnding {
     code: Code,
-    why: String,
-    again: RetryAdvice,
+    message: String,
+    retry: RetryAdvice,
     details: Vec<Any>,
-    /// Our own mark that nothing of it ran.
+    /// Sends the header `cindercleat-ran: no`, which states that nothing of the call ran.
     never_ran: bool,
 }
 
-impl Ending {
-    pub fn plain(code: Code, why: &str) -> Self {
-        Ending {
+impl CallEnding {
+    /// A status without details or retry advice.
+    pub fn plain(code: Code, message: &str) -> Self {
+        CallEnding {
             code,
-            why: why.to_owned(),
-            again: RetryAdvice::None,
+            message: message.to_owned(),
+            retry: RetryAdvice::None,
             details: Vec::new(),
             never_ran: false,
         }
     }
 
-    /// Turned away before anything was made of it.
-    pub fn refused(code: Code, why: &str) -> Self {
-        Ending {
+    /// The status of a call that was refused before any of it ran.
+    pub fn refused(code: Code, message: &str) -> Self {
+        CallEnding {
             never_ran: true,
-            ..Ending::plain(code, why)
+            ..CallEnding::plain(code, message)
         }
     }
 
-    /// A request's final answer.
-    pub fn told(told: ClientAnswer, retry_after_ms: f64, why: &str) -> Self {
-        let again = retry_advice(told, retry_after_ms);
-        let details = match again {
-            RetryAdvice::After(ms) => vec![any(
+    /// The status of a request with a final answer, with the retry advice for it.
+    pub fn answered(answer: ClientAnswer, retry_after_ms: f64, message: &str) -> Self {
+        let retry = retry_advice(answer, retry_after_ms);
+        let details = match retry {
+            RetryAdvice::After(ms) => vec![pack_any(
                 RETRY_INFO,
                 &RetryInfo {
                     retry_delay: Some(duration(ms)),
@@ -89,39 +90,40 @@
             )],
             RetryAdvice::None | RetryAdvice::Never => Vec::new(),
         };
-        Ending {
-            again,
+        CallEnding {
+            retry,
             details,
-            ..Ending::plain(client_status(told), why)
+            ..CallEnding::plain(client_status(answer), message)
         }
     }
 
-    /// A field that cannot be right.
-    pub fn rejected(field: &str, why: &str) -> Self {
+    /// The status of a request with an invalid field.
+    pub fn invalid_field(field: &str, message: &str) -> Self {
         let violation = FieldViolation {
             field: field.to_owned(),
-            description: why.to_owned(),
+            description: message.to_owned(),
         };
-        let details = vec![any(
+        let details = vec![pack_any(
             BAD_REQUEST,
             &BadRequest {
                 field_violations: vec![violation],
             },
         )];
-        let plain = Ending::refused(
+        let plain = CallEnding::refused(
             client_status(ClientAnswer::InvalidRequest),
-            &format!("{field}: {why}"),
+            &format!("{field}: {message}"),
         );
-        Ending { details, ..plain }
+        CallEnding { details, ..plain }
     }
 
+    /// The trailers that carry this status.
     pub fn headers(&self) -> HeaderMap {
         let mut headers = HeaderMap::new();
         headers.insert("grpc-status", HeaderValue::from(self.code as u32));
-        if let Ok(why) = HeaderValue::from_str(&percent(&self.why)) {
-            headers.insert("grpc-message", why);
+        if let Ok(message) = HeaderValue::from_str(&percent_encode(&self.message)) {
+            headers.insert("grpc-message", message);
         }
-        match self.again {
+        match self.retry {
             RetryAdvice::None => {}
             RetryAdvice::After(ms) => {
                 headers.insert(
@@ -139,7 +141,7 @@
         if !self.details.is_empty() {
             let status = Status {
                 code: self.code as i32,
-                message: self.why.clone(),
+                message: self.message.clone(),
                 details: self.details.clone(),
             };
             if let Ok(bytes) =
@@ -152,47 +154,51 @@
     }
 }
 
-/// The field that a status with details names, and what is wrong with it.
-pub(crate) fn field_of(headers: &HeaderMap) -> Option<(String, String)> {
-    let bytes = LENIENT
+/// The invalid field that a status names in its details, and the description of what is wrong with it.
+pub(crate) fn invalid_field(headers: &HeaderMap) -> Option<(String, String)> {
+    let bytes = BASE64_ANY_PADDING
         .decode(headers.get("grpc-status-details-bin")?.as_bytes())
         .ok()?;
     let status = Status::decode(&bytes[..]).ok()?;
-    let found = status.details.iter().find(|d| d.type_url == BAD_REQUEST)?;
-    let bad = BadRequest::decode(&found.value[..]).ok()?;
-    bad.field_violations
+    let detail = status
+        .details
+        .iter()
+        .find(|detail| detail.type_url == BAD_REQUEST)?;
+    let bad_request = BadRequest::decode(&detail.value[..]).ok()?;
+    bad_request
+        .field_violations
         .into_iter()
         .next()
-        .map(|v| (v.field, v.description))
+        .map(|violation| (violation.field, violation.description))
 }
 
-/// A status message as gRPC writes it in a header, read.
-pub(crate) fn message_of(headers: &HeaderMap) -> String {
+/// The status message of the headers, percent-decoded; empty if there is none.
+pub(crate) fn status_message(headers: &HeaderMap) -> String {
     let text = headers
         .get("grpc-message")
         .map(|m| m.as_bytes())
         .unwrap_or_default();
-    let mut out = Vec::with_capacity(text.len());
+    let mut decoded = Vec::with_capacity(text.len());
     let mut rest = text;
     while let [first, tail @ ..] = rest {
         let hex = tail
             .get(..2)
             .and_then(|h| u8::from_str_radix(std::str::from_utf8(h).ok()?, 16).ok());
         match (first, hex) {
-            (b'%', Some(byte)) => {
-                out.push(byte);
+            (b'%', Some(decoded_byte)) => {
+                decoded.push(decoded_byte);
                 rest = &tail[2..];
             }
             _ => {
-                out.push(*first);
+                decoded.push(*first);
                 rest = tail;
             }
         }
     }
-    String::from_utf8_lossy(&out).into_owned()
+    String::from_utf8_lossy(&decoded).into_owned()
 }
 
-fn any(type_url: &str, message: &impl Message) -> Any {
+fn pack_any(type_url: &str, message: &impl Message) -> Any {
     Any {
         type_url: type_url.to_owned(),
         value: message.encode_to_vec(),
@@ -208,68 +214,20 @@
     }
 }
 
-/// A status message as gRPC writes it in a header: what is not plain text as percent and two hex digits.
-fn percent(text: &str) -> String {
-    let plain = |b: u8| (b' '..=b'~').contains(&b) && b != b'%';
+/// Encodes a status message for a header: every byte that is not printable ASCII becomes `%` and two hex digits.
+fn percent_encode(text: &str) -> String {
+    let is_plain = |byte: u8| (b' '..=b'~').contains(&byte) && byte != b'%';
     text.bytes()
-        .map(|b| {
-            if plain(b) {
-                char::from(b).to_string()
+        .map(|byte| {
+            if is_plain(byte) {
+                char::from(byte).to_string()
             } else {
-                format!("%{b:02X}")
+                format!("%{byte:02X}")
             }
         })
         .collect()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_rejection_says_how_long_to_stay_away_and_a_failure_never_to_come_back() {
-        let rejected = Ending::told(
-            ClientAnswer::Rejected {
-                for_lack_of_capacity: true,
-            },
-            1250.5,
-            "no room",
-        )
-        .headers();
-        assert_eq!(rejected["grpc-status"], "8");
-        assert_eq!(rejected["grpc-retry-pushback-ms"], "1251");
-        let bytes = LENIENT
-            .decode(rejected["grpc-status-details-bin"].as_bytes())
-            .expect("base64");
-        let status = Status::decode(&bytes[..]).expect("a status");
-        let info = RetryInfo::decode(&status.details[0].value[..]).expect("retry info");
-        assert_eq!((status.code, status.message.as_str()), (8, "no room"));
-        assert_eq!(
-            info.retry_delay,
-            Some(Duration {
-                seconds: 1,
-                nanos: 250_500_000
-            })
-        );
-        let failed = Ending::told(ClientAnswer::Failed, 500.0, "").headers();
-        assert_eq!(failed["grpc-retry-pushback-ms"], "-1");
-        assert!(failed.get("grpc-status-details-bin").is_none());
-        assert!(failed.get("cindercleat-ran").is_none());
-    }
-
-    #[test]
-    fn a_bad_field_is_named_and_read_back() {
-        let headers = Ending::rejected("patience_ms", "\u{2212}1 is no time").headers();
-        assert_eq!(headers["grpc-status"], "3");
-        let read = field_of(&headers).expect("a field");
-        assert_eq!(
-            read,
-            ("patience_ms".to_owned(), "\u{2212}1 is no time".to_owned())
-        );
-        assert_eq!(message_of(&headers), "patience_ms: \u{2212}1 is no time");
-        assert!(headers["grpc-message"]
-            .to_str()
-            .expect("plain")
-            .contains("%E2%88%92"));
-    }
-}
+#[path = "details_tests.rs"]
+mod tests;
--- a/crates/grpc/src/lib.rs
+++ b/crates/grpc/src/lib.rs
@@ -1,17 +1,17 @@
 //! gRPC (HTTP/2 by the crate h2, messages by prost) on any byte stream, on one thread.
 //!
-//! A connection is a [`Session`]: [`Frame`]s of the schema go out by [`Out::send`] and come in as [`Event`]s. A
-//! frame that begins something (a request, a read, a probe) is a call of one of the schema's services, and frames
-//! of the same stream number are its messages; a [`Body::Cancel`] is a reset. Whoever drives sessions needs to
-//! know nothing of HTTP/2, and peers of any language need to know nothing of frames.
+//! A connection is a [`Session`]: [`Out::send`] sends [`Frame`]s of the schema, and received frames are [`Event`]s. A
+//! frame that starts a request, an attempt or a health check becomes a gRPC call. Frames with the same stream number
+//! are the messages of that call, and a [`Body::Cancel`] resets it. The driver of a session needs no knowledge of
+//! HTTP/2, and a peer in any language needs no knowledge of frames.
 #![forbid(unsafe_code)]
 
 mod call;
 mod client;
 mod details;
+mod goaway_detector;
 mod message;
 mod server;
-mod watch;
 
 pub use client::connect;
 pub use server::serve;
@@ -26,23 +26,24 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::spawn_local;
 
-/// Bytes under way on one stream.
+/// The flow-control window of one stream, in bytes.
 const STREAM_WINDOW: u32 = 16 << 10;
 
-/// The connection's window holds every stream's, so that one that is not read holds back no other.
+/// The connection's flow-control window: the sum of the windows of all streams, so that a stream that is not read does
+/// not block the others.
 fn connection_window(setup: &Setup) -> u32 {
-    const MOST: u32 = (1 << 31) - 1;
+    const MAX_WINDOW: u32 = (1 << 31) - 1;
     setup
         .most_calls
         .saturating_add(1)
         .saturating_mul(STREAM_WINDOW)
-        .min(MOST)
+        .min(MAX_WINDOW)
 }
 
-/// One connection that speaks gRPC.
+/// A session on a gRPC connection.
 pub type Session = session::Session<Out>;
 
-/// gRPC, for whoever drives sessions of any kind.
+/// The gRPC implementation of [`Wire`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Grpc;
 
@@ -76,81 +77,87 @@
     }
 }
 
-/// The sending side of a session; clones are the same one.
+/// The sending side of a session; all clones send on the same connection.
 #[derive(Clone)]
 pub struct Out {
     shared: Rc<Shared>,
 }
 
-/// What is to go out on a call.
+/// An item queued for sending on a call.
+// Nearly all items are bodies, so boxing the large variant would save no memory.
 #[allow(clippy::large_enum_variant)]
-enum Said {
+enum Outgoing {
     Body(Body),
     Reset(u32),
 }
 
-/// What the requests of a connection share.
+/// The state that a session's handle, connection task and calls share.
 struct Shared {
     setup: Setup,
+    /// The session's events; `None` once the connection has ended.
     events: RefCell<Option<mpsc::UnboundedSender<Event>>>,
-    /// Calls that are open: what is to go out on each.
-    calls: RefCell<BTreeMap<u64, mpsc::UnboundedSender<Said>>>,
-    /// How to begin a call; none on a side that only answers.
-    begin: RefCell<Option<client::Begin>>,
-    /// How to ping the other side.
+    /// The send queues of the open calls, by stream number.
+    calls: RefCell<BTreeMap<u64, mpsc::UnboundedSender<Outgoing>>>,
+    /// Starts calls; `None` on the serving side and once the connection accepts no new calls.
+    starter: RefCell<Option<client::CallStarter>>,
+    /// Sends pings; `None` while a ping is unanswered.
     pings: RefCell<Option<h2::PingPong>>,
+    /// `Out::close` was called, or the connection has ended.
     closing: Cell<bool>,
+    /// `Out::go_away` was called.
     leaving: Cell<bool>,
-    /// The connection is over, and calls have had their time to take in what had come.
-    dry: Cell<bool>,
-    /// Calls of the other side that are not over.
-    answering: Cell<usize>,
-    close: Notify,
+    /// The connection has ended, and calls have had time to read the messages that arrived before.
+    drained: Cell<bool>,
+    /// The number of the peer's calls that have not ended.
+    open_served_calls: Cell<usize>,
+    /// Signals a change of `closing`, `leaving`, `drained` or `calls`.
+    changed: Notify,
+    /// Signals the end of the connection.
     over: Notify,
 }
 
 impl Shared {
     fn new(setup: Setup) -> (Rc<Self>, mpsc::UnboundedReceiver<Event>) {
-        let (to, events) = mpsc::unbounded_channel();
+        let (event_sender, events) = mpsc::unbounded_channel();
         let shared = Shared {
             setup,
-            events: RefCell::new(Some(to)),
+            events: RefCell::new(Some(event_sender)),
             calls: RefCell::default(),
-            begin: RefCell::default(),
+            starter: RefCell::default(),
             pings: RefCell::default(),
             closing: Cell::new(false),
             leaving: Cell::new(false),
-            dry: Cell::new(false),
-            answering: Cell::new(0),
-            close: Notify::new(),
+            drained: Cell::new(false),
+            open_served_calls: Cell::new(0),
+            changed: Notify::new(),
             over: Notify::new(),
         };
         (Rc::new(shared), events)
     }
 
-    fn tell(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         if let Some(events) = &*self.events.borrow() {
-            // Whoever dropped the session wants to hear no more.
+            // The send fails if the session was dropped; the event is of no use then.
             let _ = events.send(event);
         }
     }
 
-    /// The connection is over: events end, and calls with them.
+    /// Ends the session after its connection: closes the event channel and all calls.
     fn end(&self) {
         self.events.borrow_mut().take();
         self.over.notify_waiters();
         self.calls.borrow_mut().clear();
-        self.begin.borrow_mut().take();
+        self.starter.borrow_mut().take();
         self.close();
     }
 
     fn close(&self) {
         self.closing.set(true);
-        self.close.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// Asks whether the other side is there; a pong is told. One ping at a time: a second one while it is out
-    /// asks nothing new.
+    /// Pings the peer; its answer is reported as a `Pong` frame. Does nothing while an earlier ping is unanswered,
+    /// because that ping's answer shows the same.
     fn ping(self: &Rc<Self>) {
         let Some(mut ping) = self.pings.borrow_mut().take() else {
             return;
@@ -158,35 +165,35 @@
         let shared = self.clone();
         spawn_local(async move {
             if ping.ping(h2::Ping::opaque()).await.is_ok() {
-                shared.tell(Event::Frame(frame(0, Body::Pong(v1::Pong {}))));
+                shared.send_event(Event::Frame(frame(0, Body::Pong(v1::Pong {}))));
             }
             *shared.pings.borrow_mut() = Some(ping);
         });
     }
 
-    async fn ran_dry(&self) {
-        while !self.dry.get() {
-            self.close.notified().await;
+    async fn wait_drained(&self) {
+        while !self.drained.get() {
+            self.changed.notified().await;
         }
     }
 
-    async fn left(&self) {
+    async fn wait_leaving(&self) {
         while !self.leaving.get() {
-            self.close.notified().await;
+            self.changed.notified().await;
         }
     }
 
-    async fn closed(&self) {
+    async fn wait_closing(&self) {
         while !self.closing.get() {
-            self.close.notified().await;
+            self.changed.notified().await;
         }
     }
 }
 
-/// Ends a connection whose session is given up before it began.
-struct Unmet(Option<Rc<Shared>>);
+/// Closes the connection if the handshake fails or is dropped. Emptied when the session starts.
+struct HandshakeGuard(Option<Rc<Shared>>);
 
-impl Drop for Unmet {
+impl Drop for HandshakeGuard {
     fn drop(&mut self) {
         if let Some(shared) = &self.0 {
             shared.close();
@@ -195,8 +202,8 @@
 }
 
 impl Out {
-    /// Sends a frame; one that belongs to no call any more is passed over. Tells whether the connection was
-    /// there to send it on; if not, nothing of it has gone out.
+    /// Queues a frame; ignores a frame whose call has ended. Returns whether the connection was open; if it was not,
+    /// no byte of the frame was written.
     pub fn send(&self, frame: Frame) -> bool {
         if self.shared.events.borrow().is_none() {
             return false;
@@ -204,42 +211,42 @@
         let open = self.shared.calls.borrow().get(&frame.stream).cloned();
         match (open, frame.body) {
             (Some(call), Some(body)) => {
-                let _ = call.send(Said::Body(body));
+                let _ = call.send(Outgoing::Body(body));
             }
             (None, Some(Body::Ping(_))) => self.shared.ping(),
-            (None, Some(body)) => client::begin(&self.shared, frame.stream, body),
+            (None, Some(body)) => client::start_call(&self.shared, frame.stream, body),
             (_, None) => {}
         }
         true
     }
 
-    /// Whether both are of one connection.
+    /// Whether both send on the same connection.
     pub fn same(&self, other: &Out) -> bool {
         Rc::ptr_eq(&self.shared, &other.shared)
     }
 
-    /// Ends a call of the other side by a reset with an HTTP/2 error code, in place of a last word.
+    /// Resets a call of the peer with an HTTP/2 error code instead of answering it.
     pub fn reset(&self, stream: u64, code: u32) {
         if let Some(call) = self.shared.calls.borrow().get(&stream) {
-            let _ = call.send(Said::Reset(code));
+            let _ = call.send(Outgoing::Reset(code));
         }
     }
 
-    /// Takes no new call on this connection; those that are open go on, and it ends with the last. For a side
-    /// that answers.
+    /// Accepts no new calls; open calls continue, and the connection closes after the last one. Only the serving side
+    /// may call this.
     pub fn go_away(&self) {
         self.shared.leaving.set(true);
-        self.shared.close.notify_waiters();
+        self.shared.changed.notify_waiters();
     }
 
-    /// Waits until the connection is over.
+    /// Waits until the connection has ended.
     pub async fn over(&self) {
         while self.shared.events.borrow().is_some() {
             self.shared.over.notified().await;
         }
     }
 
-    /// Ends the connection: calls that are open are cut off.
+    /// Closes the connection and aborts open calls.
     pub fn close(&self) {
         self.shared.close();
     }
--- a/crates/grpc/src/message.rs
+++ b/crates/grpc/src/message.rs
@@ -1,85 +1,86 @@
-//! gRPC's length-prefixed messages on a stream of HTTP/2: a flag for compression, four bytes of length, the
-//! message.
+//! gRPC's length-prefixed messages on an HTTP/2 stream: a compression flag, four bytes of length, the message.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use h2::{RecvStream, SendStream};
 use prost::Message;
 use std::future::poll_fn;
 
-const HEAD: usize = 5;
+/// The size of the prefix: the compression flag and the length.
+const PREFIX_BYTES: usize = 5;
 
-/// Why there is no next message.
+/// The reason why no further message can be read.
 #[derive(Debug)]
-pub enum Stop {
-    /// The stream ended in order; trailers may follow.
-    End,
+pub enum ReadError {
+    /// The peer ended the stream between messages; trailers may follow.
+    EndOfStream,
     Broken(h2::Error),
-    /// What came is no message: its reason.
+    /// The bytes are not a valid message; the reason is readable.
     Malformed(String),
-    /// It is compressed, which is not spoken here.
+    /// The message is compressed, which this crate does not support.
     Compressed,
 }
 
+/// Encodes a message with its prefix, uncompressed.
 pub fn encode(message: &impl Message) -> Bytes {
-    let mut out = BytesMut::with_capacity(HEAD + message.encoded_len());
+    let mut out = BytesMut::with_capacity(PREFIX_BYTES + message.encoded_len());
     out.put_u8(0);
     out.put_u32(u32::try_from(message.encoded_len()).unwrap_or(u32::MAX));
-    // A BytesMut grows, so there is always room.
+    // Encoding fails only for lack of space, and a BytesMut grows.
     let _ = message.encode(&mut out);
     out.freeze()
 }
 
-/// The messages of one direction of a call.
-pub struct Messages {
-    from: RecvStream,
+/// Reads the messages of one direction of a call, each up to `max_bytes` long.
+pub struct MessageReader {
+    stream: RecvStream,
     pending: BytesMut,
-    most: usize,
+    max_bytes: usize,
 }
 
-impl Messages {
-    pub fn new(from: RecvStream, most: usize) -> Self {
-        Messages {
-            from,
+impl MessageReader {
+    pub fn new(stream: RecvStream, max_bytes: usize) -> Self {
+        MessageReader {
+            stream,
             pending: BytesMut::new(),
-            most,
+            max_bytes,
         }
     }
 
     pub fn stream(&mut self) -> &mut RecvStream {
-        &mut self.from
+        &mut self.stream
     }
 
-    /// The next message's bytes. What has been taken is given back to the sender's window, so a message that
-    /// is not asked for holds its sender back.
-    pub async fn next(&mut self) -> Result<Bytes, Stop> {
+    /// Reads the next message. Reading returns capacity to the sender's flow-control window, so messages that are not
+    /// read hold the sender back.
+    pub async fn next(&mut self) -> Result<Bytes, ReadError> {
         loop {
-            if self.pending.len() >= HEAD {
-                let bytes = (&self.pending[1..HEAD]).get_u32() as usize;
+            if self.pending.len() >= PREFIX_BYTES {
+                let bytes = (&self.pending[1..PREFIX_BYTES]).get_u32() as usize;
                 if self.pending[0] != 0 {
-                    return Err(Stop::Compressed);
+                    return Err(ReadError::Compressed);
                 }
-                if bytes > self.most {
-                    let why = format!(
+                if bytes > self.max_bytes {
+                    let reason = format!(
                         "a message of {bytes} bytes, over the bound of {}",
-                        self.most
+                        self.max_bytes
                     );
-                    return Err(Stop::Malformed(why));
+                    return Err(ReadError::Malformed(reason));
                 }
-                if self.pending.len() >= HEAD + bytes {
-                    self.pending.advance(HEAD);
+                if self.pending.len() >= PREFIX_BYTES + bytes {
+                    self.pending.advance(PREFIX_BYTES);
                     return Ok(self.pending.split_to(bytes).freeze());
                 }
             }
-            match self.from.data().await {
+            match self.stream.data().await {
                 Some(Ok(data)) => {
-                    // A stream that is over has no window to give back to.
-                    let _ = self.from.flow_control().release_capacity(data.len());
+                    // Fails only on a stream that has ended, which needs no window.
+                    let _ = self.stream.flow_control().release_capacity(data.len());
                     self.pending.put(data);
                 }
-                Some(Err(problem)) => return Err(Stop::Broken(problem)),
-                None if self.pending.is_empty() => return Err(Stop::End),
+                Some(Err(error)) => return Err(ReadError::Broken(error)),
+                None if self.pending.is_empty() => return Err(ReadError::EndOfStream),
                 None => {
-                    return Err(Stop::Malformed(
+                    return Err(ReadError::Malformed(
                         "the stream ends within a message".to_owned(),
                     ))
                 }
@@ -88,23 +89,23 @@
     }
 }
 
-/// Sends bytes as the other side's windows allow.
+/// Sends bytes as fast as the peer's flow-control windows allow.
 ///
 /// # Errors
-/// The stream is over.
+/// Returns an error if the stream was reset or the connection has ended.
 pub async fn send(
     to: &mut SendStream<Bytes>,
     mut bytes: Bytes,
-    last: bool,
+    end_of_stream: bool,
 ) -> Result<(), h2::Error> {
     while !bytes.is_empty() {
         to.reserve_capacity(bytes.len());
-        let room = match poll_fn(|cx| to.poll_capacity(cx)).await {
-            Some(room) => room?,
+        let capacity = match poll_fn(|cx| to.poll_capacity(cx)).await {
+            Some(capacity) => capacity?,
             None => return Err(h2::Reason::STREAM_CLOSED.into()),
         };
-        let part = bytes.split_to(room.min(bytes.len()));
-        let ends = last && bytes.is_empty();
+        let part = bytes.split_to(capacity.min(bytes.len()));
+        let ends = end_of_stream && bytes.is_empty();
         to.send_data(part, ends)?;
     }
     Ok(())
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -1,9 +1,11 @@
-//! The answering side of a connection.
+//! The serving side of a connection: the handshake, and one task per call.
 
 use crate::call;
-use crate::details::Ending;
-use crate::message::{encode, send, Messages, Stop};
-use crate::{connection_window, Event, Out, Said, Session, Setup, Shared, Unmet, STREAM_WINDOW};
+use crate::details::CallEnding;
+use crate::message::{encode, send, MessageReader, ReadError};
+use crate::{
+    connection_window, Event, HandshakeGuard, Out, Outgoing, Session, Setup, Shared, STREAM_WINDOW,
+};
 use bytes::Bytes;
 use cindercleat::status::{ClientAnswer, Code};
 use cindercleat_protocol::{frame, v1, Body, VERSION};
@@ -17,15 +19,24 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, yield_now};
 
-/// Turns of the thread that a connection's last words get to be written, and to be said.
-const LAST_TURNS: usize = 16;
-const MOST_LAST_TURNS: usize = 10_000;
+/// The number of times that a closing connection yields, once its calls have ended, to write their last messages.
+const FINAL_YIELDS: usize = 16;
+/// The maximum number of times that a closing connection yields for its calls to end.
+const MAX_FINAL_YIELDS: usize = 10_000;
 
-/// Serves a connection. Gives the session once the other side has greeted or made its first call; a peer that
-/// does not greet is a client without a name.
+/// The peer's greeting, which starts the session.
+#[derive(Default)]
+struct Greeting {
+    hello: Cell<Option<v1::Hello>>,
+    /// Signals the first greeting or call, or the end of the connection.
+    arrived: Notify,
+}
+
+/// Serves a connection. Returns the session once the peer has greeted or made its first call; a peer that does not
+/// greet is taken for a client without a name.
 ///
 /// # Errors
-/// The bytes are not HTTP/2, or the connection ended before anything was asked.
+/// Returns a readable reason if the peer does not speak HTTP/2 or the connection ends before its first call.
 pub async fn serve<S>(io: S, setup: Setup) -> Result<Session, String>
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
@@ -44,24 +55,24 @@
         .map_err(|e| e.to_string())?;
     let (shared, events) = Shared::new(setup);
     *shared.pings.borrow_mut() = connection.ping_pong();
-    let greeted: Rc<(Cell<Option<v1::Hello>>, Notify)> = Rc::default();
-    let driving = (shared.clone(), greeted.clone());
+    let greeting: Rc<Greeting> = Rc::default();
+    let driving = (shared.clone(), greeting.clone());
     spawn_local(async move {
-        let (shared, greeted) = driving;
-        let (mut calls, mut gone) = (0, false);
+        let (shared, greeting) = driving;
+        let (mut calls, mut is_leaving) = (0, false);
         loop {
             let accepted = tokio::select! { biased;
                 accepted = connection.accept() => accepted,
-                () = shared.left(), if !gone => {
-                    gone = true;
+                () = shared.wait_leaving(), if !is_leaving => {
+                    is_leaving = true;
                     connection.graceful_shutdown();
                     continue;
                 }
-                () = shared.closed() => {
-                    // What was answered goes out, as far as the peer takes it soon; what is open is cut off.
+                () = shared.wait_closing() => {
+                    // Messages that are already queued are written if the peer reads them soon; open calls are aborted.
                     shared.calls.borrow_mut().clear();
-                    let mut left = LAST_TURNS;
-                    for _ in 0..MOST_LAST_TURNS {
+                    let mut yields_left = FINAL_YIELDS;
+                    for _ in 0..MAX_FINAL_YIELDS {
                         tokio::select! { biased;
                             accepted = connection.accept() => match accepted {
                                 Some(Ok((_, mut respond))) => respond.send_reset(h2::Reason::REFUSED_STREAM),
@@ -69,14 +80,14 @@
                             },
                             () = yield_now() => {}
                         }
-                        // Once all calls have said their last, some turns more to write it.
-                        left -= usize::from(shared.answering.get() == 0);
-                        if left == 0 {
+                        // Once all calls have ended, a few more yields let the connection write their last messages.
+                        yields_left -= usize::from(shared.open_served_calls.get() == 0);
+                        if yields_left == 0 {
                             break;
                         }
                     }
                     connection.abrupt_shutdown(h2::Reason::NO_ERROR);
-                    for _ in 0..LAST_TURNS {
+                    for _ in 0..FINAL_YIELDS {
                         tokio::select! { biased;
                             accepted = connection.accept() => if accepted.is_none() { break },
                             () = yield_now() => {}
@@ -89,23 +100,25 @@
                 break;
             };
             calls += 1;
-            shared.answering.set(shared.answering.get() + 1);
-            let (to, greeted) = (shared.clone(), greeted.clone());
+            shared
+                .open_served_calls
+                .set(shared.open_served_calls.get() + 1);
+            let (to, greeting) = (shared.clone(), greeting.clone());
             spawn_local(async move {
-                answer(to.clone(), greeted, calls, request, respond).await;
-                to.answering.set(to.answering.get() - 1);
+                serve_call(to.clone(), greeting, calls, request, respond).await;
+                to.open_served_calls.set(to.open_served_calls.get() - 1);
             });
         }
         shared.end();
-        greeted.1.notify_one();
+        greeting.arrived.notify_one();
     });
-    // Guards against peers that connect and ask nothing: whoever waits here may stop waiting.
-    let mut unmet = Unmet(Some(shared.clone()));
-    // The session begins with whom it is with.
-    greeted.1.notified().await;
-    match greeted.0.take() {
+    // The guard closes the connection if the caller stops waiting for a peer that connects and sends no call.
+    let mut guard = HandshakeGuard(Some(shared.clone()));
+    // The session starts once the peer is known.
+    greeting.arrived.notified().await;
+    match greeting.hello.take() {
         Some(them) => {
-            unmet.0.take();
+            guard.0.take();
             Ok(Session {
                 them,
                 limit: None,
@@ -117,9 +130,10 @@
     }
 }
 
-async fn answer(
+/// Runs a call of the peer to its end.
+async fn serve_call(
     shared: Rc<Shared>,
-    greeted: Rc<(Cell<Option<v1::Hello>>, Notify)>,
+    greeting: Rc<Greeting>,
     number: u64,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
@@ -129,49 +143,49 @@
         .headers()
         .get("grpc-timeout")
         .and_then(|v| timeout_ms(v.to_str().ok()?));
-    let spoken = request
+    let content_type = request
         .headers()
         .get("content-type")
         .and_then(|v| v.to_str().ok());
-    if !spoken.is_some_and(|kind| kind.starts_with("application/grpc")) {
+    if !content_type.is_some_and(|kind| kind.starts_with("application/grpc")) {
         let mut response = Response::new(());
         *response.status_mut() = http::StatusCode::UNSUPPORTED_MEDIA_TYPE;
         let _ = respond.send_response(response, true);
         return;
     }
-    let mut messages = Messages::new(request.into_body(), shared.setup.most_message);
+    let mut messages = MessageReader::new(request.into_body(), shared.setup.most_message);
     let body = match messages.next().await {
-        Ok(bytes) => match call::request(&path, bytes) {
+        Ok(bytes) => match call::decode_request(&path, bytes) {
             Some(Ok(body)) => Ok(body),
-            Some(Err(problem)) => Err((Code::InvalidArgument, problem.to_string())),
+            Some(Err(error)) => Err((Code::InvalidArgument, error.to_string())),
             None => Err((Code::Unimplemented, format!("there is no call {path}"))),
         },
-        Err(Stop::Malformed(why)) => Err((Code::InvalidArgument, why)),
-        Err(Stop::Compressed) => Err((
+        Err(ReadError::Malformed(reason)) => Err((Code::InvalidArgument, reason)),
+        Err(ReadError::Compressed) => Err((
             Code::Unimplemented,
             "compressed messages are not taken".to_owned(),
         )),
-        Err(Stop::End) => Err((Code::InvalidArgument, "no message".to_owned())),
-        Err(Stop::Broken(_)) => return,
+        Err(ReadError::EndOfStream) => Err((Code::InvalidArgument, "no message".to_owned())),
+        Err(ReadError::Broken(_)) => return,
     };
     let mut body = match body {
         Ok(body) => body,
-        Err((code, why)) => return refuse(&mut respond, code, &why),
+        Err((code, reason)) => return refuse(&mut respond, code, &reason),
     };
     if let Body::Hello(hello) = body {
-        return greet(&shared, &greeted, hello, respond).await;
+        return greet(&shared, &greeting, hello, respond).await;
     }
     if let (Body::Submit(submit), Some(timeout)) = (&mut body, timeout) {
-        // The call's deadline is the client's time to deadline.
-        let asked = if submit.time_to_deadline_ms > 0.0 {
+        // The gRPC deadline applies if it is earlier than the deadline in the message.
+        let requested = if submit.time_to_deadline_ms > 0.0 {
             submit.time_to_deadline_ms
         } else {
             f64::INFINITY
         };
-        submit.time_to_deadline_ms = asked.min(timeout);
+        submit.time_to_deadline_ms = requested.min(timeout);
     }
-    meet(
-        &greeted,
+    record_greeting(
+        &greeting,
         v1::Hello {
             version: VERSION,
             party: v1::Party::Client.into(),
@@ -180,94 +194,98 @@
     );
     let (to, queue) = mpsc::unbounded_channel();
     shared.calls.borrow_mut().insert(number, to);
-    // What peers tell needs no word from whoever it is for.
-    let peer = matches!(body, Body::Gossip(_));
-    shared.tell(Event::Frame(frame(number, body)));
+    // Gossip is acknowledged here, because the dispatcher does not answer it.
+    let is_gossip = matches!(body, Body::Gossip(_));
+    shared.send_event(Event::Frame(frame(number, body)));
     let head = Response::builder()
         .status(200)
         .header("content-type", "application/grpc")
         .body(());
-    let began = head
+    let stream = head
         .ok()
         .and_then(|head| respond.send_response(head, false).ok());
-    if let Some(mut to) = began {
-        if peer {
+    if let Some(mut to) = stream {
+        if is_gossip {
             let _ = send(&mut to, encode(&v1::Done {}), false).await;
-            end(&mut to, &Ending::plain(Code::Ok, ""));
+            send_trailers(&mut to, &CallEnding::plain(Code::Ok, ""));
         } else {
-            reply(&shared, number, &path, queue, &mut to).await;
+            send_replies(&shared, number, &path, queue, &mut to).await;
         }
     }
     shared.calls.borrow_mut().remove(&number);
 }
 
-/// Sends what is said on a call until its end, or until its caller resets it.
-async fn reply(
+/// Sends the replies of a call until the call ends or its caller resets it.
+async fn send_replies(
     shared: &Shared,
     number: u64,
     path: &str,
-    mut queue: mpsc::UnboundedReceiver<Said>,
+    mut queue: mpsc::UnboundedReceiver<Outgoing>,
     to: &mut SendStream<Bytes>,
 ) {
     loop {
         let next = tokio::select! { biased;
             _ = poll_fn(|cx| to.poll_reset(cx)) => {
-                return shared.tell(Event::Frame(frame(number, Body::Cancel(v1::Cancel {}))));
+                return shared.send_event(Event::Frame(frame(number, Body::Cancel(v1::Cancel {}))));
             }
             next = queue.recv() => next,
         };
         let body = match next {
-            Some(Said::Body(body)) => body,
-            Some(Said::Reset(code)) => return to.send_reset(code.into()),
-            // It was taken and has no answer: whoever asked must not take it for one to try again.
+            Some(Outgoing::Body(body)) => body,
+            Some(Outgoing::Reset(code)) => return to.send_reset(code.into()),
+            // The accepted call may have run, so its end without an answer must not invite a retry.
             None => {
-                return end(
+                return send_trailers(
                     to,
-                    &Ending::told(ClientAnswer::Failed, 0.0, "the connection closes"),
+                    &CallEnding::answered(ClientAnswer::Failed, 0.0, "the connection closes"),
                 )
             }
         };
         let tokens = matches!(body, Body::Tokens(_));
-        // What does not belong on this call is passed over.
-        let Some(back) = call::back(path, body) else {
+        // A body that does not belong to this call is ignored.
+        let Some(reply) = call::encode_reply(path, body) else {
             continue;
         };
-        if let Some(bytes) = back.message {
+        if let Some(bytes) = reply.message {
             if send(to, bytes, false).await.is_err() {
-                return shared.tell(Event::Frame(frame(number, Body::Cancel(v1::Cancel {}))));
+                return shared.send_event(Event::Frame(frame(number, Body::Cancel(v1::Cancel {}))));
             }
             if tokens {
-                shared.tell(Event::Flushed {
+                shared.send_event(Event::Flushed {
                     stream: number,
                     messages: 1,
                 });
             }
         }
-        if let Some(ending) = back.end {
-            return end(to, &ending);
+        if let Some(ending) = reply.ending {
+            return send_trailers(to, &ending);
         }
     }
 }
 
-fn meet(greeted: &Rc<(Cell<Option<v1::Hello>>, Notify)>, hello: v1::Hello) {
-    greeted.0.set(Some(greeted.0.take().unwrap_or(hello)));
-    greeted.1.notify_one();
+/// Records the peer's identity and starts the session; an identity that is already recorded stays.
+fn record_greeting(greeting: &Greeting, hello: v1::Hello) {
+    greeting
+        .hello
+        .set(Some(greeting.hello.take().unwrap_or(hello)));
+    greeting.arrived.notify_one();
 }
 
+/// Answers a greeting, or refuses it if the version or the expected name does not match.
 async fn greet(
     shared: &Shared,
-    greeted: &Rc<(Cell<Option<v1::Hello>>, Notify)>,
+    greeting: &Greeting,
     hello: v1::Hello,
     mut respond: SendResponse<Bytes>,
 ) {
     let setup = &shared.setup;
     if hello.version != VERSION {
-        let why = format!("a version {} where {VERSION} is spoken", hello.version);
-        return refuse(&mut respond, Code::FailedPrecondition, &why);
+        let reason = format!("a version {} where {VERSION} is spoken", hello.version);
+        return refuse(&mut respond, Code::FailedPrecondition, &reason);
     }
     if !hello.expects.is_empty() && hello.expects != setup.name {
-        let why = format!("this is {}, not {}", setup.name, hello.expects);
-        return refuse(&mut respond, Code::FailedPrecondition, &why);
+        let reason = format!("this is {}, not {}", setup.name, hello.expects);
+        return refuse(&mut respond, Code::FailedPrecondition, &reason);
     }
     let head = Response::builder()
         .status(200)
@@ -280,36 +298,36 @@
         return;
     };
     let (name, expects) = (setup.name.clone(), String::new());
-    let us = v1::Hello {
+    let our_hello = v1::Hello {
         version: VERSION,
         party: setup.party.into(),
         name,
         expects,
         run: setup.run,
     };
-    if send(&mut to, encode(&us), false).await.is_ok() {
-        end(&mut to, &Ending::plain(Code::Ok, ""));
-        meet(greeted, hello);
+    if send(&mut to, encode(&our_hello), false).await.is_ok() {
+        send_trailers(&mut to, &CallEnding::plain(Code::Ok, ""));
+        record_greeting(greeting, hello);
     }
 }
 
-/// Trailers that end a call.
-fn end(to: &mut SendStream<Bytes>, ending: &Ending) {
-    // A stream that was reset meanwhile takes no trailers.
+/// Ends a call with its status.
+fn send_trailers(to: &mut SendStream<Bytes>, ending: &CallEnding) {
+    // Fails only if the stream was reset meanwhile, and then no status is needed.
     let _ = to.send_trailers(ending.headers());
 }
 
-/// An answer of trailers only.
-fn refuse(respond: &mut SendResponse<Bytes>, code: Code, why: &str) {
+/// Refuses a call with a response that consists of trailers only.
+fn refuse(respond: &mut SendResponse<Bytes>, code: Code, reason: &str) {
     let mut response = Response::new(());
-    *response.headers_mut() = Ending::refused(code, why).headers();
+    *response.headers_mut() = CallEnding::refused(code, reason).headers();
     response
         .headers_mut()
         .insert("content-type", HeaderValue::from_static("application/grpc"));
     let _ = respond.send_response(response, true);
 }
 
-/// gRPC's way of writing a time limit: at most eight digits and a unit.
+/// Parses a `grpc-timeout` header, at most eight digits and a unit, into milliseconds.
 pub(crate) fn timeout_ms(text: &str) -> Option<f64> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let scale = match unit {
--- a/crates/grpc/tests/hard.rs
+++ b/crates/grpc/tests/hard.rs
@@ -1,5 +1,5 @@
-//! An engine that speaks HTTP/2 by hand, so that every frame can be wrong in its own way: resets, GOAWAYs,
-//! trailers only, headers and no body, cut and oversized messages, windows and limits that hold calls back.
+//! Faulty HTTP/2 peers, written frame by frame: resets, GOAWAYs, trailers-only responses, missing bodies, incomplete
+//! and oversized messages, and flow-control windows and stream limits that delay calls.
 
 use cindercleat_grpc::{connect, serve, Event, Session, Setup};
 use cindercleat_protocol::{frame, v1, Body};
@@ -9,22 +9,26 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{spawn_local, yield_now, LocalSet};
 
+/// Types, flags and error codes of HTTP/2 frames.
 const DATA: u8 = 0;
 const HEADERS: u8 = 1;
-const RST: u8 = 3;
+const RST_STREAM: u8 = 3;
 const SETTINGS: u8 = 4;
 const GOAWAY: u8 = 7;
-const WINDOW: u8 = 8;
+const WINDOW_UPDATE: u8 = 8;
+/// Identifiers of HTTP/2 settings.
+const MAX_CONCURRENT_STREAMS: u16 = 3;
+const INITIAL_WINDOW_SIZE: u16 = 4;
 const END_STREAM: u8 = 1;
 const END_HEADERS: u8 = 4;
-const REFUSED: u32 = 7;
+const REFUSED_STREAM: u32 = 7;
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), test);
+    LocalSet::new().block_on(&runtime.expect("runtime built"), test);
 }
 
 fn setup(party: v1::Party) -> Setup {
@@ -39,12 +43,12 @@
     }
 }
 
-/// One end of a connection, frame by frame.
-struct Raw {
+/// One end of an HTTP/2 connection that sends and receives single frames.
+struct RawConnection {
     io: DuplexStream,
 }
 
-/// Headers as HPACK writes them without its tables; a name of `:status` is one of its fixed endpoints.
+/// Encodes headers in HPACK as literals, except `:status 200`, which is an entry of HPACK's static table.
 fn headers(list: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
     for (name, value) in list {
@@ -62,16 +66,16 @@
     out
 }
 
-fn message(message: &impl Message) -> Vec<u8> {
+fn encode_message(message: &impl Message) -> Vec<u8> {
     let bytes = message.encode_to_vec();
     [&[0][..], &(bytes.len() as u32).to_be_bytes(), &bytes].concat()
 }
 
-impl Raw {
+impl RawConnection {
     async fn send(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) {
         let length = (payload.len() as u32).to_be_bytes();
         let head = [&length[1..], &[kind, flags], &stream.to_be_bytes()].concat();
-        // The other side may have ended the connection.
+        // The write fails if the peer has closed the connection.
         let _ = self.io.write_all(&[&head, payload].concat()).await;
     }
 
@@ -85,38 +89,38 @@
         Some((head[3], head[4], stream, payload))
     }
 
-    /// The next frame that is no settings and no window update.
-    async fn told(&mut self) -> Option<(u8, u8, u32, Vec<u8>)> {
+    /// The next frame that is neither a settings frame nor a window update; acknowledges settings.
+    async fn next_stream_frame(&mut self) -> Option<(u8, u8, u32, Vec<u8>)> {
         loop {
             match self.next().await? {
                 (SETTINGS, 0, ..) => self.send(SETTINGS, 1, 0, &[]).await,
-                (SETTINGS | WINDOW, ..) => {}
-                told => return Some(told),
+                (SETTINGS | WINDOW_UPDATE, ..) => {}
+                frame => return Some(frame),
             }
         }
     }
 
-    /// The next call that has been made whole.
-    async fn call(&mut self) -> u32 {
+    /// The stream of the next call whose request is complete.
+    async fn next_call(&mut self) -> u32 {
         loop {
-            let (_, flags, stream, _) = self.told().await.expect("a call");
+            let (_, flags, stream, _) = self.next_stream_frame().await.expect("a call");
             if flags & END_STREAM > 0 {
                 return stream;
             }
         }
     }
 
-    async fn head(&mut self, stream: u32) {
+    async fn send_head(&mut self, stream: u32) {
         let head = headers(&[(":status", "200"), ("content-type", "application/grpc")]);
         self.send(HEADERS, END_HEADERS, stream, &head).await;
     }
 
-    async fn status(&mut self, stream: u32, list: &[(&str, &str)]) {
+    async fn send_trailers(&mut self, stream: u32, list: &[(&str, &str)]) {
         self.send(HEADERS, END_HEADERS | END_STREAM, stream, &headers(list))
             .await;
     }
 
-    async fn token(&mut self, stream: u32, position: u32) {
+    async fn send_token(&mut self, stream: u32, position: u32) {
         let tokens = v1::Tokens {
             position,
             count: 1,
@@ -125,10 +129,10 @@
         let reply = v1::DecodeReply {
             part: Some(v1::decode_reply::Part::Tokens(tokens)),
         };
-        self.send(DATA, 0, stream, &message(&reply)).await;
+        self.send(DATA, 0, stream, &encode_message(&reply)).await;
     }
 
-    async fn ended(&mut self, stream: u32) {
+    async fn send_end(&mut self, stream: u32) {
         let ended = v1::Ended {
             status: v1::Status::Succeeded.into(),
             ..v1::Ended::default()
@@ -136,43 +140,50 @@
         let reply = v1::DecodeReply {
             part: Some(v1::decode_reply::Part::Ended(ended)),
         };
-        self.send(DATA, 0, stream, &message(&reply)).await;
-        self.status(stream, &[("grpc-status", "0")]).await;
+        self.send(DATA, 0, stream, &encode_message(&reply)).await;
+        self.send_trailers(stream, &[("grpc-status", "0")]).await;
     }
 }
 
-/// A session with an engine that says these settings.
-async fn engine(settings: &[(u16, u32)]) -> (Session, Raw) {
+/// A session with an engine that sends these HTTP/2 settings, as pairs of identifier and value.
+async fn engine(settings: &[(u16, u32)]) -> (Session, RawConnection) {
     let (near, far) = tokio::io::duplex(1 << 16);
     let connecting = spawn_local(connect(
         near,
         v1::Party::Engine,
         setup(v1::Party::Dispatcher),
     ));
-    let mut raw = Raw { io: far };
+    let mut raw = RawConnection { io: far };
     let mut preface = [0; 24];
-    raw.io.read_exact(&mut preface).await.expect("a preface");
-    let said: Vec<u8> = settings
+    raw.io
+        .read_exact(&mut preface)
+        .await
+        .expect("HTTP/2 preface");
+    let payload: Vec<u8> = settings
         .iter()
-        .flat_map(|(k, v)| [&k.to_be_bytes()[..], &v.to_be_bytes()].concat())
+        .flat_map(|(id, value)| [&id.to_be_bytes()[..], &value.to_be_bytes()].concat())
         .collect();
-    raw.send(SETTINGS, 0, 0, &said).await;
-    if settings.iter().any(|(k, v)| (*k, *v) == (4, 0)) {
-        // No window on streams: the greeting's gets some.
-        raw.send(WINDOW, 0, 1, &1000u32.to_be_bytes()).await;
+    raw.send(SETTINGS, 0, 0, &payload).await;
+    if settings
+        .iter()
+        .any(|(id, value)| (*id, *value) == (INITIAL_WINDOW_SIZE, 0))
+    {
+        // Streams start without a window; the greeting's stream needs one.
+        raw.send(WINDOW_UPDATE, 0, 1, &1000u32.to_be_bytes()).await;
     }
-    let greeting = raw.call().await;
+    let greeting = raw.next_call().await;
     let hello = v1::Hello {
         version: cindercleat_protocol::VERSION,
         ..v1::Hello::default()
     };
-    raw.head(greeting).await;
-    raw.send(DATA, 0, greeting, &message(&hello)).await;
-    raw.status(greeting, &[("grpc-status", "0")]).await;
-    (connecting.await.expect("it ran").expect("greeted"), raw)
+    raw.send_head(greeting).await;
+    raw.send(DATA, 0, greeting, &encode_message(&hello)).await;
+    raw.send_trailers(greeting, &[("grpc-status", "0")]).await;
+    let session = connecting.await.expect("connecting task");
+    (session.expect("session started"), raw)
 }
 
-fn write() -> Body {
+fn decode() -> Body {
     Body::Decode(v1::Decode {
         window: 100,
         max_tokens: 5,
@@ -180,8 +191,8 @@
     })
 }
 
-/// What comes next but tokens; none once the connection is over.
-async fn last(session: &mut Session) -> Option<(u64, Body)> {
+/// The next frame that holds no tokens, as stream and body; `None` once the session has ended.
+async fn next_result(session: &mut Session) -> Option<(u64, Body)> {
     loop {
         match session.events.recv().await? {
             Event::Frame(frame) if matches!(frame.body, Some(Body::Tokens(_))) => {}
@@ -191,96 +202,109 @@
     }
 }
 
-fn ended(said: Option<(u64, Body)>) -> v1::Status {
-    match said {
+fn attempt_status(result: Option<(u64, Body)>) -> v1::Status {
+    match result {
         Some((_, Body::Ended(ended))) => ended.status(),
-        other => panic!("{other:?} is no end"),
+        other => panic!("expected the end of the attempt, got {other:?}"),
     }
 }
 
-/// HTTP/2's error codes, and one that is none: only the one that says so proves that nothing ran, and not
-/// once tokens have come.
+/// Covers all HTTP/2 error codes and an undefined one. Only REFUSED_STREAM proves that nothing ran, and only before the
+/// first token.
 #[test]
-fn a_reset_with_each_code() {
+fn only_a_reset_with_refused_stream_counts_as_overload() {
     for code in (0..=13u32).chain([0xffff]) {
         run(async {
             let (mut session, mut raw) = engine(&[]).await;
-            session.out.send(frame(1, write()));
-            let call = raw.call().await;
-            raw.send(RST, 0, call, &code.to_be_bytes()).await;
-            let expected = if code == REFUSED {
+            session.out.send(frame(1, decode()));
+            let call = raw.next_call().await;
+            raw.send(RST_STREAM, 0, call, &code.to_be_bytes()).await;
+            let expected = if code == REFUSED_STREAM {
                 v1::Status::Overloaded
             } else {
                 v1::Status::Failed
             };
-            assert_eq!(ended(last(&mut session).await), expected, "code {code}");
-            session.out.send(frame(2, write()));
-            let call = raw.call().await;
-            raw.head(call).await;
-            raw.token(call, 0).await;
-            raw.send(RST, 0, call, &code.to_be_bytes()).await;
-            let status = ended(last(&mut session).await);
+            assert_eq!(
+                attempt_status(next_result(&mut session).await),
+                expected,
+                "code {code}"
+            );
+            session.out.send(frame(2, decode()));
+            let call = raw.next_call().await;
+            raw.send_head(call).await;
+            raw.send_token(call, 0).await;
+            raw.send(RST_STREAM, 0, call, &code.to_be_bytes()).await;
+            let status = attempt_status(next_result(&mut session).await);
             assert!(
-                status == v1::Status::Failed || code == REFUSED,
+                status == v1::Status::Failed || code == REFUSED_STREAM,
                 "code {code}: {status:?}"
             );
-            // The connection serves on.
-            session.out.send(frame(3, write()));
-            let call = raw.call().await;
-            raw.head(call).await;
-            raw.ended(call).await;
-            assert_eq!(ended(last(&mut session).await), v1::Status::Succeeded);
+            // The connection stays usable.
+            session.out.send(frame(3, decode()));
+            let call = raw.next_call().await;
+            raw.send_head(call).await;
+            raw.send_end(call).await;
+            assert_eq!(
+                attempt_status(next_result(&mut session).await),
+                v1::Status::Succeeded
+            );
         });
     }
 }
 
-#[test_case(true; "and the connection ends after it")]
-#[test_case(false; "and the connection goes on")]
-fn a_goaway_proves_only_what_came_after_its_last_id(cut: bool) {
+#[test_case(true; "the connection then ends")]
+#[test_case(false; "the connection stays open")]
+fn a_goaway_proves_that_only_streams_after_its_last_id_did_not_run(connection_ends: bool) {
     run(async {
         let (mut session, mut raw) = engine(&[]).await;
         let mut calls = Vec::new();
         for stream in 1..=3 {
-            session.out.send(frame(stream, write()));
-            calls.push(raw.call().await);
+            session.out.send(frame(stream, decode()));
+            calls.push(raw.next_call().await);
         }
-        raw.head(calls[0]).await;
-        raw.token(calls[0], 0).await;
+        raw.send_head(calls[0]).await;
+        raw.send_token(calls[0], 0).await;
         raw.send(GOAWAY, 0, 0, &[calls[1].to_be_bytes(), [0; 4]].concat())
             .await;
-        let (stream, said) = last(&mut session).await.expect("a word");
-        assert_eq!(stream, 3, "only the one above the last id ends");
-        assert_eq!(ended(Some((3, said))), v1::Status::Overloaded);
-        // What is begun now does not go out; the two that were taken go on.
-        session.out.send(frame(4, write()));
-        let (stream, said) = last(&mut session).await.expect("a word");
+        let (stream, body) = next_result(&mut session).await.expect("the end of a call");
+        assert_eq!(stream, 3, "only the stream after the last id ends");
+        assert_eq!(attempt_status(Some((3, body))), v1::Status::Overloaded);
+        // A new call is not sent; the two calls that the engine processes continue.
+        session.out.send(frame(4, decode()));
+        let (stream, body) = next_result(&mut session).await.expect("the end of a call");
         assert_eq!(
-            (stream, ended(Some((4, said)))),
+            (stream, attempt_status(Some((4, body)))),
             (4, v1::Status::Overloaded)
         );
-        raw.ended(calls[0]).await;
-        let (stream, said) = last(&mut session).await.expect("a word");
-        assert_eq!((stream, ended(Some((1, said)))), (1, v1::Status::Succeeded));
-        if cut {
+        raw.send_end(calls[0]).await;
+        let (stream, body) = next_result(&mut session).await.expect("the end of a call");
+        assert_eq!(
+            (stream, attempt_status(Some((1, body)))),
+            (1, v1::Status::Succeeded)
+        );
+        if connection_ends {
             drop(raw);
-            // Below the last id: it may have run, and nothing says otherwise.
-            match last(&mut session).await {
+            // The second call's stream is not after the last id, so the call may have run.
+            match next_result(&mut session).await {
                 None => {}
-                Some((2, said)) => assert_eq!(ended(Some((2, said))), v1::Status::Failed),
+                Some((2, body)) => assert_eq!(attempt_status(Some((2, body))), v1::Status::Failed),
                 other => panic!("{other:?}"),
             }
         } else {
-            raw.head(calls[1]).await;
-            raw.ended(calls[1]).await;
-            assert_eq!(ended(last(&mut session).await), v1::Status::Succeeded);
+            raw.send_head(calls[1]).await;
+            raw.send_end(calls[1]).await;
+            assert_eq!(
+                attempt_status(next_result(&mut session).await),
+                v1::Status::Succeeded
+            );
         }
-        while last(&mut session).await.is_some() {}
+        while next_result(&mut session).await.is_some() {}
     });
 }
 
-/// The end of a connection does not take from a stream what had come on it before.
+/// Guards against tokens that are lost because the connection ends in order while the stream waits for credit.
 #[test]
-fn what_waits_for_credit_is_not_lost_with_a_connection_that_ends_in_order() {
+fn tokens_that_wait_for_credit_survive_the_orderly_end_of_their_connection() {
     run(async {
         let (mut session, mut raw) = engine(&[]).await;
         session.out.send(frame(
@@ -290,30 +314,31 @@
                 ..v1::Decode::default()
             }),
         ));
-        let call = raw.call().await;
-        raw.head(call).await;
+        let call = raw.next_call().await;
+        raw.send_head(call).await;
         for position in 0..5 {
-            raw.token(call, position).await;
+            raw.send_token(call, position).await;
         }
-        raw.ended(call).await;
+        raw.send_end(call).await;
         raw.send(GOAWAY, 0, 0, &[call.to_be_bytes(), [0; 4]].concat())
             .await;
         drop(raw);
         let mut tokens = 0;
         loop {
             match session.events.recv().await {
-                Some(Event::Frame(came)) if matches!(came.body, Some(Body::Tokens(_))) => {
+                Some(Event::Frame(frame)) if matches!(frame.body, Some(Body::Tokens(_))) => {
                     tokens += 1;
-                    session
-                        .out
-                        .send(frame(1, Body::Credit(v1::Credit { messages: 1 })));
+                    session.out.send(cindercleat_protocol::frame(
+                        1,
+                        Body::Credit(v1::Credit { messages: 1 }),
+                    ));
                 }
-                Some(Event::Frame(came)) => {
-                    assert!(matches!(came.body, Some(Body::Ended(_))));
+                Some(Event::Frame(frame)) => {
+                    assert!(matches!(frame.body, Some(Body::Ended(_))));
                     break;
                 }
                 Some(_) => {}
-                None => panic!("the rest is lost"),
+                None => panic!("the session ended after {tokens} of 5 token messages"),
             }
         }
         assert_eq!(tokens, 5);
@@ -322,77 +347,82 @@
 }
 
 #[test]
-fn a_goaway_is_told_at_once_and_once() {
+fn a_goaway_is_reported_at_once_and_only_once() {
     run(async {
         let (mut session, mut raw) = engine(&[]).await;
-        session.out.send(frame(1, write()));
-        let call = raw.call().await;
+        session.out.send(frame(1, decode()));
+        let call = raw.next_call().await;
         raw.send(GOAWAY, 0, 0, &[[0x7f, 255, 255, 255], [0; 4]].concat())
             .await;
         assert_eq!(session.events.recv().await, Some(Event::GoingAway));
         raw.send(GOAWAY, 0, 0, &[call.to_be_bytes(), [0; 4]].concat())
             .await;
-        raw.head(call).await;
-        raw.ended(call).await;
+        raw.send_head(call).await;
+        raw.send_end(call).await;
         assert!(
             matches!(session.events.recv().await, Some(Event::Frame(_))),
-            "the last word"
+            "the end of the attempt"
         );
         assert_eq!(
             session.events.recv().await,
             None,
-            "with nothing open the connection ends"
+            "the connection ends after its last call"
         );
     });
 }
 
-#[test_case(&[("grpc-status", "14")], v1::Status::Failed; "unavailable, which anybody may say")]
-#[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "no")], v1::Status::Overloaded; "with the host's mark")]
-#[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "yes")], v1::Status::Failed; "with another mark")]
-#[test_case(&[("grpc-status", "0")], v1::Status::Failed; "ok without a last message")]
-#[test_case(&[("grpc-status", "99")], v1::Status::Failed; "a status that is none")]
-#[test_case(&[("grpc-status", "x")], v1::Status::Failed; "a status that is no number")]
-#[test_case(&[], v1::Status::Failed; "headers and no body")]
-fn trailers_only(said: &[(&str, &str)], expected: v1::Status) {
+#[test_case(&[("grpc-status", "14")], v1::Status::Failed; "unavailable, which proxies send too")]
+#[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "no")], v1::Status::Overloaded; "with the mark that nothing ran")]
+#[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "yes")], v1::Status::Failed; "with the mark that it ran")]
+#[test_case(&[("grpc-status", "0")], v1::Status::Failed; "ok without a final message")]
+#[test_case(&[("grpc-status", "99")], v1::Status::Failed; "an undefined status")]
+#[test_case(&[("grpc-status", "x")], v1::Status::Failed; "a status that is not a number")]
+#[test_case(&[], v1::Status::Failed; "headers without a body")]
+fn a_trailers_only_response_counts_as_overload_only_with_the_mark(
+    status: &[(&str, &str)],
+    expected: v1::Status,
+) {
     run(async {
         let (mut session, mut raw) = engine(&[]).await;
-        session.out.send(frame(1, write()));
-        let call = raw.call().await;
+        session.out.send(frame(1, decode()));
+        let call = raw.next_call().await;
         let head = [(":status", "200"), ("content-type", "application/grpc")];
-        raw.status(call, &[&head[..], said].concat()).await;
-        assert_eq!(ended(last(&mut session).await), expected);
+        raw.send_trailers(call, &[&head[..], status].concat()).await;
+        assert_eq!(attempt_status(next_result(&mut session).await), expected);
     });
 }
 
 #[test]
-fn a_stream_that_ends_without_its_last_message_may_have_run() {
+fn a_stream_that_ends_without_its_final_message_counts_as_failed() {
     let compressed = [1, 0, 0, 0, 1, 0];
-    let huge = [0, 0xff, 0xff, 0xff, 0xff];
+    let oversized = [0, 0xff, 0xff, 0xff, 0xff];
     let parts: [(&[u8], bool); 5] = [
         (&[], true),
         (&[0, 0, 0, 0, 9, 1], true),
         (&compressed, false),
-        (&huge, false),
+        (&oversized, false),
         (&[0, 0], true),
     ];
     for (bytes, ends) in parts {
         run(async {
             let (mut session, mut raw) = engine(&[]).await;
-            session.out.send(frame(1, write()));
-            let call = raw.call().await;
-            raw.head(call).await;
-            raw.token(call, 0).await;
+            session.out.send(frame(1, decode()));
+            let call = raw.next_call().await;
+            raw.send_head(call).await;
+            raw.send_token(call, 0).await;
             raw.send(DATA, if ends { END_STREAM } else { 0 }, call, bytes)
                 .await;
             assert_eq!(
-                ended(last(&mut session).await),
+                attempt_status(next_result(&mut session).await),
                 v1::Status::Failed,
                 "{bytes:?}"
             );
             if !ends {
-                // What is no message is not waited for: the call is reset.
+                // The call is reset at an unusable message, without waiting for its end.
                 loop {
-                    if let (RST, _, stream, _) = raw.told().await.expect("a reset") {
+                    if let (RST_STREAM, _, stream, _) =
+                        raw.next_stream_frame().await.expect("a reset")
+                    {
                         assert_eq!(stream, call);
                         break;
                     }
@@ -403,65 +433,76 @@
 }
 
 #[test]
-fn a_call_that_is_called_off_before_it_went_out_never_goes_out() {
+fn a_call_that_is_cancelled_while_it_waits_for_a_stream_is_never_sent() {
     run(async {
-        // One call at a time.
-        let (mut session, mut raw) = engine(&[(3, 1)]).await;
+        // The engine allows one call at a time.
+        let (mut session, mut raw) = engine(&[(MAX_CONCURRENT_STREAMS, 1)]).await;
         assert_eq!(session.limit, Some(1));
-        session.out.send(frame(1, write()));
-        let first = raw.call().await;
-        session.out.send(frame(2, write()));
+        session.out.send(frame(1, decode()));
+        let first = raw.next_call().await;
+        session.out.send(frame(2, decode()));
         for _ in 0..20 {
             yield_now().await;
         }
         session.out.send(frame(2, Body::Cancel(v1::Cancel {})));
-        let (stream, _) = last(&mut session).await.expect("a word");
+        let (stream, _) = next_result(&mut session).await.expect("the end of a call");
         assert_eq!(stream, 2);
-        raw.head(first).await;
-        raw.ended(first).await;
-        assert_eq!(ended(last(&mut session).await), v1::Status::Succeeded);
-        session.out.send(frame(3, write()));
-        // The next whole call is the third: the second was nothing, or reset before it was made whole.
-        let third = raw.call().await;
-        raw.head(third).await;
-        raw.ended(third).await;
-        let (stream, said) = last(&mut session).await.expect("a word");
-        assert_eq!((stream, ended(Some((3, said)))), (3, v1::Status::Succeeded));
+        raw.send_head(first).await;
+        raw.send_end(first).await;
+        assert_eq!(
+            attempt_status(next_result(&mut session).await),
+            v1::Status::Succeeded
+        );
+        session.out.send(frame(3, decode()));
+        // The next complete call is the third. The second was never sent, or reset before it was complete.
+        let third = raw.next_call().await;
+        raw.send_head(third).await;
+        raw.send_end(third).await;
+        let (stream, body) = next_result(&mut session).await.expect("the end of a call");
+        assert_eq!(
+            (stream, attempt_status(Some((3, body)))),
+            (3, v1::Status::Succeeded)
+        );
     });
 }
 
 #[test]
-fn a_cancel_gets_out_though_the_engines_window_is_shut() {
+fn a_cancel_is_sent_while_the_engines_window_is_empty() {
     run(async {
-        let (mut session, mut raw) = engine(&[(4, 0)]).await;
-        session.out.send(frame(1, write()));
-        let (kind, _, call, _) = raw.told().await.expect("headers");
+        let (mut session, mut raw) = engine(&[(INITIAL_WINDOW_SIZE, 0)]).await;
+        session.out.send(frame(1, decode()));
+        let (kind, _, call, _) = raw.next_stream_frame().await.expect("headers of the call");
         assert_eq!(kind, HEADERS);
         session.out.send(frame(1, Body::Cancel(v1::Cancel {})));
-        let (kind, _, stream, code) = raw.told().await.expect("a reset");
-        assert_eq!((kind, stream, &code[..]), (RST, call, &[0, 0, 0, 8][..]));
-        assert_eq!(ended(last(&mut session).await), v1::Status::Cancelled);
+        let (kind, _, stream, code) = raw.next_stream_frame().await.expect("a reset");
+        assert_eq!(
+            (kind, stream, &code[..]),
+            (RST_STREAM, call, &[0, 0, 0, 8][..])
+        );
+        assert_eq!(
+            attempt_status(next_result(&mut session).await),
+            v1::Status::Cancelled
+        );
     });
 }
 
-/// The answering side against a client by hand.
-async fn client() -> (spawn::Serving, Raw) {
+/// A serving session, and the raw connection of its client.
+async fn client() -> (Serving, RawConnection) {
     let (near, far) = tokio::io::duplex(1 << 20);
     let serving = spawn_local(serve(far, setup(v1::Party::Dispatcher)));
-    let mut raw = Raw { io: near };
+    let mut raw = RawConnection { io: near };
     raw.io
         .write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
         .await
-        .expect("it reads");
+        .expect("preface written");
     raw.send(SETTINGS, 0, 0, &[]).await;
     (serving, raw)
 }
 
-mod spawn {
-    pub type Serving = tokio::task::JoinHandle<Result<cindercleat_grpc::Session, String>>;
-}
+type Serving = tokio::task::JoinHandle<Result<Session, String>>;
 
-fn ask(path: &str) -> Vec<u8> {
+/// The headers of a call to this path.
+fn call_headers(path: &str) -> Vec<u8> {
     headers(&[
         (":method", "POST"),
         (":scheme", "http"),
@@ -473,10 +514,10 @@
 }
 
 #[test]
-fn calls_over_the_limit_are_refused_and_not_handed_over() {
+fn calls_over_the_limit_are_refused_and_not_reported() {
     run(async {
         let (serving, mut raw) = client().await;
-        let submit = message(&v1::Submit {
+        let submit = encode_message(&v1::Submit {
             request_class: "p".to_owned(),
             ..v1::Submit::default()
         });
@@ -485,32 +526,35 @@
                 HEADERS,
                 END_HEADERS,
                 2 * n + 1,
-                &ask("/cindercleat.v1.Router/Run"),
+                &call_headers("/cindercleat.v1.Router/Run"),
             )
             .await;
             raw.send(DATA, END_STREAM, 2 * n + 1, &submit).await;
         }
-        let mut session = serving.await.expect("it ran").expect("a session");
+        let mut session = serving
+            .await
+            .expect("serving task")
+            .expect("session started");
         let mut refused = 0;
         while refused < 5 {
-            if let (RST, _, stream, code) = raw.told().await.expect("a reset") {
-                assert_eq!(code, REFUSED.to_be_bytes(), "stream {stream}");
+            if let (RST_STREAM, _, stream, code) = raw.next_stream_frame().await.expect("a reset") {
+                assert_eq!(code, REFUSED_STREAM.to_be_bytes(), "stream {stream}");
                 refused += 1;
             }
         }
-        let mut taken = 0;
+        let mut accepted = 0;
         while let Ok(event) = session.events.try_recv() {
-            taken += usize::from(matches!(event, Event::Frame(_)));
+            accepted += usize::from(matches!(event, Event::Frame(_)));
         }
-        assert_eq!(taken, 10, "as many as may be open");
+        assert_eq!(accepted, 10, "the maximum number of open calls");
     });
 }
 
 #[test]
-fn a_reset_flood_by_hand_costs_bounded_memory_and_ends() {
+fn a_flood_of_reset_calls_uses_bounded_memory_and_ends_the_connection() {
     run(async {
         let (serving, mut raw) = client().await;
-        let submit = message(&v1::Submit {
+        let submit = encode_message(&v1::Submit {
             request_class: "p".to_owned(),
             ..v1::Submit::default()
         });
@@ -520,41 +564,42 @@
                     HEADERS,
                     END_HEADERS,
                     2 * n + 1,
-                    &ask("/cindercleat.v1.Router/Run"),
+                    &call_headers("/cindercleat.v1.Router/Run"),
                 )
                 .await;
                 raw.send(DATA, END_STREAM, 2 * n + 1, &submit).await;
-                raw.send(RST, 0, 2 * n + 1, &8u32.to_be_bytes()).await;
+                raw.send(RST_STREAM, 0, 2 * n + 1, &8u32.to_be_bytes())
+                    .await;
             }
             raw
         };
         let reading = async {
-            let mut session = match serving.await.expect("it ran") {
+            let mut session = match serving.await.expect("serving task") {
                 Ok(session) => session,
                 Err(_) => return (0, 0),
             };
-            let (mut begun, mut most) = (0usize, 0);
+            let (mut started, mut max_queued) = (0usize, 0);
             while let Some(event) = session.events.recv().await {
-                begun += usize::from(
+                started += usize::from(
                     matches!(event, Event::Frame(f) if matches!(f.body, Some(Body::Submit(_)))),
                 );
-                most = most.max(session.events.len());
+                max_queued = max_queued.max(session.events.len());
             }
-            (begun, most)
+            (started, max_queued)
         };
-        let (mut raw, (begun, most)) = tokio::join!(flood, reading);
+        let (mut raw, (started, max_queued)) = tokio::join!(flood, reading);
         let mut goaway = false;
-        while let Some((kind, ..)) = raw.told().await {
+        while let Some((kind, ..)) = raw.next_stream_frame().await {
             goaway |= kind == GOAWAY;
         }
-        assert!(goaway, "it is told to go away");
-        assert!(begun < 20_000, "{begun} were handed over");
-        assert!(most < 5_000, "{most} events waited at once");
+        assert!(goaway, "the server sends a GOAWAY");
+        assert!(started < 20_000, "{started} calls were reported");
+        assert!(max_queued < 5_000, "{max_queued} events queued at once");
     });
 }
 
 #[test]
-fn what_is_no_grpc_is_refused_by_its_own_call_alone() {
+fn a_call_that_is_not_grpc_is_refused_without_affecting_other_calls() {
     run(async {
         let (_serving, mut raw) = client().await;
         let plain = headers(&[
@@ -568,25 +613,26 @@
             HEADERS,
             END_HEADERS,
             3,
-            &ask("/cindercleat.v1.Router/Nothing"),
+            &call_headers("/cindercleat.v1.Router/Nothing"),
         )
         .await;
-        raw.send(DATA, END_STREAM, 3, &message(&v1::Done {})).await;
+        raw.send(DATA, END_STREAM, 3, &encode_message(&v1::Done {}))
+            .await;
         raw.send(
             HEADERS,
             END_HEADERS,
             5,
-            &ask("/cindercleat.v1.Router/Greet"),
+            &call_headers("/cindercleat.v1.Router/Greet"),
         )
         .await;
         let hello = v1::Hello {
             version: cindercleat_protocol::VERSION,
             ..v1::Hello::default()
         };
-        raw.send(DATA, END_STREAM, 5, &message(&hello)).await;
+        raw.send(DATA, END_STREAM, 5, &encode_message(&hello)).await;
         let mut ends = Vec::new();
         while ends.len() < 3 {
-            let (kind, flags, stream, _) = raw.told().await.expect("answers");
+            let (kind, flags, stream, _) = raw.next_stream_frame().await.expect("a response");
             if kind == HEADERS && flags & END_STREAM > 0 {
                 ends.push(stream);
             }
--- a/crates/grpc/tests/session.rs
+++ b/crates/grpc/tests/session.rs
@@ -1,4 +1,4 @@
-//! Sessions between two ends in memory: calls, resets, credit, and peers that speak something else.
+//! Sessions over byte streams in memory: calls, cancellation, credit, and peers that speak another protocol.
 
 use cindercleat_grpc::{connect, serve, Event, Session, Setup};
 use cindercleat_protocol::{frame, v1, Body, Frame};
@@ -11,7 +11,7 @@
         .enable_time()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), test);
+    LocalSet::new().block_on(&runtime.expect("runtime built"), test);
 }
 
 fn setup(party: v1::Party, name: &str, expects: &str) -> Setup {
@@ -26,8 +26,8 @@
     }
 }
 
-/// A client's session and a dispatcher's, joined.
-async fn pair() -> (Session, Session) {
+/// The sessions of a client and a dispatcher that are connected to each other.
+async fn connected_sessions() -> (Session, Session) {
     let (near, far) = tokio::io::duplex(1 << 16);
     let serving = spawn_local(serve(far, setup(v1::Party::Dispatcher, "d", "")));
     let client = connect(
@@ -37,12 +37,15 @@
     )
     .await;
     (
-        client.expect("greeted"),
-        serving.await.expect("it ran").expect("greeted"),
+        client.expect("client session"),
+        serving
+            .await
+            .expect("serving task")
+            .expect("server session"),
     )
 }
 
-async fn next(session: &mut Session) -> Option<Frame> {
+async fn next_frame(session: &mut Session) -> Option<Frame> {
     loop {
         match session.events.recv().await? {
             Event::Frame(frame) => return Some(frame),
@@ -68,9 +71,9 @@
 }
 
 #[test]
-fn both_sides_know_whom_they_speak_to() {
+fn both_sides_learn_the_peers_name_and_role() {
     run(async {
-        let (client, server) = pair().await;
+        let (client, server) = connected_sessions().await;
         assert_eq!((client.them.name.as_str(), client.them.run), ("d", 7));
         assert_eq!(
             (server.them.name.as_str(), server.them.party()),
@@ -80,18 +83,18 @@
 }
 
 #[test]
-fn a_request_goes_out_and_its_stream_comes_back_in_order() {
+fn token_messages_arrive_in_order_and_nothing_follows_the_final_answer() {
     run(async {
-        let (mut client, mut server) = pair().await;
+        let (mut client, mut server) = connected_sessions().await;
         client.out.send(frame(9, submit()));
-        let asked = next(&mut server).await.expect("a task");
-        assert!(matches!(asked.body, Some(Body::Submit(_))));
+        let request = next_frame(&mut server).await.expect("a submit");
+        assert!(matches!(request.body, Some(Body::Submit(_))));
         server.out.send(frame(
-            asked.stream,
+            request.stream,
             Body::Accepted(v1::Accepted { request: 1 }),
         ));
-        for at in 0..300 {
-            server.out.send(frame(asked.stream, tokens(at)));
+        for position in 0..300 {
+            server.out.send(frame(request.stream, tokens(position)));
         }
         let last = v1::Final {
             answer: v1::Answer::Succeeded.into(),
@@ -99,19 +102,25 @@
         };
         server
             .out
-            .send(frame(asked.stream, Body::Final(last.clone())));
-        server.out.send(frame(asked.stream, tokens(300)));
+            .send(frame(request.stream, Body::Final(last.clone())));
+        server.out.send(frame(request.stream, tokens(300)));
         assert!(matches!(
-            next(&mut client).await.expect("taken").body,
+            next_frame(&mut client).await.expect("an accepted").body,
             Some(Body::Accepted(_))
         ));
-        for at in 0..300 {
-            assert_eq!(next(&mut client).await, Some(frame(9, tokens(at))));
+        for position in 0..300 {
+            assert_eq!(
+                next_frame(&mut client).await,
+                Some(frame(9, tokens(position)))
+            );
         }
-        assert_eq!(next(&mut client).await, Some(frame(9, Body::Final(last))));
+        assert_eq!(
+            next_frame(&mut client).await,
+            Some(frame(9, Body::Final(last)))
+        );
         client.out.close();
         assert_eq!(
-            next(&mut client).await,
+            next_frame(&mut client).await,
             None,
             "nothing follows the final answer"
         );
@@ -119,9 +128,9 @@
 }
 
 #[test]
-fn a_cancel_reaches_the_other_side_and_ends_the_call() {
+fn a_cancel_reaches_the_peer_and_ends_the_call() {
     run(async {
-        let (mut client, mut server) = pair().await;
+        let (mut client, mut server) = connected_sessions().await;
         client.out.send(frame(
             3,
             Body::Decode(v1::Decode {
@@ -129,23 +138,23 @@
                 ..v1::Decode::default()
             }),
         ));
-        let asked = next(&mut server).await.expect("a write");
-        server.out.send(frame(asked.stream, tokens(0)));
-        assert_eq!(next(&mut client).await, Some(frame(3, tokens(0))));
+        let request = next_frame(&mut server).await.expect("a decode");
+        server.out.send(frame(request.stream, tokens(0)));
+        assert_eq!(next_frame(&mut client).await, Some(frame(3, tokens(0))));
         client.out.send(frame(3, Body::Cancel(v1::Cancel {})));
-        let ended = next(&mut client).await.and_then(|f| f.body);
+        let ended = next_frame(&mut client).await.and_then(|f| f.body);
         assert!(matches!(ended, Some(Body::Ended(e)) if e.status() == v1::Status::Cancelled));
         assert_eq!(
-            next(&mut server).await,
-            Some(frame(asked.stream, Body::Cancel(v1::Cancel {})))
+            next_frame(&mut server).await,
+            Some(frame(request.stream, Body::Cancel(v1::Cancel {})))
         );
     });
 }
 
 #[test]
-fn without_credit_a_stream_waits_and_its_neighbour_does_not() {
+fn a_stream_without_credit_waits_and_does_not_block_another_stream() {
     run(async {
-        let (mut client, mut server) = pair().await;
+        let (mut client, mut server) = connected_sessions().await;
         client.out.send(frame(
             1,
             Body::Decode(v1::Decode {
@@ -153,7 +162,7 @@
                 ..v1::Decode::default()
             }),
         ));
-        let slow = next(&mut server).await.expect("a write").stream;
+        let slow = next_frame(&mut server).await.expect("a decode").stream;
         client.out.send(frame(
             2,
             Body::Decode(v1::Decode {
@@ -161,51 +170,55 @@
                 ..v1::Decode::default()
             }),
         ));
-        let quick = next(&mut server).await.expect("a write").stream;
-        for at in 0..2000 {
-            server.out.send(frame(slow, tokens(at)));
-            server.out.send(frame(quick, tokens(at)));
+        let quick = next_frame(&mut server).await.expect("a decode").stream;
+        for position in 0..2000 {
+            server.out.send(frame(slow, tokens(position)));
+            server.out.send(frame(quick, tokens(position)));
         }
-        let (mut of_slow, mut of_quick) = (0, 0);
-        while of_quick < 2000 {
-            let came = next(&mut client).await.expect("more comes");
-            *(if came.stream == 1 {
-                &mut of_slow
+        let (mut slow_received, mut quick_received) = (0, 0);
+        while quick_received < 2000 {
+            let received = next_frame(&mut client).await.expect("another frame");
+            *(if received.stream == 1 {
+                &mut slow_received
             } else {
-                &mut of_quick
+                &mut quick_received
             }) += 1;
         }
-        assert_eq!(of_slow, 2, "no more than its credit");
-        // What its sender could get rid of is bounded by the windows of its stream.
+        assert_eq!(slow_received, 2, "the stream's credit");
+        // The stream's flow-control window bounds what the server can send.
         let mut flushed = 0;
         while let Ok(event) = server.events.try_recv() {
             flushed +=
                 usize::from(matches!(event, Event::Flushed { stream, .. } if stream == slow));
         }
-        assert!(flushed < 1000, "{flushed} left for one that takes nothing");
+        assert!(
+            flushed < 1000,
+            "{flushed} messages sent on a stream that is not read"
+        );
         client
             .out
             .send(frame(1, Body::Credit(v1::Credit { messages: 1998 })));
-        while of_slow < 2000 {
-            of_slow += u32::from(next(&mut client).await.expect("more comes").stream == 1);
+        while slow_received < 2000 {
+            let received = next_frame(&mut client).await.expect("another frame");
+            slow_received += u32::from(received.stream == 1);
         }
     });
 }
 
 #[test]
-fn a_peer_is_pinged() {
+fn a_ping_is_answered_with_a_pong() {
     run(async {
-        let (mut client, _server) = pair().await;
+        let (mut client, _server) = connected_sessions().await;
         client.out.send(frame(0, Body::Ping(v1::Ping {})));
         assert_eq!(
-            next(&mut client).await,
+            next_frame(&mut client).await,
             Some(frame(0, Body::Pong(v1::Pong {})))
         );
     });
 }
 
 #[test]
-fn whoever_is_not_meant_is_told_so() {
+fn a_greeting_for_another_name_is_refused() {
     run(async {
         let (near, far) = tokio::io::duplex(1 << 16);
         spawn_local(serve(far, setup(v1::Party::Engine, "w1", "")));
@@ -222,25 +235,25 @@
 #[test]
 fn a_lost_connection_ends_the_session() {
     run(async {
-        let (mut client, mut server) = pair().await;
+        let (mut client, mut server) = connected_sessions().await;
         client.out.send(frame(1, submit()));
-        assert!(next(&mut server).await.is_some());
+        assert!(next_frame(&mut server).await.is_some());
         server.out.close();
-        let left = next(&mut client).await.and_then(|f| f.body);
-        assert!(matches!(left, None | Some(Body::Goodbye(_))), "{left:?}");
-        while next(&mut client).await.is_some() {}
+        let end = next_frame(&mut client).await.and_then(|f| f.body);
+        assert!(matches!(end, None | Some(Body::Goodbye(_))), "{end:?}");
+        while next_frame(&mut client).await.is_some() {}
     });
 }
 
 #[test]
-fn what_was_said_before_a_close_arrives() {
-    for said in [1, 50] {
+fn messages_sent_before_a_close_arrive() {
+    for token_messages in [1, 50] {
         run(async {
-            let (mut client, mut server) = pair().await;
+            let (mut client, mut server) = connected_sessions().await;
             client.out.send(frame(1, submit()));
-            let stream = next(&mut server).await.expect("a task").stream;
-            for at in 0..said {
-                server.out.send(frame(stream, tokens(at)));
+            let stream = next_frame(&mut server).await.expect("a submit").stream;
+            for position in 0..token_messages {
+                server.out.send(frame(stream, tokens(position)));
             }
             let last = v1::Final {
                 answer: v1::Answer::Failed.into(),
@@ -248,32 +261,38 @@
             };
             server.out.send(frame(stream, Body::Final(last.clone())));
             server.out.close();
-            for at in 0..said {
-                assert_eq!(next(&mut client).await, Some(frame(1, tokens(at))));
+            for position in 0..token_messages {
+                assert_eq!(
+                    next_frame(&mut client).await,
+                    Some(frame(1, tokens(position)))
+                );
             }
-            assert_eq!(next(&mut client).await, Some(frame(1, Body::Final(last))));
-            assert_eq!(next(&mut client).await, None);
+            assert_eq!(
+                next_frame(&mut client).await,
+                Some(frame(1, Body::Final(last)))
+            );
+            assert_eq!(next_frame(&mut client).await, None);
         });
     }
 }
 
 #[test]
-fn garbage_and_http_1_are_refused_and_nothing_hangs() {
+fn connections_that_are_not_http_2_are_refused() {
     run(async {
         for bytes in [&b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"[..], &[0xff; 200], &[]] {
             let (mut near, far) = tokio::io::duplex(1 << 16);
             let serving = spawn_local(serve(far, setup(v1::Party::Dispatcher, "d", "")));
-            near.write_all(bytes).await.expect("it reads");
-            near.shutdown().await.expect("it closes");
+            near.write_all(bytes).await.expect("bytes written");
+            near.shutdown().await.expect("stream closed");
             let mut rest = Vec::new();
             let _ = near.read_to_end(&mut rest).await;
-            assert!(serving.await.expect("it ran").is_err());
+            assert!(serving.await.expect("serving task").is_err());
         }
     });
 }
 
 #[test]
-fn calls_opened_and_reset_as_fast_as_can_be_end_the_connection_or_are_borne() {
+fn a_flood_of_opened_and_cancelled_calls_does_not_hang_the_session() {
     run(async {
         let (near, far) = tokio::io::duplex(1 << 16);
         let serving = spawn_local(serve(far, setup(v1::Party::Dispatcher, "d", "")));
@@ -283,8 +302,11 @@
             setup(v1::Party::Client, "c", ""),
         )
         .await
-        .expect("greeted");
-        let mut server = serving.await.expect("it ran").expect("greeted");
+        .expect("client session");
+        let mut server = serving
+            .await
+            .expect("serving task")
+            .expect("server session");
         for n in 1..=5000 {
             client.out.send(frame(n, submit()));
             yield_now().await;
@@ -294,25 +316,25 @@
             }
         }
         client.out.close();
-        let (mut begun, mut cancelled) = (0, 0);
+        let (mut started, mut cancelled) = (0, 0);
         while let Some(event) = server.events.recv().await {
             if let Event::Frame(Frame {
                 body: Some(body), ..
             }) = event
             {
-                begun += i32::from(matches!(body, Body::Submit(_)));
+                started += i32::from(matches!(body, Body::Submit(_)));
                 cancelled += i32::from(matches!(body, Body::Cancel(_)));
             }
         }
         assert!(
-            begun <= 5000 && cancelled <= begun,
-            "{begun} begun, {cancelled} cancelled"
+            started <= 5000 && cancelled <= started,
+            "{started} started, {cancelled} cancelled"
         );
     });
 }
 
 #[test]
-fn another_version_is_refused_and_both_are_named() {
+fn another_protocol_version_is_refused_with_both_versions_named() {
     run(async {
         let (near, far) = tokio::io::duplex(1 << 16);
         let serving = spawn_local(serve(far, setup(v1::Party::Dispatcher, "d", "")));
@@ -323,23 +345,25 @@
         let request = http::Request::post("http://d/cindercleat.v1.Router/Greet")
             .header("content-type", "application/grpc");
         let request = request.body(()).expect("a request");
-        let mut send = send.ready().await.expect("room for a call");
-        let (response, mut stream) = send.send_request(request, false).expect("a call");
+        let mut send = send.ready().await.expect("a free stream");
+        let (response, mut stream) = send.send_request(request, false).expect("call started");
         let hello = v1::Hello {
             version: 99,
             ..v1::Hello::default()
         };
         let hello = prost::Message::encode_to_vec(&hello);
         let message = [&[0, 0, 0, 0, hello.len() as u8][..], &hello].concat();
-        stream.send_data(message.into(), true).expect("it goes out");
-        let headers = response.await.expect("an answer").headers().clone();
+        stream
+            .send_data(message.into(), true)
+            .expect("message sent");
+        let headers = response.await.expect("a response").headers().clone();
         assert_eq!(headers["grpc-status"], "9");
-        let why = headers["grpc-message"].to_str().expect("text");
-        assert!(why.contains("99") && why.contains('1'), "{why}");
+        let message = headers["grpc-message"].to_str().expect("ASCII text");
+        assert!(message.contains("99") && message.contains('1'), "{message}");
         driving.abort();
         assert!(
-            serving.await.expect("it ran").is_err(),
-            "there is no session"
+            serving.await.expect("serving task").is_err(),
+            "no session starts"
         );
     });
 }
