--- a/crates/grpc/tests/hard.rs
+++ b/crates/grpc/tests/hard.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{spawn_local, yield_now, LocalSet};
 
-/// Types, flags and error codes of HTTP/2 frames.
+/// Types of HTTP/2 frames.
 const DATA: u8 = 0;
 const HEADERS: u8 = 1;
 const RST_STREAM: u8 = 3;
@@ -19,8 +19,10 @@
 /// Identifiers of HTTP/2 settings.
 const MAX_CONCURRENT_STREAMS: u16 = 3;
 const INITIAL_WINDOW_SIZE: u16 = 4;
+/// Flags of HTTP/2 frames.
 const END_STREAM: u8 = 1;
 const END_HEADERS: u8 = 4;
+/// The HTTP/2 error code of a stream that was not processed.
 const REFUSED_STREAM: u32 = 7;
 
 fn run(test: impl Future<Output = ()>) {
@@ -66,6 +68,7 @@
     out
 }
 
+/// Encodes a gRPC message with its prefix.
 fn encode_message(message: &impl Message) -> Vec<u8> {
     let bytes = message.encode_to_vec();
     [&[0][..], &(bytes.len() as u32).to_be_bytes(), &bytes].concat()
@@ -372,7 +375,8 @@
 }
 
 #[test_case(&[("grpc-status", "14")], v1::Status::Failed; "unavailable, which proxies send too")]
-#[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "no")], v1::Status::Overloaded; "with the mark that nothing ran")]
+#[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "no")], v1::Status::Overloaded;
+    "with the mark that nothing ran")]
 #[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "yes")], v1::Status::Failed; "with the mark that it ran")]
 #[test_case(&[("grpc-status", "0")], v1::Status::Failed; "ok without a final message")]
 #[test_case(&[("grpc-status", "99")], v1::Status::Failed; "an undefined status")]
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -31,7 +31,7 @@
 pub struct Bounds {
     /// The largest request body, in bytes; a larger one is refused with status 413.
     pub most_body: usize,
-    /// The largest chunk of an engine's response, and the largest response without chunks, in bytes.
+    /// The largest chunk of an engine's response, and the largest response that is not a stream, in bytes.
     pub most_chunk: usize,
     /// The largest endpoint list, in bytes.
     pub most_list: usize,
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -226,13 +226,19 @@
 
 proptest! {
     #[test]
-    fn a_message_in_any_pieces_gives_the_same_result(which in 0..MESSAGES.len(), cuts in prop::collection::vec(0usize..200, 0..12)) {
+    fn a_message_in_any_pieces_gives_the_same_result(
+        which in 0..MESSAGES.len(),
+        cuts in prop::collection::vec(0usize..200, 0..12),
+    ) {
         let message = MESSAGES[which];
         prop_assert_eq!(parse_pieces(message.as_bytes(), &cuts), parse_text(message));
     }
 
     #[test]
-    fn random_bytes_never_panic_nor_give_a_longer_body(bytes in prop::collection::vec(any::<u8>(), 0..600), cut in 0usize..600) {
+    fn random_bytes_never_panic_nor_give_a_longer_body(
+        bytes in prop::collection::vec(any::<u8>(), 0..600),
+        cut in 0usize..600,
+    ) {
         let _ = parse_pieces(&bytes, &[cut]);
         let _ = parse_response(&bytes);
         let mut answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -68,7 +68,8 @@
     )
 }
 
-async fn body(session: &mut Session) -> Option<(u64, Body)> {
+/// The next frame of a session, as stream and body; `None` once the session has ended.
+async fn next_body(session: &mut Session) -> Option<(u64, Body)> {
     loop {
         match session.events.recv().await? {
             Event::Frame(frame) => return Some((frame.stream, frame.body?)),
@@ -127,10 +128,10 @@
             io.write_all(request_text("{\"x\":1}").as_bytes())
                 .await
                 .expect("bytes written");
-            let Some((at, Body::Submit(submit))) = body(&mut session).await else {
+            let Some((received_on, Body::Submit(submit))) = next_body(&mut session).await else {
                 panic!("expected a submit")
             };
-            assert_eq!(at, stream);
+            assert_eq!(received_on, stream);
             assert_eq!(
                 (submit.request_class.as_str(), submit.time_to_deadline_ms),
                 ("chat", 4800.0)
@@ -181,7 +182,7 @@
             );
         }
         drop(io);
-        assert_eq!(body(&mut session).await, None);
+        assert_eq!(next_body(&mut session).await, None);
         assert_eq!(wire.buffered_bytes(), 0);
     });
 }
@@ -198,7 +199,7 @@
             io.write_all(request_text("{}").as_bytes())
                 .await
                 .expect("bytes written");
-            body(&mut session).await.expect("a submit");
+            next_body(&mut session).await.expect("a submit");
             session
                 .out
                 .send(frame(1, final_answer(answer, retry_after_ms)));
@@ -216,7 +217,7 @@
         io.write_all(request_text("{}").as_bytes())
             .await
             .expect("bytes written");
-        body(&mut session).await.expect("a submit");
+        next_body(&mut session).await.expect("a submit");
         session.out.send(frame(1, tokens(0, "data: a\n\n")));
         session
             .out
@@ -224,38 +225,38 @@
         let all = read_until(&mut io, "").await;
         assert!(
             all.ends_with("9\r\ndata: a\n\n\r\n"),
-            "no last chunk: {all:?}"
+            "the last chunk was sent: {all:?}"
         );
     });
 }
 
 #[test]
 fn invalid_requests_are_refused_and_not_submitted() {
-    let with = |from: &str, to: &str| request_text("{}").replace(from, to);
+    let replaced = |from: &str, to: &str| request_text("{}").replace(from, to);
     let oversized_body = "x".repeat(2000);
     let cases = [
-        with("X-Txn: 9b1f03aa5c7e2d41\r\n", ""),
-        with("9b1f03aa5c7e2d41", "../../secret"),
-        with("X-Txn: 9b1f03aa5c7e2d41\r\n", "X-Txn: a\r\nX-Txn: b\r\n"),
-        with("X-Remaining-Ms: 4800\r\n", ""),
-        with("4800", "soon"),
-        with("4800", "-5"),
-        with("4800", "99999999999"),
-        with("prompt_len=5120", "prompt_len=x"),
-        with("Content-Length: 2", "Content-Length: -2"),
-        with("Content-Length: 2", "Content-Length: 60000000"),
-        with(
+        replaced("X-Txn: 9b1f03aa5c7e2d41\r\n", ""),
+        replaced("9b1f03aa5c7e2d41", "../../secret"),
+        replaced("X-Txn: 9b1f03aa5c7e2d41\r\n", "X-Txn: a\r\nX-Txn: b\r\n"),
+        replaced("X-Remaining-Ms: 4800\r\n", ""),
+        replaced("4800", "soon"),
+        replaced("4800", "-5"),
+        replaced("4800", "99999999999"),
+        replaced("prompt_len=5120", "prompt_len=x"),
+        replaced("Content-Length: 2", "Content-Length: -2"),
+        replaced("Content-Length: 2", "Content-Length: 60000000"),
+        replaced(
             "Content-Length: 2",
             "Content-Length: 2\r\nContent-Length: 3",
         ),
-        with(
+        replaced(
             "Content-Length: 2",
             "Content-Length: 2\r\nTransfer-Encoding: chunked",
         ),
         request_text(&oversized_body),
-        with("POST /v1/chat", "GET /v1/chat"),
-        with("POST /v1/chat/completions", "POST /bootstrap/rooms"),
-        with(
+        replaced("POST /v1/chat", "GET /v1/chat"),
+        replaced("POST /v1/chat/completions", "POST /bootstrap/rooms"),
+        replaced(
             "Content-Length: 2\r\n\r\n{}",
             &format!("Transfer-Encoding: chunked\r\n\r\n7d0\r\n{oversized_body}"),
         ),
@@ -267,11 +268,11 @@
             let wire = Http1::new(BOUNDS);
             let (mut io, mut session) = client(&wire).await;
             io.write_all(case.as_bytes()).await.expect("bytes written");
-            let answer = read_until(&mut io, "").await;
+            let response = read_until(&mut io, "").await;
             let shown: String = case.chars().take(300).collect();
-            assert!(answer.starts_with("HTTP/1.1 4"), "{shown}: {answer}");
-            assert!(answer.contains("Connection: close\r\n"), "{answer}");
-            assert_eq!(body(&mut session).await, None, "{shown}");
+            assert!(response.starts_with("HTTP/1.1 4"), "{shown}: {response}");
+            assert!(response.contains("Connection: close\r\n"), "{response}");
+            assert_eq!(next_body(&mut session).await, None, "{shown}");
             assert_eq!(wire.buffered_bytes(), 0);
         });
     }
@@ -287,7 +288,7 @@
             io.write_all(request_text(&"x".repeat(1000)).as_bytes())
                 .await
                 .expect("bytes written");
-            body(&mut session).await.expect("a submit");
+            next_body(&mut session).await.expect("a submit");
             open.push((io, session));
         }
         let (mut io, mut session) = client(&wire).await;
@@ -295,7 +296,7 @@
             .await
             .expect("bytes written");
         assert!(read_until(&mut io, "").await.starts_with("HTTP/1.1 503 "));
-        assert_eq!(body(&mut session).await, None);
+        assert_eq!(next_body(&mut session).await, None);
         drop(open);
     });
 }
@@ -310,14 +311,15 @@
                 .await
                 .expect("bytes written");
             assert!(matches!(
-                body(&mut session).await,
+                next_body(&mut session).await,
                 Some((1, Body::Submit(_)))
             ));
             io.write_all(&vec![b'x'; pipelined])
                 .await
                 .expect("bytes written");
             drop(io);
-            let ended = tokio::time::timeout(Duration::from_millis(100), body(&mut session)).await;
+            let ended =
+                tokio::time::timeout(Duration::from_millis(100), next_body(&mut session)).await;
             assert_eq!(
                 ended,
                 Ok(None),
@@ -337,14 +339,14 @@
             .await
             .expect("bytes written");
         assert!(matches!(
-            body(&mut session).await,
+            next_body(&mut session).await,
             Some((1, Body::Submit(_)))
         ));
         // The in-memory connection accepts all of this at once.
         io.write_all(&vec![b'x'; 200_000])
             .await
             .expect("bytes written");
-        assert_eq!(body(&mut session).await, None, "the session ends");
+        assert_eq!(next_body(&mut session).await, None, "the session ends");
         assert!(wire.buffered_bytes() < 20_000);
     });
 }
@@ -361,7 +363,7 @@
         .await
         .expect("bytes written");
         assert!(matches!(
-            body(&mut session).await,
+            next_body(&mut session).await,
             Some((1, Body::Submit(_)))
         ));
         session
@@ -374,7 +376,7 @@
         io.write_all(request_text("{}").as_bytes())
             .await
             .expect("the server still reads");
-        let ended = tokio::time::timeout(Duration::from_millis(600), body(&mut session)).await;
+        let ended = tokio::time::timeout(Duration::from_millis(600), next_body(&mut session)).await;
         assert_eq!(
             ended,
             Ok(None),
@@ -411,13 +413,13 @@
                 tokio::task::yield_now().await;
                 let _ = io.write_all(&[b'x'; 500]).await;
             }
-            let mut answer = Vec::new();
+            let mut response = Vec::new();
             let read =
-                tokio::time::timeout(Duration::from_secs(5), io.read_to_end(&mut answer)).await;
+                tokio::time::timeout(Duration::from_secs(5), io.read_to_end(&mut response)).await;
             assert!(matches!(read, Ok(Ok(_))), "no reset: {read:?}");
-            assert!(answer.starts_with(b"HTTP/1.1 413 ") && answer.ends_with(b"\n"));
+            assert!(response.starts_with(b"HTTP/1.1 413 ") && response.ends_with(b"\n"));
             drop(io);
-            assert_eq!(body(&mut session).await, None);
+            assert_eq!(next_body(&mut session).await, None);
         }
     });
 }
@@ -429,7 +431,7 @@
         io.write_all(request_text("{}").as_bytes())
             .await
             .expect("bytes written");
-        body(&mut session).await.expect("a submit");
+        next_body(&mut session).await.expect("a submit");
         drop(io);
         assert_eq!(session.events.recv().await, None);
         let (mut io, mut session) = client(&Http1::new(BOUNDS)).await;
@@ -450,16 +452,16 @@
         io.write_all(request_text("{}").as_bytes())
             .await
             .expect("bytes written");
-        body(&mut session).await.expect("a submit");
+        next_body(&mut session).await.expect("a submit");
         session.out.go_away();
         session.out.send(frame(1, tokens(0, "data: a\n\n")));
         session
             .out
             .send(frame(1, final_answer(v1::Answer::Succeeded, 0.0)));
-        let answer = read_until(&mut io, "").await;
+        let response = read_until(&mut io, "").await;
         assert!(
-            answer.ends_with("0\r\n\r\n") && answer.contains("\r\nConnection: close\r\n"),
-            "{answer}"
+            response.ends_with("0\r\n\r\n") && response.contains("\r\nConnection: close\r\n"),
+            "{response}"
         );
         let (mut io, session) = client(&Http1::new(BOUNDS)).await;
         session.out.go_away();
@@ -482,7 +484,7 @@
             io.write_all(format!("{}{second}", request_text("{}")).as_bytes())
                 .await
                 .expect("bytes written");
-            body(&mut session).await.expect("a submit");
+            next_body(&mut session).await.expect("a submit");
             if streams {
                 session.out.send(frame(1, tokens(0, "data: a\n\n")));
                 read_until(&mut io, "data: a\n\n\r\n").await;
@@ -494,7 +496,9 @@
                 v1::Answer::Rejected
             };
             session.out.send(frame(1, final_answer(answer, 0.0)));
-            let next = body(&mut session).await.expect("the pipelined request");
+            let next = next_body(&mut session)
+                .await
+                .expect("the pipelined request");
             let (stream, Body::Submit(submit)) = next else {
                 panic!("{next:?}")
             };
@@ -528,7 +532,7 @@
         io.write_all(request_text("{}").as_bytes())
             .await
             .expect("bytes written");
-        assert_eq!(time_to_deadline(body(&mut session).await), 4800.0);
+        assert_eq!(time_to_deadline(next_body(&mut session).await), 4800.0);
         tokio::time::sleep(Duration::from_millis(300)).await;
         // The second request arrives in two parts, and the third together with the end of the second.
         let second = request_text("{}").replace("9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42");
@@ -545,7 +549,7 @@
         session
             .out
             .send(frame(1, final_answer(v1::Answer::Rejected, 0.0)));
-        let waited = 4800.0 - time_to_deadline(body(&mut session).await);
+        let waited = 4800.0 - time_to_deadline(next_body(&mut session).await);
         assert!(
             (699.0..705.0).contains(&waited),
             "the second request waited since its first byte: {waited} ms"
@@ -554,7 +558,7 @@
         session
             .out
             .send(frame(2, final_answer(v1::Answer::Rejected, 0.0)));
-        let waited = 4800.0 - time_to_deadline(body(&mut session).await);
+        let waited = 4800.0 - time_to_deadline(next_body(&mut session).await);
         assert!(
             (599.0..605.0).contains(&waited),
             "the third request waited since it arrived: {waited} ms"
@@ -568,7 +572,7 @@
         io.write_all(request_text("{}").as_bytes())
             .await
             .expect("bytes written");
-        assert_eq!(time_to_deadline(body(&mut session).await), 4800.0);
+        assert_eq!(time_to_deadline(next_body(&mut session).await), 4800.0);
     });
 }
 
@@ -619,6 +623,7 @@
     })
 }
 
+/// The status of an attempt's end, and the number of cached prompt tokens.
 fn attempt_end(body: Option<(u64, Body)>) -> (v1::Status, u32) {
     match body {
         Some((_, Body::Ended(ended))) => (ended.status(), ended.kept_tokens),
@@ -649,7 +654,7 @@
             .await
             .expect("bytes written");
         assert_eq!(
-            attempt_end(body(&mut session).await),
+            attempt_end(next_body(&mut session).await),
             (v1::Status::PrefillDone, 4096)
         );
         session.out.send(frame(2, decode(8)));
@@ -659,18 +664,18 @@
             .await
             .expect("bytes written");
         assert_eq!(
-            body(&mut session).await,
+            next_body(&mut session).await,
             Some((2, tokens(0, "data: a\n\n")))
         );
         io.write_all(b"9\r\ndata: b\n\n\r\n0\r\n\r\n")
             .await
             .expect("bytes written");
         assert_eq!(
-            body(&mut session).await,
+            next_body(&mut session).await,
             Some((2, tokens(9, "data: b\n\n")))
         );
         assert_eq!(
-            attempt_end(body(&mut session).await).0,
+            attempt_end(next_body(&mut session).await).0,
             v1::Status::Succeeded
         );
         session.out.send(frame(
@@ -688,7 +693,10 @@
         io.write_all(b"HTTP/1.1 204 No Content\r\n\r\n")
             .await
             .expect("bytes written");
-        assert_eq!(body(&mut session).await, Some((3, Body::Done(v1::Done {}))));
+        assert_eq!(
+            next_body(&mut session).await,
+            Some((3, Body::Done(v1::Done {})))
+        );
         session
             .out
             .send(frame(4, Body::HealthCheck(v1::HealthCheck {})));
@@ -703,7 +711,7 @@
             slots_used: Some(0.5),
             ..v1::Load::default()
         };
-        assert_eq!(body(&mut session).await, Some((4, Body::Load(load))));
+        assert_eq!(next_body(&mut session).await, Some((4, Body::Load(load))));
     });
 }
 
@@ -747,7 +755,7 @@
                 ..v1::Load::default()
             };
             assert_eq!(
-                body(&mut session).await,
+                next_body(&mut session).await,
                 Some((stream, Body::Load(load))),
                 "{report}"
             );
@@ -798,7 +806,11 @@
                 .await
                 .expect("bytes written");
             let shown: String = answer.chars().take(80).collect();
-            assert_eq!(attempt_end(body(&mut session).await).0, expected, "{shown}");
+            assert_eq!(
+                attempt_end(next_body(&mut session).await).0,
+                expected,
+                "{shown}"
+            );
         });
     }
 }
@@ -810,7 +822,7 @@
         let (io, mut session) = engine().await;
         session.out.send(frame(1, decode(8)));
         drop(io);
-        let Some((1, Body::Goodbye(goodbye))) = body(&mut session).await else {
+        let Some((1, Body::Goodbye(goodbye))) = next_body(&mut session).await else {
             panic!("expected a goodbye")
         };
         assert!(goodbye.never_ran);
@@ -823,7 +835,7 @@
         session.out.send(frame(1, decode(8)));
         tokio::time::sleep(Duration::from_millis(1)).await;
         drop(io);
-        let Some((1, Body::Goodbye(goodbye))) = body(&mut session).await else {
+        let Some((1, Body::Goodbye(goodbye))) = next_body(&mut session).await else {
             panic!("expected a goodbye")
         };
         assert!(goodbye.never_ran);
@@ -832,11 +844,11 @@
         session.out.send(frame(1, decode(8)));
         read_until(&mut io, "\r\n\r\n{}").await;
         drop(io);
-        let Some((1, Body::Goodbye(goodbye))) = body(&mut session).await else {
+        let Some((1, Body::Goodbye(goodbye))) = next_body(&mut session).await else {
             panic!("expected a goodbye")
         };
         assert!(!goodbye.never_ran);
-        assert_eq!(body(&mut session).await, None);
+        assert_eq!(next_body(&mut session).await, None);
     });
 }
 
@@ -852,16 +864,16 @@
                 .await
                 .expect("bytes written");
             assert_eq!(
-                body(&mut session).await,
+                next_body(&mut session).await,
                 Some((1, tokens(0, "data: a\n\n"))),
                 "{rest}"
             );
             assert_eq!(
-                attempt_end(body(&mut session).await).0,
+                attempt_end(next_body(&mut session).await).0,
                 v1::Status::Failed,
                 "{rest}"
             );
-            assert_eq!(body(&mut session).await, None, "the session ends");
+            assert_eq!(next_body(&mut session).await, None, "the session ends");
         });
     }
     run(async move {
@@ -869,9 +881,9 @@
         session.out.send(frame(1, decode(8)));
         read_until(&mut io, "\r\n\r\n{}").await;
         io.write_all(head.as_bytes()).await.expect("bytes written");
-        body(&mut session).await.expect("a token message");
+        next_body(&mut session).await.expect("a token message");
         drop(io);
-        let Some((1, Body::Goodbye(goodbye))) = body(&mut session).await else {
+        let Some((1, Body::Goodbye(goodbye))) = next_body(&mut session).await else {
             panic!("expected a goodbye")
         };
         assert!(!goodbye.never_ran);
@@ -899,7 +911,7 @@
             "reported before the end of the attempt"
         );
         assert_eq!(
-            attempt_end(body(&mut session).await).0,
+            attempt_end(next_body(&mut session).await).0,
             v1::Status::Succeeded
         );
         assert_eq!(session.events.recv().await, None);
@@ -908,9 +920,9 @@
         session.out.send(frame(1, decode(8)));
         read_until(&mut io, "\r\n\r\n{}").await;
         io.write_all(good.as_bytes()).await.expect("bytes written");
-        body(&mut session).await.expect("a token message");
+        next_body(&mut session).await.expect("a token message");
         assert_eq!(
-            attempt_end(body(&mut session).await).0,
+            attempt_end(next_body(&mut session).await).0,
             v1::Status::Succeeded
         );
         io.write_all(good.as_bytes()).await.expect("bytes written");
@@ -968,7 +980,7 @@
                     .await
                     .expect("bytes written");
                 assert_eq!(
-                    body(&mut session).await,
+                    next_body(&mut session).await,
                     Some((1, tokens(0, "data: a\n\n")))
                 );
             }
@@ -994,7 +1006,7 @@
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n";
         io.write_all(head.as_bytes()).await.expect("bytes written");
         assert_eq!(
-            body(&mut session).await,
+            next_body(&mut session).await,
             Some((1, tokens(0, "data: a\n\n")))
         );
         io.write_all(b"9\r\ndata: b\n\n\r\n0\r\n\r\n")
@@ -1006,11 +1018,11 @@
             .out
             .send(frame(1, Body::Credit(v1::Credit { messages: 5 })));
         assert_eq!(
-            body(&mut session).await,
+            next_body(&mut session).await,
             Some((1, tokens(9, "data: b\n\n")))
         );
         assert_eq!(
-            attempt_end(body(&mut session).await).0,
+            attempt_end(next_body(&mut session).await).0,
             v1::Status::Succeeded
         );
     });
@@ -1047,7 +1059,7 @@
         io.write_all(list(41, true).as_bytes())
             .await
             .expect("bytes written");
-        let Some((1, Body::Endpoints(list_update))) = body(&mut session).await else {
+        let Some((1, Body::Endpoints(list_update))) = next_body(&mut session).await else {
             panic!("expected a list")
         };
         assert_eq!(
@@ -1079,7 +1091,7 @@
         io.write_all(list(43, false).as_bytes())
             .await
             .expect("bytes written");
-        let Some((1, Body::Endpoints(list_update))) = body(&mut session).await else {
+        let Some((1, Body::Endpoints(list_update))) = next_body(&mut session).await else {
             panic!("expected a list")
         };
         assert_eq!(
@@ -1091,7 +1103,7 @@
             .await
             .expect("bytes written");
         assert!(matches!(
-            body(&mut session).await,
+            next_body(&mut session).await,
             Some((1, Body::Goodbye(_)))
         ));
         assert_eq!(session.events.recv().await, None);
@@ -1120,7 +1132,7 @@
             BOUNDS.most_list + 1
         );
         io.write_all(head.as_bytes()).await.expect("bytes written");
-        let refused = tokio::time::timeout(Duration::from_secs(1), body(&mut session));
+        let refused = tokio::time::timeout(Duration::from_secs(1), next_body(&mut session));
         match refused.await.expect("refused without the body") {
             Some((_, Body::Goodbye(goodbye))) => {
                 assert!(goodbye.reason.contains("too long"), "{goodbye:?}")
@@ -1174,7 +1186,7 @@
                 Some(Event::Partly),
                 "reported with the first bytes"
             );
-            match body(&mut session).await {
+            match next_body(&mut session).await {
                 Some((1, Body::Endpoints(list_update))) => {
                     assert_eq!(
                         (list_update.endpoints.len(), list_update.version),
@@ -1264,7 +1276,7 @@
             .await
             .expect("bytes written");
         assert!(matches!(
-            body(&mut client).await,
+            next_body(&mut client).await,
             Some((1, Body::Submit(_)))
         ));
         engine.out.send(frame(1, prefill()));
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
 //! The traits that network code is generic over: a transport (connect, listen, byte streams) and a clock.
 //!
-//! Production code uses [`Tcp`] and [`SystemClock`]. [`Memory`] connects both ends within one thread, and [`TokioClock`]
-//! follows the runtime's time, which tests can pause; together they need no sockets and no real time.
+//! Production code uses [`Tcp`] and [`SystemClock`]. [`Memory`] connects both ends within one thread, and
+//! [`TokioClock`] follows the runtime's time, which tests can pause; together they need no sockets and no real time.
 //! [`simulated_network`] adds latency, partitions, resets and connections that lose bytes without an error.
 #![warn(missing_docs)]
 
--- a/crates/net/src/simulated_network.rs
+++ b/crates/net/src/simulated_network.rs
@@ -88,7 +88,7 @@
 /// One direction of a connection.
 struct Pipe {
     segments: VecDeque<Segment>,
-    /// The number of bytes in flight.
+    /// The number of bytes written and not read yet.
     bytes: usize,
     /// The time at which the bandwidth limit allows the next byte to be sent.
     free_at: Ms,
@@ -155,8 +155,8 @@
         self.inner.conditions.set(conditions);
     }
 
-    /// Starts or ends a partition that holds back all bytes from one zone to another, including bytes in flight. Connects
-    /// between the two zones hang meanwhile.
+    /// Starts or ends a partition that holds back all bytes from one zone to another, including bytes in flight.
+    /// Connects between the two zones hang meanwhile.
     pub fn block(&self, from: &str, to: &str, blocked: bool) {
         let pair = (Rc::from(from), Rc::from(to));
         if blocked {
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -30,11 +30,11 @@
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message arrived.
+    /// A complete message arrived.
     Frame(Frame),
     /// The first bytes of a message arrived, and its end has not. Only HTTP/1.1 sessions report this.
     Partly,
-    /// Token messages of a stream left the send queue: the peer reads the stream.
+    /// Token messages of a stream were written to the connection, so the peer reads the stream.
     Flushed {
         /// The stream number of the token messages.
         stream: u64,
@@ -53,7 +53,7 @@
     pub limit: Option<usize>,
     /// The received frames and other events; the channel closes when the connection ends.
     pub events: mpsc::UnboundedReceiver<Event>,
-    /// The sending side.
+    /// Sends frames on this session.
     pub out: O,
 }
 
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -10,15 +10,18 @@
 /// One parsed line.
 pub enum Line {
     Empty,
+    /// Opens a batch of events at the time `now`.
     Begin {
         now: Ms,
         number: u64,
     },
+    /// Starts an instance, or replaces it by a new one.
     Start {
         instance: u32,
         seed: u64,
         settings: Box<Settings>,
     },
+    /// Removes an instance with all its state.
     PowerOff {
         instance: u32,
     },
@@ -26,7 +29,9 @@
         instance: u32,
         event: Event,
     },
+    /// One endpoint of the list that the last `EndpointsUpdated` event announced.
     Row(Endpoint),
+    /// Closes the batch: every instance handles its events.
     Flush,
 }
 
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -50,7 +50,8 @@
 
 #[test_case("flush\n", "line 1: expected begin_batch"; "an event outside a batch")]
 #[test_case("begin_batch 900 1\nboo 1\nflush\n", "line 2: expected an event"; "an unknown event")]
-#[test_case("begin_batch 900 1\nBEGIN\naccept 1 five 0\nflush\n", "line 6: expected a request id"; "a request id that is not a number")]
+#[test_case("begin_batch 900 1\nBEGIN\naccept 1 five 0\nflush\n", "line 6: expected a request id";
+    "a request id that is not a number")]
 #[test_case("begin_batch 900 1\nannounce 1 all 4 2\nrow r 0 0 0 ready 1 -\nflush\n", "line 4: expected 1 more row";
     "too few rows")]
 #[test_case("begin_batch 900 1\nbegin 1 7 me=0\nflush\n", "line 2: expected the setting"; "a missing setting")]
