--- a/crates/dispatcher/src/driver/clients.rs
+++ b/crates/dispatcher/src/driver/clients.rs
@@ -9,13 +9,13 @@
 use std::io;
 use tokio::task::{spawn_local, yield_now};
 
-/// Delay before the next accept after one has failed because memory or file descriptors ran out.
+/// The delay before the next accept, after an accept has failed because memory or file descriptors ran out.
 const ACCEPT_RETRY_DELAY_MS: Ms = 20.0;
 
 /// The value of `EPROTO` on Linux; [`io::ErrorKind`] has no equivalent.
 const EPROTO: i32 = 71;
 
-/// The number of streams that a client may have open on one connection.
+/// The maximum number of streams that a client may have open on one connection.
 const MAX_STREAMS_PER_CLIENT: u32 = 1024;
 
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
@@ -29,12 +29,12 @@
                     self.serve_if_capacity(stream).await;
                 }
                 Err(problem) if affects_one_connection(&problem) => {
-                    tracing::debug!(%problem, "accept failed for one connection; accepting the next");
+                    tracing::debug!(%problem, "accept failed for one connection; accepting the next one");
                     yield_now().await;
                 }
-                // Too many files are open, or memory is short. A single failure closes no connection, because an idle
-                // client may be about to send. If the next accept fails as well, an idle client's connection is
-                // closed.
+                // The process has too many open files or too little memory. A single failure closes no connection,
+                // because an idle client may be about to send a request. If the next accept fails as well, an idle
+                // client connection is closed.
                 Err(problem) => {
                     tracing::warn!(%problem, "accept failed; retrying in {ACCEPT_RETRY_DELAY_MS} ms");
                     if previous_accept_failed {
@@ -58,11 +58,12 @@
         }
     }
 
-    /// Returns whether one more connection may be served. The limit keeps connections from exhausting memory.
+    /// Waits for the capacity to serve one more connection. Returns `false` if the connection must be dropped
+    /// instead. The limit keeps connections from exhausting memory.
     ///
     /// A connection that carries one request at a time is not closed at the limit, because its client may already
-    /// have sent a request that would be lost. It is left unread until another connection ends; connections
-    /// behind it wait in the listen queue of the operating system. A multiplexed connection is closed: the
+    /// have sent a request that would be lost. It is not read until another connection ends. Further connections
+    /// wait in the listen queue of the operating system. A multiplexed connection is dropped at the limit: its
     /// greeting is not complete, so none of its requests has run.
     async fn wait_for_capacity(&self) -> bool {
         let limits = &self.shared.settings.limits;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Runs one accepted connection: completes the greeting, then reads messages until the connection ends.
+    /// Completes the greeting on an accepted connection, then reads messages until the connection ends.
     async fn serve_connection(self, stream: T::Stream) {
         let greeted = self.greet(stream).await;
         self.shared
@@ -90,7 +91,7 @@
             Ok(session) => session,
             Err(reason) => {
                 self.shared.client_capacity_changed.notify_waiters();
-                return tracing::debug!(reason, "greeting failed; connection dropped");
+                return tracing::debug!(reason, "greeting failed; dropping the connection");
             }
         };
         let Session {
@@ -100,7 +101,7 @@
         self.shared.last_client_connection.set(conn.0);
         self.shared.clients.borrow_mut().insert(conn, out);
         self.input(Input::ClientConnected { conn });
-        // The new connection can now be evicted, so a connection that waits for capacity checks again.
+        // The new connection may be evicted from now on, so connections that wait for capacity are woken up.
         self.shared.client_capacity_changed.notify_waiters();
         while let Some(event) = events.recv().await {
             self.client_event(conn, event);
--- a/crates/dispatcher/src/driver/discovery.rs
+++ b/crates/dispatcher/src/driver/discovery.rs
@@ -12,14 +12,14 @@
 
 /// How a connection to discovery ended.
 enum CallEnd {
-    /// The connection was lost or not established; carries the reason for the log.
+    /// The connection was lost or could not be established. The text is the reason for the log.
     Lost(String),
-    /// Discovery answered with a list that cannot be used; carries the reason for the log.
+    /// Discovery has answered, but not with a list that can be used. The text is the reason for the log.
     UnusableList(String),
 }
 
-/// How often the task yields before it reports a silence timeout. Events that arrived in the meantime take up
-/// to this many turns of the scheduler to reach the task.
+/// The number of times that the task yields before it reports a silence timeout. An event that has already arrived
+/// takes up to this many turns of the scheduler to reach the task.
 const YIELDS_BEFORE_TIMEOUT: usize = 3;
 
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
@@ -31,7 +31,7 @@
         let mut last_reason: Option<String> = None;
         loop {
             let addresses = self.shared.locations.borrow().discovery.clone();
-            // Without addresses the dispatcher never calls discovery.
+            // Without configured addresses, the dispatcher never calls discovery.
             if addresses.is_empty() {
                 return;
             }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Runs one connection to discovery until the connection ends.
+    /// Connects to discovery and follows its endpoint list until the connection ends. Returns how it ended.
     async fn call_discovery(&self, address: &str, calls: &mut DiscoveryCalls) -> CallEnd {
         let known = self.shared.dispatcher.borrow().known_version();
         let known_version = match calls.begin_call(known) {
@@ -113,8 +113,8 @@
                     continue;
                 }
                 event = events.recv() => event,
-                // Discovery may have died without closing the connection, and the endpoint list would then never
-                // change.
+                // Discovery may have died without closing the connection. The endpoint list would then never change
+                // again.
                 () = self.wait_for_silence(last_received_at + timeout), if timeout.is_finite() => {
                     out.close();
                     return CallEnd::Lost("no message within the silence timeout".to_owned());
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Sleeps until `until`, then yields a few times. If the process was suspended for a while, messages that
-    /// arrived meanwhile are read before the timeout counts.
+    /// Sleeps until `until`, then yields a few times. After a suspension of the process, messages that arrived
+    /// during it are read before the timeout is reported.
     async fn wait_for_silence(&self, until: Ms) {
         self.shared.clock.sleep_until(until).await;
         for _ in 0..YIELDS_BEFORE_TIMEOUT {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Passes a list to the state machine.
+    /// Passes a list from discovery to the state machine.
     ///
     /// # Errors
     /// The list is older than the known one.
@@ -178,8 +178,8 @@
     }
 }
 
-/// Builds the request for the endpoint list. With `known_version`, discovery sends only the changes since
-/// then; without, it sends a snapshot first.
+/// Builds the request to watch the endpoint list. With a `known_version`, discovery sends only the changes since
+/// that version. Without one, it sends a snapshot first and then the changes.
 fn watch_request(stream: u64, known_version: Option<u64>) -> Frame {
     let watch = v1::WatchEndpoints {
         changes: true,
@@ -188,8 +188,8 @@
     frame(stream, Body::WatchEndpoints(watch))
 }
 
-/// Classifies a goodbye from discovery. If nothing of the call ran, discovery was not reached; otherwise its
-/// answer cannot be used.
+/// Classifies a goodbye that ended a call to discovery. With `never_ran`, the call did not reach discovery.
+/// Otherwise discovery has answered, but not with a list.
 fn goodbye_end(goodbye: v1::Goodbye) -> CallEnd {
     if goodbye.never_ran {
         CallEnd::Lost(goodbye.reason)
@@ -203,7 +203,7 @@
         let status = endpoint.status().as_str_name();
         (endpoint.engine.clone(), status, endpoint.started_ms)
     };
-    // A closure builds the list only if the log level is enabled.
+    // The closure builds the list only if the log level is enabled.
     let engines = || list.endpoints.iter().map(summary).collect::<Vec<_>>();
     tracing::debug!(version = list.version, engines = ?engines(), "list");
 }
--- a/crates/dispatcher/src/driver/engine_connections.rs
+++ b/crates/dispatcher/src/driver/engine_connections.rs
@@ -1,5 +1,4 @@
-//! Connections to engines: dials them, verifies the identity of the engine, and reads messages until the
-//! connection ends.
+//! Dials engines, verifies that the expected engine answers, and reads its messages until the connection ends.
 
 use super::Driver;
 use crate::state::{EngineConnectionId, Input};
@@ -11,7 +10,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The sending side of a connection to an engine. It exists from the dial on.
+/// The sending side of a connection to an engine. It is created before the dial, so that the dial can be aborted.
 pub(super) struct EngineHandle<O> {
     /// `None` until the connection is established.
     out: RefCell<Option<O>>,
@@ -28,7 +27,7 @@
         }
     }
 
-    /// Sends a frame; drops the frame if the connection is not established.
+    /// Sends a frame. The frame is dropped if the connection is not established.
     pub fn send(&self, frame: Frame) {
         if let Some(out) = &*self.out.borrow() {
             out.send(frame);
@@ -62,7 +61,7 @@
         handle: Rc<EngineHandle<W::Out>>,
     ) {
         let reason = self
-            .read_engine(connection, &engine, &address, &handle)
+            .forward_engine_messages(connection, &engine, &address, &handle)
             .await;
         self.shared
             .engine_connections
@@ -71,8 +70,9 @@
         self.input(Input::ConnectionClosed { connection, reason });
     }
 
-    /// Dials an engine and passes its messages to the state machine. Returns why the connection ended.
-    async fn read_engine(
+    /// Dials an engine and passes its messages to the state machine. Returns the reason why the connection ended,
+    /// for the log.
+    async fn forward_engine_messages(
         &self,
         connection: EngineConnectionId,
         engine: &EngineId,
@@ -92,7 +92,7 @@
         } = match connected {
             Ok(session) => session,
             Err(reason) => {
-                tracing::warn!(engine = %engine.0, address, reason, "connection to engine failed");
+                tracing::warn!(engine = %engine.0, address, reason, "connection to engine failed; ending its calls");
                 return reason;
             }
         };
@@ -110,9 +110,9 @@
 
     /// Dials an engine and verifies its name.
     ///
-    /// The address may by now belong to another engine, which would run requests that are not meant for it. An
-    /// engine refuses a greeting that expects another name. The name in its answer is checked here as well, in
-    /// case the engine does not.
+    /// The address may have been reassigned to another engine, which would run requests that are not meant for it.
+    /// An engine should refuse a greeting that expects another name. The name in its answer is checked here as
+    /// well, in case the engine does not refuse.
     async fn connect_to_engine(
         &self,
         engine: &EngineId,
--- a/crates/dispatcher/src/driver/gossip.rs
+++ b/crates/dispatcher/src/driver/gossip.rs
@@ -1,5 +1,5 @@
 //! Sends gossip to other dispatchers, over connections that are dialled on demand. Delivery is best effort: a
-//! message is lost if its connection cannot be established.
+//! message is lost if the connection cannot be established or ends.
 
 use super::Driver;
 use cindercleat::interface::DispatcherId;
@@ -11,12 +11,12 @@
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
     /// Sends `bytes` to the dispatcher `to`, or to all other dispatchers if `to` is `None`.
     pub(super) fn send_gossip(&self, to: Option<DispatcherId>, bytes: Vec<u8>) {
-        let me = self.shared.settings.policy.me.0;
+        let own_number = self.shared.settings.policy.me.0;
         let body = Body::Gossip(v1::Gossip {
-            from: me,
+            from: own_number,
             bytes: bytes.into(),
         });
-        let is_addressed = |peer: u32| to.map_or(peer != me, |to| to.0 == peer);
+        let is_addressed = |peer: u32| to.map_or(peer != own_number, |to| to.0 == peer);
         let peers = self.shared.locations.borrow().peers.clone();
         for (peer, address) in peers {
             if !is_addressed(peer) {
@@ -31,8 +31,9 @@
         }
     }
 
-    /// Connects to another dispatcher, sends `first`, and keeps the connection for later messages until it ends.
-    async fn run_peer(self, peer: u32, address: String, first: Body) {
+    /// Connects to another dispatcher, sends `first_message`, and keeps the connection open for later messages
+    /// until it ends. `first_message` is lost if the connection cannot be established.
+    async fn run_peer(self, peer: u32, address: String, first_message: Body) {
         let setup = self.session_setup("", 1);
         let Ok(session) = self.connect(&address, v1::Party::Dispatcher, setup).await else {
             return;
@@ -40,7 +41,7 @@
         let Session {
             mut events, out, ..
         } = session;
-        out.send(frame(0, first));
+        out.send(frame(0, first_message));
         self.shared.peers.borrow_mut().insert(peer, out);
         while events.recv().await.is_some() {}
         self.shared.peers.borrow_mut().remove(&peer);
--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -1,5 +1,4 @@
-//! Moves bytes between a transport and the [`Dispatcher`] and runs its timers. The driver itself makes no
-//! decisions.
+//! Connects the [`Dispatcher`] state machine to a transport and a clock. The driver makes no decisions of its own.
 //!
 //! A driver runs on one thread. Each message goes to the state machine at once, and its outputs are carried
 //! out before the next input, so messages to one peer keep their order. Outgoing messages go to the outbox of
@@ -65,18 +64,23 @@
     dispatcher: RefCell<Dispatcher>,
     clients: RefCell<BTreeMap<ClientConnectionId, W::Out>>,
     engine_connections: RefCell<BTreeMap<EngineConnectionId, Rc<EngineHandle<W::Out>>>>,
+    /// The connections to other dispatchers for gossip, by dispatcher number.
     peers: RefCell<BTreeMap<u32, W::Out>>,
+    /// The id of the newest client connection; 0 if there was none.
     last_client_connection: Cell<u64>,
     /// The number of accepted connections whose greeting is not complete.
     pending_greetings: Cell<usize>,
-    /// The instant for which the timer task sleeps; `None` while no timer is set.
+    /// The instant at which the timer task wakes up; `None` while the state machine has no timer.
     timer_at: Cell<Option<Ms>>,
+    /// Notified when the timer task must wake up earlier than planned.
     timer_changed: Notify,
     /// Notified when the state machine requests a snapshot of the endpoints.
     snapshot_requested: Notify,
+    /// Notified when [`Driver::set_discovery_addresses`] has replaced the addresses.
     discovery_addresses_changed: Notify,
-    /// Notified when a client connection has ended or become idle.
+    /// Notified when a client connection has ended or has become idle, so that another one may be accepted.
     client_capacity_changed: Notify,
+    /// Notified when the state machine has completed a stop.
     stopped: Notify,
 }
 
@@ -151,10 +155,10 @@
     }
 
     /// Serves until `stop` completes, and then until the open requests have ended or the grace period has passed.
-    /// Must run within a `LocalSet`.
+    /// Must run within a tokio `LocalSet`, because it spawns local tasks.
     ///
     /// # Errors
-    /// None at present: errors of the listener are logged, and accepting continues.
+    /// Currently none: errors of the listener are logged, and accepting continues.
     pub async fn serve(
         &self,
         listener: T::Listener,
@@ -183,7 +187,7 @@
         let dispatcher = self.shared.dispatcher.borrow();
         Readiness {
             is_ready: dispatcher.is_ready(),
-            load: dispatcher.open_fraction(),
+            load: dispatcher.open_request_fraction(),
         }
     }
 
@@ -192,14 +196,14 @@
         self.shared.dispatcher.borrow().list_version()
     }
 
-    /// Starts to record the outcomes of requests and the load reports of engines, for dispatchers that monitor a
-    /// rollout together.
+    /// Starts to record the outcomes of requests and the load reports of engines. Dispatchers that monitor a
+    /// rollout together share these records.
     pub fn record_service_stats(&self) {
         self.shared.dispatcher.borrow_mut().collect_service_stats();
     }
 
-    /// Returns the outcomes of all requests so far, and reports on up to `max_reports` engines with news since
-    /// their last report.
+    /// Returns the outcomes of all requests so far, and reports on up to `max_reports` engines whose statistics
+    /// have changed since their last report.
     pub fn take_service_stats(&self, max_reports: usize) -> (OutcomeCounts, Vec<EngineReport>) {
         let now = self.shared.clock.now();
         self.shared
@@ -219,8 +223,8 @@
         self.shared.clients.borrow().len()
     }
 
-    /// Replaces the addresses of discovery. If they differ from the present ones, the connection is dropped and
-    /// the new addresses are called at once.
+    /// Replaces the addresses of discovery. If they differ from the current ones, the connection to discovery is
+    /// dropped and the new addresses are tried at once.
     pub fn set_discovery_addresses(&self, addresses: Vec<String>) {
         if self.shared.locations.borrow().discovery != addresses {
             tracing::info!(addresses = ?addresses, "discovery moved");
@@ -229,8 +233,8 @@
         }
     }
 
-    /// Initializes the endpoints from a cached list. Must be called before serving, because the list that
-    /// discovery sends is newer.
+    /// Initializes the endpoints from a cached list. Must be called before [`Self::serve`], so that the cached list
+    /// does not replace a newer one from discovery.
     pub fn use_cached_endpoints(&self, list: v1::EndpointList) {
         self.input(Input::CachedEndpoints(list));
     }
@@ -249,7 +253,7 @@
                 self.use_cached_endpoints(list);
             }
             Ok(None) => {}
-            // The dispatcher starts without endpoints and receives them from discovery.
+            // The dispatcher starts without endpoints and gets them from discovery.
             Err(problem) => {
                 tracing::warn!(path = %path.display(), %problem, "endpoint cache not loaded; waiting for discovery")
             }
@@ -270,7 +274,7 @@
         self.update_timer();
     }
 
-    /// Wakes the timer task if the state machine has set a timer that is due before the task wakes up.
+    /// Wakes the timer task if the state machine has set a timer that is due before the task would wake up.
     fn update_timer(&self) {
         let due_at = self.shared.dispatcher.borrow().wants_call_at();
         let is_sooner = match (due_at, self.shared.timer_at.get()) {
@@ -288,13 +292,13 @@
         loop {
             let due_at = self.shared.dispatcher.borrow().wants_call_at();
             self.shared.timer_at.set(due_at);
-            let Some(at) = due_at else {
+            let Some(due_at) = due_at else {
                 self.shared.timer_changed.notified().await;
                 continue;
             };
             tokio::select! { biased;
                 () = self.shared.timer_changed.notified() => {}
-                () = self.shared.clock.sleep_until(at) => self.input(Input::Tick),
+                () = self.shared.clock.sleep_until(due_at) => self.input(Input::Tick),
             }
         }
     }
@@ -304,13 +308,13 @@
         tracing::info!(checked = ?counts.checked, violated = ?counts.violated, "invariants");
     }
 
-    /// Sends the remaining content of the outboxes before the process ends. Slow clients get as long as a stream
-    /// may stall.
+    /// Sends the messages that are left in the outboxes before the process ends. Clients over HTTP/1 get the stall
+    /// timeout to read their answers.
     async fn flush(&self) {
         let limits = &self.shared.settings.limits;
         let clients: Vec<W::Out> = self.shared.clients.borrow().values().cloned().collect();
         if limits.http1.is_some() {
-            // An immediate close would cut off an answer that the client is still reading.
+            // An immediate close would truncate an answer that the client is still reading.
             clients.iter().for_each(Outbox::go_away);
             self.wait_until_closed(&clients, limits.stall_timeout).await;
         }
@@ -334,8 +338,8 @@
         }
     }
 
-    /// Builds the parameters of a session. `expects` is the name that the peer must have; an empty string accepts
-    /// any name. `max_calls` is the number of calls that the peer may have open at the same time.
+    /// Builds the parameters of a session with a peer. `expects` is the name that the peer must have; an empty
+    /// string accepts any name. `max_calls` is the number of calls that the peer may have open at the same time.
     fn session_setup(&self, expects: &str, max_calls: u32) -> Setup {
         let settings = &self.shared.settings;
         Setup {
@@ -351,7 +355,7 @@
     /// Dials an address and completes the greeting.
     ///
     /// # Errors
-    /// The reason for the log, if the connection or the greeting fails.
+    /// The connection cannot be established, or the greeting fails. The text is the reason for the log.
     pub(super) async fn connect(
         &self,
         address: &str,
--- a/crates/dispatcher/src/driver/outputs.rs
+++ b/crates/dispatcher/src/driver/outputs.rs
@@ -1,4 +1,5 @@
-//! Carries out the outputs of the state machine.
+//! Carries out the outputs of the state machine: sends messages, dials and closes connections, writes the cache and
+//! the log.
 
 use super::engine_connections::EngineHandle;
 use super::Driver;
@@ -93,12 +94,12 @@
             return;
         };
         if let Err(problem) = endpoint_cache::save(&path, list) {
-            tracing::warn!(path = %path.display(), %problem, "endpoint cache not updated; continuing");
+            tracing::warn!(path = %path.display(), %problem, "endpoint cache not written; continuing");
         }
     }
 }
 
-/// Logs each final answer that is not a success.
+/// Logs a final answer that is not a success, and the rejection of an invalid request.
 fn log_answer(conn: ClientConnectionId, frame: &Frame) {
     let (conn, stream) = (conn.0, frame.stream);
     match &frame.body {
--- a/crates/dispatcher/src/endpoint_cache.rs
+++ b/crates/dispatcher/src/endpoint_cache.rs
@@ -1,8 +1,8 @@
 //! Caches the newest endpoint list in a file for the next start.
 //!
-//! The file consists of a magic number of four bytes, a CRC-32 of four bytes (big endian), and the list in
-//! its wire encoding. [`save`] writes a temporary file in the same directory, syncs and renames it, and syncs
-//! the directory. After a crash the file holds either the old list or the new one.
+//! The file consists of a magic number of four bytes, a CRC-32 of four bytes (big endian), and the list in its wire
+//! encoding. [`save`] writes a temporary file in the same directory, syncs and renames it, and syncs the directory.
+//! After a crash, the file therefore contains either the complete old list or the complete new list.
 
 use cindercleat_protocol::v1::EndpointList;
 use prost::Message;
@@ -10,7 +10,7 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-/// The magic number at the start of the file.
+/// The magic number at the start of the file. It identifies the file as an endpoint cache.
 const MAGIC: &[u8; 4] = b"cchl";
 
 /// The extension of the temporary file that [`save`] renames.
@@ -22,7 +22,7 @@
     /// The file cannot be read.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The magic number is missing: another program wrote the file.
+    /// The magic number is missing, so the file was not written by [`save`].
     #[error("not an endpoint cache file: magic number is missing")]
     UnknownFormat,
     /// The checksum does not match, or the content cannot be decoded.
@@ -33,7 +33,7 @@
 /// Loads the list that is cached at `path`. Returns `None` if the file does not exist.
 ///
 /// # Errors
-/// The file cannot be read, or [`save`] did not write it in this form.
+/// The file cannot be read, or its content does not have the format that [`save`] writes.
 pub fn load(path: &Path) -> Result<Option<EndpointList>, CacheError> {
     match std::fs::read(path) {
         Ok(bytes) => decode(&bytes).map(Some),
@@ -42,10 +42,11 @@
     }
 }
 
-/// Replaces the file at `path` atomically.
+/// Writes `list` to the file at `path`, which is replaced atomically.
 ///
 /// # Errors
-/// The file cannot be written; the previous file is kept.
+/// The file cannot be written or synced. The previous file is kept unless only the sync of the directory has
+/// failed.
 pub fn save(path: &Path, list: &EndpointList) -> io::Result<()> {
     let temporary = path.with_extension(TEMPORARY_EXTENSION);
     let mut file = File::create(&temporary)?;
@@ -55,7 +56,7 @@
     sync_directory_of(path)
 }
 
-/// Syncs the directory of `path`: only then does the rename survive a crash.
+/// Syncs the directory that contains `path`. Without this, the rename may be lost in a crash.
 fn sync_directory_of(path: &Path) -> io::Result<()> {
     let directory = path
         .parent()
--- a/crates/dispatcher/src/fault_injection.rs
+++ b/crates/dispatcher/src/fault_injection.rs
@@ -1,5 +1,6 @@
-//! Faults that tests inject into every dispatcher of the process, to check that the simulation detects them.
-//! Without the cargo feature `fault-injection` no fault can be injected and the checks compile to `false`.
+//! Faults that tests inject into all dispatchers of the process, to check that the simulation detects them. Without
+//! the cargo feature `fault-injection` no fault can be injected, and the checks for injected faults compile to
+//! `false`.
 
 use cindercleat_protocol::v1::{EndpointList, EndpointStatus};
 
@@ -9,25 +10,26 @@
 pub enum InjectedFault {
     /// No KV state is ever released.
     ReleaseForgotten = 1,
-    /// No cancel is sent to the engine when an attempt is cancelled.
+    /// The engine of a cancelled attempt is not sent the cancel.
     CancelLost,
-    /// A lost connection is reported as overload, as if no attempt on it had run.
+    /// A lost connection is reported as an overload, as if none of its attempts had run.
     ConnectionLossAsOverload,
     /// Endpoints that are draining are removed from received lists.
     DrainingIgnored,
-    /// A request that may have run is rejected instead of failed.
+    /// A request that may have run is answered as rejected instead of failed.
     FailureAsRejection,
     /// One of sixteen final answers is not sent.
     FinalAnswerLost,
     /// Tokens are sent to the client twice.
     TokensTwice,
     /// The KV state that a failed prefill attempt may have left is not released.
-    BrokenPrefillStateKept,
-    /// The KV state is not released after the decode engine reports that it did not find it.
+    FailedPrefillStateKept,
+    /// The KV state is not released after a decode engine reports that it could not fetch the state.
     MissingStateKept,
     /// An attempt that was queued for its connection is sent even if its engine has begun to drain.
     DrainSeenLate,
-    /// Start times of engines are ignored, so engines in slow start are treated as warm.
+    /// The start times of engines are ignored, so engines in slow start are treated like engines that have
+    /// completed it.
     StartTimesIgnored,
     /// Timers of the routing logic fire late.
     TimersLate,
@@ -45,7 +47,7 @@
         InjectedFault::FailureAsRejection,
         InjectedFault::FinalAnswerLost,
         InjectedFault::TokensTwice,
-        InjectedFault::BrokenPrefillStateKept,
+        InjectedFault::FailedPrefillStateKept,
         InjectedFault::MissingStateKept,
         InjectedFault::DrainSeenLate,
         InjectedFault::StartTimesIgnored,
@@ -57,7 +59,8 @@
 #[cfg(feature = "fault-injection")]
 static INJECTED: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// Injects a fault into every dispatcher of the process; `None` removes it.
+/// Injects a fault into all dispatchers of the process and removes the previous fault. `None` only removes the
+/// previous one.
 #[cfg(feature = "fault-injection")]
 pub fn inject(fault: Option<InjectedFault>) {
     INJECTED.store(
@@ -66,13 +69,13 @@
     );
 }
 
-/// Returns whether `fault` is the injected one.
+/// Whether `fault` is currently injected.
 #[cfg(feature = "fault-injection")]
 pub(crate) fn is_injected(fault: InjectedFault) -> bool {
     INJECTED.load(std::sync::atomic::Ordering::Relaxed) == fault as u8
 }
 
-/// Always `false`: without the feature no fault can be injected.
+/// Always `false`, because no fault can be injected without the feature `fault-injection`.
 #[cfg(not(feature = "fault-injection"))]
 pub(crate) const fn is_injected(_: InjectedFault) -> bool {
     false
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -6,12 +6,12 @@
 use cindercleat::discovery_client::DiscoverySettings;
 use cindercleat::interface::{DispatcherId, Ms, Settings, ZoneId};
 
-/// The settings of one dispatcher.
+/// The settings of one dispatcher process: its identity, its routing logic, and its limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProgramSettings {
     /// The dispatcher's name in greetings to engines and other dispatchers.
     pub name: String,
-    /// Distinguishes this process from earlier ones of the same name; drawn at each start.
+    /// Distinguishes this process from earlier processes of the same name. Each start uses a new value.
     pub incarnation: u64,
     /// The settings of the routing logic.
     pub policy: Settings,
@@ -27,22 +27,23 @@
     pub limits: Limits,
 }
 
-/// The limits and timeouts of the process. Counts are upper limits; times are in milliseconds.
+/// The limits and timeouts of the process. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Requests that are open at the same time; a further request is rejected.
+    /// The maximum number of open requests. A request beyond this limit is rejected.
     pub max_open_requests: usize,
-    /// Streams on one connection to an engine, counting attempts and health checks.
+    /// The maximum number of open streams on one connection to an engine. Attempts and health checks both count.
     pub streams_per_connection: usize,
-    /// Connections that are open to one engine at the same time.
+    /// The maximum number of open connections to one engine.
     pub connections_per_engine: usize,
-    /// An engine connection without streams is closed after this long.
+    /// An engine connection is closed after this long without an open stream.
     pub connection_idle_timeout: Ms,
-    /// Token messages of one stream that its decode engine has sent and that are not yet written to its client.
+    /// The maximum number of token messages of one stream that its decode engine has sent and that are not yet
+    /// written to its client.
     pub stream_window: u32,
-    /// A stream is ended if its decode engine sends nothing, or its client reads nothing, for this long.
+    /// A stream is ended if its decode engine sends nothing, or if its client reads nothing, for this long.
     pub stall_timeout: Ms,
-    /// A health check fails if it has no answer after this long.
+    /// A health check fails if the engine has not answered after this long.
     pub health_check_timeout: Ms,
     /// An engine connection with open streams is pinged after receiving nothing for this long.
     pub keepalive_interval: Ms,
@@ -54,22 +55,23 @@
     pub max_connect_backoff: Ms,
     /// A client connection is pinged after receiving nothing for this long.
     pub client_keepalive_interval: Ms,
-    /// Requests that one client connection may cancel in a burst.
+    /// The maximum number of requests that a client connection may cancel in a burst. The connection is closed if
+    /// its client cancels more.
     pub cancel_burst: f64,
-    /// Cancellations that a client connection regains per second, up to `cancel_burst`.
+    /// The number of cancellations that a client connection is allowed again per second, up to `cancel_burst`.
     pub cancels_per_second: f64,
-    /// How long open requests may still run after a stop begins.
+    /// How long open requests may continue after a stop begins.
     pub stop_grace: Ms,
-    /// How long new requests are still accepted after a stop begins.
+    /// How long new requests are accepted after a stop begins.
     pub stop_accept_period: Ms,
     /// The time from the start of a stop to the migration of open streams, whose clients resume at another
     /// dispatcher. `None` lets streams run to their end.
     pub stop_streams_after: Option<Ms>,
     /// The largest message accepted from a peer, in bytes.
     pub max_message_bytes: usize,
-    /// Established client connections, including those whose greeting is not complete.
+    /// The maximum number of client connections. Connections whose greeting is not complete count as well.
     pub max_client_connections: usize,
-    /// How long the greeting on a new connection may take.
+    /// The greeting on a new connection fails if it is not complete after this long.
     pub greeting_timeout: Ms,
     /// The limits of HTTP/1 connections, which carry one request at a time: cancelling a request ends its
     /// connection. `None` if connections are multiplexed.
@@ -83,7 +85,7 @@
 pub struct Http1Limits {
     /// The timeouts of client connections.
     pub client_timeouts: Http1Settings,
-    /// Connections to all engines in total.
+    /// The maximum number of connections to all engines in total.
     pub max_engine_connections: usize,
 }
 
@@ -118,8 +120,8 @@
 /// The settings that all dispatchers of a service share.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// The settings of the routing logic. [`dispatcher`](Self::dispatcher) fills in the fields that differ
-    /// between dispatchers.
+    /// The settings of the routing logic. [`dispatcher`](Self::dispatcher) replaces the fields that differ between
+    /// dispatchers.
     pub policy: Settings,
     /// The names of the request classes in `policy`, in the same order.
     pub request_classes: Vec<String>,
@@ -134,8 +136,8 @@
 }
 
 impl ServiceSettings {
-    /// The settings of one dispatcher of the service. `number` is the dispatcher's number, from 0 to
-    /// `dispatchers` - 1.
+    /// The settings of one dispatcher of the service. `dispatchers` is the number of dispatchers in the service,
+    /// and `number` is the number of this one, from 0 to `dispatchers` - 1.
     pub fn dispatcher(
         &self,
         name: &str,
--- a/crates/dispatcher/src/state/abandoned_streams.rs
+++ b/crates/dispatcher/src/state/abandoned_streams.rs
@@ -1,10 +1,12 @@
-//! Streams that this side has abandoned and their engine has not ended, and calls that were not answered.
+//! Handles streams that the dispatcher has abandoned but their engine has not ended, and calls that were not
+//! answered in time.
 
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
 impl Dispatcher {
-    /// Abandons a stream: later messages on it are ignored. The stream stays open until its engine ends it.
+    /// Abandons a stream, so that later messages on it are ignored. The stream still counts as open until its
+    /// engine ends it.
     pub(super) fn abandon_stream(&mut self, connection_id: EngineConnectionId, stream: StreamId) {
         if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.streams.insert(stream, StreamPurpose::Abandoned);
@@ -16,10 +18,10 @@
     }
 
     /// Closes the connection of a stream if the call on it was not answered in time, or if an abandoned stream is
-    /// still open and its connection was silent for the stall timeout. The close ends all streams of the
-    /// connection.
+    /// still open and nothing was received on its connection for the stall timeout. Closing the connection ends all
+    /// of its streams.
     ///
-    /// An engine may receive nothing any more although its connection never breaks. Cancelled attempts would then
+    /// An engine may stop receiving messages although its connection never breaks. Cancelled attempts would then
     /// occupy its streams forever, and calls would never be answered.
     pub(super) fn check_unanswered_stream(
         &mut self,
--- a/crates/dispatcher/src/state/attempts.rs
+++ b/crates/dispatcher/src/state/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at engines: start, resend, cancel, timeout and end.
+//! Starts, resends, cancels, times out and ends attempts of requests at engines.
 
 use super::engine_requests::{attempt_message, kv_state_id};
 use super::kv_states::HeldState;
@@ -7,7 +7,7 @@
 use super::*;
 use cindercleat::connection_pool::PlacementError;
 
-/// An attempt for which no stream is open yet.
+/// An attempt that is about to start, before its stream is opened.
 struct PlannedAttempt {
     request_id: RequestId,
     attempt_id: AttemptId,
@@ -16,7 +16,7 @@
     expires_at: Ms,
 }
 
-/// The stream that was opened for an attempt, and the attempt's message.
+/// The stream that was opened for an attempt, and the message to send on it.
 struct OpenedAttempt {
     connection: EngineConnectionId,
     stream: StreamId,
@@ -29,9 +29,8 @@
         self.requests.get(&request_id)?.current_attempt.as_ref()
     }
 
-    /// Starts an attempt of a request at an engine. The attempt times out at `until`, or at the request's
-    /// deadline if that is earlier or `until` is `None`. An attempt that is not allowed or cannot be sent ends at
-    /// once.
+    /// Starts an attempt of a request at an engine. The attempt times out at `until`, or at the request's deadline
+    /// if that is earlier or `until` is `None`. If the attempt is not allowed or cannot be sent, it ends at once.
     pub(super) fn start_attempt(
         &mut self,
         request_id: RequestId,
@@ -60,10 +59,10 @@
         };
         match self.open_attempt(&planned, outputs) {
             Some(Ok(opened)) => self.begin_attempt(planned, opened, outputs),
-            // `Control` skips the engine for a moment after `Overloaded`, and counts `Unreachable` as a failure of
+            // `Control` avoids the engine for a moment after `Overloaded`, and counts `Unreachable` as a failure of
             // the engine.
-            Some(Err(refusal)) => {
-                let outcome = match refusal {
+            Some(Err(error)) => {
+                let outcome = match error {
                     PlacementError::PoolExhausted => Outcome::Overloaded,
                     PlacementError::BackingOff => Outcome::Unreachable,
                 };
@@ -71,7 +70,8 @@
                     unsent_attempt_ended(request_id, attempt_id, planned.engine, outcome, answered);
                 self.events.push(event);
             }
-            // `may_start_attempt` has checked that the request and the engine are known.
+            // This case does not occur, because `may_start_attempt` has checked that the request and the engine are
+            // known.
             None => {}
         }
     }
@@ -83,7 +83,8 @@
             && entry.is_some_and(|entry| entry.role == Role::Prefill)
     }
 
-    /// Opens a stream for an attempt. Returns `None` if the request or the engine is unknown.
+    /// Opens a stream for an attempt and builds the attempt's message. Returns `None` if the request or the engine
+    /// is unknown.
     fn open_attempt(
         &mut self,
         planned: &PlannedAttempt,
@@ -166,8 +167,9 @@
             .send(opened.connection, opened.stream, opened.body, outputs);
     }
 
-    /// Sends an attempt again on another connection, after its connection ended before anything of it was
-    /// written: the engine has sent nothing of the attempt. Returns whether the attempt was sent or queued.
+    /// Sends the current attempt again on another connection, after the first connection ended before any part of
+    /// the attempt was written to it. The engine has sent nothing of the attempt. Returns whether the attempt was
+    /// sent or queued.
     pub(super) fn resend_attempt(
         &mut self,
         request_id: RequestId,
@@ -211,8 +213,8 @@
         true
     }
 
-    /// Stops the current attempt. A message that is still queued is withdrawn; otherwise the engine is sent a
-    /// cancel. Returns whether the attempt was never sent.
+    /// Stops the current attempt. If its message is still queued, the message is withdrawn; otherwise the engine is
+    /// sent a cancel. Returns whether the attempt was never sent.
     pub(super) fn stop_attempt(
         &mut self,
         request_id: RequestId,
@@ -227,16 +229,16 @@
                 .close_stream(connection, stream, self.now, &mut self.timers);
             return true;
         }
-        // The stream stays open until the engine ends it, because the engine may still be working on the attempt and
-        // its capacity is in use.
+        // The stream stays open until the engine ends it, because until then the attempt may still use capacity of
+        // the engine.
         let prefilled = self.current_prefill_state(request_id);
         self.abandon_stream(connection, stream);
         if !fault_injection::is_injected(InjectedFault::CancelLost) {
             self.connections
                 .send(connection, stream, Body::Cancel(v1::Cancel {}), outputs);
         }
-        // The prefill may end at its engine before the cancel arrives, and its KV state would stay pinned there. The
-        // state is therefore released as well.
+        // The prefill may end at its engine before the cancel arrives. Its KV state would then stay pinned there,
+        // so the state is released as well.
         if let Some(held) = prefilled {
             self.release_leftover(request_id, held, outputs);
         }
@@ -300,8 +302,9 @@
         self.forget_finished(request_id);
     }
 
-    /// Ends an attempt whose outcome may be the final answer. A success always is. Any other outcome is a failed
-    /// answer if the stream has begun, because sent tokens cannot be taken back.
+    /// Ends the current attempt, and sends the final answer if the outcome decides it. A success is always
+    /// answered. Any other outcome is answered as failed if the token stream has begun, because sent tokens cannot
+    /// be taken back.
     pub(super) fn finish_attempt(
         &mut self,
         request_id: RequestId,
@@ -319,20 +322,20 @@
             _ if has_stream => self.answer(request_id, v1::Answer::Failed, 0.0, reason, outputs),
             _ => {}
         }
-        // The prefill may have ended at its engine although the message about it was lost, and its KV state would
-        // stay pinned there. The state is therefore released.
+        // The prefill may have ended at its engine although the message about its end was lost. Its KV state would
+        // then stay pinned there, so the state is released.
         let held = self
             .current_prefill_state(request_id)
             .filter(|_| matches!(outcome, Outcome::ConnectionLost | Outcome::Failed));
         if let Some(held) =
-            held.filter(|_| !fault_injection::is_injected(InjectedFault::BrokenPrefillStateKept))
+            held.filter(|_| !fault_injection::is_injected(InjectedFault::FailedPrefillStateKept))
         {
             self.release_leftover(request_id, held, outputs);
         }
         self.end_attempt(request_id, outcome, 0.0, load);
     }
 
-    /// Cancels an attempt unless its stream has begun.
+    /// Cancels an attempt, unless tokens of it were already sent to the client.
     pub(super) fn cancel_attempt(
         &mut self,
         request_id: RequestId,
@@ -350,7 +353,7 @@
         self.stop_and_end_attempt(request_id, Outcome::Cancelled, outputs);
     }
 
-    /// Ends an attempt that has timed out, unless its stream has begun.
+    /// Ends an attempt that has timed out, unless tokens of it were already sent to the client.
     pub(super) fn time_out_attempt(
         &mut self,
         request_id: RequestId,
@@ -362,14 +365,13 @@
         }
     }
 
-    /// Whether the attempt is the current one of its request and has sent no token.
+    /// Whether the attempt is the current one of its request, and no token of it was sent to the client.
     fn is_awaiting_first_token(&self, request_id: RequestId, attempt_id: AttemptId) -> bool {
         let current = self.current_attempt(request_id);
         current.is_some_and(|attempt| attempt.id == attempt_id && !attempt.first_token_sent)
     }
 
-    /// Stops the current attempt. The attempt ends with `outcome`, or with [`Outcome::NotSent`] if it was never
-    /// sent.
+    /// Stops and ends the current attempt. Its outcome is `outcome`, or [`Outcome::NotSent`] if it was never sent.
     fn stop_and_end_attempt(
         &mut self,
         request_id: RequestId,
@@ -385,7 +387,7 @@
         self.end_attempt(request_id, outcome, 0.0, Load::default());
     }
 
-    /// Reserves a slot at an engine for the decode attempt that follows the current prefill.
+    /// Asks an engine to reserve a slot for the decode attempt that follows the current prefill attempt.
     pub(super) fn reserve(
         &mut self,
         request_id: RequestId,
@@ -401,7 +403,7 @@
             .endpoints
             .engines
             .get(engine)
-            .filter(|r| r.status == EndpointStatus::Ready)
+            .filter(|entry| entry.status == EndpointStatus::Ready)
         else {
             return;
         };
@@ -416,7 +418,7 @@
         }
     }
 
-    /// Ends a stream so that its client resumes the request at another dispatcher.
+    /// Ends the token stream of a request, so that the client resumes the request at another dispatcher.
     pub(super) fn migrate(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if self
             .requests
@@ -436,7 +438,8 @@
     }
 }
 
-/// The event for an attempt that was never sent. `last` is whether no other attempt of the request follows.
+/// Builds the event for the end of an attempt that was never sent. `last` is whether no other attempt of the
+/// request follows.
 fn unsent_attempt_ended(
     request: RequestId,
     attempt: AttemptId,
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -1,11 +1,11 @@
-//! Requests of clients, from their arrival to the final answer.
+//! Handles the messages of clients, and their requests from arrival to the final answer.
 
 use super::*;
 
-/// The time to the deadline that is left to a request whose deadline passed while it was being received.
+/// The time to the deadline of a request whose deadline has already passed when the request is completely received.
 const MIN_TIME_TO_DEADLINE_MS: Ms = 0.001;
 
-/// A field of a client's request with an invalid value.
+/// The error for a field of a client's request that has an invalid value.
 struct InvalidField {
     /// The field's name on the wire.
     field: &'static str,
@@ -39,7 +39,8 @@
         match frame.body {
             Some(Body::Submit(submit)) => self.handle_submit((conn, stream), submit, outputs),
             Some(Body::Cancel(_)) => {
-                // A request that is not open any more was answered in the same turn; nothing is owed.
+                // If the stream has no open request, the final answer was sent just before the cancel arrived, and
+                // the client expects nothing more.
                 if let Some(id) = self.client_streams.get(&(conn, stream)).copied() {
                     self.on_client_gone(id, outputs);
                     self.count_cancel(conn, outputs);
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Answers a readiness check: endpoints are known, and no stop has begun.
+    /// Answers a readiness check of a client, by whether endpoints are known and no stop has begun.
     fn answer_readiness(
         &mut self,
         conn: ClientConnectionId,
@@ -82,7 +83,7 @@
         self.on_client_response_sent(conn);
     }
 
-    /// Accepts a request, or answers it at once.
+    /// Accepts a request, or answers it at once if it is invalid or rejected.
     pub(super) fn handle_submit(
         &mut self,
         client_stream: ClientStream,
@@ -104,8 +105,9 @@
         let arrival = match self.admit(&submit) {
             Ok(arrival) => arrival,
             Err(body) => {
-                if let (Some(service_stats), Body::Final(end)) = (&mut self.service_stats, &*body) {
-                    service_stats.record_answer(end.answer(), false);
+                if let (Some(service_stats), Body::Final(last)) = (&mut self.service_stats, &*body)
+                {
+                    service_stats.record_answer(last.answer(), false);
                 }
                 outputs.push(Output::ToClient {
                     conn,
@@ -131,7 +133,8 @@
         self.events.push(Event::Arrived(arrival));
     }
 
-    /// Inserts the record of a request. `receive_duration` is the time that its reception took, in milliseconds.
+    /// Inserts the record of an accepted request and sets its deadline timer. `receive_duration` is the time that
+    /// its reception took, in milliseconds.
     fn insert_request(
         &mut self,
         client_stream: ClientStream,
@@ -166,16 +169,16 @@
         self.requests.insert(id, request);
     }
 
-    /// Converts a request into the event for `Control`, unless it cannot be accepted.
+    /// Decides whether a request is accepted, and converts it into the event for `Control`.
     ///
     /// # Errors
-    /// The answer for the client: the request is invalid, or a limit or a stop does not allow it.
+    /// The final answer for the client, if the request is invalid, or if a limit or a stop does not allow it.
     fn admit(&self, submit: &v1::Submit) -> Result<Arrival, Box<Body>> {
         let arrival = self
             .arrival_event(submit)
             .map_err(InvalidField::into_answer)?;
-        // Ids of open requests are unique. Two open requests with the same id would share their releases: the release
-        // of one would also end the KV state of the other. The second request is therefore refused.
+        // Two open requests with the same client-assigned id would share their releases: the release of one would
+        // also free the KV state of the other. The second request is therefore refused.
         if submit
             .origin
             .as_ref()
@@ -238,7 +241,7 @@
             time_to_deadline: submit.time_to_deadline_ms,
             answer_hint: None,
             shared: Some(submit.shared_text)
-                .filter(|t| *t != 0)
+                .filter(|shared_text| *shared_text != 0)
                 .map(SharedTextId),
             prompt_tokens: f64::from(submit.prompt_tokens),
             shared_tokens: f64::from(submit.shared_tokens),
@@ -262,7 +265,8 @@
         }
     }
 
-    /// Handles a client that no longer wants a request: no answer is owed, and the request's stream is stopped.
+    /// Handles a client that no longer waits for a request. The client gets no final answer, and a token stream
+    /// that has begun is stopped.
     pub(super) fn on_client_gone(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
@@ -272,7 +276,7 @@
         self.events.push(Event::ClientGone {
             request: request_id,
         });
-        // A stream without a reader is stopped here. `Control` cancels attempts without a stream.
+        // A token stream without a reader is stopped here. `Control` cancels an attempt whose stream has not begun.
         if request.has_stream() {
             self.stop_attempt(request_id, outputs);
             self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
@@ -280,7 +284,7 @@
         self.forget_finished(request_id);
     }
 
-    /// Rejects a request if a retry is safe; fails it otherwise. `retry_after` is in milliseconds.
+    /// Answers a request as rejected if a retry is safe, and as failed otherwise. `retry_after` is in milliseconds.
     pub(super) fn reject(
         &mut self,
         request_id: RequestId,
@@ -297,7 +301,7 @@
         self.answer(request_id, answer, retry_after_ms, reason, outputs);
     }
 
-    /// Answers that a request has failed. A failure does not tell the client whether the request has run.
+    /// Answers a request as failed, which does not tell the client whether the request has run.
     pub(super) fn fail(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let answer = if fault_injection::is_injected(InjectedFault::FailureAsRejection) {
             v1::Answer::Rejected
@@ -307,8 +311,8 @@
         self.answer(request_id, answer, 0.0, "no answer in time", outputs)
     }
 
-    /// Sends the final answer of a request, unless one was sent. `retry_after_ms` is the time after which the
-    /// client may retry; 0 gives no hint.
+    /// Sends the final answer of a request, unless it was sent before. `retry_after_ms` is the time after which the
+    /// client may retry; with 0 the client is told no time.
     pub(super) fn answer(
         &mut self,
         request_id: RequestId,
@@ -326,9 +330,9 @@
         };
         request.answered = true;
         if let Some(service_stats) = &mut self.service_stats {
-            let late = request.first_token_late
+            let is_late = request.first_token_late
                 || !request.has_stream() && self.now > request.first_token_due_at;
-            service_stats.record_answer(answer, late);
+            service_stats.record_answer(answer, is_late);
         }
         // No further attempt needs the prompt; dropping it frees memory.
         request.submit.prompt = Default::default();
@@ -352,7 +356,8 @@
         self.forget_finished(request_id);
     }
 
-    /// Drops the record of a request that has its final answer, no current attempt and no available KV state.
+    /// Drops the record of a request that expects no final answer and has no current attempt and no available KV
+    /// state.
     pub(super) fn forget_finished(&mut self, request_id: RequestId) {
         let is_finished = self
             .requests
@@ -367,8 +372,8 @@
         }
     }
 
-    /// Fails a request that has neither an answer nor a stream at its deadline, whatever the reason: without this
-    /// its client would wait forever.
+    /// Fails a request that has neither an answer nor a token stream at its deadline, whatever the reason. Without
+    /// this, its client would wait forever.
     pub(super) fn on_deadline(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&request_id) else {
             return;
@@ -377,7 +382,7 @@
             return;
         }
         let text = format!(
-            "request {} has no answer at its deadline; answering that it failed",
+            "request {} has no answer at its deadline; sending a failed answer",
             request_id.0
         );
         outputs.push(Output::log(Level::Warn, text));
@@ -389,7 +394,10 @@
     }
 }
 
-/// Checks the deadline and the token counts of a request.
+/// Checks the time to the deadline and the token counts of a request.
+///
+/// # Errors
+/// The first field with an invalid value.
 fn check_amounts(submit: &v1::Submit) -> Result<(), InvalidField> {
     let time_to_deadline = submit.time_to_deadline_ms;
     if !time_to_deadline.is_finite() || time_to_deadline <= 0.0 {
--- a/crates/dispatcher/src/state/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -1,5 +1,5 @@
-//! Client connections, and the actions that [`MultiplexedConnection`] and [`Http1Connection`] decide on for
-//! them.
+//! The records of client connections. [`MultiplexedConnection`] and [`Http1Connection`] decide when a connection is
+//! pinged, drained or closed; this module carries out their decisions.
 
 use super::timers::{TimerKind, Timers};
 use super::*;
@@ -20,7 +20,7 @@
 }
 
 impl ClientConnection {
-    /// When the next action for the connection is due, in milliseconds.
+    /// When the next action on the connection is due, in milliseconds.
     fn next_due_at(&self, settings: &MultiplexedSettings, limits: &Limits) -> Ms {
         let http1_at = self
             .http1
@@ -43,7 +43,8 @@
         self.all.remove(&conn);
     }
 
-    pub fn all(&self) -> impl Iterator<Item = ClientConnectionId> + '_ {
+    /// The ids of all client connections.
+    pub fn ids(&self) -> impl Iterator<Item = ClientConnectionId> + '_ {
         self.all.keys().copied()
     }
 
@@ -51,7 +52,7 @@
         self.all.get_mut(&conn)?.http1.as_mut()
     }
 
-    /// The connection to close when the connection limit is reached; `None` if all are busy.
+    /// The connection to close when the maximum number of connections is reached; `None` if all are busy.
     fn connection_to_evict(&self) -> Option<ClientConnectionId> {
         let connections = self
             .all
@@ -60,8 +61,8 @@
         http1::connection_to_evict(connections)
     }
 
-    /// Sets the timer for the next action that is due, unless an earlier timer is set: that one sets the next
-    /// when it fires.
+    /// Sets the timer for the next action on the connection. If an earlier timer is set, this does nothing, because
+    /// the next timer is set when the earlier one fires.
     fn set_timer(
         &mut self,
         conn: ClientConnectionId,
@@ -81,7 +82,8 @@
 }
 
 impl Dispatcher {
-    /// Handles a client that has connected. During the stop the client is asked to leave at once.
+    /// Handles a client that has connected. If a stop already rejects new requests, the client is asked at once to
+    /// start none.
     pub(super) fn on_client_connected(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         let settings = self.settings.multiplexed_settings();
         let is_http1 = self.settings.limits.http1.is_some();
@@ -110,20 +112,21 @@
         }
     }
 
-    /// Records that the first part of a request was received.
+    /// Records that the first part of a request was received, from which the timeout for receiving the rest is
+    /// counted.
     pub(super) fn on_client_request_begun(&mut self, conn: ClientConnectionId) {
         self.update_http1(conn, Http1Connection::request_begun);
     }
 
-    /// Records that a request was received completely. Returns how long ago its first part arrived, in
-    /// milliseconds.
+    /// Records that a request was received completely. Returns how long its reception took, in milliseconds; 0 if
+    /// the connection is multiplexed.
     pub(super) fn on_client_request_received(&mut self, conn: ClientConnectionId) -> Ms {
         self.client_connections
             .http1_mut(conn)
             .map_or(0.0, |http1| http1.request_received(self.now))
     }
 
-    /// Records that the answer to a request was sent.
+    /// Records that the answer to a request was sent, so that the connection may be idle from now on.
     pub(super) fn on_client_response_sent(&mut self, conn: ClientConnectionId) {
         self.update_http1(conn, Http1Connection::response_sent);
     }
@@ -156,7 +159,8 @@
 
     fn close_http1(conn: ClientConnectionId, reason: http1::CloseReason, out: &mut Vec<Output>) {
         match reason {
-            // A drain is used instead of a close, so that a request sent at the same moment is still answered.
+            // An idle connection is drained instead of closed, so that a request that is sent at the same moment is
+            // still answered.
             http1::CloseReason::Idle => out.push(Output::DrainClient { conn }),
             http1::CloseReason::SlowRequest => {
                 let reason = "request not received in time".to_owned();
@@ -165,7 +169,8 @@
         }
     }
 
-    /// Counts a cancelled request against the client's cancellation limit.
+    /// Counts a cancelled request against the cancellation limit of the client connection, which is closed if it
+    /// exceeds the limit.
     pub(super) fn count_cancel(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         let settings = self.settings.multiplexed_settings();
         if let Some(connection) = self.client_connections.all.get_mut(&conn) {
@@ -176,7 +181,7 @@
         }
     }
 
-    /// Carries out the actions that are due for a client connection.
+    /// Carries out the actions that are due for a client connection: a ping, a drain or a close.
     pub(super) fn run_client_connection(
         &mut self,
         conn: ClientConnectionId,
--- a/crates/dispatcher/src/state/connection_events.rs
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -1,15 +1,16 @@
-//! Events of engine connections: established, due commands, lost, closed.
+//! Handles the events of engine connections: a connection is established, lost or closed, or an action on it is
+//! due.
 
 use super::kv_states::ReleaseCall;
 use super::stream_purpose::StreamPurpose;
 use super::*;
 use cindercleat::connection_pool::{CloseReason, PoolCommand};
 
-/// The minimum time that an attempt gives its engine. An engine reads 0 as no time limit given.
+/// The minimum time limit in the message of an attempt. An engine treats a limit of 0 as no time limit.
 const MIN_ENGINE_WAIT_MS: Ms = 1.0;
 
 impl Dispatcher {
-    /// Handles a connection that is established: its queued messages are sent. `limit` is the number of
+    /// Handles a connection that is now established: the messages queued for it are sent. `limit` is the number of
     /// concurrent streams that the engine allows on it.
     pub(super) fn on_connection_established(
         &mut self,
@@ -30,8 +31,8 @@
         );
         self.connections
             .mark_established(connection_id, limit, self.now, &mut self.timers);
-        // The engine may have begun to drain while the connection was being established, and must not get an attempt
-        // then. A queued attempt is not sent, so it is known not to have run.
+        // The engine may have begun to drain while the connection was being established. It must then get no
+        // attempt. Attempts that are still queued are not sent, so they are known not to have run.
         let accepts_attempts = self.endpoints.status(&engine) == EndpointStatus::Ready
             || fault_injection::is_injected(InjectedFault::DrainSeenLate);
         self.send_engine_releases(&engine, outputs);
@@ -58,7 +59,8 @@
             Some(StreamPurpose::Release(call)) => {
                 self.begin_queued_release(connection_id, stream, &call)
             }
-            // An attempt is not sent either if its client has gone: nobody waits for it.
+            // An attempt is also not sent if its request is answered or its client has gone, because nobody waits
+            // for it.
             Some(StreamPurpose::Attempt(request, _))
                 if !accepts_attempts || self.is_answered(request) =>
             {
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Starts a release that was queued for its connection, unless nothing is left to release or the request
-    /// needs the KV state. Returns whether the release is sent.
+    /// Starts a release that was queued for its connection, unless the KV state is already released or the request
+    /// still needs it. Returns whether the release is sent.
     pub(super) fn begin_queued_release(
         &mut self,
         connection_id: EngineConnectionId,
@@ -110,7 +112,8 @@
         is_sent
     }
 
-    /// Updates the time limit in the message of an attempt that was queued for its connection.
+    /// Reduces the time limit in the message of an attempt by the time that the message was queued for its
+    /// connection.
     pub(super) fn update_time_left(&self, request: RequestId, body: &mut Body) {
         let Some(attempt) = self.current_attempt(request) else {
             return;
@@ -130,7 +133,7 @@
             .is_some_and(|request| request.answered)
     }
 
-    /// Ends a stream. Returns its purpose if it was open.
+    /// Removes a stream that has ended. Returns its purpose if it was open.
     pub(super) fn close_stream(
         &mut self,
         connection_id: EngineConnectionId,
@@ -149,14 +152,17 @@
         }
     }
 
-    /// Carries out the commands that are due for an engine's connections.
+    /// Carries out the commands of an engine's connection pool that are due.
     pub(super) fn run_connection_pool(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         let entry = self.endpoints.engines.get(engine);
-        let ready = entry.is_some_and(|r| r.status == EndpointStatus::Ready);
+        let is_in_service = entry.is_some_and(|entry| entry.status == EndpointStatus::Ready);
         let address = entry
-            .map(|r| r.endpoint.address.clone())
+            .map(|entry| entry.endpoint.address.clone())
             .unwrap_or_default();
-        for command in self.connections.due_commands(engine, self.now, ready) {
+        for command in self
+            .connections
+            .due_commands(engine, self.now, is_in_service)
+        {
             match command {
                 PoolCommand::Connect => {
                     let effects = (&mut self.timers, &mut *outputs);
@@ -200,8 +206,8 @@
         }
     }
 
-    /// Handles a connection that has ended. If it was established, attempts on it may have run; if it never was,
-    /// nothing was sent.
+    /// Handles a connection that has ended. If it was established, the attempts on it may have run. If it was not,
+    /// nothing was sent on it.
     pub(super) fn on_connection_closed(
         &mut self,
         connection_id: EngineConnectionId,
@@ -218,7 +224,7 @@
             true => Outcome::ConnectionLost,
             false => Outcome::Unreachable,
         };
-        // Abandoned streams have no effect when they end, so they are not counted.
+        // The end of an abandoned stream has no effect, so abandoned streams are not counted.
         let streams = connection
             .streams
             .values()
@@ -238,7 +244,7 @@
         self.forget_gone_engine(&connection.engine);
     }
 
-    /// Ends the call whose connection has ended.
+    /// Ends the call that a stream carried, after the connection of the stream has ended.
     fn end_lost_stream(
         &mut self,
         engine: &EngineId,
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -13,7 +13,7 @@
 use cindercleat_protocol::{frame, Body};
 use std::collections::BTreeMap;
 
-/// One connection to an engine. It exists from the dial on.
+/// One connection to an engine. The record is created when the engine is dialled.
 #[derive(Debug)]
 pub(super) struct EngineConnection {
     pub engine: EngineId,
@@ -32,14 +32,14 @@
 }
 
 impl EngineConnection {
-    /// The number of streams opened on the connection so far.
+    /// The number of streams that were opened on the connection so far, including closed ones.
     pub fn opened_streams(&self) -> u64 {
         self.next_stream - 1
     }
 }
 
-/// The evidence that an engine is alive, from all of its connections. Instants are in milliseconds; negative
-/// infinity stands for never.
+/// The evidence that an engine is alive, collected from all of its connections. Instants are in milliseconds;
+/// negative infinity stands for never.
 #[derive(Clone, Copy, Debug)]
 struct Liveness {
     /// When the engine last sent a message.
@@ -72,7 +72,7 @@
     last_id: u64,
     pools: BTreeMap<EngineId, ConnectionPool>,
     liveness: BTreeMap<EngineId, Liveness>,
-    /// When the timer of an engine's connections fires; engines without a timer are absent.
+    /// When the connection timer of an engine fires. Engines without a timer are absent.
     timer_due_at: BTreeMap<EngineId, Ms>,
     seed: u64,
 }
@@ -145,8 +145,8 @@
         let seed = self.seed ^ self.pools.len() as u64;
         let new_pool = || ConnectionPool::new(settings.pool_settings(), seed);
         let pool = self.pools.entry(engine.clone()).or_insert_with(new_pool);
-        // The engine has moved to another address: open streams end on the old connections, and new streams use the
-        // new address.
+        // If the engine has moved to another address, open streams finish on the old connections, and new streams
+        // use the new address.
         at_old_address
             .iter()
             .for_each(|id| pool.going_away(ConnectionId(id.0)));
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Closes the connection that has been idle longest, whichever engine it belongs to. Returns whether there
-    /// was one.
+    /// Closes the connection that has been idle longest, whichever engine it leads to. Returns whether there was an
+    /// idle connection.
     fn evict_idle_connection(&mut self, now: Ms, out: &mut Vec<Output>) -> bool {
         let idle = self
             .all
@@ -187,8 +187,8 @@
         longest_idle.is_some()
     }
 
-    /// Sets the timer for the next action on an engine's connections, unless an earlier timer is set: that one
-    /// sets the next when it fires.
+    /// Sets the timer for the next action on an engine's connections. If an earlier timer is set, this does
+    /// nothing, because the next timer is set when the earlier one fires.
     pub fn schedule_timer(&mut self, engine: &EngineId, timers: &mut Timers) {
         let Some(at) = self.pools.get(engine).and_then(ConnectionPool::next_due_at) else {
             return;
@@ -203,8 +203,8 @@
         }
     }
 
-    /// The commands that are due for an engine's connections. `accepts_requests` is whether the engine is in
-    /// service.
+    /// The commands of the engine's connection pool that are due, such as to dial, ping or close.
+    /// `accepts_requests` is whether the engine is in service.
     pub fn due_commands(
         &mut self,
         engine: &EngineId,
@@ -238,7 +238,7 @@
         self.schedule_timer(&engine, timers);
     }
 
-    /// Marks the connection as draining: it gets no new streams.
+    /// Marks the connection as draining, so that no new streams are opened on it.
     pub fn mark_draining(&mut self, id: EngineConnectionId, timers: &mut Timers) {
         let Some(engine) = self
             .all
@@ -253,8 +253,9 @@
         self.schedule_timer(&engine, timers);
     }
 
-    /// Opens a stream on a connection without checking its limits: the caller has reserved the place, or the
-    /// stream ends something and must not wait for capacity. Returns `None` if the connection has ended.
+    /// Opens a stream on a connection without checking the limits of the connection. The caller has either chosen a
+    /// connection with capacity, or opens the stream for a release, which must not wait for capacity. Returns
+    /// `None` if the connection has ended.
     pub fn open_stream_on(
         &mut self,
         id: EngineConnectionId,
@@ -275,7 +276,8 @@
         Some(stream)
     }
 
-    /// Records that a message was received over the connection.
+    /// Records the time of the last message on the connection, from which the keepalive interval and the stall
+    /// timeout of the connection are counted.
     pub fn message_received(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get_mut(&id) else {
             return;
@@ -293,8 +295,10 @@
             .map_or(f64::NEG_INFINITY, |liveness| liveness.last_received_at)
     }
 
-    /// Records a message from the engine itself. It proves that the engine ran after the last stream was opened,
-    /// and within [`RECEIVED_LATE`] before now.
+    /// Records the latest instant at which the engine is known to have run, when a message that the engine itself
+    /// has sent is received. The message proves that the engine ran after the last stream was opened on the
+    /// connection. It also proves that the engine ran at most [`RECEIVED_LATE`] ago, because a message may be
+    /// delayed by that much in transit.
     pub fn record_response(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get(&id) else {
             return;
@@ -311,8 +315,8 @@
         }
     }
 
-    /// Records a message that belongs to the answer of an attempt, which proves that the engine works on
-    /// attempts.
+    /// Records the latest instant at which the engine is known to have worked on an attempt, when a message of an
+    /// attempt's answer is received. The instant is derived as in [`Self::record_response`].
     pub fn record_attempt_progress(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get(&id) else {
             return;
@@ -335,7 +339,7 @@
         self.ran_at(engine) >= instant
     }
 
-    /// Records that a call to the engine was given up without an answer.
+    /// Records that a call to the engine was given up without an answer, which makes the engine suspected.
     pub fn record_unanswered_call(&mut self, engine: &EngineId, now: Ms) {
         self.liveness
             .entry(engine.clone())
@@ -350,7 +354,8 @@
             .is_some_and(|liveness| liveness.unanswered_at > liveness.last_received_at)
     }
 
-    /// Whether the engine is suspected and another release or liveness check is open there.
+    /// Whether the engine is suspected, see [`Self::is_suspected`], and a release or liveness check is still open
+    /// there.
     pub fn is_suspected_with_open_call(&self, engine: &EngineId) -> bool {
         let has_open_call = |id: &EngineConnectionId| {
             let streams = self
@@ -381,15 +386,15 @@
             .map_or(f64::NEG_INFINITY, |liveness| liveness.ran_at)
     }
 
-    /// Ends the connect backoff: the engine's process is new, and failed connects to the old process say nothing
-    /// about it.
+    /// Ends the connect backoff of an engine whose process is new, because failed connects to the old process say
+    /// nothing about the new one.
     pub fn reset_backoff(&mut self, engine: &EngineId) {
         if let Some(pool) = self.pools.get_mut(engine) {
             pool.reset_backoff();
         }
     }
 
-    /// Dials an engine, as its connection pool has requested.
+    /// Dials an engine, because its connection pool wants another connection. Returns the id of the new connection.
     pub fn dial(
         &mut self,
         engine: &EngineId,
@@ -425,7 +430,8 @@
         id
     }
 
-    /// The number of releases that were sent to the engine that holds the KV state and are not answered.
+    /// The number of releases that were sent directly to the engine that holds the KV state and are not yet
+    /// answered.
     pub fn open_engine_release_count(&self) -> usize {
         let all = self
             .all
@@ -435,8 +441,8 @@
             .count()
     }
 
-    /// An established connection to the engine that accepts new streams. With `idle_only`, only a connection
-    /// without open streams is returned.
+    /// An established connection to the engine that accepts new streams, if there is one. With `idle_only`, only a
+    /// connection without open streams is returned.
     pub fn accepting_connection(
         &self,
         engine: &EngineId,
@@ -495,8 +501,8 @@
         }
     }
 
-    /// Removes the queued messages of a stream. Returns whether nothing of the stream was sent. The result is
-    /// also `true` if the connection has ended: its end has ended all of its streams, so nothing more can be
+    /// Removes the queued messages of a stream. Returns whether nothing of the stream was sent. The result is also
+    /// `true` if the connection has ended, because its streams have ended with it and nothing more of them can be
     /// sent.
     pub fn withdraw_unsent(&mut self, id: EngineConnectionId, stream: StreamId) -> bool {
         let Some(connection) = self.all.get_mut(&id) else {
@@ -509,7 +515,8 @@
         connection.unsent_messages.len() < length_before
     }
 
-    /// Ends a stream, which may leave the connection idle. Returns the purpose of the stream if it was open.
+    /// Removes a stream that has ended, which may leave the connection idle. Returns the purpose of the stream if
+    /// it was open.
     pub fn close_stream(
         &mut self,
         id: EngineConnectionId,
@@ -527,7 +534,8 @@
         Some(purpose)
     }
 
-    /// Drops the pool and the liveness record of an engine if it has no connections. Returns whether it has none.
+    /// Drops the connection pool and the liveness record of an engine if the engine has no connections. Returns
+    /// whether they were dropped.
     pub fn forget(&mut self, engine: &EngineId) -> bool {
         let has_no_connections = !self.by_engine.contains_key(engine);
         if has_no_connections {
@@ -545,7 +553,7 @@
             .is_some_and(|connection| connection.is_established && connection.streams.is_empty())
     }
 
-    /// Removes a connection that has ended or could not be established.
+    /// Removes and returns the record of a connection that has ended or could not be established.
     pub fn remove(&mut self, id: EngineConnectionId, now: Ms) -> Option<EngineConnection> {
         let connection = self.all.remove(&id)?;
         if let Some(pool) = self.pools.get_mut(&connection.engine) {
--- a/crates/dispatcher/src/state/delivery.rs
+++ b/crates/dispatcher/src/state/delivery.rs
@@ -1,20 +1,20 @@
-//! Checks whether an attempt has reached its engine, which is the case if the engine has run since the
-//! attempt was sent.
+//! Checks whether an attempt has reached its engine. It counts as having reached the engine once the engine is
+//! known to have run after the attempt was sent.
 //!
-//! Bytes that were written to a socket prove nothing. The answer to a call that began after the attempt was
-//! sent is a proof, on any connection of the engine. So is any message that arrives so long after the attempt
-//! was sent that it cannot have been in transit before.
+//! Bytes that were written to a socket prove nothing. The answer to a call that began after the attempt was sent is
+//! a proof, on any connection of the engine. Any other message is a proof if it arrives so long after the attempt
+//! was sent that the engine cannot have sent it before.
 
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// An engine must answer a liveness check within the KV state timeout divided by this. After that the
+/// An engine must answer a liveness check within the KV state timeout divided by this. If it does not, the
 /// connection is closed, and the next check uses another connection.
 const LIVENESS_TIMEOUT_DIVISOR: f64 = 4.0;
 
 impl Dispatcher {
-    /// Checks whether an attempt has reached its engine, at the request of `Control`. The result is an
-    /// [`Event::Delivered`], at once or when the engine is known to have run.
+    /// Checks whether an attempt has reached its engine, at the request of `Control`. The result is reported as
+    /// [`Event::Delivered`], at once or when the engine is known to have run since.
     pub(super) fn confirm_delivery(
         &mut self,
         request_id: RequestId,
@@ -32,10 +32,12 @@
             return;
         };
         // An attempt that is queued for its connection was not sent; the connect timeout limits that wait.
-        let Some(sent) = attempt.sent_at else { return };
+        let Some(sent_at) = attempt.sent_at else {
+            return;
+        };
         let engine = attempt.engine.clone();
         attempt.confirmation_requested = true;
-        if self.connections.has_run_since(&engine, sent) {
+        if self.connections.has_run_since(&engine, sent_at) {
             self.report_delivery(request_id);
         } else {
             self.delivery_unconfirmed.insert(request_id);
@@ -67,7 +69,7 @@
     pub(super) fn has_arrived(&self, attempt: &requests::Attempt) -> bool {
         attempt
             .sent_at
-            .is_some_and(|sent| self.connections.has_run_since(&attempt.engine, sent))
+            .is_some_and(|sent_at| self.connections.has_run_since(&attempt.engine, sent_at))
     }
 
     fn report_delivery(&mut self, request: RequestId) {
@@ -81,8 +83,9 @@
         });
     }
 
-    /// Sends an engine a call that every engine answers at once and at little cost: the release of a request that
-    /// has finished. If no request has finished yet, a health check is sent instead, where the settings allow it.
+    /// Checks whether an engine runs, with a call that every engine answers at once and at little cost: the release
+    /// of a request that has finished. If no request has finished yet, a health check is sent instead, where the
+    /// settings allow it.
     fn check_liveness(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
         let finished_origin = self
             .last_finished_origin
@@ -107,7 +110,7 @@
         }
         let address = entry.endpoint.address.clone();
         let effects = (&mut self.timers, &mut *outputs);
-        // Without a connection there can be no answer.
+        // If no connection can carry the call, there can be no answer.
         let Ok((connection, stream)) = self.connections.open(
             engine,
             &address,
@@ -134,8 +137,8 @@
         );
     }
 
-    /// Describes the current attempt and why its delivery is uncertain, for the log. Returns `None` if the
-    /// attempt's stream has begun or there is no attempt.
+    /// Describes for the log why the delivery of the current attempt is uncertain, and the attempt itself. Returns
+    /// `None` if the token stream has begun or there is no current attempt.
     pub(super) fn undelivered_attempt(
         &self,
         request_id: RequestId,
@@ -159,7 +162,7 @@
         };
         let text = format!(
             "id={} attempt={} engine={} sent {}, on a connection dialled {} \
-             with {} streams opened; last message from the engine {}, last known to have run {}",
+             with {} streams opened so far; last message from the engine {}, last known to have run {}",
             request.origin(),
             attempt.id.0,
             attempt.engine.0,
--- a/crates/dispatcher/src/state/endpoint_updates.rs
+++ b/crates/dispatcher/src/state/endpoint_updates.rs
@@ -3,21 +3,22 @@
 use super::*;
 
 impl Dispatcher {
-    /// Applies an endpoint update. `cached` is the kind of the update if it does not come from discovery.
+    /// Applies an endpoint update. `cached_kind` is [`EndpointUpdateKind::Cached`] if the list comes from the
+    /// endpoint cache, and `None` if it comes from discovery.
     pub(super) fn update_endpoints(
         &mut self,
         list: &v1::EndpointList,
-        cached: Option<EndpointUpdateKind>,
+        cached_kind: Option<EndpointUpdateKind>,
         outputs: &mut Vec<Output>,
     ) {
-        let altered = fault_injection::apply_list_faults(list);
-        let list = altered.as_ref().unwrap_or(list);
+        let faulty_list = fault_injection::apply_list_faults(list);
+        let list = faulty_list.as_ref().unwrap_or(list);
         let (kind, endpoints, problems) = self.endpoints.apply_update(list, &self.settings);
         outputs.extend(problems.into_iter().map(|text| Output::Log {
             level: Level::Warn,
             text,
         }));
-        if self.caches_endpoints && cached.is_none() && !list.endpoints.is_empty() {
+        if self.caches_endpoints && cached_kind.is_none() && !list.endpoints.is_empty() {
             outputs.push(Output::CacheEndpoints(self.endpoints.snapshot()));
         }
         for entry in endpoints
@@ -30,7 +31,7 @@
             self.connections.reset_backoff(&entry.engine);
         }
         self.events.push(Event::EndpointsUpdated {
-            kind: cached.unwrap_or(kind),
+            kind: cached_kind.unwrap_or(kind),
             endpoints,
         });
         for engine in self.endpoints.gone_engines() {
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Drops the record of an engine that is gone, once no connection to it is left. Without this, memory would
-    /// grow in a fleet whose engines are constantly replaced. An unknown engine counts as gone.
+    /// Drops the record of an engine that is gone, once no connection to it is left. Otherwise memory would grow
+    /// without bound in a fleet whose engines are constantly replaced. An unknown engine counts as gone.
     pub(super) fn forget_gone_engine(&mut self, engine: &EngineId) {
         if self.endpoints.status(engine) == EndpointStatus::Gone && self.connections.forget(engine)
         {
--- a/crates/dispatcher/src/state/endpoints.rs
+++ b/crates/dispatcher/src/state/endpoints.rs
@@ -1,5 +1,5 @@
-//! The table of engines from the endpoint list, and the ids of zones, kinds and cells that the routing logic
-//! uses.
+//! The table of the engines in the endpoint list, and the conversion of zone, kind and cell names to the ids that
+//! the routing logic uses.
 
 use crate::settings::ProgramSettings;
 use cindercleat::interface::*;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The record of one engine.
+/// What the dispatcher knows about one engine from the endpoint list.
 #[derive(Clone, Debug)]
 pub(super) struct EngineEntry {
     /// The engine's newest entry in the endpoint list.
@@ -16,7 +16,7 @@
     pub role: Role,
 }
 
-/// Why an entry of the endpoint list is not used.
+/// Why an entry of the endpoint list is ignored.
 #[derive(Debug, thiserror::Error)]
 enum EndpointError {
     #[error("name or address is missing")]
@@ -29,7 +29,7 @@
     MissingStatus,
 }
 
-/// The weight of an engine whose entry has no valid weight.
+/// The weight of an engine whose entry in the endpoint list has no valid weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// All engines in the endpoint list, and engines that have left it but still have open connections.
@@ -42,8 +42,8 @@
 }
 
 impl Endpoints {
-    /// Applies an update. Returns its kind, the valid endpoints, and for each entry that is not used a log text
-    /// with the reason.
+    /// Applies an update. Returns the kind of the update, the valid endpoints, and a log text with the reason for
+    /// each entry that is ignored.
     pub fn apply_update(
         &mut self,
         list: &v1::EndpointList,
@@ -69,9 +69,9 @@
         (kind, endpoints, problems)
     }
 
-    /// Marks engines that a snapshot does not list as gone. An engine whose entry is invalid keeps its record, so
-    /// that its attempts can end. The routing logic receives only valid entries and sends such an engine nothing
-    /// new.
+    /// Marks the engines that a snapshot does not list as gone. An engine that is listed with an invalid entry
+    /// keeps its record, so that its attempts can end. The routing logic receives only valid entries, so it starts
+    /// no new attempts at such an engine.
     fn mark_unlisted_gone(&mut self, snapshot: &v1::EndpointList) {
         let listed: BTreeSet<&str> = snapshot
             .endpoints
@@ -163,13 +163,14 @@
     }
 }
 
-/// The index of a name in the settings, which is its id for the routing logic.
+/// The index of a name in the settings. The routing logic uses it as the id of the zone or kind.
 ///
 /// # Errors
-/// The settings do not contain the name; `what` says which kind of name it is.
+/// The settings do not contain the name. `what` is the word for it in the error message, such as "zone".
 fn index_of_name(names: &[String], name: &str, what: &'static str) -> Result<u32, EndpointError> {
-    let at = names.iter().position(|known| known == name);
-    at.map(|at| at as u32)
+    let index = names.iter().position(|known| known == name);
+    index
+        .map(|index| index as u32)
         .ok_or_else(|| EndpointError::UnknownName {
             what,
             name: name.to_owned(),
@@ -195,7 +196,7 @@
     }
 }
 
-/// The start time of an endpoint, in milliseconds. A value that is not a finite number counts as absent, as
+/// The start time of an endpoint, in milliseconds. A value that is not a finite number counts as absent, because
 /// comparisons with it would be meaningless.
 fn valid_start_time(endpoint: &v1::Endpoint) -> Option<Ms> {
     endpoint.started_ms.filter(|at| at.is_finite())
--- a/crates/dispatcher/src/state/engine_messages.rs
+++ b/crates/dispatcher/src/state/engine_messages.rs
@@ -1,15 +1,16 @@
-//! Handles messages from engines by the purpose of their stream.
+//! Handles messages from engines, according to the purpose of the stream that carries them.
 
 use super::engine_requests::reported_load;
 use super::kv_states::{HeldState, ReleaseCall};
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// A message that is not allowed on its stream, or that breaks the order or the credit of a token stream.
+/// The error for a message that is not allowed on its stream, or that violates the order or the credit of a token
+/// stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProtocolViolation;
 
-/// The connection, stream and engine that a message came from.
+/// The engine that has sent a message, and the connection and stream that carried the message.
 struct EngineStream {
     connection: EngineConnectionId,
     stream: StreamId,
@@ -19,9 +20,9 @@
 impl Dispatcher {
     /// Handles a message from an engine.
     ///
-    /// If the message is not allowed on its stream, the engine violates the protocol, and no later message on
-    /// this connection can be trusted. The connection is closed. Every attempt on it ends as one that may have
-    /// run, so nothing is repeated that must not run twice.
+    /// If the message is not allowed on its stream, the engine violates the protocol, and no later message on this
+    /// connection can be trusted. The connection is closed. Every attempt on it ends as one that may have run, so
+    /// no request is repeated that must not run twice.
     pub(super) fn handle_engine_message(
         &mut self,
         connection_id: EngineConnectionId,
@@ -30,7 +31,7 @@
     ) {
         let stream = StreamId(frame.stream);
         self.connections.message_received(connection_id, self.now);
-        // Messages that arrive after this side has closed the connection are ignored.
+        // Messages that arrive after the dispatcher has closed the connection are ignored.
         let Some(connection) = self.connections.get(connection_id) else {
             return;
         };
@@ -41,14 +42,14 @@
             engine: connection.engine.clone(),
         };
         self.record_liveness(&source, purpose.as_ref(), frame.body.as_ref());
-        let name = name_of(frame.body.as_ref());
+        let body_name = name_of(frame.body.as_ref());
         let result = match frame.body {
             Some(body) => self.dispatch_message(&source, purpose, body, outputs),
             None => Err(ProtocolViolation),
         };
         if let Err(ProtocolViolation) = result {
             let text = format!(
-                "engine {} sent unexpected {name} on stream {}; closing the connection",
+                "engine {} sent unexpected {body_name} on stream {}; closing the connection",
                 source.engine.0, stream.0
             );
             outputs.push(Output::log(Level::Warn, text));
@@ -56,15 +57,16 @@
         }
     }
 
-    /// Records what a message proves about its engine: that it runs, and that it works on attempts.
+    /// Records what a message proves about its engine: that the engine runs, and possibly that it works on
+    /// attempts.
     fn record_liveness(
         &mut self,
         source: &EngineStream,
         purpose: Option<&StreamPurpose>,
         body: Option<&Body>,
     ) {
-        // This side creates goodbyes for streams and connections that are over, so they prove nothing about the
-        // engine.
+        // The dispatcher's own side creates goodbyes for streams and connections that have ended, so they prove
+        // nothing about the engine.
         if matches!(body, Some(Body::Goodbye(_))) {
             return;
         }
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Handles the end of an attempt's connection. Nothing has run only if the connection ended before the whole
-    /// request was written.
+    /// Handles the end of an attempt's connection. Only if the connection ended before the whole request was
+    /// written is the attempt known not to have run.
     fn handle_attempt_goodbye(
         &mut self,
         source: &EngineStream,
@@ -202,8 +204,8 @@
         Ok(())
     }
 
-    /// Handles the answer to a release. A call that was reset or refused ends alone; other streams of the
-    /// connection continue.
+    /// Handles the answer to a release. If the call was reset or refused, only its own stream ends, and the other
+    /// streams of the connection continue.
     fn handle_release_message(
         &mut self,
         source: &EngineStream,
@@ -260,7 +262,7 @@
         }
     }
 
-    /// Handles a message without an open stream. Only messages about the connection as a whole are allowed.
+    /// Handles a message whose stream is not open. Only messages about the connection as a whole are allowed.
     fn handle_connection_message(
         &mut self,
         source: &EngineStream,
@@ -283,8 +285,8 @@
         Ok(())
     }
 
-    /// Releases the KV state of a prefill that ended after it was cancelled. `Control` does not know of this
-    /// state, and it would stay pinned at its engine.
+    /// Releases the KV state of a prefill that ended after it was cancelled. `Control` does not know of this state,
+    /// which would otherwise stay pinned at its engine.
     pub(super) fn handle_late_end(
         &mut self,
         engine: EngineId,
@@ -335,8 +337,8 @@
             }
             v1::Status::NoState if !is_prefill && !first_token_sent => {
                 self.end_attempt(request_id, Outcome::Overloaded, 1.0, load);
-                // The decode engine could not fetch the KV state, which would stay pinned at its prefill engine. The
-                // state is therefore released.
+                // The decode engine could not fetch the KV state. The state would stay pinned at its prefill
+                // engine, so it is released.
                 if fault_injection::is_injected(InjectedFault::MissingStateKept) {
                     self.kv_states.forget(request_id);
                 } else {
@@ -348,7 +350,8 @@
                 self.finish_attempt(request_id, Outcome::Failed, &ended.reason, load, outputs)
             }
             _ => {
-                // The stream is closed already. The attempt ends like the connection and may have run.
+                // The stream is already closed, so closing the connection does not end the attempt. The attempt
+                // ends here as one that may have run.
                 self.finish_attempt(
                     request_id,
                     Outcome::ConnectionLost,
@@ -363,14 +366,14 @@
     }
 }
 
-/// Whether a message proves that its engine works on attempts. An engine whose attempts hang may still answer
-/// other calls.
+/// Whether a message proves that its engine works on attempts. Answers to other calls prove less, because an engine
+/// whose attempts hang may still answer them.
 fn proves_attempt_progress(purpose: Option<&StreamPurpose>, body: Option<&Body>) -> bool {
-    let done =
+    let is_success =
         |status: v1::Status| matches!(status, v1::Status::PrefillDone | v1::Status::Succeeded);
     match (purpose, body) {
         (Some(StreamPurpose::Attempt(..)), Some(Body::Tokens(_))) => true,
-        (Some(StreamPurpose::Attempt(..)), Some(Body::Ended(ended))) => done(ended.status()),
+        (Some(StreamPurpose::Attempt(..)), Some(Body::Ended(ended))) => is_success(ended.status()),
         _ => false,
     }
 }
--- a/crates/dispatcher/src/state/engine_releases.rs
+++ b/crates/dispatcher/src/state/engine_releases.rs
@@ -1,17 +1,17 @@
-//! Releases of KV states over multiplexed connections, where a state has its own id and is released at the
-//! engine that holds it.
+//! Releases of KV states over multiplexed connections. Such a release names the KV state by its own id, and is sent
+//! to the engine that holds the state.
 //!
-//! A lost release would leave the KV state pinned at its engine. The release is therefore repeated until the
-//! engine has confirmed it, or was unreachable for so long that its own timeout has released the state.
+//! A lost release would leave the KV state pinned at its engine. The release is therefore repeated until the engine
+//! has confirmed it, or has been unreachable for so long that the engine's own timeout has released the state.
 
 use super::kv_states::HeldState;
 use super::stream_purpose::StreamPurpose;
 use super::*;
 
-/// A release is repeated after the KV state timeout divided by this.
+/// An unconfirmed release is sent again after the KV state timeout divided by this.
 const RETRY_INTERVAL_DIVISOR: f64 = 4.0;
-/// An unconfirmed release is repeated for this many KV state timeouts.
-const GIVE_UP_KV_STATE_TIMEOUTS: f64 = 10.0;
+/// An unconfirmed release is given up after this many KV state timeouts.
+const MAX_RELEASE_AGE_KV_STATE_TIMEOUTS: f64 = 10.0;
 
 impl Dispatcher {
     /// Queues the release of a KV state and sends it to the engine that holds the state.
@@ -27,7 +27,7 @@
         self.send_engine_releases(&engine, outputs);
     }
 
-    /// Queues a release again that was not confirmed.
+    /// Queues a release that was not confirmed, so that it is sent again.
     pub(super) fn requeue_engine_release(&mut self, engine: EngineId, release: EngineRelease) {
         self.pending_engine_releases
             .entry(engine.clone())
@@ -42,15 +42,16 @@
             .set(retry_at, TimerKind::EngineReleaseRetry(engine));
     }
 
-    /// Sends the pending releases of an engine over any established connection, or dials one. If the engine's
-    /// process is gone, it holds nothing. An engine that stays unreachable releases its KV states when their
-    /// timeout expires.
+    /// Sends the pending releases for an engine over any established connection, or dials one. If the engine is
+    /// gone, it holds no KV state, and its releases are dropped. An engine that stays unreachable releases its KV
+    /// states when their timeout expires.
     pub(super) fn send_engine_releases(&mut self, engine: &EngineId, outputs: &mut Vec<Output>) {
-        let Some(states) = self.pending_engine_releases.get_mut(engine) else {
+        let Some(releases) = self.pending_engine_releases.get_mut(engine) else {
             return;
         };
-        let oldest = self.now - GIVE_UP_KV_STATE_TIMEOUTS * self.settings.policy.kv_state_timeout;
-        states.retain(|release| release.since >= oldest);
+        let oldest_kept_since =
+            self.now - MAX_RELEASE_AGE_KV_STATE_TIMEOUTS * self.settings.policy.kv_state_timeout;
+        releases.retain(|release| release.since >= oldest_kept_since);
         let entry = self
             .endpoints
             .engines
@@ -63,7 +64,7 @@
                     self.send_engine_release(connection, release, outputs);
                 }
             }
-            (None, Some(entry)) if !states.is_empty() => {
+            (None, Some(entry)) if !releases.is_empty() => {
                 let address = entry.endpoint.address.clone();
                 let effects = (&mut self.timers, outputs);
                 if !self.connections.ensure_connection(
@@ -102,8 +103,8 @@
         self.connections.send(connection, stream, body, outputs);
     }
 
-    /// Schedules the pending releases of an engine for another connection, after one of its connections has
-    /// ended.
+    /// Schedules the pending releases for an engine to be sent on another connection, after one of its connections
+    /// has ended.
     pub(super) fn schedule_engine_releases(&mut self, engine: &EngineId) {
         if self.pending_engine_releases.contains_key(engine) {
             self.schedule_engine_release_retry(engine.clone());
--- a/crates/dispatcher/src/state/engine_requests.rs
+++ b/crates/dispatcher/src/state/engine_requests.rs
@@ -1,9 +1,10 @@
-//! Builds the messages of attempts from a request and the endpoints, and reads the load that engines report.
+//! Builds the messages that start attempts at engines, and converts the load that engines report.
 
 use super::kv_states::HeldState;
 use super::*;
 
-/// The id of the KV state that an attempt creates. `run` is the incarnation of this process.
+/// The id of the KV state that an attempt creates. `run` is the incarnation of this process, which makes the id
+/// unique across restarts.
 pub(super) fn kv_state_id(run: u64, request: RequestId, attempt: AttemptId) -> v1::KvStateId {
     v1::KvStateId {
         run,
@@ -14,9 +15,9 @@
 
 /// Builds the message of an attempt.
 ///
-/// `held` is the KV state that a decode attempt fetches. `state` is the id of the KV state that a prefill
-/// leaves; `None` makes the message a decode. `window` is the initial credit in messages, and `wait_ms` the
-/// time that is left to the attempt.
+/// `held` is the KV state that a decode attempt fetches. `state` is the id of the KV state that a prefill leaves;
+/// `None` makes the message a decode. `window` is the initial credit in token messages. `wait_ms` is the time that
+/// is left until the attempt times out.
 pub(super) fn attempt_message(
     request: &Request,
     held: Option<&HeldState>,
@@ -79,10 +80,10 @@
     })
 }
 
-/// Converts the load that an engine reports. A value that is negative or not a number counts as not reported,
-/// because it would distort averages permanently.
+/// Converts the load that an engine reports. A value that is negative or not finite counts as not reported, because
+/// it would distort averages permanently.
 pub(super) fn reported_load(load: &v1::Load) -> Load {
-    let valid = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
+    let valid = |value: Option<f64>| value.filter(|value| value.is_finite() && *value >= 0.0);
     Load {
         in_flight: valid(load.in_flight),
         queue: valid(load.queue),
--- a/crates/dispatcher/src/state/health_checks.rs
+++ b/crates/dispatcher/src/state/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: a call that asks an engine for its load and shows whether it answers.
+//! Health checks. A health check asks an engine for its load, and shows whether the engine answers.
 
 use super::stream_purpose::StreamPurpose;
 use super::*;
@@ -13,9 +13,16 @@
             .map(|entry| entry.endpoint.address.clone());
         let purpose = StreamPurpose::HealthCheck { sent_at: self.now };
         let effects = (&mut self.timers, &mut *outputs);
-        let opened = address.and_then(|a| {
+        let opened = address.and_then(|address| {
             self.connections
-                .open(&engine, &a, purpose, self.now, &self.settings, effects)
+                .open(
+                    &engine,
+                    &address,
+                    purpose,
+                    self.now,
+                    &self.settings,
+                    effects,
+                )
                 .ok()
         });
         let Some((connection, stream)) = opened else {
--- a/crates/dispatcher/src/state/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariants that hold whatever the routing logic decides. One guard enforces each: it prevents a
-//! violation, counts it and logs it.
+//! The invariants that hold whatever the routing logic decides. Each invariant has a guard that prevents, counts
+//! and logs violations.
 //!
 //! The guards rely on the dispatcher's own record of what was sent and how it ended, not on the state of the
 //! routing logic.
@@ -8,7 +8,7 @@
 use super::*;
 use std::fmt;
 
-/// A condition that holds whatever the routing logic decides.
+/// A condition that must hold whatever the routing logic decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// Attempts are sent only to engines that are in service.
@@ -20,14 +20,15 @@
     /// An attempt starts only for an open request, one at a time, before the deadline, and within the maximum
     /// number of attempts.
     Start,
-    /// A KV state that no attempt has reached is taken or released in time. A release is repeated after the end
-    /// of an attempt that may have kept it from taking effect.
+    /// A KV state that no attempt has reached is taken or released in time. If an attempt may have kept a release
+    /// from taking effect, the release is repeated after the end of the attempt.
     Hold,
 }
 
-/// The platform's protocol allows KV states to be held this much longer than the KV state timeout.
+/// The platform's protocol allows a KV state to be held this much longer than the KV state timeout.
 const HELD_STATE_TOLERANCE_MS: Ms = 300.0;
-/// The guard acts after the tolerance divided by this; the rest is left for the release to reach the engine.
+/// A KV state that is held for too long is released when the tolerance divided by this has passed. The rest of the
+/// tolerance is left for the release to reach the engine.
 const HELD_STATE_TOLERANCE_DIVISOR: f64 = 2.0;
 
 impl fmt::Display for Invariant {
@@ -52,7 +53,7 @@
 }
 
 impl Dispatcher {
-    /// The checks and prevented violations since the process started.
+    /// The numbers of checks and prevented violations since the dispatcher was created.
     pub fn invariant_counts(&self) -> &InvariantCounts {
         &self.invariant_counts
     }
@@ -61,8 +62,8 @@
     /// only prefills, which has no effect outside of the engine.
     ///
     /// An attempt is not allowed for a request that has ended, at an engine that is not in service, or if the
-    /// request may have run and must not run twice. Its effect could otherwise happen twice. The attempt then
-    /// ends as not sent.
+    /// request may have run and must not run twice. Otherwise the effect of the request could happen twice. An
+    /// attempt that is not allowed ends as not sent.
     pub(super) fn may_start_attempt(
         &mut self,
         request_id: RequestId,
@@ -121,7 +122,8 @@
         )
     }
 
-    /// Schedules a check of a request's KV state for the time by which the state must be taken or released.
+    /// Schedules a check of a request's KV state for the instant by which the state must be taken or released.
+    /// Applies to HTTP/1 only.
     pub(super) fn schedule_held_check(&mut self, request_id: RequestId) {
         if self.settings.limits.http1.is_some() && self.kv_states.get(request_id).is_some() {
             self.timers.set(
@@ -136,8 +138,8 @@
             + HELD_STATE_TOLERANCE_MS / HELD_STATE_TOLERANCE_DIVISOR
     }
 
-    /// Releases a KV state that is held for too long, because the routing logic has left it or its release was
-    /// forgotten. Its memory would otherwise stay pinned at the engine.
+    /// Releases a KV state that is held for too long, because the routing logic has neither used nor released it or
+    /// its release was forgotten. Its memory would otherwise stay pinned at the engine.
     pub(super) fn check_held_state(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(state) = self.kv_states.get(request_id) else {
             return;
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Records that the current attempt may have run, if `outcome` leaves that open.
+    /// Records that the current attempt may have run, if `outcome` does not rule that out.
     pub(super) fn record_possible_run(&mut self, request_id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
@@ -236,7 +238,8 @@
         }
     }
 
-    /// Counts a check and logs a violation. Returns whether the invariant holds.
+    /// Counts a check of an invariant, and logs it as a violation unless `holds`. `context` is the engine
+    /// concerned, or another hint for the log. Returns `holds`.
     fn check(
         &mut self,
         invariant: Invariant,
--- a/crates/dispatcher/src/state/io.rs
+++ b/crates/dispatcher/src/state/io.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(pub u64);
 
-/// An event that the driver reports to the dispatcher.
+/// An event that the driver passes to [`Dispatcher::handle`](super::Dispatcher::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A client has sent a message after its greeting.
@@ -35,8 +35,8 @@
         /// The connection that carried the request.
         conn: ClientConnectionId,
     },
-    /// A client waits to be accepted, but the limit of client connections is reached, or the process is out of
-    /// memory or file descriptors.
+    /// A client connection waits to be accepted, but the maximum number of client connections is reached, or the
+    /// process is out of memory or file descriptors. An idle client connection may be closed.
     ClientLimitReached,
     /// A client connection has ended.
     ClientClosed {
@@ -49,7 +49,7 @@
         conn: ClientConnectionId,
         /// The stream of the request on that connection.
         stream: StreamId,
-        /// The number of messages written since the previous such input for the stream.
+        /// The number of token messages written since the previous `MessagesForwarded` of this stream.
         messages: u32,
     },
     /// A dialled connection is established: the engine has greeted with the expected name.
@@ -78,7 +78,8 @@
         /// The message and the stream it belongs to.
         frame: Frame,
     },
-    /// The endpoints that an earlier process has cached. If present, this is the first input.
+    /// The endpoints that an earlier process has cached. The driver passes them, if there are any, as the first
+    /// input.
     CachedEndpoints(v1::EndpointList),
     /// An update of the endpoints from discovery.
     EndpointsUpdated(v1::EndpointList),
@@ -91,14 +92,14 @@
         /// The encoded message, passed to `Control` unchanged.
         bytes: Vec<u8>,
     },
-    /// No event: only timers that are due are run.
+    /// Nothing has happened, but a timer may be due.
     Tick,
     /// Begin the stop: reject new requests after the accept period, and end open requests within the grace
     /// period.
     Stop,
 }
 
-/// An action that the dispatcher asks its driver to take.
+/// An action that the driver must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to a client.
@@ -164,7 +165,7 @@
         /// The text of the line.
         text: String,
     },
-    /// The stop is complete: the process may end.
+    /// The stop is complete, and the process may exit.
     Stopped,
 }
 
--- a/crates/dispatcher/src/state/kv_states.rs
+++ b/crates/dispatcher/src/state/kv_states.rs
@@ -1,87 +1,92 @@
-//! KV states that engines hold, or may hold, for requests. There is one record per request, from the end of
+//! The records of KV states that engines hold, or may hold, for requests. A request has one record, from the end of
 //! its prefill until a decode attempt has taken the state or a release has taken effect.
 //!
-//! Where a release names a request and any engine passes it on, a confirmation alone proves nothing. A
-//! release frees every state 'that no attempt waits for' (docs/acceptance.md, 'Readings'), and an attempt
-//! that this process has closed still waits until its engine learns of the close. The record therefore stays
-//! until a confirmation is conclusive, see [`KvState::is_released_by`].
+//! Over HTTP/1 a release names a request, and may be sent to any engine, which passes it on. Its confirmation alone
+//! proves nothing. A release frees every state 'that no attempt waits for' (docs/acceptance.md, 'Readings'), and an
+//! attempt that this process has closed still waits for its state until the engine learns of the close. The record
+//! is therefore kept until a confirmation proves that the state is released, see [`KvState::is_released_by`].
 
 use super::*;
 
-/// An attempt that was closed without a message from its engine is assumed to have ended there once the
-/// engine has shown that it works and the KV state timeout divided by this has passed. The close and a
-/// release use different connections, so their order is not guaranteed.
-const CLOSE_DELIVERY_DIVISOR: f64 = 4.0;
+/// An attempt that was closed without a message from its engine is assumed to have ended there when the KV state
+/// timeout divided by this has passed since the engine is known to have worked on any attempt after the close. The
+/// close and a release use different connections, so they may arrive in either order.
+const CLOSE_DELIVERY_TIME_DIVISOR: f64 = 4.0;
 
 /// A KV state and the engine that holds it.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct HeldState {
     pub engine: EngineId,
     pub id: v1::KvStateId,
-    /// The client-assigned id of the request, if engines know KV states by it; empty otherwise.
+    /// The client-assigned id of the request, by which an engine finds the KV state of a release over HTTP/1. Empty
+    /// if the client has assigned none or the id is not needed.
     pub origin: String,
 }
 
-/// The step of a KV state. It alternates between `Held` and `Offered` with each decode attempt, until an
-/// attempt takes the state or its release is requested.
+/// The phase in the life of a KV state. It alternates between `Held` and `Offered` with each decode attempt, until
+/// an attempt takes the state or its release is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Step {
+pub(super) enum KvStatePhase {
     /// The engine holds the state, and no current attempt can take it.
     Held,
     /// The given decode attempt was started and may take the state.
     Offered(AttemptId),
-    /// Like `Offered`, but no message of the attempt has arrived; perhaps only its connection is silent. A
-    /// release is pending; it has no effect if the attempt waits for the state.
+    /// Like `Offered`, but no message of the attempt has arrived, possibly because its connection alone has failed.
+    /// A release is pending, which has no effect if the attempt waits for the state.
     OfferedUnconfirmed(AttemptId),
-    /// A release is pending. An attempt that was not known to have reached its engine may still be current.
+    /// A release is pending. The request may still have a current attempt that is not known to have reached its
+    /// engine.
     ReleasePending,
 }
 
-/// An attempt that ended at this side without a message from its engine: it was closed, or its connection was
-/// lost.
+/// An attempt that the dispatcher has ended without a message from the engine about the end. The dispatcher has
+/// closed the attempt, or the connection was lost, so the engine may still be working on it.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct UnacknowledgedEnd {
+pub(super) struct UnacknowledgedAttemptEnd {
     pub engine: EngineId,
+    /// When the attempt ended, in milliseconds.
     pub at: Ms,
-    /// When it first became known that the engine has worked since the end.
-    work_observed_at: Option<Ms>,
+    /// When the dispatcher learned that the engine has worked on any attempt since this end, in milliseconds;
+    /// `None` if it has not learned so.
+    learned_of_work_at: Option<Ms>,
 }
 
-impl UnacknowledgedEnd {
-    /// The instant from which a release cannot overtake the close of the attempt; `None` if not yet known.
+impl UnacknowledgedAttemptEnd {
+    /// The instant from which a new release call cannot reach the engine before the close of the attempt does;
+    /// `None` if the engine is not known to have worked since the end.
     fn release_safe_at(&self, kv_state_timeout: Ms) -> Option<Ms> {
-        self.work_observed_at
-            .map(|known| known + kv_state_timeout / CLOSE_DELIVERY_DIVISOR)
+        self.learned_of_work_at
+            .map(|known_at| known_at + kv_state_timeout / CLOSE_DELIVERY_TIME_DIVISOR)
     }
 }
 
-/// A call that asks an engine to release the KV state of a request.
+/// A call over HTTP/1 that asks an engine to release the KV state of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReleaseCall {
     pub request: RequestId,
     pub begun_at: Ms,
 }
 
-/// The progress of a release. Instants are in milliseconds.
+/// The progress of a release over HTTP/1. Instants are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReleaseProgress {
     /// When the release was requested.
     pub pending_since: Ms,
-    /// Since when no attempt delays the release.
+    /// When the last attempt that delayed the release ended, or when the release was requested.
     pub unblocked_since: Ms,
-    /// The number of calls that are not answered yet.
+    /// The number of release calls that are not answered yet.
     pub open_calls: usize,
-    /// The number of calls that were started in total.
+    /// The total number of release calls that were started.
     pub calls: u32,
-    /// When the last call was started.
+    /// When the last release call was started; negative infinity if there was none.
     pub last_call_at: Ms,
-    /// When the release is continued if no event continues it earlier.
+    /// When the next calls of the release are made, unless an event causes them earlier.
     pub next_check_at: Ms,
-    /// The engines that were called and have not confirmed the release.
+    /// The engines that were called since the last confirmation and have not confirmed the release.
     pub called_engines: Vec<EngineId>,
-    /// The number of inconclusive confirmations since no attempt delays the release.
+    /// The number of confirmations since the last attempt ended. None of them proves that the KV state is released.
     pub confirmations: u32,
-    /// Whether a call of the present round was confirmed.
+    /// Whether an engine has confirmed a call of the current round of release calls.
     pub round_confirmed: bool,
 }
 
@@ -101,47 +106,49 @@
     }
 }
 
-/// The record of one request's KV state.
+/// The record of one request's KV state, and of its release.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct KvState {
     pub held: HeldState,
-    pub step: Step,
+    pub phase: KvStatePhase,
     /// The start of the period within which the state must be taken or released, in milliseconds.
     pub held_since: Ms,
     pub release: ReleaseProgress,
-    /// Whether a cancelled prefill may have left another KV state.
+    /// Whether a cancelled prefill of the same request may have left another KV state, which must be released as
+    /// well.
     may_have_leftover: bool,
-    unacknowledged_ends: Vec<UnacknowledgedEnd>,
+    unacknowledged_attempt_ends: Vec<UnacknowledgedAttemptEnd>,
 }
 
 impl KvState {
-    fn new(held: HeldState, step: Step, now: Ms) -> Self {
+    fn new(held: HeldState, phase: KvStatePhase, now: Ms) -> Self {
         let release = ReleaseProgress::new(now);
         KvState {
             held,
-            step,
+            phase,
             held_since: now,
             release,
             may_have_leftover: false,
-            unacknowledged_ends: Vec::new(),
+            unacknowledged_attempt_ends: Vec::new(),
         }
     }
 
     /// Whether an attempt may take the state.
     pub fn is_available(&self) -> bool {
-        self.step != Step::ReleasePending
+        self.phase != KvStatePhase::ReleasePending
     }
 
     /// Whether a release is pending.
     pub fn is_release_pending(&self) -> bool {
         matches!(
-            self.step,
-            Step::ReleasePending | Step::OfferedUnconfirmed(_)
+            self.phase,
+            KvStatePhase::ReleasePending | KvStatePhase::OfferedUnconfirmed(_)
         )
     }
 
-    /// Whether the confirmation of `call` proves that no KV state is held any more: the call began after every
-    /// attempt of the request had ended and its engine knew of the end. The request must have no current attempt.
+    /// Whether the confirmation of `call` proves that no KV state of the request is held any more. This is so if
+    /// the call began after every attempt of the request had ended and its engine knew of the end. The request must
+    /// have no current attempt.
     pub fn is_released_by(&self, call: &ReleaseCall, kv_state_timeout: Ms) -> bool {
         call.begun_at >= self.release.unblocked_since
             && self
@@ -149,27 +156,29 @@
                 .is_some_and(|at| call.begun_at >= at)
     }
 
-    /// The instant from which confirmations are conclusive; `None` if an engine has not yet shown that it works.
+    /// The instant from which the confirmation of a new release call proves that the KV state is released. `None`
+    /// if an attempt ended without a message from its engine, and the engine is not known to have worked since.
     pub fn conclusive_from(&self, kv_state_timeout: Ms) -> Option<Ms> {
         let safe_instants: Option<Vec<Ms>> = self
-            .unacknowledged_ends
+            .unacknowledged_attempt_ends
             .iter()
             .map(|end| end.release_safe_at(kv_state_timeout))
             .collect();
         safe_instants.map(|instants| instants.into_iter().fold(f64::NEG_INFINITY, f64::max))
     }
 
-    /// The engines where an attempt ended without a message and which have not been seen working since.
-    pub fn engines_not_seen_working(&self) -> impl Iterator<Item = &EngineId> {
-        self.unacknowledged_ends
+    /// The engines at which an attempt of the request ended without a message, and which are not known to have
+    /// worked on any attempt since that end.
+    pub fn engines_with_unconfirmed_end(&self) -> impl Iterator<Item = &EngineId> {
+        self.unacknowledged_attempt_ends
             .iter()
-            .filter(|end| end.work_observed_at.is_none())
+            .filter(|end| end.learned_of_work_at.is_none())
             .map(|end| &end.engine)
     }
 
-    /// Whether an attempt for the state ended without a message from its engine.
-    pub fn had_unacknowledged_end(&self) -> bool {
-        !self.unacknowledged_ends.is_empty()
+    /// Whether an attempt of the request ended without a message from its engine.
+    pub fn had_unacknowledged_attempt_end(&self) -> bool {
+        !self.unacknowledged_attempt_ends.is_empty()
     }
 }
 
@@ -177,11 +186,12 @@
 #[derive(Debug, Default)]
 pub(super) struct KvStates {
     states: BTreeMap<RequestId, KvState>,
-    /// Requests with an unacknowledged end, by engines that have not shown since that they work.
-    waiting_for_engine: BTreeMap<EngineId, BTreeSet<RequestId>>,
-    /// Requests whose last round of release calls was not confirmed.
+    /// Requests with an attempt that ended without a message from its engine, by that engine. A request is removed
+    /// once the engine is known to have worked on any attempt since the end.
+    awaiting_engine_work: BTreeMap<EngineId, BTreeSet<RequestId>>,
+    /// Requests whose latest release calls were not confirmed by any engine.
     pub unconfirmed_releases: BTreeSet<RequestId>,
-    /// Requests whose release is continued once the present input is handled.
+    /// Requests whose release is continued once the current input is handled.
     pub due_releases: BTreeSet<RequestId>,
 }
 
@@ -191,7 +201,7 @@
         self.states.get(&request)
     }
 
-    /// The record of a request's KV state, for updates to the progress of its release.
+    /// The record of a request's KV state, to update the progress of its release.
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut KvState> {
         self.states.get_mut(&request)
     }
@@ -213,7 +223,7 @@
         self.get(request).filter(|state| state.is_release_pending())
     }
 
-    /// The number of KV states whose release is pending, confirmed inconclusively or not at all.
+    /// The number of KV states whose release is pending, whether or not an engine has confirmed a call.
     pub fn pending_release_count(&self) -> usize {
         self.states
             .values()
@@ -224,38 +234,41 @@
     /// Records that a prefill has ended and its engine holds the state.
     pub fn hold(&mut self, request: RequestId, held: HeldState, now: Ms) {
         match self.states.get_mut(&request) {
-            // A state that an earlier prefill may have left is released once the present one is taken or released.
+            // A state that an earlier prefill may have left is released once the new state is taken or released.
             Some(state) => {
-                (state.held, state.step, state.held_since) = (held, Step::Held, now);
+                (state.held, state.phase, state.held_since) = (held, KvStatePhase::Held, now);
                 state.may_have_leftover = true;
             }
             None => {
                 self.states
-                    .insert(request, KvState::new(held, Step::Held, now));
+                    .insert(request, KvState::new(held, KvStatePhase::Held, now));
             }
         }
     }
 
-    /// Records that a decode attempt was started that may take the state.
+    /// Records the start of a decode attempt that may take the state.
     pub fn offer(&mut self, request: RequestId, attempt: AttemptId) {
         if let Some(state) = self
             .states
             .get_mut(&request)
             .filter(|state| state.is_available())
         {
-            state.step = Step::Offered(attempt);
+            state.phase = KvStatePhase::Offered(attempt);
         }
     }
 
     /// Records that a decode attempt has ended without taking the state.
     pub fn withdraw_offer(&mut self, request: RequestId, attempt: AttemptId) {
-        let steps = [Step::Offered(attempt), Step::OfferedUnconfirmed(attempt)];
+        let offered_phases = [
+            KvStatePhase::Offered(attempt),
+            KvStatePhase::OfferedUnconfirmed(attempt),
+        ];
         if let Some(state) = self
             .states
             .get_mut(&request)
-            .filter(|state| steps.contains(&state.step))
+            .filter(|state| offered_phases.contains(&state.phase))
         {
-            state.step = Step::Held;
+            state.phase = KvStatePhase::Held;
         }
     }
 
@@ -264,7 +277,8 @@
         match self.states.get_mut(&request) {
             Some(state) if state.may_have_leftover => {
                 state.may_have_leftover = false;
-                (state.step, state.release) = (Step::ReleasePending, ReleaseProgress::new(now));
+                (state.phase, state.release) =
+                    (KvStatePhase::ReleasePending, ReleaseProgress::new(now));
                 self.due_releases.insert(request);
             }
             _ => {
@@ -273,14 +287,17 @@
         }
     }
 
-    /// Requests a release that has no effect if the current attempt waits for the state.
+    /// Requests the release of a state that is offered to an attempt. The release has no effect if the attempt
+    /// waits for the state at its engine.
     pub fn request_unconfirmed_release(&mut self, request: RequestId, now: Ms) {
         let Some(state) = self.states.get_mut(&request) else {
             return;
         };
-        if let Step::Offered(attempt) = state.step {
-            (state.step, state.release) =
-                (Step::OfferedUnconfirmed(attempt), ReleaseProgress::new(now));
+        if let KvStatePhase::Offered(attempt) = state.phase {
+            (state.phase, state.release) = (
+                KvStatePhase::OfferedUnconfirmed(attempt),
+                ReleaseProgress::new(now),
+            );
             self.due_releases.insert(request);
         }
     }
@@ -293,7 +310,8 @@
             .filter(|state| state.is_available())
         {
             state.may_have_leftover = false;
-            (state.step, state.release) = (Step::ReleasePending, ReleaseProgress::new(now));
+            (state.phase, state.release) =
+                (KvStatePhase::ReleasePending, ReleaseProgress::new(now));
             self.due_releases.insert(request);
         }
     }
@@ -304,32 +322,34 @@
         let state = self
             .states
             .entry(request)
-            .or_insert_with(|| KvState::new(held, Step::ReleasePending, now));
+            .or_insert_with(|| KvState::new(held, KvStatePhase::ReleasePending, now));
         state.may_have_leftover |= state.is_available();
         self.due_releases.insert(request);
     }
 
-    /// Records the end of an attempt, after which a pending release need not wait for it. `unacknowledged_at` is
-    /// the attempt's engine if the engine has sent no message about the end.
+    /// Records the end of an attempt, so that a pending release no longer waits for it. `unacknowledged_by` is the
+    /// attempt's engine if the engine has sent no message about the end; `None` otherwise.
     pub fn record_attempt_end(
         &mut self,
         request: RequestId,
-        unacknowledged_at: Option<EngineId>,
+        unacknowledged_by: Option<EngineId>,
         now: Ms,
     ) {
         let Some(state) = self.states.get_mut(&request) else {
             return;
         };
-        if let Some(engine) = unacknowledged_at {
-            self.waiting_for_engine
+        if let Some(engine) = unacknowledged_by {
+            self.awaiting_engine_work
                 .entry(engine.clone())
                 .or_default()
                 .insert(request);
-            state.unacknowledged_ends.push(UnacknowledgedEnd {
-                engine,
-                at: now,
-                work_observed_at: None,
-            });
+            state
+                .unacknowledged_attempt_ends
+                .push(UnacknowledgedAttemptEnd {
+                    engine,
+                    at: now,
+                    learned_of_work_at: None,
+                });
         }
         if !state.is_available() {
             (state.release.unblocked_since, state.release.confirmations) = (now, 0);
@@ -338,15 +358,15 @@
         }
     }
 
-    /// Records that an engine is known to have worked at the instant `worked_at`. Returns the requests with an
-    /// unacknowledged end before that instant.
+    /// Records that an engine is known to have worked on an attempt at the instant `worked_at`. Returns the
+    /// requests with an attempt that ended there before that instant without a message from the engine.
     pub fn record_engine_work(
         &mut self,
         engine: &EngineId,
         worked_at: Ms,
         now: Ms,
     ) -> Vec<RequestId> {
-        let Some(waiting) = self.waiting_for_engine.get_mut(engine) else {
+        let Some(waiting) = self.awaiting_engine_work.get_mut(engine) else {
             return Vec::new();
         };
         let mut affected = Vec::new();
@@ -355,24 +375,24 @@
                 return false;
             };
             let ends = state
-                .unacknowledged_ends
+                .unacknowledged_attempt_ends
                 .iter_mut()
-                .filter(|end| end.engine == *engine && end.work_observed_at.is_none());
-            let (mut any_observed, mut any_left) = (false, false);
+                .filter(|end| end.engine == *engine && end.learned_of_work_at.is_none());
+            let (mut any_known, mut any_left) = (false, false);
             for end in ends {
                 if end.at <= worked_at {
-                    (end.work_observed_at, any_observed) = (Some(now), true);
+                    (end.learned_of_work_at, any_known) = (Some(now), true);
                 } else {
                     any_left = true;
                 }
             }
-            if any_observed {
+            if any_known {
                 affected.push(*request);
             }
             any_left
         });
         if waiting.is_empty() {
-            self.waiting_for_engine.remove(engine);
+            self.awaiting_engine_work.remove(engine);
         }
         affected
     }
@@ -381,10 +401,10 @@
     /// record.
     pub fn forget(&mut self, request: RequestId) -> Option<KvState> {
         let state = self.states.remove(&request)?;
-        for engine in state.engines_not_seen_working() {
-            let waiting = self.waiting_for_engine.get_mut(engine);
+        for engine in state.engines_with_unconfirmed_end() {
+            let waiting = self.awaiting_engine_work.get_mut(engine);
             if waiting.is_some_and(|waiting| waiting.remove(&request) && waiting.is_empty()) {
-                self.waiting_for_engine.remove(engine);
+                self.awaiting_engine_work.remove(engine);
             }
         }
         Some(state)
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -1,12 +1,12 @@
-//! The dispatcher without I/O: requests, attempts, KV states, connections and timers. Inputs enter through
-//! [`Dispatcher::handle`] with their instant, and the outputs tell the caller what to send.
-//! [`Dispatcher::wants_call_at`] returns when the next timer is due. The same inputs always produce the same
-//! outputs.
+//! The dispatcher as a state machine without I/O: its requests, attempts, KV states, connections and timers. The
+//! caller passes each input and its instant to [`Dispatcher::handle`], and carries out the outputs that the call
+//! returns. [`Dispatcher::wants_call_at`] returns the instant at which the caller must call `handle` again, because
+//! a timer is due. The same inputs always produce the same outputs.
 //!
-//! [`Control`] makes every choice between engines and decides when an accepted
-//! request is rejected or failed. The dispatcher carries out these actions and reports each outcome back. It
-//! enforces what must hold for any decision: one final answer per request, no attempt at an engine that is
-//! out of service, no KV state held that `Control` does not know of, and bounded buffers.
+//! [`Control`] makes every choice between engines and decides when an accepted request is rejected or failed. The
+//! dispatcher carries out these actions and reports each outcome back. Whatever `Control` decides, the dispatcher
+//! ensures that each request gets one final answer, that no attempt is sent to an engine that is out of service,
+//! that no KV state is held without the knowledge of `Control`, and that buffers are bounded.
 
 mod abandoned_streams;
 mod attempts;
@@ -64,10 +64,11 @@
 pub struct Dispatcher {
     settings: ProgramSettings,
     control: Control,
+    /// The instant of the latest input.
     now: Ms,
     requests: BTreeMap<RequestId, Request>,
     client_streams: BTreeMap<ClientStream, RequestId>,
-    /// Open requests by the id that their clients assigned; requests without such an id are absent.
+    /// Open requests by the id that their clients have assigned. Requests without such an id are absent.
     requests_by_origin: BTreeMap<String, RequestId>,
     client_connections: ClientConnections,
     next_request_id: u32,
@@ -75,25 +76,28 @@
     connections: EngineConnections,
     timers: Timers,
     kv_states: KvStates,
-    /// Releases that wait to be sent, by the engine that holds the KV state. Used with multiplexed connections
-    /// only.
+    /// Releases that are waiting to be sent, by the engine that holds the KV state. Used only with multiplexed
+    /// connections.
     pending_engine_releases: BTreeMap<EngineId, Vec<EngineRelease>>,
-    /// Requests for whose current attempt `Control` has asked whether it has reached its engine.
+    /// Requests whose current attempt is not yet known to have reached its engine, although `Control` has asked for
+    /// a confirmation.
     delivery_unconfirmed: BTreeSet<RequestId>,
     /// The client-assigned id of the request that finished last. A release of this id serves as a liveness check,
-    /// because any engine answers it.
+    /// because every engine answers it.
     last_finished_origin: Option<String>,
     /// Events that are not yet passed to `Control`.
     events: Vec<Event>,
+    /// When the stop began; `None` before it.
     stopping_since: Option<Ms>,
+    /// Whether [`Output::Stopped`] was returned.
     stopped: bool,
-    /// Whether events and actions of requests are logged.
+    /// Whether the events and actions of requests are logged at debug level.
     logs_requests: bool,
     /// Statistics for the monitoring of a rollout; `None` unless [`Dispatcher::collect_service_stats`] was
     /// called.
     service_stats: Option<service_stats::ServiceStats>,
     invariant_counts: InvariantCounts,
-    /// Whether received endpoints are output for caching.
+    /// Whether an update from discovery produces an [`Output::CacheEndpoints`].
     caches_endpoints: bool,
 }
 
@@ -131,9 +135,9 @@
         }
     }
 
-    /// Handles one input at the instant `now`, in milliseconds. An instant before the previous one counts as the
-    /// previous one. Timers that are due by then run after the input. Outputs are appended to `outputs` in the
-    /// order in which they must be carried out.
+    /// Handles one input at the instant `now`, in milliseconds. If `now` is before the instant of an earlier call,
+    /// the earlier call's instant is used instead. Timers that are due at `now` run after the input. Outputs are
+    /// appended to `outputs` in the order in which they must be carried out.
     pub fn handle(&mut self, now: Ms, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
@@ -176,23 +180,24 @@
             Input::Stop => self.begin_stop(outputs),
         }
         self.run_decisions(outputs);
-        while let Some(due) = self.timers.take_due(self.now) {
-            self.on_timer(due, outputs);
+        while let Some(timer) = self.timers.take_due(self.now) {
+            self.on_timer(timer, outputs);
             self.run_decisions(outputs);
         }
         self.continue_due_releases(outputs);
         self.complete_stop(outputs);
     }
 
-    /// When [`Self::handle`] must be called next at the latest, in milliseconds; `None` if no timer is set. An
-    /// earlier `Tick` has no effect.
+    /// The instant at which the next timer is due, in milliseconds; `None` if no timer is set. The caller must call
+    /// [`Self::handle`] at this instant, with [`Input::Tick`] unless another input has arrived. A `Tick` before
+    /// this instant has no effect.
     pub fn wants_call_at(&self) -> Option<Ms> {
         self.timers.next_at()
     }
 
     /// Passes the pending events to `Control` and carries out its actions until no event remains. An attempt that
-    /// no connection can carry ends at once, which is a further event. The loop ends because the number of
-    /// attempts per request is limited.
+    /// no connection can carry ends at once, which adds an event. The loop ends because the number of attempts per
+    /// request is limited.
     fn run_decisions(&mut self, outputs: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while !self.events.is_empty() {
@@ -259,8 +264,8 @@
         }
     }
 
-    fn on_timer(&mut self, due: TimerKind, outputs: &mut Vec<Output>) {
-        match due {
+    fn on_timer(&mut self, timer: TimerKind, outputs: &mut Vec<Output>) {
+        match timer {
             TimerKind::Control(timer) => self.events.push(Event::Timer { timer }),
             TimerKind::AttemptTimeout(request, attempt) => {
                 self.time_out_attempt(request, attempt, outputs)
--- a/crates/dispatcher/src/state/release_targets.rs
+++ b/crates/dispatcher/src/state/release_targets.rs
@@ -1,16 +1,19 @@
-//! Selects the engines to call next for the release of a KV state, where any engine passes a release on.
+//! Selects the engines to call for a release over HTTP/1. Such a release may be sent to any engine, which passes it
+//! on to the engine that holds the KV state.
 
 use super::kv_states::KvState;
 use super::releases::CONFIRMATION_TIMEOUT_DIVISOR;
 use super::*;
 
-/// The maximum number of calls in one round. Each round without an answer calls one more engine in parallel,
-/// because calling them one by one takes too long when nearly all engines are unresponsive.
+/// The maximum number of engines that are called in parallel for one release. Each round of calls without a
+/// confirmation adds one engine to the next round, because calling engines one by one takes too long when nearly
+/// all engines are unresponsive.
 const MAX_PARALLEL_CALLS: usize = 4;
 
 impl Dispatcher {
-    /// The engines to call in the next round: first the engine that holds the KV state or else the engine most
-    /// likely to run, and one more for each engine that has not answered.
+    /// The engines to call in the next round of a release. The first is the engine that holds the KV state, if it
+    /// is to be called, or else the engine that is most likely to run. One more is added for each engine that was
+    /// called and has not confirmed the release, up to the maximum.
     pub(super) fn engines_to_call(
         &self,
         state: &KvState,
@@ -18,7 +21,7 @@
     ) -> Vec<EngineId> {
         let extra_calls = called_engines.len().min(MAX_PARALLEL_CALLS - 1);
         let mut to_call: Vec<EngineId> = self
-            .holder_to_call(state, called_engines)
+            .kv_state_engine_to_call(state, called_engines)
             .into_iter()
             .collect();
         while to_call.len() < 1 + extra_calls {
@@ -30,13 +33,13 @@
         to_call
     }
 
-    /// The engine that holds the KV state, if it has not been called in this cycle, and has responded recently or
-    /// had its prefill cancelled.
+    /// The engine that holds the KV state, if it was not called since the last confirmation, and has responded
+    /// recently or had its prefill cancelled.
     ///
-    /// The holder is called first because a release must not overtake the end of a cancelled prefill. Through
-    /// another engine, the release could arrive before the state exists: it would be confirmed, and the state
-    /// would stay pinned.
-    pub(super) fn holder_to_call(
+    /// This engine is called first because a release must not overtake the end of a cancelled prefill. Through
+    /// another engine, the release could arrive before the state exists. The release would then be confirmed
+    /// although the state stays pinned.
+    pub(super) fn kv_state_engine_to_call(
         &self,
         state: &KvState,
         called_engines: &[EngineId],
@@ -46,7 +49,7 @@
             && !self.connections.is_suspected_with_open_call(engine);
         let was_cancelled = state.release.confirmations == 0
             && state
-                .engines_not_seen_working()
+                .engines_with_unconfirmed_end()
                 .any(|other| other == engine);
         let should_call = may_call
             && (was_cancelled || self.has_responded_recently(engine))
@@ -60,14 +63,14 @@
             >= self.now - self.settings.policy.kv_state_timeout / CONFIRMATION_TIMEOUT_DIVISOR
     }
 
-    /// The engine that is most likely to run, among those not called in this cycle. When all were called, a new
-    /// cycle begins.
+    /// The engine that is most likely to run, among the engines in service that are not in `called_engines`. When
+    /// all of them are, the list is reduced to the engine that was called last, so that they are called again.
     ///
-    /// An engine that has left a call unanswered since its last message ranks last. Next counts a recent
-    /// response, then an idle connection, then the time of the last response. An idle connection counts only
-    /// together with a recent response: when many engines become unresponsive at once, their idle connections
-    /// stay open, while connections to working engines are busy. Preferring idle connections alone would send
-    /// releases to unresponsive engines until they are late.
+    /// Engines that have left a call unanswered since their last message rank last. Among the others, engines with
+    /// a recent response rank first, then those with an idle connection, then those whose last response is newest.
+    /// An idle connection counts only together with a recent response: when many engines become unresponsive at
+    /// once, their idle connections stay open, while connections to working engines are busy. If idle connections
+    /// alone counted, releases would be sent to unresponsive engines until the releases are late.
     pub(super) fn next_engine(
         &self,
         called_engines: &mut Vec<EngineId>,
@@ -109,7 +112,7 @@
                 .then(a.3.total_cmp(&b.3))
         };
         // A suspected engine gets no second call while one is open there. Otherwise each request that is open there
-        // would call it, with many connections to one unresponsive engine.
+        // would call it, and open many connections to one unresponsive engine.
         let candidates = engines
             .into_iter()
             .filter(|engine| !called_engines.contains(engine) && !chosen.contains(engine));
--- a/crates/dispatcher/src/state/release_waits.rs
+++ b/crates/dispatcher/src/state/release_waits.rs
@@ -1,16 +1,18 @@
-//! Decides when the release of a KV state waits for an attempt of its request.
+//! Decides when a release over HTTP/1 waits for an attempt of the request whose KV state it frees.
 
 use super::kv_states::KvState;
 use super::*;
 
-/// While a release waits for an attempt, the attempt's engine is sent a liveness check after the KV state
+/// While a release waits for an attempt, a liveness check is sent to the attempt's engine after the KV state
 /// timeout divided by this.
-const LIVENESS_CHECK_DIVISOR: f64 = 4.0;
-/// A release waits for an attempt whose delivery is unknown for the KV state timeout divided by this.
-const UNCONFIRMED_ATTEMPT_DIVISOR: f64 = 2.0;
+const LIVENESS_CHECK_DELAY_DIVISOR: f64 = 4.0;
+/// A release waits at most for the KV state timeout divided by this for an attempt that is not known to have
+/// reached its engine.
+const UNCONFIRMED_ATTEMPT_WAIT_DIVISOR: f64 = 2.0;
 
 impl Dispatcher {
-    /// The open request with the client-assigned id for which the KV state is held, and its current attempt.
+    /// The open request whose client-assigned id is the one that the KV state is held for, and the current attempt
+    /// of that request.
     pub(super) fn open_request(
         &self,
         state: &KvState,
@@ -28,9 +30,10 @@
         request.is_some_and(|(_, attempt)| attempt.is_some())
     }
 
-    /// Whether the open request still needs what a release would end. A release by the request's id also ends the
-    /// KV state of the next prefill. A decode attempt for a state that `Control` has released needs nothing, and
-    /// neither does a prefill that does not reach its engine in time.
+    /// Whether the open request still needs a KV state that the release would free. A release names only the
+    /// request, so it also frees the KV state of the request's next prefill. A decode attempt does not need a state
+    /// whose release `Control` has requested. A prefill that does not reach its engine in time does not delay the
+    /// release either.
     pub(super) fn is_still_needed(&self, state: &KvState) -> bool {
         let Some((id, attempt)) = self.open_request(state) else {
             return false;
@@ -48,13 +51,13 @@
         is_available || attempt.is_some_and(needs)
     }
 
-    /// How long a release waits for a prefill whose delivery is unknown, in milliseconds.
+    /// How long a release waits for a prefill that is not known to have reached its engine, in milliseconds.
     pub(super) fn unconfirmed_attempt_wait(&self) -> Ms {
-        self.settings.policy.kv_state_timeout / UNCONFIRMED_ATTEMPT_DIVISOR
+        self.settings.policy.kv_state_timeout / UNCONFIRMED_ATTEMPT_WAIT_DIVISOR
     }
 
-    /// Since when a release has waited for an attempt whose delivery is unknown, in milliseconds. Once a call for
-    /// the release was started, the wait restarts with each prefill.
+    /// The instant since which a release has waited for an attempt that is not known to have reached its engine, in
+    /// milliseconds. After the first call of the release, the wait restarts with each new attempt.
     pub(super) fn unconfirmed_since(&self, state: &KvState, attempt: &requests::Attempt) -> Ms {
         let pending_since = state.release.pending_since;
         if state.release.calls > 0 {
@@ -64,15 +67,15 @@
         }
     }
 
-    /// Makes a release wait for an attempt of its request. If it is unknown whether the attempt has reached its
-    /// engine, the engine is sent a liveness check. Without an answer, the release is sent when the wait ends.
+    /// Makes a release wait for the current attempt of its request, by scheduling the next check. If it is unknown
+    /// whether the attempt has reached its engine, the engine is sent a liveness check. If the engine does not
+    /// answer, the release is sent when the wait ends.
     pub(super) fn wait_for_attempt(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(state) = self.kv_states.get_mut(request_id) else {
             return;
         };
         state.release.unblocked_since = self.now;
-        let mut next_check_at =
-            self.now + self.settings.policy.kv_state_timeout / UNCONFIRMED_ATTEMPT_DIVISOR;
+        let mut next_check_at = self.now + self.unconfirmed_attempt_wait();
         let Some(state) = self.kv_states.get(request_id) else {
             return;
         };
@@ -83,8 +86,8 @@
             attempt.filter(|attempt| !attempt.first_token_sent && !self.has_arrived(attempt))
         {
             let waiting_since = self.unconfirmed_since(state, attempt);
-            let liveness_check_at =
-                waiting_since + self.settings.policy.kv_state_timeout / LIVENESS_CHECK_DIVISOR;
+            let liveness_check_at = waiting_since
+                + self.settings.policy.kv_state_timeout / LIVENESS_CHECK_DELAY_DIVISOR;
             next_check_at = if self.now < liveness_check_at {
                 liveness_check_at
             } else {
@@ -98,7 +101,7 @@
         self.schedule_release_check(request_id, next_check_at.max(self.now));
     }
 
-    /// Updates the KV state of a request whose attempt has ended: a state that was offered to the attempt is held
+    /// Updates the KV state of a request whose attempt has ended. A state that was offered to the attempt is held
     /// again, and a pending release no longer waits for the attempt.
     pub(super) fn update_kv_state_after_attempt(
         &mut self,
@@ -111,7 +114,7 @@
             Outcome::Cancelled | Outcome::TimedOut | Outcome::ConnectionLost
         );
         let was_sent = ended.sent_at.is_some() && self.settings.limits.http1.is_some();
-        let unacknowledged_at = (is_unacknowledged && was_sent).then(|| ended.engine.clone());
+        let unacknowledged_by = (is_unacknowledged && was_sent).then(|| ended.engine.clone());
         let restarts_hold_time = outcome == Outcome::PrefillDone || self.has_arrived(ended);
         if let Some(state) = self
             .kv_states
@@ -122,7 +125,7 @@
         }
         self.kv_states.withdraw_offer(request_id, ended.id);
         self.kv_states
-            .record_attempt_end(request_id, unacknowledged_at, self.now);
+            .record_attempt_end(request_id, unacknowledged_by, self.now);
         self.schedule_held_check(request_id);
     }
 }
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -1,10 +1,11 @@
-//! Releases of KV states that any engine passes on to the holder: when a release is sent, repeated and given
-//! up.
+//! Releases of KV states over HTTP/1: when a release is sent, repeated and given up. Over HTTP/1 a release names a
+//! request, and may be sent to any engine, which passes it on to the engine that holds the KV state.
 //!
-//! The record of the KV state (`kv_states.rs`) decides whether a confirmation proves the release; until one
-//! does, the release is repeated. `release_targets.rs` selects the engines to call, and `release_waits.rs`
-//! decides when a release waits for an attempt. All times are fractions or multiples of the KV state timeout,
-//! the setting `kv_state_timeout` in milliseconds.
+//! A release is sent in rounds. A round consists of one or more parallel calls to different engines. A confirmation
+//! is conclusive if it proves that the KV state is released, which the record of the KV state decides
+//! (`kv_states.rs`). The release is repeated until a confirmation is conclusive. `release_targets.rs` selects the
+//! engines to call, and `release_waits.rs` decides when a release waits for an attempt. All waits are fractions or
+//! multiples of the KV state timeout, the setting `kv_state_timeout` in milliseconds.
 
 use super::kv_states::{HeldState, ReleaseCall};
 use super::stream_purpose::StreamPurpose;
@@ -12,26 +13,29 @@
 
 /// An engine must confirm a release within the KV state timeout divided by this.
 pub(super) const CONFIRMATION_TIMEOUT_DIVISOR: f64 = 4.0;
-/// The time to the next round after a round without a confirmation is the KV state timeout divided by this,
-/// during the first [`FAST_ROUNDS_KV_STATE_TIMEOUTS`].
-const FAST_ROUND_DIVISOR: f64 = 25.0;
-/// The divisor that replaces [`FAST_ROUND_DIVISOR`] after [`FAST_ROUNDS_KV_STATE_TIMEOUTS`].
-const SLOW_ROUND_DIVISOR: f64 = 4.0;
-/// The first repeat of a release whose confirmation is not conclusive follows after this many KV state
-/// timeouts. A hanging engine may notice the close of its attempt at any time, and the timeout of the KV
-/// state counts from then on.
-const FIRST_REPEAT_KV_STATE_TIMEOUTS: f64 = 0.75;
-/// The interval between further repeats, in KV state timeouts.
-const REPEAT_KV_STATE_TIMEOUTS: f64 = 1.0;
-/// After this many inconclusive confirmations, the interval doubles with each repeat.
-const REPEATS_BEFORE_BACKOFF: u32 = 10;
-/// Rounds follow each other quickly for this many KV state timeouts. If a release is still unconfirmed then,
-/// hardly any engine can be reached.
-const FAST_ROUNDS_KV_STATE_TIMEOUTS: f64 = 2.0;
-/// A release that was confirmed, but not conclusively, is repeated for this many KV state timeouts.
-const GIVE_UP_KV_STATE_TIMEOUTS: f64 = 20.0;
-/// A release that no engine has confirmed is repeated for this many KV state timeouts.
-const GIVE_UP_UNCONFIRMED_KV_STATE_TIMEOUTS: f64 = 120.0;
+/// After release calls that no engine has confirmed, the next calls follow after the KV state timeout divided by
+/// this. Applies in the initial retry period, [`INITIAL_RETRY_PERIOD_KV_STATE_TIMEOUTS`].
+const INITIAL_RETRY_INTERVAL_DIVISOR: f64 = 25.0;
+/// Replaces [`INITIAL_RETRY_INTERVAL_DIVISOR`] after the initial retry period, so that unconfirmed release calls
+/// are repeated less often.
+const LATER_RETRY_INTERVAL_DIVISOR: f64 = 4.0;
+/// A release whose first confirmation does not prove that the KV state is released is repeated after this many KV
+/// state timeouts. A hanging engine may notice at any time that its attempt was closed, and its KV state timeout
+/// counts from then on.
+const FIRST_REPEAT_DELAY_KV_STATE_TIMEOUTS: f64 = 0.75;
+/// The interval between the further repeats of a release, in KV state timeouts.
+const REPEAT_INTERVAL_KV_STATE_TIMEOUTS: f64 = 1.0;
+/// After this many confirmations that do not prove that the KV state is released, the interval doubles with each
+/// repeat of the release.
+const CONFIRMATIONS_BEFORE_BACKOFF: u32 = 10;
+/// The length of the initial retry period, in which an unconfirmed release is retried at short intervals, in KV
+/// state timeouts. If the release is still unconfirmed after it, hardly any engine can be reached.
+const INITIAL_RETRY_PERIOD_KV_STATE_TIMEOUTS: f64 = 2.0;
+/// A release is given up after this many KV state timeouts if engines have confirmed it, but no confirmation proves
+/// that the KV state is released.
+const MAX_CONFIRMED_RELEASE_AGE_KV_STATE_TIMEOUTS: f64 = 20.0;
+/// A release is given up after this many KV state timeouts if no engine has confirmed it.
+const MAX_UNCONFIRMED_RELEASE_AGE_KV_STATE_TIMEOUTS: f64 = 120.0;
 
 impl Dispatcher {
     /// Releases the KV state of a request, at the request of `Control`.
@@ -47,8 +51,8 @@
         self.forget_finished(request_id);
     }
 
-    /// Releases the KV state of a request unless its current attempt needs the state. The engine runs, but it is
-    /// not known whether the attempt has reached it.
+    /// Releases the KV state of a request, at the request of `Control`, unless the current attempt needs the state.
+    /// The attempt's engine runs, but it is not known whether the attempt has reached the engine.
     pub(super) fn release_unconfirmed(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if let Some((problem, text)) = self.undelivered_attempt(request_id) {
             let text = format!("KV state release sent, {problem}: {text}");
@@ -58,7 +62,8 @@
             .request_unconfirmed_release(request_id, self.now);
     }
 
-    /// Requests the release of a request's KV state.
+    /// Requests the release of a request's KV state. Over HTTP/1 the release is sent once the current input is
+    /// handled; otherwise it is sent to the engine that holds the state.
     pub(super) fn request_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if self.settings.limits.http1.is_some() {
             self.kv_states.request_release(request_id, self.now);
@@ -84,15 +89,15 @@
         }
     }
 
-    /// Releases a KV state at the engine that holds it.
+    /// Releases a KV state over a multiplexed connection to the engine that holds it.
     pub(super) fn release_at_engine(&mut self, held: HeldState, outputs: &mut Vec<Output>) {
         if !fault_injection::is_injected(InjectedFault::ReleaseForgotten) {
             self.enqueue_engine_release(held, outputs);
         }
     }
 
-    /// Continues the releases that are due. This runs after `Control` has handled the pending events, because
-    /// only then it is known whether a request continues.
+    /// Continues the releases that are due. This runs after `Control` has handled the pending events, because only
+    /// then is it known whether a request continues.
     pub(super) fn continue_due_releases(&mut self, outputs: &mut Vec<Output>) {
         for id in std::mem::take(&mut self.kv_states.due_releases) {
             self.continue_release(id, outputs);
@@ -114,13 +119,13 @@
         if self.is_still_needed(state) {
             return self.wait_for_attempt(request_id, outputs);
         }
-        let give_up_after = if state.release.confirmations > 0 {
-            GIVE_UP_KV_STATE_TIMEOUTS
+        let max_age = if state.release.confirmations > 0 {
+            MAX_CONFIRMED_RELEASE_AGE_KV_STATE_TIMEOUTS
         } else {
-            GIVE_UP_UNCONFIRMED_KV_STATE_TIMEOUTS
+            MAX_UNCONFIRMED_RELEASE_AGE_KV_STATE_TIMEOUTS
         };
         if self.now - state.release.unblocked_since
-            > give_up_after * self.settings.policy.kv_state_timeout
+            > max_age * self.settings.policy.kv_state_timeout
         {
             return self.give_up_release(request_id, outputs);
         }
@@ -136,18 +141,18 @@
         self.schedule_next_round(request_id);
     }
 
-    /// Gives up a release, and logs the engines at which its effect is unknown.
+    /// Gives up a release, and logs the engines at which it possibly had no effect.
     fn give_up_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(state) = self.kv_states.forget(request_id) else {
             return;
         };
-        let engines_not_seen_working: Vec<&str> = state
-            .engines_not_seen_working()
+        let engines_with_unconfirmed_end: Vec<&str> = state
+            .engines_with_unconfirmed_end()
             .map(|engine| engine.0.as_ref())
             .collect();
         let text = format!(
             "KV state release given up: id={} after {} calls, {} confirmed; \
-             engines not seen working since: {engines_not_seen_working:?}",
+             engines not known to work since an attempt ended there: {engines_with_unconfirmed_end:?}",
             state.held.origin, state.release.calls, state.release.confirmations
         );
         let level = if state.release.confirmations > 0 {
@@ -158,7 +163,7 @@
         outputs.push(Output::log(level, text));
     }
 
-    /// Calls an engine to release a KV state.
+    /// Sends an engine a call to release the KV state of a request.
     fn begin_release(
         &mut self,
         request_id: RequestId,
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Handles a release that was withdrawn before it was sent.
+    /// Handles a release call that was withdrawn before it was sent.
     pub(super) fn on_release_withdrawn(&mut self, call: &ReleaseCall) {
         if let Some(state) = self.kv_states.get_mut(call.request) {
             state.release.open_calls = state.release.open_calls.saturating_sub(1);
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Handles a release that the called engine did not confirm.
+    /// Handles a release call that the called engine did not confirm.
     pub(super) fn on_release_failed(&mut self, engine: EngineId, call: &ReleaseCall) {
         let Some(state) = self.kv_states.get_mut(call.request) else {
             return;
@@ -216,8 +221,8 @@
         self.schedule_next_round(call.request);
     }
 
-    /// Handles the confirmation of a release. If the confirmation is conclusive, the record of the KV state is
-    /// dropped.
+    /// Handles the confirmation of a release call. If it proves that the KV state is released, the record of the KV
+    /// state is dropped. Otherwise the release is repeated later.
     pub(super) fn on_release_confirmed(
         &mut self,
         engine: &EngineId,
@@ -242,13 +247,13 @@
         let Some(state) = self.kv_states.forget(call.request) else {
             return;
         };
-        let level = if state.had_unacknowledged_end() {
+        let level = if state.had_unacknowledged_attempt_end() {
             Level::Info
         } else {
             Level::Debug
         };
         let text = format!(
-            "KV state released: id={} through {}, call {}, {:.0} ms after its last attempt ended",
+            "KV state released: id={} confirmed by {}, call {}, {:.0} ms after its last attempt ended",
             state.held.origin,
             engine.0,
             state.release.calls,
@@ -257,7 +262,7 @@
         outputs.push(Output::log(level, text));
     }
 
-    /// Schedules the next round once no call of the present round is open.
+    /// Schedules the next round of release calls, once no call of the current round is open.
     fn schedule_next_round(&mut self, request_id: RequestId) {
         let kv_state_timeout = self.settings.policy.kv_state_timeout;
         let Some(state) = self
@@ -268,10 +273,10 @@
             return;
         };
         let release = &state.release;
-        let uses_fast_rounds =
-            self.now - release.unblocked_since < FAST_ROUNDS_KV_STATE_TIMEOUTS * kv_state_timeout;
+        let is_in_initial_period = self.now - release.unblocked_since
+            < INITIAL_RETRY_PERIOD_KV_STATE_TIMEOUTS * kv_state_timeout;
         let wait = match release.round_confirmed {
-            // The end of the attempt starts the next round.
+            // The end of the current attempt starts the next round.
             true if self.has_current_attempt(request_id) => return,
             true => {
                 let wait_until_conclusive = state
@@ -282,8 +287,8 @@
                     wait_until_conclusive.min(repeat_wait)
                 })
             }
-            false if uses_fast_rounds => kv_state_timeout / FAST_ROUND_DIVISOR,
-            false => kv_state_timeout / SLOW_ROUND_DIVISOR,
+            false if is_in_initial_period => kv_state_timeout / INITIAL_RETRY_INTERVAL_DIVISOR,
+            false => kv_state_timeout / LATER_RETRY_INTERVAL_DIVISOR,
         };
         if !release.round_confirmed {
             self.kv_states.unconfirmed_releases.insert(request_id);
@@ -291,8 +296,8 @@
         self.schedule_release_check(request_id, self.now + wait);
     }
 
-    /// Continues the releases that no engine has confirmed, after an engine has shown that it runs and can pass
-    /// them on.
+    /// Continues the releases that no engine has confirmed, after a message from an engine. The engine runs, so it
+    /// can pass a release on to the engine that holds the KV state.
     pub(super) fn retry_unconfirmed_releases(&mut self) {
         let mut unconfirmed_releases = std::mem::take(&mut self.kv_states.unconfirmed_releases);
         self.kv_states
@@ -300,8 +305,8 @@
             .append(&mut unconfirmed_releases);
     }
 
-    /// Schedules the next check of a release for the instant `at`, in milliseconds. Certain events continue the
-    /// release earlier.
+    /// Schedules the next check of a release for the instant `at`, in milliseconds. A message from an engine or the
+    /// end of an attempt may continue the release earlier.
     pub(super) fn schedule_release_check(&mut self, request_id: RequestId, at: Ms) {
         let Some(state) = self.kv_states.get_mut(request_id) else {
             return;
@@ -310,7 +315,7 @@
         self.timers.set(at, TimerKind::ReleaseCheck(request_id));
     }
 
-    /// Continues a release when its timer fires, unless the check was postponed in the meantime.
+    /// Continues a release when its timer fires, unless a later check was scheduled in the meantime.
     pub(super) fn on_release_timer(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let is_due = self
             .kv_states
@@ -321,8 +326,8 @@
         }
     }
 
-    /// Handles proof that an engine has worked since attempts ended there without a message from it: the engine
-    /// knows of these ends now, or will know soon.
+    /// Handles a message that proves that an engine works on attempts. If earlier attempts ended without a message
+    /// from the engine, it knows of their end now, or will know soon.
     pub(super) fn on_engine_worked(&mut self, engine: &EngineId) {
         let worked_at = self.connections.worked_at(engine);
         for id in self
@@ -343,13 +348,14 @@
     }
 }
 
-/// The interval to the next repeat, in KV state timeouts, after this many inconclusive confirmations.
+/// The interval to the next repeat of a release, in KV state timeouts. `confirmations` is the number of
+/// confirmations so far, none of which proves that the KV state is released.
 fn repeat_interval(confirmations: u32) -> f64 {
     match confirmations {
-        0 | 1 => FIRST_REPEAT_KV_STATE_TIMEOUTS,
-        repeats => {
-            REPEAT_KV_STATE_TIMEOUTS
-                * 2.0_f64.powi(repeats.saturating_sub(REPEATS_BEFORE_BACKOFF).min(8) as i32)
+        0 | 1 => FIRST_REPEAT_DELAY_KV_STATE_TIMEOUTS,
+        count => {
+            REPEAT_INTERVAL_KV_STATE_TIMEOUTS
+                * 2.0_f64.powi(count.saturating_sub(CONFIRMATIONS_BEFORE_BACKOFF).min(8) as i32)
         }
     }
 }
--- a/crates/dispatcher/src/state/request_log.rs
+++ b/crates/dispatcher/src/state/request_log.rs
@@ -1,6 +1,6 @@
-//! The request log: one line for each event and action of a request, at debug level. The id that the client
-//! has assigned identifies a request across all dispatchers that have handled it. The log is off unless
-//! [`Dispatcher::enable_request_log`] was called.
+//! The request log, with one debug line for each event and action of a request. The client-assigned id identifies a
+//! request across all dispatchers that have handled it. The log is off unless [`Dispatcher::enable_request_log`]
+//! was called.
 
 use super::*;
 use std::fmt::Write;
@@ -31,14 +31,14 @@
                     engine.0
                 )
             }
-            Event::Ended(e) => format!(
+            Event::Ended(ended) => format!(
                 "{} attempt={} engine={} ended outcome={:?} after={:.1} detail={}",
-                self.request_label(e.request),
-                e.attempt.0,
-                e.engine.0,
-                e.outcome,
-                e.latency,
-                e.detail
+                self.request_label(ended.request),
+                ended.attempt.0,
+                ended.engine.0,
+                ended.outcome,
+                ended.latency,
+                ended.detail
             ),
             Event::HealthChecked {
                 engine,
@@ -95,7 +95,7 @@
             }
             Action::Confirm { request, attempt } => {
                 format!(
-                    "{} attempt={} delivery unconfirmed",
+                    "{} attempt={} delivery check requested",
                     self.request_label(*request),
                     attempt.0
                 )
@@ -135,13 +135,14 @@
 }
 
 fn health_check_text(engine: &EngineId, outcome: Outcome, latency: Ms, load: &Load) -> String {
-    let shown = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.3}"));
+    let formatted =
+        |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.3}"));
     format!(
         "health check engine={} outcome={outcome:?} after={latency:.1} queue={} slots={} memory={}",
         engine.0,
-        shown(load.queue),
-        shown(load.slots_used),
-        shown(load.memory_held)
+        formatted(load.queue),
+        formatted(load.slots_used),
+        formatted(load.memory_held)
     )
 }
 
--- a/crates/dispatcher/src/state/requests.rs
+++ b/crates/dispatcher/src/state/requests.rs
@@ -4,7 +4,8 @@
 use cindercleat::interface::{AttemptId, EngineId, Ms, RetrySafety};
 use cindercleat_protocol::v1;
 
-/// The client stream of a request: the client connection and the stream id that the client has chosen.
+/// The stream on which a client has sent a request: the client connection and the id that the client has chosen for
+/// the stream.
 pub(super) type ClientStream = (ClientConnectionId, StreamId);
 
 /// A request that is open, or that is answered but still has an attempt or a KV state.
@@ -12,22 +13,23 @@
 pub(super) struct Request {
     pub client_stream: ClientStream,
     pub submit: v1::Submit,
-    /// When the client stops waiting for the first token.
+    /// The instant at which the client stops waiting for the first token.
     pub deadline: Ms,
-    /// When the first token is due, by the latency objective of the request class.
+    /// When the first token must be sent to meet the latency objective of the request class.
     pub first_token_due_at: Ms,
     /// Whether the first token was sent after `first_token_due_at`.
     pub first_token_late: bool,
-    /// Whether no final answer is owed any more: it was sent, or the client has gone.
+    /// Whether the client expects no final answer any more, because the answer was sent or the client has gone.
     pub answered: bool,
     /// The number of attempts started so far; also the id of the next attempt.
     pub attempts: u32,
     /// The attempt that has not ended; `None` between attempts.
     pub current_attempt: Option<Attempt>,
-    /// Whether any attempt was sent on an established connection.
+    /// Whether any attempt of the request was sent on an established connection.
     pub was_sent: bool,
     pub retry_safety: RetrySafety,
-    /// The first attempt that may have run; `None` as long as a retry repeats nothing.
+    /// The first attempt that may have run; `None` as long as a retry is known to repeat no work that has an
+    /// effect.
     pub first_possible_run: Option<PossibleRun>,
 }
 
@@ -43,13 +45,13 @@
     pub started_at: Ms,
     /// When the attempt was sent on an established connection; `None` while it is queued.
     pub sent_at: Option<Ms>,
-    /// Whether `Control` has asked if the attempt has reached its engine.
+    /// Whether `Control` has asked for a confirmation that the attempt has reached its engine.
     pub confirmation_requested: bool,
-    /// When the attempt times out unless its stream has begun.
+    /// When the attempt times out, unless its first token was sent to the client before.
     pub expires_at: Ms,
-    /// Whether the stream has begun: the first token was sent to the client.
+    /// Whether the first token was sent to the client, which begins the token stream.
     pub first_token_sent: bool,
-    /// The position that the next token message must have.
+    /// The position in the token stream that the next message from the decode engine must have.
     pub position: u32,
     /// The number of token messages received from the decode engine.
     pub messages_received: u32,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Whether no final answer is owed and no attempt is current.
+    /// Whether the client expects no final answer any more and no attempt is running.
     pub fn is_finished(&self) -> bool {
         self.answered && self.current_attempt.is_none()
     }
--- a/crates/dispatcher/src/state/service_stats.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -1,5 +1,6 @@
-//! Statistics for dispatchers that monitor a rollout together: the outcomes of this dispatcher's requests,
-//! and the load that engines have reported. They are collected on request only.
+//! Statistics for dispatchers that monitor a rollout together: the outcomes of this dispatcher's requests, and the
+//! load that engines have reported. They are collected only after
+//! [`Dispatcher::collect_service_stats`](super::Dispatcher::collect_service_stats) was called.
 
 use cindercleat::coordination::disruption_budget::OutcomeCounts;
 use cindercleat::coordination::membership::EngineReport;
@@ -9,45 +10,46 @@
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// The statistics of one engine.
+/// The load that one engine has reported, and the outcomes of the attempts there.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct EngineStats {
     /// The used fraction of the engine's capacity, and when it was reported; `None` if never reported.
     used: Option<(f64, Ms)>,
     /// The outcomes of attempts since the last report on the engine.
-    tally: OutcomeCounts,
+    attempt_outcomes: OutcomeCounts,
     /// Whether nothing has changed since the last report on the engine.
-    is_reported: bool,
+    is_unchanged_since_report: bool,
 }
 
-/// The statistics of one dispatcher.
+/// The outcomes of one dispatcher's requests, and its statistics of each engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct ServiceStats {
-    tally: OutcomeCounts,
+    request_outcomes: OutcomeCounts,
     engines: BTreeMap<EngineId, EngineStats>,
-    /// The engine that was reported on last. The next reports continue after it, so every engine gets its turn.
-    last_reported: Option<EngineId>,
+    /// The engine of the newest report. The next reports begin with the engine after it, so that all engines are
+    /// reported on in turn.
+    last_reported_engine: Option<EngineId>,
 }
 
 impl ServiceStats {
-    /// Counts the final answer of a request. `late` is whether its first token missed the latency objective.
-    pub fn record_answer(&mut self, answer: v1::Answer, late: bool) {
+    /// Counts the final answer of a request. `is_late` is whether its first token missed the latency objective.
+    pub fn record_answer(&mut self, answer: v1::Answer, is_late: bool) {
         match answer {
             v1::Answer::Succeeded => {
-                self.tally.succeeded += 1;
-                self.tally.late += u64::from(late);
+                self.request_outcomes.succeeded += 1;
+                self.request_outcomes.late += u64::from(is_late);
             }
-            v1::Answer::Rejected => self.tally.rejected += 1,
-            _ => self.tally.failed += 1,
+            v1::Answer::Rejected => self.request_outcomes.rejected += 1,
+            _ => self.request_outcomes.failed += 1,
         }
     }
 
-    /// The outcomes of all requests so far.
+    /// The outcomes of all requests since the statistics were started.
     pub fn outcomes(&self) -> OutcomeCounts {
-        self.tally
+        self.request_outcomes
     }
 
-    /// Records the load and the outcome in an event for `Control`.
+    /// Records the load of an engine and the outcome of an attempt, if an event for `Control` contains them.
     pub fn observe(&mut self, now: Ms, event: &Event) {
         let (engine, load, outcome) = match event {
             Event::Ended(ended) => (&ended.engine, ended.load, Some(ended.outcome)),
@@ -57,11 +59,13 @@
         let stats = self.engines.entry(engine.clone()).or_default();
         if let Some(used) = used_fraction(&load) {
             stats.used = Some((used, now));
-            stats.is_reported = false;
+            stats.is_unchanged_since_report = false;
         }
-        if let Some(count) = outcome.and_then(|outcome| count_of(&mut stats.tally, outcome)) {
-            *count += 1;
-            stats.is_reported = false;
+        if let Some(counter) =
+            outcome.and_then(|outcome| counter_for(&mut stats.attempt_outcomes, outcome))
+        {
+            *counter += 1;
+            stats.is_unchanged_since_report = false;
         }
     }
 
@@ -72,11 +76,12 @@
         Some((used, now - at))
     }
 
-    /// Returns reports on up to `max` engines with news, round robin.
+    /// Returns reports on up to `max` engines whose statistics have changed since their last report, in round-robin
+    /// order.
     pub fn reports(&mut self, now: Ms, max: usize) -> Vec<EngineReport> {
         let engines = self.next_unreported(max);
         if let Some(last) = engines.last() {
-            self.last_reported = Some(last.clone());
+            self.last_reported_engine = Some(last.clone());
         }
         engines
             .into_iter()
@@ -84,20 +89,21 @@
             .collect()
     }
 
-    /// Up to `max` engines with news, in order, starting after the engine that was reported on last.
+    /// Up to `max` engines whose statistics have changed since their last report, starting after the engine of the
+    /// newest report.
     fn next_unreported(&self, max: usize) -> Vec<EngineId> {
-        let after_last = match &self.last_reported {
+        let after_last = match &self.last_reported_engine {
             Some(last) => (Excluded(last), Unbounded),
             None => (Unbounded, Unbounded),
         };
         let up_to_last = self
-            .last_reported
+            .last_reported_engine
             .iter()
             .flat_map(|last| self.engines.range(..=last));
         self.engines
             .range::<EngineId, _>(after_last)
             .chain(up_to_last)
-            .filter(|(_, stats)| !stats.is_reported)
+            .filter(|(_, stats)| !stats.is_unchanged_since_report)
             .map(|(engine, _)| engine.clone())
             .take(max)
             .collect()
@@ -105,21 +111,21 @@
 
     fn report(&mut self, now: Ms, engine: EngineId) -> Option<EngineReport> {
         let stats = self.engines.get_mut(&engine)?;
-        stats.is_reported = true;
+        stats.is_unchanged_since_report = true;
         Some(EngineReport {
             engine: Name(engine.0),
             used: stats.used.map(|(used, at)| (used, now - at)),
-            tally: std::mem::take(&mut stats.tally),
+            tally: std::mem::take(&mut stats.attempt_outcomes),
         })
     }
 }
 
 /// The counter for the outcome of an attempt; `None` if the outcome says nothing about the engine.
-fn count_of(tally: &mut OutcomeCounts, outcome: Outcome) -> Option<&mut u64> {
+fn counter_for(outcomes: &mut OutcomeCounts, outcome: Outcome) -> Option<&mut u64> {
     match outcome {
-        Outcome::Succeeded | Outcome::PrefillDone => Some(&mut tally.succeeded),
-        Outcome::Overloaded => Some(&mut tally.rejected),
-        Outcome::Failed | Outcome::ConnectionLost | Outcome::TimedOut => Some(&mut tally.failed),
+        Outcome::Succeeded | Outcome::PrefillDone => Some(&mut outcomes.succeeded),
+        Outcome::Overloaded => Some(&mut outcomes.rejected),
+        Outcome::Failed | Outcome::ConnectionLost | Outcome::TimedOut => Some(&mut outcomes.failed),
         _ => None,
     }
 }
--- a/crates/dispatcher/src/state/status.rs
+++ b/crates/dispatcher/src/state/status.rs
@@ -1,4 +1,4 @@
-//! Status of the dispatcher for the process that runs it: readiness, utilization and statistics.
+//! The status that a dispatcher reports to the process that runs it: readiness, table sizes and statistics.
 
 use super::*;
 
@@ -9,7 +9,7 @@
     }
 
     /// The number of open requests as a fraction of the maximum, from 0 to 1.
-    pub fn open_fraction(&self) -> f64 {
+    pub fn open_request_fraction(&self) -> f64 {
         let max_open = self.settings.limits.max_open_requests.max(1);
         self.requests.len() as f64 / max_open as f64
     }
@@ -24,7 +24,7 @@
         self.endpoints.is_known().then_some(self.endpoints.version)
     }
 
-    /// Stops the output of [`Output::CacheEndpoints`], for a driver that has no cache file.
+    /// Stops [`Self::handle`] from returning [`Output::CacheEndpoints`], for a driver that has no cache file.
     pub fn disable_endpoint_cache(&mut self) {
         self.caches_endpoints = false;
     }
@@ -34,9 +34,9 @@
         self.service_stats = Some(service_stats::ServiceStats::default());
     }
 
-    /// Returns the outcomes of all requests since [`Self::collect_service_stats`], and reports on up to `most`
-    /// engines with news since their last report. `now` is in milliseconds. Both are empty if nothing is
-    /// collected.
+    /// Returns the outcomes of all requests since [`Self::collect_service_stats`], and reports on up to
+    /// `max_reports` engines whose statistics have changed since their last report. `now` is in milliseconds. Both
+    /// are empty if [`Self::collect_service_stats`] was not called.
     pub fn take_service_stats(
         &mut self,
         now: Ms,
@@ -51,13 +51,13 @@
         )
     }
 
-    /// The engines in the endpoint list, as units of a rollout. `now` is in milliseconds on the clock of the
-    /// endpoints' start times.
+    /// The engines in the endpoint list, in the form that a rollout monitors. `now` is in milliseconds on the clock
+    /// of the endpoints' start times.
     pub fn engine_units(&self, now: Ms) -> Vec<Unit> {
         let slow_start_window = self.settings.policy.slow_start_window;
         let unit = |(engine, entry): (&EngineId, &endpoints::EngineEntry)| {
             let started = entry.endpoint.started_ms.filter(|at| at.is_finite());
-            let cold = started.is_some_and(|at| now < at + slow_start_window);
+            let is_in_slow_start = started.is_some_and(|at| now < at + slow_start_window);
             Unit {
                 name: Name(engine.0.clone()),
                 incarnation: Incarnation(started.map_or(0, f64::to_bits)),
@@ -68,7 +68,7 @@
                 role: Some(entry.role),
                 label: String::new(),
                 status: match entry.status {
-                    EndpointStatus::Ready if cold => ServiceStatus::Starting,
+                    EndpointStatus::Ready if is_in_slow_start => ServiceStatus::Starting,
                     EndpointStatus::Ready => ServiceStatus::InService,
                     EndpointStatus::Draining => ServiceStatus::Draining,
                     EndpointStatus::Gone => ServiceStatus::OutOfService,
@@ -83,7 +83,7 @@
         self.endpoints.engines.iter().map(unit).collect()
     }
 
-    /// The sizes of the dispatcher's tables, for logs and for tests against leaks.
+    /// The sizes of the dispatcher's tables, for logs and for tests that check for leaks.
     pub fn usage(&self) -> Usage {
         Usage {
             requests: self.requests.len(),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The number of releases that the engine which holds the KV state has not confirmed, queued ones included.
+    /// The number of releases over multiplexed connections that are queued, or sent and not confirmed.
     pub(super) fn unconfirmed_engine_release_count(&self) -> usize {
         let queued: usize = self.pending_engine_releases.values().map(Vec::len).sum();
         queued + self.connections.open_engine_release_count()
@@ -113,6 +113,6 @@
     pub timers: usize,
     /// Engines in the endpoint table.
     pub engines: usize,
-    /// Releases that are pending or not confirmed.
+    /// Releases of KV states that are queued, or sent and not conclusively confirmed.
     pub releases: usize,
 }
--- a/crates/dispatcher/src/state/stream_purpose.rs
+++ b/crates/dispatcher/src/state/stream_purpose.rs
@@ -3,26 +3,27 @@
 use super::kv_states::{HeldState, ReleaseCall};
 use cindercleat::interface::{AttemptId, Ms, RequestId};
 
-/// The call that a stream on an engine connection carries.
+/// The kind of call that a stream on an engine connection carries, with the data that is needed when the call ends.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum StreamPurpose {
     /// A prefill or decode attempt of a request.
     Attempt(RequestId, AttemptId),
-    /// A health check.
+    /// A health check, see [`Dispatcher::check_health`](super::Dispatcher::check_health).
     HealthCheck {
         /// When the health check was sent, in milliseconds.
         sent_at: Ms,
     },
     /// Reserves a slot for the decode attempt that follows the given prefill attempt.
     Reservation(RequestId, AttemptId),
-    /// Releases the KV state of a request. Any engine accepts the call and passes it on to the engine that holds
-    /// the state.
+    /// Releases the KV state of a request over HTTP/1. The call may be sent to any engine, which passes the release
+    /// on to the engine that holds the state.
     Release(ReleaseCall),
-    /// Releases a KV state that the called engine holds.
+    /// Releases a KV state over a multiplexed connection. The called engine itself holds the state.
     EngineRelease(EngineRelease),
-    /// Checks only whether the engine runs.
+    /// Checks whether the engine runs; the call has no other effect.
     LivenessCheck,
-    /// Abandoned by this side. Messages are ignored, except for the KV state of a prefill that ends late.
+    /// The dispatcher has abandoned the call, for example a cancelled attempt. Messages on the stream are ignored,
+    /// except that the KV state of a prefill that ends late is released.
     Abandoned,
 }
 
--- a/crates/dispatcher/src/state/timers.rs
+++ b/crates/dispatcher/src/state/timers.rs
@@ -6,37 +6,37 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// What a timer does when it fires. Timers are never cancelled: each handler checks whether its timer still
+/// The action of a timer. Timers are never cancelled; the handler of each action checks whether the timer still
 /// applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum TimerKind {
-    /// Passes a timer to the routing logic, which has set it.
+    /// Reports to the routing logic that a timer it has set is due.
     Control(TimerId),
-    /// Times out an attempt at the instant that the routing logic has set.
+    /// Times out an attempt, at the instant set by the routing logic or at the request's deadline.
     AttemptTimeout(RequestId, AttemptId),
-    /// Fails a request that has no answer and no stream at its deadline.
+    /// Fails a request that has neither an answer nor a token stream at its deadline.
     Deadline(RequestId),
-    /// Checks whether a stream has stalled.
+    /// Checks whether a token stream has made no progress for the stall timeout.
     StreamStall(RequestId, AttemptId),
     /// Pings, closes or drains a client connection.
     Client(ClientConnectionId),
     /// Dials, pings or closes connections to an engine.
     EngineConnections(EngineId),
-    /// Times out a health check that has no answer.
+    /// Times out a health check that is not answered.
     HealthCheckTimeout(EngineConnectionId, StreamId),
     /// Closes a connection if an abandoned stream has not ended, or a call on it has no answer.
     StreamTimeout(EngineConnectionId, StreamId),
-    /// Checks whether the KV state of a request was held for too long.
+    /// Checks whether the KV state of a request was held for too long, and releases it if so.
     HeldStateCheck(RequestId),
-    /// Sends unconfirmed releases to an engine again.
+    /// Sends the pending releases to the engine that holds the KV states.
     EngineReleaseRetry(EngineId),
-    /// Continues the release of the KV state of a request.
+    /// Continues the release of a request's KV state over HTTP/1, usually with further calls.
     ReleaseCheck(RequestId),
     /// Ends the accept period of a stop: new requests are rejected from then on.
     StopAcceptPeriodEnd,
     /// Migrates open streams to other dispatchers during a stop.
     StopMigration,
-    /// Ends the grace period of a stop: open requests are answered.
+    /// Ends the grace period of a stop. Requests that are still open get their final answer.
     StopGrace,
     /// Completes a stop even if releases are still unconfirmed.
     StopReleases,
@@ -60,19 +60,20 @@
     }
 }
 
-/// All timers of a dispatcher, ordered by instant.
+/// All timers of a dispatcher, ordered by the instant at which they are due.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     queue: BTreeMap<(OrderedInstant, u64), TimerKind>,
-    /// How many timers were set so far; orders timers of the same instant.
+    /// The number of timers set so far. It orders timers that are due at the same instant.
     set_count: u64,
 }
 
 impl Timers {
     /// Sets a timer for the instant `at`, in milliseconds.
-    pub fn set(&mut self, at: Ms, due: TimerKind) {
+    pub fn set(&mut self, at: Ms, kind: TimerKind) {
         self.set_count += 1;
-        self.queue.insert((OrderedInstant(at), self.set_count), due);
+        self.queue
+            .insert((OrderedInstant(at), self.set_count), kind);
     }
 
     /// When the earliest timer is due, in milliseconds; `None` if no timer is set.
--- a/crates/dispatcher/src/state/token_streams.rs
+++ b/crates/dispatcher/src/state/token_streams.rs
@@ -3,7 +3,7 @@
 use super::engine_messages::ProtocolViolation;
 use super::*;
 
-/// Credit is granted in this many portions per window, instead of after each message.
+/// Credit is granted in this many portions per window, instead of one message at a time.
 const CREDIT_GRANTS_PER_WINDOW: u32 = 2;
 
 impl Dispatcher {
@@ -30,7 +30,7 @@
             return Err(ProtocolViolation);
         }
         if request.answered {
-            // The final answer was sent, but `Control` has not necessarily cancelled the attempt. No more tokens may
+            // The final answer was sent, but `Control` may not have cancelled the attempt yet. No more tokens may
             // reach the client.
             self.stop_attempt(request_id, outputs);
             self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
@@ -57,7 +57,7 @@
         Ok(())
     }
 
-    /// Handles the first token of a request: its decode attempt has taken the KV state.
+    /// Handles the first token of a request, which shows that its decode attempt has taken the KV state.
     fn begin_stream(&mut self, request_id: RequestId) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
@@ -85,7 +85,7 @@
         });
     }
 
-    /// Handles token messages that were written to the client: the decode engine gets credit for as many more.
+    /// Handles token messages that were written to the client. The decode engine gets credit to send as many more.
     pub(super) fn on_messages_forwarded(
         &mut self,
         client_stream: ClientStream,
@@ -119,7 +119,7 @@
     /// messages could accumulate for a client that does not read.
     ///
     /// If the decode engine sends nothing, its attempt ends as lost. If the client reads nothing, it counts as
-    /// gone. A decode engine that waits for credit does not stall.
+    /// gone. A decode engine that waits for credit does not count as stalled.
     pub(super) fn check_stream_progress(
         &mut self,
         request_id: RequestId,
