--- a/crates/dispatcher/src/driver/gossip.rs
+++ b/crates/dispatcher/src/driver/gossip.rs
@@ -26,14 +26,17 @@
             if let Some(out) = connected {
                 out.send(frame(0, body.clone()));
             } else {
-                spawn_local(self.clone().run_peer(peer, address, body.clone()));
+                spawn_local(
+                    self.clone()
+                        .run_peer_connection(peer, address, body.clone()),
+                );
             }
         }
     }
 
     /// Connects to another dispatcher, sends `first_message`, and keeps the connection open for later messages
     /// until it ends. `first_message` is lost if the connection cannot be established.
-    async fn run_peer(self, peer: u32, address: String, first_message: Body) {
+    async fn run_peer_connection(self, peer: u32, address: String, first_message: Body) {
         let setup = self.session_setup("", 1);
         let Ok(session) = self.connect(&address, v1::Party::Dispatcher, setup).await else {
             return;
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -60,14 +60,15 @@
     pub cancel_burst: f64,
     /// The number of cancellations that a client connection is allowed again per second, up to `cancel_burst`.
     pub cancels_per_second: f64,
-    /// How long open requests may continue after a stop begins.
+    /// How long open requests may continue after a stop begins. Requests that are still open then get their final
+    /// answer.
     pub stop_grace: Ms,
-    /// How long new requests are accepted after a stop begins.
+    /// How long new requests are accepted after a stop begins; later ones are rejected.
     pub stop_accept_period: Ms,
     /// The time from the start of a stop to the migration of open streams, whose clients resume at another
     /// dispatcher. `None` lets streams run to their end.
     pub stop_streams_after: Option<Ms>,
-    /// The largest message accepted from a peer, in bytes.
+    /// The maximum size of a message from a peer, in bytes.
     pub max_message_bytes: usize,
     /// The maximum number of client connections. Connections whose greeting is not complete count as well.
     pub max_client_connections: usize,
@@ -76,14 +77,14 @@
     /// The limits of HTTP/1 connections, which carry one request at a time: cancelling a request ends its
     /// connection. `None` if connections are multiplexed.
     pub http1: Option<Http1Limits>,
-    /// The timeouts of calls to discovery.
+    /// The timeouts and backoff of calls to discovery.
     pub discovery: DiscoverySettings,
 }
 
 /// Limits that apply only to HTTP/1, where a connection carries one request at a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Http1Limits {
-    /// The timeouts of client connections.
+    /// The timeouts of client connections, for idle connections and for receiving a request.
     pub client_timeouts: Http1Settings,
     /// The maximum number of connections to all engines in total.
     pub max_engine_connections: usize,
--- a/crates/dispatcher/src/state/attempts.rs
+++ b/crates/dispatcher/src/state/attempts.rs
@@ -299,7 +299,7 @@
             detail,
             load,
         }));
-        self.forget_finished(request_id);
+        self.remove_finished_request(request_id);
     }
 
     /// Ends the current attempt, and sends the final answer if the outcome decides it. A success is always
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The time to the deadline of a request whose deadline has already passed when the request is completely received.
+/// The time to the deadline that a request gets if its deadline passed while the request was being received.
 const MIN_TIME_TO_DEADLINE_MS: Ms = 0.001;
 
 /// The error for a field of a client's request that has an invalid value.
@@ -27,7 +27,8 @@
 }
 
 impl Dispatcher {
-    /// Handles a message from a client.
+    /// Handles a message from a client: a request, a cancel, a readiness check, a goodbye or a pong. Any other
+    /// message closes the connection.
     pub(super) fn handle_client_message(
         &mut self,
         conn: ClientConnectionId,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Answers a readiness check of a client, by whether endpoints are known and no stop has begun.
+    /// Answers a readiness check of a client. The dispatcher is ready if endpoints are known and no stop has begun.
     fn answer_readiness(
         &mut self,
         conn: ClientConnectionId,
@@ -265,8 +266,8 @@
         }
     }
 
-    /// Handles a client that no longer waits for a request. The client gets no final answer, and a token stream
-    /// that has begun is stopped.
+    /// Handles a client that no longer waits for the answer to a request. The client gets no final answer, and a
+    /// token stream that has begun is stopped.
     pub(super) fn on_client_gone(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
@@ -281,7 +282,7 @@
             self.stop_attempt(request_id, outputs);
             self.end_attempt(request_id, Outcome::Cancelled, 0.0, Load::default());
         }
-        self.forget_finished(request_id);
+        self.remove_finished_request(request_id);
     }
 
     /// Answers a request as rejected if a retry is safe, and as failed otherwise. `retry_after` is in milliseconds.
@@ -312,7 +313,7 @@
     }
 
     /// Sends the final answer of a request, unless it was sent before. `retry_after_ms` is the time after which the
-    /// client may retry; with 0 the client is told no time.
+    /// client may retry; 0 means that the answer gives no such time.
     pub(super) fn answer(
         &mut self,
         request_id: RequestId,
@@ -353,12 +354,12 @@
             frame: frame(stream.0, Body::Final(body)),
         });
         self.on_client_response_sent(conn);
-        self.forget_finished(request_id);
+        self.remove_finished_request(request_id);
     }
 
-    /// Drops the record of a request that expects no final answer and has no current attempt and no available KV
-    /// state.
-    pub(super) fn forget_finished(&mut self, request_id: RequestId) {
+    /// Removes the record of a request whose final answer was sent or whose client has gone, once the request has
+    /// no current attempt and no available KV state.
+    pub(super) fn remove_finished_request(&mut self, request_id: RequestId) {
         let is_finished = self
             .requests
             .get(&request_id)
--- a/crates/dispatcher/src/state/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -9,7 +9,7 @@
     ClientCommand, CloseReason, MultiplexedConnection, MultiplexedSettings,
 };
 
-/// The state of one client connection.
+/// The state of one client connection, from which its pings and its close are decided.
 #[derive(Debug)]
 struct ClientConnection {
     multiplexed: MultiplexedConnection,
@@ -32,7 +32,7 @@
     }
 }
 
-/// All client connections, by id.
+/// All established client connections, by id.
 #[derive(Debug, Default)]
 pub(super) struct ClientConnections {
     all: BTreeMap<ClientConnectionId, ClientConnection>,
@@ -82,8 +82,8 @@
 }
 
 impl Dispatcher {
-    /// Handles a client that has connected. If a stop already rejects new requests, the client is asked at once to
-    /// start none.
+    /// Handles a client that has connected. If a stop already rejects new requests, the client is asked to start no
+    /// requests on the connection.
     pub(super) fn on_client_connected(&mut self, conn: ClientConnectionId, out: &mut Vec<Output>) {
         let settings = self.settings.multiplexed_settings();
         let is_http1 = self.settings.limits.http1.is_some();
--- a/crates/dispatcher/src/state/connection_events.rs
+++ b/crates/dispatcher/src/state/connection_events.rs
@@ -69,7 +69,7 @@
                 false
             }
             Some(StreamPurpose::Attempt(request, _)) => {
-                self.update_time_left(request, &mut body);
+                self.update_time_limit(request, &mut body);
                 if let Some(request) = self.requests.get_mut(&request) {
                     request.mark_sent(self.now);
                 }
@@ -114,7 +114,7 @@
 
     /// Reduces the time limit in the message of an attempt by the time that the message was queued for its
     /// connection.
-    pub(super) fn update_time_left(&self, request: RequestId, body: &mut Body) {
+    pub(super) fn update_time_limit(&self, request: RequestId, body: &mut Body) {
         let Some(attempt) = self.current_attempt(request) else {
             return;
         };
@@ -241,7 +241,7 @@
         for (_, purpose) in connection.streams {
             self.end_lost_stream(&connection.engine, purpose, outcome, outputs);
         }
-        self.forget_gone_engine(&connection.engine);
+        self.remove_gone_engine(&connection.engine);
     }
 
     /// Ends the call that a stream carried, after the connection of the stream has ended.
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// The connections to all engines.
+/// The connections to all engines, their connection pools, and the evidence that each engine is alive.
 #[derive(Debug, Default)]
 pub(super) struct EngineConnections {
     all: BTreeMap<EngineConnectionId, EngineConnection>,
@@ -480,7 +480,7 @@
                 .is_ok()
     }
 
-    /// Sends a message now, or once the connection is established.
+    /// Sends a message, or queues it until the connection is established.
     pub fn send(
         &mut self,
         id: EngineConnectionId,
@@ -534,9 +534,9 @@
         Some(purpose)
     }
 
-    /// Drops the connection pool and the liveness record of an engine if the engine has no connections. Returns
-    /// whether they were dropped.
-    pub fn forget(&mut self, engine: &EngineId) -> bool {
+    /// Removes the connection pool and the liveness record of an engine if the engine has no connections. Returns
+    /// whether it has none.
+    pub fn remove_engine(&mut self, engine: &EngineId) -> bool {
         let has_no_connections = !self.by_engine.contains_key(engine);
         if has_no_connections {
             self.pools.remove(engine);
--- a/crates/dispatcher/src/state/delivery.rs
+++ b/crates/dispatcher/src/state/delivery.rs
@@ -52,7 +52,9 @@
                 .requests
                 .get(id)
                 .and_then(|request| request.current_attempt.as_ref());
-            attempt.is_some_and(|attempt| attempt.engine == *engine && self.has_arrived(attempt))
+            attempt.is_some_and(|attempt| {
+                attempt.engine == *engine && self.has_reached_engine(attempt)
+            })
         };
         let delivered: Vec<RequestId> = self
             .delivery_unconfirmed
@@ -66,7 +68,7 @@
     }
 
     /// Whether the attempt's engine is known to have run since the attempt was sent.
-    pub(super) fn has_arrived(&self, attempt: &requests::Attempt) -> bool {
+    pub(super) fn has_reached_engine(&self, attempt: &requests::Attempt) -> bool {
         attempt
             .sent_at
             .is_some_and(|sent_at| self.connections.has_run_since(&attempt.engine, sent_at))
@@ -148,7 +150,7 @@
             .current_attempt
             .as_ref()
             .filter(|attempt| !attempt.first_token_sent)?;
-        let problem = match self.has_arrived(attempt) {
+        let problem = match self.has_reached_engine(attempt) {
             true => "no message on the attempt's connection although the engine runs",
             false => "attempt not known to have reached its engine",
         };
--- a/crates/dispatcher/src/state/endpoint_updates.rs
+++ b/crates/dispatcher/src/state/endpoint_updates.rs
@@ -35,14 +35,15 @@
             endpoints,
         });
         for engine in self.endpoints.gone_engines() {
-            self.forget_gone_engine(&engine);
+            self.remove_gone_engine(&engine);
         }
     }
 
     /// Drops the record of an engine that is gone, once no connection to it is left. Otherwise memory would grow
     /// without bound in a fleet whose engines are constantly replaced. An unknown engine counts as gone.
-    pub(super) fn forget_gone_engine(&mut self, engine: &EngineId) {
-        if self.endpoints.status(engine) == EndpointStatus::Gone && self.connections.forget(engine)
+    pub(super) fn remove_gone_engine(&mut self, engine: &EngineId) {
+        if self.endpoints.status(engine) == EndpointStatus::Gone
+            && self.connections.remove_engine(engine)
         {
             self.endpoints.engines.remove(engine);
         }
--- a/crates/dispatcher/src/state/endpoints.rs
+++ b/crates/dispatcher/src/state/endpoints.rs
@@ -42,8 +42,8 @@
 }
 
 impl Endpoints {
-    /// Applies an update. Returns the kind of the update, the valid endpoints, and a log text with the reason for
-    /// each entry that is ignored.
+    /// Applies an update of the endpoint list. Returns the kind of the update, the valid endpoints, and a log text
+    /// with the reason for each entry that is ignored.
     pub fn apply_update(
         &mut self,
         list: &v1::EndpointList,
@@ -127,8 +127,8 @@
             .or_insert(next)
     }
 
-    /// Whether any engine is in the table.
-    pub fn is_known(&self) -> bool {
+    /// Whether the table contains any engine, including engines that are draining or gone.
+    pub fn has_engines(&self) -> bool {
         !self.engines.is_empty()
     }
 
--- a/crates/dispatcher/src/state/engine_messages.rs
+++ b/crates/dispatcher/src/state/engine_messages.rs
@@ -65,8 +65,8 @@
         purpose: Option<&StreamPurpose>,
         body: Option<&Body>,
     ) {
-        // The dispatcher's own side creates goodbyes for streams and connections that have ended, so they prove
-        // nothing about the engine.
+        // Goodbyes are created in this process when a stream or connection has ended, so they prove nothing about
+        // the engine.
         if matches!(body, Some(Body::Goodbye(_))) {
             return;
         }
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Handles the end of an attempt's connection. Only if the connection ended before the whole request was
-    /// written is the attempt known not to have run.
+    /// Handles the end of an attempt's connection. The attempt is known not to have run only if the connection
+    /// ended before the whole request was written.
     fn handle_attempt_goodbye(
         &mut self,
         source: &EngineStream,
@@ -253,7 +253,7 @@
         match body {
             Body::Ended(ended) => {
                 self.close_stream(source.connection, source.stream);
-                self.handle_late_end(source.engine.clone(), ended, outputs);
+                self.handle_late_prefill_end(source.engine.clone(), ended, outputs);
                 Ok(())
             }
             Body::Load(_) | Body::Goodbye(_) => self.end_stream(source),
@@ -287,7 +287,7 @@
 
     /// Releases the KV state of a prefill that ended after it was cancelled. `Control` does not know of this state,
     /// which would otherwise stay pinned at its engine.
-    pub(super) fn handle_late_end(
+    pub(super) fn handle_late_prefill_end(
         &mut self,
         engine: EngineId,
         ended: &v1::Ended,
@@ -305,7 +305,7 @@
         }
     }
 
-    /// Handles the end of an attempt.
+    /// Handles an engine's message that an attempt has ended.
     ///
     /// # Errors
     /// The status is not allowed for this attempt. The attempt has then ended with [`Outcome::ConnectionLost`].
@@ -340,11 +340,11 @@
                 // The decode engine could not fetch the KV state. The state would stay pinned at its prefill
                 // engine, so it is released.
                 if fault_injection::is_injected(InjectedFault::MissingStateKept) {
-                    self.kv_states.forget(request_id);
+                    self.kv_states.remove(request_id);
                 } else {
                     self.request_release(request_id, outputs);
                 }
-                self.forget_finished(request_id);
+                self.remove_finished_request(request_id);
             }
             v1::Status::Failed => {
                 self.finish_attempt(request_id, Outcome::Failed, &ended.reason, load, outputs)
--- a/crates/dispatcher/src/state/invariants.rs
+++ b/crates/dispatcher/src/state/invariants.rs
@@ -27,8 +27,8 @@
 
 /// The platform's protocol allows a KV state to be held this much longer than the KV state timeout.
 const HELD_STATE_TOLERANCE_MS: Ms = 300.0;
-/// A KV state that is held for too long is released when the tolerance divided by this has passed. The rest of the
-/// tolerance is left for the release to reach the engine.
+/// A KV state is released when it was held for longer than the KV state timeout plus the tolerance divided by this.
+/// The rest of the tolerance is left for the release to reach the engine.
 const HELD_STATE_TOLERANCE_DIVISOR: f64 = 2.0;
 
 impl fmt::Display for Invariant {
@@ -88,7 +88,8 @@
         checks
             .into_iter()
             .fold(true, |all_hold, (invariant, holds)| {
-                self.check(invariant, holds, request_id, engine.0.as_ref(), outputs) && all_hold
+                self.check_invariant(invariant, holds, request_id, engine.0.as_ref(), outputs)
+                    && all_hold
             })
     }
 
@@ -113,7 +114,7 @@
             } => true,
             RetrySafety::IdempotencyKey { .. } | RetrySafety::AtMostOnce => !may_have_run,
         };
-        self.check(
+        self.check_invariant(
             Invariant::Close,
             retry_is_safe,
             request_id,
@@ -124,7 +125,7 @@
 
     /// Schedules a check of a request's KV state for the instant by which the state must be taken or released.
     /// Applies to HTTP/1 only.
-    pub(super) fn schedule_held_check(&mut self, request_id: RequestId) {
+    pub(super) fn schedule_held_state_check(&mut self, request_id: RequestId) {
         if self.settings.limits.http1.is_some() && self.kv_states.get(request_id).is_some() {
             self.timers.set(
                 self.now + self.max_held_duration(),
@@ -145,8 +146,10 @@
             return;
         };
         let attempt = self.current_attempt(request_id);
-        if attempt.is_some_and(|attempt| state.is_release_pending() || self.has_arrived(attempt)) {
-            return self.schedule_held_check(request_id);
+        if attempt
+            .is_some_and(|attempt| state.is_release_pending() || self.has_reached_engine(attempt))
+        {
+            return self.schedule_held_state_check(request_id);
         }
         let is_available = state.is_available();
         let (held_since, was_called_since) = match is_available {
@@ -166,7 +169,7 @@
                 .set(due_at, TimerKind::HeldStateCheck(request_id));
         }
         let engine = state.held.engine.0.to_string();
-        self.check(Invariant::Hold, false, request_id, &engine, outputs);
+        self.check_invariant(Invariant::Hold, false, request_id, &engine, outputs);
         match is_available {
             true => self.release(request_id, outputs),
             false => self.continue_release(request_id, outputs),
@@ -238,9 +241,9 @@
         }
     }
 
-    /// Counts a check of an invariant, and logs it as a violation unless `holds`. `context` is the engine
-    /// concerned, or another hint for the log. Returns `holds`.
-    fn check(
+    /// Counts a check of an invariant, and logs a violation if `holds` is false. `context` is the engine's name, or
+    /// "refused" for a rejection; the log line contains it. Returns `holds`.
+    fn check_invariant(
         &mut self,
         invariant: Invariant,
         holds: bool,
--- a/crates/dispatcher/src/state/io.rs
+++ b/crates/dispatcher/src/state/io.rs
@@ -18,7 +18,7 @@
 /// An event that the driver passes to [`Dispatcher::handle`](super::Dispatcher::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A client has sent a message after its greeting.
+    /// A client has sent a message, after its greeting was completed.
     Client {
         /// The connection that carried the message.
         conn: ClientConnectionId,
@@ -27,7 +27,7 @@
     },
     /// A client has completed its greeting.
     ClientConnected {
-        /// The new connection.
+        /// The id that the driver has assigned to the connection.
         conn: ClientConnectionId,
     },
     /// The first part of a client's request has arrived.
@@ -71,7 +71,7 @@
         /// The reason, for the log.
         reason: String,
     },
-    /// An engine has sent a message.
+    /// An engine has sent a message on an established connection.
     Engine {
         /// The connection that carried the message.
         connection: EngineConnectionId,
@@ -121,13 +121,14 @@
         /// The reason, for the log.
         reason: String,
     },
-    /// Dial an engine.
+    /// Dial an engine. The driver reports the result as [`Input::ConnectionEstablished`] or
+    /// [`Input::ConnectionClosed`].
     Dial {
         /// The id of the new connection.
         connection: EngineConnectionId,
         /// The engine that must answer at the address.
         engine: EngineId,
-        /// The address to dial.
+        /// The address to dial, from the endpoint list.
         address: String,
     },
     /// Send a message to an engine.
@@ -144,7 +145,7 @@
         /// The reason, for the log.
         reason: String,
     },
-    /// Cache the endpoints for the next start.
+    /// Cache the endpoints for the next start of the dispatcher.
     CacheEndpoints(v1::EndpointList),
     /// Request the endpoints from discovery.
     RequestEndpoints {
@@ -155,14 +156,14 @@
     SendGossip {
         /// The receiver; `None` for all other dispatchers.
         to: Option<DispatcherId>,
-        /// The encoded message.
+        /// The encoded message, as `Control` has built it.
         bytes: Vec<u8>,
     },
-    /// Write a line to the log.
+    /// Write a line to the log of the process.
     Log {
         /// The severity of the line.
         level: Level,
-        /// The text of the line.
+        /// The text of the line, without time and severity.
         text: String,
     },
     /// The stop is complete, and the process may exit.
--- a/crates/dispatcher/src/state/kv_states.rs
+++ b/crates/dispatcher/src/state/kv_states.rs
@@ -84,7 +84,8 @@
     pub next_check_at: Ms,
     /// The engines that were called since the last confirmation and have not confirmed the release.
     pub called_engines: Vec<EngineId>,
-    /// The number of confirmations since the last attempt ended. None of them proves that the KV state is released.
+    /// The number of confirmations since the last attempt ended, none of which proves that the KV state is
+    /// released.
     pub confirmations: u32,
     /// Whether an engine has confirmed a call of the current round of release calls.
     pub round_confirmed: bool,
@@ -133,12 +134,12 @@
         }
     }
 
-    /// Whether an attempt may take the state.
+    /// Whether a decode attempt may still take the state.
     pub fn is_available(&self) -> bool {
         self.phase != KvStatePhase::ReleasePending
     }
 
-    /// Whether a release is pending.
+    /// Whether a release of the state was requested and has not been proven to have taken effect.
     pub fn is_release_pending(&self) -> bool {
         matches!(
             self.phase,
@@ -182,12 +183,12 @@
     }
 }
 
-/// The KV states of all requests.
+/// The records of the KV states of all requests, and the releases that wait for an event.
 #[derive(Debug, Default)]
 pub(super) struct KvStates {
     states: BTreeMap<RequestId, KvState>,
-    /// Requests with an attempt that ended without a message from its engine, by that engine. A request is removed
-    /// once the engine is known to have worked on any attempt since the end.
+    /// Requests with an attempt that ended without a message from its engine, grouped by that engine. A request is
+    /// removed once the engine is known to have worked on any attempt since the end.
     awaiting_engine_work: BTreeMap<EngineId, BTreeSet<RequestId>>,
     /// Requests whose latest release calls were not confirmed by any engine.
     pub unconfirmed_releases: BTreeSet<RequestId>,
@@ -196,7 +197,7 @@
 }
 
 impl KvStates {
-    /// The record of a request's KV state.
+    /// The record of a request's KV state; `None` if no engine holds a state for the request.
     pub fn get(&self, request: RequestId) -> Option<&KvState> {
         self.states.get(&request)
     }
@@ -213,12 +214,12 @@
         self.states.values().filter(is_unconfirmed).count()
     }
 
-    /// The record of a request whose KV state an attempt may take.
+    /// The record of a request's KV state, if a decode attempt may still take the state.
     pub fn available(&self, request: RequestId) -> Option<&KvState> {
         self.get(request).filter(|state| state.is_available())
     }
 
-    /// The record of a request whose release is pending.
+    /// The record of a request's KV state, if the release of the state is pending.
     pub fn pending_release(&self, request: RequestId) -> Option<&KvState> {
         self.get(request).filter(|state| state.is_release_pending())
     }
@@ -282,7 +283,7 @@
                 self.due_releases.insert(request);
             }
             _ => {
-                self.forget(request);
+                self.remove(request);
             }
         }
     }
@@ -302,7 +303,7 @@
         }
     }
 
-    /// Requests the release of an available state.
+    /// Requests the release of a request's KV state. No decode attempt can take the state from then on.
     pub fn request_release(&mut self, request: RequestId, now: Ms) {
         if let Some(state) = self
             .states
@@ -397,9 +398,9 @@
         affected
     }
 
-    /// Drops the record of a request, because nothing is held any more or its release is given up. Returns the
-    /// record.
-    pub fn forget(&mut self, request: RequestId) -> Option<KvState> {
+    /// Removes and returns the record of a request's KV state, because the state is taken or released, or its
+    /// release is given up.
+    pub fn remove(&mut self, request: RequestId) -> Option<KvState> {
         let state = self.states.remove(&request)?;
         for engine in state.engines_with_unconfirmed_end() {
             let waiting = self.awaiting_engine_work.get_mut(engine);
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -56,7 +56,7 @@
 use stream_purpose::EngineRelease;
 use timers::{TimerKind, Timers};
 
-/// The delay that the injected fault `TimersLate` adds to a timer.
+/// The delay that the injected fault `TimersLate` adds to the timers of the routing logic.
 const INJECTED_TIMER_DELAY_MS: Ms = 300.0;
 
 /// Routes requests to engines and their tokens back to clients, as a state machine without I/O. All instants
@@ -68,7 +68,7 @@
     now: Ms,
     requests: BTreeMap<RequestId, Request>,
     client_streams: BTreeMap<ClientStream, RequestId>,
-    /// Open requests by the id that their clients have assigned. Requests without such an id are absent.
+    /// The open requests, keyed by the id that the client has assigned. Requests without such an id are absent.
     requests_by_origin: BTreeMap<String, RequestId>,
     client_connections: ClientConnections,
     next_request_id: u32,
@@ -76,8 +76,8 @@
     connections: EngineConnections,
     timers: Timers,
     kv_states: KvStates,
-    /// Releases that are waiting to be sent, by the engine that holds the KV state. Used only with multiplexed
-    /// connections.
+    /// Releases that are waiting to be sent, grouped by the engine that holds the KV state. Used only with
+    /// multiplexed connections.
     pending_engine_releases: BTreeMap<EngineId, Vec<EngineRelease>>,
     /// Requests whose current attempt is not yet known to have reached its engine, although `Control` has asked for
     /// a confirmation.
@@ -179,10 +179,10 @@
             Input::Tick => {}
             Input::Stop => self.begin_stop(outputs),
         }
-        self.run_decisions(outputs);
+        self.run_control(outputs);
         while let Some(timer) = self.timers.take_due(self.now) {
             self.on_timer(timer, outputs);
-            self.run_decisions(outputs);
+            self.run_control(outputs);
         }
         self.continue_due_releases(outputs);
         self.complete_stop(outputs);
@@ -198,14 +198,14 @@
     /// Passes the pending events to `Control` and carries out its actions until no event remains. An attempt that
     /// no connection can carry ends at once, which adds an event. The loop ends because the number of attempts per
     /// request is limited.
-    fn run_decisions(&mut self, outputs: &mut Vec<Output>) {
+    fn run_control(&mut self, outputs: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
             if let Some(service_stats) = &mut self.service_stats {
                 events
                     .iter()
-                    .for_each(|event| service_stats.observe(self.now, event));
+                    .for_each(|event| service_stats.record_event(self.now, event));
             }
             if self.logs_requests {
                 events
--- a/crates/dispatcher/src/state/release_targets.rs
+++ b/crates/dispatcher/src/state/release_targets.rs
@@ -87,7 +87,8 @@
             .map(|(engine, _)| engine)
             .collect();
         if engines.iter().all(|engine| called_engines.contains(engine)) {
-            // The engine that was called last is not called again at once if there is another.
+            // The engine that was called last stays in the list, so that another engine is called first if there is
+            // one.
             let called_count = called_engines.len();
             called_engines.drain(..called_count.saturating_sub(1));
         }
--- a/crates/dispatcher/src/state/release_waits.rs
+++ b/crates/dispatcher/src/state/release_waits.rs
@@ -39,10 +39,10 @@
             return false;
         };
         let needs = |attempt: &requests::Attempt| {
-            let may_arrive =
+            let may_reach_engine =
                 self.now < self.unconfirmed_since(state, attempt) + self.unconfirmed_attempt_wait();
             attempt.first_token_sent
-                || attempt.is_prefill && (may_arrive || self.has_arrived(attempt))
+                || attempt.is_prefill && (may_reach_engine || self.has_reached_engine(attempt))
         };
         let is_available = self
             .kv_states
@@ -83,7 +83,7 @@
             return;
         };
         if let Some(attempt) =
-            attempt.filter(|attempt| !attempt.first_token_sent && !self.has_arrived(attempt))
+            attempt.filter(|attempt| !attempt.first_token_sent && !self.has_reached_engine(attempt))
         {
             let waiting_since = self.unconfirmed_since(state, attempt);
             let liveness_check_at = waiting_since
@@ -115,7 +115,7 @@
         );
         let was_sent = ended.sent_at.is_some() && self.settings.limits.http1.is_some();
         let unacknowledged_by = (is_unacknowledged && was_sent).then(|| ended.engine.clone());
-        let restarts_hold_time = outcome == Outcome::PrefillDone || self.has_arrived(ended);
+        let restarts_hold_time = outcome == Outcome::PrefillDone || self.has_reached_engine(ended);
         if let Some(state) = self
             .kv_states
             .get_mut(request_id)
@@ -126,6 +126,6 @@
         self.kv_states.withdraw_offer(request_id, ended.id);
         self.kv_states
             .record_attempt_end(request_id, unacknowledged_by, self.now);
-        self.schedule_held_check(request_id);
+        self.schedule_held_state_check(request_id);
     }
 }
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -48,7 +48,7 @@
             outputs.push(Output::log(Level::Info, text));
         }
         self.request_release(request_id, outputs);
-        self.forget_finished(request_id);
+        self.remove_finished_request(request_id);
     }
 
     /// Releases the KV state of a request, at the request of `Control`, unless the current attempt needs the state.
@@ -67,8 +67,8 @@
     pub(super) fn request_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if self.settings.limits.http1.is_some() {
             self.kv_states.request_release(request_id, self.now);
-            self.schedule_held_check(request_id);
-        } else if let Some(state) = self.kv_states.forget(request_id) {
+            self.schedule_held_state_check(request_id);
+        } else if let Some(state) = self.kv_states.remove(request_id) {
             self.release_at_engine(state.held, outputs);
         }
     }
@@ -108,7 +108,7 @@
     /// an attempt.
     pub(super) fn continue_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
         if fault_injection::is_injected(InjectedFault::ReleaseForgotten) {
-            self.kv_states.forget(request_id);
+            self.kv_states.remove(request_id);
         }
         let Some(state) = self.kv_states.pending_release(request_id) else {
             return;
@@ -136,14 +136,14 @@
             state.release.round_confirmed = false;
         }
         for engine in engines {
-            self.begin_release(request_id, engine, outputs);
+            self.begin_release_call(request_id, engine, outputs);
         }
         self.schedule_next_round(request_id);
     }
 
     /// Gives up a release, and logs the engines at which it possibly had no effect.
     fn give_up_release(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
-        let Some(state) = self.kv_states.forget(request_id) else {
+        let Some(state) = self.kv_states.remove(request_id) else {
             return;
         };
         let engines_with_unconfirmed_end: Vec<&str> = state
@@ -164,7 +164,7 @@
     }
 
     /// Sends an engine a call to release the KV state of a request.
-    fn begin_release(
+    fn begin_release_call(
         &mut self,
         request_id: RequestId,
         engine: EngineId,
@@ -244,7 +244,7 @@
         if !is_conclusive || self.has_current_attempt(call.request) {
             return self.schedule_next_round(call.request);
         }
-        let Some(state) = self.kv_states.forget(call.request) else {
+        let Some(state) = self.kv_states.remove(call.request) else {
             return;
         };
         let level = if state.had_unacknowledged_attempt_end() {
--- a/crates/dispatcher/src/state/requests.rs
+++ b/crates/dispatcher/src/state/requests.rs
@@ -23,17 +23,16 @@
     pub answered: bool,
     /// The number of attempts started so far; also the id of the next attempt.
     pub attempts: u32,
-    /// The attempt that has not ended; `None` between attempts.
+    /// The attempt that is queued or running; `None` between attempts.
     pub current_attempt: Option<Attempt>,
     /// Whether any attempt of the request was sent on an established connection.
     pub was_sent: bool,
     pub retry_safety: RetrySafety,
-    /// The first attempt that may have run; `None` as long as a retry is known to repeat no work that has an
-    /// effect.
+    /// The first attempt that may have run; `None` as long as a retry cannot cause the effect of the request twice.
     pub first_possible_run: Option<PossibleRun>,
 }
 
-/// An attempt that has not ended.
+/// An attempt that has not ended, with the progress of its token stream.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub id: AttemptId,
--- a/crates/dispatcher/src/state/service_stats.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -13,7 +13,8 @@
 /// The load that one engine has reported, and the outcomes of the attempts there.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct EngineStats {
-    /// The used fraction of the engine's capacity, and when it was reported; `None` if never reported.
+    /// The used fraction of the engine's capacity, and the instant of that report; `None` if the engine has
+    /// reported none.
     used: Option<(f64, Ms)>,
     /// The outcomes of attempts since the last report on the engine.
     attempt_outcomes: OutcomeCounts,
@@ -50,7 +51,7 @@
     }
 
     /// Records the load of an engine and the outcome of an attempt, if an event for `Control` contains them.
-    pub fn observe(&mut self, now: Ms, event: &Event) {
+    pub fn record_event(&mut self, now: Ms, event: &Event) {
         let (engine, load, outcome) = match event {
             Event::Ended(ended) => (&ended.engine, ended.load, Some(ended.outcome)),
             Event::HealthChecked { engine, load, .. } => (engine, *load, None),
@@ -76,10 +77,10 @@
         Some((used, now - at))
     }
 
-    /// Returns reports on up to `max` engines whose statistics have changed since their last report, in round-robin
-    /// order.
-    pub fn reports(&mut self, now: Ms, max: usize) -> Vec<EngineReport> {
-        let engines = self.next_unreported(max);
+    /// Returns reports on up to `max_reports` engines whose statistics have changed since their last report. The
+    /// engines take turns.
+    pub fn reports(&mut self, now: Ms, max_reports: usize) -> Vec<EngineReport> {
+        let engines = self.next_unreported(max_reports);
         if let Some(last) = engines.last() {
             self.last_reported_engine = Some(last.clone());
         }
@@ -89,9 +90,9 @@
             .collect()
     }
 
-    /// Up to `max` engines whose statistics have changed since their last report, starting after the engine of the
-    /// newest report.
-    fn next_unreported(&self, max: usize) -> Vec<EngineId> {
+    /// Up to `max_engines` engines whose statistics have changed since their last report, beginning after the
+    /// engine of the newest report.
+    fn next_unreported(&self, max_engines: usize) -> Vec<EngineId> {
         let after_last = match &self.last_reported_engine {
             Some(last) => (Excluded(last), Unbounded),
             None => (Unbounded, Unbounded),
@@ -105,7 +106,7 @@
             .chain(up_to_last)
             .filter(|(_, stats)| !stats.is_unchanged_since_report)
             .map(|(engine, _)| engine.clone())
-            .take(max)
+            .take(max_engines)
             .collect()
     }
 
--- a/crates/dispatcher/src/state/status.rs
+++ b/crates/dispatcher/src/state/status.rs
@@ -5,7 +5,7 @@
 impl Dispatcher {
     /// Whether endpoints are known and no stop has begun.
     pub fn is_ready(&self) -> bool {
-        self.endpoints.is_known() && self.stopping_since.is_none()
+        self.endpoints.has_engines() && self.stopping_since.is_none()
     }
 
     /// The number of open requests as a fraction of the maximum, from 0 to 1.
@@ -21,7 +21,9 @@
 
     /// The version of the newest endpoint update, or `None` if no endpoint is known.
     pub fn known_version(&self) -> Option<u64> {
-        self.endpoints.is_known().then_some(self.endpoints.version)
+        self.endpoints
+            .has_engines()
+            .then_some(self.endpoints.version)
     }
 
     /// Stops [`Self::handle`] from returning [`Output::CacheEndpoints`], for a driver that has no cache file.
@@ -51,8 +53,8 @@
         )
     }
 
-    /// The engines in the endpoint list, in the form that a rollout monitors. `now` is in milliseconds on the clock
-    /// of the endpoints' start times.
+    /// The engines in the endpoint list, with the status and utilization that a rollout monitors. `now` is in
+    /// milliseconds on the clock of the endpoints' start times.
     pub fn engine_units(&self, now: Ms) -> Vec<Unit> {
         let slow_start_window = self.settings.policy.slow_start_window;
         let unit = |(engine, entry): (&EngineId, &endpoints::EngineEntry)| {
@@ -102,7 +104,7 @@
     }
 }
 
-/// The sizes of the dispatcher's tables.
+/// The sizes of the dispatcher's tables at one instant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Requests that are open, or that still have an attempt or a KV state.
--- a/crates/dispatcher/src/state/stream_purpose.rs
+++ b/crates/dispatcher/src/state/stream_purpose.rs
@@ -1,4 +1,4 @@
-//! The purposes of streams on connections to engines.
+//! The calls that streams on connections to engines carry, as recorded by the dispatcher.
 
 use super::kv_states::{HeldState, ReleaseCall};
 use cindercleat::interface::{AttemptId, Ms, RequestId};
@@ -27,7 +27,7 @@
     Abandoned,
 }
 
-/// A release that the engine which holds the KV state has not confirmed.
+/// A release over a multiplexed connection that the engine has not confirmed.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct EngineRelease {
     pub held: HeldState,
