--- a/crates/dispatcher/src/driver/clients.rs
+++ b/crates/dispatcher/src/driver/clients.rs
@@ -38,7 +38,7 @@
                 Err(problem) => {
                     tracing::warn!(%problem, "accept failed; retrying in {ACCEPT_RETRY_DELAY_MS} ms");
                     if previous_accept_failed {
-                        self.input(Input::ClientLimitReached);
+                        self.handle_input(Input::ClientLimitReached);
                     }
                     previous_accept_failed = true;
                     let retry_at = self.shared.clock.now() + ACCEPT_RETRY_DELAY_MS;
@@ -76,7 +76,7 @@
             if limits.http1.is_none() {
                 return false;
             }
-            self.input(Input::ClientLimitReached);
+            self.handle_input(Input::ClientLimitReached);
             changed.await;
         }
     }
@@ -100,14 +100,14 @@
         let conn = ClientConnectionId(self.shared.last_client_connection.get() + 1);
         self.shared.last_client_connection.set(conn.0);
         self.shared.clients.borrow_mut().insert(conn, out);
-        self.input(Input::ClientConnected { conn });
+        self.handle_input(Input::ClientConnected { conn });
         // The new connection may be evicted from now on, so connections that wait for capacity are woken up.
         self.shared.client_capacity_changed.notify_waiters();
         while let Some(event) = events.recv().await {
             self.client_event(conn, event);
         }
         self.shared.clients.borrow_mut().remove(&conn);
-        self.input(Input::ClientClosed { conn });
+        self.handle_input(Input::ClientClosed { conn });
         self.shared.client_capacity_changed.notify_waiters();
     }
 
@@ -128,14 +128,14 @@
                 ..
             }) => {
                 let (from, bytes) = (DispatcherId(gossip.from), gossip.bytes.to_vec());
-                self.input(Input::GossipReceived { from, bytes });
+                self.handle_input(Input::GossipReceived { from, bytes });
             }
-            Event::Frame(frame) => self.input(Input::Client { conn, frame }),
-            Event::Partly => self.input(Input::ClientRequestBegun { conn }),
+            Event::Frame(frame) => self.handle_input(Input::Client { conn, frame }),
+            Event::Partly => self.handle_input(Input::ClientRequestBegun { conn }),
             Event::GoingAway => {}
             Event::Flushed { stream, messages } => {
                 let stream = StreamId(stream);
-                self.input(Input::MessagesForwarded {
+                self.handle_input(Input::MessagesForwarded {
                     conn,
                     stream,
                     messages,
--- a/crates/dispatcher/src/driver/discovery.rs
+++ b/crates/dispatcher/src/driver/discovery.rs
@@ -56,7 +56,7 @@
                 );
                 last_reason = Some(reason);
             }
-            self.input(Input::EndpointsRejected);
+            self.handle_input(Input::EndpointsRejected);
             call_count += 1;
             let next_call_at = self.shared.clock.now() + backoff;
             tokio::select! { biased;
@@ -136,7 +136,7 @@
                     ..
                 })) => {
                     out.close();
-                    return goodbye_end(goodbye);
+                    return classify_goodbye(goodbye);
                 }
                 // The first part of a long list has arrived.
                 Some(Event::Partly) => calls.answer_begun(),
@@ -173,7 +173,7 @@
         }
         calls.list_received();
         log_list(&list);
-        self.input(Input::EndpointsUpdated(list));
+        self.handle_input(Input::EndpointsUpdated(list));
         Ok(())
     }
 }
@@ -190,7 +190,7 @@
 
 /// Classifies a goodbye that ended a call to discovery. With `never_ran`, the call did not reach discovery.
 /// Otherwise discovery has answered, but not with a list.
-fn goodbye_end(goodbye: v1::Goodbye) -> CallEnd {
+fn classify_goodbye(goodbye: v1::Goodbye) -> CallEnd {
     if goodbye.never_ran {
         CallEnd::Lost(goodbye.reason)
     } else {
--- a/crates/dispatcher/src/driver/engine_connections.rs
+++ b/crates/dispatcher/src/driver/engine_connections.rs
@@ -67,7 +67,7 @@
             .engine_connections
             .borrow_mut()
             .remove(&connection);
-        self.input(Input::ConnectionClosed { connection, reason });
+        self.handle_input(Input::ConnectionClosed { connection, reason });
     }
 
     /// Dials an engine and passes its messages to the state machine. Returns the reason why the connection ended,
@@ -97,11 +97,11 @@
             }
         };
         *handle.out.borrow_mut() = Some(out);
-        self.input(Input::ConnectionEstablished { connection, limit });
+        self.handle_input(Input::ConnectionEstablished { connection, limit });
         while let Some(event) = events.recv().await {
             match event {
-                Event::Frame(frame) => self.input(Input::Engine { connection, frame }),
-                Event::GoingAway => self.input(Input::ConnectionDraining { connection }),
+                Event::Frame(frame) => self.handle_input(Input::Engine { connection, frame }),
+                Event::GoingAway => self.handle_input(Input::ConnectionDraining { connection }),
                 Event::Flushed { .. } | Event::Partly => {}
             }
         }
--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -169,7 +169,7 @@
         spawn_local(self.clone().run_discovery());
         let accepting = spawn_local(self.clone().accept_connections(listener));
         stop.await;
-        self.input(Input::Stop);
+        self.handle_input(Input::Stop);
         self.shared.stopped.notified().await;
         accepting.abort();
         self.log_invariant_checks();
@@ -236,7 +236,7 @@
     /// Initializes the endpoints from a cached list. Must be called before [`Self::serve`], so that the cached list
     /// does not replace a newer one from discovery.
     pub fn use_cached_endpoints(&self, list: v1::EndpointList) {
-        self.input(Input::CachedEndpoints(list));
+        self.handle_input(Input::CachedEndpoints(list));
     }
 
     fn load_cached_endpoints(&self) {
@@ -261,7 +261,7 @@
     }
 
     /// Passes an input to the state machine and carries out the outputs.
-    fn input(&self, input: Input) {
+    fn handle_input(&self, input: Input) {
         let mut outputs = Vec::new();
         let now = self.shared.clock.now();
         self.shared
@@ -269,7 +269,7 @@
             .borrow_mut()
             .handle(now, input, &mut outputs);
         for output in outputs {
-            self.perform(output);
+            self.carry_out(output);
         }
         self.update_timer();
     }
@@ -298,7 +298,7 @@
             };
             tokio::select! { biased;
                 () = self.shared.timer_changed.notified() => {}
-                () = self.shared.clock.sleep_until(due_at) => self.input(Input::Tick),
+                () = self.shared.clock.sleep_until(due_at) => self.handle_input(Input::Tick),
             }
         }
     }
--- a/crates/dispatcher/src/driver/outputs.rs
+++ b/crates/dispatcher/src/driver/outputs.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
-    pub(super) fn perform(&self, output: Output) {
+    pub(super) fn carry_out(&self, output: Output) {
         match output {
             Output::ToClient { conn, frame } => self.send_to_client(conn, frame),
             Output::DrainClient { conn } => {
--- a/crates/dispatcher/src/state/attempts.rs
+++ b/crates/dispatcher/src/state/attempts.rs
@@ -159,7 +159,7 @@
             request.mark_sent(self.now);
         }
         if !planned.is_prefill {
-            self.kv_states.offer(request_id, attempt_id);
+            self.kv_states.offer_to_attempt(request_id, attempt_id);
         }
         let timeout = TimerKind::AttemptTimeout(request_id, attempt_id);
         self.timers.set(planned.expires_at, timeout);
@@ -283,7 +283,8 @@
                 id: state,
                 origin: request.origin(),
             };
-            self.kv_states.hold(request_id, held, self.now);
+            self.kv_states
+                .record_prefill_end(request_id, held, self.now);
         }
         let latency = self.now - attempt.started_at;
         let last = request.answered;
--- a/crates/dispatcher/src/state/clients.rs
+++ b/crates/dispatcher/src/state/clients.rs
@@ -153,11 +153,15 @@
             .http1_mut(conn)
             .map(Http1Connection::evict)
         {
-            Self::close_http1(conn, reason, out);
+            Self::close_http1_connection(conn, reason, out);
         }
     }
 
-    fn close_http1(conn: ClientConnectionId, reason: http1::CloseReason, out: &mut Vec<Output>) {
+    fn close_http1_connection(
+        conn: ClientConnectionId,
+        reason: http1::CloseReason,
+        out: &mut Vec<Output>,
+    ) {
         match reason {
             // An idle connection is drained instead of closed, so that a request that is sent at the same moment is
             // still answered.
@@ -203,17 +207,17 @@
                 out.push(Output::ToClient { conn, frame });
             }
             Some(ClientCommand::Close(reason)) => {
-                return self.close_multiplexed(conn, reason, out);
+                return self.close_multiplexed_connection(conn, reason, out);
             }
             None => {}
         }
         if let Some(reason) = http1_close {
-            Self::close_http1(conn, reason, out);
+            Self::close_http1_connection(conn, reason, out);
         }
         self.set_client_timer(conn);
     }
 
-    fn close_multiplexed(
+    fn close_multiplexed_connection(
         &mut self,
         conn: ClientConnectionId,
         reason: CloseReason,
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -278,7 +278,7 @@
 
     /// Records the time of the last message on the connection, from which the keepalive interval and the stall
     /// timeout of the connection are counted.
-    pub fn message_received(&mut self, id: EngineConnectionId, now: Ms) {
+    pub fn record_message_received(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get_mut(&id) else {
             return;
         };
--- a/crates/dispatcher/src/state/endpoints.rs
+++ b/crates/dispatcher/src/state/endpoints.rs
@@ -19,11 +19,11 @@
 /// Why an entry of the endpoint list is ignored.
 #[derive(Debug, thiserror::Error)]
 enum EndpointError {
-    #[error("name or address is missing")]
+    #[error("engine name or address is missing")]
     NoNameOrAddress,
     #[error("{what} {name:?} is not in the settings")]
     UnknownName { what: &'static str, name: String },
-    #[error("kind {0:?} has no settings")]
+    #[error("engine kind {0:?} has no settings")]
     KindWithoutSettings(String),
     #[error("status is missing")]
     MissingStatus,
--- a/crates/dispatcher/src/state/engine_messages.rs
+++ b/crates/dispatcher/src/state/engine_messages.rs
@@ -30,7 +30,8 @@
         outputs: &mut Vec<Output>,
     ) {
         let stream = StreamId(frame.stream);
-        self.connections.message_received(connection_id, self.now);
+        self.connections
+            .record_message_received(connection_id, self.now);
         // Messages that arrive after the dispatcher has closed the connection are ignored.
         let Some(connection) = self.connections.get(connection_id) else {
             return;
--- a/crates/dispatcher/src/state/kv_states.rs
+++ b/crates/dispatcher/src/state/kv_states.rs
@@ -153,13 +153,13 @@
     pub fn is_released_by(&self, call: &ReleaseCall, kv_state_timeout: Ms) -> bool {
         call.begun_at >= self.release.unblocked_since
             && self
-                .conclusive_from(kv_state_timeout)
+                .release_conclusive_from(kv_state_timeout)
                 .is_some_and(|at| call.begun_at >= at)
     }
 
     /// The instant from which the confirmation of a new release call proves that the KV state is released. `None`
     /// if an attempt ended without a message from its engine, and the engine is not known to have worked since.
-    pub fn conclusive_from(&self, kv_state_timeout: Ms) -> Option<Ms> {
+    pub fn release_conclusive_from(&self, kv_state_timeout: Ms) -> Option<Ms> {
         let safe_instants: Option<Vec<Ms>> = self
             .unacknowledged_attempt_ends
             .iter()
@@ -233,7 +233,7 @@
     }
 
     /// Records that a prefill has ended and its engine holds the state.
-    pub fn hold(&mut self, request: RequestId, held: HeldState, now: Ms) {
+    pub fn record_prefill_end(&mut self, request: RequestId, held: HeldState, now: Ms) {
         match self.states.get_mut(&request) {
             // A state that an earlier prefill may have left is released once the new state is taken or released.
             Some(state) => {
@@ -248,7 +248,7 @@
     }
 
     /// Records the start of a decode attempt that may take the state.
-    pub fn offer(&mut self, request: RequestId, attempt: AttemptId) {
+    pub fn offer_to_attempt(&mut self, request: RequestId, attempt: AttemptId) {
         if let Some(state) = self
             .states
             .get_mut(&request)
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -180,7 +180,7 @@
             Input::Stop => self.begin_stop(outputs),
         }
         self.run_control(outputs);
-        while let Some(timer) = self.timers.take_due(self.now) {
+        while let Some(timer) = self.timers.take_due_timer(self.now) {
             self.on_timer(timer, outputs);
             self.run_control(outputs);
         }
@@ -192,7 +192,7 @@
     /// [`Self::handle`] at this instant, with [`Input::Tick`] unless another input has arrived. A `Tick` before
     /// this instant has no effect.
     pub fn wants_call_at(&self) -> Option<Ms> {
-        self.timers.next_at()
+        self.timers.next_timer_at()
     }
 
     /// Passes the pending events to `Control` and carries out its actions until no event remains. An attempt that
@@ -217,12 +217,12 @@
                 if self.logs_requests {
                     self.log_action(&action, outputs);
                 }
-                self.execute(action, outputs);
+                self.execute_action(action, outputs);
             }
         }
     }
 
-    fn execute(&mut self, action: Action, outputs: &mut Vec<Output>) {
+    fn execute_action(&mut self, action: Action, outputs: &mut Vec<Output>) {
         match action {
             Action::StartAttempt {
                 request,
@@ -238,7 +238,7 @@
             }
             Action::Fail { request } => self.fail(request, outputs),
             Action::Release { request } => self.release(request, outputs),
-            Action::ReleaseInDoubt { request } => self.release_unconfirmed(request, outputs),
+            Action::ReleaseInDoubt { request } => self.release_if_not_needed(request, outputs),
             Action::Confirm { request, attempt } => {
                 self.confirm_delivery(request, attempt, outputs)
             }
--- a/crates/dispatcher/src/state/release_waits.rs
+++ b/crates/dispatcher/src/state/release_waits.rs
@@ -39,8 +39,8 @@
             return false;
         };
         let needs = |attempt: &requests::Attempt| {
-            let may_reach_engine =
-                self.now < self.unconfirmed_since(state, attempt) + self.unconfirmed_attempt_wait();
+            let may_reach_engine = self.now
+                < self.unconfirmed_attempt_since(state, attempt) + self.unconfirmed_attempt_wait();
             attempt.first_token_sent
                 || attempt.is_prefill && (may_reach_engine || self.has_reached_engine(attempt))
         };
@@ -58,7 +58,11 @@
 
     /// The instant since which a release has waited for an attempt that is not known to have reached its engine, in
     /// milliseconds. After the first call of the release, the wait restarts with each new attempt.
-    pub(super) fn unconfirmed_since(&self, state: &KvState, attempt: &requests::Attempt) -> Ms {
+    pub(super) fn unconfirmed_attempt_since(
+        &self,
+        state: &KvState,
+        attempt: &requests::Attempt,
+    ) -> Ms {
         let pending_since = state.release.pending_since;
         if state.release.calls > 0 {
             pending_since.max(attempt.started_at)
@@ -85,7 +89,7 @@
         if let Some(attempt) =
             attempt.filter(|attempt| !attempt.first_token_sent && !self.has_reached_engine(attempt))
         {
-            let waiting_since = self.unconfirmed_since(state, attempt);
+            let waiting_since = self.unconfirmed_attempt_since(state, attempt);
             let liveness_check_at = waiting_since
                 + self.settings.policy.kv_state_timeout / LIVENESS_CHECK_DELAY_DIVISOR;
             next_check_at = if self.now < liveness_check_at {
--- a/crates/dispatcher/src/state/releases.rs
+++ b/crates/dispatcher/src/state/releases.rs
@@ -53,7 +53,11 @@
 
     /// Releases the KV state of a request, at the request of `Control`, unless the current attempt needs the state.
     /// The attempt's engine runs, but it is not known whether the attempt has reached the engine.
-    pub(super) fn release_unconfirmed(&mut self, request_id: RequestId, outputs: &mut Vec<Output>) {
+    pub(super) fn release_if_not_needed(
+        &mut self,
+        request_id: RequestId,
+        outputs: &mut Vec<Output>,
+    ) {
         if let Some((problem, text)) = self.undelivered_attempt(request_id) {
             let text = format!("KV state release sent, {problem}: {text}");
             outputs.push(Output::log(Level::Info, text));
@@ -275,12 +279,12 @@
         let release = &state.release;
         let is_in_initial_period = self.now - release.unblocked_since
             < INITIAL_RETRY_PERIOD_KV_STATE_TIMEOUTS * kv_state_timeout;
-        let wait = match release.round_confirmed {
+        let delay = match release.round_confirmed {
             // The end of the current attempt starts the next round.
             true if self.has_current_attempt(request_id) => return,
             true => {
                 let wait_until_conclusive = state
-                    .conclusive_from(kv_state_timeout)
+                    .release_conclusive_from(kv_state_timeout)
                     .map(|at| (at - self.now).max(0.0));
                 let repeat_wait = repeat_interval(release.confirmations) * kv_state_timeout;
                 wait_until_conclusive.map_or(repeat_wait, |wait_until_conclusive| {
@@ -293,7 +297,7 @@
         if !release.round_confirmed {
             self.kv_states.unconfirmed_releases.insert(request_id);
         }
-        self.schedule_release_check(request_id, self.now + wait);
+        self.schedule_release_check(request_id, self.now + delay);
     }
 
     /// Continues the releases that no engine has confirmed, after a message from an engine. The engine runs, so it
@@ -339,9 +343,9 @@
                 .pending_release(id)
                 .filter(|state| state.release.confirmations > 1);
             let next = state.map_or(f64::INFINITY, |state| state.release.next_check_at);
-            if let Some(at) =
-                state.and_then(|state| state.conclusive_from(self.settings.policy.kv_state_timeout))
-            {
+            if let Some(at) = state.and_then(|state| {
+                state.release_conclusive_from(self.settings.policy.kv_state_timeout)
+            }) {
                 self.schedule_release_check(id, at.max(self.now).min(next));
             }
         }
--- a/crates/dispatcher/src/state/timers.rs
+++ b/crates/dispatcher/src/state/timers.rs
@@ -77,12 +77,12 @@
     }
 
     /// When the earliest timer is due, in milliseconds; `None` if no timer is set.
-    pub fn next_at(&self) -> Option<Ms> {
+    pub fn next_timer_at(&self) -> Option<Ms> {
         self.queue.first_key_value().map(|((at, _), _)| at.0)
     }
 
     /// Removes and returns the earliest timer if it is due at `now`.
-    pub fn take_due(&mut self, now: Ms) -> Option<TimerKind> {
+    pub fn take_due_timer(&mut self, now: Ms) -> Option<TimerKind> {
         let entry = self.queue.first_entry()?;
         (entry.key().0 .0 <= now).then(|| entry.remove())
     }
