--- a/crates/dispatcher/src/driver/outputs.rs
+++ b/crates/dispatcher/src/driver/outputs.rs
@@ -1,4 +1,5 @@
-//! Carries out the outputs of the state machine.
+//! Carries out the outputs of the state machine: sends messages, dials and closes connections, writes the cache and
+//! the log.
 
 use super::engine_connections::EngineHandle;
 use super::Driver;
@@ -12,7 +13,7 @@
 use tokio::task::spawn_local;
 
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
-    pub(super) fn perform(&self, output: Output) {
+    pub(super) fn carry_out(&self, output: Output) {
         match output {
             Output::ToClient { conn, frame } => self.send_to_client(conn, frame),
             Output::DrainClient { conn } => {
@@ -93,12 +94,12 @@
             return;
         };
         if let Err(problem) = endpoint_cache::save(&path, list) {
-            tracing::warn!(path = %path.display(), %problem, "endpoint cache not updated; continuing");
+            tracing::warn!(path = %path.display(), %problem, "endpoint cache not written; continuing");
         }
     }
 }
 
-/// Logs each final answer that is not a success.
+/// Logs a final answer that is not a success, and the rejection of an invalid request.
 fn log_answer(conn: ClientConnectionId, frame: &Frame) {
     let (conn, stream) = (conn.0, frame.stream);
     match &frame.body {
