--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -1,14 +1,15 @@
-//! A dispatcher where a connection carries a call at a time, with four engines of each kind, as the platform has them.
+//! Helpers for tests of a dispatcher whose connections carry one call at a time, with four prefill engines and four
+//! decode engines.
 #![allow(dead_code)]
 
 use super::*;
 
-/// What is held has this much more than the settings say.
-pub const HELD_SLACK: f64 = 300.0;
+/// Milliseconds beyond `kv_state_timeout` within which a held KV state must be taken or released.
+pub const RELEASE_TOLERANCE_MS: f64 = 300.0;
 
-/// A dispatcher that has four engines of each kind.
-pub fn bench() -> Bench {
-    let mut bench = Bench::with(ProgramSettings {
+/// Creates a dispatcher with prefill engines `r1` to `r4` and decode engines `w1` to `w4`.
+pub fn harness() -> Harness {
+    let mut harness = Harness::with(ProgramSettings {
         limits: single_limits(),
         ..settings()
     });
@@ -20,15 +21,15 @@
         .iter()
         .map(|name| (name.as_str(), v1::EndpointStatus::Ready))
         .collect();
-    bench.put(Input::EndpointsUpdated(list(
+    harness.handle(Input::EndpointsUpdated(endpoint_list(
         v1::EndpointUpdateKind::Snapshot,
         &ready,
     )));
-    bench
+    harness
 }
 
-/// A client sends a request whose id is the number of its connection.
-pub fn asks(bench: &mut Bench, conn: u64, class: &str) -> Vec<Output> {
+/// Sends a request on client connection `conn`. The connection's number is also the request's id and session.
+pub fn send_request(harness: &mut Harness, conn: u64, class: &str) -> Vec<Output> {
     let origin = Some(v1::Origin {
         id: conn.to_string(),
         ..v1::Origin::default()
@@ -40,34 +41,37 @@
         session: conn,
         ..submit(class)
     });
-    bench.put(Input::Client {
+    harness.handle(Input::Client {
         conn: ClientConnectionId(conn),
         frame: frame(1, body),
     })
 }
 
-/// A request whose state is held, and its decode attempt.
-pub fn decoding(bench: &mut Bench, conn: u64, class: &str) -> Sent {
-    let out = asks(bench, conn, class);
-    let prefill = bench.attempts(&out).pop().expect("a prefill goes out");
-    let out = bench.ended(&prefill, v1::Status::PrefillDone);
-    bench
+/// Sends a request, completes its prefill and returns its decode attempt.
+pub fn start_decode(harness: &mut Harness, conn: u64, class: &str) -> SentAttempt {
+    let out = send_request(harness, conn, class);
+    let prefill = harness
         .attempts(&out)
         .pop()
-        .expect("a decode attempt goes out")
+        .expect("a prefill attempt is sent");
+    let out = harness.end_attempt(&prefill, v1::Status::PrefillDone);
+    harness
+        .attempts(&out)
+        .pop()
+        .expect("a decode attempt is sent")
 }
 
-/// Serves requests until an open connection to every engine rests.
-pub fn warm_up(bench: &mut Bench) {
+/// Serves requests until every engine has an idle connection.
+pub fn warm_up(harness: &mut Harness) {
     for conn in 1_000..1_200 {
-        let decode = decoding(bench, conn, "draft");
-        bench.engine(&decode, tokens(0));
-        bench.ended(&decode, v1::Status::Succeeded);
-        bench.pass(50.0);
+        let decode = start_decode(harness, conn, "draft");
+        harness.send_from_engine(&decode, tokens(0));
+        harness.end_attempt(&decode, v1::Status::Succeeded);
+        harness.advance(50.0);
     }
 }
 
-/// The connections on which releases of a request went out, among outputs.
+/// The connections on which `out` sends releases of the request with id `conn`.
 pub fn releases_of(conn: u64, out: &[Output]) -> Vec<EngineConnectionId> {
     let release = |output: &Output| match output {
         Output::ToEngine {
@@ -83,8 +87,8 @@
     out.iter().filter_map(release).collect()
 }
 
-/// Whether an attempt was cancelled, which ends its connection where one carries a call at a time.
-pub fn is_cancelled(out: &[Output], sent: &Sent) -> bool {
+/// Whether `out` cancels the attempt. Where a connection carries one call at a time, a cancel closes the connection.
+pub fn is_cancelled(out: &[Output], sent: &SentAttempt) -> bool {
     let is_cancel = |output: &Output| match output {
         Output::ToEngine {
             connection,
@@ -99,9 +103,9 @@
     out.iter().any(is_cancel)
 }
 
-/// Engines that fall silent together, with no message before but their last answers.
-pub fn silence(bench: &mut Bench, names: &[&str]) {
-    bench
-        .silent
+/// Makes engines unresponsive at the same instant.
+pub fn make_unresponsive(harness: &mut Harness, names: &[&str]) {
+    harness
+        .unresponsive
         .extend(names.iter().map(|name| (*name).to_owned()));
 }
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -1,8 +1,9 @@
-//! A dispatcher on TCP sockets of this machine, between clients, engines and discovery that do nothing but what the
-//! test says, in the order in which it says it.
+//! Runs a dispatcher on loopback TCP sockets. The test acts as the clients, the engines and discovery, so it
+//! controls the order of events.
 //!
-//! No order depends on a wait. The dispatcher's clock stands still until [`Loopback::advance`] moves it, a connection
-//! comes up when [`Gate::open`] lets it, and a time limit ends only a test that hangs.
+//! The order of events never depends on a sleep. The dispatcher's clock moves only in [`Loopback::advance`], a
+//! blocked connection is established only after [`GatedTransport::unblock`], and a time limit ends only a test that
+//! hangs.
 #![allow(dead_code)]
 
 use super::common::{settings, single_limits};
@@ -33,13 +34,13 @@
     most_drained: 1 << 20,
     stall_ms: 4000,
 };
-/// The system's number for a process that has all the descriptors it may have (EMFILE).
+/// The error number EMFILE: the process has no free file descriptor.
 const TOO_MANY_OPEN_FILES: i32 = 24;
-/// A test that takes longer hangs.
+/// A test that runs longer than this fails, because it hangs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const ADDRESS: &str = "127.0.0.1:0";
 
-/// A clock that stands still until it is moved.
+/// A clock that moves only when the test advances it.
 #[derive(Clone)]
 pub struct ManualClock {
     now: Rc<Cell<Ms>>,
@@ -62,42 +63,42 @@
     }
 }
 
-/// TCP whose connections to some addresses come up only when they are let.
+/// A TCP transport that delays connects to blocked addresses and can fail connects and accepts.
 #[derive(Clone, Default)]
-pub struct Gate {
-    shut: Rc<RefCell<BTreeSet<String>>>,
-    /// Whether there are no descriptors for new connections.
+pub struct GatedTransport {
+    blocked: Rc<RefCell<BTreeSet<String>>>,
+    /// Whether connects fail because no file descriptor is free.
     exhausted: Rc<Cell<bool>>,
-    /// What the next calls for a client's connection fail with.
+    /// Error numbers with which the next accepts fail. The last one is used first.
     accept_errors: Rc<RefCell<Vec<i32>>>,
-    /// Connections that wait to come up, by address.
+    /// The address of each connect that was blocked. Entries remain after the address is unblocked.
     waiting: Rc<RefCell<Vec<String>>>,
     changed: Rc<Notify>,
 }
 
-impl Gate {
-    pub fn shut(&self, address: &str) {
-        self.shut.borrow_mut().insert(address.to_owned());
+impl GatedTransport {
+    pub fn block(&self, address: &str) {
+        self.blocked.borrow_mut().insert(address.to_owned());
     }
 
-    pub fn open(&self, address: &str) {
-        self.shut.borrow_mut().remove(address);
+    pub fn unblock(&self, address: &str) {
+        self.blocked.borrow_mut().remove(address);
         self.changed.notify_waiters();
     }
 
-    /// New connections fail for want of a descriptor, or may be had again.
-    pub fn exhaust(&self, exhausted: bool) {
+    /// Makes connects fail with EMFILE, or succeed again.
+    pub fn set_descriptors_exhausted(&self, exhausted: bool) {
         self.exhausted.set(exhausted);
     }
 
-    /// The next calls for a client's connection fail with these numbers of the system.
+    /// Makes the next accepts fail with these error numbers.
     pub fn fail_accepts(&self, errors: &[i32]) {
         self.accept_errors.borrow_mut().extend(errors);
     }
 
-    /// Waits until a connection to an address is wanted and is held up.
-    pub async fn held_up(&self, address: &str) {
-        until(|| {
+    /// Queued until a connect to the address is blocked.
+    pub async fn wait_until_blocked(&self, address: &str) {
+        wait_until(|| {
             self.waiting
                 .borrow()
                 .iter()
@@ -107,7 +108,7 @@
     }
 }
 
-/// A listener whose next connections fail as the system may let them.
+/// A listener whose accepts fail with the injected errors before they succeed.
 pub struct FailingListener {
     inner: TcpListener,
     errors: Rc<RefCell<Vec<i32>>>,
@@ -129,7 +130,7 @@
     }
 }
 
-impl Transport for Gate {
+impl Transport for GatedTransport {
     type Stream = TcpStream;
     type Listener = FailingListener;
 
@@ -137,11 +138,11 @@
         if self.exhausted.get() {
             return Err(io::Error::from_raw_os_error(TOO_MANY_OPEN_FILES));
         }
-        if self.shut.borrow().contains(address) {
+        if self.blocked.borrow().contains(address) {
             self.waiting.borrow_mut().push(address.to_owned());
             loop {
                 let changed = self.changed.notified();
-                if !self.shut.borrow().contains(address) {
+                if !self.blocked.borrow().contains(address) {
                     break;
                 }
                 changed.await;
@@ -158,21 +159,21 @@
     }
 }
 
-/// Lets everything else run until something is so.
-pub async fn until(is: impl Fn() -> bool) {
+/// Runs the other tasks until the condition holds.
+pub async fn wait_until(is: impl Fn() -> bool) {
     while !is() {
         yield_now().await;
     }
 }
 
-/// One end of a connection that a test holds.
+/// The test's end of a connection.
 pub struct Conn {
     pub io: TcpStream,
-    /// Bytes that have come and were not looked at.
+    /// Bytes that were received and not yet returned by a read.
     received: Vec<u8>,
 }
 
-/// A request as it was received.
+/// An HTTP/1.1 request that the test has received.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub head: String,
@@ -193,7 +194,7 @@
 
 impl Conn {
     pub fn new(io: TcpStream) -> Self {
-        io.set_nodelay(true).expect("a socket");
+        io.set_nodelay(true).expect("socket option is set");
         Conn {
             io,
             received: Vec::new(),
@@ -201,11 +202,14 @@
     }
 
     pub async fn send(&mut self, text: &str) {
-        self.io.write_all(text.as_bytes()).await.expect("written");
+        self.io
+            .write_all(text.as_bytes())
+            .await
+            .expect("bytes are written");
     }
 
-    /// Reads on; false at the connection's end, in whatever way.
-    async fn more(&mut self) -> bool {
+    /// Receives more bytes. Returns false once the connection has ended, cleanly or with an error.
+    async fn read_more(&mut self) -> bool {
         let mut part = [0; 4096];
         match self.io.read(&mut part).await {
             Ok(0) | Err(_) => false,
@@ -216,7 +220,7 @@
         }
     }
 
-    /// All that came up to and with an end; what there is if the connection ends first.
+    /// Returns the text up to and including `end`, or all remaining text if the connection ends first.
     pub async fn read_until(&mut self, end: &str) -> String {
         loop {
             let at = self
@@ -226,15 +230,16 @@
             if let Some(at) = at {
                 let rest = self.received.split_off(at + end.len());
                 return String::from_utf8(std::mem::replace(&mut self.received, rest))
-                    .expect("text");
+                    .expect("text is UTF-8");
             }
-            if !self.more().await {
-                return String::from_utf8(std::mem::take(&mut self.received)).expect("text");
+            if !self.read_more().await {
+                return String::from_utf8(std::mem::take(&mut self.received))
+                    .expect("text is UTF-8");
             }
         }
     }
 
-    /// The next request, whole; none if the connection ends without a byte of one.
+    /// Returns the next request, or `None` if the connection ends before the first byte of one.
     pub async fn next_request(&mut self) -> Option<Request> {
         let head = self.read_until("\r\n\r\n").await;
         if head.is_empty() {
@@ -246,8 +251,8 @@
         };
         let length = request
             .header("Content-Length")
-            .map_or(0, |l| l.parse().expect("a length"));
-        while self.received.len() < length && self.more().await {}
+            .map_or(0, |line| line.parse().expect("Content-Length is a number"));
+        while self.received.len() < length && self.read_more().await {}
         request.body = self
             .received
             .drain(..length.min(self.received.len()))
@@ -256,17 +261,17 @@
     }
 
     pub async fn read_request(&mut self) -> Request {
-        self.next_request().await.expect("a request")
+        self.next_request().await.expect("a request arrives")
     }
 
-    /// What still comes up to the connection's end.
+    /// Returns the remaining text until the connection ends.
     pub async fn read_to_end(&mut self) -> String {
-        while self.more().await {}
-        String::from_utf8(std::mem::take(&mut self.received)).expect("text")
+        while self.read_more().await {}
+        String::from_utf8(std::mem::take(&mut self.received)).expect("text is UTF-8")
     }
 }
 
-/// An engine that does what the test says.
+/// The listening socket of an engine that the test plays.
 pub struct Engine {
     pub address: String,
     listener: TcpListener,
@@ -274,17 +279,23 @@
 
 impl Engine {
     pub async fn accept(&self) -> Conn {
-        Conn::new(self.listener.accept().await.expect("a connection").0)
+        Conn::new(
+            self.listener
+                .accept()
+                .await
+                .expect("connection is accepted")
+                .0,
+        )
     }
 
-    /// The next connection's first request.
+    /// Accepts the next connection and reads its first request.
     pub async fn accept_request(&self) -> (Conn, Request) {
         let mut conn = self.accept().await;
         let request = conn.read_request().await;
         (conn, request)
     }
 
-    /// Whether a connection has come up that was not accepted yet.
+    /// Whether a connection waits to be accepted. The check accepts and drops that connection.
     pub fn has_pending_connection(&self) -> bool {
         use std::future::poll_fn;
         use std::task::{Context, Poll, Waker};
@@ -295,30 +306,34 @@
 }
 
 pub struct Loopback {
-    pub driver: Driver<Gate, ManualClock, Http1>,
+    pub driver: Driver<GatedTransport, ManualClock, Http1>,
     pub clock: ManualClock,
-    pub gate: Gate,
+    pub gate: GatedTransport,
     pub address: String,
     engines: BTreeMap<&'static str, Engine>,
     discovery: TcpListener,
-    /// The watch that is open, and the newest revision.
+    /// The discovery connection with the dispatcher's open watch request.
     watch: RefCell<Option<Conn>>,
+    /// The revision of the last endpoint list that the test has sent.
     revision: Cell<u64>,
+    /// Tells the dispatcher to stop.
     pub stop: Rc<Notify>,
     served: JoinHandle<()>,
 }
 
-/// Bytes that a socket of the dispatcher's holds for a client that does not read; the system makes it a little more.
+/// Socket buffer size in bytes, for clients that do not read. The kernel uses a slightly larger size.
 const SMALL_BUFFER: u32 = 4096;
 
 fn listen_with_small_buffer() -> TcpListener {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    // Connections that are accepted have the listener's.
-    socket.set_send_buffer_size(SMALL_BUFFER).expect("a buffer");
+    let socket = TcpSocket::new_v4().expect("socket option is set");
+    // Accepted connections inherit the listener's buffer size.
+    socket
+        .set_send_buffer_size(SMALL_BUFFER)
+        .expect("buffer size is set");
     socket
-        .bind(ADDRESS.parse().expect("an address"))
-        .expect("a port");
-    socket.listen(128).expect("it listens")
+        .bind(ADDRESS.parse().expect("address is valid"))
+        .expect("port is bound");
+    socket.listen(128).expect("dispatcher accepts connections")
 }
 
 pub fn limits() -> Limits {
@@ -338,12 +353,13 @@
     }
 }
 
-/// Runs a test beside a dispatcher that knows a prefill engine "r1" and a decode engine "w1".
+/// Runs a test against a dispatcher with prefill engine "r1" and decode engine "w1".
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Loopback) -> F) {
     run_with(limits(), &["r1", "w1"], test);
 }
 
-/// Runs a test beside a dispatcher with these limits that knows these engines: names with `r` are prefill engines.
+/// Runs a test against a dispatcher with these limits and engines. Names that begin with `r` are prefill engines,
+/// all others decode engines.
 pub fn run_with<F: Future<Output = ()>>(
     limits: Limits,
     engines: &[&'static str],
@@ -352,7 +368,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("runtime is built");
     let settings = ProgramSettings {
         limits,
         ..settings()
@@ -362,7 +378,7 @@
             let net = Loopback::start(settings, engines).await;
             test(net).await;
         });
-        within.await.expect("the test does not hang");
+        within.await.expect("the test ends within its time limit");
     });
 }
 
@@ -372,15 +388,18 @@
             now: Rc::new(Cell::new(1e6)),
             moved: Rc::default(),
         };
-        let gate = Gate::default();
+        let gate = GatedTransport::default();
         let mut engines = BTreeMap::new();
         for name in names {
-            let listener = TcpListener::bind(ADDRESS).await.expect("a port");
-            let address = listener.local_addr().expect("an address").to_string();
+            let listener = TcpListener::bind(ADDRESS).await.expect("port is bound");
+            let address = listener.local_addr().expect("address is valid").to_string();
             engines.insert(*name, Engine { address, listener });
         }
-        let discovery = TcpListener::bind(ADDRESS).await.expect("a port");
-        let feeds = vec![discovery.local_addr().expect("an address").to_string()];
+        let discovery = TcpListener::bind(ADDRESS).await.expect("port is bound");
+        let feeds = vec![discovery
+            .local_addr()
+            .expect("address is valid")
+            .to_string()];
         let locations = Locations {
             discovery: feeds,
             ..Locations::default()
@@ -388,18 +407,18 @@
         let wire = Http1::new(BOUNDS);
         let driver = Driver::with_wire(wire, settings, locations, gate.clone(), clock.clone(), 1);
         let inner = listen_with_small_buffer();
-        let address = inner.local_addr().expect("an address").to_string();
+        let address = inner.local_addr().expect("address is valid").to_string();
         let listener = FailingListener {
             inner,
             errors: gate.accept_errors.clone(),
         };
         let (stop, serving) = (Rc::new(Notify::new()), driver.clone());
-        let told = stop.clone();
+        let stop_signal = stop.clone();
         let served = spawn_local(async move {
             serving
-                .serve(listener, told.notified())
+                .serve(listener, stop_signal.notified())
                 .await
-                .expect("it serves");
+                .expect("the dispatcher serves without an error");
         });
         let (watch, revision) = (RefCell::new(None), Cell::new(1));
         let net = Loopback {
@@ -414,18 +433,19 @@
             stop,
             served,
         };
-        let mut call = net.discovery_call().await;
+        let mut call = net.accept_discovery_call().await;
         assert!(
             !call.read_request().await.head.contains("after="),
-            "the whole list is asked for first"
+            "the first call requests the complete list"
         );
-        call.send(&net.list(1, true, &net.all("up"))).await;
-        net.keep_watch(call).await;
+        call.send(&net.discovery_response(1, true, &net.all_endpoints("up")))
+            .await;
+        net.accept_watch(call).await;
         net
     }
 
-    /// Keeps a connection to discovery once the watch that follows is open on it.
-    pub async fn keep_watch(&self, mut call: Conn) {
+    /// Reads the dispatcher's watch request on a discovery connection, and keeps the connection for the next update.
+    pub async fn accept_watch(&self, mut call: Conn) {
         let watch = call.read_request().await;
         assert!(
             watch
@@ -436,42 +456,54 @@
         *self.watch.borrow_mut() = Some(call);
     }
 
-    /// The watch that is open.
+    /// Returns the discovery connection with the open watch. Panics if no watch is open.
     pub fn take_watch(&self) -> Conn {
-        self.watch.borrow_mut().take().expect("a watch is open")
+        self.watch
+            .borrow_mut()
+            .take()
+            .expect("a watch is open on discovery")
     }
 
-    /// Tells of changes on the watch that is open, and waits until the dispatcher has taken them in.
-    pub async fn announce(&self, lines: &[String]) {
+    /// Sends endpoint changes on the open watch and waits until the dispatcher has applied them.
+    pub async fn announce_endpoints(&self, lines: &[String]) {
         self.revision.set(self.revision.get() + 1);
         let mut call = self.take_watch();
-        call.send(&self.list(self.revision.get(), false, lines))
+        call.send(&self.discovery_response(self.revision.get(), false, lines))
             .await;
-        self.keep_watch(call).await;
+        self.accept_watch(call).await;
     }
 
     pub fn discovery_address(&self) -> String {
-        self.discovery.local_addr().expect("an address").to_string()
+        self.discovery
+            .local_addr()
+            .expect("address is valid")
+            .to_string()
     }
 
-    /// The next connection to discovery.
-    pub async fn discovery_call(&self) -> Conn {
-        Conn::new(self.discovery.accept().await.expect("a connection").0)
+    /// Accepts the next connection to discovery.
+    pub async fn accept_discovery_call(&self) -> Conn {
+        Conn::new(
+            self.discovery
+                .accept()
+                .await
+                .expect("connection is accepted")
+                .0,
+        )
     }
 
     pub fn engine(&self, name: &str) -> &Engine {
         &self.engines[name]
     }
 
-    /// A line of the list for each engine, all in one phase.
-    pub fn all(&self, phase: &str) -> Vec<String> {
+    /// Returns the JSON entry of each engine, all in the given phase.
+    pub fn all_endpoints(&self, phase: &str) -> Vec<String> {
         self.engines
             .keys()
-            .map(|name| self.line(name, phase))
+            .map(|name| self.endpoint_json(name, phase))
             .collect()
     }
 
-    pub fn line(&self, name: &str, phase: &str) -> String {
+    pub fn endpoint_json(&self, name: &str, phase: &str) -> String {
         let flavor = if name.starts_with('r') {
             "reader"
         } else {
@@ -484,8 +516,8 @@
         )
     }
 
-    /// An answer of discovery.
-    pub fn list(&self, revision: u64, whole: bool, lines: &[String]) -> String {
+    /// Returns discovery's HTTP response: a complete list if `whole`, else changes.
+    pub fn discovery_response(&self, revision: u64, whole: bool, lines: &[String]) -> String {
         let members = lines.join(",");
         let text =
             format!("{{\"revision\":{revision},\"complete\":{whole},\"members\":[{members}]}}");
@@ -499,13 +531,13 @@
         self.clock.now.get()
     }
 
-    /// Moves the dispatcher's clock.
+    /// Advances the dispatcher's clock by `by` milliseconds.
     pub fn advance(&self, by: Ms) {
         self.clock.now.set(self.clock.now.get() + by);
         self.clock.moved.notify_waiters();
     }
 
-    /// Moves the clock step by step until something is so, with everything else running in between.
+    /// Advances the clock by 1 ms at a time until the condition holds, running the other tasks after each step.
     pub async fn advance_until(&self, is: impl Fn() -> bool) {
         while !is() {
             self.advance(1.0);
@@ -516,33 +548,44 @@
     }
 
     pub async fn connect(&self) -> Conn {
-        Conn::new(TcpStream::connect(&self.address).await.expect("it listens"))
+        Conn::new(
+            TcpStream::connect(&self.address)
+                .await
+                .expect("dispatcher accepts connections"),
+        )
     }
 
-    /// A client whose socket holds as little as the system lets it.
+    /// Connecting a client with a small receive buffer.
     pub async fn connect_with_small_buffer(&self) -> Conn {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.set_recv_buffer_size(SMALL_BUFFER).expect("a buffer");
-        let address = self.address.parse().expect("an address");
-        Conn::new(socket.connect(address).await.expect("it listens"))
+        let socket = TcpSocket::new_v4().expect("socket option is set");
+        socket
+            .set_recv_buffer_size(SMALL_BUFFER)
+            .expect("buffer size is set");
+        let address = self.address.parse().expect("address is valid");
+        Conn::new(
+            socket
+                .connect(address)
+                .await
+                .expect("dispatcher accepts connections"),
+        )
     }
 
-    /// A client that has sent a request.
+    /// Connecting a client and sends a request.
     pub async fn send_request(&self, id: &str, class: &str) -> Conn {
         let mut conn = self.connect().await;
         conn.send(&request(id, class)).await;
         conn
     }
 
-    /// The first attempt of a request at the prefill engine, which answers that it has read the prompt.
+    /// Accepts a prefill attempt at `r1` and answers that the prefill is done. Returns the attempt's request.
     pub async fn serve_prefill(&self) -> Request {
         let (mut conn, request) = self.engine("r1").accept_request().await;
         conn.send(PREFILL_ANSWER).await;
         request
     }
 
-    /// A request that waits for the first token of its decode engine.
-    pub async fn decoding(&self, id: &str, class: &str) -> (Conn, Conn) {
+    /// Sends a request and completes its prefill. Returns the connections of its client and of its decode attempt.
+    pub async fn start_decode(&self, id: &str, class: &str) -> (Conn, Conn) {
         let client = self.send_request(id, class).await;
         self.serve_prefill().await;
         let (engine, request) = self.engine("w1").accept_request().await;
@@ -550,11 +593,13 @@
         (client, engine)
     }
 
-    /// The next connection's first request at any of several engines.
+    /// Accepts the next connection at any of these engines and reads its first request.
     pub async fn accept_request_at(&self, names: &[&str]) -> (Conn, Request) {
         let accepted = std::future::poll_fn(|context| {
             let ready = |name: &&str| match self.engines[*name].listener.poll_accept(context) {
-                std::task::Poll::Ready(accepted) => Some(accepted.expect("a connection").0),
+                std::task::Poll::Ready(accepted) => {
+                    Some(accepted.expect("connection is accepted").0)
+                }
                 std::task::Poll::Pending => None,
             };
             names
@@ -567,7 +612,7 @@
         (conn, request)
     }
 
-    /// The next request at either of two engines on a new connection, with time passing until it comes.
+    /// Accepts the next request on a new connection at `r1` or `w1`, advancing the clock until it arrives.
     pub async fn accept_any_request(&self) -> (Conn, Request) {
         let asked = async {
             loop {
@@ -582,17 +627,19 @@
         };
         tokio::select! { biased;
             asked = asked => asked,
-            () = self.advance_until(|| false) => unreachable!("it goes on"),
+            () = self.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
         }
     }
 
-    pub async fn no_request_is_open(&self) {
-        until(|| self.driver.usage().requests == 0).await;
+    pub async fn wait_until_no_request_open(&self) {
+        wait_until(|| self.driver.usage().requests == 0).await;
     }
 
-    /// Waits until the process would end.
+    /// Queued until the dispatcher has stopped serving.
     pub async fn wait_until_ended(self) {
-        self.served.await.expect("it serves to the end");
+        self.served
+            .await
+            .expect("the dispatcher serves until it stops");
     }
 
     pub fn has_ended(&self) -> bool {
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Drives a dispatcher without I/O: a small fleet, clients' and engines' messages, and what comes out.
+//! Drives a dispatcher without I/O: feeds it the messages of clients and engines, and records its outputs.
 #![allow(dead_code)]
 
 pub mod engines;
@@ -105,7 +105,7 @@
     }
 }
 
-/// Where a connection carries one call at a time.
+/// Limits for connections that carry one call at a time.
 pub fn single_limits() -> Limits {
     let client_timeouts = Http1Settings {
         first_byte_timeout: 2000.0,
@@ -130,7 +130,7 @@
     }
 }
 
-pub fn line(engine: &str, status: v1::EndpointStatus) -> v1::Endpoint {
+pub fn endpoint(engine: &str, status: v1::EndpointStatus) -> v1::Endpoint {
     let kind = if engine.starts_with('r') {
         "reader"
     } else {
@@ -148,13 +148,13 @@
     }
 }
 
-pub fn list(
+pub fn endpoint_list(
     kind: v1::EndpointUpdateKind,
     engines: &[(&str, v1::EndpointStatus)],
 ) -> v1::EndpointList {
     let endpoints = engines
         .iter()
-        .map(|(engine, status)| line(engine, *status))
+        .map(|(engine, status)| endpoint(engine, *status))
         .collect();
     v1::EndpointList {
         kind: kind.into(),
@@ -182,59 +182,63 @@
     })
 }
 
-/// An attempt as it left for an engine.
+/// An attempt that the dispatcher has sent to an engine.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub connection: EngineConnectionId,
     pub stream: u64,
     pub engine: String,
     pub state: Option<v1::KvStateId>,
 }
 
-/// A dispatcher with prefill engines `r1`, `r2` and decode engines `w1`, `w2`, and all that came out of it.
-pub struct Bench {
+/// A dispatcher with prefill engines `r1`, `r2` and decode engines `w1`, `w2`, and all of its outputs.
+pub struct Harness {
     pub dispatcher: Dispatcher,
     pub now: Ms,
+    /// All outputs so far, in order.
     pub out: Vec<Output>,
     engines: BTreeMap<EngineConnectionId, String>,
-    pub connections_come_up: bool,
-    pub engines_answer_pings: bool,
-    pub engines_answer_releases: bool,
-    /// Engines that have fallen silent: what is sent to them gets no answer, and connections to them do not come up.
-    pub silent: BTreeSet<String>,
-    /// Connections to silent engines come up all the same, as where a process hangs on a machine that runs.
-    pub silent_engines_accept: bool,
+    /// Whether dialled connections are established, which happens at once.
+    pub dials_succeed: bool,
+    pub answer_pings: bool,
+    /// Whether responsive engines confirm each release at once.
+    pub confirm_releases_at_once: bool,
+    /// Engines that answer nothing that is sent to them and accept no connections.
+    pub unresponsive: BTreeSet<String>,
+    /// Unresponsive engines accept connections all the same, like a process that hangs on a working machine.
+    pub unresponsive_engines_accept: bool,
 }
 
-impl Bench {
+impl Harness {
     pub fn new() -> Self {
-        Bench::with(settings())
+        Harness::with(settings())
     }
 
     pub fn with(settings: ProgramSettings) -> Self {
         let dispatcher = Dispatcher::new(settings, 1);
-        let mut bench = Bench {
+        let mut harness = Harness {
             dispatcher,
             now: 1000.0,
             out: Vec::new(),
             engines: BTreeMap::new(),
-            connections_come_up: true,
-            engines_answer_pings: true,
-            engines_answer_releases: true,
-            silent: BTreeSet::new(),
-            silent_engines_accept: false,
+            dials_succeed: true,
+            answer_pings: true,
+            confirm_releases_at_once: true,
+            unresponsive: BTreeSet::new(),
+            unresponsive_engines_accept: false,
         };
         let ready = v1::EndpointStatus::Ready;
         let all = [("r1", ready), ("r2", ready), ("w1", ready), ("w2", ready)];
-        bench.put(Input::EndpointsUpdated(list(
+        harness.handle(Input::EndpointsUpdated(endpoint_list(
             v1::EndpointUpdateKind::Snapshot,
             &all,
         )));
-        bench
+        harness
     }
 
-    /// Puts an input in; connections that it dials come up at once, unless `connections_come_up` is false.
-    pub fn put(&mut self, input: Input) -> Vec<Output> {
+    /// Handles an input and answers for the engines: dialled connections are established, and pings and releases are
+    /// answered, unless the harness's fields say otherwise. Returns all outputs.
+    pub fn handle(&mut self, input: Input) -> Vec<Output> {
         let mut all = Vec::new();
         let mut next = vec![input];
         while let Some(input) = next.pop() {
@@ -246,9 +250,9 @@
                         connection, engine, ..
                     } => {
                         self.engines.insert(*connection, engine.0.to_string());
-                        let runs =
-                            self.silent_engines_accept || !self.silent.contains(engine.0.as_ref());
-                        if self.connections_come_up && runs {
+                        let accepts = self.unresponsive_engines_accept
+                            || !self.unresponsive.contains(engine.0.as_ref());
+                        if self.dials_succeed && accepts {
                             next.push(Input::ConnectionEstablished {
                                 connection: *connection,
                                 limit: None,
@@ -262,7 +266,7 @@
                                 body: Some(Body::Ping(_)),
                                 ..
                             },
-                    } if self.engines_answer_pings => {
+                    } if self.answer_pings => {
                         let frame = frame(0, Body::Pong(v1::Pong {}));
                         next.push(Input::Engine {
                             connection: *connection,
@@ -276,7 +280,7 @@
                                 stream,
                                 body: Some(Body::Release(_)),
                             },
-                    } if self.engines_answer_releases && !self.is_silent(*connection) => {
+                    } if self.confirm_releases_at_once && !self.is_unresponsive(*connection) => {
                         let frame = frame(*stream, Body::Done(v1::Done {}));
                         next.push(Input::Engine {
                             connection: *connection,
@@ -292,37 +296,39 @@
         all
     }
 
-    /// Lets time pass, with every call that the dispatcher wants on the way.
-    pub fn pass(&mut self, by: Ms) -> Vec<Output> {
+    /// Advances the clock by `by` milliseconds and runs each timer of the dispatcher when it is due.
+    pub fn advance(&mut self, by: Ms) -> Vec<Output> {
         let until = self.now + by;
         let mut all = Vec::new();
         while let Some(at) = self.dispatcher.wants_call_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            all.extend(self.put(Input::Tick));
+            all.extend(self.handle(Input::Tick));
         }
         self.now = until;
-        all.extend(self.put(Input::Tick));
+        all.extend(self.handle(Input::Tick));
         all
     }
 
-    pub fn client(&mut self, stream: u64, body: Body) -> Vec<Output> {
-        self.put(Input::Client {
+    /// Handles a message from client connection 1.
+    pub fn send_from_client(&mut self, stream: u64, body: Body) -> Vec<Output> {
+        self.handle(Input::Client {
             conn: ClientConnectionId(1),
             frame: frame(stream, body),
         })
     }
 
-    pub fn engine(&mut self, to: &Sent, body: Body) -> Vec<Output> {
-        self.put(Input::Engine {
-            connection: to.connection,
-            frame: frame(to.stream, body),
+    pub fn send_from_engine(&mut self, attempt: &SentAttempt, body: Body) -> Vec<Output> {
+        self.handle(Input::Engine {
+            connection: attempt.connection,
+            frame: frame(attempt.stream, body),
         })
     }
 
-    pub fn ended(&mut self, to: &Sent, status: v1::Status) -> Vec<Output> {
-        let state = to.state.filter(|_| status == v1::Status::PrefillDone);
-        self.engine(
-            to,
+    /// Ends an attempt with this status. A prefill that is done reports its KV state.
+    pub fn end_attempt(&mut self, attempt: &SentAttempt, status: v1::Status) -> Vec<Output> {
+        let state = attempt.state.filter(|_| status == v1::Status::PrefillDone);
+        self.send_from_engine(
+            attempt,
             Body::Ended(v1::Ended {
                 status: status.into(),
                 state,
@@ -332,26 +338,26 @@
     }
 
     pub fn update_endpoint(&mut self, engine: &str, status: v1::EndpointStatus) -> Vec<Output> {
-        self.put(Input::EndpointsUpdated(list(
+        self.handle(Input::EndpointsUpdated(endpoint_list(
             v1::EndpointUpdateKind::Delta,
             &[(engine, status)],
         )))
     }
 
-    /// Whether the engine that a connection was dialled to has fallen silent.
-    pub fn is_silent(&self, connection: EngineConnectionId) -> bool {
+    /// Whether the engine at the other end of a connection is unresponsive.
+    pub fn is_unresponsive(&self, connection: EngineConnectionId) -> bool {
         self.engines
             .get(&connection)
-            .is_some_and(|engine| self.silent.contains(engine))
+            .is_some_and(|engine| self.unresponsive.contains(engine))
     }
 
-    /// The engine that a connection was dialled to.
+    /// The name of the engine at the other end of a connection.
     pub fn engine_of(&self, connection: EngineConnectionId) -> &str {
         &self.engines[&connection]
     }
 
-    /// The attempts among outputs.
-    pub fn attempts(&self, out: &[Output]) -> Vec<Sent> {
+    /// The attempts that `out` sends to engines.
+    pub fn attempts(&self, out: &[Output]) -> Vec<SentAttempt> {
         let attempt = |output: &Output| {
             let Output::ToEngine { connection, frame } = output else {
                 return None;
@@ -361,7 +367,7 @@
                 Some(Body::Decode(decode)) => decode.state,
                 _ => return None,
             };
-            Some(Sent {
+            Some(SentAttempt {
                 connection: *connection,
                 stream: frame.stream,
                 engine: self.engines.get(connection)?.clone(),
@@ -371,32 +377,32 @@
         out.iter().filter_map(attempt).collect()
     }
 
-    /// A request up to its prefill, and that prefill.
-    pub fn prefilling(&mut self, stream: u64, request_class: &str) -> Sent {
-        let out = self.client(stream, Body::Submit(submit(request_class)));
-        self.attempts(&out).pop().expect("a prefill goes out")
-    }
-
-    /// A request up to its decode attempt, and that attempt.
-    pub fn decoding(&mut self, stream: u64, request_class: &str) -> Sent {
-        let prefill = self.prefilling(stream, request_class);
-        let out = self.ended(&prefill, v1::Status::PrefillDone);
+    /// Sends a request and returns its prefill attempt.
+    pub fn start_prefill(&mut self, stream: u64, request_class: &str) -> SentAttempt {
+        let out = self.send_from_client(stream, Body::Submit(submit(request_class)));
         self.attempts(&out)
             .pop()
-            .expect("a decode attempt goes out")
+            .expect("a prefill attempt is sent")
+    }
+
+    /// Sends a request, completes its prefill and returns its decode attempt.
+    pub fn start_decode(&mut self, stream: u64, request_class: &str) -> SentAttempt {
+        let prefill = self.start_prefill(stream, request_class);
+        let out = self.end_attempt(&prefill, v1::Status::PrefillDone);
+        self.attempts(&out).pop().expect("a decode attempt is sent")
     }
 
-    /// A request up to its first token.
-    pub fn streaming(&mut self, stream: u64, request_class: &str) -> Sent {
-        let decode = self.decoding(stream, request_class);
-        self.engine(&decode, tokens(0));
+    /// Sends a request and brings it to its first token. Returns its decode attempt.
+    pub fn start_stream(&mut self, stream: u64, request_class: &str) -> SentAttempt {
+        let decode = self.start_decode(stream, request_class);
+        self.send_from_engine(&decode, tokens(0));
         decode
     }
 }
 
-/// Messages to the client among outputs, by stream.
-pub fn to_client(out: &[Output]) -> Vec<(u64, Body)> {
-    let found = |output: &Output| match output {
+/// The messages that `out` sends to clients, with their streams.
+pub fn client_messages(out: &[Output]) -> Vec<(u64, Body)> {
+    let client_message = |output: &Output| match output {
         Output::ToClient {
             frame: Frame {
                 stream,
@@ -406,19 +412,23 @@
         } => Some((*stream, body.clone())),
         _ => None,
     };
-    out.iter().filter_map(found).collect()
+    out.iter().filter_map(client_message).collect()
 }
 
-pub fn finals(out: &[Output]) -> Vec<(u64, v1::Answer)> {
-    let last = |(stream, body): (u64, Body)| match body {
-        Body::Final(last) => Some((stream, last.answer())),
+/// The final answers that `out` sends to clients, with their streams.
+pub fn final_answers(out: &[Output]) -> Vec<(u64, v1::Answer)> {
+    let final_answer = |(stream, body): (u64, Body)| match body {
+        Body::Final(message) => Some((stream, message.answer())),
         _ => None,
     };
-    to_client(out).into_iter().filter_map(last).collect()
+    client_messages(out)
+        .into_iter()
+        .filter_map(final_answer)
+        .collect()
 }
 
-/// Messages to engines among outputs, by name.
-pub fn to_engines(out: &[Output]) -> Vec<&'static str> {
+/// The names of the messages that `out` sends to engines.
+pub fn engine_message_names(out: &[Output]) -> Vec<&'static str> {
     let found = |output: &Output| match output {
         Output::ToEngine { frame, .. } => Some(cindercleat_protocol::name_of(frame.body.as_ref())),
         _ => None,
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -1,4 +1,5 @@
-//! A dispatcher's driver with a prefill and a decode engine, on connections in memory and a paused clock.
+//! Runs a dispatcher's driver with one prefill engine and one decode engine, on in-memory connections and a paused
+//! clock.
 #![allow(dead_code)]
 
 use super::common;
@@ -22,7 +23,7 @@
     pub clock: TokioClock,
     pub driver: Driver<Memory, TokioClock>,
     pub transcript: Transcript,
-    pub feed: Discovery<TokioClock>,
+    pub discovery: Discovery<TokioClock>,
     /// Tells the dispatcher to stop.
     pub stop: Rc<Notify>,
     pub engines: Vec<Engine<Memory, TokioClock>>,
@@ -43,14 +44,15 @@
         .enable_time()
         .start_paused(true)
         .build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("runtime is built");
     LocalSet::new().block_on(&runtime, async {
         let (memory, clock) = (Memory::default(), TokioClock::starting_at(1e6));
         let transcript = Transcript::default();
-        let feed = Discovery::new("list", clock, transcript.clone(), 0.0);
+        let discovery = Discovery::new("list", clock, transcript.clone(), 0.0);
         spawn_local(
-            feed.clone()
-                .serve::<Memory>(memory.listen("feed").await.expect("a name")),
+            discovery
+                .clone()
+                .serve::<Memory>(memory.listen("discovery").await.expect("name is free")),
         );
         let mut engines = Vec::new();
         for (name, kind, does) in [
@@ -67,21 +69,21 @@
             engine
                 .start(&format!("at-{name}"), true)
                 .await
-                .expect("a name");
-            feed.tell(engine.line(EndpointStatus::Ready));
+                .expect("name is free");
+            discovery.tell(engine.line(EndpointStatus::Ready));
             engines.push(engine);
         }
         let locations = Locations {
-            discovery: vec!["feed".to_owned()],
+            discovery: vec!["discovery".to_owned()],
             ..Locations::default()
         };
         let driver = Driver::new(settings, locations, memory.clone(), clock, 1);
-        let listener = memory.listen("d").await.expect("a name");
+        let listener = memory.listen("d").await.expect("name is free");
         let serving = driver.clone();
         let stop = Rc::new(Notify::new());
-        let told = stop.clone();
-        spawn_local(async move { serving.serve(listener, told.notified()).await });
-        while feed.followers() == 0 {
+        let stop_signal = stop.clone();
+        spawn_local(async move { serving.serve(listener, stop_signal.notified()).await });
+        while discovery.followers() == 0 {
             clock.sleep_until(clock.now() + 1.0).await;
         }
         test(Net {
@@ -89,7 +91,7 @@
             clock,
             driver,
             transcript,
-            feed,
+            discovery,
             stop,
             engines,
         })
@@ -135,10 +137,14 @@
         (end, tokens)
     }
 
-    /// Sends bytes as they are; true if the dispatcher ends the connection.
-    pub async fn say(&self, bytes: &[u8]) -> bool {
-        let mut stream = self.memory.connect("d").await.expect("it listens");
-        // A connection that was closed meanwhile takes no more.
+    /// Sends raw bytes on a new connection. Returns whether the dispatcher closes the connection within 5 s.
+    pub async fn send_raw(&self, bytes: &[u8]) -> bool {
+        let mut stream = self
+            .memory
+            .connect("d")
+            .await
+            .expect("dispatcher accepts connections");
+        // The write fails if the dispatcher has already closed the connection.
         let _ = stream.write_all(bytes).await;
         let mut rest = Vec::new();
         tokio::select! { biased;
@@ -161,18 +167,18 @@
         self.clock.sleep_until(self.clock.now() + ms).await;
     }
 
-    /// When an engine first saw such a message come in.
-    pub fn came(&self, engine: &str, is: impl Fn(&Body) -> bool) -> Option<f64> {
-        let came = |what: &What| matches!(what, What::Frame(Way::In, f) if f.body.as_ref().is_some_and(&is));
+    /// When an engine first received a matching message, by the test's clock.
+    pub fn first_received_at(&self, engine: &str, is: impl Fn(&Body) -> bool) -> Option<f64> {
+        let is_match = |what: &What| matches!(what, What::Frame(Way::In, f) if f.body.as_ref().is_some_and(&is));
         let records = self.transcript.records();
         records
             .iter()
-            .find(|r| &*r.seer == engine && came(&r.what))
+            .find(|r| &*r.seer == engine && is_match(&r.what))
             .map(|r| r.at)
     }
 
-    /// The keys of requests that had their effect, in order.
-    pub fn ran(&self) -> Vec<String> {
+    /// The idempotency keys of the requests that decode engines have executed, in order.
+    pub fn executed_keys(&self) -> Vec<String> {
         let records = self.transcript.records();
         let key = |what: &What| match what {
             What::Note(Note::Ran { key, .. }) => Some(key.clone()),
--- a/crates/dispatcher/tests/connection_limits.rs
+++ b/crates/dispatcher/tests/connection_limits.rs
@@ -1,8 +1,9 @@
-//! Connections beyond what the dispatcher may have: clients and engines at the maximum, and a process that is out of file
-//! descriptors.
+//! Connections beyond the limits of the dispatcher: the maximum of client and engine connections, and a process
+//! without free file descriptors.
 //!
-//! Each test makes the order of events happen that would lose what is still owed: on TCP sockets, with clients, engines and
-//! discovery that go on when the test says so. docs/acceptance.md lists what each path may owe and names its tests.
+//! Each test forces the order of events that would lose an answer or a release, on TCP sockets and with clients,
+//! engines and discovery that the test controls. docs/acceptance.md lists the guarantees of each path and names its
+//! tests.
 
 mod common;
 #[path = "common/loopback.rs"]
@@ -18,8 +19,8 @@
 mod a_place_that_is_wanted {
     use super::*;
 
-    /// Two connections of clients at most.
-    fn run_with_two_places<F: std::future::Future<Output = ()>>(test: impl FnOnce(Loopback) -> F) {
+    /// Allows at most two client connections.
+    fn run_with_two_clients<F: std::future::Future<Output = ()>>(test: impl FnOnce(Loopback) -> F) {
         let limits = Limits {
             max_client_connections: 2,
             ..limits()
@@ -27,27 +28,33 @@
         run_with(limits, &["r1", "w1"], test);
     }
 
-    /// All connections of clients are in use, a new one comes, and an idle client sends its request at the same moment.
-    /// Closing that connection after its request was read would lose the request: it is either served, or closed with
-    /// nothing sent to an engine.
+    /// All client connections are in use, a new client connects, and an idle client sends its request at the same
+    /// moment. Closing the idle connection after its request was read would lose the request: it is either served,
+    /// or its connection is closed with nothing sent to an engine.
     #[test]
     fn is_not_taken_from_a_client_whose_request_is_read() {
         for request_first in [true, false] {
-            run_with_two_places(|net| async move {
-                let (mut resting, other) = (net.connect().await, net.connect().await);
-                until(|| net.driver.client_connections() == 2).await;
+            run_with_two_clients(|net| async move {
+                let (mut idle_client, other) = (net.connect().await, net.connect().await);
+                wait_until(|| net.driver.client_connections() == 2).await;
                 let text = request("a", "proof");
                 let new = if request_first {
-                    resting.io.try_write(text.as_bytes()).expect("room");
+                    idle_client
+                        .io
+                        .try_write(text.as_bytes())
+                        .expect("socket buffer has room");
                     net.connect().await
                 } else {
                     let new = net.connect().await;
-                    resting.io.try_write(text.as_bytes()).expect("room");
+                    idle_client
+                        .io
+                        .try_write(text.as_bytes())
+                        .expect("socket buffer has room");
                     new
                 };
-                // Either it was read and is served whole, or its connection ends with nothing sent on.
+                // Either the request is served, or its connection is closed without an attempt.
                 let served = tokio::select! {
-                    _ = resting.io.readable() => false,
+                    _ = idle_client.io.readable() => false,
                     (mut prefill, request) = net.engine("r1").accept_request() => {
                         assert_eq!(request.id(), "a");
                         prefill.send(PREFILL_ANSWER).await;
@@ -59,22 +66,25 @@
                     decode
                         .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
                         .await;
-                    assert!(resting.read_until(LAST_CHUNK).await.ends_with(LAST_CHUNK));
+                    assert!(idle_client
+                        .read_until(LAST_CHUNK)
+                        .await
+                        .ends_with(LAST_CHUNK));
                 } else {
-                    assert_eq!(resting.read_to_end().await, "");
+                    assert_eq!(idle_client.read_to_end().await, "");
                     assert!(
                         !net.engine("r1").has_pending_connection(),
-                        "nothing was sent on"
+                        "no attempt was sent"
                     );
                 }
-                net.no_request_is_open().await;
+                net.wait_until_no_request_open().await;
                 drop((new, other));
             });
         }
     }
 
-    /// All connections to engines are in use or idle, and another is needed. An idle one is closed for it; one that
-    /// carries a stream never is, as that would break the stream.
+    /// The limit of engine connections is reached, and another one is needed. An idle connection is closed to make
+    /// room. A connection with an open stream is never closed, as that would break the stream.
     #[test]
     fn at_the_engines_is_made_by_a_connection_at_rest_and_never_by_one_in_use() {
         let http1 = limits().http1.map(|http1| Http1Limits {
@@ -86,32 +96,33 @@
             let mut client = net.send_request("a", "proof").await;
             let (mut prefill, _) = net.engine("r1").accept_request().await;
             prefill.send(PREFILL_ANSWER).await;
-            // The connection to r1 makes way for the decode's, which is in use then.
+            // The idle connection to r1 is closed to make room for the decode attempt, whose connection is then in
+            // use.
             let (mut decode, _) = net.engine("w1").accept_request().await;
             let mut second = net.send_request("b", "proof").await;
             let request = tokio::select! {
                 request = prefill.read_request() => request,
-                asked = net.engine("r1").accept_request() => {
-                    prefill = asked.0;
-                    asked.1
+                accepted = net.engine("r1").accept_request() => {
+                    prefill = accepted.0;
+                    accepted.1
                 }
             };
             assert_eq!(request.id(), "b");
             prefill.send(PREFILL_ANSWER).await;
-            // No place for its decode attempt until the first has ended.
+            // The second request's decode attempt gets no connection until the first stream ends.
             decode
                 .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
                 .await;
             assert!(
                 client.read_until(LAST_CHUNK).await.ends_with(LAST_CHUNK),
-                "the first goes on undisturbed"
+                "the first stream is not interrupted"
             );
             let mut decode = tokio::select! {
                 request = decode.read_request() => {
                     assert_eq!(request.id(), "b");
                     decode
                 }
-                decode = attempt_of(&net, "w1", "b") => decode,
+                decode = accept_attempt(&net, "w1", "b") => decode,
             };
             decode
                 .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
@@ -125,16 +136,18 @@
     use super::*;
 
     /// The process runs out of file descriptors between the prefill and the decode attempt. The client is answered
-    /// before its deadline, and the KV state is released once a connection can be opened again.
+    /// before its deadline, and the KV state is released once connections can be opened again.
     #[test]
     fn at_a_further_attempt_is_answered_in_time_and_its_state_let_go_once_there_is_one() {
         for class in CLASSES {
             run(|net| async move {
                 let text = request_with("a", class, 1000, "{}");
-                let Open { mut client, engine } = bring_with(&net, Stage::Prefills, &text).await;
-                let mut engine = engine.expect("it is being read");
-                net.gate.exhaust(true);
-                // The connection over which the prompt went is closed with the answer: no other can be had.
+                let OpenRequest { mut client, engine } =
+                    start_request_with(&net, Stage::Prefilling, &text).await;
+                let mut engine = engine.expect("an attempt is open");
+                net.gate.set_descriptors_exhausted(true);
+                // The prefill engine closes its connection with the answer, so no idle connection can carry the
+                // release.
                 engine
                     .send(
                         &PREFILL_ANSWER
@@ -149,22 +162,22 @@
                 );
                 assert!(
                     net.driver.usage().releases > 0,
-                    "its state is not forgotten"
+                    "the release of its KV state is pending"
                 );
-                net.gate.exhaust(false);
-                release_is_sent(&net).await;
+                net.gate.set_descriptors_exhausted(false);
+                confirm_releases(&net).await;
                 for engine in ["r1", "w1"] {
                     assert!(
                         !net.engine(engine).has_pending_connection(),
-                        "{engine}: no attempt follows"
+                        "{engine}: no further attempt is sent"
                     );
                 }
             });
         }
     }
 
-    /// Idle clients use all connections while discovery is down. A client that sends a request is still served, with
-    /// the list that is known, and discovery is called again as soon as it can be reached.
+    /// Idle clients hold all client connections while discovery is down. A client that sends a request is still
+    /// served with the known endpoints, and discovery is called again as soon as it can be reached.
     #[test]
     fn for_clients_while_discovery_is_down_keeps_neither_requests_nor_the_list_out() {
         let limits = Limits {
@@ -173,18 +186,18 @@
         };
         run_with(limits, &["r1", "w1"], |net| async move {
             let discovery = net.discovery_address();
-            net.gate.shut(&discovery);
+            net.gate.block(&discovery);
             drop(net.take_watch());
             let mut idle = Vec::new();
             for _ in 0..8 {
                 idle.push(net.connect().await);
             }
-            until(|| net.driver.client_connections() == 8).await;
+            wait_until(|| net.driver.client_connections() == 8).await;
             for id in ["a", "b", "c"] {
                 let mut client = net.send_request(id, "proof").await;
-                let mut prefill = attempt_of(&net, "r1", id).await;
+                let mut prefill = accept_attempt(&net, "r1", id).await;
                 prefill.send(PREFILL_ANSWER).await;
-                let mut decode = attempt_of(&net, "w1", id).await;
+                let mut decode = accept_attempt(&net, "w1", id).await;
                 decode
                     .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
                     .await;
@@ -192,19 +205,26 @@
                 idle.push(client);
                 assert!(
                     net.driver.client_connections() <= 8,
-                    "no more places than there are"
+                    "the limit of client connections holds"
                 );
             }
             tokio::select! { biased;
-                () = net.gate.held_up(&discovery) => {}
-                () = net.advance_until(|| false) => unreachable!("it goes on"),
+                () = net.gate.wait_until_blocked(&discovery) => {}
+                () = net.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
             }
-            net.gate.open(&discovery);
-            let mut call = net.discovery_call().await;
+            net.gate.unblock(&discovery);
+            let mut call = net.accept_discovery_call().await;
             assert!(!call.read_request().await.head.contains("after="));
-            call.send(&net.list(2, true, &[net.line("r1", "up"), net.line("w1", "draining")]))
-                .await;
-            until(|| net.driver.list_version() == 2).await;
+            call.send(&net.discovery_response(
+                2,
+                true,
+                &[
+                    net.endpoint_json("r1", "up"),
+                    net.endpoint_json("w1", "draining"),
+                ],
+            ))
+            .await;
+            wait_until(|| net.driver.list_version() == 2).await;
         });
     }
 }
@@ -217,8 +237,8 @@
     const EINTR: i32 = 4;
     const ENETDOWN: i32 = 100;
 
-    /// accept(2) returns an error that concerns only one connection. If the listener paused or ended, all other clients
-    /// would wait: the next connection is accepted while the clock stands still.
+    /// accept(2) returns an error that concerns a single connection. A listener that paused or ended would make all
+    /// other clients wait. The next connection is accepted while the clock stands still.
     #[test]
     fn is_taken_at_once_after_one_that_could_not_be() {
         for errors in [
@@ -228,9 +248,9 @@
         ] {
             run(|net| async move {
                 net.gate.fail_accepts(errors);
-                // The call that was under way before the errors.
+                // This connection is taken by the accept that was pending before the errors were set.
                 let first = net.connect().await;
-                until(|| net.driver.client_connections() == 1).await;
+                wait_until(|| net.driver.client_connections() == 1).await;
                 let mut client = net.send_request("a", "proof").await;
                 net.serve_prefill().await;
                 let (mut decode, _) = net.engine("w1").accept_request().await;
@@ -244,17 +264,17 @@
     }
 
     /// A single accept fails for lack of file descriptors. A client that has just connected is about to send its
-    /// request; closing it for a shortage that is over at the next try would lose the request.
+    /// request. Closing its connection for a shortage that is over at the next accept would lose the request.
     #[test]
     fn is_not_shut_for_a_shortage_that_is_over_at_the_next_try() {
         const ENFILE: i32 = 23;
         run(|net| async move {
             let mut first = net.connect().await;
-            until(|| net.driver.client_connections() == 1).await;
-            // The next is taken by the call that is under way; the one behind it fails.
+            wait_until(|| net.driver.client_connections() == 1).await;
+            // The pending accept takes the next connection; the accept after it fails.
             net.gate.fail_accepts(&[ENFILE]);
             let second = net.connect().await;
-            until(|| net.driver.client_connections() == 2).await;
+            wait_until(|| net.driver.client_connections() == 2).await;
             let third = net.connect().await;
             net.advance_until(|| net.driver.client_connections() == 3)
                 .await;
@@ -269,8 +289,8 @@
         });
     }
 
-    /// More clients connect than there may be, and their requests are already sent. Closing their connections would
-    /// lose the requests: they wait until a connection ends, and are served.
+    /// More clients connect than the limit allows, and their requests are already sent. Closing the connections
+    /// would lose the requests. The clients wait until a connection ends, and are then served.
     #[test]
     fn that_finds_no_place_waits_for_one_and_is_not_dropped_with_its_request() {
         let limits = Limits {
@@ -278,7 +298,7 @@
             ..limits()
         };
         run_with(limits, &["r1", "w1"], |net| async move {
-            let (mut first, mut decode) = net.decoding("a", "proof").await;
+            let (mut first, mut decode) = net.start_decode("a", "proof").await;
             let mut others = [
                 net.send_request("b", "proof").await,
                 net.send_request("c", "proof").await,
@@ -290,9 +310,9 @@
             assert!(first.read_until(LAST_CHUNK).await.ends_with(LAST_CHUNK));
             drop(decode);
             for (id, client) in ["b", "c"].into_iter().zip(&mut others) {
-                let mut prefill = attempt_of(&net, "r1", id).await;
+                let mut prefill = accept_attempt(&net, "r1", id).await;
                 prefill.send(PREFILL_ANSWER).await;
-                let mut decode = attempt_of(&net, "w1", id).await;
+                let mut decode = accept_attempt(&net, "w1", id).await;
                 decode
                     .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
                     .await;
@@ -302,7 +322,7 @@
                 );
                 assert!(
                     net.driver.client_connections() <= 1,
-                    "no more places than there are"
+                    "the limit of client connections holds"
                 );
             }
         });
--- a/crates/dispatcher/tests/discovery_changes.rs
+++ b/crates/dispatcher/tests/discovery_changes.rs
@@ -1,7 +1,9 @@
-//! Discovery that is lost, overloaded, silent, outdated or moved: its list is kept, and it is called again in time.
+//! Discovery that disconnects, is overloaded, unresponsive or outdated, or moves: its last list stays in use, and
+//! discovery is called again in time.
 //!
-//! Each test makes the order of events happen that would lose what is still owed: on TCP sockets, with clients, engines and
-//! discovery that go on when the test says so. docs/acceptance.md lists what each path may owe and names its tests.
+//! Each test forces the order of events that would lose an answer or a release, on TCP sockets and with clients,
+//! engines and discovery that the test controls. docs/acceptance.md lists the guarantees of each path and names its
+//! tests.
 
 mod common;
 #[path = "common/loopback.rs"]
@@ -19,76 +21,78 @@
     use cindercleat::resource_limits::{ProcessLimits, ResourceLimits};
     use test_case::test_case;
 
-    /// Discovery asked for anew: the next connection's first request is for the whole list.
-    async fn asked_anew(net: &Loopback) -> Conn {
+    /// Accepts the dispatcher's next call to discovery, advancing the clock until it comes. The call must request
+    /// the complete list.
+    async fn accept_complete_list_call(net: &Loopback) -> Conn {
         let call = async {
-            let mut call = net.discovery_call().await;
+            let mut call = net.accept_discovery_call().await;
             let request = call.read_request().await;
             assert!(!request.head.contains("after="), "{request:?}");
             call
         };
         tokio::select! { biased;
             call = call => call,
-            () = net.advance_until(|| false) => unreachable!("it goes on"),
+            () = net.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
         }
     }
 
-    /// A request is served, by the list that is known.
-    async fn serves(net: &Loopback, id: &str) {
+    /// Checks that a request is served with the known endpoints.
+    async fn assert_served(net: &Loopback, id: &str) {
         let mut client = net.send_request(id, "proof").await;
-        let mut prefill = attempt_of(net, "r1", id).await;
+        let mut prefill = accept_attempt(net, "r1", id).await;
         prefill.send(PREFILL_ANSWER).await;
-        let mut decode = attempt_of(net, "w1", id).await;
+        let mut decode = accept_attempt(net, "w1", id).await;
         decode
             .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
             .await;
         assert!(client.read_until(LAST_CHUNK).await.ends_with(LAST_CHUNK));
-        net.no_request_is_open().await;
+        net.wait_until_no_request_open().await;
     }
 
     #[derive(Clone, Copy)]
-    enum Watch {
-        Dies,
-        DiesWithinItsAnswer,
-        IsRefused,
-        CannotBeRead,
+    enum WatchFailure {
+        ConnectionCloses,
+        ConnectionClosesInAnswer,
+        IsRejected,
+        IsUnreadable,
     }
 
-    /// The watch on discovery's list ends, is refused or returns something that cannot be read. Requests are served
-    /// with the list that is known, and discovery is called again for the whole list.
-    #[test_case(Watch::Dies; "dies")]
-    #[test_case(Watch::DiesWithinItsAnswer; "dies within its answer")]
-    #[test_case(Watch::IsRefused; "is refused")]
-    #[test_case(Watch::CannotBeRead; "cannot be read")]
-    fn whose_watch_is_lost_is_asked_anew_and_its_list_kept(watch: Watch) {
+    /// The watch on discovery's list ends, is refused or returns an unreadable answer. Requests are served with the
+    /// known list, and discovery is called again for the complete list.
+    #[test_case(WatchFailure::ConnectionCloses; "connection closes")]
+    #[test_case(WatchFailure::ConnectionClosesInAnswer; "connection closes in its answer")]
+    #[test_case(WatchFailure::IsRejected; "is refused")]
+    #[test_case(WatchFailure::IsUnreadable; "is unreadable")]
+    fn whose_watch_is_lost_is_asked_anew_and_its_list_kept(failure: WatchFailure) {
         run(|net| async move {
             let mut call = net.take_watch();
-            match watch {
-                Watch::Dies => {}
-                Watch::DiesWithinItsAnswer => {
-                    let answer = net.list(2, true, &[]);
+            match failure {
+                WatchFailure::ConnectionCloses => {}
+                WatchFailure::ConnectionClosesInAnswer => {
+                    let answer = net.discovery_response(2, true, &[]);
                     call.send(&answer[..answer.len() - 3]).await;
                 }
-                Watch::IsRefused => {
+                WatchFailure::IsRejected => {
                     call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
                         .await;
                 }
-                Watch::CannotBeRead => {
+                WatchFailure::IsUnreadable => {
                     call.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n{\"revi")
                         .await;
                 }
             }
             drop(call);
-            let mut call = asked_anew(&net).await;
-            serves(&net, "a").await;
-            call.send(&net.list(1, true, &net.all("up"))).await;
-            net.keep_watch(call).await;
-            serves(&net, "b").await;
+            let mut call = accept_complete_list_call(&net).await;
+            assert_served(&net, "a").await;
+            call.send(&net.discovery_response(1, true, &net.all_endpoints("up")))
+                .await;
+            net.accept_watch(call).await;
+            assert_served(&net, "b").await;
         });
     }
 
-    /// The settings of calls where lists are asked for, from a service that all dispatchers share.
-    fn asked() -> Limits {
+    /// Limits with the timeouts of a polled discovery service that all dispatchers share.
+    fn polled_discovery_limits() -> Limits {
         let process = ProcessLimits {
             memory_bytes: 64e6,
             file_descriptors: 256,
@@ -104,55 +108,56 @@
         };
         Limits {
             discovery: ResourceLimits::for_process(&process)
-                .expect("room for work")
+                .expect("limits leave room for requests")
                 .discovery,
             ..limits()
         }
     }
 
-    const CROWDED: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    /// Discovery's answer while it is overloaded.
+    const OVERLOADED: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-    /// A discovery service under load refuses the watch right behind its list, and further calls. The next call asks
-    /// for what has changed since, as part of the watch: a whole list and then a watch would be two calls that both
-    /// have to find a place in its queue, one right after the other.
+    /// An overloaded discovery service refuses the watch that follows its list, and further calls. The next call
+    /// requests the changes since the known list as part of the watch. A call for the complete list and another for
+    /// the watch would both have to find a place in the service's queue, one right after the other.
     #[test]
     fn that_is_crowded_is_asked_for_changes_by_the_call_that_opens_the_watch() {
-        run_with(asked(), &["r1", "w1"], |net| async move {
+        run_with(polled_discovery_limits(), &["r1", "w1"], |net| async move {
             let mut call = net.take_watch();
             for _ in 0..3 {
-                call.send(CROWDED).await;
+                call.send(OVERLOADED).await;
                 call = call_within(&net, 3_000.0).await;
                 let request = call.read_request().await;
                 assert!(
                     request.head.contains("?after=1&"),
-                    "what is known is not asked for again: {request:?}"
+                    "the call requests changes since the known revision: {request:?}"
                 );
             }
-            call.send(&net.list(2, false, &[net.line("w1", "draining")]))
+            call.send(&net.discovery_response(2, false, &[net.endpoint_json("w1", "draining")]))
                 .await;
             let watch = call.read_request().await;
             assert!(watch.head.contains("?after=2&"), "{watch:?}");
-            is_refused(&net, "a").await;
+            assert_rejected(&net, "a").await;
         });
     }
 
-    /// The next connection to discovery, with time passing until it comes.
-    async fn call_within(net: &Loopback, most: f64) -> Conn {
+    /// Accepts the dispatcher's next call to discovery, which must come within `most` milliseconds.
+    async fn call_within(net: &Loopback, max_delay: f64) -> Conn {
         let before = net.now();
         let call = tokio::select! { biased;
-            call = net.discovery_call() => call,
-            () = net.advance_until(|| false) => unreachable!("it goes on"),
+            call = net.accept_discovery_call() => call,
+            () = net.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
         };
         assert!(
-            net.now() - before <= most,
-            "{} after the call before",
+            net.now() - before <= max_delay,
+            "called {} ms after the previous call",
             net.now() - before
         );
         call
     }
 
-    /// Discovery stops answering without closing the connection. The dispatcher would keep an old list for ever: after
-    /// the silence timeout it connects anew.
+    /// Discovery stops answering without closing the connection. Without a timeout the dispatcher would keep an old
+    /// list forever. After the silence timeout it connects again.
     #[test]
     fn that_falls_silent_is_asked_anew() {
         let discovery = cindercleat::discovery_client::DiscoverySettings {
@@ -166,48 +171,61 @@
         run_with(limits, &["r1", "w1"], |net| async move {
             let silent = net.take_watch();
             let before = net.now();
-            let mut call = asked_anew(&net).await;
+            let mut call = accept_complete_list_call(&net).await;
             assert!(net.now() - before < 1_000.0, "{}", net.now() - before);
             drop(silent);
-            call.send(&net.list(1, true, &[net.line("r1", "up"), net.line("w1", "draining")]))
-                .await;
-            net.keep_watch(call).await;
-            is_refused(&net, "a").await;
+            call.send(&net.discovery_response(
+                1,
+                true,
+                &[
+                    net.endpoint_json("r1", "up"),
+                    net.endpoint_json("w1", "draining"),
+                ],
+            ))
+            .await;
+            net.accept_watch(call).await;
+            assert_rejected(&net, "a").await;
         });
     }
 
-    /// A replica of discovery lags behind. Its list, whole or of changes, would bring back an engine that drains: the
-    /// newer list is kept, and discovery is called again.
+    /// A replica of discovery lags behind. Its list, complete or of changes, would bring back an engine that drains.
+    /// The dispatcher keeps the newer list and calls discovery again.
     #[test_case(true; "whole")]
     #[test_case(false; "changes")]
     fn that_gives_an_older_list_is_asked_anew_and_the_newer_one_kept(whole: bool) {
         run(|net| async move {
-            net.announce(&[net.line("w1", "draining")]).await;
+            net.announce_endpoints(&[net.endpoint_json("w1", "draining")])
+                .await;
             let mut call = net.take_watch();
-            call.send(&net.list(1, whole, &net.all("up"))).await;
-            let mut call = asked_anew(&net).await;
-            is_refused(&net, "a").await;
+            call.send(&net.discovery_response(1, whole, &net.all_endpoints("up")))
+                .await;
+            let mut call = accept_complete_list_call(&net).await;
+            assert_rejected(&net, "a").await;
             net.advance(100.0);
-            call.send(&net.list(3, true, &net.all("up"))).await;
-            until(|| net.driver.list_version() == 3).await;
-            serves(&net, "b").await;
+            call.send(&net.discovery_response(3, true, &net.all_endpoints("up")))
+                .await;
+            wait_until(|| net.driver.list_version() == 3).await;
+            assert_served(&net, "b").await;
         });
     }
 
-    /// Discovery was installed anew, and its versions start from the beginning. Each list is older than the known one;
-    /// if they were refused for ever, no change would arrive again. After a while such a list is used.
+    /// Discovery was reinstalled, and its revisions start from the beginning. Every list is older than the known
+    /// one; if all were refused forever, no change would arrive again. After a while such a list is accepted.
     #[test]
     fn that_counts_anew_is_heeded_within_the_time_after_which_its_list_counts_as_told() {
         run(|net| async move {
-            net.announce(&[net.line("w1", "draining")]).await;
+            net.announce_endpoints(&[net.endpoint_json("w1", "draining")])
+                .await;
             let mut call = net.take_watch();
             let since = net.now();
-            call.send(&net.list(1, true, &net.all("up"))).await;
+            call.send(&net.discovery_response(1, true, &net.all_endpoints("up")))
+                .await;
             drop(call);
             while net.driver.list_version() != 1 {
-                let mut call = asked_anew(&net).await;
-                call.send(&net.list(1, true, &net.all("up"))).await;
-                // Either it is taken, and the watch follows, or the call is closed.
+                let mut call = accept_complete_list_call(&net).await;
+                call.send(&net.discovery_response(1, true, &net.all_endpoints("up")))
+                    .await;
+                // The dispatcher accepts the list and sends the watch request, or it closes the connection.
                 let _ = call.next_request().await;
             }
             assert!(net.now() - since < 6_000.0, "{}", net.now() - since);
@@ -215,31 +233,40 @@
         });
     }
 
-    /// Discovery gets another address while the dispatcher serves. The old watch is closed, requests are served with
-    /// the known list meanwhile, and the whole list is asked for at the new address.
+    /// Discovery's address changes while the dispatcher serves. The old watch is closed, requests are served with
+    /// the known list meanwhile, and the complete list is requested at the new address.
     #[test]
     fn that_moves_is_followed_and_the_list_kept_meanwhile() {
         run(|net| async move {
             let mut old = net.take_watch();
             let moved = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
-                .expect("a port");
-            net.driver
-                .set_discovery_addresses(vec![moved.local_addr().expect("an address").to_string()]);
+                .expect("port is bound");
+            net.driver.set_discovery_addresses(vec![moved
+                .local_addr()
+                .expect("address is valid")
+                .to_string()]);
             let mut call = Conn::new(
                 moved
                     .accept()
                     .await
-                    .expect("it is asked at the new address")
+                    .expect("discovery is called at its new address")
                     .0,
             );
-            serves(&net, "a").await;
+            assert_served(&net, "a").await;
             assert_eq!(old.read_to_end().await, "", "the old watch is closed");
             assert!(!call.read_request().await.head.contains("after="));
-            call.send(&net.list(2, true, &[net.line("r1", "up"), net.line("w1", "draining")]))
-                .await;
-            until(|| net.driver.list_version() == 2).await;
-            is_refused(&net, "b").await;
+            call.send(&net.discovery_response(
+                2,
+                true,
+                &[
+                    net.endpoint_json("r1", "up"),
+                    net.endpoint_json("w1", "draining"),
+                ],
+            ))
+            .await;
+            wait_until(|| net.driver.list_version() == 2).await;
+            assert_rejected(&net, "b").await;
         });
     }
 }
--- a/crates/dispatcher/tests/dispatcher_state.rs
+++ b/crates/dispatcher/tests/dispatcher_state.rs
@@ -1,5 +1,5 @@
-//! The dispatcher's state machine without sockets: each test causes one failure, and checks what must and what must not
-//! come of it.
+//! The dispatcher's state machine without sockets: each test causes one failure and checks the dispatcher's
+//! reaction.
 
 mod common;
 
@@ -10,12 +10,12 @@
 use common::*;
 
 #[test]
-fn a_request_is_read_written_and_answered_once() {
-    let mut bench = Bench::new();
-    let decode = bench.streaming(5, "draft");
-    bench.engine(&decode, tokens(1));
-    bench.ended(&decode, Status::Succeeded);
-    let found: Vec<u64> = to_client(&bench.out)
+fn a_request_is_prefilled_decoded_and_answered_once() {
+    let mut harness = Harness::new();
+    let decode = harness.start_stream(5, "draft");
+    harness.send_from_engine(&decode, tokens(1));
+    harness.end_attempt(&decode, Status::Succeeded);
+    let found: Vec<u64> = client_messages(&harness.out)
         .iter()
         .map(|(stream, _)| *stream)
         .collect();
@@ -24,18 +24,18 @@
         [5, 5, 5, 5],
         "accepted, two tokens, one final answer"
     );
-    assert_eq!(finals(&bench.out), [(5, Answer::Succeeded)]);
-    assert_eq!(bench.dispatcher.usage().requests, 0);
-    assert_eq!(finals(&bench.pass(60_000.0)), []);
+    assert_eq!(final_answers(&harness.out), [(5, Answer::Succeeded)]);
+    assert_eq!(harness.dispatcher.usage().requests, 0);
+    assert_eq!(final_answers(&harness.advance(60_000.0)), []);
 }
 
-/// An attempt waits for its connection. Discovery reports meanwhile that the engine drains, and the connection comes up
-/// only then. The attempt must not go out there, and the request goes to another engine.
+/// An attempt waits for its connection, and discovery reports that the engine drains before the connection is
+/// established. The attempt must not be sent to that engine; the request goes to another one.
 #[test]
-fn a_drain_learned_while_an_attempt_is_connected_keeps_it_from_going_out() {
-    let mut bench = Bench::new();
-    bench.connections_come_up = false;
-    let out = bench.client(1, Body::Submit(submit("proof")));
+fn an_attempt_is_not_sent_to_an_engine_that_drains_while_its_connection_is_established() {
+    let mut harness = Harness::new();
+    harness.dials_succeed = false;
+    let out = harness.send_from_client(1, Body::Submit(submit("proof")));
     let dialled = out.iter().find_map(|o| match o {
         Output::Dial {
             connection, engine, ..
@@ -43,19 +43,23 @@
         _ => None,
     });
     let (connection, engine) = dialled.expect("a prefill engine is dialled");
-    bench.update_endpoint(&engine, EndpointStatus::Draining);
-    bench.connections_come_up = true;
-    let out = bench.put(Input::ConnectionEstablished {
+    harness.update_endpoint(&engine, EndpointStatus::Draining);
+    harness.dials_succeed = true;
+    let out = harness.handle(Input::ConnectionEstablished {
         connection,
         limit: None,
     });
-    let went: Vec<String> = bench.attempts(&out).into_iter().map(|l| l.engine).collect();
+    let sent_to: Vec<String> = harness
+        .attempts(&out)
+        .into_iter()
+        .map(|attempt| attempt.engine)
+        .collect();
     assert!(
-        went.iter().all(|to| *to != engine),
-        "sent to {engine}, which drains: {went:?}"
+        sent_to.iter().all(|to| *to != engine),
+        "the attempt is sent to {engine}, which drains: {sent_to:?}"
     );
     assert_eq!(
-        went.len(),
+        sent_to.len(),
         1,
         "the request goes to the other prefill engine"
     );
@@ -63,68 +67,68 @@
 
 /// A decode engine begins to drain while a prefill for it runs. The decode attempt must go to another one.
 #[test]
-fn a_writer_that_drains_while_a_state_is_held_gets_nothing() {
-    let mut bench = Bench::new();
-    let prefill = bench.prefilling(1, "draft");
-    bench.update_endpoint("w1", EndpointStatus::Draining);
-    let out = bench.ended(&prefill, Status::PrefillDone);
+fn a_decode_engine_that_drains_while_a_kv_state_is_held_gets_no_attempt() {
+    let mut harness = Harness::new();
+    let prefill = harness.start_prefill(1, "draft");
+    harness.update_endpoint("w1", EndpointStatus::Draining);
+    let out = harness.end_attempt(&prefill, Status::PrefillDone);
     assert_eq!(
-        bench
+        harness
             .attempts(&out)
             .iter()
-            .map(|l| &*l.engine)
+            .map(|attempt| &*attempt.engine)
             .collect::<Vec<_>>(),
         ["w2"]
     );
 }
 
-/// A hundred requests are open when all prefill engines drain or are gone. As prefills that are out end, room seems to
-/// become free; nothing new may go there, and each request gets one answer.
+/// A hundred requests are open when all prefill engines drain or are gone. Prefills that end seem to free capacity.
+/// No new attempt may be sent to these engines, and each request gets one answer.
 #[test]
-fn a_hundred_queued_requests_do_not_follow_a_drain() {
-    let mut bench = Bench::new();
+fn queued_requests_are_not_sent_to_draining_engines() {
+    let mut harness = Harness::new();
     for stream in 1..=100 {
-        bench.client(stream, Body::Submit(submit("draft")));
+        harness.send_from_client(stream, Body::Submit(submit("draft")));
     }
-    bench.update_endpoint("r1", EndpointStatus::Draining);
-    bench.update_endpoint("r2", EndpointStatus::Gone);
-    let seen = bench.out.len();
-    // Prefills that are out end, which would make room for those that wait.
-    for prefill in bench.attempts(&bench.out.clone()) {
-        bench.ended(&prefill, Status::Overloaded);
+    harness.update_endpoint("r1", EndpointStatus::Draining);
+    harness.update_endpoint("r2", EndpointStatus::Gone);
+    let seen = harness.out.len();
+    // The open prefills end, which would free capacity for waiting requests.
+    for prefill in harness.attempts(&harness.out.clone()) {
+        harness.end_attempt(&prefill, Status::Overloaded);
     }
-    bench.pass(10_000.0);
-    let after = bench.out[seen..].to_vec();
+    harness.advance(10_000.0);
+    let after = harness.out[seen..].to_vec();
     assert_eq!(
-        bench.attempts(&after).len(),
+        harness.attempts(&after).len(),
         0,
-        "nothing new goes to prefill engines that drain or are gone"
+        "no attempt is sent to prefill engines that drain or are gone"
     );
-    assert_eq!(finals(&bench.out).len(), 100);
-    assert!(finals(&bench.out)
+    assert_eq!(final_answers(&harness.out).len(), 100);
+    assert!(final_answers(&harness.out)
         .iter()
         .all(|(_, answer)| *answer == Answer::Rejected));
-    assert_eq!(bench.dispatcher.usage().requests, 0);
+    assert_eq!(harness.dispatcher.usage().requests, 0);
 }
 
-/// The connection of a decode attempt breaks before its first token. It may have run: only a request that may run twice
-/// goes out again, and an at-most-once request fails.
+/// The connection of a decode attempt breaks before its first token. The attempt may have run: the request is
+/// retried if it may run twice, and an at-most-once request fails.
 #[test]
-fn a_writer_that_dies_before_the_first_token_ends_what_may_have_run() {
+fn a_lost_decode_attempt_without_a_token_is_retried_only_if_it_may_run_twice() {
     for (request_class, again) in [("draft", true), ("caption", true), ("proof", false)] {
-        let mut bench = Bench::new();
-        let decode = bench.decoding(1, request_class);
+        let mut harness = Harness::new();
+        let decode = harness.start_decode(1, request_class);
         let reason = "reset".to_owned();
-        let out = bench.put(Input::ConnectionClosed {
+        let out = harness.handle(Input::ConnectionClosed {
             connection: decode.connection,
             reason,
         });
         assert_eq!(
-            !bench.attempts(&out).is_empty(),
+            !harness.attempts(&out).is_empty(),
             again,
-            "{request_class} goes out again"
+            "{request_class} is sent again"
         );
-        let answers: Vec<Answer> = finals(&out).into_iter().map(|(_, a)| a).collect();
+        let answers: Vec<Answer> = final_answers(&out).into_iter().map(|(_, a)| a).collect();
         assert_eq!(
             answers,
             if again { vec![] } else { vec![Answer::Failed] },
@@ -133,159 +137,170 @@
     }
 }
 
-/// The connection of a decode attempt breaks in the middle of its stream. What the client has cannot be taken back, so
-/// the request fails and nothing is repeated.
+/// The connection of a decode attempt breaks in the middle of its stream. Tokens that the client has received cannot
+/// be taken back, so the request fails and is not retried.
 #[test]
-fn a_writer_that_dies_in_mid_stream_or_before_its_end_mark_is_written_off_and_not_repeated() {
+fn a_decode_attempt_lost_in_mid_stream_fails_without_a_retry() {
     for request_class in ["draft", "proof"] {
-        let mut bench = Bench::new();
-        let decode = bench.streaming(1, request_class);
+        let mut harness = Harness::new();
+        let decode = harness.start_stream(1, request_class);
         for position in 1..4 {
-            bench.engine(&decode, tokens(position));
+            harness.send_from_engine(&decode, tokens(position));
         }
-        let out = bench.put(Input::ConnectionClosed {
+        let out = harness.handle(Input::ConnectionClosed {
             connection: decode.connection,
             reason: "reset".to_owned(),
         });
-        assert_eq!(finals(&out), [(1, Answer::Failed)], "{request_class}");
-        let later = bench.pass(10_000.0);
-        assert!(bench.attempts(&out).is_empty() && bench.attempts(&later).is_empty());
-        assert_eq!(to_client(&later), []);
-        assert_eq!(bench.dispatcher.usage().requests, 0);
+        assert_eq!(
+            final_answers(&out),
+            [(1, Answer::Failed)],
+            "{request_class}"
+        );
+        let later = harness.advance(10_000.0);
+        assert!(harness.attempts(&out).is_empty() && harness.attempts(&later).is_empty());
+        assert_eq!(client_messages(&later), []);
+        assert_eq!(harness.dispatcher.usage().requests, 0);
     }
 }
 
-/// A decode engine never answers. The request gets one answer before its deadline, its attempt is cancelled, and what
-/// the engine sends later, or the loss of its connection, changes nothing.
+/// A decode engine never answers. The request gets one answer before its deadline and its attempt is cancelled.
+/// Later messages of the engine, or the loss of its connection, change nothing.
 #[test]
-fn a_writer_that_never_answers_is_given_up_before_the_clients_time_is_up() {
+fn an_unresponsive_decode_engine_is_given_up_before_the_deadline() {
     for request_class in ["draft", "proof"] {
-        let mut bench = Bench::new();
-        let (begin, decode) = (bench.now, bench.decoding(1, request_class));
-        let out = bench.pass(3999.0);
-        let answers = finals(&out);
+        let mut harness = Harness::new();
+        let (begin, decode) = (harness.now, harness.start_decode(1, request_class));
+        let out = harness.advance(3999.0);
+        let answers = final_answers(&out);
         assert_eq!(answers.len(), 1, "{request_class} is answered in time");
-        assert!(bench.now <= begin + 4000.0);
+        assert!(harness.now <= begin + 4000.0);
         assert!(
             request_class == "draft" || answers[0].1 == Answer::Failed,
-            "proof may have run"
+            "the at-most-once request fails, as it may have run"
         );
-        assert!(to_engines(&out).contains(&"cancel"));
-        // Its outcome comes after its cancel, and its connection is cut after the client left.
-        let late = bench.ended(&decode, Status::Succeeded);
-        bench.client(1, Body::Cancel(v1::Cancel {}));
-        let cut = bench.put(Input::ConnectionClosed {
+        assert!(engine_message_names(&out).contains(&"cancel"));
+        // The attempt's outcome arrives after its cancellation, and its connection breaks after the client has left.
+        let late = harness.end_attempt(&decode, Status::Succeeded);
+        harness.send_from_client(1, Body::Cancel(v1::Cancel {}));
+        let cut = harness.handle(Input::ConnectionClosed {
             connection: decode.connection,
             reason: "reset".to_owned(),
         });
-        assert_eq!(to_client(&[late, cut].concat()), []);
-        assert_eq!(bench.dispatcher.usage().requests, 0);
+        assert_eq!(client_messages(&[late, cut].concat()), []);
+        assert_eq!(harness.dispatcher.usage().requests, 0);
     }
 }
 
-/// A client cancels while its prompt is prefilled, and the prefill ends before the cancel reaches its engine. Its KV
-/// state is released, or it would stay pinned there.
+/// A client cancels while its prompt is prefilled, and the prefill ends before the cancel reaches its engine. The KV
+/// state is released; otherwise it would stay pinned at the engine.
 #[test]
-fn a_read_that_ends_after_its_cancel_is_released() {
-    let mut bench = Bench::new();
-    let prefill = bench.prefilling(1, "draft");
-    let out = bench.client(1, Body::Cancel(v1::Cancel {}));
+fn the_state_of_a_prefill_that_ends_after_its_cancel_is_released() {
+    let mut harness = Harness::new();
+    let prefill = harness.start_prefill(1, "draft");
+    let out = harness.send_from_client(1, Body::Cancel(v1::Cancel {}));
     assert_eq!(
-        to_engines(&out),
+        engine_message_names(&out),
         ["cancel", "release"],
-        "its end may be lost with the cancel"
+        "the prefill may end without a report after its cancellation"
     );
-    let out = bench.ended(&prefill, Status::PrefillDone);
+    let out = harness.end_attempt(&prefill, Status::PrefillDone);
     assert_eq!(
-        to_engines(&out),
+        engine_message_names(&out),
         ["release"],
-        "or its state would stay pinned"
+        "the KV state does not stay pinned"
     );
-    assert_eq!(to_client(&out), []);
+    assert_eq!(client_messages(&out), []);
 }
 
-/// All decode engines leave service while a prefill runs. Its KV state can be taken by none, so it is released in time
-/// and the request is rejected.
+/// All decode engines leave service while a prefill runs. No engine can take its KV state, so the state is released
+/// in time and the request is rejected.
 #[test]
-fn a_state_that_no_writer_takes_is_let_go_within_the_release_time() {
-    let mut bench = Bench::new();
-    let prefill = bench.prefilling(1, "draft");
-    bench.update_endpoint("w1", EndpointStatus::Gone);
-    bench.update_endpoint("w2", EndpointStatus::Draining);
-    let out = bench.ended(&prefill, Status::PrefillDone);
-    assert_eq!(to_engines(&out), Vec::<&str>::new());
-    let out = bench.pass(499.0);
-    assert!(to_engines(&out).contains(&"release"));
-    assert_eq!(finals(&out), [(1, Answer::Rejected)]);
+fn a_kv_state_that_no_decode_engine_can_take_is_released_in_time() {
+    let mut harness = Harness::new();
+    let prefill = harness.start_prefill(1, "draft");
+    harness.update_endpoint("w1", EndpointStatus::Gone);
+    harness.update_endpoint("w2", EndpointStatus::Draining);
+    let out = harness.end_attempt(&prefill, Status::PrefillDone);
+    assert_eq!(engine_message_names(&out), Vec::<&str>::new());
+    let out = harness.advance(499.0);
+    assert!(engine_message_names(&out).contains(&"release"));
+    assert_eq!(final_answers(&out), [(1, Answer::Rejected)]);
 }
 
-/// An engine sends two ends of one attempt at once. The first is the answer; the second breaks the protocol, and the
-/// connection is closed.
+/// An engine ends one attempt twice in one read of the socket. The first end is the answer; the second violates the
+/// protocol, and the connection is closed.
 #[test]
-fn of_two_outcomes_in_one_read_of_a_socket_the_second_breaks_the_link() {
-    let mut bench = Bench::new();
-    let decode = bench.streaming(1, "proof");
-    let out = bench.ended(&decode, Status::Succeeded);
-    assert_eq!(finals(&out), [(1, Answer::Succeeded)]);
-    let out = bench.ended(&decode, Status::Failed);
-    assert_eq!(to_client(&out), [], "one answer is enough");
+fn a_second_end_of_an_attempt_closes_the_connection() {
+    let mut harness = Harness::new();
+    let decode = harness.start_stream(1, "proof");
+    let out = harness.end_attempt(&decode, Status::Succeeded);
+    assert_eq!(final_answers(&out), [(1, Answer::Succeeded)]);
+    let out = harness.end_attempt(&decode, Status::Failed);
+    assert_eq!(
+        client_messages(&out),
+        [],
+        "the client gets no second answer"
+    );
     assert!(out
         .iter()
         .any(|o| matches!(o, Output::CloseConnection { .. })));
 }
 
-/// A client cancels, and then closes its connection, just as its answer goes out. Nothing more happens.
+/// A client cancels, and then closes its connection, just as its answer is sent. The dispatcher sends nothing more.
 #[test]
-fn a_client_that_leaves_in_the_turn_of_its_answer_changes_nothing() {
-    let mut bench = Bench::new();
-    let decode = bench.streaming(1, "draft");
-    bench.ended(&decode, Status::Succeeded);
-    let out = bench.client(1, Body::Cancel(v1::Cancel {}));
+fn a_client_that_leaves_as_its_answer_is_sent_changes_nothing() {
+    let mut harness = Harness::new();
+    let decode = harness.start_stream(1, "draft");
+    harness.end_attempt(&decode, Status::Succeeded);
+    let out = harness.send_from_client(1, Body::Cancel(v1::Cancel {}));
     assert_eq!(out, []);
-    let out = bench.put(Input::ClientClosed {
+    let out = harness.handle(Input::ClientClosed {
         conn: ClientConnectionId(1),
     });
-    assert_eq!(to_client(&out), []);
+    assert_eq!(client_messages(&out), []);
 }
 
-/// A client closes its connection in the middle of its stream. The attempt is cancelled, and tokens that were under way
-/// are ignored.
+/// A client closes its connection in the middle of its stream. The attempt is cancelled, and tokens that arrive
+/// after that are ignored.
 #[test]
-fn a_client_that_leaves_ends_its_stream_at_the_writer() {
-    let mut bench = Bench::new();
-    let decode = bench.streaming(1, "proof");
-    let out = bench.put(Input::ClientClosed {
+fn a_client_that_leaves_cancels_its_decode_attempt() {
+    let mut harness = Harness::new();
+    let decode = harness.start_stream(1, "proof");
+    let out = harness.handle(Input::ClientClosed {
         conn: ClientConnectionId(1),
     });
-    assert_eq!(to_engines(&out), ["cancel"]);
-    let out = bench.engine(&decode, tokens(1));
-    assert_eq!(out, [], "what was under way is passed over");
-    bench.ended(&decode, Status::Cancelled);
-    assert_eq!(bench.dispatcher.usage().requests, 0);
+    assert_eq!(engine_message_names(&out), ["cancel"]);
+    let out = harness.send_from_engine(&decode, tokens(1));
+    assert_eq!(out, [], "late tokens are ignored");
+    harness.end_attempt(&decode, Status::Cancelled);
+    assert_eq!(harness.dispatcher.usage().requests, 0);
 }
 
-/// An engine breaks the protocol in one of three ways. Its connection is closed with all that is on it, and requests on
-/// other connections go on.
+/// An engine violates the protocol in one of three ways. Its connection is closed with all attempts on it, and
+/// requests on other connections continue.
 #[test]
-fn an_engine_that_breaks_the_protocol_loses_its_link_and_what_is_there() {
-    // Tokens out of turn, tokens beyond the credit, an end that a decode engine cannot give.
-    let gap = |bench: &mut Bench, decode: &Sent| bench.engine(decode, tokens(7));
-    let over = |bench: &mut Bench, decode: &Sent| {
+fn an_engine_that_violates_the_protocol_loses_its_connection_and_its_attempts() {
+    // Tokens out of order, tokens beyond the credit, an end that only a prefill can have.
+    let gap =
+        |harness: &mut Harness, decode: &SentAttempt| harness.send_from_engine(decode, tokens(7));
+    let over = |harness: &mut Harness, decode: &SentAttempt| {
         (1..=4)
-            .map(|at| bench.engine(decode, tokens(at)))
+            .map(|at| harness.send_from_engine(decode, tokens(at)))
             .last()
             .unwrap_or_default()
     };
-    let end = |bench: &mut Bench, decode: &Sent| bench.ended(decode, Status::PrefillDone);
-    for breach in [gap, over, end] as [fn(&mut Bench, &Sent) -> Vec<Output>; 3] {
-        let mut bench = Bench::new();
-        let decode = bench.streaming(1, "draft");
-        let other = bench.streaming(2, "draft");
-        let out = breach(&mut bench, &decode);
+    let end = |harness: &mut Harness, decode: &SentAttempt| {
+        harness.end_attempt(decode, Status::PrefillDone)
+    };
+    for breach in [gap, over, end] as [fn(&mut Harness, &SentAttempt) -> Vec<Output>; 3] {
+        let mut harness = Harness::new();
+        let decode = harness.start_stream(1, "draft");
+        let other = harness.start_stream(2, "draft");
+        let out = breach(&mut harness, &decode);
         assert!(out
             .iter()
             .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == decode.connection)));
-        let lost = finals(&out);
+        let lost = final_answers(&out);
         assert!(lost.contains(&(1, Answer::Failed)));
         assert_eq!(
             lost.len(),
@@ -294,28 +309,31 @@
             } else {
                 1
             },
-            "the rest is served on"
+            "requests on other connections continue"
         );
     }
 }
 
-/// One client reads nothing and one reads at once. Only the second one's decode engine gets credit, and the first
-/// client is closed after the stall limit.
+/// One client reads nothing and another reads at once. Only the second one's decode engine gets credit, and the
+/// first client is closed after the stall timeout.
 #[test]
-fn a_client_that_reads_slowly_holds_back_its_own_writer_only() {
-    let mut bench = Bench::new();
-    let slow = bench.streaming(1, "draft");
-    let quick = bench.streaming(2, "draft");
+fn a_slow_client_blocks_only_its_own_decode_attempt() {
+    let mut harness = Harness::new();
+    let slow = harness.start_stream(1, "draft");
+    let quick = harness.start_stream(2, "draft");
     for position in 1..4 {
-        assert!(!to_engines(&bench.engine(&slow, tokens(position))).contains(&"credit"));
-        bench.engine(&quick, tokens(position));
+        assert!(
+            !engine_message_names(&harness.send_from_engine(&slow, tokens(position)))
+                .contains(&"credit")
+        );
+        harness.send_from_engine(&quick, tokens(position));
     }
     let flushed = Input::MessagesForwarded {
         conn: ClientConnectionId(1),
         stream: StreamId(2),
         messages: 4,
     };
-    let out = bench.put(flushed);
+    let out = harness.handle(flushed);
     let credited = out.iter().find_map(|o| match o {
         Output::ToEngine { connection, frame } => {
             Some((*connection, frame.stream, frame.body.clone()))
@@ -330,55 +348,63 @@
             Some(Body::Credit(v1::Credit { messages: 4 }))
         ))
     );
-    // The one that takes nothing at all has left, after the stall limit; the other goes on.
+    // The client that reads nothing is closed after the stall timeout; the other stream continues.
     for position in 4..8 {
-        bench.pass(300.0);
-        bench.engine(&quick, tokens(position));
-        bench.put(Input::MessagesForwarded {
+        harness.advance(300.0);
+        harness.send_from_engine(&quick, tokens(position));
+        harness.handle(Input::MessagesForwarded {
             conn: ClientConnectionId(1),
             stream: StreamId(2),
             messages: 1,
         });
     }
-    assert!(bench
+    assert!(harness
         .out
         .iter()
         .any(|o| matches!(o, Output::CloseClient { .. })));
-    assert_eq!(bench.dispatcher.usage().requests, 1);
+    assert_eq!(harness.dispatcher.usage().requests, 1);
 }
 
-/// A decode engine sends one token and then nothing. After the stall limit, and not before, the request fails.
+/// A decode engine sends one token and then nothing. The request fails after the stall timeout, and not before.
 #[test]
-fn a_stream_that_stalls_at_its_writer_is_written_off_after_the_stall_limit() {
-    let mut bench = Bench::new();
-    let decode = bench.streaming(1, "draft");
-    bench.put(Input::MessagesForwarded {
+fn a_stream_that_stalls_at_its_engine_fails_after_the_stall_timeout() {
+    let mut harness = Harness::new();
+    let decode = harness.start_stream(1, "draft");
+    harness.handle(Input::MessagesForwarded {
         conn: ClientConnectionId(1),
         stream: StreamId(1),
         messages: 1,
     });
-    assert_eq!(finals(&bench.pass(999.0)), [], "not yet");
-    assert_eq!(finals(&bench.pass(2.0)), [(1, Answer::Failed)]);
-    assert_eq!(to_client(&bench.engine(&decode, tokens(1))), []);
+    assert_eq!(
+        final_answers(&harness.advance(999.0)),
+        [],
+        "the stall timeout has not expired"
+    );
+    assert_eq!(final_answers(&harness.advance(2.0)), [(1, Answer::Failed)]);
+    assert_eq!(
+        client_messages(&harness.send_from_engine(&decode, tokens(1))),
+        []
+    );
 }
 
-/// An engine never ends a cancelled attempt, which would take up its place for ever. Its connection is closed after the
-/// stall limit.
+/// An engine never ends a cancelled attempt, which would occupy its stream forever. Its connection is closed after
+/// the stall timeout.
 #[test]
-fn an_engine_that_ends_nothing_and_says_nothing_loses_its_link() {
-    let mut bench = Bench::new();
-    let decode = bench.streaming(1, "draft");
-    bench.client(1, Body::Cancel(v1::Cancel {}));
-    let out = bench.pass(1001.0);
+fn an_engine_that_never_ends_a_cancelled_attempt_loses_its_connection() {
+    let mut harness = Harness::new();
+    let decode = harness.start_stream(1, "draft");
+    harness.send_from_client(1, Body::Cancel(v1::Cancel {}));
+    let out = harness.advance(1001.0);
     assert!(out
         .iter()
         .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == decode.connection)));
 }
 
-/// More requests come than may be open. The one beyond the limit is rejected, as nothing of it has run.
+/// More requests come than may be open at the same time. The request beyond the limit is rejected, as nothing of it
+/// has run.
 #[test]
-fn beyond_the_most_open_requests_comes_an_honest_rejection() {
-    let mut bench = Bench::with(ProgramSettings {
+fn a_request_beyond_the_limit_of_open_requests_is_rejected() {
+    let mut harness = Harness::with(ProgramSettings {
         limits: Limits {
             max_open_requests: 2,
             ..limits()
@@ -386,17 +412,17 @@
         ..settings()
     });
     for stream in 1..=3 {
-        bench.client(stream, Body::Submit(submit("proof")));
+        harness.send_from_client(stream, Body::Submit(submit("proof")));
     }
-    assert_eq!(finals(&bench.out), [(3, Answer::Rejected)]);
-    assert_eq!(bench.dispatcher.usage().requests, 2);
+    assert_eq!(final_answers(&harness.out), [(3, Answer::Rejected)]);
+    assert_eq!(harness.dispatcher.usage().requests, 2);
 }
 
-/// A client sends requests that cannot be right. Each is refused with the name of its field; a message that breaks the
-/// protocol closes only its own connection.
+/// A client sends requests with invalid fields. Each is refused with the name of its field. A message that violates
+/// the protocol closes only its own connection.
 #[test]
-fn a_submission_that_cannot_be_right_is_rejected_by_field_and_others_go_on() {
-    let mut bench = Bench::new();
+fn an_invalid_request_is_refused_with_its_field_and_other_requests_continue() {
+    let mut harness = Harness::new();
     let bad = [
         (
             "profile",
@@ -442,21 +468,21 @@
         ),
     ];
     for (stream, (field, submit)) in bad.into_iter().enumerate() {
-        let out = bench.client(stream as u64 + 1, Body::Submit(submit));
-        let found = to_client(&out);
+        let out = harness.send_from_client(stream as u64 + 1, Body::Submit(submit));
+        let found = client_messages(&out);
         assert!(
             matches!(&found[..], [(_, Body::InvalidRequest(r))] if r.field == field),
             "{field}: {found:?}"
         );
     }
-    assert_eq!(bench.dispatcher.usage().requests, 0);
-    bench.streaming(9, "draft");
-    let out = bench.client(9, Body::Submit(submit("draft")));
+    assert_eq!(harness.dispatcher.usage().requests, 0);
+    harness.start_stream(9, "draft");
+    let out = harness.send_from_client(9, Body::Submit(submit("draft")));
     assert!(
         out.iter().any(|o| matches!(o, Output::CloseClient { .. })),
-        "a stream twice"
+        "the client reused an open stream"
     );
-    let out = bench.put(Input::Client {
+    let out = harness.handle(Input::Client {
         conn: ClientConnectionId(2),
         frame: frame(1, tokens(0)),
     });
@@ -470,47 +496,56 @@
 }
 
 /// The process is stopped with one request that finishes, one that hangs and one that waits for its connection. New
-/// requests are rejected, and within the grace each open one gets one answer.
+/// requests are rejected, and each open request gets one answer within the grace period.
 #[test]
-fn a_stop_takes_nothing_new_and_answers_all_within_its_grace() {
-    let mut bench = Bench::new();
-    let finishes = bench.streaming(1, "draft");
-    let hangs = bench.streaming(2, "proof");
-    bench.connections_come_up = false;
-    bench.client(3, Body::Submit(submit("proof")));
-    let out = bench.put(Input::Stop);
+fn a_stop_rejects_new_requests_and_answers_open_ones_within_the_grace_period() {
+    let mut harness = Harness::new();
+    let finishes = harness.start_stream(1, "draft");
+    let hangs = harness.start_stream(2, "proof");
+    harness.dials_succeed = false;
+    harness.send_from_client(3, Body::Submit(submit("proof")));
+    let out = harness.handle(Input::Stop);
     assert!(!out.contains(&Output::Stopped));
-    let out = bench.client(4, Body::Submit(submit("draft")));
-    assert_eq!(finals(&out), [(4, Answer::Rejected)]);
-    let mut out = bench.ended(&finishes, Status::Succeeded);
-    assert_eq!(finals(&out), [(1, Answer::Succeeded)]);
+    let out = harness.send_from_client(4, Body::Submit(submit("draft")));
+    assert_eq!(final_answers(&out), [(4, Answer::Rejected)]);
+    let mut out = harness.end_attempt(&finishes, Status::Succeeded);
+    assert_eq!(final_answers(&out), [(1, Answer::Succeeded)]);
     for position in 1..4 {
-        out.extend(bench.pass(500.0));
-        bench.engine(&hangs, tokens(position));
-        bench.put(Input::MessagesForwarded {
+        out.extend(harness.advance(500.0));
+        harness.send_from_engine(&hangs, tokens(position));
+        harness.handle(Input::MessagesForwarded {
             conn: ClientConnectionId(1),
             stream: StreamId(2),
             messages: 1,
         });
     }
-    out.extend(bench.pass(600.0));
-    assert!(finals(&bench.out).contains(&(2, Answer::Failed)));
-    assert_eq!(finals(&bench.out).len(), 4, "one answer each");
+    out.extend(harness.advance(600.0));
+    assert!(final_answers(&harness.out).contains(&(2, Answer::Failed)));
+    assert_eq!(
+        final_answers(&harness.out).len(),
+        4,
+        "each request gets one answer"
+    );
     assert_eq!(
-        bench.out.iter().filter(|o| **o == Output::Stopped).count(),
+        harness
+            .out
+            .iter()
+            .filter(|o| **o == Output::Stopped)
+            .count(),
         1
     );
 }
 
-/// Discovery cannot be reached at the start. The cached endpoints serve until its first snapshot, which replaces them.
+/// Discovery cannot be reached at the start. The cached endpoints are used until discovery's first snapshot replaces
+/// them.
 #[test]
-fn a_remembered_list_serves_until_the_feed_speaks() {
+fn cached_endpoints_are_used_until_discovery_sends_a_snapshot() {
     let ready = EndpointStatus::Ready;
     let mut dispatcher = cindercleat_dispatcher::state::Dispatcher::new(settings(), 1);
     let mut out = Vec::new();
     dispatcher.handle(
         1.0,
-        Input::CachedEndpoints(list(
+        Input::CachedEndpoints(endpoint_list(
             EndpointUpdateKind::Snapshot,
             &[("r1", ready), ("w1", ready)],
         )),
@@ -529,19 +564,22 @@
         .any(|o| matches!(o, Output::Dial { engine, .. } if &*engine.0 == "r1")));
     assert!(
         !out.iter().any(|o| matches!(o, Output::CacheEndpoints(_))),
-        "it is kept already"
+        "cached endpoints are not cached again"
     );
     out.clear();
     dispatcher.handle(
         3.0,
-        Input::EndpointsUpdated(list(EndpointUpdateKind::Snapshot, &[("w1", ready)])),
+        Input::EndpointsUpdated(endpoint_list(
+            EndpointUpdateKind::Snapshot,
+            &[("w1", ready)],
+        )),
         &mut out,
     );
     let kept = out.iter().find_map(|o| match o {
         Output::CacheEndpoints(list) => Some(
             list.endpoints
                 .iter()
-                .map(|l| l.engine.clone())
+                .map(|attempt| attempt.engine.clone())
                 .collect::<Vec<_>>(),
         ),
         _ => None,
@@ -549,22 +587,22 @@
     assert_eq!(
         kept,
         Some(vec!["w1".to_owned()]),
-        "an engine that a snapshot does not name is gone"
+        "an engine that the snapshot does not contain is removed"
     );
 }
 
-/// An update of the endpoints has an entry with an unknown zone and one with a weight that is no number. The first is
-/// skipped with a warning, the second is used.
+/// An endpoint update has one entry with an unknown zone and one whose weight is not a number. The first is skipped
+/// with a warning, the second is used.
 #[test]
-fn a_line_of_the_list_that_cannot_be_right_is_passed_over_and_the_rest_used() {
-    let mut bench = Bench::new();
-    let mut list = list(
+fn an_invalid_endpoint_is_skipped_and_the_others_are_used() {
+    let mut harness = Harness::new();
+    let mut list = endpoint_list(
         EndpointUpdateKind::Delta,
         &[("w3", EndpointStatus::Ready), ("w4", EndpointStatus::Ready)],
     );
     list.endpoints[0].zone = "nowhere".to_owned();
     list.endpoints[1].weight = f64::NAN;
-    let out = bench.put(Input::EndpointsUpdated(list));
+    let out = harness.handle(Input::EndpointsUpdated(list));
     let warned = out
         .iter()
         .filter(|o| matches!(o, Output::Log { text, .. } if text.contains("w3")))
@@ -572,73 +610,73 @@
     assert_eq!(warned, 1);
 }
 
-/// All decode engines are gone as many prefills end at one instant. All their KV states are released in time.
+/// All decode engines are gone when many prefills end at the same instant. All their KV states are released in time.
 #[test]
-fn all_states_held_at_one_instant_are_let_go_within_the_release_time() {
-    let mut bench = Bench::new();
+fn many_kv_states_held_at_one_instant_are_all_released_in_time() {
+    let mut harness = Harness::new();
     let mut held = Vec::new();
     for stream in 1..=400 {
-        let out = bench.client(stream, Body::Submit(submit("draft")));
-        held.extend(bench.attempts(&out));
+        let out = harness.send_from_client(stream, Body::Submit(submit("draft")));
+        held.extend(harness.attempts(&out));
     }
-    bench.update_endpoint("w1", EndpointStatus::Gone);
-    bench.update_endpoint("w2", EndpointStatus::Gone);
+    harness.update_endpoint("w1", EndpointStatus::Gone);
+    harness.update_endpoint("w2", EndpointStatus::Gone);
     let mut ended = 0;
     let mut out = Vec::new();
-    let begin = bench.now;
+    let begin = harness.now;
     while let Some(prefill) = held.pop() {
         ended += 1;
-        let now = bench.ended(&prefill, Status::PrefillDone);
-        held.extend(bench.attempts(&now));
+        let now = harness.end_attempt(&prefill, Status::PrefillDone);
+        held.extend(harness.attempts(&now));
         out.extend(now);
     }
-    assert!(ended >= 10, "{ended} states held");
-    assert_eq!(bench.now, begin, "all in one instant");
-    out.extend(bench.pass(499.0));
-    let released = to_engines(&out)
+    assert!(ended >= 10, "only {ended} KV states are held");
+    assert_eq!(harness.now, begin, "all prefills end at the same instant");
+    out.extend(harness.advance(499.0));
+    let released = engine_message_names(&out)
         .iter()
         .filter(|found| **found == "release")
         .count();
     assert_eq!(released, ended);
 }
 
-/// Attempts may not be cancelled, and a request reaches its deadline, and then the end of a stop's grace, with its
-/// attempt still out. It gets one answer.
+/// Attempts cannot be cancelled, and a request reaches first its deadline and then the end of a stop's grace period
+/// with its attempt still open. It gets one answer.
 #[test]
-fn where_nothing_may_be_called_off_an_answered_request_is_answered_once_also_by_a_stop() {
+fn without_cancellation_a_late_request_is_answered_once_even_during_a_stop() {
     let mut settings = settings();
     settings.policy.may_cancel = false;
-    let mut bench = Bench::with(settings);
-    let decode = bench.decoding(1, "proof");
-    bench.pass(3000.0);
-    bench.put(Input::Stop);
-    assert_eq!(finals(&bench.out), []);
-    // The client's time is up first, with the attempt still out; then the grace is.
-    bench.pass(1500.0);
-    assert_eq!(finals(&bench.out), [(1, Answer::Failed)]);
-    bench.pass(1500.0);
-    let late = bench.engine(&decode, tokens(0));
-    assert_eq!(to_client(&late), []);
-    assert_eq!(finals(&bench.out), [(1, Answer::Failed)]);
+    let mut harness = Harness::with(settings);
+    let decode = harness.start_decode(1, "proof");
+    harness.advance(3000.0);
+    harness.handle(Input::Stop);
+    assert_eq!(final_answers(&harness.out), []);
+    // The client's deadline expires first, then the grace period.
+    harness.advance(1500.0);
+    assert_eq!(final_answers(&harness.out), [(1, Answer::Failed)]);
+    harness.advance(1500.0);
+    let late = harness.send_from_engine(&decode, tokens(0));
+    assert_eq!(client_messages(&late), []);
+    assert_eq!(final_answers(&harness.out), [(1, Answer::Failed)]);
 }
 
-/// More requests come than the connections to an engine have room for. No connection beyond the limit is dialled, the
-/// request that finds no room is rejected in time, and idle connections close.
+/// More requests come than the connections to an engine can carry. No connection beyond the limit is dialled, the
+/// request without a stream is rejected in time, and idle connections are closed.
 #[test]
-fn links_fill_up_before_another_is_dialled_and_idle_ones_close() {
+fn connections_fill_up_before_another_is_dialled_and_idle_ones_are_closed() {
     let limits = Limits {
         streams_per_connection: 2,
         connections_per_engine: 2,
         ..limits()
     };
-    let few = ProgramSettings {
+    let settings_with_limits = ProgramSettings {
         limits,
         ..settings()
     };
-    let mut bench = Bench::with(few);
-    bench.update_endpoint("r2", EndpointStatus::Gone);
+    let mut harness = Harness::with(settings_with_limits);
+    harness.update_endpoint("r2", EndpointStatus::Gone);
     for stream in 1..=4 {
-        bench.client(stream, Body::Submit(submit("draft")));
+        harness.send_from_client(stream, Body::Submit(submit("draft")));
     }
     let dials = |out: &[Output]| {
         out.iter()
@@ -646,60 +684,64 @@
             .count()
     };
     assert_eq!(
-        dials(&bench.out),
+        dials(&harness.out),
         2,
-        "four prefills on two connections of two"
+        "two connections carry two prefills each"
     );
-    // A fifth has no place on any connection: as full, which proves that it has not run, and it waits.
-    let out = bench.client(5, Body::Submit(submit("proof")));
-    assert_eq!((dials(&out), finals(&out)), (0, vec![]));
-    let reads = bench.attempts(&bench.out.clone());
-    assert_eq!(reads.len(), 4);
-    let out = bench.pass(1000.0);
+    // The fifth request gets no stream on any connection and waits. This counts as a full engine, which proves that
+    // the request has not run.
+    let out = harness.send_from_client(5, Body::Submit(submit("proof")));
+    assert_eq!((dials(&out), final_answers(&out)), (0, vec![]));
+    let prefills = harness.attempts(&harness.out.clone());
+    assert_eq!(prefills.len(), 4);
+    let out = harness.advance(1000.0);
     assert_eq!(
-        (dials(&out), finals(&out)),
+        (dials(&out), final_answers(&out)),
         (0, vec![(5, Answer::Rejected)])
     );
-    bench.put(Input::ClientClosed {
+    harness.handle(Input::ClientClosed {
         conn: ClientConnectionId(1),
     });
-    for prefill in bench.attempts(&bench.out.clone()) {
-        bench.ended(&prefill, Status::Cancelled);
+    for prefill in harness.attempts(&harness.out.clone()) {
+        harness.end_attempt(&prefill, Status::Cancelled);
     }
-    assert!(bench.dispatcher.usage().connections > 0);
-    bench.pass(15_100.0);
+    assert!(harness.dispatcher.usage().connections > 0);
+    harness.advance(15_100.0);
     assert_eq!(
-        bench.dispatcher.usage().connections,
+        harness.dispatcher.usage().connections,
         0,
-        "idle connections close"
+        "idle connections are closed"
     );
 }
 
-/// An engine dies without closing its connection. It is sent a ping after a quiet time, and without an answer the
-/// connection is closed with what is on it.
+/// An engine's machine fails without closing its connection. The engine is pinged after the keepalive interval.
+/// Without an answer the connection is closed, and its attempts are lost.
 #[test]
-fn an_engine_that_is_gone_without_a_word_is_found_by_its_silence() {
+fn an_engine_that_fails_without_closing_its_connection_is_found_by_pings() {
     for (request_class, expected) in [("draft", vec![]), ("proof", vec![(1, Answer::Failed)])] {
-        let mut bench = Bench::new();
-        bench.engines_answer_pings = false;
-        let decode = bench.decoding(1, request_class);
-        let out = bench.pass(1999.0);
-        assert!(!to_engines(&out).contains(&"ping"), "it is not asked yet");
-        let out = bench.pass(2.0);
-        assert!(to_engines(&out).contains(&"ping"));
-        let out = bench.pass(1000.0);
+        let mut harness = Harness::new();
+        harness.answer_pings = false;
+        let decode = harness.start_decode(1, request_class);
+        let out = harness.advance(1999.0);
+        assert!(
+            !engine_message_names(&out).contains(&"ping"),
+            "the keepalive interval has not passed"
+        );
+        let out = harness.advance(2.0);
+        assert!(engine_message_names(&out).contains(&"ping"));
+        let out = harness.advance(1000.0);
         assert!(out
             .iter()
             .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == decode.connection)));
-        assert_eq!(finals(&out), expected, "{request_class}");
+        assert_eq!(final_answers(&out), expected, "{request_class}");
     }
 }
 
 /// An engine refuses every connection while many requests come. It is dialled at a bounded rate, and again later.
 #[test]
-fn an_engine_that_cannot_be_reached_is_not_dialled_by_every_request() {
-    let mut bench = Bench::new();
-    bench.connections_come_up = false;
+fn an_unreachable_engine_is_not_dialled_for_every_request() {
+    let mut harness = Harness::new();
+    harness.dials_succeed = false;
     let dial = |out: &[Output]| {
         out.iter().find_map(|o| match o {
             Output::Dial { connection, .. } => Some(*connection),
@@ -708,31 +750,31 @@
     };
     let mut dials = 0;
     for stream in 1..=50 {
-        let out = bench.client(stream, Body::Submit(submit("draft")));
+        let out = harness.send_from_client(stream, Body::Submit(submit("draft")));
         if let Some(connection) = dial(&out) {
             dials += 1;
-            bench.put(Input::ConnectionClosed {
+            harness.handle(Input::ConnectionClosed {
                 connection,
                 reason: "refused".to_owned(),
             });
         }
-        bench.pass(10.0);
+        harness.advance(10.0);
     }
     assert!((1..=10).contains(&dials), "{dials} dials in half a second");
-    // Later it is tried again.
-    bench.pass(5000.0);
-    let out = bench.client(99, Body::Submit(submit("draft")));
+    // The engine is dialled again after the backoff.
+    harness.advance(5000.0);
+    let out = harness.send_from_client(99, Body::Submit(submit("draft")));
     assert!(dial(&out).is_some());
 }
 
-/// A read whose connection breaks may have ended with its last word lost: its state is let go over the next
-/// connection, and not before the engine can hear of it.
+/// A prefill whose connection breaks may have ended with its report lost. Its KV state is released over the next
+/// connection, and not before the engine can receive the release.
 #[test]
-fn a_read_that_broke_is_let_go_at_its_engine() {
+fn the_state_of_a_prefill_with_a_lost_connection_is_released() {
     for request_class in ["draft", "proof"] {
-        let mut bench = Bench::new();
-        let prefill = bench.prefilling(1, request_class);
-        let out = bench.put(Input::ConnectionClosed {
+        let mut harness = Harness::new();
+        let prefill = harness.start_prefill(1, request_class);
+        let out = harness.handle(Input::ConnectionClosed {
             connection: prefill.connection,
             reason: "reset".to_owned(),
         });
@@ -752,53 +794,58 @@
             .collect();
         assert_eq!(
             released,
-            [prefill.state.expect("a state")],
+            [prefill.state.expect("attempt names a KV state")],
             "{request_class}"
         );
-        // What has its word is not.
-        let mut bench = Bench::new();
-        let prefill = bench.prefilling(1, request_class);
-        let out = bench.ended(&prefill, Status::Overloaded);
-        assert!(!to_engines(&out).contains(&"release"));
+        // A prefill whose end was reported as overloaded left no state to release.
+        let mut harness = Harness::new();
+        let prefill = harness.start_prefill(1, request_class);
+        let out = harness.end_attempt(&prefill, Status::Overloaded);
+        assert!(!engine_message_names(&out).contains(&"release"));
     }
 }
 
 #[test]
-fn the_story_of_a_request_goes_by_its_clients_id_and_is_told_only_where_asked_for() {
-    let story = |asked: bool| {
-        let mut bench = Bench::new();
-        if asked {
-            bench.dispatcher.enable_request_log();
+fn the_request_log_names_the_clients_id_and_is_written_only_if_enabled() {
+    let request_log = |enabled: bool| {
+        let mut harness = Harness::new();
+        if enabled {
+            harness.dispatcher.enable_request_log();
         }
         let origin = v1::Origin {
             id: "9b1f03aa".to_owned(),
             ..v1::Origin::default()
         };
-        bench.client(
+        harness.send_from_client(
             1,
             Body::Submit(v1::Submit {
                 origin: Some(origin),
                 ..submit("draft")
             }),
         );
-        let prefill = bench.attempts(&bench.out).remove(0);
-        bench.ended(&prefill, Status::PrefillDone);
-        let told = |o: &Output| match o {
+        let prefill = harness.attempts(&harness.out).remove(0);
+        harness.end_attempt(&prefill, Status::PrefillDone);
+        let request_line = |o: &Output| match o {
             Output::Log {
                 level: Level::Debug,
                 text,
             } if text.starts_with("request=") => Some(text.clone()),
             _ => None,
         };
-        bench.out.iter().filter_map(told).collect::<Vec<_>>()
+        harness
+            .out
+            .iter()
+            .filter_map(request_line)
+            .collect::<Vec<_>>()
     };
-    let told = story(true);
+    let lines = request_log(true);
     assert!(
-        told.iter()
+        lines
+            .iter()
             .all(|line| line.starts_with("request=0 id=9b1f03aa ")),
-        "{told:#?}"
+        "{lines:#?}"
     );
-    let has = |words: &str| told.iter().filter(|line| line.contains(words)).count();
+    let has = |words: &str| lines.iter().filter(|line| line.contains(words)).count();
     assert_eq!(
         [
             has(" arrived "),
@@ -806,7 +853,7 @@
             has("outcome=PrefillDone")
         ],
         [1, 2, 1],
-        "{told:#?}"
+        "{lines:#?}"
     );
-    assert_eq!(story(false), Vec::<String>::new());
+    assert_eq!(request_log(false), Vec::<String>::new());
 }
--- a/crates/dispatcher/tests/driver.rs
+++ b/crates/dispatcher/tests/driver.rs
@@ -1,5 +1,5 @@
-//! The driver on connections in memory and a paused clock: peers that send invalid bytes or nothing, or claim another
-//! name. The same code serves TCP.
+//! The driver on in-memory connections and a paused clock: peers that send invalid bytes or nothing, or that claim
+//! another engine's name. The driver serves TCP with the same code.
 
 mod common;
 #[path = "common/net.rs"]
@@ -14,28 +14,28 @@
 use tokio::task::spawn_local;
 
 #[test]
-fn a_request_goes_its_whole_way() {
+fn a_request_is_served_from_end_to_end() {
     run(|net| async move {
         assert_eq!(net.request("c").await, (End::Succeeded, 50));
         assert_eq!(net.driver.usage().requests, 0);
     });
 }
 
-/// A peer sends bytes that are no HTTP/2. Its connection ends; others are served on.
+/// A peer sends bytes that are not HTTP/2. Its connection is closed, and other clients are served.
 #[test]
-fn bytes_that_are_no_http_2_end_their_own_connection() {
+fn bytes_that_are_not_http_2_close_only_their_own_connection() {
     run(|net| async move {
         let http = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n";
         let preface = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
         let garbage = [&preface[..], &[0xff; 64]].concat();
         for bytes in [&http[..], &[0xff; 100], &garbage, preface] {
-            assert!(net.say(bytes).await, "{bytes:?}");
+            assert!(net.send_raw(bytes).await, "{bytes:?}");
         }
         assert_eq!(net.driver.client_connections(), 0);
         assert_eq!(
             net.request("c").await.0,
             End::Succeeded,
-            "the rest is served on"
+            "other clients are served"
         );
     });
 }
@@ -43,7 +43,7 @@
 /// A client sends a message that is larger than the limit. Reading it would use memory without bound: the request is
 /// refused, and the connection serves the next one.
 #[test]
-fn a_message_over_the_bound_is_refused_and_its_connection_serves_on() {
+fn a_message_over_the_size_limit_is_refused_and_its_connection_stays_usable() {
     run(|net| async move {
         let port = Port::new(
             "c",
@@ -66,19 +66,23 @@
     });
 }
 
-/// A client sends its greeting byte by byte and never ends it. It would occupy a connection for ever: it is closed
-/// after the greeting timeout.
+/// A client sends its greeting byte by byte and never completes it. Without a limit it would occupy a connection
+/// forever. It is closed after the greeting timeout.
 #[test]
-fn a_connection_that_never_ends_its_greeting_is_closed() {
+fn a_connection_that_never_completes_its_greeting_is_closed() {
     run(|net| async move {
-        let mut stream = net.memory.connect("d").await.expect("it listens");
+        let mut stream = net
+            .memory
+            .connect("d")
+            .await
+            .expect("dispatcher accepts connections");
         for byte in b"PRI * HTTP/2.0\r\n" {
             let _ = stream.write_all(&[*byte]).await;
             net.clock.sleep_until(net.clock.now() + 100.0).await;
         }
         assert!(
             stream.write_all(b"x").await.is_err(),
-            "nothing was asked in time: closed"
+            "the connection is closed after the greeting timeout"
         );
         assert_eq!(net.driver.client_connections(), 0);
         assert_eq!(net.request("c").await.0, End::Succeeded);
@@ -88,19 +92,24 @@
 /// A client opens ten thousand connections and sends nothing. Those beyond the maximum are closed, the others after the
 /// greeting timeout, and then requests are served again.
 #[test]
-fn ten_thousand_connections_that_send_nothing_leave_room_for_others() {
+fn ten_thousand_idle_connections_do_not_keep_other_clients_out_for_long() {
     run(|net| async move {
         let mut silent = Vec::new();
         for _ in 0..10_000 {
-            silent.push(net.memory.connect("d").await.expect("it listens"));
+            silent.push(
+                net.memory
+                    .connect("d")
+                    .await
+                    .expect("dispatcher accepts connections"),
+            );
         }
         net.clock.sleep_until(net.clock.now() + 10.0).await;
         assert_eq!(
             net.request("c").await.0,
             End::Unsent,
-            "all places are taken, for now"
+            "the limit of client connections is reached"
         );
-        // The greeting's time passes.
+        // The greeting timeout expires.
         net.clock.sleep_until(net.clock.now() + 1100.0).await;
         assert_eq!(net.request("c").await.0, End::Succeeded);
         for mut stream in silent {
@@ -111,10 +120,10 @@
     });
 }
 
-/// Another engine was given the address of one that is gone. It would run requests that were not meant for it: it gets
-/// none.
+/// Another engine was given the address of one that is gone. It must not get requests that are meant for the old
+/// engine.
 #[test]
-fn an_engine_that_claims_anothers_name_gets_no_request() {
+fn an_engine_with_another_name_than_expected_gets_no_request() {
     run(|net| async move {
         net.engines[1].die();
         net.clock.sleep_until(net.clock.now() + 1.0).await;
@@ -127,7 +136,10 @@
             net.transcript.clone(),
             1,
         );
-        other.start("at-w1", true).await.expect("the name is free");
+        other
+            .start("at-w1", true)
+            .await
+            .expect("the address is free");
         let (end, tokens) = net.request("c").await;
         assert!(matches!(end, End::Rejected { .. }), "{end:?}");
         assert_eq!(tokens, 0);
@@ -137,18 +149,22 @@
             .iter()
             .filter(|r| &*r.seer == "w2")
             .count();
-        assert_eq!(sent, 0, "nothing goes to a host of another name");
+        assert_eq!(sent, 0, "no message is sent to an engine with another name");
     });
 }
 
-/// An engine's address answers with bytes that are no protocol. Its connection is closed, the request gets an answer,
-/// and once the engine is back requests are served.
+/// A process that does not speak the protocol answers at an engine's address. The connection is closed, the request
+/// gets an answer, and requests are served once the engine is back.
 #[test]
-fn an_engine_that_sends_garbage_loses_its_connection_and_the_dispatcher_serves_on() {
+fn garbage_from_an_engine_closes_its_connection_and_later_requests_are_served() {
     run(|net| async move {
         net.engines[1].die();
         net.clock.sleep_until(net.clock.now() + 1.0).await;
-        let mut listener = net.memory.listen("at-w1").await.expect("the name is free");
+        let mut listener = net
+            .memory
+            .listen("at-w1")
+            .await
+            .expect("the address is free");
         let bad = spawn_local(async move {
             while let Ok(mut stream) = listener.accept().await {
                 let _ = stream.write_all(&[0xff; 100]).await;
@@ -162,14 +178,14 @@
         net.engines[1]
             .start("at-w1", true)
             .await
-            .expect("the name is free");
+            .expect("the address is free");
         net.clock.sleep_until(net.clock.now() + 3000.0).await;
         assert_eq!(net.request("c").await.0, End::Succeeded);
     });
 }
 
-/// Tests with a seed can be repeated only if the dispatcher is deterministic: the same run twice gives the same
-/// messages at the same instants.
+/// A test with a seed can be repeated only if the dispatcher is deterministic: two equal runs give the same messages
+/// at the same instants.
 #[test]
 fn the_same_run_twice_gives_the_same_transcript() {
     let once = || {
--- a/crates/dispatcher/tests/endpoint_cache.rs
+++ b/crates/dispatcher/tests/endpoint_cache.rs
@@ -1,10 +1,10 @@
-//! The file that keeps the list of endpoints for the next start.
+//! The cache file that provides endpoints at the next start until discovery answers.
 
 use cindercleat_dispatcher::endpoint_cache::{self, CacheError};
 use cindercleat_protocol::v1::{Endpoint, EndpointList, EndpointStatus, EndpointUpdateKind};
 use std::path::PathBuf;
 
-/// A file as version 0.1.0 writes it for [`list`].
+/// The cache file that version 0.1.0 writes for [`list`].
 const STORED: &[u8] = b"cchl0N\x05\xf3\x08\x01\x10*\x1a9\n\x02r1\x12\r10.0.0.1:8000\x1a\x05north\"\x06reader\
     *\x01a0\x019\0\0\0\0\0\0\xf8?A\0\0\0\0\0D\x8f@\x1a0\n\x02w1\x12\r10.0.0.2:8000\x1a\x05south\"\x06writer\
     *\x01b0\x029\0\0\0\0\0\0\xf0?";
@@ -38,7 +38,7 @@
     }
 }
 
-/// A path of its own for each test.
+/// A path in the temporary directory, different for each test and process.
 fn path(test: &str) -> PathBuf {
     std::env::temp_dir().join(format!(
         "cindercleat-endpoint-cache-{}-{test}",
@@ -46,38 +46,38 @@
     ))
 }
 
-/// What is loaded from a file with these bytes.
+/// Writes `bytes` to a file and loads it as an endpoint cache.
 fn load(test: &str, bytes: &[u8]) -> Result<Option<EndpointList>, CacheError> {
     let path = path(test);
-    std::fs::write(&path, bytes).expect("a file");
+    std::fs::write(&path, bytes).expect("file is written");
     let loaded = endpoint_cache::load(&path);
-    std::fs::remove_file(path).expect("the file");
+    std::fs::remove_file(path).expect("file exists");
     loaded
 }
 
-/// After an upgrade a dispatcher starts while discovery is down. The file was written by the version before; if it could
-/// not be read, the dispatcher would have no engine to send requests to.
+/// After an upgrade a dispatcher starts while discovery is down. The previous version has written the file; if it
+/// could not be read, the dispatcher would have no engine to send requests to.
 #[test]
 fn a_file_of_an_earlier_version_is_read() {
-    let loaded = load("earlier", STORED).expect("a list of endpoints");
+    let loaded = load("earlier", STORED).expect("the list is loaded");
     assert_eq!(loaded, Some(list()));
 }
 
-/// After a downgrade the version before reads what this one has written.
+/// After a downgrade the previous version reads the file that this version has written.
 #[test]
 fn a_file_is_written_as_an_earlier_version_writes_it() {
     let path = path("written");
-    endpoint_cache::save(&path, &list()).expect("it is written");
-    let bytes = std::fs::read(&path).expect("the file");
-    std::fs::remove_file(path).expect("the file");
+    endpoint_cache::save(&path, &list()).expect("file is written");
+    let bytes = std::fs::read(&path).expect("file exists");
+    std::fs::remove_file(path).expect("file exists");
     assert_eq!(
         bytes.escape_ascii().to_string(),
         STORED.escape_ascii().to_string()
     );
 }
 
-/// A disk returns other bytes than were written, or the file is cut short. A list with a wrong address or without some
-/// engines would be used until discovery answers; the damage is detected instead.
+/// A disk returns other bytes than were written, or the file is truncated. Without a check, a list with a wrong
+/// address or missing engines would be used until discovery answers. The damage is detected instead.
 #[test]
 fn a_damaged_file_is_not_used() {
     for at in 4..STORED.len() {
@@ -85,18 +85,18 @@
         bytes[at] ^= 1;
         assert!(
             matches!(load("flipped", &bytes), Err(CacheError::Damaged)),
-            "byte {at}"
+            "a flipped bit in byte {at} is detected"
         );
         assert!(
             matches!(load("cut", &STORED[..at]), Err(CacheError::Damaged)),
-            "{at} bytes"
+            "a file cut to {at} bytes is detected"
         );
     }
 }
 
-/// The path in the settings names a file of something else. Its bytes must not be taken for a list.
+/// The path in the settings points to a file of another kind. Its bytes must not be read as an endpoint list.
 #[test]
-fn another_file_is_not_used() {
+fn a_file_of_another_kind_is_not_used() {
     assert!(matches!(
         load("other", b"something else"),
         Err(CacheError::UnknownFormat)
@@ -105,6 +105,9 @@
 }
 
 #[test]
-fn no_file_is_no_list() {
-    assert_eq!(endpoint_cache::load(&path("none")).expect("no error"), None);
+fn a_missing_file_loads_as_no_list() {
+    assert_eq!(
+        endpoint_cache::load(&path("none")).expect("a missing file is no error"),
+        None
+    );
 }
--- a/crates/dispatcher/tests/engine_connection_ends.rs
+++ b/crates/dispatcher/tests/engine_connection_ends.rs
@@ -1,8 +1,9 @@
-//! Engines that close connections, leave service or are replaced, and what is sent to them: no request runs twice that
-//! must not, and none is lost that has not run.
+//! Engines that close connections, leave service or are replaced while requests are sent to them: no at-most-once
+//! request runs twice, and no request that has not run is lost.
 //!
-//! Each test makes the order of events happen that would lose what is still owed: on TCP sockets, with clients, engines and
-//! discovery that go on when the test says so. docs/acceptance.md lists what each path may owe and names its tests.
+//! Each test forces the order of events that would lose an answer or a release, on TCP sockets and with clients,
+//! engines and discovery that the test controls. docs/acceptance.md lists the guarantees of each path and names its
+//! tests.
 
 mod common;
 #[path = "common/loopback.rs"]
@@ -17,7 +18,8 @@
     use super::*;
     use test_case::test_case;
 
-    /// A request that is served, so that a connection to each engine rests; gives them.
+    /// Serves a request, which leaves an idle connection to each engine. Returns the prefill's and the decode
+    /// engine's end of these.
     async fn with_idle_connections(net: &Loopback) -> (Conn, Conn) {
         let mut client = net.send_request("first", "draft").await;
         let (mut prefill, _) = net.engine("r1").accept_request().await;
@@ -27,18 +29,18 @@
             .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
             .await;
         assert!(client.read_until(LAST_CHUNK).await.ends_with(LAST_CHUNK));
-        net.no_request_is_open().await;
+        net.wait_until_no_request_open().await;
         (prefill, decode)
     }
 
-    /// Engines close idle connections just as the next request comes. Nothing was written on them, so even a request
-    /// that must not run twice goes out on a new connection, once.
+    /// Engines close idle connections just as the next request comes. Nothing was written on these connections, so
+    /// even an at-most-once request is sent on a new connection, exactly once.
     #[test]
     fn a_resting_connection_as_the_next_request_comes_gets_it_once_on_another() {
         for class in CLASSES {
             run(|net| async move {
                 let (prefill, decode) = with_idle_connections(&net).await;
-                // Both closes are there before the dispatcher runs again.
+                // Both connections are closed before the dispatcher runs again.
                 drop((prefill, decode));
                 let mut client = net.send_request("a", class).await;
                 net.serve_prefill().await;
@@ -51,14 +53,17 @@
                     client.read_until(LAST_CHUNK).await.ends_with(LAST_CHUNK),
                     "{class}"
                 );
-                assert!(!net.engine("w1").has_pending_connection(), "once");
+                assert!(
+                    !net.engine("w1").has_pending_connection(),
+                    "the attempt is sent once"
+                );
             });
         }
     }
 
-    /// A decode engine has got a whole request and closes the connection before the first event of its answer is
-    /// complete. The request may have run: one that is safe to repeat is sent again, one that is not gets 504 and is
-    /// not sent again.
+    /// A decode engine has received a complete request and closes the connection before the first event of its
+    /// answer is complete. The request may have run: an idempotent one is sent again, an at-most-once one gets 504
+    /// and is not sent again.
     #[test_case(""; "without a byte")]
     #[test_case("HTTP/1.1 200 OK\r\nContent-Ty"; "within a line of the head")]
     #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; "after the head")]
@@ -66,34 +71,34 @@
     fn after_the_whole_request_may_have_run_it(part: &str) {
         for class in CLASSES {
             run(|net| async move {
-                let (mut client, mut decode) = net.decoding("a", class).await;
+                let (mut client, mut decode) = net.start_decode("a", class).await;
                 decode.send(part).await;
                 drop(decode);
                 if class == "proof" {
                     assert!(
                         client.read_until("\n").await.starts_with("HTTP/1.1 504 "),
-                        "not sent again"
+                        "the attempt is not sent again"
                     );
-                    net.no_request_is_open().await;
-                    release_is_sent(&net).await;
+                    net.wait_until_no_request_open().await;
+                    confirm_releases(&net).await;
                     assert!(!net.engine("w1").has_pending_connection());
                 } else {
-                    let mut decode = attempt_of(&net, "w1", "a").await;
+                    let mut decode = accept_attempt(&net, "w1", "a").await;
                     decode
                         .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
                         .await;
                     assert!(
                         client.read_until(LAST_CHUNK).await.ends_with(LAST_CHUNK),
-                        "sent again"
+                        "the attempt is sent again"
                     );
                 }
             });
         }
     }
 
-    /// Chunks come whole, with half of the first event in them, and the engine closes the connection. The client has
-    /// not got an event, so the request is still the dispatcher's to answer; taking the chunks for the beginning of a
-    /// stream would leave the client with half an event.
+    /// Complete chunks arrive with half of the first event in them, and the engine closes the connection. The client
+    /// has received no event, so the dispatcher can still answer or retry the request. Counting the chunks as the
+    /// start of a stream would leave the client with half an event.
     #[test]
     fn within_its_first_event_and_between_two_chunks_has_begun_no_stream() {
         for part in [
@@ -103,26 +108,29 @@
         ] {
             for class in CLASSES {
                 run(|net| async move {
-                    let (mut client, mut decode) = net.decoding("a", class).await;
+                    let (mut client, mut decode) = net.start_decode("a", class).await;
                     decode.send(&format!("{STREAM_HEAD}{part}")).await;
                     drop(decode);
                     if class == "proof" {
                         assert!(
                             client.read_until("\n").await.starts_with("HTTP/1.1 504 "),
-                            "answered whole"
+                            "the client gets a complete answer"
+                        );
+                        net.wait_until_no_request_open().await;
+                        confirm_releases(&net).await;
+                        assert!(
+                            !net.engine("w1").has_pending_connection(),
+                            "the attempt is not sent again"
                         );
-                        net.no_request_is_open().await;
-                        release_is_sent(&net).await;
-                        assert!(!net.engine("w1").has_pending_connection(), "not sent again");
                     } else {
-                        let mut decode = attempt_of(&net, "w1", "a").await;
+                        let mut decode = accept_attempt(&net, "w1", "a").await;
                         decode
                             .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
                             .await;
                         let answer = client.read_until(LAST_CHUNK).await;
                         assert!(
                             answer.ends_with(&format!("\r\n\r\n{EVENT}{LAST_CHUNK}")),
-                            "one answer: {answer}"
+                            "the client gets one answer: {answer}"
                         );
                     }
                 });
@@ -130,39 +138,41 @@
         }
     }
 
-    /// An engine closes the connection after the last event and before the last chunk. The client gets all events and
-    /// no last chunk, by which it sees that the stream is not complete.
+    /// An engine closes the connection after the last event and before the last chunk. The client gets all events
+    /// and no last chunk, so it sees that the stream is incomplete.
     #[test]
     fn between_the_last_event_and_the_last_chunk_leaves_the_stream_open_ended() {
         run(|net| async move {
-            let Open { mut client, engine } = bring(&net, Stage::Streams, "draft").await;
-            let mut engine = engine.expect("it streams");
+            let OpenRequest { mut client, engine } =
+                start_request(&net, Stage::Streaming, "draft").await;
+            let mut engine = engine.expect("an attempt is open");
             engine.send(EVENT).await;
             drop(engine);
             let rest = client.read_to_end().await;
-            assert_eq!(rest, EVENT, "all that received, and no last chunk");
-            net.no_request_is_open().await;
+            assert_eq!(rest, EVENT, "all events and no last chunk");
+            net.wait_until_no_request_open().await;
             assert!(
                 !net.engine("w1").has_pending_connection(),
-                "nothing more goes out for it"
+                "no further attempt is sent"
             );
         });
     }
 
-    /// An engine sends the end of its answer and closes the connection at the same moment. The close must not hide the
-    /// answer that came before it.
+    /// An engine sends the end of its answer and closes the connection at the same moment. The close must not
+    /// discard the answer that came before it.
     #[test]
     fn with_the_end_of_its_answer_in_one_turn_has_served() {
         run(|net| async move {
-            let Open { mut client, engine } = bring(&net, Stage::Streams, "proof").await;
-            let mut engine = engine.expect("it streams");
+            let OpenRequest { mut client, engine } =
+                start_request(&net, Stage::Streaming, "proof").await;
+            let mut engine = engine.expect("an attempt is open");
             engine.send(&format!("{EVENT}{LAST_CHUNK}")).await;
             drop(engine);
             assert_eq!(
                 client.read_until(LAST_CHUNK).await,
                 format!("{EVENT}{LAST_CHUNK}")
             );
-            net.no_request_is_open().await;
+            net.wait_until_no_request_open().await;
         });
     }
 }
@@ -171,117 +181,122 @@
     use super::*;
     use test_case::test_case;
 
-    /// How the list says so.
+    /// How discovery reports that an engine leaves service.
     #[derive(Clone, Copy)]
-    enum Says {
+    enum Departure {
         Draining,
         Removed,
     }
 
-    impl Says {
+    impl Departure {
         fn phase(self) -> &'static str {
             match self {
-                Says::Draining => "draining",
-                Says::Removed => "removed",
+                Departure::Draining => "draining",
+                Departure::Removed => "removed",
             }
         }
     }
 
-    /// An attempt waits for the connection to its engine, and the list says that the engine drains or is gone. The
-    /// connection is established after that: the attempt must go to another engine.
-    #[test_case(Says::Draining; "draining")]
-    #[test_case(Says::Removed; "removed")]
-    fn gets_nothing_that_still_waited_for_a_connection_to_it(says: Says) {
+    /// An attempt waits for the connection to its engine, and discovery reports that the engine drains or is gone.
+    /// The connection is established after that. The attempt must go to another engine.
+    #[test_case(Departure::Draining; "draining")]
+    #[test_case(Departure::Removed; "removed")]
+    fn gets_nothing_that_still_waited_for_a_connection_to_it(departure: Departure) {
         run_with(limits(), &["r1", "w1", "w2"], |net| async move {
             for engine in ["w1", "w2"] {
-                net.gate.shut(&net.engine(engine).address);
+                net.gate.block(&net.engine(engine).address);
             }
             let mut client = net.send_request("a", "proof").await;
             net.serve_prefill().await;
             let chosen = tokio::select! {
-                () = net.gate.held_up(&net.engine("w1").address) => "w1",
-                () = net.gate.held_up(&net.engine("w2").address) => "w2",
+                () = net.gate.wait_until_blocked(&net.engine("w1").address) => "w1",
+                () = net.gate.wait_until_blocked(&net.engine("w2").address) => "w2",
             };
             let other = if chosen == "w1" { "w2" } else { "w1" };
-            net.announce(&[net.line(chosen, says.phase())]).await;
-            net.gate.open(&net.engine(other).address);
-            net.gate.open(&net.engine(chosen).address);
-            // The connection that was wanted comes up, and carries nothing.
+            net.announce_endpoints(&[net.endpoint_json(chosen, departure.phase())])
+                .await;
+            net.gate.unblock(&net.engine(other).address);
+            net.gate.unblock(&net.engine(chosen).address);
+            // The connection to the engine that leaves is established, and carries no attempt.
             let mut unused = net.engine(chosen).accept().await;
-            let mut decode = attempt_of(&net, other, "a").await;
+            let mut decode = accept_attempt(&net, other, "a").await;
             decode
                 .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
                 .await;
             assert!(client.read_until(LAST_CHUNK).await.ends_with(LAST_CHUNK));
-            net.no_request_is_open().await;
-            // Until it has rested for as long as a connection may.
+            net.wait_until_no_request_open().await;
+            // The dispatcher closes the connection after the idle timeout.
             net.advance(limits().connection_idle_timeout);
             assert_eq!(
                 unused.read_to_end().await,
                 "",
-                "nothing went to the engine that leaves"
+                "nothing was sent to the engine that leaves"
             );
         });
     }
 
-    /// An engine drains or leaves the list in the middle of a stream. The stream goes on to its end, the engine gets no
-    /// further request, and its connection is closed once it is idle.
-    #[test_case(Says::Draining; "draining")]
-    #[test_case(Says::Removed; "removed")]
-    fn finishes_the_stream_that_it_has_and_gets_no_other(says: Says) {
+    /// An engine drains or leaves discovery's list in the middle of a stream. The stream continues to its end, the
+    /// engine gets no further request, and its connection is closed once it is idle.
+    #[test_case(Departure::Draining; "draining")]
+    #[test_case(Departure::Removed; "removed")]
+    fn finishes_the_stream_that_it_has_and_gets_no_other(departure: Departure) {
         run(|net| async move {
-            let Open { mut client, engine } = bring(&net, Stage::Streams, "proof").await;
-            net.announce(&[net.line("w1", says.phase())]).await;
-            let mut engine = engine.expect("it streams");
+            let OpenRequest { mut client, engine } =
+                start_request(&net, Stage::Streaming, "proof").await;
+            net.announce_endpoints(&[net.endpoint_json("w1", departure.phase())])
+                .await;
+            let mut engine = engine.expect("an attempt is open");
             engine.send(&format!("{EVENT}{LAST_CHUNK}")).await;
             assert_eq!(
                 client.read_until(LAST_CHUNK).await,
                 format!("{EVENT}{LAST_CHUNK}")
             );
-            net.no_request_is_open().await;
-            is_refused(&net, "b").await;
+            net.wait_until_no_request_open().await;
+            assert_rejected(&net, "b").await;
             net.advance(limits().connection_idle_timeout);
             assert_eq!(
                 engine.read_to_end().await,
                 "",
-                "its connection is closed, and nothing more said on it"
+                "its connection is closed without further data"
             );
         });
     }
 
-    /// The prefill engine that holds a request's KV state leaves the list, and the decode engine does not get the
-    /// state. The prompt is prefilled again at another engine, and the request is served.
+    /// The prefill engine that holds a request's KV state leaves discovery's list, and the decode engine cannot
+    /// fetch the state. The prompt is prefilled again at another engine, and the request is served.
     #[test]
     fn with_a_kv_state_held_has_the_prompt_prefilled_again() {
         run_with(limits(), &["r1", "r2", "w1"], |net| async move {
             let mut client = net.send_request("a", "draft").await;
             let (home, mut prefill) = tokio::select! {
-                asked = net.engine("r1").accept_request() => ("r1", asked.0),
-                asked = net.engine("r2").accept_request() => ("r2", asked.0),
+                accepted = net.engine("r1").accept_request() => ("r1", accepted.0),
+                accepted = net.engine("r2").accept_request() => ("r2", accepted.0),
             };
             let other = if home == "r1" { "r2" } else { "r1" };
             prefill.send(PREFILL_ANSWER).await;
             let (mut decode, _) = net.engine("w1").accept_request().await;
-            net.announce(&[net.line(home, "removed")]).await;
+            net.announce_endpoints(&[net.endpoint_json(home, "removed")])
+                .await;
             decode
                 .send("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
                 .await;
             let mut prefill = tokio::select! { biased;
-                conn = attempt_of(&net, other, "a") => conn,
-                () = net.advance_until(|| false) => unreachable!("it goes on"),
+                conn = accept_attempt(&net, other, "a") => conn,
+                () = net.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
             };
             prefill.send(PREFILL_ANSWER).await;
-            // The decode engine is asked again once it was passed by for a moment, on the connection that rests.
+            // The dispatcher avoids the decode engine for a moment, and then sends the next attempt on its idle
+            // connection.
             let again = tokio::select! { biased;
                 request = decode.read_request() => request,
-                () = net.advance_until(|| false) => unreachable!("it goes on"),
+                () = net.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
             };
             assert_eq!(again.id(), "a");
             decode
                 .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
                 .await;
             assert!(client.read_until(LAST_CHUNK).await.ends_with(LAST_CHUNK));
-            net.no_request_is_open().await;
+            net.wait_until_no_request_open().await;
         });
     }
 }
@@ -289,24 +304,25 @@
 mod a_replaced_process {
     use super::*;
 
-    /// An engine's process is replaced under the same name at another address. What was sent to the old process ends
-    /// there, and the next request goes to the new one.
+    /// An engine's process is replaced under the same name at another address. The open request finishes at the old
+    /// process, and the next request goes to the new one.
     #[test]
     fn under_the_same_name_gets_what_comes_next_and_the_old_one_nothing_more() {
         run(|net| async move {
-            let Open { mut client, engine } = bring(&net, Stage::Decodes, "proof").await;
-            let mut old = engine.expect("it decodes");
+            let OpenRequest { mut client, engine } =
+                start_request(&net, Stage::Decoding, "proof").await;
+            let mut old = engine.expect("an attempt is open");
             let new = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
-                .expect("a port");
-            let address = new.local_addr().expect("an address").to_string();
+                .expect("port is bound");
+            let address = new.local_addr().expect("address is valid").to_string();
             let line = net
-                .line("w1", "up")
+                .endpoint_json("w1", "up")
                 .replace(&net.engine("w1").address, &address);
-            net.announce(&[line]).await;
+            net.announce_endpoints(&[line]).await;
             let mut next = net.send_request("b", "proof").await;
             net.serve_prefill().await;
-            let mut decode = Conn::new(new.accept().await.expect("a connection").0);
+            let mut decode = Conn::new(new.accept().await.expect("connection is accepted").0);
             assert_eq!(decode.read_request().await.id(), "b");
             decode
                 .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
@@ -315,7 +331,7 @@
             old.send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}")).await;
             assert!(
                 client.read_until(LAST_CHUNK).await.ends_with(LAST_CHUNK),
-                "what the old one has it may finish"
+                "the old process finishes its open stream"
             );
             assert_eq!(old.read_to_end().await, "");
         });
@@ -325,7 +341,8 @@
 mod a_request_that_is_passed_on {
     use super::*;
 
-    /// Platforms name their idempotency keys, and what else engines need, as they like.
+    /// Platforms choose the names of their idempotency headers and of other headers for engines, so end-to-end
+    /// headers pass unchanged. Hop-by-hop headers are removed.
     #[test]
     fn keeps_the_headers_that_are_meant_for_its_engine_and_no_others() {
         run(|net| async move {
@@ -336,19 +353,23 @@
                 .await;
             let prefill = net.serve_prefill().await;
             let (mut engine, decode) = net.engine("w1").accept_request().await;
-            for asked in [prefill, decode] {
-                assert_eq!(asked.header("Idempotency-Key"), Some("7c/1 a"), "{asked:?}");
-                assert_eq!(asked.header("x-order"), Some("9"), "{asked:?}");
+            for request in [prefill, decode] {
+                assert_eq!(
+                    request.header("Idempotency-Key"),
+                    Some("7c/1 a"),
+                    "{request:?}"
+                );
+                assert_eq!(request.header("x-order"), Some("9"), "{request:?}");
                 for name in ["X-Hop", "Connection", "TE"] {
-                    assert_eq!(asked.header(name), None, "{asked:?}");
+                    assert_eq!(request.header(name), None, "{request:?}");
                 }
                 for name in ["X-Txn", "X-Remaining-Ms", "Content-Length", "Host"] {
-                    let times = asked
+                    let times = request
                         .head
                         .lines()
-                        .filter(|l| l.starts_with(&format!("{name}: ")))
+                        .filter(|line| line.starts_with(&format!("{name}: ")))
                         .count();
-                    assert_eq!(times, 1, "{name}: {asked:?}");
+                    assert_eq!(times, 1, "{name}: {request:?}");
                 }
             }
             engine
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -1,5 +1,5 @@
-//! A client that has gone, in each state of its request: no attempt begins for it any more, first or further, and
-//! what is held for it is let go.
+//! Clients that leave in each state of their request: no first or further attempt starts after that, and the KV
+//! state that is held for the request is released.
 
 mod common;
 
@@ -10,30 +10,30 @@
 use common::*;
 use test_case::test_case;
 
-/// As many ways to have gone.
+/// How a client ends its request.
 #[derive(Clone, Copy)]
-enum Gone {
+enum Departure {
     Closes,
     Cancels,
 }
 
-fn bench(may_cancel: bool, connections_come_up: bool) -> Bench {
+fn harness(may_cancel: bool, dials_succeed: bool) -> Harness {
     let mut settings = settings();
     settings.policy.may_cancel = may_cancel;
-    let mut bench = Bench::with(ProgramSettings {
+    let mut harness = Harness::with(ProgramSettings {
         limits: single_limits(),
         ..settings
     });
-    bench.connections_come_up = connections_come_up;
-    bench
+    harness.dials_succeed = dials_succeed;
+    harness
 }
 
-fn goes(bench: &mut Bench, gone: Gone) -> Vec<Output> {
-    match gone {
-        Gone::Closes => bench.put(Input::ClientClosed {
+fn leave(harness: &mut Harness, departure: Departure) -> Vec<Output> {
+    match departure {
+        Departure::Closes => harness.handle(Input::ClientClosed {
             conn: ClientConnectionId(1),
         }),
-        Gone::Cancels => bench.client(1, Body::Cancel(v1::Cancel {})),
+        Departure::Cancels => harness.send_from_client(1, Body::Cancel(v1::Cancel {})),
     }
 }
 
@@ -45,92 +45,100 @@
     out.iter().filter_map(dial).collect()
 }
 
-/// Nothing begins from now on, whatever comes up and however long it takes.
-fn nothing_begins(bench: &mut Bench, mut out: Vec<Output>, connections: &[EngineConnectionId]) {
+/// Checks that no attempt is sent from now on, whichever connections are established and however long it takes.
+fn assert_no_attempt_starts(
+    harness: &mut Harness,
+    mut out: Vec<Output>,
+    connections: &[EngineConnectionId],
+) {
     for connection in connections {
-        out.extend(bench.put(Input::ConnectionEstablished {
+        out.extend(harness.handle(Input::ConnectionEstablished {
             connection: *connection,
             limit: None,
         }));
     }
-    bench.connections_come_up = true;
-    out.extend(bench.pass(6_000.0));
+    harness.dials_succeed = true;
+    out.extend(harness.advance(6_000.0));
     assert_eq!(
-        bench.attempts(&out).len(),
+        harness.attempts(&out).len(),
         0,
-        "an attempt for nobody: {out:?}"
+        "an attempt is sent for a client that has left: {out:?}"
     );
-    assert_eq!(bench.dispatcher.usage().requests, 0, "nothing is kept");
+    assert_eq!(harness.dispatcher.usage().requests, 0, "no request is kept");
 }
 
-/// A client goes while its first attempt waits for a connection. The attempt must not go out when that comes up.
-#[test_case(Gone::Closes, true; "closes")]
-#[test_case(Gone::Closes, false; "closes where attempts are not called off")]
-#[test_case(Gone::Cancels, true; "cancels")]
-#[test_case(Gone::Cancels, false; "cancels where attempts are not called off")]
-fn a_client_that_goes_while_its_first_attempt_waits_for_a_connection(gone: Gone, may_cancel: bool) {
-    let mut bench = bench(may_cancel, false);
-    let out = bench.client(1, Body::Submit(submit("draft")));
+/// A client leaves while its first attempt waits for a connection. The attempt must not be sent when the connection
+/// is established.
+#[test_case(Departure::Closes, true; "closes")]
+#[test_case(Departure::Closes, false; "closes where attempts cannot be cancelled")]
+#[test_case(Departure::Cancels, true; "cancels")]
+#[test_case(Departure::Cancels, false; "cancels where attempts cannot be cancelled")]
+fn a_client_that_leaves_while_its_first_attempt_waits_for_a_connection(
+    departure: Departure,
+    may_cancel: bool,
+) {
+    let mut harness = harness(may_cancel, false);
+    let out = harness.send_from_client(1, Body::Submit(submit("draft")));
     let connections = dialled(&out);
     assert_eq!(
-        (connections.len(), bench.attempts(&out).len()),
+        (connections.len(), harness.attempts(&out).len()),
         (1, 0),
-        "it waits"
+        "the prefill waits for its connection"
     );
-    let out = goes(&mut bench, gone);
-    nothing_begins(&mut bench, out, &connections);
+    let out = leave(&mut harness, departure);
+    assert_no_attempt_starts(&mut harness, out, &connections);
 }
 
-/// A client goes while its prompt is prefilled. No decode attempt begins, and the KV state is released.
-#[test_case(Gone::Closes, true; "closes")]
-#[test_case(Gone::Cancels, false; "cancels where attempts are not called off")]
-fn a_client_that_goes_while_its_prompt_is_read(gone: Gone, may_cancel: bool) {
-    let mut bench = bench(may_cancel, true);
-    let prefill = bench.prefilling(1, "draft");
-    let mut out = goes(&mut bench, gone);
-    out.extend(bench.ended(&prefill, Status::PrefillDone));
-    nothing_begins(&mut bench, out, &[]);
+/// A client leaves while its prompt is prefilled. No decode attempt starts, and the KV state is released.
+#[test_case(Departure::Closes, true; "closes")]
+#[test_case(Departure::Cancels, false; "cancels where attempts cannot be cancelled")]
+fn a_client_that_leaves_while_its_prompt_is_prefilled(departure: Departure, may_cancel: bool) {
+    let mut harness = harness(may_cancel, true);
+    let prefill = harness.start_prefill(1, "draft");
+    let mut out = leave(&mut harness, departure);
+    out.extend(harness.end_attempt(&prefill, Status::PrefillDone));
+    assert_no_attempt_starts(&mut harness, out, &[]);
     assert!(
-        to_engines(&bench.out).contains(&"release"),
-        "its state is let go"
+        engine_message_names(&harness.out).contains(&"release"),
+        "its KV state is released"
     );
 }
 
-/// A client goes while its decode attempt waits for a connection. The attempt must not go out, and the KV state is
-/// released.
-#[test_case(Gone::Closes; "closes")]
-#[test_case(Gone::Cancels; "cancels")]
-fn a_client_that_goes_between_prefill_and_decode(gone: Gone) {
+/// A client leaves while its decode attempt waits for a connection. The attempt must not be sent, and the KV state
+/// is released.
+#[test_case(Departure::Closes; "closes")]
+#[test_case(Departure::Cancels; "cancels")]
+fn a_client_that_leaves_between_prefill_and_decode(departure: Departure) {
     for may_cancel in [true, false] {
-        let mut bench = bench(may_cancel, true);
-        let prefill = bench.prefilling(1, "draft");
-        bench.connections_come_up = false;
-        let out = bench.ended(&prefill, Status::PrefillDone);
+        let mut harness = harness(may_cancel, true);
+        let prefill = harness.start_prefill(1, "draft");
+        harness.dials_succeed = false;
+        let out = harness.end_attempt(&prefill, Status::PrefillDone);
         let connections = dialled(&out);
         assert_eq!(
-            (connections.len(), bench.attempts(&out).len()),
+            (connections.len(), harness.attempts(&out).len()),
             (1, 0),
-            "the decode waits for its connection"
+            "the decode attempt waits for its connection"
         );
-        let out = goes(&mut bench, gone);
-        nothing_begins(&mut bench, out, &connections);
+        let out = leave(&mut harness, departure);
+        assert_no_attempt_starts(&mut harness, out, &connections);
         assert!(
-            to_engines(&bench.out).contains(&"release"),
-            "its state is let go"
+            engine_message_names(&harness.out).contains(&"release"),
+            "its KV state is released"
         );
     }
 }
 
-/// A decode engine is overloaded, and the client goes while the next attempt waits for a connection. That attempt must
-/// not go out.
-#[test_case(Gone::Closes; "closes")]
-#[test_case(Gone::Cancels; "cancels")]
-fn a_client_that_goes_while_a_further_attempt_is_due(gone: Gone) {
-    let mut bench = bench(true, true);
-    let decode = bench.decoding(1, "draft");
-    bench.connections_come_up = false;
-    let out = bench.ended(&decode, Status::Overloaded);
+/// A decode engine is overloaded, and the client leaves while the next attempt waits for a connection. That attempt
+/// must not be sent.
+#[test_case(Departure::Closes; "closes")]
+#[test_case(Departure::Cancels; "cancels")]
+fn a_client_that_leaves_while_a_further_attempt_waits_for_a_connection(departure: Departure) {
+    let mut harness = harness(true, true);
+    let decode = harness.start_decode(1, "draft");
+    harness.dials_succeed = false;
+    let out = harness.end_attempt(&decode, Status::Overloaded);
     let connections = dialled(&out);
-    let out = goes(&mut bench, gone);
-    nothing_begins(&mut bench, out, &connections);
+    let out = leave(&mut harness, departure);
+    assert_no_attempt_starts(&mut harness, out, &connections);
 }
