--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -1,5 +1,5 @@
-//! Events of streams are passed on as they come: none waits for the next one, for another client, or for its own chunk's
-//! neighbours. On TCP sockets; each event is asked for at the client before its engine writes anything more.
+//! Stream events are forwarded as they come, on TCP sockets: none waits for the next event, for another client, or
+//! for other events of its chunk. Each test reads an event at the client before the engine writes more.
 
 mod common;
 #[path = "common/loopback.rs"]
@@ -10,20 +10,21 @@
 use loopback::*;
 use tokio::io::AsyncWriteExt;
 
-/// A stream whose head and first event have come.
-async fn streaming(net: &Loopback, id: &str) -> (Conn, Conn) {
-    let (mut client, mut engine) = net.decoding(id, "draft").await;
+/// Opens a stream and forwards its head and first event. Returns the connections of the client and of the decode
+/// engine.
+async fn start_stream(net: &Loopback, id: &str) -> (Conn, Conn) {
+    let (mut client, mut engine) = net.start_decode(id, "draft").await;
     engine.send(&format!("{STREAM_HEAD}{EVENT}")).await;
     assert!(client.read_until(EVENT).await.starts_with("HTTP/1.1 200 "));
     (client, engine)
 }
 
-/// Events that wait for the next one would delay every token. Each is read at the client before the engine writes
-/// another.
+/// An event that waited for the next one would delay every token. Each event is read at the client before the engine
+/// writes another.
 #[test]
-fn each_event_is_passed_on_before_the_next_is_written() {
+fn each_event_is_forwarded_before_the_next_is_written() {
     run(|net| async move {
-        let (mut client, mut engine) = streaming(&net, "a").await;
+        let (mut client, mut engine) = start_stream(&net, "a").await;
         for _ in 0..100 {
             engine.send(EVENT).await;
             assert_eq!(client.read_until(EVENT).await, EVENT);
@@ -33,15 +34,19 @@
     });
 }
 
-/// An event comes byte by byte, and half of the next one right behind it. The first is complete and must not wait for
-/// the rest of the second.
+/// An event arrives byte by byte, and half of the next one right after it. The first is complete and must not wait
+/// for the rest of the second.
 #[test]
-fn an_event_that_came_in_pieces_does_not_wait_for_the_one_behind_it() {
+fn an_event_that_arrived_in_pieces_does_not_wait_for_the_next_one() {
     run(|net| async move {
-        let (mut client, mut engine) = streaming(&net, "a").await;
-        // Byte by byte, and the beginning of the next chunk right behind the last byte.
+        let (mut client, mut engine) = start_stream(&net, "a").await;
+        // Sends the event byte by byte, and the start of the next chunk right after it.
         for byte in EVENT.bytes() {
-            engine.io.write_all(&[byte]).await.expect("written");
+            engine
+                .io
+                .write_all(&[byte])
+                .await
+                .expect("bytes are written");
             tokio::task::yield_now().await;
         }
         engine.send("9\r\ndata").await;
@@ -53,12 +58,12 @@
     });
 }
 
-/// A large event fills the buffers, and behind it come a small one, the end and the engine's close at the same moment.
-/// All of it reaches the client, in order.
+/// A large event fills the buffers. After it come a small event, the end of the stream and the engine's close, all
+/// at the same moment. All data reaches the client, in order.
 #[test]
-fn nothing_that_came_behind_a_large_event_waits_or_is_lost() {
+fn data_after_a_large_event_is_neither_delayed_nor_lost() {
     run(|net| async move {
-        let (mut client, mut engine) = streaming(&net, "a").await;
+        let (mut client, mut engine) = start_stream(&net, "a").await;
         let event = format!("data: {}\n\n", "x".repeat(60_000));
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         engine.send(&format!("{chunk}{EVENT}")).await;
@@ -72,28 +77,28 @@
             .read_until(LAST_CHUNK)
             .await
             .ends_with(&format!("{EVENT}{LAST_CHUNK}")));
-        net.no_request_is_open().await;
+        net.wait_until_no_request_open().await;
     });
 }
 
-/// A client reads nothing until all buffers on its path are full. Its engine is held back, and the streams of other
-/// clients go on.
+/// A client reads nothing until all buffers on its path are full. Its engine is blocked, and the streams of other
+/// clients continue.
 #[test]
-fn a_client_that_takes_nothing_holds_back_nobody_else() {
+fn a_client_that_reads_nothing_does_not_block_other_streams() {
     run(|net| async move {
         let mut slow = net.connect_with_small_buffer().await;
         slow.send(&request("slow", "draft")).await;
         net.serve_prefill().await;
         let (mut slow_engine, _) = net.engine("w1").accept_request().await;
         slow_engine.send(STREAM_HEAD).await;
-        // Until neither the client's socket, nor the dispatcher, nor the engine's socket takes any more.
+        // Sends until the buffers of the client's socket, the dispatcher and the engine's socket are full.
         let event = format!("data: {}\n\n", "x".repeat(8_000));
         let chunk = format!("{:x}\r\n{event}\r\n", event.len()).repeat(500);
-        let filled = tokio::task::spawn_local(async move {
+        let blocked_engine = tokio::task::spawn_local(async move {
             slow_engine.send(&chunk).await;
             slow_engine
         });
-        let (mut fast, mut engine) = streaming(&net, "fast").await;
+        let (mut fast, mut engine) = start_stream(&net, "fast").await;
         for _ in 0..100 {
             engine.send(EVENT).await;
             assert_eq!(fast.read_until(EVENT).await, EVENT);
@@ -101,15 +106,15 @@
         engine.send(LAST_CHUNK).await;
         assert_eq!(fast.read_until(LAST_CHUNK).await, LAST_CHUNK);
         assert!(
-            !filled.is_finished(),
-            "the slow one held its engine back all the while"
+            !blocked_engine.is_finished(),
+            "the slow client's engine is still blocked"
         );
         drop(slow);
-        net.no_request_is_open().await;
+        net.wait_until_no_request_open().await;
     });
 }
 
-/// All streams share one thread. With hundreds of them none may starve: each gets its event in each round.
+/// All streams share one thread. With hundreds of streams none may starve: each gets its event in each round.
 #[test]
 fn hundreds_of_streams_on_one_thread_each_get_their_events() {
     const STREAMS: usize = 200;
@@ -124,7 +129,8 @@
         max_open_requests: STREAMS,
         ..limits()
     };
-    // As many decode engines as a dispatcher that has just begun dares to fill.
+    // Enough decode engines for all streams: a dispatcher that has just started limits the load that it puts on one
+    // engine.
     let names = ["r1", "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"];
     run_with(limits, &names, |net| async move {
         let mut streams = Vec::new();
@@ -148,6 +154,6 @@
             engine.send(LAST_CHUNK).await;
             assert_eq!(client.read_until(LAST_CHUNK).await, LAST_CHUNK);
         }
-        net.no_request_is_open().await;
+        net.wait_until_no_request_open().await;
     });
 }
