--- a/crates/dispatcher/tests/client_connection_ends.rs
+++ b/crates/dispatcher/tests/client_connection_ends.rs
@@ -48,7 +48,7 @@
             run(|net| async move {
                 let OpenRequest { mut client, engine } = start_request(&net, stage, "draft").await;
                 // Kept open until the end: dropping the socket would close both directions.
-                let _half = match disconnect {
+                let _open_half = match disconnect {
                     Disconnect::Closes => {
                         drop(client);
                         None
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -66,7 +66,7 @@
         .expect("a decode attempt is sent")
 }
 
-/// Serves requests until every engine has an idle connection.
+/// Serves 200 requests, after which every engine has an idle connection.
 pub fn warm_up(harness: &mut Harness) {
     for conn in 1_000..1_200 {
         let decode = start_decode(harness, conn, "draft");
