--- a/crates/fleet/src/rollout_codec.rs
+++ b/crates/fleet/src/rollout_codec.rs
@@ -23,10 +23,10 @@
 const MAX_ZONES: usize = 1024;
 /// The maximum length of a text for operators, such as a reason or a note, in bytes.
 const MAX_REASON_BYTES: usize = 1024;
-/// The maximum count of outcomes of one kind. The limit keeps sums of counts from overflowing.
+/// The maximum of a decoded outcome count. Larger counts are reduced to it, so that sums of counts do not overflow.
 const MAX_OUTCOME_COUNT: u64 = 1 << 48;
 
-/// Decodes the kind of a unit, which the schema states as a flag that is true for engines.
+/// Converts the schema's flag, which is true for engines and false for dispatchers.
 fn unit_kind_from_proto(engines: bool) -> UnitKind {
     if engines {
         UnitKind::Engines
@@ -40,7 +40,7 @@
     (field.len() <= MAX_REASON_BYTES).then(|| field.to_owned())
 }
 
-/// Decodes a short text field that may be empty, such as a label or a zone.
+/// Decodes a short text field that may be empty, such as a label or a zone. None if the text is invalid.
 fn text_or_empty(field: &str) -> Option<String> {
     match field.is_empty() {
         true => Some(String::new()),
@@ -57,7 +57,6 @@
     names.into_iter().map(|name| name.0.to_string()).collect()
 }
 
-/// Encodes the counts of answered requests.
 pub(crate) fn tally_out(outcomes: &OutcomeCounts) -> v1::FleetOutcomeCounts {
     let OutcomeCounts {
         succeeded,
@@ -73,7 +72,8 @@
     }
 }
 
-/// Decodes the counts of answered requests. A missing message yields zero counts.
+/// Decodes outcome counts, each reduced to at most [`MAX_OUTCOME_COUNT`] so that sums of counts do not overflow. A
+/// missing message yields zero counts.
 pub(crate) fn tally_in(message: Option<&v1::FleetOutcomeCounts>) -> OutcomeCounts {
     let Some(&v1::FleetOutcomeCounts {
         succeeded,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Encodes an engine report of a heartbeat.
+/// Encodes an engine report of a heartbeat. The age of an unknown utilization is encoded as 0.
 pub(crate) fn report_out(report: &EngineReport) -> v1::FleetEngineReport {
     v1::FleetEngineReport {
         engine: report.engine.0.to_string(),
@@ -195,7 +195,6 @@
     Some((PermitId(message.number), permit))
 }
 
-/// Encodes the plan of a rollout.
 fn plan_to_proto(plan: &RolloutPlan) -> v1::FleetRolloutPlan {
     v1::FleetRolloutPlan {
         name: plan.name.clone(),
@@ -216,7 +215,8 @@
     }
 }
 
-/// Decodes the plan of a rollout.
+/// Decodes a plan. None if the plan is missing, a list has more than [`MAX_NAMES`] items, a field is invalid, or the
+/// waves could never begin or would shrink.
 fn plan_from_proto(message: Option<&v1::FleetRolloutPlan>) -> Option<RolloutPlan> {
     let message = message?;
     let list = |items: &[String]| -> Option<Vec<String>> {
@@ -225,7 +225,7 @@
             .map(|item| text(item).map(str::to_owned))
             .collect()
     };
-    // A rollout with an empty first wave would never update a unit. Waves must not shrink.
+    // A rollout whose first wave is empty would never update a unit.
     (message.first > 0 && message.grow_per_mille >= 1000).then_some(())?;
     Some(RolloutPlan {
         name: text(&message.name)?.to_owned(),
@@ -325,7 +325,7 @@
         .collect()
 }
 
-/// Encodes the state of permits and rollouts. None for the empty state.
+/// Encodes the state of permits and rollouts. Returns none for the empty state, so that the message omits the field.
 pub(crate) fn care_out(disruptions: &DisruptionState) -> Option<v1::FleetDisruptions> {
     (!disruptions.is_empty()).then(|| v1::FleetDisruptions {
         given: disruptions.permits_granted,
@@ -370,7 +370,7 @@
     })
 }
 
-/// Encodes an operator's request about rollouts.
+/// Encodes an operator's request about rollouts, or a dispatcher's request for a permit.
 pub(crate) fn order_out(request: &RolloutRequest) -> Question {
     match request {
         RolloutRequest::Start {
@@ -403,8 +403,8 @@
     }
 }
 
-/// Decodes an operator's request about rollouts, or to stop a single dispatcher. None if the question is another one,
-/// or if a field is invalid.
+/// Decodes an operator's request about rollouts, a dispatcher's request for a permit, or a request to stop a single
+/// dispatcher. None if the question is of a different kind, or if a field is invalid.
 pub(crate) fn order_in(question: &Question) -> Option<OperatorRequest> {
     Some(OperatorRequest::Rollout(match question {
         Question::Start(message) => {
@@ -444,7 +444,7 @@
     }))
 }
 
-/// Encodes the question whether a unit has begun to drain on a permit.
+/// Encodes a revocation request, which asks a unit not to begin draining on a permit and whether it has begun.
 pub(crate) fn ask_back_out(
     permit: PermitId,
     unit_kind: UnitKind,
@@ -459,7 +459,7 @@
     })
 }
 
-/// Decodes the question whether a unit has begun to drain on a permit.
+/// Decodes a revocation request. None if the unit's name is invalid.
 pub(crate) fn ask_back_in(
     message: &v1::FleetAskBack,
 ) -> Option<(PermitId, UnitKind, Name, Incarnation)> {
@@ -471,7 +471,6 @@
     ))
 }
 
-/// Encodes the status of the rollout and the permits.
 pub(crate) fn status_out(status: &RolloutStatus) -> v1::FleetRolloutStatus {
     let permit = |permit: &PermitStatus| v1::FleetPermitLine {
         number: permit.permit.0,
@@ -506,7 +505,7 @@
     }
 }
 
-/// Decodes the status of the rollout and the permits. A missing message yields an empty status.
+/// Decodes the rollout status that a dispatcher reports to an operator. A missing message yields an empty status.
 pub(crate) fn status_in(message: Option<&v1::FleetRolloutStatus>) -> Option<RolloutStatus> {
     let Some(message) = message else {
         return Some(RolloutStatus::default());
--- a/src/coordination/disruption_budget/budget.rs
+++ b/src/coordination/disruption_budget/budget.rs
@@ -8,7 +8,7 @@
 pub struct MaxUnavailable {
     /// The maximum as a number of units.
     pub count: u32,
-    /// The maximum as a share of the group, in thousandths.
+    /// The maximum as a share of the group's units, in thousandths.
     pub per_mille: u32,
 }
 
@@ -109,7 +109,10 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BudgetError::AllowsNone { scope } => {
-                write!(formatter, "a '{scope}' limit that lets at least one go")
+                write!(
+                    formatter,
+                    "a '{scope}' limit that allows at least one unavailable unit"
+                )
             }
             BudgetError::ShareAboveOne { scope } => {
                 write!(formatter, "a '{scope}' limit with a 'part' of at most 1")
@@ -117,12 +120,12 @@
             BudgetError::AboveFleet { scope, limit } => {
                 write!(
                     formatter,
-                    "a '{scope}' limit of at most the fleet's {limit}"
+                    "a '{scope}' limit of at most {limit}, the limit of the fleet"
                 )
             }
             BudgetError::CellAboveZone { role, zone_minimum } => write!(
                 formatter,
-                "a minimum of ready {role} per cell that is at most those of its zone, {zone_minimum}"
+                "a minimum of ready {role} per cell of at most {zone_minimum}, the minimum per zone"
             ),
             BudgetError::UtilizationOutOfRange => {
                 formatter.write_str("a 'used' limit above 0 and at most 1")
--- a/src/coordination/disruption_budget/counts.rs
+++ b/src/coordination/disruption_budget/counts.rs
@@ -20,7 +20,8 @@
 /// The key of the whole fleet in maps that are keyed by zone.
 const WHOLE_FLEET: &str = "";
 
-/// Counts of all dispatchers or of all engines. Built once and then checked for each unit that may drain.
+/// Counts of all dispatchers, or of all engines, by fleet, zone, cell and kind. Built once and then checked for each
+/// unit that may drain.
 #[derive(Clone, Debug, Default)]
 pub struct UnitCounts {
     fleet: GroupCount,
@@ -36,8 +37,8 @@
     /// Counts units. `is_disrupted` tells whether a unit counts as unavailable although it serves, because the unit has
     /// a permit to drain.
     ///
-    /// A unit that is remembered but not seen counts as unavailable while its zone has fewer units than `sizes` states.
-    /// If the zone lacks no unit, the remembered unit has been removed for good and is ignored.
+    /// A listed unit that is out of service counts as unavailable while fewer units of its zone are seen than `sizes`
+    /// states. If the zone lacks no unit, the listed unit has been removed for good and is ignored.
     pub fn new<'a>(
         units: impl Iterator<Item = &'a Unit>,
         sizes: &ZoneSizes,
@@ -95,8 +96,8 @@
             for group in RoleGroup::zone_and_cell_groups(unit, role) {
                 *self.ready.entry(group).or_default() += 1;
             }
-            for place in [WHOLE_FLEET.to_owned(), unit.zone.clone()] {
-                let total = self.utilization.entry((role, place)).or_default();
+            for zone_key in [WHOLE_FLEET.to_owned(), unit.zone.clone()] {
+                let total = self.utilization.entry((role, zone_key)).or_default();
                 total.sum += utilization;
                 total.engines += 1;
             }
@@ -176,7 +177,7 @@
             if minimum > 0 && ready <= minimum {
                 return Err(Violation::MinReady {
                     role: role.settings_name(),
-                    place: format!("{} {}", group.scope.name(), group.place),
+                    group: group.describe(),
                     minimum,
                 });
             }
@@ -193,22 +194,23 @@
         if budget.max_utilization_per_mille >= 1000 {
             return Ok(());
         }
-        for place in [WHOLE_FLEET, &unit.zone] {
-            let key = (role, place.to_owned());
+        for zone_key in [WHOLE_FLEET, &unit.zone] {
+            let key = (role, zone_key.to_owned());
             let total = self.utilization.get(&key).copied().unwrap_or_default();
-            let is_zone = place != WHOLE_FLEET;
-            // If a zone has a single engine of the role, other zones take over the load of that engine.
+            let is_zone = zone_key != WHOLE_FLEET;
+            // If a zone has a single engine of the role, other zones take over the load of that engine. The utilization
+            // of its zone is not limited in that case.
             if is_zone && total.engines < 2 {
                 continue;
             }
             let per_mille = total.mean_without_one() * 1000.0;
             if per_mille > f64::from(budget.max_utilization_per_mille) {
-                let place = match is_zone {
-                    true => format!("zone {place}"),
+                let scope = match is_zone {
+                    true => format!("zone {zone_key}"),
                     false => "the fleet".to_owned(),
                 };
                 return Err(Violation::Utilization {
-                    place: format!("{place}, {}", role.settings_name()),
+                    engines: format!("{scope}, {}", role.settings_name()),
                     per_mille: per_mille.min(999.0) as u32,
                 });
             }
@@ -216,9 +218,9 @@
         Ok(())
     }
 
-    /// Returns the first limit of the fleet or of a zone that is exceeded by planned and unplanned disruptions
-    /// together.
-    pub fn exceeded(&self, budget: &DisruptionBudget) -> Option<Violation> {
+    /// Returns the first limit, of the fleet or of a zone, that planned and unplanned disruptions together exceed. None
+    /// if no limit is exceeded.
+    pub fn exceeded_limit(&self, budget: &DisruptionBudget) -> Option<Violation> {
         if let Some((unavailable, limit)) = self.fleet.limit_exceeded(budget.fleet) {
             return Some(Violation::Fleet { unavailable, limit });
         }
@@ -234,17 +236,17 @@
 
     /// Counts an available unit as unavailable from now on.
     pub fn mark_unavailable(&mut self, unit: &Unit) {
-        self.adjust(unit, |count| *count = count.saturating_sub(1));
+        self.adjust_available(unit, |count| *count = count.saturating_sub(1));
     }
 
     /// Counts an unavailable unit as available again.
     pub fn mark_available(&mut self, unit: &Unit) {
-        self.adjust(unit, |count| *count += 1);
+        self.adjust_available(unit, |count| *count += 1);
     }
 
     /// Changes the number of available units in all groups of a unit. The total utilization stays the same, because the
-    /// same load is spread over one engine more or one fewer.
-    fn adjust(&mut self, unit: &Unit, change: impl Fn(&mut u32)) {
+    /// same load is spread over one more or one fewer engine.
+    fn adjust_available(&mut self, unit: &Unit, change: impl Fn(&mut u32)) {
         change(&mut self.fleet.available);
         let counts = [
             self.zones.get_mut(&unit.zone),
@@ -258,14 +260,15 @@
             for group in RoleGroup::zone_and_cell_groups(unit, role) {
                 change(self.ready.entry(group).or_default());
             }
-            for place in [WHOLE_FLEET.to_owned(), unit.zone.clone()] {
-                change(&mut self.utilization.entry((role, place)).or_default().engines);
+            for zone_key in [WHOLE_FLEET.to_owned(), unit.zone.clone()] {
+                let total = self.utilization.entry((role, zone_key)).or_default();
+                change(&mut total.engines);
             }
         }
     }
 
     /// A message about the first zone in which fewer units are seen than agreed. None if no zone lacks a unit.
-    pub fn missing_units(&self, units: &[Unit]) -> Option<String> {
+    pub fn missing_units_message(&self, units: &[Unit]) -> Option<String> {
         let seen = observed_zone_sizes(units.iter());
         self.zones.iter().find_map(|(zone, count)| {
             let seen = seen.get(zone).copied().unwrap_or(0);
@@ -273,7 +276,7 @@
                 .size
                 .checked_sub(seen)
                 .filter(|missing| *missing > 0)?;
-            Some(format!("{missing} of zone {zone} are not there"))
+            Some(format!("{missing} units of zone {zone} are missing"))
         })
     }
 
@@ -301,7 +304,7 @@
     ) -> Option<String> {
         if budget.fleet.limit_for(self.fleet.size) == 0 {
             return Some(format!(
-                "the bounds let none of a fleet of {} go",
+                "the limits never allow any of the fleet's {} units to drain",
                 self.fleet.size
             ));
         }
@@ -314,14 +317,15 @@
         let zones: BTreeSet<&String> = selected.iter().map(|unit| &unit.zone).collect();
         zones.into_iter().find_map(|zone| {
             let size = self.zones.get(zone).map_or(0, |count| count.size);
-            (budget.zone.limit_for(size) == 0)
-                .then(|| format!("the bounds let none of zone {zone}'s {size} go"))
+            (budget.zone.limit_for(size) == 0).then(|| {
+                format!("the limits never allow any of the {size} units of zone {zone} to drain")
+            })
         })
     }
 }
 
-/// A message about the first group of engines that has no engine beyond the minimum that must stay ready. None if there
-/// is no such group among the groups of the selected units.
+/// A message about the first group of selected engines in which no engine may drain, because all its engines are needed
+/// for the minimum that must stay ready. None if there is no such group.
 fn impossible_group(
     units: &[Unit],
     selected: &[&Unit],
@@ -340,9 +344,8 @@
         let minimum = group.minimum(budget);
         (minimum > 0 && size <= minimum).then(|| {
             format!(
-                "{} {} has {size} {} in all, and {minimum} have to stay ready",
-                group.scope.name(),
-                group.place,
+                "{} has {size} {}, of which at least {minimum} must stay ready",
+                group.describe(),
                 group.role.settings_name()
             )
         })
--- a/src/coordination/disruption_budget/groups.rs
+++ b/src/coordination/disruption_budget/groups.rs
@@ -4,7 +4,7 @@
 use super::unit::Unit;
 use crate::interface::Role;
 
-/// The number of units in a group, and the number of available units among them.
+/// The number of units in a zone, a cell, a kind or the fleet, and the number of available units among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct GroupCount {
     pub size: u32,
@@ -16,13 +16,13 @@
         self.size - self.available.min(self.size)
     }
 
-    /// Returns the number of unavailable units and the limit if no further unit may become unavailable.
+    /// Returns the number of unavailable units and the limit, if no further unit may become unavailable. Else none.
     pub fn limit_reached(self, max: MaxUnavailable) -> Option<(u32, u32)> {
         let limit = max.limit_for(self.size);
         (self.unavailable() >= limit).then_some((self.unavailable(), limit))
     }
 
-    /// Returns the number of unavailable units and the limit if more units are unavailable than allowed.
+    /// Returns the number of unavailable units and the limit, if more units are unavailable than allowed. Else none.
     pub fn limit_exceeded(self, max: MaxUnavailable) -> Option<(u32, u32)> {
         let limit = max.limit_for(self.size);
         (self.unavailable() > limit).then_some((self.unavailable(), limit))
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The roles that a unit serves. Empty for a dispatcher.
+    /// The roles that a unit serves. Empty for a dispatcher, which serves none.
     pub fn served_by(unit: &Unit) -> impl Iterator<Item = ServedRole> {
         let prefill = matches!(unit.role, Some(Role::Prefill | Role::Both));
         let decode = matches!(unit.role, Some(Role::Decode | Role::Both));
@@ -78,13 +78,18 @@
 pub(super) struct RoleGroup {
     pub scope: Scope,
     pub role: ServedRole,
-    pub place: String,
+    /// The zone's name, or the cell's key as [`cell_key`] returns it.
+    pub scope_key: String,
 }
 
 impl RoleGroup {
     /// The groups of an engine's zone and of its cell, for one role.
     pub fn zone_and_cell_groups(unit: &Unit, role: ServedRole) -> [RoleGroup; 2] {
-        let group = |scope, place| RoleGroup { scope, role, place };
+        let group = |scope, scope_key| RoleGroup {
+            scope,
+            role,
+            scope_key,
+        };
         [
             group(Scope::Zone, unit.zone.clone()),
             group(Scope::Cell, cell_key(unit)),
@@ -96,6 +101,11 @@
         ServedRole::served_by(unit).flat_map(|role| RoleGroup::zone_and_cell_groups(unit, role))
     }
 
+    /// The group's scope and its key as text for operators, for example `zone z1`.
+    pub fn describe(&self) -> String {
+        format!("{} {}", self.scope.name(), self.scope_key)
+    }
+
     /// The minimum number of ready engines in the group; 0 for no minimum.
     pub fn minimum(&self, budget: &DisruptionBudget) -> u32 {
         match (self.scope, self.role) {
@@ -126,7 +136,7 @@
     }
 }
 
-/// The key of an engine's cell: cell names are unique within a zone only.
+/// The key of an engine's cell: the zone and the cell, because cell names are unique within a zone only.
 pub(super) fn cell_key(unit: &Unit) -> String {
     format!("{}/{}", unit.zone, unit.cell)
 }
--- a/src/coordination/disruption_budget/unit.rs
+++ b/src/coordination/disruption_budget/unit.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The kind of a unit: a dispatcher or an engine.
+/// Whether a unit is a dispatcher or an engine. The two kinds have separate limits and separate rollouts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum UnitKind {
     /// Dispatchers, which are the members of the fleet.
@@ -30,7 +30,8 @@
 pub struct Unit {
     /// The unit's name, which stays the same across restarts.
     pub name: Name,
-    /// Identifies the unit's process. The start time of an engine serves as its incarnation.
+    /// Identifies the unit's process and changes with each restart. The start time of an engine serves as its
+    /// incarnation.
     pub incarnation: Incarnation,
     /// The address at which the unit accepts connections.
     pub address: Address,
@@ -49,7 +50,7 @@
     /// The used fraction of an engine's capacity, from 0 to 1, and the age of the load report in milliseconds. None if
     /// no report is known.
     pub utilization: Option<(f64, Ms)>,
-    /// Requests that the unit has answered, by outcome.
+    /// Requests that the unit's process has answered, by outcome.
     pub outcomes: OutcomeCounts,
 }
 
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Adds another unit's counts.
+    /// Adds the counts of another sample or unit.
     pub fn add(&mut self, other: &OutcomeCounts) {
         self.succeeded += other.succeeded;
         self.rejected += other.rejected;
@@ -113,7 +114,7 @@
 /// the unit.
 pub type ZoneSizes = BTreeMap<String, u32>;
 
-/// Counts the units of each zone that are seen, ready or not.
+/// Counts the units of each zone that are not out of service, whether ready or not.
 pub fn observed_zone_sizes<'a>(units: impl Iterator<Item = &'a Unit>) -> ZoneSizes {
     let mut sizes = ZoneSizes::new();
     for unit in units.filter(|unit| unit.status != ServiceStatus::OutOfService) {
--- a/src/coordination/disruption_budget/violation.rs
+++ b/src/coordination/disruption_budget/violation.rs
@@ -39,19 +39,26 @@
         /// The maximum number of unavailable units.
         limit: u32,
     },
-    /// A zone, a cell or the voters have no ready unit of a role beyond the minimum.
+    /// A zone or a cell has no more ready engines of a role than the minimum.
     MinReady {
         /// The role, as operators name the role in the settings.
         role: &'static str,
-        /// The zone or cell, or the state of the voters, as text for operators.
-        place: String,
-        /// The minimum number of units that must stay ready.
+        /// The zone or cell as text for operators, for example `zone z1`.
+        group: String,
+        /// The minimum number of engines that must stay ready.
         minimum: u32,
     },
+    /// The unit is a voter, and another voter is unavailable or about to become unavailable.
+    Voters {
+        /// The number of voters that are unavailable or have a permit to drain.
+        unavailable: u32,
+        /// The number of all voters.
+        voters: u32,
+    },
     /// The remaining engines of a role would exceed the maximum utilization.
     Utilization {
-        /// The fleet or the zone, followed by the role, as text for operators.
-        place: String,
+        /// The engines of the fleet or of a zone, as text for operators, for example `zone z1, readers`.
+        engines: String,
         /// The expected mean utilization of the remaining engines, in thousandths, from 0 to 999.
         per_mille: u32,
     },
@@ -92,12 +99,19 @@
             ),
             Violation::MinReady {
                 role,
-                place,
+                group,
                 minimum,
-            } => write!(formatter, "{place}: {minimum} ready {role} have to stay"),
-            Violation::Utilization { place, per_mille } => write!(
+            } => write!(formatter, "{group}: {minimum} {role} must stay ready"),
+            Violation::Voters {
+                unavailable,
+                voters,
+            } => write!(
+                formatter,
+                "{unavailable} of {voters} voters are unavailable, and a voter drains only while none is"
+            ),
+            Violation::Utilization { engines, per_mille } => write!(
                 formatter,
-                "{place}: those left would be used to 0.{:03}, or nobody knows",
+                "{engines}: those left would be used to 0.{:03}, or nobody knows",
                 per_mille.min(&999)
             ),
         }
--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -26,10 +26,10 @@
     AddVoter {
         /// The name of the dispatcher.
         name: Name,
-        /// The address of the dispatcher's fleet service. May be none for a known member.
+        /// The address of the dispatcher's fleet service. May be none if the dispatcher is a member or a voter.
         address: Option<Address>,
     },
-    /// Removes a dispatcher from the voters.
+    /// Removes a dispatcher from the voters. Refused if fewer than 3 voters would remain.
     RemoveVoter {
         /// The name of the dispatcher.
         name: Name,
@@ -54,7 +54,7 @@
     ByHand {
         /// The name of the dispatcher.
         name: Name,
-        /// The address of the dispatcher's fleet service. May be none for a known member or voter.
+        /// The address of the dispatcher's fleet service. May be none if the dispatcher is a member or a voter.
         address: Option<Address>,
         /// The operator's reason, which is logged and stored in a note.
         reason: String,
@@ -95,7 +95,8 @@
     Permit {
         /// The name of the dispatcher.
         name: Name,
-        /// The label that the dispatcher will have after its restart. An empty label accepts any.
+        /// The label that the dispatcher will have after its restart. If this label is empty, the dispatcher may have
+        /// any label.
         label: String,
         /// Whether to withdraw an earlier request instead.
         cancel: bool,
@@ -153,7 +154,7 @@
 pub struct AbandonedUnit {
     /// The name of the unit.
     pub unit: Name,
-    /// Why the rollout gave up on the unit.
+    /// Why the rollout has abandoned the unit.
     pub reason: String,
 }
 
@@ -174,8 +175,7 @@
     Holds {
         /// The lease's term. None if the dispatcher does not hold the lease yet.
         term: Option<Term>,
-        /// How long the dispatcher holds the lease at least, in milliseconds from the moment before the request was
-        /// sent.
+        /// How long the dispatcher holds the lease at least, in milliseconds from when the job sent its request.
         good_for: Ms,
     },
 }
@@ -187,7 +187,7 @@
     pub name: Name,
     /// The address of the voter's fleet service.
     pub address: Address,
-    /// Whether the voter answered the query.
+    /// Whether the voter has answered the query. False if the voter could not be reached in time.
     pub answers: bool,
     /// Whether the voter votes under the identity that the fleet agreed on.
     pub votes: bool,
--- a/src/coordination/member/operator_requests/handling.rs
+++ b/src/coordination/member/operator_requests/handling.rs
@@ -1,4 +1,4 @@
-//! Dispatches each operator's request to its handler.
+//! Passes each operator's request to the function that handles it.
 
 use super::super::*;
 use super::api::{OperatorRequest, Reply};
@@ -47,7 +47,7 @@
     }
 }
 
-/// Sends the reply to the request with this call number.
+/// Outputs the reply to the request that arrived with the number `call`.
 pub(super) fn reply_to(call: CallId, reply: Reply, out: &mut Vec<Output>) {
     let answer = Answer::Reply(reply);
     out.push(Output::Answer { call, answer });
--- a/src/coordination/member/operator_requests/inspection.rs
+++ b/src/coordination/member/operator_requests/inspection.rs
@@ -20,14 +20,14 @@
     queried: BTreeMap<Name, Address>,
     /// The state of each voter that has answered. None for a voter that could not be reached.
     pub(super) states: BTreeMap<Name, Option<VoterState>>,
-    /// When the operator gets a reply, even if some voters have not answered.
+    /// When the query ends even if some voters have not answered.
     deadline: Ms,
     /// The voter to add. None for a status request.
     new_voter: Option<NewVoter>,
 }
 
 impl Inspection {
-    /// When the operator gets a reply at the latest.
+    /// When the operator gets a reply even if some voters have not answered.
     pub(in super::super) fn until(&self) -> Ms {
         self.deadline
     }
@@ -105,7 +105,7 @@
         };
         let state = inspection.states.get(&name).and_then(Option::as_ref);
         let Some(voter_id) = state.and_then(|state| state.voter_id) else {
-            let reason = format!("{} does not answer as a voter at {}", name.0, address.0);
+            let reason = format!("no voter {} answered at {}", name.0, address.0);
             return reply_to(call, Reply::Refused(reason), out);
         };
         let voter_record = VoterRecord { voter_id, address };
--- a/src/coordination/member/operator_requests/leases.rs
+++ b/src/coordination/member/operator_requests/leases.rs
@@ -8,7 +8,7 @@
 const MAX_JOBS: usize = 32;
 
 impl Member {
-    /// Hands a lease of this dispatcher over to `to`, or to the next dispatcher in the order of succession.
+    /// Hands a lease that this dispatcher holds over to `to`, or to the next dispatcher in the order of succession.
     pub(super) fn hand_over_request(
         &mut self,
         lease_name: &LeaseName,
@@ -25,16 +25,25 @@
                 .cloned()
         };
         let Some(next) = to.or_else(first_successor) else {
-            return Reply::Refused(format!("nobody is known that could hold {}", lease_name.0));
+            return Reply::Refused(format!(
+                "no dispatcher is known that could hold lease {}",
+                lease_name.0
+            ));
         };
         if next == self.settings.me {
-            return Reply::Refused(format!("{} holds {} already", next.0, lease_name.0));
+            return Reply::Refused(format!("{} holds lease {} already", next.0, lease_name.0));
         }
         if membership.is_some_and(|membership| membership.address(&next).is_none()) {
-            return Reply::Refused(format!("the roll-call knows no {}", next.0));
+            return Reply::Refused(format!(
+                "the membership leader knows no dispatcher {}",
+                next.0
+            ));
         }
         self.hand_over(lease_name, Some(next.clone()), out);
-        Reply::Done(format!("{} is given up for {}", lease_name.0, next.0))
+        Reply::Done(format!(
+            "lease {} is released for {} to acquire",
+            lease_name.0, next.0
+        ))
     }
 
     /// The reply for a lease that this dispatcher does not hold: the holder's address, if another dispatcher is known
@@ -49,8 +58,8 @@
         }
         let is_known = newest.is_some_and(|value| value.leases.contains_key(lease_name));
         Reply::Refused(match is_known {
-            true => format!("nobody holds {} now", lease_name.0),
-            false => format!("there is no duty {}", lease_name.0),
+            true => format!("no dispatcher holds lease {} now", lease_name.0),
+            false => format!("there is no lease {}", lease_name.0),
         })
     }
 
@@ -80,21 +89,24 @@
     /// The reason why this dispatcher refuses to hold a lease for a job. None if the request is accepted.
     fn hold_refusal_reason(&self, lease_name: &LeaseName, job: u64) -> Option<String> {
         if lease_name.0.as_ref() == MEMBERSHIP_LEASE {
-            return Some(format!("{MEMBERSHIP_LEASE} is the dispatchers' own"));
+            return Some(format!(
+                "lease {MEMBERSHIP_LEASE} is reserved for the dispatchers"
+            ));
         }
         if lease_name.0.is_empty() || lease_name.0.len() > LONGEST_NAME {
-            return Some(format!("a duty's name has 1 to {LONGEST_NAME} bytes"));
+            return Some(format!("the name of a lease has 1 to {LONGEST_NAME} bytes"));
         }
         if self.stopping {
-            return Some("this dispatcher stops".to_owned());
+            return Some("this dispatcher is stopping".to_owned());
         }
         match self.jobs.get(lease_name) {
-            Some(known) if known.number != job => {
-                Some(format!("{} is wanted here by another job", lease_name.0))
-            }
-            None if self.jobs.len() >= MAX_JOBS => {
-                Some(format!("{MAX_JOBS} jobs are held for here already"))
-            }
+            Some(known) if known.number != job => Some(format!(
+                "another job uses lease {} at this dispatcher",
+                lease_name.0
+            )),
+            None if self.jobs.len() >= MAX_JOBS => Some(format!(
+                "this dispatcher contends for the leases of {MAX_JOBS} jobs already"
+            )),
             _ => None,
         }
     }
@@ -128,6 +140,6 @@
         {
             self.end_job(lease_name, out);
         }
-        Reply::Done(format!("{} let go", lease_name.0))
+        Reply::Done(format!("lease {} is released", lease_name.0))
     }
 }
--- a/src/coordination/member/operator_requests/status.rs
+++ b/src/coordination/member/operator_requests/status.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// One line for each agreed voter, or for each voter of the settings if no voter set is known.
+    /// The status of each voter that the fleet agreed on, or of each voter in the settings if no voter set is known.
     fn voter_lines(&self, inspection: &Inspection) -> Vec<VoterLine> {
         let records = self.known_voter_set().map(Voters::all).unwrap_or_default();
         if records.is_empty() {
@@ -52,8 +52,8 @@
         records.iter().map(line).collect()
     }
 
-    /// `voter_id` is the identity under which the fleet agreed on the voter. A voter with another identity does not
-    /// vote.
+    /// The status of one voter. `voter_id` is the identity under which the fleet agreed on the voter. A voter with
+    /// another identity does not vote.
     fn voter_line(
         &self,
         name: &Name,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// One line for each member. Empty unless this dispatcher is the membership leader.
+    /// The status of each member. Empty unless this dispatcher is the membership leader.
     fn member_lines(&self) -> Vec<MemberLine> {
         let Some(membership) = &self.membership else {
             return Vec::new();
--- a/src/coordination/member/operator_requests/voter_changes.rs
+++ b/src/coordination/member/operator_requests/voter_changes.rs
@@ -48,7 +48,7 @@
         match leader.filter(|(_, holder)| holder.name != self.settings.me) {
             Some((_, holder)) => Reply::Elsewhere(holder.address.clone()),
             None => Reply::Refused(format!(
-                "nobody knows where {} is: name its address",
+                "the address of {} is not known: give the address in the request",
                 name.0
             )),
         }
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Replies to the operator after the voters have agreed on its command or rejected it.
+    /// Replies to an operator when the voters have agreed on the operator's command or have rejected it.
     pub(in super::super) fn command_done(
         &mut self,
         call: CallId,
@@ -82,15 +82,19 @@
         };
         let pending = pending_commands.remove(index);
         let reply = match &pending.command {
-            Command::AddVoter { name, .. } => voter_reply(name, "votes from now on", result),
-            Command::RemoveVoter { name } => voter_reply(name, "votes no more", result),
+            Command::AddVoter { name, .. } => {
+                voter_reply(name, "is a voter now", "is a voter already", result)
+            }
+            Command::RemoveVoter { name } => {
+                voter_reply(name, "is no longer a voter", "is not a voter", result)
+            }
             Command::OperatorCommand(command) => self.operator_command_done(command, result, value),
             _ => return,
         };
         reply_to(call, reply, out);
     }
 
-    /// Drops the commands that the voters have not agreed on in time, and replies that their outcome is unknown.
+    /// Drops the commands on which the voters have not agreed in time, and replies that the outcome is unknown.
     pub(in super::super) fn expire_commands(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let expired: Vec<CallId> = self
@@ -102,24 +106,32 @@
         for call in expired {
             self.pending_commands.retain(|pending| pending.call != call);
             let reason =
-                "no majority of the voters answers; it may still have been done: look again";
+                "no majority of the voters answers; the change may still have been made: check the status";
             reply_to(call, Reply::Refused(reason.to_owned()), out);
         }
     }
 }
 
-/// The reply to a change of the voters. `effect` describes the successful change, with the dispatcher as its subject.
-fn voter_reply(name: &Name, effect: &str, result: Result<(), CommandError>) -> Reply {
+/// The reply to a change of the voters. `done` describes the successful change and `already_so` a change that is
+/// already in effect. Both texts follow the dispatcher's name.
+fn voter_reply(
+    name: &Name,
+    done: &str,
+    already_so: &str,
+    result: Result<(), CommandError>,
+) -> Reply {
     let name = &name.0;
     let reason = match result {
-        Ok(()) => return Reply::Done(format!("{name} {effect}")),
+        Ok(()) => return Reply::Done(format!("{name} {done}")),
         Err(CommandError::VoterChangeInProgress) => {
-            "another change of voters is under way".to_owned()
+            "another change of the voters is in progress".to_owned()
         }
-        Err(CommandError::AlreadySo) => format!("{name} {effect} already, or is none"),
+        Err(CommandError::AlreadySo) => format!("{name} {already_so}"),
         Err(CommandError::TooFew) => "fewer than 3 voters would be left: add one first".to_owned(),
-        Err(CommandError::TooMany) => "7 voters are the most: remove one first".to_owned(),
-        Err(_) => "nothing was changed".to_owned(),
+        Err(CommandError::TooMany) => {
+            "the fleet has 7 voters already, the maximum: remove one first".to_owned()
+        }
+        Err(_) => "the voters were not changed".to_owned(),
     };
     Reply::Refused(reason)
 }
--- a/src/coordination/member/rollout/commands.rs
+++ b/src/coordination/member/rollout/commands.rs
@@ -8,14 +8,15 @@
 use crate::coordination::state::CommandError;
 use std::collections::BTreeSet;
 
-/// How long a dispatcher's request for a permit stays valid, in milliseconds. The dispatcher renews the request within
-/// this time.
+/// How long a dispatcher's request for a permit stays valid, in milliseconds. A waiting dispatcher repeats its request
+/// within this time.
 const REQUEST_TTL_MS: Ms = 2_000.0;
 /// The maximum number of dispatchers that wait for a permit at once.
 const MAX_PERMIT_REQUESTS: usize = 1024;
 
 impl Member {
-    /// Handles a request. Returns none if the reply follows once the voters have agreed on a command.
+    /// Handles a request about rollouts or permits. Returns none if the reply follows once the voters have agreed on a
+    /// command.
     pub(in super::super) fn rollout_request(
         &mut self,
         call: CallId,
@@ -66,7 +67,9 @@
             .filter(|(_, holder)| holder.incarnation != self.settings.incarnation);
         Err(match other_leader {
             Some((_, holder)) => Reply::Elsewhere(holder.address.clone()),
-            None => Reply::Refused("nobody calls the roll now: try again in a moment".to_owned()),
+            None => Reply::Refused(
+                "no membership leader calls the roll now: try again in a moment".to_owned(),
+            ),
         })
     }
 
@@ -80,7 +83,7 @@
         if self.is_view_complete() {
             return Ok(());
         }
-        let reason = "the roll is not whole yet, a holder has just begun: try again in a moment";
+        let reason = "the membership leader is new and has not heard from all dispatchers yet: try again in a moment";
         Err(Reply::Refused(reason.to_owned()))
     }
 
@@ -144,14 +147,17 @@
         sizes
     }
 
-    /// Stores, renews or cancels a dispatcher's request for a permit.
+    /// Stores, renews or cancels a dispatcher's own request for a permit outside of a rollout.
     fn handle_permit_request(&mut self, name: Name, label: String, cancel: bool) -> Reply {
         if let Some(reply) = self.granted_reply(&name) {
             return reply;
         }
         if cancel {
             self.disruptions.permit_requests.remove(&name);
-            return Reply::Done(format!("{} waits no more", name.0));
+            return Reply::Done(format!(
+                "the request of {} for a permit is withdrawn",
+                name.0
+            ));
         }
         let address = self
             .membership
@@ -159,12 +165,19 @@
             .and_then(|membership| membership.address(&name));
         if address.is_none() {
             return match self.is_view_complete() {
-                false => Reply::Pending("the roll is not whole yet".to_owned()),
-                true => Reply::Refused(format!("the roll-call knows no {}", name.0)),
+                false => Reply::Pending(
+                    "the membership leader has not heard from all dispatchers yet".to_owned(),
+                ),
+                true => Reply::Refused(format!(
+                    "the membership leader knows no dispatcher {}",
+                    name.0
+                )),
             };
         }
         if self.disruptions.permit_requests.len() >= MAX_PERMIT_REQUESTS {
-            return Reply::Refused("too many wait for a turn".to_owned());
+            return Reply::Refused(format!(
+                "{MAX_PERMIT_REQUESTS} dispatchers are waiting for permits already"
+            ));
         }
         let expires_at = self.now + REQUEST_TTL_MS;
         self.disruptions
@@ -172,7 +185,7 @@
             .insert(name, (label, expires_at));
         let controller = self.disruptions.controller.as_ref();
         let reason = controller.and_then(|controller| controller.blocked_reason.clone());
-        Reply::Pending(reason.unwrap_or_else(|| "waiting".to_owned()))
+        Reply::Pending(reason.unwrap_or_else(|| "the request for a permit is queued".to_owned()))
     }
 
     /// The reply to a dispatcher that already has a permit. None if the dispatcher has no permit.
@@ -182,14 +195,19 @@
         let view = self.fleet_view();
         let unit = view.dispatchers.iter().find(|unit| unit.name == *name);
         Some(match permit_stage(permit, unit) {
-            PermitStage::Granted => {
-                Reply::Pending(format!("turn {} is given and being told", id.0))
-            }
-            _ => Reply::Done(format!("turn {}: {} drains and ends", id.0, permit.unit.0)),
+            PermitStage::Granted => Reply::Pending(format!(
+                "permit {} is granted, and {} has not begun to drain yet",
+                id.0, permit.unit.0
+            )),
+            _ => Reply::Done(format!(
+                "permit {}: {} drains and then stops",
+                id.0, permit.unit.0
+            )),
         })
     }
 
-    /// Returns the reply to an operator's command after the voters have agreed on the command or rejected it.
+    /// Returns the reply to an operator's command after the voters have agreed on the command or rejected it. An agreed
+    /// halt is then confirmed by asking the units that may still begin to drain.
     pub(in super::super) fn operator_command_done(
         &mut self,
         command: &OperatorCommand,
@@ -210,33 +228,36 @@
 
 fn agreed_reply(command: &OperatorCommand) -> Reply {
     Reply::Done(match command {
-        OperatorCommand::Start(rollout) => format!("release {} begins", rollout.plan.name),
+        OperatorCommand::Start(rollout) => format!("release {} has started", rollout.plan.name),
         OperatorCommand::Halt(_) => {
-            let text = "halted; asking those whose turn may still begin";
+            let text = "halted; asking the units that may still begin to drain";
             return Reply::Pending(text.to_owned());
         }
-        OperatorCommand::Resume => "it goes on".to_owned(),
-        OperatorCommand::RollBack => "it goes back".to_owned(),
-        OperatorCommand::End => "it is ended as it stands".to_owned(),
+        OperatorCommand::Resume => "the halt has ended; permits are granted again".to_owned(),
+        OperatorCommand::RollBack => "the rollback has started".to_owned(),
+        OperatorCommand::End => {
+            "the release has ended; the remaining units are not updated".to_owned()
+        }
         OperatorCommand::Recount(unit_kind, sizes) => {
-            format!("{} {unit_kind} are counted", sizes.values().sum::<u32>())
+            let size = sizes.values().sum::<u32>();
+            format!("the fleet's size is now recorded as {size} {unit_kind}")
         }
-        OperatorCommand::Note(_) => "noted".to_owned(),
+        OperatorCommand::Note(_) => "the note is stored".to_owned(),
     })
 }
 
 fn refused_reply(command: &OperatorCommand, error: CommandError) -> Reply {
     let text = match (command, error) {
         (OperatorCommand::Start(_), CommandError::Busy) => {
-            "another release is not done: 'release status' shows it"
+            "another release is not done: see 'release status'"
         }
         (OperatorCommand::Start(_), CommandError::Stopped) => {
-            "halted: 'resume' first, or 'release end'"
+            "permits are halted: run 'resume' or 'release end' first"
         }
-        (OperatorCommand::Resume, _) => "nothing is halted: there is nothing to go on with",
-        (OperatorCommand::RollBack, _) => "there is nothing to go back on",
-        (OperatorCommand::End, _) => "no release is under way",
-        (_, error) => return Reply::Refused(format!("nothing was changed ({error:?})")),
+        (OperatorCommand::Resume, _) => "permits are not halted: there is no halt to end",
+        (OperatorCommand::RollBack, _) => "there is no release that can be rolled back",
+        (OperatorCommand::End, _) => "no release is in progress",
+        (_, error) => return Reply::Refused(format!("nothing was changed: {error}")),
     };
     Reply::Refused(text.to_owned())
 }
--- a/src/coordination/member/rollout/halt.rs
+++ b/src/coordination/member/rollout/halt.rs
@@ -53,14 +53,14 @@
         self.has_unanswered().then_some(self.next_question_at)
     }
 
-    /// Records a unit's reply whether it had begun to drain.
+    /// Records a unit's reply: whether the unit had begun to drain on the permit before the halt.
     pub fn record_reply(&mut self, permit: PermitId, begun: bool) {
         if let Some(asked) = self.asked.get_mut(&permit) {
             asked.begun = Some(begun);
         }
     }
 
-    /// The names of the units with this reply, separated by commas.
+    /// The names of the units that gave this reply, separated by commas. None stands for no reply.
     fn unit_names(&self, begun: Option<bool>) -> String {
         let names: Vec<&str> = self
             .asked
@@ -73,11 +73,11 @@
 
     /// A text for the operator that lists the units by their reply.
     fn summary(&self) -> String {
-        let mut text = "halted: no turn begins from now on".to_owned();
+        let mut text = "halted: no unit begins to drain from now on".to_owned();
         let groups = [
-            (Some(true), "begun before"),
-            (Some(false), "taken back"),
-            (None, "not reached, may have begun before"),
+            (Some(true), "began before the halt"),
+            (Some(false), "permit revoked"),
+            (None, "no reply, may have begun before the halt"),
         ];
         for (begun, description) in groups {
             let names = self.unit_names(begun);
@@ -128,7 +128,7 @@
         if halt.has_unanswered() && remaining > 0.0 {
             let unanswered = halt.unanswered().count();
             return Reply::Pending(format!(
-                "halted; {unanswered} turns may still begin, for {remaining:.0} ms at most"
+                "halted; {unanswered} units may still begin to drain, for at most {remaining:.0} ms"
             ));
         }
         Reply::Done(halt.summary())
--- a/src/coordination/member/rollout/leader.rs
+++ b/src/coordination/member/rollout/leader.rs
@@ -120,8 +120,8 @@
         Some((ProposalReason::RolloutStep, command))
     }
 
-    /// Clears the pending step after its proposal ended. The controller runs again at once if the voters agreed on the
-    /// step, else after a delay.
+    /// Clears the pending step when its proposal has ended. If the voters agreed on the step, the controller runs again
+    /// at once. Otherwise the controller waits as long as the election delays of two neighbouring places differ.
     pub(in super::super) fn step_proposed(&mut self, agreed: bool) {
         self.disruptions.pending_step = None;
         self.disruptions.next_evaluation_at = match agreed {
--- a/src/coordination/member/rollout/mod.rs
+++ b/src/coordination/member/rollout/mod.rs
@@ -23,8 +23,8 @@
 /// The maximum length of the queue of engine reports, in multiples of [`MAX_REPORTS`].
 const MAX_QUEUED_HEARTBEATS: usize = 4;
 
-/// The state of one dispatcher for rollouts: as the membership leader, as a unit with a permit, and as the receiver of
-/// a halt. Not replicated.
+/// The rollout state of one dispatcher that is not replicated. The dispatcher may be the membership leader, a unit with
+/// a permit, or the receiver of an operator's halt.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RolloutState {
     /// Cumulative outcomes of the requests that this process has answered.
@@ -39,8 +39,11 @@
     next_evaluation_at: Ms,
     /// The step that is being proposed.
     pending_step: Option<RolloutStep>,
+    /// Permits whose units the controller wants to be notified.
     to_notify: Vec<PermitId>,
+    /// Permits whose units the controller wants to be asked not to begin draining.
     to_revoke: Vec<PermitId>,
+    /// The receivers of notices, by address.
     pub(super) receivers: BTreeMap<Address, NoticeReceiver>,
     /// The earliest time of the next notice of each permit.
     next_notice_at: BTreeMap<PermitId, Ms>,
@@ -56,7 +59,7 @@
     // State of the dispatcher that received a halt.
     halt_confirmation: Option<HaltConfirmation>,
     // State for injected faults.
-    /// A halt that is not in the replicated state.
+    /// Whether only this dispatcher knows of a halt, because the halt is not in the replicated state.
     has_local_halt: bool,
     /// Permits that are sent before the fleet agrees on them.
     unagreed_permits: Vec<DisruptionPermit>,
@@ -71,6 +74,7 @@
             .filter(|lease| lease.left(self.now) > 0.0)
     }
 
+    /// Stores the readiness, the load and the outcomes of this dispatcher, and queues its engine reports.
     pub(super) fn local_health(&mut self, local_health: LocalHealth) {
         self.ready = local_health.ready;
         self.load = local_health.load;
@@ -85,6 +89,7 @@
         reports.drain(..excess);
     }
 
+    /// Replaces this dispatcher's list of engines from discovery.
     pub(super) fn engines(&mut self, engines: Vec<Unit>) {
         self.disruptions.engines = engines;
     }
@@ -100,8 +105,8 @@
         self.held_leases.contains_key(&membership_lease())
     }
 
-    /// The permits and the rollout of the newest value that this dispatcher knows to be chosen. None before any is
-    /// known.
+    /// The permits and the rollout of the newest replicated state that this dispatcher knows to be chosen. None before
+    /// any is known.
     fn agreed_disruptions(&self) -> Option<&DisruptionState> {
         self.chosen.as_ref().map(|value| &*value.disruptions)
     }
--- a/src/coordination/member/rollout/notices.rs
+++ b/src/coordination/member/rollout/notices.rs
@@ -15,7 +15,8 @@
     clock: ReceiverClock,
     /// Whether a notice has been sent and not answered.
     in_flight: bool,
-    /// Until when the receiver may execute an unanswered notice. Negative infinity if every notice has been answered.
+    /// The time until which the receiver may execute an unanswered notice. Negative infinity if every notice has been
+    /// answered.
     pub(in super::super) executable_until: Ms,
 }
 
@@ -165,7 +166,7 @@
         self.send_permit_notices(out);
     }
 
-    /// Asks a unit whether it has begun to drain. A unit that has not begun must not begin after its answer.
+    /// Asks a unit whether it has begun to drain on a permit. A unit that answers no must not begin any more.
     pub(super) fn ask_revocation(
         &mut self,
         id: PermitId,
--- a/src/coordination/member/rollout/permit.rs
+++ b/src/coordination/member/rollout/permit.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Begins to drain, and makes a heartbeat due at once that reports it.
+    /// Begins to drain, and sends a heartbeat at once so that the membership leader learns of the drain.
     pub(super) fn drain(&mut self) {
         self.stopping = true;
         self.next_heartbeat_at = self.now;
--- a/src/coordination/member/rollout/plan_check.rs
+++ b/src/coordination/member/rollout/plan_check.rs
@@ -17,7 +17,7 @@
     SelectsNothing,
     /// The settings name no discovery registry, so no engine can be listed as draining.
     NoRegistry,
-    /// The budget can never allow some of the selected units to drain. Carries the reason.
+    /// The budget never allows some of the selected units to drain. Carries the reason.
     Impossible(String),
 }
 
@@ -27,13 +27,16 @@
             PlanError::UnknownUnits { unit_kind, names } => {
                 let source = match unit_kind {
                     UnitKind::Engines => "the list",
-                    UnitKind::Dispatchers => "the roll-call",
+                    UnitKind::Dispatchers => "the list of members",
                 };
                 write!(formatter, "{source} has no {names}; nothing was changed")
             }
-            PlanError::SelectsNothing => formatter.write_str("the plan means nobody who is there"),
-            PlanError::NoRegistry => formatter
-                .write_str("the settings of the fleet have no 'keeper' to list hosts as draining"),
+            PlanError::SelectsNothing => {
+                formatter.write_str("the plan selects none of the existing units")
+            }
+            PlanError::NoRegistry => formatter.write_str(
+                "the fleet settings have no 'keeper', which would list hosts as draining",
+            ),
             PlanError::Impossible(reason) => formatter.write_str(reason),
         }
     }
@@ -84,8 +87,8 @@
         UnitCounts::new(self.units.iter(), self.sizes, self.budget, |_| false)
     }
 
-    /// Describes the waves of the plan, the units that are unavailable now, and the limit that forbids the first
-    /// selected unit that may not drain now.
+    /// The reply to a dry run: the waves of the plan, the numbers of units that are unavailable now, and the limit that
+    /// forbids a selected unit to drain now, if there is such a limit.
     pub fn describe(&self) -> String {
         let PlanCheck {
             plan,
@@ -94,7 +97,7 @@
             sizes,
         } = *self;
         let mut text = format!(
-            "release {} of {}, as they are now:\n",
+            "release {} of {}, computed from their current state:\n",
             plan.name, plan.unit_kind
         );
         for (index, wave) in planned_waves(plan, budget, units, sizes).iter().enumerate() {
@@ -108,19 +111,19 @@
         }
         let counts = self.counts();
         for count in counts.unavailable_counts(budget) {
-            let place = match count.zone.is_empty() {
+            let scope = match count.zone.is_empty() {
                 true => "the fleet".to_owned(),
                 false => format!("zone {}", count.zone),
             };
             text += &format!(
-                "  {place}: {} out now, {} may be\n",
+                "  {scope}: {} unavailable now, at most {} allowed\n",
                 count.unavailable, count.limit
             );
         }
         let mut selected = units.iter().filter(|unit| plan.selects(unit));
         let violation = selected.find_map(|unit| counts.check_disruption(unit, budget).err());
         if let Some(violation) = violation {
-            text += &format!("  now binds: {violation}\n");
+            text += &format!("  limit that applies now: {violation}\n");
         }
         text
     }
--- a/src/coordination/member/rollout/status.rs
+++ b/src/coordination/member/rollout/status.rs
@@ -6,8 +6,8 @@
 use crate::coordination::rollout_controller::{permit_stage, FleetView, PermitStage};
 
 impl Member {
-    /// The status of the rollout and the permits. Without a known agreed state, the newest known value is shown
-    /// instead.
+    /// The status of the rollout and the permits, from the state that this dispatcher knows to be agreed on. If no such
+    /// state is known, the status shows the newest proposed state instead.
     pub(in super::super) fn rollout_status(&self) -> RolloutStatus {
         let newest = || self.newest().map(|value| &*value.disruptions);
         let Some(disruptions) = self.agreed_disruptions().or_else(newest) else {
--- a/src/coordination/member/rollout/stop_by_hand.rs
+++ b/src/coordination/member/rollout/stop_by_hand.rs
@@ -26,7 +26,10 @@
             .cloned();
         let voter = self.settings.voters.get(&name).cloned();
         let Some(to) = address.or(member).or(voter) else {
-            let reason = format!("nobody here knows where {} is: name its address", name.0);
+            let reason = format!(
+                "the address of {} is not known: give the address in the request",
+                name.0
+            );
             return Some(Reply::Refused(reason));
         };
         let note = format!(
@@ -58,7 +61,7 @@
             permit: PermitId(0),
             label: String::new(),
         });
-        Reply::Done(format!("{} drains and ends", self.settings.me.0))
+        Reply::Done(format!("{} drains and then stops", self.settings.me.0))
     }
 
     /// Answers the operator after the dispatcher to stop has answered. `reply` is none if that dispatcher did not
@@ -73,10 +76,12 @@
         let reply = match reply {
             Some(Reply::Done(text)) => {
                 self.note_once_agreed(note);
-                Reply::Done(format!("{text}; noted once the fleet agrees"))
+                Reply::Done(format!(
+                    "{text}; a note of this is stored once a majority of the voters agrees"
+                ))
             }
             Some(Reply::Refused(reason)) => Reply::Refused(reason),
-            _ => Reply::Refused("it does not answer".to_owned()),
+            _ => Reply::Refused("the dispatcher to stop did not answer in time".to_owned()),
         };
         out.push(Output::Answer {
             call,
--- a/src/coordination/rollout/commands.rs
+++ b/src/coordination/rollout/commands.rs
@@ -8,15 +8,16 @@
 pub enum OperatorCommand {
     /// Starts a rollout. Refused while another rollout is unfinished or permits are halted.
     Start(Box<Rollout>),
-    /// Stops the granting of permits until an operator resumes. Carries the operator's reason.
+    /// Stops the granting of permits until an operator ends the halt. Carries the operator's reason.
     Halt(String),
     /// Ends a halt and restarts the timeouts of all permits.
     Resume,
     /// Returns updated units to the plan's previous label, and ends a halt.
     RollBack,
-    /// Marks the rollout as finished without updating the remaining units, and ends a halt.
+    /// Finishes the rollout without updating the remaining units, and ends a halt.
     End,
-    /// Replaces the agreed zone sizes by the number of units seen now. Missing units no longer count as unavailable.
+    /// Replaces the agreed zone sizes by the given numbers of units that the leader sees. Missing units no longer count
+    /// as unavailable.
     Recount(UnitKind, ZoneSizes),
     /// Records an action that an operator took on a single dispatcher without the fleet's agreement.
     Note(String),
@@ -30,8 +31,8 @@
     pub fn apply_command(&mut self, command: &OperatorCommand) -> Result<(), RolloutError> {
         match command {
             OperatorCommand::Start(rollout) => self.start(rollout),
-            // A halt of a halted state succeeds and is agreed on once more. The halt that was seen before may belong to
-            // a proposal that was never chosen.
+            // A second halt succeeds and is agreed on once more, because the halt in this state may come from a
+            // proposal that was never chosen.
             OperatorCommand::Halt(reason) => self.halt(reason).or(Ok(())),
             OperatorCommand::Resume => self.resume(),
             OperatorCommand::RollBack => self.roll_back(),
@@ -48,7 +49,7 @@
     }
 
     fn start(&mut self, rollout: &Rollout) -> Result<(), RolloutError> {
-        if self.unfinished().is_some() {
+        if self.unfinished_rollout().is_some() {
             return Err(RolloutError::Busy);
         }
         if self.halted.is_some() {
@@ -65,10 +66,11 @@
     }
 
     fn roll_back(&mut self) -> Result<(), RolloutError> {
-        let halted = self.halted.is_some();
+        let is_halted = self.halted.is_some();
         let rollout = self.rollout.as_deref_mut().ok_or(RolloutError::Nothing)?;
-        // A rollback cannot be rolled back, and permanently removed units do not return.
-        if (rollout.rolling_back && !halted) || rollout.plan.permanent {
+        // A rollback cannot be rolled back, but a halted rollback may start again. Permanently removed units do not
+        // return, so their removal cannot be rolled back.
+        if (rollout.rolling_back && !is_halted) || rollout.plan.permanent {
             return Err(RolloutError::Nothing);
         }
         rollout.rolling_back = true;
@@ -82,7 +84,7 @@
     }
 
     fn end(&mut self) -> Result<(), RolloutError> {
-        let rollout = self.unfinished_mut().ok_or(RolloutError::Nothing)?;
+        let rollout = self.unfinished_rollout_mut().ok_or(RolloutError::Nothing)?;
         rollout.finished = true;
         self.halted = None;
         Ok(())
--- a/src/coordination/rollout/permit.rs
+++ b/src/coordination/rollout/permit.rs
@@ -20,7 +20,7 @@
     pub address: Address,
     /// The unit's zone, against whose limit the permit counts.
     pub zone: String,
-    /// The label that the unit must have after its restart. An empty label accepts any.
+    /// The label that the unit must have after its restart. If this label is empty, the unit may have any label.
     pub label: String,
     /// Whether the unit is removed for good instead of restarted.
     pub permanent: bool,
--- a/src/coordination/rollout/plan.rs
+++ b/src/coordination/rollout/plan.rs
@@ -39,7 +39,7 @@
     pub return_timeout_ms: u64,
 }
 
-/// Wave sizes stop growing after this wave. At this number of growth steps a wave exceeds any fleet.
+/// The number of waves after which the wave size stops growing. A wave that has grown this often exceeds any fleet.
 const MAX_GROWTH_STEPS: u32 = 64;
 
 impl RolloutPlan {
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -17,7 +17,8 @@
     pub started_by: Name,
     /// Whether the rollout returns units to the previous label.
     pub rolling_back: bool,
-    /// Whether the rollout has ended.
+    /// Whether the rollout has ended, either with all units updated or by an operator's command. A later rollback
+    /// resets this flag.
     pub finished: bool,
     /// The current wave, counted from 0. A rollback starts again at wave 0.
     pub wave: u32,
@@ -31,11 +32,11 @@
     pub regrant: BTreeSet<Name>,
     /// Units that did not return as planned and need repair by an operator, each with the reason.
     pub abandoned: BTreeMap<Name, String>,
-    /// The number of completed permits.
+    /// The number of this rollout's permits whose units have returned as planned or were removed for good.
     pub completed: u32,
 }
 
-/// Permits, the rollout, and the agreed size of each zone. A part of the replicated state.
+/// Permits, the current rollout, and the agreed number of units in each zone. A part of the replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DisruptionState {
     /// The number of permits ever granted. The next permit gets the following number.
@@ -46,7 +47,8 @@
     pub rollout: Option<Box<Rollout>>,
     /// The reason for the current halt. None while permits are not halted.
     pub halted: Option<String>,
-    /// How often an operator has resumed or rolled back. Each increase restarts the timeouts of all permits.
+    /// How often operators have ended a halt with a resume command, or started a rollback. Each increase restarts the
+    /// timeouts of all permits.
     pub resume_count: u64,
     /// The agreed number of dispatchers in each zone. The number rises when more dispatchers are seen. Only an
     /// operator's command lowers the number, because a missing dispatcher may have failed.
@@ -72,9 +74,10 @@
     NoRoom,
 }
 
-/// The maximum number of granted permits. At about 80 bytes per permit, this limits the size of the replicated state.
+/// The maximum number of granted permits at a time. A permit takes about 80 bytes, so this limit keeps the replicated
+/// state small.
 pub const MAX_PERMITS: usize = 256;
-/// The maximum number of abandoned units that a rollout lists by name.
+/// The maximum number of abandoned units that a rollout lists by name. The rollout halts instead of exceeding it.
 pub const MAX_ABANDONED: usize = 64;
 /// The maximum number of stored notes. A further note replaces the oldest.
 pub const MAX_NOTES: usize = 8;
@@ -104,25 +107,25 @@
         }
     }
 
-    /// The current rollout, also while halted. None once the rollout is finished.
-    pub fn unfinished(&self) -> Option<&Rollout> {
+    /// The current rollout, even while permits are halted. None if there is no rollout or the rollout is finished.
+    pub fn unfinished_rollout(&self) -> Option<&Rollout> {
         self.rollout.as_deref().filter(|rollout| !rollout.finished)
     }
 
-    pub(super) fn unfinished_mut(&mut self) -> Option<&mut Rollout> {
+    pub(super) fn unfinished_rollout_mut(&mut self) -> Option<&mut Rollout> {
         self.rollout
             .as_deref_mut()
             .filter(|rollout| !rollout.finished)
     }
 
-    /// The current rollout. None if the rollout is finished or halted.
-    pub fn running(&self) -> Option<&Rollout> {
-        self.unfinished().filter(|_| self.halted.is_none())
+    /// The current rollout. None if there is no rollout, the rollout is finished or permits are halted.
+    pub fn running_rollout(&self) -> Option<&Rollout> {
+        self.unfinished_rollout().filter(|_| self.halted.is_none())
     }
 
     /// Whether there is a granted permit or an unfinished rollout.
     pub fn is_active(&self) -> bool {
-        !self.permits.is_empty() || self.unfinished().is_some()
+        !self.permits.is_empty() || self.unfinished_rollout().is_some()
     }
 
     /// The granted permit of a unit. None if the unit has no permit.
--- a/src/coordination/rollout/steps.rs
+++ b/src/coordination/rollout/steps.rs
@@ -24,11 +24,11 @@
     Abandon(PermitId, String),
     /// Begins the next wave.
     NextWave,
-    /// Marks the rollout as finished.
+    /// Marks the rollout as finished. Does not apply while the rollout has granted permits.
     Finish,
-    /// Stops the granting of permits until an operator resumes. Carries the reason.
+    /// Stops the granting of permits until an operator ends the halt. Carries the reason.
     Halt(String),
-    /// Raises the agreed zone sizes to the number of units seen.
+    /// Raises the agreed zone sizes to the numbers of units that the leader sees. Never lowers a size.
     RecordSizes(UnitKind, ZoneSizes),
 }
 
@@ -80,12 +80,13 @@
         Ok(())
     }
 
-    /// Counts all permits against the limits of the fleet and of the zone, by the agreed zone sizes.
+    /// Checks that all permits together stay within the limits of the fleet and of the zone, for the agreed zone sizes.
     ///
-    /// A membership leader with a stale view could otherwise grant more planned permits in a zone than its limit.
+    /// The check uses the replicated state only. Without it, a membership leader with a stale view could grant more
+    /// planned permits in a zone than the zone's limit.
     fn check_budget(&self, permit: &DisruptionPermit) -> Result<(), RolloutError> {
         let rollout = self
-            .unfinished()
+            .unfinished_rollout()
             .filter(|rollout| rollout.plan.unit_kind == permit.unit_kind)
             .ok_or(RolloutError::Stopped)?;
         let skips_check = is_injected(InjectedFault::BackUnbound)
@@ -142,7 +143,7 @@
     }
 
     fn apply_revocation(&mut self, permit: DisruptionPermit) {
-        let Some(rollout) = self.unfinished_mut().filter(|_| permit.planned) else {
+        let Some(rollout) = self.unfinished_rollout_mut().filter(|_| permit.planned) else {
             return;
         };
         rollout.granted_in_wave = rollout.granted_in_wave.saturating_sub(1);
@@ -153,7 +154,7 @@
 
     fn reissue(&mut self, id: PermitId, permit: &DisruptionPermit) -> Result<(), RolloutError> {
         let rolling_back = self
-            .unfinished()
+            .unfinished_rollout()
             .is_some_and(|rollout| rollout.rolling_back);
         let halted = self.halted.is_some();
         let reissued = self.permits.get_mut(&id).ok_or(RolloutError::Nothing)?;
@@ -175,7 +176,7 @@
     }
 
     fn next_wave(&mut self) -> Result<(), RolloutError> {
-        let rollout = self.unfinished_mut().ok_or(RolloutError::Stopped)?;
+        let rollout = self.unfinished_rollout_mut().ok_or(RolloutError::Stopped)?;
         rollout.wave += 1;
         rollout.granted_in_wave = 0;
         Ok(())
@@ -184,7 +185,7 @@
     fn finish(&mut self) -> Result<(), RolloutError> {
         let has_planned_permits = self.permits.values().any(|permit| permit.planned);
         let rollout = self
-            .unfinished_mut()
+            .unfinished_rollout_mut()
             .filter(|_| !has_planned_permits)
             .ok_or(RolloutError::Stopped)?;
         rollout.finished = true;
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Moves the zone's progress to this engine. During a rollback, moves the progress to just before this engine.
+    /// Moves the zone's progress to the engine that gets the permit, or during a rollback to just before that engine.
     fn record_zone_progress(&mut self, permit: &DisruptionPermit) {
         let key = order_key(&permit.unit);
         let progress = match self.rolling_back {
--- a/src/coordination/rollout_analysis/analysis.rs
+++ b/src/coordination/rollout_analysis/analysis.rs
@@ -16,14 +16,15 @@
 /// The number of consecutive slices that must show worse outcomes of the updated units before the rollout halts.
 const MIN_CONSECUTIVE_WORSE_SLICES: u32 = 3;
 
-/// The state of a unit at the beginning of the current slice.
+/// A unit's process and its outcome counts at the beginning of the current slice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Baseline {
     incarnation: Incarnation,
     outcomes: OutcomeCounts,
 }
 
-/// Observations of a rollout. The controller starts with an empty analysis whenever an operator resumes.
+/// Outcomes and restarts that were observed during a rollout. The controller starts an empty analysis whenever an
+/// operator ends a halt.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutAnalysis {
     baselines: BTreeMap<Name, Baseline>,
@@ -36,7 +37,7 @@
 }
 
 impl RolloutAnalysis {
-    /// Takes a sample of all units at `now`, in milliseconds.
+    /// Adds a sample of all units, taken at `now` in milliseconds.
     ///
     /// Returns the reason to halt the rollout if the updated units perform worse than the other units, else none.
     /// `updated` names the units that run the new version. `has_permit` tells which units are expected to restart and
--- a/src/coordination/rollout_analysis/comparison.rs
+++ b/src/coordination/rollout_analysis/comparison.rs
@@ -62,7 +62,8 @@
 }
 
 impl StratifiedComparison {
-    /// Adds a slice. A slice in which either group had no requests is ignored.
+    /// Adds a slice. A slice in which either group had no requests is ignored, because it shows nothing about the
+    /// difference between the groups.
     pub fn add_slice(&mut self, updated: GroupOutcomes, others: GroupOutcomes) {
         if updated.requests == 0 || others.requests == 0 {
             return;
@@ -80,8 +81,8 @@
         self.others.add(others);
     }
 
-    /// Whether the updated units have significantly more harmed requests than expected. `other_shares` holds the share
-    /// of harmed requests of each unit that is not updated, from 0 to 1.
+    /// Whether the updated units have significantly more harmed requests than expected. `other_shares` lists, for each
+    /// unit that is not updated, the share of harmed requests among its requests, from 0 to 1.
     pub fn is_worse(&self, other_shares: &[f64]) -> bool {
         let StratifiedComparison {
             updated,
--- a/src/coordination/rollout_analysis/restarts.rs
+++ b/src/coordination/rollout_analysis/restarts.rs
@@ -6,7 +6,8 @@
 
 /// The minimum number of restarts at the updated units. The comparison reports no difference with fewer.
 const MIN_RESTARTS: u32 = 2;
-/// The mean number of restarts of an updated unit must exceed this multiple of the mean of the other units.
+/// The updated units restart too often if their mean number of restarts exceeds the mean of the other units by more
+/// than this factor.
 const MIN_RESTART_RATIO: f64 = 3.0;
 
 /// The size of a group of units and their total number of restarts.
@@ -30,7 +31,7 @@
 }
 
 impl RestartComparison {
-    /// Takes a sample of all units. Returns the reason to halt the rollout if the updated units restart more often than
+    /// Adds a sample of all units. Returns the reason to halt the rollout if the updated units restart more often than
     /// the other units, else none. Restarts of units for which `has_permit` is true are planned and not counted.
     pub fn observe(
         &mut self,
@@ -45,7 +46,7 @@
                 self.incarnations.remove(&unit.name);
                 continue;
             }
-            let restarts = self.restarts_of(unit);
+            let restarts = self.update_restarts(unit);
             let group = match updated.contains(&unit.name) {
                 true => &mut updated_group,
                 false => &mut other_group,
@@ -64,7 +65,8 @@
         })
     }
 
-    fn restarts_of(&mut self, unit: &Unit) -> u32 {
+    /// Records whether the unit has restarted since the previous sample, and returns its number of restarts so far.
+    fn update_restarts(&mut self, unit: &Unit) -> u32 {
         let previous = self
             .incarnations
             .insert(unit.name.clone(), unit.incarnation);
--- a/src/coordination/rollout_controller/candidates.rs
+++ b/src/coordination/rollout_controller/candidates.rs
@@ -1,4 +1,4 @@
-//! The units that a rollout has not updated yet, and the units that it has updated.
+//! Selects the units that a rollout updates next, and the units that it has updated.
 
 use super::inputs::ControllerInputs;
 use crate::coordination::disruption_budget::{ServiceStatus, Unit, UnitKind};
@@ -39,7 +39,7 @@
                 }
                 continue;
             }
-            // An engine that is no longer listed returns under a new name.
+            // An engine that is no longer listed returns under a new name, so the rollout does not wait for it.
             if updates_engines && unit.status == ServiceStatus::OutOfService {
                 continue;
             }
@@ -67,12 +67,12 @@
         .collect();
     units.sort_by_key(|unit| {
         let key = order_key(&unit.name);
-        let is_me = unit.name == *inputs.me && plan.unit_kind == UnitKind::Dispatchers;
+        let is_own_dispatcher = unit.name == *inputs.me && plan.unit_kind == UnitKind::Dispatchers;
         let position = match rollout.rolling_back {
             true => u64::MAX - key,
             false => key,
         };
-        (is_me, position)
+        (is_own_dispatcher, position)
     });
     units
 }
--- a/src/coordination/rollout_controller/controller.rs
+++ b/src/coordination/rollout_controller/controller.rs
@@ -18,11 +18,13 @@
 /// The maximum number of permits granted in one step.
 const MAX_PERMITS_PER_STEP: usize = 64;
 
-/// The state of the membership leader that is not replicated: timers, and observations of permits and outcomes.
+/// The rollout state that the membership leader keeps for itself and does not replicate: timers, and observations of
+/// permits and outcomes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutController {
-    permits: PermitTracker,
-    resume_count: Option<u64>,
+    permit_tracker: PermitTracker,
+    /// The replicated resume count at the previous step. None before the first step.
+    previous_resume_count: Option<u64>,
     /// The wave at the previous step, and whether that wave was part of a rollback.
     observed_wave: Option<(u32, bool)>,
     /// When the last permit of the wave ended. None while the wave has unfinished permits.
@@ -53,14 +55,16 @@
         }
     }
 
-    /// Records a unit's reply whether it has begun to drain. A unit that replies `false` will not begin.
+    /// Records a unit's reply to a revocation request: whether the unit has begun to drain on the permit. A unit that
+    /// has not begun will not begin any more.
     pub fn record_revocation_reply(&mut self, permit: PermitId, begun: bool) {
-        self.permits.record_revocation_reply(permit, begun);
+        self.permit_tracker.record_revocation_reply(permit, begun);
     }
 
-    /// Whether the unit has confirmed that it will not drain. Its permit must not be sent again.
+    /// Whether the permit's unit has confirmed that it will not drain. The leader must not send the notice of such a
+    /// permit again.
     pub fn is_revoked(&self, permit: PermitId) -> bool {
-        self.permits.is_revoked(permit)
+        self.permit_tracker.is_revoked(permit)
     }
 
     /// Returns the next step to propose, or none if no change is due. Updates `to_notify`, `to_revoke` and
@@ -68,7 +72,7 @@
     pub fn next_step(&mut self, inputs: &ControllerInputs<'_>) -> Option<RolloutStep> {
         let disruptions = inputs.disruptions;
         self.blocked_reason = None;
-        self.permits.retain(disruptions);
+        self.permit_tracker.retain_granted(disruptions);
         self.reset_on_resume(inputs);
         if let Some(step) = self.permit_step(inputs) {
             return Some(step);
@@ -80,29 +84,29 @@
             self.blocked_reason.clone_from(&disruptions.halted);
             return None;
         }
-        if let Some(rollout) = disruptions.running() {
+        if let Some(rollout) = disruptions.running_rollout() {
             if let Some(step) = self.rollout_step(inputs, rollout) {
                 return Some(step);
             }
         }
-        self.request_step(inputs)
+        self.requested_permits_step(inputs)
     }
 
     fn reset_on_resume(&mut self, inputs: &ControllerInputs<'_>) {
         let count = inputs.disruptions.resume_count;
-        let previous = self.resume_count.replace(count);
+        let previous = self.previous_resume_count.replace(count);
         if previous.is_some_and(|previous| previous != count) {
-            self.permits.resume(inputs.now);
+            self.permit_tracker.restart_timers(inputs.now);
             self.budget_exceeded_since = None;
             self.analysis = RolloutAnalysis::default();
         }
     }
 
     fn permit_step(&mut self, inputs: &ControllerInputs<'_>) -> Option<RolloutStep> {
-        let rollout = inputs.disruptions.unfinished();
-        let counts =
-            rollout.map(|rollout| self.count(inputs, rollout.plan.unit_kind, &rollout.budget));
-        let decisions = self.permits.decide(inputs, counts);
+        let rollout = inputs.disruptions.unfinished_rollout();
+        let counts = rollout
+            .map(|rollout| self.unit_counts(inputs, rollout.plan.unit_kind, &rollout.budget));
+        let decisions = self.permit_tracker.decide(inputs, counts);
         self.to_notify = decisions.notify;
         self.to_revoke = decisions.ask_revocation;
         decisions.step
@@ -113,7 +117,7 @@
         inputs: &ControllerInputs<'_>,
         rollout: &Rollout,
     ) -> Option<RolloutStep> {
-        let mut counts = self.count(inputs, rollout.plan.unit_kind, &rollout.budget);
+        let mut counts = self.unit_counts(inputs, rollout.plan.unit_kind, &rollout.budget);
         self.observe_wave(rollout);
         let halt_reason = self
             .harm_halt_reason(inputs, rollout)
@@ -122,8 +126,8 @@
             return Some(RolloutStep::Halt(reason));
         }
         let candidates = Candidates::collect(inputs, rollout, &self.forgotten_permits);
-        let planned = planned_permits(inputs.disruptions);
-        let is_idle = candidates.units.is_empty() && planned == 0;
+        let planned_count = count_planned_permits(inputs.disruptions);
+        let is_idle = candidates.units.is_empty() && planned_count == 0;
         if is_idle && candidates.waiting_for.is_none() {
             return self.finish_step(inputs, rollout, &counts);
         }
@@ -135,7 +139,7 @@
             }
         };
         if left_in_wave == 0 && !candidates.units.is_empty() {
-            return self.wave_step(inputs.now, rollout, planned);
+            return self.wave_step(inputs.now, rollout, planned_count);
         }
         let max_permits = (left_in_wave as usize)
             .min(MAX_PERMITS_PER_STEP)
@@ -145,7 +149,10 @@
         if !grants.permits.is_empty() {
             return Some(RolloutStep::Grant(grants.permits));
         }
-        let unfinished_permits = || (planned > 0).then(|| format!("{planned} turns are not over"));
+        let unfinished_permits = || {
+            (planned_count > 0)
+                .then(|| format!("{planned_count} granted permits are not completed yet"))
+        };
         self.blocked_reason = grants
             .forbidden_by
             .map(|violation| violation.to_string())
@@ -154,6 +161,7 @@
         None
     }
 
+    /// Resets the wave's timer when a new wave or a rollback has begun.
     fn observe_wave(&mut self, rollout: &Rollout) {
         let wave = Some((rollout.wave, rollout.rolling_back));
         if self.observed_wave != wave {
@@ -195,7 +203,7 @@
         rollout: &Rollout,
         counts: &UnitCounts,
     ) -> Option<String> {
-        let violation = counts.exceeded(&rollout.budget);
+        let violation = counts.exceeded_limit(&rollout.budget);
         let Some(violation) = violation.filter(|_| inputs.view.complete) else {
             self.budget_exceeded_since = None;
             return None;
@@ -206,7 +214,8 @@
             .then(|| format!("more are out than may be: {violation}"))
     }
 
-    /// Finishes the rollout when all seen units are updated and nothing else is outstanding.
+    /// Finishes the rollout, in which all seen units are updated, once the view is complete and no permit for a unit of
+    /// this kind is granted.
     ///
     /// Missing dispatchers delay the end, because a missing dispatcher may not be updated. Missing engines do not,
     /// because a missing engine returns under a new name.
@@ -220,45 +229,53 @@
         let mut permits = inputs.disruptions.permits.values();
         let has_unplanned_permits = permits.any(|permit| permit.unit_kind == unit_kind);
         self.blocked_reason = if !inputs.view.complete {
-            Some("the roll is not whole yet".to_owned())
+            Some("the membership leader has not heard from all dispatchers yet".to_owned())
         } else if has_unplanned_permits {
-            Some("turns beside the release are not over".to_owned())
+            Some("permits outside of the release are not completed yet".to_owned())
         } else if unit_kind == UnitKind::Engines {
             None
         } else {
-            counts.missing_units(inputs.view.units(unit_kind))
+            counts.missing_units_message(inputs.view.units(unit_kind))
         };
         let is_finished = self.blocked_reason.is_none();
         is_finished.then_some(RolloutStep::Finish)
     }
 
     /// Begins the next wave after all permits of the current wave are over and the observation time has passed.
-    fn wave_step(&mut self, now: Ms, rollout: &Rollout, planned: usize) -> Option<RolloutStep> {
+    fn wave_step(
+        &mut self,
+        now: Ms,
+        rollout: &Rollout,
+        planned_count: usize,
+    ) -> Option<RolloutStep> {
         let wave = rollout.wave + 1;
-        if planned > 0 {
-            self.blocked_reason = Some(format!("wave {wave} is not over"));
+        if planned_count > 0 {
+            self.blocked_reason = Some(format!("the permits of wave {wave} are not completed yet"));
             return None;
         }
         let since = *self.wave_finished_at.get_or_insert(now);
         if now - since >= rollout.plan.observe_ms as f64 {
             return Some(RolloutStep::NextWave);
         }
-        self.blocked_reason = Some(format!("wave {wave} is watched"));
+        self.blocked_reason = Some(format!(
+            "the outcomes of wave {wave} are observed before the next wave begins"
+        ));
         None
     }
 
-    /// Grants permits that dispatchers requested outside of a rollout.
-    fn request_step(&mut self, inputs: &ControllerInputs<'_>) -> Option<RolloutStep> {
+    /// Grants permits that dispatchers requested outside of a rollout. None if there is no request that the budget
+    /// allows.
+    fn requested_permits_step(&mut self, inputs: &ControllerInputs<'_>) -> Option<RolloutStep> {
         let is_full = inputs.disruptions.permits.len() >= MAX_PERMITS;
         if inputs.requests.is_empty() || !inputs.view.complete || is_full {
             return None;
         }
         let rollout = inputs
             .disruptions
-            .unfinished()
+            .unfinished_rollout()
             .filter(|rollout| rollout.plan.unit_kind == UnitKind::Dispatchers);
         let budget = rollout.map_or(inputs.request_budget, |rollout| &rollout.budget);
-        let mut counts = self.count(inputs, UnitKind::Dispatchers, budget);
+        let mut counts = self.unit_counts(inputs, UnitKind::Dispatchers, budget);
         let grants = Grants::to_requests(&mut counts, inputs, budget);
         if self.blocked_reason.is_none() {
             self.blocked_reason = grants.forbidden_by.map(|violation| violation.to_string());
@@ -285,7 +302,7 @@
         .unavailable_counts(budget)
     }
 
-    fn count(
+    fn unit_counts(
         &self,
         inputs: &ControllerInputs<'_>,
         unit_kind: UnitKind,
@@ -297,7 +314,7 @@
     }
 }
 
-fn planned_permits(disruptions: &DisruptionState) -> usize {
+fn count_planned_permits(disruptions: &DisruptionState) -> usize {
     let permits = disruptions.permits.values();
     permits.filter(|permit| permit.planned).count()
 }
--- a/src/coordination/rollout_controller/granting.rs
+++ b/src/coordination/rollout_controller/granting.rs
@@ -8,7 +8,8 @@
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::rollout::{DisruptionPermit, Rollout};
 
-/// Permits to grant in one step, and the limit that the first rejected unit would exceed.
+/// The result of checking units for permits: the permits to grant in one step, and why the first rejected unit gets
+/// none.
 #[derive(Debug, Default)]
 pub(super) struct Grants {
     /// The permits to propose.
@@ -37,7 +38,7 @@
             if grants.permits.len() >= max_permits {
                 break;
             }
-            // A unit that is already unavailable does not change the use of the budget.
+            // A permit for a unit that is already unavailable uses up none of the budget.
             let is_checked = unit.status == ServiceStatus::InService && !skips_check;
             if is_checked && !grants.is_allowed(unit, counts, inputs, &rollout.budget) {
                 continue;
@@ -46,13 +47,13 @@
             grants.permits.push(DisruptionPermit {
                 permanent: plan.permanent,
                 planned: true,
-                ..permit_for(unit, plan.unit_kind, label)
+                ..unplanned_permit(unit, plan.unit_kind, label)
             });
         }
         grants
     }
 
-    /// Grants permits to dispatchers that requested them, in the order of the requests, which is by name.
+    /// Grants permits to dispatchers that requested them, in the order of the requests, which are sorted by name.
     pub fn to_requests(
         counts: &mut UnitCounts,
         inputs: &ControllerInputs<'_>,
@@ -75,7 +76,7 @@
                 continue;
             }
             counts.mark_unavailable(unit);
-            let permit = permit_for(unit, UnitKind::Dispatchers, &request.label);
+            let permit = unplanned_permit(unit, UnitKind::Dispatchers, &request.label);
             grants.permits.push(permit);
         }
         grants
@@ -102,8 +103,8 @@
     }
 }
 
-/// A permit for a unit that restarts, not counted as part of a rollout.
-fn permit_for(unit: &Unit, unit_kind: UnitKind, label: &str) -> DisruptionPermit {
+/// A permit for a unit that restarts outside of a rollout.
+fn unplanned_permit(unit: &Unit, unit_kind: UnitKind, label: &str) -> DisruptionPermit {
     DisruptionPermit {
         unit_kind,
         unit: unit.name.clone(),
--- a/src/coordination/rollout_controller/inputs.rs
+++ b/src/coordination/rollout_controller/inputs.rs
@@ -33,16 +33,17 @@
 pub struct PermitRequest {
     /// The name of the dispatcher that requests the permit.
     pub name: Name,
-    /// The label that the dispatcher will have after its restart. An empty label accepts any.
+    /// The label that the dispatcher will have after its restart. If this label is empty, the
+    /// dispatcher may have any label.
     pub label: String,
 }
 
-/// Everything besides the controller's own timers that the next step depends on.
+/// The inputs of one controller run. The next step depends on these inputs and on the controller's own state.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerInputs<'a> {
     /// The current time of the leader's clock, in milliseconds.
     pub now: Ms,
-    /// The agreed permits, rollout and zone sizes.
+    /// The permits, the rollout and the zone sizes that the fleet has agreed on.
     pub disruptions: &'a DisruptionState,
     /// The units that the leader sees now.
     pub view: &'a FleetView,
@@ -50,7 +51,7 @@
     pub me: &'a Name,
     /// The names of the current voters.
     pub voters: &'a BTreeSet<Name>,
-    /// Unexpired requests of dispatchers for permits of their own.
+    /// Requests of dispatchers for permits outside of a rollout, without expired requests.
     pub requests: &'a [PermitRequest],
     /// The budget that applies to `requests` while no rollout of dispatchers is unfinished.
     pub request_budget: &'a DisruptionBudget,
--- a/src/coordination/rollout_controller/notice.rs
+++ b/src/coordination/rollout_controller/notice.rs
@@ -1,4 +1,4 @@
-//! The notice by which a unit learns of its permit, and the notice's encoding.
+//! The notice that tells a unit of its permit, and the encoding of the notice.
 
 use crate::coordination::disruption_budget::UnitKind;
 use crate::coordination::rollout::{DisruptionPermit, PermitId};
@@ -18,14 +18,14 @@
     pub unit: Name,
     /// The process that may drain. A later process of the unit must not drain on this notice.
     pub incarnation: Incarnation,
-    /// The label that the unit must have after its restart. An empty label accepts any.
+    /// The label that the unit must have after its restart. If this label is empty, the unit may have any label.
     pub label: String,
     /// Whether the unit is removed for good instead of restarted.
     pub permanent: bool,
 }
 
 impl PermitNotice {
-    /// Builds the notice with the fields that the unit needs of its permit.
+    /// Copies the fields of the permit that the unit needs into a notice.
     pub fn new(id: PermitId, permit: &DisruptionPermit) -> Self {
         PermitNotice {
             permit: id,
@@ -37,16 +37,15 @@
         }
     }
 
-    /// Encodes the notice as the body of a command, one field per line. The label is the last field, because an empty
-    /// label makes an empty line.
+    /// Encodes the notice as the body of a command, one field per line. The label comes last because it may be empty.
     pub fn write(&self) -> Vec<u8> {
-        let kind = match self.unit_kind {
+        let unit_kind = match self.unit_kind {
             UnitKind::Engines => "host",
             UnitKind::Dispatchers => "dispatcher",
         };
         let permanence = if self.permanent { "stays" } else { "returns" };
         format!(
-            "turn\n{}\n{kind}\n{}\n{}\n{permanence}\n{}",
+            "turn\n{}\n{unit_kind}\n{}\n{}\n{permanence}\n{}",
             self.permit.0, self.unit.0, self.incarnation.0, self.label
         )
         .into_bytes()
@@ -81,8 +80,8 @@
     }
 }
 
-/// The address that a permit's notice is sent to: the dispatcher, or for an engine the discovery registry. None for an
-/// engine if `registry` is none.
+/// The address to which a permit's notice is sent: the address of the dispatcher, or for an engine that of the
+/// discovery registry. None for an engine if the fleet has no registry.
 pub fn notice_address<'a>(
     permit: &'a DisruptionPermit,
     registry: Option<&'a Address>,
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -30,20 +30,21 @@
     settle: 2_000.0,
 };
 
-/// The number of restarts under the wrong label that a unit may make on permits of a rollback. One more restart under
-/// the wrong label abandons the unit, which an operator then has to repair.
-const MAX_WRONG_VERSIONS: u32 = 3;
+/// How often a unit may restart under the wrong label during a rollback. After one more such restart the unit is
+/// abandoned, and an operator has to repair it.
+const MAX_WRONG_VERSION_RESTARTS: u32 = 3;
 
 /// This leader's observations of one permit.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Observation {
-    /// When this leader first saw the permit, or when an operator last resumed.
+    /// When this leader first saw the permit, or when an operator last ended a halt.
     first_seen_at: Ms,
     /// The current stage, and when the permit entered the stage.
     stage_since: Option<(PermitStage, Ms)>,
     /// Whether the unit has confirmed that it has not begun to drain and will not.
     revoked: bool,
-    /// Whether an operator resumed after the permit was granted. The operator has then accepted the unit's condition.
+    /// Whether an operator has ended a halt since the permit was granted, and has thereby accepted the unit's
+    /// condition.
     accepted_by_operator: bool,
 }
 
@@ -65,13 +66,13 @@
     AskRevocation,
     /// The unit has returned, or has been removed for good.
     Complete,
-    /// The unit will not begin draining, or the permit no longer serves a purpose.
+    /// The unit will not begin draining, or the permit is no longer needed.
     Revoke,
     /// Proposes the step at once, before the remaining permits are examined.
     Step(RolloutStep),
 }
 
-/// A permit together with everything that the decision about the permit depends on.
+/// A permit and the observations on which the decision about the permit depends.
 struct PermitCase<'a> {
     id: PermitId,
     permit: &'a DisruptionPermit,
@@ -89,25 +90,26 @@
     accepted_by_operator: bool,
 }
 
-/// Timers of permits, and the replies of units to revocations.
+/// Timers of permits, and the replies of units to revocation requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct PermitTracker {
     observations: BTreeMap<PermitId, Observation>,
     /// How often each unit restarted under the new label during a rollback.
-    wrong_versions: BTreeMap<Name, u32>,
+    wrong_version_restarts: BTreeMap<Name, u32>,
 }
 
 impl PermitTracker {
-    /// Discards the observations of permits that are no longer granted.
-    pub fn retain(&mut self, disruptions: &DisruptionState) {
+    /// Discards the observations of permits that have been completed, revoked or abandoned.
+    pub fn retain_granted(&mut self, disruptions: &DisruptionState) {
         self.observations
             .retain(|id, _| disruptions.permits.contains_key(id));
     }
 
-    /// Restarts all timers after an operator resumed, and marks the current condition of all permits as accepted.
+    /// Restarts all timers after an operator has ended a halt, and marks the current condition of all units with
+    /// permits as accepted.
     ///
-    /// Otherwise the rollout would halt again at once for a condition that the operator has just seen.
-    pub fn resume(&mut self, now: Ms) {
+    /// Otherwise the rollout would halt again at once because of a condition that the operator has just seen.
+    pub fn restart_timers(&mut self, now: Ms) {
         for observation in self.observations.values_mut() {
             *observation = Observation {
                 first_seen_at: now,
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Records a unit's reply whether it has begun to drain. A unit that replies `false` will not begin.
+    /// Records a unit's reply to a revocation request: whether the unit has begun to drain on the permit. A unit that
+    /// has not begun will not begin any more.
     pub fn record_revocation_reply(&mut self, id: PermitId, begun: bool) {
         if let Some(observation) = self.observations.get_mut(&id).filter(|_| !begun) {
             observation.revoked = true;
@@ -182,7 +185,7 @@
         {
             observation.stage_since = Some((stage, now));
         }
-        let rollout = inputs.disruptions.unfinished();
+        let rollout = inputs.disruptions.unfinished_rollout();
         let plan = rollout
             .filter(|_| permit.planned)
             .map(|rollout| &rollout.plan);
@@ -213,26 +216,26 @@
     ) -> Decision {
         let is_rolling_back = case.is_in_rollback() && !case.is_halted();
         match case.stage {
-            PermitStage::Returned => case.returned(view_complete),
-            PermitStage::Granted => case.granted(counts),
+            PermitStage::Returned => case.decide_returned(view_complete),
+            PermitStage::Granted => case.decide_granted(counts),
             PermitStage::WrongVersion if is_rolling_back && case.has_settled() => {
-                self.wrong_version_in_rollback(case)
+                self.decide_wrong_version_in_rollback(case)
             }
-            PermitStage::Starting if is_rolling_back => case.starting_in_rollback(),
-            PermitStage::WrongVersion => case.wrong_version(),
-            PermitStage::Starting | PermitStage::Draining => case.check_restart_timeout(),
+            PermitStage::Starting if is_rolling_back => case.decide_starting_in_rollback(),
+            PermitStage::WrongVersion => case.decide_wrong_version(),
+            PermitStage::Starting | PermitStage::Draining => case.decide_by_restart_timeout(),
         }
     }
 
     /// Handles a unit that is in service under the wrong label during a rollback. The permit is revoked, and the unit
     /// waits for its next permit within the budget like any other unit.
-    fn wrong_version_in_rollback(&mut self, case: &PermitCase<'_>) -> Decision {
+    fn decide_wrong_version_in_rollback(&mut self, case: &PermitCase<'_>) -> Decision {
         let wrong_restarts = self
-            .wrong_versions
+            .wrong_version_restarts
             .entry(case.permit.unit.clone())
             .or_default();
         *wrong_restarts += u32::from(!case.is_outdated_by_rollback());
-        if *wrong_restarts > MAX_WRONG_VERSIONS {
+        if *wrong_restarts > MAX_WRONG_VERSION_RESTARTS {
             return case.abandon(format!("stays under {}", case.unit_label()));
         }
         Decision::Revoke
@@ -269,7 +272,7 @@
 
     /// Completes the permit once the unit has settled. A permanently removed unit must also be absent from a complete
     /// view, because a new leader may not have seen the unit yet.
-    fn returned(&self, view_complete: bool) -> Decision {
+    fn decide_returned(&self, view_complete: bool) -> Decision {
         let may_still_exist = self.permit.permanent && !view_complete;
         match self.has_settled() && !may_still_exist {
             true => Decision::Complete,
@@ -277,7 +280,7 @@
         }
     }
 
-    fn granted(&self, counts: Option<&mut UnitCounts>) -> Decision {
+    fn decide_granted(&self, counts: Option<&mut UnitCounts>) -> Decision {
         if self.revoked {
             return Decision::Revoke;
         }
@@ -290,7 +293,7 @@
         }
     }
 
-    /// Whether failures or a higher load since the permit was granted have used up the budget that the permit needs.
+    /// Whether failures, or a higher load, have used up the budget for this permit since the permit was granted.
     ///
     /// The unit is then not notified, or not notified again. Otherwise more units could become unavailable than the
     /// budget allows.
@@ -304,7 +307,7 @@
 
     /// During a rollback, reissues the permit for the unit's current process if the unit is starting under the new
     /// version. The reissue needs no check of the budget, because the unit is already unavailable.
-    fn starting_in_rollback(&self) -> Decision {
+    fn decide_starting_in_rollback(&self) -> Decision {
         if let (Some(unit), Some(rollout), true) =
             (self.unit, self.rollout, self.is_outdated_by_rollback())
         {
@@ -322,7 +325,7 @@
         }
     }
 
-    fn wrong_version(&self) -> Decision {
+    fn decide_wrong_version(&self) -> Decision {
         if self.accepted_by_operator || !self.permit.planned {
             return Decision::Revoke;
         }
@@ -334,10 +337,10 @@
                 self.permit.label
             )));
         }
-        self.check_restart_timeout()
+        self.decide_by_restart_timeout()
     }
 
-    fn check_restart_timeout(&self) -> Decision {
+    fn decide_by_restart_timeout(&self) -> Decision {
         if !self.is_past_restart_timeout() || self.is_halted() || !self.permit.planned {
             return Decision::Wait;
         }
@@ -354,7 +357,7 @@
         )))
     }
 
-    /// Lists the unit as abandoned, for repair by an operator. Halts the rollout instead if the list is full.
+    /// Lists the unit as abandoned, so that an operator repairs it. Halts the rollout instead if the list is full.
     fn abandon(&self, reason: String) -> Decision {
         let is_full = self
             .disruptions
--- a/src/coordination/rollout_controller/stage.rs
+++ b/src/coordination/rollout_controller/stage.rs
@@ -1,10 +1,10 @@
-//! The progress of a unit from its permit to its return.
+//! The stages through which a unit passes from the grant of its permit to its return or removal.
 
 use crate::coordination::disruption_budget::{ServiceStatus, Unit, UnitKind};
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::rollout::DisruptionPermit;
 
-/// The progress of a unit with a permit, as the membership leader sees the unit.
+/// How far a unit with a permit has come in its restart or removal, as the membership leader sees the unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitStage {
     /// The process that holds the permit is up and not draining.
--- a/src/coordination/rollout_controller/unit_counts.rs
+++ b/src/coordination/rollout_controller/unit_counts.rs
@@ -1,4 +1,4 @@
-//! Counts of available units that treat every unit with a permit as unavailable.
+//! Counts of available units. A unit with a permit counts as unavailable.
 
 use super::inputs::ControllerInputs;
 use crate::coordination::disruption_budget::{
@@ -19,7 +19,7 @@
     budget: &DisruptionBudget,
     forgotten: &BTreeSet<PermitId>,
 ) -> UnitCounts {
-    let permitted: BTreeSet<&Name> = disruptions
+    let units_with_permits: BTreeSet<&Name> = disruptions
         .permits
         .iter()
         .filter(|(id, permit)| {
@@ -29,7 +29,7 @@
         })
         .map(|(_, permit)| &permit.unit)
         .collect();
-    let is_disrupted = |unit: &Unit| permitted.contains(&unit.name);
+    let is_disrupted = |unit: &Unit| units_with_permits.contains(&unit.name);
     if is_injected(InjectedFault::FailuresUncounted) {
         let units: Vec<Unit> = units.iter().map(as_in_service).collect();
         return UnitCounts::new(units.iter(), &ZoneSizes::new(), budget, is_disrupted);
@@ -49,7 +49,8 @@
     }
 }
 
-/// Whether the budget would still allow a unit's permit if the permit were granted now.
+/// Whether the budget would allow the permit of a unit if the permit were granted now. `counts` must count the unit as
+/// unavailable. True for a unit that is not in service, which uses up no further budget.
 pub(super) fn is_still_allowed(
     counts: &mut UnitCounts,
     unit: Option<&Unit>,
@@ -64,13 +65,14 @@
     is_allowed
 }
 
-/// Checks that no other voter is unavailable, or about to become unavailable, if the unit is a voter.
+/// Checks that a voter drains only while all other voters are available and none of them has a permit. Units that are
+/// not voters always pass the check. `new_permits` are the permits that this step already grants.
 ///
 /// Without this check a rollout could take the majority of the voters out of service. The fleet could then agree on
 /// nothing, not even on the completion of the permits.
 ///
 /// # Errors
-/// Returns a violation with the number of unavailable voters.
+/// Returns [`Violation::Voters`] if another voter is unavailable or has a permit.
 pub(super) fn check_voters(
     unit: &Unit,
     inputs: &ControllerInputs<'_>,
@@ -86,10 +88,9 @@
         .count();
     match unavailable {
         0 => Ok(()),
-        unavailable => Err(Violation::MinReady {
-            role: "voters",
-            place: format!("{unavailable} of the voters are out"),
-            minimum: inputs.voters.len() as u32,
+        unavailable => Err(Violation::Voters {
+            unavailable: unavailable as u32,
+            voters: inputs.voters.len() as u32,
         }),
     }
 }
