--- a/crates/fleet/src/rollout_codec.rs
+++ b/crates/fleet/src/rollout_codec.rs
@@ -444,7 +444,8 @@
     }))
 }
 
-/// Encodes a revocation request, which asks a unit not to begin draining on a permit and whether it has begun.
+/// Encodes a revocation request, which asks a unit whether it has begun to drain on a permit and forbids it to begin
+/// later.
 pub(crate) fn ask_back_out(
     permit: PermitId,
     unit_kind: UnitKind,
--- a/src/coordination/disruption_budget/budget.rs
+++ b/src/coordination/disruption_budget/budget.rs
@@ -13,7 +13,7 @@
 }
 
 impl MaxUnavailable {
-    /// Allows all units of a group to be unavailable.
+    /// No limit: all units of a group may be unavailable at once.
     pub const ALL: MaxUnavailable = MaxUnavailable {
         count: u32::MAX,
         per_mille: 1000,
@@ -94,11 +94,11 @@
         /// The fleet's limit, as a number of units.
         limit: u32,
     },
-    /// The minimum number of ready engines of a cell is above the minimum of its zone.
+    /// For one role, the minimum number of ready engines per cell is above the minimum per zone.
     CellAboveZone {
         /// The engines' role, as the settings name the role.
         role: &'static str,
-        /// The zone's minimum, as a number of engines.
+        /// The minimum number of ready engines per zone.
         zone_minimum: u32,
     },
     /// The maximum utilization is not between 1 and 1000 thousandths.
--- a/src/coordination/disruption_budget/counts.rs
+++ b/src/coordination/disruption_budget/counts.rs
@@ -6,14 +6,14 @@
 use super::violation::Violation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of unavailable units in the fleet or in a zone, and its limit.
+/// The number of unavailable units in the fleet or in a zone, and how many may be unavailable at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnavailableCount {
     /// The zone's name. Empty for the whole fleet.
     pub zone: String,
-    /// The number of unavailable units.
+    /// The number of units that are not in service or have a permit to drain.
     pub unavailable: u32,
-    /// The maximum number of unavailable units.
+    /// The number of units that may be unavailable at once.
     pub limit: u32,
 }
 
@@ -218,8 +218,8 @@
         Ok(())
     }
 
-    /// Returns the first limit, of the fleet or of a zone, that planned and unplanned disruptions together exceed. None
-    /// if no limit is exceeded.
+    /// Returns the first limit of the fleet or of a zone that is exceeded, whether by failures or by units with
+    /// permits. None if no limit is exceeded.
     pub fn exceeded_limit(&self, budget: &DisruptionBudget) -> Option<Violation> {
         if let Some((unavailable, limit)) = self.fleet.limit_exceeded(budget.fleet) {
             return Some(Violation::Fleet { unavailable, limit });
@@ -280,7 +280,7 @@
         })
     }
 
-    /// The number of unavailable units and its limit, for the fleet first and then for each zone.
+    /// The number of unavailable units and the limit of this number, first for the fleet and then for each zone.
     pub fn unavailable_counts(&self, budget: &DisruptionBudget) -> Vec<UnavailableCount> {
         let unavailable_count =
             |zone: &str, count: &GroupCount, max: MaxUnavailable| UnavailableCount {
@@ -309,11 +309,15 @@
             ));
         }
         let selected: Vec<&Unit> = units.iter().filter(|unit| is_selected(unit)).collect();
-        self.impossible_zone(&selected, budget)
-            .or_else(|| impossible_group(units, &selected, budget))
+        self.impossible_zone_message(&selected, budget)
+            .or_else(|| impossible_group_message(units, &selected, budget))
     }
 
-    fn impossible_zone(&self, selected: &[&Unit], budget: &DisruptionBudget) -> Option<String> {
+    fn impossible_zone_message(
+        &self,
+        selected: &[&Unit],
+        budget: &DisruptionBudget,
+    ) -> Option<String> {
         let zones: BTreeSet<&String> = selected.iter().map(|unit| &unit.zone).collect();
         zones.into_iter().find_map(|zone| {
             let size = self.zones.get(zone).map_or(0, |count| count.size);
@@ -326,7 +330,7 @@
 
 /// A message about the first group of selected engines in which no engine may drain, because all its engines are needed
 /// for the minimum that must stay ready. None if there is no such group.
-fn impossible_group(
+fn impossible_group_message(
     units: &[Unit],
     selected: &[&Unit],
     budget: &DisruptionBudget,
--- a/src/coordination/disruption_budget/groups.rs
+++ b/src/coordination/disruption_budget/groups.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// A scope to which a minimum number of ready engines applies.
+/// Whether a minimum number of ready engines applies to a zone or to a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Scope {
     Zone,
@@ -96,7 +96,7 @@
         ]
     }
 
-    /// All groups that a unit belongs to, over its roles. Empty for a dispatcher.
+    /// The groups of the unit's zone and cell for each role that the unit serves. Empty for a dispatcher.
     pub fn groups_of(unit: &Unit) -> impl Iterator<Item = RoleGroup> + '_ {
         ServedRole::served_by(unit).flat_map(|role| RoleGroup::zone_and_cell_groups(unit, role))
     }
--- a/src/coordination/disruption_budget/violation.rs
+++ b/src/coordination/disruption_budget/violation.rs
@@ -7,36 +7,36 @@
 pub enum Violation {
     /// The fleet already has as many unavailable units as its limit allows.
     Fleet {
-        /// The number of unavailable units.
+        /// The number of the fleet's units that are unavailable or have a permit to drain.
         unavailable: u32,
-        /// The maximum number of unavailable units.
+        /// The number of the fleet's units that may be unavailable at once.
         limit: u32,
     },
     /// The zone already has as many unavailable units as its limit allows.
     Zone {
-        /// The zone's name.
+        /// The name of the zone.
         zone: String,
-        /// The number of unavailable units.
+        /// The number of the zone's units that are unavailable or have a permit to drain.
         unavailable: u32,
-        /// The maximum number of unavailable units.
+        /// The number of the zone's units that may be unavailable at once.
         limit: u32,
     },
     /// The cell already has as many unavailable units as its limit allows.
     Cell {
         /// The zone's name and the cell's name, separated by a slash.
         cell: String,
-        /// The number of unavailable units.
+        /// The number of the cell's units that are unavailable or have a permit to drain.
         unavailable: u32,
-        /// The maximum number of unavailable units.
+        /// The number of the cell's units that may be unavailable at once.
         limit: u32,
     },
     /// The kind already has as many unavailable units as its limit allows.
     Kind {
-        /// The name of the kind.
+        /// The name of the kind of hardware or build.
         kind: String,
-        /// The number of unavailable units.
+        /// The number of the kind's units that are unavailable or have a permit to drain.
         unavailable: u32,
-        /// The maximum number of unavailable units.
+        /// The number of the kind's units that may be unavailable at once.
         limit: u32,
     },
     /// A zone or a cell has no more ready engines of a role than the minimum.
--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -17,33 +17,33 @@
     Status,
     /// Hands a lease over to another dispatcher.
     HandOver {
-        /// The name of the lease.
+        /// The name of the lease, which the queried dispatcher must hold.
         lease_name: LeaseName,
         /// The next holder. None selects the first in the order of succession.
         to: Option<Name>,
     },
     /// Adds a dispatcher to the voters.
     AddVoter {
-        /// The name of the dispatcher.
+        /// The name of the dispatcher that becomes a voter.
         name: Name,
         /// The address of the dispatcher's fleet service. May be none if the dispatcher is a member or a voter.
         address: Option<Address>,
     },
     /// Removes a dispatcher from the voters. Refused if fewer than 3 voters would remain.
     RemoveVoter {
-        /// The name of the dispatcher.
+        /// The name of the dispatcher that is no longer to be a voter.
         name: Name,
     },
     /// Requests a lease for a job. The job repeats the request to keep the lease.
     HoldLease {
-        /// The name of the lease.
+        /// The name of the lease, at most [`LONGEST_NAME`] bytes. The membership lease is refused.
         lease_name: LeaseName,
         /// The job's number, drawn by the job. Distinguishes jobs that request the same lease.
         job: u64,
     },
     /// Releases the lease of a job that has ended.
     LetGo {
-        /// The name of the lease.
+        /// The name of the lease that the job held.
         lease_name: LeaseName,
         /// The number that the job used in its requests to hold the lease.
         job: u64,
@@ -52,7 +52,7 @@
     Rollout(RolloutRequest),
     /// Stops one dispatcher without the fleet's agreement.
     ByHand {
-        /// The name of the dispatcher.
+        /// The name of the dispatcher that drains and stops.
         name: Name,
         /// The address of the dispatcher's fleet service. May be none if the dispatcher is a member or a voter.
         address: Option<Address>,
@@ -64,7 +64,7 @@
 /// An operator's request about rollouts and permits.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RolloutRequest {
-    /// Starts a rollout.
+    /// Starts a rollout. Refused while another rollout is unfinished or permits are halted.
     Start {
         /// The units, waves and timeouts of the rollout.
         plan: Box<RolloutPlan>,
@@ -93,7 +93,7 @@
     },
     /// Requests a permit for a dispatcher. The dispatcher repeats the request until the permit is granted.
     Permit {
-        /// The name of the dispatcher.
+        /// The name of the dispatcher that wants to drain.
         name: Name,
         /// The label that the dispatcher will have after its restart. If this label is empty, the dispatcher may have
         /// any label.
@@ -122,13 +122,14 @@
     pub granted_in_wave: u32,
     /// The maximum number of permits of the wave. 0 during a rollback, which has no waves.
     pub wave_size: u32,
-    /// The number of completed permits of the rollout.
+    /// The number of the rollout's permits whose units have returned as planned or were removed for good.
     pub completed: u32,
     /// The number of units that the leader sees and the plan selects.
     pub selected: u32,
-    /// The granted permits that have not ended.
+    /// The granted permits that have not been completed, revoked or abandoned.
     pub permits: Vec<PermitStatus>,
-    /// The number of unavailable units and its limit, for the fleet first and then for each zone.
+    /// The number of unavailable units and the limit of this number, first for the fleet and then for each zone. Empty
+    /// unless the queried dispatcher is the membership leader.
     pub unavailable: Vec<UnavailableCount>,
     /// Units that did not return as planned and need repair by an operator.
     pub abandoned: Vec<AbandonedUnit>,
@@ -139,9 +140,9 @@
 /// A granted permit and the progress of its unit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PermitStatus {
-    /// The number of the permit.
+    /// The permit's number, which replies and notices also state.
     pub permit: PermitId,
-    /// The name of the unit that may drain.
+    /// The name of the unit that has the permit.
     pub unit: Name,
     /// The name of the unit's zone.
     pub zone: String,
@@ -158,7 +159,7 @@
     pub reason: String,
 }
 
-/// The reply to an [`OperatorRequest`].
+/// The reply to an [`OperatorRequest`]. Texts in a reply are shown to the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// The requested status of the fleet.
@@ -169,7 +170,7 @@
     Refused(String),
     /// The request is not complete yet. Carries the reason. The sender repeats the request.
     Pending(String),
-    /// The dispatcher at this address can handle the request.
+    /// Another dispatcher can handle the request. Carries the address of that dispatcher.
     Elsewhere(Address),
     /// Whether a job's lease is held.
     Holds {
@@ -183,7 +184,7 @@
 /// The status of one voter, after a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoterLine {
-    /// The voter's name.
+    /// The voter's name, as the fleet agreed on it or as the settings state it.
     pub name: Name,
     /// The address of the voter's fleet service.
     pub address: Address,
@@ -198,7 +199,7 @@
 /// The status of one member, as the membership leader knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberLine {
-    /// The member's name.
+    /// The member's name, as its heartbeats state it.
     pub name: Name,
     /// The name of the member's zone.
     pub zone: String,
@@ -227,9 +228,9 @@
     pub changing: bool,
     /// The newest known version of the replicated state. 0 if none is known.
     pub version: u64,
-    /// The status of each voter.
+    /// The status of each voter, in the order of their names.
     pub voters: Vec<VoterLine>,
-    /// All leases with their terms and holders. The holder is none for a lease that nobody holds.
+    /// All leases with their terms and holders. The holder is none if no dispatcher holds the lease.
     pub leases: Vec<(LeaseName, Term, Option<LeaseHolder>)>,
     /// How long this dispatcher has been the membership leader, in milliseconds. None if this dispatcher is not the
     /// leader.
@@ -238,6 +239,6 @@
     pub members: Vec<MemberLine>,
     /// The address of the membership leader. None if this dispatcher is the leader or the leader is unknown.
     pub leader: Option<Address>,
-    /// The status of the rollout and the permits.
+    /// The rollout and the permits. Has default values if no replicated state is known.
     pub disruptions: RolloutStatus,
 }
--- a/src/coordination/member/rollout/commands.rs
+++ b/src/coordination/member/rollout/commands.rs
@@ -44,7 +44,7 @@
                 dry_run,
             } => self
                 .check_view()
-                .and_then(|()| self.start_command(*plan, skip_missing, dry_run)),
+                .and_then(|()| self.build_start_command(*plan, skip_missing, dry_run)),
         };
         match command {
             Ok(command) => {
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Checks that this dispatcher is the membership leader. The error is the reply, with the leader's address if the
-    /// leader is known.
+    /// Checks that this dispatcher is the membership leader. Otherwise the error is the reply to the request, which
+    /// carries the leader's address if the leader is known.
     fn check_leader(&self) -> Result<(), Reply> {
         if self.held_leases.contains_key(&membership_lease()) {
             return Ok(());
@@ -93,9 +93,9 @@
         OperatorCommand::Recount(unit_kind, sizes)
     }
 
-    /// Builds the command that starts a rollout. The error is the reply to a dry run, or the refusal of a plan that
-    /// cannot be carried out.
-    fn start_command(
+    /// Builds the command that starts a rollout. If no rollout is to start, the error is the reply: the result of a dry
+    /// run, or the refusal of a plan that cannot be carried out.
+    fn build_start_command(
         &self,
         plan: RolloutPlan,
         skip_missing: bool,
@@ -116,7 +116,7 @@
             .check(skip_missing, self.settings.keeper.is_some())
             .map_err(|error| Reply::Refused(error.to_string()))?;
         if dry_run {
-            return Err(Reply::Done(check.describe()));
+            return Err(Reply::Done(check.describe_dry_run()));
         }
         Ok(OperatorCommand::Start(Box::new(Rollout {
             plan,
--- a/src/coordination/member/rollout/halt.rs
+++ b/src/coordination/member/rollout/halt.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::rollout::{DisruptionState, OperatorCommand};
 
-/// A unit that had a permit at the halt, and the unit's reply.
+/// A unit that had a permit when the halt was agreed on, and the unit's reply.
 #[derive(Clone, Debug, PartialEq)]
 struct AskedUnit {
     unit: Name,
@@ -18,7 +18,7 @@
 pub(super) struct HaltConfirmation {
     /// When this dispatcher learned that the halt was agreed on.
     agreed_at: Ms,
-    /// The units that had permits at the halt.
+    /// The units that had permits when the halt was agreed on.
     asked: BTreeMap<PermitId, AskedUnit>,
     next_question_at: Ms,
 }
@@ -61,7 +61,7 @@
     }
 
     /// The names of the units that gave this reply, separated by commas. None stands for no reply.
-    fn unit_names(&self, begun: Option<bool>) -> String {
+    fn names_of_units_with_reply(&self, begun: Option<bool>) -> String {
         let names: Vec<&str> = self
             .asked
             .values()
@@ -71,7 +71,7 @@
         names.join(", ")
     }
 
-    /// A text for the operator that lists the units by their reply.
+    /// The final reply to the operator, which lists the units by whether they had begun to drain.
     fn summary(&self) -> String {
         let mut text = "halted: no unit begins to drain from now on".to_owned();
         let groups = [
@@ -80,7 +80,7 @@
             (None, "no reply, may have begun before the halt"),
         ];
         for (begun, description) in groups {
-            let names = self.unit_names(begun);
+            let names = self.names_of_units_with_reply(begun);
             if !names.is_empty() {
                 text += &format!("; {description}: {names}");
             }
--- a/src/coordination/member/rollout/leader.rs
+++ b/src/coordination/member/rollout/leader.rs
@@ -92,7 +92,8 @@
             .clamp(MIN_EVALUATION_INTERVAL_MS, MAX_EVALUATION_INTERVAL_MS)
     }
 
-    /// When the controller runs next, or when units are next asked after a halt. None if neither is due.
+    /// The earlier of the controller's next run and the next questions to units after a halt. None if this dispatcher
+    /// has neither to do.
     pub(in super::super) fn rollout_wakes_at(&self) -> Option<Ms> {
         let is_leader = self.held_leases.contains_key(&membership_lease());
         let evaluation = is_leader.then(|| match self.disruptions.pending_step {
@@ -121,7 +122,7 @@
     }
 
     /// Clears the pending step when its proposal has ended. If the voters agreed on the step, the controller runs again
-    /// at once. Otherwise the controller waits as long as the election delays of two neighbouring places differ.
+    /// at once. If not, the next run is delayed by the time between two election delays.
     pub(in super::super) fn step_proposed(&mut self, agreed: bool) {
         self.disruptions.pending_step = None;
         self.disruptions.next_evaluation_at = match agreed {
--- a/src/coordination/member/rollout/mod.rs
+++ b/src/coordination/member/rollout/mod.rs
@@ -29,7 +29,7 @@
 pub(super) struct RolloutState {
     /// Cumulative outcomes of the requests that this process has answered.
     pub(super) outcomes: OutcomeCounts,
-    /// Engine reports that wait for the next heartbeats, oldest first.
+    /// Engine reports that have not been sent in a heartbeat yet, oldest first.
     queued_reports: Vec<EngineReport>,
     /// The engines in this dispatcher's own list from discovery.
     engines: Vec<Unit>,
@@ -37,7 +37,7 @@
     controller: Option<RolloutController>,
     /// When the controller runs next.
     next_evaluation_at: Ms,
-    /// The step that is being proposed.
+    /// The controller's step that is being proposed to the voters. None if no step is due.
     pending_step: Option<RolloutStep>,
     /// Permits whose units the controller wants to be notified.
     to_notify: Vec<PermitId>,
--- a/src/coordination/member/rollout/notices.rs
+++ b/src/coordination/member/rollout/notices.rs
@@ -9,7 +9,7 @@
 /// The number of heartbeat intervals after which a notice is sent again if its unit has not begun to drain.
 const RESEND_AFTER_HEARTBEATS: f64 = 4.0;
 
-/// The leader's state about one receiver of notices: a dispatcher, or the discovery registry.
+/// What the leader knows about one receiver of notices, which is a dispatcher or the discovery registry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(in super::super) struct NoticeReceiver {
     clock: ReceiverClock,
@@ -189,7 +189,8 @@
         }
     }
 
-    /// Handles a unit's answer whether it has begun to drain. `begun` is none if the unit did not answer in time.
+    /// Handles a unit's answer to a revocation request. `begun` tells whether the unit has begun to drain, and is none
+    /// if the unit did not answer in time.
     pub(in super::super) fn revocation_answered(
         &mut self,
         purpose: &RequestPurpose,
--- a/src/coordination/member/rollout/permit.rs
+++ b/src/coordination/member/rollout/permit.rs
@@ -7,8 +7,8 @@
 const MAX_REVOKED_PERMITS: usize = 1024;
 
 impl Member {
-    /// Returns whether this process has begun to drain on a permit. If not, revokes the permit: a later notice of the
-    /// permit is ignored.
+    /// Returns whether this process has begun to drain on a permit. If not, revokes the permit, so that a later notice
+    /// of the permit is ignored.
     ///
     /// Otherwise a notice that arrives after the leader has recorded the revocation would make the process drain
     /// without a permit.
--- a/src/coordination/member/rollout/plan_check.rs
+++ b/src/coordination/member/rollout/plan_check.rs
@@ -89,7 +89,7 @@
 
     /// The reply to a dry run: the waves of the plan, the numbers of units that are unavailable now, and the limit that
     /// forbids a selected unit to drain now, if there is such a limit.
-    pub fn describe(&self) -> String {
+    pub fn describe_dry_run(&self) -> String {
         let PlanCheck {
             plan,
             budget,
--- a/src/coordination/member/rollout/status.rs
+++ b/src/coordination/member/rollout/status.rs
@@ -18,7 +18,7 @@
         let blocked_reason = controller.and_then(|controller| controller.blocked_reason.clone());
         let rollout = disruptions.rollout.as_deref();
         let permits = disruptions.permits.iter();
-        let common = RolloutStatus {
+        let status_without_rollout = RolloutStatus {
             state: state_word(disruptions, blocked_reason.is_some()).to_owned(),
             halted: disruptions.halted.clone().unwrap_or_default(),
             blocked_reason: blocked_reason.unwrap_or_default(),
@@ -30,8 +30,8 @@
             ..RolloutStatus::default()
         };
         match rollout {
-            Some(rollout) => with_rollout(common, rollout, &view),
-            None => common,
+            Some(rollout) => with_rollout(status_without_rollout, rollout, &view),
+            None => status_without_rollout,
         }
     }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Adds the fields that describe the rollout itself to a status.
+/// Adds the name, the progress and the abandoned units of the rollout to a status.
 fn with_rollout(status: RolloutStatus, rollout: &Rollout, view: &FleetView) -> RolloutStatus {
     let plan = &rollout.plan;
     let units = view.units(plan.unit_kind).iter();
--- a/src/coordination/member/rollout/stop_by_hand.rs
+++ b/src/coordination/member/rollout/stop_by_hand.rs
@@ -64,8 +64,8 @@
         Reply::Done(format!("{} drains and then stops", self.settings.me.0))
     }
 
-    /// Answers the operator after the dispatcher to stop has answered. `reply` is none if that dispatcher did not
-    /// answer in time.
+    /// Replies to the operator when the named dispatcher has replied. `reply` is none if that dispatcher did not reply
+    /// in time.
     pub(in super::super) fn stop_by_hand_answered(
         &mut self,
         call: CallId,
@@ -75,7 +75,7 @@
     ) {
         let reply = match reply {
             Some(Reply::Done(text)) => {
-                self.note_once_agreed(note);
+                self.propose_note(note);
                 Reply::Done(format!(
                     "{text}; a note of this is stored once a majority of the voters agrees"
                 ))
@@ -89,8 +89,8 @@
         });
     }
 
-    /// Proposes the note until the voters agree on it.
-    fn note_once_agreed(&mut self, note: String) {
+    /// Proposes the note without a time limit, until the voters agree on the note.
+    fn propose_note(&mut self, note: String) {
         self.requests_sent += 1;
         self.pending_commands.push(PendingCommand {
             // No caller waits for the result, so the number must not equal that of any call.
--- a/src/coordination/rollout/permit.rs
+++ b/src/coordination/rollout/permit.rs
@@ -12,7 +12,7 @@
 pub struct DisruptionPermit {
     /// Whether the unit is a dispatcher or an engine.
     pub unit_kind: UnitKind,
-    /// The name of the unit that may drain.
+    /// The unit's name. A unit has at most one permit at a time.
     pub unit: Name,
     /// The process that may drain. A different incarnation under the same name shows that the unit has restarted.
     pub incarnation: Incarnation,
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -9,7 +9,7 @@
 /// The current rollout, or the last finished rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Rollout {
-    /// The plan that the operator submitted.
+    /// The plan that the operator submitted. A rollback keeps the plan.
     pub plan: RolloutPlan,
     /// The limits on unavailable units, copied from the settings of the dispatcher that started the rollout.
     pub budget: DisruptionBudget,
@@ -81,7 +81,7 @@
 pub const MAX_ABANDONED: usize = 64;
 /// The maximum number of stored notes. A further note replaces the oldest.
 pub const MAX_NOTES: usize = 8;
-/// The maximum number of units that a plan may list by name.
+/// The maximum number of items in each list of a plan: names, zones, cells and kinds.
 pub const MAX_NAMES: usize = 256;
 
 impl DisruptionState {
--- a/src/coordination/rollout/steps.rs
+++ b/src/coordination/rollout/steps.rs
@@ -9,7 +9,7 @@
 /// A change that the membership leader proposes in its term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RolloutStep {
-    /// Grants permits to units.
+    /// Grants permits to units. Does not apply while permits are halted or if the budget of the rollout is used up.
     Grant(Vec<DisruptionPermit>),
     /// Completes permits whose units have returned as planned, or have been removed for good.
     Complete(Vec<PermitId>),
@@ -22,7 +22,7 @@
     /// Removes the permit of a unit that did not return as planned, and lists the unit for operators. Carries the
     /// reason.
     Abandon(PermitId, String),
-    /// Begins the next wave.
+    /// Begins the next wave, in which no permit is granted yet.
     NextWave,
     /// Marks the rollout as finished. Does not apply while the rollout has granted permits.
     Finish,
--- a/src/coordination/rollout_analysis/comparison.rs
+++ b/src/coordination/rollout_analysis/comparison.rs
@@ -19,10 +19,10 @@
 /// failing zone raises the share at some units of both groups, and must not halt the rollout.
 const MIN_UNITS_BELOW_SHARE: f64 = 0.9;
 
-/// Outcome totals of a group of units.
+/// The number of requests that a group of units has answered, and how many of them were harmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GroupOutcomes {
-    /// The number of answered requests.
+    /// The number of answered requests, whatever their outcome.
     pub requests: u64,
     /// The number of requests that were rejected, failed or answered after their deadline; at most `requests`.
     pub harmed: u64,
--- a/src/coordination/rollout_controller/candidates.rs
+++ b/src/coordination/rollout_controller/candidates.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// The pending units in the order of the rollout. The leader's own dispatcher is last.
+/// The units that the rollout has not updated yet, in the order of the rollout. The leader's own dispatcher is last.
 fn ordered_pending<'a>(inputs: &ControllerInputs<'a>, rollout: &Rollout) -> Vec<&'a Unit> {
     let plan = &rollout.plan;
     let mut units: Vec<&Unit> = inputs
@@ -78,7 +78,8 @@
 }
 
 /// Whether a unit's status allows a permit. A unit in service may get a permit. During a rollback a starting dispatcher
-/// may get a permit too, because the dispatcher is already unavailable. A cold engine becomes ready without a permit.
+/// may get a permit too, because it is already unavailable. A starting engine gets none, because a cold engine becomes
+/// ready by itself.
 fn may_get_permit(unit: &Unit, rollout: &Rollout) -> bool {
     let is_dispatcher = rollout.plan.unit_kind == UnitKind::Dispatchers;
     let is_starting = unit.status == ServiceStatus::Starting;
--- a/src/coordination/rollout_controller/controller.rs
+++ b/src/coordination/rollout_controller/controller.rs
@@ -27,7 +27,8 @@
     previous_resume_count: Option<u64>,
     /// The wave at the previous step, and whether that wave was part of a rollback.
     observed_wave: Option<(u32, bool)>,
-    /// When the last permit of the wave ended. None while the wave has unfinished permits.
+    /// When the controller found all permits of the wave completed or abandoned. None while the wave has granted
+    /// permits.
     wave_finished_at: Option<Ms>,
     analysis: RolloutAnalysis,
     /// Since when more units have been unavailable than the budget allows. None while within the budget.
@@ -107,8 +108,8 @@
         let counts = rollout
             .map(|rollout| self.unit_counts(inputs, rollout.plan.unit_kind, &rollout.budget));
         let decisions = self.permit_tracker.decide(inputs, counts);
-        self.to_notify = decisions.notify;
-        self.to_revoke = decisions.ask_revocation;
+        self.to_notify = decisions.to_notify;
+        self.to_revoke = decisions.to_revoke;
         decisions.step
     }
 
@@ -241,7 +242,8 @@
         is_finished.then_some(RolloutStep::Finish)
     }
 
-    /// Begins the next wave after all permits of the current wave are over and the observation time has passed.
+    /// Begins the next wave once all permits of the current wave are completed or abandoned and the observation time
+    /// has passed.
     fn wave_step(
         &mut self,
         now: Ms,
@@ -283,7 +285,8 @@
         (!grants.permits.is_empty()).then_some(RolloutStep::Grant(grants.permits))
     }
 
-    /// The number of unavailable units and its limit, for status displays. The fleet is first, followed by each zone.
+    /// The number of unavailable units and the limit of this number, first for the fleet and then for each zone. Shown
+    /// to operators in the status.
     pub fn unavailable_counts(
         &self,
         disruptions: &DisruptionState,
--- a/src/coordination/rollout_controller/granting.rs
+++ b/src/coordination/rollout_controller/granting.rs
@@ -12,7 +12,7 @@
 /// none.
 #[derive(Debug, Default)]
 pub(super) struct Grants {
-    /// The permits to propose.
+    /// The permits to propose to the voters in one step.
     pub permits: Vec<DisruptionPermit>,
     /// The limit that the first rejected unit would exceed. None if no unit was rejected.
     pub forbidden_by: Option<Violation>,
--- a/src/coordination/rollout_controller/inputs.rs
+++ b/src/coordination/rollout_controller/inputs.rs
@@ -6,7 +6,7 @@
 use crate::interface::Ms;
 use std::collections::BTreeSet;
 
-/// The fleet as the membership leader sees it.
+/// The dispatchers and engines that the membership leader knows, with their current status.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     /// The dispatchers that are members, including suspected and failed members.
@@ -18,7 +18,7 @@
 }
 
 impl FleetView {
-    /// The dispatchers, or the engines, of the view.
+    /// All units of one kind, including units that are out of service.
     pub fn units(&self, unit_kind: UnitKind) -> &[Unit] {
         if unit_kind == UnitKind::Engines {
             &self.engines
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -19,7 +19,7 @@
     start: Ms,
     /// How long the unit may take to be ready again.
     restart: Ms,
-    /// How long the unit must stay ready after its restart, in milliseconds from its becoming ready.
+    /// How long the unit must stay ready after its restart, in milliseconds from when the unit is ready.
     settle: Ms,
 }
 
@@ -52,9 +52,9 @@
 #[derive(Debug, Default)]
 pub(super) struct PermitDecisions {
     /// Permits whose units must be notified.
-    pub notify: Vec<PermitId>,
+    pub to_notify: Vec<PermitId>,
     /// Permits whose units must be asked not to begin draining.
-    pub ask_revocation: Vec<PermitId>,
+    pub to_revoke: Vec<PermitId>,
     /// The step to propose. None if no permit needs a change.
     pub step: Option<RolloutStep>,
 }
@@ -134,8 +134,8 @@
             .is_some_and(|observation| observation.revoked)
     }
 
-    /// Decides what to do about each permit. `counts` holds the units counted against the budget of the unfinished
-    /// rollout, and is none without such a rollout.
+    /// Decides the action for each permit. `counts` are the unit counts for the budget of the unfinished rollout, and
+    /// none if there is no unfinished rollout.
     pub fn decide(
         &mut self,
         inputs: &ControllerInputs<'_>,
@@ -147,8 +147,8 @@
             let case = self.observe(*id, permit, inputs);
             match self.decide_one(&case, inputs.view.complete, counts.as_mut()) {
                 Decision::Wait => {}
-                Decision::Notify => decisions.notify.push(*id),
-                Decision::AskRevocation => decisions.ask_revocation.push(*id),
+                Decision::Notify => decisions.to_notify.push(*id),
+                Decision::AskRevocation => decisions.to_revoke.push(*id),
                 Decision::Complete => complete.push(*id),
                 Decision::Revoke => revoke.push(*id),
                 Decision::Step(step) => {
--- a/src/coordination/rollout_controller/stage.rs
+++ b/src/coordination/rollout_controller/stage.rs
@@ -7,7 +7,7 @@
 /// How far a unit with a permit has come in its restart or removal, as the membership leader sees the unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitStage {
-    /// The process that holds the permit is up and not draining.
+    /// The process with the permit is running and has not begun to drain.
     Granted,
     /// The unit is draining, or no longer seen.
     Draining,
--- a/src/coordination/rollout_controller/unit_counts.rs
+++ b/src/coordination/rollout_controller/unit_counts.rs
@@ -1,4 +1,4 @@
-//! Counts of available units. A unit with a permit counts as unavailable.
+//! Counts the available units of the fleet and checks whether a voter may drain.
 
 use super::inputs::ControllerInputs;
 use crate::coordination::disruption_budget::{
