--- a/src/coordination/member/rollout/halt.rs
+++ b/src/coordination/member/rollout/halt.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::rollout::{DisruptionState, OperatorCommand};
 
-/// A unit that had a permit at the halt, and the unit's reply.
+/// A unit that had a permit when the halt was agreed on, and the unit's reply.
 #[derive(Clone, Debug, PartialEq)]
 struct AskedUnit {
     unit: Name,
@@ -18,7 +18,7 @@
 pub(super) struct HaltConfirmation {
     /// When this dispatcher learned that the halt was agreed on.
     agreed_at: Ms,
-    /// The units that had permits at the halt.
+    /// The units that had permits when the halt was agreed on.
     asked: BTreeMap<PermitId, AskedUnit>,
     next_question_at: Ms,
 }
@@ -53,15 +53,15 @@
         self.has_unanswered().then_some(self.next_question_at)
     }
 
-    /// Records a unit's reply whether it had begun to drain.
+    /// Records a unit's reply: whether the unit had begun to drain on the permit before the halt.
     pub fn record_reply(&mut self, permit: PermitId, begun: bool) {
         if let Some(asked) = self.asked.get_mut(&permit) {
             asked.begun = Some(begun);
         }
     }
 
-    /// The names of the units with this reply, separated by commas.
-    fn unit_names(&self, begun: Option<bool>) -> String {
+    /// The names of the units that gave this reply, separated by commas. None stands for no reply.
+    fn names_of_units_with_reply(&self, begun: Option<bool>) -> String {
         let names: Vec<&str> = self
             .asked
             .values()
@@ -71,16 +71,16 @@
         names.join(", ")
     }
 
-    /// A text for the operator that lists the units by their reply.
+    /// The final reply to the operator, which lists the units by whether they had begun to drain.
     fn summary(&self) -> String {
-        let mut text = "halted: no turn begins from now on".to_owned();
+        let mut text = "halted: no unit begins to drain from now on".to_owned();
         let groups = [
-            (Some(true), "begun before"),
-            (Some(false), "taken back"),
-            (None, "not reached, may have begun before"),
+            (Some(true), "began before the halt"),
+            (Some(false), "permit revoked"),
+            (None, "no reply, may have begun before the halt"),
         ];
         for (begun, description) in groups {
-            let names = self.unit_names(begun);
+            let names = self.names_of_units_with_reply(begun);
             if !names.is_empty() {
                 text += &format!("; {description}: {names}");
             }
@@ -128,7 +128,7 @@
         if halt.has_unanswered() && remaining > 0.0 {
             let unanswered = halt.unanswered().count();
             return Reply::Pending(format!(
-                "halted; {unanswered} turns may still begin, for {remaining:.0} ms at most"
+                "halted; {unanswered} units may still begin to drain, for at most {remaining:.0} ms"
             ));
         }
         Reply::Done(halt.summary())
--- a/src/coordination/member/rollout/notices.rs
+++ b/src/coordination/member/rollout/notices.rs
@@ -9,13 +9,14 @@
 /// The number of heartbeat intervals after which a notice is sent again if its unit has not begun to drain.
 const RESEND_AFTER_HEARTBEATS: f64 = 4.0;
 
-/// The leader's state about one receiver of notices: a dispatcher, or the discovery registry.
+/// What the leader knows about one receiver of notices, which is a dispatcher or the discovery registry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(in super::super) struct NoticeReceiver {
     clock: ReceiverClock,
     /// Whether a notice has been sent and not answered.
     in_flight: bool,
-    /// Until when the receiver may execute an unanswered notice. Negative infinity if every notice has been answered.
+    /// The time until which the receiver may execute an unanswered notice. Negative infinity if every notice has been
+    /// answered.
     pub(in super::super) executable_until: Ms,
 }
 
@@ -165,7 +166,7 @@
         self.send_permit_notices(out);
     }
 
-    /// Asks a unit whether it has begun to drain. A unit that has not begun must not begin after its answer.
+    /// Asks a unit whether it has begun to drain on a permit. A unit that answers no must not begin any more.
     pub(super) fn ask_revocation(
         &mut self,
         id: PermitId,
@@ -188,7 +189,8 @@
         }
     }
 
-    /// Handles a unit's answer whether it has begun to drain. `begun` is none if the unit did not answer in time.
+    /// Handles a unit's answer to a revocation request. `begun` tells whether the unit has begun to drain, and is none
+    /// if the unit did not answer in time.
     pub(in super::super) fn revocation_answered(
         &mut self,
         purpose: &RequestPurpose,
--- a/src/coordination/member/rollout/permit.rs
+++ b/src/coordination/member/rollout/permit.rs
@@ -7,8 +7,8 @@
 const MAX_REVOKED_PERMITS: usize = 1024;
 
 impl Member {
-    /// Returns whether this process has begun to drain on a permit. If not, revokes the permit: a later notice of the
-    /// permit is ignored.
+    /// Returns whether this process has begun to drain on a permit. If not, revokes the permit, so that a later notice
+    /// of the permit is ignored.
     ///
     /// Otherwise a notice that arrives after the leader has recorded the revocation would make the process drain
     /// without a permit.
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Begins to drain, and makes a heartbeat due at once that reports it.
+    /// Begins to drain, and sends a heartbeat at once so that the membership leader learns of the drain.
     pub(super) fn drain(&mut self) {
         self.stopping = true;
         self.next_heartbeat_at = self.now;
--- a/src/coordination/member/rollout/stop_by_hand.rs
+++ b/src/coordination/member/rollout/stop_by_hand.rs
@@ -26,7 +26,10 @@
             .cloned();
         let voter = self.settings.voters.get(&name).cloned();
         let Some(to) = address.or(member).or(voter) else {
-            let reason = format!("nobody here knows where {} is: name its address", name.0);
+            let reason = format!(
+                "the address of {} is not known: give the address in the request",
+                name.0
+            );
             return Some(Reply::Refused(reason));
         };
         let note = format!(
@@ -58,11 +61,11 @@
             permit: PermitId(0),
             label: String::new(),
         });
-        Reply::Done(format!("{} drains and ends", self.settings.me.0))
+        Reply::Done(format!("{} drains and then stops", self.settings.me.0))
     }
 
-    /// Answers the operator after the dispatcher to stop has answered. `reply` is none if that dispatcher did not
-    /// answer in time.
+    /// Replies to the operator when the named dispatcher has replied. `reply` is none if that dispatcher did not reply
+    /// in time.
     pub(in super::super) fn stop_by_hand_answered(
         &mut self,
         call: CallId,
@@ -72,11 +75,13 @@
     ) {
         let reply = match reply {
             Some(Reply::Done(text)) => {
-                self.note_once_agreed(note);
-                Reply::Done(format!("{text}; noted once the fleet agrees"))
+                self.propose_note(note);
+                Reply::Done(format!(
+                    "{text}; a note of this is stored once a majority of the voters agrees"
+                ))
             }
             Some(Reply::Refused(reason)) => Reply::Refused(reason),
-            _ => Reply::Refused("it does not answer".to_owned()),
+            _ => Reply::Refused("the dispatcher to stop did not answer in time".to_owned()),
         };
         out.push(Output::Answer {
             call,
@@ -84,8 +89,8 @@
         });
     }
 
-    /// Proposes the note until the voters agree on it.
-    fn note_once_agreed(&mut self, note: String) {
+    /// Proposes the note without a time limit, until the voters agree on the note.
+    fn propose_note(&mut self, note: String) {
         self.requests_sent += 1;
         self.pending_commands.push(PendingCommand {
             // No caller waits for the result, so the number must not equal that of any call.
--- a/src/coordination/rollout_analysis/comparison.rs
+++ b/src/coordination/rollout_analysis/comparison.rs
@@ -19,10 +19,10 @@
 /// failing zone raises the share at some units of both groups, and must not halt the rollout.
 const MIN_UNITS_BELOW_SHARE: f64 = 0.9;
 
-/// Outcome totals of a group of units.
+/// The number of requests that a group of units has answered, and how many of them were harmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GroupOutcomes {
-    /// The number of answered requests.
+    /// The number of answered requests, whatever their outcome.
     pub requests: u64,
     /// The number of requests that were rejected, failed or answered after their deadline; at most `requests`.
     pub harmed: u64,
@@ -62,7 +62,8 @@
 }
 
 impl StratifiedComparison {
-    /// Adds a slice. A slice in which either group had no requests is ignored.
+    /// Adds a slice. A slice in which either group had no requests is ignored, because it shows nothing about the
+    /// difference between the groups.
     pub fn add_slice(&mut self, updated: GroupOutcomes, others: GroupOutcomes) {
         if updated.requests == 0 || others.requests == 0 {
             return;
@@ -80,8 +81,8 @@
         self.others.add(others);
     }
 
-    /// Whether the updated units have significantly more harmed requests than expected. `other_shares` holds the share
-    /// of harmed requests of each unit that is not updated, from 0 to 1.
+    /// Whether the updated units have significantly more harmed requests than expected. `other_shares` lists, for each
+    /// unit that is not updated, the share of harmed requests among its requests, from 0 to 1.
     pub fn is_worse(&self, other_shares: &[f64]) -> bool {
         let StratifiedComparison {
             updated,
--- a/src/coordination/rollout_controller/candidates.rs
+++ b/src/coordination/rollout_controller/candidates.rs
@@ -1,4 +1,4 @@
-//! The units that a rollout has not updated yet, and the units that it has updated.
+//! Selects the units that a rollout updates next, and the units that it has updated.
 
 use super::inputs::ControllerInputs;
 use crate::coordination::disruption_budget::{ServiceStatus, Unit, UnitKind};
@@ -39,7 +39,7 @@
                 }
                 continue;
             }
-            // An engine that is no longer listed returns under a new name.
+            // An engine that is no longer listed returns under a new name, so the rollout does not wait for it.
             if updates_engines && unit.status == ServiceStatus::OutOfService {
                 continue;
             }
@@ -56,7 +56,7 @@
     }
 }
 
-/// The pending units in the order of the rollout. The leader's own dispatcher is last.
+/// The units that the rollout has not updated yet, in the order of the rollout. The leader's own dispatcher is last.
 fn ordered_pending<'a>(inputs: &ControllerInputs<'a>, rollout: &Rollout) -> Vec<&'a Unit> {
     let plan = &rollout.plan;
     let mut units: Vec<&Unit> = inputs
@@ -67,18 +67,19 @@
         .collect();
     units.sort_by_key(|unit| {
         let key = order_key(&unit.name);
-        let is_me = unit.name == *inputs.me && plan.unit_kind == UnitKind::Dispatchers;
+        let is_own_dispatcher = unit.name == *inputs.me && plan.unit_kind == UnitKind::Dispatchers;
         let position = match rollout.rolling_back {
             true => u64::MAX - key,
             false => key,
         };
-        (is_me, position)
+        (is_own_dispatcher, position)
     });
     units
 }
 
 /// Whether a unit's status allows a permit. A unit in service may get a permit. During a rollback a starting dispatcher
-/// may get a permit too, because the dispatcher is already unavailable. A cold engine becomes ready without a permit.
+/// may get a permit too, because it is already unavailable. A starting engine gets none, because a cold engine becomes
+/// ready by itself.
 fn may_get_permit(unit: &Unit, rollout: &Rollout) -> bool {
     let is_dispatcher = rollout.plan.unit_kind == UnitKind::Dispatchers;
     let is_starting = unit.status == ServiceStatus::Starting;
