--- a/crates/fleet/src/acceptor_storage.rs
+++ b/crates/fleet/src/acceptor_storage.rs
@@ -1,9 +1,10 @@
 //! Storage of the voter's file.
 //!
-//! A write goes to a temporary file in the same directory, which is synced and renamed over the old file; then the
-//! directory is synced. After a crash either the old or the new content is there, and content that was reported as
-//! durable is not lost. File access is behind the [`FileStore`] trait: [`Folder`] is a file of the operating system,
-//! and [`MemoryFile`] is a file in memory that tests can damage and whose writes can be made to fail.
+//! A write goes to a temporary file in the same directory. The temporary file is synced and renamed over the old file,
+//! and then the directory is synced. After a crash the file has either the old or the new content, and content that was
+//! reported as durable is not lost. The trait [`FileStore`] abstracts file access: [`Folder`] is a file in the operating
+//! system's file system, and [`MemoryFile`] is a file in memory that tests can damage and whose writes can be made to
+//! fail.
 
 use crate::codec::{acceptor_file_from_proto, acceptor_file_to_proto};
 use cindercleat::coordination::register::AcceptorState;
@@ -20,7 +21,7 @@
 const MAGIC: &[u8; 4] = b"ccvt";
 /// The version of the file format, stored after the magic bytes.
 const FORMAT_VERSION: u8 = 1;
-/// A larger file is not a voter's file.
+/// The largest accepted size of a voter's file.
 const MAX_FILE_BYTES: usize = 1 << 20;
 
 /// Why a voter's file cannot be loaded.
@@ -32,7 +33,7 @@
     /// The file does not begin with the magic bytes, or is too large.
     #[error("not a voter's file")]
     NotAVoterFile,
-    /// The file has this format version, which this process does not support.
+    /// The file has the contained format version, which this process does not support.
     #[error(
         "file format version {0} is not supported: this process supports version {FORMAT_VERSION}"
     )]
@@ -47,13 +48,13 @@
     /// The file's content, or `None` if the file does not exist.
     ///
     /// # Errors
-    /// The file exists and cannot be read.
+    /// An I/O error if the file exists and cannot be read.
     fn read(&self) -> io::Result<Option<Vec<u8>>>;
 
     /// Replaces the content durably, without blocking the calling thread.
     ///
     /// # Errors
-    /// The new content may not be durable: the file holds the old or the new content.
+    /// An I/O error if the new content may not be durable. The file then has either the old or the new content.
     fn replace(&self, bytes: Vec<u8>) -> impl Future<Output = io::Result<()>>;
 }
 
@@ -118,7 +119,7 @@
     std::fs::rename(&temporary_path, path)?;
     let directory = path
         .parent()
-        .filter(|p| !p.as_os_str().is_empty())
+        .filter(|parent| !parent.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
     File::open(directory)?.sync_all()
 }
@@ -133,9 +134,10 @@
 
     async fn replace(&self, bytes: Vec<u8>) -> io::Result<()> {
         let path = self.path.clone();
-        // A sync takes milliseconds, during which the dispatcher's thread has to go on forwarding tokens.
-        let writing = tokio::task::spawn_blocking(move || replace_file(&path, &bytes));
-        writing.await.map_err(io::Error::other)?
+        // The write runs on another thread: a sync takes milliseconds, during which the dispatcher's thread has to go on
+        // forwarding tokens.
+        let write_task = tokio::task::spawn_blocking(move || replace_file(&path, &bytes));
+        write_task.await.map_err(io::Error::other)?
     }
 }
 
--- a/crates/fleet/src/admin_client.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -58,7 +58,7 @@
                 _ => {}
             }
         }
-        Err("the connection was closed before the answer came".to_owned())
+        Err("the connection was closed before an answer arrived".to_owned())
     };
     let answer = tokio::select! { biased;
         answer = exchange => answer,
@@ -70,7 +70,8 @@
 /// Sends an operator's request to the member at `address` and follows redirects to other members.
 ///
 /// # Errors
-/// As [`send_request`], or a message if the request is redirected too often or the answer is not an operator's reply.
+/// The errors of [`send_request`], or a message if the request is redirected more than [`MAX_REDIRECTS`] times or the
+/// answer is not an operator's reply.
 pub async fn send_operator_request<T: Transport, C: Clock>(
     transport: &T,
     clock: &C,
@@ -93,7 +94,7 @@
             Answer::Reply(reply) => return Ok(reply),
             _ => {
                 return Err(format!(
-                    "{address}: the answer does not fit an operator's request"
+                    "{address}: the member's answer is not a reply to an operator's request"
                 ))
             }
         }
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -1,7 +1,7 @@
 //! Conversion between the types of `cindercleat::coordination` and the schema's messages.
 //!
-//! Decoding returns `None` for an invalid message: one with an empty or overlong name, an impossible ballot or a
-//! missing part.
+//! Decoding returns `None` for an invalid message: one with an empty or overlong name, an invalid ballot or a missing
+//! field.
 
 use crate::codec_fields::{address, name, text, MAX_TEXT_BYTES};
 use crate::rollout_codec;
@@ -24,7 +24,7 @@
 use v1::fleet_answer::Answer as WireAnswer;
 use v1::fleet_call::Question as WireQuestion;
 
-/// The most voter write counts in one message; a fleet has a few per voter.
+/// The most voter write counts in one message. A fleet has only a few per voter.
 const MAX_WRITE_COUNTS: usize = 256;
 
 fn lease_name_from_proto(message: &str) -> Option<LeaseName> {
@@ -45,9 +45,9 @@
 
 fn ballot_from_proto(message: Option<v1::Ballot>) -> Option<Ballot> {
     let message = message?;
-    // A round that no later ballot could exceed would prevent every further decision.
-    let is_possible = message.round > 0 && message.round < u64::MAX / 2;
-    is_possible.then_some(())?;
+    // With the highest possible round no later ballot could be higher, and no further value could be chosen.
+    let is_valid = message.round > 0 && message.round < u64::MAX / 2;
+    is_valid.then_some(())?;
     Some(Ballot {
         round: message.round,
         by: name(&message.by)?,
@@ -55,13 +55,13 @@
     })
 }
 
-fn voter_records_to_proto(set: &BTreeMap<Name, VoterRecord>) -> Vec<v1::VoterRecord> {
+fn voter_records_to_proto(voters: &BTreeMap<Name, VoterRecord>) -> Vec<v1::VoterRecord> {
     let voter_record = |(name, voter_record): (&Name, &VoterRecord)| v1::VoterRecord {
         name: name.0.to_string(),
         voter_id: voter_record.voter_id.0,
         address: voter_record.address.0.to_string(),
     };
-    set.iter().map(voter_record).collect()
+    voters.iter().map(voter_record).collect()
 }
 
 fn voter_records_from_proto(message: &[v1::VoterRecord]) -> Option<BTreeMap<Name, VoterRecord>> {
@@ -92,15 +92,17 @@
 }
 
 fn voter_set_from_proto(message: &v1::VoterSet) -> Option<Voters> {
-    let set = voter_records_from_proto(&message.set).filter(|set| !set.is_empty())?;
-    let before = match message.changing {
-        true => Some(voter_records_from_proto(&message.before).filter(|set| !set.is_empty())?),
+    let present = voter_records_from_proto(&message.set).filter(|voters| !voters.is_empty())?;
+    let former = match message.changing {
+        true => {
+            Some(voter_records_from_proto(&message.before).filter(|voters| !voters.is_empty())?)
+        }
         false => None,
     };
     Some(Voters {
         generation: message.generation,
-        set,
-        before,
+        set: present,
+        before: former,
     })
 }
 
@@ -203,7 +205,8 @@
     })
 }
 
-/// Decodes what an acceptor accepted: `Some(None)` if it accepted no value, `None` if its value is invalid.
+/// Decodes the value that an acceptor accepted: `Some(None)` if the acceptor accepted none, `None` if the value is
+/// invalid.
 fn accepted_value_from_proto(
     message: Option<v1::AcceptedValue>,
 ) -> Option<Option<(Ballot, ReplicatedState)>> {
@@ -406,38 +409,38 @@
 /// Decodes a request from another member or an operator; `None` if it is invalid.
 pub fn question_in(message: v1::FleetCall) -> Option<Question> {
     Some(match message.question? {
-        WireQuestion::Prepare(m) => {
-            let write_counts = write_counts_from_proto(&m.heard)?;
+        WireQuestion::Prepare(content) => {
+            let write_counts = write_counts_from_proto(&content.heard)?;
             Question::Vote(AcceptorRequest::Prepare {
-                voter_id: VoterId(m.voter_id),
-                ballot: ballot_from_proto(m.ballot)?,
+                voter_id: VoterId(content.voter_id),
+                ballot: ballot_from_proto(content.ballot)?,
                 write_counts,
             })
         }
-        WireQuestion::Accept(m) => Question::Vote(AcceptorRequest::Accept {
-            voter_id: VoterId(m.voter_id),
-            ballot: ballot_from_proto(m.ballot)?,
-            value: replicated_state_from_proto(m.value)?,
-            write_counts: write_counts_from_proto(&m.heard)?,
+        WireQuestion::Accept(content) => Question::Vote(AcceptorRequest::Accept {
+            voter_id: VoterId(content.voter_id),
+            ballot: ballot_from_proto(content.ballot)?,
+            value: replicated_state_from_proto(content.value)?,
+            write_counts: write_counts_from_proto(&content.heard)?,
         }),
         WireQuestion::Look(_) => Question::VoterState,
-        WireQuestion::Witness(m) => Question::WriteCount {
-            of: name(&m.name)?,
-            voter_id: VoterId(m.voter_id),
+        WireQuestion::Witness(content) => Question::WriteCount {
+            of: name(&content.name)?,
+            voter_id: VoterId(content.voter_id),
         },
-        WireQuestion::Heartbeat(m) => {
-            let (zone, label) = (m.zone, m.label);
+        WireQuestion::Heartbeat(content) => {
+            let (zone, label) = (content.zone, content.label);
             (zone.len() <= MAX_TEXT_BYTES && label.len() <= MAX_TEXT_BYTES).then_some(())?;
-            let (up, load) = (finite(m.up_ms)?, finite(m.load)?);
+            let (up, load) = (finite(content.up_ms)?, finite(content.load)?);
             let (who, ready, stopping, holds) = (
-                lease_holder_from_proto(&m.who?)?,
-                m.ready,
-                m.stopping,
-                m.holds,
+                lease_holder_from_proto(&content.who?)?,
+                content.ready,
+                content.stopping,
+                content.holds,
             );
             let (tally, reports) = (
-                rollout_codec::tally_in(m.tally.as_ref()),
-                rollout_codec::reports_in(&m.reports)?,
+                rollout_codec::tally_in(content.tally.as_ref()),
+                rollout_codec::reports_in(&content.reports)?,
             );
             Question::Heartbeat(Heartbeat {
                 who,
@@ -452,60 +455,60 @@
                 reports,
             })
         }
-        WireQuestion::Nudge(m) => Question::LeaseOffer {
-            lease_name: lease_name_from_proto(&m.lease_name)?,
+        WireQuestion::Nudge(content) => Question::LeaseOffer {
+            lease_name: lease_name_from_proto(&content.lease_name)?,
         },
-        WireQuestion::FencedCommand(m) => {
-            let receiver_timestamp = match &m.receiver_timestamp {
+        WireQuestion::FencedCommand(content) => {
+            let receiver_timestamp = match &content.receiver_timestamp {
                 Some(receiver_timestamp) => {
                     Some(receiver_timestamp_from_proto(receiver_timestamp)?)
                 }
                 None => None,
             };
             Question::FencedCommand(FencedCommand {
-                lease_name: lease_name_from_proto(&m.lease_name)?,
-                term: Term(m.term),
-                holder: lease_holder_from_proto(&m.holder?)?,
-                number: m.number,
+                lease_name: lease_name_from_proto(&content.lease_name)?,
+                term: Term(content.term),
+                holder: lease_holder_from_proto(&content.holder?)?,
+                number: content.number,
                 receiver_timestamp,
-                good_for: finite(m.good_for_ms)?,
-                body: m.body.to_vec(),
+                good_for: finite(content.good_for_ms)?,
+                body: content.body.to_vec(),
             })
         }
         WireQuestion::Status(_) => Question::Operator(OperatorRequest::Status),
-        WireQuestion::HandOver(m) => {
-            let to = match m.to.is_empty() {
+        WireQuestion::HandOver(content) => {
+            let to = match content.to.is_empty() {
                 true => None,
-                false => Some(name(&m.to)?),
+                false => Some(name(&content.to)?),
             };
             Question::Operator(OperatorRequest::HandOver {
-                lease_name: lease_name_from_proto(&m.lease_name)?,
+                lease_name: lease_name_from_proto(&content.lease_name)?,
                 to,
             })
         }
-        WireQuestion::AddVoter(m) => {
-            let address = match m.address.is_empty() {
+        WireQuestion::AddVoter(content) => {
+            let address = match content.address.is_empty() {
                 true => None,
-                false => Some(address(&m.address)?),
+                false => Some(address(&content.address)?),
             };
             Question::Operator(OperatorRequest::AddVoter {
-                name: name(&m.name)?,
+                name: name(&content.name)?,
                 address,
             })
         }
-        WireQuestion::RemoveVoter(m) => Question::Operator(OperatorRequest::RemoveVoter {
-            name: name(&m.name)?,
+        WireQuestion::RemoveVoter(content) => Question::Operator(OperatorRequest::RemoveVoter {
+            name: name(&content.name)?,
         }),
-        WireQuestion::HoldLease(m) => Question::Operator(OperatorRequest::HoldLease {
-            lease_name: lease_name_from_proto(&m.lease_name)?,
-            job: m.job,
+        WireQuestion::HoldLease(content) => Question::Operator(OperatorRequest::HoldLease {
+            lease_name: lease_name_from_proto(&content.lease_name)?,
+            job: content.job,
         }),
-        WireQuestion::LetGo(m) => Question::Operator(OperatorRequest::LetGo {
-            lease_name: lease_name_from_proto(&m.lease_name)?,
-            job: m.job,
+        WireQuestion::LetGo(content) => Question::Operator(OperatorRequest::LetGo {
+            lease_name: lease_name_from_proto(&content.lease_name)?,
+            job: content.job,
         }),
-        WireQuestion::AskBack(m) => {
-            let (permit, of, who, incarnation) = rollout_codec::ask_back_in(&m)?;
+        WireQuestion::AskBack(content) => {
+            let (permit, of, who, incarnation) = rollout_codec::ask_back_in(&content)?;
             Question::AskBack {
                 permit,
                 of,
@@ -564,19 +567,19 @@
             })
         }
         Answer::Vote(AcceptorReply::NotVoting) => WireAnswer::NotVoting(v1::FleetNotVoting {}),
-        Answer::VoterState(seen) => WireAnswer::Seen(v1::FleetSeen {
-            voter_id: seen.voter_id.map_or(0, |voter_id| voter_id.0),
-            votes: seen.votes,
-            bootstrap: seen.bootstrap.as_ref().map(voter_set_to_proto),
-            newest: accepted_value_to_proto(&seen.newest),
+        Answer::VoterState(voter_state) => WireAnswer::Seen(v1::FleetSeen {
+            voter_id: voter_state.voter_id.map_or(0, |voter_id| voter_id.0),
+            votes: voter_state.votes,
+            bootstrap: voter_state.bootstrap.as_ref().map(voter_set_to_proto),
+            newest: accepted_value_to_proto(&voter_state.newest),
         }),
         Answer::WriteCount { writes } => {
             WireAnswer::Witnessed(v1::FleetWitnessed { writes: *writes })
         }
         Answer::Heartbeat(reply) => {
-            let place = |(lease_name, place): &(LeaseName, u32)| v1::FleetPlace {
+            let place = |(lease_name, rank): &(LeaseName, u32)| v1::FleetPlace {
                 lease_name: lease_name.0.to_string(),
-                place: *place,
+                place: *rank,
             };
             WireAnswer::Heard(v1::FleetHeard {
                 heard: reply.accepted,
@@ -586,7 +589,7 @@
                     .as_ref()
                     .map(|(_, holder)| lease_holder_to_proto(holder)),
                 every_ms: reply.every,
-                places: reply.places.iter().map(place).collect(),
+                places: reply.ranks.iter().map(place).collect(),
             })
         }
         Answer::Done => WireAnswer::Done(v1::Done {}),
@@ -618,79 +621,85 @@
 /// Decodes a member's answer; `None` if it is invalid.
 pub fn answer_in(message: v1::FleetAnswer) -> Option<Answer> {
     Some(match message.answer? {
-        WireAnswer::Promise(m) => {
+        WireAnswer::Promise(content) => {
             let (ballot, accepted) = (
-                ballot_from_proto(m.ballot)?,
-                accepted_value_from_proto(m.accepted)?,
+                ballot_from_proto(content.ballot)?,
+                accepted_value_from_proto(content.accepted)?,
             );
             Answer::Vote(AcceptorReply::Promise {
                 ballot,
                 accepted,
-                writes: m.writes,
+                writes: content.writes,
             })
         }
-        WireAnswer::Accepted(m) => Answer::Vote(AcceptorReply::Accepted {
-            ballot: ballot_from_proto(m.ballot)?,
-            writes: m.writes,
+        WireAnswer::Accepted(content) => Answer::Vote(AcceptorReply::Accepted {
+            ballot: ballot_from_proto(content.ballot)?,
+            writes: content.writes,
         }),
-        WireAnswer::Conflict(m) => Answer::Vote(AcceptorReply::Conflict {
-            promised: ballot_from_proto(m.promised)?,
+        WireAnswer::Conflict(content) => Answer::Vote(AcceptorReply::Conflict {
+            promised: ballot_from_proto(content.promised)?,
         }),
         WireAnswer::NotVoting(_) => Answer::Vote(AcceptorReply::NotVoting),
-        WireAnswer::Seen(m) => {
-            let bootstrap = match &m.bootstrap {
+        WireAnswer::Seen(content) => {
+            let bootstrap = match &content.bootstrap {
                 Some(voters) => Some(voter_set_from_proto(voters)?),
                 None => None,
             };
-            let voter_id = (m.voter_id != 0).then_some(VoterId(m.voter_id));
+            let voter_id = (content.voter_id != 0).then_some(VoterId(content.voter_id));
             Answer::VoterState(VoterState {
                 voter_id,
-                votes: m.votes,
+                votes: content.votes,
                 bootstrap,
-                newest: accepted_value_from_proto(m.newest)?,
+                newest: accepted_value_from_proto(content.newest)?,
             })
         }
-        WireAnswer::Witnessed(m) => Answer::WriteCount { writes: m.writes },
-        WireAnswer::Heard(m) => {
-            let holder = match &m.holder {
-                Some(holder) => Some((Term(m.term), lease_holder_from_proto(holder)?)),
+        WireAnswer::Witnessed(content) => Answer::WriteCount {
+            writes: content.writes,
+        },
+        WireAnswer::Heard(content) => {
+            let holder = match &content.holder {
+                Some(holder) => Some((Term(content.term), lease_holder_from_proto(holder)?)),
                 None => None,
             };
-            let places = m
+            let ranks = content
                 .places
                 .iter()
-                .map(|p| Some((lease_name_from_proto(&p.lease_name)?, p.place)))
+                .map(|place| Some((lease_name_from_proto(&place.lease_name)?, place.place)))
                 .collect::<Option<_>>()?;
-            // With an infinite or very long interval the member would send no more heartbeats.
-            let every = finite(m.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
+            // After an infinite or very long interval the member would send its next heartbeat too late or never.
+            let every = finite(content.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
             Answer::Heartbeat(HeartbeatReply {
-                accepted: m.heard,
+                accepted: content.heard,
                 holder,
                 every,
-                places,
+                ranks,
             })
         }
         WireAnswer::Done(_) => Answer::Done,
-        WireAnswer::FencingDecision(m) => {
-            let verdict = *FENCING_DECISIONS.get(m.verdict as usize)?;
+        WireAnswer::FencingDecision(content) => {
+            let verdict = *FENCING_DECISIONS.get(content.verdict as usize)?;
             Answer::FencingDecision {
                 verdict,
-                receiver_timestamp: receiver_timestamp_from_proto(&m.receiver_timestamp?)?,
+                receiver_timestamp: receiver_timestamp_from_proto(&content.receiver_timestamp?)?,
             }
         }
-        WireAnswer::Begun(m) => Answer::Begun { begun: m.begun },
+        WireAnswer::Begun(content) => Answer::Begun {
+            begun: content.begun,
+        },
         WireAnswer::Waits(text) => Answer::Reply(Reply::Pending(text)),
         WireAnswer::Yes(text) => Answer::Reply(Reply::Done(text)),
         WireAnswer::No(text) => Answer::Reply(Reply::Refused(text)),
         WireAnswer::Elsewhere(field) => Answer::Reply(Reply::Elsewhere(address(&field)?)),
-        WireAnswer::LeaseHeld(m) => {
-            let term = (m.term > 0).then_some(Term(m.term));
+        WireAnswer::LeaseHeld(content) => {
+            let term = (content.term > 0).then_some(Term(content.term));
             Answer::Reply(Reply::Holds {
                 term,
-                good_for: finite(m.good_for_ms)?,
+                good_for: finite(content.good_for_ms)?,
             })
         }
-        WireAnswer::Status(m) => Answer::Reply(Reply::Status(Box::new(status_from_proto(&m)?))),
+        WireAnswer::Status(content) => {
+            Answer::Reply(Reply::Status(Box::new(status_from_proto(&content)?)))
+        }
     })
 }
 
--- a/crates/fleet/src/codec_fields.rs
+++ b/crates/fleet/src/codec_fields.rs
@@ -6,10 +6,10 @@
 pub(crate) const MAX_TEXT_BYTES: usize = 256;
 
 /// The field, or `None` if it is empty, longer than [`MAX_TEXT_BYTES`] or contains control characters.
-pub(crate) fn text(text: &str) -> Option<&str> {
+pub(crate) fn text(field: &str) -> Option<&str> {
     let is_valid =
-        !text.is_empty() && text.len() <= MAX_TEXT_BYTES && !text.chars().any(char::is_control);
-    is_valid.then_some(text)
+        !field.is_empty() && field.len() <= MAX_TEXT_BYTES && !field.chars().any(char::is_control);
+    is_valid.then_some(field)
 }
 
 /// The name of a dispatcher or an engine, or `None` if [`text`] refuses the field.
--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -1,7 +1,7 @@
 //! Connects a [`Member`] to a transport, a clock and the voter's file.
 //!
-//! The driver has a listener and connections of its own, and client requests never wait for it. All of it runs on the
-//! thread that it is started on, except for writes of the voter's file.
+//! The driver has its own listener and connections, and client requests never wait for the driver. All of the driver
+//! runs on the thread that starts it, except for writes of the voter's file.
 
 use crate::acceptor_storage::{self, FileStore};
 use crate::codec::{answer_in, answer_out, question_in, question_out};
@@ -23,14 +23,14 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// The largest message between members: a replicated state takes a few kilobytes, an operator's list of members has
-/// thousands of entries.
+/// The largest message between members. A replicated state takes a few kilobytes, but the list of members in an answer
+/// to an operator has thousands of entries.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 /// The most requests that are open at once on one connection.
 const MAX_CALLS_PER_CONNECTION: u32 = 256;
 /// The most incoming connections that are open at once.
 const MAX_INCOMING_CONNECTIONS: usize = 8192;
-/// An outgoing connection without requests for this long is closed.
+/// An outgoing connection is closed after this time without a new request.
 const IDLE_TIMEOUT_MS: Ms = 30_000.0;
 /// The shortest time between two warnings about invalid messages.
 const WARNING_INTERVAL_MS: Ms = 10_000.0;
@@ -38,9 +38,9 @@
 const HEALTH_INTERVAL_MS: Ms = 100.0;
 /// The pause after a failure to accept a connection.
 const ACCEPT_RETRY_MS: Ms = 100.0;
-/// The longest time that is left for the last requests to be sent when the driver stops.
+/// The longest time that the driver waits for its last requests to be sent when it stops.
 const MAX_FINAL_SEND_MS: Ms = 50.0;
-/// The HTTP/2 error code `INTERNAL_ERROR`, with which streams of invalid requests are reset.
+/// The HTTP/2 error code `INTERNAL_ERROR`. The stream of an invalid request is reset with this code.
 const RESET_INTERNAL_ERROR: u32 = 2;
 
 /// The dispatcher that a member belongs to.
@@ -48,7 +48,7 @@
     /// The dispatcher's readiness, utilization and request outcomes, for heartbeats.
     fn local_health(&self) -> LocalHealth;
 
-    /// The engines in the dispatcher's endpoint list; none by default.
+    /// The engines in the dispatcher's endpoint list. The default implementation returns none.
     fn engines(&self) -> Vec<Unit> {
         Vec::new()
     }
@@ -62,7 +62,7 @@
 struct Peer {
     out: Out,
     last_used_at: Cell<Ms>,
-    /// Requests that await their answer, with the time at which they were sent, by stream.
+    /// The requests without an answer so far, with the time at which each was sent, by stream number.
     unanswered: RefCell<BTreeMap<u64, (QuestionId, Ms)>>,
     streams_opened: Cell<u64>,
 }
@@ -74,7 +74,7 @@
     queued_at: Ms,
 }
 
-/// What the clones of a driver share.
+/// The state that all clones of a driver share.
 struct DriverState<T, C, D> {
     settings: FleetSettings,
     transport: T,
@@ -92,7 +92,7 @@
     incoming_connections: Cell<usize>,
     /// When the timer task calls the member next.
     timer_fires_at: Cell<Ms>,
-    /// Wakes the timer task, as the member wants to be called earlier.
+    /// Wakes the timer task when the member needs a call before `timer_fires_at`.
     timer_changed: Notify,
     /// Whether the member has handed over all leases after it was told to stop.
     stopped: Cell<bool>,
@@ -115,7 +115,7 @@
 }
 
 impl<T: Transport, C: Clock, D: FileStore> Driver<T, C, D> {
-    /// A driver that does nothing until [`Driver::run`] is called. Without a `voter_file` the member never votes.
+    /// A driver that is idle until [`Driver::run`] is called. Without a `voter_file` the member never votes.
     pub fn new(
         settings: FleetSettings,
         transport: T,
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Runs the member until `stop` completes and then until its leases are handed over, for one lease duration at
-    /// most.
+    /// Runs the member until `stop` completes. The member then hands over its leases, for which it gets at most one
+    /// lease duration.
     ///
     /// # Panics
     /// If it does not run within a `tokio::task::LocalSet`.
@@ -183,7 +183,7 @@
                 () = state.clock.sleep_until(leases_expire_at) => {}
             }
         }
-        // Leaves time for the lease offer to the named successor to be sent.
+        // The connections stay open a little longer, so that the lease offer to the named successor is sent.
         let send_time = state.settings.answer_within.min(MAX_FINAL_SEND_MS);
         state.clock.sleep_until(state.clock.now() + send_time).await;
         accept_task.abort();
@@ -210,7 +210,7 @@
         self.state.member.borrow().counts().clone()
     }
 
-    /// How many invalid messages, and connections without a valid greeting, were dropped so far.
+    /// The number of invalid messages and of connections without a valid greeting, dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.state.dropped_messages.get()
     }
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Passes an input to the member and performs what the member asks for.
+    /// Passes an input to the member, performs the outputs, and wakes the timer task if the member needs an earlier call.
     fn handle_input(&self, input: Input) {
         let mut outputs = Vec::new();
         let now = self.state.clock.now();
@@ -285,7 +285,7 @@
         if let Err(problem) = &saved {
             tracing::warn!(
                 %problem,
-                "could not write the voter's file; answers that need the new state are dropped"
+                "could not write the voter's file; the answers that report its new state are not sent"
             );
         }
         self.handle_input(Input::Saved {
@@ -294,7 +294,7 @@
         });
     }
 
-    /// Calls the member when it wants to be called, and reads the dispatcher's health at its interval.
+    /// Calls the member when one of its timers is due, and reads the dispatcher's health every [`HEALTH_INTERVAL_MS`].
     async fn run_timer(self) {
         let mut health_due_at = 0.0;
         loop {
@@ -314,8 +314,7 @@
         }
     }
 
-    /// Closes idle connections, and cancels requests whose answer is no longer awaited so that neither side keeps state
-    /// for them.
+    /// Closes idle connections, and cancels requests that have timed out, so that neither side keeps state for them.
     fn close_idle_connections(&self, now: Ms) {
         let longest_wait = 2.0 * self.state.settings.answer_within;
         let mut peers = self.state.peers.borrow_mut();
@@ -336,7 +335,8 @@
         });
     }
 
-    /// The greeting of this member; `expects` is the name that the other side has to greet with, if it is not empty.
+    /// The settings of a connection, with this member's greeting. `expects` is the name that the other side has to greet
+    /// with; empty if any name is accepted.
     fn setup(&self, expects: &str) -> Setup {
         Setup {
             party: v1::Party::Fleet,
@@ -365,7 +365,7 @@
         let mut connecting = self.state.connecting.borrow_mut();
         match connecting.get_mut(&to) {
             Some(queue) => {
-                // Requests whose answer is no longer awaited are not sent late.
+                // Drops the queued requests that have timed out in the meantime.
                 let timeout = self.state.settings.answer_within;
                 queue.retain(|queued| now - queued.queued_at <= timeout);
                 queue.push(request);
@@ -386,10 +386,10 @@
         peer.out.send(frame(stream, Body::FleetCall(call)));
     }
 
-    /// Opens a connection to another member and passes its answers on until the connection ends.
+    /// Opens a connection to another member, and passes that member's answers on until the connection ends.
     async fn run_outgoing_connection(self, to: Address) {
-        // The timeout is longer than that of an answer. On an overloaded machine a slow connection still opens once,
-        // whereas connections that are given up early and retried each time keep all members busy and never open.
+        // The timeout is longer than that of an answer. On an overloaded machine a slow connection still opens within
+        // it. With a short timeout all members would be busy with new connections, none of which opens in time.
         let settings = &self.state.settings;
         let timeout = settings.lease.lease.max(10.0 * settings.answer_within);
         let times_out_at = self.state.clock.now() + timeout;
@@ -429,8 +429,8 @@
                     reason,
                     "could not connect to fleet member; requests to it count as unanswered"
                 );
-                // Reported from this task, not from `send_request`: a member expects answers after the input that sent
-                // the request, not while that input is being handled.
+                // The failure is reported from this task and not from `send_request`, as a member cannot handle an
+                // answer while it is still handling the input that sent the request.
                 for request in queue {
                     self.handle_input(Input::Answered {
                         ask: request.id,
@@ -483,13 +483,14 @@
             peers.remove(&to);
         }
         drop(peers);
-        let lost = std::mem::take(&mut *peer.unanswered.borrow_mut());
-        for (ask, _) in lost.into_values() {
+        let unanswered = std::mem::take(&mut *peer.unanswered.borrow_mut());
+        for (ask, _) in unanswered.into_values() {
             self.handle_input(Input::Answered { ask, answer: None });
         }
     }
 
-    /// Counts a message that could not be decoded, and warns at most once per [`WARNING_INTERVAL_MS`].
+    /// Counts a dropped message or connection if `message` is `None`, and warns at most once per
+    /// [`WARNING_INTERVAL_MS`].
     fn count_if_invalid<M>(&self, message: Option<M>) -> Option<M> {
         if message.is_none() {
             let dropped = self.state.dropped_messages.get() + 1;
@@ -497,7 +498,10 @@
             let now = self.state.clock.now();
             if now - self.state.last_warning_at.get() >= WARNING_INTERVAL_MS {
                 self.state.last_warning_at.set(now);
-                tracing::warn!(dropped, "dropped invalid fleet messages or connections");
+                tracing::warn!(
+                    dropped,
+                    "dropped invalid fleet messages or connections; the count is since the start"
+                );
             }
         }
         message
@@ -506,7 +510,8 @@
     async fn accept(self, mut listener: T::Listener) {
         loop {
             match listener.accept().await {
-                // Guards against running out of file descriptors. Members whose connection is closed connect again.
+                // The limit guards against running out of file descriptors. Further connections are closed, and the
+                // members that opened them connect again.
                 Ok(stream) if self.state.incoming_connections.get() < MAX_INCOMING_CONNECTIONS => {
                     let count = self.state.incoming_connections.get() + 1;
                     self.state.incoming_connections.set(count);
@@ -556,7 +561,7 @@
         self.state.incoming_connections.set(count);
     }
 
-    /// Passes a received request to the member, or forgets a request that its sender has cancelled.
+    /// Handles a received frame: passes a request to the member, or drops a request that its sender has cancelled.
     fn handle_frame(&self, out: &Out, stream: u64, body: Body) {
         match body {
             Body::FleetCall(message) => match self.count_if_invalid(question_in(message)) {
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -18,39 +18,39 @@
 
 /// Work that runs only while a lease is held.
 pub trait Work {
-    /// Starts the work; the lease is held in this term. Called once.
+    /// Starts the work. `term` is the term in which the lease is held. Called at most once.
     ///
     /// # Errors
-    /// The work cannot be started.
+    /// An I/O error if the work cannot be started.
     fn begin(&mut self, term: Term) -> io::Result<()>;
 
     /// Whether the work has ended by itself: `Some(true)` after success, `Some(false)` after failure, `None` while it
     /// runs.
     ///
     /// # Errors
-    /// The state of the work cannot be determined.
+    /// An I/O error if it cannot be determined whether the work has ended.
     fn ended(&mut self) -> io::Result<Option<bool>>;
 
     /// Tells the work to end, and kills it if it still runs at `by`, a time of the job's clock in milliseconds.
     ///
     /// # Errors
-    /// The work could not be ended.
+    /// An I/O error if the work could not be ended.
     fn end(&mut self, by: Ms) -> impl Future<Output = io::Result<()>>;
 
-    /// Reports why the lease is not held yet. Called at most once, after the first request that got no reply.
+    /// Reports in words why the lease is not held yet. Called at most once, after the first request that got no reply.
     fn waits(&mut self, reason: &str);
 }
 
 /// How a job ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// The work ended by itself, with success or not.
+    /// The work ended by itself. The value tells whether it succeeded.
     ByItself(bool),
     /// The caller of [`Job::run`] stopped the job.
     Stopped,
-    /// A dispatcher refused the lease, for this reason.
+    /// A dispatcher refused the lease for the contained reason.
     Refused(String),
-    /// The work was ended because the lease was lost or not renewed, for this reason.
+    /// The work was ended because the lease was lost or not renewed; contains the reason.
     Lost(String),
 }
 
@@ -58,7 +58,7 @@
 pub struct Job<'a, T, C> {
     /// Connects to the dispatchers.
     pub transport: &'a T,
-    /// The job's clock, which counts the lease.
+    /// The clock on which the job measures its lease.
     pub clock: &'a C,
     /// The dispatchers' fleet addresses, tried in turn.
     pub addresses: &'a [String],
@@ -68,7 +68,7 @@
     pub number: u64,
 }
 
-/// What a job does after a reply.
+/// What a job does once a reply is handled.
 enum NextStep {
     AskAgain,
     End(Ended),
@@ -155,7 +155,7 @@
                     if held.renew(*term, asked_at, *good_for).is_err() {
                         work.end(held.expires_at()).await?;
                         return Ok(NextStep::End(Ended::Lost(
-                            "the lease is held in another term: another process may have held it"
+                            "the lease has a new term: another process may have held the lease in between"
                                 .to_owned(),
                         )));
                     }
@@ -166,7 +166,7 @@
                     .await?;
                 return Ok(NextStep::End(Ended::Refused(reason.clone())));
             }
-            // The lease is not held yet or no longer, or no dispatcher answered.
+            // The lease is not held yet, the lease is no longer held, or no dispatcher answered.
             Ok(_) | Err(_) => {}
         }
         let Some(held) = lease else {
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -342,7 +342,7 @@
             accepted: true,
             holder: Some((Term(3), holder())),
             every: 200.0,
-            places: vec![(lease_name, 2)],
+            ranks: vec![(lease_name, 2)],
         }),
         Answer::Done,
         Answer::FencingDecision {
@@ -389,7 +389,7 @@
     assert_eq!(
         question_in(v1::FleetCall { question: None }),
         None,
-        "a call without a question"
+        "a call without a question is refused"
     );
     for ballot in [
         None,
@@ -399,22 +399,26 @@
         wire_ballot(1, "a\nb"),
         wire_ballot(1, &"x".repeat(300)),
     ] {
-        assert_eq!(question_in(prepare(ballot.clone())), None, "{ballot:?}");
+        assert_eq!(
+            question_in(prepare(ballot.clone())),
+            None,
+            "a request with the ballot {ballot:?} is refused"
+        );
     }
-    let mut overlong = question_out(&Question::Vote(AcceptorRequest::Accept {
+    let mut with_too_many_leases = question_out(&Question::Vote(AcceptorRequest::Accept {
         voter_id: VoterId(1),
         ballot: ballot(1),
         value: replicated_state(),
         write_counts: WriteCounts::new(),
     }));
-    if let Some(v1::fleet_call::Question::Accept(accept)) = &mut overlong.question {
+    if let Some(v1::fleet_call::Question::Accept(accept)) = &mut with_too_many_leases.question {
         let value = accept.value.as_mut().expect("the request has a value");
         value.leases = vec![value.leases[0].clone(); 1000];
     }
     assert_eq!(
-        question_in(overlong),
+        question_in(with_too_many_leases),
         None,
-        "more leases than a fleet can have"
+        "a state with more leases than a fleet can have is refused"
     );
 }
 
@@ -433,10 +437,10 @@
         decode(&unknown_version),
         Err(LoadError::UnknownVersion(9))
     ));
-    for cut in 4..bytes.len() {
+    for length in 4..bytes.len() {
         assert!(
-            decode(&bytes[..cut]).is_err(),
-            "file truncated to {cut} bytes"
+            decode(&bytes[..length]).is_err(),
+            "a file that is truncated to {length} bytes is refused"
         );
     }
 }
@@ -454,11 +458,11 @@
     }
 
     #[test]
-    fn a_file_with_a_flipped_bit_is_refused(at in 5usize..200, bit in 0u8..8) {
+    fn a_file_with_a_flipped_bit_is_refused(index in 5usize..200, bit in 0u8..8) {
         let mut bytes = write(&acceptor_state());
-        let at = at % bytes.len();
-        prop_assume!(at >= 5);
-        bytes[at] ^= 1 << bit;
+        let index = index % bytes.len();
+        prop_assume!(index >= 5);
+        bytes[index] ^= 1 << bit;
         prop_assert!(decode(&bytes).is_err());
     }
 }
--- a/crates/fleet/tests/driver.rs
+++ b/crates/fleet/tests/driver.rs
@@ -22,7 +22,7 @@
 
 type Member = Driver<Memory, TokioClock, MemoryFile>;
 
-struct Net {
+struct TestFleet {
     memory: Memory,
     clock: TokioClock,
     files: Vec<MemoryFile>,
@@ -31,10 +31,10 @@
 }
 
 fn settings(fleet: &str, index: usize) -> FleetSettings {
-    let voter = |n: usize| {
+    let voter = |number: usize| {
         (
-            Name::from(format!("d{n}").as_str()),
-            Address::from(format!("at-{n}").as_str()),
+            Name::from(format!("d{number}").as_str()),
+            Address::from(format!("at-{number}").as_str()),
         )
     };
     FleetSettings {
@@ -76,7 +76,7 @@
     fn has_turn(&self, _: u64, _: &str) {}
 }
 
-impl Net {
+impl TestFleet {
     async fn start(&mut self, fleet: &str, index: usize, file: MemoryFile) -> Member {
         let dispatcher = Rc::new(ReadyDispatcher);
         let member = Driver::new(
@@ -112,7 +112,7 @@
 }
 
 /// Starts three voting members and runs a test once one of them is the membership leader.
-fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
+fn run<F: Future<Output = ()>>(test: impl FnOnce(TestFleet) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -120,7 +120,7 @@
     LocalSet::new().block_on(&runtime.expect("the runtime starts"), async {
         let (memory, clock) = (Memory::default(), TokioClock::starting_at(1e6));
         let files = Vec::new();
-        let mut net = Net {
+        let mut fleet = TestFleet {
             memory,
             clock,
             files,
@@ -128,23 +128,23 @@
             drivers: Vec::new(),
         };
         for index in 0..3 {
-            net.files.push(MemoryFile::default());
-            let file = net.files[index].clone();
-            let member = net.start("fleet", index, file).await;
-            net.members.push(member);
+            fleet.files.push(MemoryFile::default());
+            let file = fleet.files[index].clone();
+            let member = fleet.start("fleet", index, file).await;
+            fleet.members.push(member);
         }
-        net.wait(2_000.0).await;
-        assert_eq!(net.holders(), 1);
-        test(net).await;
+        fleet.wait(2_000.0).await;
+        assert_eq!(fleet.holders(), 1);
+        test(fleet).await;
     });
 }
 
 #[test]
 fn three_members_elect_one_leader_and_answer_operators() {
-    run(|net| async move {
+    run(|fleet| async move {
         let reply = send_operator_request(
-            &net.memory,
-            &net.clock,
+            &fleet.memory,
+            &fleet.clock,
             "at-1",
             &OperatorRequest::Status,
             900.0,
@@ -152,15 +152,15 @@
         .await
         .expect("the member answers");
         let Reply::Status(status) = reply else {
-            panic!("{reply:?}")
+            panic!("not a status: {reply:?}")
         };
         assert!(
             status.majority && status.voters.iter().all(|voter| voter.votes),
-            "{status:?}"
+            "all voters vote: {status:?}"
         );
         assert_eq!(status.leases.len(), 1);
-        net.wait(20_000.0).await;
-        assert_eq!(net.holders(), 1);
+        fleet.wait(20_000.0).await;
+        assert_eq!(fleet.holders(), 1);
         let expired_leases = |member: &Member| {
             member
                 .counts()
@@ -168,50 +168,50 @@
                 .copied()
                 .unwrap_or_default()
         };
-        assert_eq!(net.members.iter().map(expired_leases).sum::<u64>(), 0);
+        assert_eq!(fleet.members.iter().map(expired_leases).sum::<u64>(), 0);
     });
 }
 
 #[test]
 fn with_one_full_disk_the_other_two_voters_choose_commands() {
-    run(|net| async move {
-        net.files[0].fail_writes(true);
+    run(|fleet| async move {
+        fleet.files[0].fail_writes(true);
         let request = OperatorRequest::HoldLease {
             lease_name: LeaseName::from("job"),
             job: 7,
         };
         let mut held = false;
         for _ in 0..20 {
-            let reply = send_operator_request(&net.memory, &net.clock, "at-1", &request, 900.0)
+            let reply = send_operator_request(&fleet.memory, &fleet.clock, "at-1", &request, 900.0)
                 .await
                 .expect("the member answers");
             held |= matches!(reply, Reply::Holds { term: Some(_), .. });
-            net.wait(50.0).await;
+            fleet.wait(50.0).await;
         }
         assert!(held, "two of three voters are a majority");
-        assert!(net.members[0].counts()["saves failed"] >= 1);
+        assert!(fleet.members[0].counts()["saves failed"] >= 1);
         // With two full disks no majority accepts a command.
-        net.files[1].fail_writes(true);
-        net.wait(3_000.0).await;
-        assert_eq!(net.holders(), 0, "no lease is renewed");
-        net.files[0].fail_writes(false);
-        net.wait(4_000.0).await;
-        assert!(net.holders() >= 1);
+        fleet.files[1].fail_writes(true);
+        fleet.wait(3_000.0).await;
+        assert_eq!(fleet.holders(), 0, "no lease is renewed");
+        fleet.files[0].fail_writes(false);
+        fleet.wait(4_000.0).await;
+        assert!(fleet.holders() >= 1);
     });
 }
 
 #[test]
 fn other_fleets_and_invalid_messages_are_dropped_and_counted() {
-    run(|mut net| async move {
+    run(|mut fleet| async move {
         // A dispatcher of another fleet has this fleet's voters in its settings.
-        let outsider = net.start("other", 7, MemoryFile::default()).await;
-        net.wait(2_000.0).await;
+        let outsider = fleet.start("other", 7, MemoryFile::default()).await;
+        fleet.wait(2_000.0).await;
         assert!(outsider.held().is_empty());
-        let dropped = || net.members.iter().map(Driver::dropped).sum::<u64>();
+        let dropped = || fleet.members.iter().map(Driver::dropped).sum::<u64>();
         let dropped_before = dropped();
         assert!(dropped_before >= 1, "the other fleet's member was refused");
         // Bytes that are not the protocol, and a call without a question.
-        let mut connection = net
+        let mut connection = fleet
             .memory
             .connect("at-0")
             .await
@@ -220,7 +220,7 @@
             .write_all(b"noise and nothing else, of some length\r\n\r\n")
             .await
             .expect("the bytes are sent");
-        let io = net
+        let io = fleet
             .memory
             .connect("at-0")
             .await
@@ -248,23 +248,26 @@
                     ..
                 }))
             ),
-            "{answer:?}"
+            "a call without a question is not answered: {answer:?}"
         );
-        net.wait(2_000.0).await;
+        fleet.wait(2_000.0).await;
         assert!(
             dropped() >= dropped_before + 2,
-            "dropped {} after {dropped_before}",
+            "the noise and the call without a question are counted as dropped: {dropped_before} before, {} now",
             dropped()
         );
-        assert_eq!(net.holders(), 1, "the leader keeps its lease");
+        assert_eq!(fleet.holders(), 1, "the leader keeps its lease");
         let answer = send_request(
-            &net.memory,
-            &net.clock,
+            &fleet.memory,
+            &fleet.clock,
             "at-0",
             &Question::VoterState,
             900.0,
         )
         .await;
-        assert!(matches!(answer, Ok(Answer::VoterState(_))), "{answer:?}");
+        assert!(
+            matches!(answer, Ok(Answer::VoterState(_))),
+            "the member still answers valid requests: {answer:?}"
+        );
     });
 }
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -1,8 +1,8 @@
 //! Tests of an operator's job under a lease, with three members, connections in memory and a paused clock.
 //!
-//! The voters' disks become slow. One lost renewal, or disks that are always slow but answer in time, must not end the
-//! work. When the lease is not renewed any more, the work has to end before the lease expires: after that another
-//! process may hold the lease, and the same work would run twice.
+//! The voters' disks become slow. The work must not end because of one lost renewal, or while all writes are slow but
+//! complete in time. When the lease is not renewed any more, the work has to end before the lease expires: after that
+//! another process may hold the lease, and the same work would run twice.
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{FleetSettings, LocalHealth};
@@ -21,12 +21,12 @@
 const LEASE_MS: f64 = 1000.0;
 const ANSWER_TIMEOUT_MS: f64 = 100.0;
 
-/// A file in memory whose writes take `write_takes` milliseconds.
+/// A file in memory whose writes take `write_ms` milliseconds.
 #[derive(Clone)]
 struct SlowDisk {
     file: MemoryFile,
     clock: TokioClock,
-    write_takes: Rc<Cell<f64>>,
+    write_ms: Rc<Cell<f64>>,
 }
 
 impl FileStore for SlowDisk {
@@ -36,7 +36,7 @@
 
     async fn replace(&self, bytes: Vec<u8>) -> io::Result<()> {
         self.clock
-            .sleep_until(self.clock.now() + self.write_takes.get())
+            .sleep_until(self.clock.now() + self.write_ms.get())
             .await;
         self.file.replace(bytes).await
     }
@@ -61,16 +61,16 @@
 #[derive(Default)]
 struct EndlessWork {
     /// The terms in which the work was started.
-    begun: Rc<RefCell<Vec<Term>>>,
-    begins: Rc<Notify>,
+    started_terms: Rc<RefCell<Vec<Term>>>,
+    started: Rc<Notify>,
     /// The time by which the work was told to end.
-    ended_by: Rc<Cell<Option<f64>>>,
+    must_end_by: Rc<Cell<Option<f64>>>,
 }
 
 impl Work for EndlessWork {
     fn begin(&mut self, term: Term) -> io::Result<()> {
-        self.begun.borrow_mut().push(term);
-        self.begins.notify_one();
+        self.started_terms.borrow_mut().push(term);
+        self.started.notify_one();
         Ok(())
     }
 
@@ -79,24 +79,24 @@
     }
 
     async fn end(&mut self, by: f64) -> io::Result<()> {
-        self.ended_by.set(Some(by));
+        self.must_end_by.set(Some(by));
         Ok(())
     }
 
     fn waits(&mut self, _: &str) {}
 }
 
-struct Net {
+struct TestFleet {
     memory: Memory,
     clock: TokioClock,
-    write_takes: Rc<Cell<f64>>,
+    write_ms: Rc<Cell<f64>>,
 }
 
 fn settings(index: usize) -> FleetSettings {
-    let voter = |n: usize| {
+    let voter = |number: usize| {
         (
-            Name::from(format!("d{n}").as_str()),
-            Address::from(format!("at-{n}").as_str()),
+            Name::from(format!("d{number}").as_str()),
+            Address::from(format!("at-{number}").as_str()),
         )
     };
     FleetSettings {
@@ -124,51 +124,52 @@
 }
 
 /// Starts three voting members and runs a test once they had time to elect a leader.
-fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
+fn run<F: Future<Output = ()>>(test: impl FnOnce(TestFleet) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
     LocalSet::new().block_on(&runtime.expect("the runtime starts"), async {
         let (memory, clock) = (Memory::default(), TokioClock::starting_at(1e6));
-        let net = Net {
+        let fleet = TestFleet {
             memory,
             clock,
-            write_takes: Rc::default(),
+            write_ms: Rc::default(),
         };
         for index in 0..3 {
             let disk = SlowDisk {
                 file: MemoryFile::default(),
-                clock: net.clock,
-                write_takes: net.write_takes.clone(),
+                clock: fleet.clock,
+                write_ms: fleet.write_ms.clone(),
             };
             let member = Driver::new(
                 settings(index),
-                net.memory.clone(),
-                net.clock,
+                fleet.memory.clone(),
+                fleet.clock,
                 Some(disk),
                 Rc::new(ReadyDispatcher),
             );
-            let listener = net
+            let listener = fleet
                 .memory
                 .listen(&format!("at-{index}"))
                 .await
                 .expect("the address is free");
             spawn_local(async move { member.run(listener, pending()).await });
         }
-        net.wait(2_000.0).await;
-        test(net).await;
+        fleet.wait(2_000.0).await;
+        test(fleet).await;
     });
 }
 
-impl Net {
+impl TestFleet {
     async fn wait(&self, ms: f64) {
         self.clock.sleep_until(self.clock.now() + ms).await;
     }
 
-    /// Starts a job at the first member and returns once its work has begun, with what stops the job and its task.
+    /// Starts a job at the first member and waits until its work has begun. Returns a handle that stops the job when it
+    /// is notified, and the task of the job.
     async fn start_job(&self, work: EndlessWork) -> (Rc<Notify>, tokio::task::JoinHandle<Ended>) {
-        let (stop, begins) = (Rc::new(Notify::new()), work.begins.clone());
+        let (stop, started) = (Rc::new(Notify::new()), work.started.clone());
         let (stop_requested, memory, clock) = (stop.clone(), self.memory.clone(), self.clock);
         let job = spawn_local(async move {
             let addresses = ["at-0".to_owned()];
@@ -185,37 +186,38 @@
                 .await
                 .expect("the work starts and ends")
         });
-        begins.notified().await;
+        started.notified().await;
         (stop, job)
     }
 }
 
 #[test]
 fn one_lost_renewal_at_any_point_of_the_lease_does_not_end_the_work() {
-    for part in 0..20 {
-        run(|net| async move {
+    for twentieths in 0..20 {
+        run(|fleet| async move {
             let work = EndlessWork::default();
-            let (begun, ended_by) = (work.begun.clone(), work.ended_by.clone());
-            let (stop, job) = net.start_job(work).await;
-            net.wait(LEASE_MS * f64::from(part) / 20.0).await;
-            // Writes are slower than the proposer's timeout for half a timeout: the proposal that needs them fails, and
-            // the next one succeeds.
-            net.write_takes.set(1.5 * ANSWER_TIMEOUT_MS);
-            net.wait(0.5 * ANSWER_TIMEOUT_MS).await;
-            net.write_takes.set(0.0);
-            net.wait(3.0 * LEASE_MS).await;
+            let (started_terms, must_end_by) =
+                (work.started_terms.clone(), work.must_end_by.clone());
+            let (stop, job) = fleet.start_job(work).await;
+            fleet.wait(LEASE_MS * f64::from(twentieths) / 20.0).await;
+            // For half of the answer timeout, each write takes longer than that timeout. A proposal that needs such a
+            // write fails, and the next proposal succeeds.
+            fleet.write_ms.set(1.5 * ANSWER_TIMEOUT_MS);
+            fleet.wait(0.5 * ANSWER_TIMEOUT_MS).await;
+            fleet.write_ms.set(0.0);
+            fleet.wait(3.0 * LEASE_MS).await;
             assert_eq!(
-                ended_by.get(),
+                must_end_by.get(),
                 None,
-                "renewal lost after {part}/20 of the lease: the work goes on"
+                "renewal lost after {twentieths}/20 of the lease: the work goes on"
             );
             stop.notify_one();
             assert_eq!(
                 job.await.expect("the job ends"),
                 Ended::Stopped,
-                "{part}/20"
+                "renewal lost after {twentieths}/20 of the lease: the job ends only when it is stopped"
             );
-            assert_eq!(begun.borrow().len(), 1, "the work began once");
+            assert_eq!(started_terms.borrow().len(), 1, "the work began once");
         });
     }
 }
@@ -225,14 +227,14 @@
 #[test]
 fn permanently_slow_disks_do_not_end_the_work() {
     for fraction in [0.1, 0.2, 0.3, 0.4] {
-        run(|net| async move {
+        run(|fleet| async move {
             let work = EndlessWork::default();
-            let ended_by = work.ended_by.clone();
-            let (stop, job) = net.start_job(work).await;
-            net.write_takes.set(fraction * ANSWER_TIMEOUT_MS);
-            net.wait(10.0 * LEASE_MS).await;
+            let must_end_by = work.must_end_by.clone();
+            let (stop, job) = fleet.start_job(work).await;
+            fleet.write_ms.set(fraction * ANSWER_TIMEOUT_MS);
+            fleet.wait(10.0 * LEASE_MS).await;
             assert_eq!(
-                ended_by.get(),
+                must_end_by.get(),
                 None,
                 "writes take {fraction} of the answer timeout: the work goes on"
             );
@@ -244,20 +246,23 @@
 
 #[test]
 fn work_ends_before_its_lease_expires_if_the_lease_is_not_renewed() {
-    run(|net| async move {
+    run(|fleet| async move {
         let work = EndlessWork::default();
-        let ended_by = work.ended_by.clone();
-        let (_, job) = net.start_job(work).await;
-        net.write_takes.set(f64::from(u32::MAX));
-        let disks_stopped_at = net.clock.now();
+        let must_end_by = work.must_end_by.clone();
+        let (_, job) = fleet.start_job(work).await;
+        fleet.write_ms.set(f64::from(u32::MAX));
+        let disks_stopped_at = fleet.clock.now();
         let ended = job.await.expect("the job ends");
-        assert!(matches!(ended, Ended::Lost(_)), "{ended:?}");
-        let lost_after = net.clock.now() - disks_stopped_at;
+        assert!(
+            matches!(ended, Ended::Lost(_)),
+            "the job ends as its lease was not renewed: {ended:?}"
+        );
+        let lost_after = fleet.clock.now() - disks_stopped_at;
         assert!(
             lost_after < 0.99 * LEASE_MS,
             "the work is told to end {lost_after} ms after the disks stopped, before the lease expires"
         );
-        let killed_after = ended_by.get().expect("the work was ended") - disks_stopped_at;
+        let killed_after = must_end_by.get().expect("the work was ended") - disks_stopped_at;
         assert!(
             killed_after > lost_after && killed_after < 0.99 * LEASE_MS,
             "the work is killed {killed_after} ms after the disks stopped, before the lease expires"
--- a/crates/fleet/tests/stored_bytes.rs
+++ b/crates/fleet/tests/stored_bytes.rs
@@ -17,7 +17,7 @@
 use cindercleat_fleet::acceptor_storage::{decode, write};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A file written by an earlier version, in hexadecimal.
+/// The bytes of a file that an earlier version wrote, in hexadecimal.
 const STORED: &str = "\
 63637674012603ebaf0a0161100b1a47080112150a0161100b1a0e612e6578616d706c653a3730303012150a0162100c1a0e\
 622e6578616d706c653a3730303012150a0163100d1a0e632e6578616d706c653a37303030220c080e120163188080808080\
@@ -36,12 +36,12 @@
 023a070a0162100c1828";
 
 fn stored_bytes() -> Vec<u8> {
-    let digits = STORED.as_bytes().chunks(2);
-    let byte = |digits: &[u8]| {
-        let digits = std::str::from_utf8(digits).expect("the digits are ASCII");
-        u8::from_str_radix(digits, 16).expect("the digits are hexadecimal")
+    let digit_pairs = STORED.as_bytes().chunks(2);
+    let byte = |pair: &[u8]| {
+        let pair = std::str::from_utf8(pair).expect("the digits are ASCII");
+        u8::from_str_radix(pair, 16).expect("the digits are hexadecimal")
     };
-    digits.map(byte).collect()
+    digit_pairs.map(byte).collect()
 }
 
 fn ballot(round: u64, by: &str) -> Ballot {
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -1,14 +1,14 @@
-//! Deliberate faults that tests inject to verify that the checks detect them, one at a time and per thread. Without the
-//! feature `fault-injection` no fault is ever injected, and [`is_injected`] is a constant.
+//! Deliberate faults that tests inject to verify that the checks detect them. Each thread has at most one injected
+//! fault. Without the feature `fault-injection` no fault is ever injected, and [`is_injected`] is a constant.
 
-/// A protection that is switched off while the fault is injected.
+/// A fault that tests can inject. Each fault switches off one protection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// An acceptor answers before the state that its answer reports is durable.
+    /// An acceptor sends its answer before the state that the answer reports is durable.
     AnswerBeforeDurable,
     /// A restarted process uses the same ballots as the process before it.
     BallotReused,
-    /// A holder counts its lease from the answer instead of from its request.
+    /// A holder measures its lease from the arrival of the answer instead of from its request.
     LeaseCountedFromAnswer,
     /// A contender acquires a lease before the holder's lease has expired.
     LeaseTakenEarly,
@@ -16,9 +16,10 @@
     TermNotIncremented,
     /// A receiver executes commands of an older term.
     StaleTermExecuted,
-    /// A receiver that has just started executes a command that carries no timestamp of its process.
+    /// A receiver that has just started executes a command that carries no timestamp of the receiver's process.
     TimestampNotRequired,
-    /// The voters are changed while an earlier change is unfinished, without a majority of the voters before it.
+    /// The voters can be changed while an earlier change is unfinished, and a change needs no majority of the former
+    /// voters.
     ConcurrentVoterChanges,
     /// A holder acts without checking whether its lease has expired.
     LeaseEndIgnored,
@@ -28,7 +29,7 @@
     AcceptedValueIgnored,
     /// A voter that lost its file still votes under its former identity.
     FileLossIgnored,
-    /// A contender counts time during which its process was suspended as waited.
+    /// A contender's wait for a lease includes time during which the contender's process was suspended.
     SleepCountedAsWait,
     /// Leases and timestamps stay valid after the clock was set back.
     ClockStepBackIgnored,
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -1,15 +1,17 @@
 //! Commands of a lease holder, executed only while their sender holds the lease.
 //!
-//! Guards against a former holder that acts beside its successor, because its process was suspended or its messages
-//! were delayed. Such a command has an older term, or arrives after its sender's lease has expired. Two checks refuse
-//! it:
+//! Guards against a former holder whose commands arrive after its successor has begun to act, because the former
+//! holder's process was suspended or its messages were delayed. Such a command has an older term, or arrives after the
+//! lease of its sender has expired. Two checks refuse the command:
 //!
-//! - The term is a fencing token: a receiver that has executed a command of a newer term executes none of an older one.
-//! - The term alone does not help at a receiver that has not heard from the successor yet. A command therefore carries
-//!   a timestamp of the receiver's own clock, which the receiver sent with its last answer, and for how long after that
-//!   timestamp the sender's lease certainly lasts. The sender received the timestamp after it was taken, so the
-//!   receiver's count ends before the lease does, however long the command was delayed. A receiver that has just
-//!   started does not recognize timestamps of an earlier process, and asks for the command to be sent again.
+//! - The term is a fencing token: a receiver that has executed a command of a newer term refuses commands of older
+//!   terms.
+//! - The term alone does not protect a receiver that has not received a command of the successor yet. Each command
+//!   therefore carries a timestamp of the receiver's own clock, which the receiver sent with its last answer, and for
+//!   how long after that timestamp the sender's lease certainly lasts. The sender received the timestamp after the
+//!   receiver took it, so this time ends on the receiver's clock before the lease expires, however long the command was
+//!   delayed. A receiver that has just started does not recognize timestamps of an earlier process, and asks for the
+//!   command to be sent again.
 
 use super::fault_injection::{is_injected, InjectedFault};
 use super::state::LeaseHolder;
@@ -17,29 +19,29 @@
 use crate::interface::Ms;
 use std::collections::BTreeMap;
 
-/// A time of a receiver's clock, which is meaningful to that receiver's process only.
+/// A reading of a receiver's clock. Only the process that took the reading can compare it with other times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceiverTimestamp {
     /// The process whose clock was read.
     pub incarnation: Incarnation,
-    /// The reading of that clock, in milliseconds.
+    /// The reading of that process's clock, in milliseconds.
     pub at: Ms,
 }
 
 /// A command that a lease holder sends to a receiver, with what the receiver needs to check the lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FencedCommand {
-    /// The lease that entitles the sender to the command.
+    /// The lease that the sender has to hold for the command to be executed.
     pub lease_name: LeaseName,
     /// The term in which the sender holds the lease.
     pub term: Term,
-    /// The process that sends the command.
+    /// The process that holds the lease and sends the command.
     pub holder: LeaseHolder,
-    /// A number that grows with each command of the sender, so that receivers can tell duplicates.
+    /// A number that grows with each command of the sender, so that receivers can detect duplicates.
     pub number: u64,
     /// The newest timestamp that the sender has from this receiver; `None` before the receiver's first answer.
     pub receiver_timestamp: Option<ReceiverTimestamp>,
-    /// For how long after that timestamp the sender's lease certainly lasts, in milliseconds.
+    /// For how long after `receiver_timestamp` the sender's lease certainly lasts, in milliseconds.
     pub good_for: Ms,
     /// The content of the command, which fencing does not interpret.
     pub body: Vec<u8>,
@@ -61,7 +63,7 @@
     LeaseExpired,
 }
 
-/// Decides which commands are executed; one per receiving process.
+/// Decides which commands a receiving process executes; each process has one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Receiver {
     incarnation: Incarnation,
@@ -127,8 +129,9 @@
         FencingDecision::Executed
     }
 
-    /// Invalidates all earlier timestamps after the clock was set back: leases would seem to last longer with them.
-    /// Under a new incarnation earlier timestamps count as those of another process.
+    /// Invalidates all earlier timestamps after the clock was set back, as a lease that is measured from one of them
+    /// would seem to last longer. The receiver takes a new incarnation, so that the earlier timestamps count as those
+    /// of another process.
     pub fn clock_went_back(&mut self) {
         if !is_injected(InjectedFault::ClockStepBackIgnored) {
             self.incarnation = Incarnation(self.incarnation.0.wrapping_add(1));
@@ -136,10 +139,10 @@
     }
 }
 
-/// A sender's knowledge of one receiver's clock.
+/// A sender's record of the newest timestamp that one receiver has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReceiverClock {
-    /// The newest timestamp, and when it arrived, on the sender's clock in milliseconds.
+    /// The newest timestamp, with the time of its arrival on the sender's clock in milliseconds.
     newest: Option<(ReceiverTimestamp, Ms)>,
 }
 
@@ -149,8 +152,9 @@
         self.newest = Some((receiver_timestamp, now));
     }
 
-    /// The timestamp to send with a command, and for how many milliseconds after the timestamp a lease lasts that
-    /// expires at `lease_end` on the sender's clock; no timestamp and 0 before the receiver's first answer.
+    /// Returns the timestamp to send with a command, and for how many milliseconds after the timestamp the sender's
+    /// lease lasts. `lease_end` is when that lease expires on the sender's clock. Before the receiver's first answer
+    /// the result is `None` and 0.
     pub fn good_for(&self, lease_end: Ms) -> (Option<ReceiverTimestamp>, Ms) {
         match self.newest {
             Some((receiver_timestamp, arrived_at)) => {
--- a/src/coordination/job_lease.rs
+++ b/src/coordination/job_lease.rs
@@ -14,8 +14,8 @@
 /// How long an answer is awaited, as a fraction of the lease duration.
 const ANSWER_TIMEOUT_FRACTION: f64 = 0.25;
 /// The work is told to end when this fraction of the lease is left. Dispatchers begin to renew a lease after a third of
-/// its duration, and a proposal that the voters do not answer in time takes up to a fifth: one failed proposal and the
-/// next, successful one fit in before.
+/// its duration, and a proposal that the voters do not answer in time takes up to a fifth of the duration. One failed
+/// proposal and a successful retry therefore fit in before the work has to end.
 const END_FRACTION: f64 = 0.25;
 /// Work that still runs is killed when this fraction of the lease is left.
 const KILL_FRACTION: f64 = 0.1;
@@ -25,16 +25,17 @@
 pub struct JobLease {
     term: Term,
     expires_at: Ms,
-    /// The longest remaining time that any answer stated: the closest known value to the whole lease duration.
+    /// The longest remaining time that any answer stated, as an estimate of the whole lease duration.
     duration: Ms,
 }
 
-/// The lease is held in another term than before: another process may have held it meanwhile.
+/// The error of [`JobLease::renew`] for an answer with another term: another process may have held the lease in
+/// between.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TermChanged;
 
 impl JobLease {
-    /// A lease that was requested at `asked_at` and of which `left` remains according to the answer.
+    /// The lease according to an answer that states `left` as the remaining time; the request was sent at `asked_at`.
     ///
     /// Guards against a delayed answer: the remaining time counts from when the job sent its request.
     pub fn new(term: Term, asked_at: Ms, left: Ms) -> Self {
@@ -50,10 +51,10 @@
         self.term
     }
 
-    /// Extends the lease by the answer to a later request, sent at `asked_at`, of which `left` remains.
+    /// Updates the lease with an answer that states `left` as the remaining time; the request was sent at `asked_at`.
     ///
     /// # Errors
-    /// [`TermChanged`] if the answer names another term; the lease is left as it was.
+    /// [`TermChanged`] if the answer names another term; the lease then stays unchanged.
     pub fn renew(&mut self, term: Term, asked_at: Ms, left: Ms) -> Result<(), TermChanged> {
         if term != self.term {
             return Err(TermChanged);
@@ -78,12 +79,12 @@
         self.expires_at - now < END_FRACTION * self.duration
     }
 
-    /// When work that was told to end and still runs is killed.
+    /// The time at which the job kills work that was told to end and still runs.
     pub fn kill_at(&self) -> Ms {
         self.expires_at - KILL_FRACTION * self.duration
     }
 
-    /// When the lease expires.
+    /// The time at which the lease expires on the job's clock, unless a later answer extends the lease.
     pub fn expires_at(&self) -> Ms {
         self.expires_at
     }
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -1,9 +1,9 @@
 //! How long a member holds a lease, and when another member may acquire the lease.
 //!
-//! The clocks of different members are never compared. A holder counts its lease from before it requested the lease. A
-//! contender waits for a whole lease duration on its own clock, counted from when it last saw the lease's record
-//! change. Both allow for clock rates that differ by a configured fraction. The lease therefore ends at its holder
-//! before another member acquires it.
+//! The clocks of different members are never compared. A holder measures its lease from a time before the holder sends
+//! the request. A contender waits for a whole lease duration on its own clock, measured from when the contender last
+//! saw the lease's record change. Both allow for clock rates that differ by a configured fraction. The holder therefore
+//! stops acting under the lease before another member acquires the lease.
 
 use super::fault_injection::{is_injected, InjectedFault};
 use super::state::{LeaseHolder, LeaseRecord, LeaseVersion, ReplicatedState};
@@ -40,12 +40,13 @@
         self.lease * (1.0 - self.drift)
     }
 
-    /// How long a contender waits for a lease whose record states the duration `lease_ms` to expire, in milliseconds.
+    /// How long a contender waits before a lease counts as expired, in milliseconds. `lease_ms` is the duration in the
+    /// lease's record.
     pub fn waited_for(&self, lease_ms: u64) -> Ms {
         self.lease.max(lease_ms as f64) * (1.0 + self.drift)
     }
 
-    /// The time from a request for a lease to its renewal, in milliseconds.
+    /// The time from the request that granted or last renewed a lease to its next renewal, in milliseconds.
     pub fn renew_after(&self) -> Ms {
         self.lease / RENEWALS_PER_LEASE
     }
@@ -78,10 +79,11 @@
 }
 
 impl HeldLease {
-    /// A lease that was requested and granted at these times of this member's clock, in milliseconds.
+    /// A lease that was requested at `requested_at` and granted at `granted_at`, both on this member's clock in
+    /// milliseconds.
     ///
     /// Guards against a delayed answer: a contender's wait may begin as soon as the voters accept the request. The
-    /// lease therefore counts from `requested_at`, which is before that.
+    /// lease is therefore measured from `requested_at`, which is before the voters accept.
     pub fn new(term: Term, requested_at: Ms, granted_at: Ms, settings: &LeaseSettings) -> Self {
         let begins_at = match is_injected(InjectedFault::LeaseCountedFromAnswer) {
             true => granted_at,
@@ -94,7 +96,8 @@
         }
     }
 
-    /// The time until the lease expires, in milliseconds; 0 if it has expired, even if nothing has handled that yet.
+    /// The time until the lease expires, in milliseconds; 0 once the lease has expired, even if the member has not
+    /// handled the expiry yet.
     pub fn left(&self, now: Ms) -> Ms {
         (self.expires_at - now).max(0.0)
     }
@@ -108,13 +111,15 @@
     record: Option<LeaseRecord>,
     /// Whether the replicated state was seen, with or without a record of this lease.
     pub has_observed: bool,
-    /// How much time counts as waited since the version was first seen, in milliseconds.
+    /// How long this member has waited since it first saw this version, in milliseconds; see
+    /// [`LeaseObserver::count_time`].
     waited: Ms,
-    /// Up to when `waited` is counted.
-    counted_at: Ms,
-    /// Drawn anew for each version, 0 to 1, so that contenders do not propose at the same moment.
+    /// The time up to which `waited` has been counted, in milliseconds.
+    counted_until: Ms,
+    /// A random number from 0 to 1, drawn for each version so that contenders do not propose at the same moment.
     jitter: f64,
-    /// This member's rank among the possible successors, as the membership leader told it; `None` if it is not ranked.
+    /// This member's rank among the possible successors, as the membership leader reported it; `None` if this member is
+    /// not ranked.
     pub place: Option<u32>,
 }
 
@@ -126,13 +131,14 @@
             record: None,
             has_observed: false,
             waited: 0.0,
-            counted_at: now,
+            counted_until: now,
             jitter: rng.generate(),
             place: None,
         }
     }
 
-    /// Shows the observer the lease's record in the newest value. The wait begins anew with each change of the record.
+    /// Updates the observer with the lease's record in the newest replicated state; `None` if the state has no record of
+    /// the lease. Each change of the record restarts the wait.
     pub fn observe(&mut self, now: Ms, record: Option<&LeaseRecord>, rng: &mut WyRand) {
         let version = record.map(LeaseRecord::version).unwrap_or_default();
         if self.has_observed && version == self.version {
@@ -141,19 +147,19 @@
         self.version = version;
         self.record = record.cloned();
         self.waited = 0.0;
-        self.counted_at = now;
+        self.counted_until = now;
         self.jitter = rng.generate();
         self.has_observed = true;
     }
 
-    /// Counts the time since the last call as waited.
+    /// Adds the time since the last call to the time that this member has waited for the lease.
     ///
-    /// Guards against a contender whose process was suspended or whose clock jumped: it did not query newer values
-    /// meanwhile, and would acquire a lease that has been renewed. A step of more than two query intervals does not
-    /// count.
+    /// Guards against a contender whose process was suspended or whose clock jumped: the contender did not query newer
+    /// values meanwhile, and would acquire a lease that has been renewed. The time between two calls is not added if it
+    /// is longer than two query intervals.
     pub fn count_time(&mut self, now: Ms, settings: &LeaseSettings) {
-        let passed = now - self.counted_at;
-        self.counted_at = now;
+        let passed = now - self.counted_until;
+        self.counted_until = now;
         let longest_step = MAX_STEP_QUERY_INTERVALS * settings.query_interval();
         let was_running = (0.0..=longest_step).contains(&passed);
         if was_running || is_injected(InjectedFault::SleepCountedAsWait) {
@@ -161,7 +167,7 @@
         }
     }
 
-    /// The version of the newest record seen, to be stated when the lease is acquired.
+    /// The version of the newest record seen, which [`Command::Acquire`](super::state::Command::Acquire) has to state.
     pub fn version(&self) -> LeaseVersion {
         self.version
     }
@@ -172,8 +178,8 @@
         record.is_some_and(|record| record.holder.is_none() && record.next.as_ref() == Some(me))
     }
 
-    /// How much longer this member has to wait before it may acquire the lease, in milliseconds; 0 if it may do so now,
-    /// infinite before it has seen the replicated state.
+    /// How much longer this member has to wait before it may acquire the lease, in milliseconds; 0 if this member may
+    /// acquire the lease now, infinite before this member has seen the replicated state.
     pub fn election_delay(&self, me: &LeaseHolder, is_voter: bool, settings: &LeaseSettings) -> Ms {
         if !self.has_observed {
             return f64::INFINITY;
@@ -181,10 +187,11 @@
         let record = self.record.as_ref();
         let holder = record.and_then(|record| record.holder.as_ref());
         if holder == Some(me) {
-            // A proposal of this process was chosen although no answer arrived: no other process acts under the lease.
+            // An earlier proposal of this process was chosen although its answers were lost. No other process acts
+            // under the lease, so there is nothing to wait for.
             return 0.0;
         }
-        let lease_end = settings.waited_for(record.map_or(0, |record| record.lease_ms));
+        let expiry_wait = settings.waited_for(record.map_or(0, |record| record.lease_ms));
         let spread = self.election_spread(is_voter, settings);
         let successor = match holder {
             Some(_) => None,
@@ -192,10 +199,10 @@
         };
         let delay = match (successor, holder) {
             (Some(successor), _) if *successor == me.name => 0.0,
-            // The named successor has one lease duration to acquire the lease before others may.
-            (Some(_), _) => lease_end + spread,
+            // The named successor has one lease duration to acquire the lease before other members may acquire it.
+            (Some(_), _) => expiry_wait + spread,
             // Guards against two holders: the present holder may act until its lease expires.
-            (None, Some(_)) if !is_injected(InjectedFault::LeaseTakenEarly) => lease_end + spread,
+            (None, Some(_)) if !is_injected(InjectedFault::LeaseTakenEarly) => expiry_wait + spread,
             (None, _) => spread,
         };
         (delay - self.waited).max(0.0)
@@ -206,7 +213,8 @@
         let gap = settings.gap();
         match self.place {
             Some(place) => (f64::from(place) + self.jitter) * gap,
-            // Among unranked members voters come first, as they are the members most likely to be running.
+            // Unranked voters wait for a shorter time than other unranked members, as voters are the members that are
+            // most likely to be running.
             None if is_voter => {
                 (f64::from(RANKED_SUCCESSORS) + f64::from(RANKED_SUCCESSORS) * self.jitter) * gap
             }
@@ -215,12 +223,12 @@
     }
 }
 
-/// A member that may hold a lease next, by the properties that decide its rank.
+/// The properties of a possible next lease holder that decide its rank.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// Whether the member accepts client requests and is not stopping.
     pub ready: bool,
-    /// The zone that the member runs in; compared with the preferred zone.
+    /// The zone that the member runs in; members of the preferred zone are ranked before others.
     pub zone: String,
     /// The member's utilization, 0 to 1.
     pub utilization: f64,
@@ -240,7 +248,7 @@
     holder: Option<&Name>,
     candidates: impl Iterator<Item = (&'a Name, Candidate)>,
 ) -> BTreeMap<Name, u32> {
-    let rank = |name: &Name, candidate: &Candidate| {
+    let sort_key = |name: &Name, candidate: &Candidate| {
         let is_in_preferred_zone = preferred_zone.is_none_or(|zone| zone == candidate.zone);
         let is_busy = candidate.utilization >= BUSY_UTILIZATION;
         let hash = xxh3_64(format!("{} {}", lease_name.0, name.0).as_bytes());
@@ -254,7 +262,7 @@
     };
     let mut ranked: Vec<_> = candidates
         .filter(|(name, _)| Some(*name) != holder)
-        .map(|(name, candidate)| (rank(name, &candidate), name.clone()))
+        .map(|(name, candidate)| (sort_key(name, &candidate), name.clone()))
         .collect();
     ranked.sort();
     let names = ranked.into_iter().map(|(_, name)| name);
@@ -271,7 +279,7 @@
 }
 
 /// Whether a lease is held by the process with this name and incarnation.
-pub fn is_mine(record: &LeaseRecord, name: &Name, incarnation: Incarnation) -> bool {
+pub fn is_held_by(record: &LeaseRecord, name: &Name, incarnation: Incarnation) -> bool {
     record
         .holder
         .as_ref()
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor's part of a member: the voter's file, the fleet's bootstrap, and whether the member may vote.
+//! The member as an acceptor: the voter's file, the fleet's bootstrap, and whether the member may vote.
 
 use super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
@@ -11,11 +11,11 @@
 pub(super) enum AcceptorFile {
     /// The file was not loaded yet.
     NotLoaded,
-    /// This member has no voter's file, by its settings.
+    /// The settings of this member name no voter's file.
     NotConfigured,
     /// The file was loaded, or did not exist and is to be created.
     Usable,
-    /// The file cannot be trusted, for this reason: the member does not vote.
+    /// The file cannot be trusted for the contained reason, so the member does not vote.
     Unusable(String),
 }
 
@@ -24,7 +24,7 @@
 pub(super) struct AcceptorStorage {
     /// Whether the file was written at least once, so that the voter's identity is durable and may be announced.
     is_created: bool,
-    /// The write that has begun and not ended.
+    /// The write that has begun and not ended; `None` if the file is not being written.
     write_in_flight: Option<SaveId>,
     /// The state that the write in flight stores.
     in_flight_state: Option<Box<AcceptorState>>,
@@ -38,7 +38,7 @@
 }
 
 impl Member {
-    /// Handles the voter's file as it was read at the start.
+    /// Handles the result of reading the voter's file when the process starts.
     pub(super) fn file_loaded(
         &mut self,
         file: Result<Option<AcceptorState>, UnusableFile>,
@@ -79,7 +79,7 @@
         self.file = AcceptorFile::Usable;
     }
 
-    /// Replaces the acceptor by one that has never voted, with a new identity, and writes its file.
+    /// Replaces the acceptor by one that has a new identity and has never voted, and writes its file.
     fn create_new_voter(&mut self, out: &mut Vec<Output>) {
         let voter_id = VoterId(self.rng.generate::<u64>() | 1);
         self.acceptor = Some(Acceptor::new(self.settings.me.clone(), voter_id));
@@ -88,8 +88,8 @@
         self.save_acceptor(out);
     }
 
-    /// Discards a file that is older than this voter's answers: the voter has forgotten promises and must not vote
-    /// under its identity any more.
+    /// Discards a file that lacks writes which this voter has already reported in answers. The voter has forgotten
+    /// promises and must not vote under its identity any more.
     fn discard_outdated_file(&mut self, out: &mut Vec<Output>) {
         out.push(Output::Warn(
             "the voter's file is outdated: this member does not vote until an operator adds it as a voter \
@@ -100,7 +100,7 @@
         self.create_new_voter(out);
     }
 
-    /// Begins to write the file, unless a write is in flight: the next write then begins when that one ends.
+    /// Begins to write the file, unless a write is in flight. In that case the next write begins when that one ends.
     pub(super) fn save_acceptor(&mut self, out: &mut Vec<Output>) {
         let (None, Some(acceptor)) = (self.storage.write_in_flight, &self.acceptor) else {
             return;
@@ -116,7 +116,8 @@
         self.count("saves");
     }
 
-    /// Handles the end of a write: sends the answers that waited for it if the write is durable.
+    /// Handles the end of a write: sends the answers that waited for the write if it is durable, and drops them
+    /// otherwise.
     pub(super) fn file_saved(&mut self, number: SaveId, is_durable: bool, out: &mut Vec<Output>) {
         let storage = &mut self.storage;
         if storage.write_in_flight != Some(number) {
@@ -131,11 +132,12 @@
             let answer_call = |(call, answer)| Output::Answer { call, answer };
             out.extend(answers.into_iter().map(answer_call));
         } else {
-            // Guards against a full or failing disk: if the process ended after an answer whose state is not durable,
-            // the voter would break its promise. The answers are dropped, and the promises stay in memory.
+            // Guards against a full or failing disk: if the process ended after it had sent an answer whose state is
+            // not durable, the voter would break its promise. The answers are dropped, and the promises stay in memory.
             self.count("saves failed");
             out.push(Output::Warn(
-                "could not write the voter's file: dropped the answers that wait for it".to_owned(),
+                "could not write the voter's file: dropped the answers that waited for the write"
+                    .to_owned(),
             ));
         }
         if !self.storage.answers_for_next_write.is_empty()
@@ -160,8 +162,9 @@
         }
         let answer = Answer::Vote(response.reply);
         let state = self.acceptor.as_ref().map(|acceptor| &acceptor.state);
-        // Guards against requests that are sent again while their answer waits for a slow disk: one write per copy
-        // would keep the disk busy until the request has timed out. A copy waits for the write that contains its state.
+        // Guards against requests that are sent again while their answer waits for a slow disk: one write per copy of a
+        // request would keep the disk busy until the request has timed out. The answer to a copy waits for the write
+        // that contains the state that the answer reports.
         if !response.needs_durable_state || self.storage.durable_state.as_deref() == state {
             out.push(Output::Answer { call, answer });
         } else if is_injected(InjectedFault::AnswerBeforeDurable) {
@@ -197,7 +200,7 @@
         acceptor.state.promised.is_some() && !self.confirmed_by.contains(&self.settings.me)
     }
 
-    /// The answer to a query of another member: this voter's identity, bootstrap and accepted value.
+    /// The answer to [`Question::VoterState`]: this voter's identity, bootstrap and accepted value.
     pub(super) fn voter_state(&self) -> VoterState {
         let acceptor = self.durable_acceptor();
         VoterState {
@@ -213,8 +216,8 @@
         self.acceptor.as_ref().filter(|_| self.storage.is_created)
     }
 
-    /// Whether [`Member::check_acceptor`] has something to do: the file is not created, the bootstrap is not known, or
-    /// other voters have not confirmed the file.
+    /// Whether [`Member::check_acceptor`] has something to do: the file has not been created, the bootstrap is unknown,
+    /// or other voters still have to confirm the file.
     fn acceptor_needs_check(&self) -> bool {
         if self.file != AcceptorFile::Usable {
             return false;
@@ -234,7 +237,8 @@
             .then_some(self.next_acceptor_check_at)
     }
 
-    /// Creates the file, queries the bootstrap or asks other voters to confirm the file, repeatedly until that is done.
+    /// Creates the file, asks other voters for the bootstrap, or asks them to confirm the file. A later call repeats the
+    /// step if it has not succeeded.
     pub(super) fn check_acceptor(&mut self, out: &mut Vec<Output>) {
         if !self.acceptor_needs_check() || self.now < self.next_acceptor_check_at {
             return;
@@ -267,7 +271,7 @@
         }
     }
 
-    /// Handles another voter's answer that states how many writes of this voter it knows of.
+    /// Handles the answer of the voter `by`, which knows of `writes` writes of this voter's file.
     ///
     /// Guards against an outdated file, see [`Acceptor::detect_outdated_file`]: the acceptor votes again once all
     /// voters have confirmed its file, or a majority has confirmed it and a lease duration has passed since the start.
@@ -304,8 +308,8 @@
         if all.all(|(name, voter_record)| has_confirmed(&name, &voter_record)) {
             return true;
         }
-        // A majority is enough only after the others had time to answer, as a voter that lags behind may not know of
-        // the newest writes.
+        // A majority is enough only after the other voters had time to answer, as a voter that has missed messages may
+        // not know of the newest writes.
         let has_waited = self.now - self.started_at >= self.settings.lease.lease;
         has_waited && voters.majority(has_confirmed)
     }
@@ -328,12 +332,12 @@
         self.try_bootstrap(of, voter_state.voter_id, out);
     }
 
-    /// Bootstraps the fleet: once a blank voter has received the identities of all voters in the settings, these are
-    /// the first voters.
+    /// Bootstraps the fleet: a voter without a bootstrap or a promise makes the voters in the settings the first voters,
+    /// once it knows the identities of all of them.
     ///
-    /// Guards against a second bootstrap beside the first, as two sets of voters would choose values independently. A
-    /// voter adopts a bootstrap that another voter has made. If the bootstrap contains its identity it votes, otherwise
-    /// it waits until an operator adds it as a voter.
+    /// Guards against two different bootstraps, as two sets of voters would choose values independently. A voter adopts
+    /// a bootstrap that another voter has made. The voter then votes if the bootstrap contains its identity, and
+    /// otherwise waits until an operator adds it as a voter.
     fn try_bootstrap(&mut self, of: &Name, voter_id: Option<VoterId>, out: &mut Vec<Output>) {
         let known_bootstrap = self.bootstrap.clone();
         let Some(state) = self.durable_acceptor().map(|acceptor| &acceptor.state) else {
@@ -354,10 +358,10 @@
         if let Some(voter_id) = voter_id.filter(|_| self.settings.voters.contains_key(of)) {
             self.bootstrap_voter_ids.insert(of.clone(), voter_id);
         }
-        if let Some(set) = self.bootstrap_voters(own_id) {
+        if let Some(first_voters) = self.bootstrap_voters(own_id) {
             let bootstrap = Voters {
                 generation: 1,
-                set,
+                set: first_voters,
                 before: None,
             };
             out.push(Output::Info(
--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -17,8 +17,8 @@
         }
         if known.is_none_or(|known| *known != leader) {
             self.leader_answered_at = None;
-            // The heartbeat is sent at once. Members learn of a new leader at different times, so their heartbeats do
-            // not all arrive together.
+            // The next heartbeat is sent at once. Members learn of a new leader at different times, so their heartbeats
+            // do not all arrive together.
             self.next_heartbeat_at = self.next_heartbeat_at.min(self.now);
             self.membership_leader = Some(leader);
         }
@@ -36,16 +36,16 @@
         held.is_some_and(|held| held.left(self.now) > 0.0)
     }
 
-    /// Handles another member's heartbeat; only the membership leader records the heartbeat.
+    /// Handles another member's heartbeat. Members other than the leader answer with the leader that they know.
     pub(super) fn heartbeat_received(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
         let (now, shortest) = (self.now, self.settings.heartbeat);
         let is_leader = self.holds_membership_lease();
-        let mut places = Vec::new();
+        let mut ranks = Vec::new();
         if let Some(membership) = self.membership.as_mut().filter(|_| is_leader) {
             let name = heartbeat.who.name.clone();
             membership.heartbeat_received(now, heartbeat, shortest);
-            let rank = membership.place_of(&membership_lease(), &name);
-            places.extend(rank.map(|rank| (membership_lease(), rank)));
+            let rank = membership.rank_of(&membership_lease(), &name);
+            ranks.extend(rank.map(|rank| (membership_lease(), rank)));
         }
         let membership = self.membership.as_ref();
         HeartbeatReply {
@@ -54,7 +54,7 @@
             every: membership.map_or(shortest, |membership| {
                 membership.heartbeat_interval(shortest)
             }),
-            places,
+            ranks,
         }
     }
 
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Sends a heartbeat if one is due, or queries a voter if no other member is known to be the leader. The leader
-    /// records its own heartbeat.
+    /// Sends a heartbeat to the leader if one is due. If no other member is known to be the leader, a voter is queried
+    /// instead. The leader records its own heartbeat without a message.
     pub(super) fn send_heartbeat_if_due(&mut self, out: &mut Vec<Output>) {
         if self.now < self.next_heartbeat_at {
             return;
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Handles the answer to a heartbeat that was sent to the leader with the incarnation `to`; `None` if none came.
+    /// Handles the answer to a heartbeat that was sent to the leader with the incarnation `to`. Without an answer,
+    /// `reply` is `None`.
     pub(super) fn heartbeat_answered(
         &mut self,
         to: Incarnation,
@@ -129,8 +130,8 @@
                 holder: Some(leader),
                 ..
             }) if leader.1.incarnation != to => return self.learn_membership_leader(leader),
-            // The leader was not reached, or is no longer the leader. A voter is asked once for the newest value, which
-            // names the successor, and again when the next heartbeat is due.
+            // The leader was not reached, or is no longer the leader. A voter is asked for the newest value, which names
+            // the leader's successor. The query is repeated when the next heartbeat is due.
             _ if is_current => {
                 self.count("beats lost");
                 return self.query_any_voter(out);
@@ -148,11 +149,12 @@
         let jitter: f64 = self.rng.generate();
         let interval = reply.every.max(self.settings.heartbeat);
         if interval != self.heartbeat_interval {
-            // A new interval begins at a random time, so that the members' heartbeats stay spread out.
+            // The first heartbeat at a new interval is sent at a random time, so that the members' heartbeats stay
+            // spread out.
             self.next_heartbeat_at = self.now + interval * jitter;
         }
         self.heartbeat_interval = interval;
-        let mut ranks = reply.places.iter();
+        let mut ranks = reply.ranks.iter();
         ranks
             .find(|(lease_name, _)| is_membership_lease(lease_name))
             .map(|(_, rank)| *rank)
--- a/src/coordination/member/leases.rs
+++ b/src/coordination/member/leases.rs
@@ -6,13 +6,13 @@
 /// A job counts as ended after this many lease durations without a request for its lease.
 const JOB_TIMEOUT_LEASES: f64 = 1.5;
 
-/// A lease that is being released: the member does not act under it any more.
+/// A lease that is being released. The member no longer acts under the lease.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LeaseHandover {
     pub(super) held: HeldLease,
     /// The named successor; `None` lets every contender acquire the lease.
     pub(super) next: Option<Name>,
-    /// The address at which the successor is told of the release, if it is known.
+    /// The address of the named successor, which is notified of the release; `None` if the address is unknown.
     pub(super) to: Option<Address>,
 }
 
@@ -51,7 +51,8 @@
         if !is_membership_lease(lease_name) {
             return self.jobs.contains_key(lease_name);
         }
-        // An unranked member contends only as a last resort, when the membership leader does not answer it.
+        // A member that is neither ranked nor a voter contends only as a last resort, when the membership leader does
+        // not answer its heartbeats.
         let observer = self.lease_observers.get(lease_name);
         let is_ranked = observer.is_some_and(|observer| {
             observer.place.is_some() || observer.names_successor(&self.settings.me)
@@ -69,8 +70,8 @@
     /// Drops expired leases and ended jobs.
     ///
     /// Guards against a process that was suspended: it would act under a lease that another member has acquired
-    /// meanwhile. This runs before any input is handled, and a lease counts from before it was requested, so the lease
-    /// expires here before another member may acquire it.
+    /// meanwhile. This function runs before any input is handled, and a holder's lease is measured from a time before
+    /// its request, so the lease expires here before another member may acquire the lease.
     pub(super) fn drop_expired(&mut self, out: &mut Vec<Output>) {
         if !is_injected(InjectedFault::LeaseEndIgnored) {
             self.drop_expired_leases(out);
@@ -131,8 +132,8 @@
         self.handovers.insert(lease_name.clone(), handover);
     }
 
-    /// Hands over all leases, as this process is stopping. The best-ranked member is the successor for the membership
-    /// lease.
+    /// Hands over all leases, as this process is stopping. The best-ranked member is named as the successor for the
+    /// membership lease; other leases have no named successor.
     pub(super) fn hand_over_all(&mut self, out: &mut Vec<Output>) {
         let membership = self.membership.as_ref();
         let successor = membership
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Stops holding a lease, without a proposal to the voters.
+    /// Removes a lease from the leases that this member holds. The lease's record in the replicated state stays
+    /// unchanged.
     pub(super) fn drop_lease(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         if let Some(held) = self.held_leases.remove(lease_name) {
             out.push(Output::Holds {
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Begins to hold a lease, and begins to lead if it is the membership lease.
+    /// Adds a lease to the leases that this member holds. With the membership lease the member becomes the leader.
     pub(super) fn lease_acquired(
         &mut self,
         lease_name: &LeaseName,
@@ -186,8 +188,8 @@
         }
     }
 
-    /// Handles the offer of a lease whose holder named this member as the successor: the voters are asked for the
-    /// newest value at once.
+    /// Handles the message that a lease was released with this member as the named successor: asks all voters at once
+    /// for the newest value.
     pub(super) fn lease_offered(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         self.count("nudged");
         if self.lease_observers.contains_key(lease_name) {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// The times at which leases, jobs or pending commands have to be handled, unordered.
+    /// The times at which a lease, a job or a pending command needs the next call of [`Member::handle`], unordered.
     pub(super) fn lease_timers(&self) -> Vec<Ms> {
         let settings = &self.settings.lease;
         let mut timers = Vec::new();
--- a/src/coordination/member/membership_report.rs
+++ b/src/coordination/member/membership_report.rs
@@ -1,5 +1,5 @@
-//! The membership leader's reports to the receivers in the settings. Reports are fenced commands under the membership
-//! lease, so that no receiver accepts one from a former leader.
+//! The membership leader's reports to the receivers in the settings. A report is a fenced command under the membership
+//! lease, so that no receiver accepts a report of a former leader.
 
 use super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
@@ -37,7 +37,8 @@
             .fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// When the next membership report is due; `None` if this member is not the leader or all receivers owe an answer.
+    /// When the next membership report is due; `None` if this member is not the leader, or if a report to each receiver
+    /// is in flight.
     pub(super) fn next_report_at(&self) -> Option<Ms> {
         if !self.held_leases.contains_key(&membership_lease()) {
             return None;
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -32,9 +32,9 @@
     VoterState,
     /// Asks for the highest known write count of a voter's file.
     WriteCount {
-        /// The name of the voter whose file it is.
+        /// The name of the voter whose write count is requested.
         of: Name,
-        /// The identity in that file.
+        /// The identity of that voter; another file under the same name has another identity.
         voter_id: VoterId,
     },
     /// A heartbeat to the membership leader.
@@ -100,9 +100,9 @@
     pub voter_id: Option<VoterId>,
     /// Whether the voter answers proposers now.
     pub votes: bool,
-    /// The first voters of the fleet according to the voter's file, if they are known.
+    /// The first voters of the fleet according to the voter's file; `None` if the file does not state them.
     pub bootstrap: Option<Voters>,
-    /// The value that the voter accepted last, with its ballot, if any.
+    /// The value that the voter accepted last, with its ballot; `None` if it has accepted no value.
     pub newest: Option<(Ballot, ReplicatedState)>,
 }
 
@@ -111,12 +111,12 @@
 pub struct HeartbeatReply {
     /// Whether the receiver is the membership leader and has recorded the heartbeat.
     pub accepted: bool,
-    /// The membership leader and its term as far as the receiver knows them.
+    /// The membership leader with its term, according to the receiver; `None` if the receiver knows no leader.
     pub holder: Option<(Term, LeaseHolder)>,
     /// The time until the sender's next heartbeat, in milliseconds.
     pub every: Ms,
     /// The sender's ranks among the possible next holders of leases, 0 for the first; empty if it is not ranked.
-    pub places: Vec<(LeaseName, u32)>,
+    pub ranks: Vec<(LeaseName, u32)>,
 }
 
 /// The dispatcher's health, which the driver measures and the member reports with heartbeats.
@@ -128,7 +128,7 @@
     pub load: f64,
     /// Outcomes of client requests since the process started.
     pub tally: OutcomeCounts,
-    /// New reports about engines since the previous input of this kind.
+    /// Reports about engines that are new since the previous [`Input::LocalHealth`].
     pub reports: Vec<EngineReport>,
 }
 
@@ -163,21 +163,21 @@
     Asked {
         /// The number that the driver gives the request, for [`Output::Answer`].
         call: CallId,
-        /// The request as decoded from its message.
+        /// The decoded request.
         question: Question,
     },
     /// A sent request was answered, or its receiver could not be reached.
     Answered {
         /// The number of the request, from [`Output::Ask`].
         ask: QuestionId,
-        /// The answer; `None` if none will come, or if the answer was invalid.
+        /// The answer; `None` if the connection failed or the answer was invalid.
         answer: Option<Answer>,
     },
     /// A new measurement of the dispatcher's health.
     LocalHealth(LocalHealth),
     /// The engines in this dispatcher's endpoint list, replacing the earlier ones.
     Engines(Vec<Unit>),
-    /// Only time has passed.
+    /// No event except that time has passed. The member handles the timers that are due.
     Tick,
     /// The process is to end: the member hands over its leases and acquires no more.
     Stop,
@@ -192,14 +192,14 @@
         ask: QuestionId,
         /// The address of the receiver's fleet service.
         to: Address,
-        /// The request to encode and send.
+        /// The request, which the driver encodes and sends.
         question: Question,
     },
     /// Answer a received request.
     Answer {
         /// The number of the request, from [`Input::Asked`].
         call: CallId,
-        /// The answer to encode and send.
+        /// The answer, which the driver encodes and sends.
         answer: Answer,
     },
     /// Write the voter's file durably.
@@ -222,7 +222,7 @@
     PermitGranted {
         /// The permit for the disruption.
         permit: PermitId,
-        /// The label to start under; empty for the present label.
+        /// The label of the restarted process; empty if the label stays the same.
         label: String,
     },
     /// Log a warning.
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -1,8 +1,8 @@
 //! One dispatcher as a member of its fleet: an acceptor and a proposer of the replicated state, a holder of leases, and
 //! either the membership leader or a member that sends heartbeats to the leader.
 //!
-//! [`Member::handle`] takes an [`Input`] and returns the [`Output`]s to be performed. [`Member::wants_call_at`] states
-//! when it has to be called next if there is no input before.
+//! [`Member::handle`] takes an [`Input`] and appends the [`Output`]s that the driver has to perform.
+//! [`Member::wants_call_at`] returns the time of the next call that is needed even if no input arrives.
 
 mod acceptor;
 mod heartbeat;
@@ -68,7 +68,7 @@
     acceptor: Option<Acceptor>,
     storage: AcceptorStorage,
     next_acceptor_check_at: Ms,
-    /// The identities of the configured voters that have answered, for the bootstrap.
+    /// The identities of the voters in the settings that have answered so far; collected for the bootstrap.
     bootstrap_voter_ids: BTreeMap<Name, VoterId>,
     /// The voters that have confirmed that the acceptor's file is not outdated; includes this member once voting
     /// resumes.
@@ -76,9 +76,9 @@
 
     // State of the proposer.
     knowledge: ProposerKnowledge,
-    /// The newest value seen, with its ballot; it may not be chosen.
+    /// The newest replicated state seen, chosen or not, with its ballot.
     newest: Option<(Option<Ballot>, ReplicatedState)>,
-    /// The newest value that this member knows to be chosen.
+    /// The newest replicated state that this member knows to be chosen.
     chosen: Option<ReplicatedState>,
     bootstrap: Option<Voters>,
     highest_round: u64,
@@ -93,7 +93,7 @@
     held_leases: BTreeMap<LeaseName, HeldLease>,
     handovers: BTreeMap<LeaseName, LeaseHandover>,
     jobs: BTreeMap<LeaseName, LeaseJob>,
-    /// When a voter is next asked for the newest value, while this member contends for a lease.
+    /// When a voter is next asked for the newest value. Used only while this member contends for a lease.
     next_query_at: Ms,
 
     // Heartbeats and the membership leader.
@@ -173,7 +173,8 @@
     /// Handles an input at a reading of the clock, in milliseconds, and appends the outputs to be performed to `out`.
     pub fn handle(&mut self, reading: Ms, input: Input, out: &mut Vec<Output>) {
         self.advance_clock(reading, out);
-        // Comes first, so that nothing is done under an expired lease, however long the process was suspended.
+        // Expired leases are dropped before the input is handled, so that the member does not act under an expired
+        // lease, however long the process was suspended.
         self.drop_expired(out);
         match input {
             Input::Loaded(file) => self.file_loaded(file, out),
@@ -253,7 +254,7 @@
         self.rollout_status()
     }
 
-    /// The newest replicated state seen, which may not be chosen; `None` before the first one.
+    /// The newest replicated state seen, chosen or not; `None` before the first one.
     pub fn newest(&self) -> Option<&ReplicatedState> {
         self.newest.as_ref().map(|(_, value)| value)
     }
@@ -287,8 +288,9 @@
 
     /// Handles a clock that was set back.
     ///
-    /// Guards against a lease that lasts longer here than other members wait for it. All leases end now, the timestamps
-    /// given to senders become void, and the proposal in flight is dropped so that it grants nothing.
+    /// Guards against a lease that lasts longer on this clock than other members wait for its end. All leases of this
+    /// member expire now, the timestamps given to senders become invalid, and the proposal in flight is dropped so that
+    /// it grants no lease.
     fn clock_went_back(&mut self, out: &mut Vec<Output>) {
         self.count("clock went back");
         self.receiver.clock_went_back();
@@ -296,7 +298,7 @@
             return;
         }
         out.push(Output::Warn(
-            "the clock was set back: all leases held or requested so far are void".to_owned(),
+            "the clock was set back: dropped all leases that were held or requested".to_owned(),
         ));
         let handed_over = self
             .handovers
@@ -327,7 +329,7 @@
         known
     }
 
-    /// This process as a lease holder, for commands and messages.
+    /// The name, incarnation and address of this process, as commands and messages state them.
     fn me(&self) -> LeaseHolder {
         LeaseHolder {
             name: self.settings.me.clone(),
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -1,9 +1,8 @@
-//! The proposer's part of a member: the choice of the next command, the proposal in flight, and the handling of its
-//! outcome.
+//! The member as a proposer: the choice of the next command, the proposal in flight, and the handling of its outcome.
 
 use super::*;
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
-use crate::coordination::lease::{holder_of, is_mine};
+use crate::coordination::lease::{holder_of, is_held_by};
 use crate::coordination::register::{
     OutgoingRequest, Phase, ProposalOutcome, ProposalStep, VoterKey,
 };
@@ -12,10 +11,10 @@
 
 /// The shortest wait after a conflict, as a fraction of the lease duration.
 ///
-/// Guards against proposers that keep interrupting each other so that none of them reaches a majority. Each waits for a
-/// longer, random time after every conflict in a row, so one of them finishes.
+/// Guards against proposers that keep interrupting each other so that none of them reaches a majority. Each proposer
+/// waits for a longer, random time after each consecutive conflict, so that one of them succeeds.
 const CONFLICT_BACKOFF_FRACTION: f64 = 0.01;
-/// How often the shortest wait is doubled, once for each conflict in a row.
+/// The most times that the shortest wait is doubled; each consecutive conflict doubles it once.
 const CONFLICT_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// Why a command is proposed, which decides how its outcome is handled.
@@ -94,7 +93,7 @@
 
     fn resignation(&self) -> Option<(ProposalReason, Command)> {
         // Guards against commands of this term that arrive after the successor's commands: the membership lease is
-        // released once they are answered or can no longer be executed.
+        // released once all commands of this term are answered or can no longer be executed.
         let may_resign = |(lease_name, _): &(&LeaseName, &LeaseHandover)| {
             !is_membership_lease(lease_name) || self.fenced_commands_are_finished()
         };
@@ -126,7 +125,7 @@
         let settings = &self.settings.lease;
         let who = self.me();
         let is_voter = self.is_voter();
-        // Guards against a command of an earlier term of this process that is executed after one of its next term.
+        // Guards against a command of this process's earlier term that is executed after a command of its next term.
         let may_acquire = |(lease_name, observer): &(&LeaseName, &LeaseObserver)| {
             self.contends(lease_name)
                 && self.fenced_commands_are_finished()
@@ -155,7 +154,8 @@
         ))
     }
 
-    /// When [`Member::next_command`] will have something to propose, as far as is known now; infinite if never.
+    /// The earliest time at which [`Member::next_command`] returns a command if no input arrives before; infinite if
+    /// there is none.
     pub(super) fn next_command_at(&self) -> Ms {
         let (settings, me, is_voter) = (&self.settings.lease, self.me(), self.is_voter());
         let renewals = self
@@ -209,8 +209,8 @@
         if self.now < self.next_query_at {
             return;
         }
-        // Members that contend only as a last resort do not query more often than they send heartbeats, as there may be
-        // hundreds of them.
+        // Members that are neither ranked nor voters query voters at most as often as they send heartbeats, as there may
+        // be hundreds of such members.
         let mut observers = self.lease_observers.values();
         let is_last_resort = !self.is_voter() && observers.all(|observer| observer.place.is_none());
         let min_interval = match is_last_resort {
@@ -266,8 +266,8 @@
 
     /// Asks one voter, and the next voter if it does not answer.
     ///
-    /// Guards against a dead voter: with one of three voters dead, a third of hundreds of members would get no answer
-    /// until their next heartbeat is due, and a third of them would fail again then.
+    /// Guards against a dead voter. With one of three voters dead, a third of all members, which may be hundreds, would
+    /// get no answer until their next heartbeat is due, and a third of those would fail again then.
     pub(super) fn query_next_voter(&mut self, voter: Option<NextVoter>, out: &mut Vec<Output>) {
         let Some(NextVoter { index, attempt }) = voter else {
             return;
@@ -362,7 +362,7 @@
                 self.conflicts_in_a_row = 0;
                 self.count("refused");
                 self.command_rejected(ended.reason, error, out);
-                // The value that a majority returned under this ballot is newer than any value seen before.
+                // A majority returned `base` under this ballot, so `base` is newer than any value seen before.
                 self.observe_state(Some(ballot), base);
             }
             ProposalOutcome::Conflict(promised) => {
@@ -378,7 +378,7 @@
     }
 
     /// Delays the next proposal after a conflict, for at least about the time that the failed proposal took. The
-    /// competing proposal takes about as long, and a proposal before its end would only interrupt it.
+    /// competing proposal takes about as long, and a new proposal during that time would only interrupt it.
     fn back_off(&mut self, begun_at: Ms) {
         let doublings = self.conflicts_in_a_row.min(CONFLICT_BACKOFF_DOUBLINGS);
         let jitter: f64 = self.rng.generate();
@@ -429,7 +429,7 @@
     ) {
         let (me, incarnation) = (&self.settings.me, self.settings.incarnation);
         let record = value.leases.get(lease_name);
-        let Some(record) = record.filter(|record| is_mine(record, me, incarnation)) else {
+        let Some(record) = record.filter(|record| is_held_by(record, me, incarnation)) else {
             return;
         };
         let term = record.term;
@@ -445,8 +445,9 @@
     fn renewal_chosen(&mut self, value: &ReplicatedState, begun_at: Ms) {
         let (me, incarnation) = (&self.settings.me, self.settings.incarnation);
         for (lease_name, held) in &mut self.held_leases {
-            let is_renewed =
-                |record: &LeaseRecord| is_mine(record, me, incarnation) && record.term == held.term;
+            let is_renewed = |record: &LeaseRecord| {
+                is_held_by(record, me, incarnation) && record.term == held.term
+            };
             if value.leases.get(lease_name).is_some_and(is_renewed) {
                 *held = HeldLease::new(held.term, begun_at, self.now, &self.settings.lease);
             }
@@ -460,8 +461,8 @@
         out: &mut Vec<Output>,
     ) {
         match reason {
-            // Guards against repeating the same proposal at once, when the newest value seen is newer than the chosen
-            // one.
+            // Guards against repeating the same rejected command at once. Commands are derived from the newest value
+            // seen, which can be newer than the chosen value that rejects them.
             ProposalReason::AcquireLease(_) | ProposalReason::FinishVoterChange => {
                 self.next_proposal_at = self.now + self.settings.lease.gap();
             }
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -6,7 +6,7 @@
 /// How often a request to an acceptor is sent again while its answer is awaited.
 const MAX_RESENDS: u32 = 2;
 
-/// What a request in flight is for, which decides who handles its answer.
+/// What a request in flight is for, which decides how its answer is handled.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum RequestPurpose {
     /// A prepare or accept request of the proposal with this ballot.
@@ -31,13 +31,13 @@
     PermitNotice { to: Address, permit: PermitId },
     /// Revokes a permit unless its disruption has begun.
     RevokePermit { permit: PermitId },
-    /// Asks after a halt whether a permitted disruption has begun.
+    /// Sent once disruptions are halted: asks a unit with a permit whether its disruption has begun.
     ConfirmHalt { permit: PermitId },
     /// Tells a member to stop, at an operator's request.
     StopByHand { call: CallId, note: String },
 }
 
-/// The voter to ask next: its index among the known voters, and how many voters will have been asked by then.
+/// The voter to ask next: its index among the known voters, and the number of this attempt, from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct NextVoter {
     pub(super) index: usize,
@@ -51,15 +51,15 @@
     times_left: u32,
 }
 
-/// A request whose answer is awaited.
+/// A request that was sent and has neither been answered nor timed out.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct RequestInFlight {
     purpose: RequestPurpose,
     to: Address,
     /// When the request counts as unanswered.
     times_out_at: Ms,
-    /// When the request is sent again before it times out. Guards against a lost message, which would make a whole
-    /// proposal fail.
+    /// When the request is sent again before it times out; `None` if it is not sent again. Guards against a lost
+    /// message, which would make a whole proposal fail.
     resend: Option<Resend>,
     /// The request; kept only if it may be sent again.
     question: Option<Box<Question>>,
@@ -164,7 +164,7 @@
             .collect()
     }
 
-    /// Handles the requests that have timed out as unanswered.
+    /// Removes the requests that have timed out, and handles each as a request without an answer.
     pub(super) fn expire_requests(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         for id in self.request_ids_where(|request| request.times_out_at <= now) {
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Handles an answer; `None` if the receiver could not be reached. Answers after the timeout are ignored.
+    /// Handles an answer; `None` if the receiver could not be reached. An answer that arrives after the timeout is
+    /// ignored.
     pub(super) fn answer_received(
         &mut self,
         id: QuestionId,
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Handles a received request and answers it, at once or later.
+    /// Handles a received request. Requests of proposers and operators may be answered later, others are answered now.
     pub(super) fn handle_request(
         &mut self,
         call: CallId,
--- a/src/coordination/member/settings.rs
+++ b/src/coordination/member/settings.rs
@@ -21,7 +21,7 @@
     pub zone: String,
     /// The version that this member runs, or another label that its operators chose.
     pub label: String,
-    /// The first voters of the fleet, by name. They are also queried for the present voters.
+    /// The first voters of the fleet, by name. A member also asks them for the present voters.
     pub voters: BTreeMap<Name, Address>,
     /// Whether this member has a voter's file and may become a voter.
     pub may_vote: bool,
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -28,7 +28,7 @@
     pub holds: u32,
     /// Outcomes of client requests since the process started.
     pub tally: OutcomeCounts,
-    /// Reports about a few engines; further reports follow with the next heartbeats.
+    /// Reports about a few engines; reports about other engines follow with the next heartbeats.
     pub reports: Vec<EngineReport>,
 }
 
@@ -62,7 +62,7 @@
     Suspected,
     /// Many heartbeats are missing, or some are missing after the member announced that it stops.
     Dead,
-    /// Alive for a short time only, after a restart or after the member counted as dead.
+    /// Heartbeats arrive in time again, for a short time so far, after a restart or after the member counted as dead.
     Returned,
 }
 
@@ -75,7 +75,8 @@
     pub last_heartbeat_at: Ms,
     /// Since when heartbeats have arrived without a restart or a long gap, on the leader's clock in milliseconds.
     pub since: Ms,
-    /// Whether the leader knew the member before `since`: as another process, or until it counted as dead.
+    /// Whether the leader received heartbeats of the member before `since`: from an earlier process, or before the
+    /// member counted as dead.
     has_returned: bool,
 }
 
@@ -87,8 +88,8 @@
 const RETURNED_FOR_HEARTBEATS: f64 = 10.0;
 /// A member is removed after this many heartbeat intervals without a heartbeat.
 const REMOVED_AFTER_HEARTBEATS: f64 = 600.0;
-/// Guards against overload of the leader in a large fleet: each member sends heartbeats less often, so that the leader
-/// receives at most this many per second.
+/// The most heartbeats that the leader receives per second. Guards against overload of the leader: the members of a
+/// large fleet send heartbeats less often.
 const MAX_HEARTBEATS_PER_SECOND: f64 = 500.0;
 /// The most members, and the most engines, that the leader records; any further ones are ignored.
 pub const MAX_MEMBERS: usize = 8192;
@@ -96,11 +97,11 @@
 /// A lease whose possible next holders are to be ranked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RankedLease {
-    /// The name of the lease, which also enters the hash that breaks ties.
+    /// The name of the lease; part of the hash that breaks ties between members.
     pub lease_name: LeaseName,
     /// The zone whose members are ranked before others; `None` if no zone is preferred.
     pub preferred_zone: Option<String>,
-    /// The present holder, which is not ranked itself.
+    /// The present holder, which is not ranked; `None` if the lease is free.
     pub holder: Option<Name>,
 }
 
@@ -118,8 +119,8 @@
 }
 
 impl Membership {
-    /// The view of a dispatcher that became the leader at `now`, in milliseconds: without members until they send
-    /// heartbeats.
+    /// The view of a dispatcher that became the leader at `now`, in milliseconds. Members are added when their
+    /// heartbeats arrive.
     pub fn begin(now: Ms) -> Self {
         Membership {
             since: now,
@@ -199,7 +200,7 @@
         }
     }
 
-    /// The members whose heartbeats arrived, dead ones included until they are removed, by name.
+    /// The members that have sent heartbeats, ordered by name. Dead members are included until they are removed.
     pub fn members(&self) -> impl Iterator<Item = (&Name, &Member)> {
         self.members.iter()
     }
@@ -244,7 +245,7 @@
         self.successors = leases.iter().map(rank).collect();
     }
 
-    /// The members that may hold a lease next: those that are alive, whether they returned lately or not.
+    /// The members that may hold a lease next: those with the status `Alive` or `Returned`.
     fn candidates(&self, now: Ms, shortest: Ms) -> impl Iterator<Item = (&Name, Candidate)> {
         let is_alive = move |member: &Member| {
             matches!(
@@ -265,7 +266,7 @@
     }
 
     /// A member's rank among the possible next holders of a lease; `None` if it is not ranked.
-    pub fn place_of(&self, lease_name: &LeaseName, name: &Name) -> Option<u32> {
+    pub fn rank_of(&self, lease_name: &LeaseName, name: &Name) -> Option<u32> {
         self.successors.get(lease_name)?.get(name).copied()
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,7 +1,7 @@
-//! Coordination between the dispatchers of a fleet: a small replicated state with a quorum of voters ([`register`],
-//! [`state`]), leases that one dispatcher holds at a time ([`lease`]), commands that receivers execute only while
-//! their sender holds its lease ([`fencing`]), and the members of the fleet ([`membership`]). [`member`] combines them
-//! into the state machine that one dispatcher runs.
+//! Coordination between the dispatchers of a fleet: a small replicated state that a quorum of voters agrees on
+//! ([`register`], [`state`]), leases that one dispatcher holds at a time ([`lease`]), commands that receivers execute
+//! only while their sender holds its lease ([`fencing`]), and the members of the fleet ([`membership`]). [`member`]
+//! combines these modules into the state machine that one dispatcher runs.
 //!
 //! Nothing here does I/O or reads a clock: a driver passes in messages and the time, and performs the returned outputs.
 //! The clocks of different processes are never compared. `docs/duties.md` states the guarantees.
@@ -34,12 +34,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseName(pub Arc<str>);
 
-/// Identifies one process among those that run under the same name; drawn at random at each start.
+/// Identifies one process among all that have run under the same name; drawn at random at each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
-/// The fencing token of a lease. The term grows with each acquisition, so that receivers can refuse commands of an
-/// earlier holder.
+/// The fencing token of a lease. Each acquisition of the lease increments the term, so that receivers can refuse
+/// commands of an earlier holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Term(pub u64);
 
@@ -63,8 +63,8 @@
 
 /// Monotonic time derived from a clock that may be set back. All times are in milliseconds.
 ///
-/// Guards against a clock that is set back, on which a lease would last too long. Such a step counts as no time passed,
-/// and the caller is told.
+/// Guards against a clock that is set back: a lease that is measured on it would last too long. A backward step counts
+/// as zero elapsed time, and [`MonotonicClock::advance`] reports the step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MonotonicClock {
     last_reading: Option<Ms>,
@@ -80,7 +80,7 @@
         (self.now, passed < 0.0)
     }
 
-    /// Converts a monotonic time to the reading that the clock will then show, unless the clock is set.
+    /// Converts a monotonic time to the reading that the clock shows at that time, unless the clock is set before.
     pub fn to_reading(&self, time: Ms) -> Ms {
         self.last_reading.unwrap_or_default() + (time - self.now)
     }
--- a/src/coordination/register/acceptor.rs
+++ b/src/coordination/register/acceptor.rs
@@ -21,20 +21,20 @@
     pub voter_id: VoterId,
     /// The first voters of the fleet; `None` until the identities of all of them are known.
     pub bootstrap: Option<Voters>,
-    /// The highest ballot that was promised; lower ballots are refused.
+    /// The highest ballot that was promised; requests with lower ballots are refused. `None` before the first promise.
     pub promised: Option<Ballot>,
     /// The value that was accepted last, with its ballot; `None` before the first one.
     pub accepted: Option<(Ballot, ReplicatedState)>,
-    /// How often the state was changed, which reveals an outdated copy of the file.
+    /// The number of changes of the state so far, by which other voters detect an outdated copy of the file.
     pub writes: u64,
-    /// The other voters' write counts, as far as proposers passed them on.
+    /// The highest write count of each other voter that proposers have passed on to this one.
     pub write_counts: WriteCounts,
 }
 
 /// A proposer's request to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AcceptorRequest {
-    /// Asks for the promise to accept no value with a lower ballot.
+    /// Asks the acceptor to promise that it accepts no value with a lower ballot.
     Prepare {
         /// The identity of the addressed voter; a voter with another identity does not vote on the request.
         voter_id: VoterId,
@@ -81,24 +81,24 @@
     Promise {
         /// The ballot of the request.
         ballot: Ballot,
-        /// The value that the acceptor accepted last, with its ballot, if any.
+        /// The value that the acceptor accepted last, with its ballot; `None` if it has accepted no value.
         accepted: Option<(Ballot, ReplicatedState)>,
-        /// The write count of the voter's file, this promise included.
+        /// The write count of the voter's file after the promise was stored.
         writes: u64,
     },
     /// The acceptor has accepted the value.
     Accepted {
         /// The ballot of the accepted value.
         ballot: Ballot,
-        /// The write count of the voter's file, this value included.
+        /// The write count of the voter's file after the value was stored.
         writes: u64,
     },
     /// The acceptor has promised a higher ballot.
     Conflict {
-        /// The ballot that was promised.
+        /// The acceptor's highest promise, which the proposer's next ballot has to exceed.
         promised: Ballot,
     },
-    /// The acceptor does not vote now, or not under the requested identity.
+    /// The acceptor may not vote now, or its identity differs from that in the request.
     NotVoting,
 }
 
@@ -131,7 +131,7 @@
 /// it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
-    /// The state that has to be durable before dependent answers are sent.
+    /// The state that the voter's file stores. It has to be durable before an answer that reports it is sent.
     pub state: AcceptorState,
     /// Whether the acceptor may vote: its file is new, or other voters have confirmed that the file is not outdated.
     pub votes: bool,
@@ -159,7 +159,8 @@
         Acceptor { state, votes }
     }
 
-    /// Handles a proposer's request and returns the answer.
+    /// Handles a proposer's request. The answer is [`AcceptorReply::NotVoting`] if the request addresses another
+    /// identity, the acceptor may not vote, or its file turns out to be outdated.
     pub fn handle(&mut self, request: &AcceptorRequest) -> AcceptorResponse {
         let (voter_id, ballot, write_counts) = request.parts();
         // Guards against a voter that lost its file and comes back under the same name: it would break a promise that
--- a/src/coordination/register/ballot.rs
+++ b/src/coordination/register/ballot.rs
@@ -8,7 +8,7 @@
 /// processes differ, and each process uses increasing rounds.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ballot {
-    /// A number above every round that the proposer has seen.
+    /// A number higher than every round that the proposer has seen before.
     pub round: u64,
     /// The name of the proposing dispatcher.
     pub by: Name,
--- a/src/coordination/register/proposal.rs
+++ b/src/coordination/register/proposal.rs
@@ -15,7 +15,7 @@
     pub ballot: Ballot,
     /// The command that is applied to the newest accepted value.
     pub command: Command,
-    /// The voters in the newest accepted value that a promise returned, or else those that the proposer knew.
+    /// The voters in the newest accepted value that a promise returned; before that, the voters that the proposer knew.
     voters: Voters,
     /// The voters that promised, with the value that each of them accepted last.
     promises: BTreeMap<VoterKey, Option<(Ballot, ReplicatedState)>>,
@@ -43,14 +43,15 @@
     Chosen(ReplicatedState),
     /// The command cannot be applied to this value, the newest that a majority returned.
     Rejected(CommandError, ReplicatedState),
-    /// No majority can be reached with this ballot. Contains the conflicting ballot, if an acceptor named one.
+    /// No majority can be reached with this ballot. Contains the higher ballot that an acceptor has promised, if one
+    /// stated it.
     Conflict(Option<Ballot>),
 }
 
 /// What a proposer learns from its proposals and uses for later ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ProposerKnowledge {
-    /// The voters in the newest value that this proposer knows to be chosen.
+    /// The voters in the newest value that this proposer knows to be chosen; `None` if it knows none.
     pub chosen_voters: Option<Voters>,
     /// The highest known write counts of the voters, passed on with each request.
     pub write_counts: WriteCounts,
@@ -185,7 +186,7 @@
         !has_answered && phase == self.phase()
     }
 
-    /// Whether the voters that have not refused are still a majority.
+    /// Whether the proposal can still succeed: the voters that have not refused form a quorum.
     fn can_reach_majority(&self) -> bool {
         let has_not_refused = |name: &Name, voter_record: &VoterRecord| {
             !self
@@ -205,7 +206,7 @@
             self.accepted_by
                 .contains(&(name.clone(), voter_record.voter_id))
         };
-        // A command that changes the voters needs a majority of the voters before and of the voters after it.
+        // A command that changes the voters needs a majority of the old voters and a majority of the new voters.
         if !self.voters.majority(has_accepted) || !value.voters.majority(has_accepted) {
             return ProposalStep::default();
         }
@@ -216,8 +217,8 @@
     /// Begins the accept phase once a majority has promised.
     fn advance_prepare(&mut self, knowledge: &ProposerKnowledge) -> ProposalStep {
         // Guards against a majority of former voters, which may not know a value that the newer voters chose: the
-        // proposal would overwrite that value. The voters of the newest value seen count, chosen or not, and they are
-        // asked as well.
+        // proposal would overwrite that value. The voters in the newest accepted value therefore replace those known so
+        // far, whether or not that value is chosen, and are sent prepare requests as well.
         let newer_voters = self.newest_accepted().map(|(_, value)| &value.voters);
         if let Some(newer_voters) = newer_voters.filter(|voters| **voters != self.voters) {
             self.voters = newer_voters.clone();
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Prepare requests to those voters that have not been sent one.
+    /// Prepare requests to the voters that this proposal has not sent one yet.
     fn prepare_requests(&mut self, knowledge: &ProposerKnowledge) -> Vec<OutgoingRequest> {
         let mut requests = Vec::new();
         for (to, voter_record) in self.voters.all() {
@@ -286,7 +287,8 @@
         requests
     }
 
-    /// Begins the accept phase with requests to all voters before and after the command.
+    /// Begins the accept phase. Returns requests to the voters of this proposal and to the voters in the new value,
+    /// which differ if the command changes the voters.
     fn accept_requests(
         &mut self,
         value: ReplicatedState,
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The identity of a voter, drawn at random when its file is created. A voter that lost its file comes back with
-/// another identity and does not count as a voter until an operator adds it again.
+/// The identity of a voter, drawn at random when its file is created. A voter that lost its file gets another identity
+/// and does not count as a voter until an operator adds it again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VoterId(pub u64);
 
@@ -36,12 +36,12 @@
     /// Whether the voters that `is_counted` selects are a quorum: a majority of the present voters, and during a change
     /// also a majority of the former voters.
     pub fn majority(&self, is_counted: impl Fn(&Name, &VoterRecord) -> bool) -> bool {
-        let is_majority = |set: &BTreeMap<Name, VoterRecord>| {
-            let count = set
+        let is_majority = |voters: &BTreeMap<Name, VoterRecord>| {
+            let count = voters
                 .iter()
                 .filter(|(name, record)| is_counted(name, record))
                 .count();
-            2 * count > set.len()
+            2 * count > voters.len()
         };
         is_majority(&self.set) && self.before.as_ref().is_none_or(is_majority)
     }
@@ -59,7 +59,7 @@
 pub struct LeaseHolder {
     /// The name of the holding dispatcher.
     pub name: Name,
-    /// The holding process; another process of the same dispatcher does not hold the lease.
+    /// The holding process. After a restart the dispatcher is another process and does not hold the lease.
     pub incarnation: Incarnation,
     /// The address of the dispatcher's fleet service.
     pub address: Address,
@@ -74,14 +74,15 @@
     pub holder: Option<LeaseHolder>,
     /// The number of renewals in this term.
     pub renewed: u64,
-    /// The duration of the holder's lease in whole milliseconds, rounded up; no contender waits for less.
+    /// The duration of the holder's lease in whole milliseconds, rounded up. Contenders wait at least this long.
     pub lease_ms: u64,
     /// The proposal that changed the record last.
     ///
-    /// Guards against a renewal that was not chosen and is proposed again. A contender that saw the first proposal
-    /// would otherwise count its wait from there when the second is chosen, and acquire the lease too early.
+    /// Guards against a renewal that is not chosen and is proposed again. Without this field both proposals would have
+    /// the same version. A contender that saw the first one would not restart its wait when the second one is chosen,
+    /// and would acquire the lease too early.
     pub proposal_id: ProposalId,
-    /// The successor that the last holder named when it released the lease, if any.
+    /// The successor that the last holder named when it released the lease; `None` if it named none.
     pub next: Option<Name>,
 }
 
@@ -94,14 +95,15 @@
     pub incarnation: Incarnation,
 }
 
-/// The version of a lease's record. Each acquisition and each renewal has a different one.
+/// The version of a lease's record. Each acquisition, renewal and release makes a new version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseVersion {
     /// The term in which the lease is or was held.
     pub term: Term,
     /// The number of renewals in that term.
     pub renewed: u64,
-    /// The proposal that changed the record last; tells a renewal from an equal one that was not chosen.
+    /// The proposal that changed the record last; distinguishes a renewal from an earlier one with the same number that
+    /// was not chosen.
     pub proposal_id: ProposalId,
 }
 
@@ -173,7 +175,7 @@
         /// The name of the voter to remove.
         name: Name,
     },
-    /// Ends the need for a majority of the former voters, once the change of voters is known to be chosen.
+    /// Finishes a change of voters that is known to be chosen: a quorum no longer needs a majority of the former voters.
     FinishVoterChange,
     /// Advances a rollout; rejected unless the sender holds the lease in this term.
     RolloutStep {
@@ -197,13 +199,14 @@
     Outdated,
     /// An earlier change of voters is not finished.
     VoterChangeInProgress,
-    /// The voter to add is already a voter, the voter to remove is none, or a rollout is already in the wanted state.
+    /// The member to add is already a voter, the member to remove is not a voter, or the rollout is already in the
+    /// requested state.
     AlreadySo,
     /// Fewer than [`MIN_VOTERS`] voters would be left.
     TooFew,
     /// There would be more than [`MAX_VOTERS`] voters, or more than [`MAX_LEASES`] leases.
     TooMany,
-    /// The command has nothing to change, such as no unfinished change of voters to finish.
+    /// The command has no effect, for example because no change of voters is in progress.
     Nothing,
     /// The rollout is halted or finished.
     Stopped,
@@ -250,10 +253,10 @@
 
 impl ReplicatedState {
     /// Applies a command and returns the new state. `voters_are_chosen` states that a state with the present voters is
-    /// known to be chosen, which finishes a change of voters.
+    /// known to be chosen; an unfinished change of voters then ends.
     ///
     /// # Errors
-    /// A [`CommandError`] if the command does not fit this state.
+    /// A [`CommandError`] if the command cannot be applied to this state.
     pub fn apply(
         &self,
         command: &Command,
@@ -262,8 +265,8 @@
     ) -> Result<ReplicatedState, CommandError> {
         let mut new = self.clone();
         new.version += 1;
-        // Guards against two majorities without a common voter. The former voters count until the change is known to be
-        // chosen, as some proposers may know only the former voters.
+        // Guards against two majorities without a common voter. A majority of the former voters is needed until the
+        // change is known to be chosen, as some proposers may know only the former voters.
         if voters_are_chosen {
             new.voters.before = None;
         }
@@ -375,23 +378,23 @@
     }
 
     fn add_voter(&mut self, name: &Name, record: &VoterRecord) -> Result<(), CommandError> {
-        self.change_voters(|set| match set.insert(name.clone(), record.clone()) {
+        self.change_voters(|voters| match voters.insert(name.clone(), record.clone()) {
             Some(_) => Err(CommandError::AlreadySo),
-            None if set.len() > MAX_VOTERS => Err(CommandError::TooMany),
+            None if voters.len() > MAX_VOTERS => Err(CommandError::TooMany),
             None => Ok(()),
         })
     }
 
     fn remove_voter(&mut self, name: &Name) -> Result<(), CommandError> {
-        self.change_voters(|set| match set.remove(name) {
+        self.change_voters(|voters| match voters.remove(name) {
             None => Err(CommandError::AlreadySo),
-            Some(_) if set.len() < MIN_VOTERS => Err(CommandError::TooFew),
+            Some(_) if voters.len() < MIN_VOTERS => Err(CommandError::TooFew),
             Some(_) => Ok(()),
         })
     }
 
-    /// Checks that a change of voters is in progress; [`ReplicatedState::apply`] has already finished it in the new
-    /// state.
+    /// Checks that a change of voters is in progress. The new state needs no update, as [`ReplicatedState::apply`] has
+    /// already ended the change there.
     fn finish_voter_change(&self) -> Result<(), CommandError> {
         match self.voters.before {
             Some(_) => Ok(()),
@@ -399,8 +402,8 @@
         }
     }
 
-    /// Adds or removes one voter. Until the change is finished, a quorum needs a majority of the voters before and
-    /// after the change.
+    /// Adds or removes one voter. Until the change is finished, a quorum needs a majority of the former voters and a
+    /// majority of the new voters.
     ///
     /// Guards against concurrent changes, which could leave two majorities without a common voter: two values could be
     /// chosen.
