--- a/crates/fleet/src/acceptor_storage.rs
+++ b/crates/fleet/src/acceptor_storage.rs
@@ -2,9 +2,9 @@
 //!
 //! A write goes to a temporary file in the same directory. The temporary file is synced and renamed over the old file,
 //! and then the directory is synced. After a crash the file has either the old or the new content, and content that was
-//! reported as durable is not lost. The trait [`FileStore`] abstracts file access: [`Folder`] is a file in the operating
-//! system's file system, and [`MemoryFile`] is a file in memory that tests can damage and whose writes can be made to
-//! fail.
+//! reported as durable is not lost. The trait [`FileStore`] abstracts file access: [`Folder`] is a file in the
+//! operating system's file system, and [`MemoryFile`] is a file in memory that tests can damage and whose writes can be
+//! made to fail.
 
 use crate::codec::{acceptor_file_from_proto, acceptor_file_to_proto};
 use cindercleat::coordination::register::AcceptorState;
@@ -27,13 +27,13 @@
 /// Why a voter's file cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The file cannot be read.
+    /// The operating system failed to read the file.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The file does not begin with the magic bytes, or is too large.
     #[error("not a voter's file")]
     NotAVoterFile,
-    /// The file has the contained format version, which this process does not support.
+    /// The file has a format version that this process does not support; the value is that version.
     #[error(
         "file format version {0} is not supported: this process supports version {FORMAT_VERSION}"
     )]
@@ -93,7 +93,7 @@
     .concat()
 }
 
-/// A voter's file in the operating system's file system.
+/// A voter's file in the operating system's file system, which survives restarts of the process.
 #[derive(Clone, Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -134,8 +134,8 @@
 
     async fn replace(&self, bytes: Vec<u8>) -> io::Result<()> {
         let path = self.path.clone();
-        // The write runs on another thread: a sync takes milliseconds, during which the dispatcher's thread has to go on
-        // forwarding tokens.
+        // The write runs on another thread: a sync takes milliseconds, during which the dispatcher's thread has to go
+        // on forwarding tokens.
         let write_task = tokio::task::spawn_blocking(move || replace_file(&path, &bytes));
         write_task.await.map_err(io::Error::other)?
     }
--- a/crates/fleet/src/admin_client.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -70,7 +70,7 @@
 /// Sends an operator's request to the member at `address` and follows redirects to other members.
 ///
 /// # Errors
-/// The errors of [`send_request`], or a message if the request is redirected more than [`MAX_REDIRECTS`] times or the
+/// The errors of [`send_request`], or a message if the request is redirected more than `MAX_REDIRECTS` times or the
 /// answer is not an operator's reply.
 pub async fn send_operator_request<T: Transport, C: Clock>(
     transport: &T,
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -45,7 +45,8 @@
 
 fn ballot_from_proto(message: Option<v1::Ballot>) -> Option<Ballot> {
     let message = message?;
-    // With the highest possible round no later ballot could be higher, and no further value could be chosen.
+    // Refuses rounds close to the maximum: later ballots need higher rounds, and without one no further value could be
+    // chosen.
     let is_valid = message.round > 0 && message.round < u64::MAX / 2;
     is_valid.then_some(())?;
     Some(Ballot {
@@ -289,7 +290,7 @@
     })
 }
 
-/// Encodes a request to a member.
+/// Encodes a request to a member as a message of the `Fleet` service.
 pub fn question_out(question: &Question) -> v1::FleetCall {
     let question = match question {
         Question::Vote(AcceptorRequest::Prepare {
@@ -520,7 +521,7 @@
     })
 }
 
-/// Fencing decisions by their numbers on the wire.
+/// The fencing decisions; the index of each is its number on the wire.
 const FENCING_DECISIONS: [FencingDecision; 5] = [
     FencingDecision::Executed,
     FencingDecision::StaleTerm,
@@ -528,7 +529,7 @@
     FencingDecision::TimestampMissing,
     FencingDecision::LeaseExpired,
 ];
-/// Member statuses by their numbers on the wire.
+/// The member statuses; the index of each is its number on the wire.
 const MEMBER_STATUSES: [MemberStatus; 4] = [
     MemberStatus::Alive,
     MemberStatus::Suspected,
@@ -543,7 +544,7 @@
         .unwrap_or_default() as u32
 }
 
-/// Encodes a member's answer.
+/// Encodes a member's answer as a message of the `Fleet` service.
 pub fn answer_out(answer: &Answer) -> v1::FleetAnswer {
     let answer = match answer {
         Answer::Vote(AcceptorReply::Promise {
--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -43,7 +43,7 @@
 /// The HTTP/2 error code `INTERNAL_ERROR`. The stream of an invalid request is reset with this code.
 const RESET_INTERNAL_ERROR: u32 = 2;
 
-/// The dispatcher that a member belongs to.
+/// What a driver needs from the dispatcher that its member belongs to.
 pub trait Dispatcher {
     /// The dispatcher's readiness, utilization and request outcomes, for heartbeats.
     fn local_health(&self) -> LocalHealth;
@@ -58,7 +58,7 @@
     fn has_turn(&self, permit: u64, label: &str);
 }
 
-/// An open connection to another member.
+/// An open outgoing connection to another member.
 struct Peer {
     out: Out,
     last_used_at: Cell<Ms>,
@@ -82,11 +82,11 @@
     voter_file: Option<D>,
     member: RefCell<Member>,
     dispatcher: Rc<dyn Dispatcher>,
-    /// Open outgoing connections.
+    /// The open outgoing connections, by the address of the other member.
     peers: RefCell<BTreeMap<Address, Rc<Peer>>>,
-    /// Requests to members whose connection is being opened.
+    /// Requests that wait for a connection, by the address to which the connection is being opened.
     connecting: RefCell<BTreeMap<Address, Vec<QueuedRequest>>>,
-    /// The connection and stream on which the answer to each received request is sent.
+    /// The received requests without an answer so far, with the connection and stream to answer on.
     open_calls: RefCell<BTreeMap<CallId, (Out, u64)>>,
     calls_received: Cell<u64>,
     incoming_connections: Cell<usize>,
@@ -223,7 +223,8 @@
         }
     }
 
-    /// Passes an input to the member, performs the outputs, and wakes the timer task if the member needs an earlier call.
+    /// Passes an input to the member, performs the outputs, and wakes the timer task if the member needs an earlier
+    /// call.
     fn handle_input(&self, input: Input) {
         let mut outputs = Vec::new();
         let now = self.state.clock.now();
@@ -255,17 +256,25 @@
                 term,
                 held: true,
             } => {
-                tracing::info!(lease_name = %lease_name.0, term = term.0, "lease held");
+                tracing::info!(lease_name = %lease_name.0, term = term.0, "lease acquired");
             }
             Output::Holds {
                 lease_name,
                 term,
                 held: false,
             } => {
-                tracing::info!(lease_name = %lease_name.0, term = term.0, "lease lost");
+                tracing::info!(
+                    lease_name = %lease_name.0,
+                    term = term.0,
+                    "lease no longer held: released, expired or lost to another member"
+                );
             }
             Output::PermitGranted { permit, label } => {
-                tracing::info!(permit = permit.0, label, "disruption permit received");
+                tracing::info!(
+                    permit = permit.0,
+                    label,
+                    "disruption permit received; draining and restarting this dispatcher"
+                );
                 self.state.dispatcher.has_turn(permit.0, &label);
             }
             Output::Warn(text) => tracing::warn!("{text}"),
@@ -335,8 +344,8 @@
         });
     }
 
-    /// The settings of a connection, with this member's greeting. `expects` is the name that the other side has to greet
-    /// with; empty if any name is accepted.
+    /// The settings of a connection, with this member's greeting. `expects` is the name that the other side has to
+    /// greet with; empty if any name is accepted.
     fn setup(&self, expects: &str) -> Setup {
         Setup {
             party: v1::Party::Fleet,
@@ -389,7 +398,8 @@
     /// Opens a connection to another member, and passes that member's answers on until the connection ends.
     async fn run_outgoing_connection(self, to: Address) {
         // The timeout is longer than that of an answer. On an overloaded machine a slow connection still opens within
-        // it. With a short timeout all members would be busy with new connections, none of which opens in time.
+        // this time. With a short timeout, connections would be given up early and retried each time, which would keep
+        // all members busy without any connection being opened.
         let settings = &self.state.settings;
         let timeout = settings.lease.lease.max(10.0 * settings.answer_within);
         let times_out_at = self.state.clock.now() + timeout;
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -48,15 +48,15 @@
     ByItself(bool),
     /// The caller of [`Job::run`] stopped the job.
     Stopped,
-    /// A dispatcher refused the lease for the contained reason.
+    /// A dispatcher refused the lease. The value is the reason in words.
     Refused(String),
-    /// The work was ended because the lease was lost or not renewed; contains the reason.
+    /// The work was ended because the lease was lost or not renewed. The value is the reason in words.
     Lost(String),
 }
 
 /// A job: the lease that it needs, and the dispatchers that acquire the lease for it.
 pub struct Job<'a, T, C> {
-    /// Connects to the dispatchers.
+    /// Opens the connections to the dispatchers.
     pub transport: &'a T,
     /// The clock on which the job measures its lease.
     pub clock: &'a C,
--- a/crates/fleet/tests/driver.rs
+++ b/crates/fleet/tests/driver.rs
@@ -1,8 +1,8 @@
 //! Tests of three members with their drivers, with connections and files in memory and a paused clock.
 //!
 //! The members elect a membership leader and keep it. A full disk stops only its own voter from answering; with two
-//! full disks no lease is renewed. Members of another fleet, bytes that are not the protocol and requests without
-//! content are refused, and the fleet goes on.
+//! full disks no lease is renewed. Members of another fleet, bytes that do not follow the protocol and calls without a
+//! question are refused, and the fleet goes on.
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
@@ -210,7 +210,7 @@
         let dropped = || fleet.members.iter().map(Driver::dropped).sum::<u64>();
         let dropped_before = dropped();
         assert!(dropped_before >= 1, "the other fleet's member was refused");
-        // Bytes that are not the protocol, and a call without a question.
+        // Bytes that do not follow the protocol, and then a call without a question.
         let mut connection = fleet
             .memory
             .connect("at-0")
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -25,7 +25,7 @@
     LeaseEndIgnored,
     /// An acceptor accepts a value whose ballot is lower than the ballot that it promised.
     PromiseBroken,
-    /// A proposer ignores the accepted value and proposes a new one.
+    /// A proposer applies its command to an empty state instead of the newest accepted value.
     AcceptedValueIgnored,
     /// A voter that lost its file still votes under its former identity.
     FileLossIgnored,
@@ -94,13 +94,13 @@
     INJECTED.set(fault);
 }
 
-/// Whether a fault is injected into the calling thread.
+/// Whether `fault` is the fault that is injected into the calling thread.
 #[cfg(feature = "fault-injection")]
 pub fn is_injected(fault: InjectedFault) -> bool {
     INJECTED.get() == Some(fault)
 }
 
-/// Whether a fault is injected; always false without the feature `fault-injection`.
+/// Always false, as the feature `fault-injection` is off.
 #[cfg(not(feature = "fault-injection"))]
 pub const fn is_injected(_: InjectedFault) -> bool {
     false
--- a/src/coordination/job_lease.rs
+++ b/src/coordination/job_lease.rs
@@ -20,7 +20,7 @@
 /// Work that still runs is killed when this fraction of the lease is left.
 const KILL_FRACTION: f64 = 0.1;
 
-/// The lease of a job, counted on the job's own clock. All times are in milliseconds.
+/// The lease of a job, measured on the job's own clock. All times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobLease {
     term: Term,
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// How long the answer to a request for the lease is awaited.
+    /// How long the answer to a request for the lease is awaited while the lease is held.
     pub fn answer_timeout(&self) -> Ms {
         ANSWER_TIMEOUT_FRACTION * self.duration
     }
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -13,16 +13,16 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Durations of a fleet's leases; the same for all members.
+/// The lease duration and the allowance for clock drift. All members of a fleet have to use the same values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseSettings {
-    /// The duration of a lease, in milliseconds, before the allowance for drift.
+    /// The duration of a lease, in milliseconds. Holders use less and contenders wait longer, to allow for drift.
     pub lease: Ms,
     /// The largest fraction by which the rates of two members' clocks may differ.
     pub drift: f64,
 }
 
-/// Renewals per lease duration: two renewals may fail before the lease expires.
+/// How often a holder renews a lease per lease duration. Two renewals may fail before the lease expires.
 const RENEWALS_PER_LEASE: f64 = 3.0;
 /// The difference between the election delays of successive ranks, as a fraction of the lease duration.
 const ELECTION_GAP_FRACTION: f64 = 0.05;
@@ -67,7 +67,7 @@
     }
 }
 
-/// A lease that this member holds.
+/// A lease that this member holds, with the time until which it may act under the lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeldLease {
     /// The fencing token, which commands under this lease carry.
@@ -124,7 +124,7 @@
 }
 
 impl LeaseObserver {
-    /// An observer that has not seen the replicated state yet, and whose wait begins at `now` in milliseconds.
+    /// Creates an observer that has not seen the replicated state yet. Its wait begins at `now`, in milliseconds.
     pub fn new(now: Ms, rng: &mut WyRand) -> Self {
         LeaseObserver {
             version: LeaseVersion::default(),
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Updates the observer with the lease's record in the newest replicated state; `None` if the state has no record of
-    /// the lease. Each change of the record restarts the wait.
+    /// Updates the observer with the lease's record in the newest replicated state; `None` if the state has no record
+    /// of the lease. Each change of the record restarts the wait.
     pub fn observe(&mut self, now: Ms, record: Option<&LeaseRecord>, rng: &mut WyRand) {
         let version = record.map(LeaseRecord::version).unwrap_or_default();
         if self.has_observed && version == self.version {
@@ -278,7 +278,7 @@
     record.holder.as_ref().map(|holder| (record.term, holder))
 }
 
-/// Whether a lease is held by the process with this name and incarnation.
+/// Whether the record names the process with this name and incarnation as the lease's holder.
 pub fn is_held_by(record: &LeaseRecord, name: &Name, incarnation: Incarnation) -> bool {
     record
         .holder
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -15,7 +15,7 @@
     NotConfigured,
     /// The file was loaded, or did not exist and is to be created.
     Usable,
-    /// The file cannot be trusted for the contained reason, so the member does not vote.
+    /// The file cannot be trusted, so the member does not vote. The value is the reason in words.
     Unusable(String),
 }
 
@@ -237,8 +237,8 @@
             .then_some(self.next_acceptor_check_at)
     }
 
-    /// Creates the file, asks other voters for the bootstrap, or asks them to confirm the file. A later call repeats the
-    /// step if it has not succeeded.
+    /// Creates the file, asks other voters for the bootstrap, or asks them to confirm the file. A later call repeats
+    /// the step if it has not succeeded.
     pub(super) fn check_acceptor(&mut self, out: &mut Vec<Output>) {
         if !self.acceptor_needs_check() || self.now < self.next_acceptor_check_at {
             return;
@@ -332,8 +332,8 @@
         self.try_bootstrap(of, voter_state.voter_id, out);
     }
 
-    /// Bootstraps the fleet: a voter without a bootstrap or a promise makes the voters in the settings the first voters,
-    /// once it knows the identities of all of them.
+    /// Bootstraps the fleet: a voter without a bootstrap or a promise makes the voters in the settings the first
+    /// voters, once it knows the identities of all of them.
     ///
     /// Guards against two different bootstraps, as two sets of voters would choose values independently. A voter adopts
     /// a bootstrap that another voter has made. The voter then votes if the bootstrap contains its identity, and
--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -11,7 +11,7 @@
     /// Records the membership leader that a replicated state or another member names, unless its term is outdated.
     pub(super) fn learn_membership_leader(&mut self, leader: (Term, LeaseHolder)) {
         let known = self.membership_leader.as_ref();
-        // Guards against answers of an earlier leader, which would replace its successor here.
+        // Guards against a delayed answer that names an earlier leader: it would replace the newer leader.
         if known.is_some_and(|known| known.0 > leader.0) {
             return;
         }
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Whether a membership leader is known and has answered a heartbeat lately.
+    /// Whether a membership leader is known and has answered a heartbeat in the last few heartbeat intervals, see
+    /// [`LEADER_TIMEOUT_HEARTBEATS`].
     pub(super) fn leader_is_responsive(&self) -> bool {
         let timeout = LEADER_TIMEOUT_HEARTBEATS * self.heartbeat_interval;
         let answered_at = self.leader_answered_at;
@@ -130,8 +131,8 @@
                 holder: Some(leader),
                 ..
             }) if leader.1.incarnation != to => return self.learn_membership_leader(leader),
-            // The leader was not reached, or is no longer the leader. A voter is asked for the newest value, which names
-            // the leader's successor. The query is repeated when the next heartbeat is due.
+            // The leader was not reached, or is no longer the leader. A voter is asked for the newest value, which
+            // names the leader's successor. The query is repeated when the next heartbeat is due.
             _ if is_current => {
                 self.count("beats lost");
                 return self.query_any_voter(out);
--- a/src/coordination/member/leases.rs
+++ b/src/coordination/member/leases.rs
@@ -19,7 +19,7 @@
 /// An operator's job, for which this member acquires and renews a lease.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LeaseJob {
-    /// Distinguishes jobs that request the same lease.
+    /// The number that the job states in its requests, by which jobs that request the same lease are told apart.
     pub(super) number: u64,
     /// When the job last asked for its lease, in milliseconds.
     pub(super) asked: Ms,
@@ -104,7 +104,7 @@
             .retain(|_, handover| !is_expired(&handover.held));
     }
 
-    /// Forgets a job and releases its lease.
+    /// Removes a job and releases its lease.
     pub(super) fn end_job(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         self.jobs.remove(lease_name);
         self.lease_observers.remove(lease_name);
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -61,7 +61,7 @@
     Operator(OperatorRequest),
 }
 
-/// The answer to a [`Question`].
+/// A member's answer to a [`Question`]. Each kind of question has one kind of answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// Answers [`Question::Vote`].
@@ -128,7 +128,7 @@
     pub load: f64,
     /// Outcomes of client requests since the process started.
     pub tally: OutcomeCounts,
-    /// Reports about engines that are new since the previous [`Input::LocalHealth`].
+    /// The reports about engines that were made since the previous [`Input::LocalHealth`].
     pub reports: Vec<EngineReport>,
 }
 
@@ -163,7 +163,7 @@
     Asked {
         /// The number that the driver gives the request, for [`Output::Answer`].
         call: CallId,
-        /// The decoded request.
+        /// The request, which [`Output::Answer`] answers at once or later.
         question: Question,
     },
     /// A sent request was answered, or its receiver could not be reached.
@@ -225,9 +225,9 @@
         /// The label of the restarted process; empty if the label stays the same.
         label: String,
     },
-    /// Log a warning.
+    /// Log this text as a warning, which reports a fault such as a failed write of the voter's file.
     Warn(String),
-    /// Log an informational message.
+    /// Log this text, which reports an event of normal operation.
     Info(String),
     /// Report that all leases are handed over after [`Input::Stop`], so that the process may exit.
     Stopped,
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -118,7 +118,7 @@
 }
 
 impl Member {
-    /// A member that has not started yet. Its first input starts it.
+    /// Creates a member, which starts with its first input.
     pub fn new(settings: FleetSettings) -> Self {
         let file = match settings.may_vote {
             true => AcceptorFile::NotLoaded,
@@ -170,7 +170,8 @@
         }
     }
 
-    /// Handles an input at a reading of the clock, in milliseconds, and appends the outputs to be performed to `out`.
+    /// Handles an input, and appends the outputs that the driver has to perform to `out`. `reading` is the present
+    /// reading of the clock in milliseconds.
     pub fn handle(&mut self, reading: Ms, input: Input, out: &mut Vec<Output>) {
         self.advance_clock(reading, out);
         // Expired leases are dropped before the input is handled, so that the member does not act under an expired
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -33,7 +33,7 @@
 pub(super) struct ProposalInFlight {
     pub(super) proposal: Proposal,
     reason: ProposalReason,
-    /// When the proposal began; leases that it grants or renews count from then.
+    /// When the proposal began; a lease that the proposal grants or renews is measured from this time.
     begun_at: Ms,
 }
 
@@ -81,7 +81,7 @@
         })
     }
 
-    /// The command to propose next, the most urgent first, with the reason; `None` if there is nothing to propose.
+    /// The most urgent command to propose, with the reason for it; `None` if there is nothing to propose.
     fn next_command(&self) -> Option<(ProposalReason, Command)> {
         self.resignation()
             .or_else(|| self.renewal())
@@ -209,8 +209,8 @@
         if self.now < self.next_query_at {
             return;
         }
-        // Members that are neither ranked nor voters query voters at most as often as they send heartbeats, as there may
-        // be hundreds of such members.
+        // Members that are neither ranked nor voters query voters at most as often as they send heartbeats, as there
+        // may be hundreds of such members.
         let mut observers = self.lease_observers.values();
         let is_last_resort = !self.is_voter() && observers.all(|observer| observer.place.is_none());
         let min_interval = match is_last_resort {
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::coordination::register::{Phase, VoterKey};
 
-/// How often a request to an acceptor is sent again while its answer is awaited.
+/// The most times that a request to an acceptor is sent again while its answer is awaited.
 const MAX_RESENDS: u32 = 2;
 
 /// What a request in flight is for, which decides how its answer is handled.
@@ -66,7 +66,7 @@
 }
 
 impl RequestInFlight {
-    /// When the request is to be sent again or counts as unanswered.
+    /// When the request is next sent again, or times out if it is not sent again before.
     pub(super) fn due_at(&self) -> Ms {
         match self.resend {
             Some(resend) => resend.at.min(self.times_out_at),
--- a/src/coordination/member/settings.rs
+++ b/src/coordination/member/settings.rs
@@ -11,13 +11,13 @@
 pub struct FleetSettings {
     /// The name of the fleet. Members refuse connections from members of another fleet.
     pub fleet: String,
-    /// The name of this member.
+    /// The name of this member, which stays the same when its process restarts.
     pub me: Name,
     /// Identifies this process of the member; drawn at random at each start.
     pub incarnation: Incarnation,
     /// The address at which other members reach this member's fleet service.
     pub address: Address,
-    /// The zone that this member runs in.
+    /// The zone that this member runs in, as its heartbeats state it.
     pub zone: String,
     /// The version that this member runs, or another label that its operators chose.
     pub label: String,
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -66,7 +66,7 @@
     Returned,
 }
 
-/// The leader's record of one member.
+/// What the leader knows of one member from its heartbeats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// The newest heartbeat, without its engine reports.
--- a/src/coordination/register/acceptor.rs
+++ b/src/coordination/register/acceptor.rs
@@ -23,7 +23,7 @@
     pub bootstrap: Option<Voters>,
     /// The highest ballot that was promised; requests with lower ballots are refused. `None` before the first promise.
     pub promised: Option<Ballot>,
-    /// The value that was accepted last, with its ballot; `None` before the first one.
+    /// The value that was accepted last, with its ballot; `None` if no value was accepted yet.
     pub accepted: Option<(Ballot, ReplicatedState)>,
     /// The number of changes of the state so far, by which other voters detect an outdated copy of the file.
     pub writes: u64,
@@ -105,7 +105,7 @@
 /// An answer, and whether it may be sent before the acceptor's state is durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptorResponse {
-    /// The answer for the proposer.
+    /// The answer to send to the proposer, at once or once the state is durable.
     pub reply: AcceptorReply,
     /// Whether the answer reports [`Acceptor::state`] and may be sent only once that state is durable.
     pub needs_durable_state: bool,
--- a/src/coordination/register/proposal.rs
+++ b/src/coordination/register/proposal.rs
@@ -27,7 +27,7 @@
     value: Option<ReplicatedState>,
 }
 
-/// The two phases of a proposal.
+/// The phases of a proposal, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
     /// The voters are asked for promises.
@@ -71,7 +71,7 @@
     pub to: Name,
     /// The identity and address of the addressed voter.
     pub voter_record: VoterRecord,
-    /// The prepare or accept request.
+    /// The prepare or accept request of the proposal.
     pub request: AcceptorRequest,
 }
 
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -24,7 +24,7 @@
 /// The voters of the fleet. During a change of voters a quorum needs a majority of the former voters as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voters {
-    /// Grows by one with each change of the voters.
+    /// The number of this set of voters; each change of the voters increments it.
     pub generation: u64,
     /// The present voters, by name.
     pub set: BTreeMap<Name, VoterRecord>,
@@ -136,7 +136,7 @@
 pub enum Command {
     /// Acquires a free or expired lease, if its record has not changed since the contender saw it.
     Acquire {
-        /// The lease to acquire.
+        /// The lease to acquire. Its first acquisition creates the lease's record.
         lease_name: LeaseName,
         /// The process that becomes the holder.
         who: LeaseHolder,
@@ -147,45 +147,47 @@
     },
     /// Renews several leases of one holder. Leases that the holder has lost are skipped.
     Renew {
-        /// The process that holds the leases.
+        /// The renewing process; only leases whose records name it as the holder are renewed.
         who: LeaseHolder,
         /// The leases to renew, each with the term in which it is held.
         leases: Vec<(LeaseName, Term)>,
     },
     /// Releases a lease before it expires.
     Resign {
-        /// The lease to release.
+        /// The lease to release, whose record stays.
         lease_name: LeaseName,
-        /// The term in which the lease is held.
+        /// The term in which the sender holds the lease; the command is rejected if the record has another term.
         term: Term,
-        /// The process that holds the lease.
+        /// The releasing process; the command is rejected if the record names another holder.
         who: LeaseHolder,
-        /// The named successor, which may acquire the lease before others; `None` lets every contender acquire it.
+        /// The named successor, which may acquire the lease before other members; `None` if all contenders may acquire
+        /// it at once.
         next: Option<Name>,
     },
     /// Adds one voter. The change is in progress until [`Command::FinishVoterChange`].
     AddVoter {
-        /// The name of the new voter.
+        /// The name of the dispatcher that becomes a voter.
         name: Name,
         /// The identity and address of the new voter.
         voter_record: VoterRecord,
     },
     /// Removes one voter. The change is in progress until [`Command::FinishVoterChange`].
     RemoveVoter {
-        /// The name of the voter to remove.
+        /// The name of the voter to remove, which has to be a present voter.
         name: Name,
     },
-    /// Finishes a change of voters that is known to be chosen: a quorum no longer needs a majority of the former voters.
+    /// Finishes a change of voters that is known to be chosen: a quorum no longer needs a majority of the former
+    /// voters.
     FinishVoterChange,
     /// Advances a rollout; rejected unless the sender holds the lease in this term.
     RolloutStep {
-        /// The lease that entitles the sender to the step.
+        /// The lease that the sender has to hold.
         lease_name: LeaseName,
-        /// The term in which the lease is held.
+        /// The term in which the sender holds the lease; the step is rejected if the record has another term.
         term: Term,
-        /// The process that holds the lease.
+        /// The proposing process; the step is rejected if the record names another holder.
         who: LeaseHolder,
-        /// What the step changes.
+        /// The change to the rollout or its permits.
         step: RolloutStep,
     },
     /// An operator's command that concerns disruption permits or a rollout.
@@ -243,7 +245,7 @@
     }
 }
 
-/// The fewest voters of a fleet: a quorum of fewer than three voters tolerates no failure.
+/// The fewest voters of a fleet. With fewer than three voters the fleet would tolerate no failure of a voter.
 pub const MIN_VOTERS: usize = 3;
 /// The most voters of a fleet.
 pub const MAX_VOTERS: usize = 7;
