--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -50,7 +50,7 @@
 /// A receiver's decision whether to execute a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FencingDecision {
-    /// The command is executed.
+    /// Accepted: the receiver executes the command, and executes it only once.
     Executed,
     /// Refused: this receiver has executed a command of a newer term.
     StaleTerm,
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -9,7 +9,7 @@
 /// Whether the voter's file can be used.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum AcceptorFile {
-    /// The file was not loaded yet.
+    /// The driver has not read the file yet.
     NotLoaded,
     /// The settings of this member name no voter's file.
     NotConfigured,
@@ -226,8 +226,8 @@
             return false;
         };
         let state = &acceptor.state;
-        let is_blank = state.bootstrap.is_none() && state.promised.is_none();
-        let awaits_bootstrap = is_blank && self.settings.voters.contains_key(&state.name);
+        let is_uninitialized = state.bootstrap.is_none() && state.promised.is_none();
+        let awaits_bootstrap = is_uninitialized && self.settings.voters.contains_key(&state.name);
         !self.storage.is_created || !acceptor.votes || awaits_bootstrap
     }
 
@@ -314,7 +314,8 @@
         has_waited && voters.majority(has_confirmed)
     }
 
-    /// Handles a voter's answer to a query of its state.
+    /// Records the bootstrap and the accepted value that another voter returned, and bootstraps the fleet if all voters
+    /// are now known.
     pub(super) fn voter_state_received(
         &mut self,
         of: &Name,
@@ -344,8 +345,8 @@
             return;
         };
         let (me, own_id) = (state.name.clone(), state.voter_id);
-        let is_blank = state.bootstrap.is_none() && state.promised.is_none();
-        if !is_blank || !self.settings.voters.contains_key(&me) {
+        let is_uninitialized = state.bootstrap.is_none() && state.promised.is_none();
+        if !is_uninitialized || !self.settings.voters.contains_key(&me) {
             return;
         }
         if let Some(bootstrap) = known_bootstrap {
--- a/src/coordination/member/membership_report.rs
+++ b/src/coordination/member/membership_report.rs
@@ -10,7 +10,7 @@
 pub(super) struct ReportReceiver {
     clock: ReceiverClock,
     next_report_at: Ms,
-    /// Whether a report is in flight.
+    /// Whether a report was sent whose answer is still missing; no other report is sent meanwhile.
     awaits_answer: bool,
     /// Until when the receiver may still execute a report that it has not answered.
     executable_until: Ms,
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -37,7 +37,7 @@
         /// The identity of that voter; another file under the same name has another identity.
         voter_id: VoterId,
     },
-    /// A heartbeat to the membership leader.
+    /// A member's periodic report to the membership leader.
     Heartbeat(Heartbeat),
     /// Tells the receiver that a lease was released and that the receiver is named as the successor.
     LeaseOffer {
@@ -159,7 +159,7 @@
         /// Whether the new content is certainly durable; false after a failed write.
         is_durable: bool,
     },
-    /// A request was received.
+    /// A request of another member or an operator was received.
     Asked {
         /// The number that the driver gives the request, for [`Output::Answer`].
         call: CallId,
@@ -170,7 +170,7 @@
     Answered {
         /// The number of the request, from [`Output::Ask`].
         ask: QuestionId,
-        /// The answer; `None` if the connection failed or the answer was invalid.
+        /// The answer; `None` if no answer will come, such as after a lost connection, or if the answer was invalid.
         answer: Option<Answer>,
     },
     /// A new measurement of the dispatcher's health.
@@ -195,7 +195,7 @@
         /// The request, which the driver encodes and sends.
         question: Question,
     },
-    /// Answer a received request.
+    /// Answer a request that [`Input::Asked`] passed to the member.
     Answer {
         /// The number of the request, from [`Input::Asked`].
         call: CallId,
@@ -220,7 +220,7 @@
     },
     /// Restart this process: it drains and exits, and its supervisor starts it again.
     PermitGranted {
-        /// The permit for the disruption.
+        /// The permit that allows the restart.
         permit: PermitId,
         /// The label of the restarted process; empty if the label stays the same.
         label: String,
--- a/src/coordination/register/acceptor.rs
+++ b/src/coordination/register/acceptor.rs
@@ -25,7 +25,8 @@
     pub promised: Option<Ballot>,
     /// The value that was accepted last, with its ballot; `None` if no value was accepted yet.
     pub accepted: Option<(Ballot, ReplicatedState)>,
-    /// The number of changes of the state so far, by which other voters detect an outdated copy of the file.
+    /// The number of changes of the state so far. A number lower than other members have recorded reveals an outdated
+    /// copy of the file.
     pub writes: u64,
     /// The highest write count of each other voter that proposers have passed on to this one.
     pub write_counts: WriteCounts,
@@ -43,7 +44,7 @@
         /// The voters' write counts that the proposer knows.
         write_counts: WriteCounts,
     },
-    /// Asks the acceptor to accept a value.
+    /// Asks the acceptor to accept a value, unless it has promised a higher ballot.
     Accept {
         /// The identity of the addressed voter; a voter with another identity does not vote on the request.
         voter_id: VoterId,
@@ -86,7 +87,7 @@
         /// The write count of the voter's file after the promise was stored.
         writes: u64,
     },
-    /// The acceptor has accepted the value.
+    /// The acceptor has accepted the value, which is chosen once a majority has accepted it.
     Accepted {
         /// The ballot of the accepted value.
         ballot: Ballot,
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -247,7 +247,7 @@
 
 /// The fewest voters of a fleet. With fewer than three voters the fleet would tolerate no failure of a voter.
 pub const MIN_VOTERS: usize = 3;
-/// The most voters of a fleet.
+/// The most voters of a fleet; a command that would add a further voter is rejected.
 pub const MAX_VOTERS: usize = 7;
 /// The most leases of a fleet. The limit keeps the state, which every message of a proposal carries, at a few
 /// kilobytes.
