--- a/src/coordination/member/settings.rs
+++ b/src/coordination/member/settings.rs
@@ -11,17 +11,17 @@
 pub struct FleetSettings {
     /// The name of the fleet. Members refuse connections from members of another fleet.
     pub fleet: String,
-    /// The name of this member.
+    /// The name of this member, which stays the same when its process restarts.
     pub me: Name,
     /// Identifies this process of the member; drawn at random at each start.
     pub incarnation: Incarnation,
     /// The address at which other members reach this member's fleet service.
     pub address: Address,
-    /// The zone that this member runs in.
+    /// The zone that this member runs in, as its heartbeats state it.
     pub zone: String,
     /// The version that this member runs, or another label that its operators chose.
     pub label: String,
-    /// The first voters of the fleet, by name. They are also queried for the present voters.
+    /// The first voters of the fleet, by name. A member also asks them for the present voters.
     pub voters: BTreeMap<Name, Address>,
     /// Whether this member has a voter's file and may become a voter.
     pub may_vote: bool,
