--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -1,8 +1,9 @@
-//! Holds the five rules, and the terms of service ([`service`]), against a transcript: what crossed the sockets of clients, engines and the list feed.
-//! It knows nothing of a dispatcher's state, and takes the words of the brief as they stand.
+//! Checks the five rules and the terms of service ([`service`]) against a transcript: the frames that crossed the
+//! sockets of clients, engines and discovery. The audit reads no dispatcher state and applies the rules of the
+//! specification literally.
 //!
-//! Instants are the stand-ins'. What a dispatcher did is seen when it arrives, so each bound has a stated
-//! `slack` for the way between, which is far below the bounds.
+//! All times are those of the stand-ins. A dispatcher's action is recorded when it arrives at a stand-in, so each bound
+//! is extended by `slack` for the transfer. The slack is far below the bounds.
 
 mod service;
 
@@ -12,49 +13,61 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the rules are measured by.
+/// The bounds of the rules, and the faults that they allow for.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// Profiles that must never run twice.
+    /// Request classes whose requests must run at most once.
     pub at_most_once: BTreeSet<String>,
+    /// How long after the deadline a final answer may still arrive.
     pub answer_grace: Ms,
+    /// How long after the notice of a drain attempts may still be sent to the engine.
     pub drain_grace: Ms,
+    /// How long a KV state may be held while no attempt of its request runs.
     pub release: Ms,
+    /// The multiple of a cold engine's present capacity that may be sent to it within `overload_window`.
     pub overload_multiple: f64,
     pub overload_window: Ms,
-    /// For the way between a dispatcher and who saw it, and for a busy machine.
+    /// The allowance for the transfer between a dispatcher and a stand-in, and for a busy machine.
     pub slack: Ms,
-    /// Spans in which connections may be dead without a word, and the time in which a dispatcher notices when it
-    /// uses one; an attempt that is lost so is out for its dispatcher, and no stand-in sees it.
-    /// From when, until when, and for how long at most.
+    /// Spans in which connections may be dead without notice: start, end, and the longest time until a dispatcher that
+    /// uses such a connection notices. An attempt that is lost on one is still running for its dispatcher, and no
+    /// stand-in records it.
     pub silences: Vec<(Ms, Ms, Ms)>,
-    /// Spans in which what clients and dispatchers say to each other came late or not at all.
+    /// Spans, start and end, in which messages between clients and dispatchers may be delayed or lost.
     pub apart: Vec<(Ms, Ms)>,
-    /// A token's time in a decode engine's slot, for the work that an attempt there brings.
+    /// The time that one token takes in a slot of a decode engine; converts an attempt's tokens into work.
     pub token_ms: Ms,
-    /// The part of its class's answered share that the largest requests get; nothing is held where there is none.
+    /// The smallest success rate of a class's largest requests, relative to that of the whole class. `None` skips the
+    /// checks for starvation.
     pub largest_part: Option<f64>,
 }
 
+/// A rule that a breach violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Rule {
+    /// A request got no final answer, a late one, or messages after its final answer.
     #[serde(rename = "TaskLost")]
     RequestLost,
+    /// An at-most-once request ran twice, or was rejected although it ran.
     EffectTwice,
+    /// An attempt was sent to a draining or removed engine after the grace.
     DrainBroken,
+    /// A cold engine was sent more work than its slow start allows.
     #[serde(rename = "ColdHostPushed")]
     ColdEnginePushed,
+    /// A KV state stayed held although no attempt of its request ran.
     LeftPinned,
-    /// An attempt began after its client had gone.
+    /// An attempt began after its client had cancelled the request.
     AttemptForNobody,
-    /// An event was not passed on as it came.
+    /// A token message was not forwarded to the client in time.
     EventLate,
-    /// The largest requests of a class were given up for smaller ones.
+    /// The largest requests of a class succeeded far less often than the class as a whole.
     LargestStarved,
-    /// Sessions were refused throughout, beyond what chance gives.
+    /// More sessions than chance explains had all of their requests rejected.
     SessionsSingledOut,
 }
 
+/// A violation of a rule, with its time and a description.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
     pub rule: Rule,
@@ -62,7 +75,7 @@
     pub what: String,
 }
 
-/// What was checked: a rule that met no case proves nothing.
+/// How many cases were checked. A rule without cases has not been tested by the transcript.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Cases {
     pub tries: usize,
@@ -78,27 +91,29 @@
     pub length_floors: usize,
 }
 
+/// The result of an audit; breaches are ordered by time.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Findings {
     pub cases: Cases,
     pub breaches: Vec<Breach>,
 }
 
-/// The state or attempt of a request, by the process that made it: run, request, attempt.
-type Key = (u64, u32, u32);
+/// Identifies a KV state: the run of the dispatcher process, the request and the attempt.
+type StateKey = (u64, u32, u32);
 
+/// Checks a transcript against the rules. The records must be ordered by time.
 pub fn audit(records: &[Record], rules: &Rules) -> Findings {
     let mut findings = Findings::default();
-    requests(records, rules, &mut findings);
-    effects(records, rules, &mut findings);
+    check_requests(records, rules, &mut findings);
+    check_effects(records, rules, &mut findings);
     let attempts = attempts(records);
     findings.cases.attempts = attempts.len();
-    drains(records, &attempts, rules, &mut findings);
-    cold(records, &attempts, rules, &mut findings);
-    pinned(records, &attempts, rules, &mut findings);
-    service::attempts_for_nobody(records, rules, &mut findings);
-    service::late_events(records, rules, &mut findings);
-    service::starved(records, rules, &mut findings);
+    check_drains(records, &attempts, rules, &mut findings);
+    check_cold_engines(records, &attempts, rules, &mut findings);
+    check_held_states(records, &attempts, rules, &mut findings);
+    service::check_cancelled_requests(records, rules, &mut findings);
+    service::check_event_delays(records, rules, &mut findings);
+    service::check_starvation(records, rules, &mut findings);
     findings.breaches.sort_by(|a, b| a.at.total_cmp(&b.at));
     findings
 }
@@ -109,6 +124,7 @@
     }
 }
 
+/// The times at which each dispatcher was killed, by its name.
 fn kills(records: &[Record]) -> BTreeMap<&str, Vec<Ms>> {
     let mut kills: BTreeMap<&str, Vec<Ms>> = BTreeMap::new();
     for record in records {
@@ -119,22 +135,28 @@
     kills
 }
 
+/// One submission of a request, as its client saw it.
 #[derive(Default)]
 struct Try {
     sent: Ms,
     time_to_deadline: Ms,
     dispatcher: String,
-    first: Option<Ms>,
+    /// When the first token message arrived.
+    first_token: Option<Ms>,
     accepted: bool,
+    /// When each final answer arrived.
     finals: Vec<Ms>,
-    after: usize,
-    left: Option<Ms>,
+    messages_after_final: usize,
+    /// When the client cancelled the try.
+    cancelled: Option<Ms>,
+    /// When the call or its connection ended without an answer.
     closed: Option<Ms>,
-    rejected: bool,
+    /// Whether the dispatcher found the request invalid.
+    invalid: bool,
 }
 
-/// No request is lost: one final answer for each request taken, before its client's time is up, and nothing after it.
-fn requests(records: &[Record], rules: &Rules, findings: &mut Findings) {
+/// No request is lost: each accepted request gets one final answer before its deadline, and nothing after it.
+fn check_requests(records: &[Record], rules: &Rules, findings: &mut Findings) {
     let mut tries: BTreeMap<(&str, u64, u64), Try> = BTreeMap::new();
     let mut open: BTreeMap<(&str, u64), Vec<u64>> = BTreeMap::new();
     for record in records {
@@ -159,22 +181,22 @@
                     }
                     (Way::Out, Some(Body::Cancel(_))) => {
                         if let Some(this) = tries.get_mut(&id) {
-                            this.left.get_or_insert(record.at);
+                            this.cancelled.get_or_insert(record.at);
                         }
                     }
                     (Way::In, Some(body)) => {
                         let Some(this) = tries.get_mut(&id) else {
                             continue;
                         };
-                        this.after += usize::from(!this.finals.is_empty());
+                        this.messages_after_final += usize::from(!this.finals.is_empty());
                         match body {
                             Body::Final(_) => this.finals.push(record.at),
                             Body::Tokens(_) => {
-                                this.first.get_or_insert(record.at);
+                                this.first_token.get_or_insert(record.at);
                             }
                             Body::Accepted(_) => this.accepted = true,
-                            Body::InvalidRequest(_) => this.rejected = true,
-                            // The call ended without an answer.
+                            Body::InvalidRequest(_) => this.invalid = true,
+                            // The call ended without a final answer.
                             Body::Goodbye(_) => this.closed = this.closed.or(Some(record.at)),
                             _ => {}
                         }
@@ -199,38 +221,47 @@
             "{client}, connection {conn}, stream {stream}, sent at {:.0}",
             this.sent
         );
-        let ends = this.sent + this.time_to_deadline;
+        let deadline = this.sent + this.time_to_deadline;
         findings.cases.finals += this.finals.len();
         let killed = kills.get(&*this.dispatcher).is_some_and(|kills| {
             let by = |at: &Ms| {
                 *at + rules.slack >= this.sent
-                    && this.closed.is_some_and(|c| c <= at + 2.0 * rules.slack)
+                    && this
+                        .closed
+                        .is_some_and(|closed| closed <= at + 2.0 * rules.slack)
             };
             kills.iter().any(by)
         });
-        // The bounds are those of a network that carries what is said.
-        let apart = rules
+        // The bounds presuppose a network that delivers messages.
+        let is_network_faulty = rules
             .apart
             .iter()
-            .any(|(from, to)| *from <= ends + rules.slack && *to >= this.sent);
-        // Sent as the dispatcher closed in order: it never took it.
-        let not_taken = !this.accepted && this.closed.is_some();
-        if this.after > 0 {
-            let what = format!("{name}: {} messages after its final answer", this.after);
+            .any(|(from, to)| *from <= deadline + rules.slack && *to >= this.sent);
+        // The dispatcher closed the connection in order before it accepted the request.
+        let not_accepted = !this.accepted && this.closed.is_some();
+        if this.messages_after_final > 0 {
+            let what = format!(
+                "{name}: {} messages after its final answer",
+                this.messages_after_final
+            );
             findings.breach(Rule::RequestLost, this.finals[0], what);
         }
         match this.finals.first() {
-            _ if this.rejected || this.left.is_some() => {}
-            None if killed || not_taken || apart => {}
-            None => findings.breach(Rule::RequestLost, ends, format!("{name}: no final answer")),
+            _ if this.invalid || this.cancelled.is_some() => {}
+            None if killed || not_accepted || is_network_faulty => {}
+            None => findings.breach(
+                Rule::RequestLost,
+                deadline,
+                format!("{name}: no final answer"),
+            ),
             Some(&at)
-                if this.first.is_none()
-                    && !apart
-                    && at > ends + rules.answer_grace + rules.slack =>
+                if this.first_token.is_none()
+                    && !is_network_faulty
+                    && at > deadline + rules.answer_grace + rules.slack =>
             {
                 let what = format!(
-                    "{name}: answered {:.0} ms after its client's time",
-                    at - ends
+                    "{name}: answered {:.0} ms after its deadline",
+                    at - deadline
                 );
                 findings.breach(Rule::RequestLost, at, what);
             }
@@ -239,9 +270,9 @@
     }
 }
 
-/// No effect happens twice, and no reject is given for what has run or still runs: a run between a reject and
-/// the client's next try is one that the reject promised not to be.
-fn effects(records: &[Record], rules: &Rules, findings: &mut Findings) {
+/// No at-most-once request runs twice, and none is rejected that has run or still runs. A rejection promises that the
+/// request does not run before the client's next try.
+fn check_effects(records: &[Record], rules: &Rules, findings: &mut Findings) {
     let mut ran: BTreeMap<&str, (Ms, &str)> = BTreeMap::new();
     let mut keys: BTreeMap<(&str, u64, u64), &str> = BTreeMap::new();
     let mut rejected: BTreeMap<&str, Ms> = BTreeMap::new();
@@ -259,7 +290,7 @@
                     findings.breach(Rule::EffectTwice, record.at, what);
                 }
                 if let Some(at) = rejected.get(&**key) {
-                    let what = format!("{key} ran {:.0} ms after it was bounced", record.at - at);
+                    let what = format!("{key} ran {:.0} ms after it was rejected", record.at - at);
                     findings.breach(Rule::EffectTwice, record.at, what);
                 }
             }
@@ -281,7 +312,7 @@
                 if last.answer() == v1::Answer::Rejected {
                     rejected.insert(key, record.at);
                     if ran.contains_key(key) {
-                        let what = format!("{key} was bounced after it ran");
+                        let what = format!("{key} was rejected after it ran");
                         findings.breach(Rule::EffectTwice, record.at, what);
                     }
                 }
@@ -291,19 +322,21 @@
     }
 }
 
-/// An attempt as an engine saw it.
+/// An attempt, as its engine saw it.
 #[derive(Clone, Debug)]
 struct Attempt {
     engine: String,
     dispatcher: String,
-    came: Ms,
+    arrived: Ms,
+    /// When the attempt ended; infinite while it runs.
     ended: Ms,
-    state: Option<Key>,
-    /// Units of the engine's capacity, see [`cold`].
+    /// The KV state that a decode attempt fetches.
+    state: Option<StateKey>,
+    /// The attempt's work in units of the engine's capacity, see [`check_cold_engines`].
     work: f64,
 }
 
-fn key(state: &v1::KvStateId) -> Key {
+fn key(state: &v1::KvStateId) -> StateKey {
     (state.run, state.request, state.attempt)
 }
 
@@ -317,7 +350,7 @@
             attempts.push(Attempt {
                 engine: record.seer.to_string(),
                 dispatcher: record.peer.to_string(),
-                came: record.at,
+                arrived: record.at,
                 ended: f64::INFINITY,
                 state: state.map(key),
                 work,
@@ -325,27 +358,33 @@
         };
         match &record.what {
             What::Frame(Way::In, frame) => match &frame.body {
-                Some(Body::Prefill(read)) => {
-                    begin(frame.stream, None, f64::from(read.prompt_tokens))
+                Some(Body::Prefill(prefill)) => {
+                    begin(frame.stream, None, f64::from(prefill.prompt_tokens))
                 }
-                Some(Body::Decode(write)) => {
+                Some(Body::Decode(decode)) => {
                     begin(
                         frame.stream,
-                        write.state.as_ref(),
-                        f64::from(write.max_tokens),
+                        decode.state.as_ref(),
+                        f64::from(decode.max_tokens),
                     );
                 }
                 Some(Body::Cancel(_)) => {
-                    if let Some(at) = open.get_mut(&conn).and_then(|c| c.remove(&frame.stream)) {
+                    if let Some(at) = open
+                        .get_mut(&conn)
+                        .and_then(|streams| streams.remove(&frame.stream))
+                    {
                         attempts[at].ended = record.at;
                     }
                 }
                 _ => {}
             },
             What::Frame(Way::Out, frame) => {
-                // A stream that has begun has taken its state.
+                // Token messages need no case: a stream that has begun has already fetched its KV state.
                 if matches!(frame.body, Some(Body::Ended(_))) {
-                    if let Some(at) = open.get_mut(&conn).and_then(|c| c.remove(&frame.stream)) {
+                    if let Some(at) = open
+                        .get_mut(&conn)
+                        .and_then(|streams| streams.remove(&frame.stream))
+                    {
                         attempts[at].ended = record.at;
                     }
                 }
@@ -361,8 +400,9 @@
     attempts
 }
 
-/// Drains are kept: nothing new to an engine later than the grace after its dispatcher was told.
-fn drains(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
+/// Drains are respected: a dispatcher sends nothing new to an engine later than the grace after discovery told it that
+/// the engine drains or is gone.
+fn check_drains(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
     let mut told: BTreeMap<(String, String), Vec<(Ms, bool)>> = BTreeMap::new();
     let mut known: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for record in records {
@@ -374,21 +414,21 @@
         };
         let dispatcher = record.peer.to_string();
         let known = known.entry(dispatcher.clone()).or_default();
-        let mut tell = |engine: &str, ready: bool| {
+        let mut add = |engine: &str, ready: bool| {
             told.entry((dispatcher.clone(), engine.to_owned()))
                 .or_default()
                 .push((record.at, ready));
         };
-        for line in &list.endpoints {
-            known.insert(line.engine.clone());
-            tell(&line.engine, line.status() == v1::EndpointStatus::Ready);
+        for entry in &list.endpoints {
+            known.insert(entry.engine.clone());
+            add(&entry.engine, entry.status() == v1::EndpointStatus::Ready);
         }
         if list.kind() == v1::EndpointUpdateKind::Snapshot {
             for engine in known
                 .iter()
-                .filter(|h| !list.endpoints.iter().any(|line| line.engine == **h))
+                .filter(|name| !list.endpoints.iter().any(|entry| entry.engine == **name))
             {
-                tell(engine, false);
+                add(engine, false);
             }
         }
     }
@@ -397,26 +437,31 @@
         let Some(told) = told.get(&(attempt.dispatcher.clone(), attempt.engine.clone())) else {
             continue;
         };
-        // The bound holds for the whole of the grace only if nothing said 'ready' within it.
-        let since = attempt.came - rules.drain_grace - rules.slack;
+        // The attempt is a breach only if no update within the grace listed the engine as ready.
+        let since = attempt.arrived - rules.drain_grace - rules.slack;
         let before = told.iter().rev().find(|(at, _)| *at <= since);
-        let lately = told
+        let ready_within_grace = told
             .iter()
-            .any(|(at, ready)| *ready && *at > since && *at <= attempt.came);
-        if before.is_some_and(|(_, ready)| !ready) && !lately {
+            .any(|(at, ready)| *ready && *at > since && *at <= attempt.arrived);
+        if before.is_some_and(|(_, ready)| !ready) && !ready_within_grace {
             let what = format!(
-                "{} sent to {}, which drains or is gone",
+                "{} sent an attempt to {}, which drains or is gone",
                 attempt.dispatcher, attempt.engine
             );
-            findings.breach(Rule::DrainBroken, attempt.came, what);
+            findings.breach(Rule::DrainBroken, attempt.arrived, what);
         }
     }
 }
 
-/// No cold engine is pushed over. Work is counted in units of capacity: at a prefill engine prompt tokens, of which it
-/// reads so many a second; at a decode engine the slot time of the most tokens that the answer may have. An attempt
-/// counts whole when it arrives, also one rejected; one attempt more than the bound is slack.
-fn cold(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
+/// No cold engine is overloaded. Work is counted in units of capacity: prompt tokens at a prefill engine, and at a
+/// decode engine the slot time for the maximum number of tokens of the answer. An attempt counts in full when it
+/// arrives, even if it is rejected. The bound may be exceeded by one attempt.
+fn check_cold_engines(
+    records: &[Record],
+    attempts: &[Attempt],
+    rules: &Rules,
+    findings: &mut Findings,
+) {
     for record in records {
         let What::Note(Note::Started {
             capacity,
@@ -428,48 +473,55 @@
         };
         let decode_engine = attempts
             .iter()
-            .any(|l| l.engine == *record.seer && l.state.is_some());
-        let unit = |l: &Attempt| {
+            .any(|attempt| attempt.engine == *record.seer && attempt.state.is_some());
+        let unit = |attempt: &Attempt| {
             if decode_engine {
-                l.work * rules.token_ms / 1000.0
+                attempt.work * rules.token_ms / 1000.0
             } else {
-                l.work
+                attempt.work
             }
         };
         let until = record.at + slow_start_window;
-        let here = attempts
-            .iter()
-            .filter(|l| l.engine == *record.seer && l.came >= record.at && l.came < until);
+        let here = attempts.iter().filter(|attempt| {
+            attempt.engine == *record.seer
+                && attempt.arrived >= record.at
+                && attempt.arrived < until
+        });
         let here: Vec<&Attempt> = here.collect();
         findings.cases.cold_attempts += here.len();
         for (at, last) in here.iter().enumerate() {
             let window = here[..=at]
                 .iter()
-                .filter(|l| l.came > last.came - rules.overload_window);
-            let sent: f64 = window.map(|l| unit(l)).sum();
+                .filter(|attempt| attempt.arrived > last.arrived - rules.overload_window);
+            let sent: f64 = window.map(|attempt| unit(attempt)).sum();
             let share =
-                start_share + (1.0 - start_share) * (last.came - record.at) / slow_start_window;
+                start_share + (1.0 - start_share) * (last.arrived - record.at) / slow_start_window;
             let bound = rules.overload_multiple * capacity * share * rules.overload_window / 1000.0;
             if sent > bound + unit(last) {
                 let what = format!(
-                    "{} was sent {sent:.1} units where {bound:.1} push it over",
+                    "{} was sent {sent:.1} units of work, above its slow-start bound of {bound:.1}",
                     record.seer
                 );
-                findings.breach(Rule::ColdEnginePushed, last.came, what);
+                findings.breach(Rule::ColdEnginePushed, last.arrived, what);
                 break;
             }
         }
     }
 }
 
-/// Nothing is left pinned: while none of a request's attempts is out, a state held for it is taken or let go within
-/// the release time, counted from the last outcome. A dispatcher that was killed owes nothing any more.
-fn pinned(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
-    let mut held: BTreeMap<Key, (Ms, &Record)> = BTreeMap::new();
-    let mut over: BTreeMap<Key, Ms> = BTreeMap::new();
+/// No KV state stays held without use: while no attempt of its request runs, a held state is fetched or released within
+/// the release time, counted from the end of the last attempt. A killed dispatcher is excused.
+fn check_held_states(
+    records: &[Record],
+    attempts: &[Attempt],
+    rules: &Rules,
+    findings: &mut Findings,
+) {
+    let mut held: BTreeMap<StateKey, (Ms, &Record)> = BTreeMap::new();
+    let mut taken: BTreeMap<StateKey, Ms> = BTreeMap::new();
     let mut died: BTreeMap<&str, Vec<Ms>> = BTreeMap::new();
-    // When each process of a dispatcher was first met.
-    let mut met: BTreeMap<u64, Ms> = BTreeMap::new();
+    // When each dispatcher process first said hello to an engine, by the run of the process.
+    let mut first_hellos: BTreeMap<u64, Ms> = BTreeMap::new();
     for record in records {
         match &record.what {
             What::Frame(Way::Out, frame) => {
@@ -482,7 +534,7 @@
             }
             What::Frame(Way::In, frame) => {
                 if let Some(Body::Hello(hello)) = &frame.body {
-                    met.entry(hello.run).or_insert(record.at);
+                    first_hellos.entry(hello.run).or_insert(record.at);
                 }
                 let state = match &frame.body {
                     Some(Body::Release(release)) => release.state,
@@ -490,7 +542,7 @@
                     _ => None,
                 };
                 if let Some(state) = state {
-                    over.entry(key(&state)).or_insert(record.at);
+                    taken.entry(key(&state)).or_insert(record.at);
                 }
             }
             What::Note(Note::Died) => died.entry(&record.seer).or_default().push(record.at),
@@ -500,50 +552,57 @@
     let kills = kills(records);
     let end = records.last().map_or(0.0, |r| r.at);
     findings.cases.states = held.len();
-    let mut out: BTreeMap<Key, Vec<(Ms, Ms)>> = BTreeMap::new();
+    let mut running: BTreeMap<StateKey, Vec<(Ms, Ms)>> = BTreeMap::new();
     for attempt in attempts {
         if let Some(state) = attempt.state {
-            out.entry(state)
+            running
+                .entry(state)
                 .or_default()
-                .push((attempt.came, attempt.ended));
+                .push((attempt.arrived, attempt.ended));
         }
     }
     for (state, (since, record)) in held {
         let first =
             |times: Option<&Vec<Ms>>| times.into_iter().flatten().copied().find(|at| *at >= since);
-        // A read may end at its engine just after its dispatcher was killed, and before the connection is cut.
-        let since_met = met.get(&state.0).copied().unwrap_or(since);
+        // A prefill may end at its engine after its dispatcher was killed and before the engine notices the closed
+        // connection, so a kill counts from the first hello of the run on, not from the prefill's end.
+        let first_hello = first_hellos.get(&state.0).copied().unwrap_or(since);
         let killed = kills
             .get(&*record.peer)
             .into_iter()
             .flatten()
             .copied()
-            .find(|at| *at >= since_met);
+            .find(|at| *at >= first_hello);
         let ends = [
-            over.get(&state).copied(),
+            taken.get(&state).copied(),
             first(died.get(&*record.seer)),
             killed,
         ];
         let until = ends.into_iter().flatten().fold(end, f64::min);
         let mut idle_since = since;
-        let mut outs = out.remove(&state).unwrap_or_default();
-        outs.sort_by(|a, b| a.0.total_cmp(&b.0));
-        outs.push((until, until));
-        for (came, ended) in outs {
-            let came = came.min(until);
-            let unseen = |(from, to, _): &(Ms, Ms, Ms)| *from <= came && *to >= idle_since;
+        let mut attempts_of_state = running.remove(&state).unwrap_or_default();
+        attempts_of_state.sort_by(|a, b| a.0.total_cmp(&b.0));
+        attempts_of_state.push((until, until));
+        for (arrived, ended) in attempts_of_state {
+            let arrived = arrived.min(until);
+            let overlaps = |(from, to, _): &(Ms, Ms, Ms)| *from <= arrived && *to >= idle_since;
             let lost = |(from, to, most): &(Ms, Ms, Ms)| {
-                (to.min(came) - from.max(idle_since)).clamp(0.0, *most)
+                (to.min(arrived) - from.max(idle_since)).clamp(0.0, *most)
             };
-            let lost: Ms = rules.silences.iter().filter(|s| unseen(s)).map(lost).sum();
-            if came - idle_since - lost > rules.release + rules.slack {
+            let lost: Ms = rules
+                .silences
+                .iter()
+                .filter(|s| overlaps(s))
+                .map(lost)
+                .sum();
+            if arrived - idle_since - lost > rules.release + rules.slack {
                 let (run, request, attempt) = state;
                 let what = format!(
-                    "the state of task {request} (launch {attempt}, run {run:x}) lay at {} for {:.0} ms with nothing out",
+                    "the KV state of request {request} (attempt {attempt}, run {run:x}) was held at {} for {:.0} ms while no attempt ran",
                     record.seer,
-                    came - idle_since
+                    arrived - idle_since
                 );
-                findings.breach(Rule::LeftPinned, came, what);
+                findings.breach(Rule::LeftPinned, arrived, what);
                 break;
             }
             idle_since = idle_since.max(ended);
--- a/crates/standin/src/audit/service.rs
+++ b/crates/standin/src/audit/service.rs
@@ -1,5 +1,5 @@
-//! Terms of service beyond the five rules, counted from what crossed the sockets: whom attempts are made for, how soon
-//! events are passed on, and which requests of a class are answered.
+//! Terms of service beyond the five rules, checked on the frames of the transcript: no attempts for cancelled requests,
+//! prompt forwarding of events, and no starvation of large requests or of single sessions.
 
 use super::{Findings, Rule, Rules};
 use crate::transcript::{Note, Record, Way, What};
@@ -7,33 +7,34 @@
 use cindercleat_protocol::{v1, Body};
 use std::collections::BTreeMap;
 
-/// An attempt that begins so long after its client has gone is made for nobody.
-const ATTEMPT_AFTER_CLOSE: Ms = 100.0;
-/// An event reaches its client within this of its engine's writing it.
-const EVENT_WITHIN: Ms = 300.0;
-/// Fewer requests of a class than this say nothing of its longest tenth.
-const ENOUGH: usize = 200;
-/// Sessions of which every request was refused, beyond what chance gives: the part of a class's sessions that may be.
-const SINGLED_OUT: f64 = 0.12;
+/// How long after a client has cancelled its request an attempt may still begin.
+const ATTEMPT_AFTER_CANCEL: Ms = 100.0;
+/// The longest time from an engine's writing of an event to its arrival at the client.
+const MAX_EVENT_DELAY: Ms = 300.0;
+/// Classes with fewer requests are not checked for starvation: their longest tenth would be too small a sample.
+const MIN_REQUESTS: usize = 200;
+/// The largest share of a class's sessions that may have all requests rejected, in excess of the share that chance
+/// gives.
+const MAX_REFUSED_SESSIONS: f64 = 0.12;
 
-/// A client's request as its client saw it.
+/// One submission of a request, as its client saw it.
 #[derive(Clone, Debug)]
 struct Request {
     request_class: String,
     session: u64,
     prompt_tokens: u32,
     sent: Ms,
-    /// When its client went without an answer.
-    left: Option<Ms>,
+    /// When the client cancelled the request without an answer.
+    cancelled: Option<Ms>,
     answer: Option<v1::Answer>,
 }
 
-/// The requests of all clients, each under its key; a key has one for each time that its client asked.
+/// The requests of all clients by key. A key has one entry for each time that its client submitted it.
 type Requests = BTreeMap<String, Vec<Request>>;
-/// Requests without an answer so far, by client, connection and stream: the key, and which of those under it.
+/// Unanswered requests by client, connection and stream: the key, and the index among the entries of the key.
 type Open<'a> = BTreeMap<(&'a str, u64, u64), (String, usize)>;
 
-/// The request that is open on a stream, which it is no more.
+/// Removes a stream from the open ones and returns its request, if it has one.
 fn take<'a, 'r>(
     open: &mut Open<'r>,
     all: &'a mut Requests,
@@ -43,6 +44,7 @@
     all.get_mut(&key)?.get_mut(at)
 }
 
+/// Collects all submissions of the transcript with their outcomes.
 fn requests(records: &[Record]) -> Requests {
     let mut all = Requests::new();
     let mut open = Open::new();
@@ -51,24 +53,24 @@
         match &record.what {
             What::Frame(Way::Out, frame) => match &frame.body {
                 Some(Body::Submit(submit)) => {
-                    let of = all.entry(submit.key.clone()).or_default();
+                    let submissions = all.entry(submit.key.clone()).or_default();
                     open.insert(
                         (conn.0, conn.1, frame.stream),
-                        (submit.key.clone(), of.len()),
+                        (submit.key.clone(), submissions.len()),
                     );
-                    of.push(Request {
+                    submissions.push(Request {
                         request_class: submit.request_class.clone(),
                         session: submit.session,
                         prompt_tokens: submit.prompt_tokens,
                         sent: record.at,
-                        left: None,
+                        cancelled: None,
                         answer: None,
                     });
                 }
                 Some(Body::Cancel(_)) => {
                     if let Some(request) = take(&mut open, &mut all, (conn.0, conn.1, frame.stream))
                     {
-                        request.left = Some(record.at);
+                        request.cancelled = Some(record.at);
                     }
                 }
                 _ => {}
@@ -88,38 +90,41 @@
     all
 }
 
-/// No attempt, first or further, begins for a client that has gone.
-pub(super) fn attempts_for_nobody(records: &[Record], rules: &Rules, findings: &mut Findings) {
+/// No attempt, first or repeated, begins for a request that its client has cancelled.
+pub(super) fn check_cancelled_requests(records: &[Record], rules: &Rules, findings: &mut Findings) {
     let requests = requests(records);
     for record in records {
         let What::Frame(Way::In, frame) = &record.what else {
             continue;
         };
         let key = match &frame.body {
-            Some(Body::Prefill(read)) => &read.key,
-            Some(Body::Decode(write)) => &write.key,
+            Some(Body::Prefill(prefill)) => &prefill.key,
+            Some(Body::Decode(decode)) => &decode.key,
             _ => continue,
         };
-        let Some(asked) = requests.get(key) else {
+        let Some(submissions) = requests.get(key) else {
             continue;
         };
-        let before = asked.iter().rev().find(|request| request.sent <= record.at);
-        let Some(left) = before.and_then(|request| request.left) else {
+        let latest = submissions
+            .iter()
+            .rev()
+            .find(|request| request.sent <= record.at);
+        let Some(cancelled) = latest.and_then(|request| request.cancelled) else {
             continue;
         };
-        let late = record.at - left - ATTEMPT_AFTER_CLOSE - rules.slack;
-        if late > 0.0 && !within_fault(rules, left, record.at) {
+        let late = record.at - cancelled - ATTEMPT_AFTER_CANCEL - rules.slack;
+        if late > 0.0 && !within_fault(rules, cancelled, record.at) {
             let what = format!(
-                "{key} was sent to {} {:.0} ms after its client left",
+                "{key} was sent to {} {:.0} ms after its client cancelled it",
                 record.seer,
-                record.at - left
+                record.at - cancelled
             );
             findings.breach(Rule::AttemptForNobody, record.at, what);
         }
     }
 }
 
-/// Whether faults of the network between two instants may have kept what was said from arriving.
+/// Whether a network fault between two times may have kept a message from arriving.
 fn within_fault(rules: &Rules, from: Ms, to: Ms) -> bool {
     let meets = |begin: Ms, end: Ms| begin <= to && end >= from;
     rules
@@ -129,48 +134,51 @@
         || rules.apart.iter().any(|(begin, end)| meets(*begin, *end))
 }
 
-/// When processes were kept from running by those who watch: by name, from when until when.
-fn sleeps(records: &[Record]) -> BTreeMap<&str, Vec<(Ms, Ms)>> {
-    let mut sleeps: BTreeMap<&str, Vec<(Ms, Ms)>> = BTreeMap::new();
+/// When dispatcher processes were suspended, as noted in the transcript: the spans by dispatcher name.
+fn suspensions(records: &[Record]) -> BTreeMap<&str, Vec<(Ms, Ms)>> {
+    let mut suspensions: BTreeMap<&str, Vec<(Ms, Ms)>> = BTreeMap::new();
     for record in records {
         match record.what {
-            What::Note(Note::Asleep) => sleeps
+            What::Note(Note::Asleep) => suspensions
                 .entry(&record.seer)
                 .or_default()
                 .push((record.at, Ms::INFINITY)),
             What::Note(Note::Awake) => {
-                if let Some(last) = sleeps.get_mut(&*record.seer).and_then(|all| all.last_mut()) {
+                if let Some(last) = suspensions
+                    .get_mut(&*record.seer)
+                    .and_then(|all| all.last_mut())
+                {
                     last.1 = record.at;
                 }
             }
             _ => {}
         }
     }
-    sleeps
+    suspensions
 }
 
-/// How much of a span fell into sleep.
-fn slept(sleeps: Option<&Vec<(Ms, Ms)>>, from: Ms, to: Ms) -> Ms {
-    let part = |(begin, end): &(Ms, Ms)| (end.min(to) - begin.max(from)).max(0.0);
-    sleeps.into_iter().flatten().map(part).sum()
+/// How much of a span overlaps suspensions.
+fn suspended_time(suspensions: Option<&Vec<(Ms, Ms)>>, from: Ms, to: Ms) -> Ms {
+    let overlap = |(begin, end): &(Ms, Ms)| (end.min(to) - begin.max(from)).max(0.0);
+    suspensions.into_iter().flatten().map(overlap).sum()
 }
 
-/// Events are passed on as they come. The time in which the process of a dispatcher was kept from running is not its own:
-/// the platform's page allows for 0.15 s at the most.
-pub(super) fn late_events(records: &[Record], rules: &Rules, findings: &mut Findings) {
+/// Events are forwarded as they arrive. The time in which a dispatcher process was suspended does not count against it;
+/// the platform's page allows for suspensions of 0.15 s at most.
+pub(super) fn check_event_delays(records: &[Record], rules: &Rules, findings: &mut Findings) {
     let mut attempts: BTreeMap<(&str, u64, u64), &str> = BTreeMap::new();
     let mut streams: BTreeMap<(&str, u64, u64), &str> = BTreeMap::new();
-    // By key and place in the stream: when the engine wrote it.
+    // When the engine wrote each event, by request key and position in the stream.
     let mut written: BTreeMap<(&str, u32), Ms> = BTreeMap::new();
-    let sleeps = sleeps(records);
+    let suspensions = suspensions(records);
     for record in records {
         let What::Frame(way, frame) = &record.what else {
             continue;
         };
         let id = (&*record.seer, record.conn, frame.stream);
         match (way, &frame.body) {
-            (Way::In, Some(Body::Decode(write))) => {
-                attempts.insert(id, &write.key);
+            (Way::In, Some(Body::Decode(decode))) => {
+                attempts.insert(id, &decode.key);
             }
             (Way::Out, Some(Body::Submit(submit))) => {
                 streams.insert(id, &submit.key);
@@ -188,8 +196,10 @@
                     continue;
                 };
                 findings.cases.events += 1;
-                let took = record.at - since - slept(sleeps.get(&*record.peer), since, record.at);
-                if took > EVENT_WITHIN + rules.slack && !within_fault(rules, since, record.at) {
+                let took = record.at
+                    - since
+                    - suspended_time(suspensions.get(&*record.peer), since, record.at);
+                if took > MAX_EVENT_DELAY + rules.slack && !within_fault(rules, since, record.at) {
                     let what = format!("event {} of {key} took {took:.0} ms", tokens.position);
                     findings.breach(Rule::EventLate, record.at, what);
                 }
@@ -199,16 +209,17 @@
     }
 }
 
-/// The largest requests of a class are answered as the class is, and no sessions are refused throughout.
-pub(super) fn starved(records: &[Record], rules: &Rules, findings: &mut Findings) {
-    let Some(part) = rules.largest_part else {
+/// The largest requests of a class succeed nearly as often as the whole class, and no sessions are singled out for
+/// rejection.
+pub(super) fn check_starvation(records: &[Record], rules: &Rules, findings: &mut Findings) {
+    let Some(min_relative_rate) = rules.largest_part else {
         return;
     };
     let mut classes: BTreeMap<String, Vec<Request>> = BTreeMap::new();
     for request in requests(records)
         .into_values()
         .flatten()
-        .filter(|request| request.left.is_none())
+        .filter(|request| request.cancelled.is_none())
     {
         classes
             .entry(request.request_class.clone())
@@ -216,50 +227,57 @@
             .push(request);
     }
     let end = records.last().map_or(0.0, |record| record.at);
-    for (class, mut asked) in classes {
-        if asked.len() < ENOUGH {
+    for (class, mut requests_of_class) in classes {
+        if requests_of_class.len() < MIN_REQUESTS {
             continue;
         }
-        let all = answered(&asked);
-        asked.sort_by_key(|request| std::cmp::Reverse(request.prompt_tokens));
-        let (tenth, third) = (asked.len() / 10, asked.len() * 3 / 10);
+        let all = success_rate(&requests_of_class);
+        requests_of_class.sort_by_key(|request| std::cmp::Reverse(request.prompt_tokens));
+        let (tenth, third) = (
+            requests_of_class.len() / 10,
+            requests_of_class.len() * 3 / 10,
+        );
         for (name, share) in [
-            ("longest tenth", answered(&asked[..tenth])),
-            ("next fifth", answered(&asked[tenth..third])),
+            ("longest tenth", success_rate(&requests_of_class[..tenth])),
+            ("next fifth", success_rate(&requests_of_class[tenth..third])),
         ] {
             findings.cases.length_floors += 1;
-            if share < part * all {
-                let what = format!("{class}: {share:.2} of the {name} answered, {all:.2} of all");
+            if share < min_relative_rate * all {
+                let what = format!(
+                    "{class}: {share:.2} of the {name} succeeded, {all:.2} of all requests"
+                );
                 findings.breach(Rule::LargestStarved, end, what);
             }
         }
         let mut sessions: BTreeMap<u64, Vec<&Request>> = BTreeMap::new();
-        asked
+        requests_of_class
             .iter()
             .for_each(|request| sessions.entry(request.session).or_default().push(request));
         let refused = |request: &&Request| request.answer == Some(v1::Answer::Rejected);
-        let seen = sessions
+        let refused_sessions = sessions
             .values()
             .filter(|all| all.iter().all(refused))
             .count() as f64;
-        let share = asked.iter().filter(refused).count() as f64 / asked.len() as f64;
+        let share = requests_of_class.iter().filter(refused).count() as f64
+            / requests_of_class.len() as f64;
         let chance: f64 = sessions
             .values()
             .map(|all| share.powi(all.len() as i32))
             .sum();
-        let beyond = (seen - chance) / sessions.len() as f64;
-        if beyond > SINGLED_OUT {
+        let beyond = (refused_sessions - chance) / sessions.len() as f64;
+        if beyond > MAX_REFUSED_SESSIONS {
             let what =
-                format!("{class}: {beyond:.2} of the sessions refused throughout, beyond chance");
+                format!("{class}: {beyond:.2} more of the sessions had all requests rejected than chance explains");
             findings.breach(Rule::SessionsSingledOut, end, what);
         }
     }
 }
 
-fn answered(requests: &[Request]) -> f64 {
-    let good = requests
+/// The share of requests that succeeded.
+fn success_rate(requests: &[Request]) -> f64 {
+    let succeeded = requests
         .iter()
         .filter(|request| request.answer == Some(v1::Answer::Succeeded))
         .count();
-    good as f64 / requests.len().max(1) as f64
+    succeeded as f64 / requests.len().max(1) as f64
 }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,8 +1,8 @@
-//! Clients: open-loop arrivals from a seed, sessions with shared texts, time to deadline, leaving early, and retries as
-//! the request class allows.
+//! The stand-in of clients. Requests arrive in an open loop drawn from a seed. They belong to sessions, share prompt
+//! prefixes and have deadlines; clients cancel some of them early and retry as the request class allows.
 
 use crate::transcript::{Note, Transcript, Way, What};
-use crate::{call, exponential, share};
+use crate::{exponential, open_session, uniform};
 use cindercleat_grpc::{Event, Out, Session};
 use cindercleat_net::{Clock, Ms, Transport};
 use cindercleat_protocol::{frame, v1, Body, Frame};
@@ -15,50 +15,60 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// One request class's traffic.
+/// The traffic of one request class.
 #[derive(Clone, Debug)]
 pub struct Traffic {
     pub request_class: String,
+    /// The weight of this class among all classes; weights need not add up to 1.
     pub share: f64,
-    /// Whether a client may ask again whatever came of a try; else only after a reject, or if nothing went out.
+    /// Whether a client may retry after any outcome; otherwise only after a rejection or if the request was not sent.
     pub again_always: bool,
+    /// The time to the first token that counts as in time.
     pub latency_objective: Ms,
     pub time_to_deadline: Ms,
+    /// The smallest and the largest length of a prompt.
     pub prompt_tokens: (u32, u32),
+    /// The length of the prefix that a prompt shares with other prompts.
     pub shared_tokens: u32,
+    /// The number of different shared prefixes.
     pub shared_texts: u64,
     pub max_tokens: u32,
+    /// The weight of the class in a day's payoff; not used by the clients themselves.
     pub priority_weight: f64,
 }
 
-/// How much longer than it said a client waits for an answer that should have come.
-const GIVES_UP: Ms = 2000.0;
-/// Numbers of planned requests begin here.
-const PLANNED: u64 = 1 << 32;
+/// How long after the deadline a client still waits for an overdue answer.
+const DEADLINE_SLACK: Ms = 2000.0;
+/// The number of the first planned request; the numbers of drawn requests stay below it.
+const FIRST_PLANNED_NUMBER: u64 = 1 << 32;
 
-/// All clients' habits.
+/// How the clients of a day behave.
 #[derive(Clone, Debug)]
 pub struct Habits {
     pub traffic: Vec<Traffic>,
+    /// The mean rate of drawn arrivals; 0 draws none.
     pub rate_per_s: f64,
+    /// How long requests arrive.
     pub length: Ms,
-    /// Tries after the first.
+    /// The most retries of a request.
     pub retries: u32,
+    /// The base of the wait before a retry, which grows with the number of tries.
     pub retry_after: Ms,
-    /// The share that leaves early, at any time before its time to deadline ends.
+    /// The share of requests that their clients cancel, each at a random time before the deadline.
     pub leaves: f64,
     /// Connections to each dispatcher.
     pub connections: usize,
+    /// The number of different sessions.
     pub sessions: u64,
     pub tenants: Vec<String>,
-    /// Tasks at their own instants, besides those that are drawn.
+    /// Requests with fixed arrival times, in addition to the drawn ones.
     pub requests: Vec<Planned>,
 }
 
-/// One request as it is sent.
+/// A request with all of its parameters fixed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
-    /// Since the day's begin.
+    /// The arrival time, counted from the start of the day.
     pub at: Ms,
     pub request_class: String,
     pub tenant: String,
@@ -68,35 +78,40 @@
     pub prompt_tokens: u32,
     pub max_tokens: u32,
     pub time_to_deadline: Ms,
-    /// The client leaves so long after a try, if that is not over by then.
+    /// How long after the start of a try the client cancels it, if it has not ended by then.
     pub leaves: Option<Ms>,
-    /// Starts the chance in where it is sent and how long the client waits between tries.
+    /// The seed of the draws of the dispatcher, the connection and the waits between tries.
     pub seed: u64,
 }
 
-/// What clients saw, for one request class.
+/// The outcomes of one request class, as its clients saw them.
 #[derive(Clone, Debug)]
 pub struct Tally {
     pub requests: u64,
+    /// Submissions of requests, retries included; the counters of outcomes count tries too.
     pub tries: u64,
     pub succeeded: u64,
-    /// Succeeded, and the first token came within the latency objective time of the first try's instant.
+    /// Successful tries whose first token came within the latency objective, counted from the start of the first try.
     pub in_time: u64,
     pub rejected: u64,
     pub failed: u64,
+    /// Tries that the client cancelled.
     pub left: u64,
-    /// Tries whose connection broke, and tries that could not be sent.
+    /// Tries whose connection broke or whose answer never came.
     pub cut: u64,
+    /// Tries that could not be sent.
     pub unsent: u64,
-    /// Microseconds from a try to its first token, and between two token messages.
+    /// Microseconds from the start of a try to its first token.
     pub first_token: Histogram<u64>,
+    /// Microseconds between successive token messages of a try.
     pub gap: Histogram<u64>,
+    /// Token messages received.
     pub tokens: u64,
 }
 
 impl Default for Tally {
     fn default() -> Self {
-        // Bounds of a minute; two digits.
+        // Records up to one minute, with two significant digits.
         let histogram =
             || Histogram::new_with_bounds(1, 60_000_000, 2).unwrap_or_else(|_| unreachable!());
         Tally {
@@ -116,45 +131,47 @@
     }
 }
 
-/// How one try ended.
+/// The outcome of one try.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
     Succeeded,
     Rejected {
+        /// How long the dispatcher asks the client to wait before a retry.
         retry_after: Ms,
     },
     Failed,
-    /// By the field that cannot be right; empty if it is not known.
+    /// The dispatcher found the request invalid; holds the name of the invalid field, empty if it is unknown.
     InvalidRequest(String),
-    /// The client left.
+    /// The client cancelled the try.
     Left,
-    /// The connection ended first.
+    /// The connection ended before the answer, or the answer did not come in time.
     Cut,
-    /// There was no connection to send it on.
+    /// No connection could be opened, or the dispatcher reported that it never processed the request.
     Unsent,
 }
 
-/// One connection to a dispatcher, shared by many streams.
+/// A client's reconnecting link to one server, shared by many streams. It opens a connection when a stream needs one.
 pub struct Port<T, C> {
     name: Rc<str>,
-    to: (String, v1::Party),
+    /// The server's address and party.
+    server: (String, v1::Party),
     transport: T,
     clock: C,
     transcript: Transcript,
-    line: RefCell<Option<Rc<Line>>>,
-    next: Cell<u64>,
+    connection: RefCell<Option<Rc<Connection>>>,
+    next_stream: Cell<u64>,
 }
 
-struct Line {
+struct Connection {
     conn: u64,
     peer: Rc<str>,
     out: Out,
     streams: RefCell<BTreeMap<u64, mpsc::UnboundedSender<Body>>>,
-    over: Cell<bool>,
+    closed: Cell<bool>,
 }
 
 impl<T: Transport, C: Clock> Port<T, C> {
-    /// To a dispatcher.
+    /// Creates a link to the dispatcher at the address `to`; `name` is the client's name in the transcript.
     pub fn new(name: &str, to: &str, transport: T, clock: C, transcript: Transcript) -> Rc<Self> {
         Port::to(
             name,
@@ -165,7 +182,7 @@
         )
     }
 
-    /// To whoever is at an address.
+    /// Creates a link to the address `to`, where a server of the given party is expected.
     pub fn to(
         name: &str,
         (to, party): (&str, v1::Party),
@@ -175,127 +192,133 @@
     ) -> Rc<Self> {
         Rc::new(Port {
             name: Rc::from(name),
-            to: (to.to_owned(), party),
+            server: (to.to_owned(), party),
             transport,
             clock,
             transcript,
-            line: RefCell::default(),
-            next: Cell::new(1),
+            connection: RefCell::default(),
+            next_stream: Cell::new(1),
         })
     }
 
-    async fn line(self: &Rc<Self>) -> Option<Rc<Line>> {
-        if let Some(line) = self.line.borrow().as_ref().filter(|l| !l.over.get()) {
-            return Some(line.clone());
+    /// The open connection, or a new one; `None` if no connection can be opened.
+    async fn connection(self: &Rc<Self>) -> Option<Rc<Connection>> {
+        if let Some(connection) = self
+            .connection
+            .borrow()
+            .as_ref()
+            .filter(|open| !open.closed.get())
+        {
+            return Some(connection.clone());
         }
-        let names = (v1::Party::Client, &*self.name, "");
+        let parties = (v1::Party::Client, &*self.name, "");
         let Session {
             them,
             mut events,
             out,
             ..
-        } = call(&self.transport, (&self.to.0, self.to.1), names).await?;
-        let line = Rc::new(Line {
+        } = open_session(&self.transport, (&self.server.0, self.server.1), parties).await?;
+        let connection = Rc::new(Connection {
             conn: self.transcript.new_conn(),
             peer: Rc::from(them.name),
             out,
             streams: RefCell::default(),
-            over: Cell::new(false),
+            closed: Cell::new(false),
         });
-        *self.line.borrow_mut() = Some(line.clone());
-        let (reading, port) = (line.clone(), self.clone());
+        *self.connection.borrow_mut() = Some(connection.clone());
+        let (receiving, port) = (connection.clone(), self.clone());
         spawn_local(async move {
             while let Some(event) = events.recv().await {
                 let frame = match event {
                     Event::Frame(frame) => frame,
-                    // The next try takes another connection; what is open here goes on.
+                    // The next try opens another connection; open streams of this one continue.
                     Event::GoingAway => {
-                        reading.over.set(true);
+                        receiving.closed.set(true);
                         continue;
                     }
                     Event::Flushed { .. } | Event::Partly => continue,
                 };
-                port.record(&reading, Way::In, &frame);
+                port.record(&receiving, Way::In, &frame);
                 let stream = frame.stream;
                 match frame.body {
-                    // The call is over without a last word.
+                    // The call ended without a final answer.
                     Some(Body::Goodbye(bye)) => {
-                        if let Some(to) = reading.streams.borrow().get(&stream) {
-                            let _ = to.send(Body::Goodbye(bye));
+                        if let Some(sender) = receiving.streams.borrow().get(&stream) {
+                            let _ = sender.send(Body::Goodbye(bye));
                         }
-                        reading.streams.borrow_mut().remove(&stream);
+                        receiving.streams.borrow_mut().remove(&stream);
                     }
                     Some(body) => {
-                        if let Some(to) = reading.streams.borrow().get(&stream) {
-                            let _ = to.send(body);
+                        if let Some(sender) = receiving.streams.borrow().get(&stream) {
+                            let _ = sender.send(body);
                         }
                     }
                     None => {}
                 }
             }
-            reading.over.set(true);
-            reading.streams.borrow_mut().clear();
+            receiving.closed.set(true);
+            receiving.streams.borrow_mut().clear();
             let what = What::Note(Note::Closed { own: false });
             port.transcript.add(
                 port.clock.now(),
                 &port.name,
-                &reading.peer,
-                reading.conn,
+                &receiving.peer,
+                receiving.conn,
                 what,
             );
         });
-        Some(line)
+        Some(connection)
     }
 
-    fn record(&self, line: &Line, way: Way, frame: &Frame) {
+    fn record(&self, connection: &Connection, way: Way, frame: &Frame) {
         self.transcript.add(
             self.clock.now(),
             &self.name,
-            &line.peer,
-            line.conn,
+            &connection.peer,
+            connection.conn,
             What::Frame(way, frame.clone()),
         );
     }
 
-    fn say(&self, line: &Line, stream: u64, body: Body) -> bool {
+    fn send(&self, connection: &Connection, stream: u64, body: Body) -> bool {
         let frame = frame(stream, body);
-        let sent = line.out.send(frame.clone());
+        let sent = connection.out.send(frame.clone());
         if sent {
-            self.record(line, Way::Out, &frame);
+            self.record(connection, Way::Out, &frame);
         }
         sent
     }
 
-    /// Opens a stream with its first message; gives what comes back on it. None: there is no connection.
+    /// Opens a stream and sends its first message; returns `None` if no connection can be opened.
     pub async fn open(self: &Rc<Self>, body: Body) -> Option<Stream<T, C>> {
-        let line = self.line().await?;
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let (to, from) = mpsc::unbounded_channel();
-        line.streams.borrow_mut().insert(number, to);
-        if !self.say(&line, number, body) {
-            line.streams.borrow_mut().remove(&number);
+        let connection = self.connection().await?;
+        let number = self.next_stream.get();
+        self.next_stream.set(number + 1);
+        let (sender, messages) = mpsc::unbounded_channel();
+        connection.streams.borrow_mut().insert(number, sender);
+        if !self.send(&connection, number, body) {
+            connection.streams.borrow_mut().remove(&number);
             return None;
         }
         Some(Stream {
             port: self.clone(),
-            line,
+            connection,
             number,
-            from,
+            messages,
         })
     }
 
-    /// One try: sends the request, waits for its end, leaves at `leave_at` if that comes first. `see` is told of
-    /// each token message.
+    /// Submits a request and waits for its outcome. Cancels it at `leave_at` if it has not ended by then. Calls `see`
+    /// with each token message.
     pub async fn run(
         self: &Rc<Self>,
         submit: v1::Submit,
         leave_at: Option<Ms>,
         mut see: impl FnMut(&v1::Tokens),
     ) -> End {
-        // A client does not wait for ever, whatever became of the other side: for a first token as long as it
-        // said, for each further one as long again.
-        let time_to_deadline = submit.time_to_deadline_ms + GIVES_UP;
+        // A dispatcher may vanish without closing the connection, so the wait is bounded: for the first token up to the
+        // deadline plus slack, and for each further one as long again.
+        let time_to_deadline = submit.time_to_deadline_ms + DEADLINE_SLACK;
         let mut until = self.clock.now() + time_to_deadline;
         let opened = tokio::select! { biased;
             opened = self.open(Body::Submit(submit)) => opened,
@@ -339,49 +362,52 @@
     }
 }
 
-/// One stream of a port.
+/// One stream of a [`Port`]. Dropping it discards the messages that still arrive on it.
 pub struct Stream<T, C> {
     port: Rc<Port<T, C>>,
-    line: Rc<Line>,
+    connection: Rc<Connection>,
     number: u64,
-    from: mpsc::UnboundedReceiver<Body>,
+    messages: mpsc::UnboundedReceiver<Body>,
 }
 
 impl<T: Transport, C: Clock> Stream<T, C> {
-    /// What comes next; none once the connection is over.
+    /// Waits for the next message; returns `None` once the stream or its connection has ended.
     pub async fn next(&mut self) -> Option<Body> {
-        self.from.recv().await
+        self.messages.recv().await
     }
 
+    /// Sends a message on the stream; does nothing if the connection has ended.
     pub fn say(&self, body: Body) {
-        self.port.say(&self.line, self.number, body);
+        self.port.send(&self.connection, self.number, body);
     }
 }
 
 impl<T, C> Drop for Stream<T, C> {
     fn drop(&mut self) {
-        self.line.streams.borrow_mut().remove(&self.number);
+        self.connection.streams.borrow_mut().remove(&self.number);
     }
 }
 
-/// The clients of a day.
+/// All clients of a day.
 pub struct Clients<T, C> {
     habits: Habits,
     clock: C,
-    /// Ports by dispatcher.
+    /// The connections to each dispatcher.
     ports: Vec<Vec<Rc<Port<T, C>>>>,
     tallies: RefCell<BTreeMap<String, Tally>>,
+    /// Requests that have not ended.
     open: Cell<usize>,
-    rate: Cell<f64>,
-    hot: Cell<Option<u64>>,
-    /// Prompts are so many times longer, for this share of them.
-    long: Cell<(f64, f64)>,
+    /// The factor on the configured arrival rate.
+    rate_factor: Cell<f64>,
+    hot_text: Cell<Option<u64>>,
+    /// The factor on the length of long prompts, and the share of prompts that are long.
+    long_prompts: Cell<(f64, f64)>,
     retry_after: Cell<Ms>,
     rng: RefCell<WyRand>,
 }
 
 impl<T: Transport, C: Clock> Clients<T, C> {
-    /// `dispatchers`: their addresses.
+    /// Creates the clients, which connect to the dispatchers at these addresses; all draws derive from `seed`.
     pub fn new(
         habits: Habits,
         dispatchers: &[String],
@@ -412,9 +438,9 @@
             ports,
             tallies: RefCell::new(tallies),
             open: Cell::new(0),
-            rate: Cell::new(1.0),
-            hot: Cell::new(None),
-            long: Cell::new((1.0, 0.0)),
+            rate_factor: Cell::new(1.0),
+            hot_text: Cell::new(None),
+            long_prompts: Cell::new((1.0, 0.0)),
             retry_after: Cell::new(0.0),
             rng: RefCell::new(WyRand::new_seed(seed)),
         };
@@ -422,68 +448,73 @@
         Rc::new(clients)
     }
 
-    /// How long clients wait before they ask again, unless told.
+    /// Sets the base of the wait before a retry; `None` restores the configured one.
     pub fn set_retry_after(&self, wait: Option<Ms>) {
         self.retry_after
             .set(wait.unwrap_or(self.habits.retry_after));
     }
 
-    /// From now on this share of the prompts is so many times longer.
+    /// Makes this share of the prompts `times` as long from now on.
     pub fn set_long_prompts(&self, times: f64, part: f64) {
-        self.long.set((times, part));
+        self.long_prompts.set((times, part));
     }
 
-    /// So many times the usual arrivals from now on.
+    /// Sets the factor on the configured arrival rate from now on.
     pub fn set_rate(&self, times: f64) {
-        self.rate.set(times);
+        self.rate_factor.set(times);
     }
 
-    /// New sessions begin with this text, unseen so far.
+    /// Makes half of the new requests share this prompt prefix; `None` ends that.
     pub fn set_hot_text(&self, text: Option<u64>) {
-        self.hot.set(text);
+        self.hot_text.set(text);
     }
 
+    /// A copy of the outcomes so far, by request class.
     pub fn tallies(&self) -> BTreeMap<String, Tally> {
         self.tallies.borrow().clone()
     }
 
-    /// Arrivals for the day's length, then the end of all that is open.
+    /// Sends all planned and drawn requests, and returns when every request has ended.
     pub async fn run(self: Rc<Self>) {
         let begin = self.clock.now();
         for (n, planned) in self.habits.requests.iter().cloned().enumerate() {
             let clients = self.clone();
-            self.begin(async move {
+            self.spawn_request(async move {
                 clients.clock.sleep_until(begin + planned.at).await;
-                clients.play(PLANNED + n as u64, planned).await;
+                clients
+                    .run_request(FIRST_PLANNED_NUMBER + n as u64, planned)
+                    .await;
             });
         }
         if self.habits.rate_per_s > 0.0 {
-            self.arrive(begin).await;
+            self.start_drawn_requests(begin).await;
         }
         while self.open.get() > 0 {
             self.clock.sleep_until(self.clock.now() + 20.0).await;
         }
     }
 
-    /// Tasks that are drawn, for the day's length.
-    async fn arrive(self: &Rc<Self>, begin: Ms) {
-        let (mut at, mut number) = (begin, 0);
+    /// Draws requests and starts them, for the length of the day.
+    async fn start_drawn_requests(self: &Rc<Self>, begin: Ms) {
+        let (mut arrival, mut number) = (begin, 0);
         loop {
-            let mean = 1000.0 / (self.habits.rate_per_s * self.rate.get()).max(1e-3);
-            at += exponential(&mut self.rng.borrow_mut(), mean);
-            if at > begin + self.habits.length {
+            let mean = 1000.0 / (self.habits.rate_per_s * self.rate_factor.get()).max(1e-3);
+            arrival += exponential(&mut self.rng.borrow_mut(), mean);
+            if arrival > begin + self.habits.length {
                 return;
             }
-            self.clock.sleep_until(at).await;
+            self.clock.sleep_until(arrival).await;
             number += 1;
             let (clients, number) = (self.clone(), number);
             let seed = self.rng.borrow_mut().generate::<u64>();
-            self.begin(async move { clients.request(number, WyRand::new_seed(seed)).await });
+            self.spawn_request(async move {
+                clients.draw_and_run(number, WyRand::new_seed(seed)).await
+            });
         }
     }
 
-    /// One that counts as open until it is over.
-    fn begin(self: &Rc<Self>, request: impl Future<Output = ()> + 'static) {
+    /// Runs a request in a task of its own, which counts as open until the request ends.
+    fn spawn_request(self: &Rc<Self>, request: impl Future<Output = ()> + 'static) {
         self.open.set(self.open.get() + 1);
         let clients = self.clone();
         spawn_local(async move {
@@ -492,32 +523,38 @@
         });
     }
 
-    async fn request(&self, number: u64, mut rng: WyRand) {
-        let mut drawn = share(&mut rng) * self.habits.traffic.iter().map(|t| t.share).sum::<f64>();
+    /// Draws the parameters of a request and runs it.
+    async fn draw_and_run(&self, number: u64, mut rng: WyRand) {
+        let mut remaining_weight =
+            uniform(&mut rng) * self.habits.traffic.iter().map(|t| t.share).sum::<f64>();
         let traffic = self.habits.traffic.iter().find(|t| {
-            drawn -= t.share;
-            drawn <= 0.0
+            remaining_weight -= t.share;
+            remaining_weight <= 0.0
         });
         let Some(traffic) = traffic.or(self.habits.traffic.last()) else {
             return;
         };
-        let (least, most) = traffic.prompt_tokens;
-        let (times, part) = self.long.get();
-        let times = if share(&mut rng) < part { times } else { 1.0 };
-        let prompt_tokens = f64::from(least) + share(&mut rng) * f64::from(most - least);
+        let (shortest, longest) = traffic.prompt_tokens;
+        let (times, long_share) = self.long_prompts.get();
+        let times = if uniform(&mut rng) < long_share {
+            times
+        } else {
+            1.0
+        };
+        let prompt_tokens = f64::from(shortest) + uniform(&mut rng) * f64::from(longest - shortest);
         let prompt_tokens = (times * prompt_tokens).max(1.0) as u32;
-        let shared_text = match self.hot.get() {
-            Some(hot) if share(&mut rng) < 0.5 => hot,
-            // Low numbers are common, high ones rare.
-            _ => 1 + (traffic.shared_texts as f64 * share(&mut rng).powi(2)) as u64,
+        let shared_text = match self.hot_text.get() {
+            Some(hot) if uniform(&mut rng) < 0.5 => hot,
+            // The square makes low numbers frequent and high ones rare.
+            _ => 1 + (traffic.shared_texts as f64 * uniform(&mut rng).powi(2)) as u64,
         };
         let tenants = &self.habits.tenants;
         let tenant = tenants
-            .get((share(&mut rng) * tenants.len() as f64) as usize)
+            .get((uniform(&mut rng) * tenants.len() as f64) as usize)
             .cloned()
             .unwrap_or_default();
-        let leaves = share(&mut rng) < self.habits.leaves;
-        let leaves = leaves.then(|| share(&mut rng) * traffic.time_to_deadline);
+        let leaves = uniform(&mut rng) < self.habits.leaves;
+        let leaves = leaves.then(|| uniform(&mut rng) * traffic.time_to_deadline);
         let planned = Planned {
             at: 0.0,
             request_class: traffic.request_class.clone(),
@@ -531,11 +568,11 @@
             leaves,
             seed: rng.generate(),
         };
-        self.play(number, planned).await;
+        self.run_request(number, planned).await;
     }
 
-    /// A request from its first try to its end.
-    async fn play(&self, number: u64, planned: Planned) {
+    /// Sends a request, with its retries, until it ends.
+    async fn run_request(&self, number: u64, planned: Planned) {
         let traffic = self
             .habits
             .traffic
@@ -558,12 +595,12 @@
             prompt: bytes::Bytes::new(),
             origin: None,
         };
-        let asked = self.clock.now();
+        let first_sent = self.clock.now();
         self.tally(traffic, |t| t.requests += 1);
         for attempt in 0..=self.habits.retries {
             let now = self.clock.now();
-            // What is left of the client's time to deadline; a first token ends its running.
-            let time_to_deadline = planned.time_to_deadline - (now - asked);
+            // A retry gets only what is left of the time to the deadline.
+            let time_to_deadline = planned.time_to_deadline - (now - first_sent);
             if time_to_deadline < 0.1 * planned.time_to_deadline {
                 return;
             }
@@ -575,15 +612,15 @@
                 time_to_deadline_ms: time_to_deadline,
                 ..submit.clone()
             };
-            let mut seen = Seen {
+            let mut token_times = TokenTimes {
                 last: now,
                 first: None,
                 gaps: Vec::new(),
             };
             let end = port
-                .run(submit, leave_at, |_| seen.see(self.clock.now()))
+                .run(submit, leave_at, |_| token_times.record(self.clock.now()))
                 .await;
-            let (first, gaps) = (seen.first, seen.gaps);
+            let (first, gaps) = (token_times.first, token_times.gaps);
             self.tally(traffic, |t| {
                 t.tries += 1;
                 t.tokens += gaps.len() as u64 + u64::from(first.is_some());
@@ -598,7 +635,7 @@
                     End::Succeeded => {
                         t.succeeded += 1;
                         t.in_time += u64::from(
-                            first.is_some_and(|f| f - asked <= traffic.latency_objective),
+                            first.is_some_and(|at| at - first_sent <= traffic.latency_objective),
                         );
                     }
                     End::Rejected { .. } => t.rejected += 1,
@@ -614,11 +651,11 @@
                 End::Rejected { retry_after } => retry_after,
                 End::Unsent => 0.0,
                 End::Failed | End::Cut if traffic.again_always => 0.0,
-                // It may have run: to try again could do it twice.
+                // The request may have been executed, so a retry could execute it twice.
                 End::Failed | End::Cut => return,
             };
-            let wait =
-                wait.max(self.retry_after.get() * (0.5 + share(&mut rng)) * f64::from(attempt + 1));
+            let wait = wait
+                .max(self.retry_after.get() * (0.5 + uniform(&mut rng)) * f64::from(attempt + 1));
             self.clock.sleep_until(self.clock.now() + wait).await;
         }
     }
@@ -633,15 +670,15 @@
     }
 }
 
-/// The instants of one stream's token messages.
-struct Seen {
+/// The arrival times of one stream's token messages.
+struct TokenTimes {
     last: Ms,
     first: Option<Ms>,
     gaps: Vec<Ms>,
 }
 
-impl Seen {
-    fn see(&mut self, now: Ms) {
+impl TokenTimes {
+    fn record(&mut self, now: Ms) {
         if self.first.is_none() {
             self.first = Some(now);
         } else {
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,7 +1,7 @@
-//! The list feed: knows which engines' processes run, and tells its followers late.
+//! The stand-in of discovery: sends the list of engines to its followers, each change after a configurable delay.
 
+use crate::accept_session;
 use crate::transcript::{Transcript, Way, What};
-use crate::welcome;
 use cindercleat_grpc::{Event, Session};
 use cindercleat_net::{Clock, Listener, Ms, Transport};
 use cindercleat_protocol::{frame, v1, Body, Frame};
@@ -15,14 +15,16 @@
     clock: C,
     transcript: Transcript,
     name: Rc<str>,
-    told: RefCell<BTreeMap<String, v1::Endpoint>>,
+    /// The latest published entry of each engine, by engine name.
+    published: RefCell<BTreeMap<String, v1::Endpoint>>,
     version: Cell<u64>,
     followers: RefCell<Vec<(Rc<str>, UnboundedSender<v1::EndpointList>)>>,
     delay: Cell<Ms>,
+    /// While set, followers are accepted and nothing is sent.
     silent: Cell<bool>,
 }
 
-/// A list feed; clones are the same one.
+/// A stand-in of discovery. Clones share one state.
 pub struct Discovery<C> {
     inner: Rc<Inner<C>>,
 }
@@ -36,12 +38,13 @@
 }
 
 impl<C: Clock> Discovery<C> {
+    /// Creates a discovery stand-in without endpoints; `delay` is the time from a change to its publication.
     pub fn new(name: &str, clock: C, transcript: Transcript, delay: Ms) -> Self {
         let inner = Inner {
             clock,
             transcript,
             name: Rc::from(name),
-            told: RefCell::default(),
+            published: RefCell::default(),
             version: Cell::new(0),
             followers: RefCell::default(),
             delay: Cell::new(delay),
@@ -52,60 +55,61 @@
         }
     }
 
-    /// How late changes are told from now on.
+    /// Sets the time from a change to its publication, for changes made from now on.
     pub fn set_delay(&self, delay: Ms) {
         self.inner.delay.set(delay);
     }
 
-    /// A silent feed takes followers in and tells them nothing; its changes are told when it speaks again.
+    /// Stops or resumes publication. A silent discovery accepts followers and sends them nothing; on resumption it
+    /// sends each of them a full snapshot.
     pub fn set_silent(&self, silent: bool) {
         self.inner.silent.set(silent);
         if !silent {
             let list = self.list(
                 v1::EndpointUpdateKind::Snapshot,
-                self.inner.told.borrow().values().cloned().collect(),
+                self.inner.published.borrow().values().cloned().collect(),
             );
             self.push(&list);
         }
     }
 
-    /// Followers now.
+    /// The number of connected followers.
     pub fn followers(&self) -> usize {
         self.inner
             .followers
             .borrow_mut()
-            .retain(|(_, f)| !f.is_closed());
+            .retain(|(_, sender)| !sender.is_closed());
         self.inner.followers.borrow().len()
     }
 
-    /// Whether somebody of this name follows now.
+    /// Whether a client of this name follows the list at present.
     pub fn is_followed_by(&self, name: &str) -> bool {
         self.inner
             .followers
             .borrow()
             .iter()
-            .any(|(who, f)| **who == *name && !f.is_closed())
+            .any(|(follower, sender)| **follower == *name && !sender.is_closed())
     }
 
-    /// A change of the fleet, told to all followers after the delay.
-    pub fn change(&self, line: v1::Endpoint) {
-        let feed = self.clone();
+    /// Publishes a changed entry to all followers after the configured delay.
+    pub fn change(&self, endpoint: v1::Endpoint) {
+        let discovery = self.clone();
         let at = self.inner.clock.now() + self.inner.delay.get();
         spawn_local(async move {
-            feed.inner.clock.sleep_until(at).await;
-            feed.tell(line);
+            discovery.inner.clock.sleep_until(at).await;
+            discovery.tell(endpoint);
         });
     }
 
-    /// A change that is told at once.
-    pub fn tell(&self, line: v1::Endpoint) {
+    /// Publishes a changed entry to all followers without delay.
+    pub fn tell(&self, endpoint: v1::Endpoint) {
         self.inner.version.set(self.inner.version.get() + 1);
         self.inner
-            .told
+            .published
             .borrow_mut()
-            .insert(line.engine.clone(), line.clone());
+            .insert(endpoint.engine.clone(), endpoint.clone());
         if !self.inner.silent.get() {
-            self.push(&self.list(v1::EndpointUpdateKind::Delta, vec![line]));
+            self.push(&self.list(v1::EndpointUpdateKind::Delta, vec![endpoint]));
         }
     }
 
@@ -113,7 +117,7 @@
         self.inner
             .followers
             .borrow_mut()
-            .retain(|(_, f)| f.send(list.clone()).is_ok());
+            .retain(|(_, sender)| sender.send(list.clone()).is_ok());
     }
 
     fn list(
@@ -122,7 +126,7 @@
         mut endpoints: Vec<v1::Endpoint>,
     ) -> v1::EndpointList {
         if kind == v1::EndpointUpdateKind::Snapshot {
-            endpoints.retain(|line| line.status() != v1::EndpointStatus::Gone);
+            endpoints.retain(|endpoint| endpoint.status() != v1::EndpointStatus::Gone);
         }
         v1::EndpointList {
             kind: kind.into(),
@@ -131,14 +135,16 @@
         }
     }
 
+    /// Accepts followers until the listener fails.
     pub async fn serve<T: Transport>(self, mut listener: T::Listener) {
         while let Ok(stream) = listener.accept().await {
-            spawn_local(self.clone().follower::<T>(stream));
+            spawn_local(self.clone().serve_follower::<T>(stream));
         }
     }
 
-    async fn follower<T: Transport>(self, stream: T::Stream) {
-        let Some(session) = welcome::<T>(stream, v1::Party::Feed, &self.inner.name).await else {
+    async fn serve_follower<T: Transport>(self, stream: T::Stream) {
+        let Some(session) = accept_session::<T>(stream, v1::Party::Feed, &self.inner.name).await
+        else {
             return;
         };
         let Session {
@@ -147,7 +153,7 @@
             out,
             ..
         } = session;
-        let mut number = 0;
+        let mut watch_stream = 0;
         let (peer, conn): (Rc<str>, u64) = (Rc::from(them.name), self.inner.transcript.new_conn());
         let (send, mut lists) = unbounded_channel();
         loop {
@@ -155,21 +161,21 @@
                 list = lists.recv() => list,
                 event = events.recv() => match event {
                     Some(Event::Frame(Frame { stream, body: Some(Body::WatchEndpoints(follow)) })) => {
-                        number = stream;
+                        watch_stream = stream;
                         let mut followers = self.inner.followers.borrow_mut();
-                        if follow.changes && !followers.iter().any(|(_, f)| f.same_channel(&send)) {
+                        if follow.changes && !followers.iter().any(|(_, sender)| sender.same_channel(&send)) {
                             followers.push((peer.clone(), send.clone()));
                         }
                         drop(followers);
-                        let engines = self.inner.told.borrow().values().cloned().collect();
-                        Some(self.list(v1::EndpointUpdateKind::Snapshot, engines)).filter(|_| !self.inner.silent.get())
+                        let endpoints = self.inner.published.borrow().values().cloned().collect();
+                        Some(self.list(v1::EndpointUpdateKind::Snapshot, endpoints)).filter(|_| !self.inner.silent.get())
                     }
                     Some(_) => None,
                     None => return,
                 },
             };
             if let Some(list) = list {
-                let frame = frame(number, Body::Endpoints(list));
+                let frame = frame(watch_stream, Body::Endpoints(list));
                 let record = What::Frame(Way::Out, frame.clone());
                 self.inner.transcript.add(
                     self.inner.clock.now(),
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,30 +1,36 @@
-//! An engine: reads prompts and holds KV states, or fetches states and streams answers, with slots, a
-//! queue, memory, a cold start, load reports that lag, and faults that a script turns on and off.
+//! The stand-in of an engine. A prefill engine processes prompts and holds KV states; a decode engine fetches KV states
+//! and streams answers. An engine has slots, a queue, memory, a cold start, delayed load reports, and faults that a
+//! script turns on and off.
 //!
-//! Its laws are plain and are assumptions of ours: a prefill engine's slots share its reading speed evenly, a decode engine
-//! answers a token a pace in each slot, and a cold engine does both slower by its share of capacity.
+//! The performance model is a simplification: the slots of a prefill engine share its prompt throughput evenly, each
+//! slot of a decode engine emits one token per `token_ms`, and a cold engine does both at its present share of
+//! capacity.
 
 use crate::transcript::{Note, Transcript, Way, What};
-use crate::{call, share, welcome};
+use crate::{accept_session, open_session, uniform};
 use cindercleat_grpc::{Event, Out, Session};
 use cindercleat_net::{Clock, Listener, Ms, Transport};
 use cindercleat_protocol::{frame, text, v1, Body, Frame};
 use nanorand::WyRand;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::sync::Arc;
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::{spawn_local, AbortHandle};
 
+/// The stages that an engine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Does {
+    /// Prefill only.
     Reads,
+    /// Decode only; a decode request without a KV state ends with `NoState`.
     Writes,
+    /// Prefill and decode.
     Both,
 }
 
-/// What an engine is.
+/// The fixed properties of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
     pub name: String,
@@ -32,43 +38,54 @@
     pub cell: String,
     pub kind: String,
     pub does: Does,
+    /// Attempts that run at the same time.
     pub slots: usize,
+    /// Attempts that may wait for a slot; further ones are rejected.
     pub queue: usize,
+    /// Prompt tokens that fit into the memory.
     pub memory_tokens: f64,
+    /// Prompt tokens that all slots together process per second.
     pub read_per_s: f64,
+    /// The time that a slot takes for one output token.
     pub token_ms: Ms,
+    /// Tokens of a KV state that are transferred per second.
     pub fetch_per_s: f64,
+    /// The share of its capacity that a cold engine has when it starts.
     pub start_share: f64,
+    /// The time in which a cold engine reaches its full capacity.
     pub slow_start_window: Ms,
-    /// How long a prefill engine holds a state that nobody asks for.
+    /// How long a prefill engine holds a KV state that no decode engine fetches.
     pub hold: Ms,
-    /// How old a load report is, and by what share it errs.
+    /// The age of a load report when it is sent.
     pub report_age: Ms,
+    /// The largest relative error of a reported figure, such as 0.1 for 10 %.
     pub report_noise: f64,
-    /// Answers are this share of the most tokens asked for, at the least.
+    /// The smallest length of an answer, as a share of the requested maximum of tokens.
     pub answer_share: f64,
 }
 
-/// What is wrong with an engine at the moment.
+/// The faults that are injected into an engine at present.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Troubles {
+    /// The factor by which all work takes longer; 1.0 is normal speed.
     pub slow: f64,
-    /// Takes everything in and answers nothing.
+    /// The engine accepts everything and answers nothing.
     pub mute: bool,
-    /// Stalls each stream after this many tokens.
+    /// Each stream stalls after this many tokens.
     pub stall_after: Option<u32>,
-    /// The share of attempts that fail at once.
+    /// The share of attempts that fail on arrival.
     pub fails: f64,
-    /// The share of attempts that are reset: at once, or in mid-stream.
+    /// The share of attempts that are reset, on arrival or in mid-stream.
     pub resets: f64,
-    /// Turns this request class away.
+    /// Attempts of this request class are rejected as overloaded.
     pub full_for: Option<String>,
-    /// Load reports are this much older.
+    /// The additional age of load reports.
     pub reports_late: Ms,
+    /// All new attempts are rejected as overloaded.
     pub draining: bool,
-    /// Dies after its last token of a stream, before the end mark.
+    /// The process dies after the last token of a stream, before the stream's end.
     pub dies_before_end: bool,
-    /// New connections are greeted this much later.
+    /// The delay before the handshake on a new connection.
     pub greets_late: Ms,
 }
 
@@ -89,52 +106,69 @@
     }
 }
 
-/// HTTP/2's code by which an engine says that it did not process a call, and others that say nothing of it.
-const REFUSED: u32 = 7;
-const RESETS: [u32; 6] = [REFUSED, 1, 2, 5, 8, 11];
+/// The HTTP/2 error code REFUSED_STREAM, which guarantees that the engine has not processed the call.
+const REFUSED_STREAM: u32 = 7;
+/// The HTTP/2 error codes that resets use. All but REFUSED_STREAM leave open whether the call was processed.
+const RESET_CODES: [u32; 6] = [REFUSED_STREAM, 1, 2, 5, 8, 11];
 
-/// How long a decode engine waits for a state.
-const FETCH_WITHIN: Ms = 1000.0;
-/// Token messages of a stream that a decode engine makes ahead of what leaves.
-const AHEAD: u32 = 4;
+/// The time limit of a decode engine for a KV state transfer to begin.
+const FETCH_TIMEOUT: Ms = 1000.0;
+/// Token messages of a stream that a decode engine may have written but not yet flushed to the socket.
+const STREAM_WINDOW: u32 = 4;
 
+/// The run of the dispatcher process, the request and the attempt that identify a KV state.
 type StateKey = (u64, u32, u32);
 
+/// Tasks of the process that stand before those of its connections: the listener and the load reports.
+const PROCESS_TASKS: usize = 2;
+/// Finished connection tasks are removed whenever the number of tasks reaches a multiple of this.
+const TASK_SWEEP: usize = 64;
+/// Finished attempts are removed once a connection has this many tasks.
+const STREAM_TASK_SWEEP: usize = 256;
+/// How often running work reads the engine's capacity anew.
+const WORK_STEP: Ms = 20.0;
+
+/// The state of one run of the engine process; it is discarded when the process starts again.
 #[derive(Default)]
-struct Live {
+struct ProcessState {
     troubles: Troubles,
-    /// Read states held, with their tokens.
+    /// The KV states held, with the tokens of each.
     states: BTreeMap<StateKey, f64>,
-    kept: VecDeque<(u64, f64)>,
-    memory: f64,
+    /// The cached prompt prefixes, least recently used first: identifier and tokens.
+    cached_prefixes: VecDeque<(u64, f64)>,
+    /// Tokens in memory, of KV states and of running decode attempts.
+    used_tokens: f64,
     waiting: usize,
     running: usize,
     waiting_tokens: f64,
-    /// Reports made, oldest first.
+    /// Load reports that may still be sent, oldest first, with the time at which each was made.
     reports: VecDeque<(Ms, v1::Load)>,
-    jobs: Vec<AbortHandle>,
-    /// Waits of the process itself, which go on when its connections are cut.
-    waits: Vec<AbortHandle>,
-    conns: Vec<std::rc::Weak<Conn>>,
+    /// The listener, the report task, and one task for each accepted connection, in this order.
+    tasks: Vec<AbortHandle>,
+    /// Timers of held KV states. They outlive the connections that created the states.
+    hold_timers: Vec<AbortHandle>,
+    connections: Vec<Weak<Connection>>,
 }
 
 struct Inner<T, C> {
     spec: EngineSpec,
-    me: Rc<str>,
+    name: Rc<str>,
     transport: T,
     clock: C,
     transcript: Transcript,
-    live: RefCell<Live>,
+    process: RefCell<ProcessState>,
     rng: RefCell<WyRand>,
-    /// None while its process does not run.
+    /// When the present process started; `None` while no process runs.
     started: Cell<Option<Ms>>,
-    long_warm: Cell<bool>,
+    /// Whether the process started with full capacity.
+    started_warm: Cell<bool>,
     slots: RefCell<Arc<Semaphore>>,
+    /// Notified when a fault changes or memory becomes free.
     changed: Notify,
-    place: RefCell<String>,
+    address: RefCell<String>,
 }
 
-/// An engine; clones are the same one.
+/// A stand-in of an engine. Clones share one state.
 pub struct Engine<T, C> {
     inner: Rc<Inner<T, C>>,
 }
@@ -148,17 +182,19 @@
 }
 
 /// One connection of an engine.
-struct Conn {
+struct Connection {
     id: u64,
     peer: Rc<str>,
     out: Out,
-    /// Token messages of a stream that may wait to leave.
+    /// Token messages that each decode stream may still write before earlier ones are flushed.
     credit: RefCell<BTreeMap<u64, u32>>,
     credited: Notify,
-    cancelled: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    /// The cancellation of each running attempt, by stream.
+    cancellations: RefCell<BTreeMap<u64, Rc<Notify>>>,
 }
 
 impl<T: Transport, C: Clock> Engine<T, C> {
+    /// Creates an engine whose process does not run yet; all random draws derive from `seed`.
     pub fn new(
         spec: EngineSpec,
         transport: T,
@@ -167,34 +203,35 @@
         seed: u64,
     ) -> Self {
         let inner = Inner {
-            me: Rc::from(spec.name.as_str()),
+            name: Rc::from(spec.name.as_str()),
             slots: RefCell::new(Arc::new(Semaphore::new(spec.slots))),
             spec,
             transport,
             clock,
             transcript,
-            live: RefCell::default(),
+            process: RefCell::default(),
             rng: RefCell::new(WyRand::new_seed(seed)),
             started: Cell::new(None),
-            long_warm: Cell::new(true),
+            started_warm: Cell::new(true),
             changed: Notify::new(),
-            place: RefCell::default(),
+            address: RefCell::default(),
         };
         Engine {
             inner: Rc::new(inner),
         }
     }
 
-    /// Starts its process at an address, warm (as if long since) or cold. Gives the address in words.
+    /// Starts the engine process at an address and returns the address that it listens on. A warm process has its full
+    /// capacity at once; a cold one goes through the slow start.
     ///
     /// # Errors
-    /// The address cannot be had.
+    /// Returns an error if the address cannot be listened on.
     pub async fn start(&self, address: &str, warm: bool) -> std::io::Result<String> {
         let mut listener = self.inner.transport.listen(address).await?;
-        *self.inner.place.borrow_mut() = listener.address();
+        *self.inner.address.borrow_mut() = listener.address();
         self.inner.started.set(Some(self.now()));
-        self.inner.long_warm.set(warm);
-        *self.inner.live.borrow_mut() = Live::default();
+        self.inner.started_warm.set(warm);
+        *self.inner.process.borrow_mut() = ProcessState::default();
         *self.inner.slots.borrow_mut() = Arc::new(Semaphore::new(self.inner.spec.slots));
         if !warm {
             let spec = &self.inner.spec;
@@ -206,7 +243,7 @@
             let (start_share, slow_start_window) = (spec.start_share, spec.slow_start_window);
             self.inner.transcript.note(
                 self.now(),
-                &self.inner.me,
+                &self.inner.name,
                 Note::Started {
                     capacity,
                     start_share,
@@ -221,17 +258,18 @@
             }
         });
         self.inner
-            .live
+            .process
             .borrow_mut()
-            .jobs
+            .tasks
             .push(accepting.abort_handle());
         let engine = self.clone();
-        self.spawn(async move { engine.report().await });
+        self.spawn(async move { engine.run_reports().await });
         Ok(self.address())
     }
 
+    /// The address that the process listens on; empty before the first start.
     pub fn address(&self) -> String {
-        self.inner.place.borrow().clone()
+        self.inner.address.borrow().clone()
     }
 
     pub fn name(&self) -> &str {
@@ -242,7 +280,7 @@
         &self.inner.spec
     }
 
-    /// Its line of the list.
+    /// The engine's entry in the list of discovery, with this status.
     pub fn line(&self, status: v1::EndpointStatus) -> v1::Endpoint {
         let spec = &self.inner.spec;
         v1::Endpoint {
@@ -257,116 +295,124 @@
                 .inner
                 .started
                 .get()
-                .filter(|_| !self.inner.long_warm.get()),
+                .filter(|_| !self.inner.started_warm.get()),
         }
     }
 
-    /// The process is gone at once, with all that it held.
+    /// Ends the process abruptly, with all its connections and KV states.
     pub fn die(&self) {
         self.inner.started.set(None);
         self.inner
             .transcript
-            .note(self.now(), &self.inner.me, Note::Died);
-        let mut live = self.inner.live.borrow_mut();
-        let (jobs, waits) = (
-            std::mem::take(&mut live.jobs),
-            std::mem::take(&mut live.waits),
+            .note(self.now(), &self.inner.name, Note::Died);
+        let mut process = self.inner.process.borrow_mut();
+        let (tasks, hold_timers) = (
+            std::mem::take(&mut process.tasks),
+            std::mem::take(&mut process.hold_timers),
         );
-        drop(live);
-        jobs.iter().chain(&waits).for_each(AbortHandle::abort);
+        drop(process);
+        tasks
+            .iter()
+            .chain(&hold_timers)
+            .for_each(AbortHandle::abort);
     }
 
+    /// Whether the engine process runs.
     pub fn runs(&self) -> bool {
         self.inner.started.get().is_some()
     }
 
-    /// Changes what is wrong with it.
+    /// Changes the injected faults.
     pub fn trouble(&self, change: impl FnOnce(&mut Troubles)) {
-        change(&mut self.inner.live.borrow_mut().troubles);
+        change(&mut self.inner.process.borrow_mut().troubles);
         self.inner.changed.notify_waiters();
     }
 
+    /// Drops all cached prompt prefixes.
     pub fn forget_texts(&self) {
-        self.inner.live.borrow_mut().kept.clear();
+        self.inner.process.borrow_mut().cached_prefixes.clear();
     }
 
-    /// Cuts all of its connections; the process runs on.
+    /// Closes all connections and ends their tasks; the process itself continues to run.
     pub fn cut(&self) {
-        // The first two jobs are the listener and the reports.
-        let mut live = self.inner.live.borrow_mut();
-        let from = live.jobs.len().min(2);
-        let jobs: Vec<AbortHandle> = live.jobs.drain(from..).collect();
-        drop(live);
-        for job in jobs {
-            job.abort();
+        // The listener and the report task come first and stay.
+        let mut process = self.inner.process.borrow_mut();
+        let first = process.tasks.len().min(PROCESS_TASKS);
+        let tasks: Vec<AbortHandle> = process.tasks.drain(first..).collect();
+        drop(process);
+        for task in tasks {
+            task.abort();
         }
     }
 
-    /// Takes nothing new on any connection that there is; what is open goes on.
+    /// Sends a go-away on all open connections: they take no new calls, and open calls continue.
     pub fn go_away(&self) {
-        for conn in self
+        for connection in self
             .inner
-            .live
+            .process
             .borrow_mut()
-            .conns
+            .connections
             .drain(..)
-            .filter_map(|conn| conn.upgrade())
+            .filter_map(|connection| connection.upgrade())
         {
-            conn.out.go_away();
+            connection.out.go_away();
         }
     }
 
-    /// States held now.
+    /// The number of KV states held at present.
     pub fn states(&self) -> usize {
-        self.inner.live.borrow().states.len()
+        self.inner.process.borrow().states.len()
     }
 
     fn now(&self) -> Ms {
         self.inner.clock.now()
     }
 
-    fn spawn(&self, job: impl std::future::Future<Output = ()> + 'static) {
-        let handle = spawn_local(job).abort_handle();
-        let mut live = self.inner.live.borrow_mut();
-        if live.jobs.len() > 64 && live.jobs.len().is_multiple_of(64) {
-            let kept: Vec<AbortHandle> =
-                live.jobs.drain(2..).filter(|j| !j.is_finished()).collect();
-            live.jobs.extend(kept);
+    fn spawn(&self, task: impl std::future::Future<Output = ()> + 'static) {
+        let handle = spawn_local(task).abort_handle();
+        let mut process = self.inner.process.borrow_mut();
+        if process.tasks.len() > TASK_SWEEP && process.tasks.len().is_multiple_of(TASK_SWEEP) {
+            let unfinished: Vec<AbortHandle> = process
+                .tasks
+                .drain(PROCESS_TASKS..)
+                .filter(|task| !task.is_finished())
+                .collect();
+            process.tasks.extend(unfinished);
         }
-        live.jobs.push(handle);
+        process.tasks.push(handle);
     }
 
-    /// The share of its capacity that it has now.
+    /// The present share of the engine's full capacity, between 0 and 1.
     fn capacity(&self) -> f64 {
         let spec = &self.inner.spec;
-        let age = if self.inner.long_warm.get() {
+        let age = if self.inner.started_warm.get() {
             f64::INFINITY
         } else {
             self.now() - self.inner.started.get().unwrap_or(0.0)
         };
-        let part = (age / spec.slow_start_window).clamp(0.0, 1.0);
-        (spec.start_share + (1.0 - spec.start_share) * part)
-            / self.inner.live.borrow().troubles.slow
+        let progress = (age / spec.slow_start_window).clamp(0.0, 1.0);
+        (spec.start_share + (1.0 - spec.start_share) * progress)
+            / self.inner.process.borrow().troubles.slow
     }
 
-    /// Waits for `work` milliseconds' worth at full capacity, as the capacity changes meanwhile.
+    /// Sleeps for as long as work of `work` milliseconds at full capacity takes. The capacity is read again every
+    /// [`WORK_STEP`], as it may change meanwhile.
     async fn work(&self, mut work: Ms) {
-        const PART: Ms = 20.0;
         while work > 0.0 {
             let capacity = self.capacity().max(1e-3);
-            let wait = PART.min(work / capacity);
+            let wait = WORK_STEP.min(work / capacity);
             self.inner.clock.sleep_until(self.now() + wait).await;
             work -= wait * capacity;
         }
     }
 
-    async fn unmuted(&self) {
-        while self.inner.live.borrow().troubles.mute {
+    async fn wait_until_unmuted(&self) {
+        while self.inner.process.borrow().troubles.mute {
             self.inner.changed.notified().await;
         }
     }
 
-    async fn report(&self) {
+    async fn run_reports(&self) {
         loop {
             let now = self.now();
             self.make_report(now);
@@ -380,26 +426,28 @@
 
     fn make_report(&self, now: Ms) {
         let spec = &self.inner.spec;
-        let mut live = self.inner.live.borrow_mut();
-        let noise =
-            || 1.0 + spec.report_noise * (2.0 * share(&mut self.inner.rng.borrow_mut()) - 1.0);
+        let mut process = self.inner.process.borrow_mut();
+        let error_factor =
+            || 1.0 + spec.report_noise * (2.0 * uniform(&mut self.inner.rng.borrow_mut()) - 1.0);
         let load = v1::Load {
-            in_flight: Some((live.running + live.waiting) as f64),
-            queue: Some(live.waiting as f64),
-            slots_used: Some((live.running as f64 / spec.slots as f64 * noise()).min(1.0)),
-            memory_held: Some((live.memory / spec.memory_tokens * noise()).min(1.0)),
-            waiting_kilotokens: Some(live.waiting_tokens / 1000.0 * noise()),
+            in_flight: Some((process.running + process.waiting) as f64),
+            queue: Some(process.waiting as f64),
+            slots_used: Some(
+                (process.running as f64 / spec.slots as f64 * error_factor()).min(1.0),
+            ),
+            memory_held: Some((process.used_tokens / spec.memory_tokens * error_factor()).min(1.0)),
+            waiting_kilotokens: Some(process.waiting_tokens / 1000.0 * error_factor()),
         };
-        live.reports.push_back((now, load));
-        let old = spec.report_age + live.troubles.reports_late;
-        while live.reports.len() > 1 && live.reports[1].0 <= now - old {
-            live.reports.pop_front();
+        process.reports.push_back((now, load));
+        let delay = spec.report_age + process.troubles.reports_late;
+        while process.reports.len() > 1 && process.reports[1].0 <= now - delay {
+            process.reports.pop_front();
         }
     }
 
     fn load(&self) -> Option<v1::Load> {
         self.inner
-            .live
+            .process
             .borrow()
             .reports
             .front()
@@ -407,9 +455,10 @@
     }
 
     async fn serve(self, stream: T::Stream) {
-        let late = self.inner.live.borrow().troubles.greets_late;
-        self.inner.clock.sleep_until(self.now() + late).await;
-        let Some(session) = welcome::<T>(stream, v1::Party::Engine, &self.inner.spec.name).await
+        let delay = self.inner.process.borrow().troubles.greets_late;
+        self.inner.clock.sleep_until(self.now() + delay).await;
+        let Some(session) =
+            accept_session::<T>(stream, v1::Party::Engine, &self.inner.spec.name).await
         else {
             return;
         };
@@ -419,85 +468,101 @@
             out,
             ..
         } = session;
-        let conn = Rc::new(Conn {
+        let connection = Rc::new(Connection {
             id: self.inner.transcript.new_conn(),
             peer: Rc::from(them.name.as_str()),
             out,
             credit: RefCell::default(),
             credited: Notify::new(),
-            cancelled: RefCell::default(),
+            cancellations: RefCell::default(),
         });
-        self.remember(&conn);
-        // Jobs of this connection end with it: what nobody can hear is not gone on with.
-        let jobs: RefCell<Vec<AbortHandle>> = RefCell::default();
-        let seen = Seen {
+        self.register_connection(&connection);
+        // Tasks of this connection end with it, as nobody can receive their answers any more.
+        let tasks: RefCell<Vec<AbortHandle>> = RefCell::default();
+        let served = ServedConnection {
             engine: self.clone(),
-            conn: conn.clone(),
-            jobs,
+            connection: connection.clone(),
+            tasks,
         };
-        let greeted = frame(0, Body::Hello(them));
-        self.record(&conn, Way::In, &greeted);
-        // What has come in is seen when it comes, also by an engine that answers nothing for now.
-        let (to, mut frames) = tokio::sync::mpsc::unbounded_channel();
-        let (engine, reading) = (self.clone(), conn.clone());
-        let reading = spawn_local(async move {
+        let hello = frame(0, Body::Hello(them));
+        self.record(&connection, Way::In, &hello);
+        // Frames are recorded on arrival, even while the engine is mute and does not process them.
+        let (sender, mut frames) = tokio::sync::mpsc::unbounded_channel();
+        let (engine, receiving) = (self.clone(), connection.clone());
+        let receiver = spawn_local(async move {
             while let Some(event) = events.recv().await {
                 let frame = match event {
                     Event::Frame(frame) => frame,
                     Event::GoingAway | Event::Partly => continue,
                     Event::Flushed { stream, messages } => {
-                        if let Some(left) = reading.credit.borrow_mut().get_mut(&stream) {
+                        if let Some(left) = receiving.credit.borrow_mut().get_mut(&stream) {
                             *left += messages;
                         }
-                        reading.credited.notify_waiters();
+                        receiving.credited.notify_waiters();
                         continue;
                     }
                 };
-                engine.record(&reading, Way::In, &frame);
-                if to.send(frame).is_err() {
+                engine.record(&receiving, Way::In, &frame);
+                if sender.send(frame).is_err() {
                     break;
                 }
             }
         });
-        seen.jobs.borrow_mut().push(reading.abort_handle());
+        served.tasks.borrow_mut().push(receiver.abort_handle());
         while let Some(frame) = frames.recv().await {
-            self.unmuted().await;
+            self.wait_until_unmuted().await;
             let stream = frame.stream;
             match frame.body {
-                Some(Body::Prefill(read)) => {
-                    seen.begin(stream, self.clone().read(conn.clone(), stream, read))
-                }
-                Some(Body::Decode(write)) => {
-                    conn.credit.borrow_mut().insert(stream, AHEAD);
-                    seen.begin(stream, self.clone().write(conn.clone(), stream, write));
+                Some(Body::Prefill(prefill)) => served.start_attempt(
+                    stream,
+                    self.clone().prefill(connection.clone(), stream, prefill),
+                ),
+                Some(Body::Decode(decode)) => {
+                    connection.credit.borrow_mut().insert(stream, STREAM_WINDOW);
+                    served.start_attempt(
+                        stream,
+                        self.clone().decode(connection.clone(), stream, decode),
+                    );
                 }
                 Some(Body::Cancel(_)) => {
-                    if let Some(cancelled) = conn.cancelled.borrow().get(&stream) {
+                    if let Some(cancelled) = connection.cancellations.borrow().get(&stream) {
                         cancelled.notify_one();
                     }
                 }
                 Some(Body::Release(v1::Release {
                     state: Some(state), ..
                 })) => {
-                    self.let_go(key(&state));
-                    conn.out.send(Frame {
+                    self.release_state(key(&state));
+                    connection.out.send(Frame {
                         stream,
                         body: Some(Body::Done(v1::Done {})),
                     });
                 }
-                Some(Body::HealthCheck(_)) => {
-                    self.say(&conn, stream, Body::Load(self.load().unwrap_or_default()))
-                }
-                Some(Body::Reserve(_)) => self.say(
-                    &conn,
+                Some(Body::HealthCheck(_)) => self.send(
+                    &connection,
+                    stream,
+                    Body::Load(self.load().unwrap_or_default()),
+                ),
+                Some(Body::Reserve(_)) => self.send(
+                    &connection,
                     stream,
                     Body::Reservation(v1::Reservation { held: false }),
                 ),
                 Some(Body::Fetch(v1::Fetch { state: Some(state) })) => {
-                    let tokens = self.inner.live.borrow().states.get(&key(&state)).copied();
+                    let tokens = self
+                        .inner
+                        .process
+                        .borrow()
+                        .states
+                        .get(&key(&state))
+                        .copied();
                     let (found, tokens) = (tokens.is_some(), tokens.unwrap_or(0.0) as u32);
-                    self.let_go(key(&state));
-                    self.say(&conn, stream, Body::State(v1::State { found, tokens }));
+                    self.release_state(key(&state));
+                    self.send(
+                        &connection,
+                        stream,
+                        Body::State(v1::State { found, tokens }),
+                    );
                 }
                 Some(Body::Goodbye(_)) => break,
                 _ => break,
@@ -505,54 +570,61 @@
         }
     }
 
-    fn remember(&self, conn: &Rc<Conn>) {
-        let mut live = self.inner.live.borrow_mut();
-        live.conns.retain(|conn| conn.strong_count() > 0);
-        live.conns.push(Rc::downgrade(conn));
+    fn register_connection(&self, connection: &Rc<Connection>) {
+        let mut process = self.inner.process.borrow_mut();
+        process
+            .connections
+            .retain(|connection| connection.strong_count() > 0);
+        process.connections.push(Rc::downgrade(connection));
     }
 
-    fn record(&self, conn: &Conn, way: Way, frame: &Frame) {
+    fn record(&self, connection: &Connection, way: Way, frame: &Frame) {
         let what = What::Frame(way, frame.clone());
-        self.inner
-            .transcript
-            .add(self.now(), &self.inner.me, &conn.peer, conn.id, what);
+        self.inner.transcript.add(
+            self.now(),
+            &self.inner.name,
+            &connection.peer,
+            connection.id,
+            what,
+        );
     }
 
-    /// Guards against a process that speaks in the instant in which it is gone, as its requests are woken once more.
-    fn say(&self, conn: &Conn, stream: u64, body: Body) {
+    /// Records and sends a message. Does nothing once the process has died: an attempt may be polled one more time
+    /// after its process has ended.
+    fn send(&self, connection: &Connection, stream: u64, body: Body) {
         if !self.runs() {
             return;
         }
         let frame = frame(stream, body);
-        self.record(conn, Way::Out, &frame);
-        conn.out.send(frame);
+        self.record(connection, Way::Out, &frame);
+        connection.out.send(frame);
     }
 
-    fn end(
+    fn end_attempt(
         &self,
-        conn: &Conn,
+        connection: &Connection,
         stream: u64,
         status: v1::Status,
-        kept: f64,
+        cached_tokens: f64,
         state: Option<v1::KvStateId>,
     ) {
         let load = self.load();
         let ended = v1::Ended {
             status: status.into(),
-            kept_tokens: kept as u32,
+            kept_tokens: cached_tokens as u32,
             load,
             reason: String::new(),
             state,
         };
-        self.say(conn, stream, Body::Ended(ended));
+        self.send(connection, stream, Body::Ended(ended));
     }
 
-    /// Ends an attempt by a reset; what that says stands in the transcript as an end.
-    fn reset(&self, conn: &Conn, stream: u64, code: u32) {
+    /// Ends an attempt by a stream reset. The transcript records the reset as an `Ended` message of the same meaning.
+    fn reset_attempt(&self, connection: &Connection, stream: u64, code: u32) {
         if !self.runs() {
             return;
         }
-        let status = if code == REFUSED {
+        let status = if code == REFUSED_STREAM {
             v1::Status::Overloaded
         } else {
             v1::Status::Failed
@@ -563,42 +635,43 @@
             reason,
             ..v1::Ended::default()
         };
-        self.record(conn, Way::Out, &frame(stream, Body::Ended(ended)));
-        conn.out.reset(stream, code);
+        self.record(connection, Way::Out, &frame(stream, Body::Ended(ended)));
+        connection.out.reset(stream, code);
     }
 
-    /// How an attempt that is to be reset is, if it is: by which code, after how many tokens.
+    /// Draws whether an attempt is reset; if so, returns the error code and the number of tokens before the reset.
     fn draw_reset(&self) -> Option<(u32, u32)> {
-        let part = self.inner.live.borrow().troubles.resets;
+        let reset_share = self.inner.process.borrow().troubles.resets;
         let mut rng = self.inner.rng.borrow_mut();
-        (part > share(&mut rng)).then(|| {
-            let code = RESETS[(share(&mut rng) * RESETS.len() as f64) as usize % RESETS.len()];
-            // What has begun cannot be refused any more.
-            let after = if code == REFUSED {
+        (reset_share > uniform(&mut rng)).then(|| {
+            let code = RESET_CODES
+                [(uniform(&mut rng) * RESET_CODES.len() as f64) as usize % RESET_CODES.len()];
+            // A call that has begun to run can no longer be refused.
+            let after = if code == REFUSED_STREAM {
                 0.0
             } else {
-                12.0 * (share(&mut rng) - 0.4).max(0.0)
+                12.0 * (uniform(&mut rng) - 0.4).max(0.0)
             };
             (code, after as u32)
         })
     }
 
-    fn let_go(&self, state: StateKey) {
-        let mut live = self.inner.live.borrow_mut();
-        if let Some(tokens) = live.states.remove(&state) {
-            live.memory = (live.memory - tokens).max(0.0);
+    fn release_state(&self, state: StateKey) {
+        let mut process = self.inner.process.borrow_mut();
+        if let Some(tokens) = process.states.remove(&state) {
+            process.used_tokens = (process.used_tokens - tokens).max(0.0);
         }
-        drop(live);
+        drop(process);
         self.inner.changed.notify_waiters();
     }
 
-    /// Whether an attempt gets in: not rejected, not failed at once.
+    /// Decides whether an attempt is admitted; returns the status of its end if it is rejected or fails on arrival.
     fn admit(&self, request_class: &str) -> Result<(), v1::Status> {
-        let live = self.inner.live.borrow();
-        let full = live.troubles.draining
-            || live.troubles.full_for.as_deref() == Some(request_class)
-            || live.running + live.waiting >= self.inner.spec.slots + self.inner.spec.queue;
-        let fails = live.troubles.fails > share(&mut self.inner.rng.borrow_mut());
+        let process = self.inner.process.borrow();
+        let full = process.troubles.draining
+            || process.troubles.full_for.as_deref() == Some(request_class)
+            || process.running + process.waiting >= self.inner.spec.slots + self.inner.spec.queue;
+        let fails = process.troubles.fails > uniform(&mut self.inner.rng.borrow_mut());
         match (full, fails) {
             (true, _) => Err(v1::Status::Overloaded),
             (_, true) => Err(v1::Status::Failed),
@@ -606,133 +679,154 @@
         }
     }
 
-    async fn read(self, conn: Rc<Conn>, stream: u64, read: v1::Prefill) {
-        let refused = if self.inner.spec.does == Does::Writes {
+    async fn prefill(self, connection: Rc<Connection>, stream: u64, prefill: v1::Prefill) {
+        let admitted = if self.inner.spec.does == Does::Writes {
             Err(v1::Status::Failed)
         } else {
-            self.admit(&read.request_class)
+            self.admit(&prefill.request_class)
         };
-        if let Err(status) = refused {
-            return self.end(&conn, stream, status, 0.0, None);
+        if let Err(status) = admitted {
+            return self.end_attempt(&connection, stream, status, 0.0, None);
         }
         if let Some((code, _)) = self.draw_reset() {
-            return self.reset(&conn, stream, code);
+            return self.reset_attempt(&connection, stream, code);
         }
-        let beginnings = [
-            (read.shared_text, read.shared_tokens),
-            (read.session, read.prompt_tokens),
+        let prefixes = [
+            (prefill.shared_text, prefill.shared_tokens),
+            (prefill.session, prefill.prompt_tokens),
         ];
-        let prompt = f64::from(read.prompt_tokens);
-        let found = |live: &Live| {
-            let mine = live
-                .kept
+        let prompt = f64::from(prefill.prompt_tokens);
+        let cached = |process: &ProcessState| {
+            let matching = process
+                .cached_prefixes
                 .iter()
-                .filter(|(b, _)| beginnings.iter().any(|(mine, _)| mine == b && *b != 0));
-            mine.map(|(_, tokens)| *tokens)
+                .filter(|(id, _)| prefixes.iter().any(|(wanted, _)| wanted == id && *id != 0));
+            matching
+                .map(|(_, tokens)| *tokens)
                 .fold(0.0, f64::max)
                 .min(prompt - 1.0)
         };
-        let kept = {
-            let _place = Place::wait(&self, prompt).await;
-            let kept = found(&self.inner.live.borrow());
+        let cached_tokens = {
+            let _slot = Slot::acquire(&self, prompt).await;
+            let cached_tokens = cached(&self.inner.process.borrow());
             let rate = self.inner.spec.read_per_s / self.inner.spec.slots as f64;
-            self.work(1000.0 * (prompt - kept) / rate).await;
-            kept
+            self.work(1000.0 * (prompt - cached_tokens) / rate).await;
+            cached_tokens
         };
-        let Some(state) = read.state else { return };
-        self.keep(&beginnings, key(&state), prompt);
+        let Some(state) = prefill.state else { return };
+        self.store_prefill(&prefixes, key(&state), prompt);
         let engine = self.clone();
         let until = self.now() + self.inner.spec.hold;
-        let wait = spawn_local(async move {
+        let timer = spawn_local(async move {
             engine.inner.clock.sleep_until(until).await;
-            if engine.inner.live.borrow().states.contains_key(&key(&state)) {
+            if engine
+                .inner
+                .process
+                .borrow()
+                .states
+                .contains_key(&key(&state))
+            {
                 let (run, request, attempt) = key(&state);
                 engine.inner.transcript.note(
                     engine.now(),
-                    &engine.inner.me,
+                    &engine.inner.name,
                     Note::Expired {
                         run,
                         request,
                         attempt,
                     },
                 );
-                engine.let_go(key(&state));
+                engine.release_state(key(&state));
             }
         });
-        self.keep_wait(wait.abort_handle());
-        self.unmuted().await;
-        self.end(&conn, stream, v1::Status::PrefillDone, kept, Some(state));
+        self.keep_hold_timer(timer.abort_handle());
+        self.wait_until_unmuted().await;
+        self.end_attempt(
+            &connection,
+            stream,
+            v1::Status::PrefillDone,
+            cached_tokens,
+            Some(state),
+        );
     }
 
-    fn keep_wait(&self, wait: AbortHandle) {
-        let mut live = self.inner.live.borrow_mut();
-        live.waits.retain(|wait| !wait.is_finished());
-        live.waits.push(wait);
+    fn keep_hold_timer(&self, timer: AbortHandle) {
+        let mut process = self.inner.process.borrow_mut();
+        process.hold_timers.retain(|timer| !timer.is_finished());
+        process.hold_timers.push(timer);
     }
 
-    /// What a read leaves behind: its texts, and its state.
-    fn keep(&self, beginnings: &[(u64, u32)], state: StateKey, prompt: f64) {
-        let mut live = self.inner.live.borrow_mut();
-        for (beginning, tokens) in beginnings.iter().filter(|(b, _)| *b != 0) {
-            live.kept.retain(|(b, _)| b != beginning);
-            live.kept.push_back((*beginning, f64::from(*tokens)));
+    /// Stores the results of a prefill: the cached prefixes and the KV state.
+    fn store_prefill(&self, prefixes: &[(u64, u32)], state: StateKey, prompt: f64) {
+        let mut process = self.inner.process.borrow_mut();
+        for (prefix, tokens) in prefixes.iter().filter(|(id, _)| *id != 0) {
+            process.cached_prefixes.retain(|(id, _)| id != prefix);
+            process
+                .cached_prefixes
+                .push_back((*prefix, f64::from(*tokens)));
         }
-        while live.kept.iter().map(|(_, tokens)| tokens).sum::<f64>()
+        while process
+            .cached_prefixes
+            .iter()
+            .map(|(_, tokens)| tokens)
+            .sum::<f64>()
             > self.inner.spec.memory_tokens
         {
-            live.kept.pop_front();
+            process.cached_prefixes.pop_front();
         }
-        live.states.insert(state, prompt);
-        live.memory += prompt;
+        process.states.insert(state, prompt);
+        process.used_tokens += prompt;
     }
 
-    async fn write(self, conn: Rc<Conn>, stream: u64, write: v1::Decode) {
-        let can = match (self.inner.spec.does, write.state) {
+    async fn decode(self, connection: Rc<Connection>, stream: u64, decode: v1::Decode) {
+        let admitted = match (self.inner.spec.does, decode.state) {
             (Does::Reads, _) => Err(v1::Status::Failed),
             (Does::Writes, None) => Err(v1::Status::NoState),
-            _ => self.admit(&write.request_class),
+            _ => self.admit(&decode.request_class),
         };
-        if let Err(status) = can {
-            return self.end(&conn, stream, status, 0.0, None);
+        if let Err(status) = admitted {
+            return self.end_attempt(&connection, stream, status, 0.0, None);
         }
         let reset = self.draw_reset();
         if let Some((code, 0)) = reset {
-            conn.credit.borrow_mut().remove(&stream);
-            return self.reset(&conn, stream, code);
+            connection.credit.borrow_mut().remove(&stream);
+            return self.reset_attempt(&connection, stream, code);
         }
-        let prompt = f64::from(write.prompt_tokens);
-        let _place = Place::wait(&self, prompt).await;
-        let _memory = Memory::take(&self, prompt).await;
-        match write.state {
+        let prompt = f64::from(decode.prompt_tokens);
+        let _slot = Slot::acquire(&self, prompt).await;
+        let _memory = MemoryReservation::acquire(&self, prompt).await;
+        match decode.state {
             None => {
                 self.work(1000.0 * prompt / self.inner.spec.read_per_s)
                     .await
             }
             Some(state) => {
-                let Some(tokens) = self.fetch(&write, state).await else {
-                    return self.end(&conn, stream, v1::Status::NoState, 0.0, None);
+                let Some(tokens) = self.fetch(&decode, state).await else {
+                    return self.end_attempt(&connection, stream, v1::Status::NoState, 0.0, None);
                 };
                 self.work(1000.0 * tokens / self.inner.spec.fetch_per_s)
                     .await;
             }
         }
-        let ran = Note::Ran {
-            key: write.key.clone(),
-            request_class: write.request_class.clone(),
+        let started = Note::Ran {
+            key: decode.key.clone(),
+            request_class: decode.request_class.clone(),
         };
-        self.inner.transcript.note(self.now(), &self.inner.me, ran);
+        self.inner
+            .transcript
+            .note(self.now(), &self.inner.name, started);
         let least = self.inner.spec.answer_share;
-        let part = least + (1.0 - least) * share(&mut self.inner.rng.borrow_mut());
-        let answer = (part * f64::from(write.max_tokens)).ceil().max(1.0) as u32;
+        let length = least + (1.0 - least) * uniform(&mut self.inner.rng.borrow_mut());
+        let answer = (length * f64::from(decode.max_tokens)).ceil().max(1.0) as u32;
         for position in 0..answer {
             if let Some((code, _)) = reset.filter(|(_, after)| *after == position) {
-                conn.credit.borrow_mut().remove(&stream);
-                return self.reset(&conn, stream, code);
+                connection.credit.borrow_mut().remove(&stream);
+                return self.reset_attempt(&connection, stream, code);
             }
             self.work(self.inner.spec.token_ms).await;
             while self
                 .inner
-                .live
+                .process
                 .borrow()
                 .troubles
                 .stall_after
@@ -740,11 +834,11 @@
             {
                 self.inner.changed.notified().await;
             }
-            self.unmuted().await;
-            while conn.credit.borrow().get(&stream) == Some(&0) {
-                conn.credited.notified().await;
+            self.wait_until_unmuted().await;
+            while connection.credit.borrow().get(&stream) == Some(&0) {
+                connection.credited.notified().await;
             }
-            if let Some(left) = conn.credit.borrow_mut().get_mut(&stream) {
+            if let Some(left) = connection.credit.borrow_mut().get_mut(&stream) {
                 *left -= 1;
             }
             let tokens = v1::Tokens {
@@ -752,41 +846,42 @@
                 count: 1,
                 text: text(&word(position)),
             };
-            self.say(&conn, stream, Body::Tokens(tokens));
+            self.send(&connection, stream, Body::Tokens(tokens));
         }
-        if self.inner.live.borrow().troubles.dies_before_end {
-            // What was said goes out; the end mark never does.
+        if self.inner.process.borrow().troubles.dies_before_end {
+            // The tokens written so far have to leave the socket before the process dies; the stream's end never does.
             self.inner.clock.sleep_until(self.now() + 5.0).await;
             return self.die();
         }
-        conn.credit.borrow_mut().remove(&stream);
-        self.end(&conn, stream, v1::Status::Succeeded, 0.0, None);
+        connection.credit.borrow_mut().remove(&stream);
+        self.end_attempt(&connection, stream, v1::Status::Succeeded, 0.0, None);
     }
 
-    /// The state's tokens, once its prefill engine has handed it over; none if it cannot be had.
-    async fn fetch(&self, write: &v1::Decode, state: v1::KvStateId) -> Option<f64> {
-        let names = (
+    /// Fetches a KV state from its prefill engine and returns its tokens; `None` if the engine does not have the state
+    /// or does not deliver it in time.
+    async fn fetch(&self, decode: &v1::Decode, state: v1::KvStateId) -> Option<f64> {
+        let parties = (
             v1::Party::Engine,
             self.name(),
-            write.prefill_engine.as_str(),
+            decode.prefill_engine.as_str(),
         );
-        let prefill_engine = (write.prefill_engine_address.as_str(), v1::Party::Engine);
-        // A prefill engine that cannot be had in time is one that has no state.
-        let until = self.now() + FETCH_WITHIN;
+        let prefill_engine = (decode.prefill_engine_address.as_str(), v1::Party::Engine);
+        // A prefill engine that cannot be reached in time counts as one without the state.
+        let until = self.now() + FETCH_TIMEOUT;
         let session = tokio::select! { biased;
-            session = call(&self.inner.transport, prefill_engine, names) => session,
+            session = open_session(&self.inner.transport, prefill_engine, parties) => session,
             () = self.inner.clock.sleep_until(until) => None,
         };
         let Session {
             mut events, out, ..
         } = session?;
         out.send(frame(1, Body::Fetch(v1::Fetch { state: Some(state) })));
-        let came = tokio::select! { biased;
-            came = events.recv() => came,
+        let event = tokio::select! { biased;
+            event = events.recv() => event,
             () = self.inner.clock.sleep_until(until) => None,
         };
         out.close();
-        match came? {
+        match event? {
             Event::Frame(Frame {
                 body:
                     Some(Body::State(v1::State {
@@ -800,119 +895,123 @@
     }
 }
 
-/// A connection that is served: when it ends, for whatever reason, its jobs end and the end is noted.
-struct Seen<T: Transport, C: Clock> {
+/// An accepted connection. When the connection ends, for whatever reason, its tasks are aborted and its end is
+/// recorded.
+struct ServedConnection<T: Transport, C: Clock> {
     engine: Engine<T, C>,
-    conn: Rc<Conn>,
-    jobs: RefCell<Vec<AbortHandle>>,
+    connection: Rc<Connection>,
+    tasks: RefCell<Vec<AbortHandle>>,
 }
 
-impl<T: Transport, C: Clock> Seen<T, C> {
-    fn begin(&self, stream: u64, job: impl std::future::Future<Output = ()> + 'static) {
+impl<T: Transport, C: Clock> ServedConnection<T, C> {
+    fn start_attempt(&self, stream: u64, attempt: impl std::future::Future<Output = ()> + 'static) {
         let cancelled = Rc::new(Notify::new());
-        self.conn
-            .cancelled
+        self.connection
+            .cancellations
             .borrow_mut()
             .insert(stream, cancelled.clone());
-        let (engine, conn) = (self.engine.clone(), self.conn.clone());
-        let job = spawn_local(async move {
-            let done = tokio::select! { biased;
+        let (engine, connection) = (self.engine.clone(), self.connection.clone());
+        let task = spawn_local(async move {
+            let finished = tokio::select! { biased;
                 () = cancelled.notified() => false,
-                () = job => true,
+                () = attempt => true,
             };
-            conn.cancelled.borrow_mut().remove(&stream);
-            if !done {
-                conn.credit.borrow_mut().remove(&stream);
-                engine.end(&conn, stream, v1::Status::Cancelled, 0.0, None);
+            connection.cancellations.borrow_mut().remove(&stream);
+            if !finished {
+                connection.credit.borrow_mut().remove(&stream);
+                engine.end_attempt(&connection, stream, v1::Status::Cancelled, 0.0, None);
             }
         });
-        let mut jobs = self.jobs.borrow_mut();
-        if jobs.len() >= 256 {
-            jobs.retain(|j| !j.is_finished());
+        let mut tasks = self.tasks.borrow_mut();
+        if tasks.len() >= STREAM_TASK_SWEEP {
+            tasks.retain(|task| !task.is_finished());
         }
-        jobs.push(job.abort_handle());
+        tasks.push(task.abort_handle());
     }
 }
 
-impl<T: Transport, C: Clock> Drop for Seen<T, C> {
+impl<T: Transport, C: Clock> Drop for ServedConnection<T, C> {
     fn drop(&mut self) {
-        self.conn.out.close();
-        for job in self.jobs.borrow().iter() {
-            job.abort();
+        self.connection.out.close();
+        for task in self.tasks.borrow().iter() {
+            task.abort();
         }
         let what = What::Note(Note::Closed { own: false });
-        let (engine, conn) = (&self.engine, &self.conn);
-        engine
-            .inner
-            .transcript
-            .add(engine.now(), &engine.inner.me, &conn.peer, conn.id, what);
+        let (engine, connection) = (&self.engine, &self.connection);
+        engine.inner.transcript.add(
+            engine.now(),
+            &engine.inner.name,
+            &connection.peer,
+            connection.id,
+            what,
+        );
     }
 }
 
-/// A slot, waited for in turn.
-struct Place<T: Transport, C: Clock> {
+/// A slot of an engine, or a place in the queue for one. Slots are granted in order of arrival.
+struct Slot<T: Transport, C: Clock> {
     engine: Engine<T, C>,
     tokens: f64,
     permit: Option<tokio::sync::OwnedSemaphorePermit>,
 }
 
-impl<T: Transport, C: Clock> Place<T, C> {
-    async fn wait(engine: &Engine<T, C>, tokens: f64) -> Self {
+impl<T: Transport, C: Clock> Slot<T, C> {
+    async fn acquire(engine: &Engine<T, C>, tokens: f64) -> Self {
         let slots = engine.inner.slots.borrow().clone();
-        let mut place = Place {
+        let mut slot = Slot {
             engine: engine.clone(),
             tokens,
             permit: None,
         };
-        place.count(1, 0);
-        place.permit = slots.acquire_owned().await.ok();
-        place.count(-1, 1);
-        place
+        slot.adjust_counts(1, 0);
+        slot.permit = slots.acquire_owned().await.ok();
+        slot.adjust_counts(-1, 1);
+        slot
     }
 
-    fn count(&self, waiting: isize, running: isize) {
-        let mut live = self.engine.inner.live.borrow_mut();
-        live.waiting = live.waiting.saturating_add_signed(waiting);
-        live.running = live.running.saturating_add_signed(running);
-        live.waiting_tokens = (live.waiting_tokens + waiting as f64 * self.tokens).max(0.0);
+    fn adjust_counts(&self, waiting: isize, running: isize) {
+        let mut process = self.engine.inner.process.borrow_mut();
+        process.waiting = process.waiting.saturating_add_signed(waiting);
+        process.running = process.running.saturating_add_signed(running);
+        process.waiting_tokens = (process.waiting_tokens + waiting as f64 * self.tokens).max(0.0);
     }
 }
 
-impl<T: Transport, C: Clock> Drop for Place<T, C> {
+impl<T: Transport, C: Clock> Drop for Slot<T, C> {
     fn drop(&mut self) {
         if self.permit.is_some() {
-            self.count(0, -1);
+            self.adjust_counts(0, -1);
         } else {
-            self.count(-1, 0);
+            self.adjust_counts(-1, 0);
         }
     }
 }
 
-/// Memory for a prompt, waited for.
-struct Memory<T: Transport, C: Clock> {
+/// The memory of a running decode attempt.
+struct MemoryReservation<T: Transport, C: Clock> {
     engine: Engine<T, C>,
     tokens: f64,
 }
 
-impl<T: Transport, C: Clock> Memory<T, C> {
-    async fn take(engine: &Engine<T, C>, tokens: f64) -> Self {
-        while engine.inner.live.borrow().memory + tokens > engine.inner.spec.memory_tokens {
+impl<T: Transport, C: Clock> MemoryReservation<T, C> {
+    async fn acquire(engine: &Engine<T, C>, tokens: f64) -> Self {
+        while engine.inner.process.borrow().used_tokens + tokens > engine.inner.spec.memory_tokens {
             engine.inner.changed.notified().await;
         }
-        engine.inner.live.borrow_mut().memory += tokens;
-        Memory {
+        engine.inner.process.borrow_mut().used_tokens += tokens;
+        MemoryReservation {
             engine: engine.clone(),
             tokens,
         }
     }
 }
 
-impl<T: Transport, C: Clock> Drop for Memory<T, C> {
+impl<T: Transport, C: Clock> Drop for MemoryReservation<T, C> {
     fn drop(&mut self) {
-        // The process may have started anew meanwhile.
-        let mut live = self.engine.inner.live.borrow_mut();
-        live.memory = (live.memory - self.tokens).max(0.0);
-        drop(live);
+        // If the process has restarted since, its count may be below this reservation.
+        let mut process = self.engine.inner.process.borrow_mut();
+        process.used_tokens = (process.used_tokens - self.tokens).max(0.0);
+        drop(process);
         self.engine.inner.changed.notify_waiters();
     }
 }
@@ -921,7 +1020,7 @@
     (state.run, state.request, state.attempt)
 }
 
-/// A word of an answer, by its place.
+/// The text of an answer's token, by the token's position.
 fn word(position: u32) -> String {
     const WORDS: [&str; 12] = [
         "the ", "class ", "of ", "this ", "year ", "kept ", "its ", "promise ", "and ", "sang ",
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins written for this project: engines, discovery and clients, with faults by script, and the
-//! [`audit`] that holds the five rules against what they saw. None of it knows a dispatcher's state.
+//! Stand-ins for engines, discovery and clients, which inject scripted faults, and the [`audit`] that checks the five
+//! rules against the stand-ins' transcript. Nothing here reads a dispatcher's internal state.
 
 pub mod audit;
 pub mod client;
@@ -12,43 +12,50 @@
 use cindercleat_protocol::v1;
 use nanorand::{Rng, WyRand};
 
-/// The largest message that stand-ins take, and the calls that they let be open.
-const MOST_MESSAGE: usize = 1 << 20;
-const MOST_CALLS: u32 = 4096;
+/// The largest message that a stand-in accepts.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Calls that a stand-in allows to be open at the same time on one connection.
+const MAX_OPEN_CALLS: u32 = 4096;
 
-fn setup(party: v1::Party, name: &str, expects: &str) -> Setup {
+fn session_setup(party: v1::Party, name: &str, expects: &str) -> Setup {
     let (name, expects) = (name.to_owned(), expects.to_owned());
     Setup {
         party,
         name,
         expects,
         run: 0,
-        most_message: MOST_MESSAGE,
-        most_calls: MOST_CALLS,
+        most_message: MAX_MESSAGE_BYTES,
+        most_calls: MAX_OPEN_CALLS,
     }
 }
 
-/// The callee's side of a connection, once its caller has greeted.
-async fn welcome<T: Transport>(stream: T::Stream, party: v1::Party, name: &str) -> Option<Session> {
-    serve(stream, setup(party, name, "")).await.ok()
+/// Accepts a connection: completes the handshake with the connecting party, or returns `None` if the handshake fails.
+async fn accept_session<T: Transport>(
+    stream: T::Stream,
+    party: v1::Party,
+    name: &str,
+) -> Option<Session> {
+    serve(stream, session_setup(party, name, "")).await.ok()
 }
 
-/// The caller's side.
-async fn call<T: Transport>(
+/// Opens a connection and completes the handshake; returns `None` if either fails.
+async fn open_session<T: Transport>(
     transport: &T,
     (address, to): (&str, v1::Party),
     (party, name, expects): (v1::Party, &str, &str),
 ) -> Option<Session> {
     let stream = transport.connect(address).await.ok()?;
-    connect(stream, to, setup(party, name, expects)).await.ok()
+    connect(stream, to, session_setup(party, name, expects))
+        .await
+        .ok()
 }
 
-/// A share between 0 and 1.
-pub fn share(rng: &mut WyRand) -> f64 {
+/// Draws a uniform number in `0.0..1.0`.
+pub fn uniform(rng: &mut WyRand) -> f64 {
     rng.generate::<f64>()
 }
 
-/// A wait of an open-loop arrival.
+/// Draws an exponentially distributed number with this mean, such as the gap between open-loop arrivals.
 pub fn exponential(rng: &mut WyRand, mean: f64) -> f64 {
-    -mean * (1.0 - share(rng)).max(1e-12).ln()
+    -mean * (1.0 - uniform(rng)).max(1e-12).ln()
 }
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -1,5 +1,5 @@
-//! What stand-ins saw: each frame that crossed a socket of theirs, with its instant and both ends, and notes of
-//! what no frame shows (an engine that started, a dispatcher that was killed).
+//! The transcript of the stand-ins: each frame that crossed one of their sockets, with its time and both ends, and
+//! notes of events that no frame shows, such as the start of an engine or the kill of a dispatcher.
 
 use cindercleat_net::Ms;
 use cindercleat_protocol::{name_of, v1, Frame};
@@ -9,36 +9,41 @@
 use std::io::{self, BufRead, Write};
 use std::rc::Rc;
 
+/// The direction of a frame, as seen from the stand-in that recorded it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Way {
+    /// The stand-in received the frame.
     In,
+    /// The stand-in sent the frame.
     Out,
 }
 
+/// An event that no frame shows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Note {
-    /// An engine's process starts with this much capacity once warm, in units a second (see `audit`).
+    /// A cold engine process starts. `capacity` is its capacity once warm, in units of work per second (see `audit`);
+    /// `start_share` is the share of it that is available at the start, which grows to 1 within `slow_start_window`.
     Started {
         capacity: f64,
         start_share: f64,
         #[serde(rename = "ramp")]
         slow_start_window: Ms,
     },
+    /// An engine process ended abruptly.
     Died,
-    /// A dispatcher's process is kept from running from now on, and runs again.
+    /// A dispatcher process is suspended from now on.
     Asleep,
+    /// A suspended dispatcher process runs again.
     Awake,
-    /// A connection of the seer is over; by its own doing, or not.
-    Closed {
-        own: bool,
-    },
-    /// An engine began to answer: from here on the request has had its effect.
+    /// A connection of the recording stand-in ended. `own`: the stand-in closed it itself.
+    Closed { own: bool },
+    /// An engine began to decode: from here on the request counts as executed.
     Ran {
         key: String,
         #[serde(rename = "profile")]
         request_class: String,
     },
-    /// A prefill engine's own time limit let a state go.
+    /// A prefill engine dropped a KV state because its hold time was over.
     Expired {
         run: u64,
         #[serde(rename = "task")]
@@ -46,13 +51,13 @@
         #[serde(rename = "launch")]
         attempt: u32,
     },
-    /// A dispatcher was killed outright.
+    /// A dispatcher process was killed without a drain.
     Killed,
 }
 
 impl Note {
-    /// What a digest of a day takes of a note: the same text whatever the code calls the note and its fields, so that
-    /// digests of different versions can be compared.
+    /// The text of a note that enters a day's digest. The text is independent of the names in the code, so that digests
+    /// of different versions stay comparable.
     pub fn digest_text(&self) -> String {
         match self {
             Note::Started {
@@ -81,6 +86,7 @@
     }
 }
 
+/// The content of a record.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(clippy::large_enum_variant)]
 pub enum What {
@@ -88,19 +94,22 @@
     Note(Note),
 }
 
-/// One record: who saw it, with whom, on which of the seer's connections, when.
+/// One record of a transcript: a frame or note, and the stand-in that recorded it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     pub at: Ms,
+    /// The name of the party that the record is about: the stand-in that saw the frame, or the subject of a note.
     pub seer: Rc<str>,
+    /// The name of the other end of the connection; empty in a note that belongs to no connection.
     pub peer: Rc<str>,
+    /// The number of the connection; 0 in a note that belongs to no connection.
     pub conn: u64,
     pub what: What,
 }
 
 type Watcher = Box<dyn FnMut(&Record)>;
 
-/// A transcript that grows; clones are the same one.
+/// An append-only transcript. Clones share one list of records.
 #[derive(Clone, Default)]
 pub struct Transcript {
     records: Rc<RefCell<Vec<Record>>>,
@@ -109,11 +118,13 @@
 }
 
 impl Transcript {
+    /// Returns a connection number that is unique in this transcript; the first one is 1.
     pub fn new_conn(&self) -> u64 {
         *self.conns.borrow_mut() += 1;
         *self.conns.borrow()
     }
 
+    /// Appends a record and passes it to the watcher, if there is one.
     pub fn add(&self, at: Ms, seer: &Rc<str>, peer: &Rc<str>, conn: u64, what: What) {
         let record = Record {
             at,
@@ -128,15 +139,17 @@
         self.records.borrow_mut().push(record);
     }
 
-    /// Each record is shown as it is made.
+    /// Calls `watcher` with each record that is added from now on; replaces the previous watcher.
     pub fn watch(&self, watcher: impl FnMut(&Record) + 'static) {
         *self.watcher.borrow_mut() = Some(Box::new(watcher));
     }
 
+    /// Appends a note that belongs to no connection.
     pub fn note(&self, at: Ms, seer: &Rc<str>, note: Note) {
         self.add(at, seer, &Rc::from(""), 0, What::Note(note));
     }
 
+    /// A copy of all records, in the order in which they were added.
     pub fn records(&self) -> Vec<Record> {
         self.records.borrow().clone()
     }
@@ -152,20 +165,21 @@
     note: Option<Note>,
     #[serde(skip_serializing_if = "Option::is_none")]
     way: Option<Way>,
-    /// For who reads the file; what counts is `frame`.
+    /// The message's name, for human readers of the file; reading a transcript takes only `frame`.
     #[serde(default)]
     message: String,
     #[serde(default)]
     stream: u64,
+    /// The encoded frame, in hexadecimal.
     #[serde(default)]
     frame: String,
 }
 
-/// One JSON object a line, a record each.
+/// Writes one JSON object per record, each on its own line.
 ///
 /// # Errors
-/// The decode engine's.
-pub fn write(records: &[Record], mut to: impl Write) -> io::Result<()> {
+/// Returns the writer's error.
+pub fn write(records: &[Record], mut writer: impl Write) -> io::Result<()> {
     for record in records {
         let (note, way, frame) = match &record.what {
             What::Note(note) => (Some(note.clone()), None, None),
@@ -191,22 +205,27 @@
             stream: frame.map_or(0, |f| f.stream),
             frame: frame.map(hex).unwrap_or_default(),
         };
-        serde_json::to_writer(&mut to, &line)?;
-        to.write_all(b"\n")?;
+        serde_json::to_writer(&mut writer, &line)?;
+        writer.write_all(b"\n")?;
     }
     Ok(())
 }
 
+/// Reads records that [`write`] wrote.
+///
 /// # Errors
-/// The prefill engine's, or a line that is no record, by its number.
-pub fn read(from: impl BufRead) -> io::Result<Vec<Record>> {
-    let bad = |number: usize, what: String| {
-        io::Error::new(io::ErrorKind::InvalidData, format!("line {number}: {what}"))
+/// Returns the reader's error, or `InvalidData` with the line number for a line that is not a record.
+pub fn read(reader: impl BufRead) -> io::Result<Vec<Record>> {
+    let invalid_line = |number: usize, problem: String| {
+        io::Error::new(
+            io::ErrorKind::InvalidData,
+            format!("line {number}: {problem}"),
+        )
     };
     let mut records = Vec::new();
-    for (number, line) in from.lines().enumerate() {
+    for (number, line) in reader.lines().enumerate() {
         let line: Line =
-            serde_json::from_str(&line?).map_err(|e| bad(number + 1, e.to_string()))?;
+            serde_json::from_str(&line?).map_err(|e| invalid_line(number + 1, e.to_string()))?;
         let what = match (line.note, line.way) {
             (Some(note), _) => What::Note(note),
             (None, Some(way)) => {
@@ -219,10 +238,20 @@
                 let frame = bytes.and_then(|b| v1::Frame::decode(&*b).ok());
                 What::Frame(
                     way,
-                    frame.ok_or_else(|| bad(number + 1, "no frame".to_owned()))?,
+                    frame.ok_or_else(|| {
+                        invalid_line(
+                            number + 1,
+                            "frame is not a valid hexadecimal encoding".to_owned(),
+                        )
+                    })?,
                 )
             }
-            (None, None) => return Err(bad(number + 1, "neither a note nor a frame".to_owned())),
+            (None, None) => {
+                return Err(invalid_line(
+                    number + 1,
+                    "record has neither a note nor a frame".to_owned(),
+                ))
+            }
         };
         let (seer, peer) = (Rc::from(line.seer), Rc::from(line.peer));
         records.push(Record {
