--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -1,6 +1,6 @@
-//! The judge: takes in what clients, engines and discovery saw, and holds it against the rules.
+//! The audit: collects the observations of clients, engines and discovery, and checks them against the rules.
 //!
-//! It does no I/O and reads no clock. All instants are of one clock, and do not go back.
+//! The audit does no I/O and reads no clock. All times come from one monotonic clock.
 
 mod attempt;
 mod attempts;
@@ -8,7 +8,7 @@
 mod requests;
 mod states;
 
-use crate::passage::Passage;
+use crate::connection_trace::ConnectionTrace;
 use crate::readings::{AttemptOver, Readings, ReleaseScope};
 use crate::Ms;
 use attempt::Attempt;
@@ -16,32 +16,33 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// What has to hold.
+/// A property of the program that the audit checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Each request that was taken gets one final answer in time.
+    /// Each accepted request gets one final answer in time.
     Answered,
-    /// What may have run runs again, or is refused as harmless, only where its class allows.
+    /// A request that may have run is repeated, or rejected as safe to retry, only if its class allows it.
     RunOnce,
-    /// Nothing is sent to an engine that drains or is gone, once the grace is over.
+    /// No attempt is sent to a draining or removed engine after the grace.
     DrainKept,
-    /// A KV state that no attempt needs is released.
+    /// A KV state that no attempt needs is released in time.
     StateReleased,
-    /// No attempt begins for a client that has gone.
+    /// No attempt begins for a client that has disconnected.
     ClientThere,
-    /// An engine is told no longer deadline than its client has left.
+    /// The deadline sent to an engine is no longer than the time that the client has left.
     DeadlineTold,
-    /// Events are passed on as they come, unchanged and in order.
+    /// Events are forwarded as they arrive, unchanged and in order.
     EventsInTime,
-    /// An engine that has just started gets no more than its slow-start budget, from all processes together.
+    /// An engine that has just started gets no more attempts than its slow-start budget, from all processes together.
     SlowStart,
-    /// A client that stops within its request gets an error or a close in time.
+    /// A client that stalls within its request gets an error or a close in time.
     BadClientEnded,
-    /// Processes start, are soon ready, and end only when they are told to.
+    /// Processes start, become ready soon, and end only when told to.
     ProcessUp,
 }
 
 impl Invariant {
+    /// All invariants, in the order in which reports list them.
     pub const ALL: [Invariant; 10] = [
         Invariant::Answered,
         Invariant::RunOnce,
@@ -77,59 +78,65 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
-    /// Engines recognise a repeat by its key for this long after the first attempt that may have run.
+    /// Engines recognise a repeat by its key for `window` milliseconds after the first attempt that may have run.
     Keyed {
         window: u32,
     },
     AtMostOnce,
 }
 
-/// Times that the rules allow.
+/// The bounds of the invariants.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// After its deadline, a request's answer may still come for this long.
+    /// How long after its deadline a request may still be answered.
     pub answer_grace: Ms,
+    /// How long after the notice of a drain a process may still send attempts to the engine.
     pub drain_grace: Ms,
-    /// For how long a state may be held that no attempt needs.
+    /// How long a KV state may be held that no attempt needs.
     pub release: Ms,
-    /// An attempt may begin this long after its client has gone.
-    pub gone_grace: Ms,
-    /// The deadline told may be longer than what is left by this much.
+    /// How long after the disconnect of its client an attempt may still begin.
+    pub disconnect_grace: Ms,
+    /// How much longer the deadline sent to an engine may be than the time that the client has left.
     pub deadline_slack: Ms,
+    /// The longest time from the arrival of an event at the process to its arrival at the client.
     pub event_delay: Ms,
-    /// Attempts that an engine may get in any window of this length while it is cold.
+    /// The length of the window in which the attempts at a cold engine are counted.
     pub slow_start_window: Ms,
+    /// The expected number of attempts that a cold engine may get within the window; the audit adds an allowance for
+    /// chance.
     pub slow_start_budget: f64,
-    pub cold_for: Ms,
-    /// A client that stops within its request is owed an end by then.
-    pub bad_client: Ms,
-    /// A process is to be ready by then, nine times in ten.
+    /// How long after its start an engine counts as cold.
+    pub cold_time: Ms,
+    /// The time within which a client that stalls within its request gets an error or a close.
+    pub stalled_client_limit: Ms,
+    /// The time within which nine of ten starts become ready.
     pub ready: Ms,
-    /// 'Every time limit is longer by 50 ms' (the platform's protocol).
-    pub any_time: Ms,
-    /// 'A dispatcher that is held up for up to 0.15 s between reading its clock and writing: deadlines and windows allow
-    /// for that, the grace of drain has to cover it' (the standing test).
-    pub held_up: Ms,
+    /// The allowance on every time limit: 'Every time limit is longer by 50 ms' (the platform's protocol).
+    pub timer_slack: Ms,
+    /// The allowance for a process that does not run for a moment: 'A dispatcher that is held up for up to 0.15 s
+    /// between reading its clock and writing: deadlines and windows allow for that, the grace of drain has to cover it'
+    /// (the standing test).
+    pub process_delay: Ms,
 }
 
 impl Rules {
-    /// What is added to deadlines and windows.
-    fn deadline_extra(&self) -> Ms {
-        self.any_time + self.held_up
+    /// The allowance on deadlines and windows.
+    fn deadline_allowance(&self) -> Ms {
+        self.timer_slack + self.process_delay
     }
 }
 
-/// A request, by the id that its client gave it.
+/// The identifier that the client gave a request.
 pub type RequestId = String;
 
-/// One run of a process: its number, and how often it was started before.
+/// One run of a process. `start` counts the starts of the process; the first run has 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Life {
+pub struct ProcessRun {
     pub process: usize,
     pub start: u32,
 }
 
-/// An attempt, as the audit numbers it.
+/// The audit's number of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId(usize);
 
@@ -140,64 +147,68 @@
     Decode,
 }
 
-/// How an attempt ended at its engine.
+/// How an attempt ended, as its engine saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It was rejected, and nothing of it ran.
-    TurnedAway,
+    /// The engine rejected the attempt without running it.
+    Rejected,
     Served,
-    /// An answer that says or shows that it failed, or a connection that broke; it may have run.
+    /// The response reported a failure or was malformed, or the connection broke; the attempt may have run.
     Failed,
-    /// The process closed its connection.
+    /// The process closed the connection.
     Abandoned,
 }
 
-/// What a client got.
+/// What a client received for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A whole stream of so many events.
-    Whole(usize),
-    /// A stream that ended without its last chunk, after so many events.
+    /// A complete stream with this number of events.
+    Complete(usize),
+    /// A stream that ended without its last chunk, after this number of events.
     Broken(usize),
-    /// Refused: trying again is harmless.
-    Refused,
-    /// Answered as failed.
+    /// A rejection: the request has not run, and a retry is safe.
+    Rejected,
+    /// An answer that reports a failure.
     Failed,
     /// The connection ended without an answer.
-    Nothing,
+    None,
 }
 
-/// An attempt as its engine gets it.
+/// An attempt, as its engine received it.
 #[derive(Clone, Debug)]
 pub struct NewAttempt {
     pub request: RequestId,
     pub engine: String,
     pub stage: Stage,
-    /// When its first and its last byte left its process.
+    /// When the first and the last byte left the process.
     pub sent: (Ms, Ms),
-    /// When its last byte came.
+    /// When the last byte arrived at the engine.
     pub begun: Ms,
-    /// The time that it says is left.
-    pub told_left: Option<Ms>,
-    /// Its connection, where a proxy sees it.
-    pub passage: Option<Rc<Passage>>,
+    /// The remaining time that the attempt states, if it states one.
+    pub stated_remaining: Option<Ms>,
+    /// What the proxy recorded of the connection; `None` without a proxy.
+    pub trace: Option<Rc<ConnectionTrace>>,
 }
 
+/// What is known of a request.
 #[derive(Clone, Debug)]
 struct Request {
-    life: Life,
+    run: ProcessRun,
     effect: Effect,
     sent: Ms,
     deadline: Ms,
-    /// By when its answer is due, grace apart.
+    /// When the answer is due, without the grace.
     due: Ms,
-    gone: Option<Ms>,
+    /// When the client closed its connection.
+    disconnected: Option<Ms>,
     answered: bool,
     attempts: Vec<AttemptId>,
-    /// Where its KV state is held and since when, and whether that was reported as left lying.
+    /// The engine that holds the KV state, and since when.
     held_at: Option<(String, Ms)>,
+    /// Whether the held state was reported as a violation.
     reported: bool,
-    events_came: usize,
+    /// The number of events that the client received.
+    events_received: usize,
 }
 
 impl Request {
@@ -206,26 +217,30 @@
     }
 }
 
-/// What discovery says of an engine, and since when each process counts as told.
+/// What discovery publishes of an engine, and what has been sent to the engine.
 #[derive(Clone, Debug, Default)]
 struct EngineRecord {
+    /// When the engine process started; `None` if long ago.
     started: Option<Ms>,
     out_of_service: bool,
-    told_out: BTreeMap<usize, Ms>,
+    /// Since when each process counts as notified that the engine is out of service.
+    notified_out: BTreeMap<usize, Ms>,
+    /// When each attempt at the engine began.
     begun: Vec<Ms>,
-    overloaded: bool,
+    /// Whether an excess over the slow-start budget was reported.
+    overload_reported: bool,
 }
 
 /// How a run of a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LifeEnd {
+enum RunEnd {
     Killed,
-    /// Killed at the end of the time that a stop may take.
+    /// Killed because a stop exceeded its time limit.
     KilledInStop,
     Ended,
 }
 
-/// A breach of an invariant.
+/// A violation of an invariant, with its time and a description.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     pub at: Ms,
@@ -233,14 +248,14 @@
     pub what: String,
 }
 
-/// What was met and what was broken.
+/// The result of an audit: how many cases of each invariant were checked, and the violations found.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     pub cases: BTreeMap<Invariant, u64>,
     pub violations: Vec<Violation>,
 }
 
-/// The judge's record of a soak.
+/// The audit of a soak; it is fed with observations and ends with [`Audit::finish`].
 #[derive(Debug)]
 pub struct Audit {
     rules: Rules,
@@ -248,18 +263,21 @@
     requests: BTreeMap<RequestId, Request>,
     attempts: Vec<Attempt>,
     engines: BTreeMap<String, EngineRecord>,
-    ended: BTreeMap<Life, (Ms, LifeEnd)>,
-    stopping: BTreeMap<Life, Ms>,
+    ended: BTreeMap<ProcessRun, (Ms, RunEnd)>,
+    /// When each run was told to stop.
+    stopping: BTreeMap<ProcessRun, Ms>,
+    /// How long each start took to become ready.
     starts: Vec<Ms>,
     report: Report,
 }
 
-/// A stop takes what comes for so long.
-const STOP_TAKES: Ms = 700.0;
-/// So many in ten processes are ready in time.
+/// How long after SIGTERM requests may arrive whose answers a process does not owe if the stop ends in a kill.
+const UNOWED_AFTER_STOP: Ms = 700.0;
+/// Of ten starts, the number that has to become ready in time.
 const READY_IN_TEN: usize = 9;
 
 impl Audit {
+    /// Creates an audit without observations.
     pub fn new(rules: Rules, readings: Readings) -> Self {
         Audit {
             rules,
@@ -274,7 +292,7 @@
         }
     }
 
-    fn met(&mut self, invariant: Invariant) {
+    fn count_case(&mut self, invariant: Invariant) {
         *self.report.cases.entry(invariant).or_insert(0) += 1;
     }
 
@@ -286,23 +304,23 @@
         });
     }
 
-    /// Checks one case of an invariant; `broken` says what is wrong, if anything is.
+    /// Counts one case of an invariant; `broken` describes the violation, if there is one.
     fn check(&mut self, at: Ms, invariant: Invariant, broken: Option<String>) {
-        self.met(invariant);
+        self.count_case(invariant);
         if let Some(what) = broken {
             self.violated(at, invariant, what);
         }
     }
 
-    /// The verdict, at the end.
+    /// Checks what is left open at the end of the soak and returns the report.
     pub fn finish(mut self, now: Ms) -> Report {
-        self.look(now);
+        self.check_held_states(now);
         let lost = self
             .requests
             .iter()
             .filter(|(_, request)| self.is_lost(request, now));
         let lost: Vec<String> = lost
-            .map(|(id, request)| format!("{id} was never answered; {}", self.story(request)))
+            .map(|(id, request)| format!("{id} was never answered; {}", self.describe(request)))
             .collect();
         for what in lost {
             self.check(now, Invariant::Answered, Some(what));
@@ -317,7 +335,7 @@
             .cases
             .entry(Invariant::StateReleased)
             .or_insert(0) += held;
-        let slow = self
+        let late_starts = self
             .starts
             .iter()
             .filter(|after| **after > self.rules.ready)
@@ -329,9 +347,9 @@
                 "no process became ready".to_owned(),
             );
         }
-        if 10 * slow > (10 - READY_IN_TEN) * self.starts.len() {
+        if 10 * late_starts > (10 - READY_IN_TEN) * self.starts.len() {
             let what = format!(
-                "{slow} of {} starts took over {:.0} ms",
+                "{late_starts} of {} starts took over {:.0} ms to become ready",
                 self.starts.len(),
                 self.rules.ready
             );
@@ -341,7 +359,10 @@
     }
 
     fn is_lost(&self, request: &Request, now: Ms) -> bool {
-        let latest = request.due + self.rules.answer_grace + self.rules.deadline_extra();
-        !request.answered && request.gone.is_none() && now > latest && self.owes(request, now)
+        let latest = request.due + self.rules.answer_grace + self.rules.deadline_allowance();
+        !request.answered
+            && request.disconnected.is_none()
+            && now > latest
+            && self.owes(request, now)
     }
 }
--- a/crates/soak/src/audit/attempt.rs
+++ b/crates/soak/src/audit/attempt.rs
@@ -1,64 +1,65 @@
-//! An attempt as its engine and its connection's proxy saw it.
+//! An attempt, as its engine and the proxy of its connection saw it.
 
 use super::*;
 
+/// What is known of an attempt.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub engine: String,
     pub stage: Stage,
     pub begun: Ms,
     pub ended: Option<(Ms, AttemptEnd)>,
-    /// Events written, by the instant of each.
+    /// When the engine wrote each event.
     pub events: Vec<Ms>,
+    /// Whether the engine has written the last chunk of its stream.
     pub complete: bool,
-    /// When its connection was reset on the way; what was written then may have been lost.
-    pub cut: Option<Ms>,
-    pub passage: Option<Rc<Passage>>,
+    /// When the proxy reset the connection while data of the engine may still have been in transit.
+    pub reset: Option<Ms>,
+    pub trace: Option<Rc<ConnectionTrace>>,
 }
 
-/// A reset takes along what its reader has not taken yet: what got through so long ago is there.
-const ON_ITS_WAY: Ms = 50.0;
+/// A reset discards data that its receiver has not read yet. Data that the proxy forwarded longer ago counts as read.
+const UNREAD_TIME: Ms = 50.0;
 
 impl Attempt {
-    /// When something that its engine wrote at an instant had come through to its process; none if it has not.
-    pub fn passed_on(&self, written: Ms) -> Option<Ms> {
-        self.passage
+    /// When data that the engine wrote at `written` was forwarded to the process; `None` if it was not.
+    pub fn forwarded_at(&self, written: Ms) -> Option<Ms> {
+        self.trace
             .as_ref()
-            .map_or(Some(written), |passage| passage.passed_on(written))
+            .map_or(Some(written), |trace| trace.forwarded_at(written))
     }
 
-    /// Whether what its engine writes has not come through for long. 'Cutting off a stream whose events are still coming loses
-    /// the request', and so does 'leaving the client waiting for 5 s': one whose events lie in a silent network has to be ended
-    /// between.
+    /// Whether the events of the engine have not reached the process for [`STALLED_FOR`]. A process has to end such a
+    /// stream: 'Cutting off a stream whose events are still coming loses the request', and so does 'leaving the client
+    /// waiting for 5 s'.
     pub fn has_stalled(&self, now: Ms) -> bool {
-        let lies = self
+        let is_last_event_pending = self
             .events
             .last()
-            .is_some_and(|last| self.passed_on(*last).is_none());
-        let came = self
+            .is_some_and(|last| self.forwarded_at(*last).is_none());
+        let last_forwarded = self
             .events
             .iter()
-            .filter_map(|written| self.passed_on(*written))
+            .filter_map(|written| self.forwarded_at(*written))
             .reduce(f64::max);
-        lies && came.is_some_and(|came| now - came >= STALLED_FOR)
+        is_last_event_pending
+            && last_forwarded.is_some_and(|forwarded| now - forwarded >= STALLED_FOR)
     }
 
-    /// Whether what its engine wrote may not have come to its process.
-    pub fn is_on_its_way(&self, written: Ms, now: Ms) -> bool {
-        self.passed_on(written)
-            .is_none_or(|passed| passed > now - ON_ITS_WAY)
+    /// Whether data that the engine wrote at `written` may not have been read by the process.
+    pub fn may_be_unread(&self, written: Ms, now: Ms) -> bool {
+        self.forwarded_at(written)
+            .is_none_or(|forwarded| forwarded > now - UNREAD_TIME)
     }
 
-    /// When its process knew that it was over, or had ended it itself; none while it is out. What an engine says counts
-    /// once it has got through: 'within `release` of the last `attempt_end`' (the wire's rule on what is held).
-    pub fn over_at(&self) -> Option<Ms> {
-        let closed = self
-            .passage
-            .as_ref()
-            .and_then(|passage| passage.closed_at());
-        let ended = self.ended.and_then(|(at, end)| match (end, &self.passage) {
-            (AttemptEnd::Served | AttemptEnd::TurnedAway, Some(passage)) => {
-                passage.passed_on(at).or(self.cut)
+    /// When the process knew that the attempt had ended, or ended it itself; `None` while the attempt runs. The end
+    /// that an engine reports counts once it has reached the process: 'within `release` of the last `attempt_end`' (the
+    /// protocol's rule on held KV states).
+    pub fn ended_at(&self) -> Option<Ms> {
+        let closed = self.trace.as_ref().and_then(|trace| trace.closed_at());
+        let ended = self.ended.and_then(|(at, end)| match (end, &self.trace) {
+            (AttemptEnd::Served | AttemptEnd::Rejected, Some(trace)) => {
+                trace.forwarded_at(at).or(self.reset)
             }
             _ => Some(at),
         });
@@ -68,35 +69,35 @@
         }
     }
 
-    /// When the time of what is held begins to run again: with its end, unless its engine is to notice that and does so
-    /// late.
-    pub fn stops_waiting_at(&self, over: AttemptOver) -> Option<Ms> {
-        let (over_at, noticed) = (self.over_at()?, self.ended.map(|(at, _)| at));
+    /// When the attempt no longer needs the held KV state, which starts the time for its release: at the attempt's end,
+    /// or when the engine notices the close, if the readings say so and the engine notices it late.
+    pub fn state_unneeded_from(&self, over: AttemptOver) -> Option<Ms> {
+        let (ended_at, noticed) = (self.ended_at()?, self.ended.map(|(at, _)| at));
         match over {
-            AttemptOver::AtTheClose => Some(over_at),
+            AttemptOver::AtTheClose => Some(ended_at),
             AttemptOver::WhenTheEngineNotices => {
                 let noticed = noticed?;
-                Some(if noticed > over_at + NOTICED_SOON {
+                Some(if noticed > ended_at + NOTICED_AT_ONCE {
                     noticed
                 } else {
-                    over_at
+                    ended_at
                 })
             }
         }
     }
 
-    /// Whether it is a decode attempt that still waits for its state, or uses it.
-    pub fn waits(&self, over: AttemptOver) -> bool {
+    /// Whether the attempt is a decode attempt that still waits for its KV state, or uses it.
+    pub fn needs_state(&self, over: AttemptOver) -> bool {
         let closed = self
-            .passage
+            .trace
             .as_ref()
-            .is_some_and(|passage| passage.closed_at().is_some());
+            .is_some_and(|trace| trace.closed_at().is_some());
         let noticed = over == AttemptOver::AtTheClose && closed;
         self.stage == Stage::Decode && self.ended.is_none() && !noticed
     }
 }
 
-/// A stream of which nothing has come through for so long has stalled.
+/// A stream counts as stalled when none of its written events has reached the process for this long.
 const STALLED_FOR: Ms = 3_000.0;
-/// An engine that notices within this time that an attempt was closed has done so with the close.
-const NOTICED_SOON: Ms = 100.0;
+/// An engine that notices a close within this time counts as noticing it at once.
+const NOTICED_AT_ONCE: Ms = 100.0;
--- a/crates/soak/src/audit/attempts.rs
+++ b/crates/soak/src/audit/attempts.rs
@@ -1,10 +1,10 @@
-//! Attempts as they come to engines, and the events that they bring: drains, slow starts, clients that have gone, repeats, deadlines
-//! told, events in time.
+//! Checks on attempts as they arrive at engines (drains, slow starts, disconnected clients, repeats, stated deadlines)
+//! and on the events of their streams.
 
 use super::*;
 
 impl Audit {
-    /// An engine has got the last byte of an attempt.
+    /// Records that an engine has received the last byte of an attempt, and checks the attempt.
     pub fn attempt_begins(&mut self, new: NewAttempt) -> AttemptId {
         let id = AttemptId(self.attempts.len());
         let NewAttempt {
@@ -13,26 +13,26 @@
             stage,
             sent,
             begun,
-            told_left,
-            passage,
+            stated_remaining,
+            trace,
         } = new;
         self.check_drain(&name, &engine, sent.0);
         self.check_slow_start(&engine, begun);
         if let Some(request) = self.requests.get(&name).cloned() {
             self.check_client(&name, &request, begun);
             self.check_repeat(&name, &request, stage, begun);
-            if let Some(told) = told_left {
+            if let Some(stated) = stated_remaining {
                 let left = request.deadline - sent.1;
-                let most = left + self.rules.deadline_slack + self.rules.any_time;
-                let broken =
-                    (told > most).then(|| format!("{name}: {told:.0} ms told, {left:.0} left"));
+                let most = left + self.rules.deadline_slack + self.rules.timer_slack;
+                let broken = (stated > most)
+                    .then(|| format!("{name}: deadline of {stated:.0} ms sent, {left:.0} ms left"));
                 self.check(begun, Invariant::DeadlineTold, broken);
             }
         }
         if let Some(request) = self.requests.get_mut(&name) {
             request.attempts.push(id);
         }
-        let (ended, events, complete, cut) = (None, Vec::new(), false, None);
+        let (ended, events, complete, reset) = (None, Vec::new(), false, None);
         self.attempts.push(Attempt {
             engine,
             stage,
@@ -40,8 +40,8 @@
             ended,
             events,
             complete,
-            cut,
-            passage,
+            reset,
+            trace,
         });
         id
     }
@@ -50,17 +50,20 @@
         let Some(process) = self
             .requests
             .get(request)
-            .map(|request| request.life.process)
+            .map(|request| request.run.process)
         else {
             return;
         };
         let told = self.engines.get(engine).filter(|e| e.out_of_service);
-        let told = told.and_then(|e| e.told_out.get(&process).copied());
+        let told = told.and_then(|e| e.notified_out.get(&process).copied());
         let late = told
             .map(|told| first_byte - told)
-            .filter(|late| *late > self.rules.drain_grace + self.rules.any_time);
-        let what =
-            |late| format!("{request} to {engine} {late:.0} ms after process {process} was told");
+            .filter(|late| *late > self.rules.drain_grace + self.rules.timer_slack);
+        let what = |late| {
+            format!(
+                "{request} was sent to {engine} {late:.0} ms after process {process} was notified"
+            )
+        };
         self.check(first_byte, Invariant::DrainKept, late.map(what));
     }
 
@@ -70,7 +73,7 @@
             return;
         };
         record.begun.push(begun);
-        let Some(started) = record.started.filter(|at| begun < at + rules.cold_for) else {
+        let Some(started) = record.started.filter(|at| begun < at + rules.cold_time) else {
             return;
         };
         let from = (begun - rules.slow_start_window).max(started);
@@ -81,23 +84,25 @@
             .take_while(|at| **at > from)
             .count() as f64;
         let budget = rules.slow_start_budget;
-        let chance = if budget < 30.0 {
+        // Two to three standard deviations above the mean of random arrivals.
+        let chance_allowance = if budget < 30.0 {
             3.0 * budget.sqrt() + 3.0
         } else {
             2.0 * budget.sqrt() + 2.0
         };
-        let over = got > budget + chance && !record.overloaded;
-        record.overloaded |= over;
+        let over = got > budget + chance_allowance && !record.overload_reported;
+        record.overload_reported |= over;
         let what =
-            || format!("{engine} got {got:.0} attempts in a window, {budget:.1} being its budget");
+            || format!("{engine} got {got:.0} attempts in a window with a budget of {budget:.1}");
         self.check(begun, Invariant::SlowStart, over.then(what));
     }
 
-    /// 'When a process dies, its connections are reset': what it had sent by then concerns it no more.
+    /// Whether the process of a request was killed before `begun`. 'When a process dies, its connections are reset': it
+    /// does not answer for attempts that it had sent by then.
     pub(super) fn was_killed(&self, request: &Request, begun: Ms) -> bool {
-        match self.ended.get(&request.life) {
-            Some((at, LifeEnd::Killed | LifeEnd::KilledInStop)) => *at <= begun,
-            Some((_, LifeEnd::Ended)) | None => false,
+        match self.ended.get(&request.run) {
+            Some((at, RunEnd::Killed | RunEnd::KilledInStop)) => *at <= begun,
+            Some((_, RunEnd::Ended)) | None => false,
         }
     }
 
@@ -105,31 +110,33 @@
         if self.was_killed(request, begun) {
             return;
         }
-        let late = request.gone.map(|gone| begun - gone);
-        let late = late.filter(|late| *late > self.rules.gone_grace + self.rules.deadline_extra());
-        let what =
-            |late| format!("an attempt of {name} began {late:.0} ms after its client had gone");
+        let late = request.disconnected.map(|at| begun - at);
+        let late = late
+            .filter(|late| *late > self.rules.disconnect_grace + self.rules.deadline_allowance());
+        let what = |late| {
+            format!("an attempt of {name} began {late:.0} ms after its client had disconnected")
+        };
         self.check(begun, Invariant::ClientThere, late.map(what));
     }
 
     pub(super) fn check_repeat(&mut self, name: &str, request: &Request, stage: Stage, begun: Ms) {
-        let open = |id: &&AttemptId| {
-            let over = self.attempts[id.0].over_at();
-            over.is_none_or(|at| begun < at - self.rules.any_time)
+        let is_running = |id: &&AttemptId| {
+            let ended = self.attempts[id.0].ended_at();
+            ended.is_none_or(|at| begun < at - self.rules.timer_slack)
         };
-        let two = request.attempts.iter().any(|id| open(&id));
+        let is_concurrent = request.attempts.iter().any(|id| is_running(&id));
         let first = self
             .decodes(request)
             .find(|attempt| Self::may_have_run(attempt))
             .map(|a| a.begun);
-        let late = self.rules.deadline_extra();
+        let late = self.rules.deadline_allowance();
         let broken = match (request.effect, first) {
-            (_, _) if two => Some("while another was out"),
-            (Effect::AtMostOnce, Some(_)) => Some("though an earlier one may have run"),
+            (_, _) if is_concurrent => Some("while another one ran"),
+            (Effect::AtMostOnce, Some(_)) => Some("although an earlier one may have run"),
             (Effect::Keyed { window }, Some(first))
                 if stage == Stage::Decode && begun > first + f64::from(window) + late =>
             {
-                Some("after the window in which its key is known")
+                Some("after the deduplication window of its key")
             }
             _ => None,
         };
@@ -137,45 +144,46 @@
         self.check(begun, Invariant::RunOnce, broken);
     }
 
+    /// Records the end of an attempt at its engine; only the first one counts.
     pub fn attempt_ends(&mut self, id: AttemptId, end: AttemptEnd, now: Ms) {
         self.attempts[id.0].ended.get_or_insert((now, end));
     }
 
-    /// An engine writes the next event of an attempt's stream; gives its number.
+    /// Records that an engine writes the next event of a stream; returns the event's number, counted from 0.
     pub fn event_written(&mut self, id: AttemptId, now: Ms) -> usize {
         let events = &mut self.attempts[id.0].events;
         events.push(now);
         events.len() - 1
     }
 
-    /// The engine has written the last chunk of its stream.
+    /// Records that an engine writes the last chunk of a stream.
     pub fn stream_complete(&mut self, id: AttemptId) {
         self.attempts[id.0].complete = true;
     }
 
-    /// An event of the stream with this attempt's number has come to the client.
-    pub fn event_came(&mut self, request: &str, number: usize, now: Ms) {
+    /// Records that the event with this number has reached the client, and checks its order and delay.
+    pub fn event_received(&mut self, request: &str, number: usize, now: Ms) {
         let Some(record) = self.requests.get_mut(request) else {
             return;
         };
-        let expected = record.events_came;
-        record.events_came += 1;
+        let expected = record.events_received;
+        record.events_received += 1;
         let record = record.clone();
-        let passed_on = |attempt: &Attempt| attempt.passed_on(*attempt.events.get(number)?);
-        let passed = self
+        let forwarded_at = |attempt: &Attempt| attempt.forwarded_at(*attempt.events.get(number)?);
+        let forwarded = self
             .decodes(&record)
-            .filter_map(passed_on)
+            .filter_map(forwarded_at)
             .last()
             .unwrap_or(now);
-        let most = self.rules.event_delay + self.rules.deadline_extra();
+        let most = self.rules.event_delay + self.rules.deadline_allowance();
         let broken = if number != expected {
             Some(format!(
-                "event {number} of {request} came where {expected} was due"
+                "event {number} of {request} arrived where {expected} was expected"
             ))
-        } else if now - passed > most {
+        } else if now - forwarded > most {
             Some(format!(
-                "event {number} of {request} came {:.0} ms late",
-                now - passed
+                "event {number} of {request} arrived {:.0} ms after it reached the process",
+                now - forwarded
             ))
         } else {
             None
--- a/crates/soak/src/audit/platform.rs
+++ b/crates/soak/src/audit/platform.rs
@@ -1,9 +1,9 @@
-//! What discovery says of engines, and how processes and bad clients fare.
+//! Observations of discovery, of the processes' starts and ends, and of stalled clients.
 
 use super::*;
 
 impl Audit {
-    /// Discovery has an engine in service, of a process that started just now, or long ago.
+    /// Records that discovery lists an engine as in service. `started` is when its process started, `None` if long ago.
     pub fn engine_in_service(&mut self, engine: &str, started: Option<Ms>) {
         let record = EngineRecord {
             started,
@@ -12,73 +12,76 @@
         self.engines.insert(engine.to_owned(), record);
     }
 
-    /// Discovery has an engine that drains or is gone.
+    /// Records that discovery lists an engine as draining or removed.
     pub fn engine_out_of_service(&mut self, engine: &str) {
         if let Some(record) = self.engines.get_mut(engine) {
             record.out_of_service = true;
         }
     }
 
-    /// From this instant on a process counts as told that an engine is out of service, unless it was before.
-    pub fn told_out(&mut self, engine: &str, process: usize, at: Ms) {
+    /// Records that a process counts as notified from `at` on that an engine is out of service. The earliest time
+    /// counts.
+    pub fn notified_out(&mut self, engine: &str, process: usize, at: Ms) {
         if let Some(record) = self.engines.get_mut(engine) {
-            let told = record.told_out.entry(process).or_insert(at);
-            *told = told.min(at);
+            let notified = record.notified_out.entry(process).or_insert(at);
+            *notified = notified.min(at);
         }
     }
 
-    /// A process starts: what it counts as told of begins anew.
+    /// Records the start of a process, which knows nothing yet of engines out of service.
     pub fn process_starts(&mut self, process: usize) {
         for record in self.engines.values_mut() {
-            record.told_out.remove(&process);
+            record.notified_out.remove(&process);
         }
     }
 
-    /// A process that was started is ready after this long.
+    /// Records that a process became ready this long after its start.
     pub fn process_ready(&mut self, after: Ms) {
-        self.met(Invariant::ProcessUp);
+        self.count_case(Invariant::ProcessUp);
         self.starts.push(after);
     }
 
-    /// A process was told to end.
-    pub fn process_stops(&mut self, life: Life, now: Ms) {
-        self.stopping.insert(life, now);
+    /// Records that a run was told to stop.
+    pub fn process_stops(&mut self, run: ProcessRun, now: Ms) {
+        self.stopping.insert(run, now);
     }
 
-    /// Whether a process was told to end before an instant.
-    pub fn stopped_before(&self, life: Life, instant: Ms) -> bool {
-        self.stopping.get(&life).is_some_and(|at| *at < instant)
+    /// Whether a run was told to stop before `instant`.
+    pub fn stopped_before(&self, run: ProcessRun, instant: Ms) -> bool {
+        self.stopping.get(&run).is_some_and(|at| *at < instant)
     }
 
-    /// A process is about to be killed.
-    pub fn process_killed(&mut self, life: Life, now: Ms) {
-        self.ended.insert(life, (now, LifeEnd::Killed));
+    /// Records that a run is about to be killed.
+    pub fn process_killed(&mut self, run: ProcessRun, now: Ms) {
+        self.ended.insert(run, (now, RunEnd::Killed));
     }
 
-    /// A process that was told to end is about to be killed, as its time is up.
-    pub fn process_killed_in_stop(&mut self, life: Life, now: Ms) {
-        self.ended.insert(life, (now, LifeEnd::KilledInStop));
+    /// Records that a run is about to be killed because its stop exceeds the time limit.
+    pub fn process_killed_in_stop(&mut self, run: ProcessRun, now: Ms) {
+        self.ended.insert(run, (now, RunEnd::KilledInStop));
     }
 
-    /// A process has ended by itself; `well`: as it was told to.
-    pub fn process_ended(&mut self, life: Life, well: bool, how: &str, now: Ms) {
-        self.ended.entry(life).or_insert((now, LifeEnd::Ended));
-        let broken = (!well).then(|| format!("process {} ended: {how}", life.process));
+    /// Records the end of a run. `well`: the run ended as it was told to; otherwise `how` describes the violation.
+    pub fn process_ended(&mut self, run: ProcessRun, well: bool, how: &str, now: Ms) {
+        self.ended.entry(run).or_insert((now, RunEnd::Ended));
+        let broken = (!well).then(|| format!("process {} ended: {how}", run.process));
         self.check(now, Invariant::ProcessUp, broken);
     }
 
-    /// A process never became ready, or something else is wrong with it.
-    pub fn process_is_wrong(&mut self, what: String, now: Ms) {
+    /// Records a process that could not be started or never became ready.
+    pub fn process_failed(&mut self, what: String, now: Ms) {
         self.violated(now, Invariant::ProcessUp, what);
     }
 
-    /// A client that stopped within its request got an end after this long; none if it never came.
-    pub fn bad_client_ended(&mut self, after: Option<Ms>, now: Ms) {
-        let most = self.rules.bad_client + self.rules.any_time;
+    /// Records when a client that stalled within its request got an error or a close; `None` if it got neither.
+    pub fn stalled_client_ended(&mut self, after: Option<Ms>, now: Ms) {
+        let most = self.rules.stalled_client_limit + self.rules.timer_slack;
         let broken = match after {
             Some(after) if after <= most => None,
-            Some(after) => Some(format!("half a request was ended after {after:.0} ms")),
-            None => Some("half a request was never ended".to_owned()),
+            Some(after) => Some(format!(
+                "an incomplete request was ended after {after:.0} ms"
+            )),
+            None => Some("an incomplete request was never ended".to_owned()),
         };
         self.check(now, Invariant::BadClientEnded, broken);
     }
--- a/crates/soak/src/audit/states.rs
+++ b/crates/soak/src/audit/states.rs
@@ -1,23 +1,23 @@
-//! KV states: held, taken, released, or left lying.
+//! Checks on KV states: held, fetched, released, or held for too long.
 
 use super::*;
 
 impl Audit {
-    /// An engine holds the KV state of a request.
+    /// Records that an engine holds the KV state of a request.
     pub fn state_held(&mut self, request: &str, engine: &str, now: Ms) {
         if let Some(request) = self.requests.get_mut(request) {
             request.held_at = Some((engine.to_owned(), now));
         }
     }
 
-    /// A release of a request has come to an engine that runs.
-    pub fn release_came(&mut self, request: &str) {
+    /// Records that a release of a request has reached an engine that serves releases.
+    pub fn release_received(&mut self, request: &str) {
         let over = self.readings.over;
         let waits = |request: &Request| {
             request
                 .attempts
                 .iter()
-                .any(|id| self.attempts[id.0].waits(over))
+                .any(|id| self.attempts[id.0].needs_state(over))
         };
         let is_awaited = self.readings.release == ReleaseScope::WhatNoAttemptWaitsFor
             && self.requests.get(request).is_some_and(waits);
@@ -26,49 +26,50 @@
         }
     }
 
-    /// A decode engine takes the state; tells whether there was one.
+    /// Records that a decode engine fetches the KV state; returns whether the state was held.
     pub fn state_taken(&mut self, request: &str) -> bool {
         self.requests
             .get_mut(request)
             .is_some_and(|request| request.held_at.take().is_some())
     }
 
-    /// All connections to an engine are about to be reset: what is out there breaks, and what it wrote may be lost if it
-    /// has not got through, or only just now.
-    pub fn engine_cut(&mut self, engine: &str, now: Ms) {
+    /// Records that all connections to an engine are about to be reset. Running attempts fail, and data that the engine
+    /// wrote may be lost if it has not been forwarded, or has been forwarded only just now.
+    pub fn engine_connections_reset(&mut self, engine: &str, now: Ms) {
         for attempt in self
             .attempts
             .iter_mut()
             .filter(|attempt| attempt.engine == engine)
         {
             match attempt.ended {
-                None => (attempt.ended, attempt.cut) = (Some((now, AttemptEnd::Failed)), Some(now)),
-                Some((at, AttemptEnd::Served | AttemptEnd::TurnedAway))
-                    if attempt.is_on_its_way(at, now) =>
+                None => {
+                    (attempt.ended, attempt.reset) = (Some((now, AttemptEnd::Failed)), Some(now))
+                }
+                Some((at, AttemptEnd::Served | AttemptEnd::Rejected))
+                    if attempt.may_be_unread(at, now) =>
                 {
-                    attempt.cut = Some(now);
+                    attempt.reset = Some(now);
                 }
                 Some(_) => {}
             }
         }
     }
 
-    /// An engine's process is gone, and with it what it held.
+    /// Records that an engine's process is gone, with all KV states that it held.
     pub fn engine_gone(&mut self, engine: &str) {
         for request in self.requests.values_mut().filter(|r| r.is_held_at(engine)) {
             request.held_at = None;
         }
     }
 
-    /// Looks at what should have happened by now. To be called often.
-    pub fn look(&mut self, now: Ms) {
-        let most = self.rules.release + self.rules.any_time;
+    /// Checks for KV states that should have been released by now. Call it often: it detects an overdue state only
+    /// while the state is held.
+    pub fn check_held_states(&mut self, now: Ms) {
+        let most = self.rules.release + self.rules.timer_slack;
         let held: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, r)| {
-                r.held_at.is_some() && !r.reported && !self.ended.contains_key(&r.life)
-            })
+            .filter(|(_, r)| r.held_at.is_some() && !r.reported && !self.ended.contains_key(&r.run))
             .filter(|(_, r)| self.idle_since(r).is_some_and(|since| now - since > most))
             .map(|(id, _)| id.clone())
             .collect();
@@ -81,21 +82,22 @@
                 request.held_at.clone().unwrap_or_default().0,
                 request.clone(),
             );
-            let story = self.story(&request);
-            let what = format!("the state of {id} lies at {engine} for over {most:.0} ms; {story}");
+            let description = self.describe(&request);
+            let what = format!("the KV state of {id} has been held at {engine} for over {most:.0} ms; {description}");
             self.violated(now, Invariant::StateReleased, what);
         }
     }
 
-    /// Since when the time of a request's state runs: no attempt of it is out, and its engine holds it, which it may do later
-    /// where it hung while the prefill was closed ('a read may have ended well just as its connection was closed').
+    /// Since when the KV state of a request is held without use; `None` while an attempt needs it or no engine holds
+    /// it. An engine that hung while the prefill's connection was closed may hold the state only after the prefill's
+    /// end ('a read may have ended well just as its connection was closed').
     pub(super) fn idle_since(&self, request: &Request) -> Option<Ms> {
         let held_since = request.held_at.as_ref().map(|(_, since)| *since)?;
         let over = self.readings.over;
         let ends = request
             .attempts
             .iter()
-            .map(|id| self.attempts[id.0].stops_waiting_at(over));
+            .map(|id| self.attempts[id.0].state_unneeded_from(over));
         let over_since = ends
             .collect::<Option<Vec<Ms>>>()?
             .into_iter()
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,8 +1,9 @@
-//! Clients of one process: they ask, read their answers, leave early, write slowly, or stop in the middle of a request.
+//! The stand-ins of the clients of one process. Clients send requests and read answers; some disconnect early, write
+//! slowly, pipeline requests, or stall in the middle of a request.
 
-use crate::audit::{Answer, Audit, Life};
+use crate::audit::{Answer, Audit, ProcessRun};
 use crate::plan::Class;
-use crate::service::{draw_part, sleep, Clock};
+use crate::service::{draw_percentage, sleep, Clock};
 use crate::Ms;
 use bytes::BytesMut;
 use cindercleat_http1::framing::{Came, Reading};
@@ -14,72 +15,86 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const MOST_CHUNK: usize = 1 << 20;
-const TURN: usize = 8 << 10;
-/// Connections that rest for the next request.
-const MOST_RESTING: usize = 4;
-/// Of a hundred clients, how many leave early, how (by a reset in place of a close), and how many stop in the middle of
-/// their request, write slowly, or send two requests at once.
-const LEAVE: u32 = 10;
-const STOP_WITHIN: u32 = 3;
-const SLOW: u32 = 10;
-const PIPELINE: u32 = 5;
-/// After so long, at the latest, whoever stopped in the middle of a request goes.
-const BAD_CLIENT_STAYS: Ms = 8_000.0;
-/// A client waits for an answer this much longer than its deadline.
-const WAITS_ON: Ms = 2_000.0;
+/// The largest chunk of an answer that a client accepts.
+const MAX_CHUNK_BYTES: usize = 1 << 20;
+/// The buffer space that a read gets at least.
+const READ_BYTES: usize = 8 << 10;
+/// Idle connections that are kept for further requests.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+/// The percentage of clients that disconnect early, half of them by a reset and half by a close.
+const DISCONNECT_PERCENT: u32 = 10;
+/// The percentage of clients that stall in the middle of their request.
+const STALL_PERCENT: u32 = 3;
+/// The percentage of clients that write their request slowly.
+const SLOW_PERCENT: u32 = 10;
+/// The percentage of clients that send two requests at once on one connection.
+const PIPELINE_PERCENT: u32 = 5;
+/// How long a client that stalls in its request waits for an error or a close.
+const STALLED_CLIENT_WAIT: Ms = 8_000.0;
+/// How long after its deadline a client still waits for an answer.
+const WAIT_AFTER_DEADLINE: Ms = 2_000.0;
 
-/// For how long a client waits for the next event of its stream: it is left waiting for 5 s at the most.
-const STREAM_WAITS: Ms = 6_000.0;
-/// An idle client that was closed comes back after this.
-const IDLE_COMES_BACK: Ms = 500.0;
+/// How long a client waits for the next event of its stream. The program may leave it waiting for 5 s at most.
+const EVENT_WAIT: Ms = 6_000.0;
+/// How long an idle client waits after the end of its connection before it connects again.
+const IDLE_RECONNECT: Ms = 500.0;
 
-/// What a client is like.
+/// How a client behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Manner {
+enum Behaviour {
     Plain,
-    Leaves { after: Ms, resets: bool },
-    StopsWithin,
+    /// Disconnects this long after its request is sent, by a reset or by a close.
+    Disconnects {
+        after: Ms,
+        resets: bool,
+    },
+    /// Sends a part of a request and then nothing more.
+    Stalls,
+    /// Writes its request in pieces with pauses between.
     Slow,
+    /// Sends two requests at once.
     Pipelines,
 }
 
-/// A connection to a process, with what has come and was not looked at.
-struct Line {
+/// A connection to a process, with the bytes that have been read and not parsed.
+struct Connection {
     io: TcpStream,
     bytes: BytesMut,
+    /// Whether the connection has carried a request before.
     used: bool,
 }
 
-/// How a request on a connection went.
-struct Went {
+/// The outcome of a request on a connection.
+struct Exchange {
     answer: Answer,
     /// Whether another request may follow on the connection.
-    keeps: bool,
+    keeps_alive: bool,
 }
 
-/// The clients of one run of a process; clones are the same ones.
+/// The clients of one run of a process. Clones share one pool of idle connections and one random generator.
 #[derive(Clone)]
 pub struct Clients {
-    pub life: Life,
+    pub run: ProcessRun,
     address: SocketAddr,
     clock: Clock,
     audit: Rc<RefCell<Audit>>,
     rng: Rc<RefCell<WyRand>>,
     classes: [Class; 3],
-    resting: Rc<RefCell<Vec<Line>>>,
+    idle: Rc<RefCell<Vec<Connection>>>,
 }
 
-/// A request that is about to be sent.
-struct Asked {
+/// A request to be sent.
+struct NewRequest {
     id: String,
     class: Class,
-    left: u32,
+    /// Milliseconds to the deadline.
+    time_to_deadline: u32,
 }
 
 impl Clients {
+    /// Creates the clients of a run that listens on `address`; all draws derive from `seed`.
     pub fn new(
-        life: Life,
+        run: ProcessRun,
         address: SocketAddr,
         clock: Clock,
         audit: Rc<RefCell<Audit>>,
@@ -88,292 +103,327 @@
     ) -> Clients {
         let rng = Rc::new(RefCell::new(WyRand::new_seed(seed)));
         Clients {
-            life,
+            run,
             address,
             clock,
             audit,
             rng,
             classes,
-            resting: Rc::default(),
+            idle: Rc::default(),
         }
     }
 
-    fn draw_manner(&self) -> Manner {
+    fn draw_behaviour(&self) -> Behaviour {
         let mut rng = self.rng.borrow_mut();
-        match draw_part(&mut rng, [LEAVE, STOP_WITHIN, SLOW, PIPELINE]) {
+        match draw_percentage(
+            &mut rng,
+            [
+                DISCONNECT_PERCENT,
+                STALL_PERCENT,
+                SLOW_PERCENT,
+                PIPELINE_PERCENT,
+            ],
+        ) {
             Some(0) => {
                 let (after, resets) = (
                     rng.generate::<f64>() * 150.0,
                     rng.generate_range(0..2u32) == 0,
                 );
-                Manner::Leaves { after, resets }
+                Behaviour::Disconnects { after, resets }
             }
-            Some(1) => Manner::StopsWithin,
-            Some(2) => Manner::Slow,
-            Some(3) => Manner::Pipelines,
-            _ => Manner::Plain,
+            Some(1) => Behaviour::Stalls,
+            Some(2) => Behaviour::Slow,
+            Some(3) => Behaviour::Pipelines,
+            _ => Behaviour::Plain,
         }
     }
 
-    fn draw_request(&self) -> Asked {
+    fn draw_request(&self) -> NewRequest {
         let mut rng = self.rng.borrow_mut();
         let class = self.classes[rng.generate_range(0..self.classes.len())];
         let id = format!("{:016x}", rng.generate::<u64>());
-        // Some are told to wait for little.
-        let left = if rng.generate_range(0..20u32) == 0 {
+        // One request in twenty has a short deadline.
+        let time_to_deadline = if rng.generate_range(0..20u32) == 0 {
             rng.generate_range(30..300u32)
         } else {
             class.deadline
         };
-        Asked { id, class, left }
+        NewRequest {
+            id,
+            class,
+            time_to_deadline,
+        }
     }
 
-    /// One client asks.
-    pub async fn ask(self) {
-        match self.draw_manner() {
-            Manner::StopsWithin => self.stop_within_a_request().await,
-            Manner::Pipelines => self.pipeline().await,
-            manner => {
-                let asked = self.draw_request();
-                self.request(&asked, manner).await;
+    /// Lets one client with a random behaviour send its request.
+    pub async fn send_request(self) {
+        match self.draw_behaviour() {
+            Behaviour::Stalls => self.stall_within_request().await,
+            Behaviour::Pipelines => self.pipeline().await,
+            behaviour => {
+                let request = self.draw_request();
+                self.request(&request, behaviour).await;
             }
         }
     }
 
-    /// One client asks on a connection that is open, if one rests: none comes anew.
-    pub async fn ask_on_resting(self) {
-        let Some(line) = self.resting.borrow_mut().pop() else {
+    /// Lets one client send a request on an idle connection; does nothing if there is none.
+    pub async fn send_on_idle_connection(self) {
+        let Some(connection) = self.idle.borrow_mut().pop() else {
             return;
         };
-        let asked = self.draw_request();
-        self.try_on(line, &asked, Manner::Plain).await;
+        let request = self.draw_request();
+        self.send_on(connection, &request, Behaviour::Plain).await;
     }
 
-    /// A client that stays connected, asks nothing, and comes back when it is closed, until `over`.
-    pub async fn stay_idle(self, over: impl Fn() -> bool) {
-        while !over() {
-            if let Ok(mut line) = self.connect().await {
-                // Whatever ends it: it comes back.
-                let _ = line.io.read_buf(&mut line.bytes).await;
+    /// Lets one client stay connected without a request and reconnect when its connection ends, until `is_over`.
+    pub async fn stay_idle(self, is_over: impl Fn() -> bool) {
+        while !is_over() {
+            if let Ok(mut connection) = self.connect().await {
+                // The client reconnects whatever ended the connection.
+                let _ = connection.io.read_buf(&mut connection.bytes).await;
             }
-            sleep(IDLE_COMES_BACK).await;
+            sleep(IDLE_RECONNECT).await;
         }
     }
 
-    /// Sends a request and sees it through. If a connection that rested ends with no answer, and nothing shows that the
-    /// request was read, it goes out once more on a new one.
-    async fn request(&self, asked: &Asked, manner: Manner) {
-        let resting = self.resting.borrow_mut().pop();
-        if let Some(line) = resting {
-            if self.try_on(line, asked, manner).await {
+    /// Sends a request and reads its answer. If an idle connection ends without an answer, and nothing shows that the
+    /// request was read, the request is sent once more on a new connection.
+    async fn request(&self, request: &NewRequest, behaviour: Behaviour) {
+        let idle = self.idle.borrow_mut().pop();
+        if let Some(connection) = idle {
+            if self.send_on(connection, request, behaviour).await {
                 return;
             }
         }
-        let Ok(line) = self.connect().await else {
+        let Ok(connection) = self.connect().await else {
             return;
         };
-        self.try_on(line, asked, manner).await;
+        self.send_on(connection, request, behaviour).await;
     }
 
-    async fn connect(&self) -> io::Result<Line> {
+    async fn connect(&self) -> io::Result<Connection> {
         let io = TcpStream::connect(self.address).await?;
         io.set_nodelay(true)?;
-        Ok(Line {
+        Ok(Connection {
             io,
             bytes: BytesMut::new(),
             used: false,
         })
     }
 
-    /// Tells whether that settled it.
-    async fn try_on(&self, mut line: Line, asked: &Asked, manner: Manner) -> bool {
-        let text = text_of(asked);
-        if write(&mut line, &text, manner == Manner::Slow)
+    /// Sends a request on a connection and reads its answer. Returns `false` if the request has to be sent again on
+    /// another connection.
+    async fn send_on(
+        &self,
+        mut connection: Connection,
+        request: &NewRequest,
+        behaviour: Behaviour,
+    ) -> bool {
+        let text = text_of(request);
+        if write(&mut connection, &text, behaviour == Behaviour::Slow)
             .await
             .is_err()
         {
-            // Not all of it went out, so it was not taken.
-            return !line.used;
+            // The request is incomplete, so the process has not accepted it.
+            return !connection.used;
         }
         let now = self.clock.now();
         self.audit.borrow_mut().request_sent(
-            &asked.id,
-            self.life,
-            asked.class.effect,
+            &request.id,
+            self.run,
+            request.class.effect,
             now,
-            f64::from(asked.left),
+            f64::from(request.time_to_deadline),
         );
-        let leaves = match manner {
-            Manner::Leaves { after, .. } => after,
-            _ => f64::from(asked.left) + WAITS_ON,
+        let stays = match behaviour {
+            Behaviour::Disconnects { after, .. } => after,
+            _ => f64::from(request.time_to_deadline) + WAIT_AFTER_DEADLINE,
         };
-        let leaves_at = Cell::new(now + leaves);
-        let stays_on = !matches!(manner, Manner::Leaves { .. });
-        let went = tokio::select! { biased;
-            went = self.read(&mut line, &asked.id, stays_on.then_some(&leaves_at)) => went,
-            () = self.until(&leaves_at) => return self.leave(line, asked, manner),
+        let disconnects_at = Cell::new(now + stays);
+        let waits_for_answer = !matches!(behaviour, Behaviour::Disconnects { .. });
+        let exchange = tokio::select! { biased;
+            exchange = self.read(&mut connection, &request.id, waits_for_answer.then_some(&disconnects_at)) => exchange,
+            () = self.sleep_until(&disconnects_at) => return self.disconnect(connection, request, behaviour),
         };
-        let crossed = went.answer == Answer::Nothing
-            && line.used
-            && !self.audit.borrow().was_attempted(&asked.id);
-        if crossed {
-            self.audit.borrow_mut().request_crossed(&asked.id);
+        let is_unread = exchange.answer == Answer::None
+            && connection.used
+            && !self.audit.borrow().was_attempted(&request.id);
+        if is_unread {
+            self.audit.borrow_mut().request_unread(&request.id);
             return false;
         }
         self.audit
             .borrow_mut()
-            .answered(&asked.id, went.answer, self.clock.now());
-        if went.keeps && self.resting.borrow().len() < MOST_RESTING {
-            line.used = true;
-            self.resting.borrow_mut().push(line);
+            .answered(&request.id, exchange.answer, self.clock.now());
+        if exchange.keeps_alive && self.idle.borrow().len() < MAX_IDLE_CONNECTIONS {
+            connection.used = true;
+            self.idle.borrow_mut().push(connection);
         }
         true
     }
 
-    /// Waits until an instant that may be put off meanwhile.
-    async fn until(&self, at: &Cell<Ms>) {
+    /// Waits until a time that may be postponed meanwhile.
+    async fn sleep_until(&self, at: &Cell<Ms>) {
         while self.clock.now() < at.get() {
             sleep(at.get() - self.clock.now()).await;
         }
     }
 
-    /// A client that has had enough; one that waited past its deadline leaves nothing excused.
-    fn leave(&self, line: Line, asked: &Asked, manner: Manner) -> bool {
-        if let Manner::Leaves { resets, .. } = manner {
+    /// Disconnects a client. Only a client that disconnects by its behaviour is recorded as disconnected: one that has
+    /// waited past its deadline is still owed an answer.
+    fn disconnect(
+        &self,
+        connection: Connection,
+        request: &NewRequest,
+        behaviour: Behaviour,
+    ) -> bool {
+        if let Behaviour::Disconnects { resets, .. } = behaviour {
             self.audit
                 .borrow_mut()
-                .client_gone(&asked.id, self.clock.now());
+                .client_disconnected(&request.id, self.clock.now());
             if resets {
-                // A connection that is gone already needs none.
-                let _ = line.io.set_zero_linger();
+                // An error means that the connection has ended already.
+                let _ = connection.io.set_zero_linger();
             }
         }
         true
     }
 
-    /// Two requests at once on one connection.
+    /// Sends two requests at once on one connection.
     async fn pipeline(&self) {
-        let Ok(mut line) = self.connect().await else {
+        let Ok(mut connection) = self.connect().await else {
             return;
         };
-        let both = [self.draw_request(), self.draw_request()];
-        let text = both.iter().map(text_of).collect::<String>();
-        if write(&mut line, &text, false).await.is_err() {
+        let requests = [self.draw_request(), self.draw_request()];
+        let text = requests.iter().map(text_of).collect::<String>();
+        if write(&mut connection, &text, false).await.is_err() {
             return;
         }
         let now = self.clock.now();
-        for asked in &both {
-            let effect = asked.class.effect;
+        for request in &requests {
+            let effect = request.class.effect;
             self.audit.borrow_mut().request_sent(
-                &asked.id,
-                self.life,
+                &request.id,
+                self.run,
                 effect,
                 now,
-                f64::from(asked.left),
+                f64::from(request.time_to_deadline),
             );
         }
-        for asked in &both {
-            let went = self.read(&mut line, &asked.id, None).await;
+        for request in &requests {
+            let exchange = self.read(&mut connection, &request.id, None).await;
             self.audit
                 .borrow_mut()
-                .answered(&asked.id, went.answer, self.clock.now());
+                .answered(&request.id, exchange.answer, self.clock.now());
             self.audit
                 .borrow_mut()
-                .waited_behind_another(&both[1].id, self.clock.now());
-            if !went.keeps {
-                // The connection ends with that answer, and the client with it.
+                .previous_answered(&requests[1].id, self.clock.now());
+            if !exchange.keeps_alive {
+                // The connection ends with this answer, so the second request is given up.
                 self.audit
                     .borrow_mut()
-                    .client_gone(&both[1].id, self.clock.now());
+                    .client_disconnected(&requests[1].id, self.clock.now());
                 return;
             }
         }
     }
 
-    /// Half of a request, and nothing more.
-    async fn stop_within_a_request(&self) {
-        let Ok(mut line) = self.connect().await else {
+    /// Sends the first part of a request and nothing more, and reports how long the process takes to end it.
+    async fn stall_within_request(&self) {
+        let Ok(mut connection) = self.connect().await else {
             return;
         };
         let text = text_of(&self.draw_request());
-        let cut = self.rng.borrow_mut().generate_range(1..text.len());
-        let waits = self.rng.borrow_mut().generate::<f64>() * 1_500.0;
+        let sent_bytes = self.rng.borrow_mut().generate_range(1..text.len());
+        let pause = self.rng.borrow_mut().generate::<f64>() * 1_500.0;
         let began = self.clock.now();
-        sleep(waits).await;
-        if line.io.write_all(&text.as_bytes()[..cut]).await.is_err() {
+        sleep(pause).await;
+        if connection
+            .io
+            .write_all(&text.as_bytes()[..sent_bytes])
+            .await
+            .is_err()
+        {
             return;
         }
         let ended = tokio::select! { biased;
-            _ = line.io.read_buf(&mut line.bytes) => true,
-            () = sleep(BAD_CLIENT_STAYS) => false,
+            _ = connection.io.read_buf(&mut connection.bytes) => true,
+            () = sleep(STALLED_CLIENT_WAIT) => false,
         };
         let now = self.clock.now();
         self.audit
             .borrow_mut()
-            .bad_client_ended(ended.then_some(now - began), now);
+            .stalled_client_ended(ended.then_some(now - began), now);
     }
 
-    /// Reads an answer to its end; each event puts off when its client leaves, if that may be put off.
-    async fn read(&self, line: &mut Line, id: &str, leaves_at: Option<&Cell<Ms>>) -> Went {
-        let mut reading = Reading::new(MOST_CHUNK);
+    /// Reads an answer to its end. Each event postpones the client's disconnect, unless `disconnects_at` is `None`.
+    async fn read(
+        &self,
+        connection: &mut Connection,
+        id: &str,
+        disconnects_at: Option<&Cell<Ms>>,
+    ) -> Exchange {
+        let mut reading = Reading::new(MAX_CHUNK_BYTES);
         let (mut head, mut events, mut text) = (None, 0, Vec::new());
         loop {
-            match reading.next(&mut line.bytes) {
-                Ok(Some(Came::Head(came))) => {
-                    head = Some(came);
+            match reading.next(&mut connection.bytes) {
+                Ok(Some(Came::Head(received))) => {
+                    head = Some(received);
                     continue;
                 }
                 Ok(Some(Came::Data(data))) => {
                     text.extend_from_slice(&data);
                     events += self.take_events(&mut text, id);
-                    if let Some(leaves_at) = leaves_at {
-                        // A stream that has begun is the client's, whatever its deadline was.
-                        leaves_at.set(leaves_at.get().max(self.clock.now() + STREAM_WAITS));
+                    if let Some(disconnects_at) = disconnects_at {
+                        // The deadline applies to the first event only.
+                        disconnects_at.set(disconnects_at.get().max(self.clock.now() + EVENT_WAIT));
                     }
                     continue;
                 }
                 Ok(Some(Came::End)) => {
                     let Some(head) = head else {
-                        return Went {
-                            answer: Answer::Nothing,
-                            keeps: false,
+                        return Exchange {
+                            answer: Answer::None,
+                            keeps_alive: false,
                         };
                     };
                     let answer = match head.first {
-                        200 => Answer::Whole(events),
-                        429 | 503 => Answer::Refused,
+                        200 => Answer::Complete(events),
+                        429 | 503 => Answer::Rejected,
                         _ => Answer::Failed,
                     };
-                    return Went {
+                    return Exchange {
                         answer,
-                        keeps: head.keeps,
+                        keeps_alive: head.keeps,
                     };
                 }
                 Ok(None) => {}
                 Err(_) => {
-                    return Went {
-                        answer: Answer::Nothing,
-                        keeps: false,
+                    return Exchange {
+                        answer: Answer::None,
+                        keeps_alive: false,
                     }
                 }
             }
-            line.bytes.reserve(TURN);
-            if !matches!(line.io.read_buf(&mut line.bytes).await, Ok(1..)) {
-                let streams = head.is_some_and(|head| head.first == 200);
-                let answer = if streams {
+            connection.bytes.reserve(READ_BYTES);
+            if !matches!(connection.io.read_buf(&mut connection.bytes).await, Ok(1..)) {
+                let is_stream = head.is_some_and(|head| head.first == 200);
+                let answer = if is_stream {
                     Answer::Broken(events)
                 } else {
-                    Answer::Nothing
+                    Answer::None
                 };
-                return Went {
+                return Exchange {
                     answer,
-                    keeps: false,
+                    keeps_alive: false,
                 };
             }
         }
     }
 
-    /// Takes whole events off the front, and tells of them; gives how many bore a number.
+    /// Removes complete events from the front of `text`, reports each to the audit, and returns the number of those
+    /// that carry an event number.
     fn take_events(&self, text: &mut Vec<u8>, id: &str) -> usize {
         let mut taken = 0;
         while let Some(end) = text.windows(2).position(|pair| pair == b"\n\n") {
@@ -382,7 +432,7 @@
             if let Some(number) = number {
                 self.audit
                     .borrow_mut()
-                    .event_came(id, number, self.clock.now());
+                    .event_received(id, number, self.clock.now());
                 taken += 1;
             }
         }
@@ -390,31 +440,38 @@
     }
 }
 
+/// The number of an event; `None` if it has none, as the last one of a stream.
 fn number_of(event: &str) -> Option<usize> {
     let rest = event.strip_prefix("data: {\"n\":")?;
     rest.split(',').next()?.parse().ok()
 }
 
-fn text_of(asked: &Asked) -> String {
-    let Asked { id, class, left } = asked;
+/// The HTTP text of a request.
+fn text_of(request: &NewRequest) -> String {
+    let NewRequest {
+        id,
+        class,
+        time_to_deadline,
+    } = request;
     let body =
         "{\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"a question of some length\"}]}";
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: {id}\r\nX-Lane: {}\r\nX-Entity: {id}\r\n\
-         X-Remaining-Ms: {left}\r\nX-Labels: prompt_len=600,max_out=100\r\nContent-Length: {}\r\n\r\n{body}",
+         X-Remaining-Ms: {time_to_deadline}\r\nX-Labels: prompt_len=600,max_out=100\r\nContent-Length: {}\r\n\r\n{body}",
         class.name,
         body.len()
     )
 }
 
-async fn write(line: &mut Line, text: &str, slowly: bool) -> io::Result<()> {
+/// Writes a request, slowly in pieces if request to.
+async fn write(connection: &mut Connection, text: &str, slowly: bool) -> io::Result<()> {
     if !slowly {
-        return line.io.write_all(text.as_bytes()).await;
+        return connection.io.write_all(text.as_bytes()).await;
     }
     let (front, last) = text.as_bytes().split_at(text.len() - 1);
     for piece in front.chunks(text.len() / 5 + 1) {
-        line.io.write_all(piece).await?;
+        connection.io.write_all(piece).await?;
         sleep(20.0).await;
     }
-    line.io.write_all(last).await
+    connection.io.write_all(last).await
 }
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -1,78 +1,88 @@
-//! The configuration of each process, in the platform's form, and what the audit takes from the same settings.
+//! The configuration file of each process, in the platform's format, and the audit's rules derived from the same
+//! settings.
 
 use crate::audit::{Effect, Rules};
 use crate::plan::Class;
 use crate::Ms;
 use std::net::SocketAddr;
 
+/// The names of the zones.
 pub const ZONES: [&str; 2] = ["a", "b"];
-/// Kinds of engines: those that prefill, and those that decode.
+/// The kinds of engines: prefill and decode.
 pub const KINDS: [&str; 2] = ["p", "d"];
 const DRAIN_GRACE: Ms = 1_000.0;
 const RELEASE: Ms = 500.0;
 const CONNECT_TIMEOUT: Ms = 250.0;
-const COLD_FOR: Ms = 6_000.0;
+/// How long an engine counts as cold after its start.
+const SLOW_START_TIME: Ms = 6_000.0;
+/// A cold engine may be sent this multiple of its capacity within [`OVERLOAD_WINDOW`].
 const OVERLOAD_MULTIPLE: f64 = 1.5;
 const OVERLOAD_WINDOW: Ms = 2_000.0;
+/// The share of its capacity that an engine has when it starts.
 const COLD_CAPACITY: f64 = 0.32;
-/// The part of an engine's capacity that the traffic asks for.
-const USED: f64 = 0.6;
-/// The rules' own extras on sockets: any time, what is held, and a process that is held up.
-const ANY_TIME: Ms = 50.0;
-const HELD: Ms = 300.0;
-const HELD_UP: Ms = 150.0;
-/// The latency that is aimed at, and the part of a short deadline that it is at most.
-const AIM: Ms = 1_000.0;
-const AIM_PART: f64 = 2.0;
+/// The share of an engine's capacity that the traffic uses.
+const UTILISATION: f64 = 0.6;
+/// Allowances that the rules grant on sockets: for any timer, for the release of a KV state, and for a process that
+/// does not run for a moment.
+const TIMER_SLACK: Ms = 50.0;
+const RELEASE_SLACK: Ms = 300.0;
+const PROCESS_DELAY: Ms = 150.0;
+/// The latency objective of classes with long deadlines.
+const LATENCY_OBJECTIVE: Ms = 1_000.0;
+/// A deadline is at least this many times the latency objective; short deadlines lower the objective.
+const DEADLINE_PER_OBJECTIVE: f64 = 2.0;
 
-/// The rules as the settings have them. `rate`: requests a second that each engine of a kind gets in the mean.
+/// The audit's rules for these settings. `rate` is the mean number of requests per second that each engine of a kind
+/// gets.
 pub fn rules(rate: f64) -> Rules {
     Rules {
         answer_grace: 500.0,
         drain_grace: DRAIN_GRACE,
-        release: RELEASE + HELD,
-        gone_grace: 100.0,
+        release: RELEASE + RELEASE_SLACK,
+        disconnect_grace: 100.0,
         deadline_slack: 150.0,
         event_delay: 300.0,
         slow_start_window: OVERLOAD_WINDOW,
-        slow_start_budget: OVERLOAD_MULTIPLE * COLD_CAPACITY * rate / USED * OVERLOAD_WINDOW
+        slow_start_budget: OVERLOAD_MULTIPLE * COLD_CAPACITY * rate / UTILISATION * OVERLOAD_WINDOW
             / 1000.0,
-        cold_for: COLD_FOR,
-        bad_client: 3_000.0,
+        cold_time: SLOW_START_TIME,
+        stalled_client_limit: 3_000.0,
         ready: 10_000.0,
-        any_time: ANY_TIME,
-        held_up: HELD_UP,
+        timer_slack: TIMER_SLACK,
+        process_delay: PROCESS_DELAY,
     }
 }
 
-/// Which process a configuration is for.
-pub struct Place<'a> {
+/// The settings of one process that its configuration file is made of.
+pub struct ProcessSettings<'a> {
     pub classes: &'a [Class],
     pub number: usize,
+    /// The number of processes in the soak.
     pub processes: usize,
+    /// The start number of the run; part of the run's seed.
     pub start: u32,
     pub discovery: SocketAddr,
     pub lists_are_asked_for: bool,
 }
 
-/// The file of a process; `known`: the list that it had last.
-pub fn file(place: &Place<'_>, known: &str) -> String {
-    let Place {
+/// The text of a process's configuration file. `known` is the list of engines that the process starts with, as JSON.
+pub fn render(settings: &ProcessSettings<'_>, known: &str) -> String {
+    let ProcessSettings {
         classes,
         number,
         processes,
         start,
         discovery,
         lists_are_asked_for,
-    } = place;
+    } = settings;
     let micros = |time: Ms| (time * 1000.0) as u64;
     let (release, connect, grace) = (
         micros(RELEASE),
         micros(CONNECT_TIMEOUT),
         micros(DRAIN_GRACE),
     );
-    let (window, slow_start_window) = (micros(OVERLOAD_WINDOW), micros(COLD_FOR));
-    let how = if *lists_are_asked_for {
+    let (window, slow_start_window) = (micros(OVERLOAD_WINDOW), micros(SLOW_START_TIME));
+    let discovery_mode = if *lists_are_asked_for {
         "subscribe"
     } else {
         "automatic"
@@ -88,13 +98,14 @@
             Effect::Keyed { window } => window,
             Effect::Idempotent | Effect::AtMostOnce => 0,
         };
-        let aim = AIM.min(f64::from(class.deadline) / AIM_PART);
+        let latency_objective =
+            LATENCY_OBJECTIVE.min(f64::from(class.deadline) / DEADLINE_PER_OBJECTIVE);
         format!(
             "{{\"name\":\"{}\",\"effect\":\"{effect}\",\"keyScope\":\"all\",\"dedupWindow\":{},\"aim\":{},\
              \"giveUp\":{},\"importance\":1.0,\"lateShare\":0.3,\"stream\":true}}",
             class.name,
             u64::from(window) * 1000,
-            micros(aim),
+            micros(latency_objective),
             u64::from(class.deadline) * 1000
         )
     };
@@ -104,7 +115,7 @@
         r#"{{"name":"n{number}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{seed:x}","peers":[],
 "limits":{{"cores":1.0,"memory_mb":64,"sockets":256}},"known":{known},
 "settings":{{"me":{number},"replicasOfMe":{processes},"zone":{zone},"zones":["{}","{}"],"tick":4000,
-"discovery":"{how}","shapes":["{}","{}"],"orgs":[],"stats":{{"columns":[]}},
+"discovery":"{discovery_mode}","shapes":["{}","{}"],"orgs":[],"stats":{{"columns":[]}},
 "familyInfo":{{"kindRole":["read","write"],"tokensByKind":[500000,500000],"release":{release},"resume":false,
 "aimUsPer1000PromptTokens":[0.0,0.0,0.0],"tokenAim":[60000.0,60000.0,60000.0]}},
 "limits":{{"cancel":true,"connIdle":15000000,"connectTimeout":{connect},"maxAttempts":4,"mostHeld":20000,
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,6 +1,7 @@
-//! The stand-in of discovery: the list of engines, whole and by changes, as the platform's protocol has it.
+//! The stand-in of discovery: serves the list of engines by the platform's protocol, complete or as changes since a
+//! revision.
 
-use crate::service::{answer, listen, sleep, Clock, Connection};
+use crate::service::{listen, response, sleep, Clock, Connection};
 use crate::Ms;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -8,7 +9,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// An engine as the list has it.
+/// An engine's entry in the list.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub id: String,
@@ -16,7 +17,9 @@
     pub zone: &'static str,
     pub kind: &'static str,
     pub cell: u32,
+    /// `up`, `draining` or `removed`.
     pub phase: &'static str,
+    /// When the engine process started, in milliseconds since 1970; 0 if long ago.
     pub up_since_ms: u64,
 }
 
@@ -38,34 +41,38 @@
     }
 }
 
-/// How it answers.
+/// How discovery answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     Answers,
-    /// It says nothing, and calls that are open by then are never answered.
+    /// Discovery answers nothing; calls that are open when it falls silent are never answered.
     Silent,
+    /// Discovery answers every call with status 503.
     Refuses,
 }
 
 struct Shared {
     clock: Clock,
     mode: Cell<Mode>,
-    /// How often it fell silent.
+    /// How often discovery fell silent; a call notices a silence that began and ended while it waited.
     silences: Cell<u64>,
     revision: Cell<u64>,
     entries: RefCell<Vec<Entry>>,
+    /// All changes, each with the revision that it made.
     changes: RefCell<Vec<(u64, Entry)>>,
     changed: Notify,
-    cut: Notify,
+    /// Notified to reset all connections.
+    reset: Notify,
 }
 
-/// The registry; clones are the same one.
+/// A stand-in of discovery. Clones share one state.
 #[derive(Clone)]
 pub struct Discovery {
     shared: Rc<Shared>,
 }
 
 impl Discovery {
+    /// Creates a discovery without engines.
     pub fn new(clock: Clock) -> Discovery {
         Discovery {
             shared: Rc::new(Shared {
@@ -76,20 +83,21 @@
                 entries: RefCell::default(),
                 changes: RefCell::default(),
                 changed: Notify::new(),
-                cut: Notify::new(),
+                reset: Notify::new(),
             }),
         }
     }
 
-    /// Serves on a free port.
+    /// Serves on a free port of the loopback interface and returns its address. Several ports may serve the same list.
     ///
     /// # Errors
-    /// No port can be had.
+    /// Returns an error if no port can be bound.
     pub async fn listen(&self) -> io::Result<SocketAddr> {
         let discovery = self.clone();
         listen(move |connection| discovery.clone().serve(connection)).await
     }
 
+    /// Sets how calls are answered from now on.
     pub fn set_mode(&self, mode: Mode) {
         if mode == Mode::Silent {
             self.shared.silences.set(self.shared.silences.get() + 1);
@@ -98,11 +106,11 @@
     }
 
     /// Resets all connections.
-    pub fn cut(&self) {
-        self.shared.cut.notify_waiters();
+    pub fn reset_connections(&self) {
+        self.shared.reset.notify_waiters();
     }
 
-    /// Takes a change in; an entry that is `removed` leaves the whole list.
+    /// Publishes a changed entry. An entry in phase `removed` is dropped from the complete list.
     pub fn change(&self, entry: Entry) {
         let revision = self.shared.revision.get() + 1;
         self.shared.revision.set(revision);
@@ -116,8 +124,8 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// The list as a process finds it in its configuration.
-    pub fn whole(&self) -> String {
+    /// The complete list as JSON.
+    pub fn complete_list(&self) -> String {
         self.list(
             true,
             self.shared
@@ -129,7 +137,8 @@
         )
     }
 
-    fn since(&self, revision: u64) -> String {
+    /// The changes after a revision, as JSON.
+    fn changes_since(&self, revision: u64) -> String {
         let changes = self.shared.changes.borrow();
         let newer = changes.iter().filter(|(at, _)| *at > revision);
         self.list(false, newer.map(|(_, entry)| entry.text()).collect())
@@ -141,11 +150,11 @@
     }
 
     async fn serve(self, mut connection: Connection) {
-        let cut = self.shared.cut.notified();
-        tokio::pin!(cut);
+        let reset = self.shared.reset.notified();
+        tokio::pin!(reset);
         loop {
             let answered = tokio::select! { biased;
-                () = &mut cut => return connection.reset(),
+                () = &mut reset => return connection.reset(),
                 answered = self.answer(&mut connection) => answered,
             };
             if answered.is_none() {
@@ -154,30 +163,32 @@
         }
     }
 
+    /// Answers the next call; returns `None` once the connection has ended.
     async fn answer(&self, connection: &mut Connection) -> Option<()> {
-        let asked = connection.request(self.shared.clock).await?;
+        let received = connection.request(self.shared.clock).await?;
         let silences = self.shared.silences.get();
         if self.shared.mode.get() == Mode::Refuses {
             return connection
-                .say(&answer("503 Service Unavailable", "", ""))
+                .write(&response("503 Service Unavailable", "", ""))
                 .await
                 .ok();
         }
-        let text = match after(&asked.head.first.target) {
-            None => self.whole(),
+        let text = match parse_watch(&received.head.first.target) {
+            None => self.complete_list(),
             Some((revision, wait)) => {
                 self.wait_for_change(revision, wait).await;
-                self.since(revision)
+                self.changes_since(revision)
             }
         };
-        // What it was asked before it fell silent it never answers.
+        // A call that was open when discovery fell silent is never answered.
         if self.shared.mode.get() == Mode::Silent || self.shared.silences.get() != silences {
             connection.closed().await;
             return None;
         }
-        connection.say(&answer("200 OK", "", &text)).await.ok()
+        connection.write(&response("200 OK", "", &text)).await.ok()
     }
 
+    /// Waits until the list is newer than `revision`, for `wait` at most.
     async fn wait_for_change(&self, revision: u64, wait: Ms) {
         let changed = async {
             loop {
@@ -195,8 +206,8 @@
     }
 }
 
-/// The version and the wait of a call for changes.
-fn after(target: &str) -> Option<(u64, Ms)> {
+/// The revision and the longest wait of a call for changes; `None` for a call for the complete list.
+fn parse_watch(target: &str) -> Option<(u64, Ms)> {
     let (_, query) = target.split_once('?')?;
     let value = |name: &str| {
         let pair = query
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -1,10 +1,10 @@
-//! The stand-in of an engine: reads prompts or decodes answers, as the platform's protocol has it, and tells the audit
-//! of each attempt.
+//! The stand-in of an engine: serves prefill or decode attempts by the platform's protocol and reports each attempt to
+//! the audit.
 
 use crate::audit::{AttemptEnd, AttemptId, Audit, NewAttempt, Stage};
-use crate::passage::Passages;
+use crate::connection_trace::ConnectionTraces;
 use crate::readings::HungRelease;
-use crate::service::{answer, draw_part, listen, sleep, Clock, Connection, Received};
+use crate::service::{draw_percentage, listen, response, sleep, Clock, Connection, Received};
 use crate::Ms;
 use nanorand::{Rng, WyRand};
 use std::cell::{Cell, RefCell};
@@ -13,73 +13,85 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, Semaphore, SemaphorePermit};
 
-const STATES: &str = "/bootstrap/rooms/";
-const TURNED_AWAY: &str = "X-Turned-Away: 1\r\n";
-/// How long a prompt takes, and an answer: to its first event, and between events.
-const PREFILL: Ms = 20.0;
-const FIRST_EVENT: Ms = 15.0;
-const BETWEEN_EVENTS: Ms = 20.0;
+/// The path under which a request's KV state is released.
+const STATE_PATH: &str = "/bootstrap/rooms/";
+/// The header that marks a response as a rejection.
+const REJECTED_HEADER: &str = "X-Turned-Away: 1\r\n";
+/// The mean duration of a prefill.
+const PREFILL_TIME: Ms = 20.0;
+/// The mean time to the first event of a decode attempt.
+const FIRST_EVENT_TIME: Ms = 15.0;
+/// The time between two events of a stream.
+const EVENT_INTERVAL: Ms = 20.0;
+/// The number of events of a stream, and of a long stream.
 const EVENTS: std::ops::Range<usize> = 2..12;
 const EVENTS_OF_LONG: std::ops::Range<usize> = 40..80;
-/// The same where it is slower than clients wait.
-const SLOW: Ms = 3_500.0;
-/// Between two pieces of what is written in pieces.
-const BETWEEN_PIECES: Ms = 4.0;
-/// Of a hundred streams, how many break within their first event, break later, and cannot be read; and how many come in
-/// pieces.
-const BREAKS_FIRST: u32 = 3;
-const BREAKS_LATER: u32 = 3;
-const SPOILT: u32 = 2;
-const IN_PIECES: u32 = 30;
-const LONG: u32 = 5;
+/// The duration of a prefill, and the time to the first event, of a slow engine: longer than clients wait.
+const SLOW_TIME: Ms = 3_500.0;
+/// The time between two pieces of an event that is written in pieces.
+const PIECE_INTERVAL: Ms = 4.0;
+/// The percentage of streams that break within their first event.
+const BREAKS_FIRST_PERCENT: u32 = 3;
+/// The percentage of streams that break within a later event.
+const BREAKS_LATER_PERCENT: u32 = 3;
+/// The percentage of responses that are not valid HTTP.
+const MALFORMED_PERCENT: u32 = 2;
+/// The percentage of streams whose events are written in two pieces each.
+const IN_PIECES_PERCENT: u32 = 30;
+/// The percentage of streams that are long.
+const LONG_PERCENT: u32 = 5;
 
-/// What an engine does besides its work.
+/// The faults that are injected into an engine at present.
 #[derive(Default)]
 pub struct Behaviour {
+    /// The engine accepts connections and calls, and does not work on them.
     pub hangs: Cell<bool>,
-    /// While it hangs it does not notice that a process has closed its connection.
+    /// While the engine hangs, it does not notice that a process has closed its connection.
     pub misses_closes: Cell<bool>,
-    pub turns_away: Cell<bool>,
-    /// It takes longer for the first event than clients wait.
+    /// The engine rejects every attempt.
+    pub rejects: Cell<bool>,
+    /// The engine takes longer for the first event than clients wait.
     pub is_slow: Cell<bool>,
+    /// Notified to make the engine close its idle connections.
     pub close_idle: Notify,
 }
 
-/// An engine; clones are the same one.
+/// A stand-in of an engine. Clones share one state.
 #[derive(Clone)]
 pub struct Engine {
     pub id: String,
     stage: Stage,
     hung_release: HungRelease,
-    /// Decode attempts that it serves at a time.
+    /// A permit for each decode attempt that may run at the same time.
     slots: Rc<Semaphore>,
     clock: Clock,
     audit: Rc<RefCell<Audit>>,
     rng: Rc<RefCell<WyRand>>,
-    pub passages: Passages,
+    pub traces: ConnectionTraces,
     pub behaviour: Rc<Behaviour>,
 }
 
-/// How a stream goes.
+/// How the stream of a decode attempt ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Course {
-    Whole,
+enum StreamOutcome {
+    Complete,
     BreaksFirst,
     BreaksLater,
-    Spoilt,
+    Malformed,
 }
 
-/// What an engine is.
+/// The fixed properties of an engine.
 pub struct EngineSettings {
     pub id: String,
     pub stage: Stage,
-    /// Decode attempts that it serves at a time; the others wait.
+    /// Decode attempts that run at the same time; further ones wait.
     pub slots: usize,
     pub hung_release: HungRelease,
     pub seed: u64,
 }
 
 impl Engine {
+    /// Creates an engine that does not listen yet.
     pub fn new(settings: EngineSettings, clock: Clock, audit: Rc<RefCell<Audit>>) -> Engine {
         let EngineSettings {
             id,
@@ -96,15 +108,15 @@
             clock,
             audit,
             rng: Rc::new(RefCell::new(WyRand::new_seed(seed))),
-            passages: Passages::default(),
+            traces: ConnectionTraces::default(),
             behaviour: Rc::default(),
         }
     }
 
-    /// Serves on a free port.
+    /// Serves on a free port of the loopback interface and returns its address.
     ///
     /// # Errors
-    /// No port can be had.
+    /// Returns an error if no port can be bound.
     pub async fn listen(&self) -> io::Result<SocketAddr> {
         let engine = self.clone();
         listen(move |connection| engine.clone().serve(connection)).await
@@ -118,14 +130,14 @@
             };
             let Some(received) = received else { return };
             let target = received.head.first.target.clone();
-            let goes_on = match target.strip_prefix(STATES) {
+            let stays_open = match target.strip_prefix(STATE_PATH) {
                 Some(request) => self.release(&mut connection, request).await,
                 None => match self.attempt(&mut connection, received).await {
-                    Some(goes_on) => goes_on,
+                    Some(stays_open) => stays_open,
                     None => return connection.reset(),
                 },
             };
-            if !goes_on {
+            if !stays_open {
                 return;
             }
         }
@@ -135,70 +147,71 @@
         if self.hung_release == HungRelease::Unanswered {
             self.until_not_hanging().await;
         }
-        self.audit.borrow_mut().release_came(request);
+        self.audit.borrow_mut().release_received(request);
         connection
-            .say("HTTP/1.1 204 No Content\r\n\r\n")
+            .write("HTTP/1.1 204 No Content\r\n\r\n")
             .await
             .is_ok()
     }
 
-    /// Serves an attempt; tells whether the connection goes on, or nothing if it is to be reset.
+    /// Serves an attempt. Returns whether the connection stays open, or `None` if it is to be reset.
     async fn attempt(&self, connection: &mut Connection, received: Received) -> Option<bool> {
         let head = &received.head;
-        let told_left = head
+        let stated_remaining = head
             .text("X-Remaining-Ms")
             .and_then(|text| text.parse().ok());
         let Some(request) = head.text("X-Txn").map(str::to_owned) else {
             return Some(
                 connection
-                    .say(&answer("404 Not Found", "", ""))
+                    .write(&response("404 Not Found", "", ""))
                     .await
                     .is_ok(),
             );
         };
-        let passage = connection.peer.and_then(|peer| self.passages.get(peer));
-        let sent = passage.as_ref().and_then(|passage| passage.request());
+        let trace = connection.peer.and_then(|peer| self.traces.get(peer));
+        let sent = trace.as_ref().and_then(|trace| trace.request());
         let new = NewAttempt {
             request: request.clone(),
             engine: self.id.clone(),
             stage: self.stage,
             sent: sent.unwrap_or((received.first_byte, received.last_byte)),
             begun: received.last_byte,
-            told_left,
-            passage,
+            stated_remaining,
+            trace,
         };
         let id = self.audit.borrow_mut().attempt_begins(new);
-        let (end, goes_on) = self.work(connection, id, &request).await;
+        let (end, stays_open) = self.work(connection, id, &request).await;
         self.audit
             .borrow_mut()
             .attempt_ends(id, end, self.clock.now());
-        goes_on
+        stays_open
     }
 
-    /// Gives how the attempt ended, and whether the connection goes on, or nothing if it is to be reset.
+    /// Works on an attempt. Returns how the attempt ended, and whether the connection stays open, `None` if it is to be
+    /// reset.
     async fn work(
         &self,
         connection: &mut Connection,
         id: AttemptId,
         request: &str,
     ) -> (AttemptEnd, Option<bool>) {
-        if self.behaviour.turns_away.get() {
-            let said = connection
-                .say(&answer("503 Service Unavailable", TURNED_AWAY, ""))
+        if self.behaviour.rejects.get() {
+            let written = connection
+                .write(&response("503 Service Unavailable", REJECTED_HEADER, ""))
                 .await;
-            return (AttemptEnd::TurnedAway, Some(said.is_ok()));
+            return (AttemptEnd::Rejected, Some(written.is_ok()));
         }
-        let first = if self.stage == Stage::Prefill {
-            PREFILL
+        let mean_time = if self.stage == Stage::Prefill {
+            PREFILL_TIME
         } else {
-            FIRST_EVENT
+            FIRST_EVENT_TIME
         };
-        let spent = self.rng.borrow_mut().generate::<f64>() + 0.5;
-        let worked = tokio::select! { biased;
+        let factor = self.rng.borrow_mut().generate::<f64>() + 0.5;
+        let slot = tokio::select! { biased;
             () = self.notices_close(connection) => None,
-            slot = self.begin(first * spent) => Some(slot),
+            slot = self.work_to_first_output(mean_time * factor) => Some(slot),
         };
-        let Some(_slot) = worked else {
+        let Some(_slot) = slot else {
             return (AttemptEnd::Abandoned, Some(false));
         };
         match self.stage {
@@ -206,75 +219,84 @@
                 self.audit
                     .borrow_mut()
                     .state_held(request, &self.id, self.clock.now());
-                let said = connection
-                    .say(&answer("202 Accepted", "", "{\"cached_tokens\":0}"))
+                let written = connection
+                    .write(&response("202 Accepted", "", "{\"cached_tokens\":0}"))
                     .await;
-                (AttemptEnd::Served, Some(said.is_ok()))
+                (AttemptEnd::Served, Some(written.is_ok()))
             }
             Stage::Decode => {
                 if !self.audit.borrow_mut().state_taken(request) {
-                    let said = connection.say(&answer("410 Gone", TURNED_AWAY, "")).await;
-                    return (AttemptEnd::TurnedAway, Some(said.is_ok()));
+                    let written = connection
+                        .write(&response("410 Gone", REJECTED_HEADER, ""))
+                        .await;
+                    return (AttemptEnd::Rejected, Some(written.is_ok()));
                 }
                 self.stream(connection, id).await
             }
         }
     }
 
-    /// Waits until the process has closed the connection, and the engine notices it.
+    /// Waits until the process has closed the connection and the engine has noticed the close.
     async fn notices_close(&self, connection: &mut Connection) {
         connection.closed().await;
         while self.behaviour.hangs.get() && self.behaviour.misses_closes.get() {
-            sleep(BETWEEN_EVENTS).await;
+            sleep(EVENT_INTERVAL).await;
         }
     }
 
-    /// Works on an attempt up to what it answers first; a decode attempt waits for a slot, which it keeps to its end.
-    async fn begin(&self, span: Ms) -> Option<SemaphorePermit<'_>> {
-        // The slots are never closed.
+    /// Works on an attempt up to its first output. A decode attempt waits for a slot first and keeps it to its end.
+    async fn work_to_first_output(&self, duration: Ms) -> Option<SemaphorePermit<'_>> {
+        // The semaphore is never closed, so a slot is always granted.
         let slot = match self.stage {
             Stage::Prefill => None,
             Stage::Decode => self.slots.acquire().await.ok(),
         };
-        self.spend(if self.behaviour.is_slow.get() {
-            SLOW
+        self.work_for(if self.behaviour.is_slow.get() {
+            SLOW_TIME
         } else {
-            span
+            duration
         })
         .await;
         slot
     }
 
-    /// Works for so long, and not at all while it hangs.
-    async fn spend(&self, span: Ms) {
+    /// Works for this duration; a hang delays the start and the end of the work.
+    async fn work_for(&self, duration: Ms) {
         self.until_not_hanging().await;
-        sleep(span).await;
+        sleep(duration).await;
         self.until_not_hanging().await;
     }
 
     async fn until_not_hanging(&self) {
         while self.behaviour.hangs.get() {
-            sleep(BETWEEN_EVENTS).await;
+            sleep(EVENT_INTERVAL).await;
         }
     }
 
-    fn draw_course(&self) -> (Course, usize, bool) {
+    fn draw_stream(&self) -> (StreamOutcome, usize, bool) {
         let mut rng = self.rng.borrow_mut();
-        let course = match draw_part(&mut rng, [BREAKS_FIRST, BREAKS_LATER, SPOILT]) {
-            Some(0) => Course::BreaksFirst,
-            Some(1) => Course::BreaksLater,
-            Some(2) => Course::Spoilt,
-            _ => Course::Whole,
+        let outcome = match draw_percentage(
+            &mut rng,
+            [
+                BREAKS_FIRST_PERCENT,
+                BREAKS_LATER_PERCENT,
+                MALFORMED_PERCENT,
+            ],
+        ) {
+            Some(0) => StreamOutcome::BreaksFirst,
+            Some(1) => StreamOutcome::BreaksLater,
+            Some(2) => StreamOutcome::Malformed,
+            _ => StreamOutcome::Complete,
         };
-        let events = if draw_part(&mut rng, [LONG]).is_some() {
+        let events = if draw_percentage(&mut rng, [LONG_PERCENT]).is_some() {
             EVENTS_OF_LONG
         } else {
             EVENTS
         };
         (
-            course,
+            outcome,
             rng.generate_range(events),
-            draw_part(&mut rng, [IN_PIECES]).is_some(),
+            draw_percentage(&mut rng, [IN_PIECES_PERCENT]).is_some(),
         )
     }
 
@@ -283,64 +305,65 @@
         connection: &mut Connection,
         id: AttemptId,
     ) -> (AttemptEnd, Option<bool>) {
-        let (course, events, in_pieces) = self.draw_course();
+        let (outcome, events, in_pieces) = self.draw_stream();
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-        if course == Course::Spoilt {
-            // What comes cannot be read; the request has run.
-            let _ = connection.say("HTTP/1.1 2?0 OK\r\n\r\nnoise").await;
+        if outcome == StreamOutcome::Malformed {
+            // The response is not valid HTTP although the request has been executed.
+            let _ = connection.write("HTTP/1.1 2?0 OK\r\n\r\nnoise").await;
             return (AttemptEnd::Failed, Some(false));
         }
-        if connection.say(head).await.is_err() {
+        if connection.write(head).await.is_err() {
             return (AttemptEnd::Abandoned, Some(false));
         }
-        let breaks_at = match course {
-            Course::BreaksFirst => Some(0),
-            Course::BreaksLater => Some(events / 2),
+        let breaks_at = match outcome {
+            StreamOutcome::BreaksFirst => Some(0),
+            StreamOutcome::BreaksLater => Some(events / 2),
             _ => None,
         };
         for number in 0..events {
             let event = format!("data: {{\"n\":{number},\"choices\":[]}}\n\n");
             let (front, back) = event.split_at(event.len() / 2);
             if breaks_at == Some(number) {
-                // Half of an event in a chunk of its own, and then a reset.
-                let _ = connection.say(&chunk(front)).await;
-                sleep(BETWEEN_PIECES).await;
+                // The stream breaks after half an event in a chunk of its own.
+                let _ = connection.write(&chunk(front)).await;
+                sleep(PIECE_INTERVAL).await;
                 return (AttemptEnd::Failed, None);
             }
-            let said = if in_pieces {
-                self.say_in_pieces(connection, id, front, back).await
+            let written = if in_pieces {
+                self.write_in_pieces(connection, id, front, back).await
             } else {
                 self.audit.borrow_mut().event_written(id, self.clock.now());
-                connection.say(&chunk(&event)).await
+                connection.write(&chunk(&event)).await
             };
-            if said.is_err() {
+            if written.is_err() {
                 return (AttemptEnd::Failed, Some(false));
             }
-            let goes_on = tokio::select! { biased;
+            let still_connected = tokio::select! { biased;
                 () = self.notices_close(connection) => false,
-                () = self.spend(BETWEEN_EVENTS) => true,
+                () = self.work_for(EVENT_INTERVAL) => true,
             };
-            if !goes_on {
+            if !still_connected {
                 return (AttemptEnd::Abandoned, Some(false));
             }
         }
         self.audit.borrow_mut().stream_complete(id);
         let last = format!("{}0\r\n\r\n", chunk("data: [DONE]\n\n"));
-        let said = connection.say(&last).await;
-        (AttemptEnd::Served, Some(said.is_ok()))
+        let written = connection.write(&last).await;
+        (AttemptEnd::Served, Some(written.is_ok()))
     }
 
-    async fn say_in_pieces(
+    /// Writes an event as two chunks. The event counts as written with the second one.
+    async fn write_in_pieces(
         &self,
         connection: &mut Connection,
         id: AttemptId,
         front: &str,
         back: &str,
     ) -> io::Result<()> {
-        connection.say(&chunk(front)).await?;
-        sleep(BETWEEN_PIECES).await;
+        connection.write(&chunk(front)).await?;
+        sleep(PIECE_INTERVAL).await;
         self.audit.borrow_mut().event_written(id, self.clock.now());
-        connection.say(&chunk(back)).await
+        connection.write(&chunk(back)).await
     }
 }
 
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,15 +1,15 @@
-//! A soak test of the program: real processes of it over the platform's protocol on loopback, between stand-ins of
-//! engines, clients and discovery, with troubles that overlap in time, drawn from a seed.
+//! The soak test runs real processes of the program over the platform's protocol on loopback, between stand-ins of
+//! engines, clients and discovery. Faults that overlap in time are drawn from a seed.
 //!
-//! [`plan`] draws the troubles, [`run`] plays them, and [`audit`] judges what the stand-ins saw. Nothing of the program's
-//! own account is believed but for its violation counters, which have to agree with the audit.
+//! [`plan`] draws the faults, [`run`] injects them, and [`audit`] checks what the stand-ins observed. Of the program's
+//! own account, only the violations that its processes log are used: they have to agree with the audit.
 
 pub mod audit;
 mod client;
 mod configuration;
+pub mod connection_trace;
 mod discovery;
 mod engine;
-pub mod passage;
 pub mod plan;
 mod process;
 mod proxy;
@@ -17,5 +17,5 @@
 pub mod run;
 mod service;
 
-/// Milliseconds since the soak began, or a span of them.
+/// A time in milliseconds since the soak began, or a duration in milliseconds.
 pub type Ms = f64;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,5 @@
-//! What a soak is like and which troubles come when, drawn from the seed: two or three overlap at any time.
+//! The plan of a soak, drawn from the seed: its settings, and the faults with their times. Two or three faults overlap
+//! at any time.
 
 use crate::audit::Effect;
 use crate::readings::Readings;
@@ -10,33 +11,33 @@
 pub struct Class {
     pub name: &'static str,
     pub effect: Effect,
-    /// In milliseconds.
+    /// The time to the deadline of a request, in milliseconds.
     pub deadline: u32,
 }
 
-/// Which engines something befalls together.
+/// The engines that a fault hits together. Engines are named by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     One {
         engine: usize,
     },
-    /// Several from this one on, of either kind.
+    /// Consecutive engines from this one on, of both kinds.
     Several {
         first: usize,
         count: usize,
     },
-    /// All of a zone.
+    /// All engines of a zone.
     Zone {
         zone: usize,
     },
-    /// All of a kind but one.
+    /// All engines of a kind except one.
     Kind {
         kind: usize,
-        but: usize,
+        except: usize,
     },
 }
 
-/// Which way bytes are lost.
+/// The direction in which a silent network forwards nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
     BothWays,
@@ -44,121 +45,98 @@
     ToProcesses,
 }
 
-/// How a silence begins and ends.
+/// A network fault: connections stay open and nothing gets through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Silence {
-    pub who: Group,
+    pub engines: Group,
     pub loss: Loss,
-    /// It begins in the middle of a message.
-    pub within_a_message: bool,
-    /// What lay there is delivered at its end; else all connections are reset.
+    /// Whether the silence begins in the middle of a message.
+    pub starts_mid_message: bool,
+    /// Whether the held-back bytes are delivered at the end; otherwise all connections are reset.
     pub delivers: bool,
 }
 
-/// How engines hang: they take connections and calls, and do nothing.
+/// A hang of engines: they accept connections and calls, and do not work on them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hang {
-    pub who: Group,
-    /// Whether they notice meanwhile that a process has closed its connection.
+    pub engines: Group,
+    /// Whether the engines notice during the hang that a process has closed its connection.
     pub notices_closes: bool,
 }
 
-/// What goes wrong.
+/// A fault that the soak injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// A process is told to end, and is started again.
-    Stop {
-        process: usize,
-    },
-    /// Several are, one after another.
-    StopSeveral {
-        first: usize,
-        count: usize,
-    },
+pub enum Fault {
+    /// A process is told to stop, and is started again.
+    Stop { process: usize },
+    /// Several processes are told to stop, one after another, and are started again.
+    StopSeveral { first: usize, count: usize },
     /// A process is killed, and started again.
-    Kill {
-        process: usize,
-    },
-    /// A process does not run for a moment.
-    Pause {
-        process: usize,
-    },
-    /// Processes read their configurations again; discovery is at another address from then on.
+    Kill { process: usize },
+    /// A process is suspended for a moment.
+    Pause { process: usize },
+    /// All processes reload their configurations, which name another address of discovery.
     Reload,
-    /// The same twice, with no time between.
+    /// Two reloads without a pause between them.
     ReloadTwice,
-    /// The same, and a process is told to end just behind it.
-    ReloadAndStop {
-        process: usize,
-    },
-    /// An engine drains, is gone some seconds later, and another one starts in its place.
-    Replace {
-        engine: usize,
-    },
-    /// Engines do nothing with what they get, and say nothing.
+    /// A reload, and a process is told to stop right after it.
+    ReloadAndStop { process: usize },
+    /// An engine drains, is removed some seconds later, and another one starts in its place.
+    Replace { engine: usize },
+    /// Engines hang.
     Hang(Hang),
-    /// An engine's connections are reset.
-    Reset {
-        engine: usize,
-    },
+    /// All connections to an engine are reset.
+    Reset { engine: usize },
     /// New connections to an engine are refused.
-    Refuse {
-        engine: usize,
-    },
-    /// Machines of engines vanish, or their network fails one way: connections stay open, and nothing gets through.
+    Refuse { engine: usize },
+    /// Machines of engines vanish, or their network fails in one direction.
     Silence(Silence),
-    /// Some connections to an engine fall silent, each alone, while it goes on with the others. At the end what lay there is
+    /// Some connections to an engine fall silent while the others continue. At the end the held-back bytes are
     /// delivered, or all connections are reset.
-    SilenceSome {
-        engine: usize,
-        delivers: bool,
-    },
+    SilenceSome { engine: usize, delivers: bool },
     /// An engine takes longer for the first event than clients wait.
-    Slow {
-        engine: usize,
-    },
-    /// An engine turns everything away.
-    TurnAway {
-        engine: usize,
-    },
-    /// An engine closes its connections that rest.
-    CloseIdle {
-        engine: usize,
-    },
-    /// Discovery says nothing, refuses calls, or loses its connections.
+    Slow { engine: usize },
+    /// An engine rejects every attempt.
+    Reject { engine: usize },
+    /// An engine closes its idle connections.
+    CloseIdle { engine: usize },
+    /// Discovery answers nothing.
     DiscoverySilent,
+    /// Discovery answers every call with an error.
     DiscoveryRefuses,
+    /// All connections to discovery are reset.
     DiscoveryResets,
 }
 
-/// A trouble, and when it begins and ends.
+/// A fault, with the times at which it begins and ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Planned {
     pub from: Ms,
     pub until: Ms,
-    pub trouble: Trouble,
+    pub fault: Fault,
 }
 
-/// How the platform is set up, and what happens.
+/// The settings of the platform in a soak, and the faults to inject.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub readings: Readings,
     pub classes: [Class; 3],
     pub troubles: Vec<Planned>,
-    /// Whether lists are asked for, rather than pushed to an agent.
+    /// Whether processes poll discovery for lists, rather than receive pushed ones.
     pub lists_are_asked_for: bool,
-    /// Whether hundreds of clients stay connected without a request, and bursts of requests come.
+    /// Whether hundreds of clients stay connected without a request, and requests also come in bursts.
     pub is_crowded: bool,
-    /// Whether decode engines serve only some attempts at a time; the others wait.
+    /// Whether decode engines serve a limited number of attempts at the same time.
     pub decodes_wait: bool,
-    /// Whether system calls of some processes fail at times.
+    /// Whether system calls of the processes fail at random.
     pub system_calls_fail: bool,
-    /// By how much the wall clock of some processes is stepped, and when.
+    /// By how much the wall clock of some processes is stepped; negative steps it back.
     pub wall_step: Ms,
+    /// How long after the start of a process its wall clock is stepped.
     pub wall_step_after: Ms,
 }
 
-/// Engines: kinds take turns, and among those of a kind the zones do.
+/// The layout of the engines. Kinds alternate from engine to engine, and zones alternate among the engines of a kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Engines {
     pub count: usize,
@@ -167,14 +145,14 @@
 }
 
 impl Engines {
-    /// The zone of an engine, by its place.
+    /// The zone of the engine with this index.
     pub fn zone(&self, engine: usize) -> usize {
         engine / self.kinds % self.zones
     }
 
-    /// The members of a group, by their places.
-    pub fn of(&self, who: Group) -> Vec<usize> {
-        match who {
+    /// The indices of a group's engines.
+    pub fn members(&self, group: Group) -> Vec<usize> {
+        match group {
             Group::One { engine } => vec![engine],
             Group::Several { first, count } => {
                 (first..first + count).map(|at| at % self.count).collect()
@@ -182,53 +160,59 @@
             Group::Zone { zone } => (0..self.count)
                 .filter(|engine| self.zone(*engine) == zone)
                 .collect(),
-            Group::Kind { kind, but } => (kind..self.count)
+            Group::Kind { kind, except } => (kind..self.count)
                 .step_by(self.kinds)
-                .filter(|engine| *engine != but)
+                .filter(|engine| *engine != except)
                 .collect(),
         }
     }
 }
 
-/// Troubles begin this long after the start.
+/// How long after the start of a soak the first fault begins.
 const QUIET_START: Ms = 1_500.0;
-/// And the last ones are over this long before the end.
+/// How long before the end of a soak the last fault ends.
 const QUIET_END: Ms = 2_500.0;
-/// At any time about so many troubles are under way.
+/// The mean number of faults at any time.
 const OVERLAP: f64 = 2.5;
-const SHORTEST: Ms = 400.0;
-const LONGEST: Ms = 3_000.0;
+/// The bounds of a fault's duration.
+const MIN_DURATION: Ms = 400.0;
+const MAX_DURATION: Ms = 3_000.0;
+/// The possible steps of the wall clock.
 const WALL_STEPS: [Ms; 4] = [-3_600_000.0, -5_000.0, 7_000.0, 3_600_000.0];
-/// Deadlines of classes, and those of a soak in which all are short.
+/// The range of the classes' deadlines, and that of a soak in which all deadlines are short.
 const DEADLINES: std::ops::Range<u32> = 400..3_000;
 const SHORT_DEADLINES: std::ops::Range<u32> = 400..1_500;
-/// One soak in so many has short deadlines only, and one in so many is crowded.
+/// One soak in this many has only short deadlines.
 const SHORT_ONE_IN: u32 = 3;
+/// One soak in this many is crowded.
 const CROWDED_ONE_IN: u32 = 4;
-/// For how long engines recognise the repeat of a keyed request.
-const WINDOWS: std::ops::Range<u32> = 500..3_000;
-/// So many processes are stopped one after another at the most, and so many engines fall silent together.
-const MOST_STOPPED: usize = 4;
-const MOST_SILENT: usize = 4;
-/// In one soak in so many nearly all engines of a kind fail together, so many times.
+/// The range of the time, in milliseconds, for which engines recognise the repeat of a keyed request.
+const DEDUPLICATION_WINDOWS: std::ops::Range<u32> = 500..3_000;
+/// The most processes that are stopped one after another.
+const MAX_STOPPED: usize = 4;
+/// The most engines of a group of consecutive ones.
+const MAX_GROUP: usize = 4;
+/// In one soak in this many, nearly all engines of a kind fail together.
 const KIND_FAILS_ONE_IN: u32 = 3;
-const KIND_FAILS: usize = 3;
+/// How often nearly all engines of a kind fail together in such a soak.
+const KIND_FAILURES: usize = 3;
 
 impl Plan {
+    /// Draws the plan of a soak of this length; the same arguments give the same plan.
     pub fn draw(seed: u64, processes: usize, engines: Engines, seconds: f64) -> Plan {
         let mut rng = WyRand::new_seed(seed);
         let end = seconds * 1000.0 - QUIET_END;
         let mut troubles = Vec::new();
         let mut now = QUIET_START;
         while now < end {
-            let lasts = SHORTEST + rng.generate::<f64>() * (LONGEST - SHORTEST);
-            let trouble = draw_trouble(&mut rng, processes, engines);
+            let duration = MIN_DURATION + rng.generate::<f64>() * (MAX_DURATION - MIN_DURATION);
+            let fault = draw_fault(&mut rng, processes, engines);
             troubles.push(Planned {
                 from: now,
-                until: (now + lasts).min(end),
-                trouble,
+                until: (now + duration).min(end),
+                fault,
             });
-            let mean = (SHORTEST + LONGEST) / 2.0 / OVERLAP;
+            let mean = (MIN_DURATION + MAX_DURATION) / 2.0 / OVERLAP;
             now += -(1.0 - rng.generate::<f64>()).ln() * mean;
         }
         let classes = draw_classes(&mut rng);
@@ -260,7 +244,7 @@
 fn draw_classes(rng: &mut WyRand) -> [Class; 3] {
     let short = rng.generate_range(0..SHORT_ONE_IN) == 0;
     let deadlines = if short { SHORT_DEADLINES } else { DEADLINES };
-    let window = rng.generate_range(WINDOWS);
+    let window = rng.generate_range(DEDUPLICATION_WINDOWS);
     let effects = [
         Effect::Idempotent,
         Effect::AtMostOnce,
@@ -278,75 +262,76 @@
     ]
 }
 
-/// Nearly all engines of a kind hang or are silent together, evenly spread over the soak.
+/// Draws failures in which all engines of a kind but one hang or are silent together, spread evenly over the soak.
 fn draw_kind_failures(rng: &mut WyRand, engines: Engines, end: Ms) -> Vec<Planned> {
     let kind = rng.generate_range(0..engines.kinds);
     let hangs = rng.generate_range(0..2u32) == 0;
-    let between = (end - QUIET_START).max(0.0) / KIND_FAILS as f64;
+    let interval = (end - QUIET_START).max(0.0) / KIND_FAILURES as f64;
     let failure = |nth: usize| {
-        let who = Group::Kind {
+        let group = Group::Kind {
             kind,
-            but: kind + engines.kinds * nth % engines.count,
+            except: kind + engines.kinds * nth % engines.count,
         };
-        let from = QUIET_START + between * nth as f64;
-        let lasts = SHORTEST + rng.generate::<f64>() * (between.min(LONGEST) - SHORTEST).max(0.0);
-        let trouble = match hangs {
-            true => Trouble::Hang(draw_hang(rng, who)),
-            false => Trouble::Silence(draw_silence(rng, who, Loss::BothWays)),
+        let from = QUIET_START + interval * nth as f64;
+        let duration = MIN_DURATION
+            + rng.generate::<f64>() * (interval.min(MAX_DURATION) - MIN_DURATION).max(0.0);
+        let fault = match hangs {
+            true => Fault::Hang(draw_hang(rng, group)),
+            false => Fault::Silence(draw_silence(rng, group, Loss::BothWays)),
         };
         Planned {
             from,
-            until: (from + lasts).min(end),
-            trouble,
+            until: (from + duration).min(end),
+            fault,
         }
     };
-    (0..KIND_FAILS).map(failure).collect()
+    (0..KIND_FAILURES).map(failure).collect()
 }
 
-/// Hangs, silences and losses one way are as frequent as one another.
-fn draw_trouble(rng: &mut WyRand, processes: usize, engines: Engines) -> Trouble {
+/// Draws a fault. Hangs, silences in both directions and silences in one direction are equally frequent.
+fn draw_fault(rng: &mut WyRand, processes: usize, engines: Engines) -> Fault {
     let process = rng.generate_range(0..processes);
     let engine = rng.generate_range(0..engines.count);
     match rng.generate_range(0..40u32) {
-        0..=1 => Trouble::Stop { process },
-        2 => Trouble::StopSeveral {
+        0..=1 => Fault::Stop { process },
+        2 => Fault::StopSeveral {
             first: process,
-            count: rng.generate_range(2..=MOST_STOPPED),
+            count: rng.generate_range(2..=MAX_STOPPED),
         },
-        3 => Trouble::Kill { process },
-        4 => Trouble::Pause { process },
-        5 => Trouble::Reload,
-        6 => Trouble::ReloadTwice,
-        7 => Trouble::ReloadAndStop { process },
-        8..=10 => Trouble::Replace { engine },
-        11..=12 => Trouble::Reset { engine },
-        13 => Trouble::Refuse { engine },
-        14 => Trouble::TurnAway { engine },
-        15 => Trouble::CloseIdle { engine },
-        16 | 17 => Trouble::DiscoverySilent,
-        18 => Trouble::DiscoveryRefuses,
-        19 => Trouble::DiscoveryResets,
+        3 => Fault::Kill { process },
+        4 => Fault::Pause { process },
+        5 => Fault::Reload,
+        6 => Fault::ReloadTwice,
+        7 => Fault::ReloadAndStop { process },
+        8..=10 => Fault::Replace { engine },
+        11..=12 => Fault::Reset { engine },
+        13 => Fault::Refuse { engine },
+        14 => Fault::Reject { engine },
+        15 => Fault::CloseIdle { engine },
+        16 | 17 => Fault::DiscoverySilent,
+        18 => Fault::DiscoveryRefuses,
+        19 => Fault::DiscoveryResets,
         20..=24 => {
-            let who = draw_group(rng, engine, engines);
-            Trouble::Hang(draw_hang(rng, who))
+            let group = draw_group(rng, engine, engines);
+            Fault::Hang(draw_hang(rng, group))
         }
         25..=29 => {
-            let who = draw_group(rng, engine, engines);
-            Trouble::Silence(draw_silence(rng, who, Loss::BothWays))
+            let group = draw_group(rng, engine, engines);
+            Fault::Silence(draw_silence(rng, group, Loss::BothWays))
         }
-        30..=32 => Trouble::SilenceSome {
+        30..=32 => Fault::SilenceSome {
             engine,
             delivers: rng.generate_range(0..2u32) == 0,
         },
-        33..=34 => Trouble::Slow { engine },
+        33..=34 => Fault::Slow { engine },
         _ => {
-            let who = draw_group(rng, engine, engines);
+            let group = draw_group(rng, engine, engines);
             let loss = if rng.generate_range(0..2u32) == 0 {
                 Loss::ToEngines
             } else {
                 Loss::ToProcesses
             };
-            Trouble::Silence(draw_silence(rng, who, loss))
+            Fault::Silence(draw_silence(rng, group, loss))
         }
     }
 }
@@ -356,7 +341,7 @@
         0 | 1 => Group::One { engine },
         2 => Group::Several {
             first: engine,
-            count: rng.generate_range(2..=MOST_SILENT),
+            count: rng.generate_range(2..=MAX_GROUP),
         },
         _ => Group::Zone {
             zone: engines.zone(engine),
@@ -364,19 +349,19 @@
     }
 }
 
-fn draw_hang(rng: &mut WyRand, who: Group) -> Hang {
+fn draw_hang(rng: &mut WyRand, engines: Group) -> Hang {
     Hang {
-        who,
+        engines,
         notices_closes: rng.generate_range(0..2u32) == 0,
     }
 }
 
-fn draw_silence(rng: &mut WyRand, who: Group, loss: Loss) -> Silence {
-    let within_a_message = loss == Loss::BothWays && rng.generate_range(0..4u32) == 0;
+fn draw_silence(rng: &mut WyRand, engines: Group, loss: Loss) -> Silence {
+    let starts_mid_message = loss == Loss::BothWays && rng.generate_range(0..4u32) == 0;
     Silence {
-        who,
+        engines,
         loss,
-        within_a_message,
+        starts_mid_message,
         delivers: rng.generate_range(0..2u32) == 0,
     }
 }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,6 +1,6 @@
-//! One process of the program: its configuration, its runs one after another, signals, and its log.
+//! One process of the program: its configuration, its successive runs, the signals it gets, and its logs.
 
-use crate::audit::Life;
+use crate::audit::ProcessRun;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::{self, File};
 use std::io::{self, BufRead, BufReader};
@@ -8,43 +8,48 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// What a process logs when a guard of its own stopped it from breaking an invariant.
+/// The text of the log line of a process that detects an invariant violation itself.
 const VIOLATION: &str = "invariant violated";
+/// Marks the log line that names the address on which a process listens.
 const SERVING: &str = "\"serving\"";
 
-/// How a process is started.
+/// The command that starts a process.
 #[derive(Clone, Debug)]
 pub struct Program {
+    /// The executable.
     pub path: PathBuf,
-    /// What its processes log.
+    /// The log level or directives, passed as `--log`.
     pub log: String,
-    /// What fails its system calls and steps its wall clock, if anything does, and the words that tell it how.
+    /// The preloaded library that makes system calls fail and steps the wall clock; `None` preloads nothing.
     pub shim: Option<Shim>,
 }
 
+/// A library that is preloaded into a process.
 #[derive(Clone, Debug)]
 pub struct Shim {
     pub library: PathBuf,
+    /// The environment variables that configure the library.
     pub variables: Vec<(String, String)>,
 }
 
-/// A process, and the run of it that is up, if one is.
+/// A process of the soak. It is started several times; at most one run is up at a time.
 pub struct Process {
     pub number: usize,
-    folder: PathBuf,
+    directory: PathBuf,
     program: Program,
     child: Option<Child>,
     starts: u32,
-    /// Where it listens, once it has said so.
+    /// The address that the present run listens on, once its log names it.
     pub address: Option<SocketAddr>,
 }
 
 impl Process {
-    pub fn new(number: usize, folder: &Path, program: Program) -> Process {
-        let folder = folder.to_owned();
+    /// Creates a process that is not started; its configuration and logs go into `directory`.
+    pub fn new(number: usize, directory: &Path, program: Program) -> Process {
+        let directory = directory.to_owned();
         Process {
             number,
-            folder,
+            directory,
             program,
             child: None,
             starts: 0,
@@ -52,47 +57,50 @@
         }
     }
 
-    /// The present run, or the last one.
-    pub fn life(&self) -> Life {
-        Life {
+    /// The present run, or the last one if none is up.
+    pub fn current_run(&self) -> ProcessRun {
+        ProcessRun {
             process: self.number,
             start: self.starts,
         }
     }
 
+    /// The start number of the next run.
     pub fn next_start(&self) -> u32 {
         self.starts + 1
     }
 
-    fn configuration(&self) -> PathBuf {
-        self.folder.join(format!("n{}.json", self.number))
+    fn configuration_path(&self) -> PathBuf {
+        self.directory.join(format!("n{}.json", self.number))
     }
 
-    fn log(&self, start: u32) -> PathBuf {
-        self.folder.join(format!("n{}-{start}.log", self.number))
+    fn log_path(&self, start: u32) -> PathBuf {
+        self.directory.join(format!("n{}-{start}.log", self.number))
     }
 
+    /// Writes the configuration file that the next run, or the next reload, reads.
+    ///
     /// # Errors
-    /// The file cannot be written.
+    /// Returns an error if the file cannot be written.
     pub fn configure(&self, text: &str) -> io::Result<()> {
-        fs::write(self.configuration(), text)
+        fs::write(self.configuration_path(), text)
     }
 
     /// Starts the next run.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// Returns an error if the log file cannot be created or the program cannot be started.
     pub fn start(&mut self) -> io::Result<()> {
         self.starts += 1;
         self.address = None;
         let mut command = Command::new(&self.program.path);
         command
             .args(["--log-form", "json", "--log", &self.program.log, "node"])
-            .env("GW_CONFIG", self.configuration());
+            .env("GW_CONFIG", self.configuration_path());
         command
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(File::create(self.log(self.starts))?);
+            .stderr(File::create(self.log_path(self.starts))?);
         if let Some(shim) = &self.program.shim {
             command
                 .env("LD_PRELOAD", &shim.library)
@@ -102,10 +110,10 @@
         Ok(())
     }
 
-    /// Reads on in its log until it says where it listens.
+    /// The address that the present run listens on; `None` until its log names it.
     pub fn find_address(&mut self) -> Option<SocketAddr> {
         if self.address.is_none() {
-            let log = File::open(self.log(self.starts)).ok()?;
+            let log = File::open(self.log_path(self.starts)).ok()?;
             let mut lines = BufReader::new(log).lines().map_while(Result::ok);
             let line = lines.find(|line| line.contains(SERVING))?;
             let line: serde_json::Value = serde_json::from_str(&line).ok()?;
@@ -114,7 +122,7 @@
         self.address
     }
 
-    /// How the present run has ended, if it has.
+    /// The exit status of the present run, once it has ended; reported one time only.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -122,25 +130,27 @@
         Some(status)
     }
 
+    /// Whether a run is up whose end has not been noticed.
     pub fn is_up(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Sends the present run a signal, if there is one.
+    /// Sends a signal to the present run; does nothing if none is up.
     pub fn signal(&self, signal: Signal) {
         let pid = self
             .child
             .as_ref()
             .and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(pid) = pid {
-            // It may be gone already; its end is seen by itself.
+            // An error means that the run has ended already, which `ended` reports.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Lines of its logs that tell of a violation, as it counts them itself.
+    /// The log lines of all runs that report an invariant violation.
     pub fn own_violations(&self) -> Vec<String> {
-        let logs = (1..=self.starts).filter_map(|start| fs::read_to_string(self.log(start)).ok());
+        let logs =
+            (1..=self.starts).filter_map(|start| fs::read_to_string(self.log_path(start)).ok());
         let lines = |log: String| {
             let found = log
                 .lines()
@@ -155,7 +165,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // Ours, by its own handle; it may be gone.
+            // Errors are ignored, as the run may have ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,9 +1,10 @@
-//! A TCP proxy in front of one stand-in: passes bytes on, and can refuse, silence or reset connections.
+//! A TCP proxy in front of one engine. It forwards bytes, and can refuse, silence or reset connections.
 //!
-//! A silent proxy stands for a machine that has vanished: connections stay open and no byte gets through either way.
-//! When it is back, what lay there is delivered, unless its sender has reset the connection meanwhile.
+//! A silent proxy simulates a machine that has vanished: connections stay open, and no byte gets through in either
+//! direction. When the silence ends, held-back bytes are delivered, unless their sender has reset the connection
+//! meanwhile.
 
-use crate::passage::{Passage, Passages};
+use crate::connection_trace::{ConnectionTrace, ConnectionTraces};
 use crate::service::Clock;
 use std::cell::Cell;
 use std::io;
@@ -16,57 +17,60 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// What happens to connections.
+/// How the proxy treats connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    Pass,
-    /// New ones are reset as soon as they are there.
+    /// Bytes are forwarded in both directions.
+    Forward,
+    /// New connections are reset at once; existing ones are forwarded.
     Refuse,
-    /// Nothing is passed on, either way, on old ones and new ones.
+    /// Nothing is forwarded in either direction, on existing and on new connections.
     Silent,
-    /// Nothing is passed on to the engine, or nothing to the process; the other way works.
+    /// Nothing is forwarded to the engine.
     SilentToEngine,
+    /// Nothing is forwarded to the process.
     SilentToProcess,
-    /// The next bytes of a process are passed on by half; from then on it is silent.
-    SilentWithin,
+    /// Half of the next bytes of a process are forwarded; then the mode changes to `Silent`.
+    SilentMidMessage,
 }
 
 impl Mode {
-    /// Whether nothing goes on this way.
-    fn stops(self, way: Way) -> bool {
+    /// Whether the mode blocks this direction.
+    fn blocks(self, direction: Direction) -> bool {
         match self {
             Mode::Silent => true,
-            Mode::SilentToEngine => way == Way::ToEngine,
-            Mode::SilentToProcess => way == Way::ToProcess,
-            Mode::Pass | Mode::Refuse | Mode::SilentWithin => false,
+            Mode::SilentToEngine => direction == Direction::ToEngine,
+            Mode::SilentToProcess => direction == Direction::ToProcess,
+            Mode::Forward | Mode::Refuse | Mode::SilentMidMessage => false,
         }
     }
 }
 
-/// Spreads connections evenly over a hundred places; prime to it.
-const SPREAD: u32 = 37;
-/// Bytes that one turn of passing on takes at most.
-const TURN: usize = 16 << 10;
-/// After a close on one side, the other one's connection stays for so long.
+/// Spreads consecutive connections evenly end the percentiles; it is coprime to 100.
+const PERCENTILE_STEP: u32 = 37;
+/// The most bytes that one read takes.
+const READ_BYTES: usize = 16 << 10;
+/// How long the other side's connection stays open after a close on one side.
 const LINGER: Duration = Duration::from_millis(2);
-/// Bytes that may lie in each direction of a connection while it is silent.
-const MOST_LYING: usize = 1 << 20;
+/// The most bytes that are held back in each direction of a silent connection.
+const MAX_HELD_BYTES: usize = 1 << 20;
 
 struct Shared {
     target: SocketAddr,
     clock: Clock,
-    passages: Passages,
+    traces: ConnectionTraces,
     mode: Cell<Mode>,
-    /// Of a hundred connections, how many are silent whatever the mode is.
-    silent_alone: Cell<u32>,
+    /// The percentage of connections that are silent in every mode.
+    silent_percent: Cell<u32>,
+    /// Notified when the mode, the percentage or the number of resets changes.
     changed: Notify,
-    /// How many connections there were.
-    drawn: Cell<u32>,
-    /// How often all connections were reset: those that are open see the number change.
-    cuts: Cell<u64>,
+    /// The number of connections so far.
+    connections: Cell<u32>,
+    /// How often all connections were reset; an open connection ends when the number changes.
+    resets: Cell<u64>,
 }
 
-/// A proxy; clones are the same one.
+/// A proxy. Clones share one state.
 #[derive(Clone)]
 pub struct Proxy {
     pub address: SocketAddr,
@@ -74,21 +78,26 @@
 }
 
 impl Proxy {
-    /// Listens on a free port and passes connections on to `target`, noting in `passages` what it sees.
+    /// Listens on a free port of the loopback interface and forwards connections to `target`. Adds the trace of each
+    /// connection to `traces`.
     ///
     /// # Errors
-    /// No port can be had.
-    pub async fn start(target: SocketAddr, clock: Clock, passages: Passages) -> io::Result<Proxy> {
+    /// Returns an error if no port can be bound.
+    pub async fn start(
+        target: SocketAddr,
+        clock: Clock,
+        traces: ConnectionTraces,
+    ) -> io::Result<Proxy> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let shared = Rc::new(Shared {
             target,
             clock,
-            passages,
-            mode: Cell::new(Mode::Pass),
-            silent_alone: Cell::new(0),
-            drawn: Cell::new(0),
+            traces,
+            mode: Cell::new(Mode::Forward),
+            silent_percent: Cell::new(0),
+            connections: Cell::new(0),
             changed: Notify::new(),
-            cuts: Cell::new(0),
+            resets: Cell::new(0),
         });
         let proxy = Proxy {
             address: listener.local_addr()?,
@@ -98,19 +107,20 @@
         Ok(proxy)
     }
 
+    /// Sets how connections are treated from now on.
     pub fn set_mode(&self, mode: Mode) {
         self.shared.set_mode(mode);
     }
 
-    /// Lets so many of a hundred connections be silent, each alone.
+    /// Silences this percentage of the connections in every mode; 0 ends that.
     pub fn silence_some(&self, percent: u32) {
-        self.shared.silent_alone.set(percent);
+        self.shared.silent_percent.set(percent);
         self.shared.changed.notify_waiters();
     }
 
     /// Resets all connections.
-    pub fn cut(&self) {
-        self.shared.cuts.set(self.shared.cuts.get() + 1);
+    pub fn reset_connections(&self) {
+        self.shared.resets.set(self.shared.resets.get() + 1);
         self.shared.changed.notify_waiters();
     }
 }
@@ -121,16 +131,17 @@
         self.changed.notify_waiters();
     }
 
-    /// Where a new connection stands among a hundred.
-    fn draw(&self) -> u32 {
-        self.drawn.set(self.drawn.get().wrapping_add(1));
-        self.drawn.get().wrapping_mul(SPREAD) % 100
+    /// The percentile of a new connection, in `0..100`.
+    fn next_percentile(&self) -> u32 {
+        self.connections.set(self.connections.get().wrapping_add(1));
+        self.connections.get().wrapping_mul(PERCENTILE_STEP) % 100
     }
 
-    async fn until_cut(&self, cuts: u64) {
+    /// Waits until the number of resets differs from `resets`.
+    async fn until_reset(&self, resets: u64) {
         loop {
             let changed = self.changed.notified();
-            if self.cuts.get() != cuts {
+            if self.resets.get() != resets {
                 return;
             }
             changed.await;
@@ -138,174 +149,182 @@
     }
 }
 
+/// Accepts connections until the listener fails.
 async fn accept(listener: TcpListener, shared: Rc<Shared>) {
     while let Ok((from, _)) = listener.accept().await {
         if shared.mode.get() == Mode::Refuse {
             reset(from);
             continue;
         }
-        spawn_local(pass(from, shared.clone()));
+        spawn_local(forward(from, shared.clone()));
     }
 }
 
 /// Ends a connection with a reset.
 fn reset(stream: TcpStream) {
-    // A connection that is gone already needs none.
+    // An error means that the connection has ended already.
     let _ = stream.set_zero_linger();
 }
 
-/// How a connection's passing on ended.
+/// How the forwarding of a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Over {
-    /// One side closed it.
+enum ConnectionEnd {
+    /// One side closed the connection.
     Closed,
-    /// It broke, or was cut: the other side sees a reset.
+    /// The connection broke, or the proxy reset it: the other side gets a reset.
     Reset,
 }
 
-/// Which way bytes go.
+/// The direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Direction {
     ToEngine,
     ToProcess,
 }
 
-async fn pass(from: TcpStream, shared: Rc<Shared>) {
-    let cuts = shared.cuts.get();
-    let passage = Rc::new(Passage::default());
-    let draw = shared.draw();
-    let (mut forth, mut back) = (Lying::of(draw), Lying::of(draw));
+/// Forwards one connection until it ends.
+async fn forward(from: TcpStream, shared: Rc<Shared>) {
+    let resets = shared.resets.get();
+    let trace = Rc::new(ConnectionTrace::default());
+    let percentile = shared.next_percentile();
+    let mut to_engine = HeldBytes::with_percentile(percentile);
+    let mut to_process = HeldBytes::with_percentile(percentile);
     let (mut from_read, mut from_write) = from.into_split();
-    // At once, also for a machine that has vanished: when it is back, all that lies there would want a connection in the
-    // same instant, more than its listener queues, and some would stay silent alone.
+    // The proxy connects at once, even while it is silent. If it connected at the end of a silence, all held-back
+    // connections would do so at the same time: more than the listener's queue takes, and some would stay silent.
     let to = tokio::select! { biased;
         to = TcpStream::connect(shared.target) => to,
-        () = lie(&mut from_read, &mut forth, Way::ToEngine, &shared, &passage) => return,
+        () = hold(&mut from_read, &mut to_engine, Direction::ToEngine, &shared, &trace) => return,
     };
-    let seen_as = to.as_ref().ok().and_then(|to| to.local_addr().ok());
-    let (Ok(to), Some(seen_as), true) = (to, seen_as, shared.cuts.get() == cuts) else {
+    let peer_address = to.as_ref().ok().and_then(|to| to.local_addr().ok());
+    let (Ok(to), Some(peer_address), true) = (to, peer_address, shared.resets.get() == resets)
+    else {
         if let Ok(from) = from_read.reunite(from_write) {
             reset(from);
         }
         return;
     };
-    shared.passages.add(seen_as, passage.clone());
-    // Without it what is small waits for more; a proxy that lacks it still passes on.
+    shared.traces.add(peer_address, trace.clone());
+    // Without TCP_NODELAY small writes are delayed; the proxy works without it, so errors are ignored.
     let _ = (from_write.as_ref().set_nodelay(true), to.set_nodelay(true));
     let (mut to_read, mut to_write) = to.into_split();
-    let over = tokio::select! { biased;
-        () = shared.until_cut(cuts) => Over::Reset,
-        over = one_way(&mut from_read, &mut to_write, &mut forth, Way::ToEngine, &shared, &passage) => over,
-        over = one_way(&mut to_read, &mut from_write, &mut back, Way::ToProcess, &shared, &passage) => over,
+    let end = tokio::select! { biased;
+        () = shared.until_reset(resets) => ConnectionEnd::Reset,
+        end = forward_one_way(&mut from_read, &mut to_write, &mut to_engine, Direction::ToEngine, &shared, &trace) => end,
+        end = forward_one_way(&mut to_read, &mut from_write, &mut to_process, Direction::ToProcess, &shared, &trace) => end,
     };
     let (from, to) = (from_read.reunite(from_write), to_read.reunite(to_write));
-    if let (Over::Reset, Ok(from), Ok(to)) = (over, from, to) {
+    if let (ConnectionEnd::Reset, Ok(from), Ok(to)) = (end, from, to) {
         reset(from);
         reset(to);
     }
 }
 
-/// What has come on one way of a connection and has not gone on.
+/// The bytes of one direction of a connection that have been received and not forwarded.
 #[derive(Default)]
-struct Lying {
-    /// Where its connection stands among a hundred.
-    draw: u32,
+struct HeldBytes {
+    /// The connection's percentile, in `0..100`.
+    percentile: u32,
     bytes: Vec<u8>,
-    end: Option<Over>,
+    /// How the sender ended the direction, if it has.
+    end: Option<ConnectionEnd>,
 }
 
-impl Lying {
-    fn of(draw: u32) -> Lying {
-        Lying {
-            draw,
-            ..Lying::default()
+impl HeldBytes {
+    fn with_percentile(percentile: u32) -> HeldBytes {
+        HeldBytes {
+            percentile,
+            ..HeldBytes::default()
         }
     }
 
-    /// Whether nothing goes on this way of its connection.
-    fn is_stopped(&self, way: Way, shared: &Shared) -> bool {
-        shared.mode.get().stops(way) || self.draw < shared.silent_alone.get()
+    /// Whether nothing is forwarded in this direction at present.
+    fn is_blocked(&self, direction: Direction, shared: &Shared) -> bool {
+        shared.mode.get().blocks(direction) || self.percentile < shared.silent_percent.get()
     }
 
-    /// Takes in what comes next.
-    async fn take(
+    /// Receives the next bytes, or the end, from the sender.
+    async fn receive(
         &mut self,
         from: &mut OwnedReadHalf,
-        way: Way,
+        direction: Direction,
         shared: &Shared,
-        passage: &Passage,
+        trace: &ConnectionTrace,
     ) {
-        let mut bytes = vec![0; TURN];
+        let mut bytes = vec![0; READ_BYTES];
         let read = from.read(&mut bytes).await;
         let now = shared.clock.now();
         match read {
-            Ok(0) => self.end = Some(Over::Closed),
+            Ok(0) => self.end = Some(ConnectionEnd::Closed),
             Ok(read) => self.bytes.extend_from_slice(&bytes[..read]),
-            // A reset takes along what lies there.
-            Err(_) => (self.bytes, self.end) = (Vec::new(), Some(Over::Reset)),
+            // A reset discards the bytes that have not been forwarded.
+            Err(_) => (self.bytes, self.end) = (Vec::new(), Some(ConnectionEnd::Reset)),
         }
-        if way == Way::ToEngine {
+        if direction == Direction::ToEngine {
             match self.end {
-                Some(_) => passage.process_closed(now),
-                None => passage.request_came(now),
+                Some(_) => trace.process_closed(now),
+                None => trace.request_received(now),
             }
         }
     }
 
-    fn takes_more(&self) -> bool {
-        self.end.is_none() && self.bytes.len() < MOST_LYING
+    /// Whether more bytes may be received.
+    fn has_room(&self) -> bool {
+        self.end.is_none() && self.bytes.len() < MAX_HELD_BYTES
     }
 }
 
-/// Takes in what comes, for good.
-async fn lie(
+/// Receives bytes without forwarding them; never returns.
+async fn hold(
     from: &mut OwnedReadHalf,
-    lying: &mut Lying,
-    way: Way,
+    held: &mut HeldBytes,
+    direction: Direction,
     shared: &Shared,
-    passage: &Passage,
+    trace: &ConnectionTrace,
 ) {
-    while lying.takes_more() {
-        lying.take(from, way, shared, passage).await;
+    while held.has_room() {
+        held.receive(from, direction, shared, trace).await;
     }
     std::future::pending().await
 }
 
-/// Passes bytes on one way until their sender ends. What comes while the proxy is silent lies there.
-async fn one_way(
+/// Forwards the bytes of one direction until their sender ends. Bytes that arrive while the direction is blocked are
+/// held back.
+async fn forward_one_way(
     from: &mut OwnedReadHalf,
     to: &mut OwnedWriteHalf,
-    lying: &mut Lying,
-    way: Way,
+    held: &mut HeldBytes,
+    direction: Direction,
     shared: &Shared,
-    passage: &Passage,
-) -> Over {
+    trace: &ConnectionTrace,
+) -> ConnectionEnd {
     loop {
         let changed = shared.changed.notified();
         let mode = shared.mode.get();
-        let is_stopped = lying.is_stopped(way, shared);
-        if !is_stopped && !lying.bytes.is_empty() {
-            let ends_within = mode == Mode::SilentWithin && way == Way::ToEngine;
-            let part = if ends_within {
-                lying.bytes.len() / 2
+        let is_blocked = held.is_blocked(direction, shared);
+        if !is_blocked && !held.bytes.is_empty() {
+            let stops_mid_message =
+                mode == Mode::SilentMidMessage && direction == Direction::ToEngine;
+            let forwarded = if stops_mid_message {
+                held.bytes.len() / 2
             } else {
-                lying.bytes.len()
+                held.bytes.len()
             };
-            if ends_within {
+            if stops_mid_message {
                 shared.set_mode(Mode::Silent);
             }
-            if to.write_all(&lying.bytes[..part]).await.is_err() {
-                return Over::Reset;
+            if to.write_all(&held.bytes[..forwarded]).await.is_err() {
+                return ConnectionEnd::Reset;
             }
-            lying.bytes.drain(..part);
-            if way == Way::ToProcess {
-                passage.answer_passed(shared.clock.now());
+            held.bytes.drain(..forwarded);
+            if direction == Direction::ToProcess {
+                trace.answer_forwarded(shared.clock.now());
             }
             continue;
         }
-        if let (Some(end), true) = (lying.end, !is_stopped) {
-            if end == Over::Closed {
-                // The other end sees what came before this as it is.
+        if let (Some(end), true) = (held.end, !is_blocked) {
+            if end == ConnectionEnd::Closed {
+                // The receiver gets all bytes that were sent before the close.
                 let _ = to.shutdown().await;
                 tokio::time::sleep(LINGER).await;
             }
@@ -313,7 +332,7 @@
         }
         tokio::select! { biased;
             () = changed => {}
-            () = lying.take(from, way, shared, passage), if lying.takes_more() => {}
+            () = held.receive(from, direction, shared, trace), if held.has_room() => {}
         }
     }
 }
--- a/crates/soak/src/readings.rs
+++ b/crates/soak/src/readings.rs
@@ -1,10 +1,10 @@
-//! Sentences of the platform's pages that can be read in two ways. A soak takes one reading of each, drawn from its seed: the
-//! program has to be right under all of them. `docs/acceptance.md` has the sentences.
+//! The platform's pages contain sentences that can be read in two ways; `docs/acceptance.md` lists them. A soak takes
+//! one reading of each, drawn from its seed, and the program has to be correct under all readings.
 
 use nanorand::{Rng, WyRand};
 use std::fmt;
 
-/// What a release lets go of.
+/// Which KV states a release frees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseScope {
     /// 'Everything held for the request.'
@@ -13,25 +13,25 @@
     WhatNoAttemptWaitsFor,
 }
 
-/// When an attempt that its process closes is over.
+/// When an attempt ends whose connection its process closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOver {
-    /// With the close.
+    /// At the close.
     AtTheClose,
-    /// Once its engine has noticed the close.
+    /// When the engine notices the close.
     WhenTheEngineNotices,
 }
 
-/// What an engine that hangs does with a release.
+/// How an engine that hangs treats a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HungRelease {
-    /// It carries it out and confirms it, as the part of it that serves such calls still runs.
+    /// The engine frees the state and confirms the release, as the part of it that serves such calls still runs.
     Confirmed,
-    /// It does nothing before it goes on.
+    /// The engine does nothing until it no longer hangs.
     Unanswered,
 }
 
-/// The readings that a soak takes.
+/// The readings that apply in a soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Readings {
     pub release: ReleaseScope,
@@ -40,27 +40,29 @@
 }
 
 impl Readings {
-    /// The readings of a platform that is as simple as can be.
+    /// The simplest readings: a release frees everything, an attempt ends at the close, and a hung engine answers no
+    /// release.
     pub const PLAIN: Readings = Readings {
         release: ReleaseScope::Everything,
         over: AttemptOver::AtTheClose,
         hung_release: HungRelease::Unanswered,
     };
 
+    /// Draws each reading with equal probability.
     pub fn draw(rng: &mut WyRand) -> Readings {
-        let mut heads = || rng.generate_range(0..2u32) == 0;
+        let mut coin = || rng.generate_range(0..2u32) == 0;
         Readings {
-            release: if heads() {
+            release: if coin() {
                 ReleaseScope::Everything
             } else {
                 ReleaseScope::WhatNoAttemptWaitsFor
             },
-            over: if heads() {
+            over: if coin() {
                 AttemptOver::AtTheClose
             } else {
                 AttemptOver::WhenTheEngineNotices
             },
-            hung_release: if heads() {
+            hung_release: if coin() {
                 HungRelease::Confirmed
             } else {
                 HungRelease::Unanswered
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,13 +1,14 @@
-//! Plays a soak: starts processes, engines, clients and discovery, carries out the plan, and gives the audit's report.
+//! Runs a soak: starts processes, engines, clients and discovery, injects the faults of the plan, and returns the
+//! audit's report.
 
-mod troubles;
+mod faults;
 
-use crate::audit::{Audit, Life, Report, Stage};
+use crate::audit::{Audit, ProcessRun, Report, Stage};
 use crate::client::Clients;
-use crate::configuration::{self, Place, KINDS, ZONES};
+use crate::configuration::{self, ProcessSettings, KINDS, ZONES};
 use crate::discovery::{self, Discovery, Entry};
 use crate::engine::{Engine, EngineSettings};
-use crate::plan::{Engines, Hang, Loss, Plan, Planned, Silence, Trouble};
+use crate::plan::{Engines, Fault, Hang, Loss, Plan, Planned, Silence};
 use crate::process::{Process, Program, Shim};
 use crate::proxy::{self, Proxy};
 use crate::readings::HungRelease;
@@ -25,96 +26,105 @@
 use tokio::sync::Semaphore;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Engines of each of the two kinds.
-const ENGINES_OF_A_KIND: usize = 4;
+/// The number of engines of each kind.
+const ENGINES_PER_KIND: usize = 4;
 const ENGINES: Engines = Engines {
-    count: KINDS.len() * ENGINES_OF_A_KIND,
+    count: KINDS.len() * ENGINES_PER_KIND,
     kinds: KINDS.len(),
     zones: ZONES.len(),
 };
-/// Requests a second that each process gets in the mean; some get several times that.
-const RATE: f64 = 4.0;
-/// Where decode attempts wait for one another: slots of an engine by the requests that it gets in a second. A stream takes
-/// some 0.2 s in the mean.
-const SLOTS_FOR: f64 = 0.3;
-/// How often the audit looks at what lies, and the runner at processes.
-const LOOK: Ms = 25.0;
-/// A process that is not ready by then never is.
-const NEVER_READY: Ms = 30_000.0;
-/// So many engines can always be reached.
-const LEAST_REACHABLE: usize = 2;
-/// After a signal to stop: for how long new connections still come ('for 0.2 to 0.4 s'), and how long after the longest
-/// deadline, 'counted as 3 s where it is longer', the process is killed, which is the earliest that the protocol allows.
+/// The mean number of requests per second and process. Single processes get up to several times as many.
+const REQUEST_RATE: f64 = 4.0;
+/// The slots of an engine per request that it gets in a second, where slots are limited. A stream takes about 0.2 s in
+/// the mean.
+const SLOTS_PER_RATE: f64 = 0.3;
+/// How often the audit checks held KV states, and the runner checks processes.
+const CHECK_INTERVAL: Ms = 25.0;
+/// A process that is not ready within this time counts as never ready.
+const READY_TIMEOUT: Ms = 30_000.0;
+/// The number of engines that always stay reachable.
+const MIN_REACHABLE: usize = 2;
+/// How long after a signal to stop new connections still arrive ('for 0.2 to 0.4 s').
 const STOP_NOTICED: Ms = 300.0;
-const STOP_KILLS: Ms = 700.0;
-const LONGEST_COUNTED: Ms = 3_000.0;
-/// Of a hundred connections to an engine, how many fall silent where each does alone.
-const SILENT_OF_A_HUNDRED: u32 = 40;
-/// Between the stops of several processes, and between a reload and a stop behind it.
-const BETWEEN_STOPS: Ms = 250.0;
-const BEHIND_A_RELOAD: Ms = 5.0;
-/// Where it is crowded: clients of each process that ask nothing, and bursts of requests.
+/// A stopping process is killed this long after the time of the longest deadline, the earliest time that the protocol
+/// allows.
+const KILL_AFTER_DEADLINE: Ms = 700.0;
+/// The longest deadline is 'counted as 3 s where it is longer' for the kill of a stopping process.
+const MAX_COUNTED_DEADLINE: Ms = 3_000.0;
+/// The percentage of an engine's connections that fall silent in [`Fault::SilenceSome`].
+const SILENT_PERCENT: u32 = 40;
+/// The time between the stops of several processes.
+const STOP_INTERVAL: Ms = 250.0;
+/// The time between a reload and the stop that follows it.
+const STOP_AFTER_RELOAD: Ms = 5.0;
+/// The number of idle clients of each process in a crowded soak.
 const IDLE_CLIENTS: usize = 25;
-const BURST: usize = 12;
-const BETWEEN_BURSTS: Ms = 2_500.0;
-/// How late the look at what lies may be; a later one may see what has not been taken in yet, and waits for the next.
-const LOOK_LATE: Ms = 15.0;
-/// A process is held up for at most so long between two steps.
-const PAUSE: Ms = 140.0;
-/// Where lists are asked for, a change counts as told this long after discovery had it.
-const TOLD_AFTER: Ms = 6_000.0;
-/// One process in so many has its wall clock stepped.
+/// The number of requests of a burst at each process in a crowded soak.
+const BURST_REQUESTS: usize = 12;
+/// The time between two bursts.
+const BURST_INTERVAL: Ms = 2_500.0;
+/// How late the check of held KV states may run. A later check is skipped, as releases may have arrived that the
+/// stand-ins have not read yet.
+const MAX_CHECK_DELAY: Ms = 15.0;
+/// How long a process is suspended; within the 0.15 s that the rules allow.
+const SUSPEND_TIME: Ms = 140.0;
+/// Where processes poll for lists, they count as notified of a change this long after its publication.
+const POLL_NOTICE_TIME: Ms = 6_000.0;
+/// One process in this many has its wall clock stepped.
 const STEPPED_ONE_IN: usize = 3;
-/// An engine drains for at least so long before it is gone.
-const DRAINS_FOR: Ms = 1_500.0;
+/// The shortest time from the drain of an engine to its removal.
+const MIN_DRAIN_TIME: Ms = 1_500.0;
 
-/// What is played.
+/// The options of a soak.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub seed: u64,
     pub processes: usize,
     pub seconds: f64,
-    /// The program whose processes are played.
+    /// The executable of the processes.
     pub program: PathBuf,
-    /// What its processes log: a level, or directives.
+    /// The log level or directives of the processes.
     pub log: String,
-    /// The library that fails system calls and steps wall clocks; none leaves them as they are.
+    /// The library that makes system calls fail and steps wall clocks; `None` leaves both as they are.
     pub shim: Option<PathBuf>,
-    /// Where configurations and logs go.
+    /// The existing directory for configurations and logs.
     pub folder: PathBuf,
 }
 
-/// What came of it.
+/// The result of a soak.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     pub plan: Plan,
     pub report: Report,
-    /// What the processes logged of their own violations.
+    /// The log lines in which processes report invariant violations themselves.
     pub own_violations: Vec<String>,
 }
 
-/// Plays a soak in real time.
+/// Runs a soak in real time and blocks until its end.
 ///
 /// # Errors
-/// A port, a folder or a process cannot be had.
+/// Returns an error if the runtime cannot be created or a port cannot be bound. A process that cannot be started is
+/// reported as a violation.
 pub fn run(options: &Options) -> io::Result<Outcome> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     LocalSet::new().block_on(&runtime, async {
         let soak = Rc::new(Soak::start(options).await?);
-        soak.play(options.seconds * 1000.0).await;
+        soak.run(options.seconds * 1000.0).await;
         Ok(soak.finish())
     })
 }
 
-/// An engine's place in the fleet, and the engine that has it now.
+/// A position in the fleet, and the engine that holds it at present.
 struct EngineSlot {
     engine: Engine,
     proxy: Proxy,
     entry: Entry,
+    /// How many engines held this position before.
     generation: u32,
-    leaving: bool,
+    /// Whether the engine drains.
+    is_leaving: bool,
 }
 
 struct Soak {
@@ -123,35 +133,38 @@
     platform: Platform,
     audit: Rc<RefCell<Audit>>,
     discovery: Discovery,
+    /// The two addresses of discovery.
     addresses: [SocketAddr; 2],
-    /// At which of its addresses discovery is now.
-    at: Cell<usize>,
-    reachable: Cell<bool>,
+    /// The index of the address that configurations name at present.
+    current_address: Cell<usize>,
+    is_discovery_reachable: Cell<bool>,
     engines: RefCell<Vec<EngineSlot>>,
     processes: Vec<RefCell<Process>>,
     /// Whether a process is being stopped or killed, or is not up yet.
     busy: Vec<Cell<bool>>,
-    /// Engines that are out of service, for whom processes count as told.
-    out: RefCell<Vec<String>>,
-    /// The list as processes find it at their start: from some time before.
+    /// The engines that are out of service.
+    out_of_service: RefCell<Vec<String>>,
+    /// The list of engines that processes start with; it is not the latest one.
     known: RefCell<String>,
-    /// Engines that nobody reaches now.
+    /// The engines that are cut off at present.
     unreachable: RefCell<BTreeSet<usize>>,
-    over: Cell<bool>,
-    looked_at: Cell<Ms>,
+    /// Whether the time of the soak is over.
+    is_over: Cell<bool>,
+    /// When the last check ran.
+    checked_at: Cell<Ms>,
 }
 
 impl Soak {
     async fn start(options: &Options) -> io::Result<Soak> {
         let clock = Clock::start();
         let plan = Plan::draw(options.seed, options.processes, ENGINES, options.seconds);
-        // Engines show that they bear what comes, bursts too.
+        // The slow-start budget is that of engines that can serve the whole traffic, bursts included.
         let bursts = if plan.is_crowded {
-            BURST as f64 * 1000.0 / BETWEEN_BURSTS
+            BURST_REQUESTS as f64 * 1000.0 / BURST_INTERVAL
         } else {
             0.0
         };
-        let rate = (RATE + bursts) * options.processes as f64 / ENGINES_OF_A_KIND as f64;
+        let rate = (REQUEST_RATE + bursts) * options.processes as f64 / ENGINES_PER_KIND as f64;
         let audit = Rc::new(RefCell::new(Audit::new(
             configuration::rules(rate),
             plan.readings,
@@ -166,7 +179,7 @@
             discovery.change(slot.entry.clone());
             engines.push(slot);
         }
-        let known = discovery.whole();
+        let known = discovery.complete_list();
         let process = |number| {
             RefCell::new(Process::new(
                 number,
@@ -182,45 +195,45 @@
             audit,
             discovery,
             addresses,
-            at: Cell::new(0),
-            reachable: Cell::new(true),
+            current_address: Cell::new(0),
+            is_discovery_reachable: Cell::new(true),
             engines: RefCell::new(engines),
             processes,
             busy: (0..options.processes).map(|_| Cell::new(true)).collect(),
-            out: RefCell::default(),
+            out_of_service: RefCell::default(),
             known: RefCell::new(known),
             unreachable: RefCell::default(),
-            over: Cell::new(false),
-            looked_at: Cell::new(0.0),
+            is_over: Cell::new(false),
+            checked_at: Cell::new(0.0),
         })
     }
 
-    async fn play(self: &Rc<Self>, lasts: Ms) {
+    async fn run(self: &Rc<Self>, duration: Ms) {
         for number in 0..self.processes.len() {
             self.start_process(number);
         }
-        let mut requests = Vec::new();
+        let mut faults = Vec::new();
         for planned in self.plan.troubles.clone() {
             let soak = self.clone();
-            requests.push(spawn_local(async move {
+            faults.push(spawn_local(async move {
                 sleep(planned.from - soak.clock.now()).await;
-                soak.trouble(planned).await;
+                soak.inject(planned).await;
             }));
         }
-        while self.clock.now() < lasts {
-            sleep(LOOK).await;
-            self.look();
+        while self.clock.now() < duration {
+            sleep(CHECK_INTERVAL).await;
+            self.check();
         }
-        self.over.set(true);
-        for request in requests {
-            // A request that was cut short shows in what it left undone.
-            let _ = request.await;
+        self.is_over.set(true);
+        for fault in faults {
+            // The audit sees the consequences of a fault whose task failed.
+            let _ = fault.await;
         }
-        self.end().await;
+        self.stop_all().await;
     }
 
-    /// Stops all processes, as a release would, and waits for their ends.
-    async fn end(self: &Rc<Self>) {
+    /// Stops all processes, as a rollout does, and waits for their ends.
+    async fn stop_all(self: &Rc<Self>) {
         let stops = (0..self.processes.len()).map(|number| {
             let soak = self.clone();
             spawn_local(async move { soak.stop_process(number, false).await })
@@ -228,7 +241,7 @@
         for stop in stops.collect::<Vec<_>>() {
             let _ = stop.await;
         }
-        self.look();
+        self.check();
     }
 
     fn finish(&self) -> Outcome {
@@ -246,12 +259,12 @@
         }
     }
 
-    /// Looks for states that lie, and for processes that have ended though nobody told them to.
-    fn look(&self) {
+    /// Checks for KV states that are held for too long, and for processes that have ended without being told to.
+    fn check(&self) {
         let now = self.clock.now();
-        let late = now - self.looked_at.replace(now) - LOOK;
-        if late <= LOOK_LATE {
-            self.audit.borrow_mut().look(now);
+        let delay = now - self.checked_at.replace(now) - CHECK_INTERVAL;
+        if delay <= MAX_CHECK_DELAY {
+            self.audit.borrow_mut().check_held_states(now);
         }
         for (number, process) in self
             .processes
@@ -260,12 +273,10 @@
             .filter(|(n, _)| !self.busy[*n].get())
         {
             let mut process = process.borrow_mut();
-            let life = process.life();
+            let run = process.current_run();
             if let Some(status) = process.ended() {
-                let how = format!("by itself, {status}");
-                self.audit
-                    .borrow_mut()
-                    .process_ended(life, false, &how, now);
+                let how = format!("without being told to, {status}");
+                self.audit.borrow_mut().process_ended(run, false, &how, now);
                 self.busy[number].set(true);
             }
         }
@@ -276,58 +287,60 @@
         let mut process = self.processes[number].borrow_mut();
         let started = process.configure(&self.configuration(number, process.next_start()));
         if let Err(problem) = started.and_then(|()| process.start()) {
-            self.audit
-                .borrow_mut()
-                .process_is_wrong(format!("{number}: {problem}"), self.clock.now());
+            self.audit.borrow_mut().process_failed(
+                format!("process {number} could not be started: {problem}"),
+                self.clock.now(),
+            );
             return;
         }
-        let life = process.life();
+        let run = process.current_run();
         drop(process);
         self.audit.borrow_mut().process_starts(number);
-        self.tell_all();
-        spawn_local(self.clone().bring_up(life));
+        self.notify_all();
+        spawn_local(self.clone().bring_up(run));
     }
 
     fn configuration(&self, number: usize, start: u32) -> String {
-        let place = Place {
+        let settings = ProcessSettings {
             classes: &self.plan.classes,
             number,
             processes: self.processes.len(),
             start,
-            discovery: self.addresses[self.at.get()],
+            discovery: self.addresses[self.current_address.get()],
             lists_are_asked_for: self.plan.lists_are_asked_for,
         };
-        configuration::file(&place, &self.known.borrow())
+        configuration::render(&settings, &self.known.borrow())
     }
 
-    async fn bring_up(self: Rc<Self>, life: Life) {
+    /// Waits until a run is ready, and then runs its clients.
+    async fn bring_up(self: Rc<Self>, run: ProcessRun) {
         let began = self.clock.now();
-        let process = &self.processes[life.process];
-        while self.clock.now() < began + NEVER_READY && process.borrow().life() == life {
+        let process = &self.processes[run.process];
+        while self.clock.now() < began + READY_TIMEOUT && process.borrow().current_run() == run {
             let address = process.borrow_mut().find_address();
             if let Some(address) = address {
                 if is_ready(address).await {
                     self.audit
                         .borrow_mut()
                         .process_ready(self.clock.now() - began);
-                    self.busy[life.process].set(false);
-                    return self.run_clients(life, address).await;
+                    self.busy[run.process].set(false);
+                    return self.run_clients(run, address).await;
                 }
             }
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        let what = format!("process {} was never ready", life.process);
+        let what = format!("process {} did not become ready in time", run.process);
         self.audit
             .borrow_mut()
-            .process_is_wrong(what, self.clock.now());
+            .process_failed(what, self.clock.now());
     }
 
-    /// Lets clients come to a run of a process for as long as it takes new ones.
-    async fn run_clients(self: Rc<Self>, life: Life, address: SocketAddr) {
-        let seed = self.platform.seed ^ (life.process as u64) << 32 ^ u64::from(life.start) << 48;
+    /// Sends the requests of clients to a run until the run ends.
+    async fn run_clients(self: Rc<Self>, run: ProcessRun, address: SocketAddr) {
+        let seed = self.platform.seed ^ (run.process as u64) << 32 ^ u64::from(run.start) << 48;
         let mut rng = WyRand::new_seed(seed);
         let clients = Clients::new(
-            life,
+            run,
             address,
             self.clock,
             self.audit.clone(),
@@ -335,75 +348,79 @@
             seed,
         );
         if self.plan.is_crowded {
-            self.crowd(life, &clients);
+            self.start_crowd(run, &clients);
         }
-        // Uneven traffic: the busiest process gets some times the mean.
+        // Uneven traffic: the busiest process gets several times the mean.
         let weight = 0.3 + 0.7 * -(1.0 - rng.generate::<f64>()).ln();
         loop {
-            sleep(-(1.0 - rng.generate::<f64>()).ln() * 1000.0 / (RATE * weight)).await;
-            if !self.is_up(life) {
+            sleep(-(1.0 - rng.generate::<f64>()).ln() * 1000.0 / (REQUEST_RATE * weight)).await;
+            if !self.is_up(run) {
                 return;
             }
-            // After a signal to stop no client comes anew, and those that are there go on until the kill.
+            // After a signal to stop no new client connects, and connected clients go on until the kill.
             if self
                 .audit
                 .borrow()
-                .stopped_before(life, self.clock.now() - STOP_NOTICED)
+                .stopped_before(run, self.clock.now() - STOP_NOTICED)
             {
-                spawn_local(clients.clone().ask_on_resting());
-            } else if !self.over.get() {
-                spawn_local(clients.clone().ask());
+                spawn_local(clients.clone().send_on_idle_connection());
+            } else if !self.is_over.get() {
+                spawn_local(clients.clone().send_request());
             }
         }
     }
 
-    /// Clients of a process that ask nothing, and others that all ask at once.
-    fn crowd(self: &Rc<Self>, life: Life, clients: &Clients) {
+    /// Starts the idle clients of a run, and the bursts of requests.
+    fn start_crowd(self: &Rc<Self>, run: ProcessRun, clients: &Clients) {
         for _ in 0..IDLE_CLIENTS {
             let soak = self.clone();
-            spawn_local(clients.clone().stay_idle(move || !soak.takes_new(life)));
+            spawn_local(
+                clients
+                    .clone()
+                    .stay_idle(move || !soak.accepts_clients(run)),
+            );
         }
         let (soak, clients) = (self.clone(), clients.clone());
         spawn_local(async move {
-            while soak.takes_new(life) {
-                sleep(BETWEEN_BURSTS).await;
-                for _ in 0..BURST {
-                    if soak.takes_new(life) {
-                        spawn_local(clients.clone().ask());
+            while soak.accepts_clients(run) {
+                sleep(BURST_INTERVAL).await;
+                for _ in 0..BURST_REQUESTS {
+                    if soak.accepts_clients(run) {
+                        spawn_local(clients.clone().send_request());
                     }
                 }
             }
         });
     }
 
-    fn is_up(&self, life: Life) -> bool {
-        let process = self.processes[life.process].borrow();
-        process.life() == life && process.is_up()
+    fn is_up(&self, run: ProcessRun) -> bool {
+        let process = self.processes[run.process].borrow();
+        process.current_run() == run && process.is_up()
     }
 
-    /// Whether clients still come to a run of a process.
-    fn takes_new(&self, life: Life) -> bool {
+    /// Whether new clients still connect to a run.
+    fn accepts_clients(&self, run: ProcessRun) -> bool {
         let stopped = self
             .audit
             .borrow()
-            .stopped_before(life, self.clock.now() - STOP_NOTICED);
-        self.is_up(life) && !stopped && !self.over.get()
+            .stopped_before(run, self.clock.now() - STOP_NOTICED);
+        self.is_up(run) && !stopped && !self.is_over.get()
     }
 }
 
-/// What all engines of a soak have in common.
+/// The settings that all engines of a soak share.
 struct Platform {
     seed: u64,
-    /// Decode attempts that an engine serves at a time.
+    /// Decode attempts that an engine serves at the same time.
     slots: usize,
     hung_release: HungRelease,
 }
 
 impl Platform {
-    /// `rate`: requests a second that each engine of a kind gets.
+    /// `rate` is the mean number of requests per second that each engine of a kind gets.
     fn new(seed: u64, plan: &Plan, rate: f64) -> Platform {
         let slots = if plan.decodes_wait {
-            (rate * SLOTS_FOR).ceil() as usize + 1
+            (rate * SLOTS_PER_RATE).ceil() as usize + 1
         } else {
             Semaphore::MAX_PERMITS
         };
@@ -415,7 +432,7 @@
     }
 }
 
-/// An engine behind its proxy. Kinds and zones take turns.
+/// Starts the engine of a position, with a proxy in front of it.
 async fn start_engine(
     platform: &Platform,
     at: usize,
@@ -438,14 +455,14 @@
         seed: platform.seed ^ (at as u64) << 8 ^ u64::from(generation),
     };
     let engine = Engine::new(settings, clock, audit.clone());
-    let proxy = Proxy::start(engine.listen().await?, clock, engine.passages.clone()).await?;
-    let place = at / KINDS.len();
+    let proxy = Proxy::start(engine.listen().await?, clock, engine.traces.clone()).await?;
+    let nth_of_kind = at / KINDS.len();
     let entry = Entry {
         id,
         address: proxy.address,
-        zone: ZONES[place % ZONES.len()],
+        zone: ZONES[nth_of_kind % ZONES.len()],
         kind: KINDS[kind],
-        cell: (place % ZONES.len()) as u32,
+        cell: (nth_of_kind % ZONES.len()) as u32,
         phase: "up",
         up_since_ms: if generation == 0 { 0 } else { wall_ms() },
     };
@@ -454,18 +471,18 @@
         proxy,
         entry,
         generation,
-        leaving: false,
+        is_leaving: false,
     })
 }
 
-/// How a process is started: with the shim, if system calls are to fail, or if its wall clock is to be stepped, as one in
-/// three are.
+/// The command that starts a process. The shim is preloaded if system calls are to fail or if the process is one of
+/// those whose wall clock is stepped.
 fn program(options: &Options, plan: &Plan, number: usize) -> Program {
-    let stepped = number.is_multiple_of(STEPPED_ONE_IN);
+    let is_stepped = number.is_multiple_of(STEPPED_ONE_IN);
     let shim = options
         .shim
         .clone()
-        .filter(|_| plan.system_calls_fail || stepped)
+        .filter(|_| plan.system_calls_fail || is_stepped)
         .map(|library| {
             let mut variables = vec![(
                 "CINDERCLEAT_SHIM_SEED".to_owned(),
@@ -474,7 +491,7 @@
             if plan.system_calls_fail {
                 variables.push(("CINDERCLEAT_SHIM_FAIL".to_owned(), "1".to_owned()));
             }
-            if stepped {
+            if is_stepped {
                 variables.push((
                     "CINDERCLEAT_SHIM_STEP_MS".to_owned(),
                     plan.wall_step.to_string(),
@@ -493,13 +510,14 @@
     }
 }
 
+/// Whether a process answers its readiness probe with status 200.
 async fn is_ready(address: SocketAddr) -> bool {
     let Ok(io) = TcpStream::connect(address).await else {
         return false;
     };
     let mut connection = Connection::new(io);
-    let asked = connection
-        .say("GET /-/ready HTTP/1.1\r\nHost: origin.svc\r\nConnection: close\r\n\r\n")
+    let sent = connection
+        .write("GET /-/ready HTTP/1.1\r\nHost: origin.svc\r\nConnection: close\r\n\r\n")
         .await;
-    asked.is_ok() && connection.status().await == Some(200)
+    sent.is_ok() && connection.status().await == Some(200)
 }
--- a/crates/soak/src/run/troubles.rs
+++ b/crates/soak/src/run/faults.rs
@@ -1,72 +1,75 @@
-//! Carries out the troubles of a plan: signals to processes, what befalls engines and their connections, and discovery.
+//! Injects the faults of a plan: signals to processes, and faults of engines, their connections and discovery.
 
 use super::*;
 
 impl Soak {
-    pub(super) async fn trouble(self: &Rc<Self>, planned: Planned) {
-        let Planned { until, trouble, .. } = planned;
-        match trouble {
-            Trouble::Stop { process } => self.stop_process(process, true).await,
-            Trouble::StopSeveral { first, count } => self.stop_several(first, count).await,
-            Trouble::Kill { process } => self.kill_process(process, until).await,
-            Trouble::Pause { process } => self.pause_process(process).await,
-            Trouble::Reload => self.reload(),
-            Trouble::ReloadTwice => {
+    /// Injects one fault; returns when the fault is over.
+    pub(super) async fn inject(self: &Rc<Self>, planned: Planned) {
+        let Planned { until, fault, .. } = planned;
+        match fault {
+            Fault::Stop { process } => self.stop_process(process, true).await,
+            Fault::StopSeveral { first, count } => self.stop_several(first, count).await,
+            Fault::Kill { process } => self.kill_process(process, until).await,
+            Fault::Pause { process } => self.pause_process(process).await,
+            Fault::Reload => self.reload(),
+            Fault::ReloadTwice => {
                 self.reload();
                 self.reload();
             }
-            Trouble::ReloadAndStop { process } => {
+            Fault::ReloadAndStop { process } => {
                 self.reload();
-                sleep(BEHIND_A_RELOAD).await;
+                sleep(STOP_AFTER_RELOAD).await;
                 self.stop_process(process, true).await;
             }
-            Trouble::Replace { engine } => self.replace_engine(engine, until).await,
-            Trouble::Hang(hang) => self.hang_engines(hang, until).await,
-            Trouble::TurnAway { engine } => {
+            Fault::Replace { engine } => self.replace_engine(engine, until).await,
+            Fault::Hang(hang) => self.hang_engines(hang, until).await,
+            Fault::Reject { engine } => {
                 let behaviour = self.engines.borrow()[engine].engine.behaviour.clone();
-                behaviour.turns_away.set(true);
+                behaviour.rejects.set(true);
                 sleep(until - self.clock.now()).await;
-                behaviour.turns_away.set(false);
+                behaviour.rejects.set(false);
             }
-            Trouble::SilenceSome { engine, delivers } => {
+            Fault::SilenceSome { engine, delivers } => {
                 self.silence_some(engine, delivers, until).await
             }
-            Trouble::Slow { engine } => {
+            Fault::Slow { engine } => {
                 let behaviour = self.engines.borrow()[engine].engine.behaviour.clone();
                 behaviour.is_slow.set(true);
                 sleep(until - self.clock.now()).await;
                 behaviour.is_slow.set(false);
             }
-            Trouble::CloseIdle { engine } => {
+            Fault::CloseIdle { engine } => {
                 self.engines.borrow()[engine]
                     .engine
                     .behaviour
                     .close_idle
                     .notify_waiters();
             }
-            Trouble::Reset { engine } => self.cut_engine(engine),
-            Trouble::Refuse { engine } => self.refuse_connections(engine, until).await,
-            Trouble::Silence(silence) => self.silence_engines(silence, until).await,
-            Trouble::DiscoverySilent => self.lose_discovery(discovery::Mode::Silent, until).await,
-            Trouble::DiscoveryRefuses => self.lose_discovery(discovery::Mode::Refuses, until).await,
-            Trouble::DiscoveryResets => self.discovery.cut(),
+            Fault::Reset { engine } => self.reset_engine_connections(engine),
+            Fault::Refuse { engine } => self.refuse_connections(engine, until).await,
+            Fault::Silence(silence) => self.silence_engines(silence, until).await,
+            Fault::DiscoverySilent => self.lose_discovery(discovery::Mode::Silent, until).await,
+            Fault::DiscoveryRefuses => self.lose_discovery(discovery::Mode::Refuses, until).await,
+            Fault::DiscoveryResets => self.discovery.reset_connections(),
         }
     }
 
-    /// Whether a process is up and nothing is done to it; from now on something is.
-    pub(super) fn occupy(&self, number: usize) -> bool {
+    /// Reserves a process for one fault. Returns `false` if the process is not up or another fault uses it.
+    pub(super) fn reserve_process(&self, number: usize) -> bool {
         !self.busy[number].replace(true)
     }
 
+    /// Tells a process to stop, kills it after the time limit, and starts it again if asked to.
     pub(super) async fn stop_process(self: &Rc<Self>, number: usize, starts_again: bool) {
-        if !self.occupy(number) {
+        if !self.reserve_process(number) {
             return;
         }
         let began = self.clock.now();
-        let life = self.processes[number].borrow().life();
-        self.audit.borrow_mut().process_stops(life, began);
+        let run = self.processes[number].borrow().current_run();
+        self.audit.borrow_mut().process_stops(run, began);
         self.processes[number].borrow().signal(Signal::TERM);
-        let kills = began + self.plan.longest_deadline().min(LONGEST_COUNTED) + STOP_KILLS;
+        let kill_at =
+            began + self.plan.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_AFTER_DEADLINE;
         let mut killed = false;
         loop {
             let ended = self.processes[number].borrow_mut().ended();
@@ -75,29 +78,29 @@
                 let how = format!("after a signal to stop, {status}");
                 self.audit
                     .borrow_mut()
-                    .process_ended(life, well, &how, self.clock.now());
+                    .process_ended(run, well, &how, self.clock.now());
                 break;
             }
-            if !killed && self.clock.now() > kills {
+            if !killed && self.clock.now() > kill_at {
                 killed = true;
                 self.audit
                     .borrow_mut()
-                    .process_killed_in_stop(life, self.clock.now());
+                    .process_killed_in_stop(run, self.clock.now());
                 self.processes[number].borrow().signal(Signal::KILL);
             }
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
         if starts_again {
             self.start_process(number);
         }
     }
 
-    /// Signals in series, as a release sends them.
+    /// Stops processes one after another, as a rollout does.
     pub(super) async fn stop_several(self: &Rc<Self>, first: usize, count: usize) {
         let stops = (0..count).map(|nth| {
             let (soak, number) = (self.clone(), (first + nth) % self.processes.len());
             spawn_local(async move {
-                sleep(nth as f64 * BETWEEN_STOPS).await;
+                sleep(nth as f64 * STOP_INTERVAL).await;
                 soak.stop_process(number, true).await;
             })
         });
@@ -106,34 +109,36 @@
         }
     }
 
+    /// Kills a process and starts it again at `until`.
     pub(super) async fn kill_process(self: &Rc<Self>, number: usize, until: Ms) {
-        if !self.occupy(number) {
+        if !self.reserve_process(number) {
             return;
         }
-        let life = self.processes[number].borrow().life();
+        let run = self.processes[number].borrow().current_run();
         self.audit
             .borrow_mut()
-            .process_killed(life, self.clock.now());
+            .process_killed(run, self.clock.now());
         self.processes[number].borrow().signal(Signal::KILL);
         while self.processes[number].borrow_mut().ended().is_none() {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
         sleep(until - self.clock.now()).await;
         self.start_process(number);
     }
 
+    /// Suspends a process for [`SUSPEND_TIME`].
     pub(super) async fn pause_process(&self, number: usize) {
-        if self.occupy(number) {
+        if self.reserve_process(number) {
             self.processes[number].borrow().signal(Signal::STOP);
-            sleep(PAUSE).await;
+            sleep(SUSPEND_TIME).await;
             self.processes[number].borrow().signal(Signal::CONT);
             self.busy[number].set(false);
         }
     }
 
-    /// Discovery moves to its other address; all that run are told to read their configurations again.
+    /// Moves discovery to its other address and makes all running processes reload their configurations.
     pub(super) fn reload(&self) {
-        self.at.set(1 - self.at.get());
+        self.current_address.set(1 - self.current_address.get());
         for (number, process) in self
             .processes
             .iter()
@@ -141,48 +146,50 @@
             .filter(|(n, _)| !self.busy[*n].get())
         {
             let process = process.borrow();
-            // A file that cannot be written is the old one, which is as good.
-            let _ = process.configure(&self.configuration(number, process.life().start));
+            // If the file cannot be written, the process reloads the old one, which is still valid.
+            let _ = process.configure(&self.configuration(number, process.current_run().start));
             process.signal(Signal::HUP);
         }
     }
 
-    pub(super) fn cut_engine(&self, at: usize) {
+    /// Resets all connections to an engine.
+    pub(super) fn reset_engine_connections(&self, at: usize) {
         let engines = self.engines.borrow();
         let now = self.clock.now();
         self.audit
             .borrow_mut()
-            .engine_cut(&engines[at].entry.id, now);
-        engines[at].proxy.cut();
+            .engine_connections_reset(&engines[at].entry.id, now);
+        engines[at].proxy.reset_connections();
     }
 
+    /// Refuses new connections to an engine until `until`.
     pub(super) async fn refuse_connections(&self, at: usize, until: Ms) {
-        if !self.become_unreachable(at) {
+        if !self.mark_unreachable(at) {
             return;
         }
         let proxy = self.proxy(at);
         proxy.set_mode(proxy::Mode::Refuse);
         sleep(until - self.clock.now()).await;
-        self.pass_again(at, &proxy);
+        self.restore(at, &proxy);
     }
 
-    /// Tells whether an engine may be cut off: it is not so yet, and enough are left. What is held can only be released
-    /// through an engine that runs.
-    pub(super) fn become_unreachable(&self, at: usize) -> bool {
+    /// Marks an engine as cut off. Returns `false` if it is cut off already or if too few engines would stay reachable:
+    /// a held KV state can only be released through a reachable engine.
+    pub(super) fn mark_unreachable(&self, at: usize) -> bool {
         let mut unreachable = self.unreachable.borrow_mut();
-        unreachable.len() + LEAST_REACHABLE < ENGINES.count && unreachable.insert(at)
+        unreachable.len() + MIN_REACHABLE < ENGINES.count && unreachable.insert(at)
     }
 
-    /// Machines vanish, and come back with or without what lay there.
+    /// Silences the network of engines until `until`, and then delivers the held-back bytes or resets the connections.
     pub(super) async fn silence_engines(&self, silence: Silence, until: Ms) {
         let since = self.clock.now();
-        let silenced = ENGINES
-            .of(silence.who)
+        let silenced_engines = ENGINES
+            .members(silence.engines)
             .into_iter()
-            .filter(|at| self.become_unreachable(*at));
-        let silenced: Vec<_> = silenced.map(|at| (at, self.proxy(at))).collect();
+            .filter(|at| self.mark_unreachable(*at));
+        let silenced: Vec<_> = silenced_engines.map(|at| (at, self.proxy(at))).collect();
         let mode = match silence.loss {
-            Loss::BothWays if silence.within_a_message => proxy::Mode::SilentWithin,
+            Loss::BothWays if silence.starts_mid_message => proxy::Mode::SilentMidMessage,
             Loss::BothWays => proxy::Mode::Silent,
             Loss::ToEngines => proxy::Mode::SilentToEngine,
             Loss::ToProcesses => proxy::Mode::SilentToProcess,
@@ -194,31 +201,33 @@
         for (at, proxy) in silenced {
             if !silence.delivers && self.is_behind(at, &proxy) {
                 let id = self.engines.borrow()[at].entry.id.clone();
-                self.audit.borrow_mut().engine_cut(&id, self.clock.now());
-                proxy.cut();
+                self.audit
+                    .borrow_mut()
+                    .engine_connections_reset(&id, self.clock.now());
+                proxy.reset_connections();
             }
-            self.pass_again(at, &proxy);
+            self.restore(at, &proxy);
         }
     }
 
-    /// Some connections to an engine fall silent, each alone.
+    /// Silences some of an engine's connections until `until`.
     pub(super) async fn silence_some(&self, at: usize, delivers: bool, until: Ms) {
         let proxy = self.proxy(at);
-        proxy.silence_some(SILENT_OF_A_HUNDRED);
+        proxy.silence_some(SILENT_PERCENT);
         sleep(until - self.clock.now()).await;
         if !delivers && self.is_behind(at, &proxy) {
-            self.cut_engine(at);
+            self.reset_engine_connections(at);
         }
         proxy.silence_some(0);
     }
 
-    /// Engines take connections and calls, and do nothing.
+    /// Makes engines hang until `until`.
     pub(super) async fn hang_engines(&self, hang: Hang, until: Ms) {
-        let hung = ENGINES
-            .of(hang.who)
+        let hung_engines = ENGINES
+            .members(hang.engines)
             .into_iter()
-            .filter(|at| self.become_unreachable(*at));
-        let hung: Vec<_> = hung
+            .filter(|at| self.mark_unreachable(*at));
+        let hung: Vec<_> = hung_engines
             .map(|at| (at, self.engines.borrow()[at].engine.behaviour.clone()))
             .collect();
         for (_, behaviour) in &hung {
@@ -232,53 +241,56 @@
         }
     }
 
+    /// The proxy of the engine that holds this position at present.
     pub(super) fn proxy(&self, at: usize) -> Proxy {
         self.engines.borrow()[at].proxy.clone()
     }
 
-    /// Whether the engine that has this place now is behind this proxy: it may have been replaced meanwhile.
+    /// Whether this proxy still belongs to the engine that holds the position: the engine may have been replaced.
     pub(super) fn is_behind(&self, at: usize, proxy: &Proxy) -> bool {
         self.engines.borrow()[at].proxy.address == proxy.address
     }
 
-    pub(super) fn pass_again(&self, at: usize, proxy: &Proxy) {
+    /// Ends the fault of a proxy, unless its engine has been replaced.
+    pub(super) fn restore(&self, at: usize, proxy: &Proxy) {
         self.unreachable.borrow_mut().remove(&at);
         if self.is_behind(at, proxy) {
-            proxy.set_mode(proxy::Mode::Pass);
+            proxy.set_mode(proxy::Mode::Forward);
         }
     }
 
+    /// Drains an engine, removes it at `until` at the earliest, and starts another one in its place.
     pub(super) async fn replace_engine(&self, at: usize, until: Ms) {
         let (entry, generation) = {
             let mut engines = self.engines.borrow_mut();
-            // Enough of its kind stays for the others to be served.
+            // At least one engine of the kind stays in service.
             let kind = at % KINDS.len();
             let leaving = engines
                 .iter()
                 .skip(kind)
                 .step_by(KINDS.len())
-                .filter(|slot| slot.leaving)
+                .filter(|slot| slot.is_leaving)
                 .count();
-            if engines[at].leaving || leaving + 1 >= ENGINES_OF_A_KIND {
+            if engines[at].is_leaving || leaving + 1 >= ENGINES_PER_KIND {
                 return;
             }
-            engines[at].leaving = true;
+            engines[at].is_leaving = true;
             (engines[at].entry.clone(), engines[at].generation)
         };
-        *self.known.borrow_mut() = self.discovery.whole();
+        *self.known.borrow_mut() = self.discovery.complete_list();
         self.audit.borrow_mut().engine_out_of_service(&entry.id);
-        self.out.borrow_mut().push(entry.id.clone());
+        self.out_of_service.borrow_mut().push(entry.id.clone());
         self.discovery.change(Entry {
             phase: "draining",
             ..entry.clone()
         });
-        self.tell_all();
-        sleep(until.max(self.clock.now() + DRAINS_FOR) - self.clock.now()).await;
+        self.notify_all();
+        sleep(until.max(self.clock.now() + MIN_DRAIN_TIME) - self.clock.now()).await;
         self.discovery.change(Entry {
             phase: "removed",
             ..entry.clone()
         });
-        self.cut_engine(at);
+        self.reset_engine_connections(at);
         self.engines.borrow()[at]
             .proxy
             .set_mode(proxy::Mode::Refuse);
@@ -292,39 +304,41 @@
                 self.engines.borrow_mut()[at] = slot;
             }
             Err(problem) => {
-                let what = format!("an engine could not be started: {problem}");
+                let what = format!("engine {at} could not be started: {problem}");
                 self.audit
                     .borrow_mut()
-                    .process_is_wrong(what, self.clock.now());
+                    .process_failed(what, self.clock.now());
             }
         }
     }
 
+    /// Makes discovery unreachable until `until`; does nothing if it is unreachable already.
     pub(super) async fn lose_discovery(&self, mode: discovery::Mode, until: Ms) {
-        if !self.reachable.replace(false) {
+        if !self.is_discovery_reachable.replace(false) {
             return;
         }
         self.discovery.set_mode(mode);
         sleep(until - self.clock.now()).await;
         self.discovery.set_mode(discovery::Mode::Answers);
-        self.reachable.set(true);
-        self.tell_all();
+        self.is_discovery_reachable.set(true);
+        self.notify_all();
     }
 
-    /// From now on all processes count as told of what is out of service, if discovery can be reached.
-    pub(super) fn tell_all(&self) {
-        if !self.reachable.get() {
+    /// Records when all processes count as notified of the engines out of service; does nothing while discovery is
+    /// unreachable.
+    pub(super) fn notify_all(&self) {
+        if !self.is_discovery_reachable.get() {
             return;
         }
         let after = if self.plan.lists_are_asked_for {
-            TOLD_AFTER
+            POLL_NOTICE_TIME
         } else {
             0.0
         };
         let at = self.clock.now() + after;
-        for engine in self.out.borrow().iter() {
+        for engine in self.out_of_service.borrow().iter() {
             for process in 0..self.processes.len() {
-                self.audit.borrow_mut().told_out(engine, process, at);
+                self.audit.borrow_mut().notified_out(engine, process, at);
             }
         }
     }
