--- a/crates/soak/src/service.rs
+++ b/crates/soak/src/service.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins have in common: a clock, drawn parts, and for those that serve connections, and requests read with the
-//! instants of their bytes.
+//! Shared percentages of the stand-ins: the clock, random draws by percentage, and HTTP connections that record when
+//! the bytes of a request arrive.
 
 use crate::Ms;
 use bytes::BytesMut;
@@ -13,58 +13,64 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// The largest body that is read.
-const MOST_BODY: usize = 1 << 20;
-const TURN: usize = 8 << 10;
+/// The largest body that a stand-in accepts.
+const MAX_BODY_BYTES: usize = 1 << 20;
+/// The buffer space that a read gets at least.
+const READ_BYTES: usize = 8 << 10;
 
-/// The soak's time, by a clock that is not stepped.
+/// The soak's monotonic clock, which counts from the start of the soak.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     began: Instant,
 }
 
 impl Clock {
+    /// Starts a clock at 0.
     pub fn start() -> Clock {
         Clock {
             began: Instant::now(),
         }
     }
 
+    /// Milliseconds since the start.
     pub fn now(&self) -> Ms {
         self.began.elapsed().as_secs_f64() * 1000.0
     }
 }
 
-/// Milliseconds since 1970.
+/// The wall clock in milliseconds since 1970.
 pub fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64)
 }
 
-pub async fn sleep(span: Ms) {
-    tokio::time::sleep(Duration::from_secs_f64(span.max(0.0) / 1000.0)).await;
+/// Sleeps for a duration; returns at once if it is negative.
+pub async fn sleep(duration: Ms) {
+    tokio::time::sleep(Duration::from_secs_f64(duration.max(0.0) / 1000.0)).await;
 }
 
-/// A connection that carries requests one after another.
+/// A connection that carries HTTP requests one after another.
 pub struct Connection {
     pub io: TcpStream,
-    /// The address of the other side, if it was accepted: a connection that is reset does not tell it any more.
+    /// The peer address of an accepted connection; `None` if this side opened it. The address is stored because a reset
+    /// connection no longer reports it.
     pub peer: Option<SocketAddr>,
     bytes: BytesMut,
 }
 
-/// A request that has come whole.
+/// A complete request, with the arrival times of its first and its last byte.
 pub struct Received {
     pub head: Request,
     pub first_byte: Ms,
     pub last_byte: Ms,
 }
 
-/// Serves each connection to a free port; gives the port's address.
+/// Binds a free port of the loopback interface, serves each connection to it in a task of its own, and returns its
+/// address.
 ///
 /// # Errors
-/// No port can be had.
+/// Returns an error if no port can be bound.
 pub async fn listen<F>(serve: impl Fn(Connection) -> F + 'static) -> io::Result<SocketAddr>
 where
     F: Future<Output = ()> + 'static,
@@ -82,19 +88,21 @@
     Ok(address)
 }
 
-/// Draws which part of a hundred it is, of the first ones that are given; none if it is of the rest.
-pub fn draw_part<const N: usize>(rng: &mut WyRand, parts: [u32; N]) -> Option<usize> {
+/// Draws one of several outcomes that have these percentages; returns its index, or `None` for the remaining
+/// percentage.
+pub fn draw_percentage<const N: usize>(rng: &mut WyRand, percentages: [u32; N]) -> Option<usize> {
     let drawn = rng.generate_range(0..100u32);
     let mut sum = 0;
-    parts.iter().position(|part| {
-        sum += part;
+    percentages.iter().position(|percentage| {
+        sum += percentage;
         drawn < sum
     })
 }
 
 impl Connection {
+    /// Wraps a stream that this side opened.
     pub fn new(io: TcpStream) -> Connection {
-        // A connection that is gone already shows it with the next read.
+        // If the connection has ended already, the next read reports it.
         let _ = io.set_nodelay(true);
         Connection {
             io,
@@ -103,22 +111,22 @@
         }
     }
 
-    /// The next request; none if the connection ends first, or what comes is none.
+    /// Reads the next request; returns `None` if the connection ends first or the bytes are not a valid request.
     pub async fn request(&mut self, clock: Clock) -> Option<Received> {
         let mut first_byte = (!self.bytes.is_empty()).then(|| clock.now());
         let head = loop {
             if let Some(head) = framing::request(&mut self.bytes).ok()? {
                 break head;
             }
-            self.more().await.ok()?;
+            self.read_more().await.ok()?;
             first_byte.get_or_insert_with(|| clock.now());
         };
-        let mut body = Body::new(head.length, MOST_BODY);
+        let mut body = Body::new(head.length, MAX_BODY_BYTES);
         loop {
             match body.next(&mut self.bytes).ok()? {
                 Some(Part::Data(_)) => {}
                 Some(Part::End) => break,
-                None => self.more().await.ok()?,
+                None => self.read_more().await.ok()?,
             }
         }
         let last_byte = clock.now();
@@ -129,47 +137,50 @@
         })
     }
 
-    async fn more(&mut self) -> io::Result<()> {
-        self.bytes.reserve(TURN);
+    /// Reads more bytes; fails at the end of the stream.
+    async fn read_more(&mut self) -> io::Result<()> {
+        self.bytes.reserve(READ_BYTES);
         match self.io.read_buf(&mut self.bytes).await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
             _ => Ok(()),
         }
     }
 
-    /// The status of the answer that comes; none if the connection ends first.
+    /// Reads the status of an answer; returns `None` if the connection ends first or the answer is invalid.
     pub async fn status(&mut self) -> Option<u16> {
-        let mut reading = Reading::new(MOST_BODY);
+        let mut reading = Reading::new(MAX_BODY_BYTES);
         loop {
             if let Some(Came::Head(head)) = reading.next(&mut self.bytes).ok()? {
                 return Some(head.first);
             }
-            self.more().await.ok()?;
+            self.read_more().await.ok()?;
         }
     }
 
-    /// Waits until the other side closes.
+    /// Waits until the other side closes the connection, and discards what it still sends.
     pub async fn closed(&mut self) {
-        while self.more().await.is_ok() {}
+        while self.read_more().await.is_ok() {}
     }
 
+    /// Writes text to the connection.
+    ///
     /// # Errors
-    /// The connection is over.
-    pub async fn say(&mut self, text: &str) -> io::Result<()> {
+    /// Returns an error if the connection has ended.
+    pub async fn write(&mut self, text: &str) -> io::Result<()> {
         self.io.write_all(text.as_bytes()).await
     }
 
     /// Ends the connection with a reset.
     pub fn reset(self) {
-        // A connection that is gone already needs none.
+        // An error means that the connection has ended already.
         let _ = self.io.set_zero_linger();
     }
 }
 
-/// An answer that is no stream.
-pub fn answer(status: &str, more: &str, body: &str) -> String {
+/// The text of an HTTP response with this status line, further header lines and body.
+pub fn response(status: &str, headers: &str, body: &str) -> String {
     format!(
-        "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
--- a/crates/soak/tests/audit.rs
+++ b/crates/soak/tests/audit.rs
@@ -1,8 +1,9 @@
-//! The judge: a soak in which all goes well breaks nothing, and a planted fault of each kind is found.
+//! The audit reports no violation for a soak without faults, and reports a planted violation of each invariant. The
+//! plans and readings are drawn as specified.
 
 use cindercleat_soak::audit::*;
-use cindercleat_soak::passage::Passage;
-use cindercleat_soak::plan::{Engines, Plan, Trouble};
+use cindercleat_soak::connection_trace::ConnectionTrace;
+use cindercleat_soak::plan::{Engines, Fault, Plan};
 use cindercleat_soak::readings::*;
 use cindercleat_soak::Ms;
 use std::rc::Rc;
@@ -12,18 +13,18 @@
     answer_grace: 500.0,
     drain_grace: 1_000.0,
     release: 800.0,
-    gone_grace: 100.0,
+    disconnect_grace: 100.0,
     deadline_slack: 150.0,
     event_delay: 300.0,
     slow_start_window: 2_000.0,
     slow_start_budget: 16.0,
-    cold_for: 6_000.0,
-    bad_client: 3_000.0,
+    cold_time: 6_000.0,
+    stalled_client_limit: 3_000.0,
     ready: 10_000.0,
-    any_time: 50.0,
-    held_up: 50.0,
+    timer_slack: 50.0,
+    process_delay: 50.0,
 };
-const LIFE: Life = Life {
+const RUN: ProcessRun = ProcessRun {
     process: 0,
     start: 1,
 };
@@ -33,7 +34,7 @@
     zones: 2,
 };
 
-/// A soak of one process, with a prefill and a decode engine.
+/// An audit of one process, with one prefill engine `p` and one decode engine `d`.
 fn audit() -> Audit {
     audit_reading(Readings::PLAIN)
 }
@@ -46,45 +47,53 @@
     audit
 }
 
-fn new(request: &str, engine: &str, stage: Stage, begun: Ms, told_left: f64) -> NewAttempt {
+/// An attempt whose bytes leave and arrive at `begun`, on a connection without a trace.
+fn new_attempt(
+    request: &str,
+    engine: &str,
+    stage: Stage,
+    begun: Ms,
+    stated_remaining: f64,
+) -> NewAttempt {
     let (request, engine) = (request.to_owned(), engine.to_owned());
-    let told_left = Some(told_left);
+    let stated_remaining = Some(stated_remaining);
     NewAttempt {
         request,
         engine,
         stage,
         sent: (begun, begun),
         begun,
-        told_left,
-        passage: None,
+        stated_remaining,
+        trace: None,
     }
 }
 
-/// A request that was read; its state waits since 20 ms after it was sent.
+/// A request sent at `at`, whose KV state is held from 20 ms later on.
 fn prefilled(audit: &mut Audit, id: &str, effect: Effect, at: Ms) {
-    audit.request_sent(id, LIFE, effect, at, 1_000.0);
-    let prefill = audit.attempt_begins(new(id, "p", Stage::Prefill, at + 1.0, 999.0));
+    audit.request_sent(id, RUN, effect, at, 1_000.0);
+    let prefill = audit.attempt_begins(new_attempt(id, "p", Stage::Prefill, at + 1.0, 999.0));
     audit.state_held(id, "p", at + 20.0);
     audit.attempt_ends(prefill, AttemptEnd::Served, at + 20.0);
 }
 
-/// Its answer of two events, as far as its engine writes it.
+/// A decode attempt whose engine has written two events.
 fn decoding(audit: &mut Audit, id: &str, at: Ms) -> AttemptId {
-    let decode = audit.attempt_begins(new(id, "d", Stage::Decode, at, 100.0));
+    let decode = audit.attempt_begins(new_attempt(id, "d", Stage::Decode, at, 100.0));
     audit.state_taken(id);
     audit.event_written(decode, at + 10.0);
     audit.event_written(decode, at + 20.0);
     decode
 }
 
+/// A request that is served without a violation.
 fn served(audit: &mut Audit, id: &str, effect: Effect, at: Ms) {
     prefilled(audit, id, effect, at);
     let decode = decoding(audit, id, at + 21.0);
-    audit.event_came(id, 0, at + 32.0);
-    audit.event_came(id, 1, at + 42.0);
+    audit.event_received(id, 0, at + 32.0);
+    audit.event_received(id, 1, at + 42.0);
     audit.stream_complete(decode);
     audit.attempt_ends(decode, AttemptEnd::Served, at + 50.0);
-    audit.answered(id, Answer::Whole(2), at + 51.0);
+    audit.answered(id, Answer::Complete(2), at + 51.0);
 }
 
 /// The invariants that were violated, once each.
@@ -100,7 +109,7 @@
 }
 
 #[test]
-fn a_soak_in_which_all_goes_well_breaks_nothing_and_counts_its_cases() {
+fn a_soak_without_faults_has_no_violations_and_counts_its_cases() {
     let mut audit = audit();
     for at in 0..50 {
         served(
@@ -110,7 +119,7 @@
             f64::from(at) * 100.0,
         );
     }
-    audit.bad_client_ended(Some(2_900.0), 5_000.0);
+    audit.stalled_client_ended(Some(2_900.0), 5_000.0);
     let report = audit.finish(9_000.0);
     assert_eq!(report.violations, []);
     for (invariant, cases) in [
@@ -128,19 +137,19 @@
     }
 }
 
-/// What may happen to a request, and whether its answer is owed.
-#[test_case(Answer::Nothing, false, true; "a connection that ends without a word")]
-#[test_case(Answer::Nothing, true, false; "of a process that was killed")]
-#[test_case(Answer::Whole(2), false, true; "a whole stream that no engine has ended")]
-#[test_case(Answer::Broken(1), false, true; "a stream that is cut while its engine writes")]
-#[test_case(Answer::Broken(0), false, true; "a stream that ends before its first event")]
-#[test_case(Answer::Failed, false, false; "a failure that is said")]
-fn an_end_that_is_no_answer_is_found(answer: Answer, killed: bool, found: bool) {
+/// What a client receives after its decode attempt has begun, and whether that violates `answered`.
+#[test_case(Answer::None, false, true; "connection ends without an answer")]
+#[test_case(Answer::None, true, false; "connection of a killed process ends")]
+#[test_case(Answer::Complete(2), false, true; "complete stream that no engine has completed")]
+#[test_case(Answer::Broken(1), false, true; "stream is cut off while its engine writes")]
+#[test_case(Answer::Broken(0), false, true; "stream ends before its first event")]
+#[test_case(Answer::Failed, false, false; "reported failure")]
+fn an_end_without_a_valid_answer_is_found(answer: Answer, killed: bool, found: bool) {
     let mut audit = audit();
     prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
     decoding(&mut audit, "a", 21.0);
     if killed {
-        audit.process_killed(LIFE, 50.0);
+        audit.process_killed(RUN, 50.0);
     }
     audit.answered("a", answer, 60.0);
     assert_eq!(
@@ -153,9 +162,10 @@
     );
 }
 
-/// A stream that its process ends while its engine goes on writing, into a network that lets nothing through, or not.
+/// A process ends a stream while its engine continues to write. That is allowed only if the network has been silent for
+/// long enough.
 #[test]
-fn a_stream_that_is_cut_is_found_unless_nothing_of_it_has_come_through_for_long() {
+fn a_stream_that_is_cut_off_is_found_unless_it_has_stalled() {
     for (silent_from, cut_at, found) in [
         (None, 4_200.0, true),
         (Some(100.0), 4_200.0, false),
@@ -163,10 +173,10 @@
     ] {
         let mut audit = audit();
         prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
-        let passage = Rc::new(Passage::default());
+        let trace = Rc::new(ConnectionTrace::default());
         let attempt = NewAttempt {
-            passage: Some(passage.clone()),
-            ..new("a", "d", Stage::Decode, 21.0, 900.0)
+            trace: Some(trace.clone()),
+            ..new_attempt("a", "d", Stage::Decode, 21.0, 900.0)
         };
         let decode = audit.attempt_begins(attempt);
         audit.state_taken("a");
@@ -178,8 +188,8 @@
         {
             audit.event_written(decode, at);
             if silent_from.is_none_or(|from| at < from) {
-                passage.answer_passed(at);
-                audit.event_came("a", number, at);
+                trace.answer_forwarded(at);
+                audit.event_received("a", number, at);
                 number += 1;
             }
         }
@@ -198,22 +208,22 @@
 #[test]
 fn an_answer_that_is_late_or_never_comes_is_found() {
     let mut audit = audit();
-    audit.request_sent("late", LIFE, Effect::Idempotent, 0.0, 1_000.0);
+    audit.request_sent("late", RUN, Effect::Idempotent, 0.0, 1_000.0);
     audit.answered("late", Answer::Failed, 1_700.0);
-    audit.request_sent("never", LIFE, Effect::Idempotent, 0.0, 1_000.0);
-    audit.request_sent("open", LIFE, Effect::Idempotent, 8_500.0, 1_000.0);
+    audit.request_sent("never", RUN, Effect::Idempotent, 0.0, 1_000.0);
+    audit.request_sent("open", RUN, Effect::Idempotent, 8_500.0, 1_000.0);
     let report = audit.finish(9_000.0);
     assert_eq!(report.violations.len(), 2, "{:?}", report.violations);
 }
 
-/// Two requests at once on a connection: the answer of the second comes behind that of the first.
+/// Two requests are sent at once on a connection, so the answer of the second follows that of the first.
 #[test]
-fn an_answer_is_due_no_sooner_than_the_one_before_it_on_its_connection_and_in_time_from_then() {
+fn an_answer_is_due_only_after_the_previous_answer_on_its_connection() {
     for (answered, found) in [(2_400.0, false), (2_700.0, true)] {
         let mut audit = audit();
-        audit.request_sent("behind", LIFE, Effect::Idempotent, 0.0, 1_000.0);
-        audit.waited_behind_another("behind", 2_000.0);
-        audit.answered("behind", Answer::Refused, answered);
+        audit.request_sent("behind", RUN, Effect::Idempotent, 0.0, 1_000.0);
+        audit.previous_answered("behind", 2_000.0);
+        audit.answered("behind", Answer::Rejected, answered);
         assert_eq!(
             violated(audit, 3_000.0),
             if found {
@@ -225,11 +235,11 @@
     }
 }
 
-/// A decode attempt on its way to an engine that is silent: it is not out. What the prefill engine said counts from when it
-/// got through.
+/// A decode attempt that has not arrived at its silent engine does not excuse a held state. The end of the prefill
+/// counts from the time at which it reached the process.
 #[test]
 fn a_state_behind_an_attempt_that_has_not_arrived_is_found_while_its_engine_is_silent() {
-    for (answer_passed, looked_at, found) in [
+    for (answer_passed, checked_at, found) in [
         (Some(20.0), 860.0, false),
         (Some(20.0), 880.0, true),
         (Some(400.0), 1_200.0, false),
@@ -237,19 +247,19 @@
         (None, 3_000.0, false),
     ] {
         let mut audit = audit();
-        let passage = Rc::new(Passage::default());
-        audit.request_sent("a", LIFE, Effect::Idempotent, 0.0, 4_000.0);
-        let attempt = new("a", "p", Stage::Prefill, 1.0, 3_999.0);
+        let trace = Rc::new(ConnectionTrace::default());
+        audit.request_sent("a", RUN, Effect::Idempotent, 0.0, 4_000.0);
+        let attempt = new_attempt("a", "p", Stage::Prefill, 1.0, 3_999.0);
         let prefill = audit.attempt_begins(NewAttempt {
-            passage: Some(passage.clone()),
+            trace: Some(trace.clone()),
             ..attempt
         });
         audit.state_held("a", "p", 20.0);
         audit.attempt_ends(prefill, AttemptEnd::Served, 20.0);
         if let Some(at) = answer_passed {
-            passage.answer_passed(at);
+            trace.answer_forwarded(at);
         }
-        audit.look(looked_at);
+        audit.check_held_states(checked_at);
         audit.answered("a", Answer::Failed, 4_000.0);
         audit.state_taken("a");
         assert_eq!(
@@ -263,71 +273,71 @@
     }
 }
 
-/// Each on connections that are silent: no byte of an engine gets through.
+/// A silent connection, on which no byte of the engine gets through, excuses no violation of the process.
 #[test]
-fn what_breaks_while_an_engine_is_silent_is_found() {
-    let silent = || Some(Rc::new(Passage::default()));
-    let mut told = audit();
-    told.request_sent("a", LIFE, Effect::Idempotent, 0.0, 1_000.0);
-    told.attempt_begins(NewAttempt {
-        passage: silent(),
-        ..new("a", "d", Stage::Prefill, 100.0, 1_200.0)
+fn violations_are_found_on_silent_connections() {
+    let silent = || Some(Rc::new(ConnectionTrace::default()));
+    let mut deadline = audit();
+    deadline.request_sent("a", RUN, Effect::Idempotent, 0.0, 1_000.0);
+    deadline.attempt_begins(NewAttempt {
+        trace: silent(),
+        ..new_attempt("a", "d", Stage::Prefill, 100.0, 1_200.0)
     });
-    assert_eq!(violated(told, 200.0), [Invariant::DeadlineTold]);
+    assert_eq!(violated(deadline, 200.0), [Invariant::DeadlineTold]);
     let mut drain = audit();
     drain.engine_out_of_service("d");
-    drain.told_out("d", 0, 0.0);
-    drain.request_sent("a", LIFE, Effect::Idempotent, 1_000.0, 1_000.0);
+    drain.notified_out("d", 0, 0.0);
+    drain.request_sent("a", RUN, Effect::Idempotent, 1_000.0, 1_000.0);
     drain.attempt_begins(NewAttempt {
-        passage: silent(),
-        ..new("a", "d", Stage::Prefill, 1_100.0, 900.0)
+        trace: silent(),
+        ..new_attempt("a", "d", Stage::Prefill, 1_100.0, 900.0)
     });
     assert_eq!(violated(drain, 1_200.0), [Invariant::DrainKept]);
-    let mut twice = audit();
-    prefilled(&mut twice, "a", Effect::Idempotent, 0.0);
-    twice.attempt_begins(NewAttempt {
-        passage: silent(),
-        ..new("a", "d", Stage::Decode, 30.0, 900.0)
+    let mut concurrent = audit();
+    prefilled(&mut concurrent, "a", Effect::Idempotent, 0.0);
+    concurrent.attempt_begins(NewAttempt {
+        trace: silent(),
+        ..new_attempt("a", "d", Stage::Decode, 30.0, 900.0)
     });
-    twice.attempt_begins(new("a", "d", Stage::Decode, 400.0, 500.0));
-    twice.state_taken("a");
-    assert_eq!(violated(twice, 500.0), [Invariant::RunOnce]);
-    let mut gone = audit();
-    gone.request_sent("a", LIFE, Effect::Idempotent, 0.0, 1_000.0);
-    gone.client_gone("a", 10.0);
-    gone.attempt_begins(NewAttempt {
-        passage: silent(),
-        ..new("a", "p", Stage::Prefill, 300.0, 600.0)
+    concurrent.attempt_begins(new_attempt("a", "d", Stage::Decode, 400.0, 500.0));
+    concurrent.state_taken("a");
+    assert_eq!(violated(concurrent, 500.0), [Invariant::RunOnce]);
+    let mut disconnected = audit();
+    disconnected.request_sent("a", RUN, Effect::Idempotent, 0.0, 1_000.0);
+    disconnected.client_disconnected("a", 10.0);
+    disconnected.attempt_begins(NewAttempt {
+        trace: silent(),
+        ..new_attempt("a", "p", Stage::Prefill, 300.0, 600.0)
     });
-    assert_eq!(violated(gone, 400.0), [Invariant::ClientThere]);
+    assert_eq!(violated(disconnected, 400.0), [Invariant::ClientThere]);
     let mut lost = audit();
-    lost.request_sent("a", LIFE, Effect::Idempotent, 0.0, 1_000.0);
+    lost.request_sent("a", RUN, Effect::Idempotent, 0.0, 1_000.0);
     lost.attempt_begins(NewAttempt {
-        passage: silent(),
-        ..new("a", "p", Stage::Prefill, 300.0, 600.0)
+        trace: silent(),
+        ..new_attempt("a", "p", Stage::Prefill, 300.0, 600.0)
     });
     assert_eq!(violated(lost, 2_000.0), [Invariant::Answered]);
 }
 
-/// An attempt that its process has ended is not out any more, though its engine does not know.
+/// An attempt that its process has closed no longer runs, even if its engine does not know of the close.
 #[test]
 fn an_attempt_may_follow_one_that_was_closed_on_a_silent_connection() {
     let mut audit = audit();
     prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
-    let passage = Rc::new(Passage::default());
+    let trace = Rc::new(ConnectionTrace::default());
     let first = NewAttempt {
-        passage: Some(passage.clone()),
-        ..new("a", "d", Stage::Decode, 30.0, 900.0)
+        trace: Some(trace.clone()),
+        ..new_attempt("a", "d", Stage::Decode, 30.0, 900.0)
     };
     audit.attempt_begins(first);
-    passage.process_closed(280.0);
-    audit.attempt_begins(new("a", "d", Stage::Decode, 282.0, 700.0));
+    trace.process_closed(280.0);
+    audit.attempt_begins(new_attempt("a", "d", Stage::Decode, 282.0, 700.0));
     audit.state_taken("a");
     assert_eq!(violated(audit, 500.0), []);
 }
 
 #[test]
-fn an_event_counts_from_when_it_got_through() {
+fn the_delay_of_an_event_counts_from_its_arrival_at_the_process() {
     for (passed, came, found) in [
         (900.0, 910.0, false),
         (900.0, 1_400.0, true),
@@ -335,15 +345,15 @@
     ] {
         let mut audit = audit();
         prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
-        let passage = Rc::new(Passage::default());
+        let trace = Rc::new(ConnectionTrace::default());
         let decode = audit.attempt_begins(NewAttempt {
-            passage: Some(passage.clone()),
-            ..new("a", "d", Stage::Decode, 21.0, 900.0)
+            trace: Some(trace.clone()),
+            ..new_attempt("a", "d", Stage::Decode, 21.0, 900.0)
         });
         audit.state_taken("a");
         audit.event_written(decode, 31.0);
-        passage.answer_passed(passed);
-        audit.event_came("a", 0, came);
+        trace.answer_forwarded(passed);
+        audit.event_received("a", 0, came);
         assert_eq!(
             violated(audit, 1_500.0),
             if found {
@@ -356,21 +366,21 @@
 }
 
 #[test]
-fn a_request_is_owed_an_answer_in_a_stop_unless_it_crossed_the_close_of_a_resting_connection() {
-    for (crossed, read) in [(true, false), (false, false), (false, true)] {
+fn a_stopping_process_owes_an_answer_unless_the_request_met_the_close_of_an_idle_connection() {
+    for (is_unread, reached_engine) in [(true, false), (false, false), (false, true)] {
         let mut audit = audit();
-        audit.process_stops(LIFE, 0.0);
-        audit.request_sent("a", LIFE, Effect::Idempotent, 800.0, 1_000.0);
-        if read {
-            audit.attempt_begins(new("a", "p", Stage::Prefill, 810.0, 900.0));
+        audit.process_stops(RUN, 0.0);
+        audit.request_sent("a", RUN, Effect::Idempotent, 800.0, 1_000.0);
+        if reached_engine {
+            audit.attempt_begins(new_attempt("a", "p", Stage::Prefill, 810.0, 900.0));
         }
-        if crossed {
-            audit.request_crossed("a");
+        if is_unread {
+            audit.request_unread("a");
         }
-        audit.answered("a", Answer::Nothing, 900.0);
+        audit.answered("a", Answer::None, 900.0);
         assert_eq!(
             violated(audit, 1_000.0),
-            if crossed {
+            if is_unread {
                 vec![]
             } else {
                 vec![Invariant::Answered]
@@ -379,25 +389,26 @@
     }
 }
 
-/// What the kill at the end of a stop finds unanswered, and when it had come.
-#[test_case(600.0, Answer::Nothing, false; "a request of the first moments")]
-#[test_case(800.0, Answer::Nothing, true; "a request that came later")]
-#[test_case(800.0, Answer::Broken(1), true; "a stream that came later")]
-fn what_the_kill_of_a_stop_finds_unanswered_is_lost_if_it_came_late(
+/// When an unanswered request was sent, counted from the signal to stop, and whether the kill that ends the stop loses
+/// it.
+#[test_case(600.0, Answer::None, false; "request within 0.7 s of the signal")]
+#[test_case(800.0, Answer::None, true; "later request")]
+#[test_case(800.0, Answer::Broken(1), true; "stream of a later request")]
+fn a_request_that_the_kill_of_a_stop_leaves_unanswered_is_lost_if_it_came_late(
     sent: Ms,
     answer: Answer,
     found: bool,
 ) {
-    for at_the_kill in [true, false] {
+    for is_killed in [true, false] {
         let mut audit = audit();
-        audit.process_stops(LIFE, 0.0);
+        audit.process_stops(RUN, 0.0);
         prefilled(&mut audit, "a", Effect::Idempotent, sent);
         decoding(&mut audit, "a", sent + 21.0);
-        if at_the_kill {
-            audit.process_killed_in_stop(LIFE, 1_100.0);
+        if is_killed {
+            audit.process_killed_in_stop(RUN, 1_100.0);
         }
         audit.answered("a", answer, 1_100.0);
-        let found = found || !at_the_kill;
+        let found = found || !is_killed;
         assert_eq!(
             violated(audit, 1_200.0),
             if found {
@@ -409,9 +420,9 @@
     }
 }
 
-/// How the first attempt at a decode engine ended, when the second one begins, and whether it may.
+/// How the first decode attempt ended, when the second one begins, and whether the class allows it.
 #[test_case(Effect::AtMostOnce, AttemptEnd::Failed, 60.0, false; "at most once, after it may have run")]
-#[test_case(Effect::AtMostOnce, AttemptEnd::TurnedAway, 60.0, true; "at most once, after it was turned away")]
+#[test_case(Effect::AtMostOnce, AttemptEnd::Rejected, 60.0, true; "at most once, after it was rejected")]
 #[test_case(Effect::Keyed { window: 500 }, AttemptEnd::Failed, 60.0, true; "keyed, within its window")]
 #[test_case(Effect::Keyed { window: 500 }, AttemptEnd::Failed, 700.0, false; "keyed, after its window")]
 #[test_case(Effect::Idempotent, AttemptEnd::Failed, 700.0, true; "idempotent")]
@@ -437,22 +448,22 @@
 }
 
 #[test]
-fn two_attempts_at_once_and_a_refusal_after_an_effect_are_found() {
-    let mut twice = audit();
-    prefilled(&mut twice, "a", Effect::Idempotent, 0.0);
-    decoding(&mut twice, "a", 21.0);
-    decoding(&mut twice, "a", 200.0);
-    assert_eq!(violated(twice, 900.0), [Invariant::RunOnce]);
-    let mut refused = audit();
-    prefilled(&mut refused, "a", Effect::AtMostOnce, 0.0);
-    let attempt = decoding(&mut refused, "a", 21.0);
-    refused.attempt_ends(attempt, AttemptEnd::Failed, 40.0);
-    refused.answered("a", Answer::Refused, 50.0);
-    assert_eq!(violated(refused, 900.0), [Invariant::RunOnce]);
+fn concurrent_attempts_and_a_rejection_after_execution_are_found() {
+    let mut concurrent = audit();
+    prefilled(&mut concurrent, "a", Effect::Idempotent, 0.0);
+    decoding(&mut concurrent, "a", 21.0);
+    decoding(&mut concurrent, "a", 200.0);
+    assert_eq!(violated(concurrent, 900.0), [Invariant::RunOnce]);
+    let mut rejected = audit();
+    prefilled(&mut rejected, "a", Effect::AtMostOnce, 0.0);
+    let attempt = decoding(&mut rejected, "a", 21.0);
+    rejected.attempt_ends(attempt, AttemptEnd::Failed, 40.0);
+    rejected.answered("a", Answer::Rejected, 50.0);
+    assert_eq!(violated(rejected, 900.0), [Invariant::RunOnce]);
 }
 
 #[test]
-fn a_send_to_an_engine_that_drains_is_found_after_the_grace_unless_it_is_not_told() {
+fn an_attempt_at_a_draining_engine_is_found_after_the_grace_if_the_process_was_notified() {
     for (at, told, found) in [
         (900.0, true, false),
         (1_200.0, true, true),
@@ -461,7 +472,7 @@
         let mut audit = audit();
         audit.engine_out_of_service("p");
         if told {
-            audit.told_out("p", 0, 0.0);
+            audit.notified_out("p", 0, 0.0);
         }
         prefilled(&mut audit, "a", Effect::Idempotent, at);
         audit.state_taken("a");
@@ -477,7 +488,7 @@
 }
 
 #[test]
-fn a_state_that_lies_is_found_while_no_attempt_is_out() {
+fn a_state_that_is_held_too_long_is_found_while_no_attempt_runs() {
     for (held_by_attempt, released, found) in [
         (false, false, true),
         (true, false, false),
@@ -486,12 +497,12 @@
         let mut audit = audit();
         prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
         if held_by_attempt {
-            audit.attempt_begins(new("a", "d", Stage::Decode, 30.0, 900.0));
+            audit.attempt_begins(new_attempt("a", "d", Stage::Decode, 30.0, 900.0));
         }
         if released {
             audit.state_taken("a");
         }
-        audit.look(1_000.0);
+        audit.check_held_states(1_000.0);
         audit.answered("a", Answer::Failed, 1_001.0);
         assert_eq!(
             violated(audit, 1_100.0),
@@ -504,25 +515,28 @@
     }
 }
 
-/// By the reading that a release lets go of what no attempt waits for, one that comes while an attempt is out does nothing.
+/// If a release frees only states that no attempt waits for, a release that arrives while an attempt runs does nothing.
 #[test_case(ReleaseScope::Everything, false; "everything")]
 #[test_case(ReleaseScope::WhatNoAttemptWaitsFor, true; "what no attempt waits for")]
-fn a_state_whose_release_came_while_an_attempt_waited_is_found(release: ReleaseScope, found: bool) {
+fn a_state_whose_release_arrived_while_an_attempt_waited_is_found(
+    release: ReleaseScope,
+    found: bool,
+) {
     for sent_again in [false, true] {
         let mut audit = audit_reading(Readings {
             release,
             ..Readings::PLAIN
         });
         prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
-        let decode = audit.attempt_begins(new("a", "d", Stage::Decode, 30.0, 900.0));
-        audit.release_came("a");
+        let decode = audit.attempt_begins(new_attempt("a", "d", Stage::Decode, 30.0, 900.0));
+        audit.release_received("a");
         audit.attempt_ends(decode, AttemptEnd::Abandoned, 1_000.0);
         if sent_again {
-            audit.release_came("a");
+            audit.release_received("a");
         }
         audit.answered("a", Answer::Failed, 1_001.0);
-        audit.look(1_840.0);
-        audit.look(1_860.0);
+        audit.check_held_states(1_840.0);
+        audit.check_held_states(1_860.0);
         let found = found && !sent_again;
         assert_eq!(
             violated(audit, 1_900.0),
@@ -535,11 +549,11 @@
     }
 }
 
-/// An attempt that its process has closed, at an engine that notices it later: what a release does between, and since when
-/// the time of its state runs.
+/// A process closes an attempt, and the engine notices the close later. The reading decides what a release does
+/// between, and from when on the state counts as unused.
 #[test]
-fn an_attempt_that_its_process_has_closed_is_over_by_the_reading() {
-    for (over, noticed, released, looked, found) in [
+fn the_reading_decides_when_a_closed_attempt_ends() {
+    for (over, noticed, released, checked_at, found) in [
         (
             AttemptOver::AtTheClose,
             2_000.0,
@@ -591,25 +605,25 @@
         };
         let mut audit = audit_reading(readings);
         prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
-        audit.client_gone("a", 100.0);
-        let passage = Rc::new(Passage::default());
-        passage.process_closed(100.0);
+        audit.client_disconnected("a", 100.0);
+        let trace = Rc::new(ConnectionTrace::default());
+        trace.process_closed(100.0);
         let attempt = NewAttempt {
-            passage: Some(passage),
-            ..new("a", "d", Stage::Decode, 30.0, 900.0)
+            trace: Some(trace),
+            ..new_attempt("a", "d", Stage::Decode, 30.0, 900.0)
         };
         let decode = audit.attempt_begins(attempt);
         let mut steps: Vec<(Ms, bool)> = vec![(noticed, false)];
         steps.extend(released.map(|at| (at, true)));
         steps.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (at, is_release) in steps.into_iter().filter(|(at, _)| *at < looked) {
+        for (at, is_release) in steps.into_iter().filter(|(at, _)| *at < checked_at) {
             match is_release {
-                true => audit.release_came("a"),
+                true => audit.release_received("a"),
                 false => audit.attempt_ends(decode, AttemptEnd::Abandoned, at),
             }
         }
-        audit.look(looked);
-        let violated = violated(audit, looked);
+        audit.check_held_states(checked_at);
+        let violated = violated(audit, checked_at);
         let expected = if found {
             vec![Invariant::StateReleased]
         } else {
@@ -623,16 +637,16 @@
 }
 
 #[test]
-fn an_attempt_for_a_client_that_has_gone_and_a_deadline_that_is_too_long_are_found() {
+fn an_attempt_for_a_disconnected_client_and_a_too_long_deadline_are_found() {
     for (begun, told, found) in [
         (150.0, 900.0, None),
         (250.0, 700.0, Some(Invariant::ClientThere)),
         (150.0, 1_200.0, Some(Invariant::DeadlineTold)),
     ] {
         let mut audit = audit();
-        audit.request_sent("a", LIFE, Effect::Idempotent, 0.0, 1_000.0);
-        audit.client_gone("a", 10.0);
-        audit.attempt_begins(new("a", "p", Stage::Prefill, begun, told));
+        audit.request_sent("a", RUN, Effect::Idempotent, 0.0, 1_000.0);
+        audit.client_disconnected("a", 10.0);
+        audit.attempt_begins(new_attempt("a", "p", Stage::Prefill, begun, told));
         assert_eq!(
             violated(audit, 400.0),
             found.into_iter().collect::<Vec<_>>()
@@ -641,12 +655,12 @@
 }
 
 #[test]
-fn an_event_that_comes_late_or_out_of_order_is_found() {
+fn a_late_event_and_an_event_out_of_order_are_found() {
     for (number, at, found) in [(0, 400.0, false), (0, 500.0, true), (1, 100.0, true)] {
         let mut audit = audit();
         prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
         decoding(&mut audit, "a", 21.0);
-        audit.event_came("a", number, at);
+        audit.event_received("a", number, at);
         assert_eq!(
             violated(audit, 600.0),
             if found {
@@ -659,8 +673,8 @@
 }
 
 #[test]
-fn an_engine_that_has_just_started_gets_no_more_than_its_budget_of_all() {
-    // 16, and 3 roots of it, and 3.
+fn more_attempts_at_a_cold_engine_than_its_budget_are_found() {
+    // The limit is the budget of 16, plus three times its square root, plus 3: 31 attempts.
     for (attempts, started, found) in [
         (31, Some(0.0), false),
         (32, Some(0.0), true),
@@ -670,8 +684,8 @@
         audit.engine_in_service("new", started);
         for at in 0..attempts {
             let id = format!("r{at}");
-            audit.request_sent(&id, LIFE, Effect::Idempotent, 0.0, 5_000.0);
-            audit.attempt_begins(new(
+            audit.request_sent(&id, RUN, Effect::Idempotent, 0.0, 5_000.0);
+            audit.attempt_begins(new_attempt(
                 &id,
                 "new",
                 Stage::Prefill,
@@ -691,10 +705,10 @@
 }
 
 #[test]
-fn half_a_request_that_is_not_ended_and_a_process_that_ends_or_never_starts_are_found() {
+fn a_stalled_client_that_is_not_ended_and_a_process_that_is_not_up_are_found() {
     for (after, found) in [(Some(3_050.0), false), (Some(3_200.0), true), (None, true)] {
         let mut audit = audit();
-        audit.bad_client_ended(after, 8_000.0);
+        audit.stalled_client_ended(after, 8_000.0);
         assert_eq!(
             violated(audit, 8_000.0),
             if found {
@@ -705,24 +719,24 @@
         );
     }
     let mut crashed = audit();
-    crashed.process_ended(LIFE, false, "by itself", 10.0);
+    crashed.process_ended(RUN, false, "by itself", 10.0);
     assert_eq!(violated(crashed, 20.0), [Invariant::ProcessUp]);
     assert_eq!(
         violated(Audit::new(RULES, Readings::PLAIN), 20.0),
         [Invariant::ProcessUp],
-        "nothing was up"
+        "no process became ready"
     );
     let mut slow = audit();
     slow.process_ready(11_000.0);
     assert_eq!(
         violated(slow, 20_000.0),
         [Invariant::ProcessUp],
-        "one of two"
+        "one of two starts was late"
     );
 }
 
 #[test]
-fn troubles_overlap_and_follow_from_the_seed() {
+fn faults_overlap_and_are_determined_by_the_seed() {
     for seed in 0..20 {
         let plan = Plan::draw(1_000 * seed, 12, ENGINES, 60.0);
         assert_eq!(
@@ -730,7 +744,7 @@
             Plan::draw(1_000 * seed, 12, ENGINES, 60.0).troubles
         );
         let mean: f64 = plan.troubles.iter().map(|t| t.until - t.from).sum::<f64>() / 60_000.0;
-        assert!((1.0..4.0).contains(&mean), "{mean:.1} at a time");
+        assert!((1.0..4.0).contains(&mean), "{mean:.1} faults at a time");
         assert_eq!(
             plan.readings,
             Plan::draw(1_000 * seed, 12, ENGINES, 60.0).readings
@@ -742,9 +756,10 @@
     }
 }
 
-/// Every reading is taken by some soaks, and hangs and silences come as often as one another.
+/// Each reading is drawn in a good share of the soaks. Hangs and silences are equally frequent in each direction, so
+/// there are half as many hangs as silences.
 #[test]
-fn readings_are_drawn_and_engines_hang_as_often_as_they_are_silent() {
+fn all_readings_are_drawn_and_hangs_are_as_frequent_as_silences() {
     let plans: Vec<Plan> = (0..200)
         .map(|seed| Plan::draw(1_000 * seed, 12, ENGINES, 60.0))
         .collect();
@@ -762,16 +777,16 @@
         .count();
     let waiting = plans.iter().filter(|plan| plan.decodes_wait).count();
     for drawn in [everything, at_the_close, confirmed, waiting] {
-        assert!((60..140).contains(&drawn), "{drawn} of 200");
+        assert!((60..140).contains(&drawn), "drawn in {drawn} of 200 plans");
     }
-    let count = |is: fn(&Trouble) -> bool| {
-        let troubles = plans.iter().flat_map(|plan| &plan.troubles);
-        troubles.filter(|planned| is(&planned.trouble)).count() as f64
+    let count = |is: fn(&Fault) -> bool| {
+        let faults = plans.iter().flat_map(|plan| &plan.troubles);
+        faults.filter(|planned| is(&planned.fault)).count() as f64
     };
-    let hangs = count(|trouble| matches!(trouble, Trouble::Hang(_)));
-    let silences = count(|trouble| matches!(trouble, Trouble::Silence(_)));
+    let hangs = count(|fault| matches!(fault, Fault::Hang(_)));
+    let silences = count(|fault| matches!(fault, Fault::Silence(_)));
     assert!(
         (0.4..0.6).contains(&(hangs / silences)),
-        "{hangs} hangs, {silences} silences, half of them one way"
+        "{hangs} hangs, {silences} silences, half of which should block one direction only"
     );
 }
