--- a/crates/shim/src/lib.rs
+++ b/crates/shim/src/lib.rs
@@ -1,80 +1,95 @@
-//! Stands in for functions of the C library in a process that is started with it (`LD_PRELOAD`): system calls fail at
-//! times as Linux documents that they may, and the wall clock is stepped. Reads and writes are not made short: on a socket
-//! that is watched by edges, a short one says that nothing more is there, and whoever heeds that would wait for ever. Nor
-//! do they fail, as nobody outside could tell that from a process that closes what it should not.
+//! A library for `LD_PRELOAD` that replaces functions of the C library: system calls fail at random with errors that
+//! Linux documents for them, and the wall clock is stepped.
 //!
-//! What it does comes from the environment, chance from the seed there. Without a variable it changes nothing.
+//! Reads and writes are not shortened: on a socket with edge-triggered readiness a short read or write tells the caller
+//! that nothing more is available, and a caller that relies on this would wait forever. Reads and writes do not fail
+//! either: from outside, such a failure looks like a process that closes a connection without reason.
+//!
+//! The environment variables `CINDERCLEAT_SHIM_FAIL`, `CINDERCLEAT_SHIM_SEED`, `CINDERCLEAT_SHIM_STEP_MS` and
+//! `CINDERCLEAT_SHIM_STEP_AFTER_MS` configure the library. Without them it changes nothing.
 
 use libc::{c_int, c_void, sockaddr, socklen_t, timespec};
 use std::env;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// Of a thousand calls, so many fail.
-const FAIL: u64 = 15;
+/// The number of failures among a thousand calls.
+const FAILURES_PER_THOUSAND: u64 = 15;
+/// How long after the start of the process `socket` never fails. The process creates its socket pairs and listeners
+/// then.
+const SOCKET_START_TIME_MS: i64 = 500;
 
+/// The settings from the environment.
 struct Settings {
-    fails: bool,
+    /// Whether system calls fail at random.
+    calls_fail: bool,
+    /// By how much the wall clock is stepped, cut to whole seconds; negative steps it back.
     step_ms: i64,
+    /// How long after the start of the process the wall clock is stepped.
     step_after_ms: i64,
-    began: timespec,
+    /// The monotonic time at which the settings were first read.
+    started: timespec,
 }
 
-static CHANCE: AtomicU64 = AtomicU64::new(0);
+/// The state of the random generator.
+static RANDOM_STATE: AtomicU64 = AtomicU64::new(0);
 
-fn number(name: &str) -> i64 {
+/// The integer part of an environment variable; 0 if it is absent or not a number.
+fn number_from_environment(name: &str) -> i64 {
     env::var(name)
         .ok()
         .and_then(|text| text.parse::<f64>().ok())
         .unwrap_or(0.0) as i64
 }
 
+/// The settings, read from the environment by the first call.
 fn settings() -> &'static Settings {
     static SETTINGS: OnceLock<Settings> = OnceLock::new();
     SETTINGS.get_or_init(|| {
-        CHANCE.store(
-            number("CINDERCLEAT_SHIM_SEED") as u64 | 1,
+        RANDOM_STATE.store(
+            number_from_environment("CINDERCLEAT_SHIM_SEED") as u64 | 1,
             Ordering::Relaxed,
         );
         Settings {
-            fails: number("CINDERCLEAT_SHIM_FAIL") != 0,
-            step_ms: number("CINDERCLEAT_SHIM_STEP_MS"),
-            step_after_ms: number("CINDERCLEAT_SHIM_STEP_AFTER_MS"),
-            began: monotonic(),
+            calls_fail: number_from_environment("CINDERCLEAT_SHIM_FAIL") != 0,
+            step_ms: number_from_environment("CINDERCLEAT_SHIM_STEP_MS"),
+            step_after_ms: number_from_environment("CINDERCLEAT_SHIM_STEP_AFTER_MS"),
+            started: monotonic(),
         }
     })
 }
 
-/// Draws a number below a bound.
+/// Draws a number below `bound` with a linear congruential generator.
 fn draw(bound: u64) -> u64 {
     let step = |state: u64| {
         state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407)
     };
-    let before = CHANCE.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |state| {
+    let previous = RANDOM_STATE.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |state| {
         Some(step(state))
     });
-    (step(before.unwrap_or_default()) >> 33) % bound
+    (step(previous.unwrap_or_default()) >> 33) % bound
 }
 
-fn fails() -> bool {
-    settings().fails && draw(1000) < FAIL
+/// Draws whether the present call fails.
+fn call_fails() -> bool {
+    settings().calls_fail && draw(1000) < FAILURES_PER_THOUSAND
 }
 
-/// Fails a call with one of these numbers.
+/// Sets `errno` to one of these errors, drawn at random, and returns -1.
 fn fail(errors: &[c_int]) -> c_int {
     let error = errors[draw(errors.len() as u64) as usize];
-    // SAFETY: the C library's pointer to this thread's error number is valid.
+    // SAFETY: `__errno_location` returns a valid pointer to this thread's `errno`.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// The C library's own function of a name, looked up once.
-macro_rules! real {
+/// The C library's function that this library replaces, looked up at the first use.
+macro_rules! original {
     ($name:literal, $kind:ty) => {{
         static FOUND: OnceLock<usize> = OnceLock::new();
-        // SAFETY: the name ends with a zero byte, and the function found has this type.
+        // SAFETY: the name is NUL-terminated, and `$kind` is the signature of the C library's function of this name.
         unsafe {
             let found =
                 *FOUND.get_or_init(|| libc::dlsym(libc::RTLD_NEXT, $name.as_ptr()) as usize);
@@ -83,12 +98,13 @@
     }};
 }
 
+/// The monotonic clock, read by a direct system call: `clock_gettime` itself is replaced by this library.
 fn monotonic() -> timespec {
     let mut now = timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: the pointer is to a local of the right type.
+    // SAFETY: the pointer refers to a local variable of the type that the system call writes.
     unsafe { libc::syscall(libc::SYS_clock_gettime, libc::CLOCK_MONOTONIC, &raw mut now) };
     now
 }
@@ -97,29 +113,34 @@
     (to.tv_sec - from.tv_sec) * 1000 + (to.tv_nsec - from.tv_nsec) / 1_000_000
 }
 
+/// Calls the C library's `clock_gettime`, and steps the result of `CLOCK_REALTIME` as configured.
+///
 /// # Safety
-/// As the C library's `clock_gettime`.
+/// The requirements are those of the C library's `clock_gettime`.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, to: *mut timespec) -> c_int {
-    let real = real!(
+    let original = original!(
         c"clock_gettime",
         unsafe extern "C" fn(libc::clockid_t, *mut timespec) -> c_int
     );
-    let done = unsafe { real(clock, to) };
-    if clock == libc::CLOCK_REALTIME && done == 0 {
+    let result = unsafe { original(clock, to) };
+    if clock == libc::CLOCK_REALTIME && result == 0 {
         let settings = settings();
-        let stepped = milliseconds_between(&settings.began, &monotonic()) >= settings.step_after_ms;
-        if stepped && !to.is_null() {
+        let is_stepped =
+            milliseconds_between(&settings.started, &monotonic()) >= settings.step_after_ms;
+        if is_stepped && !to.is_null() {
             unsafe {
                 (*to).tv_sec += settings.step_ms / 1000;
             }
         }
     }
-    done
+    result
 }
 
+/// Calls the C library's `accept4`, or fails at random.
+///
 /// # Safety
-/// As the C library's `accept4`.
+/// The requirements are those of the C library's `accept4`.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     fd: c_int,
@@ -127,11 +148,11 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    let real = real!(
+    let original = original!(
         c"accept4",
         unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
     );
-    if fails() {
+    if call_fails() {
         return fail(&[
             libc::ECONNABORTED,
             libc::ENFILE,
@@ -141,18 +162,20 @@
             libc::ENETDOWN,
         ]);
     }
-    unsafe { real(fd, from, length, flags) }
+    unsafe { original(fd, from, length, flags) }
 }
 
+/// Calls the C library's `connect`, or fails at random.
+///
 /// # Safety
-/// As the C library's `connect`.
+/// The requirements are those of the C library's `connect`.
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, to: *const sockaddr, length: socklen_t) -> c_int {
-    let real = real!(
+    let original = original!(
         c"connect",
         unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int
     );
-    if fails() {
+    if call_fails() {
         let errors = [
             libc::EADDRNOTAVAIL,
             libc::ENETUNREACH,
@@ -162,29 +185,32 @@
         ];
         return fail(&errors);
     }
-    unsafe { real(fd, to, length) }
+    unsafe { original(fd, to, length) }
 }
 
+/// Calls the C library's `socket`, or fails at random for IPv4 sockets, but not within the first 500 ms.
+///
 /// # Safety
-/// As the C library's `socket`.
+/// The requirements are those of the C library's `socket`.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    let real = real!(
+    let original = original!(
         c"socket",
         unsafe extern "C" fn(c_int, c_int, c_int) -> c_int
     );
-    // Not for the pairs and listeners of the start.
     if domain == libc::AF_INET
-        && milliseconds_between(&settings().began, &monotonic()) > 500
-        && fails()
+        && milliseconds_between(&settings().started, &monotonic()) > SOCKET_START_TIME_MS
+        && call_fails()
     {
         return fail(&[libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM]);
     }
-    unsafe { real(domain, kind, protocol) }
+    unsafe { original(domain, kind, protocol) }
 }
 
+/// Calls the C library's `setsockopt`, or fails at random for options of the TCP level.
+///
 /// # Safety
-/// As the C library's `setsockopt`.
+/// The requirements are those of the C library's `setsockopt`.
 #[no_mangle]
 pub unsafe extern "C" fn setsockopt(
     fd: c_int,
@@ -193,31 +219,33 @@
     value: *const c_void,
     length: socklen_t,
 ) -> c_int {
-    let real = real!(
+    let original = original!(
         c"setsockopt",
         unsafe extern "C" fn(c_int, c_int, c_int, *const c_void, socklen_t) -> c_int
     );
-    if level == libc::IPPROTO_TCP && fails() {
+    if level == libc::IPPROTO_TCP && call_fails() {
         return fail(&[libc::EINVAL, libc::ENOBUFS]);
     }
-    unsafe { real(fd, level, name, value, length) }
+    unsafe { original(fd, level, name, value, length) }
 }
 
+/// Calls the C library's `epoll_wait`, or fails at random with `EINTR`.
+///
 /// # Safety
-/// As the C library's `epoll_wait`.
+/// The requirements are those of the C library's `epoll_wait`.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
     events: *mut libc::epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    let real = real!(
+    let original = original!(
         c"epoll_wait",
         unsafe extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int
     );
-    if fails() {
+    if call_fails() {
         return fail(&[libc::EINTR]);
     }
-    unsafe { real(fd, events, most, timeout) }
+    unsafe { original(fd, events, max_events, timeout) }
 }
