--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -9,7 +9,7 @@
 mod states;
 
 use crate::connection_trace::ConnectionTrace;
-use crate::readings::{AttemptOver, Readings, ReleaseScope};
+use crate::readings::{ClosedAttemptEnds, Readings, ReleaseScope};
 use crate::Ms;
 use attempt::Attempt;
 use std::collections::BTreeMap;
@@ -74,7 +74,7 @@
     }
 }
 
-/// Whether a request that may have run may run again.
+/// Whether a request may run again after an attempt that may have executed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
@@ -120,7 +120,7 @@
 }
 
 impl Rules {
-    /// The allowance on deadlines and windows.
+    /// The allowance that is added to deadlines and windows.
     fn deadline_allowance(&self) -> Ms {
         self.timer_slack + self.process_delay
     }
@@ -195,6 +195,7 @@
 struct Request {
     run: ProcessRun,
     effect: Effect,
+    /// When the client sent the last byte.
     sent: Ms,
     deadline: Ms,
     /// When the answer is due, without the grace.
@@ -255,7 +256,7 @@
     pub violations: Vec<Violation>,
 }
 
-/// The audit of a soak; it is fed with observations and ends with [`Audit::finish`].
+/// The audit of a soak. Its methods record observations, and [`Audit::finish`] returns the report.
 #[derive(Debug)]
 pub struct Audit {
     rules: Rules,
@@ -266,12 +267,12 @@
     ended: BTreeMap<ProcessRun, (Ms, RunEnd)>,
     /// When each run was told to stop.
     stopping: BTreeMap<ProcessRun, Ms>,
-    /// How long each start took to become ready.
+    /// The time that each start took to become ready.
     starts: Vec<Ms>,
     report: Report,
 }
 
-/// How long after SIGTERM requests may arrive whose answers a process does not owe if the stop ends in a kill.
+/// If a stop ends in a kill, the process owes no answers to requests that arrived earlier than this time after SIGTERM.
 const UNOWED_AFTER_STOP: Ms = 700.0;
 /// Of ten starts, the number that has to become ready in time.
 const READY_IN_TEN: usize = 9;
@@ -325,7 +326,7 @@
         for what in lost {
             self.check(now, Invariant::Answered, Some(what));
         }
-        let held = self
+        let requests_with_attempts = self
             .requests
             .values()
             .filter(|r| !r.attempts.is_empty())
@@ -334,7 +335,7 @@
             .report
             .cases
             .entry(Invariant::StateReleased)
-            .or_insert(0) += held;
+            .or_insert(0) += requests_with_attempts;
         let late_starts = self
             .starts
             .iter()
@@ -363,6 +364,6 @@
         !request.answered
             && request.disconnected.is_none()
             && now > latest
-            && self.owes(request, now)
+            && self.owes_answer(request, now)
     }
 }
--- a/crates/soak/src/audit/attempt.rs
+++ b/crates/soak/src/audit/attempt.rs
@@ -29,9 +29,9 @@
             .map_or(Some(written), |trace| trace.forwarded_at(written))
     }
 
-    /// Whether the events of the engine have not reached the process for [`STALLED_FOR`]. A process has to end such a
-    /// stream: 'Cutting off a stream whose events are still coming loses the request', and so does 'leaving the client
-    /// waiting for 5 s'.
+    /// Whether events of the engine have been written but none has reached the process for [`STALLED_FOR`]. A process
+    /// has to end such a stream: 'Cutting off a stream whose events are still coming loses the request', and so does
+    /// 'leaving the client waiting for 5 s'.
     pub fn has_stalled(&self, now: Ms) -> bool {
         let is_last_event_pending = self
             .events
@@ -71,11 +71,11 @@
 
     /// When the attempt no longer needs the held KV state, which starts the time for its release: at the attempt's end,
     /// or when the engine notices the close, if the readings say so and the engine notices it late.
-    pub fn state_unneeded_from(&self, over: AttemptOver) -> Option<Ms> {
+    pub fn state_unneeded_from(&self, ends: ClosedAttemptEnds) -> Option<Ms> {
         let (ended_at, noticed) = (self.ended_at()?, self.ended.map(|(at, _)| at));
-        match over {
-            AttemptOver::AtTheClose => Some(ended_at),
-            AttemptOver::WhenTheEngineNotices => {
+        match ends {
+            ClosedAttemptEnds::AtTheClose => Some(ended_at),
+            ClosedAttemptEnds::WhenTheEngineNotices => {
                 let noticed = noticed?;
                 Some(if noticed > ended_at + NOTICED_AT_ONCE {
                     noticed
@@ -87,12 +87,12 @@
     }
 
     /// Whether the attempt is a decode attempt that still waits for its KV state, or uses it.
-    pub fn needs_state(&self, over: AttemptOver) -> bool {
+    pub fn needs_state(&self, ends: ClosedAttemptEnds) -> bool {
         let closed = self
             .trace
             .as_ref()
             .is_some_and(|trace| trace.closed_at().is_some());
-        let noticed = over == AttemptOver::AtTheClose && closed;
+        let noticed = ends == ClosedAttemptEnds::AtTheClose && closed;
         self.stage == Stage::Decode && self.ended.is_none() && !noticed
     }
 }
--- a/crates/soak/src/audit/attempts.rs
+++ b/crates/soak/src/audit/attempts.rs
@@ -23,8 +23,8 @@
             self.check_repeat(&name, &request, stage, begun);
             if let Some(stated) = stated_remaining {
                 let left = request.deadline - sent.1;
-                let most = left + self.rules.deadline_slack + self.rules.timer_slack;
-                let broken = (stated > most)
+                let limit = left + self.rules.deadline_slack + self.rules.timer_slack;
+                let broken = (stated > limit)
                     .then(|| format!("{name}: deadline of {stated:.0} ms sent, {left:.0} ms left"));
                 self.check(begun, Invariant::DeadlineTold, broken);
             }
@@ -54,10 +54,10 @@
         else {
             return;
         };
-        let told = self.engines.get(engine).filter(|e| e.out_of_service);
-        let told = told.and_then(|e| e.notified_out.get(&process).copied());
-        let late = told
-            .map(|told| first_byte - told)
+        let notified = self.engines.get(engine).filter(|e| e.out_of_service);
+        let notified = notified.and_then(|e| e.notified_out.get(&process).copied());
+        let late = notified
+            .map(|notified| first_byte - notified)
             .filter(|late| *late > self.rules.drain_grace + self.rules.timer_slack);
         let what = |late| {
             format!(
@@ -77,24 +77,25 @@
             return;
         };
         let from = (begun - rules.slow_start_window).max(started);
-        let got = record
+        let attempts = record
             .begun
             .iter()
             .rev()
             .take_while(|at| **at > from)
             .count() as f64;
         let budget = rules.slow_start_budget;
-        // Two to three standard deviations above the mean of random arrivals.
+        // The allowance is two to three standard deviations of random arrivals.
         let chance_allowance = if budget < 30.0 {
             3.0 * budget.sqrt() + 3.0
         } else {
             2.0 * budget.sqrt() + 2.0
         };
-        let over = got > budget + chance_allowance && !record.overload_reported;
-        record.overload_reported |= over;
-        let what =
-            || format!("{engine} got {got:.0} attempts in a window with a budget of {budget:.1}");
-        self.check(begun, Invariant::SlowStart, over.then(what));
+        let is_over_budget = attempts > budget + chance_allowance && !record.overload_reported;
+        record.overload_reported |= is_over_budget;
+        let what = || {
+            format!("{engine} got {attempts:.0} attempts in a window with a budget of {budget:.1}")
+        };
+        self.check(begun, Invariant::SlowStart, is_over_budget.then(what));
     }
 
     /// Whether the process of a request was killed before `begun`. 'When a process dies, its connections are reset': it
@@ -126,15 +127,15 @@
         };
         let is_concurrent = request.attempts.iter().any(|id| is_running(&id));
         let first = self
-            .decodes(request)
+            .decode_attempts(request)
             .find(|attempt| Self::may_have_run(attempt))
             .map(|a| a.begun);
-        let late = self.rules.deadline_allowance();
+        let allowance = self.rules.deadline_allowance();
         let broken = match (request.effect, first) {
             (_, _) if is_concurrent => Some("while another one ran"),
             (Effect::AtMostOnce, Some(_)) => Some("although an earlier one may have run"),
             (Effect::Keyed { window }, Some(first))
-                if stage == Stage::Decode && begun > first + f64::from(window) + late =>
+                if stage == Stage::Decode && begun > first + f64::from(window) + allowance =>
             {
                 Some("after the deduplication window of its key")
             }
@@ -171,16 +172,16 @@
         let record = record.clone();
         let forwarded_at = |attempt: &Attempt| attempt.forwarded_at(*attempt.events.get(number)?);
         let forwarded = self
-            .decodes(&record)
+            .decode_attempts(&record)
             .filter_map(forwarded_at)
             .last()
             .unwrap_or(now);
-        let most = self.rules.event_delay + self.rules.deadline_allowance();
+        let limit = self.rules.event_delay + self.rules.deadline_allowance();
         let broken = if number != expected {
             Some(format!(
                 "event {number} of {request} arrived where {expected} was expected"
             ))
-        } else if now - forwarded > most {
+        } else if now - forwarded > limit {
             Some(format!(
                 "event {number} of {request} arrived {:.0} ms after it reached the process",
                 now - forwarded
--- a/crates/soak/src/audit/platform.rs
+++ b/crates/soak/src/audit/platform.rs
@@ -61,10 +61,10 @@
         self.ended.insert(run, (now, RunEnd::KilledInStop));
     }
 
-    /// Records the end of a run. `well`: the run ended as it was told to; otherwise `how` describes the violation.
-    pub fn process_ended(&mut self, run: ProcessRun, well: bool, how: &str, now: Ms) {
+    /// Records the end of a run. `as_told` is whether the run ended as it was told to; `how` describes any other end.
+    pub fn process_ended(&mut self, run: ProcessRun, as_told: bool, how: &str, now: Ms) {
         self.ended.entry(run).or_insert((now, RunEnd::Ended));
-        let broken = (!well).then(|| format!("process {} ended: {how}", run.process));
+        let broken = (!as_told).then(|| format!("process {} ended: {how}", run.process));
         self.check(now, Invariant::ProcessUp, broken);
     }
 
@@ -75,9 +75,9 @@
 
     /// Records when a client that stalled within its request got an error or a close; `None` if it got neither.
     pub fn stalled_client_ended(&mut self, after: Option<Ms>, now: Ms) {
-        let most = self.rules.stalled_client_limit + self.rules.timer_slack;
+        let limit = self.rules.stalled_client_limit + self.rules.timer_slack;
         let broken = match after {
-            Some(after) if after <= most => None,
+            Some(after) if after <= limit => None,
             Some(after) => Some(format!(
                 "an incomplete request was ended after {after:.0} ms"
             )),
--- a/crates/soak/src/audit/requests.rs
+++ b/crates/soak/src/audit/requests.rs
@@ -51,7 +51,7 @@
     /// Whether the process owes an answer to a request that has none by now. 'When a process dies', its clients have to
     /// retry what it held. At the kill that ends a stop, 'whatever SIGKILL finds unanswered' is lost 'if that request
     /// came more than 0.7 s after SIGTERM', and only then.
-    pub(super) fn owes(&self, request: &Request, now: Ms) -> bool {
+    pub(super) fn owes_answer(&self, request: &Request, now: Ms) -> bool {
         let disconnected = request.disconnected.is_some_and(|at| at <= now);
         let stopped = self
             .stopping
@@ -78,7 +78,7 @@
         if request.disconnected.is_some() {
             return;
         }
-        let owed = self.owes(&request, now);
+        let owed = self.owes_answer(&request, now);
         let broken = match answer {
             Answer::Complete(events) => self.complete_stream_fault(&request, events),
             Answer::Broken(events) if owed => self.broken_stream_fault(&request, events, now),
@@ -96,13 +96,13 @@
                 now - request.deadline
             )
         });
-        let story = || self.describe(&request);
+        let description = || self.describe(&request);
         let what = broken
             .or(late)
-            .map(|what| format!("{id} {what}; {}", story()));
+            .map(|what| format!("{id} {what}; {}", description()));
         self.check(now, Invariant::Answered, what);
         if answer == Answer::Rejected {
-            self.check_refusal(id, &request, now);
+            self.check_rejection(id, &request, now);
         }
     }
 
@@ -130,14 +130,19 @@
     }
 
     /// The decode attempts of a request.
-    pub(super) fn decodes<'a>(&'a self, request: &'a Request) -> impl Iterator<Item = &'a Attempt> {
+    pub(super) fn decode_attempts<'a>(
+        &'a self,
+        request: &'a Request,
+    ) -> impl Iterator<Item = &'a Attempt> {
         let attempts = request.attempts.iter().map(|id| &self.attempts[id.0]);
         attempts.filter(|attempt| attempt.stage == Stage::Decode)
     }
 
     /// What is wrong with a complete stream of this many events, if anything is.
     pub(super) fn complete_stream_fault(&self, request: &Request, events: usize) -> Option<String> {
-        let complete = self.decodes(request).find(|attempt| attempt.complete);
+        let complete = self
+            .decode_attempts(request)
+            .find(|attempt| attempt.complete);
         match complete {
             None => Some("got a complete stream that no engine has completed".to_owned()),
             Some(attempt) if attempt.events.len() != events => {
@@ -156,7 +161,7 @@
         now: Ms,
     ) -> Option<String> {
         let failed = |attempt: &Attempt| matches!(attempt.ended, Some((_, AttemptEnd::Failed)));
-        let broke = self.decodes(request).any(|attempt| {
+        let broke = self.decode_attempts(request).any(|attempt| {
             attempt.reset.is_some()
                 || failed(attempt) && !attempt.complete
                 || attempt.has_stalled(now)
@@ -175,8 +180,8 @@
         attempt.stage == Stage::Decode && !matches!(attempt.ended, Some((_, AttemptEnd::Rejected)))
     }
 
-    pub(super) fn check_refusal(&mut self, id: &str, request: &Request, now: Ms) {
-        let ran = self.decodes(request).any(Self::may_have_run);
+    pub(super) fn check_rejection(&mut self, id: &str, request: &Request, now: Ms) {
+        let ran = self.decode_attempts(request).any(Self::may_have_run);
         let broken = (ran && request.effect == Effect::AtMostOnce)
             .then(|| format!("{id} was rejected after an attempt that may have run"));
         self.check(now, Invariant::RunOnce, broken);
--- a/crates/soak/src/audit/states.rs
+++ b/crates/soak/src/audit/states.rs
@@ -12,22 +12,23 @@
 
     /// Records that a release of a request has reached an engine that serves releases.
     pub fn release_received(&mut self, request: &str) {
-        let over = self.readings.over;
-        let waits = |request: &Request| {
+        let ends = self.readings.closed_attempt_ends;
+        let is_needed = |request: &Request| {
             request
                 .attempts
                 .iter()
-                .any(|id| self.attempts[id.0].needs_state(over))
+                .any(|id| self.attempts[id.0].needs_state(ends))
         };
         let is_awaited = self.readings.release == ReleaseScope::WhatNoAttemptWaitsFor
-            && self.requests.get(request).is_some_and(waits);
+            && self.requests.get(request).is_some_and(is_needed);
         if !is_awaited {
-            self.state_taken(request);
+            self.state_freed(request);
         }
     }
 
-    /// Records that a decode engine fetches the KV state; returns whether the state was held.
-    pub fn state_taken(&mut self, request: &str) -> bool {
+    /// Records that the KV state of a request is no longer held, because it was fetched or released. Returns whether it
+    /// was held.
+    pub fn state_freed(&mut self, request: &str) -> bool {
         self.requests
             .get_mut(request)
             .is_some_and(|request| request.held_at.take().is_some())
@@ -65,12 +66,12 @@
     /// Checks for KV states that should have been released by now. Call it often: it detects an overdue state only
     /// while the state is held.
     pub fn check_held_states(&mut self, now: Ms) {
-        let most = self.rules.release + self.rules.timer_slack;
+        let limit = self.rules.release + self.rules.timer_slack;
         let held: Vec<RequestId> = self
             .requests
             .iter()
             .filter(|(_, r)| r.held_at.is_some() && !r.reported && !self.ended.contains_key(&r.run))
-            .filter(|(_, r)| self.idle_since(r).is_some_and(|since| now - since > most))
+            .filter(|(_, r)| self.idle_since(r).is_some_and(|since| now - since > limit))
             .map(|(id, _)| id.clone())
             .collect();
         for id in held {
@@ -83,7 +84,7 @@
                 request.clone(),
             );
             let description = self.describe(&request);
-            let what = format!("the KV state of {id} has been held at {engine} for over {most:.0} ms; {description}");
+            let what = format!("the KV state of {id} has been held at {engine} for over {limit:.0} ms; {description}");
             self.violated(now, Invariant::StateReleased, what);
         }
     }
@@ -93,11 +94,11 @@
     /// end ('a read may have ended well just as its connection was closed').
     pub(super) fn idle_since(&self, request: &Request) -> Option<Ms> {
         let held_since = request.held_at.as_ref().map(|(_, since)| *since)?;
-        let over = self.readings.over;
+        let ends = self.readings.closed_attempt_ends;
         let ends = request
             .attempts
             .iter()
-            .map(|id| self.attempts[id.0].state_unneeded_from(over));
+            .map(|id| self.attempts[id.0].state_unneeded_from(ends));
         let over_since = ends
             .collect::<Option<Vec<Ms>>>()?
             .into_iter()
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -236,11 +236,11 @@
             now,
             f64::from(request.time_to_deadline),
         );
-        let stays = match behaviour {
+        let connected_time = match behaviour {
             Behaviour::Disconnects { after, .. } => after,
             _ => f64::from(request.time_to_deadline) + WAIT_AFTER_DEADLINE,
         };
-        let disconnects_at = Cell::new(now + stays);
+        let disconnects_at = Cell::new(now + connected_time);
         let waits_for_answer = !matches!(behaviour, Behaviour::Disconnects { .. });
         let exchange = tokio::select! { biased;
             exchange = self.read(&mut connection, &request.id, waits_for_answer.then_some(&disconnects_at)) => exchange,
@@ -440,7 +440,7 @@
     }
 }
 
-/// The number of an event; `None` if it has none, as the last one of a stream.
+/// The number of an event; `None` for an event without a number, such as the last one of a stream.
 fn number_of(event: &str) -> Option<usize> {
     let rest = event.strip_prefix("data: {\"n\":")?;
     rest.split(',').next()?.parse().ok()
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -54,7 +54,8 @@
 struct Shared {
     clock: Clock,
     mode: Cell<Mode>,
-    /// How often discovery fell silent; a call notices a silence that began and ended while it waited.
+    /// How often discovery fell silent. A call that waits through a silence sees the number change and stays
+    /// unanswered.
     silences: Cell<u64>,
     revision: Cell<u64>,
     entries: RefCell<Vec<Entry>>,
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -86,6 +86,7 @@
     pub stage: Stage,
     /// Decode attempts that run at the same time; further ones wait.
     pub slots: usize,
+    /// How the engine treats a release while it hangs.
     pub hung_release: HungRelease,
     pub seed: u64,
 }
@@ -122,6 +123,7 @@
         listen(move |connection| engine.clone().serve(connection)).await
     }
 
+    /// Serves the calls of one connection until it ends.
     async fn serve(self, mut connection: Connection) {
         loop {
             let received = tokio::select! { biased;
@@ -143,6 +145,7 @@
         }
     }
 
+    /// Serves a release. Returns whether the connection stays open.
     async fn release(&self, connection: &mut Connection, request: &str) -> bool {
         if self.hung_release == HungRelease::Unanswered {
             self.until_not_hanging().await;
@@ -225,7 +228,7 @@
                 (AttemptEnd::Served, Some(written.is_ok()))
             }
             Stage::Decode => {
-                if !self.audit.borrow_mut().state_taken(request) {
+                if !self.audit.borrow_mut().state_freed(request) {
                     let written = connection
                         .write(&response("410 Gone", REJECTED_HEADER, ""))
                         .await;
@@ -273,6 +276,7 @@
         }
     }
 
+    /// Draws how a stream ends, its number of events, and whether its events are written in pieces.
     fn draw_stream(&self) -> (StreamOutcome, usize, bool) {
         let mut rng = self.rng.borrow_mut();
         let outcome = match draw_percentage(
@@ -300,6 +304,7 @@
         )
     }
 
+    /// Streams the events of a decode attempt; the result is that of [`Engine::work`].
     async fn stream(
         &self,
         connection: &mut Connection,
@@ -367,6 +372,7 @@
     }
 }
 
+/// The text as one chunk of a chunked HTTP body.
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -40,6 +40,7 @@
 /// The direction in which a silent network forwards nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
+    /// Neither direction forwards anything.
     BothWays,
     ToEngines,
     ToProcesses,
@@ -110,7 +111,7 @@
 
 /// A fault, with the times at which it begins and ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlannedFault {
     pub from: Ms,
     pub until: Ms,
     pub fault: Fault,
@@ -121,7 +122,7 @@
 pub struct Plan {
     pub readings: Readings,
     pub classes: [Class; 3],
-    pub troubles: Vec<Planned>,
+    pub troubles: Vec<PlannedFault>,
     /// Whether processes poll discovery for lists, rather than receive pushed ones.
     pub lists_are_asked_for: bool,
     /// Whether hundreds of clients stay connected without a request, and requests also come in bursts.
@@ -207,13 +208,13 @@
         while now < end {
             let duration = MIN_DURATION + rng.generate::<f64>() * (MAX_DURATION - MIN_DURATION);
             let fault = draw_fault(&mut rng, processes, engines);
-            troubles.push(Planned {
+            troubles.push(PlannedFault {
                 from: now,
                 until: (now + duration).min(end),
                 fault,
             });
-            let mean = (MIN_DURATION + MAX_DURATION) / 2.0 / OVERLAP;
-            now += -(1.0 - rng.generate::<f64>()).ln() * mean;
+            let mean_interval = (MIN_DURATION + MAX_DURATION) / 2.0 / OVERLAP;
+            now += -(1.0 - rng.generate::<f64>()).ln() * mean_interval;
         }
         let classes = draw_classes(&mut rng);
         if rng.generate_range(0..KIND_FAILS_ONE_IN) == 0 {
@@ -241,9 +242,10 @@
     }
 }
 
+/// Draws the deadlines of the three request classes, one of each effect.
 fn draw_classes(rng: &mut WyRand) -> [Class; 3] {
-    let short = rng.generate_range(0..SHORT_ONE_IN) == 0;
-    let deadlines = if short { SHORT_DEADLINES } else { DEADLINES };
+    let is_short = rng.generate_range(0..SHORT_ONE_IN) == 0;
+    let deadlines = if is_short { SHORT_DEADLINES } else { DEADLINES };
     let window = rng.generate_range(DEDUPLICATION_WINDOWS);
     let effects = [
         Effect::Idempotent,
@@ -263,7 +265,7 @@
 }
 
 /// Draws failures in which all engines of a kind but one hang or are silent together, spread evenly over the soak.
-fn draw_kind_failures(rng: &mut WyRand, engines: Engines, end: Ms) -> Vec<Planned> {
+fn draw_kind_failures(rng: &mut WyRand, engines: Engines, end: Ms) -> Vec<PlannedFault> {
     let kind = rng.generate_range(0..engines.kinds);
     let hangs = rng.generate_range(0..2u32) == 0;
     let interval = (end - QUIET_START).max(0.0) / KIND_FAILURES as f64;
@@ -279,7 +281,7 @@
             true => Fault::Hang(draw_hang(rng, group)),
             false => Fault::Silence(draw_silence(rng, group, Loss::BothWays)),
         };
-        Planned {
+        PlannedFault {
             from,
             until: (from + duration).min(end),
             fault,
@@ -336,6 +338,7 @@
     }
 }
 
+/// Draws the engines that a fault hits: one, several consecutive ones, or a zone.
 fn draw_group(rng: &mut WyRand, engine: usize, engines: Engines) -> Group {
     match rng.generate_range(0..4u32) {
         0 | 1 => Group::One { engine },
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Spreads consecutive connections evenly end the percentiles; it is coprime to 100.
+/// Spreads consecutive connections evenly over the percentiles; it is coprime to 100.
 const PERCENTILE_STEP: u32 = 37;
 /// The most bytes that one read takes.
 const READ_BYTES: usize = 16 << 10;
--- a/crates/soak/src/readings.rs
+++ b/crates/soak/src/readings.rs
@@ -15,7 +15,7 @@
 
 /// When an attempt ends whose connection its process closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptOver {
+pub enum ClosedAttemptEnds {
     /// At the close.
     AtTheClose,
     /// When the engine notices the close.
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Readings {
     pub release: ReleaseScope,
-    pub over: AttemptOver,
+    pub closed_attempt_ends: ClosedAttemptEnds,
     pub hung_release: HungRelease,
 }
 
@@ -44,7 +44,7 @@
     /// release.
     pub const PLAIN: Readings = Readings {
         release: ReleaseScope::Everything,
-        over: AttemptOver::AtTheClose,
+        closed_attempt_ends: ClosedAttemptEnds::AtTheClose,
         hung_release: HungRelease::Unanswered,
     };
 
@@ -57,10 +57,10 @@
             } else {
                 ReleaseScope::WhatNoAttemptWaitsFor
             },
-            over: if coin() {
-                AttemptOver::AtTheClose
+            closed_attempt_ends: if coin() {
+                ClosedAttemptEnds::AtTheClose
             } else {
-                AttemptOver::WhenTheEngineNotices
+                ClosedAttemptEnds::WhenTheEngineNotices
             },
             hung_release: if coin() {
                 HungRelease::Confirmed
@@ -77,9 +77,9 @@
             ReleaseScope::Everything => "lets everything go",
             ReleaseScope::WhatNoAttemptWaitsFor => "lets go what no attempt waits for",
         };
-        let over = match self.over {
-            AttemptOver::AtTheClose => "with its close",
-            AttemptOver::WhenTheEngineNotices => "when its engine notices the close",
+        let over = match self.closed_attempt_ends {
+            ClosedAttemptEnds::AtTheClose => "with its close",
+            ClosedAttemptEnds::WhenTheEngineNotices => "when its engine notices the close",
         };
         let hung_release = match self.hung_release {
             HungRelease::Confirmed => "confirms releases",
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -8,7 +8,7 @@
 use crate::configuration::{self, ProcessSettings, KINDS, ZONES};
 use crate::discovery::{self, Discovery, Entry};
 use crate::engine::{Engine, EngineSettings};
-use crate::plan::{Engines, Fault, Hang, Loss, Plan, Planned, Silence};
+use crate::plan::{Engines, Fault, Hang, Loss, Plan, PlannedFault, Silence};
 use crate::process::{Process, Program, Shim};
 use crate::proxy::{self, Proxy};
 use crate::readings::HungRelease;
@@ -46,8 +46,8 @@
 const MIN_REACHABLE: usize = 2;
 /// How long after a signal to stop new connections still arrive ('for 0.2 to 0.4 s').
 const STOP_NOTICED: Ms = 300.0;
-/// A stopping process is killed this long after the time of the longest deadline, the earliest time that the protocol
-/// allows.
+/// A stopping process is killed when the longest deadline and this time have passed since the signal. The protocol
+/// allows no earlier kill.
 const KILL_AFTER_DEADLINE: Ms = 700.0;
 /// The longest deadline is 'counted as 3 s where it is longer' for the kill of a stopping process.
 const MAX_COUNTED_DEADLINE: Ms = 3_000.0;
@@ -140,11 +140,12 @@
     is_discovery_reachable: Cell<bool>,
     engines: RefCell<Vec<EngineSlot>>,
     processes: Vec<RefCell<Process>>,
-    /// Whether a process is being stopped or killed, or is not up yet.
+    /// Whether each process is used by a fault, is not ready yet, or has ended unexpectedly.
     busy: Vec<Cell<bool>>,
     /// The engines that are out of service.
     out_of_service: RefCell<Vec<String>>,
-    /// The list of engines that processes start with; it is not the latest one.
+    /// The list of engines in the configurations. It may be outdated, as a real configuration may be when a process
+    /// starts.
     known: RefCell<String>,
     /// The engines that are cut off at present.
     unreachable: RefCell<BTreeSet<usize>>,
@@ -208,6 +209,7 @@
         })
     }
 
+    /// Runs the soak for this duration, waits for the ends of its faults, and stops all processes.
     async fn run(self: &Rc<Self>, duration: Ms) {
         for number in 0..self.processes.len() {
             self.start_process(number);
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -4,8 +4,8 @@
 
 impl Soak {
     /// Injects one fault; returns when the fault is over.
-    pub(super) async fn inject(self: &Rc<Self>, planned: Planned) {
-        let Planned { until, fault, .. } = planned;
+    pub(super) async fn inject(self: &Rc<Self>, planned: PlannedFault) {
+        let PlannedFault { until, fault, .. } = planned;
         match fault {
             Fault::Stop { process } => self.stop_process(process, true).await,
             Fault::StopSeveral { first, count } => self.stop_several(first, count).await,
@@ -74,11 +74,11 @@
         loop {
             let ended = self.processes[number].borrow_mut().ended();
             if let Some(status) = ended {
-                let well = killed || status.success();
+                let as_told = killed || status.success();
                 let how = format!("after a signal to stop, {status}");
                 self.audit
                     .borrow_mut()
-                    .process_ended(run, well, &how, self.clock.now());
+                    .process_ended(run, as_told, &how, self.clock.now());
                 break;
             }
             if !killed && self.clock.now() > kill_at {
--- a/crates/soak/src/service.rs
+++ b/crates/soak/src/service.rs
@@ -1,4 +1,4 @@
-//! Shared percentages of the stand-ins: the clock, random draws by percentage, and HTTP connections that record when
+//! Shared parts of the stand-ins: the clock, random draws by percentage, and HTTP connections that record when
 //! the bytes of a request arrive.
 
 use crate::Ms;
--- a/crates/soak/tests/audit.rs
+++ b/crates/soak/tests/audit.rs
@@ -1,5 +1,5 @@
-//! The audit reports no violation for a soak without faults, and reports a planted violation of each invariant. The
-//! plans and readings are drawn as specified.
+//! The audit reports no violation for a soak without faults, and reports a planted violation of each invariant. Further
+//! tests check how plans and readings are drawn.
 
 use cindercleat_soak::audit::*;
 use cindercleat_soak::connection_trace::ConnectionTrace;
@@ -36,10 +36,10 @@
 
 /// An audit of one process, with one prefill engine `p` and one decode engine `d`.
 fn audit() -> Audit {
-    audit_reading(Readings::PLAIN)
+    audit_with_readings(Readings::PLAIN)
 }
 
-fn audit_reading(readings: Readings) -> Audit {
+fn audit_with_readings(readings: Readings) -> Audit {
     let mut audit = Audit::new(RULES, readings);
     audit.process_ready(50.0);
     audit.engine_in_service("p", None);
@@ -79,7 +79,7 @@
 /// A decode attempt whose engine has written two events.
 fn decoding(audit: &mut Audit, id: &str, at: Ms) -> AttemptId {
     let decode = audit.attempt_begins(new_attempt(id, "d", Stage::Decode, at, 100.0));
-    audit.state_taken(id);
+    audit.state_freed(id);
     audit.event_written(decode, at + 10.0);
     audit.event_written(decode, at + 20.0);
     decode
@@ -144,7 +144,7 @@
 #[test_case(Answer::Broken(1), false, true; "stream is cut off while its engine writes")]
 #[test_case(Answer::Broken(0), false, true; "stream ends before its first event")]
 #[test_case(Answer::Failed, false, false; "reported failure")]
-fn an_end_without_a_valid_answer_is_found(answer: Answer, killed: bool, found: bool) {
+fn an_end_without_a_valid_answer_is_found(answer: Answer, killed: bool, is_violation: bool) {
     let mut audit = audit();
     prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
     decoding(&mut audit, "a", 21.0);
@@ -154,7 +154,7 @@
     audit.answered("a", answer, 60.0);
     assert_eq!(
         violated(audit, 100.0),
-        if found {
+        if is_violation {
             vec![Invariant::Answered]
         } else {
             vec![]
@@ -166,7 +166,7 @@
 /// long enough.
 #[test]
 fn a_stream_that_is_cut_off_is_found_unless_it_has_stalled() {
-    for (silent_from, cut_at, found) in [
+    for (silent_from, ended_at, is_violation) in [
         (None, 4_200.0, true),
         (Some(100.0), 4_200.0, false),
         (Some(100.0), 2_000.0, true),
@@ -179,12 +179,12 @@
             ..new_attempt("a", "d", Stage::Decode, 21.0, 900.0)
         };
         let decode = audit.attempt_begins(attempt);
-        audit.state_taken("a");
+        audit.state_freed("a");
         let mut number = 0;
         for at in (30..4_200)
             .step_by(20)
             .map(f64::from)
-            .take_while(|at| *at < cut_at)
+            .take_while(|at| *at < ended_at)
         {
             audit.event_written(decode, at);
             if silent_from.is_none_or(|from| at < from) {
@@ -193,10 +193,10 @@
                 number += 1;
             }
         }
-        audit.answered("a", Answer::Broken(number), cut_at);
+        audit.answered("a", Answer::Broken(number), ended_at);
         assert_eq!(
-            violated(audit, cut_at),
-            if found {
+            violated(audit, ended_at),
+            if is_violation {
                 vec![Invariant::Answered]
             } else {
                 vec![]
@@ -219,14 +219,14 @@
 /// Two requests are sent at once on a connection, so the answer of the second follows that of the first.
 #[test]
 fn an_answer_is_due_only_after_the_previous_answer_on_its_connection() {
-    for (answered, found) in [(2_400.0, false), (2_700.0, true)] {
+    for (answered, is_violation) in [(2_400.0, false), (2_700.0, true)] {
         let mut audit = audit();
         audit.request_sent("behind", RUN, Effect::Idempotent, 0.0, 1_000.0);
         audit.previous_answered("behind", 2_000.0);
         audit.answered("behind", Answer::Rejected, answered);
         assert_eq!(
             violated(audit, 3_000.0),
-            if found {
+            if is_violation {
                 vec![Invariant::Answered]
             } else {
                 vec![]
@@ -239,7 +239,7 @@
 /// counts from the time at which it reached the process.
 #[test]
 fn a_state_behind_an_attempt_that_has_not_arrived_is_found_while_its_engine_is_silent() {
-    for (answer_passed, checked_at, found) in [
+    for (answer_forwarded, checked_at, is_violation) in [
         (Some(20.0), 860.0, false),
         (Some(20.0), 880.0, true),
         (Some(400.0), 1_200.0, false),
@@ -256,15 +256,15 @@
         });
         audit.state_held("a", "p", 20.0);
         audit.attempt_ends(prefill, AttemptEnd::Served, 20.0);
-        if let Some(at) = answer_passed {
+        if let Some(at) = answer_forwarded {
             trace.answer_forwarded(at);
         }
         audit.check_held_states(checked_at);
         audit.answered("a", Answer::Failed, 4_000.0);
-        audit.state_taken("a");
+        audit.state_freed("a");
         assert_eq!(
             violated(audit, 4_000.0),
-            if found {
+            if is_violation {
                 vec![Invariant::StateReleased]
             } else {
                 vec![]
@@ -300,7 +300,7 @@
         ..new_attempt("a", "d", Stage::Decode, 30.0, 900.0)
     });
     concurrent.attempt_begins(new_attempt("a", "d", Stage::Decode, 400.0, 500.0));
-    concurrent.state_taken("a");
+    concurrent.state_freed("a");
     assert_eq!(violated(concurrent, 500.0), [Invariant::RunOnce]);
     let mut disconnected = audit();
     disconnected.request_sent("a", RUN, Effect::Idempotent, 0.0, 1_000.0);
@@ -332,13 +332,13 @@
     audit.attempt_begins(first);
     trace.process_closed(280.0);
     audit.attempt_begins(new_attempt("a", "d", Stage::Decode, 282.0, 700.0));
-    audit.state_taken("a");
+    audit.state_freed("a");
     assert_eq!(violated(audit, 500.0), []);
 }
 
 #[test]
 fn the_delay_of_an_event_counts_from_its_arrival_at_the_process() {
-    for (passed, came, found) in [
+    for (forwarded, received, is_violation) in [
         (900.0, 910.0, false),
         (900.0, 1_400.0, true),
         (31.0, 500.0, true),
@@ -350,13 +350,13 @@
             trace: Some(trace.clone()),
             ..new_attempt("a", "d", Stage::Decode, 21.0, 900.0)
         });
-        audit.state_taken("a");
+        audit.state_freed("a");
         audit.event_written(decode, 31.0);
-        trace.answer_forwarded(passed);
-        audit.event_received("a", 0, came);
+        trace.answer_forwarded(forwarded);
+        audit.event_received("a", 0, received);
         assert_eq!(
             violated(audit, 1_500.0),
-            if found {
+            if is_violation {
                 vec![Invariant::EventsInTime]
             } else {
                 vec![]
@@ -397,7 +397,7 @@
 fn a_request_that_the_kill_of_a_stop_leaves_unanswered_is_lost_if_it_came_late(
     sent: Ms,
     answer: Answer,
-    found: bool,
+    is_violation: bool,
 ) {
     for is_killed in [true, false] {
         let mut audit = audit();
@@ -408,10 +408,10 @@
             audit.process_killed_in_stop(RUN, 1_100.0);
         }
         audit.answered("a", answer, 1_100.0);
-        let found = found || !is_killed;
+        let is_violation = is_violation || !is_killed;
         assert_eq!(
             violated(audit, 1_200.0),
-            if found {
+            if is_violation {
                 vec![Invariant::Answered]
             } else {
                 vec![]
@@ -464,21 +464,21 @@
 
 #[test]
 fn an_attempt_at_a_draining_engine_is_found_after_the_grace_if_the_process_was_notified() {
-    for (at, told, found) in [
+    for (at, is_notified, is_violation) in [
         (900.0, true, false),
         (1_200.0, true, true),
         (1_200.0, false, false),
     ] {
         let mut audit = audit();
         audit.engine_out_of_service("p");
-        if told {
+        if is_notified {
             audit.notified_out("p", 0, 0.0);
         }
         prefilled(&mut audit, "a", Effect::Idempotent, at);
-        audit.state_taken("a");
+        audit.state_freed("a");
         assert_eq!(
             violated(audit, at + 100.0),
-            if found {
+            if is_violation {
                 vec![Invariant::DrainKept]
             } else {
                 vec![]
@@ -489,7 +489,7 @@
 
 #[test]
 fn a_state_that_is_held_too_long_is_found_while_no_attempt_runs() {
-    for (held_by_attempt, released, found) in [
+    for (held_by_attempt, released, is_violation) in [
         (false, false, true),
         (true, false, false),
         (false, true, false),
@@ -500,13 +500,13 @@
             audit.attempt_begins(new_attempt("a", "d", Stage::Decode, 30.0, 900.0));
         }
         if released {
-            audit.state_taken("a");
+            audit.state_freed("a");
         }
         audit.check_held_states(1_000.0);
         audit.answered("a", Answer::Failed, 1_001.0);
         assert_eq!(
             violated(audit, 1_100.0),
-            if found {
+            if is_violation {
                 vec![Invariant::StateReleased]
             } else {
                 vec![]
@@ -520,10 +520,10 @@
 #[test_case(ReleaseScope::WhatNoAttemptWaitsFor, true; "what no attempt waits for")]
 fn a_state_whose_release_arrived_while_an_attempt_waited_is_found(
     release: ReleaseScope,
-    found: bool,
+    is_violation: bool,
 ) {
     for sent_again in [false, true] {
-        let mut audit = audit_reading(Readings {
+        let mut audit = audit_with_readings(Readings {
             release,
             ..Readings::PLAIN
         });
@@ -537,10 +537,10 @@
         audit.answered("a", Answer::Failed, 1_001.0);
         audit.check_held_states(1_840.0);
         audit.check_held_states(1_860.0);
-        let found = found && !sent_again;
+        let is_violation = is_violation && !sent_again;
         assert_eq!(
             violated(audit, 1_900.0),
-            if found {
+            if is_violation {
                 vec![Invariant::StateReleased]
             } else {
                 vec![]
@@ -553,45 +553,45 @@
 /// between, and from when on the state counts as unused.
 #[test]
 fn the_reading_decides_when_a_closed_attempt_ends() {
-    for (over, noticed, released, checked_at, found) in [
+    for (closed_attempt_ends, noticed, released, checked_at, is_violation) in [
         (
-            AttemptOver::AtTheClose,
+            ClosedAttemptEnds::AtTheClose,
             2_000.0,
             Some(110.0),
             1_000.0,
             false,
         ),
-        (AttemptOver::AtTheClose, 2_000.0, None, 1_000.0, true),
+        (ClosedAttemptEnds::AtTheClose, 2_000.0, None, 1_000.0, true),
         (
-            AttemptOver::WhenTheEngineNotices,
+            ClosedAttemptEnds::WhenTheEngineNotices,
             110.0,
             Some(105.0),
             1_000.0,
             true,
         ),
         (
-            AttemptOver::WhenTheEngineNotices,
+            ClosedAttemptEnds::WhenTheEngineNotices,
             110.0,
             Some(115.0),
             1_000.0,
             false,
         ),
         (
-            AttemptOver::WhenTheEngineNotices,
+            ClosedAttemptEnds::WhenTheEngineNotices,
             2_000.0,
             Some(110.0),
             1_999.0,
             false,
         ),
         (
-            AttemptOver::WhenTheEngineNotices,
+            ClosedAttemptEnds::WhenTheEngineNotices,
             2_000.0,
             Some(110.0),
             2_900.0,
             true,
         ),
         (
-            AttemptOver::WhenTheEngineNotices,
+            ClosedAttemptEnds::WhenTheEngineNotices,
             2_000.0,
             Some(2_010.0),
             2_900.0,
@@ -600,10 +600,10 @@
     ] {
         let readings = Readings {
             release: ReleaseScope::WhatNoAttemptWaitsFor,
-            over,
+            closed_attempt_ends,
             ..Readings::PLAIN
         };
-        let mut audit = audit_reading(readings);
+        let mut audit = audit_with_readings(readings);
         prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
         audit.client_disconnected("a", 100.0);
         let trace = Rc::new(ConnectionTrace::default());
@@ -624,21 +624,21 @@
         }
         audit.check_held_states(checked_at);
         let violated = violated(audit, checked_at);
-        let expected = if found {
+        let expected = if is_violation {
             vec![Invariant::StateReleased]
         } else {
             vec![]
         };
         assert_eq!(
             violated, expected,
-            "{over:?}, noticed at {noticed}, released at {released:?}"
+            "{closed_attempt_ends:?}, noticed at {noticed}, released at {released:?}"
         );
     }
 }
 
 #[test]
 fn an_attempt_for_a_disconnected_client_and_a_too_long_deadline_are_found() {
-    for (begun, told, found) in [
+    for (begun, stated_remaining, expected) in [
         (150.0, 900.0, None),
         (250.0, 700.0, Some(Invariant::ClientThere)),
         (150.0, 1_200.0, Some(Invariant::DeadlineTold)),
@@ -646,24 +646,30 @@
         let mut audit = audit();
         audit.request_sent("a", RUN, Effect::Idempotent, 0.0, 1_000.0);
         audit.client_disconnected("a", 10.0);
-        audit.attempt_begins(new_attempt("a", "p", Stage::Prefill, begun, told));
+        audit.attempt_begins(new_attempt(
+            "a",
+            "p",
+            Stage::Prefill,
+            begun,
+            stated_remaining,
+        ));
         assert_eq!(
             violated(audit, 400.0),
-            found.into_iter().collect::<Vec<_>>()
+            expected.into_iter().collect::<Vec<_>>()
         );
     }
 }
 
 #[test]
 fn a_late_event_and_an_event_out_of_order_are_found() {
-    for (number, at, found) in [(0, 400.0, false), (0, 500.0, true), (1, 100.0, true)] {
+    for (number, at, is_violation) in [(0, 400.0, false), (0, 500.0, true), (1, 100.0, true)] {
         let mut audit = audit();
         prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
         decoding(&mut audit, "a", 21.0);
         audit.event_received("a", number, at);
         assert_eq!(
             violated(audit, 600.0),
-            if found {
+            if is_violation {
                 vec![Invariant::EventsInTime]
             } else {
                 vec![]
@@ -675,7 +681,7 @@
 #[test]
 fn more_attempts_at_a_cold_engine_than_its_budget_are_found() {
     // The limit is the budget of 16, plus three times its square root, plus 3: 31 attempts.
-    for (attempts, started, found) in [
+    for (attempts, started, is_violation) in [
         (31, Some(0.0), false),
         (32, Some(0.0), true),
         (100, None, false),
@@ -695,7 +701,7 @@
         }
         assert_eq!(
             violated(audit, 1_000.0),
-            if found {
+            if is_violation {
                 vec![Invariant::SlowStart]
             } else {
                 vec![]
@@ -706,12 +712,12 @@
 
 #[test]
 fn a_stalled_client_that_is_not_ended_and_a_process_that_is_not_up_are_found() {
-    for (after, found) in [(Some(3_050.0), false), (Some(3_200.0), true), (None, true)] {
+    for (after, is_violation) in [(Some(3_050.0), false), (Some(3_200.0), true), (None, true)] {
         let mut audit = audit();
         audit.stalled_client_ended(after, 8_000.0);
         assert_eq!(
             violated(audit, 8_000.0),
-            if found {
+            if is_violation {
                 vec![Invariant::BadClientEnded]
             } else {
                 vec![]
@@ -769,14 +775,14 @@
         .count();
     let at_the_close = plans
         .iter()
-        .filter(|plan| plan.readings.over == AttemptOver::AtTheClose)
+        .filter(|plan| plan.readings.closed_attempt_ends == ClosedAttemptEnds::AtTheClose)
         .count();
     let confirmed = plans
         .iter()
         .filter(|plan| plan.readings.hung_release == HungRelease::Confirmed)
         .count();
-    let waiting = plans.iter().filter(|plan| plan.decodes_wait).count();
-    for drawn in [everything, at_the_close, confirmed, waiting] {
+    let limited_slots = plans.iter().filter(|plan| plan.decodes_wait).count();
+    for drawn in [everything, at_the_close, confirmed, limited_slots] {
         assert!((60..140).contains(&drawn), "drawn in {drawn} of 200 plans");
     }
     let count = |is: fn(&Fault) -> bool| {
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -137,7 +137,7 @@
 
 /// One submission of a request, as its client saw it.
 #[derive(Default)]
-struct Try {
+struct Submission {
     sent: Ms,
     time_to_deadline: Ms,
     dispatcher: String,
@@ -157,7 +157,7 @@
 
 /// No request is lost: each accepted request gets one final answer before its deadline, and nothing after it.
 fn check_requests(records: &[Record], rules: &Rules, findings: &mut Findings) {
-    let mut tries: BTreeMap<(&str, u64, u64), Try> = BTreeMap::new();
+    let mut submissions: BTreeMap<(&str, u64, u64), Submission> = BTreeMap::new();
     let mut open: BTreeMap<(&str, u64), Vec<u64>> = BTreeMap::new();
     for record in records {
         let conn = (&*record.seer, record.conn);
@@ -169,35 +169,38 @@
                         let dispatcher = record.peer.to_string();
                         let (sent, time_to_deadline) = (record.at, submit.time_to_deadline_ms);
                         open.entry(conn).or_default().push(frame.stream);
-                        tries.insert(
+                        submissions.insert(
                             id,
-                            Try {
+                            Submission {
                                 sent,
                                 time_to_deadline,
                                 dispatcher,
-                                ..Try::default()
+                                ..Submission::default()
                             },
                         );
                     }
                     (Way::Out, Some(Body::Cancel(_))) => {
-                        if let Some(this) = tries.get_mut(&id) {
-                            this.cancelled.get_or_insert(record.at);
+                        if let Some(submission) = submissions.get_mut(&id) {
+                            submission.cancelled.get_or_insert(record.at);
                         }
                     }
                     (Way::In, Some(body)) => {
-                        let Some(this) = tries.get_mut(&id) else {
+                        let Some(submission) = submissions.get_mut(&id) else {
                             continue;
                         };
-                        this.messages_after_final += usize::from(!this.finals.is_empty());
+                        submission.messages_after_final +=
+                            usize::from(!submission.finals.is_empty());
                         match body {
-                            Body::Final(_) => this.finals.push(record.at),
+                            Body::Final(_) => submission.finals.push(record.at),
                             Body::Tokens(_) => {
-                                this.first_token.get_or_insert(record.at);
+                                submission.first_token.get_or_insert(record.at);
                             }
-                            Body::Accepted(_) => this.accepted = true,
-                            Body::InvalidRequest(_) => this.invalid = true,
+                            Body::Accepted(_) => submission.accepted = true,
+                            Body::InvalidRequest(_) => submission.invalid = true,
                             // The call ended without a final answer.
-                            Body::Goodbye(_) => this.closed = this.closed.or(Some(record.at)),
+                            Body::Goodbye(_) => {
+                                submission.closed = submission.closed.or(Some(record.at))
+                            }
                             _ => {}
                         }
                     }
@@ -206,8 +209,8 @@
             }
             What::Note(Note::Closed { .. }) => {
                 for stream in open.remove(&conn).unwrap_or_default() {
-                    if let Some(this) = tries.get_mut(&(conn.0, conn.1, stream)) {
-                        this.closed.get_or_insert(record.at);
+                    if let Some(submission) = submissions.get_mut(&(conn.0, conn.1, stream)) {
+                        submission.closed.get_or_insert(record.at);
                     }
                 }
             }
@@ -215,39 +218,39 @@
         }
     }
     let kills = kills(records);
-    findings.cases.tries = tries.len();
-    for ((client, conn, stream), this) in tries {
+    findings.cases.tries = submissions.len();
+    for ((client, conn, stream), submission) in submissions {
         let name = format!(
             "{client}, connection {conn}, stream {stream}, sent at {:.0}",
-            this.sent
+            submission.sent
         );
-        let deadline = this.sent + this.time_to_deadline;
-        findings.cases.finals += this.finals.len();
-        let killed = kills.get(&*this.dispatcher).is_some_and(|kills| {
-            let by = |at: &Ms| {
-                *at + rules.slack >= this.sent
-                    && this
+        let deadline = submission.sent + submission.time_to_deadline;
+        findings.cases.finals += submission.finals.len();
+        let killed = kills.get(&*submission.dispatcher).is_some_and(|kills| {
+            let caused_end = |at: &Ms| {
+                *at + rules.slack >= submission.sent
+                    && submission
                         .closed
                         .is_some_and(|closed| closed <= at + 2.0 * rules.slack)
             };
-            kills.iter().any(by)
+            kills.iter().any(caused_end)
         });
         // The bounds presuppose a network that delivers messages.
         let is_network_faulty = rules
             .apart
             .iter()
-            .any(|(from, to)| *from <= deadline + rules.slack && *to >= this.sent);
+            .any(|(from, to)| *from <= deadline + rules.slack && *to >= submission.sent);
         // The dispatcher closed the connection in order before it accepted the request.
-        let not_accepted = !this.accepted && this.closed.is_some();
-        if this.messages_after_final > 0 {
+        let not_accepted = !submission.accepted && submission.closed.is_some();
+        if submission.messages_after_final > 0 {
             let what = format!(
                 "{name}: {} messages after its final answer",
-                this.messages_after_final
+                submission.messages_after_final
             );
-            findings.breach(Rule::RequestLost, this.finals[0], what);
+            findings.breach(Rule::RequestLost, submission.finals[0], what);
         }
-        match this.finals.first() {
-            _ if this.invalid || this.cancelled.is_some() => {}
+        match submission.finals.first() {
+            _ if submission.invalid || submission.cancelled.is_some() => {}
             None if killed || not_accepted || is_network_faulty => {}
             None => findings.breach(
                 Rule::RequestLost,
@@ -255,7 +258,7 @@
                 format!("{name}: no final answer"),
             ),
             Some(&at)
-                if this.first_token.is_none()
+                if submission.first_token.is_none()
                     && !is_network_faulty
                     && at > deadline + rules.answer_grace + rules.slack =>
             {
@@ -403,7 +406,7 @@
 /// Drains are respected: a dispatcher sends nothing new to an engine later than the grace after discovery told it that
 /// the engine drains or is gone.
 fn check_drains(records: &[Record], attempts: &[Attempt], rules: &Rules, findings: &mut Findings) {
-    let mut told: BTreeMap<(String, String), Vec<(Ms, bool)>> = BTreeMap::new();
+    let mut notices: BTreeMap<(String, String), Vec<(Ms, bool)>> = BTreeMap::new();
     let mut known: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for record in records {
         let What::Frame(Way::Out, frame) = &record.what else {
@@ -415,7 +418,8 @@
         let dispatcher = record.peer.to_string();
         let known = known.entry(dispatcher.clone()).or_default();
         let mut add = |engine: &str, ready: bool| {
-            told.entry((dispatcher.clone(), engine.to_owned()))
+            notices
+                .entry((dispatcher.clone(), engine.to_owned()))
                 .or_default()
                 .push((record.at, ready));
         };
@@ -432,18 +436,24 @@
             }
         }
     }
-    findings.cases.drains = told.values().flatten().filter(|(_, ready)| !ready).count();
+    findings.cases.drains = notices
+        .values()
+        .flatten()
+        .filter(|(_, ready)| !ready)
+        .count();
     for attempt in attempts {
-        let Some(told) = told.get(&(attempt.dispatcher.clone(), attempt.engine.clone())) else {
+        let Some(notices_of_engine) =
+            notices.get(&(attempt.dispatcher.clone(), attempt.engine.clone()))
+        else {
             continue;
         };
         // The attempt is a breach only if no update within the grace listed the engine as ready.
         let since = attempt.arrived - rules.drain_grace - rules.slack;
-        let before = told.iter().rev().find(|(at, _)| *at <= since);
-        let ready_within_grace = told
+        let last_notice = notices_of_engine.iter().rev().find(|(at, _)| *at <= since);
+        let ready_within_grace = notices_of_engine
             .iter()
             .any(|(at, ready)| *ready && *at > since && *at <= attempt.arrived);
-        if before.is_some_and(|(_, ready)| !ready) && !ready_within_grace {
+        if last_notice.is_some_and(|(_, ready)| !ready) && !ready_within_grace {
             let what = format!(
                 "{} sent an attempt to {}, which drains or is gone",
                 attempt.dispatcher, attempt.engine
@@ -482,15 +492,15 @@
             }
         };
         let until = record.at + slow_start_window;
-        let here = attempts.iter().filter(|attempt| {
+        let arrivals = attempts.iter().filter(|attempt| {
             attempt.engine == *record.seer
                 && attempt.arrived >= record.at
                 && attempt.arrived < until
         });
-        let here: Vec<&Attempt> = here.collect();
-        findings.cases.cold_attempts += here.len();
-        for (at, last) in here.iter().enumerate() {
-            let window = here[..=at]
+        let arrivals: Vec<&Attempt> = arrivals.collect();
+        findings.cases.cold_attempts += arrivals.len();
+        for (at, last) in arrivals.iter().enumerate() {
+            let window = arrivals[..=at]
                 .iter()
                 .filter(|attempt| attempt.arrived > last.arrived - rules.overload_window);
             let sent: f64 = window.map(|attempt| unit(attempt)).sum();
@@ -586,16 +596,16 @@
         for (arrived, ended) in attempts_of_state {
             let arrived = arrived.min(until);
             let overlaps = |(from, to, _): &(Ms, Ms, Ms)| *from <= arrived && *to >= idle_since;
-            let lost = |(from, to, most): &(Ms, Ms, Ms)| {
+            let undetected_time = |(from, to, most): &(Ms, Ms, Ms)| {
                 (to.min(arrived) - from.max(idle_since)).clamp(0.0, *most)
             };
-            let lost: Ms = rules
+            let undetected: Ms = rules
                 .silences
                 .iter()
                 .filter(|s| overlaps(s))
-                .map(lost)
+                .map(undetected_time)
                 .sum();
-            if arrived - idle_since - lost > rules.release + rules.slack {
+            if arrived - idle_since - undetected > rules.release + rules.slack {
                 let (run, request, attempt) = state;
                 let what = format!(
                     "the KV state of request {request} (attempt {attempt}, run {run:x}) was held at {} for {:.0} ms while no attempt ran",
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -280,6 +280,7 @@
         );
     }
 
+    /// Sends and records a message; returns `false` if the connection has ended.
     fn send(&self, connection: &Connection, stream: u64, body: Body) -> bool {
         let frame = frame(stream, body);
         let sent = connection.out.send(frame.clone());
@@ -397,10 +398,10 @@
     tallies: RefCell<BTreeMap<String, Tally>>,
     /// Requests that have not ended.
     open: Cell<usize>,
-    /// The factor on the configured arrival rate.
+    /// The factor by which the configured arrival rate is multiplied.
     rate_factor: Cell<f64>,
     hot_text: Cell<Option<u64>>,
-    /// The factor on the length of long prompts, and the share of prompts that are long.
+    /// The factor by which long prompts are longer, and the share of prompts that are long.
     long_prompts: Cell<(f64, f64)>,
     retry_after: Cell<Ms>,
     rng: RefCell<WyRand>,
@@ -459,7 +460,7 @@
         self.long_prompts.set((times, part));
     }
 
-    /// Sets the factor on the configured arrival rate from now on.
+    /// Multiplies the configured arrival rate by `times` from now on.
     pub fn set_rate(&self, times: f64) {
         self.rate_factor.set(times);
     }
@@ -660,6 +661,7 @@
         }
     }
 
+    /// Changes the outcomes of a request class.
     fn tally(&self, traffic: &Traffic, change: impl FnOnce(&mut Tally)) {
         change(
             self.tallies
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -125,7 +125,7 @@
 const TASK_SWEEP: usize = 64;
 /// Finished attempts are removed once a connection has this many tasks.
 const STREAM_TASK_SWEEP: usize = 256;
-/// How often running work reads the engine's capacity anew.
+/// Running work reads the engine's capacity again at this interval.
 const WORK_STEP: Ms = 20.0;
 
 /// The state of one run of the engine process; it is discarded when the process starts again.
@@ -272,10 +272,12 @@
         self.inner.address.borrow().clone()
     }
 
+    /// The name of the engine, which stays the same when its process restarts.
     pub fn name(&self) -> &str {
         &self.inner.spec.name
     }
 
+    /// The fixed properties of the engine.
     pub fn spec(&self) -> &EngineSpec {
         &self.inner.spec
     }
@@ -368,6 +370,7 @@
         self.inner.clock.now()
     }
 
+    /// Runs a task that ends with the process.
     fn spawn(&self, task: impl std::future::Future<Output = ()> + 'static) {
         let handle = spawn_local(task).abort_handle();
         let mut process = self.inner.process.borrow_mut();
@@ -406,12 +409,14 @@
         }
     }
 
+    /// Waits while the engine is mute.
     async fn wait_until_unmuted(&self) {
         while self.inner.process.borrow().troubles.mute {
             self.inner.changed.notified().await;
         }
     }
 
+    /// Makes a load report at every half of the report age, but at most one in 10 ms.
     async fn run_reports(&self) {
         loop {
             let now = self.now();
@@ -424,6 +429,7 @@
         }
     }
 
+    /// Makes a load report, and drops the reports that newer ones have replaced.
     fn make_report(&self, now: Ms) {
         let spec = &self.inner.spec;
         let mut process = self.inner.process.borrow_mut();
@@ -445,6 +451,7 @@
         }
     }
 
+    /// The load report to send: the newest one that has reached the configured age.
     fn load(&self) -> Option<v1::Load> {
         self.inner
             .process
@@ -454,6 +461,7 @@
             .map(|(_, load)| *load)
     }
 
+    /// Serves the calls of one connection until it ends.
     async fn serve(self, stream: T::Stream) {
         let delay = self.inner.process.borrow().troubles.greets_late;
         self.inner.clock.sleep_until(self.now() + delay).await;
@@ -570,6 +578,7 @@
         }
     }
 
+    /// Adds a connection to those that [`Engine::go_away`] reaches.
     fn register_connection(&self, connection: &Rc<Connection>) {
         let mut process = self.inner.process.borrow_mut();
         process
@@ -578,6 +587,7 @@
         process.connections.push(Rc::downgrade(connection));
     }
 
+    /// Adds a frame to the transcript.
     fn record(&self, connection: &Connection, way: Way, frame: &Frame) {
         let what = What::Frame(way, frame.clone());
         self.inner.transcript.add(
@@ -600,6 +610,7 @@
         connection.out.send(frame);
     }
 
+    /// Sends the end of an attempt, with the present load report.
     fn end_attempt(
         &self,
         connection: &Connection,
@@ -656,6 +667,7 @@
         })
     }
 
+    /// Drops a KV state, if the engine holds it, and frees its memory.
     fn release_state(&self, state: StateKey) {
         let mut process = self.inner.process.borrow_mut();
         if let Some(tokens) = process.states.remove(&state) {
@@ -679,6 +691,7 @@
         }
     }
 
+    /// Serves a prefill attempt until its end.
     async fn prefill(self, connection: Rc<Connection>, stream: u64, prefill: v1::Prefill) {
         let admitted = if self.inner.spec.does == Does::Writes {
             Err(v1::Status::Failed)
@@ -750,6 +763,7 @@
         );
     }
 
+    /// Keeps the timer of a held KV state, so that it ends with the process.
     fn keep_hold_timer(&self, timer: AbortHandle) {
         let mut process = self.inner.process.borrow_mut();
         process.hold_timers.retain(|timer| !timer.is_finished());
@@ -778,6 +792,7 @@
         process.used_tokens += prompt;
     }
 
+    /// Serves a decode attempt until its end.
     async fn decode(self, connection: Rc<Connection>, stream: u64, decode: v1::Decode) {
         let admitted = match (self.inner.spec.does, decode.state) {
             (Does::Reads, _) => Err(v1::Status::Failed),
@@ -904,6 +919,7 @@
 }
 
 impl<T: Transport, C: Clock> ServedConnection<T, C> {
+    /// Runs an attempt in a task of its own until it ends or is cancelled.
     fn start_attempt(&self, stream: u64, attempt: impl std::future::Future<Output = ()> + 'static) {
         let cancelled = Rc::new(Notify::new());
         self.connection
@@ -956,6 +972,7 @@
 }
 
 impl<T: Transport, C: Clock> Slot<T, C> {
+    /// Waits in the queue for a slot, for an attempt with a prompt of this many tokens.
     async fn acquire(engine: &Engine<T, C>, tokens: f64) -> Self {
         let slots = engine.inner.slots.borrow().clone();
         let mut slot = Slot {
@@ -994,6 +1011,7 @@
 }
 
 impl<T: Transport, C: Clock> MemoryReservation<T, C> {
+    /// Waits until this many tokens fit into the memory, and takes them.
     async fn acquire(engine: &Engine<T, C>, tokens: f64) -> Self {
         while engine.inner.process.borrow().used_tokens + tokens > engine.inner.spec.memory_tokens {
             engine.inner.changed.notified().await;
