--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -136,7 +136,7 @@
     pub start: u32,
 }
 
-/// The audit's number of an attempt.
+/// Identifies an attempt within the audit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId(usize);
 
--- a/crates/soak/src/audit/requests.rs
+++ b/crates/soak/src/audit/requests.rs
@@ -28,7 +28,7 @@
 
     /// Records that the request before this one on the same connection has been answered. Answers come in the order of
     /// requests, and 'clients send one request at a time per connection', so this answer is not due any earlier.
-    pub fn previous_answered(&mut self, id: &str, now: Ms) {
+    pub fn previous_request_answered(&mut self, id: &str, now: Ms) {
         if let Some(request) = self.requests.get_mut(id) {
             request.due = request.due.max(now);
         }
@@ -138,7 +138,7 @@
         attempts.filter(|attempt| attempt.stage == Stage::Decode)
     }
 
-    /// What is wrong with a complete stream of this many events, if anything is.
+    /// Describes the fault of a complete stream with this number of events; `None` if the stream has no fault.
     pub(super) fn complete_stream_fault(&self, request: &Request, events: usize) -> Option<String> {
         let complete = self
             .decode_attempts(request)
@@ -152,8 +152,8 @@
         }
     }
 
-    /// What is wrong with a stream that broke after this many events, if anything is. A stream may break for its client
-    /// only after a complete event, and only if it has broken or stalled at its engine.
+    /// Describes the fault of a stream that broke after this number of events; `None` if the break is allowed. A stream
+    /// may break for its client only after a complete event, and only if it has broken or stalled at its engine.
     pub(super) fn broken_stream_fault(
         &self,
         request: &Request,
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the clients of one process. Clients send requests and read answers; some disconnect early, write
+//! The stand-ins for the clients of one process. Clients send requests and read answers; some disconnect early, write
 //! slowly, pipeline requests, or stall in the middle of a request.
 
 use crate::audit::{Answer, Audit, ProcessRun};
@@ -220,7 +220,7 @@
         request: &NewRequest,
         behaviour: Behaviour,
     ) -> bool {
-        let text = text_of(request);
+        let text = request_text(request);
         if write(&mut connection, &text, behaviour == Behaviour::Slow)
             .await
             .is_err()
@@ -296,7 +296,7 @@
             return;
         };
         let requests = [self.draw_request(), self.draw_request()];
-        let text = requests.iter().map(text_of).collect::<String>();
+        let text = requests.iter().map(request_text).collect::<String>();
         if write(&mut connection, &text, false).await.is_err() {
             return;
         }
@@ -318,7 +318,7 @@
                 .answered(&request.id, exchange.answer, self.clock.now());
             self.audit
                 .borrow_mut()
-                .previous_answered(&requests[1].id, self.clock.now());
+                .previous_request_answered(&requests[1].id, self.clock.now());
             if !exchange.keeps_alive {
                 // The connection ends with this answer, so the second request is given up.
                 self.audit
@@ -334,7 +334,7 @@
         let Ok(mut connection) = self.connect().await else {
             return;
         };
-        let text = text_of(&self.draw_request());
+        let text = request_text(&self.draw_request());
         let sent_bytes = self.rng.borrow_mut().generate_range(1..text.len());
         let pause = self.rng.borrow_mut().generate::<f64>() * 1_500.0;
         let began = self.clock.now();
@@ -428,7 +428,7 @@
         let mut taken = 0;
         while let Some(end) = text.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = text.drain(..end + 2).collect();
-            let number = std::str::from_utf8(&event).ok().and_then(number_of);
+            let number = std::str::from_utf8(&event).ok().and_then(event_number);
             if let Some(number) = number {
                 self.audit
                     .borrow_mut()
@@ -441,13 +441,13 @@
 }
 
 /// The number of an event; `None` for an event without a number, such as the last one of a stream.
-fn number_of(event: &str) -> Option<usize> {
+fn event_number(event: &str) -> Option<usize> {
     let rest = event.strip_prefix("data: {\"n\":")?;
     rest.split(',').next()?.parse().ok()
 }
 
 /// The HTTP text of a request.
-fn text_of(request: &NewRequest) -> String {
+fn request_text(request: &NewRequest) -> String {
     let NewRequest {
         id,
         class,
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -22,14 +22,16 @@
 const COLD_CAPACITY: f64 = 0.32;
 /// The share of an engine's capacity that the traffic uses.
 const UTILISATION: f64 = 0.6;
-/// Allowances that the rules grant on sockets: for any timer, for the release of a KV state, and for a process that
-/// does not run for a moment.
+/// The allowance of the rules on sockets for any timer.
 const TIMER_SLACK: Ms = 50.0;
+/// The allowance of the rules on sockets for the release of a KV state.
 const RELEASE_SLACK: Ms = 300.0;
+/// The allowance of the rules on sockets for a process that does not run for a moment.
 const PROCESS_DELAY: Ms = 150.0;
 /// The latency objective of classes with long deadlines.
 const LATENCY_OBJECTIVE: Ms = 1_000.0;
-/// A deadline is at least this many times the latency objective; short deadlines lower the objective.
+/// The smallest ratio of a deadline to the latency objective. The objective of a class with a short deadline is lowered
+/// to keep this ratio.
 const DEADLINE_PER_OBJECTIVE: f64 = 2.0;
 
 /// The audit's rules for these settings. `rate` is the mean number of requests per second that each engine of a kind
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The stand-in of discovery: serves the list of engines by the platform's protocol, complete or as changes since a
+//! The stand-in for discovery: serves the list of engines by the platform's protocol, complete or as changes since a
 //! revision.
 
 use crate::service::{listen, response, sleep, Clock, Connection};
@@ -66,7 +66,7 @@
     reset: Notify,
 }
 
-/// A stand-in of discovery. Clones share one state.
+/// A stand-in for discovery. Clones share one state.
 #[derive(Clone)]
 pub struct Discovery {
     shared: Rc<Shared>,
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in of an engine: serves prefill or decode attempts by the platform's protocol and reports each attempt to
+//! The stand-in for an engine: serves prefill or decode attempts by the platform's protocol and reports each attempt to
 //! the audit.
 
 use crate::audit::{AttemptEnd, AttemptId, Audit, NewAttempt, Stage};
@@ -23,9 +23,10 @@
 const FIRST_EVENT_TIME: Ms = 15.0;
 /// The time between two events of a stream.
 const EVENT_INTERVAL: Ms = 20.0;
-/// The number of events of a stream, and of a long stream.
+/// The number of events of a stream.
 const EVENTS: std::ops::Range<usize> = 2..12;
-const EVENTS_OF_LONG: std::ops::Range<usize> = 40..80;
+/// The number of events of a long stream.
+const LONG_STREAM_EVENTS: std::ops::Range<usize> = 40..80;
 /// The duration of a prefill, and the time to the first event, of a slow engine: longer than clients wait.
 const SLOW_TIME: Ms = 3_500.0;
 /// The time between two pieces of an event that is written in pieces.
@@ -38,7 +39,7 @@
 const MALFORMED_PERCENT: u32 = 2;
 /// The percentage of streams whose events are written in two pieces each.
 const IN_PIECES_PERCENT: u32 = 30;
-/// The percentage of streams that are long.
+/// The percentage of streams that have [`LONG_STREAM_EVENTS`] events.
 const LONG_PERCENT: u32 = 5;
 
 /// The faults that are injected into an engine at present.
@@ -56,7 +57,7 @@
     pub close_idle: Notify,
 }
 
-/// A stand-in of an engine. Clones share one state.
+/// A stand-in for an engine. Clones share one state.
 #[derive(Clone)]
 pub struct Engine {
     pub id: String,
@@ -190,8 +191,8 @@
         stays_open
     }
 
-    /// Works on an attempt. Returns how the attempt ended, and whether the connection stays open, `None` if it is to be
-    /// reset.
+    /// Works on an attempt. Returns how the attempt ended and whether the connection stays open; the latter is `None`
+    /// if the connection is to be reset.
     async fn work(
         &self,
         connection: &mut Connection,
@@ -293,7 +294,7 @@
             _ => StreamOutcome::Complete,
         };
         let events = if draw_percentage(&mut rng, [LONG_PERCENT]).is_some() {
-            EVENTS_OF_LONG
+            LONG_STREAM_EVENTS
         } else {
             EVENTS
         };
--- a/crates/soak/src/readings.rs
+++ b/crates/soak/src/readings.rs
@@ -13,7 +13,7 @@
     WhatNoAttemptWaitsFor,
 }
 
-/// When an attempt ends whose connection its process closes.
+/// When an attempt counts as ended if its process closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClosedAttemptEnds {
     /// At the close.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -87,7 +87,7 @@
     pub log: String,
     /// The library that makes system calls fail and steps wall clocks; `None` leaves both as they are.
     pub shim: Option<PathBuf>,
-    /// The existing directory for configurations and logs.
+    /// The directory for configurations and logs; it has to exist.
     pub folder: PathBuf,
 }
 
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Kills a process and starts it again at `until`.
+    /// Kills a process and starts it again at the time `until`.
     pub(super) async fn kill_process(self: &Rc<Self>, number: usize, until: Ms) {
         if !self.reserve_process(number) {
             return;
@@ -162,7 +162,7 @@
         engines[at].proxy.reset_connections();
     }
 
-    /// Refuses new connections to an engine until `until`.
+    /// Refuses new connections to an engine until the time `until`.
     pub(super) async fn refuse_connections(&self, at: usize, until: Ms) {
         if !self.mark_unreachable(at) {
             return;
@@ -180,7 +180,8 @@
         unreachable.len() + MIN_REACHABLE < ENGINES.count && unreachable.insert(at)
     }
 
-    /// Silences the network of engines until `until`, and then delivers the held-back bytes or resets the connections.
+    /// Silences the network of engines until the time `until`, and then delivers the held-back bytes or resets the
+    /// connections.
     pub(super) async fn silence_engines(&self, silence: Silence, until: Ms) {
         let since = self.clock.now();
         let silenced_engines = ENGINES
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Silences some of an engine's connections until `until`.
+    /// Silences some of an engine's connections until the time `until`.
     pub(super) async fn silence_some(&self, at: usize, delivers: bool, until: Ms) {
         let proxy = self.proxy(at);
         proxy.silence_some(SILENT_PERCENT);
@@ -221,7 +222,7 @@
         proxy.silence_some(0);
     }
 
-    /// Makes engines hang until `until`.
+    /// Makes engines hang until the time `until`.
     pub(super) async fn hang_engines(&self, hang: Hang, until: Ms) {
         let hung_engines = ENGINES
             .members(hang.engines)
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Makes discovery unreachable until `until`; does nothing if it is unreachable already.
+    /// Makes discovery unreachable until the time `until`; does nothing if it is unreachable already.
     pub(super) async fn lose_discovery(&self, mode: discovery::Mode, until: Ms) {
         if !self.is_discovery_reachable.replace(false) {
             return;
--- a/crates/soak/tests/audit.rs
+++ b/crates/soak/tests/audit.rs
@@ -86,7 +86,7 @@
 }
 
 /// A request that is served without a violation.
-fn served(audit: &mut Audit, id: &str, effect: Effect, at: Ms) {
+fn request_served(audit: &mut Audit, id: &str, effect: Effect, at: Ms) {
     prefilled(audit, id, effect, at);
     let decode = decoding(audit, id, at + 21.0);
     audit.event_received(id, 0, at + 32.0);
@@ -112,7 +112,7 @@
 fn a_soak_without_faults_has_no_violations_and_counts_its_cases() {
     let mut audit = audit();
     for at in 0..50 {
-        served(
+        request_served(
             &mut audit,
             &format!("r{at}"),
             Effect::AtMostOnce,
@@ -222,7 +222,7 @@
     for (answered, is_violation) in [(2_400.0, false), (2_700.0, true)] {
         let mut audit = audit();
         audit.request_sent("behind", RUN, Effect::Idempotent, 0.0, 1_000.0);
-        audit.previous_answered("behind", 2_000.0);
+        audit.previous_request_answered("behind", 2_000.0);
         audit.answered("behind", Answer::Rejected, answered);
         assert_eq!(
             violated(audit, 3_000.0),
@@ -550,7 +550,7 @@
 }
 
 /// A process closes an attempt, and the engine notices the close later. The reading decides what a release does
-/// between, and from when on the state counts as unused.
+/// in the meantime, and from when on the state counts as unused.
 #[test]
 fn the_reading_decides_when_a_closed_attempt_ends() {
     for (closed_attempt_ends, noticed, released, checked_at, is_violation) in [
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -125,7 +125,7 @@
 }
 
 /// The times at which each dispatcher was killed, by its name.
-fn kills(records: &[Record]) -> BTreeMap<&str, Vec<Ms>> {
+fn kill_times(records: &[Record]) -> BTreeMap<&str, Vec<Ms>> {
     let mut kills: BTreeMap<&str, Vec<Ms>> = BTreeMap::new();
     for record in records {
         if record.what == What::Note(Note::Killed) {
@@ -217,7 +217,7 @@
             What::Note(_) => {}
         }
     }
-    let kills = kills(records);
+    let kill_times = kill_times(records);
     findings.cases.tries = submissions.len();
     for ((client, conn, stream), submission) in submissions {
         let name = format!(
@@ -226,15 +226,17 @@
         );
         let deadline = submission.sent + submission.time_to_deadline;
         findings.cases.finals += submission.finals.len();
-        let killed = kills.get(&*submission.dispatcher).is_some_and(|kills| {
-            let caused_end = |at: &Ms| {
-                *at + rules.slack >= submission.sent
-                    && submission
-                        .closed
-                        .is_some_and(|closed| closed <= at + 2.0 * rules.slack)
-            };
-            kills.iter().any(caused_end)
-        });
+        let killed = kill_times
+            .get(&*submission.dispatcher)
+            .is_some_and(|kills| {
+                let caused_end = |at: &Ms| {
+                    *at + rules.slack >= submission.sent
+                        && submission
+                            .closed
+                            .is_some_and(|closed| closed <= at + 2.0 * rules.slack)
+                };
+                kills.iter().any(caused_end)
+            });
         // The bounds presuppose a network that delivers messages.
         let is_network_faulty = rules
             .apart
@@ -559,7 +561,7 @@
             What::Note(_) => {}
         }
     }
-    let kills = kills(records);
+    let kill_times = kill_times(records);
     let end = records.last().map_or(0.0, |r| r.at);
     findings.cases.states = held.len();
     let mut running: BTreeMap<StateKey, Vec<(Ms, Ms)>> = BTreeMap::new();
@@ -577,7 +579,7 @@
         // A prefill may end at its engine after its dispatcher was killed and before the engine notices the closed
         // connection, so a kill counts from the first hello of the run on, not from the prefill's end.
         let first_hello = first_hellos.get(&state.0).copied().unwrap_or(since);
-        let killed = kills
+        let killed = kill_times
             .get(&*record.peer)
             .into_iter()
             .flatten()
--- a/crates/standin/src/audit/service.rs
+++ b/crates/standin/src/audit/service.rs
@@ -196,11 +196,11 @@
                     continue;
                 };
                 findings.cases.events += 1;
-                let took = record.at
+                let delay = record.at
                     - since
                     - suspended_time(suspensions.get(&*record.peer), since, record.at);
-                if took > MAX_EVENT_DELAY + rules.slack && !within_fault(rules, since, record.at) {
-                    let what = format!("event {} of {key} took {took:.0} ms", tokens.position);
+                if delay > MAX_EVENT_DELAY + rules.slack && !within_fault(rules, since, record.at) {
+                    let what = format!("event {} of {key} took {delay:.0} ms", tokens.position);
                     findings.breach(Rule::EventLate, record.at, what);
                 }
             }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! The stand-in of clients. Requests arrive in an open loop drawn from a seed. They belong to sessions, share prompt
+//! The stand-in for clients. Requests arrive in an open loop drawn from a seed. They belong to sessions, share prompt
 //! prefixes and have deadlines; clients cancel some of them early and retry as the request class allows.
 
 use crate::transcript::{Note, Transcript, Way, What};
@@ -48,7 +48,7 @@
     pub traffic: Vec<Traffic>,
     /// The mean rate of drawn arrivals; 0 draws none.
     pub rate_per_s: f64,
-    /// How long requests arrive.
+    /// The time span in which drawn requests arrive.
     pub length: Ms,
     /// The most retries of a request.
     pub retries: u32,
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The stand-in of discovery: sends the list of engines to its followers, each change after a configurable delay.
+//! The stand-in for discovery: sends the list of engines to its followers, each change after a configurable delay.
 
 use crate::accept_session;
 use crate::transcript::{Transcript, Way, What};
@@ -24,7 +24,7 @@
     silent: Cell<bool>,
 }
 
-/// A stand-in of discovery. Clones share one state.
+/// A stand-in for discovery. Clones share one state.
 pub struct Discovery<C> {
     inner: Rc<Inner<C>>,
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,6 +1,6 @@
-//! The stand-in of an engine. A prefill engine processes prompts and holds KV states; a decode engine fetches KV states
-//! and streams answers. An engine has slots, a queue, memory, a cold start, delayed load reports, and faults that a
-//! script turns on and off.
+//! The stand-in for an engine. A prefill engine processes prompts and holds KV states; a decode engine fetches KV
+//! states and streams answers. An engine has slots, a queue, memory, a cold start, delayed load reports, and faults
+//! that a script turns on and off.
 //!
 //! The performance model is a simplification: the slots of a prefill engine share its prompt throughput evenly, each
 //! slot of a decode engine emits one token per `token_ms`, and a cold engine does both at its present share of
@@ -168,7 +168,7 @@
     address: RefCell<String>,
 }
 
-/// A stand-in of an engine. Clones share one state.
+/// A stand-in for an engine. Clones share one state.
 pub struct Engine<T, C> {
     inner: Rc<Inner<T, C>>,
 }
@@ -972,7 +972,7 @@
 }
 
 impl<T: Transport, C: Clock> Slot<T, C> {
-    /// Waits in the queue for a slot, for an attempt with a prompt of this many tokens.
+    /// Waits in the queue until an attempt with a prompt of this many tokens gets a slot.
     async fn acquire(engine: &Engine<T, C>, tokens: f64) -> Self {
         let slots = engine.inner.slots.borrow().clone();
         let mut slot = Slot {
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -58,7 +58,7 @@
         });
     }
 
-    fn rules_broken(mut self) -> Vec<Rule> {
+    fn broken_rules(mut self) -> Vec<Rule> {
         self.records.sort_by(|a, b| a.at.total_cmp(&b.at));
         audit(&self.records, &rules())
             .breaches
@@ -201,14 +201,14 @@
 
 #[test]
 fn a_transcript_without_breach_has_no_findings() {
-    assert_eq!(scenario_without_breach().rules_broken(), []);
+    assert_eq!(scenario_without_breach().broken_rules(), []);
 }
 
 #[test]
 fn a_second_final_answer_is_found() {
     let mut scenario = scenario_without_breach();
     scenario.frame(95.0, CLIENT, Way::In, 1, final_answer(v1::Answer::Failed));
-    assert_eq!(scenario.rules_broken(), [Rule::RequestLost]);
+    assert_eq!(scenario.broken_rules(), [Rule::RequestLost]);
 }
 
 #[test]
@@ -221,7 +221,7 @@
         1,
         Body::Tokens(v1::Tokens::default()),
     );
-    assert_eq!(scenario.rules_broken(), [Rule::RequestLost]);
+    assert_eq!(scenario.broken_rules(), [Rule::RequestLost]);
 }
 
 #[test]
@@ -233,12 +233,12 @@
     };
     let mut scenario = scenario_without_breach();
     remove_answer(&mut scenario);
-    assert_eq!(scenario.rules_broken(), [Rule::RequestLost]);
+    assert_eq!(scenario.broken_rules(), [Rule::RequestLost]);
     let mut scenario = scenario_without_breach();
     remove_answer(&mut scenario);
     scenario.note(90.5, ("d", 0), Note::Killed);
     scenario.note(91.0, ("client", 1), Note::Closed { own: false });
-    assert_eq!(scenario.rules_broken(), []);
+    assert_eq!(scenario.broken_rules(), []);
 }
 
 #[test]
@@ -248,14 +248,14 @@
         .records
         .retain(|r| !(&*r.seer == "client" && r.at > 11.0));
     scenario.frame(1200.0, CLIENT, Way::In, 1, final_answer(v1::Answer::Failed));
-    assert_eq!(scenario.rules_broken(), [Rule::RequestLost]);
+    assert_eq!(scenario.broken_rules(), [Rule::RequestLost]);
 }
 
 #[test]
 fn a_second_run_of_an_at_most_once_request_is_found() {
     let mut scenario = scenario_without_breach();
     scenario.note(300.0, ("w2", 5), ran_note());
-    assert_eq!(scenario.rules_broken(), [Rule::EffectTwice]);
+    assert_eq!(scenario.broken_rules(), [Rule::EffectTwice]);
 }
 
 #[test]
@@ -267,7 +267,7 @@
             .retain(|r| !(&*r.seer == "client" && r.at > 11.0));
         scenario.frame(at, CLIENT, Way::In, 1, final_answer(v1::Answer::Rejected));
         assert_eq!(
-            scenario.rules_broken(),
+            scenario.broken_rules(),
             [Rule::EffectTwice],
             "rejected at {at}"
         );
@@ -286,7 +286,7 @@
             endpoint_update(v1::EndpointStatus::Draining),
         );
         scenario.frame(at, DECODE_ENGINE, Way::In, 7, decode(2));
-        assert_eq!(scenario.rules_broken(), expected, "sent at {at}");
+        assert_eq!(scenario.broken_rules(), expected, "sent at {at}");
     }
     // The engine is listed as ready again before the attempt.
     let mut scenario = scenario_without_breach();
@@ -305,7 +305,7 @@
         endpoint_update(v1::EndpointStatus::Ready),
     );
     scenario.frame(900.0, DECODE_ENGINE, Way::In, 7, decode(2));
-    assert_eq!(scenario.rules_broken(), []);
+    assert_eq!(scenario.broken_rules(), []);
 }
 
 #[test]
@@ -328,7 +328,7 @@
                 decode(100 + n),
             );
         }
-        assert_eq!(scenario.rules_broken(), expected, "{attempts} attempts");
+        assert_eq!(scenario.broken_rules(), expected, "{attempts} attempts");
     }
 }
 
@@ -353,7 +353,7 @@
             }),
         );
         assert_eq!(
-            scenario.rules_broken(),
+            scenario.broken_rules(),
             expected,
             "released after {released}"
         );
@@ -370,7 +370,7 @@
         if killed {
             scenario.note(150.0, ("d", 0), Note::Killed);
         }
-        assert_eq!(scenario.rules_broken(), expected, "killed: {killed}");
+        assert_eq!(scenario.broken_rules(), expected, "killed: {killed}");
     }
 }
 
@@ -408,7 +408,7 @@
             9,
             Body::Ended(ended),
         );
-        assert_eq!(scenario.rules_broken(), expected, "run {run}");
+        assert_eq!(scenario.broken_rules(), expected, "run {run}");
     }
 }
 
@@ -437,7 +437,7 @@
             ..v1::Release::default()
         }),
     );
-    assert_eq!(scenario.rules_broken(), []);
+    assert_eq!(scenario.broken_rules(), []);
 }
 
 /// A second request, which its client cancels at 100 ms, and an attempt that arrives at a prefill engine at `at`.
@@ -474,7 +474,7 @@
         (310.0, vec![Rule::AttemptForNobody]),
     ] {
         assert_eq!(
-            cancelled_before_an_attempt(at).rules_broken(),
+            cancelled_before_an_attempt(at).broken_rules(),
             expected,
             "sent at {at}"
         );
@@ -494,7 +494,7 @@
         3,
         final_answer(v1::Answer::Rejected),
     );
-    assert_eq!(scenario.rules_broken(), []);
+    assert_eq!(scenario.broken_rules(), []);
 }
 
 /// A request whose decode attempt has arrived at its engine.
@@ -537,7 +537,7 @@
             2,
             final_answer(v1::Answer::Succeeded),
         );
-        assert_eq!(scenario.rules_broken(), expected, "forwarded at {at}");
+        assert_eq!(scenario.broken_rules(), expected, "forwarded at {at}");
     }
 }
 
@@ -564,7 +564,7 @@
             final_answer(v1::Answer::Succeeded),
         );
         assert_eq!(
-            scenario.rules_broken(),
+            scenario.broken_rules(),
             expected,
             "{suspended} suspended until {resumed}, event forwarded at {arrived}"
         );
@@ -601,10 +601,10 @@
     };
     // About one request in ten is rejected: first spread evenly over all lengths, then only the largest ones.
     let spread_evenly = (0..400_u32).map(|n| (n, u64::from(n), answer(n % 10 == 3)));
-    assert_eq!(scenario_of_class(spread_evenly).rules_broken(), []);
+    assert_eq!(scenario_of_class(spread_evenly).broken_rules(), []);
     let only_largest = (0..400_u32).map(|n| (n, u64::from(n / 4) % 60, answer(n >= 370)));
     assert_eq!(
-        scenario_of_class(only_largest).rules_broken(),
+        scenario_of_class(only_largest).broken_rules(),
         [Rule::LargestStarved]
     );
 }
@@ -619,10 +619,10 @@
         }
     };
     let spread_evenly = (0..400_u32).map(|n| (n, u64::from(n % 50), answer(n % 4 == n / 50 % 4)));
-    assert_eq!(scenario_of_class(spread_evenly).rules_broken(), []);
+    assert_eq!(scenario_of_class(spread_evenly).broken_rules(), []);
     let same_sessions = (0..400_u32).map(|n| (n, u64::from(n % 50), answer(n % 50 < 12)));
     assert_eq!(
-        scenario_of_class(same_sessions).rules_broken(),
+        scenario_of_class(same_sessions).broken_rules(),
         [Rule::SessionsSingledOut]
     );
 }
