--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -18,7 +18,7 @@
 }
 
 impl Malformed {
-    /// Describes a parse error; see the fields.
+    /// Creates a parse error from a description of the expected input and from the input found.
     pub fn new(expected: impl Into<String>, found: impl Into<String>) -> Self {
         Malformed {
             expected: expected.into(),
@@ -52,14 +52,15 @@
     pub connection_idle: Option<Ms>,
     /// Whether clients ask for the rest of a stream that broke.
     pub clients_resume: bool,
-    /// The maximum number of open requests; `None` if there is no bound.
+    /// The maximum number of requests open at once; `None` if the number is not limited.
     pub max_open_requests: Option<usize>,
 }
 
-/// The slow start window that stands for a setting of 0, because the window must be positive.
+/// The slow start window for a ramp time of 0, which means no slow start: a new engine counts as warm at once. The
+/// window must be positive, so the shortest window represents it.
 const MIN_SLOW_START_WINDOW: Ms = 1.0;
 
-/// The values of the settings by path. Each method reads one setting, and fails if the value has another form.
+/// The settings' values as text, by path. Each method parses one setting, and fails if its value is malformed.
 struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
 impl Pairs<'_> {
@@ -74,25 +75,28 @@
             .map_err(|_| Malformed::new(format!("a number in {path}"), text))
     }
 
-    fn amount(&self, path: &str) -> Result<f64, Malformed> {
+    fn finite_number(&self, path: &str) -> Result<f64, Malformed> {
         let value: f64 = self.number(path)?;
         if value.is_finite() {
             Ok(value)
         } else {
-            Err(Malformed::new(path, value.to_string()))
+            Err(Malformed::new(
+                format!("a finite number in {path}"),
+                value.to_string(),
+            ))
         }
     }
 
-    fn amount_or(&self, path: &str, absent: f64) -> Result<f64, Malformed> {
+    fn finite_number_or(&self, path: &str, default: f64) -> Result<f64, Malformed> {
         if self.0.contains_key(path) {
-            self.amount(path)
+            self.finite_number(path)
         } else {
-            Ok(absent)
+            Ok(default)
         }
     }
 
     fn time(&self, path: &str) -> Result<Ms, Malformed> {
-        let time = self.amount(path)? / 1000.0;
+        let time = self.finite_number(path)? / 1000.0;
         if time < 0.0 {
             return Err(Malformed::new(
                 format!("a time of 0 or more in {path}"),
@@ -114,11 +118,11 @@
         Ok(time)
     }
 
-    fn time_or(&self, path: &str, absent: Ms) -> Result<Ms, Malformed> {
+    fn time_or(&self, path: &str, default: Ms) -> Result<Ms, Malformed> {
         if self.0.contains_key(path) {
             self.time(path)
         } else {
-            Ok(absent)
+            Ok(default)
         }
     }
 
@@ -136,7 +140,7 @@
     }
 
     /// The time at `index` of a list with one time per request class; 0 if the list is absent or shorter.
-    fn time_in(&self, path: &str, index: usize) -> Result<Ms, Malformed> {
+    fn time_of_class(&self, path: &str, index: usize) -> Result<Ms, Malformed> {
         let Some(text) = self.list(path).get(index).copied() else {
             return Ok(0.0);
         };
@@ -230,7 +234,10 @@
         0
     };
     if request_classes == 0 {
-        return Err(Malformed::new("at least one class in services", "none"));
+        return Err(Malformed::new(
+            "at least one request class in services",
+            "none",
+        ));
     }
     let discovery = match pairs.text("discovery")? {
         "automatic" => Discovery::Pushed,
@@ -250,7 +257,7 @@
         tenants: (0..tenants)
             .map(|i| tenant(&pairs, i))
             .collect::<Result<_, _>>()?,
-        over_quota_weight: pairs.amount_or("overShareWorth", 1.0)?,
+        over_quota_weight: pairs.finite_number_or("overShareWorth", 1.0)?,
         kinds: kinds(&pairs)?,
         discovery,
         kv_state_timeout: pairs.positive_time("familyInfo.release")?,
@@ -266,9 +273,9 @@
         connect_timeout: pairs.positive_time("limits.connectTimeout")?,
         drain_grace: pairs.time("rules.drainGrace")?,
         answer_grace: pairs.time("rules.graceToAnswer")?,
-        overload_multiple: pairs.amount("rules.fallMultiple")?,
+        overload_multiple: pairs.finite_number("rules.fallMultiple")?,
         overload_window: pairs.positive_time("rules.overloadFor")?,
-        cold_capacity: pairs.amount("rules.startCapacity")?,
+        cold_capacity: pairs.finite_number("rules.startCapacity")?,
         slow_start_window: pairs.time("rules.rampTime")?.max(MIN_SLOW_START_WINDOW),
     };
     let texts = |path: &str| pairs.list(path).into_iter().map(str::to_owned).collect();
@@ -320,8 +327,8 @@
         }
         other => return Err(Malformed::new("safe, keyed or unsafe in effect", other)),
     };
-    // Without a deadline of the class, each request's own deadline applies. Without an objective, the class's deadline
-    // serves as the objective.
+    // A class without a deadline leaves the deadline to each request. A class without a latency objective uses its
+    // deadline as the objective.
     let deadline = pairs.time_or(&path("giveUp"), 0.0)?;
     let objective = [pairs.time_or(&path("aim"), 0.0)?, deadline]
         .into_iter()
@@ -336,23 +343,23 @@
         retry_safety,
         latency_objective: objective.ok_or_else(missing)?,
         latency_objective_per_1000_tokens: pairs
-            .time_in("familyInfo.aimUsPer1000PromptTokens", i)?,
+            .time_of_class("familyInfo.aimUsPer1000PromptTokens", i)?,
         time_to_deadline: if deadline > 0.0 {
             deadline
         } else {
             f64::INFINITY
         },
-        priority_weight: pairs.amount_or(&path("importance"), 1.0)?,
-        late_value_share: pairs.amount_or(&path("lateShare"), 0.0)?,
-        token_pace: pairs.time_in("familyInfo.tokenAim", i)?,
+        priority_weight: pairs.finite_number_or(&path("importance"), 1.0)?,
+        late_value_share: pairs.finite_number_or(&path("lateShare"), 0.0)?,
+        token_pace: pairs.time_of_class("familyInfo.tokenAim", i)?,
         streams: pairs.flag(&path("stream"))?,
     })
 }
 
 fn tenant(pairs: &Pairs, i: usize) -> Result<TenantSettings, Malformed> {
     Ok(TenantSettings {
-        quota_per_second: pairs.amount_or(&format!("orgs.{i}.allowancePerS"), 0.0)?,
-        share: pairs.amount_or(&format!("orgs.{i}.share"), 0.0)?,
+        quota_per_second: pairs.finite_number_or(&format!("orgs.{i}.allowancePerS"), 0.0)?,
+        share: pairs.finite_number_or(&format!("orgs.{i}.share"), 0.0)?,
     })
 }
 
@@ -394,7 +401,7 @@
     if !serves(Role::Prefill) || !serves(Role::Decode) {
         let found = pairs.text("familyInfo.kindRole")?;
         return Err(Malformed::new(
-            "a kind that reads and one that writes in familyInfo.kindRole",
+            "a kind for prefill and a kind for decode in familyInfo.kindRole",
             found,
         ));
     }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,8 @@
 //! The traits that network code is generic over: a transport (connect, listen, byte streams) and a clock.
 //!
 //! Production code uses [`Tcp`] and [`SystemClock`]. [`Memory`] connects both ends within one thread, and
-//! [`TokioClock`] follows the runtime's time, which tests can pause; together they need no sockets and no real time.
+//! [`TokioClock`] follows the runtime's time, which tests can pause. With both, a test uses no sockets and does not
+//! depend on real time.
 //! [`simulated_network`] adds latency, partitions, resets and connections that lose bytes without an error.
 #![warn(missing_docs)]
 
@@ -18,12 +19,12 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::Instant;
 
-/// Milliseconds with fractions.
+/// A duration or an instant in milliseconds, with fractions.
 pub type Ms = f64;
 
 /// Opens and accepts connections. An address is `ip:port` for TCP, and any name for [`Memory`].
 pub trait Transport: Clone + 'static {
-    /// One end of a connection.
+    /// The byte stream at one end of a connection.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
     /// Accepts the connections to an address; stops listening when dropped.
     type Listener: Listener<Stream = Self::Stream> + 'static;
@@ -43,13 +44,13 @@
 
 /// Accepts connections to one address.
 pub trait Listener {
-    /// One end of a connection.
+    /// The byte stream of an accepted connection.
     type Stream;
 
     /// Waits for the next connection.
     ///
     /// # Errors
-    /// Returns an error if this connection failed, or on every call once the listener failed.
+    /// Returns an error if this one connection failed, or on every later call if the listener itself failed.
     fn accept(&mut self) -> impl Future<Output = io::Result<Self::Stream>>;
 
     /// The address that clients connect to; empty if the system cannot report it.
@@ -85,10 +86,10 @@
     }
 }
 
-/// TCP sockets that connect from a given local address.
+/// TCP sockets whose outgoing connections are bound to a given local address.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TcpFrom {
-    /// The local address of outgoing connections; with `None` the system chooses.
+    /// The local IP address that outgoing connections are bound to; with `None` the system chooses it.
     pub from: Option<IpAddr>,
 }
 
@@ -97,7 +98,7 @@
     type Listener = TcpListener;
 
     async fn connect(&self, address: &str) -> io::Result<TcpStream> {
-        let Some(from) = self.from else {
+        let Some(local_address) = self.from else {
             return Tcp.connect(address).await;
         };
         let remote: SocketAddr = address.parse().map_err(|_| io::ErrorKind::InvalidInput)?;
@@ -106,7 +107,7 @@
         } else {
             TcpSocket::new_v6()
         }?;
-        socket.bind(SocketAddr::new(from, 0))?;
+        socket.bind(SocketAddr::new(local_address, 0))?;
         let stream = socket.connect(remote).await?;
         let _ = stream.set_nodelay(true);
         Ok(stream)
@@ -122,14 +123,15 @@
 
     async fn accept(&mut self) -> io::Result<TcpStream> {
         let (stream, _) = TcpListener::accept(self).await?;
-        // A connection without the option still works, and its client may have sent a request already.
+        // The connection is kept if the option cannot be set: it works without the option, and its client may already
+        // have sent a request.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
 
     fn address(&self) -> String {
         self.local_addr()
-            .map_or_else(|_| String::new(), |a| a.to_string())
+            .map_or_else(|_| String::new(), |address| address.to_string())
     }
 }
 
--- a/crates/net/src/memory.rs
+++ b/crates/net/src/memory.rs
@@ -14,7 +14,7 @@
 /// The queues of connections to accept, by address.
 type Listeners = Rc<RefCell<BTreeMap<String, UnboundedSender<DuplexStream>>>>;
 
-/// An in-memory network; clones share the network.
+/// An in-memory network. Clones share its listeners, so a clone can connect to an address that another listens on.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     listeners: Listeners,
@@ -33,11 +33,13 @@
     type Listener = MemoryListener;
 
     async fn connect(&self, address: &str) -> io::Result<DuplexStream> {
-        let (near, far) = tokio::io::duplex(MAX_BYTES_IN_FLIGHT);
+        let (client_end, server_end) = tokio::io::duplex(MAX_BYTES_IN_FLIGHT);
         let listeners = self.listeners.borrow();
-        let sent = listeners.get(address).map(|listener| listener.send(far));
-        match sent {
-            Some(Ok(())) => Ok(near),
+        let handed_over = listeners
+            .get(address)
+            .map(|listener| listener.send(server_end));
+        match handed_over {
+            Some(Ok(())) => Ok(client_end),
             _ => Err(io::ErrorKind::ConnectionRefused.into()),
         }
     }
--- a/crates/net/src/simulated_network.rs
+++ b/crates/net/src/simulated_network.rs
@@ -1,9 +1,10 @@
 //! An in-memory network with delay, jitter, limited bandwidth and injected faults: resets, half-open connections, bytes
 //! lost in one direction, partitions between zones, and connects that hang.
 //!
-//! Random draws come from a seed and time comes from the runtime's clock, so on a paused runtime the same calls deliver
-//! the same bytes at the same instants. The bytes of one connection keep their order; connections do not delay each
-//! other.
+//! Runs are deterministic: all randomness comes from a seed and all time from the runtime's clock. On a paused runtime,
+//! the same calls therefore deliver the same bytes at the same instants.
+//!
+//! The bytes of one connection arrive in order. Connections do not delay each other.
 
 use crate::{Listener, Ms, Transport};
 use nanorand::{Rng, WyRand};
@@ -19,7 +20,8 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::{sleep, Instant, Sleep};
 
-/// The maximum number of bytes in flight in each direction of a connection; a sender then waits until some are read.
+/// The maximum number of bytes in flight in each direction of a connection. A sender that reaches it waits until the
+/// receiver reads.
 pub const MAX_BYTES_IN_FLIGHT: usize = 64 * 1024;
 /// The prefix that turns a host name into its address.
 const ADDRESS_PREFIX: &str = "at-";
@@ -49,7 +51,7 @@
 type ListenerEntry = (Rc<str>, UnboundedSender<SimulatedStream>);
 
 /// The state that all hosts of a network share.
-struct Inner {
+struct NetworkState {
     start: Instant,
     rng: RefCell<WyRand>,
     conditions: Cell<NetworkConditions>,
@@ -66,7 +68,7 @@
 /// A simulated network; clones share the network.
 #[derive(Clone)]
 pub struct SimulatedNetwork {
-    inner: Rc<Inner>,
+    state: Rc<NetworkState>,
 }
 
 /// One host of the network; its connections carry its name and zone.
@@ -77,7 +79,7 @@
     zone: Rc<str>,
 }
 
-/// The bytes of one write, with the time at which they arrive.
+/// The bytes of one write, with the time at which they arrive at the receiver.
 struct Segment {
     arrives_at: Ms,
     bytes: Vec<u8>,
@@ -98,21 +100,21 @@
     ended: bool,
     /// The receiving side was dropped.
     receiver_gone: bool,
-    /// Written bytes are lost, and neither side sees an error.
-    silent: bool,
+    /// Later bytes are lost on the way, and neither side sees an error.
+    loses_bytes: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
 /// A connection between two hosts.
 struct Connection {
-    network: Weak<Inner>,
+    network: Weak<NetworkState>,
     /// The name and zone of each host: first the one that connected, then the one that accepted.
     ends: [(Rc<str>, Rc<str>); 2],
     /// The two directions, each at the index of its sender in `ends`.
     pipes: [RefCell<Pipe>; 2],
-    /// The connection was reset.
-    broken: Cell<bool>,
+    /// The connection was reset; reads and writes on both sides fail.
+    was_reset: Cell<bool>,
 }
 
 /// One side of a connection.
@@ -126,7 +128,7 @@
 impl SimulatedNetwork {
     /// Creates a network without hosts; `seed` determines the jitter of all writes.
     pub fn new(seed: u64) -> Self {
-        let inner = Inner {
+        let state = NetworkState {
             start: Instant::now(),
             rng: RefCell::new(WyRand::new_seed(seed)),
             conditions: Cell::default(),
@@ -137,7 +139,7 @@
             max_in_flight: Cell::new(0),
         };
         SimulatedNetwork {
-            inner: Rc::new(inner),
+            state: Rc::new(state),
         }
     }
 
@@ -152,17 +154,18 @@
 
     /// Sets the conditions of later writes; bytes in flight keep their arrival times.
     pub fn set_conditions(&self, conditions: NetworkConditions) {
-        self.inner.conditions.set(conditions);
+        self.state.conditions.set(conditions);
     }
 
-    /// Starts or ends a partition that holds back all bytes from one zone to another, including bytes in flight.
-    /// Connects between the two zones hang meanwhile.
-    pub fn block(&self, from: &str, to: &str, blocked: bool) {
-        let pair = (Rc::from(from), Rc::from(to));
+    /// Starts (`blocked`) or ends a partition that holds back all bytes from one zone to another, including bytes in
+    /// flight. The held bytes arrive after the partition ends. During the partition, connects between the two zones
+    /// hang.
+    pub fn block(&self, from_zone: &str, to_zone: &str, blocked: bool) {
+        let pair = (Rc::from(from_zone), Rc::from(to_zone));
         if blocked {
-            self.inner.blocked.borrow_mut().insert(pair);
+            self.state.blocked.borrow_mut().insert(pair);
         } else {
-            self.inner.blocked.borrow_mut().remove(&pair);
+            self.state.blocked.borrow_mut().remove(&pair);
             self.each_connection(|_| true, Connection::wake);
         }
     }
@@ -170,9 +173,9 @@
     /// Sets whether connects to an address hang without a result.
     pub fn hang(&self, address: &str, hangs: bool) {
         if hangs {
-            self.inner.hanging.borrow_mut().insert(address.to_owned());
+            self.state.hanging.borrow_mut().insert(address.to_owned());
         } else {
-            self.inner.hanging.borrow_mut().remove(address);
+            self.state.hanging.borrow_mut().remove(address);
         }
     }
 
@@ -181,22 +184,22 @@
         self.each_connection(
             |connection| connection.has_end(name),
             |connection| {
-                connection.broken.set(true);
+                connection.was_reset.set(true);
                 connection.wake();
             },
         );
     }
 
-    /// Loses all later bytes that a host writes (`from`) or that are written to it (`to`) on its existing connections.
-    /// Neither side sees an error. New connections are not affected.
-    pub fn silence(&self, name: &str, from: bool, to: bool) {
+    /// Loses all later bytes that a host sends (`outgoing`) or that are sent to it (`incoming`) on its existing
+    /// connections. Neither side sees an error. New connections are not affected.
+    pub fn silence(&self, name: &str, outgoing: bool, incoming: bool) {
         self.each_connection(
             |connection| connection.has_end(name),
             |connection| {
                 for side in 0..2 {
                     let is_sender = &*connection.ends[side].0 == name;
-                    connection.pipes[side].borrow_mut().silent |=
-                        (is_sender && from) || (!is_sender && to);
+                    connection.pipes[side].borrow_mut().loses_bytes |=
+                        (is_sender && outgoing) || (!is_sender && incoming);
                 }
             },
         );
@@ -204,11 +207,12 @@
 
     /// The peak number of bytes in flight in one direction of one connection, over the life of the network.
     pub fn max_bytes_in_flight(&self) -> usize {
-        self.inner.max_in_flight.get()
+        self.state.max_in_flight.get()
     }
 
+    /// Runs `action` on each connection that `selects` accepts and of which at least one side is still open.
     fn each_connection(&self, selects: impl Fn(&Connection) -> bool, action: impl Fn(&Connection)) {
-        let mut connections = self.inner.connections.borrow_mut();
+        let mut connections = self.state.connections.borrow_mut();
         connections.retain(|connection| connection.strong_count() > 0);
         let all: Vec<Rc<Connection>> = connections.iter().filter_map(Weak::upgrade).collect();
         drop(connections);
@@ -218,7 +222,7 @@
     }
 }
 
-impl Inner {
+impl NetworkState {
     fn now(&self) -> Ms {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
@@ -240,25 +244,25 @@
     type Listener = SimulatedListener;
 
     async fn connect(&self, address: &str) -> io::Result<SimulatedStream> {
-        let inner = &self.network.inner;
+        let state = &self.network.state;
         // A connect takes one round trip.
-        wait(inner.latency() + inner.latency()).await;
-        let zone = inner
+        wait(state.latency() + state.latency()).await;
+        let zone = state
             .listeners
             .borrow()
             .get(address)
             .map(|(zone, _)| zone.clone());
         let blocked = |from: &Rc<str>, to: &Rc<str>| {
-            inner.blocked.borrow().contains(&(from.clone(), to.clone()))
+            state.blocked.borrow().contains(&(from.clone(), to.clone()))
         };
         let is_partitioned = zone
             .as_ref()
             .is_some_and(|zone| blocked(&self.zone, zone) || blocked(zone, &self.zone));
-        if is_partitioned || inner.hanging.borrow().contains(address) {
-            // The connect never fails by itself; only the caller's timeout ends it.
+        if is_partitioned || state.hanging.borrow().contains(address) {
+            // The connect never returns an error, so the caller needs a timeout of its own.
             pending::<()>().await;
         }
-        let listeners = inner.listeners.borrow();
+        let listeners = state.listeners.borrow();
         let Some((zone, listener)) = listeners.get(address) else {
             return Err(io::ErrorKind::ConnectionRefused.into());
         };
@@ -270,31 +274,31 @@
                 last_arrival: 0.0,
                 ended: false,
                 receiver_gone: false,
-                silent: false,
+                loses_bytes: false,
                 reader: None,
                 writer: None,
             })
         };
         let connection = Rc::new(Connection {
-            network: Rc::downgrade(inner),
+            network: Rc::downgrade(state),
             ends: [
                 (self.name.clone(), self.zone.clone()),
                 (Rc::from(name_of(address)), zone.clone()),
             ],
             pipes: [pipe(), pipe()],
-            broken: Cell::new(false),
+            was_reset: Cell::new(false),
         });
-        inner
+        state
             .connections
             .borrow_mut()
             .push(Rc::downgrade(&connection));
-        let far = SimulatedStream {
+        let accepted_side = SimulatedStream {
             connection: connection.clone(),
             side: 1,
             timer: None,
         };
         listener
-            .send(far)
+            .send(accepted_side)
             .map_err(|_| io::ErrorKind::ConnectionRefused)?;
         Ok(SimulatedStream {
             connection,
@@ -305,7 +309,7 @@
 
     async fn listen(&self, address: &str) -> io::Result<SimulatedListener> {
         let (sender, incoming) = unbounded_channel();
-        let mut listeners = self.network.inner.listeners.borrow_mut();
+        let mut listeners = self.network.state.listeners.borrow_mut();
         if listeners
             .get(address)
             .is_some_and(|(_, old)| !old.is_closed())
@@ -354,9 +358,9 @@
 
 impl Drop for SimulatedListener {
     fn drop(&mut self) {
-        // A newer listener may have taken over the address; only a closed entry is removed.
+        // A newer listener may already use the address, so only an entry that is closed is removed.
         self.incoming.close();
-        let mut listeners = self.network.inner.listeners.borrow_mut();
+        let mut listeners = self.network.state.listeners.borrow_mut();
         if listeners
             .get(&self.address)
             .is_some_and(|(_, sender)| sender.is_closed())
@@ -383,7 +387,7 @@
     }
 
     /// Whether a partition holds back the bytes that `side` sends.
-    fn is_blocked(&self, network: &Inner, side: usize) -> bool {
+    fn is_blocked(&self, network: &NetworkState, side: usize) -> bool {
         let blocked = network.blocked.borrow();
         !blocked.is_empty()
             && blocked.contains(&(self.ends[side].1.clone(), self.ends[1 - side].1.clone()))
@@ -394,21 +398,21 @@
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let Some(network) = this.connection.network.upgrade() else {
             return Poll::Ready(Ok(()));
         };
-        if this.connection.broken.get() {
+        if this.connection.was_reset.get() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        let from = 1 - this.side;
+        let sender = 1 - this.side;
         let now = network.now();
-        let mut pipe = this.connection.pipes[from].borrow_mut();
+        let mut pipe = this.connection.pipes[sender].borrow_mut();
         let mut read = 0;
-        if !this.connection.is_blocked(&network, from) {
-            while into.remaining() > 0 {
+        if !this.connection.is_blocked(&network, sender) {
+            while buffer.remaining() > 0 {
                 let Some(segment) = pipe.segments.front_mut() else {
                     break;
                 };
@@ -416,8 +420,8 @@
                     break;
                 }
                 let start = segment.consumed;
-                let part = into.remaining().min(segment.bytes.len() - start);
-                into.put_slice(&segment.bytes[start..start + part]);
+                let part = buffer.remaining().min(segment.bytes.len() - start);
+                buffer.put_slice(&segment.bytes[start..start + part]);
                 segment.consumed += part;
                 read += part;
                 if segment.consumed == segment.bytes.len() {
@@ -431,18 +435,19 @@
             return Poll::Ready(Ok(()));
         }
         let at_end = pipe.ended && pipe.segments.is_empty() && pipe.last_arrival <= now;
-        if at_end && !pipe.silent && !this.connection.is_blocked(&network, from) {
+        if at_end && !pipe.loses_bytes && !this.connection.is_blocked(&network, sender) {
             return Poll::Ready(Ok(()));
         }
         pipe.reader = Some(cx.waker().clone());
-        let next = pipe
+        let next_arrival = pipe
             .segments
             .front()
             .map(|segment| segment.arrives_at)
             .or(pipe.ended.then_some(pipe.last_arrival));
         drop(pipe);
-        // Lost bytes never arrive, and `block` wakes the readers of bytes that a partition held back.
-        if let Some(at) = next.filter(|at| at.is_finite() && *at > now) {
+        // Only bytes in transit need a timer. Lost bytes never arrive, and `block` wakes the readers of bytes that a
+        // partition held back.
+        if let Some(at) = next_arrival.filter(|at| at.is_finite() && *at > now) {
             let wait = Duration::try_from_secs_f64((at - now) / 1000.0).unwrap_or_default();
             let mut timer = Box::pin(sleep(wait));
             if timer.as_mut().poll(cx).is_ready() {
@@ -464,11 +469,11 @@
         let Some(network) = this.connection.network.upgrade() else {
             return Poll::Ready(Ok(bytes.len()));
         };
-        if this.connection.broken.get() {
+        if this.connection.was_reset.get() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
         let mut pipe = this.connection.pipes[this.side].borrow_mut();
-        if pipe.receiver_gone && !pipe.silent {
+        if pipe.receiver_gone && !pipe.loses_bytes {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
         if pipe.bytes >= MAX_BYTES_IN_FLIGHT {
@@ -479,7 +484,7 @@
         let now = network.now();
         pipe.free_at =
             pipe.free_at.max(now) + part as f64 / network.conditions.get().bandwidth.max(1e-3);
-        let arrives_at = if pipe.silent {
+        let arrives_at = if pipe.loses_bytes {
             f64::INFINITY
         } else {
             pipe.free_at + network.latency()
--- a/crates/net/tests/simulated_network.rs
+++ b/crates/net/tests/simulated_network.rs
@@ -9,6 +9,7 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
+/// Runs a test on a paused runtime with a network of seed 1.
 fn run<F: Future<Output = ()>>(test: impl FnOnce(SimulatedNetwork) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -19,18 +20,22 @@
     });
 }
 
-async fn pair(network: &SimulatedNetwork) -> (SimulatedStream, SimulatedStream) {
+/// A connection from host `a` in zone `north` to host `b` in zone `south`, as client and server side.
+async fn connected_pair(network: &SimulatedNetwork) -> (SimulatedStream, SimulatedStream) {
     let mut listener = network
         .host("b", "south")
         .listen("at-b")
         .await
         .expect("address is free");
-    let near = network
+    let client = network
         .host("a", "north")
         .connect("at-b")
         .await
         .expect("connection established");
-    (near, listener.accept().await.expect("connection accepted"))
+    (
+        client,
+        listener.accept().await.expect("connection accepted"),
+    )
 }
 
 #[test]
@@ -41,19 +46,25 @@
             jitter: 50.0,
             bandwidth: 10.0,
         });
-        let (mut near, mut far) = pair(&network).await;
+        let (mut client, mut server) = connected_pair(&network).await;
         let begin = Instant::now();
         for n in 0..100u8 {
-            near.write_all(&[n; 10]).await.expect("bytes written");
+            client.write_all(&[n; 10]).await.expect("bytes written");
         }
-        drop(near);
-        let mut all = Vec::new();
-        far.read_to_end(&mut all).await.expect("end of stream");
-        assert_eq!(all, (0..100u8).flat_map(|n| [n; 10]).collect::<Vec<u8>>());
-        let took = begin.elapsed().as_secs_f64() * 1000.0;
+        drop(client);
+        let mut received = Vec::new();
+        server
+            .read_to_end(&mut received)
+            .await
+            .expect("stream ends without an error");
+        assert_eq!(
+            received,
+            (0..100u8).flat_map(|n| [n; 10]).collect::<Vec<u8>>()
+        );
+        let took_ms = begin.elapsed().as_secs_f64() * 1000.0;
         assert!(
-            (100.0 + 20.0..100.0 + 20.0 + 100.0).contains(&took),
-            "1,000 bytes at 10 bytes per ms took {took} ms"
+            (100.0 + 20.0..100.0 + 20.0 + 100.0).contains(&took_ms),
+            "1,000 bytes at 10 bytes per ms took {took_ms} ms"
         );
     });
 }
@@ -61,13 +72,16 @@
 #[test]
 fn a_writer_waits_while_the_reader_reads_nothing() {
     run(|network| async move {
-        let (mut near, _far) = pair(&network).await;
+        let (mut client, _server) = connected_pair(&network).await;
         let written = timeout(
             Duration::from_secs(60),
-            near.write_all(&vec![0; 10 * MAX_BYTES_IN_FLIGHT]),
+            client.write_all(&vec![0; 10 * MAX_BYTES_IN_FLIGHT]),
         )
         .await;
-        assert!(written.is_err(), "the write waits for the reader");
+        assert!(
+            written.is_err(),
+            "the write must not complete before the reader reads"
+        );
         assert_eq!(network.max_bytes_in_flight(), MAX_BYTES_IN_FLIGHT);
     });
 }
@@ -75,17 +89,20 @@
 #[test]
 fn a_partition_holds_bytes_back_in_one_direction_and_connects_hang() {
     run(|network| async move {
-        let (mut near, mut far) = pair(&network).await;
+        let (mut client, mut server) = connected_pair(&network).await;
         network.block("north", "south", true);
-        near.write_all(b"x").await.expect("byte written");
-        far.write_all(b"y").await.expect("byte written");
+        client.write_all(b"x").await.expect("byte written");
+        server.write_all(b"y").await.expect("byte written");
         let mut byte = [0];
-        near.read_exact(&mut byte)
+        client
+            .read_exact(&mut byte)
             .await
             .expect("the other direction is not blocked");
-        assert!(timeout(Duration::from_secs(9), far.read_exact(&mut byte))
-            .await
-            .is_err());
+        assert!(
+            timeout(Duration::from_secs(9), server.read_exact(&mut byte))
+                .await
+                .is_err()
+        );
         let _listener = network
             .host("b", "south")
             .listen("at-b")
@@ -100,7 +117,8 @@
             sleep(Duration::from_millis(100)).await;
             partitioned.block("north", "south", false);
         });
-        far.read_exact(&mut byte)
+        server
+            .read_exact(&mut byte)
             .await
             .expect("the byte arrives once the partition ends");
         assert_eq!(&byte, b"x");
@@ -110,26 +128,32 @@
 #[test]
 fn a_reset_is_an_error_and_lost_bytes_are_not() {
     run(|network| async move {
-        let (mut near, mut far) = pair(&network).await;
+        let (mut client, mut server) = connected_pair(&network).await;
         network.silence("a", true, false);
-        near.write_all(b"x").await.expect("byte written");
+        client.write_all(b"x").await.expect("byte written");
         let mut byte = [0];
-        assert!(timeout(Duration::from_secs(99), far.read_exact(&mut byte))
-            .await
-            .is_err());
-        far.write_all(b"y").await.expect("byte written");
-        near.read_exact(&mut byte)
+        assert!(
+            timeout(Duration::from_secs(99), server.read_exact(&mut byte))
+                .await
+                .is_err()
+        );
+        server.write_all(b"y").await.expect("byte written");
+        client
+            .read_exact(&mut byte)
             .await
             .expect("the other direction still delivers");
-        drop(near);
+        drop(client);
         assert!(
-            timeout(Duration::from_secs(99), far.read_exact(&mut byte))
+            timeout(Duration::from_secs(99), server.read_exact(&mut byte))
                 .await
                 .is_err(),
-            "the end of the stream is lost too"
+            "the end of the stream must be lost too"
         );
         network.cut("b");
-        let error = far.read_exact(&mut byte).await.expect_err("a reset");
+        let error = server
+            .read_exact(&mut byte)
+            .await
+            .expect_err("the connection was reset");
         assert_eq!(error.kind(), io::ErrorKind::ConnectionReset);
     });
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! The messages between clients, dispatchers, engines and discovery (`proto/`).
+//! The protobuf messages that clients, dispatchers, engines and discovery exchange; the schema is in `proto/`.
 //!
 //! A [`Frame`] is one message with the stream that it belongs to. The program and its transcripts use frames;
 //! `crates/grpc` and `crates/http1` translate frames to and from their wire protocols.
@@ -20,7 +20,7 @@
 /// The protocol version that both sides name in their `Hello`; a different version is refused.
 pub const VERSION: u32 = 1;
 
-/// Makes a frame that belongs to `stream`; stream 0 is the connection itself.
+/// Creates a frame on `stream`. Stream 0 carries the messages that concern the whole connection.
 pub fn frame(stream: u64, body: Body) -> Frame {
     Frame {
         stream,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Copies a string into the byte type of the schema's `bytes` fields.
+/// Copies a string into `Bytes`, the type of the schema's `bytes` fields.
 pub fn text(text: &str) -> Bytes {
     Bytes::copy_from_slice(text.as_bytes())
 }
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -34,7 +34,7 @@
     Frame(Frame),
     /// The first bytes of a message arrived, and its end has not. Only HTTP/1.1 sessions report this.
     Partly,
-    /// Token messages of a stream were written to the connection, so the peer reads the stream.
+    /// Token messages of a stream were written to the connection, which shows that the peer still reads the stream.
     Flushed {
         /// The stream number of the token messages.
         stream: u64,
@@ -45,11 +45,12 @@
     GoingAway,
 }
 
-/// One connection and both directions of its messages.
+/// An established session: the peer's identity, the received events, and the handle that sends frames.
 pub struct Session<O> {
-    /// The peer's `Hello`. Sessions fill it in themselves where the wire protocol has no greeting.
+    /// The peer's `Hello`. If the wire protocol has no greeting, this side fills in what it knows of the peer.
     pub them: v1::Hello,
-    /// The maximum number of calls that the peer accepts at once; `None` if the peer sets no limit or this side serves.
+    /// The maximum number of calls that the peer accepts at once; `None` on the serving side, or if the
+    /// peer sets no limit.
     pub limit: Option<usize>,
     /// The received frames and other events; the channel closes when the connection ends.
     pub events: mpsc::UnboundedReceiver<Event>,
@@ -67,7 +68,7 @@
     /// may call this.
     fn go_away(&self);
 
-    /// Closes the connection and aborts open calls.
+    /// Closes the connection at once; open calls are aborted.
     fn close(&self);
 
     /// Waits until the connection has ended.
@@ -81,13 +82,13 @@
 
 /// A wire protocol that runs sessions on byte streams; clones share their settings.
 pub trait Wire: Clone + 'static {
-    /// The sending side of this protocol's sessions.
+    /// The handle that sends frames on a session of this protocol.
     type Out: Outbox;
 
     /// Starts a session on an accepted connection.
     ///
     /// # Errors
-    /// Returns a readable reason if the peer does not speak this protocol.
+    /// Returns the reason as text if the peer does not speak this protocol.
     fn serve<S: Io>(
         &self,
         io: S,
@@ -97,7 +98,7 @@
     /// Starts a session as the caller, to a peer of role `to`.
     ///
     /// # Errors
-    /// Returns a readable reason if the peer does not speak this protocol or refuses the session.
+    /// Returns the reason as text if the peer does not speak this protocol or refuses the session.
     fn connect<S: Io>(
         &self,
         io: S,
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts the simulator's dispatchers, one [`Control`] instance each. Translates the simulator's line protocol into the
-//! module's events, and its actions into lines. This crate makes no decisions, and the instances share no state.
+//! Runs the dispatchers of a simulation, each as one [`Control`] instance. The program translates lines of the
+//! simulator's protocol into events of the decision module, and its actions into lines. It makes no decisions itself,
+//! and the instances share no state.
 
 mod wire;
 
@@ -11,7 +12,7 @@
 use std::process::ExitCode;
 use wire::{Line, Parser};
 
-/// One dispatcher: its decision module, and its events of the current batch.
+/// One dispatcher: its decision module, and the events that it has received in the current batch.
 struct Instance {
     control: Control,
     events: Vec<Event>,
@@ -73,9 +74,9 @@
                 }
             }
             Line::Row(endpoint) => {
-                let owner = instances.get_mut(&parser.list_owner());
+                let list_owner = instances.get_mut(&parser.list_owner());
                 if let Some(Event::EndpointsUpdated { endpoints, .. }) =
-                    owner.and_then(|instance| instance.events.last_mut())
+                    list_owner.and_then(|instance| instance.events.last_mut())
                 {
                     endpoints.push(endpoint);
                 }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -7,7 +7,7 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// One parsed line.
+/// One parsed line of the simulator's protocol.
 pub enum Line {
     Empty,
     /// Opens a batch of events at the time `now`.
@@ -45,7 +45,7 @@
     columns: std::collections::BTreeMap<u32, Vec<String>>,
 }
 
-/// The unread fields of one line. `expected` describes a field in error messages.
+/// The unread fields of one line. The `expected` argument of a method describes the field in error messages.
 struct Fields<'a> {
     rest: Option<&'a str>,
 }
@@ -61,7 +61,7 @@
         };
         self.rest = rest;
         if field.is_empty() {
-            return Err(Malformed::new(expected, "nothing"));
+            return Err(Malformed::new(expected, "an empty field"));
         }
         Ok(field)
     }
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A time; lines carry whole microseconds.
+    /// A time, which lines state in whole microseconds.
     fn time(&mut self, expected: &str) -> Result<Ms, Malformed> {
         self.number::<u64>(expected).map(ms_from_us)
     }
@@ -116,7 +116,8 @@
     }
 
     fn engine(&mut self) -> Result<EngineId, Malformed> {
-        self.next("an engine").map(|name| EngineId(Arc::from(name)))
+        self.next("an engine name")
+            .map(|name| EngineId(Arc::from(name)))
     }
 }
 
@@ -124,7 +125,7 @@
     us as f64 / 1000.0
 }
 
-/// Rounds down to whole microseconds, so that no deadline or timer becomes later than the module asked for.
+/// Rounds down to whole microseconds, so that no deadline or timer is later than the decision module requested.
 fn us_from_ms(ms: Ms) -> u64 {
     let microseconds = (ms * 1000.0).floor().max(0.0);
     microseconds as u64
@@ -167,7 +168,7 @@
                 self.now_us = fields.number("the clock in microseconds")?;
                 Ok(Line::Begin {
                     now: ms_from_us(self.now_us),
-                    number: fields.number("the batch's number")?,
+                    number: fields.number("the number of the batch")?,
                 })
             }
             _ if !in_batch => Err(Malformed::new("begin_batch", name)),
@@ -177,7 +178,7 @@
                 self.row(&mut fields).map(Line::Row)
             }
             "begin" => {
-                let instance = fields.number("an instance")?;
+                let instance = fields.number("an instance number")?;
                 let seed = fields.number("a seed")?;
                 let conf = conf::read(fields.rest.unwrap_or(""))?;
                 self.columns.insert(instance, conf.columns);
@@ -188,7 +189,7 @@
                 })
             }
             "power_off" => Ok(Line::PowerOff {
-                instance: fields.number("an instance")?,
+                instance: fields.number("an instance number")?,
             }),
             _ => self.event(name, &mut fields),
         }
@@ -209,7 +210,7 @@
         if !EVENTS.contains(&name) {
             return Err(Malformed::new("an event of the simulator's protocol", name));
         }
-        let instance: u32 = fields.number("an instance")?;
+        let instance: u32 = fields.number("an instance number")?;
         let event = match name {
             "announce" => self.announce(instance, fields)?,
             "accept" => accept(fields)?,
@@ -239,7 +240,7 @@
                 let field = fields.next("a timer's id")?;
                 let timer = field
                     .parse()
-                    .map_err(|_| Malformed::new("the id of a timer that was set", field))?;
+                    .map_err(|_| Malformed::new("the number of a timer", field))?;
                 Event::Timer {
                     timer: TimerId(timer),
                 }
@@ -261,7 +262,7 @@
                 let engine = fields.engine()?;
                 let outcome = outcome(fields.next("an outcome")?)?;
                 let latency = fields.time("a latency")?;
-                let last = fields.flag("1 or 0")?;
+                let last = fields.flag("the flag `last`, 1 or 0")?;
                 let detail = fields.amount("a detail")?;
                 let load = self.load(instance, fields)?;
                 Event::Ended(Ended {
@@ -280,7 +281,7 @@
                 let request = request(fields)?;
                 let attempt = attempt(fields)?;
                 let engine = fields.engine()?;
-                let kind: u32 = fields.number("1 or 2")?;
+                let kind: u32 = fields.number("the kind of a reservation change, 1 or 2")?;
                 Event::ReservationChanged {
                     request,
                     attempt,
@@ -300,8 +301,8 @@
             "refused" => EndpointUpdateKind::Rejected,
             other => return Err(Malformed::new("changes, all, remembered or refused", other)),
         };
-        // The module does not use the list's version, but a malformed one is still an error.
-        let _version: Option<i64> = fields.optional_number("a version")?;
+        // The decision module does not use the list's version, but a malformed version is still an error.
+        let _version: Option<i64> = fields.optional_number("a list version")?;
         self.rows_left = fields.optional_number("a number of rows")?.unwrap_or(0);
         self.list_owner = instance;
         Ok(Event::EndpointsUpdated {
@@ -313,7 +314,7 @@
     fn row(&self, fields: &mut Fields) -> Result<Endpoint, Malformed> {
         let engine = fields.engine()?;
         let zone = ZoneId(fields.optional_number("a zone")?.unwrap_or(0));
-        let kind = KindId(fields.optional_number("a kind")?.unwrap_or(0));
+        let kind = KindId(fields.optional_number("an engine kind")?.unwrap_or(0));
         let cell = CellId(fields.optional_number("a cell")?.unwrap_or(0));
         let status = match fields.next("a status")? {
             "ready" => EndpointStatus::Ready,
@@ -376,11 +377,13 @@
 fn accept(fields: &mut Fields) -> Result<Event, Malformed> {
     Ok(Event::Arrived(Arrival {
         request: request(fields)?,
-        request_class: RequestClassId(fields.number("a class")?),
+        request_class: RequestClassId(fields.number("a request class")?),
         tenant: fields.optional_number("a tenant")?.map(TenantId),
         session: SessionId(fields.optional_key("a session's key")?.unwrap_or(0)),
         time_to_deadline: fields.time("the time to the deadline")?,
-        answer_hint: fields.optional_number("a hint")?.map(ms_from_us),
+        answer_hint: fields
+            .optional_number("an answer hint in microseconds")?
+            .map(ms_from_us),
         shared: fields
             .optional_key("the key of a shared prefix")?
             .filter(|key| *key != 0)
@@ -388,8 +391,8 @@
         prompt_tokens: fields.amount("a number of prompt tokens")?,
         shared_tokens: fields.amount("a number of shared tokens")?,
         max_tokens: fields.amount("a maximum number of tokens")?,
-        retried: fields.flag("1 or 0")?,
-        resumed: fields.flag("1 or 0")?,
+        retried: fields.flag("the flag `retried`, 1 or 0")?,
+        resumed: fields.flag("the flag `resumed`, 1 or 0")?,
     }))
 }
 
@@ -413,8 +416,8 @@
     })
 }
 
-/// Appends one action of instance `i` as one line. Actions that the simulator has no line for are left out.
-pub fn write_action(out: &mut String, i: u32, action: &Action) {
+/// Appends one action of an instance as one line. Actions without a line in the simulator's protocol are left out.
+pub fn write_action(out: &mut String, instance: u32, action: &Action) {
     // Writing to a string cannot fail.
     let _ = match action {
         Action::StartAttempt {
@@ -422,12 +425,16 @@
             engine,
             until,
         } => {
-            // 0 stands for no deadline on the line.
+            // In the line, 0 means that the attempt has no deadline.
             let until = until.map_or(0, |at| us_from_ms(at).max(1));
-            writeln!(out, "route\t{i}\t{}\t{}\t{until}", request.0, engine.0)
+            writeln!(
+                out,
+                "route\t{instance}\t{}\t{}\t{until}",
+                request.0, engine.0
+            )
         }
         Action::Cancel { request, attempt } => {
-            writeln!(out, "cancel\t{i}\t{}\t{}", request.0, attempt.0)
+            writeln!(out, "cancel\t{instance}\t{}\t{}", request.0, attempt.0)
         }
         Action::Reject {
             request,
@@ -435,36 +442,38 @@
         } => {
             writeln!(
                 out,
-                "say_no\t{i}\t{}\t{}",
+                "say_no\t{instance}\t{}\t{}",
                 request.0,
                 retry_after.map_or(0, us_from_ms)
             )
         }
-        Action::Fail { request } => writeln!(out, "finish_error\t{i}\t{}", request.0),
+        Action::Fail { request } => writeln!(out, "finish_error\t{instance}\t{}", request.0),
         // The module emits these only after `Control::track_deliveries`, which this host does not call.
         Action::Confirm { .. } | Action::ReleaseInDoubt { .. } => Ok(()),
-        Action::Release { request } => writeln!(out, "let_go\t{i}\t{}", request.0),
+        Action::Release { request } => writeln!(out, "let_go\t{instance}\t{}", request.0),
         Action::Reserve { request, engine } => {
-            writeln!(out, "earmark\t{i}\t{}\t{}", request.0, engine.0)
+            writeln!(out, "earmark\t{instance}\t{}\t{}", request.0, engine.0)
         }
-        Action::Migrate { request } => writeln!(out, "transfer\t{i}\t{}", request.0),
+        Action::Migrate { request } => writeln!(out, "transfer\t{instance}\t{}", request.0),
         Action::SetTimer { delay, timer } => {
-            writeln!(out, "arm\t{i}\t{}\t{}", us_from_ms(*delay), timer.0)
+            writeln!(out, "arm\t{instance}\t{}\t{}", us_from_ms(*delay), timer.0)
         }
-        Action::HealthCheck { engine } => writeln!(out, "poll\t{i}\t{}", engine.0),
-        Action::CloseIdle { engine } => writeln!(out, "close_idle\t{i}\t{}", engine.0),
+        Action::HealthCheck { engine } => writeln!(out, "poll\t{instance}\t{}", engine.0),
+        Action::CloseIdle { engine } => writeln!(out, "close_idle\t{instance}\t{}", engine.0),
         Action::SendGossip { to, bytes } => {
-            // -1 addresses all other dispatchers.
+            // In the line, -1 addresses all other dispatchers.
             let to = to.map_or(-1, |dispatcher| i64::from(dispatcher.0));
             let encoded = if bytes.is_empty() {
                 "-".into()
             } else {
                 BASE64_STANDARD.encode(bytes)
             };
-            writeln!(out, "publish\t{i}\t{to}\t{encoded}")
+            writeln!(out, "publish\t{instance}\t{to}\t{encoded}")
+        }
+        Action::FetchEndpoints => writeln!(out, "read_list\t{instance}"),
+        Action::WatchEndpoints { on } => writeln!(out, "track\t{instance}\t{}", u8::from(*on)),
+        Action::Log { text } => {
+            writeln!(out, "emit\t{instance}\t{}", text.replace(['\n', '\r'], " "))
         }
-        Action::FetchEndpoints => writeln!(out, "read_list\t{i}"),
-        Action::WatchEndpoints { on } => writeln!(out, "track\t{i}\t{}", u8::from(*on)),
-        Action::Log { text } => writeln!(out, "emit\t{i}\t{}", text.replace(['\n', '\r'], " ")),
     };
 }
