--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -6,7 +6,7 @@
 use cindercleat_protocol::{v1, Body};
 use prost::Message;
 
-/// The path of the call that a body starts; `None` if it starts no call.
+/// The path of the gRPC call that a body starts; `None` if the body belongs to a call that is already open.
 pub fn call_path(body: &Body) -> Option<&'static str> {
     Some(match body {
         Body::Submit(_) => "/cindercleat.v1.Router/Run",
@@ -23,7 +23,7 @@
     })
 }
 
-/// The path of the `Greet` method that a caller uses for a peer of this role.
+/// The path of the `Greet` method of a peer with this role.
 pub fn greet_path(party: v1::Party) -> &'static str {
     match party {
         v1::Party::Engine => "/cindercleat.v1.Host/Greet",
@@ -81,7 +81,7 @@
     })
 }
 
-/// A body encoded as a reply: its message, and the status if the call ends with it.
+/// A body encoded as a reply: the message to send, if any, and the status if the reply ends the call.
 pub struct Reply {
     pub message: Option<Bytes>,
     pub ending: Option<CallEnding>,
@@ -116,14 +116,14 @@
         ("Host/Read", Body::Ended(m)) => (Some(encode(&m)), ok()),
         ("Host/Probe", Body::Load(m)) => (Some(encode(&m)), ok()),
         ("Host/Hold", Body::Reservation(m)) => (Some(encode(&m)), ok()),
-        // Only the engine itself confirms a release. A lost release stays unconfirmed, so that the dispatcher repeats
-        // it.
+        // Only the engine that released the state confirms the release. A lost release stays unconfirmed, so that the
+        // dispatcher repeats it.
         ("Host/Release", Body::Done(m)) => (Some(encode(&m)), ok()),
         ("Host/Fetch", Body::State(m)) => (Some(encode(&m)), ok()),
         ("Fleet/Call", Body::FleetAnswer(m)) => (Some(encode(&m)), ok()),
         ("List/Follow", Body::Endpoints(m)) => (Some(encode(&m)), None),
         (_, Body::Hello(m)) => (Some(encode(&m)), ok()),
-        // A request that was accepted may have run, so its end without an answer must not invite a retry.
+        // A request that was accepted may have run, so the status of an end without an answer must not invite a retry.
         ("Router/Run", Body::Goodbye(m)) => (
             None,
             Some(CallEnding::answered(ClientAnswer::Failed, 0.0, &m.reason)),
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -18,13 +18,14 @@
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, yield_now};
 
-/// The handles that start new calls on a connection.
+/// Starts new calls on a connection, and tells them of a GOAWAY.
 pub(crate) struct CallStarter {
     requests: SendRequest<Bytes>,
     goaway: Rc<GoawayState>,
 }
 
-/// The number of times that the connection's task yields to let calls read the messages received before the end.
+/// The maximum number of times that the task of an ended connection yields, so that its calls can read the messages
+/// received before the end.
 const MAX_FINAL_YIELDS: usize = 1000;
 /// The credit of a call whose token messages are not limited by credit.
 const UNLIMITED_CREDIT: u32 = u32::MAX;
@@ -32,7 +33,7 @@
 /// Opens a session with a peer of role `to`: performs the HTTP/2 handshake and exchanges greetings.
 ///
 /// # Errors
-/// Returns a readable reason if the peer does not speak HTTP/2 or refuses the greeting.
+/// Returns the reason as text if the peer does not speak HTTP/2 or refuses the greeting.
 pub async fn connect<S>(io: S, to: v1::Party, setup: Setup) -> Result<Session, String>
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
@@ -56,7 +57,7 @@
         requests: requests.clone(),
         goaway: goaway.clone(),
     });
-    let driving = shared.clone();
+    let connection_state = shared.clone();
     spawn_local(async move {
         let mut reported = false;
         loop {
@@ -64,31 +65,34 @@
                 _ = &mut connection => break,
                 () = goaway.received.notified(), if !reported => {
                     reported = true;
-                    driving.send_event(Event::GoingAway);
+                    connection_state.send_event(Event::GoingAway);
                 }
-                () = async { driving.wait_closing().await; for _ in 0..3 { yield_now().await } } => {
-                    return driving.end();
+                () = async { connection_state.wait_closing().await; for _ in 0..3 { yield_now().await } } => {
+                    return connection_state.end();
                 }
             }
         }
-        // Calls may still have unread messages from before the end. Dropping the connection ends their streams, so that
-        // the calls can finish.
+        // Calls may still have unread messages from before the end. Dropping the connection ends the calls' streams, so
+        // that the calls finish once they have read those messages.
         drop(connection);
-        driving.starter.borrow_mut().take();
+        connection_state.starter.borrow_mut().take();
         for _ in 0..MAX_FINAL_YIELDS {
-            if driving.calls.borrow().is_empty() {
+            if connection_state.calls.borrow().is_empty() {
                 break;
             }
             yield_now().await;
         }
-        driving.drained.set(true);
-        driving.changed.notify_waiters();
-        // After a GOAWAY all messages of open calls have been received; some calls still wait for credit to forward
-        // them.
-        while goaway.is_received() && !driving.calls.borrow().is_empty() && !driving.closing.get() {
-            driving.changed.notified().await;
+        connection_state.drained.set(true);
+        connection_state.changed.notify_waiters();
+        // After a GOAWAY the peer has sent all messages of the open calls; some calls still wait for credit to forward
+        // messages.
+        while goaway.is_received()
+            && !connection_state.calls.borrow().is_empty()
+            && !connection_state.closing.get()
+        {
+            connection_state.changed.notified().await;
         }
-        driving.end();
+        connection_state.end();
     });
     let mut guard = HandshakeGuard(Some(shared.clone()));
     let setup = &shared.setup;
@@ -116,14 +120,14 @@
         match messages.next().await {
             Ok(bytes) => match call::decode_reply(path, bytes) {
                 Ok(Some(Body::Hello(them))) => Ok((them, limit)),
-                _ => Err("no greeting".to_owned()),
+                _ => Err("the peer sent no greeting".to_owned()),
             },
             Err(ReadError::EndOfStream) if headers.contains_key("grpc-message") => {
                 Err(status_message(&headers))
             }
-            Err(ReadError::EndOfStream) => Err("no greeting".to_owned()),
+            Err(ReadError::EndOfStream) => Err("the peer sent no greeting".to_owned()),
             Err(ReadError::Malformed(reason)) => Err(reason),
-            Err(ReadError::Compressed) => Err("a compressed greeting".to_owned()),
+            Err(ReadError::Compressed) => Err("the peer's greeting is compressed".to_owned()),
             Err(ReadError::Broken(error)) => Err(error.to_string()),
         }
     };
@@ -197,11 +201,11 @@
     mut queue: mpsc::UnboundedReceiver<Outgoing>,
 ) -> Option<EndWithoutReply> {
     let mut credit = match &body {
-        Body::Decode(write) => write.window,
+        Body::Decode(decode) => decode.window,
         _ => UNLIMITED_CREDIT,
     };
     let not_sent = || Some(EndWithoutReply::from(CallEnd::NotSent));
-    // A call that is cancelled while it waits for a free stream was not sent.
+    // While the call waits for a free stream, nothing of it is sent, so a cancelled call did not run.
     let ready = tokio::select! { biased;
         _ = wait_cancelled(shared, &mut queue, &mut credit) => return not_sent(),
         ready = requests.ready() => ready,
@@ -209,10 +213,10 @@
     let (Ok(mut requests), Ok(head)) = (ready, request_head(path)) else {
         return not_sent();
     };
-    let Ok((response, mut to)) = requests.send_request(head, false) else {
+    let Ok((response, mut request_stream)) = requests.send_request(head, false) else {
         return not_sent();
     };
-    let id = to.stream_id().as_u32();
+    let id = request_stream.stream_id().as_u32();
     // A call that the GOAWAY excludes did not run, whatever error the call itself ends with.
     let classify = |end: CallEnd| match end {
         _ if goaway.is_beyond_last_stream(id) => CallEnd::BeyondLast,
@@ -241,7 +245,7 @@
     let started = tokio::select! { biased;
         response = &mut response => Ok(response),
         end = wait_cancelled(shared, &mut queue, &mut credit) => Err(end),
-        _ = send(&mut to, bytes, true) => tokio::select! { biased;
+        _ = send(&mut request_stream, bytes, true) => tokio::select! { biased;
             response = &mut response => Ok(response),
             end = wait_cancelled(shared, &mut queue, &mut credit) => Err(end),
         },
@@ -250,7 +254,7 @@
         Ok(Ok(response)) => response,
         Ok(Err(error)) => return Some(classify(end_from_h2(&error)).into()),
         Err(end) => {
-            to.send_reset(h2::Reason::CANCEL);
+            request_stream.send_reset(h2::Reason::CANCEL);
             return Some(classify(end).into());
         }
     };
@@ -266,7 +270,7 @@
                 }
                 match local_end(outgoing) {
                     Some(end) => {
-                        to.send_reset(h2::Reason::CANCEL);
+                        request_stream.send_reset(h2::Reason::CANCEL);
                         return Some(end.into());
                     }
                     None => continue,
@@ -301,7 +305,7 @@
                 }
                 Ok(None) => {}
                 Err(_) => {
-                    to.send_reset(h2::Reason::INTERNAL_ERROR);
+                    request_stream.send_reset(h2::Reason::INTERNAL_ERROR);
                     return Some(CallEnd::Nothing.into());
                 }
             },
@@ -317,7 +321,7 @@
             }
             Err(ReadError::Broken(error)) => return Some(classify(end_from_h2(&error)).into()),
             Err(ReadError::Malformed(_) | ReadError::Compressed) => {
-                to.send_reset(h2::Reason::INTERNAL_ERROR);
+                request_stream.send_reset(h2::Reason::INTERNAL_ERROR);
                 return Some(CallEnd::Nothing.into());
             }
         }
@@ -380,7 +384,7 @@
     }
 }
 
-/// The end of a call by the gRPC status in its trailers.
+/// Derives the end of a call from the gRPC status in its trailers; [`CallEnd::Nothing`] if they hold no status number.
 fn end_from_status(headers: &HeaderMap) -> CallEnd {
     let number = headers
         .get("grpc-status")
@@ -397,8 +401,8 @@
     }
 }
 
-/// The final body to report for a call that ended without a final message; `None` if the end of the session follows and
-/// covers it.
+/// The body that reports the end of a call without a final message; `None` if the end of the session, which follows,
+/// reports it.
 fn body_for_end(
     path: &str,
     EndWithoutReply {
--- a/crates/grpc/src/details.rs
+++ b/crates/grpc/src/details.rs
@@ -17,7 +17,7 @@
     GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent),
 );
 
-/// The message `google.rpc.Status`. This struct and the following ones are written after their public specifications.
+/// The message `google.rpc.Status`. This struct and the three below follow the public definitions of their messages.
 #[derive(Clone, PartialEq, Message)]
 struct Status {
     #[prost(int32, tag = "1")]
@@ -48,18 +48,18 @@
     description: String,
 }
 
-/// The status of a call, with the details that go into its trailers.
+/// The status that ends a call: the code, the message, the retry advice and the `google.rpc` details.
 pub(crate) struct CallEnding {
     code: Code,
     message: String,
     retry: RetryAdvice,
     details: Vec<Any>,
-    /// Sends the header `cindercleat-ran: no`, which states that nothing of the call ran.
+    /// Whether the trailers include `cindercleat-ran: no`, which states that no part of the call ran.
     never_ran: bool,
 }
 
 impl CallEnding {
-    /// A status without details or retry advice.
+    /// A status with a code and a message only, without details or retry advice.
     pub fn plain(code: Code, message: &str) -> Self {
         CallEnding {
             code,
@@ -154,7 +154,7 @@
     }
 }
 
-/// The invalid field that a status names in its details, and the description of what is wrong with it.
+/// The name of the invalid field in a status's details, and the description of the problem; `None` if there is none.
 pub(crate) fn invalid_field(headers: &HeaderMap) -> Option<(String, String)> {
     let bytes = BASE64_ANY_PADDING
         .decode(headers.get("grpc-status-details-bin")?.as_bytes())
@@ -185,8 +185,8 @@
             .get(..2)
             .and_then(|h| u8::from_str_radix(std::str::from_utf8(h).ok()?, 16).ok());
         match (first, hex) {
-            (b'%', Some(decoded_byte)) => {
-                decoded.push(decoded_byte);
+            (b'%', Some(byte)) => {
+                decoded.push(byte);
                 rest = &tail[2..];
             }
             _ => {
--- a/crates/grpc/src/details_tests.rs
+++ b/crates/grpc/src/details_tests.rs
@@ -1,4 +1,4 @@
-//! The headers that end a call, and how a client reads them.
+//! The trailers that end a call: how they are encoded, and how a client decodes them.
 
 use super::*;
 
@@ -16,9 +16,9 @@
     assert_eq!(rejected["grpc-retry-pushback-ms"], "1251");
     let bytes = BASE64_ANY_PADDING
         .decode(rejected["grpc-status-details-bin"].as_bytes())
-        .expect("base64");
-    let status = Status::decode(&bytes[..]).expect("a status");
-    let info = RetryInfo::decode(&status.details[0].value[..]).expect("retry info");
+        .expect("valid base64");
+    let status = Status::decode(&bytes[..]).expect("status decoded");
+    let info = RetryInfo::decode(&status.details[0].value[..]).expect("retry info decoded");
     assert_eq!((status.code, status.message.as_str()), (8, "no room"));
     assert_eq!(
         info.retry_delay,
@@ -35,19 +35,22 @@
 
 #[test]
 fn an_invalid_field_is_encoded_and_decoded() {
-    let headers = CallEnding::invalid_field("patience_ms", "\u{2212}1 is no time").headers();
+    let headers = CallEnding::invalid_field("patience_ms", "\u{2212}1 is not a time").headers();
     assert_eq!(headers["grpc-status"], "3");
-    let read = invalid_field(&headers).expect("a field");
+    let read = invalid_field(&headers).expect("invalid field found");
     assert_eq!(
         read,
-        ("patience_ms".to_owned(), "\u{2212}1 is no time".to_owned())
+        (
+            "patience_ms".to_owned(),
+            "\u{2212}1 is not a time".to_owned()
+        )
     );
     assert_eq!(
         status_message(&headers),
-        "patience_ms: \u{2212}1 is no time"
+        "patience_ms: \u{2212}1 is not a time"
     );
     assert!(headers["grpc-message"]
         .to_str()
-        .expect("plain")
+        .expect("ASCII text")
         .contains("%E2%88%92"));
 }
--- a/crates/grpc/src/goaway_detector.rs
+++ b/crates/grpc/src/goaway_detector.rs
@@ -16,11 +16,11 @@
 /// The HTTP/2 frame type of a GOAWAY.
 const GOAWAY_FRAME_TYPE: u8 = 7;
 
-/// The lowest last stream of the GOAWAY frames received so far.
+/// The lowest last stream id named by the GOAWAY frames received so far.
 #[derive(Default)]
 pub(crate) struct GoawayState {
     last_stream: Cell<Option<u32>>,
-    /// Signals each GOAWAY.
+    /// Notified at each GOAWAY.
     pub received: Notify,
 }
 
@@ -45,7 +45,7 @@
     /// The number of payload bytes still to be received.
     payload_left: usize,
     is_goaway: bool,
-    /// The last stream that the current GOAWAY names.
+    /// The last stream id that the current GOAWAY names, as far as it was received.
     last_stream: u32,
     /// The number of bytes of `last_stream` received so far.
     last_stream_filled: usize,
@@ -114,13 +114,14 @@
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        let before = into.filled().len();
-        let read = Pin::new(&mut this.io).poll_read(cx, into);
+        let filled_before = buffer.filled().len();
+        let read = Pin::new(&mut this.io).poll_read(cx, buffer);
         if let Poll::Ready(Ok(())) = read {
-            this.scanner.scan(&into.filled()[before..], &this.goaway);
+            this.scanner
+                .scan(&buffer.filled()[filled_before..], &this.goaway);
         }
         read
     }
--- a/crates/grpc/src/lib.rs
+++ b/crates/grpc/src/lib.rs
@@ -1,9 +1,9 @@
-//! gRPC (HTTP/2 by the crate h2, messages by prost) on any byte stream, on one thread.
+//! gRPC over any byte stream, on one thread. The crate h2 implements HTTP/2, and prost encodes the messages.
 //!
 //! A connection is a [`Session`]: [`Out::send`] sends [`Frame`]s of the schema, and received frames are [`Event`]s. A
 //! frame that starts a request, an attempt or a health check becomes a gRPC call. Frames with the same stream number
 //! are the messages of that call, and a [`Body::Cancel`] resets it. The driver of a session needs no knowledge of
-//! HTTP/2, and a peer in any language needs no knowledge of frames.
+//! HTTP/2, and a peer that is written in any language needs no knowledge of frames.
 #![forbid(unsafe_code)]
 
 mod call;
@@ -83,7 +83,7 @@
     shared: Rc<Shared>,
 }
 
-/// An item queued for sending on a call.
+/// An item in the send queue of a call: a message, or a reset with an HTTP/2 error code.
 // Nearly all items are bodies, so boxing the large variant would save no memory.
 #[allow(clippy::large_enum_variant)]
 enum Outgoing {
@@ -106,7 +106,7 @@
     closing: Cell<bool>,
     /// `Out::go_away` was called.
     leaving: Cell<bool>,
-    /// The connection has ended, and calls have had time to read the messages that arrived before.
+    /// The connection has ended, and its calls have had time to read the messages that arrived before the end.
     drained: Cell<bool>,
     /// The number of the peer's calls that have not ended.
     open_served_calls: Cell<usize>,
@@ -137,7 +137,7 @@
 
     fn send_event(&self, event: Event) {
         if let Some(events) = &*self.events.borrow() {
-            // The send fails if the session was dropped; the event is of no use then.
+            // The send fails if the session was dropped, and then nobody needs the event.
             let _ = events.send(event);
         }
     }
@@ -157,7 +157,7 @@
     }
 
     /// Pings the peer; its answer is reported as a `Pong` frame. Does nothing while an earlier ping is unanswered,
-    /// because that ping's answer shows the same.
+    /// because the answer to that ping shows just as well that the peer is alive.
     fn ping(self: &Rc<Self>) {
         let Some(mut ping) = self.pings.borrow_mut().take() else {
             return;
@@ -190,7 +190,7 @@
     }
 }
 
-/// Closes the connection if the handshake fails or is dropped. Emptied when the session starts.
+/// Closes the connection when it is dropped during the handshake. A session that starts empties the guard first.
 struct HandshakeGuard(Option<Rc<Shared>>);
 
 impl Drop for HandshakeGuard {
--- a/crates/grpc/src/message.rs
+++ b/crates/grpc/src/message.rs
@@ -13,8 +13,9 @@
 pub enum ReadError {
     /// The peer ended the stream between messages; trailers may follow.
     EndOfStream,
+    /// The stream was reset or the connection failed.
     Broken(h2::Error),
-    /// The bytes are not a valid message; the reason is readable.
+    /// The bytes are not a valid message, for this reason.
     Malformed(String),
     /// The message is compressed, which this crate does not support.
     Compressed,
@@ -25,12 +26,12 @@
     let mut out = BytesMut::with_capacity(PREFIX_BYTES + message.encoded_len());
     out.put_u8(0);
     out.put_u32(u32::try_from(message.encoded_len()).unwrap_or(u32::MAX));
-    // Encoding fails only for lack of space, and a BytesMut grows.
+    // Encoding fails only if the buffer is full, and a BytesMut grows as needed.
     let _ = message.encode(&mut out);
     out.freeze()
 }
 
-/// Reads the messages of one direction of a call, each up to `max_bytes` long.
+/// Reads the messages of one direction of a call. A message longer than `max_bytes` is an error.
 pub struct MessageReader {
     stream: RecvStream,
     pending: BytesMut,
@@ -50,8 +51,8 @@
         &mut self.stream
     }
 
-    /// Reads the next message. Reading returns capacity to the sender's flow-control window, so messages that are not
-    /// read hold the sender back.
+    /// Reads the next message. Reading returns capacity to the sender's flow-control window, so the sender has to wait
+    /// while its messages are not read.
     pub async fn next(&mut self) -> Result<Bytes, ReadError> {
         loop {
             if self.pending.len() >= PREFIX_BYTES {
@@ -73,7 +74,7 @@
             }
             match self.stream.data().await {
                 Some(Ok(data)) => {
-                    // Fails only on a stream that has ended, which needs no window.
+                    // Fails only on a stream that has ended, whose window is no longer needed.
                     let _ = self.stream.flow_control().release_capacity(data.len());
                     self.pending.put(data);
                 }
@@ -94,19 +95,19 @@
 /// # Errors
 /// Returns an error if the stream was reset or the connection has ended.
 pub async fn send(
-    to: &mut SendStream<Bytes>,
+    stream: &mut SendStream<Bytes>,
     mut bytes: Bytes,
     end_of_stream: bool,
 ) -> Result<(), h2::Error> {
     while !bytes.is_empty() {
-        to.reserve_capacity(bytes.len());
-        let capacity = match poll_fn(|cx| to.poll_capacity(cx)).await {
+        stream.reserve_capacity(bytes.len());
+        let capacity = match poll_fn(|cx| stream.poll_capacity(cx)).await {
             Some(capacity) => capacity?,
             None => return Err(h2::Reason::STREAM_CLOSED.into()),
         };
         let part = bytes.split_to(capacity.min(bytes.len()));
         let ends = end_of_stream && bytes.is_empty();
-        to.send_data(part, ends)?;
+        stream.send_data(part, ends)?;
     }
     Ok(())
 }
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -19,12 +19,13 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, yield_now};
 
-/// The number of times that a closing connection yields, once its calls have ended, to write their last messages.
+/// The number of times that a closing connection yields after its calls have ended, so that their last messages are
+/// written.
 const FINAL_YIELDS: usize = 16;
-/// The maximum number of times that a closing connection yields for its calls to end.
+/// The maximum number of times that a closing connection yields while it waits for its calls to end.
 const MAX_FINAL_YIELDS: usize = 10_000;
 
-/// The peer's greeting, which starts the session.
+/// The peer's greeting, shared between the calls of a connection and the task that waits for the session to start.
 #[derive(Default)]
 struct Greeting {
     hello: Cell<Option<v1::Hello>>,
@@ -36,7 +37,7 @@
 /// greet is taken for a client without a name.
 ///
 /// # Errors
-/// Returns a readable reason if the peer does not speak HTTP/2 or the connection ends before its first call.
+/// Returns the reason as text if the peer does not speak HTTP/2 or the connection ends before its first call.
 pub async fn serve<S>(io: S, setup: Setup) -> Result<Session, String>
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
@@ -56,10 +57,10 @@
     let (shared, events) = Shared::new(setup);
     *shared.pings.borrow_mut() = connection.ping_pong();
     let greeting: Rc<Greeting> = Rc::default();
-    let driving = (shared.clone(), greeting.clone());
+    let connection_state = (shared.clone(), greeting.clone());
     spawn_local(async move {
-        let (shared, greeting) = driving;
-        let (mut calls, mut is_leaving) = (0, false);
+        let (shared, greeting) = connection_state;
+        let (mut call_count, mut is_leaving) = (0, false);
         loop {
             let accepted = tokio::select! { biased;
                 accepted = connection.accept() => accepted,
@@ -69,7 +70,8 @@
                     continue;
                 }
                 () = shared.wait_closing() => {
-                    // Messages that are already queued are written if the peer reads them soon; open calls are aborted.
+                    // Open calls are aborted. Messages that are already queued are still written, if the peer reads
+                    // them soon.
                     shared.calls.borrow_mut().clear();
                     let mut yields_left = FINAL_YIELDS;
                     for _ in 0..MAX_FINAL_YIELDS {
@@ -80,7 +82,7 @@
                             },
                             () = yield_now() => {}
                         }
-                        // Once all calls have ended, a few more yields let the connection write their last messages.
+                        // Counts only the yields after all calls have ended.
                         yields_left -= usize::from(shared.open_served_calls.get() == 0);
                         if yields_left == 0 {
                             break;
@@ -99,22 +101,25 @@
             let Some(Ok((request, respond))) = accepted else {
                 break;
             };
-            calls += 1;
+            call_count += 1;
             shared
                 .open_served_calls
                 .set(shared.open_served_calls.get() + 1);
-            let (to, greeting) = (shared.clone(), greeting.clone());
+            let (shared, greeting) = (shared.clone(), greeting.clone());
             spawn_local(async move {
-                serve_call(to.clone(), greeting, calls, request, respond).await;
-                to.open_served_calls.set(to.open_served_calls.get() - 1);
+                serve_call(shared.clone(), greeting, call_count, request, respond).await;
+                shared
+                    .open_served_calls
+                    .set(shared.open_served_calls.get() - 1);
             });
         }
         shared.end();
         greeting.arrived.notify_one();
     });
-    // The guard closes the connection if the caller stops waiting for a peer that connects and sends no call.
+    // A peer may connect and send no call. If the caller then stops waiting for the session, the guard closes the
+    // connection.
     let mut guard = HandshakeGuard(Some(shared.clone()));
-    // The session starts once the peer is known.
+    // The session starts with the first greeting or call, which identifies the peer.
     greeting.arrived.notified().await;
     match greeting.hello.take() {
         Some(them) => {
@@ -126,11 +131,11 @@
                 out: Out { shared },
             })
         }
-        None => Err("nothing was asked".to_owned()),
+        None => Err("the connection ended before its first call".to_owned()),
     }
 }
 
-/// Runs a call of the peer to its end.
+/// Serves one call of the peer until the call ends. `number` is the call's stream number in frames.
 async fn serve_call(
     shared: Rc<Shared>,
     greeting: Rc<Greeting>,
@@ -192,8 +197,8 @@
             ..v1::Hello::default()
         },
     );
-    let (to, queue) = mpsc::unbounded_channel();
-    shared.calls.borrow_mut().insert(number, to);
+    let (sender, queue) = mpsc::unbounded_channel();
+    shared.calls.borrow_mut().insert(number, sender);
     // Gossip is acknowledged here, because the dispatcher does not answer it.
     let is_gossip = matches!(body, Body::Gossip(_));
     shared.send_event(Event::Frame(frame(number, body)));
@@ -204,12 +209,12 @@
     let stream = head
         .ok()
         .and_then(|head| respond.send_response(head, false).ok());
-    if let Some(mut to) = stream {
+    if let Some(mut response_stream) = stream {
         if is_gossip {
-            let _ = send(&mut to, encode(&v1::Done {}), false).await;
-            send_trailers(&mut to, &CallEnding::plain(Code::Ok, ""));
+            let _ = send(&mut response_stream, encode(&v1::Done {}), false).await;
+            send_trailers(&mut response_stream, &CallEnding::plain(Code::Ok, ""));
         } else {
-            send_replies(&shared, number, &path, queue, &mut to).await;
+            send_replies(&shared, number, &path, queue, &mut response_stream).await;
         }
     }
     shared.calls.borrow_mut().remove(&number);
@@ -221,36 +226,36 @@
     number: u64,
     path: &str,
     mut queue: mpsc::UnboundedReceiver<Outgoing>,
-    to: &mut SendStream<Bytes>,
+    response_stream: &mut SendStream<Bytes>,
 ) {
     loop {
         let next = tokio::select! { biased;
-            _ = poll_fn(|cx| to.poll_reset(cx)) => {
+            _ = poll_fn(|cx| response_stream.poll_reset(cx)) => {
                 return shared.send_event(Event::Frame(frame(number, Body::Cancel(v1::Cancel {}))));
             }
             next = queue.recv() => next,
         };
         let body = match next {
             Some(Outgoing::Body(body)) => body,
-            Some(Outgoing::Reset(code)) => return to.send_reset(code.into()),
-            // The accepted call may have run, so its end without an answer must not invite a retry.
+            Some(Outgoing::Reset(code)) => return response_stream.send_reset(code.into()),
+            // The call was accepted and may have run, so its status must not invite a retry.
             None => {
                 return send_trailers(
-                    to,
+                    response_stream,
                     &CallEnding::answered(ClientAnswer::Failed, 0.0, "the connection closes"),
                 )
             }
         };
-        let tokens = matches!(body, Body::Tokens(_));
+        let holds_tokens = matches!(body, Body::Tokens(_));
         // A body that does not belong to this call is ignored.
         let Some(reply) = call::encode_reply(path, body) else {
             continue;
         };
         if let Some(bytes) = reply.message {
-            if send(to, bytes, false).await.is_err() {
+            if send(response_stream, bytes, false).await.is_err() {
                 return shared.send_event(Event::Frame(frame(number, Body::Cancel(v1::Cancel {}))));
             }
-            if tokens {
+            if holds_tokens {
                 shared.send_event(Event::Flushed {
                     stream: number,
                     messages: 1,
@@ -258,12 +263,12 @@
             }
         }
         if let Some(ending) = reply.ending {
-            return send_trailers(to, &ending);
+            return send_trailers(response_stream, &ending);
         }
     }
 }
 
-/// Records the peer's identity and starts the session; an identity that is already recorded stays.
+/// Records the peer's identity, unless one is recorded already, and starts the session.
 fn record_greeting(greeting: &Greeting, hello: v1::Hello) {
     greeting
         .hello
@@ -280,7 +285,7 @@
 ) {
     let setup = &shared.setup;
     if hello.version != VERSION {
-        let reason = format!("a version {} where {VERSION} is spoken", hello.version);
+        let reason = format!("unsupported version {}, expected {VERSION}", hello.version);
         return refuse(&mut respond, Code::FailedPrecondition, &reason);
     }
     if !hello.expects.is_empty() && hello.expects != setup.name {
@@ -291,7 +296,7 @@
         .status(200)
         .header("content-type", "application/grpc")
         .body(());
-    let Some(mut to) = head
+    let Some(mut response_stream) = head
         .ok()
         .and_then(|head| respond.send_response(head, false).ok())
     else {
@@ -305,16 +310,19 @@
         expects,
         run: setup.run,
     };
-    if send(&mut to, encode(&our_hello), false).await.is_ok() {
-        send_trailers(&mut to, &CallEnding::plain(Code::Ok, ""));
+    if send(&mut response_stream, encode(&our_hello), false)
+        .await
+        .is_ok()
+    {
+        send_trailers(&mut response_stream, &CallEnding::plain(Code::Ok, ""));
         record_greeting(greeting, hello);
     }
 }
 
-/// Ends a call with its status.
-fn send_trailers(to: &mut SendStream<Bytes>, ending: &CallEnding) {
+/// Sends the trailers with a call's status, which end the call.
+fn send_trailers(response_stream: &mut SendStream<Bytes>, ending: &CallEnding) {
     // Fails only if the stream was reset meanwhile, and then no status is needed.
-    let _ = to.send_trailers(ending.headers());
+    let _ = response_stream.send_trailers(ending.headers());
 }
 
 /// Refuses a call with a response that consists of trailers only.
--- a/crates/grpc/tests/hard.rs
+++ b/crates/grpc/tests/hard.rs
@@ -9,17 +9,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{spawn_local, yield_now, LocalSet};
 
-/// Types of HTTP/2 frames.
+// Types of HTTP/2 frames.
 const DATA: u8 = 0;
 const HEADERS: u8 = 1;
 const RST_STREAM: u8 = 3;
 const SETTINGS: u8 = 4;
 const GOAWAY: u8 = 7;
 const WINDOW_UPDATE: u8 = 8;
-/// Identifiers of HTTP/2 settings.
+// Identifiers of HTTP/2 settings.
 const MAX_CONCURRENT_STREAMS: u16 = 3;
 const INITIAL_WINDOW_SIZE: u16 = 4;
-/// Flags of HTTP/2 frames.
+// Flags of HTTP/2 frames.
 const END_STREAM: u8 = 1;
 const END_HEADERS: u8 = 4;
 /// The HTTP/2 error code of a stream that was not processed.
@@ -45,15 +45,15 @@
     }
 }
 
-/// One end of an HTTP/2 connection that sends and receives single frames.
+/// One end of an HTTP/2 connection, on which a test writes and reads single frames.
 struct RawConnection {
     io: DuplexStream,
 }
 
 /// Encodes headers in HPACK as literals, except `:status 200`, which is an entry of HPACK's static table.
-fn headers(list: &[(&str, &str)]) -> Vec<u8> {
+fn headers(fields: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
-    for (name, value) in list {
+    for (name, value) in fields {
         match (*name, *value) {
             (":status", "200") => out.push(0x88),
             _ => {
@@ -82,6 +82,7 @@
         let _ = self.io.write_all(&[&head, payload].concat()).await;
     }
 
+    /// The next frame, as type, flags, stream and payload; `None` at the end of the connection.
     async fn next(&mut self) -> Option<(u8, u8, u32, Vec<u8>)> {
         let mut head = [0; 9];
         self.io.read_exact(&mut head).await.ok()?;
@@ -106,7 +107,7 @@
     /// The stream of the next call whose request is complete.
     async fn next_call(&mut self) -> u32 {
         loop {
-            let (_, flags, stream, _) = self.next_stream_frame().await.expect("a call");
+            let (_, flags, stream, _) = self.next_stream_frame().await.expect("call received");
             if flags & END_STREAM > 0 {
                 return stream;
             }
@@ -118,8 +119,8 @@
         self.send(HEADERS, END_HEADERS, stream, &head).await;
     }
 
-    async fn send_trailers(&mut self, stream: u32, list: &[(&str, &str)]) {
-        self.send(HEADERS, END_HEADERS | END_STREAM, stream, &headers(list))
+    async fn send_trailers(&mut self, stream: u32, fields: &[(&str, &str)]) {
+        self.send(HEADERS, END_HEADERS | END_STREAM, stream, &headers(fields))
             .await;
     }
 
@@ -150,18 +151,18 @@
 
 /// A session with an engine that sends these HTTP/2 settings, as pairs of identifier and value.
 async fn engine(settings: &[(u16, u32)]) -> (Session, RawConnection) {
-    let (near, far) = tokio::io::duplex(1 << 16);
+    let (client_end, engine_end) = tokio::io::duplex(1 << 16);
     let connecting = spawn_local(connect(
-        near,
+        client_end,
         v1::Party::Engine,
         setup(v1::Party::Dispatcher),
     ));
-    let mut raw = RawConnection { io: far };
+    let mut raw = RawConnection { io: engine_end };
     let mut preface = [0; 24];
     raw.io
         .read_exact(&mut preface)
         .await
-        .expect("HTTP/2 preface");
+        .expect("HTTP/2 preface received");
     let payload: Vec<u8> = settings
         .iter()
         .flat_map(|(id, value)| [&id.to_be_bytes()[..], &value.to_be_bytes()].concat())
@@ -182,7 +183,7 @@
     raw.send_head(greeting).await;
     raw.send(DATA, 0, greeting, &encode_message(&hello)).await;
     raw.send_trailers(greeting, &[("grpc-status", "0")]).await;
-    let session = connecting.await.expect("connecting task");
+    let session = connecting.await.expect("connecting task completed");
     (session.expect("session started"), raw)
 }
 
@@ -269,18 +270,24 @@
         raw.send_token(calls[0], 0).await;
         raw.send(GOAWAY, 0, 0, &[calls[1].to_be_bytes(), [0; 4]].concat())
             .await;
-        let (stream, body) = next_result(&mut session).await.expect("the end of a call");
-        assert_eq!(stream, 3, "only the stream after the last id ends");
+        let (stream, body) = next_result(&mut session)
+            .await
+            .expect("end of the call received");
+        assert_eq!(stream, 3, "only the stream after the last id must end");
         assert_eq!(attempt_status(Some((3, body))), v1::Status::Overloaded);
-        // A new call is not sent; the two calls that the engine processes continue.
+        // A new call is not sent any more; the two calls up to the last id continue.
         session.out.send(frame(4, decode()));
-        let (stream, body) = next_result(&mut session).await.expect("the end of a call");
+        let (stream, body) = next_result(&mut session)
+            .await
+            .expect("end of the call received");
         assert_eq!(
             (stream, attempt_status(Some((4, body)))),
             (4, v1::Status::Overloaded)
         );
         raw.send_end(calls[0]).await;
-        let (stream, body) = next_result(&mut session).await.expect("the end of a call");
+        let (stream, body) = next_result(&mut session)
+            .await
+            .expect("end of the call received");
         assert_eq!(
             (stream, attempt_status(Some((1, body)))),
             (1, v1::Status::Succeeded)
@@ -291,7 +298,9 @@
             match next_result(&mut session).await {
                 None => {}
                 Some((2, body)) => assert_eq!(attempt_status(Some((2, body))), v1::Status::Failed),
-                other => panic!("{other:?}"),
+                other => {
+                    panic!("expected the end of the second call or of the session, got {other:?}")
+                }
             }
         } else {
             raw.send_head(calls[1]).await;
@@ -364,12 +373,12 @@
         raw.send_end(call).await;
         assert!(
             matches!(session.events.recv().await, Some(Event::Frame(_))),
-            "the end of the attempt"
+            "expected the end of the attempt"
         );
         assert_eq!(
             session.events.recv().await,
             None,
-            "the connection ends after its last call"
+            "the connection must end after its last call"
         );
     });
 }
@@ -425,7 +434,7 @@
                 // The call is reset at an unusable message, without waiting for its end.
                 loop {
                     if let (RST_STREAM, _, stream, _) =
-                        raw.next_stream_frame().await.expect("a reset")
+                        raw.next_stream_frame().await.expect("reset received")
                     {
                         assert_eq!(stream, call);
                         break;
@@ -449,7 +458,9 @@
             yield_now().await;
         }
         session.out.send(frame(2, Body::Cancel(v1::Cancel {})));
-        let (stream, _) = next_result(&mut session).await.expect("the end of a call");
+        let (stream, _) = next_result(&mut session)
+            .await
+            .expect("end of the call received");
         assert_eq!(stream, 2);
         raw.send_head(first).await;
         raw.send_end(first).await;
@@ -462,7 +473,9 @@
         let third = raw.next_call().await;
         raw.send_head(third).await;
         raw.send_end(third).await;
-        let (stream, body) = next_result(&mut session).await.expect("the end of a call");
+        let (stream, body) = next_result(&mut session)
+            .await
+            .expect("end of the call received");
         assert_eq!(
             (stream, attempt_status(Some((3, body)))),
             (3, v1::Status::Succeeded)
@@ -475,10 +488,13 @@
     run(async {
         let (mut session, mut raw) = engine(&[(INITIAL_WINDOW_SIZE, 0)]).await;
         session.out.send(frame(1, decode()));
-        let (kind, _, call, _) = raw.next_stream_frame().await.expect("headers of the call");
+        let (kind, _, call, _) = raw
+            .next_stream_frame()
+            .await
+            .expect("headers of the call received");
         assert_eq!(kind, HEADERS);
         session.out.send(frame(1, Body::Cancel(v1::Cancel {})));
-        let (kind, _, stream, code) = raw.next_stream_frame().await.expect("a reset");
+        let (kind, _, stream, code) = raw.next_stream_frame().await.expect("reset received");
         assert_eq!(
             (kind, stream, &code[..]),
             (RST_STREAM, call, &[0, 0, 0, 8][..])
@@ -491,10 +507,10 @@
 }
 
 /// A serving session, and the raw connection of its client.
-async fn client() -> (Serving, RawConnection) {
-    let (near, far) = tokio::io::duplex(1 << 20);
-    let serving = spawn_local(serve(far, setup(v1::Party::Dispatcher)));
-    let mut raw = RawConnection { io: near };
+async fn client() -> (ServingTask, RawConnection) {
+    let (client_end, server_end) = tokio::io::duplex(1 << 20);
+    let serving = spawn_local(serve(server_end, setup(v1::Party::Dispatcher)));
+    let mut raw = RawConnection { io: client_end };
     raw.io
         .write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
         .await
@@ -503,7 +519,7 @@
     (serving, raw)
 }
 
-type Serving = tokio::task::JoinHandle<Result<Session, String>>;
+type ServingTask = tokio::task::JoinHandle<Result<Session, String>>;
 
 /// The headers of a call to this path.
 fn call_headers(path: &str) -> Vec<u8> {
@@ -537,11 +553,13 @@
         }
         let mut session = serving
             .await
-            .expect("serving task")
+            .expect("serving task completed")
             .expect("session started");
         let mut refused = 0;
         while refused < 5 {
-            if let (RST_STREAM, _, stream, code) = raw.next_stream_frame().await.expect("a reset") {
+            if let (RST_STREAM, _, stream, code) =
+                raw.next_stream_frame().await.expect("reset received")
+            {
                 assert_eq!(code, REFUSED_STREAM.to_be_bytes(), "stream {stream}");
                 refused += 1;
             }
@@ -578,7 +596,7 @@
             raw
         };
         let reading = async {
-            let mut session = match serving.await.expect("serving task") {
+            let mut session = match serving.await.expect("serving task completed") {
                 Ok(session) => session,
                 Err(_) => return (0, 0),
             };
@@ -592,12 +610,15 @@
             (started, max_queued)
         };
         let (mut raw, (started, max_queued)) = tokio::join!(flood, reading);
-        let mut goaway = false;
+        let mut goaway_received = false;
         while let Some((kind, ..)) = raw.next_stream_frame().await {
-            goaway |= kind == GOAWAY;
+            goaway_received |= kind == GOAWAY;
         }
-        assert!(goaway, "the server sends a GOAWAY");
-        assert!(started < 20_000, "{started} calls were reported");
+        assert!(goaway_received, "the server must send a GOAWAY");
+        assert!(
+            started < 20_000,
+            "{started} of 20,000 calls were reported; the server must stop before the last"
+        );
         assert!(max_queued < 5_000, "{max_queued} events queued at once");
     });
 }
@@ -606,13 +627,14 @@
 fn a_call_that_is_not_grpc_is_refused_without_affecting_other_calls() {
     run(async {
         let (_serving, mut raw) = client().await;
-        let plain = headers(&[
+        let plain_get = headers(&[
             (":method", "GET"),
             (":scheme", "http"),
             (":path", "/"),
             (":authority", "d"),
         ]);
-        raw.send(HEADERS, END_HEADERS | END_STREAM, 1, &plain).await;
+        raw.send(HEADERS, END_HEADERS | END_STREAM, 1, &plain_get)
+            .await;
         raw.send(
             HEADERS,
             END_HEADERS,
@@ -636,7 +658,8 @@
         raw.send(DATA, END_STREAM, 5, &encode_message(&hello)).await;
         let mut ends = Vec::new();
         while ends.len() < 3 {
-            let (kind, flags, stream, _) = raw.next_stream_frame().await.expect("a response");
+            let (kind, flags, stream, _) =
+                raw.next_stream_frame().await.expect("response received");
             if kind == HEADERS && flags & END_STREAM > 0 {
                 ends.push(stream);
             }
--- a/crates/grpc/tests/session.rs
+++ b/crates/grpc/tests/session.rs
@@ -1,4 +1,4 @@
-//! Sessions over byte streams in memory: calls, cancellation, credit, and peers that speak another protocol.
+//! Sessions over in-memory byte streams: calls, cancellation, credit, and peers with another protocol or version.
 
 use cindercleat_grpc::{connect, serve, Event, Session, Setup};
 use cindercleat_protocol::{frame, v1, Body, Frame};
@@ -28,20 +28,20 @@
 
 /// The sessions of a client and a dispatcher that are connected to each other.
 async fn connected_sessions() -> (Session, Session) {
-    let (near, far) = tokio::io::duplex(1 << 16);
-    let serving = spawn_local(serve(far, setup(v1::Party::Dispatcher, "d", "")));
+    let (client_end, server_end) = tokio::io::duplex(1 << 16);
+    let serving = spawn_local(serve(server_end, setup(v1::Party::Dispatcher, "d", "")));
     let client = connect(
-        near,
+        client_end,
         v1::Party::Dispatcher,
         setup(v1::Party::Client, "c", "d"),
     )
     .await;
     (
-        client.expect("client session"),
+        client.expect("client session started"),
         serving
             .await
-            .expect("serving task")
-            .expect("server session"),
+            .expect("serving task completed")
+            .expect("server session started"),
     )
 }
 
@@ -87,7 +87,9 @@
     run(async {
         let (mut client, mut server) = connected_sessions().await;
         client.out.send(frame(9, submit()));
-        let request = next_frame(&mut server).await.expect("a submit");
+        let request = next_frame(&mut server)
+            .await
+            .expect("submit frame received");
         assert!(matches!(request.body, Some(Body::Submit(_))));
         server.out.send(frame(
             request.stream,
@@ -96,16 +98,19 @@
         for position in 0..300 {
             server.out.send(frame(request.stream, tokens(position)));
         }
-        let last = v1::Final {
+        let final_answer = v1::Final {
             answer: v1::Answer::Succeeded.into(),
             ..v1::Final::default()
         };
         server
             .out
-            .send(frame(request.stream, Body::Final(last.clone())));
+            .send(frame(request.stream, Body::Final(final_answer.clone())));
         server.out.send(frame(request.stream, tokens(300)));
         assert!(matches!(
-            next_frame(&mut client).await.expect("an accepted").body,
+            next_frame(&mut client)
+                .await
+                .expect("accepted frame received")
+                .body,
             Some(Body::Accepted(_))
         ));
         for position in 0..300 {
@@ -116,13 +121,13 @@
         }
         assert_eq!(
             next_frame(&mut client).await,
-            Some(frame(9, Body::Final(last)))
+            Some(frame(9, Body::Final(final_answer)))
         );
         client.out.close();
         assert_eq!(
             next_frame(&mut client).await,
             None,
-            "nothing follows the final answer"
+            "nothing must follow the final answer"
         );
     });
 }
@@ -138,7 +143,9 @@
                 ..v1::Decode::default()
             }),
         ));
-        let request = next_frame(&mut server).await.expect("a decode");
+        let request = next_frame(&mut server)
+            .await
+            .expect("decode frame received");
         server.out.send(frame(request.stream, tokens(0)));
         assert_eq!(next_frame(&mut client).await, Some(frame(3, tokens(0))));
         client.out.send(frame(3, Body::Cancel(v1::Cancel {})));
@@ -162,7 +169,10 @@
                 ..v1::Decode::default()
             }),
         ));
-        let slow = next_frame(&mut server).await.expect("a decode").stream;
+        let slow_stream = next_frame(&mut server)
+            .await
+            .expect("decode frame received")
+            .stream;
         client.out.send(frame(
             2,
             Body::Decode(v1::Decode {
@@ -170,36 +180,43 @@
                 ..v1::Decode::default()
             }),
         ));
-        let quick = next_frame(&mut server).await.expect("a decode").stream;
+        let quick_stream = next_frame(&mut server)
+            .await
+            .expect("decode frame received")
+            .stream;
         for position in 0..2000 {
-            server.out.send(frame(slow, tokens(position)));
-            server.out.send(frame(quick, tokens(position)));
+            server.out.send(frame(slow_stream, tokens(position)));
+            server.out.send(frame(quick_stream, tokens(position)));
         }
         let (mut slow_received, mut quick_received) = (0, 0);
         while quick_received < 2000 {
-            let received = next_frame(&mut client).await.expect("another frame");
+            let received = next_frame(&mut client).await.expect("frame received");
             *(if received.stream == 1 {
                 &mut slow_received
             } else {
                 &mut quick_received
             }) += 1;
         }
-        assert_eq!(slow_received, 2, "the stream's credit");
-        // The stream's flow-control window bounds what the server can send.
+        assert_eq!(
+            slow_received, 2,
+            "as many messages as the stream has credit"
+        );
+        // The flow-control window of the unread stream limits how much the server can send on it.
         let mut flushed = 0;
         while let Ok(event) = server.events.try_recv() {
-            flushed +=
-                usize::from(matches!(event, Event::Flushed { stream, .. } if stream == slow));
+            flushed += usize::from(
+                matches!(event, Event::Flushed { stream, .. } if stream == slow_stream),
+            );
         }
         assert!(
             flushed < 1000,
-            "{flushed} messages sent on a stream that is not read"
+            "{flushed} messages were sent on a stream that is not read"
         );
         client
             .out
             .send(frame(1, Body::Credit(v1::Credit { messages: 1998 })));
         while slow_received < 2000 {
-            let received = next_frame(&mut client).await.expect("another frame");
+            let received = next_frame(&mut client).await.expect("frame received");
             slow_received += u32::from(received.stream == 1);
         }
     });
@@ -220,10 +237,10 @@
 #[test]
 fn a_greeting_for_another_name_is_refused() {
     run(async {
-        let (near, far) = tokio::io::duplex(1 << 16);
-        spawn_local(serve(far, setup(v1::Party::Engine, "w1", "")));
+        let (client_end, server_end) = tokio::io::duplex(1 << 16);
+        spawn_local(serve(server_end, setup(v1::Party::Engine, "w1", "")));
         let refused = connect(
-            near,
+            client_end,
             v1::Party::Engine,
             setup(v1::Party::Dispatcher, "d", "w2"),
         )
@@ -251,15 +268,20 @@
         run(async {
             let (mut client, mut server) = connected_sessions().await;
             client.out.send(frame(1, submit()));
-            let stream = next_frame(&mut server).await.expect("a submit").stream;
+            let stream = next_frame(&mut server)
+                .await
+                .expect("submit frame received")
+                .stream;
             for position in 0..token_messages {
                 server.out.send(frame(stream, tokens(position)));
             }
-            let last = v1::Final {
+            let final_answer = v1::Final {
                 answer: v1::Answer::Failed.into(),
                 ..v1::Final::default()
             };
-            server.out.send(frame(stream, Body::Final(last.clone())));
+            server
+                .out
+                .send(frame(stream, Body::Final(final_answer.clone())));
             server.out.close();
             for position in 0..token_messages {
                 assert_eq!(
@@ -269,7 +291,7 @@
             }
             assert_eq!(
                 next_frame(&mut client).await,
-                Some(frame(1, Body::Final(last)))
+                Some(frame(1, Body::Final(final_answer)))
             );
             assert_eq!(next_frame(&mut client).await, None);
         });
@@ -280,13 +302,13 @@
 fn connections_that_are_not_http_2_are_refused() {
     run(async {
         for bytes in [&b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"[..], &[0xff; 200], &[]] {
-            let (mut near, far) = tokio::io::duplex(1 << 16);
-            let serving = spawn_local(serve(far, setup(v1::Party::Dispatcher, "d", "")));
-            near.write_all(bytes).await.expect("bytes written");
-            near.shutdown().await.expect("stream closed");
+            let (mut client_end, server_end) = tokio::io::duplex(1 << 16);
+            let serving = spawn_local(serve(server_end, setup(v1::Party::Dispatcher, "d", "")));
+            client_end.write_all(bytes).await.expect("bytes written");
+            client_end.shutdown().await.expect("stream closed");
             let mut rest = Vec::new();
-            let _ = near.read_to_end(&mut rest).await;
-            assert!(serving.await.expect("serving task").is_err());
+            let _ = client_end.read_to_end(&mut rest).await;
+            assert!(serving.await.expect("serving task completed").is_err());
         }
     });
 }
@@ -294,19 +316,19 @@
 #[test]
 fn a_flood_of_opened_and_cancelled_calls_does_not_hang_the_session() {
     run(async {
-        let (near, far) = tokio::io::duplex(1 << 16);
-        let serving = spawn_local(serve(far, setup(v1::Party::Dispatcher, "d", "")));
+        let (client_end, server_end) = tokio::io::duplex(1 << 16);
+        let serving = spawn_local(serve(server_end, setup(v1::Party::Dispatcher, "d", "")));
         let client = connect(
-            near,
+            client_end,
             v1::Party::Dispatcher,
             setup(v1::Party::Client, "c", ""),
         )
         .await
-        .expect("client session");
+        .expect("client session started");
         let mut server = serving
             .await
-            .expect("serving task")
-            .expect("server session");
+            .expect("serving task completed")
+            .expect("server session started");
         for n in 1..=5000 {
             client.out.send(frame(n, submit()));
             yield_now().await;
@@ -336,16 +358,18 @@
 #[test]
 fn another_protocol_version_is_refused_with_both_versions_named() {
     run(async {
-        let (near, far) = tokio::io::duplex(1 << 16);
-        let serving = spawn_local(serve(far, setup(v1::Party::Dispatcher, "d", "")));
-        let (send, connection) = h2::client::handshake(near).await.expect("HTTP/2");
+        let (client_end, server_end) = tokio::io::duplex(1 << 16);
+        let serving = spawn_local(serve(server_end, setup(v1::Party::Dispatcher, "d", "")));
+        let (send, connection) = h2::client::handshake(client_end)
+            .await
+            .expect("HTTP/2 handshake completed");
         let driving = spawn_local(async move {
             let _ = connection.await;
         });
         let request = http::Request::post("http://d/cindercleat.v1.Router/Greet")
             .header("content-type", "application/grpc");
-        let request = request.body(()).expect("a request");
-        let mut send = send.ready().await.expect("a free stream");
+        let request = request.body(()).expect("request built");
+        let mut send = send.ready().await.expect("stream available");
         let (response, mut stream) = send.send_request(request, false).expect("call started");
         let hello = v1::Hello {
             version: 99,
@@ -356,14 +380,14 @@
         stream
             .send_data(message.into(), true)
             .expect("message sent");
-        let headers = response.await.expect("a response").headers().clone();
+        let headers = response.await.expect("response received").headers().clone();
         assert_eq!(headers["grpc-status"], "9");
         let message = headers["grpc-message"].to_str().expect("ASCII text");
         assert!(message.contains("99") && message.contains('1'), "{message}");
         driving.abort();
         assert!(
-            serving.await.expect("serving task").is_err(),
-            "no session starts"
+            serving.await.expect("serving task completed").is_err(),
+            "no session must start"
         );
     });
 }
