--- a/crates/grpc/src/details_tests.rs
+++ b/crates/grpc/src/details_tests.rs
@@ -35,19 +35,19 @@
 
 #[test]
 fn an_invalid_field_is_encoded_and_decoded() {
-    let headers = CallEnding::invalid_field("patience_ms", "\u{2212}1 is not a time").headers();
+    let headers = CallEnding::invalid_field("patience_ms", "\u{2212}1 is no time").headers();
     assert_eq!(headers["grpc-status"], "3");
     let read = invalid_field(&headers).expect("invalid field found");
     assert_eq!(
         read,
         (
             "patience_ms".to_owned(),
-            "\u{2212}1 is not a time".to_owned()
+            "\u{2212}1 is no time".to_owned()
         )
     );
     assert_eq!(
         status_message(&headers),
-        "patience_ms: \u{2212}1 is not a time"
+        "patience_ms: \u{2212}1 is no time"
     );
     assert!(headers["grpc-message"]
         .to_str()
--- a/crates/grpc/src/lib.rs
+++ b/crates/grpc/src/lib.rs
@@ -220,7 +220,7 @@
         true
     }
 
-    /// Whether both send on the same connection.
+    /// Whether this handle and `other` send on the same connection.
     pub fn same(&self, other: &Out) -> bool {
         Rc::ptr_eq(&self.shared, &other.shared)
     }
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -59,7 +59,7 @@
 enum Call {
     Prefill(Option<v1::KvStateId>),
     Decode {
-        /// The number of token messages that the dispatcher still accepts.
+        /// The number of token messages that may still be sent before the dispatcher grants more credit.
         credit: u32,
         /// The number of bytes of the stream forwarded so far.
         position: u32,
@@ -453,7 +453,7 @@
     head.get(wire_names::REJECTION_HEADER) == Some(b"1") && matches!(head.first, 503 | 504 | 410)
 }
 
-/// The frame that ends a call with an unusable response.
+/// The frame that reports a call as failed because its response is unusable, for this reason.
 fn failure(call: &Call, reason: String) -> Body {
     match call {
         Call::Prefill(_) | Call::Decode { .. } => {
--- a/crates/http1/src/event_stream.rs
+++ b/crates/http1/src/event_stream.rs
@@ -3,7 +3,7 @@
 /// Finds the end of the first event in a stream that grows between calls. Scans each complete line once.
 #[derive(Clone, Debug, Default)]
 pub struct FirstEventScanner {
-    /// The offset of the first line that is not complete yet.
+    /// The offset at which the first line that is not complete yet starts.
     line_start: usize,
     /// Whether a line of the current block holds data. A block without data, such as a comment, is not an event.
     has_data: bool,
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -24,7 +24,7 @@
     TooLong(&'static str),
 }
 
-/// How the end of a body is determined.
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Length {
     /// A `Content-Length` in bytes, or 0 for a message without a body.
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -49,8 +49,8 @@
 pub struct Session<O> {
     /// The peer's `Hello`. If the wire protocol has no greeting, this side fills in what it knows of the peer.
     pub them: v1::Hello,
-    /// The maximum number of calls that the peer accepts at once; `None` on the serving side, or if the
-    /// peer sets no limit.
+    /// The maximum number of calls that the peer accepts at once; `None` on the serving side, or if the peer sets no
+    /// limit.
     pub limit: Option<usize>,
     /// The received frames and other events; the channel closes when the connection ends.
     pub events: mpsc::UnboundedReceiver<Event>,
