--- a/crates/grpc/src/details_tests.rs
+++ b/crates/grpc/src/details_tests.rs
@@ -40,10 +40,7 @@
     let read = invalid_field(&headers).expect("invalid field found");
     assert_eq!(
         read,
-        (
-            "patience_ms".to_owned(),
-            "\u{2212}1 is no time".to_owned()
-        )
+        ("patience_ms".to_owned(), "\u{2212}1 is no time".to_owned())
     );
     assert_eq!(
         status_message(&headers),
