--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -2,29 +2,29 @@
 
 use super::{AttemptId, DispatcherId, EngineId, Ms, RequestId, TimerId};
 
-/// An instruction to the driver. Actions are carried out in the order in which they are returned.
+/// An instruction to the driver, which carries out actions in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sends a request to an engine: for a prefill if the request holds no KV state, else for a
-    /// decode.
+    /// Sends a request to an engine. The attempt is a decode if an engine holds the KV state of the
+    /// request, otherwise a prefill.
     StartAttempt {
-        /// The request to send.
+        /// The request to send. The driver holds its content; the decision logic only knows its id.
         request: RequestId,
-        /// The engine that gets the attempt.
+        /// The engine to send it to, by its name in the list of endpoints.
         engine: EngineId,
-        /// The instant at which the attempt times out; `None` leaves it to the client's deadline.
+        /// The instant at which the attempt times out; `None` means at the client's deadline.
         until: Option<Ms>,
     },
-    /// Cancels an attempt; its end is reported as [`Event::Ended`](super::Event::Ended).
+    /// Cancels an attempt. The driver reports its end as [`Event::Ended`](super::Event::Ended).
     Cancel {
-        /// The request of the attempt.
+        /// The request that the attempt belongs to; it may already be finished.
         request: RequestId,
-        /// The attempt to cancel, which is in flight.
+        /// The attempt to cancel, which is still in flight.
         attempt: AttemptId,
     },
     /// Answers the client that the request will not be served and that a retry is safe.
     Reject {
-        /// The request to reject.
+        /// The request to reject. Either it has not run, or running it again does no harm.
         request: RequestId,
         /// Milliseconds after which the client may send the request again; `None` if it is not
         /// asked to wait.
@@ -32,77 +32,83 @@
     },
     /// Answers the client that the request failed: it may have run, and a retry may do harm.
     Fail {
-        /// The request to fail.
+        /// The request to fail. No further attempt of it is started.
         request: RequestId,
     },
-    /// Releases the KV state of a request, even while an undelivered attempt is in flight.
+    /// Releases the KV state of a request, even if an attempt that may not have reached its engine
+    /// is still in flight.
     Release {
-        /// The request that holds the KV state.
+        /// The request whose prefill produced the KV state.
         request: RequestId,
     },
-    /// Asks the attempt's engine to confirm that it runs;
-    /// [`Event::Delivered`](super::Event::Delivered) reports that it does.
+    /// Asks the attempt's engine to confirm that the engine is running. The driver reports the
+    /// confirmation as [`Event::Delivered`](super::Event::Delivered).
     Confirm {
-        /// The request of the attempt.
+        /// The request whose decode may not have reached its engine.
         request: RequestId,
-        /// The attempt in flight whose engine is asked.
+        /// The decode attempt in flight whose engine is asked.
         attempt: AttemptId,
     },
-    /// Releases the KV state of a request, unless its attempt in flight waits for it.
+    /// Releases the KV state of a request, unless an attempt of that request is still waiting for
+    /// the KV state.
     ReleaseInDoubt {
-        /// The request that holds the KV state.
+        /// The request whose prefill produced the KV state.
         request: RequestId,
     },
-    /// Reserves a slot at a decode engine while the prefill runs. The decision logic never returns
-    /// it.
+    /// Reserves a slot at a decode engine while the prefill of the request runs. Drivers support
+    /// this action; the current decision logic does not use it.
     Reserve {
         /// The request whose prefill runs.
         request: RequestId,
         /// The decode engine where the slot is reserved.
         engine: EngineId,
     },
-    /// Ends an answer in good order before it is complete, so that the client requests the rest
-    /// from another dispatcher. The decision logic never returns it.
+    /// Ends a streamed answer early and without an error, so that the client requests the rest from
+    /// another dispatcher. Drivers support this action; the current decision logic does not use it.
     Migrate {
-        /// The request whose answer is ended.
+        /// The request whose answer is ended early.
         request: RequestId,
     },
-    /// Sets a timer, which comes back as [`Event::Timer`](super::Event::Timer).
+    /// Sets a timer. The driver reports its expiry as [`Event::Timer`](super::Event::Timer).
     SetTimer {
         /// Milliseconds from now, 0 or more.
         delay: Ms,
         /// The id that the timer's event carries.
         timer: TimerId,
     },
-    /// Asks an engine for its load; [`Event::HealthChecked`](super::Event::HealthChecked) reports
-    /// the answer.
+    /// Sends a health check, which asks an engine for its load. The driver reports the result as
+    /// [`Event::HealthChecked`](super::Event::HealthChecked).
     HealthCheck {
-        /// The engine to ask.
+        /// The engine that the health check is sent to.
         engine: EngineId,
     },
-    /// Closes the idle connections to an engine. The decision logic never returns it.
+    /// Closes the idle connections to an engine. Drivers support this action; the current decision
+    /// logic does not use it.
     CloseIdle {
-        /// The engine whose connections are closed.
+        /// The engine whose connections without open streams are closed.
         engine: EngineId,
     },
-    /// Sends a message to other dispatchers. The decision logic never returns it.
+    /// Sends a message to other dispatchers. Drivers support this action; the current decision
+    /// logic does not use it.
     SendGossip {
         /// The receiver; `None` sends the message to all other dispatchers.
         to: Option<DispatcherId>,
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// Requests the full list of endpoints. The decision logic never returns it.
+    /// Requests the full list of endpoints from discovery. Drivers support this action; the current
+    /// decision logic does not use it.
     FetchEndpoints,
-    /// Starts or stops watching changes of the list of endpoints. The decision logic never returns
-    /// it.
+    /// Starts or stops watching discovery for changes to the list of endpoints. Drivers support
+    /// this action; the current decision logic does not use it.
     WatchEndpoints {
-        /// Whether to watch from now on.
+        /// `true` starts the watch, `false` stops it.
         on: bool,
     },
-    /// Writes a line to the log. The decision logic never returns it.
+    /// Writes a line to the dispatcher's log. Drivers support this action; the current decision
+    /// logic does not use it.
     Log {
-        /// The text of the line.
+        /// The text of the line, without a line break.
         text: String,
     },
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -5,7 +5,7 @@
     SharedTextId, TenantId, TimerId, ZoneId,
 };
 
-/// The last load report of an engine; a field is `None` if the engine does not report it.
+/// A load report of an engine. A field is `None` if the engine does not report that value.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// Requests that the engine is working on.
@@ -34,11 +34,11 @@
 /// One entry of the list of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The engine's name, which survives restarts.
+    /// The engine's name, which stays the same when the engine restarts.
     pub engine: EngineId,
     /// The zone in which the engine runs.
     pub zone: ZoneId,
-    /// The kind of engine, which determines its role.
+    /// The kind of the engine, which determines whether it serves prefills, decodes or both.
     pub kind: KindId,
     /// The cell in which the engine runs.
     pub cell: CellId,
@@ -47,20 +47,21 @@
     /// The engine's size relative to other engines of its kind; 1 is the usual size. The decision
     /// logic does not read it.
     pub weight: f64,
-    /// When the engine's process last started; `None` means long ago.
+    /// When the engine's process last started, on the driver's clock; `None` if it started so long
+    /// ago that it is warm.
     pub started: Option<Ms>,
 }
 
 /// The content of an update of the list of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// The entries that have changed; the others stay as they are.
+    /// Only the entries that have changed. All other known entries stay as they are.
     Delta,
-    /// Every entry; engines that are missing are gone.
+    /// The full list: an engine that is not in it is gone.
     Snapshot,
-    /// Every entry, as stored by an earlier process of this dispatcher.
+    /// The full list as an earlier process of this dispatcher stored it; it may be outdated.
     Cached,
-    /// No entry: discovery rejected the call for the list.
+    /// No entries: discovery rejected the call for the list.
     Rejected,
 }
 
@@ -90,9 +91,9 @@
 /// A request on its arrival from a client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arrival {
-    /// The id that this dispatcher gave the request.
+    /// The id that the driver has given the request.
     pub request: RequestId,
-    /// The request class, which sets retry safety and latency objective.
+    /// The request class, which determines retry safety and the latency objective.
     pub request_class: RequestClassId,
     /// The tenant that sent the request, if the settings name tenants.
     pub tenant: Option<TenantId>,
@@ -103,28 +104,28 @@
     /// Expected duration of the answer in milliseconds, if the client states it. The decision logic
     /// does not read it.
     pub answer_hint: Option<Ms>,
-    /// The prefix that the prompt shares with prompts of other sessions.
+    /// The prefix that the prompt shares with prompts of other sessions; `None` if it shares none.
     pub shared: Option<SharedTextId>,
     /// Length of the whole prompt in tokens.
     pub prompt_tokens: f64,
-    /// Length of the shared prefix in tokens.
+    /// Length of the shared prefix in tokens; 0 without a shared prefix.
     pub shared_tokens: f64,
     /// Upper limit of the answer's length in tokens.
     pub max_tokens: f64,
-    /// Whether the client sends the request again after a rejection or failure.
+    /// Whether the client sends this request again because an earlier one was rejected or failed.
     pub retried: bool,
-    /// Whether the client requests the rest of an answer that broke off.
+    /// Whether the client requests the rest of an answer whose stream ended early.
     pub resumed: bool,
 }
 
-/// An event; events are reported in the order in which they happen.
+/// Something that the driver has observed. Events are reported in the order in which they happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The list of endpoints, or changes to it, were received.
     EndpointsUpdated {
-        /// Whether `endpoints` is the full list or only changes.
+        /// How `endpoints` relates to the full list of endpoints.
         kind: EndpointUpdateKind,
-        /// The entries, one per engine.
+        /// The received entries, at most one per engine.
         endpoints: Vec<Endpoint>,
     },
     /// A client has sent a request.
@@ -141,41 +142,41 @@
         request: RequestId,
         /// The decode attempt that generates the answer.
         attempt: AttemptId,
-        /// The engine that runs the attempt.
+        /// The decode engine that runs the attempt.
         engine: EngineId,
         /// Milliseconds since the attempt was sent.
         latency: Ms,
     },
     /// An attempt has ended.
     Ended(Ended),
-    /// Reported only if deliveries are tracked: the attempt's engine has shown, after the send,
-    /// that it runs.
+    /// The attempt's engine has shown, after the attempt was sent, that it is running. Reported
+    /// only if deliveries are tracked.
     Delivered {
-        /// The request of the attempt.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt whose engine runs.
+        /// The attempt in flight at that engine.
         attempt: AttemptId,
     },
-    /// A decode engine holds, or no longer holds, a reserved slot for a request; answers
+    /// A decode engine has reserved a slot for a request, or has ended the reservation. Follows
     /// [`Action::Reserve`](super::Action::Reserve).
     ReservationChanged {
         /// The request that the slot is reserved for.
         request: RequestId,
-        /// The attempt that is in flight during the reservation.
+        /// The attempt that was in flight when the slot was requested.
         attempt: AttemptId,
         /// The decode engine with the reserved slot.
         engine: EngineId,
-        /// Whether the slot is reserved now.
+        /// Whether the slot is reserved from now on.
         held: bool,
     },
-    /// A timer has fired.
+    /// A timer has expired.
     Timer {
         /// The id from [`Action::SetTimer`](super::Action::SetTimer).
         timer: TimerId,
     },
     /// A health check has ended.
     HealthChecked {
-        /// The engine that was asked.
+        /// The engine that the health check was sent to.
         engine: EngineId,
         /// [`Outcome::Succeeded`] if the engine answered; any other outcome means that it did not.
         outcome: Outcome,
@@ -196,21 +197,23 @@
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
-    /// The request of the attempt.
+    /// The request that the attempt belongs to; its client may already be gone.
     pub request: RequestId,
-    /// The attempt that ended.
+    /// The number of the attempt among those of the request.
     pub attempt: AttemptId,
-    /// The engine that the attempt was sent to.
+    /// The engine that the attempt was sent to; known even if nothing was delivered.
     pub engine: EngineId,
-    /// The result of the attempt.
+    /// How the attempt ended, which determines whether the request may run again.
     pub outcome: Outcome,
     /// Milliseconds since the attempt was sent.
     pub latency: Ms,
-    /// Whether the request is finished, by this outcome or before it.
+    /// Whether the request needs no further attempt: this outcome finishes it, or it was finished
+    /// earlier.
     pub last: bool,
-    /// After [`Outcome::PrefillDone`]: the number of prompt tokens that were cached. After
-    /// [`Outcome::Overloaded`]: 1 if there was no KV state to fetch.
+    /// A value whose meaning depends on the outcome. After [`Outcome::PrefillDone`]: the number of
+    /// prompt tokens that the engine had cached. After [`Outcome::Overloaded`]: 1 if there was no
+    /// KV state to fetch from the prefill engine. Not used with other outcomes.
     pub detail: f64,
-    /// The engine's load; all fields are `None` if it was not reported.
+    /// The engine's load at the end of the attempt; all fields are `None` if it was not reported.
     pub load: Load,
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-/// A request, numbered by its dispatcher; a number is never used twice.
+/// A request. Each dispatcher numbers its own requests and never uses a number twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// The name of an engine, which survives restarts.
+/// The name of an engine, which stays the same when the engine restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub Arc<str>);
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SharedTextId(pub u64);
 
-/// An attempt of a request; the attempts of a request are numbered from 0.
+/// An attempt of a request: its number among the attempts of that request, from 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u32);
 
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,8 +1,8 @@
 //! The types that a dispatcher's driver and its [`Control`](crate::control::Control) exchange: ids,
 //! settings, events (input) and actions (output). They contain no decision logic.
 //!
-//! Units: times are in milliseconds ([`Ms`]), lengths of texts in tokens, loads and shares in
-//! fractions of 1.
+//! Units: times are in milliseconds ([`Ms`]), lengths of prompts and answers in tokens, and shares
+//! in fractions of 1. Each field of [`Load`] states its own unit.
 
 mod actions;
 mod events;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -5,15 +5,15 @@
 /// The stages that a kind of engine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Computes KV states of prompts.
+    /// Prefill only: computes the KV states of prompts.
     Prefill,
-    /// Takes over KV states and generates answers.
+    /// Decode only: takes over KV states and generates answers.
     Decode,
     /// Serves both stages.
     Both,
 }
 
-/// The engines that recognise a repeated request by its idempotency key.
+/// The engines that recognise a repeated request by its idempotency key and do not run it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// Every engine.
@@ -29,12 +29,12 @@
 pub enum RetrySafety {
     /// The request may run any number of times.
     Idempotent,
-    /// Engines recognise a repeat by its key.
+    /// The request must not take effect twice, but engines recognise a repeat by its idempotency
+    /// key.
     IdempotencyKey {
-        /// The engines that recognise the repeated request.
+        /// The engines that recognise a repeat of the request.
         scope: IdempotencyScope,
-        /// Milliseconds from the first attempt during which the engines recognise the repeated
-        /// request.
+        /// Milliseconds from the first attempt during which those engines recognise a repeat.
         window: Ms,
     },
     /// The request must not run twice.
@@ -53,9 +53,11 @@
     /// Milliseconds from the arrival after which the client stops waiting; infinite if each request
     /// states its own deadline.
     pub time_to_deadline: Ms,
-    /// Value of an answer in time, relative to other classes. The decision logic does not read it.
+    /// Value of an answer that arrives in time, relative to other classes. Simulations score
+    /// results with it; the decision logic does not read it.
     pub priority_weight: f64,
-    /// Fraction of that value that a late answer has. The decision logic does not read it.
+    /// Value of a late answer, as a fraction of the value of an answer that arrives in time. The
+    /// decision logic does not read it.
     pub late_value_share: f64,
     /// Target interval between two tokens, in milliseconds. The decision logic does not read it.
     pub token_pace: Ms,
@@ -68,14 +70,15 @@
 pub struct TenantSettings {
     /// The quota in requests per second, summed over all dispatchers.
     pub quota_per_second: f64,
-    /// The tenant's share of the service, as a fraction. The decision logic does not read it.
+    /// The fraction of the total capacity that the tenant is entitled to. The decision logic does
+    /// not read it.
     pub share: f64,
 }
 
-/// Settings of a kind of engine.
+/// Settings of all engines of one kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindSettings {
-    /// The stages that engines of this kind serve.
+    /// Whether engines of this kind serve prefills, decodes or both.
     pub role: Role,
     /// The number of tokens whose KV state fits into an engine's memory.
     pub memory_tokens: f64,
@@ -94,7 +97,7 @@
     },
 }
 
-/// The settings of a dispatcher. They do not change while it runs.
+/// The settings of a dispatcher, which do not change while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This dispatcher's number among all dispatchers, from 0.
@@ -103,20 +106,24 @@
     pub dispatchers: u32,
     /// The zone in which this dispatcher runs.
     pub zone: ZoneId,
-    /// Milliseconds between two steps of the driver; a due step may be delayed by as much.
+    /// Milliseconds between two steps of the driver. A step that is due may be delayed by up to
+    /// this time.
     pub tick: Ms,
-    /// Request classes; a class's index is its id.
+    /// The request classes. The index of a class in this list is its
+    /// [`RequestClassId`](super::RequestClassId).
     pub request_classes: Vec<RequestClassSettings>,
-    /// Tenants; a tenant's index is its id.
+    /// The tenants; empty if there are no quotas. The index of a tenant in this list is its
+    /// [`TenantId`](super::TenantId).
     pub tenants: Vec<TenantSettings>,
-    /// Factor on the value of requests beyond their tenant's quota. The decision logic does not
-    /// read it.
+    /// Factor applied to the value of answers to requests beyond their tenant's quota. The decision
+    /// logic does not read it.
     pub over_quota_weight: f64,
-    /// Kinds of engines; a kind's index is its id.
+    /// The kinds of engines. The index of a kind in this list is its [`KindId`](super::KindId).
     pub kinds: Vec<KindSettings>,
     /// How this dispatcher receives the list of endpoints.
     pub discovery: Discovery,
-    /// Milliseconds within which a KV state has to be taken over or released.
+    /// Milliseconds for which a KV state may be held that no decode engine has taken over. By then
+    /// it has to be taken over or released.
     pub kv_state_timeout: Ms,
     /// Whether decode engines can also prefill. The decision logic does not read it.
     pub decode_engines_prefill: bool,
@@ -125,19 +132,20 @@
     pub may_reserve: bool,
     /// Whether [`Action::Cancel`](super::Action::Cancel) may be used.
     pub may_cancel: bool,
-    /// Whether a request may have two attempts at the same time (hedging). The decision logic does
-    /// not read it and never hedges.
+    /// Whether a request may have two attempts in flight at the same time (hedging). The decision
+    /// logic does not read it, because it never hedges.
     pub may_hedge: bool,
     /// Whether [`Action::HealthCheck`](super::Action::HealthCheck) may be used.
     pub may_health_check: bool,
     /// Whether [`Action::SendGossip`](super::Action::SendGossip) may be used. The decision logic
     /// does not read it.
     pub may_gossip: bool,
-    /// Whether clients wait for as long as a rejection asks them to.
+    /// Whether clients observe the retry delay that a rejection states. Only then do rejections
+    /// state one.
     pub clients_honor_retry_after: bool,
-    /// The longest wait in milliseconds that a rejection asks for.
+    /// The longest retry delay in milliseconds that a rejection may state.
     pub max_retry_after: Ms,
-    /// Maximum number of attempts per request, prefills and decodes counted together.
+    /// Maximum number of attempts per request; prefills and decodes both count.
     pub max_attempts: u32,
     /// Milliseconds within which a connection to an engine has to be established.
     pub connect_timeout: Ms,
@@ -146,13 +154,13 @@
     pub drain_grace: Ms,
     /// Milliseconds after the client's deadline during which a final answer still counts.
     pub answer_grace: Ms,
-    /// A cold engine collapses if it gets more than this many times its capacity within the
-    /// overload window.
+    /// A cold engine collapses if the attempts sent to it within the overload window exceed this
+    /// multiple of its capacity.
     pub overload_multiple: f64,
-    /// The length of the overload window in milliseconds.
+    /// The length in milliseconds of the window in which attempts at a cold engine are counted.
     pub overload_window: Ms,
-    /// The capacity of an engine at its start, as a fraction of a warm engine's.
+    /// The capacity of an engine when it starts, as a fraction of the capacity of a warm engine.
     pub cold_capacity: f64,
-    /// Milliseconds from an engine's start until it is warm; above 0.
+    /// Milliseconds from the start of an engine until it has its full capacity; above 0.
     pub slow_start_window: Ms,
 }
