--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -1,5 +1,5 @@
-//! Decides which requests are served: tenant quotas, load shedding, and the rejection or failure of
-//! requests that are not served.
+//! Decides which requests are served first and which are not served: tenant quotas, load shedding,
+//! rejection and failure.
 
 use super::engines::EngineIndex;
 use super::requests::{Intent, Request};
@@ -8,11 +8,13 @@
 use super::state::State;
 use crate::interface::{Ms, RequestId, TenantId};
 
-/// A prefill that starts later than this fraction of the latency objective leads to a late answer.
+/// A prefill that starts later than this fraction of the latency objective after the arrival leads
+/// to a late answer.
 const PREFILL_START_BY_FRACTION: f64 = 0.4;
-/// The dispatcher sends its own final answer this many ticks before the client's deadline.
+/// A rejection or failure is sent this many ticks before the client's deadline at the latest.
 const FINAL_ANSWER_TICKS: f64 = 2.0;
-/// A KV state without a decode engine is released after this fraction of the KV state timeout.
+/// A KV state that waits for a decode engine is released after this fraction of the KV state
+/// timeout.
 const KV_STATE_HOLD_FRACTION: f64 = 0.7;
 
 /// Sort key of a request in the planning order; the smallest key is planned first.
@@ -26,8 +28,9 @@
 }
 
 impl State {
-    /// Counts a request of `tenant`. Returns whether the tenant exceeds its quota. The tenant's
-    /// total rate is estimated as its rate at this dispatcher times the number of dispatchers.
+    /// Counts a request of `tenant` and returns whether the tenant exceeds its quota. The tenant's
+    /// total request rate is estimated as its rate at this dispatcher times the number of
+    /// dispatchers.
     pub(super) fn record_tenant_request(&mut self, tenant: Option<TenantId>) -> bool {
         let Some(tenant) = tenant.map(|id| id.0 as usize) else {
             return false;
@@ -45,15 +48,14 @@
         self.now + PREFILL_START_BY_FRACTION * latency_objective
     }
 
-    /// The latest instant at which the dispatcher sends its own final answer to a request that
-    /// arrives now.
+    /// The latest instant at which the dispatcher rejects or fails a request that arrives now.
     pub(super) fn answer_by(&self, time_to_deadline: Ms) -> Ms {
         self.now + time_to_deadline - FINAL_ANSWER_TICKS * self.settings.tick
     }
 
-    /// The requests to plan in this step, in the order in which they get capacity: requests within
-    /// their tenant's quota first, then retries and prompts that a prefill engine has cached, then
-    /// by the latest start of the prefill.
+    /// The requests to plan in this step, in the order in which they get capacity. Requests within
+    /// their tenant's quota come first; among these, retries and prompts that a prefill engine has
+    /// cached; among equals, the request whose prefill has to start soonest.
     pub(super) fn plan_order(&self) -> Vec<RequestId> {
         let mut order: Vec<PlanOrder> = self
             .queue
@@ -70,8 +72,8 @@
         order.into_iter().map(|entry| entry.id).collect()
     }
 
-    /// Whether the request has had no attempt and no ready prefill engine has most of its prompt
-    /// cached.
+    /// Whether no attempt of the request was started and no ready prefill engine has most of its
+    /// prompt cached.
     fn is_new_and_uncached(&self, request: &Request) -> bool {
         let is_cached = |engine: EngineIndex| {
             self.engines[engine]
@@ -81,10 +83,10 @@
         request.attempts == 0 && !self.engines.ready(Stage::Prefill).any(is_cached)
     }
 
-    /// When a request is given up. Guards against self-sustaining congestion: prefill engines that
-    /// work on late requests make the next requests late as well. A request that no prefill engine
-    /// accepts in time is given up; it is rejected if no part of it may have run (see
-    /// [`State::give_up`]).
+    /// When a request is given up. A request that no prefill engine accepts in time is given up
+    /// early; it is rejected unless it may have run (see [`State::give_up`]). Guards against
+    /// self-sustaining congestion: prefill engines that work on late requests make the next
+    /// requests late as well.
     pub(super) fn give_up_at(&self, request: &Request) -> Ms {
         if request.attempt.is_none() && request.kv_state.is_none() {
             request.answer_by.min(request.prefill_start_by)
@@ -93,15 +95,16 @@
         }
     }
 
-    /// Whether the KV state has to be released before the next retry, which is `interval_ms` from
-    /// now.
+    /// Whether the KV state has to be released before the next attempt to place it, `interval_ms`
+    /// from now.
     pub(super) fn is_kv_state_held_too_long(&self, request: &Request, interval_ms: Ms) -> bool {
         self.now + interval_ms - request.unclaimed_since
             > KV_STATE_HOLD_FRACTION * self.settings.kv_state_timeout
     }
 
     /// Whether the decode engines have capacity for all unqueued prefills in flight and one more.
-    /// Guards against KV states that find no decode engine: a KV state cannot wait for long.
+    /// Otherwise a prefill could end without a decode engine that takes over its KV state, which
+    /// cannot wait for long.
     pub(super) fn decode_engines_have_capacity(&self) -> bool {
         let capacity: f64 = self
             .engines
@@ -114,8 +117,8 @@
         capacity >= self.queue.unqueued_prefills() as f64 + 1.0
     }
 
-    /// Ends the request: rejects it if a retry by the client is certainly harmless, else fails it.
-    /// The KV state is released at once, or with the outcome of an attempt that still waits for it.
+    /// Ends the request: rejects it if a retry by the client is certainly harmless, otherwise fails
+    /// it. The KV state is released at once, or when the attempt that waits for it has ended.
     pub(super) fn give_up(&self, request: &mut Request) {
         let decode_in_flight = request
             .attempt
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -9,9 +9,9 @@
 
 impl State {
     /// The engines of a stage that may get this request now; if there are none, the request is
-    /// held. Draining engines and cold engines without budget are never returned. Decode engines
-    /// that report a high load are left out if others remain. So are decode engines without
-    /// capacity, and engines that rejected or failed this request.
+    /// held. Draining engines and cold engines without budget are never returned. Three groups are
+    /// returned only if no other engines remain: decode engines that report a high load, decode
+    /// engines without capacity, and engines that rejected or failed this request.
     pub(super) fn candidates(&self, request: &Request, stage: Stage) -> Vec<EngineIndex> {
         let budget = self.cold_engine_budget(stage);
         let allowed: Vec<EngineIndex> = self
@@ -34,10 +34,10 @@
             .unwrap_or_default()
     }
 
-    /// The ready engines that are not ejected, plus ejected engines that are due for a trial, if a
-    /// failed trial does no harm. If every ready engine of the stage is ejected, all of them are
-    /// returned. Ejected engines are not returned merely because the others are busy. Guards
-    /// against an engine that fails fast, which always appears to have capacity.
+    /// The ready engines that are not ejected, plus ejected engines that are due for a trial if a
+    /// failed trial does no harm. All ejected engines are returned only if every ready engine of
+    /// the stage is ejected, not if the others are merely busy. Guards against an engine that fails
+    /// fast, which always appears to have capacity.
     fn not_ejected_or_on_trial(&self, request: &Request, stage: Stage) -> Vec<EngineIndex> {
         let ready: Vec<EngineIndex> = self.engines.ready(stage).collect();
         let success = |engine: EngineIndex| self.engines[engine].outcomes.success_fraction();
@@ -58,8 +58,8 @@
         [healthy, trials].concat()
     }
 
-    /// Whether the request may be sent to the engine. These conditions are never relaxed, even if
-    /// no engine meets them.
+    /// Whether the request may be sent to the engine at all. These conditions hold even if no
+    /// engine meets them.
     fn is_allowed(&self, engine: EngineIndex, request: &Request, cold_engine_budget: f64) -> bool {
         let candidate = &self.engines[engine];
         self.may_run_on(request, engine)
@@ -94,7 +94,8 @@
             .collect()
     }
 
-    /// Attempts that one cold engine may get from this dispatcher within the overload window.
+    /// The number of attempts that this dispatcher may send to each cold engine within the overload
+    /// window.
     fn cold_engine_budget(&self, stage: Stage) -> f64 {
         let (cold, warm): (Vec<EngineIndex>, Vec<EngineIndex>) = self
             .engines
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -1,25 +1,27 @@
-//! Limit of this dispatcher's attempts in flight at one engine: additive increase, multiplicative
-//! decrease.
+//! Limits this dispatcher's attempts in flight at one engine by additive increase and
+//! multiplicative decrease (AIMD).
 
 use crate::interface::{Ms, Role};
 
-/// Initial limit for a prefill engine, in attempts of all dispatchers.
+/// Initial limit for a prefill engine, in attempts of all dispatchers together.
 const INITIAL_PREFILLS: f64 = 12.0;
-/// Initial limit for an engine that decodes, in attempts of all dispatchers.
+/// Initial limit for an engine that serves decodes, in attempts of all dispatchers together.
 const INITIAL_DECODES: f64 = 48.0;
-/// Increase of the limit once as many prefills as the limit allows have ended without queueing.
+/// How much the limit of a prefill engine grows after as many unqueued attempts as the limit
+/// itself.
 const PREFILL_INCREASE: f64 = 1.0;
-/// Increase of the limit for decodes. It is larger because a decode lasts long, so fewer decodes
-/// report.
+/// How much the limit of an engine that serves decodes grows after as many unqueued attempts as the
+/// limit itself. It is larger because a decode lasts long, so fewer decodes per second show whether
+/// they queued.
 const DECODE_INCREASE: f64 = 3.0;
-/// After an attempt that queued, the limit is this fraction of the attempts in flight.
+/// An attempt that queued lowers the limit to this fraction of the attempts in flight at that time.
 const DECREASE_FRACTION: f64 = 0.7;
-/// The limit grows only while the attempts in flight are at most this many below it.
+/// The limit grows only while no more than this many further attempts would fit into it.
 const UNUSED_ATTEMPTS: f64 = 2.0;
 
 /// Concurrency limit of one engine. Guards against queues at engines, which make requests late and
-/// evict cached prefixes. An attempt that queued lowers the limit, once for all attempts that were
-/// in flight at the same time.
+/// evict cached prefixes. Attempts that were in flight at the same time and queued lower the limit
+/// only once.
 pub(super) struct ConcurrencyLimit {
     attempts: f64,
     increase: f64,
@@ -27,8 +29,8 @@
 }
 
 impl ConcurrencyLimit {
-    /// The initial limit of one of `dispatchers` dispatchers, which share the limit of an engine of
-    /// this role equally.
+    /// Creates the initial limit for an engine of this role: an equal part for each of
+    /// `dispatchers` dispatchers.
     pub(super) fn new(role: Role, dispatchers: f64) -> Self {
         let (initial, increase) = match role {
             Role::Prefill => (INITIAL_PREFILLS, PREFILL_INCREASE),
@@ -41,7 +43,7 @@
         }
     }
 
-    /// The limit in attempts; may be fractional.
+    /// The current limit in attempts, which may be fractional and is at least 1.
     pub(super) fn attempts(&self) -> f64 {
         self.attempts
     }
--- a/src/control/decaying_rate.rs
+++ b/src/control/decaying_rate.rs
@@ -2,8 +2,7 @@
 
 use crate::interface::Ms;
 
-/// The rate of events. It decays only when an event is recorded and stays constant while no event
-/// comes.
+/// A rate of events. It decays only when an event is recorded, and stays constant between events.
 #[derive(Default)]
 pub(super) struct DecayingRate {
     per_ms: f64,
@@ -11,7 +10,8 @@
 }
 
 impl DecayingRate {
-    /// Records `amount` events at `now`. Earlier events decay with the time constant `decay_ms`.
+    /// Records `amount` events at `now`. The weight of earlier events decays with the time constant
+    /// `decay_ms`.
     pub(super) fn record(&mut self, amount: f64, now: Ms, decay_ms: Ms) {
         self.per_ms = self.per_ms * (-(now - self.updated_at) / decay_ms).exp() + amount / decay_ms;
         self.updated_at = now;
--- a/src/control/decode_placement.rs
+++ b/src/control/decode_placement.rs
@@ -2,9 +2,9 @@
 //! by load.
 //!
 //! The engine is chosen when the prefill ends. Candidates within [`PROXIMITY_BAND`] of the best
-//! proximity are considered, except those with more than [`MAX_DECODES_ABOVE_AVERAGE`] own decodes
-//! above the average of all candidates. Of these the engine with the fewest requests in flight is
-//! chosen.
+//! proximity are considered, except those where the number of this dispatcher's decodes exceeds the
+//! average of all candidates by more than [`MAX_DECODES_ABOVE_AVERAGE`]. Of the remaining engines,
+//! the one with the fewest requests in flight is chosen.
 
 use super::engines::{Engine, EngineIndex};
 use super::requests::Request;
@@ -12,17 +12,18 @@
 use super::state::State;
 use nanorand::Rng;
 
-/// Proximity of two engines in the same cell, in the same zone and in different zones. Each cell is
-/// part of one zone.
+/// Proximity of two engines: in the same cell, in different cells of the same zone, and in
+/// different zones. Each cell is part of one zone.
 const SAME_CELL_PROXIMITY: f64 = 1.0;
 const SAME_ZONE_PROXIMITY: f64 = 0.5;
 const OTHER_ZONE_PROXIMITY: f64 = 0.0;
-/// Candidates whose proximity is within this distance of the best proximity are compared by load.
+/// Candidates whose proximity is lower than the best by at most this much are compared by load.
 const PROXIMITY_BAND: f64 = 0.1;
-/// A candidate is skipped if its own decodes exceed the average by more than this.
+/// A candidate is skipped if this dispatcher's decodes there exceed the average of all candidates
+/// by more than this.
 const MAX_DECODES_ABOVE_AVERAGE: f64 = 1.0;
 
-/// Sort key of a candidate: load first, then the weighted random draw.
+/// A candidate with its sort key: load first, then a weighted random draw. The lowest is chosen.
 struct Ranked {
     load: f64,
     draw: f64,
@@ -30,7 +31,8 @@
 }
 
 impl State {
-    /// The decode engine for a KV state at `prefill_engine`; `None` if the request is held.
+    /// The decode engine that takes over the KV state at `prefill_engine`; `None` if no engine is
+    /// available now.
     pub(super) fn choose_decode_engine(
         &mut self,
         request: &Request,
@@ -62,12 +64,13 @@
         })
     }
 
-    /// Chooses the engine with the fewest requests in flight; the younger a cold engine is, the
-    /// more each of its requests counts. A random draw, weighted by the free fraction in the last
-    /// load report, breaks ties. Guards against herding: if the lowest load in outdated reports
-    /// decided, all dispatchers would choose the same engine.
+    /// Chooses the engine with the fewest requests in flight. At a cold engine, each request counts
+    /// as more than one, according to the engine's capacity fraction. A random draw, weighted by
+    /// the free fraction in the last load report, breaks ties. Guards against herding: if the
+    /// lowest load in outdated reports decided, all dispatchers would choose the same engine.
     fn choose_least_loaded(&mut self, engines: Vec<EngineIndex>) -> Option<EngineIndex> {
-        // Every engine gets one draw, in a fixed order, so that the draws do not depend on loads.
+        // Every engine gets one draw in a fixed order, so that the sequence of random numbers does
+        // not depend on loads.
         let draws: Vec<f64> = engines
             .iter()
             .map(|_| -self.rng.generate::<f64>().ln())
@@ -93,8 +96,8 @@
         }
     }
 
-    /// Requests load reports from the decode engines near a prefill engine while the prefill runs,
-    /// for the choice of the decode engine when the prefill ends.
+    /// Requests load reports from the decode engines in the cell of a prefill engine when a prefill
+    /// starts. The reports are then available when the prefill ends and a decode engine is chosen.
     pub(super) fn request_reports_near(&mut self, prefill_engine: EngineIndex, request: &Request) {
         let nearby: Vec<EngineIndex> = self
             .candidates(request, Stage::Decode)
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -1,64 +1,65 @@
-//! Tracks whether a decode attempt has reached its engine, and when the next step of that check is
-//! due.
+//! Tracks whether a decode attempt has reached its engine, and what has to be done next to find
+//! out.
 //!
 //! A successful write to a connection does not prove delivery: the engine's machine may have
 //! vanished, and its connections then stay open without an error. An attempt counts as undelivered
-//! until the engine has shown that it runs; meanwhile the timeout of the KV state continues. An
-//! engine that shows nothing in time is asked to confirm that it runs. Without an answer the
-//! attempt is given up, and another engine takes over the KV state or the KV state is released.
+//! until the engine has shown, after the send, that it is running; meanwhile the KV state timeout
+//! keeps counting. An engine that sends nothing in time is asked to confirm that it is running.
+//! Without an answer the attempt is given up, and another engine takes over the KV state or the KV
+//! state is released.
 //!
-//! Times are fractions of the KV state timeout. They count from the instant since which the KV
-//! state is unclaimed, unless noted otherwise.
+//! Times are fractions of the KV state timeout. They count from the start of that timeout
+//! (`unclaimed_since`), unless noted otherwise.
 
 use crate::interface::{Ms, Outcome};
 
-/// When the engine is first asked to confirm that it runs, counted from the send of the attempt,
-/// and the interval of further requests to confirm. An answer takes one round trip on an open
+/// When the engine is first asked to confirm that it is running, counted from the send of the
+/// attempt, and the interval at which it is asked again. The answer takes one round trip on an open
 /// connection and three on a new one.
 const CONFIRM_AFTER_FRACTION: f64 = 0.2;
 const CONFIRM_INTERVAL_FRACTION: f64 = 0.15;
-/// When an attempt without an answer is given up. Half of the timeout is left for an attempt at
-/// another engine. That engine is asked to confirm at once and has [`MIN_CONFIRM_WAIT_FRACTION`] to
-/// answer.
+/// When an attempt is given up if its engine has not confirmed. Half of the timeout is then left
+/// for an attempt at another engine, which is asked to confirm at once and has
+/// [`MIN_CONFIRM_WAIT_FRACTION`] to do so.
 const GIVE_UP_AT_FRACTION: f64 = 0.5;
 const MIN_CONFIRM_WAIT_FRACTION: f64 = 0.2;
-/// When the KV state is released if the engine runs and nothing has come on the attempt's own
-/// connection, in case only that connection is dead. The rest of the timeout suffices to ask
-/// several engines that do not answer.
+/// When the KV state is released although the engine is running: nothing was received on the
+/// attempt's own connection, which may be dead. The rest of the timeout suffices to send the
+/// release to several engines that do not answer.
 const RELEASE_AT_FRACTION: f64 = 0.8;
-/// The latest start of an attempt at another engine. Its confirmation and then a release still fit
-/// into the timeout.
+/// The latest start of an attempt at another engine, so that its confirmation and, without one, the
+/// release still fit into the timeout.
 const LAST_ATTEMPT_AT_FRACTION: f64 = 0.6;
 
-/// Upper limit in milliseconds of the time between a send by an engine and its processing here. A
-/// process may be delayed by 150 ms between reading its clock and acting, and the platform's
-/// protocol adds 50 ms to each time on sockets.
+/// Maximum time in milliseconds between the send of a message by an engine and its processing by
+/// this dispatcher. A process may be delayed by 150 ms between reading its clock and acting, and
+/// the platform's protocol adds 50 ms to each time on sockets.
 pub const RECEIVED_LATE: Ms = 200.0;
 
-/// What is known about the delivery of an attempt to its engine.
+/// Whether an attempt has reached its engine, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Delivery {
-    /// The attempt has reached its engine, as far as the driver reports deliveries, or no further
-    /// step is needed.
+    /// The attempt has reached its engine, deliveries are not tracked, or the last step for this
+    /// attempt is done.
     Confirmed,
-    /// The engine has shown on some connection that it has run since the send. The attempt is in
-    /// the engine's queue, or only its own connection is dead. The KV state is released at
-    /// `release_at` in case the connection is dead.
+    /// The engine has shown on some connection, after the send, that it is running. Either the
+    /// attempt waits in the engine's queue, or the attempt's own connection is dead. Because it may
+    /// be dead, the KV state is released at `release_at`.
     EngineRuns { release_at: Ms },
-    /// Nothing has come from the engine since the send. The engine is asked to confirm at `ask_at`,
+    /// The engine has sent nothing since the attempt was sent. It is asked to confirm at `ask_at`,
     /// and the attempt is given up at `give_up_at`.
     Unconfirmed { ask_at: Ms, give_up_at: Ms },
-    /// Nothing came from the engine in time. The attempt counts as undelivered, though it may still
-    /// arrive.
+    /// The engine sent nothing in time. The attempt counts as undelivered, although it may still
+    /// reach the engine.
     GivenUp,
 }
 
-/// The step that is due for a delivery.
+/// What has to be done now about an attempt that may be undelivered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum DeliveryStep {
     Nothing,
     WaitUntil(Ms),
-    /// Ask the engine to confirm that it runs; the next step is due at `next_at`.
+    /// Ask the engine to confirm that it is running; the next step is due at `next_at`.
     Confirm {
         next_at: Ms,
     },
@@ -67,8 +68,8 @@
 }
 
 impl Delivery {
-    /// The delivery of a decode attempt that is sent now for a KV state that is unclaimed since
-    /// `unclaimed_since`.
+    /// The initial state for a decode attempt that is sent now. `unclaimed_since`: when the timeout
+    /// of its KV state started.
     pub(super) fn sent(now: Ms, unclaimed_since: Ms, kv_state_timeout: Ms) -> Self {
         let usual_ask_at = now + CONFIRM_AFTER_FRACTION * kv_state_timeout;
         let latest_ask_at =
@@ -79,7 +80,8 @@
         Delivery::Unconfirmed { ask_at, give_up_at }
     }
 
-    /// Records that the engine has shown that it runs. Returns whether this was not known before.
+    /// Records that the engine has shown that it is running. Returns `true` if this is the first
+    /// sign since the send.
     pub(super) fn record_engine_runs(
         &mut self,
         now: Ms,
@@ -96,7 +98,7 @@
         is_new
     }
 
-    /// Returns the step that is due now and marks it as done.
+    /// Returns the step that is due now and updates the state as if it were done.
     pub(super) fn next_step(&mut self, now: Ms, kv_state_timeout: Ms) -> DeliveryStep {
         match self {
             Delivery::Confirmed | Delivery::GivenUp => DeliveryStep::Nothing,
@@ -131,12 +133,12 @@
         }
     }
 
-    /// Whether an attempt with this outcome had reached its engine. Only then does the KV state
-    /// count as unclaimed from the end of the attempt.
+    /// Whether an attempt that ended with this outcome had reached its engine. Only then does the
+    /// KV state timeout start again at the end of the attempt.
     pub(super) fn has_reached_engine(&self, outcome: Outcome) -> bool {
         match outcome {
             Outcome::Unreachable | Outcome::NotSent => false,
-            // Each of these outcomes is an answer of the engine.
+            // Each of these outcomes was reported by the engine itself.
             Outcome::Succeeded | Outcome::Failed | Outcome::Overloaded | Outcome::PrefillDone => {
                 true
             }
@@ -147,7 +149,8 @@
     }
 }
 
-/// Whether enough of the KV state timeout is left for an attempt at another engine.
+/// Whether the rest of the KV state timeout suffices for an attempt at another engine and, if that
+/// fails, for the release.
 pub(super) fn has_time_for_another_attempt(
     now: Ms,
     unclaimed_since: Ms,
--- a/src/control/delivery_tracking.rs
+++ b/src/control/delivery_tracking.rs
@@ -8,7 +8,7 @@
 use crate::interface::{AttemptId, Ms, RequestId};
 
 impl State {
-    /// The delivery state of a decode attempt that is sent now.
+    /// The initial delivery state of a decode attempt that is sent now.
     pub(super) fn delivery_of_new_decode(&self, request: &Request) -> Delivery {
         if !self.tracks_deliveries {
             return Delivery::Confirmed;
@@ -20,7 +20,8 @@
         )
     }
 
-    /// Records that the attempt's engine has shown that it runs.
+    /// Records that the engine of an attempt in flight has shown, after the send, that it is
+    /// running.
     pub(super) fn handle_delivered(&mut self, id: RequestId, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Plans the next delivery step of an attempt in flight: asks its engine to confirm that it
-    /// runs, releases the KV state or gives the attempt up.
+    /// Plans the next delivery step of an attempt in flight: asks its engine to confirm that the
+    /// engine is running, releases the KV state, or gives up the attempt.
     pub(super) fn plan_delivery(&mut self, request: &mut Request) {
         let Some(attempt) = request.attempt.as_mut() else {
             return;
@@ -55,33 +56,33 @@
                 request.intents.confirm = true;
                 self.wake_by(next_at);
             }
-            // The engine runs, but nothing has come for the attempt. The platform's pages can be
-            // read in two ways (docs/acceptance.md, 'Readings'). If a release spares a KV state
-            // that an attempt waits for, an attempt in the engine's queue keeps its KV state. If a
-            // release frees every KV state, that attempt finds none and is rejected, which proves
-            // that it has not run.
+            // The engine is running, but has sent nothing for this attempt. The platform's pages
+            // can be read in two ways (docs/acceptance.md, 'Readings'). If a release spares a KV
+            // state that an attempt waits for, an attempt in the engine's queue keeps its KV state.
+            // If a release frees every KV state, that attempt finds none and is rejected, which
+            // proves that it has not run.
             DeliveryStep::ReleaseInDoubt => {
                 request.intents.release_in_doubt = request.kv_state.is_some();
             }
-            DeliveryStep::GiveUp => self.plan_undelivered(request, engine, sent_at),
+            DeliveryStep::GiveUp => self.plan_after_undelivered(request, engine, sent_at),
         }
     }
 
     /// Handles an attempt that has not reached its engine. Another engine takes over the KV state
-    /// if the request may run there and such an engine is available in time. Otherwise the KV state
-    /// is released; should the attempt arrive later, it finds no KV state.
-    fn plan_undelivered(&mut self, request: &mut Request, engine: EngineIndex, sent_at: Ms) {
+    /// if the request may run there and that engine can be chosen early enough. Otherwise the KV
+    /// state is released. If the attempt still arrives later, it finds no KV state.
+    fn plan_after_undelivered(&mut self, request: &mut Request, engine: EngineIndex, sent_at: Ms) {
         let unresponsive = &mut self.engines[engine];
         unresponsive.record_outcome(false);
-        // Guards against a series of requests that all wait for the same unresponsive engine.
+        // Prevents one request after another from waiting for the same unresponsive engine.
         unresponsive
             .overload_backoff
             .exclude_until(self.now + self.settings.kv_state_timeout);
         request.excluded_engines.push(engine);
         let may_cancel = self.settings.may_cancel;
         let is_retried_elsewhere = may_cancel && self.has_other_engine(request, engine, sent_at);
-        // A repeat is cancelled in any case: if it arrived much later, engines would no longer
-        // recognise it as a repeat.
+        // A repeat is always cancelled: if it reached its engine much later, engines would no
+        // longer recognise it as a repeat.
         let is_repeat = request.first_possible_run.is_some();
         request.intents.cancel = is_retried_elsewhere || may_cancel && is_repeat;
         request.intents.release = request.kv_state.is_some() && !is_retried_elsewhere;
@@ -103,8 +104,8 @@
         if !in_time || request.attempts >= self.settings.max_attempts {
             return false;
         }
-        // The attempt that is given up may still run, so the other engine must be one that may get
-        // a repeat.
+        // The attempt that is given up may still run. The other engine therefore has to be one that
+        // may get a repeat of the request.
         let first_possible_run = request.first_possible_run;
         request.first_possible_run.get_or_insert(PossibleRun {
             engine: unresponsive,
--- a/src/control/emit.rs
+++ b/src/control/emit.rs
@@ -1,4 +1,4 @@
-//! Turns intents into actions. No other module acts on a request.
+//! Turns intents into actions. No other module returns actions that concern a request.
 
 use super::delivery::Delivery;
 use super::engines::EngineIndex;
@@ -28,7 +28,7 @@
         request.finished |= matches!(request.intents.next, Intent::Reject | Intent::Fail);
     }
 
-    /// Starts a decode of the KV state, or a prefill if the request holds no KV state.
+    /// Starts a decode if an engine holds the KV state of the request, otherwise a prefill.
     fn emit_start(
         &mut self,
         id: RequestId,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Emits the health checks that this step has requested.
+    /// Emits the health checks that rules have requested during this step.
     pub(super) fn emit_health_checks(&mut self, actions: &mut Vec<Action>) {
         for index in self.health_checks.drain(..) {
             actions.push(Action::HealthCheck {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sets the timer for the next step, unless one is set that fires no later.
+    /// Sets the timer for the next step, unless a timer is set that expires no later.
     pub(super) fn emit_timer(&mut self, actions: &mut Vec<Action>) {
         if let Some(wake_at) = self.wake_at {
             actions.extend(self.timer.arm(wake_at, self.now));
--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -10,15 +10,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// Index of an engine in [`Engines`]; it never changes, because engines are never removed.
+/// Index of an engine in [`Engines`]. It stays valid, because engines are never removed.
 pub(super) type EngineIndex = usize;
 
 pub(super) struct Engine {
     pub(super) endpoint: Endpoint,
     pub(super) kind: KindSettings,
-    /// Decodes of this dispatcher in flight at the engine.
+    /// This dispatcher's decodes in flight at the engine.
     pub(super) decodes: f64,
-    /// Prefills of this dispatcher in flight at the engine.
+    /// This dispatcher's prefills in flight at the engine.
     pub(super) prefills: f64,
     /// Uncached prompt tokens of this dispatcher's prefills in flight.
     pub(super) prefill_tokens: f64,
@@ -26,7 +26,7 @@
     pub(super) prefix_cache: PrefixCache,
     pub(super) load_report: LoadReport,
     pub(super) health_check: HealthCheckState,
-    /// When an attempt was last answered without having queued.
+    /// When the engine last answered an attempt that had not queued.
     pub(super) last_response_at: Ms,
     pub(super) outcomes: OutcomeHistory,
     pub(super) overload_backoff: OverloadBackoff,
@@ -54,8 +54,8 @@
 
     /// Applies the engine's entry in the list of endpoints. A later start means a new process under
     /// the same id: outcomes, load report and cached prefixes of the old process no longer apply.
-    /// The concurrency limit, the overload backoff and the health check are kept and follow the
-    /// answers of the new process.
+    /// The concurrency limit, the overload backoff and the health check are kept; the answers of
+    /// the new process adjust them.
     fn update(&mut self, endpoint: &Endpoint) {
         let started_at = endpoint.started.unwrap_or(f64::NEG_INFINITY);
         if started_at > self.slow_start.started_at() {
@@ -71,7 +71,7 @@
         self.endpoint.status == EndpointStatus::Ready
     }
 
-    /// Attempts of this dispatcher in flight at the engine, of both stages.
+    /// This dispatcher's attempts in flight at the engine, prefills and decodes together.
     pub(super) fn in_flight(&self) -> f64 {
         self.prefills + self.decodes
     }
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Records whether an attempt that was sent at `sent_at` waited in a queue at the engine.
+    /// Adjusts the concurrency limit after an attempt that was sent at `sent_at`. `queued`: whether
+    /// the attempt waited in the engine's queue.
     pub(super) fn record_queueing(&mut self, queued: bool, sent_at: Ms, now: Ms) {
         let in_flight = self.in_flight();
         if queued {
@@ -120,7 +121,7 @@
 
 pub(super) struct Engines {
     dispatchers: f64,
-    /// Time constant in milliseconds with which a load report ages.
+    /// Time constant in milliseconds with which a load report loses weight.
     report_decay_ms: Ms,
     index: BTreeMap<EngineId, EngineIndex>,
     /// Every engine ever listed, in the order of first listing.
@@ -158,8 +159,8 @@
         self.dispatchers
     }
 
-    /// Time constant in milliseconds with which a load report ages. A health check without an
-    /// answer counts for the same time.
+    /// Time constant in milliseconds with which a load report loses weight. An unanswered health
+    /// check marks its engine as busy for the same time.
     pub(super) fn report_decay_ms(&self) -> Ms {
         self.report_decay_ms
     }
@@ -190,7 +191,7 @@
         index
     }
 
-    /// Marks the engines that are missing from a full list as gone.
+    /// Marks the engines that are not in the full list `endpoints` as gone.
     pub(super) fn mark_gone_unless_in(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<&EngineId> = endpoints.iter().map(|entry| &entry.engine).collect();
         for engine in &mut self.engines {
@@ -212,8 +213,8 @@
             .map(|(index, _)| index)
     }
 
-    /// Whether an attempt of this stage only computes a KV state at the engine. An engine of both
-    /// roles also generates the answer to what it has prefilled.
+    /// Whether an attempt of this stage at the engine computes a KV state and nothing else. An
+    /// engine that serves both stages also generates the answer to a prompt that it has prefilled.
     pub(super) fn is_prefill_only(&self, stage: Stage, index: EngineIndex) -> bool {
         stage == Stage::Prefill && self.engines[index].kind.role == Role::Prefill
     }
@@ -236,8 +237,8 @@
             .update(load, typical_tokens, engine.kind.memory_tokens, now);
     }
 
-    /// The mean of a reported value over the ready engines of a stage with a known report, except
-    /// `excluded`; 0 if there are none.
+    /// The mean of `value` over the last reports of the ready engines of a stage, without the
+    /// engine `excluded`; 0 if no such engine has reported.
     pub(super) fn mean_report(
         &self,
         stage: Stage,
@@ -253,9 +254,9 @@
         sum / f64::max(count, 1.0)
     }
 
-    /// Prompt tokens that wait at a prefill engine: those of this dispatcher times
-    /// `own_tokens_factor`, or those that the engine reported, which age towards `mean`, whichever
-    /// are more.
+    /// Estimated number of prompt tokens that wait at a prefill engine: the larger of two
+    /// estimates. One is this dispatcher's tokens in flight times `own_tokens_factor`. The other is
+    /// the reported number, which moves towards `mean` as the report gets older.
     pub(super) fn waiting_tokens(
         &self,
         index: EngineIndex,
@@ -269,7 +270,7 @@
         (own_tokens_factor * engine.prefill_tokens).max(reported)
     }
 
-    /// The fraction of an engine in use, as reported; it ages towards `mean`.
+    /// The reported utilization of an engine, which moves towards `mean` as the report gets older.
     pub(super) fn utilization(&self, index: EngineIndex, mean: f64, now: Ms) -> f64 {
         let report = &self.engines[index].load_report;
         report.aged(report.utilization, mean, now, self.report_decay_ms)
--- a/src/control/event_handlers.rs
+++ b/src/control/event_handlers.rs
@@ -141,14 +141,15 @@
         self.apply_outcome(ended, index);
     }
 
-    /// Removes the attempt that has ended from its request, if it is the one in flight.
+    /// Removes the ended attempt from its request. Returns `None` if it is not the request's
+    /// attempt in flight.
     fn take_attempt(&mut self, ended: &Ended, index: EngineIndex) -> Option<Attempt> {
         let request = self.requests.get_mut(&ended.request)?;
-        self.queue.remove_from_count(request);
+        self.queue.remove_from_prefill_count(request);
         let attempt = request
             .attempt
             .take_if(|attempt| attempt.id == ended.attempt && attempt.engine == index);
-        self.queue.add_to_count(request);
+        self.queue.add_to_prefill_count(request);
         attempt
     }
 
@@ -162,8 +163,8 @@
         if is_prefill && shows_queueing {
             engine.record_queueing(queued, attempt.sent_at, self.now);
         }
-        // An attempt that was late or rejected has queued. It does not count as an answer in place
-        // of a load report, because a report is then needed all the more.
+        // A fast answer makes a load report unnecessary for a while. A late or rejected attempt has
+        // queued, so the engine is busy and a load report is still needed.
         let answered_in_time = if is_prefill {
             !queued
         } else {
@@ -188,8 +189,8 @@
                     .record_prefill_done(index, &request.arrival, ended.detail);
                 self.record_service(index, Stage::Prefill);
             }
-            // The KV state is gone (its prefill engine died or released it), so the prompt is
-            // prefilled again.
+            // The prefill engine no longer holds the KV state (it died or released the KV state),
+            // so the prompt is prefilled again.
             Outcome::Overloaded if ended.detail == NO_KV_STATE => request.kv_state = None,
             Outcome::Overloaded => {
                 request.excluded_engines.push(index);
@@ -208,12 +209,12 @@
         }
     }
 
-    /// Records that an engine has finished a prefill or started a decode.
+    /// Records that an engine has finished a prefill or has sent the first token of a decode.
     fn record_service(&mut self, index: EngineIndex, stage: Stage) {
         self.engines[index].record_outcome(true);
-        // Guards against a cold-engine budget that is too large while engines are replaced. Work
-        // that ends at replaced engines must not be divided among the few warm engines that are
-        // left, as it would overstate what each of them serves.
+        // Guards against a cold-engine budget that is too large while engines are being replaced:
+        // if work that ends at replaced engines were divided by the few warm engines left, it would
+        // overstate the capacity of a warm engine.
         if self.is_cold(index) || !self.engines[index].is_ready() {
             return;
         }
--- a/src/control/health_check.rs
+++ b/src/control/health_check.rs
@@ -1,4 +1,4 @@
-//! Decides when a health check asks an engine for its load.
+//! Decides when to send a health check, which asks an engine for its load.
 
 use super::engines::EngineIndex;
 use super::state::State;
@@ -6,18 +6,20 @@
 
 /// How long a prefill waits for load reports, in multiples of the shortest latency objective.
 pub(super) const REPORT_WAIT_OBJECTIVES: f64 = 0.03;
-/// How long a load report, or a health check that was sent, makes another health check unnecessary,
-/// in multiples of the shortest latency objective.
+/// No health check is sent to an engine for this long after its last load report, or after the last
+/// health check that was sent to it. In multiples of the shortest latency objective.
 const REPORT_FRESH_OBJECTIVES: f64 = 0.25;
-/// How long an answered attempt counts in place of a load report, and how long the answer to a
-/// health check is awaited, in multiples of the shortest latency objective.
+/// No health check is sent to an engine for this long after it answered an attempt without
+/// queueing. An unanswered health check is awaited for the same time. In multiples of the shortest
+/// latency objective.
 const RESPONSE_FRESH_OBJECTIVES: f64 = 2.0;
-/// With more own decodes at an engine than this, their number is a good enough measure of its load.
+/// If this dispatcher has more decodes than this in flight at an engine, their number is a good
+/// enough measure of the engine's load.
 const MIN_INFORMATIVE_DECODES: f64 = 1.0;
 
 impl State {
-    /// Sends health checks to those of `engines` without recent information on their load. Returns
-    /// whether an answer is awaited.
+    /// Requests health checks for those of `engines` whose load is not known from recent reports or
+    /// answers. Returns whether any health check is unanswered.
     pub(super) fn request_load_reports(&mut self, engines: &[EngineIndex]) -> bool {
         if !self.settings.may_health_check {
             return false;
@@ -35,9 +37,9 @@
         any_awaited
     }
 
-    /// Milliseconds of `count` shortest latency objectives.
-    fn latency_objectives_ms(&self, count: f64) -> Ms {
-        count * self.classes.shortest_latency_objective()
+    /// `multiple` times the shortest latency objective, in milliseconds.
+    fn latency_objectives_ms(&self, multiple: f64) -> Ms {
+        multiple * self.classes.shortest_latency_objective()
     }
 
     fn is_report_pending(&self, index: EngineIndex) -> bool {
--- a/src/control/home_engines.rs
+++ b/src/control/home_engines.rs
@@ -1,19 +1,19 @@
-//! Home engines of a prefix, chosen by rendezvous hashing.
+//! Chooses the home engines of a prefix by rendezvous hashing.
 
 use super::engines::{EngineIndex, Engines};
 use crate::interface::Arrival;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Number of prefill engines over which the prefills of one prefix are spread.
+/// Maximum number of prefill engines that compute prompts with the same prefix.
 const MAX_HOME_ENGINES: usize = 4;
 
 /// The home engines of a request's prefix among `candidates`, in the order in which its session
 /// tries them. The first is the same for all requests with this prefix; the order of the others
 /// depends on the session.
 ///
-/// Guards against prompts scattered over all engines, which compute the same prefixes again and
-/// again. Whichever dispatcher sends the prompts of a session, they are cached at one of the same
-/// few engines.
+/// Guards against prompts scattered over all engines, where each engine computes the same prefixes
+/// again. Every dispatcher gets the same home engines, so the prompts of a session are cached at
+/// one of these few engines whichever dispatcher sends them.
 pub(super) fn home_engines(
     arrival: &Arrival,
     candidates: &[EngineIndex],
--- a/src/control/load_report.rs
+++ b/src/control/load_report.rs
@@ -1,17 +1,19 @@
-//! The last load report of an engine, how it ages, and whether a health check is unanswered.
+//! The last load report of an engine, which loses weight as it gets older, and the state of the
+//! last health check.
 
 use crate::interface::{Load, Ms};
 
-/// Number of prefills over which the typical prompt length is averaged.
+/// Number of recent prefills over which their computed tokens are averaged.
 const TYPICAL_PREFILLS: f64 = 8.0;
 
-/// The last load report of an engine; all values are 0 before the first.
+/// The last load report of an engine; all values are 0 until one is received.
 pub(super) struct LoadReport {
     /// Requests in flight at the engine, from all dispatchers.
     pub(super) in_flight: f64,
     /// Prompt tokens that wait at the engine to be computed or fetched.
     pub(super) waiting_tokens: f64,
-    /// Fraction of the engine in use, waiting requests included; may exceed 1.
+    /// Fraction of the engine's slots or memory in use, plus the waiting tokens as a fraction of
+    /// its memory; may exceed 1.
     pub(super) utilization: f64,
     received_at: Ms,
 }
@@ -26,9 +28,9 @@
         }
     }
 
-    /// Applies a load report; a report without any value is ignored. `typical_tokens`: prompt
-    /// tokens of a waiting request, for an engine that only counts requests; `memory_tokens`: the
-    /// engine's KV memory in tokens.
+    /// Applies a load report; a report without any value is ignored. `typical_tokens`: assumed
+    /// prompt tokens per waiting request, for an engine that reports only the number of requests.
+    /// `memory_tokens`: the engine's KV memory in tokens.
     pub(super) fn update(&mut self, load: &Load, typical_tokens: f64, memory_tokens: f64, now: Ms) {
         let fields = [
             load.in_flight,
@@ -53,7 +55,7 @@
         self.received_at = now;
     }
 
-    /// Marks the report as unknown, because the process that sent it is gone.
+    /// Discards the report, because the process that sent it no longer exists.
     pub(super) fn expire(&mut self) {
         self.received_at = f64::NEG_INFINITY;
     }
@@ -66,8 +68,8 @@
         self.received_at
     }
 
-    /// A reported value, moved further towards `mean`, the mean of the engine's peers, the older
-    /// the report is.
+    /// Estimates the current value from the reported one. The older the report, the closer the
+    /// estimate is to `mean`, the mean of the engine's peers; `decay_ms` is the time constant.
     pub(super) fn aged(&self, value: f64, mean: f64, now: Ms, decay_ms: Ms) -> f64 {
         mean + (-(now - self.received_at) / decay_ms).exp() * (value - mean)
     }
@@ -77,7 +79,7 @@
 pub(super) struct HealthCheckState {
     pub(super) sent_at: Ms,
     pub(super) answered_at: Ms,
-    /// Whether the last health check ended without an answer.
+    /// Whether the last health check that ended got no answer.
     pub(super) unresponsive: bool,
 }
 
@@ -95,20 +97,20 @@
         self.answered_at = now;
     }
 
-    /// Whether the last health check was sent less than `within_ms` ago and has not ended.
+    /// Whether a health check is unanswered that was sent less than `within_ms` ago.
     pub(super) fn is_pending(&self, now: Ms, within_ms: Ms) -> bool {
         self.sent_at > self.answered_at.max(now - within_ms)
     }
 
-    /// Whether a health check that was sent less than `within_ms` ago is unanswered or failed.
-    /// Guards against an engine that is too busy to report its load and would count as one without
-    /// a queue.
+    /// Whether the last health check was sent less than `within_ms` ago and is unanswered or
+    /// failed. Without this check, an engine that is too busy to report its load would be treated
+    /// as one without a queue.
     pub(super) fn lacks_answer(&self, now: Ms, within_ms: Ms) -> bool {
         now - self.sent_at < within_ms && (self.unresponsive || self.sent_at > self.answered_at)
     }
 }
 
-/// The mean number of prompt tokens that a prefill computes, taken from this dispatcher's prefills.
+/// The mean number of prompt tokens that recent prefills of this dispatcher had to compute.
 #[derive(Default)]
 pub(super) struct TypicalPrefill {
     tokens: f64,
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,18 +1,18 @@
 //! The decisions of a dispatcher about requests: which prefill engine computes a prompt, which
-//! decode engine generates the answer, what follows a failure, and when a request is rejected or
-//! failed.
+//! decode engine generates the answer, whether a failed attempt is retried, and when a request is
+//! rejected or failed.
 //!
-//! A driver creates one [`Control`] per dispatcher, passes each batch of events to
-//! [`Control::step`] with its instant, and carries out the resulting actions in order. Timers come
-//! back as [`Event::Timer`]. The types of events and actions are in [`crate::interface`]. The same
-//! settings, seed and events produce the same actions.
+//! A driver creates one [`Control`] per dispatcher. It passes each batch of events to
+//! [`Control::step`], together with the current time, and carries out the resulting actions in
+//! order. It reports expired timers as [`Event::Timer`]. The types of events and actions are in
+//! [`crate::interface`]. The same settings, seed and events produce the same actions.
 //!
-//! A step has three phases: `event_handlers` applies the events, `plan` sets the intents of each
-//! request that may have changed (`plan_queue`), and `emit` turns the intents into actions. Each
-//! rule has its own module. `admission`, `candidates`, `prefill_placement`, `decode_placement`,
-//! `retry`, `health_check` and `delivery_tracking` decide with the whole `state`. The state of one
-//! engine consists of `concurrency_limit`, `outlier_detection`, `prefix_cache`, `load_report` and
-//! `slow_start`.
+//! A step has three phases. `event_handlers` applies the events. `plan` sets the intents of each
+//! request whose situation may have changed; `plan_queue` tracks these requests. `emit` turns the
+//! intents into actions. Each rule has its own module. `admission`, `candidates`,
+//! `prefill_placement`, `decode_placement`, `retry`, `health_check` and `delivery_tracking` read
+//! the whole `state`. `concurrency_limit`, `outlier_detection`, `prefix_cache`, `load_report` and
+//! `slow_start` each hold a part of the state of one engine.
 
 mod admission;
 mod candidates;
@@ -52,8 +52,8 @@
 }
 
 impl Control {
-    /// Creates a dispatcher that knows no engine yet. `seed` initialises the random draws that
-    /// break ties between engines.
+    /// Creates the decision logic of a dispatcher that knows no engine yet. `seed` initialises the
+    /// random draws that break ties between engines.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Control {
             state: State::new(settings, seed),
@@ -61,16 +61,16 @@
         }
     }
 
-    /// From this call on, a decode attempt counts as delivered only once [`Event::Delivered`], its
-    /// first token or its end shows it. Without this call an attempt counts as delivered when it is
-    /// sent.
+    /// Enables delivery tracking: from now on a decode attempt counts as delivered only after
+    /// [`Event::Delivered`], its first token or its end. Without this call an attempt counts as
+    /// delivered when it is sent.
     pub fn track_deliveries(&mut self) {
         self.state.tracks_deliveries = true;
     }
 
     /// Applies the events at the instant `now`, in milliseconds on the driver's clock, and appends
-    /// the resulting actions to `actions`. If `now` is earlier than the instant of the last call,
-    /// the latter is used.
+    /// the resulting actions to `actions`. If `now` is earlier than in the last call, the value of
+    /// the last call is used.
     pub fn step(&mut self, now: Ms, events: &[Event], actions: &mut Vec<Action>) {
         let state = &mut self.state;
         state.now = state.now.max(now);
@@ -96,19 +96,20 @@
         let Some(mut request) = state.requests.remove(&id) else {
             return;
         };
-        state.queue.remove_from_count(&request);
+        state.queue.remove_from_prefill_count(&request);
         state.plan(&mut request);
         self.plan_count += 1;
         state.emit(id, &mut request, actions);
         state.queue.reschedule(id, &request, state.now);
-        state.queue.add_to_count(&request);
+        state.queue.add_to_prefill_count(&request);
         if !request.finished || request.attempt.is_some() {
             state.requests.insert(id, request);
         }
     }
 
-    /// Schedules every request that is not held for planning at the next step, as a policy without
-    /// a plan queue would. The actions stay the same; tests compare them.
+    /// Schedules every request for planning at the next step, except held requests whose hold has
+    /// not ended. Tests compare the resulting actions with those of a step without this call; they
+    /// must be the same.
     pub fn wake_all(&mut self) {
         let state = &mut self.state;
         let now = state.now;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// How often requests have been planned so far, all requests counted together.
+    /// The number of times that any request has been planned since creation.
     pub fn plan_count(&self) -> u64 {
         self.plan_count
     }
--- a/src/control/outlier_detection.rs
+++ b/src/control/outlier_detection.rs
@@ -1,11 +1,11 @@
-//! Engines that get no attempts for a while: engines that fail more often than their peers
-//! (ejection), and engines that rejected an attempt as overloaded (backoff).
+//! Detects engines that should get no attempts for a while: those that fail more often than their
+//! peers (ejection), and those that rejected an attempt as overloaded (backoff).
 
 use crate::interface::Ms;
 
-/// Number of recent outcomes that count.
+/// Number of recent outcomes that are kept per engine.
 const MAX_OUTCOMES: u32 = 8;
-/// An engine with fewer outcomes than this is not ejected, as they prove too little.
+/// An engine with fewer recent outcomes than this is not ejected, because so few prove nothing.
 const MIN_OUTCOMES: u32 = 3;
 /// An engine is ejected if its success fraction is below this fraction of its peers' mean.
 const EJECT_BELOW_PEERS_FRACTION: f64 = 0.5;
@@ -55,8 +55,8 @@
     }
 
     /// Whether the engine fails far more often than its peers, whose mean success fraction is
-    /// `peers_success`. The comparison with peers prevents a failure of the whole fleet from
-    /// ejecting every engine.
+    /// `peers_success`. Because of the comparison with peers, a failure of the whole fleet does not
+    /// eject every engine.
     pub(super) fn is_ejected(&self, peers_success: f64) -> bool {
         self.bits.ilog2() >= MIN_OUTCOMES
             && self.success_fraction() < EJECT_BELOW_PEERS_FRACTION * peers_success
@@ -67,15 +67,16 @@
         now >= self.next_trial_at
     }
 
-    /// Records that an attempt was sent; the next trial is due after `interval_ms`.
+    /// Records that an attempt was sent. If the engine is ejected, its next trial is due after
+    /// `interval_ms`.
     pub(super) fn record_attempt(&mut self, now: Ms, interval_ms: Ms) {
         self.next_trial_at = now + interval_ms;
     }
 }
 
-/// Backoff after rejections. Guards against an engine that rejects everything and therefore always
-/// appears to have capacity. Each rejection in a row doubles the time for which the engine gets no
-/// attempts.
+/// Backoff after rejections: each rejection in a row doubles the time for which the engine gets no
+/// attempts. Guards against an engine that rejects every attempt and therefore always appears to
+/// have capacity.
 pub(super) struct OverloadBackoff {
     until: Ms,
     rejections: i32,
@@ -99,13 +100,12 @@
         self.rejections = (self.rejections + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// Records that an attempt succeeded; the next rejection starts with the shortest backoff
-    /// again.
+    /// Records that an attempt succeeded: the next rejection causes the shortest backoff again.
     pub(super) fn record_success(&mut self) {
         self.rejections = 0;
     }
 
-    /// Excludes the engine until an instant, whatever it has answered.
+    /// Excludes the engine until `until`, in place of any backoff from rejections.
     pub(super) fn exclude_until(&mut self, until: Ms) {
         self.until = until;
     }
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -1,4 +1,4 @@
-//! Decides the intents of a request from the state in this step.
+//! Decides the intents of a request in the current step.
 
 use super::engines::EngineIndex;
 use super::outlier_detection::RETRY_INTERVAL_FRACTION;
@@ -6,7 +6,7 @@
 use super::state::State;
 use crate::interface::{EndpointStatus, Ms};
 
-/// Attempts that a request needs if it starts with a prefill: one prefill and one decode.
+/// Attempts that a request without a KV state still needs: one prefill and one decode.
 const ATTEMPTS_FROM_PREFILL: u32 = 2;
 
 impl State {
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Plans a request whose client is gone or has its answer: cancels its attempt and releases its
-    /// KV state.
+    /// Plans a request whose client has disconnected or has got its answer: cancels the attempt in
+    /// flight and releases the KV state.
     fn plan_finished(&mut self, request: &mut Request) {
         request.intents.cancel = request
             .attempt
@@ -45,16 +45,16 @@
         }
     }
 
-    /// Whether the request may have run and must not run again, not even at the engine where it ran
-    /// first.
+    /// Whether the request may have run and must not run again at any engine, not even at the one
+    /// where it may have run.
     fn may_not_run_again(&self, request: &Request) -> bool {
         request
             .first_possible_run
             .is_some_and(|first| !self.may_run_on(request, first.engine))
     }
 
-    /// Lowers the engine's concurrency limit as soon as an attempt must have queued, without
-    /// waiting for its outcome: the engine may never answer.
+    /// Lowers the engine's concurrency limit once an attempt has taken so long that it must have
+    /// queued. It does not wait for the outcome, because the engine may never answer.
     fn record_if_queued(&mut self, request: &mut Request) {
         let queued_after_ms = request.queued_after_ms();
         let Some(attempt) = request.attempt.as_mut() else {
@@ -72,8 +72,8 @@
     /// Plans a request without an attempt in flight: starts the next attempt, gives the request up,
     /// or holds it.
     fn plan_next_attempt(&mut self, request: &mut Request) {
-        // A KV state whose prefill engine is gone is computed again. It is also released, in case
-        // the list of endpoints is wrong.
+        // A KV state whose prefill engine is gone is computed again. It is also released, because
+        // the list of endpoints may be wrong and the engine may still hold it.
         request.intents.release = request
             .kv_state
             .is_some_and(|index| self.engines[index].endpoint.status == EndpointStatus::Gone);
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Whether too few attempts are left, or the KV state has waited too long for a decode engine.
+    /// Whether too few attempts are left for the request to succeed, or its KV state has waited too
+    /// long for a decode engine.
     fn cannot_finish(
         &self,
         request: &Request,
@@ -114,9 +115,9 @@
         }
     }
 
-    /// Holds the request until an engine is available. Guards against a backlog of held requests
-    /// that takes all the processor's time: once load reports are no longer awaited, held requests
-    /// are not planned at every step.
+    /// Holds the request until an engine is available. Once load reports are no longer awaited, a
+    /// held request is planned only at intervals. If every held request were planned at every step,
+    /// a large number of them would take all the processor's time.
     fn hold(&mut self, request: &mut Request, retry_interval_ms: Ms) {
         let retry_at = self.now + retry_interval_ms;
         if request.kv_state.is_none() && self.now >= self.report_wait_ends_at(request) {
--- a/src/control/plan_queue.rs
+++ b/src/control/plan_queue.rs
@@ -1,11 +1,11 @@
-//! Tracks which requests a step has to plan.
+//! Tracks which requests have to be planned at the next step.
 
 use super::requests::Request;
 use crate::interface::{Ms, RequestId};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An instant with a total order.
+/// An instant that can be a key of an ordered set, which `f64` cannot.
 #[derive(Clone, Copy, PartialEq)]
 struct DueAt(Ms);
 
@@ -25,15 +25,16 @@
 
 /// The requests to plan and when they are due. New requests, requests that wait for load reports
 /// and requests whose KV state waits for a decode engine are planned at every step. A held request,
-/// or one whose attempt is in flight, is planned after an event of its own or when it is due. A
-/// request that is decoding or finished is planned only after an event. The cost of a step
+/// or one with an attempt in flight, is planned after an event that concerns it or when it is due.
+/// A request that is decoding or finished is planned only after such an event. The cost of a step
 /// therefore depends on the number of events, not on the number of open requests.
 #[derive(Default)]
 pub(super) struct PlanQueue {
     awake: BTreeSet<RequestId>,
     due: BTreeSet<(DueAt, RequestId)>,
     due_by_request: BTreeMap<RequestId, DueAt>,
-    /// Number of requests whose prefill is in flight and has not queued so far.
+    /// Number of prefills in flight that have not yet taken so long that they must have waited in a
+    /// queue.
     unqueued_prefills: usize,
 }
 
@@ -43,7 +44,7 @@
         self.awake.insert(id);
     }
 
-    /// Wakes all requests that are due at `now`.
+    /// Schedules all requests that are due at `now` for planning at this step.
     pub(super) fn wake_due(&mut self, now: Ms) {
         let due = self.due.iter().take_while(|(due, _)| due.0 <= now);
         self.awake.extend(due.map(|(_, id)| *id));
@@ -62,17 +63,17 @@
         self.unqueued_prefills
     }
 
-    /// Takes a request that is about to change out of the count of unqueued prefills, until
-    /// [`PlanQueue::add_to_count`].
-    pub(super) fn remove_from_count(&mut self, request: &Request) {
+    /// Removes a request from the count of unqueued prefills. Callers do this before they change
+    /// the request, and call [`PlanQueue::add_to_prefill_count`] afterwards.
+    pub(super) fn remove_from_prefill_count(&mut self, request: &Request) {
         self.unqueued_prefills -= usize::from(request.is_prefilling_unqueued());
     }
 
-    pub(super) fn add_to_count(&mut self, request: &Request) {
+    pub(super) fn add_to_prefill_count(&mut self, request: &Request) {
         self.unqueued_prefills += usize::from(request.is_prefilling_unqueued());
     }
 
-    /// Sets when a request that was just planned is planned again.
+    /// Sets when a request that has just been planned is planned next.
     pub(super) fn reschedule(&mut self, id: RequestId, request: &Request, now: Ms) {
         if let Some(due) = self.due_by_request.remove(&id) {
             self.due.remove(&(due, id));
@@ -92,17 +93,17 @@
     request.attempt.is_none() && request.held_until > now
 }
 
-/// When a request has to be planned without an event; `None` if never, or if it is planned at every
-/// step.
+/// When a request has to be planned even if no event concerns it; `None` if never, or if it is
+/// planned at every step anyway.
 fn next_due_at(request: &Request, held: bool, now: Ms) -> Option<Ms> {
-    let waiting = request.attempt.as_ref().filter(|attempt| !attempt.decoding);
-    let confirm_at = waiting
+    let not_decoding = request.attempt.as_ref().filter(|attempt| !attempt.decoding);
+    let confirm_at = not_decoding
         .and_then(|attempt| attempt.delivery.next_at())
         .unwrap_or(f64::INFINITY);
     if request.finished {
         return Some(confirm_at).filter(|at| *at != f64::INFINITY);
     }
-    match waiting.map(|attempt| attempt.sent_at + request.queued_after_ms()) {
+    match not_decoding.map(|attempt| attempt.sent_at + request.queued_after_ms()) {
         Some(queued_at) if now < queued_at => {
             Some(queued_at.min(request.answer_by).min(confirm_at))
         }
--- a/src/control/prefill_placement.rs
+++ b/src/control/prefill_placement.rs
@@ -1,5 +1,5 @@
 //! Chooses the prefill engine that computes a prompt: the home engine of its prefix, unless too
-//! many tokens wait there.
+//! many prompt tokens wait at that engine.
 
 use super::engines::EngineIndex;
 use super::health_check::REPORT_WAIT_OBJECTIVES;
@@ -9,29 +9,30 @@
 use super::state::State;
 use crate::interface::Ms;
 
-/// A backlog is excessive if it is more than this many times the mean backlog. A home engine with
-/// an excessive backlog passes prefills on to other engines.
+/// A backlog is excessive if it exceeds this multiple of the mean backlog. Prefills avoid a home
+/// engine with an excessive backlog.
 const EXCESSIVE_BACKLOG_MULTIPLE: f64 = 2.0;
-/// Prefill engines together have spare capacity while the prefills in flight are fewer than this
-/// fraction of the sum of their limits.
+/// The prefill engines have spare capacity while their prefills in flight are fewer than this
+/// fraction of the sum of their concurrency limits.
 const SPARE_CAPACITY_FRACTION: f64 = 0.5;
-/// Number of home engines whose load is requested before a prefill: the first home engine and the
-/// session's next one.
+/// Number of home engines whose load must be known before a prefill: the first one, and the one
+/// that the session tries next.
 const HOME_ENGINES_CHECKED: usize = 2;
 
-/// The backlogs of prefill engines as the choice for one request sees them. A backlog is the number
-/// of prompt tokens that wait at an engine, divided by its capacity fraction.
-struct Backlog<'a> {
+/// Computes the backlogs of prefill engines for the placement of one request. A backlog is the
+/// estimated number of prompt tokens that wait at an engine, divided by the engine's capacity
+/// fraction.
+struct Backlogs<'a> {
     state: &'a State,
-    /// Ratio of all dispatchers' waiting tokens to those of this dispatcher, as estimated: the
-    /// number of dispatchers, but at most the number of own prefills in flight.
+    /// Estimated ratio of the waiting tokens of all dispatchers to those of this dispatcher: the
+    /// number of dispatchers, but at most the number of this dispatcher's prefills in flight.
     own_tokens_factor: f64,
     mean_reported: f64,
     /// A backlog above this many tokens is excessive.
     limit_tokens: f64,
 }
 
-impl<'a> Backlog<'a> {
+impl<'a> Backlogs<'a> {
     fn new(
         state: &'a State,
         request: &Request,
@@ -39,12 +40,12 @@
         home: EngineIndex,
     ) -> Self {
         let engines = &state.engines;
-        // The report of the home engine is excluded from the mean: if few reports are known, it
-        // would hide the home engine's queue.
+        // The home engine's own report is excluded from the mean. If few reports are known, it
+        // would raise the mean so much that the home engine's queue would not seem long.
         let mean_reported =
             engines.mean_report(Stage::Prefill, |report| report.waiting_tokens, Some(home));
         let own_prefills = engines.iter().map(|engine| engine.prefills).sum::<f64>();
-        let mut backlog = Backlog {
+        let mut backlogs = Backlogs {
             state,
             own_tokens_factor: engines.dispatchers().min(own_prefills),
             mean_reported,
@@ -53,11 +54,11 @@
         let others = candidates
             .iter()
             .filter(|&&engine| engine != home)
-            .map(|&engine| backlog.tokens(engine))
+            .map(|&engine| backlogs.tokens(engine))
             .sum::<f64>();
         let mean = (others + request.arrival.prompt_tokens) / candidates.len() as f64;
-        backlog.limit_tokens = EXCESSIVE_BACKLOG_MULTIPLE * mean;
-        backlog
+        backlogs.limit_tokens = EXCESSIVE_BACKLOG_MULTIPLE * mean;
+        backlogs
     }
 
     fn tokens(&self, engine: EngineIndex) -> f64 {
@@ -79,8 +80,8 @@
 }
 
 impl State {
-    /// Whether a prefill has to wait for the load reports of the home engine and the session's next
-    /// one. Requests these reports if they are missing.
+    /// Whether a prefill has to wait for load reports of the first home engine and the one that the
+    /// session tries next. Requests the missing reports.
     pub(super) fn awaits_home_reports(&mut self, request: &Request) -> bool {
         let until = self.report_wait_ends_at(request);
         let candidates = self.candidates(request, Stage::Prefill);
@@ -99,23 +100,24 @@
 
     /// The engine that computes the prompt; `None` if the request is held.
     ///
-    /// Guards against scattered prefills, which cost more at other engines and evict what is cached
-    /// there until every engine queues. A prefill leaves a home engine with an excessive backlog or
-    /// without capacity only while the prefill engines together have spare capacity, or for an
-    /// engine that has most of the prompt cached. Otherwise it is held for its home engine.
+    /// A home engine with an excessive backlog or without capacity is avoided in two cases only:
+    /// while the prefill engines together have spare capacity, or if another engine has most of the
+    /// prompt cached. Otherwise the request is held for its home engine. Guards against scattered
+    /// prefills: at other engines they have to compute more tokens and evict cached prefixes, until
+    /// every engine queues.
     pub(super) fn choose_prefill_engine(&self, request: &Request) -> Option<EngineIndex> {
         let candidates = self.candidates(request, Stage::Prefill);
         let homes = home_engines(&request.arrival, &candidates, &self.engines);
         let home = *homes.first()?;
-        let backlog = Backlog::new(self, request, &candidates, home);
-        if !backlog.is_excessive(home) && self.engines[home].has_capacity() {
+        let backlogs = Backlogs::new(self, request, &candidates, home);
+        if !backlogs.is_excessive(home) && self.engines[home].has_capacity() {
             return Some(home);
         }
         let has_spare_capacity = self.has_spare_capacity(&candidates);
         let can_take_over = |engine: EngineIndex| {
             let candidate = &self.engines[engine];
             (has_spare_capacity || candidate.prefix_cache.has_most_cached(&request.arrival))
-                && !backlog.is_excessive(engine)
+                && !backlogs.is_excessive(engine)
                 && candidate.has_capacity()
         };
         homes[1..]
--- a/src/control/prefix_cache.rs
+++ b/src/control/prefix_cache.rs
@@ -1,15 +1,17 @@
-//! Estimates which prompts a prefill engine has cached, from the prefills that have ended there.
+//! Estimates which prompts a prefill engine has cached, from this dispatcher's prefills that ended
+//! there.
 
 use crate::interface::Arrival;
 use std::collections::VecDeque;
 
-/// Number of shared prefixes and sessions remembered per engine; the oldest is dropped first.
+/// Maximum number of shared prefixes and sessions remembered per engine; the least recently
+/// prefilled one is dropped first.
 const MAX_PREFIXES: usize = 64;
-/// A prompt counts as cached if less than this fraction of it has to be computed.
+/// Most of a prompt is cached if the engine has to compute less than this fraction of its tokens.
 const MAX_UNCACHED_FRACTION: f64 = 0.5;
 
-/// Ids of shared prefixes and sessions, each with the number of its tokens that are cached, oldest
-/// first.
+/// Ids of shared prefixes and sessions, each with its number of cached tokens; the least recently
+/// prefilled one is first.
 #[derive(Default)]
 pub(super) struct PrefixCache {
     prefixes: VecDeque<(u64, f64)>,
--- a/src/control/request_classes.rs
+++ b/src/control/request_classes.rs
@@ -1,4 +1,4 @@
-//! The settings of request classes, prepared for the decisions.
+//! The settings of request classes in the units that the decision logic uses.
 
 use crate::interface::{Arrival, Ms, RequestClassId, RequestClassSettings, RetrySafety};
 
@@ -52,19 +52,20 @@
         self.classes.get(id.0 as usize)
     }
 
-    /// The class of an accepted request, which is always a known one.
+    /// The class of an accepted request. Panics if the class is unknown; requests of unknown
+    /// classes are not accepted.
     pub(super) fn class_of(&self, arrival: &Arrival) -> &RequestClass {
         &self.classes[arrival.request_class.0 as usize]
     }
 
-    /// The shortest latency objective of all classes for an empty prompt. Waits for load reports
-    /// and the age of information about engines are measured in multiples of it.
+    /// The shortest latency objective of all classes for an empty prompt. How long load reports are
+    /// awaited and remain valid is set in multiples of it.
     pub(super) fn shortest_latency_objective(&self) -> Ms {
         self.shortest_latency_objective
     }
 
-    /// The shortest latency objective of all classes for a prompt of this length. Queueing is
-    /// measured in fractions of it, whatever the class of the request is.
+    /// The shortest latency objective of all classes for a prompt of this length. An attempt that
+    /// takes longer than a fraction of it must have queued, whatever the class of its request.
     pub(super) fn queueing_unit(&self, arrival: &Arrival) -> Ms {
         self.shortest_latency_objective + self.max_per_token * arrival.prompt_tokens
     }
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -5,8 +5,8 @@
 use super::stage::Stage;
 use crate::interface::{Arrival, AttemptId, Ms};
 
-/// An attempt whose prefill or first token takes more than this fraction of the queueing unit has
-/// queued.
+/// An attempt whose prefill or first token takes longer than this fraction of the queueing unit
+/// must have waited in the engine's queue.
 const QUEUED_FRACTION: f64 = 0.3;
 
 /// An attempt in flight.
@@ -17,9 +17,10 @@
     /// Whether the first token was received.
     pub(super) decoding: bool,
     pub(super) cancelled: bool,
-    /// Whether the attempt has taken so long that it must have queued.
+    /// Whether the attempt has taken so long that it must have waited in the engine's queue.
     pub(super) has_queued: bool,
-    /// Prompt tokens that the engine has to compute, those that it has cached not counted.
+    /// Prompt tokens that the engine has to compute, without those that it has cached; 0 for a
+    /// decode.
     pub(super) uncached_tokens: f64,
     pub(super) sent_at: Ms,
     pub(super) delivery: Delivery,
@@ -32,7 +33,7 @@
     pub(super) sent_at: Ms,
 }
 
-/// The next step that is planned for a request.
+/// How a request proceeds: at most one of these is planned per step.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum Intent {
     #[default]
@@ -43,7 +44,8 @@
     Fail,
 }
 
-/// The intents of a step for one request; `plan` sets them and `emit` carries them out.
+/// What the current step intends to do for one request. `plan` sets the intents, and `emit` turns
+/// them into actions.
 #[derive(Default)]
 pub(super) struct Intents {
     pub(super) next: Intent,
@@ -59,24 +61,27 @@
 
 pub(super) struct Request {
     pub(super) arrival: Arrival,
-    /// The latest start of the prefill with which the answer still meets the latency objective.
+    /// The latest start of the prefill with which the first token still meets the latency
+    /// objective.
     pub(super) prefill_start_by: Ms,
     /// The latest instant at which the dispatcher sends its own final answer.
     pub(super) answer_by: Ms,
-    /// The shortest latency objective of all classes for this prompt; queueing is measured in
-    /// fractions of it.
+    /// The shortest latency objective that any class has for this prompt. The duration after which
+    /// an attempt must have queued is a fraction of it.
     pub(super) queueing_unit: Ms,
     /// Attempts started so far.
     pub(super) attempts: u32,
     pub(super) attempt: Option<Attempt>,
     /// The prefill engine that holds the KV state.
     pub(super) kv_state: Option<EngineIndex>,
-    /// The instant since which no attempt claims the KV state; the KV state timeout counts from it.
-    /// Before the first attempt it is the arrival.
+    /// When the KV state was last left without an attempt that takes it over; the KV state timeout
+    /// starts then. Before the end of the first attempt it is the arrival of the request.
     pub(super) unclaimed_since: Ms,
-    /// Until when a held request without an attempt is not planned again.
+    /// A held request without an attempt is planned again at this instant, unless an event or a
+    /// deadline requires it earlier.
     pub(super) held_until: Ms,
-    /// Engines that rejected or failed this request since its last prefill.
+    /// Engines that rejected or failed this request since its last successful prefill. They are
+    /// chosen again only if no other engine is left.
     pub(super) excluded_engines: Vec<EngineIndex>,
     pub(super) first_possible_run: Option<PossibleRun>,
     /// Whether the client is gone or the final answer was sent.
@@ -86,8 +91,8 @@
 }
 
 impl Request {
-    /// Whether a prefill is in flight and has not queued so far. Such a request will need a decode
-    /// engine soon.
+    /// Whether a prefill is in flight and has not yet taken so long that it must have queued. Such
+    /// a request will need a decode engine soon.
     pub(super) fn is_prefilling_unqueued(&self) -> bool {
         self.attempt
             .as_ref()
@@ -100,7 +105,8 @@
             .is_some_and(|attempt| attempt.decoding)
     }
 
-    /// Milliseconds after which an attempt must have queued.
+    /// An attempt that is unanswered for longer than this, in milliseconds, must have waited in the
+    /// engine's queue.
     pub(super) fn queued_after_ms(&self) -> Ms {
         QUEUED_FRACTION * self.queueing_unit
     }
--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -1,12 +1,12 @@
-//! Decides whether a request may run again, at which engines and until when.
+//! Decides whether a request may run again, at which engines, and for how long after the first run.
 
 use super::engines::{EngineIndex, Engines};
 use super::requests::{Attempt, PossibleRun};
 use crate::interface::{IdempotencyScope, Ms, Outcome, RetrySafety};
 
-/// Whether an attempt that ended with this outcome may have run. Only a decode has an effect,
-/// unless it never reached its engine or was rejected. A success has certainly run, but returns
-/// false because no further attempt follows it.
+/// Whether an attempt that ended with this outcome may have run and had an effect. A pure prefill
+/// has no effect; neither has an attempt that was rejected or never reached its engine. Returns
+/// `false` for a success as well, because no further attempt follows it.
 pub(super) fn may_have_run(attempt: &Attempt, outcome: Outcome, engines: &Engines) -> bool {
     let never_ran = engines.is_prefill_only(attempt.stage, attempt.engine)
         || matches!(
@@ -16,8 +16,7 @@
     !never_ran && outcome != Outcome::Succeeded
 }
 
-/// Whether it is harmless that the client sends the request again, at any time and through any
-/// dispatcher.
+/// Whether the client may safely send the request again, at any time and through any dispatcher.
 pub(super) fn is_safe_for_client(retry_safety: RetrySafety, may_have_run: bool) -> bool {
     match retry_safety {
         RetrySafety::Idempotent => true,
@@ -28,9 +27,9 @@
     }
 }
 
-/// Whether a request may be sent to an engine now. Guards against a request that takes effect
-/// twice: after a possible first run, only engines that recognise the repeat may get it, and only
-/// while they remember the first run.
+/// Whether a request may be sent to an engine now without the risk that it takes effect twice.
+/// After a possible first run, only engines that recognise the repeat may get it, and only while
+/// they remember the first run.
 pub(super) fn may_run_on(
     engine: EngineIndex,
     retry_safety: RetrySafety,
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -1,8 +1,8 @@
-//! Slow start: how many attempts a cold engine may get while it warms up, and how much its capacity
-//! counts.
+//! Slow start: limits the attempts at a cold engine while it warms up, and estimates its capacity.
 //!
 //! A cold engine collapses when it gets more than a multiple of its capacity within the overload
-//! window. A dispatcher does not see what the others send, so each dispatcher limits its own part.
+//! window. A dispatcher does not see the attempts of the others, so each dispatcher limits its own
+//! part.
 
 use super::decaying_rate::DecayingRate;
 use super::stage::Stage;
@@ -10,17 +10,18 @@
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Fraction of the budget that is used. The rest covers what one dispatcher cannot see.
+/// Fraction of a cold engine's budget that is used. The rest is a margin for traffic that one
+/// dispatcher cannot see.
 const BUDGET_USED_FRACTION: f64 = 0.8;
-/// The demand for a popular engine, in multiples of the mean demand.
+/// Assumed demand for a popular engine, in multiples of the mean demand per engine.
 const POPULAR_ENGINE_MULTIPLE: f64 = 4.0;
-/// The golden ratio as a fraction of 2^64. Any number of its multiples is evenly distributed (Weyl
-/// sequence).
+/// The golden ratio as a fraction of 2^64. Its first n multiples, modulo 2^64, are evenly
+/// distributed for every n (Weyl sequence).
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The start time of one engine and the recent attempts of this dispatcher there.
+/// The start time of an engine and this dispatcher's recent attempts at that engine.
 pub(super) struct SlowStart {
-    /// Start of the engine's process; minus infinity if it has run for long.
+    /// When the engine's process started; minus infinity if the start was long ago.
     started_at: Ms,
     /// When attempts were sent to the engine within the overload window, oldest first.
     attempts: VecDeque<Ms>,
@@ -63,10 +64,11 @@
     /// engine may get from this dispatcher within the overload window. Every attempt counts,
     /// including rejected ones.
     ///
-    /// Guards against budgets that are each small and together too large, which shows as a cold
-    /// engine that collapses. Each dispatcher rounds its budget to a whole number, which stays the
-    /// same while the engine is cold and no more requests arrive. The dispatcher's number decides
-    /// whether it rounds up. The number of dispatchers that round up is the sum of the fractions.
+    /// Guards against the collapse of a cold engine because many dispatchers round a small budget
+    /// up and their sum is too large. Each dispatcher rounds its budget to a whole number, which
+    /// stays the same while the engine is cold and no more requests arrive. A dispatcher rounds up
+    /// or down depending on its number, such that the number of dispatchers that round up is the
+    /// sum of the fractional parts of all budgets.
     pub(super) fn has_budget(
         &self,
         engine: &EngineId,
@@ -92,16 +94,16 @@
     }
 }
 
-/// This dispatcher's traffic, from which the budget of cold engines follows. Each dispatcher scales
-/// the budget by its own traffic. However the traffic is spread, all dispatchers together therefore
-/// stay within what an engine can take.
+/// This dispatcher's traffic, from which it derives its budget for cold engines. The budget of each
+/// dispatcher is proportional to its own traffic. The sum of all budgets therefore stays within the
+/// capacity of an engine, however the traffic is distributed.
 #[derive(Default)]
 pub(super) struct SlowStartBudget {
-    /// Own prefills finished by one warm engine.
+    /// Rate of this dispatcher's finished prefills per warm engine.
     prefill_rate: DecayingRate,
-    /// Own decodes started by one warm engine.
+    /// Rate of this dispatcher's started decodes per warm engine.
     decode_rate: DecayingRate,
-    /// Requests that arrive at this dispatcher.
+    /// Rate of requests that arrive at this dispatcher.
     arrival_rate: DecayingRate,
     /// When requests arrived within the overload window, oldest first.
     arrivals: VecDeque<Ms>,
@@ -111,12 +113,17 @@
     pub(super) fn record_arrival(&mut self, now: Ms, settings: &Settings) {
         self.arrival_rate
             .record(1.0, now, settings.slow_start_window);
-        let oldest = now - settings.overload_window;
+        let window_start = now - settings.overload_window;
         self.arrivals.push_back(now);
-        while self.arrivals.pop_front_if(|at| *at <= oldest).is_some() {}
+        while self
+            .arrivals
+            .pop_front_if(|at| *at <= window_start)
+            .is_some()
+        {}
     }
 
-    /// Records that one of `warm_engines` warm engines has finished a prefill or started a decode.
+    /// Records that one of `warm_engines` warm engines has finished a prefill or started a decode
+    /// of this dispatcher.
     pub(super) fn record_service(
         &mut self,
         stage: Stage,
@@ -135,11 +142,11 @@
     /// The mean number of attempts that a cold engine may get from this dispatcher within the
     /// overload window.
     ///
-    /// Guards against overloading a cold engine, which shows as its collapse. Warm engines show
-    /// what an engine can take: own prefills finished and own decodes started there, including
-    /// those before all engines restarted. A cold engine gets that rate, scaled by the cold
-    /// capacity and the overload multiple, less a margin. If no warm engine was ever seen, the
-    /// arrivals are divided among the engines.
+    /// Guards against overloading a cold engine, which would collapse. The budget starts from the
+    /// rate at which a warm engine finishes prefills or starts decodes of this dispatcher; the rate
+    /// includes work done before all engines restarted. This rate is scaled by the cold capacity
+    /// and the overload multiple, less a margin. If no warm engine was ever seen, the arrival rate
+    /// divided by the number of engines is used instead.
     fn mean_budget(&self, stage: Stage, engines: usize, settings: &Settings) -> f64 {
         let service_rate = match stage {
             Stage::Prefill => self.prefill_rate.per_ms(),
@@ -159,10 +166,11 @@
     /// Attempts that one cold engine may get from this dispatcher within the overload window; may
     /// be fractional.
     ///
-    /// A dispatcher with a small part of the traffic usually has no request to send, so it may send
-    /// more when it has one: the demand for an engine rarely exceeds a multiple of the mean. Guards
-    /// against a surge while most engines are cold, which shows as a collapse of the few engines
-    /// with budget left. Recent arrivals show how many attempts each of those engines would get.
+    /// A dispatcher with little traffic has no request to send in most windows, so it may exceed
+    /// the mean budget in a window in which it has one. The demand for an engine rarely exceeds a
+    /// multiple of the mean. Guards against a surge of requests while most engines are cold: the
+    /// few engines with budget left would get all of them and collapse. The number of recent
+    /// arrivals shows how many attempts each of these engines would get.
     pub(super) fn attempts_per_cold_engine(
         &self,
         stage: Stage,
@@ -172,17 +180,18 @@
         settings: &Settings,
     ) -> f64 {
         let budget = self.mean_budget(stage, warm + cold, settings);
-        // If an engine is needed `demand` times per window on average, this dispatcher needs it at
-        // least once with the probability 1 - exp(-demand). When it does, it may send budget /
-        // probability: with a budget of 0.1 and a demand of 0.4 that is 0.1 / 0.33 = 0.3 attempts,
-        // and the mean stays 0.1.
+        // If this dispatcher needs an engine `demand` times per window on average, it needs the
+        // engine at least once in a window with the probability 1 - exp(-demand). In such a window
+        // it may send budget / probability attempts: with a budget of 0.1 and a demand of 0.4 that
+        // is 0.1 / 0.33 = 0.3 attempts, and the mean over all windows stays 0.1.
         let budget_at_demand = |demand: f64| budget / (1.0 - (-demand.max(f64::EPSILON)).exp());
         let expected_demand = POPULAR_ENGINE_MULTIPLE * budget;
-        // Engines that can get an attempt from this dispatcher in this window: all warm engines,
-        // and each cold engine with the probability that the budget allows an attempt.
+        // Expected number of engines to which this dispatcher may send an attempt in this window:
+        // all warm engines, and each cold engine with the probability that its budget allows an
+        // attempt.
         let available_engines =
             warm as f64 + cold as f64 * budget_at_demand(expected_demand).min(1.0);
-        // The request to be placed is itself among the arrivals and is not counted.
+        // The newest arrival is the request that is being placed, so it is not counted.
         let window_start = now - settings.overload_window;
         let others = self
             .arrivals
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -13,8 +13,8 @@
 use nanorand::WyRand;
 use std::collections::BTreeMap;
 
-/// Time constant with which a load report ages towards the mean of the engine's peers, in multiples
-/// of the shortest latency objective.
+/// Time constant with which an old load report loses weight in favour of the mean of the engine's
+/// peers, in multiples of the shortest latency objective.
 const REPORT_DECAY_OBJECTIVES: f64 = 3.0;
 
 pub(super) struct State {
@@ -31,9 +31,9 @@
     pub(super) slow_start: SlowStartBudget,
     /// The rate of each tenant's requests at this dispatcher, in the order of the tenants' ids.
     pub(super) tenant_rates: Vec<DecayingRate>,
-    /// Engines to which this step sends a health check at its end.
+    /// Engines that get a health check at the end of the current step.
     pub(super) health_checks: Vec<EngineIndex>,
-    /// The latest instant of the next step; `None` if no further step is needed.
+    /// The latest instant at which the next step has to run; `None` if only events require one.
     pub(super) wake_at: Option<Ms>,
     pub(super) timer: WakeTimer,
 }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Makes the next step come at `at` or earlier.
+    /// Requests that the next step runs at `at` or earlier.
     pub(super) fn wake_by(&mut self, at: Ms) {
         self.wake_at = Some(self.wake_at.map_or(at, |wake_at| wake_at.min(at)));
     }
@@ -81,13 +81,14 @@
             .capacity_fraction(self.now, &self.settings)
     }
 
-    /// The mean of the utilizations that the ready decode engines have reported.
+    /// The mean of the last reported utilizations of the ready decode engines.
     pub(super) fn mean_decode_utilization(&self) -> f64 {
         let utilization = |report: &LoadReport| report.utilization;
         self.engines.mean_report(Stage::Decode, utilization, None)
     }
 
-    /// Whether the plan queue counts the unqueued prefills correctly.
+    /// Whether the plan queue's count of unqueued prefills matches the requests; checked in debug
+    /// builds.
     pub(super) fn is_unqueued_prefill_count_correct(&self) -> bool {
         let prefills = self
             .requests
--- a/src/control/wake_timer.rs
+++ b/src/control/wake_timer.rs
@@ -1,4 +1,5 @@
-//! The timer that triggers the next step; only the last one set counts.
+//! The timer that triggers the next step. A timer that is replaced by a later call is ignored when
+//! it expires.
 
 use crate::interface::{Action, Ms, TimerId};
 
@@ -9,14 +10,15 @@
 }
 
 impl WakeTimer {
-    /// Records that a timer has fired; a timer other than the last one set is ignored.
+    /// Records that a timer has expired. Any timer other than the last one set is ignored.
     pub(super) fn record_fired(&mut self, timer: TimerId) {
         if timer.0 == self.last_id {
             self.armed_for = None;
         }
     }
 
-    /// Sets a timer for `wake_at`, unless one is set that fires no later.
+    /// Returns the action that sets a timer for `wake_at`; `None` if a timer is set that expires no
+    /// later.
     pub(super) fn arm(&mut self, wake_at: Ms, now: Ms) -> Option<Action> {
         if self.armed_for.is_some_and(|at| at <= wake_at && at > now) {
             return None;
