--- a/src/client_connection/http1.rs
+++ b/src/client_connection/http1.rs
@@ -1,6 +1,6 @@
-//! Decides about a client's connection that carries one request at a time. Such a connection is closed if no request
-//! comes, if a request arrives too slowly or if the connection is idle; when the maximum number of connections is
-//! reached, one of them is evicted.
+//! Decides when to close a client's connection that carries one request at a time: if no request arrives, if a request
+//! arrives too slowly, if the connection is idle, or to make room for another connection when their maximum number is
+//! reached.
 //!
 //! Like [`connection_pool`](crate::connection_pool), this module does no I/O and reads no clock. The instants that
 //! callers pass must not decrease.
@@ -20,22 +20,22 @@
     pub idle_timeout: Ms,
 }
 
-/// What a connection without an open request waits for, ordered by eviction: connections in the last phase are evicted
-/// first.
+/// What a connection without an open request waits for. The variants are in the order of eviction: a connection in a
+/// later variant is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// Part of a request was received.
+    /// A request was received in part; the rest is awaited.
     ReadingRequest,
-    /// The last request was answered, and the next has not begun.
+    /// The last request was answered, and no byte of the next was received yet.
     Idle,
-    /// No byte was received yet.
+    /// No byte was received since the connection was accepted.
     New,
 }
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// No request came in time. A request that arrives before the close is still answered.
+    /// No request arrived in time. A request that arrives before the connection is closed is still answered.
     Idle,
     /// A request did not arrive in full in time.
     SlowRequest,
@@ -44,18 +44,18 @@
 /// The state of one client's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Http1Connection {
-    /// `None` while a request is open.
+    /// `None` while a request is open: received in full and not yet answered.
     phase: Option<Phase>,
-    /// When the connection entered its phase, or when the open request had arrived in full.
+    /// When the current phase began; while a request is open, when that request was received in full.
     phase_since: Ms,
     /// When the connection was accepted; `None` once its first request has arrived in full.
     accepted_at: Option<Ms>,
-    /// Whether a reason to close the connection was already returned.
+    /// Whether the caller was already told to close the connection.
     close_requested: bool,
 }
 
 impl Http1Connection {
-    /// A connection that was accepted at `now`.
+    /// Creates the state of a connection that was accepted at `now`.
     pub fn new(now: Ms) -> Self {
         Http1Connection {
             phase: Some(Phase::New),
@@ -70,7 +70,7 @@
         (self.phase, self.phase_since) = (Some(Phase::ReadingRequest), now);
     }
 
-    /// Records that a request was received in full. Returns the milliseconds since its first part.
+    /// Records that a request was received in full. Returns the milliseconds since its first part was received.
     pub fn request_received(&mut self, now: Ms) -> Ms {
         let read_time = if self.phase == Some(Phase::ReadingRequest) {
             now - self.phase_since
@@ -104,21 +104,21 @@
         let close = match self.phase? {
             Phase::New => (since + settings.first_byte_timeout, CloseReason::Idle),
             Phase::Idle => (since + settings.idle_timeout, CloseReason::Idle),
-            Phase::ReadingRequest => (self.request_due_at(settings), CloseReason::SlowRequest),
+            Phase::ReadingRequest => (self.request_deadline(settings), CloseReason::SlowRequest),
         };
         (!self.close_requested).then_some(close)
     }
 
-    /// Guards against a client that stops in the middle of a request: without a timeout the connection and the bytes
-    /// received so far would be held forever.
-    fn request_due_at(&self, settings: &Http1Settings) -> Ms {
+    /// When a request that is being received has to be complete. Guards against a client that stops in the middle of a
+    /// request: without a timeout the connection and the bytes received so far would be held forever.
+    fn request_deadline(&self, settings: &Http1Settings) -> Ms {
         let first_request_by = self.accepted_at.map_or(f64::INFINITY, |accepted| {
             accepted + settings.first_request_timeout
         });
         (self.phase_since + settings.request_read_timeout).min(first_request_by)
     }
 
-    /// Marks the connection as evicted. Returns the reason to close it with.
+    /// Marks the connection as one that is closed to make room for another one. Returns the reason to close it with.
     pub fn evict(&mut self) -> CloseReason {
         self.close_requested = true;
         if self.phase == Some(Phase::ReadingRequest) {
@@ -129,10 +129,11 @@
     }
 }
 
-/// Chooses the connection that is closed to make room for another: one that has sent nothing yet, else an idle one,
-/// else one whose request arrives slowly. Among equals the one that has waited longest is chosen. A connection with an
-/// open request is never chosen. Guards against clients that open hundreds of connections and send nothing: clients
-/// that send requests still get a connection.
+/// Chooses the connection that is closed to make room for another one: one that has sent nothing yet, else an idle one,
+/// else one with a partly received request. Among equals, the one that has been in this state longest is chosen.
+/// Returns `None` if every connection has an open request or is already being closed. A connection with an open request
+/// is never chosen. Guards against clients that open hundreds of connections and send nothing: other clients can still
+/// connect.
 pub fn connection_to_evict<I>(
     connections: impl Iterator<Item = (I, Http1Connection)>,
 ) -> Option<I> {
--- a/src/client_connection/multiplexed.rs
+++ b/src/client_connection/multiplexed.rs
@@ -1,5 +1,5 @@
-//! Decides about a client's connection that carries many concurrent requests: when the client is pinged, and when the
-//! connection is closed because pings are not answered or too many requests are cancelled.
+//! Decides when a client whose connection carries many concurrent requests is pinged, and when its connection is
+//! closed: if a ping is not answered, or if the client cancels too many requests.
 //!
 //! Like [`connection_pool`](crate::connection_pool), this module does no I/O and reads no clock. The instants that
 //! callers pass must not decrease.
@@ -13,18 +13,18 @@
     pub keepalive_interval: Ms,
     /// A client that sends nothing for this long after a ping is disconnected.
     pub ping_timeout: Ms,
-    /// Number of requests that a client may cancel at once; the size of the token bucket.
+    /// Number of requests that a client may cancel at once: the size of the token bucket. A value below 1 counts as 1.
     pub cancel_burst: f64,
     /// Number of cancellations per second by which the bucket refills.
     pub cancels_per_second: f64,
 }
 
-/// An instruction to the owner of a client's connection.
+/// What the owner of a client's connection has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientCommand {
-    /// Send a ping.
+    /// Send a ping to the client.
     Ping,
-    /// Close the connection.
+    /// Close the connection for the given reason.
     Close(CloseReason),
 }
 
@@ -43,14 +43,14 @@
     last_received_at: Ms,
     /// When the unanswered ping was sent; `None` if there is none.
     pinged_at: Option<Ms>,
-    /// Cancellations left in the bucket as of `bucket_at`; negative if too many were made.
+    /// Cancellations that the client may still make, as of `bucket_at`; negative once it has made too many.
     cancels_left: f64,
     bucket_at: Ms,
     exceeded_cancel_limit: bool,
 }
 
 impl MultiplexedConnection {
-    /// A connection that was accepted at `now`.
+    /// Creates the state of a connection that was accepted at `now`, with a full token bucket.
     pub fn new(settings: &MultiplexedSettings, now: Ms) -> Self {
         MultiplexedConnection {
             last_received_at: now,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Records that anything was received from the client.
+    /// Records that any bytes were received from the client; an unanswered ping counts as answered.
     pub fn received(&mut self, now: Ms) {
         (self.last_received_at, self.pinged_at) = (now, None);
     }
@@ -76,7 +76,7 @@
         self.exceeded_cancel_limit |= self.cancels_left < 0.0;
     }
 
-    /// The command that is due at `now`, if any. A returned ping counts as sent.
+    /// Returns the command that is due at `now`, if any. A returned ping is recorded as sent.
     pub fn due_command(
         &mut self,
         settings: &MultiplexedSettings,
@@ -92,7 +92,7 @@
         Some(command)
     }
 
-    /// When [`due_command`](Self::due_command) has to be called next if no event comes before.
+    /// When [`due_command`](Self::due_command) has to be called next, unless an event is recorded earlier.
     pub fn next_due_at(&self, settings: &MultiplexedSettings) -> Ms {
         self.next_command(settings).0
     }
--- a/src/connection_pool.rs
+++ b/src/connection_pool.rs
@@ -1,15 +1,16 @@
-//! Decides about the long-lived connections to one engine: which of them carries a new stream, how many there are, and
-//! when a connection is opened (also ahead of need), pinged or closed.
+//! Manages the long-lived connections to one engine: decides which of them carries a new stream, how many there are,
+//! and when a connection is opened (also ahead of need), pinged or closed.
 //!
-//! Callers create one [`ConnectionPool`] per engine, report what happens, call [`ConnectionPool::place`] for each
-//! stream, and carry out [`ConnectionPool::due_commands`] whenever [`ConnectionPool::next_due_at`] has come. The pool
-//! does no I/O and reads no clock. The instants that callers pass must not decrease. Random numbers come from the seed.
+//! Callers create one [`ConnectionPool`] per engine and report connects, streams, received bytes and closes to it. They
+//! call [`ConnectionPool::place`] for each new stream, and carry out [`ConnectionPool::due_commands`] at the instant of
+//! [`ConnectionPool::next_due_at`]. The pool does no I/O and reads no clock. The instants that callers pass must not
+//! decrease. Random numbers come from the seed.
 
 use crate::interface::Ms;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// A connection, numbered by the caller. A number is never used twice.
+/// The number that the caller gives a connection. The caller must not use a number twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
@@ -30,7 +31,7 @@
     pub ping_timeout: Ms,
     /// The backoff after a failed connect; it doubles with each further failure in a row.
     pub initial_backoff: Ms,
-    /// The upper limit of the doubled backoff, before jitter is applied.
+    /// The upper limit of the doubled backoff; jitter is applied afterwards and may exceed it.
     pub max_backoff: Ms,
 }
 
@@ -38,8 +39,8 @@
 /// of one connection's streams.
 const MIN_FREE_STREAMS_FRACTION: f64 = 0.2;
 
-/// A connection that has been idle for less than this fraction of the connect timeout is chosen last: an engine that
-/// closes each connection after its answer may not have closed this one yet.
+/// Among equally full connections, one that has been idle for less than this fraction of the connect timeout is chosen
+/// last: an engine that closes each connection after its answer may be about to close it.
 const SETTLE_TIME_FRACTION: f64 = 0.02;
 
 /// Lower limit of the random factor on the backoff; the upper limit is this plus 1.
@@ -48,12 +49,13 @@
 /// Failures beyond this many do not double the backoff further, which keeps the power of two finite.
 const MAX_BACKOFF_DOUBLINGS: u32 = 30;
 
-/// Where a new stream goes.
+/// Which connection carries a new stream, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// On this connection, which may still be connecting.
+    /// This connection carries the stream; it may still be connecting.
     Existing(ConnectionId),
-    /// On a new connection: open one and report it by [`ConnectionPool::connecting`].
+    /// No existing connection can carry the stream. The caller opens a new one for it and reports that by
+    /// [`ConnectionPool::connecting`].
     NewConnection,
     /// The stream cannot be opened now; nothing was sent.
     Unavailable(PlacementError),
@@ -68,14 +70,14 @@
     BackingOff,
 }
 
-/// An instruction to the owner of the pool.
+/// What the owner of the pool has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolCommand {
-    /// Open a further connection, ahead of need.
+    /// Open a further connection before a stream needs it.
     Connect,
-    /// Send a ping.
+    /// Send a ping over this connection.
     Ping(ConnectionId),
-    /// Close the connection.
+    /// Close this connection for the given reason.
     Close(ConnectionId, CloseReason),
 }
 
@@ -88,7 +90,7 @@
     Idle,
     /// A ping was not answered in time. The streams of the connection are lost, and their requests may have run.
     PingTimeout,
-    /// The engine announced that it closes the connection, and the last stream has ended.
+    /// The engine has announced that it will close the connection, and the last stream on it has ended.
     Drained,
 }
 
@@ -98,7 +100,7 @@
         since: Ms,
     },
     Up,
-    /// The engine has announced that it closes the connection: open streams continue, no new ones are opened.
+    /// The engine has announced that it will close the connection: open streams continue, no new ones are opened.
     Draining,
 }
 
@@ -121,7 +123,7 @@
     connections: BTreeMap<ConnectionId, Connection>,
     /// Number of connects that failed in a row.
     failures: u32,
-    /// The end of the backoff; no connect starts earlier.
+    /// When the backoff ends; no connect starts earlier.
     next_connect_at: Ms,
 }
 
@@ -137,13 +139,13 @@
         }
     }
 
-    /// Chooses where the next stream goes.
+    /// Chooses the connection for the next stream.
     ///
-    /// The fullest established connection with free streams is preferred, so that the others become idle and are
-    /// closed. Among equally full ones, the connection that became idle last is preferred, because the engine may be
-    /// about to close one that has been idle for long. A connection that became idle only just now comes last. Without
-    /// an established connection the stream goes to one that is connecting, else to a new connection if another is
-    /// allowed.
+    /// The established connection with the most open streams is preferred if it accepts another one, so that the others
+    /// become idle and are closed. Among equally full ones, the connection that became idle last is preferred, because
+    /// the engine may be about to close one that has been idle for long; a connection that became idle only just now
+    /// comes last. If no established connection accepts the stream, it goes to one that is connecting, else to a new
+    /// connection if another one is allowed.
     pub fn place(&self, now: Ms) -> Placement {
         let settled_since = now - SETTLE_TIME_FRACTION * self.settings.connect_timeout;
         let rank = |connection: &Connection| {
@@ -170,7 +172,8 @@
             None if self.is_at_max_connections() => {
                 Placement::Unavailable(PlacementError::PoolExhausted)
             }
-            // Guards against an engine that is down: otherwise each request for it would start another connect.
+            // Guards against an engine that is down: without the backoff, each request for this engine would start
+            // another connect.
             None if now < self.next_connect_at => {
                 Placement::Unavailable(PlacementError::BackingOff)
             }
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Records that a connect has started.
+    /// Records that the caller has started to open a connection.
     pub fn connecting(&mut self, id: ConnectionId, now: Ms) {
         let connection = Connection {
             phase: Phase::Connecting { since: now },
@@ -206,9 +209,9 @@
         self.reset_backoff();
     }
 
-    /// Records that the connection has ended or could not be established. The next connect after a failed one is
-    /// delayed, twice as long after each failure and with jitter, so that dispatchers do not all reconnect at the same
-    /// time to an engine that restarts.
+    /// Records that the connection has ended or could not be established. After a failed connect, the next one is
+    /// delayed by a backoff that doubles with each failure in a row. Its jitter prevents all dispatchers from
+    /// reconnecting at the same time to an engine that restarts.
     pub fn closed(&mut self, id: ConnectionId, now: Ms) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -221,13 +224,13 @@
     fn connect_failed(&mut self, now: Ms) {
         let doublings = f64::from(self.failures.min(MAX_BACKOFF_DOUBLINGS));
         let backoff = self.settings.initial_backoff * doublings.exp2();
-        let chance: f64 = self.rng.generate();
-        let jitter = MIN_BACKOFF_JITTER + chance;
+        let draw: f64 = self.rng.generate();
+        let jitter = MIN_BACKOFF_JITTER + draw;
         self.next_connect_at = now + backoff.min(self.settings.max_backoff) * jitter;
         self.failures += 1;
     }
 
-    /// Ends the backoff: a connection was established, or the engine's process is a new one.
+    /// Ends the backoff, so that the next connect may start at once. Callers use it when the engine has a new process.
     pub fn reset_backoff(&mut self) {
         (self.failures, self.next_connect_at) = (0, f64::NEG_INFINITY);
     }
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Records that anything was received over the connection.
+    /// Records that any bytes were received over the connection; an unanswered ping counts as answered.
     pub fn received(&mut self, id: ConnectionId, now: Ms) {
         if let Some(connection) = self.connections.get_mut(&id) {
             (connection.last_received_at, connection.pinged_at) = (now, None);
@@ -264,9 +267,9 @@
         }
     }
 
-    /// The commands that are due at `now`. `is_engine_ready`: whether the engine accepts new requests. The caller
-    /// reports each close by [`closed`](Self::closed) and each connect by [`connecting`](Self::connecting); a returned
-    /// ping counts as sent.
+    /// Returns the commands that are due at `now`. `is_engine_ready`: whether the engine accepts new requests; if not,
+    /// no connection is opened. The caller reports each close by [`closed`](Self::closed) and each connect by
+    /// [`connecting`](Self::connecting). A returned ping is recorded as sent.
     pub fn due_commands(&mut self, now: Ms, is_engine_ready: bool) -> Vec<PoolCommand> {
         let mut commands = Vec::new();
         for (&id, connection) in &mut self.connections {
@@ -285,13 +288,14 @@
         commands
     }
 
-    /// Whether a further connection should be opened ahead of need.
+    /// Whether a further connection should be opened now, before a stream needs it.
     pub fn wants_connection(&self, now: Ms) -> bool {
         now >= self.next_connect_at && self.is_short_of_streams()
     }
 
-    /// When [`due_commands`](Self::due_commands) has to be called next if no event comes before. Connects ahead of need
-    /// follow from events, so callers check [`wants_connection`](Self::wants_connection) after each event.
+    /// When [`due_commands`](Self::due_commands) has to be called next, unless an event is reported earlier. The need
+    /// for a further connection is not included: it only arises from events, so callers check
+    /// [`wants_connection`](Self::wants_connection) after each event.
     pub fn next_due_at(&self) -> Option<Ms> {
         self.connections
             .iter()
@@ -318,20 +322,21 @@
         self.accepting().count() >= self.settings.max_connections.max(1)
     }
 
-    /// Whether connections are in use and leave too few free streams for the requests that come while another connects.
+    /// Whether connections are in use and have too few free streams for the requests that will arrive while a further
+    /// connection is being established.
     fn is_short_of_streams(&self) -> bool {
-        // Connections for one stream each are never opened ahead of need: at peak load each request would cost the
-        // engine an additional connection.
-        let are_shared = self.settings.max_streams_per_connection > 1;
+        // If a connection carries only one stream, none is opened ahead of need: at peak load each request would cost
+        // the engine an additional connection.
+        let are_multiplexed = self.settings.max_streams_per_connection > 1;
         let is_in_use = self.connections.values().any(|c| c.streams > 0);
         let is_connecting = self.accepting().any(|c| c.phase != Phase::Up);
         let free: usize = self.accepting().map(Connection::free_streams).sum();
-        let per_connection = self.settings.max_streams_per_connection.max(1) as f64;
-        are_shared
+        let streams_per_connection = self.settings.max_streams_per_connection.max(1) as f64;
+        are_multiplexed
             && is_in_use
             && !is_connecting
             && !self.is_at_max_connections()
-            && (free as f64) < MIN_FREE_STREAMS_FRACTION * per_connection
+            && (free as f64) < MIN_FREE_STREAMS_FRACTION * streams_per_connection
     }
 }
 
@@ -348,7 +353,7 @@
         self.accepts_streams() && self.streams < self.max_streams
     }
 
-    /// The next command for the connection, and when it is due.
+    /// The next command for the connection if no event changes it, and when it is due.
     fn next_command(&self, id: ConnectionId, settings: &PoolSettings) -> (Ms, PoolCommand) {
         let close = |reason| PoolCommand::Close(id, reason);
         match (self.phase, self.streams, self.pinged_at) {
@@ -361,7 +366,7 @@
                 self.idle_since + settings.idle_timeout,
                 close(CloseReason::Idle),
             ),
-            // Guards against an engine whose machine is gone: TCP reports nothing, and the streams would wait forever.
+            // Guards against an engine whose machine is gone: TCP reports no error, and the streams would wait forever.
             (_, _, Some(pinged_at)) => (
                 pinged_at + settings.ping_timeout,
                 close(CloseReason::PingTimeout),
--- a/src/discovery_client.rs
+++ b/src/discovery_client.rs
@@ -1,5 +1,5 @@
-//! Decides about calls to service discovery: what a call requests, how long a connection may be silent before it is
-//! closed, and how long to wait before the next call.
+//! Decides how a dispatcher calls service discovery: what a call requests, how long its connection may be silent before
+//! it is closed, and how long to wait before the next call.
 //!
 //! Like [`connection_pool`](crate::connection_pool), this module does no I/O and reads no clock; random numbers come
 //! from the seed.
@@ -12,37 +12,39 @@
 pub enum FirstCall {
     /// The full list of endpoints.
     Snapshot,
-    /// The changes since this version, which the dispatcher knows.
+    /// Only the changes since this version of the list, which the dispatcher already has.
     ChangesSince(u64),
 }
 
-/// Timeouts of calls to discovery, in milliseconds, and whether calls resume from the known list.
+/// Timeouts and backoffs of calls to discovery, in milliseconds, and whether calls resume from the known list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DiscoverySettings {
     /// A connection that is not established within this time is closed.
     pub connect_timeout: Ms,
-    /// How long a connection may be silent until its first answer begins. Discovery sends the first answer at once.
+    /// How long a connection may be silent before its first answer begins. Discovery sends this answer without waiting
+    /// for a change.
     pub first_answer_timeout: Ms,
-    /// How long a connection may be silent after that. Discovery may delay these answers until there is a change.
+    /// How long a connection may be silent after its first answer has begun. Discovery may delay later answers until
+    /// there is a change.
     pub silence_timeout: Ms,
-    /// The backoff after a lost call; it doubles with each further loss in a row.
+    /// The backoff after the first lost call; it doubles with each further loss in a row.
     pub initial_backoff: Ms,
     /// The upper limit of the doubled backoff.
     pub max_backoff: Ms,
-    /// Whether a call after a lost one requests only the changes since the known list. Guards against a discovery
-    /// service that refuses calls under load: a snapshot and the watch that follows it are two calls. If each refused
-    /// call is followed by both, no dispatcher gets both calls through.
+    /// Whether a call after a lost one requests only the changes since the known list. Needed for a discovery service
+    /// that refuses calls under load: a snapshot and the watch that follows it are two calls. If every dispatcher had
+    /// to make both after each refusal, none would get both through.
     pub resume_from_known_version: bool,
 }
 
-/// First backoff if discovery pushes its lists.
+/// First backoff if discovery pushes its lists and silence has no timeout.
 const PUSH_INITIAL_BACKOFF_MS: Ms = 100.0;
-/// Upper limit of the backoff if discovery pushes its lists.
+/// Upper limit of the backoff if discovery pushes its lists and silence has no timeout.
 const PUSH_MAX_BACKOFF_MS: Ms = 2_000.0;
 
 impl DiscoverySettings {
-    /// Settings for discovery that sends only changes, over a transport that detects a dead peer by itself (HTTP/2
-    /// pings): silence has no timeout. `connect_timeout` is in milliseconds.
+    /// Settings for discovery that sends something only when the list changes, over a transport that detects a dead
+    /// peer by itself (HTTP/2 pings). Silence then has no timeout. `connect_timeout` is in milliseconds.
     pub fn without_silence_timeout(connect_timeout: Ms) -> Self {
         DiscoverySettings {
             connect_timeout,
@@ -54,9 +56,9 @@
         }
     }
 
-    /// The longest time in milliseconds from the instant when discovery becomes reachable to a call for its list on an
-    /// established connection. In the worst case the previous call was made just before that instant: it runs into its
-    /// timeout and is followed by the longest backoff.
+    /// The longest time in milliseconds until the list is requested on an established connection, from the instant at
+    /// which discovery becomes reachable. In the worst case the previous call was made just before that instant: it
+    /// times out and is followed by the longest backoff.
     pub fn max_recovery_time(&self) -> Ms {
         let call_lost_after =
             self.connect_timeout + self.first_answer_timeout.max(self.silence_timeout);
@@ -64,30 +66,33 @@
     }
 }
 
-/// Upper limit of the backoff after unusable lists, such as a list that is too long: an unusable list costs discovery
-/// as much as a usable one. A third of
+/// Upper limit of the backoff after unusable lists, such as a list that is too long. It is not short, because an
+/// unusable list costs discovery as much as a usable one. A third of
 /// [`DISCOVERY_NOTIFIED_WITHIN_MS`](crate::resource_limits::DISCOVERY_NOTIFIED_WITHIN_MS).
 pub const MAX_UNUSABLE_LIST_BACKOFF_MS: Ms = 2_000.0;
 
-/// After this long with only older snapshots, discovery is assumed to have restarted its version numbers, as after a
-/// new installation. Half of [`DISCOVERY_NOTIFIED_WITHIN_MS`](crate::resource_limits::DISCOVERY_NOTIFIED_WITHIN_MS).
+/// If discovery has sent only lists older than the known one for this long, it is assumed to have restarted its version
+/// numbers, as after a new installation. Half of
+/// [`DISCOVERY_NOTIFIED_WITHIN_MS`](crate::resource_limits::DISCOVERY_NOTIFIED_WITHIN_MS).
 const VERSION_RESET_AFTER_MS: Ms = 3_000.0;
 
-/// Jitter shortens a backoff by up to this fraction.
+/// Random jitter shortens a backoff by up to this fraction of it.
 const BACKOFF_JITTER_FRACTION: f64 = 0.5;
 
-/// The calls of one dispatcher to discovery.
+/// The state of one dispatcher's calls to discovery.
 #[derive(Clone, Debug)]
 pub struct DiscoveryCalls {
     settings: DiscoverySettings,
     rng: WyRand,
-    /// The next backoff, before jitter.
+    /// The next backoff in milliseconds, before jitter is applied.
     backoff: Ms,
     /// Whether an answer has begun on the current connection.
     is_answered: bool,
-    /// Whether this address was never called: its list may differ from the known one in more than the newest changes.
+    /// Whether this address of discovery was never called. Its list may then differ from the known one in more than the
+    /// newest changes.
     is_first_call: bool,
-    /// Since when discovery has sent only lists older than the newest known list; `None` if it has not.
+    /// Since when discovery has sent only lists that are older than the known one; `None` if the last list was not
+    /// older.
     outdated_since: Option<Ms>,
 }
 
@@ -124,13 +129,13 @@
         self.is_answered = true;
     }
 
-    /// Records that a usable list was received: the backoff is reset.
+    /// Records that a usable list was received, which resets the backoff.
     pub fn list_received(&mut self) {
         (self.is_answered, self.backoff) = (true, self.settings.initial_backoff);
     }
 
-    /// Whether to use a list of this version, given the newest known version. Guards against a discovery replica that
-    /// lags behind: its list would bring back engines that drain or are gone.
+    /// Whether to use a list of version `version`, given the newest known version `newest`. Guards against a discovery
+    /// replica that lags behind: its list would bring back engines that drain or are gone.
     pub fn accept_version(
         &mut self,
         is_snapshot: bool,
@@ -150,12 +155,12 @@
         versions_restarted
     }
 
-    /// Records that the address of discovery has changed: the backoff is reset, and the next call requests a snapshot.
+    /// Records that the address of discovery has changed, which resets the backoff; the next call requests a snapshot.
     pub fn address_changed(&mut self) {
         (self.backoff, self.is_first_call) = (self.settings.initial_backoff, true);
     }
 
-    /// How long the current connection may be silent, in milliseconds.
+    /// How long the current connection may be silent, in milliseconds: less before its first answer has begun.
     pub fn silence_timeout(&self) -> Ms {
         if self.is_answered {
             self.settings.silence_timeout
@@ -174,11 +179,11 @@
         self.next_backoff(MAX_UNUSABLE_LIST_BACKOFF_MS.max(self.settings.max_backoff))
     }
 
-    /// Guards against hundreds of dispatchers that lose discovery at the same time and then all call it again at the
-    /// same time, over and over: jitter spreads their calls.
+    /// Returns the next backoff with jitter and doubles it up to `max`. Without jitter, hundreds of dispatchers that
+    /// lose discovery at the same time would all call it again at the same time, after every backoff.
     fn next_backoff(&mut self, max: Ms) -> Ms {
-        let chance: f64 = self.rng.generate();
-        let backoff = self.backoff.min(max) * (1.0 - chance * BACKOFF_JITTER_FRACTION);
+        let draw: f64 = self.rng.generate();
+        let backoff = self.backoff.min(max) * (1.0 - draw * BACKOFF_JITTER_FRACTION);
         self.backoff = (2.0 * self.backoff).min(max);
         backoff
     }
--- a/src/resource_limits.rs
+++ b/src/resource_limits.rs
@@ -1,5 +1,5 @@
 //! Derives the limits and timeouts of a dispatcher whose connections carry one request at a time (HTTP/1.1) from the
-//! resources of its machine and its settings. All fractions and times of the derivation are defined in this module.
+//! resources of its process and from its settings. All constants of this derivation are defined in this module.
 
 use crate::client_connection::http1::Http1Settings;
 use crate::discovery_client::DiscoverySettings;
@@ -8,7 +8,7 @@
 /// The resources and settings that limits are derived from. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// Memory of the process in bytes.
+    /// Memory that the process may use, in bytes.
     pub memory_bytes: f64,
     /// Number of files and sockets that the process may have open at the same time.
     pub file_descriptors: usize,
@@ -16,11 +16,12 @@
     pub connect_timeout: Ms,
     /// How the process receives the list of endpoints.
     pub discovery: Discovery,
-    /// Milliseconds within which the process has to notice that an engine drains.
+    /// Milliseconds from the notice of a drain within which the process has to learn of it, because the engine then
+    /// stops accepting attempts.
     pub drain_grace: Ms,
-    /// Engines close a connection that has been idle for this long; `None` if they never do.
+    /// Milliseconds after which engines close an idle connection; `None` if they never do.
     pub engine_idle_timeout: Option<Ms>,
-    /// Maximum number of open requests; `None` if only connections limit it.
+    /// Maximum number of open requests; `None` if only the number of connections limits it.
     pub max_open_requests: Option<usize>,
     /// The longest time to deadline of all request classes, counted from the arrival of a request.
     pub longest_time_to_deadline: Ms,
@@ -28,10 +29,10 @@
     pub clients_resume: bool,
 }
 
-/// The derived limits. Counts and bytes are upper limits; times are in milliseconds.
+/// The limits of a process. Counts and sizes are upper limits; times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// Timeouts of the connections of clients.
+    /// Timeouts after which connections of clients are closed.
     pub client_timeouts: Http1Settings,
     /// Maximum number of connections of clients.
     pub max_client_connections: usize,
@@ -39,61 +40,65 @@
     pub max_engine_connections: usize,
     /// Maximum number of requests that are open at the same time.
     pub max_open_requests: usize,
-    /// A connection to an engine is closed after it has been idle for this long; infinite if engines never close one.
+    /// A connection to an engine is closed after it has been idle for this long; infinite if engines never close idle
+    /// connections.
     pub engine_idle_timeout: Ms,
-    /// Maximum size of the body of one request.
+    /// Maximum size in bytes of the body of one request.
     pub max_body_bytes: usize,
-    /// Maximum size of the bodies of all open requests together.
+    /// Maximum size in bytes of the bodies of all open requests together.
     pub max_total_body_bytes: usize,
-    /// Maximum size of one chunk of an engine's answer, or of an answer that is not chunked.
+    /// Maximum size in bytes of one chunk of an engine's answer, or of an answer that is not chunked.
     pub max_chunk_bytes: usize,
-    /// Maximum size of one list of endpoints.
+    /// Maximum size in bytes of one list of endpoints.
     pub max_list_bytes: usize,
-    /// Maximum number of token messages of a stream that have left its decode engine and have not reached its client.
+    /// Maximum number of token messages of one stream that are on the way from the decode engine to the client.
     pub stream_window: u32,
-    /// A stream is ended if it makes no progress for this long.
+    /// A stream that makes no progress for this long is ended.
     pub stall_timeout: Ms,
     /// How long discovery may delay an answer until there is a change (long polling).
     pub discovery_poll_wait: Ms,
     /// Timeouts and backoffs of calls to discovery.
     pub discovery: DiscoverySettings,
-    /// After the last answer on a client's connection: how long incoming bytes are still read before the close.
+    /// How long incoming bytes are still read and discarded after the last answer on a client's connection, before it
+    /// is closed.
     pub close_drain_timeout: Ms,
-    /// After the last answer on a client's connection: how many incoming bytes are read at most before the close.
+    /// How many incoming bytes are read and discarded at most after the last answer on a client's connection, before it
+    /// is closed.
     pub max_close_drain_bytes: usize,
-    /// After a stop signal: how long new requests are still accepted.
+    /// How long new requests are still accepted after a stop signal.
     pub stop_accept_period: Ms,
-    /// After a stop signal: when streams are ended so that their clients resume at another dispatcher; `None` if
+    /// How long after a stop signal streams are ended, so that their clients resume at another dispatcher; `None` if
     /// streams run to their end.
     pub stop_streams_after: Option<Ms>,
-    /// After a stop signal: how long all other work may run.
+    /// How long all work that is not ended earlier may run after a stop signal.
     pub stop_grace: Ms,
 }
 
 /// File descriptors reserved for logs, signals, the listener, discovery and connections that are being closed.
 pub const RESERVED_FILE_DESCRIPTORS: usize = 32;
 
-/// The bodies of all requests may use the memory divided by this.
+/// All bodies together may use the memory of the process divided by this.
 const MEMORY_PER_BODIES: f64 = 8.0;
 
 /// The largest body that the platform's protocol allows, in bytes.
 const MAX_BODY_BYTES: usize = 256 << 10;
 
-/// A list of endpoints may use the memory divided by this: it contains every engine, and there are thousands.
+/// A list of endpoints may use the memory of the process divided by this. The list contains every engine, of which
+/// there may be thousands.
 const MEMORY_PER_LIST: f64 = 8.0;
 
-/// The limit for a list is never less than this many bodies of maximum size.
+/// The size limit of a list of endpoints is at least this many times the maximum body size.
 const MIN_LIST_BODIES: usize = 4;
 
-/// At most this many bodies are read and discarded before a client's connection is closed.
+/// Before a client's connection is closed, at most this many times the maximum body size is read and discarded.
 const CLOSE_DRAIN_BODIES: usize = 4;
 
-/// A connection is closed after this fraction of the engines' idle timeout, well before the engine closes it: a request
-/// written to a connection that the engine is closing is lost.
+/// An idle connection to an engine is closed after this fraction of the engine's own idle timeout. This is well before
+/// the engine closes it, because a request written to a connection that the engine is closing is lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.4;
 
-/// The platform requires a close within three seconds of the accept, also in the middle of a request. It also requires
-/// that idle connections of well-behaved clients are kept.
+/// The platform requires that a connection without a complete request is closed within three seconds of the accept,
+/// also in the middle of a request. It also requires that idle connections of well-behaved clients are kept.
 const CLIENT_TIMEOUTS: Http1Settings = Http1Settings {
     first_byte_timeout: 2_000.0,
     request_read_timeout: 2_000.0,
@@ -101,53 +106,56 @@
     idle_timeout: 10_000.0,
 };
 
-/// Number of token messages of one stream that may be in transit.
+/// Token messages of one stream that may be on the way from the decode engine to the client.
 const STREAM_WINDOW: u32 = 32;
 
-/// Shorter than the five seconds for which a client may be left without a token.
+/// Shorter than the platform's limit: a client may be left without a token for at most five seconds.
 const STALL_TIMEOUT_MS: Ms = 4_000.0;
 
-/// A dispatcher counts as notified of a change this long after discovery became reachable, whichever calls were lost
-/// before (the platform's protocol).
+/// By the platform's protocol, a dispatcher counts as notified of a change this long after discovery became reachable,
+/// whichever calls were lost before.
 pub const DISCOVERY_NOTIFIED_WITHIN_MS: Ms = 6_000.0;
 
-/// Polled discovery: the wait that a poll requests, as a fraction of the time within which a dispatcher counts as
-/// notified.
+/// Polled discovery: how long a poll asks discovery to wait for a change before it answers, as a fraction of the time
+/// after which a dispatcher counts as notified.
 const POLL_WAIT_FRACTION: f64 = 1.0 / 4.0;
-/// Polled discovery: the timeout of an answer without a wait, and the longest backoff, as a fraction of the time within
-/// which a dispatcher counts as notified.
+/// Polled discovery: the timeout of an answer beyond the wait that the poll asks for, and the longest backoff. A
+/// fraction of the time after which a dispatcher counts as notified.
 const POLL_ANSWER_FRACTION: f64 = 1.0 / 6.0;
-/// Polled discovery: the timeout of a snapshot, as a fraction of the time within which a dispatcher counts as notified.
-/// It is longer than for other answers: if all dispatchers call at once, discovery serves the calls in turn and refuses
-/// them after two seconds. A caller that gives up sooner loses an answer and asks for another.
+/// Polled discovery: the timeout of a snapshot, as a fraction of the time after which a dispatcher counts as notified.
+/// It is longer than for other answers: if all dispatchers call at once, discovery serves the calls one after another
+/// and refuses those that have waited for two seconds. A caller that gives up sooner loses its answer and has to call
+/// again.
 const POLL_SNAPSHOT_FRACTION: f64 = 1.0 / 3.0;
 
-/// Pushed discovery: lists come from an agent on the same machine, and a dispatcher counts as notified at once. The
-/// agent answers immediately, so its answer, a connect and a backoff each get this fraction of the drain grace.
+/// Pushed discovery: lists come from an agent on the same machine, and a dispatcher counts as notified as soon as the
+/// agent has the list. The agent answers at once, so an answer, a connect and a backoff each get this fraction of the
+/// drain grace.
 const PUSH_ANSWER_FRACTION: f64 = 1.0 / 5.0;
-/// Pushed discovery: the wait that a call to the agent requests.
+/// Pushed discovery: how long a call asks the agent to wait for a change before it answers.
 const PUSH_WAIT_MS: Ms = 500.0;
 
-/// The first backoff as a fraction of the longest backoff.
+/// The first backoff after a lost call, as a fraction of the longest backoff.
 const INITIAL_BACKOFF_FRACTION: f64 = 0.1;
 
-/// Long enough for a client that reads its answer, which closes the connection within one or two round trips.
+/// A client that reads its answer closes the connection within one or two round trips, which take less than this.
 const CLOSE_DRAIN_TIMEOUT_MS: Ms = 500.0;
 
-/// The platform's load balancer still sends new connections for a moment after a stop signal.
+/// New requests are accepted for this long after a stop signal, because the platform's load balancer still sends new
+/// connections for a moment.
 const STOP_ACCEPT_PERIOD_MS: Ms = 600.0;
 
-/// The platform may kill the process as soon as the longest time to a deadline plus this time has passed since the stop
-/// signal.
+/// The platform may kill the process this long after the longest time to a deadline has passed since the stop signal.
 const KILL_AFTER_DEADLINE_MS: Ms = 700.0;
-/// A longer time to a deadline counts as this much in the earliest time of the kill.
+/// Upper limit of the time to a deadline that the platform grants before the kill. A longer time to a deadline counts
+/// as this.
 const MAX_COUNTED_TIME_TO_DEADLINE_MS: Ms = 3_000.0;
 
 /// After a stop signal, streams run for this fraction of the time until the kill, so that most of them end by
 /// themselves. The rest of the time is left for the clients of the other streams to resume at another dispatcher.
 const STOP_STREAMS_FRACTION: f64 = 2.0 / 3.0;
 
-/// If the process is not killed after a stop signal: how long streams may run after the last deadline.
+/// How long streams may run after the last deadline if the platform does not kill the process after a stop signal.
 const STOP_STREAM_GRACE_MS: Ms = 60_000.0;
 
 impl ResourceLimits {
@@ -192,7 +200,7 @@
     }
 }
 
-/// The wait that a call to discovery requests, in milliseconds, and the timeouts of the calls.
+/// Returns how long a call asks discovery to wait for a change, in milliseconds, and the timeouts of the calls.
 fn discovery_settings(process: &ProcessLimits) -> (Ms, DiscoverySettings) {
     match process.discovery {
         Discovery::Pushed => {
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,11 +1,11 @@
-//! Maps between gRPC status codes and outcomes: which status a client gets for each answer, what the client may
-//! conclude about a retry, and what the end of a call to an engine proves about whether the call ran.
+//! Defines what gRPC status codes mean here: which status a client gets for each answer, what the client may conclude
+//! about a retry, and what the end of a call to an engine proves about whether the call ran.
 //!
 //! The module consists of tables without I/O; `docs/grpc.md` documents them for users.
 
 use crate::interface::{Ms, Outcome};
 
-/// The gRPC status codes that dispatchers use, with gRPC's names and numbers.
+/// The gRPC status codes that dispatchers use, with the names and numbers that gRPC defines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Code {
     /// The call succeeded.
@@ -16,19 +16,19 @@
     Unknown = 2,
     /// A field of the request is invalid.
     InvalidArgument = 3,
-    /// The deadline passed.
+    /// The deadline passed before the call was complete.
     DeadlineExceeded = 4,
-    /// Something that the request names does not exist.
+    /// An object that the request names does not exist.
     NotFound = 5,
-    /// The caller may not make this call.
+    /// The caller has no permission to make this call.
     PermissionDenied = 7,
     /// The service lacks capacity at the moment.
     ResourceExhausted = 8,
     /// The state of the system does not allow the call.
     FailedPrecondition = 9,
-    /// The call conflicted with another call.
+    /// The call was aborted because of a conflict with another call.
     Aborted = 10,
-    /// The method is not implemented.
+    /// The service does not implement the method.
     Unimplemented = 12,
     /// An invariant was broken.
     Internal = 13,
@@ -36,7 +36,7 @@
     Unavailable = 14,
     /// Data is lost or corrupted.
     DataLoss = 15,
-    /// The caller is not authenticated.
+    /// The call carries no valid credentials.
     Unauthenticated = 16,
 }
 
@@ -67,19 +67,19 @@
     }
 }
 
-/// The answer that a client gets: the final answer to its request, or that the request is invalid.
+/// The final answer to a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAnswer {
-    /// The request was carried out.
+    /// The request has run, and its answer is complete.
     Succeeded,
-    /// The request has not run.
+    /// The request was rejected and has not run.
     Rejected {
-        /// Whether capacity was lacking. Otherwise no engine could serve this request.
+        /// `true` if the service lacked capacity, `false` if no engine could serve this request.
         for_lack_of_capacity: bool,
     },
     /// The request has not succeeded and may have run.
     Failed,
-    /// A field is invalid; the request was not accepted.
+    /// A field of the request is invalid; the request was not accepted.
     InvalidRequest,
 }
 
@@ -99,10 +99,10 @@
     }
 }
 
-/// What client libraries with automatic retries are told about a retry, in addition to the status.
+/// What an answer tells client libraries with automatic retries, in addition to its status.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryAdvice {
-    /// No advice: a retry is pointless, or the status says enough.
+    /// No advice: a retry is pointless, or the status alone tells the client whether to retry.
     None,
     /// Retry after this many milliseconds.
     After(Ms),
@@ -110,7 +110,8 @@
     Never,
 }
 
-/// The advice for an answer. `retry_after`: the wait in milliseconds that a rejection asks for; 0 if it asks for none.
+/// Returns the advice that is sent with an answer. `retry_after`: the wait in milliseconds that a rejection asks for; 0
+/// if it asks for none.
 pub fn retry_advice(answer: ClientAnswer, retry_after: Ms) -> RetryAdvice {
     match answer {
         ClientAnswer::Rejected { .. } if retry_after > 0.0 => RetryAdvice::After(retry_after),
@@ -136,15 +137,15 @@
     NotSent,
     /// The engine reset the stream with this HTTP/2 error code.
     Reset(u32),
-    /// The engine sent GOAWAY, and the call came after the last stream that the engine processes.
+    /// The engine sent GOAWAY with a last stream id that is lower than the call's, so it does not process the call.
     BeyondLast,
-    /// The connection ended while the call was open.
+    /// The connection was lost while the call was open.
     ConnectionLost,
-    /// The engine sent a status.
+    /// The engine ended the call with a gRPC status.
     Status {
-        /// The status code that the engine sent.
+        /// The code of that status.
         code: Code,
-        /// Whether the engine marked the status to say that no part of the call ran.
+        /// Whether the engine marked the status as proof that no part of the call ran.
         never_ran: bool,
     },
     /// The stream ended normally, without a status and without a final message.
@@ -154,8 +155,8 @@
 /// The HTTP/2 error code by which a peer states that it has not processed a stream at all (RFC 9113, section 7).
 const REFUSED_STREAM: u32 = 7;
 
-/// The outcome of an attempt whose call ended like this. The attempt counts as not run only if that is proven. A status
-/// alone proves nothing, because a proxy between the dispatcher and the engine may have produced it.
+/// Returns the outcome of an attempt from the end of its call. The attempt counts as not run only if that is proven. A
+/// status alone proves nothing, because a proxy between the dispatcher and the engine may have produced it.
 pub fn attempt_outcome(end: CallEnd) -> Outcome {
     match end {
         CallEnd::NotSent => Outcome::Unreachable,
