--- a/src/client_connection/http1.rs
+++ b/src/client_connection/http1.rs
@@ -7,16 +7,16 @@
 
 use crate::interface::Ms;
 
-/// Timeouts of a client's connection, in milliseconds.
+/// Timeouts after which a client's connection is closed, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Http1Settings {
-    /// From the accept to the first byte of the first request.
+    /// Maximum time from the accept to the first byte of the first request.
     pub first_byte_timeout: Ms,
-    /// From the first byte of a request to its last.
+    /// Maximum time from the first byte of a request to its last.
     pub request_read_timeout: Ms,
-    /// From the accept to the last byte of the first request.
+    /// Maximum time from the accept to the last byte of the first request.
     pub first_request_timeout: Ms,
-    /// From an answer to the first byte of the next request.
+    /// Maximum time from an answer to the first byte of the next request.
     pub idle_timeout: Ms,
 }
 
@@ -32,16 +32,16 @@
     New,
 }
 
-/// Why a connection is closed.
+/// Why a client's connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// No request arrived in time. A request that arrives before the connection is closed is still answered.
     Idle,
-    /// A request did not arrive in full in time.
+    /// A request was received in part, and the rest did not arrive in time.
     SlowRequest,
 }
 
-/// The state of one client's connection.
+/// What one client's connection waits for, and since when.
 #[derive(Clone, Copy, Debug)]
 pub struct Http1Connection {
     /// `None` while a request is open: received in full and not yet answered.
@@ -81,7 +81,7 @@
         read_time.max(0.0)
     }
 
-    /// Records that the open request was answered.
+    /// Records that the open request was answered, so that the connection is idle.
     pub fn response_sent(&mut self, now: Ms) {
         (self.phase, self.phase_since) = (Some(Phase::Idle), now);
     }
--- a/src/client_connection/multiplexed.rs
+++ b/src/client_connection/multiplexed.rs
@@ -28,16 +28,16 @@
     Close(CloseReason),
 }
 
-/// Why a connection is closed.
+/// Why a client's connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// A ping was not answered in time.
     PingTimeout,
-    /// More requests were cancelled than the settings allow.
+    /// The client cancelled more requests than the settings allow.
     TooManyCancels,
 }
 
-/// The state of one client's connection.
+/// When one client's connection was last heard from, and how many cancellations the client may still make.
 #[derive(Clone, Copy, Debug)]
 pub struct MultiplexedConnection {
     last_received_at: Ms,
--- a/src/connection_pool.rs
+++ b/src/connection_pool.rs
@@ -81,7 +81,7 @@
     Close(ConnectionId, CloseReason),
 }
 
-/// Why a connection is closed.
+/// Why the pool requests that a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The connection was not established in time; nothing was sent on it.
@@ -115,13 +115,13 @@
     pinged_at: Option<Ms>,
 }
 
-/// The connections to one engine.
+/// The state of all connections to one engine.
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
     settings: PoolSettings,
     rng: WyRand,
     connections: BTreeMap<ConnectionId, Connection>,
-    /// Number of connects that failed in a row.
+    /// Number of connects that failed since the last successful one or the last reset.
     failures: u32,
     /// When the backoff ends; no connect starts earlier.
     next_connect_at: Ms,
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Records that a stream was opened on the connection.
+    /// Records that a stream was opened on the connection. An unknown connection is ignored.
     pub fn stream_opened(&mut self, id: ConnectionId, now: Ms) {
         if let Some(connection) = self.connections.get_mut(&id) {
             if connection.streams == 0 {
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Records that a stream has ended on the connection.
+    /// Records that a stream on the connection has ended. An unknown connection is ignored.
     pub fn stream_ended(&mut self, id: ConnectionId, now: Ms) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.streams = connection.streams.saturating_sub(1);
--- a/src/control/decaying_rate.rs
+++ b/src/control/decaying_rate.rs
@@ -1,4 +1,4 @@
-//! An event rate with exponential decay.
+//! Estimates the rate of events with an exponentially decaying average.
 
 use crate::interface::Ms;
 
--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -26,7 +26,7 @@
     pub(super) prefix_cache: PrefixCache,
     pub(super) load_report: LoadReport,
     pub(super) health_check: HealthCheckState,
-    /// When the engine last answered an attempt that had not queued.
+    /// When the engine last answered an attempt. A prefill that had queued does not count.
     pub(super) last_response_at: Ms,
     pub(super) outcomes: OutcomeHistory,
     pub(super) overload_backoff: OverloadBackoff,
--- a/src/control/load_report.rs
+++ b/src/control/load_report.rs
@@ -12,8 +12,8 @@
     pub(super) in_flight: f64,
     /// Prompt tokens that wait at the engine to be computed or fetched.
     pub(super) waiting_tokens: f64,
-    /// Fraction of the engine's slots or memory in use, plus the waiting tokens as a fraction of
-    /// its memory; may exceed 1.
+    /// Fraction of the engine's slots or of its KV memory in use, whichever is larger, plus the
+    /// waiting tokens as a fraction of that memory; may exceed 1.
     pub(super) utilization: f64,
     received_at: Ms,
 }
--- a/src/control/outlier_detection.rs
+++ b/src/control/outlier_detection.rs
@@ -12,10 +12,10 @@
 /// Interval at which overloaded engines and held requests are retried, as a fraction of the KV
 /// state timeout.
 pub(super) const RETRY_INTERVAL_FRACTION: f64 = 0.1;
-/// The backoff is doubled at most this many times.
+/// Rejections in a row beyond this many do not double the backoff further.
 const MAX_BACKOFF_DOUBLINGS: i32 = 5;
 
-/// The recent outcomes of attempts at an engine.
+/// Whether the last attempts at an engine succeeded; at most [`MAX_OUTCOMES`] are kept.
 pub(super) struct OutcomeHistory {
     /// One bit per outcome, 1 for a success, with the newest outcome in the lowest bit. The bit
     /// above the oldest outcome is always 1 and marks the end.
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Drops the outcomes of an earlier process.
+    /// Drops all outcomes, because the engine has a new process.
     pub(super) fn clear(&mut self) {
         self.bits = 1;
     }
--- a/src/control/prefill_placement.rs
+++ b/src/control/prefill_placement.rs
@@ -28,7 +28,7 @@
     /// number of dispatchers, but at most the number of this dispatcher's prefills in flight.
     own_tokens_factor: f64,
     mean_reported: f64,
-    /// A backlog above this many tokens is excessive.
+    /// A backlog above this number of tokens is excessive: a multiple of the mean backlog.
     limit_tokens: f64,
 }
 
@@ -102,9 +102,9 @@
     ///
     /// A home engine with an excessive backlog or without capacity is avoided in two cases only:
     /// while the prefill engines together have spare capacity, or if another engine has most of the
-    /// prompt cached. Otherwise the request is held for its home engine. Guards against scattered
-    /// prefills: at other engines they have to compute more tokens and evict cached prefixes, until
-    /// every engine queues.
+    /// prompt cached. Otherwise the request stays with its home engine, and is held if that engine
+    /// has no capacity. Guards against scattered prefills: at other engines they have to compute
+    /// more tokens and evict cached prefixes, until every engine queues.
     pub(super) fn choose_prefill_engine(&self, request: &Request) -> Option<EngineIndex> {
         let candidates = self.candidates(request, Stage::Prefill);
         let homes = home_engines(&request.arrival, &candidates, &self.engines);
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -9,12 +9,12 @@
 /// must have waited in the engine's queue.
 const QUEUED_FRACTION: f64 = 0.3;
 
-/// An attempt in flight.
+/// An attempt that was sent to an engine and whose end has not been reported.
 pub(super) struct Attempt {
     pub(super) id: AttemptId,
     pub(super) engine: EngineIndex,
     pub(super) stage: Stage,
-    /// Whether the first token was received.
+    /// Whether the first token was received, which shows that the engine is decoding.
     pub(super) decoding: bool,
     pub(super) cancelled: bool,
     /// Whether the attempt has taken so long that it must have waited in the engine's queue.
@@ -49,13 +49,13 @@
 #[derive(Default)]
 pub(super) struct Intents {
     pub(super) next: Intent,
-    /// Cancel the attempt in flight.
+    /// Whether to cancel the attempt in flight.
     pub(super) cancel: bool,
-    /// Release the KV state.
+    /// Whether to release the KV state.
     pub(super) release: bool,
-    /// Ask the attempt's engine to confirm that it runs.
+    /// Whether to ask the attempt's engine to confirm that the engine is running.
     pub(super) confirm: bool,
-    /// Release the KV state unless the attempt in flight waits for it.
+    /// Whether to release the KV state unless the attempt in flight still waits for it.
     pub(super) release_in_doubt: bool,
 }
 
@@ -69,10 +69,11 @@
     /// The shortest latency objective that any class has for this prompt. The duration after which
     /// an attempt must have queued is a fraction of it.
     pub(super) queueing_unit: Ms,
-    /// Attempts started so far.
+    /// Number of attempts started so far, prefills and decodes together.
     pub(super) attempts: u32,
     pub(super) attempt: Option<Attempt>,
-    /// The prefill engine that holds the KV state.
+    /// The prefill engine that holds the KV state; `None` before the prefill has ended and after a
+    /// release.
     pub(super) kv_state: Option<EngineIndex>,
     /// When the KV state was last left without an attempt that takes it over; the KV state timeout
     /// starts then. Before the end of the first attempt it is the arrival of the request.
--- a/src/discovery_client.rs
+++ b/src/discovery_client.rs
@@ -10,7 +10,7 @@
 /// What the first call on a new connection requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstCall {
-    /// The full list of endpoints.
+    /// The full list of endpoints, whatever the dispatcher knows.
     Snapshot,
     /// Only the changes since this version of the list, which the dispatcher already has.
     ChangesSince(u64),
@@ -29,7 +29,7 @@
     pub silence_timeout: Ms,
     /// The backoff after the first lost call; it doubles with each further loss in a row.
     pub initial_backoff: Ms,
-    /// The upper limit of the doubled backoff.
+    /// The upper limit of the doubled backoff; jitter only shortens it.
     pub max_backoff: Ms,
     /// Whether a call after a lost one requests only the changes since the known list. Needed for a discovery service
     /// that refuses calls under load: a snapshot and the watch that follows it are two calls. If every dispatcher had
@@ -86,7 +86,7 @@
     rng: WyRand,
     /// The next backoff in milliseconds, before jitter is applied.
     backoff: Ms,
-    /// Whether an answer has begun on the current connection.
+    /// Whether an answer has begun to arrive on the current connection.
     is_answered: bool,
     /// Whether this address of discovery was never called. Its list may then differ from the known one in more than the
     /// newest changes.
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -58,7 +58,7 @@
     /// Reserves a slot at a decode engine while the prefill of the request runs. Drivers support
     /// this action; the current decision logic does not use it.
     Reserve {
-        /// The request whose prefill runs.
+        /// The request whose prefill is in flight.
         request: RequestId,
         /// The decode engine where the slot is reserved.
         engine: EngineId,
@@ -71,9 +71,9 @@
     },
     /// Sets a timer. The driver reports its expiry as [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// Milliseconds from now, 0 or more.
+        /// Milliseconds until the timer expires, 0 or more.
         delay: Ms,
-        /// The id that the timer's event carries.
+        /// The id by which [`Event::Timer`](super::Event::Timer) identifies this timer.
         timer: TimerId,
     },
     /// Sends a health check, which asks an engine for its load. The driver reports the result as
@@ -93,7 +93,7 @@
     SendGossip {
         /// The receiver; `None` sends the message to all other dispatchers.
         to: Option<DispatcherId>,
-        /// The encoded message.
+        /// The encoded message, which drivers do not interpret.
         bytes: Vec<u8>,
     },
     /// Requests the full list of endpoints from discovery. Drivers support this action; the current
@@ -108,7 +108,7 @@
     /// Writes a line to the dispatcher's log. Drivers support this action; the current decision
     /// logic does not use it.
     Log {
-        /// The text of the line, without a line break.
+        /// The text to log. Drivers may replace line breaks in it.
         text: String,
     },
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -36,11 +36,11 @@
 pub struct Endpoint {
     /// The engine's name, which stays the same when the engine restarts.
     pub engine: EngineId,
-    /// The zone in which the engine runs.
+    /// The zone in which the engine runs. Some idempotency scopes are limited to one zone.
     pub zone: ZoneId,
     /// The kind of the engine, which determines whether it serves prefills, decodes or both.
     pub kind: KindId,
-    /// The cell in which the engine runs.
+    /// The cell in which the engine runs. A KV state is preferably taken over within its cell.
     pub cell: CellId,
     /// Whether the engine accepts new attempts.
     pub status: EndpointStatus,
@@ -97,7 +97,8 @@
     pub request_class: RequestClassId,
     /// The tenant that sent the request, if the settings name tenants.
     pub tenant: Option<TenantId>,
-    /// The session that the request belongs to.
+    /// The session that the request belongs to. Prompts of one session extend each other, so they
+    /// are placed at the same engines.
     pub session: SessionId,
     /// Milliseconds from the arrival until the client stops waiting.
     pub time_to_deadline: Ms,
@@ -133,21 +134,21 @@
     /// The client has disconnected, or the driver has answered the request itself. The request
     /// needs no further answer.
     ClientGone {
-        /// The request that needs no further answer.
+        /// The request whose attempt in flight, if any, is no longer needed.
         request: RequestId,
     },
     /// The first token of an answer was received.
     FirstToken {
-        /// The request that the answer belongs to.
+        /// The request whose answer has begun.
         request: RequestId,
-        /// The decode attempt that generates the answer.
+        /// The decode attempt that generates the answer; it is still in flight.
         attempt: AttemptId,
         /// The decode engine that runs the attempt.
         engine: EngineId,
         /// Milliseconds since the attempt was sent.
         latency: Ms,
     },
-    /// An attempt has ended.
+    /// An attempt has ended, with or without success.
     Ended(Ended),
     /// The attempt's engine has shown, after the attempt was sent, that it is running. Reported
     /// only if deliveries are tracked.
@@ -164,7 +165,7 @@
         request: RequestId,
         /// The attempt that was in flight when the slot was requested.
         attempt: AttemptId,
-        /// The decode engine with the reserved slot.
+        /// The decode engine that reported the change.
         engine: EngineId,
         /// Whether the slot is reserved from now on.
         held: bool,
@@ -174,7 +175,7 @@
         /// The id from [`Action::SetTimer`](super::Action::SetTimer).
         timer: TimerId,
     },
-    /// A health check has ended.
+    /// A health check has ended, with or without an answer.
     HealthChecked {
         /// The engine that the health check was sent to.
         engine: EngineId,
@@ -182,19 +183,19 @@
         outcome: Outcome,
         /// Milliseconds since the health check was sent.
         latency: Ms,
-        /// The load that the engine reported with its answer.
+        /// The load that the engine reported; all fields are `None` without an answer.
         load: Load,
     },
     /// Another dispatcher has sent a message.
     GossipReceived {
         /// The dispatcher that sent the message.
         from: DispatcherId,
-        /// The encoded message.
+        /// The message as the other dispatcher has encoded it.
         bytes: Vec<u8>,
     },
 }
 
-/// The end of an attempt.
+/// How and when an attempt ended, as reported by [`Event::Ended`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
     /// The request that the attempt belongs to; its client may already be gone.
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Ids that events, actions and settings use.
+//! Types of the ids in events, actions and settings, so that the compiler tells them apart.
 
 use std::sync::Arc;
 
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u32);
 
-/// A dispatcher, numbered from 0 among all dispatchers.
+/// A dispatcher: its number among all dispatchers, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DispatcherId(pub u32);
 
--- a/src/resource_limits.rs
+++ b/src/resource_limits.rs
@@ -34,9 +34,9 @@
 pub struct ResourceLimits {
     /// Timeouts after which connections of clients are closed.
     pub client_timeouts: Http1Settings,
-    /// Maximum number of connections of clients.
+    /// Maximum number of connections from clients that are open at the same time.
     pub max_client_connections: usize,
-    /// Maximum number of connections to all engines together.
+    /// Maximum number of connections to engines that are open at the same time, all engines together.
     pub max_engine_connections: usize,
     /// Maximum number of requests that are open at the same time.
     pub max_open_requests: usize,
--- a/src/status.rs
+++ b/src/status.rs
@@ -8,7 +8,7 @@
 /// The gRPC status codes that dispatchers use, with the names and numbers that gRPC defines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Code {
-    /// The call succeeded.
+    /// The call succeeded, and its answer is complete.
     Ok = 0,
     /// The caller cancelled the call.
     Cancelled = 1,
@@ -24,17 +24,17 @@
     PermissionDenied = 7,
     /// The service lacks capacity at the moment.
     ResourceExhausted = 8,
-    /// The state of the system does not allow the call.
+    /// The call is not allowed in the current state of the system; a retry alone does not help.
     FailedPrecondition = 9,
     /// The call was aborted because of a conflict with another call.
     Aborted = 10,
     /// The service does not implement the method.
     Unimplemented = 12,
-    /// An invariant was broken.
+    /// The service violated one of its own invariants.
     Internal = 13,
     /// The service is not reachable at the moment; clients may retry.
     Unavailable = 14,
-    /// Data is lost or corrupted.
+    /// Data is lost or corrupted and cannot be recovered.
     DataLoss = 15,
     /// The call carries no valid credentials.
     Unauthenticated = 16,
