--- a/benches/step.rs
+++ b/benches/step.rs
@@ -1,6 +1,6 @@
-//! Time of one whole request (arrival, prefill, first token, end: four steps or more) for a growing number of other
-//! requests that are decoding. The engines are the same in every row. `plain` plans every request at every step, `lean`
-//! only those that may have changed.
+//! Measures the time that one whole request takes (arrival, prefill, first token, end: four steps or more) while 10 to
+//! 10,000 other requests are decoding at the same engines. `plain` plans every request at every step, `lean` only the
+//! requests that may have changed.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -76,6 +76,7 @@
         self.control.step(self.now, &[event], &mut self.actions);
     }
 
+    /// The engine of the attempt that the last step has started.
     fn attempt_target(&self) -> EngineId {
         let engine = |a: &Action| match a {
             Action::StartAttempt { engine, .. } => Some(engine.clone()),
@@ -84,10 +85,10 @@
         self.actions
             .iter()
             .find_map(engine)
-            .expect("an attempt is started")
+            .expect("the step must start an attempt")
     }
 
-    /// Runs a request up to its first token.
+    /// Starts a request and runs it up to its first token. Returns the request and its decode engine.
     fn start_request(&mut self) -> (RequestId, EngineId) {
         let request = RequestId(self.next_request);
         self.next_request += 1;
@@ -112,7 +113,7 @@
         (request, engine)
     }
 
-    /// Runs a request from its arrival to its end.
+    /// Runs one more request from its arrival to its end; the measured operation.
     fn run_request(&mut self) {
         let (request, engine) = self.start_request();
         self.step(ended(request, 1, engine, Outcome::Succeeded));
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,12 +1,12 @@
-//! Limits the attempts of all dispatchers together at a cold engine.
+//! Tests that all dispatchers together do not send too many attempts to a cold engine.
 //!
-//! A cold engine collapses if it gets more than a multiple of its small capacity within the
-//! overload window. Each dispatcher decides alone, so each may send little while the sum is too
-//! much. Here 3 to 300 dispatchers run side by side, with uneven traffic and popular shared
-//! prefixes, while at least half of the prefill engines are replaced. Each dispatcher gets the new
-//! list at a different time, and some dispatchers restart and lose the record of what they sent.
-//! The tests compare the attempts of all dispatchers at a cold prefill engine, in any overload
-//! window, with what the settings allow.
+//! A cold engine collapses if the attempts within the overload window exceed a multiple of its
+//! small capacity. Each dispatcher decides alone, so each may send few attempts while their sum is
+//! too large. Here 3 to 300 dispatchers with uneven traffic and popular shared prefixes run while
+//! at least half of the prefill engines are replaced. Each dispatcher gets the new list at a
+//! different time, and some dispatchers restart and lose the record of what they sent. The tests
+//! compare the attempts of all dispatchers at each cold prefill engine, in every overload window,
+//! with the number that the settings allow.
 
 mod common;
 
@@ -22,10 +22,10 @@
 const OVERLOAD_MULTIPLE: f64 = 4.0;
 const OVERLOAD_WINDOW: Ms = 3000.0;
 const COLD_CAPACITY: f64 = 0.32;
-/// Traffic before the replacement, as a fraction of the capacity of all warm prefill engines.
+/// Prefill load before the replacement, as a fraction of the capacity of all warm prefill engines.
 const LOAD_FRACTION: f64 = 0.7;
 const SLOW_START_WINDOW: Ms = 14_000.0;
-/// When the new prefill engines start, in milliseconds.
+/// When prefill engines are replaced by new, cold ones, in milliseconds.
 const REPLACED_AT: Ms = 20_000.0;
 /// When the simulation ends, in milliseconds.
 const SIMULATION_ENDS_AT: Ms = 34_000.0;
@@ -45,87 +45,88 @@
 fn endpoint(
     name: String,
     kind: u32,
-    at: u32,
+    index: u32,
     status: EndpointStatus,
     started: Option<Ms>,
 ) -> Endpoint {
     Endpoint {
         status,
         started,
-        ..common::endpoint(&name, kind, at % 3, at % 3)
+        ..common::endpoint(&name, kind, index % 3, index % 3)
     }
 }
 
-/// The endpoints after the first `replaced` prefill engines were replaced, decode engines included.
+/// All endpoints after the first `replaced` prefill engines were replaced by new ones; decode
+/// engines are never replaced.
 fn endpoints_after(replaced: u32) -> Vec<Endpoint> {
     let ready = EndpointStatus::Ready;
-    let old = (0..PREFILL_ENGINES).map(|at| {
-        let gone = at < replaced;
+    let old = (0..PREFILL_ENGINES).map(|index| {
+        let gone = index < replaced;
         endpoint(
-            format!("r{at}"),
+            format!("r{index}"),
             0,
-            at,
+            index,
             if gone { EndpointStatus::Gone } else { ready },
             None,
         )
     });
-    let new = (0..replaced).map(|at| {
+    let new = (0..replaced).map(|index| {
         endpoint(
-            format!("new-r{at}"),
+            format!("new-r{index}"),
             0,
-            at,
+            index,
             ready,
-            Some(REPLACED_AT + f64::from(at)),
+            Some(REPLACED_AT + f64::from(index)),
         )
     });
     let decode_engines =
-        (0..DECODE_ENGINES).map(|at| endpoint(format!("w{at}"), 1, at, ready, None));
+        (0..DECODE_ENGINES).map(|index| endpoint(format!("w{index}"), 1, index, ready, None));
     old.chain(new).chain(decode_engines).collect()
 }
 
-/// Something scheduled to happen at one dispatcher.
-enum Occurrence {
-    Arrives,
-    Receives(Event),
-    Restarts,
+/// An occurrence that the simulation has scheduled for one dispatcher.
+enum Scheduled {
+    RequestArrives,
+    DispatcherReceives(Event),
+    DispatcherRestarts,
 }
 
 struct Simulation {
     rng: WyRand,
-    count: u32,
+    dispatcher_count: u32,
     dispatchers: Vec<Control>,
-    /// The current process of each dispatcher. Events for an earlier process are dropped.
+    /// How often each dispatcher has restarted. Events for an earlier process are dropped.
     incarnations: Vec<u32>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    entries: BTreeMap<u64, (usize, u32, Occurrence)>,
-    last_entry: u64,
+    scheduled: BTreeMap<u64, (usize, u32, Scheduled)>,
+    last_number: u64,
     attempts: BTreeMap<(usize, u32, RequestId), u32>,
-    /// When attempts were sent to each new prefill engine while it was cold.
-    cold: BTreeMap<EngineId, Vec<Ms>>,
-    /// How long a warm prefill engine computes a prompt.
+    /// When attempts were sent to each new prefill engine while it was cold, by all dispatchers.
+    attempts_while_cold: BTreeMap<EngineId, Vec<Ms>>,
+    /// How long a warm prefill engine takes for one prompt, in milliseconds.
     prefill_ms: Ms,
-    /// Until when each prefill engine is busy: it computes one prompt after another.
+    /// Until when each prefill engine is busy: it works on one prompt after another.
     busy_until: BTreeMap<EngineId, Ms>,
     decodes: u32,
     arrivals: u32,
 }
 
 impl Simulation {
-    fn schedule(&mut self, when: Ms, dispatcher: usize, next: Occurrence) {
-        self.last_entry += 1;
+    fn schedule(&mut self, when: Ms, dispatcher: usize, next: Scheduled) {
+        self.last_number += 1;
         self.queue.push(Reverse((
             (when * 1000.0).ceil() as u64 + 1,
-            self.last_entry,
+            self.last_number,
         )));
-        self.entries.insert(
-            self.last_entry,
+        self.scheduled.insert(
+            self.last_number,
             (dispatcher, self.incarnations[dispatcher], next),
         );
     }
 
     fn start(&mut self, dispatcher: usize, endpoints: Vec<Endpoint>) -> Control {
         let seed = self.rng.generate();
-        let mut control = Control::new(settings(dispatcher as u32, self.count), seed);
+        let mut control = Control::new(settings(dispatcher as u32, self.dispatcher_count), seed);
         control.step(
             0.0,
             &[Event::EndpointsUpdated {
@@ -151,14 +152,17 @@
             Action::StartAttempt {
                 request, engine, ..
             } => {
-                let count = self
+                let attempt_count = self
                     .attempts
                     .entry((dispatcher, self.incarnations[dispatcher], request))
                     .or_insert(0);
-                let attempt = AttemptId(*count);
-                *count += 1;
+                let attempt = AttemptId(*attempt_count);
+                *attempt_count += 1;
                 if engine.0.starts_with("new-") && now < REPLACED_AT + SLOW_START_WINDOW {
-                    self.cold.entry(engine.clone()).or_default().push(now);
+                    self.attempts_while_cold
+                        .entry(engine.clone())
+                        .or_default()
+                        .push(now);
                 }
                 let is_prefill = !engine.0.starts_with('w');
                 let (outcome, latency) = if is_prefill {
@@ -169,9 +173,9 @@
                     } else {
                         self.prefill_ms
                     };
-                    let free = self.busy_until.entry(engine.clone()).or_insert(now);
-                    *free = free.max(now) + prefill_ms;
-                    (Outcome::PrefillDone, *free - now)
+                    let busy_until = self.busy_until.entry(engine.clone()).or_insert(now);
+                    *busy_until = busy_until.max(now) + prefill_ms;
+                    (Outcome::PrefillDone, *busy_until - now)
                 } else {
                     self.decodes += 1;
                     let first = Event::FirstToken {
@@ -180,7 +184,7 @@
                         engine: engine.clone(),
                         latency: 20.0,
                     };
-                    self.schedule(now + 20.0, dispatcher, Occurrence::Receives(first));
+                    self.schedule(now + 20.0, dispatcher, Scheduled::DispatcherReceives(first));
                     (Outcome::Succeeded, 300.0)
                 };
                 let (latency, last, detail) = (latency, !is_prefill, 0.0);
@@ -197,7 +201,7 @@
                 self.schedule(
                     now + latency,
                     dispatcher,
-                    Occurrence::Receives(Event::Ended(ended)),
+                    Scheduled::DispatcherReceives(Event::Ended(ended)),
                 );
             }
             Action::HealthCheck { engine } => {
@@ -207,12 +211,16 @@
                     latency: 1.0,
                     load,
                 };
-                self.schedule(now + 1.0, dispatcher, Occurrence::Receives(checked));
+                self.schedule(
+                    now + 1.0,
+                    dispatcher,
+                    Scheduled::DispatcherReceives(checked),
+                );
             }
             Action::SetTimer { delay, timer } => self.schedule(
                 now + delay,
                 dispatcher,
-                Occurrence::Receives(Event::Timer { timer }),
+                Scheduled::DispatcherReceives(Event::Timer { timer }),
             ),
             _ => {}
         }
@@ -220,9 +228,9 @@
 
     fn arrival(&mut self) -> Event {
         self.arrivals += 1;
-        // Shared prefixes are unevenly popular: the first few are in most prompts.
-        let at: f64 = self.rng.generate();
-        let prefix = (60.0_f64.powf(at)) as u64;
+        // Shared prefixes differ in popularity: most prompts start with one of the first few.
+        let draw: f64 = self.rng.generate();
+        let prefix = (60.0_f64.powf(draw)) as u64;
         Event::Arrived(Arrival {
             request: RequestId(self.arrivals),
             session: SessionId(self.rng.generate()),
@@ -236,12 +244,13 @@
     }
 }
 
-/// Runs a simulation. Returns the attempts at each new prefill engine while it was cold, and the
-/// fraction of the requests that reached a decode engine. `rate`: requests per second for each
-/// prefill engine before the replacement; `surge`: factor on the traffic during the two overload
-/// windows after it.
+/// Runs a simulation. Returns when attempts were sent to each new prefill engine while it was cold,
+/// and the fraction of the requests that reached a decode engine. `rate`: requests per second per
+/// prefill engine before the replacement. `replaced`: the number of prefill engines that are
+/// replaced. `surge`: factor by which the traffic increases during the first two overload windows
+/// after the replacement.
 fn simulate(
-    count: u32,
+    dispatcher_count: u32,
     rate: f64,
     replaced: u32,
     surge: f64,
@@ -249,24 +258,24 @@
 ) -> (BTreeMap<EngineId, Vec<Ms>>, f64) {
     let mut simulation = Simulation {
         rng: WyRand::new_seed(seed),
-        count,
+        dispatcher_count,
         dispatchers: Vec::new(),
-        incarnations: vec![0; count as usize],
+        incarnations: vec![0; dispatcher_count as usize],
         queue: BinaryHeap::new(),
-        entries: BTreeMap::new(),
-        last_entry: 0,
+        scheduled: BTreeMap::new(),
+        last_number: 0,
         attempts: BTreeMap::new(),
-        cold: BTreeMap::new(),
+        attempts_while_cold: BTreeMap::new(),
         prefill_ms: LOAD_FRACTION * 1000.0 / rate,
         busy_until: BTreeMap::new(),
         decodes: 0,
         arrivals: 0,
     };
     let mut weights = Vec::new();
-    for dispatcher in 0..count as usize {
+    for dispatcher in 0..dispatcher_count as usize {
         let control = simulation.start(dispatcher, endpoints_after(0));
         simulation.dispatchers.push(control);
-        // Some dispatchers get several times the mean traffic.
+        // The weights differ so much that some dispatchers get several times the mean traffic.
         let weight: f64 = simulation.rng.generate();
         weights.push(-weight.max(1e-9).ln() + 0.2);
         let delay: f64 = simulation.rng.generate();
@@ -277,14 +286,14 @@
         simulation.schedule(
             REPLACED_AT + 100.0 + 400.0 * delay,
             dispatcher,
-            Occurrence::Receives(update),
+            Scheduled::DispatcherReceives(update),
         );
         if dispatcher % 3 == 1 {
             let when: f64 = simulation.rng.generate();
             simulation.schedule(
                 REPLACED_AT + 2000.0 + 4000.0 * when,
                 dispatcher,
-                Occurrence::Restarts,
+                Scheduled::DispatcherRestarts,
             );
         }
     }
@@ -303,11 +312,11 @@
             if now > SIMULATION_ENDS_AT {
                 break;
             }
-            simulation.schedule(now, dispatcher, Occurrence::Arrives);
+            simulation.schedule(now, dispatcher, Scheduled::RequestArrives);
         }
     }
     while let Some(Reverse((when, number))) = simulation.queue.pop() {
-        let Some((dispatcher, incarnation, next)) = simulation.entries.remove(&number) else {
+        let Some((dispatcher, incarnation, next)) = simulation.scheduled.remove(&number) else {
             continue;
         };
         let now = when as f64 / 1000.0;
@@ -315,18 +324,18 @@
             break;
         }
         match next {
-            Occurrence::Arrives => {
+            Scheduled::RequestArrives => {
                 let arrival = simulation.arrival();
                 simulation.deliver(now, dispatcher, arrival);
             }
-            Occurrence::Receives(event)
+            Scheduled::DispatcherReceives(event)
                 if incarnation == simulation.incarnations[dispatcher]
                     || matches!(event, Event::EndpointsUpdated { .. }) =>
             {
                 simulation.deliver(now, dispatcher, event);
             }
-            Occurrence::Receives(_) => {}
-            Occurrence::Restarts => {
+            Scheduled::DispatcherReceives(_) => {}
+            Scheduled::DispatcherRestarts => {
                 simulation.incarnations[dispatcher] += 1;
                 simulation.dispatchers[dispatcher] =
                     simulation.start(dispatcher, endpoints_after(replaced));
@@ -334,30 +343,31 @@
         }
     }
     let served = f64::from(simulation.decodes) / f64::from(simulation.arrivals);
-    (simulation.cold, served)
+    (simulation.attempts_while_cold, served)
 }
 
-/// The largest number of attempts at any one engine within any overload window.
-fn max_attempts_per_window(cold: &BTreeMap<EngineId, Vec<Ms>>) -> usize {
+/// The largest number of attempts that any one engine got within any overload window.
+fn max_attempts_per_window(attempts_while_cold: &BTreeMap<EngineId, Vec<Ms>>) -> usize {
     let within = |sent: &Vec<Ms>, from: Ms| {
         sent.iter()
             .filter(|&&at| at >= from && at < from + OVERLOAD_WINDOW)
             .count()
     };
-    cold.values()
+    attempts_while_cold
+        .values()
         .flat_map(|sent| sent.iter().map(|&from| within(sent, from)))
         .max()
         .unwrap_or(0)
 }
 
-/// Attempts that a cold engine may get within an overload window: the attempts that a warm engine
-/// can take, times the cold capacity and the overload multiple.
+/// The number of attempts that a cold engine may get within an overload window: the capacity of a
+/// warm engine in that window, times the cold capacity and the overload multiple.
 fn budget(rate: f64) -> f64 {
     OVERLOAD_MULTIPLE * COLD_CAPACITY * rate / LOAD_FRACTION * OVERLOAD_WINDOW / 1000.0
 }
 
-/// Prefill engines are replaced, with and without a surge of traffic at the same time. No new
-/// engine may get so many attempts that it collapses.
+/// Prefill engines are replaced, with and without a surge of traffic. No new engine may get so many
+/// attempts that it collapses.
 #[test_case(3, 3.0; "3 dispatchers with little traffic")]
 #[test_case(3, 10.0; "3 dispatchers")]
 #[test_case(20, 0.8; "20 dispatchers with little traffic")]
@@ -365,7 +375,7 @@
 #[test_case(30, 0.8; "30 dispatchers with little traffic")]
 #[test_case(30, 8.0; "30 dispatchers")]
 #[test_case(300, 6.0; "300 dispatchers")]
-fn no_cold_engine_gets_more_than_its_budget_from_all_dispatchers(count: u32, rate: f64) {
+fn no_cold_engine_gets_more_than_its_budget_from_all_dispatchers(dispatchers: u32, rate: f64) {
     for (replaced, surge, seed) in [
         (6, 1.0, 1),
         (6, 4.0, 2),
@@ -375,23 +385,27 @@
         (12, 4.0, 6),
         (10, 4.0, 7),
     ] {
-        check_budget(count, rate, replaced, surge, seed);
+        check_budget(dispatchers, rate, replaced, surge, seed);
     }
 }
 
-/// Every prefill engine is replaced during a surge of eight times the traffic: no warm engine is
-/// left to take the rest.
+/// Every prefill engine is replaced while the traffic is eight times as high: no warm engine is
+/// left to take the attempts that cold engines cannot take.
 #[test_case(3, 3.0; "3 dispatchers with little traffic")]
 #[test_case(20, 0.8; "20 dispatchers with little traffic")]
 #[test_case(30, 8.0; "30 dispatchers")]
-fn no_cold_engine_gets_more_than_its_budget_at_eight_times_the_traffic(count: u32, rate: f64) {
+fn no_cold_engine_gets_more_than_its_budget_at_eight_times_the_traffic(
+    dispatchers: u32,
+    rate: f64,
+) {
     for seed in [8, 9] {
-        check_budget(count, rate, PREFILL_ENGINES, 8.0, seed);
+        check_budget(dispatchers, rate, PREFILL_ENGINES, 8.0, seed);
     }
 }
 
-/// With 300 dispatchers, each may send a cold engine only a small fraction of an attempt. If each
-/// rounded its fraction up, the sum would be many times the budget.
+/// With 300 dispatchers, the budget of each for a cold engine is a small fraction of an attempt. If
+/// every dispatcher rounded it up to one attempt, the sum would be many times the budget of the
+/// engine.
 #[test]
 fn three_hundred_dispatchers_keep_the_budget_of_cold_engines_at_eight_times_the_traffic() {
     for seed in [8, 9, 1008, 2008, 3008] {
@@ -400,20 +414,21 @@
 }
 
 /// Runs a simulation and checks the attempts at each cold engine against its budget.
-fn check_budget(count: u32, rate: f64, replaced: u32, surge: f64, seed: u64) {
+fn check_budget(dispatchers: u32, rate: f64, replaced: u32, surge: f64, seed: u64) {
     let allowed = budget(rate);
-    let (cold, served) = simulate(count, rate, replaced, surge, seed);
+    let (attempts_while_cold, served) = simulate(dispatchers, rate, replaced, surge, seed);
     let (max_attempts, all_attempts) = (
-        max_attempts_per_window(&cold),
-        cold.values().map(Vec::len).sum::<usize>(),
+        max_attempts_per_window(&attempts_while_cold),
+        attempts_while_cold.values().map(Vec::len).sum::<usize>(),
     );
     let mean = all_attempts as f64 / f64::from(replaced) / (SLOW_START_WINDOW / OVERLOAD_WINDOW);
-    let case =
-        format!("{count} dispatchers, rate {rate}, {replaced} engines replaced, surge {surge}");
-    println!("{case}: at most {max_attempts} attempts per window, mean {mean:.1}, budget {allowed:.1}; served {served:.3}");
+    let case = format!(
+        "{dispatchers} dispatchers, rate {rate}, {replaced} engines replaced, surge {surge}"
+    );
+    println!("{case}: at most {max_attempts} attempts per window, mean {mean:.1}, budget {allowed:.1}; fraction of requests served {served:.3}");
     assert!(
         max_attempts as f64 <= allowed + 2.0 * allowed.sqrt() + 2.0,
-        "{case}: {max_attempts} attempts in a window, budget {allowed:.1}"
+        "{case}: a cold engine got {max_attempts} attempts in a window, budget {allowed:.1}"
     );
-    assert!(all_attempts > 0, "{case}: cold engines get no attempts");
+    assert!(all_attempts > 0, "{case}: no cold engine got an attempt");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! Settings and endpoints that several tests of the decision logic share; each test overrides what
-//! it needs.
+//! Default settings and endpoints for tests of the decision logic. Each test overrides the fields
+//! that matter to it.
 
 use cindercleat::interface::*;
 
-/// A streaming request class with a latency objective of one second and a time to deadline of four.
+/// A streaming request class with a latency objective of one second and a time to deadline of four
+/// seconds.
 pub fn request_class(retry_safety: RetrySafety) -> RequestClassSettings {
     RequestClassSettings {
         retry_safety,
@@ -17,8 +18,8 @@
     }
 }
 
-/// Kinds of engines with these roles, in the order of their ids, and `memory_tokens` of memory
-/// each.
+/// One kind of engine for each of `roles`, in this order, each with KV memory for `memory_tokens`
+/// tokens.
 pub fn kinds(roles: &[Role], memory_tokens: f64) -> Vec<KindSettings> {
     let kind = |&role: &Role| KindSettings {
         role,
@@ -61,7 +62,7 @@
     }
 }
 
-/// A ready endpoint of an engine that has been running for long.
+/// A ready endpoint of an engine that is warm, as it started long ago.
 pub fn endpoint(name: &str, kind: u32, zone: u32, cell: u32) -> Endpoint {
     Endpoint {
         engine: EngineId(name.into()),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Hundreds of dispatchers side by side, each with little traffic: decisions that are harmless for
-//! one dispatcher may do harm in sum.
+//! Decisions of hundreds of dispatchers that each have little traffic: a decision that is harmless
+//! if one dispatcher makes it may do harm if all of them make it.
 
 mod common;
 
@@ -22,18 +22,20 @@
     EngineId(name.into())
 }
 
-fn endpoint(name: &str, kind: u32, at: u32) -> Endpoint {
-    common::endpoint(name, kind, at % 3, at % 9)
+/// An endpoint in one of three zones with three cells each, depending on `index`.
+fn endpoint(name: &str, kind: u32, index: u32) -> Endpoint {
+    common::endpoint(name, kind, index % 3, index % 9)
 }
 
 fn engines() -> Vec<Endpoint> {
-    let prefill_engines = (0..PREFILL_ENGINES).map(|at| endpoint(&format!("r{at}"), 0, at));
+    let prefill_engines =
+        (0..PREFILL_ENGINES).map(|index| endpoint(&format!("r{index}"), 0, index));
     prefill_engines
-        .chain((0..20).map(|at| endpoint(&format!("w{at}"), 1, at)))
+        .chain((0..20).map(|index| endpoint(&format!("w{index}"), 1, index)))
         .collect()
 }
 
-/// A dispatcher that has received the list of endpoints.
+/// A dispatcher that knows all engines of the simulated fleet.
 fn dispatcher(me: u32) -> Control {
     let mut control = Control::new(settings(me), u64::from(me) * 7919);
     let listed = Event::EndpointsUpdated {
@@ -57,6 +59,7 @@
     })
 }
 
+/// The engines that `actions` send health checks to.
 fn health_checks(actions: &[Action]) -> Vec<EngineId> {
     let health_check = |a: &Action| match a {
         Action::HealthCheck { engine } => Some(engine.clone()),
@@ -65,6 +68,7 @@
     actions.iter().filter_map(health_check).collect()
 }
 
+/// The engine of the first attempt that `actions` start, if they start any.
 fn attempt_target(actions: &[Action]) -> Option<EngineId> {
     actions.iter().find_map(|a| match a {
         Action::StartAttempt { engine, .. } => Some(engine.clone()),
@@ -72,23 +76,34 @@
     })
 }
 
-/// Sends a request at `now` and returns its prefill engine. `reports` returns the result of a
-/// health check of an engine: its outcome and the number of waiting requests there; `None` if no
-/// answer comes.
+/// How a health check of an engine ends.
+#[derive(Clone, Copy)]
+struct HealthCheckResult {
+    outcome: Outcome,
+    /// Requests that wait at the engine; reported only if the health check succeeded.
+    waiting_requests: f64,
+}
+
+/// Sends a request at `now` and returns its prefill engine. `health_check_result` returns the
+/// result of a health check of the given engine, or `None` if no answer arrives.
 fn prefill_engine_at(
     control: &mut Control,
     now: Ms,
     session: u64,
-    reports: impl Fn(&EngineId) -> Option<(Outcome, f64)>,
+    health_check_result: impl Fn(&EngineId) -> Option<HealthCheckResult>,
 ) -> EngineId {
     let mut actions = Vec::new();
     control.step(now, &[arrival(now as u32, session)], &mut actions);
     let mut answers = Vec::new();
     for engine in health_checks(&actions) {
-        let Some((outcome, queue)) = reports(&engine) else {
+        let Some(HealthCheckResult {
+            outcome,
+            waiting_requests,
+        }) = health_check_result(&engine)
+        else {
             continue;
         };
-        let queue = Some(queue).filter(|_| outcome == Outcome::Succeeded);
+        let queue = Some(waiting_requests).filter(|_| outcome == Outcome::Succeeded);
         let load = Load {
             queue,
             slots_used: queue.map(|_| 0.5),
@@ -102,12 +117,12 @@
         });
     }
     control.step(now + 5.0, &answers, &mut actions);
-    // Time passes until the wait for load reports is over.
+    // The dispatcher stops waiting for load reports within these steps.
     for after in [20.0, 40.0, 60.0, 100.0, 200.0] {
         control.wake_all();
         control.step(now + after, &[], &mut actions);
     }
-    attempt_target(&actions).expect("a request is prefilled while engines have capacity")
+    attempt_target(&actions).expect("a prefill must start while engines have capacity")
 }
 
 fn prefill_done(request: RequestId, engine: EngineId, last: bool) -> Event {
@@ -130,15 +145,19 @@
     })
 }
 
-fn idle(_: &EngineId) -> Option<(Outcome, f64)> {
-    Some((Outcome::Succeeded, 0.0))
+/// The result for an engine that answers its health check and reports that no request waits.
+fn empty_queue(_: &EngineId) -> Option<HealthCheckResult> {
+    Some(HealthCheckResult {
+        outcome: Outcome::Succeeded,
+        waiting_requests: 0.0,
+    })
 }
 
-/// A dispatcher that has seen a prefill end long ago and therefore knows the typical number of
-/// tokens of a waiting request.
+/// A dispatcher whose only prefill ended long ago. It therefore has an estimate of the prompt
+/// tokens per waiting request.
 fn dispatcher_that_saw_a_prefill(me: u32) -> Control {
     let mut control = dispatcher(me);
-    let engine = prefill_engine_at(&mut control, 1.0, 1, idle);
+    let engine = prefill_engine_at(&mut control, 1.0, 1, empty_queue);
     let request = RequestId(1);
     control.step(
         210.0,
@@ -151,27 +170,27 @@
     control
 }
 
-/// Hundreds of dispatchers get requests with the same prefix. Unless all of them choose the same
-/// engine, the prefix is computed again at each engine.
+/// Hundreds of dispatchers get requests with the same prefix. If they choose different engines,
+/// each of these engines computes the prefix again.
 #[test]
-fn all_dispatchers_prefill_a_shared_prefix_at_the_same_idle_home_engine() {
+fn all_dispatchers_send_prefills_of_a_shared_prefix_to_the_same_idle_home_engine() {
     let homes: BTreeSet<EngineId> = (0..DISPATCHERS)
-        .map(|me| prefill_engine_at(&mut dispatcher(me), 1.0, u64::from(me), idle))
+        .map(|me| prefill_engine_at(&mut dispatcher(me), 1.0, u64::from(me), empty_queue))
         .collect();
     assert_eq!(homes.len(), 1, "{homes:?}");
 }
 
-/// The home engine of a popular prefix gets too many prefills. They must go to a few other engines,
-/// and those of one session to the same engine whichever dispatcher sends them. They must not go
-/// wherever each dispatcher sees the shortest queue: the prefix would be computed again at every
-/// engine. `home_reports`: how a health check of the home engine ends.
-fn check_prefills_leave_the_home(home_reports: Option<(Outcome, f64)>) {
-    let home = prefill_engine_at(&mut dispatcher(0), 1.0, 0, idle);
-    let report_of = |engine: &EngineId| {
+/// The home engine of a popular prefix gets too many prefills. Further prefills must go to a few
+/// other engines, and all prefills of one session to the same engine, whichever dispatcher sends
+/// them. If each dispatcher chose the engine whose queue looks shortest, the prefix would be
+/// computed again at every engine. `home_result`: the result of a health check of the home engine.
+fn check_prefills_avoid_the_home_engine(home_result: Option<HealthCheckResult>) {
+    let home = prefill_engine_at(&mut dispatcher(0), 1.0, 0, empty_queue);
+    let health_check_result = |engine: &EngineId| {
         if *engine == home {
-            home_reports
+            home_result
         } else {
-            idle(engine)
+            empty_queue(engine)
         }
     };
     let mut used = BTreeSet::new();
@@ -181,7 +200,7 @@
                 &mut dispatcher_that_saw_a_prefill(me),
                 5000.0,
                 session,
-                report_of,
+                health_check_result,
             )
         };
         let engines: BTreeSet<EngineId> = [3, 40, 200].map(prefill_engine).into();
@@ -192,23 +211,30 @@
     assert!((2..=4).contains(&used.len()), "{used:?}");
 }
 
-/// The home engine answers health checks and has a long queue.
+/// The home engine reports a long queue in its answers to health checks.
 #[test]
-fn prefills_leave_a_home_with_a_long_queue_for_a_few_engines() {
-    check_prefills_leave_the_home(Some((Outcome::Succeeded, 30.0)));
+fn prefills_avoid_a_home_engine_with_a_long_queue_and_go_to_a_few_others() {
+    check_prefills_avoid_the_home_engine(Some(HealthCheckResult {
+        outcome: Outcome::Succeeded,
+        waiting_requests: 30.0,
+    }));
 }
 
-/// The home engine is too busy to answer a health check. An unknown load must not count as an empty
-/// queue.
+/// The home engine is too busy to answer a health check. Its unknown load must not be treated as an
+/// empty queue.
 #[test]
-fn a_home_too_busy_to_answer_a_health_check_does_not_count_as_idle() {
-    check_prefills_leave_the_home(Some((Outcome::TimedOut, 0.0)));
-    check_prefills_leave_the_home(Some((Outcome::Failed, 0.0)));
-    check_prefills_leave_the_home(None);
+fn a_home_engine_too_busy_to_answer_a_health_check_does_not_count_as_idle() {
+    for outcome in [Outcome::TimedOut, Outcome::Failed] {
+        check_prefills_avoid_the_home_engine(Some(HealthCheckResult {
+            outcome,
+            waiting_requests: 0.0,
+        }));
+    }
+    check_prefills_avoid_the_home_engine(None);
 }
 
-/// The number of dispatchers whose next decode goes to the cold engine. The cold engine and the
-/// engines of `warm` are the decode engines in the prefill engine's cell.
+/// Returns how many dispatchers send their next decode to a cold engine. The decode engines in the
+/// cell of the prefill engine are this cold engine and the engines named in `warm`.
 fn decodes_at_cold_engine(warm: &[&str]) -> usize {
     let is_chosen = |me: u32| {
         let mut control = Control::new(settings(me), u64::from(me) * 7919);
@@ -232,7 +258,7 @@
             }],
             &mut actions,
         );
-        let engine = prefill_engine_at(&mut control, 2000.0, u64::from(me), idle);
+        let engine = prefill_engine_at(&mut control, 2000.0, u64::from(me), empty_queue);
         actions.clear();
         control.step(
             2210.0,
@@ -244,28 +270,26 @@
     (0..DISPATCHERS).filter(|&me| is_chosen(me)).count()
 }
 
-/// A decode engine has just started. Each dispatcher may send it only a small fraction of an
-/// attempt and rarely has a request at all. The engine must get its share of all decodes. It must
-/// not get none, which would be the case if its lower weight lost every tie, nor so many that it
-/// collapses.
+/// A decode engine has just started. The budget of each dispatcher for it is a small fraction of an
+/// attempt, and each dispatcher rarely has a request at all. The engine must get some decodes (none
+/// if its lower weight lost every tie), but not so many that it collapses.
 #[test]
 fn a_cold_decode_engine_gets_its_share_of_all_decodes_and_no_more() {
     let share = |warm: &[&str]| decodes_at_cold_engine(warm) as f64 / f64::from(DISPATCHERS);
     let beside_warm = share(&["w1", "w2"]);
     assert!(
         (0.02..0.15).contains(&beside_warm),
-        "its share beside two warm engines in its cell is {beside_warm}"
+        "with two warm engines in its cell, the cold engine gets {beside_warm} of all decodes"
     );
     let alone = share(&[]);
     assert!(
         (0.1..0.45).contains(&alone),
-        "its share alone in its cell is {alone}"
+        "alone in its cell, the cold engine gets {alone} of all decodes"
     );
 }
 
 /// The engines are overloaded, and one dispatcher holds hundreds of requests. Planning all of them
-/// at every step would take all the time of its processor, and no accepted request would be
-/// answered.
+/// at every step would take all the processor's time, and no accepted request would be answered.
 #[test]
 fn held_requests_are_not_planned_at_every_step() {
     let mut control = Control::new(settings(0), 7);
@@ -281,7 +305,7 @@
     control.step(0.0, &first, &mut Vec::new());
     control.step(50.0, &[], &mut Vec::new());
     let before = control.plan_count();
-    for at in 51..350 {
+    for now in 51..350 {
         let load = Load::default();
         let checked = Event::HealthChecked {
             engine: engine("w"),
@@ -289,18 +313,21 @@
             latency: 5.0,
             load,
         };
-        control.step(f64::from(at), &[checked], &mut Vec::new());
+        control.step(f64::from(now), &[checked], &mut Vec::new());
     }
     // Each held request is planned every 50 ms, a tenth of the KV state timeout.
     let planned = control.plan_count() - before;
-    assert!((300..300 * 8).contains(&planned), "planned {planned} times");
+    assert!(
+        (300..300 * 8).contains(&planned),
+        "held requests were planned {planned} times"
+    );
 }
 
-/// The home engine of a popular prefix has just started. It must get its share of the prefills of
-/// all dispatchers and no more, or it collapses.
+/// The home engine of a popular prefix has just started. It must get some of the prefills of all
+/// dispatchers, but not so many that it collapses.
 #[test]
 fn a_cold_home_engine_gets_its_share_of_all_prefills_and_no_more() {
-    let home = prefill_engine_at(&mut dispatcher(0), 1.0, 0, idle);
+    let home = prefill_engine_at(&mut dispatcher(0), 1.0, 0, empty_queue);
     let is_chosen = |me: u32| {
         let mut control = Control::new(settings(me), u64::from(me) * 7919);
         let mut endpoints = engines();
@@ -318,9 +345,12 @@
             }],
             &mut Vec::new(),
         );
-        prefill_engine_at(&mut control, 2000.0, u64::from(me), idle) == home
+        prefill_engine_at(&mut control, 2000.0, u64::from(me), empty_queue) == home
     };
     let share =
         (0..DISPATCHERS).filter(|&me| is_chosen(me)).count() as f64 / f64::from(DISPATCHERS);
-    assert!((0.15..0.35).contains(&share), "its share is {share}");
+    assert!(
+        (0.15..0.35).contains(&share),
+        "the cold home engine gets {share} of all prefills"
+    );
 }
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -1,12 +1,14 @@
-//! Lower bounds on the fraction of requests answered, by request class, tenant, third of the
-//! simulation, prompt length and session. The simulated engines queue, cache prompts, reject, fail,
-//! drain, start cold and are replaced. Each dispatcher decides alone.
+//! Checks lower bounds on the fraction of requests that are answered, by request class, tenant,
+//! third of the simulation, prompt length and session. The simulated engines queue, cache prompts,
+//! reject, fail, drain, start cold and are replaced. Each dispatcher decides alone.
 //!
 //! A policy may serve most requests and still starve a group: long prompts, a tenant, or the
-//! sessions whose home engine cannot serve. Here every group has to get a share.
+//! sessions whose home engine cannot serve. Here a minimum fraction of the requests of every group
+//! has to be answered.
 //!
-//! The bounds are those of the users' acceptance page, relative to the fraction answered in the
-//! same class. The page's own reference, a policy that sees the true state, is not simulated here.
+//! The bounds are those of the users' acceptance page. The page compares a group with what a policy
+//! that sees the true state would answer. That policy is not simulated here. The bounds are instead
+//! relative to the fraction answered in the same request class, or to that of all requests.
 
 mod common;
 
@@ -22,36 +24,41 @@
 const DECODE_ENGINES: u32 = 8;
 /// When the simulation ends, in milliseconds.
 const SIMULATION_ENDS_AT: Ms = 60_000.0;
-/// Requests that arrive later may be unanswered at the end and do not count.
+/// Requests that arrive later may still be unanswered when the simulation ends, so they are not
+/// counted.
 const ARRIVALS_END_AT: Ms = SIMULATION_ENDS_AT - 10_000.0;
-/// When the fault begins, in milliseconds.
+/// When the fault of the simulation begins, in milliseconds.
 const FAULT_AT: Ms = 20_000.0;
 const SLOW_START_WINDOW: Ms = 8_000.0;
 const COLD_CAPACITY: f64 = 0.35;
-/// Prompt tokens that a prefill engine computes per second.
+/// Prompt tokens that a warm prefill engine computes per second.
 const PREFILL_TOKENS_PER_S: f64 = 20_000.0;
-/// Maximum number of requests that wait at a prefill engine.
+/// Maximum number of prefills that wait or run at a prefill engine; it rejects further ones.
 const MAX_QUEUED_PREFILLS: usize = 30;
+/// Maximum number of decodes that run at a decode engine; it rejects further ones.
 const DECODE_SLOTS: usize = 60;
+/// Milliseconds that a decode takes per token.
 const TOKEN_MS: f64 = 10.0;
+/// Time to deadline of each request class.
 const TIME_TO_DEADLINE: [Ms; 2] = [4_000.0, 8_000.0];
 const TENANTS: usize = 3;
-/// Median prompt length of new sessions, in tokens.
+/// Median length of a session's first prompt, in tokens.
 const MEDIAN_TOKENS: f64 = 900.0;
-/// Standard deviation of the logarithm of the prompt length.
+/// Standard deviation of the natural logarithm of that length, which is normally distributed.
 const LOG_STANDARD_DEVIATION: f64 = 1.2;
-/// Length of the platform's largest prompts.
+/// Maximum length of a session's first prompt, in tokens: as long as the platform's largest
+/// prompts.
 const MAX_PROMPT_TOKENS: f64 = 24_000.0;
-/// Number of requests in a session.
+/// Number of requests in a session, each with a longer prompt than the one before.
 const TURNS: u32 = 3;
 
-/// A fault that affects a part of the engines of each kind from [`FAULT_AT`] on.
+/// What happens at [`FAULT_AT`] to two in five engines of each kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
     /// Every attempt at the affected engines fails at once.
     Failing,
-    /// The affected engines are replaced by engines that start cold.
+    /// The affected engines are replaced by new engines, which are cold.
     Cold,
     Draining,
     /// The affected engines reject every attempt.
@@ -60,17 +67,17 @@
 }
 
 fn settings(me: u32) -> Settings {
-    let class = |at: usize| {
-        let retry_safety = if at == 0 {
+    let class = |index: usize| {
+        let retry_safety = if index == 0 {
             RetrySafety::Idempotent
         } else {
             RetrySafety::AtMostOnce
         };
         RequestClassSettings {
-            latency_objective: TIME_TO_DEADLINE[at] / 4.0,
+            latency_objective: TIME_TO_DEADLINE[index] / 4.0,
             latency_objective_per_1000_tokens: 60.0,
-            time_to_deadline: TIME_TO_DEADLINE[at],
-            priority_weight: 1.0 + at as f64,
+            time_to_deadline: TIME_TO_DEADLINE[index],
+            priority_weight: 1.0 + index as f64,
             token_pace: 60.0,
             ..common::request_class(retry_safety)
         }
@@ -91,7 +98,7 @@
     }
 }
 
-/// How an engine handles an attempt.
+/// How a simulated engine handles an attempt.
 #[derive(Clone, Copy, PartialEq)]
 enum Behaviour {
     Works,
@@ -103,13 +110,13 @@
     is_prefill: bool,
     endpoint: Endpoint,
     behaviour: Behaviour,
-    /// Until when a prefill engine is busy.
+    /// Until when a prefill engine is busy with the prompts sent so far.
     busy_until: Ms,
     /// Prefills that wait at the engine or run there.
     waiting: usize,
-    /// Decodes that run at the engine.
+    /// Decodes that run at the engine, from all dispatchers.
     decodes: usize,
-    /// Cached prompt tokens of each session.
+    /// Number of prompt tokens that the engine has cached of each session.
     cached: BTreeMap<SessionId, f64>,
 }
 
@@ -140,49 +147,52 @@
     Rejected,
 }
 
-/// A request from the client's point of view.
+/// A request with the answer that its client got.
 #[derive(Clone, Debug)]
 struct ClientRequest {
     class: usize,
     tenant: usize,
     session: SessionId,
-    at: Ms,
+    arrived_at: Ms,
     tokens: f64,
     answer: Answer,
 }
 
-enum Occurrence {
-    Arrives {
+/// An occurrence that the simulation has scheduled for a later time.
+enum Scheduled {
+    RequestArrives {
         session: SessionId,
         turn: u32,
         tokens: f64,
         class: usize,
         tenant: usize,
     },
-    Receives {
+    DispatcherReceives {
         dispatcher: usize,
         event: Event,
     },
     AttemptEnds {
         engine: usize,
     },
-    Fault,
+    FaultBegins,
 }
 
 struct Simulation {
     rng: WyRand,
     dispatchers: Vec<Control>,
     engines: Vec<Engine>,
-    index: BTreeMap<EngineId, usize>,
+    /// The index of each engine in `engines`.
+    engine_index: BTreeMap<EngineId, usize>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    entries: BTreeMap<u64, Occurrence>,
-    last_entry: u64,
+    scheduled: BTreeMap<u64, Scheduled>,
+    last_number: u64,
     requests: Vec<ClientRequest>,
     attempts: BTreeMap<RequestId, u32>,
     fault: Fault,
 }
 
-/// The fraction of the selected requests that were answered; `None` if none is selected.
+/// The fraction of the selected requests that were answered in time; `None` if no request is
+/// selected.
 fn answered_fraction(
     requests: &[ClientRequest],
     is_selected: impl Fn(&ClientRequest) -> bool,
@@ -199,26 +209,26 @@
     fn new(fault: Fault, seed: u64) -> Simulation {
         let mut engines = Vec::new();
         for (is_prefill, count) in [(true, PREFILL_ENGINES), (false, DECODE_ENGINES)] {
-            for at in 0..count {
+            for index in 0..count {
                 let name = format!(
-                    "{}{at}-{seed}",
+                    "{}{index}-{seed}",
                     if is_prefill { "prefill" } else { "decode" }
                 );
-                engines.push(engine(is_prefill, name, at, None));
+                engines.push(engine(is_prefill, name, index, None));
             }
         }
         let mut simulation = Simulation {
             rng: WyRand::new_seed(seed),
             dispatchers: Vec::new(),
-            index: engines
+            engine_index: engines
                 .iter()
                 .enumerate()
-                .map(|(at, e)| (e.endpoint.engine.clone(), at))
+                .map(|(index, e)| (e.endpoint.engine.clone(), index))
                 .collect(),
             engines,
             queue: BinaryHeap::new(),
-            entries: BTreeMap::new(),
-            last_entry: 0,
+            scheduled: BTreeMap::new(),
+            last_number: 0,
             requests: Vec::new(),
             attempts: BTreeMap::new(),
             fault,
@@ -239,31 +249,32 @@
         }
     }
 
-    fn schedule(&mut self, when: Ms, occurrence: Occurrence) {
-        self.last_entry += 1;
+    fn schedule(&mut self, when: Ms, scheduled: Scheduled) {
+        self.last_number += 1;
         self.queue.push(Reverse((
             (when * 1000.0).ceil() as u64 + 1,
-            self.last_entry,
+            self.last_number,
         )));
-        self.entries.insert(self.last_entry, occurrence);
+        self.scheduled.insert(self.last_number, scheduled);
     }
 
+    /// A random number between 0 and 1, never 0, so that its logarithm is finite.
     fn uniform(&mut self) -> f64 {
         self.rng.generate::<f64>().max(1e-9)
     }
 
-    /// Schedules random sessions whose prompts need `load` times the capacity of the prefill
-    /// engines.
+    /// Schedules random sessions. Computing their prompts takes `load` times the capacity of all
+    /// prefill engines.
     fn schedule_sessions(&mut self, load: f64) {
-        // Prompt tokens that a session needs to have computed: its first prompt, and what each
-        // further request adds.
+        // Mean number of prompt tokens that have to be computed for a session: its first prompt,
+        // and the tokens that each further request adds.
         let mean = MEDIAN_TOKENS * (LOG_STANDARD_DEVIATION * LOG_STANDARD_DEVIATION / 2.0).exp()
             + f64::from(TURNS - 1) * MEDIAN_TOKENS;
         let gap = 1000.0 * mean / (load * PREFILL_TOKENS_PER_S * f64::from(PREFILL_ENGINES));
         let mut now = 0.0;
         while now < ARRIVALS_END_AT {
             now += -self.uniform().ln() * gap;
-            // A normally distributed number from two uniform ones (Box-Muller transform).
+            // The Box-Muller transform makes a normally distributed number of two uniform ones.
             let (a, b) = (self.uniform(), self.uniform());
             let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
             let tokens = (MEDIAN_TOKENS * (LOG_STANDARD_DEVIATION * normal).exp())
@@ -274,7 +285,7 @@
             let tenant = (self.uniform() * TENANTS as f64) as usize % TENANTS;
             self.schedule(
                 now,
-                Occurrence::Arrives {
+                Scheduled::RequestArrives {
                     session,
                     turn: 1,
                     tokens,
@@ -288,15 +299,15 @@
     /// Runs the simulation. Returns the requests that arrived before [`ARRIVALS_END_AT`].
     fn run(mut self, load: f64) -> Vec<ClientRequest> {
         self.schedule_sessions(load);
-        self.schedule(FAULT_AT, Occurrence::Fault);
+        self.schedule(FAULT_AT, Scheduled::FaultBegins);
         while let Some(Reverse((when, number))) = self.queue.pop() {
-            let Some(occurrence) = self.entries.remove(&number) else {
+            let Some(scheduled) = self.scheduled.remove(&number) else {
                 continue;
             };
             let now = when as f64 / 1000.0;
-            match occurrence {
+            match scheduled {
                 _ if now > SIMULATION_ENDS_AT => break,
-                Occurrence::Arrives {
+                Scheduled::RequestArrives {
                     session,
                     turn,
                     tokens,
@@ -305,23 +316,28 @@
                 } => {
                     self.handle_arrival(now, session, turn, tokens, (class, tenant));
                 }
-                Occurrence::Receives { dispatcher, event } => self.deliver(now, dispatcher, event),
-                Occurrence::AttemptEnds { engine } if self.engines[engine].is_prefill => {
+                Scheduled::DispatcherReceives { dispatcher, event } => {
+                    self.deliver(now, dispatcher, event)
+                }
+                Scheduled::AttemptEnds { engine } if self.engines[engine].is_prefill => {
                     self.engines[engine].waiting -= 1
                 }
-                Occurrence::AttemptEnds { engine } => self.engines[engine].decodes -= 1,
-                Occurrence::Fault => self.begin_fault(now),
+                Scheduled::AttemptEnds { engine } => self.engines[engine].decodes -= 1,
+                Scheduled::FaultBegins => self.begin_fault(now),
             }
         }
-        self.requests.retain(|request| request.at < ARRIVALS_END_AT);
+        self.requests
+            .retain(|request| request.arrived_at < ARRIVALS_END_AT);
         self.requests
     }
 
-    /// Starts the fault at two in five engines of each kind.
+    /// Starts the fault of this simulation at two in five engines of each kind.
     fn begin_fault(&mut self, now: Ms) {
-        let affected: Vec<usize> = (0..self.engines.len()).filter(|at| at % 5 < 2).collect();
-        for at in affected {
-            let engine = &mut self.engines[at];
+        let affected: Vec<usize> = (0..self.engines.len())
+            .filter(|index| index % 5 < 2)
+            .collect();
+        for index in affected {
+            let engine = &mut self.engines[index];
             match self.fault {
                 Fault::None => {}
                 Fault::Failing => engine.behaviour = Behaviour::Fails,
@@ -331,8 +347,8 @@
                 Fault::Cold => {
                     engine.endpoint.status = EndpointStatus::Gone;
                     let name = format!("new-{}", engine.endpoint.engine.0);
-                    let new = self::engine(engine.is_prefill, name, at as u32, Some(now));
-                    self.index
+                    let new = self::engine(engine.is_prefill, name, index as u32, Some(now));
+                    self.engine_index
                         .insert(new.endpoint.engine.clone(), self.engines.len());
                     self.engines.push(new);
                 }
@@ -340,7 +356,10 @@
         }
         for dispatcher in 0..DISPATCHERS as usize {
             let (delay, event) = (400.0 * self.uniform(), self.endpoints_updated());
-            self.schedule(now + delay, Occurrence::Receives { dispatcher, event });
+            self.schedule(
+                now + delay,
+                Scheduled::DispatcherReceives { dispatcher, event },
+            );
         }
     }
 
@@ -358,7 +377,7 @@
             class,
             tenant,
             session,
-            at: now,
+            arrived_at: now,
             tokens,
             answer,
         });
@@ -367,7 +386,7 @@
             let (turn, tokens) = (turn + 1, tokens + more);
             self.schedule(
                 now + pause,
-                Occurrence::Arrives {
+                Scheduled::RequestArrives {
                     session,
                     turn,
                     tokens,
@@ -405,14 +424,14 @@
                 Action::SetTimer { delay, timer } => {
                     self.schedule(
                         now + delay,
-                        Occurrence::Receives {
+                        Scheduled::DispatcherReceives {
                             dispatcher,
                             event: Event::Timer { timer },
                         },
                     );
                 }
-                // A cancelled attempt stays in the queue until its time has passed and ends there
-                // by itself.
+                // The simulated engines ignore the cancellation of an attempt, which stays in their
+                // queue and ends as if it had not been cancelled.
                 _ => {}
             }
         }
@@ -426,25 +445,28 @@
     }
 
     fn health_check(&mut self, now: Ms, dispatcher: usize, engine: EngineId) {
-        let load = self.engines[self.index[&engine]].load();
+        let load = self.engines[self.engine_index[&engine]].load();
         let event = Event::HealthChecked {
             engine,
             outcome: Outcome::Succeeded,
             latency: 2.0,
             load,
         };
-        self.schedule(now + 2.0, Occurrence::Receives { dispatcher, event });
+        self.schedule(
+            now + 2.0,
+            Scheduled::DispatcherReceives { dispatcher, event },
+        );
     }
 
     fn attempt(&mut self, now: Ms, dispatcher: usize, request: RequestId, engine_id: EngineId) {
         let count = self.attempts.entry(request).or_insert(0);
         let attempt = AttemptId(*count);
         *count += 1;
-        let (at, client_request) = (
-            self.index[&engine_id],
+        let (index, client_request) = (
+            self.engine_index[&engine_id],
             self.requests[request.0 as usize].clone(),
         );
-        let engine = &mut self.engines[at];
+        let engine = &mut self.engines[index];
         let cold = engine.is_cold(now);
         let full = if engine.is_prefill {
             engine.waiting >= MAX_QUEUED_PREFILLS
@@ -474,7 +496,7 @@
         let (load, is_prefill) = (engine.load(), engine.is_prefill);
         match outcome {
             Outcome::PrefillDone => {
-                self.schedule(now + latency, Occurrence::AttemptEnds { engine: at })
+                self.schedule(now + latency, Scheduled::AttemptEnds { engine: index })
             }
             Outcome::Succeeded => {
                 let first = Event::FirstToken {
@@ -485,15 +507,15 @@
                 };
                 self.schedule(
                     now + 20.0,
-                    Occurrence::Receives {
+                    Scheduled::DispatcherReceives {
                         dispatcher,
                         event: first,
                     },
                 );
-                if now + 20.0 < client_request.at + TIME_TO_DEADLINE[client_request.class] {
+                if now + 20.0 < client_request.arrived_at + TIME_TO_DEADLINE[client_request.class] {
                     self.finish(request, Answer::Answered);
                 }
-                self.schedule(now + latency, Occurrence::AttemptEnds { engine: at });
+                self.schedule(now + latency, Scheduled::AttemptEnds { engine: index });
             }
             _ => {}
         }
@@ -510,7 +532,7 @@
         };
         self.schedule(
             now + latency,
-            Occurrence::Receives {
+            Scheduled::DispatcherReceives {
                 dispatcher,
                 event: Event::Ended(ended),
             },
@@ -518,10 +540,10 @@
     }
 }
 
-fn engine(is_prefill: bool, name: String, at: u32, started: Option<Ms>) -> Engine {
+fn engine(is_prefill: bool, name: String, index: u32, started: Option<Ms>) -> Engine {
     let endpoint = Endpoint {
         started,
-        ..common::endpoint(&name, u32::from(!is_prefill), 0, at % 2)
+        ..common::endpoint(&name, u32::from(!is_prefill), 0, index % 2)
     };
     let (behaviour, cached) = (Behaviour::Works, BTreeMap::new());
     Engine {
@@ -535,8 +557,8 @@
     }
 }
 
-/// The fractions answered of the requests of a class with the longest prompts: of the longest
-/// tenth, and of the next fifth.
+/// The answered fractions of two groups of a class's requests: the tenth with the longest prompts,
+/// and the fifth with the next longest.
 fn longest_prompts(requests: &[ClientRequest], class: usize) -> (f64, f64) {
     let mut lengths: Vec<f64> = requests
         .iter()
@@ -551,13 +573,13 @@
         })
     };
     (
-        of(tenth, f64::INFINITY).expect("requests were selected"),
-        of(fifth, tenth).expect("requests were selected"),
+        of(tenth, f64::INFINITY).expect("the simulation has such requests"),
+        of(fifth, tenth).expect("the simulation has such requests"),
     )
 }
 
-/// The fraction of a class's sessions of which every request was rejected, beyond what random
-/// rejections at the class's rate would give.
+/// The fraction of a class's sessions in which every request was rejected, minus the fraction
+/// expected if the same number of rejections were spread at random over the requests of the class.
 fn excess_rejected_sessions(requests: &[ClientRequest], class: usize) -> f64 {
     let mut sessions: BTreeMap<SessionId, (i32, bool)> = BTreeMap::new();
     for request in requests.iter().filter(|r| r.class == class) {
@@ -565,8 +587,9 @@
         session.0 += 1;
         session.1 &= request.answer == Answer::Rejected;
     }
-    let rejected =
-        1.0 - answered_fraction(requests, |r| r.class == class).expect("requests were selected");
+    let rejected = 1.0
+        - answered_fraction(requests, |r| r.class == class)
+            .expect("the simulation has such requests");
     let expected: f64 = sessions
         .values()
         .map(|(turns, _)| rejected.powi(*turns))
@@ -575,65 +598,78 @@
     (seen - expected) / sessions.len() as f64
 }
 
-/// Runs a simulation and checks the lower bounds. `min_answered`: the fraction of all requests;
-/// `min_long_prompts`: the fraction of the requests with the longest prompts, relative to the
-/// fraction of their class.
+/// Runs a simulation and checks the lower bounds. `min_answered`: the minimum fraction of all
+/// requests that are answered. `min_long_prompt_ratio`: for the requests with the longest prompts,
+/// the minimum ratio of their answered fraction to that of all requests of their class.
 fn check_lower_bounds(
     fault: Fault,
     load: f64,
     seed: u64,
     min_answered: f64,
-    min_long_prompts: f64,
+    min_long_prompt_ratio: f64,
 ) {
     let case = format!("{fault:?}, load {load}, seed {seed}");
     let requests = Simulation::new(fault, seed).run(load);
-    assert!(requests.len() > 500, "{case}: {} requests", requests.len());
-    let all = answered_fraction(&requests, |_| true).expect("requests were selected");
-    println!("{case}: {} requests, answered {all:.3}", requests.len());
-    assert!(all >= min_answered, "{case}: {all:.3} answered");
+    assert!(
+        requests.len() > 500,
+        "{case}: only {} requests arrived",
+        requests.len()
+    );
+    let all = answered_fraction(&requests, |_| true).expect("the simulation has such requests");
+    println!(
+        "{case}: {} requests, fraction answered {all:.3}",
+        requests.len()
+    );
+    assert!(
+        all >= min_answered,
+        "{case}: only a fraction of {all:.3} of all requests is answered"
+    );
     for class in 0..TIME_TO_DEADLINE.len() {
-        let share =
-            answered_fraction(&requests, |r| r.class == class).expect("requests were selected");
+        let answered = answered_fraction(&requests, |r| r.class == class)
+            .expect("the simulation has such requests");
         let (tenth, fifth) = longest_prompts(&requests, class);
         let excess = excess_rejected_sessions(&requests, class);
-        println!("  class {class}: {share:.3}, longest tenth {tenth:.3}, next fifth {fifth:.3}, rejected sessions beyond chance {excess:.3}");
+        println!("  class {class}: answered {answered:.3}, of the longest tenth {tenth:.3}, of the next fifth {fifth:.3}; sessions rejected in full beyond chance {excess:.3}");
         assert!(
-            share >= 0.5 * all,
-            "{case}: class {class} answered {share:.3}, all {all:.3}"
+            answered >= 0.5 * all,
+            "{case}: fraction answered in class {class} {answered:.3}, of all requests {all:.3}"
         );
         assert!(
-            tenth >= min_long_prompts * share,
-            "{case}: the longest tenth answered {tenth:.3}, the class {share:.3}"
+            tenth >= min_long_prompt_ratio * answered,
+            "{case}: fraction answered of the longest tenth {tenth:.3}, of class {class} {answered:.3}"
         );
         assert!(
-            fifth >= min_long_prompts * share,
-            "{case}: the next fifth answered {fifth:.3}, the class {share:.3}"
+            fifth >= min_long_prompt_ratio * answered,
+            "{case}: fraction answered of the next fifth {fifth:.3}, of class {class} {answered:.3}"
         );
         assert!(
             excess <= 0.12,
-            "{case}: {excess:.3} of the sessions of class {class} are rejected beyond chance"
+            "{case}: {excess:.3} more of the sessions of class {class} are rejected in full than by chance"
         );
     }
     for tenant in 0..TENANTS {
-        let share =
-            answered_fraction(&requests, |r| r.tenant == tenant).expect("requests were selected");
+        let answered = answered_fraction(&requests, |r| r.tenant == tenant)
+            .expect("the simulation has such requests");
         assert!(
-            share >= all / 3.0,
-            "{case}: tenant {tenant} answered {share:.3}, all {all:.3}"
+            answered >= all / 3.0,
+            "{case}: fraction answered of tenant {tenant} {answered:.3}, of all requests {all:.3}"
         );
     }
     for third in 0..3 {
-        let third = f64::from(third) * ARRIVALS_END_AT / 3.0;
-        let within = |r: &ClientRequest| r.at >= third && r.at < third + ARRIVALS_END_AT / 3.0;
-        let share = answered_fraction(&requests, within).expect("requests were selected");
+        let start = f64::from(third) * ARRIVALS_END_AT / 3.0;
+        let within = |r: &ClientRequest| {
+            r.arrived_at >= start && r.arrived_at < start + ARRIVALS_END_AT / 3.0
+        };
+        let answered =
+            answered_fraction(&requests, within).expect("the simulation has such requests");
         assert!(
-            share >= all / 5.0,
-            "{case}: answered {share:.3} in the third from {third} ms, all {all:.3}"
+            answered >= all / 5.0,
+            "{case}: fraction answered in the third from {start} ms {answered:.3}, of all requests {all:.3}"
         );
     }
 }
 
-/// No engine has a fault, and there is enough capacity: no group may be starved.
+/// No engine has a fault, and the capacity exceeds the load: no group may be starved.
 #[test_case(0.5; "half of the capacity")]
 #[test_case(0.7; "seven tenths of the capacity")]
 fn no_group_is_starved_while_there_is_capacity(load: f64) {
@@ -642,24 +678,27 @@
     }
 }
 
-/// The load exceeds the capacity of the engines. A policy that rejects only the longest prompts
-/// would answer most requests, but none of the clients with long prompts.
+/// The load exceeds the capacity of the engines. A policy that rejects the longest prompts would
+/// answer the most requests, but clients with long prompts would never get an answer.
 #[test]
-fn long_prompts_get_their_share_under_overload() {
+fn long_prompts_are_not_starved_under_overload() {
     for seed in 1..=4 {
         check_lower_bounds(Fault::None, 1.3, seed, 0.4, 0.5);
     }
 }
 
 /// Two in five engines of each kind have a fault for the last two thirds of the simulation.
-/// Sessions whose home engine is among them must be served by another engine while there is
-/// capacity. `min_answered`: the fraction of all requests answered.
+/// Sessions whose home engine is one of these must be served by another engine while there is
+/// capacity. `min_answered`: the minimum fraction of all requests that are answered.
 #[test_case(Fault::Failing, 0.8; "failing")]
 #[test_case(Fault::Cold, 0.95; "cold")]
 #[test_case(Fault::Draining, 0.9; "draining")]
 #[test_case(Fault::Rejecting, 0.55; "rejecting")]
 #[test_case(Fault::Gone, 0.9; "gone")]
-fn sessions_whose_home_engine_cannot_serve_reach_another_engine(fault: Fault, min_answered: f64) {
+fn sessions_whose_home_engine_cannot_serve_are_served_by_another_engine(
+    fault: Fault,
+    min_answered: f64,
+) {
     for seed in 1..=4 {
         check_lower_bounds(fault, 0.4, seed, min_answered, 0.5);
     }
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -1,8 +1,7 @@
-//! Compares the step that plans only the requests that may have changed with a step that plans
-//! every request. Random events go to two instances, one of which plans all requests at each step.
-//! A request that is lost from the plan queue would wait until its client gives up; the two
-//! instances would then return different actions. Their actions must be the same, in number, order
-//! and content.
+//! Compares a step that plans only the requests that may have changed with a step that plans every
+//! request. Two instances get the same random events, and one of them plans all requests at each
+//! step. They must return the same actions in the same order. If the plan queue lost a request,
+//! that request would wait until its client gives up, and the actions would differ.
 
 mod common;
 
@@ -61,11 +60,11 @@
     }
 }
 
-/// A random event: its kind, the request or engine that it concerns, and the time since the last
-/// event.
+/// Random numbers that determine an event: its kind, the request or engine that it concerns, and
+/// the time since the last event.
 type Draw = (u8, u16, u16);
 
-/// An attempt in flight, as the engines see it.
+/// An attempt in flight at a simulated engine.
 #[derive(Clone)]
 struct InFlight {
     request: RequestId,
@@ -76,7 +75,7 @@
 }
 
 #[derive(Default)]
-struct Environment {
+struct SimulatedEngines {
     now: Ms,
     requests: u32,
     attempts: Vec<u32>,
@@ -85,7 +84,7 @@
     health_checks: Vec<EngineId>,
 }
 
-impl Environment {
+impl SimulatedEngines {
     fn events_for(&mut self, (kind_of_event, which, after): Draw) -> Vec<Event> {
         self.now += f64::from(after % 512) * [0.25, 0.25, 1.0, 1.0][usize::from(after >> 9) % 4];
         let mut events = Vec::new();
@@ -237,10 +236,10 @@
     }
 }
 
-/// Plays the events against both instances. Returns the number of actions.
+/// Passes the events to both instances and compares their actions. Returns the number of actions.
 fn play(draws: &[Draw], seed: u64) -> Result<usize, TestCaseError> {
-    let [mut queued, mut exhaustive] = [(); 2].map(|()| Control::new(settings(), seed));
-    let mut environment = Environment::default();
+    let [mut plans_changed, mut plans_all] = [(); 2].map(|()| Control::new(settings(), seed));
+    let mut simulated_engines = SimulatedEngines::default();
     let endpoints = (0..ENGINES)
         .map(|i| endpoint(i, EndpointStatus::Ready, None))
         .collect();
@@ -250,13 +249,18 @@
     }];
     let mut action_count = 0;
     for (draw_index, draw) in draws.iter().enumerate() {
-        events.extend(environment.events_for(*draw));
+        events.extend(simulated_engines.events_for(*draw));
         let [mut actions, mut expected_actions] = [Vec::new(), Vec::new()];
-        queued.step(environment.now, &events, &mut actions);
-        exhaustive.wake_all();
-        exhaustive.step(environment.now, &events, &mut expected_actions);
-        prop_assert_eq!(&actions, &expected_actions, "after {} draws", draw_index);
-        environment.carry_out(&actions);
+        plans_changed.step(simulated_engines.now, &events, &mut actions);
+        plans_all.wake_all();
+        plans_all.step(simulated_engines.now, &events, &mut expected_actions);
+        prop_assert_eq!(
+            &actions,
+            &expected_actions,
+            "the actions differ after {} events",
+            draw_index
+        );
+        simulated_engines.carry_out(&actions);
         action_count += actions.len();
         events.clear();
     }
@@ -266,7 +270,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn planning_changed_requests_and_planning_all_requests_act_the_same(
+    fn planning_only_changed_requests_returns_the_same_actions_as_planning_all(
         draws in prop::collection::vec(any::<Draw>(), 1..400),
         seed in any::<u64>(),
     ) {
@@ -274,8 +278,8 @@
     }
 }
 
-/// The property above compares something: a long sequence of random events leads to thousands of
-/// actions.
+/// Guards against a comparison that passes because nothing happens: a long sequence of random
+/// events must lead to thousands of actions.
 #[test]
 fn a_long_sequence_of_random_events_leads_to_many_actions() {
     let draws: Vec<Draw> = (0..20_000u32)
@@ -288,5 +292,5 @@
         })
         .collect();
     let action_count = play(&draws, 7).unwrap_or_else(|e| panic!("{e}"));
-    assert!(action_count > 10_000, "{action_count} actions");
+    assert!(action_count > 10_000, "only {action_count} actions");
 }
