--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -1,4 +1,5 @@
-//! `.ci/tests` runs the tests of KNOWN-RED.txt apart from all others. Here it runs with a fake `cargo`.
+//! Tests the script `.ci/tests`, which runs the tests listed in KNOWN-RED.txt separately from all others. The script
+//! runs with a fake `cargo`.
 #![cfg(unix)]
 
 use std::fs;
@@ -7,8 +8,8 @@
 use std::process::Command;
 use test_case::test_case;
 
-/// A fake `cargo` that records its arguments and lists five tests, two of them with the same name. `a::red` fails,
-/// `a::good` passes, and all other runs fail while `BROKEN` is set.
+/// A fake `cargo` that records its arguments and lists five tests, two of which have the same name. Running `a::red`
+/// fails, running `a::good` passes, and any other run fails if `BROKEN` is set.
 const FAKE_CARGO: &str = r#"#!/bin/sh
 echo "$@" >> calls
 case "$*" in
@@ -54,7 +55,7 @@
 
 #[test_case("absent", None; "absent")]
 #[test_case("empty", Some("\n  \n"); "empty")]
-fn without_entries_every_test_failure_counts(name: &str, known_red: Option<&str>) {
+fn without_listed_tests_every_failure_fails_the_script(name: &str, known_red: Option<&str>) {
     let run = run_script(name, known_red, false);
     assert!(run.success, "{}", run.output);
     assert_eq!(run.calls, ["test --workspace --locked"]);
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_listed_test_is_skipped_by_its_full_name_run_separately_and_printed() {
+fn a_listed_test_is_excluded_by_its_full_name_and_its_separate_run_is_printed() {
     let run = run_script(
         "listed",
         Some("a::red | cargo test, seed 7 | a real fault | 32\n"),
@@ -91,7 +92,7 @@
             true
         )
         .success,
-        "failures of unlisted tests must still count"
+        "a failing unlisted test must fail the script"
     );
 }
 
@@ -128,6 +129,6 @@
         !run.calls
             .iter()
             .any(|call| call == "test --workspace --locked"),
-        "no test may run with an invalid list"
+        "the tests must not run with an invalid list"
     );
 }
--- a/tests/client_connection_http1.rs
+++ b/tests/client_connection_http1.rs
@@ -1,4 +1,4 @@
-//! Connections with one request at a time: when they are closed, and which one is evicted.
+//! Tests when connections with one request at a time are closed, and which one is evicted to make room for another one.
 
 use cindercleat::client_connection::http1::{
     connection_to_evict, CloseReason, Http1Connection, Http1Settings,
@@ -23,7 +23,7 @@
     assert_eq!(
         connection.request_received(60.0),
         10.0,
-        "milliseconds since the first part of the request"
+        "the request took 10 ms from its first part to its last"
     );
     assert_eq!(connection.next_due_at(&SETTINGS), None);
     assert_eq!(
@@ -46,8 +46,8 @@
     );
 }
 
-/// A client sends nothing or only part of a request. Both would hold a connection forever; the reason decides how the
-/// connection is closed.
+/// A client sends nothing or only part of a request. Without a timeout, both would hold a connection forever. The
+/// reason of the close determines how the caller closes the connection.
 #[test]
 fn a_partial_request_and_a_silent_connection_are_closed_for_different_reasons() {
     let mut connection = Http1Connection::new(0.0);
@@ -64,8 +64,8 @@
     );
 }
 
-/// Clients open the maximum number of connections and send nothing. The connection that has waited longest makes room
-/// for a new one. A connection with an open request is never evicted, as its answer would be lost.
+/// Clients open the maximum number of connections and send nothing. The connection that has waited longest is closed to
+/// make room for a new one. A connection with an open request is never evicted, because its answer would be lost.
 #[test]
 fn the_longest_silent_connection_is_evicted_first_and_one_with_an_open_request_never() {
     let new = Http1Connection::new;
@@ -109,7 +109,7 @@
     );
 }
 
-/// A client that stops in the middle of its first request is disconnected three seconds after the accept at the latest,
+/// A client that stops in the middle of its first request must be disconnected within three seconds of the accept,
 /// whenever it began the request.
 #[test]
 fn a_partial_first_request_is_closed_within_three_seconds_of_the_accept() {
@@ -135,11 +135,11 @@
             .expect("a partial request has a timeout");
         assert!(
             closed_at <= 2_850.0,
-            "begun at {begun_at}, closed at {closed_at}"
+            "request begun at {begun_at} ms, connection closed only at {closed_at} ms"
         );
         assert!(
             closed_at >= begun_at + 500.0,
-            "a slow client needs time to continue: begun at {begun_at}, closed at {closed_at}"
+            "no time for a slow client: request begun at {begun_at} ms, connection closed at {closed_at} ms"
         );
     }
 }
--- a/tests/client_connection_multiplexed.rs
+++ b/tests/client_connection_multiplexed.rs
@@ -1,5 +1,5 @@
-//! Connections with many concurrent requests: a silent client is pinged; a client that does not answer, or cancels too
-//! many requests, is disconnected.
+//! Tests connections with many concurrent requests: a silent client is pinged, and a client that does not answer the
+//! ping or cancels too many requests is disconnected.
 
 use cindercleat::client_connection::multiplexed::*;
 use proptest::prelude::*;
@@ -12,8 +12,8 @@
     cancels_per_second: 5.0,
 };
 
-/// A client's machine is gone, and TCP reports nothing. Its connection would be held forever, so it is pinged, and
-/// closed only if no answer comes.
+/// A client's machine is gone, and TCP reports no error. Without a ping its connection would be held forever. The
+/// connection is closed only if the ping is not answered.
 #[test]
 fn a_silent_client_is_pinged_and_disconnected_only_if_it_does_not_answer() {
     let mut connection = MultiplexedConnection::new(&SETTINGS, 0.0);
@@ -25,7 +25,7 @@
     assert_eq!(
         connection.due_command(&SETTINGS, 1499.0),
         None,
-        "only one ping per silence"
+        "an unanswered ping must not be repeated"
     );
     connection.received(1499.0);
     assert_eq!(connection.due_command(&SETTINGS, 1500.0), None);
@@ -40,16 +40,20 @@
     );
 }
 
-/// A client opens and cancels requests as fast as it can, and each costs a decision. It is disconnected once it exceeds
-/// the burst; a moderate rate is allowed forever.
+/// A client opens and cancels requests as fast as it can, and each request costs a decision. It must be disconnected
+/// once it exceeds the burst. Cancellations at the allowed rate must never disconnect it.
 #[test]
 fn cancels_are_limited_by_a_burst_and_a_rate() {
     let mut connection = MultiplexedConnection::new(&SETTINGS, 0.0);
     for n in 0..10 {
         connection.request_cancelled(&SETTINGS, 0.0);
-        assert_eq!(connection.due_command(&SETTINGS, 0.0), None, "cancel {n}");
+        assert_eq!(
+            connection.due_command(&SETTINGS, 0.0),
+            None,
+            "cancellation {n} is within the burst"
+        );
     }
-    // The allowed rate, one cancellation each 200 ms, has no time limit.
+    // One cancellation each 200 ms is the allowed rate, which a client may keep up without a time limit.
     for n in 1..1000 {
         let now = 200.0 * f64::from(n);
         connection.received(now);
@@ -65,8 +69,9 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
-    /// In any order of events, no more cancellations than the burst and the rate allow are accepted. A client that
-    /// answers each ping in time is not disconnected; one that does not is disconnected after both timeouts together.
+    /// In any order of events, no more cancellations are accepted than the burst and the rate allow. A client that
+    /// answers each ping in time is not disconnected for its silence. One that does not answer is disconnected after
+    /// the keepalive interval plus the ping timeout.
     #[test]
     fn cancel_limit_and_ping_timeout_hold_in_any_order_of_events(steps in prop::collection::vec((0u8..4, 0u16..700), 1..200), answers_pings in any::<bool>()) {
         let mut connection = MultiplexedConnection::new(&SETTINGS, 0.0);
@@ -87,7 +92,7 @@
                         prop_assert!(cancels > SETTINGS.cancel_burst);
                         return Ok(());
                     }
-                    None => prop_assert!(false, "no command at the instant that next_due_at returned"),
+                    None => prop_assert!(false, "next_due_at has returned an instant without a due command"),
                 }
             }
             now = until;
--- a/tests/connection_pool.rs
+++ b/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to an engine: single decisions, and random sequences of events that are checked against invariants.
+//! Tests the pool of connections to an engine: single decisions, and invariants under random sequences of events.
 
 use cindercleat::connection_pool::*;
 use cindercleat::interface::Ms;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_stream_goes_to_the_fullest_connection_with_a_free_stream_and_prefers_an_established_one() {
+fn a_stream_goes_to_the_established_connection_with_the_most_streams_that_accepts_another() {
     let mut pool = pool_with_streams(3);
     pool.connecting(B, 10.0);
     pool.stream_opened(B, 10.0);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_engines_stream_limit_applies_if_it_is_lower() {
+fn the_stream_limit_of_the_engine_applies_if_it_is_lower_than_that_of_the_settings() {
     let mut pool = ConnectionPool::new(settings(), 1);
     pool.connecting(A, 0.0);
     pool.connected(A, Some(2), 1.0);
@@ -51,8 +51,8 @@
     assert_eq!(pool.place(2.0), Placement::NewConnection);
 }
 
-/// The maximum number of connections is reached, and all of them are full. Another connection would overload the
-/// engine, so the stream is not placed, and the caller knows that nothing was sent.
+/// The maximum number of connections is reached, and all of them are full. A further connection would overload the
+/// engine. The stream must be refused, so that the caller knows that nothing was sent.
 #[test]
 fn a_stream_is_not_placed_if_the_maximum_number_of_connections_is_full() {
     let mut pool = ConnectionPool::new(settings(), 1);
@@ -69,12 +69,12 @@
     assert_eq!(
         pool.due_commands(1.0, true),
         [],
-        "no connection is opened ahead of need either"
+        "the maximum also applies to connections that are opened ahead of need"
     );
 }
 
-/// A stream that has to wait for a connect is late. A further connection is opened before the others are full, but not
-/// to an engine that drains, which gets no new streams.
+/// A stream that has to wait until a connection is established is late. A further connection is therefore opened before
+/// the others are full, but not to an engine that drains, which gets no new streams.
 #[test]
 fn a_connection_is_opened_ahead_of_need_but_not_to_an_engine_that_drains() {
     let mut pool = pool_with_streams(8);
@@ -90,12 +90,12 @@
     assert_eq!(
         pool.due_commands(11.0, true),
         [],
-        "another is already connecting"
+        "a further connection is already being established"
     );
 }
 
-/// An engine announces that it closes a connection. A new stream on it would be refused; open streams continue, and the
-/// connection is closed after the last one.
+/// An engine announces that it will close a connection. It would refuse a new stream on that connection. Open streams
+/// must continue, and the connection must be closed after the last one.
 #[test]
 fn a_draining_connection_keeps_its_streams_and_gets_no_new_ones() {
     let mut pool = pool_with_streams(1);
@@ -104,7 +104,7 @@
     assert_eq!(
         pool.due_commands(20.0, true),
         [PoolCommand::Connect],
-        "a connection in use is replaced ahead of need"
+        "a draining connection in use must be replaced ahead of need"
     );
     pool.stream_ended(A, 30.0);
     assert_eq!(
@@ -113,8 +113,8 @@
     );
 }
 
-/// An engine is down, and each request for it would start a connect. The backoff doubles with jitter, and is reset when
-/// the engine's process is a new one.
+/// An engine is down, and each request for it would start another connect. The backoff between connects must double,
+/// with jitter. It is reset when the engine has a new process.
 #[test]
 fn failed_connects_back_off_until_the_backoff_is_reset() {
     let mut pool = ConnectionPool::new(settings(), 7);
@@ -138,12 +138,12 @@
         }
         waits.push(now - closed_at);
     }
-    // 100 ms, doubled up to 1 s, times a random factor from 0.5 to 1.5.
+    // The backoff is 100 ms, doubled up to 1 s, times a random factor from 0.5 to 1.5.
     for (failures, wait) in waits.iter().enumerate() {
         let base = (100.0 * f64::from(failures as u32).exp2()).min(1000.0);
         assert!(
             *wait >= 0.5 * base && *wait <= 1.5 * base + 1.0,
-            "after {failures} earlier failures: {waits:?}"
+            "backoff {wait} ms after {failures} earlier failures; all: {waits:?}"
         );
     }
     pool.connecting(A, now);
@@ -156,8 +156,8 @@
     assert_eq!(pool.place(now), Placement::NewConnection);
 }
 
-/// An engine's machine is gone, and TCP reports nothing. Its streams would wait forever, so the connection is pinged,
-/// and closed if no answer comes.
+/// An engine's machine is gone, and TCP reports no error. Without a ping, streams would wait forever. The connection is
+/// closed only if the ping is not answered.
 #[test]
 fn a_silent_connection_with_streams_is_pinged_and_closed_if_it_does_not_answer() {
     let mut pool = pool_with_streams(1);
@@ -167,13 +167,13 @@
     assert_eq!(
         pool.due_commands(2011.0, true),
         [],
-        "only one ping per silence"
+        "an unanswered ping must not be repeated"
     );
     pool.received(A, 2400.0);
     assert_eq!(
         pool.due_commands(2510.0, true),
         [],
-        "the engine has answered"
+        "the engine has answered the ping"
     );
     assert_eq!(pool.due_commands(4400.0, true), [PoolCommand::Ping(A)]);
     assert_eq!(pool.due_commands(4899.0, true), []);
@@ -194,10 +194,11 @@
     );
 }
 
-/// A random event: its kind, which connection it concerns, and the milliseconds since the last event.
+/// Random numbers that determine an event: its kind, the connection that it concerns, and the milliseconds since the
+/// last event.
 type Draw = (u8, u8, u16);
 
-/// The expected state of a connection.
+/// The state that a connection should have after the events so far.
 #[derive(Debug, Default)]
 struct ExpectedConnection {
     established: bool,
@@ -205,8 +206,8 @@
     draining: bool,
 }
 
-/// Plays the events against a pool and checks its invariants. Returns how many pings, closes and rejected placements
-/// came about.
+/// Passes the events to a pool and checks its invariants after each. Returns the number of pings, closes and refused
+/// streams.
 fn play(draws: &[Draw], seed: u64) -> Result<[usize; 3], TestCaseError> {
     let settings = settings();
     let mut pool = ConnectionPool::new(settings, seed);
@@ -242,7 +243,7 @@
                         };
                         prop_assert!(
                             is_justified,
-                            "closed for {reason:?}; expected {connection:?}"
+                            "closed with reason {reason:?} in the state {connection:?}"
                         );
                         pool.closed(id, now);
                         counts[1] += 1;
@@ -252,7 +253,7 @@
         }
         prop_assert!(
             pool.next_due_at().is_none_or(|at| at > until),
-            "a command is still due after all due commands were returned"
+            "a command is due in the past after all due commands were returned"
         );
         now = until;
         let chosen = expected
@@ -262,7 +263,9 @@
         match (kind_of_event % 8, chosen) {
             (0..=3, _) => match pool.place(now) {
                 Placement::Existing(id) => {
-                    let connection = expected.get_mut(&id).expect("the connection is open");
+                    let connection = expected
+                        .get_mut(&id)
+                        .expect("streams must be placed on open connections only");
                     prop_assert!(
                         connection.streams < settings.max_streams_per_connection
                             && !connection.draining
@@ -321,7 +324,7 @@
             .count();
         prop_assert!(
             accepting <= settings.max_connections,
-            "{accepting} connections accept streams"
+            "{accepting} connections accept streams, more than the maximum"
         );
     }
     Ok(counts)
@@ -335,7 +338,7 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn random_events_keep_the_connection_limit_and_each_close_has_its_reason(
+    fn random_events_never_exceed_the_connection_limit_or_cause_an_unjustified_close(
         draws in prop::collection::vec(any::<Draw>(), 1..300),
         seed in any::<u64>(),
     ) {
@@ -344,19 +347,22 @@
 }
 
 #[test]
-fn a_long_random_sequence_leads_to_pings_closes_and_rejected_placements() {
+fn a_long_random_sequence_leads_to_pings_closes_and_refused_streams() {
     let mix = |i: u32| i.wrapping_mul(0x9e37_79b9) ^ (i >> 2).wrapping_mul(0x85eb_ca6b);
     let draws: Vec<Draw> = (0..20_000)
         .map(mix)
         .map(|m| ((m >> 24) as u8, (m >> 9) as u8, ((m >> 3) % 1400) as u16))
         .collect();
     let counts = play(&draws, 2).unwrap_or_else(|e| panic!("{e}"));
-    assert!(counts.iter().all(|n| *n > 10), "{counts:?}");
+    assert!(
+        counts.iter().all(|n| *n > 10),
+        "too few pings, closes or refused streams: {counts:?}"
+    );
 }
 
-/// Engines close connections that have been idle for long, and some close a connection right after an answer. A stream
-/// on a connection that is being closed is lost. The connection that became idle last is therefore chosen, but not one
-/// that became idle only just now.
+/// Engines close connections that have been idle for long, and some engines close each connection right after an
+/// answer. A stream on a connection that is being closed is lost. The pool must choose the connection that became idle
+/// last, except one that became idle only just now.
 #[test]
 fn the_connection_that_became_idle_last_is_reused_but_not_one_that_became_idle_just_now() {
     let mut pool = ConnectionPool::new(
@@ -373,7 +379,7 @@
         pool.stream_opened(ConnectionId(id), 0.0);
         pool.stream_ended(ConnectionId(id), idle_since);
     }
-    // The engine may close the third right after its answer, and the first because of its long idle time.
+    // The engine may close the third connection right after its answer, and the first because of its long idle time.
     for id in [2, 1, 3] {
         assert_eq!(pool.place(100.0), Placement::Existing(ConnectionId(id)));
         pool.stream_opened(ConnectionId(id), 100.0);
@@ -381,8 +387,8 @@
     assert_eq!(pool.place(100.0), Placement::NewConnection);
 }
 
-/// If a connection carries one stream, each stream would cause another connect ahead of need, and an engine at peak
-/// load would get twice as many connections.
+/// If each connection carries only one stream, opening connections ahead of need would add a connect for each stream,
+/// and an engine at peak load would get twice as many connections.
 #[test]
 fn connections_for_one_stream_are_not_opened_ahead_of_need() {
     let mut pool = ConnectionPool::new(
--- a/tests/discovery_client.rs
+++ b/tests/discovery_client.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery: what they request, and when the next call is made.
+//! Tests what calls to discovery request, how long they may be silent and when the next call is made.
 
 use cindercleat::discovery_client::{
     DiscoveryCalls, DiscoverySettings, FirstCall, MAX_UNUSABLE_LIST_BACKOFF_MS,
@@ -39,7 +39,7 @@
     assert_eq!(
         calls.silence_timeout(),
         2500.0,
-        "a long list has begun to arrive"
+        "the rest of a list that has begun to arrive may take longer"
     );
     calls.begin_call(None);
     assert_eq!(
@@ -52,8 +52,8 @@
 }
 
 /// Hundreds of dispatchers lose discovery at the same time. If they all called it again at the same time, it would be
-/// overloaded each time. From the second call on, no tenth of the time over which a round of calls is spread contains
-/// 90 of the 300 calls.
+/// overloaded each time. From the second call on, each round of 300 calls is spread over a period, and no tenth of that
+/// period contains 90 calls or more.
 #[test]
 fn dispatchers_that_lose_discovery_together_do_not_reconnect_together() {
     let mut dispatchers: Vec<DiscoveryCalls> = (0..300)
@@ -69,7 +69,7 @@
             .fold((f64::MAX, 0.0_f64), |(a, b), t| (a.min(*t), b.max(*t)));
         assert!(
             last - first > 40.0,
-            "call {call}: spread only from {first} ms to {last} ms"
+            "call {call}: all dispatchers call between {first} ms and {last} ms"
         );
         let tenth = (last - first) / 10.0;
         let calls_per_tenth = (0..10).map(|part| {
@@ -81,7 +81,7 @@
         });
         assert!(
             calls_per_tenth.max().is_some_and(|calls| calls < 90),
-            "call {call}"
+            "call {call}: too many dispatchers call at almost the same time"
         );
     }
 }
@@ -99,13 +99,13 @@
     assert_eq!(
         calls.begin_call(Some(4)),
         snapshot,
-        "the known list may be long outdated"
+        "the first call at an address requests a snapshot"
     );
     assert_eq!(calls.begin_call(Some(4)), changes_since(4));
     assert_eq!(
         calls.begin_call(None),
         snapshot,
-        "no list is known to resume from"
+        "without a known list there is nothing to resume from"
     );
     calls.address_changed();
     assert_eq!(calls.begin_call(Some(5)), snapshot);
@@ -123,12 +123,12 @@
     assert_eq!(
         calls.begin_call(Some(4)),
         snapshot,
-        "settings do not allow calls to resume"
+        "these settings do not allow calls to resume"
     );
 }
 
-/// Discovery sends an unusable list, which costs it as much as a usable one. The backoff keeps growing, and stays
-/// within the time after which a dispatcher counts as notified.
+/// Discovery sends unusable lists, each of which costs it as much as a usable one. The backoff must keep growing, and
+/// must stay within the time after which a dispatcher counts as notified.
 #[test]
 fn the_backoff_grows_while_lists_are_unusable() {
     let mut calls = DiscoveryCalls::new(SETTINGS, 1);
@@ -149,12 +149,12 @@
     }
     assert!(
         calls.backoff_after_loss() <= SETTINGS.max_backoff,
-        "a lost call has its own maximum"
+        "the backoff after a lost call must keep its own maximum"
     );
     calls.list_received();
     assert!(
         calls.backoff_after_unusable_list() <= 100.0,
-        "the first backoff after an unusable list is short"
+        "a usable list must reset the backoff"
     );
     const {
         assert!(
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Limits and timeouts derived from the resources and settings of a process.
+//! Tests the limits and timeouts that are derived from the resources and settings of a process.
 
 use cindercleat::interface::Discovery;
 use cindercleat::resource_limits::{
@@ -28,13 +28,13 @@
     );
     assert!(
         limits.max_client_connections * 3 >= 256,
-        "clients get at least a third of the file descriptors"
+        "clients must get at least a third of the file descriptors"
     );
     assert!(limits.max_open_requests <= limits.max_client_connections);
     assert!(limits.max_total_body_bytes < 8_000_000 && limits.engine_idle_timeout < 15_000.0 / 2.0);
     assert_eq!(
         limits.stop_streams_after, None,
-        "streams are ended early only if clients resume"
+        "streams must be ended early only if clients resume them"
     );
     assert!(ResourceLimits::for_process(&ProcessLimits {
         file_descriptors: RESERVED_FILE_DESCRIPTORS,
@@ -48,9 +48,9 @@
     .is_none());
 }
 
-/// The kill comes no earlier than the longest time to deadline (counted as 3 s if it is longer) plus 0.7 s after the
-/// stop signal. Until then clients resume their streams at another dispatcher, and requests accepted shortly after the
-/// signal are started.
+/// The platform kills the process no earlier than the longest time to deadline (counted as 3 s if it is longer) plus
+/// 0.7 s after the stop signal. Before the kill, clients must be able to resume their streams at another dispatcher,
+/// and requests that are accepted shortly after the signal must be able to start.
 #[test]
 fn streams_are_ended_well_before_the_kill_whatever_the_deadlines_are() {
     for (longest_deadline, kill) in [
@@ -67,25 +67,28 @@
             ..process()
         };
         let limits = ResourceLimits::for_process(&process).expect("enough file descriptors");
-        let streams_end_at = limits.stop_streams_after.expect("clients resume");
+        let streams_end_at = limits
+            .stop_streams_after
+            .expect("streams are ended early if clients resume them");
         assert!(
             streams_end_at + 300.0 <= kill,
-            "longest deadline {longest_deadline}: streams end at {streams_end_at}, kill at {kill}"
+            "longest deadline {longest_deadline}: streams end at {streams_end_at} ms, too close to the kill at {kill} ms"
         );
         assert!(
             streams_end_at > limits.stop_accept_period,
-            "longest deadline {longest_deadline}: requests are accepted after streams are ended"
+            "longest deadline {longest_deadline}: requests are still accepted after streams were ended"
         );
         assert!(
             limits.stop_grace >= longest_deadline + kill,
-            "longest deadline {longest_deadline}: the stop ends before a deadline"
+            "longest deadline {longest_deadline}: the process stops before the last deadline"
         );
     }
 }
 
 /// With polled lists, a dispatcher counts as notified of a change six seconds after discovery had it and was reachable,
-/// or sooner if the settings say so, whatever calls were lost. The sum of silence, backoffs and connects stays below
-/// that with a margin, for any connect timeout up to 1 s. So does the time to replace a watch that falls silent.
+/// or sooner if the settings say so, whichever calls were lost. Silence timeout, backoffs and connects together must
+/// take less than that, with a margin, for any connect timeout up to 1 s. So must the replacement of a watch that falls
+/// silent.
 #[test]
 fn polled_discovery_is_called_again_well_before_the_notification_deadline() {
     for notified_within in [10_000.0, 6_000.0] {
@@ -100,7 +103,7 @@
             let settings = limits.discovery;
             assert!(
                 settings.max_recovery_time() <= 0.92 * DISCOVERY_NOTIFIED_WITHIN_MS,
-                "connect timeout {connect_timeout}: recovery takes {} ms",
+                "connect timeout {connect_timeout}: the list is requested again only after {} ms",
                 settings.max_recovery_time()
             );
             let watch_replaced_after =
@@ -111,15 +114,15 @@
             );
             assert!(
                 settings.silence_timeout > limits.discovery_poll_wait,
-                "discovery may delay an answer for the poll wait"
+                "the silence timeout must exceed the wait that a poll asks for"
             );
         }
     }
 }
 
-/// With pushed lists, a dispatcher counts as notified as soon as discovery is back and the agent has its list. The
-/// agent is therefore called again well within the drain grace, whatever calls it did not answer. A call that was
-/// unanswered when discovery came back is never answered.
+/// With pushed lists, a dispatcher counts as notified as soon as discovery is reachable again and the agent has its
+/// list. The agent never answers a call that was open at that time. The dispatcher must therefore call it again well
+/// within the drain grace, whichever calls were not answered.
 #[test]
 fn a_silent_agent_is_called_again_within_the_drain_grace() {
     for drain_grace in [250.0, 500.0, 2_000.0] {
@@ -137,7 +140,7 @@
                 + settings.connect_timeout;
             assert!(
                 called_again_after <= 0.85 * drain_grace,
-                "drain grace {drain_grace}, connect timeout {connect_timeout}: called again after {called_again_after} ms"
+                "drain grace {drain_grace}, connect timeout {connect_timeout}: next call after {called_again_after} ms"
             );
             assert!(
                 settings.silence_timeout > limits.discovery_poll_wait
@@ -147,8 +150,8 @@
     }
 }
 
-/// A list may contain as many engines as a fleet can have, indented and with long names, but never uses more than an
-/// eighth of the memory.
+/// A list must fit that contains every engine of the largest fleet, indented and with long names. It must not use more
+/// than an eighth of the memory.
 #[test]
 fn a_list_of_thousands_of_engines_fits_into_an_eighth_of_the_memory() {
     for memory in [32e6, 64e6, 192e6] {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,19 +1,21 @@
-//! Plays the scenario files of `tests/scenarios/`. Each line has one of the forms below; `#` starts a comment.
+//! Runs the scenario files in `tests/scenarios/`. Each line has one of the forms below; `#` starts a comment.
 //!
-//! `set KEY VALUE` changes a default setting; `effect CLASS WORDS` the retry safety of a request class.
+//! `set KEY VALUE` changes a default setting; `effect CLASS WORDS` sets the retry safety of a class.
 //! `list KIND NAME:ROLE:ZONE:CELL[:STATUS[:STARTED]] ...` updates the endpoints, where ROLE is `r` (prefill),
 //! `w` (decode) or `b` (both).
 //! `probed ENGINE SLOTS_USED QUEUE MEMORY` is the answer to a health check of that engine.
-//! `at T` advances to the instant T, fires the timers that are due before it, and opens a batch of events:
+//! `at T` advances to the instant T, expires the timers that are due before it, and opens a batch of events:
 //! `task ID REQUEST_CLASS TIME_TO_DEADLINE PROMPT [s=SESSION] [p=SHARED/TOKENS] [t=TENANT]`, `first ID ENGINE`,
 //! `end ID ENGINE OUTCOME [last] [none] [x1=K]`, `left ID`, `burst ID COUNT REQUEST_CLASS TIME_TO_DEADLINE PROMPT`.
-//! The runner numbers the attempts of a request in the order of their start; ENGINE `*` is that of the newest one.
+//! The runner numbers the attempts of a request in the order in which they start. ENGINE `*` is the engine of the
+//! newest attempt.
 //! `each A B VERB WORDS` repeats a line for the ids from A to B.
-//! `> WORDS` expects a matching action since the first `at` after the last expectations, in any order, and
-//! uses it up; `! WORDS` expects no matching action; `*` in WORDS matches any one word. `most N WORDS` and
-//! `least N WORDS` bound the number of matching actions. `> launch 1 r2 by 3990` also checks the attempt's timeout.
-//! The files have their own words for actions: `launch` starts an attempt, `bounce` rejects, `write-off` fails, `probe`
-//! is a health check. Each file begins with a comment on its subject.
+//! Expectations compare WORDS with the first words of each action; `*` matches any one word. They see the actions since
+//! the first `at` after the last group of expectations. `> WORDS` expects a matching action in any position and removes
+//! it; `! WORDS` expects none. `most N WORDS` and `least N WORDS` expect at most and at least N matching actions.
+//! `> launch 1 r2 by 3990` also checks the attempt's timeout.
+//! The files have their own words for actions: `launch` is [`Action::StartAttempt`], `bounce` is [`Action::Reject`],
+//! `write-off` is [`Action::Fail`], and `probe` is [`Action::HealthCheck`]. Each file begins with a comment on its subject.
 
 mod common;
 
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Passes the collected events to the dispatcher, then advances to `until` and fires due timers.
-    fn run(&mut self, until: Ms) {
+    /// Passes the collected events to the dispatcher, then advances to `until`, expiring the timers that are due before.
+    fn advance_to(&mut self, until: Ms) {
         let events = std::mem::take(&mut self.events);
         if !events.is_empty() {
             self.step(self.now, &events);
@@ -118,7 +120,7 @@
     }
 }
 
-/// Whether an action begins with these words; `*` matches any one word.
+/// Whether the first words of an action are `words`; `*` matches any one word.
 fn matches(action: &str, words: &[&str]) -> bool {
     let action: Vec<&str> = action.split(' ').collect();
     words.len() <= action.len() && words.iter().zip(action).all(|(w, s)| *w == "*" || *w == s)
@@ -198,7 +200,7 @@
             quota_per_second: number(value),
             share: 0.5,
         }),
-        _ => panic!("unknown setting {key}"),
+        _ => panic!("unknown key {key} in a set line"),
     }
 }
 
@@ -244,8 +246,8 @@
         }
     }
 
-    /// Plays one line; `at` is its index, from 0.
-    fn line(&mut self, at: usize, line: &str) {
+    /// Runs one line; `index` is its index in the file, from 0, for messages.
+    fn run_line(&mut self, index: usize, line: &str) {
         let words: Vec<&str> = line
             .split('#')
             .next()
@@ -264,9 +266,13 @@
             "at" => self.go_to(number(rest[0])),
             ">" | "!" | "most" | "least" => {
                 let now = self.now;
-                self.run(now);
+                self.advance_to(now);
                 self.has_expectation = true;
-                let case = format!("line {}: {line}\nseen: {:#?}", at + 1, self.actions_seen);
+                let case = format!(
+                    "line {}: {line}\nactions: {:#?}",
+                    index + 1,
+                    self.actions_seen
+                );
                 self.expect(verb, rest, &case);
             }
             "burst" => {
@@ -276,19 +282,20 @@
             }
             _ => {
                 let event = self.event(verb, rest);
-                self.events
-                    .push(event.unwrap_or_else(|| panic!("line {}: unknown verb {verb}", at + 1)));
+                self.events.push(
+                    event.unwrap_or_else(|| panic!("line {}: unknown verb {verb}", index + 1)),
+                );
             }
         }
     }
 
-    /// Starts a batch of events at an instant. Actions before the last expectations are dropped.
+    /// Starts a batch of events at `instant`. If the last lines were expectations, drops the actions that they have checked.
     fn go_to(&mut self, instant: Ms) {
         if self.has_expectation {
             self.actions_seen.clear();
         }
         self.has_expectation = false;
-        self.run(instant);
+        self.advance_to(instant);
     }
 
     fn expect(&mut self, verb: &str, rest: &[&str], case: &str) {
@@ -304,7 +311,7 @@
         }
     }
 
-    /// The event of a line; `None` if its verb is not that of an event.
+    /// The event that a line describes; `None` if its verb does not name an event.
     fn event(&self, verb: &str, rest: &[&str]) -> Option<Event> {
         Some(match verb {
             "list" => {
@@ -382,11 +389,11 @@
     }
 }
 
-fn play(text: &str) {
+fn run_scenario(text: &str) {
     let mut runner = ScenarioRunner::new();
-    for (at, line) in text.lines().enumerate() {
+    for (index, line) in text.lines().enumerate() {
         for line in repeat_for_ids(line) {
-            runner.line(at, &line);
+            runner.run_line(index, &line);
         }
     }
 }
@@ -407,5 +414,5 @@
 #[test_case(include_str!("scenarios/tenants.txt"); "tenants")]
 #[test_case(include_str!("scenarios/newborn.txt"); "newborn")]
 fn scenario(text: &str) {
-    play(text);
+    run_scenario(text);
 }
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -1,4 +1,4 @@
-//! gRPC statuses: which one each answer gets, and what an engine's status proves.
+//! Tests which gRPC status each answer gets, and which ends of a call prove that it has not run.
 
 use cindercleat::interface::Outcome;
 use cindercleat::status::*;
@@ -9,7 +9,7 @@
 #[test_case(ClientAnswer::Rejected { for_lack_of_capacity: true }, Code::ResourceExhausted)]
 #[test_case(ClientAnswer::Failed, Code::Unknown)]
 #[test_case(ClientAnswer::InvalidRequest, Code::InvalidArgument)]
-fn each_answer_gets_its_status(answer: ClientAnswer, code: Code) {
+fn each_answer_has_one_status_that_tells_whether_a_retry_is_safe(answer: ClientAnswer, code: Code) {
     assert_eq!(client_status(answer), code);
     let has_not_run = matches!(
         answer,
@@ -33,7 +33,7 @@
         assert_eq!(
             attempt_outcome(CallEnd::Reset(code)),
             expected,
-            "code {code}"
+            "HTTP/2 error code {code}"
         );
     }
     assert_eq!(
@@ -52,7 +52,7 @@
         });
         assert!(
             matches!(unmarked, Outcome::Failed | Outcome::ConnectionLost),
-            "{code:?}: {unmarked:?}"
+            "{code:?} without the mark gives {unmarked:?}"
         );
         assert_eq!(
             attempt_outcome(CallEnd::Status {
