--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -17,7 +17,7 @@
 /// An attempt that queued lowers the limit to this fraction of the attempts in flight at that time.
 const DECREASE_FRACTION: f64 = 0.7;
 /// The limit grows only while no more than this many further attempts would fit into it.
-const UNUSED_ATTEMPTS: f64 = 2.0;
+const MAX_UNUSED_ATTEMPTS: f64 = 2.0;
 
 /// Concurrency limit of one engine. Guards against queues at engines, which make requests late and
 /// evict cached prefixes. Attempts that were in flight at the same time and queued lower the limit
@@ -55,7 +55,7 @@
 
     /// Raises the limit after an attempt that did not queue.
     pub(super) fn increase(&mut self, in_flight: f64) {
-        if in_flight + UNUSED_ATTEMPTS >= self.attempts {
+        if in_flight + MAX_UNUSED_ATTEMPTS >= self.attempts {
             self.attempts += self.increase / self.attempts;
         }
     }
--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -1,7 +1,7 @@
 //! The state of each engine as this dispatcher knows it.
 
 use super::concurrency_limit::ConcurrencyLimit;
-use super::load_report::{HealthCheckState, LoadReport, TypicalPrefill};
+use super::load_report::{HealthCheckState, LoadReport, MeanPrefillTokens};
 use super::outlier_detection::{OutcomeHistory, OverloadBackoff};
 use super::prefix_cache::PrefixCache;
 use super::slow_start::SlowStart;
@@ -126,7 +126,7 @@
     index: BTreeMap<EngineId, EngineIndex>,
     /// Every engine ever listed, in the order of first listing.
     engines: Vec<Engine>,
-    typical_prefill: TypicalPrefill,
+    mean_prefill_tokens: MeanPrefillTokens,
 }
 
 impl Index<EngineIndex> for Engines {
@@ -150,7 +150,7 @@
             report_decay_ms,
             index: BTreeMap::new(),
             engines: Vec::new(),
-            typical_prefill: TypicalPrefill::default(),
+            mean_prefill_tokens: MeanPrefillTokens::default(),
         }
     }
 
@@ -226,12 +226,13 @@
         cached: f64,
     ) {
         self.engines[index].prefix_cache.insert(arrival);
-        self.typical_prefill.record(arrival.prompt_tokens - cached);
+        self.mean_prefill_tokens
+            .record(arrival.prompt_tokens - cached);
     }
 
     pub(super) fn record_load(&mut self, index: EngineIndex, load: &Load, now: Ms) {
         let engine = &mut self.engines[index];
-        let typical_tokens = self.typical_prefill.tokens();
+        let typical_tokens = self.mean_prefill_tokens.tokens();
         engine
             .load_report
             .update(load, typical_tokens, engine.kind.memory_tokens, now);
@@ -266,13 +267,14 @@
     ) -> f64 {
         let engine = &self.engines[index];
         let report = &engine.load_report;
-        let reported = report.aged(report.waiting_tokens, mean, now, self.report_decay_ms);
+        let reported =
+            report.current_estimate(report.waiting_tokens, mean, now, self.report_decay_ms);
         (own_tokens_factor * engine.prefill_tokens).max(reported)
     }
 
     /// The reported utilization of an engine, which moves towards `mean` as the report gets older.
     pub(super) fn utilization(&self, index: EngineIndex, mean: f64, now: Ms) -> f64 {
         let report = &self.engines[index].load_report;
-        report.aged(report.utilization, mean, now, self.report_decay_ms)
+        report.current_estimate(report.utilization, mean, now, self.report_decay_ms)
     }
 }
--- a/src/control/event_handlers.rs
+++ b/src/control/event_handlers.rs
@@ -24,7 +24,7 @@
             } => self.handle_first_token(*request, *attempt),
             Event::Ended(ended) => self.handle_attempt_ended(ended),
             Event::Delivered { request, attempt } => self.handle_delivered(*request, *attempt),
-            Event::Timer { timer } => self.timer.record_fired(*timer),
+            Event::Timer { timer } => self.timer.record_expired(*timer),
             Event::HealthChecked {
                 engine,
                 outcome,
--- a/src/control/load_report.rs
+++ b/src/control/load_report.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Load, Ms};
 
 /// Number of recent prefills over which their computed tokens are averaged.
-const TYPICAL_PREFILLS: f64 = 8.0;
+const MAX_PREFILL_SAMPLES: f64 = 8.0;
 
 /// The last load report of an engine; all values are 0 until one is received.
 pub(super) struct LoadReport {
@@ -70,7 +70,7 @@
 
     /// Estimates the current value from the reported one. The older the report, the closer the
     /// estimate is to `mean`, the mean of the engine's peers; `decay_ms` is the time constant.
-    pub(super) fn aged(&self, value: f64, mean: f64, now: Ms, decay_ms: Ms) -> f64 {
+    pub(super) fn current_estimate(&self, value: f64, mean: f64, now: Ms, decay_ms: Ms) -> f64 {
         mean + (-(now - self.received_at) / decay_ms).exp() * (value - mean)
     }
 }
@@ -112,14 +112,14 @@
 
 /// The mean number of prompt tokens that recent prefills of this dispatcher had to compute.
 #[derive(Default)]
-pub(super) struct TypicalPrefill {
+pub(super) struct MeanPrefillTokens {
     tokens: f64,
     samples: f64,
 }
 
-impl TypicalPrefill {
+impl MeanPrefillTokens {
     pub(super) fn record(&mut self, computed_tokens: f64) {
-        self.samples = (self.samples + 1.0).min(TYPICAL_PREFILLS);
+        self.samples = (self.samples + 1.0).min(MAX_PREFILL_SAMPLES);
         self.tokens += (computed_tokens - self.tokens) / self.samples;
     }
 
--- a/src/control/wake_timer.rs
+++ b/src/control/wake_timer.rs
@@ -11,7 +11,7 @@
 
 impl WakeTimer {
     /// Records that a timer has expired. Any timer other than the last one set is ignored.
-    pub(super) fn record_fired(&mut self, timer: TimerId) {
+    pub(super) fn record_expired(&mut self, timer: TimerId) {
         if timer.0 == self.last_id {
             self.armed_for = None;
         }
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -8,7 +8,8 @@
     /// Sends a request to an engine. The attempt is a decode if an engine holds the KV state of the
     /// request, otherwise a prefill.
     StartAttempt {
-        /// The request to send. The driver holds its content; the decision logic only knows its id.
+        /// The request to send. The driver holds its content; the decision logic knows only the
+        /// fields of [`Arrival`](super::Arrival).
         request: RequestId,
         /// The engine to send it to, by its name in the list of endpoints.
         engine: EngineId,
--- a/src/resource_limits.rs
+++ b/src/resource_limits.rs
@@ -78,20 +78,20 @@
 pub const RESERVED_FILE_DESCRIPTORS: usize = 32;
 
 /// All bodies together may use the memory of the process divided by this.
-const MEMORY_PER_BODIES: f64 = 8.0;
+const BODIES_MEMORY_DIVISOR: f64 = 8.0;
 
 /// The largest body that the platform's protocol allows, in bytes.
 const MAX_BODY_BYTES: usize = 256 << 10;
 
 /// A list of endpoints may use the memory of the process divided by this. The list contains every engine, of which
 /// there may be thousands.
-const MEMORY_PER_LIST: f64 = 8.0;
+const LIST_MEMORY_DIVISOR: f64 = 8.0;
 
 /// The size limit of a list of endpoints is at least this many times the maximum body size.
 const MIN_LIST_BODIES: usize = 4;
 
 /// Before a client's connection is closed, at most this many times the maximum body size is read and discarded.
-const CLOSE_DRAIN_BODIES: usize = 4;
+const MAX_CLOSE_DRAIN_BODIES: usize = 4;
 
 /// An idle connection to an engine is closed after this fraction of the engine's own idle timeout. This is well before
 /// the engine closes it, because a request written to a connection that the engine is closing is lost.
@@ -181,16 +181,16 @@
                 .engine_idle_timeout
                 .map_or(f64::INFINITY, |idle| IDLE_TIMEOUT_FRACTION * idle),
             max_body_bytes: MAX_BODY_BYTES,
-            max_total_body_bytes: (process.memory_bytes / MEMORY_PER_BODIES) as usize,
+            max_total_body_bytes: (process.memory_bytes / BODIES_MEMORY_DIVISOR) as usize,
             max_chunk_bytes: MAX_BODY_BYTES,
-            max_list_bytes: ((process.memory_bytes / MEMORY_PER_LIST) as usize)
+            max_list_bytes: ((process.memory_bytes / LIST_MEMORY_DIVISOR) as usize)
                 .max(MIN_LIST_BODIES * MAX_BODY_BYTES),
             stream_window: STREAM_WINDOW,
             stall_timeout: STALL_TIMEOUT_MS,
             discovery_poll_wait,
             discovery,
             close_drain_timeout: CLOSE_DRAIN_TIMEOUT_MS,
-            max_close_drain_bytes: CLOSE_DRAIN_BODIES * MAX_BODY_BYTES,
+            max_close_drain_bytes: MAX_CLOSE_DRAIN_BODIES * MAX_BODY_BYTES,
             stop_accept_period: STOP_ACCEPT_PERIOD_MS,
             stop_streams_after: process
                 .clients_resume
--- a/tests/client_connection_http1.rs
+++ b/tests/client_connection_http1.rs
@@ -125,7 +125,7 @@
         clients_resume: false,
     };
     let settings = ResourceLimits::for_process(&process)
-        .expect("enough file descriptors")
+        .expect("the process has enough file descriptors")
         .client_timeouts;
     for begun_at in [0.0, 500.0, 1_000.0, 1_500.0, 1_999.0] {
         let mut connection = Http1Connection::new(0.0);
--- a/tests/connection_pool.rs
+++ b/tests/connection_pool.rs
@@ -208,7 +208,7 @@
 
 /// Passes the events to a pool and checks its invariants after each. Returns the number of pings, closes and refused
 /// streams.
-fn play(draws: &[Draw], seed: u64) -> Result<[usize; 3], TestCaseError> {
+fn check_invariants(draws: &[Draw], seed: u64) -> Result<[usize; 3], TestCaseError> {
     let settings = settings();
     let mut pool = ConnectionPool::new(settings, seed);
     let mut expected: BTreeMap<ConnectionId, ExpectedConnection> = BTreeMap::new();
@@ -342,7 +342,7 @@
         draws in prop::collection::vec(any::<Draw>(), 1..300),
         seed in any::<u64>(),
     ) {
-        play(&draws, seed)?;
+        check_invariants(&draws, seed)?;
     }
 }
 
@@ -353,7 +353,7 @@
         .map(mix)
         .map(|m| ((m >> 24) as u8, (m >> 9) as u8, ((m >> 3) % 1400) as u16))
         .collect();
-    let counts = play(&draws, 2).unwrap_or_else(|e| panic!("{e}"));
+    let counts = check_invariants(&draws, 2).unwrap_or_else(|e| panic!("{e}"));
     assert!(
         counts.iter().all(|n| *n > 10),
         "too few pings, closes or refused streams: {counts:?}"
--- a/tests/discovery_client.rs
+++ b/tests/discovery_client.rs
@@ -99,7 +99,7 @@
     assert_eq!(
         calls.begin_call(Some(4)),
         snapshot,
-        "the first call at an address requests a snapshot"
+        "the first call at an address requests a snapshot, as the known list may be long outdated"
     );
     assert_eq!(calls.begin_call(Some(4)), changes_since(4));
     assert_eq!(
@@ -154,7 +154,7 @@
     calls.list_received();
     assert!(
         calls.backoff_after_unusable_list() <= 100.0,
-        "a usable list must reset the backoff"
+        "after a usable list, the first unusable list must be requested again soon"
     );
     const {
         assert!(
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -50,7 +50,7 @@
 /// prompts.
 const MAX_PROMPT_TOKENS: f64 = 24_000.0;
 /// Number of requests in a session, each with a longer prompt than the one before.
-const TURNS: u32 = 3;
+const REQUESTS_PER_SESSION: u32 = 3;
 
 /// What happens at [`FAULT_AT`] to two in five engines of each kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -269,7 +269,7 @@
         // Mean number of prompt tokens that have to be computed for a session: its first prompt,
         // and the tokens that each further request adds.
         let mean = MEDIAN_TOKENS * (LOG_STANDARD_DEVIATION * LOG_STANDARD_DEVIATION / 2.0).exp()
-            + f64::from(TURNS - 1) * MEDIAN_TOKENS;
+            + f64::from(REQUESTS_PER_SESSION - 1) * MEDIAN_TOKENS;
         let gap = 1000.0 * mean / (load * PREFILL_TOKENS_PER_S * f64::from(PREFILL_ENGINES));
         let mut now = 0.0;
         while now < ARRIVALS_END_AT {
@@ -381,7 +381,7 @@
             tokens,
             answer,
         });
-        if turn < TURNS {
+        if turn < REQUESTS_PER_SESSION {
             let (pause, more) = (2_000.0 + 3_000.0 * self.uniform(), MEDIAN_TOKENS);
             let (turn, tokens) = (turn + 1, tokens + more);
             self.schedule(
@@ -559,7 +559,7 @@
 
 /// The answered fractions of two groups of a class's requests: the tenth with the longest prompts,
 /// and the fifth with the next longest.
-fn longest_prompts(requests: &[ClientRequest], class: usize) -> (f64, f64) {
+fn answered_fractions_of_longest_prompts(requests: &[ClientRequest], class: usize) -> (f64, f64) {
     let mut lengths: Vec<f64> = requests
         .iter()
         .filter(|r| r.class == class)
@@ -627,7 +627,7 @@
     for class in 0..TIME_TO_DEADLINE.len() {
         let answered = answered_fraction(&requests, |r| r.class == class)
             .expect("the simulation has such requests");
-        let (tenth, fifth) = longest_prompts(&requests, class);
+        let (tenth, fifth) = answered_fractions_of_longest_prompts(&requests, class);
         let excess = excess_rejected_sessions(&requests, class);
         println!("  class {class}: answered {answered:.3}, of the longest tenth {tenth:.3}, of the next fifth {fifth:.3}; sessions rejected in full beyond chance {excess:.3}");
         assert!(
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -237,7 +237,7 @@
 }
 
 /// Passes the events to both instances and compares their actions. Returns the number of actions.
-fn play(draws: &[Draw], seed: u64) -> Result<usize, TestCaseError> {
+fn compare_actions(draws: &[Draw], seed: u64) -> Result<usize, TestCaseError> {
     let [mut plans_changed, mut plans_all] = [(); 2].map(|()| Control::new(settings(), seed));
     let mut simulated_engines = SimulatedEngines::default();
     let endpoints = (0..ENGINES)
@@ -274,7 +274,7 @@
         draws in prop::collection::vec(any::<Draw>(), 1..400),
         seed in any::<u64>(),
     ) {
-        play(&draws, seed)?;
+        compare_actions(&draws, seed)?;
     }
 }
 
@@ -291,6 +291,6 @@
             )
         })
         .collect();
-    let action_count = play(&draws, 7).unwrap_or_else(|e| panic!("{e}"));
+    let action_count = compare_actions(&draws, 7).unwrap_or_else(|e| panic!("{e}"));
     assert!(action_count > 10_000, "only {action_count} actions");
 }
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -21,7 +21,8 @@
 
 #[test]
 fn limits_fit_into_the_resources_of_the_process() {
-    let limits = ResourceLimits::for_process(&process()).expect("enough file descriptors");
+    let limits =
+        ResourceLimits::for_process(&process()).expect("the process has enough file descriptors");
     assert!(
         limits.max_client_connections + limits.max_engine_connections + RESERVED_FILE_DESCRIPTORS
             <= 256
@@ -66,7 +67,8 @@
             clients_resume: true,
             ..process()
         };
-        let limits = ResourceLimits::for_process(&process).expect("enough file descriptors");
+        let limits =
+            ResourceLimits::for_process(&process).expect("the process has enough file descriptors");
         let streams_end_at = limits
             .stop_streams_after
             .expect("streams are ended early if clients resume them");
@@ -99,7 +101,7 @@
                 discovery,
                 ..process()
             })
-            .expect("enough file descriptors");
+            .expect("the process has enough file descriptors");
             let settings = limits.discovery;
             assert!(
                 settings.max_recovery_time() <= 0.92 * DISCOVERY_NOTIFIED_WITHIN_MS,
@@ -114,7 +116,7 @@
             );
             assert!(
                 settings.silence_timeout > limits.discovery_poll_wait,
-                "the silence timeout must exceed the wait that a poll asks for"
+                "the silence timeout must exceed the poll wait, for which discovery may delay an answer"
             );
         }
     }
@@ -132,7 +134,7 @@
                 drain_grace,
                 ..process()
             })
-            .expect("enough file descriptors");
+            .expect("the process has enough file descriptors");
             let settings = limits.discovery;
             let called_again_after = settings.connect_timeout
                 + settings.first_answer_timeout
@@ -159,7 +161,7 @@
             memory_bytes: memory,
             ..process()
         })
-        .expect("enough file descriptors");
+        .expect("the process has enough file descriptors");
         assert!(
             limits.max_list_bytes >= 4_096 * 600,
             "{}",
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -263,7 +263,7 @@
                 self.settings.request_classes[number(rest[0]) as usize].retry_safety =
                     retry_safety(&rest[1..])
             }
-            "at" => self.go_to(number(rest[0])),
+            "at" => self.start_batch(number(rest[0])),
             ">" | "!" | "most" | "least" => {
                 let now = self.now;
                 self.advance_to(now);
@@ -290,7 +290,7 @@
     }
 
     /// Starts a batch of events at `instant`. If the last lines were expectations, drops the actions that they have checked.
-    fn go_to(&mut self, instant: Ms) {
+    fn start_batch(&mut self, instant: Ms) {
         if self.has_expectation {
             self.actions_seen.clear();
         }
