--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -257,7 +257,7 @@
         prop_assert_eq!(
             &actions,
             &expected_actions,
-            "the actions differ after {} events",
+            "the actions differ after {} earlier steps",
             draw_index
         );
         simulated_engines.carry_out(&actions);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -15,7 +15,8 @@
 //! it; `! WORDS` expects none. `most N WORDS` and `least N WORDS` expect at most and at least N matching actions.
 //! `> launch 1 r2 by 3990` also checks the attempt's timeout.
 //! The files have their own words for actions: `launch` is [`Action::StartAttempt`], `bounce` is [`Action::Reject`],
-//! `write-off` is [`Action::Fail`], and `probe` is [`Action::HealthCheck`]. Each file begins with a comment on its subject.
+//! `write-off` is [`Action::Fail`], and `probe` is [`Action::HealthCheck`]. Each file begins with a comment on its
+//! subject.
 
 mod common;
 
@@ -289,7 +290,7 @@
         }
     }
 
-    /// Starts a batch of events at `instant`. If the last lines were expectations, drops the actions that they have checked.
+    /// Starts a batch of events at `instant`. If the last lines were expectations, drops the actions that they checked.
     fn start_batch(&mut self, instant: Ms) {
         if self.has_expectation {
             self.actions_seen.clear();
