--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Passes the collected events to the dispatcher, then advances to `until`, expiring the timers that are due before.
+    /// Passes the collected events to the dispatcher, then advances to `until` and expires the timers that are due
+    /// before it.
     fn advance_to(&mut self, until: Ms) {
         let events = std::mem::take(&mut self.events);
         if !events.is_empty() {
