--- a/crates/fleet/src/rollout_codec.rs
+++ b/crates/fleet/src/rollout_codec.rs
@@ -23,7 +23,8 @@
 const MAX_ZONES: usize = 1024;
 /// The maximum length of a text for operators, such as a reason or a note, in bytes.
 const MAX_REASON_BYTES: usize = 1024;
-/// The maximum of a decoded outcome count. Larger counts are reduced to it, so that sums of counts do not overflow.
+/// The maximum of a decoded outcome count. Larger counts are reduced to this maximum, so that sums of counts do not
+/// overflow.
 const MAX_OUTCOME_COUNT: u64 = 1 << 48;
 
 /// Converts the schema's flag, which is true for engines and false for dispatchers.
--- a/src/coordination/disruption_budget/budget.rs
+++ b/src/coordination/disruption_budget/budget.rs
@@ -73,21 +73,21 @@
     }
 }
 
-/// A limit that can never be met or that contradicts another limit. Displayed as the value that the settings should
-/// have instead.
+/// A limit that can never be met or that contradicts another limit. The displayed text describes the value that the
+/// settings should have instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetError {
-    /// The limit of this scope allows no unavailable unit.
+    /// The limit of the given scope allows no unavailable unit.
     AllowsNone {
         /// `fleet`, `zone`, `cell` or `kind`.
         scope: &'static str,
     },
-    /// The share of this scope is above 1000 thousandths of the group.
+    /// The limit of the given scope has a share above 1000 thousandths of the group.
     ShareAboveOne {
         /// `fleet`, `zone`, `cell` or `kind`.
         scope: &'static str,
     },
-    /// The limit of this scope is above the fleet's limit.
+    /// The limit of the given scope allows more unavailable units than the fleet's limit.
     AboveFleet {
         /// `zone`, `cell` or `kind`.
         scope: &'static str,
--- a/src/coordination/disruption_budget/counts.rs
+++ b/src/coordination/disruption_budget/counts.rs
@@ -88,9 +88,9 @@
         let recent_report = unit
             .utilization
             .filter(|(_, age)| *age <= budget.max_report_age_ms as f64);
-        // An old or missing report counts as fully used, so that it can only keep units in service. Otherwise an engine
-        // could drain because of an outdated low utilization while the other engines are full, and requests would be
-        // rejected.
+        // An engine with an old or missing report counts as fully used. Such a report can only keep units in service.
+        // Otherwise an engine could drain because of an outdated low utilization while the other engines are full, and
+        // requests would be rejected.
         let utilization = recent_report.map_or(1.0, |(utilization, _)| utilization.clamp(0.0, 1.0));
         for role in ServedRole::served_by(unit) {
             for group in RoleGroup::zone_and_cell_groups(unit, role) {
@@ -280,7 +280,8 @@
         })
     }
 
-    /// The number of unavailable units and the limit of this number, first for the fleet and then for each zone.
+    /// The number of unavailable units and how many may be unavailable at once, first for the fleet and then for each
+    /// zone.
     pub fn unavailable_counts(&self, budget: &DisruptionBudget) -> Vec<UnavailableCount> {
         let unavailable_count =
             |zone: &str, count: &GroupCount, max: MaxUnavailable| UnavailableCount {
--- a/src/coordination/disruption_budget/violation.rs
+++ b/src/coordination/disruption_budget/violation.rs
@@ -41,7 +41,7 @@
     },
     /// A zone or a cell has no more ready engines of a role than the minimum.
     MinReady {
-        /// The role, as operators name the role in the settings.
+        /// The role's name in the settings: `readers` for prefill, `writers` for decode.
         role: &'static str,
         /// The zone or cell as text for operators, for example `zone z1`.
         group: String,
@@ -70,7 +70,7 @@
             Violation::Fleet { unavailable, limit } => {
                 write!(
                     formatter,
-                    "{unavailable} of the fleet are out and {limit} may be"
+                    "{unavailable} units of the fleet are unavailable, and at most {limit} may be"
                 )
             }
             Violation::Zone {
@@ -79,7 +79,7 @@
                 limit,
             } => write!(
                 formatter,
-                "zone {zone}: {unavailable} are out and {limit} may be"
+                "zone {zone}: {unavailable} units are unavailable, and at most {limit} may be"
             ),
             Violation::Cell {
                 cell,
@@ -87,7 +87,7 @@
                 limit,
             } => write!(
                 formatter,
-                "cell {cell}: {unavailable} are out and {limit} may be"
+                "cell {cell}: {unavailable} units are unavailable, and at most {limit} may be"
             ),
             Violation::Kind {
                 kind,
@@ -95,7 +95,7 @@
                 limit,
             } => write!(
                 formatter,
-                "kind {kind}: {unavailable} are out and {limit} may be"
+                "kind {kind}: {unavailable} units are unavailable, and at most {limit} may be"
             ),
             Violation::MinReady {
                 role,
@@ -111,7 +111,7 @@
             ),
             Violation::Utilization { engines, per_mille } => write!(
                 formatter,
-                "{engines}: those left would be used to 0.{:03}, or nobody knows",
+                "{engines}: the mean use of the remaining engines would be 0.{:03}, or nobody knows it",
                 per_mille.min(&999)
             ),
         }
--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -19,7 +19,7 @@
     HandOver {
         /// The name of the lease, which the queried dispatcher must hold.
         lease_name: LeaseName,
-        /// The next holder. None selects the first in the order of succession.
+        /// The next holder. None selects the first dispatcher in the order of succession.
         to: Option<Name>,
     },
     /// Adds a dispatcher to the voters.
@@ -31,7 +31,7 @@
     },
     /// Removes a dispatcher from the voters. Refused if fewer than 3 voters would remain.
     RemoveVoter {
-        /// The name of the dispatcher that is no longer to be a voter.
+        /// The name of the dispatcher that stops being a voter.
         name: Name,
     },
     /// Requests a lease for a job. The job repeats the request to keep the lease.
@@ -106,7 +106,7 @@
 /// The rollout and the permits, as the queried dispatcher knows them. Only the membership leader knows all fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutStatus {
-    /// The operator's name for the rollout. Empty before the first rollout.
+    /// The name that the operator gave to the rollout. Empty before the first rollout.
     pub name: String,
     /// Whether the rollout updates dispatchers or engines.
     pub unit_kind: UnitKind,
@@ -118,7 +118,7 @@
     pub blocked_reason: String,
     /// The current wave, counted from 1.
     pub wave: u32,
-    /// The number of permits that the wave has granted.
+    /// The number of permits that have been granted in the wave. Revoked permits are not counted.
     pub granted_in_wave: u32,
     /// The maximum number of permits of the wave. 0 during a rollback, which has no waves.
     pub wave_size: u32,
@@ -128,8 +128,8 @@
     pub selected: u32,
     /// The granted permits that have not been completed, revoked or abandoned.
     pub permits: Vec<PermitStatus>,
-    /// The number of unavailable units and the limit of this number, first for the fleet and then for each zone. Empty
-    /// unless the queried dispatcher is the membership leader.
+    /// The number of unavailable units and how many may be unavailable at once, first for the fleet and then for each
+    /// zone. Empty unless the queried dispatcher is the membership leader.
     pub unavailable: Vec<UnavailableCount>,
     /// Units that did not return as planned and need repair by an operator.
     pub abandoned: Vec<AbandonedUnit>,
@@ -172,11 +172,12 @@
     Pending(String),
     /// Another dispatcher can handle the request. Carries the address of that dispatcher.
     Elsewhere(Address),
-    /// Whether a job's lease is held.
+    /// Whether the queried dispatcher holds a job's lease, in reply to the job's request.
     Holds {
         /// The lease's term. None if the dispatcher does not hold the lease yet.
         term: Option<Term>,
-        /// How long the dispatcher holds the lease at least, in milliseconds from when the job sent its request.
+        /// The minimum time for which the dispatcher still holds the lease, in milliseconds from when the job sent its
+        /// request.
         good_for: Ms,
     },
 }
@@ -222,7 +223,7 @@
     pub reported_by: Option<Name>,
     /// Whether a majority of the voters answered the query.
     pub majority: bool,
-    /// The number of changes that the set of voters has had.
+    /// How often the set of voters has changed.
     pub generation: u64,
     /// Whether a change of the set of voters is in progress.
     pub changing: bool,
--- a/src/coordination/member/operator_requests/inspection.rs
+++ b/src/coordination/member/operator_requests/inspection.rs
@@ -1,4 +1,5 @@
-//! Queries voters for their state, for a status or before a voter is added.
+//! Queries voters for their state, either to report the status of the fleet or to check a dispatcher before it becomes
+//! a voter.
 
 use super::super::*;
 use super::api::Reply;
@@ -20,14 +21,14 @@
     queried: BTreeMap<Name, Address>,
     /// The state of each voter that has answered. None for a voter that could not be reached.
     pub(super) states: BTreeMap<Name, Option<VoterState>>,
-    /// When the query ends even if some voters have not answered.
+    /// The time at which the query ends even if some voters have not answered.
     deadline: Ms,
     /// The voter to add. None for a status request.
     new_voter: Option<NewVoter>,
 }
 
 impl Inspection {
-    /// When the operator gets a reply even if some voters have not answered.
+    /// The time at which the operator gets a reply even if some voters have not answered.
     pub(in super::super) fn until(&self) -> Ms {
         self.deadline
     }
--- a/src/coordination/member/operator_requests/leases.rs
+++ b/src/coordination/member/operator_requests/leases.rs
@@ -8,7 +8,8 @@
 const MAX_JOBS: usize = 32;
 
 impl Member {
-    /// Hands a lease that this dispatcher holds over to `to`, or to the next dispatcher in the order of succession.
+    /// Hands over a lease that this dispatcher holds. The next holder is `to` or, if `to` is none, the next dispatcher
+    /// in the order of succession.
     pub(super) fn hand_over_request(
         &mut self,
         lease_name: &LeaseName,
@@ -120,7 +121,7 @@
         };
         self.jobs.insert(lease_name.clone(), job);
         let mut observer = LeaseObserver::new(now, &mut self.rng);
-        // For a new lease, the dispatcher that the job asks first contends without an election delay.
+        // If the lease is new, the dispatcher that the job asks first contends for the lease without an election delay.
         observer.place = Some(0);
         self.lease_observers.insert(lease_name.clone(), observer);
         self.next_query_at = now;
--- a/src/coordination/member/operator_requests/voter_changes.rs
+++ b/src/coordination/member/operator_requests/voter_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the voters, and the pending commands of operators that the voters have not agreed on yet.
+//! Changes the set of voters, and keeps operators' commands until the voters have agreed on them.
 
 use super::super::*;
 use super::api::Reply;
--- a/src/coordination/member/rollout/commands.rs
+++ b/src/coordination/member/rollout/commands.rs
@@ -154,10 +154,7 @@
         }
         if cancel {
             self.disruptions.permit_requests.remove(&name);
-            return Reply::Done(format!(
-                "the request of {} for a permit is withdrawn",
-                name.0
-            ));
+            return Reply::Done(format!("the permit request of {} is withdrawn", name.0));
         }
         let address = self
             .membership
@@ -185,7 +182,7 @@
             .insert(name, (label, expires_at));
         let controller = self.disruptions.controller.as_ref();
         let reason = controller.and_then(|controller| controller.blocked_reason.clone());
-        Reply::Pending(reason.unwrap_or_else(|| "the request for a permit is queued".to_owned()))
+        Reply::Pending(reason.unwrap_or_else(|| "the permit request is queued".to_owned()))
     }
 
     /// The reply to a dispatcher that already has a permit. None if the dispatcher has no permit.
@@ -206,8 +203,9 @@
         })
     }
 
-    /// Returns the reply to an operator's command after the voters have agreed on the command or rejected it. An agreed
-    /// halt is then confirmed by asking the units that may still begin to drain.
+    /// Returns the reply to an operator's command after the voters have agreed on the command or rejected it. After an
+    /// agreed halt, each unit with a permit is asked whether it has begun to drain. A unit that has not begun must not
+    /// begin any more.
     pub(in super::super) fn operator_command_done(
         &mut self,
         command: &OperatorCommand,
@@ -230,7 +228,7 @@
     Reply::Done(match command {
         OperatorCommand::Start(rollout) => format!("release {} has started", rollout.plan.name),
         OperatorCommand::Halt(_) => {
-            let text = "halted; asking the units that may still begin to drain";
+            let text = "halted; waiting for each unit with a permit to reply whether it has begun to drain";
             return Reply::Pending(text.to_owned());
         }
         OperatorCommand::Resume => "the halt has ended; permits are granted again".to_owned(),
--- a/src/coordination/member/rollout/fleet_view.rs
+++ b/src/coordination/member/rollout/fleet_view.rs
@@ -64,7 +64,10 @@
         }
     }
 
-    /// An engine of this dispatcher's own list, with its latest load report and its outcomes at all dispatchers.
+    /// Returns a copy of `unit`, an engine from this dispatcher's own list, with current utilization and outcomes.
+    ///
+    /// The utilization comes from this dispatcher's own load report or from a report in a heartbeat, whichever is
+    /// newer. The outcomes are the sum over all dispatchers since this dispatcher became the membership leader.
     fn engine_unit(&self, membership: &Membership, unit: &Unit) -> Unit {
         let reported = membership.engine(&unit.name);
         let reported_utilization = reported
--- a/src/coordination/member/rollout/halt.rs
+++ b/src/coordination/member/rollout/halt.rs
@@ -12,8 +12,8 @@
     begun: Option<bool>,
 }
 
-/// The confirmation of an agreed halt: units that may still begin to drain are asked, until all have replied or can no
-/// longer begin.
+/// The confirmation of an agreed halt. Each unit that had a permit is asked whether it has begun to drain. The halt is
+/// confirmed when all these units have replied or can no longer begin.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct HaltConfirmation {
     /// When this dispatcher learned that the halt was agreed on.
@@ -48,7 +48,8 @@
         self.unanswered().next().is_some()
     }
 
-    /// When the units that have not replied are asked again. None if all have replied.
+    /// The next time at which units without a reply are asked whether they have begun to drain. None if all have
+    /// replied.
     pub fn next_question_at(&self) -> Option<Ms> {
         self.has_unanswered().then_some(self.next_question_at)
     }
@@ -60,7 +61,8 @@
         }
     }
 
-    /// The names of the units that gave this reply, separated by commas. None stands for no reply.
+    /// The names of the units with the reply `begun`, separated by commas. For none, the names of the units without a
+    /// reply.
     fn names_of_units_with_reply(&self, begun: Option<bool>) -> String {
         let names: Vec<&str> = self
             .asked
@@ -75,9 +77,9 @@
     fn summary(&self) -> String {
         let mut text = "halted: no unit begins to drain from now on".to_owned();
         let groups = [
-            (Some(true), "began before the halt"),
+            (Some(true), "began to drain before the halt"),
             (Some(false), "permit revoked"),
-            (None, "no reply, may have begun before the halt"),
+            (None, "no reply, may have begun to drain before the halt"),
         ];
         for (begun, description) in groups {
             let names = self.names_of_units_with_reply(begun);
@@ -96,7 +98,8 @@
         self.disruptions.halt_confirmation = Some(confirmation);
     }
 
-    /// Asks the units that have not replied yet, at most once per request timeout.
+    /// Asks the units that have not replied yet whether they have begun to drain, at most once per request timeout. A
+    /// unit that has not begun must not begin any more.
     pub(in super::super) fn confirm_halt(&mut self, out: &mut Vec<Output>) {
         let Some(halt) = &mut self.disruptions.halt_confirmation else {
             return;
--- a/src/coordination/member/rollout/leader.rs
+++ b/src/coordination/member/rollout/leader.rs
@@ -46,7 +46,8 @@
         self.evaluate_rollout(&disruptions);
     }
 
-    /// Runs the controller once and stores its step, notices and revocations.
+    /// Runs the controller once. Stores the step to propose, and the permits whose units are to be notified or asked
+    /// not to drain.
     fn evaluate_rollout(&mut self, disruptions: &DisruptionState) {
         let requests: Vec<PermitRequest> = (self.disruptions.permit_requests.iter())
             .map(|(name, (label, _))| PermitRequest {
@@ -92,8 +93,8 @@
             .clamp(MIN_EVALUATION_INTERVAL_MS, MAX_EVALUATION_INTERVAL_MS)
     }
 
-    /// The earlier of the controller's next run and the next questions to units after a halt. None if this dispatcher
-    /// has neither to do.
+    /// The earlier of two times: the controller's next run, and the next time at which units are asked whether they
+    /// began to drain before a halt. None if this dispatcher has to do neither.
     pub(in super::super) fn rollout_wakes_at(&self) -> Option<Ms> {
         let is_leader = self.held_leases.contains_key(&membership_lease());
         let evaluation = is_leader.then(|| match self.disruptions.pending_step {
@@ -108,8 +109,8 @@
             .min_by(f64::total_cmp)
     }
 
-    /// The pending step as a command to propose. None unless this dispatcher is the membership leader and has such a
-    /// step.
+    /// The pending step as a command to propose. None if this dispatcher is not the membership leader or no step is
+    /// pending.
     pub(in super::super) fn proposed_step(&self) -> Option<(ProposalReason, Command)> {
         let lease = self.valid_membership_lease()?;
         let command = Command::RolloutStep {
@@ -122,7 +123,8 @@
     }
 
     /// Clears the pending step when its proposal has ended. If the voters agreed on the step, the controller runs again
-    /// at once. If not, the next run is delayed by the time between two election delays.
+    /// at once. If not, the next run is delayed by the difference between the election delays of two successive
+    /// contenders.
     pub(in super::super) fn step_proposed(&mut self, agreed: bool) {
         self.disruptions.pending_step = None;
         self.disruptions.next_evaluation_at = match agreed {
--- a/src/coordination/member/rollout/mod.rs
+++ b/src/coordination/member/rollout/mod.rs
@@ -39,9 +39,9 @@
     next_evaluation_at: Ms,
     /// The controller's step that is being proposed to the voters. None if no step is due.
     pending_step: Option<RolloutStep>,
-    /// Permits whose units the controller wants to be notified.
+    /// Permits whose units must be notified, according to the controller's last run.
     to_notify: Vec<PermitId>,
-    /// Permits whose units the controller wants to be asked not to begin draining.
+    /// Permits whose units must be asked not to begin draining, according to the controller's last run.
     to_revoke: Vec<PermitId>,
     /// The receivers of notices, by address.
     pub(super) receivers: BTreeMap<Address, NoticeReceiver>,
@@ -49,7 +49,8 @@
     next_notice_at: BTreeMap<PermitId, Ms>,
     /// The earliest time of the next revocation request for each permit.
     next_revocation_at: BTreeMap<PermitId, Ms>,
-    /// Dispatchers that requested permits, each with its next label and the time at which the request expires.
+    /// Dispatchers that requested permits. Each has the label that the dispatcher will have after its restart, or an
+    /// empty label for any, and the time at which the request expires.
     permit_requests: BTreeMap<Name, (String, Ms)>,
     // State of a unit with a permit.
     /// The permit on which this process drains. None while the process is not draining on a permit.
@@ -61,7 +62,7 @@
     // State for injected faults.
     /// Whether only this dispatcher knows of a halt, because the halt is not in the replicated state.
     has_local_halt: bool,
-    /// Permits that are sent before the fleet agrees on them.
+    /// Permits whose notices an injected fault sends before the fleet has agreed on the permits.
     unagreed_permits: Vec<DisruptionPermit>,
 }
 
--- a/src/coordination/member/rollout/notices.rs
+++ b/src/coordination/member/rollout/notices.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(in super::super) struct NoticeReceiver {
     clock: ReceiverClock,
-    /// Whether a notice has been sent and not answered.
+    /// Whether a notice has been sent and its answer or timeout is still awaited.
     in_flight: bool,
     /// The time until which the receiver may execute an unanswered notice. Negative infinity if every notice has been
     /// answered.
@@ -58,8 +58,8 @@
 
     /// Sends notices of agreed permits only, and only while no halt is known.
     ///
-    /// Otherwise a unit could drain on a permit that the fleet has not agreed on or has halted, and two units could be
-    /// unavailable where the budget allows one.
+    /// Without these two conditions, a unit could drain on a permit that the fleet has not agreed on or has halted, and
+    /// two units could be unavailable where the budget allows one.
     fn send_due_notices(
         &mut self,
         disruptions: &DisruptionState,
@@ -166,7 +166,8 @@
         self.send_permit_notices(out);
     }
 
-    /// Asks a unit whether it has begun to drain on a permit. A unit that answers no must not begin any more.
+    /// Asks a unit whether it has begun to drain on a permit. A unit that answers no must not begin to drain on the
+    /// permit later.
     pub(super) fn ask_revocation(
         &mut self,
         id: PermitId,
--- a/src/coordination/member/rollout/permit.rs
+++ b/src/coordination/member/rollout/permit.rs
@@ -10,8 +10,8 @@
     /// Returns whether this process has begun to drain on a permit. If not, revokes the permit, so that a later notice
     /// of the permit is ignored.
     ///
-    /// Otherwise a notice that arrives after the leader has recorded the revocation would make the process drain
-    /// without a permit.
+    /// Without the revocation, a notice that arrives after the leader has recorded the revocation would make the
+    /// process drain without a permit.
     pub(in super::super) fn revoke_unless_begun(
         &mut self,
         permit: PermitId,
--- a/src/coordination/member/rollout/plan_check.rs
+++ b/src/coordination/member/rollout/plan_check.rs
@@ -8,7 +8,7 @@
 use crate::coordination::Name;
 use std::fmt;
 
-/// Why a plan cannot be carried out with the current units and limits. Displayed as the reply to the operator.
+/// Why a plan cannot be carried out with the current units and limits. The displayed text is the reply to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum PlanError {
     /// The plan names units that do not exist. `names` lists them, separated by commas.
@@ -35,7 +35,7 @@
                 formatter.write_str("the plan selects none of the existing units")
             }
             PlanError::NoRegistry => formatter.write_str(
-                "the fleet settings have no 'keeper', which would list hosts as draining",
+                "the fleet settings have no 'keeper' (discovery registry), so no host can be listed as draining",
             ),
             PlanError::Impossible(reason) => formatter.write_str(reason),
         }
@@ -123,7 +123,7 @@
         let mut selected = units.iter().filter(|unit| plan.selects(unit));
         let violation = selected.find_map(|unit| counts.check_disruption(unit, budget).err());
         if let Some(violation) = violation {
-            text += &format!("  limit that applies now: {violation}\n");
+            text += &format!("  limit that forbids a selected unit to drain now: {violation}\n");
         }
         text
     }
--- a/src/coordination/rollout/commands.rs
+++ b/src/coordination/rollout/commands.rs
@@ -16,8 +16,8 @@
     RollBack,
     /// Finishes the rollout without updating the remaining units, and ends a halt.
     End,
-    /// Replaces the agreed zone sizes by the given numbers of units that the leader sees. Missing units no longer count
-    /// as unavailable.
+    /// Replaces the agreed number of units in each zone by the number that the leader sees now. Afterwards, missing
+    /// units no longer count as unavailable.
     Recount(UnitKind, ZoneSizes),
     /// Records an action that an operator took on a single dispatcher without the fleet's agreement.
     Note(String),
@@ -31,8 +31,8 @@
     pub fn apply_command(&mut self, command: &OperatorCommand) -> Result<(), RolloutError> {
         match command {
             OperatorCommand::Start(rollout) => self.start(rollout),
-            // A second halt succeeds and is agreed on once more, because the halt in this state may come from a
-            // proposal that was never chosen.
+            // A halt succeeds even if the state is halted already, so that the voters agree on the halt once more. The
+            // halt in this state may come from a proposal that the voters never chose.
             OperatorCommand::Halt(reason) => self.halt(reason).or(Ok(())),
             OperatorCommand::Resume => self.resume(),
             OperatorCommand::RollBack => self.roll_back(),
--- a/src/coordination/rollout/mod.rs
+++ b/src/coordination/rollout/mod.rs
@@ -1,5 +1,5 @@
-//! The replicated state of software rollouts: permits that allow units to go out of service, and the rollout that
-//! grants the permits.
+//! The replicated state of software rollouts: permits that allow units to go out of service, and the rollout under
+//! which the membership leader grants permits.
 //!
 //! [`DisruptionState`] is a part of the fleet's replicated state. Two kinds of changes apply to it. The membership
 //! leader proposes [`RolloutStep`]s with the term of its lease. A step applies only if the same replicated state names
--- a/src/coordination/rollout/permit.rs
+++ b/src/coordination/rollout/permit.rs
@@ -14,7 +14,8 @@
     pub unit_kind: UnitKind,
     /// The unit's name. A unit has at most one permit at a time.
     pub unit: Name,
-    /// The process that may drain. A different incarnation under the same name shows that the unit has restarted.
+    /// The incarnation of the process that may drain. A different incarnation under the same name shows that the unit
+    /// has restarted.
     pub incarnation: Incarnation,
     /// The address at which the unit accepts connections.
     pub address: Address,
--- a/src/coordination/rollout/plan.rs
+++ b/src/coordination/rollout/plan.rs
@@ -4,10 +4,10 @@
 use crate::coordination::Name;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Which units a rollout updates, in which waves, and the timeouts of each unit.
+/// The units that a rollout updates, the sizes of its waves, and the timeouts of each unit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RolloutPlan {
-    /// The operator's name for the rollout, shown in its status.
+    /// The name that the operator gave to the rollout. Shown in the rollout's status.
     pub name: String,
     /// Whether the rollout updates dispatchers or engines.
     pub unit_kind: UnitKind,
@@ -39,7 +39,8 @@
     pub return_timeout_ms: u64,
 }
 
-/// The number of waves after which the wave size stops growing. A wave that has grown this often exceeds any fleet.
+/// The wave, counted from 0, from which on the wave size no longer grows. A wave size that has grown this often exceeds
+/// the size of any fleet.
 const MAX_GROWTH_STEPS: u32 = 64;
 
 impl RolloutPlan {
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -22,7 +22,7 @@
     pub finished: bool,
     /// The current wave, counted from 0. A rollback starts again at wave 0.
     pub wave: u32,
-    /// The number of permits that the current wave has granted. Revoked permits are subtracted.
+    /// The number of permits that have been granted in the current wave. Revoked permits are not counted.
     pub granted_in_wave: u32,
     /// For each zone, the [`order_key`](super::order_key) up to which engines have been granted permits. Used for
     /// engines only, because an engine has no label that shows whether the engine has been updated.
@@ -62,7 +62,7 @@
 /// Why a step or a command does not apply to the current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RolloutError {
-    /// Permits are halted, the rollout is finished, or there is no rollout of this kind.
+    /// Permits are halted, the rollout is finished, or there is no rollout of the permit's kind of units.
     Stopped,
     /// Another rollout is unfinished.
     Busy,
@@ -77,7 +77,8 @@
 /// The maximum number of granted permits at a time. A permit takes about 80 bytes, so this limit keeps the replicated
 /// state small.
 pub const MAX_PERMITS: usize = 256;
-/// The maximum number of abandoned units that a rollout lists by name. The rollout halts instead of exceeding it.
+/// The maximum number of abandoned units that a rollout lists by name. If the list is full, the rollout halts instead
+/// of abandoning one more unit.
 pub const MAX_ABANDONED: usize = 64;
 /// The maximum number of stored notes. A further note replaces the oldest.
 pub const MAX_NOTES: usize = 8;
--- a/src/coordination/rollout/steps.rs
+++ b/src/coordination/rollout/steps.rs
@@ -6,15 +6,15 @@
 use crate::coordination::disruption_budget::{DisruptionBudget, UnitKind, ZoneSizes};
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 
-/// A change that the membership leader proposes in its term.
+/// A change of the replicated state that the membership leader proposes, with the term of its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RolloutStep {
     /// Grants permits to units. Does not apply while permits are halted or if the budget of the rollout is used up.
     Grant(Vec<DisruptionPermit>),
     /// Completes permits whose units have returned as planned, or have been removed for good.
     Complete(Vec<PermitId>),
-    /// Withdraws permits whose units have confirmed that they have not begun to drain and will not. The units may get
-    /// new permits.
+    /// Withdraws permits whose units have confirmed that they have not begun to drain and will not begin on these
+    /// permits. The units may get new permits.
     Revoke(Vec<PermitId>),
     /// During a rollback, replaces the permit of a unit that restarted under the new version by a permit for its
     /// current process.
--- a/src/coordination/rollout_analysis/analysis.rs
+++ b/src/coordination/rollout_analysis/analysis.rs
@@ -80,8 +80,8 @@
         } = self.comparison;
         (self.consecutive_worse_slices >= MIN_CONSECUTIVE_WORSE_SLICES).then(|| {
             format!(
-                "those that turned do worse: {} of {} tasks harmed where {expected_harmed:.0} were to be expected, {} \
-                 of {} at the others",
+                "updated units do worse: {} of {} requests harmed where {expected_harmed:.0} were expected, {} of {} \
+                 at the other units",
                 updated.harmed, updated.requests, others.harmed, others.requests
             )
         })
--- a/src/coordination/rollout_analysis/comparison.rs
+++ b/src/coordination/rollout_analysis/comparison.rs
@@ -11,9 +11,10 @@
 const MIN_REQUESTS: u64 = 40;
 /// The minimum number of harmed requests at the updated units. The comparison reports no difference with fewer.
 const MIN_HARMED: u64 = 8;
-/// The minimum difference between the actual and the expected share of harmed requests at the updated units.
+/// The minimum amount by which the actual share of harmed requests at the updated units must exceed the expected share.
 const MIN_EXCESS_SHARE: f64 = 0.03;
-/// The minimum difference between actual and expected harmed requests, in standard errors.
+/// The minimum amount by which the number of harmed requests at the updated units must exceed the expected number, in
+/// standard errors.
 const MIN_STANDARD_ERRORS: f64 = 4.0;
 /// The minimum fraction of other units that must have a lower share of harmed requests than the updated units. A
 /// failing zone raises the share at some units of both groups, and must not halt the rollout.
@@ -41,7 +42,7 @@
         self.harmed as f64 / self.requests.max(1) as f64
     }
 
-    /// Adds the totals of another group or slice.
+    /// Adds the numbers of requests and of harmed requests of another group or slice.
     pub fn add(&mut self, other: GroupOutcomes) {
         self.requests += other.requests;
         self.harmed += other.harmed;
--- a/src/coordination/rollout_analysis/restarts.rs
+++ b/src/coordination/rollout_analysis/restarts.rs
@@ -59,7 +59,7 @@
                 > MIN_RESTART_RATIO * other_group.restarts_per_unit();
         restarts_more_often.then(|| {
             format!(
-                "those that turned fell {} times, {} of them; the others {}",
+                "updated units fell {} times ({} units), the other units {} times",
                 updated_group.restarts, updated_group.units, other_group.restarts
             )
         })
--- a/src/coordination/rollout_controller/candidates.rs
+++ b/src/coordination/rollout_controller/candidates.rs
@@ -1,4 +1,4 @@
-//! Selects the units that a rollout updates next, and the units that it has updated.
+//! Determines the units that a rollout updates next, and the units that the rollout has already updated.
 
 use super::inputs::ControllerInputs;
 use crate::coordination::disruption_budget::{ServiceStatus, Unit, UnitKind};
@@ -11,12 +11,14 @@
 pub(super) struct Candidates<'a> {
     /// The candidates, in the order of the rollout.
     pub units: Vec<&'a Unit>,
-    /// A message that names the first unit that the rollout waits for. None if all remaining units are candidates.
+    /// A message that names the first unit for which the rollout waits because the unit is not ready. None if the
+    /// rollout waits for no such unit.
     pub waiting_for: Option<String>,
 }
 
 impl<'a> Candidates<'a> {
-    /// Collects the candidates of a rollout. `forgotten` names permits that an injected fault hides from the rollout.
+    /// Collects the candidates of a rollout. `forgotten` contains the permits that an injected fault hides from the
+    /// rollout.
     pub fn collect(
         inputs: &ControllerInputs<'a>,
         rollout: &Rollout,
--- a/src/coordination/rollout_controller/controller.rs
+++ b/src/coordination/rollout_controller/controller.rs
@@ -31,7 +31,8 @@
     /// permits.
     wave_finished_at: Option<Ms>,
     analysis: RolloutAnalysis,
-    /// Since when more units have been unavailable than the budget allows. None while within the budget.
+    /// The time since which more units have been unavailable than the budget allows. None while the budget is not
+    /// exceeded.
     budget_exceeded_since: Option<Ms>,
     /// Agreed permits whose units must be notified. Replaced by each call of [`Self::next_step`].
     pub to_notify: Vec<PermitId>,
@@ -194,8 +195,8 @@
             .observe(inputs.now, selected, &updated, has_permit)
     }
 
-    /// The reason to halt a rollout because failures use up the budget: more units than allowed have been unavailable
-    /// for longer than the plan's observation time between waves.
+    /// The reason to halt a rollout because failures have exceeded the budget: more units than allowed have been
+    /// unavailable for longer than the plan's observation time between waves.
     ///
     /// None during a rollback, and while the view is incomplete, because a new leader has not seen all units yet.
     fn budget_halt_reason(
@@ -215,11 +216,11 @@
             .then(|| format!("more are out than may be: {violation}"))
     }
 
-    /// Finishes the rollout, in which all seen units are updated, once the view is complete and no permit for a unit of
-    /// this kind is granted.
+    /// Returns the step that finishes the rollout, once the view is complete and no unit of this kind has a permit. The
+    /// caller has checked that no unit in the view is still to be updated.
     ///
-    /// Missing dispatchers delay the end, because a missing dispatcher may not be updated. Missing engines do not,
-    /// because a missing engine returns under a new name.
+    /// Missing dispatchers delay the end, because a missing dispatcher may not be updated. Missing engines do not delay
+    /// the end, because a missing engine returns under a new name.
     fn finish_step(
         &mut self,
         inputs: &ControllerInputs<'_>,
@@ -232,7 +233,9 @@
         self.blocked_reason = if !inputs.view.complete {
             Some("the membership leader has not heard from all dispatchers yet".to_owned())
         } else if has_unplanned_permits {
-            Some("permits outside of the release are not completed yet".to_owned())
+            Some(
+                "permits that were granted outside of the release are not completed yet".to_owned(),
+            )
         } else if unit_kind == UnitKind::Engines {
             None
         } else {
@@ -242,8 +245,8 @@
         is_finished.then_some(RolloutStep::Finish)
     }
 
-    /// Begins the next wave once all permits of the current wave are completed or abandoned and the observation time
-    /// has passed.
+    /// Returns the step that begins the next wave, once all permits of the current wave are completed or abandoned and
+    /// the observation time has passed.
     fn wave_step(
         &mut self,
         now: Ms,
@@ -265,8 +268,8 @@
         None
     }
 
-    /// Grants permits that dispatchers requested outside of a rollout. None if there is no request that the budget
-    /// allows.
+    /// Returns the step that grants the permits that dispatchers requested outside of a rollout. None if there is no
+    /// request that the budget allows.
     fn requested_permits_step(&mut self, inputs: &ControllerInputs<'_>) -> Option<RolloutStep> {
         let is_full = inputs.disruptions.permits.len() >= MAX_PERMITS;
         if inputs.requests.is_empty() || !inputs.view.complete || is_full {
@@ -285,8 +288,8 @@
         (!grants.permits.is_empty()).then_some(RolloutStep::Grant(grants.permits))
     }
 
-    /// The number of unavailable units and the limit of this number, first for the fleet and then for each zone. Shown
-    /// to operators in the status.
+    /// The number of unavailable units and how many may be unavailable at once, first for the fleet and then for each
+    /// zone. Shown to operators in the status.
     pub fn unavailable_counts(
         &self,
         disruptions: &DisruptionState,
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -37,11 +37,11 @@
 /// This leader's observations of one permit.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Observation {
-    /// When this leader first saw the permit, or when an operator last ended a halt.
+    /// When this leader first saw the permit, or when an operator last ended a halt after that.
     first_seen_at: Ms,
     /// The current stage, and when the permit entered the stage.
     stage_since: Option<(PermitStage, Ms)>,
-    /// Whether the unit has confirmed that it has not begun to drain and will not.
+    /// Whether the unit has confirmed that it has not begun to drain and will not begin on this permit.
     revoked: bool,
     /// Whether an operator has ended a halt since the permit was granted, and has thereby accepted the unit's
     /// condition.
@@ -94,7 +94,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct PermitTracker {
     observations: BTreeMap<PermitId, Observation>,
-    /// How often each unit restarted under the new label during a rollback.
+    /// How often each unit restarted under the new label during a rollback although its permit carried the previous
+    /// label.
     wrong_version_restarts: BTreeMap<Name, u32>,
 }
 
@@ -227,8 +228,9 @@
         }
     }
 
-    /// Handles a unit that is in service under the wrong label during a rollback. The permit is revoked, and the unit
-    /// waits for its next permit within the budget like any other unit.
+    /// Handles a unit that is in service under the wrong label during a rollback. The permit is revoked, so that the
+    /// unit can get a new permit when the budget allows it. A unit with more than [`MAX_WRONG_VERSION_RESTARTS`] such
+    /// restarts is abandoned instead.
     fn decide_wrong_version_in_rollback(&mut self, case: &PermitCase<'_>) -> Decision {
         let wrong_restarts = self
             .wrong_version_restarts
@@ -236,7 +238,10 @@
             .or_default();
         *wrong_restarts += u32::from(!case.is_outdated_by_rollback());
         if *wrong_restarts > MAX_WRONG_VERSION_RESTARTS {
-            return case.abandon(format!("stays under {}", case.unit_label()));
+            return case.abandon(format!(
+                "restarts under label {} more often than a rollback allows",
+                case.unit_label()
+            ));
         }
         Decision::Revoke
     }
@@ -295,8 +300,8 @@
 
     /// Whether failures, or a higher load, have used up the budget for this permit since the permit was granted.
     ///
-    /// The unit is then not notified, or not notified again. Otherwise more units could become unavailable than the
-    /// budget allows.
+    /// The unit is then not notified of its permit, or not notified again. Otherwise more units could become
+    /// unavailable than the budget allows.
     fn exceeds_budget(&self, counts: Option<&mut UnitCounts>) -> bool {
         let (Some(rollout), Some(counts)) = (self.rollout, counts) else {
             return false;
@@ -320,7 +325,7 @@
             return Decision::Step(RolloutStep::Reissue(self.id, permit));
         }
         match self.is_past_restart_timeout() {
-            true => self.abandon("is not ready again".to_owned()),
+            true => self.abandon("has restarted but was not ready in time".to_owned()),
             false => Decision::Wait,
         }
     }
@@ -331,7 +336,7 @@
         }
         if self.has_settled() && !self.is_halted() {
             return Decision::Step(RolloutStep::Halt(format!(
-                "{} came back under {} in place of {}",
+                "{} came back under label {} instead of label {}",
                 self.permit.unit.0,
                 self.unit_label(),
                 self.permit.label
@@ -345,7 +350,7 @@
             return Decision::Wait;
         }
         if self.is_in_rollback() {
-            return self.abandon("did not come back".to_owned());
+            return self.abandon("did not return in time".to_owned());
         }
         let condition = match self.stage {
             PermitStage::Starting => "is not ready",
@@ -365,7 +370,10 @@
             .as_deref()
             .is_none_or(|rollout| rollout.abandoned.len() >= MAX_ABANDONED);
         Decision::Step(match is_full {
-            true => RolloutStep::Halt("more than can be named did not come back".to_owned()),
+            true => RolloutStep::Halt(
+                "more units have failed to return than the list of abandoned units can hold"
+                    .to_owned(),
+            ),
             false => RolloutStep::Abandon(self.id, reason),
         })
     }
--- a/src/coordination/rollout_controller/unit_counts.rs
+++ b/src/coordination/rollout_controller/unit_counts.rs
@@ -11,7 +11,7 @@
 
 /// Counts the units of one kind. A unit with a permit counts as unavailable even while the unit still serves.
 ///
-/// `forgotten` names permits that an injected fault excludes from the count.
+/// `forgotten` contains the permits that an injected fault excludes from the count.
 pub(super) fn count_units(
     disruptions: &DisruptionState,
     units: &[Unit],
