--- a/src/coordination/disruption_budget/budget.rs
+++ b/src/coordination/disruption_budget/budget.rs
@@ -29,9 +29,9 @@
 /// The limits on unavailable units, for dispatchers or for engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct DisruptionBudget {
-    /// The limit for the whole fleet.
+    /// The limit for all units of the fleet together.
     pub fleet: MaxUnavailable,
-    /// The limit for each zone.
+    /// The limit for the units of each zone.
     pub zone: MaxUnavailable,
     /// The limit for each cell of a zone. Applies to engines only.
     pub cell: MaxUnavailable,
@@ -53,7 +53,7 @@
 }
 
 impl Default for DisruptionBudget {
-    /// Allows one unavailable unit in each zone.
+    /// The default budget allows one unavailable unit in each zone.
     fn default() -> Self {
         DisruptionBudget {
             fleet: MaxUnavailable::ALL,
@@ -73,30 +73,30 @@
     }
 }
 
-/// A limit that can never be met or that contradicts another limit. The displayed text describes the value that the
-/// settings should have instead.
+/// A limit under which no unit could ever drain, a limit out of range, or a limit that contradicts another limit. The
+/// displayed text describes the value that the settings should have instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetError {
     /// The limit of the given scope allows no unavailable unit.
     AllowsNone {
-        /// `fleet`, `zone`, `cell` or `kind`.
+        /// The scope of the limit: `fleet`, `zone`, `cell` or `kind`.
         scope: &'static str,
     },
     /// The limit of the given scope has a share above 1000 thousandths of the group.
     ShareAboveOne {
-        /// `fleet`, `zone`, `cell` or `kind`.
+        /// The scope of the limit: `fleet`, `zone`, `cell` or `kind`.
         scope: &'static str,
     },
     /// The limit of the given scope allows more unavailable units than the fleet's limit.
     AboveFleet {
-        /// `zone`, `cell` or `kind`.
+        /// The scope of the limit: `zone`, `cell` or `kind`.
         scope: &'static str,
         /// The fleet's limit, as a number of units.
         limit: u32,
     },
     /// For one role, the minimum number of ready engines per cell is above the minimum per zone.
     CellAboveZone {
-        /// The engines' role, as the settings name the role.
+        /// The role's name in the settings: `readers` for prefill, `writers` for decode.
         role: &'static str,
         /// The minimum number of ready engines per zone.
         zone_minimum: u32,
@@ -137,7 +137,7 @@
 impl std::error::Error for BudgetError {}
 
 impl DisruptionBudget {
-    /// Checks that each limit can be met and that no two limits contradict each other.
+    /// Checks that each limit is in range and allows units to drain, and that no two limits contradict each other.
     ///
     /// # Errors
     /// Returns the first limit that fails the check.
--- a/src/coordination/disruption_budget/unit.rs
+++ b/src/coordination/disruption_budget/unit.rs
@@ -35,7 +35,7 @@
     pub incarnation: Incarnation,
     /// The address at which the unit accepts connections.
     pub address: Address,
-    /// The name of the unit's zone.
+    /// The name of the unit's zone. The zone limit of a budget applies to all units with the same zone.
     pub zone: String,
     /// The name of the unit's cell within the zone. Empty for a dispatcher.
     pub cell: String,
@@ -45,7 +45,7 @@
     pub role: Option<Role>,
     /// The version that a dispatcher runs, or another label that operators gave to it. Empty for an engine.
     pub label: String,
-    /// The unit's service status at the time of observation.
+    /// Whether the unit was ready, starting, draining or out of service when it was observed.
     pub status: ServiceStatus,
     /// The used fraction of an engine's capacity, from 0 to 1, and the age of the load report in milliseconds. None if
     /// no report is known.
@@ -57,13 +57,13 @@
 /// The service status of a unit, as one member observes the unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceStatus {
-    /// Recently seen and ready.
+    /// The unit has been seen recently and is ready.
     InService,
-    /// Seen but not ready yet: starting, or a cold engine within its slow-start window.
+    /// The unit is seen but not ready yet: a process that starts, or a cold engine within its slow-start window.
     Starting,
-    /// Seen, but draining or stopping.
+    /// The unit is seen, but is draining or stopping.
     Draining,
-    /// Not seen, or no longer listed by discovery.
+    /// The unit is not seen, or discovery no longer lists it.
     OutOfService,
 }
 
--- a/src/coordination/disruption_budget/violation.rs
+++ b/src/coordination/disruption_budget/violation.rs
@@ -14,7 +14,7 @@
     },
     /// The zone already has as many unavailable units as its limit allows.
     Zone {
-        /// The name of the zone.
+        /// The name of the zone whose limit is reached.
         zone: String,
         /// The number of the zone's units that are unavailable or have a permit to drain.
         unavailable: u32,
@@ -23,7 +23,7 @@
     },
     /// The cell already has as many unavailable units as its limit allows.
     Cell {
-        /// The zone's name and the cell's name, separated by a slash.
+        /// The cell whose limit is reached: the zone's name and the cell's name, separated by a slash.
         cell: String,
         /// The number of the cell's units that are unavailable or have a permit to drain.
         unavailable: u32,
@@ -32,7 +32,7 @@
     },
     /// The kind already has as many unavailable units as its limit allows.
     Kind {
-        /// The name of the kind of hardware or build.
+        /// The kind of hardware or build whose limit is reached.
         kind: String,
         /// The number of the kind's units that are unavailable or have a permit to drain.
         unavailable: u32,
@@ -52,7 +52,7 @@
     Voters {
         /// The number of voters that are unavailable or have a permit to drain.
         unavailable: u32,
-        /// The number of all voters.
+        /// The number of voters in the fleet, whether available or not.
         voters: u32,
     },
     /// The remaining engines of a role would exceed the maximum utilization.
--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -98,7 +98,7 @@
         /// The label that the dispatcher will have after its restart. If this label is empty, the dispatcher may have
         /// any label.
         label: String,
-        /// Whether to withdraw an earlier request instead.
+        /// Whether the request withdraws the dispatcher's earlier request instead of requesting a permit.
         cancel: bool,
     },
 }
@@ -142,9 +142,9 @@
 pub struct PermitStatus {
     /// The permit's number, which replies and notices also state.
     pub permit: PermitId,
-    /// The name of the unit that has the permit.
+    /// The name of the unit that may drain on the permit.
     pub unit: Name,
-    /// The name of the unit's zone.
+    /// The name of the unit's zone, against whose limit the permit counts.
     pub zone: String,
     /// The progress of the unit. One of: given, out, starting, back, back under another label.
     pub stage: String,
@@ -153,7 +153,7 @@
 /// A unit that did not return as planned and needs repair by an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AbandonedUnit {
-    /// The name of the unit.
+    /// The name of the unit. A status lists each abandoned unit once.
     pub unit: Name,
     /// Why the rollout has abandoned the unit.
     pub reason: String,
@@ -162,7 +162,7 @@
 /// The reply to an [`OperatorRequest`]. Texts in a reply are shown to the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The requested status of the fleet.
+    /// The status of the fleet, in reply to [`OperatorRequest::Status`].
     Status(Box<Status>),
     /// The request has succeeded. Carries a description of the result.
     Done(String),
@@ -182,7 +182,7 @@
     },
 }
 
-/// The status of one voter, after a query.
+/// The status of one voter, as a query of the voters has found it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoterLine {
     /// The voter's name, as the fleet agreed on it or as the settings state it.
@@ -202,7 +202,7 @@
 pub struct MemberLine {
     /// The member's name, as its heartbeats state it.
     pub name: Name,
-    /// The name of the member's zone.
+    /// The name of the member's zone, as its heartbeats state it.
     pub zone: String,
     /// The version that the member runs, or another label that operators gave to it.
     pub label: String,
--- a/src/coordination/member/operator_requests/inspection.rs
+++ b/src/coordination/member/operator_requests/inspection.rs
@@ -17,7 +17,7 @@
 /// A query of voters on behalf of one operator's request.
 #[derive(Clone, Debug, PartialEq)]
 pub(in super::super) struct Inspection {
-    /// The voters that were queried.
+    /// The voters that were queried, with the addresses to which the query was sent.
     queried: BTreeMap<Name, Address>,
     /// The state of each voter that has answered. None for a voter that could not be reached.
     pub(super) states: BTreeMap<Name, Option<VoterState>>,
--- a/src/coordination/member/rollout/mod.rs
+++ b/src/coordination/member/rollout/mod.rs
@@ -43,7 +43,7 @@
     to_notify: Vec<PermitId>,
     /// Permits whose units must be asked not to begin draining, according to the controller's last run.
     to_revoke: Vec<PermitId>,
-    /// The receivers of notices, by address.
+    /// What the leader knows about each receiver of notices, by the receiver's address.
     pub(super) receivers: BTreeMap<Address, NoticeReceiver>,
     /// The earliest time of the next notice of each permit.
     next_notice_at: BTreeMap<PermitId, Ms>,
--- a/src/coordination/rollout/permit.rs
+++ b/src/coordination/rollout/permit.rs
@@ -1,4 +1,4 @@
-//! Permits for units to go out of service.
+//! Permits that allow units to go out of service, and the numbers of these permits.
 
 use crate::coordination::disruption_budget::UnitKind;
 use crate::coordination::{Address, Incarnation, Name};
--- a/src/coordination/rollout/plan.rs
+++ b/src/coordination/rollout/plan.rs
@@ -11,7 +11,7 @@
     pub name: String,
     /// Whether the rollout updates dispatchers or engines.
     pub unit_kind: UnitKind,
-    /// The label that units must have after their restart.
+    /// The label that units must have after their restart. A dispatcher that has this label already is not updated.
     pub label: String,
     /// The label of the units before the rollout. A rollback returns units to this label.
     pub previous_label: String,
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -13,7 +13,7 @@
     pub plan: RolloutPlan,
     /// The limits on unavailable units, copied from the settings of the dispatcher that started the rollout.
     pub budget: DisruptionBudget,
-    /// The dispatcher that received the operator's command.
+    /// The dispatcher that received the operator's command to start the rollout.
     pub started_by: Name,
     /// Whether the rollout returns units to the previous label.
     pub rolling_back: bool,
--- a/src/coordination/rollout_controller/candidates.rs
+++ b/src/coordination/rollout_controller/candidates.rs
@@ -9,7 +9,7 @@
 /// Units that may get permits next, before the limits of the budget are checked.
 #[derive(Debug, Default)]
 pub(super) struct Candidates<'a> {
-    /// The candidates, in the order of the rollout.
+    /// The units that may get permits, in the order of the rollout.
     pub units: Vec<&'a Unit>,
     /// A message that names the first unit for which the rollout waits because the unit is not ready. None if the
     /// rollout waits for no such unit.
--- a/src/coordination/rollout_controller/inputs.rs
+++ b/src/coordination/rollout_controller/inputs.rs
@@ -1,4 +1,4 @@
-//! The inputs of the rollout controller.
+//! The inputs of the rollout controller: the leader's view of the fleet, and dispatchers' requests for permits.
 
 use crate::coordination::disruption_budget::{DisruptionBudget, Unit, UnitKind};
 use crate::coordination::rollout::DisruptionState;
@@ -49,7 +49,7 @@
     pub view: &'a FleetView,
     /// The name of the leader's own dispatcher, which the rollout updates last.
     pub me: &'a Name,
-    /// The names of the current voters.
+    /// The names of the current voters. A voter drains only while all other voters are available.
     pub voters: &'a BTreeSet<Name>,
     /// Requests of dispatchers for permits outside of a rollout, without expired requests.
     pub requests: &'a [PermitRequest],
