--- a/src/coordination/disruption_budget/violation.rs
+++ b/src/coordination/disruption_budget/violation.rs
@@ -14,7 +14,7 @@
     },
     /// The zone already has as many unavailable units as its limit allows.
     Zone {
-        /// The name of the zone.
+        /// The name of the zone whose limit is reached.
         zone: String,
         /// The number of the zone's units that are unavailable or have a permit to drain.
         unavailable: u32,
@@ -23,7 +23,7 @@
     },
     /// The cell already has as many unavailable units as its limit allows.
     Cell {
-        /// The zone's name and the cell's name, separated by a slash.
+        /// The cell whose limit is reached: the zone's name and the cell's name, separated by a slash.
         cell: String,
         /// The number of the cell's units that are unavailable or have a permit to drain.
         unavailable: u32,
@@ -32,7 +32,7 @@
     },
     /// The kind already has as many unavailable units as its limit allows.
     Kind {
-        /// The name of the kind of hardware or build.
+        /// The kind of hardware or build whose limit is reached.
         kind: String,
         /// The number of the kind's units that are unavailable or have a permit to drain.
         unavailable: u32,
@@ -41,7 +41,7 @@
     },
     /// A zone or a cell has no more ready engines of a role than the minimum.
     MinReady {
-        /// The role, as operators name the role in the settings.
+        /// The role's name in the settings: `readers` for prefill, `writers` for decode.
         role: &'static str,
         /// The zone or cell as text for operators, for example `zone z1`.
         group: String,
@@ -52,7 +52,7 @@
     Voters {
         /// The number of voters that are unavailable or have a permit to drain.
         unavailable: u32,
-        /// The number of all voters.
+        /// The number of voters in the fleet, whether available or not.
         voters: u32,
     },
     /// The remaining engines of a role would exceed the maximum utilization.
@@ -70,7 +70,7 @@
             Violation::Fleet { unavailable, limit } => {
                 write!(
                     formatter,
-                    "{unavailable} of the fleet are out and {limit} may be"
+                    "{unavailable} units of the fleet are unavailable, and at most {limit} may be"
                 )
             }
             Violation::Zone {
@@ -79,7 +79,7 @@
                 limit,
             } => write!(
                 formatter,
-                "zone {zone}: {unavailable} are out and {limit} may be"
+                "zone {zone}: {unavailable} units are unavailable, and at most {limit} may be"
             ),
             Violation::Cell {
                 cell,
@@ -87,7 +87,7 @@
                 limit,
             } => write!(
                 formatter,
-                "cell {cell}: {unavailable} are out and {limit} may be"
+                "cell {cell}: {unavailable} units are unavailable, and at most {limit} may be"
             ),
             Violation::Kind {
                 kind,
@@ -95,7 +95,7 @@
                 limit,
             } => write!(
                 formatter,
-                "kind {kind}: {unavailable} are out and {limit} may be"
+                "kind {kind}: {unavailable} units are unavailable, and at most {limit} may be"
             ),
             Violation::MinReady {
                 role,
@@ -111,7 +111,7 @@
             ),
             Violation::Utilization { engines, per_mille } => write!(
                 formatter,
-                "{engines}: those left would be used to 0.{:03}, or nobody knows",
+                "{engines}: the mean use of the remaining engines would be 0.{:03}, or nobody knows it",
                 per_mille.min(&999)
             ),
         }
--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -19,7 +19,7 @@
     HandOver {
         /// The name of the lease, which the queried dispatcher must hold.
         lease_name: LeaseName,
-        /// The next holder. None selects the first in the order of succession.
+        /// The next holder. None selects the first dispatcher in the order of succession.
         to: Option<Name>,
     },
     /// Adds a dispatcher to the voters.
@@ -31,7 +31,7 @@
     },
     /// Removes a dispatcher from the voters. Refused if fewer than 3 voters would remain.
     RemoveVoter {
-        /// The name of the dispatcher that is no longer to be a voter.
+        /// The name of the dispatcher that stops being a voter.
         name: Name,
     },
     /// Requests a lease for a job. The job repeats the request to keep the lease.
@@ -98,7 +98,7 @@
         /// The label that the dispatcher will have after its restart. If this label is empty, the dispatcher may have
         /// any label.
         label: String,
-        /// Whether to withdraw an earlier request instead.
+        /// Whether the request withdraws the dispatcher's earlier request instead of requesting a permit.
         cancel: bool,
     },
 }
@@ -106,7 +106,7 @@
 /// The rollout and the permits, as the queried dispatcher knows them. Only the membership leader knows all fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutStatus {
-    /// The operator's name for the rollout. Empty before the first rollout.
+    /// The name that the operator gave to the rollout. Empty before the first rollout.
     pub name: String,
     /// Whether the rollout updates dispatchers or engines.
     pub unit_kind: UnitKind,
@@ -118,7 +118,7 @@
     pub blocked_reason: String,
     /// The current wave, counted from 1.
     pub wave: u32,
-    /// The number of permits that the wave has granted.
+    /// The number of permits that have been granted in the wave. Revoked permits are not counted.
     pub granted_in_wave: u32,
     /// The maximum number of permits of the wave. 0 during a rollback, which has no waves.
     pub wave_size: u32,
@@ -128,8 +128,8 @@
     pub selected: u32,
     /// The granted permits that have not been completed, revoked or abandoned.
     pub permits: Vec<PermitStatus>,
-    /// The number of unavailable units and the limit of this number, first for the fleet and then for each zone. Empty
-    /// unless the queried dispatcher is the membership leader.
+    /// The number of unavailable units and how many may be unavailable at once, first for the fleet and then for each
+    /// zone. Empty unless the queried dispatcher is the membership leader.
     pub unavailable: Vec<UnavailableCount>,
     /// Units that did not return as planned and need repair by an operator.
     pub abandoned: Vec<AbandonedUnit>,
@@ -142,9 +142,9 @@
 pub struct PermitStatus {
     /// The permit's number, which replies and notices also state.
     pub permit: PermitId,
-    /// The name of the unit that has the permit.
+    /// The name of the unit that may drain on the permit.
     pub unit: Name,
-    /// The name of the unit's zone.
+    /// The name of the unit's zone, against whose limit the permit counts.
     pub zone: String,
     /// The progress of the unit. One of: given, out, starting, back, back under another label.
     pub stage: String,
@@ -153,7 +153,7 @@
 /// A unit that did not return as planned and needs repair by an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AbandonedUnit {
-    /// The name of the unit.
+    /// The name of the unit. A status lists each abandoned unit once.
     pub unit: Name,
     /// Why the rollout has abandoned the unit.
     pub reason: String,
@@ -162,7 +162,7 @@
 /// The reply to an [`OperatorRequest`]. Texts in a reply are shown to the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The requested status of the fleet.
+    /// The status of the fleet, in reply to [`OperatorRequest::Status`].
     Status(Box<Status>),
     /// The request has succeeded. Carries a description of the result.
     Done(String),
@@ -172,16 +172,17 @@
     Pending(String),
     /// Another dispatcher can handle the request. Carries the address of that dispatcher.
     Elsewhere(Address),
-    /// Whether a job's lease is held.
+    /// Whether the queried dispatcher holds a job's lease, in reply to the job's request.
     Holds {
         /// The lease's term. None if the dispatcher does not hold the lease yet.
         term: Option<Term>,
-        /// How long the dispatcher holds the lease at least, in milliseconds from when the job sent its request.
+        /// The minimum time for which the dispatcher still holds the lease, in milliseconds from when the job sent its
+        /// request.
         good_for: Ms,
     },
 }
 
-/// The status of one voter, after a query.
+/// The status of one voter, as a query of the voters has found it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoterLine {
     /// The voter's name, as the fleet agreed on it or as the settings state it.
@@ -201,7 +202,7 @@
 pub struct MemberLine {
     /// The member's name, as its heartbeats state it.
     pub name: Name,
-    /// The name of the member's zone.
+    /// The name of the member's zone, as its heartbeats state it.
     pub zone: String,
     /// The version that the member runs, or another label that operators gave to it.
     pub label: String,
@@ -222,7 +223,7 @@
     pub reported_by: Option<Name>,
     /// Whether a majority of the voters answered the query.
     pub majority: bool,
-    /// The number of changes that the set of voters has had.
+    /// How often the set of voters has changed.
     pub generation: u64,
     /// Whether a change of the set of voters is in progress.
     pub changing: bool,
--- a/src/coordination/rollout/permit.rs
+++ b/src/coordination/rollout/permit.rs
@@ -1,4 +1,4 @@
-//! Permits for units to go out of service.
+//! Permits that allow units to go out of service, and the numbers of these permits.
 
 use crate::coordination::disruption_budget::UnitKind;
 use crate::coordination::{Address, Incarnation, Name};
@@ -14,7 +14,8 @@
     pub unit_kind: UnitKind,
     /// The unit's name. A unit has at most one permit at a time.
     pub unit: Name,
-    /// The process that may drain. A different incarnation under the same name shows that the unit has restarted.
+    /// The incarnation of the process that may drain. A different incarnation under the same name shows that the unit
+    /// has restarted.
     pub incarnation: Incarnation,
     /// The address at which the unit accepts connections.
     pub address: Address,
