--- a/crates/fleet/src/acceptor_storage.rs
+++ b/crates/fleet/src/acceptor_storage.rs
@@ -21,7 +21,7 @@
 const MAGIC: &[u8; 4] = b"ccvt";
 /// The version of the file format, stored after the magic bytes.
 const FORMAT_VERSION: u8 = 1;
-/// The largest accepted size of a voter's file.
+/// The maximum size of a valid voter's file.
 const MAX_FILE_BYTES: usize = 1 << 20;
 
 /// Why a voter's file cannot be loaded.
@@ -43,7 +43,7 @@
     Corrupt,
 }
 
-/// A file that is read as a whole and replaced as a whole. Clones access the same file.
+/// A file whose content is read and replaced only as a whole. Clones access the same file.
 pub trait FileStore: Clone + 'static {
     /// The file's content, or `None` if the file does not exist.
     ///
--- a/crates/fleet/src/admin_client.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -8,7 +8,7 @@
 use cindercleat_net::{Clock, Transport};
 use cindercleat_protocol::{frame, v1, Body, Frame};
 
-/// The most redirects from one member to another that a request follows.
+/// The maximum number of redirects from one member to another that a request follows.
 const MAX_REDIRECTS: usize = 3;
 
 /// Sends a request to the member at `address` and returns its answer.
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -24,7 +24,7 @@
 use v1::fleet_answer::Answer as WireAnswer;
 use v1::fleet_call::Question as WireQuestion;
 
-/// The most voter write counts in one message. A fleet has only a few per voter.
+/// The maximum number of voter write counts in one message. A fleet has only a few write counts per voter.
 const MAX_WRITE_COUNTS: usize = 256;
 
 fn lease_name_from_proto(message: &str) -> Option<LeaseName> {
@@ -521,7 +521,7 @@
     })
 }
 
-/// The fencing decisions; the index of each is its number on the wire.
+/// All fencing decisions. The index of a decision is its number on the wire.
 const FENCING_DECISIONS: [FencingDecision; 5] = [
     FencingDecision::Executed,
     FencingDecision::StaleTerm,
@@ -529,7 +529,7 @@
     FencingDecision::TimestampMissing,
     FencingDecision::LeaseExpired,
 ];
-/// The member statuses; the index of each is its number on the wire.
+/// All member statuses. The index of a status is its number on the wire.
 const MEMBER_STATUSES: [MemberStatus; 4] = [
     MemberStatus::Alive,
     MemberStatus::Suspected,
--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -23,14 +23,14 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// The largest message between members. A replicated state takes a few kilobytes, but the list of members in an answer
-/// to an operator has thousands of entries.
+/// The maximum size of a message between members. A replicated state takes a few kilobytes, but the list of members in
+/// an answer to an operator has thousands of entries.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// The most requests that are open at once on one connection.
+/// The maximum number of requests that may be open at the same time on one connection.
 const MAX_CALLS_PER_CONNECTION: u32 = 256;
-/// The most incoming connections that are open at once.
+/// The maximum number of incoming connections that may be open at the same time.
 const MAX_INCOMING_CONNECTIONS: usize = 8192;
-/// An outgoing connection is closed after this time without a new request.
+/// An outgoing connection without open requests is closed after this time without a new request.
 const IDLE_TIMEOUT_MS: Ms = 30_000.0;
 /// The shortest time between two warnings about invalid messages.
 const WARNING_INTERVAL_MS: Ms = 10_000.0;
@@ -38,7 +38,7 @@
 const HEALTH_INTERVAL_MS: Ms = 100.0;
 /// The pause after a failure to accept a connection.
 const ACCEPT_RETRY_MS: Ms = 100.0;
-/// The longest time that the driver waits for its last requests to be sent when it stops.
+/// The maximum time for which a stopping driver waits until its last requests are sent.
 const MAX_FINAL_SEND_MS: Ms = 50.0;
 /// The HTTP/2 error code `INTERNAL_ERROR`. The stream of an invalid request is reset with this code.
 const RESET_INTERNAL_ERROR: u32 = 2;
@@ -53,8 +53,8 @@
         Vec::new()
     }
 
-    /// The dispatcher is permitted to restart: it drains and exits, and its supervisor starts it again under `label`,
-    /// or under its present label if `label` is empty.
+    /// Tells the dispatcher that it is permitted to restart. The dispatcher drains and exits, and its supervisor starts
+    /// it again under `label`, or under its present label if `label` is empty. `permit` is the number of the permit.
     fn has_turn(&self, permit: u64, label: &str);
 }
 
@@ -115,7 +115,7 @@
 }
 
 impl<T: Transport, C: Clock, D: FileStore> Driver<T, C, D> {
-    /// A driver that is idle until [`Driver::run`] is called. Without a `voter_file` the member never votes.
+    /// Creates a driver. It is idle until [`Driver::run`] is called. Without a `voter_file` the member never votes.
     pub fn new(
         settings: FleetSettings,
         transport: T,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Runs the member until `stop` completes. The member then hands over its leases, for which it gets at most one
+    /// Runs the member until `stop` completes. The member then hands over its leases, for which it has at most one
     /// lease duration.
     ///
     /// # Panics
@@ -195,7 +195,7 @@
             .for_each(|peer| peer.out.close());
     }
 
-    /// The leases that the member holds now, with their terms.
+    /// The leases that the member holds and that have not expired, with their terms.
     pub fn held(&self) -> Vec<(LeaseName, Term)> {
         self.state
             .member
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -11,7 +11,7 @@
 use std::future::Future;
 use std::io;
 
-/// How long an answer is awaited while the lease is not held yet.
+/// The timeout of a request for a lease that is not held yet, and of the request that releases a lease.
 const ANSWER_TIMEOUT_MS: Ms = 950.0;
 /// The time between two requests for a lease that is not held yet.
 const ACQUIRE_RETRY_MS: Ms = 50.0;
@@ -37,7 +37,8 @@
     /// An I/O error if the work could not be ended.
     fn end(&mut self, by: Ms) -> impl Future<Output = io::Result<()>>;
 
-    /// Reports in words why the lease is not held yet. Called at most once, after the first request that got no reply.
+    /// Reports why the lease is not held yet; `reason` is a text for people. Called at most once, after the first
+    /// request that got no reply.
     fn waits(&mut self, reason: &str);
 }
 
@@ -54,9 +55,9 @@
     Lost(String),
 }
 
-/// A job: the lease that it needs, and the dispatchers that acquire the lease for it.
+/// Work that needs a lease, with the dispatchers that acquire the lease for it.
 pub struct Job<'a, T, C> {
-    /// Opens the connections to the dispatchers.
+    /// The transport for the connections to the dispatchers.
     pub transport: &'a T,
     /// The clock on which the job measures its lease.
     pub clock: &'a C,
@@ -68,7 +69,7 @@
     pub number: u64,
 }
 
-/// What a job does once a reply is handled.
+/// The next action of a job after a reply was handled.
 enum NextStep {
     AskAgain,
     End(Ended),
@@ -76,7 +77,7 @@
 
 impl<T: Transport, C: Clock> Job<'_, T, C> {
     /// Acquires the lease and runs the work, until `stop` completes, the work has ended, or the lease is refused or
-    /// lost. Unless an error is returned, the work does not run any more.
+    /// lost. When this function returns without an error, the work has ended.
     ///
     /// # Errors
     /// An error of [`Work`]: the work could not be started or ended, or its state could not be determined.
@@ -121,8 +122,8 @@
         }
     }
 
-    /// Requests the lease. While the lease is held the timeout is shorter, so that a missing answer does not keep the
-    /// job from ending its work in time.
+    /// Requests the lease. While the lease is held the timeout is at most a fraction of the lease duration, so that a
+    /// missing answer does not keep the job from ending its work in time.
     async fn request_lease(&self, asked_at: Ms, lease: Option<&JobLease>) -> Result<Reply, String> {
         let timeout = lease.map_or(ANSWER_TIMEOUT_MS, JobLease::answer_timeout);
         let request = OperatorRequest::HoldLease {
--- a/crates/fleet/tests/driver.rs
+++ b/crates/fleet/tests/driver.rs
@@ -102,7 +102,7 @@
         self.clock.sleep_until(self.clock.now() + ms).await;
     }
 
-    /// How many members hold a lease.
+    /// The number of members that hold at least one lease.
     fn holders(&self) -> usize {
         self.members
             .iter()
@@ -111,7 +111,7 @@
     }
 }
 
-/// Starts three voting members and runs a test once one of them is the membership leader.
+/// Starts three voting members, waits until one of them is the membership leader, and runs a test.
 fn run<F: Future<Output = ()>>(test: impl FnOnce(TestFleet) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -1,8 +1,8 @@
 //! Tests of an operator's job under a lease, with three members, connections in memory and a paused clock.
 //!
-//! The voters' disks become slow. The work must not end because of one lost renewal, or while all writes are slow but
-//! complete in time. When the lease is not renewed any more, the work has to end before the lease expires: after that
-//! another process may hold the lease, and the same work would run twice.
+//! In these tests the voters' disks become slow. The work must not end because of one lost renewal, or while all writes
+//! are slow but complete in time. When the lease is no longer renewed, the work has to end before the lease expires:
+//! after that another process may hold the lease, and the same work would run twice.
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{FleetSettings, LocalHealth};
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -31,7 +31,7 @@
     FileLossIgnored,
     /// A contender's wait for a lease includes time during which the contender's process was suspended.
     SleepCountedAsWait,
-    /// Leases and timestamps stay valid after the clock was set back.
+    /// Leases and timestamps stay valid although the clock was set back.
     ClockStepBackIgnored,
     /// A permit is sent to its unit before the voters have chosen it.
     ToldBeforeAgreed,
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -7,11 +7,11 @@
 //! - The term is a fencing token: a receiver that has executed a command of a newer term refuses commands of older
 //!   terms.
 //! - The term alone does not protect a receiver that has not received a command of the successor yet. Each command
-//!   therefore carries a timestamp of the receiver's own clock, which the receiver sent with its last answer, and for
-//!   how long after that timestamp the sender's lease certainly lasts. The sender received the timestamp after the
-//!   receiver took it, so this time ends on the receiver's clock before the lease expires, however long the command was
-//!   delayed. A receiver that has just started does not recognize timestamps of an earlier process, and asks for the
-//!   command to be sent again.
+//!   therefore carries a timestamp of the receiver's own clock, which the receiver sent with its last answer, and a
+//!   duration after that timestamp for which the sender's lease is guaranteed to last. The sender received the
+//!   timestamp after the receiver took it, so this duration ends on the receiver's clock before the lease expires,
+//!   however long the command was delayed. A receiver that has just started does not recognize timestamps of an earlier
+//!   process, and asks the sender to send the command again.
 
 use super::fault_injection::{is_injected, InjectedFault};
 use super::state::LeaseHolder;
@@ -28,7 +28,7 @@
     pub at: Ms,
 }
 
-/// A command that a lease holder sends to a receiver, with what the receiver needs to check the lease.
+/// A command that a lease holder sends to a receiver, with the data that the receiver needs to check the lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FencedCommand {
     /// The lease that the sender has to hold for the command to be executed.
@@ -37,11 +37,12 @@
     pub term: Term,
     /// The process that holds the lease and sends the command.
     pub holder: LeaseHolder,
-    /// A number that grows with each command of the sender, so that receivers can detect duplicates.
+    /// The sequence number of the command. It increases with each command of the sender, so that receivers can detect
+    /// duplicates.
     pub number: u64,
     /// The newest timestamp that the sender has from this receiver; `None` before the receiver's first answer.
     pub receiver_timestamp: Option<ReceiverTimestamp>,
-    /// For how long after `receiver_timestamp` the sender's lease certainly lasts, in milliseconds.
+    /// The duration after `receiver_timestamp` for which the sender's lease is guaranteed to last, in milliseconds.
     pub good_for: Ms,
     /// The content of the command, which fencing does not interpret.
     pub body: Vec<u8>,
@@ -63,7 +64,7 @@
     LeaseExpired,
 }
 
-/// Decides which commands a receiving process executes; each process has one.
+/// Decides which commands a receiving process executes. Each process has one receiver for all leases.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Receiver {
     incarnation: Incarnation,
@@ -73,7 +74,7 @@
 }
 
 impl Receiver {
-    /// A receiver that has not executed any command. `drift` is the largest fraction by which the rates of the
+    /// Creates a receiver that has not executed any command. `drift` is the largest fraction by which the rates of the
     /// receiver's and a sender's clocks may differ.
     pub fn new(incarnation: Incarnation, drift: f64) -> Self {
         Receiver {
@@ -152,9 +153,9 @@
         self.newest = Some((receiver_timestamp, now));
     }
 
-    /// Returns the timestamp to send with a command, and for how many milliseconds after the timestamp the sender's
-    /// lease lasts. `lease_end` is when that lease expires on the sender's clock. Before the receiver's first answer
-    /// the result is `None` and 0.
+    /// Returns the timestamp to send with a command, and the duration after the timestamp for which the sender's lease
+    /// is guaranteed to last, in milliseconds. `lease_end` is the time at which that lease expires on the sender's
+    /// clock. Before the receiver's first answer the result is `None` and 0.
     pub fn good_for(&self, lease_end: Ms) -> (Option<ReceiverTimestamp>, Ms) {
         match self.newest {
             Some((receiver_timestamp, arrived_at)) => {
--- a/src/coordination/job_lease.rs
+++ b/src/coordination/job_lease.rs
@@ -1,4 +1,4 @@
-//! The lease of a job outside of the dispatchers: until when the job certainly holds the lease, when the job asks for
+//! The lease of a job outside of the dispatchers. This module computes when the lease expires, when the job requests
 //! the lease again, and when the work has to end because the lease was not renewed.
 //!
 //! A dispatcher acquires and renews the lease for the job; the job only asks how much of the lease is left. Like the
@@ -11,7 +11,7 @@
 const ASK_INTERVAL_FRACTION: f64 = 1.0 / 16.0;
 /// The longest time between two requests for a lease that is held.
 const MAX_ASK_INTERVAL_MS: Ms = 50.0;
-/// How long an answer is awaited, as a fraction of the lease duration.
+/// The timeout of a request for a lease that is held, as a fraction of the lease duration.
 const ANSWER_TIMEOUT_FRACTION: f64 = 0.25;
 /// The work is told to end when this fraction of the lease is left. Dispatchers begin to renew a lease after a third of
 /// its duration, and a proposal that the voters do not answer in time takes up to a fifth of the duration. One failed
@@ -35,7 +35,7 @@
 pub struct TermChanged;
 
 impl JobLease {
-    /// The lease according to an answer that states `left` as the remaining time; the request was sent at `asked_at`.
+    /// Creates a lease from an answer that states `left` as the remaining time; the request was sent at `asked_at`.
     ///
     /// Guards against a delayed answer: the remaining time counts from when the job sent its request.
     pub fn new(term: Term, asked_at: Ms, left: Ms) -> Self {
@@ -64,17 +64,17 @@
         Ok(())
     }
 
-    /// How long the answer to a request for the lease is awaited while the lease is held.
+    /// The timeout of a request for the lease while the lease is held, in milliseconds.
     pub fn answer_timeout(&self) -> Ms {
         ANSWER_TIMEOUT_FRACTION * self.duration
     }
 
-    /// The time from an answer to the next request for the lease.
+    /// The time between an answer and the next request for the lease, in milliseconds.
     pub fn ask_interval(&self) -> Ms {
         (ASK_INTERVAL_FRACTION * self.duration).min(MAX_ASK_INTERVAL_MS)
     }
 
-    /// Whether so little of the lease is left that the work has to end.
+    /// Whether the remaining time of the lease at `now` is so short that the work has to end.
     pub fn is_running_out(&self, now: Ms) -> bool {
         self.expires_at - now < END_FRACTION * self.duration
     }
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -22,16 +22,17 @@
     pub drift: f64,
 }
 
-/// How often a holder renews a lease per lease duration. Two renewals may fail before the lease expires.
+/// The number of renewals per lease duration. Two renewals may fail before the lease expires.
 const RENEWALS_PER_LEASE: f64 = 3.0;
 /// The difference between the election delays of successive ranks, as a fraction of the lease duration.
 const ELECTION_GAP_FRACTION: f64 = 0.05;
-/// How often per lease duration a contender asks a voter for the newest value.
+/// The number of queries per lease duration in which a contender asks a voter for the newest value.
 const QUERIES_PER_LEASE: f64 = 10.0;
-/// The longest time between two inputs that counts towards a contender's wait, in query intervals.
+/// A contender's wait for a lease does not include a time between two inputs that is longer than this many query
+/// intervals.
 const MAX_STEP_QUERY_INTERVALS: f64 = 2.0;
-/// How many members are ranked as possible successors of a holder. Other members wait for at least one more lease
-/// duration.
+/// The number of members that are ranked as possible successors of a holder. Unranked members that are not voters wait
+/// for at least one more lease duration.
 pub const RANKED_SUCCESSORS: u32 = 5;
 
 impl LeaseSettings {
@@ -40,8 +41,8 @@
         self.lease * (1.0 - self.drift)
     }
 
-    /// How long a contender waits before a lease counts as expired, in milliseconds. `lease_ms` is the duration in the
-    /// lease's record.
+    /// How long a contender waits before it treats a lease as expired, in milliseconds. `lease_ms` is the duration in
+    /// the lease's record.
     pub fn waited_for(&self, lease_ms: u64) -> Ms {
         self.lease.max(lease_ms as f64) * (1.0 + self.drift)
     }
@@ -79,7 +80,7 @@
 }
 
 impl HeldLease {
-    /// A lease that was requested at `requested_at` and granted at `granted_at`, both on this member's clock in
+    /// Creates a lease that was requested at `requested_at` and granted at `granted_at`, both on this member's clock in
     /// milliseconds.
     ///
     /// Guards against a delayed answer: a contender's wait may begin as soon as the voters accept the request. The
@@ -103,20 +104,20 @@
     }
 }
 
-/// Tracks a lease that this member may acquire, and how long the lease's record has been unchanged.
+/// Tracks a lease that this member may acquire, and how long the record of the lease has stayed unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseObserver {
-    /// The version of the newest record seen; the default while there is no record.
+    /// The version of the newest record seen; the default version while there is no record.
     version: LeaseVersion,
     record: Option<LeaseRecord>,
-    /// Whether the replicated state was seen, with or without a record of this lease.
+    /// Whether this member has seen the replicated state, with or without a record of this lease.
     pub has_observed: bool,
     /// How long this member has waited since it first saw this version, in milliseconds; see
     /// [`LeaseObserver::count_time`].
     waited: Ms,
     /// The time up to which `waited` has been counted, in milliseconds.
     counted_until: Ms,
-    /// A random number from 0 to 1, drawn for each version so that contenders do not propose at the same moment.
+    /// A random number from 0 to 1, drawn for each version, so that contenders do not propose at the same time.
     jitter: f64,
     /// This member's rank among the possible successors, as the membership leader reported it; `None` if this member is
     /// not ranked.
@@ -223,7 +224,7 @@
     }
 }
 
-/// The properties of a possible next lease holder that decide its rank.
+/// The properties that determine a member's rank among the possible next holders of a lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// Whether the member accepts client requests and is not stopping.
@@ -269,7 +270,7 @@
     names.zip(0..RANKED_SUCCESSORS).collect()
 }
 
-/// The holder of a lease in a replicated state, with its term; `None` if the lease is free.
+/// The holder of a lease in a replicated state, with the term of the lease; `None` if the lease is free.
 pub fn holder_of<'a>(
     state: &'a ReplicatedState,
     lease_name: &LeaseName,
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -6,12 +6,12 @@
 use crate::coordination::state::VoterRecord;
 use nanorand::Rng;
 
-/// Whether the voter's file can be used.
+/// The status of the voter's file, which determines whether the member can vote.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum AcceptorFile {
     /// The driver has not read the file yet.
     NotLoaded,
-    /// The settings of this member name no voter's file.
+    /// This member has no voter's file according to its settings, and never votes.
     NotConfigured,
     /// The file was loaded, or did not exist and is to be created.
     Usable,
@@ -19,7 +19,7 @@
     Unusable(String),
 }
 
-/// Writes of the voter's file, one at a time, and the answers that wait for them.
+/// The state of writes to the voter's file, which is written once at a time, and the answers that wait for the writes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AcceptorStorage {
     /// Whether the file was written at least once, so that the voter's identity is durable and may be announced.
@@ -100,7 +100,8 @@
         self.create_new_voter(out);
     }
 
-    /// Begins to write the file, unless a write is in flight. In that case the next write begins when that one ends.
+    /// Begins to write the file, unless a write is in flight. In that case the next write begins when the present write
+    /// ends.
     pub(super) fn save_acceptor(&mut self, out: &mut Vec<Output>) {
         let (None, Some(acceptor)) = (self.storage.write_in_flight, &self.acceptor) else {
             return;
@@ -308,8 +309,8 @@
         if all.all(|(name, voter_record)| has_confirmed(&name, &voter_record)) {
             return true;
         }
-        // A majority is enough only after the other voters had time to answer, as a voter that has missed messages may
-        // not know of the newest writes.
+        // A majority is enough only after the other voters have had time to answer: a voter that has missed messages
+        // may not know of the newest writes.
         let has_waited = self.now - self.started_at >= self.settings.lease.lease;
         has_waited && voters.majority(has_confirmed)
     }
--- a/src/coordination/member/leases.rs
+++ b/src/coordination/member/leases.rs
@@ -19,9 +19,9 @@
 /// An operator's job, for which this member acquires and renews a lease.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LeaseJob {
-    /// The number that the job states in its requests, by which jobs that request the same lease are told apart.
+    /// The number in the job's requests, which distinguishes jobs that request the same lease.
     pub(super) number: u64,
-    /// When the job last asked for its lease, in milliseconds.
+    /// When the job last requested its lease, on this member's clock in milliseconds.
     pub(super) asked: Ms,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Member {
-    /// Whether this member acquires the lease once the lease is free.
+    /// Whether this member tries to acquire the lease when the lease is free or expired.
     pub(super) fn contends(&self, lease_name: &LeaseName) -> bool {
         if self.stopping
             || self.held_leases.contains_key(lease_name)
@@ -60,7 +60,7 @@
         is_ranked || self.is_voter() || !self.leader_is_responsive()
     }
 
-    /// Whether this member is a voter according to the newest value, and has an acceptor.
+    /// Whether this member has an acceptor and is a voter according to the newest replicated state.
     pub(super) fn is_voter(&self) -> bool {
         let me = &self.settings.me;
         let voters = self.known_voter_set();
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Removes a lease from the leases that this member holds. The lease's record in the replicated state stays
-    /// unchanged.
+    /// Removes a lease from the leases that this member holds, without a change of the lease's record in the replicated
+    /// state.
     pub(super) fn drop_lease(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         if let Some(held) = self.held_leases.remove(lease_name) {
             out.push(Output::Holds {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Adds a lease to the leases that this member holds. With the membership lease the member becomes the leader.
+    /// Adds a lease to the leases that this member holds. A member that acquires the membership lease becomes the leader.
     pub(super) fn lease_acquired(
         &mut self,
         lease_name: &LeaseName,
@@ -198,7 +198,8 @@
         }
     }
 
-    /// The times at which a lease, a job or a pending command needs the next call of [`Member::handle`], unordered.
+    /// The times at which a lease, a job or a pending command needs a call of [`Member::handle`], in no particular
+    /// order.
     pub(super) fn lease_timers(&self) -> Vec<Ms> {
         let settings = &self.settings.lease;
         let mut timers = Vec::new();
--- a/src/coordination/member/membership_report.rs
+++ b/src/coordination/member/membership_report.rs
@@ -10,9 +10,10 @@
 pub(super) struct ReportReceiver {
     clock: ReceiverClock,
     next_report_at: Ms,
-    /// Whether a report was sent whose answer is still missing; no other report is sent meanwhile.
+    /// Whether the answer to the last report is still missing. No other report is sent until it arrives or times out.
     awaits_answer: bool,
-    /// Until when the receiver may still execute a report that it has not answered.
+    /// The time after which the receiver cannot execute the last report any more; negative infinity if the receiver has
+    /// answered the report.
     executable_until: Ms,
 }
 
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -147,7 +147,7 @@
 
 impl std::error::Error for UnusableFile {}
 
-/// An event that a driver passes to [`Member::handle`](super::Member::handle).
+/// An event that the driver passes to [`Member::handle`](super::Member::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// The voter's file as it was read at the start; `Ok(None)` if the file does not exist.
@@ -177,13 +177,13 @@
     LocalHealth(LocalHealth),
     /// The engines in this dispatcher's endpoint list, replacing the earlier ones.
     Engines(Vec<Unit>),
-    /// No event except that time has passed. The member handles the timers that are due.
+    /// No event occurred, but time has passed: the member handles the timers that are due.
     Tick,
     /// The process is to end: the member hands over its leases and acquires no more.
     Stop,
 }
 
-/// An action that a driver performs for a member.
+/// An action that the driver performs for the member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a request to another member.
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -83,7 +83,7 @@
     bootstrap: Option<Voters>,
     highest_round: u64,
     proposal: Option<ProposalInFlight>,
-    /// No proposal begins before this time, as the last one conflicted or was rejected.
+    /// No proposal begins before this time; set after a proposal that conflicted or was rejected.
     next_proposal_at: Ms,
     conflicts_in_a_row: u32,
     pending_commands: Vec<PendingCommand>,
@@ -93,7 +93,7 @@
     held_leases: BTreeMap<LeaseName, HeldLease>,
     handovers: BTreeMap<LeaseName, LeaseHandover>,
     jobs: BTreeMap<LeaseName, LeaseJob>,
-    /// When a voter is next asked for the newest value. Used only while this member contends for a lease.
+    /// When this member next asks a voter for the newest value. Used only while this member contends for a lease.
     next_query_at: Ms,
 
     // Heartbeats and the membership leader.
@@ -118,7 +118,7 @@
 }
 
 impl Member {
-    /// Creates a member, which starts with its first input.
+    /// Creates a member. The member starts when it handles its first input.
     pub fn new(settings: FleetSettings) -> Self {
         let file = match settings.may_vote {
             true => AcceptorFile::NotLoaded,
@@ -232,7 +232,7 @@
         self.clock.to_reading(next_call_at.max(self.now))
     }
 
-    /// The leases that this member holds now, with their terms.
+    /// The leases that this member holds and that have not expired, with their terms.
     pub fn held(&self) -> impl Iterator<Item = (&LeaseName, Term)> {
         self.held_leases
             .iter()
@@ -240,7 +240,7 @@
             .map(|(lease_name, held)| (lease_name, held.term))
     }
 
-    /// How often each kind of event has happened since the start, by the event's name.
+    /// The number of events of each kind since the start, by event name.
     pub fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
@@ -289,9 +289,9 @@
 
     /// Handles a clock that was set back.
     ///
-    /// Guards against a lease that lasts longer on this clock than other members wait for its end. All leases of this
-    /// member expire now, the timestamps given to senders become invalid, and the proposal in flight is dropped so that
-    /// it grants no lease.
+    /// Guards against a lease that lasts longer on this clock than the time for which other members wait. All leases of
+    /// this member expire now, the timestamps that senders received become invalid, and the proposal in flight is
+    /// dropped so that it grants no lease.
     fn clock_went_back(&mut self, out: &mut Vec<Output>) {
         self.count("clock went back");
         self.receiver.clock_went_back();
@@ -311,7 +311,7 @@
         self.proposal = None;
     }
 
-    /// The voters according to the newest value, or the voters of the bootstrap if no value was seen.
+    /// The voters in the newest replicated state, or the voters of the bootstrap if no state was seen.
     fn known_voter_set(&self) -> Option<&Voters> {
         let newest = self.newest.as_ref().map(|(_, value)| &value.voters);
         let acceptor = self.acceptor.as_ref();
@@ -330,7 +330,7 @@
         known
     }
 
-    /// The name, incarnation and address of this process, as commands and messages state them.
+    /// The name, incarnation and address of this process, for commands and messages.
     fn me(&self) -> LeaseHolder {
         LeaseHolder {
             name: self.settings.me.clone(),
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -14,10 +14,10 @@
 /// Guards against proposers that keep interrupting each other so that none of them reaches a majority. Each proposer
 /// waits for a longer, random time after each consecutive conflict, so that one of them succeeds.
 const CONFLICT_BACKOFF_FRACTION: f64 = 0.01;
-/// The most times that the shortest wait is doubled; each consecutive conflict doubles it once.
+/// The wait doubles with each consecutive conflict, at most this many times.
 const CONFLICT_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// Why a command is proposed, which decides how its outcome is handled.
+/// The reason for proposing a command, which determines how the outcome is handled.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum ProposalReason {
     AcquireLease(LeaseName),
@@ -33,7 +33,7 @@
 pub(super) struct ProposalInFlight {
     pub(super) proposal: Proposal,
     reason: ProposalReason,
-    /// When the proposal began; a lease that the proposal grants or renews is measured from this time.
+    /// When the proposal began, in milliseconds. A lease that the proposal grants or renews is measured from this time.
     begun_at: Ms,
 }
 
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether a change of voters is chosen and only has to be finished.
+    /// Whether a change of voters is in progress and known to be chosen, so that it can be finished.
     fn can_finish_voter_change(&self) -> bool {
         let voters = self.newest.as_ref().map(|(_, value)| &value.voters);
         voters.is_some_and(|voters| {
@@ -81,7 +81,7 @@
         })
     }
 
-    /// The most urgent command to propose, with the reason for it; `None` if there is nothing to propose.
+    /// The most urgent command to propose, with its reason; `None` if there is no command to propose.
     fn next_command(&self) -> Option<(ProposalReason, Command)> {
         self.resignation()
             .or_else(|| self.renewal())
@@ -181,7 +181,8 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Hands over leases if the process is stopping, queries newer values if that is due, and begins the next proposal.
+    /// Hands over leases if the process is stopping, queries a voter for a newer value if a query is due, and begins
+    /// the next proposal.
     pub(super) fn advance(&mut self, out: &mut Vec<Output>) {
         if self.stopping {
             self.hand_over_all(out);
@@ -267,7 +268,7 @@
     /// Asks one voter, and the next voter if it does not answer.
     ///
     /// Guards against a dead voter. With one of three voters dead, a third of all members, which may be hundreds, would
-    /// get no answer until their next heartbeat is due, and a third of those would fail again then.
+    /// get no answer until their next heartbeat is due, and a third of these members would get no answer then either.
     pub(super) fn query_next_voter(&mut self, voter: Option<NextVoter>, out: &mut Vec<Output>) {
         let Some(NextVoter { index, attempt }) = voter else {
             return;
@@ -377,8 +378,8 @@
         }
     }
 
-    /// Delays the next proposal after a conflict, for at least about the time that the failed proposal took. The
-    /// competing proposal takes about as long, and a new proposal during that time would only interrupt it.
+    /// Delays the next proposal after a conflict. On average the delay is at least as long as the failed proposal took.
+    /// The competing proposal takes about as long, and a new proposal during that time would only interrupt it.
     fn back_off(&mut self, begun_at: Ms) {
         let doublings = self.conflicts_in_a_row.min(CONFLICT_BACKOFF_DOUBLINGS);
         let jitter: f64 = self.rng.generate();
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -3,10 +3,10 @@
 use super::*;
 use crate::coordination::register::{Phase, VoterKey};
 
-/// The most times that a request to an acceptor is sent again while its answer is awaited.
+/// The maximum number of times that a request to an acceptor is sent again while its answer is missing.
 const MAX_RESENDS: u32 = 2;
 
-/// What a request in flight is for, which decides how its answer is handled.
+/// The purpose of a request in flight, which determines how its answer is handled.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum RequestPurpose {
     /// A prepare or accept request of the proposal with this ballot.
@@ -37,14 +37,14 @@
     StopByHand { call: CallId, note: String },
 }
 
-/// The voter to ask next: its index among the known voters, and the number of this attempt, from 1.
+/// The voter to query next: its index among the known voters, and the number of the query attempt, from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct NextVoter {
     pub(super) index: usize,
     pub(super) attempt: usize,
 }
 
-/// When a request is sent again, and how many times it may be sent again.
+/// The time at which a request is sent again, and the number of times that it may still be sent again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Resend {
     at: Ms,
@@ -56,7 +56,7 @@
 pub(super) struct RequestInFlight {
     purpose: RequestPurpose,
     to: Address,
-    /// When the request counts as unanswered.
+    /// The time at which the request counts as unanswered, on this member's clock in milliseconds.
     times_out_at: Ms,
     /// When the request is sent again before it times out; `None` if it is not sent again. Guards against a lost
     /// message, which would make a whole proposal fail.
@@ -122,7 +122,7 @@
         });
     }
 
-    /// Sends those requests again that acceptors have not answered, if their proposal is still in progress.
+    /// Sends requests to acceptors again if no answer has arrived and their proposal is still in progress.
     pub(super) fn resend_requests(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let is_due =
@@ -188,7 +188,8 @@
         }
     }
 
-    /// Handles a received request. Requests of proposers and operators may be answered later, others are answered now.
+    /// Handles a received request. Requests of proposers and operators may be answered later, all others are answered
+    /// at once.
     pub(super) fn handle_request(
         &mut self,
         call: CallId,
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Passes an answer, or `None` if none will come, to the part of the member that awaits it.
+    /// Passes an answer to the part of the member that awaits it. `answer` is `None` if no answer will come.
     pub(super) fn handle_answer(
         &mut self,
         purpose: RequestPurpose,
--- a/src/coordination/member/settings.rs
+++ b/src/coordination/member/settings.rs
@@ -21,13 +21,13 @@
     pub zone: String,
     /// The version that this member runs, or another label that its operators chose.
     pub label: String,
-    /// The first voters of the fleet, by name. A member also asks them for the present voters.
+    /// The addresses of the fleet's first voters, by name. A member also asks them who the present voters are.
     pub voters: BTreeMap<Name, Address>,
     /// Whether this member has a voter's file and may become a voter.
     pub may_vote: bool,
     /// The lease duration and the allowed clock drift.
     pub lease: LeaseSettings,
-    /// How long the answer to a request to another member is awaited.
+    /// The timeout of requests to other members.
     pub answer_within: Ms,
     /// The shortest time between two heartbeats of this member; large fleets use a longer one.
     pub heartbeat: Ms,
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,4 +1,4 @@
-//! The membership leader's view of the fleet: members, engines and their status, from the members' heartbeats.
+//! The membership leader's view of the fleet, built from heartbeats: the members with their status, and the engines.
 
 use super::disruption_budget::OutcomeCounts;
 use super::lease::{rank_candidates, Candidate};
@@ -16,7 +16,7 @@
     pub zone: String,
     /// The version that the sender runs, or another label that its operators chose.
     pub label: String,
-    /// The time since the process started, in milliseconds.
+    /// The uptime of the sending process, in milliseconds.
     pub up: Ms,
     /// Whether the dispatcher accepts client requests.
     pub ready: bool,
@@ -46,52 +46,55 @@
 /// The combined reports of all dispatchers about one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineUsage {
-    /// The newest utilization, 0 to 1, and when it was measured, on the leader's clock in milliseconds; `None` before
-    /// the first report that states one.
+    /// The newest utilization, 0 to 1, with the time of its measurement on the leader's clock in milliseconds; `None`
+    /// before the first report that states a utilization.
     pub used: Option<(f64, Ms)>,
     /// Outcomes of requests to the engine since this dispatcher became the leader.
     pub tally: OutcomeCounts,
 }
 
-/// The status of a member, by how many of its heartbeats are missing.
+/// The status of a member, determined by the time since its newest heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberStatus {
     /// Heartbeats arrive in time.
     Alive,
-    /// Heartbeats are missing, but not enough of them for the member to count as dead.
+    /// Several heartbeats are missing, but fewer than for [`MemberStatus::Dead`].
     Suspected,
-    /// Many heartbeats are missing, or some are missing after the member announced that it stops.
+    /// Many heartbeats are missing, or several are missing after the member announced that it is stopping.
     Dead,
-    /// Heartbeats arrive in time again, for a short time so far, after a restart or after the member counted as dead.
+    /// Heartbeats have been arriving in time again for a short time, after a restart or after the member counted as
+    /// dead.
     Returned,
 }
 
-/// What the leader knows of one member from its heartbeats.
+/// The leader's record of one member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// The newest heartbeat, without its engine reports.
     pub heartbeat: Heartbeat,
     /// When the newest heartbeat arrived, on the leader's clock in milliseconds.
     pub last_heartbeat_at: Ms,
-    /// Since when heartbeats have arrived without a restart or a long gap, on the leader's clock in milliseconds.
+    /// When the member's first heartbeat arrived, or the first one after its last restart or long gap, on the leader's
+    /// clock in milliseconds.
     pub since: Ms,
     /// Whether the leader received heartbeats of the member before `since`: from an earlier process, or before the
     /// member counted as dead.
     has_returned: bool,
 }
 
-/// A member is suspected once more heartbeats than this are missing.
+/// The first threshold: the number of missing heartbeats after which a member is suspected.
 const SUSPECTED_AFTER_HEARTBEATS: f64 = 3.0;
-/// A member counts as dead once more heartbeats than this are missing.
+/// The second threshold: the number of missing heartbeats after which a member counts as dead.
 const DEAD_AFTER_HEARTBEATS: f64 = 10.0;
 /// How long a member counts as returned, in heartbeat intervals.
 const RETURNED_FOR_HEARTBEATS: f64 = 10.0;
 /// A member is removed after this many heartbeat intervals without a heartbeat.
 const REMOVED_AFTER_HEARTBEATS: f64 = 600.0;
-/// The most heartbeats that the leader receives per second. Guards against overload of the leader: the members of a
-/// large fleet send heartbeats less often.
+/// The maximum number of heartbeats that the leader receives per second. The members of a large fleet send heartbeats
+/// less often, so that they do not overload the leader.
 const MAX_HEARTBEATS_PER_SECOND: f64 = 500.0;
-/// The most members, and the most engines, that the leader records; any further ones are ignored.
+/// The maximum number of members that the leader records, and the maximum number of engines. Heartbeats of further
+/// members and reports about further engines are ignored.
 pub const MAX_MEMBERS: usize = 8192;
 
 /// A lease whose possible next holders are to be ranked.
@@ -119,8 +122,8 @@
 }
 
 impl Membership {
-    /// The view of a dispatcher that became the leader at `now`, in milliseconds. Members are added when their
-    /// heartbeats arrive.
+    /// Creates the view of a dispatcher that became the leader at `now`, in milliseconds. The view has no members until
+    /// their heartbeats arrive.
     pub fn begin(now: Ms) -> Self {
         Membership {
             since: now,
@@ -128,7 +131,8 @@
         }
     }
 
-    /// The time between two heartbeats of a member, in milliseconds: `shortest`, or more in a large fleet.
+    /// The time between two heartbeats of a member, in milliseconds: `shortest`, the configured interval, or a longer
+    /// time in a large fleet.
     pub fn heartbeat_interval(&self, shortest: Ms) -> Ms {
         shortest.max(self.members.len() as f64 * 1000.0 / MAX_HEARTBEATS_PER_SECOND)
     }
@@ -178,7 +182,7 @@
         }
     }
 
-    /// What the dispatchers reported about an engine; `None` if there was no report.
+    /// The combined reports about an engine; `None` if no dispatcher has reported about it.
     pub fn engine(&self, name: &Name) -> Option<&EngineUsage> {
         self.engines.get(name)
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseName(pub Arc<str>);
 
-/// Identifies one process among all that have run under the same name; drawn at random at each start.
+/// Identifies one process among all processes that have run under the same name; drawn at random when a process starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
@@ -61,9 +61,9 @@
     }
 }
 
-/// Monotonic time derived from a clock that may be set back. All times are in milliseconds.
+/// Derives monotonic time from the readings of a clock that may be set back. All times are in milliseconds.
 ///
-/// Guards against a clock that is set back: a lease that is measured on it would last too long. A backward step counts
+/// A lease that is measured on a clock would last too long if the clock were set back. A backward step therefore counts
 /// as zero elapsed time, and [`MonotonicClock::advance`] reports the step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MonotonicClock {
@@ -80,7 +80,8 @@
         (self.now, passed < 0.0)
     }
 
-    /// Converts a monotonic time to the reading that the clock shows at that time, unless the clock is set before.
+    /// Converts a monotonic time to the reading that the clock shows at that time, provided that the clock is not set
+    /// until then.
     pub fn to_reading(&self, time: Ms) -> Ms {
         self.last_reading.unwrap_or_default() + (time - self.now)
     }
--- a/src/coordination/register/acceptor.rs
+++ b/src/coordination/register/acceptor.rs
@@ -9,7 +9,7 @@
 /// A voter's name and identity. The same name with a newly created file is a different voter.
 pub type VoterKey = (Name, VoterId);
 
-/// The highest known write count of each voter's file.
+/// The highest known write count of each voter's file, by voter.
 pub type WriteCounts = BTreeMap<VoterKey, u64>;
 
 /// The durable state of an acceptor, stored in the voter's file.
@@ -39,20 +39,20 @@
     Prepare {
         /// The identity of the addressed voter; a voter with another identity does not vote on the request.
         voter_id: VoterId,
-        /// The ballot of the proposal.
+        /// The proposal's ballot, which the acceptor promises unless it has promised a higher one.
         ballot: Ballot,
-        /// The voters' write counts that the proposer knows.
+        /// The highest write counts that the proposer knows; they reveal an outdated file of the addressed voter.
         write_counts: WriteCounts,
     },
     /// Asks the acceptor to accept a value, unless it has promised a higher ballot.
     Accept {
         /// The identity of the addressed voter; a voter with another identity does not vote on the request.
         voter_id: VoterId,
-        /// The ballot of the proposal.
+        /// The proposal's ballot, under which the value is to be accepted.
         ballot: Ballot,
         /// The new state, with the proposal's command applied.
         value: ReplicatedState,
-        /// The voters' write counts that the proposer knows.
+        /// The highest write counts that the proposer knows; they reveal an outdated file of the addressed voter.
         write_counts: WriteCounts,
     },
 }
@@ -80,7 +80,7 @@
 pub enum AcceptorReply {
     /// The acceptor promises to accept no value with a lower ballot.
     Promise {
-        /// The ballot of the request.
+        /// The promised ballot, as the request states it.
         ballot: Ballot,
         /// The value that the acceptor accepted last, with its ballot; `None` if it has accepted no value.
         accepted: Option<(Ballot, ReplicatedState)>,
@@ -103,7 +103,7 @@
     NotVoting,
 }
 
-/// An answer, and whether it may be sent before the acceptor's state is durable.
+/// An answer to a proposer, and whether the acceptor's state has to be durable before the answer is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptorResponse {
     /// The answer to send to the proposer, at once or once the state is durable.
@@ -139,7 +139,7 @@
 }
 
 impl Acceptor {
-    /// An acceptor with a newly created file, which may vote at once.
+    /// Creates an acceptor for a newly created file. The acceptor may vote at once.
     pub fn new(name: Name, voter_id: VoterId) -> Self {
         let state = AcceptorState {
             name,
@@ -153,8 +153,8 @@
         Acceptor { state, votes: true }
     }
 
-    /// An acceptor with the file of an earlier process. The acceptor does not vote until other voters have confirmed
-    /// that the file is not outdated, unless the file contains no promise.
+    /// Creates an acceptor from the file of an earlier process. The acceptor does not vote until other voters have
+    /// confirmed that the file is not outdated, unless the file contains no promise.
     pub fn recover(state: AcceptorState) -> Self {
         let votes = state.promised.is_none();
         Acceptor { state, votes }
@@ -230,7 +230,7 @@
         })
     }
 
-    /// Whether other members know of more writes than this file contains. If so, the acceptor stops voting.
+    /// Returns whether other members know of more writes than this file contains. If so, the acceptor stops voting.
     ///
     /// Guards against a file that was restored from a copy, or whose last writes were lost: its voter would break
     /// promises that it has forgotten, and two values could be chosen. The write count reveals such a file, as
--- a/src/coordination/register/proposal.rs
+++ b/src/coordination/register/proposal.rs
@@ -13,9 +13,9 @@
 pub struct Proposal {
     /// The ballot under which the command is proposed.
     pub ballot: Ballot,
-    /// The command that is applied to the newest accepted value.
+    /// The command to apply to the newest accepted value; it can be rejected by that value.
     pub command: Command,
-    /// The voters in the newest accepted value that a promise returned; before that, the voters that the proposer knew.
+    /// The voters in the newest accepted value that a promise returned; until then the voters that the proposer knew.
     voters: Voters,
     /// The voters that promised, with the value that each of them accepted last.
     promises: BTreeMap<VoterKey, Option<(Ballot, ReplicatedState)>>,
@@ -43,15 +43,15 @@
     Chosen(ReplicatedState),
     /// The command cannot be applied to this value, the newest that a majority returned.
     Rejected(CommandError, ReplicatedState),
-    /// No majority can be reached with this ballot. Contains the higher ballot that an acceptor has promised, if one
-    /// stated it.
+    /// No majority can be reached with this ballot. Contains the higher ballot that an acceptor has promised; `None` if
+    /// the last answer did not state one.
     Conflict(Option<Ballot>),
 }
 
-/// What a proposer learns from its proposals and uses for later ones.
+/// Facts that a proposer learns from one proposal and uses in later ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ProposerKnowledge {
-    /// The voters in the newest value that this proposer knows to be chosen; `None` if it knows none.
+    /// The voters in the newest value that this proposer knows to be chosen; `None` if it knows no such value.
     pub chosen_voters: Option<Voters>,
     /// The highest known write counts of the voters, passed on with each request.
     pub write_counts: WriteCounts,
@@ -71,11 +71,11 @@
     pub to: Name,
     /// The identity and address of the addressed voter.
     pub voter_record: VoterRecord,
-    /// The prepare or accept request of the proposal.
+    /// The proposal's prepare or accept request, which states the voter's identity.
     pub request: AcceptorRequest,
 }
 
-/// What a proposer does after an answer.
+/// The requests that a proposer sends after an answer, and the outcome if the answer ended the proposal.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProposalStep {
     /// Further requests to send, possibly none.
@@ -85,6 +85,7 @@
 }
 
 impl ProposalStep {
+    /// A step that sends `requests` and does not end the proposal.
     fn send(requests: Vec<OutgoingRequest>) -> Self {
         ProposalStep {
             requests,
@@ -92,6 +93,7 @@
         }
     }
 
+    /// The last step of a proposal that ended with `outcome`.
     fn end(outcome: ProposalOutcome) -> Self {
         ProposalStep {
             requests: Vec::new(),
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -1,5 +1,5 @@
 //! The replicated state, and the commands that change it. A command is applied to the newest state that a majority of
-//! the voters returned, so it sees the effect of all commands that were chosen before it.
+//! the voters returned, and that state contains the effects of all commands that were chosen before.
 
 use super::fault_injection::{is_injected, InjectedFault};
 use super::rollout::{DisruptionState, OperatorCommand, RolloutError, RolloutStep};
@@ -24,7 +24,7 @@
 /// The voters of the fleet. During a change of voters a quorum needs a majority of the former voters as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voters {
-    /// The number of this set of voters; each change of the voters increments it.
+    /// The version of the voter set; each change of the voters increments it.
     pub generation: u64,
     /// The present voters, by name.
     pub set: BTreeMap<Name, VoterRecord>,
@@ -54,7 +54,7 @@
     }
 }
 
-/// A process that holds a lease, or asks for one.
+/// A process that holds a lease or requests one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     /// The name of the holding dispatcher.
@@ -123,7 +123,7 @@
 pub struct ReplicatedState {
     /// The number of commands applied so far.
     pub version: u64,
-    /// The voters whose quorum chooses the next state.
+    /// The voters that decide on the next state: a quorum of them has to accept it.
     pub voters: Voters,
     /// The records of all leases that were ever held, by name.
     pub leases: BTreeMap<LeaseName, LeaseRecord>,
@@ -176,8 +176,8 @@
         /// The name of the voter to remove, which has to be a present voter.
         name: Name,
     },
-    /// Finishes a change of voters that is known to be chosen: a quorum no longer needs a majority of the former
-    /// voters.
+    /// Finishes a change of voters once the change is known to be chosen. From then on a quorum does not need a
+    /// majority of the former voters.
     FinishVoterChange,
     /// Advances a rollout; rejected unless the sender holds the lease in this term.
     RolloutStep {
@@ -245,17 +245,18 @@
     }
 }
 
-/// The fewest voters of a fleet. With fewer than three voters the fleet would tolerate no failure of a voter.
+/// The minimum number of voters in a fleet. With fewer than three voters a fleet does not tolerate the failure of a
+/// voter.
 pub const MIN_VOTERS: usize = 3;
-/// The most voters of a fleet; a command that would add a further voter is rejected.
+/// The maximum number of voters in a fleet. A command that would add another voter is rejected.
 pub const MAX_VOTERS: usize = 7;
-/// The most leases of a fleet. The limit keeps the state, which every message of a proposal carries, at a few
-/// kilobytes.
+/// The maximum number of leases in a fleet. The limit keeps the replicated state at a few kilobytes, as every message
+/// of a proposal contains the state.
 pub const MAX_LEASES: usize = 128;
 
 impl ReplicatedState {
-    /// Applies a command and returns the new state. `voters_are_chosen` states that a state with the present voters is
-    /// known to be chosen; an unfinished change of voters then ends.
+    /// Applies a command and returns the new state. If `voters_are_chosen` is true, the caller knows that the voters of
+    /// this state have been chosen, and a change of voters that is in progress ends.
     ///
     /// # Errors
     /// A [`CommandError`] if the command cannot be applied to this state.
@@ -367,7 +368,7 @@
         Ok(())
     }
 
-    /// The record of a lease that this process holds in this term, or [`CommandError::Outdated`].
+    /// The record of a lease that `who` holds in `term`, or [`CommandError::Outdated`].
     fn record_held_by(
         &mut self,
         lease_name: &LeaseName,
@@ -395,8 +396,8 @@
         })
     }
 
-    /// Checks that a change of voters is in progress. The new state needs no update, as [`ReplicatedState::apply`] has
-    /// already ended the change there.
+    /// Checks that a change of voters is in progress in the old state. The new state needs no update, as
+    /// [`ReplicatedState::apply`] has already ended the change in it.
     fn finish_voter_change(&self) -> Result<(), CommandError> {
         match self.voters.before {
             Some(_) => Ok(()),
