--- a/crates/fleet/src/admin_client.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -107,7 +107,7 @@
 /// Sends an operator's request to the members at `addresses` in turn, until one of them answers.
 ///
 /// # Errors
-/// The error of the last member, as in [`send_operator_request`]; a message if `addresses` is empty.
+/// The error of the last member that was tried, see [`send_operator_request`]; a message if `addresses` is empty.
 pub async fn order_any<T: Transport, C: Clock>(
     transport: &T,
     clock: &C,
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -26,9 +26,9 @@
 const RENEWALS_PER_LEASE: f64 = 3.0;
 /// The difference between the election delays of successive ranks, as a fraction of the lease duration.
 const ELECTION_GAP_FRACTION: f64 = 0.05;
-/// The number of queries per lease duration in which a contender asks a voter for the newest value.
+/// The number of times per lease duration that a contender asks a voter for the newest value.
 const QUERIES_PER_LEASE: f64 = 10.0;
-/// A contender's wait for a lease does not include a time between two inputs that is longer than this many query
+/// A contender's wait for a lease excludes the time between two inputs if that time is longer than this many query
 /// intervals.
 const MAX_STEP_QUERY_INTERVALS: f64 = 2.0;
 /// The number of members that are ranked as possible successors of a holder. Unranked members that are not voters wait
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -19,7 +19,7 @@
     Unusable(String),
 }
 
-/// The state of writes to the voter's file, which is written once at a time, and the answers that wait for the writes.
+/// The writes of the voter's file, of which at most one is in flight, and the answers that wait for them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AcceptorStorage {
     /// Whether the file was written at least once, so that the voter's identity is durable and may be announced.
--- a/src/coordination/member/leases.rs
+++ b/src/coordination/member/leases.rs
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Adds a lease to the leases that this member holds. A member that acquires the membership lease becomes the leader.
+    /// Adds a lease to the leases that this member holds. A member that acquires the membership lease becomes the
+    /// leader.
     pub(super) fn lease_acquired(
         &mut self,
         lease_name: &LeaseName,
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -64,32 +64,32 @@
 /// A member's answer to a [`Question`]. Each kind of question has one kind of answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Answers [`Question::Vote`].
+    /// Answers [`Question::Vote`] with a promise, an acceptance or a refusal.
     Vote(AcceptorReply),
-    /// Answers [`Question::VoterState`].
+    /// Answers [`Question::VoterState`] with the voter's identity and the value that it accepted last.
     VoterState(VoterState),
-    /// Answers [`Question::WriteCount`].
+    /// Answers [`Question::WriteCount`] with the number of writes that the receiver knows of.
     WriteCount {
         /// The highest write count that the receiver knows; 0 if it knows none.
         writes: u64,
     },
-    /// Answers [`Question::Heartbeat`].
+    /// Answers [`Question::Heartbeat`], and names the membership leader if the receiver knows it.
     Heartbeat(HeartbeatReply),
     /// Confirms the receipt of [`Question::LeaseOffer`].
     Done,
-    /// Answers [`Question::FencedCommand`].
+    /// Answers [`Question::FencedCommand`] with the receiver's decision and a new timestamp.
     FencingDecision {
         /// Whether the command was executed, or why it was refused.
         verdict: FencingDecision,
         /// The receiver's timestamp, which the sender attaches to its next command.
         receiver_timestamp: ReceiverTimestamp,
     },
-    /// Answers [`Question::AskBack`].
+    /// Answers [`Question::AskBack`], and tells whether the permit could be revoked.
     Begun {
         /// Whether the disruption has begun, so that the permit cannot be revoked.
         begun: bool,
     },
-    /// Answers [`Question::Operator`].
+    /// Answers [`Question::Operator`]; the reply may redirect the operator to another member.
     Reply(Reply),
 }
 
@@ -156,7 +156,7 @@
     Saved {
         /// The number of the write, from [`Output::Save`].
         number: SaveId,
-        /// Whether the new content is certainly durable; false after a failed write.
+        /// Whether the new content is known to be durable; false after a failed write.
         is_durable: bool,
     },
     /// A request of another member or an operator was received.
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -63,7 +63,7 @@
     stopping: bool,
     stopped: bool,
 
-    // State of the acceptor.
+    // Fields for this member's role as an acceptor.
     file: AcceptorFile,
     acceptor: Option<Acceptor>,
     storage: AcceptorStorage,
@@ -74,7 +74,7 @@
     /// resumes.
     confirmed_by: Vec<Name>,
 
-    // State of the proposer.
+    // Fields for this member's role as a proposer.
     knowledge: ProposerKnowledge,
     /// The newest replicated state seen, chosen or not, with its ballot.
     newest: Option<(Option<Ballot>, ReplicatedState)>,
@@ -88,7 +88,7 @@
     conflicts_in_a_row: u32,
     pending_commands: Vec<PendingCommand>,
 
-    // State of leases and jobs.
+    // Fields for the leases that this member holds or contends for, and for jobs.
     lease_observers: BTreeMap<LeaseName, LeaseObserver>,
     held_leases: BTreeMap<LeaseName, HeldLease>,
     handovers: BTreeMap<LeaseName, LeaseHandover>,
@@ -96,7 +96,7 @@
     /// When this member next asks a voter for the newest value. Used only while this member contends for a lease.
     next_query_at: Ms,
 
-    // Heartbeats and the membership leader.
+    // Fields for heartbeats, membership reports and this member's role as the membership leader.
     /// The leader's view of the fleet; `Some` while this member is the membership leader.
     membership: Option<Membership>,
     membership_leader: Option<(Term, LeaseHolder)>,
@@ -107,10 +107,10 @@
     commands_sent: u64,
     receiver: Receiver,
 
-    // State of disruption permits and rollouts.
+    // Fields for disruption permits and rollouts.
     disruptions: rollout::RolloutState,
 
-    // Requests to other members and of operators.
+    // Fields for requests to other members and requests from operators.
     requests_sent: u64,
     in_flight: BTreeMap<QuestionId, RequestInFlight>,
     inspections: BTreeMap<CallId, operator_requests::Inspection>,
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -154,8 +154,8 @@
         ))
     }
 
-    /// The earliest time at which [`Member::next_command`] returns a command if no input arrives before; infinite if
-    /// there is none.
+    /// The earliest time at which [`Member::next_command`] returns a command if no input arrives until then; infinite
+    /// if there is no such time.
     pub(super) fn next_command_at(&self) -> Ms {
         let (settings, me, is_voter) = (&self.settings.lease, self.me(), self.is_voter());
         let renewals = self
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -58,7 +58,7 @@
 pub enum MemberStatus {
     /// Heartbeats arrive in time.
     Alive,
-    /// Several heartbeats are missing, but fewer than for [`MemberStatus::Dead`].
+    /// Several heartbeats are missing, but not enough for the member to count as dead.
     Suspected,
     /// Many heartbeats are missing, or several are missing after the member announced that it is stopping.
     Dead,
@@ -97,7 +97,7 @@
 /// members and reports about further engines are ignored.
 pub const MAX_MEMBERS: usize = 8192;
 
-/// A lease whose possible next holders are to be ranked.
+/// A lease for which [`Membership::rank_successors`] ranks the possible next holders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RankedLease {
     /// The name of the lease; part of the hash that breaks ties between members.
@@ -108,7 +108,7 @@
     pub holder: Option<Name>,
 }
 
-/// The members and engines of the fleet, as the membership leader knows them from heartbeats.
+/// The members and engines of the fleet, according to the heartbeats that the membership leader received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Membership {
     members: BTreeMap<Name, Member>,
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -154,7 +154,7 @@
     },
     /// Releases a lease before it expires.
     Resign {
-        /// The lease to release, whose record stays.
+        /// The lease to release. The record of the lease stays in the replicated state.
         lease_name: LeaseName,
         /// The term in which the sender holds the lease; the command is rejected if the record has another term.
         term: Term,
