--- a/crates/fleet/src/admin_client.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -8,7 +8,7 @@
 use cindercleat_net::{Clock, Transport};
 use cindercleat_protocol::{frame, v1, Body, Frame};
 
-/// The most redirects from one member to another that a request follows.
+/// The maximum number of redirects from one member to another that a request follows.
 const MAX_REDIRECTS: usize = 3;
 
 /// Sends a request to the member at `address` and returns its answer.
@@ -107,7 +107,7 @@
 /// Sends an operator's request to the members at `addresses` in turn, until one of them answers.
 ///
 /// # Errors
-/// The error of the last member, as in [`send_operator_request`]; a message if `addresses` is empty.
+/// The error of the last member that was tried, see [`send_operator_request`]; a message if `addresses` is empty.
 pub async fn order_any<T: Transport, C: Clock>(
     transport: &T,
     clock: &C,
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -64,32 +64,32 @@
 /// A member's answer to a [`Question`]. Each kind of question has one kind of answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Answers [`Question::Vote`].
+    /// Answers [`Question::Vote`] with a promise, an acceptance or a refusal.
     Vote(AcceptorReply),
-    /// Answers [`Question::VoterState`].
+    /// Answers [`Question::VoterState`] with the voter's identity and the value that it accepted last.
     VoterState(VoterState),
-    /// Answers [`Question::WriteCount`].
+    /// Answers [`Question::WriteCount`] with the number of writes that the receiver knows of.
     WriteCount {
         /// The highest write count that the receiver knows; 0 if it knows none.
         writes: u64,
     },
-    /// Answers [`Question::Heartbeat`].
+    /// Answers [`Question::Heartbeat`], and names the membership leader if the receiver knows it.
     Heartbeat(HeartbeatReply),
     /// Confirms the receipt of [`Question::LeaseOffer`].
     Done,
-    /// Answers [`Question::FencedCommand`].
+    /// Answers [`Question::FencedCommand`] with the receiver's decision and a new timestamp.
     FencingDecision {
         /// Whether the command was executed, or why it was refused.
         verdict: FencingDecision,
         /// The receiver's timestamp, which the sender attaches to its next command.
         receiver_timestamp: ReceiverTimestamp,
     },
-    /// Answers [`Question::AskBack`].
+    /// Answers [`Question::AskBack`], and tells whether the permit could be revoked.
     Begun {
         /// Whether the disruption has begun, so that the permit cannot be revoked.
         begun: bool,
     },
-    /// Answers [`Question::Operator`].
+    /// Answers [`Question::Operator`]; the reply may redirect the operator to another member.
     Reply(Reply),
 }
 
@@ -147,7 +147,7 @@
 
 impl std::error::Error for UnusableFile {}
 
-/// An event that a driver passes to [`Member::handle`](super::Member::handle).
+/// An event that the driver passes to [`Member::handle`](super::Member::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// The voter's file as it was read at the start; `Ok(None)` if the file does not exist.
@@ -156,7 +156,7 @@
     Saved {
         /// The number of the write, from [`Output::Save`].
         number: SaveId,
-        /// Whether the new content is certainly durable; false after a failed write.
+        /// Whether the new content is known to be durable; false after a failed write.
         is_durable: bool,
     },
     /// A request of another member or an operator was received.
@@ -177,13 +177,13 @@
     LocalHealth(LocalHealth),
     /// The engines in this dispatcher's endpoint list, replacing the earlier ones.
     Engines(Vec<Unit>),
-    /// No event except that time has passed. The member handles the timers that are due.
+    /// No event occurred, but time has passed: the member handles the timers that are due.
     Tick,
     /// The process is to end: the member hands over its leases and acquires no more.
     Stop,
 }
 
-/// An action that a driver performs for a member.
+/// An action that the driver performs for the member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a request to another member.
