--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -34,15 +34,16 @@
     }
 }
 
-/// The parsed start settings: those of the decision module, and those that only its host needs.
+/// The parsed start settings: the settings of the decision module, and the settings for the program that runs it.
 pub struct Conf {
     /// The settings of the decision module.
     pub settings: Settings,
     /// The columns of load reports in their order, as `stats.columns` names them.
     pub columns: Vec<String>,
-    /// The names of the request classes in the order of their ids; shorter than the classes if names are missing.
+    /// The names of the request classes in the order of their ids; shorter than `settings.request_classes` if names
+    /// are missing.
     pub request_classes: Vec<String>,
-    /// The names of the tenants in the order of their ids; shorter than the tenants if names are missing.
+    /// The names of the tenants in the order of their ids; shorter than `settings.tenants` if names are missing.
     pub tenants: Vec<String>,
     /// The names of the zones in the order of their ids; empty if the settings do not name them.
     pub zones: Vec<String>,
@@ -64,13 +65,14 @@
 struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
 impl Pairs<'_> {
-    fn text(&self, path: &str) -> Result<&str, Malformed> {
+    /// The text of a required setting.
+    fn required(&self, path: &str) -> Result<&str, Malformed> {
         let found = self.0.get(path).copied();
         found.ok_or_else(|| Malformed::new(format!("the setting {path}"), "none"))
     }
 
     fn number<T: FromStr>(&self, path: &str) -> Result<T, Malformed> {
-        let text = self.text(path)?;
+        let text = self.required(path)?;
         text.parse()
             .map_err(|_| Malformed::new(format!("a number in {path}"), text))
     }
@@ -95,12 +97,13 @@
         }
     }
 
+    /// A time of 0 or more; settings give times in whole or fractional microseconds.
     fn time(&self, path: &str) -> Result<Ms, Malformed> {
         let time = self.finite_number(path)? / 1000.0;
         if time < 0.0 {
             return Err(Malformed::new(
                 format!("a time of 0 or more in {path}"),
-                self.text(path)?,
+                self.required(path)?,
             ));
         }
         Ok(time)
@@ -112,7 +115,7 @@
         if time == 0.0 {
             return Err(Malformed::new(
                 format!("a time above 0 in {path}"),
-                self.text(path)?,
+                self.required(path)?,
             ));
         }
         Ok(time)
@@ -126,6 +129,7 @@
         }
     }
 
+    /// A flag; false if the setting is absent.
     fn flag(&self, path: &str) -> Result<bool, Malformed> {
         match self.0.get(path).copied() {
             None | Some("false" | "0") => Ok(false),
@@ -154,7 +158,7 @@
 /// Parses `path=value` pairs separated by tabs. Unknown paths are ignored.
 ///
 /// # Errors
-/// Returns the first setting that is missing or malformed.
+/// Returns an error that names the first setting that is missing or malformed.
 pub fn read(text: &str) -> Result<Conf, Malformed> {
     let mut pairs = BTreeMap::new();
     for pair in text.split('\t').filter(|pair| !pair.is_empty()) {
@@ -171,7 +175,7 @@
 /// ignored.
 ///
 /// # Errors
-/// Returns the first setting that is missing or malformed.
+/// Returns an error that names the first setting that is missing or malformed.
 pub fn read_object(object: &Value) -> Result<Conf, Malformed> {
     let mut flat = BTreeMap::new();
     flatten(object, String::new(), &mut flat);
@@ -239,7 +243,7 @@
             "none",
         ));
     }
-    let discovery = match pairs.text("discovery")? {
+    let discovery = match pairs.required("discovery")? {
         "automatic" => Discovery::Pushed,
         "subscribe" => Discovery::Polled {
             notified_within: pairs.time("rules.askWithin")?,
@@ -310,11 +314,11 @@
 
 fn request_class(pairs: &Pairs, i: usize) -> Result<RequestClassSettings, Malformed> {
     let path = |key: &str| format!("services.{i}.{key}");
-    let retry_safety = match pairs.text(&path("effect"))? {
+    let retry_safety = match pairs.required(&path("effect"))? {
         "safe" => RetrySafety::Idempotent,
         "unsafe" => RetrySafety::AtMostOnce,
         "keyed" => {
-            let scope = match pairs.text(&path("keyScope"))? {
+            let scope = match pairs.required(&path("keyScope"))? {
                 "all" => IdempotencyScope::All,
                 "zone" => IdempotencyScope::Zone,
                 "cell" => IdempotencyScope::Cell,
@@ -386,7 +390,7 @@
             memory_tokens,
         })
     };
-    pairs.text("familyInfo.kindRole")?;
+    pairs.required("familyInfo.kindRole")?;
     let kinds: Vec<KindSettings> = pairs
         .list("familyInfo.kindRole")
         .into_iter()
@@ -399,7 +403,7 @@
             .any(|kind| kind.role == role || kind.role == Role::Both)
     };
     if !serves(Role::Prefill) || !serves(Role::Decode) {
-        let found = pairs.text("familyInfo.kindRole")?;
+        let found = pairs.required("familyInfo.kindRole")?;
         return Err(Malformed::new(
             "a kind for prefill and a kind for decode in familyInfo.kindRole",
             found,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -76,7 +76,7 @@
 
     async fn connect(&self, address: &str) -> io::Result<TcpStream> {
         let stream = TcpStream::connect(address).await?;
-        // Without the option, the last part of a write may wait for an acknowledgement of the earlier parts.
+        // Without TCP_NODELAY, the last part of a write may wait for an acknowledgement of the earlier parts.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
@@ -123,8 +123,8 @@
 
     async fn accept(&mut self) -> io::Result<TcpStream> {
         let (stream, _) = TcpListener::accept(self).await?;
-        // The connection is kept if the option cannot be set: it works without the option, and its client may already
-        // have sent a request.
+        // A connection on which TCP_NODELAY cannot be set is kept: it works without the option, and its client may
+        // already have sent a request.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
--- a/crates/net/src/simulated_network.rs
+++ b/crates/net/src/simulated_network.rs
@@ -83,7 +83,7 @@
 struct Segment {
     arrives_at: Ms,
     bytes: Vec<u8>,
-    /// The number of these bytes that the receiver has read.
+    /// The number of bytes of this segment that the receiver has read.
     consumed: usize,
 }
 
@@ -100,7 +100,7 @@
     ended: bool,
     /// The receiving side was dropped.
     receiver_gone: bool,
-    /// Later bytes are lost on the way, and neither side sees an error.
+    /// Bytes written from now on are lost, and neither side sees an error.
     loses_bytes: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
--- a/crates/net/tests/simulated_network.rs
+++ b/crates/net/tests/simulated_network.rs
@@ -61,10 +61,10 @@
             received,
             (0..100u8).flat_map(|n| [n; 10]).collect::<Vec<u8>>()
         );
-        let took_ms = begin.elapsed().as_secs_f64() * 1000.0;
+        let elapsed_ms = begin.elapsed().as_secs_f64() * 1000.0;
         assert!(
-            (100.0 + 20.0..100.0 + 20.0 + 100.0).contains(&took_ms),
-            "1,000 bytes at 10 bytes per ms took {took_ms} ms"
+            (100.0 + 20.0..100.0 + 20.0 + 100.0).contains(&elapsed_ms),
+            "1,000 bytes at 10 bytes per ms took {elapsed_ms} ms"
         );
     });
 }
@@ -112,10 +112,10 @@
         assert!(timeout(Duration::from_secs(9), host.connect("at-b"))
             .await
             .is_err());
-        let partitioned = network.clone();
+        let partitioned_network = network.clone();
         spawn_local(async move {
             sleep(Duration::from_millis(100)).await;
-            partitioned.block("north", "south", false);
+            partitioned_network.block("north", "south", false);
         });
         server
             .read_exact(&mut byte)
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -32,7 +32,8 @@
 pub enum Event {
     /// A complete message arrived.
     Frame(Frame),
-    /// The first bytes of a message arrived, and its end has not. Only HTTP/1.1 sessions report this.
+    /// The first bytes of a message arrived, but the message is not complete yet. Only HTTP/1.1 sessions send this
+    /// event.
     Partly,
     /// Token messages of a stream were written to the connection, which shows that the peer still reads the stream.
     Flushed {
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -142,10 +142,10 @@
         self.list_owner
     }
 
-    /// Parses one line; `in_batch`: whether a `begin_batch` is open.
+    /// Parses one line. `in_batch` is true between a `begin_batch` line and its `flush` line.
     ///
     /// # Errors
-    /// Returns the first field that is missing or malformed.
+    /// Returns an error that describes the first field that is missing or malformed.
     pub fn line(&mut self, bytes: &[u8], in_batch: bool) -> Result<Line, Malformed> {
         self.number += 1;
         let text =
@@ -263,7 +263,7 @@
                 let outcome = outcome(fields.next("an outcome")?)?;
                 let latency = fields.time("a latency")?;
                 let last = fields.flag("the flag `last`, 1 or 0")?;
-                let detail = fields.amount("a detail")?;
+                let detail = fields.amount("a number as the detail of an attempt's end")?;
                 let load = self.load(instance, fields)?;
                 Event::Ended(Ended {
                     request,
