--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -83,7 +83,9 @@
 
 /// A body encoded as a reply: the message to send, if any, and the status if the reply ends the call.
 pub struct Reply {
+    /// The encoded message; `None` if only the status is sent.
     pub message: Option<Bytes>,
+    /// The status that ends the call; `None` if the call continues.
     pub ending: Option<CallEnding>,
 }
 
@@ -123,7 +125,8 @@
         ("Fleet/Call", Body::FleetAnswer(m)) => (Some(encode(&m)), ok()),
         ("List/Follow", Body::Endpoints(m)) => (Some(encode(&m)), None),
         (_, Body::Hello(m)) => (Some(encode(&m)), ok()),
-        // A request that was accepted may have run, so the status of an end without an answer must not invite a retry.
+        // A request that was accepted may have run, so a call that ends without a response must not have a status that
+        // invites a retry.
         ("Router/Run", Body::Goodbye(m)) => (
             None,
             Some(CallEnding::answered(ClientAnswer::Failed, 0.0, &m.reason)),
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, yield_now};
 
-/// Starts new calls on a connection, and tells them of a GOAWAY.
+/// Starts new calls on a connection, and lets each call check which streams a GOAWAY excludes.
 pub(crate) struct CallStarter {
     requests: SendRequest<Bytes>,
     goaway: Rc<GoawayState>,
@@ -84,8 +84,8 @@
         }
         connection_state.drained.set(true);
         connection_state.changed.notify_waiters();
-        // After a GOAWAY the peer has sent all messages of the open calls; some calls still wait for credit to forward
-        // messages.
+        // After a GOAWAY, the peer closes the connection once it has sent all messages of the open calls. Calls that
+        // wait for credit still have messages to forward, so the session stays open for them.
         while goaway.is_received()
             && !connection_state.calls.borrow().is_empty()
             && !connection_state.closing.get()
@@ -220,7 +220,8 @@
     // A call that the GOAWAY excludes did not run, whatever error the call itself ends with.
     let classify = |end: CallEnd| match end {
         _ if goaway.is_beyond_last_stream(id) => CallEnd::BeyondLast,
-        // After a GOAWAY the end of the connection is expected. It fails this call, but is not a connection loss.
+        // After a GOAWAY the end of the connection is expected. It fails this call, but it is not a
+        // connection loss and tells nothing about the health of the engine.
         CallEnd::ConnectionLost if goaway.is_received() => CallEnd::Status {
             code: Code::Unavailable,
             never_ran: false,
--- a/crates/grpc/src/goaway_detector.rs
+++ b/crates/grpc/src/goaway_detector.rs
@@ -1,7 +1,7 @@
 //! Detects GOAWAY frames in the received bytes. A GOAWAY names the last stream that the peer processed, so a call on
 //! a later stream certainly did not run. The h2 library reports such a call with the same error as a call that was
-//! aborted, so this module parses the frames itself: the nine bytes of each frame's head, and the first four bytes of
-//! a GOAWAY's payload.
+//! aborted, so the proof that the call did not run is taken from the received bytes. This module parses the nine bytes
+//! of each frame's head, and the first four bytes of a GOAWAY's payload.
 
 use std::cell::Cell;
 use std::io;
@@ -45,13 +45,14 @@
     /// The number of payload bytes still to be received.
     payload_left: usize,
     is_goaway: bool,
-    /// The last stream id that the current GOAWAY names, as far as it was received.
+    /// The last stream id of the current GOAWAY; incomplete until all four of its bytes are received.
     last_stream: u32,
     /// The number of bytes of `last_stream` received so far.
     last_stream_filled: usize,
 }
 
 impl FrameScanner {
+    /// Scans the next received bytes, and records the last stream of each GOAWAY in `goaway`.
     fn scan(&mut self, mut bytes: &[u8], goaway: &GoawayState) {
         while !bytes.is_empty() {
             if self.payload_left == 0 {
@@ -77,7 +78,8 @@
                 }
                 if self.last_stream_filled == 4 {
                     let last = self.last_stream & 0x7fff_ffff;
-                    // A later GOAWAY may lower the last stream, but never raise it (RFC 9113, 6.8).
+                    // A later GOAWAY may lower the last stream, but never raise it (RFC 9113, 6.8), so the
+                    // lowest one counts.
                     let lowest = goaway.last_stream.get().map_or(last, |old| old.min(last));
                     goaway.last_stream.set(Some(lowest));
                     goaway.received.notify_one();
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -116,8 +116,8 @@
         shared.end();
         greeting.arrived.notify_one();
     });
-    // A peer may connect and send no call. If the caller then stops waiting for the session, the guard closes the
-    // connection.
+    // A peer may connect and send no call. If the future of `serve` is then dropped, for example by a timeout, the
+    // guard closes the connection.
     let mut guard = HandshakeGuard(Some(shared.clone()));
     // The session starts with the first greeting or call, which identifies the peer.
     greeting.arrived.notified().await;
--- a/crates/grpc/tests/hard.rs
+++ b/crates/grpc/tests/hard.rs
@@ -172,7 +172,8 @@
         .iter()
         .any(|(id, value)| (*id, *value) == (INITIAL_WINDOW_SIZE, 0))
     {
-        // Streams start without a window; the greeting's stream needs one.
+        // With this setting, streams start with an empty flow-control window, so the engine cannot receive the
+        // greeting until it enlarges the window.
         raw.send(WINDOW_UPDATE, 0, 1, &1000u32.to_be_bytes()).await;
     }
     let greeting = raw.next_call().await;
@@ -243,7 +244,7 @@
                 status == v1::Status::Failed || code == REFUSED_STREAM,
                 "code {code}: {status:?}"
             );
-            // The connection stays usable.
+            // A reset of one call leaves the connection usable for the next call.
             session.out.send(frame(3, decode()));
             let call = raw.next_call().await;
             raw.send_head(call).await;
@@ -275,7 +276,7 @@
             .expect("end of the call received");
         assert_eq!(stream, 3, "only the stream after the last id must end");
         assert_eq!(attempt_status(Some((3, body))), v1::Status::Overloaded);
-        // A new call is not sent any more; the two calls up to the last id continue.
+        // A call that starts after the GOAWAY is not sent. The two calls up to the last id continue.
         session.out.send(frame(4, decode()));
         let (stream, body) = next_result(&mut session)
             .await
@@ -314,7 +315,8 @@
     });
 }
 
-/// Guards against tokens that are lost because the connection ends in order while the stream waits for credit.
+/// Guards against the loss of tokens when the engine closes the connection after a GOAWAY while the stream waits for
+/// credit.
 #[test]
 fn tokens_that_wait_for_credit_survive_the_orderly_end_of_their_connection() {
     run(async {
@@ -385,13 +387,14 @@
 
 #[test_case(&[("grpc-status", "14")], v1::Status::Failed; "unavailable, which proxies send too")]
 #[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "no")], v1::Status::Overloaded;
-    "with the mark that nothing ran")]
-#[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "yes")], v1::Status::Failed; "with the mark that it ran")]
+    "a header states that nothing ran")]
+#[test_case(&[("grpc-status", "14"), ("cindercleat-ran", "yes")], v1::Status::Failed;
+    "a header states that the call ran")]
 #[test_case(&[("grpc-status", "0")], v1::Status::Failed; "ok without a final message")]
 #[test_case(&[("grpc-status", "99")], v1::Status::Failed; "an undefined status")]
 #[test_case(&[("grpc-status", "x")], v1::Status::Failed; "a status that is not a number")]
 #[test_case(&[], v1::Status::Failed; "headers without a body")]
-fn a_trailers_only_response_counts_as_overload_only_with_the_mark(
+fn a_trailers_only_response_counts_as_overload_only_if_it_states_that_nothing_ran(
     status: &[(&str, &str)],
     expected: v1::Status,
 ) {
@@ -431,7 +434,7 @@
                 "{bytes:?}"
             );
             if !ends {
-                // The call is reset at an unusable message, without waiting for its end.
+                // The client resets the call at the unusable message, without waiting for the end of the stream.
                 loop {
                     if let (RST_STREAM, _, stream, _) =
                         raw.next_stream_frame().await.expect("reset received")
--- a/crates/grpc/tests/session.rs
+++ b/crates/grpc/tests/session.rs
@@ -201,7 +201,7 @@
             slow_received, 2,
             "as many messages as the stream has credit"
         );
-        // The flow-control window of the unread stream limits how much the server can send on it.
+        // The flow-control window of the unread stream limits how much the server can send on that stream.
         let mut flushed = 0;
         while let Ok(event) = server.events.try_recv() {
             flushed += usize::from(
--- a/crates/http1/src/arrivals.rs
+++ b/crates/http1/src/arrivals.rs
@@ -1,5 +1,5 @@
-//! Records when the bytes of a receive buffer arrived. This tells how long a pipelined request has waited behind the
-//! request before it.
+//! Records when the bytes of a receive buffer arrived. The arrival times tell how long a pipelined request has waited
+//! behind the request before it.
 
 use std::collections::VecDeque;
 use tokio::time::Instant;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Keeps the times of the last `unparsed` bytes; all earlier bytes were parsed.
+    /// Drops the arrival times of all but the last `unparsed` bytes, because the earlier bytes were parsed.
     pub fn retain_last(&mut self, unparsed: usize) {
         let mut consumed = self.unparsed.saturating_sub(unparsed);
         self.unparsed = unparsed;
--- a/crates/http1/src/discovery_client.rs
+++ b/crates/http1/src/discovery_client.rs
@@ -39,7 +39,7 @@
 enum WatchEnd {
     /// Discovery did not respond, or responded with an error status.
     Lost(String),
-    /// Discovery sent something that is not a list, or a list that is too long.
+    /// Discovery sent a response that is not a list, or a list that is too long.
     Unusable(String),
 }
 
@@ -58,7 +58,7 @@
     };
     let mut path = match watch.known_version {
         None => wire_names::LIST_PATH.to_owned(),
-        // With a wait of 0 discovery responds at once, which shows that it is reachable.
+        // With a wait time of 0 discovery responds at once, and its response shows that discovery is reachable.
         Some(version) => changes_since(version, 0),
     };
     let mut bytes = BytesMut::new();
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -1,7 +1,8 @@
 //! Sessions with an engine. A connection carries one call at a time: an HTTP request and its response.
 //!
-//! Only this module knows whether the last byte of a request was written. If the connection ends before that, the call
-//! ends with a `Goodbye` that says that nothing ran; if it ends later, the engine may have run the request.
+//! Only this module knows whether the last byte of a request was written. If the connection ends before the last byte
+//! is written, the call ends with a `Goodbye` whose `never_ran` is true. If the connection ends later, the engine may
+//! have run the request.
 
 use crate::event_stream::FirstEventScanner;
 use crate::framing::{Came, FramingError, Length, Reading, ResponseHead};
@@ -303,7 +304,7 @@
     async fn read_more(&mut self, stream: u64, call: &mut Call) -> Result<bool, CallStop> {
         loop {
             let has_credit = !matches!(call, Call::Decode { credit: 0, .. });
-            // A few events need little space; a large chunk in transit needs more.
+            // A few events fit in a small buffer; a large chunk that is partly received needs a larger one.
             self.bytes.reserve(if self.bytes.len() < MAX_READ_BYTES {
                 MAX_READ_BYTES / 4
             } else {
@@ -389,13 +390,14 @@
                 return Ok(keep_alive);
             }
             // Events, or the end of the response, may already be buffered behind a full message. They are parsed
-            // before the next read: that read may block forever, or may report the end of the connection, and the
-            // buffered events must be forwarded all the same.
+            // before the next read: that read may block forever, or may report the end of the connection, and in both
+            // cases the buffered events must be forwarded.
             if message_is_full {
                 continue;
             }
             if !self.read_more(stream, call).await? {
-                // A rejection is complete with its head, which carries the mark; its body does not matter.
+                // A rejection is complete once its head was received, because the head carries the rejection header.
+                // Its body is not used.
                 if !reader.is_complete_at_close() && !head.as_ref().is_some_and(is_rejection) {
                     return Err(CallStop::ConnectionLost(
                         "the engine closed the connection before the end of its response"
@@ -434,8 +436,8 @@
 }
 
 /// Makes closing the connection send a reset. Otherwise, if the engine's machine is unreachable, the system keeps
-/// retransmitting a cancelled request after a normal close, and delivers it when the machine returns. Connections in
-/// memory have no unsent data.
+/// retransmitting a cancelled request after a normal close, and delivers it when the machine returns. In-memory
+/// connections have no unsent data and are left unchanged.
 fn discard_unsent<S: Io>(io: &S) {
     if let Some(stream) = (io as &dyn Any).downcast_ref::<TcpStream>() {
         // Setting the option fails only if the connection is gone, and then there is nothing to discard.
@@ -453,7 +455,7 @@
     head.get(wire_names::REJECTION_HEADER) == Some(b"1") && matches!(head.first, 503 | 504 | 410)
 }
 
-/// The frame that reports a call as failed because its response is unusable, for this reason.
+/// The frame that reports that a call failed because its response is unusable; `reason` describes the problem.
 fn failure(call: &Call, reason: String) -> Body {
     match call {
         Call::Prefill(_) | Call::Decode { .. } => {
@@ -493,7 +495,7 @@
     x1: Option<f64>,
 }
 
-/// Parses a load report; `None` if the bytes are not one.
+/// Parses a load report; `None` if the bytes are not valid JSON of a load report.
 fn parse_load(bytes: &[u8]) -> Option<v1::Load> {
     let report: LoadReport = serde_json::from_slice(bytes).ok()?;
     Some(v1::Load {
--- a/crates/http1/src/event_stream.rs
+++ b/crates/http1/src/event_stream.rs
@@ -1,12 +1,15 @@
-//! Server-sent events: finds the end of the first event of a stream, which is all that a proxy needs.
+//! Server-sent events: detects when the first event of a stream is complete. The proxy parses no other part of the
+//! format.
 
-/// Finds the end of the first event in a stream that grows between calls. Scans each complete line once.
+/// Detects when the first event of a stream is complete. The stream grows between calls, and each complete line is
+/// scanned once.
 #[derive(Clone, Debug, Default)]
 pub struct FirstEventScanner {
     /// The offset at which the first line that is not complete yet starts.
     line_start: usize,
     /// Whether a line of the current block holds data. A block without data, such as a comment, is not an event.
     has_data: bool,
+    /// The first event is complete.
     complete: bool,
 }
 
@@ -18,14 +21,14 @@
                 return false;
             };
             self.complete = line.is_empty() && self.has_data;
-            self.has_data = !line.is_empty() && (self.has_data || is_data(line));
+            self.has_data = !line.is_empty() && (self.has_data || is_data_line(line));
             self.line_start = next;
         }
         true
     }
 }
 
-fn is_data(line: &[u8]) -> bool {
+fn is_data_line(line: &[u8]) -> bool {
     line == b"data" || line.starts_with(b"data:")
 }
 
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -1,5 +1,5 @@
 //! HTTP/1.1 message framing without I/O: heads (parsed by `httparse`), body lengths and chunks. Input may arrive in
-//! pieces of any size. Ambiguous input is a [`FramingError`], and buffers stay within the given bounds.
+//! pieces of any size. Ambiguous input is refused with a [`FramingError`], and no buffer grows beyond the given limits.
 
 use crate::wire_names::parse_digits;
 use bytes::{Buf, Bytes, BytesMut};
@@ -8,7 +8,7 @@
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// The maximum number of header lines in a head; a head with more is refused as too long.
 pub const MAX_HEADERS: usize = 64;
-/// The longest line with a chunk's size, in bytes, extensions included.
+/// The maximum length of a chunk's size line, in bytes, extensions included.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 /// The longest trailer line, in bytes. Trailers are discarded, so only one line is held in memory at a time.
 const MAX_TRAILER_LINE_BYTES: usize = 4 << 10;
@@ -24,7 +24,7 @@
     TooLong(&'static str),
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Length {
     /// A `Content-Length` in bytes, or 0 for a message without a body.
@@ -73,7 +73,7 @@
         found.next().is_none().then_some(&first.1[..])
     }
 
-    /// Like [`Head::get`], but also `None` if the value is not UTF-8.
+    /// The value of a header as text: like [`Head::get`], but also `None` if the value is not UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok()
     }
@@ -94,7 +94,7 @@
         target: parsed.path.unwrap_or_default().to_owned(),
     };
     let is_http_1_1 = parsed.version == Some(1);
-    let headers = headers(parsed.headers);
+    let headers = copy_headers(parsed.headers);
     let length = body_length(&headers)?.unwrap_or(Length::Known(0));
     let keeps = is_http_1_1 && !closes_connection(&headers);
     bytes.advance(len);
@@ -115,7 +115,7 @@
     };
     let status = parsed.code.unwrap_or(0);
     let is_http_1_1 = parsed.version == Some(1);
-    let headers = headers(parsed.headers);
+    let headers = copy_headers(parsed.headers);
     let has_no_body = (100..200).contains(&status) || status == 204 || status == 304;
     let length = if has_no_body {
         Length::Known(0)
@@ -132,7 +132,7 @@
     }))
 }
 
-/// The length of a parsed head; `None` if more bytes are needed than the `available` ones.
+/// The length of a parsed head in bytes; `None` if the head is incomplete. `available` is the number of bytes received.
 fn complete_head_length(
     parsed: httparse::Result<usize>,
     available: usize,
@@ -146,7 +146,7 @@
     }
 }
 
-fn headers(lines: &[httparse::Header]) -> Vec<(String, Bytes)> {
+fn copy_headers(lines: &[httparse::Header]) -> Vec<(String, Bytes)> {
     lines
         .iter()
         .map(|line| (line.name.to_owned(), Bytes::copy_from_slice(line.value)))
@@ -234,7 +234,7 @@
 /// The position of a [`Body`] within its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyState {
-    /// Within a body of known length; so many bytes remain.
+    /// Within a body of known length, with the number of bytes that remain.
     Data(u64),
     /// Within a body that extends to the end of the connection.
     UntilClose,
@@ -242,8 +242,9 @@
     Size,
     /// Before the data of a chunk of this size.
     Chunk(usize),
-    /// After the last chunk.
+    /// After the last chunk, before the empty line that ends the trailers.
     Trailers,
+    /// After the end of the body.
     End,
 }
 
@@ -251,6 +252,7 @@
 #[derive(Clone, Debug)]
 pub struct Body {
     state: BodyState,
+    /// The largest chunk accepted, in bytes.
     most_chunk: usize,
 }
 
@@ -384,7 +386,9 @@
 #[derive(Clone, Debug)]
 pub struct Reading {
     most_chunk: usize,
+    /// The number of interim responses skipped so far.
     interim: usize,
+    /// The parser of the body; `None` until the head of the final response is received.
     body: Option<Body>,
 }
 
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -38,11 +38,13 @@
     /// The maximum number of bytes that the request bodies of all clients hold together. A request that exceeds it is
     /// rejected with status 503.
     pub most_bodies: usize,
-    /// How long discovery may hold back its response until the list changes, in milliseconds.
+    /// The maximum time that discovery may delay its response while the list is unchanged, in milliseconds.
     pub feed_wait_ms: u32,
-    /// How long a connection still reads and discards input after its last response, in milliseconds.
+    /// How long a connection still reads and discards input after its last response before it is closed, in
+    /// milliseconds.
     pub drain_ms: u32,
-    /// The maximum number of bytes that a connection discards after its last response.
+    /// The maximum number of input bytes that a connection reads and discards after its last response before it is
+    /// closed.
     pub most_drained: usize,
     /// The time in milliseconds after which a connection is closed if its client accepts no byte of a response.
     pub stall_ms: u32,
@@ -57,7 +59,7 @@
 }
 
 impl Http1 {
-    /// Creates the protocol with its limits.
+    /// Creates the protocol with these limits and a count of 0 buffered bytes.
     pub fn new(bounds: Bounds) -> Self {
         Http1 {
             bounds,
@@ -96,8 +98,9 @@
     leaving: Cell<bool>,
     /// The session's task has ended.
     over: Cell<bool>,
-    /// Signals a change of one of these flags.
+    /// Signals a change of `closing`, `leaving` or `over`.
     changed: Notify,
+    /// Sends the session's events; `None` once the session's task has ended.
     events: RefCell<Option<mpsc::UnboundedSender<Event>>>,
 }
 
--- a/crates/http1/src/list.rs
+++ b/crates/http1/src/list.rs
@@ -31,7 +31,7 @@
 /// Parses a list of engines, complete or with changes only. An engine with an unknown phase gets status `Unspecified`.
 ///
 /// # Errors
-/// Returns the JSON error if the bytes are not such a list.
+/// Returns the JSON error if the bytes are not a valid list of engines.
 pub fn parse(bytes: &[u8]) -> Result<v1::EndpointList, Malformed> {
     let list: List = serde_json::from_slice(bytes)?;
     let kind = if list.complete {
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// The maximum number of bytes that one read takes.
+/// The buffer space, in bytes, that is reserved for one read within a request; other reads reserve a fraction of it.
 const MAX_READ_BYTES: usize = 8 << 10;
 /// The head of a streamed response, without the empty line that ends it.
 const STREAM_HEAD: &str =
@@ -21,7 +21,8 @@
     Transfer-Encoding: chunked\r\n";
 /// The header of the last response on a connection, with the empty line that ends the head.
 const CLOSE_HEADER: &str = "Connection: close\r\n\r\n";
-/// The time to the deadline, in milliseconds, of a request whose deadline passed while it waited; 0 would mean none.
+/// The time to the deadline, in milliseconds, of a request whose deadline passed while it waited. 0 would mean that
+/// the request has no deadline.
 const MIN_TIME_TO_DEADLINE_MS: f64 = 0.001;
 /// The size, in bytes, at which collected token messages are written without collecting more.
 const MAX_WRITE_BYTES: usize = 32 << 10;
@@ -242,7 +243,7 @@
         Ok((received, head.keeps))
     }
 
-    /// Reads more input of a request. `begin_reported`: whether `Event::Partly` was sent for the request.
+    /// Reads more input of a request. `begin_reported` tells whether `Event::Partly` was sent for the request.
     async fn read_more(&mut self, begin_reported: &mut bool) -> Result<(), Stop> {
         let has_begun = !self.bytes.is_empty() || self.buffered.bytes > 0;
         if has_begun && !*begin_reported {
@@ -283,7 +284,7 @@
         let stall = Duration::from_millis(u64::from(self.wire.bounds.stall_ms));
         while !bytes.is_empty() {
             let wrote = tokio::select! { biased;
-                // If the connection was already closing, this is its last response, which is still written.
+                // A connection that was already closing still writes its last response.
                 () = self.shared.wait_closing(), if !was_closing => return false,
                 wrote = self.io.write(bytes) => wrote,
                 () = tokio::time::sleep(stall) => return false,
@@ -379,8 +380,8 @@
         }
     }
 
-    /// Whether the input behind the current request exceeds one request's maximum length, or the bound for all clients
-    /// together. `request_bytes`: the length of the current request's body.
+    /// Whether the pipelined input after the current request is longer than one request may be, or the requests of
+    /// all clients together exceed `Bounds::most_bodies`. `request_bytes` is the length of the current request's body.
     fn exceeds_pipeline_bounds(&mut self, request_bytes: usize) -> bool {
         let bounds = self.wire.bounds;
         self.buffered
@@ -389,8 +390,8 @@
             || self.buffered.total.get() > bounds.most_bodies
     }
 
-    /// Whether the connection stays open after the current request; `keep_alive`: whether the client allows it. On
-    /// shutdown, a request that was already read is still answered.
+    /// Whether the connection stays open after the current request; `keep_alive` is false if the client or the
+    /// protocol version requires a close. On shutdown, a request that was already read is still answered.
     fn stays_open(&self, keep_alive: bool) -> bool {
         keep_alive && (!self.shared.leaving.get() || !self.bytes.is_empty())
     }
--- a/crates/http1/src/wire_names.rs
+++ b/crates/http1/src/wire_names.rs
@@ -78,8 +78,8 @@
 /// The status line for a request head over its limits.
 pub const STATUS_HEAD_TOO_LARGE: &str = "431 Request Header Fields Too Large";
 
-/// Parses a whole number of at most `max_digits` decimal digits, without sign or spaces. `max_digits` must not exceed
-/// 18, so that the number fits.
+/// Parses a whole number of at most `max_digits` decimal digits, without sign or spaces; `None` for any other text.
+/// `max_digits` must not exceed 18, so that the number fits in 64 bits.
 pub fn parse_digits(text: &[u8], max_digits: usize) -> Option<u64> {
     let is_number =
         !text.is_empty() && text.len() <= max_digits && text.iter().all(u8::is_ascii_digit);
@@ -89,7 +89,7 @@
     })
 }
 
-/// Parses a whole number of at most nine decimal digits.
+/// Parses a whole number of at most nine decimal digits; `None` for any other text.
 pub fn parse_u32(text: &[u8]) -> Option<u32> {
     parse_digits(text, 9).and_then(|number| u32::try_from(number).ok())
 }
--- a/crates/http1/tests/event_stream.rs
+++ b/crates/http1/tests/event_stream.rs
@@ -4,7 +4,7 @@
 use cindercleat_http1::event_stream::FirstEventScanner;
 use test_case::test_case;
 
-/// `complete_at`: the number of bytes after which the first event is complete; `None` if it is never complete.
+/// `complete_at` is the number of bytes after which the first event is complete; `None` if it is never complete.
 #[test_case("data: a\n\n", Some(9); "one line")]
 #[test_case("data: a\n\ndata: b\n\n", Some(9); "followed by another event")]
 #[test_case("data: a\r\n\r\n", Some(11); "lines end with CR LF")]
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -177,7 +177,8 @@
     assert!(!Body::new(length, MAX_CHUNK_BYTES).is_complete_at_close());
 }
 
-/// Like [`parse_text`], for bytes that arrive in pieces, cut at the given offsets.
+/// Parses a request whose bytes arrive in pieces, split at the offsets `cuts`, and returns its body; `None` if the
+/// request is incomplete.
 fn parse_pieces(text: &[u8], cuts: &[usize]) -> Result<Option<Vec<u8>>, FramingError> {
     let (mut bytes, mut reader) = (BytesMut::new(), None);
     let mut body = Vec::new();
@@ -191,8 +192,8 @@
         if reader.is_none() {
             reader = request(&mut bytes)?.map(|head| Body::new(head.length, MAX_CHUNK_BYTES));
         }
-        while let Some(parts) = &mut reader {
-            match parts.next(&mut bytes)? {
+        while let Some(parser) = &mut reader {
+            match parser.next(&mut bytes)? {
                 Some(Part::Data(data)) => body.extend_from_slice(&data),
                 Some(Part::End) => return Ok(Some(body)),
                 None => break,
@@ -230,15 +231,15 @@
 proptest! {
     #[test]
     fn a_message_in_any_pieces_gives_the_same_result(
-        which in 0..MESSAGES.len(),
+        message_index in 0..MESSAGES.len(),
         cuts in prop::collection::vec(0usize..200, 0..12),
     ) {
-        let message = MESSAGES[which];
+        let message = MESSAGES[message_index];
         prop_assert_eq!(parse_pieces(message.as_bytes(), &cuts), parse_text(message));
     }
 
     #[test]
-    fn random_bytes_never_panic_nor_give_a_longer_body(
+    fn random_bytes_never_panic_and_never_give_a_body_longer_than_the_input(
         bytes in prop::collection::vec(any::<u8>(), 0..600),
         cut in 0usize..600,
     ) {
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -24,7 +24,7 @@
     stall_ms: 4000,
 };
 
-/// Runs a test on a paused runtime, for at most 60 s of its time.
+/// Runs a test on a paused runtime; fails if the test takes more than 60 s of simulated time.
 fn run<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -50,7 +50,7 @@
     }
 }
 
-/// The client's end of a connection, and the session that serves it.
+/// The client's end of a connection, and the dispatcher's session with the client.
 async fn client(wire: &Http1) -> (DuplexStream, Session) {
     let (test_end, session_end) = duplex(1 << 20);
     (
@@ -278,10 +278,10 @@
             let (mut io, mut session) = client(&wire).await;
             io.write_all(case.as_bytes()).await.expect("bytes written");
             let response = read_until(&mut io, "").await;
-            let shown: String = case.chars().take(300).collect();
-            assert!(response.starts_with("HTTP/1.1 4"), "{shown}: {response}");
+            let excerpt: String = case.chars().take(300).collect();
+            assert!(response.starts_with("HTTP/1.1 4"), "{excerpt}: {response}");
             assert!(response.contains("Connection: close\r\n"), "{response}");
-            assert_eq!(next_body(&mut session).await, None, "{shown}");
+            assert_eq!(next_body(&mut session).await, None, "{excerpt}");
             assert_eq!(wire.buffered_bytes(), 0);
         });
     }
@@ -785,21 +785,21 @@
 }
 
 #[test]
-fn the_outcome_of_an_attempt_follows_from_status_and_rejection_mark() {
+fn the_outcome_of_an_attempt_follows_from_status_and_rejection_header() {
     use v1::Status::*;
     let plain = |status: &str, extra_header: &str| {
         format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{extra_header}\r\n")
     };
-    let rejection_mark = "X-Turned-Away: 1\r\n";
+    let rejection_header = "X-Turned-Away: 1\r\n";
     for (call, answer, expected) in [
-        (decode(8), plain("503 Busy", rejection_mark), Overloaded),
-        (decode(8), plain("504 Late", rejection_mark), Overloaded),
-        (prefill(), plain("503 Busy", rejection_mark), Overloaded),
-        (decode(8), plain("410 Gone", rejection_mark), NoState),
+        (decode(8), plain("503 Busy", rejection_header), Overloaded),
+        (decode(8), plain("504 Late", rejection_header), Overloaded),
+        (prefill(), plain("503 Busy", rejection_header), Overloaded),
+        (decode(8), plain("410 Gone", rejection_header), NoState),
         (decode(8), plain("503 Busy", ""), Failed),
         (decode(8), plain("410 Gone", ""), Failed),
-        (prefill(), plain("410 Gone", rejection_mark), Failed),
-        (decode(8), plain("500 Error", rejection_mark), Failed),
+        (prefill(), plain("410 Gone", rejection_header), Failed),
+        (decode(8), plain("500 Error", rejection_header), Failed),
         (decode(8), plain("200 OK", ""), Failed),
         (prefill(), plain("200 OK", ""), Failed),
         (decode(8), plain("202 Accepted", ""), Failed),
@@ -827,11 +827,11 @@
             io.write_all(answer.as_bytes())
                 .await
                 .expect("bytes written");
-            let shown: String = answer.chars().take(80).collect();
+            let excerpt: String = answer.chars().take(80).collect();
             assert_eq!(
                 attempt_end(next_body(&mut session).await).0,
                 expected,
-                "{shown}"
+                "{excerpt}"
             );
         });
     }
@@ -939,7 +939,7 @@
             v1::Status::Succeeded
         );
         assert_eq!(session.events.recv().await, None);
-        // The extra bytes arrive later, while the connection is idle.
+        // In this case the extra bytes arrive after the end of the attempt, while the connection is idle.
         let (mut io, mut session) = engine().await;
         session.out.send(frame(1, decode(8)));
         read_until(&mut io, "\r\n\r\n{}").await;
@@ -985,7 +985,7 @@
             .await
             .expect("port available");
         let address = listener.local_addr().expect("local address known");
-        for begun in [false, true] {
+        for response_begun in [false, true] {
             let session_end = tokio::net::TcpStream::connect(address)
                 .await
                 .expect("connection established");
@@ -1002,7 +1002,7 @@
                 request[..read].ends_with(b"\r\n\r\n{}"),
                 "expected the whole request"
             );
-            if begun {
+            if response_begun {
                 let head =
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n";
                 engine
@@ -1022,7 +1022,11 @@
             let is_reset = end
                 .as_ref()
                 .is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset);
-            assert_eq!((is_reset, matches!(end, Ok(0))), (!begun, begun), "{end:?}");
+            assert_eq!(
+                (is_reset, matches!(end, Ok(0))),
+                (!response_begun, response_begun),
+                "{end:?}"
+            );
         }
     });
 }
@@ -1147,7 +1151,7 @@
 /// A list that is too long by its declared length is refused before its body arrives: the session does not wait for the
 /// body, and none of the body is transferred.
 #[test]
-fn a_list_with_a_declared_length_over_the_limit_is_refused_at_its_head() {
+fn a_list_with_a_declared_length_over_the_limit_is_refused_before_its_body() {
     run(async {
         let (mut io, session_end) = duplex(1 << 20);
         let mut session = Http1::new(BOUNDS)
@@ -1177,8 +1181,8 @@
     });
 }
 
-/// Discovery may indent its JSON, and a list may be long, so a list may arrive in many pieces. The session
-/// reports the list as begun when its first bytes arrive, and reads it completely however its bytes are split.
+/// Discovery may indent its JSON, and a list may be long, so a list may arrive in many pieces. The session sends
+/// `Event::Partly` when the first bytes of the list arrive, and reads the whole list however its bytes are split.
 #[test]
 fn an_indented_list_that_arrives_in_pieces_is_read_completely() {
     run(async {
