--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -49,7 +49,8 @@
     pub zones: Vec<String>,
     /// The names of the engine kinds in the order of their ids; empty if the settings do not name them.
     pub kinds: Vec<String>,
-    /// The idle time after which engines close a connection, in milliseconds; `None` if they keep it open.
+    /// The idle time after which engines close a connection, in milliseconds; `None` if engines keep idle
+    /// connections open.
     pub connection_idle: Option<Ms>,
     /// Whether clients ask for the rest of a stream that broke.
     pub clients_resume: bool,
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -23,7 +23,7 @@
     })
 }
 
-/// The path of the `Greet` method of a peer with this role.
+/// The path of the `Greet` method of a peer with the role `party`.
 pub fn greet_path(party: v1::Party) -> &'static str {
     match party {
         v1::Party::Engine => "/cindercleat.v1.Host/Greet",
@@ -33,7 +33,7 @@
     }
 }
 
-/// Decodes the request message of a call; `None` if there is no such method.
+/// Decodes the request message of the call at `path`; `None` if the schema has no method with this path.
 pub fn decode_request(path: &str, bytes: Bytes) -> Option<Result<Body, prost::DecodeError>> {
     let method = path.strip_prefix("/cindercleat.v1.")?;
     Some(match method {
@@ -89,7 +89,7 @@
     pub ending: Option<CallEnding>,
 }
 
-/// Encodes a body as a reply to the call at `path`; `None` if the body does not belong to such a call.
+/// Encodes a body as a reply to the call at `path`; `None` if the call has no such reply.
 pub fn encode_reply(path: &str, body: Body) -> Option<Reply> {
     use crate::message::encode;
     use v1::{decode_reply, run_reply};
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -205,7 +205,7 @@
         _ => UNLIMITED_CREDIT,
     };
     let not_sent = || Some(EndWithoutReply::from(CallEnd::NotSent));
-    // While the call waits for a free stream, nothing of it is sent, so a cancelled call did not run.
+    // No byte of a call is sent while the call waits for a free stream, so a call that is cancelled then did not run.
     let ready = tokio::select! { biased;
         _ = wait_cancelled(shared, &mut queue, &mut credit) => return not_sent(),
         ready = requests.ready() => ready,
@@ -329,7 +329,7 @@
     }
 }
 
-/// Waits until the call is cancelled or its connection is drained; adds credit that is granted meanwhile.
+/// Waits until the call is cancelled or its connection is drained; adds the credit that is granted during the wait.
 async fn wait_cancelled(
     shared: &Shared,
     queue: &mut mpsc::UnboundedReceiver<Outgoing>,
@@ -348,7 +348,7 @@
     }
 }
 
-/// The end of a call that this side causes; `None` if the item does not end the call.
+/// The end of a call that a queued item causes; `None` if the item does not end the call.
 fn local_end(outgoing: Option<Outgoing>) -> Option<CallEnd> {
     match outgoing {
         Some(Outgoing::Body(Body::Cancel(_)) | Outgoing::Reset(_)) => Some(CallEnd::Status {
@@ -385,7 +385,8 @@
     }
 }
 
-/// Derives the end of a call from the gRPC status in its trailers; [`CallEnd::Nothing`] if they hold no status number.
+/// Derives the end of a call from the gRPC status in its trailers; [`CallEnd::Nothing`] if the trailers
+/// hold no status number.
 fn end_from_status(headers: &HeaderMap) -> CallEnd {
     let number = headers
         .get("grpc-status")
--- a/crates/grpc/src/goaway_detector.rs
+++ b/crates/grpc/src/goaway_detector.rs
@@ -30,7 +30,7 @@
         self.last_stream.get().is_some()
     }
 
-    /// Whether the peer stated that it did not process this stream.
+    /// Whether a GOAWAY states that the peer did not process this stream.
     pub fn is_beyond_last_stream(&self, stream: u32) -> bool {
         self.last_stream.get().is_some_and(|last| stream > last)
     }
@@ -99,6 +99,7 @@
 }
 
 impl<S> GoawayDetector<S> {
+    /// Wraps `io`; also returns the state that each received GOAWAY updates.
     pub fn new(io: S) -> (Self, Rc<GoawayState>) {
         let goaway = Rc::new(GoawayState::default());
         (
--- a/crates/grpc/src/message.rs
+++ b/crates/grpc/src/message.rs
@@ -15,7 +15,7 @@
     EndOfStream,
     /// The stream was reset or the connection failed.
     Broken(h2::Error),
-    /// The bytes are not a valid message, for this reason.
+    /// The bytes are not a valid message; the text gives the reason.
     Malformed(String),
     /// The message is compressed, which this crate does not support.
     Compressed,
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -321,7 +321,7 @@
 
 /// Sends the trailers with a call's status, which end the call.
 fn send_trailers(response_stream: &mut SendStream<Bytes>, ending: &CallEnding) {
-    // Fails only if the stream was reset meanwhile, and then no status is needed.
+    // Sending fails only if the stream was reset, and then no status is needed.
     let _ = response_stream.send_trailers(ending.headers());
 }
 
--- a/crates/http1/src/discovery_client.rs
+++ b/crates/http1/src/discovery_client.rs
@@ -68,8 +68,8 @@
             return WatchEnd::Lost(error.to_string());
         }
         let received = tokio::select! { biased;
-            // The session was dropped. Without this branch, the watch would run forever next to the one that replaces
-            // it.
+            // The session was dropped. Without this branch, the watch would continue forever in parallel with the
+            // watch of the next session.
             () = outbox_dropped(outgoing) => return WatchEnd::Lost("the session was dropped".to_owned()),
             received = read_list(&mut io, bounds, &mut bytes, shared) => received,
         };
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -201,7 +201,7 @@
         head
     }
 
-    /// Runs one call; returns whether the connection can carry another.
+    /// Runs one call; returns whether the connection can carry another call.
     async fn run_call(&mut self, stream: u64, mut call: Call, head: &[u8], body: &[u8]) -> bool {
         let request = [head, body].concat();
         if let Err((stop, written)) = self.write_request(stream, &request).await {
@@ -272,7 +272,10 @@
         }
     }
 
-    /// Writes a request; on failure returns the number of bytes written before it.
+    /// Writes a request.
+    ///
+    /// # Errors
+    /// Returns the reason why the call stops, and the number of bytes written before it stopped.
     async fn write_request(
         &mut self,
         stream: u64,
@@ -383,7 +386,7 @@
                     && self.bytes.is_empty()
                     && !self.shared.leaving.get();
                 if !keep_alive {
-                    // Sent before the result, so that no new call is placed on this connection.
+                    // Sent before the result, so that the dispatcher starts no new call on this connection.
                     self.shared.send_event(Event::GoingAway);
                 }
                 self.shared.send_frame(stream, result_of(call, head, &body));
@@ -450,7 +453,7 @@
     head.first == 200 && head.length == Length::Chunked && matches!(call, Call::Decode { .. })
 }
 
-/// Whether the engine marks the response as a rejection: it did not run the request.
+/// Whether the response is marked as a rejection, which states that the engine did not run the request.
 fn is_rejection(head: &ResponseHead) -> bool {
     head.get(wire_names::REJECTION_HEADER) == Some(b"1") && matches!(head.first, 503 | 504 | 410)
 }
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -15,7 +15,8 @@
 /// The maximum number of interim (1xx) responses before the final response.
 const MAX_INTERIM_RESPONSES: usize = 16;
 
-/// The reason why bytes are not a valid message. The text names the invalid part of the message, such as the head.
+/// The reason why bytes are not a valid message. The text of a variant names the invalid part of the message, such as
+/// the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramingError {
     /// The part is invalid or ambiguous.
@@ -240,7 +241,7 @@
     UntilClose,
     /// Before the size line of a chunk.
     Size,
-    /// Before the data of a chunk of this size.
+    /// Before the data of a chunk, with the size of the chunk in bytes.
     Chunk(usize),
     /// After the last chunk, before the empty line that ends the trailers.
     Trailers,
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -130,7 +130,7 @@
         self.shared.end();
     }
 
-    /// Answers requests one after another; returns why no further request follows.
+    /// Reads and answers requests one after another; returns why no further request follows.
     async fn serve(&mut self) -> Stop {
         loop {
             let (received, keep_alive) = match self.read_request().await {
@@ -310,7 +310,7 @@
                     // The client closed the connection. The session ends, which cancels the current request.
                     Ok(0) | Err(_) => return Some(Stop::Closed),
                     // Pipelined input is read as it arrives, because unread input would hide that the client has
-                    // closed the connection. It is bounded by the length of one more request.
+                    // closed the connection. The buffer for pipelined input is limited to one more request.
                     Ok(bytes) => {
                         self.arrivals.received(bytes);
                         if self.exceeds_pipeline_bounds(request_bytes) {
--- a/crates/http1/src/wire_names.rs
+++ b/crates/http1/src/wire_names.rs
@@ -58,9 +58,9 @@
 /// The phase of an engine that was removed from the list.
 pub const PHASE_REMOVED: &str = "removed";
 
-/// The status line of a rejected request: it had no effect, so a retry is safe.
+/// The status line of a rejected request. A rejected request had no effect, so a retry is safe.
 pub const STATUS_REJECTED: &str = "503 Service Unavailable";
-/// The status line of a failed request: it may have run.
+/// The status line of a failed request. A failed request may have run.
 pub const STATUS_FAILED: &str = "504 Gateway Timeout";
 /// The status line of a malformed or invalid request.
 pub const STATUS_INVALID: &str = "400 Bad Request";
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -50,7 +50,8 @@
     /// Waits for the next connection.
     ///
     /// # Errors
-    /// Returns an error if this one connection failed, or on every later call if the listener itself failed.
+    /// Returns an error if the connection to accept failed; later calls may succeed. If the listener itself failed,
+    /// every later call returns an error too.
     fn accept(&mut self) -> impl Future<Output = io::Result<Self::Stream>>;
 
     /// The address that clients connect to; empty if the system cannot report it.
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -13,7 +13,7 @@
 pub struct Setup {
     /// The role of this side, such as client or dispatcher.
     pub party: v1::Party,
-    /// The name of this side; a caller that expects another name is refused.
+    /// The name of this side. A caller whose `expects` is another name is refused.
     pub name: String,
     /// The name that a caller requires of its peer; empty accepts any peer.
     pub expects: String,
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,6 +1,6 @@
 //! Runs the dispatchers of a simulation, each as one [`Control`] instance. The program translates lines of the
-//! simulator's protocol into events of the decision module, and its actions into lines. It makes no decisions itself,
-//! and the instances share no state.
+//! simulator's protocol into events of the decision module, and its actions into lines. The program makes no decisions
+//! itself, and the instances share no state.
 
 mod wire;
 
