--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -23,7 +23,7 @@
     })
 }
 
-/// The path of the `Greet` method of a peer with this role.
+/// The path of the `Greet` method of a peer with the role `party`.
 pub fn greet_path(party: v1::Party) -> &'static str {
     match party {
         v1::Party::Engine => "/cindercleat.v1.Host/Greet",
@@ -33,7 +33,7 @@
     }
 }
 
-/// Decodes the request message of a call; `None` if there is no such method.
+/// Decodes the request message of the call at `path`; `None` if the schema has no method with this path.
 pub fn decode_request(path: &str, bytes: Bytes) -> Option<Result<Body, prost::DecodeError>> {
     let method = path.strip_prefix("/cindercleat.v1.")?;
     Some(match method {
@@ -83,11 +83,13 @@
 
 /// A body encoded as a reply: the message to send, if any, and the status if the reply ends the call.
 pub struct Reply {
+    /// The encoded message; `None` if only the status is sent.
     pub message: Option<Bytes>,
+    /// The status that ends the call; `None` if the call continues.
     pub ending: Option<CallEnding>,
 }
 
-/// Encodes a body as a reply to the call at `path`; `None` if the body does not belong to such a call.
+/// Encodes a body as a reply to the call at `path`; `None` if the call has no such reply.
 pub fn encode_reply(path: &str, body: Body) -> Option<Reply> {
     use crate::message::encode;
     use v1::{decode_reply, run_reply};
@@ -123,7 +125,8 @@
         ("Fleet/Call", Body::FleetAnswer(m)) => (Some(encode(&m)), ok()),
         ("List/Follow", Body::Endpoints(m)) => (Some(encode(&m)), None),
         (_, Body::Hello(m)) => (Some(encode(&m)), ok()),
-        // A request that was accepted may have run, so the status of an end without an answer must not invite a retry.
+        // A request that was accepted may have run, so a call that ends without a response must not have a status that
+        // invites a retry.
         ("Router/Run", Body::Goodbye(m)) => (
             None,
             Some(CallEnding::answered(ClientAnswer::Failed, 0.0, &m.reason)),
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, yield_now};
 
-/// Starts new calls on a connection, and tells them of a GOAWAY.
+/// Starts new calls on a connection, and lets each call check which streams a GOAWAY excludes.
 pub(crate) struct CallStarter {
     requests: SendRequest<Bytes>,
     goaway: Rc<GoawayState>,
@@ -84,8 +84,8 @@
         }
         connection_state.drained.set(true);
         connection_state.changed.notify_waiters();
-        // After a GOAWAY the peer has sent all messages of the open calls; some calls still wait for credit to forward
-        // messages.
+        // After a GOAWAY, the peer closes the connection once it has sent all messages of the open calls. Calls that
+        // wait for credit still have messages to forward, so the session stays open for them.
         while goaway.is_received()
             && !connection_state.calls.borrow().is_empty()
             && !connection_state.closing.get()
@@ -205,7 +205,7 @@
         _ => UNLIMITED_CREDIT,
     };
     let not_sent = || Some(EndWithoutReply::from(CallEnd::NotSent));
-    // While the call waits for a free stream, nothing of it is sent, so a cancelled call did not run.
+    // No byte of a call is sent while the call waits for a free stream, so a call that is cancelled then did not run.
     let ready = tokio::select! { biased;
         _ = wait_cancelled(shared, &mut queue, &mut credit) => return not_sent(),
         ready = requests.ready() => ready,
@@ -220,7 +220,8 @@
     // A call that the GOAWAY excludes did not run, whatever error the call itself ends with.
     let classify = |end: CallEnd| match end {
         _ if goaway.is_beyond_last_stream(id) => CallEnd::BeyondLast,
-        // After a GOAWAY the end of the connection is expected. It fails this call, but is not a connection loss.
+        // After a GOAWAY the end of the connection is expected. It fails this call, but it is not a
+        // connection loss and tells nothing about the health of the engine.
         CallEnd::ConnectionLost if goaway.is_received() => CallEnd::Status {
             code: Code::Unavailable,
             never_ran: false,
@@ -328,7 +329,7 @@
     }
 }
 
-/// Waits until the call is cancelled or its connection is drained; adds credit that is granted meanwhile.
+/// Waits until the call is cancelled or its connection is drained; adds the credit that is granted during the wait.
 async fn wait_cancelled(
     shared: &Shared,
     queue: &mut mpsc::UnboundedReceiver<Outgoing>,
@@ -347,7 +348,7 @@
     }
 }
 
-/// The end of a call that this side causes; `None` if the item does not end the call.
+/// The end of a call that a queued item causes; `None` if the item does not end the call.
 fn local_end(outgoing: Option<Outgoing>) -> Option<CallEnd> {
     match outgoing {
         Some(Outgoing::Body(Body::Cancel(_)) | Outgoing::Reset(_)) => Some(CallEnd::Status {
@@ -384,7 +385,8 @@
     }
 }
 
-/// Derives the end of a call from the gRPC status in its trailers; [`CallEnd::Nothing`] if they hold no status number.
+/// Derives the end of a call from the gRPC status in its trailers; [`CallEnd::Nothing`] if the trailers
+/// hold no status number.
 fn end_from_status(headers: &HeaderMap) -> CallEnd {
     let number = headers
         .get("grpc-status")
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -50,7 +50,8 @@
     /// Waits for the next connection.
     ///
     /// # Errors
-    /// Returns an error if this one connection failed, or on every later call if the listener itself failed.
+    /// Returns an error if the connection to accept failed; later calls may succeed. If the listener itself failed,
+    /// every later call returns an error too.
     fn accept(&mut self) -> impl Future<Output = io::Result<Self::Stream>>;
 
     /// The address that clients connect to; empty if the system cannot report it.
@@ -76,7 +77,7 @@
 
     async fn connect(&self, address: &str) -> io::Result<TcpStream> {
         let stream = TcpStream::connect(address).await?;
-        // Without the option, the last part of a write may wait for an acknowledgement of the earlier parts.
+        // Without TCP_NODELAY, the last part of a write may wait for an acknowledgement of the earlier parts.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
@@ -123,8 +124,8 @@
 
     async fn accept(&mut self) -> io::Result<TcpStream> {
         let (stream, _) = TcpListener::accept(self).await?;
-        // The connection is kept if the option cannot be set: it works without the option, and its client may already
-        // have sent a request.
+        // A connection on which TCP_NODELAY cannot be set is kept: it works without the option, and its client may
+        // already have sent a request.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -13,7 +13,7 @@
 pub struct Setup {
     /// The role of this side, such as client or dispatcher.
     pub party: v1::Party,
-    /// The name of this side; a caller that expects another name is refused.
+    /// The name of this side. A caller whose `expects` is another name is refused.
     pub name: String,
     /// The name that a caller requires of its peer; empty accepts any peer.
     pub expects: String,
@@ -32,7 +32,8 @@
 pub enum Event {
     /// A complete message arrived.
     Frame(Frame),
-    /// The first bytes of a message arrived, and its end has not. Only HTTP/1.1 sessions report this.
+    /// The first bytes of a message arrived, but the message is not complete yet. Only HTTP/1.1 sessions send this
+    /// event.
     Partly,
     /// Token messages of a stream were written to the connection, which shows that the peer still reads the stream.
     Flushed {
