--- a/crates/dispatcher/tests/client_connection_ends.rs
+++ b/crates/dispatcher/tests/client_connection_ends.rs
@@ -1,9 +1,9 @@
 //! Clients that disconnect and deadlines that expire, at each stage of a request: the client gets at most one
 //! answer, and no attempt or KV state remains.
 //!
-//! Each test forces the order of events that would lose an answer or a release, on TCP sockets and with clients,
-//! engines and discovery that the test controls. docs/acceptance.md lists the guarantees of each path and names its
-//! tests.
+//! Each test runs a dispatcher on TCP sockets and acts as its clients, its engines and its discovery service. The test
+//! forces an order of events that could lose an answer or a release. docs/acceptance.md lists the guarantees of each
+//! path and names its tests.
 
 mod common;
 #[path = "common/loopback.rs"]
@@ -15,7 +15,7 @@
 use request_stages::*;
 use tokio::io::AsyncWriteExt;
 
-mod a_client_that_goes {
+mod a_client_that_leaves {
     use super::*;
     use test_case::test_case;
 
@@ -47,7 +47,7 @@
         for stage in stages {
             run(|net| async move {
                 let OpenRequest { mut client, engine } = start_request(&net, stage, "draft").await;
-                // Kept open until the end: dropping the socket would close both directions.
+                // The half-closed socket stays open until the end of the test. Dropping it would close both directions.
                 let _open_half = match disconnect {
                     Disconnect::Closes => {
                         drop(client);
@@ -59,7 +59,11 @@
                         None
                     }
                     Disconnect::HalfCloses => {
-                        client.io.shutdown().await.expect("socket option is set");
+                        client
+                            .io
+                            .shutdown()
+                            .await
+                            .expect("sending direction is closed");
                         Some(client)
                     }
                 };
@@ -71,7 +75,7 @@
     /// A client disconnects in the middle of its request's body. No attempt has started, so nothing may remain of
     /// the request.
     #[test]
-    fn before_its_body_is_whole_has_asked_for_nothing() {
+    fn before_its_body_is_complete_leaves_nothing_behind() {
         run(|net| async move {
             let mut client = net.connect().await;
             let text = request_with("a", "draft", 4000, "a body of some length");
@@ -94,7 +98,7 @@
     /// retry, or 504 if a decode engine was already chosen for an at-most-once request, which may have run. The
     /// attempt is closed and its KV state released.
     #[test]
-    fn that_passes_is_answered_once_and_leaves_nothing_at_any_stage() {
+    fn that_expires_is_answered_once_and_leaves_nothing_at_any_stage() {
         for class in CLASSES {
             for stage in [
                 Stage::Queued,
@@ -109,12 +113,12 @@
                         start_request_with(&net, stage, &text).await;
                     net.advance(f64::from(TIME_TO_DEADLINE_MS));
                     let answer = client.read_until("\n").await;
-                    let refused = answer.starts_with("HTTP/1.1 503 ");
+                    let rejected = answer.starts_with("HTTP/1.1 503 ");
                     // A retry may run an at-most-once request twice once its decode engine is chosen.
                     let is_retry_safe = class == "draft"
                         || !matches!(stage, Stage::AwaitingDecodeConnection | Stage::Decoding);
-                    assert_eq!(refused, is_retry_safe, "{class}, {stage:?}: {answer}");
-                    assert!(refused || answer.starts_with("HTTP/1.1 504 "), "{answer}");
+                    assert_eq!(rejected, is_retry_safe, "{class}, {stage:?}: {answer}");
+                    assert!(rejected || answer.starts_with("HTTP/1.1 504 "), "{answer}");
                     drop(client);
                     assert_nothing_left(&net, stage, engine).await;
                 });
@@ -122,11 +126,11 @@
         }
     }
 
-    /// A connection to an engine takes 240 ms to establish. If the engine were told the time that was left when the
-    /// attempt was decided, it would work beyond the client's deadline. It is told the time that is left when the
-    /// attempt is sent.
+    /// A connection to an engine takes 240 ms to establish. If the attempt contained the time that was left when its
+    /// engine was chosen, the engine would work beyond the client's deadline. The attempt contains the time that is
+    /// left when it is sent.
     #[test]
-    fn that_is_told_to_an_engine_heeds_the_time_that_its_connection_took() {
+    fn that_is_sent_to_an_engine_excludes_the_time_to_connect() {
         run(|net| async move {
             net.gate.block(&net.engine("r1").address);
             let _client = net.send_request("a", "draft").await;
@@ -140,7 +144,7 @@
                 .expect("the deadline header is a number");
             assert!(
                 time_left <= 3_760.0,
-                "the engine was told {time_left} ms, 3760 ms are left"
+                "the attempt contains {time_left} ms, but only 3760 ms are left"
             );
         });
     }
@@ -152,6 +156,7 @@
         Answer,
     }
 
+    /// Sends the engine's `text` and lets the deadline expire, in the given order and before the dispatcher runs.
     async fn send_at_deadline(net: &Loopback, engine: &mut Conn, text: &str, first: First) {
         if let First::Answer = first {
             engine.send(text).await;
@@ -169,7 +174,7 @@
     /// could give the client two answers, or hold the KV state for a finished request.
     #[test_case(First::Deadline; "deadline first")]
     #[test_case(First::Answer; "answer first")]
-    fn and_the_end_of_a_prefill_in_one_turn_leave_one_answer_and_no_state(first: First) {
+    fn at_the_end_of_a_prefill_leaves_one_answer_and_no_state(first: First) {
         run(|net| async move {
             let text = request_with("a", "draft", TIME_TO_DEADLINE_MS, "{}");
             let OpenRequest { mut client, engine } =
@@ -199,7 +204,7 @@
     /// stream or an error, never both and never half a stream.
     #[test_case(First::Deadline; "deadline first")]
     #[test_case(First::Answer; "answer first")]
-    fn and_a_first_token_in_one_turn_leave_one_answer(first: First) {
+    fn at_the_first_token_leaves_one_answer(first: First) {
         for class in CLASSES {
             run(|net| async move {
                 let text = request_with("a", class, TIME_TO_DEADLINE_MS, "{}");
@@ -214,7 +219,11 @@
                 )
                 .await;
                 net.wait_until_no_request_open().await;
-                client.io.shutdown().await.expect("socket option is set");
+                client
+                    .io
+                    .shutdown()
+                    .await
+                    .expect("sending direction is closed");
                 let answer = client.read_to_end().await;
                 assert_eq!(
                     answer.matches("HTTP/1.1 ").count(),
@@ -225,7 +234,7 @@
                 assert_eq!(
                     served,
                     answer.ends_with(LAST_CHUNK),
-                    "a stream that has begun is complete: {answer}"
+                    "a stream that has started is complete: {answer}"
                 );
                 assert!(served || answer.starts_with("HTTP/1.1 50"), "{answer}");
             });
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -4,10 +4,11 @@
 
 use super::*;
 
-/// Milliseconds beyond `kv_state_timeout` within which a held KV state must be taken or released.
+/// Milliseconds that [`release_limit`] adds to `kv_state_timeout`.
 pub const RELEASE_TOLERANCE_MS: f64 = 300.0;
 
-/// Milliseconds within which a held KV state must be taken or released.
+/// Milliseconds after the end of a prefill within which a decode attempt must use the KV state or a release must free
+/// it.
 pub fn release_limit() -> f64 {
     settings().policy.kv_state_timeout + RELEASE_TOLERANCE_MS
 }
@@ -33,28 +34,29 @@
     harness
 }
 
-/// Sends a request on client connection `conn`. The connection's number is also the request's id and session.
-pub fn send_request(harness: &mut Harness, conn: u64, class: &str) -> Vec<Output> {
+/// Sends a request on a client connection of its own. `request_id` is also the number of the connection and the session
+/// of the request.
+pub fn send_request(harness: &mut Harness, request_id: u64, class: &str) -> Vec<Output> {
     let origin = Some(v1::Origin {
-        id: conn.to_string(),
+        id: request_id.to_string(),
         ..v1::Origin::default()
     });
     let prompt = bytes::Bytes::from_static(b"{}");
     let body = Body::Submit(v1::Submit {
         origin,
         prompt,
-        session: conn,
+        session: request_id,
         ..submit(class)
     });
     harness.handle(Input::Client {
-        conn: ClientConnectionId(conn),
+        conn: ClientConnectionId(request_id),
         frame: frame(1, body),
     })
 }
 
 /// Sends a request, completes its prefill and returns its decode attempt.
-pub fn start_decode(harness: &mut Harness, conn: u64, class: &str) -> SentAttempt {
-    let out = send_request(harness, conn, class);
+pub fn start_decode(harness: &mut Harness, request_id: u64, class: &str) -> SentAttempt {
+    let out = send_request(harness, request_id, class);
     let prefill = harness
         .attempts(&out)
         .pop()
@@ -68,16 +70,16 @@
 
 /// Serves 200 requests, after which every engine has an idle connection.
 pub fn warm_up(harness: &mut Harness) {
-    for conn in 1_000..1_200 {
-        let decode = start_decode(harness, conn, "draft");
+    for request_id in 1_000..1_200 {
+        let decode = start_decode(harness, request_id, "draft");
         harness.send_from_engine(&decode, tokens(0));
         harness.end_attempt(&decode, v1::Status::Succeeded);
         harness.advance(50.0);
     }
 }
 
-/// The connections on which `out` sends releases of the request with id `conn`.
-pub fn releases_of(conn: u64, out: &[Output]) -> Vec<EngineConnectionId> {
+/// The engine connections on which `out` sends releases of the request `request_id`.
+pub fn releases_of(request_id: u64, out: &[Output]) -> Vec<EngineConnectionId> {
     let release = |output: &Output| match output {
         Output::ToEngine {
             connection,
@@ -86,21 +88,21 @@
                     body: Some(Body::Release(release)),
                     ..
                 },
-        } if release.origin == conn.to_string() => Some(*connection),
+        } if release.origin == request_id.to_string() => Some(*connection),
         _ => None,
     };
     out.iter().filter_map(release).collect()
 }
 
-/// Whether `out` sends a release of the request with id `conn` to an engine that responds.
-pub fn release_arrives(harness: &Harness, conn: u64, out: &[Output]) -> bool {
-    releases_of(conn, out)
+/// Whether `out` sends a release of the request `request_id` to a responsive engine.
+pub fn release_arrives(harness: &Harness, request_id: u64, out: &[Output]) -> bool {
+    releases_of(request_id, out)
         .into_iter()
         .any(|connection| !harness.is_unresponsive(connection))
 }
 
-/// Whether `out` cancels the attempt. Where a connection carries one call at a time, a cancel closes the connection.
-pub fn is_cancelled(out: &[Output], sent: &SentAttempt) -> bool {
+/// Whether `out` cancels the attempt. On a connection that carries one call at a time, a cancel closes the connection.
+pub fn is_cancelled(out: &[Output], attempt: &SentAttempt) -> bool {
     let is_cancel = |output: &Output| match output {
         Output::ToEngine {
             connection,
@@ -109,13 +111,14 @@
                     stream,
                     body: Some(Body::Cancel(_)),
                 },
-        } => (*connection, *stream) == (sent.connection, sent.stream),
+        } => (*connection, *stream) == (attempt.connection, attempt.stream),
         _ => false,
     };
     out.iter().any(is_cancel)
 }
 
-/// Makes engines unresponsive at the same instant. They send nothing after the answers that they have already given.
+/// Makes all these engines unresponsive at the same instant. They send nothing from then on. Answers that they sent
+/// before remain valid.
 pub fn make_unresponsive(harness: &mut Harness, names: &[&str]) {
     harness
         .unresponsive
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -1,9 +1,8 @@
 //! Runs a dispatcher on loopback TCP sockets. The test acts as the clients, the engines and discovery, so it
 //! controls the order of events.
 //!
-//! The order of events never depends on a sleep. The dispatcher's clock moves only in [`Loopback::advance`], a
-//! blocked connection is established only after [`GatedTransport::unblock`], and a time limit ends only a test that
-//! hangs.
+//! The order of events never depends on a sleep. The dispatcher's clock moves only in [`Loopback::advance`], a blocked
+//! connection is established only after [`GatedTransport::unblock`], and [`TEST_TIMEOUT`] ends only a test that hangs.
 #![allow(dead_code)]
 
 use super::common::{settings, single_limits};
@@ -36,7 +35,7 @@
 };
 /// The error number EMFILE: the process has no free file descriptor.
 const TOO_MANY_OPEN_FILES: i32 = 24;
-/// A test that runs longer than this fails, because it hangs.
+/// A test that runs longer than this is taken to hang, and fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const ADDRESS: &str = "127.0.0.1:0";
 
@@ -72,15 +71,17 @@
     /// Error numbers with which the next accepts fail. The last one is used first.
     accept_errors: Rc<RefCell<Vec<i32>>>,
     /// The address of each connect that was blocked. Entries remain after the address is unblocked.
-    waiting: Rc<RefCell<Vec<String>>>,
+    blocked_connects: Rc<RefCell<Vec<String>>>,
     changed: Rc<Notify>,
 }
 
 impl GatedTransport {
+    /// Delays connects to the address until it is unblocked.
     pub fn block(&self, address: &str) {
         self.blocked.borrow_mut().insert(address.to_owned());
     }
 
+    /// Lets delayed and later connects to the address proceed.
     pub fn unblock(&self, address: &str) {
         self.blocked.borrow_mut().remove(address);
         self.changed.notify_waiters();
@@ -99,10 +100,10 @@
     /// Waits until a connect to the address is blocked.
     pub async fn wait_until_blocked(&self, address: &str) {
         wait_until(|| {
-            self.waiting
+            self.blocked_connects
                 .borrow()
                 .iter()
-                .any(|waiting| waiting == address)
+                .any(|blocked| blocked == address)
         })
         .await;
     }
@@ -139,7 +140,7 @@
             return Err(io::Error::from_raw_os_error(TOO_MANY_OPEN_FILES));
         }
         if self.blocked.borrow().contains(address) {
-            self.waiting.borrow_mut().push(address.to_owned());
+            self.blocked_connects.borrow_mut().push(address.to_owned());
             loop {
                 let changed = self.changed.notified();
                 if !self.blocked.borrow().contains(address) {
@@ -318,16 +319,18 @@
     watch: RefCell<Option<Conn>>,
     /// The revision of the newest endpoint list that the test has sent.
     revision: Cell<u64>,
-    /// Tells the dispatcher to stop.
+    /// Notified to stop the dispatcher.
     pub stop: Rc<Notify>,
-    served: JoinHandle<()>,
+    /// The task that runs the dispatcher.
+    serve_task: JoinHandle<()>,
 }
 
-/// Socket buffer size in bytes, for clients that do not read. The kernel uses a slightly larger size.
+/// Socket buffer size in bytes for clients that do not read, close to the system's minimum. The kernel uses a slightly
+/// larger size.
 const SMALL_BUFFER: u32 = 4096;
 
 fn listen_with_small_buffer() -> TcpListener {
-    let socket = TcpSocket::new_v4().expect("socket option is set");
+    let socket = TcpSocket::new_v4().expect("socket is created");
     // Accepted connections inherit the listener's buffer size.
     socket
         .set_send_buffer_size(SMALL_BUFFER)
@@ -335,7 +338,7 @@
     socket
         .bind(ADDRESS.parse().expect("address is valid"))
         .expect("port is bound");
-    socket.listen(128).expect("dispatcher accepts connections")
+    socket.listen(128).expect("socket listens")
 }
 
 pub fn limits() -> Limits {
@@ -396,13 +399,16 @@
         let mut engines = BTreeMap::new();
         for name in names {
             let listener = TcpListener::bind(ADDRESS).await.expect("port is bound");
-            let address = listener.local_addr().expect("address is valid").to_string();
+            let address = listener
+                .local_addr()
+                .expect("socket has an address")
+                .to_string();
             engines.insert(*name, Engine { address, listener });
         }
         let discovery = TcpListener::bind(ADDRESS).await.expect("port is bound");
         let discovery_addresses = vec![discovery
             .local_addr()
-            .expect("address is valid")
+            .expect("socket has an address")
             .to_string()];
         let locations = Locations {
             discovery: discovery_addresses,
@@ -411,14 +417,17 @@
         let wire = Http1::new(BOUNDS);
         let driver = Driver::with_wire(wire, settings, locations, gate.clone(), clock.clone(), 1);
         let inner = listen_with_small_buffer();
-        let address = inner.local_addr().expect("address is valid").to_string();
+        let address = inner
+            .local_addr()
+            .expect("socket has an address")
+            .to_string();
         let listener = FailingListener {
             inner,
             errors: gate.accept_errors.clone(),
         };
         let (stop, serving) = (Rc::new(Notify::new()), driver.clone());
         let stop_signal = stop.clone();
-        let served = spawn_local(async move {
+        let serve_task = spawn_local(async move {
             serving
                 .serve(listener, stop_signal.notified())
                 .await
@@ -435,7 +444,7 @@
             watch,
             revision,
             stop,
-            served,
+            serve_task,
         };
         let mut call = net.accept_discovery_call().await;
         assert!(
@@ -480,7 +489,7 @@
     pub fn discovery_address(&self) -> String {
         self.discovery
             .local_addr()
-            .expect("address is valid")
+            .expect("socket has an address")
             .to_string()
     }
 
@@ -507,6 +516,7 @@
             .collect()
     }
 
+    /// Returns the JSON entry of an engine in the given phase.
     pub fn endpoint_json(&self, name: &str, phase: &str) -> String {
         let flavor = if name.starts_with('r') {
             "reader"
@@ -520,11 +530,11 @@
         )
     }
 
-    /// Returns discovery's HTTP response: a complete list if `whole`, else changes.
-    pub fn discovery_response(&self, revision: u64, whole: bool, entries: &[String]) -> String {
+    /// Returns discovery's HTTP response: the complete list if `complete`, else changes.
+    pub fn discovery_response(&self, revision: u64, complete: bool, entries: &[String]) -> String {
         let members = entries.join(",");
         let text =
-            format!("{{\"revision\":{revision},\"complete\":{whole},\"members\":[{members}]}}");
+            format!("{{\"revision\":{revision},\"complete\":{complete},\"members\":[{members}]}}");
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
             text.len()
@@ -559,9 +569,9 @@
         )
     }
 
-    /// Connects a client with a small receive buffer.
+    /// Connects a client whose receive buffer is about as small as the system allows.
     pub async fn connect_with_small_buffer(&self) -> Conn {
-        let socket = TcpSocket::new_v4().expect("socket option is set");
+        let socket = TcpSocket::new_v4().expect("socket is created");
         socket
             .set_recv_buffer_size(SMALL_BUFFER)
             .expect("buffer size is set");
@@ -618,7 +628,7 @@
 
     /// Accepts the next request on a new connection at `r1` or `w1`, advancing the clock until it arrives.
     pub async fn accept_any_request(&self) -> (Conn, Request) {
-        let asked = async {
+        let request = async {
             loop {
                 let mut conn = tokio::select! {
                     conn = self.engine("r1").accept() => conn,
@@ -630,8 +640,8 @@
             }
         };
         tokio::select! { biased;
-            asked = asked => asked,
-            () = self.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
+            request = request => request,
+            () = self.advance_until(|| false) => unreachable!("the clock advances until the other branch completes"),
         }
     }
 
@@ -641,22 +651,26 @@
 
     /// Waits until the dispatcher has stopped serving.
     pub async fn wait_until_ended(self) {
-        self.served
+        self.serve_task
             .await
             .expect("the dispatcher serves until it stops");
     }
 
     pub fn has_ended(&self) -> bool {
-        self.served.is_finished()
+        self.serve_task.is_finished()
     }
 }
 
+/// A prefill engine's answer that the prefill is done.
 pub const PREFILL_ANSWER: &str =
     "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
+/// The response headers of a decode engine that starts a stream.
 pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// One server-sent event in a chunk of its own.
 pub const EVENT: &str = "9\r\ndata: a\n\n\r\n";
 pub const LAST_CHUNK: &str = "0\r\n\r\n";
+/// An engine's answer that confirms a release.
 pub const RELEASE_CONFIRMED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
 pub fn request(id: &str, class: &str) -> String {
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -14,6 +14,8 @@
 use cindercleat_protocol::{frame, v1, Body, Frame};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Settings of a dispatcher `d` with three request classes: `draft` is idempotent, `proof` runs at most once, and
+/// `caption` has an idempotency key.
 pub fn settings() -> ProgramSettings {
     let request_class = |retry_safety| RequestClassSettings {
         retry_safety,
@@ -78,6 +80,7 @@
     }
 }
 
+/// Limits for connections that carry up to 100 streams.
 pub fn limits() -> Limits {
     Limits {
         max_open_requests: 1000,
@@ -130,6 +133,7 @@
     }
 }
 
+/// An endpoint in zone `north`: a prefill engine if the name begins with `r`, else a decode engine.
 pub fn endpoint(engine: &str, status: v1::EndpointStatus) -> v1::Endpoint {
     let kind = if engine.starts_with('r') {
         "reader"
@@ -188,6 +192,7 @@
     pub connection: EngineConnectionId,
     pub stream: u64,
     pub engine: String,
+    /// The KV state that a prefill creates or a decode attempt uses.
     pub state: Option<v1::KvStateId>,
 }
 
@@ -197,15 +202,17 @@
     pub now: Ms,
     /// All outputs so far, in order.
     pub out: Vec<Output>,
+    /// The name of the engine to which each connection was dialled.
     engines: BTreeMap<EngineConnectionId, String>,
-    /// Whether dialled connections are established, which happens at once.
+    /// Whether a dialled connection is established before `handle` returns. Otherwise it stays pending.
     pub dials_succeed: bool,
+    /// Whether engines answer the dispatcher's pings.
     pub answer_pings: bool,
-    /// Whether responsive engines confirm each release at once.
-    pub confirm_releases_at_once: bool,
-    /// Engines that answer nothing that is sent to them and accept no connections.
+    /// Whether responsive engines confirm each release before `handle` returns.
+    pub confirm_releases_immediately: bool,
+    /// Engines that neither confirm releases nor accept connections.
     pub unresponsive: BTreeSet<String>,
-    /// Unresponsive engines accept connections all the same, like a process that hangs on a working machine.
+    /// Whether unresponsive engines still accept connections. The operating system does so for a process that hangs.
     pub unresponsive_engines_accept: bool,
 }
 
@@ -223,7 +230,7 @@
             engines: BTreeMap::new(),
             dials_succeed: true,
             answer_pings: true,
-            confirm_releases_at_once: true,
+            confirm_releases_immediately: true,
             unresponsive: BTreeSet::new(),
             unresponsive_engines_accept: false,
         };
@@ -236,8 +243,8 @@
         harness
     }
 
-    /// Handles an input and answers for the engines: dialled connections are established, and pings and releases are
-    /// answered, unless the harness's fields say otherwise. Returns all outputs.
+    /// Handles an input and simulates the engines' reactions to its outputs: dialled connections are established, and
+    /// pings and releases are answered, unless the harness's fields disable this. Returns the outputs of all steps.
     pub fn handle(&mut self, input: Input) -> Vec<Output> {
         let mut all = Vec::new();
         let mut next = vec![input];
@@ -280,7 +287,9 @@
                                 stream,
                                 body: Some(Body::Release(_)),
                             },
-                    } if self.confirm_releases_at_once && !self.is_unresponsive(*connection) => {
+                    } if self.confirm_releases_immediately
+                        && !self.is_unresponsive(*connection) =>
+                    {
                         let frame = frame(*stream, Body::Done(v1::Done {}));
                         next.push(Input::Engine {
                             connection: *connection,
@@ -324,7 +333,7 @@
         })
     }
 
-    /// Ends an attempt with this status. A prefill that is done reports its KV state.
+    /// Ends an attempt with this status. With `PrefillDone`, the end names the KV state of the attempt.
     pub fn end_attempt(&mut self, attempt: &SentAttempt, status: v1::Status) -> Vec<Output> {
         let state = attempt.state.filter(|_| status == v1::Status::PrefillDone);
         self.send_from_engine(
@@ -392,7 +401,7 @@
         self.attempts(&out).pop().expect("a decode attempt is sent")
     }
 
-    /// Sends a request and brings it to its first token. Returns its decode attempt.
+    /// Sends a request, completes its prefill and sends its first token. Returns its decode attempt.
     pub fn start_stream(&mut self, stream: u64, request_class: &str) -> SentAttempt {
         let decode = self.start_decode(stream, request_class);
         self.send_from_engine(&decode, tokens(0));
@@ -400,7 +409,7 @@
     }
 }
 
-/// The messages that `out` sends to clients, with their streams.
+/// The messages that `out` sends to clients, each with its stream.
 pub fn client_messages(out: &[Output]) -> Vec<(u64, Body)> {
     let client_message = |output: &Output| match output {
         Output::ToClient {
@@ -415,7 +424,7 @@
     out.iter().filter_map(client_message).collect()
 }
 
-/// The final answers that `out` sends to clients, with their streams.
+/// The final answers that `out` sends to clients, each with its stream.
 pub fn final_answers(out: &[Output]) -> Vec<(u64, v1::Answer)> {
     let final_answer = |(stream, body): (u64, Body)| match body {
         Body::Final(message) => Some((stream, message.answer())),
@@ -429,9 +438,9 @@
 
 /// The names of the messages that `out` sends to engines.
 pub fn engine_message_names(out: &[Output]) -> Vec<&'static str> {
-    let found = |output: &Output| match output {
+    let message_name = |output: &Output| match output {
         Output::ToEngine { frame, .. } => Some(cindercleat_protocol::name_of(frame.body.as_ref())),
         _ => None,
     };
-    out.iter().filter_map(found).collect()
+    out.iter().filter_map(message_name).collect()
 }
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -25,7 +25,7 @@
     pub driver: Driver<Memory, TokioClock>,
     pub transcript: Transcript,
     pub discovery: Discovery<TokioClock>,
-    /// Tells the dispatcher to stop.
+    /// Notified to stop the dispatcher.
     pub stop: Rc<Notify>,
     pub engines: Vec<Engine<Memory, TokioClock>>,
 }
@@ -123,7 +123,8 @@
 }
 
 impl Net {
-    /// Sends a request as this client. Returns how the request ended and how many tokens it received.
+    /// Sends a request as the client named `client`. Returns how the request ended and how many tokens the client
+    /// received.
     pub async fn request(&self, client: &str) -> (End, u32) {
         let port = Port::new(
             client,
@@ -169,7 +170,7 @@
         self.clock.sleep_until(self.clock.now() + ms).await;
     }
 
-    /// When an engine first received a matching message, by the test's clock.
+    /// The time at which an engine first received a matching message, by the test's clock; `None` if it received none.
     pub fn first_received_at(&self, engine: &str, matches: impl Fn(&Body) -> bool) -> Option<f64> {
         let is_match = |what: &What| matches!(what, What::Frame(Way::In, f) if f.body.as_ref().is_some_and(&matches));
         let records = self.transcript.records();
--- a/crates/dispatcher/tests/common/request_stages.rs
+++ b/crates/dispatcher/tests/common/request_stages.rs
@@ -8,12 +8,15 @@
 pub enum Stage {
     /// All engines drain, so no attempt is sent.
     Queued,
-    /// The connection for its prefill attempt is not established.
+    /// The connection for its prefill attempt is being established.
     Connecting,
+    /// The prefill engine has received the prefill attempt.
     Prefilling,
-    /// The prefill is done, and the connection for the decode attempt is not established.
+    /// The prefill is done, and the connection for the decode attempt is being established.
     AwaitingDecodeConnection,
+    /// The decode engine has received the decode attempt.
     Decoding,
+    /// The client has received the first event.
     Streaming,
 }
 
@@ -24,6 +27,7 @@
     pub engine: Option<Conn>,
 }
 
+/// Request classes of the test settings: `draft` is idempotent, `proof` runs at most once.
 pub const CLASSES: [&str; 2] = ["draft", "proof"];
 
 /// Sends request `a` and brings it to a stage.
@@ -31,6 +35,7 @@
     start_request_with(net, stage, &request("a", class)).await
 }
 
+/// Sends the request `text` and brings it to a stage.
 pub async fn start_request_with(net: &Loopback, stage: Stage, text: &str) -> OpenRequest {
     match stage {
         Stage::Queued => net.announce_endpoints(&net.all_endpoints("draining")).await,
@@ -80,14 +85,16 @@
         );
     }
     if may_hold_state(stage) {
-        // Any engine forwards a release. The connection of the prefill is idle at its engine.
+        // The release may be sent to any engine, which forwards it to the engine that holds the state. The prefill
+        // engine's connection for the prompt is idle.
         confirm_releases(net).await;
     }
     net.wait_until_no_request_open().await;
     for engine in ["r1", "w1"] {
         net.gate.unblock(&net.engine(engine).address);
     }
-    // Attempts that are still pending would be sent before the next request, and only that one is answered.
+    // An attempt of `a` that is still pending would be sent before the next request's attempts, and `accept_attempt`
+    // would fail.
     if stage == Stage::Queued {
         net.announce_endpoints(&net.all_endpoints("up")).await;
     }
@@ -127,8 +134,8 @@
     }
 }
 
-/// Maximum number of calls for one release. A release that may have overtaken the close of its attempt is repeated
-/// for some seconds, unless the attempt's engine is seen to work.
+/// Maximum number of calls for one release. A release that may have overtaken the close of its attempt is repeated for
+/// some seconds, unless a later message of the attempt's engine shows that the engine works.
 pub const MAX_RELEASES: usize = 16;
 
 /// Confirms the releases of `a` on all connections until the dispatcher has no release pending.
--- a/crates/dispatcher/tests/connection_limits.rs
+++ b/crates/dispatcher/tests/connection_limits.rs
@@ -1,9 +1,9 @@
 //! Connections beyond the limits of the dispatcher: the maximum of client and engine connections, and a process
 //! without free file descriptors.
 //!
-//! Each test forces the order of events that would lose an answer or a release, on TCP sockets and with clients,
-//! engines and discovery that the test controls. docs/acceptance.md lists the guarantees of each path and names its
-//! tests.
+//! Each test runs a dispatcher on TCP sockets and acts as its clients, its engines and its discovery service. The test
+//! forces an order of events that could lose an answer or a release. docs/acceptance.md lists the guarantees of each
+//! path and names its tests.
 
 mod common;
 #[path = "common/loopback.rs"]
@@ -16,7 +16,7 @@
 use loopback::*;
 use request_stages::*;
 
-mod a_place_that_is_wanted {
+mod the_connection_limit {
     use super::*;
 
     /// Allows at most two client connections.
@@ -29,28 +29,28 @@
     }
 
     /// All client connections are in use, a new client connects, and an idle client sends its request at the same
-    /// moment. Closing the idle connection after its request was read would lose the request: it is either served,
-    /// or its connection is closed with nothing sent to an engine.
+    /// moment. Closing the idle connection after its request was read would lose the request. The request is either
+    /// served, or its connection is closed and nothing is sent to an engine.
     #[test]
-    fn is_not_taken_from_a_client_whose_request_is_read() {
+    fn does_not_close_a_client_whose_request_was_read() {
         for request_first in [true, false] {
             run_with_two_clients(|net| async move {
-                let (mut idle_client, other) = (net.connect().await, net.connect().await);
+                let (mut idle_client, other_client) = (net.connect().await, net.connect().await);
                 wait_until(|| net.driver.client_connections() == 2).await;
                 let text = request("a", "proof");
-                let new = if request_first {
+                let new_client = if request_first {
                     idle_client
                         .io
                         .try_write(text.as_bytes())
                         .expect("socket buffer has room");
                     net.connect().await
                 } else {
-                    let new = net.connect().await;
+                    let new_client = net.connect().await;
                     idle_client
                         .io
                         .try_write(text.as_bytes())
                         .expect("socket buffer has room");
-                    new
+                    new_client
                 };
                 // Either the request is served, or its connection is closed without an attempt.
                 let served = tokio::select! {
@@ -78,7 +78,7 @@
                     );
                 }
                 net.wait_until_no_request_open().await;
-                drop((new, other));
+                drop((new_client, other_client));
             });
         }
     }
@@ -86,7 +86,7 @@
     /// The limit of engine connections is reached, and another one is needed. An idle connection is closed to make
     /// room. A connection with an open stream is never closed, as that would break the stream.
     #[test]
-    fn at_the_engines_is_made_by_a_connection_at_rest_and_never_by_one_in_use() {
+    fn of_engines_closes_an_idle_connection_and_never_one_in_use() {
         let http1 = limits().http1.map(|http1| Http1Limits {
             max_engine_connections: 2,
             ..http1
@@ -109,7 +109,7 @@
             };
             assert_eq!(request.id(), "b");
             prefill.send(PREFILL_ANSWER).await;
-            // The second request's decode attempt gets no connection until the first stream ends.
+            // The second request's decode attempt waits for a connection until the first stream ends.
             decode
                 .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
                 .await;
@@ -132,13 +132,13 @@
     }
 }
 
-mod a_shortage_of_descriptors {
+mod a_shortage_of_file_descriptors {
     use super::*;
 
     /// The process runs out of file descriptors between the prefill and the decode attempt. The client is answered
     /// before its deadline, and the KV state is released once connections can be opened again.
     #[test]
-    fn at_a_further_attempt_is_answered_in_time_and_its_state_let_go_once_there_is_one() {
+    fn before_a_decode_attempt_is_answered_in_time_and_the_state_released_later() {
         for class in CLASSES {
             run(|net| async move {
                 let text = request_with("a", class, 1000, "{}");
@@ -162,7 +162,7 @@
                 );
                 assert!(
                     net.driver.usage().releases > 0,
-                    "the release of its KV state is pending"
+                    "the release of the request's KV state is pending"
                 );
                 net.gate.set_descriptors_exhausted(false);
                 confirm_releases(&net).await;
@@ -179,7 +179,7 @@
     /// Idle clients hold all client connections while discovery is down. A client that sends a request is still
     /// served with the known endpoints, and discovery is called again as soon as it can be reached.
     #[test]
-    fn for_clients_while_discovery_is_down_keeps_neither_requests_nor_the_list_out() {
+    fn and_idle_clients_while_discovery_is_down_block_neither_requests_nor_updates() {
         let limits = Limits {
             max_client_connections: 8,
             ..limits()
@@ -210,7 +210,7 @@
             }
             tokio::select! { biased;
                 () = net.gate.wait_until_blocked(&discovery) => {}
-                () = net.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
+                () = net.advance_until(|| false) => unreachable!("the clock advances until the other branch completes"),
             }
             net.gate.unblock(&discovery);
             let mut call = net.accept_discovery_call().await;
@@ -240,7 +240,7 @@
     /// accept(2) returns an error that concerns a single connection. A listener that paused or ended would make all
     /// other clients wait. The next connection is accepted while the clock stands still.
     #[test]
-    fn is_taken_at_once_after_one_that_could_not_be() {
+    fn is_accepted_immediately_after_a_failed_accept() {
         for errors in [
             &[ECONNABORTED][..],
             &[EPROTO, ENETDOWN, ECONNABORTED],
@@ -248,7 +248,7 @@
         ] {
             run(|net| async move {
                 net.gate.fail_accepts(errors);
-                // This connection is taken by the accept that was pending before the errors were set.
+                // The accept that was pending before the errors were set takes this connection.
                 let first = net.connect().await;
                 wait_until(|| net.driver.client_connections() == 1).await;
                 let mut client = net.send_request("a", "proof").await;
@@ -266,7 +266,7 @@
     /// A single accept fails for lack of file descriptors. A client that has just connected is about to send its
     /// request. Closing its connection for a shortage that is over at the next accept would lose the request.
     #[test]
-    fn is_not_shut_for_a_shortage_that_is_over_at_the_next_try() {
+    fn is_not_closed_for_a_shortage_that_is_over_at_the_next_accept() {
         const ENFILE: i32 = 23;
         run(|net| async move {
             let mut first = net.connect().await;
@@ -292,7 +292,7 @@
     /// More clients connect than the limit allows, and their requests are already sent. Closing the connections
     /// would lose the requests. The clients wait until a connection ends, and are then served.
     #[test]
-    fn that_finds_no_place_waits_for_one_and_is_not_dropped_with_its_request() {
+    fn beyond_the_limit_waits_and_its_request_is_served() {
         let limits = Limits {
             max_client_connections: 1,
             ..limits()
--- a/crates/dispatcher/tests/discovery_changes.rs
+++ b/crates/dispatcher/tests/discovery_changes.rs
@@ -1,9 +1,9 @@
-//! Discovery that disconnects, is overloaded, unresponsive or outdated, or moves: its last list stays in use, and
-//! discovery is called again in time.
+//! Discovery that disconnects, is overloaded, unresponsive or outdated, or changes its address: the dispatcher keeps
+//! using the last list and calls discovery again in time.
 //!
-//! Each test forces the order of events that would lose an answer or a release, on TCP sockets and with clients,
-//! engines and discovery that the test controls. docs/acceptance.md lists the guarantees of each path and names its
-//! tests.
+//! Each test runs a dispatcher on TCP sockets and acts as its clients, its engines and its discovery service. The test
+//! forces an order of events that could lose an answer or a release. docs/acceptance.md lists the guarantees of each
+//! path and names its tests.
 
 mod common;
 #[path = "common/loopback.rs"]
@@ -32,7 +32,7 @@
         };
         tokio::select! { biased;
             call = call => call,
-            () = net.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
+            () = net.advance_until(|| false) => unreachable!("the clock advances until the other branch completes"),
         }
     }
 
@@ -63,7 +63,7 @@
     #[test_case(WatchFailure::ConnectionClosesInAnswer; "connection closes in its answer")]
     #[test_case(WatchFailure::IsRejected; "is refused")]
     #[test_case(WatchFailure::IsUnreadable; "is unreadable")]
-    fn whose_watch_is_lost_is_asked_anew_and_its_list_kept(failure: WatchFailure) {
+    fn whose_watch_is_lost_is_called_again_and_its_list_kept(failure: WatchFailure) {
         run(|net| async move {
             let mut call = net.take_watch();
             match failure {
@@ -118,10 +118,10 @@
     const OVERLOADED: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
     /// An overloaded discovery service refuses the watch that follows its list, and further calls. The next call
-    /// requests the changes since the known list as part of the watch. A call for the complete list and another for
-    /// the watch would both have to find a place in the service's queue, one right after the other.
+    /// requests the changes since the known list as part of the watch. Two calls, one for the complete list and one for
+    /// the watch, would each need a place in the service's queue, one right after the other.
     #[test]
-    fn that_is_crowded_is_asked_for_changes_by_the_call_that_opens_the_watch() {
+    fn that_is_overloaded_is_asked_for_changes_by_the_watch_itself() {
         run_with(polled_discovery_limits(), &["r1", "w1"], |net| async move {
             let mut call = net.take_watch();
             for _ in 0..3 {
@@ -146,7 +146,7 @@
         let before = net.now();
         let call = tokio::select! { biased;
             call = net.accept_discovery_call() => call,
-            () = net.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
+            () = net.advance_until(|| false) => unreachable!("the clock advances until the other branch completes"),
         };
         assert!(
             net.now() - before <= max_delay,
@@ -159,7 +159,7 @@
     /// Discovery stops answering without closing the connection. Without a timeout the dispatcher would keep an old
     /// list forever. After the silence timeout it connects again.
     #[test]
-    fn that_falls_silent_is_asked_anew() {
+    fn that_becomes_unresponsive_is_called_again() {
         let discovery = cindercleat::discovery_client::DiscoverySettings {
             silence_timeout: 700.0,
             ..limits().discovery
@@ -190,14 +190,14 @@
 
     /// A replica of discovery lags behind. Its list, whether complete or only changes, would return a draining
     /// engine to service. The dispatcher keeps the newer list and calls discovery again.
-    #[test_case(true; "whole")]
+    #[test_case(true; "complete list")]
     #[test_case(false; "changes")]
-    fn that_gives_an_older_list_is_asked_anew_and_the_newer_one_kept(whole: bool) {
+    fn that_sends_an_older_list_is_called_again_and_the_newer_one_kept(complete: bool) {
         run(|net| async move {
             net.announce_endpoints(&[net.endpoint_json("w1", "draining")])
                 .await;
             let mut call = net.take_watch();
-            call.send(&net.discovery_response(1, whole, &net.all_endpoints("up")))
+            call.send(&net.discovery_response(1, complete, &net.all_endpoints("up")))
                 .await;
             let mut call = accept_complete_list_call(&net).await;
             assert_rejected(&net, "a").await;
@@ -209,11 +209,11 @@
         });
     }
 
-    /// Discovery was reinstalled, and its revisions start from the beginning. Every list is older than the known
-    /// one; if all were refused forever, no change would arrive again. Such a list is accepted after 3 s at the
-    /// earliest and within 6 s.
+    /// Discovery was reinstalled, and its revisions start again at 1. Each of its lists then has a lower revision than
+    /// the known list. If all were refused forever, no change would be applied again. Such a list is accepted after 3 s
+    /// at the earliest and within 6 s.
     #[test]
-    fn that_counts_anew_is_heeded_within_the_time_after_which_its_list_counts_as_told() {
+    fn that_restarts_its_revisions_is_accepted_after_3_to_6_s() {
         run(|net| async move {
             net.announce_endpoints(&[net.endpoint_json("w1", "draining")])
                 .await;
@@ -237,18 +237,18 @@
     /// Discovery's address changes while the dispatcher serves. The old watch is closed, requests are served with
     /// the known list meanwhile, and the complete list is requested at the new address.
     #[test]
-    fn that_moves_is_followed_and_the_list_kept_meanwhile() {
+    fn whose_address_changes_is_called_there_and_the_list_kept_meanwhile() {
         run(|net| async move {
             let mut old = net.take_watch();
-            let moved = tokio::net::TcpListener::bind("127.0.0.1:0")
+            let new_listener = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
                 .expect("port is bound");
-            net.driver.set_discovery_addresses(vec![moved
+            net.driver.set_discovery_addresses(vec![new_listener
                 .local_addr()
-                .expect("address is valid")
+                .expect("socket has an address")
                 .to_string()]);
             let mut call = Conn::new(
-                moved
+                new_listener
                     .accept()
                     .await
                     .expect("discovery is called at its new address")
--- a/crates/dispatcher/tests/dispatcher_state.rs
+++ b/crates/dispatcher/tests/dispatcher_state.rs
@@ -15,12 +15,12 @@
     let decode = harness.start_stream(5, "draft");
     harness.send_from_engine(&decode, tokens(1));
     harness.end_attempt(&decode, Status::Succeeded);
-    let found: Vec<u64> = client_messages(&harness.out)
+    let message_streams: Vec<u64> = client_messages(&harness.out)
         .iter()
         .map(|(stream, _)| *stream)
         .collect();
     assert_eq!(
-        found,
+        message_streams,
         [5, 5, 5, 5],
         "the client gets the acceptance, two tokens and one final answer"
     );
@@ -65,7 +65,7 @@
     );
 }
 
-/// A decode engine begins to drain while a prefill for it runs. The decode attempt must go to another one.
+/// A decode engine begins to drain while a prompt is prefilled. The decode attempt must go to another decode engine.
 #[test]
 fn a_decode_engine_that_drains_while_a_kv_state_is_held_gets_no_attempt() {
     let mut harness = Harness::new();
@@ -82,8 +82,8 @@
     );
 }
 
-/// A hundred requests are open when all prefill engines drain or are gone. Prefills that end seem to free capacity.
-/// No new attempt may be sent to these engines, and each request gets one answer.
+/// A hundred requests are open when all prefill engines drain or are gone. Each prefill that ends frees capacity at its
+/// engine. No new attempt may be sent to these engines, and each request gets one answer.
 #[test]
 fn queued_requests_are_not_sent_to_draining_engines() {
     let mut harness = Harness::new();
@@ -126,7 +126,7 @@
         assert_eq!(
             !harness.attempts(&out).is_empty(),
             again,
-            "{request_class} is sent again"
+            "whether {request_class} is sent again"
         );
         let answers: Vec<Answer> = final_answers(&out).into_iter().map(|(_, a)| a).collect();
         assert_eq!(
@@ -292,13 +292,13 @@
     let wrong_end = |harness: &mut Harness, decode: &SentAttempt| {
         harness.end_attempt(decode, Status::PrefillDone)
     };
-    for breach in [out_of_order, beyond_credit, wrong_end]
+    for violation in [out_of_order, beyond_credit, wrong_end]
         as [fn(&mut Harness, &SentAttempt) -> Vec<Output>; 3]
     {
         let mut harness = Harness::new();
         let decode = harness.start_stream(1, "draft");
         let other = harness.start_stream(2, "draft");
-        let out = breach(&mut harness, &decode);
+        let out = violation(&mut harness, &decode);
         assert!(out
             .iter()
             .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == decode.connection)));
@@ -316,8 +316,8 @@
     }
 }
 
-/// One client reads nothing and another reads at once. Only the second one's decode engine gets credit, and the
-/// first client is closed after the stall timeout.
+/// One stream is not read and another is read immediately. Only the decode engine of the second stream gets credit, and
+/// the connection of the client that does not read is closed after the stall timeout.
 #[test]
 fn a_slow_client_blocks_only_its_own_decode_attempt() {
     let mut harness = Harness::new();
@@ -471,10 +471,10 @@
     ];
     for (stream, (field, submit)) in invalid_requests.into_iter().enumerate() {
         let out = harness.send_from_client(stream as u64 + 1, Body::Submit(submit));
-        let found = client_messages(&out);
+        let messages = client_messages(&out);
         assert!(
-            matches!(&found[..], [(_, Body::InvalidRequest(r))] if r.field == field),
-            "{field}: {found:?}"
+            matches!(&messages[..], [(_, Body::InvalidRequest(r))] if r.field == field),
+            "{field}: {messages:?}"
         );
     }
     assert_eq!(harness.dispatcher.usage().requests, 0);
@@ -581,7 +581,7 @@
         Output::CacheEndpoints(list) => Some(
             list.endpoints
                 .iter()
-                .map(|attempt| attempt.engine.clone())
+                .map(|endpoint| endpoint.engine.clone())
                 .collect::<Vec<_>>(),
         ),
         _ => None,
@@ -616,28 +616,28 @@
 #[test]
 fn many_kv_states_held_at_one_instant_are_all_released_in_time() {
     let mut harness = Harness::new();
-    let mut held = Vec::new();
+    let mut prefills = Vec::new();
     for stream in 1..=400 {
         let out = harness.send_from_client(stream, Body::Submit(submit("draft")));
-        held.extend(harness.attempts(&out));
+        prefills.extend(harness.attempts(&out));
     }
     harness.update_endpoint("w1", EndpointStatus::Gone);
     harness.update_endpoint("w2", EndpointStatus::Gone);
     let mut ended = 0;
     let mut out = Vec::new();
     let begin = harness.now;
-    while let Some(prefill) = held.pop() {
+    while let Some(prefill) = prefills.pop() {
         ended += 1;
-        let now = harness.end_attempt(&prefill, Status::PrefillDone);
-        held.extend(harness.attempts(&now));
-        out.extend(now);
+        let new_out = harness.end_attempt(&prefill, Status::PrefillDone);
+        prefills.extend(harness.attempts(&new_out));
+        out.extend(new_out);
     }
     assert!(ended >= 10, "only {ended} KV states are held");
     assert_eq!(harness.now, begin, "all prefills end at the same instant");
     out.extend(harness.advance(499.0));
     let released = engine_message_names(&out)
         .iter()
-        .filter(|found| **found == "release")
+        .filter(|name| **name == "release")
         .count();
     assert_eq!(released, ended);
 }
@@ -653,7 +653,7 @@
     harness.advance(3000.0);
     harness.handle(Input::Stop);
     assert_eq!(final_answers(&harness.out), []);
-    // The client's deadline expires first, then the grace period.
+    // The deadline expires while the attempt is still open, and the grace period expires after that.
     harness.advance(1500.0);
     assert_eq!(final_answers(&harness.out), [(1, Answer::Failed)]);
     harness.advance(1500.0);
@@ -770,7 +770,7 @@
 }
 
 /// A prefill whose connection breaks may have ended with its report lost. Its KV state is released over the next
-/// connection, and not before the engine can receive the release.
+/// connection to the engine, as the engine can receive no release before that.
 #[test]
 fn the_state_of_a_prefill_with_a_lost_connection_is_released() {
     for request_class in ["draft", "proof"] {
@@ -847,12 +847,12 @@
             .all(|line| line.starts_with("request=0 id=9b1f03aa ")),
         "{lines:#?}"
     );
-    let lines_with = |words: &str| lines.iter().filter(|line| line.contains(words)).count();
+    let count_lines = |part: &str| lines.iter().filter(|line| line.contains(part)).count();
     assert_eq!(
         [
-            lines_with(" arrived "),
-            lines_with(" goes out"),
-            lines_with("outcome=PrefillDone")
+            count_lines(" arrived "),
+            count_lines(" goes out"),
+            count_lines("outcome=PrefillDone")
         ],
         [1, 2, 1],
         "{lines:#?}"
--- a/crates/dispatcher/tests/driver.rs
+++ b/crates/dispatcher/tests/driver.rs
@@ -1,5 +1,5 @@
-//! The driver on in-memory connections and a paused clock: peers that send invalid bytes or nothing, or that claim
-//! another engine's name. The driver serves TCP with the same code.
+//! The dispatcher's driver on in-memory connections and a paused clock, with peers that send invalid bytes, send
+//! nothing, or have another engine's name. The driver uses the same code for TCP.
 
 mod common;
 #[path = "common/net.rs"]
@@ -89,8 +89,8 @@
     });
 }
 
-/// A client opens ten thousand connections and sends nothing. Those beyond the maximum are closed, the others after the
-/// greeting timeout, and then requests are served again.
+/// A client opens ten thousand connections and sends nothing. Connections beyond the limit are closed. The others are
+/// closed after the greeting timeout, and then requests are served again.
 #[test]
 fn ten_thousand_idle_connections_do_not_keep_other_clients_out_for_long() {
     run(|net| async move {
@@ -149,7 +149,7 @@
             .iter()
             .filter(|r| &*r.seer == "w2")
             .count();
-        assert_eq!(sent, 0, "no message is sent to an engine with another name");
+        assert_eq!(sent, 0, "no message is exchanged with the other engine");
     });
 }
 
--- a/crates/dispatcher/tests/endpoint_cache.rs
+++ b/crates/dispatcher/tests/endpoint_cache.rs
@@ -1,4 +1,5 @@
-//! The cache file that provides endpoints at the next start until discovery answers.
+//! The endpoint cache: a file with the last endpoint list, which the dispatcher uses after its next start until
+//! discovery answers.
 
 use cindercleat_dispatcher::endpoint_cache::{self, CacheError};
 use cindercleat_protocol::v1::{Endpoint, EndpointList, EndpointStatus, EndpointUpdateKind};
@@ -51,7 +52,7 @@
     let path = path(test);
     std::fs::write(&path, bytes).expect("file is written");
     let loaded = endpoint_cache::load(&path);
-    std::fs::remove_file(path).expect("file exists");
+    std::fs::remove_file(path).expect("file is removed");
     loaded
 }
 
@@ -69,14 +70,14 @@
     let path = path("written");
     endpoint_cache::save(&path, &list()).expect("file is written");
     let bytes = std::fs::read(&path).expect("file exists");
-    std::fs::remove_file(path).expect("file exists");
+    std::fs::remove_file(path).expect("file is removed");
     assert_eq!(
         bytes.escape_ascii().to_string(),
         STORED.escape_ascii().to_string()
     );
 }
 
-/// A disk returns other bytes than were written, or the file is truncated. Without a check, a list with a wrong
+/// A disk returns bytes that differ from those written, or the file is truncated. Without a check, a list with a wrong
 /// address or missing engines would be used until discovery answers. The damage is detected instead.
 #[test]
 fn a_damaged_file_is_not_used() {
--- a/crates/dispatcher/tests/engine_connection_ends.rs
+++ b/crates/dispatcher/tests/engine_connection_ends.rs
@@ -1,9 +1,9 @@
 //! Engines that close connections, leave service or are replaced while requests are sent to them: no at-most-once
 //! request runs twice, and no request that has not run is lost.
 //!
-//! Each test forces the order of events that would lose an answer or a release, on TCP sockets and with clients,
-//! engines and discovery that the test controls. docs/acceptance.md lists the guarantees of each path and names its
-//! tests.
+//! Each test runs a dispatcher on TCP sockets and acts as its clients, its engines and its discovery service. The test
+//! forces an order of events that could lose an answer or a release. docs/acceptance.md lists the guarantees of each
+//! path and names its tests.
 
 mod common;
 #[path = "common/loopback.rs"]
@@ -18,8 +18,8 @@
     use super::*;
     use test_case::test_case;
 
-    /// Serves a request, which leaves an idle connection to each engine. Returns the prefill's and the decode
-    /// engine's end of these.
+    /// Serves a request, which leaves an idle connection to each engine. Returns the ends of these connections at the
+    /// prefill engine and at the decode engine.
     async fn open_idle_connections(net: &Loopback) -> (Conn, Conn) {
         let mut client = net.send_request("first", "draft").await;
         let (mut prefill, _) = net.engine("r1").accept_request().await;
@@ -36,7 +36,7 @@
     /// Engines close idle connections just as the next request comes. Nothing was written on these connections, so
     /// even an at-most-once request is sent on a new connection, exactly once.
     #[test]
-    fn a_resting_connection_as_the_next_request_comes_gets_it_once_on_another() {
+    fn an_idle_connection_as_the_next_request_comes_gets_it_once_on_another() {
         for class in CLASSES {
             run(|net| async move {
                 let (prefill, decode) = open_idle_connections(&net).await;
@@ -68,7 +68,7 @@
     #[test_case("HTTP/1.1 200 OK\r\nContent-Ty"; "within a line of the head")]
     #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; "after the head")]
     #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata:"; "within its first event")]
-    fn after_the_whole_request_may_have_run_it(part: &str) {
+    fn after_the_complete_request_may_have_run_it(part: &str) {
         for class in CLASSES {
             run(|net| async move {
                 let (mut client, mut decode) = net.start_decode("a", class).await;
@@ -100,7 +100,7 @@
     /// has received no event, so the dispatcher can still answer or retry the request. Counting the chunks as the
     /// start of a stream would leave the client with half an event.
     #[test]
-    fn within_its_first_event_and_between_two_chunks_has_begun_no_stream() {
+    fn within_its_first_event_and_between_two_chunks_has_not_started_a_stream() {
         for part in [
             "6\r\ndata: \r\n",
             "6\r\ndata: \r\n2\r\na\n\r\n",
@@ -141,7 +141,7 @@
     /// An engine closes the connection after the last event and before the last chunk. The client gets all events
     /// and no last chunk, so it sees that the stream is incomplete.
     #[test]
-    fn between_the_last_event_and_the_last_chunk_leaves_the_stream_open_ended() {
+    fn between_the_last_event_and_the_last_chunk_leaves_the_stream_incomplete() {
         run(|net| async move {
             let OpenRequest { mut client, engine } =
                 start_request(&net, Stage::Streaming, "draft").await;
@@ -149,7 +149,7 @@
             engine.send(EVENT).await;
             drop(engine);
             let rest = client.read_to_end().await;
-            assert_eq!(rest, EVENT, "all events and no last chunk");
+            assert_eq!(rest, EVENT, "the client gets all events and no last chunk");
             net.wait_until_no_request_open().await;
             assert!(
                 !net.engine("w1").has_pending_connection(),
@@ -161,7 +161,7 @@
     /// An engine sends the end of its answer and closes the connection at the same moment. The close must not
     /// discard the answer that came before it.
     #[test]
-    fn with_the_end_of_its_answer_in_one_turn_has_served() {
+    fn together_with_the_end_of_its_answer_has_served_the_request() {
         run(|net| async move {
             let OpenRequest { mut client, engine } =
                 start_request(&net, Stage::Streaming, "proof").await;
@@ -201,7 +201,7 @@
     /// The connection is established after that. The attempt must go to another engine.
     #[test_case(Departure::Draining; "draining")]
     #[test_case(Departure::Removed; "removed")]
-    fn gets_nothing_that_still_waited_for_a_connection_to_it(departure: Departure) {
+    fn gets_no_attempt_that_waited_for_a_connection_to_it(departure: Departure) {
         run_with(limits(), &["r1", "w1", "w2"], |net| async move {
             for engine in ["w1", "w2"] {
                 net.gate.block(&net.engine(engine).address);
@@ -239,7 +239,7 @@
     /// engine gets no further request, and its connection is closed once it is idle.
     #[test_case(Departure::Draining; "draining")]
     #[test_case(Departure::Removed; "removed")]
-    fn finishes_the_stream_that_it_has_and_gets_no_other(departure: Departure) {
+    fn finishes_its_open_stream_and_gets_no_further_request(departure: Departure) {
         run(|net| async move {
             let OpenRequest { mut client, engine } =
                 start_request(&net, Stage::Streaming, "proof").await;
@@ -282,14 +282,14 @@
                 .await;
             let mut prefill = tokio::select! { biased;
                 conn = accept_attempt(&net, other, "a") => conn,
-                () = net.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
+                () = net.advance_until(|| false) => unreachable!("the clock advances until the other branch completes"),
             };
             prefill.send(PREFILL_ANSWER).await;
             // The dispatcher avoids the decode engine for a moment, and then sends the next attempt on its idle
             // connection.
             let again = tokio::select! { biased;
                 request = decode.read_request() => request,
-                () = net.advance_until(|| false) => unreachable!("the clock is advanced until the other branch ends"),
+                () = net.advance_until(|| false) => unreachable!("the clock advances until the other branch completes"),
             };
             assert_eq!(again.id(), "a");
             decode
@@ -307,7 +307,7 @@
     /// An engine's process is replaced under the same name at another address. The open request finishes at the old
     /// process, and the next request goes to the new one.
     #[test]
-    fn under_the_same_name_gets_what_comes_next_and_the_old_one_nothing_more() {
+    fn under_the_same_name_gets_the_next_request_and_the_old_process_none() {
         run(|net| async move {
             let OpenRequest { mut client, engine } =
                 start_request(&net, Stage::Decoding, "proof").await;
@@ -315,11 +315,11 @@
             let new = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
                 .expect("port is bound");
-            let address = new.local_addr().expect("address is valid").to_string();
-            let line = net
+            let address = new.local_addr().expect("socket has an address").to_string();
+            let entry = net
                 .endpoint_json("w1", "up")
                 .replace(&net.engine("w1").address, &address);
-            net.announce_endpoints(&[line]).await;
+            net.announce_endpoints(&[entry]).await;
             let mut next = net.send_request("b", "proof").await;
             net.serve_prefill().await;
             let mut decode = Conn::new(new.accept().await.expect("connection is accepted").0);
@@ -338,13 +338,13 @@
     }
 }
 
-mod a_request_that_is_passed_on {
+mod a_forwarded_request {
     use super::*;
 
-    /// Platforms choose the names of their idempotency headers and of other headers for engines, so end-to-end
-    /// headers pass unchanged. Hop-by-hop headers are removed.
+    /// Platforms choose the names of their idempotency headers and of other headers for engines, so the dispatcher
+    /// forwards end-to-end headers unchanged. It removes hop-by-hop headers.
     #[test]
-    fn keeps_the_headers_that_are_meant_for_its_engine_and_no_others() {
+    fn keeps_end_to_end_headers_and_loses_hop_by_hop_headers() {
         run(|net| async move {
             let mut client = net.connect().await;
             let extra_headers = "Idempotency-Key: 7c/1 a\r\nx-order: 9\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\n";
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -1,5 +1,5 @@
-//! Clients that leave in each state of their request: no first or further attempt starts after that, and the KV
-//! state that is held for the request is released.
+//! Clients that leave at each stage of their request. The dispatcher sends no attempt of the request after that, and
+//! releases the KV state that is held for the request.
 
 mod common;
 
@@ -28,6 +28,7 @@
     harness
 }
 
+/// Ends the request of client connection 1.
 fn leave(harness: &mut Harness, departure: Departure) -> Vec<Output> {
     match departure {
         Departure::Closes => harness.handle(Input::ClientClosed {
@@ -37,7 +38,8 @@
     }
 }
 
-fn dialled(out: &[Output]) -> Vec<EngineConnectionId> {
+/// The connections that `out` dials.
+fn dialled_connections(out: &[Output]) -> Vec<EngineConnectionId> {
     let dial = |output: &Output| match output {
         Output::Dial { connection, .. } => Some(*connection),
         _ => None,
@@ -45,7 +47,8 @@
     out.iter().filter_map(dial).collect()
 }
 
-/// Checks that no attempt is sent from now on, whichever connections are established and however long it takes.
+/// Establishes the pending connections, advances the clock past the request's deadline, and checks that no attempt is
+/// sent and no request is kept.
 fn assert_no_attempt_starts(
     harness: &mut Harness,
     mut out: Vec<Output>,
@@ -62,7 +65,7 @@
     assert_eq!(
         harness.attempts(&out).len(),
         0,
-        "an attempt is sent for a client that has left: {out:?}"
+        "no attempt is sent for a client that has left: {out:?}"
     );
     assert_eq!(harness.dispatcher.usage().requests, 0, "no request is kept");
 }
@@ -73,13 +76,13 @@
 #[test_case(Departure::Closes, false; "closes where attempts cannot be cancelled")]
 #[test_case(Departure::Cancels, true; "cancels")]
 #[test_case(Departure::Cancels, false; "cancels where attempts cannot be cancelled")]
-fn a_client_that_leaves_while_its_first_attempt_waits_for_a_connection(
+fn no_attempt_is_sent_for_a_client_that_left_before_its_first_connection(
     departure: Departure,
     may_cancel: bool,
 ) {
     let mut harness = harness(may_cancel, false);
     let out = harness.send_from_client(1, Body::Submit(submit("draft")));
-    let connections = dialled(&out);
+    let connections = dialled_connections(&out);
     assert_eq!(
         (connections.len(), harness.attempts(&out).len()),
         (1, 0),
@@ -92,7 +95,10 @@
 /// A client leaves while its prompt is prefilled. No decode attempt starts, and the KV state is released.
 #[test_case(Departure::Closes, true; "closes")]
 #[test_case(Departure::Cancels, false; "cancels where attempts cannot be cancelled")]
-fn a_client_that_leaves_while_its_prompt_is_prefilled(departure: Departure, may_cancel: bool) {
+fn a_client_that_leaves_during_its_prefill_gets_no_decode_attempt(
+    departure: Departure,
+    may_cancel: bool,
+) {
     let mut harness = harness(may_cancel, true);
     let prefill = harness.start_prefill(1, "draft");
     let mut out = leave(&mut harness, departure);
@@ -100,7 +106,7 @@
     assert_no_attempt_starts(&mut harness, out, &[]);
     assert!(
         engine_message_names(&harness.out).contains(&"release"),
-        "its KV state is released"
+        "the request's KV state is released"
     );
 }
 
@@ -108,13 +114,13 @@
 /// is released.
 #[test_case(Departure::Closes; "closes")]
 #[test_case(Departure::Cancels; "cancels")]
-fn a_client_that_leaves_between_prefill_and_decode(departure: Departure) {
+fn a_client_that_leaves_between_prefill_and_decode_gets_no_decode_attempt(departure: Departure) {
     for may_cancel in [true, false] {
         let mut harness = harness(may_cancel, true);
         let prefill = harness.start_prefill(1, "draft");
         harness.dials_succeed = false;
         let out = harness.end_attempt(&prefill, Status::PrefillDone);
-        let connections = dialled(&out);
+        let connections = dialled_connections(&out);
         assert_eq!(
             (connections.len(), harness.attempts(&out).len()),
             (1, 0),
@@ -124,7 +130,7 @@
         assert_no_attempt_starts(&mut harness, out, &connections);
         assert!(
             engine_message_names(&harness.out).contains(&"release"),
-            "its KV state is released"
+            "the request's KV state is released"
         );
     }
 }
@@ -133,12 +139,12 @@
 /// must not be sent.
 #[test_case(Departure::Closes; "closes")]
 #[test_case(Departure::Cancels; "cancels")]
-fn a_client_that_leaves_while_a_further_attempt_waits_for_a_connection(departure: Departure) {
+fn a_client_that_leaves_before_a_retry_is_connected_gets_no_further_attempt(departure: Departure) {
     let mut harness = harness(true, true);
     let decode = harness.start_decode(1, "draft");
     harness.dials_succeed = false;
     let out = harness.end_attempt(&decode, Status::Overloaded);
-    let connections = dialled(&out);
+    let connections = dialled_connections(&out);
     let out = leave(&mut harness, departure);
     assert_no_attempt_starts(&mut harness, out, &connections);
 }
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -23,23 +23,23 @@
     }
 }
 
-/// Milliseconds within which a dispatcher forwards a cancel on connections without delay.
+/// Milliseconds within which a dispatcher forwards a cancel. The in-memory connections add no delay.
 const FORWARDING_LIMIT_MS: f64 = 5.0;
 
-/// Checks that after a while no request is open and no KV state is held.
+/// Checks after 600 ms that no request is open and no KV state is held.
 async fn assert_nothing_left(net: &Net) {
     net.wait(600.0).await;
-    assert_eq!(net.driver.usage().requests, 0, "a request is still open");
+    assert_eq!(net.driver.usage().requests, 0, "no request is open");
     assert!(
         net.engines.iter().all(|engine| engine.states() == 0),
-        "a KV state is still held"
+        "no KV state is held"
     );
 }
 
-/// A client cancels in the middle of a stream. Without the cancel the decode engine would continue for no client.
-/// The engine gets the cancel at once, the request is not run again, and no KV state remains.
+/// A client cancels in the middle of a stream. Without the cancel the decode engine would continue for no client. The
+/// engine gets the cancel within [`FORWARDING_LIMIT_MS`], the request is not run again, and no KV state remains.
 #[test]
-fn a_cancel_in_mid_stream_reaches_the_decode_engine_soon() {
+fn a_cancel_in_mid_stream_reaches_the_decode_engine_in_time() {
     for request_class in ["draft", "proof"] {
         run(|net| async move {
             let (port, cancelled_at, token_count) = (net.port("c"), Cell::new(0.0), Cell::new(0));
@@ -74,8 +74,8 @@
     }
 }
 
-/// A client cancels during the prefill. The prefill engine gets the cancel at once, no KV state remains, and nothing
-/// is decoded.
+/// A client cancels during the prefill. The prefill engine gets the cancel within [`FORWARDING_LIMIT_MS`], no KV state
+/// remains, and nothing is decoded.
 #[test]
 fn a_cancel_during_prefill_leaves_nothing() {
     run(|net| async move {
@@ -245,13 +245,13 @@
         }
         assert!(
             ends.len() >= 2,
-            "each side wins the race at least once: {ends:?}"
+            "the deadline and the answer each come first at least once: {ends:?}"
         );
         assert_nothing_left(&net).await;
-        let ran = net.executed_keys();
+        let executed_keys = net.executed_keys();
         assert_eq!(
-            ran.iter().collect::<BTreeSet<_>>().len(),
-            ran.len(),
+            executed_keys.iter().collect::<BTreeSet<_>>().len(),
+            executed_keys.len(),
             "no request ran twice"
         );
     });
@@ -281,7 +281,7 @@
         for client in clients {
             client.await.expect("client task ends without a panic");
         }
-        let ran: BTreeSet<String> = net.executed_keys().into_iter().collect();
+        let executed_keys: BTreeSet<String> = net.executed_keys().into_iter().collect();
         let (mut succeeded, mut rejected) = (0, 0);
         for (n, end) in &*ends.borrow() {
             match end {
@@ -289,7 +289,7 @@
                 End::Rejected { .. } | End::Unsent => {
                     rejected += 1;
                     assert!(
-                        !ran.contains(&format!("k{n}")),
+                        !executed_keys.contains(&format!("k{n}")),
                         "k{n} ran although its client may retry it"
                     );
                 }
@@ -350,7 +350,7 @@
             else {
                 break;
             };
-            // Waits until the request is accepted, and cancels it at once.
+            // Waits until the request is accepted, and cancels it immediately.
             match stream.next().await {
                 Some(Body::Accepted(_)) => stream.say(Body::Cancel(v1::Cancel {})),
                 _ => {
@@ -368,7 +368,7 @@
             .count();
         assert!(
             message_count < 400,
-            "the client has sent and received {message_count} messages"
+            "the client is disconnected early, not after {message_count} messages"
         );
         assert_eq!(net.request("other").await.0, End::Succeeded);
         assert_nothing_left(&net).await;
@@ -376,8 +376,8 @@
     });
 }
 
-/// A client cancels a request now and then for a long time. A limit that is never refilled would disconnect it in
-/// the end.
+/// A client cancels a request now and then for a long time. If the cancel budget were never refilled, the client would
+/// eventually be disconnected.
 #[test]
 fn cancels_at_a_moderate_rate_are_accepted() {
     let limits = Limits {
@@ -458,7 +458,7 @@
         assert_eq!(
             net.driver.client_connections(),
             0,
-            "the connection no longer counts"
+            "the connection is closed"
         );
         assert_nothing_left(&net).await;
         drop(stream);
@@ -481,7 +481,7 @@
         let (first, second) = tokio::join!(first, rest);
         assert_eq!((first, second), (End::Succeeded, End::Succeeded));
         assert_eq!(net.executed_keys(), ["k1", "k2"]);
-        let conns: BTreeSet<u64> = net
+        let connections: BTreeSet<u64> = net
             .transcript
             .records()
             .iter()
@@ -489,7 +489,7 @@
             .map(|r| r.conn)
             .collect();
         assert!(
-            conns.len() >= 2,
+            connections.len() >= 2,
             "the second attempt takes a new connection"
         );
         assert_nothing_left(&net).await;
@@ -504,7 +504,7 @@
             .iter()
             .for_each(|engine| engine.trouble(|t| t.resets = 0.4));
         let port = net.port("c");
-        let mut seen = BTreeSet::new();
+        let mut outcomes = BTreeSet::new();
         for n in 0..80 {
             let request_class = if n % 2 == 0 { "proof" } else { "draft" };
             let submit = v1::Submit {
@@ -512,7 +512,7 @@
                 ..submit(request_class, &format!("{request_class}{n}"))
             };
             let end = port.run(submit, None, |_| {}).await;
-            seen.insert(
+            outcomes.insert(
                 format!("{end:?}")
                     .split(' ')
                     .next()
@@ -526,15 +526,19 @@
                 );
             }
         }
-        let proofs: Vec<String> = net
+        let at_most_once_keys: Vec<String> = net
             .executed_keys()
             .into_iter()
             .filter(|k| k.starts_with("proof"))
             .collect();
-        assert_eq!(proofs.iter().collect::<BTreeSet<_>>().len(), proofs.len());
+        assert_eq!(
+            at_most_once_keys.iter().collect::<BTreeSet<_>>().len(),
+            at_most_once_keys.len(),
+            "no at-most-once request ran twice"
+        );
         assert!(
-            seen.contains("Succeeded") && seen.contains("Failed"),
-            "{seen:?}"
+            outcomes.contains("Succeeded") && outcomes.contains("Failed"),
+            "{outcomes:?}"
         );
         net.engines
             .iter()
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -26,6 +26,7 @@
     transcript: Transcript,
 }
 
+/// Runs a test against a dispatcher with these limits and engines, on TCP sockets and the system clock.
 fn run<F: Future<Output = ()>>(limits: Limits, engines: &[&str], test: impl FnOnce(Fixture) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -35,7 +36,7 @@
         let (clock, transcript) = (TokioClock::system(), Transcript::default());
         let discovery = Discovery::new("list", clock, transcript.clone(), 0.0);
         let listener = Tcp.listen("127.0.0.1:0").await.expect("port is bound");
-        let feed_address = listener.address();
+        let discovery_address = listener.address();
         spawn_local(discovery.clone().serve::<Tcp>(listener));
         let mut started = Vec::new();
         for name in engines {
@@ -57,7 +58,7 @@
             ..common::settings()
         };
         let locations = Locations {
-            discovery: vec![feed_address],
+            discovery: vec![discovery_address],
             ..Locations::default()
         };
         let driver = Driver::new(settings, locations, Tcp, clock, 1);
@@ -109,7 +110,8 @@
     }
 }
 
-/// The messages of the reply stream, and the error status that ended it, if any.
+/// Calls the method at `path`. Returns the messages of the reply stream, and the error status if the stream ended with
+/// one.
 async fn call(
     fixture: &Fixture,
     request: Request<v1::Submit>,
@@ -366,7 +368,7 @@
         while !cancelled() {
             assert!(
                 clock.now() < begin + 10_000.0,
-                "the prefill is not cancelled although the client's call has ended"
+                "the prefill is cancelled within 10 s after the end of the client's call"
             );
             clock.sleep_until(clock.now() + 2.0).await;
         }
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -43,7 +43,7 @@
     memory: Memory,
     clock: TokioClock,
     driver: Driver<Memory, TokioClock, Http1>,
-    /// The requests that engines have received, as `engine: request-line id`.
+    /// The requests that engines have received, in order. Each entry is `engine: request-line id`.
     engine_requests: Rc<RefCell<Vec<String>>>,
     /// The current behaviour of the decode engine.
     decode_answer: Rc<Cell<DecodeAnswer>>,
@@ -57,15 +57,20 @@
 #[derive(Clone, Copy, PartialEq)]
 enum DiscoveryAnswer {
     Good,
+    /// Sends its answer only after 60 s.
     Silent,
+    /// Sends half of a list.
     Garbage,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum DecodeAnswer {
     Good,
+    /// Closes the connection after the first event.
     Breaks,
+    /// Closes the connection after 60 s without an answer.
     Silent,
+    /// Answers with bytes that are not HTTP.
     Garbage,
     /// Rejects the first request because its KV state is not found.
     NoKvState,
@@ -246,14 +251,15 @@
                             .await;
                         continue;
                     }
-                    let whole = !head.contains("after=");
+                    let complete = !head.contains("after=");
                     let lines = [line("r1", "reader"), line("w1", "writer")].join(",");
-                    let members = if whole { lines } else { String::new() };
-                    if !whole {
+                    let members = if complete { lines } else { String::new() };
+                    if !complete {
                         net.wait(500.0).await;
                     }
-                    let text =
-                        format!("{{\"revision\":1,\"complete\":{whole},\"members\":[{members}]}}");
+                    let text = format!(
+                        "{{\"revision\":1,\"complete\":{complete},\"members\":[{members}]}}"
+                    );
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
                     if io.write_all((head + &text).as_bytes()).await.is_err() {
                         return;
@@ -280,8 +286,9 @@
         self.read_answer(&mut io, 6000.0).await
     }
 
-    async fn read_answer(&self, io: &mut DuplexStream, within: f64) -> String {
-        let until = self.clock.now() + within;
+    /// Returns the answer up to its last chunk, the end of the connection or `max_wait` milliseconds.
+    async fn read_answer(&self, io: &mut DuplexStream, max_wait: f64) -> String {
+        let until = self.clock.now() + max_wait;
         let mut text = Vec::new();
         loop {
             let mut part = [0; 1000];
@@ -299,11 +306,12 @@
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    fn count_engine_requests(&self, what: &str) -> usize {
+    /// The number of requests at engines whose entry in `engine_requests` contains `part`.
+    fn count_engine_requests(&self, part: &str) -> usize {
         self.engine_requests
             .borrow()
             .iter()
-            .filter(|request| request.contains(what))
+            .filter(|request| request.contains(part))
             .count()
     }
 }
@@ -420,8 +428,9 @@
     });
 }
 
-/// The number of releases after an attempt is closed. A release may overtake the close, which goes over another
-/// connection, so it is repeated for some seconds unless the attempt's engine is seen to work.
+/// The number of releases after the close of an attempt. The close goes over another connection, and a release may
+/// overtake it. The release is therefore repeated for some seconds, unless a later answer of the attempt's engine shows
+/// that the engine works.
 const RELEASES_AFTER_CLOSE: std::ops::RangeInclusive<usize> = 2..=16;
 
 /// A client disconnects while its decode engine is unresponsive. The attempt is closed and the KV state released.
@@ -441,7 +450,7 @@
         assert_eq!(
             net.count_engine_requests("DELETE /bootstrap/rooms/a1"),
             2,
-            "one release at once, one after the close"
+            "one release immediately, one after the close"
         );
         assert_eq!(net.driver.usage().requests, 0);
         net.wait(20_000.0).await;
@@ -542,7 +551,7 @@
             let calls = net.discovery_calls.borrow().len();
             assert!(
                 (3..40).contains(&calls),
-                "called again at a bounded rate: {calls} calls"
+                "discovery is called again at a bounded rate: {calls} calls"
             );
             assert!(
                 net.request("a1", "draft").await.ends_with("0\r\n\r\n"),
@@ -559,9 +568,9 @@
     }
 }
 
-/// Discovery's agent was unresponsive and answers again; calls from before stay unanswered. The list that the agent
-/// has then counts as current at once. So, whenever the agent returns between two calls, the next call must reach it
-/// within the drain grace period.
+/// Discovery's agent was unresponsive and answers again; earlier calls stay unanswered. From that moment its list
+/// counts as current. Whenever the agent returns between two calls, the next call must therefore reach it within the
+/// drain grace period.
 #[test]
 fn an_agent_that_responds_again_is_called_within_the_drain_grace_period() {
     let process = ProcessLimits {
@@ -592,7 +601,7 @@
                 net.wait(425.0).await;
                 assert!(
                     !net.discovery_calls.borrow().is_empty(),
-                    "phase {phase}: discovery was not called in time after its return"
+                    "phase {phase}: discovery is called within 425 ms after its return"
                 );
                 net.discovery_calls.borrow_mut().clear();
                 net.wait(3_000.0).await;
@@ -622,14 +631,14 @@
         late.write_all(request_text("a2", "draft").as_bytes())
             .await
             .expect("bytes are written");
-        for (io, what) in [
+        for (io, name) in [
             (&mut io, "the open request"),
             (&mut late, "the late request"),
         ] {
             let answer = net.read_answer(io, 1000.0).await;
             assert!(
                 answer.ends_with("0\r\n\r\n"),
-                "{what} is answered: {answer}"
+                "{name} is answered: {answer}"
             );
             assert!(answer.contains("\r\nConnection: close\r\n"), "{answer}");
         }
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -1,7 +1,7 @@
-//! Random sequences of inputs to the dispatcher, and the invariants that must hold after each input: each request
-//! gets one final answer and no message after it, has at most one open attempt, and no attempt goes to an engine
-//! that is not ready. An at-most-once request that may have run gets no second decode attempt, no KV state stays
-//! pinned, and the dispatcher holds nothing at the end.
+//! Random sequences of inputs to the dispatcher, and the invariants that must hold after each input: each request gets
+//! one final answer and no message after it, has at most one open attempt, and no attempt goes to an engine that is not
+//! ready. An at-most-once request that may have run gets no second decode attempt, no KV state stays pinned, and no
+//! request, connection or timer remains at the end.
 
 mod common;
 
@@ -59,23 +59,29 @@
     dispatcher: Dispatcher,
     now: Ms,
     statuses: BTreeMap<&'static str, EndpointStatus>,
+    /// Connections that are being established, with the names of their engines.
     dialled: Vec<(EngineConnectionId, String)>,
+    /// Established connections, with the names of their engines.
     connections: BTreeMap<EngineConnectionId, String>,
     attempts: Vec<Attempt>,
     /// Attempts that the dispatcher has cancelled and that their engines have not ended.
     cancelled: Vec<Attempt>,
     requests: BTreeMap<u32, Request>,
     request_by_stream: BTreeMap<u64, u32>,
-    /// For each KV state at a prefill engine, the time from which no open attempt needs it; infinite while one does.
+    /// For each KV state at a prefill engine, the time since which no open attempt needs the state; infinite while an
+    /// attempt needs it.
     unneeded_since: BTreeMap<StateKey, Ms>,
-    /// The prefill engine of each KV state.
+    /// The prefill engine that holds each KV state.
     holder: BTreeMap<StateKey, String>,
     next_stream: u64,
+    /// The number of final answers of each kind.
     answers: [usize; 3],
+    /// The connection and stream of each health check that is not answered.
     health_checks: Vec<(EngineConnectionId, u64)>,
+    /// The connections of pings that are not answered.
     pings: Vec<EngineConnectionId>,
-    /// Releases that were sent and are not answered. The state is present if the release is lost on its way to the
-    /// holder.
+    /// The releases that were sent and are not answered: connection, stream, and the KV state if the release does not
+    /// reach the engine that holds the state.
     releases: Vec<(EngineConnectionId, u64, Option<StateKey>)>,
     /// The time at which the dispatcher could first have released each state.
     releasable_since: BTreeMap<StateKey, Ms>,
@@ -112,8 +118,8 @@
         for output in out {
             self.check_output(output)?;
         }
-        // The dispatcher cannot send a release while it has no connection to the engine. A release that it has given
-        // up is left to the engine's own timeout.
+        // The dispatcher cannot send a release while it has no connection to the engine. After it has given up a
+        // release, the engine's own timeout frees the state.
         let now = self.now;
         self.unneeded_since
             .retain(|_, since| since.is_infinite() || now < *since + GIVE_UP_AFTER_MS);
@@ -159,7 +165,7 @@
                 let Some(request) = self
                     .request_by_stream
                     .get(&stream)
-                    .and_then(|t| self.requests.get_mut(t))
+                    .and_then(|id| self.requests.get_mut(id))
                 else {
                     return Ok(());
                 };
@@ -299,7 +305,8 @@
         Ok(())
     }
 
-    /// Updates the KV state of a decode attempt that has ended: it must be released now, unless the attempt took it.
+    /// Records the end of a decode attempt. If its KV state remains at the prefill engine and the attempt has sent no
+    /// token, the state must be released from now on.
     fn decode_ended(&mut self, attempt: &Attempt, state_remains: bool) {
         let key = (attempt.state.request, attempt.state.attempt);
         if attempt.is_decode {
@@ -324,7 +331,7 @@
         self.attempts = rest;
         for attempt in &lost as &Vec<Attempt> {
             self.decode_ended(attempt, true);
-            // Half of the prefills had ended, with the report of their end lost.
+            // Half of the lost prefills had ended, and the reports of their ends are lost with the connection.
             let engine = self
                 .holder
                 .get(&(attempt.state.request, attempt.state.attempt))
@@ -346,8 +353,8 @@
                 .or_default()
                 .may_have_run = false;
         }
-        // Half of the decode engines that report a missing state could not reach its prefill engine; the state
-        // exists.
+        // For half of the attempts that end with `NoState`, the decode engine could not reach the prefill engine, and
+        // the state still exists there.
         let unreached = status == Status::NoState && attempt.stream.is_multiple_of(2);
         self.decode_ended(
             &attempt,
@@ -431,7 +438,7 @@
                 if let Some(request) = self
                     .request_by_stream
                     .get(&stream)
-                    .and_then(|t| self.requests.get_mut(t))
+                    .and_then(|id| self.requests.get_mut(id))
                 {
                     request.cancelled_by_client = !request.answered;
                 }
@@ -450,7 +457,7 @@
                 ][usize::from(target >> 5) % 4];
                 self.statuses.insert(engine, status);
                 if status == EndpointStatus::Gone {
-                    // The states end with the engine's process.
+                    // The engine's process has ended, and its KV states with it.
                     let holder = &self.holder;
                     self.unneeded_since
                         .retain(|key, _| holder.get(key).is_none_or(|name| name != engine));
@@ -596,7 +603,7 @@
         let counts = self.dispatcher.invariant_counts();
         prop_assert!(
             counts.violated.is_empty(),
-            "an invariant check has prevented an action: {:?}",
+            "no invariant check has prevented an action: {:?}",
             counts
         );
         Ok(())
@@ -628,7 +635,8 @@
     }
 }
 
-/// The random steps are useful only if each kind of answer is frequent enough.
+/// The random test checks little if some kind of final answer hardly occurs. A fixed sequence of steps must give each
+/// kind more than 100 times.
 #[test]
 fn random_inputs_produce_every_kind_of_answer() {
     let steps: Vec<RandomStep> = (0..30_000u32)
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -8,36 +8,40 @@
 use common::engines::*;
 use common::*;
 
-/// Milliseconds, a few round trips, within which a close and a call that are sent at once on two connections may
-/// arrive in either order.
+/// Milliseconds after which the order of arrival is certain: a close and a call that are sent at the same moment on two
+/// connections arrive within a few round trips, in either order.
 const REORDERING_WINDOW_MS: f64 = 20.0;
 
-/// Returns after how many milliseconds a release of the request reaches an engine that responds, ignoring the first
-/// `after` ms; `None` if there is none within 4 s.
-fn time_until_released(harness: &mut Harness, conn: u64, after: f64) -> Option<f64> {
+/// Returns the milliseconds until a release of the request is sent to a responsive engine. Releases in the first
+/// `ignored_ms` are not counted. Returns `None` if no release is sent within 4 s.
+fn time_until_released(harness: &mut Harness, request_id: u64, ignored_ms: f64) -> Option<f64> {
     let since = harness.now;
-    harness.advance(after);
+    harness.advance(ignored_ms);
     while harness.now - since < 4_000.0 {
         let out = harness.advance(5.0);
-        if release_arrives(harness, conn, &out) {
+        if release_arrives(harness, request_id, &out) {
             return Some(harness.now - since);
         }
     }
     None
 }
 
-/// Starts a decode attempt at an engine that then hangs: its machine accepts connections and calls, and answers
-/// none.
-fn start_decode_at_hanging_engine(harness: &mut Harness, conn: u64, class: &str) -> SentAttempt {
+/// Starts a decode attempt at an engine that then hangs: its machine still accepts connections, and the engine answers
+/// no call.
+fn start_decode_at_hanging_engine(
+    harness: &mut Harness,
+    request_id: u64,
+    class: &str,
+) -> SentAttempt {
     harness.unresponsive_engines_accept = true;
     warm_up(harness);
-    let decode = start_decode(harness, conn, class);
+    let decode = start_decode(harness, request_id, class);
     make_unresponsive(harness, &[decode.engine.as_str()]);
     decode
 }
 
-/// A decode engine hangs with an attempt that needs a KV state, so a release that is confirmed meanwhile may have no
-/// effect. The release is sent again once the attempt is over.
+/// A decode engine hangs with an attempt that needs a KV state. A release that is confirmed while the attempt is open
+/// may have no effect, so the release is sent again after the end of the attempt.
 #[test]
 fn a_release_confirmed_during_an_attempt_is_sent_again_after_it() {
     for ends_by_deadline in [false, true] {
@@ -86,10 +90,10 @@
     }
 }
 
-/// Serves requests until one is decoded at the engine, which shows that the engine works.
+/// Serves requests until one is decoded at the engine. This shows the dispatcher that the engine works.
 fn serve_request_at(harness: &mut Harness, engine: &str) {
-    for conn in 5_000.. {
-        let decode = start_decode(harness, conn, "draft");
+    for request_id in 5_000.. {
+        let decode = start_decode(harness, request_id, "draft");
         harness.send_from_engine(&decode, tokens(0));
         harness.end_attempt(&decode, Status::Succeeded);
         if decode.engine == engine {
@@ -98,8 +102,8 @@
     }
 }
 
-/// A client leaves, and the engine of its attempt works. The engine has then noticed the close, so a release that is
-/// confirmed after that is the last one.
+/// A client leaves, and the engine of its attempt serves another request afterwards. The engine has then noticed the
+/// close of the attempt, so a release that is confirmed after that is the last one.
 #[test]
 fn a_release_confirmed_after_the_engine_has_worked_is_the_last() {
     for class in ["draft", "proof"] {
@@ -110,13 +114,17 @@
         let out = harness.handle(Input::ClientClosed {
             conn: ClientConnectionId(1),
         });
-        assert_eq!(releases_of(1, &out).len(), 1, "{class}: a release at once");
+        assert_eq!(
+            releases_of(1, &out).len(),
+            1,
+            "{class}: a release is sent immediately"
+        );
         serve_request_at(&mut harness, &decode.engine);
         let out = harness.advance(release_limit());
         assert_eq!(
             releases_of(1, &out).len(),
             1,
-            "{class}: one release after the close"
+            "{class}: one more release is sent after the close"
         );
         let out = harness.advance(20_000.0);
         assert_eq!(
@@ -127,8 +135,8 @@
     }
 }
 
-/// A hanging engine may notice the close of its attempt at any time, and the timeout of the KV state counts from
-/// then on. The releases must follow each other closely enough for any such time.
+/// A hanging engine may notice the close of its attempt at any time, and the KV state timeout counts from that time.
+/// The interval between releases must therefore never exceed the release limit.
 #[test]
 fn a_release_follows_in_time_whenever_a_hanging_engine_notices_the_close() {
     for class in ["draft", "proof"] {
@@ -152,17 +160,17 @@
         let out = harness.advance(60_000.0);
         assert!(
             releases_of(1, &out).len() <= 10,
-            "{class}: the repeats end, but there were {} more",
+            "{class}: the release is repeated at most 10 times in the next 60 s, not {} times",
             releases_of(1, &out).len()
         );
         assert_eq!(harness.dispatcher.usage().releases, 0);
     }
 }
 
-/// A release is sent while no engine responds. It gets through in time once the first engine responds again, and the
-/// rate of calls is bounded until then.
+/// A release is due while no engine responds. It is sent to the first engine that responds again in time, and the rate
+/// of calls is bounded until then.
 #[test]
-fn a_release_gets_through_in_time_once_an_engine_responds_again() {
+fn a_release_reaches_the_first_engine_that_responds_again_in_time() {
     for (outage, accept) in [
         (1_000.0, true),
         (3_000.0, false),
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -1,5 +1,6 @@
 //! Engines that become unresponsive without an error on their connections. An attempt that was written to such an
-//! engine has not arrived, and must not extend the time within which its KV state has to be taken or released.
+//! engine has not arrived. It must not extend the time within which a decode attempt has to use the KV state or a
+//! release has to free it.
 
 mod common;
 
@@ -9,34 +10,40 @@
 use common::engines::*;
 use common::*;
 
-/// Advances the clock until a decode attempt takes the KV state of a request or a release of it is sent, to an
-/// engine that responds. Returns the milliseconds that this took, and the decode attempt if there is one.
-fn wait_until_taken_or_released(harness: &mut Harness, conn: u64) -> (f64, Option<SentAttempt>) {
+/// Advances the clock until a responsive engine gets a new attempt or a release of the request's KV state, for at most
+/// 4 s. Returns the elapsed milliseconds, and the attempt if one was sent.
+fn wait_until_retried_or_released(
+    harness: &mut Harness,
+    request_id: u64,
+) -> (f64, Option<SentAttempt>) {
     let since = harness.now;
     while harness.now - since < 4_000.0 {
         let out = harness.advance(5.0);
-        let arrived = |sent: &SentAttempt| !harness.unresponsive.contains(&sent.engine);
-        if let Some(decode) = harness.attempts(&out).into_iter().find(arrived) {
+        let arrives = |sent: &SentAttempt| !harness.unresponsive.contains(&sent.engine);
+        if let Some(decode) = harness.attempts(&out).into_iter().find(arrives) {
             return (harness.now - since, Some(decode));
         }
-        if release_arrives(harness, conn, &out) {
+        if release_arrives(harness, request_id, &out) {
             return (harness.now - since, None);
         }
     }
     (harness.now - since, None)
 }
 
-/// The engine of a decode attempt becomes unresponsive before the attempt arrives. The request may run twice, so
-/// another engine takes the KV state in time, and the first attempt is cancelled.
+/// The engine of a decode attempt becomes unresponsive before the attempt arrives. The request may run twice, so a
+/// second attempt is sent to another engine in time, which uses the KV state, and the first attempt is cancelled.
 #[test]
 fn an_idempotent_request_whose_decode_attempt_does_not_arrive_is_decoded_elsewhere_in_time() {
     let mut harness = harness();
     warm_up(&mut harness);
     let undelivered = start_decode(&mut harness, 1, "draft");
     harness.unresponsive.insert(undelivered.engine.clone());
-    let (after, decode) = wait_until_taken_or_released(&mut harness, 1);
+    let (after, decode) = wait_until_retried_or_released(&mut harness, 1);
     let decode = decode.expect("a second decode attempt is sent");
-    assert!(after <= release_limit(), "taken after {after} ms");
+    assert!(
+        after <= release_limit(),
+        "the second attempt is sent after {after} ms"
+    );
     // Unsent data on the first connection must not be sent later, or the request would be decoded twice.
     assert!(
         is_cancelled(&harness.out, &undelivered),
@@ -57,7 +64,7 @@
     warm_up(&mut harness);
     let undelivered = start_decode(&mut harness, 1, "proof");
     harness.unresponsive.insert(undelivered.engine.clone());
-    let (after, decode) = wait_until_taken_or_released(&mut harness, 1);
+    let (after, decode) = wait_until_retried_or_released(&mut harness, 1);
     assert!(
         decode.is_none(),
         "no second attempt, as the first may still run"
@@ -70,9 +77,9 @@
 }
 
 /// Sends the next token of another request's stream, which shows that the stream's engine runs.
-fn continue_stream(harness: &mut Harness, busy: &SentAttempt, position: &mut u32) {
+fn continue_stream(harness: &mut Harness, stream: &SentAttempt, position: &mut u32) {
     *position += 1;
-    harness.send_from_engine(busy, tokens(*position));
+    harness.send_from_engine(stream, tokens(*position));
 }
 
 /// All decode engines become unresponsive at the same instant. The KV state is released in time.
@@ -83,7 +90,7 @@
         warm_up(&mut harness);
         start_decode(&mut harness, 1, class);
         make_unresponsive(&mut harness, &["w1", "w2", "w3", "w4"]);
-        let (after, decode) = wait_until_taken_or_released(&mut harness, 1);
+        let (after, decode) = wait_until_retried_or_released(&mut harness, 1);
         assert!(decode.is_none(), "{class}: no decode engine runs");
         assert!(
             after <= release_limit(),
@@ -95,16 +102,16 @@
 /// All engines but one become unresponsive, among them the one that holds the KV state. The release is sent through
 /// the remaining engine in time.
 #[test]
-fn a_release_gets_through_the_only_engine_that_responds() {
+fn a_release_is_sent_to_the_only_engine_that_responds() {
     let mut harness = harness();
     warm_up(&mut harness);
     let busy = start_decode(&mut harness, 2, "draft");
     harness.send_from_engine(&busy, tokens(0));
-    let undelivered_conn = loop {
-        let conn = harness.out.len() as u64;
-        let undelivered = start_decode(&mut harness, conn, "proof");
+    let undelivered_id = loop {
+        let request_id = harness.out.len() as u64;
+        let undelivered = start_decode(&mut harness, request_id, "proof");
         if undelivered.engine != busy.engine {
-            break conn;
+            break request_id;
         }
         harness.send_from_engine(&undelivered, tokens(0));
     };
@@ -118,7 +125,7 @@
     let (since, mut position) = (harness.now, 0);
     loop {
         let out = harness.advance(10.0);
-        if release_arrives(&harness, undelivered_conn, &out) {
+        if release_arrives(&harness, undelivered_id, &out) {
             break;
         }
         let after = harness.now - since;
@@ -127,12 +134,12 @@
     }
 }
 
-/// Milliseconds after the end of a prefill at which its KV state is released if the decode attempt has no answer
-/// yet, although its engine runs: the attempt's connection alone may have failed.
+/// Milliseconds after the end of a prefill at which its KV state is released if the decode attempt is unanswered. This
+/// holds even if the decode engine runs, as the attempt's connection alone may have failed.
 const UNCONFIRMED_RELEASE_MS: f64 = 400.0;
 
-/// An engine with a long queue answers checks, and sends nothing for attempts that wait in the queue. A release
-/// frees only a state that no attempt waits for, so a late release does no harm if it turns out to be unnecessary.
+/// An engine with a long queue answers liveness checks, and sends nothing for attempts that wait in the queue. A
+/// release frees only a KV state that no attempt waits for, so a release that turns out to be unnecessary does no harm.
 #[test]
 fn a_queued_attempt_is_not_cancelled_and_its_state_is_released_once() {
     for class in ["draft", "proof", "caption"] {
@@ -156,13 +163,13 @@
         assert_eq!(
             releases_of(1, &out),
             [],
-            "{class}: the attempt has taken the state"
+            "{class}: no release after the token, which shows that the attempt uses the state"
         );
         assert_eq!(harness.dispatcher.usage().releases, 0, "{class}");
     }
 }
 
-/// An attempt waits in the queue of an engine that runs, and here a release frees the state although the attempt
+/// An attempt waits in the queue of an engine that runs. In this test a release frees the KV state although the attempt
 /// waits for it. The attempt finds no state, which proves that nothing has run. It is too late for another prefill
 /// then, so the request is rejected, and its client may retry elsewhere.
 #[test]
@@ -193,7 +200,7 @@
     let mut harness = harness();
     warm_up(&mut harness);
     let streams: Vec<SentAttempt> = (2..30)
-        .map(|conn| start_decode(&mut harness, conn, "draft"))
+        .map(|request_id| start_decode(&mut harness, request_id, "draft"))
         .collect();
     for stream in &streams {
         harness.send_from_engine(stream, tokens(0));
@@ -213,7 +220,7 @@
     let released = |out: &[Output]| {
         engine_message_names(out)
             .into_iter()
-            .filter(|found| *found == "release")
+            .filter(|name| *name == "release")
             .count()
     };
     for step in 1..=200 {
@@ -234,14 +241,15 @@
     }
 }
 
-/// The first attempt arrives late. Its engine finds no state and rejects it, which proves that nothing has run.
+/// An attempt reaches its engine late, after the KV state was released. The engine finds no state and rejects the
+/// attempt, which proves that nothing has run.
 #[test]
 fn an_at_most_once_attempt_that_arrives_late_finds_no_state_and_nothing_runs_twice() {
     let mut harness = harness();
     warm_up(&mut harness);
     let late = start_decode(&mut harness, 1, "proof");
     make_unresponsive(&mut harness, &[late.engine.as_str()]);
-    wait_until_taken_or_released(&mut harness, 1);
+    wait_until_retried_or_released(&mut harness, 1);
     harness.advance(300.0);
     harness.unresponsive.clear();
     let before = harness.out.len();
@@ -293,10 +301,10 @@
                 } => release.origin == "1" && !harness.is_unresponsive(*connection),
                 _ => false,
             };
-            // A second attempt may have taken the state; the client's close then ended that attempt.
-            let taken = harness.out.iter().any(reached);
+            // A second attempt may have used the KV state. The client's close has then ended that attempt.
+            let released = harness.out.iter().any(reached);
             assert!(
-                taken,
+                released,
                 "{class} after {after} ms: not released {} ms after the attempt was sent",
                 harness.now - since
             );
@@ -319,7 +327,7 @@
     for name in &others {
         harness.update_endpoint(name, v1::EndpointStatus::Draining);
     }
-    let (after, decode) = wait_until_taken_or_released(&mut harness, 1);
+    let (after, decode) = wait_until_retried_or_released(&mut harness, 1);
     assert!(decode.is_none(), "{decode:?}");
     assert!(after <= release_limit(), "released after {after} ms");
 }
@@ -355,8 +363,8 @@
         );
     }
     // A request is prefilled at the engine, which shows that it works again.
-    for conn in 5_000.. {
-        let out = send_request(&mut harness, conn, "draft");
+    for request_id in 5_000.. {
+        let out = send_request(&mut harness, request_id, "draft");
         let next = harness
             .attempts(&out)
             .pop()
@@ -388,11 +396,11 @@
 /// A dispatcher with little load has received nothing from any engine lately, and only one engine responds. A
 /// release must still reach that engine in time.
 #[test]
-fn a_release_gets_through_in_time_while_most_engines_are_unresponsive() {
+fn a_release_is_sent_in_time_while_most_engines_are_unresponsive() {
     let all = ["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"];
-    for (runs, accept) in all
+    for (responsive, accept) in all
         .into_iter()
-        .flat_map(|runs| [(runs, false), (runs, true)])
+        .flat_map(|engine| [(engine, false), (engine, true)])
     {
         for class in ["draft", "proof"] {
             let mut harness = harness();
@@ -404,7 +412,7 @@
                 .attempts(&out)
                 .pop()
                 .expect("a prefill attempt is sent");
-            let others: Vec<&str> = all.into_iter().filter(|name| *name != runs).collect();
+            let others: Vec<&str> = all.into_iter().filter(|name| *name != responsive).collect();
             make_unresponsive(&mut harness, &others);
             let out = harness.end_attempt(&prefill, Status::PrefillDone);
             let arrived = harness
@@ -414,11 +422,11 @@
             if arrived {
                 continue;
             }
-            let (after, _) = wait_until_taken_or_released(&mut harness, 1);
+            let (after, _) = wait_until_retried_or_released(&mut harness, 1);
             let limit = release_limit();
             assert!(
                 after <= limit,
-                "{class}, only {runs} responds, unresponsive engines accept connections: {accept}: taken or released after {after} ms"
+                "{class}, only {responsive} responds, unresponsive engines accept connections: {accept}: the second attempt or the release is sent after {after} ms"
             );
         }
     }
@@ -474,6 +482,6 @@
     let mut harness = harness();
     warm_up(&mut harness);
     start_decode(&mut harness, 1, "proof");
-    let (after, _) = wait_until_taken_or_released(&mut harness, 1);
+    let (after, _) = wait_until_retried_or_released(&mut harness, 1);
     assert!(after <= release_limit(), "released after {after} ms");
 }
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -1,5 +1,5 @@
-//! The dispatcher's behaviour that is specific to connections with one call at a time, where KV states are
-//! identified by the id of their request.
+//! The dispatcher's behaviour on connections that carry one call at a time. On these, the id of a request identifies
+//! its KV state.
 
 mod common;
 
@@ -34,23 +34,33 @@
     })
 }
 
-fn send_request(harness: &mut Harness, conn: u64, body: Body) -> Vec<Output> {
+fn send_request(harness: &mut Harness, client_connection: u64, body: Body) -> Vec<Output> {
     harness.handle(Input::Client {
-        conn: ClientConnectionId(conn),
+        conn: ClientConnectionId(client_connection),
         frame: frame(1, body),
     })
 }
 
-fn start_prefill(harness: &mut Harness, conn: u64, id: &str, request_class: &str) -> SentAttempt {
-    let out = send_request(harness, conn, request(id, request_class));
+fn start_prefill(
+    harness: &mut Harness,
+    client_connection: u64,
+    id: &str,
+    request_class: &str,
+) -> SentAttempt {
+    let out = send_request(harness, client_connection, request(id, request_class));
     harness
         .attempts(&out)
         .pop()
         .expect("a prefill attempt is sent")
 }
 
-fn start_decode(harness: &mut Harness, conn: u64, id: &str, request_class: &str) -> SentAttempt {
-    let prefill = start_prefill(harness, conn, id, request_class);
+fn start_decode(
+    harness: &mut Harness,
+    client_connection: u64,
+    id: &str,
+    request_class: &str,
+) -> SentAttempt {
+    let prefill = start_prefill(harness, client_connection, id, request_class);
     let out = harness.end_attempt(&prefill, Status::PrefillDone);
     harness
         .attempts(&out)
@@ -58,6 +68,7 @@
         .expect("a decode attempt is sent")
 }
 
+/// The ids of the requests whose KV states `out` releases.
 fn released_ids(out: &[Output]) -> Vec<String> {
     let release = |output: &Output| match output {
         Output::ToEngine {
@@ -73,6 +84,7 @@
     out.iter().filter_map(release).collect()
 }
 
+/// The message with which an engine's connection ends an attempt. `never_ran` states that the attempt has not run.
 fn goodbye(never_ran: bool) -> Body {
     Body::Goodbye(v1::Goodbye {
         reason: "cut".to_owned(),
@@ -83,16 +95,13 @@
 #[test]
 fn each_attempt_uses_its_own_connection_and_none_is_dialled_in_advance() {
     let mut harness = harness();
-    let mut connections = Vec::new();
+    let mut attempts = Vec::new();
     for n in 1..=6 {
-        connections.push(start_prefill(&mut harness, n, &n.to_string(), "draft"));
+        attempts.push(start_prefill(&mut harness, n, &n.to_string(), "draft"));
     }
-    let mut used: Vec<_> = connections
-        .iter()
-        .map(|attempt| attempt.connection)
-        .collect();
-    used.dedup();
-    assert_eq!(used.len(), 6);
+    let mut used_connections: Vec<_> = attempts.iter().map(|attempt| attempt.connection).collect();
+    used_connections.dedup();
+    assert_eq!(used_connections.len(), 6);
     let dials = harness
         .out
         .iter()
@@ -122,8 +131,8 @@
     }
 }
 
-/// An attempt uses an idle connection that its engine has just closed. It is sent again on another connection to the
-/// same engine, as the same attempt.
+/// An attempt uses an idle connection that its engine has just closed. The dispatcher sends the same attempt again on
+/// another connection to that engine.
 #[test]
 fn an_attempt_on_a_closed_connection_is_sent_again_to_the_same_engine() {
     let mut harness = harness();
@@ -149,9 +158,9 @@
     assert_eq!(final_answers(&out), []);
 }
 
-/// A prefill's connection breaks and may have left a KV state; the request is prefilled again. A release of the
-/// first state would free the second as well, so it waits until the request is over. It is then repeated until the
-/// engine is seen to work.
+/// A prefill's connection breaks and may have left a KV state; the request is prefilled again. A release of the first
+/// state would free the second as well, so it waits until the request is over. It is then repeated until a later answer
+/// shows that the engine works.
 #[test]
 fn a_release_waits_for_the_next_attempt_of_its_request() {
     let mut harness = harness();
@@ -177,8 +186,8 @@
     let out = harness.end_attempt(&decode, Status::Succeeded);
     assert_eq!(released_ids(&out), ["a"]);
     assert_eq!(final_answers(&out), [(1, Answer::Succeeded)]);
-    // The release may overtake the end of the broken prefill on another connection, so it is repeated until the
-    // engine is seen to work.
+    // The release may overtake the end of the broken prefill on another connection, so it is repeated until a later
+    // answer shows that the engine works.
     assert_eq!(released_ids(&harness.advance(500.0)), ["a"]);
     for n in 2.. {
         let next = start_prefill(&mut harness, n, &n.to_string(), "draft");
@@ -209,7 +218,7 @@
 #[test]
 fn an_unconfirmed_release_is_sent_to_another_engine_in_time() {
     let mut harness = harness();
-    harness.confirm_releases_at_once = false;
+    harness.confirm_releases_immediately = false;
     let prefill = start_prefill(&mut harness, 1, "a", "draft");
     let out = harness.handle(Input::ClientClosed {
         conn: ClientConnectionId(1),
@@ -330,10 +339,10 @@
     }
 }
 
-/// Clients connect and send nothing, or half a request. They are closed in time. An idle client is asked to leave
-/// when another one needs its connection; a client with an open request stays.
+/// Clients connect and send nothing, or half a request. Their connections are closed in time. At the limit of client
+/// connections, an idle connection is drained for the new client; a connection with an open request is not.
 #[test]
-fn idle_clients_are_closed_in_time_and_when_connections_are_short() {
+fn idle_clients_are_closed_in_time_and_at_the_connection_limit() {
     let mut harness = harness();
     for conn in 1..=3 {
         harness.handle(Input::ClientConnected {
@@ -348,7 +357,7 @@
         [Output::DrainClient {
             conn: ClientConnectionId(2)
         }],
-        "the client with an open request is not asked to leave"
+        "the idle connection is drained, and not the one with an open request"
     );
     harness.handle(Input::ClientRequestBegun {
         conn: ClientConnectionId(3),
@@ -369,8 +378,8 @@
     assert_eq!(harness.out.iter().filter(closes_first_client).count(), 0);
 }
 
-/// The process is stopped while clients still send requests. Requests are accepted until the end of the accept
-/// period, and a stream that lasts too long is migrated.
+/// The process is stopped while clients still send requests. Requests are accepted until the end of the accept period.
+/// A stream that lasts too long is migrated: it fails, and its client resumes it at another dispatcher.
 #[test]
 fn a_stop_accepts_requests_for_a_period_and_migrates_long_streams() {
     let limits = Limits {
@@ -527,13 +536,13 @@
 #[test]
 fn a_release_reaches_a_working_engine_among_unresponsive_ones_with_idle_connections() {
     let mut harness = harness_with_many_engines();
-    // Sends requests of many sessions until each engine has an idle connection. The token of each attempt ends the
-    // attempt's use of its KV state.
+    // Sends requests of many sessions until each engine has an idle connection. Each decode engine sends a token, which
+    // tells the dispatcher that the attempt has arrived and its KV state need not be released.
     let mut connected = std::collections::BTreeSet::new();
     let mut n = 1;
     while connected.len() < 16 {
         n += 1;
-        let text = v1::Submit {
+        let message = v1::Submit {
             session: n,
             ..submit("draft")
         };
@@ -541,7 +550,11 @@
             id: n.to_string(),
             ..v1::Origin::default()
         });
-        let out = send_request(&mut harness, n, Body::Submit(v1::Submit { origin, ..text }));
+        let out = send_request(
+            &mut harness,
+            n,
+            Body::Submit(v1::Submit { origin, ..message }),
+        );
         let prefill = harness
             .attempts(&out)
             .pop()
@@ -562,12 +575,12 @@
     }
     // All engines but one become unresponsive while a KV state is held; their connections stay open. The remaining
     // engine continues the stream of another request.
-    harness.confirm_releases_at_once = false;
+    harness.confirm_releases_immediately = false;
     let busy = start_decode(&mut harness, 1, "busy", "draft");
     harness.send_from_engine(&busy, tokens(0));
     let prefill = start_prefill(&mut harness, 2, "last", "draft");
     harness.end_attempt(&prefill, Status::PrefillDone);
-    // No engine has sent a message for long enough, and the decode attempt is not given up yet.
+    // By then no engine counts as responsive because of a recent message, and the decode attempt is still open.
     harness.advance(200.0);
     harness.send_from_engine(&busy, tokens(1));
     let since = harness.now;
@@ -575,7 +588,7 @@
         conn: ClientConnectionId(2),
     });
     let mut position = 2;
-    let reached = loop {
+    let reached_after = loop {
         let called: Vec<String> = release_connections(&out)
             .iter()
             .map(|connection| harness.engine_of(*connection).to_owned())
@@ -592,8 +605,8 @@
         position += 1;
     };
     assert!(
-        reached <= 300.0,
-        "the release reached the engine only after {reached} ms"
+        reached_after <= 300.0,
+        "the release reached the engine only after {reached_after} ms"
     );
 }
 
--- a/crates/dispatcher/tests/stops.rs
+++ b/crates/dispatcher/tests/stops.rs
@@ -1,8 +1,8 @@
 //! A dispatcher that is told to stop while requests are open or still arrive.
 //!
-//! Each test forces the order of events that would lose an answer or a release, on TCP sockets and with clients,
-//! engines and discovery that the test controls. docs/acceptance.md lists the guarantees of each path and names its
-//! tests.
+//! Each test runs a dispatcher on TCP sockets and acts as its clients, its engines and its discovery service. The test
+//! forces an order of events that could lose an answer or a release. docs/acceptance.md lists the guarantees of each
+//! path and names its tests.
 
 mod common;
 #[path = "common/loopback.rs"]
@@ -16,10 +16,10 @@
     /// Milliseconds for which a stopping dispatcher still accepts requests.
     const ACCEPT_PERIOD_MS: f64 = 600.0;
 
-    /// An engine has finished an answer that its client still reads, and the dispatcher is told to stop. Ending the
-    /// process at once would truncate the answer.
+    /// An engine has sent its complete answer, the client still reads it, and the dispatcher is told to stop. Ending
+    /// the process immediately would truncate the answer.
     #[test]
-    fn waits_for_a_client_that_reads_slowly_what_its_engine_has_finished() {
+    fn waits_for_a_slow_client_whose_engine_has_finished() {
         run(|net| async move {
             let mut client = net.connect_with_small_buffer().await;
             client.send(&request("a", "draft")).await;
@@ -57,7 +57,7 @@
     /// A client reads nothing of its answer, and the dispatcher is told to stop. Waiting for the client without a
     /// limit would keep the process alive forever.
     #[test]
-    fn ends_although_a_client_takes_nothing_of_its_answer() {
+    fn ends_although_a_client_reads_nothing_of_its_answer() {
         run(|net| async move {
             let mut client = net.connect_with_small_buffer().await;
             client.send(&request("a", "draft")).await;
@@ -75,10 +75,10 @@
         });
     }
 
-    /// The load balancer still sends requests on open connections for a moment after a stop begins. They are served,
-    /// and the answer contains `Connection: close`.
+    /// The load balancer still sends requests on open connections for a moment after a stop begins. The dispatcher
+    /// serves these requests, and the answers contain `Connection: close`.
     #[test]
-    fn answers_what_comes_on_an_open_connection_within_the_notice() {
+    fn answers_requests_on_open_connections_within_the_accept_period() {
         run(|net| async move {
             let mut idle_client = net.connect().await;
             net.stop.notify_one();
@@ -102,7 +102,7 @@
     /// connection is closed without an answer, the client sends the request elsewhere, so it must not have been sent
     /// to an engine.
     #[test]
-    fn never_sends_on_what_it_closes_without_an_answer() {
+    fn never_forwards_a_request_whose_connection_it_closes_without_an_answer() {
         for request_first in [true, false] {
             run(|net| async move {
                 let mut idle_client = net.connect().await;
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Stream events are forwarded as they come, on TCP sockets: none waits for the next event, for another client, or
+//! Stream events on TCP sockets are forwarded as they arrive: no event waits for the next event, for another client, or
 //! for other events of its chunk. Each test reads an event at the client before the engine writes more.
 
 mod common;
