--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// A TCP transport that delays connects to blocked addresses and can fail connects and accepts.
+/// A TCP transport that delays connections to blocked addresses, and can return errors from connects and accepts.
 #[derive(Clone, Default)]
 pub struct GatedTransport {
     blocked: Rc<RefCell<BTreeSet<String>>>,
@@ -70,7 +70,7 @@
     exhausted: Rc<Cell<bool>>,
     /// Error numbers with which the next accepts fail. The last one is used first.
     accept_errors: Rc<RefCell<Vec<i32>>>,
-    /// The address of each connect that was blocked. Entries remain after the address is unblocked.
+    /// The address of each connection that was delayed. Entries remain after the address is unblocked.
     blocked_connects: Rc<RefCell<Vec<String>>>,
     changed: Rc<Notify>,
 }
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -100,6 +100,7 @@
     });
 }
 
+/// A stand-in engine with 8 slots in zone `north` that produces a token every 5 ms.
 pub fn spec(name: &str, kind: &str, does: Does) -> EngineSpec {
     EngineSpec {
         name: name.to_owned(),
--- a/crates/dispatcher/tests/connection_limits.rs
+++ b/crates/dispatcher/tests/connection_limits.rs
@@ -237,8 +237,8 @@
     const EINTR: i32 = 4;
     const ENETDOWN: i32 = 100;
 
-    /// accept(2) returns an error that concerns a single connection. A listener that paused or ended would make all
-    /// other clients wait. The next connection is accepted while the clock stands still.
+    /// accept(2) returns an error that concerns a single connection. A listener that paused or ended after it would
+    /// make all other clients wait. The next connection is accepted while the clock stands still.
     #[test]
     fn is_accepted_immediately_after_a_failed_accept() {
         for errors in [
--- a/crates/dispatcher/tests/discovery_changes.rs
+++ b/crates/dispatcher/tests/discovery_changes.rs
@@ -121,7 +121,7 @@
     /// requests the changes since the known list as part of the watch. Two calls, one for the complete list and one for
     /// the watch, would each need a place in the service's queue, one right after the other.
     #[test]
-    fn that_is_overloaded_is_asked_for_changes_by_the_watch_itself() {
+    fn that_is_overloaded_gets_one_call_for_changes_and_the_watch() {
         run_with(polled_discovery_limits(), &["r1", "w1"], |net| async move {
             let mut call = net.take_watch();
             for _ in 0..3 {
@@ -143,15 +143,15 @@
 
     /// Accepts the dispatcher's next call to discovery, which must come within `max_delay` milliseconds.
     async fn accept_call_within(net: &Loopback, max_delay: f64) -> Conn {
-        let before = net.now();
+        let started_at = net.now();
         let call = tokio::select! { biased;
             call = net.accept_discovery_call() => call,
             () = net.advance_until(|| false) => unreachable!("the clock advances until the other branch completes"),
         };
         assert!(
-            net.now() - before <= max_delay,
-            "called {} ms after the previous call",
-            net.now() - before
+            net.now() - started_at <= max_delay,
+            "the call comes {} ms after the previous one",
+            net.now() - started_at
         );
         call
     }
@@ -170,9 +170,13 @@
         };
         run_with(limits, &["r1", "w1"], |net| async move {
             let silent = net.take_watch();
-            let before = net.now();
+            let started_at = net.now();
             let mut call = accept_complete_list_call(&net).await;
-            assert!(net.now() - before < 1_000.0, "{}", net.now() - before);
+            assert!(
+                net.now() - started_at < 1_000.0,
+                "{}",
+                net.now() - started_at
+            );
             drop(silent);
             call.send(&net.discovery_response(
                 1,
@@ -218,7 +222,7 @@
             net.announce_endpoints(&[net.endpoint_json("w1", "draining")])
                 .await;
             let mut call = net.take_watch();
-            let since = net.now();
+            let older_list_at = net.now();
             call.send(&net.discovery_response(1, true, &net.all_endpoints("up")))
                 .await;
             drop(call);
@@ -229,15 +233,23 @@
                 // The dispatcher accepts the list and sends the watch request, or it closes the connection.
                 let _ = call.next_request().await;
             }
-            assert!(net.now() - since < 6_000.0, "{}", net.now() - since);
-            assert!(net.now() - since >= 3_000.0, "{}", net.now() - since);
+            assert!(
+                net.now() - older_list_at < 6_000.0,
+                "{}",
+                net.now() - older_list_at
+            );
+            assert!(
+                net.now() - older_list_at >= 3_000.0,
+                "{}",
+                net.now() - older_list_at
+            );
         });
     }
 
     /// Discovery's address changes while the dispatcher serves. The old watch is closed, requests are served with
     /// the known list meanwhile, and the complete list is requested at the new address.
     #[test]
-    fn whose_address_changes_is_called_there_and_the_list_kept_meanwhile() {
+    fn whose_address_changes_is_called_at_the_new_address_and_the_list_kept() {
         run(|net| async move {
             let mut old = net.take_watch();
             let new_listener = tokio::net::TcpListener::bind("127.0.0.1:0")
--- a/crates/dispatcher/tests/dispatcher_state.rs
+++ b/crates/dispatcher/tests/dispatcher_state.rs
@@ -201,7 +201,7 @@
     assert_eq!(
         engine_message_names(&out),
         ["cancel", "release"],
-        "the prefill may end without a report after its cancellation"
+        "a release follows the cancel, as the prefill may end without a report"
     );
     let out = harness.end_attempt(&prefill, Status::PrefillDone);
     assert_eq!(
@@ -212,8 +212,8 @@
     assert_eq!(client_messages(&out), []);
 }
 
-/// All decode engines leave service while a prefill runs. No engine can take its KV state, so the state is released
-/// in time and the request is rejected.
+/// All decode engines leave service while a prefill runs. No decode engine can use its KV state, so the state is
+/// released in time and the request is rejected.
 #[test]
 fn a_kv_state_that_no_decode_engine_can_take_is_released_in_time() {
     let mut harness = Harness::new();
@@ -227,8 +227,8 @@
     assert_eq!(final_answers(&out), [(1, Answer::Rejected)]);
 }
 
-/// An engine ends one attempt twice in one read of the socket. The first end is the answer; the second violates the
-/// protocol, and the connection is closed.
+/// An engine ends one attempt twice in one read of the socket. The first end completes the request. The second one
+/// violates the protocol, and the connection is closed.
 #[test]
 fn a_second_end_of_an_attempt_closes_the_connection() {
     let mut harness = Harness::new();
@@ -482,7 +482,7 @@
     let out = harness.send_from_client(9, Body::Submit(submit("draft")));
     assert!(
         out.iter().any(|o| matches!(o, Output::CloseClient { .. })),
-        "the client reused an open stream"
+        "a client that reuses an open stream is closed"
     );
     let out = harness.handle(Input::Client {
         conn: ClientConnectionId(2),
@@ -632,7 +632,10 @@
         prefills.extend(harness.attempts(&new_out));
         out.extend(new_out);
     }
-    assert!(ended >= 10, "only {ended} KV states are held");
+    assert!(
+        ended >= 10,
+        "enough KV states are held at the same instant, not only {ended}"
+    );
     assert_eq!(harness.now, begin, "all prefills end at the same instant");
     out.extend(harness.advance(499.0));
     let released = engine_message_names(&out)
@@ -690,8 +693,8 @@
         2,
         "two connections carry two prefills each"
     );
-    // The fifth request gets no stream on any connection and waits. This counts as a full engine, which proves that
-    // the request has not run.
+    // The fifth request gets no stream on any connection and waits. The dispatcher treats this like an engine at
+    // capacity: the request has not run and may be rejected.
     let out = harness.send_from_client(5, Body::Submit(submit("proof")));
     assert_eq!((dials(&out), final_answers(&out)), (0, vec![]));
     let prefills = harness.attempts(&harness.out.clone());
--- a/crates/dispatcher/tests/driver.rs
+++ b/crates/dispatcher/tests/driver.rs
@@ -188,7 +188,7 @@
 /// at the same instants.
 #[test]
 fn the_same_run_twice_gives_the_same_transcript() {
-    let once = || {
+    let run_once = || {
         let records = std::rc::Rc::new(std::cell::RefCell::new(Vec::new()));
         let out = records.clone();
         run(|net| async move {
@@ -199,5 +199,5 @@
         });
         records.take()
     };
-    assert_eq!(once(), once());
+    assert_eq!(run_once(), run_once());
 }
--- a/crates/dispatcher/tests/engine_connection_ends.rs
+++ b/crates/dispatcher/tests/engine_connection_ends.rs
@@ -97,8 +97,8 @@
     }
 
     /// Complete chunks arrive with half of the first event in them, and the engine closes the connection. The client
-    /// has received no event, so the dispatcher can still answer or retry the request. Counting the chunks as the
-    /// start of a stream would leave the client with half an event.
+    /// has received no event, so the dispatcher can still send an error or retry the request. Counting the chunks as
+    /// the start of a stream would leave the client with half an event.
     #[test]
     fn within_its_first_event_and_between_two_chunks_has_not_started_a_stream() {
         for part in [
@@ -312,17 +312,26 @@
             let OpenRequest { mut client, engine } =
                 start_request(&net, Stage::Decoding, "proof").await;
             let mut old = engine.expect("an attempt is open");
-            let new = tokio::net::TcpListener::bind("127.0.0.1:0")
+            let new_listener = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
                 .expect("port is bound");
-            let address = new.local_addr().expect("socket has an address").to_string();
+            let address = new_listener
+                .local_addr()
+                .expect("socket has an address")
+                .to_string();
             let entry = net
                 .endpoint_json("w1", "up")
                 .replace(&net.engine("w1").address, &address);
             net.announce_endpoints(&[entry]).await;
             let mut next = net.send_request("b", "proof").await;
             net.serve_prefill().await;
-            let mut decode = Conn::new(new.accept().await.expect("connection is accepted").0);
+            let mut decode = Conn::new(
+                new_listener
+                    .accept()
+                    .await
+                    .expect("connection is accepted")
+                    .0,
+            );
             assert_eq!(decode.read_request().await.id(), "b");
             decode
                 .send(&format!("{STREAM_HEAD}{EVENT}{LAST_CHUNK}"))
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -86,7 +86,7 @@
     assert_eq!(
         (connections.len(), harness.attempts(&out).len()),
         (1, 0),
-        "the prefill waits for its connection"
+        "the prefill attempt waits for its connection"
     );
     let out = leave(&mut harness, departure);
     assert_no_attempt_starts(&mut harness, out, &connections);
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -627,13 +627,14 @@
         net.wait(5.0).await;
         net.stop.notify_one();
         net.wait(100.0).await;
-        let (mut late, rest) = (net.connect().await, net.connect().await);
-        late.write_all(request_text("a2", "draft").as_bytes())
+        let (mut late_client, idle_client) = (net.connect().await, net.connect().await);
+        late_client
+            .write_all(request_text("a2", "draft").as_bytes())
             .await
             .expect("bytes are written");
         for (io, name) in [
             (&mut io, "the open request"),
-            (&mut late, "the late request"),
+            (&mut late_client, "the late request"),
         ] {
             let answer = net.read_answer(io, 1000.0).await;
             assert!(
@@ -643,7 +644,7 @@
             assert!(answer.contains("\r\nConnection: close\r\n"), "{answer}");
         }
         net.wait(2000.0).await;
-        drop(rest);
+        drop(idle_client);
         assert!(
             net.memory.connect("d").await.is_err(),
             "the dispatcher has stopped listening"
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -223,12 +223,12 @@
                 let releasable_since =
                     since.map(|since| *self.releasable_since.entry(key).or_insert(since));
                 // The dispatcher may give up the release; the engine's own timeout then frees the state.
-                let lost = releasable_since
+                let unreleased_state = releasable_since
                     .filter(|since| {
                         !arrives && self.now < *since + GIVE_UP_AFTER_MS - RELEASE_LIMIT_MS
                     })
                     .map(|_| key);
-                self.releases.push((connection, stream, lost));
+                self.releases.push((connection, stream, unreleased_state));
                 return Ok(());
             }
             Some(Body::Cancel(_)) => {
@@ -355,10 +355,11 @@
         }
         // For half of the attempts that end with `NoState`, the decode engine could not reach the prefill engine, and
         // the state still exists there.
-        let unreached = status == Status::NoState && attempt.stream.is_multiple_of(2);
+        let prefill_engine_unreachable =
+            status == Status::NoState && attempt.stream.is_multiple_of(2);
         self.decode_ended(
             &attempt,
-            unreached || !matches!(status, Status::NoState | Status::Succeeded),
+            prefill_engine_unreachable || !matches!(status, Status::NoState | Status::Succeeded),
         );
         let mut state = None;
         if status == Status::PrefillDone {
@@ -393,8 +394,8 @@
                 })?;
             }
         }
-        for (connection, stream, lost) in std::mem::take(&mut self.releases) {
-            let body = match lost {
+        for (connection, stream, unreleased_state) in std::mem::take(&mut self.releases) {
+            let body = match unreleased_state {
                 None => Body::Done(v1::Done {}),
                 Some(key) => {
                     // An engine that is listed as gone holds no state.
@@ -461,9 +462,9 @@
                     let holder = &self.holder;
                     self.unneeded_since
                         .retain(|key, _| holder.get(key).is_none_or(|name| name != engine));
-                    for (_, _, lost) in &mut self.releases {
-                        *lost =
-                            lost.filter(|key| holder.get(key).is_none_or(|name| name != engine));
+                    for (_, _, unreleased_state) in &mut self.releases {
+                        *unreleased_state = unreleased_state
+                            .filter(|key| holder.get(key).is_none_or(|name| name != engine));
                     }
                 }
                 self.handle(Input::EndpointsUpdated(endpoint_list(
@@ -568,7 +569,8 @@
         }
     }
 
-    /// Closes all connections, lets all timers run, and checks that the dispatcher holds nothing.
+    /// Closes all connections, lets all timers run, and checks that the dispatcher keeps no request, connection or
+    /// timer.
     fn end_all(&mut self) -> Result<(), TestCaseError> {
         for connection in self.connections.keys().copied().collect::<Vec<_>>() {
             self.lose_connection(connection);
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -47,13 +47,16 @@
     for ends_by_deadline in [false, true] {
         let mut harness = harness();
         start_decode_at_hanging_engine(&mut harness, 1, "proof");
-        let first = time_until_released(&mut harness, 1, 0.0)
+        let first_release_ms = time_until_released(&mut harness, 1, 0.0)
             .expect("a release is sent while the attempt is open");
-        assert!(first <= release_limit(), "released after {first} ms");
+        assert!(
+            first_release_ms <= release_limit(),
+            "the release is sent after {first_release_ms} ms"
+        );
         harness.advance(1_000.0);
         if ends_by_deadline {
-            let before = harness.out.len();
-            while final_answers(&harness.out[before..]).is_empty() {
+            let output_count = harness.out.len();
+            while final_answers(&harness.out[output_count..]).is_empty() {
                 harness.advance(5.0);
             }
         } else {
@@ -61,11 +64,11 @@
                 conn: ClientConnectionId(1),
             });
         }
-        let again = time_until_released(&mut harness, 1, 0.0)
+        let second_release_ms = time_until_released(&mut harness, 1, 0.0)
             .expect("a release is sent after the end of the attempt");
         assert!(
-            again <= release_limit(),
-            "ended by the deadline: {ends_by_deadline}; released {again} ms after the end of the attempt"
+            second_release_ms <= release_limit(),
+            "ended by the deadline: {ends_by_deadline}; the release is sent {second_release_ms} ms after the end of the attempt"
         );
     }
 }
@@ -81,11 +84,11 @@
         harness.handle(Input::ClientClosed {
             conn: ClientConnectionId(1),
         });
-        let again = time_until_released(&mut harness, 1, REORDERING_WINDOW_MS)
+        let second_release_ms = time_until_released(&mut harness, 1, REORDERING_WINDOW_MS)
             .expect("a release is sent after the close");
         assert!(
-            again <= release_limit(),
-            "{class}: released {again} ms after the close"
+            second_release_ms <= release_limit(),
+            "{class}: the release is sent {second_release_ms} ms after the close"
         );
     }
 }
@@ -146,16 +149,16 @@
         harness.handle(Input::ClientClosed {
             conn: ClientConnectionId(1),
         });
-        let closed = harness.now;
-        let mut last = closed;
-        while last - closed < 4_000.0 {
+        let closed_at = harness.now;
+        let mut last_release = closed_at;
+        while last_release - closed_at < 4_000.0 {
             let wait = time_until_released(&mut harness, 1, 0.0).expect("a release is sent");
             assert!(
                 wait <= release_limit(),
-                "{class}: {wait} ms after the previous release, {} ms after the close",
-                last - closed
+                "{class}: a release is sent {wait} ms after the previous release, {} ms after the close",
+                last_release - closed_at
             );
-            last = harness.now;
+            last_release = harness.now;
         }
         let out = harness.advance(60_000.0);
         assert!(
@@ -171,14 +174,14 @@
 /// of calls is bounded until then.
 #[test]
 fn a_release_reaches_the_first_engine_that_responds_again_in_time() {
-    for (outage, accept) in [
+    for (outage_ms, unresponsive_accept) in [
         (1_000.0, true),
         (3_000.0, false),
         (8_000.0, true),
         (8_000.0, false),
     ] {
         let mut harness = harness();
-        harness.unresponsive_engines_accept = accept;
+        harness.unresponsive_engines_accept = unresponsive_accept;
         warm_up(&mut harness);
         start_decode(&mut harness, 1, "draft");
         make_unresponsive(
@@ -189,18 +192,18 @@
         harness.handle(Input::ClientClosed {
             conn: ClientConnectionId(1),
         });
-        let out = harness.advance(outage);
+        let out = harness.advance(outage_ms);
         let calls = releases_of(1, &out).len();
-        let bound = 30.0 + 0.02 * outage;
+        let bound = 30.0 + 0.02 * outage_ms;
         assert!(
             calls as f64 <= bound,
-            "the rate of calls is not bounded: {calls} in {outage} ms"
+            "the rate of calls is bounded, but there were {calls} in {outage_ms} ms"
         );
         harness.unresponsive.remove("w2");
-        let after = time_until_released(&mut harness, 1, 0.0).expect("a release is sent");
+        let elapsed_ms = time_until_released(&mut harness, 1, 0.0).expect("a release is sent");
         assert!(
-            after <= release_limit(),
-            "released {after} ms after the first engine responded, after an outage of {outage} ms"
+            elapsed_ms <= release_limit(),
+            "the release is sent {elapsed_ms} ms after the first engine responded, after an outage of {outage_ms} ms"
         );
     }
 }
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -31,18 +31,18 @@
 }
 
 /// The engine of a decode attempt becomes unresponsive before the attempt arrives. The request may run twice, so a
-/// second attempt is sent to another engine in time, which uses the KV state, and the first attempt is cancelled.
+/// second attempt at another engine uses the KV state in time. The first attempt is cancelled.
 #[test]
 fn an_idempotent_request_whose_decode_attempt_does_not_arrive_is_decoded_elsewhere_in_time() {
     let mut harness = harness();
     warm_up(&mut harness);
     let undelivered = start_decode(&mut harness, 1, "draft");
     harness.unresponsive.insert(undelivered.engine.clone());
-    let (after, decode) = wait_until_retried_or_released(&mut harness, 1);
+    let (elapsed_ms, decode) = wait_until_retried_or_released(&mut harness, 1);
     let decode = decode.expect("a second decode attempt is sent");
     assert!(
-        after <= release_limit(),
-        "the second attempt is sent after {after} ms"
+        elapsed_ms <= release_limit(),
+        "the second attempt is sent after {elapsed_ms} ms"
     );
     // Unsent data on the first connection must not be sent later, or the request would be decoded twice.
     assert!(
@@ -64,12 +64,15 @@
     warm_up(&mut harness);
     let undelivered = start_decode(&mut harness, 1, "proof");
     harness.unresponsive.insert(undelivered.engine.clone());
-    let (after, decode) = wait_until_retried_or_released(&mut harness, 1);
+    let (elapsed_ms, decode) = wait_until_retried_or_released(&mut harness, 1);
     assert!(
         decode.is_none(),
-        "no second attempt, as the first may still run"
+        "no second attempt is sent, as the first may still run"
+    );
+    assert!(
+        elapsed_ms <= release_limit(),
+        "the KV state is released after {elapsed_ms} ms"
     );
-    assert!(after <= release_limit(), "released after {after} ms");
     assert!(
         !is_cancelled(&harness.out, &undelivered),
         "the first attempt may still be served"
@@ -90,11 +93,11 @@
         warm_up(&mut harness);
         start_decode(&mut harness, 1, class);
         make_unresponsive(&mut harness, &["w1", "w2", "w3", "w4"]);
-        let (after, decode) = wait_until_retried_or_released(&mut harness, 1);
+        let (elapsed_ms, decode) = wait_until_retried_or_released(&mut harness, 1);
         assert!(decode.is_none(), "{class}: no decode engine runs");
         assert!(
-            after <= release_limit(),
-            "{class}: released after {after} ms"
+            elapsed_ms <= release_limit(),
+            "{class}: the KV state is released after {elapsed_ms} ms"
         );
     }
 }
@@ -128,8 +131,11 @@
         if release_arrives(&harness, undelivered_id, &out) {
             break;
         }
-        let after = harness.now - since;
-        assert!(after <= release_limit(), "not released after {after} ms");
+        let elapsed_ms = harness.now - since;
+        assert!(
+            elapsed_ms <= release_limit(),
+            "the KV state is not released after {elapsed_ms} ms"
+        );
         continue_stream(&mut harness, &busy, &mut position);
     }
 }
@@ -252,10 +258,10 @@
     wait_until_retried_or_released(&mut harness, 1);
     harness.advance(300.0);
     harness.unresponsive.clear();
-    let before = harness.out.len();
+    let output_count = harness.out.len();
     harness.end_attempt(&late, Status::NoState);
     harness.advance(4_000.0);
-    let out = harness.out[before..].to_vec();
+    let out = harness.out[output_count..].to_vec();
     assert_eq!(final_answers(&out).len(), 1, "the client gets one answer");
     let decodes = harness
         .attempts(&out)
@@ -270,25 +276,25 @@
 #[test]
 fn a_client_that_leaves_during_an_undelivered_attempt_leaves_no_attempt_and_no_state() {
     for class in ["draft", "proof"] {
-        for after in [50.0, 150.0, 400.0, 700.0] {
+        for leaves_after_ms in [50.0, 150.0, 400.0, 700.0] {
             let mut harness = harness();
             warm_up(&mut harness);
             let undelivered = start_decode(&mut harness, 1, class);
             make_unresponsive(&mut harness, &[undelivered.engine.as_str()]);
             let since = harness.now;
-            harness.advance(after);
+            harness.advance(leaves_after_ms);
             let out = harness.handle(Input::ClientClosed {
                 conn: ClientConnectionId(1),
             });
             assert!(
                 is_cancelled(&harness.out, &undelivered),
-                "{class} after {after} ms: the attempt is cancelled"
+                "{class} after {leaves_after_ms} ms: the attempt is cancelled"
             );
             assert!(harness.attempts(&out).is_empty());
             let out = harness.advance(4_000.0);
             assert!(
                 harness.attempts(&out).is_empty(),
-                "{class} after {after} ms: no attempt starts for a client that has left"
+                "{class} after {leaves_after_ms} ms: no attempt starts for a client that has left"
             );
             let reached = |output: &Output| match output {
                 Output::ToEngine {
@@ -305,7 +311,7 @@
             let released = harness.out.iter().any(reached);
             assert!(
                 released,
-                "{class} after {after} ms: not released {} ms after the attempt was sent",
+                "{class} after {leaves_after_ms} ms: the KV state is not released {} ms after the attempt was sent",
                 harness.now - since
             );
         }
@@ -327,13 +333,16 @@
     for name in &others {
         harness.update_endpoint(name, v1::EndpointStatus::Draining);
     }
-    let (after, decode) = wait_until_retried_or_released(&mut harness, 1);
+    let (elapsed_ms, decode) = wait_until_retried_or_released(&mut harness, 1);
     assert!(decode.is_none(), "{decode:?}");
-    assert!(after <= release_limit(), "released after {after} ms");
+    assert!(
+        elapsed_ms <= release_limit(),
+        "the KV state is released after {elapsed_ms} ms"
+    );
 }
 
 /// An unresponsive prefill engine may still complete a cancelled prefill and hold its KV state. A release that was
-/// confirmed before does not cover a state that is created after it.
+/// confirmed before that does not free the state, as the state was created later.
 #[test]
 fn the_release_of_a_cancelled_prefill_is_repeated_until_its_engine_works() {
     let mut harness = harness();
@@ -351,15 +360,15 @@
     let out = harness.advance(1_500.0);
     assert!(
         release_arrives(&harness, 1, &out),
-        "another engine was called meanwhile"
+        "a release is sent to another engine while the prefill's engine is unresponsive"
     );
     harness.unresponsive.clear();
     let since = harness.now;
     while releases_of(1, &harness.advance(5.0)).is_empty() {
-        let after = harness.now - since;
+        let elapsed_ms = harness.now - since;
         assert!(
-            after <= settings().policy.kv_state_timeout,
-            "not released {after} ms after its engine responded again"
+            elapsed_ms <= settings().policy.kv_state_timeout,
+            "the KV state is not released {elapsed_ms} ms after its engine responded again"
         );
     }
     // A request is prefilled at the engine, which shows that it works again.
@@ -398,13 +407,13 @@
 #[test]
 fn a_release_is_sent_in_time_while_most_engines_are_unresponsive() {
     let all = ["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"];
-    for (responsive, accept) in all
+    for (responsive, unresponsive_accept) in all
         .into_iter()
         .flat_map(|engine| [(engine, false), (engine, true)])
     {
         for class in ["draft", "proof"] {
             let mut harness = harness();
-            harness.unresponsive_engines_accept = accept;
+            harness.unresponsive_engines_accept = unresponsive_accept;
             warm_up(&mut harness);
             harness.advance(3_000.0);
             let out = send_request(&mut harness, 1, class);
@@ -422,11 +431,11 @@
             if arrived {
                 continue;
             }
-            let (after, _) = wait_until_retried_or_released(&mut harness, 1);
+            let (elapsed_ms, _) = wait_until_retried_or_released(&mut harness, 1);
             let limit = release_limit();
             assert!(
-                after <= limit,
-                "{class}, only {responsive} responds, unresponsive engines accept connections: {accept}: the second attempt or the release is sent after {after} ms"
+                elapsed_ms <= limit,
+                "{class}, only {responsive} responds, unresponsive engines accept connections: {unresponsive_accept}: the second attempt or the release is sent after {elapsed_ms} ms"
             );
         }
     }
@@ -469,19 +478,25 @@
         .into_iter()
         .all(|connection| harness.is_unresponsive(connection))
     {
-        let after = harness.now - since;
-        assert!(after <= release_limit(), "not released after {after} ms");
+        let elapsed_ms = harness.now - since;
+        assert!(
+            elapsed_ms <= release_limit(),
+            "the KV state is not released after {elapsed_ms} ms"
+        );
         out = harness.advance(5.0);
     }
 }
 
-/// The attempt's connection fails without an error, while its engine responds on others. The KV state is released in
-/// time.
+/// The attempt's connection fails without an error, while its engine responds on other connections. The KV state is
+/// released in time.
 #[test]
 fn a_state_is_released_in_time_while_only_the_attempts_connection_has_failed() {
     let mut harness = harness();
     warm_up(&mut harness);
     start_decode(&mut harness, 1, "proof");
-    let (after, _) = wait_until_retried_or_released(&mut harness, 1);
-    assert!(after <= release_limit(), "released after {after} ms");
+    let (elapsed_ms, _) = wait_until_retried_or_released(&mut harness, 1);
+    assert!(
+        elapsed_ms <= release_limit(),
+        "the KV state is released after {elapsed_ms} ms"
+    );
 }
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -121,7 +121,7 @@
         assert_eq!(
             !harness.attempts(&out).is_empty(),
             again,
-            "the at-most-once request is sent again"
+            "whether the at-most-once request is sent again"
         );
         let answers: Vec<Answer> = final_answers(&out)
             .into_iter()
@@ -224,7 +224,7 @@
         conn: ClientConnectionId(1),
     });
     assert_eq!(released_ids(&out), ["a"]);
-    let first = harness.out.iter().rev().find_map(|o| match o {
+    let first_release = harness.out.iter().rev().find_map(|o| match o {
         Output::ToEngine {
             connection,
             frame:
@@ -251,12 +251,12 @@
         engines.iter().any(|engine| *engine != prefill.engine),
         "another engine is called: {engines:?}"
     );
-    assert!(first.is_some());
+    assert!(first_release.is_some());
     harness.advance(2_000.0);
     let slow_calls = released_ids(&harness.advance(20_000.0)).len();
     assert!(
         (20..=320).contains(&slow_calls),
-        "calls are bounded, and frequent enough for an engine that recovers: {slow_calls}"
+        "the rate is bounded, and high enough to reach an engine that recovers: {slow_calls} calls in 20 s"
     );
     harness.advance(60_000.0);
     assert_eq!(
@@ -313,7 +313,7 @@
     assert_eq!(
         final_answers(&harness.out).len(),
         1,
-        "answered within the 2,500 ms that are left, {} ms after the request was complete",
+        "the request is answered within the 2,500 ms that are left; {} ms have passed since it was complete",
         harness.now - begin
     );
 }
@@ -472,13 +472,13 @@
     use v1::EndpointStatus::{Gone, Ready};
     let mut harness = harness();
     for n in 0..200 {
-        let (reader, writer) = (format!("r-{n}"), format!("w-{n}"));
-        harness.update_endpoint(&reader, Ready);
-        harness.update_endpoint(&writer, Ready);
+        let (prefill_engine, decode_engine) = (format!("r-{n}"), format!("w-{n}"));
+        harness.update_endpoint(&prefill_engine, Ready);
+        harness.update_endpoint(&decode_engine, Ready);
         let decode = start_decode(&mut harness, n, &n.to_string(), "draft");
         harness.send_from_engine(&decode, tokens(0));
-        harness.update_endpoint(&reader, Gone);
-        harness.update_endpoint(&writer, Gone);
+        harness.update_endpoint(&prefill_engine, Gone);
+        harness.update_endpoint(&decode_engine, Gone);
         assert_eq!(
             final_answers(&harness.end_attempt(&decode, Status::Succeeded)),
             [(1, Answer::Succeeded)],
@@ -580,7 +580,7 @@
     harness.send_from_engine(&busy, tokens(0));
     let prefill = start_prefill(&mut harness, 2, "last", "draft");
     harness.end_attempt(&prefill, Status::PrefillDone);
-    // By then no engine counts as responsive because of a recent message, and the decode attempt is still open.
+    // After 200 ms without a message no engine counts as responsive any more. The decode attempt is still open.
     harness.advance(200.0);
     harness.send_from_engine(&busy, tokens(1));
     let since = harness.now;
@@ -615,7 +615,8 @@
 fn a_state_is_released_in_time_while_no_decode_engine_accepts_connections() {
     let mut harness = harness_with_many_engines();
     let prefill = start_prefill(&mut harness, 1, "a", "draft");
-    // Connects to decode engines stay pending until they time out; the connection to the prefill engine is idle.
+    // Connection attempts to decode engines stay pending until they time out; the connection to the prefill engine is
+    // idle.
     harness.dials_succeed = false;
     let mut out = harness.end_attempt(&prefill, Status::PrefillDone);
     let since = harness.now;
@@ -632,7 +633,7 @@
         out = harness.advance(10.0);
     }
     assert!(dialled >= 2, "only {dialled} connections were dialled");
-    // A KV state may be held for the KV state timeout plus 0.3 s, whatever fails meanwhile.
+    // A KV state may be held for the KV state timeout plus 0.3 s, whatever has failed.
     let held_for = harness.now - since;
     assert!(held_for <= 600.0, "released after {held_for} ms");
 }
@@ -642,7 +643,7 @@
 #[test]
 fn the_release_of_a_cancelled_prefill_goes_to_its_own_engine_first() {
     let mut harness = harness_with_many_engines();
-    // Another engine has sent a message just now, and the prefill's engine has not for a while.
+    // Another engine has just sent a message. The prefill's engine has sent none for 1 s.
     let busy = start_decode(&mut harness, 1, "busy", "draft");
     let prefill = start_prefill(&mut harness, 2, "cut", "draft");
     harness.advance(1_000.0);
@@ -657,6 +658,6 @@
     assert_eq!(
         called,
         [prefill.engine.as_str()],
-        "another engine's release could arrive before the state exists"
+        "a release through another engine could arrive before the state exists"
     );
 }
--- a/crates/dispatcher/tests/stops.rs
+++ b/crates/dispatcher/tests/stops.rs
@@ -25,7 +25,8 @@
             client.send(&request("a", "draft")).await;
             net.serve_prefill().await;
             let (mut decode, _) = net.engine("w1").accept_request().await;
-            // More data than the socket buffers hold, in as many chunks as the dispatcher reads ahead of its client.
+            // More data than the socket buffers hold, in two chunks. The dispatcher reads that many chunks ahead of its
+            // client.
             let event = format!("data: {}\n\n", "x".repeat(60_000));
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             let text = format!("{STREAM_HEAD}{chunk}{chunk}{LAST_CHUNK}");
