--- a/crates/dispatcher/tests/discovery_changes.rs
+++ b/crates/dispatcher/tests/discovery_changes.rs
@@ -169,7 +169,7 @@
             ..limits()
         };
         run_with(limits, &["r1", "w1"], |net| async move {
-            let silent = net.take_watch();
+            let silent_connection = net.take_watch();
             let started_at = net.now();
             let mut call = accept_complete_list_call(&net).await;
             assert!(
@@ -177,7 +177,7 @@
                 "{}",
                 net.now() - started_at
             );
-            drop(silent);
+            drop(silent_connection);
             call.send(&net.discovery_response(
                 1,
                 true,
--- a/crates/dispatcher/tests/dispatcher_state.rs
+++ b/crates/dispatcher/tests/dispatcher_state.rs
@@ -156,9 +156,9 @@
             [(1, Answer::Failed)],
             "{request_class}"
         );
-        let later = harness.advance(10_000.0);
-        assert!(harness.attempts(&out).is_empty() && harness.attempts(&later).is_empty());
-        assert_eq!(client_messages(&later), []);
+        let later_out = harness.advance(10_000.0);
+        assert!(harness.attempts(&out).is_empty() && harness.attempts(&later_out).is_empty());
+        assert_eq!(client_messages(&later_out), []);
         assert_eq!(harness.dispatcher.usage().requests, 0);
     }
 }
@@ -180,13 +180,13 @@
         );
         assert!(engine_message_names(&out).contains(&"cancel"));
         // The attempt's outcome arrives after its cancellation, and its connection breaks after the client has left.
-        let late = harness.end_attempt(&decode, Status::Succeeded);
+        let late_out = harness.end_attempt(&decode, Status::Succeeded);
         harness.send_from_client(1, Body::Cancel(v1::Cancel {}));
-        let closed = harness.handle(Input::ConnectionClosed {
+        let closed_out = harness.handle(Input::ConnectionClosed {
             connection: decode.connection,
             reason: "reset".to_owned(),
         });
-        assert_eq!(client_messages(&[late, closed].concat()), []);
+        assert_eq!(client_messages(&[late_out, closed_out].concat()), []);
         assert_eq!(harness.dispatcher.usage().requests, 0);
     }
 }
@@ -302,10 +302,10 @@
         assert!(out
             .iter()
             .any(|o| matches!(o, Output::CloseConnection { connection, .. } if *connection == decode.connection)));
-        let lost = final_answers(&out);
-        assert!(lost.contains(&(1, Answer::Failed)));
+        let answers = final_answers(&out);
+        assert!(answers.contains(&(1, Answer::Failed)));
         assert_eq!(
-            lost.len(),
+            answers.len(),
             if other.connection == decode.connection {
                 2
             } else {
@@ -660,8 +660,8 @@
     harness.advance(1500.0);
     assert_eq!(final_answers(&harness.out), [(1, Answer::Failed)]);
     harness.advance(1500.0);
-    let late = harness.send_from_engine(&decode, tokens(0));
-    assert_eq!(client_messages(&late), []);
+    let late_out = harness.send_from_engine(&decode, tokens(0));
+    assert_eq!(client_messages(&late_out), []);
     assert_eq!(final_answers(&harness.out), [(1, Answer::Failed)]);
 }
 
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -102,14 +102,14 @@
         net.engines[1].trouble(|t| t.greets_late = 200.0);
         let port = net.port("c");
         let leave_at = net.clock.now() + 200.0;
-        let running = port.run(submit("proof", "k"), Some(leave_at), |_| {});
+        let client_request = port.run(submit("proof", "k"), Some(leave_at), |_| {});
         let wait_for_prefill = async {
             while net.engines[0].states() == 0 {
                 net.wait(1.0).await;
             }
             net.clock.now()
         };
-        let (end, prefilled_at) = tokio::join!(running, wait_for_prefill);
+        let (end, prefilled_at) = tokio::join!(client_request, wait_for_prefill);
         assert!(
             prefilled_at < leave_at,
             "the prefill ends before the client leaves"
@@ -215,7 +215,7 @@
                 .open(Body::Submit(submit))
                 .await
                 .expect("stream is opened");
-            let (begin, mut final_answers, mut first) = (net.clock.now(), 0, None);
+            let (begin, mut final_answers, mut first_token_at) = (net.clock.now(), 0, None);
             while let Some(body) = stream.next().await {
                 assert_eq!(
                     final_answers, 0,
@@ -225,16 +225,16 @@
                     Body::Final(last) => {
                         final_answers += 1;
                         ends.insert(last.answer() as i32);
-                        let late = net.clock.now() - begin - time_to_deadline_ms;
+                        let late_by_ms = net.clock.now() - begin - time_to_deadline_ms;
                         assert!(
-                            first.is_some() || late <= 17.0,
-                            "the answer came {late} ms after the deadline"
+                            first_token_at.is_some() || late_by_ms <= 17.0,
+                            "the answer came {late_by_ms} ms after the deadline"
                         );
                         // Leaves time for a message after the final answer, which would be an error.
                         net.wait(50.0).await;
                         break;
                     }
-                    Body::Tokens(_) => first = Some(net.clock.now()),
+                    Body::Tokens(_) => first_token_at = Some(net.clock.now()),
                     _ => {}
                 }
             }
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -242,11 +242,11 @@
                 return Ok(());
             }
             Some(Body::Credit(credit)) => {
-                let found = self
+                let credited = self
                     .attempts
                     .iter_mut()
                     .find(|attempt| attempt.connection == connection && attempt.stream == stream);
-                found
+                credited
                     .into_iter()
                     .for_each(|attempt| attempt.credit += credit.messages);
                 return Ok(());
