--- a/crates/shim/src/lib.rs
+++ b/crates/shim/src/lib.rs
@@ -13,11 +13,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// The number of failures among a thousand calls.
+/// The mean number of failures among a thousand calls that may fail.
 const FAILURES_PER_THOUSAND: u64 = 15;
-/// How long after the start of the process `socket` never fails. The process creates its socket pairs and listeners
-/// then.
-const SOCKET_START_TIME_MS: i64 = 500;
+/// Calls of `socket` fail only after the process has run for this long. In the time before, the process creates its
+/// socket pairs and listeners, which are not to fail.
+const SOCKET_FAILURES_BEGIN_MS: i64 = 500;
 
 /// The settings from the environment.
 struct Settings {
@@ -31,7 +31,7 @@
     started: timespec,
 }
 
-/// The state of the random generator.
+/// The state of the generator behind [`draw`]. [`settings`] sets it from the seed.
 static RANDOM_STATE: AtomicU64 = AtomicU64::new(0);
 
 /// The integer part of an environment variable; 0 if it is absent or not a number.
@@ -72,8 +72,8 @@
     (step(previous.unwrap_or_default()) >> 33) % bound
 }
 
-/// Draws whether the present call fails.
-fn call_fails() -> bool {
+/// Draws whether the present call is to fail; never if the settings disable failures.
+fn draw_failure() -> bool {
     settings().calls_fail && draw(1000) < FAILURES_PER_THOUSAND
 }
 
@@ -109,6 +109,7 @@
     now
 }
 
+/// The whole milliseconds from one monotonic time to a later one.
 fn milliseconds_between(from: &timespec, to: &timespec) -> i64 {
     (to.tv_sec - from.tv_sec) * 1000 + (to.tv_nsec - from.tv_nsec) / 1_000_000
 }
@@ -152,7 +153,7 @@
         c"accept4",
         unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
     );
-    if call_fails() {
+    if draw_failure() {
         return fail(&[
             libc::ECONNABORTED,
             libc::ENFILE,
@@ -175,7 +176,7 @@
         c"connect",
         unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int
     );
-    if call_fails() {
+    if draw_failure() {
         let errors = [
             libc::EADDRNOTAVAIL,
             libc::ENETUNREACH,
@@ -188,7 +189,7 @@
     unsafe { original(fd, to, length) }
 }
 
-/// Calls the C library's `socket`, or fails at random for IPv4 sockets, but not within the first 500 ms.
+/// Calls the C library's `socket`, or fails at random for IPv4 sockets once the process has run for 500 ms.
 ///
 /// # Safety
 /// The requirements are those of the C library's `socket`.
@@ -199,8 +200,8 @@
         unsafe extern "C" fn(c_int, c_int, c_int) -> c_int
     );
     if domain == libc::AF_INET
-        && milliseconds_between(&settings().started, &monotonic()) > SOCKET_START_TIME_MS
-        && call_fails()
+        && milliseconds_between(&settings().started, &monotonic()) > SOCKET_FAILURES_BEGIN_MS
+        && draw_failure()
     {
         return fail(&[libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM]);
     }
@@ -223,7 +224,7 @@
         c"setsockopt",
         unsafe extern "C" fn(c_int, c_int, c_int, *const c_void, socklen_t) -> c_int
     );
-    if level == libc::IPPROTO_TCP && call_fails() {
+    if level == libc::IPPROTO_TCP && draw_failure() {
         return fail(&[libc::EINVAL, libc::ENOBUFS]);
     }
     unsafe { original(fd, level, name, value, length) }
@@ -244,7 +245,7 @@
         c"epoll_wait",
         unsafe extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int
     );
-    if call_fails() {
+    if draw_failure() {
         return fail(&[libc::EINTR]);
     }
     unsafe { original(fd, events, max_events, timeout) }
--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -77,11 +77,11 @@
 /// Whether a request may run again after an attempt that may have executed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// The request may run any number of times.
     Idempotent,
     /// Engines recognise a repeat by its key for `window` milliseconds after the first attempt that may have run.
-    Keyed {
-        window: u32,
-    },
+    Keyed { window: u32 },
+    /// The request must not run again after an attempt that may have executed it.
     AtMostOnce,
 }
 
@@ -92,8 +92,8 @@
     pub answer_grace: Ms,
     /// How long after the notice of a drain a process may still send attempts to the engine.
     pub drain_grace: Ms,
-    /// How long a KV state may be held that no attempt needs.
-    pub release: Ms,
+    /// The longest time for which a KV state may stay held that no attempt needs.
+    pub release_limit: Ms,
     /// How long after the disconnect of its client an attempt may still begin.
     pub disconnect_grace: Ms,
     /// How much longer the deadline sent to an engine may be than the time that the client has left.
@@ -110,7 +110,7 @@
     /// The time within which a client that stalls within its request gets an error or a close.
     pub stalled_client_limit: Ms,
     /// The time within which nine of ten starts become ready.
-    pub ready: Ms,
+    pub ready_limit: Ms,
     /// The allowance on every time limit: 'Every time limit is longer by 50 ms' (the platform's protocol).
     pub timer_slack: Ms,
     /// The allowance for a process that does not run for a moment: 'A dispatcher that is held up for up to 0.15 s
@@ -140,10 +140,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId(usize);
 
-/// What an engine does with a request.
+/// The stage of a request that an attempt runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
+    /// The engine processes the prompt and holds the KV state.
     Prefill,
+    /// The engine takes the KV state and streams the answer.
     Decode,
 }
 
@@ -152,6 +154,7 @@
 pub enum AttemptEnd {
     /// The engine rejected the attempt without running it.
     Rejected,
+    /// The engine wrote its whole response.
     Served,
     /// The response reported a failure or was malformed, or the connection broke; the attempt may have run.
     Failed,
@@ -180,25 +183,26 @@
     pub request: RequestId,
     pub engine: String,
     pub stage: Stage,
-    /// When the first and the last byte left the process.
+    /// When the first and the last byte of the attempt left the process.
     pub sent: (Ms, Ms),
-    /// When the last byte arrived at the engine.
+    /// When the last byte of the attempt arrived at the engine.
     pub begun: Ms,
-    /// The remaining time that the attempt states, if it states one.
+    /// The time to the deadline that the attempt states, if it states one.
     pub stated_remaining: Option<Ms>,
     /// What the proxy recorded of the connection; `None` without a proxy.
     pub trace: Option<Rc<ConnectionTrace>>,
 }
 
-/// What is known of a request.
+/// What the audit has recorded of a request.
 #[derive(Clone, Debug)]
 struct Request {
     run: ProcessRun,
     effect: Effect,
-    /// When the client sent the last byte.
+    /// When the client sent the last byte of the request.
     sent: Ms,
     deadline: Ms,
-    /// When the answer is due, without the grace.
+    /// When the answer is due. It is later than the deadline for a request that follows another one on its connection,
+    /// and excludes [`Rules::answer_grace`].
     due: Ms,
     /// When the client closed its connection.
     disconnected: Option<Ms>,
@@ -235,9 +239,11 @@
 /// How a run of a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunEnd {
+    /// Killed by a fault, without a signal to stop before.
     Killed,
     /// Killed because a stop exceeded its time limit.
     KilledInStop,
+    /// Ended by itself, told to or not.
     Ended,
 }
 
@@ -264,11 +270,12 @@
     requests: BTreeMap<RequestId, Request>,
     attempts: Vec<Attempt>,
     engines: BTreeMap<String, EngineRecord>,
+    /// When and how each run ended.
     ended: BTreeMap<ProcessRun, (Ms, RunEnd)>,
     /// When each run was told to stop.
     stopping: BTreeMap<ProcessRun, Ms>,
-    /// The time that each start took to become ready.
-    starts: Vec<Ms>,
+    /// The time from each start of a process until it was ready.
+    times_to_ready: Vec<Ms>,
     report: Report,
 }
 
@@ -288,7 +295,7 @@
             engines: BTreeMap::new(),
             ended: BTreeMap::new(),
             stopping: BTreeMap::new(),
-            starts: Vec::new(),
+            times_to_ready: Vec::new(),
             report: Report::default(),
         }
     }
@@ -305,7 +312,7 @@
         });
     }
 
-    /// Counts one case of an invariant; `broken` describes the violation, if there is one.
+    /// Counts one checked case of an invariant; `broken` describes the violation, if there is one.
     fn check(&mut self, at: Ms, invariant: Invariant, broken: Option<String>) {
         self.count_case(invariant);
         if let Some(what) = broken {
@@ -337,28 +344,29 @@
             .entry(Invariant::StateReleased)
             .or_insert(0) += requests_with_attempts;
         let late_starts = self
-            .starts
+            .times_to_ready
             .iter()
-            .filter(|after| **after > self.rules.ready)
+            .filter(|after| **after > self.rules.ready_limit)
             .count();
-        if self.starts.is_empty() {
+        if self.times_to_ready.is_empty() {
             self.violated(
                 now,
                 Invariant::ProcessUp,
                 "no process became ready".to_owned(),
             );
         }
-        if 10 * late_starts > (10 - READY_IN_TEN) * self.starts.len() {
+        if 10 * late_starts > (10 - READY_IN_TEN) * self.times_to_ready.len() {
             let what = format!(
                 "{late_starts} of {} starts took over {:.0} ms to become ready",
-                self.starts.len(),
-                self.rules.ready
+                self.times_to_ready.len(),
+                self.rules.ready_limit
             );
             self.violated(now, Invariant::ProcessUp, what);
         }
         self.report
     }
 
+    /// Whether a request that its process owed an answer has not got one in time.
     fn is_lost(&self, request: &Request, now: Ms) -> bool {
         let latest = request.due + self.rules.answer_grace + self.rules.deadline_allowance();
         !request.answered
--- a/crates/soak/src/audit/attempt.rs
+++ b/crates/soak/src/audit/attempt.rs
@@ -2,27 +2,32 @@
 
 use super::*;
 
-/// What is known of an attempt.
+/// What the audit has recorded of an attempt.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub engine: String,
     pub stage: Stage,
+    /// When the last byte of the attempt arrived at the engine.
     pub begun: Ms,
+    /// When and how the attempt ended at its engine; `None` while it runs there.
     pub ended: Option<(Ms, AttemptEnd)>,
     /// When the engine wrote each event.
     pub events: Vec<Ms>,
     /// Whether the engine has written the last chunk of its stream.
     pub complete: bool,
     /// When the proxy reset the connection while data of the engine may still have been in transit.
-    pub reset: Option<Ms>,
+    pub reset_at: Option<Ms>,
+    /// The trace of the attempt's connection; `None` without a proxy.
     pub trace: Option<Rc<ConnectionTrace>>,
 }
 
-/// A reset discards data that its receiver has not read yet. Data that the proxy forwarded longer ago counts as read.
+/// A reset discards data that its receiver has not read yet. Data that the proxy forwarded longer than this before the
+/// reset counts as read.
 const UNREAD_TIME: Ms = 50.0;
 
 impl Attempt {
-    /// When data that the engine wrote at `written` was forwarded to the process; `None` if it was not.
+    /// When data that the engine wrote at `written` was forwarded to the process; `None` if it was not. Without a proxy
+    /// this is `written` itself.
     pub fn forwarded_at(&self, written: Ms) -> Option<Ms> {
         self.trace
             .as_ref()
@@ -30,8 +35,8 @@
     }
 
     /// Whether events of the engine have been written but none has reached the process for [`STALLED_FOR`]. A process
-    /// has to end such a stream: 'Cutting off a stream whose events are still coming loses the request', and so does
-    /// 'leaving the client waiting for 5 s'.
+    /// has to end such a stream, but no other: by the platform's protocol, 'Cutting off a stream whose events are still
+    /// coming loses the request', and so does 'leaving the client waiting for 5 s'.
     pub fn has_stalled(&self, now: Ms) -> bool {
         let is_last_event_pending = self
             .events
@@ -59,7 +64,7 @@
         let closed = self.trace.as_ref().and_then(|trace| trace.closed_at());
         let ended = self.ended.and_then(|(at, end)| match (end, &self.trace) {
             (AttemptEnd::Served | AttemptEnd::Rejected, Some(trace)) => {
-                trace.forwarded_at(at).or(self.reset)
+                trace.forwarded_at(at).or(self.reset_at)
             }
             _ => Some(at),
         });
--- a/crates/soak/src/audit/attempts.rs
+++ b/crates/soak/src/audit/attempts.rs
@@ -32,7 +32,7 @@
         if let Some(request) = self.requests.get_mut(&name) {
             request.attempts.push(id);
         }
-        let (ended, events, complete, reset) = (None, Vec::new(), false, None);
+        let (ended, events, complete, reset_at) = (None, Vec::new(), false, None);
         self.attempts.push(Attempt {
             engine,
             stage,
@@ -40,12 +40,13 @@
             ended,
             events,
             complete,
-            reset,
+            reset_at,
             trace,
         });
         id
     }
 
+    /// Checks that the engine of an attempt does not drain, or that the process was notified within the grace only.
     pub(super) fn check_drain(&mut self, request: &str, engine: &str, first_byte: Ms) {
         let Some(process) = self
             .requests
@@ -67,6 +68,7 @@
         self.check(first_byte, Invariant::DrainKept, late.map(what));
     }
 
+    /// Checks that an engine which has just started gets no more attempts than its slow-start budget.
     pub(super) fn check_slow_start(&mut self, engine: &str, begun: Ms) {
         let rules = self.rules;
         let Some(record) = self.engines.get_mut(engine) else {
@@ -98,8 +100,8 @@
         self.check(begun, Invariant::SlowStart, is_over_budget.then(what));
     }
 
-    /// Whether the process of a request was killed before `begun`. 'When a process dies, its connections are reset': it
-    /// does not answer for attempts that it had sent by then.
+    /// Whether the process of a request was killed before `begun`. By the protocol, 'When a process dies, its
+    /// connections are reset': a killed process is not responsible for attempts that it had sent by then.
     pub(super) fn was_killed(&self, request: &Request, begun: Ms) -> bool {
         match self.ended.get(&request.run) {
             Some((at, RunEnd::Killed | RunEnd::KilledInStop)) => *at <= begun,
@@ -107,6 +109,7 @@
         }
     }
 
+    /// Checks that the client of an attempt has not disconnected before the attempt began.
     pub(super) fn check_client(&mut self, name: &str, request: &Request, begun: Ms) {
         if self.was_killed(request, begun) {
             return;
@@ -120,6 +123,8 @@
         self.check(begun, Invariant::ClientThere, late.map(what));
     }
 
+    /// Checks that no other attempt of the request runs, and that the class allows a repeat if an earlier attempt may
+    /// have executed the request.
     pub(super) fn check_repeat(&mut self, name: &str, request: &Request, stage: Stage, begun: Ms) {
         let is_running = |id: &&AttemptId| {
             let ended = self.attempts[id.0].ended_at();
--- a/crates/soak/src/audit/platform.rs
+++ b/crates/soak/src/audit/platform.rs
@@ -38,7 +38,7 @@
     /// Records that a process became ready this long after its start.
     pub fn process_ready(&mut self, after: Ms) {
         self.count_case(Invariant::ProcessUp);
-        self.starts.push(after);
+        self.times_to_ready.push(after);
     }
 
     /// Records that a run was told to stop.
--- a/crates/soak/src/audit/requests.rs
+++ b/crates/soak/src/audit/requests.rs
@@ -3,14 +3,21 @@
 use super::*;
 
 impl Audit {
-    /// Records that a client has sent the last byte of a request; `left` is the time to its deadline.
-    pub fn request_sent(&mut self, id: &str, run: ProcessRun, effect: Effect, now: Ms, left: Ms) {
+    /// Records that a client has sent the last byte of a request.
+    pub fn request_sent(
+        &mut self,
+        id: &str,
+        run: ProcessRun,
+        effect: Effect,
+        now: Ms,
+        time_to_deadline: Ms,
+    ) {
         let request = Request {
             run,
             effect,
             sent: now,
-            deadline: now + left,
-            due: now + left,
+            deadline: now + time_to_deadline,
+            due: now + time_to_deadline,
             disconnected: None,
             answered: false,
             attempts: Vec::new(),
@@ -27,7 +34,8 @@
     }
 
     /// Records that the request before this one on the same connection has been answered. Answers come in the order of
-    /// requests, and 'clients send one request at a time per connection', so this answer is not due any earlier.
+    /// requests, and by the protocol 'clients send one request at a time per connection', so this answer is not due any
+    /// earlier.
     pub fn previous_request_answered(&mut self, id: &str, now: Ms) {
         if let Some(request) = self.requests.get_mut(id) {
             request.due = request.due.max(now);
@@ -48,9 +56,9 @@
             .is_some_and(|request| !request.attempts.is_empty())
     }
 
-    /// Whether the process owes an answer to a request that has none by now. 'When a process dies', its clients have to
-    /// retry what it held. At the kill that ends a stop, 'whatever SIGKILL finds unanswered' is lost 'if that request
-    /// came more than 0.7 s after SIGTERM', and only then.
+    /// Whether the process owes an answer to a request that has none by now. When a process is killed by a fault, its
+    /// clients have to retry what it held. After the kill that ends a stop, an unanswered request counts as lost only 'if
+    /// that request came more than 0.7 s after SIGTERM' (the platform's protocol). No answer is owed to an earlier one.
     pub(super) fn owes_answer(&self, request: &Request, now: Ms) -> bool {
         let disconnected = request.disconnected.is_some_and(|at| at <= now);
         let stopped = self
@@ -58,14 +66,14 @@
             .get(&request.run)
             .copied()
             .unwrap_or(f64::INFINITY);
-        let is_run_liable = match self.ended.get(&request.run) {
+        let owes_as_run = match self.ended.get(&request.run) {
             Some((_, RunEnd::Killed)) => false,
             Some((at, RunEnd::KilledInStop)) if now >= *at => {
                 request.sent > stopped + UNOWED_AFTER_STOP
             }
             _ => true,
         };
-        is_run_liable && !disconnected
+        owes_as_run && !disconnected
     }
 
     /// Records and checks what a client received for a request.
@@ -162,7 +170,7 @@
     ) -> Option<String> {
         let failed = |attempt: &Attempt| matches!(attempt.ended, Some((_, AttemptEnd::Failed)));
         let broke = self.decode_attempts(request).any(|attempt| {
-            attempt.reset.is_some()
+            attempt.reset_at.is_some()
                 || failed(attempt) && !attempt.complete
                 || attempt.has_stalled(now)
         });
@@ -175,11 +183,12 @@
         }
     }
 
-    /// Whether an attempt may have been executed.
+    /// Whether an attempt may have executed its request: a decode attempt that its engine has not rejected.
     pub(super) fn may_have_run(attempt: &Attempt) -> bool {
         attempt.stage == Stage::Decode && !matches!(attempt.ended, Some((_, AttemptEnd::Rejected)))
     }
 
+    /// Checks that a rejected request, if it must run at most once, has no attempt that may have executed it.
     pub(super) fn check_rejection(&mut self, id: &str, request: &Request, now: Ms) {
         let ran = self.decode_attempts(request).any(Self::may_have_run);
         let broken = (ran && request.effect == Effect::AtMostOnce)
--- a/crates/soak/src/audit/states.rs
+++ b/crates/soak/src/audit/states.rs
@@ -19,9 +19,9 @@
                 .iter()
                 .any(|id| self.attempts[id.0].needs_state(ends))
         };
-        let is_awaited = self.readings.release == ReleaseScope::WhatNoAttemptWaitsFor
+        let is_kept = self.readings.release == ReleaseScope::WhatNoAttemptWaitsFor
             && self.requests.get(request).is_some_and(is_needed);
-        if !is_awaited {
+        if !is_kept {
             self.state_freed(request);
         }
     }
@@ -44,12 +44,12 @@
         {
             match attempt.ended {
                 None => {
-                    (attempt.ended, attempt.reset) = (Some((now, AttemptEnd::Failed)), Some(now))
+                    (attempt.ended, attempt.reset_at) = (Some((now, AttemptEnd::Failed)), Some(now))
                 }
                 Some((at, AttemptEnd::Served | AttemptEnd::Rejected))
                     if attempt.may_be_unread(at, now) =>
                 {
-                    attempt.reset = Some(now);
+                    attempt.reset_at = Some(now);
                 }
                 Some(_) => {}
             }
@@ -66,7 +66,7 @@
     /// Checks for KV states that should have been released by now. Call it often: it detects an overdue state only
     /// while the state is held.
     pub fn check_held_states(&mut self, now: Ms) {
-        let limit = self.rules.release + self.rules.timer_slack;
+        let limit = self.rules.release_limit + self.rules.timer_slack;
         let held: Vec<RequestId> = self
             .requests
             .iter()
@@ -91,7 +91,7 @@
 
     /// Since when the KV state of a request is held without use; `None` while an attempt needs it or no engine holds
     /// it. An engine that hung while the prefill's connection was closed may hold the state only after the prefill's
-    /// end ('a read may have ended well just as its connection was closed').
+    /// end (the protocol: 'a read may have ended well just as its connection was closed').
     pub(super) fn idle_since(&self, request: &Request) -> Option<Ms> {
         let held_since = request.held_at.as_ref().map(|(_, since)| *since)?;
         let ends = self.readings.closed_attempt_ends;
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -17,9 +17,9 @@
 
 /// The largest chunk of an answer that a client accepts.
 const MAX_CHUNK_BYTES: usize = 1 << 20;
-/// The buffer space that a read gets at least.
+/// The least free buffer space before each read.
 const READ_BYTES: usize = 8 << 10;
-/// Idle connections that are kept for further requests.
+/// The number of idle connections that are kept for further requests.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 /// The percentage of clients that disconnect early, half of them by a reset and half by a close.
 const DISCONNECT_PERCENT: u32 = 10;
@@ -29,25 +29,23 @@
 const SLOW_PERCENT: u32 = 10;
 /// The percentage of clients that send two requests at once on one connection.
 const PIPELINE_PERCENT: u32 = 5;
-/// How long a client that stalls in its request waits for an error or a close.
+/// How long a client that stalls within its request waits for the process to end it with an error or a close.
 const STALLED_CLIENT_WAIT: Ms = 8_000.0;
 /// How long after its deadline a client still waits for an answer.
 const WAIT_AFTER_DEADLINE: Ms = 2_000.0;
 
-/// How long a client waits for the next event of its stream. The program may leave it waiting for 5 s at most.
+/// How long a client waits for the next event of its stream. A process may leave a client waiting for 5 s at most.
 const EVENT_WAIT: Ms = 6_000.0;
 /// How long an idle client waits after the end of its connection before it connects again.
 const IDLE_RECONNECT: Ms = 500.0;
 
-/// How a client behaves.
+/// How one client behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behaviour {
+    /// Sends its request at once and waits for the answer.
     Plain,
     /// Disconnects this long after its request is sent, by a reset or by a close.
-    Disconnects {
-        after: Ms,
-        resets: bool,
-    },
+    Disconnects { after: Ms, resets: bool },
     /// Sends a part of a request and then nothing more.
     Stalls,
     /// Writes its request in pieces with pauses between.
@@ -61,10 +59,10 @@
     io: TcpStream,
     bytes: BytesMut,
     /// Whether the connection has carried a request before.
-    used: bool,
+    is_reused: bool,
 }
 
-/// The outcome of a request on a connection.
+/// What a client received for a request on a connection.
 struct Exchange {
     answer: Answer,
     /// Whether another request may follow on the connection.
@@ -85,6 +83,7 @@
 
 /// A request to be sent.
 struct NewRequest {
+    /// The random identifier that the client gives the request, in hexadecimal.
     id: String,
     class: Class,
     /// Milliseconds to the deadline.
@@ -92,7 +91,7 @@
 }
 
 impl Clients {
-    /// Creates the clients of a run that listens on `address`; all draws derive from `seed`.
+    /// Creates the clients of a run that listens on `address`; all random draws derive from `seed`.
     pub fn new(
         run: ProcessRun,
         address: SocketAddr,
@@ -146,7 +145,7 @@
         let time_to_deadline = if rng.generate_range(0..20u32) == 0 {
             rng.generate_range(30..300u32)
         } else {
-            class.deadline
+            class.time_to_deadline
         };
         NewRequest {
             id,
@@ -155,7 +154,7 @@
         }
     }
 
-    /// Lets one client with a random behaviour send its request.
+    /// Sends a request of one client, whose behaviour is drawn at random.
     pub async fn send_request(self) {
         match self.draw_behaviour() {
             Behaviour::Stalls => self.stall_within_request().await,
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Lets one client send a request on an idle connection; does nothing if there is none.
+    /// Sends a request on an idle connection; does nothing if there is none.
     pub async fn send_on_idle_connection(self) {
         let Some(connection) = self.idle.borrow_mut().pop() else {
             return;
@@ -176,7 +175,8 @@
         self.send_on(connection, &request, Behaviour::Plain).await;
     }
 
-    /// Lets one client stay connected without a request and reconnect when its connection ends, until `is_over`.
+    /// Keeps one client connected without a request. It reconnects when its connection ends, until `is_over` returns
+    /// `true`.
     pub async fn stay_idle(self, is_over: impl Fn() -> bool) {
         while !is_over() {
             if let Ok(mut connection) = self.connect().await {
@@ -208,7 +208,7 @@
         Ok(Connection {
             io,
             bytes: BytesMut::new(),
-            used: false,
+            is_reused: false,
         })
     }
 
@@ -226,7 +226,7 @@
             .is_err()
         {
             // The request is incomplete, so the process has not accepted it.
-            return !connection.used;
+            return !connection.is_reused;
         }
         let now = self.clock.now();
         self.audit.borrow_mut().request_sent(
@@ -247,7 +247,7 @@
             () = self.sleep_until(&disconnects_at) => return self.disconnect(connection, request, behaviour),
         };
         let is_unread = exchange.answer == Answer::None
-            && connection.used
+            && connection.is_reused
             && !self.audit.borrow().was_attempted(&request.id);
         if is_unread {
             self.audit.borrow_mut().request_unread(&request.id);
@@ -257,21 +257,21 @@
             .borrow_mut()
             .answered(&request.id, exchange.answer, self.clock.now());
         if exchange.keeps_alive && self.idle.borrow().len() < MAX_IDLE_CONNECTIONS {
-            connection.used = true;
+            connection.is_reused = true;
             self.idle.borrow_mut().push(connection);
         }
         true
     }
 
-    /// Waits until a time that may be postponed meanwhile.
+    /// Waits until the time in `at`, which may be postponed during the wait.
     async fn sleep_until(&self, at: &Cell<Ms>) {
         while self.clock.now() < at.get() {
             sleep(at.get() - self.clock.now()).await;
         }
     }
 
-    /// Disconnects a client. Only a client that disconnects by its behaviour is recorded as disconnected: one that has
-    /// waited past its deadline is still owed an answer.
+    /// Disconnects a client. Only a client with [`Behaviour::Disconnects`] is recorded as disconnected: one that has
+    /// waited past its deadline is still owed an answer. Returns `true`, as the request is not to be sent again.
     fn disconnect(
         &self,
         connection: Connection,
@@ -290,7 +290,7 @@
         true
     }
 
-    /// Sends two requests at once on one connection.
+    /// Sends two requests at once on one connection and reads both answers.
     async fn pipeline(&self) {
         let Ok(mut connection) = self.connect().await else {
             return;
@@ -463,7 +463,7 @@
     )
 }
 
-/// Writes a request, slowly in pieces if request to.
+/// Writes the text of a request: at once, or if `slowly` is set in pieces with pauses of 20 ms between.
 async fn write(connection: &mut Connection, text: &str, slowly: bool) -> io::Result<()> {
     if !slowly {
         return connection.io.write_all(text.as_bytes()).await;
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -10,23 +10,27 @@
 pub const ZONES: [&str; 2] = ["a", "b"];
 /// The kinds of engines: prefill and decode.
 pub const KINDS: [&str; 2] = ["p", "d"];
+/// How long after the notice of a drain a process may still send attempts to the engine.
 const DRAIN_GRACE: Ms = 1_000.0;
-const RELEASE: Ms = 500.0;
+/// The longest time for which a process may leave a KV state held that no attempt needs.
+const RELEASE_LIMIT: Ms = 500.0;
+/// The time limit of a process for opening a connection to an engine.
 const CONNECT_TIMEOUT: Ms = 250.0;
 /// How long an engine counts as cold after its start.
 const SLOW_START_TIME: Ms = 6_000.0;
 /// A cold engine may be sent this multiple of its capacity within [`OVERLOAD_WINDOW`].
 const OVERLOAD_MULTIPLE: f64 = 1.5;
+/// The length of the window in which the load on a cold engine is limited.
 const OVERLOAD_WINDOW: Ms = 2_000.0;
 /// The share of its capacity that an engine has when it starts.
 const COLD_CAPACITY: f64 = 0.32;
-/// The share of an engine's capacity that the traffic uses.
+/// The share of an engine's full capacity that the mean traffic uses, from 0 to 1.
 const UTILISATION: f64 = 0.6;
-/// The allowance of the rules on sockets for any timer.
+/// The allowance of the rules for any timer, as the soak runs over real sockets.
 const TIMER_SLACK: Ms = 50.0;
-/// The allowance of the rules on sockets for the release of a KV state.
+/// The allowance of the rules for the release of a KV state over real sockets.
 const RELEASE_SLACK: Ms = 300.0;
-/// The allowance of the rules on sockets for a process that does not run for a moment.
+/// The allowance of the rules for a process that does not run for a moment.
 const PROCESS_DELAY: Ms = 150.0;
 /// The latency objective of classes with long deadlines.
 const LATENCY_OBJECTIVE: Ms = 1_000.0;
@@ -40,7 +44,7 @@
     Rules {
         answer_grace: 500.0,
         drain_grace: DRAIN_GRACE,
-        release: RELEASE + RELEASE_SLACK,
+        release_limit: RELEASE_LIMIT + RELEASE_SLACK,
         disconnect_grace: 100.0,
         deadline_slack: 150.0,
         event_delay: 300.0,
@@ -49,7 +53,7 @@
             / 1000.0,
         cold_time: SLOW_START_TIME,
         stalled_client_limit: 3_000.0,
-        ready: 10_000.0,
+        ready_limit: 10_000.0,
         timer_slack: TIMER_SLACK,
         process_delay: PROCESS_DELAY,
     }
@@ -58,12 +62,15 @@
 /// The settings of one process that its configuration file is made of.
 pub struct ProcessSettings<'a> {
     pub classes: &'a [Class],
+    /// The number of the process in the soak, counted from 0.
     pub number: usize,
     /// The number of processes in the soak.
     pub processes: usize,
     /// The start number of the run; part of the run's seed.
     pub start: u32,
+    /// The address of discovery.
     pub discovery: SocketAddr,
+    /// Whether the process polls discovery for lists, rather than receives pushed ones.
     pub lists_are_asked_for: bool,
 }
 
@@ -79,7 +86,7 @@
     } = settings;
     let micros = |time: Ms| (time * 1000.0) as u64;
     let (release, connect, grace) = (
-        micros(RELEASE),
+        micros(RELEASE_LIMIT),
         micros(CONNECT_TIMEOUT),
         micros(DRAIN_GRACE),
     );
@@ -101,14 +108,14 @@
             Effect::Idempotent | Effect::AtMostOnce => 0,
         };
         let latency_objective =
-            LATENCY_OBJECTIVE.min(f64::from(class.deadline) / DEADLINE_PER_OBJECTIVE);
+            LATENCY_OBJECTIVE.min(f64::from(class.time_to_deadline) / DEADLINE_PER_OBJECTIVE);
         format!(
             "{{\"name\":\"{}\",\"effect\":\"{effect}\",\"keyScope\":\"all\",\"dedupWindow\":{},\"aim\":{},\
              \"giveUp\":{},\"importance\":1.0,\"lateShare\":0.3,\"stream\":true}}",
             class.name,
             u64::from(window) * 1000,
             micros(latency_objective),
-            u64::from(class.deadline) * 1000
+            u64::from(class.time_to_deadline) * 1000
         )
     };
     let services: Vec<String> = classes.iter().map(service).collect();
--- a/crates/soak/src/connection_trace.rs
+++ b/crates/soak/src/connection_trace.rs
@@ -1,6 +1,6 @@
 //! The trace that a proxy records of a connection to an engine: when bytes of the process arrived, when bytes of the
-//! engine were forwarded, and when the process closed the connection. With the trace the audit needs no allowance for
-//! data in transit.
+//! engine were forwarded, and when the process closed the connection. The audit judges attempts by the trace. It knows
+//! from it what has arrived, so it needs no allowance for data in transit.
 
 use crate::Ms;
 use std::cell::{Cell, RefCell};
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// An engine may record an answer as written up to this long after the proxy has forwarded it.
+/// The proxy may forward an answer before the engine records it as written, because the engine records the end of an
+/// attempt after the write. The record follows within 2 ms at most.
 const RECORDING_DELAY: Ms = 2.0;
 
 /// The trace of one connection.
@@ -20,6 +21,7 @@
     request_until: Cell<Ms>,
     /// When bytes of the engine were forwarded, in order.
     answers_forwarded: RefCell<Vec<Ms>>,
+    /// When the process closed or reset the connection, if it has.
     closed: Cell<Option<Ms>>,
 }
 
@@ -41,7 +43,8 @@
         self.closed.set(self.closed.get().or(Some(now)));
     }
 
-    /// When the first and the latest byte of the present request arrived; `None` if no request has begun.
+    /// When the first and the latest byte of the present request arrived; `None` if no byte has arrived since the last
+    /// answer.
     pub fn request(&self) -> Option<(Ms, Ms)> {
         Some((self.request_from.get()?, self.request_until.get()))
     }
@@ -49,8 +52,8 @@
     /// When data that the engine wrote at `written` was forwarded to the process; `None` if it was not.
     pub fn forwarded_at(&self, written: Ms) -> Option<Ms> {
         let answers = self.answers_forwarded.borrow();
-        let at = answers.partition_point(|forwarded| *forwarded < written - RECORDING_DELAY);
-        answers.get(at).map(|forwarded| forwarded.max(written))
+        let first = answers.partition_point(|forwarded| *forwarded < written - RECORDING_DELAY);
+        answers.get(first).map(|forwarded| forwarded.max(written))
     }
 
     /// When the process closed the connection, if it has.
@@ -59,7 +62,8 @@
     }
 }
 
-/// The traces of an engine's connections, by the peer address that the engine sees. Clones share one table.
+/// The traces of an engine's connections, by the peer address that the engine sees: the proxy's own address on that
+/// connection. Clones share one table.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionTraces {
     by_peer: Rc<RefCell<HashMap<SocketAddr, Rc<ConnectionTrace>>>>,
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -17,7 +17,7 @@
     pub zone: &'static str,
     pub kind: &'static str,
     pub cell: u32,
-    /// `up`, `draining` or `removed`.
+    /// The state in which discovery lists the engine: `up`, `draining` or `removed`.
     pub phase: &'static str,
     /// When the engine process started, in milliseconds since 1970; 0 if long ago.
     pub up_since_ms: u64,
@@ -44,6 +44,7 @@
 /// How discovery answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
+    /// Discovery answers every call.
     Answers,
     /// Discovery answers nothing; calls that are open when it falls silent are never answered.
     Silent,
@@ -57,10 +58,13 @@
     /// How often discovery fell silent. A call that waits through a silence sees the number change and stays
     /// unanswered.
     silences: Cell<u64>,
+    /// The revision of the list, which each change increments.
     revision: Cell<u64>,
+    /// The engines that are not removed.
     entries: RefCell<Vec<Entry>>,
     /// All changes, each with the revision that it made.
     changes: RefCell<Vec<(u64, Entry)>>,
+    /// Notified when the list changes.
     changed: Notify,
     /// Notified to reset all connections.
     reset: Notify,
@@ -73,7 +77,7 @@
 }
 
 impl Discovery {
-    /// Creates a discovery without engines.
+    /// Creates a stand-in whose list of engines is empty and that does not listen yet.
     pub fn new(clock: Clock) -> Discovery {
         Discovery {
             shared: Rc::new(Shared {
@@ -111,8 +115,8 @@
         self.shared.reset.notify_waiters();
     }
 
-    /// Publishes a changed entry. An entry in phase `removed` is dropped from the complete list.
-    pub fn change(&self, entry: Entry) {
+    /// Publishes a new or changed entry of an engine. An entry in phase `removed` is dropped from the complete list.
+    pub fn publish(&self, entry: Entry) {
         let revision = self.shared.revision.get() + 1;
         self.shared.revision.set(revision);
         let mut entries = self.shared.entries.borrow_mut();
@@ -125,7 +129,7 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// The complete list as JSON.
+    /// The complete list of engines, as JSON in the platform's format.
     pub fn complete_list(&self) -> String {
         self.list(
             true,
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -15,7 +15,7 @@
 
 /// The path under which a request's KV state is released.
 const STATE_PATH: &str = "/bootstrap/rooms/";
-/// The header that marks a response as a rejection.
+/// The header line by which an engine states that it has not run the attempt.
 const REJECTED_HEADER: &str = "X-Turned-Away: 1\r\n";
 /// The mean duration of a prefill.
 const PREFILL_TIME: Ms = 20.0;
@@ -23,13 +23,13 @@
 const FIRST_EVENT_TIME: Ms = 15.0;
 /// The time between two events of a stream.
 const EVENT_INTERVAL: Ms = 20.0;
-/// The number of events of a stream.
+/// The range from which the number of events of an ordinary stream is drawn.
 const EVENTS: std::ops::Range<usize> = 2..12;
-/// The number of events of a long stream.
+/// The range from which the number of events of a long stream is drawn.
 const LONG_STREAM_EVENTS: std::ops::Range<usize> = 40..80;
 /// The duration of a prefill, and the time to the first event, of a slow engine: longer than clients wait.
 const SLOW_TIME: Ms = 3_500.0;
-/// The time between two pieces of an event that is written in pieces.
+/// The time between the two pieces of an event that is written in two chunks.
 const PIECE_INTERVAL: Ms = 4.0;
 /// The percentage of streams that break within their first event.
 const BREAKS_FIRST_PERCENT: u32 = 3;
@@ -37,7 +37,7 @@
 const BREAKS_LATER_PERCENT: u32 = 3;
 /// The percentage of responses that are not valid HTTP.
 const MALFORMED_PERCENT: u32 = 2;
-/// The percentage of streams whose events are written in two pieces each.
+/// The percentage of streams whose events are written in two chunks each.
 const IN_PIECES_PERCENT: u32 = 30;
 /// The percentage of streams that have [`LONG_STREAM_EVENTS`] events.
 const LONG_PERCENT: u32 = 5;
@@ -76,8 +76,11 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StreamOutcome {
     Complete,
-    BreaksFirst,
-    BreaksLater,
+    /// The connection is reset after half of the first event.
+    BreaksInFirstEvent,
+    /// The connection is reset after half of a later event.
+    BreaksInLaterEvent,
+    /// The response is not valid HTTP.
     Malformed,
 }
 
@@ -85,7 +88,7 @@
 pub struct EngineSettings {
     pub id: String,
     pub stage: Stage,
-    /// Decode attempts that run at the same time; further ones wait.
+    /// The number of decode attempts that run at the same time; further ones wait for a slot.
     pub slots: usize,
     /// How the engine treats a release while it hangs.
     pub hung_release: HungRelease,
@@ -146,10 +149,10 @@
         }
     }
 
-    /// Serves a release. Returns whether the connection stays open.
+    /// Serves the release of a request's KV state. Returns whether the connection stays open.
     async fn release(&self, connection: &mut Connection, request: &str) -> bool {
         if self.hung_release == HungRelease::Unanswered {
-            self.until_not_hanging().await;
+            self.until_hang_ends().await;
         }
         self.audit.borrow_mut().release_received(request);
         connection
@@ -212,7 +215,7 @@
         };
         let factor = self.rng.borrow_mut().generate::<f64>() + 0.5;
         let slot = tokio::select! { biased;
-            () = self.notices_close(connection) => None,
+            () = self.until_close_noticed(connection) => None,
             slot = self.work_to_first_output(mean_time * factor) => Some(slot),
         };
         let Some(_slot) = slot else {
@@ -241,7 +244,7 @@
     }
 
     /// Waits until the process has closed the connection and the engine has noticed the close.
-    async fn notices_close(&self, connection: &mut Connection) {
+    async fn until_close_noticed(&self, connection: &mut Connection) {
         connection.closed().await;
         while self.behaviour.hangs.get() && self.behaviour.misses_closes.get() {
             sleep(EVENT_INTERVAL).await;
@@ -266,12 +269,13 @@
 
     /// Works for this duration; a hang delays the start and the end of the work.
     async fn work_for(&self, duration: Ms) {
-        self.until_not_hanging().await;
+        self.until_hang_ends().await;
         sleep(duration).await;
-        self.until_not_hanging().await;
+        self.until_hang_ends().await;
     }
 
-    async fn until_not_hanging(&self) {
+    /// Waits while the engine hangs.
+    async fn until_hang_ends(&self) {
         while self.behaviour.hangs.get() {
             sleep(EVENT_INTERVAL).await;
         }
@@ -288,8 +292,8 @@
                 MALFORMED_PERCENT,
             ],
         ) {
-            Some(0) => StreamOutcome::BreaksFirst,
-            Some(1) => StreamOutcome::BreaksLater,
+            Some(0) => StreamOutcome::BreaksInFirstEvent,
+            Some(1) => StreamOutcome::BreaksInLaterEvent,
             Some(2) => StreamOutcome::Malformed,
             _ => StreamOutcome::Complete,
         };
@@ -322,8 +326,8 @@
             return (AttemptEnd::Abandoned, Some(false));
         }
         let breaks_at = match outcome {
-            StreamOutcome::BreaksFirst => Some(0),
-            StreamOutcome::BreaksLater => Some(events / 2),
+            StreamOutcome::BreaksInFirstEvent => Some(0),
+            StreamOutcome::BreaksInLaterEvent => Some(events / 2),
             _ => None,
         };
         for number in 0..events {
@@ -345,7 +349,7 @@
                 return (AttemptEnd::Failed, Some(false));
             }
             let still_connected = tokio::select! { biased;
-                () = self.notices_close(connection) => false,
+                () = self.until_close_noticed(connection) => false,
                 () = self.work_for(EVENT_INTERVAL) => true,
             };
             if !still_connected {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -6,16 +6,18 @@
 use crate::Ms;
 use nanorand::{Rng, WyRand};
 
-/// A request class.
+/// A request class of a soak, with its effect and its deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
+    /// The name that requests and the configuration state.
     pub name: &'static str,
+    /// Whether a request may run again.
     pub effect: Effect,
-    /// The time to the deadline of a request, in milliseconds.
-    pub deadline: u32,
+    /// The time from a request to its deadline, in milliseconds.
+    pub time_to_deadline: u32,
 }
 
-/// The engines that a fault hits together. Engines are named by their index.
+/// The engines that one fault affects together. An engine is identified by its index in [`Engines`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     One {
@@ -37,23 +39,25 @@
     },
 }
 
-/// The direction in which a silent network forwards nothing.
+/// The direction in which a silent network forwards nothing. Bytes in the other direction still get through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
-    /// Neither direction forwards anything.
+pub enum BlockedDirection {
+    /// Nothing gets through in either direction.
     BothWays,
+    /// Nothing from the processes reaches the engines.
     ToEngines,
+    /// Nothing from the engines reaches the processes.
     ToProcesses,
 }
 
-/// A network fault: connections stay open and nothing gets through.
+/// A network fault: connections stay open, and nothing gets through in the blocked direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Silence {
     pub engines: Group,
-    pub loss: Loss,
+    pub blocked: BlockedDirection,
     /// Whether the silence begins in the middle of a message.
     pub starts_mid_message: bool,
-    /// Whether the held-back bytes are delivered at the end; otherwise all connections are reset.
+    /// Whether the held-back bytes are delivered when the silence ends; otherwise all connections are reset.
     pub delivers: bool,
 }
 
@@ -84,16 +88,17 @@
     ReloadAndStop { process: usize },
     /// An engine drains, is removed some seconds later, and another one starts in its place.
     Replace { engine: usize },
-    /// Engines hang.
+    /// Engines accept connections and calls, and do not work on them.
     Hang(Hang),
     /// All connections to an engine are reset.
     Reset { engine: usize },
     /// New connections to an engine are refused.
     Refuse { engine: usize },
-    /// Machines of engines vanish, or their network fails in one direction.
+    /// Machines of engines vanish, or their network fails in one direction: connections stay open, and nothing gets
+    /// through.
     Silence(Silence),
-    /// Some connections to an engine fall silent while the others continue. At the end the held-back bytes are
-    /// delivered, or all connections are reset.
+    /// Some connections to an engine fall silent, each on its own, while the others continue. At the end the held-back
+    /// bytes are delivered, or all connections are reset.
     SilenceSome { engine: usize, delivers: bool },
     /// An engine takes longer for the first event than clients wait.
     Slow { engine: usize },
@@ -101,15 +106,15 @@
     Reject { engine: usize },
     /// An engine closes its idle connections.
     CloseIdle { engine: usize },
-    /// Discovery answers nothing.
+    /// Discovery answers no call.
     DiscoverySilent,
-    /// Discovery answers every call with an error.
+    /// Discovery refuses every call with an error.
     DiscoveryRefuses,
-    /// All connections to discovery are reset.
+    /// Discovery loses its connections: all of them are reset.
     DiscoveryResets,
 }
 
-/// A fault, with the times at which it begins and ends.
+/// A fault, with the times at which it begins and ends, counted from the start of the soak.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedFault {
     pub from: Ms,
@@ -137,7 +142,8 @@
     pub wall_step_after: Ms,
 }
 
-/// The layout of the engines. Kinds alternate from engine to engine, and zones alternate among the engines of a kind.
+/// The layout of the engines: how many there are, of how many kinds, in how many zones. Kinds alternate from engine to
+/// engine, and zones alternate among the engines of a kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Engines {
     pub count: usize,
@@ -151,13 +157,13 @@
         engine / self.kinds % self.zones
     }
 
-    /// The indices of a group's engines.
+    /// The indices of the engines in this group.
     pub fn members(&self, group: Group) -> Vec<usize> {
         match group {
             Group::One { engine } => vec![engine],
-            Group::Several { first, count } => {
-                (first..first + count).map(|at| at % self.count).collect()
-            }
+            Group::Several { first, count } => (first..first + count)
+                .map(|index| index % self.count)
+                .collect(),
             Group::Zone { zone } => (0..self.count)
                 .filter(|engine| self.zone(*engine) == zone)
                 .collect(),
@@ -169,29 +175,31 @@
     }
 }
 
-/// How long after the start of a soak the first fault begins.
+/// How long after the start of a soak the first fault begins; no fault is injected before.
 const QUIET_START: Ms = 1_500.0;
 /// How long before the end of a soak the last fault ends.
 const QUIET_END: Ms = 2_500.0;
-/// The mean number of faults at any time.
+/// The mean number of faults that overlap at any time.
 const OVERLAP: f64 = 2.5;
-/// The bounds of a fault's duration.
+/// The shortest duration of a fault.
 const MIN_DURATION: Ms = 400.0;
+/// The longest duration of a fault.
 const MAX_DURATION: Ms = 3_000.0;
-/// The possible steps of the wall clock.
+/// The steps of the wall clock from which a soak draws one; negative ones step back.
 const WALL_STEPS: [Ms; 4] = [-3_600_000.0, -5_000.0, 7_000.0, 3_600_000.0];
-/// The range of the classes' deadlines, and that of a soak in which all deadlines are short.
+/// The range of a class's time to the deadline, in milliseconds.
 const DEADLINES: std::ops::Range<u32> = 400..3_000;
+/// The same in a soak in which all deadlines are short.
 const SHORT_DEADLINES: std::ops::Range<u32> = 400..1_500;
-/// One soak in this many has only short deadlines.
+/// One soak in this many draws all its deadlines from [`SHORT_DEADLINES`].
 const SHORT_ONE_IN: u32 = 3;
-/// One soak in this many is crowded.
+/// One soak in this many is crowded: hundreds of idle clients stay connected, and requests also come in bursts.
 const CROWDED_ONE_IN: u32 = 4;
 /// The range of the time, in milliseconds, for which engines recognise the repeat of a keyed request.
 const DEDUPLICATION_WINDOWS: std::ops::Range<u32> = 500..3_000;
-/// The most processes that are stopped one after another.
+/// The largest number of processes that one fault stops one after another.
 const MAX_STOPPED: usize = 4;
-/// The most engines of a group of consecutive ones.
+/// The largest number of consecutive engines that one fault affects.
 const MAX_GROUP: usize = 4;
 /// In one soak in this many, nearly all engines of a kind fail together.
 const KIND_FAILS_ONE_IN: u32 = 3;
@@ -233,16 +241,16 @@
         }
     }
 
-    /// The longest deadline of a class.
+    /// The longest time to the deadline among the classes.
     pub fn longest_deadline(&self) -> Ms {
         self.classes
             .iter()
-            .map(|class| f64::from(class.deadline))
+            .map(|class| f64::from(class.time_to_deadline))
             .fold(0.0, f64::max)
     }
 }
 
-/// Draws the deadlines of the three request classes, one of each effect.
+/// Draws three request classes, one of each effect, with a deadline each.
 fn draw_classes(rng: &mut WyRand) -> [Class; 3] {
     let is_short = rng.generate_range(0..SHORT_ONE_IN) == 0;
     let deadlines = if is_short { SHORT_DEADLINES } else { DEADLINES };
@@ -255,7 +263,7 @@
     let mut class = |name, effect| Class {
         name,
         effect,
-        deadline: rng.generate_range(deadlines.clone()),
+        time_to_deadline: rng.generate_range(deadlines.clone()),
     };
     [
         class("draft", effects[0]),
@@ -279,7 +287,7 @@
             + rng.generate::<f64>() * (interval.min(MAX_DURATION) - MIN_DURATION).max(0.0);
         let fault = match hangs {
             true => Fault::Hang(draw_hang(rng, group)),
-            false => Fault::Silence(draw_silence(rng, group, Loss::BothWays)),
+            false => Fault::Silence(draw_silence(rng, group, BlockedDirection::BothWays)),
         };
         PlannedFault {
             from,
@@ -319,7 +327,7 @@
         }
         25..=29 => {
             let group = draw_group(rng, engine, engines);
-            Fault::Silence(draw_silence(rng, group, Loss::BothWays))
+            Fault::Silence(draw_silence(rng, group, BlockedDirection::BothWays))
         }
         30..=32 => Fault::SilenceSome {
             engine,
@@ -328,12 +336,12 @@
         33..=34 => Fault::Slow { engine },
         _ => {
             let group = draw_group(rng, engine, engines);
-            let loss = if rng.generate_range(0..2u32) == 0 {
-                Loss::ToEngines
+            let blocked = if rng.generate_range(0..2u32) == 0 {
+                BlockedDirection::ToEngines
             } else {
-                Loss::ToProcesses
+                BlockedDirection::ToProcesses
             };
-            Fault::Silence(draw_silence(rng, group, loss))
+            Fault::Silence(draw_silence(rng, group, blocked))
         }
     }
 }
@@ -359,11 +367,12 @@
     }
 }
 
-fn draw_silence(rng: &mut WyRand, engines: Group, loss: Loss) -> Silence {
-    let starts_mid_message = loss == Loss::BothWays && rng.generate_range(0..4u32) == 0;
+fn draw_silence(rng: &mut WyRand, engines: Group, blocked: BlockedDirection) -> Silence {
+    let starts_mid_message =
+        blocked == BlockedDirection::BothWays && rng.generate_range(0..4u32) == 0;
     Silence {
         engines,
-        loss,
+        blocked,
         starts_mid_message,
         delivers: rng.generate_range(0..2u32) == 0,
     }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -8,10 +8,10 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// The text of the log line of a process that detects an invariant violation itself.
-const VIOLATION: &str = "invariant violated";
-/// Marks the log line that names the address on which a process listens.
-const SERVING: &str = "\"serving\"";
+/// The text in the log line of a process that detects an invariant violation itself.
+const VIOLATION_TEXT: &str = "invariant violated";
+/// The text that marks the log line with the address on which a process listens.
+const SERVING_TEXT: &str = "\"serving\"";
 
 /// The command that starts a process.
 #[derive(Clone, Debug)]
@@ -27,17 +27,20 @@
 /// A library that is preloaded into a process.
 #[derive(Clone, Debug)]
 pub struct Shim {
+    /// The path of the library, passed in `LD_PRELOAD`.
     pub library: PathBuf,
     /// The environment variables that configure the library.
     pub variables: Vec<(String, String)>,
 }
 
-/// A process of the soak. It is started several times; at most one run is up at a time.
+/// A process of the soak, which may be started several times. At most one of its runs is up at a time.
 pub struct Process {
+    /// The number of the process in the soak, counted from 0.
     pub number: usize,
     directory: PathBuf,
     program: Program,
     child: Option<Child>,
+    /// How many runs have been started.
     starts: u32,
     /// The address that the present run listens on, once its log names it.
     pub address: Option<SocketAddr>,
@@ -65,7 +68,7 @@
         }
     }
 
-    /// The start number of the next run.
+    /// The number of the next run; the first run has 1.
     pub fn next_start(&self) -> u32 {
         self.starts + 1
     }
@@ -115,14 +118,14 @@
         if self.address.is_none() {
             let log = File::open(self.log_path(self.starts)).ok()?;
             let mut lines = BufReader::new(log).lines().map_while(Result::ok);
-            let line = lines.find(|line| line.contains(SERVING))?;
+            let line = lines.find(|line| line.contains(SERVING_TEXT))?;
             let line: serde_json::Value = serde_json::from_str(&line).ok()?;
             self.address = line["fields"]["address"].as_str()?.parse().ok();
         }
         self.address
     }
 
-    /// The exit status of the present run, once it has ended; reported one time only.
+    /// The exit status of the present run once it has ended. Each end is returned once; further calls return `None`.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -130,7 +133,7 @@
         Some(status)
     }
 
-    /// Whether a run is up whose end has not been noticed.
+    /// Whether a run was started whose end [`Process::ended`] has not returned yet.
     pub fn is_up(&self) -> bool {
         self.child.is_some()
     }
@@ -154,7 +157,7 @@
         let lines = |log: String| {
             let found = log
                 .lines()
-                .filter(|line| line.contains(VIOLATION))
+                .filter(|line| line.contains(VIOLATION_TEXT))
                 .map(str::to_owned);
             found.collect::<Vec<_>>()
         };
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -26,16 +26,16 @@
     Refuse,
     /// Nothing is forwarded in either direction, on existing and on new connections.
     Silent,
-    /// Nothing is forwarded to the engine.
+    /// Nothing is forwarded to the engine; bytes to the process still are.
     SilentToEngine,
-    /// Nothing is forwarded to the process.
+    /// Nothing is forwarded to the process; bytes to the engine still are.
     SilentToProcess,
-    /// Half of the next bytes of a process are forwarded; then the mode changes to `Silent`.
+    /// The first half of the next bytes from a process is forwarded; then the mode changes to `Silent`.
     SilentMidMessage,
 }
 
 impl Mode {
-    /// Whether the mode blocks this direction.
+    /// Whether nothing is forwarded in this direction in this mode.
     fn blocks(self, direction: Direction) -> bool {
         match self {
             Mode::Silent => true,
@@ -50,17 +50,18 @@
 const PERCENTILE_STEP: u32 = 37;
 /// The most bytes that one read takes.
 const READ_BYTES: usize = 16 << 10;
-/// How long the other side's connection stays open after a close on one side.
-const LINGER: Duration = Duration::from_millis(2);
+/// How long the connection to the other side stays open after one side has closed its own.
+const CLOSE_DELAY: Duration = Duration::from_millis(2);
 /// The most bytes that are held back in each direction of a silent connection.
 const MAX_HELD_BYTES: usize = 1 << 20;
 
 struct Shared {
+    /// The address of the engine.
     target: SocketAddr,
     clock: Clock,
     traces: ConnectionTraces,
     mode: Cell<Mode>,
-    /// The percentage of connections that are silent in every mode.
+    /// The percentage of connections that are silent whatever the mode is.
     silent_percent: Cell<u32>,
     /// Notified when the mode, the percentage or the number of resets changes.
     changed: Notify,
@@ -73,6 +74,7 @@
 /// A proxy. Clones share one state.
 #[derive(Clone)]
 pub struct Proxy {
+    /// The address that the proxy listens on.
     pub address: SocketAddr,
     shared: Rc<Shared>,
 }
@@ -112,7 +114,7 @@
         self.shared.set_mode(mode);
     }
 
-    /// Silences this percentage of the connections in every mode; 0 ends that.
+    /// Silences this percentage of the connections, each on its own, whatever the mode is; 0 ends that.
     pub fn silence_some(&self, percent: u32) {
         self.shared.silent_percent.set(percent);
         self.shared.changed.notify_waiters();
@@ -243,7 +245,7 @@
         shared.mode.get().blocks(direction) || self.percentile < shared.silent_percent.get()
     }
 
-    /// Receives the next bytes, or the end, from the sender.
+    /// Receives the next bytes from the sender, or learns that the sender has closed or reset the connection.
     async fn receive(
         &mut self,
         from: &mut OwnedReadHalf,
@@ -268,13 +270,13 @@
         }
     }
 
-    /// Whether more bytes may be received.
+    /// Whether the sender has not ended and fewer than [`MAX_HELD_BYTES`] are held back.
     fn has_room(&self) -> bool {
         self.end.is_none() && self.bytes.len() < MAX_HELD_BYTES
     }
 }
 
-/// Receives bytes without forwarding them; never returns.
+/// Receives bytes without forwarding them; never returns, so the caller has to drop the future.
 async fn hold(
     from: &mut OwnedReadHalf,
     held: &mut HeldBytes,
@@ -326,7 +328,7 @@
             if end == ConnectionEnd::Closed {
                 // The receiver gets all bytes that were sent before the close.
                 let _ = to.shutdown().await;
-                tokio::time::sleep(LINGER).await;
+                tokio::time::sleep(CLOSE_DELAY).await;
             }
             return end;
         }
--- a/crates/soak/src/readings.rs
+++ b/crates/soak/src/readings.rs
@@ -7,18 +7,18 @@
 /// Which KV states a release frees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseScope {
-    /// 'Everything held for the request.'
+    /// A release frees everything that is held for the request.
     Everything,
-    /// Every state 'that no attempt waits for'.
+    /// A release frees each state that no attempt waits for.
     WhatNoAttemptWaitsFor,
 }
 
 /// When an attempt counts as ended if its process closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClosedAttemptEnds {
-    /// At the close.
+    /// The attempt ends when the process closes the connection.
     AtTheClose,
-    /// When the engine notices the close.
+    /// The attempt ends when the engine notices the close.
     WhenTheEngineNotices,
 }
 
@@ -31,7 +31,7 @@
     Unanswered,
 }
 
-/// The readings that apply in a soak.
+/// The reading of each ambiguous sentence that applies in a soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Readings {
     pub release: ReleaseScope,
@@ -48,7 +48,7 @@
         hung_release: HungRelease::Unanswered,
     };
 
-    /// Draws each reading with equal probability.
+    /// Draws one of the two readings of each sentence, with equal probability.
     pub fn draw(rng: &mut WyRand) -> Readings {
         let mut coin = || rng.generate_range(0..2u32) == 0;
         Readings {
@@ -77,7 +77,7 @@
             ReleaseScope::Everything => "lets everything go",
             ReleaseScope::WhatNoAttemptWaitsFor => "lets go what no attempt waits for",
         };
-        let over = match self.closed_attempt_ends {
+        let attempt_end = match self.closed_attempt_ends {
             ClosedAttemptEnds::AtTheClose => "with its close",
             ClosedAttemptEnds::WhenTheEngineNotices => "when its engine notices the close",
         };
@@ -87,7 +87,7 @@
         };
         write!(
             f,
-            "a release {release}; an attempt is over {over}; an engine that hangs {hung_release}"
+            "a release {release}; an attempt is over {attempt_end}; an engine that hangs {hung_release}"
         )
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -8,7 +8,7 @@
 use crate::configuration::{self, ProcessSettings, KINDS, ZONES};
 use crate::discovery::{self, Discovery, Entry};
 use crate::engine::{Engine, EngineSettings};
-use crate::plan::{Engines, Fault, Hang, Loss, Plan, PlannedFault, Silence};
+use crate::plan::{BlockedDirection, Engines, Fault, Hang, Plan, PlannedFault, Silence};
 use crate::process::{Process, Program, Shim};
 use crate::proxy::{self, Proxy};
 use crate::readings::HungRelease;
@@ -33,42 +33,44 @@
     kinds: KINDS.len(),
     zones: ZONES.len(),
 };
-/// The mean number of requests per second and process. Single processes get up to several times as many.
+/// The mean number of requests per second that each process gets. Some processes get several times as many.
 const REQUEST_RATE: f64 = 4.0;
-/// The slots of an engine per request that it gets in a second, where slots are limited. A stream takes about 0.2 s in
-/// the mean.
-const SLOTS_PER_RATE: f64 = 0.3;
+/// The slots of an engine for each request that it gets per second, in soaks where decode attempts wait for one
+/// another. A stream takes about 0.2 s in the mean.
+const SLOTS_PER_REQUEST_RATE: f64 = 0.3;
 /// How often the audit checks held KV states, and the runner checks processes.
 const CHECK_INTERVAL: Ms = 25.0;
-/// A process that is not ready within this time counts as never ready.
+/// A process that is not ready within this time after its start is reported as a violation.
 const READY_TIMEOUT: Ms = 30_000.0;
-/// The number of engines that always stay reachable.
+/// The number of engines that faults always leave reachable.
 const MIN_REACHABLE: usize = 2;
-/// How long after a signal to stop new connections still arrive ('for 0.2 to 0.4 s').
-const STOP_NOTICED: Ms = 300.0;
-/// A stopping process is killed when the longest deadline and this time have passed since the signal. The protocol
-/// allows no earlier kill.
+/// How long after SIGTERM clients still open new connections. The platform's protocol says 'for 0.2 to 0.4 s'.
+const CONNECTS_AFTER_STOP: Ms = 300.0;
+/// A stopping process is killed when the longest deadline and this time have passed since SIGTERM. This is the earliest
+/// kill that the protocol allows.
 const KILL_AFTER_DEADLINE: Ms = 700.0;
-/// The longest deadline is 'counted as 3 s where it is longer' for the kill of a stopping process.
+/// Caps the longest deadline when the time of a stopping process's kill is computed: the protocol counts a longer one
+/// as 3 s.
 const MAX_COUNTED_DEADLINE: Ms = 3_000.0;
 /// The percentage of an engine's connections that fall silent in [`Fault::SilenceSome`].
 const SILENT_PERCENT: u32 = 40;
-/// The time between the stops of several processes.
+/// The time between two stops in [`Fault::StopSeveral`].
 const STOP_INTERVAL: Ms = 250.0;
-/// The time between a reload and the stop that follows it.
+/// The time between the reload and the stop in [`Fault::ReloadAndStop`].
 const STOP_AFTER_RELOAD: Ms = 5.0;
 /// The number of idle clients of each process in a crowded soak.
 const IDLE_CLIENTS: usize = 25;
-/// The number of requests of a burst at each process in a crowded soak.
+/// The number of requests in a burst at each process in a crowded soak.
 const BURST_REQUESTS: usize = 12;
-/// The time between two bursts.
+/// The time between two bursts at a process in a crowded soak.
 const BURST_INTERVAL: Ms = 2_500.0;
 /// How late the check of held KV states may run. A later check is skipped, as releases may have arrived that the
 /// stand-ins have not read yet.
 const MAX_CHECK_DELAY: Ms = 15.0;
-/// How long a process is suspended; within the 0.15 s that the rules allow.
+/// How long a process is suspended. The rules allow a process not to run for 0.15 s at most.
 const SUSPEND_TIME: Ms = 140.0;
-/// Where processes poll for lists, they count as notified of a change this long after its publication.
+/// In soaks where processes poll discovery for lists, they count as notified of a change this long after it was
+/// published.
 const POLL_NOTICE_TIME: Ms = 6_000.0;
 /// One process in this many has its wall clock stepped.
 const STEPPED_ONE_IN: usize = 3;
@@ -78,8 +80,11 @@
 /// The options of a soak.
 #[derive(Clone, Debug)]
 pub struct Options {
+    /// The seed from which the plan and all other random draws derive.
     pub seed: u64,
+    /// The number of processes.
     pub processes: usize,
+    /// The length of the soak.
     pub seconds: f64,
     /// The executable of the processes.
     pub program: PathBuf,
@@ -94,7 +99,9 @@
 /// The result of a soak.
 #[derive(Clone, Debug)]
 pub struct Outcome {
+    /// The plan that the seed gave.
     pub plan: Plan,
+    /// The report of the audit.
     pub report: Report,
     /// The log lines in which processes report invariant violations themselves.
     pub own_violations: Vec<String>,
@@ -116,14 +123,15 @@
     })
 }
 
-/// A position in the fleet, and the engine that holds it at present.
+/// One of the [`ENGINES`] that the layout provides for, by index, with the engine stand-in that runs there at present.
+/// When that engine is removed, its successor takes over the index.
 struct EngineSlot {
     engine: Engine,
     proxy: Proxy,
     entry: Entry,
-    /// How many engines held this position before.
+    /// How many engines ran at this index before the present one.
     generation: u32,
-    /// Whether the engine drains.
+    /// Whether the engine is being drained and removed.
     is_leaving: bool,
 }
 
@@ -142,16 +150,16 @@
     processes: Vec<RefCell<Process>>,
     /// Whether each process is used by a fault, is not ready yet, or has ended unexpectedly.
     busy: Vec<Cell<bool>>,
-    /// The engines that are out of service.
+    /// The identifiers of the engines that discovery has listed as draining or removed.
     out_of_service: RefCell<Vec<String>>,
-    /// The list of engines in the configurations. It may be outdated, as a real configuration may be when a process
-    /// starts.
-    known: RefCell<String>,
-    /// The engines that are cut off at present.
+    /// The list of engines that new configurations contain, as JSON. It may be outdated, as a real configuration may be
+    /// when a process starts.
+    configured_engines: RefCell<String>,
+    /// The indices of the engines that a fault makes unreachable at present.
     unreachable: RefCell<BTreeSet<usize>>,
-    /// Whether the time of the soak is over.
+    /// Whether the soak's duration has passed; clients then send no new requests.
     is_over: Cell<bool>,
-    /// When the last check ran.
+    /// When [`Soak::check`] last ran.
     checked_at: Cell<Ms>,
 }
 
@@ -174,10 +182,10 @@
         let addresses = [discovery.listen().await?, discovery.listen().await?];
         let platform = Platform::new(options.seed, &plan, rate);
         let mut engines = Vec::new();
-        for at in 0..ENGINES.count {
-            let slot = start_engine(&platform, at, 0, clock, &audit).await?;
+        for index in 0..ENGINES.count {
+            let slot = start_engine(&platform, index, 0, clock, &audit).await?;
             audit.borrow_mut().engine_in_service(&slot.entry.id, None);
-            discovery.change(slot.entry.clone());
+            discovery.publish(slot.entry.clone());
             engines.push(slot);
         }
         let known = discovery.complete_list();
@@ -202,7 +210,7 @@
             processes,
             busy: (0..options.processes).map(|_| Cell::new(true)).collect(),
             out_of_service: RefCell::default(),
-            known: RefCell::new(known),
+            configured_engines: RefCell::new(known),
             unreachable: RefCell::default(),
             is_over: Cell::new(false),
             checked_at: Cell::new(0.0),
@@ -228,7 +236,7 @@
         }
         self.is_over.set(true);
         for fault in faults {
-            // The audit sees the consequences of a fault whose task failed.
+            // If the task of a fault has panicked, the audit reports what the task left undone.
             let _ = fault.await;
         }
         self.stop_all().await;
@@ -261,7 +269,7 @@
         }
     }
 
-    /// Checks for KV states that are held for too long, and for processes that have ended without being told to.
+    /// Checks for KV states that are held for too long, and for processes that have ended without a signal.
     fn check(&self) {
         let now = self.clock.now();
         let delay = now - self.checked_at.replace(now) - CHECK_INTERVAL;
@@ -311,10 +319,10 @@
             discovery: self.addresses[self.current_address.get()],
             lists_are_asked_for: self.plan.lists_are_asked_for,
         };
-        configuration::render(&settings, &self.known.borrow())
+        configuration::render(&settings, &self.configured_engines.borrow())
     }
 
-    /// Waits until a run is ready, and then runs its clients.
+    /// Waits until a run is ready, and then sends it the requests of its clients.
     async fn bring_up(self: Rc<Self>, run: ProcessRun) {
         let began = self.clock.now();
         let process = &self.processes[run.process];
@@ -337,7 +345,8 @@
             .process_failed(what, self.clock.now());
     }
 
-    /// Sends the requests of clients to a run until the run ends.
+    /// Sends the requests of clients to a run for as long as it takes new clients. After that, connected clients go on
+    /// until the run ends.
     async fn run_clients(self: Rc<Self>, run: ProcessRun, address: SocketAddr) {
         let seed = self.platform.seed ^ (run.process as u64) << 32 ^ u64::from(run.start) << 48;
         let mut rng = WyRand::new_seed(seed);
@@ -363,7 +372,7 @@
             if self
                 .audit
                 .borrow()
-                .stopped_before(run, self.clock.now() - STOP_NOTICED)
+                .stopped_before(run, self.clock.now() - CONNECTS_AFTER_STOP)
             {
                 spawn_local(clients.clone().send_on_idle_connection());
             } else if !self.is_over.get() {
@@ -400,20 +409,21 @@
         process.current_run() == run && process.is_up()
     }
 
-    /// Whether new clients still connect to a run.
+    /// Whether new clients still connect to a run: the run is up, it was not told to stop more than [`CONNECTS_AFTER_STOP`] ago,
+    /// and the soak is not over.
     fn accepts_clients(&self, run: ProcessRun) -> bool {
         let stopped = self
             .audit
             .borrow()
-            .stopped_before(run, self.clock.now() - STOP_NOTICED);
+            .stopped_before(run, self.clock.now() - CONNECTS_AFTER_STOP);
         self.is_up(run) && !stopped && !self.is_over.get()
     }
 }
 
-/// The settings that all engines of a soak share.
+/// The settings that all engine stand-ins of a soak share.
 struct Platform {
     seed: u64,
-    /// Decode attempts that an engine serves at the same time.
+    /// The number of decode attempts that an engine serves at the same time.
     slots: usize,
     hung_release: HungRelease,
 }
@@ -422,7 +432,7 @@
     /// `rate` is the mean number of requests per second that each engine of a kind gets.
     fn new(seed: u64, plan: &Plan, rate: f64) -> Platform {
         let slots = if plan.decodes_wait {
-            (rate * SLOTS_PER_RATE).ceil() as usize + 1
+            (rate * SLOTS_PER_REQUEST_RATE).ceil() as usize + 1
         } else {
             Semaphore::MAX_PERMITS
         };
@@ -434,31 +444,31 @@
     }
 }
 
-/// Starts the engine of a position, with a proxy in front of it.
+/// Starts an engine stand-in for this index of the layout, with a proxy in front of it.
 async fn start_engine(
     platform: &Platform,
-    at: usize,
+    index: usize,
     generation: u32,
     clock: Clock,
     audit: &Rc<RefCell<Audit>>,
 ) -> io::Result<EngineSlot> {
-    let kind = at % KINDS.len();
+    let kind = index % KINDS.len();
     let stage = if kind == 0 {
         Stage::Prefill
     } else {
         Stage::Decode
     };
-    let id = format!("{}{}-{generation}", KINDS[kind], at / KINDS.len());
+    let id = format!("{}{}-{generation}", KINDS[kind], index / KINDS.len());
     let settings = EngineSettings {
         id: id.clone(),
         stage,
         slots: platform.slots,
         hung_release: platform.hung_release,
-        seed: platform.seed ^ (at as u64) << 8 ^ u64::from(generation),
+        seed: platform.seed ^ (index as u64) << 8 ^ u64::from(generation),
     };
     let engine = Engine::new(settings, clock, audit.clone());
     let proxy = Proxy::start(engine.listen().await?, clock, engine.traces.clone()).await?;
-    let nth_of_kind = at / KINDS.len();
+    let nth_of_kind = index / KINDS.len();
     let entry = Entry {
         id,
         address: proxy.address,
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -59,7 +59,8 @@
         !self.busy[number].replace(true)
     }
 
-    /// Tells a process to stop, kills it after the time limit, and starts it again if asked to.
+    /// Sends SIGTERM to a process, kills it if it exceeds the time limit, and starts it again if `starts_again` is set.
+    /// Does nothing if the process is not up or another fault uses it.
     pub(super) async fn stop_process(self: &Rc<Self>, number: usize, starts_again: bool) {
         if !self.reserve_process(number) {
             return;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Stops processes one after another, as a rollout does.
+    /// Stops consecutive processes one after another, as a rollout does, and starts them again.
     pub(super) async fn stop_several(self: &Rc<Self>, first: usize, count: usize) {
         let stops = (0..count).map(|nth| {
             let (soak, number) = (self.clone(), (first + nth) % self.processes.len());
@@ -126,7 +127,7 @@
         self.start_process(number);
     }
 
-    /// Suspends a process for [`SUSPEND_TIME`].
+    /// Suspends a process for [`SUSPEND_TIME`], unless it is not up or another fault uses it.
     pub(super) async fn pause_process(&self, number: usize) {
         if self.reserve_process(number) {
             self.processes[number].borrow().signal(Signal::STOP);
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Moves discovery to its other address and makes all running processes reload their configurations.
+    /// Switches the configurations to the other address of discovery, and makes all processes that are up and that no
+    /// fault uses reload them.
     pub(super) fn reload(&self) {
         self.current_address.set(1 - self.current_address.get());
         for (number, process) in self
@@ -153,31 +155,31 @@
     }
 
     /// Resets all connections to an engine.
-    pub(super) fn reset_engine_connections(&self, at: usize) {
+    pub(super) fn reset_engine_connections(&self, index: usize) {
         let engines = self.engines.borrow();
         let now = self.clock.now();
         self.audit
             .borrow_mut()
-            .engine_connections_reset(&engines[at].entry.id, now);
-        engines[at].proxy.reset_connections();
+            .engine_connections_reset(&engines[index].entry.id, now);
+        engines[index].proxy.reset_connections();
     }
 
     /// Refuses new connections to an engine until the time `until`.
-    pub(super) async fn refuse_connections(&self, at: usize, until: Ms) {
-        if !self.mark_unreachable(at) {
+    pub(super) async fn refuse_connections(&self, index: usize, until: Ms) {
+        if !self.mark_unreachable(index) {
             return;
         }
-        let proxy = self.proxy(at);
+        let proxy = self.proxy(index);
         proxy.set_mode(proxy::Mode::Refuse);
         sleep(until - self.clock.now()).await;
-        self.restore(at, &proxy);
+        self.restore(index, &proxy);
     }
 
-    /// Marks an engine as cut off. Returns `false` if it is cut off already or if too few engines would stay reachable:
-    /// a held KV state can only be released through a reachable engine.
-    pub(super) fn mark_unreachable(&self, at: usize) -> bool {
+    /// Marks an engine as unreachable. Returns `false` if it is unreachable already or if too few engines would stay
+    /// reachable: a held KV state can only be released through a reachable engine.
+    pub(super) fn mark_unreachable(&self, index: usize) -> bool {
         let mut unreachable = self.unreachable.borrow_mut();
-        unreachable.len() + MIN_REACHABLE < ENGINES.count && unreachable.insert(at)
+        unreachable.len() + MIN_REACHABLE < ENGINES.count && unreachable.insert(index)
     }
 
     /// Silences the network of engines until the time `until`, and then delivers the held-back bytes or resets the
@@ -187,125 +189,138 @@
         let silenced_engines = ENGINES
             .members(silence.engines)
             .into_iter()
-            .filter(|at| self.mark_unreachable(*at));
-        let silenced: Vec<_> = silenced_engines.map(|at| (at, self.proxy(at))).collect();
-        let mode = match silence.loss {
-            Loss::BothWays if silence.starts_mid_message => proxy::Mode::SilentMidMessage,
-            Loss::BothWays => proxy::Mode::Silent,
-            Loss::ToEngines => proxy::Mode::SilentToEngine,
-            Loss::ToProcesses => proxy::Mode::SilentToProcess,
+            .filter(|index| self.mark_unreachable(*index));
+        let silenced: Vec<_> = silenced_engines
+            .map(|index| (index, self.proxy(index)))
+            .collect();
+        let mode = match silence.blocked {
+            BlockedDirection::BothWays if silence.starts_mid_message => {
+                proxy::Mode::SilentMidMessage
+            }
+            BlockedDirection::BothWays => proxy::Mode::Silent,
+            BlockedDirection::ToEngines => proxy::Mode::SilentToEngine,
+            BlockedDirection::ToProcesses => proxy::Mode::SilentToProcess,
         };
         for (_, proxy) in &silenced {
             proxy.set_mode(mode);
         }
         sleep(until - since).await;
-        for (at, proxy) in silenced {
-            if !silence.delivers && self.is_behind(at, &proxy) {
-                let id = self.engines.borrow()[at].entry.id.clone();
+        for (index, proxy) in silenced {
+            if !silence.delivers && self.is_current_proxy(index, &proxy) {
+                let id = self.engines.borrow()[index].entry.id.clone();
                 self.audit
                     .borrow_mut()
                     .engine_connections_reset(&id, self.clock.now());
                 proxy.reset_connections();
             }
-            self.restore(at, &proxy);
+            self.restore(index, &proxy);
         }
     }
 
     /// Silences some of an engine's connections until the time `until`.
-    pub(super) async fn silence_some(&self, at: usize, delivers: bool, until: Ms) {
-        let proxy = self.proxy(at);
+    pub(super) async fn silence_some(&self, index: usize, delivers: bool, until: Ms) {
+        let proxy = self.proxy(index);
         proxy.silence_some(SILENT_PERCENT);
         sleep(until - self.clock.now()).await;
-        if !delivers && self.is_behind(at, &proxy) {
-            self.reset_engine_connections(at);
+        if !delivers && self.is_current_proxy(index, &proxy) {
+            self.reset_engine_connections(index);
         }
         proxy.silence_some(0);
     }
 
-    /// Makes engines hang until the time `until`.
+    /// Makes those engines of the group hang until the time `until` that [`Soak::mark_unreachable`] admits.
     pub(super) async fn hang_engines(&self, hang: Hang, until: Ms) {
         let hung_engines = ENGINES
             .members(hang.engines)
             .into_iter()
-            .filter(|at| self.mark_unreachable(*at));
+            .filter(|index| self.mark_unreachable(*index));
         let hung: Vec<_> = hung_engines
-            .map(|at| (at, self.engines.borrow()[at].engine.behaviour.clone()))
+            .map(|index| (index, self.engines.borrow()[index].engine.behaviour.clone()))
             .collect();
         for (_, behaviour) in &hung {
             behaviour.misses_closes.set(!hang.notices_closes);
             behaviour.hangs.set(true);
         }
         sleep(until - self.clock.now()).await;
-        for (at, behaviour) in hung {
+        for (index, behaviour) in hung {
             behaviour.hangs.set(false);
-            self.unreachable.borrow_mut().remove(&at);
+            self.unreachable.borrow_mut().remove(&index);
         }
     }
 
-    /// The proxy of the engine that holds this position at present.
-    pub(super) fn proxy(&self, at: usize) -> Proxy {
-        self.engines.borrow()[at].proxy.clone()
+    /// The proxy in front of the engine that runs at this index of the layout at present.
+    pub(super) fn proxy(&self, index: usize) -> Proxy {
+        self.engines.borrow()[index].proxy.clone()
     }
 
-    /// Whether this proxy still belongs to the engine that holds the position: the engine may have been replaced.
-    pub(super) fn is_behind(&self, at: usize, proxy: &Proxy) -> bool {
-        self.engines.borrow()[at].proxy.address == proxy.address
+    /// Whether this proxy still stands in front of the engine at this index; `false` if the engine has been replaced.
+    pub(super) fn is_current_proxy(&self, index: usize, proxy: &Proxy) -> bool {
+        self.engines.borrow()[index].proxy.address == proxy.address
     }
 
-    /// Ends the fault of a proxy, unless its engine has been replaced.
-    pub(super) fn restore(&self, at: usize, proxy: &Proxy) {
-        self.unreachable.borrow_mut().remove(&at);
-        if self.is_behind(at, proxy) {
+    /// Marks the engine at this index as reachable. Its proxy forwards again, unless the engine has been replaced.
+    pub(super) fn restore(&self, index: usize, proxy: &Proxy) {
+        self.unreachable.borrow_mut().remove(&index);
+        if self.is_current_proxy(index, proxy) {
             proxy.set_mode(proxy::Mode::Forward);
         }
     }
 
-    /// Drains an engine, removes it at `until` at the earliest, and starts another one in its place.
-    pub(super) async fn replace_engine(&self, at: usize, until: Ms) {
+    /// Drains an engine, removes it at `until` but not before [`MIN_DRAIN_TIME`], and starts another one in its place.
+    /// Does nothing if too few engines of the kind would stay in service.
+    pub(super) async fn replace_engine(&self, index: usize, until: Ms) {
         let (entry, generation) = {
             let mut engines = self.engines.borrow_mut();
             // At least one engine of the kind stays in service.
-            let kind = at % KINDS.len();
+            let kind = index % KINDS.len();
             let leaving = engines
                 .iter()
                 .skip(kind)
                 .step_by(KINDS.len())
                 .filter(|slot| slot.is_leaving)
                 .count();
-            if engines[at].is_leaving || leaving + 1 >= ENGINES_PER_KIND {
+            if engines[index].is_leaving || leaving + 1 >= ENGINES_PER_KIND {
                 return;
             }
-            engines[at].is_leaving = true;
-            (engines[at].entry.clone(), engines[at].generation)
+            engines[index].is_leaving = true;
+            (engines[index].entry.clone(), engines[index].generation)
         };
-        *self.known.borrow_mut() = self.discovery.complete_list();
+        *self.configured_engines.borrow_mut() = self.discovery.complete_list();
         self.audit.borrow_mut().engine_out_of_service(&entry.id);
         self.out_of_service.borrow_mut().push(entry.id.clone());
-        self.discovery.change(Entry {
+        self.discovery.publish(Entry {
             phase: "draining",
             ..entry.clone()
         });
         self.notify_all();
         sleep(until.max(self.clock.now() + MIN_DRAIN_TIME) - self.clock.now()).await;
-        self.discovery.change(Entry {
+        self.discovery.publish(Entry {
             phase: "removed",
             ..entry.clone()
         });
-        self.reset_engine_connections(at);
-        self.engines.borrow()[at]
+        self.reset_engine_connections(index);
+        self.engines.borrow()[index]
             .proxy
             .set_mode(proxy::Mode::Refuse);
         self.audit.borrow_mut().engine_gone(&entry.id);
-        match start_engine(&self.platform, at, generation + 1, self.clock, &self.audit).await {
+        match start_engine(
+            &self.platform,
+            index,
+            generation + 1,
+            self.clock,
+            &self.audit,
+        )
+        .await
+        {
             Ok(slot) => {
                 self.audit
                     .borrow_mut()
                     .engine_in_service(&slot.entry.id, Some(self.clock.now()));
-                self.discovery.change(slot.entry.clone());
-                self.engines.borrow_mut()[at] = slot;
+                self.discovery.publish(slot.entry.clone());
+                self.engines.borrow_mut()[index] = slot;
             }
             Err(problem) => {
-                let what = format!("engine {at} could not be started: {problem}");
+                let what = format!("engine {index} could not be started: {problem}");
                 self.audit
                     .borrow_mut()
                     .process_failed(what, self.clock.now());
--- a/crates/soak/src/service.rs
+++ b/crates/soak/src/service.rs
@@ -1,5 +1,5 @@
-//! Shared parts of the stand-ins: the clock, random draws by percentage, and HTTP connections that record when
-//! the bytes of a request arrive.
+//! What the stand-ins share: the clock, random draws by percentage, and HTTP connections that record when the bytes of
+//! a request arrive.
 
 use crate::Ms;
 use bytes::BytesMut;
@@ -15,7 +15,7 @@
 
 /// The largest body that a stand-in accepts.
 const MAX_BODY_BYTES: usize = 1 << 20;
-/// The buffer space that a read gets at least.
+/// The least free buffer space before each read.
 const READ_BYTES: usize = 8 << 10;
 
 /// The soak's monotonic clock, which counts from the start of the soak.
@@ -25,14 +25,14 @@
 }
 
 impl Clock {
-    /// Starts a clock at 0.
+    /// Starts a clock that reads 0 now.
     pub fn start() -> Clock {
         Clock {
             began: Instant::now(),
         }
     }
 
-    /// Milliseconds since the start.
+    /// The milliseconds since the start of the clock.
     pub fn now(&self) -> Ms {
         self.began.elapsed().as_secs_f64() * 1000.0
     }
@@ -62,7 +62,9 @@
 /// A complete request, with the arrival times of its first and its last byte.
 pub struct Received {
     pub head: Request,
+    /// When the first byte arrived.
     pub first_byte: Ms,
+    /// When the last byte arrived.
     pub last_byte: Ms,
 }
 
@@ -137,7 +139,7 @@
         })
     }
 
-    /// Reads more bytes; fails at the end of the stream.
+    /// Reads more bytes; returns `UnexpectedEof` if the other side has closed the connection.
     async fn read_more(&mut self) -> io::Result<()> {
         self.bytes.reserve(READ_BYTES);
         match self.io.read_buf(&mut self.bytes).await? {
--- a/crates/soak/tests/audit.rs
+++ b/crates/soak/tests/audit.rs
@@ -12,7 +12,7 @@
 const RULES: Rules = Rules {
     answer_grace: 500.0,
     drain_grace: 1_000.0,
-    release: 800.0,
+    release_limit: 800.0,
     disconnect_grace: 100.0,
     deadline_slack: 150.0,
     event_delay: 300.0,
@@ -20,7 +20,7 @@
     slow_start_budget: 16.0,
     cold_time: 6_000.0,
     stalled_client_limit: 3_000.0,
-    ready: 10_000.0,
+    ready_limit: 10_000.0,
     timer_slack: 50.0,
     process_delay: 50.0,
 };
@@ -68,16 +68,16 @@
     }
 }
 
-/// A request sent at `at`, whose KV state is held from 20 ms later on.
-fn prefilled(audit: &mut Audit, id: &str, effect: Effect, at: Ms) {
+/// Adds a request sent at `at`, whose KV state is held from 20 ms later on.
+fn add_prefilled_request(audit: &mut Audit, id: &str, effect: Effect, at: Ms) {
     audit.request_sent(id, RUN, effect, at, 1_000.0);
     let prefill = audit.attempt_begins(new_attempt(id, "p", Stage::Prefill, at + 1.0, 999.0));
     audit.state_held(id, "p", at + 20.0);
     audit.attempt_ends(prefill, AttemptEnd::Served, at + 20.0);
 }
 
-/// A decode attempt whose engine has written two events.
-fn decoding(audit: &mut Audit, id: &str, at: Ms) -> AttemptId {
+/// Adds a decode attempt whose engine has written two events.
+fn add_decode_attempt(audit: &mut Audit, id: &str, at: Ms) -> AttemptId {
     let decode = audit.attempt_begins(new_attempt(id, "d", Stage::Decode, at, 100.0));
     audit.state_freed(id);
     audit.event_written(decode, at + 10.0);
@@ -85,10 +85,10 @@
     decode
 }
 
-/// A request that is served without a violation.
-fn request_served(audit: &mut Audit, id: &str, effect: Effect, at: Ms) {
-    prefilled(audit, id, effect, at);
-    let decode = decoding(audit, id, at + 21.0);
+/// Adds a request that is served without a violation.
+fn add_served_request(audit: &mut Audit, id: &str, effect: Effect, at: Ms) {
+    add_prefilled_request(audit, id, effect, at);
+    let decode = add_decode_attempt(audit, id, at + 21.0);
     audit.event_received(id, 0, at + 32.0);
     audit.event_received(id, 1, at + 42.0);
     audit.stream_complete(decode);
@@ -96,7 +96,7 @@
     audit.answered(id, Answer::Complete(2), at + 51.0);
 }
 
-/// The invariants that were violated, once each.
+/// The violated invariants, without consecutive repeats.
 fn violated(audit: Audit, now: Ms) -> Vec<Invariant> {
     let mut violated: Vec<Invariant> = audit
         .finish(now)
@@ -112,7 +112,7 @@
 fn a_soak_without_faults_has_no_violations_and_counts_its_cases() {
     let mut audit = audit();
     for at in 0..50 {
-        request_served(
+        add_served_request(
             &mut audit,
             &format!("r{at}"),
             Effect::AtMostOnce,
@@ -146,8 +146,8 @@
 #[test_case(Answer::Failed, false, false; "reported failure")]
 fn an_end_without_a_valid_answer_is_found(answer: Answer, killed: bool, is_violation: bool) {
     let mut audit = audit();
-    prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
-    decoding(&mut audit, "a", 21.0);
+    add_prefilled_request(&mut audit, "a", Effect::Idempotent, 0.0);
+    add_decode_attempt(&mut audit, "a", 21.0);
     if killed {
         audit.process_killed(RUN, 50.0);
     }
@@ -172,7 +172,7 @@
         (Some(100.0), 2_000.0, true),
     ] {
         let mut audit = audit();
-        prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
+        add_prefilled_request(&mut audit, "a", Effect::Idempotent, 0.0);
         let trace = Rc::new(ConnectionTrace::default());
         let attempt = NewAttempt {
             trace: Some(trace.clone()),
@@ -294,7 +294,7 @@
     });
     assert_eq!(violated(drain, 1_200.0), [Invariant::DrainKept]);
     let mut concurrent = audit();
-    prefilled(&mut concurrent, "a", Effect::Idempotent, 0.0);
+    add_prefilled_request(&mut concurrent, "a", Effect::Idempotent, 0.0);
     concurrent.attempt_begins(NewAttempt {
         trace: silent(),
         ..new_attempt("a", "d", Stage::Decode, 30.0, 900.0)
@@ -323,7 +323,7 @@
 #[test]
 fn an_attempt_may_follow_one_that_was_closed_on_a_silent_connection() {
     let mut audit = audit();
-    prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
+    add_prefilled_request(&mut audit, "a", Effect::Idempotent, 0.0);
     let trace = Rc::new(ConnectionTrace::default());
     let first = NewAttempt {
         trace: Some(trace.clone()),
@@ -344,7 +344,7 @@
         (31.0, 500.0, true),
     ] {
         let mut audit = audit();
-        prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
+        add_prefilled_request(&mut audit, "a", Effect::Idempotent, 0.0);
         let trace = Rc::new(ConnectionTrace::default());
         let decode = audit.attempt_begins(NewAttempt {
             trace: Some(trace.clone()),
@@ -402,8 +402,8 @@
     for is_killed in [true, false] {
         let mut audit = audit();
         audit.process_stops(RUN, 0.0);
-        prefilled(&mut audit, "a", Effect::Idempotent, sent);
-        decoding(&mut audit, "a", sent + 21.0);
+        add_prefilled_request(&mut audit, "a", Effect::Idempotent, sent);
+        add_decode_attempt(&mut audit, "a", sent + 21.0);
         if is_killed {
             audit.process_killed_in_stop(RUN, 1_100.0);
         }
@@ -433,10 +433,10 @@
     allowed: bool,
 ) {
     let mut audit = audit();
-    prefilled(&mut audit, "a", effect, 0.0);
-    let first = decoding(&mut audit, "a", 21.0);
+    add_prefilled_request(&mut audit, "a", effect, 0.0);
+    let first = add_decode_attempt(&mut audit, "a", 21.0);
     audit.attempt_ends(first, end, 40.0);
-    decoding(&mut audit, "a", at);
+    add_decode_attempt(&mut audit, "a", at);
     assert_eq!(
         violated(audit, 900.0),
         if allowed {
@@ -450,13 +450,13 @@
 #[test]
 fn concurrent_attempts_and_a_rejection_after_execution_are_found() {
     let mut concurrent = audit();
-    prefilled(&mut concurrent, "a", Effect::Idempotent, 0.0);
-    decoding(&mut concurrent, "a", 21.0);
-    decoding(&mut concurrent, "a", 200.0);
+    add_prefilled_request(&mut concurrent, "a", Effect::Idempotent, 0.0);
+    add_decode_attempt(&mut concurrent, "a", 21.0);
+    add_decode_attempt(&mut concurrent, "a", 200.0);
     assert_eq!(violated(concurrent, 900.0), [Invariant::RunOnce]);
     let mut rejected = audit();
-    prefilled(&mut rejected, "a", Effect::AtMostOnce, 0.0);
-    let attempt = decoding(&mut rejected, "a", 21.0);
+    add_prefilled_request(&mut rejected, "a", Effect::AtMostOnce, 0.0);
+    let attempt = add_decode_attempt(&mut rejected, "a", 21.0);
     rejected.attempt_ends(attempt, AttemptEnd::Failed, 40.0);
     rejected.answered("a", Answer::Rejected, 50.0);
     assert_eq!(violated(rejected, 900.0), [Invariant::RunOnce]);
@@ -474,7 +474,7 @@
         if is_notified {
             audit.notified_out("p", 0, 0.0);
         }
-        prefilled(&mut audit, "a", Effect::Idempotent, at);
+        add_prefilled_request(&mut audit, "a", Effect::Idempotent, at);
         audit.state_freed("a");
         assert_eq!(
             violated(audit, at + 100.0),
@@ -495,7 +495,7 @@
         (false, true, false),
     ] {
         let mut audit = audit();
-        prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
+        add_prefilled_request(&mut audit, "a", Effect::Idempotent, 0.0);
         if held_by_attempt {
             audit.attempt_begins(new_attempt("a", "d", Stage::Decode, 30.0, 900.0));
         }
@@ -527,7 +527,7 @@
             release,
             ..Readings::PLAIN
         });
-        prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
+        add_prefilled_request(&mut audit, "a", Effect::Idempotent, 0.0);
         let decode = audit.attempt_begins(new_attempt("a", "d", Stage::Decode, 30.0, 900.0));
         audit.release_received("a");
         audit.attempt_ends(decode, AttemptEnd::Abandoned, 1_000.0);
@@ -604,7 +604,7 @@
             ..Readings::PLAIN
         };
         let mut audit = audit_with_readings(readings);
-        prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
+        add_prefilled_request(&mut audit, "a", Effect::Idempotent, 0.0);
         audit.client_disconnected("a", 100.0);
         let trace = Rc::new(ConnectionTrace::default());
         trace.process_closed(100.0);
@@ -664,8 +664,8 @@
 fn a_late_event_and_an_event_out_of_order_are_found() {
     for (number, at, is_violation) in [(0, 400.0, false), (0, 500.0, true), (1, 100.0, true)] {
         let mut audit = audit();
-        prefilled(&mut audit, "a", Effect::Idempotent, 0.0);
-        decoding(&mut audit, "a", 21.0);
+        add_prefilled_request(&mut audit, "a", Effect::Idempotent, 0.0);
+        add_decode_attempt(&mut audit, "a", 21.0);
         audit.event_received("a", number, at);
         assert_eq!(
             violated(audit, 600.0),
