--- a/crates/soak/src/audit/attempts.rs
+++ b/crates/soak/src/audit/attempts.rs
@@ -46,7 +46,7 @@
         id
     }
 
-    /// Checks that the engine of an attempt does not drain, or that the process was notified within the grace only.
+    /// Checks that an attempt at an engine out of service was sent within the grace after the process was notified.
     pub(super) fn check_drain(&mut self, request: &str, engine: &str, first_byte: Ms) {
         let Some(process) = self
             .requests
--- a/crates/soak/src/audit/platform.rs
+++ b/crates/soak/src/audit/platform.rs
@@ -61,7 +61,8 @@
         self.ended.insert(run, (now, RunEnd::KilledInStop));
     }
 
-    /// Records the end of a run. `as_told` is whether the run ended as it was told to; `how` describes any other end.
+    /// Records the end of a run. `as_told` is set if the run ended as it was told to; otherwise `how` describes the end
+    /// in the reported violation.
     pub fn process_ended(&mut self, run: ProcessRun, as_told: bool, how: &str, now: Ms) {
         self.ended.entry(run).or_insert((now, RunEnd::Ended));
         let broken = (!as_told).then(|| format!("process {} ended: {how}", run.process));
--- a/crates/soak/src/audit/requests.rs
+++ b/crates/soak/src/audit/requests.rs
@@ -57,8 +57,9 @@
     }
 
     /// Whether the process owes an answer to a request that has none by now. When a process is killed by a fault, its
-    /// clients have to retry what it held. After the kill that ends a stop, an unanswered request counts as lost only 'if
-    /// that request came more than 0.7 s after SIGTERM' (the platform's protocol). No answer is owed to an earlier one.
+    /// clients have to retry what it held. After the kill that ends a stop, an unanswered request counts as lost only
+    /// 'if that request came more than 0.7 s after SIGTERM' (the platform's protocol). No answer is owed to an earlier
+    /// one.
     pub(super) fn owes_answer(&self, request: &Request, now: Ms) -> bool {
         let disconnected = request.disconnected.is_some_and(|at| at <= now);
         let stopped = self
--- a/crates/soak/src/audit/states.rs
+++ b/crates/soak/src/audit/states.rs
@@ -90,8 +90,8 @@
     }
 
     /// Since when the KV state of a request is held without use; `None` while an attempt needs it or no engine holds
-    /// it. An engine that hung while the prefill's connection was closed may hold the state only after the prefill's
-    /// end (the protocol: 'a read may have ended well just as its connection was closed').
+    /// it. An engine that hung while the prefill's connection was closed may begin to hold the state after the
+    /// prefill's end (the protocol: 'a read may have ended well just as its connection was closed').
     pub(super) fn idle_since(&self, request: &Request) -> Option<Ms> {
         let held_since = request.held_at.as_ref().map(|(_, since)| *since)?;
         let ends = self.readings.closed_attempt_ends;
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -44,7 +44,7 @@
 enum Behaviour {
     /// Sends its request at once and waits for the answer.
     Plain,
-    /// Disconnects this long after its request is sent, by a reset or by a close.
+    /// Disconnects at `after` milliseconds after its request is sent, by a reset or by a close.
     Disconnects { after: Ms, resets: bool },
     /// Sends a part of a request and then nothing more.
     Stalls,
@@ -86,7 +86,7 @@
     /// The random identifier that the client gives the request, in hexadecimal.
     id: String,
     class: Class,
-    /// Milliseconds to the deadline.
+    /// The time from the request to its deadline, in milliseconds.
     time_to_deadline: u32,
 }
 
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -8,7 +8,7 @@
 
 /// The names of the zones.
 pub const ZONES: [&str; 2] = ["a", "b"];
-/// The kinds of engines: prefill and decode.
+/// The names of the kinds of engines: prefill and decode, in this order.
 pub const KINDS: [&str; 2] = ["p", "d"];
 /// How long after the notice of a drain a process may still send attempts to the engine.
 const DRAIN_GRACE: Ms = 1_000.0;
@@ -32,7 +32,7 @@
 const RELEASE_SLACK: Ms = 300.0;
 /// The allowance of the rules for a process that does not run for a moment.
 const PROCESS_DELAY: Ms = 150.0;
-/// The latency objective of classes with long deadlines.
+/// The latency objective of classes whose deadline is at least [`DEADLINE_PER_OBJECTIVE`] times as long.
 const LATENCY_OBJECTIVE: Ms = 1_000.0;
 /// The smallest ratio of a deadline to the latency objective. The objective of a class with a short deadline is lowered
 /// to keep this ratio.
@@ -66,7 +66,7 @@
     pub number: usize,
     /// The number of processes in the soak.
     pub processes: usize,
-    /// The start number of the run; part of the run's seed.
+    /// Which start of the process this is, counted from 1; part of the run's seed.
     pub start: u32,
     /// The address of discovery.
     pub discovery: SocketAddr,
--- a/crates/soak/src/connection_trace.rs
+++ b/crates/soak/src/connection_trace.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The proxy may forward an answer before the engine records it as written, because the engine records the end of an
-/// attempt after the write. The record follows within 2 ms at most.
+/// The longest time by which the engine's record of an answer may follow the proxy's forwarding of it. The engine
+/// records the end of an attempt after the write, so the proxy may forward the answer first.
 const RECORDING_DELAY: Ms = 2.0;
 
 /// The trace of one connection.
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -47,7 +47,7 @@
 pub struct Behaviour {
     /// The engine accepts connections and calls, and does not work on them.
     pub hangs: Cell<bool>,
-    /// While the engine hangs, it does not notice that a process has closed its connection.
+    /// Whether the engine, while it hangs, does not notice that a process has closed its connection.
     pub misses_closes: Cell<bool>,
     /// The engine rejects every attempt.
     pub rejects: Cell<bool>,
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Draws how a stream ends, its number of events, and whether its events are written in pieces.
+    /// Draws how a stream ends, its number of events, and whether each event is written in two chunks.
     fn draw_stream(&self) -> (StreamOutcome, usize, bool) {
         let mut rng = self.rng.borrow_mut();
         let outcome = match draw_percentage(
@@ -318,7 +318,7 @@
         let (outcome, events, in_pieces) = self.draw_stream();
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         if outcome == StreamOutcome::Malformed {
-            // The response is not valid HTTP although the request has been executed.
+            // The response is not valid HTTP. The request has been executed all the same.
             let _ = connection.write("HTTP/1.1 2?0 OK\r\n\r\nnoise").await;
             return (AttemptEnd::Failed, Some(false));
         }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -346,7 +346,7 @@
     }
 }
 
-/// Draws the engines that a fault hits: one, several consecutive ones, or a zone.
+/// Draws the engines that a fault affects: one, several consecutive ones, or a zone.
 fn draw_group(rng: &mut WyRand, engine: usize, engines: Engines) -> Group {
     match rng.generate_range(0..4u32) {
         0 | 1 => Group::One { engine },
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -46,7 +46,8 @@
     }
 }
 
-/// Spreads consecutive connections evenly over the percentiles; it is coprime to 100.
+/// The distance between the percentiles of consecutive connections. It is coprime to 100, so that the connections
+/// spread evenly over all percentiles.
 const PERCENTILE_STEP: u32 = 37;
 /// The most bytes that one read takes.
 const READ_BYTES: usize = 16 << 10;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -125,7 +125,7 @@
 
 /// One of the [`ENGINES`] that the layout provides for, by index, with the engine stand-in that runs there at present.
 /// When that engine is removed, its successor takes over the index.
-struct EngineSlot {
+struct RunningEngine {
     engine: Engine,
     proxy: Proxy,
     entry: Entry,
@@ -146,7 +146,7 @@
     /// The index of the address that configurations name at present.
     current_address: Cell<usize>,
     is_discovery_reachable: Cell<bool>,
-    engines: RefCell<Vec<EngineSlot>>,
+    engines: RefCell<Vec<RunningEngine>>,
     processes: Vec<RefCell<Process>>,
     /// Whether each process is used by a fault, is not ready yet, or has ended unexpectedly.
     busy: Vec<Cell<bool>>,
@@ -183,10 +183,12 @@
         let platform = Platform::new(options.seed, &plan, rate);
         let mut engines = Vec::new();
         for index in 0..ENGINES.count {
-            let slot = start_engine(&platform, index, 0, clock, &audit).await?;
-            audit.borrow_mut().engine_in_service(&slot.entry.id, None);
-            discovery.publish(slot.entry.clone());
-            engines.push(slot);
+            let running = start_engine(&platform, index, 0, clock, &audit).await?;
+            audit
+                .borrow_mut()
+                .engine_in_service(&running.entry.id, None);
+            discovery.publish(running.entry.clone());
+            engines.push(running);
         }
         let known = discovery.complete_list();
         let process = |number| {
@@ -409,8 +411,8 @@
         process.current_run() == run && process.is_up()
     }
 
-    /// Whether new clients still connect to a run: the run is up, it was not told to stop more than [`CONNECTS_AFTER_STOP`] ago,
-    /// and the soak is not over.
+    /// Whether new clients still connect to a run: the run is up, it was not told to stop more than
+    /// [`CONNECTS_AFTER_STOP`] ago, and the soak is not over.
     fn accepts_clients(&self, run: ProcessRun) -> bool {
         let stopped = self
             .audit
@@ -451,7 +453,7 @@
     generation: u32,
     clock: Clock,
     audit: &Rc<RefCell<Audit>>,
-) -> io::Result<EngineSlot> {
+) -> io::Result<RunningEngine> {
     let kind = index % KINDS.len();
     let stage = if kind == 0 {
         Stage::Prefill
@@ -478,7 +480,7 @@
         phase: "up",
         up_since_ms: if generation == 0 { 0 } else { wall_ms() },
     };
-    Ok(EngineSlot {
+    Ok(RunningEngine {
         engine,
         proxy,
         entry,
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -183,7 +183,7 @@
     }
 
     /// Silences the network of engines until the time `until`, and then delivers the held-back bytes or resets the
-    /// connections.
+    /// connections. Engines for which [`Soak::mark_unreachable`] returns `false` are left out.
     pub(super) async fn silence_engines(&self, silence: Silence, until: Ms) {
         let since = self.clock.now();
         let silenced_engines = ENGINES
@@ -228,7 +228,7 @@
         proxy.silence_some(0);
     }
 
-    /// Makes those engines of the group hang until the time `until` that [`Soak::mark_unreachable`] admits.
+    /// Makes engines hang until the time `until`, except those for which [`Soak::mark_unreachable`] returns `false`.
     pub(super) async fn hang_engines(&self, hang: Hang, until: Ms) {
         let hung_engines = ENGINES
             .members(hang.engines)
@@ -277,7 +277,7 @@
                 .iter()
                 .skip(kind)
                 .step_by(KINDS.len())
-                .filter(|slot| slot.is_leaving)
+                .filter(|running| running.is_leaving)
                 .count();
             if engines[index].is_leaving || leaving + 1 >= ENGINES_PER_KIND {
                 return;
@@ -312,12 +312,12 @@
         )
         .await
         {
-            Ok(slot) => {
+            Ok(running) => {
                 self.audit
                     .borrow_mut()
-                    .engine_in_service(&slot.entry.id, Some(self.clock.now()));
-                self.discovery.publish(slot.entry.clone());
-                self.engines.borrow_mut()[index] = slot;
+                    .engine_in_service(&running.entry.id, Some(self.clock.now()));
+                self.discovery.publish(running.entry.clone());
+                self.engines.borrow_mut()[index] = running;
             }
             Err(problem) => {
                 let what = format!("engine {index} could not be started: {problem}");
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The bounds of the rules, and the faults that they allow for.
+/// The bounds of the rules, and the spans of network faults in which some rules do not apply.
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// Request classes whose requests must run at most once.
@@ -22,20 +22,21 @@
     pub answer_grace: Ms,
     /// How long after the notice of a drain attempts may still be sent to the engine.
     pub drain_grace: Ms,
-    /// How long a KV state may be held while no attempt of its request runs.
+    /// The longest time for which a KV state may stay held while no attempt of its request runs.
     pub release: Ms,
     /// The multiple of a cold engine's present capacity that may be sent to it within `overload_window`.
     pub overload_multiple: f64,
     pub overload_window: Ms,
     /// The allowance for the transfer between a dispatcher and a stand-in, and for a busy machine.
     pub slack: Ms,
-    /// Spans in which connections may be dead without notice: start, end, and the longest time until a dispatcher that
-    /// uses such a connection notices. An attempt that is lost on one is still running for its dispatcher, and no
-    /// stand-in records it.
+    /// Spans in which connections may be dead without either side being told: start, end, and the longest time until a
+    /// dispatcher that uses such a connection detects the loss. Until then an attempt that was lost on the connection
+    /// still runs as far as its dispatcher knows, and no stand-in records it.
     pub silences: Vec<(Ms, Ms, Ms)>,
     /// Spans, start and end, in which messages between clients and dispatchers may be delayed or lost.
     pub apart: Vec<(Ms, Ms)>,
-    /// The time that one token takes in a slot of a decode engine; converts an attempt's tokens into work.
+    /// The time that one token takes in a slot of a decode engine; it converts the tokens of a decode attempt into
+    /// work.
     pub token_ms: Ms,
     /// The smallest success rate of a class's largest requests, relative to that of the whole class. `None` skips the
     /// checks for starvation.
@@ -45,7 +46,7 @@
 /// A rule that a breach violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Rule {
-    /// A request got no final answer, a late one, or messages after its final answer.
+    /// A request got no final answer, got one too late, or got messages after it.
     #[serde(rename = "TaskLost")]
     RequestLost,
     /// An at-most-once request ran twice, or was rejected although it ran.
@@ -71,23 +72,34 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
     pub rule: Rule,
+    /// When the rule was violated.
     pub at: Ms,
+    /// What happened, in one line.
     pub what: String,
 }
 
-/// How many cases were checked. A rule without cases has not been tested by the transcript.
+/// How many cases of each kind the audit has checked. If a rule had no case, the transcript proves nothing about it.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Cases {
+    /// Submissions of requests by clients, retries included.
     pub tries: usize,
+    /// Final answers that clients received.
     pub finals: usize,
+    /// Prefill and decode attempts that arrived at engines.
     #[serde(rename = "launches")]
     pub attempts: usize,
+    /// Executions of requests that must run at most once.
     pub at_most_once_runs: usize,
+    /// Notices to a dispatcher that an engine drains or is gone.
     pub drains: usize,
+    /// Attempts that arrived at an engine during its slow start.
     #[serde(rename = "cold_launches")]
     pub cold_attempts: usize,
+    /// KV states that prefill engines held.
     pub states: usize,
+    /// Token messages that were matched between an engine and a client.
     pub events: usize,
+    /// Comparisons of the success rate of a class's largest requests with that of the class.
     pub length_floors: usize,
 }
 
@@ -119,6 +131,7 @@
 }
 
 impl Findings {
+    /// Adds a violation.
     fn breach(&mut self, rule: Rule, at: Ms, what: String) {
         self.breaches.push(Breach { rule, at, what });
     }
@@ -140,12 +153,15 @@
 struct Submission {
     sent: Ms,
     time_to_deadline: Ms,
+    /// The name of the dispatcher that the request was sent to.
     dispatcher: String,
     /// When the first token message arrived.
     first_token: Option<Ms>,
+    /// Whether the dispatcher confirmed that it accepted the request.
     accepted: bool,
     /// When each final answer arrived.
-    finals: Vec<Ms>,
+    final_answers: Vec<Ms>,
+    /// The number of messages after the first final answer.
     messages_after_final: usize,
     /// When the client cancelled the try.
     cancelled: Option<Ms>,
@@ -189,9 +205,9 @@
                             continue;
                         };
                         submission.messages_after_final +=
-                            usize::from(!submission.finals.is_empty());
+                            usize::from(!submission.final_answers.is_empty());
                         match body {
-                            Body::Final(_) => submission.finals.push(record.at),
+                            Body::Final(_) => submission.final_answers.push(record.at),
                             Body::Tokens(_) => {
                                 submission.first_token.get_or_insert(record.at);
                             }
@@ -225,7 +241,7 @@
             submission.sent
         );
         let deadline = submission.sent + submission.time_to_deadline;
-        findings.cases.finals += submission.finals.len();
+        findings.cases.finals += submission.final_answers.len();
         let killed = kill_times
             .get(&*submission.dispatcher)
             .is_some_and(|kills| {
@@ -237,21 +253,21 @@
                 };
                 kills.iter().any(caused_end)
             });
-        // The bounds presuppose a network that delivers messages.
+        // The bounds apply only if the network delivers the messages between client and dispatcher.
         let is_network_faulty = rules
             .apart
             .iter()
             .any(|(from, to)| *from <= deadline + rules.slack && *to >= submission.sent);
-        // The dispatcher closed the connection in order before it accepted the request.
+        // The request was sent as the dispatcher closed the connection in order: the dispatcher never accepted it.
         let not_accepted = !submission.accepted && submission.closed.is_some();
         if submission.messages_after_final > 0 {
             let what = format!(
                 "{name}: {} messages after its final answer",
                 submission.messages_after_final
             );
-            findings.breach(Rule::RequestLost, submission.finals[0], what);
+            findings.breach(Rule::RequestLost, submission.final_answers[0], what);
         }
-        match submission.finals.first() {
+        match submission.final_answers.first() {
             _ if submission.invalid || submission.cancelled.is_some() => {}
             None if killed || not_accepted || is_network_faulty => {}
             None => findings.breach(
@@ -332,8 +348,9 @@
 struct Attempt {
     engine: String,
     dispatcher: String,
+    /// When the attempt arrived at the engine.
     arrived: Ms,
-    /// When the attempt ended; infinite while it runs.
+    /// When the attempt ended; infinite if it never did.
     ended: Ms,
     /// The KV state that a decode attempt fetches.
     state: Option<StateKey>,
@@ -341,10 +358,12 @@
     work: f64,
 }
 
-fn key(state: &v1::KvStateId) -> StateKey {
+/// The fields that identify a KV state, as a key of maps.
+fn state_key(state: &v1::KvStateId) -> StateKey {
     (state.run, state.request, state.attempt)
 }
 
+/// Collects all attempts of the transcript, in the order of their arrival.
 fn attempts(records: &[Record]) -> Vec<Attempt> {
     let mut attempts: Vec<Attempt> = Vec::new();
     let mut open: BTreeMap<(&str, u64), BTreeMap<u64, usize>> = BTreeMap::new();
@@ -357,7 +376,7 @@
                 dispatcher: record.peer.to_string(),
                 arrived: record.at,
                 ended: f64::INFINITY,
-                state: state.map(key),
+                state: state.map(state_key),
                 work,
             });
         };
@@ -486,7 +505,7 @@
         let decode_engine = attempts
             .iter()
             .any(|attempt| attempt.engine == *record.seer && attempt.state.is_some());
-        let unit = |attempt: &Attempt| {
+        let work_units = |attempt: &Attempt| {
             if decode_engine {
                 attempt.work * rules.token_ms / 1000.0
             } else {
@@ -505,11 +524,11 @@
             let window = arrivals[..=at]
                 .iter()
                 .filter(|attempt| attempt.arrived > last.arrived - rules.overload_window);
-            let sent: f64 = window.map(|attempt| unit(attempt)).sum();
+            let sent: f64 = window.map(|attempt| work_units(attempt)).sum();
             let share =
                 start_share + (1.0 - start_share) * (last.arrived - record.at) / slow_start_window;
             let bound = rules.overload_multiple * capacity * share * rules.overload_window / 1000.0;
-            if sent > bound + unit(last) {
+            if sent > bound + work_units(last) {
                 let what = format!(
                     "{} was sent {sent:.1} units of work, above its slow-start bound of {bound:.1}",
                     record.seer
@@ -522,7 +541,8 @@
 }
 
 /// No KV state stays held without use: while no attempt of its request runs, a held state is fetched or released within
-/// the release time, counted from the end of the last attempt. A killed dispatcher is excused.
+/// the release time, counted from the end of the last attempt. The rule no longer applies to a dispatcher that was
+/// killed.
 fn check_held_states(
     records: &[Record],
     attempts: &[Attempt],
@@ -530,7 +550,8 @@
     findings: &mut Findings,
 ) {
     let mut held: BTreeMap<StateKey, (Ms, &Record)> = BTreeMap::new();
-    let mut taken: BTreeMap<StateKey, Ms> = BTreeMap::new();
+    // When each state was first fetched or released.
+    let mut freed: BTreeMap<StateKey, Ms> = BTreeMap::new();
     let mut died: BTreeMap<&str, Vec<Ms>> = BTreeMap::new();
     // When each dispatcher process first said hello to an engine, by the run of the process.
     let mut first_hellos: BTreeMap<u64, Ms> = BTreeMap::new();
@@ -541,7 +562,7 @@
                     state: Some(state), ..
                 })) = &frame.body
                 {
-                    held.insert(key(state), (record.at, record));
+                    held.insert(state_key(state), (record.at, record));
                 }
             }
             What::Frame(Way::In, frame) => {
@@ -554,7 +575,7 @@
                     _ => None,
                 };
                 if let Some(state) = state {
-                    taken.entry(key(&state)).or_insert(record.at);
+                    freed.entry(state_key(&state)).or_insert(record.at);
                 }
             }
             What::Note(Note::Died) => died.entry(&record.seer).or_default().push(record.at),
@@ -586,7 +607,7 @@
             .copied()
             .find(|at| *at >= first_hello);
         let ends = [
-            taken.get(&state).copied(),
+            freed.get(&state).copied(),
             first(died.get(&*record.seer)),
             killed,
         ];
--- a/crates/standin/src/audit/service.rs
+++ b/crates/standin/src/audit/service.rs
@@ -7,11 +7,12 @@
 use cindercleat_protocol::{v1, Body};
 use std::collections::BTreeMap;
 
-/// How long after a client has cancelled its request an attempt may still begin.
+/// How long after a client has cancelled its request an attempt of the request may still arrive at an engine.
 const ATTEMPT_AFTER_CANCEL: Ms = 100.0;
 /// The longest time from an engine's writing of an event to its arrival at the client.
 const MAX_EVENT_DELAY: Ms = 300.0;
-/// Classes with fewer requests are not checked for starvation: their longest tenth would be too small a sample.
+/// The smallest number of requests with which a class is checked for starvation. With fewer, the tenth of the class
+/// with the longest prompts is too small a sample.
 const MIN_REQUESTS: usize = 200;
 /// The largest share of a class's sessions that may have all requests rejected, in excess of the share that chance
 /// gives.
@@ -23,9 +24,11 @@
     request_class: String,
     session: u64,
     prompt_tokens: u32,
+    /// When the client submitted the request.
     sent: Ms,
     /// When the client cancelled the request without an answer.
     cancelled: Option<Ms>,
+    /// The final answer; `None` if the client received none.
     answer: Option<v1::Answer>,
 }
 
@@ -34,7 +37,7 @@
 /// Unanswered requests by client, connection and stream: the key, and the index among the entries of the key.
 type Open<'a> = BTreeMap<(&'a str, u64, u64), (String, usize)>;
 
-/// Removes a stream from the open ones and returns its request, if it has one.
+/// Removes a stream from the open ones and returns the request that was submitted on it, if there is one.
 fn take<'a, 'r>(
     open: &mut Open<'r>,
     all: &'a mut Requests,
@@ -124,14 +127,17 @@
     }
 }
 
-/// Whether a network fault between two times may have kept a message from arriving.
+/// Whether a network fault overlaps the span between two times, so that a message may have been delayed or lost.
 fn within_fault(rules: &Rules, from: Ms, to: Ms) -> bool {
-    let meets = |begin: Ms, end: Ms| begin <= to && end >= from;
+    let overlaps = |begin: Ms, end: Ms| begin <= to && end >= from;
     rules
         .silences
         .iter()
-        .any(|(begin, end, _)| meets(*begin, *end))
-        || rules.apart.iter().any(|(begin, end)| meets(*begin, *end))
+        .any(|(begin, end, _)| overlaps(*begin, *end))
+        || rules
+            .apart
+            .iter()
+            .any(|(begin, end)| overlaps(*begin, *end))
 }
 
 /// When dispatcher processes were suspended, as noted in the transcript: the spans by dispatcher name.
@@ -157,7 +163,7 @@
     suspensions
 }
 
-/// How much of a span overlaps suspensions.
+/// For how much of the time from `from` to `to` the process was suspended.
 fn suspended_time(suspensions: Option<&Vec<(Ms, Ms)>>, from: Ms, to: Ms) -> Ms {
     let overlap = |(begin, end): &(Ms, Ms)| (end.min(to) - begin.max(from)).max(0.0);
     suspensions.into_iter().flatten().map(overlap).sum()
@@ -264,10 +270,10 @@
             .values()
             .map(|all| share.powi(all.len() as i32))
             .sum();
-        let beyond = (refused_sessions - chance) / sessions.len() as f64;
-        if beyond > MAX_REFUSED_SESSIONS {
+        let excess = (refused_sessions - chance) / sessions.len() as f64;
+        if excess > MAX_REFUSED_SESSIONS {
             let what =
-                format!("{class}: {beyond:.2} more of the sessions had all requests rejected than chance explains");
+                format!("{class}: {excess:.2} more of the sessions had all requests rejected than chance explains");
             findings.breach(Rule::SessionsSingledOut, end, what);
         }
     }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -15,25 +15,28 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// The traffic of one request class.
+/// The traffic of one request class, from which clients draw their requests.
 #[derive(Clone, Debug)]
 pub struct Traffic {
     pub request_class: String,
     /// The weight of this class among all classes; weights need not add up to 1.
     pub share: f64,
-    /// Whether a client may retry after any outcome; otherwise only after a rejection or if the request was not sent.
+    /// Whether a client may retry after any unsuccessful outcome; otherwise only after a rejection or if the request
+    /// was not sent.
     pub again_always: bool,
-    /// The time to the first token that counts as in time.
+    /// The longest time to the first token that counts as in time.
     pub latency_objective: Ms,
+    /// The time from a request to its deadline.
     pub time_to_deadline: Ms,
-    /// The smallest and the largest length of a prompt.
+    /// The smallest and the largest length of a prompt, in tokens.
     pub prompt_tokens: (u32, u32),
-    /// The length of the prefix that a prompt shares with other prompts.
+    /// The length of the prefix that a prompt shares with other prompts, in tokens.
     pub shared_tokens: u32,
     /// The number of different shared prefixes.
     pub shared_texts: u64,
+    /// The most output tokens that a request asks for.
     pub max_tokens: u32,
-    /// The weight of the class in a day's payoff; not used by the clients themselves.
+    /// The weight of the class in the payoff that a day is scored by; the clients themselves do not use it.
     pub priority_weight: f64,
 }
 
@@ -42,24 +45,26 @@
 /// The number of the first planned request; the numbers of drawn requests stay below it.
 const FIRST_PLANNED_NUMBER: u64 = 1 << 32;
 
-/// How the clients of a day behave.
+/// How the clients of a day behave: which traffic they send, how often they retry, and how many of them cancel early. A
+/// day is one test run with dispatchers, stand-ins, traffic and faults.
 #[derive(Clone, Debug)]
 pub struct Habits {
     pub traffic: Vec<Traffic>,
     /// The mean rate of drawn arrivals; 0 draws none.
     pub rate_per_s: f64,
-    /// The time span in which drawn requests arrive.
+    /// The time from the start of the day in which drawn requests arrive.
     pub length: Ms,
-    /// The most retries of a request.
+    /// The largest number of retries of a request.
     pub retries: u32,
-    /// The base of the wait before a retry, which grows with the number of tries.
+    /// The base of the wait before a retry. The wait is random and grows with the number of tries.
     pub retry_after: Ms,
     /// The share of requests that their clients cancel, each at a random time before the deadline.
     pub leaves: f64,
-    /// Connections to each dispatcher.
+    /// The number of connections to each dispatcher.
     pub connections: usize,
-    /// The number of different sessions.
+    /// The number of different sessions that drawn requests belong to.
     pub sessions: u64,
+    /// The tenants of drawn requests, all equally frequent; if there are none, requests state no tenant.
     pub tenants: Vec<String>,
     /// Requests with fixed arrival times, in addition to the drawn ones.
     pub requests: Vec<Planned>,
@@ -68,32 +73,39 @@
 /// A request with all of its parameters fixed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
-    /// The arrival time, counted from the start of the day.
+    /// The arrival time, counted from the start of [`Clients::run`].
     pub at: Ms,
     pub request_class: String,
     pub tenant: String,
     pub session: u64,
+    /// The identifier of the prefix that the prompt shares with other prompts.
     pub shared_text: u64,
+    /// The length of the shared prefix, in tokens.
     pub shared_tokens: u32,
+    /// The length of the prompt, in tokens.
     pub prompt_tokens: u32,
+    /// The most output tokens that the request asks for.
     pub max_tokens: u32,
     pub time_to_deadline: Ms,
-    /// How long after the start of a try the client cancels it, if it has not ended by then.
+    /// How long after the start of a try the client cancels it, if it has not ended by then; `None` never cancels.
     pub leaves: Option<Ms>,
-    /// The seed of the draws of the dispatcher, the connection and the waits between tries.
+    /// The seed from which the dispatcher, the connection and the waits between tries are drawn.
     pub seed: u64,
 }
 
 /// The outcomes of one request class, as its clients saw them.
 #[derive(Clone, Debug)]
 pub struct Tally {
+    /// Requests, each counted once however often it was tried.
     pub requests: u64,
-    /// Submissions of requests, retries included; the counters of outcomes count tries too.
+    /// Submissions of requests, retries included. The counters below count tries too, not requests.
     pub tries: u64,
     pub succeeded: u64,
     /// Successful tries whose first token came within the latency objective, counted from the start of the first try.
     pub in_time: u64,
+    /// Tries that the dispatcher rejected as safe to retry.
     pub rejected: u64,
+    /// Tries that the dispatcher answered with a failure.
     pub failed: u64,
     /// Tries that the client cancelled.
     pub left: u64,
@@ -103,9 +115,9 @@
     pub unsent: u64,
     /// Microseconds from the start of a try to its first token.
     pub first_token: Histogram<u64>,
-    /// Microseconds between successive token messages of a try.
+    /// Microseconds between two successive token messages of a try.
     pub gap: Histogram<u64>,
-    /// Token messages received.
+    /// Token messages received in all tries.
     pub tokens: u64,
 }
 
@@ -134,13 +146,16 @@
 /// The outcome of one try.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
+    /// The stream ended with a successful final answer.
     Succeeded,
+    /// The dispatcher rejected the request as safe to retry.
     Rejected {
         /// How long the dispatcher asks the client to wait before a retry.
         retry_after: Ms,
     },
+    /// The final answer reports a failure.
     Failed,
-    /// The dispatcher found the request invalid; holds the name of the invalid field, empty if it is unknown.
+    /// The dispatcher found the request invalid. The text names the invalid field, and is empty if it is unknown.
     InvalidRequest(String),
     /// The client cancelled the try.
     Left,
@@ -152,6 +167,7 @@
 
 /// A client's reconnecting link to one server, shared by many streams. It opens a connection when a stream needs one.
 pub struct Port<T, C> {
+    /// The client's name in the handshake and in the transcript.
     name: Rc<str>,
     /// The server's address and party.
     server: (String, v1::Party),
@@ -162,11 +178,16 @@
     next_stream: Cell<u64>,
 }
 
+/// A connection of a [`Port`].
 struct Connection {
-    conn: u64,
+    /// The number of the connection in the transcript.
+    id: u64,
+    /// The name that the server stated in the handshake.
     peer: Rc<str>,
     out: Out,
+    /// Where the messages of each open stream go, by stream number.
     streams: RefCell<BTreeMap<u64, mpsc::UnboundedSender<Body>>>,
+    /// Whether the connection takes no new streams, because it has ended or the server announced its end.
     closed: Cell<bool>,
 }
 
@@ -219,7 +240,7 @@
             ..
         } = open_session(&self.transport, (&self.server.0, self.server.1), parties).await?;
         let connection = Rc::new(Connection {
-            conn: self.transcript.new_conn(),
+            id: self.transcript.new_conn(),
             peer: Rc::from(them.name),
             out,
             streams: RefCell::default(),
@@ -241,7 +262,7 @@
                 port.record(&receiving, Way::In, &frame);
                 let stream = frame.stream;
                 match frame.body {
-                    // The call ended without a final answer.
+                    // The call has ended without a final answer, so its stream gets no more messages.
                     Some(Body::Goodbye(bye)) => {
                         if let Some(sender) = receiving.streams.borrow().get(&stream) {
                             let _ = sender.send(Body::Goodbye(bye));
@@ -263,19 +284,20 @@
                 port.clock.now(),
                 &port.name,
                 &receiving.peer,
-                receiving.conn,
+                receiving.id,
                 what,
             );
         });
         Some(connection)
     }
 
+    /// Adds a frame to the transcript.
     fn record(&self, connection: &Connection, way: Way, frame: &Frame) {
         self.transcript.add(
             self.clock.now(),
             &self.name,
             &connection.peer,
-            connection.conn,
+            connection.id,
             What::Frame(way, frame.clone()),
         );
     }
@@ -309,16 +331,16 @@
         })
     }
 
-    /// Submits a request and waits for its outcome. Cancels it at `leave_at` if it has not ended by then. Calls `see`
-    /// with each token message.
+    /// Submits a request and waits for its outcome. Cancels it at `cancel_at` if it has not ended by then. Calls
+    /// `on_tokens` with each token message.
     pub async fn run(
         self: &Rc<Self>,
         submit: v1::Submit,
-        leave_at: Option<Ms>,
-        mut see: impl FnMut(&v1::Tokens),
+        cancel_at: Option<Ms>,
+        mut on_tokens: impl FnMut(&v1::Tokens),
     ) -> End {
-        // A dispatcher may vanish without closing the connection, so the wait is bounded: for the first token up to the
-        // deadline plus slack, and for each further one as long again.
+        // A dispatcher may vanish without closing the connection, so the wait is bounded: for the first token by the
+        // deadline plus slack, and for each further one by the same duration.
         let time_to_deadline = submit.time_to_deadline_ms + DEADLINE_SLACK;
         let mut until = self.clock.now() + time_to_deadline;
         let opened = tokio::select! { biased;
@@ -332,7 +354,7 @@
             let next = tokio::select! { biased;
                 next = stream.next() => next,
                 () = self.clock.sleep_until(until) => break End::Cut,
-                () = self.clock.sleep_until(leave_at.unwrap_or(0.0)), if leave_at.is_some() => {
+                () = self.clock.sleep_until(cancel_at.unwrap_or(0.0)), if cancel_at.is_some() => {
                     stream.say(Body::Cancel(v1::Cancel {}));
                     break End::Left;
                 }
@@ -341,7 +363,7 @@
                 None => break End::Cut,
                 Some(Body::Tokens(tokens)) => {
                     until = self.clock.now() + time_to_deadline;
-                    see(&tokens);
+                    on_tokens(&tokens);
                 }
                 Some(Body::Goodbye(v1::Goodbye {
                     never_ran: true, ..
@@ -363,7 +385,7 @@
     }
 }
 
-/// One stream of a [`Port`]. Dropping it discards the messages that still arrive on it.
+/// One stream of a [`Port`]. Dropping it discards the messages that still arrive on the stream.
 pub struct Stream<T, C> {
     port: Rc<Port<T, C>>,
     connection: Rc<Connection>,
@@ -389,20 +411,23 @@
     }
 }
 
-/// All clients of a day.
+/// All clients of a day. They share one arrival process, one random generator and one set of counters.
 pub struct Clients<T, C> {
     habits: Habits,
     clock: C,
-    /// The connections to each dispatcher.
+    /// The links to each dispatcher: one inner list per dispatcher.
     ports: Vec<Vec<Rc<Port<T, C>>>>,
+    /// The outcomes so far, by request class.
     tallies: RefCell<BTreeMap<String, Tally>>,
-    /// Requests that have not ended.
-    open: Cell<usize>,
+    /// The number of requests that have not ended.
+    open_requests: Cell<usize>,
     /// The factor by which the configured arrival rate is multiplied.
     rate_factor: Cell<f64>,
+    /// The prompt prefix that half of the new requests share; `None` if there is no such prefix.
     hot_text: Cell<Option<u64>>,
-    /// The factor by which long prompts are longer, and the share of prompts that are long.
+    /// The factor by which long prompts are longer than drawn, and the share of prompts that are long.
     long_prompts: Cell<(f64, f64)>,
+    /// The present base of the wait before a retry.
     retry_after: Cell<Ms>,
     rng: RefCell<WyRand>,
 }
@@ -438,7 +463,7 @@
             clock,
             ports,
             tallies: RefCell::new(tallies),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             rate_factor: Cell::new(1.0),
             hot_text: Cell::new(None),
             long_prompts: Cell::new((1.0, 0.0)),
@@ -455,14 +480,14 @@
             .set(wait.unwrap_or(self.habits.retry_after));
     }
 
-    /// Makes this share of the prompts `times` as long from now on.
-    pub fn set_long_prompts(&self, times: f64, part: f64) {
-        self.long_prompts.set((times, part));
+    /// Makes this share of the prompts `factor` times as long from now on.
+    pub fn set_long_prompts(&self, factor: f64, share: f64) {
+        self.long_prompts.set((factor, share));
     }
 
-    /// Multiplies the configured arrival rate by `times` from now on.
-    pub fn set_rate(&self, times: f64) {
-        self.rate_factor.set(times);
+    /// Multiplies the configured arrival rate by `factor` from now on; replaces the previous factor.
+    pub fn set_rate(&self, factor: f64) {
+        self.rate_factor.set(factor);
     }
 
     /// Makes half of the new requests share this prompt prefix; `None` ends that.
@@ -475,7 +500,7 @@
         self.tallies.borrow().clone()
     }
 
-    /// Sends all planned and drawn requests, and returns when every request has ended.
+    /// Sends the planned requests and the drawn ones, and returns when every request has ended.
     pub async fn run(self: Rc<Self>) {
         let begin = self.clock.now();
         for (n, planned) in self.habits.requests.iter().cloned().enumerate() {
@@ -490,12 +515,12 @@
         if self.habits.rate_per_s > 0.0 {
             self.start_drawn_requests(begin).await;
         }
-        while self.open.get() > 0 {
+        while self.open_requests.get() > 0 {
             self.clock.sleep_until(self.clock.now() + 20.0).await;
         }
     }
 
-    /// Draws requests and starts them, for the length of the day.
+    /// Draws requests and starts them at their arrival times, until [`Habits::length`] has passed since `begin`.
     async fn start_drawn_requests(self: &Rc<Self>, begin: Ms) {
         let (mut arrival, mut number) = (begin, 0);
         loop {
@@ -516,11 +541,11 @@
 
     /// Runs a request in a task of its own, which counts as open until the request ends.
     fn spawn_request(self: &Rc<Self>, request: impl Future<Output = ()> + 'static) {
-        self.open.set(self.open.get() + 1);
+        self.open_requests.set(self.open_requests.get() + 1);
         let clients = self.clone();
         spawn_local(async move {
             request.await;
-            clients.open.set(clients.open.get() - 1);
+            clients.open_requests.set(clients.open_requests.get() - 1);
         });
     }
 
@@ -536,17 +561,17 @@
             return;
         };
         let (shortest, longest) = traffic.prompt_tokens;
-        let (times, long_share) = self.long_prompts.get();
-        let times = if uniform(&mut rng) < long_share {
-            times
+        let (long_factor, long_share) = self.long_prompts.get();
+        let length_factor = if uniform(&mut rng) < long_share {
+            long_factor
         } else {
             1.0
         };
         let prompt_tokens = f64::from(shortest) + uniform(&mut rng) * f64::from(longest - shortest);
-        let prompt_tokens = (times * prompt_tokens).max(1.0) as u32;
+        let prompt_tokens = (length_factor * prompt_tokens).max(1.0) as u32;
         let shared_text = match self.hot_text.get() {
             Some(hot) if uniform(&mut rng) < 0.5 => hot,
-            // The square makes low numbers frequent and high ones rare.
+            // The square makes prefixes with low numbers frequent and those with high numbers rare.
             _ => 1 + (traffic.shared_texts as f64 * uniform(&mut rng).powi(2)) as u64,
         };
         let tenants = &self.habits.tenants;
@@ -600,12 +625,13 @@
         self.tally(traffic, |t| t.requests += 1);
         for attempt in 0..=self.habits.retries {
             let now = self.clock.now();
-            // A retry gets only what is left of the time to the deadline.
+            // A retry gets only what is left of the time to the deadline. The deadline applies to the first token: once
+            // a token has arrived, the deadline no longer applies.
             let time_to_deadline = planned.time_to_deadline - (now - first_sent);
             if time_to_deadline < 0.1 * planned.time_to_deadline {
                 return;
             }
-            let leave_at = planned.leaves.map(|after| now + after);
+            let cancel_at = planned.leaves.map(|after| now + after);
             let ports = &self.ports[rng.generate::<u64>() as usize % self.ports.len()];
             let port = &ports[rng.generate::<u64>() as usize % ports.len()];
             let submit = v1::Submit {
@@ -619,7 +645,7 @@
                 gaps: Vec::new(),
             };
             let end = port
-                .run(submit, leave_at, |_| token_times.record(self.clock.now()))
+                .run(submit, cancel_at, |_| token_times.record(self.clock.now()))
                 .await;
             let (first, gaps) = (token_times.first, token_times.gaps);
             self.tally(traffic, |t| {
@@ -661,7 +687,7 @@
         }
     }
 
-    /// Changes the outcomes of a request class.
+    /// Updates the counters of a request class.
     fn tally(&self, traffic: &Traffic, change: impl FnOnce(&mut Tally)) {
         change(
             self.tallies
@@ -674,12 +700,16 @@
 
 /// The arrival times of one stream's token messages.
 struct TokenTimes {
+    /// When the latest token message arrived; before the first one, when the request was sent.
     last: Ms,
+    /// When the first token message arrived, if one has.
     first: Option<Ms>,
+    /// The times between successive token messages.
     gaps: Vec<Ms>,
 }
 
 impl TokenTimes {
+    /// Records a token message that arrives now.
     fn record(&mut self, now: Ms) {
         if self.first.is_none() {
             self.first = Some(now);
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The stand-in for discovery: sends the list of engines to its followers, each change after a configurable delay.
+//! The stand-in for discovery: sends the list of engines to the dispatchers that follow it, each change after a
+//! configurable delay.
 
 use crate::accept_session;
 use crate::transcript::{Transcript, Way, What};
@@ -17,8 +18,11 @@
     name: Rc<str>,
     /// The latest published entry of each engine, by engine name.
     published: RefCell<BTreeMap<String, v1::Endpoint>>,
+    /// The version of the list, which each published change increments.
     version: Cell<u64>,
+    /// The name of each follower, and the channel to the task that serves it.
     followers: RefCell<Vec<(Rc<str>, UnboundedSender<v1::EndpointList>)>>,
+    /// The time from a change to its publication.
     delay: Cell<Ms>,
     /// While set, followers are accepted and nothing is sent.
     silent: Cell<bool>,
@@ -73,7 +77,7 @@
         }
     }
 
-    /// The number of connected followers.
+    /// The number of connections that follow the list at present.
     pub fn followers(&self) -> usize {
         self.inner
             .followers
@@ -113,6 +117,7 @@
         }
     }
 
+    /// Sends a list to all followers, and forgets those that have disconnected.
     fn push(&self, list: &v1::EndpointList) {
         self.inner
             .followers
@@ -120,6 +125,7 @@
             .retain(|(_, sender)| sender.send(list.clone()).is_ok());
     }
 
+    /// The list message with these endpoints. A snapshot omits engines that are gone.
     fn list(
         &self,
         kind: v1::EndpointUpdateKind,
@@ -142,6 +148,8 @@
         }
     }
 
+    /// Serves one connection until it ends: sends a snapshot for each call that asks for the list, and then the changes
+    /// if the call asks for them.
     async fn serve_follower<T: Transport>(self, stream: T::Stream) {
         let Some(session) = accept_session::<T>(stream, v1::Party::Feed, &self.inner.name).await
         else {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -2,9 +2,9 @@
 //! states and streams answers. An engine has slots, a queue, memory, a cold start, delayed load reports, and faults
 //! that a script turns on and off.
 //!
-//! The performance model is a simplification: the slots of a prefill engine share its prompt throughput evenly, each
-//! slot of a decode engine emits one token per `token_ms`, and a cold engine does both at its present share of
-//! capacity.
+//! The performance model is plain and is an assumption: the slots of a prefill engine share its prompt throughput
+//! evenly, each slot of a decode engine emits one token per `token_ms`, and a cold engine does both more slowly, by its
+//! present share of its full capacity.
 
 use crate::transcript::{Note, Transcript, Way, What};
 use crate::{accept_session, open_session, uniform};
@@ -24,7 +24,7 @@
 pub enum Does {
     /// Prefill only.
     Reads,
-    /// Decode only; a decode request without a KV state ends with `NoState`.
+    /// Decode only; a decode attempt that names no KV state ends with `NoState`.
     Writes,
     /// Prefill and decode.
     Both,
@@ -38,21 +38,21 @@
     pub cell: String,
     pub kind: String,
     pub does: Does,
-    /// Attempts that run at the same time.
+    /// The number of attempts that run at the same time.
     pub slots: usize,
-    /// Attempts that may wait for a slot; further ones are rejected.
+    /// The number of attempts that may wait for a slot; further ones are rejected as overloaded.
     pub queue: usize,
-    /// Prompt tokens that fit into the memory.
+    /// The number of tokens that fit into the memory, of KV states and of running decode attempts together.
     pub memory_tokens: f64,
-    /// Prompt tokens that all slots together process per second.
+    /// The number of prompt tokens that all slots together process per second.
     pub read_per_s: f64,
     /// The time that a slot takes for one output token.
     pub token_ms: Ms,
-    /// Tokens of a KV state that are transferred per second.
+    /// The number of tokens of a KV state that a decode engine fetches per second.
     pub fetch_per_s: f64,
-    /// The share of its capacity that a cold engine has when it starts.
+    /// The share of its full capacity that a cold engine has when it starts, from 0 to 1.
     pub start_share: f64,
-    /// The time in which a cold engine reaches its full capacity.
+    /// The time from the start of a cold engine until it has its full capacity.
     pub slow_start_window: Ms,
     /// How long a prefill engine holds a KV state that no decode engine fetches.
     pub hold: Ms,
@@ -60,7 +60,7 @@
     pub report_age: Ms,
     /// The largest relative error of a reported figure, such as 0.1 for 10 %.
     pub report_noise: f64,
-    /// The smallest length of an answer, as a share of the requested maximum of tokens.
+    /// The smallest length of an answer, as a share of the largest number of tokens that the request allows.
     pub answer_share: f64,
 }
 
@@ -69,7 +69,7 @@
 pub struct Troubles {
     /// The factor by which all work takes longer; 1.0 is normal speed.
     pub slow: f64,
-    /// The engine accepts everything and answers nothing.
+    /// The engine accepts connections and calls, and answers none of them.
     pub mute: bool,
     /// Each stream stalls after this many tokens.
     pub stall_after: Option<u32>,
@@ -79,11 +79,11 @@
     pub resets: f64,
     /// Attempts of this request class are rejected as overloaded.
     pub full_for: Option<String>,
-    /// The additional age of load reports.
+    /// How much older than [`EngineSpec::report_age`] load reports are when they are sent.
     pub reports_late: Ms,
     /// All new attempts are rejected as overloaded.
     pub draining: bool,
-    /// The process dies after the last token of a stream, before the stream's end.
+    /// The engine process dies after the last token of a stream, before it sends the stream's end.
     pub dies_before_end: bool,
     /// The delay before the handshake on a new connection.
     pub greets_late: Ms,
@@ -111,21 +111,22 @@
 /// The HTTP/2 error codes that resets use. All but REFUSED_STREAM leave open whether the call was processed.
 const RESET_CODES: [u32; 6] = [REFUSED_STREAM, 1, 2, 5, 8, 11];
 
-/// The time limit of a decode engine for a KV state transfer to begin.
+/// How long a decode engine waits for a prefill engine to answer the fetch of a KV state.
 const FETCH_TIMEOUT: Ms = 1000.0;
-/// Token messages of a stream that a decode engine may have written but not yet flushed to the socket.
+/// The number of token messages of a stream that a decode engine may have written but not yet flushed to the socket.
 const STREAM_WINDOW: u32 = 4;
 
 /// The run of the dispatcher process, the request and the attempt that identify a KV state.
 type StateKey = (u64, u32, u32);
 
-/// Tasks of the process that stand before those of its connections: the listener and the load reports.
+/// The number of tasks at the front of [`ProcessState::tasks`] that belong to no connection: the listener and the load
+/// reports.
 const PROCESS_TASKS: usize = 2;
-/// Finished connection tasks are removed whenever the number of tasks reaches a multiple of this.
+/// Handles of finished connection tasks are removed whenever the number of handles reaches a multiple of this.
 const TASK_SWEEP: usize = 64;
-/// Finished attempts are removed once a connection has this many tasks.
+/// Handles of finished attempts are removed whenever a connection has at least this many task handles.
 const STREAM_TASK_SWEEP: usize = 256;
-/// Running work reads the engine's capacity again at this interval.
+/// The interval at which running work reads the engine's capacity again, as faults and slow start change it.
 const WORK_STEP: Ms = 20.0;
 
 /// The state of one run of the engine process; it is discarded when the process starts again.
@@ -136,17 +137,21 @@
     states: BTreeMap<StateKey, f64>,
     /// The cached prompt prefixes, least recently used first: identifier and tokens.
     cached_prefixes: VecDeque<(u64, f64)>,
-    /// Tokens in memory, of KV states and of running decode attempts.
+    /// The number of tokens in memory, of KV states and of running decode attempts.
     used_tokens: f64,
+    /// The number of attempts that wait for a slot.
     waiting: usize,
+    /// The number of attempts that hold a slot.
     running: usize,
+    /// The prompt tokens of all attempts that wait for a slot.
     waiting_tokens: f64,
     /// Load reports that may still be sent, oldest first, with the time at which each was made.
     reports: VecDeque<(Ms, v1::Load)>,
     /// The listener, the report task, and one task for each accepted connection, in this order.
     tasks: Vec<AbortHandle>,
-    /// Timers of held KV states. They outlive the connections that created the states.
+    /// Timers that drop held KV states. They outlive the connections whose attempts created the states.
     hold_timers: Vec<AbortHandle>,
+    /// The connections that [`Engine::go_away`] reaches.
     connections: Vec<Weak<Connection>>,
 }
 
@@ -162,9 +167,11 @@
     started: Cell<Option<Ms>>,
     /// Whether the process started with full capacity.
     started_warm: Cell<bool>,
+    /// The slots of the present process: one permit each.
     slots: RefCell<Arc<Semaphore>>,
     /// Notified when a fault changes or memory becomes free.
     changed: Notify,
+    /// The address that the latest process listens on; empty before the first start.
     address: RefCell<String>,
 }
 
@@ -183,13 +190,16 @@
 
 /// One connection of an engine.
 struct Connection {
+    /// The number of the connection in the transcript.
     id: u64,
+    /// The name that the other side stated in the handshake.
     peer: Rc<str>,
     out: Out,
-    /// Token messages that each decode stream may still write before earlier ones are flushed.
+    /// The number of token messages that each decode stream may still write before earlier ones are flushed, by stream.
     credit: RefCell<BTreeMap<u64, u32>>,
+    /// Notified when a stream's credit grows.
     credited: Notify,
-    /// The cancellation of each running attempt, by stream.
+    /// Notified to cancel a running attempt, by stream.
     cancellations: RefCell<BTreeMap<u64, Rc<Notify>>>,
 }
 
@@ -324,20 +334,20 @@
         self.inner.started.get().is_some()
     }
 
-    /// Changes the injected faults.
+    /// Changes the injected faults of the present process; a new process starts without faults.
     pub fn trouble(&self, change: impl FnOnce(&mut Troubles)) {
         change(&mut self.inner.process.borrow_mut().troubles);
         self.inner.changed.notify_waiters();
     }
 
-    /// Drops all cached prompt prefixes.
+    /// Drops all cached prompt prefixes; held KV states stay.
     pub fn forget_texts(&self) {
         self.inner.process.borrow_mut().cached_prefixes.clear();
     }
 
     /// Closes all connections and ends their tasks; the process itself continues to run.
     pub fn cut(&self) {
-        // The listener and the report task come first and stay.
+        // The listener and the report task come first in the list and are kept.
         let mut process = self.inner.process.borrow_mut();
         let first = process.tasks.len().min(PROCESS_TASKS);
         let tasks: Vec<AbortHandle> = process.tasks.drain(first..).collect();
@@ -416,7 +426,7 @@
         }
     }
 
-    /// Makes a load report at every half of the report age, but at most one in 10 ms.
+    /// Makes a load report every half `report_age`, but not more often than every 10 ms, until the process ends.
     async fn run_reports(&self) {
         loop {
             let now = self.now();
@@ -429,7 +439,7 @@
         }
     }
 
-    /// Makes a load report, and drops the reports that newer ones have replaced.
+    /// Makes a load report, and drops each report that is older than the newest one that may be sent.
     fn make_report(&self, now: Ms) {
         let spec = &self.inner.spec;
         let mut process = self.inner.process.borrow_mut();
@@ -485,7 +495,7 @@
             cancellations: RefCell::default(),
         });
         self.register_connection(&connection);
-        // Tasks of this connection end with it, as nobody can receive their answers any more.
+        // Tasks of this connection end with it, as their answers can no longer be sent.
         let tasks: RefCell<Vec<AbortHandle>> = RefCell::default();
         let served = ServedConnection {
             engine: self.clone(),
@@ -540,7 +550,7 @@
                 Some(Body::Release(v1::Release {
                     state: Some(state), ..
                 })) => {
-                    self.release_state(key(&state));
+                    self.release_state(state_key(&state));
                     connection.out.send(Frame {
                         stream,
                         body: Some(Body::Done(v1::Done {})),
@@ -562,10 +572,10 @@
                         .process
                         .borrow()
                         .states
-                        .get(&key(&state))
+                        .get(&state_key(&state))
                         .copied();
                     let (found, tokens) = (tokens.is_some(), tokens.unwrap_or(0.0) as u32);
-                    self.release_state(key(&state));
+                    self.release_state(state_key(&state));
                     self.send(
                         &connection,
                         stream,
@@ -610,7 +620,7 @@
         connection.out.send(frame);
     }
 
-    /// Sends the end of an attempt, with the present load report.
+    /// Sends the end of an attempt, with the load report of [`Engine::load`].
     fn end_attempt(
         &self,
         connection: &Connection,
@@ -657,7 +667,7 @@
         (reset_share > uniform(&mut rng)).then(|| {
             let code = RESET_CODES
                 [(uniform(&mut rng) * RESET_CODES.len() as f64) as usize % RESET_CODES.len()];
-            // A call that has begun to run can no longer be refused.
+            // REFUSED_STREAM states that the call was not processed, so it cannot follow the first token.
             let after = if code == REFUSED_STREAM {
                 0.0
             } else {
@@ -691,7 +701,7 @@
         }
     }
 
-    /// Serves a prefill attempt until its end.
+    /// Serves a prefill attempt: waits for a slot, processes the prompt, and holds the KV state.
     async fn prefill(self, connection: Rc<Connection>, stream: u64, prefill: v1::Prefill) {
         let admitted = if self.inner.spec.does == Does::Writes {
             Err(v1::Status::Failed)
@@ -727,7 +737,7 @@
             cached_tokens
         };
         let Some(state) = prefill.state else { return };
-        self.store_prefill(&prefixes, key(&state), prompt);
+        self.store_prefill(&prefixes, state_key(&state), prompt);
         let engine = self.clone();
         let until = self.now() + self.inner.spec.hold;
         let timer = spawn_local(async move {
@@ -737,9 +747,9 @@
                 .process
                 .borrow()
                 .states
-                .contains_key(&key(&state))
+                .contains_key(&state_key(&state))
             {
-                let (run, request, attempt) = key(&state);
+                let (run, request, attempt) = state_key(&state);
                 engine.inner.transcript.note(
                     engine.now(),
                     &engine.inner.name,
@@ -749,7 +759,7 @@
                         attempt,
                     },
                 );
-                engine.release_state(key(&state));
+                engine.release_state(state_key(&state));
             }
         });
         self.keep_hold_timer(timer.abort_handle());
@@ -792,7 +802,7 @@
         process.used_tokens += prompt;
     }
 
-    /// Serves a decode attempt until its end.
+    /// Serves a decode attempt: waits for a slot and memory, fetches the KV state, and streams the answer.
     async fn decode(self, connection: Rc<Connection>, stream: u64, decode: v1::Decode) {
         let admitted = match (self.inner.spec.does, decode.state) {
             (Does::Reads, _) => Err(v1::Status::Failed),
@@ -859,12 +869,13 @@
             let tokens = v1::Tokens {
                 position,
                 count: 1,
-                text: text(&word(position)),
+                text: text(&token_text(position)),
             };
             self.send(&connection, stream, Body::Tokens(tokens));
         }
         if self.inner.process.borrow().troubles.dies_before_end {
-            // The tokens written so far have to leave the socket before the process dies; the stream's end never does.
+            // The wait lets the tokens written so far leave the socket before the process dies. The stream's end is
+            // never sent.
             self.inner.clock.sleep_until(self.now() + 5.0).await;
             return self.die();
         }
@@ -964,10 +975,12 @@
     }
 }
 
-/// A slot of an engine, or a place in the queue for one. Slots are granted in order of arrival.
+/// A slot of an engine, or a place in the queue for one. Slots are granted in order of arrival, and freed on drop.
 struct Slot<T: Transport, C: Clock> {
     engine: Engine<T, C>,
+    /// The length of the attempt's prompt, which counts in the load report while the attempt waits.
     tokens: f64,
+    /// The slot; `None` while the attempt waits in the queue.
     permit: Option<tokio::sync::OwnedSemaphorePermit>,
 }
 
@@ -986,6 +999,7 @@
         slot
     }
 
+    /// Adds to the numbers of waiting and running attempts that the load report states.
     fn adjust_counts(&self, waiting: isize, running: isize) {
         let mut process = self.engine.inner.process.borrow_mut();
         process.waiting = process.waiting.saturating_add_signed(waiting);
@@ -1004,14 +1018,14 @@
     }
 }
 
-/// The memory of a running decode attempt.
+/// The memory of a running decode attempt, freed on drop.
 struct MemoryReservation<T: Transport, C: Clock> {
     engine: Engine<T, C>,
     tokens: f64,
 }
 
 impl<T: Transport, C: Clock> MemoryReservation<T, C> {
-    /// Waits until this many tokens fit into the memory, and takes them.
+    /// Waits until this many tokens fit into the memory, and reserves them.
     async fn acquire(engine: &Engine<T, C>, tokens: f64) -> Self {
         while engine.inner.process.borrow().used_tokens + tokens > engine.inner.spec.memory_tokens {
             engine.inner.changed.notified().await;
@@ -1034,12 +1048,13 @@
     }
 }
 
-fn key(state: &v1::KvStateId) -> StateKey {
+/// The fields that identify a KV state, as a key of maps.
+fn state_key(state: &v1::KvStateId) -> StateKey {
     (state.run, state.request, state.attempt)
 }
 
-/// The text of an answer's token, by the token's position.
-fn word(position: u32) -> String {
+/// The text of the token at this position of an answer.
+fn token_text(position: u32) -> String {
     const WORDS: [&str; 12] = [
         "the ", "class ", "of ", "this ", "year ", "kept ", "its ", "promise ", "and ", "sang ",
         "all ", "day ",
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,8 @@
 //! Stand-ins for engines, discovery and clients, which inject scripted faults, and the [`audit`] that checks the five
 //! rules against the stand-ins' transcript. Nothing here reads a dispatcher's internal state.
+//!
+//! A "day" is one test run of such a system: dispatchers, stand-ins, traffic and faults, written in a file or drawn
+//! from a seed.
 
 pub mod audit;
 pub mod client;
@@ -14,9 +17,11 @@
 
 /// The largest message that a stand-in accepts.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Calls that a stand-in allows to be open at the same time on one connection.
+/// The number of calls that a stand-in allows to be open at the same time on one connection.
 const MAX_OPEN_CALLS: u32 = 4096;
 
+/// The settings of a connection's handshake: who this side is, and the name that it expects of the other side; an empty
+/// name accepts any.
 fn session_setup(party: v1::Party, name: &str, expects: &str) -> Setup {
     let (name, expects) = (name.to_owned(), expects.to_owned());
     Setup {
@@ -29,7 +34,7 @@
     }
 }
 
-/// Accepts a connection: completes the handshake with the connecting party, or returns `None` if the handshake fails.
+/// Completes the handshake on an accepted connection; returns `None` if it fails.
 async fn accept_session<T: Transport>(
     stream: T::Stream,
     party: v1::Party,
@@ -38,7 +43,7 @@
     serve(stream, session_setup(party, name, "")).await.ok()
 }
 
-/// Opens a connection and completes the handshake; returns `None` if either fails.
+/// Opens a connection and completes the handshake on it; returns `None` if either fails.
 async fn open_session<T: Transport>(
     transport: &T,
     (address, to): (&str, v1::Party),
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -31,11 +31,11 @@
     },
     /// An engine process ended abruptly.
     Died,
-    /// A dispatcher process is suspended from now on.
+    /// A dispatcher process is suspended until the next `Awake` note of its name.
     Asleep,
     /// A suspended dispatcher process runs again.
     Awake,
-    /// A connection of the recording stand-in ended. `own`: the stand-in closed it itself.
+    /// A connection of the recording stand-in ended. `own` is set if the stand-in closed the connection itself.
     Closed { own: bool },
     /// An engine began to decode: from here on the request counts as executed.
     Ran {
@@ -90,13 +90,16 @@
 #[derive(Clone, Debug, PartialEq)]
 #[allow(clippy::large_enum_variant)]
 pub enum What {
+    /// A frame that crossed a socket of the stand-in.
     Frame(Way, Frame),
+    /// An event that no frame shows.
     Note(Note),
 }
 
 /// One record of a transcript: a frame or note, and the stand-in that recorded it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
+    /// When the stand-in saw the frame or the event.
     pub at: Ms,
     /// The name of the party that the record is about: the stand-in that saw the frame, or the subject of a note.
     pub seer: Rc<str>,
@@ -107,21 +110,24 @@
     pub what: What,
 }
 
+/// A function that is called with each new record.
 type Watcher = Box<dyn FnMut(&Record)>;
 
 /// An append-only transcript. Clones share one list of records.
 #[derive(Clone, Default)]
 pub struct Transcript {
     records: Rc<RefCell<Vec<Record>>>,
-    conns: Rc<RefCell<u64>>,
+    /// How many connection numbers have been given out.
+    connections: Rc<RefCell<u64>>,
+    /// Called with each record that is added, if it is set.
     watcher: Rc<RefCell<Option<Watcher>>>,
 }
 
 impl Transcript {
     /// Returns a connection number that is unique in this transcript; the first one is 1.
     pub fn new_conn(&self) -> u64 {
-        *self.conns.borrow_mut() += 1;
-        *self.conns.borrow()
+        *self.connections.borrow_mut() += 1;
+        *self.connections.borrow()
     }
 
     /// Appends a record and passes it to the watcher, if there is one.
@@ -155,6 +161,7 @@
     }
 }
 
+/// A record as a line of the transcript file has it: either `note` is set, or `way` and the fields of a frame are.
 #[derive(Serialize, Deserialize)]
 struct Line {
     at: Ms,
@@ -165,9 +172,10 @@
     note: Option<Note>,
     #[serde(skip_serializing_if = "Option::is_none")]
     way: Option<Way>,
-    /// The message's name, for human readers of the file; reading a transcript takes only `frame`.
+    /// The name of the frame's message, for people who read the file. [`read`] ignores it.
     #[serde(default)]
     message: String,
+    /// The number of the frame's stream, for people who read the file. [`read`] ignores it.
     #[serde(default)]
     stream: u64,
     /// The encoded frame, in hexadecimal.
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -29,6 +29,7 @@
 }
 
 impl Scenario {
+    /// Adds a frame that the first party of the connection recorded.
     fn frame(
         &mut self,
         at: f64,
@@ -47,6 +48,7 @@
         });
     }
 
+    /// Adds a note of this party on one of its connections; 0 is none.
     fn note(&mut self, at: f64, (seer, conn): (&str, u64), note: Note) {
         let (seer, peer) = (Rc::from(seer), Rc::from(""));
         self.records.push(Record {
@@ -58,6 +60,7 @@
         });
     }
 
+    /// Audits the transcript and returns the rule of each breach.
     fn broken_rules(mut self) -> Vec<Rule> {
         self.records.sort_by(|a, b| a.at.total_cmp(&b.at));
         audit(&self.records, &rules())
@@ -68,7 +71,8 @@
     }
 }
 
-/// Connections of the scenario: who recorded the frames, the other end, and the connection's number.
+/// A connection of the scenario: the name of the party that recorded the frames, that of the other end, and the
+/// connection's number.
 const CLIENT: (&str, &str, u64) = ("client", "d", 1);
 const PREFILL_ENGINE: (&str, &str, u64) = ("r", "d", 2);
 const DECODE_ENGINE: (&str, &str, u64) = ("w", "d", 3);
@@ -440,7 +444,8 @@
     assert_eq!(scenario.broken_rules(), []);
 }
 
-/// A second request, which its client cancels at 100 ms, and an attempt that arrives at a prefill engine at `at`.
+/// A transcript with a second request, which its client cancels at 100 ms, and an attempt of it that arrives at a
+/// prefill engine at `at`.
 fn cancelled_before_an_attempt(at: f64) -> Scenario {
     let mut scenario = scenario_without_breach();
     let submit = v1::Submit {
@@ -497,7 +502,7 @@
     assert_eq!(scenario.broken_rules(), []);
 }
 
-/// A request whose decode attempt has arrived at its engine.
+/// A transcript with one request, whose decode attempt has arrived at its engine.
 fn scenario_with_decode_attempt() -> Scenario {
     let mut scenario = Scenario::default();
     let submit = v1::Submit {
@@ -571,7 +576,7 @@
     }
 }
 
-/// A class of requests, each given by its prompt length, its session and its answer.
+/// A transcript with requests of one class, each given by its prompt length, its session and its answer.
 fn scenario_of_class(answers: impl Iterator<Item = (u32, u64, v1::Answer)>) -> Scenario {
     let mut scenario = Scenario::default();
     for (n, (prompt_tokens, session, answer)) in answers.enumerate() {
