--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -318,7 +318,7 @@
         let (outcome, events, in_pieces) = self.draw_stream();
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         if outcome == StreamOutcome::Malformed {
-            // The response is not valid HTTP. The request has been executed all the same.
+            // The response is not valid HTTP. The request has been executed nevertheless.
             let _ = connection.write("HTTP/1.1 2?0 OK\r\n\r\nnoise").await;
             return (AttemptEnd::Failed, Some(false));
         }
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Silences some of an engine's connections until the time `until`.
+    /// Silences [`SILENT_PERCENT`] of an engine's connections until the time `until`.
     pub(super) async fn silence_some(&self, index: usize, delivers: bool, until: Ms) {
         let proxy = self.proxy(index);
         proxy.silence_some(SILENT_PERCENT);
--- a/crates/soak/tests/audit.rs
+++ b/crates/soak/tests/audit.rs
@@ -144,7 +144,7 @@
 #[test_case(Answer::Broken(1), false, true; "stream is cut off while its engine writes")]
 #[test_case(Answer::Broken(0), false, true; "stream ends before its first event")]
 #[test_case(Answer::Failed, false, false; "reported failure")]
-fn an_end_without_a_valid_answer_is_found(answer: Answer, killed: bool, is_violation: bool) {
+fn an_end_without_a_valid_answer_is_reported(answer: Answer, killed: bool, is_violation: bool) {
     let mut audit = audit();
     add_prefilled_request(&mut audit, "a", Effect::Idempotent, 0.0);
     add_decode_attempt(&mut audit, "a", 21.0);
@@ -162,10 +162,10 @@
     );
 }
 
-/// A process ends a stream while its engine continues to write. That is allowed only if the network has been silent for
-/// long enough.
+/// A process ends a stream while its engine continues to write. That is allowed only if no event has reached the
+/// process for 3 s.
 #[test]
-fn a_stream_that_is_cut_off_is_found_unless_it_has_stalled() {
+fn a_stream_that_is_cut_off_is_reported_unless_it_has_stalled() {
     for (silent_from, ended_at, is_violation) in [
         (None, 4_200.0, true),
         (Some(100.0), 4_200.0, false),
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn an_answer_that_is_late_or_never_comes_is_found() {
+fn an_answer_that_is_late_or_never_comes_is_reported() {
     let mut audit = audit();
     audit.request_sent("late", RUN, Effect::Idempotent, 0.0, 1_000.0);
     audit.answered("late", Answer::Failed, 1_700.0);
@@ -238,7 +238,7 @@
 /// A decode attempt that has not arrived at its silent engine does not excuse a held state. The end of the prefill
 /// counts from the time at which it reached the process.
 #[test]
-fn a_state_behind_an_attempt_that_has_not_arrived_is_found_while_its_engine_is_silent() {
+fn a_held_state_is_reported_although_an_attempt_for_it_is_on_its_way_to_a_silent_engine() {
     for (answer_forwarded, checked_at, is_violation) in [
         (Some(20.0), 860.0, false),
         (Some(20.0), 880.0, true),
@@ -275,7 +275,7 @@
 
 /// A silent connection, on which no byte of the engine gets through, excuses no violation of the process.
 #[test]
-fn violations_are_found_on_silent_connections() {
+fn violations_are_reported_on_silent_connections() {
     let silent = || Some(Rc::new(ConnectionTrace::default()));
     let mut deadline = audit();
     deadline.request_sent("a", RUN, Effect::Idempotent, 0.0, 1_000.0);
@@ -319,7 +319,7 @@
     assert_eq!(violated(lost, 2_000.0), [Invariant::Answered]);
 }
 
-/// An attempt that its process has closed no longer runs, even if its engine does not know of the close.
+/// An attempt whose connection the process has closed no longer runs, even if its engine has not noticed the close.
 #[test]
 fn an_attempt_may_follow_one_that_was_closed_on_a_silent_connection() {
     let mut audit = audit();
@@ -389,12 +389,12 @@
     }
 }
 
-/// When an unanswered request was sent, counted from the signal to stop, and whether the kill that ends the stop loses
-/// it.
+/// When an unanswered request was sent, counted from SIGTERM, what its client received, and whether the request counts
+/// as lost once the stopping process is killed.
 #[test_case(600.0, Answer::None, false; "request within 0.7 s of the signal")]
 #[test_case(800.0, Answer::None, true; "later request")]
 #[test_case(800.0, Answer::Broken(1), true; "stream of a later request")]
-fn a_request_that_the_kill_of_a_stop_leaves_unanswered_is_lost_if_it_came_late(
+fn a_late_request_that_is_unanswered_when_a_stopping_process_is_killed_is_lost(
     sent: Ms,
     answer: Answer,
     is_violation: bool,
@@ -426,7 +426,7 @@
 #[test_case(Effect::Keyed { window: 500 }, AttemptEnd::Failed, 60.0, true; "keyed, within its window")]
 #[test_case(Effect::Keyed { window: 500 }, AttemptEnd::Failed, 700.0, false; "keyed, after its window")]
 #[test_case(Effect::Idempotent, AttemptEnd::Failed, 700.0, true; "idempotent")]
-fn a_repeat_that_its_class_does_not_allow_is_found(
+fn a_repeat_that_its_class_does_not_allow_is_reported(
     effect: Effect,
     end: AttemptEnd,
     at: Ms,
@@ -448,7 +448,7 @@
 }
 
 #[test]
-fn concurrent_attempts_and_a_rejection_after_execution_are_found() {
+fn concurrent_attempts_and_a_rejection_after_execution_are_reported() {
     let mut concurrent = audit();
     add_prefilled_request(&mut concurrent, "a", Effect::Idempotent, 0.0);
     add_decode_attempt(&mut concurrent, "a", 21.0);
@@ -463,7 +463,7 @@
 }
 
 #[test]
-fn an_attempt_at_a_draining_engine_is_found_after_the_grace_if_the_process_was_notified() {
+fn an_attempt_at_a_draining_engine_is_reported_after_the_grace_if_the_process_was_notified() {
     for (at, is_notified, is_violation) in [
         (900.0, true, false),
         (1_200.0, true, true),
@@ -488,7 +488,7 @@
 }
 
 #[test]
-fn a_state_that_is_held_too_long_is_found_while_no_attempt_runs() {
+fn a_state_that_is_held_too_long_is_reported_while_no_attempt_runs() {
     for (held_by_attempt, released, is_violation) in [
         (false, false, true),
         (true, false, false),
@@ -518,7 +518,7 @@
 /// If a release frees only states that no attempt waits for, a release that arrives while an attempt runs does nothing.
 #[test_case(ReleaseScope::Everything, false; "everything")]
 #[test_case(ReleaseScope::WhatNoAttemptWaitsFor, true; "what no attempt waits for")]
-fn a_state_whose_release_arrived_while_an_attempt_waited_is_found(
+fn a_state_whose_release_arrived_while_an_attempt_waited_is_reported(
     release: ReleaseScope,
     is_violation: bool,
 ) {
@@ -637,7 +637,7 @@
 }
 
 #[test]
-fn an_attempt_for_a_disconnected_client_and_a_too_long_deadline_are_found() {
+fn an_attempt_for_a_disconnected_client_and_a_too_long_deadline_are_reported() {
     for (begun, stated_remaining, expected) in [
         (150.0, 900.0, None),
         (250.0, 700.0, Some(Invariant::ClientThere)),
@@ -661,7 +661,7 @@
 }
 
 #[test]
-fn a_late_event_and_an_event_out_of_order_are_found() {
+fn a_late_event_and_an_event_out_of_order_are_reported() {
     for (number, at, is_violation) in [(0, 400.0, false), (0, 500.0, true), (1, 100.0, true)] {
         let mut audit = audit();
         add_prefilled_request(&mut audit, "a", Effect::Idempotent, 0.0);
@@ -679,7 +679,7 @@
 }
 
 #[test]
-fn more_attempts_at_a_cold_engine_than_its_budget_are_found() {
+fn more_attempts_at_a_cold_engine_than_its_budget_are_reported() {
     // The limit is the budget of 16, plus three times its square root, plus 3: 31 attempts.
     for (attempts, started, is_violation) in [
         (31, Some(0.0), false),
@@ -711,7 +711,7 @@
 }
 
 #[test]
-fn a_stalled_client_that_is_not_ended_and_a_process_that_is_not_up_are_found() {
+fn a_stalled_client_that_is_not_ended_and_a_process_that_is_not_up_are_reported() {
     for (after, is_violation) in [(Some(3_050.0), false), (Some(3_200.0), true), (None, true)] {
         let mut audit = audit();
         audit.stalled_client_ended(after, 8_000.0);
@@ -762,8 +762,8 @@
     }
 }
 
-/// Each reading is drawn in a good share of the soaks. Hangs and silences are equally frequent in each direction, so
-/// there are half as many hangs as silences.
+/// Each reading is drawn in 30 % to 70 % of the soaks. Hangs, silences in both directions and silences in one direction
+/// are equally frequent, so there are half as many hangs as silences.
 #[test]
 fn all_readings_are_drawn_and_hangs_are_as_frequent_as_silences() {
     let plans: Vec<Plan> = (0..200)
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -86,7 +86,7 @@
         self.inner.followers.borrow().len()
     }
 
-    /// Whether a client of this name follows the list at present.
+    /// Whether a party of this name, such as a dispatcher, follows the list at present.
     pub fn is_followed_by(&self, name: &str) -> bool {
         self.inner
             .followers
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -20,8 +20,8 @@
 /// The number of calls that a stand-in allows to be open at the same time on one connection.
 const MAX_OPEN_CALLS: u32 = 4096;
 
-/// The settings of a connection's handshake: who this side is, and the name that it expects of the other side; an empty
-/// name accepts any.
+/// The settings of a connection's handshake: the party and the name of this side, and the name that is expected of the
+/// other side. An empty expected name accepts any.
 fn session_setup(party: v1::Party, name: &str, expects: &str) -> Setup {
     let (name, expects) = (name.to_owned(), expects.to_owned());
     Setup {
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// A connection of the scenario: the name of the party that recorded the frames, that of the other end, and the
+/// The connections of the scenarios: the name of the party that recorded the frames, that of the other end, and the
 /// connection's number.
 const CLIENT: (&str, &str, u64) = ("client", "d", 1);
 const PREFILL_ENGINE: (&str, &str, u64) = ("r", "d", 2);
@@ -209,14 +209,14 @@
 }
 
 #[test]
-fn a_second_final_answer_is_found() {
+fn a_second_final_answer_is_reported() {
     let mut scenario = scenario_without_breach();
     scenario.frame(95.0, CLIENT, Way::In, 1, final_answer(v1::Answer::Failed));
     assert_eq!(scenario.broken_rules(), [Rule::RequestLost]);
 }
 
 #[test]
-fn tokens_after_the_final_answer_are_found() {
+fn tokens_after_the_final_answer_are_reported() {
     let mut scenario = scenario_without_breach();
     scenario.frame(
         95.0,
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_request_without_an_answer_is_found_unless_its_dispatcher_was_killed() {
+fn a_request_without_an_answer_is_reported_unless_its_dispatcher_was_killed() {
     let remove_answer = |scenario: &mut Scenario| {
         scenario.records.retain(
             |r| !matches!(&r.what, What::Frame(Way::In, f) if matches!(f.body, Some(Body::Final(_)))),
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn an_answer_after_the_deadline_is_found() {
+fn an_answer_after_the_deadline_is_reported() {
     let mut scenario = scenario_without_breach();
     scenario
         .records
@@ -256,14 +256,14 @@
 }
 
 #[test]
-fn a_second_run_of_an_at_most_once_request_is_found() {
+fn a_second_run_of_an_at_most_once_request_is_reported() {
     let mut scenario = scenario_without_breach();
     scenario.note(300.0, ("w2", 5), ran_note());
     assert_eq!(scenario.broken_rules(), [Rule::EffectTwice]);
 }
 
 #[test]
-fn a_rejection_of_what_ran_is_found_before_and_after_the_run() {
+fn a_rejection_before_or_after_the_run_of_a_request_is_reported() {
     for at in [34.0, 91.0] {
         let mut scenario = scenario_without_breach();
         scenario
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn an_attempt_after_a_drain_is_found_and_one_within_the_grace_is_not() {
+fn an_attempt_after_a_drain_is_reported_and_one_within_the_grace_is_not() {
     for (at, expected) in [(500.0, vec![]), (900.0, vec![Rule::DrainBroken])] {
         let mut scenario = scenario_without_breach();
         scenario.frame(
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn a_cold_engine_that_several_dispatchers_overload_together_is_found() {
+fn a_cold_engine_that_several_dispatchers_overload_together_is_reported() {
     // At its start the engine may be sent 2 x 0.25 x 4 slot seconds within one second, which is ten attempts of 0.2
     // slot seconds each. The audit allows one attempt more.
     for (attempts, expected) in [(9, vec![]), (14, vec![Rule::ColdEnginePushed])] {
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_state_that_is_held_too_long_is_found_and_one_that_is_released_in_time_is_not() {
+fn a_state_that_is_held_too_long_is_reported_and_one_that_is_released_in_time_is_not() {
     for (released, expected) in [(500.0, vec![]), (800.0, vec![Rule::LeftPinned])] {
         let mut scenario = scenario_without_breach();
         let ended = v1::Ended {
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn an_attempt_for_a_cancelled_request_is_found_after_100_ms_and_slack() {
+fn an_attempt_for_a_cancelled_request_is_reported_after_100_ms_and_slack() {
     for (at, expected) in [
         (90.0, vec![]),
         (290.0, vec![]),
@@ -528,7 +528,7 @@
 }
 
 #[test]
-fn an_event_that_is_held_back_is_found() {
+fn an_event_that_is_held_back_is_reported() {
     for (at, expected) in [(400.0, vec![]), (500.0, vec![Rule::EventLate])] {
         let mut scenario = scenario_with_decode_attempt();
         for (position, written, arrived) in [(0, 30.0, 31.0), (1, 60.0, at)] {
@@ -546,9 +546,10 @@
     }
 }
 
-/// An event may wait while its dispatcher's process is suspended, but not long after the process runs again.
+/// An event may be delayed while the process of its dispatcher is suspended, but not for long after the process runs
+/// again.
 #[test]
-fn an_event_that_is_held_back_beyond_the_suspension_of_its_dispatcher_is_found() {
+fn an_event_that_is_held_back_beyond_the_suspension_of_its_dispatcher_is_reported() {
     for (resumed, arrived, suspended, expected) in [
         (950.0, 960.0, "d", vec![]),
         (500.0, 960.0, "d", vec![Rule::EventLate]),
@@ -596,7 +597,7 @@
 }
 
 #[test]
-fn starvation_of_the_largest_requests_is_found() {
+fn starvation_of_the_largest_requests_is_reported() {
     let answer = |refused: bool| {
         if refused {
             v1::Answer::Rejected
@@ -615,7 +616,7 @@
 }
 
 #[test]
-fn sessions_whose_requests_are_all_rejected_are_found() {
+fn sessions_whose_requests_are_all_rejected_are_reported() {
     let answer = |refused: bool| {
         if refused {
             v1::Answer::Rejected
