--- a/crates/soak/src/audit/platform.rs
+++ b/crates/soak/src/audit/platform.rs
@@ -38,7 +38,7 @@
     /// Records that a process became ready this long after its start.
     pub fn process_ready(&mut self, after: Ms) {
         self.count_case(Invariant::ProcessUp);
-        self.starts.push(after);
+        self.times_to_ready.push(after);
     }
 
     /// Records that a run was told to stop.
@@ -61,7 +61,8 @@
         self.ended.insert(run, (now, RunEnd::KilledInStop));
     }
 
-    /// Records the end of a run. `as_told` is whether the run ended as it was told to; `how` describes any other end.
+    /// Records the end of a run. `as_told` is set if the run ended as it was told to; otherwise `how` describes the end
+    /// in the reported violation.
     pub fn process_ended(&mut self, run: ProcessRun, as_told: bool, how: &str, now: Ms) {
         self.ended.entry(run).or_insert((now, RunEnd::Ended));
         let broken = (!as_told).then(|| format!("process {} ended: {how}", run.process));
