--- a/src/client_connection/http1.rs
+++ b/src/client_connection/http1.rs
@@ -20,8 +20,8 @@
     pub idle_timeout: Ms,
 }
 
-/// What a connection without an open request waits for. The variants are in the order of eviction: a connection in a
-/// later variant is evicted first.
+/// What a connection without an open request waits for. The variants are in reverse order of eviction: `New`
+/// connections are evicted first, `ReadingRequest` connections last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     /// A request was received in part; the rest is awaited.
--- a/src/connection_pool.rs
+++ b/src/connection_pool.rs
@@ -29,7 +29,7 @@
     pub keepalive_interval: Ms,
     /// A connection is closed if nothing is received for this long after a ping.
     pub ping_timeout: Ms,
-    /// The backoff after a failed connect; it doubles with each further failure in a row.
+    /// The backoff after a failed connect; it doubles with each further consecutive failure.
     pub initial_backoff: Ms,
     /// The upper limit of the doubled backoff; jitter is applied afterwards and may exceed it.
     pub max_backoff: Ms,
@@ -46,7 +46,7 @@
 /// Lower limit of the random factor on the backoff; the upper limit is this plus 1.
 const MIN_BACKOFF_JITTER: f64 = 0.5;
 
-/// Failures beyond this many do not double the backoff further, which keeps the power of two finite.
+/// After this many doublings, further failures leave the backoff unchanged, which keeps the power of two finite.
 const MAX_BACKOFF_DOUBLINGS: u32 = 30;
 
 /// Which connection carries a new stream, if any.
@@ -210,7 +210,7 @@
     }
 
     /// Records that the connection has ended or could not be established. After a failed connect, the next one is
-    /// delayed by a backoff that doubles with each failure in a row. Its jitter prevents all dispatchers from
+    /// delayed by a backoff that doubles with each consecutive failure. Its jitter prevents all dispatchers from
     /// reconnecting at the same time to an engine that restarts.
     pub fn closed(&mut self, id: ConnectionId, now: Ms) {
         let Some(connection) = self.connections.remove(&id) else {
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -7,16 +7,17 @@
 const INITIAL_PREFILLS: f64 = 12.0;
 /// Initial limit for an engine that serves decodes, in attempts of all dispatchers together.
 const INITIAL_DECODES: f64 = 48.0;
-/// How much the limit of a prefill engine grows after as many unqueued attempts as the limit
-/// itself.
+/// Each attempt that did not queue raises the limit of a prefill engine by this value divided by
+/// the current limit.
 const PREFILL_INCREASE: f64 = 1.0;
-/// How much the limit of an engine that serves decodes grows after as many unqueued attempts as the
-/// limit itself. It is larger because a decode lasts long, so fewer decodes per second show whether
-/// they queued.
+/// Each attempt that did not queue raises the limit of an engine that serves decodes by this value
+/// divided by the current limit. The value is larger than for prefills because a decode lasts long,
+/// so fewer decodes per second show whether they queued.
 const DECODE_INCREASE: f64 = 3.0;
-/// An attempt that queued lowers the limit to this fraction of the attempts in flight at that time.
-const DECREASE_FRACTION: f64 = 0.7;
-/// The limit grows only while no more than this many further attempts would fit into it.
+/// An attempt that queued lowers the limit to this multiple of its old value or of the number of
+/// attempts in flight at that time, whichever is smaller: 0.7 means to 70 %, not by 70 %.
+const DECREASE_TO_FRACTION: f64 = 0.7;
+/// The limit grows only while at most this many more attempts could be sent without exceeding it.
 const MAX_UNUSED_ATTEMPTS: f64 = 2.0;
 
 /// Concurrency limit of one engine. Guards against queues at engines, which make requests late and
@@ -53,7 +54,8 @@
         in_flight + 1.0 <= self.attempts
     }
 
-    /// Raises the limit after an attempt that did not queue.
+    /// Raises the limit after an attempt that did not queue, if `in_flight` attempts nearly use it
+    /// up.
     pub(super) fn increase(&mut self, in_flight: f64) {
         if in_flight + MAX_UNUSED_ATTEMPTS >= self.attempts {
             self.attempts += self.increase / self.attempts;
@@ -63,7 +65,7 @@
     /// Lowers the limit after an attempt that was sent at `sent_at` and queued.
     pub(super) fn decrease(&mut self, in_flight: f64, sent_at: Ms, now: Ms) {
         if sent_at >= self.decreased_at {
-            self.attempts = (self.attempts.min(in_flight + 1.0) * DECREASE_FRACTION).max(1.0);
+            self.attempts = (self.attempts.min(in_flight + 1.0) * DECREASE_TO_FRACTION).max(1.0);
             self.decreased_at = now;
         }
     }
--- a/src/control/decode_placement.rs
+++ b/src/control/decode_placement.rs
@@ -12,10 +12,11 @@
 use super::state::State;
 use nanorand::Rng;
 
-/// Proximity of two engines: in the same cell, in different cells of the same zone, and in
-/// different zones. Each cell is part of one zone.
+/// Proximity of two engines in the same cell. Each cell is part of one zone.
 const SAME_CELL_PROXIMITY: f64 = 1.0;
+/// Proximity of two engines in different cells of the same zone.
 const SAME_ZONE_PROXIMITY: f64 = 0.5;
+/// Proximity of two engines in different zones.
 const OTHER_ZONE_PROXIMITY: f64 = 0.0;
 /// Candidates whose proximity is lower than the best by at most this much are compared by load.
 const PROXIMITY_BAND: f64 = 0.1;
@@ -23,7 +24,8 @@
 /// by more than this.
 const MAX_DECODES_ABOVE_AVERAGE: f64 = 1.0;
 
-/// A candidate with its sort key: load first, then a weighted random draw. The lowest is chosen.
+/// A candidate with its sort key: load first, then a weighted random draw. The candidate with the
+/// lowest key is chosen.
 struct Ranked {
     load: f64,
     draw: f64,
--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -16,11 +16,12 @@
 pub(super) struct Engine {
     pub(super) endpoint: Endpoint,
     pub(super) kind: KindSettings,
-    /// This dispatcher's decodes in flight at the engine.
+    /// Number of this dispatcher's decodes in flight at the engine.
     pub(super) decodes: f64,
-    /// This dispatcher's prefills in flight at the engine.
+    /// Number of this dispatcher's prefills in flight at the engine.
     pub(super) prefills: f64,
-    /// Uncached prompt tokens of this dispatcher's prefills in flight.
+    /// Number of prompt tokens that the engine has to compute for this dispatcher's prefills in
+    /// flight, without those that it has cached.
     pub(super) prefill_tokens: f64,
     pub(super) concurrency_limit: ConcurrencyLimit,
     pub(super) prefix_cache: PrefixCache,
--- a/src/control/event_handlers.rs
+++ b/src/control/event_handlers.rs
@@ -8,8 +8,9 @@
 use super::state::State;
 use crate::interface::*;
 
-/// `Ended::detail` of a rejection by a decode engine that found no KV state to fetch.
-const NO_KV_STATE: f64 = 1.0;
+/// The value of [`Ended::detail`] with which a decode engine says why it rejected an attempt: the
+/// prefill engine had no KV state to fetch.
+const DETAIL_NO_KV_STATE: f64 = 1.0;
 
 impl State {
     pub(super) fn handle_event(&mut self, event: &Event) {
@@ -191,7 +192,7 @@
             }
             // The prefill engine no longer holds the KV state (it died or released the KV state),
             // so the prompt is prefilled again.
-            Outcome::Overloaded if ended.detail == NO_KV_STATE => request.kv_state = None,
+            Outcome::Overloaded if ended.detail == DETAIL_NO_KV_STATE => request.kv_state = None,
             Outcome::Overloaded => {
                 request.excluded_engines.push(index);
                 engine
--- a/src/control/health_check.rs
+++ b/src/control/health_check.rs
@@ -9,8 +9,8 @@
 /// No health check is sent to an engine for this long after its last load report, or after the last
 /// health check that was sent to it. In multiples of the shortest latency objective.
 const REPORT_FRESH_OBJECTIVES: f64 = 0.25;
-/// No health check is sent to an engine for this long after it answered an attempt, unless that was
-/// a prefill that had queued. An unanswered health check is awaited for the same time. In multiples
+/// No health check is sent to an engine for this long after it answered an attempt. The answer to a
+/// prefill that had queued does not count. An unanswered health check is awaited for the same time. In multiples
 /// of the shortest latency objective.
 const RESPONSE_FRESH_OBJECTIVES: f64 = 2.0;
 /// If this dispatcher has more decodes than this in flight at an engine, their number is a good
--- a/src/control/load_report.rs
+++ b/src/control/load_report.rs
@@ -8,7 +8,8 @@
 
 /// The last load report of an engine; all values are 0 until one is received.
 pub(super) struct LoadReport {
-    /// Requests in flight at the engine, from all dispatchers.
+    /// Number of requests of all dispatchers that the engine holds, as last reported. An
+    /// `f64`, because loads are compared after a division by the engine's capacity fraction.
     pub(super) in_flight: f64,
     /// Prompt tokens that wait at the engine to be computed or fetched.
     pub(super) waiting_tokens: f64,
@@ -79,7 +80,7 @@
 pub(super) struct HealthCheckState {
     pub(super) sent_at: Ms,
     pub(super) answered_at: Ms,
-    /// Whether the last health check that ended got no answer.
+    /// Whether the last health check with a known result failed.
     pub(super) unresponsive: bool,
 }
 
@@ -97,7 +98,7 @@
         self.answered_at = now;
     }
 
-    /// Whether a health check is unanswered that was sent less than `within_ms` ago.
+    /// Whether a health check sent less than `within_ms` ago is still unanswered.
     pub(super) fn is_pending(&self, now: Ms, within_ms: Ms) -> bool {
         self.sent_at > self.answered_at.max(now - within_ms)
     }
--- a/src/control/outlier_detection.rs
+++ b/src/control/outlier_detection.rs
@@ -5,14 +5,14 @@
 
 /// Number of recent outcomes that are kept per engine.
 const MAX_OUTCOMES: u32 = 8;
-/// An engine with fewer recent outcomes than this is not ejected, because so few prove nothing.
+/// An engine with fewer recent outcomes than this is not ejected: so few do not show a fault.
 const MIN_OUTCOMES: u32 = 3;
 /// An engine is ejected if its success fraction is below this fraction of its peers' mean.
 const EJECT_BELOW_PEERS_FRACTION: f64 = 0.5;
 /// Interval at which overloaded engines and held requests are retried, as a fraction of the KV
 /// state timeout.
 pub(super) const RETRY_INTERVAL_FRACTION: f64 = 0.1;
-/// Rejections in a row beyond this many do not double the backoff further.
+/// After this many doublings, further consecutive rejections leave the backoff unchanged.
 const MAX_BACKOFF_DOUBLINGS: i32 = 5;
 
 /// Whether the last attempts at an engine succeeded; at most [`MAX_OUTCOMES`] are kept.
@@ -74,8 +74,8 @@
     }
 }
 
-/// Backoff after rejections: each rejection in a row doubles the time for which the engine gets no
-/// attempts. Guards against an engine that rejects every attempt and therefore always appears to
+/// Backoff after rejections: each consecutive rejection doubles the time for which the engine gets
+/// no attempts. Guards against an engine that rejects every attempt and therefore always appears to
 /// have capacity.
 pub(super) struct OverloadBackoff {
     until: Ms,
@@ -105,7 +105,7 @@
         self.rejections = 0;
     }
 
-    /// Excludes the engine until `until`, in place of any backoff from rejections.
+    /// Excludes the engine until `until`, which replaces the end of any backoff from rejections.
     pub(super) fn exclude_until(&mut self, until: Ms) {
         self.until = until;
     }
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -54,7 +54,8 @@
     }
 
     /// Lowers the engine's concurrency limit once an attempt has taken so long that it must have
-    /// queued. It does not wait for the outcome, because the engine may never answer.
+    /// queued. The limit is lowered before the outcome is known, because the engine may never
+    /// answer.
     fn record_if_queued(&mut self, request: &mut Request) {
         let queued_after_ms = request.queued_after_ms();
         let Some(attempt) = request.attempt.as_mut() else {
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -67,7 +67,7 @@
     /// Guards against the collapse of a cold engine because many dispatchers round a small budget
     /// up and their sum is too large. Each dispatcher rounds its budget to a whole number, which
     /// stays the same while the engine is cold and no more requests arrive. A dispatcher rounds up
-    /// or down depending on its number, such that the number of dispatchers that round up is the
+    /// or down depending on its number, so that the number of dispatchers that round up is the
     /// sum of the fractional parts of all budgets.
     pub(super) fn has_budget(
         &self,
--- a/src/discovery_client.rs
+++ b/src/discovery_client.rs
@@ -27,7 +27,7 @@
     /// How long a connection may be silent after its first answer has begun. Discovery may delay later answers until
     /// there is a change.
     pub silence_timeout: Ms,
-    /// The backoff after the first lost call; it doubles with each further loss in a row.
+    /// The backoff after the first lost call; it doubles with each further consecutive loss.
     pub initial_backoff: Ms,
     /// The upper limit of the doubled backoff; jitter only shortens it.
     pub max_backoff: Ms,
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -27,8 +27,8 @@
     Reject {
         /// The request to reject. Either it has not run, or running it again does no harm.
         request: RequestId,
-        /// Milliseconds after which the client may send the request again; `None` if it is not
-        /// asked to wait.
+        /// Milliseconds after which the client may send the request again; `None` if
+        /// the client is not asked to wait.
         retry_after: Option<Ms>,
     },
     /// Answers the client that the request failed: it may have run, and a retry may do harm.
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -202,14 +202,14 @@
     pub request: RequestId,
     /// The number of the attempt among those of the request.
     pub attempt: AttemptId,
-    /// The engine that the attempt was sent to; known even if nothing was delivered.
+    /// The engine that the attempt was meant for; set even if nothing was sent to it.
     pub engine: EngineId,
     /// How the attempt ended, which determines whether the request may run again.
     pub outcome: Outcome,
     /// Milliseconds since the attempt was sent.
     pub latency: Ms,
-    /// Whether the request needs no further attempt: this outcome finishes it, or it was finished
-    /// earlier.
+    /// Whether this is the last attempt of the request: its outcome finishes the request, or the
+    /// request was finished earlier.
     pub last: bool,
     /// A value whose meaning depends on the outcome. After [`Outcome::PrefillDone`]: the number of
     /// prompt tokens that the engine had cached. After [`Outcome::Overloaded`]: 1 if there was no
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -122,8 +122,8 @@
     pub kinds: Vec<KindSettings>,
     /// How this dispatcher receives the list of endpoints.
     pub discovery: Discovery,
-    /// Milliseconds for which a KV state may be held that no decode engine has taken over. By then
-    /// it has to be taken over or released.
+    /// How long a prefill engine may hold a KV state, in milliseconds. Within this time a decode
+    /// engine has to take over the KV state, or the KV state has to be released.
     pub kv_state_timeout: Ms,
     /// Whether decode engines can also prefill. The decision logic does not read it.
     pub decode_engines_prefill: bool,
@@ -140,8 +140,8 @@
     /// Whether [`Action::SendGossip`](super::Action::SendGossip) may be used. The decision logic
     /// does not read it.
     pub may_gossip: bool,
-    /// Whether clients observe the retry delay that a rejection states. Only then do rejections
-    /// state one.
+    /// Whether clients wait for the retry delay that a rejection states. If they do not, rejections
+    /// state no delay.
     pub clients_honor_retry_after: bool,
     /// The longest retry delay in milliseconds that a rejection may state.
     pub max_retry_after: Ms,
--- a/src/resource_limits.rs
+++ b/src/resource_limits.rs
@@ -59,11 +59,11 @@
     pub discovery_poll_wait: Ms,
     /// Timeouts and backoffs of calls to discovery.
     pub discovery: DiscoverySettings,
-    /// How long incoming bytes are still read and discarded after the last answer on a client's connection, before it
-    /// is closed.
+    /// How long incoming bytes are still read and discarded after the last answer on a client's connection, before the
+    /// connection is closed.
     pub close_drain_timeout: Ms,
-    /// How many incoming bytes are read and discarded at most after the last answer on a client's connection, before it
-    /// is closed.
+    /// Maximum number of incoming bytes that are read and discarded after the last answer on a client's connection,
+    /// before the connection is closed.
     pub max_close_drain_bytes: usize,
     /// How long new requests are still accepted after a stop signal.
     pub stop_accept_period: Ms,
@@ -109,7 +109,7 @@
 /// Token messages of one stream that may be on the way from the decode engine to the client.
 const STREAM_WINDOW: u32 = 32;
 
-/// Shorter than the platform's limit: a client may be left without a token for at most five seconds.
+/// A stream without progress for this long is ended. The platform allows at most five seconds without a token.
 const STALL_TIMEOUT_MS: Ms = 4_000.0;
 
 /// By the platform's protocol, a dispatcher counts as notified of a change this long after discovery became reachable,
--- a/tests/client_connection_http1.rs
+++ b/tests/client_connection_http1.rs
@@ -42,7 +42,7 @@
     assert_eq!(
         connection.due_close(&SETTINGS, 2000.0),
         None,
-        "the reason is returned only once"
+        "the reason must be returned only once"
     );
 }
 
@@ -139,7 +139,7 @@
         );
         assert!(
             closed_at >= begun_at + 500.0,
-            "no time for a slow client: request begun at {begun_at} ms, connection closed at {closed_at} ms"
+            "closed too early for a slow client: request begun at {begun_at} ms, connection closed at {closed_at} ms"
         );
     }
 }
--- a/tests/client_connection_multiplexed.rs
+++ b/tests/client_connection_multiplexed.rs
@@ -53,7 +53,7 @@
             "cancellation {n} is within the burst"
         );
     }
-    // One cancellation each 200 ms is the allowed rate, which a client may keep up without a time limit.
+    // One cancellation every 200 ms is the allowed rate, which a client may keep up for any length of time.
     for n in 1..1000 {
         let now = 200.0 * f64::from(n);
         connection.received(now);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -103,9 +103,10 @@
     attempts: BTreeMap<(usize, u32, RequestId), u32>,
     /// When attempts were sent to each new prefill engine while it was cold, by all dispatchers.
     attempts_while_cold: BTreeMap<EngineId, Vec<Ms>>,
-    /// How long a warm prefill engine takes for one prompt, in milliseconds.
+    /// How long a warm prefill engine takes for one prompt, in milliseconds. The engine works on one
+    /// prompt after another.
     prefill_ms: Ms,
-    /// Until when each prefill engine is busy: it works on one prompt after another.
+    /// When each prefill engine will have computed all prompts that it has received so far.
     busy_until: BTreeMap<EngineId, Ms>,
     decodes: u32,
     arrivals: u32,
--- a/tests/connection_pool.rs
+++ b/tests/connection_pool.rs
@@ -81,7 +81,7 @@
     assert_eq!(
         pool.due_commands(11.0, true),
         [],
-        "two free streams of ten are enough"
+        "no connection must be opened while two of ten streams are free"
     );
     pool.stream_opened(A, 11.0);
     assert_eq!(pool.due_commands(11.0, false), []);
@@ -90,7 +90,7 @@
     assert_eq!(
         pool.due_commands(11.0, true),
         [],
-        "a further connection is already being established"
+        "no connection must be opened while another one is being established"
     );
 }
 
@@ -173,7 +173,7 @@
     assert_eq!(
         pool.due_commands(2510.0, true),
         [],
-        "the engine has answered the ping"
+        "a connection must not be closed after its ping was answered"
     );
     assert_eq!(pool.due_commands(4400.0, true), [PoolCommand::Ping(A)]);
     assert_eq!(pool.due_commands(4899.0, true), []);
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -33,18 +33,20 @@
 const COLD_CAPACITY: f64 = 0.35;
 /// Prompt tokens that a warm prefill engine computes per second.
 const PREFILL_TOKENS_PER_S: f64 = 20_000.0;
-/// Maximum number of prefills that wait or run at a prefill engine; it rejects further ones.
+/// Maximum number of prefills that wait or run at a prefill engine. The engine rejects further
+/// prefills.
 const MAX_QUEUED_PREFILLS: usize = 30;
-/// Maximum number of decodes that run at a decode engine; it rejects further ones.
+/// Maximum number of decodes that run at a decode engine. The engine rejects further decodes.
 const DECODE_SLOTS: usize = 60;
 /// Milliseconds that a decode takes per token.
 const TOKEN_MS: f64 = 10.0;
-/// Time to deadline of each request class.
+/// Time to deadline of each request class, in milliseconds, by the index of the class.
 const TIME_TO_DEADLINE: [Ms; 2] = [4_000.0, 8_000.0];
 const TENANTS: usize = 3;
 /// Median length of a session's first prompt, in tokens.
 const MEDIAN_TOKENS: f64 = 900.0;
-/// Standard deviation of the natural logarithm of that length, which is normally distributed.
+/// Spread of the lengths of first prompts: the standard deviation of the natural logarithm of the
+/// length, which is normally distributed.
 const LOG_STANDARD_DEVIATION: f64 = 1.2;
 /// Maximum length of a session's first prompt, in tokens: as long as the platform's largest
 /// prompts.
@@ -110,7 +112,7 @@
     is_prefill: bool,
     endpoint: Endpoint,
     behaviour: Behaviour,
-    /// Until when a prefill engine is busy with the prompts sent so far.
+    /// When a prefill engine will have computed all prompts that it has received so far.
     busy_until: Ms,
     /// Prefills that wait at the engine or run there.
     waiting: usize,
@@ -573,8 +575,8 @@
         })
     };
     (
-        of(tenth, f64::INFINITY).expect("the simulation has such requests"),
-        of(fifth, tenth).expect("the simulation has such requests"),
+        of(tenth, f64::INFINITY).expect("the class must have requests in the longest tenth"),
+        of(fifth, tenth).expect("the class must have requests in the next longest fifth"),
     )
 }
 
@@ -588,8 +590,7 @@
         session.1 &= request.answer == Answer::Rejected;
     }
     let rejected = 1.0
-        - answered_fraction(requests, |r| r.class == class)
-            .expect("the simulation has such requests");
+        - answered_fraction(requests, |r| r.class == class).expect("each class must have requests");
     let expected: f64 = sessions
         .values()
         .map(|(turns, _)| rejected.powi(*turns))
@@ -615,7 +616,7 @@
         "{case}: only {} requests arrived",
         requests.len()
     );
-    let all = answered_fraction(&requests, |_| true).expect("the simulation has such requests");
+    let all = answered_fraction(&requests, |_| true).expect("the simulation must have requests");
     println!(
         "{case}: {} requests, fraction answered {all:.3}",
         requests.len()
@@ -626,7 +627,7 @@
     );
     for class in 0..TIME_TO_DEADLINE.len() {
         let answered = answered_fraction(&requests, |r| r.class == class)
-            .expect("the simulation has such requests");
+            .expect("each class must have requests");
         let (tenth, fifth) = answered_fractions_of_longest_prompts(&requests, class);
         let excess = excess_rejected_sessions(&requests, class);
         println!("  class {class}: answered {answered:.3}, of the longest tenth {tenth:.3}, of the next fifth {fifth:.3}; sessions rejected in full beyond chance {excess:.3}");
@@ -649,7 +650,7 @@
     }
     for tenant in 0..TENANTS {
         let answered = answered_fraction(&requests, |r| r.tenant == tenant)
-            .expect("the simulation has such requests");
+            .expect("each tenant must have requests");
         assert!(
             answered >= all / 3.0,
             "{case}: fraction answered of tenant {tenant} {answered:.3}, of all requests {all:.3}"
@@ -661,7 +662,7 @@
             r.arrived_at >= start && r.arrived_at < start + ARRIVALS_END_AT / 3.0
         };
         let answered =
-            answered_fraction(&requests, within).expect("the simulation has such requests");
+            answered_fraction(&requests, within).expect("requests must arrive in each third");
         assert!(
             answered >= all / 5.0,
             "{case}: fraction answered in the third from {start} ms {answered:.3}, of all requests {all:.3}"
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -89,8 +89,8 @@
 
 /// With polled lists, a dispatcher counts as notified of a change six seconds after discovery had it and was reachable,
 /// or sooner if the settings say so, whichever calls were lost. Silence timeout, backoffs and connects together must
-/// take less than that, with a margin, for any connect timeout up to 1 s. So must the replacement of a watch that falls
-/// silent.
+/// take less than that, with a margin, for any connect timeout up to 1 s. The replacement of a silent watch must
+/// take less than that as well.
 #[test]
 fn polled_discovery_is_called_again_well_before_the_notification_deadline() {
     for notified_within in [10_000.0, 6_000.0] {
@@ -152,8 +152,8 @@
     }
 }
 
-/// A list must fit that contains every engine of the largest fleet, indented and with long names. It must not use more
-/// than an eighth of the memory.
+/// A list of every engine of the largest fleet must fit into the size limit, even if it is indented and the names are
+/// long. The size limit must not exceed an eighth of the memory.
 #[test]
 fn a_list_of_thousands_of_engines_fits_into_an_eighth_of_the_memory() {
     for memory in [32e6, 64e6, 192e6] {
@@ -164,12 +164,12 @@
         .expect("the process has enough file descriptors");
         assert!(
             limits.max_list_bytes >= 4_096 * 600,
-            "{}",
+            "a list may have only {} bytes",
             limits.max_list_bytes
         );
         assert!(
             limits.max_list_bytes as f64 <= memory / 8.0,
-            "{}",
+            "a list may have {} bytes, more than an eighth of the memory",
             limits.max_list_bytes
         );
     }
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -33,7 +33,7 @@
         assert_eq!(
             attempt_outcome(CallEnd::Reset(code)),
             expected,
-            "HTTP/2 error code {code}"
+            "outcome of a stream that was reset with HTTP/2 error code {code}"
         );
     }
     assert_eq!(
