--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -57,7 +57,11 @@
 #[test_case("empty", Some("\n  \n"); "empty")]
 fn without_listed_tests_every_failure_fails_the_script(name: &str, known_red: Option<&str>) {
     let run = run_script(name, known_red, false);
-    assert!(run.success, "{}", run.output);
+    assert!(
+        run.success,
+        "the script must succeed, it printed: {}",
+        run.output
+    );
     assert_eq!(run.calls, ["test --workspace --locked"]);
     assert!(
         !run_script(name, known_red, true).success,
@@ -72,11 +76,15 @@
         Some("a::red | cargo test, seed 7 | a real fault | 32\n"),
         false,
     );
-    assert!(run.success, "{}", run.output);
+    assert!(
+        run.success,
+        "the script must succeed, it printed: {}",
+        run.output
+    );
     assert!(
         run.output
             .contains("KNOWN-RED: a::red fails: a real fault; cargo test, seed 7 (issue 32)"),
-        "{}",
+        "the script printed: {}",
         run.output
     );
     assert!(run
@@ -104,7 +112,7 @@
             && run
                 .output
                 .contains("a::good passes: take it off the list (issue 7)"),
-        "{}",
+        "the script printed: {}",
         run.output
     );
 }
@@ -122,7 +130,7 @@
     let run = run_script(name, Some(known_red), false);
     assert!(
         !run.success && run.output.contains("KNOWN-RED: "),
-        "{}",
+        "the script printed: {}",
         run.output
     );
     assert!(
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -97,9 +97,13 @@
     dispatchers: Vec<Control>,
     /// How often each dispatcher has restarted. Events for an earlier process are dropped.
     incarnations: Vec<u32>,
+    /// When each scheduled occurrence is due, in microseconds, and its number; the earliest is next.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// The scheduled occurrences by their numbers, each with its dispatcher and the dispatcher's
+    /// incarnation at the time of scheduling.
     scheduled: BTreeMap<u64, (usize, u32, Scheduled)>,
     last_number: u64,
+    /// Number of attempts so far, by dispatcher, its incarnation and request.
     attempts: BTreeMap<(usize, u32, RequestId), u32>,
     /// When attempts were sent to each new prefill engine while it was cold, by all dispatchers.
     attempts_while_cold: BTreeMap<EngineId, Vec<Ms>>,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -177,7 +177,7 @@
     let homes: BTreeSet<EngineId> = (0..DISPATCHERS)
         .map(|me| prefill_engine_at(&mut dispatcher(me), 1.0, u64::from(me), empty_queue))
         .collect();
-    assert_eq!(homes.len(), 1, "{homes:?}");
+    assert_eq!(homes.len(), 1, "the dispatchers chose {homes:?}");
 }
 
 /// The home engine of a popular prefix gets too many prefills. Further prefills must go to a few
@@ -204,11 +204,21 @@
             )
         };
         let engines: BTreeSet<EngineId> = [3, 40, 200].map(prefill_engine).into();
-        assert_eq!(engines.len(), 1, "session {session}: {engines:?}");
+        assert_eq!(
+            engines.len(),
+            1,
+            "prefills of session {session} went to {engines:?}"
+        );
         used.extend(engines);
     }
-    assert!(!used.contains(&home), "{used:?}");
-    assert!((2..=4).contains(&used.len()), "{used:?}");
+    assert!(
+        !used.contains(&home),
+        "prefills went to the busy home engine {home:?}"
+    );
+    assert!(
+        (2..=4).contains(&used.len()),
+        "prefills went to {used:?}, not to two to four engines"
+    );
 }
 
 /// The home engine reports a long queue in its answers to health checks.
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -183,12 +183,15 @@
     rng: WyRand,
     dispatchers: Vec<Control>,
     engines: Vec<Engine>,
-    /// The index of each engine in `engines`.
+    /// The index of each engine in `engines`, by the engine's id.
     engine_index: BTreeMap<EngineId, usize>,
+    /// When each scheduled occurrence is due, in microseconds, and its number; the earliest is next.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// The scheduled occurrences by their numbers.
     scheduled: BTreeMap<u64, Scheduled>,
     last_number: u64,
     requests: Vec<ClientRequest>,
+    /// Number of attempts of each request so far.
     attempts: BTreeMap<RequestId, u32>,
     fault: Fault,
 }
@@ -568,15 +571,18 @@
         .map(|r| r.tokens)
         .collect();
     lengths.sort_by(|a, b| b.total_cmp(a));
-    let (tenth, fifth) = (lengths[lengths.len() / 10], lengths[lengths.len() * 3 / 10]);
-    let of = |from: f64, to: f64| {
+    let (min_in_tenth, min_in_fifth) =
+        (lengths[lengths.len() / 10], lengths[lengths.len() * 3 / 10]);
+    let answered_of_length = |from: f64, to: f64| {
         answered_fraction(requests, |r| {
             r.class == class && r.tokens >= from && r.tokens < to
         })
     };
     (
-        of(tenth, f64::INFINITY).expect("the class must have requests in the longest tenth"),
-        of(fifth, tenth).expect("the class must have requests in the next longest fifth"),
+        answered_of_length(min_in_tenth, f64::INFINITY)
+            .expect("the class must have requests in the longest tenth"),
+        answered_of_length(min_in_fifth, min_in_tenth)
+            .expect("the class must have requests in the next longest fifth"),
     )
 }
 
--- a/tests/lean.rs
+++ b/tests/lean.rs
@@ -70,6 +70,7 @@
     request: RequestId,
     attempt: AttemptId,
     engine: EngineId,
+    /// Whether the first token was sent.
     decoding: bool,
     sent_at: Ms,
 }
@@ -78,6 +79,7 @@
 struct SimulatedEngines {
     now: Ms,
     requests: u32,
+    /// Number of attempts of each request so far.
     attempts: Vec<u32>,
     in_flight: Vec<InFlight>,
     timers: Vec<(Ms, TimerId)>,
