--- a/src/client_connection/http1.rs
+++ b/src/client_connection/http1.rs
@@ -118,7 +118,7 @@
         (self.phase_since + settings.request_read_timeout).min(first_request_by)
     }
 
-    /// Marks the connection as one that is closed to make room for another one. Returns the reason to close it with.
+    /// Marks the connection as one that is closed to make room for another one. Returns the reason for the close.
     pub fn evict(&mut self) -> CloseReason {
         self.close_requested = true;
         if self.phase == Some(Phase::ReadingRequest) {
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -58,8 +58,8 @@
         [healthy, trials].concat()
     }
 
-    /// Whether the request may be sent to the engine at all. These conditions hold even if no
-    /// engine meets them.
+    /// Whether the request may be sent to the engine at all. These conditions apply even if
+    /// no engine meets them.
     fn is_allowed(&self, engine: EngineIndex, request: &Request, cold_engine_budget: f64) -> bool {
         let candidate = &self.engines[engine];
         self.may_run_on(request, engine)
--- a/src/control/health_check.rs
+++ b/src/control/health_check.rs
@@ -18,8 +18,8 @@
 const MIN_INFORMATIVE_DECODES: f64 = 1.0;
 
 impl State {
-    /// Requests health checks for those of `engines` whose load is not known from recent reports or
-    /// answers. Returns whether any health check is unanswered.
+    /// Requests health checks of each engine in `engines` whose load is not known from recent
+    /// reports or answers. Returns whether the answer to any health check is still awaited.
     pub(super) fn request_load_reports(&mut self, engines: &[EngineIndex]) -> bool {
         if !self.settings.may_health_check {
             return false;
--- a/src/control/plan_queue.rs
+++ b/src/control/plan_queue.rs
@@ -26,15 +26,15 @@
 /// The requests to plan and when they are due. New requests, requests that wait for load reports
 /// and requests whose KV state waits for a decode engine are planned at every step. A held request,
 /// or one with an attempt in flight, is planned after an event that concerns it or when it is due.
-/// A request that is decoding or finished is planned only after such an event. The cost of a step
+/// A request that is decoding or finished is planned only after an event that concerns it. The cost of a step
 /// therefore depends on the number of events, not on the number of open requests.
 #[derive(Default)]
 pub(super) struct PlanQueue {
     awake: BTreeSet<RequestId>,
     due: BTreeSet<(DueAt, RequestId)>,
     due_by_request: BTreeMap<RequestId, DueAt>,
-    /// Number of prefills in flight that have not yet taken so long that they must have waited in a
-    /// queue.
+    /// Number of prefills in flight that are still fast enough that they may not have waited in a
+    /// queue at their engine.
     unqueued_prefills: usize,
 }
 
@@ -73,7 +73,7 @@
         self.unqueued_prefills += usize::from(request.is_prefilling_unqueued());
     }
 
-    /// Sets when a request that has just been planned is planned next.
+    /// Sets the next time at which a request is planned. Callers do this right after planning it.
     pub(super) fn reschedule(&mut self, id: RequestId, request: &Request, now: Ms) {
         if let Some(due) = self.due_by_request.remove(&id) {
             self.due.remove(&(due, id));
--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -5,8 +5,8 @@
 use crate::interface::{IdempotencyScope, Ms, Outcome, RetrySafety};
 
 /// Whether an attempt that ended with this outcome may have run and had an effect. A pure prefill
-/// has no effect; neither has an attempt that was rejected or never reached its engine. Returns
-/// `false` for a success as well, because no further attempt follows it.
+/// and an attempt that was rejected or never reached its engine have no effect. A success returns
+/// `false` as well, because no further attempt follows it.
 pub(super) fn may_have_run(attempt: &Attempt, outcome: Outcome, engines: &Engines) -> bool {
     let never_ran = engines.is_prefill_only(attempt.stage, attempt.engine)
         || matches!(
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -2,7 +2,7 @@
 //!
 //! A cold engine collapses when it gets more than a multiple of its capacity within the overload
 //! window. A dispatcher does not see the attempts of the others, so each dispatcher limits its own
-//! part.
+//! attempts.
 
 use super::decaying_rate::DecayingRate;
 use super::stage::Stage;
@@ -122,8 +122,8 @@
         {}
     }
 
-    /// Records that one of `warm_engines` warm engines has finished a prefill or started a decode
-    /// of this dispatcher.
+    /// Records that a warm engine has finished a prefill or started a decode of this dispatcher.
+    /// `warm_engines`: the number of warm engines.
     pub(super) fn record_service(
         &mut self,
         stage: Stage,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -134,7 +134,7 @@
     /// The client has disconnected, or the driver has answered the request itself. The request
     /// needs no further answer.
     ClientGone {
-        /// The request whose attempt in flight, if any, is no longer needed.
+        /// The request that needs no answer. Its attempt in flight, if any, can be cancelled.
         request: RequestId,
     },
     /// The first token of an answer was received.
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -105,7 +105,8 @@
     last_number: u64,
     /// Number of attempts so far, by dispatcher, its incarnation and request.
     attempts: BTreeMap<(usize, u32, RequestId), u32>,
-    /// When attempts were sent to each new prefill engine while it was cold, by all dispatchers.
+    /// The instants at which any dispatcher sent an attempt to each new prefill engine while the
+    /// engine was cold.
     attempts_while_cold: BTreeMap<EngineId, Vec<Ms>>,
     /// How long a warm prefill engine takes for one prompt, in milliseconds. The engine works on one
     /// prompt after another.
