--- a/src/client_connection/http1.rs
+++ b/src/client_connection/http1.rs
@@ -20,8 +20,8 @@
     pub idle_timeout: Ms,
 }
 
-/// What a connection without an open request waits for. The variants are in the order of eviction: a connection in a
-/// later variant is evicted first.
+/// What a connection without an open request waits for. The variants are in reverse order of eviction: `New`
+/// connections are evicted first, `ReadingRequest` connections last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     /// A request was received in part; the rest is awaited.
@@ -118,7 +118,7 @@
         (self.phase_since + settings.request_read_timeout).min(first_request_by)
     }
 
-    /// Marks the connection as one that is closed to make room for another one. Returns the reason to close it with.
+    /// Marks the connection as one that is closed to make room for another one. Returns the reason for the close.
     pub fn evict(&mut self) -> CloseReason {
         self.close_requested = true;
         if self.phase == Some(Phase::ReadingRequest) {
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -2,7 +2,7 @@
 //!
 //! A cold engine collapses when it gets more than a multiple of its capacity within the overload
 //! window. A dispatcher does not see the attempts of the others, so each dispatcher limits its own
-//! part.
+//! attempts.
 
 use super::decaying_rate::DecayingRate;
 use super::stage::Stage;
@@ -67,7 +67,7 @@
     /// Guards against the collapse of a cold engine because many dispatchers round a small budget
     /// up and their sum is too large. Each dispatcher rounds its budget to a whole number, which
     /// stays the same while the engine is cold and no more requests arrive. A dispatcher rounds up
-    /// or down depending on its number, such that the number of dispatchers that round up is the
+    /// or down depending on its number, so that the number of dispatchers that round up is the
     /// sum of the fractional parts of all budgets.
     pub(super) fn has_budget(
         &self,
@@ -122,8 +122,8 @@
         {}
     }
 
-    /// Records that one of `warm_engines` warm engines has finished a prefill or started a decode
-    /// of this dispatcher.
+    /// Records that a warm engine has finished a prefill or started a decode of this dispatcher.
+    /// `warm_engines`: the number of warm engines.
     pub(super) fn record_service(
         &mut self,
         stage: Stage,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -97,15 +97,21 @@
     dispatchers: Vec<Control>,
     /// How often each dispatcher has restarted. Events for an earlier process are dropped.
     incarnations: Vec<u32>,
+    /// When each scheduled occurrence is due, in microseconds, and its number; the earliest is next.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// The scheduled occurrences by their numbers, each with its dispatcher and the dispatcher's
+    /// incarnation at the time of scheduling.
     scheduled: BTreeMap<u64, (usize, u32, Scheduled)>,
     last_number: u64,
+    /// Number of attempts so far, by dispatcher, its incarnation and request.
     attempts: BTreeMap<(usize, u32, RequestId), u32>,
-    /// When attempts were sent to each new prefill engine while it was cold, by all dispatchers.
+    /// The instants at which any dispatcher sent an attempt to each new prefill engine while the
+    /// engine was cold.
     attempts_while_cold: BTreeMap<EngineId, Vec<Ms>>,
-    /// How long a warm prefill engine takes for one prompt, in milliseconds.
+    /// How long a warm prefill engine takes for one prompt, in milliseconds. The engine works on one
+    /// prompt after another.
     prefill_ms: Ms,
-    /// Until when each prefill engine is busy: it works on one prompt after another.
+    /// When each prefill engine will have computed all prompts that it has received so far.
     busy_until: BTreeMap<EngineId, Ms>,
     decodes: u32,
     arrivals: u32,
