--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -35,7 +35,9 @@
         let mut beside = None;
         let permit = Rc::new(Notify::new());
         if let Some(fleet) = settings.fleet {
-            let transport = TcpFrom { from: fleet.from };
+            let transport = TcpFrom {
+                local_address: fleet.from,
+            };
             let listener = transport.listen(&fleet.listen).await?;
             tracing::info!(address = listener.address(), "in the fleet");
             driver.record_service_stats();
--- a/crates/faults/src/fleet.rs
+++ b/crates/faults/src/fleet.rs
@@ -123,7 +123,7 @@
             if let (Trouble::Vanish, Some(network)) = (&fault.trouble, &network) {
                 engines
                     .iter()
-                    .for_each(|h| network.silence(h.name(), true, true));
+                    .for_each(|h| network.drop_bytes(h.name(), true, true));
             }
             if fault.trouble == Trouble::Drain {
                 all(&|t| t.draining = true);
@@ -246,8 +246,8 @@
                 zones.push(CLIENTS);
                 let set = |on| {
                     for other in zones.iter().filter(|other| *other != zone) {
-                        network.block(zone, other, on);
-                        network.block(other, zone, on);
+                        network.set_blocked(zone, other, on);
+                        network.set_blocked(other, zone, on);
                     }
                 };
                 set(true);
@@ -259,18 +259,18 @@
             if let Some(network) = &network {
                 engines
                     .iter()
-                    .for_each(|h| network.silence(h.name(), *from, *to));
+                    .for_each(|h| network.drop_bytes(h.name(), *from, *to));
             }
         }
         Trouble::Hang => {
             if let Some(network) = &network {
                 engines
                     .iter()
-                    .for_each(|h| network.hang(&h.address(), true));
+                    .for_each(|h| network.set_hanging(&h.address(), true));
                 clock.sleep_until(over).await;
                 engines
                     .iter()
-                    .for_each(|h| network.hang(&h.address(), false));
+                    .for_each(|h| network.set_hanging(&h.address(), false));
             }
         }
         Trouble::Lag(by) => {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TcpFrom {
     /// The local IP address that outgoing connections are bound to; with `None` the system chooses it.
-    pub from: Option<IpAddr>,
+    pub local_address: Option<IpAddr>,
 }
 
 impl Transport for TcpFrom {
@@ -98,7 +98,7 @@
     type Listener = TcpListener;
 
     async fn connect(&self, address: &str) -> io::Result<TcpStream> {
-        let Some(local_address) = self.from else {
+        let Some(local_address) = self.local_address else {
             return Tcp.connect(address).await;
         };
         let remote: SocketAddr = address.parse().map_err(|_| io::ErrorKind::InvalidInput)?;
--- a/crates/net/src/simulated_network.rs
+++ b/crates/net/src/simulated_network.rs
@@ -160,7 +160,7 @@
     /// Starts (`blocked`) or ends a partition that holds back all bytes from one zone to another, including bytes in
     /// flight. The held bytes arrive after the partition ends. During the partition, connects between the two zones
     /// hang.
-    pub fn block(&self, from_zone: &str, to_zone: &str, blocked: bool) {
+    pub fn set_blocked(&self, from_zone: &str, to_zone: &str, blocked: bool) {
         let pair = (Rc::from(from_zone), Rc::from(to_zone));
         if blocked {
             self.state.blocked.borrow_mut().insert(pair);
@@ -171,7 +171,7 @@
     }
 
     /// Sets whether connects to an address hang without a result.
-    pub fn hang(&self, address: &str, hangs: bool) {
+    pub fn set_hanging(&self, address: &str, hangs: bool) {
         if hangs {
             self.state.hanging.borrow_mut().insert(address.to_owned());
         } else {
@@ -180,7 +180,7 @@
     }
 
     /// Resets all connections of a host; both sides see the reset at once.
-    pub fn cut(&self, name: &str) {
+    pub fn reset_connections(&self, name: &str) {
         self.each_connection(
             |connection| connection.has_end(name),
             |connection| {
@@ -192,7 +192,7 @@
 
     /// Loses all later bytes that a host sends (`outgoing`) or that are sent to it (`incoming`) on its existing
     /// connections. Neither side sees an error. New connections are not affected.
-    pub fn silence(&self, name: &str, outgoing: bool, incoming: bool) {
+    pub fn drop_bytes(&self, name: &str, outgoing: bool, incoming: bool) {
         self.each_connection(
             |connection| connection.has_end(name),
             |connection| {
--- a/crates/net/tests/simulated_network.rs
+++ b/crates/net/tests/simulated_network.rs
@@ -90,7 +90,7 @@
 fn a_partition_holds_bytes_back_in_one_direction_and_connects_hang() {
     run(|network| async move {
         let (mut client, mut server) = connected_pair(&network).await;
-        network.block("north", "south", true);
+        network.set_blocked("north", "south", true);
         client.write_all(b"x").await.expect("byte written");
         server.write_all(b"y").await.expect("byte written");
         let mut byte = [0];
@@ -115,7 +115,7 @@
         let partitioned = network.clone();
         spawn_local(async move {
             sleep(Duration::from_millis(100)).await;
-            partitioned.block("north", "south", false);
+            partitioned.set_blocked("north", "south", false);
         });
         server
             .read_exact(&mut byte)
@@ -129,7 +129,7 @@
 fn a_reset_is_an_error_and_lost_bytes_are_not() {
     run(|network| async move {
         let (mut client, mut server) = connected_pair(&network).await;
-        network.silence("a", true, false);
+        network.drop_bytes("a", true, false);
         client.write_all(b"x").await.expect("byte written");
         let mut byte = [0];
         assert!(
@@ -149,7 +149,7 @@
                 .is_err(),
             "the end of the stream must be lost too"
         );
-        network.cut("b");
+        network.reset_connections("b");
         let error = server
             .read_exact(&mut byte)
             .await
--- a/crates/net/tests/tcp.rs
+++ b/crates/net/tests/tcp.rs
@@ -8,7 +8,7 @@
     let mut listener = Tcp.listen("127.0.0.1:0").await.expect("port available");
     let address = listener.address();
     let from_loopback = TcpFrom {
-        from: Some([127, 0, 0, 1].into()),
+        local_address: Some([127, 0, 0, 1].into()),
     };
     for client in [
         Tcp.connect(&address).await,
