--- a/crates/cindercleat-cli/src/settings.rs
+++ b/crates/cindercleat-cli/src/settings.rs
@@ -123,7 +123,7 @@
             "both" => Role::Both,
             _ => return Err(does.wrong("reads, writes or both")),
         };
-        kind_settings.push(KindSettings {
+        kind_settings.push(EngineKindSettings {
             role,
             memory_tokens: block.value("memory")?,
         });
@@ -145,7 +145,7 @@
     let cold = limits.one("cold")?;
     let fall = limits.one("fall")?;
     let policy = Settings {
-        me: DispatcherId(0),
+        dispatcher_id: DispatcherId(0),
         dispatchers: 1,
         zone: ZoneId(0),
         tick: limits.value_or("tick", Time(4.0))?.0,
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -247,7 +247,7 @@
         other => return Err(Malformed::new("automatic or subscribe in discovery", other)),
     };
     let settings = Settings {
-        me: DispatcherId(pairs.number("me")?),
+        dispatcher_id: DispatcherId(pairs.number("me")?),
         dispatchers: pairs.number("replicasOfMe")?,
         zone: ZoneId(pairs.number("zone")?),
         tick: pairs.time("tick")?,
@@ -363,7 +363,7 @@
     })
 }
 
-fn kinds(pairs: &Pairs) -> Result<Vec<KindSettings>, Malformed> {
+fn kinds(pairs: &Pairs) -> Result<Vec<EngineKindSettings>, Malformed> {
     let memory = pairs.list("familyInfo.tokensByKind");
     let kind = |(i, role): (usize, &str)| {
         let role = match role {
@@ -381,13 +381,13 @@
         let memory_tokens = memory
             .parse()
             .map_err(|_| Malformed::new("numbers in familyInfo.tokensByKind", memory))?;
-        Ok(KindSettings {
+        Ok(EngineKindSettings {
             role,
             memory_tokens,
         })
     };
     pairs.text("familyInfo.kindRole")?;
-    let kinds: Vec<KindSettings> = pairs
+    let kinds: Vec<EngineKindSettings> = pairs
         .list("familyInfo.kindRole")
         .into_iter()
         .enumerate()
--- a/crates/dispatcher/src/driver/discovery.rs
+++ b/crates/dispatcher/src/driver/discovery.rs
@@ -139,7 +139,7 @@
                     return classify_goodbye(goodbye);
                 }
                 // The first part of a long list has arrived.
-                Some(Event::Partly) => calls.answer_begun(),
+                Some(Event::Partly) => calls.list_begun(),
                 Some(_) => {}
                 None => return CallEnd::Lost("the connection to discovery ended".to_owned()),
             }
--- a/crates/dispatcher/src/driver/gossip.rs
+++ b/crates/dispatcher/src/driver/gossip.rs
@@ -11,7 +11,7 @@
 impl<T: Transport, C: Clock, W: Wire> Driver<T, C, W> {
     /// Sends `bytes` to the dispatcher `to`, or to all other dispatchers if `to` is `None`.
     pub(super) fn send_gossip(&self, to: Option<DispatcherId>, bytes: Vec<u8>) {
-        let own_number = self.shared.settings.policy.me.0;
+        let own_number = self.shared.settings.policy.dispatcher_id.0;
         let body = Body::Gossip(v1::Gossip {
             from: own_number,
             bytes: bytes.into(),
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -147,7 +147,7 @@
         incarnation: u64,
     ) -> ProgramSettings {
         let policy = Settings {
-            me: DispatcherId(number),
+            dispatcher_id: DispatcherId(number),
             dispatchers,
             zone: ZoneId(zone),
             ..self.policy.clone()
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -241,9 +241,9 @@
             session: SessionId(submit.session),
             time_to_deadline: submit.time_to_deadline_ms,
             answer_hint: None,
-            shared: Some(submit.shared_text)
+            shared_prefix: Some(submit.shared_text)
                 .filter(|shared_text| *shared_text != 0)
-                .map(SharedTextId),
+                .map(SharedPrefixId),
             prompt_tokens: f64::from(submit.prompt_tokens),
             shared_tokens: f64::from(submit.shared_tokens),
             max_tokens: f64::from(submit.max_tokens),
--- a/crates/dispatcher/src/state/connections.rs
+++ b/crates/dispatcher/src/state/connections.rs
@@ -8,7 +8,7 @@
 use cindercleat::connection_pool::{
     ConnectionId, ConnectionPool, Placement, PlacementError, PoolCommand,
 };
-use cindercleat::control::RECEIVED_LATE;
+use cindercleat::control::MAX_MESSAGE_DELAY;
 use cindercleat::interface::{EngineId, Ms};
 use cindercleat_protocol::{frame, Body};
 use std::collections::BTreeMap;
@@ -149,7 +149,7 @@
         // use the new address.
         at_old_address
             .iter()
-            .for_each(|id| pool.going_away(ConnectionId(id.0)));
+            .for_each(|id| pool.mark_draining(ConnectionId(id.0)));
         match pool.place(now) {
             Placement::Existing(id) => Ok(EngineConnectionId(id.0)),
             Placement::NewConnection => {
@@ -248,7 +248,7 @@
             return;
         };
         if let Some(pool) = self.pools.get_mut(&engine) {
-            pool.going_away(ConnectionId(id.0));
+            pool.mark_draining(ConnectionId(id.0));
         }
         self.schedule_timer(&engine, timers);
     }
@@ -297,13 +297,15 @@
 
     /// Records the latest instant at which the engine is known to have run, when a message that the engine itself
     /// has sent is received. The message proves that the engine ran after the last stream was opened on the
-    /// connection. It also proves that the engine ran at most [`RECEIVED_LATE`] ago, because a message may be
+    /// connection. It also proves that the engine ran at most [`MAX_MESSAGE_DELAY`] ago, because a message may be
     /// delayed by that much in transit.
     pub fn record_response(&mut self, id: EngineConnectionId, now: Ms) {
         let Some(connection) = self.all.get(&id) else {
             return;
         };
-        let proven_at = connection.last_stream_opened_at.max(now - RECEIVED_LATE);
+        let proven_at = connection
+            .last_stream_opened_at
+            .max(now - MAX_MESSAGE_DELAY);
         // Messages are frequent: the engine's name is cloned only for the first one.
         if !self.liveness.contains_key(&connection.engine) {
             self.liveness
@@ -321,7 +323,9 @@
         let Some(connection) = self.all.get(&id) else {
             return;
         };
-        let proven_at = connection.last_stream_opened_at.max(now - RECEIVED_LATE);
+        let proven_at = connection
+            .last_stream_opened_at
+            .max(now - MAX_MESSAGE_DELAY);
         if let Some(liveness) = self.liveness.get_mut(&connection.engine) {
             liveness.worked_at = liveness.worked_at.max(proven_at);
         }
--- a/crates/dispatcher/src/state/endpoints.rs
+++ b/crates/dispatcher/src/state/endpoints.rs
@@ -94,7 +94,7 @@
             return Err(EndpointError::NoNameOrAddress);
         }
         let zone = ZoneId(index_of_name(&settings.zones, &endpoint.zone, "zone")?);
-        let kind = KindId(index_of_name(&settings.kinds, &endpoint.kind, "kind")?);
+        let kind = EngineKindId(index_of_name(&settings.kinds, &endpoint.kind, "kind")?);
         let kind_settings = settings.policy.kinds.get(kind.0 as usize);
         let role = kind_settings
             .ok_or_else(|| EndpointError::KindWithoutSettings(endpoint.kind.clone()))?
--- a/crates/dispatcher/src/state/engine_requests.rs
+++ b/crates/dispatcher/src/state/engine_requests.rs
@@ -86,7 +86,7 @@
     let valid = |value: Option<f64>| value.filter(|value| value.is_finite() && *value >= 0.0);
     Load {
         in_flight: valid(load.in_flight),
-        queue: valid(load.queue),
+        queued_requests: valid(load.queue),
         slots_used: valid(load.slots_used),
         memory_held: valid(load.memory_held),
         waiting_kilotokens: valid(load.waiting_kilotokens),
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -238,8 +238,10 @@
             }
             Action::Fail { request } => self.fail(request, outputs),
             Action::Release { request } => self.release(request, outputs),
-            Action::ReleaseInDoubt { request } => self.release_if_not_needed(request, outputs),
-            Action::Confirm { request, attempt } => {
+            Action::ReleaseUnlessClaimed { request } => {
+                self.release_if_not_needed(request, outputs)
+            }
+            Action::ConfirmDelivery { request, attempt } => {
                 self.confirm_delivery(request, attempt, outputs)
             }
             Action::Reserve { request, engine } => self.reserve(request, &engine, outputs),
--- a/crates/dispatcher/src/state/request_log.rs
+++ b/crates/dispatcher/src/state/request_log.rs
@@ -87,13 +87,13 @@
             Action::Reject { request, .. } => format!("{} rejected", self.request_label(*request)),
             Action::Fail { request } => format!("{} failed", self.request_label(*request)),
             Action::Release { request } => format!("{} released", self.request_label(*request)),
-            Action::ReleaseInDoubt { request } => {
+            Action::ReleaseUnlessClaimed { request } => {
                 format!(
                     "{} released, delivery unconfirmed",
                     self.request_label(*request)
                 )
             }
-            Action::Confirm { request, attempt } => {
+            Action::ConfirmDelivery { request, attempt } => {
                 format!(
                     "{} attempt={} delivery check requested",
                     self.request_label(*request),
@@ -112,7 +112,7 @@
             arrival.request_class.0,
             arrival.prompt_tokens,
             arrival.shared_tokens,
-            arrival.shared.map_or(0, |shared| shared.0),
+            arrival.shared_prefix.map_or(0, |shared| shared.0),
             arrival.session.0,
             arrival.time_to_deadline,
             arrival.retried
@@ -140,7 +140,7 @@
     format!(
         "health check engine={} outcome={outcome:?} after={latency:.1} queue={} slots={} memory={}",
         engine.0,
-        formatted(load.queue),
+        formatted(load.queued_requests),
         formatted(load.slots_used),
         formatted(load.memory_held)
     )
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -26,7 +26,7 @@
         streams: true,
     };
     let policy = Settings {
-        me: DispatcherId(0),
+        dispatcher_id: DispatcherId(0),
         dispatchers: 1,
         zone: ZoneId(0),
         tick: 4.0,
@@ -41,7 +41,7 @@
         tenants: vec![],
         over_quota_weight: 1.0,
         kinds: [Role::Prefill, Role::Decode]
-            .map(|role| KindSettings {
+            .map(|role| EngineKindSettings {
                 role,
                 memory_tokens: 2e5,
             })
--- a/crates/faults/src/draw.rs
+++ b/crates/faults/src/draw.rs
@@ -74,7 +74,7 @@
         };
     let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
     let policy = Settings {
-        me: DispatcherId(0),
+        dispatcher_id: DispatcherId(0),
         dispatchers: 1,
         zone: ZoneId(0),
         tick: TICK,
@@ -94,7 +94,7 @@
         tenants: vec![],
         over_quota_weight: 1.0,
         kinds: [Role::Prefill, Role::Decode]
-            .map(|role| KindSettings {
+            .map(|role| EngineKindSettings {
                 role,
                 memory_tokens: 2e5,
             })
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -219,7 +219,7 @@
     let id = request_stream.stream_id().as_u32();
     // A call that the GOAWAY excludes did not run, whatever error the call itself ends with.
     let classify = |end: CallEnd| match end {
-        _ if goaway.is_beyond_last_stream(id) => CallEnd::BeyondLast,
+        _ if goaway.is_beyond_last_stream(id) => CallEnd::BeyondLastStream,
         // After a GOAWAY the end of the connection is expected. It fails this call, but is not a connection loss.
         CallEnd::ConnectionLost if goaway.is_received() => CallEnd::Status {
             code: Code::Unavailable,
@@ -306,7 +306,7 @@
                 Ok(None) => {}
                 Err(_) => {
                     request_stream.send_reset(h2::Reason::INTERNAL_ERROR);
-                    return Some(CallEnd::Nothing.into());
+                    return Some(CallEnd::EndedWithoutStatus.into());
                 }
             },
             Err(ReadError::EndOfStream) => {
@@ -322,7 +322,7 @@
             Err(ReadError::Broken(error)) => return Some(classify(end_from_h2(&error)).into()),
             Err(ReadError::Malformed(_) | ReadError::Compressed) => {
                 request_stream.send_reset(h2::Reason::INTERNAL_ERROR);
-                return Some(CallEnd::Nothing.into());
+                return Some(CallEnd::EndedWithoutStatus.into());
             }
         }
     }
@@ -384,7 +384,8 @@
     }
 }
 
-/// Derives the end of a call from the gRPC status in its trailers; [`CallEnd::Nothing`] if they hold no status number.
+/// Derives the end of a call from the gRPC status in its trailers; [`CallEnd::EndedWithoutStatus`] if they hold no
+/// status number.
 fn end_from_status(headers: &HeaderMap) -> CallEnd {
     let number = headers
         .get("grpc-status")
@@ -397,7 +398,7 @@
                 never_ran,
             }
         }
-        None => CallEnd::Nothing,
+        None => CallEnd::EndedWithoutStatus,
     }
 }
 
@@ -411,10 +412,16 @@
         field,
     }: EndWithoutReply,
 ) -> Option<Body> {
+    // Reasons are logged and sent to peers, so these texts stay the same if a variant is renamed.
+    let end_text = match end {
+        CallEnd::BeyondLastStream => "BeyondLast".to_owned(),
+        CallEnd::EndedWithoutStatus => "Nothing".to_owned(),
+        end => format!("{end:?}"),
+    };
     let reason = if message.is_empty() {
-        format!("{end:?}")
+        end_text
     } else {
-        format!("{end:?}: {message}")
+        format!("{end_text}: {message}")
     };
     let ended = |status: v1::Status| {
         let reason = reason.clone();
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -314,7 +314,7 @@
     fn row(&self, fields: &mut Fields) -> Result<Endpoint, Malformed> {
         let engine = fields.engine()?;
         let zone = ZoneId(fields.optional_number("a zone")?.unwrap_or(0));
-        let kind = KindId(fields.optional_number("an engine kind")?.unwrap_or(0));
+        let kind = EngineKindId(fields.optional_number("an engine kind")?.unwrap_or(0));
         let cell = CellId(fields.optional_number("a cell")?.unwrap_or(0));
         let status = match fields.next("a status")? {
             "ready" => EndpointStatus::Ready,
@@ -355,7 +355,7 @@
             let value = Some(value).filter(|v| v.is_finite());
             match column.as_str() {
                 "active" => load.in_flight = value,
-                "waiting" => load.queue = value,
+                "waiting" => load.queued_requests = value,
                 "cpu" => load.slots_used = value,
                 "x0" => load.memory_held = value,
                 "x1" => load.waiting_kilotokens = value,
@@ -384,10 +384,10 @@
         answer_hint: fields
             .optional_number("an answer hint in microseconds")?
             .map(ms_from_us),
-        shared: fields
+        shared_prefix: fields
             .optional_key("the key of a shared prefix")?
             .filter(|key| *key != 0)
-            .map(SharedTextId),
+            .map(SharedPrefixId),
         prompt_tokens: fields.amount("a number of prompt tokens")?,
         shared_tokens: fields.amount("a number of shared tokens")?,
         max_tokens: fields.amount("a maximum number of tokens")?,
@@ -449,7 +449,7 @@
         }
         Action::Fail { request } => writeln!(out, "finish_error\t{instance}\t{}", request.0),
         // The module emits these only after `Control::track_deliveries`, which this host does not call.
-        Action::Confirm { .. } | Action::ReleaseInDoubt { .. } => Ok(()),
+        Action::ConfirmDelivery { .. } | Action::ReleaseUnlessClaimed { .. } => Ok(()),
         Action::Release { request } => writeln!(out, "let_go\t{instance}\t{}", request.0),
         Action::Reserve { request, engine } => {
             writeln!(out, "earmark\t{instance}\t{}\t{}", request.0, engine.0)
--- a/src/connection_pool.rs
+++ b/src/connection_pool.rs
@@ -236,7 +236,7 @@
     }
 
     /// Records that the engine accepts no more streams on this connection (GOAWAY).
-    pub fn going_away(&mut self, id: ConnectionId) {
+    pub fn mark_draining(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.phase = Phase::Draining;
         }
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -65,7 +65,7 @@
         self.may_run_on(request, engine)
             && candidate.slow_start.has_budget(
                 &candidate.endpoint.engine,
-                self.settings.me,
+                self.settings.dispatcher_id,
                 cold_engine_budget,
                 self.now,
                 &self.settings,
--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -34,7 +34,7 @@
 /// Maximum time in milliseconds between the send of a message by an engine and its processing by
 /// this dispatcher. A process may be delayed by 150 ms between reading its clock and acting, and
 /// the platform's protocol adds 50 ms to each time on sockets.
-pub const RECEIVED_LATE: Ms = 200.0;
+pub const MAX_MESSAGE_DELAY: Ms = 200.0;
 
 /// Whether an attempt has reached its engine, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -64,7 +64,7 @@
         next_at: Ms,
     },
     GiveUp,
-    ReleaseInDoubt,
+    ReleaseUnlessClaimed,
 }
 
 impl Delivery {
@@ -107,7 +107,7 @@
             }
             Delivery::EngineRuns { .. } => {
                 *self = Delivery::Confirmed;
-                DeliveryStep::ReleaseInDoubt
+                DeliveryStep::ReleaseUnlessClaimed
             }
             Delivery::Unconfirmed { give_up_at, .. } if now >= *give_up_at => {
                 *self = Delivery::GivenUp;
--- a/src/control/delivery_tracking.rs
+++ b/src/control/delivery_tracking.rs
@@ -61,8 +61,8 @@
             // state that an attempt waits for, an attempt in the engine's queue keeps its KV state.
             // If a release frees every KV state, that attempt finds none and is rejected, which
             // proves that it has not run.
-            DeliveryStep::ReleaseInDoubt => {
-                request.intents.release_in_doubt = request.kv_state.is_some();
+            DeliveryStep::ReleaseUnlessClaimed => {
+                request.intents.release_unless_claimed = request.kv_state.is_some();
             }
             DeliveryStep::GiveUp => self.plan_after_undelivered(request, engine, sent_at),
         }
--- a/src/control/emit.rs
+++ b/src/control/emit.rs
@@ -103,13 +103,13 @@
 
 fn emit_confirm_and_release(id: RequestId, request: &mut Request, actions: &mut Vec<Action>) {
     if let Some(attempt) = request.attempt.as_ref().filter(|_| request.intents.confirm) {
-        actions.push(Action::Confirm {
+        actions.push(Action::ConfirmDelivery {
             request: id,
             attempt: attempt.id,
         });
     }
-    if request.intents.release_in_doubt {
-        actions.push(Action::ReleaseInDoubt { request: id });
+    if request.intents.release_unless_claimed {
+        actions.push(Action::ReleaseUnlessClaimed { request: id });
     }
     if request.intents.release {
         actions.push(Action::Release { request: id });
--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -15,7 +15,7 @@
 
 pub(super) struct Engine {
     pub(super) endpoint: Endpoint,
-    pub(super) kind: KindSettings,
+    pub(super) kind: EngineKindSettings,
     /// This dispatcher's decodes in flight at the engine.
     pub(super) decodes: f64,
     /// This dispatcher's prefills in flight at the engine.
@@ -34,7 +34,7 @@
 }
 
 impl Engine {
-    fn new(endpoint: &Endpoint, kind: &KindSettings, dispatchers: f64) -> Self {
+    fn new(endpoint: &Endpoint, kind: &EngineKindSettings, dispatchers: f64) -> Self {
         Engine {
             endpoint: endpoint.clone(),
             kind: kind.clone(),
@@ -175,7 +175,7 @@
 
     /// Applies an entry of the list of endpoints. `kind` applies only to a new engine; a known
     /// engine keeps the kind of its first listing.
-    pub(super) fn update(&mut self, endpoint: &Endpoint, kind: &KindSettings) {
+    pub(super) fn update(&mut self, endpoint: &Endpoint, kind: &EngineKindSettings) {
         let index = match self.index.get(&endpoint.engine) {
             Some(&index) => index,
             None => self.add(endpoint, kind),
@@ -183,7 +183,7 @@
         self.engines[index].update(endpoint);
     }
 
-    fn add(&mut self, endpoint: &Endpoint, kind: &KindSettings) -> EngineIndex {
+    fn add(&mut self, endpoint: &Endpoint, kind: &EngineKindSettings) -> EngineIndex {
         let index = self.engines.len();
         self.index.insert(endpoint.engine.clone(), index);
         self.engines
--- a/src/control/home_engines.rs
+++ b/src/control/home_engines.rs
@@ -19,7 +19,9 @@
     candidates: &[EngineIndex],
     engines: &Engines,
 ) -> Vec<EngineIndex> {
-    let prefix = arrival.shared.map_or(arrival.session.0, |shared| shared.0);
+    let prefix = arrival
+        .shared_prefix
+        .map_or(arrival.session.0, |shared| shared.0);
     let score = |engine: EngineIndex, key: u64| {
         xxh3_64_with_seed(engines[engine].endpoint.engine.0.as_bytes(), key)
     };
--- a/src/control/load_report.rs
+++ b/src/control/load_report.rs
@@ -34,7 +34,7 @@
     pub(super) fn update(&mut self, load: &Load, typical_tokens: f64, memory_tokens: f64, now: Ms) {
         let fields = [
             load.in_flight,
-            load.queue,
+            load.queued_requests,
             load.slots_used,
             load.memory_held,
             load.waiting_kilotokens,
@@ -44,7 +44,9 @@
         }
         let waiting_tokens = load
             .waiting_kilotokens
-            .map_or(load.queue.unwrap_or(0.0) * typical_tokens, |k| k * 1000.0);
+            .map_or(load.queued_requests.unwrap_or(0.0) * typical_tokens, |k| {
+                k * 1000.0
+            });
         let used = load
             .slots_used
             .unwrap_or(0.0)
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -40,7 +40,7 @@
 mod state;
 mod wake_timer;
 
-pub use delivery::RECEIVED_LATE;
+pub use delivery::MAX_MESSAGE_DELAY;
 
 use crate::interface::{Action, Event, Ms, RequestId, Settings};
 use state::State;
--- a/src/control/prefix_cache.rs
+++ b/src/control/prefix_cache.rs
@@ -25,7 +25,10 @@
     /// Tokens of the prompt that the engine would have to compute.
     pub(super) fn uncached_tokens(&self, arrival: &Arrival) -> f64 {
         let belongs = |prefix: &u64| {
-            *prefix == arrival.session.0 || arrival.shared.is_some_and(|shared| *prefix == shared.0)
+            *prefix == arrival.session.0
+                || arrival
+                    .shared_prefix
+                    .is_some_and(|shared| *prefix == shared.0)
         };
         let cached = self
             .prefixes
@@ -43,7 +46,9 @@
 
     /// Records that a prefill has ended at the engine: the whole prompt is cached now.
     pub(super) fn insert(&mut self, arrival: &Arrival) {
-        let shared = arrival.shared.map(|id| (id.0, arrival.shared_tokens));
+        let shared = arrival
+            .shared_prefix
+            .map(|id| (id.0, arrival.shared_tokens));
         let session = (arrival.session.0, arrival.prompt_tokens);
         for entry in shared.into_iter().chain([session]) {
             self.prefixes.retain(|(prefix, _)| *prefix != entry.0);
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -56,7 +56,7 @@
     /// Whether to ask the attempt's engine to confirm that the engine is running.
     pub(super) confirm: bool,
     /// Whether to release the KV state unless the attempt in flight still waits for it.
-    pub(super) release_in_doubt: bool,
+    pub(super) release_unless_claimed: bool,
 }
 
 pub(super) struct Request {
--- a/src/discovery_client.rs
+++ b/src/discovery_client.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Records that the first bytes of an answer were received.
-    pub fn answer_begun(&mut self) {
+    /// Records that the first bytes of a list were received.
+    pub fn list_begun(&mut self) {
         self.is_answered = true;
     }
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -44,7 +44,7 @@
     },
     /// Asks the attempt's engine to confirm that the engine is running. The driver reports the
     /// confirmation as [`Event::Delivered`](super::Event::Delivered).
-    Confirm {
+    ConfirmDelivery {
         /// The request whose decode may not have reached its engine.
         request: RequestId,
         /// The decode attempt in flight whose engine is asked.
@@ -52,7 +52,7 @@
     },
     /// Releases the KV state of a request, unless an attempt of that request is still waiting for
     /// the KV state.
-    ReleaseInDoubt {
+    ReleaseUnlessClaimed {
         /// The request whose prefill produced the KV state.
         request: RequestId,
     },
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,8 +1,8 @@
 //! Events: what a dispatcher's driver reports to the decision logic.
 
 use super::{
-    AttemptId, CellId, DispatcherId, EngineId, KindId, Ms, RequestClassId, RequestId, SessionId,
-    SharedTextId, TenantId, TimerId, ZoneId,
+    AttemptId, CellId, DispatcherId, EngineId, EngineKindId, Ms, RequestClassId, RequestId,
+    SessionId, SharedPrefixId, TenantId, TimerId, ZoneId,
 };
 
 /// A load report of an engine. A field is `None` if the engine does not report that value.
@@ -11,7 +11,7 @@
     /// Requests that the engine is working on.
     pub in_flight: Option<f64>,
     /// Requests that wait in the engine's queue.
-    pub queue: Option<f64>,
+    pub queued_requests: Option<f64>,
     /// Fraction of the engine's slots in use.
     pub slots_used: Option<f64>,
     /// Fraction of the engine's KV memory in use.
@@ -39,7 +39,7 @@
     /// The zone in which the engine runs. Some idempotency scopes are limited to one zone.
     pub zone: ZoneId,
     /// The kind of the engine, which determines whether it serves prefills, decodes or both.
-    pub kind: KindId,
+    pub kind: EngineKindId,
     /// The cell in which the engine runs. A KV state is preferably taken over within its cell.
     pub cell: CellId,
     /// Whether the engine accepts new attempts.
@@ -106,7 +106,7 @@
     /// does not read it.
     pub answer_hint: Option<Ms>,
     /// The prefix that the prompt shares with prompts of other sessions; `None` if it shares none.
-    pub shared: Option<SharedTextId>,
+    pub shared_prefix: Option<SharedPrefixId>,
     /// Length of the whole prompt in tokens.
     pub prompt_tokens: f64,
     /// Length of the shared prefix in tokens; 0 without a shared prefix.
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -16,7 +16,7 @@
 
 /// A prompt prefix that several sessions share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SharedTextId(pub u64);
+pub struct SharedPrefixId(pub u64);
 
 /// An attempt of a request: its number among the attempts of that request, from 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -32,7 +32,7 @@
 
 /// A kind of engine, by its index in [`Settings::kinds`](super::Settings::kinds).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KindId(pub u32);
+pub struct EngineKindId(pub u32);
 
 /// A request class, by its index in
 /// [`Settings::request_classes`](super::Settings::request_classes).
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -14,12 +14,12 @@
     Arrival, Ended, Endpoint, EndpointStatus, EndpointUpdateKind, Event, Load, Outcome,
 };
 pub use ids::{
-    AttemptId, CellId, DispatcherId, EngineId, KindId, RequestClassId, RequestId, SessionId,
-    SharedTextId, TenantId, TimerId, ZoneId,
+    AttemptId, CellId, DispatcherId, EngineId, EngineKindId, RequestClassId, RequestId, SessionId,
+    SharedPrefixId, TenantId, TimerId, ZoneId,
 };
 pub use settings::{
-    Discovery, IdempotencyScope, KindSettings, RequestClassSettings, RetrySafety, Role, Settings,
-    TenantSettings,
+    Discovery, EngineKindSettings, IdempotencyScope, RequestClassSettings, RetrySafety, Role,
+    Settings, TenantSettings,
 };
 
 /// Milliseconds with a fractional part: a duration, or an instant on the driver's clock, whose zero
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -77,7 +77,7 @@
 
 /// Settings of all engines of one kind.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KindSettings {
+pub struct EngineKindSettings {
     /// Whether engines of this kind serve prefills, decodes or both.
     pub role: Role,
     /// The number of tokens whose KV state fits into an engine's memory.
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This dispatcher's number among all dispatchers, from 0.
-    pub me: DispatcherId,
+    pub dispatcher_id: DispatcherId,
     /// The number of dispatchers, including this one.
     pub dispatchers: u32,
     /// The zone in which this dispatcher runs.
@@ -118,8 +118,9 @@
     /// Factor applied to the value of answers to requests beyond their tenant's quota. The decision
     /// logic does not read it.
     pub over_quota_weight: f64,
-    /// The kinds of engines. The index of a kind in this list is its [`KindId`](super::KindId).
-    pub kinds: Vec<KindSettings>,
+    /// The kinds of engines. The index of a kind in this list is its
+    /// [`EngineKindId`](super::EngineKindId).
+    pub kinds: Vec<EngineKindSettings>,
     /// How this dispatcher receives the list of endpoints.
     pub discovery: Discovery,
     /// Milliseconds for which a KV state may be held that no decode engine has taken over. By then
--- a/src/status.rs
+++ b/src/status.rs
@@ -138,7 +138,7 @@
     /// The engine reset the stream with this HTTP/2 error code.
     Reset(u32),
     /// The engine sent GOAWAY with a last stream id that is lower than the call's, so it does not process the call.
-    BeyondLast,
+    BeyondLastStream,
     /// The connection was lost while the call was open.
     ConnectionLost,
     /// The engine ended the call with a gRPC status.
@@ -149,7 +149,7 @@
         never_ran: bool,
     },
     /// The stream ended normally, without a status and without a final message.
-    Nothing,
+    EndedWithoutStatus,
 }
 
 /// The HTTP/2 error code by which a peer states that it has not processed a stream at all (RFC 9113, section 7).
@@ -160,8 +160,10 @@
 pub fn attempt_outcome(end: CallEnd) -> Outcome {
     match end {
         CallEnd::NotSent => Outcome::Unreachable,
-        CallEnd::Reset(REFUSED_STREAM) | CallEnd::BeyondLast => Outcome::Overloaded,
-        CallEnd::Reset(_) | CallEnd::ConnectionLost | CallEnd::Nothing => Outcome::ConnectionLost,
+        CallEnd::Reset(REFUSED_STREAM) | CallEnd::BeyondLastStream => Outcome::Overloaded,
+        CallEnd::Reset(_) | CallEnd::ConnectionLost | CallEnd::EndedWithoutStatus => {
+            Outcome::ConnectionLost
+        }
         CallEnd::Status {
             never_ran: true, ..
         } => Outcome::Overloaded,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -20,8 +20,8 @@
 
 /// One kind of engine for each of `roles`, in this order, each with KV memory for `memory_tokens`
 /// tokens.
-pub fn kinds(roles: &[Role], memory_tokens: f64) -> Vec<KindSettings> {
-    let kind = |&role: &Role| KindSettings {
+pub fn kinds(roles: &[Role], memory_tokens: f64) -> Vec<EngineKindSettings> {
+    let kind = |&role: &Role| EngineKindSettings {
         role,
         memory_tokens,
     };
@@ -33,7 +33,7 @@
 /// hedging and reservations are not.
 pub fn settings(me: u32, dispatchers: u32) -> Settings {
     Settings {
-        me: DispatcherId(me),
+        dispatcher_id: DispatcherId(me),
         dispatchers,
         zone: ZoneId(0),
         tick: 4.0,
@@ -67,7 +67,7 @@
     Endpoint {
         engine: EngineId(name.into()),
         zone: ZoneId(zone),
-        kind: KindId(kind),
+        kind: EngineKindId(kind),
         cell: CellId(cell),
         status: EndpointStatus::Ready,
         weight: 1.0,
--- a/tests/connection_pool.rs
+++ b/tests/connection_pool.rs
@@ -99,7 +99,7 @@
 #[test]
 fn a_draining_connection_keeps_its_streams_and_gets_no_new_ones() {
     let mut pool = pool_with_streams(1);
-    pool.going_away(A);
+    pool.mark_draining(A);
     assert_eq!(pool.place(20.0), Placement::NewConnection);
     assert_eq!(
         pool.due_commands(20.0, true),
@@ -313,7 +313,7 @@
                     expected
                         .entry(id)
                         .and_modify(|connection| connection.draining = true);
-                    pool.going_away(id);
+                    pool.mark_draining(id);
                 }
             }
             _ => {}
--- a/tests/discovery_client.rs
+++ b/tests/discovery_client.rs
@@ -35,7 +35,7 @@
     let mut calls = DiscoveryCalls::new(SETTINGS, 1);
     calls.begin_call(None);
     assert_eq!(calls.silence_timeout(), 1000.0);
-    calls.answer_begun();
+    calls.list_begun();
     assert_eq!(
         calls.silence_timeout(),
         2500.0,
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -128,10 +128,10 @@
     }
 
     fn load(&self) -> Load {
-        let queue = Some(self.waiting as f64);
+        let queued_requests = Some(self.waiting as f64);
         let in_flight = Some((self.waiting + self.decodes) as f64);
         Load {
-            queue,
+            queued_requests,
             in_flight,
             slots_used: Some(self.decodes as f64 / DECODE_SLOTS as f64),
             ..Load::default()
--- a/tests/many_dispatchers.rs
+++ b/tests/many_dispatchers.rs
@@ -51,7 +51,7 @@
         request: RequestId(request),
         session: SessionId(session),
         time_to_deadline: 4000.0,
-        shared: Some(SharedTextId(SHARED_PREFIX)),
+        shared_prefix: Some(SharedPrefixId(SHARED_PREFIX)),
         prompt_tokens: 5000.0,
         shared_tokens: 4000.0,
         max_tokens: 400.0,
@@ -103,10 +103,10 @@
         else {
             continue;
         };
-        let queue = Some(waiting_requests).filter(|_| outcome == Outcome::Succeeded);
+        let queued_requests = Some(waiting_requests).filter(|_| outcome == Outcome::Succeeded);
         let load = Load {
-            queue,
-            slots_used: queue.map(|_| 0.5),
+            queued_requests,
+            slots_used: queued_requests.map(|_| 0.5),
             ..Load::default()
         };
         answers.push(Event::HealthChecked {
--- a/tests/plan_queue.rs
+++ b/tests/plan_queue.rs
@@ -106,7 +106,7 @@
                     tenant: (which % 5 < 2).then_some(TenantId(u32::from(which) % 2)),
                     session: SessionId(u64::from(which % 11)),
                     time_to_deadline: 300.0 + f64::from(which % 3000),
-                    shared: (which % 4 > 0).then_some(SharedTextId(u64::from(which % 4))),
+                    shared_prefix: (which % 4 > 0).then_some(SharedPrefixId(u64::from(which % 4))),
                     prompt_tokens: f64::from(100 + which % 3000),
                     shared_tokens: 90.0,
                     max_tokens: 200.0,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -163,7 +163,7 @@
         session: SessionId(word_after("s=").map_or(u64::from(id), |s| number(s) as u64)),
         time_to_deadline: number(words[1]),
         answer_hint: None,
-        shared: shared.map(|(key, _)| SharedTextId(number(key) as u64)),
+        shared_prefix: shared.map(|(key, _)| SharedPrefixId(number(key) as u64)),
         prompt_tokens: number(words[2]),
         shared_tokens: shared.map_or(0.0, |(_, tokens)| number(tokens)),
         max_tokens: 400.0,
@@ -377,14 +377,14 @@
 }
 
 fn health_checked(rest: &[&str]) -> Event {
-    let [slots_used, queue, memory_held] = [1, 2, 3].map(|at| Some(number(rest[at])));
+    let [slots_used, queued_requests, memory_held] = [1, 2, 3].map(|at| Some(number(rest[at])));
     Event::HealthChecked {
         engine: EngineId(rest[0].into()),
         outcome: Outcome::Succeeded,
         latency: 5.0,
         load: Load {
             slots_used,
-            queue,
+            queued_requests,
             memory_held,
             ..Load::default()
         },
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -235,7 +235,7 @@
             request: RequestId(self.arrivals),
             session: SessionId(self.rng.generate()),
             time_to_deadline: 4000.0,
-            shared: Some(SharedTextId(prefix)),
+            shared_prefix: Some(SharedPrefixId(prefix)),
             prompt_tokens: 3000.0,
             shared_tokens: 2000.0,
             max_tokens: 400.0,
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -68,10 +68,16 @@
 #[test]
 fn calls_not_sent_or_beyond_the_last_processed_stream_have_not_run() {
     assert_eq!(attempt_outcome(CallEnd::NotSent), Outcome::Unreachable);
-    assert_eq!(attempt_outcome(CallEnd::BeyondLast), Outcome::Overloaded);
+    assert_eq!(
+        attempt_outcome(CallEnd::BeyondLastStream),
+        Outcome::Overloaded
+    );
     assert_eq!(
         attempt_outcome(CallEnd::ConnectionLost),
         Outcome::ConnectionLost
     );
-    assert_eq!(attempt_outcome(CallEnd::Nothing), Outcome::ConnectionLost);
+    assert_eq!(
+        attempt_outcome(CallEnd::EndedWithoutStatus),
+        Outcome::ConnectionLost
+    );
 }
