--- a/crates/cindercleat-cli/src/node.rs
+++ b/crates/cindercleat-cli/src/node.rs
@@ -102,14 +102,14 @@
     };
     let allowed = ResourceLimits::for_process(&process).ok_or_else(too_few)?;
     let bounds = Bounds {
-        most_body: allowed.max_body_bytes,
-        most_chunk: allowed.max_chunk_bytes,
-        most_list: allowed.max_list_bytes,
-        most_bodies: allowed.max_total_body_bytes,
-        feed_wait_ms: allowed.discovery_poll_wait as u32,
-        drain_ms: allowed.close_drain_timeout as u32,
-        most_drained: allowed.max_close_drain_bytes,
-        stall_ms: allowed.stall_timeout as u32,
+        max_body_bytes: allowed.max_body_bytes,
+        max_chunk_bytes: allowed.max_chunk_bytes,
+        max_list_bytes: allowed.max_list_bytes,
+        max_total_body_bytes: allowed.max_total_body_bytes,
+        discovery_wait_ms: allowed.discovery_poll_wait as u32,
+        drain_timeout_ms: allowed.close_drain_timeout as u32,
+        max_drained_bytes: allowed.max_close_drain_bytes,
+        write_stall_timeout_ms: allowed.stall_timeout as u32,
     };
     let program = program(said.name, seed, conf, &allowed);
     Ok(Configuration {
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -25,14 +25,14 @@
 use tokio::task::{spawn_local, yield_now, JoinHandle, LocalSet};
 
 pub const BOUNDS: Bounds = Bounds {
-    most_body: 256 << 10,
-    most_chunk: 256 << 10,
-    most_list: 1 << 20,
-    most_bodies: 8 << 20,
-    feed_wait_ms: 500,
-    drain_ms: 500,
-    most_drained: 1 << 20,
-    stall_ms: 4000,
+    max_body_bytes: 256 << 10,
+    max_chunk_bytes: 256 << 10,
+    max_list_bytes: 1 << 20,
+    max_total_body_bytes: 8 << 20,
+    discovery_wait_ms: 500,
+    drain_timeout_ms: 500,
+    max_drained_bytes: 1 << 20,
+    write_stall_timeout_ms: 4000,
 };
 /// The error number EMFILE: the process has no free file descriptor.
 const TOO_MANY_OPEN_FILES: i32 = 24;
@@ -349,7 +349,7 @@
     };
     Limits {
         discovery,
-        max_message_bytes: BOUNDS.most_body,
+        max_message_bytes: BOUNDS.max_body_bytes,
         stop_accept_period: 600.0,
         ..single_limits()
     }
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -19,14 +19,14 @@
 use tokio::task::{spawn_local, LocalSet};
 
 const BOUNDS: Bounds = Bounds {
-    most_body: 10_000,
-    most_chunk: 10_000,
-    most_list: 10_000,
-    most_bodies: 50_000,
-    feed_wait_ms: 500,
-    drain_ms: 500,
-    most_drained: 40_000,
-    stall_ms: 4000,
+    max_body_bytes: 10_000,
+    max_chunk_bytes: 10_000,
+    max_list_bytes: 10_000,
+    max_total_body_bytes: 50_000,
+    discovery_wait_ms: 500,
+    drain_timeout_ms: 500,
+    max_drained_bytes: 40_000,
+    write_stall_timeout_ms: 4000,
 };
 
 const DISCOVERY: DiscoverySettings = DiscoverySettings {
--- a/crates/http1/src/discovery_client.rs
+++ b/crates/http1/src/discovery_client.rs
@@ -1,6 +1,6 @@
 //! Sessions with discovery: fetches the complete list, then long-polls for changes.
 
-use crate::framing::{Came, Length, Reading};
+use crate::framing::{Length, ResponsePart, ResponseReader};
 use crate::{list, session, wire_names, Bounds, Session, Shared};
 use bytes::BytesMut;
 use cindercleat_protocol::session::{Event, Io, Setup};
@@ -81,7 +81,7 @@
             Ok(list) => list,
             Err(error) => return WatchEnd::Unusable(format!("not a valid list: {error}")),
         };
-        path = changes_since(list.version, bounds.feed_wait_ms);
+        path = changes_since(list.version, bounds.discovery_wait_ms);
         shared.send_frame(stream, Body::Endpoints(list));
     }
 }
@@ -110,30 +110,30 @@
 ) -> Result<BytesMut, WatchEnd> {
     let too_long = || WatchEnd::Unusable("the list is too long".to_owned());
     let mut has_begun = false;
-    let mut reader = Reading::new(bounds.most_list);
+    let mut reader = ResponseReader::new(bounds.max_list_bytes);
     let mut body = BytesMut::new();
     loop {
         match reader
             .next(bytes)
             .map_err(|error| WatchEnd::Unusable(format!("malformed response: {error:?}")))?
         {
-            Some(Came::Head(head)) if head.first != 200 => {
+            Some(ResponsePart::Head(head)) if head.start_line != 200 => {
                 return Err(WatchEnd::Lost(format!(
                     "discovery responded with status {}",
-                    head.first
+                    head.start_line
                 )));
             }
             // A list that is too long by its declared length is refused before its body is received, so that no time
             // is spent on its transfer.
-            Some(Came::Head(head)) if is_longer(head.length, bounds.most_list) => {
+            Some(ResponsePart::Head(head)) if is_longer(head.length, bounds.max_list_bytes) => {
                 return Err(too_long())
             }
-            Some(Came::Head(_)) => {}
-            Some(Came::Data(data)) if body.len() + data.len() > bounds.most_list => {
+            Some(ResponsePart::Head(_)) => {}
+            Some(ResponsePart::Data(data)) if body.len() + data.len() > bounds.max_list_bytes => {
                 return Err(too_long());
             }
-            Some(Came::Data(data)) => body.extend_from_slice(&data),
-            Some(Came::End) => return Ok(body),
+            Some(ResponsePart::Data(data)) => body.extend_from_slice(&data),
+            Some(ResponsePart::End) => return Ok(body),
             None => match io.read_buf(bytes).await {
                 Ok(0) if reader.is_complete_at_close() => return Ok(body),
                 Ok(0) => return Err(WatchEnd::Lost("discovery closed the connection".to_owned())),
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -4,7 +4,7 @@
 //! ends with a `Goodbye` that says that nothing ran; if it ends later, the engine may have run the request.
 
 use crate::event_stream::FirstEventScanner;
-use crate::framing::{Came, FramingError, Length, Reading, ResponseHead};
+use crate::framing::{FramingError, Length, ResponseHead, ResponsePart, ResponseReader};
 use crate::{session, wire_names, Bounds, Session, Shared};
 use bytes::{Bytes, BytesMut};
 use cindercleat_protocol::session::{Event, Io, Setup};
@@ -332,7 +332,7 @@
 
     /// Reads the response and sends its result as frames; returns whether the connection can be used again.
     async fn read_response(&mut self, stream: u64, call: &mut Call) -> Result<bool, CallStop> {
-        let mut reader = Reading::new(self.bounds.most_chunk);
+        let mut reader = ResponseReader::new(self.bounds.max_chunk_bytes);
         let mut head: Option<ResponseHead> = None;
         let mut body = BytesMut::new();
         let mut first_event = FirstEventScanner::default();
@@ -345,12 +345,12 @@
                     break;
                 }
                 match reader.next(&mut self.bytes) {
-                    Ok(Some(Came::Head(received))) => head = Some(received),
-                    Ok(Some(Came::Data(data))) => {
+                    Ok(Some(ResponsePart::Head(received))) => head = Some(received),
+                    Ok(Some(ResponsePart::Data(data))) => {
                         body.extend_from_slice(&data);
                         let streams = head.as_ref().is_some_and(|head| is_stream(head, call));
                         let is_forwarded = streams && first_event.is_complete(&body);
-                        if body.len() > self.bounds.most_chunk && !is_forwarded {
+                        if body.len() > self.bounds.max_chunk_bytes && !is_forwarded {
                             return Err(CallStop::Malformed(FramingError::TooLong("the response")));
                         }
                         message_is_full = is_forwarded && body.len() >= MAX_READ_BYTES;
@@ -358,7 +358,7 @@
                             break;
                         }
                     }
-                    Ok(Some(Came::End)) => {
+                    Ok(Some(ResponsePart::End)) => {
                         ended = true;
                         break;
                     }
@@ -377,7 +377,7 @@
                 self.forward_events(stream, call, head.as_ref(), &mut body);
             }
             if let (true, Some(head)) = (ended, &head) {
-                let keep_alive = head.keeps
+                let keep_alive = head.keep_alive
                     && !connection_ended
                     && self.bytes.is_empty()
                     && !self.shared.leaving.get();
@@ -445,12 +445,13 @@
 
 /// Whether the response is a stream of events to forward.
 fn is_stream(head: &ResponseHead, call: &Call) -> bool {
-    head.first == 200 && head.length == Length::Chunked && matches!(call, Call::Decode { .. })
+    head.start_line == 200 && head.length == Length::Chunked && matches!(call, Call::Decode { .. })
 }
 
 /// Whether the engine marks the response as a rejection: it did not run the request.
 fn is_rejection(head: &ResponseHead) -> bool {
-    head.get(wire_names::REJECTION_HEADER) == Some(b"1") && matches!(head.first, 503 | 504 | 410)
+    head.get(wire_names::REJECTION_HEADER) == Some(b"1")
+        && matches!(head.start_line, 503 | 504 | 410)
 }
 
 /// The frame that reports a call as failed because its response is unusable, for this reason.
@@ -509,7 +510,7 @@
 fn result_of(call: &Call, head: &ResponseHead, body: &[u8]) -> Body {
     let header_load = head.get(wire_names::LOAD_HEADER).and_then(parse_load);
     let ended = |status: v1::Status| {
-        let reason = format!("status {}", head.first);
+        let reason = format!("status {}", head.start_line);
         v1::Ended {
             status: status.into(),
             load: header_load,
@@ -517,7 +518,7 @@
             ..v1::Ended::default()
         }
     };
-    match (call, head.first) {
+    match (call, head.start_line) {
         (Call::Prefill(state), 202) => {
             let cached = serde_json::from_slice(body)
                 .map_or(0.0, |result: PrefillResult| result.cached_tokens);
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head<F> {
     /// The content of the first line: the request line of a request, or the status code of a response.
-    pub first: F,
+    pub start_line: F,
     /// All header lines, in the order received.
     pub headers: Vec<(String, Bytes)>,
     /// How the end of the body is determined.
     pub length: Length,
     /// Whether another message may follow on the connection.
-    pub keeps: bool,
+    pub keep_alive: bool,
 }
 
 /// The request line of an HTTP request.
@@ -59,7 +59,7 @@
 
 /// The head of a request.
 pub type Request = Head<RequestLine>;
-/// The head of a response; `first` is the status code.
+/// The head of a response; `start_line` is the status code.
 pub type ResponseHead = Head<u16>;
 
 impl<F> Head<F> {
@@ -83,26 +83,26 @@
 ///
 /// # Errors
 /// Returns an error if the bytes are not a request head, exceed a limit, or state the body's length ambiguously.
-pub fn request(bytes: &mut BytesMut) -> Result<Option<Request>, FramingError> {
+pub fn parse_request(bytes: &mut BytesMut) -> Result<Option<Request>, FramingError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut lines);
     let Some(len) = complete_head_length(parsed.parse(bytes), bytes.len())? else {
         return Ok(None);
     };
-    let first = RequestLine {
+    let start_line = RequestLine {
         method: parsed.method.unwrap_or_default().to_owned(),
         target: parsed.path.unwrap_or_default().to_owned(),
     };
     let is_http_1_1 = parsed.version == Some(1);
     let headers = headers(parsed.headers);
     let length = body_length(&headers)?.unwrap_or(Length::Known(0));
-    let keeps = is_http_1_1 && !closes_connection(&headers);
+    let keep_alive = is_http_1_1 && !closes_connection(&headers);
     bytes.advance(len);
     Ok(Some(Head {
-        first,
+        start_line,
         headers,
         length,
-        keeps,
+        keep_alive,
     }))
 }
 
@@ -122,13 +122,13 @@
     } else {
         body_length(&headers)?.unwrap_or(Length::UntilClose)
     };
-    let keeps = is_http_1_1 && !closes_connection(&headers) && length != Length::UntilClose;
+    let keep_alive = is_http_1_1 && !closes_connection(&headers) && length != Length::UntilClose;
     bytes.advance(len);
     Ok(Some(Head {
-        first: status,
+        start_line: status,
         headers,
         length,
-        keeps,
+        keep_alive,
     }))
 }
 
@@ -224,14 +224,14 @@
 
 /// A part of a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum BodyPart {
     /// The next bytes of the body, without chunk framing.
     Data(Bytes),
     /// The body is complete.
     End,
 }
 
-/// The position of a [`Body`] within its message.
+/// The position of a [`BodyReader`] within its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyState {
     /// Within a body of known length; so many bytes remain.
@@ -249,34 +249,37 @@
 
 /// Parses a body from the front of the received bytes.
 #[derive(Clone, Debug)]
-pub struct Body {
+pub struct BodyReader {
     state: BodyState,
-    most_chunk: usize,
+    max_chunk_bytes: usize,
 }
 
-impl Body {
-    /// Creates a parser for a body of the given length. `most_chunk` is the largest chunk accepted, in bytes. Chunks
-    /// are returned only when they are complete.
-    pub fn new(length: Length, most_chunk: usize) -> Self {
+impl BodyReader {
+    /// Creates a parser for a body of the given length. `max_chunk_bytes` is the largest chunk accepted, in bytes.
+    /// Chunks are returned only when they are complete.
+    pub fn new(length: Length, max_chunk_bytes: usize) -> Self {
         let state = match length {
             Length::Known(0) => BodyState::End,
             Length::Known(bytes) => BodyState::Data(bytes),
             Length::Chunked => BodyState::Size,
             Length::UntilClose => BodyState::UntilClose,
         };
-        Body { state, most_chunk }
+        BodyReader {
+            state,
+            max_chunk_bytes,
+        }
     }
 
     /// Removes the next part from the front of `bytes`; `None` if more bytes are needed.
     ///
     /// # Errors
     /// Returns an error if the bytes do not follow the body's framing. The rest of the connection is unusable then.
-    pub fn next(&mut self, bytes: &mut BytesMut) -> Result<Option<Part>, FramingError> {
+    pub fn next(&mut self, bytes: &mut BytesMut) -> Result<Option<BodyPart>, FramingError> {
         loop {
             match self.state {
-                BodyState::End => return Ok(Some(Part::End)),
+                BodyState::End => return Ok(Some(BodyPart::End)),
                 _ if bytes.is_empty() => return Ok(None),
-                BodyState::UntilClose => return Ok(Some(Part::Data(bytes.split().freeze()))),
+                BodyState::UntilClose => return Ok(Some(BodyPart::Data(bytes.split().freeze()))),
                 BodyState::Data(left) => {
                     let take = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
                     self.state = if take as u64 == left {
@@ -284,14 +287,14 @@
                     } else {
                         BodyState::Data(left - take as u64)
                     };
-                    return Ok(Some(Part::Data(bytes.split_to(take).freeze())));
+                    return Ok(Some(BodyPart::Data(bytes.split_to(take).freeze())));
                 }
                 BodyState::Size => {
                     let Some(line) = take_line(bytes, MAX_CHUNK_SIZE_LINE_BYTES)? else {
                         return Ok(None);
                     };
                     let size = parse_chunk_size(&line)?;
-                    if size > self.most_chunk {
+                    if size > self.max_chunk_bytes {
                         return Err(FramingError::TooLong("a chunk"));
                     }
                     self.state = if size == 0 {
@@ -310,7 +313,7 @@
                     let data = bytes.split_to(size).freeze();
                     bytes.advance(2);
                     self.state = BodyState::Size;
-                    return Ok(Some(Part::Data(data)));
+                    return Ok(Some(BodyPart::Data(data)));
                 }
                 BodyState::Trailers => {
                     let Some(line) = take_line(bytes, MAX_TRAILER_LINE_BYTES)? else {
@@ -371,7 +374,7 @@
 
 /// A part of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum ResponsePart {
     /// The head of the final response.
     Head(ResponseHead),
     /// The next bytes of the body, without chunk framing.
@@ -382,17 +385,17 @@
 
 /// Parses one response, and skips the interim responses before it.
 #[derive(Clone, Debug)]
-pub struct Reading {
-    most_chunk: usize,
+pub struct ResponseReader {
+    max_chunk_bytes: usize,
     interim: usize,
-    body: Option<Body>,
+    body: Option<BodyReader>,
 }
 
-impl Reading {
-    /// Creates a parser for one response; `most_chunk` is the largest chunk accepted, in bytes.
-    pub fn new(most_chunk: usize) -> Self {
-        Reading {
-            most_chunk,
+impl ResponseReader {
+    /// Creates a parser for one response; `max_chunk_bytes` is the largest chunk accepted, in bytes.
+    pub fn new(max_chunk_bytes: usize) -> Self {
+        ResponseReader {
+            max_chunk_bytes,
             interim: 0,
             body: None,
         }
@@ -403,32 +406,34 @@
     ///
     /// # Errors
     /// Returns an error if the bytes are not a response or exceed a limit.
-    pub fn next(&mut self, bytes: &mut BytesMut) -> Result<Option<Came>, FramingError> {
+    pub fn next(&mut self, bytes: &mut BytesMut) -> Result<Option<ResponsePart>, FramingError> {
         if let Some(body) = &mut self.body {
             let part = body.next(bytes)?;
             return Ok(part.map(|part| match part {
-                Part::Data(data) => Came::Data(data),
-                Part::End => Came::End,
+                BodyPart::Data(data) => ResponsePart::Data(data),
+                BodyPart::End => ResponsePart::End,
             }));
         }
         loop {
             let Some(head) = parse_response(bytes)? else {
                 return Ok(None);
             };
-            if (100..200).contains(&head.first) && head.first != 101 {
+            if (100..200).contains(&head.start_line) && head.start_line != 101 {
                 self.interim += 1;
                 if self.interim > MAX_INTERIM_RESPONSES {
                     return Err(FramingError::TooLong("the list of interim responses"));
                 }
                 continue;
             }
-            self.body = Some(Body::new(head.length, self.most_chunk));
-            return Ok(Some(Came::Head(head)));
+            self.body = Some(BodyReader::new(head.length, self.max_chunk_bytes));
+            return Ok(Some(ResponsePart::Head(head)));
         }
     }
 
     /// Whether the response is complete if the connection ends now.
     pub fn is_complete_at_close(&self) -> bool {
-        self.body.as_ref().is_some_and(Body::is_complete_at_close)
+        self.body
+            .as_ref()
+            .is_some_and(BodyReader::is_complete_at_close)
     }
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -30,22 +30,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// The largest request body, in bytes; a larger one is refused with status 413.
-    pub most_body: usize,
+    pub max_body_bytes: usize,
     /// The largest chunk of an engine's response, and the largest response that is not a stream, in bytes.
-    pub most_chunk: usize,
+    pub max_chunk_bytes: usize,
     /// The largest endpoint list, in bytes.
-    pub most_list: usize,
+    pub max_list_bytes: usize,
     /// The maximum number of bytes that the request bodies of all clients hold together. A request that exceeds it is
     /// rejected with status 503.
-    pub most_bodies: usize,
+    pub max_total_body_bytes: usize,
     /// How long discovery may hold back its response until the list changes, in milliseconds.
-    pub feed_wait_ms: u32,
+    pub discovery_wait_ms: u32,
     /// How long a connection still reads and discards input after its last response, in milliseconds.
-    pub drain_ms: u32,
+    pub drain_timeout_ms: u32,
     /// The maximum number of bytes that a connection discards after its last response.
-    pub most_drained: usize,
+    pub max_drained_bytes: usize,
     /// The time in milliseconds after which a connection is closed if its client accepts no byte of a response.
-    pub stall_ms: u32,
+    pub write_stall_timeout_ms: u32,
 }
 
 /// The platform's protocol; clones share the bounds and the count of buffered bytes.
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The number of bytes of clients' requests in memory, which [`Bounds::most_bodies`] limits.
+    /// The number of bytes of clients' requests in memory, which [`Bounds::max_total_body_bytes`] limits.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes.get()
     }
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -1,7 +1,7 @@
 //! Sessions with a client: reads its HTTP requests and writes the responses.
 
 use crate::arrivals::Arrivals;
-use crate::framing::{self, FramingError, Length, Part, Request};
+use crate::framing::{self, BodyPart, FramingError, Length, Request};
 use crate::{session, wire_names, Http1, Session, Shared};
 use bytes::{Bytes, BytesMut};
 use cindercleat_protocol::session::{Event, Io};
@@ -157,10 +157,11 @@
     /// has not read yet.
     async fn drain(&mut self) {
         let (mut remaining, mut discarded) =
-            (self.wire.bounds.most_drained, [0; MAX_READ_BYTES / 8]);
+            (self.wire.bounds.max_drained_bytes, [0; MAX_READ_BYTES / 8]);
         let leaving = self.shared.leaving.get();
-        let deadline =
-            tokio::time::sleep(Duration::from_millis(u64::from(self.wire.bounds.drain_ms)));
+        let deadline = tokio::time::sleep(Duration::from_millis(u64::from(
+            self.wire.bounds.drain_timeout_ms,
+        )));
         tokio::pin!(deadline);
         while remaining > 0 {
             tokio::select! { biased;
@@ -182,14 +183,14 @@
         let waited_ms = self.arrivals.oldest_wait_ms();
         let mut begin_reported = false;
         let head = loop {
-            if let Some(head) = framing::request(&mut self.bytes)
+            if let Some(head) = framing::parse_request(&mut self.bytes)
                 .map_err(|error| Stop::Refused(refusal_for(error)))?
             {
                 break head;
             }
             self.read_more(&mut begin_reported).await?;
         };
-        let max_body = self.wire.bounds.most_body;
+        let max_body = self.wire.bounds.max_body_bytes;
         let too_long = || {
             Stop::Refused(refusal(
                 wire_names::STATUS_TOO_LARGE,
@@ -200,7 +201,7 @@
             return Err(too_long());
         }
         let route = route(&head).map_err(Stop::Refused)?;
-        let mut reader = framing::Body::new(head.length, max_body);
+        let mut reader = framing::BodyReader::new(head.length, max_body);
         let mut body = BytesMut::new();
         if let Length::Known(bytes) = head.length {
             body.reserve((bytes as usize).min(2 * self.bytes.len()));
@@ -210,21 +211,21 @@
                 .next(&mut self.bytes)
                 .map_err(|error| Stop::Refused(refusal_for(error)))?
             {
-                Some(Part::Data(data)) => {
+                Some(BodyPart::Data(data)) => {
                     if body.len() + data.len() > max_body {
                         return Err(too_long());
                     }
                     body.extend_from_slice(&data);
                     self.buffered.set(body.len());
                     // Limits the memory that the bodies of all connections use together.
-                    if self.buffered.total.get() > self.wire.bounds.most_bodies {
+                    if self.buffered.total.get() > self.wire.bounds.max_total_body_bytes {
                         return Err(Stop::Refused(refusal(
                             wire_names::STATUS_REJECTED,
                             "too much is being sent",
                         )));
                     }
                 }
-                Some(Part::End) => break,
+                Some(BodyPart::End) => break,
                 None => self.read_more(&mut begin_reported).await?,
             }
         }
@@ -239,7 +240,7 @@
                 Received::Submit(Box::new(submit))
             }
         };
-        Ok((received, head.keeps))
+        Ok((received, head.keep_alive))
     }
 
     /// Reads more input of a request. `begin_reported`: whether `Event::Partly` was sent for the request.
@@ -280,7 +281,7 @@
     /// limits a client that reads nothing, because no request timeout applies once the request has ended.
     async fn write(&mut self, mut bytes: &[u8]) -> bool {
         let was_closing = self.shared.closing.get();
-        let stall = Duration::from_millis(u64::from(self.wire.bounds.stall_ms));
+        let stall = Duration::from_millis(u64::from(self.wire.bounds.write_stall_timeout_ms));
         while !bytes.is_empty() {
             let wrote = tokio::select! { biased;
                 // If the connection was already closing, this is its last response, which is still written.
@@ -385,8 +386,8 @@
         let bounds = self.wire.bounds;
         self.buffered
             .set(request_bytes + self.bytes.len().saturating_sub(MAX_READ_BYTES));
-        self.bytes.len() > bounds.most_body + framing::MAX_HEAD_BYTES
-            || self.buffered.total.get() > bounds.most_bodies
+        self.bytes.len() > bounds.max_body_bytes + framing::MAX_HEAD_BYTES
+            || self.buffered.total.get() > bounds.max_total_body_bytes
     }
 
     /// Whether the connection stays open after the current request; `keep_alive`: whether the client allows it. On
@@ -487,8 +488,8 @@
 
 /// Routes a request by its method and path.
 fn route(head: &Request) -> Result<Route, Refusal> {
-    let path = head.first.target.split('?').next().unwrap_or_default();
-    match head.first.method.as_str() {
+    let path = head.start_line.target.split('?').next().unwrap_or_default();
+    match head.start_line.method.as_str() {
         "GET" if path == wire_names::READY_PATH => Ok(Route::Ready),
         "POST" if path.starts_with(wire_names::REQUESTS_PATH_PREFIX) => Ok(Route::Submit),
         _ if path.starts_with(wire_names::REQUESTS_PATH_PREFIX) => {
@@ -558,8 +559,8 @@
         prompt,
         origin: Some(v1::Origin {
             id: id.to_owned(),
-            method: head.first.method.clone(),
-            target: head.first.target.clone(),
+            method: head.start_line.method.clone(),
+            target: head.start_line.target.clone(),
             headers: headers.collect(),
         }),
     })
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -2,7 +2,8 @@
 
 use bytes::BytesMut;
 use cindercleat_http1::framing::{
-    request, Body, Came, FramingError, Length, Part, Reading, MAX_HEAD_BYTES,
+    parse_request, BodyPart, BodyReader, FramingError, Length, ResponsePart, ResponseReader,
+    MAX_HEAD_BYTES,
 };
 use proptest::prelude::*;
 
@@ -10,15 +11,15 @@
 
 /// Parses a request from one buffer and returns its body; `None` if the request is incomplete.
 fn parse_body(bytes: &mut BytesMut) -> Result<Option<Vec<u8>>, FramingError> {
-    let Some(head) = request(bytes)? else {
+    let Some(head) = parse_request(bytes)? else {
         return Ok(None);
     };
-    let mut reader = Body::new(head.length, MAX_CHUNK_BYTES);
+    let mut reader = BodyReader::new(head.length, MAX_CHUNK_BYTES);
     let mut body = Vec::new();
     loop {
         match reader.next(bytes)? {
-            Some(Part::Data(data)) => body.extend_from_slice(&data),
-            Some(Part::End) => return Ok(Some(body)),
+            Some(BodyPart::Data(data)) => body.extend_from_slice(&data),
+            Some(BodyPart::End) => return Ok(Some(body)),
             None => return Ok(None),
         }
     }
@@ -131,13 +132,13 @@
 /// The status and body of a response, and whether the response is complete with no bytes left over.
 fn parse_response(bytes: &[u8]) -> Result<(Option<u16>, Vec<u8>, bool), FramingError> {
     let mut bytes = BytesMut::from(bytes);
-    let mut reader = Reading::new(MAX_CHUNK_BYTES);
+    let mut reader = ResponseReader::new(MAX_CHUNK_BYTES);
     let (mut status, mut body) = (None, Vec::new());
     loop {
         match reader.next(&mut bytes)? {
-            Some(Came::Head(head)) => status = Some(head.first),
-            Some(Came::Data(data)) => body.extend_from_slice(&data),
-            Some(Came::End) => return Ok((status, body, bytes.is_empty())),
+            Some(ResponsePart::Head(head)) => status = Some(head.start_line),
+            Some(ResponsePart::Data(data)) => body.extend_from_slice(&data),
+            Some(ResponsePart::End) => return Ok((status, body, bytes.is_empty())),
             None => return Ok((status, body, false)),
         }
     }
@@ -165,16 +166,16 @@
 #[test]
 fn a_response_without_a_length_may_end_with_its_connection_and_a_chunked_one_may_not() {
     let mut bytes = BytesMut::from("HTTP/1.1 200 OK\r\n\r\nabc");
-    let mut reader = Reading::new(MAX_CHUNK_BYTES);
+    let mut reader = ResponseReader::new(MAX_CHUNK_BYTES);
     while reader.next(&mut bytes).expect("valid response").is_some() {}
     assert!(reader.is_complete_at_close());
     let mut bytes =
         BytesMut::from("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-    let mut reader = Reading::new(MAX_CHUNK_BYTES);
+    let mut reader = ResponseReader::new(MAX_CHUNK_BYTES);
     while reader.next(&mut bytes).expect("valid response").is_some() {}
     assert!(!reader.is_complete_at_close());
     let length = Length::Known(3);
-    assert!(!Body::new(length, MAX_CHUNK_BYTES).is_complete_at_close());
+    assert!(!BodyReader::new(length, MAX_CHUNK_BYTES).is_complete_at_close());
 }
 
 /// Like [`parse_text`], for bytes that arrive in pieces, cut at the given offsets.
@@ -189,12 +190,13 @@
         bytes.extend_from_slice(&text[at..end]);
         at = end;
         if reader.is_none() {
-            reader = request(&mut bytes)?.map(|head| Body::new(head.length, MAX_CHUNK_BYTES));
+            reader = parse_request(&mut bytes)?
+                .map(|head| BodyReader::new(head.length, MAX_CHUNK_BYTES));
         }
         while let Some(parts) = &mut reader {
             match parts.next(&mut bytes)? {
-                Some(Part::Data(data)) => body.extend_from_slice(&data),
-                Some(Part::End) => return Ok(Some(body)),
+                Some(BodyPart::Data(data)) => body.extend_from_slice(&data),
+                Some(BodyPart::End) => return Ok(Some(body)),
                 None => break,
             }
         }
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -14,14 +14,14 @@
 };
 
 const BOUNDS: Bounds = Bounds {
-    most_body: 1000,
-    most_chunk: 1000,
-    most_list: 4000,
-    most_bodies: 5000,
-    feed_wait_ms: 500,
-    drain_ms: 500,
-    most_drained: 4000,
-    stall_ms: 4000,
+    max_body_bytes: 1000,
+    max_chunk_bytes: 1000,
+    max_list_bytes: 4000,
+    max_total_body_bytes: 5000,
+    discovery_wait_ms: 500,
+    drain_timeout_ms: 500,
+    max_drained_bytes: 4000,
+    write_stall_timeout_ms: 4000,
 };
 
 /// Runs a test on a paused runtime, for at most 60 s of its time.
@@ -1164,7 +1164,7 @@
         read_until(&mut io, "\r\n\r\n").await;
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
-            BOUNDS.most_list + 1
+            BOUNDS.max_list_bytes + 1
         );
         io.write_all(head.as_bytes()).await.expect("bytes written");
         let refused = tokio::time::timeout(Duration::from_secs(1), next_body(&mut session));
@@ -1183,7 +1183,7 @@
 fn an_indented_list_that_arrives_in_pieces_is_read_completely() {
     run(async {
         let bounds = Bounds {
-            most_list: 1 << 20,
+            max_list_bytes: 1 << 20,
             ..BOUNDS
         };
         let (mut io, session_end) = duplex(1 << 16);
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -6,7 +6,7 @@
 use crate::service::{draw_percentage, sleep, Clock};
 use crate::Ms;
 use bytes::BytesMut;
-use cindercleat_http1::framing::{Came, Reading};
+use cindercleat_http1::framing::{ResponsePart, ResponseReader};
 use nanorand::{Rng, WyRand};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -364,15 +364,15 @@
         id: &str,
         disconnects_at: Option<&Cell<Ms>>,
     ) -> Exchange {
-        let mut reading = Reading::new(MAX_CHUNK_BYTES);
+        let mut reading = ResponseReader::new(MAX_CHUNK_BYTES);
         let (mut head, mut events, mut text) = (None, 0, Vec::new());
         loop {
             match reading.next(&mut connection.bytes) {
-                Ok(Some(Came::Head(received))) => {
+                Ok(Some(ResponsePart::Head(received))) => {
                     head = Some(received);
                     continue;
                 }
-                Ok(Some(Came::Data(data))) => {
+                Ok(Some(ResponsePart::Data(data))) => {
                     text.extend_from_slice(&data);
                     events += self.take_events(&mut text, id);
                     if let Some(disconnects_at) = disconnects_at {
@@ -381,21 +381,21 @@
                     }
                     continue;
                 }
-                Ok(Some(Came::End)) => {
+                Ok(Some(ResponsePart::End)) => {
                     let Some(head) = head else {
                         return Exchange {
                             answer: Answer::None,
                             keeps_alive: false,
                         };
                     };
-                    let answer = match head.first {
+                    let answer = match head.start_line {
                         200 => Answer::Complete(events),
                         429 | 503 => Answer::Rejected,
                         _ => Answer::Failed,
                     };
                     return Exchange {
                         answer,
-                        keeps_alive: head.keeps,
+                        keeps_alive: head.keep_alive,
                     };
                 }
                 Ok(None) => {}
@@ -408,7 +408,7 @@
             }
             connection.bytes.reserve(READ_BYTES);
             if !matches!(connection.io.read_buf(&mut connection.bytes).await, Ok(1..)) {
-                let is_stream = head.is_some_and(|head| head.first == 200);
+                let is_stream = head.is_some_and(|head| head.start_line == 200);
                 let answer = if is_stream {
                     Answer::Broken(events)
                 } else {
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -174,7 +174,7 @@
                 .await
                 .ok();
         }
-        let text = match parse_watch(&received.head.first.target) {
+        let text = match parse_watch(&received.head.start_line.target) {
             None => self.complete_list(),
             Some((revision, wait)) => {
                 self.wait_for_change(revision, wait).await;
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -132,7 +132,7 @@
                 () = self.behaviour.close_idle.notified() => return,
             };
             let Some(received) = received else { return };
-            let target = received.head.first.target.clone();
+            let target = received.head.start_line.target.clone();
             let stays_open = match target.strip_prefix(STATE_PATH) {
                 Some(request) => self.release(&mut connection, request).await,
                 None => match self.attempt(&mut connection, received).await {
--- a/crates/soak/src/service.rs
+++ b/crates/soak/src/service.rs
@@ -3,7 +3,9 @@
 
 use crate::Ms;
 use bytes::BytesMut;
-use cindercleat_http1::framing::{self, Body, Came, Part, Reading, Request};
+use cindercleat_http1::framing::{
+    self, BodyPart, BodyReader, Request, ResponsePart, ResponseReader,
+};
 use nanorand::{Rng, WyRand};
 use std::future::Future;
 use std::io;
@@ -115,17 +117,17 @@
     pub async fn request(&mut self, clock: Clock) -> Option<Received> {
         let mut first_byte = (!self.bytes.is_empty()).then(|| clock.now());
         let head = loop {
-            if let Some(head) = framing::request(&mut self.bytes).ok()? {
+            if let Some(head) = framing::parse_request(&mut self.bytes).ok()? {
                 break head;
             }
             self.read_more().await.ok()?;
             first_byte.get_or_insert_with(|| clock.now());
         };
-        let mut body = Body::new(head.length, MAX_BODY_BYTES);
+        let mut body = BodyReader::new(head.length, MAX_BODY_BYTES);
         loop {
             match body.next(&mut self.bytes).ok()? {
-                Some(Part::Data(_)) => {}
-                Some(Part::End) => break,
+                Some(BodyPart::Data(_)) => {}
+                Some(BodyPart::End) => break,
                 None => self.read_more().await.ok()?,
             }
         }
@@ -148,10 +150,10 @@
 
     /// Reads the status of an answer; returns `None` if the connection ends first or the answer is invalid.
     pub async fn status(&mut self) -> Option<u16> {
-        let mut reading = Reading::new(MAX_BODY_BYTES);
+        let mut reading = ResponseReader::new(MAX_BODY_BYTES);
         loop {
-            if let Some(Came::Head(head)) = reading.next(&mut self.bytes).ok()? {
-                return Some(head.first);
+            if let Some(ResponsePart::Head(head)) = reading.next(&mut self.bytes).ok()? {
+                return Some(head.start_line);
             }
             self.read_more().await.ok()?;
         }
