--- a/crates/cindercleat-cli/src/send.rs
+++ b/crates/cindercleat-cli/src/send.rs
@@ -177,14 +177,14 @@
             .await
             .map_err(|e| format!("{}: {e}", self.args.to))?;
         let (name, expects) = ("send".to_owned(), String::new());
-        let (most_message, most_calls) = (1 << 20, 1);
+        let (max_message_bytes, max_concurrent_calls) = (1 << 20, 1);
         let setup = Setup {
             party: v1::Party::Client,
             name,
             expects,
             run: 0,
-            most_message,
-            most_calls,
+            max_message_bytes,
+            max_concurrent_calls,
         };
         let session = connect(stream, v1::Party::Dispatcher, setup).await;
         let Session {
@@ -207,7 +207,7 @@
                         }
                     }
                     Event::GoingAway => reading.open.set(false),
-                    Event::Flushed { .. } | Event::Partly => {}
+                    Event::MessagesWritten { .. } | Event::MessageBegun => {}
                 }
             }
             reading.open.set(false);
--- a/crates/dispatcher/src/driver/clients.rs
+++ b/crates/dispatcher/src/driver/clients.rs
@@ -131,9 +131,9 @@
                 self.handle_input(Input::GossipReceived { from, bytes });
             }
             Event::Frame(frame) => self.handle_input(Input::Client { conn, frame }),
-            Event::Partly => self.handle_input(Input::ClientRequestBegun { conn }),
+            Event::MessageBegun => self.handle_input(Input::ClientRequestBegun { conn }),
             Event::GoingAway => {}
-            Event::Flushed { stream, messages } => {
+            Event::MessagesWritten { stream, messages } => {
                 let stream = StreamId(stream);
                 self.handle_input(Input::MessagesForwarded {
                     conn,
--- a/crates/dispatcher/src/driver/discovery.rs
+++ b/crates/dispatcher/src/driver/discovery.rs
@@ -56,7 +56,7 @@
                 );
                 last_reason = Some(reason);
             }
-            self.handle_input(Input::EndpointsRejected);
+            self.handle_input(Input::DiscoveryCallFailed);
             call_count += 1;
             let next_call_at = self.shared.clock.now() + backoff;
             tokio::select! { biased;
@@ -139,7 +139,7 @@
                     return classify_goodbye(goodbye);
                 }
                 // The first part of a long list has arrived.
-                Some(Event::Partly) => calls.list_begun(),
+                Some(Event::MessageBegun) => calls.list_begun(),
                 Some(_) => {}
                 None => return CallEnd::Lost("the connection to discovery ended".to_owned()),
             }
--- a/crates/dispatcher/src/driver/engine_connections.rs
+++ b/crates/dispatcher/src/driver/engine_connections.rs
@@ -87,7 +87,7 @@
         let Session {
             mut events,
             out,
-            limit,
+            max_calls,
             ..
         } = match connected {
             Ok(session) => session,
@@ -97,12 +97,15 @@
             }
         };
         *handle.out.borrow_mut() = Some(out);
-        self.handle_input(Input::ConnectionEstablished { connection, limit });
+        self.handle_input(Input::ConnectionEstablished {
+            connection,
+            limit: max_calls,
+        });
         while let Some(event) = events.recv().await {
             match event {
                 Event::Frame(frame) => self.handle_input(Input::Engine { connection, frame }),
                 Event::GoingAway => self.handle_input(Input::ConnectionDraining { connection }),
-                Event::Flushed { .. } | Event::Partly => {}
+                Event::MessagesWritten { .. } | Event::MessageBegun => {}
             }
         }
         "the connection ended".to_owned()
@@ -120,11 +123,11 @@
     ) -> Result<Session<W::Out>, String> {
         let setup = self.session_setup(&engine.0, 1);
         let session = self.connect(address, v1::Party::Engine, setup).await?;
-        if session.them.name != *engine.0 || session.them.party() != v1::Party::Engine {
+        if session.peer.name != *engine.0 || session.peer.party() != v1::Party::Engine {
             session.out.close();
             return Err(format!(
                 "expected engine {:?}, but {:?} answered",
-                engine.0, session.them.name
+                engine.0, session.peer.name
             ));
         }
         Ok(session)
--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -332,7 +332,7 @@
         let until = self.shared.clock.now() + timeout;
         for connection in connections {
             tokio::select! { biased;
-                () = connection.over() => {}
+                () = connection.closed() => {}
                 () = self.shared.clock.sleep_until(until) => {}
             }
         }
@@ -347,8 +347,8 @@
             name: settings.name.clone(),
             expects: expects.to_owned(),
             run: settings.incarnation,
-            most_message: settings.limits.max_message_bytes,
-            most_calls: max_calls,
+            max_message_bytes: settings.limits.max_message_bytes,
+            max_concurrent_calls: max_calls,
         }
     }
 
--- a/crates/dispatcher/src/state/client_requests.rs
+++ b/crates/dispatcher/src/state/client_requests.rs
@@ -54,7 +54,7 @@
             other => {
                 let reason = format!(
                     "unexpected message from a client: {}",
-                    name_of(other.as_ref())
+                    message_name(other.as_ref())
                 );
                 outputs.push(Output::CloseClient { conn, reason });
             }
--- a/crates/dispatcher/src/state/engine_messages.rs
+++ b/crates/dispatcher/src/state/engine_messages.rs
@@ -43,7 +43,7 @@
             engine: connection.engine.clone(),
         };
         self.record_liveness(&source, purpose.as_ref(), frame.body.as_ref());
-        let body_name = name_of(frame.body.as_ref());
+        let body_name = message_name(frame.body.as_ref());
         let result = match frame.body {
             Some(body) => self.dispatch_message(&source, purpose, body, outputs),
             None => Err(ProtocolViolation),
--- a/crates/dispatcher/src/state/io.rs
+++ b/crates/dispatcher/src/state/io.rs
@@ -84,7 +84,7 @@
     /// An update of the endpoints from discovery.
     EndpointsUpdated(v1::EndpointList),
     /// Discovery refused a call, or the connection to it was lost.
-    EndpointsRejected,
+    DiscoveryCallFailed,
     /// Another dispatcher has sent gossip.
     GossipReceived {
         /// The dispatcher that sent it.
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -43,7 +43,7 @@
 use cindercleat::coordination::membership::EngineReport;
 use cindercleat::coordination::{Address, Incarnation, Name};
 use cindercleat::interface::*;
-use cindercleat_protocol::{frame, name_of, v1, Body, Frame};
+use cindercleat_protocol::{frame, message_name, v1, Body, Frame};
 use clients::ClientConnections;
 use connections::EngineConnections;
 use endpoints::Endpoints;
@@ -167,7 +167,7 @@
                 self.update_endpoints(&list, Some(EndpointUpdateKind::Cached), outputs)
             }
             Input::EndpointsUpdated(list) => self.update_endpoints(&list, None, outputs),
-            Input::EndpointsRejected => {
+            Input::DiscoveryCallFailed => {
                 self.events.push(Event::EndpointsUpdated {
                     kind: EndpointUpdateKind::Rejected,
                     endpoints: Vec::new(),
--- a/crates/faults/src/drill/mod.rs
+++ b/crates/faults/src/drill/mod.rs
@@ -549,8 +549,8 @@
                     name: "fleet".to_owned(),
                     expects: String::new(),
                     run: 0,
-                    most_message: 1 << 20,
-                    most_calls: 64,
+                    max_message_bytes: 1 << 20,
+                    max_concurrent_calls: 64,
                 };
                 // A socket that is gone already is found so by what follows.
                 let _ = stream.set_nodelay(true);
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -350,8 +350,8 @@
                         name: "fleet".to_owned(),
                         expects: String::new(),
                         run: 0,
-                        most_message: 1 << 20,
-                        most_calls: 64,
+                        max_message_bytes: 1 << 20,
+                        max_concurrent_calls: 64,
                     };
                     let _ = stream.set_nodelay(true);
                     let Ok(Session {
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -540,6 +540,6 @@
             format!("list {}", engines.join(", "))
         }
         Body::Goodbye(m) => format!("goodbye {}", m.reason),
-        other => cindercleat_protocol::name_of(Some(other)).to_owned(),
+        other => cindercleat_protocol::message_name(Some(other)).to_owned(),
     }
 }
--- a/crates/fleet/src/admin_client.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -34,8 +34,8 @@
             name: "operator".to_owned(),
             expects: String::new(),
             run: 0,
-            most_message: MAX_MESSAGE_BYTES,
-            most_calls: 1,
+            max_message_bytes: MAX_MESSAGE_BYTES,
+            max_concurrent_calls: 1,
         };
         let Session {
             mut events, out, ..
--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -353,8 +353,8 @@
             name: self.state.settings.fleet.clone(),
             expects: expects.to_owned(),
             run: self.state.settings.incarnation.0,
-            most_message: MAX_MESSAGE_BYTES,
-            most_calls: MAX_CALLS_PER_CONNECTION,
+            max_message_bytes: MAX_MESSAGE_BYTES,
+            max_concurrent_calls: MAX_CALLS_PER_CONNECTION,
         }
     }
 
@@ -482,7 +482,7 @@
                     self.handle_input(Input::Answered { ask, answer });
                 }
                 Event::GoingAway => break,
-                Event::Flushed { .. } | Event::Partly => {}
+                Event::MessagesWritten { .. } | Event::MessageBegun => {}
             }
         }
         let mut peers = self.state.peers.borrow_mut();
@@ -589,7 +589,7 @@
             // The sender no longer awaits the answer.
             Body::Cancel(_) => {
                 let is_cancelled = |(connection, call_stream): &(Out, u64)| {
-                    *call_stream == stream && connection.same(out)
+                    *call_stream == stream && connection.is_same_connection(out)
                 };
                 self.state
                     .open_calls
--- a/crates/fleet/tests/driver.rs
+++ b/crates/fleet/tests/driver.rs
@@ -230,8 +230,8 @@
             name: "x".to_owned(),
             expects: String::new(),
             run: 0,
-            most_message: 1 << 20,
-            most_calls: 1,
+            max_message_bytes: 1 << 20,
+            max_concurrent_calls: 1,
         };
         let mut session = connect(io, v1::Party::Fleet, setup)
             .await
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -115,11 +115,11 @@
             .map_err(|e| e.to_string())?;
         let response = response.await.map_err(|e| e.to_string())?;
         let headers = response.headers().clone();
-        let limit = Some(requests.current_max_send_streams()).filter(|limit| *limit < 1 << 31);
-        let mut messages = MessageReader::new(response.into_body(), shared.setup.most_message);
+        let max_calls = Some(requests.current_max_send_streams()).filter(|limit| *limit < 1 << 31);
+        let mut messages = MessageReader::new(response.into_body(), shared.setup.max_message_bytes);
         match messages.next().await {
             Ok(bytes) => match call::decode_reply(path, bytes) {
-                Ok(Some(Body::Hello(them))) => Ok((them, limit)),
+                Ok(Some(Body::Hello(peer))) => Ok((peer, max_calls)),
                 _ => Err("the peer sent no greeting".to_owned()),
             },
             Err(ReadError::EndOfStream) if headers.contains_key("grpc-message") => {
@@ -132,11 +132,11 @@
         }
     };
     match greeted.await {
-        Ok((them, limit)) => {
+        Ok((peer, max_calls)) => {
             guard.0.take();
             Ok(Session {
-                them,
-                limit,
+                peer,
+                max_calls,
                 events,
                 out: Out { shared },
             })
@@ -259,7 +259,7 @@
         }
     };
     let headers = response.headers().clone();
-    let mut messages = MessageReader::new(response.into_body(), shared.setup.most_message);
+    let mut messages = MessageReader::new(response.into_body(), shared.setup.max_message_bytes);
     loop {
         // Without credit no message is read, so the sender's window fills and the sender waits.
         let next = tokio::select! { biased;
--- a/crates/grpc/src/lib.rs
+++ b/crates/grpc/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use cindercleat_protocol::session::{Event, Setup};
 
-use cindercleat_protocol::session::{self, Io, Outbox, Wire};
+use cindercleat_protocol::session::{self, ByteStream, Outbox, Wire};
 use cindercleat_protocol::{frame, v1, Body, Frame};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
 fn connection_window(setup: &Setup) -> u32 {
     const MAX_WINDOW: u32 = (1 << 31) - 1;
     setup
-        .most_calls
+        .max_concurrent_calls
         .saturating_add(1)
         .saturating_mul(STREAM_WINDOW)
         .min(MAX_WINDOW)
@@ -50,11 +50,16 @@
 impl Wire for Grpc {
     type Out = Out;
 
-    async fn serve<S: Io>(&self, io: S, setup: Setup) -> Result<Session, String> {
+    async fn serve<S: ByteStream>(&self, io: S, setup: Setup) -> Result<Session, String> {
         serve(io, setup).await
     }
 
-    async fn connect<S: Io>(&self, io: S, to: v1::Party, setup: Setup) -> Result<Session, String> {
+    async fn connect<S: ByteStream>(
+        &self,
+        io: S,
+        to: v1::Party,
+        setup: Setup,
+    ) -> Result<Session, String> {
         connect(io, to, setup).await
     }
 }
@@ -72,8 +77,8 @@
         Out::close(self);
     }
 
-    async fn over(&self) {
-        Out::over(self).await;
+    async fn closed(&self) {
+        Out::closed(self).await;
     }
 }
 
@@ -113,7 +118,7 @@
     /// Signals a change of `closing`, `leaving`, `drained` or `calls`.
     changed: Notify,
     /// Signals the end of the connection.
-    over: Notify,
+    closed: Notify,
 }
 
 impl Shared {
@@ -130,7 +135,7 @@
             drained: Cell::new(false),
             open_served_calls: Cell::new(0),
             changed: Notify::new(),
-            over: Notify::new(),
+            closed: Notify::new(),
         };
         (Rc::new(shared), events)
     }
@@ -145,7 +150,7 @@
     /// Ends the session after its connection: closes the event channel and all calls.
     fn end(&self) {
         self.events.borrow_mut().take();
-        self.over.notify_waiters();
+        self.closed.notify_waiters();
         self.calls.borrow_mut().clear();
         self.starter.borrow_mut().take();
         self.close();
@@ -221,7 +226,7 @@
     }
 
     /// Whether this handle and `other` send on the same connection.
-    pub fn same(&self, other: &Out) -> bool {
+    pub fn is_same_connection(&self, other: &Out) -> bool {
         Rc::ptr_eq(&self.shared, &other.shared)
     }
 
@@ -240,9 +245,9 @@
     }
 
     /// Waits until the connection has ended.
-    pub async fn over(&self) {
+    pub async fn closed(&self) {
         while self.shared.events.borrow().is_some() {
-            self.shared.over.notified().await;
+            self.shared.closed.notified().await;
         }
     }
 
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -44,7 +44,7 @@
 {
     let mut builder = h2::server::Builder::new();
     builder
-        .max_concurrent_streams(setup.most_calls)
+        .max_concurrent_streams(setup.max_concurrent_calls)
         .max_header_list_size(16 << 10);
     builder.max_send_buffer_size(STREAM_WINDOW as usize);
     builder
@@ -122,11 +122,11 @@
     // The session starts with the first greeting or call, which identifies the peer.
     greeting.arrived.notified().await;
     match greeting.hello.take() {
-        Some(them) => {
+        Some(peer) => {
             guard.0.take();
             Ok(Session {
-                them,
-                limit: None,
+                peer,
+                max_calls: None,
                 events,
                 out: Out { shared },
             })
@@ -158,7 +158,7 @@
         let _ = respond.send_response(response, true);
         return;
     }
-    let mut messages = MessageReader::new(request.into_body(), shared.setup.most_message);
+    let mut messages = MessageReader::new(request.into_body(), shared.setup.max_message_bytes);
     let body = match messages.next().await {
         Ok(bytes) => match call::decode_request(&path, bytes) {
             Some(Ok(body)) => Ok(body),
@@ -256,7 +256,7 @@
                 return shared.send_event(Event::Frame(frame(number, Body::Cancel(v1::Cancel {}))));
             }
             if holds_tokens {
-                shared.send_event(Event::Flushed {
+                shared.send_event(Event::MessagesWritten {
                     stream: number,
                     messages: 1,
                 });
--- a/crates/grpc/tests/hard.rs
+++ b/crates/grpc/tests/hard.rs
@@ -40,8 +40,8 @@
         name,
         expects,
         run: 7,
-        most_message: 1 << 16,
-        most_calls: 10,
+        max_message_bytes: 1 << 16,
+        max_concurrent_calls: 10,
     }
 }
 
@@ -201,7 +201,7 @@
         match session.events.recv().await? {
             Event::Frame(frame) if matches!(frame.body, Some(Body::Tokens(_))) => {}
             Event::Frame(frame) => return Some((frame.stream, frame.body?)),
-            Event::Flushed { .. } | Event::GoingAway | Event::Partly => {}
+            Event::MessagesWritten { .. } | Event::GoingAway | Event::MessageBegun => {}
         }
     }
 }
@@ -450,7 +450,7 @@
     run(async {
         // The engine allows one call at a time.
         let (mut session, mut raw) = engine(&[(MAX_CONCURRENT_STREAMS, 1)]).await;
-        assert_eq!(session.limit, Some(1));
+        assert_eq!(session.max_calls, Some(1));
         session.out.send(frame(1, decode()));
         let first = raw.next_call().await;
         session.out.send(frame(2, decode()));
--- a/crates/grpc/tests/session.rs
+++ b/crates/grpc/tests/session.rs
@@ -21,8 +21,8 @@
         name,
         expects,
         run: 7,
-        most_message: 1 << 16,
-        most_calls: 100,
+        max_message_bytes: 1 << 16,
+        max_concurrent_calls: 100,
     }
 }
 
@@ -49,7 +49,7 @@
     loop {
         match session.events.recv().await? {
             Event::Frame(frame) => return Some(frame),
-            Event::Flushed { .. } | Event::GoingAway | Event::Partly => {}
+            Event::MessagesWritten { .. } | Event::GoingAway | Event::MessageBegun => {}
         }
     }
 }
@@ -74,9 +74,9 @@
 fn both_sides_learn_the_peers_name_and_role() {
     run(async {
         let (client, server) = connected_sessions().await;
-        assert_eq!((client.them.name.as_str(), client.them.run), ("d", 7));
+        assert_eq!((client.peer.name.as_str(), client.peer.run), ("d", 7));
         assert_eq!(
-            (server.them.name.as_str(), server.them.party()),
+            (server.peer.name.as_str(), server.peer.party()),
             ("c", v1::Party::Client)
         );
     });
@@ -205,7 +205,7 @@
         let mut flushed = 0;
         while let Ok(event) = server.events.try_recv() {
             flushed += usize::from(
-                matches!(event, Event::Flushed { stream, .. } if stream == slow_stream),
+                matches!(event, Event::MessagesWritten { stream, .. } if stream == slow_stream),
             );
         }
         assert!(
--- a/crates/http1/src/discovery_client.rs
+++ b/crates/http1/src/discovery_client.rs
@@ -3,7 +3,7 @@
 use crate::framing::{Length, ResponsePart, ResponseReader};
 use crate::{list, session, wire_names, Bounds, Session, Shared};
 use bytes::BytesMut;
-use cindercleat_protocol::session::{Event, Io, Setup};
+use cindercleat_protocol::session::{ByteStream, Event, Setup};
 use cindercleat_protocol::{v1, Body, Frame};
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,13 +12,13 @@
 
 /// Starts a session with discovery. The session sends its first request after it receives a `WatchEndpoints` frame.
 /// Every response is a list, which may be empty.
-pub(crate) fn start<S: Io>(io: S, bounds: Bounds, setup: Setup) -> Session {
-    let them = v1::Hello {
+pub(crate) fn start<S: ByteStream>(io: S, bounds: Bounds, setup: Setup) -> Session {
+    let peer = v1::Hello {
         party: v1::Party::Feed.into(),
         name: setup.expects,
         ..v1::Hello::default()
     };
-    let (session, shared, mut outgoing) = session(them, Some(1));
+    let (session, shared, mut outgoing) = session(peer, Some(1));
     spawn_local(async move {
         let ended = tokio::select! { biased;
             () = shared.wait_closing() => None,
@@ -43,7 +43,7 @@
     Unusable(String),
 }
 
-async fn run<S: Io>(
+async fn run<S: ByteStream>(
     mut io: S,
     bounds: Bounds,
     shared: &Rc<Shared>,
@@ -102,7 +102,7 @@
 }
 
 /// Reads one response and returns its body.
-async fn read_list<S: Io>(
+async fn read_list<S: ByteStream>(
     io: &mut S,
     bounds: Bounds,
     bytes: &mut BytesMut,
@@ -139,7 +139,7 @@
                 Ok(0) => return Err(WatchEnd::Lost("discovery closed the connection".to_owned())),
                 Ok(_) if !has_begun => {
                     has_begun = true;
-                    shared.send_event(Event::Partly);
+                    shared.send_event(Event::MessageBegun);
                 }
                 Ok(_) => {}
                 Err(error) => return Err(WatchEnd::Lost(error.to_string())),
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -7,7 +7,7 @@
 use crate::framing::{FramingError, Length, ResponseHead, ResponsePart, ResponseReader};
 use crate::{session, wire_names, Bounds, Session, Shared};
 use bytes::{Bytes, BytesMut};
-use cindercleat_protocol::session::{Event, Io, Setup};
+use cindercleat_protocol::session::{ByteStream, Event, Setup};
 use cindercleat_protocol::{v1, Body, Frame};
 use serde::Deserialize;
 use std::any::Any;
@@ -20,14 +20,14 @@
 /// The maximum number of bytes per read. Token events are forwarded without another read once they reach this size.
 const MAX_READ_BYTES: usize = 16 << 10;
 
-pub(crate) fn start<S: Io>(io: S, bounds: Bounds, setup: Setup) -> Session {
+pub(crate) fn start<S: ByteStream>(io: S, bounds: Bounds, setup: Setup) -> Session {
     let name = setup.expects.clone();
-    let them = v1::Hello {
+    let peer = v1::Hello {
         party: v1::Party::Engine.into(),
         name,
         ..v1::Hello::default()
     };
-    let (session, shared, outgoing) = session(them, Some(1));
+    let (session, shared, outgoing) = session(peer, Some(1));
     let connection = EngineConnection {
         io,
         bounds,
@@ -79,7 +79,7 @@
     Malformed(FramingError),
 }
 
-impl<S: Io> EngineConnection<S> {
+impl<S: ByteStream> EngineConnection<S> {
     async fn run(mut self) {
         while let Some(frame) = self.next_call().await {
             let stream = frame.stream;
@@ -436,7 +436,7 @@
 /// Makes closing the connection send a reset. Otherwise, if the engine's machine is unreachable, the system keeps
 /// retransmitting a cancelled request after a normal close, and delivers it when the machine returns. Connections in
 /// memory have no unsent data.
-fn discard_unsent<S: Io>(io: &S) {
+fn discard_unsent<S: ByteStream>(io: &S) {
     if let Some(stream) = (io as &dyn Any).downcast_ref::<TcpStream>() {
         // Setting the option fails only if the connection is gone, and then there is nothing to discard.
         let _ = stream.set_zero_linger();
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use list::{parse as parse_list, Malformed};
 
-use cindercleat_protocol::session::{self, Event, Io, Outbox, Setup, Wire};
+use cindercleat_protocol::session::{self, ByteStream, Event, Outbox, Setup, Wire};
 use cindercleat_protocol::{v1, Body, Frame};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -74,11 +74,16 @@
 impl Wire for Http1 {
     type Out = Out;
 
-    async fn serve<S: Io>(&self, io: S, _: Setup) -> Result<Session, String> {
+    async fn serve<S: ByteStream>(&self, io: S, _: Setup) -> Result<Session, String> {
         Ok(server::start(io, self.clone()))
     }
 
-    async fn connect<S: Io>(&self, io: S, to: v1::Party, setup: Setup) -> Result<Session, String> {
+    async fn connect<S: ByteStream>(
+        &self,
+        io: S,
+        to: v1::Party,
+        setup: Setup,
+    ) -> Result<Session, String> {
         match to {
             v1::Party::Engine => Ok(engine_client::start(io, self.bounds, setup)),
             v1::Party::Feed => Ok(discovery_client::start(io, self.bounds, setup)),
@@ -95,7 +100,7 @@
     /// `Outbox::go_away` was called.
     leaving: Cell<bool>,
     /// The session's task has ended.
-    over: Cell<bool>,
+    is_closed: Cell<bool>,
     /// Signals a change of one of these flags.
     changed: Notify,
     events: RefCell<Option<mpsc::UnboundedSender<Event>>>,
@@ -126,7 +131,7 @@
     }
 
     fn end(&self) {
-        self.over.set(true);
+        self.is_closed.set(true);
         self.events.borrow_mut().take();
         self.changed.notify_waiters();
     }
@@ -141,7 +146,7 @@
 
 impl Outbox for Out {
     fn send(&self, frame: Frame) -> bool {
-        !self.shared.over.get() && self.outgoing.send(frame).is_ok()
+        !self.shared.is_closed.get() && self.outgoing.send(frame).is_ok()
     }
 
     fn go_away(&self) {
@@ -154,8 +159,8 @@
         self.shared.changed.notify_waiters();
     }
 
-    async fn over(&self) {
-        while !self.shared.over.get() {
+    async fn closed(&self) {
+        while !self.shared.is_closed.get() {
             self.shared.changed.notified().await;
         }
     }
@@ -163,8 +168,8 @@
 
 /// Creates a session, with the shared state and the frame queue for the task that runs it.
 fn session(
-    them: v1::Hello,
-    limit: Option<usize>,
+    peer: v1::Hello,
+    max_calls: Option<usize>,
 ) -> (Session, Rc<Shared>, mpsc::UnboundedReceiver<Frame>) {
     let (event_sender, events) = mpsc::unbounded_channel();
     let (outgoing, outgoing_frames) = mpsc::unbounded_channel();
@@ -178,8 +183,8 @@
     };
     (
         session::Session {
-            them,
-            limit,
+            peer,
+            max_calls,
             events,
             out,
         },
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -4,7 +4,7 @@
 use crate::framing::{self, BodyPart, FramingError, Length, Request};
 use crate::{session, wire_names, Http1, Session, Shared};
 use bytes::{Bytes, BytesMut};
-use cindercleat_protocol::session::{Event, Io};
+use cindercleat_protocol::session::{ByteStream, Event};
 use cindercleat_protocol::{v1, Body, Frame};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,12 +26,12 @@
 /// The size, in bytes, at which collected token messages are written without collecting more.
 const MAX_WRITE_BYTES: usize = 32 << 10;
 
-pub(crate) fn start<S: Io>(io: S, wire: Http1) -> Session {
-    let them = v1::Hello {
+pub(crate) fn start<S: ByteStream>(io: S, wire: Http1) -> Session {
+    let peer = v1::Hello {
         party: v1::Party::Client.into(),
         ..v1::Hello::default()
     };
-    let (session, shared, outgoing) = session(them, None);
+    let (session, shared, outgoing) = session(peer, None);
     let buffered = BufferedBytes {
         total: wire.buffered_bytes.clone(),
         bytes: 0,
@@ -108,7 +108,7 @@
     Refused(Refusal),
 }
 
-impl<S: Io> Client<S> {
+impl<S: ByteStream> Client<S> {
     async fn run(mut self) {
         let refusal = match self.serve().await {
             Stop::Closed => None,
@@ -178,7 +178,7 @@
     /// Reads the next request completely; also returns whether another request may follow on the connection.
     async fn read_request(&mut self) -> Result<(Received, bool), Stop> {
         // Pipelined bytes have waited since they arrived behind the previous request. The dispatcher itself measures
-        // only the time after `Event::Partly`.
+        // only the time after `Event::MessageBegun`.
         self.arrivals.retain_last(self.bytes.len());
         let waited_ms = self.arrivals.oldest_wait_ms();
         let mut begin_reported = false;
@@ -243,12 +243,12 @@
         Ok((received, head.keep_alive))
     }
 
-    /// Reads more input of a request. `begin_reported`: whether `Event::Partly` was sent for the request.
+    /// Reads more input of a request. `begin_reported`: whether `Event::MessageBegun` was sent for the request.
     async fn read_more(&mut self, begin_reported: &mut bool) -> Result<(), Stop> {
         let has_begun = !self.bytes.is_empty() || self.buffered.bytes > 0;
         if has_begun && !*begin_reported {
             *begin_reported = true;
-            self.shared.send_event(Event::Partly);
+            self.shared.send_event(Event::MessageBegun);
         }
         let is_idle = !*begin_reported;
         if self.bytes.is_empty() && is_idle {
@@ -372,7 +372,7 @@
                 return (!stays_open).then_some(Stop::LastResponseSent);
             }
             if messages > 0 {
-                self.shared.send_event(Event::Flushed {
+                self.shared.send_event(Event::MessagesWritten {
                     stream: self.stream,
                     messages,
                 });
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -45,8 +45,8 @@
         name,
         expects,
         run: 1,
-        most_message: 1000,
-        most_calls: 1,
+        max_message_bytes: 1000,
+        max_concurrent_calls: 1,
     }
 }
 
@@ -78,7 +78,7 @@
     loop {
         match session.events.recv().await? {
             Event::Frame(frame) => return Some((frame.stream, frame.body?)),
-            Event::Partly | Event::Flushed { .. } | Event::GoingAway => {}
+            Event::MessageBegun | Event::MessagesWritten { .. } | Event::GoingAway => {}
         }
     }
 }
@@ -454,7 +454,7 @@
         io.write_all(&request_text("{}").as_bytes()[..40])
             .await
             .expect("bytes written");
-        assert_eq!(session.events.recv().await, Some(Event::Partly));
+        assert_eq!(session.events.recv().await, Some(Event::MessageBegun));
         session.out.close();
         assert!(read_until(&mut io, "").await.starts_with("HTTP/1.1 408 "));
         assert_eq!(session.events.recv().await, None);
@@ -1219,7 +1219,7 @@
         let reading = async {
             assert_eq!(
                 session.events.recv().await,
-                Some(Event::Partly),
+                Some(Event::MessageBegun),
                 "must be reported with the first bytes"
             );
             match next_body(&mut session).await {
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -29,7 +29,7 @@
 }
 
 /// The name of a message in logs and transcripts; `nothing` for a frame without a body.
-pub fn name_of(body: Option<&Body>) -> &'static str {
+pub fn message_name(body: Option<&Body>) -> &'static str {
     match body {
         None => "nothing",
         Some(Body::Hello(_)) => "hello",
@@ -63,6 +63,6 @@
 }
 
 /// Copies a string into `Bytes`, the type of the schema's `bytes` fields.
-pub fn text(text: &str) -> Bytes {
+pub fn text_bytes(text: &str) -> Bytes {
     Bytes::copy_from_slice(text.as_bytes())
 }
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -20,9 +20,9 @@
     /// The incarnation of this process: a process that restarts under the same name draws a new one.
     pub run: u64,
     /// The largest message accepted from the peer, in bytes.
-    pub most_message: usize,
+    pub max_message_bytes: usize,
     /// The maximum number of calls that the peer may have open at once.
-    pub most_calls: u32,
+    pub max_concurrent_calls: u32,
 }
 
 /// An event of a session.
@@ -33,12 +33,12 @@
     /// A complete message arrived.
     Frame(Frame),
     /// The first bytes of a message arrived, and its end has not. Only HTTP/1.1 sessions report this.
-    Partly,
+    MessageBegun,
     /// Token messages of a stream were written to the connection, which shows that the peer still reads the stream.
-    Flushed {
+    MessagesWritten {
         /// The stream number of the token messages.
         stream: u64,
-        /// The number of token messages written since the previous `Flushed` of the stream.
+        /// The number of token messages written since the previous `MessagesWritten` of the stream.
         messages: u32,
     },
     /// The peer accepts no new calls on this connection; open calls continue.
@@ -48,10 +48,10 @@
 /// An established session: the peer's identity, the received events, and the handle that sends frames.
 pub struct Session<O> {
     /// The peer's `Hello`. If the wire protocol has no greeting, this side fills in what it knows of the peer.
-    pub them: v1::Hello,
+    pub peer: v1::Hello,
     /// The maximum number of calls that the peer accepts at once; `None` on the serving side, or if the peer sets no
     /// limit.
-    pub limit: Option<usize>,
+    pub max_calls: Option<usize>,
     /// The received frames and other events; the channel closes when the connection ends.
     pub events: mpsc::UnboundedReceiver<Event>,
     /// Sends frames on this session.
@@ -72,13 +72,13 @@
     fn close(&self);
 
     /// Waits until the connection has ended.
-    fn over(&self) -> impl Future<Output = ()>;
+    fn closed(&self) -> impl Future<Output = ()>;
 }
 
 /// A byte stream that a session can run on; implemented for every type that meets the bounds.
-pub trait Io: AsyncRead + AsyncWrite + Unpin + 'static {}
+pub trait ByteStream: AsyncRead + AsyncWrite + Unpin + 'static {}
 
-impl<S: AsyncRead + AsyncWrite + Unpin + 'static> Io for S {}
+impl<S: AsyncRead + AsyncWrite + Unpin + 'static> ByteStream for S {}
 
 /// A wire protocol that runs sessions on byte streams; clones share their settings.
 pub trait Wire: Clone + 'static {
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// Returns the reason as text if the peer does not speak this protocol.
-    fn serve<S: Io>(
+    fn serve<S: ByteStream>(
         &self,
         io: S,
         setup: Setup,
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// Returns the reason as text if the peer does not speak this protocol or refuses the session.
-    fn connect<S: Io>(
+    fn connect<S: ByteStream>(
         &self,
         io: S,
         to: v1::Party,
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -213,14 +213,14 @@
         }
         let parties = (v1::Party::Client, &*self.name, "");
         let Session {
-            them,
+            peer,
             mut events,
             out,
             ..
         } = open_session(&self.transport, (&self.server.0, self.server.1), parties).await?;
         let connection = Rc::new(Connection {
             conn: self.transcript.new_conn(),
-            peer: Rc::from(them.name),
+            peer: Rc::from(peer.name),
             out,
             streams: RefCell::default(),
             closed: Cell::new(false),
@@ -236,7 +236,7 @@
                         receiving.closed.set(true);
                         continue;
                     }
-                    Event::Flushed { .. } | Event::Partly => continue,
+                    Event::MessagesWritten { .. } | Event::MessageBegun => continue,
                 };
                 port.record(&receiving, Way::In, &frame);
                 let stream = frame.stream;
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -148,13 +148,13 @@
             return;
         };
         let Session {
-            them,
+            peer,
             mut events,
             out,
             ..
         } = session;
         let mut watch_stream = 0;
-        let (peer, conn): (Rc<str>, u64) = (Rc::from(them.name), self.inner.transcript.new_conn());
+        let (peer, conn): (Rc<str>, u64) = (Rc::from(peer.name), self.inner.transcript.new_conn());
         let (send, mut lists) = unbounded_channel();
         loop {
             let list = tokio::select! { biased;
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -10,7 +10,7 @@
 use crate::{accept_session, open_session, uniform};
 use cindercleat_grpc::{Event, Out, Session};
 use cindercleat_net::{Clock, Listener, Ms, Transport};
-use cindercleat_protocol::{frame, text, v1, Body, Frame};
+use cindercleat_protocol::{frame, text_bytes, v1, Body, Frame};
 use nanorand::WyRand;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -471,14 +471,14 @@
             return;
         };
         let Session {
-            them,
+            peer,
             mut events,
             out,
             ..
         } = session;
         let connection = Rc::new(Connection {
             id: self.inner.transcript.new_conn(),
-            peer: Rc::from(them.name.as_str()),
+            peer: Rc::from(peer.name.as_str()),
             out,
             credit: RefCell::default(),
             credited: Notify::new(),
@@ -492,7 +492,7 @@
             connection: connection.clone(),
             tasks,
         };
-        let hello = frame(0, Body::Hello(them));
+        let hello = frame(0, Body::Hello(peer));
         self.record(&connection, Way::In, &hello);
         // Frames are recorded on arrival, even while the engine is mute and does not process them.
         let (sender, mut frames) = tokio::sync::mpsc::unbounded_channel();
@@ -501,8 +501,8 @@
             while let Some(event) = events.recv().await {
                 let frame = match event {
                     Event::Frame(frame) => frame,
-                    Event::GoingAway | Event::Partly => continue,
-                    Event::Flushed { stream, messages } => {
+                    Event::GoingAway | Event::MessageBegun => continue,
+                    Event::MessagesWritten { stream, messages } => {
                         if let Some(left) = receiving.credit.borrow_mut().get_mut(&stream) {
                             *left += messages;
                         }
@@ -859,7 +859,7 @@
             let tokens = v1::Tokens {
                 position,
                 count: 1,
-                text: text(&word(position)),
+                text: text_bytes(&word(position)),
             };
             self.send(&connection, stream, Body::Tokens(tokens));
         }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -24,8 +24,8 @@
         name,
         expects,
         run: 0,
-        most_message: MAX_MESSAGE_BYTES,
-        most_calls: MAX_OPEN_CALLS,
+        max_message_bytes: MAX_MESSAGE_BYTES,
+        max_concurrent_calls: MAX_OPEN_CALLS,
     }
 }
 
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -2,7 +2,7 @@
 //! notes of events that no frame shows, such as the start of an engine or the kill of a dispatcher.
 
 use cindercleat_net::Ms;
-use cindercleat_protocol::{name_of, v1, Frame};
+use cindercleat_protocol::{message_name, v1, Frame};
 use prost::Message;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -200,7 +200,7 @@
             note,
             way,
             message: frame
-                .map(|f| name_of(f.body.as_ref()).to_owned())
+                .map(|f| message_name(f.body.as_ref()).to_owned())
                 .unwrap_or_default(),
             stream: frame.map_or(0, |f| f.stream),
             frame: frame.map(hex).unwrap_or_default(),
