--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -252,7 +252,7 @@
         other => return Err(Malformed::new("automatic or subscribe in discovery", other)),
     };
     let settings = Settings {
-        me: DispatcherId(pairs.number("me")?),
+        dispatcher_id: DispatcherId(pairs.number("me")?),
         dispatchers: pairs.number("replicasOfMe")?,
         zone: ZoneId(pairs.number("zone")?),
         tick: pairs.time("tick")?,
@@ -368,7 +368,7 @@
     })
 }
 
-fn kinds(pairs: &Pairs) -> Result<Vec<KindSettings>, Malformed> {
+fn kinds(pairs: &Pairs) -> Result<Vec<EngineKindSettings>, Malformed> {
     let memory = pairs.list("familyInfo.tokensByKind");
     let kind = |(i, role): (usize, &str)| {
         let role = match role {
@@ -386,7 +386,7 @@
         let memory_tokens = memory
             .parse()
             .map_err(|_| Malformed::new("numbers in familyInfo.tokensByKind", memory))?;
-        Ok(KindSettings {
+        Ok(EngineKindSettings {
             role,
             memory_tokens,
         })
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -43,7 +43,7 @@
 use cindercleat::coordination::membership::EngineReport;
 use cindercleat::coordination::{Address, Incarnation, Name};
 use cindercleat::interface::*;
-use cindercleat_protocol::{frame, name_of, v1, Body, Frame};
+use cindercleat_protocol::{frame, message_name, v1, Body, Frame};
 use clients::ClientConnections;
 use connections::EngineConnections;
 use endpoints::Endpoints;
@@ -167,7 +167,7 @@
                 self.update_endpoints(&list, Some(EndpointUpdateKind::Cached), outputs)
             }
             Input::EndpointsUpdated(list) => self.update_endpoints(&list, None, outputs),
-            Input::EndpointsRejected => {
+            Input::DiscoveryCallFailed => {
                 self.events.push(Event::EndpointsUpdated {
                     kind: EndpointUpdateKind::Rejected,
                     endpoints: Vec::new(),
@@ -238,8 +238,10 @@
             }
             Action::Fail { request } => self.fail(request, outputs),
             Action::Release { request } => self.release(request, outputs),
-            Action::ReleaseInDoubt { request } => self.release_if_not_needed(request, outputs),
-            Action::Confirm { request, attempt } => {
+            Action::ReleaseUnlessClaimed { request } => {
+                self.release_if_not_needed(request, outputs)
+            }
+            Action::ConfirmDelivery { request, attempt } => {
                 self.confirm_delivery(request, attempt, outputs)
             }
             Action::Reserve { request, engine } => self.reserve(request, &engine, outputs),
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -115,11 +115,11 @@
             .map_err(|e| e.to_string())?;
         let response = response.await.map_err(|e| e.to_string())?;
         let headers = response.headers().clone();
-        let limit = Some(requests.current_max_send_streams()).filter(|limit| *limit < 1 << 31);
-        let mut messages = MessageReader::new(response.into_body(), shared.setup.most_message);
+        let max_calls = Some(requests.current_max_send_streams()).filter(|limit| *limit < 1 << 31);
+        let mut messages = MessageReader::new(response.into_body(), shared.setup.max_message_bytes);
         match messages.next().await {
             Ok(bytes) => match call::decode_reply(path, bytes) {
-                Ok(Some(Body::Hello(them))) => Ok((them, limit)),
+                Ok(Some(Body::Hello(peer))) => Ok((peer, max_calls)),
                 _ => Err("the peer sent no greeting".to_owned()),
             },
             Err(ReadError::EndOfStream) if headers.contains_key("grpc-message") => {
@@ -132,11 +132,11 @@
         }
     };
     match greeted.await {
-        Ok((them, limit)) => {
+        Ok((peer, max_calls)) => {
             guard.0.take();
             Ok(Session {
-                them,
-                limit,
+                peer,
+                max_calls,
                 events,
                 out: Out { shared },
             })
@@ -260,7 +260,7 @@
         }
     };
     let headers = response.headers().clone();
-    let mut messages = MessageReader::new(response.into_body(), shared.setup.most_message);
+    let mut messages = MessageReader::new(response.into_body(), shared.setup.max_message_bytes);
     loop {
         // Without credit no message is read, so the sender's window fills and the sender waits.
         let next = tokio::select! { biased;
@@ -307,7 +307,7 @@
                 Ok(None) => {}
                 Err(_) => {
                     request_stream.send_reset(h2::Reason::INTERNAL_ERROR);
-                    return Some(CallEnd::Nothing.into());
+                    return Some(CallEnd::EndedWithoutStatus.into());
                 }
             },
             Err(ReadError::EndOfStream) => {
@@ -323,7 +323,7 @@
             Err(ReadError::Broken(error)) => return Some(classify(end_from_h2(&error)).into()),
             Err(ReadError::Malformed(_) | ReadError::Compressed) => {
                 request_stream.send_reset(h2::Reason::INTERNAL_ERROR);
-                return Some(CallEnd::Nothing.into());
+                return Some(CallEnd::EndedWithoutStatus.into());
             }
         }
     }
@@ -399,7 +399,7 @@
                 never_ran,
             }
         }
-        None => CallEnd::Nothing,
+        None => CallEnd::EndedWithoutStatus,
     }
 }
 
@@ -413,10 +413,16 @@
         field,
     }: EndWithoutReply,
 ) -> Option<Body> {
+    // Reasons are logged and sent to peers, so these texts stay the same if a variant is renamed.
+    let end_text = match end {
+        CallEnd::BeyondLastStream => "BeyondLast".to_owned(),
+        CallEnd::EndedWithoutStatus => "Nothing".to_owned(),
+        end => format!("{end:?}"),
+    };
     let reason = if message.is_empty() {
-        format!("{end:?}")
+        end_text
     } else {
-        format!("{end:?}: {message}")
+        format!("{end_text}: {message}")
     };
     let ended = |status: v1::Status| {
         let reason = reason.clone();
--- a/crates/http1/src/discovery_client.rs
+++ b/crates/http1/src/discovery_client.rs
@@ -1,9 +1,9 @@
 //! Sessions with discovery: fetches the complete list, then long-polls for changes.
 
-use crate::framing::{Came, Length, Reading};
+use crate::framing::{Length, ResponsePart, ResponseReader};
 use crate::{list, session, wire_names, Bounds, Session, Shared};
 use bytes::BytesMut;
-use cindercleat_protocol::session::{Event, Io, Setup};
+use cindercleat_protocol::session::{ByteStream, Event, Setup};
 use cindercleat_protocol::{v1, Body, Frame};
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,13 +12,13 @@
 
 /// Starts a session with discovery. The session sends its first request after it receives a `WatchEndpoints` frame.
 /// Every response is a list, which may be empty.
-pub(crate) fn start<S: Io>(io: S, bounds: Bounds, setup: Setup) -> Session {
-    let them = v1::Hello {
+pub(crate) fn start<S: ByteStream>(io: S, bounds: Bounds, setup: Setup) -> Session {
+    let peer = v1::Hello {
         party: v1::Party::Feed.into(),
         name: setup.expects,
         ..v1::Hello::default()
     };
-    let (session, shared, mut outgoing) = session(them, Some(1));
+    let (session, shared, mut outgoing) = session(peer, Some(1));
     spawn_local(async move {
         let ended = tokio::select! { biased;
             () = shared.wait_closing() => None,
@@ -43,7 +43,7 @@
     Unusable(String),
 }
 
-async fn run<S: Io>(
+async fn run<S: ByteStream>(
     mut io: S,
     bounds: Bounds,
     shared: &Rc<Shared>,
@@ -81,7 +81,7 @@
             Ok(list) => list,
             Err(error) => return WatchEnd::Unusable(format!("not a valid list: {error}")),
         };
-        path = changes_since(list.version, bounds.feed_wait_ms);
+        path = changes_since(list.version, bounds.discovery_wait_ms);
         shared.send_frame(stream, Body::Endpoints(list));
     }
 }
@@ -102,7 +102,7 @@
 }
 
 /// Reads one response and returns its body.
-async fn read_list<S: Io>(
+async fn read_list<S: ByteStream>(
     io: &mut S,
     bounds: Bounds,
     bytes: &mut BytesMut,
@@ -110,36 +110,36 @@
 ) -> Result<BytesMut, WatchEnd> {
     let too_long = || WatchEnd::Unusable("the list is too long".to_owned());
     let mut has_begun = false;
-    let mut reader = Reading::new(bounds.most_list);
+    let mut reader = ResponseReader::new(bounds.max_list_bytes);
     let mut body = BytesMut::new();
     loop {
         match reader
             .next(bytes)
             .map_err(|error| WatchEnd::Unusable(format!("malformed response: {error:?}")))?
         {
-            Some(Came::Head(head)) if head.first != 200 => {
+            Some(ResponsePart::Head(head)) if head.start_line != 200 => {
                 return Err(WatchEnd::Lost(format!(
                     "discovery responded with status {}",
-                    head.first
+                    head.start_line
                 )));
             }
             // A list that is too long by its declared length is refused before its body is received, so that no time
             // is spent on its transfer.
-            Some(Came::Head(head)) if is_longer(head.length, bounds.most_list) => {
+            Some(ResponsePart::Head(head)) if is_longer(head.length, bounds.max_list_bytes) => {
                 return Err(too_long())
             }
-            Some(Came::Head(_)) => {}
-            Some(Came::Data(data)) if body.len() + data.len() > bounds.most_list => {
+            Some(ResponsePart::Head(_)) => {}
+            Some(ResponsePart::Data(data)) if body.len() + data.len() > bounds.max_list_bytes => {
                 return Err(too_long());
             }
-            Some(Came::Data(data)) => body.extend_from_slice(&data),
-            Some(Came::End) => return Ok(body),
+            Some(ResponsePart::Data(data)) => body.extend_from_slice(&data),
+            Some(ResponsePart::End) => return Ok(body),
             None => match io.read_buf(bytes).await {
                 Ok(0) if reader.is_complete_at_close() => return Ok(body),
                 Ok(0) => return Err(WatchEnd::Lost("discovery closed the connection".to_owned())),
                 Ok(_) if !has_begun => {
                     has_begun = true;
-                    shared.send_event(Event::Partly);
+                    shared.send_event(Event::MessageBegun);
                 }
                 Ok(_) => {}
                 Err(error) => return Err(WatchEnd::Lost(error.to_string())),
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use list::{parse as parse_list, Malformed};
 
-use cindercleat_protocol::session::{self, Event, Io, Outbox, Setup, Wire};
+use cindercleat_protocol::session::{self, ByteStream, Event, Outbox, Setup, Wire};
 use cindercleat_protocol::{v1, Body, Frame};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -30,11 +30,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// The largest request body, in bytes; a larger one is refused with status 413.
-    pub most_body: usize,
+    pub max_body_bytes: usize,
     /// The largest chunk of an engine's response, and the largest response that is not a stream, in bytes.
-    pub most_chunk: usize,
+    pub max_chunk_bytes: usize,
     /// The largest endpoint list, in bytes.
-    pub most_list: usize,
+    pub max_list_bytes: usize,
     /// The maximum number of bytes that the request bodies of all clients hold together. A request that exceeds it is
     /// rejected with status 503.
     pub most_bodies: usize,
@@ -47,7 +47,7 @@
     /// closed.
     pub most_drained: usize,
     /// The time in milliseconds after which a connection is closed if its client accepts no byte of a response.
-    pub stall_ms: u32,
+    pub write_stall_timeout_ms: u32,
 }
 
 /// The platform's protocol; clones share the bounds and the count of buffered bytes.
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The number of bytes of clients' requests in memory, which [`Bounds::most_bodies`] limits.
+    /// The number of bytes of clients' requests in memory, which [`Bounds::max_total_body_bytes`] limits.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes.get()
     }
@@ -76,11 +76,16 @@
 impl Wire for Http1 {
     type Out = Out;
 
-    async fn serve<S: Io>(&self, io: S, _: Setup) -> Result<Session, String> {
+    async fn serve<S: ByteStream>(&self, io: S, _: Setup) -> Result<Session, String> {
         Ok(server::start(io, self.clone()))
     }
 
-    async fn connect<S: Io>(&self, io: S, to: v1::Party, setup: Setup) -> Result<Session, String> {
+    async fn connect<S: ByteStream>(
+        &self,
+        io: S,
+        to: v1::Party,
+        setup: Setup,
+    ) -> Result<Session, String> {
         match to {
             v1::Party::Engine => Ok(engine_client::start(io, self.bounds, setup)),
             v1::Party::Feed => Ok(discovery_client::start(io, self.bounds, setup)),
@@ -129,7 +134,7 @@
     }
 
     fn end(&self) {
-        self.over.set(true);
+        self.is_closed.set(true);
         self.events.borrow_mut().take();
         self.changed.notify_waiters();
     }
@@ -144,7 +149,7 @@
 
 impl Outbox for Out {
     fn send(&self, frame: Frame) -> bool {
-        !self.shared.over.get() && self.outgoing.send(frame).is_ok()
+        !self.shared.is_closed.get() && self.outgoing.send(frame).is_ok()
     }
 
     fn go_away(&self) {
@@ -157,8 +162,8 @@
         self.shared.changed.notify_waiters();
     }
 
-    async fn over(&self) {
-        while !self.shared.over.get() {
+    async fn closed(&self) {
+        while !self.shared.is_closed.get() {
             self.shared.changed.notified().await;
         }
     }
@@ -166,8 +171,8 @@
 
 /// Creates a session, with the shared state and the frame queue for the task that runs it.
 fn session(
-    them: v1::Hello,
-    limit: Option<usize>,
+    peer: v1::Hello,
+    max_calls: Option<usize>,
 ) -> (Session, Rc<Shared>, mpsc::UnboundedReceiver<Frame>) {
     let (event_sender, events) = mpsc::unbounded_channel();
     let (outgoing, outgoing_frames) = mpsc::unbounded_channel();
@@ -181,8 +186,8 @@
     };
     (
         session::Session {
-            them,
-            limit,
+            peer,
+            max_calls,
             events,
             out,
         },
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -14,14 +14,14 @@
 };
 
 const BOUNDS: Bounds = Bounds {
-    most_body: 1000,
-    most_chunk: 1000,
-    most_list: 4000,
-    most_bodies: 5000,
-    feed_wait_ms: 500,
-    drain_ms: 500,
-    most_drained: 4000,
-    stall_ms: 4000,
+    max_body_bytes: 1000,
+    max_chunk_bytes: 1000,
+    max_list_bytes: 4000,
+    max_total_body_bytes: 5000,
+    discovery_wait_ms: 500,
+    drain_timeout_ms: 500,
+    max_drained_bytes: 4000,
+    write_stall_timeout_ms: 4000,
 };
 
 /// Runs a test on a paused runtime; fails if the test takes more than 60 s of simulated time.
@@ -45,8 +45,8 @@
         name,
         expects,
         run: 1,
-        most_message: 1000,
-        most_calls: 1,
+        max_message_bytes: 1000,
+        max_concurrent_calls: 1,
     }
 }
 
@@ -78,7 +78,7 @@
     loop {
         match session.events.recv().await? {
             Event::Frame(frame) => return Some((frame.stream, frame.body?)),
-            Event::Partly | Event::Flushed { .. } | Event::GoingAway => {}
+            Event::MessageBegun | Event::MessagesWritten { .. } | Event::GoingAway => {}
         }
     }
 }
@@ -454,7 +454,7 @@
         io.write_all(&request_text("{}").as_bytes()[..40])
             .await
             .expect("bytes written");
-        assert_eq!(session.events.recv().await, Some(Event::Partly));
+        assert_eq!(session.events.recv().await, Some(Event::MessageBegun));
         session.out.close();
         assert!(read_until(&mut io, "").await.starts_with("HTTP/1.1 408 "));
         assert_eq!(session.events.recv().await, None);
@@ -1168,7 +1168,7 @@
         read_until(&mut io, "\r\n\r\n").await;
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
-            BOUNDS.most_list + 1
+            BOUNDS.max_list_bytes + 1
         );
         io.write_all(head.as_bytes()).await.expect("bytes written");
         let refused = tokio::time::timeout(Duration::from_secs(1), next_body(&mut session));
@@ -1187,7 +1187,7 @@
 fn an_indented_list_that_arrives_in_pieces_is_read_completely() {
     run(async {
         let bounds = Bounds {
-            most_list: 1 << 20,
+            max_list_bytes: 1 << 20,
             ..BOUNDS
         };
         let (mut io, session_end) = duplex(1 << 16);
@@ -1223,7 +1223,7 @@
         let reading = async {
             assert_eq!(
                 session.events.recv().await,
-                Some(Event::Partly),
+                Some(Event::MessageBegun),
                 "must be reported with the first bytes"
             );
             match next_body(&mut session).await {
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -234,7 +234,7 @@
         }
         let parties = (v1::Party::Client, &*self.name, "");
         let Session {
-            them,
+            peer,
             mut events,
             out,
             ..
@@ -257,7 +257,7 @@
                         receiving.closed.set(true);
                         continue;
                     }
-                    Event::Flushed { .. } | Event::Partly => continue,
+                    Event::MessagesWritten { .. } | Event::MessageBegun => continue,
                 };
                 port.record(&receiving, Way::In, &frame);
                 let stream = frame.stream;
--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -35,7 +35,7 @@
 }
 
 impl Engine {
-    fn new(endpoint: &Endpoint, kind: &KindSettings, dispatchers: f64) -> Self {
+    fn new(endpoint: &Endpoint, kind: &EngineKindSettings, dispatchers: f64) -> Self {
         Engine {
             endpoint: endpoint.clone(),
             kind: kind.clone(),
@@ -176,7 +176,7 @@
 
     /// Applies an entry of the list of endpoints. `kind` applies only to a new engine; a known
     /// engine keeps the kind of its first listing.
-    pub(super) fn update(&mut self, endpoint: &Endpoint, kind: &KindSettings) {
+    pub(super) fn update(&mut self, endpoint: &Endpoint, kind: &EngineKindSettings) {
         let index = match self.index.get(&endpoint.engine) {
             Some(&index) => index,
             None => self.add(endpoint, kind),
@@ -184,7 +184,7 @@
         self.engines[index].update(endpoint);
     }
 
-    fn add(&mut self, endpoint: &Endpoint, kind: &KindSettings) -> EngineIndex {
+    fn add(&mut self, endpoint: &Endpoint, kind: &EngineKindSettings) -> EngineIndex {
         let index = self.engines.len();
         self.index.insert(endpoint.engine.clone(), index);
         self.engines
