--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -392,7 +392,7 @@
         })
     };
     pairs.required("familyInfo.kindRole")?;
-    let kinds: Vec<KindSettings> = pairs
+    let kinds: Vec<EngineKindSettings> = pairs
         .list("familyInfo.kindRole")
         .into_iter()
         .enumerate()
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -439,7 +439,9 @@
 /// The names of the messages that `out` sends to engines.
 pub fn engine_message_names(out: &[Output]) -> Vec<&'static str> {
     let message_name = |output: &Output| match output {
-        Output::ToEngine { frame, .. } => Some(cindercleat_protocol::name_of(frame.body.as_ref())),
+        Output::ToEngine { frame, .. } => {
+            Some(cindercleat_protocol::message_name(frame.body.as_ref()))
+        }
         _ => None,
     };
     out.iter().filter_map(message_name).collect()
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -219,7 +219,7 @@
     let id = request_stream.stream_id().as_u32();
     // A call that the GOAWAY excludes did not run, whatever error the call itself ends with.
     let classify = |end: CallEnd| match end {
-        _ if goaway.is_beyond_last_stream(id) => CallEnd::BeyondLast,
+        _ if goaway.is_beyond_last_stream(id) => CallEnd::BeyondLastStream,
         // After a GOAWAY the end of the connection is expected. It fails this call, but it is not a
         // connection loss and tells nothing about the health of the engine.
         CallEnd::ConnectionLost if goaway.is_received() => CallEnd::Status {
--- a/crates/http1/src/engine_client.rs
+++ b/crates/http1/src/engine_client.rs
@@ -441,7 +441,7 @@
 /// Makes closing the connection send a reset. Otherwise, if the engine's machine is unreachable, the system keeps
 /// retransmitting a cancelled request after a normal close, and delivers it when the machine returns. In-memory
 /// connections have no unsent data and are left unchanged.
-fn discard_unsent<S: Io>(io: &S) {
+fn discard_unsent<S: ByteStream>(io: &S) {
     if let Some(stream) = (io as &dyn Any).downcast_ref::<TcpStream>() {
         // Setting the option fails only if the connection is gone, and then there is nothing to discard.
         let _ = stream.set_zero_linger();
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -254,7 +254,7 @@
 pub struct BodyReader {
     state: BodyState,
     /// The largest chunk accepted, in bytes.
-    most_chunk: usize,
+    max_chunk_bytes: usize,
 }
 
 impl BodyReader {
@@ -388,12 +388,12 @@
 
 /// Parses one response, and skips the interim responses before it.
 #[derive(Clone, Debug)]
-pub struct Reading {
-    most_chunk: usize,
+pub struct ResponseReader {
+    max_chunk_bytes: usize,
     /// The number of interim responses skipped so far.
     interim: usize,
     /// The parser of the body; `None` until the head of the final response is received.
-    body: Option<Body>,
+    body: Option<BodyReader>,
 }
 
 impl ResponseReader {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -37,15 +37,15 @@
     pub max_list_bytes: usize,
     /// The maximum number of bytes that the request bodies of all clients hold together. A request that exceeds it is
     /// rejected with status 503.
-    pub most_bodies: usize,
+    pub max_total_body_bytes: usize,
     /// The maximum time that discovery may delay its response while the list is unchanged, in milliseconds.
-    pub feed_wait_ms: u32,
+    pub discovery_wait_ms: u32,
     /// How long a connection still reads and discards input after its last response before it is closed, in
     /// milliseconds.
-    pub drain_ms: u32,
+    pub drain_timeout_ms: u32,
     /// The maximum number of input bytes that a connection reads and discards after its last response before it is
     /// closed.
-    pub most_drained: usize,
+    pub max_drained_bytes: usize,
     /// The time in milliseconds after which a connection is closed if its client accepts no byte of a response.
     pub write_stall_timeout_ms: u32,
 }
@@ -102,8 +102,8 @@
     /// `Outbox::go_away` was called.
     leaving: Cell<bool>,
     /// The session's task has ended.
-    over: Cell<bool>,
-    /// Signals a change of `closing`, `leaving` or `over`.
+    is_closed: Cell<bool>,
+    /// Signals a change of `closing`, `leaving` or `is_closed`.
     changed: Notify,
     /// Sends the session's events; `None` once the session's task has ended.
     events: RefCell<Option<mpsc::UnboundedSender<Event>>>,
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -244,7 +244,7 @@
         Ok((received, head.keep_alive))
     }
 
-    /// Reads more input of a request. `begin_reported` tells whether `Event::Partly` was sent for the request.
+    /// Reads more input of a request. `begin_reported` tells whether `Event::MessageBegun` was sent for the request.
     async fn read_more(&mut self, begin_reported: &mut bool) -> Result<(), Stop> {
         let has_begun = !self.bytes.is_empty() || self.buffered.bytes > 0;
         if has_begun && !*begin_reported {
@@ -382,7 +382,7 @@
     }
 
     /// Whether the pipelined input after the current request is longer than one request may be, or the requests of
-    /// all clients together exceed `Bounds::most_bodies`. `request_bytes` is the length of the current request's body.
+    /// all clients together exceed `Bounds::max_total_body_bytes`. `request_bytes` is the length of the current request's body.
     fn exceeds_pipeline_bounds(&mut self, request_bytes: usize) -> bool {
         let bounds = self.wire.bounds;
         self.buffered
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -196,8 +196,8 @@
         }
         while let Some(parser) = &mut reader {
             match parser.next(&mut bytes)? {
-                Some(Part::Data(data)) => body.extend_from_slice(&data),
-                Some(Part::End) => return Ok(Some(body)),
+                Some(BodyPart::Data(data)) => body.extend_from_slice(&data),
+                Some(BodyPart::End) => return Ok(Some(body)),
                 None => break,
             }
         }
--- a/crates/http1/tests/session.rs
+++ b/crates/http1/tests/session.rs
@@ -1182,7 +1182,7 @@
 }
 
 /// Discovery may indent its JSON, and a list may be long, so a list may arrive in many pieces. The session sends
-/// `Event::Partly` when the first bytes of the list arrive, and reads the whole list however its bytes are split.
+/// `Event::MessageBegun` when the first bytes of the list arrive, and reads the whole list however its bytes are split.
 #[test]
 fn an_indented_list_that_arrives_in_pieces_is_read_completely() {
     run(async {
--- a/crates/net/tests/simulated_network.rs
+++ b/crates/net/tests/simulated_network.rs
@@ -115,7 +115,7 @@
         let partitioned_network = network.clone();
         spawn_local(async move {
             sleep(Duration::from_millis(100)).await;
-            partitioned_network.block("north", "south", false);
+            partitioned_network.set_blocked("north", "south", false);
         });
         server
             .read_exact(&mut byte)
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -34,7 +34,7 @@
     Frame(Frame),
     /// The first bytes of a message arrived, but the message is not complete yet. Only HTTP/1.1 sessions send this
     /// event.
-    Partly,
+    MessageBegun,
     /// Token messages of a stream were written to the connection, which shows that the peer still reads the stream.
     MessagesWritten {
         /// The stream number of the token messages.
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -241,7 +241,7 @@
         } = open_session(&self.transport, (&self.server.0, self.server.1), parties).await?;
         let connection = Rc::new(Connection {
             id: self.transcript.new_conn(),
-            peer: Rc::from(them.name),
+            peer: Rc::from(peer.name),
             out,
             streams: RefCell::default(),
             closed: Cell::new(false),
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -869,7 +869,7 @@
             let tokens = v1::Tokens {
                 position,
                 count: 1,
-                text: text(&token_text(position)),
+                text: text_bytes(&token_text(position)),
             };
             self.send(&connection, stream, Body::Tokens(tokens));
         }
--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -15,7 +15,7 @@
 
 pub(super) struct Engine {
     pub(super) endpoint: Endpoint,
-    pub(super) kind: KindSettings,
+    pub(super) kind: EngineKindSettings,
     /// Number of this dispatcher's decodes in flight at the engine.
     pub(super) decodes: f64,
     /// Number of this dispatcher's prefills in flight at the engine.
