--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -6,7 +6,7 @@
 use cindercleat::coordination::member::{OperatorRequest, Reply, RolloutRequest, Status};
 use cindercleat::coordination::membership::MemberStatus;
 use cindercleat::coordination::{Address, LeaseName, Name, Term};
-use cindercleat_fleet::admin_client::order_any;
+use cindercleat_fleet::admin_client::send_operator_request_to_any;
 use cindercleat_fleet::job::{Ended, Job, Work};
 use cindercleat_net::{Clock, SystemClock, Tcp};
 use clap::{Args, Subcommand};
@@ -293,7 +293,7 @@
     at: &[String],
     what: &OperatorRequest,
 ) -> Result<Reply, String> {
-    order_any(&Tcp, clock, at, what, WITHIN).await
+    send_operator_request_to_any(&Tcp, clock, at, what, WITHIN).await
 }
 
 pub(crate) fn say(reply: Result<Reply, String>) -> io::Result<bool> {
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -6,7 +6,7 @@
 use cindercleat_dispatcher::driver::{Driver, Locations, Readiness};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_faults::fleet::End;
-use cindercleat_fleet::acceptor_storage::Folder;
+use cindercleat_fleet::acceptor_storage::DiskFile;
 use cindercleat_net::{Listener, Tcp, TcpFrom, TokioClock, Transport};
 use std::future::Future;
 use std::io;
@@ -43,7 +43,7 @@
                 driver: driver.clone(),
                 permit: permit.clone(),
             });
-            let disk = fleet.file.map(Folder::new);
+            let disk = fleet.file.map(DiskFile::new);
             let member =
                 cindercleat_fleet::Driver::new(fleet.member, transport, clock, disk, dispatcher);
             beside = Some(tokio::task::spawn_local(async move {
@@ -92,7 +92,7 @@
         self.driver.engines()
     }
 
-    fn has_turn(&self, permit: u64, label: &str) {
+    fn grant_restart(&self, permit: u64, label: &str) {
         // For the supervisor that starts it again: what it is to come back under.
         println!("turn {permit} label {label}");
         self.permit.notify_one();
--- a/crates/faults/src/drill/mod.rs
+++ b/crates/faults/src/drill/mod.rs
@@ -11,7 +11,7 @@
 use cindercleat::coordination::member::{Answer, Question};
 use cindercleat::coordination::Incarnation;
 use cindercleat::interface::Ms;
-use cindercleat_fleet::codec::{answer_out, question_in};
+use cindercleat_fleet::codec::{answer_to_proto, request_from_proto};
 use cindercleat_grpc::{serve, Event, Session, Setup};
 use cindercleat_protocol::{frame, v1, Body, Frame};
 use cindercleat_standin::transcript::Note;
@@ -568,7 +568,7 @@
                     else {
                         continue;
                     };
-                    let Some(Question::FencedCommand(act)) = question_in(said) else {
+                    let Some(Question::FencedCommand(act)) = request_from_proto(said) else {
                         continue;
                     };
                     let mut seen = seen.borrow_mut();
@@ -577,7 +577,7 @@
                     let verdict = receiver.receive(now, &act);
                     let receiver_timestamp = receiver.receiver_timestamp(now);
                     seen.saw(at, now, &act, verdict);
-                    let answer = answer_out(&Answer::FencingDecision {
+                    let answer = answer_to_proto(&Answer::FencingDecision {
                         verdict,
                         receiver_timestamp,
                     });
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -14,7 +14,7 @@
 use cindercleat::coordination::rollout_controller::PermitNotice;
 use cindercleat::coordination::{Incarnation, Name};
 use cindercleat::interface::Ms;
-use cindercleat_fleet::codec::{answer_out, question_in};
+use cindercleat_fleet::codec::{answer_to_proto, request_from_proto};
 use cindercleat_grpc::{serve, Event, Session, Setup};
 use cindercleat_net::{Clock, Tcp, TokioClock};
 use cindercleat_protocol::{frame, v1, Body, Frame};
@@ -368,7 +368,7 @@
                         else {
                             continue;
                         };
-                        let answer = match question_in(said) {
+                        let answer = match request_from_proto(said) {
                             Some(Question::FencedCommand(act)) => {
                                 let now = around.now();
                                 let verdict = receiver.borrow_mut().receive(now, &act);
@@ -393,7 +393,7 @@
                             },
                             _ => continue,
                         };
-                        out.send(frame(stream, Body::FleetAnswer(answer_out(&answer))));
+                        out.send(frame(stream, Body::FleetAnswer(answer_to_proto(&answer))));
                     }
                 });
             }
--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -22,7 +22,7 @@
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
 use cindercleat::interface::Ms;
-use cindercleat_fleet::codec::{answer_out, question_out};
+use cindercleat_fleet::codec::{answer_to_proto, request_to_proto};
 use nanorand::{Rng, WyRand};
 use prost::Message;
 use std::cmp::Reverse;
@@ -495,7 +495,7 @@
                 };
                 let weight = |plan: &Plan| {
                     if plan.weigh {
-                        question_out(&question).encoded_len()
+                        request_to_proto(&question).encoded_len()
                     } else {
                         0
                     }
@@ -547,7 +547,7 @@
                     ask,
                 }) => {
                     let bytes = if self.plan.weigh {
-                        answer_out(&answer).encoded_len()
+                        answer_to_proto(&answer).encoded_len()
                     } else {
                         0
                     };
--- a/crates/fleet/src/acceptor_storage.rs
+++ b/crates/fleet/src/acceptor_storage.rs
@@ -2,7 +2,7 @@
 //!
 //! A write goes to a temporary file in the same directory. The temporary file is synced and renamed over the old file,
 //! and then the directory is synced. After a crash the file has either the old or the new content, and content that was
-//! reported as durable is not lost. The trait [`FileStore`] abstracts file access: [`Folder`] is a file in the
+//! reported as durable is not lost. The trait [`FileStore`] abstracts file access: [`DiskFile`] is a file in the
 //! operating system's file system, and [`MemoryFile`] is a file in memory that tests can damage and whose writes can be
 //! made to fail.
 
@@ -95,14 +95,14 @@
 
 /// A voter's file in the operating system's file system, which survives restarts of the process.
 #[derive(Clone, Debug)]
-pub struct Folder {
+pub struct DiskFile {
     path: PathBuf,
 }
 
-impl Folder {
+impl DiskFile {
     /// The file at `path`. The file need not exist yet, but its directory has to.
     pub fn new(path: impl Into<PathBuf>) -> Self {
-        Folder { path: path.into() }
+        DiskFile { path: path.into() }
     }
 }
 
@@ -124,7 +124,7 @@
     File::open(directory)?.sync_all()
 }
 
-impl FileStore for Folder {
+impl FileStore for DiskFile {
     fn read(&self) -> io::Result<Option<Vec<u8>>> {
         match std::fs::read(&self.path) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
--- a/crates/fleet/src/admin_client.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -1,6 +1,6 @@
 //! Client for operators: sends requests to members of a fleet and awaits their answers.
 
-use crate::codec::{answer_in, question_out};
+use crate::codec::{answer_from_proto, request_to_proto};
 use crate::driver::MAX_MESSAGE_BYTES;
 use cindercleat::coordination::member::{Answer, OperatorRequest, Question, Reply};
 use cindercleat::interface::Ms;
@@ -40,7 +40,7 @@
         let Session {
             mut events, out, ..
         } = connect(stream, v1::Party::Fleet, setup).await?;
-        out.send(frame(1, Body::FleetCall(question_out(question))));
+        out.send(frame(1, Body::FleetCall(request_to_proto(question))));
         while let Some(event) = events.recv().await {
             match event {
                 Event::Frame(Frame {
@@ -48,7 +48,7 @@
                     ..
                 }) => {
                     out.close();
-                    return answer_in(message)
+                    return answer_from_proto(message)
                         .ok_or_else(|| "the answer is not a valid message".to_owned());
                 }
                 Event::Frame(Frame {
@@ -108,7 +108,7 @@
 ///
 /// # Errors
 /// The error of the last member, as in [`send_operator_request`]; a message if `addresses` is empty.
-pub async fn order_any<T: Transport, C: Clock>(
+pub async fn send_operator_request_to_any<T: Transport, C: Clock>(
     transport: &T,
     clock: &C,
     addresses: &[String],
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -170,7 +170,7 @@
 
 fn replicated_state_to_proto(value: &ReplicatedState) -> v1::ReplicatedState {
     let (version, voters) = (value.version, Some(voter_set_to_proto(&value.voters)));
-    let disruptions = rollout_codec::care_out(&value.disruptions);
+    let disruptions = rollout_codec::disruptions_to_proto(&value.disruptions);
     v1::ReplicatedState {
         version,
         voters,
@@ -187,7 +187,9 @@
         .iter()
         .map(lease_record_from_proto)
         .collect::<Option<_>>()?;
-    let disruptions = Box::new(rollout_codec::care_in(message.disruptions.as_ref())?);
+    let disruptions = Box::new(rollout_codec::disruptions_from_proto(
+        message.disruptions.as_ref(),
+    )?);
     Some(ReplicatedState {
         version: message.version,
         voters: voter_set_from_proto(&message.voters?)?,
@@ -291,7 +293,7 @@
 }
 
 /// Encodes a request to a member as a message of the `Fleet` service.
-pub fn question_out(question: &Question) -> v1::FleetCall {
+pub fn request_to_proto(question: &Question) -> v1::FleetCall {
     let question = match question {
         Question::Vote(AcceptorRequest::Prepare {
             voter_id,
@@ -327,11 +329,11 @@
             stopping: heartbeat.stopping,
             load: heartbeat.load,
             holds: heartbeat.holds,
-            tally: Some(rollout_codec::tally_out(&heartbeat.tally)),
+            tally: Some(rollout_codec::outcome_counts_to_proto(&heartbeat.tally)),
             reports: heartbeat
                 .reports
                 .iter()
-                .map(rollout_codec::report_out)
+                .map(rollout_codec::engine_report_to_proto)
                 .collect(),
         }),
         Question::LeaseOffer { lease_name } => WireQuestion::Nudge(v1::FleetNudge {
@@ -351,7 +353,7 @@
             of,
             who,
             incarnation,
-        } => rollout_codec::ask_back_out(*permit, *of, who, *incarnation),
+        } => rollout_codec::revocation_to_proto(*permit, *of, who, *incarnation),
         Question::Operator(request) => operator_request_to_proto(request),
     };
     v1::FleetCall {
@@ -391,7 +393,7 @@
             lease_name: lease_name.0.to_string(),
             job: *job,
         }),
-        OperatorRequest::Rollout(request) => rollout_codec::order_out(request),
+        OperatorRequest::Rollout(request) => rollout_codec::rollout_request_to_proto(request),
         OperatorRequest::ByHand {
             name,
             address,
@@ -408,7 +410,7 @@
 }
 
 /// Decodes a request from another member or an operator; `None` if it is invalid.
-pub fn question_in(message: v1::FleetCall) -> Option<Question> {
+pub fn request_from_proto(message: v1::FleetCall) -> Option<Question> {
     Some(match message.question? {
         WireQuestion::Prepare(content) => {
             let write_counts = write_counts_from_proto(&content.heard)?;
@@ -440,8 +442,8 @@
                 content.holds,
             );
             let (tally, reports) = (
-                rollout_codec::tally_in(content.tally.as_ref()),
-                rollout_codec::reports_in(&content.reports)?,
+                rollout_codec::outcome_counts_from_proto(content.tally.as_ref()),
+                rollout_codec::engine_reports_from_proto(&content.reports)?,
             );
             Question::Heartbeat(Heartbeat {
                 who,
@@ -509,7 +511,7 @@
             job: content.job,
         }),
         WireQuestion::AskBack(content) => {
-            let (permit, of, who, incarnation) = rollout_codec::ask_back_in(&content)?;
+            let (permit, of, who, incarnation) = rollout_codec::revocation_from_proto(&content)?;
             Question::AskBack {
                 permit,
                 of,
@@ -517,7 +519,7 @@
                 incarnation,
             }
         }
-        other => Question::Operator(rollout_codec::order_in(&other)?),
+        other => Question::Operator(rollout_codec::rollout_request_from_proto(&other)?),
     })
 }
 
@@ -545,7 +547,7 @@
 }
 
 /// Encodes a member's answer as a message of the `Fleet` service.
-pub fn answer_out(answer: &Answer) -> v1::FleetAnswer {
+pub fn answer_to_proto(answer: &Answer) -> v1::FleetAnswer {
     let answer = match answer {
         Answer::Vote(AcceptorReply::Promise {
             ballot,
@@ -620,7 +622,7 @@
 }
 
 /// Decodes a member's answer; `None` if it is invalid.
-pub fn answer_in(message: v1::FleetAnswer) -> Option<Answer> {
+pub fn answer_from_proto(message: v1::FleetAnswer) -> Option<Answer> {
     Some(match message.answer? {
         WireAnswer::Promise(content) => {
             let (ballot, accepted) = (
@@ -747,7 +749,7 @@
             .as_ref()
             .map(|address| address.0.to_string())
             .unwrap_or_default(),
-        disruptions: Some(rollout_codec::status_out(&status.disruptions)),
+        disruptions: Some(rollout_codec::rollout_status_to_proto(&status.disruptions)),
     }
 }
 
@@ -795,6 +797,6 @@
         leading_for: message.roll_for_ms,
         members: message.roll.iter().map(member).collect::<Option<_>>()?,
         leader: address(&message.caller),
-        disruptions: rollout_codec::status_in(message.disruptions.as_ref())?,
+        disruptions: rollout_codec::rollout_status_from_proto(message.disruptions.as_ref())?,
     })
 }
--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -4,7 +4,7 @@
 //! runs on the thread that starts it, except for writes of the voter's file.
 
 use crate::acceptor_storage::{self, FileStore};
-use crate::codec::{answer_in, answer_out, question_in, question_out};
+use crate::codec::{answer_from_proto, answer_to_proto, request_from_proto, request_to_proto};
 use cindercleat::coordination::disruption_budget::Unit;
 use cindercleat::coordination::member::{
     CallId, FleetSettings, Input, LocalHealth, Member, Output, Question, QuestionId, SaveId,
@@ -55,7 +55,7 @@
 
     /// The dispatcher is permitted to restart: it drains and exits, and its supervisor starts it again under `label`,
     /// or under its present label if `label` is empty.
-    fn has_turn(&self, permit: u64, label: &str);
+    fn grant_restart(&self, permit: u64, label: &str);
 }
 
 /// An open outgoing connection to another member.
@@ -245,7 +245,7 @@
             Output::Ask { ask, to, question } => self.send_request(ask, to, &question),
             Output::Answer { call, answer } => {
                 if let Some((out, stream)) = self.state.open_calls.borrow_mut().remove(&call) {
-                    out.send(frame(stream, Body::FleetAnswer(answer_out(&answer))));
+                    out.send(frame(stream, Body::FleetAnswer(answer_to_proto(&answer))));
                 }
             }
             Output::Save { number, state } => {
@@ -275,7 +275,7 @@
                     label,
                     "disruption permit received; draining and restarting this dispatcher"
                 );
-                self.state.dispatcher.has_turn(permit.0, &label);
+                self.state.dispatcher.grant_restart(permit.0, &label);
             }
             Output::Warn(text) => tracing::warn!("{text}"),
             Output::Info(text) => tracing::debug!("{text}"),
@@ -360,7 +360,7 @@
 
     /// Sends a request, or queues the request until the connection to its receiver is open.
     fn send_request(&self, id: QuestionId, to: Address, question: &Question) {
-        let call = question_out(question);
+        let call = request_to_proto(question);
         let peer = self.state.peers.borrow().get(&to).cloned();
         if let Some(peer) = peer {
             return self.send_on_connection(&peer, id, call);
@@ -475,7 +475,7 @@
                     };
                     let answer = match body {
                         Some(Body::FleetAnswer(message)) => {
-                            self.count_if_invalid(answer_in(message))
+                            self.count_if_invalid(answer_from_proto(message))
                         }
                         _ => None,
                     };
@@ -574,7 +574,7 @@
     /// Handles a received frame: passes a request to the member, or drops a request that its sender has cancelled.
     fn handle_frame(&self, out: &Out, stream: u64, body: Body) {
         match body {
-            Body::FleetCall(message) => match self.count_if_invalid(question_in(message)) {
+            Body::FleetCall(message) => match self.count_if_invalid(request_from_proto(message)) {
                 Some(question) => {
                     let call = CallId(self.state.calls_received.get() + 1);
                     self.state.calls_received.set(call.0);
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -2,7 +2,7 @@
 //! starts the work, asks for the lease again while the work runs, and ends the work before the lease expires if the
 //! lease is not renewed.
 
-use crate::admin_client::order_any;
+use crate::admin_client::send_operator_request_to_any;
 use cindercleat::coordination::job_lease::JobLease;
 use cindercleat::coordination::member::{OperatorRequest, Reply};
 use cindercleat::coordination::{LeaseName, Term};
@@ -130,7 +130,7 @@
             job: self.number,
         };
         tokio::select! { biased;
-            reply = order_any(self.transport, self.clock, self.addresses, &request, ANSWER_TIMEOUT_MS) => reply,
+            reply = send_operator_request_to_any(self.transport, self.clock, self.addresses, &request, ANSWER_TIMEOUT_MS) => reply,
             () = self.clock.sleep_until(asked_at + timeout) => Err(format!("no answer within {timeout:.0} ms")),
         }
     }
@@ -194,7 +194,7 @@
             lease_name: self.lease_name.clone(),
             job: self.number,
         };
-        let _ = order_any(
+        let _ = send_operator_request_to_any(
             self.transport,
             self.clock,
             self.addresses,
--- a/crates/fleet/src/rollout_codec.rs
+++ b/crates/fleet/src/rollout_codec.rs
@@ -57,7 +57,7 @@
     names.into_iter().map(|name| name.0.to_string()).collect()
 }
 
-pub(crate) fn tally_out(outcomes: &OutcomeCounts) -> v1::FleetOutcomeCounts {
+pub(crate) fn outcome_counts_to_proto(outcomes: &OutcomeCounts) -> v1::FleetOutcomeCounts {
     let OutcomeCounts {
         succeeded,
         rejected,
@@ -74,7 +74,7 @@
 
 /// Decodes outcome counts, each reduced to at most [`MAX_OUTCOME_COUNT`] so that sums of counts do not overflow. A
 /// missing message yields zero counts.
-pub(crate) fn tally_in(message: Option<&v1::FleetOutcomeCounts>) -> OutcomeCounts {
+pub(crate) fn outcome_counts_from_proto(message: Option<&v1::FleetOutcomeCounts>) -> OutcomeCounts {
     let Some(&v1::FleetOutcomeCounts {
         succeeded,
         rejected,
@@ -95,18 +95,20 @@
 }
 
 /// Encodes an engine report of a heartbeat. The age of an unknown utilization is encoded as 0.
-pub(crate) fn report_out(report: &EngineReport) -> v1::FleetEngineReport {
+pub(crate) fn engine_report_to_proto(report: &EngineReport) -> v1::FleetEngineReport {
     v1::FleetEngineReport {
         engine: report.engine.0.to_string(),
         used: report.used.map(|(used, _)| used),
         age_ms: report.used.map_or(0.0, |(_, age)| age),
-        tally: Some(tally_out(&report.tally)),
+        tally: Some(outcome_counts_to_proto(&report.tally)),
     }
 }
 
 /// Decodes the engine reports of a heartbeat. A report without a finite utilization and a finite, non-negative age
 /// keeps its outcomes only.
-pub(crate) fn reports_in(messages: &[v1::FleetEngineReport]) -> Option<Vec<EngineReport>> {
+pub(crate) fn engine_reports_from_proto(
+    messages: &[v1::FleetEngineReport],
+) -> Option<Vec<EngineReport>> {
     let report = |message: &v1::FleetEngineReport| {
         let used = message
             .used
@@ -115,7 +117,7 @@
         Some(EngineReport {
             engine: name(&message.engine)?,
             used,
-            tally: tally_in(message.tally.as_ref()),
+            tally: outcome_counts_from_proto(message.tally.as_ref()),
         })
     };
     at_most(messages, MAX_REPORTS)?.iter().map(report).collect()
@@ -326,7 +328,7 @@
 }
 
 /// Encodes the state of permits and rollouts. Returns none for the empty state, so that the message omits the field.
-pub(crate) fn care_out(disruptions: &DisruptionState) -> Option<v1::FleetDisruptions> {
+pub(crate) fn disruptions_to_proto(disruptions: &DisruptionState) -> Option<v1::FleetDisruptions> {
     (!disruptions.is_empty()).then(|| v1::FleetDisruptions {
         given: disruptions.permits_granted,
         permits: disruptions.permits.iter().map(permit_to_proto).collect(),
@@ -340,7 +342,9 @@
 }
 
 /// Decodes the state of permits and rollouts. A missing message yields the empty state.
-pub(crate) fn care_in(message: Option<&v1::FleetDisruptions>) -> Option<DisruptionState> {
+pub(crate) fn disruptions_from_proto(
+    message: Option<&v1::FleetDisruptions>,
+) -> Option<DisruptionState> {
     let Some(message) = message else {
         return Some(DisruptionState::default());
     };
@@ -371,7 +375,7 @@
 }
 
 /// Encodes an operator's request about rollouts, or a dispatcher's request for a permit.
-pub(crate) fn order_out(request: &RolloutRequest) -> Question {
+pub(crate) fn rollout_request_to_proto(request: &RolloutRequest) -> Question {
     match request {
         RolloutRequest::Start {
             plan,
@@ -405,7 +409,7 @@
 
 /// Decodes an operator's request about rollouts, a dispatcher's request for a permit, or a request to stop a single
 /// dispatcher. None if the question is of a different kind, or if a field is invalid.
-pub(crate) fn order_in(question: &Question) -> Option<OperatorRequest> {
+pub(crate) fn rollout_request_from_proto(question: &Question) -> Option<OperatorRequest> {
     Some(OperatorRequest::Rollout(match question {
         Question::Start(message) => {
             let plan = Box::new(plan_from_proto(message.plan.as_ref())?);
@@ -446,7 +450,7 @@
 
 /// Encodes a revocation request, which asks a unit whether it has begun to drain on a permit and forbids it to begin
 /// later.
-pub(crate) fn ask_back_out(
+pub(crate) fn revocation_to_proto(
     permit: PermitId,
     unit_kind: UnitKind,
     unit: &Name,
@@ -461,7 +465,7 @@
 }
 
 /// Decodes a revocation request. None if the unit's name is invalid.
-pub(crate) fn ask_back_in(
+pub(crate) fn revocation_from_proto(
     message: &v1::FleetAskBack,
 ) -> Option<(PermitId, UnitKind, Name, Incarnation)> {
     Some((
@@ -472,7 +476,7 @@
     ))
 }
 
-pub(crate) fn status_out(status: &RolloutStatus) -> v1::FleetRolloutStatus {
+pub(crate) fn rollout_status_to_proto(status: &RolloutStatus) -> v1::FleetRolloutStatus {
     let permit = |permit: &PermitStatus| v1::FleetPermitLine {
         number: permit.permit.0,
         who: permit.unit.0.to_string(),
@@ -507,7 +511,9 @@
 }
 
 /// Decodes the rollout status that a dispatcher reports to an operator. A missing message yields an empty status.
-pub(crate) fn status_in(message: Option<&v1::FleetRolloutStatus>) -> Option<RolloutStatus> {
+pub(crate) fn rollout_status_from_proto(
+    message: Option<&v1::FleetRolloutStatus>,
+) -> Option<RolloutStatus> {
     let Some(message) = message else {
         return Some(RolloutStatus::default());
     };
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -23,7 +23,9 @@
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
 use cindercleat_fleet::acceptor_storage::{decode, write, LoadError};
-use cindercleat_fleet::codec::{answer_in, answer_out, question_in, question_out};
+use cindercleat_fleet::codec::{
+    answer_from_proto, answer_to_proto, request_from_proto, request_to_proto,
+};
 use cindercleat_protocol::v1;
 use proptest::prelude::*;
 use prost::Message;
@@ -285,7 +287,10 @@
         }),
     ];
     for question in questions {
-        assert_eq!(question_in(question_out(&question)), Some(question));
+        assert_eq!(
+            request_from_proto(request_to_proto(&question)),
+            Some(question)
+        );
     }
     let receiver_timestamp = ReceiverTimestamp {
         incarnation: Incarnation(2),
@@ -365,7 +370,7 @@
         Answer::Begun { begun: true },
     ];
     for answer in answers {
-        assert_eq!(answer_in(answer_out(&answer)), Some(answer));
+        assert_eq!(answer_from_proto(answer_to_proto(&answer)), Some(answer));
     }
 }
 
@@ -385,9 +390,9 @@
             incarnation: 1,
         })
     };
-    assert!(question_in(prepare(wire_ballot(1, "a"))).is_some());
+    assert!(request_from_proto(prepare(wire_ballot(1, "a"))).is_some());
     assert_eq!(
-        question_in(v1::FleetCall { question: None }),
+        request_from_proto(v1::FleetCall { question: None }),
         None,
         "a call without a question is refused"
     );
@@ -400,12 +405,12 @@
         wire_ballot(1, &"x".repeat(300)),
     ] {
         assert_eq!(
-            question_in(prepare(ballot.clone())),
+            request_from_proto(prepare(ballot.clone())),
             None,
             "a request with the ballot {ballot:?} is refused"
         );
     }
-    let mut with_too_many_leases = question_out(&Question::Vote(AcceptorRequest::Accept {
+    let mut with_too_many_leases = request_to_proto(&Question::Vote(AcceptorRequest::Accept {
         voter_id: VoterId(1),
         ballot: ballot(1),
         value: replicated_state(),
@@ -416,7 +421,7 @@
         value.leases = vec![value.leases[0].clone(); 1000];
     }
     assert_eq!(
-        question_in(with_too_many_leases),
+        request_from_proto(with_too_many_leases),
         None,
         "a state with more leases than a fleet can have is refused"
     );
@@ -449,10 +454,10 @@
     #[test]
     fn decoding_random_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         if let Ok(call) = v1::FleetCall::decode(&bytes[..]) {
-            let _ = question_in(call);
+            let _ = request_from_proto(call);
         }
         if let Ok(answer) = v1::FleetAnswer::decode(&bytes[..]) {
-            let _ = answer_in(answer);
+            let _ = answer_from_proto(answer);
         }
         let _ = decode(&bytes);
     }
--- a/crates/fleet/tests/driver.rs
+++ b/crates/fleet/tests/driver.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    fn has_turn(&self, _: u64, _: &str) {}
+    fn grant_restart(&self, _: u64, _: &str) {}
 }
 
 impl TestFleet {
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    fn has_turn(&self, _: u64, _: &str) {}
+    fn grant_restart(&self, _: u64, _: &str) {}
 }
 
 /// Work that runs until the job ends it.
