--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -370,7 +370,7 @@
     let roll = status.members.iter().map(|l| {
         json!({
             "name": *l.name.0, "zone": l.zone, "label": l.label, "standing": member_status(l.member_status),
-            "ready": l.ready, "up_ms": l.uptime, "age_ms": l.heard_ago
+            "ready": l.ready, "up_ms": l.uptime, "age_ms": l.last_heartbeat_age
         })
     });
     json!({
@@ -428,7 +428,7 @@
             member_status(l.member_status),
             if l.ready { "ready" } else { "not ready" },
             l.uptime / 1000.0,
-            l.heard_ago
+            l.last_heartbeat_age
         );
     }
     out
--- a/crates/cindercleat-cli/src/fleet_settings.rs
+++ b/crates/cindercleat-cli/src/fleet_settings.rs
@@ -3,7 +3,7 @@
 use crate::conf::{Line, Problem, Section, Time};
 use crate::release_plan;
 use cindercleat::coordination::lease::LeaseSettings;
-use cindercleat::coordination::member::{FleetSettings, LONGEST_NAME};
+use cindercleat::coordination::member::{FleetSettings, MAX_NAME_BYTES};
 use cindercleat::coordination::state::{MAX_VOTERS, MIN_VOTERS};
 use cindercleat::coordination::{Address, Incarnation, Name};
 use std::collections::BTreeMap;
@@ -43,8 +43,8 @@
     let mut voters: BTreeMap<Name, Address> = BTreeMap::new();
     for line in block.all("voter") {
         let (voter, at) = (line.value::<String>(1)?, address(line, 2)?);
-        if voter.len() > LONGEST_NAME {
-            return Err(line.wrong(&format!("a name of at most {LONGEST_NAME} bytes")));
+        if voter.len() > MAX_NAME_BYTES {
+            return Err(line.wrong(&format!("a name of at most {MAX_NAME_BYTES} bytes")));
         }
         if voters.values().any(|other| *other.0 == *at) {
             return Err(line.wrong("an address of its own for each voter"));
@@ -73,7 +73,7 @@
     let time =
         |keyword: &'static str, absent: f64| block.value_or(keyword, Time(absent)).map(|t| t.0);
     let lease = time("lease", 3_000.0)?;
-    let answer_within = time("answer", lease / 10.0)?;
+    let request_timeout = time("answer", lease / 10.0)?;
     let drift = match block.maybe("drift")? {
         Some(line) => {
             let drift: f64 = line.only()?;
@@ -84,13 +84,13 @@
         }
         None => 0.01,
     };
-    if lease < ROUND_TRIPS * answer_within || answer_within <= 0.0 {
+    if lease < ROUND_TRIPS * request_timeout || request_timeout <= 0.0 {
         let line = block
             .maybe("lease")?
             .or(block.maybe("answer")?)
             .unwrap_or(&block.head);
         let expected =
-            format!("a lease of at least {ROUND_TRIPS} times 'answer' ({answer_within:.0}ms)");
+            format!("a lease of at least {ROUND_TRIPS} times 'answer' ({request_timeout:.0}ms)");
         return Err(line.wrong(&expected));
     }
     let heartbeat = time("beat", lease / 5.0)?;
@@ -127,7 +127,7 @@
         voters,
         may_vote: file.is_some(),
         lease: LeaseSettings { lease, drift },
-        answer_within,
+        request_timeout,
         heartbeat,
         preferred_zone: block.maybe_value("prefers")?,
         report_receivers: report_receivers
--- a/crates/cindercleat-cli/src/release_plan.rs
+++ b/crates/cindercleat-cli/src/release_plan.rs
@@ -2,7 +2,7 @@
 
 use crate::conf::{Line, Problem, Section, Time};
 use cindercleat::coordination::disruption_budget::{DisruptionBudget, MaxUnavailable, UnitKind};
-use cindercleat::coordination::member::LONGEST_NAME;
+use cindercleat::coordination::member::MAX_NAME_BYTES;
 use cindercleat::coordination::rollout::{RolloutPlan, MAX_NAMES};
 use cindercleat::coordination::Name;
 use std::collections::BTreeSet;
@@ -106,9 +106,9 @@
         if let Some(twice) = words.iter().find(|word| !once.insert(*word)) {
             return Err(line.wrong(&format!("each once, and '{twice}' is there twice")));
         }
-        if let Some(long) = words.iter().find(|word| word.len() > LONGEST_NAME) {
+        if let Some(long) = words.iter().find(|word| word.len() > MAX_NAME_BYTES) {
             return Err(line.wrong(&format!(
-                "words of at most {LONGEST_NAME} bytes ('{long}' is longer)"
+                "words of at most {MAX_NAME_BYTES} bytes ('{long}' is longer)"
             )));
         }
         Ok(words.to_vec())
@@ -141,10 +141,10 @@
         return_timeout_ms: time("back", 300_000.0)?,
     };
     section.nothing_else()?;
-    if plan.name.len() > LONGEST_NAME {
+    if plan.name.len() > MAX_NAME_BYTES {
         return Err(section
             .one("release")?
-            .wrong(&format!("a name of at most {LONGEST_NAME} bytes")));
+            .wrong(&format!("a name of at most {MAX_NAME_BYTES} bytes")));
     }
     if plan.first_wave_size == 0 {
         return Err(section
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Serve;
 use cindercleat::coordination::disruption_budget::Unit;
-use cindercleat::coordination::member::{LocalHealth, MAX_REPORTS};
+use cindercleat::coordination::member::{LocalHealth, MAX_REPORTS_PER_HEARTBEAT};
 use cindercleat_dispatcher::driver::{Driver, Locations, Readiness};
 use cindercleat_dispatcher::ProgramSettings;
 use cindercleat_faults::fleet::End;
@@ -79,7 +79,7 @@
 impl cindercleat_fleet::Dispatcher for Beside {
     fn local_health(&self) -> LocalHealth {
         let Readiness { is_ready, load } = self.driver.readiness();
-        let (tally, reports) = self.driver.take_service_stats(MAX_REPORTS);
+        let (tally, reports) = self.driver.take_service_stats(MAX_REPORTS_PER_HEARTBEAT);
         LocalHealth {
             ready: is_ready,
             load,
--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -276,7 +276,7 @@
 
     /// Wakes the timer task if the state machine has set a timer that is due before the task would wake up.
     fn update_timer(&self) {
-        let due_at = self.shared.dispatcher.borrow().wants_call_at();
+        let due_at = self.shared.dispatcher.borrow().next_call_at();
         let is_sooner = match (due_at, self.shared.timer_at.get()) {
             (Some(due_at), Some(timer_at)) => due_at < timer_at,
             (Some(_), None) => true,
@@ -290,7 +290,7 @@
     /// Calls the state machine whenever one of its timers is due.
     async fn run_timers(self) {
         loop {
-            let due_at = self.shared.dispatcher.borrow().wants_call_at();
+            let due_at = self.shared.dispatcher.borrow().next_call_at();
             self.shared.timer_at.set(due_at);
             let Some(due_at) = due_at else {
                 self.shared.timer_changed.notified().await;
--- a/crates/dispatcher/src/state/mod.rs
+++ b/crates/dispatcher/src/state/mod.rs
@@ -1,6 +1,6 @@
 //! The dispatcher as a state machine without I/O: its requests, attempts, KV states, connections and timers. The
 //! caller passes each input and its instant to [`Dispatcher::handle`], and carries out the outputs that the call
-//! returns. [`Dispatcher::wants_call_at`] returns the instant at which the caller must call `handle` again, because
+//! returns. [`Dispatcher::next_call_at`] returns the instant at which the caller must call `handle` again, because
 //! a timer is due. The same inputs always produce the same outputs.
 //!
 //! [`Control`] makes every choice between engines and decides when an accepted request is rejected or failed. The
@@ -191,7 +191,7 @@
     /// The instant at which the next timer is due, in milliseconds; `None` if no timer is set. The caller must call
     /// [`Self::handle`] at this instant, with [`Input::Tick`] unless another input has arrived. A `Tick` before
     /// this instant has no effect.
-    pub fn wants_call_at(&self) -> Option<Ms> {
+    pub fn next_call_at(&self) -> Option<Ms> {
         self.timers.next_timer_at()
     }
 
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -300,7 +300,7 @@
     pub fn advance(&mut self, by: Ms) -> Vec<Output> {
         let until = self.now + by;
         let mut all = Vec::new();
-        while let Some(at) = self.dispatcher.wants_call_at().filter(|at| *at <= until) {
+        while let Some(at) = self.dispatcher.next_call_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             all.extend(self.handle(Input::Tick));
         }
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -373,7 +373,7 @@
     /// Advances the clock, answers pings and releases, and lets one random event happen.
     fn run_step(&mut self, (action, target, delay): RandomStep) -> Result<(), TestCaseError> {
         let until = self.now + f64::from(delay % 400) / 2.0;
-        while let Some(at) = self.dispatcher.wants_call_at().filter(|at| *at <= until) {
+        while let Some(at) = self.dispatcher.next_call_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.handle(Input::Tick)?;
         }
@@ -580,7 +580,7 @@
         // states.
         self.unneeded_since.clear();
         for _ in 0..400 {
-            let Some(at) = self.dispatcher.wants_call_at() else {
+            let Some(at) = self.dispatcher.next_call_at() else {
                 break;
             };
             self.now = self.now.max(at);
--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -16,8 +16,8 @@
 use cindercleat::coordination::fencing::{FencingDecision, Receiver};
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
-    Answer, CallId, FleetSettings, Input, LocalHealth, Member, OperatorRequest, Output, Question,
-    QuestionId, Reply, SaveId, UnusableFile, MEMBERSHIP_LEASE,
+    Answer, CallId, FleetSettings, Input, LocalHealth, Member, MemberRequestId, OperatorRequest,
+    Output, Question, Reply, SaveId, UnusableFile, MEMBERSHIP_LEASE,
 };
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
@@ -69,7 +69,7 @@
     Node {
         at: usize,
         incarnation: Incarnation,
-        ask: QuestionId,
+        ask: MemberRequestId,
     },
     /// One whose act on a release this is, by its number, or none.
     Operator(Option<usize>),
@@ -102,7 +102,7 @@
     Answer {
         to: usize,
         incarnation: Incarnation,
-        ask: QuestionId,
+        ask: MemberRequestId,
         answer: Option<Box<Answer>>,
     },
     Saved {
@@ -352,7 +352,7 @@
                 lease: plan.lease,
                 drift: plan.drift,
             },
-            answer_within: plan.lease * 0.15,
+            request_timeout: plan.lease * 0.15,
             heartbeat: plan.heartbeat,
             preferred_zone: plan.prefers.clone(),
             report_receivers: (0..plan.targets)
@@ -435,7 +435,7 @@
         };
         let mut out = Vec::new();
         member.handle(read, input, &mut out);
-        let wants = member.wants_call_at();
+        let wants = member.next_call_at();
         let acts = out.iter().any(|o| {
             matches!(
                 o,
--- a/crates/faults/tests/duties_planted.rs
+++ b/crates/faults/tests/duties_planted.rs
@@ -48,7 +48,7 @@
     let found: Vec<_> = std::thread::scope(|scope| {
         let leases = InjectedFault::ALL.iter().map(|fault| (*fault, &SHAPES[0]));
         let all = leases.chain(
-            InjectedFault::OF_RELEASES
+            InjectedFault::ROLLOUT_FAULTS
                 .iter()
                 .map(|fault| (*fault, &SHAPES[1])),
         );
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -7,8 +7,8 @@
 use crate::rollout_codec;
 use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::coordination::member::{
-    Answer, HeartbeatReply, MemberLine, OperatorRequest, Question, Reply, Status, VoterLine,
-    VoterState,
+    Answer, HeartbeatReply, MemberSummary, OperatorRequest, Question, Reply, Status, VoterState,
+    VoterStatus,
 };
 use cindercleat::coordination::membership::{Heartbeat, MemberStatus};
 use cindercleat::coordination::register::{
@@ -707,7 +707,7 @@
 }
 
 fn status_to_proto(status: &Status) -> v1::FleetStatusReply {
-    let voter = |line: &VoterLine| v1::FleetVoterLine {
+    let voter = |line: &VoterStatus| v1::FleetVoterLine {
         name: line.name.0.to_string(),
         address: line.address.0.to_string(),
         answers: line.answers,
@@ -721,14 +721,14 @@
             holder: holder.as_ref().map(lease_holder_to_proto),
             ..v1::LeaseRecord::default()
         };
-    let member = |line: &MemberLine| v1::FleetMemberLine {
+    let member = |line: &MemberSummary| v1::FleetMemberLine {
         name: line.name.0.to_string(),
         zone: line.zone.clone(),
         label: line.label.clone(),
         member_status: wire_number(&MEMBER_STATUSES, &line.member_status),
         ready: line.ready,
         up_ms: line.uptime,
-        age_ms: line.heard_ago,
+        age_ms: line.last_heartbeat_age,
     };
     v1::FleetStatusReply {
         by: status
@@ -756,7 +756,7 @@
 fn status_from_proto(message: &v1::FleetStatusReply) -> Option<Status> {
     let voter = |line: &v1::FleetVoterLine| {
         let (answers, votes, version) = (line.answers, line.votes, line.version);
-        Some(VoterLine {
+        Some(VoterStatus {
             name: name(&line.name)?,
             address: address(&line.address)?,
             answers,
@@ -776,14 +776,14 @@
         ))
     };
     let member = |line: &v1::FleetMemberLine| {
-        Some(MemberLine {
+        Some(MemberSummary {
             name: name(&line.name)?,
             zone: line.zone.clone(),
             label: line.label.clone(),
             member_status: *MEMBER_STATUSES.get(line.member_status as usize)?,
             ready: line.ready,
             uptime: finite(line.up_ms)?,
-            heard_ago: finite(line.age_ms)?,
+            last_heartbeat_age: finite(line.age_ms)?,
         })
     };
     Some(Status {
--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -7,7 +7,7 @@
 use crate::codec::{answer_from_proto, answer_to_proto, request_from_proto, request_to_proto};
 use cindercleat::coordination::disruption_budget::Unit;
 use cindercleat::coordination::member::{
-    CallId, FleetSettings, Input, LocalHealth, Member, Output, Question, QuestionId, SaveId,
+    CallId, FleetSettings, Input, LocalHealth, Member, MemberRequestId, Output, Question, SaveId,
     UnusableFile,
 };
 use cindercleat::coordination::register::AcceptorState;
@@ -63,13 +63,13 @@
     out: Out,
     last_used_at: Cell<Ms>,
     /// The requests without an answer so far, with the time at which each was sent, by stream number.
-    unanswered: RefCell<BTreeMap<u64, (QuestionId, Ms)>>,
+    unanswered: RefCell<BTreeMap<u64, (MemberRequestId, Ms)>>,
     streams_opened: Cell<u64>,
 }
 
 /// A request that waits until the connection to its receiver is open.
 struct QueuedRequest {
-    id: QuestionId,
+    id: MemberRequestId,
     call: v1::FleetCall,
     queued_at: Ms,
 }
@@ -184,7 +184,7 @@
             }
         }
         // The connections stay open a little longer, so that the lease offer to the named successor is sent.
-        let send_time = state.settings.answer_within.min(MAX_FINAL_SEND_MS);
+        let send_time = state.settings.request_timeout.min(MAX_FINAL_SEND_MS);
         state.clock.sleep_until(state.clock.now() + send_time).await;
         accept_task.abort();
         timer_task.abort();
@@ -230,7 +230,7 @@
         let now = self.state.clock.now();
         let mut member = self.state.member.borrow_mut();
         member.handle(now, input, &mut outputs);
-        let next_call_at = member.wants_call_at();
+        let next_call_at = member.next_call_at();
         drop(member);
         for output in outputs {
             self.perform_output(output);
@@ -313,7 +313,7 @@
                 self.update_health();
                 self.close_idle_connections(now);
             }
-            let member_due_at = self.state.member.borrow().wants_call_at();
+            let member_due_at = self.state.member.borrow().next_call_at();
             let fires_at = member_due_at.min(health_due_at);
             self.state.timer_fires_at.set(fires_at);
             tokio::select! { biased;
@@ -325,7 +325,7 @@
 
     /// Closes idle connections, and cancels requests that have timed out, so that neither side keeps state for them.
     fn close_idle_connections(&self, now: Ms) {
-        let longest_wait = 2.0 * self.state.settings.answer_within;
+        let longest_wait = 2.0 * self.state.settings.request_timeout;
         let mut peers = self.state.peers.borrow_mut();
         peers.retain(|_, peer| {
             peer.unanswered.borrow_mut().retain(|stream, (_, sent_at)| {
@@ -359,7 +359,7 @@
     }
 
     /// Sends a request, or queues the request until the connection to its receiver is open.
-    fn send_request(&self, id: QuestionId, to: Address, question: &Question) {
+    fn send_request(&self, id: MemberRequestId, to: Address, question: &Question) {
         let call = request_to_proto(question);
         let peer = self.state.peers.borrow().get(&to).cloned();
         if let Some(peer) = peer {
@@ -375,7 +375,7 @@
         match connecting.get_mut(&to) {
             Some(queue) => {
                 // Drops the queued requests that have timed out in the meantime.
-                let timeout = self.state.settings.answer_within;
+                let timeout = self.state.settings.request_timeout;
                 queue.retain(|queued| now - queued.queued_at <= timeout);
                 queue.push(request);
             }
@@ -386,7 +386,7 @@
         }
     }
 
-    fn send_on_connection(&self, peer: &Rc<Peer>, id: QuestionId, call: v1::FleetCall) {
+    fn send_on_connection(&self, peer: &Rc<Peer>, id: MemberRequestId, call: v1::FleetCall) {
         let now = self.state.clock.now();
         let stream = peer.streams_opened.get() + 1;
         peer.streams_opened.set(stream);
@@ -401,7 +401,7 @@
         // this time. With a short timeout, connections would be given up early and retried each time, which would keep
         // all members busy without any connection being opened.
         let settings = &self.state.settings;
-        let timeout = settings.lease.lease.max(10.0 * settings.answer_within);
+        let timeout = settings.lease.lease.max(10.0 * settings.request_timeout);
         let times_out_at = self.state.clock.now() + timeout;
         let connecting = async {
             let stream = self
@@ -460,7 +460,7 @@
             .peers
             .borrow_mut()
             .insert(to.clone(), peer.clone());
-        let oldest = self.state.clock.now() - self.state.settings.answer_within;
+        let oldest = self.state.clock.now() - self.state.settings.request_timeout;
         for request in queue
             .into_iter()
             .filter(|queued| queued.queued_at >= oldest)
@@ -542,7 +542,7 @@
 
     /// Handles the requests on an accepted connection until the connection ends.
     async fn run_incoming_connection(self, stream: T::Stream) {
-        let timeout = 10.0 * self.state.settings.answer_within;
+        let timeout = 10.0 * self.state.settings.request_timeout;
         let times_out_at = self.state.clock.now() + timeout;
         let greeted = tokio::select! { biased;
             greeted = serve(stream, self.setup("")) => greeted,
--- a/crates/fleet/src/rollout_codec.rs
+++ b/crates/fleet/src/rollout_codec.rs
@@ -7,7 +7,8 @@
     DisruptionBudget, MaxUnavailable, OutcomeCounts, UnavailableCount, UnitKind, ZoneSizes,
 };
 use cindercleat::coordination::member::{
-    AbandonedUnit, OperatorRequest, PermitStatus, RolloutRequest, RolloutStatus, MAX_REPORTS,
+    AbandonedUnit, OperatorRequest, PermitStatus, RolloutRequest, RolloutStatus,
+    MAX_REPORTS_PER_HEARTBEAT,
 };
 use cindercleat::coordination::membership::EngineReport;
 use cindercleat::coordination::rollout::{
@@ -120,7 +121,10 @@
             tally: outcome_counts_from_proto(message.tally.as_ref()),
         })
     };
-    at_most(messages, MAX_REPORTS)?.iter().map(report).collect()
+    at_most(messages, MAX_REPORTS_PER_HEARTBEAT)?
+        .iter()
+        .map(report)
+        .collect()
 }
 
 fn max_unavailable_to_proto(max: MaxUnavailable) -> Option<v1::FleetMaxUnavailable> {
--- a/crates/fleet/tests/driver.rs
+++ b/crates/fleet/tests/driver.rs
@@ -50,7 +50,7 @@
             lease: 1000.0,
             drift: 0.01,
         },
-        answer_within: 100.0,
+        request_timeout: 100.0,
         heartbeat: 200.0,
         preferred_zone: None,
         report_receivers: Vec::new(),
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -112,7 +112,7 @@
             lease: LEASE_MS,
             drift: 0.01,
         },
-        answer_within: ANSWER_TIMEOUT_MS,
+        request_timeout: ANSWER_TIMEOUT_MS,
         heartbeat: 200.0,
         preferred_zone: None,
         report_receivers: Vec::new(),
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -71,7 +71,7 @@
     ];
 
     /// Faults in disruption permits and rollouts.
-    pub const OF_RELEASES: [InjectedFault; 8] = [
+    pub const ROLLOUT_FAULTS: [InjectedFault; 8] = [
         InjectedFault::ToldBeforeAgreed,
         InjectedFault::TurnTwice,
         InjectedFault::FailuresUncounted,
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -42,7 +42,7 @@
 
     /// How long a contender waits before a lease counts as expired, in milliseconds. `lease_ms` is the duration in the
     /// lease's record.
-    pub fn waited_for(&self, lease_ms: u64) -> Ms {
+    pub fn contender_wait(&self, lease_ms: u64) -> Ms {
         self.lease.max(lease_ms as f64) * (1.0 + self.drift)
     }
 
@@ -191,7 +191,7 @@
             // under the lease, so there is nothing to wait for.
             return 0.0;
         }
-        let expiry_wait = settings.waited_for(record.map_or(0, |record| record.lease_ms));
+        let expiry_wait = settings.contender_wait(record.map_or(0, |record| record.lease_ms));
         let spread = self.election_spread(is_voter, settings);
         let successor = match holder {
             Some(_) => None,
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -244,7 +244,7 @@
             return;
         }
         let jitter: f64 = self.rng.generate();
-        self.next_acceptor_check_at = self.now + self.settings.answer_within * (0.5 + jitter);
+        self.next_acceptor_check_at = self.now + self.settings.request_timeout * (0.5 + jitter);
         if !self.storage.is_created {
             return self.save_acceptor(out);
         }
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -17,7 +17,7 @@
 
 /// Identifies a sent request until its answer arrives; assigned by the member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct QuestionId(pub u64);
+pub struct MemberRequestId(pub u64);
 
 /// Identifies a write of the voter's file; assigned by the member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -169,7 +169,7 @@
     /// A sent request was answered, or its receiver could not be reached.
     Answered {
         /// The number of the request, from [`Output::Ask`].
-        ask: QuestionId,
+        ask: MemberRequestId,
         /// The answer; `None` if no answer will come, such as after a lost connection, or if the answer was invalid.
         answer: Option<Answer>,
     },
@@ -189,7 +189,7 @@
     /// Send a request to another member.
     Ask {
         /// The number of the request, for [`Input::Answered`].
-        ask: QuestionId,
+        ask: MemberRequestId,
         /// The address of the receiver's fleet service.
         to: Address,
         /// The request, which the driver encodes and sends.
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -2,7 +2,7 @@
 //! either the membership leader or a member that sends heartbeats to the leader.
 //!
 //! [`Member::handle`] takes an [`Input`] and appends the [`Output`]s that the driver has to perform.
-//! [`Member::wants_call_at`] returns the time of the next call that is needed even if no input arrives.
+//! [`Member::next_call_at`] returns the time of the next call that is needed even if no input arrives.
 
 mod acceptor;
 mod heartbeat;
@@ -16,14 +16,14 @@
 mod settings;
 
 pub use messages::{
-    Answer, CallId, HeartbeatReply, Input, LocalHealth, Output, Question, QuestionId, SaveId,
+    Answer, CallId, HeartbeatReply, Input, LocalHealth, MemberRequestId, Output, Question, SaveId,
     UnusableFile, VoterState,
 };
 pub use operator_requests::{
-    AbandonedUnit, MemberLine, OperatorRequest, PermitStatus, Reply, RolloutRequest, RolloutStatus,
-    Status, VoterLine, LONGEST_NAME,
+    AbandonedUnit, MemberSummary, OperatorRequest, PermitStatus, Reply, RolloutRequest,
+    RolloutStatus, Status, VoterStatus, MAX_NAME_BYTES,
 };
-pub use rollout::MAX_REPORTS;
+pub use rollout::MAX_REPORTS_PER_HEARTBEAT;
 pub use settings::FleetSettings;
 
 use self::acceptor::{AcceptorFile, AcceptorStorage};
@@ -112,8 +112,8 @@
 
     // Requests to other members and of operators.
     requests_sent: u64,
-    in_flight: BTreeMap<QuestionId, RequestInFlight>,
-    inspections: BTreeMap<CallId, operator_requests::Inspection>,
+    in_flight: BTreeMap<MemberRequestId, RequestInFlight>,
+    voter_queries: BTreeMap<CallId, operator_requests::VoterQuery>,
     counts: BTreeMap<&'static str, u64>,
 }
 
@@ -164,7 +164,7 @@
             disruptions: rollout::RolloutState::default(),
             requests_sent: 0,
             in_flight: BTreeMap::new(),
-            inspections: BTreeMap::new(),
+            voter_queries: BTreeMap::new(),
             counts: BTreeMap::new(),
             settings,
         }
@@ -201,7 +201,7 @@
         self.send_membership_reports(out);
         self.send_permit_notices(out);
         self.confirm_halt(out);
-        self.finish_inspections(out);
+        self.finish_voter_queries(out);
     }
 
     fn stop_if_done(&mut self, out: &mut Vec<Output>) {
@@ -214,20 +214,20 @@
 
     /// When [`Member::handle`] has to be called with [`Input::Tick`], as a reading of the clock in milliseconds;
     /// infinite if nothing is due.
-    pub fn wants_call_at(&self) -> Ms {
+    pub fn next_call_at(&self) -> Ms {
         let requests = self.in_flight.values().map(RequestInFlight::due_at);
-        let inspections = self
-            .inspections
+        let voter_queries = self
+            .voter_queries
             .values()
-            .map(|inspection| inspection.until());
+            .map(|voter_query| voter_query.until());
         let next_call_at = [self.next_heartbeat_at]
             .into_iter()
             .chain(requests)
             .chain(self.next_acceptor_check())
             .chain(self.lease_timers())
             .chain(self.next_report_at())
-            .chain(self.rollout_wakes_at())
-            .chain(inspections)
+            .chain(self.next_rollout_event_at())
+            .chain(voter_queries)
             .fold(f64::INFINITY, f64::min);
         self.clock.to_reading(next_call_at.max(self.now))
     }
--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -8,7 +8,7 @@
 use crate::interface::Ms;
 
 /// The maximum length of the name of a lease or of a member, in bytes.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// An operator's request. Any dispatcher accepts a request, and may refer the operator to another dispatcher.
 #[derive(Clone, Debug, PartialEq)]
@@ -36,7 +36,7 @@
     },
     /// Requests a lease for a job. The job repeats the request to keep the lease.
     HoldLease {
-        /// The name of the lease, at most [`LONGEST_NAME`] bytes. The membership lease is refused.
+        /// The name of the lease, at most [`MAX_NAME_BYTES`] bytes. The membership lease is refused.
         lease_name: LeaseName,
         /// The job's number, drawn by the job. Distinguishes jobs that request the same lease.
         job: u64,
@@ -183,7 +183,7 @@
 
 /// The status of one voter, after a query.
 #[derive(Clone, Debug, PartialEq)]
-pub struct VoterLine {
+pub struct VoterStatus {
     /// The voter's name, as the fleet agreed on it or as the settings state it.
     pub name: Name,
     /// The address of the voter's fleet service.
@@ -198,7 +198,7 @@
 
 /// The status of one member, as the membership leader knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MemberLine {
+pub struct MemberSummary {
     /// The member's name, as its heartbeats state it.
     pub name: Name,
     /// The name of the member's zone.
@@ -212,7 +212,7 @@
     /// How long the member's process has run, in milliseconds.
     pub uptime: Ms,
     /// The time since the member's last heartbeat arrived, in milliseconds.
-    pub heard_ago: Ms,
+    pub last_heartbeat_age: Ms,
 }
 
 /// The status of the fleet, as the queried dispatcher knows it.
@@ -229,14 +229,14 @@
     /// The newest known version of the replicated state. 0 if none is known.
     pub version: u64,
     /// The status of each voter, in the order of their names.
-    pub voters: Vec<VoterLine>,
+    pub voters: Vec<VoterStatus>,
     /// All leases with their terms and holders. The holder is none if no dispatcher holds the lease.
     pub leases: Vec<(LeaseName, Term, Option<LeaseHolder>)>,
     /// How long this dispatcher has been the membership leader, in milliseconds. None if this dispatcher is not the
     /// leader.
     pub leading_for: Option<Ms>,
     /// The status of each member. Empty unless this dispatcher is the membership leader.
-    pub members: Vec<MemberLine>,
+    pub members: Vec<MemberSummary>,
     /// The address of the membership leader. None if this dispatcher is the leader or the leader is unknown.
     pub leader: Option<Address>,
     /// The rollout and the permits. Has default values if no replicated state is known.
--- a/src/coordination/member/operator_requests/handling.rs
+++ b/src/coordination/member/operator_requests/handling.rs
@@ -15,7 +15,7 @@
         let reply = match request {
             OperatorRequest::Status => {
                 let voters = self.known_voters();
-                self.begin_inspection(call, voters, None, out);
+                self.begin_voter_query(call, voters, None, out);
                 None
             }
             OperatorRequest::HandOver { lease_name, to } => {
@@ -39,7 +39,7 @@
                 name,
                 address,
                 reason,
-            } => self.stop_by_hand(call, name, address, reason, out),
+            } => self.stop_without_agreement(call, name, address, reason, out),
         };
         if let Some(reply) = reply {
             reply_to(call, reply, out);
--- a/src/coordination/member/operator_requests/leases.rs
+++ b/src/coordination/member/operator_requests/leases.rs
@@ -1,7 +1,7 @@
 //! Handles operators' requests to hand over leases, and to hold or release leases for their own jobs.
 
 use super::super::*;
-use super::api::{Reply, LONGEST_NAME};
+use super::api::{Reply, MAX_NAME_BYTES};
 use crate::coordination::lease::holder_of;
 
 /// The maximum number of jobs for which one dispatcher holds leases.
@@ -93,8 +93,10 @@
                 "lease {MEMBERSHIP_LEASE} is reserved for the dispatchers"
             ));
         }
-        if lease_name.0.is_empty() || lease_name.0.len() > LONGEST_NAME {
-            return Some(format!("the name of a lease has 1 to {LONGEST_NAME} bytes"));
+        if lease_name.0.is_empty() || lease_name.0.len() > MAX_NAME_BYTES {
+            return Some(format!(
+                "the name of a lease has 1 to {MAX_NAME_BYTES} bytes"
+            ));
         }
         if self.stopping {
             return Some("this dispatcher is stopping".to_owned());
--- a/src/coordination/member/operator_requests/mod.rs
+++ b/src/coordination/member/operator_requests/mod.rs
@@ -3,13 +3,13 @@
 
 mod api;
 mod handling;
-mod inspection;
 mod leases;
 mod status;
 mod voter_changes;
+mod voter_query;
 
 pub use api::{
-    AbandonedUnit, MemberLine, OperatorRequest, PermitStatus, Reply, RolloutRequest, RolloutStatus,
-    Status, VoterLine, LONGEST_NAME,
+    AbandonedUnit, MemberSummary, OperatorRequest, PermitStatus, Reply, RolloutRequest,
+    RolloutStatus, Status, VoterStatus, MAX_NAME_BYTES,
 };
-pub(super) use inspection::Inspection;
+pub(super) use voter_query::VoterQuery;
--- a/src/coordination/member/operator_requests/status.rs
+++ b/src/coordination/member/operator_requests/status.rs
@@ -1,17 +1,17 @@
 //! Builds the status of the fleet from what this dispatcher knows.
 
 use super::super::*;
-use super::api::{MemberLine, Status, VoterLine};
-use super::inspection::Inspection;
+use super::api::{MemberSummary, Status, VoterStatus};
+use super::voter_query::VoterQuery;
 use crate::coordination::membership;
 use crate::coordination::state::{VoterId, VoterRecord};
 
 impl Member {
     /// Builds the status after the voters have been queried.
-    pub(super) fn status(&self, inspection: &Inspection) -> Status {
+    pub(super) fn status(&self, voter_query: &VoterQuery) -> Status {
         let newest = self.newest();
         let voter_set = self.known_voter_set();
-        let voters = self.voter_lines(inspection);
+        let voters = self.voter_statuses(voter_query);
         let answered = |name: &Name, _: &VoterRecord| {
             voters
                 .iter()
@@ -38,36 +38,36 @@
     }
 
     /// The status of each voter that the fleet agreed on, or of each voter in the settings if no voter set is known.
-    fn voter_lines(&self, inspection: &Inspection) -> Vec<VoterLine> {
+    fn voter_statuses(&self, voter_query: &VoterQuery) -> Vec<VoterStatus> {
         let records = self.known_voter_set().map(Voters::all).unwrap_or_default();
         if records.is_empty() {
             let voters = self.settings.voters.iter();
             return voters
-                .map(|(name, address)| self.voter_line(name, address, None, inspection))
+                .map(|(name, address)| self.voter_status(name, address, None, voter_query))
                 .collect();
         }
         let line = |(name, record): (&Name, &VoterRecord)| {
-            self.voter_line(name, &record.address, Some(record.voter_id), inspection)
+            self.voter_status(name, &record.address, Some(record.voter_id), voter_query)
         };
         records.iter().map(line).collect()
     }
 
     /// The status of one voter. `voter_id` is the identity under which the fleet agreed on the voter. A voter with
     /// another identity does not vote.
-    fn voter_line(
+    fn voter_status(
         &self,
         name: &Name,
         address: &Address,
         voter_id: Option<VoterId>,
-        inspection: &Inspection,
-    ) -> VoterLine {
+        voter_query: &VoterQuery,
+    ) -> VoterStatus {
         let state = match *name == self.settings.me {
             true => Some(self.voter_state()),
-            false => inspection.states.get(name).cloned().flatten(),
+            false => voter_query.states.get(name).cloned().flatten(),
         };
         let newest = state.as_ref().and_then(|state| state.newest.as_ref());
         let is_agreed = |state: &VoterState| voter_id.is_some() && state.voter_id == voter_id;
-        VoterLine {
+        VoterStatus {
             name: name.clone(),
             address: address.clone(),
             answers: state.is_some(),
@@ -79,18 +79,18 @@
     }
 
     /// The status of each member. Empty unless this dispatcher is the membership leader.
-    fn member_lines(&self) -> Vec<MemberLine> {
+    fn member_lines(&self) -> Vec<MemberSummary> {
         let Some(membership) = &self.membership else {
             return Vec::new();
         };
-        let line = |(name, member): (&Name, &membership::Member)| MemberLine {
+        let line = |(name, member): (&Name, &membership::Member)| MemberSummary {
             name: name.clone(),
             zone: member.heartbeat.zone.clone(),
             label: member.heartbeat.label.clone(),
             member_status: membership.member_status(self.now, member, self.settings.heartbeat),
             ready: member.heartbeat.ready,
             uptime: member.heartbeat.up + self.now - member.last_heartbeat_at,
-            heard_ago: self.now - member.last_heartbeat_at,
+            last_heartbeat_age: self.now - member.last_heartbeat_at,
         };
         membership.members().map(line).collect()
     }
--- a/src/coordination/member/operator_requests/voter_changes.rs
+++ b/src/coordination/member/operator_requests/voter_changes.rs
@@ -3,7 +3,7 @@
 use super::super::*;
 use super::api::Reply;
 use super::handling::reply_to;
-use super::inspection::NewVoter;
+use super::voter_query::NewVoter;
 use crate::coordination::state::CommandError;
 
 /// How long an operator's request may wait for voters before the operator gets a reply, in milliseconds.
@@ -24,7 +24,7 @@
         };
         let voters = BTreeMap::from([(name.clone(), address.clone())]);
         let new_voter = NewVoter { name, address };
-        self.begin_inspection(call, voters, Some(new_voter), out);
+        self.begin_voter_query(call, voters, Some(new_voter), out);
         None
     }
 
@@ -126,8 +126,10 @@
         Err(CommandError::VoterChangeInProgress) => {
             "another change of the voters is in progress".to_owned()
         }
-        Err(CommandError::AlreadySo) => format!("{name} {already_so}"),
-        Err(CommandError::TooFew) => "fewer than 3 voters would be left: add one first".to_owned(),
+        Err(CommandError::AlreadyInEffect) => format!("{name} {already_so}"),
+        Err(CommandError::TooFewVoters) => {
+            "fewer than 3 voters would be left: add one first".to_owned()
+        }
         Err(CommandError::TooMany) => {
             "the fleet has 7 voters already, the maximum: remove one first".to_owned()
         }
--- a/src/coordination/member/operator_requests/inspection.rs
+++ b/src/coordination/member/operator_requests/voter_query.rs
@@ -15,7 +15,7 @@
 
 /// A query of voters on behalf of one operator's request.
 #[derive(Clone, Debug, PartialEq)]
-pub(in super::super) struct Inspection {
+pub(in super::super) struct VoterQuery {
     /// The voters that were queried.
     queried: BTreeMap<Name, Address>,
     /// The state of each voter that has answered. None for a voter that could not be reached.
@@ -26,7 +26,7 @@
     new_voter: Option<NewVoter>,
 }
 
-impl Inspection {
+impl VoterQuery {
     /// When the operator gets a reply even if some voters have not answered.
     pub(in super::super) fn until(&self) -> Ms {
         self.deadline
@@ -39,24 +39,24 @@
 
 impl Member {
     /// Queries the voters. This member's own state is recorded at once.
-    pub(super) fn begin_inspection(
+    pub(super) fn begin_voter_query(
         &mut self,
         call: CallId,
         voters: BTreeMap<Name, Address>,
         new_voter: Option<NewVoter>,
         out: &mut Vec<Output>,
     ) {
-        let inspection = Inspection {
+        let voter_query = VoterQuery {
             queried: voters.clone(),
             states: BTreeMap::new(),
             deadline: self.now + ANSWER_TIMEOUT_MS,
             new_voter,
         };
-        self.inspections.insert(call, inspection);
+        self.voter_queries.insert(call, voter_query);
         for (voter, address) in voters {
             if voter == self.settings.me {
                 let state = self.voter_state();
-                self.inspection_answered(call, &voter, Some(state), out);
+                self.voter_query_answered(call, &voter, Some(state), out);
             } else {
                 self.send_request(
                     address,
@@ -69,41 +69,46 @@
     }
 
     /// Records the state of a queried voter. `state` is none if the voter could not be reached.
-    pub(in super::super) fn inspection_answered(
+    pub(in super::super) fn voter_query_answered(
         &mut self,
         call: CallId,
         voter: &Name,
         state: Option<VoterState>,
         _: &mut [Output],
     ) {
-        if let Some(inspection) = self.inspections.get_mut(&call) {
-            inspection.states.insert(voter.clone(), state);
+        if let Some(voter_query) = self.voter_queries.get_mut(&call) {
+            voter_query.states.insert(voter.clone(), state);
         }
     }
 
     /// Replies to the requests whose voters have all answered, or whose deadline has passed.
-    pub(in super::super) fn finish_inspections(&mut self, out: &mut Vec<Output>) {
+    pub(in super::super) fn finish_voter_queries(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let finished: Vec<CallId> = self
-            .inspections
+            .voter_queries
             .iter()
-            .filter(|(_, inspection)| inspection.is_over(now))
+            .filter(|(_, voter_query)| voter_query.is_over(now))
             .map(|(call, _)| *call)
             .collect();
         for call in finished {
-            if let Some(inspection) = self.inspections.remove(&call) {
-                self.finish_inspection(call, &inspection, out);
+            if let Some(voter_query) = self.voter_queries.remove(&call) {
+                self.finish_voter_query(call, &voter_query, out);
             }
         }
     }
 
     /// Replies with the status, or proposes to add the new voter if that voter has answered with its identity.
-    fn finish_inspection(&mut self, call: CallId, inspection: &Inspection, out: &mut Vec<Output>) {
-        let Some(NewVoter { name, address }) = inspection.new_voter.clone() else {
-            let status = Box::new(self.status(inspection));
+    fn finish_voter_query(
+        &mut self,
+        call: CallId,
+        voter_query: &VoterQuery,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(NewVoter { name, address }) = voter_query.new_voter.clone() else {
+            let status = Box::new(self.status(voter_query));
             return reply_to(call, Reply::Status(status), out);
         };
-        let state = inspection.states.get(&name).and_then(Option::as_ref);
+        let state = voter_query.states.get(&name).and_then(Option::as_ref);
         let Some(voter_id) = state.and_then(|state| state.voter_id) else {
             let reason = format!("no voter {} answered at {}", name.0, address.0);
             return reply_to(call, Reply::Refused(reason), out);
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -34,7 +34,7 @@
     /// Sent once disruptions are halted: asks a unit with a permit whether its disruption has begun.
     ConfirmHalt { permit: PermitId },
     /// Tells a member to stop, at an operator's request.
-    StopByHand { call: CallId, note: String },
+    StopWithoutAgreement { call: CallId, note: String },
 }
 
 /// The voter to ask next: its index among the known voters, and the number of this attempt, from 1.
@@ -84,7 +84,7 @@
         purpose: RequestPurpose,
         out: &mut Vec<Output>,
     ) {
-        let timeout = self.settings.answer_within;
+        let timeout = self.settings.request_timeout;
         let may_resend = matches!(purpose, RequestPurpose::Proposal { .. });
         let resend = may_resend.then(|| Resend {
             at: self.now + self.resend_interval(),
@@ -101,7 +101,7 @@
     }
 
     fn resend_interval(&self) -> Ms {
-        self.settings.answer_within / f64::from(MAX_RESENDS + 1)
+        self.settings.request_timeout / f64::from(MAX_RESENDS + 1)
     }
 
     fn transmit(
@@ -111,7 +111,7 @@
         out: &mut Vec<Output>,
     ) {
         self.requests_sent += 1;
-        let id = QuestionId(self.requests_sent);
+        let id = MemberRequestId(self.requests_sent);
         let to = request.to.clone();
         request.question = request.resend.map(|_| Box::new(question.clone()));
         self.in_flight.insert(id, request);
@@ -156,7 +156,10 @@
         current.is_some_and(|current| current.proposal.ballot == *ballot)
     }
 
-    fn request_ids_where(&self, is_selected: impl Fn(&RequestInFlight) -> bool) -> Vec<QuestionId> {
+    fn request_ids_where(
+        &self,
+        is_selected: impl Fn(&RequestInFlight) -> bool,
+    ) -> Vec<MemberRequestId> {
         let requests = self.in_flight.iter();
         requests
             .filter(|(_, request)| is_selected(request))
@@ -179,7 +182,7 @@
     /// ignored.
     pub(super) fn answer_received(
         &mut self,
-        id: QuestionId,
+        id: MemberRequestId,
         answer: Option<Answer>,
         out: &mut Vec<Output>,
     ) {
@@ -269,7 +272,7 @@
                 if let Some(state) = &state {
                     self.voter_state_received(&of, state.clone(), out);
                 }
-                self.inspection_answered(call, &of, state, out);
+                self.voter_query_answered(call, &of, state, out);
             }
             RequestPurpose::ConfirmFile { of } => {
                 if let Some(Answer::WriteCount { writes }) = answer {
@@ -286,8 +289,8 @@
             RequestPurpose::PermitNotice { to, permit } => {
                 self.permit_notice_answered(&to, permit, fencing_decision_from(answer), out);
             }
-            RequestPurpose::StopByHand { call, note } => {
-                self.stop_by_hand_answered(call, note, operator_reply_from(answer), out);
+            RequestPurpose::StopWithoutAgreement { call, note } => {
+                self.stop_without_agreement_answered(call, note, operator_reply_from(answer), out);
             }
             RequestPurpose::RevokePermit { .. } | RequestPurpose::ConfirmHalt { .. } => {
                 self.revocation_answered(&purpose, begun_from(answer));
--- a/src/coordination/member/rollout/halt.rs
+++ b/src/coordination/member/rollout/halt.rs
@@ -104,7 +104,7 @@
         if !halt.has_unanswered() || self.now < halt.next_question_at {
             return;
         }
-        halt.next_question_at = self.now + self.settings.answer_within;
+        halt.next_question_at = self.now + self.settings.request_timeout;
         let unanswered: Vec<PermitId> = halt.unanswered().copied().collect();
         let permits = self
             .agreed_disruptions()
@@ -124,7 +124,7 @@
     /// a unit would drain after the halt.
     fn halt_reply(&self, halt: &HaltConfirmation) -> Reply {
         let lease = &self.settings.lease;
-        let remaining = halt.agreed_at + lease.waited_for(lease.lease_ms()) - self.now;
+        let remaining = halt.agreed_at + lease.contender_wait(lease.lease_ms()) - self.now;
         if halt.has_unanswered() && remaining > 0.0 {
             let unanswered = halt.unanswered().count();
             return Reply::Pending(format!(
--- a/src/coordination/member/rollout/leader.rs
+++ b/src/coordination/member/rollout/leader.rs
@@ -94,7 +94,7 @@
 
     /// The earlier of the controller's next run and the next questions to units after a halt. None if this dispatcher
     /// has neither to do.
-    pub(in super::super) fn rollout_wakes_at(&self) -> Option<Ms> {
+    pub(in super::super) fn next_rollout_event_at(&self) -> Option<Ms> {
         let is_leader = self.held_leases.contains_key(&membership_lease());
         let evaluation = is_leader.then(|| match self.disruptions.pending_step {
             Some(_) => self.now + self.evaluation_interval(),
--- a/src/coordination/member/rollout/mod.rs
+++ b/src/coordination/member/rollout/mod.rs
@@ -9,7 +9,7 @@
 mod permit;
 mod plan_check;
 mod status;
-mod stop_by_hand;
+mod stop_without_agreement;
 
 use super::*;
 use crate::coordination::rollout::{DisruptionPermit, DisruptionState, RolloutStep};
@@ -19,8 +19,8 @@
 use std::collections::BTreeSet;
 
 /// The maximum number of engine reports in one heartbeat.
-pub const MAX_REPORTS: usize = 8;
-/// The maximum length of the queue of engine reports, in multiples of [`MAX_REPORTS`].
+pub const MAX_REPORTS_PER_HEARTBEAT: usize = 8;
+/// The maximum length of the queue of engine reports, in multiples of [`MAX_REPORTS_PER_HEARTBEAT`].
 const MAX_QUEUED_HEARTBEATS: usize = 4;
 
 /// The rollout state of one dispatcher that is not replicated. The dispatcher may be the membership leader, a unit with
@@ -85,7 +85,7 @@
         reports.extend(local_health.reports);
         let excess = reports
             .len()
-            .saturating_sub(MAX_QUEUED_HEARTBEATS * MAX_REPORTS);
+            .saturating_sub(MAX_QUEUED_HEARTBEATS * MAX_REPORTS_PER_HEARTBEAT);
         reports.drain(..excess);
     }
 
@@ -94,9 +94,13 @@
         self.disruptions.engines = engines;
     }
 
-    /// Removes up to [`MAX_REPORTS`] reports from the queue, for the next heartbeat.
+    /// Removes up to [`MAX_REPORTS_PER_HEARTBEAT`] reports from the queue, for the next heartbeat.
     pub(super) fn next_reports(&mut self) -> Vec<EngineReport> {
-        let count = self.disruptions.queued_reports.len().min(MAX_REPORTS);
+        let count = self
+            .disruptions
+            .queued_reports
+            .len()
+            .min(MAX_REPORTS_PER_HEARTBEAT);
         self.disruptions.queued_reports.drain(..count).collect()
     }
 
--- a/src/coordination/member/rollout/stop_by_hand.rs
+++ b/src/coordination/member/rollout/stop_without_agreement.rs
@@ -9,7 +9,7 @@
     ///
     /// The named dispatcher drains. Any other dispatcher forwards the request, and adds a note to the replicated state
     /// once the voters agree again. Returns none if the reply follows after the named dispatcher has answered.
-    pub(in super::super) fn stop_by_hand(
+    pub(in super::super) fn stop_without_agreement(
         &mut self,
         call: CallId,
         name: Name,
@@ -45,7 +45,7 @@
             address: None,
             reason,
         };
-        let purpose = RequestPurpose::StopByHand { call, note };
+        let purpose = RequestPurpose::StopWithoutAgreement { call, note };
         self.send_request(to, Question::Operator(request), purpose, out);
         None
     }
@@ -66,7 +66,7 @@
 
     /// Replies to the operator when the named dispatcher has replied. `reply` is none if that dispatcher did not reply
     /// in time.
-    pub(in super::super) fn stop_by_hand_answered(
+    pub(in super::super) fn stop_without_agreement_answered(
         &mut self,
         call: CallId,
         note: String,
--- a/src/coordination/member/settings.rs
+++ b/src/coordination/member/settings.rs
@@ -28,7 +28,7 @@
     /// The lease duration and the allowed clock drift.
     pub lease: LeaseSettings,
     /// How long the answer to a request to another member is awaited.
-    pub answer_within: Ms,
+    pub request_timeout: Ms,
     /// The shortest time between two heartbeats of this member; large fleets use a longer one.
     pub heartbeat: Ms,
     /// The zone whose members are preferred as membership leader; `None` for no preference.
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -67,11 +67,11 @@
     /// Another rollout is unfinished.
     Busy,
     /// The requested change is already in effect.
-    AlreadySo,
+    AlreadyInEffect,
     /// The permit, rollout or halt that the change refers to does not exist.
     Nothing,
     /// The change would exceed the disruption budget or the maximum size of the state.
-    NoRoom,
+    LimitReached,
 }
 
 /// The maximum number of granted permits at a time. A permit takes about 80 bytes, so this limit keeps the replicated
@@ -141,7 +141,7 @@
 
     pub(super) fn halt(&mut self, reason: &str) -> Result<(), RolloutError> {
         if self.halted.is_some() {
-            return Err(RolloutError::AlreadySo);
+            return Err(RolloutError::AlreadyInEffect);
         }
         self.halted = Some(reason.to_owned());
         Ok(())
--- a/src/coordination/rollout/steps.rs
+++ b/src/coordination/rollout/steps.rs
@@ -63,10 +63,10 @@
         }
         let has_permit = self.permit_for(permit.unit_kind, &permit.unit).is_some();
         if has_permit && !is_injected(InjectedFault::TurnTwice) {
-            return Err(RolloutError::AlreadySo);
+            return Err(RolloutError::AlreadyInEffect);
         }
         if self.permits.len() >= MAX_PERMITS {
-            return Err(RolloutError::NoRoom);
+            return Err(RolloutError::LimitReached);
         }
         if permit.planned {
             self.check_budget(permit)?;
@@ -93,7 +93,7 @@
             || is_injected(InjectedFault::TurnTwice)
             || is_injected(InjectedFault::BeginsAnew);
         if self.exhausts_budget(&rollout.budget, permit) && !skips_check {
-            return Err(RolloutError::NoRoom);
+            return Err(RolloutError::LimitReached);
         }
         Ok(())
     }
@@ -169,7 +169,7 @@
         let permit = self.permits.remove(&id).ok_or(RolloutError::Nothing)?;
         let rollout = self.rollout.as_deref_mut().ok_or(RolloutError::Nothing)?;
         if rollout.abandoned.len() >= MAX_ABANDONED {
-            return Err(RolloutError::NoRoom);
+            return Err(RolloutError::LimitReached);
         }
         rollout.abandoned.insert(permit.unit, reason.to_owned());
         Ok(())
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -203,9 +203,9 @@
     VoterChangeInProgress,
     /// The member to add is already a voter, the member to remove is not a voter, or the rollout is already in the
     /// requested state.
-    AlreadySo,
+    AlreadyInEffect,
     /// Fewer than [`MIN_VOTERS`] voters would be left.
-    TooFew,
+    TooFewVoters,
     /// There would be more than [`MAX_VOTERS`] voters, or more than [`MAX_LEASES`] leases.
     TooMany,
     /// The command has no effect, for example because no change of voters is in progress.
@@ -221,8 +221,8 @@
         formatter.write_str(match self {
             CommandError::Outdated => "the lease is held by another, or changed meanwhile",
             CommandError::VoterChangeInProgress => "a change of voters is not finished",
-            CommandError::AlreadySo => "it is so already",
-            CommandError::TooFew => "too few voters would be left",
+            CommandError::AlreadyInEffect => "it is so already",
+            CommandError::TooFewVoters => "too few voters would be left",
             CommandError::TooMany => "there would be too many voters or leases",
             CommandError::Nothing => "there is nothing to do",
             CommandError::Stopped => "the rollout is halted or done",
@@ -238,9 +238,9 @@
         match error {
             RolloutError::Stopped => CommandError::Stopped,
             RolloutError::Busy => CommandError::Busy,
-            RolloutError::AlreadySo => CommandError::AlreadySo,
+            RolloutError::AlreadyInEffect => CommandError::AlreadyInEffect,
             RolloutError::Nothing => CommandError::Nothing,
-            RolloutError::NoRoom => CommandError::TooMany,
+            RolloutError::LimitReached => CommandError::TooMany,
         }
     }
 }
@@ -381,7 +381,7 @@
 
     fn add_voter(&mut self, name: &Name, record: &VoterRecord) -> Result<(), CommandError> {
         self.change_voters(|voters| match voters.insert(name.clone(), record.clone()) {
-            Some(_) => Err(CommandError::AlreadySo),
+            Some(_) => Err(CommandError::AlreadyInEffect),
             None if voters.len() > MAX_VOTERS => Err(CommandError::TooMany),
             None => Ok(()),
         })
@@ -389,8 +389,8 @@
 
     fn remove_voter(&mut self, name: &Name) -> Result<(), CommandError> {
         self.change_voters(|voters| match voters.remove(name) {
-            None => Err(CommandError::AlreadySo),
-            Some(_) if voters.len() < MIN_VOTERS => Err(CommandError::TooFew),
+            None => Err(CommandError::AlreadyInEffect),
+            Some(_) if voters.len() < MIN_VOTERS => Err(CommandError::TooFewVoters),
             Some(_) => Ok(()),
         })
     }
--- a/tests/voter.rs
+++ b/tests/voter.rs
@@ -32,7 +32,7 @@
             lease: 1000.0,
             drift: 0.01,
         },
-        answer_within: 100.0,
+        request_timeout: 100.0,
         heartbeat: 200.0,
         preferred_zone: None,
         report_receivers: Vec::new(),
