--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -7,7 +7,7 @@
 use cindercleat::coordination::membership::MemberStatus;
 use cindercleat::coordination::{Address, LeaseName, Name, Term};
 use cindercleat_fleet::admin_client::send_operator_request_to_any;
-use cindercleat_fleet::job::{Ended, Job, Work};
+use cindercleat_fleet::job::{Job, JobOutcome, Work};
 use cindercleat_net::{Clock, SystemClock, Tcp};
 use clap::{Args, Subcommand};
 use rustix::process::{kill_process, Pid, Signal};
@@ -467,10 +467,10 @@
         number,
     };
     match job.run(&mut work, stop).await? {
-        Ended::Stopped => Ok(true),
-        Ended::ByItself(success) => Ok(success),
-        Ended::Refused(why) => say(Ok(Reply::Refused(why))),
-        Ended::Lost(why) => {
+        JobOutcome::Stopped => Ok(true),
+        JobOutcome::ByItself(success) => Ok(success),
+        JobOutcome::Refused(why) => say(Ok(Reply::Refused(why))),
+        JobOutcome::Lost(why) => {
             eprintln!("cindercleat: {} is lost: {why}", lease_name.0);
             Ok(false)
         }
@@ -499,7 +499,7 @@
         Ok(())
     }
 
-    fn ended(&mut self) -> io::Result<Option<bool>> {
+    fn exit_status(&mut self) -> io::Result<Option<bool>> {
         let status = self
             .child
             .as_mut()
@@ -526,7 +526,7 @@
         Ok(())
     }
 
-    fn waits(&mut self, why: &str) {
+    fn report_waiting(&mut self, why: &str) {
         eprintln!("cindercleat: waiting: {why}");
     }
 }
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -658,7 +658,7 @@
             service.filed.pop_first();
         }
         if self.plan.weigh {
-            let bytes = cindercleat_fleet::acceptor_storage::write(kept).len();
+            let bytes = cindercleat_fleet::acceptor_storage::encode(kept).len();
             service.released.largest = service.released.largest.max(bytes);
         }
     }
--- a/crates/faults/tests/duties_planted.rs
+++ b/crates/faults/tests/duties_planted.rs
@@ -46,7 +46,9 @@
 #[ignore = "a minute without optimization"]
 fn each_planted_fault_is_found_or_named() {
     let found: Vec<_> = std::thread::scope(|scope| {
-        let leases = InjectedFault::ALL.iter().map(|fault| (*fault, &SHAPES[0]));
+        let leases = InjectedFault::LEASE_FAULTS
+            .iter()
+            .map(|fault| (*fault, &SHAPES[0]));
         let all = leases.chain(
             InjectedFault::ROLLOUT_FAULTS
                 .iter()
--- a/crates/faults/tests/explored.rs
+++ b/crates/faults/tests/explored.rs
@@ -178,7 +178,7 @@
         }
     });
     std::thread::scope(|scope| {
-        for fault in InjectedFault::ALL {
+        for fault in InjectedFault::LEASE_FAULTS {
             scope.spawn(move || {
                 inject(Some(fault));
                 let found = cases.iter().find_map(|(name, case)| {
--- a/crates/fleet/src/acceptor_storage.rs
+++ b/crates/fleet/src/acceptor_storage.rs
@@ -82,7 +82,7 @@
 }
 
 /// Encodes an acceptor's state as the content of a voter's file, with magic bytes, version and checksum.
-pub fn write(state: &AcceptorState) -> Vec<u8> {
+pub fn encode(state: &AcceptorState) -> Vec<u8> {
     let body = acceptor_file_to_proto(state).encode_to_vec();
     [
         &MAGIC[..],
--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -288,7 +288,7 @@
 
     async fn save_acceptor_state(self, number: SaveId, state: Box<AcceptorState>) {
         let saved = match &self.state.voter_file {
-            Some(voter_file) => voter_file.replace(acceptor_storage::write(&state)).await,
+            Some(voter_file) => voter_file.replace(acceptor_storage::encode(&state)).await,
             None => Err(std::io::ErrorKind::Unsupported.into()),
         };
         if let Err(problem) = &saved {
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// An I/O error if it cannot be determined whether the work has ended.
-    fn ended(&mut self) -> io::Result<Option<bool>>;
+    fn exit_status(&mut self) -> io::Result<Option<bool>>;
 
     /// Tells the work to end, and kills it if it still runs at `by`, a time of the job's clock in milliseconds.
     ///
@@ -38,12 +38,12 @@
     fn end(&mut self, by: Ms) -> impl Future<Output = io::Result<()>>;
 
     /// Reports in words why the lease is not held yet. Called at most once, after the first request that got no reply.
-    fn waits(&mut self, reason: &str);
+    fn report_waiting(&mut self, reason: &str);
 }
 
 /// How a job ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum JobOutcome {
     /// The work ended by itself. The value tells whether it succeeded.
     ByItself(bool),
     /// The caller of [`Job::run`] stopped the job.
@@ -71,7 +71,7 @@
 /// What a job does once a reply is handled.
 enum NextStep {
     AskAgain,
-    End(Ended),
+    End(JobOutcome),
 }
 
 impl<T: Transport, C: Clock> Job<'_, T, C> {
@@ -84,7 +84,7 @@
         &self,
         work: &mut impl Work,
         stop: impl Future<Output = ()>,
-    ) -> io::Result<Ended> {
+    ) -> io::Result<JobOutcome> {
         tokio::pin!(stop);
         let mut lease: Option<JobLease> = None;
         let mut wait_is_reported = false;
@@ -94,7 +94,7 @@
                 let reply = self.request_lease(asked_at, lease.as_ref()).await;
                 if let (None, Err(reason), false) = (&lease, &reply, wait_is_reported) {
                     wait_is_reported = true;
-                    work.waits(reason);
+                    work.report_waiting(reason);
                 }
                 let next = self
                     .handle_reply(asked_at, &reply, &mut lease, work)
@@ -111,7 +111,7 @@
                 () = &mut stop => {
                     work.end(lease.as_ref().map_or(0.0, JobLease::expires_at)).await?;
                     self.release_lease().await;
-                    return Ok(Ended::Stopped);
+                    return Ok(JobOutcome::Stopped);
                 }
                 next = step => next?,
             };
@@ -154,7 +154,7 @@
                 Some(held) => {
                     if held.renew(*term, asked_at, *good_for).is_err() {
                         work.end(held.expires_at()).await?;
-                        return Ok(NextStep::End(Ended::Lost(
+                        return Ok(NextStep::End(JobOutcome::Lost(
                             "the lease has a new term: another process may have held the lease in between"
                                 .to_owned(),
                         )));
@@ -164,7 +164,7 @@
             Ok(Reply::Refused(reason)) => {
                 work.end(lease.map_or(0.0, |held| held.expires_at()))
                     .await?;
-                return Ok(NextStep::End(Ended::Refused(reason.clone())));
+                return Ok(NextStep::End(JobOutcome::Refused(reason.clone())));
             }
             // The lease is not held yet, the lease is no longer held, or no dispatcher answered.
             Ok(_) | Err(_) => {}
@@ -179,11 +179,11 @@
                 Ok(_) => "the dispatcher no longer reports the lease as held",
                 Err(error) => error,
             };
-            return Ok(NextStep::End(Ended::Lost(reason.to_owned())));
+            return Ok(NextStep::End(JobOutcome::Lost(reason.to_owned())));
         }
-        if let Some(success) = work.ended()? {
+        if let Some(success) = work.exit_status()? {
             self.release_lease().await;
-            return Ok(NextStep::End(Ended::ByItself(success)));
+            return Ok(NextStep::End(JobOutcome::ByItself(success)));
         }
         Ok(NextStep::AskAgain)
     }
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -22,7 +22,7 @@
     LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
-use cindercleat_fleet::acceptor_storage::{decode, write, LoadError};
+use cindercleat_fleet::acceptor_storage::{decode, encode, LoadError};
 use cindercleat_fleet::codec::{
     answer_from_proto, answer_to_proto, request_from_proto, request_to_proto,
 };
@@ -429,7 +429,7 @@
 
 #[test]
 fn a_voters_file_is_decoded_as_written_or_refused() {
-    let bytes = write(&acceptor_state());
+    let bytes = encode(&acceptor_state());
     assert_eq!(decode(&bytes).expect("the file is valid"), acceptor_state());
     assert!(matches!(
         decode(b"something else"),
@@ -464,7 +464,7 @@
 
     #[test]
     fn a_file_with_a_flipped_bit_is_refused(index in 5usize..200, bit in 0u8..8) {
-        let mut bytes = write(&acceptor_state());
+        let mut bytes = encode(&acceptor_state());
         let index = index % bytes.len();
         prop_assume!(index >= 5);
         bytes[index] ^= 1 << bit;
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -8,7 +8,7 @@
 use cindercleat::coordination::member::{FleetSettings, LocalHealth};
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
 use cindercleat_fleet::acceptor_storage::{FileStore, MemoryFile};
-use cindercleat_fleet::job::{Ended, Job, Work};
+use cindercleat_fleet::job::{Job, JobOutcome, Work};
 use cindercleat_fleet::{Dispatcher, Driver};
 use cindercleat_net::{Clock, Memory, TokioClock, Transport};
 use std::cell::{Cell, RefCell};
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    fn ended(&mut self) -> io::Result<Option<bool>> {
+    fn exit_status(&mut self) -> io::Result<Option<bool>> {
         Ok(None)
     }
 
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    fn waits(&mut self, _: &str) {}
+    fn report_waiting(&mut self, _: &str) {}
 }
 
 struct TestFleet {
@@ -168,7 +168,10 @@
 
     /// Starts a job at the first member and waits until its work has begun. Returns a handle that stops the job when it
     /// is notified, and the task of the job.
-    async fn start_job(&self, work: EndlessWork) -> (Rc<Notify>, tokio::task::JoinHandle<Ended>) {
+    async fn start_job(
+        &self,
+        work: EndlessWork,
+    ) -> (Rc<Notify>, tokio::task::JoinHandle<JobOutcome>) {
         let (stop, started) = (Rc::new(Notify::new()), work.started.clone());
         let (stop_requested, memory, clock) = (stop.clone(), self.memory.clone(), self.clock);
         let job = spawn_local(async move {
@@ -214,7 +217,7 @@
             stop.notify_one();
             assert_eq!(
                 job.await.expect("the job ends"),
-                Ended::Stopped,
+                JobOutcome::Stopped,
                 "renewal lost after {twentieths}/20 of the lease: the job ends only when it is stopped"
             );
             assert_eq!(started_terms.borrow().len(), 1, "the work began once");
@@ -239,7 +242,7 @@
                 "writes take {fraction} of the answer timeout: the work goes on"
             );
             stop.notify_one();
-            assert_eq!(job.await.expect("the job ends"), Ended::Stopped);
+            assert_eq!(job.await.expect("the job ends"), JobOutcome::Stopped);
         });
     }
 }
@@ -254,7 +257,7 @@
         let disks_stopped_at = fleet.clock.now();
         let ended = job.await.expect("the job ends");
         assert!(
-            matches!(ended, Ended::Lost(_)),
+            matches!(ended, JobOutcome::Lost(_)),
             "the job ends as its lease was not renewed: {ended:?}"
         );
         let lost_after = fleet.clock.now() - disks_stopped_at;
--- a/crates/fleet/tests/stored_bytes.rs
+++ b/crates/fleet/tests/stored_bytes.rs
@@ -14,7 +14,7 @@
     LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
-use cindercleat_fleet::acceptor_storage::{decode, write};
+use cindercleat_fleet::acceptor_storage::{decode, encode};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The bytes of a file that an earlier version wrote, in hexadecimal.
@@ -227,5 +227,5 @@
 
 #[test]
 fn a_state_is_written_as_the_bytes_of_an_earlier_version() {
-    assert_eq!(write(&stored_state()), stored_bytes());
+    assert_eq!(encode(&stored_state()), stored_bytes());
 }
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -53,7 +53,7 @@
 
 impl InjectedFault {
     /// Faults in the replicated state, leases and fencing.
-    pub const ALL: [InjectedFault; 14] = [
+    pub const LEASE_FAULTS: [InjectedFault; 14] = [
         InjectedFault::AnswerBeforeDurable,
         InjectedFault::BallotReused,
         InjectedFault::LeaseCountedFromAnswer,
--- a/src/coordination/member/rollout/commands.rs
+++ b/src/coordination/member/rollout/commands.rs
@@ -248,7 +248,7 @@
 
 fn refused_reply(command: &OperatorCommand, error: CommandError) -> Reply {
     let text = match (command, error) {
-        (OperatorCommand::Start(_), CommandError::Busy) => {
+        (OperatorCommand::Start(_), CommandError::RolloutInProgress) => {
             "another release is not done: see 'release status'"
         }
         (OperatorCommand::Start(_), CommandError::Stopped) => {
--- a/src/coordination/rollout/commands.rs
+++ b/src/coordination/rollout/commands.rs
@@ -50,7 +50,7 @@
 
     fn start(&mut self, rollout: &Rollout) -> Result<(), RolloutError> {
         if self.unfinished_rollout().is_some() {
-            return Err(RolloutError::Busy);
+            return Err(RolloutError::RolloutInProgress);
         }
         if self.halted.is_some() {
             return Err(RolloutError::Stopped);
@@ -60,18 +60,21 @@
     }
 
     fn resume(&mut self) -> Result<(), RolloutError> {
-        self.halted.take().ok_or(RolloutError::Nothing)?;
+        self.halted.take().ok_or(RolloutError::NothingToChange)?;
         self.resume_count += 1;
         Ok(())
     }
 
     fn roll_back(&mut self) -> Result<(), RolloutError> {
         let is_halted = self.halted.is_some();
-        let rollout = self.rollout.as_deref_mut().ok_or(RolloutError::Nothing)?;
+        let rollout = self
+            .rollout
+            .as_deref_mut()
+            .ok_or(RolloutError::NothingToChange)?;
         // A rollback cannot be rolled back, but a halted rollback may start again. Permanently removed units do not
         // return, so their removal cannot be rolled back.
         if (rollout.rolling_back && !is_halted) || rollout.plan.permanent {
-            return Err(RolloutError::Nothing);
+            return Err(RolloutError::NothingToChange);
         }
         rollout.rolling_back = true;
         rollout.finished = false;
@@ -84,7 +87,9 @@
     }
 
     fn end(&mut self) -> Result<(), RolloutError> {
-        let rollout = self.unfinished_rollout_mut().ok_or(RolloutError::Nothing)?;
+        let rollout = self
+            .unfinished_rollout_mut()
+            .ok_or(RolloutError::NothingToChange)?;
         rollout.finished = true;
         self.halted = None;
         Ok(())
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -65,11 +65,11 @@
     /// Permits are halted, the rollout is finished, or there is no rollout of this kind.
     Stopped,
     /// Another rollout is unfinished.
-    Busy,
+    RolloutInProgress,
     /// The requested change is already in effect.
     AlreadyInEffect,
     /// The permit, rollout or halt that the change refers to does not exist.
-    Nothing,
+    NothingToChange,
     /// The change would exceed the disruption budget or the maximum size of the state.
     LimitReached,
 }
--- a/src/coordination/rollout/steps.rs
+++ b/src/coordination/rollout/steps.rs
@@ -126,7 +126,9 @@
                 any_removed = true;
             }
         }
-        any_removed.then_some(()).ok_or(RolloutError::Nothing)
+        any_removed
+            .then_some(())
+            .ok_or(RolloutError::NothingToChange)
     }
 
     fn apply_completion(&mut self, permit: DisruptionPermit) {
@@ -157,7 +159,10 @@
             .unfinished_rollout()
             .is_some_and(|rollout| rollout.rolling_back);
         let halted = self.halted.is_some();
-        let reissued = self.permits.get_mut(&id).ok_or(RolloutError::Nothing)?;
+        let reissued = self
+            .permits
+            .get_mut(&id)
+            .ok_or(RolloutError::NothingToChange)?;
         if !rolling_back || halted || reissued.unit != permit.unit {
             return Err(RolloutError::Stopped);
         }
@@ -166,8 +171,14 @@
     }
 
     fn abandon(&mut self, id: PermitId, reason: &str) -> Result<(), RolloutError> {
-        let permit = self.permits.remove(&id).ok_or(RolloutError::Nothing)?;
-        let rollout = self.rollout.as_deref_mut().ok_or(RolloutError::Nothing)?;
+        let permit = self
+            .permits
+            .remove(&id)
+            .ok_or(RolloutError::NothingToChange)?;
+        let rollout = self
+            .rollout
+            .as_deref_mut()
+            .ok_or(RolloutError::NothingToChange)?;
         if rollout.abandoned.len() >= MAX_ABANDONED {
             return Err(RolloutError::LimitReached);
         }
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -208,12 +208,12 @@
     TooFewVoters,
     /// There would be more than [`MAX_VOTERS`] voters, or more than [`MAX_LEASES`] leases.
     TooMany,
-    /// The command has no effect, for example because no change of voters is in progress.
-    Nothing,
-    /// The rollout is halted or finished.
+    /// What the command would change does not exist, such as a permit, a halt or an unfinished change of voters.
+    NothingToChange,
+    /// Permits are halted or the rollout is finished.
     Stopped,
     /// Another rollout is not finished.
-    Busy,
+    RolloutInProgress,
 }
 
 impl fmt::Display for CommandError {
@@ -221,12 +221,14 @@
         formatter.write_str(match self {
             CommandError::Outdated => "the lease is held by another, or changed meanwhile",
             CommandError::VoterChangeInProgress => "a change of voters is not finished",
-            CommandError::AlreadyInEffect => "it is so already",
+            CommandError::AlreadyInEffect => "the change is already in effect",
             CommandError::TooFewVoters => "too few voters would be left",
             CommandError::TooMany => "there would be too many voters or leases",
-            CommandError::Nothing => "there is nothing to do",
-            CommandError::Stopped => "the rollout is halted or done",
-            CommandError::Busy => "another rollout is not done",
+            CommandError::NothingToChange => {
+                "the permit, rollout, halt or lease to change does not exist"
+            }
+            CommandError::Stopped => "permits are halted or the rollout is finished",
+            CommandError::RolloutInProgress => "another rollout is not finished",
         })
     }
 }
@@ -237,9 +239,9 @@
     fn from(error: RolloutError) -> Self {
         match error {
             RolloutError::Stopped => CommandError::Stopped,
-            RolloutError::Busy => CommandError::Busy,
+            RolloutError::RolloutInProgress => CommandError::RolloutInProgress,
             RolloutError::AlreadyInEffect => CommandError::AlreadyInEffect,
-            RolloutError::Nothing => CommandError::Nothing,
+            RolloutError::NothingToChange => CommandError::NothingToChange,
             RolloutError::LimitReached => CommandError::TooMany,
         }
     }
@@ -400,7 +402,7 @@
     fn finish_voter_change(&self) -> Result<(), CommandError> {
         match self.voters.before {
             Some(_) => Ok(()),
-            None => Err(CommandError::Nothing),
+            None => Err(CommandError::NothingToChange),
         }
     }
 
