--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -230,7 +230,7 @@
                 say(give(
                     &clock,
                     &args.at,
-                    &OperatorRequest::ByHand {
+                    &OperatorRequest::StopWithoutAgreement {
                         name: who,
                         address,
                         reason: why,
@@ -360,7 +360,7 @@
 fn as_json(status: &Status) -> serde_json::Value {
     use serde_json::json;
     let voters = status.voters.iter().map(|v| {
-        json!({"name": *v.name.0, "address": *v.address.0, "answers": v.answers, "votes": v.votes, "version": v.version})
+        json!({"name": *v.name.0, "address": *v.address.0, "answers": v.is_responding, "votes": v.is_voting, "version": v.version})
     });
     let leases = status.leases.iter().map(|(lease_name, term, holder)| {
         let name = holder.as_ref().map(|h| h.name.0.to_string());
@@ -398,7 +398,7 @@
         }
     );
     for v in &status.voters {
-        let state = match (v.answers, v.votes) {
+        let state = match (v.is_responding, v.is_voting) {
             (true, true) => "votes",
             (true, false) => "does not vote",
             (false, _) => "does not answer",
--- a/crates/cindercleat-cli/src/fleet_settings.rs
+++ b/crates/cindercleat-cli/src/fleet_settings.rs
@@ -119,7 +119,7 @@
     };
     let member = FleetSettings {
         fleet: block.value_or("name", "fleet".to_owned())?,
-        me: Name::from(name),
+        own_name: Name::from(name),
         incarnation: Incarnation(run),
         address: Address::from(own.as_str()),
         zone: zone.to_owned(),
@@ -135,8 +135,8 @@
             .map(|at| Address::from(at.as_str()))
             .collect(),
         report_interval,
-        bounds: release_plan::bounds(block)?,
-        keeper: match block.maybe("keeper")? {
+        disruption_budgets: release_plan::bounds(block)?,
+        drain_list_address: match block.maybe("keeper")? {
             Some(line) => Some(Address::from(address(line, 1)?.as_str())),
             None => None,
         },
--- a/crates/cindercleat-cli/src/serve.rs
+++ b/crates/cindercleat-cli/src/serve.rs
@@ -78,12 +78,15 @@
 
 impl cindercleat_fleet::Dispatcher for Beside {
     fn local_health(&self) -> LocalHealth {
-        let Readiness { is_ready, load } = self.driver.readiness();
-        let (tally, reports) = self.driver.take_service_stats(MAX_REPORTS_PER_HEARTBEAT);
+        let Readiness {
+            is_ready,
+            load: utilization,
+        } = self.driver.readiness();
+        let (outcomes, reports) = self.driver.take_service_stats(MAX_REPORTS_PER_HEARTBEAT);
         LocalHealth {
             ready: is_ready,
-            load,
-            tally,
+            utilization,
+            outcomes,
             reports,
         }
     }
--- a/crates/dispatcher/src/state/service_stats.rs
+++ b/crates/dispatcher/src/state/service_stats.rs
@@ -115,8 +115,8 @@
         stats.is_unchanged_since_report = true;
         Some(EngineReport {
             engine: Name(engine.0),
-            used: stats.used.map(|(used, at)| (used, now - at)),
-            tally: std::mem::take(&mut stats.attempt_outcomes),
+            utilization: stats.used.map(|(used, at)| (used, now - at)),
+            outcomes: std::mem::take(&mut stats.attempt_outcomes),
         })
     }
 }
--- a/crates/faults/src/drill/mod.rs
+++ b/crates/faults/src/drill/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::duties::{Breach, Judge};
 use cindercleat::coordination::fencing::{FencingDecision, Receiver};
-use cindercleat::coordination::member::{Answer, Question};
+use cindercleat::coordination::member::{Answer, MemberRequest};
 use cindercleat::coordination::Incarnation;
 use cindercleat::interface::Ms;
 use cindercleat_fleet::codec::{answer_to_proto, request_from_proto};
@@ -568,7 +568,7 @@
                     else {
                         continue;
                     };
-                    let Some(Question::FencedCommand(act)) = request_from_proto(said) else {
+                    let Some(MemberRequest::FencedCommand(act)) = request_from_proto(said) else {
                         continue;
                     };
                     let mut seen = seen.borrow_mut();
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -9,7 +9,7 @@
 use crate::plan::{rules, Day};
 use cindercleat::coordination::disruption_budget::{DisruptionBudget, UnitKind};
 use cindercleat::coordination::fencing::{FencingDecision, Receiver};
-use cindercleat::coordination::member::{Answer, Question};
+use cindercleat::coordination::member::{Answer, MemberRequest};
 use cindercleat::coordination::rollout::PermitId;
 use cindercleat::coordination::rollout_controller::PermitNotice;
 use cindercleat::coordination::{Incarnation, Name};
@@ -369,7 +369,7 @@
                             continue;
                         };
                         let answer = match request_from_proto(said) {
-                            Some(Question::FencedCommand(act)) => {
+                            Some(MemberRequest::FencedCommand(act)) => {
                                 let now = around.now();
                                 let verdict = receiver.borrow_mut().receive(now, &act);
                                 let receiver_timestamp = receiver.borrow().receiver_timestamp(now);
@@ -383,12 +383,12 @@
                                     receiver_timestamp,
                                 }
                             }
-                            Some(Question::AskBack {
+                            Some(MemberRequest::RevokePermit {
                                 permit,
-                                who,
+                                unit: who,
                                 incarnation,
                                 ..
-                            }) => Answer::Begun {
+                            }) => Answer::RevocationResult {
                                 begun: around.is_begun(permit, &who, incarnation),
                             },
                             _ => continue,
--- a/crates/faults/src/duties/mod.rs
+++ b/crates/faults/src/duties/mod.rs
@@ -16,8 +16,8 @@
 use cindercleat::coordination::fencing::{FencingDecision, Receiver};
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
-    Answer, CallId, FleetSettings, Input, LocalHealth, Member, MemberRequestId, OperatorRequest,
-    Output, Question, Reply, SaveId, UnusableFile, MEMBERSHIP_LEASE,
+    Answer, CallId, FleetSettings, Input, LocalHealth, Member, MemberRequest, MemberRequestId,
+    OperatorRequest, Output, Reply, SaveId, UnusableFile, MEMBERSHIP_LEASE,
 };
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
@@ -92,7 +92,7 @@
     Question {
         to: usize,
         from: MultiplexedConnection,
-        question: Box<Question>,
+        question: Box<MemberRequest>,
     },
     FencedCommand {
         to: usize,
@@ -337,7 +337,7 @@
         let voter = |at: usize| (name_of(at), address_of(at));
         FleetSettings {
             fleet: "fleet".to_owned(),
-            me: name_of(node),
+            own_name: name_of(node),
             incarnation: Incarnation(node as u64 * 1_000_000 + self.nodes[node].starts),
             address: address_of(node),
             zone: self.nodes[node].zone.clone(),
@@ -359,12 +359,12 @@
                 .map(|at| Address::from(format!("t{at}").as_str()))
                 .collect(),
             report_interval: plan.tell_every,
-            bounds: plan
+            disruption_budgets: plan
                 .release
                 .as_ref()
                 .map(|play| play.bounds)
                 .unwrap_or_default(),
-            keeper: plan.release.as_ref().map(|_| service::keeper_of(plan)),
+            drain_list_address: plan.release.as_ref().map(|_| service::keeper_of(plan)),
             seed: self.rng.generate(),
         }
     }
@@ -393,7 +393,7 @@
             node,
             Input::LocalHealth(LocalHealth {
                 ready,
-                load: 0.1,
+                utilization: 0.1,
                 ..LocalHealth::default()
             }),
         );
@@ -439,8 +439,8 @@
         let acts = out.iter().any(|o| {
             matches!(
                 o,
-                Output::Ask {
-                    question: Question::FencedCommand(_),
+                Output::SendRequest {
+                    question: MemberRequest::FencedCommand(_),
                     ..
                 }
             )
@@ -486,7 +486,11 @@
 
     fn perform(&mut self, node: usize, output: Output, late: Ms) {
         match output {
-            Output::Ask { ask, to, question } => {
+            Output::SendRequest {
+                request_id: ask,
+                to,
+                question,
+            } => {
                 let incarnation = Incarnation(node as u64 * 1_000_000 + self.nodes[node].starts);
                 let from = MultiplexedConnection::Node {
                     at: node,
@@ -510,15 +514,15 @@
                     if let Some(way) = self.way(node, target) {
                         let at = self.now + late + way;
                         let what = match (&question, target.checked_sub(self.nodes.len())) {
-                            (Question::FencedCommand(act), Some(to)) => What::FencedCommand {
+                            (MemberRequest::FencedCommand(act), Some(to)) => What::FencedCommand {
                                 to,
                                 from,
                                 act: Box::new(act.clone()),
                             },
                             (
-                                Question::AskBack {
+                                MemberRequest::RevokePermit {
                                     permit,
-                                    who,
+                                    unit: who,
                                     incarnation,
                                     ..
                                 },
@@ -600,7 +604,7 @@
                     },
                 );
             }
-            Output::Holds { .. } | Output::Warn(_) | Output::Info(_) => {}
+            Output::LeaseChanged { .. } | Output::Warn(_) | Output::Info(_) => {}
             Output::PermitGranted { permit, label } => self.turn_begins(node, permit, &label),
             // One that has its turn drains on and is ended by its time.
             Output::Stopped if self.is_ending(node) => {}
@@ -690,7 +694,7 @@
                 self.nodes[to].calls.insert(call, from);
                 self.give(
                     to,
-                    Input::Asked {
+                    Input::RequestReceived {
                         call,
                         question: *question,
                     },
@@ -706,8 +710,8 @@
                 if incarnation == now_run {
                     self.give(
                         to,
-                        Input::Answered {
-                            ask,
+                        Input::AnswerReceived {
+                            request_id: ask,
                             answer: answer.map(|a| *a),
                         },
                     );
@@ -739,7 +743,7 @@
                 } = from
                 {
                     if let Some(way) = self.way(me, at) {
-                        let answer = Some(Box::new(Answer::Begun { begun }));
+                        let answer = Some(Box::new(Answer::RevocationResult { begun }));
                         self.push(
                             self.now + way,
                             What::Answer {
@@ -977,9 +981,9 @@
             .insert(call, MultiplexedConnection::Operator(None));
         self.give(
             node,
-            Input::Asked {
+            Input::RequestReceived {
                 call,
-                question: Question::Operator(order),
+                question: MemberRequest::Operator(order),
             },
         );
     }
--- a/crates/faults/src/duties/service.rs
+++ b/crates/faults/src/duties/service.rs
@@ -379,16 +379,16 @@
                     };
                     reports.push(EngineReport {
                         engine: engine.name.clone(),
-                        used: Some((used, 50.0)),
-                        tally,
+                        utilization: Some((used, 50.0)),
+                        outcomes: tally,
                     });
                 }
             }
         }
         let local_health = LocalHealth {
             ready,
-            load: 0.2,
-            tally: service.nodes[node].tally,
+            utilization: 0.2,
+            outcomes: service.nodes[node].tally,
             reports,
         };
         let engines = member.wants_engines().then(|| self.units(node));
@@ -904,7 +904,7 @@
         });
         let Some(status) = caller
             .and_then(|at| self.nodes[at].member.as_ref())
-            .map(Member::release_status)
+            .map(Member::rollout_status)
         else {
             return;
         };
@@ -1072,9 +1072,9 @@
             .insert(call, MultiplexedConnection::Operator(Some(number)));
         self.give(
             node,
-            Input::Asked {
+            Input::RequestReceived {
                 call,
-                question: Question::Operator(OperatorRequest::Rollout(order)),
+                question: MemberRequest::Operator(OperatorRequest::Rollout(order)),
             },
         );
         // No answer is asked for again.
@@ -1138,7 +1138,7 @@
                     Act::Turn(_) => self.met("turn by request"),
                 }
             }
-            Reply::Elsewhere(address) => {
+            Reply::Redirect(address) => {
                 if let Some(at) = place_of(address, nodes) {
                     service.doing[number].op.node = at;
                 }
--- a/crates/faults/src/duties/small.rs
+++ b/crates/faults/src/duties/small.rs
@@ -190,7 +190,7 @@
 fn watch(now: Ms) -> LeaseObserver {
     // Places are alike, and who comes first is for the order of steps: up to a gap counts as nothing.
     let mut watch = LeaseObserver::new(now, &mut WyRand::new_seed(1));
-    watch.place = Some(0);
+    watch.rank = Some(0);
     watch
 }
 
@@ -201,8 +201,8 @@
             .collect();
         Voters {
             generation: 1,
-            set,
-            before: None,
+            records: set,
+            former: None,
         }
     }
 
@@ -434,9 +434,9 @@
             let (who, seen) = (state.holder(0), state.contenders[0].watch.version());
             let change = Command::Acquire {
                 lease_name: lease_name(),
-                who,
+                holder: who,
                 lease_ms: 1000,
-                seen,
+                expected_version: seen,
             };
             state.contenders[0].tries += 1;
             state.begin(0, self.bootstrap(), change, None);
@@ -536,15 +536,18 @@
                         voter_record: voter_record(new),
                     },
                 )
-            } else if let Some(hold) = contender.hold.filter(|hold| hold.left(state.now) > 0.0) {
+            } else if let Some(hold) = contender
+                .hold
+                .filter(|hold| hold.remaining(state.now) > 0.0)
+            {
                 (
                     "renews",
                     Command::Renew {
-                        who,
+                        holder: who,
                         leases: vec![(lease_name(), hold.term)],
                     },
                 )
-            } else if contender.watch.election_delay(&who, true, &LEASE) <= LEASE.gap()
+            } else if contender.watch.election_delay(&who, true, &LEASE) <= LEASE.election_gap()
                 || self.changes
             {
                 let seen = contender.watch.version();
@@ -552,9 +555,9 @@
                     "takes",
                     Command::Acquire {
                         lease_name: lease_name(),
-                        who,
+                        holder: who,
                         lease_ms: 1000,
-                        seen,
+                        expected_version: seen,
                     },
                 )
             } else {
@@ -615,7 +618,8 @@
         }
         // Where changes are looked at nobody waits for leases.
         if let Some(hold) = contender.hold.filter(|_| !self.changes) {
-            let live = hold.left(state.now) > 0.0 || is_injected(InjectedFault::LeaseEndIgnored);
+            let live =
+                hold.remaining(state.now) > 0.0 || is_injected(InjectedFault::LeaseEndIgnored);
             if live && hold.term.0 != state.acted {
                 step(format!("{name} acts in term {}", hold.term.0), &|s| {
                     if hold.term.0 < s.acted {
--- a/crates/faults/src/duties/small_release.rs
+++ b/crates/faults/src/duties/small_release.rs
@@ -116,7 +116,7 @@
         FleetView {
             dispatchers,
             engines: Vec::new(),
-            complete: true,
+            is_complete: true,
         }
     }
 
@@ -131,7 +131,7 @@
             now: 0.0,
             disruptions: &caller.knows,
             view: &view,
-            me: &me,
+            leader_name: &me,
             voters: &nobody,
             requests: &[],
             request_budget: &bounds(),
--- a/crates/faults/tests/changes.rs
+++ b/crates/faults/tests/changes.rs
@@ -42,8 +42,8 @@
             .collect();
         Voters {
             generation: 1,
-            set,
-            before: None,
+            records: set,
+            former: None,
         }
     }
 
@@ -114,9 +114,9 @@
         };
         let take = |name: &str| Command::Acquire {
             lease_name: LeaseName::from("duty"),
-            who: holder(name),
+            holder: holder(name),
             lease_ms: 1000,
-            seen: LeaseVersion::default(),
+            expected_version: LeaseVersion::default(),
         };
         assert_eq!(
             self.try_with("x", 1, Self::bootstrap(), add("e", 5), ["abc", "e"]),
--- a/crates/fleet/src/admin_client.rs
+++ b/crates/fleet/src/admin_client.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::{answer_from_proto, request_to_proto};
 use crate::driver::MAX_MESSAGE_BYTES;
-use cindercleat::coordination::member::{Answer, OperatorRequest, Question, Reply};
+use cindercleat::coordination::member::{Answer, MemberRequest, OperatorRequest, Reply};
 use cindercleat::interface::Ms;
 use cindercleat_grpc::{connect, Event, Session, Setup};
 use cindercleat_net::{Clock, Transport};
@@ -20,7 +20,7 @@
     transport: &T,
     clock: &C,
     address: &str,
-    question: &Question,
+    question: &MemberRequest,
     timeout: Ms,
 ) -> Result<Answer, String> {
     let times_out_at = clock.now() + timeout;
@@ -85,12 +85,12 @@
             transport,
             clock,
             &address,
-            &Question::Operator(request.clone()),
+            &MemberRequest::Operator(request.clone()),
             timeout,
         )
         .await?
         {
-            Answer::Reply(Reply::Elsewhere(redirect)) => address = redirect.0.to_string(),
+            Answer::Reply(Reply::Redirect(redirect)) => address = redirect.0.to_string(),
             Answer::Reply(reply) => return Ok(reply),
             _ => {
                 return Err(format!(
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -7,8 +7,8 @@
 use crate::rollout_codec;
 use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::coordination::member::{
-    Answer, HeartbeatReply, MemberSummary, OperatorRequest, Question, Reply, Status, VoterState,
-    VoterStatus,
+    Answer, HeartbeatReply, MemberRequest, MemberSummary, OperatorRequest, Reply, Status,
+    VoterState, VoterStatus,
 };
 use cindercleat::coordination::membership::{Heartbeat, MemberStatus};
 use cindercleat::coordination::register::{
@@ -82,10 +82,10 @@
 fn voter_set_to_proto(voters: &Voters) -> v1::VoterSet {
     v1::VoterSet {
         generation: voters.generation,
-        set: voter_records_to_proto(&voters.set),
-        changing: voters.before.is_some(),
+        set: voter_records_to_proto(&voters.records),
+        changing: voters.former.is_some(),
         before: voters
-            .before
+            .former
             .as_ref()
             .map(voter_records_to_proto)
             .unwrap_or_default(),
@@ -102,8 +102,8 @@
     };
     Some(Voters {
         generation: message.generation,
-        set: present,
-        before: former,
+        records: present,
+        former,
     })
 }
 
@@ -293,9 +293,9 @@
 }
 
 /// Encodes a request to a member as a message of the `Fleet` service.
-pub fn request_to_proto(question: &Question) -> v1::FleetCall {
+pub fn request_to_proto(question: &MemberRequest) -> v1::FleetCall {
     let question = match question {
-        Question::Vote(AcceptorRequest::Prepare {
+        MemberRequest::Vote(AcceptorRequest::Prepare {
             voter_id,
             ballot,
             write_counts,
@@ -304,7 +304,7 @@
             ballot: Some(ballot_to_proto(ballot)),
             heard: write_counts_to_proto(write_counts),
         }),
-        Question::Vote(AcceptorRequest::Accept {
+        MemberRequest::Vote(AcceptorRequest::Accept {
             voter_id,
             ballot,
             value,
@@ -315,46 +315,46 @@
             value: Some(replicated_state_to_proto(value)),
             heard: write_counts_to_proto(write_counts),
         }),
-        Question::VoterState => WireQuestion::Look(v1::FleetLook {}),
-        Question::WriteCount { of, voter_id } => WireQuestion::Witness(v1::FleetWitness {
-            name: of.0.to_string(),
+        MemberRequest::VoterState => WireQuestion::Look(v1::FleetLook {}),
+        MemberRequest::WriteCount { voter, voter_id } => WireQuestion::Witness(v1::FleetWitness {
+            name: voter.0.to_string(),
             voter_id: voter_id.0,
         }),
-        Question::Heartbeat(heartbeat) => WireQuestion::Heartbeat(v1::FleetHeartbeat {
-            who: Some(lease_holder_to_proto(&heartbeat.who)),
+        MemberRequest::Heartbeat(heartbeat) => WireQuestion::Heartbeat(v1::FleetHeartbeat {
+            who: Some(lease_holder_to_proto(&heartbeat.sender)),
             zone: heartbeat.zone.clone(),
             label: heartbeat.label.clone(),
-            up_ms: heartbeat.up,
+            up_ms: heartbeat.uptime,
             ready: heartbeat.ready,
             stopping: heartbeat.stopping,
-            load: heartbeat.load,
-            holds: heartbeat.holds,
-            tally: Some(rollout_codec::outcome_counts_to_proto(&heartbeat.tally)),
+            load: heartbeat.utilization,
+            holds: heartbeat.leases_held,
+            tally: Some(rollout_codec::outcome_counts_to_proto(&heartbeat.outcomes)),
             reports: heartbeat
                 .reports
                 .iter()
                 .map(rollout_codec::engine_report_to_proto)
                 .collect(),
         }),
-        Question::LeaseOffer { lease_name } => WireQuestion::Nudge(v1::FleetNudge {
+        MemberRequest::LeaseOffer { lease_name } => WireQuestion::Nudge(v1::FleetNudge {
             lease_name: lease_name.0.to_string(),
         }),
-        Question::FencedCommand(command) => WireQuestion::FencedCommand(v1::FencedCommand {
+        MemberRequest::FencedCommand(command) => WireQuestion::FencedCommand(v1::FencedCommand {
             lease_name: command.lease_name.0.to_string(),
             term: command.term.0,
             holder: Some(lease_holder_to_proto(&command.holder)),
             number: command.number,
             receiver_timestamp: command.receiver_timestamp.map(receiver_timestamp_to_proto),
-            good_for_ms: command.good_for,
+            good_for_ms: command.valid_for,
             body: command.body.clone().into(),
         }),
-        Question::AskBack {
+        MemberRequest::RevokePermit {
             permit,
-            of,
-            who,
+            unit_kind,
+            unit,
             incarnation,
-        } => rollout_codec::revocation_to_proto(*permit, *of, who, *incarnation),
-        Question::Operator(request) => operator_request_to_proto(request),
+        } => rollout_codec::revocation_to_proto(*permit, *unit_kind, unit, *incarnation),
+        MemberRequest::Operator(request) => operator_request_to_proto(request),
     };
     v1::FleetCall {
         question: Some(question),
@@ -389,12 +389,12 @@
                 job: *job,
             })
         }
-        OperatorRequest::LetGo { lease_name, job } => WireQuestion::LetGo(v1::FleetLetGo {
+        OperatorRequest::ReleaseLease { lease_name, job } => WireQuestion::LetGo(v1::FleetLetGo {
             lease_name: lease_name.0.to_string(),
             job: *job,
         }),
         OperatorRequest::Rollout(request) => rollout_codec::rollout_request_to_proto(request),
-        OperatorRequest::ByHand {
+        OperatorRequest::StopWithoutAgreement {
             name,
             address,
             reason,
@@ -410,55 +410,55 @@
 }
 
 /// Decodes a request from another member or an operator; `None` if it is invalid.
-pub fn request_from_proto(message: v1::FleetCall) -> Option<Question> {
+pub fn request_from_proto(message: v1::FleetCall) -> Option<MemberRequest> {
     Some(match message.question? {
         WireQuestion::Prepare(content) => {
             let write_counts = write_counts_from_proto(&content.heard)?;
-            Question::Vote(AcceptorRequest::Prepare {
+            MemberRequest::Vote(AcceptorRequest::Prepare {
                 voter_id: VoterId(content.voter_id),
                 ballot: ballot_from_proto(content.ballot)?,
                 write_counts,
             })
         }
-        WireQuestion::Accept(content) => Question::Vote(AcceptorRequest::Accept {
+        WireQuestion::Accept(content) => MemberRequest::Vote(AcceptorRequest::Accept {
             voter_id: VoterId(content.voter_id),
             ballot: ballot_from_proto(content.ballot)?,
             value: replicated_state_from_proto(content.value)?,
             write_counts: write_counts_from_proto(&content.heard)?,
         }),
-        WireQuestion::Look(_) => Question::VoterState,
-        WireQuestion::Witness(content) => Question::WriteCount {
-            of: name(&content.name)?,
+        WireQuestion::Look(_) => MemberRequest::VoterState,
+        WireQuestion::Witness(content) => MemberRequest::WriteCount {
+            voter: name(&content.name)?,
             voter_id: VoterId(content.voter_id),
         },
         WireQuestion::Heartbeat(content) => {
             let (zone, label) = (content.zone, content.label);
             (zone.len() <= MAX_TEXT_BYTES && label.len() <= MAX_TEXT_BYTES).then_some(())?;
-            let (up, load) = (finite(content.up_ms)?, finite(content.load)?);
-            let (who, ready, stopping, holds) = (
+            let (uptime, utilization) = (finite(content.up_ms)?, finite(content.load)?);
+            let (sender, ready, stopping, leases_held) = (
                 lease_holder_from_proto(&content.who?)?,
                 content.ready,
                 content.stopping,
                 content.holds,
             );
-            let (tally, reports) = (
+            let (outcomes, reports) = (
                 rollout_codec::outcome_counts_from_proto(content.tally.as_ref()),
                 rollout_codec::engine_reports_from_proto(&content.reports)?,
             );
-            Question::Heartbeat(Heartbeat {
-                who,
+            MemberRequest::Heartbeat(Heartbeat {
+                sender,
                 zone,
                 label,
-                up,
+                uptime,
                 ready,
                 stopping,
-                load,
-                holds,
-                tally,
+                utilization,
+                leases_held,
+                outcomes,
                 reports,
             })
         }
-        WireQuestion::Nudge(content) => Question::LeaseOffer {
+        WireQuestion::Nudge(content) => MemberRequest::LeaseOffer {
             lease_name: lease_name_from_proto(&content.lease_name)?,
         },
         WireQuestion::FencedCommand(content) => {
@@ -468,23 +468,23 @@
                 }
                 None => None,
             };
-            Question::FencedCommand(FencedCommand {
+            MemberRequest::FencedCommand(FencedCommand {
                 lease_name: lease_name_from_proto(&content.lease_name)?,
                 term: Term(content.term),
                 holder: lease_holder_from_proto(&content.holder?)?,
                 number: content.number,
                 receiver_timestamp,
-                good_for: finite(content.good_for_ms)?,
+                valid_for: finite(content.good_for_ms)?,
                 body: content.body.to_vec(),
             })
         }
-        WireQuestion::Status(_) => Question::Operator(OperatorRequest::Status),
+        WireQuestion::Status(_) => MemberRequest::Operator(OperatorRequest::Status),
         WireQuestion::HandOver(content) => {
             let to = match content.to.is_empty() {
                 true => None,
                 false => Some(name(&content.to)?),
             };
-            Question::Operator(OperatorRequest::HandOver {
+            MemberRequest::Operator(OperatorRequest::HandOver {
                 lease_name: lease_name_from_proto(&content.lease_name)?,
                 to,
             })
@@ -494,32 +494,35 @@
                 true => None,
                 false => Some(address(&content.address)?),
             };
-            Question::Operator(OperatorRequest::AddVoter {
+            MemberRequest::Operator(OperatorRequest::AddVoter {
                 name: name(&content.name)?,
                 address,
             })
         }
-        WireQuestion::RemoveVoter(content) => Question::Operator(OperatorRequest::RemoveVoter {
-            name: name(&content.name)?,
-        }),
-        WireQuestion::HoldLease(content) => Question::Operator(OperatorRequest::HoldLease {
+        WireQuestion::RemoveVoter(content) => {
+            MemberRequest::Operator(OperatorRequest::RemoveVoter {
+                name: name(&content.name)?,
+            })
+        }
+        WireQuestion::HoldLease(content) => MemberRequest::Operator(OperatorRequest::HoldLease {
             lease_name: lease_name_from_proto(&content.lease_name)?,
             job: content.job,
         }),
-        WireQuestion::LetGo(content) => Question::Operator(OperatorRequest::LetGo {
+        WireQuestion::LetGo(content) => MemberRequest::Operator(OperatorRequest::ReleaseLease {
             lease_name: lease_name_from_proto(&content.lease_name)?,
             job: content.job,
         }),
         WireQuestion::AskBack(content) => {
-            let (permit, of, who, incarnation) = rollout_codec::revocation_from_proto(&content)?;
-            Question::AskBack {
+            let (permit, unit_kind, unit, incarnation) =
+                rollout_codec::revocation_from_proto(&content)?;
+            MemberRequest::RevokePermit {
                 permit,
-                of,
-                who,
+                unit_kind,
+                unit,
                 incarnation,
             }
         }
-        other => Question::Operator(rollout_codec::rollout_request_from_proto(&other)?),
+        other => MemberRequest::Operator(rollout_codec::rollout_request_from_proto(&other)?),
     })
 }
 
@@ -572,7 +575,7 @@
         Answer::Vote(AcceptorReply::NotVoting) => WireAnswer::NotVoting(v1::FleetNotVoting {}),
         Answer::VoterState(voter_state) => WireAnswer::Seen(v1::FleetSeen {
             voter_id: voter_state.voter_id.map_or(0, |voter_id| voter_id.0),
-            votes: voter_state.votes,
+            votes: voter_state.is_voting,
             bootstrap: voter_state.bootstrap.as_ref().map(voter_set_to_proto),
             newest: accepted_value_to_proto(&voter_state.newest),
         }),
@@ -591,7 +594,7 @@
                     .holder
                     .as_ref()
                     .map(|(_, holder)| lease_holder_to_proto(holder)),
-                every_ms: reply.every,
+                every_ms: reply.next_heartbeat_in,
                 places: reply.ranks.iter().map(place).collect(),
             })
         }
@@ -603,15 +606,15 @@
             verdict: wire_number(&FENCING_DECISIONS, verdict),
             receiver_timestamp: Some(receiver_timestamp_to_proto(*receiver_timestamp)),
         }),
-        Answer::Begun { begun } => WireAnswer::Begun(v1::FleetBegun { begun: *begun }),
+        Answer::RevocationResult { begun } => WireAnswer::Begun(v1::FleetBegun { begun: *begun }),
         Answer::Reply(Reply::Pending(text)) => WireAnswer::Waits(text.clone()),
         Answer::Reply(Reply::Done(text)) => WireAnswer::Yes(text.clone()),
         Answer::Reply(Reply::Refused(text)) => WireAnswer::No(text.clone()),
-        Answer::Reply(Reply::Elsewhere(address)) => WireAnswer::Elsewhere(address.0.to_string()),
-        Answer::Reply(Reply::Holds { term, good_for }) => {
+        Answer::Reply(Reply::Redirect(address)) => WireAnswer::Elsewhere(address.0.to_string()),
+        Answer::Reply(Reply::LeaseHold { term, valid_for }) => {
             WireAnswer::LeaseHeld(v1::FleetLeaseHeld {
                 term: term.map_or(0, |term| term.0),
-                good_for_ms: *good_for,
+                good_for_ms: *valid_for,
             })
         }
         Answer::Reply(Reply::Status(status)) => WireAnswer::Status(status_to_proto(status)),
@@ -651,7 +654,7 @@
             let voter_id = (content.voter_id != 0).then_some(VoterId(content.voter_id));
             Answer::VoterState(VoterState {
                 voter_id,
-                votes: content.votes,
+                is_voting: content.votes,
                 bootstrap,
                 newest: accepted_value_from_proto(content.newest)?,
             })
@@ -670,11 +673,12 @@
                 .map(|place| Some((lease_name_from_proto(&place.lease_name)?, place.place)))
                 .collect::<Option<_>>()?;
             // After an infinite or very long interval the member would send its next heartbeat too late or never.
-            let every = finite(content.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
+            let next_heartbeat_in =
+                finite(content.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
             Answer::Heartbeat(HeartbeatReply {
                 accepted: content.heard,
                 holder,
-                every,
+                next_heartbeat_in,
                 ranks,
             })
         }
@@ -686,18 +690,18 @@
                 receiver_timestamp: receiver_timestamp_from_proto(&content.receiver_timestamp?)?,
             }
         }
-        WireAnswer::Begun(content) => Answer::Begun {
+        WireAnswer::Begun(content) => Answer::RevocationResult {
             begun: content.begun,
         },
         WireAnswer::Waits(text) => Answer::Reply(Reply::Pending(text)),
         WireAnswer::Yes(text) => Answer::Reply(Reply::Done(text)),
         WireAnswer::No(text) => Answer::Reply(Reply::Refused(text)),
-        WireAnswer::Elsewhere(field) => Answer::Reply(Reply::Elsewhere(address(&field)?)),
+        WireAnswer::Elsewhere(field) => Answer::Reply(Reply::Redirect(address(&field)?)),
         WireAnswer::LeaseHeld(content) => {
             let term = (content.term > 0).then_some(Term(content.term));
-            Answer::Reply(Reply::Holds {
+            Answer::Reply(Reply::LeaseHold {
                 term,
-                good_for: finite(content.good_for_ms)?,
+                valid_for: finite(content.good_for_ms)?,
             })
         }
         WireAnswer::Status(content) => {
@@ -710,8 +714,8 @@
     let voter = |line: &VoterStatus| v1::FleetVoterLine {
         name: line.name.0.to_string(),
         address: line.address.0.to_string(),
-        answers: line.answers,
-        votes: line.votes,
+        answers: line.is_responding,
+        votes: line.is_voting,
         version: line.version,
     };
     let lease =
@@ -755,12 +759,12 @@
 
 fn status_from_proto(message: &v1::FleetStatusReply) -> Option<Status> {
     let voter = |line: &v1::FleetVoterLine| {
-        let (answers, votes, version) = (line.answers, line.votes, line.version);
+        let (is_responding, is_voting, version) = (line.answers, line.votes, line.version);
         Some(VoterStatus {
             name: name(&line.name)?,
             address: address(&line.address)?,
-            answers,
-            votes,
+            is_responding,
+            is_voting,
             version,
         })
     };
--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -7,8 +7,8 @@
 use crate::codec::{answer_from_proto, answer_to_proto, request_from_proto, request_to_proto};
 use cindercleat::coordination::disruption_budget::Unit;
 use cindercleat::coordination::member::{
-    CallId, FleetSettings, Input, LocalHealth, Member, MemberRequestId, Output, Question, SaveId,
-    UnusableFile,
+    CallId, FleetSettings, Input, LocalHealth, Member, MemberRequest, MemberRequestId, Output,
+    SaveId, UnusableFile,
 };
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat::coordination::{Address, LeaseName, Term};
@@ -242,7 +242,11 @@
 
     fn perform_output(&self, output: Output) {
         match output {
-            Output::Ask { ask, to, question } => self.send_request(ask, to, &question),
+            Output::SendRequest {
+                request_id,
+                to,
+                question,
+            } => self.send_request(request_id, to, &question),
             Output::Answer { call, answer } => {
                 if let Some((out, stream)) = self.state.open_calls.borrow_mut().remove(&call) {
                     out.send(frame(stream, Body::FleetAnswer(answer_to_proto(&answer))));
@@ -251,14 +255,14 @@
             Output::Save { number, state } => {
                 spawn_local(self.clone().save_acceptor_state(number, state));
             }
-            Output::Holds {
+            Output::LeaseChanged {
                 lease_name,
                 term,
                 held: true,
             } => {
                 tracing::info!(lease_name = %lease_name.0, term = term.0, "lease acquired");
             }
-            Output::Holds {
+            Output::LeaseChanged {
                 lease_name,
                 term,
                 held: false,
@@ -359,7 +363,7 @@
     }
 
     /// Sends a request, or queues the request until the connection to its receiver is open.
-    fn send_request(&self, id: MemberRequestId, to: Address, question: &Question) {
+    fn send_request(&self, id: MemberRequestId, to: Address, question: &MemberRequest) {
         let call = request_to_proto(question);
         let peer = self.state.peers.borrow().get(&to).cloned();
         if let Some(peer) = peer {
@@ -442,8 +446,8 @@
                 // The failure is reported from this task and not from `send_request`, as a member cannot handle an
                 // answer while it is still handling the input that sent the request.
                 for request in queue {
-                    self.handle_input(Input::Answered {
-                        ask: request.id,
+                    self.handle_input(Input::AnswerReceived {
+                        request_id: request.id,
                         answer: None,
                     });
                 }
@@ -470,7 +474,7 @@
         while let Some(event) = events.recv().await {
             match event {
                 Event::Frame(Frame { stream, body }) => {
-                    let Some((ask, _)) = peer.unanswered.borrow_mut().remove(&stream) else {
+                    let Some((request_id, _)) = peer.unanswered.borrow_mut().remove(&stream) else {
                         continue;
                     };
                     let answer = match body {
@@ -479,7 +483,7 @@
                         }
                         _ => None,
                     };
-                    self.handle_input(Input::Answered { ask, answer });
+                    self.handle_input(Input::AnswerReceived { request_id, answer });
                 }
                 Event::GoingAway => break,
                 Event::Flushed { .. } | Event::Partly => {}
@@ -494,8 +498,11 @@
         }
         drop(peers);
         let unanswered = std::mem::take(&mut *peer.unanswered.borrow_mut());
-        for (ask, _) in unanswered.into_values() {
-            self.handle_input(Input::Answered { ask, answer: None });
+        for (request_id, _) in unanswered.into_values() {
+            self.handle_input(Input::AnswerReceived {
+                request_id,
+                answer: None,
+            });
         }
     }
 
@@ -582,7 +589,7 @@
                         .open_calls
                         .borrow_mut()
                         .insert(call, (out.clone(), stream));
-                    self.handle_input(Input::Asked { call, question });
+                    self.handle_input(Input::RequestReceived { call, question });
                 }
                 None => out.reset(stream, RESET_INTERNAL_ERROR),
             },
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -24,8 +24,7 @@
     /// An I/O error if the work cannot be started.
     fn begin(&mut self, term: Term) -> io::Result<()>;
 
-    /// Whether the work has ended by itself: `Some(true)` after success, `Some(false)` after failure, `None` while it
-    /// runs.
+    /// How the work ended by itself: `Some(true)` after success, `Some(false)` after failure, `None` while it runs.
     ///
     /// # Errors
     /// An I/O error if it cannot be determined whether the work has ended.
@@ -130,7 +129,13 @@
             job: self.number,
         };
         tokio::select! { biased;
-            reply = send_operator_request_to_any(self.transport, self.clock, self.addresses, &request, ANSWER_TIMEOUT_MS) => reply,
+            reply = send_operator_request_to_any(
+                self.transport,
+                self.clock,
+                self.addresses,
+                &request,
+                ANSWER_TIMEOUT_MS,
+            ) => reply,
             () = self.clock.sleep_until(asked_at + timeout) => Err(format!("no answer within {timeout:.0} ms")),
         }
     }
@@ -143,16 +148,16 @@
         work: &mut impl Work,
     ) -> io::Result<NextStep> {
         match reply {
-            Ok(Reply::Holds {
+            Ok(Reply::LeaseHold {
                 term: Some(term),
-                good_for,
+                valid_for,
             }) => match lease {
                 None => {
-                    *lease = Some(JobLease::new(*term, asked_at, *good_for));
+                    *lease = Some(JobLease::new(*term, asked_at, *valid_for));
                     work.begin(*term)?;
                 }
                 Some(held) => {
-                    if held.renew(*term, asked_at, *good_for).is_err() {
+                    if held.renew(*term, asked_at, *valid_for).is_err() {
                         work.end(held.expires_at()).await?;
                         return Ok(NextStep::End(JobOutcome::Lost(
                             "the lease has a new term: another process may have held the lease in between"
@@ -175,7 +180,7 @@
         if held.is_running_out(self.clock.now()) {
             work.end(held.kill_at()).await?;
             let reason = match reply {
-                Ok(Reply::Holds { .. }) => "the lease was not renewed",
+                Ok(Reply::LeaseHold { .. }) => "the lease was not renewed",
                 Ok(_) => "the dispatcher no longer reports the lease as held",
                 Err(error) => error,
             };
@@ -190,7 +195,7 @@
 
     /// Releases the lease. If no dispatcher receives the request, the next holder waits until the lease has expired.
     async fn release_lease(&self) {
-        let request = OperatorRequest::LetGo {
+        let request = OperatorRequest::ReleaseLease {
             lease_name: self.lease_name.clone(),
             job: self.number,
         };
--- a/crates/fleet/src/rollout_codec.rs
+++ b/crates/fleet/src/rollout_codec.rs
@@ -99,9 +99,9 @@
 pub(crate) fn engine_report_to_proto(report: &EngineReport) -> v1::FleetEngineReport {
     v1::FleetEngineReport {
         engine: report.engine.0.to_string(),
-        used: report.used.map(|(used, _)| used),
-        age_ms: report.used.map_or(0.0, |(_, age)| age),
-        tally: Some(outcome_counts_to_proto(&report.tally)),
+        used: report.utilization.map(|(used, _)| used),
+        age_ms: report.utilization.map_or(0.0, |(_, age)| age),
+        tally: Some(outcome_counts_to_proto(&report.outcomes)),
     }
 }
 
@@ -111,14 +111,14 @@
     messages: &[v1::FleetEngineReport],
 ) -> Option<Vec<EngineReport>> {
     let report = |message: &v1::FleetEngineReport| {
-        let used = message
+        let utilization = message
             .used
             .map(|utilization| (utilization, message.age_ms))
             .filter(|(utilization, age)| utilization.is_finite() && age.is_finite() && *age >= 0.0);
         Some(EngineReport {
             engine: name(&message.engine)?,
-            used,
-            tally: outcome_counts_from_proto(message.tally.as_ref()),
+            utilization,
+            outcomes: outcome_counts_from_proto(message.tally.as_ref()),
         })
     };
     at_most(messages, MAX_REPORTS_PER_HEARTBEAT)?
@@ -412,7 +412,7 @@
 }
 
 /// Decodes an operator's request about rollouts, a dispatcher's request for a permit, or a request to stop a single
-/// dispatcher. None if the question is of a different kind, or if a field is invalid.
+/// dispatcher. None if the message is of a different kind, or if a field is invalid.
 pub(crate) fn rollout_request_from_proto(question: &Question) -> Option<OperatorRequest> {
     Some(OperatorRequest::Rollout(match question {
         Question::Start(message) => {
@@ -442,7 +442,7 @@
                 true => None,
                 false => Some(address(&message.address)?),
             };
-            return Some(OperatorRequest::ByHand {
+            return Some(OperatorRequest::StopWithoutAgreement {
                 name: name(&message.who)?,
                 address,
                 reason: reason_from_proto(&message.why)?,
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -8,7 +8,7 @@
 };
 use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::coordination::member::{
-    AbandonedUnit, Answer, HeartbeatReply, OperatorRequest, PermitStatus, Question, Reply,
+    AbandonedUnit, Answer, HeartbeatReply, MemberRequest, OperatorRequest, PermitStatus, Reply,
     RolloutRequest, RolloutStatus, Status, VoterState,
 };
 use cindercleat::coordination::membership::{EngineReport, Heartbeat};
@@ -59,8 +59,8 @@
         .collect();
     Voters {
         generation: 2,
-        before: Some(set.clone()),
-        set,
+        former: Some(set.clone()),
+        records: set,
     }
 }
 
@@ -163,22 +163,22 @@
     }
 }
 
-fn rollout_request(request: RolloutRequest) -> Question {
-    Question::Operator(OperatorRequest::Rollout(request))
+fn rollout_request(request: RolloutRequest) -> MemberRequest {
+    MemberRequest::Operator(OperatorRequest::Rollout(request))
 }
 
 #[test]
 fn messages_are_decoded_as_they_were_encoded() {
     let heartbeat = Heartbeat {
-        who: holder(),
+        sender: holder(),
         zone: "z".to_owned(),
         label: "v1".to_owned(),
-        up: 1.5,
+        uptime: 1.5,
         ready: true,
         stopping: false,
-        load: 0.25,
-        holds: 1,
-        tally: OutcomeCounts {
+        utilization: 0.25,
+        leases_held: 1,
+        outcomes: OutcomeCounts {
             succeeded: 4,
             rejected: 3,
             failed: 2,
@@ -187,13 +187,13 @@
         reports: vec![
             EngineReport {
                 engine: Name::from("h1"),
-                used: Some((0.5, 20.0)),
-                tally: OutcomeCounts::default(),
+                utilization: Some((0.5, 20.0)),
+                outcomes: OutcomeCounts::default(),
             },
             EngineReport {
                 engine: Name::from("h2"),
-                used: None,
-                tally: OutcomeCounts::default(),
+                utilization: None,
+                outcomes: OutcomeCounts::default(),
             },
         ],
     };
@@ -206,59 +206,59 @@
             incarnation: Incarnation(1),
             at: 12.5,
         }),
-        good_for: 300.25,
+        valid_for: 300.25,
         body: b"in 3".to_vec(),
     };
     let write_counts = acceptor_state().write_counts;
     let (voter_id, lease_name, name) = (VoterId(1), LeaseName::from("x"), Name::from("n"));
     let questions = [
-        Question::Vote(AcceptorRequest::Prepare {
+        MemberRequest::Vote(AcceptorRequest::Prepare {
             voter_id,
             ballot: ballot(1),
             write_counts: write_counts.clone(),
         }),
-        Question::Vote(AcceptorRequest::Accept {
+        MemberRequest::Vote(AcceptorRequest::Accept {
             voter_id,
             ballot: ballot(1),
             value: replicated_state(),
             write_counts,
         }),
-        Question::VoterState,
-        Question::WriteCount {
-            of: name.clone(),
+        MemberRequest::VoterState,
+        MemberRequest::WriteCount {
+            voter: name.clone(),
             voter_id,
         },
-        Question::Heartbeat(heartbeat),
-        Question::LeaseOffer {
+        MemberRequest::Heartbeat(heartbeat),
+        MemberRequest::LeaseOffer {
             lease_name: lease_name.clone(),
         },
-        Question::FencedCommand(command),
-        Question::Operator(OperatorRequest::Status),
-        Question::Operator(OperatorRequest::HandOver {
+        MemberRequest::FencedCommand(command),
+        MemberRequest::Operator(OperatorRequest::Status),
+        MemberRequest::Operator(OperatorRequest::HandOver {
             lease_name: lease_name.clone(),
             to: None,
         }),
-        Question::Operator(OperatorRequest::HandOver {
+        MemberRequest::Operator(OperatorRequest::HandOver {
             lease_name: lease_name.clone(),
             to: Some(name.clone()),
         }),
-        Question::Operator(OperatorRequest::AddVoter {
+        MemberRequest::Operator(OperatorRequest::AddVoter {
             name: name.clone(),
             address: None,
         }),
-        Question::Operator(OperatorRequest::RemoveVoter { name }),
-        Question::Operator(OperatorRequest::HoldLease {
+        MemberRequest::Operator(OperatorRequest::RemoveVoter { name }),
+        MemberRequest::Operator(OperatorRequest::HoldLease {
             lease_name: lease_name.clone(),
             job: 4,
         }),
-        Question::Operator(OperatorRequest::LetGo {
+        MemberRequest::Operator(OperatorRequest::ReleaseLease {
             lease_name: lease_name.clone(),
             job: 4,
         }),
-        Question::AskBack {
+        MemberRequest::RevokePermit {
             permit: PermitId(3),
-            of: UnitKind::Engines,
-            who: Name::from("h1"),
+            unit_kind: UnitKind::Engines,
+            unit: Name::from("h1"),
             incarnation: Incarnation(2),
         },
         rollout_request(RolloutRequest::Start {
@@ -280,7 +280,7 @@
             label: String::new(),
             cancel: true,
         }),
-        Question::Operator(OperatorRequest::ByHand {
+        MemberRequest::Operator(OperatorRequest::StopWithoutAgreement {
             name: Name::from("n"),
             address: None,
             reason: "why".to_owned(),
@@ -338,7 +338,7 @@
         Answer::Vote(AcceptorReply::NotVoting),
         Answer::VoterState(VoterState {
             voter_id: Some(voter_id),
-            votes: true,
+            is_voting: true,
             bootstrap: Some(voters()),
             newest: None,
         }),
@@ -346,7 +346,7 @@
         Answer::Heartbeat(HeartbeatReply {
             accepted: true,
             holder: Some((Term(3), holder())),
-            every: 200.0,
+            next_heartbeat_in: 200.0,
             ranks: vec![(lease_name, 2)],
         }),
         Answer::Done,
@@ -356,10 +356,10 @@
         },
         Answer::Reply(Reply::Done("done".to_owned())),
         Answer::Reply(Reply::Refused("no".to_owned())),
-        Answer::Reply(Reply::Elsewhere(Address::from("127.0.0.1:2"))),
-        Answer::Reply(Reply::Holds {
+        Answer::Reply(Reply::Redirect(Address::from("127.0.0.1:2"))),
+        Answer::Reply(Reply::LeaseHold {
             term: None,
-            good_for: 0.0,
+            valid_for: 0.0,
         }),
         Answer::Reply(Reply::Status(Box::default())),
         Answer::Reply(Reply::Status(Box::new(Status {
@@ -367,7 +367,7 @@
             ..Status::default()
         }))),
         Answer::Reply(Reply::Pending("waits".to_owned())),
-        Answer::Begun { begun: true },
+        Answer::RevocationResult { begun: true },
     ];
     for answer in answers {
         assert_eq!(answer_from_proto(answer_to_proto(&answer)), Some(answer));
@@ -410,12 +410,13 @@
             "a request with the ballot {ballot:?} is refused"
         );
     }
-    let mut with_too_many_leases = request_to_proto(&Question::Vote(AcceptorRequest::Accept {
-        voter_id: VoterId(1),
-        ballot: ballot(1),
-        value: replicated_state(),
-        write_counts: WriteCounts::new(),
-    }));
+    let mut with_too_many_leases =
+        request_to_proto(&MemberRequest::Vote(AcceptorRequest::Accept {
+            voter_id: VoterId(1),
+            ballot: ballot(1),
+            value: replicated_state(),
+            write_counts: WriteCounts::new(),
+        }));
     if let Some(v1::fleet_call::Question::Accept(accept)) = &mut with_too_many_leases.question {
         let value = accept.value.as_mut().expect("the request has a value");
         value.leases = vec![value.leases[0].clone(); 1000];
--- a/crates/fleet/tests/driver.rs
+++ b/crates/fleet/tests/driver.rs
@@ -6,7 +6,7 @@
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
-    Answer, FleetSettings, LocalHealth, OperatorRequest, Question, Reply,
+    Answer, FleetSettings, LocalHealth, MemberRequest, OperatorRequest, Reply,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name};
 use cindercleat_fleet::acceptor_storage::MemoryFile;
@@ -39,7 +39,7 @@
     };
     FleetSettings {
         fleet: fleet.to_owned(),
-        me: voter(index).0,
+        own_name: voter(index).0,
         incarnation: Incarnation(100 + index as u64),
         address: voter(index).1,
         zone: "z".to_owned(),
@@ -55,8 +55,8 @@
         preferred_zone: None,
         report_receivers: Vec::new(),
         report_interval: 200.0,
-        bounds: Default::default(),
-        keeper: None,
+        disruption_budgets: Default::default(),
+        drain_list_address: None,
         seed: index as u64,
     }
 }
@@ -68,7 +68,7 @@
     fn local_health(&self) -> LocalHealth {
         LocalHealth {
             ready: true,
-            load: 0.1,
+            utilization: 0.1,
             ..LocalHealth::default()
         }
     }
@@ -155,7 +155,7 @@
             panic!("not a status: {reply:?}")
         };
         assert!(
-            status.majority && status.voters.iter().all(|voter| voter.votes),
+            status.majority && status.voters.iter().all(|voter| voter.is_voting),
             "all voters vote: {status:?}"
         );
         assert_eq!(status.leases.len(), 1);
@@ -185,7 +185,7 @@
             let reply = send_operator_request(&fleet.memory, &fleet.clock, "at-1", &request, 900.0)
                 .await
                 .expect("the member answers");
-            held |= matches!(reply, Reply::Holds { term: Some(_), .. });
+            held |= matches!(reply, Reply::LeaseHold { term: Some(_), .. });
             fleet.wait(50.0).await;
         }
         assert!(held, "two of three voters are a majority");
@@ -261,7 +261,7 @@
             &fleet.memory,
             &fleet.clock,
             "at-0",
-            &Question::VoterState,
+            &MemberRequest::VoterState,
             900.0,
         )
         .await;
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -49,7 +49,7 @@
     fn local_health(&self) -> LocalHealth {
         LocalHealth {
             ready: true,
-            load: 0.1,
+            utilization: 0.1,
             ..LocalHealth::default()
         }
     }
@@ -101,7 +101,7 @@
     };
     FleetSettings {
         fleet: "fleet".to_owned(),
-        me: voter(index).0,
+        own_name: voter(index).0,
         incarnation: Incarnation(100 + index as u64),
         address: voter(index).1,
         zone: "z".to_owned(),
@@ -117,8 +117,8 @@
         preferred_zone: None,
         report_receivers: Vec::new(),
         report_interval: 200.0,
-        bounds: Default::default(),
-        keeper: None,
+        disruption_budgets: Default::default(),
+        drain_list_address: None,
         seed: index as u64,
     }
 }
--- a/crates/fleet/tests/stored_bytes.rs
+++ b/crates/fleet/tests/stored_bytes.rs
@@ -66,8 +66,8 @@
 fn voters() -> Voters {
     Voters {
         generation: 2,
-        set: voter_set(&[("a", 11), ("b", 12), ("c", 13), ("d", 14)]),
-        before: Some(voter_set(&[("a", 11), ("b", 12), ("c", 13)])),
+        records: voter_set(&[("a", 11), ("b", 12), ("c", 13), ("d", 14)]),
+        former: Some(voter_set(&[("a", 11), ("b", 12), ("c", 13)])),
     }
 }
 
@@ -202,8 +202,8 @@
     };
     let bootstrap = Voters {
         generation: 1,
-        set: voter_set(&[("a", 11), ("b", 12), ("c", 13)]),
-        before: None,
+        records: voter_set(&[("a", 11), ("b", 12), ("c", 13)]),
+        former: None,
     };
     AcceptorState {
         name: Name::from("a"),
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -42,7 +42,7 @@
     /// The newest timestamp that the sender has from this receiver; `None` before the receiver's first answer.
     pub receiver_timestamp: Option<ReceiverTimestamp>,
     /// For how long after `receiver_timestamp` the sender's lease certainly lasts, in milliseconds.
-    pub good_for: Ms,
+    pub valid_for: Ms,
     /// The content of the command, which fencing does not interpret.
     pub body: Vec<u8>,
 }
@@ -123,7 +123,7 @@
                 false => FencingDecision::TimestampMissing,
             };
         };
-        if now >= timestamp.at + command.good_for * (1.0 - self.drift) {
+        if now >= timestamp.at + command.valid_for * (1.0 - self.drift) {
             return FencingDecision::LeaseExpired;
         }
         FencingDecision::Executed
@@ -148,18 +148,18 @@
 
 impl ReceiverClock {
     /// Records the timestamp of an answer that arrived at `now`, in milliseconds on the sender's clock.
-    pub fn answered(&mut self, now: Ms, receiver_timestamp: ReceiverTimestamp) {
+    pub fn record_timestamp(&mut self, now: Ms, receiver_timestamp: ReceiverTimestamp) {
         self.newest = Some((receiver_timestamp, now));
     }
 
     /// Returns the timestamp to send with a command, and for how many milliseconds after the timestamp the sender's
     /// lease lasts. `lease_end` is when that lease expires on the sender's clock. Before the receiver's first answer
     /// the result is `None` and 0.
-    pub fn good_for(&self, lease_end: Ms) -> (Option<ReceiverTimestamp>, Ms) {
+    pub fn valid_for(&self, lease_end: Ms) -> (Option<ReceiverTimestamp>, Ms) {
         match self.newest {
             Some((receiver_timestamp, arrived_at)) => {
-                let good_for = (lease_end - arrived_at).max(0.0);
-                (Some(receiver_timestamp), good_for)
+                let valid_for = (lease_end - arrived_at).max(0.0);
+                (Some(receiver_timestamp), valid_for)
             }
             None => (None, 0.0),
         }
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -57,7 +57,7 @@
     }
 
     /// The difference between the election delays of successive ranks, in milliseconds.
-    pub fn gap(&self) -> Ms {
+    pub fn election_gap(&self) -> Ms {
         self.lease * ELECTION_GAP_FRACTION
     }
 
@@ -98,7 +98,7 @@
 
     /// The time until the lease expires, in milliseconds; 0 once the lease has expired, even if the member has not
     /// handled the expiry yet.
-    pub fn left(&self, now: Ms) -> Ms {
+    pub fn remaining(&self, now: Ms) -> Ms {
         (self.expires_at - now).max(0.0)
     }
 }
@@ -120,7 +120,7 @@
     jitter: f64,
     /// This member's rank among the possible successors, as the membership leader reported it; `None` if this member is
     /// not ranked.
-    pub place: Option<u32>,
+    pub rank: Option<u32>,
 }
 
 impl LeaseObserver {
@@ -133,7 +133,7 @@
             waited: 0.0,
             counted_until: now,
             jitter: rng.generate(),
-            place: None,
+            rank: None,
         }
     }
 
@@ -210,9 +210,9 @@
 
     /// The part of the election delay that differs between contenders, in milliseconds.
     fn election_spread(&self, is_voter: bool, settings: &LeaseSettings) -> Ms {
-        let gap = settings.gap();
-        match self.place {
-            Some(place) => (f64::from(place) + self.jitter) * gap,
+        let gap = settings.election_gap();
+        match self.rank {
+            Some(rank) => (f64::from(rank) + self.jitter) * gap,
             // Unranked voters wait for a shorter time than other unranked members, as voters are the members that are
             // most likely to be running.
             None if is_voter => {
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -45,7 +45,7 @@
         out: &mut Vec<Output>,
     ) {
         match file {
-            Ok(Some(state)) if state.name == self.settings.me => self.recover_acceptor(state),
+            Ok(Some(state)) if state.name == self.settings.own_name => self.recover_acceptor(state),
             Ok(Some(state)) => {
                 let reason = format!(
                     "the voter's file belongs to {}: this member does not vote",
@@ -82,7 +82,7 @@
     /// Replaces the acceptor by one that has a new identity and has never voted, and writes its file.
     fn create_new_voter(&mut self, out: &mut Vec<Output>) {
         let voter_id = VoterId(self.rng.generate::<u64>() | 1);
-        self.acceptor = Some(Acceptor::new(self.settings.me.clone(), voter_id));
+        self.acceptor = Some(Acceptor::new(self.settings.own_name.clone(), voter_id));
         self.storage.is_created = false;
         self.confirmed_by = Vec::new();
         self.save_acceptor(out);
@@ -197,15 +197,15 @@
         let Some(acceptor) = &self.acceptor else {
             return false;
         };
-        acceptor.state.promised.is_some() && !self.confirmed_by.contains(&self.settings.me)
+        acceptor.state.promised.is_some() && !self.confirmed_by.contains(&self.settings.own_name)
     }
 
-    /// The answer to [`Question::VoterState`]: this voter's identity, bootstrap and accepted value.
+    /// The answer to [`MemberRequest::VoterState`]: this voter's identity, bootstrap and accepted value.
     pub(super) fn voter_state(&self) -> VoterState {
         let acceptor = self.durable_acceptor();
         VoterState {
             voter_id: acceptor.map(|acceptor| acceptor.state.voter_id),
-            votes: acceptor.is_some_and(|acceptor| acceptor.votes),
+            is_voting: acceptor.is_some_and(|acceptor| acceptor.votes),
             bootstrap: acceptor.and_then(|acceptor| acceptor.state.bootstrap.clone()),
             newest: acceptor.and_then(|acceptor| acceptor.state.accepted.clone()),
         }
@@ -260,10 +260,10 @@
     }
 
     fn ask_for_write_counts(&mut self, voter_id: VoterId, out: &mut Vec<Output>) {
-        let me = self.settings.me.clone();
+        let me = self.settings.own_name.clone();
         for (of, to) in self.known_voters() {
-            let question = Question::WriteCount {
-                of: me.clone(),
+            let question = MemberRequest::WriteCount {
+                voter: me.clone(),
                 voter_id,
             };
             let purpose = RequestPurpose::ConfirmFile { of };
@@ -290,7 +290,7 @@
             if let Some(acceptor) = &mut self.acceptor {
                 acceptor.votes = true;
             }
-            self.confirmed_by.push(self.settings.me.clone());
+            self.confirmed_by.push(self.settings.own_name.clone());
         }
     }
 
@@ -302,7 +302,7 @@
             return true;
         };
         let has_confirmed = |name: &Name, _: &VoterRecord| {
-            *name == self.settings.me || self.confirmed_by.contains(name)
+            *name == self.settings.own_name || self.confirmed_by.contains(name)
         };
         let mut all = voters.all().into_iter();
         if all.all(|(name, voter_record)| has_confirmed(&name, &voter_record)) {
@@ -311,7 +311,7 @@
         // A majority is enough only after the other voters had time to answer, as a voter that has missed messages may
         // not know of the newest writes.
         let has_waited = self.now - self.started_at >= self.settings.lease.lease;
-        has_waited && voters.majority(has_confirmed)
+        has_waited && voters.has_quorum(has_confirmed)
     }
 
     /// Records the bootstrap and the accepted value that another voter returned, and bootstraps the fleet if all voters
@@ -350,7 +350,7 @@
             return;
         }
         if let Some(bootstrap) = known_bootstrap {
-            let own_record = bootstrap.set.get(&me);
+            let own_record = bootstrap.records.get(&me);
             if own_record.is_some_and(|voter_record| voter_record.voter_id == own_id) {
                 self.store_bootstrap(bootstrap, out);
             }
@@ -362,8 +362,8 @@
         if let Some(first_voters) = self.bootstrap_voters(own_id) {
             let bootstrap = Voters {
                 generation: 1,
-                set: first_voters,
-                before: None,
+                records: first_voters,
+                former: None,
             };
             out.push(Output::Info(
                 "fleet bootstrap: the identities of all configured voters are known".to_owned(),
@@ -382,7 +382,7 @@
     /// The voters of the settings with their identities; `None` until all identities are known.
     fn bootstrap_voters(&self, own_id: VoterId) -> Option<BTreeMap<Name, VoterRecord>> {
         let record = |(name, address): (&Name, &Address)| {
-            let voter_id = match *name == self.settings.me {
+            let voter_id = match *name == self.settings.own_name {
                 true => own_id,
                 false => *self.bootstrap_voter_ids.get(name)?,
             };
--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -34,7 +34,7 @@
 
     fn holds_membership_lease(&self) -> bool {
         let held = self.held_leases.get(&membership_lease());
-        held.is_some_and(|held| held.left(self.now) > 0.0)
+        held.is_some_and(|held| held.remaining(self.now) > 0.0)
     }
 
     /// Handles another member's heartbeat. Members other than the leader answer with the leader that they know.
@@ -43,7 +43,7 @@
         let is_leader = self.holds_membership_lease();
         let mut ranks = Vec::new();
         if let Some(membership) = self.membership.as_mut().filter(|_| is_leader) {
-            let name = heartbeat.who.name.clone();
+            let name = heartbeat.sender.name.clone();
             membership.heartbeat_received(now, heartbeat, shortest);
             let rank = membership.rank_of(&membership_lease(), &name);
             ranks.extend(rank.map(|rank| (membership_lease(), rank)));
@@ -52,7 +52,7 @@
         HeartbeatReply {
             accepted: is_leader,
             holder: self.membership_leader.clone(),
-            every: membership.map_or(shortest, |membership| {
+            next_heartbeat_in: membership.map_or(shortest, |membership| {
                 membership.heartbeat_interval(shortest)
             }),
             ranks,
@@ -62,15 +62,15 @@
     fn own_heartbeat(&mut self) -> Heartbeat {
         let reports = self.next_reports();
         Heartbeat {
-            who: self.me(),
+            sender: self.own_holder(),
             zone: self.settings.zone.clone(),
             label: self.settings.label.clone(),
-            up: self.now - self.started_at,
+            uptime: self.now - self.started_at,
             ready: self.ready,
             stopping: self.stopping,
-            load: self.load,
-            holds: self.held_leases.len() as u32,
-            tally: self.disruptions.outcomes,
+            utilization: self.utilization,
+            leases_held: self.held_leases.len() as u32,
+            outcomes: self.disruptions.outcomes,
             reports,
         }
     }
@@ -87,20 +87,20 @@
             return self.record_own_heartbeat(heartbeat);
         }
         let leader = self.membership_leader.as_ref();
-        let other_leader = leader.filter(|(_, leader)| leader.name != self.settings.me);
+        let other_leader = leader.filter(|(_, leader)| leader.name != self.settings.own_name);
         let Some((_, leader)) = other_leader else {
             return self.query_any_voter(out);
         };
         let (address, to) = (leader.address.clone(), leader.incarnation);
         self.count("beats");
-        let question = Question::Heartbeat(heartbeat);
+        let question = MemberRequest::Heartbeat(heartbeat);
         self.send_request(address, question, RequestPurpose::Heartbeat { to }, out);
     }
 
     fn record_own_heartbeat(&mut self, heartbeat: Heartbeat) {
         let (now, shortest) = (self.now, self.settings.heartbeat);
         let preferred_zone = self.settings.preferred_zone.clone();
-        let me = self.settings.me.clone();
+        let me = self.settings.own_name.clone();
         if let Some(membership) = &mut self.membership {
             membership.heartbeat_received(now, heartbeat, shortest);
             let lease = RankedLease {
@@ -140,7 +140,7 @@
             _ => return,
         };
         if let Some(observer) = self.lease_observers.get_mut(&membership_lease()) {
-            observer.place = rank;
+            observer.rank = rank;
         }
     }
 
@@ -148,7 +148,7 @@
     fn heartbeat_accepted(&mut self, reply: &HeartbeatReply) -> Option<u32> {
         self.leader_answered_at = Some(self.now);
         let jitter: f64 = self.rng.generate();
-        let interval = reply.every.max(self.settings.heartbeat);
+        let interval = reply.next_heartbeat_in.max(self.settings.heartbeat);
         if interval != self.heartbeat_interval {
             // The first heartbeat at a new interval is sent at a random time, so that the members' heartbeats stay
             // spread out.
--- a/src/coordination/member/leases.rs
+++ b/src/coordination/member/leases.rs
@@ -22,12 +22,12 @@
     /// The number that the job states in its requests, by which jobs that request the same lease are told apart.
     pub(super) number: u64,
     /// When the job last asked for its lease, in milliseconds.
-    pub(super) asked: Ms,
+    pub(super) last_requested_at: Ms,
 }
 
 impl LeaseJob {
     fn expires_at(&self, lease: Ms) -> Ms {
-        self.asked + JOB_TIMEOUT_LEASES * lease
+        self.last_requested_at + JOB_TIMEOUT_LEASES * lease
     }
 }
 
@@ -55,16 +55,16 @@
         // not answer its heartbeats.
         let observer = self.lease_observers.get(lease_name);
         let is_ranked = observer.is_some_and(|observer| {
-            observer.place.is_some() || observer.names_successor(&self.settings.me)
+            observer.rank.is_some() || observer.names_successor(&self.settings.own_name)
         });
         is_ranked || self.is_voter() || !self.leader_is_responsive()
     }
 
     /// Whether this member is a voter according to the newest value, and has an acceptor.
     pub(super) fn is_voter(&self) -> bool {
-        let me = &self.settings.me;
+        let me = &self.settings.own_name;
         let voters = self.known_voter_set();
-        self.acceptor.is_some() && voters.is_some_and(|voters| voters.set.contains_key(me))
+        self.acceptor.is_some() && voters.is_some_and(|voters| voters.records.contains_key(me))
     }
 
     /// Drops expired leases and ended jobs.
@@ -80,7 +80,7 @@
         let timeout = JOB_TIMEOUT_LEASES * lease;
         let jobs = self.jobs.iter();
         let ended: Vec<LeaseName> = jobs
-            .filter(|(_, job)| now - job.asked >= timeout)
+            .filter(|(_, job)| now - job.last_requested_at >= timeout)
             .map(|(lease_name, _)| lease_name.clone())
             .collect();
         for lease_name in ended {
@@ -90,7 +90,7 @@
 
     fn drop_expired_leases(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let is_expired = |held: &HeldLease| held.left(now) <= 0.0;
+        let is_expired = |held: &HeldLease| held.remaining(now) <= 0.0;
         let held_leases = self.held_leases.iter();
         let expired: Vec<LeaseName> = held_leases
             .filter(|(_, held)| is_expired(held))
@@ -151,7 +151,7 @@
     /// unchanged.
     pub(super) fn drop_lease(&mut self, lease_name: &LeaseName, out: &mut Vec<Output>) {
         if let Some(held) = self.held_leases.remove(lease_name) {
-            out.push(Output::Holds {
+            out.push(Output::LeaseChanged {
                 lease_name: lease_name.clone(),
                 term: held.term,
                 held: false,
@@ -162,7 +162,7 @@
             self.leader_answered_at = None;
         }
         if let Some(observer) = self.lease_observers.get_mut(lease_name) {
-            observer.place = None;
+            observer.rank = None;
         }
     }
 
@@ -176,14 +176,14 @@
         if self.held_leases.insert(lease_name.clone(), held).is_some() {
             return;
         }
-        out.push(Output::Holds {
+        out.push(Output::LeaseChanged {
             lease_name: lease_name.clone(),
             term: held.term,
             held: true,
         });
         if is_membership_lease(lease_name) {
             self.membership = Some(Membership::begin(self.now));
-            self.membership_leader = Some((held.term, self.me()));
+            self.membership_leader = Some((held.term, self.own_holder()));
             self.next_heartbeat_at = self.now;
         }
     }
@@ -209,7 +209,11 @@
         let all_held = self.held_leases.values().chain(handed_over);
         timers.extend(all_held.map(|held| held.expires_at));
         timers.extend(self.jobs.values().map(|job| job.expires_at(settings.lease)));
-        timers.extend(self.pending_commands.iter().map(|pending| pending.until));
+        timers.extend(
+            self.pending_commands
+                .iter()
+                .map(|pending| pending.expires_at),
+        );
         if self.proposal.is_none() {
             timers.push(self.next_command_at().max(self.next_proposal_at));
         }
--- a/src/coordination/member/membership_report.rs
+++ b/src/coordination/member/membership_report.rs
@@ -56,7 +56,7 @@
             return;
         };
         let ignores_expiry = is_injected(InjectedFault::LeaseEndIgnored);
-        if held.left(self.now) <= 0.0 && !ignores_expiry {
+        if held.remaining(self.now) <= 0.0 && !ignores_expiry {
             return;
         }
         let lease_end = match ignores_expiry {
@@ -80,9 +80,9 @@
     ) {
         self.commands_sent += 1;
         let body = self.membership_summary();
-        let holder = self.me();
+        let holder = self.own_holder();
         let receiver = &mut self.report_receivers[index];
-        let (receiver_timestamp, good_for) = receiver.clock.good_for(lease_end);
+        let (receiver_timestamp, valid_for) = receiver.clock.valid_for(lease_end);
         receiver.awaits_answer = true;
         receiver.next_report_at = self.now + self.settings.report_interval;
         receiver.executable_until = held.expires_at;
@@ -92,13 +92,13 @@
             holder,
             number: self.commands_sent,
             receiver_timestamp,
-            good_for,
+            valid_for,
             body,
         };
         self.count("acts");
         let to = self.settings.report_receivers[index].clone();
         let purpose = RequestPurpose::MembershipReport { receiver: index };
-        self.send_request(to, Question::FencedCommand(command), purpose, out);
+        self.send_request(to, MemberRequest::FencedCommand(command), purpose, out);
     }
 
     /// Handles a receiver's answer to a membership report; `None` if there was no answer.
@@ -114,7 +114,9 @@
         let Some((decision, receiver_timestamp)) = answer else {
             return self.count("acts unanswered");
         };
-        receiver.clock.answered(self.now, receiver_timestamp);
+        receiver
+            .clock
+            .record_timestamp(self.now, receiver_timestamp);
         receiver.executable_until = f64::NEG_INFINITY;
         if decision == FencingDecision::TimestampMissing {
             // This answer contains the missing timestamp, so the report is sent again at once.
@@ -137,7 +139,7 @@
             count(MemberStatus::Returned),
             count(MemberStatus::Suspected),
             count(MemberStatus::Dead),
-            self.now - membership.since,
+            self.now - membership.leading_since,
         );
         summary.into_bytes()
     }
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -25,7 +25,7 @@
 
 /// A request from one member, or from an operator, to a member.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Question {
+pub enum MemberRequest {
     /// A proposer's prepare or accept request to an acceptor.
     Vote(AcceptorRequest),
     /// Asks a voter for the value that it accepted last.
@@ -33,7 +33,7 @@
     /// Asks for the highest known write count of a voter's file.
     WriteCount {
         /// The name of the voter whose write count is requested.
-        of: Name,
+        voter: Name,
         /// The identity of that voter; another file under the same name has another identity.
         voter_id: VoterId,
     },
@@ -47,13 +47,13 @@
     /// A lease holder's command, which is executed only while the sender holds the lease.
     FencedCommand(FencedCommand),
     /// Revokes a permit, unless the disruption that the permit allows has already begun.
-    AskBack {
+    RevokePermit {
         /// The permit to revoke.
         permit: PermitId,
         /// Whether the unit is a dispatcher or an engine.
-        of: UnitKind,
+        unit_kind: UnitKind,
         /// The name of the unit that the permit was issued to.
-        who: Name,
+        unit: Name,
         /// The process of the unit for which the permit was issued.
         incarnation: Incarnation,
     },
@@ -61,35 +61,35 @@
     Operator(OperatorRequest),
 }
 
-/// A member's answer to a [`Question`]. Each kind of question has one kind of answer.
+/// A member's answer to a [`MemberRequest`]. Each kind of request has one kind of answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Answers [`Question::Vote`].
+    /// Answers [`MemberRequest::Vote`].
     Vote(AcceptorReply),
-    /// Answers [`Question::VoterState`].
+    /// Answers [`MemberRequest::VoterState`].
     VoterState(VoterState),
-    /// Answers [`Question::WriteCount`].
+    /// Answers [`MemberRequest::WriteCount`].
     WriteCount {
         /// The highest write count that the receiver knows; 0 if it knows none.
         writes: u64,
     },
-    /// Answers [`Question::Heartbeat`].
+    /// Answers [`MemberRequest::Heartbeat`].
     Heartbeat(HeartbeatReply),
-    /// Confirms the receipt of [`Question::LeaseOffer`].
+    /// Confirms the receipt of [`MemberRequest::LeaseOffer`].
     Done,
-    /// Answers [`Question::FencedCommand`].
+    /// Answers [`MemberRequest::FencedCommand`].
     FencingDecision {
         /// Whether the command was executed, or why it was refused.
         verdict: FencingDecision,
         /// The receiver's timestamp, which the sender attaches to its next command.
         receiver_timestamp: ReceiverTimestamp,
     },
-    /// Answers [`Question::AskBack`].
-    Begun {
+    /// Answers [`MemberRequest::RevokePermit`].
+    RevocationResult {
         /// Whether the disruption has begun, so that the permit cannot be revoked.
         begun: bool,
     },
-    /// Answers [`Question::Operator`].
+    /// Answers [`MemberRequest::Operator`].
     Reply(Reply),
 }
 
@@ -99,7 +99,7 @@
     /// The voter's identity; `None` without a voter's file, or with one that cannot be trusted.
     pub voter_id: Option<VoterId>,
     /// Whether the voter answers proposers now.
-    pub votes: bool,
+    pub is_voting: bool,
     /// The first voters of the fleet according to the voter's file; `None` if the file does not state them.
     pub bootstrap: Option<Voters>,
     /// The value that the voter accepted last, with its ballot; `None` if it has accepted no value.
@@ -114,7 +114,7 @@
     /// The membership leader with its term, according to the receiver; `None` if the receiver knows no leader.
     pub holder: Option<(Term, LeaseHolder)>,
     /// The time until the sender's next heartbeat, in milliseconds.
-    pub every: Ms,
+    pub next_heartbeat_in: Ms,
     /// The sender's ranks among the possible next holders of leases, 0 for the first; empty if it is not ranked.
     pub ranks: Vec<(LeaseName, u32)>,
 }
@@ -125,9 +125,9 @@
     /// Whether the dispatcher accepts client requests.
     pub ready: bool,
     /// The dispatcher's utilization, 0 to 1.
-    pub load: f64,
+    pub utilization: f64,
     /// Outcomes of client requests since the process started.
-    pub tally: OutcomeCounts,
+    pub outcomes: OutcomeCounts,
     /// The reports about engines that were made since the previous [`Input::LocalHealth`].
     pub reports: Vec<EngineReport>,
 }
@@ -160,16 +160,16 @@
         is_durable: bool,
     },
     /// A request of another member or an operator was received.
-    Asked {
+    RequestReceived {
         /// The number that the driver gives the request, for [`Output::Answer`].
         call: CallId,
         /// The request, which [`Output::Answer`] answers at once or later.
-        question: Question,
+        question: MemberRequest,
     },
     /// A sent request was answered, or its receiver could not be reached.
-    Answered {
-        /// The number of the request, from [`Output::Ask`].
-        ask: MemberRequestId,
+    AnswerReceived {
+        /// The number of the request, from [`Output::SendRequest`].
+        request_id: MemberRequestId,
         /// The answer; `None` if no answer will come, such as after a lost connection, or if the answer was invalid.
         answer: Option<Answer>,
     },
@@ -187,17 +187,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a request to another member.
-    Ask {
-        /// The number of the request, for [`Input::Answered`].
-        ask: MemberRequestId,
+    SendRequest {
+        /// The number of the request, for [`Input::AnswerReceived`].
+        request_id: MemberRequestId,
         /// The address of the receiver's fleet service.
         to: Address,
         /// The request, which the driver encodes and sends.
-        question: Question,
+        question: MemberRequest,
     },
-    /// Answer a request that [`Input::Asked`] passed to the member.
+    /// Answer a request that [`Input::RequestReceived`] passed to the member.
     Answer {
-        /// The number of the request, from [`Input::Asked`].
+        /// The number of the request, from [`Input::RequestReceived`].
         call: CallId,
         /// The answer, which the driver encodes and sends.
         answer: Answer,
@@ -210,7 +210,7 @@
         state: Box<AcceptorState>,
     },
     /// Report that the member has begun or ceased to hold a lease.
-    Holds {
+    LeaseChanged {
         /// The lease that was acquired, released or lost.
         lease_name: LeaseName,
         /// The term in which the lease is or was held.
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -16,8 +16,8 @@
 mod settings;
 
 pub use messages::{
-    Answer, CallId, HeartbeatReply, Input, LocalHealth, MemberRequestId, Output, Question, SaveId,
-    UnusableFile, VoterState,
+    Answer, CallId, HeartbeatReply, Input, LocalHealth, MemberRequest, MemberRequestId, Output,
+    SaveId, UnusableFile, VoterState,
 };
 pub use operator_requests::{
     AbandonedUnit, MemberSummary, OperatorRequest, PermitStatus, Reply, RolloutRequest,
@@ -59,7 +59,7 @@
     rng: WyRand,
     started_at: Ms,
     ready: bool,
-    load: f64,
+    utilization: f64,
     stopping: bool,
     stopped: bool,
 
@@ -130,7 +130,7 @@
             rng: WyRand::new_seed(settings.seed),
             started_at: 0.0,
             ready: false,
-            load: 0.0,
+            utilization: 0.0,
             stopping: false,
             stopped: false,
             file,
@@ -180,10 +180,12 @@
         match input {
             Input::Loaded(file) => self.file_loaded(file, out),
             Input::Saved { number, is_durable } => self.file_saved(number, is_durable, out),
-            Input::Asked { call, question } => self.handle_request(call, question, out),
-            Input::Answered { ask, answer } => self.answer_received(ask, answer, out),
+            Input::RequestReceived { call, question } => self.handle_request(call, question, out),
+            Input::AnswerReceived { request_id, answer } => {
+                self.answer_received(request_id, answer, out)
+            }
             Input::LocalHealth(local_health) => self.local_health(local_health),
-            Input::Engines(engines) => self.engines(engines),
+            Input::Engines(engines) => self.set_engines(engines),
             Input::Tick => {}
             Input::Stop => self.stopping = true,
         }
@@ -219,7 +221,7 @@
         let voter_queries = self
             .voter_queries
             .values()
-            .map(|voter_query| voter_query.until());
+            .map(|voter_query| voter_query.expires_at());
         let next_call_at = [self.next_heartbeat_at]
             .into_iter()
             .chain(requests)
@@ -236,7 +238,7 @@
     pub fn held(&self) -> impl Iterator<Item = (&LeaseName, Term)> {
         self.held_leases
             .iter()
-            .filter(|(_, held)| held.left(self.now) > 0.0)
+            .filter(|(_, held)| held.remaining(self.now) > 0.0)
             .map(|(lease_name, held)| (lease_name, held.term))
     }
 
@@ -250,11 +252,6 @@
         self.membership.as_ref()
     }
 
-    /// The status of the rollout, as far as this member knows it.
-    pub fn release_status(&self) -> RolloutStatus {
-        self.rollout_status()
-    }
-
     /// The newest replicated state seen, chosen or not; `None` before the first one.
     pub fn newest(&self) -> Option<&ReplicatedState> {
         self.newest.as_ref().map(|(_, value)| value)
@@ -326,14 +323,14 @@
             let records = voters.all().into_iter();
             known.extend(records.map(|(name, record)| (name, record.address)));
         }
-        known.remove(&self.settings.me);
+        known.remove(&self.settings.own_name);
         known
     }
 
     /// The name, incarnation and address of this process, as commands and messages state them.
-    fn me(&self) -> LeaseHolder {
+    fn own_holder(&self) -> LeaseHolder {
         LeaseHolder {
-            name: self.settings.me.clone(),
+            name: self.settings.own_name.clone(),
             incarnation: self.settings.incarnation,
             address: self.settings.address.clone(),
         }
--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -42,7 +42,7 @@
         job: u64,
     },
     /// Releases the lease of a job that has ended.
-    LetGo {
+    ReleaseLease {
         /// The name of the lease that the job held.
         lease_name: LeaseName,
         /// The number that the job used in its requests to hold the lease.
@@ -51,7 +51,7 @@
     /// A request about rollouts or permits.
     Rollout(RolloutRequest),
     /// Stops one dispatcher without the fleet's agreement.
-    ByHand {
+    StopWithoutAgreement {
         /// The name of the dispatcher that drains and stops.
         name: Name,
         /// The address of the dispatcher's fleet service. May be none if the dispatcher is a member or a voter.
@@ -171,13 +171,13 @@
     /// The request is not complete yet. Carries the reason. The sender repeats the request.
     Pending(String),
     /// Another dispatcher can handle the request. Carries the address of that dispatcher.
-    Elsewhere(Address),
+    Redirect(Address),
     /// Whether a job's lease is held.
-    Holds {
+    LeaseHold {
         /// The lease's term. None if the dispatcher does not hold the lease yet.
         term: Option<Term>,
         /// How long the dispatcher holds the lease at least, in milliseconds from when the job sent its request.
-        good_for: Ms,
+        valid_for: Ms,
     },
 }
 
@@ -189,9 +189,9 @@
     /// The address of the voter's fleet service.
     pub address: Address,
     /// Whether the voter has answered the query. False if the voter could not be reached in time.
-    pub answers: bool,
+    pub is_responding: bool,
     /// Whether the voter votes under the identity that the fleet agreed on.
-    pub votes: bool,
+    pub is_voting: bool,
     /// The version of the state that the voter accepted last. 0 if the voter has accepted none.
     pub version: u64,
 }
--- a/src/coordination/member/operator_requests/handling.rs
+++ b/src/coordination/member/operator_requests/handling.rs
@@ -6,7 +6,7 @@
 impl Member {
     /// Handles an operator's request. The reply follows at once, or after the voters that the request depends on have
     /// answered.
-    pub(in super::super) fn order(
+    pub(in super::super) fn handle_operator_request(
         &mut self,
         call: CallId,
         request: OperatorRequest,
@@ -31,11 +31,11 @@
             OperatorRequest::HoldLease { lease_name, job } => {
                 Some(self.hold_lease_request(lease_name, job))
             }
-            OperatorRequest::LetGo { lease_name, job } => {
+            OperatorRequest::ReleaseLease { lease_name, job } => {
                 Some(self.release_lease_request(&lease_name, job, out))
             }
             OperatorRequest::Rollout(request) => self.rollout_request(call, request),
-            OperatorRequest::ByHand {
+            OperatorRequest::StopWithoutAgreement {
                 name,
                 address,
                 reason,
--- a/src/coordination/member/operator_requests/leases.rs
+++ b/src/coordination/member/operator_requests/leases.rs
@@ -30,7 +30,7 @@
                 lease_name.0
             ));
         };
-        if next == self.settings.me {
+        if next == self.settings.own_name {
             return Reply::Refused(format!("{} holds lease {} already", next.0, lease_name.0));
         }
         if membership.is_some_and(|membership| membership.address(&next).is_none()) {
@@ -53,7 +53,7 @@
         let holder = newest.and_then(|value| holder_of(value, lease_name));
         if let Some((_, holder)) = holder {
             if holder.incarnation != self.settings.incarnation {
-                return Reply::Elsewhere(holder.address.clone());
+                return Reply::Redirect(holder.address.clone());
             }
         }
         let is_known = newest.is_some_and(|value| value.leases.contains_key(lease_name));
@@ -70,18 +70,18 @@
         }
         let now = self.now;
         match self.jobs.get_mut(&lease_name) {
-            Some(existing_job) => existing_job.asked = now,
+            Some(existing_job) => existing_job.last_requested_at = now,
             None => self.start_job(&lease_name, job),
         }
         let lease = self.held_leases.get(&lease_name);
-        match lease.filter(|lease| lease.left(now) > 0.0) {
-            Some(lease) => Reply::Holds {
+        match lease.filter(|lease| lease.remaining(now) > 0.0) {
+            Some(lease) => Reply::LeaseHold {
                 term: Some(lease.term),
-                good_for: lease.left(now),
+                valid_for: lease.remaining(now),
             },
-            None => Reply::Holds {
+            None => Reply::LeaseHold {
                 term: None,
-                good_for: 0.0,
+                valid_for: 0.0,
             },
         }
     }
@@ -118,12 +118,12 @@
         let now = self.now;
         let job = LeaseJob {
             number: job,
-            asked: now,
+            last_requested_at: now,
         };
         self.jobs.insert(lease_name.clone(), job);
         let mut observer = LeaseObserver::new(now, &mut self.rng);
         // For a new lease, the dispatcher that the job asks first contends without an election delay.
-        observer.place = Some(0);
+        observer.rank = Some(0);
         self.lease_observers.insert(lease_name.clone(), observer);
         self.next_query_at = now;
     }
--- a/src/coordination/member/operator_requests/status.rs
+++ b/src/coordination/member/operator_requests/status.rs
@@ -15,23 +15,23 @@
         let answered = |name: &Name, _: &VoterRecord| {
             voters
                 .iter()
-                .any(|voter| voter.name == *name && voter.votes)
+                .any(|voter| voter.name == *name && voter.is_voting)
         };
-        let majority = voter_set.is_some_and(|voter_set| voter_set.majority(answered));
+        let majority = voter_set.is_some_and(|voter_set| voter_set.has_quorum(answered));
         let leases = newest.iter().flat_map(|value| value.leases.iter());
         let membership = self.membership.as_ref();
         Status {
-            reported_by: Some(self.settings.me.clone()),
+            reported_by: Some(self.settings.own_name.clone()),
             majority,
             generation: voter_set.map_or(0, |voter_set| voter_set.generation),
-            changing: voter_set.is_some_and(|voter_set| voter_set.before.is_some()),
+            changing: voter_set.is_some_and(|voter_set| voter_set.former.is_some()),
             version: newest.map_or(0, |value| value.version),
             voters,
             leases: leases
                 .map(|(name, lease)| (name.clone(), lease.term, lease.holder.clone()))
                 .collect(),
-            leading_for: membership.map(|membership| self.now - membership.since),
-            members: self.member_lines(),
+            leading_for: membership.map(|membership| self.now - membership.leading_since),
+            members: self.member_summaries(),
             leader: self.other_leader(),
             disruptions: self.rollout_status(),
         }
@@ -61,7 +61,7 @@
         voter_id: Option<VoterId>,
         voter_query: &VoterQuery,
     ) -> VoterStatus {
-        let state = match *name == self.settings.me {
+        let state = match *name == self.settings.own_name {
             true => Some(self.voter_state()),
             false => voter_query.states.get(name).cloned().flatten(),
         };
@@ -70,16 +70,16 @@
         VoterStatus {
             name: name.clone(),
             address: address.clone(),
-            answers: state.is_some(),
-            votes: state
+            is_responding: state.is_some(),
+            is_voting: state
                 .as_ref()
-                .is_some_and(|state| state.votes && is_agreed(state)),
+                .is_some_and(|state| state.is_voting && is_agreed(state)),
             version: newest.map_or(0, |(_, value)| value.version),
         }
     }
 
     /// The status of each member. Empty unless this dispatcher is the membership leader.
-    fn member_lines(&self) -> Vec<MemberSummary> {
+    fn member_summaries(&self) -> Vec<MemberSummary> {
         let Some(membership) = &self.membership else {
             return Vec::new();
         };
@@ -89,7 +89,7 @@
             label: member.heartbeat.label.clone(),
             member_status: membership.member_status(self.now, member, self.settings.heartbeat),
             ready: member.heartbeat.ready,
-            uptime: member.heartbeat.up + self.now - member.last_heartbeat_at,
+            uptime: member.heartbeat.uptime + self.now - member.last_heartbeat_at,
             last_heartbeat_age: self.now - member.last_heartbeat_at,
         };
         membership.members().map(line).collect()
--- a/src/coordination/member/operator_requests/voter_changes.rs
+++ b/src/coordination/member/operator_requests/voter_changes.rs
@@ -35,7 +35,7 @@
         let member = membership
             .and_then(|membership| membership.address(name))
             .cloned();
-        let own = (*name == self.settings.me).then(|| self.settings.address.clone());
+        let own = (*name == self.settings.own_name).then(|| self.settings.address.clone());
         member
             .or(own)
             .or_else(|| self.settings.voters.get(name).cloned())
@@ -45,8 +45,8 @@
     /// the address.
     fn unknown_address_reply(&self, name: &Name) -> Reply {
         let leader = self.membership_leader.as_ref();
-        match leader.filter(|(_, holder)| holder.name != self.settings.me) {
-            Some((_, holder)) => Reply::Elsewhere(holder.address.clone()),
+        match leader.filter(|(_, holder)| holder.name != self.settings.own_name) {
+            Some((_, holder)) => Reply::Redirect(holder.address.clone()),
             None => Reply::Refused(format!(
                 "the address of {} is not known: give the address in the request",
                 name.0
@@ -57,11 +57,11 @@
     /// Queues a command for proposal. The operator gets a reply once the voters have agreed on the command or the
     /// request has timed out.
     pub(in super::super) fn submit_command(&mut self, call: CallId, command: Command) {
-        let until = self.now + ANSWER_TIMEOUT_MS;
+        let expires_at = self.now + ANSWER_TIMEOUT_MS;
         self.pending_commands.push(PendingCommand {
             call,
             command,
-            until,
+            expires_at,
         });
     }
 
@@ -100,7 +100,7 @@
         let expired: Vec<CallId> = self
             .pending_commands
             .iter()
-            .filter(|pending| pending.until <= now)
+            .filter(|pending| pending.expires_at <= now)
             .map(|pending| pending.call)
             .collect();
         for call in expired {
--- a/src/coordination/member/operator_requests/voter_query.rs
+++ b/src/coordination/member/operator_requests/voter_query.rs
@@ -28,7 +28,7 @@
 
 impl VoterQuery {
     /// When the operator gets a reply even if some voters have not answered.
-    pub(in super::super) fn until(&self) -> Ms {
+    pub(in super::super) fn expires_at(&self) -> Ms {
         self.deadline
     }
 
@@ -54,14 +54,14 @@
         };
         self.voter_queries.insert(call, voter_query);
         for (voter, address) in voters {
-            if voter == self.settings.me {
+            if voter == self.settings.own_name {
                 let state = self.voter_state();
                 self.voter_query_answered(call, &voter, Some(state), out);
             } else {
                 self.send_request(
                     address,
-                    Question::VoterState,
-                    RequestPurpose::Inspect { of: voter, call },
+                    MemberRequest::VoterState,
+                    RequestPurpose::VoterQuery { voter, call },
                     out,
                 );
             }
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -43,7 +43,7 @@
     pub(super) call: CallId,
     pub(super) command: Command,
     /// The command is abandoned if it has not been chosen by this time.
-    pub(super) until: Ms,
+    pub(super) expires_at: Ms,
 }
 
 impl Member {
@@ -77,7 +77,7 @@
     fn can_finish_voter_change(&self) -> bool {
         let voters = self.newest.as_ref().map(|(_, value)| &value.voters);
         voters.is_some_and(|voters| {
-            voters.before.is_some() && self.knowledge.chosen_voters.as_ref() == Some(voters)
+            voters.former.is_some() && self.knowledge.chosen_voters.as_ref() == Some(voters)
         })
     }
 
@@ -101,7 +101,7 @@
         let command = Command::Resign {
             lease_name: lease_name.clone(),
             term: handover.held.term,
-            who: self.me(),
+            holder: self.own_holder(),
             next: handover.next.clone(),
         };
         Some((ProposalReason::ResignLease(lease_name.clone()), command))
@@ -117,26 +117,29 @@
         let leases = held_leases
             .map(|(lease_name, held)| (lease_name.clone(), held.term))
             .collect();
-        let who = self.me();
-        Some((ProposalReason::RenewLeases, Command::Renew { who, leases }))
+        let holder = self.own_holder();
+        Some((
+            ProposalReason::RenewLeases,
+            Command::Renew { holder, leases },
+        ))
     }
 
     fn acquisition(&self) -> Option<(ProposalReason, Command)> {
         let settings = &self.settings.lease;
-        let who = self.me();
+        let holder = self.own_holder();
         let is_voter = self.is_voter();
         // Guards against a command of this process's earlier term that is executed after a command of its next term.
         let may_acquire = |(lease_name, observer): &(&LeaseName, &LeaseObserver)| {
             self.contends(lease_name)
                 && self.fenced_commands_are_finished()
-                && observer.election_delay(&who, is_voter, settings) <= 0.0
+                && observer.election_delay(&holder, is_voter, settings) <= 0.0
         };
         let (lease_name, observer) = self.lease_observers.iter().find(may_acquire)?;
         let command = Command::Acquire {
             lease_name: lease_name.clone(),
-            seen: observer.version(),
+            expected_version: observer.version(),
             lease_ms: settings.lease_ms(),
-            who,
+            holder,
         };
         Some((ProposalReason::AcquireLease(lease_name.clone()), command))
     }
@@ -157,7 +160,7 @@
     /// The earliest time at which [`Member::next_command`] returns a command if no input arrives before; infinite if
     /// there is none.
     pub(super) fn next_command_at(&self) -> Ms {
-        let (settings, me, is_voter) = (&self.settings.lease, self.me(), self.is_voter());
+        let (settings, me, is_voter) = (&self.settings.lease, self.own_holder(), self.is_voter());
         let renewals = self
             .held_leases
             .values()
@@ -212,7 +215,7 @@
         // Members that are neither ranked nor voters query voters at most as often as they send heartbeats, as there
         // may be hundreds of such members.
         let mut observers = self.lease_observers.values();
-        let is_last_resort = !self.is_voter() && observers.all(|observer| observer.place.is_none());
+        let is_last_resort = !self.is_voter() && observers.all(|observer| observer.rank.is_none());
         let min_interval = match is_last_resort {
             true => self.heartbeat_interval,
             false => 0.0,
@@ -253,7 +256,7 @@
         };
         Ballot {
             round: self.highest_round,
-            by: self.settings.me.clone(),
+            by: self.settings.own_name.clone(),
             incarnation,
         }
     }
@@ -282,14 +285,14 @@
             attempt: attempt + 1,
         });
         let purpose = RequestPurpose::QueryVoter { of, next };
-        self.send_request(to, Question::VoterState, purpose, out);
+        self.send_request(to, MemberRequest::VoterState, purpose, out);
     }
 
     /// Asks all voters for the value that they accepted last.
     pub(super) fn query_all_voters(&mut self, out: &mut Vec<Output>) {
         for (of, to) in self.known_voters() {
             let purpose = RequestPurpose::QueryVoter { of, next: None };
-            self.send_request(to, Question::VoterState, purpose, out);
+            self.send_request(to, MemberRequest::VoterState, purpose, out);
         }
     }
 
@@ -309,7 +312,7 @@
                 ballot: ballot.clone(),
                 phase,
             };
-            let question = Question::Vote(outgoing.request);
+            let question = MemberRequest::Vote(outgoing.request);
             self.send_request(outgoing.voter_record.address, question, purpose, out);
         }
     }
@@ -405,7 +408,7 @@
                 let handover = self.handovers.remove(&lease_name);
                 self.count("handed over");
                 if let Some(to) = handover.and_then(|handover| handover.to) {
-                    let question = Question::LeaseOffer { lease_name };
+                    let question = MemberRequest::LeaseOffer { lease_name };
                     self.send_request(to, question, RequestPurpose::OfferLease, out);
                 }
             }
@@ -427,7 +430,7 @@
         begun_at: Ms,
         out: &mut Vec<Output>,
     ) {
-        let (me, incarnation) = (&self.settings.me, self.settings.incarnation);
+        let (me, incarnation) = (&self.settings.own_name, self.settings.incarnation);
         let record = value.leases.get(lease_name);
         let Some(record) = record.filter(|record| is_held_by(record, me, incarnation)) else {
             return;
@@ -443,7 +446,7 @@
     }
 
     fn renewal_chosen(&mut self, value: &ReplicatedState, begun_at: Ms) {
-        let (me, incarnation) = (&self.settings.me, self.settings.incarnation);
+        let (me, incarnation) = (&self.settings.own_name, self.settings.incarnation);
         for (lease_name, held) in &mut self.held_leases {
             let is_renewed = |record: &LeaseRecord| {
                 is_held_by(record, me, incarnation) && record.term == held.term
@@ -464,7 +467,7 @@
             // Guards against repeating the same rejected command at once. Commands are derived from the newest value
             // seen, which can be newer than the chosen value that rejects them.
             ProposalReason::AcquireLease(_) | ProposalReason::FinishVoterChange => {
-                self.next_proposal_at = self.now + self.settings.lease.gap();
+                self.next_proposal_at = self.now + self.settings.lease.election_gap();
             }
             ProposalReason::RenewLeases => {
                 for lease_name in self.held_leases.keys().cloned().collect::<Vec<_>>() {
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -18,7 +18,7 @@
     /// Asks a voter for its newest value, and the next voter if this one does not answer.
     QueryVoter { of: Name, next: Option<NextVoter> },
     /// Asks a voter for its state to answer an operator's request.
-    Inspect { of: Name, call: CallId },
+    VoterQuery { voter: Name, call: CallId },
     /// Asks a voter to confirm that the acceptor's file is not outdated.
     ConfirmFile { of: Name },
     /// A heartbeat to the membership leader with this incarnation.
@@ -62,7 +62,7 @@
     /// message, which would make a whole proposal fail.
     resend: Option<Resend>,
     /// The request; kept only if it may be sent again.
-    question: Option<Box<Question>>,
+    question: Option<Box<MemberRequest>>,
 }
 
 impl RequestInFlight {
@@ -80,7 +80,7 @@
     pub(super) fn send_request(
         &mut self,
         to: Address,
-        question: Question,
+        question: MemberRequest,
         purpose: RequestPurpose,
         out: &mut Vec<Output>,
     ) {
@@ -107,16 +107,16 @@
     fn transmit(
         &mut self,
         mut request: RequestInFlight,
-        question: Question,
+        question: MemberRequest,
         out: &mut Vec<Output>,
     ) {
         self.requests_sent += 1;
-        let id = MemberRequestId(self.requests_sent);
+        let request_id = MemberRequestId(self.requests_sent);
         let to = request.to.clone();
         request.question = request.resend.map(|_| Box::new(question.clone()));
-        self.in_flight.insert(id, request);
-        out.push(Output::Ask {
-            ask: id,
+        self.in_flight.insert(request_id, request);
+        out.push(Output::SendRequest {
+            request_id,
             to,
             question,
         });
@@ -195,30 +195,34 @@
     pub(super) fn handle_request(
         &mut self,
         call: CallId,
-        question: Question,
+        question: MemberRequest,
         out: &mut Vec<Output>,
     ) {
         let answer = match question {
-            Question::Vote(request) => return self.proposer_request(call, &request, out),
-            Question::Operator(request) => return self.order(call, request, out),
-            Question::VoterState => Answer::VoterState(self.voter_state()),
-            Question::WriteCount { of, voter_id } => Answer::WriteCount {
-                writes: self.known_writes(&(of, voter_id)),
+            MemberRequest::Vote(request) => return self.proposer_request(call, &request, out),
+            MemberRequest::Operator(request) => {
+                return self.handle_operator_request(call, request, out)
+            }
+            MemberRequest::VoterState => Answer::VoterState(self.voter_state()),
+            MemberRequest::WriteCount { voter, voter_id } => Answer::WriteCount {
+                writes: self.known_writes(&(voter, voter_id)),
             },
-            Question::Heartbeat(heartbeat) => Answer::Heartbeat(self.heartbeat_received(heartbeat)),
-            Question::LeaseOffer { lease_name } => {
+            MemberRequest::Heartbeat(heartbeat) => {
+                Answer::Heartbeat(self.heartbeat_received(heartbeat))
+            }
+            MemberRequest::LeaseOffer { lease_name } => {
                 self.lease_offered(&lease_name, out);
                 Answer::Done
             }
-            Question::FencedCommand(command) => self.fenced_command_received(&command, out),
-            Question::AskBack {
+            MemberRequest::FencedCommand(command) => self.fenced_command_received(&command, out),
+            MemberRequest::RevokePermit {
                 permit,
-                of,
-                who,
+                unit_kind,
+                unit,
                 incarnation,
             } => {
-                let is_mine = of == UnitKind::Dispatchers && who == self.settings.me;
-                Answer::Begun {
+                let is_mine = unit_kind == UnitKind::Dispatchers && unit == self.settings.own_name;
+                Answer::RevocationResult {
                     begun: !is_mine || self.revoke_unless_begun(permit, incarnation),
                 }
             }
@@ -267,12 +271,12 @@
                 Some(_) => {}
                 None => self.query_next_voter(next, out),
             },
-            RequestPurpose::Inspect { of, call } => {
+            RequestPurpose::VoterQuery { voter, call } => {
                 let state = voter_state_from(answer);
                 if let Some(state) = &state {
-                    self.voter_state_received(&of, state.clone(), out);
+                    self.voter_state_received(&voter, state.clone(), out);
                 }
-                self.voter_query_answered(call, &of, state, out);
+                self.voter_query_answered(call, &voter, state, out);
             }
             RequestPurpose::ConfirmFile { of } => {
                 if let Some(Answer::WriteCount { writes }) = answer {
@@ -339,7 +343,7 @@
 
 fn begun_from(answer: Option<Answer>) -> Option<bool> {
     match answer {
-        Some(Answer::Begun { begun }) => Some(begun),
+        Some(Answer::RevocationResult { begun }) => Some(begun),
         _ => None,
     }
 }
--- a/src/coordination/member/rollout/commands.rs
+++ b/src/coordination/member/rollout/commands.rs
@@ -66,7 +66,7 @@
             .as_ref()
             .filter(|(_, holder)| holder.incarnation != self.settings.incarnation);
         Err(match other_leader {
-            Some((_, holder)) => Reply::Elsewhere(holder.address.clone()),
+            Some((_, holder)) => Reply::Redirect(holder.address.clone()),
             None => Reply::Refused(
                 "no membership leader calls the roll now: try again in a moment".to_owned(),
             ),
@@ -102,8 +102,8 @@
         dry_run: bool,
     ) -> Result<OperatorCommand, Reply> {
         let budget = match plan.unit_kind {
-            UnitKind::Engines => self.settings.bounds.1,
-            UnitKind::Dispatchers => self.settings.bounds.0,
+            UnitKind::Engines => self.settings.disruption_budgets.1,
+            UnitKind::Dispatchers => self.settings.disruption_budgets.0,
         };
         let view = self.fleet_view();
         let check = PlanCheck {
@@ -113,7 +113,7 @@
             sizes: &self.largest_sizes(&view, plan.unit_kind),
         };
         check
-            .check(skip_missing, self.settings.keeper.is_some())
+            .check(skip_missing, self.settings.drain_list_address.is_some())
             .map_err(|error| Reply::Refused(error.to_string()))?;
         if dry_run {
             return Err(Reply::Done(check.describe_dry_run()));
@@ -121,7 +121,7 @@
         Ok(OperatorCommand::Start(Box::new(Rollout {
             plan,
             budget,
-            started_by: self.settings.me.clone(),
+            started_by: self.settings.own_name.clone(),
             rolling_back: false,
             finished: false,
             wave: 0,
--- a/src/coordination/member/rollout/fleet_view.rs
+++ b/src/coordination/member/rollout/fleet_view.rs
@@ -22,9 +22,9 @@
                 .map(|(name, member)| self.dispatcher_unit(membership, name, member))
                 .collect(),
             engines: engines
-                .map(|unit| self.engine_unit(membership, unit))
+                .map(|unit| self.with_reports(membership, unit))
                 .collect(),
-            complete: self.is_view_complete(),
+            is_complete: self.is_view_complete(),
         }
     }
 
@@ -32,7 +32,7 @@
     pub(super) fn is_view_complete(&self) -> bool {
         self.membership.as_ref().is_some_and(|membership| {
             let interval = membership.heartbeat_interval(self.settings.heartbeat);
-            self.now - membership.since >= VIEW_COMPLETE_AFTER_HEARTBEATS * interval
+            self.now - membership.leading_since >= VIEW_COMPLETE_AFTER_HEARTBEATS * interval
         })
     }
 
@@ -51,8 +51,8 @@
         };
         Unit {
             name: name.clone(),
-            incarnation: heartbeat.who.incarnation,
-            address: heartbeat.who.address.clone(),
+            incarnation: heartbeat.sender.incarnation,
+            address: heartbeat.sender.address.clone(),
             zone: heartbeat.zone.clone(),
             cell: String::new(),
             kind: String::new(),
@@ -60,15 +60,16 @@
             label: heartbeat.label.clone(),
             status,
             utilization: None,
-            outcomes: heartbeat.tally,
+            outcomes: heartbeat.outcomes,
         }
     }
 
-    /// An engine of this dispatcher's own list, with its latest load report and its outcomes at all dispatchers.
-    fn engine_unit(&self, membership: &Membership, unit: &Unit) -> Unit {
+    /// A copy of `unit`, an engine of this dispatcher's own list, with its latest reported utilization and its outcomes
+    /// at all dispatchers.
+    fn with_reports(&self, membership: &Membership, unit: &Unit) -> Unit {
         let reported = membership.engine(&unit.name);
         let reported_utilization = reported
-            .and_then(|usage| usage.used)
+            .and_then(|usage| usage.utilization)
             .map(|(fraction, at)| (fraction, self.now - at));
         let utilization = match (unit.utilization, reported_utilization) {
             (Some((_, own_age)), Some((_, reported_age))) if reported_age < own_age => {
@@ -78,7 +79,7 @@
         };
         Unit {
             utilization,
-            outcomes: reported.map(|usage| usage.tally).unwrap_or_default(),
+            outcomes: reported.map(|usage| usage.outcomes).unwrap_or_default(),
             ..unit.clone()
         }
     }
--- a/src/coordination/member/rollout/halt.rs
+++ b/src/coordination/member/rollout/halt.rs
@@ -20,7 +20,7 @@
     agreed_at: Ms,
     /// The units that had permits when the halt was agreed on.
     asked: BTreeMap<PermitId, AskedUnit>,
-    next_question_at: Ms,
+    next_request_at: Ms,
 }
 
 impl HaltConfirmation {
@@ -32,7 +32,7 @@
         HaltConfirmation {
             agreed_at: now,
             asked: asked.collect(),
-            next_question_at: now,
+            next_request_at: now,
         }
     }
 
@@ -49,8 +49,8 @@
     }
 
     /// When the units that have not replied are asked again. None if all have replied.
-    pub fn next_question_at(&self) -> Option<Ms> {
-        self.has_unanswered().then_some(self.next_question_at)
+    pub fn next_request_at(&self) -> Option<Ms> {
+        self.has_unanswered().then_some(self.next_request_at)
     }
 
     /// Records a unit's reply: whether the unit had begun to drain on the permit before the halt.
@@ -101,10 +101,10 @@
         let Some(halt) = &mut self.disruptions.halt_confirmation else {
             return;
         };
-        if !halt.has_unanswered() || self.now < halt.next_question_at {
+        if !halt.has_unanswered() || self.now < halt.next_request_at {
             return;
         }
-        halt.next_question_at = self.now + self.settings.request_timeout;
+        halt.next_request_at = self.now + self.settings.request_timeout;
         let unanswered: Vec<PermitId> = halt.unanswered().copied().collect();
         let permits = self
             .agreed_disruptions()
--- a/src/coordination/member/rollout/leader.rs
+++ b/src/coordination/member/rollout/leader.rs
@@ -59,10 +59,10 @@
             now: self.now,
             disruptions,
             view: &view,
-            me: &self.settings.me,
+            leader_name: &self.settings.own_name,
             voters: &voters,
             requests: &requests,
-            request_budget: &self.settings.bounds.0,
+            request_budget: &self.settings.disruption_budgets.0,
         };
         let controller = self
             .disruptions
@@ -92,7 +92,7 @@
             .clamp(MIN_EVALUATION_INTERVAL_MS, MAX_EVALUATION_INTERVAL_MS)
     }
 
-    /// The earlier of the controller's next run and the next questions to units after a halt. None if this dispatcher
+    /// The earlier of the controller's next run and the next requests to units after a halt. None if this dispatcher
     /// has neither to do.
     pub(in super::super) fn next_rollout_event_at(&self) -> Option<Ms> {
         let is_leader = self.held_leases.contains_key(&membership_lease());
@@ -101,10 +101,10 @@
             None => self.disruptions.next_evaluation_at,
         });
         let halt = self.disruptions.halt_confirmation.as_ref();
-        let question = halt.and_then(|halt| halt.next_question_at());
+        let next_request_at = halt.and_then(|halt| halt.next_request_at());
         evaluation
             .into_iter()
-            .chain(question)
+            .chain(next_request_at)
             .min_by(f64::total_cmp)
     }
 
@@ -115,7 +115,7 @@
         let command = Command::RolloutStep {
             lease_name: membership_lease(),
             term: lease.term,
-            who: self.me(),
+            holder: self.own_holder(),
             step: self.disruptions.pending_step.clone()?,
         };
         Some((ProposalReason::RolloutStep, command))
@@ -127,7 +127,7 @@
         self.disruptions.pending_step = None;
         self.disruptions.next_evaluation_at = match agreed {
             true => self.now,
-            false => self.now + self.settings.lease.gap(),
+            false => self.now + self.settings.lease.election_gap(),
         };
     }
 }
--- a/src/coordination/member/rollout/mod.rs
+++ b/src/coordination/member/rollout/mod.rs
@@ -71,14 +71,14 @@
         self.held_leases
             .get(&membership_lease())
             .copied()
-            .filter(|lease| lease.left(self.now) > 0.0)
+            .filter(|lease| lease.remaining(self.now) > 0.0)
     }
 
-    /// Stores the readiness, the load and the outcomes of this dispatcher, and queues its engine reports.
+    /// Stores the readiness, the utilization and the outcomes of this dispatcher, and queues its engine reports.
     pub(super) fn local_health(&mut self, local_health: LocalHealth) {
         self.ready = local_health.ready;
-        self.load = local_health.load;
-        self.disruptions.outcomes = local_health.tally;
+        self.utilization = local_health.utilization;
+        self.disruptions.outcomes = local_health.outcomes;
         // The oldest reports are dropped when the queue is full, and reports in a lost heartbeat are not sent again. A
         // single report carries little evidence, and a newer report of the same engine follows.
         let reports = &mut self.disruptions.queued_reports;
@@ -90,7 +90,7 @@
     }
 
     /// Replaces this dispatcher's list of engines from discovery.
-    pub(super) fn engines(&mut self, engines: Vec<Unit>) {
+    pub(super) fn set_engines(&mut self, engines: Vec<Unit>) {
         self.disruptions.engines = engines;
     }
 
--- a/src/coordination/member/rollout/notices.rs
+++ b/src/coordination/member/rollout/notices.rs
@@ -102,7 +102,8 @@
         if self.is_for_this_dispatcher(permit) {
             return self.handle_permit_notice(&notice, out);
         }
-        let Some(to) = notice_address(permit, self.settings.keeper.as_ref()).cloned() else {
+        let Some(to) = notice_address(permit, self.settings.drain_list_address.as_ref()).cloned()
+        else {
             return;
         };
         let next_at = self.disruptions.next_notice_at.get(&id).copied();
@@ -111,7 +112,7 @@
         if receiver.in_flight || next_at.is_some_and(|next_at| self.now < next_at) {
             return;
         }
-        let (receiver_timestamp, good_for) = receiver.clock.good_for(lease.expires_at);
+        let (receiver_timestamp, valid_for) = receiver.clock.valid_for(lease.expires_at);
         receiver.in_flight = true;
         receiver.executable_until = lease.expires_at;
         // The effect of an executed notice shows only later, in a heartbeat or in the list of engines.
@@ -123,10 +124,10 @@
         let command = FencedCommand {
             lease_name: membership_lease(),
             term: lease.term,
-            holder: self.me(),
+            holder: self.own_holder(),
             number: self.commands_sent,
             receiver_timestamp,
-            good_for,
+            valid_for,
             body: notice.write(),
         };
         self.count("turns told");
@@ -134,11 +135,11 @@
             to: to.clone(),
             permit: id,
         };
-        self.send_request(to, Question::FencedCommand(command), purpose, out);
+        self.send_request(to, MemberRequest::FencedCommand(command), purpose, out);
     }
 
     fn is_for_this_dispatcher(&self, permit: &DisruptionPermit) -> bool {
-        permit.unit_kind == UnitKind::Dispatchers && permit.unit == self.settings.me
+        permit.unit_kind == UnitKind::Dispatchers && permit.unit == self.settings.own_name
     }
 
     /// Handles the answer to a notice. `answer` is none if the receiver did not answer in time.
@@ -157,7 +158,7 @@
         let Some((decision, receiver_timestamp)) = answer else {
             return;
         };
-        receiver.clock.answered(now, receiver_timestamp);
+        receiver.clock.record_timestamp(now, receiver_timestamp);
         receiver.executable_until = f64::NEG_INFINITY;
         if decision == FencingDecision::TimestampMissing {
             self.disruptions.next_notice_at.remove(&permit);
@@ -176,13 +177,14 @@
     ) {
         if self.is_for_this_dispatcher(permit) {
             let begun = self.revoke_unless_begun(id, permit.incarnation);
-            return self.handle_answer(purpose, Some(Answer::Begun { begun }), out);
+            return self.handle_answer(purpose, Some(Answer::RevocationResult { begun }), out);
         }
-        if let Some(to) = notice_address(permit, self.settings.keeper.as_ref()).cloned() {
-            let question = Question::AskBack {
+        if let Some(to) = notice_address(permit, self.settings.drain_list_address.as_ref()).cloned()
+        {
+            let question = MemberRequest::RevokePermit {
                 permit: id,
-                of: permit.unit_kind,
-                who: permit.unit.clone(),
+                unit_kind: permit.unit_kind,
+                unit: permit.unit.clone(),
                 incarnation: permit.incarnation,
             };
             self.send_request(to, question, purpose, out);
--- a/src/coordination/member/rollout/permit.rs
+++ b/src/coordination/member/rollout/permit.rs
@@ -45,7 +45,7 @@
     /// Begins to drain if the notice names this process and its permit is not revoked.
     pub(super) fn handle_permit_notice(&mut self, notice: &PermitNotice, out: &mut Vec<Output>) {
         let is_for_this_process = notice.unit_kind == UnitKind::Dispatchers
-            && notice.unit == self.settings.me
+            && notice.unit == self.settings.own_name
             && notice.incarnation == self.settings.incarnation;
         if !is_for_this_process || self.disruptions.revoked_permits.contains(&notice.permit) {
             return self.count("turns not ours");
--- a/src/coordination/member/rollout/status.rs
+++ b/src/coordination/member/rollout/status.rs
@@ -8,7 +8,7 @@
 impl Member {
     /// The status of the rollout and the permits, from the state that this dispatcher knows to be agreed on. If no such
     /// state is known, the status shows the newest proposed state instead.
-    pub(in super::super) fn rollout_status(&self) -> RolloutStatus {
+    pub fn rollout_status(&self) -> RolloutStatus {
         let newest = || self.newest().map(|value| &*value.disruptions);
         let Some(disruptions) = self.agreed_disruptions().or_else(newest) else {
             return RolloutStatus::default();
@@ -71,7 +71,9 @@
         };
         let rollout = disruptions.rollout.as_deref();
         let unit_kind = rollout.map_or(UnitKind::Dispatchers, |rollout| rollout.plan.unit_kind);
-        let budget = rollout.map_or(&self.settings.bounds.0, |rollout| &rollout.budget);
+        let budget = rollout.map_or(&self.settings.disruption_budgets.0, |rollout| {
+            &rollout.budget
+        });
         controller.unavailable_counts(disruptions, view, unit_kind, budget)
     }
 }
--- a/src/coordination/member/rollout/stop_without_agreement.rs
+++ b/src/coordination/member/rollout/stop_without_agreement.rs
@@ -17,7 +17,7 @@
         reason: String,
         out: &mut Vec<Output>,
     ) -> Option<Reply> {
-        if name == self.settings.me {
+        if name == self.settings.own_name {
             return Some(self.stop_this_dispatcher(&reason, out));
         }
         let membership = self.membership.as_ref();
@@ -40,13 +40,13 @@
             "stopping {} on an operator's request, without a permit that the fleet agreed on: {reason}",
             name.0
         )));
-        let request = OperatorRequest::ByHand {
+        let request = OperatorRequest::StopWithoutAgreement {
             name,
             address: None,
             reason,
         };
         let purpose = RequestPurpose::StopWithoutAgreement { call, note };
-        self.send_request(to, Question::Operator(request), purpose, out);
+        self.send_request(to, MemberRequest::Operator(request), purpose, out);
         None
     }
 
@@ -61,7 +61,10 @@
             permit: PermitId(0),
             label: String::new(),
         });
-        Reply::Done(format!("{} drains and then stops", self.settings.me.0))
+        Reply::Done(format!(
+            "{} drains and then stops",
+            self.settings.own_name.0
+        ))
     }
 
     /// Replies to the operator when the named dispatcher has replied. `reply` is none if that dispatcher did not reply
@@ -96,7 +99,7 @@
             // No caller waits for the result, so the number must not equal that of any call.
             call: CallId(u64::MAX - self.requests_sent),
             command: Command::OperatorCommand(OperatorCommand::Note(note)),
-            until: f64::INFINITY,
+            expires_at: f64::INFINITY,
         });
     }
 }
--- a/src/coordination/member/settings.rs
+++ b/src/coordination/member/settings.rs
@@ -12,7 +12,7 @@
     /// The name of the fleet. Members refuse connections from members of another fleet.
     pub fleet: String,
     /// The name of this member, which stays the same when its process restarts.
-    pub me: Name,
+    pub own_name: Name,
     /// Identifies this process of the member; drawn at random at each start.
     pub incarnation: Incarnation,
     /// The address at which other members reach this member's fleet service.
@@ -38,9 +38,9 @@
     /// The time between two membership reports to the same receiver.
     pub report_interval: Ms,
     /// The disruption budgets of dispatchers and of engines, in this order.
-    pub bounds: (DisruptionBudget, DisruptionBudget),
+    pub disruption_budgets: (DisruptionBudget, DisruptionBudget),
     /// The address of the service that lists engines as draining; `None` if there is no such service.
-    pub keeper: Option<Address>,
+    pub drain_list_address: Option<Address>,
     /// The seed of all random draws of this member.
     pub seed: u64,
 }
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -11,23 +11,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
     /// The sending process, by name, incarnation and address.
-    pub who: LeaseHolder,
+    pub sender: LeaseHolder,
     /// The zone that the sender runs in.
     pub zone: String,
     /// The version that the sender runs, or another label that its operators chose.
     pub label: String,
     /// The time since the process started, in milliseconds.
-    pub up: Ms,
+    pub uptime: Ms,
     /// Whether the dispatcher accepts client requests.
     pub ready: bool,
     /// Whether the process is shutting down.
     pub stopping: bool,
     /// The dispatcher's utilization, 0 to 1.
-    pub load: f64,
+    pub utilization: f64,
     /// The number of leases that the process holds.
-    pub holds: u32,
+    pub leases_held: u32,
     /// Outcomes of client requests since the process started.
-    pub tally: OutcomeCounts,
+    pub outcomes: OutcomeCounts,
     /// Reports about a few engines; reports about other engines follow with the next heartbeats.
     pub reports: Vec<EngineReport>,
 }
@@ -38,9 +38,9 @@
     /// The name of the engine, as discovery lists it.
     pub engine: Name,
     /// The engine's utilization, 0 to 1, and the age of that value in milliseconds; `None` if it is unknown.
-    pub used: Option<(f64, Ms)>,
+    pub utilization: Option<(f64, Ms)>,
     /// Outcomes of requests to the engine since the dispatcher's previous report about it.
-    pub tally: OutcomeCounts,
+    pub outcomes: OutcomeCounts,
 }
 
 /// The combined reports of all dispatchers about one engine.
@@ -48,9 +48,9 @@
 pub struct EngineUsage {
     /// The newest utilization, 0 to 1, and when it was measured, on the leader's clock in milliseconds; `None` before
     /// the first report that states one.
-    pub used: Option<(f64, Ms)>,
+    pub utilization: Option<(f64, Ms)>,
     /// Outcomes of requests to the engine since this dispatcher became the leader.
-    pub tally: OutcomeCounts,
+    pub outcomes: OutcomeCounts,
 }
 
 /// The status of a member, by how many of its heartbeats are missing.
@@ -111,7 +111,7 @@
     members: BTreeMap<Name, Member>,
     engines: BTreeMap<Name, EngineUsage>,
     /// When this dispatcher became the leader, on its clock in milliseconds.
-    pub since: Ms,
+    pub leading_since: Ms,
     /// The ranks of the possible successors of each lease's holder.
     successors: BTreeMap<LeaseName, BTreeMap<Name, u32>>,
     /// When `successors` was last computed.
@@ -123,7 +123,7 @@
     /// heartbeats arrive.
     pub fn begin(now: Ms) -> Self {
         Membership {
-            since: now,
+            leading_since: now,
             ..Membership::default()
         }
     }
@@ -140,8 +140,9 @@
             self.record_report(now, report);
         }
         let dead_after = DEAD_AFTER_HEARTBEATS * self.heartbeat_interval(shortest);
-        if let Some(member) = self.members.get_mut(&heartbeat.who.name) {
-            let is_new_process = member.heartbeat.who.incarnation != heartbeat.who.incarnation;
+        if let Some(member) = self.members.get_mut(&heartbeat.sender.name) {
+            let is_new_process =
+                member.heartbeat.sender.incarnation != heartbeat.sender.incarnation;
             if is_new_process || now - member.last_heartbeat_at > dead_after {
                 member.since = now;
                 member.has_returned = true;
@@ -149,7 +150,7 @@
             member.last_heartbeat_at = now;
             member.heartbeat = heartbeat;
         } else if self.members.len() < MAX_MEMBERS {
-            let name = heartbeat.who.name.clone();
+            let name = heartbeat.sender.name.clone();
             let member = Member {
                 heartbeat,
                 last_heartbeat_at: now,
@@ -165,16 +166,16 @@
             return;
         }
         let usage = self.engines.entry(report.engine).or_default();
-        usage.tally.add(&report.tally);
-        let Some((used, age)) = report.used else {
+        usage.outcomes.add(&report.outcomes);
+        let Some((utilization, age)) = report.utilization else {
             return;
         };
         let measured_at = now - age.max(0.0);
         if usage
-            .used
+            .utilization
             .is_none_or(|(_, known_at)| known_at < measured_at)
         {
-            usage.used = Some((used, measured_at));
+            usage.utilization = Some((utilization, measured_at));
         }
     }
 
@@ -208,7 +209,7 @@
     /// The address of a member's fleet service, from its newest heartbeat; `None` for an unknown member.
     pub fn address(&self, name: &Name) -> Option<&Address> {
         let member = self.members.get(name);
-        member.map(|member| &member.heartbeat.who.address)
+        member.map(|member| &member.heartbeat.sender.address)
     }
 
     /// The number of members by status at `now`. `shortest` is the configured heartbeat interval; both are in
@@ -256,8 +257,8 @@
         let candidate = |Member { heartbeat, .. }: &Member| Candidate {
             ready: heartbeat.ready && !heartbeat.stopping,
             zone: heartbeat.zone.clone(),
-            utilization: heartbeat.load,
-            leases_held: heartbeat.holds,
+            utilization: heartbeat.utilization,
+            leases_held: heartbeat.leases_held,
         };
         self.members
             .iter()
--- a/src/coordination/register/proposal.rs
+++ b/src/coordination/register/proposal.rs
@@ -194,8 +194,8 @@
                 .contains(&(name.clone(), voter_record.voter_id))
         };
         let value = self.value.as_ref();
-        self.voters.majority(has_not_refused)
-            && value.is_none_or(|value| value.voters.majority(has_not_refused))
+        self.voters.has_quorum(has_not_refused)
+            && value.is_none_or(|value| value.voters.has_quorum(has_not_refused))
     }
 
     fn advance(&mut self, knowledge: &mut ProposerKnowledge) -> ProposalStep {
@@ -207,7 +207,7 @@
                 .contains(&(name.clone(), voter_record.voter_id))
         };
         // A command that changes the voters needs a majority of the old voters and a majority of the new voters.
-        if !self.voters.majority(has_accepted) || !value.voters.majority(has_accepted) {
+        if !self.voters.has_quorum(has_accepted) || !value.voters.has_quorum(has_accepted) {
             return ProposalStep::default();
         }
         knowledge.chosen_voters = Some(value.voters.clone());
@@ -227,7 +227,7 @@
             self.promises
                 .contains_key(&(name.clone(), voter_record.voter_id))
         };
-        if !self.voters.majority(has_promised) {
+        if !self.voters.has_quorum(has_promised) {
             return ProposalStep::send(self.prepare_requests(knowledge));
         }
         let base = self.base_value();
--- a/src/coordination/rollout_controller/candidates.rs
+++ b/src/coordination/rollout_controller/candidates.rs
@@ -67,7 +67,8 @@
         .collect();
     units.sort_by_key(|unit| {
         let key = order_key(&unit.name);
-        let is_own_dispatcher = unit.name == *inputs.me && plan.unit_kind == UnitKind::Dispatchers;
+        let is_own_dispatcher =
+            unit.name == *inputs.leader_name && plan.unit_kind == UnitKind::Dispatchers;
         let position = match rollout.rolling_back {
             true => u64::MAX - key,
             false => key,
--- a/src/coordination/rollout_controller/controller.rs
+++ b/src/coordination/rollout_controller/controller.rs
@@ -205,7 +205,7 @@
         counts: &UnitCounts,
     ) -> Option<String> {
         let violation = counts.exceeded_limit(&rollout.budget);
-        let Some(violation) = violation.filter(|_| inputs.view.complete) else {
+        let Some(violation) = violation.filter(|_| inputs.view.is_complete) else {
             self.budget_exceeded_since = None;
             return None;
         };
@@ -229,7 +229,7 @@
         let unit_kind = rollout.plan.unit_kind;
         let mut permits = inputs.disruptions.permits.values();
         let has_unplanned_permits = permits.any(|permit| permit.unit_kind == unit_kind);
-        self.blocked_reason = if !inputs.view.complete {
+        self.blocked_reason = if !inputs.view.is_complete {
             Some("the membership leader has not heard from all dispatchers yet".to_owned())
         } else if has_unplanned_permits {
             Some("permits outside of the release are not completed yet".to_owned())
@@ -269,7 +269,7 @@
     /// allows.
     fn requested_permits_step(&mut self, inputs: &ControllerInputs<'_>) -> Option<RolloutStep> {
         let is_full = inputs.disruptions.permits.len() >= MAX_PERMITS;
-        if inputs.requests.is_empty() || !inputs.view.complete || is_full {
+        if inputs.requests.is_empty() || !inputs.view.is_complete || is_full {
             return None;
         }
         let rollout = inputs
--- a/src/coordination/rollout_controller/inputs.rs
+++ b/src/coordination/rollout_controller/inputs.rs
@@ -14,7 +14,7 @@
     /// The engines in the membership leader's own list from discovery.
     pub engines: Vec<Unit>,
     /// Whether the leader has led for long enough to have received a heartbeat from every live dispatcher.
-    pub complete: bool,
+    pub is_complete: bool,
 }
 
 impl FleetView {
@@ -48,7 +48,7 @@
     /// The units that the leader sees now.
     pub view: &'a FleetView,
     /// The name of the leader's own dispatcher, which the rollout updates last.
-    pub me: &'a Name,
+    pub leader_name: &'a Name,
     /// The names of the current voters.
     pub voters: &'a BTreeSet<Name>,
     /// Requests of dispatchers for permits outside of a rollout, without expired requests.
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -145,7 +145,7 @@
         let (mut complete, mut revoke) = (Vec::new(), Vec::new());
         for (id, permit) in &inputs.disruptions.permits {
             let case = self.observe(*id, permit, inputs);
-            match self.decide_one(&case, inputs.view.complete, counts.as_mut()) {
+            match self.decide_one(&case, inputs.view.is_complete, counts.as_mut()) {
                 Decision::Wait => {}
                 Decision::Notify => decisions.to_notify.push(*id),
                 Decision::AskRevocation => decisions.to_revoke.push(*id),
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -27,15 +27,15 @@
     /// The number of this set of voters; each change of the voters increments it.
     pub generation: u64,
     /// The present voters, by name.
-    pub set: BTreeMap<Name, VoterRecord>,
+    pub records: BTreeMap<Name, VoterRecord>,
     /// The voters before an unfinished change; `None` if no change is in progress.
-    pub before: Option<BTreeMap<Name, VoterRecord>>,
+    pub former: Option<BTreeMap<Name, VoterRecord>>,
 }
 
 impl Voters {
     /// Whether the voters that `is_counted` selects are a quorum: a majority of the present voters, and during a change
     /// also a majority of the former voters.
-    pub fn majority(&self, is_counted: impl Fn(&Name, &VoterRecord) -> bool) -> bool {
+    pub fn has_quorum(&self, is_counted: impl Fn(&Name, &VoterRecord) -> bool) -> bool {
         let is_majority = |voters: &BTreeMap<Name, VoterRecord>| {
             let count = voters
                 .iter()
@@ -43,13 +43,13 @@
                 .count();
             2 * count > voters.len()
         };
-        is_majority(&self.set) && self.before.as_ref().is_none_or(is_majority)
+        is_majority(&self.records) && self.former.as_ref().is_none_or(is_majority)
     }
 
     /// All voters by name, including the former voters during a change.
     pub fn all(&self) -> BTreeMap<Name, VoterRecord> {
-        let mut all = self.before.clone().unwrap_or_default();
-        all.extend(self.set.clone());
+        let mut all = self.former.clone().unwrap_or_default();
+        all.extend(self.records.clone());
         all
     }
 }
@@ -139,16 +139,16 @@
         /// The lease to acquire. Its first acquisition creates the lease's record.
         lease_name: LeaseName,
         /// The process that becomes the holder.
-        who: LeaseHolder,
+        holder: LeaseHolder,
         /// The duration of the new holder's lease, in whole milliseconds.
         lease_ms: u64,
         /// The version of the record that the contender saw; the default if there was no record.
-        seen: LeaseVersion,
+        expected_version: LeaseVersion,
     },
     /// Renews several leases of one holder. Leases that the holder has lost are skipped.
     Renew {
         /// The renewing process; only leases whose records name it as the holder are renewed.
-        who: LeaseHolder,
+        holder: LeaseHolder,
         /// The leases to renew, each with the term in which it is held.
         leases: Vec<(LeaseName, Term)>,
     },
@@ -159,7 +159,7 @@
         /// The term in which the sender holds the lease; the command is rejected if the record has another term.
         term: Term,
         /// The releasing process; the command is rejected if the record names another holder.
-        who: LeaseHolder,
+        holder: LeaseHolder,
         /// The named successor, which may acquire the lease before other members; `None` if all contenders may acquire
         /// it at once.
         next: Option<Name>,
@@ -186,7 +186,7 @@
         /// The term in which the sender holds the lease; the step is rejected if the record has another term.
         term: Term,
         /// The proposing process; the step is rejected if the record names another holder.
-        who: LeaseHolder,
+        holder: LeaseHolder,
         /// The change to the rollout or its permits.
         step: RolloutStep,
     },
@@ -272,32 +272,38 @@
         // Guards against two majorities without a common voter. A majority of the former voters is needed until the
         // change is known to be chosen, as some proposers may know only the former voters.
         if voters_are_chosen {
-            new.voters.before = None;
+            new.voters.former = None;
         }
         match command {
             Command::Acquire {
                 lease_name,
-                who,
+                holder,
                 lease_ms,
-                seen,
-            } => new.acquire(lease_name, who, *lease_ms, *seen, proposal_id)?,
-            Command::Renew { who, leases } => new.renew(who, leases, proposal_id)?,
+                expected_version,
+            } => new.acquire(
+                lease_name,
+                holder,
+                *lease_ms,
+                *expected_version,
+                proposal_id,
+            )?,
+            Command::Renew { holder, leases } => new.renew(holder, leases, proposal_id)?,
             Command::Resign {
                 lease_name,
                 term,
-                who,
+                holder,
                 next,
-            } => new.resign(lease_name, (*term, who), next.as_ref(), proposal_id)?,
+            } => new.resign(lease_name, (*term, holder), next.as_ref(), proposal_id)?,
             Command::AddVoter { name, voter_record } => new.add_voter(name, voter_record)?,
             Command::RemoveVoter { name } => new.remove_voter(name)?,
             Command::FinishVoterChange => self.finish_voter_change()?,
             Command::RolloutStep {
                 lease_name,
                 term,
-                who,
+                holder,
                 step,
             } => {
-                new.record_held_by(lease_name, (*term, who))?;
+                new.record_held_by(lease_name, (*term, holder))?;
                 new.disruptions.apply_step(step)?;
             }
             Command::OperatorCommand(command) => new.disruptions.apply_command(command)?,
@@ -308,15 +314,15 @@
     fn acquire(
         &mut self,
         lease_name: &LeaseName,
-        who: &LeaseHolder,
+        holder: &LeaseHolder,
         lease_ms: u64,
-        seen: LeaseVersion,
+        expected_version: LeaseVersion,
         proposal_id: ProposalId,
     ) -> Result<(), CommandError> {
         let known = self.leases.get(lease_name);
         let version = known.map(LeaseRecord::version).unwrap_or_default();
         // Guards against acquiring a lease that was renewed, or acquired by another member, since the contender saw it.
-        if version != seen {
+        if version != expected_version {
             return Err(CommandError::Outdated);
         }
         if known.is_none() && self.leases.len() >= MAX_LEASES {
@@ -325,7 +331,7 @@
         let keeps_term = is_injected(InjectedFault::TermNotIncremented) && version.term != Term(0);
         let record = LeaseRecord {
             term: Term(version.term.0 + u64::from(!keeps_term)),
-            holder: Some(who.clone()),
+            holder: Some(holder.clone()),
             renewed: 0,
             lease_ms,
             proposal_id,
@@ -337,13 +343,13 @@
 
     fn renew(
         &mut self,
-        who: &LeaseHolder,
+        holder: &LeaseHolder,
         leases: &[(LeaseName, Term)],
         proposal_id: ProposalId,
     ) -> Result<(), CommandError> {
         let mut renewed_any = false;
         for (lease_name, term) in leases {
-            if let Ok(record) = self.record_held_by(lease_name, (*term, who)) {
+            if let Ok(record) = self.record_held_by(lease_name, (*term, holder)) {
                 record.renewed += 1;
                 record.proposal_id = proposal_id;
                 renewed_any = true;
@@ -373,11 +379,11 @@
     fn record_held_by(
         &mut self,
         lease_name: &LeaseName,
-        (term, who): (Term, &LeaseHolder),
+        (term, holder): (Term, &LeaseHolder),
     ) -> Result<&mut LeaseRecord, CommandError> {
         let record = self.leases.get_mut(lease_name);
         record
-            .filter(|record| record.term == term && record.holder.as_ref() == Some(who))
+            .filter(|record| record.term == term && record.holder.as_ref() == Some(holder))
             .ok_or(CommandError::Outdated)
     }
 
@@ -400,7 +406,7 @@
     /// Checks that a change of voters is in progress. The new state needs no update, as [`ReplicatedState::apply`] has
     /// already ended the change there.
     fn finish_voter_change(&self) -> Result<(), CommandError> {
-        match self.voters.before {
+        match self.voters.former {
             Some(_) => Ok(()),
             None => Err(CommandError::NothingToChange),
         }
@@ -416,13 +422,13 @@
         change: impl FnOnce(&mut BTreeMap<Name, VoterRecord>) -> Result<(), CommandError>,
     ) -> Result<(), CommandError> {
         let is_unguarded = is_injected(InjectedFault::ConcurrentVoterChanges);
-        if self.voters.before.is_some() && !is_unguarded {
+        if self.voters.former.is_some() && !is_unguarded {
             return Err(CommandError::VoterChangeInProgress);
         }
-        let before = self.voters.set.clone();
-        change(&mut self.voters.set)?;
+        let before = self.voters.records.clone();
+        change(&mut self.voters.records)?;
         self.voters.generation += 1;
-        self.voters.before = (!is_unguarded).then_some(before);
+        self.voters.former = (!is_unguarded).then_some(before);
         Ok(())
     }
 }
--- a/tests/voter.rs
+++ b/tests/voter.rs
@@ -7,7 +7,7 @@
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
-    CallId, FleetSettings, Input, Member, Output, Question, SaveId,
+    CallId, FleetSettings, Input, Member, MemberRequest, Output, SaveId,
 };
 use cindercleat::coordination::register::{AcceptorRequest, AcceptorState, Ballot};
 use cindercleat::coordination::{Address, Incarnation, Name};
@@ -21,7 +21,7 @@
     };
     FleetSettings {
         fleet: "fleet".to_owned(),
-        me: voter(0).0,
+        own_name: voter(0).0,
         incarnation: Incarnation(100),
         address: voter(0).1,
         zone: "z".to_owned(),
@@ -37,8 +37,8 @@
         preferred_zone: None,
         report_receivers: Vec::new(),
         report_interval: 200.0,
-        bounds: Default::default(),
-        keeper: None,
+        disruption_budgets: Default::default(),
+        drain_list_address: None,
         seed: 1,
     }
 }
@@ -92,11 +92,11 @@
         write_counts: Default::default(),
     };
     let send_prepare = |member: &mut Member, now: f64, call: u64| {
-        let question = Question::Vote(prepare.clone());
+        let question = MemberRequest::Vote(prepare.clone());
         handle(
             member,
             now,
-            Input::Asked {
+            Input::RequestReceived {
                 call: CallId(call),
                 question,
             },
