--- a/crates/cindercleat-cli/src/fleet.rs
+++ b/crates/cindercleat-cli/src/fleet.rs
@@ -6,8 +6,8 @@
 use cindercleat::coordination::member::{OperatorRequest, Reply, RolloutRequest, Status};
 use cindercleat::coordination::membership::MemberStatus;
 use cindercleat::coordination::{Address, LeaseName, Name, Term};
-use cindercleat_fleet::admin_client::order_any;
-use cindercleat_fleet::job::{Ended, Job, Work};
+use cindercleat_fleet::admin_client::send_operator_request_to_any;
+use cindercleat_fleet::job::{Job, JobOutcome, Work};
 use cindercleat_net::{Clock, SystemClock, Tcp};
 use clap::{Args, Subcommand};
 use rustix::process::{kill_process, Pid, Signal};
@@ -230,7 +230,7 @@
                 say(give(
                     &clock,
                     &args.at,
-                    &OperatorRequest::ByHand {
+                    &OperatorRequest::StopWithoutAgreement {
                         name: who,
                         address,
                         reason: why,
@@ -293,7 +293,7 @@
     at: &[String],
     what: &OperatorRequest,
 ) -> Result<Reply, String> {
-    order_any(&Tcp, clock, at, what, WITHIN).await
+    send_operator_request_to_any(&Tcp, clock, at, what, WITHIN).await
 }
 
 pub(crate) fn say(reply: Result<Reply, String>) -> io::Result<bool> {
@@ -360,7 +360,7 @@
 fn as_json(status: &Status) -> serde_json::Value {
     use serde_json::json;
     let voters = status.voters.iter().map(|v| {
-        json!({"name": *v.name.0, "address": *v.address.0, "answers": v.answers, "votes": v.votes, "version": v.version})
+        json!({"name": *v.name.0, "address": *v.address.0, "answers": v.is_responding, "votes": v.is_voting, "version": v.version})
     });
     let leases = status.leases.iter().map(|(lease_name, term, holder)| {
         let name = holder.as_ref().map(|h| h.name.0.to_string());
@@ -370,7 +370,7 @@
     let roll = status.members.iter().map(|l| {
         json!({
             "name": *l.name.0, "zone": l.zone, "label": l.label, "standing": member_status(l.member_status),
-            "ready": l.ready, "up_ms": l.uptime, "age_ms": l.heard_ago
+            "ready": l.ready, "up_ms": l.uptime, "age_ms": l.last_heartbeat_age
         })
     });
     json!({
@@ -398,7 +398,7 @@
         }
     );
     for v in &status.voters {
-        let state = match (v.answers, v.votes) {
+        let state = match (v.is_responding, v.is_voting) {
             (true, true) => "votes",
             (true, false) => "does not vote",
             (false, _) => "does not answer",
@@ -428,7 +428,7 @@
             member_status(l.member_status),
             if l.ready { "ready" } else { "not ready" },
             l.uptime / 1000.0,
-            l.heard_ago
+            l.last_heartbeat_age
         );
     }
     out
@@ -467,10 +467,10 @@
         number,
     };
     match job.run(&mut work, stop).await? {
-        Ended::Stopped => Ok(true),
-        Ended::ByItself(success) => Ok(success),
-        Ended::Refused(why) => say(Ok(Reply::Refused(why))),
-        Ended::Lost(why) => {
+        JobOutcome::Stopped => Ok(true),
+        JobOutcome::ByItself(success) => Ok(success),
+        JobOutcome::Refused(why) => say(Ok(Reply::Refused(why))),
+        JobOutcome::Lost(why) => {
             eprintln!("cindercleat: {} is lost: {why}", lease_name.0);
             Ok(false)
         }
@@ -499,7 +499,7 @@
         Ok(())
     }
 
-    fn ended(&mut self) -> io::Result<Option<bool>> {
+    fn exit_status(&mut self) -> io::Result<Option<bool>> {
         let status = self
             .child
             .as_mut()
@@ -526,7 +526,7 @@
         Ok(())
     }
 
-    fn waits(&mut self, why: &str) {
+    fn report_waiting(&mut self, why: &str) {
         eprintln!("cindercleat: waiting: {why}");
     }
 }
--- a/crates/faults/src/drill/release.rs
+++ b/crates/faults/src/drill/release.rs
@@ -9,12 +9,12 @@
 use crate::plan::{rules, Day};
 use cindercleat::coordination::disruption_budget::{DisruptionBudget, UnitKind};
 use cindercleat::coordination::fencing::{FencingDecision, Receiver};
-use cindercleat::coordination::member::{Answer, Question};
+use cindercleat::coordination::member::{Answer, MemberRequest};
 use cindercleat::coordination::rollout::PermitId;
 use cindercleat::coordination::rollout_controller::PermitNotice;
 use cindercleat::coordination::{Incarnation, Name};
 use cindercleat::interface::Ms;
-use cindercleat_fleet::codec::{answer_out, question_in};
+use cindercleat_fleet::codec::{answer_to_proto, request_from_proto};
 use cindercleat_grpc::{serve, Event, Session, Setup};
 use cindercleat_net::{Clock, Tcp, TokioClock};
 use cindercleat_protocol::{frame, v1, Body, Frame};
@@ -368,8 +368,8 @@
                         else {
                             continue;
                         };
-                        let answer = match question_in(said) {
-                            Some(Question::FencedCommand(act)) => {
+                        let answer = match request_from_proto(said) {
+                            Some(MemberRequest::FencedCommand(act)) => {
                                 let now = around.now();
                                 let verdict = receiver.borrow_mut().receive(now, &act);
                                 let receiver_timestamp = receiver.borrow().receiver_timestamp(now);
@@ -383,17 +383,17 @@
                                     receiver_timestamp,
                                 }
                             }
-                            Some(Question::AskBack {
+                            Some(MemberRequest::RevokePermit {
                                 permit,
-                                who,
+                                unit: who,
                                 incarnation,
                                 ..
-                            }) => Answer::Begun {
+                            }) => Answer::RevocationResult {
                                 begun: around.is_begun(permit, &who, incarnation),
                             },
                             _ => continue,
                         };
-                        out.send(frame(stream, Body::FleetAnswer(answer_out(&answer))));
+                        out.send(frame(stream, Body::FleetAnswer(answer_to_proto(&answer))));
                     }
                 });
             }
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -7,8 +7,8 @@
 use crate::rollout_codec;
 use cindercleat::coordination::fencing::{FencedCommand, FencingDecision, ReceiverTimestamp};
 use cindercleat::coordination::member::{
-    Answer, HeartbeatReply, MemberLine, OperatorRequest, Question, Reply, Status, VoterLine,
-    VoterState,
+    Answer, HeartbeatReply, MemberRequest, MemberSummary, OperatorRequest, Reply, Status,
+    VoterState, VoterStatus,
 };
 use cindercleat::coordination::membership::{Heartbeat, MemberStatus};
 use cindercleat::coordination::register::{
@@ -82,10 +82,10 @@
 fn voter_set_to_proto(voters: &Voters) -> v1::VoterSet {
     v1::VoterSet {
         generation: voters.generation,
-        set: voter_records_to_proto(&voters.set),
-        changing: voters.before.is_some(),
+        set: voter_records_to_proto(&voters.records),
+        changing: voters.former.is_some(),
         before: voters
-            .before
+            .former
             .as_ref()
             .map(voter_records_to_proto)
             .unwrap_or_default(),
@@ -102,8 +102,8 @@
     };
     Some(Voters {
         generation: message.generation,
-        set: present,
-        before: former,
+        records: present,
+        former,
     })
 }
 
@@ -170,7 +170,7 @@
 
 fn replicated_state_to_proto(value: &ReplicatedState) -> v1::ReplicatedState {
     let (version, voters) = (value.version, Some(voter_set_to_proto(&value.voters)));
-    let disruptions = rollout_codec::care_out(&value.disruptions);
+    let disruptions = rollout_codec::disruptions_to_proto(&value.disruptions);
     v1::ReplicatedState {
         version,
         voters,
@@ -187,7 +187,9 @@
         .iter()
         .map(lease_record_from_proto)
         .collect::<Option<_>>()?;
-    let disruptions = Box::new(rollout_codec::care_in(message.disruptions.as_ref())?);
+    let disruptions = Box::new(rollout_codec::disruptions_from_proto(
+        message.disruptions.as_ref(),
+    )?);
     Some(ReplicatedState {
         version: message.version,
         voters: voter_set_from_proto(&message.voters?)?,
@@ -291,9 +293,9 @@
 }
 
 /// Encodes a request to a member as a message of the `Fleet` service.
-pub fn question_out(question: &Question) -> v1::FleetCall {
+pub fn request_to_proto(question: &MemberRequest) -> v1::FleetCall {
     let question = match question {
-        Question::Vote(AcceptorRequest::Prepare {
+        MemberRequest::Vote(AcceptorRequest::Prepare {
             voter_id,
             ballot,
             write_counts,
@@ -302,7 +304,7 @@
             ballot: Some(ballot_to_proto(ballot)),
             heard: write_counts_to_proto(write_counts),
         }),
-        Question::Vote(AcceptorRequest::Accept {
+        MemberRequest::Vote(AcceptorRequest::Accept {
             voter_id,
             ballot,
             value,
@@ -313,46 +315,46 @@
             value: Some(replicated_state_to_proto(value)),
             heard: write_counts_to_proto(write_counts),
         }),
-        Question::VoterState => WireQuestion::Look(v1::FleetLook {}),
-        Question::WriteCount { of, voter_id } => WireQuestion::Witness(v1::FleetWitness {
-            name: of.0.to_string(),
+        MemberRequest::VoterState => WireQuestion::Look(v1::FleetLook {}),
+        MemberRequest::WriteCount { voter, voter_id } => WireQuestion::Witness(v1::FleetWitness {
+            name: voter.0.to_string(),
             voter_id: voter_id.0,
         }),
-        Question::Heartbeat(heartbeat) => WireQuestion::Heartbeat(v1::FleetHeartbeat {
-            who: Some(lease_holder_to_proto(&heartbeat.who)),
+        MemberRequest::Heartbeat(heartbeat) => WireQuestion::Heartbeat(v1::FleetHeartbeat {
+            who: Some(lease_holder_to_proto(&heartbeat.sender)),
             zone: heartbeat.zone.clone(),
             label: heartbeat.label.clone(),
-            up_ms: heartbeat.up,
+            up_ms: heartbeat.uptime,
             ready: heartbeat.ready,
             stopping: heartbeat.stopping,
-            load: heartbeat.load,
-            holds: heartbeat.holds,
-            tally: Some(rollout_codec::tally_out(&heartbeat.tally)),
+            load: heartbeat.utilization,
+            holds: heartbeat.leases_held,
+            tally: Some(rollout_codec::outcome_counts_to_proto(&heartbeat.outcomes)),
             reports: heartbeat
                 .reports
                 .iter()
-                .map(rollout_codec::report_out)
+                .map(rollout_codec::engine_report_to_proto)
                 .collect(),
         }),
-        Question::LeaseOffer { lease_name } => WireQuestion::Nudge(v1::FleetNudge {
+        MemberRequest::LeaseOffer { lease_name } => WireQuestion::Nudge(v1::FleetNudge {
             lease_name: lease_name.0.to_string(),
         }),
-        Question::FencedCommand(command) => WireQuestion::FencedCommand(v1::FencedCommand {
+        MemberRequest::FencedCommand(command) => WireQuestion::FencedCommand(v1::FencedCommand {
             lease_name: command.lease_name.0.to_string(),
             term: command.term.0,
             holder: Some(lease_holder_to_proto(&command.holder)),
             number: command.number,
             receiver_timestamp: command.receiver_timestamp.map(receiver_timestamp_to_proto),
-            good_for_ms: command.good_for,
+            good_for_ms: command.valid_for,
             body: command.body.clone().into(),
         }),
-        Question::AskBack {
+        MemberRequest::RevokePermit {
             permit,
-            of,
-            who,
+            unit_kind,
+            unit,
             incarnation,
-        } => rollout_codec::ask_back_out(*permit, *of, who, *incarnation),
-        Question::Operator(request) => operator_request_to_proto(request),
+        } => rollout_codec::revocation_to_proto(*permit, *unit_kind, unit, *incarnation),
+        MemberRequest::Operator(request) => operator_request_to_proto(request),
     };
     v1::FleetCall {
         question: Some(question),
@@ -387,12 +389,12 @@
                 job: *job,
             })
         }
-        OperatorRequest::LetGo { lease_name, job } => WireQuestion::LetGo(v1::FleetLetGo {
+        OperatorRequest::ReleaseLease { lease_name, job } => WireQuestion::LetGo(v1::FleetLetGo {
             lease_name: lease_name.0.to_string(),
             job: *job,
         }),
-        OperatorRequest::Rollout(request) => rollout_codec::order_out(request),
-        OperatorRequest::ByHand {
+        OperatorRequest::Rollout(request) => rollout_codec::rollout_request_to_proto(request),
+        OperatorRequest::StopWithoutAgreement {
             name,
             address,
             reason,
@@ -408,55 +410,55 @@
 }
 
 /// Decodes a request from another member or an operator; `None` if it is invalid.
-pub fn question_in(message: v1::FleetCall) -> Option<Question> {
+pub fn request_from_proto(message: v1::FleetCall) -> Option<MemberRequest> {
     Some(match message.question? {
         WireQuestion::Prepare(content) => {
             let write_counts = write_counts_from_proto(&content.heard)?;
-            Question::Vote(AcceptorRequest::Prepare {
+            MemberRequest::Vote(AcceptorRequest::Prepare {
                 voter_id: VoterId(content.voter_id),
                 ballot: ballot_from_proto(content.ballot)?,
                 write_counts,
             })
         }
-        WireQuestion::Accept(content) => Question::Vote(AcceptorRequest::Accept {
+        WireQuestion::Accept(content) => MemberRequest::Vote(AcceptorRequest::Accept {
             voter_id: VoterId(content.voter_id),
             ballot: ballot_from_proto(content.ballot)?,
             value: replicated_state_from_proto(content.value)?,
             write_counts: write_counts_from_proto(&content.heard)?,
         }),
-        WireQuestion::Look(_) => Question::VoterState,
-        WireQuestion::Witness(content) => Question::WriteCount {
-            of: name(&content.name)?,
+        WireQuestion::Look(_) => MemberRequest::VoterState,
+        WireQuestion::Witness(content) => MemberRequest::WriteCount {
+            voter: name(&content.name)?,
             voter_id: VoterId(content.voter_id),
         },
         WireQuestion::Heartbeat(content) => {
             let (zone, label) = (content.zone, content.label);
             (zone.len() <= MAX_TEXT_BYTES && label.len() <= MAX_TEXT_BYTES).then_some(())?;
-            let (up, load) = (finite(content.up_ms)?, finite(content.load)?);
-            let (who, ready, stopping, holds) = (
+            let (uptime, utilization) = (finite(content.up_ms)?, finite(content.load)?);
+            let (sender, ready, stopping, leases_held) = (
                 lease_holder_from_proto(&content.who?)?,
                 content.ready,
                 content.stopping,
                 content.holds,
             );
-            let (tally, reports) = (
-                rollout_codec::tally_in(content.tally.as_ref()),
-                rollout_codec::reports_in(&content.reports)?,
+            let (outcomes, reports) = (
+                rollout_codec::outcome_counts_from_proto(content.tally.as_ref()),
+                rollout_codec::engine_reports_from_proto(&content.reports)?,
             );
-            Question::Heartbeat(Heartbeat {
-                who,
+            MemberRequest::Heartbeat(Heartbeat {
+                sender,
                 zone,
                 label,
-                up,
+                uptime,
                 ready,
                 stopping,
-                load,
-                holds,
-                tally,
+                utilization,
+                leases_held,
+                outcomes,
                 reports,
             })
         }
-        WireQuestion::Nudge(content) => Question::LeaseOffer {
+        WireQuestion::Nudge(content) => MemberRequest::LeaseOffer {
             lease_name: lease_name_from_proto(&content.lease_name)?,
         },
         WireQuestion::FencedCommand(content) => {
@@ -466,23 +468,23 @@
                 }
                 None => None,
             };
-            Question::FencedCommand(FencedCommand {
+            MemberRequest::FencedCommand(FencedCommand {
                 lease_name: lease_name_from_proto(&content.lease_name)?,
                 term: Term(content.term),
                 holder: lease_holder_from_proto(&content.holder?)?,
                 number: content.number,
                 receiver_timestamp,
-                good_for: finite(content.good_for_ms)?,
+                valid_for: finite(content.good_for_ms)?,
                 body: content.body.to_vec(),
             })
         }
-        WireQuestion::Status(_) => Question::Operator(OperatorRequest::Status),
+        WireQuestion::Status(_) => MemberRequest::Operator(OperatorRequest::Status),
         WireQuestion::HandOver(content) => {
             let to = match content.to.is_empty() {
                 true => None,
                 false => Some(name(&content.to)?),
             };
-            Question::Operator(OperatorRequest::HandOver {
+            MemberRequest::Operator(OperatorRequest::HandOver {
                 lease_name: lease_name_from_proto(&content.lease_name)?,
                 to,
             })
@@ -492,32 +494,35 @@
                 true => None,
                 false => Some(address(&content.address)?),
             };
-            Question::Operator(OperatorRequest::AddVoter {
+            MemberRequest::Operator(OperatorRequest::AddVoter {
                 name: name(&content.name)?,
                 address,
             })
         }
-        WireQuestion::RemoveVoter(content) => Question::Operator(OperatorRequest::RemoveVoter {
-            name: name(&content.name)?,
-        }),
-        WireQuestion::HoldLease(content) => Question::Operator(OperatorRequest::HoldLease {
+        WireQuestion::RemoveVoter(content) => {
+            MemberRequest::Operator(OperatorRequest::RemoveVoter {
+                name: name(&content.name)?,
+            })
+        }
+        WireQuestion::HoldLease(content) => MemberRequest::Operator(OperatorRequest::HoldLease {
             lease_name: lease_name_from_proto(&content.lease_name)?,
             job: content.job,
         }),
-        WireQuestion::LetGo(content) => Question::Operator(OperatorRequest::LetGo {
+        WireQuestion::LetGo(content) => MemberRequest::Operator(OperatorRequest::ReleaseLease {
             lease_name: lease_name_from_proto(&content.lease_name)?,
             job: content.job,
         }),
         WireQuestion::AskBack(content) => {
-            let (permit, of, who, incarnation) = rollout_codec::ask_back_in(&content)?;
-            Question::AskBack {
+            let (permit, unit_kind, unit, incarnation) =
+                rollout_codec::revocation_from_proto(&content)?;
+            MemberRequest::RevokePermit {
                 permit,
-                of,
-                who,
+                unit_kind,
+                unit,
                 incarnation,
             }
         }
-        other => Question::Operator(rollout_codec::order_in(&other)?),
+        other => MemberRequest::Operator(rollout_codec::rollout_request_from_proto(&other)?),
     })
 }
 
@@ -545,7 +550,7 @@
 }
 
 /// Encodes a member's answer as a message of the `Fleet` service.
-pub fn answer_out(answer: &Answer) -> v1::FleetAnswer {
+pub fn answer_to_proto(answer: &Answer) -> v1::FleetAnswer {
     let answer = match answer {
         Answer::Vote(AcceptorReply::Promise {
             ballot,
@@ -570,7 +575,7 @@
         Answer::Vote(AcceptorReply::NotVoting) => WireAnswer::NotVoting(v1::FleetNotVoting {}),
         Answer::VoterState(voter_state) => WireAnswer::Seen(v1::FleetSeen {
             voter_id: voter_state.voter_id.map_or(0, |voter_id| voter_id.0),
-            votes: voter_state.votes,
+            votes: voter_state.is_voting,
             bootstrap: voter_state.bootstrap.as_ref().map(voter_set_to_proto),
             newest: accepted_value_to_proto(&voter_state.newest),
         }),
@@ -589,7 +594,7 @@
                     .holder
                     .as_ref()
                     .map(|(_, holder)| lease_holder_to_proto(holder)),
-                every_ms: reply.every,
+                every_ms: reply.next_heartbeat_in,
                 places: reply.ranks.iter().map(place).collect(),
             })
         }
@@ -601,15 +606,15 @@
             verdict: wire_number(&FENCING_DECISIONS, verdict),
             receiver_timestamp: Some(receiver_timestamp_to_proto(*receiver_timestamp)),
         }),
-        Answer::Begun { begun } => WireAnswer::Begun(v1::FleetBegun { begun: *begun }),
+        Answer::RevocationResult { begun } => WireAnswer::Begun(v1::FleetBegun { begun: *begun }),
         Answer::Reply(Reply::Pending(text)) => WireAnswer::Waits(text.clone()),
         Answer::Reply(Reply::Done(text)) => WireAnswer::Yes(text.clone()),
         Answer::Reply(Reply::Refused(text)) => WireAnswer::No(text.clone()),
-        Answer::Reply(Reply::Elsewhere(address)) => WireAnswer::Elsewhere(address.0.to_string()),
-        Answer::Reply(Reply::Holds { term, good_for }) => {
+        Answer::Reply(Reply::Redirect(address)) => WireAnswer::Elsewhere(address.0.to_string()),
+        Answer::Reply(Reply::LeaseHold { term, valid_for }) => {
             WireAnswer::LeaseHeld(v1::FleetLeaseHeld {
                 term: term.map_or(0, |term| term.0),
-                good_for_ms: *good_for,
+                good_for_ms: *valid_for,
             })
         }
         Answer::Reply(Reply::Status(status)) => WireAnswer::Status(status_to_proto(status)),
@@ -620,7 +625,7 @@
 }
 
 /// Decodes a member's answer; `None` if it is invalid.
-pub fn answer_in(message: v1::FleetAnswer) -> Option<Answer> {
+pub fn answer_from_proto(message: v1::FleetAnswer) -> Option<Answer> {
     Some(match message.answer? {
         WireAnswer::Promise(content) => {
             let (ballot, accepted) = (
@@ -649,7 +654,7 @@
             let voter_id = (content.voter_id != 0).then_some(VoterId(content.voter_id));
             Answer::VoterState(VoterState {
                 voter_id,
-                votes: content.votes,
+                is_voting: content.votes,
                 bootstrap,
                 newest: accepted_value_from_proto(content.newest)?,
             })
@@ -668,11 +673,12 @@
                 .map(|place| Some((lease_name_from_proto(&place.lease_name)?, place.place)))
                 .collect::<Option<_>>()?;
             // After an infinite or very long interval the member would send its next heartbeat too late or never.
-            let every = finite(content.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
+            let next_heartbeat_in =
+                finite(content.every_ms).filter(|ms| (0.0..=600_000.0).contains(ms))?;
             Answer::Heartbeat(HeartbeatReply {
                 accepted: content.heard,
                 holder,
-                every,
+                next_heartbeat_in,
                 ranks,
             })
         }
@@ -684,18 +690,18 @@
                 receiver_timestamp: receiver_timestamp_from_proto(&content.receiver_timestamp?)?,
             }
         }
-        WireAnswer::Begun(content) => Answer::Begun {
+        WireAnswer::Begun(content) => Answer::RevocationResult {
             begun: content.begun,
         },
         WireAnswer::Waits(text) => Answer::Reply(Reply::Pending(text)),
         WireAnswer::Yes(text) => Answer::Reply(Reply::Done(text)),
         WireAnswer::No(text) => Answer::Reply(Reply::Refused(text)),
-        WireAnswer::Elsewhere(field) => Answer::Reply(Reply::Elsewhere(address(&field)?)),
+        WireAnswer::Elsewhere(field) => Answer::Reply(Reply::Redirect(address(&field)?)),
         WireAnswer::LeaseHeld(content) => {
             let term = (content.term > 0).then_some(Term(content.term));
-            Answer::Reply(Reply::Holds {
+            Answer::Reply(Reply::LeaseHold {
                 term,
-                good_for: finite(content.good_for_ms)?,
+                valid_for: finite(content.good_for_ms)?,
             })
         }
         WireAnswer::Status(content) => {
@@ -705,11 +711,11 @@
 }
 
 fn status_to_proto(status: &Status) -> v1::FleetStatusReply {
-    let voter = |line: &VoterLine| v1::FleetVoterLine {
+    let voter = |line: &VoterStatus| v1::FleetVoterLine {
         name: line.name.0.to_string(),
         address: line.address.0.to_string(),
-        answers: line.answers,
-        votes: line.votes,
+        answers: line.is_responding,
+        votes: line.is_voting,
         version: line.version,
     };
     let lease =
@@ -719,14 +725,14 @@
             holder: holder.as_ref().map(lease_holder_to_proto),
             ..v1::LeaseRecord::default()
         };
-    let member = |line: &MemberLine| v1::FleetMemberLine {
+    let member = |line: &MemberSummary| v1::FleetMemberLine {
         name: line.name.0.to_string(),
         zone: line.zone.clone(),
         label: line.label.clone(),
         member_status: wire_number(&MEMBER_STATUSES, &line.member_status),
         ready: line.ready,
         up_ms: line.uptime,
-        age_ms: line.heard_ago,
+        age_ms: line.last_heartbeat_age,
     };
     v1::FleetStatusReply {
         by: status
@@ -747,18 +753,18 @@
             .as_ref()
             .map(|address| address.0.to_string())
             .unwrap_or_default(),
-        disruptions: Some(rollout_codec::status_out(&status.disruptions)),
+        disruptions: Some(rollout_codec::rollout_status_to_proto(&status.disruptions)),
     }
 }
 
 fn status_from_proto(message: &v1::FleetStatusReply) -> Option<Status> {
     let voter = |line: &v1::FleetVoterLine| {
-        let (answers, votes, version) = (line.answers, line.votes, line.version);
-        Some(VoterLine {
+        let (is_responding, is_voting, version) = (line.answers, line.votes, line.version);
+        Some(VoterStatus {
             name: name(&line.name)?,
             address: address(&line.address)?,
-            answers,
-            votes,
+            is_responding,
+            is_voting,
             version,
         })
     };
@@ -774,14 +780,14 @@
         ))
     };
     let member = |line: &v1::FleetMemberLine| {
-        Some(MemberLine {
+        Some(MemberSummary {
             name: name(&line.name)?,
             zone: line.zone.clone(),
             label: line.label.clone(),
             member_status: *MEMBER_STATUSES.get(line.member_status as usize)?,
             ready: line.ready,
             uptime: finite(line.up_ms)?,
-            heard_ago: finite(line.age_ms)?,
+            last_heartbeat_age: finite(line.age_ms)?,
         })
     };
     Some(Status {
@@ -795,6 +801,6 @@
         leading_for: message.roll_for_ms,
         members: message.roll.iter().map(member).collect::<Option<_>>()?,
         leader: address(&message.caller),
-        disruptions: rollout_codec::status_in(message.disruptions.as_ref())?,
+        disruptions: rollout_codec::rollout_status_from_proto(message.disruptions.as_ref())?,
     })
 }
--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -4,11 +4,11 @@
 //! runs on the thread that starts it, except for writes of the voter's file.
 
 use crate::acceptor_storage::{self, FileStore};
-use crate::codec::{answer_in, answer_out, question_in, question_out};
+use crate::codec::{answer_from_proto, answer_to_proto, request_from_proto, request_to_proto};
 use cindercleat::coordination::disruption_budget::Unit;
 use cindercleat::coordination::member::{
-    CallId, FleetSettings, Input, LocalHealth, Member, Output, Question, QuestionId, SaveId,
-    UnusableFile,
+    CallId, FleetSettings, Input, LocalHealth, Member, MemberRequest, MemberRequestId, Output,
+    SaveId, UnusableFile,
 };
 use cindercleat::coordination::register::AcceptorState;
 use cindercleat::coordination::{Address, LeaseName, Term};
@@ -55,7 +55,7 @@
 
     /// Tells the dispatcher that it is permitted to restart. The dispatcher drains and exits, and its supervisor starts
     /// it again under `label`, or under its present label if `label` is empty. `permit` is the number of the permit.
-    fn has_turn(&self, permit: u64, label: &str);
+    fn grant_restart(&self, permit: u64, label: &str);
 }
 
 /// An open outgoing connection to another member.
@@ -63,13 +63,13 @@
     out: Out,
     last_used_at: Cell<Ms>,
     /// The requests without an answer so far, with the time at which each was sent, by stream number.
-    unanswered: RefCell<BTreeMap<u64, (QuestionId, Ms)>>,
+    unanswered: RefCell<BTreeMap<u64, (MemberRequestId, Ms)>>,
     streams_opened: Cell<u64>,
 }
 
 /// A request that waits until the connection to its receiver is open.
 struct QueuedRequest {
-    id: QuestionId,
+    id: MemberRequestId,
     call: v1::FleetCall,
     queued_at: Ms,
 }
@@ -184,7 +184,7 @@
             }
         }
         // The connections stay open a little longer, so that the lease offer to the named successor is sent.
-        let send_time = state.settings.answer_within.min(MAX_FINAL_SEND_MS);
+        let send_time = state.settings.request_timeout.min(MAX_FINAL_SEND_MS);
         state.clock.sleep_until(state.clock.now() + send_time).await;
         accept_task.abort();
         timer_task.abort();
@@ -230,7 +230,7 @@
         let now = self.state.clock.now();
         let mut member = self.state.member.borrow_mut();
         member.handle(now, input, &mut outputs);
-        let next_call_at = member.wants_call_at();
+        let next_call_at = member.next_call_at();
         drop(member);
         for output in outputs {
             self.perform_output(output);
@@ -242,23 +242,27 @@
 
     fn perform_output(&self, output: Output) {
         match output {
-            Output::Ask { ask, to, question } => self.send_request(ask, to, &question),
+            Output::SendRequest {
+                request_id,
+                to,
+                question,
+            } => self.send_request(request_id, to, &question),
             Output::Answer { call, answer } => {
                 if let Some((out, stream)) = self.state.open_calls.borrow_mut().remove(&call) {
-                    out.send(frame(stream, Body::FleetAnswer(answer_out(&answer))));
+                    out.send(frame(stream, Body::FleetAnswer(answer_to_proto(&answer))));
                 }
             }
             Output::Save { number, state } => {
                 spawn_local(self.clone().save_acceptor_state(number, state));
             }
-            Output::Holds {
+            Output::LeaseChanged {
                 lease_name,
                 term,
                 held: true,
             } => {
                 tracing::info!(lease_name = %lease_name.0, term = term.0, "lease acquired");
             }
-            Output::Holds {
+            Output::LeaseChanged {
                 lease_name,
                 term,
                 held: false,
@@ -275,7 +279,7 @@
                     label,
                     "disruption permit received; draining and restarting this dispatcher"
                 );
-                self.state.dispatcher.has_turn(permit.0, &label);
+                self.state.dispatcher.grant_restart(permit.0, &label);
             }
             Output::Warn(text) => tracing::warn!("{text}"),
             Output::Info(text) => tracing::debug!("{text}"),
@@ -288,7 +292,7 @@
 
     async fn save_acceptor_state(self, number: SaveId, state: Box<AcceptorState>) {
         let saved = match &self.state.voter_file {
-            Some(voter_file) => voter_file.replace(acceptor_storage::write(&state)).await,
+            Some(voter_file) => voter_file.replace(acceptor_storage::encode(&state)).await,
             None => Err(std::io::ErrorKind::Unsupported.into()),
         };
         if let Err(problem) = &saved {
@@ -313,7 +317,7 @@
                 self.update_health();
                 self.close_idle_connections(now);
             }
-            let member_due_at = self.state.member.borrow().wants_call_at();
+            let member_due_at = self.state.member.borrow().next_call_at();
             let fires_at = member_due_at.min(health_due_at);
             self.state.timer_fires_at.set(fires_at);
             tokio::select! { biased;
@@ -325,7 +329,7 @@
 
     /// Closes idle connections, and cancels requests that have timed out, so that neither side keeps state for them.
     fn close_idle_connections(&self, now: Ms) {
-        let longest_wait = 2.0 * self.state.settings.answer_within;
+        let longest_wait = 2.0 * self.state.settings.request_timeout;
         let mut peers = self.state.peers.borrow_mut();
         peers.retain(|_, peer| {
             peer.unanswered.borrow_mut().retain(|stream, (_, sent_at)| {
@@ -359,8 +363,8 @@
     }
 
     /// Sends a request, or queues the request until the connection to its receiver is open.
-    fn send_request(&self, id: QuestionId, to: Address, question: &Question) {
-        let call = question_out(question);
+    fn send_request(&self, id: MemberRequestId, to: Address, question: &MemberRequest) {
+        let call = request_to_proto(question);
         let peer = self.state.peers.borrow().get(&to).cloned();
         if let Some(peer) = peer {
             return self.send_on_connection(&peer, id, call);
@@ -375,7 +379,7 @@
         match connecting.get_mut(&to) {
             Some(queue) => {
                 // Drops the queued requests that have timed out in the meantime.
-                let timeout = self.state.settings.answer_within;
+                let timeout = self.state.settings.request_timeout;
                 queue.retain(|queued| now - queued.queued_at <= timeout);
                 queue.push(request);
             }
@@ -386,7 +390,7 @@
         }
     }
 
-    fn send_on_connection(&self, peer: &Rc<Peer>, id: QuestionId, call: v1::FleetCall) {
+    fn send_on_connection(&self, peer: &Rc<Peer>, id: MemberRequestId, call: v1::FleetCall) {
         let now = self.state.clock.now();
         let stream = peer.streams_opened.get() + 1;
         peer.streams_opened.set(stream);
@@ -401,7 +405,7 @@
         // this time. With a short timeout, connections would be given up early and retried each time, which would keep
         // all members busy without any connection being opened.
         let settings = &self.state.settings;
-        let timeout = settings.lease.lease.max(10.0 * settings.answer_within);
+        let timeout = settings.lease.lease.max(10.0 * settings.request_timeout);
         let times_out_at = self.state.clock.now() + timeout;
         let connecting = async {
             let stream = self
@@ -442,8 +446,8 @@
                 // The failure is reported from this task and not from `send_request`, as a member cannot handle an
                 // answer while it is still handling the input that sent the request.
                 for request in queue {
-                    self.handle_input(Input::Answered {
-                        ask: request.id,
+                    self.handle_input(Input::AnswerReceived {
+                        request_id: request.id,
                         answer: None,
                     });
                 }
@@ -460,7 +464,7 @@
             .peers
             .borrow_mut()
             .insert(to.clone(), peer.clone());
-        let oldest = self.state.clock.now() - self.state.settings.answer_within;
+        let oldest = self.state.clock.now() - self.state.settings.request_timeout;
         for request in queue
             .into_iter()
             .filter(|queued| queued.queued_at >= oldest)
@@ -470,16 +474,16 @@
         while let Some(event) = events.recv().await {
             match event {
                 Event::Frame(Frame { stream, body }) => {
-                    let Some((ask, _)) = peer.unanswered.borrow_mut().remove(&stream) else {
+                    let Some((request_id, _)) = peer.unanswered.borrow_mut().remove(&stream) else {
                         continue;
                     };
                     let answer = match body {
                         Some(Body::FleetAnswer(message)) => {
-                            self.count_if_invalid(answer_in(message))
+                            self.count_if_invalid(answer_from_proto(message))
                         }
                         _ => None,
                     };
-                    self.handle_input(Input::Answered { ask, answer });
+                    self.handle_input(Input::AnswerReceived { request_id, answer });
                 }
                 Event::GoingAway => break,
                 Event::MessagesWritten { .. } | Event::MessageBegun => {}
@@ -494,8 +498,11 @@
         }
         drop(peers);
         let unanswered = std::mem::take(&mut *peer.unanswered.borrow_mut());
-        for (ask, _) in unanswered.into_values() {
-            self.handle_input(Input::Answered { ask, answer: None });
+        for (request_id, _) in unanswered.into_values() {
+            self.handle_input(Input::AnswerReceived {
+                request_id,
+                answer: None,
+            });
         }
     }
 
@@ -542,7 +549,7 @@
 
     /// Handles the requests on an accepted connection until the connection ends.
     async fn run_incoming_connection(self, stream: T::Stream) {
-        let timeout = 10.0 * self.state.settings.answer_within;
+        let timeout = 10.0 * self.state.settings.request_timeout;
         let times_out_at = self.state.clock.now() + timeout;
         let greeted = tokio::select! { biased;
             greeted = serve(stream, self.setup("")) => greeted,
@@ -574,7 +581,7 @@
     /// Handles a received frame: passes a request to the member, or drops a request that its sender has cancelled.
     fn handle_frame(&self, out: &Out, stream: u64, body: Body) {
         match body {
-            Body::FleetCall(message) => match self.count_if_invalid(question_in(message)) {
+            Body::FleetCall(message) => match self.count_if_invalid(request_from_proto(message)) {
                 Some(question) => {
                     let call = CallId(self.state.calls_received.get() + 1);
                     self.state.calls_received.set(call.0);
@@ -582,7 +589,7 @@
                         .open_calls
                         .borrow_mut()
                         .insert(call, (out.clone(), stream));
-                    self.handle_input(Input::Asked { call, question });
+                    self.handle_input(Input::RequestReceived { call, question });
                 }
                 None => out.reset(stream, RESET_INTERNAL_ERROR),
             },
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -2,7 +2,7 @@
 //! starts the work, asks for the lease again while the work runs, and ends the work before the lease expires if the
 //! lease is not renewed.
 
-use crate::admin_client::order_any;
+use crate::admin_client::send_operator_request_to_any;
 use cindercleat::coordination::job_lease::JobLease;
 use cindercleat::coordination::member::{OperatorRequest, Reply};
 use cindercleat::coordination::{LeaseName, Term};
@@ -24,12 +24,11 @@
     /// An I/O error if the work cannot be started.
     fn begin(&mut self, term: Term) -> io::Result<()>;
 
-    /// Whether the work has ended by itself: `Some(true)` after success, `Some(false)` after failure, `None` while it
-    /// runs.
+    /// How the work ended by itself: `Some(true)` after success, `Some(false)` after failure, `None` while it runs.
     ///
     /// # Errors
     /// An I/O error if it cannot be determined whether the work has ended.
-    fn ended(&mut self) -> io::Result<Option<bool>>;
+    fn exit_status(&mut self) -> io::Result<Option<bool>>;
 
     /// Tells the work to end, and kills it if it still runs at `by`, a time of the job's clock in milliseconds.
     ///
@@ -39,12 +38,12 @@
 
     /// Reports why the lease is not held yet; `reason` is a text for people. Called at most once, after the first
     /// request that got no reply.
-    fn waits(&mut self, reason: &str);
+    fn report_waiting(&mut self, reason: &str);
 }
 
 /// How a job ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum JobOutcome {
     /// The work ended by itself. The value tells whether it succeeded.
     ByItself(bool),
     /// The caller of [`Job::run`] stopped the job.
@@ -72,7 +71,7 @@
 /// The next action of a job after a reply was handled.
 enum NextStep {
     AskAgain,
-    End(Ended),
+    End(JobOutcome),
 }
 
 impl<T: Transport, C: Clock> Job<'_, T, C> {
@@ -85,7 +84,7 @@
         &self,
         work: &mut impl Work,
         stop: impl Future<Output = ()>,
-    ) -> io::Result<Ended> {
+    ) -> io::Result<JobOutcome> {
         tokio::pin!(stop);
         let mut lease: Option<JobLease> = None;
         let mut wait_is_reported = false;
@@ -95,7 +94,7 @@
                 let reply = self.request_lease(asked_at, lease.as_ref()).await;
                 if let (None, Err(reason), false) = (&lease, &reply, wait_is_reported) {
                     wait_is_reported = true;
-                    work.waits(reason);
+                    work.report_waiting(reason);
                 }
                 let next = self
                     .handle_reply(asked_at, &reply, &mut lease, work)
@@ -112,7 +111,7 @@
                 () = &mut stop => {
                     work.end(lease.as_ref().map_or(0.0, JobLease::expires_at)).await?;
                     self.release_lease().await;
-                    return Ok(Ended::Stopped);
+                    return Ok(JobOutcome::Stopped);
                 }
                 next = step => next?,
             };
@@ -131,7 +130,13 @@
             job: self.number,
         };
         tokio::select! { biased;
-            reply = order_any(self.transport, self.clock, self.addresses, &request, ANSWER_TIMEOUT_MS) => reply,
+            reply = send_operator_request_to_any(
+                self.transport,
+                self.clock,
+                self.addresses,
+                &request,
+                ANSWER_TIMEOUT_MS,
+            ) => reply,
             () = self.clock.sleep_until(asked_at + timeout) => Err(format!("no answer within {timeout:.0} ms")),
         }
     }
@@ -144,18 +149,18 @@
         work: &mut impl Work,
     ) -> io::Result<NextStep> {
         match reply {
-            Ok(Reply::Holds {
+            Ok(Reply::LeaseHold {
                 term: Some(term),
-                good_for,
+                valid_for,
             }) => match lease {
                 None => {
-                    *lease = Some(JobLease::new(*term, asked_at, *good_for));
+                    *lease = Some(JobLease::new(*term, asked_at, *valid_for));
                     work.begin(*term)?;
                 }
                 Some(held) => {
-                    if held.renew(*term, asked_at, *good_for).is_err() {
+                    if held.renew(*term, asked_at, *valid_for).is_err() {
                         work.end(held.expires_at()).await?;
-                        return Ok(NextStep::End(Ended::Lost(
+                        return Ok(NextStep::End(JobOutcome::Lost(
                             "the lease has a new term: another process may have held the lease in between"
                                 .to_owned(),
                         )));
@@ -165,7 +170,7 @@
             Ok(Reply::Refused(reason)) => {
                 work.end(lease.map_or(0.0, |held| held.expires_at()))
                     .await?;
-                return Ok(NextStep::End(Ended::Refused(reason.clone())));
+                return Ok(NextStep::End(JobOutcome::Refused(reason.clone())));
             }
             // The lease is not held yet, the lease is no longer held, or no dispatcher answered.
             Ok(_) | Err(_) => {}
@@ -176,26 +181,26 @@
         if held.is_running_out(self.clock.now()) {
             work.end(held.kill_at()).await?;
             let reason = match reply {
-                Ok(Reply::Holds { .. }) => "the lease was not renewed",
+                Ok(Reply::LeaseHold { .. }) => "the lease was not renewed",
                 Ok(_) => "the dispatcher no longer reports the lease as held",
                 Err(error) => error,
             };
-            return Ok(NextStep::End(Ended::Lost(reason.to_owned())));
+            return Ok(NextStep::End(JobOutcome::Lost(reason.to_owned())));
         }
-        if let Some(success) = work.ended()? {
+        if let Some(success) = work.exit_status()? {
             self.release_lease().await;
-            return Ok(NextStep::End(Ended::ByItself(success)));
+            return Ok(NextStep::End(JobOutcome::ByItself(success)));
         }
         Ok(NextStep::AskAgain)
     }
 
     /// Releases the lease. If no dispatcher receives the request, the next holder waits until the lease has expired.
     async fn release_lease(&self) {
-        let request = OperatorRequest::LetGo {
+        let request = OperatorRequest::ReleaseLease {
             lease_name: self.lease_name.clone(),
             job: self.number,
         };
-        let _ = order_any(
+        let _ = send_operator_request_to_any(
             self.transport,
             self.clock,
             self.addresses,
--- a/crates/fleet/tests/stored_bytes.rs
+++ b/crates/fleet/tests/stored_bytes.rs
@@ -14,7 +14,7 @@
     LeaseHolder, LeaseRecord, ProposalId, ReplicatedState, VoterId, VoterRecord, Voters,
 };
 use cindercleat::coordination::{Address, Incarnation, LeaseName, Name, Term};
-use cindercleat_fleet::acceptor_storage::{decode, write};
+use cindercleat_fleet::acceptor_storage::{decode, encode};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The bytes of a file that an earlier version wrote, in hexadecimal.
@@ -66,8 +66,8 @@
 fn voters() -> Voters {
     Voters {
         generation: 2,
-        set: voter_set(&[("a", 11), ("b", 12), ("c", 13), ("d", 14)]),
-        before: Some(voter_set(&[("a", 11), ("b", 12), ("c", 13)])),
+        records: voter_set(&[("a", 11), ("b", 12), ("c", 13), ("d", 14)]),
+        former: Some(voter_set(&[("a", 11), ("b", 12), ("c", 13)])),
     }
 }
 
@@ -202,8 +202,8 @@
     };
     let bootstrap = Voters {
         generation: 1,
-        set: voter_set(&[("a", 11), ("b", 12), ("c", 13)]),
-        before: None,
+        records: voter_set(&[("a", 11), ("b", 12), ("c", 13)]),
+        former: None,
     };
     AcceptorState {
         name: Name::from("a"),
@@ -227,5 +227,5 @@
 
 #[test]
 fn a_state_is_written_as_the_bytes_of_an_earlier_version() {
-    assert_eq!(write(&stored_state()), stored_bytes());
+    assert_eq!(encode(&stored_state()), stored_bytes());
 }
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -53,7 +53,7 @@
 
 impl InjectedFault {
     /// Faults in the replicated state, leases and fencing.
-    pub const ALL: [InjectedFault; 14] = [
+    pub const LEASE_FAULTS: [InjectedFault; 14] = [
         InjectedFault::AnswerBeforeDurable,
         InjectedFault::BallotReused,
         InjectedFault::LeaseCountedFromAnswer,
@@ -71,7 +71,7 @@
     ];
 
     /// Faults in disruption permits and rollouts.
-    pub const OF_RELEASES: [InjectedFault; 8] = [
+    pub const ROLLOUT_FAULTS: [InjectedFault; 8] = [
         InjectedFault::ToldBeforeAgreed,
         InjectedFault::TurnTwice,
         InjectedFault::FailuresUncounted,
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -2,7 +2,7 @@
 //! either the membership leader or a member that sends heartbeats to the leader.
 //!
 //! [`Member::handle`] takes an [`Input`] and appends the [`Output`]s that the driver has to perform.
-//! [`Member::wants_call_at`] returns the time of the next call that is needed even if no input arrives.
+//! [`Member::next_call_at`] returns the time of the next call that is needed even if no input arrives.
 
 mod acceptor;
 mod heartbeat;
@@ -16,14 +16,14 @@
 mod settings;
 
 pub use messages::{
-    Answer, CallId, HeartbeatReply, Input, LocalHealth, Output, Question, QuestionId, SaveId,
-    UnusableFile, VoterState,
+    Answer, CallId, HeartbeatReply, Input, LocalHealth, MemberRequest, MemberRequestId, Output,
+    SaveId, UnusableFile, VoterState,
 };
 pub use operator_requests::{
-    AbandonedUnit, MemberLine, OperatorRequest, PermitStatus, Reply, RolloutRequest, RolloutStatus,
-    Status, VoterLine, LONGEST_NAME,
+    AbandonedUnit, MemberSummary, OperatorRequest, PermitStatus, Reply, RolloutRequest,
+    RolloutStatus, Status, VoterStatus, MAX_NAME_BYTES,
 };
-pub use rollout::MAX_REPORTS;
+pub use rollout::MAX_REPORTS_PER_HEARTBEAT;
 pub use settings::FleetSettings;
 
 use self::acceptor::{AcceptorFile, AcceptorStorage};
@@ -59,7 +59,7 @@
     rng: WyRand,
     started_at: Ms,
     ready: bool,
-    load: f64,
+    utilization: f64,
     stopping: bool,
     stopped: bool,
 
@@ -112,8 +112,8 @@
 
     // Fields for requests to other members and requests from operators.
     requests_sent: u64,
-    in_flight: BTreeMap<QuestionId, RequestInFlight>,
-    inspections: BTreeMap<CallId, operator_requests::Inspection>,
+    in_flight: BTreeMap<MemberRequestId, RequestInFlight>,
+    voter_queries: BTreeMap<CallId, operator_requests::VoterQuery>,
     counts: BTreeMap<&'static str, u64>,
 }
 
@@ -130,7 +130,7 @@
             rng: WyRand::new_seed(settings.seed),
             started_at: 0.0,
             ready: false,
-            load: 0.0,
+            utilization: 0.0,
             stopping: false,
             stopped: false,
             file,
@@ -164,7 +164,7 @@
             disruptions: rollout::RolloutState::default(),
             requests_sent: 0,
             in_flight: BTreeMap::new(),
-            inspections: BTreeMap::new(),
+            voter_queries: BTreeMap::new(),
             counts: BTreeMap::new(),
             settings,
         }
@@ -180,10 +180,12 @@
         match input {
             Input::Loaded(file) => self.file_loaded(file, out),
             Input::Saved { number, is_durable } => self.file_saved(number, is_durable, out),
-            Input::Asked { call, question } => self.handle_request(call, question, out),
-            Input::Answered { ask, answer } => self.answer_received(ask, answer, out),
+            Input::RequestReceived { call, question } => self.handle_request(call, question, out),
+            Input::AnswerReceived { request_id, answer } => {
+                self.answer_received(request_id, answer, out)
+            }
             Input::LocalHealth(local_health) => self.local_health(local_health),
-            Input::Engines(engines) => self.engines(engines),
+            Input::Engines(engines) => self.set_engines(engines),
             Input::Tick => {}
             Input::Stop => self.stopping = true,
         }
@@ -201,7 +203,7 @@
         self.send_membership_reports(out);
         self.send_permit_notices(out);
         self.confirm_halt(out);
-        self.finish_inspections(out);
+        self.finish_voter_queries(out);
     }
 
     fn stop_if_done(&mut self, out: &mut Vec<Output>) {
@@ -214,20 +216,20 @@
 
     /// When [`Member::handle`] has to be called with [`Input::Tick`], as a reading of the clock in milliseconds;
     /// infinite if nothing is due.
-    pub fn wants_call_at(&self) -> Ms {
+    pub fn next_call_at(&self) -> Ms {
         let requests = self.in_flight.values().map(RequestInFlight::due_at);
-        let inspections = self
-            .inspections
+        let voter_queries = self
+            .voter_queries
             .values()
-            .map(|inspection| inspection.until());
+            .map(|voter_query| voter_query.expires_at());
         let next_call_at = [self.next_heartbeat_at]
             .into_iter()
             .chain(requests)
             .chain(self.next_acceptor_check())
             .chain(self.lease_timers())
             .chain(self.next_report_at())
-            .chain(self.rollout_wakes_at())
-            .chain(inspections)
+            .chain(self.next_rollout_event_at())
+            .chain(voter_queries)
             .fold(f64::INFINITY, f64::min);
         self.clock.to_reading(next_call_at.max(self.now))
     }
@@ -236,7 +238,7 @@
     pub fn held(&self) -> impl Iterator<Item = (&LeaseName, Term)> {
         self.held_leases
             .iter()
-            .filter(|(_, held)| held.left(self.now) > 0.0)
+            .filter(|(_, held)| held.remaining(self.now) > 0.0)
             .map(|(lease_name, held)| (lease_name, held.term))
     }
 
@@ -250,11 +252,6 @@
         self.membership.as_ref()
     }
 
-    /// The status of the rollout, as far as this member knows it.
-    pub fn release_status(&self) -> RolloutStatus {
-        self.rollout_status()
-    }
-
     /// The newest replicated state seen, chosen or not; `None` before the first one.
     pub fn newest(&self) -> Option<&ReplicatedState> {
         self.newest.as_ref().map(|(_, value)| value)
@@ -326,14 +323,14 @@
             let records = voters.all().into_iter();
             known.extend(records.map(|(name, record)| (name, record.address)));
         }
-        known.remove(&self.settings.me);
+        known.remove(&self.settings.own_name);
         known
     }
 
     /// The name, incarnation and address of this process, for commands and messages.
-    fn me(&self) -> LeaseHolder {
+    fn own_holder(&self) -> LeaseHolder {
         LeaseHolder {
-            name: self.settings.me.clone(),
+            name: self.settings.own_name.clone(),
             incarnation: self.settings.incarnation,
             address: self.settings.address.clone(),
         }
--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -8,7 +8,7 @@
 use crate::interface::Ms;
 
 /// The maximum length of the name of a lease or of a member, in bytes.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// An operator's request. Any dispatcher accepts a request, and may refer the operator to another dispatcher.
 #[derive(Clone, Debug, PartialEq)]
@@ -36,13 +36,13 @@
     },
     /// Requests a lease for a job. The job repeats the request to keep the lease.
     HoldLease {
-        /// The name of the lease, at most [`LONGEST_NAME`] bytes. The membership lease is refused.
+        /// The name of the lease, at most [`MAX_NAME_BYTES`] bytes. The membership lease is refused.
         lease_name: LeaseName,
         /// The job's number, drawn by the job. Distinguishes jobs that request the same lease.
         job: u64,
     },
     /// Releases the lease of a job that has ended.
-    LetGo {
+    ReleaseLease {
         /// The name of the lease that the job held.
         lease_name: LeaseName,
         /// The number that the job used in its requests to hold the lease.
@@ -51,7 +51,7 @@
     /// A request about rollouts or permits.
     Rollout(RolloutRequest),
     /// Stops one dispatcher without the fleet's agreement.
-    ByHand {
+    StopWithoutAgreement {
         /// The name of the dispatcher that drains and stops.
         name: Name,
         /// The address of the dispatcher's fleet service. May be none if the dispatcher is a member or a voter.
@@ -171,35 +171,35 @@
     /// The request is not complete yet. Carries the reason. The sender repeats the request.
     Pending(String),
     /// Another dispatcher can handle the request. Carries the address of that dispatcher.
-    Elsewhere(Address),
+    Redirect(Address),
     /// Whether the queried dispatcher holds a job's lease, in reply to the job's request.
-    Holds {
+    LeaseHold {
         /// The lease's term. None if the dispatcher does not hold the lease yet.
         term: Option<Term>,
         /// The minimum time for which the dispatcher still holds the lease, in milliseconds from when the job sent its
         /// request.
-        good_for: Ms,
+        valid_for: Ms,
     },
 }
 
 /// The status of one voter, as a query of the voters has found it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct VoterLine {
+pub struct VoterStatus {
     /// The voter's name, as the fleet agreed on it or as the settings state it.
     pub name: Name,
     /// The address of the voter's fleet service.
     pub address: Address,
     /// Whether the voter has answered the query. False if the voter could not be reached in time.
-    pub answers: bool,
+    pub is_responding: bool,
     /// Whether the voter votes under the identity that the fleet agreed on.
-    pub votes: bool,
+    pub is_voting: bool,
     /// The version of the state that the voter accepted last. 0 if the voter has accepted none.
     pub version: u64,
 }
 
 /// The status of one member, as the membership leader knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MemberLine {
+pub struct MemberSummary {
     /// The member's name, as its heartbeats state it.
     pub name: Name,
     /// The name of the member's zone, as its heartbeats state it.
@@ -213,7 +213,7 @@
     /// How long the member's process has run, in milliseconds.
     pub uptime: Ms,
     /// The time since the member's last heartbeat arrived, in milliseconds.
-    pub heard_ago: Ms,
+    pub last_heartbeat_age: Ms,
 }
 
 /// The status of the fleet, as the queried dispatcher knows it.
@@ -230,14 +230,14 @@
     /// The newest known version of the replicated state. 0 if none is known.
     pub version: u64,
     /// The status of each voter, in the order of their names.
-    pub voters: Vec<VoterLine>,
+    pub voters: Vec<VoterStatus>,
     /// All leases with their terms and holders. The holder is none if no dispatcher holds the lease.
     pub leases: Vec<(LeaseName, Term, Option<LeaseHolder>)>,
     /// How long this dispatcher has been the membership leader, in milliseconds. None if this dispatcher is not the
     /// leader.
     pub leading_for: Option<Ms>,
     /// The status of each member. Empty unless this dispatcher is the membership leader.
-    pub members: Vec<MemberLine>,
+    pub members: Vec<MemberSummary>,
     /// The address of the membership leader. None if this dispatcher is the leader or the leader is unknown.
     pub leader: Option<Address>,
     /// The rollout and the permits. Has default values if no replicated state is known.
--- a/src/coordination/member/operator_requests/handling.rs
+++ b/src/coordination/member/operator_requests/handling.rs
@@ -6,7 +6,7 @@
 impl Member {
     /// Handles an operator's request. The reply follows at once, or after the voters that the request depends on have
     /// answered.
-    pub(in super::super) fn order(
+    pub(in super::super) fn handle_operator_request(
         &mut self,
         call: CallId,
         request: OperatorRequest,
@@ -15,7 +15,7 @@
         let reply = match request {
             OperatorRequest::Status => {
                 let voters = self.known_voters();
-                self.begin_inspection(call, voters, None, out);
+                self.begin_voter_query(call, voters, None, out);
                 None
             }
             OperatorRequest::HandOver { lease_name, to } => {
@@ -31,15 +31,15 @@
             OperatorRequest::HoldLease { lease_name, job } => {
                 Some(self.hold_lease_request(lease_name, job))
             }
-            OperatorRequest::LetGo { lease_name, job } => {
+            OperatorRequest::ReleaseLease { lease_name, job } => {
                 Some(self.release_lease_request(&lease_name, job, out))
             }
             OperatorRequest::Rollout(request) => self.rollout_request(call, request),
-            OperatorRequest::ByHand {
+            OperatorRequest::StopWithoutAgreement {
                 name,
                 address,
                 reason,
-            } => self.stop_by_hand(call, name, address, reason, out),
+            } => self.stop_without_agreement(call, name, address, reason, out),
         };
         if let Some(reply) = reply {
             reply_to(call, reply, out);
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -18,7 +18,7 @@
     /// Asks a voter for its newest value, and the next voter if this one does not answer.
     QueryVoter { of: Name, next: Option<NextVoter> },
     /// Asks a voter for its state to answer an operator's request.
-    Inspect { of: Name, call: CallId },
+    VoterQuery { voter: Name, call: CallId },
     /// Asks a voter to confirm that the acceptor's file is not outdated.
     ConfirmFile { of: Name },
     /// A heartbeat to the membership leader with this incarnation.
@@ -34,7 +34,7 @@
     /// Sent once disruptions are halted: asks a unit with a permit whether its disruption has begun.
     ConfirmHalt { permit: PermitId },
     /// Tells a member to stop, at an operator's request.
-    StopByHand { call: CallId, note: String },
+    StopWithoutAgreement { call: CallId, note: String },
 }
 
 /// The voter to query next: its index among the known voters, and the number of the query attempt, from 1.
@@ -62,7 +62,7 @@
     /// message, which would make a whole proposal fail.
     resend: Option<Resend>,
     /// The request; kept only if it may be sent again.
-    question: Option<Box<Question>>,
+    question: Option<Box<MemberRequest>>,
 }
 
 impl RequestInFlight {
@@ -80,11 +80,11 @@
     pub(super) fn send_request(
         &mut self,
         to: Address,
-        question: Question,
+        question: MemberRequest,
         purpose: RequestPurpose,
         out: &mut Vec<Output>,
     ) {
-        let timeout = self.settings.answer_within;
+        let timeout = self.settings.request_timeout;
         let may_resend = matches!(purpose, RequestPurpose::Proposal { .. });
         let resend = may_resend.then(|| Resend {
             at: self.now + self.resend_interval(),
@@ -101,22 +101,22 @@
     }
 
     fn resend_interval(&self) -> Ms {
-        self.settings.answer_within / f64::from(MAX_RESENDS + 1)
+        self.settings.request_timeout / f64::from(MAX_RESENDS + 1)
     }
 
     fn transmit(
         &mut self,
         mut request: RequestInFlight,
-        question: Question,
+        question: MemberRequest,
         out: &mut Vec<Output>,
     ) {
         self.requests_sent += 1;
-        let id = QuestionId(self.requests_sent);
+        let request_id = MemberRequestId(self.requests_sent);
         let to = request.to.clone();
         request.question = request.resend.map(|_| Box::new(question.clone()));
-        self.in_flight.insert(id, request);
-        out.push(Output::Ask {
-            ask: id,
+        self.in_flight.insert(request_id, request);
+        out.push(Output::SendRequest {
+            request_id,
             to,
             question,
         });
@@ -156,7 +156,10 @@
         current.is_some_and(|current| current.proposal.ballot == *ballot)
     }
 
-    fn request_ids_where(&self, is_selected: impl Fn(&RequestInFlight) -> bool) -> Vec<QuestionId> {
+    fn request_ids_where(
+        &self,
+        is_selected: impl Fn(&RequestInFlight) -> bool,
+    ) -> Vec<MemberRequestId> {
         let requests = self.in_flight.iter();
         requests
             .filter(|(_, request)| is_selected(request))
@@ -179,7 +182,7 @@
     /// ignored.
     pub(super) fn answer_received(
         &mut self,
-        id: QuestionId,
+        id: MemberRequestId,
         answer: Option<Answer>,
         out: &mut Vec<Output>,
     ) {
@@ -193,30 +196,34 @@
     pub(super) fn handle_request(
         &mut self,
         call: CallId,
-        question: Question,
+        question: MemberRequest,
         out: &mut Vec<Output>,
     ) {
         let answer = match question {
-            Question::Vote(request) => return self.proposer_request(call, &request, out),
-            Question::Operator(request) => return self.order(call, request, out),
-            Question::VoterState => Answer::VoterState(self.voter_state()),
-            Question::WriteCount { of, voter_id } => Answer::WriteCount {
-                writes: self.known_writes(&(of, voter_id)),
+            MemberRequest::Vote(request) => return self.proposer_request(call, &request, out),
+            MemberRequest::Operator(request) => {
+                return self.handle_operator_request(call, request, out)
+            }
+            MemberRequest::VoterState => Answer::VoterState(self.voter_state()),
+            MemberRequest::WriteCount { voter, voter_id } => Answer::WriteCount {
+                writes: self.known_writes(&(voter, voter_id)),
             },
-            Question::Heartbeat(heartbeat) => Answer::Heartbeat(self.heartbeat_received(heartbeat)),
-            Question::LeaseOffer { lease_name } => {
+            MemberRequest::Heartbeat(heartbeat) => {
+                Answer::Heartbeat(self.heartbeat_received(heartbeat))
+            }
+            MemberRequest::LeaseOffer { lease_name } => {
                 self.lease_offered(&lease_name, out);
                 Answer::Done
             }
-            Question::FencedCommand(command) => self.fenced_command_received(&command, out),
-            Question::AskBack {
+            MemberRequest::FencedCommand(command) => self.fenced_command_received(&command, out),
+            MemberRequest::RevokePermit {
                 permit,
-                of,
-                who,
+                unit_kind,
+                unit,
                 incarnation,
             } => {
-                let is_mine = of == UnitKind::Dispatchers && who == self.settings.me;
-                Answer::Begun {
+                let is_mine = unit_kind == UnitKind::Dispatchers && unit == self.settings.own_name;
+                Answer::RevocationResult {
                     begun: !is_mine || self.revoke_unless_begun(permit, incarnation),
                 }
             }
@@ -265,12 +272,12 @@
                 Some(_) => {}
                 None => self.query_next_voter(next, out),
             },
-            RequestPurpose::Inspect { of, call } => {
+            RequestPurpose::VoterQuery { voter, call } => {
                 let state = voter_state_from(answer);
                 if let Some(state) = &state {
-                    self.voter_state_received(&of, state.clone(), out);
+                    self.voter_state_received(&voter, state.clone(), out);
                 }
-                self.inspection_answered(call, &of, state, out);
+                self.voter_query_answered(call, &voter, state, out);
             }
             RequestPurpose::ConfirmFile { of } => {
                 if let Some(Answer::WriteCount { writes }) = answer {
@@ -287,8 +294,8 @@
             RequestPurpose::PermitNotice { to, permit } => {
                 self.permit_notice_answered(&to, permit, fencing_decision_from(answer), out);
             }
-            RequestPurpose::StopByHand { call, note } => {
-                self.stop_by_hand_answered(call, note, operator_reply_from(answer), out);
+            RequestPurpose::StopWithoutAgreement { call, note } => {
+                self.stop_without_agreement_answered(call, note, operator_reply_from(answer), out);
             }
             RequestPurpose::RevokePermit { .. } | RequestPurpose::ConfirmHalt { .. } => {
                 self.revocation_answered(&purpose, begun_from(answer));
@@ -337,7 +344,7 @@
 
 fn begun_from(answer: Option<Answer>) -> Option<bool> {
     match answer {
-        Some(Answer::Begun { begun }) => Some(begun),
+        Some(Answer::RevocationResult { begun }) => Some(begun),
         _ => None,
     }
 }
--- a/src/coordination/member/rollout/halt.rs
+++ b/src/coordination/member/rollout/halt.rs
@@ -20,7 +20,7 @@
     agreed_at: Ms,
     /// The units that had permits when the halt was agreed on.
     asked: BTreeMap<PermitId, AskedUnit>,
-    next_question_at: Ms,
+    next_request_at: Ms,
 }
 
 impl HaltConfirmation {
@@ -32,7 +32,7 @@
         HaltConfirmation {
             agreed_at: now,
             asked: asked.collect(),
-            next_question_at: now,
+            next_request_at: now,
         }
     }
 
@@ -50,8 +50,8 @@
 
     /// The next time at which units without a reply are asked whether they have begun to drain. None if all have
     /// replied.
-    pub fn next_question_at(&self) -> Option<Ms> {
-        self.has_unanswered().then_some(self.next_question_at)
+    pub fn next_request_at(&self) -> Option<Ms> {
+        self.has_unanswered().then_some(self.next_request_at)
     }
 
     /// Records a unit's reply: whether the unit had begun to drain on the permit before the halt.
@@ -104,10 +104,10 @@
         let Some(halt) = &mut self.disruptions.halt_confirmation else {
             return;
         };
-        if !halt.has_unanswered() || self.now < halt.next_question_at {
+        if !halt.has_unanswered() || self.now < halt.next_request_at {
             return;
         }
-        halt.next_question_at = self.now + self.settings.answer_within;
+        halt.next_request_at = self.now + self.settings.request_timeout;
         let unanswered: Vec<PermitId> = halt.unanswered().copied().collect();
         let permits = self
             .agreed_disruptions()
@@ -127,7 +127,7 @@
     /// a unit would drain after the halt.
     fn halt_reply(&self, halt: &HaltConfirmation) -> Reply {
         let lease = &self.settings.lease;
-        let remaining = halt.agreed_at + lease.waited_for(lease.lease_ms()) - self.now;
+        let remaining = halt.agreed_at + lease.contender_wait(lease.lease_ms()) - self.now;
         if halt.has_unanswered() && remaining > 0.0 {
             let unanswered = halt.unanswered().count();
             return Reply::Pending(format!(
--- a/src/coordination/member/rollout/mod.rs
+++ b/src/coordination/member/rollout/mod.rs
@@ -9,7 +9,7 @@
 mod permit;
 mod plan_check;
 mod status;
-mod stop_by_hand;
+mod stop_without_agreement;
 
 use super::*;
 use crate::coordination::rollout::{DisruptionPermit, DisruptionState, RolloutStep};
@@ -19,8 +19,8 @@
 use std::collections::BTreeSet;
 
 /// The maximum number of engine reports in one heartbeat.
-pub const MAX_REPORTS: usize = 8;
-/// The maximum length of the queue of engine reports, in multiples of [`MAX_REPORTS`].
+pub const MAX_REPORTS_PER_HEARTBEAT: usize = 8;
+/// The maximum length of the queue of engine reports, in multiples of [`MAX_REPORTS_PER_HEARTBEAT`].
 const MAX_QUEUED_HEARTBEATS: usize = 4;
 
 /// The rollout state of one dispatcher that is not replicated. The dispatcher may be the membership leader, a unit with
@@ -72,32 +72,36 @@
         self.held_leases
             .get(&membership_lease())
             .copied()
-            .filter(|lease| lease.left(self.now) > 0.0)
+            .filter(|lease| lease.remaining(self.now) > 0.0)
     }
 
-    /// Stores the readiness, the load and the outcomes of this dispatcher, and queues its engine reports.
+    /// Stores the readiness, the utilization and the outcomes of this dispatcher, and queues its engine reports.
     pub(super) fn local_health(&mut self, local_health: LocalHealth) {
         self.ready = local_health.ready;
-        self.load = local_health.load;
-        self.disruptions.outcomes = local_health.tally;
+        self.utilization = local_health.utilization;
+        self.disruptions.outcomes = local_health.outcomes;
         // The oldest reports are dropped when the queue is full, and reports in a lost heartbeat are not sent again. A
         // single report carries little evidence, and a newer report of the same engine follows.
         let reports = &mut self.disruptions.queued_reports;
         reports.extend(local_health.reports);
         let excess = reports
             .len()
-            .saturating_sub(MAX_QUEUED_HEARTBEATS * MAX_REPORTS);
+            .saturating_sub(MAX_QUEUED_HEARTBEATS * MAX_REPORTS_PER_HEARTBEAT);
         reports.drain(..excess);
     }
 
     /// Replaces this dispatcher's list of engines from discovery.
-    pub(super) fn engines(&mut self, engines: Vec<Unit>) {
+    pub(super) fn set_engines(&mut self, engines: Vec<Unit>) {
         self.disruptions.engines = engines;
     }
 
-    /// Removes up to [`MAX_REPORTS`] reports from the queue, for the next heartbeat.
+    /// Removes up to [`MAX_REPORTS_PER_HEARTBEAT`] reports from the queue, for the next heartbeat.
     pub(super) fn next_reports(&mut self) -> Vec<EngineReport> {
-        let count = self.disruptions.queued_reports.len().min(MAX_REPORTS);
+        let count = self
+            .disruptions
+            .queued_reports
+            .len()
+            .min(MAX_REPORTS_PER_HEARTBEAT);
         self.disruptions.queued_reports.drain(..count).collect()
     }
 
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -65,13 +65,13 @@
     /// Permits are halted, the rollout is finished, or there is no rollout of the permit's kind of units.
     Stopped,
     /// Another rollout is unfinished.
-    Busy,
+    RolloutInProgress,
     /// The requested change is already in effect.
-    AlreadySo,
+    AlreadyInEffect,
     /// The permit, rollout or halt that the change refers to does not exist.
-    Nothing,
+    NothingToChange,
     /// The change would exceed the disruption budget or the maximum size of the state.
-    NoRoom,
+    LimitReached,
 }
 
 /// The maximum number of granted permits at a time. A permit takes about 80 bytes, so this limit keeps the replicated
@@ -142,7 +142,7 @@
 
     pub(super) fn halt(&mut self, reason: &str) -> Result<(), RolloutError> {
         if self.halted.is_some() {
-            return Err(RolloutError::AlreadySo);
+            return Err(RolloutError::AlreadyInEffect);
         }
         self.halted = Some(reason.to_owned());
         Ok(())
