--- a/crates/shim/src/lib.rs
+++ b/crates/shim/src/lib.rs
@@ -1,9 +1,9 @@
 //! A library for `LD_PRELOAD` that replaces functions of the C library: system calls fail at random with errors that
 //! Linux documents for them, and the wall clock is stepped.
 //!
-//! Reads and writes are not shortened: on a socket with edge-triggered readiness a short read or write tells the caller
-//! that nothing more is available, and a caller that relies on this would wait forever. Reads and writes do not fail
-//! either: from outside, such a failure looks like a process that closes a connection without reason.
+//! Reads and writes are never shortened: on a socket that is watched edge-triggered, a short read or write tells the
+//! caller that nothing more is available, and a caller that relies on this would wait forever. Reads and writes never
+//! fail either: from outside, such a failure cannot be told from a process that closes a connection that it should keep.
 //!
 //! The environment variables `CINDERCLEAT_SHIM_FAIL`, `CINDERCLEAT_SHIM_SEED`, `CINDERCLEAT_SHIM_STEP_MS` and
 //! `CINDERCLEAT_SHIM_STEP_AFTER_MS` configure the library. Without them it changes nothing.
@@ -15,11 +15,11 @@
 
 /// The mean number of failures among a thousand calls that may fail.
 const FAILURES_PER_THOUSAND: u64 = 15;
-/// Calls of `socket` fail only after the process has run for this long. In the time before, the process creates its
-/// socket pairs and listeners, which are not to fail.
+/// Calls of `socket` fail only after the process has run for this long. Until then the process creates its socket pairs
+/// and listeners. These calls must not fail, because the process cannot start without them.
 const SOCKET_FAILURES_BEGIN_MS: i64 = 500;
 
-/// The settings from the environment.
+/// The settings that the environment variables contain.
 struct Settings {
     /// Whether system calls fail at random.
     calls_fail: bool,
--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -210,8 +210,8 @@
     attempts: Vec<AttemptId>,
     /// The engine that holds the KV state, and since when.
     held_at: Option<(String, Ms)>,
-    /// Whether the held state was reported as a violation.
-    reported: bool,
+    /// Whether a violation was reported because the KV state was left held at the engine for too long.
+    hold_reported: bool,
     /// The number of events that the client received.
     events_received: usize,
 }
@@ -366,7 +366,7 @@
         self.report
     }
 
-    /// Whether a request that its process owed an answer has not got one in time.
+    /// Whether a request is still unanswered after the time by which its process had to answer it.
     fn is_lost(&self, request: &Request, now: Ms) -> bool {
         let latest = request.due + self.rules.answer_grace + self.rules.deadline_allowance();
         !request.answered
--- a/crates/soak/src/audit/attempts.rs
+++ b/crates/soak/src/audit/attempts.rs
@@ -46,7 +46,8 @@
         id
     }
 
-    /// Checks that an attempt at an engine out of service was sent within the grace after the process was notified.
+    /// Checks that an attempt at an engine out of service was sent within [`Rules::drain_grace`] after the
+    /// process was notified that the engine is out of service.
     pub(super) fn check_drain(&mut self, request: &str, engine: &str, first_byte: Ms) {
         let Some(process) = self
             .requests
@@ -62,7 +63,8 @@
             .filter(|late| *late > self.rules.drain_grace + self.rules.timer_slack);
         let what = |late| {
             format!(
-                "{request} was sent to {engine} {late:.0} ms after process {process} was notified"
+                "{request} was sent to {engine} {late:.0} ms after process {process} was notified \
+                 that the engine is out of service"
             )
         };
         self.check(first_byte, Invariant::DrainKept, late.map(what));
--- a/crates/soak/src/audit/requests.rs
+++ b/crates/soak/src/audit/requests.rs
@@ -22,7 +22,7 @@
             answered: false,
             attempts: Vec::new(),
             held_at: None,
-            reported: false,
+            hold_reported: false,
             events_received: 0,
         };
         self.requests.insert(id.to_owned(), request);
--- a/crates/soak/src/audit/states.rs
+++ b/crates/soak/src/audit/states.rs
@@ -70,7 +70,9 @@
         let held: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, r)| r.held_at.is_some() && !r.reported && !self.ended.contains_key(&r.run))
+            .filter(|(_, r)| {
+                r.held_at.is_some() && !r.hold_reported && !self.ended.contains_key(&r.run)
+            })
             .filter(|(_, r)| self.idle_since(r).is_some_and(|since| now - since > limit))
             .map(|(id, _)| id.clone())
             .collect();
@@ -78,7 +80,7 @@
             let Some(request) = self.requests.get_mut(&id) else {
                 continue;
             };
-            request.reported = true;
+            request.hold_reported = true;
             let (engine, request) = (
                 request.held_at.clone().unwrap_or_default().0,
                 request.clone(),
--- a/crates/soak/src/connection_trace.rs
+++ b/crates/soak/src/connection_trace.rs
@@ -1,6 +1,6 @@
 //! The trace that a proxy records of a connection to an engine: when bytes of the process arrived, when bytes of the
-//! engine were forwarded, and when the process closed the connection. The audit judges attempts by the trace. It knows
-//! from it what has arrived, so it needs no allowance for data in transit.
+//! engine were forwarded, and when the process closed the connection. The audit checks attempts against these times. As
+//! the trace shows which bytes have arrived, the checks need no allowance for data in transit.
 
 use crate::Ms;
 use std::cell::{Cell, RefCell};
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The longest time by which the engine's record of an answer may follow the proxy's forwarding of it. The engine
-/// records the end of an attempt after the write, so the proxy may forward the answer first.
+/// An engine records the time of an answer after it has written the answer, so the proxy may forward the answer before
+/// the recorded time. This is the most by which it can be before; [`ConnectionTrace::forwarded_at`] allows for it.
 const RECORDING_DELAY: Ms = 2.0;
 
 /// The trace of one connection.
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -75,11 +75,11 @@
         loop {
             let ended = self.processes[number].borrow_mut().ended();
             if let Some(status) = ended {
-                let as_told = killed || status.success();
+                let ended_as_told = killed || status.success();
                 let how = format!("after a signal to stop, {status}");
                 self.audit
                     .borrow_mut()
-                    .process_ended(run, as_told, &how, self.clock.now());
+                    .process_ended(run, ended_as_told, &how, self.clock.now());
                 break;
             }
             if !killed && self.clock.now() > kill_at {
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Stops consecutive processes one after another, as a rollout does, and starts them again.
+    /// Sends SIGTERM to consecutive processes at intervals of [`STOP_INTERVAL`], as the rollout of a release does, and
+    /// starts each again after its end. A process may get its signal before the preceding one has ended.
     pub(super) async fn stop_several(self: &Rc<Self>, first: usize, count: usize) {
         let stops = (0..count).map(|nth| {
             let (soak, number) = (self.clone(), (first + nth) % self.processes.len());
@@ -148,7 +149,8 @@
             .filter(|(n, _)| !self.busy[*n].get())
         {
             let process = process.borrow();
-            // If the file cannot be written, the process reloads the old one, which is still valid.
+            // A write error is ignored: the old file stays, and a reload of the old file tests as much as one of a new
+            // file.
             let _ = process.configure(&self.configuration(number, process.current_run().start));
             process.signal(Signal::HUP);
         }
@@ -176,7 +178,7 @@
     }
 
     /// Marks an engine as unreachable. Returns `false` if it is unreachable already or if too few engines would stay
-    /// reachable: a held KV state can only be released through a reachable engine.
+    /// reachable: processes can release held KV states only through an engine that runs.
     pub(super) fn mark_unreachable(&self, index: usize) -> bool {
         let mut unreachable = self.unreachable.borrow_mut();
         unreachable.len() + MIN_REACHABLE < ENGINES.count && unreachable.insert(index)
@@ -248,12 +250,13 @@
         }
     }
 
-    /// The proxy in front of the engine that runs at this index of the layout at present.
+    /// The proxy in front of the engine that now runs at this index.
     pub(super) fn proxy(&self, index: usize) -> Proxy {
         self.engines.borrow()[index].proxy.clone()
     }
 
-    /// Whether this proxy still stands in front of the engine at this index; `false` if the engine has been replaced.
+    /// Whether the engine that now runs at this index is behind this proxy; `false` if the engine has been replaced by
+    /// another one, with a proxy of its own, since the caller took the proxy.
     pub(super) fn is_current_proxy(&self, index: usize, proxy: &Proxy) -> bool {
         self.engines.borrow()[index].proxy.address == proxy.address
     }
@@ -271,7 +274,7 @@
     pub(super) async fn replace_engine(&self, index: usize, until: Ms) {
         let (entry, generation) = {
             let mut engines = self.engines.borrow_mut();
-            // At least one engine of the kind stays in service.
+            // At least one engine of the kind stays in service, so that requests that need the kind can be served.
             let kind = index % KINDS.len();
             let leaving = engines
                 .iter()
--- a/crates/standin/src/audit/mod.rs
+++ b/crates/standin/src/audit/mod.rs
@@ -213,7 +213,8 @@
                             }
                             Body::Accepted(_) => submission.accepted = true,
                             Body::InvalidRequest(_) => submission.invalid = true,
-                            // The call ended without a final answer.
+                            // A goodbye ends the call without a final answer. No answer can follow, so the call counts
+                            // as closed, as it does when its connection closes.
                             Body::Goodbye(_) => {
                                 submission.closed = submission.closed.or(Some(record.at))
                             }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -115,7 +115,7 @@
     pub unsent: u64,
     /// Microseconds from the start of a try to its first token.
     pub first_token: Histogram<u64>,
-    /// Microseconds between two successive token messages of a try.
+    /// Microseconds from one token message of a try to the next one.
     pub gap: Histogram<u64>,
     /// Token messages received in all tries.
     pub tokens: u64,
@@ -534,7 +534,9 @@
             let (clients, number) = (self.clone(), number);
             let seed = self.rng.borrow_mut().generate::<u64>();
             self.spawn_request(async move {
-                clients.draw_and_run(number, WyRand::new_seed(seed)).await
+                clients
+                    .run_drawn_request(number, WyRand::new_seed(seed))
+                    .await
             });
         }
     }
@@ -549,8 +551,8 @@
         });
     }
 
-    /// Draws the parameters of a request and runs it.
-    async fn draw_and_run(&self, number: u64, mut rng: WyRand) {
+    /// Draws the parameters of a request at random, and sends the request.
+    async fn run_drawn_request(&self, number: u64, mut rng: WyRand) {
         let mut remaining_weight =
             uniform(&mut rng) * self.habits.traffic.iter().map(|t| t.share).sum::<f64>();
         let traffic = self.habits.traffic.iter().find(|t| {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -58,7 +58,7 @@
     pub hold: Ms,
     /// The age of a load report when it is sent.
     pub report_age: Ms,
-    /// The largest relative error of a reported figure, such as 0.1 for 10 %.
+    /// The largest share by which a figure in a load report errs, upwards or downwards; 0.1 is 10 %.
     pub report_noise: f64,
     /// The smallest length of an answer, as a share of the largest number of tokens that the request allows.
     pub answer_share: f64,
@@ -79,7 +79,7 @@
     pub resets: f64,
     /// Attempts of this request class are rejected as overloaded.
     pub full_for: Option<String>,
-    /// How much older than [`EngineSpec::report_age`] load reports are when they are sent.
+    /// The extra delay of load reports. A report is older than [`EngineSpec::report_age`] by this time when it is sent.
     pub reports_late: Ms,
     /// All new attempts are rejected as overloaded.
     pub draining: bool,
@@ -340,7 +340,7 @@
         self.inner.changed.notify_waiters();
     }
 
-    /// Drops all cached prompt prefixes; held KV states stay.
+    /// Empties the cache of prompt prefixes, so that later prompts are prefilled in full; held KV states stay.
     pub fn forget_texts(&self) {
         self.inner.process.borrow_mut().cached_prefixes.clear();
     }
