--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -243,7 +243,7 @@
     Killed,
     /// Killed because a stop exceeded its time limit.
     KilledInStop,
-    /// Ended by itself, told to or not.
+    /// Ended without being killed, whether or not it was told to stop.
     Ended,
 }
 
@@ -300,10 +300,12 @@
         }
     }
 
+    /// Counts one checked case of an invariant.
     fn count_case(&mut self, invariant: Invariant) {
         *self.report.cases.entry(invariant).or_insert(0) += 1;
     }
 
+    /// Adds a violation to the report.
     fn violated(&mut self, at: Ms, invariant: Invariant, what: String) {
         self.report.violations.push(Violation {
             at,
@@ -312,15 +314,16 @@
         });
     }
 
-    /// Counts one checked case of an invariant; `broken` describes the violation, if there is one.
-    fn check(&mut self, at: Ms, invariant: Invariant, broken: Option<String>) {
+    /// Counts one checked case of an invariant; `violation` describes the violation, if there is one.
+    fn check(&mut self, at: Ms, invariant: Invariant, violation: Option<String>) {
         self.count_case(invariant);
-        if let Some(what) = broken {
+        if let Some(what) = violation {
             self.violated(at, invariant, what);
         }
     }
 
-    /// Checks what is left open at the end of the soak and returns the report.
+    /// Ends the audit and returns the report. Checks for KV states that are still held, requests that were never
+    /// answered, and processes that became ready too late.
     pub fn finish(mut self, now: Ms) -> Report {
         self.check_held_states(now);
         let lost = self
--- a/crates/soak/src/audit/attempts.rs
+++ b/crates/soak/src/audit/attempts.rs
@@ -24,9 +24,9 @@
             if let Some(stated) = stated_remaining {
                 let left = request.deadline - sent.1;
                 let limit = left + self.rules.deadline_slack + self.rules.timer_slack;
-                let broken = (stated > limit)
+                let violation = (stated > limit)
                     .then(|| format!("{name}: deadline of {stated:.0} ms sent, {left:.0} ms left"));
-                self.check(begun, Invariant::DeadlineTold, broken);
+                self.check(begun, Invariant::DeadlineTold, violation);
             }
         }
         if let Some(request) = self.requests.get_mut(&name) {
@@ -138,7 +138,7 @@
             .find(|attempt| Self::may_have_run(attempt))
             .map(|a| a.begun);
         let allowance = self.rules.deadline_allowance();
-        let broken = match (request.effect, first) {
+        let reason = match (request.effect, first) {
             (_, _) if is_concurrent => Some("while another one ran"),
             (Effect::AtMostOnce, Some(_)) => Some("although an earlier one may have run"),
             (Effect::Keyed { window }, Some(first))
@@ -148,8 +148,8 @@
             }
             _ => None,
         };
-        let broken = broken.map(|why| format!("an attempt of {name} began {why}"));
-        self.check(begun, Invariant::RunOnce, broken);
+        let violation = reason.map(|reason| format!("an attempt of {name} began {reason}"));
+        self.check(begun, Invariant::RunOnce, violation);
     }
 
     /// Records the end of an attempt at its engine; only the first one counts.
@@ -184,7 +184,7 @@
             .last()
             .unwrap_or(now);
         let limit = self.rules.event_delay + self.rules.deadline_allowance();
-        let broken = if number != expected {
+        let violation = if number != expected {
             Some(format!(
                 "event {number} of {request} arrived where {expected} was expected"
             ))
@@ -196,6 +196,6 @@
         } else {
             None
         };
-        self.check(now, Invariant::EventsInTime, broken);
+        self.check(now, Invariant::EventsInTime, violation);
     }
 }
--- a/crates/soak/src/audit/platform.rs
+++ b/crates/soak/src/audit/platform.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Records the start of a process, which knows nothing yet of engines out of service.
+    /// Records the start of a process. The new run has not been notified of any engine out of service.
     pub fn process_starts(&mut self, process: usize) {
         for record in self.engines.values_mut() {
             record.notified_out.remove(&process);
@@ -65,8 +65,8 @@
     /// in the reported violation.
     pub fn process_ended(&mut self, run: ProcessRun, as_told: bool, how: &str, now: Ms) {
         self.ended.entry(run).or_insert((now, RunEnd::Ended));
-        let broken = (!as_told).then(|| format!("process {} ended: {how}", run.process));
-        self.check(now, Invariant::ProcessUp, broken);
+        let violation = (!as_told).then(|| format!("process {} ended: {how}", run.process));
+        self.check(now, Invariant::ProcessUp, violation);
     }
 
     /// Records a process that could not be started or never became ready.
@@ -77,13 +77,13 @@
     /// Records when a client that stalled within its request got an error or a close; `None` if it got neither.
     pub fn stalled_client_ended(&mut self, after: Option<Ms>, now: Ms) {
         let limit = self.rules.stalled_client_limit + self.rules.timer_slack;
-        let broken = match after {
+        let violation = match after {
             Some(after) if after <= limit => None,
             Some(after) => Some(format!(
                 "an incomplete request was ended after {after:.0} ms"
             )),
             None => Some("an incomplete request was never ended".to_owned()),
         };
-        self.check(now, Invariant::BadClientEnded, broken);
+        self.check(now, Invariant::BadClientEnded, violation);
     }
 }
--- a/crates/soak/src/audit/requests.rs
+++ b/crates/soak/src/audit/requests.rs
@@ -88,7 +88,7 @@
             return;
         }
         let owed = self.owes_answer(&request, now);
-        let broken = match answer {
+        let violation = match answer {
             Answer::Complete(events) => self.complete_stream_fault(&request, events),
             Answer::Broken(events) if owed => self.broken_stream_fault(&request, events, now),
             Answer::None if owed => Some("got no answer before its connection ended".to_owned()),
@@ -99,14 +99,14 @@
             Answer::Complete(_) | Answer::Broken(_) | Answer::None
         );
         let latest = request.due + self.rules.answer_grace + self.rules.deadline_allowance();
-        let late = (broken.is_none() && is_late_possible && owed && now > latest).then(|| {
+        let late = (violation.is_none() && is_late_possible && owed && now > latest).then(|| {
             format!(
                 "was answered {:.0} ms after its deadline",
                 now - request.deadline
             )
         });
         let description = || self.describe(&request);
-        let what = broken
+        let what = violation
             .or(late)
             .map(|what| format!("{id} {what}; {}", description()));
         self.check(now, Invariant::Answered, what);
@@ -134,7 +134,7 @@
         let attempts: String = request.attempts.iter().map(attempt).collect();
         let (sent, deadline) = (request.sent, request.deadline);
         format!(
-            "process {process}, start {start}, sent at {sent:.0}, due at {deadline:.0}, attempts:{attempts}"
+            "process {process}, start {start}, sent at {sent:.0}, deadline at {deadline:.0}, attempts:{attempts}"
         )
     }
 
@@ -192,8 +192,8 @@
     /// Checks that a rejected request, if it must run at most once, has no attempt that may have executed it.
     pub(super) fn check_rejection(&mut self, id: &str, request: &Request, now: Ms) {
         let ran = self.decode_attempts(request).any(Self::may_have_run);
-        let broken = (ran && request.effect == Effect::AtMostOnce)
+        let violation = (ran && request.effect == Effect::AtMostOnce)
             .then(|| format!("{id} was rejected after an attempt that may have run"));
-        self.check(now, Invariant::RunOnce, broken);
+        self.check(now, Invariant::RunOnce, violation);
     }
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -44,7 +44,7 @@
 enum Behaviour {
     /// Sends its request at once and waits for the answer.
     Plain,
-    /// Disconnects at `after` milliseconds after its request is sent, by a reset or by a close.
+    /// Disconnects `after` milliseconds after its request is sent, by a reset or by a close.
     Disconnects { after: Ms, resets: bool },
     /// Sends a part of a request and then nothing more.
     Stalls,
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -78,7 +78,7 @@
     StopSeveral { first: usize, count: usize },
     /// A process is killed, and started again.
     Kill { process: usize },
-    /// A process is suspended for a moment.
+    /// A process is suspended for a fraction of a second and then continues.
     Pause { process: usize },
     /// All processes reload their configurations, which name another address of discovery.
     Reload,
@@ -189,7 +189,7 @@
 const WALL_STEPS: [Ms; 4] = [-3_600_000.0, -5_000.0, 7_000.0, 3_600_000.0];
 /// The range of a class's time to the deadline, in milliseconds.
 const DEADLINES: std::ops::Range<u32> = 400..3_000;
-/// The same in a soak in which all deadlines are short.
+/// The range of a class's time to the deadline, in milliseconds, in a soak in which all deadlines are short.
 const SHORT_DEADLINES: std::ops::Range<u32> = 400..1_500;
 /// One soak in this many draws all its deadlines from [`SHORT_DEADLINES`].
 const SHORT_ONE_IN: u32 = 3;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -96,7 +96,7 @@
     pub folder: PathBuf,
 }
 
-/// The result of a soak.
+/// What a soak returns: its plan, and the violations that the audit and the processes found.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The plan that the seed gave.
@@ -219,7 +219,7 @@
         })
     }
 
-    /// Runs the soak for this duration, waits for the ends of its faults, and stops all processes.
+    /// Runs the soak for this duration, waits until its faults are over, and stops all processes.
     async fn run(self: &Rc<Self>, duration: Ms) {
         for number in 0..self.processes.len() {
             self.start_process(number);
--- a/crates/soak/src/service.rs
+++ b/crates/soak/src/service.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins share: the clock, random draws by percentage, and HTTP connections that record when the bytes of
-//! a request arrive.
+//! Parts that all stand-ins of the soak use: the clock, random draws by percentage, and HTTP connections that record
+//! when the bytes of a request arrive.
 
 use crate::Ms;
 use bytes::BytesMut;
@@ -166,7 +166,7 @@
         while self.read_more().await.is_ok() {}
     }
 
-    /// Writes text to the connection.
+    /// Writes the whole text to the connection.
     ///
     /// # Errors
     /// Returns an error if the connection has ended.
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -103,7 +103,7 @@
     pub succeeded: u64,
     /// Successful tries whose first token came within the latency objective, counted from the start of the first try.
     pub in_time: u64,
-    /// Tries that the dispatcher rejected as safe to retry.
+    /// Tries that the dispatcher rejected. A rejection states that a retry is safe.
     pub rejected: u64,
     /// Tries that the dispatcher answered with a failure.
     pub failed: u64,
@@ -148,7 +148,7 @@
 pub enum End {
     /// The stream ended with a successful final answer.
     Succeeded,
-    /// The dispatcher rejected the request as safe to retry.
+    /// The dispatcher rejected the request. A rejection states that a retry is safe.
     Rejected {
         /// How long the dispatcher asks the client to wait before a retry.
         retry_after: Ms,
@@ -689,7 +689,7 @@
         }
     }
 
-    /// Updates the counters of a request class.
+    /// Changes the counters of a request class with `change`.
     fn tally(&self, traffic: &Traffic, change: impl FnOnce(&mut Tally)) {
         change(
             self.tallies
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Sends a list to all followers, and forgets those that have disconnected.
+    /// Sends a list to all followers, and removes followers that have disconnected.
     fn push(&self, list: &v1::EndpointList) {
         self.inner
             .followers
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -38,7 +38,7 @@
     pub cell: String,
     pub kind: String,
     pub does: Does,
-    /// The number of attempts that run at the same time.
+    /// The largest number of attempts that run at the same time; further ones wait in the queue.
     pub slots: usize,
     /// The number of attempts that may wait for a slot; further ones are rejected as overloaded.
     pub queue: usize,
@@ -71,13 +71,13 @@
     pub slow: f64,
     /// The engine accepts connections and calls, and answers none of them.
     pub mute: bool,
-    /// Each stream stalls after this many tokens.
+    /// The number of tokens after which each stream stalls; `None` if no stream stalls.
     pub stall_after: Option<u32>,
     /// The share of attempts that fail on arrival.
     pub fails: f64,
     /// The share of attempts that are reset, on arrival or in mid-stream.
     pub resets: f64,
-    /// Attempts of this request class are rejected as overloaded.
+    /// The request class whose attempts are rejected as overloaded; `None` if there is none.
     pub full_for: Option<String>,
     /// The extra delay of load reports. A report is older than [`EngineSpec::report_age`] by this time when it is sent.
     pub reports_late: Ms,
@@ -408,8 +408,8 @@
             / self.inner.process.borrow().troubles.slow
     }
 
-    /// Sleeps for as long as work of `work` milliseconds at full capacity takes. The capacity is read again every
-    /// [`WORK_STEP`], as it may change meanwhile.
+    /// Sleeps for the duration of a piece of work. `work` is its duration at full capacity. The capacity may change
+    /// during the work, so it is read again every [`WORK_STEP`].
     async fn work(&self, mut work: Ms) {
         while work > 0.0 {
             let capacity = self.capacity().max(1e-3);
@@ -999,7 +999,7 @@
         slot
     }
 
-    /// Adds to the numbers of waiting and running attempts that the load report states.
+    /// Changes the counts of waiting and running attempts, which load reports state, by these differences.
     fn adjust_counts(&self, waiting: isize, running: isize) {
         let mut process = self.engine.inner.process.borrow_mut();
         process.waiting = process.waiting.saturating_add_signed(waiting);
