--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -210,8 +210,8 @@
     attempts: Vec<AttemptId>,
     /// The engine that holds the KV state, and since when.
     held_at: Option<(String, Ms)>,
-    /// Whether the held state was reported as a violation.
-    reported: bool,
+    /// Whether a violation was reported because the KV state was left held at the engine for too long.
+    hold_reported: bool,
     /// The number of events that the client received.
     events_received: usize,
 }
@@ -243,7 +243,7 @@
     Killed,
     /// Killed because a stop exceeded its time limit.
     KilledInStop,
-    /// Ended by itself, told to or not.
+    /// Ended without being killed, whether or not it was told to stop.
     Ended,
 }
 
@@ -300,10 +300,12 @@
         }
     }
 
+    /// Counts one checked case of an invariant.
     fn count_case(&mut self, invariant: Invariant) {
         *self.report.cases.entry(invariant).or_insert(0) += 1;
     }
 
+    /// Adds a violation to the report.
     fn violated(&mut self, at: Ms, invariant: Invariant, what: String) {
         self.report.violations.push(Violation {
             at,
@@ -312,15 +314,16 @@
         });
     }
 
-    /// Counts one checked case of an invariant; `broken` describes the violation, if there is one.
-    fn check(&mut self, at: Ms, invariant: Invariant, broken: Option<String>) {
+    /// Counts one checked case of an invariant; `violation` describes the violation, if there is one.
+    fn check(&mut self, at: Ms, invariant: Invariant, violation: Option<String>) {
         self.count_case(invariant);
-        if let Some(what) = broken {
+        if let Some(what) = violation {
             self.violated(at, invariant, what);
         }
     }
 
-    /// Checks what is left open at the end of the soak and returns the report.
+    /// Ends the audit and returns the report. Checks for KV states that are still held, requests that were never
+    /// answered, and processes that became ready too late.
     pub fn finish(mut self, now: Ms) -> Report {
         self.check_held_states(now);
         let lost = self
@@ -366,7 +369,7 @@
         self.report
     }
 
-    /// Whether a request that its process owed an answer has not got one in time.
+    /// Whether a request is still unanswered after the time by which its process had to answer it.
     fn is_lost(&self, request: &Request, now: Ms) -> bool {
         let latest = request.due + self.rules.answer_grace + self.rules.deadline_allowance();
         !request.answered
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -103,7 +103,7 @@
     pub succeeded: u64,
     /// Successful tries whose first token came within the latency objective, counted from the start of the first try.
     pub in_time: u64,
-    /// Tries that the dispatcher rejected as safe to retry.
+    /// Tries that the dispatcher rejected. A rejection states that a retry is safe.
     pub rejected: u64,
     /// Tries that the dispatcher answered with a failure.
     pub failed: u64,
@@ -115,7 +115,7 @@
     pub unsent: u64,
     /// Microseconds from the start of a try to its first token.
     pub first_token: Histogram<u64>,
-    /// Microseconds between two successive token messages of a try.
+    /// Microseconds from one token message of a try to the next one.
     pub gap: Histogram<u64>,
     /// Token messages received in all tries.
     pub tokens: u64,
@@ -148,7 +148,7 @@
 pub enum End {
     /// The stream ended with a successful final answer.
     Succeeded,
-    /// The dispatcher rejected the request as safe to retry.
+    /// The dispatcher rejected the request. A rejection states that a retry is safe.
     Rejected {
         /// How long the dispatcher asks the client to wait before a retry.
         retry_after: Ms,
@@ -534,7 +534,9 @@
             let (clients, number) = (self.clone(), number);
             let seed = self.rng.borrow_mut().generate::<u64>();
             self.spawn_request(async move {
-                clients.draw_and_run(number, WyRand::new_seed(seed)).await
+                clients
+                    .run_drawn_request(number, WyRand::new_seed(seed))
+                    .await
             });
         }
     }
@@ -549,8 +551,8 @@
         });
     }
 
-    /// Draws the parameters of a request and runs it.
-    async fn draw_and_run(&self, number: u64, mut rng: WyRand) {
+    /// Draws the parameters of a request at random, and sends the request.
+    async fn run_drawn_request(&self, number: u64, mut rng: WyRand) {
         let mut remaining_weight =
             uniform(&mut rng) * self.habits.traffic.iter().map(|t| t.share).sum::<f64>();
         let traffic = self.habits.traffic.iter().find(|t| {
@@ -687,7 +689,7 @@
         }
     }
 
-    /// Updates the counters of a request class.
+    /// Changes the counters of a request class with `change`.
     fn tally(&self, traffic: &Traffic, change: impl FnOnce(&mut Tally)) {
         change(
             self.tallies
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -38,7 +38,7 @@
     pub cell: String,
     pub kind: String,
     pub does: Does,
-    /// The number of attempts that run at the same time.
+    /// The largest number of attempts that run at the same time; further ones wait in the queue.
     pub slots: usize,
     /// The number of attempts that may wait for a slot; further ones are rejected as overloaded.
     pub queue: usize,
@@ -58,7 +58,7 @@
     pub hold: Ms,
     /// The age of a load report when it is sent.
     pub report_age: Ms,
-    /// The largest relative error of a reported figure, such as 0.1 for 10 %.
+    /// The largest share by which a figure in a load report errs, upwards or downwards; 0.1 is 10 %.
     pub report_noise: f64,
     /// The smallest length of an answer, as a share of the largest number of tokens that the request allows.
     pub answer_share: f64,
@@ -71,15 +71,15 @@
     pub slow: f64,
     /// The engine accepts connections and calls, and answers none of them.
     pub mute: bool,
-    /// Each stream stalls after this many tokens.
+    /// The number of tokens after which each stream stalls; `None` if no stream stalls.
     pub stall_after: Option<u32>,
     /// The share of attempts that fail on arrival.
     pub fails: f64,
     /// The share of attempts that are reset, on arrival or in mid-stream.
     pub resets: f64,
-    /// Attempts of this request class are rejected as overloaded.
+    /// The request class whose attempts are rejected as overloaded; `None` if there is none.
     pub full_for: Option<String>,
-    /// How much older than [`EngineSpec::report_age`] load reports are when they are sent.
+    /// The extra delay of load reports. A report is older than [`EngineSpec::report_age`] by this time when it is sent.
     pub reports_late: Ms,
     /// All new attempts are rejected as overloaded.
     pub draining: bool,
@@ -340,7 +340,7 @@
         self.inner.changed.notify_waiters();
     }
 
-    /// Drops all cached prompt prefixes; held KV states stay.
+    /// Empties the cache of prompt prefixes, so that later prompts are prefilled in full; held KV states stay.
     pub fn forget_texts(&self) {
         self.inner.process.borrow_mut().cached_prefixes.clear();
     }
@@ -408,8 +408,8 @@
             / self.inner.process.borrow().troubles.slow
     }
 
-    /// Sleeps for as long as work of `work` milliseconds at full capacity takes. The capacity is read again every
-    /// [`WORK_STEP`], as it may change meanwhile.
+    /// Sleeps for the duration of a piece of work. `work` is its duration at full capacity. The capacity may change
+    /// during the work, so it is read again every [`WORK_STEP`].
     async fn work(&self, mut work: Ms) {
         while work > 0.0 {
             let capacity = self.capacity().max(1e-3);
@@ -999,7 +999,7 @@
         slot
     }
 
-    /// Adds to the numbers of waiting and running attempts that the load report states.
+    /// Changes the counts of waiting and running attempts, which load reports state, by these differences.
     fn adjust_counts(&self, waiting: isize, running: isize) {
         let mut process = self.engine.inner.process.borrow_mut();
         process.waiting = process.waiting.saturating_add_signed(waiting);
