--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -36,7 +36,7 @@
 const WARNING_INTERVAL_MS: Ms = 10_000.0;
 /// The time between two readings of the dispatcher's health.
 const HEALTH_INTERVAL_MS: Ms = 100.0;
-/// The pause after a failure to accept a connection.
+/// The time until the driver accepts connections again after accepting one has failed.
 const ACCEPT_RETRY_MS: Ms = 100.0;
 /// The maximum time for which a stopping driver waits until its last requests are sent.
 const MAX_FINAL_SEND_MS: Ms = 50.0;
@@ -210,7 +210,8 @@
         self.state.member.borrow().counts().clone()
     }
 
-    /// The number of invalid messages and of connections without a valid greeting, dropped since the start.
+    /// The number of invalid messages and of connections without a valid greeting that this driver has dropped since it
+    /// was created.
     pub fn dropped(&self) -> u64 {
         self.state.dropped_messages.get()
     }
@@ -315,7 +316,7 @@
             if now >= health_due_at {
                 health_due_at = now + HEALTH_INTERVAL_MS;
                 self.update_health();
-                self.close_idle_connections(now);
+                self.remove_expired_requests_and_idle_connections(now);
             }
             let member_due_at = self.state.member.borrow().next_call_at();
             let fires_at = member_due_at.min(health_due_at);
@@ -328,7 +329,7 @@
     }
 
     /// Closes idle connections, and cancels requests that have timed out, so that neither side keeps state for them.
-    fn close_idle_connections(&self, now: Ms) {
+    fn remove_expired_requests_and_idle_connections(&self, now: Ms) {
         let longest_wait = 2.0 * self.state.settings.request_timeout;
         let mut peers = self.state.peers.borrow_mut();
         peers.retain(|_, peer| {
@@ -517,7 +518,7 @@
                 self.state.last_warning_at.set(now);
                 tracing::warn!(
                     dropped,
-                    "dropped invalid fleet messages or connections; the count is since the start"
+                    "dropped invalid fleet messages or connections; `dropped` is the total since this process started"
                 );
             }
         }
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -24,7 +24,8 @@
     /// An I/O error if the work cannot be started.
     fn begin(&mut self, term: Term) -> io::Result<()>;
 
-    /// How the work ended by itself: `Some(true)` after success, `Some(false)` after failure, `None` while it runs.
+    /// How the work ended if it was not told to end: `Some(true)` after success, `Some(false)` after failure, `None`
+    /// while it runs.
     ///
     /// # Errors
     /// An I/O error if it cannot be determined whether the work has ended.
@@ -36,7 +37,7 @@
     /// An I/O error if the work could not be ended.
     fn end(&mut self, by: Ms) -> impl Future<Output = io::Result<()>>;
 
-    /// Reports why the lease is not held yet; `reason` is a text for people. Called at most once, after the first
+    /// Reports why the lease is not held yet; `reason` is human-readable. Called at most once, after the first
     /// request that got no reply.
     fn report_waiting(&mut self, reason: &str);
 }
@@ -44,13 +45,13 @@
 /// How a job ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// The work ended by itself. The value tells whether it succeeded.
+    /// The work ended without being told to. The value is true if it succeeded.
     ByItself(bool),
     /// The caller of [`Job::run`] stopped the job.
     Stopped,
-    /// A dispatcher refused the lease. The value is the reason in words.
+    /// A dispatcher refused the lease. The value is the human-readable reason.
     Refused(String),
-    /// The work was ended because the lease was lost or not renewed. The value is the reason in words.
+    /// The work was ended because the lease was lost or not renewed. The value is the human-readable reason.
     Lost(String),
 }
 
--- a/crates/fleet/tests/driver.rs
+++ b/crates/fleet/tests/driver.rs
@@ -2,7 +2,7 @@
 //!
 //! The members elect a membership leader and keep it. A full disk stops only its own voter from answering; with two
 //! full disks no lease is renewed. Members of another fleet, bytes that do not follow the protocol and calls without a
-//! question are refused, and the fleet goes on.
+//! question are refused, and the fleet keeps its leader.
 
 use cindercleat::coordination::lease::LeaseSettings;
 use cindercleat::coordination::member::{
@@ -61,7 +61,7 @@
     }
 }
 
-/// A dispatcher that is always ready.
+/// Reports a fixed utilization of 10 % and no outcomes, and ignores permits to restart.
 struct ReadyDispatcher;
 
 impl Dispatcher for ReadyDispatcher {
@@ -253,7 +253,7 @@
         fleet.wait(2_000.0).await;
         assert!(
             dropped() >= dropped_before + 2,
-            "the noise and the call without a question are counted as dropped: {dropped_before} before, {} now",
+            "the invalid bytes and the call without a question are counted as dropped: {dropped_before} before, {} now",
             dropped()
         );
         assert_eq!(fleet.holders(), 1, "the leader keeps its lease");
--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// A dispatcher that is always ready.
+/// Reports a fixed utilization of 10 % and no outcomes, and ignores permits to restart.
 struct ReadyDispatcher;
 
 impl Dispatcher for ReadyDispatcher {
@@ -212,7 +212,7 @@
             assert_eq!(
                 must_end_by.get(),
                 None,
-                "renewal lost after {twentieths}/20 of the lease: the work goes on"
+                "renewal lost after {twentieths}/20 of the lease: the work continues"
             );
             stop.notify_one();
             assert_eq!(
@@ -226,7 +226,7 @@
 }
 
 /// Two consecutive writes of a voter fit into the answer timeout. Two holders that renew their leases with the same
-/// voters therefore both succeed in time, and the work goes on.
+/// voters therefore both succeed in time, and the work continues.
 #[test]
 fn permanently_slow_disks_do_not_end_the_work() {
     for fraction in [0.1, 0.2, 0.3, 0.4] {
@@ -239,7 +239,7 @@
             assert_eq!(
                 must_end_by.get(),
                 None,
-                "writes take {fraction} of the answer timeout: the work goes on"
+                "writes take {fraction} of the answer timeout: the work continues"
             );
             stop.notify_one();
             assert_eq!(job.await.expect("the job ends"), JobOutcome::Stopped);
--- a/src/coordination/fault_injection.rs
+++ b/src/coordination/fault_injection.rs
@@ -6,7 +6,7 @@
 pub enum InjectedFault {
     /// An acceptor sends its answer before the state that the answer reports is durable.
     AnswerBeforeDurable,
-    /// A restarted process uses the same ballots as the process before it.
+    /// A restarted process reuses ballots of its previous incarnation.
     BallotReused,
     /// A holder measures its lease from the arrival of the answer instead of from its request.
     LeaseCountedFromAnswer,
@@ -27,13 +27,13 @@
     PromiseBroken,
     /// A proposer applies its command to an empty state instead of the newest accepted value.
     AcceptedValueIgnored,
-    /// A voter that lost its file still votes under its former identity.
+    /// A voter that lost its file still votes under the identity that the file contained.
     FileLossIgnored,
     /// A contender's wait for a lease includes time during which the contender's process was suspended.
     SleepCountedAsWait,
     /// Leases and timestamps stay valid although the clock was set back.
     ClockStepBackIgnored,
-    /// A permit is sent to its unit before the voters have chosen it.
+    /// A permit is sent to its unit before the voters have chosen the state that contains the permit.
     ToldBeforeAgreed,
     /// A permit that was issued but not acknowledged is issued again for another unit.
     TurnTwice,
--- a/src/coordination/job_lease.rs
+++ b/src/coordination/job_lease.rs
@@ -13,11 +13,11 @@
 const MAX_ASK_INTERVAL_MS: Ms = 50.0;
 /// The timeout of a request for a lease that is held, as a fraction of the lease duration.
 const ANSWER_TIMEOUT_FRACTION: f64 = 0.25;
-/// The work is told to end when this fraction of the lease is left. Dispatchers begin to renew a lease after a third of
-/// its duration, and a proposal that the voters do not answer in time takes up to a fifth of the duration. One failed
-/// proposal and a successful retry therefore fit in before the work has to end.
+/// The work is told to end when only this fraction of the lease duration remains. Dispatchers begin to renew a lease
+/// after a third of its duration, and a proposal that the voters do not answer in time takes up to a fifth of the
+/// duration. One failed proposal and a successful retry therefore complete before the work has to end.
 const END_FRACTION: f64 = 0.25;
-/// Work that still runs is killed when this fraction of the lease is left.
+/// Work that still runs is killed when only this fraction of the lease duration remains.
 const KILL_FRACTION: f64 = 0.1;
 
 /// The lease of a job, measured on the job's own clock. All times are in milliseconds.
--- a/src/coordination/member/acceptor.rs
+++ b/src/coordination/member/acceptor.rs
@@ -15,7 +15,7 @@
     NotConfigured,
     /// The file was loaded, or did not exist and is to be created.
     Usable,
-    /// The file cannot be trusted, so the member does not vote. The value is the reason in words.
+    /// The file cannot be trusted, so the member does not vote. The value is the human-readable reason.
     Unusable(String),
 }
 
@@ -272,10 +272,11 @@
         }
     }
 
-    /// Handles the answer of the voter `by`, which knows of `writes` writes of this voter's file.
+    /// Handles the answer of the voter `by`, which knows the write count `writes` for this voter's file.
     ///
     /// Guards against an outdated file, see [`Acceptor::detect_outdated_file`]: the acceptor votes again once all
-    /// voters have confirmed its file, or a majority has confirmed it and a lease duration has passed since the start.
+    /// voters have confirmed its file, or a majority has confirmed it and a lease duration has passed since the process
+    /// started.
     pub(super) fn write_count_received(&mut self, by: Name, writes: u64, out: &mut Vec<Output>) {
         let Some(acceptor) = &mut self.acceptor else {
             return;
@@ -287,7 +288,7 @@
             return self.discard_outdated_file(out);
         }
         self.confirmed_by.push(by);
-        if self.file_is_confirmed() {
+        if self.enough_voters_confirmed_file() {
             if let Some(acceptor) = &mut self.acceptor {
                 acceptor.votes = true;
             }
@@ -295,7 +296,8 @@
         }
     }
 
-    fn file_is_confirmed(&self) -> bool {
+    /// Whether enough voters have confirmed that the acceptor's file is not outdated.
+    fn enough_voters_confirmed_file(&self) -> bool {
         let state = self.acceptor.as_ref().map(|acceptor| &acceptor.state);
         let accepted = state.and_then(|state| state.accepted.as_ref());
         let bootstrap = state.and_then(|state| state.bootstrap.as_ref());
@@ -310,7 +312,7 @@
             return true;
         }
         // A majority is enough only after the other voters have had time to answer: a voter that has missed messages
-        // may not know of the newest writes.
+        // may not know the newest write count.
         let has_waited = self.now - self.started_at >= self.settings.lease.lease;
         has_waited && voters.has_quorum(has_confirmed)
     }
@@ -334,8 +336,8 @@
         self.try_bootstrap(of, voter_state.voter_id, out);
     }
 
-    /// Bootstraps the fleet: a voter without a bootstrap or a promise makes the voters in the settings the first
-    /// voters, once it knows the identities of all of them.
+    /// Bootstraps the fleet: a voter that has neither a bootstrap nor a promise stores the voters in the settings
+    /// as the fleet's initial voters. This happens once the voter knows the identities of all of them.
     ///
     /// Guards against two different bootstraps, as two sets of voters would choose values independently. A voter adopts
     /// a bootstrap that another voter has made. The voter then votes if the bootstrap contains its identity, and
@@ -380,7 +382,7 @@
         self.save_acceptor(out);
     }
 
-    /// The voters of the settings with their identities; `None` until all identities are known.
+    /// The voters in the settings with their identities, as the initial voters; `None` until all identities are known.
     fn bootstrap_voters(&self, own_id: VoterId) -> Option<BTreeMap<Name, VoterRecord>> {
         let record = |(name, address): (&Name, &Address)| {
             let voter_id = match *name == self.settings.own_name {
--- a/src/coordination/member/messages.rs
+++ b/src/coordination/member/messages.rs
@@ -64,32 +64,32 @@
 /// A member's answer to a [`MemberRequest`]. Each kind of request has one kind of answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Answers [`Question::Vote`] with a promise, an acceptance or a refusal.
+    /// Answers [`MemberRequest::Vote`] with a promise, an acceptance or a refusal.
     Vote(AcceptorReply),
-    /// Answers [`Question::VoterState`] with the voter's identity and the value that it accepted last.
+    /// Answers [`MemberRequest::VoterState`] with the voter's identity and the value that it accepted last.
     VoterState(VoterState),
-    /// Answers [`Question::WriteCount`] with the number of writes that the receiver knows of.
+    /// Answers [`MemberRequest::WriteCount`] with the write count that the receiver knows.
     WriteCount {
         /// The highest write count that the receiver knows; 0 if it knows none.
         writes: u64,
     },
-    /// Answers [`Question::Heartbeat`], and names the membership leader if the receiver knows it.
+    /// Answers [`MemberRequest::Heartbeat`], and names the membership leader if the receiver knows it.
     Heartbeat(HeartbeatReply),
     /// Confirms the receipt of [`MemberRequest::LeaseOffer`].
     Done,
-    /// Answers [`Question::FencedCommand`] with the receiver's decision and a new timestamp.
+    /// Answers [`MemberRequest::FencedCommand`] with the receiver's decision and a new timestamp.
     FencingDecision {
         /// Whether the command was executed, or why it was refused.
         verdict: FencingDecision,
         /// The receiver's timestamp, which the sender attaches to its next command.
         receiver_timestamp: ReceiverTimestamp,
     },
-    /// Answers [`Question::AskBack`], and tells whether the permit could be revoked.
+    /// Answers [`MemberRequest::RevokePermit`], and states whether the permit was revoked.
     RevocationResult {
         /// Whether the disruption has begun, so that the permit cannot be revoked.
         begun: bool,
     },
-    /// Answers [`Question::Operator`]; the reply may redirect the operator to another member.
+    /// Answers [`MemberRequest::Operator`]; the reply may redirect the operator to another member.
     Reply(Reply),
 }
 
@@ -100,7 +100,7 @@
     pub voter_id: Option<VoterId>,
     /// Whether the voter answers proposers now.
     pub is_voting: bool,
-    /// The first voters of the fleet according to the voter's file; `None` if the file does not state them.
+    /// The initial voters of the fleet, as the voter's file stores them; `None` if the file does not contain them.
     pub bootstrap: Option<Voters>,
     /// The value that the voter accepted last, with its ballot; `None` if it has accepted no value.
     pub newest: Option<(Ballot, ReplicatedState)>,
@@ -135,7 +135,7 @@
 /// The error for a voter's file that exists and cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnusableFile {
-    /// The reason in words, as logs and operators' tools show it.
+    /// The human-readable reason, as logs and operators' tools show it.
     pub reason: String,
 }
 
@@ -150,7 +150,7 @@
 /// An event that the driver passes to [`Member::handle`](super::Member::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The voter's file as it was read at the start; `Ok(None)` if the file does not exist.
+    /// The result of reading the voter's file when the process started; `Ok(None)` if the file does not exist.
     Loaded(Result<Option<AcceptorState>, UnusableFile>),
     /// A write of the voter's file has ended.
     Saved {
@@ -179,7 +179,7 @@
     Engines(Vec<Unit>),
     /// No event occurred, but time has passed: the member handles the timers that are due.
     Tick,
-    /// The process is to end: the member hands over its leases and acquires no more.
+    /// The process is shutting down: the member hands over its leases and acquires no further leases.
     Stop,
 }
 
@@ -209,7 +209,7 @@
         /// The new content of the file.
         state: Box<AcceptorState>,
     },
-    /// Report that the member has begun or ceased to hold a lease.
+    /// Report that the member has acquired a lease or no longer holds it.
     LeaseChanged {
         /// The lease that was acquired, released or lost.
         lease_name: LeaseName,
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/member/mod.rs
@@ -85,7 +85,7 @@
     proposal: Option<ProposalInFlight>,
     /// No proposal begins before this time; set after a proposal that conflicted or was rejected.
     next_proposal_at: Ms,
-    conflicts_in_a_row: u32,
+    consecutive_conflicts: u32,
     pending_commands: Vec<PendingCommand>,
 
     // Fields for the leases that this member holds or contends for, and for jobs.
@@ -146,7 +146,7 @@
             highest_round: 0,
             proposal: None,
             next_proposal_at: 0.0,
-            conflicts_in_a_row: 0,
+            consecutive_conflicts: 0,
             pending_commands: Vec::new(),
             lease_observers: BTreeMap::new(),
             held_leases: BTreeMap::new(),
@@ -242,7 +242,7 @@
             .map(|(lease_name, held)| (lease_name, held.term))
     }
 
-    /// The number of events of each kind since the start, by event name.
+    /// The number of events of each kind since this process started, by event name.
     pub fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -9,12 +9,13 @@
 use crate::coordination::state::{CommandError, LeaseRecord, MAX_VOTERS};
 use nanorand::Rng;
 
-/// The shortest wait after a conflict, as a fraction of the lease duration.
+/// The minimum of the average wait after the first of consecutive conflicts, as a fraction of the lease duration.
 ///
 /// Guards against proposers that keep interrupting each other so that none of them reaches a majority. Each proposer
 /// waits for a longer, random time after each consecutive conflict, so that one of them succeeds.
 const CONFLICT_BACKOFF_FRACTION: f64 = 0.01;
-/// The wait doubles with each consecutive conflict, at most this many times.
+/// The maximum number of doublings of the wait after conflicts. The wait doubles with each consecutive conflict until
+/// this number is reached.
 const CONFLICT_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// The reason for proposing a command, which determines how the outcome is handled.
@@ -353,7 +354,7 @@
         let ballot = ended.proposal.ballot;
         match outcome {
             ProposalOutcome::Chosen(value) => {
-                self.conflicts_in_a_row = 0;
+                self.consecutive_conflicts = 0;
                 self.count("agreed");
                 let chosen = self.chosen.as_ref();
                 if chosen.is_none_or(|chosen| chosen.version < value.version) {
@@ -363,7 +364,7 @@
                 self.observe_state(Some(ballot), value);
             }
             ProposalOutcome::Rejected(error, base) => {
-                self.conflicts_in_a_row = 0;
+                self.consecutive_conflicts = 0;
                 self.count("refused");
                 self.command_rejected(ended.reason, error, out);
                 // A majority returned `base` under this ballot, so `base` is newer than any value seen before.
@@ -384,13 +385,13 @@
     /// Delays the next proposal after a conflict. On average the delay is at least as long as the failed proposal took.
     /// The competing proposal takes about as long, and a new proposal during that time would only interrupt it.
     fn back_off(&mut self, begun_at: Ms) {
-        let doublings = self.conflicts_in_a_row.min(CONFLICT_BACKOFF_DOUBLINGS);
+        let doublings = self.consecutive_conflicts.min(CONFLICT_BACKOFF_DOUBLINGS);
         let jitter: f64 = self.rng.generate();
         let proposal_duration = self.now - begun_at;
-        let shortest = CONFLICT_BACKOFF_FRACTION * self.settings.lease.lease;
-        let wait = proposal_duration.max(shortest * f64::from(doublings).exp2());
+        let min_wait = CONFLICT_BACKOFF_FRACTION * self.settings.lease.lease;
+        let wait = proposal_duration.max(min_wait * f64::from(doublings).exp2());
         self.next_proposal_at = self.now + wait * (0.5 + jitter);
-        self.conflicts_in_a_row += 1;
+        self.consecutive_conflicts += 1;
     }
 
     fn command_chosen(
--- a/src/coordination/member/settings.rs
+++ b/src/coordination/member/settings.rs
@@ -21,7 +21,7 @@
     pub zone: String,
     /// The version that this member runs, or another label that its operators chose.
     pub label: String,
-    /// The addresses of the fleet's first voters, by name. A member also asks them who the present voters are.
+    /// The addresses of the fleet's initial voters, by name. A member also queries them for the present voters.
     pub voters: BTreeMap<Name, Address>,
     /// Whether this member has a voter's file and may become a voter.
     pub may_vote: bool,
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -131,19 +131,19 @@
         }
     }
 
-    /// The time between two heartbeats of a member, in milliseconds: `shortest`, the configured interval, or a longer
-    /// time in a large fleet.
-    pub fn heartbeat_interval(&self, shortest: Ms) -> Ms {
-        shortest.max(self.members.len() as f64 * 1000.0 / MAX_HEARTBEATS_PER_SECOND)
+    /// The time between two heartbeats of a member, in milliseconds. `min_interval` is the configured interval; the time
+    /// is longer in a large fleet.
+    pub fn heartbeat_interval(&self, min_interval: Ms) -> Ms {
+        min_interval.max(self.members.len() as f64 * 1000.0 / MAX_HEARTBEATS_PER_SECOND)
     }
 
-    /// Records a heartbeat that arrived at `now`. `shortest` is the configured heartbeat interval; both are in
+    /// Records a heartbeat that arrived at `now`. `min_interval` is the configured heartbeat interval; both are in
     /// milliseconds.
-    pub fn heartbeat_received(&mut self, now: Ms, mut heartbeat: Heartbeat, shortest: Ms) {
+    pub fn heartbeat_received(&mut self, now: Ms, mut heartbeat: Heartbeat, min_interval: Ms) {
         for report in std::mem::take(&mut heartbeat.reports) {
             self.record_report(now, report);
         }
-        let dead_after = DEAD_AFTER_HEARTBEATS * self.heartbeat_interval(shortest);
+        let dead_after = DEAD_AFTER_HEARTBEATS * self.heartbeat_interval(min_interval);
         if let Some(member) = self.members.get_mut(&heartbeat.sender.name) {
             let is_new_process =
                 member.heartbeat.sender.incarnation != heartbeat.sender.incarnation;
@@ -188,9 +188,9 @@
         self.engines.get(name)
     }
 
-    /// The status of a member at `now`. `shortest` is the configured heartbeat interval; both are in milliseconds.
-    pub fn member_status(&self, now: Ms, member: &Member, shortest: Ms) -> MemberStatus {
-        let interval = self.heartbeat_interval(shortest);
+    /// The status of a member at `now`. `min_interval` is the configured heartbeat interval; both are in milliseconds.
+    pub fn member_status(&self, now: Ms, member: &Member, min_interval: Ms) -> MemberStatus {
+        let interval = self.heartbeat_interval(min_interval);
         let silent_for = now - member.last_heartbeat_at;
         let is_suspected = silent_for > SUSPECTED_AFTER_HEARTBEATS * interval;
         let has_stopped = member.heartbeat.stopping && is_suspected;
@@ -216,21 +216,21 @@
         member.map(|member| &member.heartbeat.sender.address)
     }
 
-    /// The number of members by status at `now`. `shortest` is the configured heartbeat interval; both are in
+    /// The number of members by status at `now`. `min_interval` is the configured heartbeat interval; both are in
     /// milliseconds.
-    pub fn counts(&self, now: Ms, shortest: Ms) -> BTreeMap<MemberStatus, u32> {
+    pub fn counts(&self, now: Ms, min_interval: Ms) -> BTreeMap<MemberStatus, u32> {
         let mut counts = BTreeMap::new();
         for member in self.members.values() {
-            let status = self.member_status(now, member, shortest);
+            let status = self.member_status(now, member, min_interval);
             *counts.entry(status).or_insert(0) += 1;
         }
         counts
     }
 
     /// Ranks the possible next holders of these leases and removes members that have long been dead, at most once per
-    /// heartbeat interval. `now` and `shortest`, the configured heartbeat interval, are in milliseconds.
-    pub fn rank_successors(&mut self, now: Ms, shortest: Ms, leases: &[RankedLease]) {
-        let interval = self.heartbeat_interval(shortest);
+    /// heartbeat interval. `now` and `min_interval`, the configured heartbeat interval, are in milliseconds.
+    pub fn rank_successors(&mut self, now: Ms, min_interval: Ms, leases: &[RankedLease]) {
+        let interval = self.heartbeat_interval(min_interval);
         if self.ranked_at.is_some_and(|at| now - at < interval) {
             return;
         }
@@ -243,7 +243,7 @@
                 &lease.lease_name,
                 lease.preferred_zone.as_deref(),
                 lease.holder.as_ref(),
-                self.candidates(now, shortest),
+                self.candidates(now, min_interval),
             );
             (lease.lease_name.clone(), ranks)
         };
@@ -251,10 +251,10 @@
     }
 
     /// The members that may hold a lease next: those with the status `Alive` or `Returned`.
-    fn candidates(&self, now: Ms, shortest: Ms) -> impl Iterator<Item = (&Name, Candidate)> {
+    fn candidates(&self, now: Ms, min_interval: Ms) -> impl Iterator<Item = (&Name, Candidate)> {
         let is_alive = move |member: &Member| {
             matches!(
-                self.member_status(now, member, shortest),
+                self.member_status(now, member, min_interval),
                 MemberStatus::Alive | MemberStatus::Returned
             )
         };
--- a/src/coordination/register/acceptor.rs
+++ b/src/coordination/register/acceptor.rs
@@ -19,7 +19,7 @@
     pub name: Name,
     /// The voter's identity, drawn at random when its file was created.
     pub voter_id: VoterId,
-    /// The first voters of the fleet; `None` until the identities of all of them are known.
+    /// The initial voters of the fleet; `None` until the identities of all of them are known.
     pub bootstrap: Option<Voters>,
     /// The highest ballot that was promised; requests with lower ballots are refused. `None` before the first promise.
     pub promised: Option<Ballot>,
