--- a/crates/fleet/src/driver.rs
+++ b/crates/fleet/src/driver.rs
@@ -184,8 +184,11 @@
             }
         }
         // The connections stay open a little longer, so that the lease offer to the named successor is sent.
-        let send_time = state.settings.request_timeout.min(MAX_FINAL_SEND_MS);
-        state.clock.sleep_until(state.clock.now() + send_time).await;
+        let final_send_ms = state.settings.request_timeout.min(MAX_FINAL_SEND_MS);
+        state
+            .clock
+            .sleep_until(state.clock.now() + final_send_ms)
+            .await;
         accept_task.abort();
         timer_task.abort();
         state
@@ -330,11 +333,11 @@
 
     /// Closes idle connections, and cancels requests that have timed out, so that neither side keeps state for them.
     fn remove_expired_requests_and_idle_connections(&self, now: Ms) {
-        let longest_wait = 2.0 * self.state.settings.request_timeout;
+        let max_answer_wait = 2.0 * self.state.settings.request_timeout;
         let mut peers = self.state.peers.borrow_mut();
         peers.retain(|_, peer| {
             peer.unanswered.borrow_mut().retain(|stream, (_, sent_at)| {
-                let is_awaited = now - *sent_at <= longest_wait;
+                let is_awaited = now - *sent_at <= max_answer_wait;
                 if !is_awaited {
                     peer.out.send(frame(*stream, Body::Cancel(v1::Cancel {})));
                 }
@@ -465,10 +468,10 @@
             .peers
             .borrow_mut()
             .insert(to.clone(), peer.clone());
-        let oldest = self.state.clock.now() - self.state.settings.request_timeout;
+        let min_queued_at = self.state.clock.now() - self.state.settings.request_timeout;
         for request in queue
             .into_iter()
-            .filter(|queued| queued.queued_at >= oldest)
+            .filter(|queued| queued.queued_at >= min_queued_at)
         {
             self.send_on_connection(&peer, request.id, request.call);
         }
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -71,7 +71,7 @@
 
 /// The next action of a job after a reply was handled.
 enum NextStep {
-    AskAgain,
+    RequestLeaseAgain,
     End(JobOutcome),
 }
 
@@ -100,7 +100,7 @@
                 let next = self
                     .handle_reply(asked_at, &reply, &mut lease, work)
                     .await?;
-                if let NextStep::AskAgain = next {
+                if let NextStep::RequestLeaseAgain = next {
                     let wait = lease
                         .as_ref()
                         .map_or(ACQUIRE_RETRY_MS, JobLease::ask_interval);
@@ -177,7 +177,7 @@
             Ok(_) | Err(_) => {}
         }
         let Some(held) = lease else {
-            return Ok(NextStep::AskAgain);
+            return Ok(NextStep::RequestLeaseAgain);
         };
         if held.is_running_out(self.clock.now()) {
             work.end(held.kill_at()).await?;
@@ -192,7 +192,7 @@
             self.release_lease().await;
             return Ok(NextStep::End(JobOutcome::ByItself(success)));
         }
-        Ok(NextStep::AskAgain)
+        Ok(NextStep::RequestLeaseAgain)
     }
 
     /// Releases the lease. If no dispatcher receives the request, the next holder waits until the lease has expired.
--- a/src/coordination/lease.rs
+++ b/src/coordination/lease.rs
@@ -159,12 +159,12 @@
     /// values meanwhile, and would acquire a lease that has been renewed. The time between two calls is not added if it
     /// is longer than two query intervals.
     pub fn count_time(&mut self, now: Ms, settings: &LeaseSettings) {
-        let passed = now - self.counted_until;
+        let elapsed = now - self.counted_until;
         self.counted_until = now;
-        let longest_step = MAX_STEP_QUERY_INTERVALS * settings.query_interval();
-        let was_running = (0.0..=longest_step).contains(&passed);
+        let max_step = MAX_STEP_QUERY_INTERVALS * settings.query_interval();
+        let was_running = (0.0..=max_step).contains(&elapsed);
         if was_running || is_injected(InjectedFault::SleepCountedAsWait) {
-            self.waited += passed;
+            self.waited += elapsed;
         }
     }
 
--- a/src/coordination/member/heartbeat.rs
+++ b/src/coordination/member/heartbeat.rs
@@ -39,12 +39,12 @@
 
     /// Handles another member's heartbeat. Members other than the leader answer with the leader that they know.
     pub(super) fn heartbeat_received(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
-        let (now, shortest) = (self.now, self.settings.heartbeat);
+        let (now, min_interval) = (self.now, self.settings.heartbeat);
         let is_leader = self.holds_membership_lease();
         let mut ranks = Vec::new();
         if let Some(membership) = self.membership.as_mut().filter(|_| is_leader) {
             let name = heartbeat.sender.name.clone();
-            membership.heartbeat_received(now, heartbeat, shortest);
+            membership.heartbeat_received(now, heartbeat, min_interval);
             let rank = membership.rank_of(&membership_lease(), &name);
             ranks.extend(rank.map(|rank| (membership_lease(), rank)));
         }
@@ -52,8 +52,8 @@
         HeartbeatReply {
             accepted: is_leader,
             holder: self.membership_leader.clone(),
-            next_heartbeat_in: membership.map_or(shortest, |membership| {
-                membership.heartbeat_interval(shortest)
+            next_heartbeat_in: membership.map_or(min_interval, |membership| {
+                membership.heartbeat_interval(min_interval)
             }),
             ranks,
         }
@@ -98,18 +98,18 @@
     }
 
     fn record_own_heartbeat(&mut self, heartbeat: Heartbeat) {
-        let (now, shortest) = (self.now, self.settings.heartbeat);
+        let (now, min_interval) = (self.now, self.settings.heartbeat);
         let preferred_zone = self.settings.preferred_zone.clone();
         let me = self.settings.own_name.clone();
         if let Some(membership) = &mut self.membership {
-            membership.heartbeat_received(now, heartbeat, shortest);
+            membership.heartbeat_received(now, heartbeat, min_interval);
             let lease = RankedLease {
                 lease_name: membership_lease(),
                 preferred_zone,
                 holder: Some(me),
             };
-            membership.rank_successors(now, shortest, &[lease]);
-            self.heartbeat_interval = membership.heartbeat_interval(shortest);
+            membership.rank_successors(now, min_interval, &[lease]);
+            self.heartbeat_interval = membership.heartbeat_interval(min_interval);
             self.next_heartbeat_at = now + self.heartbeat_interval;
         }
     }
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -222,9 +222,10 @@
                 unit,
                 incarnation,
             } => {
-                let is_mine = unit_kind == UnitKind::Dispatchers && unit == self.settings.own_name;
+                let is_own_unit =
+                    unit_kind == UnitKind::Dispatchers && unit == self.settings.own_name;
                 Answer::RevocationResult {
-                    begun: !is_mine || self.revoke_unless_begun(permit, incarnation),
+                    begun: !is_own_unit || self.revoke_unless_begun(permit, incarnation),
                 }
             }
         };
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -131,8 +131,8 @@
         }
     }
 
-    /// The time between two heartbeats of a member, in milliseconds. `min_interval` is the configured interval; the time
-    /// is longer in a large fleet.
+    /// The time between two heartbeats of a member, in milliseconds. `min_interval` is the configured interval; the
+    /// returned time is longer in a large fleet.
     pub fn heartbeat_interval(&self, min_interval: Ms) -> Ms {
         min_interval.max(self.members.len() as f64 * 1000.0 / MAX_HEARTBEATS_PER_SECOND)
     }
@@ -191,10 +191,10 @@
     /// The status of a member at `now`. `min_interval` is the configured heartbeat interval; both are in milliseconds.
     pub fn member_status(&self, now: Ms, member: &Member, min_interval: Ms) -> MemberStatus {
         let interval = self.heartbeat_interval(min_interval);
-        let silent_for = now - member.last_heartbeat_at;
-        let is_suspected = silent_for > SUSPECTED_AFTER_HEARTBEATS * interval;
+        let since_heartbeat = now - member.last_heartbeat_at;
+        let is_suspected = since_heartbeat > SUSPECTED_AFTER_HEARTBEATS * interval;
         let has_stopped = member.heartbeat.stopping && is_suspected;
-        if silent_for > DEAD_AFTER_HEARTBEATS * interval || has_stopped {
+        if since_heartbeat > DEAD_AFTER_HEARTBEATS * interval || has_stopped {
             MemberStatus::Dead
         } else if is_suspected {
             MemberStatus::Suspected
