--- a/crates/fleet/tests/job.rs
+++ b/crates/fleet/tests/job.rs
@@ -255,10 +255,10 @@
         let (_, job) = fleet.start_job(work).await;
         fleet.write_ms.set(f64::from(u32::MAX));
         let disks_stopped_at = fleet.clock.now();
-        let ended = job.await.expect("the job ends");
+        let outcome = job.await.expect("the job ends");
         assert!(
-            matches!(ended, JobOutcome::Lost(_)),
-            "the job ends as its lease was not renewed: {ended:?}"
+            matches!(outcome, JobOutcome::Lost(_)),
+            "the job ends as its lease was not renewed: {outcome:?}"
         );
         let lost_after = fleet.clock.now() - disks_stopped_at;
         assert!(
--- a/src/coordination/member/leases.rs
+++ b/src/coordination/member/leases.rs
@@ -11,9 +11,9 @@
 pub(super) struct LeaseHandover {
     pub(super) held: HeldLease,
     /// The named successor; `None` lets every contender acquire the lease.
-    pub(super) next: Option<Name>,
+    pub(super) successor: Option<Name>,
     /// The address of the named successor, which is notified of the release; `None` if the address is unknown.
-    pub(super) to: Option<Address>,
+    pub(super) successor_address: Option<Address>,
 }
 
 /// An operator's job, for which this member acquires and renews a lease.
@@ -115,7 +115,7 @@
     pub(super) fn hand_over(
         &mut self,
         lease_name: &LeaseName,
-        next: Option<Name>,
+        successor: Option<Name>,
         out: &mut Vec<Output>,
     ) {
         let Some(held) = self.held_leases.get(lease_name).copied() else {
@@ -126,9 +126,13 @@
             let known = membership.and_then(|membership| membership.address(name));
             known.or(self.settings.voters.get(name))
         };
-        let to = next.as_ref().and_then(address_of).cloned();
+        let successor_address = successor.as_ref().and_then(address_of).cloned();
         self.drop_lease(lease_name, out);
-        let handover = LeaseHandover { held, next, to };
+        let handover = LeaseHandover {
+            held,
+            successor,
+            successor_address,
+        };
         self.handovers.insert(lease_name.clone(), handover);
     }
 
--- a/src/coordination/member/proposer.rs
+++ b/src/coordination/member/proposer.rs
@@ -103,7 +103,7 @@
             lease_name: lease_name.clone(),
             term: handover.held.term,
             holder: self.own_holder(),
-            next: handover.next.clone(),
+            next: handover.successor.clone(),
         };
         Some((ProposalReason::ResignLease(lease_name.clone()), command))
     }
@@ -409,7 +409,7 @@
             ProposalReason::ResignLease(lease_name) => {
                 let handover = self.handovers.remove(&lease_name);
                 self.count("handed over");
-                if let Some(to) = handover.and_then(|handover| handover.to) {
+                if let Some(to) = handover.and_then(|handover| handover.successor_address) {
                     let question = MemberRequest::LeaseOffer { lease_name };
                     self.send_request(to, question, RequestPurpose::OfferLease, out);
                 }
--- a/tests/voter.rs
+++ b/tests/voter.rs
@@ -44,7 +44,7 @@
 }
 
 /// The writes of the voter's file among the outputs.
-fn saves(out: &[Output]) -> Vec<(SaveId, AcceptorState)> {
+fn file_writes(out: &[Output]) -> Vec<(SaveId, AcceptorState)> {
     let save = |output: &Output| match output {
         Output::Save { number, state } => Some((*number, (**state).clone())),
         _ => None,
@@ -70,7 +70,7 @@
         out
     };
     let out = handle(&mut member, 0.0, Input::Loaded(Ok(None)));
-    let (number, state) = saves(&out)
+    let (number, state) = file_writes(&out)
         .pop()
         .expect("the file of a new voter is written");
     handle(
@@ -108,11 +108,11 @@
         [],
         "no answer is sent before the promise is durable"
     );
-    let (number, _) = saves(&out).pop().expect("the promise is written");
+    let (number, _) = file_writes(&out).pop().expect("the promise is written");
     for call in [2, 3] {
         let out = send_prepare(&mut member, 20.0 + call as f64, call);
         assert_eq!(
-            (answered_calls(&out), saves(&out).len()),
+            (answered_calls(&out), file_writes(&out).len()),
             (vec![], 0),
             "the copy waits for the write in flight"
         );
@@ -126,10 +126,10 @@
         },
     );
     assert_eq!(answered_calls(&out), [CallId(1), CallId(2), CallId(3)]);
-    assert_eq!(saves(&out).len(), 0, "no further write follows");
+    assert_eq!(file_writes(&out).len(), 0, "no further write follows");
     let out = send_prepare(&mut member, 40.0, 4);
     assert_eq!(
-        (answered_calls(&out), saves(&out).len()),
+        (answered_calls(&out), file_writes(&out).len()),
         (vec![CallId(4)], 0),
         "a durable promise is answered at once"
     );
