--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -24,7 +24,8 @@
     /// An I/O error if the work cannot be started.
     fn begin(&mut self, term: Term) -> io::Result<()>;
 
-    /// How the work ended by itself: `Some(true)` after success, `Some(false)` after failure, `None` while it runs.
+    /// How the work ended if it was not told to end: `Some(true)` after success, `Some(false)` after failure, `None`
+    /// while it runs.
     ///
     /// # Errors
     /// An I/O error if it cannot be determined whether the work has ended.
@@ -36,7 +37,7 @@
     /// An I/O error if the work could not be ended.
     fn end(&mut self, by: Ms) -> impl Future<Output = io::Result<()>>;
 
-    /// Reports why the lease is not held yet; `reason` is a text for people. Called at most once, after the first
+    /// Reports why the lease is not held yet; `reason` is human-readable. Called at most once, after the first
     /// request that got no reply.
     fn report_waiting(&mut self, reason: &str);
 }
@@ -44,13 +45,13 @@
 /// How a job ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// The work ended by itself. The value tells whether it succeeded.
+    /// The work ended without being told to. The value is true if it succeeded.
     ByItself(bool),
     /// The caller of [`Job::run`] stopped the job.
     Stopped,
-    /// A dispatcher refused the lease. The value is the reason in words.
+    /// A dispatcher refused the lease. The value is the human-readable reason.
     Refused(String),
-    /// The work was ended because the lease was lost or not renewed. The value is the reason in words.
+    /// The work was ended because the lease was lost or not renewed. The value is the human-readable reason.
     Lost(String),
 }
 
@@ -70,7 +71,7 @@
 
 /// The next action of a job after a reply was handled.
 enum NextStep {
-    AskAgain,
+    RequestLeaseAgain,
     End(JobOutcome),
 }
 
@@ -99,7 +100,7 @@
                 let next = self
                     .handle_reply(asked_at, &reply, &mut lease, work)
                     .await?;
-                if let NextStep::AskAgain = next {
+                if let NextStep::RequestLeaseAgain = next {
                     let wait = lease
                         .as_ref()
                         .map_or(ACQUIRE_RETRY_MS, JobLease::ask_interval);
@@ -176,7 +177,7 @@
             Ok(_) | Err(_) => {}
         }
         let Some(held) = lease else {
-            return Ok(NextStep::AskAgain);
+            return Ok(NextStep::RequestLeaseAgain);
         };
         if held.is_running_out(self.clock.now()) {
             work.end(held.kill_at()).await?;
@@ -191,7 +192,7 @@
             self.release_lease().await;
             return Ok(NextStep::End(JobOutcome::ByItself(success)));
         }
-        Ok(NextStep::AskAgain)
+        Ok(NextStep::RequestLeaseAgain)
     }
 
     /// Releases the lease. If no dispatcher receives the request, the next holder waits until the lease has expired.
