--- a/crates/dispatcher/tests/client_connection_ends.rs
+++ b/crates/dispatcher/tests/client_connection_ends.rs
@@ -149,7 +149,7 @@
         });
     }
 
-    /// Which of two simultaneous events the dispatcher sees first.
+    /// Which of two simultaneous events the test causes first.
     #[derive(Clone, Copy, Debug)]
     enum First {
         Deadline,
--- a/crates/dispatcher/tests/common/engines.rs
+++ b/crates/dispatcher/tests/common/engines.rs
@@ -78,8 +78,8 @@
     }
 }
 
-/// The engine connections on which `out` sends releases of the request `request_id`.
-pub fn releases_of(request_id: u64, out: &[Output]) -> Vec<EngineConnectionId> {
+/// The engine connections on which `out` sends releases of the request `request_id`: one entry for each release.
+pub fn connections_with_releases_of(request_id: u64, out: &[Output]) -> Vec<EngineConnectionId> {
     let release = |output: &Output| match output {
         Output::ToEngine {
             connection,
@@ -96,7 +96,7 @@
 
 /// Whether `out` sends a release of the request `request_id` to a responsive engine.
 pub fn release_arrives(harness: &Harness, request_id: u64, out: &[Output]) -> bool {
-    releases_of(request_id, out)
+    connections_with_releases_of(request_id, out)
         .into_iter()
         .any(|connection| !harness.is_unresponsive(connection))
 }
--- a/crates/dispatcher/tests/common/net.rs
+++ b/crates/dispatcher/tests/common/net.rs
@@ -18,8 +18,16 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, LocalSet};
 
+/// How a request of [`Net::run_request`] ended.
+pub struct RequestResult {
+    pub end: End,
+    /// The number of tokens that the client received.
+    pub tokens: u32,
+}
+
 /// The dispatcher's driver, its engines and its discovery service, as a test sees them.
 pub struct Net {
+    /// The in-memory transport of the dispatcher, its clients, the engines and discovery.
     pub memory: Memory,
     pub clock: TokioClock,
     pub driver: Driver<Memory, TokioClock>,
@@ -124,9 +132,8 @@
 }
 
 impl Net {
-    /// Sends a request as the client named `client`. Returns how the request ended and how many tokens the client
-    /// received.
-    pub async fn request(&self, client: &str) -> (End, u32) {
+    /// Sends a request as the client named `client` and waits for its final answer.
+    pub async fn run_request(&self, client: &str) -> RequestResult {
         let port = Port::new(
             client,
             "d",
@@ -138,7 +145,7 @@
         let end = port
             .run(common::submit("draft"), None, |t| tokens += t.count)
             .await;
-        (end, tokens)
+        RequestResult { end, tokens }
     }
 
     /// Sends raw bytes on a new connection. Returns whether the dispatcher closes the connection within 5 s.
--- a/crates/dispatcher/tests/discovery_changes.rs
+++ b/crates/dispatcher/tests/discovery_changes.rs
@@ -63,7 +63,7 @@
     #[test_case(WatchFailure::ConnectionClosesInAnswer; "connection closes in its answer")]
     #[test_case(WatchFailure::IsRejected; "is refused")]
     #[test_case(WatchFailure::IsUnreadable; "is unreadable")]
-    fn whose_watch_is_lost_is_called_again_and_its_list_kept(failure: WatchFailure) {
+    fn with_a_lost_watch_is_called_again_and_its_list_stays_in_use(failure: WatchFailure) {
         run(|net| async move {
             let mut call = net.take_watch();
             match failure {
@@ -119,7 +119,7 @@
 
     /// An overloaded discovery service refuses the watch that follows its list, and further calls. The next call
     /// requests the changes since the known list as part of the watch. Two calls, one for the complete list and one for
-    /// the watch, would each need a place in the service's queue, one right after the other.
+    /// the watch, would each need a place in the service's queue.
     #[test]
     fn that_is_overloaded_gets_one_call_for_changes_and_the_watch() {
         run_with(polled_discovery_limits(), &["r1", "w1"], |net| async move {
@@ -196,7 +196,7 @@
     /// engine to service. The dispatcher keeps the newer list and calls discovery again.
     #[test_case(true; "complete list")]
     #[test_case(false; "changes")]
-    fn that_sends_an_older_list_is_called_again_and_the_newer_one_kept(complete: bool) {
+    fn that_sends_an_older_list_is_called_again_and_the_newer_list_is_kept(complete: bool) {
         run(|net| async move {
             net.announce_endpoints(&[net.endpoint_json("w1", "draining")])
                 .await;
@@ -214,7 +214,7 @@
     }
 
     /// Discovery was reinstalled, and its revisions start again at 1. Each of its lists then has a lower revision than
-    /// the known list. If all were refused forever, no change would be applied again. Such a list is accepted after 3 s
+    /// the known list. If the dispatcher refused all of them, no further change would ever be applied. Such a list is accepted after 3 s
     /// at the earliest and within 6 s.
     #[test]
     fn that_restarts_its_revisions_is_accepted_after_3_to_6_s() {
@@ -249,7 +249,7 @@
     /// Discovery's address changes while the dispatcher serves. The old watch is closed, requests are served with
     /// the known list meanwhile, and the complete list is requested at the new address.
     #[test]
-    fn whose_address_changes_is_called_at_the_new_address_and_the_list_kept() {
+    fn with_a_new_address_is_called_there_and_the_known_list_stays_in_use() {
         run(|net| async move {
             let mut old = net.take_watch();
             let new_listener = tokio::net::TcpListener::bind("127.0.0.1:0")
--- a/crates/dispatcher/tests/dispatcher_state.rs
+++ b/crates/dispatcher/tests/dispatcher_state.rs
@@ -538,7 +538,7 @@
     );
 }
 
-/// Discovery cannot be reached at the start. The cached endpoints are used until discovery's first snapshot replaces
+/// Discovery cannot be reached when the dispatcher starts. The cached endpoints are used until discovery's first snapshot replaces
 /// them.
 #[test]
 fn cached_endpoints_are_used_until_discovery_sends_a_snapshot() {
@@ -645,8 +645,8 @@
     assert_eq!(released, ended);
 }
 
-/// Attempts cannot be cancelled, and a request reaches first its deadline and then the end of a stop's grace period
-/// with its attempt still open. It gets one answer.
+/// The policy forbids cancels, so an attempt stays open after its request's deadline and after the grace period of a
+/// stop. The request gets one answer.
 #[test]
 fn without_cancellation_a_late_request_is_answered_once_even_during_a_stop() {
     let mut settings = settings();
@@ -665,7 +665,7 @@
     assert_eq!(final_answers(&harness.out), [(1, Answer::Failed)]);
 }
 
-/// More requests come than the connections to an engine can carry. No connection beyond the limit is dialled, the
+/// More requests arrive than the connections to an engine can carry. No connection beyond the limit is dialled, the
 /// request without a stream is rejected in time, and idle connections are closed.
 #[test]
 fn connections_fill_up_before_another_is_dialled_and_idle_ones_are_closed() {
@@ -772,8 +772,8 @@
     assert!(dial(&out).is_some());
 }
 
-/// A prefill whose connection breaks may have ended with its report lost. Its KV state is released over the next
-/// connection to the engine, as the engine can receive no release before that.
+/// The connection of a prefill breaks. The prefill may have completed although its result is lost, so a KV state may
+/// exist. The state is released over the next connection to the engine, as no release can reach the engine earlier.
 #[test]
 fn the_state_of_a_prefill_with_a_lost_connection_is_released() {
     for request_class in ["draft", "proof"] {
--- a/crates/dispatcher/tests/driver.rs
+++ b/crates/dispatcher/tests/driver.rs
@@ -9,14 +9,15 @@
 use cindercleat_protocol::v1;
 use cindercleat_standin::client::{End, Port};
 use cindercleat_standin::engine::{Does, Engine};
-use net::{run, spec};
+use net::{run, spec, RequestResult};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
 
 #[test]
 fn a_request_is_served_from_end_to_end() {
     run(|net| async move {
-        assert_eq!(net.request("c").await, (End::Succeeded, 50));
+        let result = net.run_request("c").await;
+        assert_eq!((result.end, result.tokens), (End::Succeeded, 50));
         assert_eq!(net.driver.usage().requests, 0);
     });
 }
@@ -33,7 +34,7 @@
         }
         assert_eq!(net.driver.client_connections(), 0);
         assert_eq!(
-            net.request("c").await.0,
+            net.run_request("c").await.end,
             End::Succeeded,
             "other clients are served"
         );
@@ -85,7 +86,7 @@
             "the connection is closed after the greeting timeout"
         );
         assert_eq!(net.driver.client_connections(), 0);
-        assert_eq!(net.request("c").await.0, End::Succeeded);
+        assert_eq!(net.run_request("c").await.end, End::Succeeded);
     });
 }
 
@@ -105,13 +106,13 @@
         }
         net.clock.sleep_until(net.clock.now() + 10.0).await;
         assert_eq!(
-            net.request("c").await.0,
+            net.run_request("c").await.end,
             End::Unsent,
             "the limit of client connections is reached"
         );
         // The greeting timeout expires.
         net.clock.sleep_until(net.clock.now() + 1100.0).await;
-        assert_eq!(net.request("c").await.0, End::Succeeded);
+        assert_eq!(net.run_request("c").await.end, End::Succeeded);
         for mut stream in silent {
             let mut rest = Vec::new();
             let _ = stream.read_to_end(&mut rest).await;
@@ -140,7 +141,7 @@
             .start("at-w1", true)
             .await
             .expect("the address is free");
-        let (end, tokens) = net.request("c").await;
+        let RequestResult { end, tokens } = net.run_request("c").await;
         assert!(matches!(end, End::Rejected { .. }), "{end:?}");
         assert_eq!(tokens, 0);
         let sent = net
@@ -170,7 +171,7 @@
                 let _ = stream.write_all(&[0xff; 100]).await;
             }
         });
-        let (end, tokens) = net.request("c").await;
+        let RequestResult { end, tokens } = net.run_request("c").await;
         assert!(matches!(end, End::Rejected { .. } | End::Failed), "{end:?}");
         assert_eq!(tokens, 0);
         garbage_server.abort();
@@ -180,12 +181,12 @@
             .await
             .expect("the address is free");
         net.clock.sleep_until(net.clock.now() + 3000.0).await;
-        assert_eq!(net.request("c").await.0, End::Succeeded);
+        assert_eq!(net.run_request("c").await.end, End::Succeeded);
     });
 }
 
-/// A test with a seed can be repeated only if the dispatcher is deterministic: two equal runs give the same messages
-/// at the same instants.
+/// A test with a seed is repeatable only if the dispatcher is deterministic: two equal runs produce the same messages
+/// at the same times.
 #[test]
 fn the_same_run_twice_gives_the_same_transcript() {
     let run_once = || {
@@ -193,7 +194,7 @@
         let out = records.clone();
         run(|net| async move {
             for _ in 0..5 {
-                net.request("c").await;
+                net.run_request("c").await;
             }
             *out.borrow_mut() = net.transcript.records();
         });
--- a/crates/dispatcher/tests/engine_connection_ends.rs
+++ b/crates/dispatcher/tests/engine_connection_ends.rs
@@ -36,7 +36,7 @@
     /// Engines close idle connections just as the next request comes. Nothing was written on these connections, so
     /// even an at-most-once request is sent on a new connection, exactly once.
     #[test]
-    fn an_idle_connection_as_the_next_request_comes_gets_it_once_on_another() {
+    fn an_idle_connection_gets_the_next_request_once_on_a_new_connection() {
         for class in CLASSES {
             run(|net| async move {
                 let (prefill, decode) = open_idle_connections(&net).await;
@@ -62,8 +62,8 @@
     }
 
     /// A decode engine has received a complete request and closes the connection before the first event of its
-    /// answer is complete. The request may have run: an idempotent one is sent again, an at-most-once one gets 504
-    /// and is not sent again.
+    /// answer is complete. The request may have run: an idempotent request is sent again, an at-most-once request
+    /// gets 504 and is not sent again.
     #[test_case(""; "without a byte")]
     #[test_case("HTTP/1.1 200 OK\r\nContent-Ty"; "within a line of the head")]
     #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; "after the head")]
--- a/crates/dispatcher/tests/gone.rs
+++ b/crates/dispatcher/tests/gone.rs
@@ -1,5 +1,5 @@
-//! Clients that leave at each stage of their request. The dispatcher sends no attempt of the request after that, and
-//! releases the KV state that is held for the request.
+//! Clients that disconnect or cancel at each stage of their request. Afterwards the dispatcher sends no attempt of the
+//! request, and releases the KV state that is held for the request.
 
 mod common;
 
--- a/crates/dispatcher/tests/hard.rs
+++ b/crates/dispatcher/tests/hard.rs
@@ -196,7 +196,7 @@
     });
 }
 
-/// The deadline is varied over the times at which first tokens come. If a deadline and an answer were handled
+/// The test varies the deadline over the times at which first tokens arrive. If a deadline and an answer were handled
 /// independently, a request could get no final answer or two. Each request gets exactly one.
 #[test]
 fn a_final_answer_that_races_the_deadline_is_sent_once() {
@@ -370,7 +370,7 @@
             message_count < 400,
             "the client is disconnected early, not after {message_count} messages"
         );
-        assert_eq!(net.request("other").await.0, End::Succeeded);
+        assert_eq!(net.run_request("other").await.end, End::Succeeded);
         assert_nothing_left(&net).await;
         assert!(net.executed_keys().len() <= 1, "{:?}", net.executed_keys());
     });
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -207,8 +207,8 @@
     });
 }
 
-/// There is no decode engine. The request has not run, so the client gets a status that permits a retry, with the
-/// time to wait.
+/// No decode engine exists, so the request is rejected. The request has not run: the client gets a status that permits
+/// a retry, with the time to wait.
 #[test]
 fn a_rejection_is_unavailable_and_carries_a_retry_delay() {
     run(common::limits(), &["r1"], |fixture| async move {
@@ -234,8 +234,8 @@
     });
 }
 
-/// The limit of open requests is reached. The client gets a status that says so, with the time to wait, and nothing
-/// has run.
+/// The limit of open requests is reached, so a further request is rejected before it runs. The client gets the status
+/// RESOURCE_EXHAUSTED with the time to wait.
 #[test]
 fn the_limit_of_open_requests_is_resource_exhausted() {
     run(
@@ -263,7 +263,7 @@
 }
 
 /// A decode engine stalls in the middle of an answer. The request may have run, so the client gets a status and a
-/// pushback on which no gRPC library retries by itself.
+/// pushback that forbid an automatic retry by a gRPC library.
 #[test]
 fn a_failure_has_a_status_that_no_client_retries() {
     run(common::limits(), &["r1", "w1"], |fixture| async move {
@@ -279,7 +279,7 @@
     });
 }
 
-/// A field of a request is invalid. The status names the field, and nothing has run.
+/// A field of a request is invalid. The status names the field, and no engine has executed the request.
 #[test]
 fn an_invalid_argument_names_its_field() {
     run(common::limits(), &["r1", "w1"], |fixture| async move {
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -40,10 +40,11 @@
 
 #[derive(Clone)]
 struct Net {
+    /// The in-memory transport of the dispatcher, its clients, the engines and discovery.
     memory: Memory,
     clock: TokioClock,
     driver: Driver<Memory, TokioClock, Http1>,
-    /// The requests that engines have received, in order. Each entry is `engine: request-line id`.
+    /// The requests that engines have received, in order. Each entry has the form `engine: request-line id`.
     engine_requests: Rc<RefCell<Vec<String>>>,
     /// The current behaviour of the decode engine.
     decode_answer: Rc<Cell<DecodeAnswer>>,
@@ -147,7 +148,7 @@
 }
 
 /// Reads the next request with its body, and returns its head; `None` once the connection has ended.
-async fn request(io: &mut DuplexStream) -> Option<String> {
+async fn read_request(io: &mut DuplexStream) -> Option<String> {
     let mut text = Vec::new();
     loop {
         text.push(io.read_u8().await.ok()?);
@@ -177,7 +178,7 @@
         while let Ok(mut io) = listener.accept().await {
             let net = self.clone();
             spawn_local(async move {
-                while let Some(head) = request(&mut io).await {
+                while let Some(head) = read_request(&mut io).await {
                     let id = head
                         .lines()
                         .find_map(|line| line.strip_prefix("X-Txn: "))
@@ -234,7 +235,7 @@
         while let Ok(mut io) = listener.accept().await {
             let net = self.clone();
             spawn_local(async move {
-                while let Some(head) = request(&mut io).await {
+                while let Some(head) = read_request(&mut io).await {
                     net.discovery_calls.borrow_mut().push(name.to_owned());
                     let line = |id: &str, kind: &str| {
                         format!(
@@ -276,9 +277,9 @@
             .expect("dispatcher accepts connections")
     }
 
-    /// Sends a request on a new connection and returns the answer, up to its last chunk, the end of the connection
-    /// or 6 s.
-    async fn request(&self, id: &str, request_class: &str) -> String {
+    /// Sends a request on a new connection. Returns what is received until the last chunk of the answer, the end of the
+    /// connection, or 6 s later.
+    async fn send_request(&self, id: &str, request_class: &str) -> String {
         let mut io = self.connect().await;
         io.write_all(request_text(id, request_class).as_bytes())
             .await
@@ -286,7 +287,8 @@
         self.read_answer(&mut io, 6000.0).await
     }
 
-    /// Returns the answer up to its last chunk, the end of the connection or `max_wait` milliseconds.
+    /// Returns what is received until the last chunk of the answer, the end of the connection, or `max_wait`
+    /// milliseconds later.
     async fn read_answer(&self, io: &mut DuplexStream, max_wait: f64) -> String {
         let until = self.clock.now() + max_wait;
         let mut text = Vec::new();
@@ -306,7 +308,7 @@
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// The number of requests at engines whose entry in `engine_requests` contains `part`.
+    /// The number of entries in `engine_requests` that contain `part`.
     fn count_engine_requests(&self, part: &str) -> usize {
         self.engine_requests
             .borrow()
@@ -326,7 +328,7 @@
 #[test]
 fn a_request_is_prefilled_and_decoded_and_its_events_are_forwarded_unchanged() {
     run(|net| async move {
-        let answer = net.request("a1", "draft").await;
+        let answer = net.send_request("a1", "draft").await;
         assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
         assert!(
             answer.ends_with("\r\n\r\n9\r\ndata: a\n\n\r\n9\r\ndata: b\n\n\r\n0\r\n\r\n"),
@@ -338,7 +340,7 @@
             [format!("r1: {line}"), format!("w1: {line}")]
         );
         assert_eq!(net.driver.usage().requests, 0);
-        net.request("a2", "draft").await;
+        net.send_request("a2", "draft").await;
         assert_eq!(
             net.driver.usage().connections,
             2,
@@ -353,8 +355,8 @@
     });
 }
 
-/// The load balancer asks whether the dispatcher is ready. A stopping dispatcher must answer 503, or it is sent
-/// requests that it rejects.
+/// The load balancer asks whether the dispatcher is ready. A stopping dispatcher must answer 503. Otherwise
+/// the load balancer continues to send requests, which the dispatcher rejects.
 #[test]
 fn readiness_is_reported_with_an_endpoint_list_and_not_while_stopping() {
     run(|net| async move {
@@ -372,13 +374,13 @@
     });
 }
 
-/// The decode engine does not find the request's KV state. Nothing has run, so even an at-most-once request is
-/// prefilled again and served.
+/// The decode engine does not find the request's KV state. The request has not run, so even an at-most-once request
+/// is prefilled again and served.
 #[test]
 fn a_request_whose_kv_state_is_gone_is_prefilled_again() {
     run(|net| async move {
         net.decode_answer.set(DecodeAnswer::NoKvState);
-        assert!(net.request("a1", "proof").await.ends_with("0\r\n\r\n"));
+        assert!(net.send_request("a1", "proof").await.ends_with("0\r\n\r\n"));
         assert_eq!(
             (
                 net.count_engine_requests("r1: POST"),
@@ -395,7 +397,7 @@
 fn a_broken_stream_closes_the_clients_connection_without_a_last_chunk() {
     run(|net| async move {
         net.decode_answer.set(DecodeAnswer::Breaks);
-        let answer = net.request("a1", "proof").await;
+        let answer = net.send_request("a1", "proof").await;
         assert!(answer.ends_with("9\r\ndata: a\n\n\r\n"), "{answer}");
         assert_eq!(
             net.count_engine_requests("w1: POST"),
@@ -407,12 +409,12 @@
 }
 
 /// A decode engine answers with bytes that are not HTTP. The request may have run: an at-most-once request gets 504,
-/// another is sent again.
+/// and any other request is retried.
 #[test]
-fn a_request_answered_with_garbage_may_have_run() {
+fn a_request_with_an_unreadable_answer_may_have_run() {
     run(|net| async move {
         net.decode_answer.set(DecodeAnswer::Garbage);
-        let answer = net.request("a1", "proof").await;
+        let answer = net.send_request("a1", "proof").await;
         assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
         assert_eq!(
             net.count_engine_requests("w1: POST"),
@@ -420,7 +422,7 @@
             "an at-most-once request is sent once"
         );
         net.engine_requests.borrow_mut().clear();
-        net.request("a2", "draft").await;
+        net.send_request("a2", "draft").await;
         assert!(
             net.count_engine_requests("w1: POST") > 1,
             "an idempotent request is sent again on other connections"
@@ -466,9 +468,9 @@
 fn a_request_is_answered_before_its_deadline() {
     run(|net| async move {
         net.decode_answer.set(DecodeAnswer::Silent);
-        let (begin, answer) = (net.clock.now(), net.request("a1", "proof").await);
+        let (begin, answer) = (net.clock.now(), net.send_request("a1", "proof").await);
         assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
-        // The connection stays open after the answer, so the read ends at its own time limit and not at the answer.
+        // The connection stays open after the answer, so the read ends only at its own time limit.
         assert!(net.driver.usage().requests == 0 && begin > 0.0);
         net.wait(20_000.0).await;
         // One release is sent while the attempt's delivery is unknown, the others after its close.
@@ -489,7 +491,7 @@
         }
         net.wait(10.0).await;
         assert!(net.driver.client_connections() <= 10);
-        assert!(net.request("a1", "draft").await.ends_with("0\r\n\r\n"));
+        assert!(net.send_request("a1", "draft").await.ends_with("0\r\n\r\n"));
         for io in &mut silent {
             assert_eq!(
                 net.read_answer(io, 2500.0).await,
@@ -541,7 +543,7 @@
 /// Discovery does not answer or returns half a list. The known list is used, discovery is called again at a bounded
 /// rate, and its updates are applied once it answers.
 #[test]
-fn unresponsive_or_unreadable_discovery_is_called_again_and_its_list_kept() {
+fn discovery_that_does_not_answer_or_sends_half_a_list_is_called_again() {
     for answer in [DiscoveryAnswer::Silent, DiscoveryAnswer::Garbage] {
         run(|net| async move {
             net.discovery_answer.set(answer);
@@ -554,7 +556,7 @@
                 "discovery is called again at a bounded rate: {calls} calls"
             );
             assert!(
-                net.request("a1", "draft").await.ends_with("0\r\n\r\n"),
+                net.send_request("a1", "draft").await.ends_with("0\r\n\r\n"),
                 "the known list is still used"
             );
             net.discovery_answer.set(DiscoveryAnswer::Good);
@@ -569,8 +571,8 @@
 }
 
 /// Discovery's agent was unresponsive and answers again; earlier calls stay unanswered. From that moment its list
-/// counts as current. Whenever the agent returns between two calls, the next call must therefore reach it within the
-/// drain grace period.
+/// counts as current. The next call must therefore reach the agent within the drain grace period, no matter when
+/// between two calls the agent begins to answer.
 #[test]
 fn an_agent_that_responds_again_is_called_within_the_drain_grace_period() {
     let process = ProcessLimits {
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -54,6 +54,15 @@
     may_have_run: bool,
 }
 
+/// A release that was sent to an engine and is not answered.
+struct UnansweredRelease {
+    connection: EngineConnectionId,
+    stream: u64,
+    /// The KV state, if the release does not reach the engine that holds the state. The connection then ends without
+    /// a confirmation, and the dispatcher must release the state again.
+    missed_state: Option<StateKey>,
+}
+
 /// The dispatcher under test, and what the simulated clients and engines know about their requests.
 struct Simulation {
     dispatcher: Dispatcher,
@@ -80,9 +89,8 @@
     health_checks: Vec<(EngineConnectionId, u64)>,
     /// The connections of pings that are not answered.
     pings: Vec<EngineConnectionId>,
-    /// The releases that were sent and are not answered: connection, stream, and the KV state if the release does not
-    /// reach the engine that holds the state.
-    releases: Vec<(EngineConnectionId, u64, Option<StateKey>)>,
+    /// The releases that were sent and are not answered.
+    releases: Vec<UnansweredRelease>,
     /// The time at which the dispatcher could first have released each state.
     releasable_since: BTreeMap<StateKey, Ms>,
 }
@@ -223,12 +231,16 @@
                 let releasable_since =
                     since.map(|since| *self.releasable_since.entry(key).or_insert(since));
                 // The dispatcher may give up the release; the engine's own timeout then frees the state.
-                let unreleased_state = releasable_since
+                let missed_state = releasable_since
                     .filter(|since| {
                         !arrives && self.now < *since + GIVE_UP_AFTER_MS - RELEASE_LIMIT_MS
                     })
                     .map(|_| key);
-                self.releases.push((connection, stream, unreleased_state));
+                self.releases.push(UnansweredRelease {
+                    connection,
+                    stream,
+                    missed_state,
+                });
                 return Ok(());
             }
             Some(Body::Cancel(_)) => {
@@ -305,8 +317,8 @@
         Ok(())
     }
 
-    /// Records the end of a decode attempt. If its KV state remains at the prefill engine and the attempt has sent no
-    /// token, the state must be released from now on.
+    /// Records the end of a decode attempt. If the KV state remains at the prefill engine and the attempt has sent no
+    /// token, the time limit for the release of the state starts now.
     fn decode_ended(&mut self, attempt: &Attempt, state_remains: bool) {
         let key = (attempt.state.request, attempt.state.attempt);
         if attempt.is_decode {
@@ -394,8 +406,13 @@
                 })?;
             }
         }
-        for (connection, stream, unreleased_state) in std::mem::take(&mut self.releases) {
-            let body = match unreleased_state {
+        for UnansweredRelease {
+            connection,
+            stream,
+            missed_state,
+        } in std::mem::take(&mut self.releases)
+        {
+            let body = match missed_state {
                 None => Body::Done(v1::Done {}),
                 Some(key) => {
                     // An engine that is listed as gone holds no state.
@@ -462,8 +479,8 @@
                     let holder = &self.holder;
                     self.unneeded_since
                         .retain(|key, _| holder.get(key).is_none_or(|name| name != engine));
-                    for (_, _, unreleased_state) in &mut self.releases {
-                        *unreleased_state = unreleased_state
+                    for UnansweredRelease { missed_state, .. } in &mut self.releases {
+                        *missed_state = missed_state
                             .filter(|key| holder.get(key).is_none_or(|name| name != engine));
                     }
                 }
@@ -501,8 +518,8 @@
             12 if !self.cancelled.is_empty() => {
                 let attempt = self.cancelled.remove(pick_index(self.cancelled.len()));
                 let ends_as_prefilled = !attempt.is_decode && target.is_multiple_of(2);
-                // For the dispatcher, the attempt ended with its cancel. A prefill may still end later and leave a
-                // state.
+                // The dispatcher treats a cancelled attempt as ended. A cancelled prefill may still complete later
+                // and leave a KV state.
                 let state = ends_as_prefilled.then_some(attempt.state);
                 if ends_as_prefilled {
                     self.unneeded_since
@@ -637,7 +654,7 @@
     }
 }
 
-/// The random test checks little if some kind of final answer hardly occurs. A fixed sequence of steps must give each
+/// The random test checks little if some kind of final answer rarely occurs. A fixed sequence of steps must give each
 /// kind more than 100 times.
 #[test]
 fn random_inputs_produce_every_kind_of_answer() {
--- a/crates/dispatcher/tests/releases.rs
+++ b/crates/dispatcher/tests/releases.rs
@@ -8,8 +8,8 @@
 use common::engines::*;
 use common::*;
 
-/// Milliseconds after which the order of arrival is certain: a close and a call that are sent at the same moment on two
-/// connections arrive within a few round trips, in either order.
+/// Milliseconds after which a close and a call, sent at the same moment on two connections, have both arrived. They
+/// arrive within a few round trips, in either order.
 const REORDERING_WINDOW_MS: f64 = 20.0;
 
 /// Returns the milliseconds until a release of the request is sent to a responsive engine. Releases in the first
@@ -118,20 +118,23 @@
             conn: ClientConnectionId(1),
         });
         assert_eq!(
-            releases_of(1, &out).len(),
+            connections_with_releases_of(1, &out).len(),
             1,
             "{class}: a release is sent immediately"
         );
         serve_request_at(&mut harness, &decode.engine);
         let out = harness.advance(release_limit());
         assert_eq!(
-            releases_of(1, &out).len(),
+            connections_with_releases_of(1, &out).len(),
             1,
             "{class}: one more release is sent after the close"
         );
         let out = harness.advance(20_000.0);
         assert_eq!(
-            (releases_of(1, &out), harness.dispatcher.usage().releases),
+            (
+                connections_with_releases_of(1, &out),
+                harness.dispatcher.usage().releases
+            ),
             (vec![], 0),
             "{class}"
         );
@@ -141,7 +144,7 @@
 /// A hanging engine may notice the close of its attempt at any time, and the KV state timeout counts from that time.
 /// The interval between releases must therefore never exceed the release limit.
 #[test]
-fn a_release_follows_in_time_whenever_a_hanging_engine_notices_the_close() {
+fn a_release_follows_in_time_no_matter_when_a_hanging_engine_notices_the_close() {
     for class in ["draft", "proof"] {
         let mut harness = harness();
         start_decode_at_hanging_engine(&mut harness, 1, class);
@@ -162,9 +165,9 @@
         }
         let out = harness.advance(60_000.0);
         assert!(
-            releases_of(1, &out).len() <= 10,
+            connections_with_releases_of(1, &out).len() <= 10,
             "{class}: the release is repeated at most 10 times in the next 60 s, not {} times",
-            releases_of(1, &out).len()
+            connections_with_releases_of(1, &out).len()
         );
         assert_eq!(harness.dispatcher.usage().releases, 0);
     }
@@ -193,7 +196,7 @@
             conn: ClientConnectionId(1),
         });
         let out = harness.advance(outage_ms);
-        let calls = releases_of(1, &out).len();
+        let calls = connections_with_releases_of(1, &out).len();
         let bound = 30.0 + 0.02 * outage_ms;
         assert!(
             calls as f64 <= bound,
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -140,8 +140,8 @@
     }
 }
 
-/// Milliseconds after the end of a prefill at which its KV state is released if the decode attempt is unanswered. This
-/// holds even if the decode engine runs, as the attempt's connection alone may have failed.
+/// Milliseconds after the end of a prefill at which its KV state is released if the decode attempt is unanswered. The
+/// release is sent even if the decode engine runs, as the attempt's connection alone may have failed.
 const UNCONFIRMED_RELEASE_MS: f64 = 400.0;
 
 /// An engine with a long queue answers liveness checks, and sends nothing for attempts that wait in the queue. A
@@ -153,9 +153,13 @@
         warm_up(&mut harness);
         let queued = start_decode(&mut harness, 1, class);
         let out = harness.advance(UNCONFIRMED_RELEASE_MS - 1.0);
-        assert_eq!(releases_of(1, &out), [], "{class}: no early release");
+        assert_eq!(
+            connections_with_releases_of(1, &out),
+            [],
+            "{class}: no early release"
+        );
         let out = harness.advance(2_000.0 - UNCONFIRMED_RELEASE_MS);
-        assert_eq!(releases_of(1, &out).len(), 1, "{class}");
+        assert_eq!(connections_with_releases_of(1, &out).len(), 1, "{class}");
         assert!(
             harness
                 .attempts(&harness.out)
@@ -167,7 +171,7 @@
         harness.send_from_engine(&queued, tokens(0));
         let out = harness.advance(5_000.0);
         assert_eq!(
-            releases_of(1, &out),
+            connections_with_releases_of(1, &out),
             [],
             "{class}: no release after the token, which shows that the attempt uses the state"
         );
@@ -243,7 +247,7 @@
             is_due,
             "only the release of the KV state is sent"
         );
-        assert_eq!(releases_of(1, &out).len(), is_due);
+        assert_eq!(connections_with_releases_of(1, &out).len(), is_due);
     }
 }
 
@@ -364,7 +368,7 @@
     );
     harness.unresponsive.clear();
     let since = harness.now;
-    while releases_of(1, &harness.advance(5.0)).is_empty() {
+    while connections_with_releases_of(1, &harness.advance(5.0)).is_empty() {
         let elapsed_ms = harness.now - since;
         assert!(
             elapsed_ms <= settings().policy.kv_state_timeout,
@@ -391,12 +395,12 @@
     }
     let out = harness.advance(release_limit());
     assert!(
-        (1..=2).contains(&releases_of(1, &out).len()),
+        (1..=2).contains(&connections_with_releases_of(1, &out).len()),
         "the release is repeated once or twice"
     );
     let out = harness.advance(20_000.0);
     assert_eq!(
-        releases_of(1, &out),
+        connections_with_releases_of(1, &out),
         [],
         "no release after its engine has processed the cancel"
     );
@@ -474,7 +478,7 @@
         harness.is_unresponsive(second.connection),
         "the second prefill goes to an unresponsive engine"
     );
-    while releases_of(1, &out)
+    while connections_with_releases_of(1, &out)
         .into_iter()
         .all(|connection| harness.is_unresponsive(connection))
     {
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -110,8 +110,8 @@
     assert_eq!(dials, 6, "one connection is dialled for each attempt");
 }
 
-/// The connection of an at-most-once attempt breaks. If the request was not written completely it has not run and is
-/// sent again; else it fails.
+/// The connection of an at-most-once attempt breaks. If the request was not written completely, it has not run and is
+/// sent again; otherwise it fails.
 #[test]
 fn a_request_that_was_not_completely_written_has_not_run() {
     for (never_ran, again) in [(true, true), (false, false)] {
@@ -158,11 +158,11 @@
     assert_eq!(final_answers(&out), []);
 }
 
-/// A prefill's connection breaks and may have left a KV state; the request is prefilled again. A release of the first
-/// state would free the second as well, so it waits until the request is over. It is then repeated until a later answer
-/// shows that the engine works.
+/// A prefill's connection breaks. The prefill may have left a KV state, so a release is due. The request is prefilled
+/// again, and a release of the first state would free the second state as well. The release is therefore sent only
+/// after the end of the request, and is repeated until a later answer shows that the engine works.
 #[test]
-fn a_release_waits_for_the_next_attempt_of_its_request() {
+fn a_release_after_a_broken_prefill_is_sent_only_after_the_end_of_its_request() {
     let mut harness = harness();
     let prefill = start_prefill(&mut harness, 1, "a", "draft");
     // The connection breaks without proof that the prefill has not run.
@@ -266,7 +266,7 @@
     );
 }
 
-/// A client sends a request with the id of an open one. It is refused, and the open one continues.
+/// A client sends a request with the id of an open request. The new request is refused, and the open one continues.
 #[test]
 fn a_request_with_the_id_of_an_open_one_is_refused() {
     let mut harness = harness();
@@ -340,7 +340,7 @@
 }
 
 /// Clients connect and send nothing, or half a request. Their connections are closed in time. At the limit of client
-/// connections, an idle connection is drained for the new client; a connection with an open request is not.
+/// connections, an idle connection is drained to admit a new client. A connection with an open request is not drained.
 #[test]
 fn idle_clients_are_closed_in_time_and_at_the_connection_limit() {
     let mut harness = harness();
@@ -498,7 +498,7 @@
 }
 
 /// The connections on which `out` sends releases.
-fn release_connections(out: &[Output]) -> Vec<EngineConnectionId> {
+fn connections_with_releases(out: &[Output]) -> Vec<EngineConnectionId> {
     let release = |output: &Output| match output {
         Output::ToEngine {
             connection,
@@ -580,7 +580,7 @@
     harness.send_from_engine(&busy, tokens(0));
     let prefill = start_prefill(&mut harness, 2, "last", "draft");
     harness.end_attempt(&prefill, Status::PrefillDone);
-    // After 200 ms without a message no engine counts as responsive any more. The decode attempt is still open.
+    // After 200 ms without a message, no engine counts as responsive. The decode attempt is still open.
     harness.advance(200.0);
     harness.send_from_engine(&busy, tokens(1));
     let since = harness.now;
@@ -589,7 +589,7 @@
     });
     let mut position = 2;
     let reached_after = loop {
-        let called: Vec<String> = release_connections(&out)
+        let called: Vec<String> = connections_with_releases(&out)
             .iter()
             .map(|connection| harness.engine_of(*connection).to_owned())
             .collect();
@@ -621,7 +621,7 @@
     let mut out = harness.end_attempt(&prefill, Status::PrefillDone);
     let since = harness.now;
     let mut dialled = 0;
-    while release_connections(&out).is_empty() {
+    while connections_with_releases(&out).is_empty() {
         dialled += out
             .iter()
             .filter(|output| matches!(output, Output::Dial { .. }))
@@ -651,7 +651,7 @@
     let out = harness.handle(Input::ClientClosed {
         conn: ClientConnectionId(2),
     });
-    let called: Vec<&str> = release_connections(&out)
+    let called: Vec<&str> = connections_with_releases(&out)
         .iter()
         .map(|connection| harness.engine_of(*connection))
         .collect();
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -19,7 +19,7 @@
     (client, engine)
 }
 
-/// An event that waited for the next one would delay every token. Each event is read at the client before the engine
+/// If each event waited for the next event, every token would be late. Each event is read at the client before the engine
 /// writes another.
 #[test]
 fn each_event_is_forwarded_before_the_next_is_written() {
