--- a/crates/dispatcher/tests/connection_limits.rs
+++ b/crates/dispatcher/tests/connection_limits.rs
@@ -205,7 +205,7 @@
                 idle.push(client);
                 assert!(
                     net.driver.client_connections() <= 8,
-                    "the limit of client connections holds"
+                    "the limit of client connections is not exceeded"
                 );
             }
             tokio::select! { biased;
@@ -322,7 +322,7 @@
                 );
                 assert!(
                     net.driver.client_connections() <= 1,
-                    "the limit of client connections holds"
+                    "the limit of client connections is not exceeded"
                 );
             }
         });
--- a/crates/dispatcher/tests/discovery_changes.rs
+++ b/crates/dispatcher/tests/discovery_changes.rs
@@ -214,8 +214,8 @@
     }
 
     /// Discovery was reinstalled, and its revisions start again at 1. Each of its lists then has a lower revision than
-    /// the known list. If the dispatcher refused all of them, no further change would ever be applied. Such a list is accepted after 3 s
-    /// at the earliest and within 6 s.
+    /// the known list. If the dispatcher refused all of them, no further change would ever be applied. Such a list is
+    /// accepted after 3 s at the earliest and within 6 s.
     #[test]
     fn that_restarts_its_revisions_is_accepted_after_3_to_6_s() {
         run(|net| async move {
--- a/crates/dispatcher/tests/dispatcher_state.rs
+++ b/crates/dispatcher/tests/dispatcher_state.rs
@@ -380,7 +380,7 @@
     assert_eq!(
         final_answers(&harness.advance(999.0)),
         [],
-        "the stall timeout has not expired"
+        "the request does not fail before the stall timeout"
     );
     assert_eq!(final_answers(&harness.advance(2.0)), [(1, Answer::Failed)]);
     assert_eq!(
@@ -538,8 +538,8 @@
     );
 }
 
-/// Discovery cannot be reached when the dispatcher starts. The cached endpoints are used until discovery's first snapshot replaces
-/// them.
+/// Discovery cannot be reached when the dispatcher starts. The cached endpoints are used until discovery's first
+/// snapshot replaces them.
 #[test]
 fn cached_endpoints_are_used_until_discovery_sends_a_snapshot() {
     let ready = EndpointStatus::Ready;
@@ -566,7 +566,7 @@
         .any(|o| matches!(o, Output::Dial { engine, .. } if &*engine.0 == "r1")));
     assert!(
         !out.iter().any(|o| matches!(o, Output::CacheEndpoints(_))),
-        "cached endpoints are not cached again"
+        "endpoints that were read from the cache are not written to it again"
     );
     out.clear();
     dispatcher.handle(
@@ -634,7 +634,7 @@
     }
     assert!(
         ended >= 10,
-        "enough KV states are held at the same instant, not only {ended}"
+        "at least 10 KV states are held at the same instant, not {ended}"
     );
     assert_eq!(harness.now, begin, "all prefills end at the same instant");
     out.extend(harness.advance(499.0));
@@ -730,7 +730,7 @@
         let out = harness.advance(1999.0);
         assert!(
             !engine_message_names(&out).contains(&"ping"),
-            "the keepalive interval has not passed"
+            "no ping is sent before the keepalive interval has passed"
         );
         let out = harness.advance(2.0);
         assert!(engine_message_names(&out).contains(&"ping"));
--- a/crates/dispatcher/tests/engine_connection_ends.rs
+++ b/crates/dispatcher/tests/engine_connection_ends.rs
@@ -257,7 +257,7 @@
             assert_eq!(
                 engine.read_to_end().await,
                 "",
-                "its connection is closed without further data"
+                "the engine's connection is closed without further data"
             );
         });
     }
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -603,7 +603,7 @@
                 net.wait(425.0).await;
                 assert!(
                     !net.discovery_calls.borrow().is_empty(),
-                    "phase {phase}: discovery is called within 425 ms after its return"
+                    "phase {phase}: discovery is called within 425 ms after it begins to answer"
                 );
                 net.discovery_calls.borrow_mut().clear();
                 net.wait(3_000.0).await;
--- a/crates/dispatcher/tests/silence.rs
+++ b/crates/dispatcher/tests/silence.rs
@@ -75,7 +75,7 @@
     );
     assert!(
         !is_cancelled(&harness.out, &undelivered),
-        "the first attempt may still be served"
+        "the first attempt is not cancelled, as it may still run"
     );
 }
 
@@ -372,7 +372,7 @@
         let elapsed_ms = harness.now - since;
         assert!(
             elapsed_ms <= settings().policy.kv_state_timeout,
-            "the KV state is not released {elapsed_ms} ms after its engine responded again"
+            "the KV state is not released {elapsed_ms} ms after the prefill engine responded again"
         );
     }
     // A request is prefilled at the engine, which shows that it works again.
@@ -402,7 +402,7 @@
     assert_eq!(
         connections_with_releases_of(1, &out),
         [],
-        "no release after its engine has processed the cancel"
+        "no release is sent after the prefill engine has processed the cancel"
     );
 }
 
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -121,7 +121,7 @@
         assert_eq!(
             !harness.attempts(&out).is_empty(),
             again,
-            "whether the at-most-once request is sent again"
+            "the at-most-once request is sent again only if it has not run"
         );
         let answers: Vec<Answer> = final_answers(&out)
             .into_iter()
@@ -395,7 +395,7 @@
     let out = send_request(&mut harness, 2, request("b", "draft"));
     assert!(
         !harness.attempts(&out).is_empty(),
-        "requests are still accepted"
+        "a stopping dispatcher accepts requests during the accept period"
     );
     harness.advance(700.0);
     assert_eq!(
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -19,8 +19,8 @@
     (client, engine)
 }
 
-/// If each event waited for the next event, every token would be late. Each event is read at the client before the engine
-/// writes another.
+/// If each event waited for the next event, every token would be late. Each event is read at the client before the
+/// engine writes another.
 #[test]
 fn each_event_is_forwarded_before_the_next_is_written() {
     run(|net| async move {
