--- a/crates/dispatcher/tests/client_connection_ends.rs
+++ b/crates/dispatcher/tests/client_connection_ends.rs
@@ -75,10 +75,10 @@
     /// A client disconnects in the middle of its request's body. No attempt has started, so nothing may remain of
     /// the request.
     #[test]
-    fn before_its_body_is_complete_leaves_nothing_behind() {
+    fn before_its_request_body_is_complete_leaves_nothing_behind() {
         run(|net| async move {
             let mut client = net.connect().await;
-            let text = request_with("a", "draft", 4000, "a body of some length");
+            let text = request_text_with("a", "draft", 4000, "a body of some length");
             client.send(&text[..text.len() - 5]).await;
             drop(client);
             wait_until(|| net.driver.client_connections() == 0).await;
@@ -108,7 +108,7 @@
                 Stage::Decoding,
             ] {
                 run(|net| async move {
-                    let text = request_with("a", class, TIME_TO_DEADLINE_MS, "{}");
+                    let text = request_text_with("a", class, TIME_TO_DEADLINE_MS, "{}");
                     let OpenRequest { mut client, engine } =
                         start_request_with(&net, stage, &text).await;
                     net.advance(f64::from(TIME_TO_DEADLINE_MS));
@@ -176,7 +176,7 @@
     #[test_case(First::Answer; "answer first")]
     fn at_the_end_of_a_prefill_leaves_one_answer_and_no_state(first: First) {
         run(|net| async move {
-            let text = request_with("a", "draft", TIME_TO_DEADLINE_MS, "{}");
+            let text = request_text_with("a", "draft", TIME_TO_DEADLINE_MS, "{}");
             let OpenRequest { mut client, engine } =
                 start_request_with(&net, Stage::Prefilling, &text).await;
             let mut engine = engine.expect("an attempt is open");
@@ -207,7 +207,7 @@
     fn at_the_first_token_leaves_one_answer(first: First) {
         for class in CLASSES {
             run(|net| async move {
-                let text = request_with("a", class, TIME_TO_DEADLINE_MS, "{}");
+                let text = request_text_with("a", class, TIME_TO_DEADLINE_MS, "{}");
                 let OpenRequest { mut client, engine } =
                     start_request_with(&net, Stage::Decoding, &text).await;
                 let mut engine = engine.expect("an attempt is open");
--- a/crates/dispatcher/tests/common/loopback.rs
+++ b/crates/dispatcher/tests/common/loopback.rs
@@ -587,7 +587,7 @@
     /// Connects a client and sends a request.
     pub async fn send_request(&self, id: &str, class: &str) -> Conn {
         let mut conn = self.connect().await;
-        conn.send(&request(id, class)).await;
+        conn.send(&request_text(id, class)).await;
         conn
     }
 
@@ -667,17 +667,19 @@
 /// The response headers of a decode engine that starts a stream.
 pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// One server-sent event in a chunk of its own.
+/// One server-sent event in its own chunk.
 pub const EVENT: &str = "9\r\ndata: a\n\n\r\n";
 pub const LAST_CHUNK: &str = "0\r\n\r\n";
 /// An engine's answer that confirms a release.
 pub const RELEASE_CONFIRMED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
-pub fn request(id: &str, class: &str) -> String {
-    request_with(id, class, 4000, "{}")
+/// The text of an HTTP/1.1 request of this request class, with 4 s until its deadline.
+pub fn request_text(id: &str, class: &str) -> String {
+    request_text_with(id, class, 4000, "{}")
 }
 
-pub fn request_with(id: &str, class: &str, remaining_ms: u32, body: &str) -> String {
+/// The text of an HTTP/1.1 request with this body and `remaining_ms` milliseconds until its deadline.
+pub fn request_text_with(id: &str, class: &str, remaining_ms: u32, body: &str) -> String {
     let length = body.len();
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Txn: {id}\r\nX-Lane: {class}\r\n\
--- a/crates/dispatcher/tests/common/request_stages.rs
+++ b/crates/dispatcher/tests/common/request_stages.rs
@@ -32,7 +32,7 @@
 
 /// Sends request `a` and brings it to a stage.
 pub async fn start_request(net: &Loopback, stage: Stage, class: &str) -> OpenRequest {
-    start_request_with(net, stage, &request("a", class)).await
+    start_request_with(net, stage, &request_text("a", class)).await
 }
 
 /// Sends the request `text` and brings it to a stage.
--- a/crates/dispatcher/tests/connection_limits.rs
+++ b/crates/dispatcher/tests/connection_limits.rs
@@ -37,7 +37,7 @@
             run_with_two_clients(|net| async move {
                 let (mut idle_client, other_client) = (net.connect().await, net.connect().await);
                 wait_until(|| net.driver.client_connections() == 2).await;
-                let text = request("a", "proof");
+                let text = request_text("a", "proof");
                 let new_client = if request_first {
                     idle_client
                         .io
@@ -138,10 +138,10 @@
     /// The process runs out of file descriptors between the prefill and the decode attempt. The client is answered
     /// before its deadline, and the KV state is released once connections can be opened again.
     #[test]
-    fn before_a_decode_attempt_is_answered_in_time_and_the_state_released_later() {
+    fn before_a_decode_attempt_loses_neither_the_answer_nor_the_release() {
         for class in CLASSES {
             run(|net| async move {
-                let text = request_with("a", class, 1000, "{}");
+                let text = request_text_with("a", class, 1000, "{}");
                 let OpenRequest { mut client, engine } =
                     start_request_with(&net, Stage::Prefilling, &text).await;
                 let mut engine = engine.expect("an attempt is open");
@@ -278,7 +278,7 @@
             let third = net.connect().await;
             net.advance_until(|| net.driver.client_connections() == 3)
                 .await;
-            first.send(&request("a", "proof")).await;
+            first.send(&request_text("a", "proof")).await;
             net.serve_prefill().await;
             let (mut decode, _) = net.engine("w1").accept_request().await;
             decode
--- a/crates/dispatcher/tests/engine_connection_ends.rs
+++ b/crates/dispatcher/tests/engine_connection_ends.rs
@@ -358,7 +358,10 @@
             let mut client = net.connect().await;
             let extra_headers = "Idempotency-Key: 7c/1 a\r\nx-order: 9\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\n";
             client
-                .send(&request("a", "caption").replace("X-Lane", &format!("{extra_headers}X-Lane")))
+                .send(
+                    &request_text("a", "caption")
+                        .replace("X-Lane", &format!("{extra_headers}X-Lane")),
+                )
                 .await;
             let prefill = net.serve_prefill().await;
             let (mut engine, decode) = net.engine("w1").accept_request().await;
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -137,7 +137,8 @@
     }
 }
 
-async fn request(fixture: &Fixture, submit: v1::Submit) -> (Vec<Part>, Option<Status>) {
+/// Sends a request. Returns the messages of the reply stream and the error status, as [`call`] does.
+async fn run_request(fixture: &Fixture, submit: v1::Submit) -> (Vec<Part>, Option<Status>) {
     call(fixture, Request::new(submit), "/cindercleat.v1.Router/Run").await
 }
 
@@ -185,14 +186,14 @@
     value: Vec<u8>,
 }
 
-fn details(status: &Status) -> RpcStatus {
+fn error_details(status: &Status) -> RpcStatus {
     RpcStatus::decode(status.details()).expect("details are a google.rpc.Status")
 }
 
 #[test]
 fn a_success_ends_with_the_final_answer_and_status_ok() {
     run(common::limits(), &["r1", "w1"], |fixture| async move {
-        let (parts, status) = request(&fixture, common::submit("draft")).await;
+        let (parts, status) = run_request(&fixture, common::submit("draft")).await;
         assert!(status.is_none(), "{status:?}");
         assert!(matches!(parts[0], Part::Accepted(_)));
         let tokens = parts
@@ -212,7 +213,7 @@
 #[test]
 fn a_rejection_is_unavailable_and_carries_a_retry_delay() {
     run(common::limits(), &["r1"], |fixture| async move {
-        let (parts, status) = request(&fixture, common::submit("proof")).await;
+        let (parts, status) = run_request(&fixture, common::submit("proof")).await;
         let status = status.expect("call ends with a status");
         assert_eq!(
             (status.code(), final_answers(&parts)),
@@ -226,7 +227,7 @@
                 pushback(&status),
                 Some(&*format!("{}", last.retry_after_ms.ceil()))
             );
-            assert!(details(&status).details[0]
+            assert!(error_details(&status).details[0]
                 .type_url
                 .ends_with("google.rpc.RetryInfo"));
         }
@@ -245,13 +246,13 @@
         },
         &["r1", "w1"],
         |fixture| async move {
-            let (parts, status) = request(&fixture, common::submit("proof")).await;
+            let (parts, status) = run_request(&fixture, common::submit("proof")).await;
             let status = status.expect("call ends with a status");
             assert_eq!(
                 (status.code(), final_answers(&parts)),
                 (Code::ResourceExhausted, vec![v1::Answer::Rejected])
             );
-            let rpc_status = details(&status);
+            let rpc_status = error_details(&status);
             assert_eq!(
                 (rpc_status.code, &*rpc_status.details[0].type_url),
                 (8, "type.googleapis.com/google.rpc.RetryInfo")
@@ -268,7 +269,7 @@
 fn a_failure_has_a_status_that_no_client_retries() {
     run(common::limits(), &["r1", "w1"], |fixture| async move {
         fixture.engines[1].trouble(|t| t.stall_after = Some(2));
-        let (parts, status) = request(&fixture, common::submit("proof")).await;
+        let (parts, status) = run_request(&fixture, common::submit("proof")).await;
         let status = status.expect("call ends with a status");
         assert_eq!(
             (status.code(), final_answers(&parts)),
@@ -315,14 +316,14 @@
             ),
         ];
         for (field, submit) in cases {
-            let (parts, status) = request(&fixture, submit).await;
+            let (parts, status) = run_request(&fixture, submit).await;
             let status = status.expect("call ends with a status");
             assert_eq!(
                 (status.code(), parts.len()),
                 (Code::InvalidArgument, 0),
                 "{field}"
             );
-            let rpc_status = details(&status);
+            let rpc_status = error_details(&status);
             assert!(rpc_status.details[0]
                 .type_url
                 .ends_with("google.rpc.BadRequest"));
@@ -392,7 +393,10 @@
             Code::Unimplemented
         );
         assert!(
-            request(&fixture, common::submit("draft")).await.1.is_none(),
+            run_request(&fixture, common::submit("draft"))
+                .await
+                .1
+                .is_none(),
             "the connection serves the next call"
         );
     });
--- a/crates/dispatcher/tests/platform.rs
+++ b/crates/dispatcher/tests/platform.rs
@@ -130,11 +130,11 @@
         };
         for name in ["r1", "w1"] {
             let listener = net.memory.listen(name).await.expect("name is free");
-            spawn_local(net.clone().engine(name, listener));
+            spawn_local(net.clone().run_engine(name, listener));
         }
         for name in ["discovery", "other"] {
             let listener = net.memory.listen(name).await.expect("name is free");
-            spawn_local(net.clone().discovery(name, listener));
+            spawn_local(net.clone().run_discovery(name, listener));
         }
         let listener = net.memory.listen("d").await.expect("name is free");
         let (serving, stop_signal) = (net.driver.clone(), net.stop.clone());
@@ -174,7 +174,7 @@
         self.clock.sleep_until(self.clock.now() + ms).await;
     }
 
-    async fn engine(self, name: &'static str, mut listener: <Memory as Transport>::Listener) {
+    async fn run_engine(self, name: &'static str, mut listener: <Memory as Transport>::Listener) {
         while let Ok(mut io) = listener.accept().await {
             let net = self.clone();
             spawn_local(async move {
@@ -188,7 +188,7 @@
                         .borrow_mut()
                         .push(format!("{name}: {first} {id}"));
                     net.wait(20.0).await;
-                    let answer = net.answer(name, &head, &mut io).await;
+                    let answer = net.engine_answer(name, &head, &mut io).await;
                     if io.write_all(answer.as_bytes()).await.is_err() || answer.is_empty() {
                         return;
                     }
@@ -197,7 +197,7 @@
         }
     }
 
-    async fn answer(&self, name: &str, head: &str, io: &mut DuplexStream) -> String {
+    async fn engine_answer(&self, name: &str, head: &str, io: &mut DuplexStream) -> String {
         if head.starts_with("DELETE") {
             return "HTTP/1.1 204 No Content\r\n\r\n".to_owned();
         }
@@ -231,7 +231,11 @@
         }
     }
 
-    async fn discovery(self, name: &'static str, mut listener: <Memory as Transport>::Listener) {
+    async fn run_discovery(
+        self,
+        name: &'static str,
+        mut listener: <Memory as Transport>::Listener,
+    ) {
         while let Ok(mut io) = listener.accept().await {
             let net = self.clone();
             spawn_local(async move {
--- a/crates/dispatcher/tests/random.rs
+++ b/crates/dispatcher/tests/random.rs
@@ -248,7 +248,7 @@
                     attempt.connection == connection && attempt.stream == stream
                 }) {
                     let attempt = self.attempts.remove(at);
-                    self.decode_ended(&attempt, true);
+                    self.record_decode_end(&attempt, true);
                     self.cancelled.push(attempt);
                 }
                 return Ok(());
@@ -319,7 +319,7 @@
 
     /// Records the end of a decode attempt. If the KV state remains at the prefill engine and the attempt has sent no
     /// token, the time limit for the release of the state starts now.
-    fn decode_ended(&mut self, attempt: &Attempt, state_remains: bool) {
+    fn record_decode_end(&mut self, attempt: &Attempt, state_remains: bool) {
         let key = (attempt.state.request, attempt.state.attempt);
         if attempt.is_decode {
             if !state_remains || attempt.position > 0 {
@@ -330,7 +330,7 @@
         }
     }
 
-    /// Ends a connection to an engine with all attempts on it.
+    /// Ends a connection to an engine, and all attempts on the connection.
     fn lose_connection(&mut self, connection: EngineConnectionId) {
         self.connections.remove(&connection);
         self.dialled.retain(|(id, _)| *id != connection);
@@ -342,8 +342,8 @@
             .partition(|attempt| attempt.connection == connection);
         self.attempts = rest;
         for attempt in &lost as &Vec<Attempt> {
-            self.decode_ended(attempt, true);
-            // Half of the lost prefills had ended, and the reports of their ends are lost with the connection.
+            self.record_decode_end(attempt, true);
+            // Half of the lost prefills have completed, and their results are lost with the connection.
             let engine = self
                 .holder
                 .get(&(attempt.state.request, attempt.state.attempt))
@@ -369,7 +369,7 @@
         // the state still exists there.
         let prefill_engine_unreachable =
             status == Status::NoState && attempt.stream.is_multiple_of(2);
-        self.decode_ended(
+        self.record_decode_end(
             &attempt,
             prefill_engine_unreachable || !matches!(status, Status::NoState | Status::Succeeded),
         );
@@ -390,7 +390,7 @@
         })
     }
 
-    /// Advances the clock, answers pings and releases, and lets one random event happen.
+    /// Advances the clock, answers pings and releases, and applies one random event.
     fn run_step(&mut self, (action, target, delay): RandomStep) -> Result<(), TestCaseError> {
         let until = self.now + f64::from(delay % 400) / 2.0;
         while let Some(at) = self.dispatcher.next_call_at().filter(|at| *at <= until) {
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -21,7 +21,8 @@
     })
 }
 
-fn request(id: &str, request_class: &str) -> Body {
+/// The message with which a client sends a request.
+fn request_message(id: &str, request_class: &str) -> Body {
     let origin = Some(v1::Origin {
         id: id.to_owned(),
         ..v1::Origin::default()
@@ -47,7 +48,11 @@
     id: &str,
     request_class: &str,
 ) -> SentAttempt {
-    let out = send_request(harness, client_connection, request(id, request_class));
+    let out = send_request(
+        harness,
+        client_connection,
+        request_message(id, request_class),
+    );
     harness
         .attempts(&out)
         .pop()
@@ -271,7 +276,7 @@
 fn a_request_with_the_id_of_an_open_one_is_refused() {
     let mut harness = harness();
     let prefill = start_prefill(&mut harness, 1, "a", "draft");
-    let out = send_request(&mut harness, 2, request("a", "draft"));
+    let out = send_request(&mut harness, 2, request_message("a", "draft"));
     assert!(
         matches!(client_messages(&out)[..], [(1, Body::InvalidRequest(_))]),
         "{out:?}"
@@ -291,7 +296,7 @@
         [(1, Answer::Succeeded)]
     );
     // Once the request is over, its id can be used again.
-    let out = send_request(&mut harness, 3, request("a", "draft"));
+    let out = send_request(&mut harness, 3, request_message("a", "draft"));
     assert!(!harness.attempts(&out).is_empty());
 }
 
@@ -307,7 +312,7 @@
     });
     harness.advance(1500.0);
     let begin = harness.now;
-    send_request(&mut harness, 1, request("a", "proof"));
+    send_request(&mut harness, 1, request_message("a", "proof"));
     harness.dials_succeed = false;
     harness.advance(3000.0);
     assert_eq!(
@@ -350,7 +355,7 @@
         });
         harness.advance(1.0);
     }
-    send_request(&mut harness, 1, request("a", "draft"));
+    send_request(&mut harness, 1, request_message("a", "draft"));
     let out = harness.handle(Input::ClientLimitReached);
     assert_eq!(
         out,
@@ -392,14 +397,18 @@
     let decode = start_decode(&mut harness, 1, "a", "draft");
     harness.send_from_engine(&decode, tokens(0));
     harness.handle(Input::Stop);
-    let out = send_request(&mut harness, 2, request("b", "draft"));
+    let out = send_request(&mut harness, 2, request_message("b", "draft"));
     assert!(
         !harness.attempts(&out).is_empty(),
         "a stopping dispatcher accepts requests during the accept period"
     );
     harness.advance(700.0);
     assert_eq!(
-        final_answers(&send_request(&mut harness, 3, request("c", "draft"))),
+        final_answers(&send_request(
+            &mut harness,
+            3,
+            request_message("c", "draft")
+        )),
         [(1, Answer::Rejected)]
     );
     let out = harness.advance(1700.0);
--- a/crates/dispatcher/tests/stops.rs
+++ b/crates/dispatcher/tests/stops.rs
@@ -22,7 +22,7 @@
     fn waits_for_a_slow_client_whose_engine_has_finished() {
         run(|net| async move {
             let mut client = net.connect_with_small_buffer().await;
-            client.send(&request("a", "draft")).await;
+            client.send(&request_text("a", "draft")).await;
             net.serve_prefill().await;
             let (mut decode, _) = net.engine("w1").accept_request().await;
             // More data than the socket buffers hold, in two chunks. The dispatcher reads that many chunks ahead of its
@@ -61,7 +61,7 @@
     fn ends_although_a_client_reads_nothing_of_its_answer() {
         run(|net| async move {
             let mut client = net.connect_with_small_buffer().await;
-            client.send(&request("a", "draft")).await;
+            client.send(&request_text("a", "draft")).await;
             net.serve_prefill().await;
             let (mut decode, _) = net.engine("w1").accept_request().await;
             let event = format!("data: {}\n\n", "x".repeat(60_000));
@@ -84,7 +84,7 @@
             let mut idle_client = net.connect().await;
             net.stop.notify_one();
             wait_until(|| !net.driver.readiness().is_ready).await;
-            idle_client.send(&request("a", "proof")).await;
+            idle_client.send(&request_text("a", "proof")).await;
             net.serve_prefill().await;
             let (mut decode, _) = net.engine("w1").accept_request().await;
             decode
@@ -110,7 +110,7 @@
                 wait_until(|| net.driver.client_connections() == 1).await;
                 net.stop.notify_one();
                 wait_until(|| !net.driver.readiness().is_ready).await;
-                let text = request("a", "proof");
+                let text = request_text("a", "proof");
                 if request_first {
                     idle_client
                         .io
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -87,7 +87,7 @@
 fn a_client_that_reads_nothing_does_not_block_other_streams() {
     run(|net| async move {
         let mut slow = net.connect_with_small_buffer().await;
-        slow.send(&request("slow", "draft")).await;
+        slow.send(&request_text("slow", "draft")).await;
         net.serve_prefill().await;
         let (mut slow_engine, _) = net.engine("w1").accept_request().await;
         slow_engine.send(STREAM_HEAD).await;
