--- a/crates/dispatcher/tests/discovery_changes.rs
+++ b/crates/dispatcher/tests/discovery_changes.rs
@@ -119,7 +119,7 @@
 
     /// An overloaded discovery service refuses the watch that follows its list, and further calls. The next call
     /// requests the changes since the known list as part of the watch. Two calls, one for the complete list and one for
-    /// the watch, would each need a place in the service's queue.
+    /// the watch, would each need a place in the service's queue, in immediate succession.
     #[test]
     fn that_is_overloaded_gets_one_call_for_changes_and_the_watch() {
         run_with(polled_discovery_limits(), &["r1", "w1"], |net| async move {
