--- a/crates/dispatcher/tests/engine_connection_ends.rs
+++ b/crates/dispatcher/tests/engine_connection_ends.rs
@@ -36,7 +36,7 @@
     /// Engines close idle connections just as the next request comes. Nothing was written on these connections, so
     /// even an at-most-once request is sent on a new connection, exactly once.
     #[test]
-    fn an_idle_connection_as_the_next_request_comes_gets_it_once_on_another() {
+    fn an_idle_connection_gets_the_next_request_once_on_a_new_connection() {
         for class in CLASSES {
             run(|net| async move {
                 let (prefill, decode) = open_idle_connections(&net).await;
@@ -62,8 +62,8 @@
     }
 
     /// A decode engine has received a complete request and closes the connection before the first event of its
-    /// answer is complete. The request may have run: an idempotent one is sent again, an at-most-once one gets 504
-    /// and is not sent again.
+    /// answer is complete. The request may have run: an idempotent request is sent again, an at-most-once request
+    /// gets 504 and is not sent again.
     #[test_case(""; "without a byte")]
     #[test_case("HTTP/1.1 200 OK\r\nContent-Ty"; "within a line of the head")]
     #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; "after the head")]
@@ -257,7 +257,7 @@
             assert_eq!(
                 engine.read_to_end().await,
                 "",
-                "its connection is closed without further data"
+                "the engine's connection is closed without further data"
             );
         });
     }
@@ -358,7 +358,10 @@
             let mut client = net.connect().await;
             let extra_headers = "Idempotency-Key: 7c/1 a\r\nx-order: 9\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\n";
             client
-                .send(&request("a", "caption").replace("X-Lane", &format!("{extra_headers}X-Lane")))
+                .send(
+                    &request_text("a", "caption")
+                        .replace("X-Lane", &format!("{extra_headers}X-Lane")),
+                )
                 .await;
             let prefill = net.serve_prefill().await;
             let (mut engine, decode) = net.engine("w1").accept_request().await;
--- a/crates/dispatcher/tests/streams.rs
+++ b/crates/dispatcher/tests/streams.rs
@@ -19,8 +19,8 @@
     (client, engine)
 }
 
-/// An event that waited for the next one would delay every token. Each event is read at the client before the engine
-/// writes another.
+/// If each event waited for the next event, every token would be late. Each event is read at the client before the
+/// engine writes another.
 #[test]
 fn each_event_is_forwarded_before_the_next_is_written() {
     run(|net| async move {
@@ -87,7 +87,7 @@
 fn a_client_that_reads_nothing_does_not_block_other_streams() {
     run(|net| async move {
         let mut slow = net.connect_with_small_buffer().await;
-        slow.send(&request("slow", "draft")).await;
+        slow.send(&request_text("slow", "draft")).await;
         net.serve_prefill().await;
         let (mut slow_engine, _) = net.engine("w1").accept_request().await;
         slow_engine.send(STREAM_HEAD).await;
