--- a/crates/fleet/src/rollout_codec.rs
+++ b/crates/fleet/src/rollout_codec.rs
@@ -51,7 +51,7 @@
 }
 
 /// Returns the list, or none if the list has more than `max_items` items.
-fn at_most<T>(items: &[T], max_items: usize) -> Option<&[T]> {
+fn list_within_limit<T>(items: &[T], max_items: usize) -> Option<&[T]> {
     (items.len() <= max_items).then_some(items)
 }
 
@@ -122,7 +122,7 @@
             outcomes: outcome_counts_from_proto(message.tally.as_ref()),
         })
     };
-    at_most(messages, MAX_REPORTS_PER_HEARTBEAT)?
+    list_within_limit(messages, MAX_REPORTS_PER_HEARTBEAT)?
         .iter()
         .map(report)
         .collect()
@@ -227,7 +227,7 @@
 fn plan_from_proto(message: Option<&v1::FleetRolloutPlan>) -> Option<RolloutPlan> {
     let message = message?;
     let list = |items: &[String]| -> Option<Vec<String>> {
-        at_most(items, MAX_NAMES)?
+        list_within_limit(items, MAX_NAMES)?
             .iter()
             .map(|item| text(item).map(str::to_owned))
             .collect()
@@ -242,7 +242,7 @@
         zones: list(&message.zones)?,
         cells: list(&message.cells)?,
         kinds: list(&message.kinds)?,
-        names: at_most(&message.names, MAX_NAMES)?
+        names: list_within_limit(&message.names, MAX_NAMES)?
             .iter()
             .map(|unit| name(unit))
             .collect::<Option<_>>()?,
@@ -267,7 +267,7 @@
 }
 
 fn abandoned_from_proto(messages: &[v1::FleetLeft]) -> Option<BTreeMap<Name, String>> {
-    at_most(messages, MAX_ABANDONED)?
+    list_within_limit(messages, MAX_ABANDONED)?
         .iter()
         .map(|unit| Some((name(&unit.who)?, reason_from_proto(&unit.why)?)))
         .collect()
@@ -294,10 +294,10 @@
 }
 
 fn rollout_from_proto(message: &v1::FleetRollout) -> Option<Rollout> {
-    let zone_progress = at_most(&message.reached, MAX_ZONES)?
+    let zone_progress = list_within_limit(&message.reached, MAX_ZONES)?
         .iter()
         .map(|zone| Some((text_or_empty(&zone.zone)?, zone.at)));
-    let regrant = at_most(&message.again, MAX_PERMITS)?
+    let regrant = list_within_limit(&message.again, MAX_PERMITS)?
         .iter()
         .map(|unit| name(unit));
     Some(Rollout {
@@ -326,7 +326,7 @@
 }
 
 fn zone_sizes_from_proto(messages: &[v1::FleetSize]) -> Option<ZoneSizes> {
-    at_most(messages, MAX_ZONES)?
+    list_within_limit(messages, MAX_ZONES)?
         .iter()
         .map(|zone| Some((text_or_empty(&zone.zone)?, zone.size)))
         .collect()
@@ -363,7 +363,7 @@
     };
     Some(DisruptionState {
         permits_granted: message.given,
-        permits: at_most(&message.permits, MAX_PERMITS)?
+        permits: list_within_limit(&message.permits, MAX_PERMITS)?
             .iter()
             .map(permit_from_proto)
             .collect::<Option<_>>()?,
@@ -372,7 +372,7 @@
         resume_count: message.resumed,
         dispatcher_sizes: zone_sizes_from_proto(&message.dispatchers)?,
         engine_sizes: zone_sizes_from_proto(&message.engines)?,
-        notes: at_most(&message.notes, MAX_NOTES)?
+        notes: list_within_limit(&message.notes, MAX_NOTES)?
             .iter()
             .map(|note| reason_from_proto(note))
             .collect::<Option<_>>()?,
@@ -554,20 +554,20 @@
         wave_size: message.of_wave,
         completed: message.turned,
         selected: message.meant,
-        permits: at_most(&message.permits, MAX_PERMITS)?
+        permits: list_within_limit(&message.permits, MAX_PERMITS)?
             .iter()
             .map(permit)
             .collect::<Option<_>>()?,
         // One entry for the whole fleet precedes the entries of the zones.
-        unavailable: at_most(&message.room, MAX_ZONES + 1)?
+        unavailable: list_within_limit(&message.room, MAX_ZONES + 1)?
             .iter()
             .map(unavailable)
             .collect::<Option<_>>()?,
-        abandoned: at_most(&message.left, MAX_ABANDONED)?
+        abandoned: list_within_limit(&message.left, MAX_ABANDONED)?
             .iter()
             .map(abandoned)
             .collect::<Option<_>>()?,
-        notes: at_most(&message.notes, MAX_TEXT_BYTES)?
+        notes: list_within_limit(&message.notes, MAX_TEXT_BYTES)?
             .iter()
             .map(|note| reason_from_proto(note))
             .collect::<Option<_>>()?,
--- a/src/coordination/member/operator_requests/handling.rs
+++ b/src/coordination/member/operator_requests/handling.rs
@@ -19,22 +19,22 @@
                 None
             }
             OperatorRequest::HandOver { lease_name, to } => {
-                Some(self.hand_over_request(&lease_name, to, out))
+                Some(self.handle_hand_over(&lease_name, to, out))
             }
             OperatorRequest::AddVoter { name, address } => {
-                self.add_voter_request(call, name, address, out)
+                self.handle_add_voter(call, name, address, out)
             }
             OperatorRequest::RemoveVoter { name } => {
                 self.submit_command(call, Command::RemoveVoter { name });
                 None
             }
             OperatorRequest::HoldLease { lease_name, job } => {
-                Some(self.hold_lease_request(lease_name, job))
+                Some(self.handle_hold_lease(lease_name, job))
             }
             OperatorRequest::ReleaseLease { lease_name, job } => {
-                Some(self.release_lease_request(&lease_name, job, out))
+                Some(self.handle_release_lease(&lease_name, job, out))
             }
-            OperatorRequest::Rollout(request) => self.rollout_request(call, request),
+            OperatorRequest::Rollout(request) => self.handle_rollout_request(call, request),
             OperatorRequest::StopWithoutAgreement {
                 name,
                 address,
--- a/src/coordination/member/operator_requests/leases.rs
+++ b/src/coordination/member/operator_requests/leases.rs
@@ -10,7 +10,7 @@
 impl Member {
     /// Hands over a lease that this dispatcher holds. The next holder is `to` or, if `to` is none, the next dispatcher
     /// in the order of succession.
-    pub(super) fn hand_over_request(
+    pub(super) fn handle_hand_over(
         &mut self,
         lease_name: &LeaseName,
         to: Option<Name>,
@@ -65,7 +65,7 @@
     }
 
     /// Starts or continues to hold a lease for a job, and replies whether this dispatcher holds the lease.
-    pub(super) fn hold_lease_request(&mut self, lease_name: LeaseName, job: u64) -> Reply {
+    pub(super) fn handle_hold_lease(&mut self, lease_name: LeaseName, job: u64) -> Reply {
         if let Some(reason) = self.hold_refusal_reason(&lease_name, job) {
             return Reply::Refused(reason);
         }
@@ -130,7 +130,7 @@
     }
 
     /// Ends a job and releases its lease. Replies with success even if the job is unknown.
-    pub(super) fn release_lease_request(
+    pub(super) fn handle_release_lease(
         &mut self,
         lease_name: &LeaseName,
         job: u64,
--- a/src/coordination/member/operator_requests/voter_changes.rs
+++ b/src/coordination/member/operator_requests/voter_changes.rs
@@ -10,9 +10,9 @@
 pub(super) const ANSWER_TIMEOUT_MS: Ms = 800.0;
 
 impl Member {
-    /// Queries a dispatcher that is to become a voter. Returns none if the reply follows after the dispatcher has
-    /// answered.
-    pub(super) fn add_voter_request(
+    /// Handles a request to add a voter: queries the dispatcher that is to become a voter. Returns none if the reply
+    /// has to wait for the answer of that dispatcher.
+    pub(super) fn handle_add_voter(
         &mut self,
         call: CallId,
         name: Name,
@@ -112,21 +112,21 @@
     }
 }
 
-/// The reply to a change of the voters. `done` describes the successful change and `already_so` a change that is
-/// already in effect. Both texts follow the dispatcher's name.
+/// The reply to a request to add or remove the voter `name`. `changed_text` describes a successful change.
+/// `unchanged_text` describes a change that was in effect before the request. Both texts follow the dispatcher's name.
 fn voter_reply(
     name: &Name,
-    done: &str,
-    already_so: &str,
+    changed_text: &str,
+    unchanged_text: &str,
     result: Result<(), CommandError>,
 ) -> Reply {
     let name = &name.0;
     let reason = match result {
-        Ok(()) => return Reply::Done(format!("{name} {done}")),
+        Ok(()) => return Reply::Done(format!("{name} {changed_text}")),
         Err(CommandError::VoterChangeInProgress) => {
             "another change of the voters is in progress".to_owned()
         }
-        Err(CommandError::AlreadyInEffect) => format!("{name} {already_so}"),
+        Err(CommandError::AlreadyInEffect) => format!("{name} {unchanged_text}"),
         Err(CommandError::TooFewVoters) => {
             "fewer than 3 voters would be left: add one first".to_owned()
         }
--- a/src/coordination/member/operator_requests/voter_query.rs
+++ b/src/coordination/member/operator_requests/voter_query.rs
@@ -33,7 +33,7 @@
         self.deadline
     }
 
-    fn is_over(&self, now: Ms) -> bool {
+    fn has_ended(&self, now: Ms) -> bool {
         self.states.len() >= self.queried.len() || now >= self.deadline
     }
 }
@@ -88,7 +88,7 @@
         let finished: Vec<CallId> = self
             .voter_queries
             .iter()
-            .filter(|(_, voter_query)| voter_query.is_over(now))
+            .filter(|(_, voter_query)| voter_query.has_ended(now))
             .map(|(call, _)| *call)
             .collect();
         for call in finished {
@@ -111,7 +111,7 @@
         };
         let state = voter_query.states.get(&name).and_then(Option::as_ref);
         let Some(voter_id) = state.and_then(|state| state.voter_id) else {
-            let reason = format!("no voter {} answered at {}", name.0, address.0);
+            let reason = format!("voter {} did not answer at {}", name.0, address.0);
             return reply_to(call, Reply::Refused(reason), out);
         };
         let voter_record = VoterRecord { voter_id, address };
--- a/src/coordination/member/rollout/commands.rs
+++ b/src/coordination/member/rollout/commands.rs
@@ -15,9 +15,9 @@
 const MAX_PERMIT_REQUESTS: usize = 1024;
 
 impl Member {
-    /// Handles a request about rollouts or permits. Returns none if the reply follows once the voters have agreed on a
-    /// command.
-    pub(in super::super) fn rollout_request(
+    /// Handles a request about rollouts or permits. Returns none if the reply has to wait until the voters have agreed
+    /// on a command.
+    pub(in super::super) fn handle_rollout_request(
         &mut self,
         call: CallId,
         request: RolloutRequest,
@@ -218,13 +218,13 @@
         }
         self.disruptions.next_evaluation_at = self.now;
         match result {
-            Ok(()) => agreed_reply(command),
-            Err(error) => refused_reply(command, error),
+            Ok(()) => agreed_command_reply(command),
+            Err(error) => rejected_command_reply(command, error),
         }
     }
 }
 
-fn agreed_reply(command: &OperatorCommand) -> Reply {
+fn agreed_command_reply(command: &OperatorCommand) -> Reply {
     Reply::Done(match command {
         OperatorCommand::Start(rollout) => format!("release {} has started", rollout.plan.name),
         OperatorCommand::Halt(_) => {
@@ -244,7 +244,7 @@
     })
 }
 
-fn refused_reply(command: &OperatorCommand, error: CommandError) -> Reply {
+fn rejected_command_reply(command: &OperatorCommand, error: CommandError) -> Reply {
     let text = match (command, error) {
         (OperatorCommand::Start(_), CommandError::RolloutInProgress) => {
             "another release is not done: see 'release status'"
--- a/src/coordination/member/rollout/notices.rs
+++ b/src/coordination/member/rollout/notices.rs
@@ -9,7 +9,7 @@
 /// The number of heartbeat intervals after which a notice is sent again if its unit has not begun to drain.
 const RESEND_AFTER_HEARTBEATS: f64 = 4.0;
 
-/// What the leader knows about one receiver of notices, which is a dispatcher or the discovery registry.
+/// What the leader knows about one receiver of notices. A receiver is a dispatcher or the discovery registry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(in super::super) struct NoticeReceiver {
     clock: ReceiverClock,
--- a/src/coordination/member/rollout/permit.rs
+++ b/src/coordination/member/rollout/permit.rs
@@ -1,4 +1,5 @@
-//! Handles notices and revocations of this process's own permit, and begins to drain.
+//! Handles notices and revocations of this process's own permit, and begins to drain. A process remembers each revoked
+//! permit and ignores a later notice of that permit.
 
 use super::super::*;
 use crate::coordination::rollout_controller::PermitNotice;
--- a/src/coordination/member/rollout/status.rs
+++ b/src/coordination/member/rollout/status.rs
@@ -19,7 +19,7 @@
         let rollout = disruptions.rollout.as_deref();
         let permits = disruptions.permits.iter();
         let status_without_rollout = RolloutStatus {
-            state: state_word(disruptions, blocked_reason.is_some()).to_owned(),
+            state: rollout_state_name(disruptions, blocked_reason.is_some()).to_owned(),
             halted: disruptions.halted.clone().unwrap_or_default(),
             blocked_reason: blocked_reason.unwrap_or_default(),
             permits: permits
@@ -78,7 +78,7 @@
     }
 }
 
-/// Adds the name, the progress and the abandoned units of the rollout to a status.
+/// Returns the status with the name, the progress and the abandoned units of the rollout filled in.
 fn with_rollout(status: RolloutStatus, rollout: &Rollout, view: &FleetView) -> RolloutStatus {
     let plan = &rollout.plan;
     let units = view.units(plan.unit_kind).iter();
@@ -101,8 +101,8 @@
     }
 }
 
-/// The state of the rollout, as one of the words of [`RolloutStatus::state`].
-fn state_word(disruptions: &DisruptionState, is_blocked: bool) -> &'static str {
+/// The state of the rollout, as one of the names that are listed at [`RolloutStatus::state`].
+fn rollout_state_name(disruptions: &DisruptionState, is_blocked: bool) -> &'static str {
     let no_permits = disruptions.permits.is_empty();
     match disruptions.rollout.as_deref() {
         None => "none",
--- a/src/coordination/rollout/commands.rs
+++ b/src/coordination/rollout/commands.rs
@@ -31,7 +31,7 @@
     pub fn apply_command(&mut self, command: &OperatorCommand) -> Result<(), RolloutError> {
         match command {
             OperatorCommand::Start(rollout) => self.start(rollout),
-            // A halt succeeds even if the state is halted already, so that the voters agree on the halt once more. The
+            // A halt succeeds even if the state is halted already, so that the voters agree on the halt again. The
             // halt in this state may come from a proposal that the voters never chose.
             OperatorCommand::Halt(reason) => self.halt(reason).or(Ok(())),
             OperatorCommand::Resume => self.resume(),
@@ -42,7 +42,7 @@
                 Ok(())
             }
             OperatorCommand::Note(note) => {
-                self.note(note);
+                self.add_note(note);
                 Ok(())
             }
         }
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    fn note(&mut self, note: &str) {
+    fn add_note(&mut self, note: &str) {
         self.notes.push(note.to_owned());
         if self.notes.len() > MAX_NOTES {
             self.notes.remove(0);
--- a/src/coordination/rollout_analysis/restarts.rs
+++ b/src/coordination/rollout_analysis/restarts.rs
@@ -54,12 +54,12 @@
             group.units += 1;
             group.restarts += restarts;
         }
-        let restarts_more_often = updated_group.restarts >= MIN_RESTARTS
+        let is_restart_rate_exceeded = updated_group.restarts >= MIN_RESTARTS
             && updated_group.restarts_per_unit()
                 > MIN_RESTART_RATIO * other_group.restarts_per_unit();
-        restarts_more_often.then(|| {
+        is_restart_rate_exceeded.then(|| {
             format!(
-                "updated units fell {} times ({} units), the other units {} times",
+                "updated units ({1} units) restarted {0} times without a permit, the other units {2} times",
                 updated_group.restarts, updated_group.units, other_group.restarts
             )
         })
--- a/src/coordination/rollout_controller/granting.rs
+++ b/src/coordination/rollout_controller/granting.rs
@@ -38,7 +38,7 @@
             if grants.permits.len() >= max_permits {
                 break;
             }
-            // A permit for a unit that is already unavailable uses up none of the budget.
+            // A permit for a unit that is already unavailable does not use up any of the budget.
             let is_checked = unit.status == ServiceStatus::InService && !skips_check;
             if is_checked && !grants.is_allowed(unit, counts, inputs, &rollout.budget) {
                 continue;
--- a/src/coordination/rollout_controller/notice.rs
+++ b/src/coordination/rollout_controller/notice.rs
@@ -80,8 +80,9 @@
     }
 }
 
-/// The address to which a permit's notice is sent: the address of the dispatcher, or for an engine that of the
-/// discovery registry. None for an engine if the fleet has no registry.
+/// The address to which the notice of a permit is sent. The notice for a dispatcher goes to the dispatcher's own
+/// address. The notice for an engine goes to the address of the discovery registry, or nowhere if the fleet has no
+/// registry: the result is none in that case.
 pub fn notice_address<'a>(
     permit: &'a DisruptionPermit,
     registry: Option<&'a Address>,
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -45,7 +45,7 @@
     revoked: bool,
     /// Whether an operator has ended a halt since the permit was granted, and has thereby accepted the unit's
     /// condition.
-    accepted_by_operator: bool,
+    condition_accepted_by_operator: bool,
 }
 
 /// The actions that follow from the current stages of all permits.
@@ -87,7 +87,7 @@
     rollout: Option<&'a Rollout>,
     disruptions: &'a DisruptionState,
     revoked: bool,
-    accepted_by_operator: bool,
+    condition_accepted_by_operator: bool,
 }
 
 /// Timers of permits, and the replies of units to revocation requests.
@@ -114,7 +114,7 @@
         for observation in self.observations.values_mut() {
             *observation = Observation {
                 first_seen_at: now,
-                accepted_by_operator: true,
+                condition_accepted_by_operator: true,
                 ..Observation::default()
             };
         }
@@ -205,7 +205,7 @@
             rollout,
             disruptions: inputs.disruptions,
             revoked: observation.revoked,
-            accepted_by_operator: observation.accepted_by_operator,
+            condition_accepted_by_operator: observation.condition_accepted_by_operator,
         }
     }
 
@@ -215,10 +215,10 @@
         view_complete: bool,
         counts: Option<&mut UnitCounts>,
     ) -> Decision {
-        let is_rolling_back = case.is_in_rollback() && !case.is_halted();
+        let is_rolling_back = case.is_in_rollback() && !case.are_permits_halted();
         match case.stage {
-            PermitStage::Returned => case.decide_returned(view_complete),
-            PermitStage::Granted => case.decide_granted(counts),
+            PermitStage::Returned => case.decide_returned_unit(view_complete),
+            PermitStage::Granted => case.decide_unit_with_new_permit(counts),
             PermitStage::WrongVersion if is_rolling_back && case.has_settled() => {
                 self.decide_wrong_version_in_rollback(case)
             }
@@ -239,7 +239,7 @@
         *wrong_restarts += u32::from(!case.is_outdated_by_rollback());
         if *wrong_restarts > MAX_WRONG_VERSION_RESTARTS {
             return case.abandon(format!(
-                "restarts under label {} more often than a rollback allows",
+                "the unit restarted under label {} more than {MAX_WRONG_VERSION_RESTARTS} times during the rollback",
                 case.unit_label()
             ));
         }
@@ -248,7 +248,7 @@
 }
 
 impl PermitCase<'_> {
-    fn is_halted(&self) -> bool {
+    fn are_permits_halted(&self) -> bool {
         self.disruptions.halted.is_some()
     }
 
@@ -277,7 +277,7 @@
 
     /// Completes the permit once the unit has settled. A permanently removed unit must also be absent from a complete
     /// view, because a new leader may not have seen the unit yet.
-    fn decide_returned(&self, view_complete: bool) -> Decision {
+    fn decide_returned_unit(&self, view_complete: bool) -> Decision {
         let may_still_exist = self.permit.permanent && !view_complete;
         match self.has_settled() && !may_still_exist {
             true => Decision::Complete,
@@ -285,13 +285,13 @@
         }
     }
 
-    fn decide_granted(&self, counts: Option<&mut UnitCounts>) -> Decision {
+    fn decide_unit_with_new_permit(&self, counts: Option<&mut UnitCounts>) -> Decision {
         if self.revoked {
             return Decision::Revoke;
         }
         let is_past_start_timeout = self.age > self.timeouts.start;
         let must_be_revoked =
-            self.is_halted() || self.is_outdated_by_rollback() || is_past_start_timeout;
+            self.are_permits_halted() || self.is_outdated_by_rollback() || is_past_start_timeout;
         match must_be_revoked || self.exceeds_budget(counts) {
             true => Decision::AskRevocation,
             false => Decision::Notify,
@@ -325,16 +325,16 @@
             return Decision::Step(RolloutStep::Reissue(self.id, permit));
         }
         match self.is_past_restart_timeout() {
-            true => self.abandon("has restarted but was not ready in time".to_owned()),
+            true => self.abandon("the unit restarted but was not ready in time".to_owned()),
             false => Decision::Wait,
         }
     }
 
     fn decide_wrong_version(&self) -> Decision {
-        if self.accepted_by_operator || !self.permit.planned {
+        if self.condition_accepted_by_operator || !self.permit.planned {
             return Decision::Revoke;
         }
-        if self.has_settled() && !self.is_halted() {
+        if self.has_settled() && !self.are_permits_halted() {
             return Decision::Step(RolloutStep::Halt(format!(
                 "{} came back under label {} instead of label {}",
                 self.permit.unit.0,
@@ -346,11 +346,11 @@
     }
 
     fn decide_by_restart_timeout(&self) -> Decision {
-        if !self.is_past_restart_timeout() || self.is_halted() || !self.permit.planned {
+        if !self.is_past_restart_timeout() || self.are_permits_halted() || !self.permit.planned {
             return Decision::Wait;
         }
         if self.is_in_rollback() {
-            return self.abandon("did not return in time".to_owned());
+            return self.abandon("the unit did not return in time".to_owned());
         }
         let condition = match self.stage {
             PermitStage::Starting => "is not ready",
--- a/src/coordination/rollout_controller/unit_counts.rs
+++ b/src/coordination/rollout_controller/unit_counts.rs
@@ -31,7 +31,7 @@
         .collect();
     let is_disrupted = |unit: &Unit| units_with_permits.contains(&unit.name);
     if is_injected(InjectedFault::FailuresUncounted) {
-        let units: Vec<Unit> = units.iter().map(as_in_service).collect();
+        let units: Vec<Unit> = units.iter().map(copy_in_service).collect();
         return UnitCounts::new(units.iter(), &ZoneSizes::new(), budget, is_disrupted);
     }
     let mut budget = *budget;
@@ -42,7 +42,7 @@
     UnitCounts::new(units.iter(), sizes, &budget, is_disrupted)
 }
 
-fn as_in_service(unit: &Unit) -> Unit {
+fn copy_in_service(unit: &Unit) -> Unit {
     Unit {
         status: ServiceStatus::InService,
         ..unit.clone()
@@ -65,8 +65,9 @@
     is_allowed
 }
 
-/// Checks that a voter drains only while all other voters are available and none of them has a permit. Units that are
-/// not voters always pass the check. `new_permits` are the permits that this step already grants.
+/// Checks that a voter drains only while all other voters are available and none of them has a permit. At most one
+/// voter is therefore unavailable or about to become unavailable. Units that are not voters always pass the check.
+/// `new_permits` are the permits that this step already grants.
 ///
 /// Without this check a rollout could take the majority of the voters out of service. The fleet could then agree on
 /// nothing, not even on the completion of the permits.
