--- a/src/coordination/disruption_budget/violation.rs
+++ b/src/coordination/disruption_budget/violation.rs
@@ -70,7 +70,7 @@
             Violation::Fleet { unavailable, limit } => {
                 write!(
                     formatter,
-                    "{unavailable} units of the fleet are unavailable, and at most {limit} may be"
+                    "{unavailable} units of the fleet are unavailable, and at most {limit} may be unavailable"
                 )
             }
             Violation::Zone {
@@ -79,7 +79,7 @@
                 limit,
             } => write!(
                 formatter,
-                "zone {zone}: {unavailable} units are unavailable, and at most {limit} may be"
+                "zone {zone}: {unavailable} units are unavailable, and at most {limit} may be unavailable"
             ),
             Violation::Cell {
                 cell,
@@ -87,7 +87,7 @@
                 limit,
             } => write!(
                 formatter,
-                "cell {cell}: {unavailable} units are unavailable, and at most {limit} may be"
+                "cell {cell}: {unavailable} units are unavailable, and at most {limit} may be unavailable"
             ),
             Violation::Kind {
                 kind,
@@ -95,7 +95,7 @@
                 limit,
             } => write!(
                 formatter,
-                "kind {kind}: {unavailable} units are unavailable, and at most {limit} may be"
+                "kind {kind}: {unavailable} units are unavailable, and at most {limit} may be unavailable"
             ),
             Violation::MinReady {
                 role,
@@ -107,7 +107,8 @@
                 voters,
             } => write!(
                 formatter,
-                "{unavailable} of {voters} voters are unavailable, and a voter drains only while none is"
+                "{unavailable} of {voters} voters are unavailable, and a voter drains only while \
+                 all other voters are available"
             ),
             Violation::Utilization { engines, per_mille } => write!(
                 formatter,
--- a/src/coordination/member/rollout/leader.rs
+++ b/src/coordination/member/rollout/leader.rs
@@ -6,7 +6,8 @@
 use crate::coordination::rollout_controller::{ControllerInputs, PermitRequest, RolloutController};
 use std::collections::BTreeSet;
 
-/// How often the controller runs per heartbeat interval while there is a permit, a rollout or a request for a permit.
+/// The number of runs of the controller per heartbeat interval while there is a permit, a rollout or a request for a
+/// permit.
 const EVALUATIONS_PER_HEARTBEAT: f64 = 2.0;
 /// The minimum time between two runs of the controller, in milliseconds.
 const MIN_EVALUATION_INTERVAL_MS: Ms = 10.0;
--- a/src/coordination/member/rollout/permit.rs
+++ b/src/coordination/member/rollout/permit.rs
@@ -4,7 +4,8 @@
 use super::super::*;
 use crate::coordination::rollout_controller::PermitNotice;
 
-/// The maximum number of revoked permits that a process remembers. The oldest permits are forgotten first.
+/// The maximum number of revoked permits that a process remembers so that it can ignore their notices. The oldest
+/// permits are forgotten first.
 const MAX_REVOKED_PERMITS: usize = 1024;
 
 impl Member {
--- a/src/coordination/rollout/state.rs
+++ b/src/coordination/rollout/state.rs
@@ -47,8 +47,8 @@
     pub rollout: Option<Box<Rollout>>,
     /// The reason for the current halt. None while permits are not halted.
     pub halted: Option<String>,
-    /// How often operators have ended a halt with a resume command, or started a rollback. Each increase restarts the
-    /// timeouts of all permits.
+    /// The number of times that operators have ended a halt with a resume command or started a rollback. Each increase
+    /// restarts the timeouts of all permits.
     pub resume_count: u64,
     /// The agreed number of dispatchers in each zone. The number rises when more dispatchers are seen. Only an
     /// operator's command lowers the number, because a missing dispatcher may have failed.
--- a/src/coordination/rollout_analysis/restarts.rs
+++ b/src/coordination/rollout_analysis/restarts.rs
@@ -59,7 +59,7 @@
                 > MIN_RESTART_RATIO * other_group.restarts_per_unit();
         is_restart_rate_exceeded.then(|| {
             format!(
-                "updated units ({1} units) restarted {0} times without a permit, the other units {2} times",
+                "updated units fell {} times ({} units), the other units {} times",
                 updated_group.restarts, updated_group.units, other_group.restarts
             )
         })
--- a/src/coordination/rollout_controller/controller.rs
+++ b/src/coordination/rollout_controller/controller.rs
@@ -147,7 +147,7 @@
             .min(MAX_PERMITS_PER_STEP)
             .min(MAX_PERMITS.saturating_sub(inputs.disruptions.permits.len()));
         let units = &candidates.units;
-        let grants = Grants::to_candidates(units, max_permits, &mut counts, inputs, rollout);
+        let grants = Grants::grant_to_candidates(units, max_permits, &mut counts, inputs, rollout);
         if !grants.permits.is_empty() {
             return Some(RolloutStep::Grant(grants.permits));
         }
@@ -281,7 +281,7 @@
             .filter(|rollout| rollout.plan.unit_kind == UnitKind::Dispatchers);
         let budget = rollout.map_or(inputs.request_budget, |rollout| &rollout.budget);
         let mut counts = self.unit_counts(inputs, UnitKind::Dispatchers, budget);
-        let grants = Grants::to_requests(&mut counts, inputs, budget);
+        let grants = Grants::grant_to_requests(&mut counts, inputs, budget);
         if self.blocked_reason.is_none() {
             self.blocked_reason = grants.forbidden_by.map(|violation| violation.to_string());
         }
@@ -325,7 +325,8 @@
     permits.filter(|permit| permit.planned).count()
 }
 
-/// A step that records the zones with more units than agreed. None if no zone has grown.
+/// A step that raises the agreed sizes of zones in which more units are seen than agreed. None if there is no such
+/// zone.
 fn zone_growth_step(disruptions: &DisruptionState, view: &FleetView) -> Option<RolloutStep> {
     [UnitKind::Dispatchers, UnitKind::Engines]
         .into_iter()
--- a/src/coordination/rollout_controller/granting.rs
+++ b/src/coordination/rollout_controller/granting.rs
@@ -20,7 +20,7 @@
 
 impl Grants {
     /// Grants permits of a rollout to candidates in the given order, skipping units that the budget does not allow.
-    pub fn to_candidates(
+    pub fn grant_to_candidates(
         candidates: &[&Unit],
         max_permits: usize,
         counts: &mut UnitCounts,
@@ -54,7 +54,7 @@
     }
 
     /// Grants permits to dispatchers that requested them, in the order of the requests, which are sorted by name.
-    pub fn to_requests(
+    pub fn grant_to_requests(
         counts: &mut UnitCounts,
         inputs: &ControllerInputs<'_>,
         budget: &DisruptionBudget,
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -30,8 +30,8 @@
     settle: 2_000.0,
 };
 
-/// How often a unit may restart under the wrong label during a rollback. After one more such restart the unit is
-/// abandoned, and an operator has to repair it.
+/// The maximum number of restarts of a unit under the wrong label during a rollback. After one more such restart the
+/// unit is abandoned, and an operator has to repair it.
 const MAX_WRONG_VERSION_RESTARTS: u32 = 3;
 
 /// This leader's observations of one permit.
@@ -94,8 +94,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct PermitTracker {
     observations: BTreeMap<PermitId, Observation>,
-    /// How often each unit restarted under the new label during a rollback although its permit carried the previous
-    /// label.
+    /// The number of times that each unit restarted under the new label during a rollback although its permit carried
+    /// the previous label.
     wrong_version_restarts: BTreeMap<Name, u32>,
 }
 
@@ -259,8 +259,11 @@
     /// Whether the permit was granted before the rollback began, and therefore carries the new label instead of the
     /// previous one.
     fn is_outdated_by_rollback(&self) -> bool {
-        let differs = |rollout: &Rollout| rollout.plan.previous_label != self.permit.label;
-        self.is_in_rollback() && self.rollout.is_some_and(differs) && !self.permit.permanent
+        let differs_from_previous_label =
+            |rollout: &Rollout| rollout.plan.previous_label != self.permit.label;
+        self.is_in_rollback()
+            && self.rollout.is_some_and(differs_from_previous_label)
+            && !self.permit.permanent
     }
 
     fn has_settled(&self) -> bool {
--- a/src/coordination/rollout_controller/stage.rs
+++ b/src/coordination/rollout_controller/stage.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fault_injection::{is_injected, InjectedFault};
 use crate::coordination::rollout::DisruptionPermit;
 
-/// How far a unit with a permit has come in its restart or removal, as the membership leader sees the unit.
+/// The progress of a unit with a permit in its restart or removal, as the membership leader sees the unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitStage {
     /// The process with the permit is running and has not begun to drain.
