--- a/src/coordination/disruption_budget/groups.rs
+++ b/src/coordination/disruption_budget/groups.rs
@@ -16,13 +16,13 @@
         self.size - self.available.min(self.size)
     }
 
-    /// Returns the number of unavailable units and the limit, if no further unit may become unavailable. Else none.
+    /// Returns the number of unavailable units and the limit if no further unit may become unavailable, otherwise none.
     pub fn limit_reached(self, max: MaxUnavailable) -> Option<(u32, u32)> {
         let limit = max.limit_for(self.size);
         (self.unavailable() >= limit).then_some((self.unavailable(), limit))
     }
 
-    /// Returns the number of unavailable units and the limit, if more units are unavailable than allowed. Else none.
+    /// Returns the number of unavailable units and the limit if the number exceeds the limit, otherwise none.
     pub fn limit_exceeded(self, max: MaxUnavailable) -> Option<(u32, u32)> {
         let limit = max.limit_for(self.size);
         (self.unavailable() > limit).then_some((self.unavailable(), limit))
--- a/src/coordination/member/operator_requests/handling.rs
+++ b/src/coordination/member/operator_requests/handling.rs
@@ -4,7 +4,7 @@
 use super::api::{OperatorRequest, Reply};
 
 impl Member {
-    /// Handles an operator's request. The reply follows at once, or after the voters that the request depends on have
+    /// Handles an operator's request. Outputs the reply at once, or after the voters on which the request depends have
     /// answered.
     pub(in super::super) fn handle_operator_request(
         &mut self,
--- a/src/coordination/member/rollout/halt.rs
+++ b/src/coordination/member/rollout/halt.rs
@@ -19,27 +19,27 @@
     /// When this dispatcher learned that the halt was agreed on.
     agreed_at: Ms,
     /// The units that had permits when the halt was agreed on.
-    asked: BTreeMap<PermitId, AskedUnit>,
+    asked_units: BTreeMap<PermitId, AskedUnit>,
     next_request_at: Ms,
 }
 
 impl HaltConfirmation {
     fn new(now: Ms, disruptions: &DisruptionState) -> Self {
-        let asked = disruptions.permits.iter().map(|(id, permit)| {
+        let asked_units = disruptions.permits.iter().map(|(id, permit)| {
             let unit = permit.unit.clone();
             (*id, AskedUnit { unit, begun: None })
         });
         HaltConfirmation {
             agreed_at: now,
-            asked: asked.collect(),
+            asked_units: asked_units.collect(),
             next_request_at: now,
         }
     }
 
     /// The permits whose units have not replied.
     fn unanswered(&self) -> impl Iterator<Item = &PermitId> {
-        let asked = self.asked.iter();
-        asked
+        self.asked_units
+            .iter()
             .filter(|(_, asked)| asked.begun.is_none())
             .map(|(id, _)| id)
     }
@@ -56,16 +56,16 @@
 
     /// Records a unit's reply: whether the unit had begun to drain on the permit before the halt.
     pub fn record_reply(&mut self, permit: PermitId, begun: bool) {
-        if let Some(asked) = self.asked.get_mut(&permit) {
+        if let Some(asked) = self.asked_units.get_mut(&permit) {
             asked.begun = Some(begun);
         }
     }
 
-    /// The names of the units with the reply `begun`, separated by commas. For none, the names of the units without a
-    /// reply.
+    /// The names of the units with the reply `begun`, separated by commas. If `begun` is none, the names of the units
+    /// without a reply.
     fn names_of_units_with_reply(&self, begun: Option<bool>) -> String {
         let names: Vec<&str> = self
-            .asked
+            .asked_units
             .values()
             .filter(|asked| asked.begun == begun)
             .map(|asked| &*asked.unit.0)
@@ -138,7 +138,7 @@
     }
 
     /// Handles an operator's halt, which the operator repeats until the halt is confirmed. Returns none if the reply
-    /// follows once the voters have agreed on the halt.
+    /// has to wait until the voters have agreed on the halt.
     pub(super) fn handle_halt(&mut self, call: CallId, reason: String) -> Option<Reply> {
         if is_injected(InjectedFault::HaltByHolderAlone)
             && self.held_leases.contains_key(&membership_lease())
--- a/src/coordination/member/rollout/stop_without_agreement.rs
+++ b/src/coordination/member/rollout/stop_without_agreement.rs
@@ -8,7 +8,7 @@
     /// Handles an operator's request to stop the dispatcher `name`.
     ///
     /// The named dispatcher drains. Any other dispatcher forwards the request, and adds a note to the replicated state
-    /// once the voters agree again. Returns none if the reply follows after the named dispatcher has answered.
+    /// once the voters agree again. Returns none if the reply has to wait for the named dispatcher's answer.
     pub(in super::super) fn stop_without_agreement(
         &mut self,
         call: CallId,
@@ -96,7 +96,7 @@
     fn propose_note(&mut self, note: String) {
         self.requests_sent += 1;
         self.pending_commands.push(PendingCommand {
-            // No caller waits for the result, so the number must not equal that of any call.
+            // No caller waits for the result, so the number must differ from the number of each call.
             call: CallId(u64::MAX - self.requests_sent),
             command: Command::OperatorCommand(OperatorCommand::Note(note)),
             expires_at: f64::INFINITY,
--- a/src/coordination/rollout_analysis/comparison.rs
+++ b/src/coordination/rollout_analysis/comparison.rs
@@ -57,7 +57,7 @@
     pub updated: GroupOutcomes,
     /// Totals of the units that are not updated, over slices in which both groups had requests.
     pub others: GroupOutcomes,
-    /// The number of harmed requests at the updated units if their share equalled that of the other units.
+    /// The expected number of harmed requests at the updated units, computed from the share at the other units.
     pub expected_harmed: f64,
     variance: f64,
 }
--- a/src/coordination/rollout_analysis/restarts.rs
+++ b/src/coordination/rollout_analysis/restarts.rs
@@ -6,9 +6,9 @@
 
 /// The minimum number of restarts at the updated units. The comparison reports no difference with fewer.
 const MIN_RESTARTS: u32 = 2;
-/// The updated units restart too often if their mean number of restarts exceeds the mean of the other units by more
-/// than this factor.
-const MIN_RESTART_RATIO: f64 = 3.0;
+/// The rollout halts if the updated units' mean number of restarts is more than this many times the mean of the other
+/// units.
+const MAX_RESTART_RATIO: f64 = 3.0;
 
 /// The size of a group of units and their total number of restarts.
 #[derive(Clone, Copy, Debug, Default)]
@@ -56,7 +56,7 @@
         }
         let is_restart_rate_exceeded = updated_group.restarts >= MIN_RESTARTS
             && updated_group.restarts_per_unit()
-                > MIN_RESTART_RATIO * other_group.restarts_per_unit();
+                > MAX_RESTART_RATIO * other_group.restarts_per_unit();
         is_restart_rate_exceeded.then(|| {
             format!(
                 "updated units fell {} times ({} units), the other units {} times",
--- a/src/coordination/rollout_controller/controller.rs
+++ b/src/coordination/rollout_controller/controller.rs
@@ -31,8 +31,7 @@
     /// permits.
     wave_finished_at: Option<Ms>,
     analysis: RolloutAnalysis,
-    /// The time since which more units have been unavailable than the budget allows. None while the budget is not
-    /// exceeded.
+    /// When this leader first saw more unavailable units than the budget allows. None while the budget is not exceeded.
     budget_exceeded_since: Option<Ms>,
     /// Agreed permits whose units must be notified. Replaced by each call of [`Self::next_step`].
     pub to_notify: Vec<PermitId>,
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -146,7 +146,7 @@
         let (mut complete, mut revoke) = (Vec::new(), Vec::new());
         for (id, permit) in &inputs.disruptions.permits {
             let case = self.observe(*id, permit, inputs);
-            match self.decide_one(&case, inputs.view.is_complete, counts.as_mut()) {
+            match self.decide_case(&case, inputs.view.is_complete, counts.as_mut()) {
                 Decision::Wait => {}
                 Decision::Notify => decisions.to_notify.push(*id),
                 Decision::AskRevocation => decisions.to_revoke.push(*id),
@@ -209,7 +209,7 @@
         }
     }
 
-    fn decide_one(
+    fn decide_case(
         &mut self,
         case: &PermitCase<'_>,
         view_complete: bool,
