--- a/src/coordination/disruption_budget/counts.rs
+++ b/src/coordination/disruption_budget/counts.rs
@@ -38,7 +38,7 @@
     /// a permit to drain.
     ///
     /// A listed unit that is out of service counts as unavailable while fewer units of its zone are seen than `sizes`
-    /// states. If the zone lacks no unit, the listed unit has been removed for good and is ignored.
+    /// states. If all units of the zone are seen, the listed unit has been removed for good and is ignored.
     pub fn new<'a>(
         units: impl Iterator<Item = &'a Unit>,
         sizes: &ZoneSizes,
@@ -267,7 +267,7 @@
         }
     }
 
-    /// A message about the first zone in which fewer units are seen than agreed. None if no zone lacks a unit.
+    /// A message about the first zone in which fewer units are seen than agreed. None if no unit is missing.
     pub fn missing_units_message(&self, units: &[Unit]) -> Option<String> {
         let seen = observed_zone_sizes(units.iter());
         self.zones.iter().find_map(|(zone, count)| {
--- a/src/coordination/member/operator_requests/api.rs
+++ b/src/coordination/member/operator_requests/api.rs
@@ -155,7 +155,7 @@
 pub struct AbandonedUnit {
     /// The name of the unit. A status lists each abandoned unit once.
     pub unit: Name,
-    /// Why the rollout has abandoned the unit.
+    /// Why the rollout has abandoned the unit. The text follows the unit's name, for example `did not return in time`.
     pub reason: String,
 }
 
--- a/src/coordination/member/operator_requests/status.rs
+++ b/src/coordination/member/operator_requests/status.rs
@@ -46,10 +46,10 @@
                 .map(|(name, address)| self.voter_status(name, address, None, voter_query))
                 .collect();
         }
-        let line = |(name, record): (&Name, &VoterRecord)| {
+        let voter_status = |(name, record): (&Name, &VoterRecord)| {
             self.voter_status(name, &record.address, Some(record.voter_id), voter_query)
         };
-        records.iter().map(line).collect()
+        records.iter().map(voter_status).collect()
     }
 
     /// The status of one voter. `voter_id` is the identity under which the fleet agreed on the voter. A voter with
@@ -83,7 +83,7 @@
         let Some(membership) = &self.membership else {
             return Vec::new();
         };
-        let line = |(name, member): (&Name, &membership::Member)| MemberSummary {
+        let member_summary = |(name, member): (&Name, &membership::Member)| MemberSummary {
             name: name.clone(),
             zone: member.heartbeat.zone.clone(),
             label: member.heartbeat.label.clone(),
@@ -92,7 +92,7 @@
             uptime: member.heartbeat.uptime + self.now - member.last_heartbeat_at,
             last_heartbeat_age: self.now - member.last_heartbeat_at,
         };
-        membership.members().map(line).collect()
+        membership.members().map(member_summary).collect()
     }
 
     /// The address of the membership leader, if that is another process.
--- a/src/coordination/rollout_controller/dry_run.rs
+++ b/src/coordination/rollout_controller/dry_run.rs
@@ -11,7 +11,7 @@
 
 /// Computes the units of each wave of a plan, assuming that every unit drains and returns as planned.
 ///
-/// The list ends early if the budget admits no further unit, or after 10 000 waves.
+/// The list ends early if the budget allows no further unit to drain, or after 10 000 waves.
 pub fn planned_waves(
     plan: &RolloutPlan,
     budget: &DisruptionBudget,
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -239,7 +239,7 @@
         *wrong_restarts += u32::from(!case.is_outdated_by_rollback());
         if *wrong_restarts > MAX_WRONG_VERSION_RESTARTS {
             return case.abandon(format!(
-                "the unit restarted under label {} more than {MAX_WRONG_VERSION_RESTARTS} times during the rollback",
+                "restarted under label {} more than {MAX_WRONG_VERSION_RESTARTS} times during the rollback",
                 case.unit_label()
             ));
         }
@@ -328,7 +328,7 @@
             return Decision::Step(RolloutStep::Reissue(self.id, permit));
         }
         match self.is_past_restart_timeout() {
-            true => self.abandon("the unit restarted but was not ready in time".to_owned()),
+            true => self.abandon("restarted but was not ready in time".to_owned()),
             false => Decision::Wait,
         }
     }
@@ -353,7 +353,7 @@
             return Decision::Wait;
         }
         if self.is_in_rollback() {
-            return self.abandon("the unit did not return in time".to_owned());
+            return self.abandon("did not return in time".to_owned());
         }
         let condition = match self.stage {
             PermitStage::Starting => "is not ready",
@@ -366,6 +366,7 @@
     }
 
     /// Lists the unit as abandoned, so that an operator repairs it. Halts the rollout instead if the list is full.
+    /// `reason` is a predicate, because the status shows it after the unit's name: `d2 did not return in time`.
     fn abandon(&self, reason: String) -> Decision {
         let is_full = self
             .disruptions
--- a/src/coordination/rollout_controller/unit_counts.rs
+++ b/src/coordination/rollout_controller/unit_counts.rs
@@ -42,6 +42,7 @@
     UnitCounts::new(units.iter(), sizes, &budget, is_disrupted)
 }
 
+/// Returns a copy of the unit that is in service, for an injected fault that hides failures from the counts.
 fn copy_in_service(unit: &Unit) -> Unit {
     Unit {
         status: ServiceStatus::InService,
@@ -50,7 +51,7 @@
 }
 
 /// Whether the budget would allow the permit of a unit if the permit were granted now. `counts` must count the unit as
-/// unavailable. True for a unit that is not in service, which uses up no further budget.
+/// unavailable. True for a unit that is not in service, because its drain makes no further unit unavailable.
 pub(super) fn is_still_allowed(
     counts: &mut UnitCounts,
     unit: Option<&Unit>,
