--- a/src/coordination/rollout_controller/granting.rs
+++ b/src/coordination/rollout_controller/granting.rs
@@ -20,7 +20,7 @@
 
 impl Grants {
     /// Grants permits of a rollout to candidates in the given order, skipping units that the budget does not allow.
-    pub fn to_candidates(
+    pub fn grant_to_candidates(
         candidates: &[&Unit],
         max_permits: usize,
         counts: &mut UnitCounts,
@@ -38,7 +38,7 @@
             if grants.permits.len() >= max_permits {
                 break;
             }
-            // A permit for a unit that is already unavailable uses up none of the budget.
+            // A permit for a unit that is already unavailable does not use up any of the budget.
             let is_checked = unit.status == ServiceStatus::InService && !skips_check;
             if is_checked && !grants.is_allowed(unit, counts, inputs, &rollout.budget) {
                 continue;
@@ -54,7 +54,7 @@
     }
 
     /// Grants permits to dispatchers that requested them, in the order of the requests, which are sorted by name.
-    pub fn to_requests(
+    pub fn grant_to_requests(
         counts: &mut UnitCounts,
         inputs: &ControllerInputs<'_>,
         budget: &DisruptionBudget,
--- a/src/coordination/rollout_controller/permit_tracker.rs
+++ b/src/coordination/rollout_controller/permit_tracker.rs
@@ -30,8 +30,8 @@
     settle: 2_000.0,
 };
 
-/// How often a unit may restart under the wrong label during a rollback. After one more such restart the unit is
-/// abandoned, and an operator has to repair it.
+/// The maximum number of restarts of a unit under the wrong label during a rollback. After one more such restart the
+/// unit is abandoned, and an operator has to repair it.
 const MAX_WRONG_VERSION_RESTARTS: u32 = 3;
 
 /// This leader's observations of one permit.
@@ -45,7 +45,7 @@
     revoked: bool,
     /// Whether an operator has ended a halt since the permit was granted, and has thereby accepted the unit's
     /// condition.
-    accepted_by_operator: bool,
+    condition_accepted_by_operator: bool,
 }
 
 /// The actions that follow from the current stages of all permits.
@@ -87,15 +87,15 @@
     rollout: Option<&'a Rollout>,
     disruptions: &'a DisruptionState,
     revoked: bool,
-    accepted_by_operator: bool,
+    condition_accepted_by_operator: bool,
 }
 
 /// Timers of permits, and the replies of units to revocation requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct PermitTracker {
     observations: BTreeMap<PermitId, Observation>,
-    /// How often each unit restarted under the new label during a rollback although its permit carried the previous
-    /// label.
+    /// The number of times that each unit restarted under the new label during a rollback although its permit carried
+    /// the previous label.
     wrong_version_restarts: BTreeMap<Name, u32>,
 }
 
@@ -114,7 +114,7 @@
         for observation in self.observations.values_mut() {
             *observation = Observation {
                 first_seen_at: now,
-                accepted_by_operator: true,
+                condition_accepted_by_operator: true,
                 ..Observation::default()
             };
         }
@@ -146,7 +146,7 @@
         let (mut complete, mut revoke) = (Vec::new(), Vec::new());
         for (id, permit) in &inputs.disruptions.permits {
             let case = self.observe(*id, permit, inputs);
-            match self.decide_one(&case, inputs.view.is_complete, counts.as_mut()) {
+            match self.decide_case(&case, inputs.view.is_complete, counts.as_mut()) {
                 Decision::Wait => {}
                 Decision::Notify => decisions.to_notify.push(*id),
                 Decision::AskRevocation => decisions.to_revoke.push(*id),
@@ -205,20 +205,20 @@
             rollout,
             disruptions: inputs.disruptions,
             revoked: observation.revoked,
-            accepted_by_operator: observation.accepted_by_operator,
+            condition_accepted_by_operator: observation.condition_accepted_by_operator,
         }
     }
 
-    fn decide_one(
+    fn decide_case(
         &mut self,
         case: &PermitCase<'_>,
         view_complete: bool,
         counts: Option<&mut UnitCounts>,
     ) -> Decision {
-        let is_rolling_back = case.is_in_rollback() && !case.is_halted();
+        let is_rolling_back = case.is_in_rollback() && !case.are_permits_halted();
         match case.stage {
-            PermitStage::Returned => case.decide_returned(view_complete),
-            PermitStage::Granted => case.decide_granted(counts),
+            PermitStage::Returned => case.decide_returned_unit(view_complete),
+            PermitStage::Granted => case.decide_unit_with_new_permit(counts),
             PermitStage::WrongVersion if is_rolling_back && case.has_settled() => {
                 self.decide_wrong_version_in_rollback(case)
             }
@@ -239,7 +239,7 @@
         *wrong_restarts += u32::from(!case.is_outdated_by_rollback());
         if *wrong_restarts > MAX_WRONG_VERSION_RESTARTS {
             return case.abandon(format!(
-                "restarts under label {} more often than a rollback allows",
+                "restarted under label {} more than {MAX_WRONG_VERSION_RESTARTS} times during the rollback",
                 case.unit_label()
             ));
         }
@@ -248,7 +248,7 @@
 }
 
 impl PermitCase<'_> {
-    fn is_halted(&self) -> bool {
+    fn are_permits_halted(&self) -> bool {
         self.disruptions.halted.is_some()
     }
 
@@ -259,8 +259,11 @@
     /// Whether the permit was granted before the rollback began, and therefore carries the new label instead of the
     /// previous one.
     fn is_outdated_by_rollback(&self) -> bool {
-        let differs = |rollout: &Rollout| rollout.plan.previous_label != self.permit.label;
-        self.is_in_rollback() && self.rollout.is_some_and(differs) && !self.permit.permanent
+        let differs_from_previous_label =
+            |rollout: &Rollout| rollout.plan.previous_label != self.permit.label;
+        self.is_in_rollback()
+            && self.rollout.is_some_and(differs_from_previous_label)
+            && !self.permit.permanent
     }
 
     fn has_settled(&self) -> bool {
@@ -277,7 +280,7 @@
 
     /// Completes the permit once the unit has settled. A permanently removed unit must also be absent from a complete
     /// view, because a new leader may not have seen the unit yet.
-    fn decide_returned(&self, view_complete: bool) -> Decision {
+    fn decide_returned_unit(&self, view_complete: bool) -> Decision {
         let may_still_exist = self.permit.permanent && !view_complete;
         match self.has_settled() && !may_still_exist {
             true => Decision::Complete,
@@ -285,13 +288,13 @@
         }
     }
 
-    fn decide_granted(&self, counts: Option<&mut UnitCounts>) -> Decision {
+    fn decide_unit_with_new_permit(&self, counts: Option<&mut UnitCounts>) -> Decision {
         if self.revoked {
             return Decision::Revoke;
         }
         let is_past_start_timeout = self.age > self.timeouts.start;
         let must_be_revoked =
-            self.is_halted() || self.is_outdated_by_rollback() || is_past_start_timeout;
+            self.are_permits_halted() || self.is_outdated_by_rollback() || is_past_start_timeout;
         match must_be_revoked || self.exceeds_budget(counts) {
             true => Decision::AskRevocation,
             false => Decision::Notify,
@@ -325,16 +328,16 @@
             return Decision::Step(RolloutStep::Reissue(self.id, permit));
         }
         match self.is_past_restart_timeout() {
-            true => self.abandon("has restarted but was not ready in time".to_owned()),
+            true => self.abandon("restarted but was not ready in time".to_owned()),
             false => Decision::Wait,
         }
     }
 
     fn decide_wrong_version(&self) -> Decision {
-        if self.accepted_by_operator || !self.permit.planned {
+        if self.condition_accepted_by_operator || !self.permit.planned {
             return Decision::Revoke;
         }
-        if self.has_settled() && !self.is_halted() {
+        if self.has_settled() && !self.are_permits_halted() {
             return Decision::Step(RolloutStep::Halt(format!(
                 "{} came back under label {} instead of label {}",
                 self.permit.unit.0,
@@ -346,7 +349,7 @@
     }
 
     fn decide_by_restart_timeout(&self) -> Decision {
-        if !self.is_past_restart_timeout() || self.is_halted() || !self.permit.planned {
+        if !self.is_past_restart_timeout() || self.are_permits_halted() || !self.permit.planned {
             return Decision::Wait;
         }
         if self.is_in_rollback() {
@@ -363,6 +366,7 @@
     }
 
     /// Lists the unit as abandoned, so that an operator repairs it. Halts the rollout instead if the list is full.
+    /// `reason` is a predicate, because the status shows it after the unit's name: `d2 did not return in time`.
     fn abandon(&self, reason: String) -> Decision {
         let is_full = self
             .disruptions
