--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -27,8 +27,9 @@
 /// attempt's own connection, which may be dead. The rest of the timeout suffices to send the
 /// release to several engines that do not answer.
 const RELEASE_AT_FRACTION: f64 = 0.8;
-/// The latest start of an attempt at another engine, so that its confirmation and, without one, the
-/// release still fit into the timeout.
+/// The latest start of an attempt at another engine. The rest of the KV state timeout suffices for
+/// the confirmation by that engine or, if the engine does not confirm, for the release of the KV
+/// state.
 const LAST_ATTEMPT_AT_FRACTION: f64 = 0.6;
 
 /// Maximum time in milliseconds between the send of a message by an engine and its processing by
@@ -39,9 +40,9 @@
 /// Whether an attempt has reached its engine, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Delivery {
-    /// The attempt has reached its engine, deliveries are not tracked, or the last step for this
-    /// attempt is done.
-    Confirmed,
+    /// The attempt counts as delivered, and no further step follows: it has sent its first token,
+    /// it is a prefill, deliveries are not tracked, or the KV state was released at `release_at`.
+    CountsAsDelivered,
     /// The engine has shown on some connection, after the send, that it is running. Either the
     /// attempt waits in the engine's queue, or the attempt's own connection is dead. Because it may
     /// be dead, the KV state is released at `release_at`.
@@ -101,12 +102,12 @@
     /// Returns the step that is due now and updates the state as if it were done.
     pub(super) fn next_step(&mut self, now: Ms, kv_state_timeout: Ms) -> DeliveryStep {
         match self {
-            Delivery::Confirmed | Delivery::GivenUp => DeliveryStep::Nothing,
+            Delivery::CountsAsDelivered | Delivery::GivenUp => DeliveryStep::Nothing,
             Delivery::EngineRuns { release_at } if now < *release_at => {
                 DeliveryStep::WaitUntil(*release_at)
             }
             Delivery::EngineRuns { .. } => {
-                *self = Delivery::Confirmed;
+                *self = Delivery::CountsAsDelivered;
                 DeliveryStep::ReleaseUnlessClaimed
             }
             Delivery::Unconfirmed { give_up_at, .. } if now >= *give_up_at => {
@@ -129,7 +130,7 @@
         match self {
             Delivery::Unconfirmed { ask_at, give_up_at } => Some(ask_at.min(*give_up_at)),
             Delivery::EngineRuns { release_at } => Some(*release_at),
-            Delivery::Confirmed | Delivery::GivenUp => None,
+            Delivery::CountsAsDelivered | Delivery::GivenUp => None,
         }
     }
 
@@ -143,7 +144,10 @@
                 true
             }
             Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => {
-                matches!(self, Delivery::Confirmed | Delivery::EngineRuns { .. })
+                matches!(
+                    self,
+                    Delivery::CountsAsDelivered | Delivery::EngineRuns { .. }
+                )
             }
         }
     }
--- a/src/control/delivery_tracking.rs
+++ b/src/control/delivery_tracking.rs
@@ -11,7 +11,7 @@
     /// The initial delivery state of a decode attempt that is sent now.
     pub(super) fn delivery_of_new_decode(&self, request: &Request) -> Delivery {
         if !self.tracks_deliveries {
-            return Delivery::Confirmed;
+            return Delivery::CountsAsDelivered;
         }
         Delivery::sent(
             self.now,
@@ -20,8 +20,8 @@
         )
     }
 
-    /// Records that the engine of an attempt in flight has shown, after the send, that it is
-    /// running.
+    /// Records that the engine of an attempt in flight has shown, after the attempt was sent, that
+    /// the engine is running.
     pub(super) fn handle_delivered(&mut self, id: RequestId, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/src/control/emit.rs
+++ b/src/control/emit.rs
@@ -56,7 +56,7 @@
         let (stage, uncached_tokens, delivery) = if request.kv_state.is_none() {
             let cache = &self.engines[index].prefix_cache;
             let uncached_tokens = cache.uncached_tokens(&request.arrival);
-            (Stage::Prefill, uncached_tokens, Delivery::Confirmed)
+            (Stage::Prefill, uncached_tokens, Delivery::CountsAsDelivered)
         } else {
             (Stage::Decode, 0.0, self.delivery_of_new_decode(request))
         };
--- a/src/control/event_handlers.rs
+++ b/src/control/event_handlers.rs
@@ -92,7 +92,7 @@
             return;
         };
         attempt.decoding = true;
-        attempt.delivery = Delivery::Confirmed;
+        attempt.delivery = Delivery::CountsAsDelivered;
         let (index, sent_at) = (attempt.engine, attempt.sent_at);
         request.kv_state = None;
         self.queue.wake(id);
--- a/src/control/health_check.rs
+++ b/src/control/health_check.rs
@@ -5,17 +5,17 @@
 use crate::interface::Ms;
 
 /// How long a prefill waits for load reports, in multiples of the shortest latency objective.
-pub(super) const REPORT_WAIT_OBJECTIVES: f64 = 0.03;
+pub(super) const REPORT_WAIT_IN_LATENCY_OBJECTIVES: f64 = 0.03;
 /// No health check is sent to an engine for this long after its last load report, or after the last
 /// health check that was sent to it. In multiples of the shortest latency objective.
-const REPORT_FRESH_OBJECTIVES: f64 = 0.25;
-/// No health check is sent to an engine for this long after it answered an attempt. The answer to a
-/// prefill that had queued does not count. An unanswered health check is awaited for the same time. In multiples
-/// of the shortest latency objective.
-const RESPONSE_FRESH_OBJECTIVES: f64 = 2.0;
-/// If this dispatcher has more decodes than this in flight at an engine, their number is a good
-/// enough measure of the engine's load.
-const MIN_INFORMATIVE_DECODES: f64 = 1.0;
+const REPORT_FRESH_IN_LATENCY_OBJECTIVES: f64 = 0.25;
+/// No health check is sent to an engine for this long after the engine has answered an attempt. The
+/// answer to a prefill that had queued does not count. The answer to a health check is awaited for
+/// the same time. In multiples of the shortest latency objective.
+const RESPONSE_FRESH_IN_LATENCY_OBJECTIVES: f64 = 2.0;
+/// An engine with more decodes of this dispatcher in flight gets no health check, because the number
+/// of these decodes is a good enough measure of the engine's load.
+const MAX_DECODES_FOR_HEALTH_CHECK: f64 = 1.0;
 
 impl State {
     /// Requests health checks of each engine in `engines` whose load is not known from recent
@@ -45,7 +45,7 @@
     fn is_report_pending(&self, index: EngineIndex) -> bool {
         self.engines[index].health_check.is_pending(
             self.now,
-            self.latency_objectives_ms(RESPONSE_FRESH_OBJECTIVES),
+            self.latency_objectives_ms(RESPONSE_FRESH_IN_LATENCY_OBJECTIVES),
         )
     }
 
@@ -55,9 +55,9 @@
             .health_check
             .sent_at
             .max(engine.load_report.received_at());
-        self.now - reported_at < self.latency_objectives_ms(REPORT_FRESH_OBJECTIVES)
+        self.now - reported_at < self.latency_objectives_ms(REPORT_FRESH_IN_LATENCY_OBJECTIVES)
             || self.now - engine.last_response_at
-                < self.latency_objectives_ms(RESPONSE_FRESH_OBJECTIVES)
-            || engine.decodes > MIN_INFORMATIVE_DECODES
+                < self.latency_objectives_ms(RESPONSE_FRESH_IN_LATENCY_OBJECTIVES)
+            || engine.decodes > MAX_DECODES_FOR_HEALTH_CHECK
     }
 }
--- a/src/control/plan.rs
+++ b/src/control/plan.rs
@@ -6,8 +6,9 @@
 use super::state::State;
 use crate::interface::{EndpointStatus, Ms};
 
-/// Attempts that a request without a KV state still needs: one prefill and one decode.
-const ATTEMPTS_FROM_PREFILL: u32 = 2;
+/// A request without a KV state is given up if fewer attempts than this are left to it, because it
+/// needs a prefill and a decode to succeed.
+const MIN_ATTEMPTS_WITHOUT_KV_STATE: u32 = 2;
 
 impl State {
     pub(super) fn plan(&mut self, request: &mut Request) {
@@ -20,7 +21,7 @@
             return;
         }
         let give_up_at = self.give_up_at(request);
-        if self.now >= give_up_at || request.attempt.is_none() && self.may_not_run_again(request) {
+        if self.now >= give_up_at || request.attempt.is_none() && self.must_not_run_again(request) {
             return self.give_up(request);
         }
         self.wake_by(give_up_at);
@@ -47,7 +48,7 @@
 
     /// Whether the request may have run and must not run again at any engine, not even at the one
     /// where it may have run.
-    fn may_not_run_again(&self, request: &Request) -> bool {
+    fn must_not_run_again(&self, request: &Request) -> bool {
         request
             .first_possible_run
             .is_some_and(|first| !self.may_run_on(request, first.engine))
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Whether too few attempts are left for the request to succeed, or its KV state has waited too
-    /// long for a decode engine.
+    /// Whether the request has too few attempts left to succeed, or its KV state has waited too long
+    /// for a decode engine.
     fn cannot_finish(
         &self,
         request: &Request,
@@ -112,7 +113,7 @@
             Some(_) => {
                 attempts_left == 0 || self.is_kv_state_held_too_long(request, retry_interval_ms)
             }
-            None => attempts_left < ATTEMPTS_FROM_PREFILL,
+            None => attempts_left < MIN_ATTEMPTS_WITHOUT_KV_STATE,
         }
     }
 
--- a/src/control/prefill_placement.rs
+++ b/src/control/prefill_placement.rs
@@ -2,7 +2,7 @@
 //! many prompt tokens wait at that engine.
 
 use super::engines::EngineIndex;
-use super::health_check::REPORT_WAIT_OBJECTIVES;
+use super::health_check::REPORT_WAIT_IN_LATENCY_OBJECTIVES;
 use super::home_engines::home_engines;
 use super::requests::Request;
 use super::stage::Stage;
@@ -95,7 +95,8 @@
     }
 
     pub(super) fn report_wait_ends_at(&self, request: &Request) -> Ms {
-        request.unclaimed_since + REPORT_WAIT_OBJECTIVES * self.classes.shortest_latency_objective()
+        request.unclaimed_since
+            + REPORT_WAIT_IN_LATENCY_OBJECTIVES * self.classes.shortest_latency_objective()
     }
 
     /// The engine that computes the prompt; `None` if the request is held.
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -15,7 +15,7 @@
 
 /// Time constant with which an old load report loses weight in favour of the mean of the engine's
 /// peers, in multiples of the shortest latency objective.
-const REPORT_DECAY_OBJECTIVES: f64 = 3.0;
+const REPORT_DECAY_IN_LATENCY_OBJECTIVES: f64 = 3.0;
 
 pub(super) struct State {
     pub(super) settings: Settings,
@@ -41,7 +41,8 @@
 impl State {
     pub(super) fn new(settings: Settings, seed: u64) -> Self {
         let classes = RequestClasses::new(&settings.request_classes);
-        let report_decay_ms = REPORT_DECAY_OBJECTIVES * classes.shortest_latency_objective();
+        let report_decay_ms =
+            REPORT_DECAY_IN_LATENCY_OBJECTIVES * classes.shortest_latency_objective();
         State {
             tracks_deliveries: false,
             rng: WyRand::new_seed(seed),
--- a/src/status.rs
+++ b/src/status.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// The final answer to a client's request.
+/// The answer that a client gets: the final answer to its request, or that the request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAnswer {
     /// The request has run, and its answer is complete.
--- a/tests/discovery_client.rs
+++ b/tests/discovery_client.rs
@@ -1,4 +1,5 @@
-//! Tests what calls to discovery request, how long they may be silent and when the next call is made.
+//! Tests which list of endpoints a dispatcher asks discovery for, how long a call to discovery may be silent, and when
+//! the next call is made.
 
 use cindercleat::discovery_client::{
     DiscoveryCalls, DiscoverySettings, FirstCall, MAX_UNUSABLE_LIST_BACKOFF_MS,
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -624,7 +624,7 @@
     );
     let all = answered_fraction(&requests, |_| true).expect("the simulation must have requests");
     println!(
-        "{case}: {} requests, fraction answered {all:.3}",
+        "{case}: a fraction of {all:.3} of {} requests is answered",
         requests.len()
     );
     assert!(
@@ -636,18 +636,18 @@
             .expect("each class must have requests");
         let (tenth, fifth) = answered_fractions_of_longest_prompts(&requests, class);
         let excess = excess_rejected_sessions(&requests, class);
-        println!("  class {class}: answered {answered:.3}, of the longest tenth {tenth:.3}, of the next fifth {fifth:.3}; sessions rejected in full beyond chance {excess:.3}");
+        println!("  class {class}: fractions answered: {answered:.3} of all prompts, {tenth:.3} of the longest tenth, {fifth:.3} of the next fifth; {excess:.3} more sessions rejected in full than by chance");
         assert!(
             answered >= 0.5 * all,
-            "{case}: fraction answered in class {class} {answered:.3}, of all requests {all:.3}"
+            "{case}: only a fraction of {answered:.3} of the requests of class {class} is answered, but {all:.3} of all requests"
         );
         assert!(
             tenth >= min_long_prompt_ratio * answered,
-            "{case}: fraction answered of the longest tenth {tenth:.3}, of class {class} {answered:.3}"
+            "{case}: only a fraction of {tenth:.3} of the longest tenth of prompts of class {class} is answered, but {answered:.3} of the whole class"
         );
         assert!(
             fifth >= min_long_prompt_ratio * answered,
-            "{case}: fraction answered of the next fifth {fifth:.3}, of class {class} {answered:.3}"
+            "{case}: only a fraction of {fifth:.3} of the next fifth of prompts by length of class {class} is answered, but {answered:.3} of the whole class"
         );
         assert!(
             excess <= 0.12,
@@ -659,7 +659,7 @@
             .expect("each tenant must have requests");
         assert!(
             answered >= all / 3.0,
-            "{case}: fraction answered of tenant {tenant} {answered:.3}, of all requests {all:.3}"
+            "{case}: only a fraction of {answered:.3} of the requests of tenant {tenant} is answered, but {all:.3} of all requests"
         );
     }
     for third in 0..3 {
@@ -671,7 +671,7 @@
             answered_fraction(&requests, within).expect("requests must arrive in each third");
         assert!(
             answered >= all / 5.0,
-            "{case}: fraction answered in the third from {start} ms {answered:.3}, of all requests {all:.3}"
+            "{case}: only a fraction of {answered:.3} of the requests in the third from {start} ms is answered, but {all:.3} of all requests"
         );
     }
 }
