--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -99,7 +99,7 @@
         is_new
     }
 
-    /// Returns the step that is due now and updates the state as if it were done.
+    /// Returns the step that is due now, and updates the state as if the caller had carried it out.
     pub(super) fn next_step(&mut self, now: Ms, kv_state_timeout: Ms) -> DeliveryStep {
         match self {
             Delivery::CountsAsDelivered | Delivery::GivenUp => DeliveryStep::Nothing,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// When the next step is due; `None` if there is none.
+    /// When the next step is due; `None` if no step follows.
     pub(super) fn next_at(&self) -> Option<Ms> {
         match self {
             Delivery::Unconfirmed { ask_at, give_up_at } => Some(ask_at.min(*give_up_at)),
--- a/src/control/load_report.rs
+++ b/src/control/load_report.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::{Load, Ms};
 
-/// Number of recent prefills over which their computed tokens are averaged.
+/// Number of recent prefills whose computed prompt tokens are averaged.
 const MAX_PREFILL_SAMPLES: f64 = 8.0;
 
 /// The last load report of an engine; all values are 0 until one is received.
--- a/src/control/plan_queue.rs
+++ b/src/control/plan_queue.rs
@@ -33,8 +33,8 @@
     awake: BTreeSet<RequestId>,
     due: BTreeSet<(DueAt, RequestId)>,
     due_by_request: BTreeMap<RequestId, DueAt>,
-    /// Number of prefills in flight that are still fast enough that they may not have waited in a
-    /// queue at their engine.
+    /// Number of prefills in flight that were sent so recently that they may not have waited in
+    /// their engine's queue.
     unqueued_prefills: usize,
 }
 
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -75,8 +75,8 @@
     /// The prefill engine that holds the KV state; `None` before the prefill has ended and after a
     /// release.
     pub(super) kv_state: Option<EngineIndex>,
-    /// When the KV state timeout started: the instant since which no attempt takes over the KV
-    /// state. Before the end of the first attempt this is the arrival of the request.
+    /// When the KV state timeout started: no attempt has taken over the KV state since this
+    /// instant. Before the end of the first attempt this is the arrival of the request.
     pub(super) unclaimed_since: Ms,
     /// A held request without an attempt is planned again at this instant, unless an event or a
     /// deadline requires it earlier.
--- a/src/discovery_client.rs
+++ b/src/discovery_client.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// Upper limit of the backoff after unusable lists, such as a list that is too long. It is not short, because an
+/// Upper limit of the backoff after unusable lists, such as a list that is too long. The limit is not short, because an
 /// unusable list costs discovery as much as a usable one. A third of
 /// [`DISCOVERY_NOTIFIED_WITHIN_MS`](crate::resource_limits::DISCOVERY_NOTIFIED_WITHIN_MS).
 pub const MAX_UNUSABLE_LIST_BACKOFF_MS: Ms = 2_000.0;
--- a/src/resource_limits.rs
+++ b/src/resource_limits.rs
@@ -119,8 +119,8 @@
 /// Polled discovery: how long a poll asks discovery to wait for a change before it answers, as a fraction of the time
 /// after which a dispatcher counts as notified.
 const POLL_WAIT_FRACTION: f64 = 1.0 / 4.0;
-/// Polled discovery: the timeout of an answer beyond the wait that the poll asks for, and the longest backoff. A
-/// fraction of the time after which a dispatcher counts as notified.
+/// Polled discovery: how much longer an answer may take than the wait that the poll asks for. The longest backoff is
+/// the same. A fraction of the time after which a dispatcher counts as notified.
 const POLL_ANSWER_FRACTION: f64 = 1.0 / 6.0;
 /// Polled discovery: the timeout of a snapshot, as a fraction of the time after which a dispatcher counts as notified.
 /// It is longer than for other answers: if all dispatchers call at once, discovery serves the calls one after another
@@ -138,17 +138,18 @@
 /// The first backoff after a lost call, as a fraction of the longest backoff.
 const INITIAL_BACKOFF_FRACTION: f64 = 0.1;
 
-/// A client that reads its answer closes the connection within one or two round trips, which take less than this.
+/// How long incoming bytes are read and discarded before a client's connection is closed. A client that reads its
+/// answer closes the connection itself within one or two round trips, which take less time than this.
 const CLOSE_DRAIN_TIMEOUT_MS: Ms = 500.0;
 
 /// New requests are accepted for this long after a stop signal, because the platform's load balancer still sends new
 /// connections for a moment.
 const STOP_ACCEPT_PERIOD_MS: Ms = 600.0;
 
-/// The platform may kill the process this long after the longest time to a deadline has passed since the stop signal.
+/// The platform may kill the process once the longest time to deadline plus this time has passed since the stop signal.
 const KILL_AFTER_DEADLINE_MS: Ms = 700.0;
-/// Upper limit of the time to a deadline that the platform grants before the kill. A longer time to a deadline counts
-/// as this.
+/// Upper limit of the time to deadline that the platform grants before the kill. A longer time to deadline counts as
+/// this limit.
 const MAX_COUNTED_TIME_TO_DEADLINE_MS: Ms = 3_000.0;
 
 /// After a stop signal, streams run for this fraction of the time until the kill, so that most of them end by
--- a/tests/many_dispatchers.rs
+++ b/tests/many_dispatchers.rs
@@ -1,5 +1,5 @@
-//! Decisions of hundreds of dispatchers that each have little traffic: a decision that is harmless
-//! if one dispatcher makes it may do harm if all of them make it.
+//! Tests decisions of hundreds of dispatchers that each have little traffic. A decision that is
+//! harmless if one dispatcher makes it may do harm if all of them make it.
 
 mod common;
 
@@ -281,8 +281,8 @@
 }
 
 /// A decode engine has just started. The budget of each dispatcher for it is a small fraction of an
-/// attempt, and each dispatcher rarely has a request at all. The engine must get some decodes (none
-/// if its lower weight lost every tie), but not so many that it collapses.
+/// attempt, and each dispatcher rarely has a request at all. The engine must get some
+/// decodes, but not so many that it collapses. It would get none if its low weight lost every tie.
 #[test]
 fn a_cold_decode_engine_gets_its_share_of_all_decodes_and_no_more() {
     let share = |warm: &[&str]| decodes_at_cold_engine(warm) as f64 / f64::from(DISPATCHERS);
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -1,4 +1,4 @@
-//! Tests which gRPC status each answer gets, and which ends of a call prove that it has not run.
+//! Tests which gRPC status each answer gets, and which ends of a call prove that the call has not run.
 
 use cindercleat::interface::Outcome;
 use cindercleat::status::*;
