--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -71,7 +71,7 @@
 impl Delivery {
     /// The initial state for a decode attempt that is sent now. `unclaimed_since`: when the timeout
     /// of its KV state started.
-    pub(super) fn sent(now: Ms, unclaimed_since: Ms, kv_state_timeout: Ms) -> Self {
+    pub(super) fn after_send(now: Ms, unclaimed_since: Ms, kv_state_timeout: Ms) -> Self {
         let usual_ask_at = now + CONFIRM_AFTER_FRACTION * kv_state_timeout;
         let latest_ask_at =
             unclaimed_since + (GIVE_UP_AT_FRACTION - MIN_CONFIRM_WAIT_FRACTION) * kv_state_timeout;
--- a/src/control/delivery_tracking.rs
+++ b/src/control/delivery_tracking.rs
@@ -13,7 +13,7 @@
         if !self.tracks_deliveries {
             return Delivery::CountsAsDelivered;
         }
-        Delivery::sent(
+        Delivery::after_send(
             self.now,
             request.unclaimed_since,
             self.settings.kv_state_timeout,
--- a/src/control/event_handlers.rs
+++ b/src/control/event_handlers.rs
@@ -58,7 +58,7 @@
         let request = Request {
             prefill_start_by: self.prefill_start_by(class.latency_objective(arrival)),
             answer_by: self.answer_by(arrival.time_to_deadline),
-            queueing_unit: self.classes.queueing_unit(arrival),
+            shortest_objective_for_prompt: self.classes.shortest_objective_for_prompt(arrival),
             arrival: arrival.clone(),
             attempts: 0,
             attempt: None,
--- a/src/control/request_classes.rs
+++ b/src/control/request_classes.rs
@@ -66,7 +66,7 @@
 
     /// The shortest latency objective of all classes for a prompt of this length. An attempt that
     /// takes longer than a fraction of it must have queued, whatever the class of its request.
-    pub(super) fn queueing_unit(&self, arrival: &Arrival) -> Ms {
+    pub(super) fn shortest_objective_for_prompt(&self, arrival: &Arrival) -> Ms {
         self.shortest_latency_objective + self.max_per_token * arrival.prompt_tokens
     }
 }
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -5,9 +5,9 @@
 use super::stage::Stage;
 use crate::interface::{Arrival, AttemptId, Ms};
 
-/// An attempt whose prefill or first token takes longer than this fraction of the queueing unit
-/// must have waited in the engine's queue.
-const QUEUED_FRACTION: f64 = 0.3;
+/// An attempt must have waited in the engine's queue if its prefill or first token takes longer than
+/// this fraction of the shortest latency objective that any class has for the prompt.
+const QUEUED_AFTER_FRACTION: f64 = 0.3;
 
 /// An attempt that was sent to an engine and whose end has not been reported.
 pub(super) struct Attempt {
@@ -68,7 +68,7 @@
     pub(super) answer_by: Ms,
     /// The shortest latency objective that any class has for this prompt. The duration after which
     /// an attempt must have queued is a fraction of it.
-    pub(super) queueing_unit: Ms,
+    pub(super) shortest_objective_for_prompt: Ms,
     /// Number of attempts started so far, prefills and decodes together.
     pub(super) attempts: u32,
     pub(super) attempt: Option<Attempt>,
@@ -109,6 +109,6 @@
     /// An attempt that is unanswered for longer than this, in milliseconds, must have waited in the
     /// engine's queue.
     pub(super) fn queued_after_ms(&self) -> Ms {
-        QUEUED_FRACTION * self.queueing_unit
+        QUEUED_AFTER_FRACTION * self.shortest_objective_for_prompt
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -28,12 +28,12 @@
     roles.iter().map(kind).collect()
 }
 
-/// Settings of dispatcher `me` out of `dispatchers`: one idempotent request class, one prefill and
+/// Settings of dispatcher `dispatcher_id` out of `dispatchers`: one idempotent request class, one prefill and
 /// one decode kind of engine, no tenants. Health checks and cancellation are allowed; gossip,
 /// hedging and reservations are not.
-pub fn settings(me: u32, dispatchers: u32) -> Settings {
+pub fn settings(dispatcher_id: u32, dispatchers: u32) -> Settings {
     Settings {
-        dispatcher_id: DispatcherId(me),
+        dispatcher_id: DispatcherId(dispatcher_id),
         dispatchers,
         zone: ZoneId(0),
         tick: 4.0,
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -68,7 +68,7 @@
     Gone,
 }
 
-fn settings(me: u32) -> Settings {
+fn settings(dispatcher_id: u32) -> Settings {
     let class = |index: usize| {
         let retry_safety = if index == 0 {
             RetrySafety::Idempotent
@@ -96,7 +96,7 @@
         overload_window: 3000.0,
         cold_capacity: COLD_CAPACITY,
         slow_start_window: SLOW_START_WINDOW,
-        ..common::settings(me, DISPATCHERS)
+        ..common::settings(dispatcher_id, DISPATCHERS)
     }
 }
 
@@ -238,8 +238,9 @@
             attempts: BTreeMap::new(),
             fault,
         };
-        for me in 0..DISPATCHERS {
-            let mut control = Control::new(settings(me), seed ^ u64::from(me));
+        for dispatcher_id in 0..DISPATCHERS {
+            let mut control =
+                Control::new(settings(dispatcher_id), seed ^ u64::from(dispatcher_id));
             control.step(0.0, &[simulation.endpoints_updated()], &mut Vec::new());
             simulation.dispatchers.push(control);
         }
--- a/tests/many_dispatchers.rs
+++ b/tests/many_dispatchers.rs
@@ -11,10 +11,10 @@
 const PREFILL_ENGINES: u32 = 40;
 const SHARED_PREFIX: u64 = 9;
 
-fn settings(me: u32) -> Settings {
+fn settings(dispatcher_id: u32) -> Settings {
     Settings {
         may_gossip: true,
-        ..common::settings(me, DISPATCHERS)
+        ..common::settings(dispatcher_id, DISPATCHERS)
     }
 }
 
@@ -36,8 +36,8 @@
 }
 
 /// A dispatcher that knows all engines of the simulated fleet.
-fn dispatcher(me: u32) -> Control {
-    let mut control = Control::new(settings(me), u64::from(me) * 7919);
+fn dispatcher(dispatcher_id: u32) -> Control {
+    let mut control = Control::new(settings(dispatcher_id), u64::from(dispatcher_id) * 7919);
     let listed = Event::EndpointsUpdated {
         kind: EndpointUpdateKind::Snapshot,
         endpoints: engines(),
@@ -155,8 +155,8 @@
 
 /// A dispatcher whose only prefill ended long ago. It therefore has an estimate of the prompt
 /// tokens per waiting request.
-fn dispatcher_that_saw_a_prefill(me: u32) -> Control {
-    let mut control = dispatcher(me);
+fn dispatcher_that_saw_a_prefill(dispatcher_id: u32) -> Control {
+    let mut control = dispatcher(dispatcher_id);
     let engine = prefill_engine_at(&mut control, 1.0, 1, empty_queue);
     let request = RequestId(1);
     control.step(
@@ -175,7 +175,14 @@
 #[test]
 fn all_dispatchers_send_prefills_of_a_shared_prefix_to_the_same_idle_home_engine() {
     let homes: BTreeSet<EngineId> = (0..DISPATCHERS)
-        .map(|me| prefill_engine_at(&mut dispatcher(me), 1.0, u64::from(me), empty_queue))
+        .map(|dispatcher_id| {
+            prefill_engine_at(
+                &mut dispatcher(dispatcher_id),
+                1.0,
+                u64::from(dispatcher_id),
+                empty_queue,
+            )
+        })
         .collect();
     assert_eq!(homes.len(), 1, "the dispatchers chose {homes:?}");
 }
@@ -195,9 +202,9 @@
     };
     let mut used = BTreeSet::new();
     for session in 0..u64::from(DISPATCHERS / 3) {
-        let prefill_engine = |me: u32| {
+        let prefill_engine = |dispatcher_id: u32| {
             prefill_engine_at(
-                &mut dispatcher_that_saw_a_prefill(me),
+                &mut dispatcher_that_saw_a_prefill(dispatcher_id),
                 5000.0,
                 session,
                 health_check_result,
@@ -246,8 +253,8 @@
 /// Returns how many dispatchers send their next decode to a cold engine. The decode engines in the
 /// cell of the prefill engine are this cold engine and the engines named in `warm`.
 fn decodes_at_cold_engine(warm: &[&str]) -> usize {
-    let is_chosen = |me: u32| {
-        let mut control = Control::new(settings(me), u64::from(me) * 7919);
+    let is_chosen = |dispatcher_id: u32| {
+        let mut control = Control::new(settings(dispatcher_id), u64::from(dispatcher_id) * 7919);
         let cold = Endpoint {
             started: Some(1000.0),
             ..endpoint("cold", 1, 0)
@@ -268,7 +275,7 @@
             }],
             &mut actions,
         );
-        let engine = prefill_engine_at(&mut control, 2000.0, u64::from(me), empty_queue);
+        let engine = prefill_engine_at(&mut control, 2000.0, u64::from(dispatcher_id), empty_queue);
         actions.clear();
         control.step(
             2210.0,
@@ -277,7 +284,9 @@
         );
         attempt_target(&actions).is_some_and(|engine| &*engine.0 == "cold")
     };
-    (0..DISPATCHERS).filter(|&me| is_chosen(me)).count()
+    (0..DISPATCHERS)
+        .filter(|&dispatcher_id| is_chosen(dispatcher_id))
+        .count()
 }
 
 /// A decode engine has just started. The budget of each dispatcher for it is a small fraction of an
@@ -338,8 +347,8 @@
 #[test]
 fn a_cold_home_engine_gets_its_share_of_all_prefills_and_no_more() {
     let home = prefill_engine_at(&mut dispatcher(0), 1.0, 0, empty_queue);
-    let is_chosen = |me: u32| {
-        let mut control = Control::new(settings(me), u64::from(me) * 7919);
+    let is_chosen = |dispatcher_id: u32| {
+        let mut control = Control::new(settings(dispatcher_id), u64::from(dispatcher_id) * 7919);
         let mut endpoints = engines();
         for endpoint in endpoints
             .iter_mut()
@@ -355,10 +364,12 @@
             }],
             &mut Vec::new(),
         );
-        prefill_engine_at(&mut control, 2000.0, u64::from(me), empty_queue) == home
+        prefill_engine_at(&mut control, 2000.0, u64::from(dispatcher_id), empty_queue) == home
     };
-    let share =
-        (0..DISPATCHERS).filter(|&me| is_chosen(me)).count() as f64 / f64::from(DISPATCHERS);
+    let share = (0..DISPATCHERS)
+        .filter(|&dispatcher_id| is_chosen(dispatcher_id))
+        .count() as f64
+        / f64::from(DISPATCHERS);
     assert!(
         (0.15..0.35).contains(&share),
         "the cold home engine gets {share} of all prefills"
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -30,7 +30,7 @@
 /// When the simulation ends, in milliseconds.
 const SIMULATION_ENDS_AT: Ms = 34_000.0;
 
-fn settings(me: u32, dispatchers: u32) -> Settings {
+fn settings(dispatcher_id: u32, dispatchers: u32) -> Settings {
     Settings {
         kinds: common::kinds(&[Role::Prefill, Role::Decode], 500_000.0),
         drain_grace: 2000.0,
@@ -38,7 +38,7 @@
         overload_window: OVERLOAD_WINDOW,
         cold_capacity: COLD_CAPACITY,
         slow_start_window: SLOW_START_WINDOW,
-        ..common::settings(me, dispatchers)
+        ..common::settings(dispatcher_id, dispatchers)
     }
 }
 
