--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -59,7 +59,7 @@
     pub(super) fn plan_order(&self) -> Vec<RequestId> {
         let mut order: Vec<PlanOrder> = self
             .queue
-            .awake()
+            .scheduled()
             .filter_map(|id| self.requests.get_key_value(id))
             .map(|(id, request)| PlanOrder {
                 over_quota: request.over_quota,
--- a/src/control/delivery_tracking.rs
+++ b/src/control/delivery_tracking.rs
@@ -35,7 +35,7 @@
             .delivery
             .record_engine_runs(self.now, unclaimed_since, timeout)
         {
-            self.queue.wake(id);
+            self.queue.schedule(id);
         }
     }
 
--- a/src/control/emit.rs
+++ b/src/control/emit.rs
@@ -85,7 +85,7 @@
     /// Sets the timer for the next step, unless a timer is set that expires no later.
     pub(super) fn emit_timer(&mut self, actions: &mut Vec<Action>) {
         if let Some(wake_at) = self.wake_at {
-            actions.extend(self.timer.arm(wake_at, self.now));
+            actions.extend(self.timer.set(wake_at, self.now));
         }
     }
 }
--- a/src/control/event_handlers.rs
+++ b/src/control/event_handlers.rs
@@ -72,14 +72,14 @@
             intents: Intents::default(),
         };
         self.requests.insert(arrival.request, request);
-        self.queue.wake(arrival.request);
+        self.queue.schedule(arrival.request);
         self.slow_start.record_arrival(self.now, &self.settings);
     }
 
     fn handle_client_gone(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.finished = true;
-            self.queue.wake(id);
+            self.queue.schedule(id);
         }
     }
 
@@ -95,7 +95,7 @@
         attempt.delivery = Delivery::CountsAsDelivered;
         let (index, sent_at) = (attempt.engine, attempt.sent_at);
         request.kv_state = None;
-        self.queue.wake(id);
+        self.queue.schedule(id);
         let queued = self.now - sent_at > queued_after_ms;
         let engine = &mut self.engines[index];
         engine.record_queueing(queued, sent_at, self.now);
@@ -121,7 +121,7 @@
         let Some(attempt) = self.take_attempt(ended, index) else {
             return;
         };
-        self.queue.wake(ended.request);
+        self.queue.schedule(ended.request);
         self.engines[index].record_attempt_ended(attempt.stage, attempt.uncached_tokens);
         let Some(request) = self.requests.get_mut(&ended.request) else {
             return;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -78,7 +78,7 @@
             state.handle_event(event);
         }
         state.wake_at = None;
-        state.queue.wake_due(state.now);
+        state.queue.schedule_due(state.now);
         for id in state.plan_order() {
             self.plan_and_emit(id, actions);
         }
@@ -115,7 +115,7 @@
         let now = state.now;
         for (id, request) in &state.requests {
             if request.attempt.is_some() || request.held_until <= now {
-                state.queue.wake(*id);
+                state.queue.schedule(*id);
             }
         }
     }
--- a/src/control/plan_queue.rs
+++ b/src/control/plan_queue.rs
@@ -30,7 +30,9 @@
 /// therefore depends on the number of events, not on the number of open requests.
 #[derive(Default)]
 pub(super) struct PlanQueue {
-    awake: BTreeSet<RequestId>,
+    /// The requests that are planned at the next step, or at the step that is running.
+    scheduled: BTreeSet<RequestId>,
+    /// The requests that are due at a known instant, earliest first.
     due: BTreeSet<(DueAt, RequestId)>,
     due_by_request: BTreeMap<RequestId, DueAt>,
     /// Number of prefills in flight that were sent so recently that they may not have waited in
@@ -40,18 +42,19 @@
 
 impl PlanQueue {
     /// Schedules a request for planning at the next step.
-    pub(super) fn wake(&mut self, id: RequestId) {
-        self.awake.insert(id);
+    pub(super) fn schedule(&mut self, id: RequestId) {
+        self.scheduled.insert(id);
     }
 
     /// Schedules all requests that are due at `now` for planning at this step.
-    pub(super) fn wake_due(&mut self, now: Ms) {
+    pub(super) fn schedule_due(&mut self, now: Ms) {
         let due = self.due.iter().take_while(|(due, _)| due.0 <= now);
-        self.awake.extend(due.map(|(_, id)| *id));
+        self.scheduled.extend(due.map(|(_, id)| *id));
     }
 
-    pub(super) fn awake(&self) -> impl Iterator<Item = &RequestId> {
-        self.awake.iter()
+    /// The requests that are planned at this step, by ascending id.
+    pub(super) fn scheduled(&self) -> impl Iterator<Item = &RequestId> {
+        self.scheduled.iter()
     }
 
     /// When the next request is due; `None` if none has a due time.
@@ -80,7 +83,7 @@
         }
         let held = is_held(request, now);
         if request.finished || request.attempt.is_some() || held {
-            self.awake.remove(&id);
+            self.scheduled.remove(&id);
         }
         if let Some(due_at) = next_due_at(request, held, now) {
             self.due.insert((DueAt(due_at), id));
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -160,7 +160,7 @@
     answer: Answer,
 }
 
-/// An occurrence that the simulation has scheduled for a later time.
+/// What happens in the simulation at a scheduled time.
 enum Scheduled {
     RequestArrives {
         session: SessionId,
@@ -598,12 +598,12 @@
     }
     let rejected = 1.0
         - answered_fraction(requests, |r| r.class == class).expect("each class must have requests");
-    let expected: f64 = sessions
+    let expected_in_full: f64 = sessions
         .values()
         .map(|(turns, _)| rejected.powi(*turns))
         .sum();
-    let seen = sessions.values().filter(|(_, all)| *all).count() as f64;
-    (seen - expected) / sessions.len() as f64
+    let rejected_in_full = sessions.values().filter(|(_, all)| *all).count() as f64;
+    (rejected_in_full - expected_in_full) / sessions.len() as f64
 }
 
 /// Runs a simulation and checks the lower bounds. `min_answered`: the minimum fraction of all
