--- a/benches/step.rs
+++ b/benches/step.rs
@@ -71,7 +71,7 @@
         self.actions.clear();
         self.now += 0.5;
         if self.plans_all {
-            self.control.wake_all();
+            self.control.schedule_all();
         }
         self.control.step(self.now, &[event], &mut self.actions);
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -110,7 +110,7 @@
     /// Schedules every request for planning at the next step, except held requests whose hold has
     /// not ended. Tests compare the resulting actions with those of a step without this call; they
     /// must be the same.
-    pub fn wake_all(&mut self) {
+    pub fn schedule_all(&mut self) {
         let state = &mut self.state;
         let now = state.now;
         for (id, request) in &state.requests {
--- a/tests/many_dispatchers.rs
+++ b/tests/many_dispatchers.rs
@@ -119,7 +119,7 @@
     control.step(now + 5.0, &answers, &mut actions);
     // The dispatcher stops waiting for load reports within these steps.
     for after in [20.0, 40.0, 60.0, 100.0, 200.0] {
-        control.wake_all();
+        control.schedule_all();
         control.step(now + after, &[], &mut actions);
     }
     attempt_target(&actions).expect("a prefill must start while engines have capacity")
--- a/tests/plan_queue.rs
+++ b/tests/plan_queue.rs
@@ -254,7 +254,7 @@
         events.extend(simulated_engines.events_for(*draw));
         let [mut actions, mut expected_actions] = [Vec::new(), Vec::new()];
         plans_changed.step(simulated_engines.now, &events, &mut actions);
-        plans_all.wake_all();
+        plans_all.schedule_all();
         plans_all.step(simulated_engines.now, &events, &mut expected_actions);
         prop_assert_eq!(
             &actions,
