--- a/src/control/delivery.rs
+++ b/src/control/delivery.rs
@@ -40,8 +40,9 @@
 /// Whether an attempt has reached its engine, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Delivery {
-    /// The attempt counts as delivered, and no further step follows: it has sent its first token,
-    /// it is a prefill, deliveries are not tracked, or the KV state was released at `release_at`.
+    /// The attempt counts as delivered, and no further step follows. Its first token was received
+    /// (so it has reached its engine), it is a prefill, deliveries are not tracked, or the release
+    /// of the KV state was due while the engine was known to run.
     CountsAsDelivered,
     /// The engine has shown on some connection, after the send, that it is running. Either the
     /// attempt waits in the engine's queue, or the attempt's own connection is dead. Because it may
