--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -78,7 +78,7 @@
             state.handle_event(event);
         }
         state.wake_at = None;
-        state.queue.wake_due(state.now);
+        state.queue.schedule_due(state.now);
         for id in state.plan_order() {
             self.plan_and_emit(id, actions);
         }
@@ -110,12 +110,12 @@
     /// Schedules every request for planning at the next step, except held requests whose hold has
     /// not ended. Tests compare the resulting actions with those of a step without this call; they
     /// must be the same.
-    pub fn wake_all(&mut self) {
+    pub fn schedule_all(&mut self) {
         let state = &mut self.state;
         let now = state.now;
         for (id, request) in &state.requests {
             if request.attempt.is_some() || request.held_until <= now {
-                state.queue.wake(*id);
+                state.queue.schedule(*id);
             }
         }
     }
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -5,9 +5,9 @@
 use super::stage::Stage;
 use crate::interface::{Arrival, AttemptId, Ms};
 
-/// An attempt whose prefill or first token takes longer than this fraction of the queueing unit
-/// must have waited in the engine's queue.
-const QUEUED_FRACTION: f64 = 0.3;
+/// An attempt must have waited in the engine's queue if its prefill or first token takes longer than
+/// this fraction of the shortest latency objective that any class has for the prompt.
+const QUEUED_AFTER_FRACTION: f64 = 0.3;
 
 /// An attempt that was sent to an engine and whose end has not been reported.
 pub(super) struct Attempt {
@@ -68,15 +68,15 @@
     pub(super) answer_by: Ms,
     /// The shortest latency objective that any class has for this prompt. The duration after which
     /// an attempt must have queued is a fraction of it.
-    pub(super) queueing_unit: Ms,
+    pub(super) shortest_objective_for_prompt: Ms,
     /// Number of attempts started so far, prefills and decodes together.
     pub(super) attempts: u32,
     pub(super) attempt: Option<Attempt>,
     /// The prefill engine that holds the KV state; `None` before the prefill has ended and after a
     /// release.
     pub(super) kv_state: Option<EngineIndex>,
-    /// When the KV state timeout started: the instant since which no attempt takes over the KV
-    /// state. Before the end of the first attempt this is the arrival of the request.
+    /// When the KV state timeout started: no attempt has taken over the KV state since this
+    /// instant. Before the end of the first attempt this is the arrival of the request.
     pub(super) unclaimed_since: Ms,
     /// A held request without an attempt is planned again at this instant, unless an event or a
     /// deadline requires it earlier.
@@ -109,6 +109,6 @@
     /// An attempt that is unanswered for longer than this, in milliseconds, must have waited in the
     /// engine's queue.
     pub(super) fn queued_after_ms(&self) -> Ms {
-        QUEUED_FRACTION * self.queueing_unit
+        QUEUED_AFTER_FRACTION * self.shortest_objective_for_prompt
     }
 }
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -68,7 +68,7 @@
     Gone,
 }
 
-fn settings(me: u32) -> Settings {
+fn settings(dispatcher_id: u32) -> Settings {
     let class = |index: usize| {
         let retry_safety = if index == 0 {
             RetrySafety::Idempotent
@@ -96,7 +96,7 @@
         overload_window: 3000.0,
         cold_capacity: COLD_CAPACITY,
         slow_start_window: SLOW_START_WINDOW,
-        ..common::settings(me, DISPATCHERS)
+        ..common::settings(dispatcher_id, DISPATCHERS)
     }
 }
 
@@ -160,7 +160,7 @@
     answer: Answer,
 }
 
-/// An occurrence that the simulation has scheduled for a later time.
+/// What happens in the simulation at a scheduled time.
 enum Scheduled {
     RequestArrives {
         session: SessionId,
@@ -238,8 +238,9 @@
             attempts: BTreeMap::new(),
             fault,
         };
-        for me in 0..DISPATCHERS {
-            let mut control = Control::new(settings(me), seed ^ u64::from(me));
+        for dispatcher_id in 0..DISPATCHERS {
+            let mut control =
+                Control::new(settings(dispatcher_id), seed ^ u64::from(dispatcher_id));
             control.step(0.0, &[simulation.endpoints_updated()], &mut Vec::new());
             simulation.dispatchers.push(control);
         }
@@ -597,12 +598,12 @@
     }
     let rejected = 1.0
         - answered_fraction(requests, |r| r.class == class).expect("each class must have requests");
-    let expected: f64 = sessions
+    let expected_in_full: f64 = sessions
         .values()
         .map(|(turns, _)| rejected.powi(*turns))
         .sum();
-    let seen = sessions.values().filter(|(_, all)| *all).count() as f64;
-    (seen - expected) / sessions.len() as f64
+    let rejected_in_full = sessions.values().filter(|(_, all)| *all).count() as f64;
+    (rejected_in_full - expected_in_full) / sessions.len() as f64
 }
 
 /// Runs a simulation and checks the lower bounds. `min_answered`: the minimum fraction of all
@@ -624,7 +625,7 @@
     );
     let all = answered_fraction(&requests, |_| true).expect("the simulation must have requests");
     println!(
-        "{case}: {} requests, fraction answered {all:.3}",
+        "{case}: a fraction of {all:.3} of {} requests is answered",
         requests.len()
     );
     assert!(
@@ -636,18 +637,18 @@
             .expect("each class must have requests");
         let (tenth, fifth) = answered_fractions_of_longest_prompts(&requests, class);
         let excess = excess_rejected_sessions(&requests, class);
-        println!("  class {class}: answered {answered:.3}, of the longest tenth {tenth:.3}, of the next fifth {fifth:.3}; sessions rejected in full beyond chance {excess:.3}");
+        println!("  class {class}: fractions answered: {answered:.3} of all prompts, {tenth:.3} of the longest tenth, {fifth:.3} of the next fifth; {excess:.3} more sessions rejected in full than by chance");
         assert!(
             answered >= 0.5 * all,
-            "{case}: fraction answered in class {class} {answered:.3}, of all requests {all:.3}"
+            "{case}: only a fraction of {answered:.3} of the requests of class {class} is answered, but {all:.3} of all requests"
         );
         assert!(
             tenth >= min_long_prompt_ratio * answered,
-            "{case}: fraction answered of the longest tenth {tenth:.3}, of class {class} {answered:.3}"
+            "{case}: only a fraction of {tenth:.3} of the longest tenth of prompts of class {class} is answered, but {answered:.3} of the whole class"
         );
         assert!(
             fifth >= min_long_prompt_ratio * answered,
-            "{case}: fraction answered of the next fifth {fifth:.3}, of class {class} {answered:.3}"
+            "{case}: only a fraction of {fifth:.3} of the next fifth of prompts by length of class {class} is answered, but {answered:.3} of the whole class"
         );
         assert!(
             excess <= 0.12,
@@ -659,7 +660,7 @@
             .expect("each tenant must have requests");
         assert!(
             answered >= all / 3.0,
-            "{case}: fraction answered of tenant {tenant} {answered:.3}, of all requests {all:.3}"
+            "{case}: only a fraction of {answered:.3} of the requests of tenant {tenant} is answered, but {all:.3} of all requests"
         );
     }
     for third in 0..3 {
@@ -671,7 +672,7 @@
             answered_fraction(&requests, within).expect("requests must arrive in each third");
         assert!(
             answered >= all / 5.0,
-            "{case}: fraction answered in the third from {start} ms {answered:.3}, of all requests {all:.3}"
+            "{case}: only a fraction of {answered:.3} of the requests in the third from {start} ms is answered, but {all:.3} of all requests"
         );
     }
 }
