--- a/crates/dispatcher/src/driver/mod.rs
+++ b/crates/dispatcher/src/driver/mod.rs
@@ -305,7 +305,7 @@
 
     fn log_invariant_checks(&self) {
         let counts = self.shared.dispatcher.borrow().invariant_counts().clone();
-        tracing::info!(checked = ?counts.checked, violated = ?counts.violated, "invariant checks during the run");
+        tracing::info!(checked = ?counts.checked, violated = ?counts.violated, "invariants");
     }
 
     /// Sends the messages that are left in the outboxes before the process ends. Clients over HTTP/1 get the stall
