--- a/crates/cindercleat-cli/tests/duties.rs
+++ b/crates/cindercleat-cli/tests/duties.rs
@@ -125,7 +125,7 @@
         (&["hand-over", "nothing"][..], "there is no lease nothing"),
         (
             &["hand-over", "roll-call", "nobody"],
-            "the membership leader knows no dispatcher nobody",
+            "the membership leader does not know dispatcher nobody",
         ),
         (
             &["voters", "remove", "d2"],
--- a/crates/dispatcher/tests/discovery_changes.rs
+++ b/crates/dispatcher/tests/discovery_changes.rs
@@ -117,9 +117,9 @@
     /// Discovery's answer while it is overloaded.
     const OVERLOADED: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-    /// An overloaded discovery service refuses the watch that follows its list, and further calls. The next call
-    /// requests the changes since the known list as part of the watch. Two calls, one for the complete list and one for
-    /// the watch, would each need a place in the service's queue, in immediate succession.
+    /// An overloaded discovery service answers the call for the list, but refuses the watch and the calls after it. Each
+    /// of these calls is a watch that also requests the changes since the known list. Two separate calls, one for the
+    /// complete list and one for the watch, would need two places in the service's queue, one directly after the other.
     #[test]
     fn that_is_overloaded_gets_one_call_for_changes_and_the_watch() {
         run_with(polled_discovery_limits(), &["r1", "w1"], |net| async move {
--- a/crates/dispatcher/tests/dispatcher_state.rs
+++ b/crates/dispatcher/tests/dispatcher_state.rs
@@ -742,7 +742,8 @@
     }
 }
 
-/// An engine refuses every connection while many requests come. It is dialled at a bounded rate, and again later.
+/// An engine refuses every connection while many requests arrive. The dispatcher dials the engine at a bounded rate. A
+/// request that arrives after the backoff makes the dispatcher dial again.
 #[test]
 fn an_unreachable_engine_is_not_dialled_for_every_request() {
     let mut harness = Harness::new();
--- a/crates/dispatcher/tests/peer.rs
+++ b/crates/dispatcher/tests/peer.rs
@@ -40,12 +40,12 @@
         spawn_local(discovery.clone().serve::<Tcp>(listener));
         let mut started = Vec::new();
         for name in engines {
-            let does = if name.starts_with('r') {
+            let behaviour = if name.starts_with('r') {
                 Does::Reads
             } else {
                 Does::Writes
             };
-            let engine = Engine::new(spec(name, does), Tcp, clock, transcript.clone(), 1);
+            let engine = Engine::new(spec(name, behaviour), Tcp, clock, transcript.clone(), 1);
             engine
                 .start("127.0.0.1:0", true)
                 .await
@@ -83,18 +83,18 @@
     });
 }
 
-fn spec(name: &str, does: Does) -> EngineSpec {
+fn spec(name: &str, behaviour: Does) -> EngineSpec {
     EngineSpec {
         name: name.to_owned(),
         zone: "north".to_owned(),
         cell: "n1".to_owned(),
-        kind: if does == Does::Reads {
+        kind: if behaviour == Does::Reads {
             "reader"
         } else {
             "writer"
         }
         .to_owned(),
-        does,
+        does: behaviour,
         slots: 8,
         queue: 8,
         memory_tokens: 2e5,
--- a/crates/dispatcher/tests/single.rs
+++ b/crates/dispatcher/tests/single.rs
@@ -89,7 +89,8 @@
     out.iter().filter_map(release).collect()
 }
 
-/// The message with which an engine's connection ends an attempt. `never_ran` states that the attempt has not run.
+/// The message that an engine sends on an attempt's connection to end the attempt. `never_ran` states that the attempt
+/// has not run.
 fn goodbye(never_ran: bool) -> Body {
     Body::Goodbye(v1::Goodbye {
         reason: "cut".to_owned(),
--- a/crates/soak/src/audit/attempt.rs
+++ b/crates/soak/src/audit/attempt.rs
@@ -74,8 +74,9 @@
         }
     }
 
-    /// When the attempt no longer needs the held KV state, which starts the time for its release: at the attempt's end,
-    /// or when the engine notices the close, if the readings say so and the engine notices it late.
+    /// The time from which the attempt no longer needs the held KV state. The time for the state's release starts here.
+    /// It is the attempt's end. With [`ClosedAttemptEnds::WhenTheEngineNotices`], it is the time at which the engine
+    /// notices the close, if the engine notices it late.
     pub fn state_unneeded_from(&self, ends: ClosedAttemptEnds) -> Option<Ms> {
         let (ended_at, noticed) = (self.ended_at()?, self.ended.map(|(at, _)| at));
         match ends {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -57,7 +57,8 @@
     pub blocked: BlockedDirection,
     /// Whether the silence begins in the middle of a message.
     pub starts_mid_message: bool,
-    /// Whether the held-back bytes are delivered when the silence ends; otherwise all connections are reset.
+    /// Whether each side receives the held-back bytes when the silence ends. If not, all connections to the engines are
+    /// reset.
     pub delivers: bool,
 }
 
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -134,7 +134,8 @@
         self.changed.notify_waiters();
     }
 
-    /// The percentile of a new connection, in `0..100`.
+    /// Returns the percentile of the connection that starts now, in `0..100`. The percentile is not random. The connection
+    /// is silent while its percentile is less than `silent_percent`.
     fn next_percentile(&self) -> u32 {
         self.connections.set(self.connections.get().wrapping_add(1));
         self.connections.get().wrapping_mul(PERCENTILE_STEP) % 100
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -78,7 +78,7 @@
     pub request_class: String,
     pub tenant: String,
     pub session: u64,
-    /// The identifier of the prefix that the prompt shares with other prompts.
+    /// The identifier of the prefix that the prompt shares with other prompts; 0 if it shares none.
     pub shared_text: u64,
     /// The length of the shared prefix, in tokens.
     pub shared_tokens: u32,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -75,7 +75,7 @@
     pub stall_after: Option<u32>,
     /// The share of attempts that fail on arrival.
     pub fails: f64,
-    /// The share of attempts that are reset, on arrival or in mid-stream.
+    /// The probability, 0 to 1, that an attempt is reset, on arrival or in mid-stream.
     pub resets: f64,
     /// The request class whose attempts are rejected as overloaded; `None` if there is none.
     pub full_for: Option<String>,
@@ -419,7 +419,7 @@
         }
     }
 
-    /// Waits while the engine is mute.
+    /// Waits until [`Troubles::mute`] is false; returns at once if it is false already.
     async fn wait_until_unmuted(&self) {
         while self.inner.process.borrow().troubles.mute {
             self.inner.changed.notified().await;
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -31,7 +31,7 @@
     },
     /// An engine process ended abruptly.
     Died,
-    /// A dispatcher process is suspended until the next `Awake` note of its name.
+    /// A dispatcher process is suspended until the next `Awake` note that names the same process.
     Asleep,
     /// A suspended dispatcher process runs again.
     Awake,
--- a/src/coordination/disruption_budget/unit.rs
+++ b/src/coordination/disruption_budget/unit.rs
@@ -39,7 +39,7 @@
     pub zone: String,
     /// The name of the unit's cell within the zone. Empty for a dispatcher.
     pub cell: String,
-    /// The unit's kind of hardware or build. Empty for a dispatcher.
+    /// The kind of hardware or build of an engine. Empty for a dispatcher.
     pub kind: String,
     /// Whether an engine serves prefill, decode or both. None for a dispatcher.
     pub role: Option<Role>,
--- a/src/coordination/member/operator_requests/leases.rs
+++ b/src/coordination/member/operator_requests/leases.rs
@@ -36,7 +36,7 @@
         }
         if membership.is_some_and(|membership| membership.address(&next).is_none()) {
             return Reply::Refused(format!(
-                "the membership leader knows no dispatcher {}",
+                "the membership leader does not know dispatcher {}",
                 next.0
             ));
         }
@@ -108,7 +108,7 @@
                 lease_name.0
             )),
             None if self.jobs.len() >= MAX_JOBS => Some(format!(
-                "this dispatcher contends for the leases of {MAX_JOBS} jobs already"
+                "this dispatcher already contends for the leases of {MAX_JOBS} jobs"
             )),
             _ => None,
         }
--- a/src/coordination/member/requests.rs
+++ b/src/coordination/member/requests.rs
@@ -62,7 +62,7 @@
     /// message, which would make a whole proposal fail.
     resend: Option<Resend>,
     /// The request; kept only if it may be sent again.
-    question: Option<Box<MemberRequest>>,
+    request: Option<Box<MemberRequest>>,
 }
 
 impl RequestInFlight {
@@ -95,7 +95,7 @@
             to,
             times_out_at: self.now + timeout,
             resend,
-            question: None,
+            request: None,
         };
         self.transmit(request, question, out);
     }
@@ -113,7 +113,7 @@
         self.requests_sent += 1;
         let request_id = MemberRequestId(self.requests_sent);
         let to = request.to.clone();
-        request.question = request.resend.map(|_| Box::new(question.clone()));
+        request.request = request.resend.map(|_| Box::new(question.clone()));
         self.in_flight.insert(request_id, request);
         out.push(Output::SendRequest {
             request_id,
@@ -131,7 +131,7 @@
             let Some(request) = self.in_flight.get_mut(&id) else {
                 continue;
             };
-            let (Some(resend), Some(question)) = (request.resend.take(), request.question.take())
+            let (Some(resend), Some(question)) = (request.resend.take(), request.request.take())
             else {
                 continue;
             };
--- a/src/coordination/member/rollout/commands.rs
+++ b/src/coordination/member/rollout/commands.rs
@@ -166,7 +166,7 @@
                     "the membership leader has not heard from all dispatchers yet".to_owned(),
                 ),
                 true => Reply::Refused(format!(
-                    "the membership leader knows no dispatcher {}",
+                    "the membership leader does not know dispatcher {}",
                     name.0
                 )),
             };
--- a/src/coordination/member/rollout/stop_without_agreement.rs
+++ b/src/coordination/member/rollout/stop_without_agreement.rs
@@ -96,7 +96,8 @@
     fn propose_note(&mut self, note: String) {
         self.requests_sent += 1;
         self.pending_commands.push(PendingCommand {
-            // No caller waits for the result, so the number must differ from the number of each call.
+            // No caller waits for the result. No real call may have this number, so the numbers count down from the
+            // maximum.
             call: CallId(u64::MAX - self.requests_sent),
             command: Command::OperatorCommand(OperatorCommand::Note(note)),
             expires_at: f64::INFINITY,
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -24,7 +24,7 @@
     pub stopping: bool,
     /// The dispatcher's utilization, 0 to 1.
     pub utilization: f64,
-    /// The number of leases that the process holds.
+    /// The number of leases that the sender holds when it sends the heartbeat. Candidates for a lease are ranked by it.
     pub leases_held: u32,
     /// Outcomes of client requests since the process started.
     pub outcomes: OutcomeCounts,
--- a/src/coordination/register/proposal.rs
+++ b/src/coordination/register/proposal.rs
@@ -13,7 +13,7 @@
 pub struct Proposal {
     /// The ballot under which the command is proposed.
     pub ballot: Ballot,
-    /// The command to apply to the newest accepted value; it can be rejected by that value.
+    /// The command to apply to the newest accepted value. The command is rejected if it cannot be applied to that value.
     pub command: Command,
     /// The voters in the newest accepted value that a promise returned; until then the voters that the proposer knew.
     voters: Voters,
--- a/src/coordination/rollout_analysis/analysis.rs
+++ b/src/coordination/rollout_analysis/analysis.rs
@@ -57,7 +57,7 @@
             return None;
         }
         self.slice_started_at = Some(now);
-        self.end_slice(&units, updated, has_permit);
+        self.end_time_slice(&units, updated, has_permit);
         self.halt_reason()
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Adds the outcomes since the beginning of the slice to the comparison.
-    fn end_slice(
+    fn end_time_slice(
         &mut self,
         units: &[&Unit],
         updated: &BTreeSet<Name>,
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -89,7 +89,7 @@
 /// Identifies a proposal among those of all processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId {
-    /// The round of the proposal's ballot, which its proposer uses once.
+    /// The round of the proposal's ballot. A process uses each round for at most one proposal.
     pub round: u64,
     /// The process that made the proposal.
     pub incarnation: Incarnation,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -10,7 +10,7 @@
 pub struct Load {
     /// Requests that the engine is working on.
     pub in_flight: Option<f64>,
-    /// Requests that wait in the engine's queue.
+    /// The number of requests that wait in the engine's queue; `None` if the engine does not report it.
     pub queued_requests: Option<f64>,
     /// Fraction of the engine's slots in use.
     pub slots_used: Option<f64>,
@@ -102,8 +102,8 @@
     pub session: SessionId,
     /// Milliseconds from the arrival until the client stops waiting.
     pub time_to_deadline: Ms,
-    /// Expected duration of the answer in milliseconds, if the client states it. The decision logic
-    /// does not read it.
+    /// The expected duration of the answer in milliseconds; `None` if the client does not state it.
+    /// The decision logic does not read it.
     pub answer_hint: Option<Ms>,
     /// The prefix that the prompt shares with prompts of other sessions; `None` if it shares none.
     pub shared_prefix: Option<SharedPrefixId>,
--- a/src/resource_limits.rs
+++ b/src/resource_limits.rs
@@ -16,8 +16,8 @@
     pub connect_timeout: Ms,
     /// How the process receives the list of endpoints.
     pub discovery: Discovery,
-    /// Milliseconds from the notice of a drain within which the process has to learn of it, because the engine then
-    /// stops accepting attempts.
+    /// Milliseconds for which an engine still accepts attempts after the notice of its drain. Afterwards it accepts
+    /// none, so the process has to learn of the drain within this time.
     pub drain_grace: Ms,
     /// Milliseconds after which engines close an idle connection; `None` if they never do.
     pub engine_idle_timeout: Option<Ms>,
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -114,8 +114,8 @@
     behaviour: Behaviour,
     /// When a prefill engine will have computed all prompts that it has received so far.
     busy_until: Ms,
-    /// Prefills that wait at the engine or run there.
-    waiting: usize,
+    /// The number of prefills that wait at the engine or run there.
+    unfinished_prefills: usize,
     /// Decodes that run at the engine, from all dispatchers.
     decodes: usize,
     /// Number of prompt tokens that the engine has cached of each session.
@@ -130,8 +130,8 @@
     }
 
     fn load(&self) -> Load {
-        let queued_requests = Some(self.waiting as f64);
-        let in_flight = Some((self.waiting + self.decodes) as f64);
+        let queued_requests = Some(self.unfinished_prefills as f64);
+        let in_flight = Some((self.unfinished_prefills + self.decodes) as f64);
         Load {
             queued_requests,
             in_flight,
@@ -326,7 +326,7 @@
                     self.deliver(now, dispatcher, event)
                 }
                 Scheduled::AttemptEnds { engine } if self.engines[engine].is_prefill => {
-                    self.engines[engine].waiting -= 1
+                    self.engines[engine].unfinished_prefills -= 1
                 }
                 Scheduled::AttemptEnds { engine } => self.engines[engine].decodes -= 1,
                 Scheduled::FaultBegins => self.begin_fault(now),
@@ -475,7 +475,7 @@
         let engine = &mut self.engines[index];
         let cold = engine.is_cold(now);
         let full = if engine.is_prefill {
-            engine.waiting >= MAX_QUEUED_PREFILLS
+            engine.unfinished_prefills >= MAX_QUEUED_PREFILLS
         } else {
             engine.decodes >= DECODE_SLOTS
         };
@@ -491,7 +491,7 @@
                 let speed = if cold { COLD_CAPACITY } else { 1.0 } * PREFILL_TOKENS_PER_S / 1000.0;
                 engine.busy_until =
                     engine.busy_until.max(now) + (client_request.tokens - cached).max(1.0) / speed;
-                engine.waiting += 1;
+                engine.unfinished_prefills += 1;
                 (Outcome::PrefillDone, engine.busy_until - now, cached)
             }
             Behaviour::Works => {
@@ -557,7 +557,7 @@
         endpoint,
         behaviour,
         busy_until: 0.0,
-        waiting: 0,
+        unfinished_prefills: 0,
         decodes: 0,
         cached,
     }
@@ -637,7 +637,7 @@
             .expect("each class must have requests");
         let (tenth, fifth) = answered_fractions_of_longest_prompts(&requests, class);
         let excess = excess_rejected_sessions(&requests, class);
-        println!("  class {class}: fractions answered: {answered:.3} of all prompts, {tenth:.3} of the longest tenth, {fifth:.3} of the next fifth; {excess:.3} more sessions rejected in full than by chance");
+        println!("  class {class}: fractions answered: {answered:.3} of all prompts, {tenth:.3} of the longest tenth, {fifth:.3} of the next fifth; the fraction of sessions rejected in full is {excess:.3} above the fraction expected by chance");
         assert!(
             answered >= 0.5 * all,
             "{case}: only a fraction of {answered:.3} of the requests of class {class} is answered, but {all:.3} of all requests"
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -336,12 +336,13 @@
                 engine: self.engine(rest),
                 latency: 50.0,
             },
-            "end" => Event::Ended(self.ended(rest)),
+            "end" => Event::Ended(self.parse_ended(rest)),
             _ => return None,
         })
     }
 
-    fn ended(&self, rest: &[&str]) -> Ended {
+    /// Parses the words that follow `end` on a line.
+    fn parse_ended(&self, rest: &[&str]) -> Ended {
         let waiting_kilotokens = rest.iter().find_map(|w| w.strip_prefix("x1=")).map(number);
         Ended {
             request: request_id(rest),
