--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -385,7 +385,7 @@
     }
 }
 
-/// Derives the end of a call from the gRPC status in its trailers; [`CallEnd::Nothing`] if the trailers
+/// Derives the end of a call from the gRPC status in its trailers; [`CallEnd::EndedWithoutStatus`] if the trailers
 /// hold no status number.
 fn end_from_status(headers: &HeaderMap) -> CallEnd {
     let number = headers
--- a/crates/standin/src/transcript.rs
+++ b/crates/standin/src/transcript.rs
@@ -219,7 +219,7 @@
     Ok(())
 }
 
-/// Reads records that [`write`] wrote.
+/// Reads records that [`write()`] wrote.
 ///
 /// # Errors
 /// Returns the reader's error, or `InvalidData` with the line number for a line that is not a record.
